--- /dev/null
+++ b/internal/wire/characterization_test.go
@@ -0,0 +1,229 @@
+package wire_test
+
+// Characterization tests: they pin what the reader makes of each event code, what the writer emits for each
+// action, and which truncated inputs are refused.
+//
+// The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
+// fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
+//
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/wire -run Characterization
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"heathshed/internal/wire"
+)
+
+// compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("HEATHSHED_UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
+			t.Fatalf("%s differs first at line %d of %d (now %d lines):\n got %q\nwant %q", name, i+1,
+				len(wantLines), len(gotLines), lineAt(gotLines, i), lineAt(wantLines, i))
+		}
+	}
+}
+
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return "(no line)"
+}
+
+// record encodes one record from values of fixed width, little endian.
+func record(values ...any) []byte {
+	var b bytes.Buffer
+	for _, v := range values {
+		if err := binary.Write(&b, binary.LittleEndian, v); err != nil {
+			panic(err)
+		}
+	}
+	return b.Bytes()
+}
+
+func frameOf(number uint32, now float64, records ...[]byte) []byte {
+	body := bytes.Join(records, nil)
+	return append(record(number, uint32(12+len(body)), uint32(len(records)), now), body...)
+}
+
+var (
+	address   = [6]byte{192, 168, 3, 4, 0x39, 0x30}
+	otherNode = [6]byte{255, 254, 253, 252, 251, 250}
+)
+
+// records is one record or more of every event code, with fields at their limits.
+func records() [][]byte {
+	u8 := func(v int) uint8 { return uint8(v) }
+	u16 := func(v int) uint16 { return uint16(v) }
+	u32 := func(v int) uint32 { return uint32(v) }
+	u64 := func(v uint64) uint64 { return v }
+	nan := float32(math.NaN())
+	return [][]byte{
+		record(u8(16), u8(3), u32(2), address, u8(1), float32(2.5), u8(0), u16(9), float32(-4), u8(2), float32(1), 77.5,
+			otherNode, u8(255), nan, u8(254), u16(65535), float32(0.1), u8(0), float32(-0.5), math.Inf(1)),
+		record(u8(16), u8(15), u32(0)),
+		record(u8(17), u32(5), u64(1001), address, 0.125, u8(5), u8(2), u8(1), u16(251), u8(3), float32(3), nan, float32(0.1)),
+		record(u8(17), u32(5), u64(math.MaxUint64), otherNode, math.NaN(), u8(255), u8(254), u8(0), u16(65535), u8(0)),
+		record(u8(18), u32(5), u64(1001), u16(1), u16(2), u64(8), 12.5, 3.25, u64(6), float32(0.1), float32(1.5), u8(17)),
+		record(u8(19), u32(5), u64(99), u32(2), []byte("{}")),
+		record(u8(19), u32(math.MaxUint32), u64(0), u32(0)),
+		record(u8(20), u32(5), u16(253), address, 0.5, u8(1), float32(7)),
+		record(u8(21), u32(5), u64(33)),
+		record(u8(22), u32(5), u64(1001)),
+		record(u8(23), u32(5)),
+		record(u8(24), u32(5), u64(1002), address, 3.25, 12.5, u16(1), u64(8), u8(16), float32(0.5), float32(1.1), u64(6), u16(2)),
+		record(u8(25), u32(5), u64(1001), u8(2), 0.125, address),
+		record(u8(26), u32(5), u8(4), u32(41), u8(3)),
+		record(u8(27), u32(5), u64(1001), u8(2), address, u8(3), float32(0.7)),
+		record(u8(28), u32(5), u32(2), u16(3), []byte("abc")),
+	}
+}
+
+// describe writes all fields of an event as numbers in a fixed order; floats as bits, bytes in hex.
+func describe(ev *wire.Event) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d %d %d %d %d %d %d %d", ev.Code, ev.Who, ev.ID, ev.Key, ev.Service, uint64(ev.Node), ev.Class, ev.Tenant)
+	fmt.Fprintf(&b, " %x %x %x %x", math.Float64bits(ev.Deadline), math.Float64bits(ev.Life), math.Float32bits(ev.Cores),
+		math.Float32bits(ev.Memory))
+	fmt.Fprintf(&b, " %d %d %x %d %d %d", ev.Flags, ev.Attempt, math.Float64bits(ev.Elapsed), ev.Remark, ev.Finished, ev.Status)
+	fmt.Fprintf(&b, " load%d", len(ev.Load))
+	for _, v := range ev.Load {
+		fmt.Fprintf(&b, " %x", math.Float32bits(v))
+	}
+	fmt.Fprintf(&b, " %d %x %d %d %d %d", ev.Sort, math.Float32bits(ev.Value), ev.Token, ev.ListKind, ev.Sheet, ev.Stamp)
+	fmt.Fprintf(&b, " %d [%x] %d [%x] list%d", ev.Seed, ev.Settings, ev.From, ev.Body, len(ev.Entries))
+	for _, e := range ev.Entries {
+		fmt.Fprintf(&b, " (%d %d %d %x %d %x %d %x %x)", uint64(e.Node), e.Zone, e.Kind, math.Float32bits(e.FreeCores), e.Cell,
+			math.Float32bits(e.FreeMemory), e.Health, math.Float32bits(e.Units), math.Float64bits(e.OnlineSince))
+	}
+	return b.String()
+}
+
+func TestCharacterizationOfEvents(t *testing.T) {
+	all := records()
+	r := wire.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
+	var text strings.Builder
+	for range 2 {
+		batch, err := r.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(batch.Now), r.Rest())
+		for range batch.Count {
+			var ev wire.Event
+			if err := r.Read(&ev); err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Rest())
+		}
+	}
+	compareGolden(t, "events.golden", text.String())
+}
+
+// readable says how many records of an input are read before an error; -1 if the batch itself is refused.
+func readable(in []byte) (count int, failed bool) {
+	r := wire.NewReader(bytes.NewReader(in))
+	batch, err := r.Next()
+	if err != nil {
+		return -1, true
+	}
+	for range batch.Count {
+		var ev wire.Event
+		if r.Read(&ev) != nil {
+			return count, true
+		}
+		count++
+	}
+	return count, false
+}
+
+// TestCharacterizationOfRefusals cuts each record at every length, and tries every event code alone.
+func TestCharacterizationOfRefusals(t *testing.T) {
+	var text strings.Builder
+	digit := map[bool]byte{false: '0', true: '1'}
+	for _, one := range records() {
+		fmt.Fprintf(&text, "%d ", one[0])
+		for length := range len(one) + 1 {
+			count, failed := readable(frameOf(1, 1, one[:length]))
+			fmt.Fprintf(&text, "%d%c", count+1, digit[failed])
+		}
+		text.WriteByte('\n')
+	}
+	for code := range 256 {
+		_, failed := readable(frameOf(1, 1, append([]byte{byte(code)}, make([]byte, 80)...)))
+		text.WriteByte(digit[failed])
+	}
+	text.WriteByte('\n')
+	for sheet := range 256 {
+		_, failed := readable(frameOf(1, 1, record(uint8(16), uint8(sheet), uint32(0))))
+		text.WriteByte(digit[failed])
+	}
+	text.WriteByte('\n')
+	whole := frameOf(1, 1, records()...)
+	for length := range len(whole) + 1 {
+		count, _ := readable(whole[:length])
+		fmt.Fprintf(&text, "%d,", count)
+	}
+	text.WriteByte('\n')
+	compareGolden(t, "refusals.golden", text.String())
+}
+
+func TestCharacterizationOfActions(t *testing.T) {
+	node := wire.Node(binary.LittleEndian.Uint32(address[:])) | wire.Node(binary.LittleEndian.Uint16(address[4:]))<<32
+	long := strings.Repeat("x", 70000)
+	var text strings.Builder
+	var w wire.Writer
+	write := func(number uint32, actions ...func()) {
+		w.Start(number)
+		for _, action := range actions {
+			action()
+		}
+		reply := w.Finish()
+		fmt.Fprintf(&text, "%d %x\n", len(reply), reply[:min(len(reply), 300)])
+	}
+	all := []func(){
+		func() { w.Assign(5, 1001, 12.5, node) },
+		func() { w.Assign(math.MaxUint32, math.MaxUint64, math.Inf(1), wire.Node(1<<48-1)) },
+		func() { w.TurnAway(5, 1001, 0.1) },
+		func() { w.Fail(5, 1001) },
+		func() { w.Timer(5, 33, 0.5) },
+		func() { w.Watch(5) },
+		func() { w.Lookup(5) },
+		func() { w.Vacate(5, 1001) },
+		func() { w.Abort(5, 1001, 2) },
+		func() { w.Record(5, "ab") },
+		func() { w.Bug(5, "cd") },
+		func() { w.Bug(5, "") },
+		func() { w.Record(5, long) },
+	}
+	write(0)
+	for i, action := range all {
+		write(uint32(i+1), action)
+	}
+	write(math.MaxUint32, all...)
+	compareGolden(t, "actions.golden", text.String())
+}
