--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -92,6 +92,7 @@
 	withdrawn      float64 // part of the tasks that their owners withdraw early
 	returnsAfter   float64 // seconds after which a machine that left comes back, 0 for never
 	useOfAsk       float64 // part of what is asked that is used at least
+	firstSince     float64 // clock time of the machines' last start, 0 for long ago
 }
 
 func classes(apart ...placer.Place) []placer.Class {
@@ -156,6 +157,12 @@
 	memory := baseConfig()
 	memory.ListShowsRoom, memory.ReportsUse, memory.BookCores, memory.BookMemory = true, true, 2, 2
 
+	dear := fleet // moves cost more than the machines that they free
+	dear.FleetPrice, dear.MovePrice, dear.ColdAlways = 0.1, 0.2, 30
+
+	deaf := zones // the list hardly ever comes
+	deaf.AskWithin, deaf.Peers = 400, 3
+
 	return []script{
 		{name: "stay", seed: 1, events: 12000, config: stay, machines: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
 			lifetime: 5, task: 0.9, taskMemory: 1.5, churnEvery: 1.5, listEvery: 0.7, listFails: 0.1, failing: 0.15, broken: 2,
@@ -176,6 +183,10 @@
 			lifetime: 8, task: 0.3, taskMemory: 4, listEvery: 0.3, failing: 0.02, useOfAsk: 0.35},
 		{name: "return", seed: 8, events: 8000, config: fleet, machines: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 3,
 			lifetime: 2, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 0.5, failing: 0.05, returnsAfter: 59.5},
+		{name: "dear", seed: 9, events: 4000, config: dear, machines: 20, zones: 1, racks: 4, services: 15, arrivalsPerSec: 6,
+			lifetime: 6, task: 1, taskMemory: 1, listEvery: 0.5, failing: 0.05, quietAfter: 2000, firstSince: 998},
+		{name: "deaf", seed: 10, events: 4000, config: deaf, machines: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 2,
+			lifetime: 6, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 4, listFails: 0.85, failing: 0.05},
 	}
 }
 
@@ -322,7 +333,7 @@
 
 func (s *simulation) start() {
 	for range s.script.machines {
-		s.addMachine(0)
+		s.addMachine(s.script.firstSince)
 	}
 	for i := range s.script.broken {
 		s.machines[i*3%len(s.machines)].broken = true
