--- /dev/null
+++ b/internal/dispatch/characterization_test.go
@@ -0,0 +1,745 @@
+package dispatch_test
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"heathshed/internal/dispatch"
+	"heathshed/internal/jsonl"
+	"heathshed/internal/simsettings"
+	"heathshed/placer"
+)
+
+// goldenPath is the file of expected checkpoints, goldenUpdate the environment variable which, set to 1, writes it anew. The file is only to
+// be written anew for an intended change of behaviour.
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+// TestCharacterization plays seeded scripts against the core and compares a digest of everything observable with the golden file. A digest is
+// rolling: the first checkpoint that differs locates the first step that differs. It holds numbers, wire bytes and float bits only, so that it
+// does not depend on names in the source. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	var lines []string
+	for shape := range settingsShapes {
+		for seed := uint64(1); seed <= 6; seed++ {
+			lines = append(lines, playScript(t, shape, seed)...)
+		}
+	}
+	lines = append(lines, playDirected(t)...)
+	compareGolden(t, lines)
+}
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d checkpoints, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Fatalf("first difference at line %d:\n got %s\nwant %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+// settingsShapes are configurations that differ in every setting the core reads, and in those that make the placer act otherwise.
+var settingsShapes = []string{
+	`{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a","b"],
+ "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":2,"freeInList":true,
+  "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
+ "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1},
+  {"name":"seats","effect":"at_most_once","hardLimitS":5,"keyScope":"all","objectiveS":1,"worth":2}],
+ "orgs":[{"name":"south"}],"loadReport":{"fields":["x0","x1"],"how":"answers"},
+ "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25},
+ "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`,
+	`{"discovery":"pushed","me":1,"myZone":1,"peersTotal":3,"flavors":["std","big"],"zones":["a","b"],
+ "extra":{"admitMemory":1,"apartBy":["machine","zone"],"classKind":[-1,1],"checkAfterS":0.5,"coresByKind":[8,16],"cpuBooking":1,
+  "counts":"used","pushesOut":true,"precedence":[0,2],"quotaCores":[6,4],"togetherMax":[3,2],
+  "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"saysYes":"running","youngLimit":4},
+ "lanes":[{"name":"query","effect":"deduplicated","hardLimitS":3,"keyScope":"zone","keyTtlS":2,"objectiveS":0.5,"worth":1},
+  {"name":"seats","effect":"idempotent","hardLimitS":2,"keyScope":"all","objectiveS":1,"worth":3}],
+ "orgs":[{"name":"south","share":1},{"name":"north","share":2}],"loadReport":{"fields":["utilization","backlog","x0"],"how":"answers"},
+ "permissions":{"mostTries":2,"mayDuplicate":true,"retryAfter":true,"maxRetryAfterS":1,"connectTimeoutS":0.25},
+ "tariffs":{"crossZone":0.1,"fleet":0.2,"moves":0.01},"overShareWorth":0.5,
+ "rules":{"answerSlackS":0.2,"askWithinS":4,"drainGraceS":3,"fallS":1,"warmWithinS":2,"overloadFactor":2}}`,
+	`{"discovery":"ask","me":0,"myZone":0,"peersTotal":2,"flavors":["std"],"zones":["a"],
+ "extra":{"admitMemory":1,"bound":true,"apartBy":["cell"],"classKind":[0],"checkAfterS":6,"coresByKind":[4],"cpuBooking":1,
+  "freeInList":true,"fullUpTo":[0.9],"fadesOver":[0.5],"kindMemory":[8],"saysYes":"accepted","startBonusS":[0.5]},
+ "lanes":[{"name":"query","effect":"at_most_once","hardLimitS":8,"keyScope":"machine","objectiveS":2,"worth":1},
+  {"name":"seats","effect":"at_most_once","hardLimitS":1,"keyScope":"all","objectiveS":0.2,"worth":2,"lateValue":0.5}],
+ "loadReport":{"fields":[],"how":"none"},
+ "permissions":{"mostTries":6,"retryAfter":false,"connectTimeoutS":0.1},"tariffs":{"moves":0.001},
+ "rules":{"answerSlackS":0,"askWithinS":2,"drainGraceS":10,"fallS":1,"warmWithinS":0,"coldFrom":1}}`,
+}
+
+// scriptTenants are the tenant names that are valid in each of the settings shapes.
+var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
+
+const (
+	scriptSteps     = 600
+	checkpointEvery = 50
+	scriptMachines  = 6
+)
+
+// recorder drives one core and digests what it does.
+type recorder struct {
+	t          *testing.T
+	core       *dispatch.Core
+	random     *rand.Rand
+	digest     hash.Hash
+	shape      int
+	now        float64
+	eventNo    int
+	lastConn   dispatch.ConnID
+	conns      []dispatch.ConnID
+	lastID     uint64
+	waiting    []*dispatch.Offer // told to be sent and not yet started
+	started    []*dispatch.Offer // sent at some time
+	states     map[int]string    // of the machines, as last told
+	unordered  bool              // the order of effects is not promised by the current call
+	lines      []string
+	labelStart string
+}
+
+func newRecorder(t *testing.T, shape int, seed uint64, known string) *recorder {
+	t.Helper()
+	settings, err := simsettings.Parse([]byte(settingsShapes[shape]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	module, err := placer.New(settings.Placer, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &recorder{t: t, random: rand.New(rand.NewPCG(seed, uint64(shape)+1)), digest: sha256.New(), shape: shape, now: 1000, eventNo: 1,
+		states: map[int]string{}, labelStart: fmt.Sprintf("shape %d seed %d", shape, seed)}
+	if r.core, err = dispatch.New(r.now, settings, module, []byte(known)); err != nil {
+		t.Fatal(err)
+	}
+	r.observe(0)
+	return r
+}
+
+func (r *recorder) number(values ...uint64) {
+	for _, v := range values {
+		r.digest.Write(binary.BigEndian.AppendUint64(nil, v))
+	}
+}
+
+func (r *recorder) flag(on bool) {
+	if on {
+		r.number(1)
+	} else {
+		r.number(0)
+	}
+}
+
+func (r *recorder) float(v float64) { r.number(math.Float64bits(v)) }
+
+func (r *recorder) text(s string) {
+	r.number(uint64(len(s)))
+	r.digest.Write([]byte(s))
+}
+
+// verdict digests whether there was an error, and the word under which it is counted, not its text.
+func (r *recorder) verdict(err error) {
+	r.flag(err != nil)
+	var bad *dispatch.Bad
+	if errors.As(err, &bad) {
+		r.text(bad.Kind)
+	}
+}
+
+// encodeEffect is an effect as bytes, in the encoding of its message on the wire.
+func encodeEffect(e *dispatch.Effect) []byte {
+	b := []byte{byte(e.Kind)}
+	b = binary.BigEndian.AppendUint64(b, uint64(e.Conn))
+	if e.TimedOut {
+		b = append(b, 1)
+	}
+	if e.Message.Kind != 0 {
+		b = e.Message.Append(b)
+	}
+	if o := e.Offer; o != nil {
+		b = binary.BigEndian.AppendUint64(b, uint64(o.Node))
+		b = binary.BigEndian.AppendUint64(b, uint64(o.Owner()))
+		b = o.Message.Append(b)
+	}
+	return b
+}
+
+// observe digests the effects of a call and the state that the core shows afterwards.
+func (r *recorder) observe(step int) {
+	r.number(uint64(step))
+	var encoded [][]byte
+	for _, e := range r.core.Ready() {
+		encoded = append(encoded, encodeEffect(&e))
+		if e.Kind == dispatch.Send {
+			r.waiting = append(r.waiting, e.Offer)
+		}
+		if e.Kind == dispatch.Held {
+			r.started = append(r.started, e.Offer)
+		}
+	}
+	if r.unordered {
+		slices.SortFunc(encoded, func(a, b []byte) int { return strings.Compare(string(a), string(b)) })
+	}
+	r.number(uint64(len(encoded)))
+	for _, b := range encoded {
+		r.text(string(b))
+	}
+	r.state()
+}
+
+func (r *recorder) state() {
+	r.float(r.core.Due())
+	r.number(countValues(&r.core.Counts)...)
+	r.number(uint64(r.core.Open()), uint64(r.core.Standing()), r.core.Last())
+	for _, id := range r.conns {
+		open, good := r.core.OwnerOpen(id)
+		r.number(uint64(open))
+		r.flag(good)
+		r.flag(r.core.OwnerNeeded(id))
+	}
+	for i := range scriptMachines + 1 {
+		n := r.core.Node(dispatch.NodeNumber(machineName(i)))
+		if r.flag(n != nil); n != nil {
+			r.text(n.UID)
+			r.text(n.Addr)
+			r.number(uint64(n.ID), uint64(n.State), uint64(n.Standing()))
+			r.float(n.Boot)
+			r.float(n.GoneFor(r.now))
+		}
+	}
+	for _, o := range r.started {
+		r.flag(o.Live())
+		r.flag(o.Open())
+		r.flag(o.Waiting())
+		r.float(o.Age(r.now))
+	}
+	machines := 0
+	r.core.Nodes(func(*dispatch.Node) { machines++ })
+	r.number(uint64(machines))
+}
+
+// countValues are the counters in a fixed order.
+func countValues(c *dispatch.Counts) []uint64 {
+	return []uint64{c.SetUps, c.Named, c.Taken, c.Answered, c.Refused, c.Failed, c.Withdrawn,
+		c.Offers, c.Bound, c.Full, c.Errors, c.Unreachable, c.Broken, c.TimedOut, c.Moot, c.Late, c.Unheld,
+		c.Ends, c.Moves, c.Lost, c.Owed, c.OwedLost, c.Retold, c.Bad}
+}
+
+func (r *recorder) checkpoint(step int) {
+	var counts []string
+	for _, v := range countValues(&r.core.Counts) {
+		counts = append(counts, strconv.FormatUint(v, 10))
+	}
+	r.lines = append(r.lines, fmt.Sprintf("%s step %d %x counts %s", r.labelStart, step, r.digest.Sum(nil), strings.Join(counts, " ")))
+}
+
+func machineName(i int) string { return fmt.Sprintf("s-%08x", i) }
+
+func (r *recorder) machine(i int, state string, bootMS int64) string {
+	r.states[i] = state
+	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
+		machineName(i), i, 1+r.eventNo%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
+}
+
+func rosterEvent(no int, all bool, machines ...string) string {
+	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, no, no, all, strings.Join(machines, ","))
+}
+
+func pick[T any](r *recorder, of ...T) T { return of[r.random.IntN(len(of))] }
+
+func wireMessage(kind jsonl.Kind, id uint64) jsonl.Message {
+	return jsonl.Message{Kind: kind, ID: jsonl.ID(id), UID: fmt.Sprintf("%016x", id)}
+}
+
+// playScript plays one random script to its end.
+func playScript(t *testing.T, shape int, seed uint64) []string {
+	setup := &recorder{states: map[int]string{}}
+	known := `{"no":1,"items":[` + rosterEvent(1, true, setup.machine(1, "in_service", 0), setup.machine(2, "in_service", 0),
+		setup.machine(3, "in_service", 0)) + `]}`
+	r := newRecorder(t, shape, seed, known)
+	for i := 1; i <= 3; i++ {
+		r.states[i] = "in_service"
+	}
+	if seed%2 == 0 {
+		r.core.Streaming(r.now, true)
+		r.observe(0)
+	}
+	r.openConnection()
+	for step := 1; step <= scriptSteps; step++ {
+		r.step()
+		r.observe(step)
+		if step%checkpointEvery == 0 {
+			r.checkpoint(step)
+		}
+	}
+	r.advance(70)
+	r.checkpoint(scriptSteps + 1)
+	return r.lines
+}
+
+// step makes one random call.
+func (r *recorder) step() {
+	switch r.random.IntN(30) {
+	case 0, 1, 2, 3, 4, 5:
+		r.launch("")
+	case 6, 7, 8, 9, 10:
+		r.start()
+	case 11, 12, 13, 14:
+		r.accept()
+	case 15, 16, 17:
+		r.machineMessage()
+	case 18:
+		r.invalidLaunch()
+	case 19:
+		r.launch(";at:" + pick(r, machineName(1), machineName(2), machineName(3), machineName(4)))
+	case 20, 21:
+		r.ownerMessage()
+	case 22:
+		r.connectionEvent()
+	case 23, 24:
+		r.bulletin()
+	case 25:
+		r.offerFailure()
+	case 26:
+		r.machineLoss()
+	case 27:
+		r.core.Streaming(r.now, r.random.IntN(2) == 0)
+	default:
+		r.advance(pick(r, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
+	}
+}
+
+func (r *recorder) openConnection() {
+	r.lastConn++
+	r.core.OwnerOpened(r.now, r.lastConn)
+	r.conns = append(r.conns, r.lastConn)
+	r.observe(0)
+}
+
+func (r *recorder) connectionEvent() {
+	if len(r.conns) < 2 || len(r.conns) < 5 && r.random.IntN(2) == 0 {
+		r.openConnection()
+		return
+	}
+	i := r.random.IntN(len(r.conns))
+	id := r.conns[i]
+	r.conns = slices.Delete(r.conns, i, i+1)
+	r.core.OwnerClosed(r.now, id)
+	if r.random.IntN(4) == 0 {
+		r.core.OwnerClosed(r.now, id) // once more
+	}
+}
+
+func (r *recorder) validLaunch(id uint64, extras string) jsonl.Message {
+	m := wireMessage(jsonl.Launch, id)
+	m.Body = pick(r, `"in"`, `"\u00e9\n"`, `""`)
+	m.Set(jsonl.Class, pick(r, "query", "seats"))
+	if tenant := pick(r, scriptTenants[r.shape]...); tenant != "" {
+		m.Set(jsonl.Tenant, tenant)
+	}
+	m.Set(jsonl.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
+	if r.random.IntN(3) == 0 {
+		m.Set(jsonl.Idem, pick(r, "", "copy", `odd "name"`))
+	}
+	m.Set(jsonl.Left, pick(r, "0", "120", "900", "1000", "2e3"))
+	if extras != "" {
+		m.Set(jsonl.Left, pick(r, "4294967", "1000"))
+	}
+	m.Set(jsonl.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+		pick(r, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
+	return m
+}
+
+func (r *recorder) fromOwner(m *jsonl.Message) {
+	conn := dispatch.ConnID(99) // never opened
+	if len(r.conns) > 0 && r.random.IntN(40) > 0 {
+		conn = pick(r, r.conns...)
+	}
+	r.verdict(r.core.FromOwner(r.now, conn, m))
+}
+
+func (r *recorder) launch(extras string) {
+	r.lastID++
+	id := r.lastID
+	if r.random.IntN(12) == 0 {
+		id = r.someID() // perhaps in use
+	}
+	m := r.validLaunch(id, extras)
+	r.fromOwner(&m)
+}
+
+func (r *recorder) someID() uint64 { return 1 + r.random.Uint64N(r.lastID+1) }
+
+// launchFaults spoil a valid set-up.
+var launchFaults = []func(m *jsonl.Message){
+	func(m *jsonl.Message) { m.Body = "" },
+	func(m *jsonl.Message) { m.Set(jsonl.Class, "none") },
+	func(m *jsonl.Message) { m.Set(jsonl.Tenant, "nobody") },
+	func(m *jsonl.Message) { m.Set(jsonl.Key, "12") },
+	func(m *jsonl.Message) { m.Set(jsonl.Key, "000000000000000g") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "-1") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "NaN") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "16000") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "16001") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "6000") },
+	func(m *jsonl.Message) { m.Set(jsonl.Left, "4000.5") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;cores:1") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:-1;memory:1") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1e9") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1000000001") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:NaN") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:;memory:1") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;service:9") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;at:") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;at:s-77777777") },
+	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;;memory:1;at:s-00000001;") },
+}
+
+func (r *recorder) invalidLaunch() {
+	r.lastID++
+	id := pick(r, r.lastID, r.someID())
+	m := r.validLaunch(id, "")
+	pick(r, launchFaults...)(&m)
+	r.fromOwner(&m)
+}
+
+func (r *recorder) ownerMessage() {
+	kind := pick(r, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stopped, jsonl.Stopped, jsonl.Check, jsonl.Staging, jsonl.Running, jsonl.Checked,
+		jsonl.Update, jsonl.Migrate, jsonl.Kind(0))
+	m := wireMessage(kind, r.someID())
+	m.Reason, m.HasReason = pick(r, 0, 16, 31, 41), r.random.IntN(3) > 0
+	r.fromOwner(&m)
+}
+
+// start lets an offer go out, one that was ended meanwhile included.
+func (r *recorder) start() {
+	if len(r.waiting) == 0 {
+		return
+	}
+	i := r.random.IntN(len(r.waiting))
+	o := r.waiting[i]
+	r.waiting = slices.Delete(r.waiting, i, i+1)
+	may := r.core.MayStart(r.now, o)
+	r.flag(may)
+	r.text(string(o.Message.Append(nil)))
+	if may {
+		r.started = append(r.started, o)
+	}
+}
+
+func (r *recorder) fromNode(o *dispatch.Offer, m *jsonl.Message) { r.core.FromNode(r.now, o.Node, m) }
+
+// accept lets the machine of an open offer say that the task stands.
+func (r *recorder) accept() {
+	open := r.started
+	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Offer) bool { return !o.Open() }); len(live) > 0 && r.random.IntN(6) > 0 {
+		open = live
+	}
+	if len(open) == 0 {
+		return
+	}
+	o := pick(r, open...)
+	m := wireMessage(jsonl.Running, uint64(o.Message.ID))
+	m.Body = pick(r, `"out"`, `"out"`, `"out"`, `"\t"`, "")
+	r.fromNode(o, &m)
+}
+
+// machineMessage has a machine say anything about anything.
+func (r *recorder) machineMessage() {
+	kind := pick(r, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Update, jsonl.Update, jsonl.Update, jsonl.Launch, jsonl.Staging,
+		jsonl.Stopped, jsonl.Check, jsonl.Checked, jsonl.Migrate)
+	m := wireMessage(kind, r.someID())
+	m.Reason, m.HasReason = pick(r, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), r.random.IntN(8) > 0
+	m.Set(jsonl.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	m.Set(jsonl.Load, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	if kind == jsonl.Update {
+		m.Set(jsonl.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
+		m.Set(jsonl.Value, pick(r, "0.5", "1", "3.75", "x", ""))
+	}
+	if len(r.started) == 0 || r.random.IntN(8) == 0 {
+		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1+r.random.IntN(4))), &m)
+		return
+	}
+	recent := r.started[max(0, len(r.started)-12):]
+	o := pick(r, recent...)
+	m.UID, m.ID = o.Message.UID, o.Message.ID
+	r.fromNode(o, &m)
+}
+
+func (r *recorder) offerFailure() {
+	if len(r.waiting) > 0 && r.random.IntN(2) == 0 {
+		r.core.Unreachable(r.now, pick(r, r.waiting...))
+	} else if len(r.started) > 0 {
+		r.core.Broken(r.now, pick(r, r.started...))
+	}
+}
+
+func (r *recorder) machineLoss() {
+	id := dispatch.NodeNumber(machineName(1 + r.random.IntN(scriptMachines)))
+	if r.random.IntN(2) == 0 {
+		r.core.NodeLost(r.now, id)
+	} else {
+		r.number(uint64(r.core.NodeSilent(r.now, id)))
+	}
+}
+
+// bulletin tells one event of the bulletin, valid or not. At most one machine changes with an event, since the core promises no order among
+// machines that go at one moment; a machine begins a new life only where at most one task stands, for the same reason.
+func (r *recorder) bulletin() {
+	r.eventNo++
+	i := 1 + r.random.IntN(scriptMachines)
+	state := pick(r, "in_service", "in_service", "terminating", "terminated")
+	var event string
+	switch r.random.IntN(12) {
+	case 0, 1, 2:
+		event = rosterEvent(r.eventNo, true, r.wholeList(i, state)...)
+	case 3:
+		event = fmt.Sprintf(`{"no":%d}`, r.eventNo)
+	case 4:
+		r.eventNo--
+		event = pick(r, "", "{", `{"no":-1}`, `{"no":"x"}`, rosterEvent(r.eventNo, true), rosterEvent(r.eventNo+2, true),
+			strings.ReplaceAll(rosterEvent(r.eventNo+1, false, `{"uid":"","state":"in_service"}`), "\n", ""),
+			rosterEvent(r.eventNo+1, false, `{"uid":"s-00000001","state":"asleep"}`))
+	default:
+		event = rosterEvent(r.eventNo, false, r.machine(i, state, r.bootOf(i)))
+	}
+	ok, err := r.core.Bulletin(r.now, []byte(event))
+	r.flag(ok)
+	r.verdict(err)
+}
+
+func (r *recorder) bootOf(i int) int64 {
+	n := r.core.Node(dispatch.NodeNumber(machineName(i)))
+	if n == nil || n.Standing() > 1 {
+		return 0
+	}
+	return pick(r, 0, 0, int64(r.now*1000), int64(r.now*1000)-1000, int64(r.now*1000)+1500)
+}
+
+// wholeList is the last known list with one machine changed or left out.
+func (r *recorder) wholeList(changed int, state string) (list []string) {
+	for i := 1; i <= scriptMachines; i++ {
+		switch {
+		case i == changed && state == "terminated":
+			delete(r.states, i)
+		case i == changed:
+			list = append(list, r.machine(i, state, 0))
+		case r.states[i] != "":
+			list = append(list, r.machine(i, r.states[i], 0))
+		}
+	}
+	return list
+}
+
+// advance lets time pass, timer by timer or, at times, with all timers late.
+func (r *recorder) advance(by float64) {
+	to := r.now + by
+	if r.random.IntN(5) == 0 {
+		r.now = to
+		r.core.Advance(r.now)
+		return
+	}
+	for r.core.Due() <= to {
+		r.now = max(r.now, r.core.Due())
+		r.core.Advance(r.now)
+		r.observe(0)
+	}
+	r.now = to
+}
+
+// playDirected plays short scripts that random ones seldom meet: many machines and tasks that end at one moment (in which the core promises
+// no order, so effects are sorted), a configuration that cannot be used, and the bound on what is remembered.
+func playDirected(t *testing.T) []string {
+	var lines []string
+	for shape := range settingsShapes {
+		r := newRecorder(t, shape, 50, "")
+		r.labelStart = fmt.Sprintf("directed shape %d", shape)
+		r.unordered = true
+		r.openConnection()
+		r.core.Streaming(r.now, true)
+		r.tellAll("in_service", 0)
+		r.nameTasks(24, 1)
+		r.checkpoint(1)
+		r.tellAll("in_service", 1010_000) // a new life ends what stood
+		r.checkpoint(2)
+		r.nameTasks(24, 101)
+		r.tellAll("terminated", 0)
+		r.checkpoint(3)
+		r.now += 1.5
+		r.core.Advance(r.now)
+		r.observe(0)
+		r.checkpoint(4)
+		r.now += 61
+		r.core.Advance(r.now)
+		r.observe(0)
+		r.checkpoint(5)
+		lines = append(lines, r.lines...)
+	}
+	lines = append(lines, playRedelivery(t)...)
+	return append(lines, playRememberedEnds(t)...)
+}
+
+func (r *recorder) tellAll(state string, bootMS int64) {
+	r.eventNo = int(r.core.Last()) + 1
+	var all []string
+	for i := 1; i <= scriptMachines; i++ {
+		all = append(all, r.machine(i, state, bootMS))
+	}
+	ok, err := r.core.Bulletin(r.now, []byte(rosterEvent(r.eventNo, false, all...)))
+	r.flag(ok)
+	r.verdict(err)
+	r.observe(0)
+}
+
+// nameTasks names tasks that stand already, spread over the machines.
+func (r *recorder) nameTasks(count int, first uint64) {
+	for i := range count {
+		m := r.validLaunch(first+uint64(i), ";at:"+machineName(1+i%scriptMachines))
+		r.verdict(r.core.FromOwner(r.now, r.conns[0], &m))
+		r.observe(0)
+	}
+}
+
+// playRedelivery has releases cross the end of their connection, with owners that confirm releases and owners that do not, at intervals
+// around each time limit, and with no owner left to be told.
+func playRedelivery(t *testing.T) []string {
+	var lines []string
+	for variant := range 24 {
+		r := newRecorder(t, 0, uint64(100+variant), "")
+		r.labelStart = fmt.Sprintf("redelivery %d", variant)
+		r.openConnection()
+		r.openConnection()
+		r.tellAll("in_service", 0)
+		r.nameTasks(6, 1)
+		if variant%2 == 1 {
+			confirm := wireMessage(jsonl.Stopped, 77)
+			r.verdict(r.core.FromOwner(r.now, 1, &confirm))
+		}
+		r.endTasks(1, 4)
+		r.now += []float64{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
+		heard := wireMessage(jsonl.Stopped, 2)
+		r.verdict(r.core.FromOwner(r.now, 1, &heard))
+		r.core.OwnerClosed(r.now, 1)
+		if variant >= 12 {
+			r.core.OwnerClosed(r.now, 2)
+		}
+		r.conns = nil
+		r.endTasks(5, 6)
+		r.now += []float64{0.5, 7.9, 8.1}[variant%3]
+		r.openConnection()
+		hello := wireMessage(jsonl.Check, 78)
+		r.verdict(r.core.FromOwner(r.now, r.lastConn, &hello))
+		r.observe(0)
+		r.checkpoint(1)
+		lines = append(lines, r.lines...)
+	}
+	return lines
+}
+
+// endTasks has machines tell the end of the tasks that nameTasks named.
+func (r *recorder) endTasks(first, last uint64) {
+	for id := first; id <= last; id++ {
+		m := wireMessage(jsonl.Stop, id)
+		m.Reason, m.HasReason = []int{16, 41}[id%2], true
+		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1+int(id-1)%scriptMachines)), &m)
+		r.observe(0)
+	}
+}
+
+// playRememberedEnds fills the memory of ends of unknown tasks and the table of tasks beyond their bounds.
+func playRememberedEnds(t *testing.T) []string {
+	const beyond = 20010
+	r := newRecorder(t, 0, 200, "")
+	r.labelStart = "bounds"
+	r.openConnection()
+	r.tellAll("in_service", 0)
+	for id := uint64(1); id <= beyond; id++ {
+		m := wireMessage(jsonl.Stop, id)
+		m.Reason = 41
+		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1)), &m)
+	}
+	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
+		m := r.validLaunch(id, ";at:"+machineName(1))
+		r.verdict(r.core.FromOwner(r.now, 1, &m))
+		r.observe(0)
+	}
+	r.checkpoint(1)
+	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
+		m := r.validLaunch(id, ";at:"+machineName(2))
+		r.verdict(r.core.FromOwner(r.now, 1, &m))
+	}
+	r.observe(0)
+	r.checkpoint(2)
+	return r.lines
+}
+
+// TestCharacterizationKnown pins which lists of earlier events a core starts with, and the state that they leave.
+func TestCharacterizationKnown(t *testing.T) {
+	settings, err := simsettings.Parse([]byte(settingsShapes[0]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	one := `{"uid":"s-00000001","state":"in_service"}`
+	for _, c := range []struct {
+		known string
+		last  uint64
+		nodes int
+		bad   bool
+	}{
+		{known: ""},
+		{known: "{}"},
+		{known: `{"no":5}`, last: 5},
+		{known: `{"no":2,"items":[` + rosterEvent(7, false, one) + `]}`, last: 7, nodes: 1},
+		{known: `{"no":9,"items":[{"no":3},` + rosterEvent(7, true, one, strings.Replace(one, "01", "02", 1)) + `]}`, last: 9, nodes: 2},
+		{known: `{"no":9,"items":[` + rosterEvent(7, true, `{"uid":"","state":"in_service"}`) + `]}`, bad: true},
+		{known: `{"no":9,"items":[` + rosterEvent(7, true, `{"uid":"x","state":"gone"}`) + `]}`, bad: true},
+		{known: `{"no":`, bad: true},
+	} {
+		module, err := placer.New(settings.Placer, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		core, err := dispatch.New(5, settings, module, []byte(c.known))
+		if (err != nil) != c.bad {
+			t.Fatalf("known %s: error %v", c.known, err)
+		}
+		if c.bad {
+			continue
+		}
+		nodes := 0
+		core.Nodes(func(*dispatch.Node) { nodes++ })
+		if core.Last() != c.last || nodes != c.nodes {
+			t.Errorf("known %s: last event %d and %d machines, want %d and %d", c.known, core.Last(), nodes, c.last, c.nodes)
+		}
+	}
+}
