--- /dev/null
+++ b/internal/jsonl/characterization_test.go
@@ -0,0 +1,181 @@
+package jsonl_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"heathshed/internal/jsonl"
+)
+
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+// TestCharacterization compares what the codec makes of a fixed corpus of lines, and of seeded mutations of it, with the golden file: the
+// verdict, the values of each message and the bytes it is encoded to. Texts of errors are left out. Run with HEATHSHED_UPDATE_GOLDEN=1 to write
+// the golden file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	var lines []string
+	for i, line := range corpus() {
+		lines = append(lines, fmt.Sprintf("line %d %s", i, digestOf(describe(line))))
+	}
+	for seed := uint64(1); seed <= 20; seed++ {
+		lines = append(lines, fmt.Sprintf("mutations %d %s", seed, digestOf(mutations(seed))))
+	}
+	lines = append(lines, "encoding "+digestOf(encodings()), "identifiers "+digestOf(identifiers()))
+	compareGolden(t, lines)
+}
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d digests, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Errorf("digest %d: got %s, want %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+
+// describe parses one line and gives the verdict and every value as numbers and wire bytes.
+func describe(line string) string {
+	var m jsonl.Message
+	if err := jsonl.Parse([]byte(line), &m); err != nil {
+		if err == jsonl.ErrTooLong {
+			return "too long\n"
+		}
+		return "refused\n"
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(m.Kind), m.UID, uint64(m.ID), m.Reason, m.HasReason, m.Body)
+	for f := jsonl.Class; f <= jsonl.Load; f++ {
+		fmt.Fprintf(&b, " %d %t %q", uint8(f), m.Has(f), m.Get(f))
+	}
+	fmt.Fprintf(&b, "\n%s", m.Append([]byte("before")))
+	return b.String()
+}
+
+var kindWords = []string{"launch", "staging", "running", "stop", "stopped", "check", "checked", "update", "migrate"}
+
+var fieldWords = []string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
+
+// stringLiterals are JSON strings, well formed and not, quotes included.
+var stringLiterals = []string{`""`, `"x"`, `"a\"b\\c\/d\b\f\n\r\t"`, `"\u0000\u001f\u0041\u00e9\u20AC"`, `"\ud83d\ude00"`, `"\uD83D\uDE00x"`, `"é€😀"`,
+	`"\ud83d"`, `"\ude00"`, `"\ud83dx"`, `"\ud83d\u0041"`, `"\ud83d\n"`, `"\ude00\ud83d"`, `"\u12"`, `"\u12g4"`, `"\x"`, `"\`, `"open`, "\"tab\t\"", "\"nul\x00\"",
+	"\"del\x7f\"", "\"\xff\"", "\"\xc3\"", "\"\xed\xa0\x80\"", "\"\xc0\x80\"", `"\ufffd"`, `"\uffff"`}
+
+// otherValues are JSON values other than strings, well formed and not.
+var otherValues = []string{"0", "-0", "1", "-1", "12.5", "1e3", "1E+3", "1e-3", "01", "+1", ".5", "1.", "1e", "-", "1e+", "0x1", "99999999999999999999", "2147483648",
+	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ","}
+
+// corpus is every kind of message, every field, and each value in each place.
+func corpus() []string {
+	const uid = `"uid":"00000000000000aF"`
+	var lines []string
+	for _, k := range append([]string{"", "Launch", "launchx"}, kindWords...) {
+		lines = append(lines, `{"kind":"`+k+`",`+uid+`}`, `{"meta":{},`+uid+`,"kind":"`+k+`"}`)
+	}
+	for _, v := range append(append([]string{}, stringLiterals...), otherValues...) {
+		for _, f := range fieldWords {
+			lines = append(lines, `{"kind":"update",`+uid+`,"meta":{"`+f+`":`+v+`}}`)
+		}
+		for _, k := range []string{"kind", "reason", "body", "meta", "unknown"} {
+			lines = append(lines, `{"kind":"stop",`+uid+`,"`+k+`":`+v+`}`)
+		}
+		lines = append(lines, `{"kind":"stop","uid":`+v+`}`, `{"kind":"stop",`+uid+`,"meta":{"unknown":`+v+`}}`, v)
+	}
+	for _, k := range []string{`"kind":"stop"`, uid, `"meta":{}`, `"reason":3`, `"body":"x"`, `"other":1`} {
+		lines = append(lines, `{"kind":"stop",`+uid+`,`+k+`,`+k+`}`, `{`+k+`}`)
+	}
+	for _, f := range fieldWords {
+		lines = append(lines, `{"kind":"stop",`+uid+`,"meta":{"`+f+`":"a","`+f+`":"b"}}`)
+	}
+	for depth := range 14 {
+		nested := strings.Repeat("[", depth) + strings.Repeat("]", depth)
+		objects := strings.Repeat(`{"a":`, depth) + "1" + strings.Repeat("}", depth)
+		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`, `{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
+	}
+	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
+	for _, size := range []int{100, jsonl.MaxLine - 2, jsonl.MaxLine - 1, jsonl.MaxLine, jsonl.MaxLine + 1, 16383, 16384} {
+		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-frame)+`"}`, strings.Repeat(" ", size))
+	}
+	return append(lines, " \t\r\n{ \"kind\" : \"stop\" , "+uid+" , \"meta\" : { \"class\" : 5 , \"left\" : \"6\" } } \r", `{"kind":"stop",`+uid+`}x`,
+		`{"kind":"stop",`+uid+`}{}`, "\xef\xbb\xbf{}", `{"\u006bind":"st\u006fp",`+uid+`}`, `{"kind":"stop","uid":"0000000000000g00"}`)
+}
+
+// mutations describes the corpus with bytes changed, taken out or doubled at random.
+func mutations(seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 1))
+	var b strings.Builder
+	for _, line := range corpus() {
+		if len(line) == 0 || len(line) > 400 {
+			continue
+		}
+		i := random.IntN(len(line))
+		switch random.IntN(4) {
+		case 0:
+			line = line[:i] + string(rune(random.IntN(256))) + line[i+1:]
+		case 1:
+			line = line[:i] + line[i+1:]
+		case 2:
+			line = line[:i] + line[i:i+1] + line[i:]
+		case 3:
+			line = line[:i]
+		}
+		b.WriteString(describe(line))
+	}
+	return b.String()
+}
+
+// encodings are messages made by hand, fields set to texts that need escapes included, as they are encoded.
+func encodings() string {
+	var b strings.Builder
+	for k := range 12 {
+		for f := jsonl.Class; f <= jsonl.Load; f++ {
+			m := jsonl.Message{Kind: jsonl.Kind(k), UID: "00000000000000ff", ID: 255, Reason: k * 17, HasReason: k%2 == 0}
+			m.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
+			m.Set(jsonl.Value, "")
+			if k%3 == 0 {
+				m.Body = `"raw \u0041"`
+			}
+			b.Write(m.Append(nil))
+		}
+	}
+	m := jsonl.Message{Kind: jsonl.Stop, Reason: -5, HasReason: true}
+	b.Write(m.Append(nil))
+	return b.String()
+}
+
+func identifiers() string {
+	var b strings.Builder
+	for _, s := range []string{"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
+		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é"} {
+		id, err := jsonl.ParseID(s)
+		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
+	}
+	fmt.Fprintln(&b, jsonl.MaxLine, jsonl.CauseEnd, jsonl.CauseCancelled, jsonl.CauseFull, jsonl.CauseReset, jsonl.CauseBusy, jsonl.CauseError, jsonl.CauseMoot)
+	for f := jsonl.Class; f <= jsonl.Load; f++ {
+		fmt.Fprintln(&b, f.String()) // the word on the wire
+	}
+	return b.String()
+}
