--- /dev/null
+++ b/internal/bound/characterization_test.go
@@ -0,0 +1,142 @@
+package bound_test
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"heathshed/internal/bound"
+)
+
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d lines, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+// TestCharacterization compares verdicts on texts around each bound, and on seeded mutations, with the golden file. The words of a refusal are
+// sent to clients, so they are part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
+// file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	o := bound.Object()
+	lines := []string{fmt.Sprint("object ", o.Bytes, " ", o.Depth, " ", o.Values, " ", o.Number, " ", o.Exponent, " ", o.Digits)}
+	for i, limits := range limitSets {
+		for j, text := range corpus() {
+			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(bound.JSON([]byte(text), limits))))
+		}
+		for j, text := range quantities {
+			lines = append(lines, fmt.Sprintf("limits %d quantity %d %s", i, j, describeQuantity(text, limits)))
+		}
+		for j, message := range messages() {
+			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(bound.Proto(message, limits))))
+		}
+		lines = append(lines, fmt.Sprintf("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i))))))
+	}
+	compareGolden(t, lines)
+}
+
+var limitSets = []bound.Limits{bound.Object(), {}, {Bytes: 60, Depth: 3, Values: 5, Number: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
+
+func describe(err error) string {
+	var over *bound.Error
+	if !errors.As(err, &over) {
+		return fmt.Sprint(err == nil)
+	}
+	return fmt.Sprintf("%s %t", over.Error(), over.TooLarge())
+}
+
+func describeQuantity(text string, limits bound.Limits) string {
+	if over := bound.Quantity([]byte(text), limits); over != nil {
+		return describe(over)
+	}
+	return "true"
+}
+
+var quantities = []string{"", "1", "+1", "-1.5", "500m", "1e3", "1E3", "1e99", "1e100", "1e-100", "12e4", "12e+04", "1e3x", "e3", "12345", "12345Mi", "12345abcd", " 123 ", "1.2.3",
+	`1\u0065100`, `\u0031e100`, `1e\u0031\u0030\u0030`, `\n1`, `1\`, `\u`, `1\u00`, `1\u005c`, `1\uFFFF`, "144e1135-fce3", "1e99999999999999999999",
+	strings.Repeat("9", 64), strings.Repeat("9", 65), strings.Repeat("9", 65) + "Mi", strings.Repeat("9", 65) + "abcd", `1\n` + strings.Repeat("2", 300), "1" + strings.Repeat(`\u0030`, 70)}
+
+func corpus() []string {
+	var all []string
+	for _, q := range quantities {
+		all = append(all, `{"a":"`+q+`"}`, `{"labels":{"a":"`+q+`"},"b":"`+q+`"}`, `{"args":["`+q+`",["`+q+`"]],"c":"`+q+`"}`, `["`+q+`"]`, q)
+	}
+	for _, depth := range []int{1, 2, 3, 4, 63, 64, 65, 1022, 1023, 1024, 2000} {
+		all = append(all, strings.Repeat("[", depth), strings.Repeat(`{"a":`, depth), strings.Repeat("[", depth)+strings.Repeat("]", depth)+"]]")
+	}
+	for _, values := range []int{4, 5, 6, 19999, 20000, 20001} {
+		all = append(all, "["+strings.Repeat("1,", values-1)+"1]", "["+strings.Repeat("true,", values))
+	}
+	for _, size := range []int{5, 6, 7, 63, 64, 65} {
+		all = append(all, strings.Repeat("1", size), "["+strings.Repeat("-", size)+"]", "1."+strings.Repeat("0", size))
+	}
+	return append(all, strings.Repeat(" ", 60), strings.Repeat(" ", 61), strings.Repeat(" ", 3<<20), strings.Repeat(" ", 3<<20+1), `{"a":1,"b":{"c":"x"},"d":[null,false]}`,
+		`"open`, `"open\`, `{"value":"1e999","x":"1e999"}`, `{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
+}
+
+// messages are binary messages: flat, nested, cut short, with quantities and with numbers of each encoding.
+func messages() [][]byte {
+	var all [][]byte
+	for _, q := range quantities {
+		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), q)
+		all = append(all, inner, protowire.AppendBytes(protowire.AppendTag(nil, 2, protowire.BytesType), inner), inner[:len(inner)-len(inner)/3])
+	}
+	nested := protowire.AppendVarint(protowire.AppendTag(nil, 3, protowire.VarintType), 300)
+	for range 70 {
+		all = append(all, nested, append(append([]byte{}, nested...), nested...), append(append([]byte{}, nested...), 0xff))
+		nested = protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), nested)
+	}
+	fixed := protowire.AppendFixed32(protowire.AppendTag(nil, 5, protowire.Fixed32Type), 1)
+	fixed = protowire.AppendFixed64(protowire.AppendTag(fixed, 6, protowire.Fixed64Type), 1)
+	many := []byte{}
+	for range 20001 {
+		many = append(many, 0x08, 0x01)
+	}
+	return append(all, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
+}
+
+func mutations(limits bound.Limits, seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 7))
+	var b strings.Builder
+	for _, text := range corpus() {
+		if len(text) == 0 || len(text) > 300 {
+			continue
+		}
+		changed := []byte(text)
+		for range 3 {
+			const alphabet = `{}[],:"\eE+-.0159 utfn`
+			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
+			b.WriteString(describe(bound.JSON(changed, limits)) + describe(bound.Proto(changed, limits)) + "\n")
+		}
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/feed/characterization_test.go
@@ -0,0 +1,93 @@
+package feed_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"heathshed/internal/feed"
+	"heathshed/placer"
+)
+
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d lines, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+// TestCharacterization compares the order of events and actions with the golden file, where actions post further events and start a nested run,
+// and the waits for a grid of wishes. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
+// file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	var lines []string
+	for seed := uint64(1); seed <= 10; seed++ {
+		order := playFeed(seed)
+		lines = append(lines, fmt.Sprintf("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order))
+	}
+	for _, after := range []float64{math.Inf(-1), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, math.Inf(1)} {
+		lines = append(lines, fmt.Sprintf("wait %x %x", math.Float64bits(after), math.Float64bits(feed.Wait(after))))
+	}
+	compareGolden(t, lines)
+}
+
+// echoModule answers each event with up to three actions that carry its number.
+type echoModule struct {
+	random *rand.Rand
+	log    *strings.Builder
+}
+
+func (e *echoModule) Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action {
+	fmt.Fprintf(e.log, "e%d@%g/%d ", ev.Token, now, len(actions))
+	for i := range e.random.IntN(4) {
+		actions = append(actions, placer.Action{Kind: placer.Wake, Token: ev.Token*10 + uint64(i)})
+	}
+	return actions
+}
+
+func playFeed(seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 4))
+	var b strings.Builder
+	f := feed.Feed{Module: &echoModule{random, &b}}
+	f.Do = func(a *placer.Action) {
+		fmt.Fprintf(&b, "a%d ", a.Token)
+		if a.Token < 100000 && random.IntN(2) == 0 {
+			f.Post(placer.Event{Kind: placer.Woken, Token: a.Token})
+			f.Run(-1) // does nothing within an action
+		}
+	}
+	for step := range 40 {
+		for range random.IntN(4) {
+			f.Post(placer.Event{Kind: placer.Woken, Token: uint64(step + 1)})
+		}
+		f.Run(float64(step))
+		b.WriteString("| ")
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/http1/characterization_test.go
@@ -0,0 +1,224 @@
+package http1_test
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"heathshed/internal/http1"
+)
+
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d lines, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+// TestCharacterization compares what the decoder makes of fixed messages, whole, in pieces and under small limits, and of seeded mutations, and
+// what the writer appends, with the golden file. The reason of a refusal is sent to clients, so it is part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
+// file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	l := http1.DefaultLimits()
+	lines := []string{fmt.Sprint("limits ", l.Line, " ", l.Head, " ", l.Fields, " ", l.Body, " ", l.Trailer)}
+	for i, m := range corpus() {
+		lines = append(lines, fmt.Sprintf("message %d %.200q %s", i, decode(m, l, 1<<30), digestOf(variants(m, l))))
+	}
+	for seed := uint64(1); seed <= 30; seed++ {
+		lines = append(lines, fmt.Sprintf("mutations %d %s", seed, digestOf(mutations(seed))))
+	}
+	compareGolden(t, append(lines, written()...))
+}
+
+func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+
+// message is a stream of requests or of responses.
+type message struct {
+	text              string
+	responses, noBody bool
+}
+
+var smallLimits = []http1.Limits{{Line: 20, Head: 80, Fields: 2, Body: 4, Trailer: 8}, {Line: 14, Head: 60, Fields: 1, Body: 3, Trailer: 5}, {Line: 100, Head: 100, Fields: 10}, {}}
+
+// variants decodes a message split at every position, byte by byte, and under small limits.
+func variants(m message, l http1.Limits) string {
+	var b strings.Builder
+	if len(m.text) <= 300 {
+		for size := 1; size <= len(m.text); size++ {
+			b.WriteString(decode(m, l, size))
+		}
+	} else {
+		b.WriteString(decode(m, l, 1000))
+	}
+	for _, small := range smallLimits {
+		b.WriteString(decode(m, small, 1<<30) + decode(m, small, 7))
+	}
+	return b.String()
+}
+
+// decode feeds a stream in pieces of one size and gives each step: bytes taken, what was found, its values and the verdict.
+func decode(m message, l http1.Limits, size int) string {
+	d := http1.Decoder{Limits: l, Responses: m.responses, NoBody: m.noBody}
+	var b strings.Builder
+	pending := ""
+	for rest := m.text; rest != ""; {
+		n := min(size, len(rest))
+		pending, rest = pending+rest[:n], rest[n:]
+		var err error
+		if pending, err = drain(&d, pending, &b); err != nil {
+			_, _, again := d.Next([]byte("x"))
+			fmt.Fprintf(&b, "%t ", again == err)
+			break
+		}
+	}
+	complete, err := d.EOF(len(pending))
+	fmt.Fprintf(&b, "eof %t %s\n", complete, verdict(err))
+	return b.String()
+}
+
+func drain(d *http1.Decoder, pending string, b *strings.Builder) (string, error) {
+	for {
+		n, kind, err := d.Next([]byte(pending))
+		fmt.Fprintf(b, "%d %d ", n, uint8(kind))
+		if err != nil {
+			fmt.Fprintf(b, "%s ", verdict(err))
+			return pending, err
+		}
+		switch kind {
+		case http1.HeadEnd:
+			describeHead(b, &d.Head)
+		case http1.Data:
+			fmt.Fprintf(b, "%.100q ", d.Body)
+		}
+		pending = pending[n:]
+		if kind == http1.More {
+			return pending, nil
+		}
+	}
+}
+
+func describeHead(b *strings.Builder, h *http1.Head) {
+	fmt.Fprintf(b, "%q %q %d %q %d %d %t %t %t ", h.Method, h.Target, h.Status, h.Reason, h.Minor, h.Length, h.Chunked, h.Close, h.Expect)
+	for i := range h.Header {
+		f := &h.Header[i]
+		fmt.Fprintf(b, "%.80q %.80q %t ", f.Name, f.Value, f.Is("HOST"))
+	}
+	fmt.Fprintf(b, "%q %t %q ", h.Header.Get("x-a"), h.Header.Has("Connection"), h.Header.Get("none"))
+}
+
+func verdict(err error) string {
+	var refused *http1.Error
+	if errors.As(err, &refused) {
+		return fmt.Sprintf("%d %s %s", refused.Status, refused.Reason, refused.Error())
+	}
+	return fmt.Sprint(err == nil)
+}
+
+var requestLines = []string{"GET / HTTP/1.1", "POST /a?b=c HTTP/1.0", "OPTIONS * HTTP/1.1", "GET http://h/x HTTP/1.1", "CONNECT h:1 HTTP/1.1", "GET h:1 HTTP/1.1", "GET / HTTP/2.0", "GET / HTTP/1.9",
+	"GET / HTTP/11", "GET /", "GET  / HTTP/1.1", "GET / HTTP/1.1 ", " GET / HTTP/1.1", "G(T / HTTP/1.1", "GET /\x7f HTTP/1.1", "GET /\xc3\xa9 HTTP/1.1", "", "get / http/1.1", "GET / HTTP/a.1", "GET / HTTP/1,1"}
+
+var fieldLines = []string{"Content-Length: 3", "Content-Length: 0", "Content-Length: 03", "Content-Length: +3", "Content-Length: ", "Content-Length: 3, 3", "Content-Length: 3145728",
+	"Content-Length: 3145729", "Content-Length: 999999999999999999", "Content-Length: 1999999999999999999", "Transfer-Encoding: chunked", "transfer-encoding: Chunked", "Transfer-Encoding: gzip, chunked",
+	"Transfer-Encoding: chunked\r\nContent-Length: 3", "Content-Length: 3\r\nContent-Length: 3", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", "Connection: close", "Connection: Keep-Alive",
+	"Connection: x, CLOSE ,,y", "Connection: keep-alive, close", "Expect: 100-continue", "Expect: 100-Continue", "Expect: other", "Host: again", "X-A: \t v \t ", "X-A:", "X-A : v", " folded: v", "\tfolded: v",
+	"X-A: a\x00b", "X-A: a\x7f", "X-A: a\rb", "X-A: a\nb", "no colon", ": v", "X A: v", "X-A: \xff\xc3", "X-A: 1\r\nx-a: 2"}
+
+var statusLines = []string{"HTTP/1.1 200 OK", "HTTP/1.1 200", "HTTP/1.1 200 ", "HTTP/1.0 404 Not Found", "HTTP/1.1 099 x", "HTTP/1.1 100 Continue", "HTTP/1.1 204 No Content", "HTTP/1.1 304 x", "HTTP/1.1 2000",
+	"HTTP/1.1 2x0 OK", "HTTP/1.1 20", "HTTP/2.0 200 OK", "HTTP/1.1  200 OK", "", "HTTP/1.1 999 caf\xc3\xa9"}
+
+var chunkedBodies = []string{"3\r\nabc\r\n0\r\n\r\n", "3;x=y\r\nabc\r\n0\r\nA: b\r\n\r\n", "0\r\n\r\n", "00\r\n\r\n", "a\r\n0123456789\r\nA\r\n0123456789\r\n0\r\n\r\n", "3\r\nabcd\r\n", "3\r\nabc\n",
+	"3 \r\nabc\r\n", "3 ;x\r\nabc\r\n0\r\n\r\n", "x\r\n", "\r\n", "3\nabc", "-1\r\n", "0x3\r\n", "fffffffffffffff\r\n", "1fffffffffffffff\r\n", "300000\r\n", "300001\r\n", "3;a\x01\r\nabc\r\n",
+	"0\r\nbad\r\n\r\n", "0\r\nA: b\n\r\n", "0\r\n A: b\r\n\r\n", "0\r\nA: \r b\r\n\r\n", "1;" + strings.Repeat("e", 251) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 253) + "\r\nx\r\n0\r\n\r\n",
+	"1;" + strings.Repeat("e", 254) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 256), "0\r\n" + strings.Repeat("T: 45678\r\n", 409) + "\r\n", "0\r\n" + strings.Repeat("T: 45678\r\n", 410) + "\r\n", "0\r\n" + strings.Repeat("T", 5000)}
+
+// corpus is each start line, field and chunked body in a message that is otherwise well formed, and messages around each limit.
+func corpus() []message {
+	var all []message
+	for _, line := range requestLines {
+		all = append(all, message{text: line + "\r\nHost: h\r\n\r\n"}, message{text: "\r\n" + line + "\r\n\r\n"}, message{text: line + "\nHost: h\n\n"})
+	}
+	for _, f := range fieldLines {
+		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\n" + f + "\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: "PUT /x HTTP/1.0\r\n" + f + "\r\n\r\nabc"},
+			message{text: "HTTP/1.1 200 OK\r\n" + f + "\r\n\r\nabc", responses: true}, message{text: "HTTP/1.1 200 OK\r\n" + f + "\r\n\r\nHTTP/1.1 204 x\r\n\r\n", responses: true, noBody: true})
+	}
+	for _, line := range statusLines {
+		all = append(all, message{text: line + "\r\n\r\nbody", responses: true}, message{text: line + "\r\nContent-Length: 2\r\n\r\nbody", responses: true})
+	}
+	for _, body := range chunkedBodies {
+		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + body},
+			message{text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", responses: true})
+	}
+	for _, text := range []string{"", "\r\n", "\r\n\r\n", "\r", "\n", "\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nHost", "GET / HTTP/1.1\r\nHost: h\r\n\r\nx"} {
+		all = append(all, message{text: text}, message{text: text, responses: true})
+	}
+	for _, around := range []int{-1, 0, 1} {
+		target := "/" + strings.Repeat("p", 8<<10+around-len("GET / HTTP/1.1"))
+		all = append(all, message{text: "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: strings.Repeat("G", 8<<10+around)})
+		head := "GET / HTTP/1.1\r\nHost: h\r\nX-A: "
+		all = append(all, message{text: head + strings.Repeat("v", 32<<10+around-len(head)-4) + "\r\n\r\n"}, message{text: head + strings.Repeat("v", 32<<10+around-len(head))},
+			message{text: "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", 99+around) + "\r\n"})
+	}
+	return all
+}
+
+func mutations(seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 8))
+	const alphabet = "\r\n :;,0179aAfFxZ/\t\x00\x7f\xff"
+	var b strings.Builder
+	for _, m := range corpus() {
+		if len(m.text) == 0 || len(m.text) > 300 {
+			continue
+		}
+		changed := []byte(m.text)
+		for range 2 {
+			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
+		}
+		m.text = string(changed)
+		b.WriteString(decode(m, http1.DefaultLimits(), 1+random.IntN(40)))
+	}
+	return b.String()
+}
+
+// written is what the functions for output append.
+func written() []string {
+	var lines []string
+	for status := 0; status < 600; status++ {
+		if s := http1.StatusText(status); s != "Status" {
+			lines = append(lines, fmt.Sprintf("status %d %q %q", status, s, http1.AppendStatus([]byte("before"), status)))
+		}
+	}
+	for _, v := range []string{"", "v", "a\r\nb: c", "\x00\n\r", "\xff\t"} {
+		lines = append(lines, fmt.Sprintf("field %q", http1.AppendField([]byte("before"), "Name", v)), fmt.Sprintf("request %q", http1.AppendRequestLine(nil, "GET", "/"+v)),
+			fmt.Sprintf("chunk %q", http1.AppendChunk([]byte("before"), []byte(v))))
+	}
+	for _, n := range []int{0, 1, 255, 1 << 20} {
+		lines = append(lines, fmt.Sprintf("length %q", http1.AppendLength(nil, n)))
+	}
+	return append(lines, fmt.Sprintf("unknown status %q", http1.AppendStatus(nil, 299)), fmt.Sprintf("chunk of 300 %q", http1.AppendChunk(nil, make([]byte, 300))[:8]), fmt.Sprintf("last chunk %q", http1.LastChunk))
+}
--- /dev/null
+++ b/internal/sse/characterization_test.go
@@ -0,0 +1,114 @@
+package sse_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"heathshed/internal/sse"
+)
+
+const (
+	goldenPath   = "testdata/characterization.golden"
+	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
+)
+
+func compareGolden(t *testing.T, lines []string) {
+	t.Helper()
+	got := strings.Join(lines, "\n") + "\n"
+	if os.Getenv(goldenUpdate) == "1" {
+		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatalf("golden file: %v", err)
+	}
+	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(expected) != len(lines) {
+		t.Errorf("%d lines, want %d", len(lines), len(expected))
+	}
+	for i := range min(len(expected), len(lines)) {
+		if expected[i] != lines[i] {
+			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
+		}
+	}
+}
+
+// TestCharacterization compares the events of fixed streams, split at every position, and of seeded streams with the golden file. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
+// file anew; a missing file is a failure.
+func TestCharacterization(t *testing.T) {
+	var lines []string
+	for i, stream := range streams {
+		whole := decode(0, stream)
+		for at := range len(stream) + 1 {
+			if got := decode(0, stream[:at], stream[at:]); got != whole {
+				t.Errorf("stream %d split at %d: got %q, want %q", i, at, got, whole)
+			}
+		}
+		if got := decode(0, singleBytes(stream)...); got != whole {
+			t.Errorf("stream %d in single bytes: got %q, want %q", i, got, whole)
+		}
+		lines = append(lines, fmt.Sprintf("stream %d %q", i, whole))
+		for limit := 1; limit < 40; limit++ {
+			lines = append(lines, fmt.Sprintf("stream %d limit %d %x", i, limit, sha256.Sum256([]byte(decode(limit, stream)+decode(limit, stream[:len(stream)/2], stream[len(stream)/2:])))))
+		}
+	}
+	for seed := uint64(1); seed <= 40; seed++ {
+		lines = append(lines, fmt.Sprintf("seed %d %x", seed, sha256.Sum256([]byte(decodeRandom(seed)))))
+	}
+	lines = append(lines, defaultLimit())
+	compareGolden(t, lines)
+}
+
+func singleBytes(stream string) (pieces []string) {
+	for i := range len(stream) {
+		pieces = append(pieces, stream[i:i+1])
+	}
+	return pieces
+}
+
+var streams = []string{"", "data: a\n\n", "data:a\r\rdata:  b\r\n\r\n", "\xef\xbb\xbfdata: x\n\n", "\xef\xbbdata: x\n\n", "\xef\xbb\xbf\xef\xbb\xbfdata: x\n\n",
+	"id: 7\nevent: change\ndata: one\ndata: two\ndata\n\ndata: next\n\n", ": comment\n:\n:x\ndata: y\n\n", "id: a\x00b\ndata: z\n\n", "id: 1\n\nid\ndata: q\n\n",
+	"retry: 100\nunknown: 5\ndata: r\n\n", "event: e\n\ndata: s\n\n", "data: unfinished", "data: unfinished\n", "data\n\n", "data:\n\n", "\n\n\r\n\n\rdata: t\n\n",
+	"Data: u\n\n", " data: v\n\n", "data: \xff\xc3\x00\n\n", "data:\ta\n\n", "data: a\n\r\n\rdata: b\r\n\n"}
+
+// decode gives the events, the verdict of each write and the number of comments.
+func decode(limit int, pieces ...string) string {
+	d := sse.Decoder{MaxEvent: limit}
+	var b strings.Builder
+	failed := false
+	for _, piece := range pieces {
+		err := d.Write([]byte(piece), func(e sse.Event) { fmt.Fprintf(&b, "%q %q %q\n", e.ID, e.Type, e.Data) })
+		failed = failed || err != nil
+		if err != nil && err != sse.ErrTooLarge {
+			b.WriteString("another error\n")
+		}
+	}
+	fmt.Fprintf(&b, "%t %d", failed, d.Comments)
+	return b.String()
+}
+
+func decodeRandom(seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 2))
+	parts := []string{"data", "event", "id", "retry", ":", ": ", "\n", "\r", "\r\n", "\n\n", "x", "7", "\x00", "\xef\xbb\xbf", "é"}
+	var pieces []string
+	for range 400 {
+		pieces = append(pieces, parts[random.IntN(len(parts))])
+	}
+	return decode(0, pieces...) + decode(50, pieces...) + decode(200, strings.Join(pieces, ""))
+}
+
+// defaultLimit pins the size from which an event is refused where no limit is set.
+func defaultLimit() string {
+	const size = 4 << 20
+	field, end := "data:", "\n\ndata: next\n\n"
+	within := decode(0, field+strings.Repeat("a", size-len(field))+end)
+	beyond := decode(0, field+strings.Repeat("a", size-len(field)+1)+end)
+	return fmt.Sprintf("default limit %d %x %s", sse.DefaultMaxEvent, sha256.Sum256([]byte(within)), beyond)
+}
