--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -702,6 +702,9 @@
 		lines = append(lines, r.lines...)
 	}
 	lines = append(lines, playRedelivery(t)...)
+	lines = append(lines, playHandover(t)...)
+	lines = append(lines, playNewLife(t)...)
+	lines = append(lines, playLateStart(t)...)
 	return append(lines, playRememberedEnds(t)...)
 }
 
@@ -772,6 +775,73 @@
 	}
 }
 
+// playHandover has set-ups arrive while tasks that stand are still being named, up to and beyond the longest time that set-ups are held back.
+func playHandover(t *testing.T) []string {
+	r := newRecorder(t, 0, 300, "", false)
+	r.labelStart = "handover"
+	r.openConnection()
+	r.openConnection()
+	r.tellAll("in_service", 0)
+	hello := wireMessage(jsonl.Check, 78)
+	r.verdict(r.core.FromOwner(r.now, 1, &hello))
+	for i := range uint64(40) {
+		r.now += 0.03
+		r.core.Advance(r.now)
+		r.observe(int(i))
+		r.nameTasks(1, 1000+i)
+		m := r.validLaunch(2000+i, "")
+		r.verdict(r.core.FromOwner(r.now, 2, &m))
+		r.observe(int(i))
+		if i%5 == 4 {
+			r.checkpoint(int(i))
+		}
+	}
+	for range 30 {
+		r.now = max(r.now, min(r.core.Due(), r.now+10))
+		r.core.Advance(r.now)
+		r.observe(0)
+	}
+	r.checkpoint(40)
+	return r.lines
+}
+
+// playNewLife lets a machine begin a new life at times around the tolerance, with one task that stands there.
+func playNewLife(t *testing.T) []string {
+	var lines []string
+	for _, after := range []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100} {
+		r := newRecorder(t, 0, 400, "", false)
+		r.labelStart = fmt.Sprintf("new life after %d", after)
+		r.openConnection()
+		r.tellAll("in_service", 0)
+		r.nameTasks(1, 1)
+		r.tellAll("in_service", 1000_000+after)
+		r.checkpoint(1)
+		lines = append(lines, r.lines...)
+	}
+	return lines
+}
+
+// playLateStart starts offers just before, at and just after the moment until which they hold, with the timer of that moment not yet run.
+func playLateStart(t *testing.T) []string {
+	var lines []string
+	for variant := range 30 {
+		r := newRecorder(t, variant/10, uint64(500+variant), "", true)
+		r.labelStart = fmt.Sprintf("late start %d", variant)
+		r.openConnection()
+		r.tellAll("in_service", 0)
+		r.launch("")
+		r.observe(0)
+		if due := r.core.Due(); !math.IsInf(due, 1) {
+			r.now = max(r.now, due+[]float64{-0.001, 0, 0.001}[variant%3])
+		}
+		r.start()
+		r.observe(1)
+		r.checkpoint(1)
+		lines = append(lines, r.lines...)
+	}
+	return lines
+}
+
 // playRememberedEnds fills the memory of ends of unknown tasks and the table of tasks beyond their bounds.
 func playRememberedEnds(t *testing.T) []string {
 	const beyond = 20010
