--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -705,6 +705,7 @@
 	lines = append(lines, playHandover(t)...)
 	lines = append(lines, playNewLife(t)...)
 	lines = append(lines, playLateStart(t)...)
+	lines = append(lines, playLateAnswer(t)...)
 	return append(lines, playRememberedEnds(t)...)
 }
 
@@ -842,6 +843,58 @@
 	return lines
 }
 
+// playLateAnswer has a machine answer around the end of the time for it, the timer of that moment not yet run, or after its connection broke;
+// then the owner names the task as one that stands at that machine.
+func playLateAnswer(t *testing.T) []string {
+	var lines []string
+	for variant := range 48 {
+		r := newRecorder(t, variant/16, uint64(600+variant), "", true)
+		r.labelStart = fmt.Sprintf("late answer %d", variant)
+		r.openConnection()
+		r.tellAll("in_service", 0)
+		r.launch("")
+		r.observe(0)
+		due := r.core.Due()
+		r.start()
+		r.observe(1)
+		if len(r.started) > 0 {
+			r.answerLate(due+[]float64{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
+		}
+		open, good := r.core.OwnerOpen(99)
+		r.number(uint64(open))
+		r.flag(good)
+		r.checkpoint(1)
+		lines = append(lines, r.lines...)
+	}
+	return lines
+}
+
+// answerLate answers the first offer at the given time, with its connection broken before where so wanted, and names its task.
+func (r *recorder) answerLate(at float64, broken bool) {
+	o := r.started[0]
+	r.now = max(r.now, at)
+	if broken {
+		r.core.Broken(r.now, o)
+		r.observe(2)
+	}
+	m := wireMessage(jsonl.Running, uint64(o.Message.ID))
+	m.Body = `"out"`
+	r.fromNode(o, &m)
+	r.observe(3)
+	stop := wireMessage(jsonl.Stop, uint64(o.Message.ID))
+	if len(r.waiting) > 0 { // the next attempt: its owner gives the task up
+		r.verdict(r.core.FromOwner(r.now, 1, &stop))
+		r.observe(4)
+	}
+	for i := 1; i <= 4; i++ {
+		if dispatch.NodeNumber(machineName(i)) == o.Node {
+			named := r.validLaunch(uint64(o.Message.ID), ";at:"+machineName(i))
+			r.verdict(r.core.FromOwner(r.now, 1, &named))
+			r.observe(5)
+		}
+	}
+}
+
 // playRememberedEnds fills the memory of ends of unknown tasks and the table of tasks beyond their bounds.
 func playRememberedEnds(t *testing.T) []string {
 	const beyond = 20010
