--- /dev/null
+++ b/internal/engine/characterization_test.go
@@ -0,0 +1,729 @@
+package engine_test
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"testing"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/api/resource"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/engine"
+	"heathshed/internal/golden"
+	"heathshed/internal/meta"
+	"heathshed/internal/settings"
+	"heathshed/internal/store"
+	"heathshed/placer"
+)
+
+// The characterization tests below pin every effect, every stored change and every error of an engine under seeded scripts. Regenerate
+// their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+
+const scriptStart = 1.8e9 // Unix seconds
+
+// fakeNode is a node of a script: it answers offers and stop orders at random, and holds the Pods that it accepted.
+type fakeNode struct {
+	name     string
+	life     int
+	revision int64
+	ready    bool
+	removed  bool
+	draining bool
+	pods     []*corev1.Pod // in order of acceptance
+	floor    map[types.UID]int
+}
+
+func (n *fakeNode) boot() string { return fmt.Sprintf("%s-life-%d", n.name, n.life) }
+
+func (n *fakeNode) find(uid types.UID) int {
+	return slices.IndexFunc(n.pods, func(p *corev1.Pod) bool { return p.UID == uid })
+}
+
+// delayed is a call of the engine that is still on its way.
+type delayed struct {
+	at       float64
+	sequence int
+	life     int
+	call     func()
+}
+
+// script drives one engine through seeded calls and records all that is observable after each call.
+type script struct {
+	t        *testing.T
+	rng      *rand.Rand
+	config   engine.Config
+	engine   *engine.Engine
+	life     int
+	now      float64
+	nodes    []*fakeNode
+	queue    []delayed
+	sequence int
+	revision int64
+	jobs     []string
+	record   *golden.Recorder
+	kinds    [8]int64 // effects by kind
+	changes  [4][3]int64
+	failures map[string]int64
+}
+
+func newScript(t *testing.T, seed uint64, change func(*engine.Config)) *script {
+	defaults := settings.Default()
+	defaults.Tenants = []settings.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
+	defaults.Limits.KeepFinished = 40
+	config := defaults.Engine(seed, 1000)
+	if change != nil {
+		change(&config)
+	}
+	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: golden.NewRecorder(),
+		failures: map[string]int64{}}
+	for i := range 10 {
+		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), life: 1, ready: true, floor: map[types.UID]int{}})
+	}
+	s.restart()
+	return s
+}
+
+// restart replaces the engine by a new one, as after a crash of the scheduler.
+func (s *script) restart() {
+	s.life++
+	config := s.config
+	config.Seed += uint64(s.life) * 7919
+	config.BaseRev = s.revision + 1000
+	e, err := engine.New(config)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.engine, s.revision = e, config.BaseRev
+	s.observe()
+	s.after(0.05, s.fullList)
+}
+
+// after makes a call of the present engine some seconds later.
+func (s *script) after(seconds float64, call func()) {
+	s.sequence++
+	s.queue = append(s.queue, delayed{s.now + seconds, s.sequence, s.life, call})
+}
+
+// observe records effects and changes, and lets the nodes react to effects.
+func (s *script) observe() {
+	for _, effect := range s.engine.Ready(nil) {
+		s.recordEffect(&effect)
+		s.carryOut(effect)
+	}
+	s.recordChanges()
+	s.record.Floats(s.engine.NextWake(), s.engine.Gate().Limit(), s.engine.Gate().Budget())
+	listed, heard := s.engine.Heard()
+	s.record.Integers(int64(s.engine.Open()), int64(listed), int64(heard), s.engine.Store().Live(), s.engine.Store().Past())
+}
+
+func (s *script) recordEffect(x *engine.Effect) {
+	s.kinds[x.Kind]++
+	s.record.Integers(int64(x.Kind), int64(x.Attempt))
+	s.record.Texts(x.Node, x.Address, string(x.UID), x.Namespace, x.Name)
+	s.record.Floats(x.Until)
+	s.record.Booleans(x.Careful, x.Pod != nil)
+	if x.Pod != nil {
+		s.recordObject(x.Pod)
+	}
+}
+
+func (s *script) recordObject(object interface{ Marshal() ([]byte, error) }) {
+	binary, err := object.Marshal()
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	text, err := json.Marshal(object)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.record.Bytes(binary)
+	s.record.Bytes(text)
+}
+
+// recordChanges records the changes of all tables since the last call, in order of revision.
+func (s *script) recordChanges() {
+	type entry struct {
+		table  store.Resource
+		change *store.Change
+	}
+	var entries []entry
+	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
+		changes, err := s.engine.Store().Since(table, s.revision, math.MaxInt32)
+		s.record.Error(err)
+		for _, change := range changes {
+			entries = append(entries, entry{table, change})
+		}
+	}
+	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.change.Rev, b.change.Rev) })
+	for _, e := range entries {
+		s.changes[e.table][e.change.Op]++
+		s.record.Integers(int64(e.table), int64(e.change.Op), e.change.Rev)
+		s.recordObject(e.change.Object.(interface{ Marshal() ([]byte, error) }))
+		s.record.Booleans(e.change.Prev != nil)
+		if e.change.Prev != nil {
+			s.record.Texts(e.change.Prev.GetResourceVersion())
+		}
+	}
+	s.revision = s.engine.Store().Rev()
+}
+
+// result records what a call returned.
+func (s *script) result(object interface{ Marshal() ([]byte, error) }, err error) {
+	s.record.Error(err)
+	if err != nil {
+		s.failures[err.Error()]++
+		return
+	}
+	if object != nil {
+		s.recordObject(object)
+	}
+}
+
+func (s *script) node(name string) *fakeNode {
+	for _, n := range s.nodes {
+		if n.name == name {
+			return n
+		}
+	}
+	return nil
+}
+
+func (s *script) carryOut(x engine.Effect) {
+	switch x.Kind {
+	case engine.SendOffer:
+		s.answerOffer(x)
+	case engine.StopTask:
+		s.answerStop(x)
+	case engine.FollowNode:
+		s.after(0.02+0.1*s.rng.Float64(), func() { s.listPods(s.node(x.Node)) })
+	case engine.Relist:
+		s.after(0.05, s.fullList)
+	}
+}
+
+// answerOffer lets a node accept, refuse, lose or ignore an offer.
+func (s *script) answerOffer(x engine.Effect) {
+	n := s.node(x.Node)
+	answer := engine.OfferAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Boot: n.boot()}
+	delay := 0.005 + 0.05*s.rng.Float64()
+	accept := n.ready && !n.removed && x.Attempt > n.floor[x.UID]
+	switch draw := s.rng.IntN(100); {
+	case !accept || draw < 6:
+		answer.Result, answer.Boot = placer.Unreachable, ""
+	case draw < 16:
+		answer.Result, answer.Reason = placer.Refused, placer.NoCores
+		answer.Report = &placer.Report{FreeCores: 1, FreeMemory: 2, Busy: 0.9, Queue: 3}
+	case draw < 20:
+		answer.Result, answer.Stated = placer.Errored, "internal error"
+	case draw < 24:
+		answer.Result = placer.Lost
+	case draw < 30:
+		return // no answer ever
+	case draw < 38: // the node takes the task, the answer is lost
+		s.accept(n, x)
+		answer.Result, answer.Boot = placer.Lost, ""
+	case draw < 46: // the answer comes too late
+		answer.Accepted, answer.Rev, delay = true, s.accept(n, x), 3+8*s.rng.Float64()
+	default:
+		answer.Accepted, answer.Rev = true, s.accept(n, x)
+		if draw > 90 {
+			answer.Pod = n.pods[n.find(x.UID)]
+		}
+	}
+	s.after(delay, func() { s.engine.OfferDone(s.now, answer) })
+}
+
+// accept has a node hold a task, start it and end it later, and returns the node's revision.
+func (s *script) accept(n *fakeNode, x engine.Effect) int64 {
+	n.revision++
+	pod := x.Pod.DeepCopy()
+	pod.Annotations[meta.AttemptAnnotation] = strconv.Itoa(x.Attempt)
+	pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
+	pod.Status.Phase = corev1.PodPending
+	if i := n.find(pod.UID); i >= 0 {
+		n.pods[i] = pod
+		return n.revision
+	}
+	n.pods = append(n.pods, pod)
+	s.plan(n, pod.UID)
+	return n.revision
+}
+
+// plan has the task run and end, as the node's watch tells it.
+func (s *script) plan(n *fakeNode, uid types.UID) {
+	life := n.life
+	reasons := []string{"", "", "", "", meta.Evicted, meta.Preempted, meta.SentAway, "Error", meta.NeverRan, meta.Stopped}
+	reason := reasons[s.rng.IntN(len(reasons))]
+	gone := s.rng.IntN(12) == 0
+	start := 0.02 + 0.3*s.rng.Float64()
+	end := start + 1 + 15*s.rng.Float64()
+	s.onNode(start, n, life, uid, func(p *corev1.Pod) {
+		p.Status.Phase = corev1.PodRunning
+		p.Annotations[meta.Use] = meta.FormatDict("cores", 0.5, "memory", 1.25)
+	}, false)
+	s.onNode(end, n, life, uid, func(p *corev1.Pod) {
+		p.Status.Phase = corev1.PodSucceeded
+		if reason != "" {
+			p.Status.Phase, p.Status.Reason, p.Status.Message = corev1.PodFailed, reason, "stated by the node"
+		}
+	}, false)
+	if gone {
+		s.onNode(start+0.5, n, life, uid, func(p *corev1.Pod) {}, true)
+	}
+}
+
+// onNode changes a Pod at a node some time later, whatever scheduler life there is, and tells the engine.
+func (s *script) onNode(seconds float64, n *fakeNode, life int, uid types.UID, change func(*corev1.Pod), remove bool) {
+	s.after(seconds, func() {
+		i := n.find(uid)
+		if n.life != life || i < 0 {
+			return
+		}
+		n.revision++
+		pod := n.pods[i].DeepCopy()
+		change(pod)
+		pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
+		n.pods[i] = pod
+		if remove || meta.Finished(pod) {
+			n.pods = slices.Delete(n.pods, i, i+1)
+		}
+		s.engine.NodePod(s.now, n.name, pod, remove)
+	})
+	s.queue[len(s.queue)-1].life = 0 // of the node, not of the scheduler
+}
+
+func (s *script) answerStop(x engine.Effect) {
+	n := s.node(x.Node)
+	answer := engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt}
+	if n.ready && !n.removed && s.rng.IntN(10) > 1 {
+		answer.Known, answer.Boot = true, n.boot()
+		n.floor[x.UID] = max(n.floor[x.UID], x.Attempt)
+		if i := n.find(x.UID); i >= 0 {
+			answer.Had, answer.Ran = true, n.pods[i].Status.Phase == corev1.PodRunning
+			n.pods = slices.Delete(n.pods, i, i+1)
+		}
+	}
+	s.after(0.005+0.2*s.rng.Float64(), func() { s.engine.StopDone(s.now, answer) })
+}
+
+// listPods tells the engine all Pods of a node.
+func (s *script) listPods(n *fakeNode) {
+	if n.ready && !n.removed {
+		s.engine.NodePods(s.now, n.name, n.boot(), n.revision, slices.Clone(n.pods))
+	}
+}
+
+func (s *script) object(n *fakeNode) *corev1.Node {
+	index := slices.Index(s.nodes, n)
+	o := &corev1.Node{}
+	o.Name, o.UID = n.name, types.UID("uid-"+n.name)
+	o.Labels = map[string]string{meta.Kind: []string{"standard", "large"}[index%2], meta.Zone: "zone-" + string(rune('a'+index%3)),
+		meta.Rack: fmt.Sprintf("rack-%d", index%4)}
+	o.Annotations = map[string]string{meta.Free: meta.FormatDict("cores", max(32-float64(len(n.pods)), 1), "memory", 60.5)}
+	if n.life > 1 {
+		o.Annotations[meta.Started] = meta.Instant(s.now - 1)
+	}
+	o.Spec.Unschedulable = n.draining
+	o.Status.NodeInfo.BootID = n.boot()
+	status := corev1.ConditionTrue
+	if !n.ready {
+		status = corev1.ConditionUnknown
+	}
+	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: status}}
+	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", index+n.life)}}
+	o.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
+	return o
+}
+
+func (s *script) fullList() {
+	var list []*corev1.Node
+	for _, n := range s.nodes {
+		if !n.removed {
+			list = append(list, s.object(n))
+		}
+	}
+	s.engine.NodesListed(s.now, engine.FullList, list, nil)
+}
+
+func (s *script) changed(n *fakeNode) {
+	if n.removed {
+		s.engine.NodesListed(s.now, engine.Changes, nil, []string{n.name})
+		return
+	}
+	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(n)}, nil)
+}
+
+func pointer[T any](value T) *T { return &value }
+
+// job draws a Job, now and then one that must be turned away.
+func (s *script) job() *batchv1.Job {
+	o := &batchv1.Job{}
+	o.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
+	o.Name = fmt.Sprintf("job-%03d", len(s.jobs))
+	tasks := int32(s.rng.IntN(7))
+	o.Spec.Completions, o.Spec.Parallelism = &tasks, pointer(tasks)
+	o.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
+	o.Spec.Template.Labels = map[string]string{meta.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
+	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
+	if class != "" {
+		o.Spec.Template.Labels[meta.Class] = class
+	}
+	o.Spec.Template.Annotations = map[string]string{meta.Lifetime: "5"}
+	o.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	o.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
+		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
+			corev1.ResourceMemory: *resource.NewQuantity(int64(1+s.rng.IntN(4))<<30, resource.BinarySI)}}}}
+	s.vary(o)
+	return o
+}
+
+// vary draws the rarer settings of a Job.
+func (s *script) vary(o *batchv1.Job) {
+	switch s.rng.IntN(24) {
+	case 0:
+		o.Name, o.GenerateName = "", "generated-"
+	case 1:
+		o.Spec.Suspend = pointer(true)
+	case 2:
+		o.Spec.ActiveDeadlineSeconds = pointer(int64(4))
+	case 3:
+		o.Spec.TTLSecondsAfterFinished = pointer(int32(3))
+	case 4:
+		o.Spec.Parallelism = pointer(int32(1))
+	case 5:
+		o.Namespace = "unknown"
+	case 6:
+		o.Spec.Template.Labels[meta.Class] = "unknown"
+	case 7:
+		o.Spec.Completions = pointer(int32(1 << 30))
+	case 8:
+		o.Spec.Completions, o.Spec.Parallelism, o.Spec.BackoffLimit = nil, nil, nil
+	case 9:
+		o.Spec.Template.Labels, o.Spec.Template.Annotations = nil, nil
+	case 10:
+		o.Labels, o.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
+	}
+}
+
+func (s *script) create(dry bool) {
+	o := s.job()
+	created, err := s.engine.CreateJob(s.now, o, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(created, nil)
+	if !dry {
+		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
+	}
+}
+
+// pick draws a stored object of a table, the n-th in order of key.
+func (s *script) pick(table store.Resource) store.Object {
+	snapshot := s.engine.Store().Snapshot(table)
+	if snapshot.Len() == 0 {
+		return nil
+	}
+	skip := s.rng.IntN(snapshot.Len())
+	var picked store.Object
+	snapshot.Scan("", "", func(_ string, change *store.Change) bool {
+		picked = change.Object
+		skip--
+		return skip >= 0
+	})
+	return picked
+}
+
+func (s *script) updateJob() {
+	object := s.pick(store.Jobs)
+	if object == nil {
+		return
+	}
+	o := object.DeepCopyObject().(*batchv1.Job)
+	dry := s.rng.IntN(8) == 0
+	switch s.rng.IntN(14) {
+	case 0, 1, 2:
+		o.Spec.Suspend = pointer(true)
+	case 3, 4, 5, 6:
+		o.Spec.Suspend = nil
+	case 7:
+		o.Spec.Parallelism = pointer(int32(s.rng.IntN(5)))
+	case 8:
+		o.Labels = map[string]string{"changed": strconv.Itoa(s.rng.IntN(5))}
+	case 9:
+		o.ResourceVersion = "1"
+	case 10:
+		o.Spec.Template.Spec.Containers[0].Image = "other"
+	case 11:
+		o.Spec.Completions = pointer(int32(77))
+	case 12:
+		o.Spec.Parallelism = pointer(int32(-1))
+	case 13:
+		o.Name += "-missing"
+	}
+	updated, err := s.engine.UpdateJob(s.now, o, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(updated, nil)
+}
+
+func (s *script) deleteJob() {
+	object := s.pick(store.Jobs)
+	if object == nil {
+		return
+	}
+	how := []metav1.DeletionPropagation{"", metav1.DeletePropagationBackground, metav1.DeletePropagationForeground,
+		metav1.DeletePropagationOrphan}[s.rng.IntN(4)]
+	name, uid, revision := object.GetName(), object.GetUID(), object.GetResourceVersion()
+	switch s.rng.IntN(12) {
+	case 0:
+		name += "-missing"
+	case 1:
+		uid = "other"
+	case 2:
+		revision = "1"
+	case 3, 4, 5, 6:
+		uid, revision = "", ""
+	}
+	deleted, err := s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(deleted, nil)
+}
+
+func (s *script) stopPod(evict bool) {
+	object := s.pick(store.Pods)
+	if object == nil {
+		return
+	}
+	name, uid := object.GetName(), object.GetUID()
+	switch s.rng.IntN(10) {
+	case 0:
+		name += "-missing"
+	case 1:
+		uid = "other"
+	}
+	if evict {
+		s.result(nil, s.engine.EvictPod(s.now, object.GetNamespace(), name, uid))
+		return
+	}
+	deleted, err := s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, "")
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(deleted, nil)
+}
+
+func (s *script) updateNode() {
+	object := s.pick(store.Nodes)
+	if object == nil {
+		return
+	}
+	o := object.DeepCopyObject().(*corev1.Node)
+	var order *bool
+	dry := s.rng.IntN(6) == 0
+	switch s.rng.IntN(10) {
+	case 0, 1:
+		order = pointer(true)
+	case 2, 3, 4, 5:
+		order = pointer(false)
+	case 6:
+		o.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
+	case 7:
+		o.Labels[meta.Rack] = "elsewhere"
+	case 8:
+		o.ResourceVersion = "1"
+	case 9:
+		o.Name = "missing"
+	}
+	updated, err := s.engine.UpdateNode(s.now, o, order, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(updated, nil)
+}
+
+// nodeTrouble restarts, silences, removes or drains a node, or brings one back.
+func (s *script) nodeTrouble() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	switch s.rng.IntN(12) {
+	case 0, 1:
+		n.life, n.pods, n.floor = n.life+1, nil, map[types.UID]int{}
+		s.after(0.3, func() { s.listPods(n) })
+		s.changed(n)
+	case 2:
+		n.ready = false
+		s.after(0.5, func() { s.engine.NodeSilent(s.now, n.name) })
+		s.changed(n)
+	case 3:
+		n.removed = true
+		s.engine.NodeSilent(s.now, n.name)
+		s.observe()
+		s.changed(n)
+	case 4:
+		n.draining = !n.draining
+		s.changed(n)
+	case 5:
+		s.engine.NodesListed(s.now, engine.ListLost, nil, nil)
+	case 6:
+		s.fullList()
+	case 7, 8:
+		s.listPods(n)
+	case 9:
+		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
+	default:
+		n.ready, n.removed, n.draining = true, false, false
+		s.after(0.1, func() { s.listPods(n) })
+		s.changed(n)
+	}
+}
+
+// step makes one random call.
+func (s *script) step() {
+	switch draw := s.rng.IntN(100); {
+	case draw < 50:
+		s.create(s.rng.IntN(10) == 0)
+	case draw < 58:
+		s.updateJob()
+	case draw < 63:
+		s.deleteJob()
+	case draw < 68:
+		s.stopPod(false)
+	case draw < 73:
+		s.stopPod(true)
+	case draw < 80:
+		s.updateNode()
+	default:
+		s.nodeTrouble()
+	}
+	s.observe()
+}
+
+// advance goes on to a time, with all timers and delayed calls up to it in order.
+func (s *script) advance(until float64) {
+	for {
+		next := s.engine.NextWake()
+		slices.SortStableFunc(s.queue, func(a, b delayed) int {
+			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
+		})
+		queued := len(s.queue) > 0 && s.queue[0].at < next
+		if queued {
+			next = s.queue[0].at
+		}
+		if next > until {
+			break
+		}
+		s.now = max(s.now, next)
+		if !queued {
+			s.engine.Tick(s.now)
+			s.observe()
+			continue
+		}
+		d := s.queue[0]
+		s.queue = s.queue[1:]
+		if d.life == 0 || d.life == s.life {
+			d.call()
+			s.observe()
+		}
+	}
+	s.now = until
+}
+
+// checkpoint writes the digest so far with the counters of the engine in a fixed order.
+func (s *script) checkpoint(label string) {
+	c := s.engine.Stats
+	for _, v := range []uint64{c.Asks, c.Offers, c.Accepted, c.Refusals, c.Doubts, c.Adopted, c.Stops, c.Placed, c.Refused, c.Failed, c.Shed,
+		c.AskedAgain, c.LostTasks, c.EvictedTasks, c.MovedTasks, c.TakenOver, c.JobsCreated, c.JobsFinished, c.PodsCreated,
+		c.JobsTurnedAway, c.Late} {
+		s.record.Integers(int64(v))
+	}
+	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v", label, s.kinds, s.changes, s.engine.Open(), s.revision,
+		[]uint64{c.Asks, c.Offers, c.Accepted, c.Refusals, c.Doubts, c.Adopted, c.Stops, c.Placed, c.Refused, c.Failed, c.Shed, c.AskedAgain,
+			c.LostTasks, c.EvictedTasks, c.MovedTasks, c.TakenOver, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsTurnedAway, c.Late})
+	s.record.Checkpoint(label)
+}
+
+// finish lets everything end, stops the engine while new tasks wait, and records the errors that occurred and the final state of all
+// Pods. The engine is not stopped while a task that ran waits to be asked for again: its timer would panic in the engine.
+func (s *script) finish() {
+	s.advance(s.now + 90)
+	s.checkpoint("before the stop")
+	for range 12 {
+		s.create(false)
+		s.observe()
+	}
+	s.advance(s.now + 0.002)
+	s.engine.Stop(s.now)
+	s.observe()
+	s.create(false)
+	s.observe()
+	s.advance(s.now + 60)
+	s.checkpoint("after the stop")
+	s.engine.Store().Snapshot(store.Pods).Scan("", "", func(key string, change *store.Change) bool {
+		pod := change.Object.(*corev1.Pod)
+		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, meta.SettledOf(pod))
+		return true
+	})
+	s.checkpoint("final tasks")
+	for _, text := range slices.Sorted(func(yield func(string) bool) {
+		for text := range s.failures {
+			if !yield(text) {
+				return
+			}
+		}
+	}) {
+		s.record.Line("error %d times: %s", s.failures[text], text)
+	}
+}
+
+// TestCharacterizeEngineUnderScripts pins what an engine does, byte for byte, under seeded calls with faults: lost and late answers,
+// nodes that restart, vanish, fall silent and drain, and schedulers that are killed and start anew.
+func TestCharacterizeEngineUnderScripts(t *testing.T) {
+	for _, run := range []struct {
+		name     string
+		seed     uint64
+		steps    int
+		restarts bool
+		change   func(*engine.Config)
+	}{
+		{"faults", 1, 400, false, nil},
+		{"restarts", 2, 400, true, nil},
+		{"small-limits", 3, 300, false, func(c *engine.Config) {
+			c.MaxPods, c.MaxObjects, c.History, c.AdmitAtOnce, c.LostAfter = 90, 600000, 5000, 3, 2
+		}},
+		{"narrow-gate", 4, 300, true, func(c *engine.Config) {
+			c.Gate.MinInFlight, c.Gate.MaxInFlight, c.Gate.Start, c.Gate.MaxWaiting, c.KeepFinished = 1, 3, 2, 12, 0
+		}},
+		{"pull-list", 5, 200, true, func(c *engine.Config) { c.Placer.MustAsk, c.Placer.AnswersWhenRunning = true, true }},
+	} {
+		t.Run(run.name, func(t *testing.T) {
+			s := newScript(t, run.seed, run.change)
+			for i := range run.steps {
+				s.step()
+				s.advance(s.now + 0.3*s.rng.Float64())
+				if run.restarts && i%60 == 59 {
+					s.restart()
+				}
+				if i%25 == 24 {
+					s.checkpoint(fmt.Sprintf("step %d", i+1))
+				}
+			}
+			s.finish()
+			s.record.Check(t, "script-"+run.name)
+		})
+	}
+}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,134 @@
+// Package golden supports characterization tests: a test records what it observes, and the record is compared byte for byte with a file
+// in the testdata directory of its package.
+//
+// Records hold only numbers, wire words, encoded bytes and the bits of floating point values, never names of Go identifiers, so that
+// renaming types, functions and fields leaves them as they are. A missing golden file fails the test. Golden files are written only
+// if the environment variable HEATHSHED_UPDATE_GOLDEN is 1:
+//
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/...
+package golden
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// UpdateVariable is the environment variable that makes Check write golden files.
+const UpdateVariable = "HEATHSHED_UPDATE_GOLDEN"
+
+// Recorder collects the lines of a golden file. Values go into a running SHA-256 digest; Checkpoint writes the digest so far as a line,
+// so that the first line that differs shows where behaviour begins to differ. The digest is cumulative.
+type Recorder struct {
+	digest hash.Hash
+	lines  []string
+}
+
+// NewRecorder returns an empty Recorder.
+func NewRecorder() *Recorder { return &Recorder{digest: sha256.New()} }
+
+// Integers adds integers to the digest.
+func (r *Recorder) Integers(values ...int64) {
+	for _, value := range values {
+		r.word('i', uint64(value))
+	}
+}
+
+// Floats adds the bits of floating point values to the digest.
+func (r *Recorder) Floats(values ...float64) {
+	for _, value := range values {
+		r.word('f', math.Float64bits(value))
+	}
+}
+
+// Booleans adds truth values to the digest.
+func (r *Recorder) Booleans(values ...bool) {
+	for _, value := range values {
+		if value {
+			r.word('b', 1)
+		} else {
+			r.word('b', 0)
+		}
+	}
+}
+
+// Texts adds texts to the digest, each with its length.
+func (r *Recorder) Texts(values ...string) {
+	for _, value := range values {
+		r.word('t', uint64(len(value)))
+		r.digest.Write([]byte(value))
+	}
+}
+
+// Bytes adds encoded bytes to the digest, with their length.
+func (r *Recorder) Bytes(value []byte) { r.Texts(string(value)) }
+
+// Error adds the text of an error to the digest, and whether there is one.
+func (r *Recorder) Error(err error) {
+	r.Booleans(err != nil)
+	if err != nil {
+		r.Texts(err.Error())
+	}
+}
+
+func (r *Recorder) word(tag byte, value uint64) {
+	r.digest.Write(binary.BigEndian.AppendUint64([]byte{tag}, value))
+}
+
+// Line writes a line as it is.
+func (r *Recorder) Line(format string, arguments ...any) {
+	r.lines = append(r.lines, strings.ReplaceAll(fmt.Sprintf(format, arguments...), "\n", "\\n"))
+}
+
+// Checkpoint writes a line with a label and the digest of all values so far.
+func (r *Recorder) Checkpoint(label string) {
+	r.Line("%s %s", label, hex.EncodeToString(r.digest.Sum(nil)))
+}
+
+// Check compares what was recorded with the file testdata/<name>.golden, or writes that file if UpdateVariable is 1.
+func (r *Recorder) Check(t testing.TB, name string) {
+	t.Helper()
+	got := strings.Join(r.lines, "\n") + "\n"
+	path := filepath.Join("testdata", name+".golden")
+	if os.Getenv(UpdateVariable) == "1" {
+		write(t, path, got)
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("the golden file is missing; see package golden: %v", err)
+	}
+	compare(t, path, got, string(want))
+}
+
+func write(t testing.TB, path, text string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// compare reports the first line that differs.
+func compare(t testing.TB, path, got, want string) {
+	t.Helper()
+	if got == want {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d differs:\n got %.600s\nwant %.600s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines)-1, len(wantLines)-1)
+}
