--- /dev/null
+++ b/internal/owner/characterization_test.go
@@ -0,0 +1,41 @@
+package owner_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"heathshed/internal/golden"
+	"heathshed/internal/owner"
+	"heathshed/placer"
+)
+
+// TestCharacterizeOwner pins the verdicts of owners and their times by bits, for seeded standings of every effect and cause. Regenerate
+// the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+func TestCharacterizeOwner(t *testing.T) {
+	record := golden.NewRecorder()
+	policies := []owner.Policy{owner.DefaultPolicy(), {Again: 0.2, Soon: 0.05, Growth: 3, Most: 9, Settle: 1}, {Again: 4, Growth: 0.5}}
+	for i, policy := range policies {
+		rng := rand.New(rand.NewPCG(5, uint64(i)))
+		var verdicts [4]int
+		for step := range 4000 {
+			s := owner.Standing{Effect: placer.Effect(step % 3), Cause: owner.Cause(rng.IntN(6)), Now: 1000 + rng.Float64(),
+				Asked: rng.IntN(12), Budget: rng.IntN(4), InDoubt: rng.IntN(4) == 0, MayRan: rng.IntN(5) == 0,
+				Delay: float64(rng.IntN(3)) * 3 * rng.Float64(), Jitter: rng.Float64()}
+			s.GiveUp = s.Now - 2 + 40*rng.Float64()
+			verdict, at := policy.Next(s)
+			verdicts[verdict]++
+			record.Integers(int64(verdict))
+			record.Floats(at)
+			if step%500 == 499 {
+				record.Checkpoint(fmt.Sprintf("policy %d, step %d", i, step+1))
+			}
+		}
+		for budget := range 20 {
+			record.Floats(policy.Patience(0.5*float64(budget+1), budget))
+		}
+		record.Line("policy %d: verdicts %v", i, verdicts)
+		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
+	}
+	record.Check(t, "owner")
+}
