--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -160,3 +160,62 @@
 		t.Errorf("a Job of 400 MB: %v", err)
 	}
 }
+
+// A task that ended without success is requested again by a timer. Where the engine is stopped before that timer fires, the new Pod gets
+// its final answer and nothing is sent for it.
+func TestStopWhileATaskWaitsToRunAgain(t *testing.T) {
+	e := newEngine(t)
+	node := listedNode("a", 0)
+	node.Annotations[meta.Free] = "cores=8.0, memory=8.0"
+	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
+	e.NodePods(1000, "n", "a", 1, nil)
+	job := &batchv1.Job{}
+	job.Name, job.Namespace = "j", "default"
+	if _, err := e.CreateJob(1001, job, false); err != nil {
+		t.Fatal(err)
+	}
+	attempts := func() (sent []Effect) {
+		for _, effect := range e.Ready(nil) {
+			if effect.Kind == SendOffer {
+				sent = append(sent, effect)
+			}
+		}
+		return sent
+	}
+	now := 1001.0
+	sent := attempts()
+	for ; len(sent) == 0 && now < 1010; sent = attempts() {
+		now = e.NextWake()
+		e.Tick(now)
+	}
+	if len(sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(sent))
+	}
+	pod := sent[0].Pod.DeepCopy()
+	pod.Status.Phase = corev1.PodRunning
+	e.OfferDone(now, OfferAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Boot: "a", Rev: 2, Pod: pod})
+	now++
+	failed := pod.DeepCopy()
+	failed.ResourceVersion = "3"
+	failed.Status.Phase = corev1.PodFailed
+	e.NodePod(now, "n", failed, false)
+	if e.Open() != 0 {
+		t.Fatalf("%d tasks are open before the retry, want 0", e.Open())
+	}
+	e.Stop(now)
+	created := e.Stats.PodsCreated
+	for now < 1100 && e.Stats.PodsCreated == created {
+		now = min(e.NextWake(), 1100)
+		e.Tick(now)
+	}
+	if e.Stats.PodsCreated != created+1 {
+		t.Fatal("the retry did not come due")
+	}
+	e.Tick(now + 10)
+	if again := attempts(); len(again) > 0 {
+		t.Errorf("%d attempts after the stop", len(again))
+	}
+	if e.Open() != 0 {
+		t.Errorf("%d tasks have no final answer", e.Open())
+	}
+}
--- a/internal/engine/jobs.go
+++ b/internal/engine/jobs.go
@@ -310,11 +310,13 @@
 	p.Status.Phase = corev1.PodPending
 	p.Status.QOSClass = corev1.PodQOSBurstable
 	j.pods[t.name] = struct{}{}
-	e.startTask(t, p)
+	e.addTask(t, p)
 	if e.stopping {
-		e.withdraw(t)
+		// Never requested: the placer would handle the request and make an attempt before it handled a withdrawal of it.
 		t.phase = waiting
 		e.settle(t, meta.Refused, "the scheduler stops")
+	} else {
+		e.begAsk(t)
 	}
 	e.touchJob(j)
 }
--- a/internal/engine/tasks.go
+++ b/internal/engine/tasks.go
@@ -93,14 +93,13 @@
 
 func (t *task) effect(e *Engine) placer.Effect { return e.cfg.Placer.Classes[t.class].Effect }
 
-// startTask begins a new Pod's first ask.
-func (e *Engine) startTask(t *task, p *corev1.Pod) {
+// addTask enters a new Pod.
+func (e *Engine) addTask(t *task, p *corev1.Pod) {
 	t.seq = int(e.Stats.PodsCreated)
 	e.Stats.PodsCreated++
 	e.tasks[t.uid] = t
 	e.unnamed++
 	e.store.Put(store.Pods, p)
-	e.begAsk(t)
 }
 
 // begAsk brings a task to the gate under a new number. What it lets pass goes to the placer.
