--- a/cmd/heathshed/client.go
+++ b/cmd/heathshed/client.go
@@ -22,7 +22,7 @@
 	policyv1 "k8s.io/api/policy/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/meta"
+	"heathshed/internal/wellknown"
 )
 
 // remote is the API as the operators' commands use it.
@@ -92,7 +92,7 @@
 
 func settledOf(conds []batchv1.JobCondition) string {
 	for _, c := range conds {
-		if c.Type == meta.Settled && c.Status == corev1.ConditionTrue {
+		if c.Type == wellknown.Settled && c.Status == corev1.ConditionTrue {
 			return c.Reason + ": " + c.Message
 		}
 	}
@@ -123,25 +123,25 @@
 		json.Unmarshal(raw, &p)
 		why := ""
 		for _, c := range p.Status.Conditions {
-			if c.Type == meta.Settled {
+			if c.Type == wellknown.Settled {
 				why = c.Message
 			}
 		}
-		if p.Status.Reason != "" && p.Status.Message != "" && meta.SettledOf(&p) == meta.Placed {
+		if p.Status.Reason != "" && p.Status.Message != "" && wellknown.SettledOf(&p) == wellknown.Placed {
 			why = p.Status.Reason + ": " + p.Status.Message
 		}
-		return []string{p.Namespace, p.Name, string(p.Status.Phase), p.Spec.NodeName, meta.SettledOf(&p), why}
+		return []string{p.Namespace, p.Name, string(p.Status.Phase), p.Spec.NodeName, wellknown.SettledOf(&p), why}
 	case "Node":
 		var n corev1.Node
 		json.Unmarshal(raw, &n)
 		state := "Ready"
-		if !meta.NodeReady(&n) {
+		if !wellknown.NodeReady(&n) {
 			state = "NotReady"
 		}
 		if n.Spec.Unschedulable {
 			state += ",Drained"
 		}
-		return []string{n.Name, state, n.Labels[meta.Kind], n.Labels[meta.Zone], n.Labels[meta.Rack], n.Annotations[meta.Free]}
+		return []string{n.Name, state, n.Labels[wellknown.Kind], n.Labels[wellknown.Zone], n.Labels[wellknown.Rack], n.Annotations[wellknown.Free]}
 	}
 	return nil
 }
@@ -338,7 +338,7 @@
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), outcome)
-			if !strings.HasPrefix(outcome, meta.Placed) {
+			if !strings.HasPrefix(outcome, wellknown.Placed) {
 				return &exitError{2, fmt.Errorf("job %s was not placed", j.Name)}
 			}
 			return nil
@@ -362,13 +362,13 @@
 func flagJob(name, class, service, cpu, memory string, tasks int, life float64) map[string]any {
 	labels, annotations := map[string]string{}, map[string]string{}
 	if class != "" {
-		labels[meta.Class] = class
+		labels[wellknown.Class] = class
 	}
 	if service != "" {
-		labels[meta.Service] = service
+		labels[wellknown.Service] = service
 	}
 	if life > 0 {
-		annotations[meta.Lifetime] = fmt.Sprint(life)
+		annotations[wellknown.Lifetime] = fmt.Sprint(life)
 	}
 	md := map[string]any{"name": name}
 	if name == "" {
@@ -404,7 +404,7 @@
 		count := 0
 		for i := range l.Items {
 			p := &l.Items[i]
-			if meta.Finished(p) {
+			if wellknown.Finished(p) {
 				continue
 			}
 			b, err := json.Marshal(&policyv1.Eviction{TypeMeta: metav1.TypeMeta{Kind: "Eviction", APIVersion: "policy/v1"},
--- a/cmd/heathshed/load.go
+++ b/cmd/heathshed/load.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/record"
+	"heathshed/internal/workload"
 )
 
 func loadCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 }
 
 // open makes a reader for one file; - is standard input.
-func (s *source) open(name string) (record.Reader, io.Closer, error) {
+func (s *source) open(name string) (workload.Reader, io.Closer, error) {
 	f := os.Stdin
 	if name != "-" {
 		var err error
@@ -46,31 +46,31 @@
 			return nil, nil, err
 		}
 	}
-	r, err := record.Open(f)
+	r, err := workload.Open(f)
 	if err != nil {
 		return nil, f, fmt.Errorf("%s: %w", name, err)
 	}
 	format := s.format
 	if format == "auto" {
-		if format, r, err = record.Guess(r); err != nil {
+		if format, r, err = workload.Guess(r); err != nil {
 			return nil, f, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	switch format {
 	case "har":
-		return record.NewHAR(r, name), f, nil
+		return workload.NewHAR(r, name), f, nil
 	case "jsonl":
-		return record.NewJSONLines(r, name, record.DefaultJSONFields()), f, nil
+		return workload.NewJSONLines(r, name, workload.DefaultJSONFields()), f, nil
 	case "common":
-		format = record.Common
+		format = workload.Common
 	case "combined":
-		format = record.Combined
+		format = workload.Combined
 	}
-	lf, err := record.ParseFormat(format)
+	lf, err := workload.ParseFormat(format)
 	if err != nil {
 		return nil, f, err
 	}
-	return record.NewLog(r, name, lf), f, nil
+	return workload.NewLog(r, name, lf), f, nil
 }
 
 // inspection is what inspect tells.
@@ -87,7 +87,7 @@
 	times   []float32 // since the first, in seconds; four bytes an entry
 }
 
-func (x *inspection) see(e *record.Entry) {
+func (x *inspection) see(e *workload.Entry) {
 	if x.Entries == 0 {
 		x.first = e.At
 	}
@@ -132,7 +132,7 @@
 				report = json.NewEncoder(w)
 			}
 			shown := 0
-			skip := func(p *record.Problem) error {
+			skip := func(p *workload.Problem) error {
 				x.Skipped[p.Kind]++
 				if report != nil {
 					if err := report.Encode(p); err != nil {
@@ -171,7 +171,7 @@
 }
 
 // read gives the entries of one file in order of time.
-func (s *source) read(name string, see func(*record.Entry), skip func(*record.Problem) error) error {
+func (s *source) read(name string, see func(*workload.Entry), skip func(*workload.Problem) error) error {
 	r, f, err := s.open(name)
 	if f != nil {
 		defer f.Close()
@@ -179,8 +179,8 @@
 	if err != nil {
 		return err
 	}
-	sorter := record.Sorter{Window: s.window}
-	var out []record.Entry
+	sorter := workload.Sorter{Window: s.window}
+	var out []workload.Entry
 	give := func() {
 		for i := range out {
 			see(&out[i])
@@ -189,7 +189,7 @@
 	}
 	for {
 		e, err := r.Next()
-		var p *record.Problem
+		var p *workload.Problem
 		switch {
 		case errors.Is(err, io.EOF):
 			out = sorter.Flush(out)
--- a/cmd/heathshed/recover.go
+++ b/cmd/heathshed/metastability.go
@@ -8,14 +8,14 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/recovery"
+	"heathshed/internal/metastability"
 )
 
 // trialRow is what one trial of the search printed as JSON.
 type trialRow struct {
-	Trial   recovery.Trial   `json:"trial"`
-	Verdict recovery.Verdict `json:"verdict"`
-	Held    bool             `json:"held"`
+	Trial   metastability.Trial   `json:"trial"`
+	Verdict metastability.Verdict `json:"verdict"`
+	Held    bool                  `json:"held"`
 }
 
 func recoverCommand() *cobra.Command {
@@ -38,9 +38,9 @@
 				go func() {
 					defer wg.Done()
 					for i := range next {
-						t := recovery.Draw(seed + uint64(i))
+						t := metastability.Draw(seed + uint64(i))
 						t.Gate.ShedDraws = plant
-						v, err := recovery.Play(t)
+						v, err := metastability.Play(t)
 						rows[i], errs[i] = trialRow{t, v, v.Held()}, err
 					}
 				}()
--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/platform"
 	"heathshed/placer"
 )
@@ -65,7 +65,7 @@
 		return &exitError{2, fmt.Errorf("settings: %w", err)}
 	}
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		return err
 	}
--- a/cmd/heathshed/run.go
+++ b/cmd/heathshed/run.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/budget"
+	"heathshed/internal/config"
+	"heathshed/internal/emulator"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/httpd"
-	"heathshed/internal/loop"
+	"heathshed/internal/memquota"
 	"heathshed/internal/scheduler"
-	"heathshed/internal/settings"
-	"heathshed/internal/standin"
 )
 
 // common are flags that several commands share.
@@ -41,11 +41,11 @@
 }
 
 // settings reads the file and lays the flags over it.
-func (f *common) settings() (settings.Settings, error) {
-	s := settings.Default()
+func (f *common) settings() (config.Settings, error) {
+	s := config.Default()
 	if f.file != "" {
 		var err error
-		if s, err = settings.Load(f.file); err != nil {
+		if s, err = config.Load(f.file); err != nil {
 			return s, err
 		}
 	}
@@ -60,7 +60,7 @@
 	return s, s.Check()
 }
 
-func printSettings(w io.Writer, s *settings.Settings) error {
+func printSettings(w io.Writer, s *config.Settings) error {
 	b, err := s.Text()
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return err
 }
 
-func (f *common) logger(s *settings.Settings) zerolog.Logger {
+func (f *common) logger(s *config.Settings) zerolog.Logger {
 	var w io.Writer = os.Stderr
 	if f.logFormat == "text" {
 		w = zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: "15:04:05.000"}
@@ -87,7 +87,7 @@
 
 // onSignals posts stop to the loop at the first SIGINT or SIGTERM, ends the program at the second, and turns debug logs on and
 // off at SIGUSR1.
-func onSignals(l *loop.Loop, log zerolog.Logger, normal string, stop func()) {
+func onSignals(l *eventloop.Loop, log zerolog.Logger, normal string, stop func()) {
 	ch := make(chan os.Signal, 4)
 	signal.Notify(ch, syscall.SIGINT, syscall.SIGTERM, syscall.SIGUSR1)
 	go func() {
@@ -119,11 +119,11 @@
 
 // schedulerOptions turns settings into what a scheduler is run with. Revisions begin at the microsecond of the start, so that
 // they go on growing over restarts.
-func schedulerOptions(s *settings.Settings, l *loop.Loop, seed uint64, log zerolog.Logger) scheduler.Options {
+func schedulerOptions(s *config.Settings, l *eventloop.Loop, seed uint64, log zerolog.Logger) scheduler.Options {
 	h := httpd.DefaultOptions()
 	h.Limits.Body = s.Limits.Body
 	memory := int64(s.Limits.Memory) << 20
-	h.Memory = budget.Divide(memory).Connections
+	h.Memory = memquota.Divide(memory).Connections
 	debug.SetMemoryLimit(memory) // the collector works harder near it; what is held is bounded by the shares
 	l.SetMaxConns(s.Limits.Connections)
 	return scheduler.Options{Engine: s.Engine(seed, int64(l.Now()*1e6)), Listen: s.Listen, Inventory: s.Inventory, Version: version, HTTP: h,
@@ -145,7 +145,7 @@
 			seed = randomSeed()
 		}
 		log := f.logger(&s)
-		l, err := loop.New()
+		l, err := eventloop.New()
 		if err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 				return err
 			}
 			if nodes > 0 {
-				s.StandIn.Nodes = nodes
+				s.Emulator.Nodes = nodes
 			}
 			if err := s.Check(); err != nil {
 				return err
@@ -184,12 +184,12 @@
 				return printSettings(c.OutOrStdout(), &s)
 			}
 			log := f.logger(&s)
-			l, err := loop.New()
+			l, err := eventloop.New()
 			if err != nil {
 				return err
 			}
 			// The stand-ins have a loop of their own, so that they do not share the scheduler's time.
-			sl, err := loop.New()
+			sl, err := eventloop.New()
 			if err != nil {
 				return err
 			}
@@ -202,7 +202,7 @@
 			if err != nil {
 				return err
 			}
-			log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", "http://"+inv.Addr()).Int("machines", s.StandIn.Nodes).
+			log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", "http://"+inv.Addr()).Int("machines", s.Emulator.Nodes).
 				Msg("scheduler, inventory and stand-in machines listen")
 			fmt.Fprintf(c.OutOrStdout(), "api http://%s\n", sch.Addr())
 			done := make(chan error, 1)
@@ -219,28 +219,28 @@
 }
 
 // startStandIns starts an inventory and machines that report to it.
-func startStandIns(l *loop.Loop, s *settings.Settings, listen string) (*standin.Inventory, error) {
+func startStandIns(l *eventloop.Loop, s *config.Settings, listen string) (*emulator.Inventory, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	inv, err := standin.StartInventory(l, standin.InventoryOptions{Listen: listen, Late: s.StandIn.Late, SilentAfter: s.StandIn.SilentAfter,
-		RemoveAfter: s.StandIn.RemoveAfter})
+	inv, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: listen, Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter,
+		RemoveAfter: s.Emulator.RemoveAfter})
 	if err != nil {
 		return nil, err
 	}
-	for i := range s.StandIn.Nodes {
+	for i := range s.Emulator.Nodes {
 		o := nodeOptions(s, i)
 		o.Inventory = inv.Addr()
-		if _, err := standin.StartNode(l, o); err != nil {
+		if _, err := emulator.StartNode(l, o); err != nil {
 			return nil, err
 		}
 	}
 	return inv, nil
 }
 
-func nodeOptions(s *settings.Settings, i int) standin.NodeOptions {
+func nodeOptions(s *config.Settings, i int) emulator.NodeOptions {
 	cfg, kind, rack, zone := s.Machine(i)
-	return standin.NodeOptions{Name: fmt.Sprintf("node-%02d", i+1), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0", Machine: cfg,
+	return emulator.NodeOptions{Name: fmt.Sprintf("node-%02d", i+1), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0", Sim: cfg,
 		Priorities: s.Priorities(), Lives: s.Lives()}
 }
 
@@ -255,7 +255,7 @@
 			if err != nil {
 				return err
 			}
-			l, err := loop.New()
+			l, err := eventloop.New()
 			if err != nil {
 				return err
 			}
@@ -272,7 +272,7 @@
 				return err
 			}
 			o.Tap = tap
-			n, err := standin.StartNode(l, o)
+			n, err := emulator.StartNode(l, o)
 			if err != nil {
 				return err
 			}
@@ -290,7 +290,7 @@
 		if err != nil {
 			return err
 		}
-		l, err := loop.New()
+		l, err := eventloop.New()
 		if err != nil {
 			return err
 		}
@@ -298,8 +298,8 @@
 		if err != nil {
 			return err
 		}
-		v, err := standin.StartInventory(l, standin.InventoryOptions{Listen: s.Inventory, Late: s.StandIn.Late, SilentAfter: s.StandIn.SilentAfter,
-			RemoveAfter: s.StandIn.RemoveAfter, Tap: tap})
+		v, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: s.Inventory, Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter,
+			RemoveAfter: s.Emulator.RemoveAfter, Tap: tap})
 		if err != nil {
 			return err
 		}
@@ -330,7 +330,7 @@
 	c := &cobra.Command{Use: "config", Short: "Work with settings files"}
 	c.AddCommand(&cobra.Command{Use: "check FILE", Short: "Check a settings file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := settings.Load(args[0]); err != nil {
+			if _, err := config.Load(args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), args[0]+": ok")
--- a/cmd/heathshed/badday.go
+++ b/cmd/heathshed/scenario.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/drill"
-	"heathshed/internal/model"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/faultinjection"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
 )
 
 func baddayCommand() *cobra.Command {
@@ -34,9 +34,9 @@
 			if err != nil {
 				return err
 			}
-			d := badday.Default()
+			d := scenario.Default()
 			if script != "" {
-				if d, err = settings.LoadScript(script); err != nil {
+				if d, err = config.LoadScript(script); err != nil {
 					return err
 				}
 			}
@@ -49,7 +49,7 @@
 			if printScript {
 				return json.NewEncoder(c.OutOrStdout()).Encode(&d)
 			}
-			var r *drill.Result
+			var r *faultinjection.Result
 			if simulated {
 				r, err = playModel(&s, &d)
 			} else {
@@ -83,21 +83,21 @@
 
 func kindsText() string {
 	out := ""
-	for _, k := range slices.Sorted(maps.Keys(badday.Kinds)) {
-		out += fmt.Sprintf("  %-15s %s\n", k, badday.Kinds[k])
+	for _, k := range slices.Sorted(maps.Keys(scenario.Kinds)) {
+		out += fmt.Sprintf("  %-15s %s\n", k, scenario.Kinds[k])
 	}
 	return out
 }
 
-func playModel(s *settings.Settings, d *badday.Script) (*drill.Result, error) {
-	cfg := model.FromSettings(s, d)
+func playModel(s *config.Settings, d *scenario.Script) (*faultinjection.Result, error) {
+	cfg := simulation.FromSettings(s, d)
 	cfg.KeepEvents = true
-	w, err := model.New(cfg)
+	w, err := simulation.New(cfg)
 	if err != nil {
 		return nil, err
 	}
 	w.Run(d.Plan(cfg.NodesOf()), d.Seconds)
-	r := &drill.Result{Seconds: d.Seconds, Schedulers: d.Schedulers, Nodes: d.Nodes, Audit: w.Audit()}
+	r := &faultinjection.Result{Seconds: d.Seconds, Schedulers: d.Schedulers, Nodes: d.Nodes, Audit: w.Audit()}
 	r.Figures.Tasks = r.Audit.Tasks
 	for _, n := range r.Audit.Outcomes {
 		r.Figures.Settled += n
@@ -109,7 +109,7 @@
 	return r, nil
 }
 
-func playSockets(c *cobra.Command, s *settings.Settings, d *badday.Script, dir string, drop float64, hostile bool) (*drill.Result, error) {
+func playSockets(c *cobra.Command, s *config.Settings, d *scenario.Script, dir string, drop float64, hostile bool) (*faultinjection.Result, error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	defer cancel()
 	s.LogLevel = "warn"
 	last := time.Now()
-	return drill.Run(ctx, drill.Options{Exe: exe, Dir: dir, Script: *d, Settings: *s, DropWatch: drop, Hostile: hostile, Progress: func(at float64, f drill.Figures) {
+	return faultinjection.Run(ctx, faultinjection.Options{Exe: exe, Dir: dir, Script: *d, Settings: *s, DropWatch: drop, Hostile: hostile, Progress: func(at float64, f faultinjection.Figures) {
 		if time.Since(last) > 10*time.Second {
 			last = time.Now()
 			fmt.Fprintf(c.ErrOrStderr(), "%5.0f s  jobs %d  tasks %d  settled %d  watches broken %d  schedulers killed %d  p50 %.3f s  p99 %.3f s\n",
@@ -135,7 +135,7 @@
 	}})
 }
 
-func printResult(w io.Writer, r *drill.Result) {
+func printResult(w io.Writer, r *faultinjection.Result) {
 	a, f := &r.Audit, &r.Figures
 	fmt.Fprintf(w, "day of %.0f s: %d schedulers, %d machines\n", r.Seconds, r.Schedulers, r.Nodes)
 	fmt.Fprintf(w, "tasks asked %d, placed %d, refused %d, failed %d, without outcome as their scheduler was killed or their owner withdrew %d\n", a.Tasks,
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"heathshed/internal/simhost"
+	"heathshed/internal/simadapter"
 )
 
 func main() {
-	if err := simhost.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/internal/gate/gate.go
+++ b/internal/admission/admission.go
@@ -2,7 +2,7 @@
 // time, whose turn it is, what is refused early because it could no longer start in time, and how much may be asked again.
 //
 // It is pure: time is passed in, there is no randomness. It decides nothing about where a task goes.
-package gate
+package admission
 
 import (
 	"container/heap"
@@ -18,7 +18,7 @@
 	MinInFlight, MaxInFlight, Start float64
 	// Decrease is what the limit is multiplied by while more than LatePart of the asks come back late or not placed, at most once in a
 	// Window. A lower part says nothing: there are always some that no machine may take.
-	Decrease, Window, LatePart float64
+	Decrease, Window, LateFraction float64
 	// MaxWaiting bounds the asks that wait, over all tenants.
 	MaxWaiting int
 	// An ask again draws one from a budget of at most RetryBurst. It has it back, with RetryRatio more, when it is placed; a first ask that
@@ -29,13 +29,13 @@
 	ShedDraws bool
 	// Additive keeps the limit from growing faster than by one for each time that all under way are answered.
 	Additive bool
-	// Off lets everything pass, and still counts.
-	Off bool
+	// Disabled lets everything pass, and still counts.
+	Disabled bool
 }
 
 // DefaultConfig has the figures of the docs.
 func DefaultConfig() Config {
-	return Config{MinInFlight: 4, MaxInFlight: 4096, Start: 64, Decrease: 0.85, Window: 0.25, LatePart: 0.3, MaxWaiting: 100000, RetryRatio: 0.3, RetryRate: 2,
+	return Config{MinInFlight: 4, MaxInFlight: 4096, Start: 64, Decrease: 0.85, Window: 0.25, LateFraction: 0.3, MaxWaiting: 100000, RetryRatio: 0.3, RetryRate: 2,
 		RetryBurst: 100}
 }
 
@@ -45,7 +45,7 @@
 		name      string
 		v, lo, hi float64
 	}{{"min in flight", c.MinInFlight, 1, c.MaxInFlight}, {"max in flight", c.MaxInFlight, 1, 1e9}, {"start", c.Start, 1, 1e9},
-		{"decrease", c.Decrease, 0.01, 0.99}, {"window", c.Window, 0, 60}, {"late part", c.LatePart, 0, 1}, {"max waiting", float64(c.MaxWaiting), 1, 1e9},
+		{"decrease", c.Decrease, 0.01, 0.99}, {"window", c.Window, 0, 60}, {"late part", c.LateFraction, 0, 1}, {"max waiting", float64(c.MaxWaiting), 1, 1e9},
 		{"retry ratio", c.RetryRatio, 0, 100}, {"retry rate", c.RetryRate, 0, 1e9}, {"retry burst", c.RetryBurst, 0, 1e9}} {
 		if !(f.v >= f.lo && f.v <= f.hi) {
 			return fmt.Errorf("gate: %s %v: want %v to %v", f.name, f.v, f.lo, f.hi)
@@ -54,27 +54,27 @@
 	return nil
 }
 
-// Item is an ask that wants to pass.
-type Item struct {
-	ID       uint64
-	Tenant   int
-	Priority int     // higher goes first within its tenant
-	Cost     float64 // what it takes of the fleet, such as cores; at least a small amount is counted
-	Deadline float64 // when this ask is of no more use; it may be made again until the next
-	Until    float64 // when its owner stops waiting for good; no earlier than Deadline
-	Aim      float64 // how soon a start is worth most, from its arrival
-	// Again says that the machines had it before and did not keep it. One that was only ever shed here is a first ask.
-	Again bool
+// Request is an ask that wants to pass.
+type Request struct {
+	ID               uint64
+	Tenant           int
+	Priority         int     // higher goes first within its tenant
+	Cost             float64 // what it takes of the fleet, such as cores; at least a small amount is counted
+	Deadline         float64 // when this ask is of no more use; it may be made again until the next
+	Until            float64 // when its owner stops waiting for good; no earlier than Deadline
+	LatencyObjective float64 // how soon a start is worth most, from its arrival
+	// IsRetry says that the machines had it before and did not keep it. One that was only ever shed here is a first ask.
+	IsRetry bool
 	// Shed says that it was shed here before.
 	Shed bool
 }
 
-// Verdict says what becomes of an item.
-type Verdict uint8
+// Decision says what becomes of an item.
+type Decision uint8
 
 // The verdicts. Pass: ask now. Wait: it stands in line. Shed: refuse it; a new try does no harm, but not before the delay.
 const (
-	Pass Verdict = iota
+	Admit Decision = iota
 	Wait
 	Shed
 )
@@ -86,8 +86,8 @@
 	Why   string
 }
 
-// Gate is the state. The zero value is not usable; see New.
-type Gate struct {
+// Controller is the state. The zero value is not usable; see New.
+type Controller struct {
 	cfg      Config
 	limit    float64
 	lowered  float64 // time of the last decrease
@@ -107,7 +107,7 @@
 	budgetAt float64
 
 	// Passed, Queued, Overdue, ShedLate, ShedFull and ShedRetry count.
-	Passed, Queued, Overdue, ShedLate, ShedFull, ShedRetry uint64
+	Admitted, Queued, Overdue, ShedLate, ShedFull, ShedRetry uint64
 }
 
 // flying is an ask under way. Past its aim it is parked: it waits for a machine that may take it, keeps nobody busy, and does not
@@ -137,16 +137,16 @@
 func (t *tenant) waits() int { return t.n[fresh] + t.n[returned] + t.n[again] }
 
 type entry struct {
-	Item
+	Request
 	at     float64
 	latest float64 // when it is overdue or, if it is that already, shed
 	t      *tenant
 	gone   bool
 }
 
-func (e *Item) kind() int {
+func (e *Request) kind() int {
 	switch {
-	case e.Again:
+	case e.IsRetry:
 		return again
 	case e.Shed:
 		return returned
@@ -228,7 +228,7 @@
 		if l.n == 0 {
 			continue
 		}
-		if e := l.items[0]; now-e.at < e.Aim*patient {
+		if e := l.items[0]; now-e.at < e.LatencyObjective*patient {
 			return e
 		}
 		return l.items[len(l.items)-1]
@@ -239,11 +239,11 @@
 const patient = 0.4 // of its aim that the oldest may have waited before the newest goes first
 
 // New makes a gate.
-func New(cfg Config) (*Gate, error) {
+func New(cfg Config) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	g := &Gate{cfg: cfg, limit: min(max(cfg.Start, cfg.MinInFlight), cfg.MaxInFlight), inFlight: map[uint64]*flying{},
+	g := &Controller{cfg: cfg, limit: min(max(cfg.Start, cfg.MinInFlight), cfg.MaxInFlight), inFlight: map[uint64]*flying{},
 		waiting: map[uint64]*entry{}, budget: cfg.RetryBurst, quickly: !cfg.Additive}
 	least := math.Inf(1)
 	for _, s := range cfg.Shares {
@@ -267,31 +267,31 @@
 }
 
 // Budget is how many asks may be made again at once.
-func (g *Gate) Budget() float64 { return g.budget }
+func (g *Controller) Budget() float64 { return g.budget }
 
 // Limit is the present limit on asks under way.
-func (g *Gate) Limit() float64 { return g.limit }
+func (g *Controller) Limit() float64 { return g.limit }
 
 // InFlight is the number of asks under way.
-func (g *Gate) InFlight() int { return len(g.inFlight) }
+func (g *Controller) InFlight() int { return len(g.inFlight) }
 
 // Waiting is the number of items in line.
-func (g *Gate) Waiting() int { return len(g.waiting) }
+func (g *Controller) Waiting() int { return len(g.waiting) }
 
 // Arrive takes an item. One that waits comes out of Next later; its delay says when to come again if it is shed.
-func (g *Gate) Arrive(now float64, it Item) (Verdict, Shedding) {
-	if g.cfg.Off {
-		g.pass(now, it.ID, it.Aim, false) // nothing draws on a budget that bounds nothing
-		return Pass, Shedding{}
+func (g *Controller) Arrive(now float64, it Request) (Decision, Shedding) {
+	if g.cfg.Disabled {
+		g.pass(now, it.ID, it.LatencyObjective, false) // nothing draws on a budget that bounds nothing
+		return Admit, Shedding{}
 	}
 	g.refill(now)
 	if g.cfg.ShedDraws {
-		it.Again = it.Again || it.Shed
-		if it.Again && g.budget < 1 {
+		it.IsRetry = it.IsRetry || it.Shed
+		if it.IsRetry && g.budget < 1 {
 			g.ShedRetry++
 			return Shed, Shedding{it.ID, g.delay(), "too much is asked again"}
 		}
-		if !it.Again {
+		if !it.IsRetry {
 			g.budget = min(g.budget+g.cfg.RetryRatio, g.cfg.RetryBurst)
 		}
 	}
@@ -300,19 +300,19 @@
 	}
 	t := g.tenants[it.Tenant]
 	// What waits of a later kind holds up no earlier one.
-	if g.ahead(it.kind()) == 0 && g.room(now) && (!it.Again || g.budget >= 1) {
+	if g.ahead(it.kind()) == 0 && g.room(now) && (!it.IsRetry || g.budget >= 1) {
 		g.charge(t, it.Cost)
-		g.pass(now, it.ID, it.Aim, it.Again)
-		return Pass, Shedding{}
+		g.pass(now, it.ID, it.LatencyObjective, it.IsRetry)
+		return Admit, Shedding{}
 	}
 	if len(g.waiting) >= g.cfg.MaxWaiting {
 		g.ShedFull++
 		return Shed, Shedding{it.ID, g.delay(), "too many asks wait"}
 	}
-	e := &entry{Item: it, at: now, t: t}
-	e.latest = it.Deadline - it.Aim/2
+	e := &entry{Request: it, at: now, t: t}
+	e.latest = it.Deadline - it.LatencyObjective/2
 	if !g.cfg.ShedDraws && it.kind() != fresh {
-		e.latest = it.Until - it.Aim/2
+		e.latest = it.Until - it.LatencyObjective/2
 	}
 	if t.waits() == 0 {
 		// A tenant that comes back does not make up for the time that it asked nothing.
@@ -324,14 +324,14 @@
 }
 
 // stand puts an entry in line.
-func (g *Gate) stand(e *entry) {
+func (g *Controller) stand(e *entry) {
 	g.waiting[e.ID] = e
 	e.t.add(e)
 	heap.Push(&g.expiry, e)
 }
 
 // ahead is how many wait that an arrival of a kind may not overtake.
-func (g *Gate) ahead(kind int) (n int) {
+func (g *Controller) ahead(kind int) (n int) {
 	for _, t := range g.tenants {
 		for k := range kind + 1 {
 			n += t.n[k]
@@ -341,7 +341,7 @@
 }
 
 // room says whether one more may be under way.
-func (g *Gate) room(now float64) bool {
+func (g *Controller) room(now float64) bool {
 	for len(g.young) > 0 {
 		f := g.young[0]
 		if f.counted && now-f.at < max(f.aim, 0.001) {
@@ -354,20 +354,20 @@
 	return float64(g.fresh) < math.Floor(g.limit)
 }
 
-func (g *Gate) settle(f *flying) {
+func (g *Controller) settle(f *flying) {
 	if f.counted {
 		f.counted = false
 		g.fresh--
 	}
 }
 
-func (g *Gate) charge(t *tenant, cost float64) {
+func (g *Controller) charge(t *tenant, cost float64) {
 	t.passed = max(t.passed, g.virtual)
 	g.virtual = t.passed
 	t.passed += max(cost, 0.01) / t.share
 }
 
-func (g *Gate) pass(now float64, id uint64, aim float64, draws bool) {
+func (g *Controller) pass(now float64, id uint64, aim float64, draws bool) {
 	f := &flying{now, aim, true, draws}
 	if draws {
 		g.budget--
@@ -375,7 +375,7 @@
 	g.inFlight[id] = f
 	g.young = append(g.young, f)
 	g.fresh++
-	g.Passed++
+	g.Admitted++
 	// A rate smoothed over about a second.
 	d := max(now-g.passAt, 0)
 	g.passRate = g.passRate*math.Exp(-d) + 1
@@ -383,14 +383,14 @@
 }
 
 // refill lets asks again accrue.
-func (g *Gate) refill(now float64) {
+func (g *Controller) refill(now float64) {
 	g.budget = min(g.budget+max(now-g.budgetAt, 0)*g.cfg.RetryRate, g.cfg.RetryBurst)
 	g.budgetAt = max(g.budgetAt, now)
 }
 
 // delay is the advice to those refused: as long as the line takes, spread by how many were refused before, so that they do not come
 // back as a wave.
-func (g *Gate) delay() float64 {
+func (g *Controller) delay() float64 {
 	wait := 1 + float64(len(g.waiting))/max(g.passRate, 1)
 	n := float64((g.ShedLate+g.ShedFull+g.ShedRetry)%16) / 16
 	return min(wait, longestDelay) * (0.75 + 0.5*n)
@@ -401,7 +401,7 @@
 const longestDelay = 15.0 // seconds
 
 // Done takes the end of an ask: placed says that it was, at a time when it had been under way so long. The limit learns from it.
-func (g *Gate) Done(now float64, id uint64, placed bool) {
+func (g *Controller) Done(now float64, id uint64, placed bool) {
 	f, ok := g.inFlight[id]
 	if !ok {
 		return
@@ -426,7 +426,7 @@
 		g.sound = now
 	}
 	switch {
-	case g.late > g.cfg.LatePart && late > 0 && now-g.lowered >= g.cfg.Window:
+	case g.late > g.cfg.LateFraction && late > 0 && now-g.lowered >= g.cfg.Window:
 		// Additive increase, multiplicative decrease: what was under way when it got late is the measure, not a limit that was never
 		// reached.
 		g.limit = max(min(g.limit, under+1)*g.cfg.Decrease, g.cfg.MinInFlight)
@@ -452,7 +452,7 @@
 const soundFor = 4.0 // windows without a late answer until the limit grows quickly again
 
 // Drop forgets an item wherever it is, with no lesson.
-func (g *Gate) Drop(id uint64) {
+func (g *Controller) Drop(id uint64) {
 	if f := g.inFlight[id]; f != nil {
 		g.settle(f)
 		delete(g.inFlight, id)
@@ -462,7 +462,7 @@
 	}
 }
 
-func (g *Gate) remove(e *entry) {
+func (g *Controller) remove(e *entry) {
 	delete(g.waiting, e.ID)
 	e.gone = true
 	e.t.n[e.kind()]--
@@ -474,20 +474,20 @@
 }
 
 // Next says which items pass now and which are refused because they could no longer start before their owner gives up.
-func (g *Gate) Next(now float64) (pass []uint64, shed []Shedding) {
+func (g *Controller) Next(now float64) (pass []uint64, shed []Shedding) {
 	g.refill(now)
 	for e := g.expiry.first(); e != nil && e.latest <= now; e = g.expiry.first() {
-		if last := e.Until - e.Aim/2; last > now && !g.cfg.ShedDraws {
+		if last := e.Until - e.LatencyObjective/2; last > now && !g.cfg.ShedDraws {
 			// It is late whatever comes, but its owner still wants it: it steps back behind those that are not.
 			g.remove(e)
-			back := &entry{Item: e.Item, at: e.at, latest: last, t: e.t}
+			back := &entry{Request: e.Request, at: e.at, latest: last, t: e.t}
 			back.Shed = true
 			g.stand(back)
 			g.Overdue++
 			continue
 		}
 		why := "it waited until it could no longer start in time"
-		if e.Again && g.budget < 1 {
+		if e.IsRetry && g.budget < 1 {
 			why = "too much is asked again"
 			g.ShedRetry++
 		} else {
@@ -513,14 +513,14 @@
 		e := t.next(now)
 		g.remove(e)
 		g.charge(t, e.Cost)
-		g.pass(now, e.ID, e.Aim, e.Again)
+		g.pass(now, e.ID, e.LatencyObjective, e.IsRetry)
 		pass = append(pass, e.ID)
 	}
 	return pass, shed
 }
 
 // NextDeadline is when Next should be called at the latest although nothing ends: infinity if nothing waits.
-func (g *Gate) NextDeadline() float64 {
+func (g *Controller) NextDeadline() float64 {
 	at := math.Inf(1)
 	if len(g.waiting) > 0 && len(g.young) > 0 {
 		at = g.young[0].at + max(g.young[0].aim, 0.001)
--- a/internal/gate/gate_test.go
+++ b/internal/admission/admission_test.go
@@ -1,4 +1,4 @@
-package gate
+package admission
 
 import (
 	"math"
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		now, id, placed, again, back := 0.0, uint64(0), 0, 0, 0
-		items := map[uint64]Item{}
+		items := map[uint64]Request{}
 		state := map[uint64]string{}
 		var flying []uint64
 		move := func(id uint64, to string) {
@@ -33,7 +33,7 @@
 			}
 			if state[id] = to; to == "pass" {
 				flying = append(flying, id)
-				if items[id].Again {
+				if items[id].IsRetry {
 					again++
 				}
 			}
@@ -42,8 +42,8 @@
 			now += rapid.Float64Range(0, 0.3).Draw(t, "dt")
 			if rapid.Bool().Draw(t, "arrive") || len(flying) == 0 {
 				id++
-				it := Item{ID: id, Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Cost: 1,
-					Deadline: now + rapid.Float64Range(0.1, 5).Draw(t, "deadline"), Aim: 0.5, Again: rapid.IntRange(0, 3).Draw(t, "again") == 0,
+				it := Request{ID: id, Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Cost: 1,
+					Deadline: now + rapid.Float64Range(0.1, 5).Draw(t, "deadline"), LatencyObjective: 0.5, IsRetry: rapid.IntRange(0, 3).Draw(t, "again") == 0,
 					Shed: rapid.IntRange(0, 2).Draw(t, "shed") == 0}
 				it.Until = it.Deadline + rapid.Float64Range(0, 2).Draw(t, "until")
 				items[id] = it
@@ -55,7 +55,7 @@
 				g.Done(now, flying[k], ok)
 				if ok {
 					placed++
-					if items[flying[k]].Again {
+					if items[flying[k]].IsRetry {
 						back++
 					}
 				}
@@ -76,7 +76,7 @@
 				t.Fatalf("%d asks again that were not placed beside %d placings in %.1f s", again-back, placed, now)
 			}
 			for x, s := range state {
-				if s == "wait" && !items[x].Again && g.room(now) {
+				if s == "wait" && !items[x].IsRetry && g.room(now) {
 					t.Fatalf("first ask %d waits though there is room", x)
 				}
 			}
@@ -129,7 +129,7 @@
 				for range n {
 					id++
 					of[id] = tenant
-					if v, _ := g.Arrive(now, Item{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, Until: 1e9, Aim: 1}); v == Pass {
+					if v, _ := g.Arrive(now, Request{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, Until: 1e9, LatencyObjective: 1}); v == Admit {
 						passed[tenant]++
 						all++
 					}
@@ -162,7 +162,7 @@
 			ids := make([]uint64, 0, n)
 			for range n {
 				id++
-				if v, _ := g.Arrive(now, Item{ID: id, Deadline: now + 10, Until: now + 10, Aim: 1}); v == Pass {
+				if v, _ := g.Arrive(now, Request{ID: id, Deadline: now + 10, Until: now + 10, LatencyObjective: 1}); v == Admit {
 					ids = append(ids, id)
 				}
 			}
@@ -182,7 +182,7 @@
 
 // play has a gate meet asks again, and first asks, of which a part is placed, each after the same time, until seconds have passed.
 // It returns how many were placed.
-func play(g *Gate, from, seconds float64, backlog int, placed func(now float64) bool) (n int) {
+func play(g *Controller, from, seconds float64, backlog int, placed func(now float64) bool) (n int) {
 	type end struct {
 		at float64
 		id uint64
@@ -205,7 +205,7 @@
 		delete(back, tick)
 		for ; waiting > 0; waiting-- {
 			id++
-			if v, _ := g.Arrive(now, Item{ID: id, Deadline: now + 10, Until: now + 10, Aim: 1, Again: true, Shed: true}); v == Pass {
+			if v, _ := g.Arrive(now, Request{ID: id, Deadline: now + 10, Until: now + 10, LatencyObjective: 1, IsRetry: true, Shed: true}); v == Admit {
 				ends = append(ends, end{now + 0.02, id})
 			}
 		}
@@ -228,8 +228,8 @@
 		t.Fatal(err)
 	}
 	play(g, 1, 60, 20000, func(float64) bool { return false })
-	if most := g.cfg.RetryBurst + 60*g.cfg.RetryRate + 1; float64(g.Passed) > most {
-		t.Errorf("%d asks again in a bad minute, want at most %v", g.Passed, most)
+	if most := g.cfg.RetryBurst + 60*g.cfg.RetryRate + 1; float64(g.Admitted) > most {
+		t.Errorf("%d asks again in a bad minute, want at most %v", g.Admitted, most)
 	}
 	g, _ = New(DefaultConfig())
 	const bad = 30.0
@@ -245,13 +245,13 @@
 // A gate that is off lets everything pass, and its budget stays as it was.
 func TestOffDrawsNothing(t *testing.T) {
 	c := DefaultConfig()
-	c.Off = true
+	c.Disabled = true
 	g, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for id := range uint64(1000) {
-		if v, _ := g.Arrive(1, Item{ID: id, Again: true, Deadline: 2, Until: 2, Aim: 1}); v != Pass {
+		if v, _ := g.Arrive(1, Request{ID: id, IsRetry: true, Deadline: 2, Until: 2, LatencyObjective: 1}); v != Admit {
 			t.Fatal("held up by a gate that is off")
 		}
 	}
--- a/internal/gate/characterization_test.go
+++ b/internal/admission/characterization_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package admission_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"heathshed/internal/gate"
+	"heathshed/internal/admission"
 	"heathshed/internal/golden"
 )
 
@@ -16,31 +16,31 @@
 	record := golden.NewRecorder()
 	for _, run := range []struct {
 		name   string
-		change func(*gate.Config)
+		change func(*admission.Config)
 		gap    float64 // mean seconds between calls
 		placed float64 // part of the asks that are placed
 	}{
-		{"calm", func(*gate.Config) {}, 0.05, 0.97},
-		{"overload", func(c *gate.Config) { c.Start, c.MaxInFlight, c.MaxWaiting = 4, 12, 60 }, 0.01, 0.9},
-		{"failing", func(c *gate.Config) { c.Start, c.MaxInFlight = 30, 64 }, 0.02, 0.3},
-		{"shed-draws", func(c *gate.Config) { c.Start, c.MaxInFlight, c.ShedDraws, c.RetryBurst = 4, 12, true, 5 }, 0.02, 0.8},
-		{"additive", func(c *gate.Config) {
+		{"calm", func(*admission.Config) {}, 0.05, 0.97},
+		{"overload", func(c *admission.Config) { c.Start, c.MaxInFlight, c.MaxWaiting = 4, 12, 60 }, 0.01, 0.9},
+		{"failing", func(c *admission.Config) { c.Start, c.MaxInFlight = 30, 64 }, 0.02, 0.3},
+		{"shed-draws", func(c *admission.Config) { c.Start, c.MaxInFlight, c.ShedDraws, c.RetryBurst = 4, 12, true, 5 }, 0.02, 0.8},
+		{"additive", func(c *admission.Config) {
 			c.Start, c.MaxInFlight, c.Additive, c.RetryBurst, c.RetryRate = 4, 100, true, 3, 0.5
 		}, 0.01, 0.95},
-		{"off", func(c *gate.Config) { c.Off = true }, 0.02, 0.7},
-		{"one-tenant", func(c *gate.Config) { c.Shares, c.Start, c.MaxInFlight = nil, 3, 6 }, 0.02, 0.9},
+		{"off", func(c *admission.Config) { c.Disabled = true }, 0.02, 0.7},
+		{"one-tenant", func(c *admission.Config) { c.Shares, c.Start, c.MaxInFlight = nil, 3, 6 }, 0.02, 0.9},
 	} {
-		admission(t, record, run.name, run.change, run.gap, run.placed)
+		recordAdmissions(t, record, run.name, run.change, run.gap, run.placed)
 	}
 	invalidConfigurations(t, record)
 	record.Check(t, "admission")
 }
 
-func admission(t *testing.T, record *golden.Recorder, name string, change func(*gate.Config), gap, placed float64) {
-	config := gate.DefaultConfig()
+func recordAdmissions(t *testing.T, record *golden.Recorder, name string, change func(*admission.Config), gap, placed float64) {
+	config := admission.DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1, 0}
 	change(&config)
-	g, err := gate.New(config)
+	g, err := admission.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 			record.Integers(int64(verdict), int64(shedding.ID))
 			record.Floats(shedding.Delay)
 			record.Texts(shedding.Why)
-			if verdict == gate.Pass {
+			if verdict == admission.Admit {
 				flying = append(flying, next)
 			}
 		case draw < 19 && len(flying) > 0:
@@ -86,28 +86,28 @@
 		}
 	}
 	record.Line("%s: verdicts %v, counters %v", name, verdicts,
-		[]uint64{g.Passed, g.Queued, g.Overdue, g.ShedLate, g.ShedFull, g.ShedRetry})
+		[]uint64{g.Admitted, g.Queued, g.Overdue, g.ShedLate, g.ShedFull, g.ShedRetry})
 }
 
-func arriving(rng *rand.Rand, now float64, id uint64, tenants int) gate.Item {
-	item := gate.Item{ID: id, Tenant: rng.IntN(tenants), Priority: rng.IntN(3), Cost: []float64{0, 0.02, 0.1, 0.5}[rng.IntN(4)],
-		Deadline: now + 0.1 + 6*rng.Float64(), Aim: []float64{0.5, 1, 4}[rng.IntN(3)], Again: rng.IntN(4) == 0, Shed: rng.IntN(5) == 0}
+func arriving(rng *rand.Rand, now float64, id uint64, tenants int) admission.Request {
+	item := admission.Request{ID: id, Tenant: rng.IntN(tenants), Priority: rng.IntN(3), Cost: []float64{0, 0.02, 0.1, 0.5}[rng.IntN(4)],
+		Deadline: now + 0.1 + 6*rng.Float64(), LatencyObjective: []float64{0.5, 1, 4}[rng.IntN(3)], IsRetry: rng.IntN(4) == 0, Shed: rng.IntN(5) == 0}
 	item.Until = item.Deadline + 4*rng.Float64()
 	return item
 }
 
 // invalidConfigurations pins the texts of refused configurations.
 func invalidConfigurations(t *testing.T, record *golden.Recorder) {
-	for i, change := range []func(*gate.Config){
-		func(c *gate.Config) { c.MinInFlight = 0 }, func(c *gate.Config) { c.MaxInFlight = 0 }, func(c *gate.Config) { c.Start = 0 },
-		func(c *gate.Config) { c.Decrease = 1 }, func(c *gate.Config) { c.Window = -1 }, func(c *gate.Config) { c.LatePart = 2 },
-		func(c *gate.Config) { c.MaxWaiting = 0 }, func(c *gate.Config) { c.RetryRatio = -1 },
-		func(c *gate.Config) { c.RetryRate = -1 }, func(c *gate.Config) { c.RetryBurst = -1 },
-		func(c *gate.Config) { c.Shares = []float64{-1} },
+	for i, change := range []func(*admission.Config){
+		func(c *admission.Config) { c.MinInFlight = 0 }, func(c *admission.Config) { c.MaxInFlight = 0 }, func(c *admission.Config) { c.Start = 0 },
+		func(c *admission.Config) { c.Decrease = 1 }, func(c *admission.Config) { c.Window = -1 }, func(c *admission.Config) { c.LateFraction = 2 },
+		func(c *admission.Config) { c.MaxWaiting = 0 }, func(c *admission.Config) { c.RetryRatio = -1 },
+		func(c *admission.Config) { c.RetryRate = -1 }, func(c *admission.Config) { c.RetryBurst = -1 },
+		func(c *admission.Config) { c.Shares = []float64{-1} },
 	} {
-		config := gate.DefaultConfig()
+		config := admission.DefaultConfig()
 		change(&config)
-		_, err := gate.New(config)
+		_, err := admission.New(config)
 		record.Line("configuration %d: %v", i, err)
 	}
 }
--- a/internal/api/bounds_test.go
+++ b/internal/api/bounds_test.go
@@ -13,22 +13,22 @@
 
 	batchv1 "k8s.io/api/batch/v1"
 
+	"heathshed/internal/config"
 	"heathshed/internal/engine"
 	"heathshed/internal/http1"
-	"heathshed/internal/meta"
-	"heathshed/internal/settings"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 )
 
 // serving is an API over an engine that knows one machine.
 func serving(t testing.TB) *Server {
-	s := settings.Default()
+	s := config.Default()
 	e, err := engine.New(s.Engine(1, 1000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &corev1.Node{}
-	n.Name, n.Labels = "node-1", map[string]string{meta.Kind: "standard", meta.Rack: "r", meta.Zone: "z"}
+	n.Name, n.Labels = "node-1", map[string]string{wellknown.Kind: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
 	e.NodesListed(1000, engine.FullList, []*corev1.Node{n}, nil)
 	return &Server{Store: e.Store(), Engine: e}
 }
--- a/internal/api/characterization_test.go
+++ b/internal/api/characterization_test.go
@@ -13,11 +13,11 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/api"
+	"heathshed/internal/config"
 	"heathshed/internal/engine"
 	"heathshed/internal/golden"
 	"heathshed/internal/http1"
-	"heathshed/internal/meta"
-	"heathshed/internal/settings"
+	"heathshed/internal/wellknown"
 )
 
 // The tests pin status, header fields and body bytes of the answers to fixed requests. Regenerate the golden files with
@@ -45,7 +45,7 @@
 }
 
 func newSession(t *testing.T) *session {
-	defaults := settings.Default()
+	defaults := config.Default()
 	return sessionOf(t, defaults.Engine(1, 1000))
 }
 
@@ -71,8 +71,8 @@
 func listedNode(name, kind string, index int) *corev1.Node {
 	o := &corev1.Node{}
 	o.Name = name
-	o.Labels = map[string]string{meta.Kind: kind, meta.Rack: "rack-1", meta.Zone: "zone-a"}
-	o.Annotations = map[string]string{meta.Free: "cores=16.0, memory=32.0"}
+	o.Labels = map[string]string{wellknown.Kind: kind, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
+	o.Annotations = map[string]string{wellknown.Free: "cores=16.0, memory=32.0"}
 	o.Status.NodeInfo.BootID = "boot-" + name
 	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
 	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0." + strconv.Itoa(index+1)}}
@@ -87,14 +87,14 @@
 		s.engine.Tick(s.now)
 		for _, x := range s.engine.Ready(nil) {
 			switch x.Kind {
-			case engine.SendOffer:
+			case engine.SendAttempt:
 				pod := x.Pod.DeepCopy()
 				pod.Status.Phase = corev1.PodRunning
-				s.engine.OfferDone(s.now, engine.OfferAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Accepted: true, Rev: 2,
-					Boot: "boot-" + x.Node, Pod: pod})
+				s.engine.AttemptDone(s.now, engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Accepted: true, Rev: 2,
+					Incarnation: "boot-" + x.Node, Pod: pod})
 			case engine.StopTask:
 				s.engine.StopDone(s.now, engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt, Known: true, Had: true,
-					Ran: true, Boot: "boot-" + x.Node})
+					Ran: true, Incarnation: "boot-" + x.Node})
 			}
 		}
 	}
@@ -368,7 +368,7 @@
 
 // TestCharacterizeFullServer pins the answer to a Job for which there is no room.
 func TestCharacterizeFullServer(t *testing.T) {
-	defaults := settings.Default()
+	defaults := config.Default()
 	config := defaults.Engine(1, 1000)
 	config.MaxPods = 5
 	s := sessionOf(t, config)
--- a/internal/api/table.go
+++ b/internal/api/table.go
@@ -14,8 +14,8 @@
 	"k8s.io/apimachinery/pkg/util/duration"
 
 	"heathshed/internal/http1"
-	"heathshed/internal/meta"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 )
 
 // wantsTable says whether a client asks for rows to print before it asks for plain objects, as kubectl get does.
@@ -64,7 +64,7 @@
 				continue
 			}
 			switch c.Type {
-			case meta.Settled:
+			case wellknown.Settled:
 				outcome = c.Reason
 			case batchv1.JobComplete, batchv1.JobFailed, batchv1.JobSuspended:
 				state = string(c.Type)
@@ -84,20 +84,20 @@
 		}
 		message := v.Status.Message
 		for _, c := range v.Status.Conditions {
-			if c.Type == meta.Settled && message == "" {
+			if c.Type == wellknown.Settled && message == "" {
 				message = c.Message
 			}
 		}
-		return []any{v.Name, state, meta.SettledOf(v), age(o, now), v.Spec.NodeName, message}
+		return []any{v.Name, state, wellknown.SettledOf(v), age(o, now), v.Spec.NodeName, message}
 	case *corev1.Node:
 		state := "Ready"
-		if !meta.NodeReady(v) {
+		if !wellknown.NodeReady(v) {
 			state = "NotReady"
 		}
 		if v.Spec.Unschedulable {
 			state += ",SchedulingDisabled"
 		}
-		return []any{v.Name, state, v.Labels[meta.Kind], v.Labels[meta.Zone], v.Labels[meta.Rack], v.Annotations[meta.Free]}
+		return []any{v.Name, state, v.Labels[wellknown.Kind], v.Labels[wellknown.Zone], v.Labels[wellknown.Rack], v.Annotations[wellknown.Free]}
 	case *corev1.Namespace:
 		return []any{v.Name, string(v.Status.Phase), age(o, now)}
 	}
--- a/internal/api/write.go
+++ b/internal/api/write.go
@@ -25,7 +25,7 @@
 	"k8s.io/apimachinery/pkg/util/validation/field"
 	kjson "sigs.k8s.io/json"
 
-	"heathshed/internal/bound"
+	"heathshed/internal/decodelimit"
 	"heathshed/internal/http1"
 	"heathshed/internal/store"
 )
@@ -49,7 +49,7 @@
 	case jsonType, "text/json":
 		return r.decodeJSON(body, into, wantKind)
 	case "application/vnd.kubernetes.protobuf":
-		if err := bound.Proto(bytes.TrimPrefix(body, protoMagic), bound.Object()); err != nil {
+		if err := decodelimit.Proto(bytes.TrimPrefix(body, protoMagic), decodelimit.Object()); err != nil {
 			return overBound("body", err)
 		}
 		m, ok := into.(protoMessage)
@@ -82,7 +82,7 @@
 
 // overBound is the answer to a text that would cost too much to decode.
 func overBound(what string, err error) error {
-	var e *bound.Error
+	var e *decodelimit.Error
 	if errors.As(err, &e) && e.TooLarge() {
 		return apierrors.NewRequestEntityTooLargeError(what + ": " + err.Error())
 	}
@@ -98,7 +98,7 @@
 
 // decodeJSON reads strictly: fields that are unknown or given twice are refused or warned of, as fieldValidation says.
 func (r *request) decodeJSON(body []byte, into any, wantKind string) error {
-	if err := bound.JSON(body, bound.Object()); err != nil {
+	if err := decodelimit.JSON(body, decodelimit.Object()); err != nil {
 		return overBound("body", err)
 	}
 	strict, err := kjson.UnmarshalStrict(body, into)
@@ -420,7 +420,7 @@
 		return nil, fmt.Errorf("encode present object: %w", err)
 	}
 	t, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
-	if err := bound.JSON(r.Body, bound.Object()); err != nil {
+	if err := decodelimit.JSON(r.Body, decodelimit.Object()); err != nil {
 		return nil, overBound("patch", err)
 	}
 	var out []byte
--- a/internal/settings/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -1,4 +1,4 @@
-package settings_test
+package config_test
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"heathshed/internal/config"
 	"heathshed/internal/golden"
-	"heathshed/internal/settings"
 )
 
 // The tests pin printed settings, what follows from them, and the texts of errors. Regenerate the golden files with
@@ -18,7 +18,7 @@
 // TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones.
 func TestCharacterizeSettings(t *testing.T) {
 	r := golden.NewRecorder()
-	s := settings.Default()
+	s := config.Default()
 	text, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
@@ -27,13 +27,13 @@
 		r.Line("%s", line)
 	}
 	for _, file := range files(string(text)) {
-		parsed, err := settings.Parse("f", []byte(file))
+		parsed, err := config.Parse("f", []byte(file))
 		r.Line("%.90q: %v", file, err)
 		if err == nil {
 			derived(t, r, &parsed)
 		}
 	}
-	_, err = settings.Load(filepath.Join(t.TempDir(), "missing"))
+	_, err = config.Load(filepath.Join(t.TempDir(), "missing"))
 	r.Line("missing file: %v", err != nil)
 	r.Check(t, "settings")
 }
@@ -66,7 +66,7 @@
 }
 
 // derived records what follows from settings: machines, priorities, lives, and the configuration of the gate and owners by bits.
-func derived(t *testing.T, r *golden.Recorder, s *settings.Settings) {
+func derived(t *testing.T, r *golden.Recorder, s *config.Settings) {
 	text, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
@@ -85,21 +85,21 @@
 	r.Bytes(priorities)
 	r.Bytes(lives)
 	c := s.Engine(7, 11)
-	g, o, p := c.Gate, c.Owner, c.Placer
-	r.Floats(g.MinInFlight, g.MaxInFlight, g.Start, g.Decrease, g.Window, g.LatePart, g.RetryRatio, g.RetryRate, g.RetryBurst,
-		o.Again, o.Soon, o.Growth, o.Most, o.Settle, c.KeepFinished, c.LostAfter, p.BookCores, p.BookMemory, p.ConnectWithin, p.AnswerSlack,
-		p.DrainGrace, p.ColdFrom, p.WarmWithin, p.FallMultiple, p.FallWindow, p.ColdAlways, p.SettleAfter, p.FleetPrice, p.CrossPrice,
-		p.MovePrice, p.OverShareWorth)
+	g, o, p := c.Admission, c.Retry, c.Placer
+	r.Floats(g.MinInFlight, g.MaxInFlight, g.Start, g.Decrease, g.Window, g.LateFraction, g.RetryRatio, g.RetryRate, g.RetryBurst,
+		o.Delay, o.ShortDelay, o.Multiplier, o.MaxDelay, o.UnknownOutcomeTimeout, c.FinishedTTL, c.LostAfter, p.OvercommitCores, p.OvercommitMemory, p.ConnectTimeout, p.AnswerGrace,
+		p.DrainGrace, p.WarmupMinPace, p.WarmupDuration, p.OverloadMultiple, p.OverloadWindow, p.WarmupAttempts, p.UnknownOutcomeWait, p.NodeCost, p.CrossZoneCost,
+		p.MigrationCost, p.OverQuotaWeight)
 	r.Integers(int64(g.MaxWaiting), c.MaxHistory, c.MaxObjects, int64(c.History), int64(c.MaxPods), int64(c.DefaultClass), int64(c.Seed), c.BaseRev,
 		int64(p.Self), int64(p.Peers), int64(p.MaxAttempts))
-	r.Booleans(g.Off, p.AnswersWhenRunning, p.ListShowsRoom, p.ReportsUse, p.PushesOut)
+	r.Booleans(g.Disabled, p.AcknowledgesOnStart, p.ListShowsCapacity, p.ReportsUsage, p.Preempts)
 	for i, k := range p.Classes {
 		r.Texts(c.Classes[i])
-		r.Floats(k.Remembers, k.Aim, k.Deadline, k.Worth, k.LateWorth, k.StartBonus, k.CalmUpTo, k.FadesOver)
-		r.Integers(int64(k.Effect), int64(k.Group), int64(k.Priority), int64(k.NodeKind), int64(k.Apart), int64(k.Most))
+		r.Floats(k.DedupWindow, k.LatencyObjective, k.Deadline, k.Weight, k.LateWeight, k.StartBonus, k.SaturationThreshold, k.DegradationRange)
+		r.Integers(int64(k.Idempotency), int64(k.DedupDomain), int64(k.Priority), int64(k.NodeType), int64(k.SpreadDomain), int64(k.MaxPerDomain))
 	}
-	for i, k := range p.Kinds {
-		r.Texts(c.Kinds[i])
+	for i, k := range p.NodeTypes {
+		r.Texts(c.NodeTypes[i])
 		r.Floats(k.Cores, k.Memory)
 	}
 	for i, k := range p.Tenants {
@@ -120,7 +120,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		script, err := settings.LoadScript(path)
+		script, err := config.LoadScript(path)
 		words := ""
 		if err != nil {
 			words = strings.ReplaceAll(err.Error(), directory, "")
--- a/internal/settings/settings.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
 // Package settings reads the program's settings: JSON with comments, every field checked, errors with file, line and column.
 //
 // It is pure but for Load, which reads the file.
-package settings
+package config
 
 import (
 	"encoding/json"
@@ -12,38 +12,38 @@
 
 	"k8s.io/apimachinery/pkg/util/validation"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/budget"
+	"heathshed/internal/admission"
 	"heathshed/internal/engine"
-	"heathshed/internal/gate"
-	"heathshed/internal/machine"
-	"heathshed/internal/owner"
+	"heathshed/internal/memquota"
+	"heathshed/internal/nodesim"
+	"heathshed/internal/retry"
+	"heathshed/internal/scenario"
 	"heathshed/placer"
 )
 
 // Settings are all that a scheduler and the stand-ins are told. Times are in seconds, memory in GiB.
 type Settings struct {
-	Name          string   `json:"name"`
-	Listen        string   `json:"listen"`
-	Inventory     string   `json:"inventory"`
-	Zone          string   `json:"zone"`
-	LogLevel      string   `json:"logLevel"`
-	Self          int      `json:"self"`
-	Peers         int      `json:"peers"`
-	Tenants       []Tenant `json:"tenants"`
-	Classes       []Class  `json:"classes"`
-	DefaultClass  string   `json:"defaultClass"`
-	Kinds         []Kind   `json:"kinds"`
-	Machines      Machines `json:"machines"`
-	Rules         Rules    `json:"rules"`
-	Prices        Prices   `json:"prices"`
-	Owner         Owner    `json:"owner"`
-	Gate          Gate     `json:"gate"`
-	Limits        Limits   `json:"limits"`
-	StandIn       StandIn  `json:"standin"`
-	HeardWithin   float64  `json:"heardWithin"`
-	ConnectWithin float64  `json:"connectWithin"`
-	StopWithin    float64  `json:"stopWithin"`
+	Name          string     `json:"name"`
+	Listen        string     `json:"listen"`
+	Inventory     string     `json:"inventory"`
+	Zone          string     `json:"zone"`
+	LogLevel      string     `json:"logLevel"`
+	Self          int        `json:"self"`
+	Peers         int        `json:"peers"`
+	Tenants       []Tenant   `json:"tenants"`
+	Classes       []Class    `json:"classes"`
+	DefaultClass  string     `json:"defaultClass"`
+	NodeTypes     []NodeType `json:"kinds"`
+	NodePolicy    NodePolicy `json:"machines"`
+	Rules         Rules      `json:"rules"`
+	Prices        Prices     `json:"prices"`
+	Retry         Retry      `json:"owner"`
+	Admission     Admission  `json:"gate"`
+	Limits        Limits     `json:"limits"`
+	Emulator      Emulator   `json:"standin"`
+	HeardWithin   float64    `json:"heardWithin"`
+	ConnectWithin float64    `json:"connectWithin"`
+	StopWithin    float64    `json:"stopWithin"`
 }
 
 // Tenant is a namespace with a share.
@@ -73,15 +73,15 @@
 	Life       float64 `json:"life"` // of stand-in tasks, on average
 }
 
-// Kind is a type of machine.
-type Kind struct {
+// NodeType is a type of machine.
+type NodeType struct {
 	Name   string  `json:"name"`
 	Cores  float64 `json:"cores"`
 	Memory float64 `json:"memory"`
 }
 
-// Machines are the limits and habits of all machines.
-type Machines struct {
+// NodePolicy are the limits and habits of all machines.
+type NodePolicy struct {
 	BookCores          float64 `json:"bookCores"`
 	BookMemory         float64 `json:"bookMemory"`
 	AnswersWhenRunning bool    `json:"answersWhenRunning"`
@@ -108,8 +108,8 @@
 	Move  float64 `json:"move"`
 }
 
-// Owner are the waits before a task is asked for again.
-type Owner struct {
+// Retry are the waits before a task is asked for again.
+type Retry struct {
 	Again  float64 `json:"again"`
 	Soon   float64 `json:"soon"`
 	Growth float64 `json:"growth"`
@@ -117,8 +117,8 @@
 	Settle float64 `json:"settle"`
 }
 
-// Gate sets up the front door: what is asked of the placer when more is asked than the fleet can start.
-type Gate struct {
+// Admission sets up the front door: what is asked of the placer when more is asked than the fleet can start.
+type Admission struct {
 	On          bool    `json:"on"`
 	MinInFlight float64 `json:"minInFlight"`
 	MaxInFlight float64 `json:"maxInFlight"`
@@ -133,9 +133,9 @@
 }
 
 // config turns the settings into the module's.
-func (g *Gate) config() gate.Config {
-	return gate.Config{MinInFlight: g.MinInFlight, MaxInFlight: g.MaxInFlight, Start: g.Start, Decrease: g.Decrease, Window: g.Window,
-		LatePart: g.LatePart, MaxWaiting: g.MaxWaiting, RetryRatio: g.RetryRatio, RetryRate: g.RetryRate, RetryBurst: g.RetryBurst, Off: !g.On}
+func (g *Admission) config() admission.Config {
+	return admission.Config{MinInFlight: g.MinInFlight, MaxInFlight: g.MaxInFlight, Start: g.Start, Decrease: g.Decrease, Window: g.Window,
+		LateFraction: g.LatePart, MaxWaiting: g.MaxWaiting, RetryRatio: g.RetryRatio, RetryRate: g.RetryRate, RetryBurst: g.RetryBurst, Disabled: !g.On}
 }
 
 // Limits bound what the program holds.
@@ -150,8 +150,8 @@
 	LostAfter    float64 `json:"lostAfter"`
 }
 
-// StandIn describes the stand-in machines and inventory of up and standin.
-type StandIn struct {
+// Emulator describes the stand-in machines and inventory of up and standin.
+type Emulator struct {
 	Nodes        int     `json:"nodes"`
 	Racks        int     `json:"racks"`
 	Zones        int     `json:"zones"`
@@ -174,9 +174,9 @@
 
 // Default is what the program runs with when nothing is given.
 func Default() Settings {
-	own := owner.DefaultPolicy()
-	m := machine.DefaultConfig()
-	g := gate.DefaultConfig()
+	own := retry.DefaultPolicy()
+	m := nodesim.DefaultConfig()
+	g := admission.DefaultConfig()
 	return Settings{
 		Name: "heathshed", Listen: "127.0.0.1:8480", Inventory: "127.0.0.1:8481", Zone: "zone-a", LogLevel: "info", Peers: 1, Tenants: []Tenant{},
 		Classes: []Class{
@@ -190,17 +190,17 @@
 				ApartBy: "rack", Together: 3},
 		},
 		DefaultClass: "batch",
-		Kinds:        []Kind{{"standard", 32, 64}, {"large", 64, 128}},
-		Machines:     Machines{BookCores: m.BookCores, BookMemory: m.BookMemory, ListShowsRoom: true, PushesOut: true, MaxAttempts: 4},
+		NodeTypes:    []NodeType{{"standard", 32, 64}, {"large", 64, 128}},
+		NodePolicy:   NodePolicy{BookCores: m.BookCores, BookMemory: m.BookMemory, ListShowsRoom: true, PushesOut: true, MaxAttempts: 4},
 		Rules: Rules{AnswerSlack: 0.25, DrainGrace: 0.5, ColdFrom: m.ColdFrom, WarmWithin: m.WarmWithin, FallMultiple: m.FallMultiple,
 			FallWindow: m.FallWindow, ColdAlways: m.ColdAlways},
-		Owner: Owner{own.Again, own.Soon, own.Growth, own.Most, own.Settle},
-		Gate: Gate{On: true, MinInFlight: g.MinInFlight, MaxInFlight: g.MaxInFlight, Start: g.Start, Decrease: g.Decrease, Window: g.Window,
-			LatePart: g.LatePart, MaxWaiting: g.MaxWaiting, RetryRatio: g.RetryRatio, RetryRate: g.RetryRate, RetryBurst: g.RetryBurst},
+		Retry: Retry{own.Delay, own.ShortDelay, own.Multiplier, own.MaxDelay, own.UnknownOutcomeTimeout},
+		Admission: Admission{On: true, MinInFlight: g.MinInFlight, MaxInFlight: g.MaxInFlight, Start: g.Start, Decrease: g.Decrease, Window: g.Window,
+			LatePart: g.LateFraction, MaxWaiting: g.MaxWaiting, RetryRatio: g.RetryRatio, RetryRate: g.RetryRate, RetryBurst: g.RetryBurst},
 		HeardWithin: 5, ConnectWithin: 1, StopWithin: 30,
 		Limits: Limits{Memory: 2048, Connections: 16384, Body: 3 << 20, Pods: engine.DefaultMaxPods, History: engine.DefaultHistory, KeepFinished: 3600,
 			LostAfter: engine.DefaultLostAfter},
-		StandIn: StandIn{Nodes: 8, Racks: 2, Zones: 1, Late: 1, SilentAfter: 2, RemoveAfter: 60, LookMin: m.LookMin, LookMax: m.LookMax,
+		Emulator: Emulator{Nodes: 8, Racks: 2, Zones: 1, Late: 1, SilentAfter: 2, RemoveAfter: 60, LookMin: m.LookMin, LookMax: m.LookMax,
 			MaxWaiting: m.MaxWaiting, StartsAtOnce: m.StartsAtOnce, StartWork: m.StartWork, FreshFactor: m.FreshFactor,
 			KeepPrograms: m.KeepPrograms, UseMin: m.UseMin, UseMax: m.UseMax, LifeMean: m.LifeMean, Grace: m.Grace, Seed: 1},
 	}
@@ -244,9 +244,9 @@
 // Text writes settings in the form that Parse reads.
 func (s *Settings) Text() ([]byte, error) { return json.MarshalIndent(s, "", "  ") }
 
-var effects = map[string]placer.Effect{"idempotent": placer.Repeatable, "deduplicated": placer.Keyed, "at_most_once": placer.Once}
-var places = map[string]placer.Place{"": placer.NoPlace, "none": placer.NoPlace, "machine": placer.OneNode, "rack": placer.Rack,
-	"zone": placer.Zone, "all": placer.Everywhere}
+var effects = map[string]placer.Idempotency{"idempotent": placer.Idempotent, "deduplicated": placer.IdempotentByKey, "at_most_once": placer.NonIdempotent}
+var places = map[string]placer.TopologyDomain{"": placer.NoDomain, "none": placer.NoDomain, "machine": placer.NodeDomain, "rack": placer.RackDomain,
+	"zone": placer.ZoneDomain, "all": placer.ClusterDomain}
 
 // check returns the path of the first setting that cannot be used and why.
 func (s *Settings) check() (path, msg string) {
@@ -286,10 +286,10 @@
 		return "classes", "want one at least"
 	}
 	kinds := map[string]bool{"": true}
-	if len(s.Kinds) == 0 {
+	if len(s.NodeTypes) == 0 {
 		return "kinds", "want one at least"
 	}
-	for i, k := range s.Kinds {
+	for i, k := range s.NodeTypes {
 		p := fmt.Sprintf("kinds[%d]", i)
 		if k.Name == "" || len(validation.IsValidLabelValue(k.Name)) > 0 || kinds[k.Name] {
 			return p + ".name", "want a label value, each once"
@@ -341,38 +341,38 @@
 		path      string
 		v, lo, hi float64
 	}{
-		{path: "machines.bookCores", v: s.Machines.BookCores, lo: 0.1, hi: 100}, {path: "machines.bookMemory", v: s.Machines.BookMemory, lo: 0.1, hi: 100},
-		{path: "machines.maxAttempts", v: float64(s.Machines.MaxAttempts), lo: 1, hi: 100},
+		{path: "machines.bookCores", v: s.NodePolicy.BookCores, lo: 0.1, hi: 100}, {path: "machines.bookMemory", v: s.NodePolicy.BookMemory, lo: 0.1, hi: 100},
+		{path: "machines.maxAttempts", v: float64(s.NodePolicy.MaxAttempts), lo: 1, hi: 100},
 		{path: "rules.answerSlack", v: s.Rules.AnswerSlack, lo: 0.01, hi: 10}, {path: "rules.drainGrace", v: s.Rules.DrainGrace, lo: 0, hi: 60},
 		{path: "rules.coldFrom", v: s.Rules.ColdFrom, lo: 0, hi: 1}, {path: "rules.warmWithin", v: s.Rules.WarmWithin, lo: 0, hi: 3600},
 		{path: "rules.fallMultiple", v: s.Rules.FallMultiple, lo: 0, hi: 1e6}, {path: "rules.fallWindow", v: s.Rules.FallWindow, lo: 0, hi: 60},
 		{path: "rules.coldAlways", v: s.Rules.ColdAlways, lo: 0, hi: 1e6},
 		{path: "prices.fleet", v: s.Prices.Fleet, lo: 0, hi: 100}, {path: "prices.cross", v: s.Prices.Cross, lo: 0, hi: 100},
 		{path: "prices.move", v: s.Prices.Move, lo: 0, hi: 100},
-		{path: "owner.again", v: s.Owner.Again, lo: 1, hi: 3600}, {path: "owner.soon", v: s.Owner.Soon, lo: 0, hi: 3600},
-		{path: "owner.growth", v: s.Owner.Growth, lo: 1, hi: 10}, {path: "owner.most", v: s.Owner.Most, lo: 1, hi: 3600},
-		{path: "owner.settle", v: s.Owner.Settle, lo: 0, hi: 600},
-		{path: "gate.minInFlight", v: s.Gate.MinInFlight, lo: 1, hi: s.Gate.MaxInFlight}, {path: "gate.maxInFlight", v: s.Gate.MaxInFlight, lo: 1, hi: 1e9},
-		{path: "gate.start", v: s.Gate.Start, lo: 1, hi: 1e9}, {path: "gate.decrease", v: s.Gate.Decrease, lo: 0.01, hi: 0.99},
-		{path: "gate.window", v: s.Gate.Window, lo: 0, hi: 60}, {path: "gate.latePart", v: s.Gate.LatePart, lo: 0, hi: 1},
-		{path: "gate.maxWaiting", v: float64(s.Gate.MaxWaiting), lo: 1, hi: 1e9}, {path: "gate.retryRatio", v: s.Gate.RetryRatio, lo: 0, hi: 100},
-		{path: "gate.retryRate", v: s.Gate.RetryRate, lo: 0, hi: 1e9}, {path: "gate.retryBurst", v: s.Gate.RetryBurst, lo: 0, hi: 1e9},
-		{path: "limits.memory", v: float64(s.Limits.Memory), lo: budget.Least >> 20, hi: 1 << 20},
+		{path: "owner.again", v: s.Retry.Again, lo: 1, hi: 3600}, {path: "owner.soon", v: s.Retry.Soon, lo: 0, hi: 3600},
+		{path: "owner.growth", v: s.Retry.Growth, lo: 1, hi: 10}, {path: "owner.most", v: s.Retry.Most, lo: 1, hi: 3600},
+		{path: "owner.settle", v: s.Retry.Settle, lo: 0, hi: 600},
+		{path: "gate.minInFlight", v: s.Admission.MinInFlight, lo: 1, hi: s.Admission.MaxInFlight}, {path: "gate.maxInFlight", v: s.Admission.MaxInFlight, lo: 1, hi: 1e9},
+		{path: "gate.start", v: s.Admission.Start, lo: 1, hi: 1e9}, {path: "gate.decrease", v: s.Admission.Decrease, lo: 0.01, hi: 0.99},
+		{path: "gate.window", v: s.Admission.Window, lo: 0, hi: 60}, {path: "gate.latePart", v: s.Admission.LatePart, lo: 0, hi: 1},
+		{path: "gate.maxWaiting", v: float64(s.Admission.MaxWaiting), lo: 1, hi: 1e9}, {path: "gate.retryRatio", v: s.Admission.RetryRatio, lo: 0, hi: 100},
+		{path: "gate.retryRate", v: s.Admission.RetryRate, lo: 0, hi: 1e9}, {path: "gate.retryBurst", v: s.Admission.RetryBurst, lo: 0, hi: 1e9},
+		{path: "limits.memory", v: float64(s.Limits.Memory), lo: memquota.Least >> 20, hi: 1 << 20},
 		{path: "limits.connections", v: float64(s.Limits.Connections), lo: 1, hi: 1e6}, {path: "limits.body", v: float64(s.Limits.Body), lo: 1024, hi: 1 << 30},
 		{path: "limits.pods", v: float64(s.Limits.Pods), lo: 1, hi: 1e7}, {path: "limits.history", v: float64(s.Limits.History), lo: 1, hi: 1e7},
 		{path: "limits.page", v: float64(s.Limits.Page), lo: 0, hi: 1e7}, {path: "limits.keepFinished", v: s.Limits.KeepFinished, lo: 0, hi: 1e9},
 		{path: "limits.lostAfter", v: s.Limits.LostAfter, lo: 0.1, hi: 3600},
 		{path: "heardWithin", v: s.HeardWithin, lo: 0, hi: 600}, {path: "connectWithin", v: s.ConnectWithin, lo: 0.01, hi: 60},
 		{path: "stopWithin", v: s.StopWithin, lo: 0, hi: 3600},
-		{path: "standin.nodes", v: float64(s.StandIn.Nodes), lo: 1, hi: 10000}, {path: "standin.racks", v: float64(s.StandIn.Racks), lo: 1, hi: 10000},
-		{path: "standin.zones", v: float64(s.StandIn.Zones), lo: 1, hi: 100}, {path: "standin.late", v: s.StandIn.Late, lo: 0, hi: 600},
-		{path: "standin.silentAfter", v: s.StandIn.SilentAfter, lo: 0.5, hi: 600}, {path: "standin.removeAfter", v: s.StandIn.RemoveAfter, lo: 0, hi: 1e6},
-		{path: "standin.lookMin", v: s.StandIn.LookMin, lo: 0, hi: 10}, {path: "standin.lookMax", v: s.StandIn.LookMax, lo: s.StandIn.LookMin, hi: 10},
-		{path: "standin.maxWaiting", v: float64(s.StandIn.MaxWaiting), lo: 1, hi: 1e6}, {path: "standin.startsAtOnce", v: float64(s.StandIn.StartsAtOnce), lo: 1, hi: 1e6},
-		{path: "standin.startWork", v: s.StandIn.StartWork, lo: 0.0001, hi: 600}, {path: "standin.freshFactor", v: s.StandIn.FreshFactor, lo: 1, hi: 1000},
-		{path: "standin.keepPrograms", v: float64(s.StandIn.KeepPrograms), lo: 0, hi: 1000},
-		{path: "standin.useMin", v: s.StandIn.UseMin, lo: 0, hi: 10}, {path: "standin.useMax", v: s.StandIn.UseMax, lo: s.StandIn.UseMin, hi: 10},
-		{path: "standin.lifeMean", v: s.StandIn.LifeMean, lo: 0.01, hi: 1e7}, {path: "standin.grace", v: s.StandIn.Grace, lo: -1, hi: 3600},
+		{path: "standin.nodes", v: float64(s.Emulator.Nodes), lo: 1, hi: 10000}, {path: "standin.racks", v: float64(s.Emulator.Racks), lo: 1, hi: 10000},
+		{path: "standin.zones", v: float64(s.Emulator.Zones), lo: 1, hi: 100}, {path: "standin.late", v: s.Emulator.Late, lo: 0, hi: 600},
+		{path: "standin.silentAfter", v: s.Emulator.SilentAfter, lo: 0.5, hi: 600}, {path: "standin.removeAfter", v: s.Emulator.RemoveAfter, lo: 0, hi: 1e6},
+		{path: "standin.lookMin", v: s.Emulator.LookMin, lo: 0, hi: 10}, {path: "standin.lookMax", v: s.Emulator.LookMax, lo: s.Emulator.LookMin, hi: 10},
+		{path: "standin.maxWaiting", v: float64(s.Emulator.MaxWaiting), lo: 1, hi: 1e6}, {path: "standin.startsAtOnce", v: float64(s.Emulator.StartsAtOnce), lo: 1, hi: 1e6},
+		{path: "standin.startWork", v: s.Emulator.StartWork, lo: 0.0001, hi: 600}, {path: "standin.freshFactor", v: s.Emulator.FreshFactor, lo: 1, hi: 1000},
+		{path: "standin.keepPrograms", v: float64(s.Emulator.KeepPrograms), lo: 0, hi: 1000},
+		{path: "standin.useMin", v: s.Emulator.UseMin, lo: 0, hi: 10}, {path: "standin.useMax", v: s.Emulator.UseMax, lo: s.Emulator.UseMin, hi: 10},
+		{path: "standin.lifeMean", v: s.Emulator.LifeMean, lo: 0.01, hi: 1e7}, {path: "standin.grace", v: s.Emulator.Grace, lo: -1, hi: 3600},
 	} {
 		if !(f.v >= f.lo && f.v <= f.hi) {
 			return f.path, fmt.Sprintf("%v: want %v to %v", f.v, f.lo, f.hi)
@@ -391,29 +391,29 @@
 
 // Engine turns settings into an engine's configuration.
 func (s *Settings) Engine(seed uint64, baseRev int64) engine.Config {
-	m := budget.Divide(int64(s.Limits.Memory) << 20)
+	m := memquota.Divide(int64(s.Limits.Memory) << 20)
 	c := engine.Config{MaxHistory: m.History, MaxObjects: m.Objects, Name: s.Name, Zone: s.Zone, Seed: seed, BaseRev: baseRev, History: s.Limits.History, MaxPods: s.Limits.Pods,
-		KeepFinished: s.Limits.KeepFinished, LostAfter: s.Limits.LostAfter, Gate: s.Gate.config(),
-		Owner: owner.Policy{Again: s.Owner.Again, Soon: s.Owner.Soon, Growth: s.Owner.Growth, Most: s.Owner.Most, Settle: s.Owner.Settle}}
-	p := placer.Config{Self: s.Self, Peers: s.Peers, BookCores: s.Machines.BookCores, BookMemory: s.Machines.BookMemory,
-		AnswersWhenRunning: s.Machines.AnswersWhenRunning, ListShowsRoom: s.Machines.ListShowsRoom, ReportsUse: true,
-		PushesOut: s.Machines.PushesOut, MaxAttempts: s.Machines.MaxAttempts, ConnectWithin: s.ConnectWithin, AnswerSlack: s.Rules.AnswerSlack,
-		DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.ColdFrom, WarmWithin: s.Rules.WarmWithin, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallWindow, ColdAlways: s.Rules.ColdAlways, SettleAfter: s.Owner.Settle, FleetPrice: s.Prices.Fleet,
-		CrossPrice: s.Prices.Cross, MovePrice: s.Prices.Move, OverShareWorth: 0.2}
+		FinishedTTL: s.Limits.KeepFinished, LostAfter: s.Limits.LostAfter, Admission: s.Admission.config(),
+		Retry: retry.Policy{Delay: s.Retry.Again, ShortDelay: s.Retry.Soon, Multiplier: s.Retry.Growth, MaxDelay: s.Retry.Most, UnknownOutcomeTimeout: s.Retry.Settle}}
+	p := placer.Config{Self: s.Self, Peers: s.Peers, OvercommitCores: s.NodePolicy.BookCores, OvercommitMemory: s.NodePolicy.BookMemory,
+		AcknowledgesOnStart: s.NodePolicy.AnswersWhenRunning, ListShowsCapacity: s.NodePolicy.ListShowsRoom, ReportsUsage: true,
+		Preempts: s.NodePolicy.PushesOut, MaxAttempts: s.NodePolicy.MaxAttempts, ConnectTimeout: s.ConnectWithin, AnswerGrace: s.Rules.AnswerSlack,
+		DrainGrace: s.Rules.DrainGrace, WarmupMinPace: s.Rules.ColdFrom, WarmupDuration: s.Rules.WarmWithin, OverloadMultiple: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.FallWindow, WarmupAttempts: s.Rules.ColdAlways, UnknownOutcomeWait: s.Retry.Settle, NodeCost: s.Prices.Fleet,
+		CrossZoneCost: s.Prices.Cross, MigrationCost: s.Prices.Move, OverQuotaWeight: 0.2}
 	for i, k := range s.Classes {
 		c.Classes = append(c.Classes, k.Name)
 		if k.Name == s.DefaultClass {
 			c.DefaultClass = i
 		}
-		p.Classes = append(p.Classes, placer.Class{Effect: effects[k.Effect], Group: places[k.KeyScope], Remembers: k.KeyTTL, Aim: k.Aim,
-			Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth, StartBonus: k.StartBonus, Priority: k.Priority,
-			NodeKind: slices.IndexFunc(s.Kinds, func(x Kind) bool { return x.Name == k.NodeKind }), Apart: places[k.ApartBy], Most: k.Together,
-			CalmUpTo: k.CalmUpTo, FadesOver: k.FadesOver})
+		p.Classes = append(p.Classes, placer.Class{Idempotency: effects[k.Effect], DedupDomain: places[k.KeyScope], DedupWindow: k.KeyTTL, LatencyObjective: k.Aim,
+			Deadline: k.Deadline, Weight: k.Worth, LateWeight: k.LateWorth, StartBonus: k.StartBonus, Priority: k.Priority,
+			NodeType: slices.IndexFunc(s.NodeTypes, func(x NodeType) bool { return x.Name == k.NodeKind }), SpreadDomain: places[k.ApartBy], MaxPerDomain: k.Together,
+			SaturationThreshold: k.CalmUpTo, DegradationRange: k.FadesOver})
 	}
-	for _, k := range s.Kinds {
-		c.Kinds = append(c.Kinds, k.Name)
-		p.Kinds = append(p.Kinds, placer.Kind{Cores: k.Cores, Memory: k.Memory})
+	for _, k := range s.NodeTypes {
+		c.NodeTypes = append(c.NodeTypes, k.Name)
+		p.NodeTypes = append(p.NodeTypes, placer.NodeType{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, t := range s.Tenants {
 		c.Tenants = append(c.Tenants, t.Name)
@@ -424,16 +424,16 @@
 }
 
 // Machine turns settings into the model of the i-th stand-in machine, with its kind, rack and zone.
-func (s *Settings) Machine(i int) (cfg machine.Config, kind, rack, zone string) {
-	k := s.Kinds[i%len(s.Kinds)]
-	x := &s.StandIn
-	cfg = machine.Config{Cores: k.Cores, Memory: k.Memory, BookCores: s.Machines.BookCores, BookMemory: s.Machines.BookMemory,
+func (s *Settings) Machine(i int) (cfg nodesim.Config, kind, rack, zone string) {
+	k := s.NodeTypes[i%len(s.NodeTypes)]
+	x := &s.Emulator
+	cfg = nodesim.Config{Cores: k.Cores, Memory: k.Memory, BookCores: s.NodePolicy.BookCores, BookMemory: s.NodePolicy.BookMemory,
 		LookMin: x.LookMin, LookMax: x.LookMax, MaxWaiting: x.MaxWaiting, StartsAtOnce: x.StartsAtOnce, StartWork: x.StartWork,
 		FreshFactor: x.FreshFactor, KeepPrograms: x.KeepPrograms, ColdFrom: s.Rules.ColdFrom, WarmWithin: s.Rules.WarmWithin,
 		FallMultiple: s.Rules.FallMultiple, FallWindow: s.Rules.FallWindow, ColdAlways: s.Rules.ColdAlways,
-		AnswersWhenRunning: s.Machines.AnswersWhenRunning, PushesOut: s.Machines.PushesOut, LifeMean: x.LifeMean, UseMin: x.UseMin,
+		AnswersWhenRunning: s.NodePolicy.AnswersWhenRunning, PushesOut: s.NodePolicy.PushesOut, LifeMean: x.LifeMean, UseMin: x.UseMin,
 		UseMax: x.UseMax, Grace: x.Grace, KeepEnded: 60, Seed: x.Seed + uint64(i)*104729}
-	r := (i / len(s.Kinds)) % max(x.Racks, 1)
+	r := (i / len(s.NodeTypes)) % max(x.Racks, 1)
 	z := r % max(x.Zones, 1)
 	zone = s.Zone
 	if z > 0 {
@@ -463,23 +463,23 @@
 }
 
 // LoadScript reads the script of a day over the built-in one's load and figures.
-func LoadScript(file string) (badday.Script, error) {
+func LoadScript(file string) (scenario.Script, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return badday.Script{}, fmt.Errorf("script: %w", err)
+		return scenario.Script{}, fmt.Errorf("script: %w", err)
 	}
-	s := badday.Default()
+	s := scenario.Default()
 	s.Trouble = nil
 	d := decoder{file: file, text: text}
 	if err := d.decode(&s); err != nil {
-		return badday.Script{}, err
+		return scenario.Script{}, err
 	}
 	if path, msg := s.Check(); msg != "" {
 		at, ok := d.at[path]
 		for p := path; !ok && p != ""; at, ok = d.at[p] {
 			p = parent(p)
 		}
-		return badday.Script{}, d.fail(at, path, "%s", msg)
+		return scenario.Script{}, d.fail(at, path, "%s", msg)
 	}
 	return s, nil
 }
--- a/internal/settings/decode.go
+++ b/internal/config/decode.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"encoding/json"
--- a/internal/connpool/characterization_test.go
+++ b/internal/connpool/characterization_test.go
@@ -44,7 +44,7 @@
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
 	lines := []string{defaults()}
-	for name, text := range []string{choices(), upkeep(connpool.DefaultShared()), upkeep(connpool.Shared{MaxIdle: 2, TestAfter: 0.5, TestFor: 0.25}), usable()} {
+	for name, text := range []string{choices(), upkeep(connpool.DefaultSharedPolicy()), upkeep(connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}), usable()} {
 		lines = append(lines, fmt.Sprintf("grid %d %d %x", name, len(text), sha256.Sum256([]byte(text))))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
@@ -54,8 +54,8 @@
 }
 
 func defaults() string {
-	p, s := connpool.DefaultPolicy(), connpool.DefaultShared()
-	return fmt.Sprint("defaults ", p.Max, p.MaxIdle, p.Fresh, s.MaxIdle, s.TestAfter, s.TestFor)
+	p, s := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
+	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle, p.MaxIdleCareful, s.MaxIdle, s.HealthCheckAfter, s.HealthCheckTimeout)
 }
 
 func choices() string {
@@ -68,13 +68,13 @@
 			lists = append(lists, []float64{x, y}, []float64{x, y, 0.7}, []float64{61, x, y})
 		}
 	}
-	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {Max: 2, MaxIdle: 1, Fresh: 0.5}, {}} {
+	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: 1, MaxIdleCareful: 0.5}, {}} {
 		for _, idle := range lists {
 			for open := range 5 {
 				for _, careful := range []bool{false, true} {
 					d := p.Choose(idle, open+len(idle)-1, careful)
 					d32 := p.Choose(idle, 30+open, careful)
-					fmt.Fprintln(&b, uint8(d.Choice), d.Index, d.Stale, uint8(d32.Choice), d32.Index, d32.Stale)
+					fmt.Fprintln(&b, uint8(d.Action), d.Index, d.Stale, uint8(d32.Action), d32.Index, d32.Stale)
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 	return b.String()
 }
 
-func upkeep(p connpool.Shared) string {
+func upkeep(p connpool.SharedPolicy) string {
 	var b strings.Builder
 	moments := []float64{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10}
 	for _, used := range moments {
@@ -90,7 +90,7 @@
 			for _, tested := range moments {
 				for _, cut := range moments {
 					for bits := range 8 {
-						s := connpool.State{Requests: bits & 1, Held: bits&2 > 0, Spare: bits&4 > 0, Used: used, Heard: heard, Tested: tested, Cut: cut}
+						s := connpool.ConnState{PendingRequests: bits & 1, RunsTasks: bits&2 > 0, HasAlternative: bits&4 > 0, LastSent: used, LastReceived: heard, HealthCheckSent: tested, IncompleteSince: cut}
 						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(10, s)), uint8(p.KeepAlive(10.5, s)))
 					}
 				}
@@ -105,7 +105,7 @@
 	for _, tested := range []float64{0, 0.1} {
 		for _, cut := range []float64{0, 0.1} {
 			for requests := range 3 {
-				fmt.Fprintln(&b, connpool.State{Tested: tested, Cut: cut, Requests: requests}.Usable())
+				fmt.Fprintln(&b, connpool.ConnState{HealthCheckSent: tested, IncompleteSince: cut, PendingRequests: requests}.Usable())
 			}
 		}
 	}
@@ -117,18 +117,18 @@
 	random := rand.New(rand.NewPCG(seed, 5))
 	var b strings.Builder
 	now := 0.0
-	r := connpool.Reach{SilentFor: 6, RefusedFor: 1}
+	r := connpool.Reachability{UnresponsiveAfter: 6, RefusedAfter: 1}
 	for range 200 {
 		now += []float64{0, 0.5, 1, 1.5, 3}[random.IntN(5)]
 		switch random.IntN(8) {
 		case 0:
-			r.Heard(now)
+			r.Received(now)
 		case 1, 2:
-			r.Failed(now, true)
+			r.DialFailed(now, true)
 		case 3, 4, 5:
-			r.Failed(now, random.IntN(4) == 0)
+			r.DialFailed(now, random.IntN(4) == 0)
 		}
-		fmt.Fprint(&b, uint8(r.Lost(now)), uint8(r.Lost(now+1)), uint8(r.Lost(now+1.001)), uint8(r.Lost(now+6)), uint8(r.Lost(now+6.5)), " ")
+		fmt.Fprint(&b, uint8(r.Status(now)), uint8(r.Status(now+1)), uint8(r.Status(now+1.001)), uint8(r.Status(now+6)), uint8(r.Status(now+6.5)), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(b.String())))
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -7,21 +7,21 @@
 
 // Policy bounds connections. Times are in seconds.
 type Policy struct {
-	Max     int     // open at a time
-	MaxIdle float64 // one idle for longer is not used again
-	Fresh   float64 // and for a careful request one idle for longer than this
+	MaxConns       int     // open at a time
+	MaxIdle        float64 // one idle for longer is not used again
+	MaxIdleCareful float64 // and for a careful request one idle for longer than this
 }
 
 // DefaultPolicy keeps well under what servers commonly allow.
-func DefaultPolicy() Policy { return Policy{Max: 32, MaxIdle: 60, Fresh: 1} }
+func DefaultPolicy() Policy { return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleCareful: 1} }
 
-// Choice is what to do with a request.
-type Choice uint8
+// Action is what to do with a request.
+type Action uint8
 
 // The choices. Use takes idle connection Index. Dial opens one. Replace closes idle connection Index, the longest idle, and opens one. Wait
 // holds the request until a connection is free.
 const (
-	Use Choice = iota
+	Use Action = iota
 	Dial
 	Replace
 	Wait
@@ -30,7 +30,7 @@
 // Decision is a choice, with the idle connections that are too old to be used by any request: these are to be closed first. Index counts in
 // the list that was passed in.
 type Decision struct {
-	Choice Choice
+	Action Action
 	Index  int
 	Stale  []int
 }
@@ -54,14 +54,14 @@
 		}
 	}
 	switch {
-	case best >= 0 && (!careful || idle[best] <= p.Fresh):
-		d.Choice, d.Index = Use, best
-	case open < max(p.Max, 1):
-		d.Choice = Dial
+	case best >= 0 && (!careful || idle[best] <= p.MaxIdleCareful):
+		d.Action, d.Index = Use, best
+	case open < max(p.MaxConns, 1):
+		d.Action = Dial
 	case oldest >= 0:
-		d.Choice, d.Index = Replace, oldest
+		d.Action, d.Index = Replace, oldest
 	default:
-		d.Choice = Wait
+		d.Action = Wait
 	}
 	return d
 }
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -6,13 +6,13 @@
 )
 
 func TestChoose(t *testing.T) {
-	p := Policy{Max: 3, MaxIdle: 60, Fresh: 1}
+	p := Policy{MaxConns: 3, MaxIdle: 60, MaxIdleCareful: 1}
 	for _, c := range []struct {
 		name    string
 		idle    []float64
 		open    int
 		careful bool
-		want    Choice
+		want    Action
 		index   int
 		stale   []int
 	}{
@@ -26,7 +26,7 @@
 		{"only stale ones", []float64{70, 80, 90}, 3, true, Dial, 0, []int{0, 1, 2}},
 	} {
 		d := p.Choose(c.idle, c.open, c.careful)
-		if d.Choice != c.want || d.Index != c.index || !slices.Equal(d.Stale, c.stale) {
+		if d.Action != c.want || d.Index != c.index || !slices.Equal(d.Stale, c.stale) {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
--- a/internal/bound/characterization_test.go
+++ b/internal/decodelimit/characterization_test.go
@@ -1,4 +1,4 @@
-package bound_test
+package decodelimit_test
 
 import (
 	"crypto/sha256"
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"heathshed/internal/bound"
+	"heathshed/internal/decodelimit"
 )
 
 const (
@@ -47,35 +47,35 @@
 // sent to clients, so they are part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
-	o := bound.Object()
+	o := decodelimit.Object()
 	lines := []string{fmt.Sprint("object ", o.Bytes, " ", o.Depth, " ", o.Values, " ", o.Number, " ", o.Exponent, " ", o.Digits)}
 	for i, limits := range limitSets {
 		for j, text := range corpus() {
-			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(bound.JSON([]byte(text), limits))))
+			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(decodelimit.JSON([]byte(text), limits))))
 		}
 		for j, text := range quantities {
 			lines = append(lines, fmt.Sprintf("limits %d quantity %d %s", i, j, describeQuantity(text, limits)))
 		}
 		for j, message := range messages() {
-			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(bound.Proto(message, limits))))
+			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(decodelimit.Proto(message, limits))))
 		}
 		lines = append(lines, fmt.Sprintf("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i))))))
 	}
 	compareGolden(t, lines)
 }
 
-var limitSets = []bound.Limits{bound.Object(), {}, {Bytes: 60, Depth: 3, Values: 5, Number: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
+var limitSets = []decodelimit.Limits{decodelimit.Object(), {}, {Bytes: 60, Depth: 3, Values: 5, Number: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
 
 func describe(err error) string {
-	var over *bound.Error
+	var over *decodelimit.Error
 	if !errors.As(err, &over) {
 		return fmt.Sprint(err == nil)
 	}
 	return fmt.Sprintf("%s %t", over.Error(), over.TooLarge())
 }
 
-func describeQuantity(text string, limits bound.Limits) string {
-	if over := bound.Quantity([]byte(text), limits); over != nil {
+func describeQuantity(text string, limits decodelimit.Limits) string {
+	if over := decodelimit.Quantity([]byte(text), limits); over != nil {
 		return describe(over)
 	}
 	return "true"
@@ -124,7 +124,7 @@
 	return append(all, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
-func mutations(limits bound.Limits, seed uint64) string {
+func mutations(limits decodelimit.Limits, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var b strings.Builder
 	for _, text := range corpus() {
@@ -135,7 +135,7 @@
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			b.WriteString(describe(bound.JSON(changed, limits)) + describe(bound.Proto(changed, limits)) + "\n")
+			b.WriteString(describe(decodelimit.JSON(changed, limits)) + describe(decodelimit.Proto(changed, limits)) + "\n")
 		}
 	}
 	return b.String()
--- a/internal/bound/json.go
+++ b/internal/decodelimit/json.go
@@ -2,7 +2,7 @@
 // length of numbers, and quantities whose exponents are small to write and huge to compute with.
 //
 // It is pure and imports nothing of the project. It allocates nothing that grows with its input.
-package bound
+package decodelimit
 
 import (
 	"bytes"
--- a/internal/bound/proto.go
+++ b/internal/decodelimit/proto.go
@@ -1,4 +1,4 @@
-package bound
+package decodelimit
 
 import "google.golang.org/protobuf/encoding/protowire"
 
--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -15,8 +15,8 @@
 	"testing"
 
 	"heathshed/internal/dispatch"
-	"heathshed/internal/jsonl"
-	"heathshed/internal/simsettings"
+	"heathshed/internal/platformproto"
+	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
@@ -119,17 +119,17 @@
 	lastConn   dispatch.ConnID
 	conns      []dispatch.ConnID
 	lastID     uint64
-	waiting    []*dispatch.Offer // told to be sent and not yet started
-	started    []*dispatch.Offer // sent at some time
-	states     map[int]string    // of the machines, as last told
-	unordered  bool              // the order of effects is not promised by the current call
+	waiting    []*dispatch.Attempt // told to be sent and not yet started
+	started    []*dispatch.Attempt // sent at some time
+	states     map[int]string      // of the machines, as last told
+	unordered  bool                // the order of effects is not promised by the current call
 	lines      []string
 	labelStart string
 }
 
 func newRecorder(t *testing.T, shape int, seed uint64, known string, arbitrary bool) *recorder {
 	t.Helper()
-	settings, err := simsettings.Parse([]byte(settingsShapes[shape]))
+	settings, err := simconfig.Parse([]byte(settingsShapes[shape]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,25 +165,25 @@
 	r.placerEvent(&ev)
 	switch {
 	case ev.Kind == placer.Arrived:
-		a.tasks = append(a.tasks, ev.ID)
-		return append(actions, a.decide(now, ev.ID))
-	case ev.Kind == placer.Running:
-		a.tasks = append(a.tasks, ev.ID)
-	case ev.Kind == placer.Ended && !ev.Over:
+		a.tasks = append(a.tasks, ev.TaskID)
+		return append(actions, a.decide(now, ev.TaskID))
+	case ev.Kind == placer.Adopted:
+		a.tasks = append(a.tasks, ev.TaskID)
+	case ev.Kind == placer.Ended && !ev.Final:
 		if ev.Attempt > 7 {
-			return append(actions, placer.Action{Kind: placer.Refuse, Task: ev.ID})
+			return append(actions, placer.Action{Kind: placer.Reject, Task: ev.TaskID})
 		}
-		return append(actions, a.decide(now, ev.ID))
+		return append(actions, a.decide(now, ev.TaskID))
 	case ev.Kind == placer.Bound:
 		a.token++
-		return append(actions, placer.Action{Kind: placer.Wake, Token: a.token, After: pick(r, -1, 0, 0.2, 1.5)})
-	case ev.Kind == placer.Noted:
-		return append(actions, placer.Action{Kind: placer.Move, Task: ev.ID})
-	case ev.Kind == placer.Woken && r.random.IntN(2) == 0:
-		actions = append(actions, placer.Action{Kind: pick(r, placer.Watch, placer.Fetch)})
+		return append(actions, placer.Action{Kind: placer.SetTimer, Token: a.token, After: pick(r, -1, 0, 0.2, 1.5)})
+	case ev.Kind == placer.UsageReported:
+		return append(actions, placer.Action{Kind: placer.Migrate, Task: ev.TaskID})
+	case ev.Kind == placer.TimerFired && r.random.IntN(2) == 0:
+		actions = append(actions, placer.Action{Kind: pick(r, placer.WatchNodes, placer.ListNodes)})
 		if len(a.tasks) > 0 {
 			recent := a.tasks[max(0, len(a.tasks)-20):]
-			actions = append(actions, placer.Action{Kind: placer.Move, Task: pick(r, recent...)})
+			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: pick(r, recent...)})
 		}
 	}
 	return actions
@@ -193,29 +193,29 @@
 	r := a.recorder
 	switch r.random.IntN(16) {
 	case 0:
-		return placer.Action{Kind: placer.Refuse, Task: task, After: pick(r, 0, 0.0001, 0.7501, 99)}
+		return placer.Action{Kind: placer.Reject, Task: task, After: pick(r, 0, 0.0001, 0.7501, 99)}
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
-		return placer.Action{Kind: placer.Refuse, Task: task + 100000} // unknown
+		return placer.Action{Kind: placer.Reject, Task: task + 100000} // unknown
 	}
-	return placer.Action{Kind: placer.Offer, Task: task, Node: dispatch.NodeNumber(machineName(1 + r.random.IntN(4))),
+	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: dispatch.NodeIDOf(machineName(1 + r.random.IntN(4))),
 		Until: pick(r, 0, 0, now+0.25, now+0.8, now+100, now-1)}
 }
 
 // placerEvent digests all values of an event in a fixed order.
 func (r *recorder) placerEvent(ev *placer.Event) {
-	r.number(uint64(ev.Kind), uint64(ev.ID), uint64(ev.Node), uint64(ev.Attempt), uint64(ev.Result), uint64(ev.Reason))
+	r.number(uint64(ev.Kind), uint64(ev.TaskID), uint64(ev.Node), uint64(ev.Attempt), uint64(ev.Result), uint64(ev.Reason))
 	r.float(ev.Elapsed)
-	r.flag(ev.Over)
+	r.flag(ev.Final)
 	x := &ev.Task
 	r.number(uint64(x.ID), uint64(x.Class), uint64(x.Tenant), uint64(x.Service))
 	r.float(x.Cores)
 	r.float(x.Memory)
 	r.float(x.Deadline)
-	r.flag(x.Again)
+	r.flag(x.IsRetry)
 	if r.flag(ev.Report != nil); ev.Report != nil {
-		for _, v := range []float64{ev.Report.FreeCores, ev.Report.FreeMemory, ev.Report.Busy, ev.Report.Queue} {
+		for _, v := range []float64{ev.Report.FreeCores, ev.Report.FreeMemory, ev.Report.Utilization, ev.Report.QueueLength} {
 			r.flag(math.IsNaN(v))
 			if !math.IsNaN(v) {
 				r.float(v)
@@ -224,12 +224,12 @@
 	}
 	r.number(uint64(ev.List), uint64(len(ev.Nodes)))
 	for _, n := range ev.Nodes {
-		r.number(uint64(n.ID), uint64(n.Zone), uint64(n.Rack), uint64(n.Kind), uint64(n.State))
+		r.number(uint64(n.ID), uint64(n.Zone), uint64(n.Rack), uint64(n.NodeType), uint64(n.State))
 		r.float(n.FreeCores)
 		r.float(n.FreeMemory)
-		r.float(n.Since)
+		r.float(n.StartedAt)
 	}
-	r.number(uint64(ev.Use), ev.Token)
+	r.number(uint64(ev.Usage), ev.Token)
 	r.float(ev.Value)
 }
 
@@ -257,7 +257,7 @@
 // verdict digests whether there was an error, and the word under which it is counted, not its text.
 func (r *recorder) verdict(err error) {
 	r.flag(err != nil)
-	var bad *dispatch.Bad
+	var bad *dispatch.InvalidMessageError
 	if errors.As(err, &bad) {
 		r.text(bad.Kind)
 		r.flag(bad.Error() == bad.Unwrap().Error())
@@ -274,9 +274,9 @@
 	if e.Message.Kind != 0 {
 		b = e.Message.Append(b)
 	}
-	if o := e.Offer; o != nil {
+	if o := e.Attempt; o != nil {
 		b = binary.BigEndian.AppendUint64(b, uint64(o.Node))
-		b = binary.BigEndian.AppendUint64(b, uint64(o.Owner()))
+		b = binary.BigEndian.AppendUint64(b, uint64(o.Client()))
 		b = o.Message.Append(b)
 	}
 	return b
@@ -288,11 +288,11 @@
 	var encoded [][]byte
 	for _, e := range r.core.Ready() {
 		encoded = append(encoded, encodeEffect(&e))
-		if e.Kind == dispatch.Send {
-			r.waiting = append(r.waiting, e.Offer)
+		if e.Kind == dispatch.SendAttempt {
+			r.waiting = append(r.waiting, e.Attempt)
 		}
-		if e.Kind == dispatch.Held {
-			r.started = append(r.started, e.Offer)
+		if e.Kind == dispatch.ConnectNode {
+			r.started = append(r.started, e.Attempt)
 		}
 	}
 	if r.unordered {
@@ -306,29 +306,29 @@
 }
 
 func (r *recorder) state() {
-	r.float(r.core.Due())
+	r.float(r.core.NextTimer())
 	r.number(countValues(&r.core.Counts)...)
-	r.number(uint64(r.core.Open()), uint64(r.core.Standing()), r.core.Last())
+	r.number(uint64(r.core.OpenRequests()), uint64(r.core.RunningTasks()), r.core.LastDiscoveryEvent())
 	for _, id := range r.conns {
-		open, good := r.core.OwnerOpen(id)
+		open, good := r.core.ClientRequests(id)
 		r.number(uint64(open))
 		r.flag(good)
-		r.flag(r.core.OwnerNeeded(id))
+		r.flag(r.core.IsLastClient(id))
 	}
 	for i := range scriptMachines + 1 {
-		n := r.core.Node(dispatch.NodeNumber(machineName(i)))
+		n := r.core.Node(dispatch.NodeIDOf(machineName(i)))
 		if r.flag(n != nil); n != nil {
 			r.text(n.UID)
 			r.text(n.Addr)
-			r.number(uint64(n.ID), uint64(n.State), uint64(n.Standing()))
-			r.float(n.Boot)
-			r.float(n.GoneFor(r.now))
+			r.number(uint64(n.ID), uint64(n.State), uint64(n.RunningTasks()))
+			r.float(n.StartedAt)
+			r.float(n.TerminatedFor(r.now))
 		}
 	}
 	for _, o := range r.started {
 		r.flag(o.Live())
-		r.flag(o.Open())
-		r.flag(o.Waiting())
+		r.flag(o.Unanswered())
+		r.flag(o.Pending())
 		r.float(o.Age(r.now))
 	}
 	machines := 0
@@ -338,9 +338,9 @@
 
 // countValues are the counters in a fixed order.
 func countValues(c *dispatch.Counts) []uint64 {
-	return []uint64{c.SetUps, c.Named, c.Taken, c.Answered, c.Refused, c.Failed, c.Withdrawn,
-		c.Offers, c.Bound, c.Full, c.Errors, c.Unreachable, c.Broken, c.TimedOut, c.Moot, c.Late, c.Unheld,
-		c.Ends, c.Moves, c.Lost, c.Owed, c.OwedLost, c.Retold, c.Bad}
+	return []uint64{c.PlacementRequests, c.Adopted, c.Accepted, c.Placed, c.Rejected, c.Failed, c.Withdrawn,
+		c.Attempts, c.Bound, c.CapacityRejections, c.NodeErrors, c.ConnectFailures, c.ConnectionsLost, c.TimedOut, c.Expired, c.LateAnswers, c.UnknownTasks,
+		c.TasksEnded, c.Migrations, c.TasksLost, c.PendingNotifications, c.ExpiredNotifications, c.Redeliveries, c.InvalidMessages}
 }
 
 func (r *recorder) checkpoint(step int) {
@@ -365,8 +365,8 @@
 
 func pick[T any](r *recorder, of ...T) T { return of[r.random.IntN(len(of))] }
 
-func wireMessage(kind jsonl.Kind, id uint64) jsonl.Message {
-	return jsonl.Message{Kind: kind, ID: jsonl.ID(id), UID: fmt.Sprintf("%016x", id)}
+func wireMessage(kind platformproto.Kind, id uint64) platformproto.Message {
+	return platformproto.Message{Kind: kind, ID: platformproto.ID(id), UID: fmt.Sprintf("%016x", id)}
 }
 
 // playScript plays one random script to its end.
@@ -379,7 +379,7 @@
 		r.states[i] = "in_service"
 	}
 	if seed%2 == 0 {
-		r.core.Streaming(r.now, true)
+		r.core.SetDiscoveryConnected(r.now, true)
 		r.observe(0)
 	}
 	r.openConnection()
@@ -421,7 +421,7 @@
 	case 26:
 		r.machineLoss()
 	case 27:
-		r.core.Streaming(r.now, r.random.IntN(2) == 0)
+		r.core.SetDiscoveryConnected(r.now, r.random.IntN(2) == 0)
 	default:
 		r.advance(pick(r, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
 	}
@@ -429,7 +429,7 @@
 
 func (r *recorder) openConnection() {
 	r.lastConn++
-	r.core.OwnerOpened(r.now, r.lastConn)
+	r.core.ClientConnected(r.now, r.lastConn)
 	r.conns = append(r.conns, r.lastConn)
 	r.observe(0)
 }
@@ -442,38 +442,38 @@
 	i := r.random.IntN(len(r.conns))
 	id := r.conns[i]
 	r.conns = slices.Delete(r.conns, i, i+1)
-	r.core.OwnerClosed(r.now, id)
+	r.core.ClientDisconnected(r.now, id)
 	if r.random.IntN(4) == 0 {
-		r.core.OwnerClosed(r.now, id) // once more
+		r.core.ClientDisconnected(r.now, id) // once more
 	}
 }
 
-func (r *recorder) validLaunch(id uint64, extras string) jsonl.Message {
-	m := wireMessage(jsonl.Launch, id)
+func (r *recorder) validLaunch(id uint64, extras string) platformproto.Message {
+	m := wireMessage(platformproto.Launch, id)
 	m.Body = pick(r, `"in"`, `"\u00e9\n"`, `""`)
-	m.Set(jsonl.Class, pick(r, "query", "seats"))
+	m.Set(platformproto.Class, pick(r, "query", "seats"))
 	if tenant := pick(r, scriptTenants[r.shape]...); tenant != "" {
-		m.Set(jsonl.Tenant, tenant)
+		m.Set(platformproto.Tenant, tenant)
 	}
-	m.Set(jsonl.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
+	m.Set(platformproto.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
 	if r.random.IntN(3) == 0 {
-		m.Set(jsonl.Idem, pick(r, "", "copy", `odd "name"`))
+		m.Set(platformproto.IdempotencyKey, pick(r, "", "copy", `odd "name"`))
 	}
-	m.Set(jsonl.Left, pick(r, "0", "120", "900", "1000", "2e3"))
+	m.Set(platformproto.Left, pick(r, "0", "120", "900", "1000", "2e3"))
 	if extras != "" {
-		m.Set(jsonl.Left, pick(r, "4294967", "1000"))
+		m.Set(platformproto.Left, pick(r, "4294967", "1000"))
 	}
-	m.Set(jsonl.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+	m.Set(platformproto.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
 		pick(r, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
 	return m
 }
 
-func (r *recorder) fromOwner(m *jsonl.Message) {
+func (r *recorder) fromOwner(m *platformproto.Message) {
 	conn := dispatch.ConnID(99) // never opened
 	if len(r.conns) > 0 && r.random.IntN(40) > 0 {
 		conn = pick(r, r.conns...)
 	}
-	r.verdict(r.core.FromOwner(r.now, conn, m))
+	r.verdict(r.core.ReceiveFromClient(r.now, conn, m))
 }
 
 func (r *recorder) launch(extras string) {
@@ -489,31 +489,31 @@
 func (r *recorder) someID() uint64 { return 1 + r.random.Uint64N(r.lastID+1) }
 
 // launchFaults spoil a valid set-up.
-var launchFaults = []func(m *jsonl.Message){
-	func(m *jsonl.Message) { m.Body = "" },
-	func(m *jsonl.Message) { m.Set(jsonl.Class, "none") },
-	func(m *jsonl.Message) { m.Set(jsonl.Tenant, "nobody") },
-	func(m *jsonl.Message) { m.Set(jsonl.Key, "12") },
-	func(m *jsonl.Message) { m.Set(jsonl.Key, "000000000000000g") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "-1") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "NaN") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "16000") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "16001") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "6000") },
-	func(m *jsonl.Message) { m.Set(jsonl.Left, "4000.5") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;cores:1") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:-1;memory:1") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1e9") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1000000001") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:NaN") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:;memory:1") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;service:9") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;at:") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;at:s-77777777") },
-	func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;;memory:1;at:s-00000001;") },
+var launchFaults = []func(m *platformproto.Message){
+	func(m *platformproto.Message) { m.Body = "" },
+	func(m *platformproto.Message) { m.Set(platformproto.Class, "none") },
+	func(m *platformproto.Message) { m.Set(platformproto.Tenant, "nobody") },
+	func(m *platformproto.Message) { m.Set(platformproto.Key, "12") },
+	func(m *platformproto.Message) { m.Set(platformproto.Key, "000000000000000g") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "-1") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "NaN") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "16000") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "16001") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "6000") },
+	func(m *platformproto.Message) { m.Set(platformproto.Left, "4000.5") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;cores:1") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:-1;memory:1") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1e9") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1000000001") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:NaN") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:;memory:1") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;service:9") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:s-77777777") },
+	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;;memory:1;at:s-00000001;") },
 }
 
 func (r *recorder) invalidLaunch() {
@@ -525,8 +525,8 @@
 }
 
 func (r *recorder) ownerMessage() {
-	kind := pick(r, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stopped, jsonl.Stopped, jsonl.Check, jsonl.Staging, jsonl.Running, jsonl.Checked,
-		jsonl.Update, jsonl.Migrate, jsonl.Kind(0))
+	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stopped, platformproto.Stopped, platformproto.Check, platformproto.Staging, platformproto.Running, platformproto.Checked,
+		platformproto.Update, platformproto.Migrate, platformproto.Kind(0))
 	m := wireMessage(kind, r.someID())
 	m.Reason, m.HasReason = pick(r, 0, 16, 31, 41), r.random.IntN(3) > 0
 	r.fromOwner(&m)
@@ -540,7 +540,7 @@
 	i := r.random.IntN(len(r.waiting))
 	o := r.waiting[i]
 	r.waiting = slices.Delete(r.waiting, i, i+1)
-	may := r.core.MayStart(r.now, o)
+	may := r.core.PrepareSend(r.now, o)
 	r.flag(may)
 	r.text(string(o.Message.Append(nil)))
 	if may {
@@ -548,41 +548,43 @@
 	}
 }
 
-func (r *recorder) fromNode(o *dispatch.Offer, m *jsonl.Message) { r.core.FromNode(r.now, o.Node, m) }
+func (r *recorder) fromNode(o *dispatch.Attempt, m *platformproto.Message) {
+	r.core.ReceiveFromNode(r.now, o.Node, m)
+}
 
 // accept lets the machine of an open offer say that the task stands.
 func (r *recorder) accept() {
 	open := r.started
-	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Offer) bool { return !o.Open() }); len(live) > 0 && r.random.IntN(6) > 0 {
+	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Attempt) bool { return !o.Unanswered() }); len(live) > 0 && r.random.IntN(6) > 0 {
 		open = live
 	}
 	if len(open) == 0 {
 		return
 	}
 	o := pick(r, open...)
-	m := wireMessage(jsonl.Running, uint64(o.Message.ID))
+	m := wireMessage(platformproto.Running, uint64(o.Message.ID))
 	m.Body = pick(r, `"out"`, `"out"`, `"out"`, `"\t"`, "")
 	r.fromNode(o, &m)
 }
 
 // machineMessage has a machine say anything about anything.
 func (r *recorder) machineMessage() {
-	kind := pick(r, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Stop, jsonl.Update, jsonl.Update, jsonl.Update, jsonl.Launch, jsonl.Staging,
-		jsonl.Stopped, jsonl.Check, jsonl.Checked, jsonl.Migrate)
+	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Update, platformproto.Update, platformproto.Update, platformproto.Launch, platformproto.Staging,
+		platformproto.Stopped, platformproto.Check, platformproto.Checked, platformproto.Migrate)
 	m := wireMessage(kind, r.someID())
 	m.Reason, m.HasReason = pick(r, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), r.random.IntN(8) > 0
-	m.Set(jsonl.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
-	m.Set(jsonl.Load, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
-	if kind == jsonl.Update {
-		m.Set(jsonl.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
-		m.Set(jsonl.Value, pick(r, "0.5", "1", "3.75", "x", ""))
+	m.Set(platformproto.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	m.Set(platformproto.Load, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	if kind == platformproto.Update {
+		m.Set(platformproto.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
+		m.Set(platformproto.Value, pick(r, "0.5", "1", "3.75", "x", ""))
 	}
 	if len(r.started) == 0 || r.random.IntN(8) == 0 {
-		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1+r.random.IntN(4))), &m)
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1+r.random.IntN(4))), &m)
 		return
 	}
 	among := r.started[max(0, len(r.started)-12):]
-	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Offer) bool { return !o.Live() }); len(live) > 0 && r.random.IntN(4) > 0 {
+	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Attempt) bool { return !o.Live() }); len(live) > 0 && r.random.IntN(4) > 0 {
 		among = live
 	}
 	o := pick(r, among...)
@@ -592,18 +594,18 @@
 
 func (r *recorder) offerFailure() {
 	if len(r.waiting) > 0 && r.random.IntN(2) == 0 {
-		r.core.Unreachable(r.now, pick(r, r.waiting...))
+		r.core.ConnectFailed(r.now, pick(r, r.waiting...))
 	} else if len(r.started) > 0 {
-		r.core.Broken(r.now, pick(r, r.started...))
+		r.core.ConnectionLost(r.now, pick(r, r.started...))
 	}
 }
 
 func (r *recorder) machineLoss() {
-	id := dispatch.NodeNumber(machineName(1 + r.random.IntN(scriptMachines)))
+	id := dispatch.NodeIDOf(machineName(1 + r.random.IntN(scriptMachines)))
 	if r.random.IntN(2) == 0 {
-		r.core.NodeLost(r.now, id)
+		r.core.NodeDead(r.now, id)
 	} else {
-		r.number(uint64(r.core.NodeSilent(r.now, id)))
+		r.number(uint64(r.core.NodeUnresponsive(r.now, id)))
 	}
 }
 
@@ -627,7 +629,7 @@
 	default:
 		event = rosterEvent(r.eventNo, false, r.machine(i, state, r.bootOf(i)))
 	}
-	ok, err := r.core.Bulletin(r.now, []byte(event))
+	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(event))
 	r.flag(ok)
 	r.verdict(err)
 }
@@ -635,8 +637,8 @@
 // bootOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
 // later list, in no order.
 func (r *recorder) bootOf(i int) int64 {
-	n := r.core.Node(dispatch.NodeNumber(machineName(i)))
-	if n == nil || n.Standing() > 1 {
+	n := r.core.Node(dispatch.NodeIDOf(machineName(i)))
+	if n == nil || n.RunningTasks() > 1 {
 		return 0
 	}
 	return pick(r, 0, 0, int64(r.now*1000), int64(r.now*1000)-1000, int64(r.now*1000)+900)
@@ -665,8 +667,8 @@
 		r.core.Advance(r.now)
 		return
 	}
-	for r.core.Due() <= to {
-		r.now = max(r.now, r.core.Due())
+	for r.core.NextTimer() <= to {
+		r.now = max(r.now, r.core.NextTimer())
 		r.core.Advance(r.now)
 		r.observe(0)
 	}
@@ -682,7 +684,7 @@
 		r.labelStart = fmt.Sprintf("directed shape %d", shape)
 		r.unordered = true
 		r.openConnection()
-		r.core.Streaming(r.now, true)
+		r.core.SetDiscoveryConnected(r.now, true)
 		r.tellAll("in_service", 0)
 		r.nameTasks(24, 1)
 		r.checkpoint(1)
@@ -710,12 +712,12 @@
 }
 
 func (r *recorder) tellAll(state string, bootMS int64) {
-	r.eventNo = int(r.core.Last()) + 1
+	r.eventNo = int(r.core.LastDiscoveryEvent()) + 1
 	var all []string
 	for i := 1; i <= scriptMachines; i++ {
 		all = append(all, r.machine(i, state, bootMS))
 	}
-	ok, err := r.core.Bulletin(r.now, []byte(rosterEvent(r.eventNo, false, all...)))
+	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(rosterEvent(r.eventNo, false, all...)))
 	r.flag(ok)
 	r.verdict(err)
 	r.observe(0)
@@ -725,7 +727,7 @@
 func (r *recorder) nameTasks(count int, first uint64) {
 	for i := range count {
 		m := r.validLaunch(first+uint64(i), ";at:"+machineName(1+i%scriptMachines))
-		r.verdict(r.core.FromOwner(r.now, r.conns[0], &m))
+		r.verdict(r.core.ReceiveFromClient(r.now, r.conns[0], &m))
 		r.observe(0)
 	}
 }
@@ -742,23 +744,23 @@
 		r.tellAll("in_service", 0)
 		r.nameTasks(6, 1)
 		if variant%2 == 1 {
-			confirm := wireMessage(jsonl.Stopped, 77)
-			r.verdict(r.core.FromOwner(r.now, 1, &confirm))
+			confirm := wireMessage(platformproto.Stopped, 77)
+			r.verdict(r.core.ReceiveFromClient(r.now, 1, &confirm))
 		}
 		r.endTasks(1, 4)
 		r.now += []float64{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		heard := wireMessage(jsonl.Stopped, 2)
-		r.verdict(r.core.FromOwner(r.now, 1, &heard))
-		r.core.OwnerClosed(r.now, 1)
+		heard := wireMessage(platformproto.Stopped, 2)
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &heard))
+		r.core.ClientDisconnected(r.now, 1)
 		if variant >= 12 {
-			r.core.OwnerClosed(r.now, 2)
+			r.core.ClientDisconnected(r.now, 2)
 		}
 		r.conns = nil
 		r.endTasks(5, 6)
 		r.now += []float64{0.5, 7.9, 8.1}[variant%3]
 		r.openConnection()
-		hello := wireMessage(jsonl.Check, 78)
-		r.verdict(r.core.FromOwner(r.now, r.lastConn, &hello))
+		hello := wireMessage(platformproto.Check, 78)
+		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &hello))
 		r.observe(0)
 		r.checkpoint(1)
 		lines = append(lines, r.lines...)
@@ -769,9 +771,9 @@
 // endTasks has machines tell the end of the tasks that nameTasks named.
 func (r *recorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
-		m := wireMessage(jsonl.Stop, id)
+		m := wireMessage(platformproto.Stop, id)
 		m.Reason, m.HasReason = []int{16, 41}[id%2], true
-		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1+int(id-1)%scriptMachines)), &m)
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1+int(id-1)%scriptMachines)), &m)
 		r.observe(0)
 	}
 }
@@ -783,22 +785,22 @@
 	r.openConnection()
 	r.openConnection()
 	r.tellAll("in_service", 0)
-	hello := wireMessage(jsonl.Check, 78)
-	r.verdict(r.core.FromOwner(r.now, 1, &hello))
+	hello := wireMessage(platformproto.Check, 78)
+	r.verdict(r.core.ReceiveFromClient(r.now, 1, &hello))
 	for i := range uint64(40) {
 		r.now += 0.03
 		r.core.Advance(r.now)
 		r.observe(int(i))
 		r.nameTasks(1, 1000+i)
 		m := r.validLaunch(2000+i, "")
-		r.verdict(r.core.FromOwner(r.now, 2, &m))
+		r.verdict(r.core.ReceiveFromClient(r.now, 2, &m))
 		r.observe(int(i))
 		if i%5 == 4 {
 			r.checkpoint(int(i))
 		}
 	}
 	for range 30 {
-		r.now = max(r.now, min(r.core.Due(), r.now+10))
+		r.now = max(r.now, min(r.core.NextTimer(), r.now+10))
 		r.core.Advance(r.now)
 		r.observe(0)
 	}
@@ -832,7 +834,7 @@
 		r.tellAll("in_service", 0)
 		r.launch("")
 		r.observe(0)
-		if due := r.core.Due(); !math.IsInf(due, 1) {
+		if due := r.core.NextTimer(); !math.IsInf(due, 1) {
 			r.now = max(r.now, due+[]float64{-0.001, 0, 0.001}[variant%3])
 		}
 		r.start()
@@ -854,13 +856,13 @@
 		r.tellAll("in_service", 0)
 		r.launch("")
 		r.observe(0)
-		due := r.core.Due()
+		due := r.core.NextTimer()
 		r.start()
 		r.observe(1)
 		if len(r.started) > 0 {
 			r.answerLate(due+[]float64{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
-		open, good := r.core.OwnerOpen(99)
+		open, good := r.core.ClientRequests(99)
 		r.number(uint64(open))
 		r.flag(good)
 		r.checkpoint(1)
@@ -874,22 +876,22 @@
 	o := r.started[0]
 	r.now = max(r.now, at)
 	if broken {
-		r.core.Broken(r.now, o)
+		r.core.ConnectionLost(r.now, o)
 		r.observe(2)
 	}
-	m := wireMessage(jsonl.Running, uint64(o.Message.ID))
+	m := wireMessage(platformproto.Running, uint64(o.Message.ID))
 	m.Body = `"out"`
 	r.fromNode(o, &m)
 	r.observe(3)
-	stop := wireMessage(jsonl.Stop, uint64(o.Message.ID))
+	stop := wireMessage(platformproto.Stop, uint64(o.Message.ID))
 	if len(r.waiting) > 0 { // the next attempt: its owner gives the task up
-		r.verdict(r.core.FromOwner(r.now, 1, &stop))
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &stop))
 		r.observe(4)
 	}
 	for i := 1; i <= 4; i++ {
-		if dispatch.NodeNumber(machineName(i)) == o.Node {
+		if dispatch.NodeIDOf(machineName(i)) == o.Node {
 			named := r.validLaunch(uint64(o.Message.ID), ";at:"+machineName(i))
-			r.verdict(r.core.FromOwner(r.now, 1, &named))
+			r.verdict(r.core.ReceiveFromClient(r.now, 1, &named))
 			r.observe(5)
 		}
 	}
@@ -903,19 +905,19 @@
 	r.openConnection()
 	r.tellAll("in_service", 0)
 	for id := uint64(1); id <= beyond; id++ {
-		m := wireMessage(jsonl.Stop, id)
+		m := wireMessage(platformproto.Stop, id)
 		m.Reason = 41
-		r.core.FromNode(r.now, dispatch.NodeNumber(machineName(1)), &m)
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1)), &m)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
 		m := r.validLaunch(id, ";at:"+machineName(1))
-		r.verdict(r.core.FromOwner(r.now, 1, &m))
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &m))
 		r.observe(0)
 	}
 	r.checkpoint(1)
 	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
 		m := r.validLaunch(id, ";at:"+machineName(2))
-		r.verdict(r.core.FromOwner(r.now, 1, &m))
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &m))
 	}
 	r.observe(0)
 	r.checkpoint(2)
@@ -924,7 +926,7 @@
 
 // TestCharacterizationKnown pins which lists of earlier events a core starts with, and the state that they leave.
 func TestCharacterizationKnown(t *testing.T) {
-	settings, err := simsettings.Parse([]byte(settingsShapes[0]))
+	settings, err := simconfig.Parse([]byte(settingsShapes[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -957,8 +959,8 @@
 		}
 		nodes := 0
 		core.Nodes(func(*dispatch.Node) { nodes++ })
-		if core.Last() != c.last || nodes != c.nodes {
-			t.Errorf("known %s: last event %d and %d machines, want %d and %d", c.known, core.Last(), nodes, c.last, c.nodes)
+		if core.LastDiscoveryEvent() != c.last || nodes != c.nodes {
+			t.Errorf("known %s: last event %d and %d machines, want %d and %d", c.known, core.LastDiscoveryEvent(), nodes, c.last, c.nodes)
 		}
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -13,10 +13,10 @@
 	"strconv"
 	"strings"
 
-	"heathshed/internal/feed"
-	"heathshed/internal/jsonl"
-	"heathshed/internal/simsettings"
-	"heathshed/internal/timers"
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/platformproto"
+	"heathshed/internal/simconfig"
+	"heathshed/internal/timerqueue"
 	"heathshed/placer"
 )
 
@@ -32,11 +32,11 @@
 	lateFor     = 5.0  // beyond the time that owners look for a task, an attempt given up is remembered
 )
 
-// GoneGrace is how long after the bulletin's word that a machine has gone its tasks are taken for lost, in seconds.
-const GoneGrace = 1.0
+// TerminationGrace is how long after the bulletin's word that a machine has gone its tasks are taken for lost, in seconds.
+const TerminationGrace = 1.0
 
 const (
-	causeLost = jsonl.CauseReset
+	causeLost = platformproto.CauseReset
 	maxEnds   = maxTasks // ends of unknown tasks remembered
 	maxTasks  = 20000    // set-ups and standing tasks held at a time; each takes about 2 KB
 )
@@ -52,19 +52,19 @@
 // Held: a machine, that of Offer, holds a task that was never offered from here: it needs a connection to say how the task ends.
 // Roster: machines or their addresses may have changed.
 const (
-	Tell EffectKind = iota + 1
-	Send
-	Release
-	Held
-	Roster
+	SendToClient EffectKind = iota + 1
+	SendAttempt
+	SendToNode
+	ConnectNode
+	NodesChanged
 )
 
 // Effect is something to be carried out, in order.
 type Effect struct {
 	Kind    EffectKind
 	Conn    ConnID
-	Offer   *Offer
-	Message jsonl.Message
+	Attempt *Attempt
+	Message platformproto.Message
 	// TimedOut, at a Release, says that no answer came in time: the connection it went out on may be of no further use.
 	TimedOut bool
 }
@@ -79,10 +79,10 @@
 	ended
 )
 
-// Offer is one attempt of a task at a machine.
-type Offer struct {
+// Attempt is one attempt of a task at a machine.
+type Attempt struct {
 	Node    placer.NodeID
-	Message jsonl.Message
+	Message platformproto.Message
 	// Conn is the caller's: the connection it went out on.
 	Conn any
 
@@ -92,33 +92,33 @@
 	until   float64
 	sent    float64 // when the module offered it
 	bound   float64 // when its answer came
-	timer   *timers.Timer
+	timer   *timerqueue.Timer
 	ending  bool // a release was sent: moved, or ended by its owner
 }
 
 // Live says whether the offer still waits for an answer or stands.
-func (o *Offer) Live() bool { return o.state <= bound }
+func (o *Attempt) Live() bool { return o.state <= bound }
 
-// Owner is the connection that the task came on.
-func (o *Offer) Owner() ConnID { return o.t.conn }
+// Client is the connection that the task came on.
+func (o *Attempt) Client() ConnID { return o.t.conn }
 
-// Waiting says whether the offer is still to be sent.
-func (o *Offer) Waiting() bool { return o.state == waiting }
+// Pending says whether the offer is still to be sent.
+func (o *Attempt) Pending() bool { return o.state == waiting }
 
 // Age is how long ago the module made the offer, in seconds.
-func (o *Offer) Age(now float64) float64 { return now - o.sent }
+func (o *Attempt) Age(now float64) float64 { return now - o.sent }
 
-// Open says whether the offer waits for its connection or its answer.
-func (o *Offer) Open() bool { return o.state <= out }
+// Unanswered says whether the offer waits for its connection or its answer.
+func (o *Attempt) Unanswered() bool { return o.state <= out }
 
 // task is one set-up.
 type task struct {
 	id       placer.TaskID
-	m        jsonl.Message // as the owner sent it
+	m        platformproto.Message // as the owner sent it
 	conn     ConnID
 	class    int
 	deadline float64
-	offers   []*Offer
+	offers   []*Attempt
 	over     bool // answered, withdrawn or at its end: nothing more goes to the owner
 	gone     bool // its owner gave it up
 	moved    bool // its owner was told to come again
@@ -126,7 +126,7 @@
 
 type place struct {
 	node placer.NodeID
-	id   jsonl.ID
+	id   platformproto.ID
 }
 
 type owner struct {
@@ -139,7 +139,7 @@
 
 // owed is a release that an owner is still to be sent, or to have heard.
 type owed struct {
-	m     jsonl.Message
+	m     platformproto.Message
 	until float64
 	move  bool // m stands for a move, which is never said to be heard
 }
@@ -152,24 +152,24 @@
 
 // Counts are what happened since the start.
 type Counts struct {
-	SetUps, Named, Taken, Answered, Refused, Failed, Withdrawn                     uint64
-	Offers, Bound, Full, Errors, Unreachable, Broken, TimedOut, Moot, Late, Unheld uint64
-	Ends, Moves, Lost, Owed, OwedLost, Retold, Bad                                 uint64
+	PlacementRequests, Adopted, Accepted, Placed, Rejected, Failed, Withdrawn                                                       uint64
+	Attempts, Bound, CapacityRejections, NodeErrors, ConnectFailures, ConnectionsLost, TimedOut, Expired, LateAnswers, UnknownTasks uint64
+	TasksEnded, Migrations, TasksLost, PendingNotifications, ExpiredNotifications, Redeliveries, InvalidMessages                    uint64
 }
 
 // Core holds the state. It is for one goroutine.
 type Core struct {
 	Counts Counts
 
-	s         *simsettings.Settings
-	module    feed.Feed
+	s         *simconfig.Settings
+	module    eventqueue.Queue
 	now       float64
-	timers    timers.Queue
+	timers    timerqueue.Queue
 	nodes     map[placer.NodeID]*Node
 	tasks     map[placer.TaskID]*task
 	open      int
-	byID      map[jsonl.ID]*task // open and standing
-	places    map[place]*Offer   // all that a machine may still speak of
+	byID      map[platformproto.ID]*task // open and standing
+	places    map[place]*Attempt         // all that a machine may still speak of
 	owners    map[ConnID]*owner
 	owed      []owed
 	ends      map[place]gone // of tasks that are not known here: one that is about to be named may have ended meanwhile
@@ -184,10 +184,10 @@
 }
 
 // New makes a core, with the events of the bulletin that the configuration knows.
-func New(now float64, s *simsettings.Settings, p feed.Module, knownEvents []byte) (*Core, error) {
-	c := &Core{s: s, now: now, nodes: map[placer.NodeID]*Node{}, tasks: map[placer.TaskID]*task{}, byID: map[jsonl.ID]*task{},
-		places: map[place]*Offer{}, ends: map[place]gone{}, owners: map[ConnID]*owner{}}
-	c.module = feed.Feed{Module: p, Do: c.act}
+func New(now float64, s *simconfig.Settings, p eventqueue.Placer, knownEvents []byte) (*Core, error) {
+	c := &Core{s: s, now: now, nodes: map[placer.NodeID]*Node{}, tasks: map[placer.TaskID]*task{}, byID: map[platformproto.ID]*task{},
+		places: map[place]*Attempt{}, ends: map[place]gone{}, owners: map[ConnID]*owner{}}
+	c.module = eventqueue.Queue{Placer: p, Execute: c.act}
 	var k known
 	if len(knownEvents) > 0 {
 		if err := json.Unmarshal(knownEvents, &k); err != nil {
@@ -201,7 +201,7 @@
 		c.last = max(c.last, k.Items[i].No)
 	}
 	c.last = max(c.last, k.No)
-	c.post(placer.Event{Kind: placer.Listed, List: placer.CachedList, Nodes: c.list()})
+	c.post(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: c.list()})
 	c.run()
 	return c, nil
 }
@@ -238,11 +238,11 @@
 	}
 }
 
-// Open is the number of set-ups without an answer.
-func (c *Core) Open() int { return c.open }
+// OpenRequests is the number of set-ups without an answer.
+func (c *Core) OpenRequests() int { return c.open }
 
-// Standing is the number of tasks that stand.
-func (c *Core) Standing() int {
+// RunningTasks is the number of tasks that stand.
+func (c *Core) RunningTasks() int {
 	n := 0
 	for _, x := range c.nodes {
 		n += len(x.standing)
@@ -250,8 +250,8 @@
 	return n
 }
 
-// Due is when Advance is to be called next, infinity if never.
-func (c *Core) Due() float64 { return c.timers.Next() }
+// NextTimer is when Advance is to be called next, infinity if never.
+func (c *Core) NextTimer() float64 { return c.timers.Next() }
 
 // Advance carries out what is due.
 func (c *Core) Advance(now float64) {
@@ -271,13 +271,13 @@
 
 func (c *Core) act(a *placer.Action) {
 	switch a.Kind {
-	case placer.Wake:
+	case placer.SetTimer:
 		token := a.Token
-		c.timers.Add(c.now+feed.Wait(a.After), func() { c.post(placer.Event{Kind: placer.Woken, Token: token}) })
+		c.timers.Add(c.now+eventqueue.Delay(a.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
 		return
-	case placer.Watch, placer.Fetch:
+	case placer.WatchNodes, placer.ListNodes:
 		if c.asked = !c.streaming; c.streaming {
-			c.post(placer.Event{Kind: placer.Listed, List: placer.Changes})
+			c.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
 		}
 		return
 	}
@@ -286,49 +286,51 @@
 		return
 	}
 	switch a.Kind {
-	case placer.Offer:
+	case placer.StartAttempt:
 		c.offer(t, a)
-	case placer.Refuse:
-		m := reply(&t.m, jsonl.Stop, jsonl.CauseFull)
-		if a.After > 0 && c.s.Placer.MayDelayOwners {
-			m.Set(jsonl.Wait, strconv.Itoa(int(math.Ceil(min(a.After, c.s.Placer.MaxDelay)*1000))))
+	case placer.Reject:
+		m := reply(&t.m, platformproto.Stop, platformproto.CauseFull)
+		if a.After > 0 && c.s.Placer.SendsRetryAfter {
+			m.Set(platformproto.Wait, strconv.Itoa(int(math.Ceil(min(a.After, c.s.Placer.MaxRetryAfter)*1000))))
 		}
-		c.Counts.Refused++
+		c.Counts.Rejected++
 		c.answer(t, m)
 	case placer.Fail:
 		c.Counts.Failed++
-		c.answer(t, reply(&t.m, jsonl.Stop, jsonl.CauseError))
-	case placer.Move:
+		c.answer(t, reply(&t.m, platformproto.Stop, platformproto.CauseError))
+	case placer.Migrate:
 		if o := t.standing(); o != nil && !t.over {
-			c.Counts.Moves++
+			c.Counts.Migrations++
 			t.over, t.moved = true, true
-			c.toOwner(t, reply(&t.m, jsonl.Migrate, -1))
-			c.release(o, jsonl.CauseCancelled, false)
+			c.toOwner(t, reply(&t.m, platformproto.Migrate, -1))
+			c.release(o, platformproto.CauseCancelled, false)
 		}
 	}
 }
 
-// Bad is the error of a message that makes no sense. Kind is one of a few words, for counting.
-type Bad struct {
+// InvalidMessageError is the error of a message that makes no sense. Kind is one of a few words, for counting.
+type InvalidMessageError struct {
 	Kind string
 	Err  error
 }
 
-func (b *Bad) Error() string { return b.Err.Error() }
-func (b *Bad) Unwrap() error { return b.Err }
+func (b *InvalidMessageError) Error() string { return b.Err.Error() }
+func (b *InvalidMessageError) Unwrap() error { return b.Err }
 
-func bad(kind, format string, args ...any) error { return &Bad{kind, fmt.Errorf(format, args...)} }
+func bad(kind, format string, args ...any) error {
+	return &InvalidMessageError{kind, fmt.Errorf(format, args...)}
+}
 
 // reply is a message about what another was about; a cause below 0 is none.
-func reply(m *jsonl.Message, k jsonl.Kind, cause int) jsonl.Message {
-	return jsonl.Message{Kind: k, UID: m.UID, ID: m.ID, Reason: max(cause, 0), HasReason: cause >= 0}
+func reply(m *platformproto.Message, k platformproto.Kind, cause int) platformproto.Message {
+	return platformproto.Message{Kind: k, UID: m.UID, ID: m.ID, Reason: max(cause, 0), HasReason: cause >= 0}
 }
 
-func (c *Core) tell(id ConnID, m jsonl.Message) {
-	c.out = append(c.out, Effect{Kind: Tell, Conn: id, Message: m})
+func (c *Core) tell(id ConnID, m platformproto.Message) {
+	c.out = append(c.out, Effect{Kind: SendToClient, Conn: id, Message: m})
 }
 
-func (t *task) standing() *Offer {
+func (t *task) standing() *Attempt {
 	if n := len(t.offers); n > 0 && t.offers[n-1].state == bound {
 		return t.offers[n-1]
 	}
@@ -337,14 +339,14 @@
 
 // ---- owners ----
 
-// OwnerOpened adds a connection of owners, or of who poses as one.
-func (c *Core) OwnerOpened(now float64, id ConnID) {
+// ClientConnected adds a connection of owners, or of who poses as one.
+func (c *Core) ClientConnected(now float64, id ConnID) {
 	c.tick(now)
 	c.owners[id] = &owner{open: map[*task]struct{}{}}
 }
 
-// OwnerClosed takes a connection away. Nobody can be answered on it any more: its open set-ups are given up, as if they had been withdrawn.
-func (c *Core) OwnerClosed(now float64, id ConnID) {
+// ClientDisconnected takes a connection away. Nobody can be answered on it any more: its open set-ups are given up, as if they had been withdrawn.
+func (c *Core) ClientDisconnected(now float64, id ConnID) {
 	c.tick(now)
 	ow := c.owners[id]
 	if ow == nil {
@@ -358,7 +360,7 @@
 	// they know no more.
 	for _, o := range ow.unread {
 		if sent := o.until - owedFor; o.until > c.now && (ow.says && !o.move || c.now-sent < unreadFor) {
-			c.Counts.Retold++
+			c.Counts.Redeliveries++
 			c.toAnyOwner(0, o)
 		}
 	}
@@ -374,18 +376,18 @@
 	return all
 }
 
-// OwnerOpen is how many set-ups are open on a connection; good says whether one of it ever came to stand.
-func (c *Core) OwnerOpen(id ConnID) (open int, good bool) {
+// ClientRequests is how many set-ups are open on a connection; good says whether one of it ever came to stand.
+func (c *Core) ClientRequests(id ConnID) (open int, good bool) {
 	if ow := c.owners[id]; ow != nil {
 		return len(ow.open), ow.good > 0
 	}
 	return 0, false
 }
 
-// OwnerNeeded says whether a connection is the only one that is known to be an owner's while tasks stand: their ends have no other way.
-func (c *Core) OwnerNeeded(id ConnID) bool {
+// IsLastClient says whether a connection is the only one that is known to be an owner's while tasks stand: their ends have no other way.
+func (c *Core) IsLastClient(id ConnID) bool {
 	ow := c.owners[id]
-	if ow == nil || ow.heard <= 0 || c.Standing() == 0 {
+	if ow == nil || ow.heard <= 0 || c.RunningTasks() == 0 {
 		return false
 	}
 	for other, o := range c.owners {
@@ -396,9 +398,9 @@
 	return true
 }
 
-// FromOwner takes one message of an owner. An error says what makes no sense about it; where the message had an id, its sender has been
+// ReceiveFromClient takes one message of an owner. An error says what makes no sense about it; where the message had an id, its sender has been
 // answered.
-func (c *Core) FromOwner(now float64, id ConnID, m *jsonl.Message) error {
+func (c *Core) ReceiveFromClient(now float64, id ConnID, m *platformproto.Message) error {
 	c.tick(now)
 	ow := c.owners[id]
 	if ow == nil {
@@ -406,8 +408,8 @@
 	}
 	err := c.fromOwner(id, ow, m)
 	if err != nil {
-		c.Counts.Bad++
-		c.tell(id, reply(m, jsonl.Stop, jsonl.CauseError))
+		c.Counts.InvalidMessages++
+		c.tell(id, reply(m, platformproto.Stop, platformproto.CauseError))
 	} else {
 		ow.heard = c.now
 		c.settle(id)
@@ -416,19 +418,19 @@
 	return err
 }
 
-func (c *Core) fromOwner(id ConnID, ow *owner, m *jsonl.Message) error {
+func (c *Core) fromOwner(id ConnID, ow *owner, m *platformproto.Message) error {
 	switch m.Kind {
-	case jsonl.Check:
+	case platformproto.Check:
 		if c.testedAt == 0 {
 			c.testedAt, c.namedAt = c.now, c.now // the first may be on its way
 		}
-		c.tell(id, reply(m, jsonl.Checked, 1))
-	case jsonl.Stopped:
+		c.tell(id, reply(m, platformproto.Checked, 1))
+	case platformproto.Stopped:
 		ow.says = true
 		ow.unread = slices.DeleteFunc(ow.unread, func(o owed) bool { return o.m.ID == m.ID && !o.move })
-	case jsonl.Launch:
+	case platformproto.Launch:
 		return c.setUp(id, ow, m)
-	case jsonl.Stop:
+	case platformproto.Stop:
 		t := c.byID[m.ID]
 		if t == nil {
 			return nil // crossed our answer
@@ -438,7 +440,7 @@
 				t.over = true
 				cause := m.Reason
 				if !m.HasReason {
-					cause = jsonl.CauseCancelled
+					cause = platformproto.CauseCancelled
 				}
 				c.release(o, cause, false)
 			}
@@ -451,8 +453,8 @@
 	return nil
 }
 
-func (c *Core) setUp(id ConnID, ow *owner, m *jsonl.Message) error {
-	c.Counts.SetUps++
+func (c *Core) setUp(id ConnID, ow *owner, m *platformproto.Message) error {
+	c.Counts.PlacementRequests++
 	task, at, err := c.read(m)
 	if t := c.byID[m.ID]; t != nil {
 		if err == nil && at != "" {
@@ -468,17 +470,17 @@
 		return err
 	}
 	if len(c.byID) >= maxTasks {
-		c.tell(id, reply(m, jsonl.Stop, jsonl.CauseBusy))
+		c.tell(id, reply(m, platformproto.Stop, platformproto.CauseBusy))
 		return nil
 	}
 	if at != "" {
-		c.Counts.Named++
+		c.Counts.Adopted++
 		c.namedAt = c.now
 		return c.holds(id, m, task, at)
 	}
 	t := c.add(id, m, task)
 	c.open++
-	c.Counts.Taken++
+	c.Counts.Accepted++
 	ow.open[t] = struct{}{}
 	task.ID = t.id
 	c.arrive(t, task)
@@ -491,7 +493,7 @@
 func (c *Core) arrive(t *task, x placer.Task) {
 	until := min(c.namedAt+namedGap, c.testedAt+handover, t.deadline)
 	if c.now >= until {
-		c.post(placer.Event{Kind: placer.Arrived, ID: t.id, Task: x})
+		c.post(placer.Event{Kind: placer.Arrived, TaskID: t.id, Task: x})
 		return
 	}
 	c.timers.Add(until, func() {
@@ -501,7 +503,7 @@
 	})
 }
 
-func (c *Core) add(id ConnID, m *jsonl.Message, x placer.Task) *task {
+func (c *Core) add(id ConnID, m *platformproto.Message, x placer.Task) *task {
 	c.next++
 	t := &task{id: c.next, m: *m, conn: id, class: x.Class, deadline: x.Deadline}
 	c.tasks[t.id] = t
@@ -510,7 +512,7 @@
 }
 
 // holds takes over a task that a machine holds already.
-func (c *Core) holds(id ConnID, m *jsonl.Message, x placer.Task, at string) error {
+func (c *Core) holds(id ConnID, m *platformproto.Message, x placer.Task, at string) error {
 	n := c.nodes[c.number(at)]
 	if n == nil {
 		return bad("at", "launch %s: extras: at: %.40q is not in the bulletin", m.UID, at)
@@ -520,19 +522,19 @@
 	}
 	if e, ended := c.ends[place{n.ID, m.ID}]; ended {
 		// Its owner named it while its end was on its way here: no second word of that would come.
-		c.Counts.Ends++
-		c.tellOwed(id, owed{m: reply(m, jsonl.Stop, e.cause), until: c.now + owedFor})
+		c.Counts.TasksEnded++
+		c.tellOwed(id, owed{m: reply(m, platformproto.Stop, e.cause), until: c.now + owedFor})
 		return nil
 	}
 	t := c.add(id, m, x)
 	c.owners[id].good = c.now
-	o := &Offer{Node: n.ID, Message: t.toNode(), t: t, state: bound, sent: c.now, bound: c.now}
+	o := &Attempt{Node: n.ID, Message: t.toNode(), t: t, state: bound, sent: c.now, bound: c.now}
 	t.offers = append(t.offers, o)
 	c.places[place{n.ID, m.ID}] = o
 	n.standing[o] = struct{}{}
 	x.ID = t.id
-	c.post(placer.Event{Kind: placer.Running, ID: t.id, Task: x, Node: n.ID})
-	c.out = append(c.out, Effect{Kind: Held, Offer: o})
+	c.post(placer.Event{Kind: placer.Adopted, TaskID: t.id, Task: x, Node: n.ID})
+	c.out = append(c.out, Effect{Kind: ConnectNode, Attempt: o})
 	if n.State == placer.Gone {
 		c.expireTasks(n)
 	}
@@ -540,23 +542,23 @@
 }
 
 // read checks a set-up and says what the module is to know of it. at is the machine that holds it already, "" if none.
-func (c *Core) read(m *jsonl.Message) (x placer.Task, at string, err error) {
+func (c *Core) read(m *platformproto.Message) (x placer.Task, at string, err error) {
 	if m.Body == "" {
 		return x, "", bad("body", "launch %s: no body", m.UID)
 	}
-	if x.Class = slices.Index(c.s.Classes, m.Get(jsonl.Class)); x.Class < 0 {
-		return x, "", bad("class", "launch %s: class %.40q is not known", m.UID, m.Get(jsonl.Class))
+	if x.Class = slices.Index(c.s.Classes, m.Get(platformproto.Class)); x.Class < 0 {
+		return x, "", bad("class", "launch %s: class %.40q is not known", m.UID, m.Get(platformproto.Class))
 	}
-	if name := m.Get(jsonl.Tenant); name != "" || len(c.s.Tenants) > 0 {
+	if name := m.Get(platformproto.Tenant); name != "" || len(c.s.Tenants) > 0 {
 		if x.Tenant = slices.Index(c.s.Tenants, name); x.Tenant < 0 {
 			return x, "", bad("tenant", "launch %s: tenant %.40q is not known", m.UID, name)
 		}
 	}
-	if _, err := jsonl.ParseID(m.Get(jsonl.Key)); err != nil {
+	if _, err := platformproto.ParseID(m.Get(platformproto.Key)); err != nil {
 		return x, "", bad("key", "launch %s: key: %w", m.UID, err)
 	}
 	seen := 0
-	for part := range strings.SplitSeq(m.Get(jsonl.Extras), ";") {
+	for part := range strings.SplitSeq(m.Get(platformproto.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch name {
 		case "cores", "memory":
@@ -570,9 +572,9 @@
 				x.Memory = v
 			}
 		case "again":
-			x.Again = value == "1"
+			x.IsRetry = value == "1"
 		case "service":
-			id, err := jsonl.ParseID(value)
+			id, err := platformproto.ParseID(value)
 			if err != nil {
 				return x, "", bad("extras", "launch %s: extras: service: %w", m.UID, err)
 			}
@@ -584,31 +586,31 @@
 		}
 	}
 	// Of a task that stands no answer is owed: owners give any time there, such as that of a task without an end.
-	left, err := strconv.ParseFloat(m.Get(jsonl.Left), 64)
+	left, err := strconv.ParseFloat(m.Get(platformproto.Left), 64)
 	most := 2000 * c.s.Placer.Classes[x.Class].Deadline
 	if err != nil || !(left >= 0) || left > most && at == "" {
-		return x, "", bad("left", "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", m.UID, m.Get(jsonl.Left), most)
+		return x, "", bad("left", "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", m.UID, m.Get(platformproto.Left), most)
 	}
 	x.Deadline = c.now + left/1000
 	if seen != 2 {
-		return x, "", bad("extras", "launch %s: extras %.60q: want cores and memory once each", m.UID, m.Get(jsonl.Extras))
+		return x, "", bad("extras", "launch %s: extras %.60q: want cores and memory once each", m.UID, m.Get(platformproto.Extras))
 	}
 	return x, at, nil
 }
 
 // toNode is the set-up as a machine gets it: id, class, key, description, and the key by which copies are known, as they came.
-func (t *task) toNode() jsonl.Message {
-	m := jsonl.Message{Kind: jsonl.Launch, UID: t.m.UID, ID: t.m.ID, Body: t.m.Body}
-	m.Set(jsonl.Class, t.m.Get(jsonl.Class))
-	m.Set(jsonl.Key, t.m.Get(jsonl.Key))
-	if t.m.Has(jsonl.Idem) {
-		m.Set(jsonl.Idem, t.m.Get(jsonl.Idem))
+func (t *task) toNode() platformproto.Message {
+	m := platformproto.Message{Kind: platformproto.Launch, UID: t.m.UID, ID: t.m.ID, Body: t.m.Body}
+	m.Set(platformproto.Class, t.m.Get(platformproto.Class))
+	m.Set(platformproto.Key, t.m.Get(platformproto.Key))
+	if t.m.Has(platformproto.IdempotencyKey) {
+		m.Set(platformproto.IdempotencyKey, t.m.Get(platformproto.IdempotencyKey))
 	}
 	return m
 }
 
 // answer gives the final answer to a set-up that does not stand.
-func (c *Core) answer(t *task, m jsonl.Message) {
+func (c *Core) answer(t *task, m platformproto.Message) {
 	if t.over {
 		return
 	}
@@ -628,7 +630,7 @@
 	c.Counts.Withdrawn++
 	t.gone = true
 	c.close(t)
-	c.post(placer.Event{Kind: placer.Withdrawn, ID: t.id})
+	c.post(placer.Event{Kind: placer.Withdrawn, TaskID: t.id})
 	c.abandon(t, placer.Cancelled)
 	c.drop(t)
 }
@@ -652,14 +654,14 @@
 
 // abandon gives up the attempt that is out.
 func (c *Core) abandon(t *task, as placer.Result) {
-	if n := len(t.offers); n > 0 && t.offers[n-1].Open() {
+	if n := len(t.offers); n > 0 && t.offers[n-1].Unanswered() {
 		c.giveUp(t.offers[n-1], as, false)
 	}
 }
 
 // toOwner sends what is owed for a task that stood: on its own connection, else on one that owners of standing tasks use, the latest first,
 // else on the next one that opens.
-func (c *Core) toOwner(t *task, m jsonl.Message) {
+func (c *Core) toOwner(t *task, m platformproto.Message) {
 	c.toAnyOwner(t.conn, owed{m: m, until: c.now + owedFor})
 }
 
@@ -668,16 +670,16 @@
 		c.tellOwed(id, o)
 		return
 	}
-	c.Counts.Owed++
+	c.Counts.PendingNotifications++
 	c.owed = append(c.owed, o)
 }
 
 // tellOwed sends a release and remembers it for as long as it is owed, or until it was heard.
 func (c *Core) tellOwed(id ConnID, o owed) {
 	c.tell(id, o.m)
-	if o.m.Kind == jsonl.Migrate {
+	if o.m.Kind == platformproto.Migrate {
 		// Sent once more, it is the release that follows from it: where the move was heard, that one is for a task of the past.
-		o.m, o.move = reply(&o.m, jsonl.Stop, jsonl.CauseCancelled), true
+		o.m, o.move = reply(&o.m, platformproto.Stop, platformproto.CauseCancelled), true
 	}
 	ow := c.owners[id]
 	ow.unread = slices.DeleteFunc(ow.unread, func(o owed) bool { return o.until <= c.now })
@@ -705,7 +707,7 @@
 func (c *Core) settle(id ConnID) {
 	for _, o := range c.owed {
 		if o.until < c.now {
-			c.Counts.OwedLost++
+			c.Counts.ExpiredNotifications++
 			continue
 		}
 		c.tellOwed(id, o)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/feed"
-	"heathshed/internal/jsonl"
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/platformproto"
 	"heathshed/internal/proptest"
-	"heathshed/internal/simsettings"
+	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
@@ -44,11 +44,11 @@
 	opened  ConnID
 	conns   []ConnID
 	ids     uint64
-	setUps  map[jsonl.ID]*heard
-	sends   []*Offer // wait for their connection
-	outs    []*Offer // sent
-	stands  []*Offer
-	holding map[jsonl.ID]int // offers of a task that are out or stand
+	setUps  map[platformproto.ID]*heard
+	sends   []*Attempt // wait for their connection
+	outs    []*Attempt // sent
+	stands  []*Attempt
+	holding map[platformproto.ID]int // offers of a task that are out or stand
 }
 
 // heard is what one owner sent and was told.
@@ -61,8 +61,8 @@
 	standing          bool
 }
 
-func newWorld(t rapid.TB, p feed.Module) *world {
-	s, err := simsettings.Parse([]byte(settings))
+func newWorld(t rapid.TB, p eventqueue.Placer) *world {
+	s, err := simconfig.Parse([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,46 +71,46 @@
 			t.Fatal(err)
 		}
 	}
-	w := &world{t: t, now: 1000, no: 1, setUps: map[jsonl.ID]*heard{}, holding: map[jsonl.ID]int{}}
+	w := &world{t: t, now: 1000, no: 1, setUps: map[platformproto.ID]*heard{}, holding: map[platformproto.ID]int{}}
 	known := `{"no":1,"items":[` + roster(1, true, target(1, "in_service", 0), target(2, "in_service", 0), target(3, "in_service", 0)) + `]}`
 	if w.c, err = New(w.now, s, p, []byte(known)); err != nil {
 		t.Fatal(err)
 	}
-	w.c.Streaming(w.now, true)
+	w.c.SetDiscoveryConnected(w.now, true)
 	w.pump()
 	return w
 }
 
 func (w *world) open() ConnID {
 	w.opened++
-	w.c.OwnerOpened(w.now, w.opened)
+	w.c.ClientConnected(w.now, w.opened)
 	w.conns = append(w.conns, w.opened)
 	w.pump()
 	return w.opened
 }
 
-func (w *world) launch(conn ConnID, class string, left float64, extras string) jsonl.ID {
+func (w *world) launch(conn ConnID, class string, left float64, extras string) platformproto.ID {
 	w.ids++
-	m := message(jsonl.Launch, jsonl.ID(w.ids), -1)
+	m := message(platformproto.Launch, platformproto.ID(w.ids), -1)
 	m.Body = `"in"`
-	for f, v := range map[jsonl.Field]string{jsonl.Class: class, jsonl.Tenant: "south", jsonl.Key: m.UID, jsonl.Left: fmt.Sprint(left),
-		jsonl.Extras: "cores:1;memory:1;service:0000000000000009" + extras} {
+	for f, v := range map[platformproto.Field]string{platformproto.Class: class, platformproto.Tenant: "south", platformproto.Key: m.UID, platformproto.Left: fmt.Sprint(left),
+		platformproto.Extras: "cores:1;memory:1;service:0000000000000009" + extras} {
 		m.Set(f, v)
 	}
 	w.setUps[m.ID] = &heard{conn: conn, deadline: w.now + left/1000, at: extras != "", standing: extras != ""}
-	if err := w.c.FromOwner(w.now, conn, &m); err != nil {
+	if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
 		w.t.Fatalf("launch: %v", err)
 	}
 	w.pump()
 	return m.ID
 }
 
-func message(k jsonl.Kind, id jsonl.ID, cause int) jsonl.Message {
-	return jsonl.Message{Kind: k, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Reason: max(cause, 0), HasReason: cause >= 0}
+func message(k platformproto.Kind, id platformproto.ID, cause int) platformproto.Message {
+	return platformproto.Message{Kind: k, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Reason: max(cause, 0), HasReason: cause >= 0}
 }
 
-func (w *world) node(o *Offer, m jsonl.Message) {
-	w.c.FromNode(w.now, o.Node, &m)
+func (w *world) node(o *Attempt, m platformproto.Message) {
+	w.c.ReceiveFromNode(w.now, o.Node, &m)
 	w.pump()
 }
 
@@ -118,15 +118,15 @@
 func (w *world) pump() {
 	for _, e := range w.c.Ready() {
 		switch e.Kind {
-		case Send:
-			w.sends = append(w.sends, e.Offer)
-		case Tell:
+		case SendAttempt:
+			w.sends = append(w.sends, e.Attempt)
+		case SendToClient:
 			h := w.setUps[e.Message.ID]
 			if h == nil {
 				w.t.Fatalf("told %v of a set-up that nobody sent", e.Message)
 			}
 			switch {
-			case e.Message.Kind == jsonl.Running:
+			case e.Message.Kind == platformproto.Running:
 				if h.answers++; h.gone || h.at || e.Conn != h.conn || e.Message.Body != `"out"` || w.now > h.deadline+0.01 {
 					w.t.Fatalf("answer %v at %v to %+v on %d", e.Message, w.now, h, e.Conn)
 				}
@@ -150,13 +150,13 @@
 }
 
 // hear has an owner say that it heard a release.
-func (w *world) hear(id jsonl.ID) {
+func (w *world) hear(id platformproto.ID) {
 	h := w.setUps[id]
 	if h.toldOn == 0 || w.c.owners[h.toldOn] == nil {
 		return
 	}
-	m := message(jsonl.Stopped, id, -1)
-	if err := w.c.FromOwner(w.now, h.toldOn, &m); err != nil {
+	m := message(platformproto.Stopped, id, -1)
+	if err := w.c.ReceiveFromClient(w.now, h.toldOn, &m); err != nil {
 		w.t.Fatal(err)
 	}
 	h.toldOn = 0
@@ -167,7 +167,7 @@
 func (w *world) start(i int) {
 	o := w.sends[i]
 	w.sends = append(w.sends[:i], w.sends[i+1:]...)
-	if !w.c.MayStart(w.now, o) {
+	if !w.c.PrepareSend(w.now, o) {
 		w.pump()
 		return
 	}
@@ -185,8 +185,8 @@
 
 func (w *world) advance(by float64) {
 	to := w.now + by
-	for w.c.Due() <= to {
-		w.now = max(w.now, w.c.Due())
+	for w.c.NextTimer() <= to {
+		w.now = max(w.now, w.c.NextTimer())
 		w.c.Advance(w.now)
 		w.pump()
 	}
@@ -215,14 +215,14 @@
 			case 6:
 				if len(w.sends) > 0 {
 					i := some(len(w.sends), "send")
-					w.c.Unreachable(w.now, w.sends[i])
+					w.c.ConnectFailed(w.now, w.sends[i])
 					w.sends = append(w.sends[:i], w.sends[i+1:]...)
 					w.pump()
 				}
 			case 7, 8:
 				if len(w.outs) > 0 {
 					o := w.outs[some(len(w.outs), "out")]
-					m := message(jsonl.Running, o.Message.ID, -1)
+					m := message(platformproto.Running, o.Message.ID, -1)
 					m.Body = `"out"`
 					w.node(o, m)
 					// It may be a later attempt at the same machine that this answers.
@@ -235,20 +235,20 @@
 			case 9:
 				if len(w.outs) > 0 {
 					w.node(w.outs[some(len(w.outs), "out")],
-						message(jsonl.Stop, w.outs[some(len(w.outs), "of")].Message.ID, []int{16, 31, 34, 41, 47, 102, 5}[some(7, "cause")]))
+						message(platformproto.Stop, w.outs[some(len(w.outs), "of")].Message.ID, []int{16, 31, 34, 41, 47, 102, 5}[some(7, "cause")]))
 				}
 			case 10:
 				if len(w.outs) > 0 {
-					w.c.Broken(w.now, w.outs[some(len(w.outs), "out")])
+					w.c.ConnectionLost(w.now, w.outs[some(len(w.outs), "out")])
 					w.pump()
 				}
 			case 11:
 				if w.ids > 0 {
-					id := jsonl.ID(1 + some(int(w.ids), "id"))
+					id := platformproto.ID(1 + some(int(w.ids), "id"))
 					if h := w.setUps[id]; w.c.owners[h.conn] != nil {
 						h.gone = h.gone || h.answers == 0
-						m := message(jsonl.Stop, id, 16)
-						if err := w.c.FromOwner(w.now, h.conn, &m); err != nil {
+						m := message(platformproto.Stop, id, 16)
+						if err := w.c.ReceiveFromClient(w.now, h.conn, &m); err != nil {
 							t.Fatal(err)
 						}
 						w.pump()
@@ -266,7 +266,7 @@
 						for _, h := range w.setUps {
 							h.gone = h.gone || h.conn == w.conns[i] && h.answers == 0
 						}
-						w.c.OwnerClosed(w.now, w.conns[i])
+						w.c.ClientDisconnected(w.now, w.conns[i])
 						w.conns = append(w.conns[:i], w.conns[i+1:]...)
 						w.pump()
 					}
@@ -278,7 +278,7 @@
 							all = append(all, target(1+i, []string{"in_service", "terminating"}[some(2, "state")], 0))
 						}
 					}
-					if ok, err := w.c.Bulletin(w.now, []byte(roster(w.no, true, all...))); !ok || err != nil {
+					if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(roster(w.no, true, all...))); !ok || err != nil {
 						t.Fatal(ok, err)
 					}
 					w.pump()
@@ -286,25 +286,25 @@
 					w.no++
 					ev := roster(w.no, false, target(1+some(5, "node"), []string{"in_service", "terminating", "terminated"}[some(3, "state")],
 						int64(some(3, "boot"))*int64(w.now*1000)))
-					if ok, err := w.c.Bulletin(w.now, []byte(ev)); !ok || err != nil {
+					if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(ev)); !ok || err != nil {
 						t.Fatal(ok, err)
 					}
 					w.pump()
 				}
 			case 13:
 				if w.ids > 0 {
-					w.hear(jsonl.ID(1 + some(int(w.ids), "id")))
+					w.hear(platformproto.ID(1 + some(int(w.ids), "id")))
 				}
 			case 14: // the core is told that a task stands, or that it does and is over at its machine, in either order
 				if len(w.conns) > 0 {
-					conn, end := w.conns[some(len(w.conns), "conn")], message(jsonl.Stop, jsonl.ID(w.ids+1), jsonl.CauseEnd)
+					conn, end := w.conns[some(len(w.conns), "conn")], message(platformproto.Stop, platformproto.ID(w.ids+1), platformproto.CauseEnd)
 					crossed := some(2, "crossed") == 0
 					if crossed {
-						w.c.FromNode(w.now, NodeNumber("s-00000001"), &end)
+						w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000001"), &end)
 					}
 					id := w.launch(conn, "seats", 4294967, ";at:s-00000001")
 					if !crossed {
-						w.c.FromNode(w.now, NodeNumber("s-00000001"), &end)
+						w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000001"), &end)
 						w.pump()
 					}
 					if w.setUps[id].releases != 1 {
@@ -322,13 +322,13 @@
 // settle ends all that stands, waits until everything is over, and looks at what is left.
 func (w *world) settle() {
 	w.advance(10)
-	for _, o := range append([]*Offer(nil), w.stands...) {
-		w.node(o, message(jsonl.Stop, o.Message.ID, jsonl.CauseEnd))
+	for _, o := range append([]*Attempt(nil), w.stands...) {
+		w.node(o, message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd))
 	}
 	w.open()
-	hello := message(jsonl.Check, 1<<60, 0)
+	hello := message(platformproto.Check, 1<<60, 0)
 	w.setUps[hello.ID] = &heard{standing: true}
-	if err := w.c.FromOwner(w.now, w.opened, &hello); err != nil {
+	if err := w.c.ReceiveFromClient(w.now, w.opened, &hello); err != nil {
 		w.t.Fatal(err)
 	}
 	w.pump()
@@ -339,8 +339,8 @@
 		}
 	}
 	c := w.c
-	if c.Open() != 0 || c.Standing() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 || len(c.owed) != 0 {
-		w.t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places, %d owed", c.Open(), c.Standing(), len(c.tasks), len(c.byID),
+	if c.OpenRequests() != 0 || c.RunningTasks() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 || len(c.owed) != 0 {
+		w.t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places, %d owed", c.OpenRequests(), c.RunningTasks(), len(c.tasks), len(c.byID),
 			len(c.places), len(c.owed))
 	}
 }
@@ -351,7 +351,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, nil)
 		some := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-		node := func(id int) placer.NodeID { return NodeNumber(fmt.Sprintf("s-%08x", 1+id%3)) }
+		node := func(id int) placer.NodeID { return NodeIDOf(fmt.Sprintf("s-%08x", 1+id%3)) }
 		conn := w.open()
 		const tasks = 12
 		named, over := map[int]bool{}, map[int]bool{}
@@ -359,37 +359,37 @@
 			id := 1 + some(tasks, "id")
 			switch some(6, "step") {
 			case 0, 1:
-				if named[id] && w.setUps[jsonl.ID(id)].conn != conn { // named again elsewhere
-					w.setUps[jsonl.ID(id)].conn = conn
+				if named[id] && w.setUps[platformproto.ID(id)].conn != conn { // named again elsewhere
+					w.setUps[platformproto.ID(id)].conn = conn
 				}
-				h := w.setUps[jsonl.ID(id)]
+				h := w.setUps[platformproto.ID(id)]
 				if h == nil {
 					h = &heard{conn: conn, at: true, standing: true}
-					w.setUps[jsonl.ID(id)] = h
+					w.setUps[platformproto.ID(id)] = h
 				}
 				if h.releases > 0 {
 					continue // its owner knows
 				}
-				m := w.setUpMessage(jsonl.ID(id))
-				m.Set(jsonl.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
-				m.Set(jsonl.Left, "4294967")
-				if err := w.c.FromOwner(w.now, conn, &m); err != nil {
+				m := w.setUpMessage(platformproto.ID(id))
+				m.Set(platformproto.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
+				m.Set(platformproto.Left, "4294967")
+				if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
 					t.Fatal(err)
 				}
 				named[id] = true
 				w.pump()
 			case 2, 3:
 				over[id] = true
-				m := message(jsonl.Stop, jsonl.ID(id), []int{16, 41}[some(2, "cause")])
-				w.c.FromNode(w.now, node(id), &m)
+				m := message(platformproto.Stop, platformproto.ID(id), []int{16, 41}[some(2, "cause")])
+				w.c.ReceiveFromNode(w.now, node(id), &m)
 				w.pump()
 			case 4:
-				w.c.OwnerClosed(w.now, conn)
+				w.c.ClientDisconnected(w.now, conn)
 				w.pump()
 				conn = w.open()
-				hello := message(jsonl.Check, 1<<60, 0)
+				hello := message(platformproto.Check, 1<<60, 0)
 				w.setUps[hello.ID] = &heard{standing: true}
-				if err := w.c.FromOwner(w.now, conn, &hello); err != nil {
+				if err := w.c.ReceiveFromClient(w.now, conn, &hello); err != nil {
 					t.Fatal(err)
 				}
 				w.pump()
@@ -398,13 +398,13 @@
 			}
 		}
 		for id := range named {
-			if h := w.setUps[jsonl.ID(id)]; over[id] && h.releases == 0 {
+			if h := w.setUps[platformproto.ID(id)]; over[id] && h.releases == 0 {
 				t.Fatalf("task %d ended and was named, and its owner was told nothing", id)
 			}
 		}
 		for id := 1; id <= tasks; id++ {
-			m := message(jsonl.Stop, jsonl.ID(id), jsonl.CauseEnd)
-			w.c.FromNode(w.now, node(id), &m)
+			m := message(platformproto.Stop, platformproto.ID(id), platformproto.CauseEnd)
+			w.c.ReceiveFromNode(w.now, node(id), &m)
 		}
 		w.pump()
 		w.settle()
@@ -424,26 +424,26 @@
 	s.events = append(s.events, ev)
 	switch {
 	case ev.Kind == placer.Arrived:
-		return append(actions, placer.Action{Kind: placer.Offer, Task: ev.ID, Node: s.to, Until: ev.Task.Deadline})
-	case ev.Kind == placer.Ended && !ev.Over:
-		return append(actions, placer.Action{Kind: placer.Refuse, Task: ev.ID, After: 1.5})
+		return append(actions, placer.Action{Kind: placer.StartAttempt, Task: ev.TaskID, Node: s.to, Until: ev.Task.Deadline})
+	case ev.Kind == placer.Ended && !ev.Final:
+		return append(actions, placer.Action{Kind: placer.Reject, Task: ev.TaskID, After: 1.5})
 	}
 	return actions
 }
 
 func (s *script) last() placer.Event { return s.events[len(s.events)-1] }
 
-func standing(t *testing.T, class string) (*world, *script, *Offer) {
+func standing(t *testing.T, class string) (*world, *script, *Attempt) {
 	t.Helper()
-	s := &script{to: NodeNumber("s-00000001")}
+	s := &script{to: NodeIDOf("s-00000001")}
 	w := newWorld(t, s)
 	w.launch(w.open(), class, 2000, "")
 	w.start(0)
 	return w, s, w.outs[0]
 }
 
-func accept(w *world, o *Offer) {
-	m := message(jsonl.Running, o.Message.ID, -1)
+func accept(w *world, o *Attempt) {
+	m := message(platformproto.Running, o.Message.ID, -1)
 	m.Body = `"out"`
 	w.node(o, m)
 }
@@ -460,23 +460,23 @@
 	} {
 		w, _, o := standing(t, c.class)
 		if c.gone {
-			m := message(jsonl.Stop, o.Message.ID, 16)
+			m := message(platformproto.Stop, o.Message.ID, 16)
 			w.setUps[m.ID].gone = true
-			if err := w.c.FromOwner(w.now, 1, &m); err != nil {
+			if err := w.c.ReceiveFromClient(w.now, 1, &m); err != nil {
 				t.Fatal(err)
 			}
 			w.pump()
 		} else {
 			w.advance(2.005)
 		}
-		m := message(jsonl.Running, o.Message.ID, -1)
+		m := message(platformproto.Running, o.Message.ID, -1)
 		m.Body = `"out"`
-		w.c.FromNode(w.now, o.Node, &m)
+		w.c.ReceiveFromNode(w.now, o.Node, &m)
 		released := false
 		for _, e := range w.c.Ready() {
-			released = released || e.Kind == Release && e.Message.Kind == jsonl.Stop
+			released = released || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
 		}
-		if released != c.released || w.c.Standing() != 0 {
+		if released != c.released || w.c.RunningTasks() != 0 {
 			t.Errorf("%s: released %v", c.name, released)
 		}
 	}
@@ -485,15 +485,15 @@
 func TestReleaseFindsAnOwner(t *testing.T) {
 	told := func(w *world) (conns []ConnID) {
 		for _, e := range w.c.Ready() {
-			if e.Kind == Tell && e.Message.Kind == jsonl.Stop {
+			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop {
 				conns = append(conns, e.Conn)
 			}
 		}
 		return conns
 	}
-	end := func(w *world, o *Offer) {
-		m := message(jsonl.Stop, o.Message.ID, jsonl.CauseEnd)
-		w.c.FromNode(w.now, o.Node, &m)
+	end := func(w *world, o *Attempt) {
+		m := message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd)
+		w.c.ReceiveFromNode(w.now, o.Node, &m)
 	}
 	w, _, o := standing(t, "seats")
 	accept(w, o)
@@ -505,20 +505,20 @@
 	w, _, o = standing(t, "seats")
 	accept(w, o)
 	stranger := w.open() // says nothing
-	w.c.OwnerClosed(w.now, 1)
+	w.c.ClientDisconnected(w.now, 1)
 	end(w, o)
-	if got := told(w); len(got) != 0 || w.c.Counts.Owed != 1 {
+	if got := told(w); len(got) != 0 || w.c.Counts.PendingNotifications != 1 {
 		t.Fatalf("told on %v, a stranger has %d", got, stranger)
 	}
 	next := w.open()
-	m := message(jsonl.Check, 77, 0)
-	if err := w.c.FromOwner(w.now+7, next, &m); err != nil {
+	m := message(platformproto.Check, 77, 0)
+	if err := w.c.ReceiveFromClient(w.now+7, next, &m); err != nil {
 		t.Fatal(err)
 	}
 	if got := told(w); len(got) != 1 || got[0] != next {
 		t.Fatalf("told on %v", got)
 	}
-	if err := w.c.FromOwner(w.now+7, next, &m); err != nil || len(told(w)) != 0 {
+	if err := w.c.ReceiveFromClient(w.now+7, next, &m); err != nil || len(told(w)) != 0 {
 		t.Fatal("told twice")
 	}
 }
@@ -527,21 +527,21 @@
 func TestMoveCrossesTheEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause, want int
-	}{"confirmed": {jsonl.CauseCancelled, -1}, "ended by itself": {jsonl.CauseEnd, jsonl.CauseEnd}, "no word": {-1, jsonl.CauseCancelled}} {
+	}{"confirmed": {platformproto.CauseCancelled, -1}, "ended by itself": {platformproto.CauseEnd, platformproto.CauseEnd}, "no word": {-1, platformproto.CauseCancelled}} {
 		w, _, o := standing(t, "seats")
 		accept(w, o)
-		w.c.act(&placer.Action{Kind: placer.Move, Task: o.t.id})
-		if out := w.c.Ready(); len(out) != 2 || out[0].Message.Kind != jsonl.Migrate || out[1].Kind != Release {
+		w.c.act(&placer.Action{Kind: placer.Migrate, Task: o.t.id})
+		if out := w.c.Ready(); len(out) != 2 || out[0].Message.Kind != platformproto.Migrate || out[1].Kind != SendToNode {
 			t.Fatalf("%s: %+v", name, out)
 		}
 		if c.cause >= 0 {
-			m := message(jsonl.Stop, o.Message.ID, c.cause)
-			w.c.FromNode(w.now, o.Node, &m)
+			m := message(platformproto.Stop, o.Message.ID, c.cause)
+			w.c.ReceiveFromNode(w.now, o.Node, &m)
 		}
 		w.c.Advance(w.now + 1)
 		got := -1
 		for _, e := range w.c.Ready() {
-			if e.Kind == Tell {
+			if e.Kind == SendToClient {
 				got = e.Message.Reason
 			}
 		}
@@ -554,13 +554,13 @@
 // TestSetUpsWaitForWhatStands: what stands already is named in many lines after the first test. A set-up that is read among them is told to the
 // module behind the last, unless they go on for too long; at other times it is told at once.
 func TestSetUpsWaitForWhatStands(t *testing.T) {
-	s := &script{to: NodeNumber("s-00000001")}
+	s := &script{to: NodeIDOf("s-00000001")}
 	w := newWorld(t, s)
 	conn := w.open()
 	order := func() (got string) {
 		for _, ev := range s.events {
 			switch ev.Kind {
-			case placer.Running:
+			case placer.Adopted:
 				got += "r"
 			case placer.Arrived:
 				got += "A"
@@ -569,9 +569,9 @@
 		s.events = nil
 		return got
 	}
-	check := message(jsonl.Check, 1<<50, 0)
+	check := message(platformproto.Check, 1<<50, 0)
 	w.setUps[check.ID] = &heard{standing: true}
-	if err := w.c.FromOwner(w.now, conn, &check); err != nil {
+	if err := w.c.ReceiveFromClient(w.now, conn, &check); err != nil {
 		t.Fatal(err)
 	}
 	w.pump()
@@ -582,8 +582,8 @@
 	}
 	gone := w.launch(conn, "query", 2000, "") // and one that is taken back meanwhile
 	w.setUps[gone].gone = true
-	back := message(jsonl.Stop, gone, 16)
-	if err := w.c.FromOwner(w.now, conn, &back); err != nil {
+	back := message(platformproto.Stop, gone, 16)
+	if err := w.c.ReceiveFromClient(w.now, conn, &back); err != nil {
 		t.Fatal(err)
 	}
 	w.launch(conn, "query", 2000, "")
@@ -629,24 +629,24 @@
 	} {
 		w, _, o := standing(t, "seats")
 		accept(w, o)
-		say := func(conn ConnID, m jsonl.Message) {
-			if err := w.c.FromOwner(w.now, conn, &m); err != nil {
+		say := func(conn ConnID, m platformproto.Message) {
+			if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if c.says {
-			say(1, message(jsonl.Stopped, 99, -1))
+			say(1, message(platformproto.Stopped, 99, -1))
 		}
 		if c.move {
-			w.c.act(&placer.Action{Kind: placer.Move, Task: o.t.id})
-			m := message(jsonl.Stop, o.Message.ID, jsonl.CauseCancelled)
-			w.c.FromNode(w.now, o.Node, &m)
+			w.c.act(&placer.Action{Kind: placer.Migrate, Task: o.t.id})
+			m := message(platformproto.Stop, o.Message.ID, platformproto.CauseCancelled)
+			w.c.ReceiveFromNode(w.now, o.Node, &m)
 		} else {
-			m := message(jsonl.Stop, o.Message.ID, jsonl.CauseEnd)
-			w.c.FromNode(w.now, o.Node, &m)
+			m := message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd)
+			w.c.ReceiveFromNode(w.now, o.Node, &m)
 		}
 		if c.heard {
-			say(1, message(jsonl.Stopped, o.Message.ID, -1))
+			say(1, message(platformproto.Stopped, o.Message.ID, -1))
 		}
 		w.c.Ready()
 		w.c.Advance(w.now + c.after)
@@ -654,17 +654,17 @@
 		other := ConnID(0)
 		if c.other {
 			other = w.open()
-			say(other, message(jsonl.Check, 77, 0))
+			say(other, message(platformproto.Check, 77, 0))
 			w.c.Ready()
 		}
-		w.c.OwnerClosed(w.now, 1)
+		w.c.ClientDisconnected(w.now, 1)
 		if !c.other {
 			other = w.open()
-			say(other, message(jsonl.Check, 77, 0))
+			say(other, message(platformproto.Check, 77, 0))
 		}
 		got := 0
 		for _, e := range w.c.Ready() {
-			if e.Kind == Tell && e.Message.Kind == jsonl.Stop && e.Message.ID == o.Message.ID && e.Conn == other {
+			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop && e.Message.ID == o.Message.ID && e.Conn == other {
 				got++
 			}
 		}
@@ -680,34 +680,34 @@
 	for name, c := range map[string]struct {
 		cause int
 		as    placer.Result
-	}{"says that it ended it": {jsonl.CauseCancelled, placer.Cancelled}, "says that it had ended": {jsonl.CauseEnd, placer.Finished},
+	}{"says that it ended it": {platformproto.CauseCancelled, placer.Cancelled}, "says that it had ended": {platformproto.CauseEnd, placer.Finished},
 		"never says anything": {-1, placer.Cancelled}} {
 		w, s, o := standing(t, "seats")
 		accept(w, o)
 		h := w.setUps[o.Message.ID]
 		events := len(s.events)
-		if n := w.c.NodeSilent(w.now, o.Node); n != 1 {
+		if n := w.c.NodeUnresponsive(w.now, o.Node); n != 1 {
 			t.Fatalf("%s: %d tasks", name, n)
 		}
 		cut := false
 		out := w.c.Ready()
 		for _, e := range out {
-			cut = cut || e.Kind == Release && e.Message.Kind == jsonl.Stop
+			cut = cut || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
 		}
 		w.c.out = out
 		w.pump()
-		if h.releases != 1 || !cut || len(s.events) != events || w.c.Standing() != 1 {
-			t.Errorf("%s: %+v, machine told %v, %d events, %d standing", name, h, cut, len(s.events)-events, w.c.Standing())
+		if h.releases != 1 || !cut || len(s.events) != events || w.c.RunningTasks() != 1 {
+			t.Errorf("%s: %+v, machine told %v, %d events, %d standing", name, h, cut, len(s.events)-events, w.c.RunningTasks())
 		}
-		if n := w.c.NodeSilent(w.now, o.Node); n != 0 {
+		if n := w.c.NodeUnresponsive(w.now, o.Node); n != 0 {
 			t.Errorf("%s: %d tasks at the second time", name, n)
 		}
 		if c.cause >= 0 {
-			w.node(o, message(jsonl.Stop, o.Message.ID, c.cause))
+			w.node(o, message(platformproto.Stop, o.Message.ID, c.cause))
 		} else {
 			w.advance(owedFor + 0.01)
 		}
-		if h.releases != 1 || s.last().Kind != placer.Ended || s.last().Result != c.as || w.c.Standing() != 0 {
+		if h.releases != 1 || s.last().Kind != placer.Ended || s.last().Result != c.as || w.c.RunningTasks() != 0 {
 			t.Errorf("%s: %+v, last event %+v", name, h, s.last())
 		}
 	}
@@ -721,17 +721,17 @@
 		cause int
 		note  string
 		over  bool
-	}{"sent away": {jsonl.CauseReset, "drained", true}, "evicted": {jsonl.CauseReset, "oom", true}, "pushed out": {jsonl.CauseReset, "preempted", true},
-		"broke on its way": {jsonl.CauseReset, "", false}, "full": {jsonl.CauseFull, "drained", false}} {
+	}{"sent away": {platformproto.CauseReset, "drained", true}, "evicted": {platformproto.CauseReset, "oom", true}, "pushed out": {platformproto.CauseReset, "preempted", true},
+		"broke on its way": {platformproto.CauseReset, "", false}, "full": {platformproto.CauseFull, "drained", false}} {
 		w, s, o := standing(t, "query")
 		h := w.setUps[o.Message.ID]
-		m := message(jsonl.Stop, o.Message.ID, c.cause)
-		m.Set(jsonl.Note, c.note)
-		w.c.FromNode(w.now, o.Node, &m)
+		m := message(platformproto.Stop, o.Message.ID, c.cause)
+		m.Set(platformproto.Note, c.note)
+		w.c.ReceiveFromNode(w.now, o.Node, &m)
 		var told []int
 		out := w.c.Ready()
 		for _, e := range out {
-			if e.Kind == Tell {
+			if e.Kind == SendToClient {
 				told = append(told, e.Message.Reason)
 			}
 		}
@@ -741,11 +741,11 @@
 		for _, ev := range s.events {
 			bound = bound || ev.Kind == placer.Bound
 		}
-		if c.over != (len(told) == 1 && told[0] == jsonl.CauseReset) || bound != c.over || s.last().Over != c.over || h.answers != 1 {
+		if c.over != (len(told) == 1 && told[0] == platformproto.CauseReset) || bound != c.over || s.last().Final != c.over || h.answers != 1 {
 			t.Errorf("%s: owner told %v, module told that it stood %v, last event %+v", name, told, bound, s.last())
 		}
 		accept(w, o)
-		if w.c.Standing() != 0 || h.answers != 1 {
+		if w.c.RunningTasks() != 0 || h.answers != 1 {
 			t.Errorf("%s: stands after a late answer", name)
 		}
 	}
@@ -755,19 +755,19 @@
 	w := newWorld(t, nil)
 	conn := w.open()
 	id := w.launch(conn, "seats", 4294967, ";at:s-00000002")
-	if w.c.Standing() != 1 || w.c.Open() != 0 {
+	if w.c.RunningTasks() != 1 || w.c.OpenRequests() != 0 {
 		t.Fatal("not taken over")
 	}
 	again := w.setUps[id]
 	w.ids--
 	w.launch(conn, "seats", 4294967, ";at:s-00000002") // named twice
 	w.setUps[id] = again
-	if w.c.Standing() != 1 {
+	if w.c.RunningTasks() != 1 {
 		t.Fatal("taken over twice")
 	}
-	w.c.FromNode(w.now, NodeNumber("s-00000002"), &jsonl.Message{Kind: jsonl.Stop, ID: id, Reason: 16, HasReason: true})
+	w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000002"), &platformproto.Message{Kind: platformproto.Stop, ID: id, Reason: 16, HasReason: true})
 	w.pump()
-	if again.releases != 1 || w.c.Standing() != 0 {
+	if again.releases != 1 || w.c.RunningTasks() != 0 {
 		t.Fatalf("%+v", again)
 	}
 }
@@ -782,11 +782,11 @@
 		accept(w, o)
 		h := w.setUps[o.Message.ID]
 		w.now += 3
-		if _, err := w.c.Bulletin(w.now, []byte(ev)); err != nil {
+		if _, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(ev)); err != nil {
 			t.Fatal(err)
 		}
 		w.pump()
-		w.advance(GoneGrace + 0.01)
+		w.advance(TerminationGrace + 0.01)
 		if h.releases != 1 || s.last().Result != placer.Lost {
 			t.Errorf("%s: %+v, last event %+v", name, h, s.last())
 		}
@@ -808,11 +808,11 @@
 		{`{"no":3,"other":{}}`, true, false, 3},
 		{roster(4, false, target(4, "terminating", 0)), true, false, 4},
 	} {
-		if ok, err := w.c.Bulletin(w.now, []byte(c.ev)); ok != c.ok || (err != nil) != c.bad || w.c.Last() != c.last {
-			t.Errorf("%s: ok %v, %v, last %d", c.ev, ok, err, w.c.Last())
+		if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(c.ev)); ok != c.ok || (err != nil) != c.bad || w.c.LastDiscoveryEvent() != c.last {
+			t.Errorf("%s: ok %v, %v, last %d", c.ev, ok, err, w.c.LastDiscoveryEvent())
 		}
 	}
-	if n := w.c.Node(NodeNumber("s-00000004")); n.State != placer.Draining {
+	if n := w.c.Node(NodeIDOf("s-00000004")); n.State != placer.Draining {
 		t.Errorf("state %d", n.State)
 	}
 }
@@ -821,41 +821,41 @@
 	w := newWorld(t, nil)
 	conn := w.open()
 	id := w.launch(conn, "query", 1000, "")
-	for name, change := range map[string]func(*jsonl.Message){
-		"class":        func(m *jsonl.Message) { m.Set(jsonl.Class, "gold") },
-		"tenant":       func(m *jsonl.Message) { m.Set(jsonl.Tenant, "north") },
-		"key":          func(m *jsonl.Message) { m.Set(jsonl.Key, "x") },
-		"body":         func(m *jsonl.Message) { m.Body = "" },
-		"left":         func(m *jsonl.Message) { m.Set(jsonl.Left, "-1") },
-		"left long":    func(m *jsonl.Message) { m.Set(jsonl.Left, "8001") },
-		"left huge":    func(m *jsonl.Message) { m.Set(jsonl.Left, "1e300") },
-		"left NaN":     func(m *jsonl.Message) { m.Set(jsonl.Left, "NaN") },
-		"cores":        func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:-1;memory:1") },
-		"cores Inf":    func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:Inf;memory:1") },
-		"no memory":    func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1") },
-		"service":      func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;service:zz") },
-		"at":           func(m *jsonl.Message) { m.Set(jsonl.Extras, "cores:1;memory:1;at:s-77777777") },
-		"an id in use": func(m *jsonl.Message) { m.ID, m.UID = id, fmt.Sprintf("%016x", uint64(id)) },
+	for name, change := range map[string]func(*platformproto.Message){
+		"class":        func(m *platformproto.Message) { m.Set(platformproto.Class, "gold") },
+		"tenant":       func(m *platformproto.Message) { m.Set(platformproto.Tenant, "north") },
+		"key":          func(m *platformproto.Message) { m.Set(platformproto.Key, "x") },
+		"body":         func(m *platformproto.Message) { m.Body = "" },
+		"left":         func(m *platformproto.Message) { m.Set(platformproto.Left, "-1") },
+		"left long":    func(m *platformproto.Message) { m.Set(platformproto.Left, "8001") },
+		"left huge":    func(m *platformproto.Message) { m.Set(platformproto.Left, "1e300") },
+		"left NaN":     func(m *platformproto.Message) { m.Set(platformproto.Left, "NaN") },
+		"cores":        func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:-1;memory:1") },
+		"cores Inf":    func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:Inf;memory:1") },
+		"no memory":    func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1") },
+		"service":      func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;service:zz") },
+		"at":           func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:s-77777777") },
+		"an id in use": func(m *platformproto.Message) { m.ID, m.UID = id, fmt.Sprintf("%016x", uint64(id)) },
 	} {
 		m := w.setUpMessage(99)
 		change(&m)
 		other := w.open()
-		err := w.c.FromOwner(w.now, other, &m)
+		err := w.c.ReceiveFromClient(w.now, other, &m)
 		out := w.c.Ready()
-		if err == nil || len(out) != 1 || out[0].Kind != Tell || out[0].Conn != other || out[0].Message.Reason != jsonl.CauseError {
+		if err == nil || len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Reason != platformproto.CauseError {
 			t.Errorf("%s: %v, %+v", name, err, out)
 		}
 	}
-	if w.c.Open() != 1 {
-		t.Errorf("%d open", w.c.Open())
+	if w.c.OpenRequests() != 1 {
+		t.Errorf("%d open", w.c.OpenRequests())
 	}
 }
 
-func (w *world) setUpMessage(id jsonl.ID) jsonl.Message {
-	m := message(jsonl.Launch, id, -1)
+func (w *world) setUpMessage(id platformproto.ID) platformproto.Message {
+	m := message(platformproto.Launch, id, -1)
 	m.Body = `"in"`
-	for f, v := range map[jsonl.Field]string{jsonl.Class: "query", jsonl.Tenant: "south", jsonl.Key: m.UID, jsonl.Left: "1000",
-		jsonl.Extras: "cores:1;memory:1"} {
+	for f, v := range map[platformproto.Field]string{platformproto.Class: "query", platformproto.Tenant: "south", platformproto.Key: m.UID, platformproto.Left: "1000",
+		platformproto.Extras: "cores:1;memory:1"} {
 		m.Set(f, v)
 	}
 	return m
@@ -873,16 +873,16 @@
 		for _, o := range w.outs {
 			accept(w, o)
 			if i%2 == 0 {
-				w.node(o, message(jsonl.Stop, o.Message.ID, jsonl.CauseEnd))
+				w.node(o, message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd))
 			}
 		}
 		w.outs, w.stands = nil, w.outs // of earlier ones the machine is gone
 		w.no++
-		if _, err := w.c.Bulletin(w.now, []byte(roster(w.no, false, target(i+4, "in_service", 0), target(i+1, "terminated", 0)))); err != nil {
+		if _, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(roster(w.no, false, target(i+4, "in_service", 0), target(i+1, "terminated", 0)))); err != nil {
 			t.Fatal(err)
 		}
 		w.advance(0.2)
-		w.c.OwnerClosed(w.now, conn)
+		w.c.ClientDisconnected(w.now, conn)
 		w.pump()
 	}
 	w.conns = nil
@@ -908,33 +908,33 @@
 		w := newWorld(t, nil)
 		conn := w.open()
 		for line := range strings.SplitSeq(text, "\n") {
-			var m jsonl.Message
-			if jsonl.Parse([]byte(line), &m) != nil {
+			var m platformproto.Message
+			if platformproto.Parse([]byte(line), &m) != nil {
 				continue
 			}
-			w.c.FromOwner(w.now, conn, &m)
+			w.c.ReceiveFromClient(w.now, conn, &m)
 			for _, e := range w.c.Ready() {
-				if e.Kind == Send {
-					w.c.MayStart(w.now, e.Offer)
+				if e.Kind == SendAttempt {
+					w.c.PrepareSend(w.now, e.Attempt)
 				}
 			}
 			for i := 1; i <= 3; i++ {
-				w.c.FromNode(w.now, NodeNumber(fmt.Sprintf("s-%08x", i)), &m)
+				w.c.ReceiveFromNode(w.now, NodeIDOf(fmt.Sprintf("s-%08x", i)), &m)
 			}
 			w.c.Ready()
 			w.now += 0.1
 		}
-		w.c.OwnerClosed(w.now, conn)
+		w.c.ClientDisconnected(w.now, conn)
 		for i := 1; i <= 3; i++ {
-			w.c.NodeLost(w.now, NodeNumber(fmt.Sprintf("s-%08x", i)))
+			w.c.NodeDead(w.now, NodeIDOf(fmt.Sprintf("s-%08x", i)))
 		}
-		for end := w.now + 20; w.c.Due() < end; {
-			w.now = max(w.now, w.c.Due())
+		for end := w.now + 20; w.c.NextTimer() < end; {
+			w.now = max(w.now, w.c.NextTimer())
 			w.c.Advance(w.now)
 			w.c.Ready()
 		}
-		if c := w.c; c.Open() != 0 || c.Standing() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 {
-			t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places", c.Open(), c.Standing(), len(c.tasks), len(c.byID), len(c.places))
+		if c := w.c; c.OpenRequests() != 0 || c.RunningTasks() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 {
+			t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places", c.OpenRequests(), c.RunningTasks(), len(c.tasks), len(c.byID), len(c.places))
 		}
 	})
 }
@@ -947,17 +947,17 @@
 		w.launch(conn, "query", 1000, ";at:s-00000001")
 	}
 	refused := func() bool {
-		m := w.setUpMessage(jsonl.ID(1e6))
-		if err := w.c.FromOwner(w.now, conn, &m); err != nil {
+		m := w.setUpMessage(platformproto.ID(1e6))
+		if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
 			t.Fatal(err)
 		}
 		out := w.c.Ready()
-		return len(out) == 1 && out[0].Kind == Tell && out[0].Message.Reason == jsonl.CauseBusy
+		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Reason == platformproto.CauseBusy
 	}
 	if !refused() {
 		t.Fatal("one too many was taken")
 	}
-	w.c.NodeLost(w.now, NodeNumber("s-00000001"))
+	w.c.NodeDead(w.now, NodeIDOf("s-00000001"))
 	w.pump()
 	if refused() {
 		t.Fatal("refused after all have gone")
@@ -969,14 +969,14 @@
 	const now = 1.8e9 // Unix seconds: the grain is 2.4e-7
 	for _, after := range []float64{0, 1e-9} {
 		wakes := 0
-		c := &Core{s: &simsettings.Settings{}, now: now}
-		c.module = feed.Feed{Do: c.act, Module: decide(func(ev placer.Event) []placer.Action {
+		c := &Core{s: &simconfig.Settings{}, now: now}
+		c.module = eventqueue.Queue{Execute: c.act, Placer: decide(func(ev placer.Event) []placer.Action {
 			if wakes++; wakes > 1000 {
 				t.Fatalf("woken %d times in one moment, waits of %g s", wakes, after)
 			}
-			return []placer.Action{{Kind: placer.Wake, After: after}}
+			return []placer.Action{{Kind: placer.SetTimer, After: after}}
 		})}
-		c.post(placer.Event{Kind: placer.Woken})
+		c.post(placer.Event{Kind: placer.TimerFired})
 		c.run()
 		c.Advance(now)
 	}
--- a/internal/dispatch/offers.go
+++ b/internal/dispatch/offers.go
@@ -5,22 +5,22 @@
 	"strconv"
 	"strings"
 
-	"heathshed/internal/jsonl"
-	"heathshed/internal/simsettings"
+	"heathshed/internal/platformproto"
+	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
 // offer begins an attempt.
 func (c *Core) offer(t *task, a *placer.Action) {
-	o := &Offer{Node: a.Node, Message: t.toNode(), t: t, attempt: len(t.offers), until: a.Until, sent: c.now}
+	o := &Attempt{Node: a.Node, Message: t.toNode(), t: t, attempt: len(t.offers), until: a.Until, sent: c.now}
 	if a.Until <= 0 || a.Until > t.deadline {
 		o.until = t.deadline
 	}
 	t.offers = append(t.offers, o)
-	c.Counts.Offers++
+	c.Counts.Attempts++
 	if t.over || o.until <= c.now || len(t.offers) > c.s.Placer.MaxAttempts || c.nodes[a.Node] == nil {
 		o.state = givenUp
-		c.done(o, placer.Moot, placer.NoReason, nil)
+		c.done(o, placer.Expired, placer.NoReason, nil)
 		return
 	}
 	c.places[place{o.Node, t.m.ID}] = o
@@ -32,42 +32,42 @@
 		}
 		c.giveUp(o, placer.TimedOut, true)
 	})
-	c.out = append(c.out, Effect{Kind: Send, Offer: o})
+	c.out = append(c.out, Effect{Kind: SendAttempt, Attempt: o})
 }
 
-// MayStart looks at an offer again before its first byte goes out, and fills in how long it may take. Where it says false the offer must not
+// PrepareSend looks at an offer again before its first byte goes out, and fills in how long it may take. Where it says false the offer must not
 // be sent, and nothing more is to be told of it.
-func (c *Core) MayStart(now float64, o *Offer) bool {
+func (c *Core) PrepareSend(now float64, o *Attempt) bool {
 	c.tick(now)
 	if o.state != waiting {
 		return false
 	}
 	n := c.nodes[o.Node]
 	if n == nil || n.State != placer.Ready || o.until <= c.now {
-		c.unsent(o, placer.Moot)
+		c.unsent(o, placer.Expired)
 		c.run()
 		return false
 	}
-	o.Message.Set(jsonl.Left, strconv.Itoa(max(int((o.until-c.now)*1000), 1)))
+	o.Message.Set(platformproto.Left, strconv.Itoa(max(int((o.until-c.now)*1000), 1)))
 	o.state = out
 	return true
 }
 
-// Unreachable tells that no connection came up for an offer, so that it was never sent.
-func (c *Core) Unreachable(now float64, o *Offer) {
+// ConnectFailed tells that no connection came up for an offer, so that it was never sent.
+func (c *Core) ConnectFailed(now float64, o *Attempt) {
 	c.tick(now)
 	if o.state == waiting {
-		c.Counts.Unreachable++
+		c.Counts.ConnectFailures++
 		c.unsent(o, placer.Unreachable)
 		c.run()
 	}
 }
 
-// Broken tells that the connection ended on which an offer was sent. It proves nothing.
-func (c *Core) Broken(now float64, o *Offer) {
+// ConnectionLost tells that the connection ended on which an offer was sent. It proves nothing.
+func (c *Core) ConnectionLost(now float64, o *Attempt) {
 	c.tick(now)
 	if o.state == out {
-		c.Counts.Broken++
+		c.Counts.ConnectionsLost++
 		o.state = givenUp // closing gave it up
 		c.linger(o)
 		c.done(o, placer.Lost, placer.NoReason, nil)
@@ -76,18 +76,18 @@
 }
 
 // unsent ends an offer that never left.
-func (c *Core) unsent(o *Offer, as placer.Result) {
+func (c *Core) unsent(o *Attempt, as placer.Result) {
 	c.forget(o)
-	if as == placer.Moot {
-		c.Counts.Moot++
+	if as == placer.Expired {
+		c.Counts.Expired++
 	}
 	c.done(o, as, placer.NoReason, nil)
 }
 
 // giveUp ends an offer that was not answered. Its machine is told, and what it says afterwards is late.
-func (c *Core) giveUp(o *Offer, as placer.Result, timedOut bool) {
+func (c *Core) giveUp(o *Attempt, as placer.Result, timedOut bool) {
 	if o.state == waiting {
-		c.unsent(o, placer.Moot)
+		c.unsent(o, placer.Expired)
 		return
 	}
 	if timedOut {
@@ -95,18 +95,18 @@
 	}
 	o.state = givenUp
 	c.linger(o)
-	c.release(o, jsonl.CauseEnd, timedOut)
+	c.release(o, platformproto.CauseEnd, timedOut)
 	c.done(o, as, placer.NoReason, nil)
 }
 
 // linger remembers an attempt that was given up for as long as its machine may speak of it.
-func (c *Core) linger(o *Offer) {
+func (c *Core) linger(o *Attempt) {
 	c.timers.Stop(o.timer)
-	o.timer = c.timers.Add(c.now+c.s.Placer.SettleAfter+lateFor, func() { c.forget(o) })
+	o.timer = c.timers.Add(c.now+c.s.Placer.UnknownOutcomeWait+lateFor, func() { c.forget(o) })
 }
 
 // forget takes an offer out of all that machines may speak of.
-func (c *Core) forget(o *Offer) {
+func (c *Core) forget(o *Attempt) {
 	c.timers.Stop(o.timer)
 	if k := (place{o.Node, o.t.m.ID}); c.places[k] == o {
 		delete(c.places, k)
@@ -118,45 +118,45 @@
 }
 
 // done tells the module how an attempt ended.
-func (c *Core) done(o *Offer, as placer.Result, why placer.Reason, r *placer.Report) {
-	c.post(placer.Event{Kind: placer.Ended, ID: o.t.id, Attempt: o.attempt, Node: o.Node, Result: as, Reason: why,
-		Elapsed: c.now - o.sent, Over: o.t.over, Report: r})
+func (c *Core) done(o *Attempt, as placer.Result, why placer.Reason, r *placer.Report) {
+	c.post(placer.Event{Kind: placer.Ended, TaskID: o.t.id, Attempt: o.attempt, Node: o.Node, Result: as, Reason: why,
+		Elapsed: c.now - o.sent, Final: o.t.over, Report: r})
 }
 
 // release tells a machine that a task is given up, or is to end. Of one that stood the machine's word is waited for, but not for good.
-func (c *Core) release(o *Offer, cause int, timedOut bool) {
+func (c *Core) release(o *Attempt, cause int, timedOut bool) {
 	if o.state == bound && !o.ending {
 		if o.t.moved {
 			c.timers.Add(c.now+movedWord, func() { c.unmoved(o) })
 		}
-		o.timer = c.timers.Add(c.now+owedFor, func() { c.end(o, placer.Cancelled, placer.NoReason, nil, jsonl.CauseCancelled) })
+		o.timer = c.timers.Add(c.now+owedFor, func() { c.end(o, placer.Cancelled, placer.NoReason, nil, platformproto.CauseCancelled) })
 	}
 	o.ending = true
-	c.out = append(c.out, Effect{Kind: Release, Offer: o, TimedOut: timedOut, Message: reply(&o.t.m, jsonl.Stop, cause)})
+	c.out = append(c.out, Effect{Kind: SendToNode, Attempt: o, TimedOut: timedOut, Message: reply(&o.t.m, platformproto.Stop, cause)})
 }
 
-// FromNode takes one message of a machine. What concerns nothing that is known there changes nothing.
-func (c *Core) FromNode(now float64, node placer.NodeID, m *jsonl.Message) {
+// ReceiveFromNode takes one message of a machine. What concerns nothing that is known there changes nothing.
+func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, m *platformproto.Message) {
 	c.tick(now)
 	o := c.places[place{node, m.ID}]
 	if o == nil || o.state == waiting {
-		if m.Kind == jsonl.Running || m.Kind == jsonl.Stop {
-			c.Counts.Unheld++
+		if m.Kind == platformproto.Running || m.Kind == platformproto.Stop {
+			c.Counts.UnknownTasks++
 		}
-		if o == nil && m.Kind == jsonl.Stop {
+		if o == nil && m.Kind == platformproto.Stop {
 			c.noteEnd(place{node, m.ID}, m.Reason)
 		}
 		return
 	}
 	switch m.Kind {
-	case jsonl.Running:
+	case platformproto.Running:
 		c.accepted(o, m)
-	case jsonl.Stop:
+	case platformproto.Stop:
 		c.stopped(o, m)
-	case jsonl.Update:
-		if use := slices.Index(uses[:], m.Get(jsonl.Note)); use > 0 && o.state == bound && !o.t.over {
-			v, _ := strconv.ParseFloat(m.Get(jsonl.Value), 64)
-			c.post(placer.Event{Kind: placer.Noted, ID: o.t.id, Attempt: o.attempt, Node: node, Use: placer.UseKind(use), Value: v})
+	case platformproto.Update:
+		if use := slices.Index(uses[:], m.Get(platformproto.Note)); use > 0 && o.state == bound && !o.t.over {
+			v, _ := strconv.ParseFloat(m.Get(platformproto.Value), 64)
+			c.post(placer.Event{Kind: placer.UsageReported, TaskID: o.t.id, Attempt: o.attempt, Node: node, Usage: placer.UsageKind(use), Value: v})
 		}
 	}
 	c.run()
@@ -166,9 +166,9 @@
 
 var reasons = [...]string{"", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained"}
 
-func (c *Core) accepted(o *Offer, m *jsonl.Message) {
+func (c *Core) accepted(o *Attempt, m *platformproto.Message) {
 	t := o.t
-	if o.state == out && c.now > t.deadline+c.s.Placer.AnswerSlack {
+	if o.state == out && c.now > t.deadline+c.s.Placer.AnswerGrace {
 		c.giveUp(o, placer.TimedOut, false) // its timer is late, the owner waits no longer
 	}
 	switch o.state {
@@ -179,7 +179,7 @@
 		c.timers.Stop(o.timer)
 		o.state, o.bound = bound, c.now
 		c.Counts.Bound++
-		c.Counts.Answered++
+		c.Counts.Placed++
 		c.open--
 		if ow := c.owners[t.conn]; ow != nil {
 			delete(ow.open, t)
@@ -191,40 +191,40 @@
 				c.expireTasks(n) // the list's word was first; no second one will come to end this task
 			}
 		}
-		a := reply(&t.m, jsonl.Running, -1)
+		a := reply(&t.m, platformproto.Running, -1)
 		a.Body = m.Body
 		c.tell(t.conn, a)
-		c.post(placer.Event{Kind: placer.Bound, ID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
+		c.post(placer.Event{Kind: placer.Bound, TaskID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
 	case givenUp:
-		c.Counts.Late++
+		c.Counts.LateAnswers++
 		// A copy of a task that may run twice, or one whose owner has gone, holds room for nobody: it is released at once. Of the others
 		// the owner asks the machines after a while, and names the scheduler that is to look after what they hold: cutting it meanwhile
 		// would undo a start that must not be made again.
-		if t.gone || c.s.Placer.Classes[t.class].Effect == placer.Repeatable {
-			c.release(o, jsonl.CauseEnd, false)
+		if t.gone || c.s.Placer.Classes[t.class].Idempotency == placer.Idempotent {
+			c.release(o, platformproto.CauseEnd, false)
 		}
 	}
 }
 
-func (c *Core) stopped(o *Offer, m *jsonl.Message) {
-	why := placer.Reason(max(slices.Index(reasons[:], m.Get(jsonl.Note)), 0))
+func (c *Core) stopped(o *Attempt, m *platformproto.Message) {
+	why := placer.Reason(max(slices.Index(reasons[:], m.Get(platformproto.Note)), 0))
 	r := c.report(m)
 	switch o.state {
 	case out:
 		c.forget(o)
 		switch m.Reason {
-		case jsonl.CauseFull:
-			c.Counts.Full++
-			c.done(o, placer.Refused, why, r)
-		case jsonl.CauseError:
-			c.Counts.Errors++
+		case platformproto.CauseFull:
+			c.Counts.CapacityRejections++
+			c.done(o, placer.Rejected, why, r)
+		case platformproto.CauseError:
+			c.Counts.NodeErrors++
 			c.done(o, placer.Errored, why, r)
-		case jsonl.CauseMoot:
-			c.Counts.Moot++
-			c.done(o, placer.Moot, why, r)
+		case platformproto.CauseExpired:
+			c.Counts.Expired++
+			c.done(o, placer.Expired, why, r)
 		default:
-			c.Counts.Broken++
-			if why == placer.Evicted || why == placer.PushedOut || why == placer.SentAway {
+			c.Counts.ConnectionsLost++
+			if why == placer.Evicted || why == placer.Preempted || why == placer.Drained {
 				c.stood(o, m, why, r)
 				return
 			}
@@ -232,9 +232,9 @@
 		}
 	case bound:
 		switch m.Reason {
-		case jsonl.CauseEnd:
+		case platformproto.CauseEnd:
 			c.end(o, placer.Finished, why, r, m.Reason)
-		case jsonl.CauseCancelled:
+		case platformproto.CauseCancelled:
 			c.end(o, placer.Cancelled, why, r, m.Reason)
 		default:
 			c.end(o, placer.Lost, why, r, m.Reason)
@@ -248,14 +248,14 @@
 // stood ends a set-up whose machine accepted it, though its answer has not come, and then evicted it, pushed it out or sent it away: what it has
 // not accepted, a machine hands back as full. The answer was lost or is late, the task has stood and is over, and that is its owner's to know,
 // who comes again; another attempt would have a task stand anew under an id that is over.
-func (c *Core) stood(o *Offer, m *jsonl.Message, why placer.Reason, r *placer.Report) {
+func (c *Core) stood(o *Attempt, m *platformproto.Message, why placer.Reason, r *placer.Report) {
 	t := o.t
-	c.Counts.Lost++
+	c.Counts.TasksLost++
 	c.close(t)
 	if c.owners[t.conn] != nil {
-		c.tell(t.conn, reply(&t.m, jsonl.Stop, m.Reason))
+		c.tell(t.conn, reply(&t.m, platformproto.Stop, m.Reason))
 	}
-	c.post(placer.Event{Kind: placer.Bound, ID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
+	c.post(placer.Event{Kind: placer.Bound, TaskID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
 	c.done(o, placer.Lost, why, r)
 	c.drop(t)
 }
@@ -294,41 +294,41 @@
 // unmoved tells the owner of a task that was moved that it is over, where its machine has not confirmed that it ended by the move. When a
 // task comes to its end at the moment of the move, its owner takes neither for the release that it is owed: on a day of vanishing machines
 // one of 129 moves crossed such an end, and the owner was told of nothing.
-func (c *Core) unmoved(o *Offer) {
+func (c *Core) unmoved(o *Attempt) {
 	if o.state == bound && o.t.moved {
 		o.t.moved = false
-		c.toOwner(o.t, reply(&o.t.m, jsonl.Stop, jsonl.CauseCancelled))
+		c.toOwner(o.t, reply(&o.t.m, platformproto.Stop, platformproto.CauseCancelled))
 	}
 }
 
 // end closes a task that stood. Its owner is told, but for one that ended it itself, or was told of a move that the machine confirms.
-func (c *Core) end(o *Offer, as placer.Result, why placer.Reason, r *placer.Report, cause int) {
+func (c *Core) end(o *Attempt, as placer.Result, why placer.Reason, r *placer.Report, cause int) {
 	t := o.t
 	c.forget(o)
-	c.Counts.Ends++
+	c.Counts.TasksEnded++
 	if as == placer.Lost {
-		c.Counts.Lost++
+		c.Counts.TasksLost++
 	}
-	if !t.over || t.moved && cause != jsonl.CauseCancelled {
+	if !t.over || t.moved && cause != platformproto.CauseCancelled {
 		t.over = true
-		c.toOwner(t, reply(&t.m, jsonl.Stop, cause))
+		c.toOwner(t, reply(&t.m, platformproto.Stop, cause))
 	}
 	c.done(o, as, why, r)
 	c.drop(t)
 }
 
 // report reads a load report, nil if none came.
-func (c *Core) report(m *jsonl.Message) *placer.Report {
-	text := m.Get(jsonl.Load)
+func (c *Core) report(m *platformproto.Message) *placer.Report {
+	text := m.Get(platformproto.Load)
 	if text == "" {
 		return nil
 	}
-	r := simsettings.NoReport()
+	r := simconfig.NoReport()
 	some := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		if v, err := strconv.ParseFloat(value, 64); err == nil && slices.Contains(c.s.ReportFields, name) {
-			simsettings.Tell(&r, name, v)
+			simconfig.SetReportField(&r, name, v)
 			some = true
 		}
 	}
@@ -349,10 +349,10 @@
 		return // is looked after
 	}
 	n.lostAt = at
-	c.timers.Add(max(c.now, at+GoneGrace), func() {
+	c.timers.Add(max(c.now, at+TerminationGrace), func() {
 		n.lostAt = 0
 		if n.State == placer.Gone && n.toldAt == at {
-			c.NodeLost(c.now, n.ID)
+			c.NodeDead(c.now, n.ID)
 		}
 	})
 }
@@ -363,7 +363,7 @@
 		return
 	}
 	n.leaving = true
-	c.timers.Add(max(n.toldAt+forgetAfter, c.now+GoneGrace), func() {
+	c.timers.Add(max(n.toldAt+forgetAfter, c.now+TerminationGrace), func() {
 		n.leaving = false
 		switch {
 		case n.State != placer.Gone:
@@ -375,8 +375,8 @@
 	})
 }
 
-// NodeLost ends all that stands at a machine whose process has ended, or that has gone.
-func (c *Core) NodeLost(now float64, id placer.NodeID) {
+// NodeDead ends all that stands at a machine whose process has ended, or that has gone.
+func (c *Core) NodeDead(now float64, id placer.NodeID) {
 	c.tick(now)
 	if n := c.nodes[id]; n != nil {
 		for _, o := range n.tasks() {
@@ -386,11 +386,11 @@
 	c.run()
 }
 
-// NodeSilent gives up all that stands at a machine that says nothing, and returns how much that is. Owners are told at once. But the tasks may
+// NodeUnresponsive gives up all that stands at a machine that says nothing, and returns how much that is. Owners are told at once. But the tasks may
 // well run on, if the machine is only cut off: it is told to end them as soon as it can be reached, and the module has them there until it
 // says that it did, or for as long as a release is owed. Else it would count a service's room as free that a machine about to come back has in
 // use, and break the limit on how many of a service run in one place.
-func (c *Core) NodeSilent(now float64, id placer.NodeID) (tasks int) {
+func (c *Core) NodeUnresponsive(now float64, id placer.NodeID) (tasks int) {
 	c.tick(now)
 	if n := c.nodes[id]; n != nil {
 		for _, o := range n.tasks() {
@@ -398,12 +398,12 @@
 				continue
 			}
 			tasks++
-			c.Counts.Lost++
+			c.Counts.TasksLost++
 			if !o.t.over {
 				o.t.over = true
-				c.toOwner(o.t, reply(&o.t.m, jsonl.Stop, causeLost))
+				c.toOwner(o.t, reply(&o.t.m, platformproto.Stop, causeLost))
 			}
-			c.release(o, jsonl.CauseCancelled, false)
+			c.release(o, platformproto.CauseCancelled, false)
 		}
 	}
 	c.run()
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -39,49 +39,49 @@
 
 // Node is what the bulletin told of one machine.
 type Node struct {
-	ID    placer.NodeID
-	UID   string
-	Addr  string
-	State placer.NodeState
-	Boot  float64 // Unix seconds of a late start, 0 for long ago
+	ID        placer.NodeID
+	UID       string
+	Addr      string
+	State     placer.NodeState
+	StartedAt float64 // Unix seconds of a late start, 0 for long ago
 
 	entry    placer.Node
-	standing map[*Offer]struct{}
+	standing map[*Attempt]struct{}
 	toldAt   float64 // when its state last changed
 	lostAt   float64 // the toldAt for which its tasks are about to be taken for lost
 	leaving  bool    // a timer is to forget it
 }
 
-// Standing is the number of tasks that stand at the machine.
-func (n *Node) Standing() int { return len(n.standing) }
+// RunningTasks is the number of tasks that stand at the machine.
+func (n *Node) RunningTasks() int { return len(n.standing) }
 
 // tasks are those that stand at the machine, in order of their numbers.
-func (n *Node) tasks() []*Offer {
-	all := make([]*Offer, 0, len(n.standing))
+func (n *Node) tasks() []*Attempt {
+	all := make([]*Attempt, 0, len(n.standing))
 	for o := range n.standing {
 		all = append(all, o)
 	}
-	slices.SortFunc(all, func(a, b *Offer) int { return int(a.t.id) - int(b.t.id) })
+	slices.SortFunc(all, func(a, b *Attempt) int { return int(a.t.id) - int(b.t.id) })
 	return all
 }
 
-// GoneFor is how long ago the bulletin said that the machine has gone, in seconds; 0 if it has not.
-func (n *Node) GoneFor(now float64) float64 {
+// TerminatedFor is how long ago the bulletin said that the machine has gone, in seconds; 0 if it has not.
+func (n *Node) TerminatedFor(now float64) float64 {
 	if n.State != placer.Gone {
 		return 0
 	}
 	return now - n.toldAt
 }
 
-// NodeNumber is the module's number for a machine: the same at every scheduler, since all of them sort and draw by it. It has 48 bits, as
+// NodeIDOf is the module's number for a machine: the same at every scheduler, since all of them sort and draw by it. It has 48 bits, as
 // many as an address on the simulator's wire.
-func NodeNumber(uid string) placer.NodeID {
+func NodeIDOf(uid string) placer.NodeID {
 	return placer.NodeID(xxhash.Sum64String(uid) & (1<<48 - 1))
 }
 
 // number is the module's number for a machine that is known, or the one that it will have.
 func (c *Core) number(uid string) placer.NodeID {
-	id := NodeNumber(uid)
+	id := NodeIDOf(uid)
 	for c.nodes[id] != nil && c.nodes[id].UID != uid {
 		id++ // two names with one number
 	}
@@ -105,17 +105,17 @@
 		id := c.number(e.UID)
 		n := c.nodes[id]
 		if n == nil {
-			n = &Node{ID: id, UID: e.UID, State: placer.Gone, standing: map[*Offer]struct{}{}}
+			n = &Node{ID: id, UID: e.UID, State: placer.Gone, standing: map[*Attempt]struct{}{}}
 			c.nodes[id] = n
 		}
 		listed[id] = true
 		was := n.State
-		n.Addr, n.State, n.Boot = e.Endpoint, placer.NodeState(state(e.State)), e.BootMS/1000
+		n.Addr, n.State, n.StartedAt = e.Endpoint, placer.NodeState(state(e.State)), e.BootMS/1000
 		if was != n.State {
 			n.toldAt = c.now
 		}
-		n.entry = placer.Node{ID: id, Zone: slices.Index(c.s.Zones, e.Zone), Rack: e.Rack, Kind: slices.Index(c.s.Kinds, e.Kind),
-			State: n.State, FreeCores: e.Open[0], FreeMemory: e.Open[1], Since: n.Boot}
+		n.entry = placer.Node{ID: id, Zone: slices.Index(c.s.Zones, e.Zone), Rack: e.Rack, NodeType: slices.Index(c.s.NodeTypes, e.Kind),
+			State: n.State, FreeCores: e.Open[0], FreeMemory: e.Open[1], StartedAt: n.StartedAt}
 		changed = append(changed, n.entry)
 	}
 	if r.All {
@@ -140,9 +140,9 @@
 	return -1
 }
 
-// Bulletin takes one event of the bulletin. ok says that the numbers had no gap; where they had, the event was not entered and the stream
+// ReceiveDiscoveryEvent takes one event of the bulletin. ok says that the numbers had no gap; where they had, the event was not entered and the stream
 // is to be asked again from Last on.
-func (c *Core) Bulletin(now float64, data []byte) (ok bool, err error) {
+func (c *Core) ReceiveDiscoveryEvent(now float64, data []byte) (ok bool, err error) {
 	c.tick(now)
 	var ev bulletinEvent
 	if err := json.Unmarshal(data, &ev); err != nil {
@@ -174,7 +174,7 @@
 // listed tells the module and looks after what stood at machines that have gone or begun a new life.
 func (c *Core) listed(kind placer.ListKind, changed []placer.Node) {
 	c.asked = false
-	c.post(placer.Event{Kind: placer.Listed, List: kind, Nodes: changed})
+	c.post(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changed})
 	for _, n := range c.nodes {
 		if n.State == placer.Gone {
 			c.expireTasks(n)
@@ -182,28 +182,28 @@
 			continue
 		}
 		for o := range n.standing {
-			if n.Boot > o.bound+bootSlack {
+			if n.StartedAt > o.bound+bootSlack {
 				c.end(o, placer.Lost, placer.NoReason, nil, causeLost) // of a life that is over
 			}
 		}
 	}
-	c.out = append(c.out, Effect{Kind: Roster})
+	c.out = append(c.out, Effect{Kind: NodesChanged})
 }
 
-// Last is the number of the last event of the bulletin that was entered.
-func (c *Core) Last() uint64 { return c.last }
+// LastDiscoveryEvent is the number of the last event of the bulletin that was entered.
+func (c *Core) LastDiscoveryEvent() uint64 { return c.last }
 
-// Streaming tells whether the bulletin is being listened to. The module's calls for the list are answered from the stream: what it tells
+// SetDiscoveryConnected tells whether the bulletin is being listened to. The module's calls for the list are answered from the stream: what it tells
 // is handed on as it comes, so a call has its answer at once while the stream stands, and fails when a try to open it has failed.
-func (c *Core) Streaming(now float64, on bool) {
+func (c *Core) SetDiscoveryConnected(now float64, on bool) {
 	c.tick(now)
 	c.streaming = on
 	if c.asked {
 		c.asked = false
 		if on {
-			c.post(placer.Event{Kind: placer.Listed, List: placer.Changes})
+			c.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
 		} else {
-			c.post(placer.Event{Kind: placer.Listed, List: placer.ListFailed})
+			c.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 	}
 	c.run()
--- a/internal/standin/fault/fault.go
+++ b/internal/emulator/fault/fault.go
@@ -2,8 +2,8 @@
 // carry them out.
 package fault
 
-// Machine is what a machine can be made to do wrong, each for so many seconds from the order. Class bounds Error to one class.
-type Machine struct {
+// Node is what a machine can be made to do wrong, each for so many seconds from the order. Class bounds Error to one class.
+type Node struct {
 	Refuse     float64 `json:"refuse,omitempty"`     // refuses as full
 	Stall      float64 `json:"stall,omitempty"`      // decides and starts nothing
 	LoseAnswer float64 `json:"loseAnswer,omitempty"` // accepts, and breaks the connection in place of the answer
@@ -34,7 +34,7 @@
 }
 
 // Order takes an order at the given time.
-func (s *State) Order(now float64, f Machine) {
+func (s *State) Order(now float64, f Node) {
 	set := func(p *float64, d float64) {
 		if d != 0 {
 			*p = now + d
--- a/internal/standin/inventory.go
+++ b/internal/emulator/inventory.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -11,10 +11,10 @@
 
 	"heathshed/internal/api"
 	"heathshed/internal/audit"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
 	"heathshed/internal/httpd"
-	"heathshed/internal/loop"
-	"heathshed/internal/standin/fault"
 	"heathshed/internal/store"
 )
 
@@ -32,7 +32,7 @@
 // Inventory lists the machines that report to it.
 type Inventory struct {
 	o      InventoryOptions
-	l      *loop.Loop
+	l      *eventloop.Loop
 	http   *httpd.Server
 	api    *api.Server
 	st     *store.Store
@@ -46,7 +46,7 @@
 }
 
 // StartInventory puts an inventory on a socket.
-func StartInventory(l *loop.Loop, o InventoryOptions) (*Inventory, error) {
+func StartInventory(l *eventloop.Loop, o InventoryOptions) (*Inventory, error) {
 	if o.SilentAfter <= 0 {
 		o.SilentAfter = 2
 	}
