--- a/internal/standin/node.go
+++ b/internal/emulator/node.go
@@ -3,7 +3,7 @@
 // Package standin has the stand-ins that schedulers are tried against: machines that keep to the limits of package machine and
 // can be made faulty while they run, and an inventory that is late and can be cut off. They speak the same REST conventions as
 // the scheduler.
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -21,15 +21,15 @@
 
 	"heathshed/internal/api"
 	"heathshed/internal/audit"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
 	"heathshed/internal/httpc"
 	"heathshed/internal/httpd"
-	"heathshed/internal/loop"
-	"heathshed/internal/machine"
-	"heathshed/internal/meta"
-	"heathshed/internal/model"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/nodesim"
+	"heathshed/internal/simulation"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 )
 
 // NodeOptions describe a stand-in machine.
@@ -38,7 +38,7 @@
 	Listen                 string // 127.0.0.1:0 chooses a port, kept over crashes
 	Inventory              string // address; "" reports nowhere
 	Beat                   float64
-	Machine                machine.Config
+	Sim                    nodesim.Config
 	Priorities             map[string]int     // of classes
 	Lives                  map[string]float64 // seconds that tasks of a class run on average, where they name no lifetime
 	// Tap, if set, is told of each offer as it arrives and of what became of it.
@@ -48,8 +48,8 @@
 // Node is a stand-in machine on a socket.
 type Node struct {
 	o       NodeOptions
-	l       *loop.Loop
-	m       *machine.Machine
+	l       *eventloop.Loop
+	m       *nodesim.Node
 	http    *httpd.Server
 	api     *api.Server
 	st      *store.Store
@@ -58,7 +58,7 @@
 	boot    string
 	lives   int
 	started float64
-	timer   *loop.Timer
+	timer   *eventloop.Timer
 	pending map[string][]*httpd.Exchange // by uid and attempt
 	load    string
 	shown   int64
@@ -72,17 +72,17 @@
 }
 
 // StartNode puts a machine on a socket and reports it to the inventory.
-func StartNode(l *loop.Loop, o NodeOptions) (*Node, error) {
+func StartNode(l *eventloop.Loop, o NodeOptions) (*Node, error) {
 	if o.Beat <= 0 {
 		o.Beat = 0.5
 	}
-	n := &Node{o: o, l: l, addr: o.Listen, seed: o.Machine.Seed}
-	if err := n.up(o.Machine.Cold); err != nil {
+	n := &Node{o: o, l: l, addr: o.Listen, seed: o.Sim.Seed}
+	if err := n.up(o.Sim.Cold); err != nil {
 		return nil, err
 	}
 	if o.Inventory != "" {
 		n.inv = httpc.New(l, o.Inventory)
-		n.inv.Pool.Max = 1
+		n.inv.Pool.MaxConns = 1
 	}
 	n.beat()
 	return n, nil
@@ -94,16 +94,16 @@
 // Name is the machine's name.
 func (n *Node) Name() string { return n.o.Name }
 
-// Machine is the model behind the socket, nil while it is down.
-func (n *Node) Machine() *machine.Machine { return n.m }
+// Sim is the model behind the socket, nil while it is down.
+func (n *Node) Sim() *nodesim.Node { return n.m }
 
 // up begins a life.
 func (n *Node) up(cold bool) error {
 	now := n.l.Now()
 	n.lives++
-	cfg := n.o.Machine
+	cfg := n.o.Sim
 	cfg.Cold, cfg.Seed = cold, n.seed+uint64(n.lives)*7919
-	n.m = machine.New(cfg, now)
+	n.m = nodesim.New(cfg, now)
 	n.boot = fmt.Sprintf("%s-%d-%d", n.o.Name, int64(now*1e3), n.lives)
 	n.started = 0
 	if cold {
@@ -112,11 +112,11 @@
 	n.pending = map[string][]*httpd.Exchange{}
 	n.st = store.New(int64(now*1e6), 5000)
 	n.api = &api.Server{Store: n.st, Version: "standin"}
-	n.m.Refuse = func(o *machine.Offer) machine.Reason {
+	n.m.Refuse = func(o *nodesim.Offer) nodesim.Reason {
 		if n.l.Now() < n.faults.Refuse {
-			return machine.NoCores
+			return nodesim.InsufficientCores
 		}
-		return machine.None
+		return nodesim.None
 	}
 	opt := httpd.DefaultOptions()
 	opt.IdleWithin = 600
@@ -168,7 +168,7 @@
 
 func (n *Node) measure() {
 	c, m := n.m.Unused()
-	n.load = meta.FormatDict("free-cores", c, "free-memory", m, "busy", n.m.Busy(), "queue", float64(n.m.Waiting()))
+	n.load = wellknown.FormatDict("free-cores", c, "free-memory", m, "busy", n.m.Busy(), "queue", float64(n.m.Waiting()))
 }
 
 // Object is the machine as the inventory shows it.
@@ -176,16 +176,16 @@
 	o := &corev1.Node{TypeMeta: metav1.TypeMeta{Kind: "Node", APIVersion: "v1"}}
 	o.Name = n.o.Name
 	o.UID = types.UID("node-" + n.o.Name)
-	o.Labels = map[string]string{meta.Zone: n.o.Zone, meta.Rack: n.o.Rack, meta.Kind: n.o.Kind, corev1.LabelHostname: n.o.Name}
+	o.Labels = map[string]string{wellknown.Zone: n.o.Zone, wellknown.Rack: n.o.Rack, wellknown.Kind: n.o.Kind, corev1.LabelHostname: n.o.Name}
 	c, m := n.m.Free()
-	o.Annotations = map[string]string{meta.Free: meta.FormatDict("cores", c, "memory", m)}
+	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", c, "memory", m)}
 	if n.started > 0 {
-		o.Annotations[meta.Started] = meta.Instant(n.started + n.faults.Clock)
+		o.Annotations[wellknown.Started] = wellknown.Instant(n.started + n.faults.Clock)
 	}
 	o.Spec.Unschedulable = n.m.Draining()
 	cfg := n.m.Config()
 	o.Status.Capacity = corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(cfg.Cores*1000), resource.DecimalSI),
-		corev1.ResourceMemory: *resource.NewQuantity(int64(cfg.Memory*meta.Gibibyte), resource.BinarySI)}
+		corev1.ResourceMemory: *resource.NewQuantity(int64(cfg.Memory*wellknown.Gibibyte), resource.BinarySI)}
 	o.Status.Allocatable = o.Status.Capacity
 	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue, Reason: "StandInReady"}}
 	host, port, _ := strings.Cut(n.addr, ":")
@@ -234,47 +234,47 @@
 
 func key(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
 
-var reasons = map[machine.Reason]string{machine.NoCores: meta.OutOfCPU, machine.NoMemory: meta.OutOfMemory, machine.TooMany: meta.TooMany,
-	machine.NotHere: meta.NotHere, machine.Evicted: meta.Evicted, machine.PushedOut: meta.Preempted, machine.SentAway: meta.SentAway,
-	machine.Stopped: meta.Stopped, machine.NeverRan: meta.NeverRan}
+var reasons = map[nodesim.Reason]string{nodesim.InsufficientCores: wellknown.OutOfCPU, nodesim.InsufficientMemory: wellknown.OutOfMemory, nodesim.QueueFull: wellknown.QueueFull,
+	nodesim.WrongNode: wellknown.WrongNode, nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
+	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverRan}
 
-func (n *Node) effect(x *machine.Effect) {
+func (n *Node) effect(x *nodesim.Effect) {
 	switch x.Kind {
-	case machine.Answered:
+	case nodesim.Answered:
 		k := key(x.UID, x.Attempt)
 		waiting := n.pending[k]
 		delete(n.pending, k)
 		for _, ex := range waiting {
 			n.answer(ex, x)
 		}
-	case machine.Changed:
+	case nodesim.Changed:
 		t := x.Task
 		p := n.show(t)
 		n.st.Put(store.Pods, p)
-		tap := audit.Event{UID: t.UID, Attempt: t.Attempt, Scheduler: p.Labels[meta.Scheduler], Class: p.Labels[meta.Class], Service: t.Service,
+		tap := audit.Event{UID: t.UID, Attempt: t.Attempt, Scheduler: p.Labels[wellknown.Scheduler], Class: p.Labels[wellknown.Class], Service: t.Service,
 			Reason: reasons[t.Reason]}
 		switch t.Phase {
-		case machine.Accepted:
+		case nodesim.Accepted:
 			tap.What = audit.Accepted
-		case machine.Running:
+		case nodesim.Running:
 			tap.What = audit.Started
 		default:
 			tap.What = audit.Ended
 		}
 		n.tap(tap)
-	case machine.Forgotten:
+	case nodesim.Forgotten:
 		p := x.Task.Payload.(*corev1.Pod)
 		n.st.Delete(store.Pods, p.Namespace, p.Name)
-	case machine.Fell:
+	case nodesim.Fell:
 		n.tap(audit.Event{What: audit.Fell})
 		n.down(30)
 	}
 }
 
 // show is the Pod of a task as it stands.
-func (n *Node) show(t *machine.Task) *corev1.Pod { return model.Show(t, n.o.Name) }
+func (n *Node) show(t *nodesim.Task) *corev1.Pod { return simulation.Show(t, n.o.Name) }
 
-func (n *Node) answer(ex *httpd.Exchange, x *machine.Effect) {
+func (n *Node) answer(ex *httpd.Exchange, x *nodesim.Effect) {
 	now := n.l.Now()
 	if x.Task != nil && now < n.faults.LoseAnswer {
 		ex.Reset()
@@ -298,7 +298,7 @@
 
 func (n *Node) respond(ex *httpd.Exchange, resp http1.Response) {
 	resp.Header = append(resp.Header, http1.Field{Name: "Content-Type", Value: "application/json"},
-		http1.Field{Name: meta.LoadHeader, Value: n.load}, http1.Field{Name: meta.BootHeader, Value: n.boot})
+		http1.Field{Name: wellknown.LoadHeader, Value: n.load}, http1.Field{Name: wellknown.IncarnationHeader, Value: n.boot})
 	if n.l.Now() < n.faults.Trickle {
 		n.l.After(0.05, func() {
 			ex.Respond(http1.Response{Status: resp.Status, Header: resp.Header, Stream: &slow{l: n.l, rest: resp.Body}})
@@ -311,7 +311,7 @@
 
 // slow is a body that trickles: a few bytes every twentieth of a second.
 type slow struct {
-	l    *loop.Loop
+	l    *eventloop.Loop
 	rest []byte
 	last float64
 }
@@ -356,16 +356,16 @@
 	return http1.Response{Status: code, Body: b}
 }
 
-func (n *Node) refusal(r machine.Reason) http1.Response {
+func (n *Node) refusal(r nodesim.Reason) http1.Response {
 	switch r {
-	case machine.NoCores:
-		return status(409, meta.OutOfCPU, "Node didn't have enough resource: cpu")
-	case machine.NoMemory:
-		return status(409, meta.OutOfMemory, "Node didn't have enough resource: memory")
-	case machine.TooMany:
-		return status(429, meta.TooMany, "too many offers wait")
-	}
-	return status(409, meta.NotHere, "the machine drains, or this attempt was given up")
+	case nodesim.InsufficientCores:
+		return status(409, wellknown.OutOfCPU, "Node didn't have enough resource: cpu")
+	case nodesim.InsufficientMemory:
+		return status(409, wellknown.OutOfMemory, "Node didn't have enough resource: memory")
+	case nodesim.QueueFull:
+		return status(429, wellknown.QueueFull, "too many offers wait")
+	}
+	return status(409, wellknown.WrongNode, "the machine drains, or this attempt was given up")
 }
 
 func (n *Node) serve(x *httpd.Exchange) {
@@ -379,7 +379,7 @@
 	pods := len(parts) >= 5 && parts[0] == "api" && parts[2] == "namespaces" && parts[4] == "pods"
 	switch {
 	case x.Head.Method == "PUT" && path == "/heathshed/faults":
-		var f fault.Machine
+		var f fault.Node
 		if err := json.Unmarshal(x.Body, &f); err != nil {
 			n.respond(x, status(400, "BadRequest", "faults: "+err.Error()))
 			return
@@ -394,8 +394,8 @@
 		n.m.Tick(now)
 		n.after()
 		resp := n.api.Serve(now, &x.Request)
-		resp.Header = append(resp.Header, http1.Field{Name: meta.BootHeader, Value: n.boot},
-			http1.Field{Name: meta.LoadHeader, Value: n.load})
+		resp.Header = append(resp.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.boot},
+			http1.Field{Name: wellknown.LoadHeader, Value: n.load})
 		x.Respond(resp)
 	}
 }
@@ -403,12 +403,12 @@
 func (n *Node) offer(x *httpd.Exchange) {
 	now := n.l.Now()
 	p := &corev1.Pod{}
-	attempt, err := strconv.Atoi(x.Head.Header.Get(meta.AttemptHeader))
+	attempt, err := strconv.Atoi(x.Head.Header.Get(wellknown.AttemptHeader))
 	if err == nil {
 		err = json.Unmarshal(x.Body, p)
 	}
 	if err != nil || p.UID == "" || p.Name == "" || p.Namespace == "" {
-		n.respond(x, status(400, "BadRequest", "want a Pod with uid, name and namespace, and the attempt's number in "+meta.AttemptHeader))
+		n.respond(x, status(400, "BadRequest", "want a Pod with uid, name and namespace, and the attempt's number in "+wellknown.AttemptHeader))
 		return
 	}
 	if p.Labels == nil {
@@ -417,8 +417,8 @@
 	if p.Annotations == nil {
 		p.Annotations = map[string]string{}
 	}
-	class := p.Labels[meta.Class]
-	n.tap(audit.Event{What: audit.Offered, UID: string(p.UID), Attempt: attempt, Scheduler: p.Labels[meta.Scheduler], Class: class,
+	class := p.Labels[wellknown.Class]
+	n.tap(audit.Event{What: audit.Offered, UID: string(p.UID), Attempt: attempt, Scheduler: p.Labels[wellknown.Scheduler], Class: class,
 		Service: p.Namespace + "/" + service(p)})
 	hungUp := audit.Event{What: audit.HungUp, UID: string(p.UID), Attempt: attempt}
 	if now < n.faults.Reset {
@@ -431,10 +431,10 @@
 		n.respond(x, status(500, "InternalError", "the machine fails"))
 		return
 	}
-	c, m := meta.Requests(&p.Spec)
-	o := machine.Offer{UID: string(p.UID), Attempt: attempt, Service: p.Namespace + "/" + service(p), Cores: c, Memory: m,
+	c, m := wellknown.Requests(&p.Spec)
+	o := nodesim.Offer{UID: string(p.UID), Attempt: attempt, Service: p.Namespace + "/" + service(p), Cores: c, Memory: m,
 		Priority: n.o.Priorities[class], Payload: p}
-	if v, err := strconv.ParseFloat(p.Annotations[meta.Lifetime], 64); err == nil && v > 0 && v < 1e7 {
+	if v, err := strconv.ParseFloat(p.Annotations[wellknown.Lifetime], 64); err == nil && v > 0 && v < 1e7 {
 		o.Life = v
 	} else {
 		o.Life = n.o.Lives[class]
@@ -447,20 +447,20 @@
 }
 
 func service(p *corev1.Pod) string {
-	if s := p.Labels[meta.Service]; s != "" {
+	if s := p.Labels[wellknown.Service]; s != "" {
 		return s
 	}
-	return p.Labels[meta.JobName]
+	return p.Labels[wellknown.JobName]
 }
 
 func (n *Node) stop(x *httpd.Exchange) {
 	var d metav1.DeleteOptions
-	attempt, err := strconv.Atoi(x.Head.Header.Get(meta.AttemptHeader))
+	attempt, err := strconv.Atoi(x.Head.Header.Get(wellknown.AttemptHeader))
 	if err == nil {
 		err = json.Unmarshal(x.Body, &d)
 	}
 	if err != nil || d.Preconditions == nil || d.Preconditions.UID == nil {
-		n.respond(x, status(400, "BadRequest", "want preconditions.uid and "+meta.AttemptHeader))
+		n.respond(x, status(400, "BadRequest", "want preconditions.uid and "+wellknown.AttemptHeader))
 		return
 	}
 	uid := string(*d.Preconditions.UID)
@@ -475,16 +475,16 @@
 	}
 	p := &corev1.Pod{}
 	p.UID = types.UID(uid)
-	p.Status.Phase, p.Status.Reason = corev1.PodFailed, meta.Stopped
+	p.Status.Phase, p.Status.Reason = corev1.PodFailed, wellknown.Stopped
 	if !ran {
-		p.Status.Reason = meta.NeverRan
+		p.Status.Reason = wellknown.NeverRan
 	}
 	b, _ := json.Marshal(p)
 	n.respond(x, http1.Response{Status: 200, Body: b})
 }
 
 // Fault makes the machine faulty, or well again.
-func (n *Node) Fault(f fault.Machine) {
+func (n *Node) Fault(f fault.Node) {
 	now := n.l.Now()
 	n.faults.Order(now, f)
 	if n.m != nil && f.Stall != 0 {
--- a/internal/engine/characterization_test.go
+++ b/internal/engine/characterization_test.go
@@ -16,11 +16,11 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
+	"heathshed/internal/config"
 	"heathshed/internal/engine"
 	"heathshed/internal/golden"
-	"heathshed/internal/meta"
-	"heathshed/internal/settings"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
@@ -75,8 +75,8 @@
 }
 
 func newScript(t *testing.T, seed uint64, change func(*engine.Config)) *script {
-	defaults := settings.Default()
-	defaults.Tenants = []settings.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
+	defaults := config.Default()
+	defaults.Tenants = []config.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
 	defaults.Limits.KeepFinished = 40
 	config := defaults.Engine(seed, 1000)
 	if change != nil {
@@ -119,9 +119,9 @@
 		s.carryOut(effect)
 	}
 	s.recordChanges()
-	s.record.Floats(s.engine.NextWake(), s.engine.Gate().Limit(), s.engine.Gate().Budget())
-	listed, heard := s.engine.Heard()
-	s.record.Integers(int64(s.engine.Open()), int64(listed), int64(heard), s.engine.Store().Live(), s.engine.Store().Past())
+	s.record.Floats(s.engine.NextWake(), s.engine.Admission().Limit(), s.engine.Admission().Budget())
+	listed, heard := s.engine.NodeHeartbeat()
+	s.record.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(heard), s.engine.Store().Live(), s.engine.Store().Past())
 }
 
 func (s *script) recordEffect(x *engine.Effect) {
@@ -198,13 +198,13 @@
 
 func (s *script) carryOut(x engine.Effect) {
 	switch x.Kind {
-	case engine.SendOffer:
+	case engine.SendAttempt:
 		s.answerOffer(x)
 	case engine.StopTask:
 		s.answerStop(x)
-	case engine.FollowNode:
+	case engine.WatchNode:
 		s.after(0.02+0.1*s.rng.Float64(), func() { s.listPods(s.node(x.Node)) })
-	case engine.Relist:
+	case engine.RelistNodes:
 		s.after(0.05, s.fullList)
 	}
 }
@@ -212,15 +212,15 @@
 // answerOffer lets a node accept, refuse, lose or ignore an offer.
 func (s *script) answerOffer(x engine.Effect) {
 	n := s.node(x.Node)
-	answer := engine.OfferAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Boot: n.boot()}
+	answer := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Incarnation: n.boot()}
 	delay := 0.005 + 0.05*s.rng.Float64()
 	accept := n.ready && !n.removed && x.Attempt > n.floor[x.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
-		answer.Result, answer.Boot = placer.Unreachable, ""
+		answer.Result, answer.Incarnation = placer.Unreachable, ""
 	case draw < 16:
-		answer.Result, answer.Reason = placer.Refused, placer.NoCores
-		answer.Report = &placer.Report{FreeCores: 1, FreeMemory: 2, Busy: 0.9, Queue: 3}
+		answer.Result, answer.Reason = placer.Rejected, placer.InsufficientCores
+		answer.Report = &placer.Report{FreeCores: 1, FreeMemory: 2, Utilization: 0.9, QueueLength: 3}
 	case draw < 20:
 		answer.Result, answer.Stated = placer.Errored, "internal error"
 	case draw < 24:
@@ -229,7 +229,7 @@
 		return // no answer ever
 	case draw < 38: // the node takes the task, the answer is lost
 		s.accept(n, x)
-		answer.Result, answer.Boot = placer.Lost, ""
+		answer.Result, answer.Incarnation = placer.Lost, ""
 	case draw < 46: // the answer comes too late
 		answer.Accepted, answer.Rev, delay = true, s.accept(n, x), 3+8*s.rng.Float64()
 	default:
@@ -238,14 +238,14 @@
 			answer.Pod = n.pods[n.find(x.UID)]
 		}
 	}
-	s.after(delay, func() { s.engine.OfferDone(s.now, answer) })
+	s.after(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
 // accept has a node hold a task, start it and end it later, and returns the node's revision.
 func (s *script) accept(n *fakeNode, x engine.Effect) int64 {
 	n.revision++
 	pod := x.Pod.DeepCopy()
-	pod.Annotations[meta.AttemptAnnotation] = strconv.Itoa(x.Attempt)
+	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(x.Attempt)
 	pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
 	pod.Status.Phase = corev1.PodPending
 	if i := n.find(pod.UID); i >= 0 {
@@ -260,14 +260,14 @@
 // plan has the task run and end, as the node's watch tells it.
 func (s *script) plan(n *fakeNode, uid types.UID) {
 	life := n.life
-	reasons := []string{"", "", "", "", meta.Evicted, meta.Preempted, meta.SentAway, "Error", meta.NeverRan, meta.Stopped}
+	reasons := []string{"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverRan, wellknown.Stopped}
 	reason := reasons[s.rng.IntN(len(reasons))]
 	gone := s.rng.IntN(12) == 0
 	start := 0.02 + 0.3*s.rng.Float64()
 	end := start + 1 + 15*s.rng.Float64()
 	s.onNode(start, n, life, uid, func(p *corev1.Pod) {
 		p.Status.Phase = corev1.PodRunning
-		p.Annotations[meta.Use] = meta.FormatDict("cores", 0.5, "memory", 1.25)
+		p.Annotations[wellknown.Use] = wellknown.FormatDict("cores", 0.5, "memory", 1.25)
 	}, false)
 	s.onNode(end, n, life, uid, func(p *corev1.Pod) {
 		p.Status.Phase = corev1.PodSucceeded
@@ -292,7 +292,7 @@
 		change(pod)
 		pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
 		n.pods[i] = pod
-		if remove || meta.Finished(pod) {
+		if remove || wellknown.Finished(pod) {
 			n.pods = slices.Delete(n.pods, i, i+1)
 		}
 		s.engine.NodePod(s.now, n.name, pod, remove)
@@ -304,7 +304,7 @@
 	n := s.node(x.Node)
 	answer := engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt}
 	if n.ready && !n.removed && s.rng.IntN(10) > 1 {
-		answer.Known, answer.Boot = true, n.boot()
+		answer.Known, answer.Incarnation = true, n.boot()
 		n.floor[x.UID] = max(n.floor[x.UID], x.Attempt)
 		if i := n.find(x.UID); i >= 0 {
 			answer.Had, answer.Ran = true, n.pods[i].Status.Phase == corev1.PodRunning
@@ -325,11 +325,11 @@
 	index := slices.Index(s.nodes, n)
 	o := &corev1.Node{}
 	o.Name, o.UID = n.name, types.UID("uid-"+n.name)
-	o.Labels = map[string]string{meta.Kind: []string{"standard", "large"}[index%2], meta.Zone: "zone-" + string(rune('a'+index%3)),
-		meta.Rack: fmt.Sprintf("rack-%d", index%4)}
-	o.Annotations = map[string]string{meta.Free: meta.FormatDict("cores", max(32-float64(len(n.pods)), 1), "memory", 60.5)}
+	o.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
+		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
+	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", max(32-float64(len(n.pods)), 1), "memory", 60.5)}
 	if n.life > 1 {
-		o.Annotations[meta.Started] = meta.Instant(s.now - 1)
+		o.Annotations[wellknown.Started] = wellknown.Instant(s.now - 1)
 	}
 	o.Spec.Unschedulable = n.draining
 	o.Status.NodeInfo.BootID = n.boot()
@@ -371,12 +371,12 @@
 	tasks := int32(s.rng.IntN(7))
 	o.Spec.Completions, o.Spec.Parallelism = &tasks, pointer(tasks)
 	o.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
-	o.Spec.Template.Labels = map[string]string{meta.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
+	o.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
 	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
 	if class != "" {
-		o.Spec.Template.Labels[meta.Class] = class
+		o.Spec.Template.Labels[wellknown.Class] = class
 	}
-	o.Spec.Template.Annotations = map[string]string{meta.Lifetime: "5"}
+	o.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
 	o.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	o.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
 		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
@@ -401,7 +401,7 @@
 	case 5:
 		o.Namespace = "unknown"
 	case 6:
-		o.Spec.Template.Labels[meta.Class] = "unknown"
+		o.Spec.Template.Labels[wellknown.Class] = "unknown"
 	case 7:
 		o.Spec.Completions = pointer(int32(1 << 30))
 	case 8:
@@ -543,7 +543,7 @@
 	case 6:
 		o.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
 	case 7:
-		o.Labels[meta.Rack] = "elsewhere"
+		o.Labels[wellknown.Rack] = "elsewhere"
 	case 8:
 		o.ResourceVersion = "1"
 	case 9:
@@ -567,11 +567,11 @@
 		s.changed(n)
 	case 2:
 		n.ready = false
-		s.after(0.5, func() { s.engine.NodeSilent(s.now, n.name) })
+		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, n.name) })
 		s.changed(n)
 	case 3:
 		n.removed = true
-		s.engine.NodeSilent(s.now, n.name)
+		s.engine.NodeUnresponsive(s.now, n.name)
 		s.observe()
 		s.changed(n)
 	case 4:
@@ -646,14 +646,14 @@
 // checkpoint writes the digest so far with the counters of the engine in a fixed order.
 func (s *script) checkpoint(label string) {
 	c := s.engine.Stats
-	for _, v := range []uint64{c.Asks, c.Offers, c.Accepted, c.Refusals, c.Doubts, c.Adopted, c.Stops, c.Placed, c.Refused, c.Failed, c.Shed,
-		c.AskedAgain, c.LostTasks, c.EvictedTasks, c.MovedTasks, c.TakenOver, c.JobsCreated, c.JobsFinished, c.PodsCreated,
-		c.JobsTurnedAway, c.Late} {
+	for _, v := range []uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections, c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed,
+		c.Retries, c.LostTasks, c.EvictedTasks, c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated,
+		c.JobsRejected, c.LateAnswers} {
 		s.record.Integers(int64(v))
 	}
-	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v", label, s.kinds, s.changes, s.engine.Open(), s.revision,
-		[]uint64{c.Asks, c.Offers, c.Accepted, c.Refusals, c.Doubts, c.Adopted, c.Stops, c.Placed, c.Refused, c.Failed, c.Shed, c.AskedAgain,
-			c.LostTasks, c.EvictedTasks, c.MovedTasks, c.TakenOver, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsTurnedAway, c.Late})
+	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v", label, s.kinds, s.changes, s.engine.OpenTasks(), s.revision,
+		[]uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections, c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed, c.Retries,
+			c.LostTasks, c.EvictedTasks, c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsRejected, c.LateAnswers})
 	s.record.Checkpoint(label)
 }
 
@@ -675,7 +675,7 @@
 	s.checkpoint("after the stop")
 	s.engine.Store().Snapshot(store.Pods).Scan("", "", func(key string, change *store.Change) bool {
 		pod := change.Object.(*corev1.Pod)
-		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, meta.SettledOf(pod))
+		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, wellknown.SettledOf(pod))
 		return true
 	})
 	s.checkpoint("final tasks")
@@ -692,13 +692,13 @@
 
 // TestCharacterizeMoves pins how tasks are moved off nearly empty nodes where nodes in use are dear and moves are not.
 func TestCharacterizeMoves(t *testing.T) {
-	s := newScript(t, 6, func(c *engine.Config) { c.Placer.FleetPrice, c.Placer.MovePrice, c.Placer.CrossPrice = 5, 0.01, 0 })
+	s := newScript(t, 6, func(c *engine.Config) { c.Placer.NodeCost, c.Placer.MigrationCost, c.Placer.CrossZoneCost = 5, 0.01, 0 })
 	s.advance(s.now + 5)
 	for i, n := range s.nodes {
 		pod := &corev1.Pod{}
 		pod.Name, pod.Namespace, pod.UID = fmt.Sprintf("found-%d", i), "default", types.UID(fmt.Sprintf("found-uid-%d", i))
-		pod.Labels = map[string]string{meta.Scheduler: s.config.Name, meta.Class: "batch", meta.Service: "service"}
-		pod.Annotations = map[string]string{meta.AttemptAnnotation: "2"}
+		pod.Labels = map[string]string{wellknown.Scheduler: s.config.Name, wellknown.Class: "batch", wellknown.Service: "service"}
+		pod.Annotations = map[string]string{wellknown.AttemptAnnotation: "2"}
 		pod.ResourceVersion, pod.Status.Phase = "9", corev1.PodRunning
 		n.pods = append(n.pods, pod)
 		s.engine.NodePod(s.now, n.name, pod, false)
@@ -712,7 +712,7 @@
 			s.checkpoint(fmt.Sprintf("step %d", i+1))
 		}
 	}
-	if s.engine.Stats.MovedTasks == 0 {
+	if s.engine.Stats.MigratedTasks == 0 {
 		t.Error("nothing was moved")
 	}
 	s.finish()
@@ -732,12 +732,12 @@
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
 		{"small-limits", 3, 300, false, func(c *engine.Config) {
-			c.MaxPods, c.MaxObjects, c.History, c.AdmitAtOnce, c.LostAfter = 90, 600000, 5000, 3, 2
+			c.MaxPods, c.MaxObjects, c.History, c.AdmitBatch, c.LostAfter = 90, 600000, 5000, 3, 2
 		}},
 		{"narrow-gate", 4, 300, true, func(c *engine.Config) {
-			c.Gate.MinInFlight, c.Gate.MaxInFlight, c.Gate.Start, c.Gate.MaxWaiting, c.KeepFinished = 1, 3, 2, 12, 0
+			c.Admission.MinInFlight, c.Admission.MaxInFlight, c.Admission.Start, c.Admission.MaxWaiting, c.FinishedTTL = 1, 3, 2, 12, 0
 		}},
-		{"pull-list", 5, 200, true, func(c *engine.Config) { c.Placer.MustAsk, c.Placer.AnswersWhenRunning = true, true }},
+		{"pull-list", 5, 200, true, func(c *engine.Config) { c.Placer.MustPollNodes, c.Placer.AcknowledgesOnStart = true, true }},
 	} {
 		t.Run(run.name, func(t *testing.T) {
 			s := newScript(t, run.seed, run.change)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,11 +19,11 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/feed"
-	"heathshed/internal/gate"
-	"heathshed/internal/owner"
+	"heathshed/internal/admission"
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/retry"
 	"heathshed/internal/store"
-	"heathshed/internal/timers"
+	"heathshed/internal/timerqueue"
 	"heathshed/placer"
 )
 
@@ -33,29 +33,29 @@
 	Placer       placer.Config
 	Classes      []string // names, as in Placer.Classes
 	DefaultClass int
-	Kinds        []string // names, as in Placer.Kinds
+	NodeTypes    []string // names, as in Placer.Kinds
 	Tenants      []string // namespaces, as in Placer.Tenants; every namespace may ask if there are none
 	Zone         string   // of this scheduler
-	Owner        owner.Policy
-	Gate         gate.Config // of the front door; the zero value lets everything pass
+	Retry        retry.Policy
+	Admission    admission.Config // of the front door; the zero value lets everything pass
 	Seed         uint64
 	BaseRev      int64   // revisions begin above this
 	History      int     // changes kept per table for watches
 	MaxPods      int     // Pods held at a time; further Jobs are turned away
 	MaxHistory   int64   // bytes of changes kept for watches, as store.Cost counts; 0 is no bound
 	MaxObjects   int64   // bytes of objects held at a time, counted so; further Jobs are turned away. 0 is no bound
-	KeepFinished float64 // seconds that a finished Job without a time of its own is kept
+	FinishedTTL  float64 // seconds that a finished Job without a time of its own is kept
 	LostAfter    float64 // seconds that a machine may be neither heard of nor listed before its tasks count as lost
-	AdmitAtOnce  int     // tasks begun in one call; the rest follow in the next
+	AdmitBatch   int     // tasks begun in one call; the rest follow in the next
 }
 
 // Defaults for what a Config leaves at zero.
 const (
-	DefaultHistory     = 20000
-	DefaultMaxPods     = 200000
-	DefaultLostAfter   = 8.0
-	DefaultAskWithin   = 10.0
-	DefaultAdmitAtOnce = 256
+	DefaultHistory         = 20000
+	DefaultMaxPods         = 200000
+	DefaultLostAfter       = 8.0
+	DefaultMaxPollInterval = 10.0
+	DefaultAdmitBatch      = 256
 )
 
 // EffectKind selects what an Effect asks for.
@@ -65,12 +65,12 @@
 // OfferDone may still come. StopTask: DELETE the Pod at the machine and forbid attempts up to Attempt, answer with StopDone.
 // FollowNode: list and watch the Pods of the machine. LeaveNode: stop that. Relist: list the machines anew.
 const (
-	SendOffer EffectKind = iota + 1
-	Abandon
+	SendAttempt EffectKind = iota + 1
+	AbandonAttempt
 	StopTask
-	FollowNode
-	LeaveNode
-	Relist
+	WatchNode
+	UnwatchNode
+	RelistNodes
 )
 
 // Effect is something that must happen outside.
@@ -92,14 +92,14 @@
 	cfg    Config
 	now    float64
 	rng    *rand.Rand
-	module feed.Feed
-	gate   *gate.Gate
+	module eventqueue.Queue
+	gate   *admission.Controller
 	gateAt *timer
 	store  *store.Store
 
 	effects []Effect
 
-	timers timers.Queue
+	timers timerqueue.Queue
 
 	jobs     map[string]*job // by namespace/name
 	tasks    map[types.UID]*task
@@ -123,10 +123,10 @@
 
 // Stats are counters.
 type Stats struct {
-	Asks, Offers, Accepted, Refusals, Doubts, Adopted, Stops         uint64
-	Placed, Refused, Failed                                          uint64
-	Shed, AskedAgain, LostTasks, EvictedTasks, MovedTasks, TakenOver uint64
-	JobsCreated, JobsFinished, PodsCreated, JobsTurnedAway, Late     uint64
+	PlacementRequests, Attempts, Accepted, Rejections, UnknownOutcomes, Adopted, Stops uint64
+	Placed, Rejected, Failed                                                           uint64
+	Shed, Retries, LostTasks, EvictedTasks, MigratedTasks, Recovered                   uint64
+	JobsCreated, JobsFinished, PodsCreated, JobsRejected, LateAnswers                  uint64
 }
 
 // New makes an engine, or says which part of the configuration cannot be used.
@@ -134,8 +134,8 @@
 	if len(cfg.Classes) != len(cfg.Placer.Classes) {
 		return nil, fmt.Errorf("engine: %d class names for %d classes", len(cfg.Classes), len(cfg.Placer.Classes))
 	}
-	if len(cfg.Kinds) != len(cfg.Placer.Kinds) {
-		return nil, fmt.Errorf("engine: %d kind names for %d kinds", len(cfg.Kinds), len(cfg.Placer.Kinds))
+	if len(cfg.NodeTypes) != len(cfg.Placer.NodeTypes) {
+		return nil, fmt.Errorf("engine: %d kind names for %d kinds", len(cfg.NodeTypes), len(cfg.Placer.NodeTypes))
 	}
 	if cfg.DefaultClass < 0 || cfg.DefaultClass >= len(cfg.Classes) {
 		return nil, fmt.Errorf("engine: default class %d of %d", cfg.DefaultClass, len(cfg.Classes))
@@ -147,15 +147,15 @@
 	}
 	set(&cfg.History, DefaultHistory)
 	set(&cfg.MaxPods, DefaultMaxPods)
-	set(&cfg.AdmitAtOnce, DefaultAdmitAtOnce)
-	if cfg.Placer.AskWithin <= 0 {
-		cfg.Placer.AskWithin = DefaultAskWithin
+	set(&cfg.AdmitBatch, DefaultAdmitBatch)
+	if cfg.Placer.MaxPollInterval <= 0 {
+		cfg.Placer.MaxPollInterval = DefaultMaxPollInterval
 	}
 	if cfg.LostAfter <= 0 {
 		cfg.LostAfter = DefaultLostAfter
 	}
-	if cfg.Owner == (owner.Policy{}) {
-		cfg.Owner = owner.DefaultPolicy()
+	if cfg.Retry == (retry.Policy{}) {
+		cfg.Retry = retry.DefaultPolicy()
 	}
 	e := &Engine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6865617468)),
 		store: store.NewBounded(cfg.BaseRev, cfg.History, cfg.MaxHistory), jobs: map[string]*job{}, tasks: map[types.UID]*task{},
@@ -166,16 +166,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	e.module = feed.Feed{Module: p, Do: e.carryOut}
-	if e.cfg.Gate.MaxWaiting == 0 {
-		e.cfg.Gate = gate.DefaultConfig()
-		e.cfg.Gate.Off = true
+	e.module = eventqueue.Queue{Placer: p, Execute: e.carryOut}
+	if e.cfg.Admission.MaxWaiting == 0 {
+		e.cfg.Admission = admission.DefaultConfig()
+		e.cfg.Admission.Disabled = true
 	}
-	e.cfg.Gate.Shares = nil
+	e.cfg.Admission.Shares = nil
 	for _, t := range cfg.Placer.Tenants {
-		e.cfg.Gate.Shares = append(e.cfg.Gate.Shares, t.Share)
+		e.cfg.Admission.Shares = append(e.cfg.Admission.Shares, t.Share)
 	}
-	if e.gate, err = gate.New(e.cfg.Gate); err != nil {
+	if e.gate, err = admission.New(e.cfg.Admission); err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
 	e.addNamespaces()
@@ -213,11 +213,11 @@
 	e.end()
 }
 
-// Gate is the front door, to be read between calls.
-func (e *Engine) Gate() *gate.Gate { return e.gate }
+// Admission is the front door, to be read between calls.
+func (e *Engine) Admission() *admission.Controller { return e.gate }
 
-// Open is the number of tasks without a final answer.
-func (e *Engine) Open() int { return e.unnamed }
+// OpenTasks is the number of tasks without a final answer.
+func (e *Engine) OpenTasks() int { return e.unnamed }
 
 // Stop turns new Jobs away from now on and gives every task that waits its final answer as soon as the rules allow: tasks
 // are not asked again.
@@ -258,18 +258,18 @@
 
 func (e *Engine) carryOut(a *placer.Action) {
 	switch a.Kind {
-	case placer.Offer:
+	case placer.StartAttempt:
 		e.offer(a)
-	case placer.Refuse:
-		e.answered(a.Task, owner.WasRefused, a.After)
+	case placer.Reject:
+		e.answered(a.Task, retry.Rejected, a.After)
 	case placer.Fail:
-		e.answered(a.Task, owner.WasFailed, 0)
-	case placer.Wake:
+		e.answered(a.Task, retry.Failed, 0)
+	case placer.SetTimer:
 		token := a.Token
-		e.after(feed.Wait(a.After), func() { e.feed(placer.Event{Kind: placer.Woken, Token: token}); e.drainQueue() })
-	case placer.Watch, placer.Fetch:
-		e.effect(Effect{Kind: Relist})
-	case placer.Move:
+		e.after(eventqueue.Delay(a.After), func() { e.feed(placer.Event{Kind: placer.TimerFired, Token: token}); e.drainQueue() })
+	case placer.WatchNodes, placer.ListNodes:
+		e.effect(Effect{Kind: RelistNodes})
+	case placer.Migrate:
 		e.move(a.Task)
 	}
 }
@@ -277,7 +277,7 @@
 func (e *Engine) effect(x Effect) { e.effects = append(e.effects, x) }
 
 // timer is a function that runs in a later Tick.
-type timer = timers.Timer
+type timer = timerqueue.Timer
 
 func (e *Engine) at(at float64, fn func()) *timer { return e.timers.Add(at, fn) }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,18 +8,18 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/meta"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
 func listedNode(boot string, started float64) *corev1.Node {
 	o := &corev1.Node{}
 	o.Name = "n"
-	o.Labels = map[string]string{meta.Kind: "k"}
+	o.Labels = map[string]string{wellknown.Kind: "k"}
 	o.Annotations = map[string]string{}
 	if started > 0 {
-		o.Annotations[meta.Started] = meta.Instant(started)
+		o.Annotations[wellknown.Started] = wellknown.Instant(started)
 	}
 	o.Status.NodeInfo.BootID = boot
 	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
@@ -30,9 +30,9 @@
 
 func newEngine(t *testing.T) *Engine {
 	t.Helper()
-	e, err := New(Config{Name: "s", Classes: []string{"c"}, Kinds: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerSlack: 0.1,
-		Classes: []placer.Class{{Aim: 1, Deadline: 8, NodeKind: -1, CalmUpTo: 1, FadesOver: 1}}, Kinds: []placer.Kind{{Cores: 8, Memory: 8}},
-		BookCores: 1, BookMemory: 1, ListShowsRoom: true, WarmWithin: 15}})
+	e, err := New(Config{Name: "s", Classes: []string{"c"}, NodeTypes: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1,
+		Classes: []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}}, NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
+		OvercommitCores: 1, OvercommitMemory: 1, ListShowsCapacity: true, WarmupDuration: 15}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,14 +81,14 @@
 		name, boot string
 		again      bool // it is asked for again
 	}{{"same life", "a", true}, {"another life", "b", false}} {
-		e, err := New(Config{Name: "s", Classes: []string{"once"}, Kinds: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerSlack: 0.1,
-			Classes: []placer.Class{{Effect: placer.Once, Aim: 1, Deadline: 2, NodeKind: -1, CalmUpTo: 1, FadesOver: 1}},
-			Kinds:   []placer.Kind{{Cores: 8, Memory: 8}}, BookCores: 2, BookMemory: 2, ListShowsRoom: true}})
+		e, err := New(Config{Name: "s", Classes: []string{"once"}, NodeTypes: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1,
+			Classes:   []placer.Class{{Idempotency: placer.NonIdempotent, LatencyObjective: 1, Deadline: 2, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+			NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}}, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := listedNode("a", 0)
-		n.Annotations[meta.Free] = "cores=8.0, memory=8.0"
+		n.Annotations[wellknown.Free] = "cores=8.0, memory=8.0"
 		e.NodesListed(1000, FullList, []*corev1.Node{n}, nil)
 		e.NodePods(1000, "n", "a", 1, nil)
 		j := &batchv1.Job{}
@@ -100,10 +100,10 @@
 		for now < 1060 {
 			for _, x := range e.Ready(nil) {
 				switch x.Kind {
-				case SendOffer:
+				case SendAttempt:
 					offers++ // and no answer comes
 				case StopTask:
-					e.StopDone(now, StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt, Known: true, Boot: c.boot})
+					e.StopDone(now, StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt, Known: true, Incarnation: c.boot})
 				}
 			}
 			now = min(e.NextWake(), 1060)
@@ -138,7 +138,7 @@
 		t.Fatalf("120 of 100 Pods: %v", err)
 	}
 	// No machine is there: all are refused by their deadline.
-	for ; e.Open() > 0 && now < 1100; now++ {
+	for ; e.OpenTasks() > 0 && now < 1100; now++ {
 		e.Tick(now)
 	}
 	if err := create(now, "b", 60); !errors.Is(err, ErrTooMany) {
@@ -166,7 +166,7 @@
 func TestStopWhileATaskWaitsToRunAgain(t *testing.T) {
 	e := newEngine(t)
 	node := listedNode("a", 0)
-	node.Annotations[meta.Free] = "cores=8.0, memory=8.0"
+	node.Annotations[wellknown.Free] = "cores=8.0, memory=8.0"
 	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
 	e.NodePods(1000, "n", "a", 1, nil)
 	job := &batchv1.Job{}
@@ -176,7 +176,7 @@
 	}
 	attempts := func() (sent []Effect) {
 		for _, effect := range e.Ready(nil) {
-			if effect.Kind == SendOffer {
+			if effect.Kind == SendAttempt {
 				sent = append(sent, effect)
 			}
 		}
@@ -193,14 +193,14 @@
 	}
 	pod := sent[0].Pod.DeepCopy()
 	pod.Status.Phase = corev1.PodRunning
-	e.OfferDone(now, OfferAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Boot: "a", Rev: 2, Pod: pod})
+	e.AttemptDone(now, AttemptAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Incarnation: "a", Rev: 2, Pod: pod})
 	now++
 	failed := pod.DeepCopy()
 	failed.ResourceVersion = "3"
 	failed.Status.Phase = corev1.PodFailed
 	e.NodePod(now, "n", failed, false)
-	if e.Open() != 0 {
-		t.Fatalf("%d tasks are open before the retry, want 0", e.Open())
+	if e.OpenTasks() != 0 {
+		t.Fatalf("%d tasks are open before the retry, want 0", e.OpenTasks())
 	}
 	e.Stop(now)
 	created := e.Stats.PodsCreated
@@ -215,7 +215,7 @@
 	if again := attempts(); len(again) > 0 {
 		t.Errorf("%d attempts after the stop", len(again))
 	}
-	if e.Open() != 0 {
-		t.Errorf("%d tasks have no final answer", e.Open())
+	if e.OpenTasks() != 0 {
+		t.Errorf("%d tasks have no final answer", e.OpenTasks())
 	}
 }
--- a/internal/engine/jobs.go
+++ b/internal/engine/jobs.go
@@ -13,9 +13,9 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/meta"
-	"heathshed/internal/owner"
+	"heathshed/internal/retry"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
@@ -77,14 +77,14 @@
 
 // classOf finds the class that a template names.
 func (e *Engine) classOf(l map[string]string) (int, *InvalidError) {
-	name, ok := l[meta.Class]
+	name, ok := l[wellknown.Class]
 	if !ok {
 		return e.cfg.DefaultClass, nil
 	}
 	if i := slices.Index(e.cfg.Classes, name); i >= 0 {
 		return i, nil
 	}
-	return 0, &InvalidError{"spec.template.metadata.labels[" + meta.Class + "]", fmt.Sprintf("no such class; there are %v", e.cfg.Classes), name}
+	return 0, &InvalidError{"spec.template.metadata.labels[" + wellknown.Class + "]", fmt.Sprintf("no such class; there are %v", e.cfg.Classes), name}
 }
 
 // describe fills in what a Job asks for, or says why it cannot be taken.
@@ -104,8 +104,8 @@
 	}
 	j := &job{key: jobKey(o), uid: o.UID, obj: o, class: class, tenant: tenant, settled: map[string]int{},
 		pods: map[string]struct{}{}, slots: make([]slot, n)}
-	j.cores, j.memory = meta.Requests(&o.Spec.Template.Spec)
-	service := l[meta.Service]
+	j.cores, j.memory = wellknown.Requests(&o.Spec.Template.Spec)
+	service := l[wellknown.Service]
 	if service == "" {
 		service = o.Name
 	}
@@ -139,16 +139,16 @@
 		return nil, ErrStopping
 	}
 	o.UID = e.newUID()
-	o.CreationTimestamp = meta.Time(e.now)
+	o.CreationTimestamp = wellknown.Time(e.now)
 	o.Generation = 1
 	o.Status = batchv1.JobStatus{}
 	if o.Spec.Selector == nil {
-		o.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{meta.JobUID: string(o.UID)}}
+		o.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{wellknown.JobUID: string(o.UID)}}
 	}
 	if o.Spec.Template.Labels == nil {
 		o.Spec.Template.Labels = map[string]string{}
 	}
-	for k, v := range map[string]string{meta.JobUID: string(o.UID), meta.JobName: o.Name, "controller-uid": string(o.UID),
+	for k, v := range map[string]string{wellknown.JobUID: string(o.UID), wellknown.JobName: o.Name, "controller-uid": string(o.UID),
 		"job-name": o.Name} {
 		o.Spec.Template.Labels[k] = v
 	}
@@ -163,7 +163,7 @@
 	}
 	for e.full(j) {
 		if !e.makeRoom(dry) {
-			e.Stats.JobsTurnedAway++
+			e.Stats.JobsRejected++
 			return nil, ErrTooMany
 		}
 	}
@@ -249,7 +249,7 @@
 // admit begins tasks of Jobs in turn, a bounded number in one call, so that a large Job holds up nobody.
 func (e *Engine) admit() {
 	e.admits = false
-	left := e.cfg.AdmitAtOnce
+	left := e.cfg.AdmitBatch
 	for left > 0 && len(e.backlog) > 0 {
 		j := e.backlog[0]
 		e.backlog = e.backlog[1:]
@@ -285,7 +285,7 @@
 	t := &task{uid: e.newUID(), namespace: j.obj.Namespace, job: j, index: i, class: j.class, tenant: j.tenant,
 		service: j.service, cores: j.cores, memory: j.memory, budget: s.budget}
 	t.name = fmt.Sprintf("%.52s-%d-%s", j.obj.Name, i, e.suffix())
-	t.giveUp = e.now + e.cfg.Owner.Patience(e.cfg.Placer.Classes[j.class].Deadline, t.budget)
+	t.giveUp = e.now + e.cfg.Retry.MaxWait(e.cfg.Placer.Classes[j.class].Deadline, t.budget)
 	if j.deadline.Pending() {
 		t.giveUp = min(t.giveUp, j.deadline.At)
 	}
@@ -302,10 +302,10 @@
 	if p.Annotations == nil {
 		p.Annotations = map[string]string{}
 	}
-	p.Labels[meta.Index] = strconv.Itoa(i)
-	p.Annotations[meta.Index] = strconv.Itoa(i)
-	p.Annotations[meta.GiveUpAt] = meta.Instant(t.giveUp)
-	p.CreationTimestamp = meta.Time(e.now)
+	p.Labels[wellknown.Index] = strconv.Itoa(i)
+	p.Annotations[wellknown.Index] = strconv.Itoa(i)
+	p.Annotations[wellknown.GiveUpAt] = wellknown.Instant(t.giveUp)
+	p.CreationTimestamp = wellknown.Time(e.now)
 	p.OwnerReferences = []metav1.OwnerReference{ownedBy(j)}
 	p.Status.Phase = corev1.PodPending
 	p.Status.QOSClass = corev1.PodQOSBurstable
@@ -314,7 +314,7 @@
 	if e.stopping {
 		// Never requested: the placer would handle the request and make an attempt before it handled a withdrawal of it.
 		t.phase = waiting
-		e.settle(t, meta.Refused, "the scheduler stops")
+		e.settle(t, wellknown.Rejected, "the scheduler stops")
 	} else {
 		e.begAsk(t)
 	}
@@ -355,7 +355,7 @@
 }
 
 // jobTaskEnded counts the end of a task and has it asked for again where the Job wants that.
-func (e *Engine) jobTaskEnded(t *task, ok bool, c owner.Cause) {
+func (e *Engine) jobTaskEnded(t *task, ok bool, c retry.Cause) {
 	j := t.job
 	s := &j.slots[t.index]
 	if s.cur != t {
@@ -385,26 +385,26 @@
 }
 
 // againAfterRun has an index asked for again after its task ended without success.
-func (e *Engine) againAfterRun(j *job, s *slot, t *task, c owner.Cause) bool {
-	if j.failWhole != "" || c == owner.WasRefused && t.stopReason == "" || e.stopping {
+func (e *Engine) againAfterRun(j *job, s *slot, t *task, c retry.Cause) bool {
+	if j.failWhole != "" || c == retry.Rejected && t.stopReason == "" || e.stopping {
 		return false // the owner asked as often as it may before it settled
 	}
-	effect := e.cfg.Placer.Classes[j.class].Effect
-	if effect == placer.Once && (c == owner.WasFailed || t.mayRan) {
+	effect := e.cfg.Placer.Classes[j.class].Idempotency
+	if effect == placer.NonIdempotent && (c == retry.Failed || t.mayRan) {
 		return false // it ran to its end, or may still have a copy that nobody knows of
 	}
 	budget := t.budget
-	if c == owner.WasMoved || t.stopReason != "" {
+	if c == retry.Migrated || t.stopReason != "" {
 		budget = max(budget, 1) // moves on our own order cost nothing
 	}
 	// The end is known, so there is no doubt left; the owner only chooses the wait.
-	v, at := e.cfg.Owner.Next(owner.Standing{Effect: placer.Repeatable, Cause: c, Now: e.now, GiveUp: e.now + 3600,
-		Asked: max(int(deref(j.obj.Spec.BackoffLimit, defaultBackoff))-t.budget+1, 1), Budget: budget, Jitter: e.rng.Float64()})
-	if v != owner.Ask {
+	v, at := e.cfg.Retry.Next(retry.State{Idempotency: placer.Idempotent, Cause: c, Now: e.now, Deadline: e.now + 3600,
+		Attempts: max(int(deref(j.obj.Spec.BackoffLimit, defaultBackoff))-t.budget+1, 1), Budget: budget, Jitter: e.rng.Float64()})
+	if v != retry.RetryAt {
 		return false
 	}
-	if effect != placer.Repeatable {
-		at = max(at, e.now+e.cfg.Owner.Settle)
+	if effect != placer.Idempotent {
+		at = max(at, e.now+e.cfg.Retry.UnknownOutcomeTimeout)
 	}
 	s.budget = t.budget
 	if budget == t.budget {
@@ -438,7 +438,7 @@
 	e.ended(j)
 	e.stopTimer(j.deadline)
 	e.touchJob(j)
-	keep := e.cfg.KeepFinished
+	keep := e.cfg.FinishedTTL
 	if s := j.obj.Spec.TTLSecondsAfterFinished; s != nil {
 		keep = float64(*s)
 	} else if keep <= 0 {
@@ -482,7 +482,7 @@
 	j.obj.ObjectMeta.DeepCopyInto(&o.ObjectMeta)
 	j.obj.Status.DeepCopyInto(&o.Status)
 	s := &o.Status
-	now := meta.Time(e.now)
+	now := wellknown.Time(e.now)
 	if s.StartTime == nil && !j.suspended {
 		s.StartTime = &now
 	}
@@ -493,15 +493,15 @@
 		total += n
 	}
 	if total == len(j.slots) {
-		reason := meta.Failed
+		reason := wellknown.Failed
 		switch {
-		case j.settled[meta.Placed] == total:
-			reason = meta.Placed
-		case j.settled[meta.Placed] == 0 && j.settled[meta.Failed] == 0 && !j.mayRan:
-			reason = meta.Refused
+		case j.settled[wellknown.Placed] == total:
+			reason = wellknown.Placed
+		case j.settled[wellknown.Placed] == 0 && j.settled[wellknown.Failed] == 0 && !j.mayRan:
+			reason = wellknown.Rejected
 		}
-		setJobCondition(s, meta.Settled, reason, fmt.Sprintf("%d placed, %d refused, %d failed", j.settled[meta.Placed],
-			j.settled[meta.Refused], j.settled[meta.Failed]), now, true)
+		setJobCondition(s, wellknown.Settled, reason, fmt.Sprintf("%d placed, %d refused, %d failed", j.settled[wellknown.Placed],
+			j.settled[wellknown.Rejected], j.settled[wellknown.Failed]), now, true)
 	}
 	if j.suspended {
 		setJobCondition(s, batchv1.JobSuspended, "JobSuspended", "Job suspended", now, false)
@@ -674,7 +674,7 @@
 	if how == metav1.DeletePropagationForeground && len(names) > 0 {
 		j.foreground = true
 		o := j.obj.DeepCopy()
-		stamp := meta.Time(e.now)
+		stamp := wellknown.Time(e.now)
 		o.DeletionTimestamp = &stamp
 		o.Finalizers = append(o.Finalizers, metav1.FinalizerDeleteDependents)
 		e.store.Put(store.Jobs, o)
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -14,8 +14,8 @@
 	"k8s.io/apimachinery/pkg/api/equality"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/meta"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
@@ -60,8 +60,8 @@
 	defer e.end()
 	if kind == ListLost {
 		// Where the list is pushed nobody asked for it, and the adapter sees to it that it comes again.
-		if e.cfg.Placer.MustAsk {
-			e.feed(placer.Event{Kind: placer.Listed, List: placer.ListFailed})
+		if e.cfg.Placer.MustPollNodes {
+			e.feed(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 		return
 	}
@@ -77,13 +77,13 @@
 			}
 			e.nodes[o.Name], e.byID[n.id] = n, n
 		}
-		if addr := meta.NodeAddress(o); addr != n.address {
+		if addr := wellknown.NodeAddress(o); addr != n.address {
 			if n.address != "" {
-				e.effect(Effect{Kind: LeaveNode, Node: n.name})
+				e.effect(Effect{Kind: UnwatchNode, Node: n.name})
 				n.following = false
 			}
 			if n.address = addr; addr != "" {
-				e.effect(Effect{Kind: FollowNode, Node: n.name, Address: addr})
+				e.effect(Effect{Kind: WatchNode, Node: n.name, Address: addr})
 			}
 		}
 		// The list is late: it may name a life that is over. Which life a machine is in only the machine itself says.
@@ -114,25 +114,25 @@
 		e.showNode(n)
 	}
 	e.listed = true
-	e.feed(placer.Event{Kind: placer.Listed, List: list, Nodes: out})
+	e.feed(placer.Event{Kind: placer.NodesListed, List: list, Nodes: out})
 }
 
 // observe turns what is known of a machine into the placer's terms.
 func (e *Engine) observe(n *node) placer.Node {
-	out := placer.Node{ID: n.id, Kind: -1, State: placer.Gone}
+	out := placer.Node{ID: n.id, NodeType: -1, State: placer.Gone}
 	was := n.state
 	n.state = placer.Gone
 	if o := n.inv; o != nil {
 		l := o.Labels
-		out.Zone, out.Rack = intern(e.zones, l[meta.Zone]), intern(e.racks, l[meta.Rack])
-		out.Kind = slices.Index(e.cfg.Kinds, l[meta.Kind])
-		out.Since = e.since(n, o)
-		free, _ := meta.ParseDict(o.Annotations[meta.Free])
+		out.Zone, out.Rack = intern(e.zones, l[wellknown.Zone]), intern(e.racks, l[wellknown.Rack])
+		out.NodeType = slices.Index(e.cfg.NodeTypes, l[wellknown.Kind])
+		out.StartedAt = e.since(n, o)
+		free, _ := wellknown.ParseDict(o.Annotations[wellknown.Free])
 		out.FreeCores, out.FreeMemory = free["cores"], free["memory"]
 		switch {
 		case n.drained || o.Spec.Unschedulable:
 			n.state = placer.Draining
-		case meta.NodeReady(o) && n.address != "":
+		case wellknown.NodeReady(o) && n.address != "":
 			n.state = placer.Ready
 		}
 	}
@@ -149,7 +149,7 @@
 // behind would make a cold machine look warm. A life that begins under our eyes began when we first saw it, or at most the
 // list's delay before, which only makes it count as cold for longer.
 func (e *Engine) since(n *node, o *corev1.Node) float64 {
-	boot, stated := o.Status.NodeInfo.BootID, meta.Seconds(o.Annotations[meta.Started])
+	boot, stated := o.Status.NodeInfo.BootID, wellknown.Seconds(o.Annotations[wellknown.Started])
 	if n.listBoot != boot || boot == "" || !n.told {
 		switch {
 		case stated == 0:
@@ -171,8 +171,8 @@
 			return
 		}
 		for _, t := range n.tasks() {
-			if t.effect(e) != placer.Once {
-				e.heldEnded(t, placer.Lost, placer.NoReason, meta.Lost, n.name+" is gone")
+			if t.effect(e) != placer.NonIdempotent {
+				e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" is gone")
 			}
 			// A task that must not run twice may run on a machine that is merely cut off: only the machine itself, or
 			// its new life, can say that it ended.
@@ -196,7 +196,7 @@
 	if n.inv != nil || len(n.held) > 0 || n.address == "" {
 		return
 	}
-	e.effect(Effect{Kind: LeaveNode, Node: n.name})
+	e.effect(Effect{Kind: UnwatchNode, Node: n.name})
 	n.address = ""
 	n.following = false
 }
@@ -218,7 +218,7 @@
 	}
 	for _, t := range n.tasks() {
 		if t.holder.boot != boot {
-			e.heldEnded(t, placer.Lost, placer.NoReason, meta.Lost, n.name+" restarted")
+			e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" restarted")
 		}
 	}
 	// By the machine's own list of doubts: a restart must not cost a look at every task there is.
@@ -242,14 +242,14 @@
 	}
 	as, known := fingerprint(n.inv)
 	if was, _ := e.store.Get(store.Nodes, "", n.name).(*corev1.Node); known && was != nil && as == n.shownAs && !n.touched &&
-		(e.now-n.shownAt < 5 || was.Annotations[meta.Free] == n.inv.Annotations[meta.Free]) {
+		(e.now-n.shownAt < 5 || was.Annotations[wellknown.Free] == n.inv.Annotations[wellknown.Free]) {
 		return // most news are of room alone, and come often
 	}
 	n.shownAs, n.touched = as, false
 	o := n.inv.DeepCopy()
 	if n.labelled {
 		o.Labels = maps.Clone(n.labels)
-		for _, k := range []string{meta.Zone, meta.Rack, meta.Kind} {
+		for _, k := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
 			if v, ok := n.inv.Labels[k]; ok {
 				o.Labels[k] = v
 			}
@@ -272,14 +272,14 @@
 			return
 		}
 		if e.now-n.shownAt < 5 {
-			free := o.Annotations[meta.Free]
+			free := o.Annotations[wellknown.Free]
 			if o.Annotations != nil {
-				o.Annotations[meta.Free] = w.Annotations[meta.Free]
+				o.Annotations[wellknown.Free] = w.Annotations[wellknown.Free]
 			}
 			if equality.Semantic.DeepEqual(w, o) {
 				return
 			}
-			o.Annotations[meta.Free] = free
+			o.Annotations[wellknown.Free] = free
 		}
 	}
 	n.shownAt = e.now
@@ -290,9 +290,9 @@
 func fingerprint(o *corev1.Node) (uint64, bool) {
 	c := *o
 	c.ResourceVersion = ""
-	if _, ok := c.Annotations[meta.Free]; ok {
+	if _, ok := c.Annotations[wellknown.Free]; ok {
 		c.Annotations = maps.Clone(c.Annotations)
-		delete(c.Annotations, meta.Free)
+		delete(c.Annotations, wellknown.Free)
 	}
 	b, err := c.Marshal()
 	return xxhash.Sum64(b), err == nil
@@ -311,7 +311,7 @@
 	if o.ResourceVersion != "" && o.ResourceVersion != cur.ResourceVersion || o.UID != "" && o.UID != cur.UID {
 		return nil, ErrConflict
 	}
-	for _, k := range []string{meta.Zone, meta.Rack, meta.Kind} {
+	for _, k := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
 		if o.Labels[k] != cur.Labels[k] {
 			return nil, &InvalidError{"metadata.labels[" + k + "]", "the inventory says where a machine stands; it cannot be changed here", o.Labels[k]}
 		}
@@ -329,7 +329,7 @@
 	}
 	if order != nil && *order != n.drained {
 		n.drained, n.touched = *order, true
-		e.feed(placer.Event{Kind: placer.Listed, List: placer.Changes, Nodes: []placer.Node{e.observe(n)}})
+		e.feed(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{e.observe(n)}})
 		e.drainQueue()
 	}
 	e.showNode(n)
@@ -365,7 +365,7 @@
 		e.heldEnded(t, placer.Cancelled, placer.NoReason, t.stopReason, "")
 		return
 	}
-	e.heldEnded(t, placer.Lost, placer.NoReason, meta.Lost, n.name+" does not hold it any more")
+	e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" does not hold it any more")
 }
 
 // NodePod takes a change of one own Pod at a machine.
@@ -377,8 +377,8 @@
 	}
 }
 
-// NodeSilent says that a machine's Pods can no longer be watched.
-func (e *Engine) NodeSilent(now float64, name string) {
+// NodeUnresponsive says that a machine's Pods can no longer be watched.
+func (e *Engine) NodeUnresponsive(now float64, name string) {
 	e.begin(now)
 	defer e.end()
 	if n := e.nodes[name]; n != nil && n.following {
@@ -398,9 +398,9 @@
 // podAt brings a task in line with what a machine shows of it.
 func (e *Engine) podAt(n *node, p *corev1.Pod, deleted bool) {
 	t := e.tasks[p.UID]
-	over := deleted || meta.Finished(p)
+	over := deleted || wellknown.Finished(p)
 	if t == nil {
-		if !over && p.Labels[meta.Scheduler] == e.cfg.Name {
+		if !over && p.Labels[wellknown.Scheduler] == e.cfg.Name {
 			e.takeOver(n, p)
 		}
 		return
@@ -428,8 +428,8 @@
 
 // doubtful takes what a machine shows of an attempt in doubt.
 func (e *Engine) doubtful(at *attempt, boot string, p *corev1.Pod, deleted bool) {
-	if deleted || meta.Finished(p) {
-		e.resolved(at, p.Status.Reason != meta.NeverRan)
+	if deleted || wellknown.Finished(p) {
+		e.resolved(at, p.Status.Reason != wellknown.NeverRan)
 		return
 	}
 	t := at.t
@@ -453,14 +453,14 @@
 		if p.Status.Phase == corev1.PodRunning {
 			e.ran(t)
 		}
-		use, _ := meta.ParseDict(p.Annotations[meta.Use])
+		use, _ := wellknown.ParseDict(p.Annotations[wellknown.Use])
 		for _, u := range []struct {
 			name string
-			kind placer.UseKind
+			kind placer.UsageKind
 		}{{"cores", placer.CoresUsed}, {"memory", placer.MemoryUsed}} {
 			if v, ok := use[u.name]; ok && t.holder != nil {
-				e.feed(placer.Event{Kind: placer.Noted, ID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id,
-					Use: u.kind, Value: v})
+				e.feed(placer.Event{Kind: placer.UsageReported, TaskID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id,
+					Usage: u.kind, Value: v})
 			}
 		}
 	}
@@ -470,13 +470,13 @@
 func (e *Engine) heldFailed(t *task, p *corev1.Pod) {
 	r, why := placer.Lost, placer.NoReason
 	switch p.Status.Reason {
-	case meta.Evicted:
+	case wellknown.Evicted:
 		why = placer.Evicted
-	case meta.Preempted:
-		why = placer.PushedOut
-	case meta.SentAway:
-		why = placer.SentAway
-	case meta.Stopped, meta.NeverRan:
+	case wellknown.Preempted:
+		why = placer.Preempted
+	case wellknown.Drained:
+		why = placer.Drained
+	case wellknown.Stopped, wellknown.NeverRan:
 		r = placer.Cancelled
 		if t.stopReason != "" {
 			e.heldEnded(t, r, why, t.stopReason, p.Status.Message)
@@ -496,13 +496,13 @@
 		e.stopCopy(n, p.UID, p.Namespace, p.Name, 1<<30)
 		return
 	}
-	e.Stats.TakenOver++
+	e.Stats.Recovered++
 	t := &task{uid: p.UID, namespace: p.Namespace, name: p.Name, class: class, tenant: tenant, phase: running, everRan: true,
 		asked: 1, settled: true, giveUp: e.now}
-	t.cores, t.memory = meta.Requests(&p.Spec)
-	service := p.Labels[meta.Service]
+	t.cores, t.memory = wellknown.Requests(&p.Spec)
+	service := p.Labels[wellknown.Service]
 	if service == "" {
-		service = p.Labels[meta.JobName]
+		service = p.Labels[wellknown.JobName]
 	}
 	t.service = serviceID(p.Namespace, service)
 	t.seq = int(e.Stats.PodsCreated)
@@ -510,14 +510,14 @@
 	e.tasks[t.uid] = t
 
 	o := p.DeepCopy()
-	o.Labels[meta.Scheduler] = e.cfg.Name
-	delete(o.Annotations, meta.Job)
-	delete(o.Annotations, meta.Use)
+	o.Labels[wellknown.Scheduler] = e.cfg.Name
+	delete(o.Annotations, wellknown.Job)
+	delete(o.Annotations, wellknown.Use)
 	o.Spec.NodeName = n.name
-	now := meta.Time(e.now)
+	now := wellknown.Time(e.now)
 	phase := o.Status.Phase
 	o.Status = corev1.PodStatus{Phase: corev1.PodPending}
-	for _, c := range []corev1.PodCondition{{Type: meta.Settled, Reason: meta.Placed, Message: "found running on " + n.name +
+	for _, c := range []corev1.PodCondition{{Type: wellknown.Settled, Reason: wellknown.Placed, Message: "found running on " + n.name +
 		" after the scheduler's restart"}, {Type: corev1.PodScheduled}} {
 		c.Status, c.LastTransitionTime = corev1.ConditionTrue, now
 		o.Status.Conditions = setCondition(o.Status.Conditions, c)
@@ -527,7 +527,7 @@
 	if t.job != nil {
 		t.job.pods[t.name] = struct{}{}
 	}
-	number, _ := strconv.Atoi(p.Annotations[meta.AttemptAnnotation])
+	number, _ := strconv.Atoi(p.Annotations[wellknown.AttemptAnnotation])
 	e.adopt(t, n, max(number, 1), n.boot, podRev(p))
 	if phase == corev1.PodRunning {
 		e.ran(t)
@@ -540,10 +540,10 @@
 // takeOverJob joins a task that was taken over to its Job, which it rebuilds if it is not there.
 func (e *Engine) takeOverJob(t *task, p *corev1.Pod) {
 	var o batchv1.Job
-	if json.Unmarshal([]byte(p.Annotations[meta.Job]), &o) != nil || o.Name == "" || o.Namespace != p.Namespace {
+	if json.Unmarshal([]byte(p.Annotations[wellknown.Job]), &o) != nil || o.Name == "" || o.Namespace != p.Namespace {
 		return
 	}
-	index, err := strconv.Atoi(p.Labels[meta.Index])
+	index, err := strconv.Atoi(p.Labels[wellknown.Index])
 	j := e.jobs[jobKey(&o)]
 	if j == nil {
 		o.Generation = 1
@@ -567,7 +567,7 @@
 	}
 	if !s.settled {
 		s.settled = true
-		j.settled[meta.Placed]++
+		j.settled[wellknown.Placed]++
 	}
 	s.cur, s.begun = t, true
 	t.job, t.index, t.budget = j, index, s.budget
@@ -586,7 +586,7 @@
 		if s.begun {
 			continue
 		}
-		if e.cfg.Placer.Classes[j.class].Effect == placer.Repeatable {
+		if e.cfg.Placer.Classes[j.class].Idempotency == placer.Idempotent {
 			j.next = min(j.next, i)
 			continue
 		}
@@ -595,7 +595,7 @@
 		j.failed++
 		if !s.settled {
 			s.settled = true
-			j.settled[meta.Failed]++
+			j.settled[wellknown.Failed]++
 			j.mayRan = true
 		}
 	}
@@ -604,8 +604,8 @@
 	e.checkJob(j)
 }
 
-// Heard says how many machines the inventory lists as ready, and of how many the Pods are known.
-func (e *Engine) Heard() (listed, heard int) {
+// NodeHeartbeat says how many machines the inventory lists as ready, and of how many the Pods are known.
+func (e *Engine) NodeHeartbeat() (listed, heard int) {
 	for _, n := range e.nodes {
 		if n.state != placer.Gone {
 			listed++
--- a/internal/engine/tasks.go
+++ b/internal/engine/tasks.go
@@ -9,10 +9,10 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/gate"
-	"heathshed/internal/meta"
-	"heathshed/internal/owner"
+	"heathshed/internal/admission"
+	"heathshed/internal/retry"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
@@ -91,7 +91,7 @@
 
 func (t *task) inDoubt() bool { return len(t.doubts) > 0 }
 
-func (t *task) effect(e *Engine) placer.Effect { return e.cfg.Placer.Classes[t.class].Effect }
+func (t *task) effect(e *Engine) placer.Idempotency { return e.cfg.Placer.Classes[t.class].Idempotency }
 
 // addTask enters a new Pod.
 func (e *Engine) addTask(t *task, p *corev1.Pod) {
@@ -109,19 +109,19 @@
 	a := &ask{id: e.lastAsk, t: t, again: t.asked > 0, deadline: min(t.giveUp, e.now+k.Deadline)}
 	e.asks[a.id] = a
 	t.ask, t.phase, t.wait = a, asking, nil
-	e.Stats.Asks++
+	e.Stats.PlacementRequests++
 	if a.again || t.shed {
-		e.Stats.AskedAgain++
+		e.Stats.Retries++
 	}
-	kind := &e.cfg.Placer.Kinds[0]
-	v, shed := e.gate.Arrive(e.now, gate.Item{ID: uint64(a.id), Tenant: t.tenant, Priority: k.Priority, Cost: max(t.cores/kind.Cores, t.memory/kind.Memory),
-		Deadline: a.deadline, Until: t.giveUp, Aim: k.Aim, Again: a.again, Shed: t.shed})
+	kind := &e.cfg.Placer.NodeTypes[0]
+	v, shed := e.gate.Arrive(e.now, admission.Request{ID: uint64(a.id), Tenant: t.tenant, Priority: k.Priority, Cost: max(t.cores/kind.Cores, t.memory/kind.Memory),
+		Deadline: a.deadline, Until: t.giveUp, LatencyObjective: k.LatencyObjective, IsRetry: a.again, Shed: t.shed})
 	switch v {
-	case gate.Pass:
+	case admission.Admit:
 		e.bring(a)
-	case gate.Wait:
+	case admission.Wait:
 		a.queued = true
-	case gate.Shed:
+	case admission.Shed:
 		e.shed(a, shed)
 	}
 }
@@ -133,16 +133,16 @@
 	a.deadline = min(t.giveUp, e.now+e.cfg.Placer.Classes[t.class].Deadline)
 	t.asked++
 	e.feed(placer.Event{Kind: placer.Arrived, Task: placer.Task{ID: a.id, Class: t.class, Tenant: t.tenant, Service: t.service, Cores: t.cores,
-		Memory: t.memory, Again: a.again, Deadline: a.deadline}})
+		Memory: t.memory, IsRetry: a.again, Deadline: a.deadline}})
 }
 
 // shed ends an ask that the gate refuses. Nothing of it ran.
-func (e *Engine) shed(a *ask, s gate.Shedding) {
+func (e *Engine) shed(a *ask, s admission.Shedding) {
 	e.Stats.Shed++
 	a.answered, a.queued, a.t.shed = true, false, true
 	e.forgetAsk(a)
 	a.t.lastReason = "not asked for: " + s.Why
-	e.decide(a.t, owner.WasShed, s.Delay)
+	e.decide(a.t, retry.Shed, s.Delay)
 }
 
 // openGate lets pass what may, and sees to it that it is looked at again in time.
@@ -184,11 +184,11 @@
 	at := &attempt{a: a, t: t, seq: act.Attempt, number: t.attempts, n: n, sent: e.now, until: act.Until, life: n.boot}
 	a.attempts = append(a.attempts, at)
 	t.open = at
-	e.Stats.Offers++
+	e.Stats.Attempts++
 	at.timer = e.at(act.Until, func() { e.timedOut(at) })
-	e.effect(Effect{Kind: SendOffer, Node: n.name, Address: n.address, Pod: e.offered(t), UID: t.uid,
+	e.effect(Effect{Kind: SendAttempt, Node: n.name, Address: n.address, Pod: e.offered(t), UID: t.uid,
 		Namespace: t.namespace, Name: t.name, Attempt: at.number, Until: act.Until,
-		Careful: t.effect(e) != placer.Repeatable})
+		Careful: t.effect(e) != placer.Idempotent})
 }
 
 // offered is the Pod as machines get it.
@@ -201,10 +201,10 @@
 	p.ObjectMeta.DeepCopyInto(&next.ObjectMeta)
 	p = &next
 	p.ResourceVersion = ""
-	p.Labels[meta.Scheduler] = e.cfg.Name
-	p.Labels[meta.Class] = e.cfg.Classes[t.class]
+	p.Labels[wellknown.Scheduler] = e.cfg.Name
+	p.Labels[wellknown.Class] = e.cfg.Classes[t.class]
 	if t.job != nil {
-		p.Annotations[meta.Job] = t.job.carried()
+		p.Annotations[wellknown.Job] = t.job.carried()
 	}
 	p.Status = corev1.PodStatus{}
 	return p
@@ -232,43 +232,43 @@
 	e.store.Put(store.Pods, &next)
 }
 
-// OfferAnswer is how a machine answered an offer.
-type OfferAnswer struct {
-	UID      types.UID
-	Attempt  int
-	Node     string
-	Accepted bool
-	Result   placer.Result // where it was not accepted
-	Reason   placer.Reason
-	Stated   string // the machine's own words
-	Report   *placer.Report
-	Boot     string      // identity of the machine's life
-	Rev      int64       // the machine's revision of the Pod
-	Pod      *corev1.Pod // as the machine shows it, where it was accepted
+// AttemptAnswer is how a machine answered an offer.
+type AttemptAnswer struct {
+	UID         types.UID
+	Attempt     int
+	Node        string
+	Accepted    bool
+	Result      placer.Result // where it was not accepted
+	Reason      placer.Reason
+	Stated      string // the machine's own words
+	Report      *placer.Report
+	Incarnation string      // identity of the machine's life
+	Rev         int64       // the machine's revision of the Pod
+	Pod         *corev1.Pod // as the machine shows it, where it was accepted
 }
 
-// OfferDone takes the answer to an offer.
-func (e *Engine) OfferDone(now float64, ans OfferAnswer) {
+// AttemptDone takes the answer to an offer.
+func (e *Engine) AttemptDone(now float64, ans AttemptAnswer) {
 	e.begin(now)
 	defer e.end()
 	t := e.tasks[ans.UID]
 	if t == nil {
 		// The task is over. An acceptance then left a copy that nobody waits for.
 		if n := e.nodes[ans.Node]; ans.Accepted && n != nil {
-			e.Stats.Late++
+			e.Stats.LateAnswers++
 			e.stopCopy(n, ans.UID, "", "", ans.Attempt)
 		}
 		return
 	}
 	if at := t.open; at != nil && at.number == ans.Attempt && at.n.name == ans.Node {
-		e.learn(at.n, ans.Boot)
+		e.learn(at.n, ans.Incarnation)
 		if ans.Accepted {
 			e.accepted(at, ans)
 			return
 		}
 		t.lastReason = stated(ans)
-		if ans.Result == placer.Refused {
-			e.Stats.Refusals++
+		if ans.Result == placer.Rejected {
+			e.Stats.Rejections++
 		}
 		e.failedAttempt(at, ans.Result, ans.Reason, ans.Report)
 		return
@@ -278,11 +278,11 @@
 		if at.number != ans.Attempt || at.n.name != ans.Node {
 			continue
 		}
-		e.Stats.Late++
+		e.Stats.LateAnswers++
 		switch {
 		case ans.Accepted:
-			e.found(at, ans.Boot, ans.Rev)
-		case ans.Result == placer.Refused || ans.Result == placer.Unreachable:
+			e.found(at, ans.Incarnation, ans.Rev)
+		case ans.Result == placer.Rejected || ans.Result == placer.Unreachable:
 			e.resolved(at, false)
 		}
 		return
@@ -294,7 +294,7 @@
 	}
 }
 
-func stated(ans OfferAnswer) string {
+func stated(ans AttemptAnswer) string {
 	if ans.Stated != "" {
 		return ans.Node + ": " + ans.Stated
 	}
@@ -312,16 +312,16 @@
 }
 
 // accepted places a task.
-func (e *Engine) accepted(at *attempt, ans OfferAnswer) {
+func (e *Engine) accepted(at *attempt, ans AttemptAnswer) {
 	t := at.t
 	e.Stats.Accepted++
 	t.open = nil
 	e.stopTimer(at.timer)
-	if at.last == nil || at.boot != ans.Boot {
+	if at.last == nil || at.boot != ans.Incarnation {
 		at.last, at.rev = nil, 0
 	}
-	at.boot = ans.Boot
-	e.feed(placer.Event{Kind: placer.Bound, ID: at.a.id, Attempt: at.seq, Node: at.n.id, Elapsed: e.now - at.sent})
+	at.boot = ans.Incarnation
+	e.feed(placer.Event{Kind: placer.Bound, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Elapsed: e.now - at.sent})
 	at.a.answered = true
 	e.gate.Done(e.now, uint64(at.a.id), true)
 	e.hold(t, at)
@@ -349,7 +349,7 @@
 		e.change(t, func(p *corev1.Pod) { p.Spec.NodeName = at.n.name })
 		return
 	}
-	e.settle(t, meta.Placed, "accepted by "+at.n.name)
+	e.settle(t, wellknown.Placed, "accepted by "+at.n.name)
 }
 
 // failedAttempt tells the placer how the open attempt ended, keeping what it leaves in doubt.
@@ -358,13 +358,13 @@
 	t.open = nil
 	e.stopTimer(at.timer)
 	switch r {
-	case placer.Refused, placer.Unreachable, placer.Moot:
+	case placer.Rejected, placer.Unreachable, placer.Expired:
 	default:
 		e.doubt(at)
 	}
 	at.told = true
-	e.feed(placer.Event{Kind: placer.Ended, ID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
-		Elapsed: e.now - at.sent, Over: at.a.answered, Report: rep})
+	e.feed(placer.Event{Kind: placer.Ended, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
+		Elapsed: e.now - at.sent, Final: at.a.answered, Report: rep})
 	if at.a.answered || t.phase == ending {
 		e.forgetAsk(at.a)
 		e.tidyTask(t)
@@ -375,14 +375,14 @@
 // looked for first, since it may be running.
 func (e *Engine) doubt(at *attempt) {
 	t := at.t
-	e.Stats.Doubts++
+	e.Stats.UnknownOutcomes++
 	t.everRan = true
 	t.doubts = append(t.doubts, at)
 	if at.n.doubts == nil {
 		at.n.doubts = map[*attempt]struct{}{}
 	}
 	at.n.doubts[at] = struct{}{}
-	if t.effect(e) == placer.Repeatable || t.phase == ending {
+	if t.effect(e) == placer.Idempotent || t.phase == ending {
 		e.fence(at)
 		return
 	}
@@ -394,7 +394,7 @@
 			}
 		})
 	}
-	at.fence = e.after(e.cfg.Owner.Settle, func() { at.fence = nil; e.fence(at); e.drainQueue() })
+	at.fence = e.after(e.cfg.Retry.UnknownOutcomeTimeout, func() { at.fence = nil; e.fence(at); e.drainQueue() })
 }
 
 // timedOut gives up the open attempt.
@@ -404,7 +404,7 @@
 		return
 	}
 	t.lastReason = at.n.name + ": no answer in time"
-	e.effect(Effect{Kind: Abandon, Node: at.n.name, UID: t.uid, Attempt: at.number})
+	e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
 	e.failedAttempt(at, placer.TimedOut, placer.NoReason, nil)
 	e.drainQueue()
 }
@@ -426,13 +426,13 @@
 
 // StopAnswer is how a machine answered StopTask.
 type StopAnswer struct {
-	UID     types.UID
-	Node    string
-	Attempt int
-	Boot    string // identity of the machine's life
-	Known   bool   // the machine answered
-	Had     bool   // it has or had the task under this attempt
-	Ran     bool   // and the task may have run
+	UID         types.UID
+	Node        string
+	Attempt     int
+	Incarnation string // identity of the machine's life
+	Known       bool   // the machine answered
+	Had         bool   // it has or had the task under this attempt
+	Ran         bool   // and the task may have run
 }
 
 // StopDone takes the answer to StopTask.
@@ -440,7 +440,7 @@
 	e.begin(now)
 	defer e.end()
 	if n := e.nodes[ans.Node]; n != nil && ans.Known {
-		e.learn(n, ans.Boot)
+		e.learn(n, ans.Incarnation)
 	}
 	t := e.tasks[ans.UID]
 	if t == nil {
@@ -453,7 +453,7 @@
 		at.fencing = false
 		if ans.Known {
 			// A machine that does not have the task says so of its present life only.
-			e.resolved(at, ans.Had && ans.Ran || !ans.Had && (at.life == "" || at.life != ans.Boot))
+			e.resolved(at, ans.Had && ans.Ran || !ans.Had && (at.life == "" || at.life != ans.Incarnation))
 			return
 		}
 		e.stopTimer(at.fence)
@@ -486,9 +486,9 @@
 	e.undoubt(at)
 	t.mayRan = t.mayRan || ran
 	e.forgetAsk(at.a)
-	if t.phase == waiting && !t.inDoubt() && t.wait != nil && t.effect(e) != placer.Repeatable {
+	if t.phase == waiting && !t.inDoubt() && t.wait != nil && t.effect(e) != placer.Idempotent {
 		e.stopTimer(t.wait)
-		e.decide(t, owner.WasFailed, 0)
+		e.decide(t, retry.Failed, 0)
 		return
 	}
 	e.tidyTask(t)
@@ -518,7 +518,7 @@
 	e.asks[a.id] = a
 	t.ask = a
 	t.attempts = max(t.attempts, number)
-	e.feed(placer.Event{Kind: placer.Running, Node: n.id, Task: placer.Task{ID: a.id, Class: t.class, Tenant: t.tenant,
+	e.feed(placer.Event{Kind: placer.Adopted, Node: n.id, Task: placer.Task{ID: a.id, Class: t.class, Tenant: t.tenant,
 		Service: t.service, Cores: t.cores, Memory: t.memory, Deadline: t.giveUp}})
 	e.hold(t, at)
 }
@@ -529,7 +529,7 @@
 		a.answered = true
 		e.gate.Drop(uint64(a.id))
 		if !a.queued {
-			e.feed(placer.Event{Kind: placer.Withdrawn, ID: a.id})
+			e.feed(placer.Event{Kind: placer.Withdrawn, TaskID: a.id})
 		}
 		a.queued = false
 		e.forgetAsk(a)
@@ -537,7 +537,7 @@
 }
 
 // answered takes the placer's final word on an ask that it did not place.
-func (e *Engine) answered(id placer.TaskID, c owner.Cause, delay float64) {
+func (e *Engine) answered(id placer.TaskID, c retry.Cause, delay float64) {
 	a := e.asks[id]
 	if a == nil || a.answered {
 		return
@@ -548,7 +548,7 @@
 	if t.open != nil {
 		// Its outcome did not come by the deadline.
 		at := t.open
-		e.effect(Effect{Kind: Abandon, Node: at.n.name, UID: t.uid, Attempt: at.number})
+		e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
 		e.failedAttempt(at, placer.TimedOut, placer.NoReason, nil)
 	}
 	e.forgetAsk(a)
@@ -569,7 +569,7 @@
 }
 
 // decide does what the owner does next with a task that is not placed.
-func (e *Engine) decide(t *task, c owner.Cause, delay float64) {
+func (e *Engine) decide(t *task, c retry.Cause, delay float64) {
 	t.phase, t.ask, t.wait = waiting, nil, nil
 	if t.deleted {
 		e.finishTask(t)
@@ -578,26 +578,26 @@
 	if e.stopping {
 		t.budget = 0
 	}
-	v, at := e.cfg.Owner.Next(owner.Standing{Effect: t.effect(e), Cause: c, Now: e.now, GiveUp: t.giveUp, Asked: t.asked,
-		Budget: t.budget, InDoubt: t.inDoubt(), MayRan: t.mayRan, Delay: delay, Jitter: e.rng.Float64()})
+	v, at := e.cfg.Retry.Next(retry.State{Idempotency: t.effect(e), Cause: c, Now: e.now, Deadline: t.giveUp, Attempts: t.asked,
+		Budget: t.budget, OutcomeUnknown: t.inDoubt(), MayHaveRun: t.mayRan, RetryAfter: delay, Jitter: e.rng.Float64()})
 	switch v {
-	case owner.Ask:
+	case retry.RetryAt:
 		t.budget--
 		t.wait = e.at(at, func() { e.begAsk(t); e.drainQueue() })
-	case owner.Wait:
+	case retry.AwaitOutcome:
 		t.wait = e.at(at, func() { e.decide(t, c, 0); e.drainQueue() })
-	case owner.Refuse:
-		e.settle(t, meta.Refused, t.why("no machine took it"))
-	case owner.Fail:
-		e.settle(t, meta.Failed, t.why("it could not be placed"))
+	case retry.Reject:
+		e.settle(t, wellknown.Rejected, t.why("no machine took it"))
+	case retry.Fail:
+		e.settle(t, wellknown.Failed, t.why("it could not be placed"))
 	}
 }
 
 func (e *Engine) endOf(t *task) string {
 	if t.mayRan || t.inDoubt() {
-		return meta.Failed
+		return wellknown.Failed
 	}
-	return meta.Refused
+	return wellknown.Rejected
 }
 
 func (t *task) why(short string) string {
@@ -618,18 +618,18 @@
 	t.settled = true
 	e.unnamed--
 	switch reason {
-	case meta.Placed:
+	case wellknown.Placed:
 		e.Stats.Placed++
-	case meta.Refused:
-		e.Stats.Refused++
+	case wellknown.Rejected:
+		e.Stats.Rejected++
 	default:
 		e.Stats.Failed++
 	}
-	now := meta.Time(e.now)
+	now := wellknown.Time(e.now)
 	e.change(t, func(p *corev1.Pod) {
-		p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: meta.Settled,
+		p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: wellknown.Settled,
 			Status: corev1.ConditionTrue, Reason: reason, Message: message, LastTransitionTime: now, LastProbeTime: now})
-		if reason == meta.Placed {
+		if reason == wellknown.Placed {
 			p.Spec.NodeName = t.holder.n.name
 			p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: corev1.PodScheduled,
 				Status: corev1.ConditionTrue, LastTransitionTime: now})
@@ -642,7 +642,7 @@
 	if t.job != nil {
 		e.jobSettled(t, reason)
 	}
-	if reason != meta.Placed {
+	if reason != wellknown.Placed {
 		e.stopTimer(t.wait)
 		t.wait = nil
 		e.finishTask(t)
@@ -659,7 +659,7 @@
 	t.wait = nil
 	if !t.settled {
 		// Only a deletion comes here with an open outcome: the owner gave it up.
-		e.settle(t, meta.Failed, "deleted before it was placed")
+		e.settle(t, wellknown.Failed, "deleted before it was placed")
 		return
 	}
 	t.phase = ending
@@ -668,7 +668,7 @@
 		at.fence = nil
 		e.fence(at)
 	}
-	e.countEnd(t, false, owner.WasRefused)
+	e.countEnd(t, false, retry.Rejected)
 	e.tidyTask(t)
 }
 
@@ -688,7 +688,7 @@
 }
 
 // countEnd tells the Job once how one of its tasks ended.
-func (e *Engine) countEnd(t *task, ok bool, c owner.Cause) {
+func (e *Engine) countEnd(t *task, ok bool, c retry.Cause) {
 	if !t.counted {
 		t.counted = true
 		if t.job != nil {
@@ -735,24 +735,24 @@
 	e.stopTimer(at.fence)
 	delete(at.n.held, t.uid)
 	at.told = true
-	e.feed(placer.Event{Kind: placer.Ended, ID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
-		Elapsed: e.now - at.sent, Over: true})
+	e.feed(placer.Event{Kind: placer.Ended, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
+		Elapsed: e.now - at.sent, Final: true})
 	e.forgetAsk(at.a)
 	ok := r == placer.Finished && stated == ""
-	cause := owner.WasLost
+	cause := retry.Lost
 	switch {
 	case r == placer.Finished:
-		cause = owner.WasFailed // of its own doing
+		cause = retry.Failed // of its own doing
 	case why == placer.Evicted:
-		cause = owner.WasEvicted
+		cause = retry.Evicted
 		e.Stats.EvictedTasks++
 	case stated == "Moved" || stated == "Evicted" && r == placer.Cancelled:
-		cause = owner.WasMoved
-		e.Stats.MovedTasks++
+		cause = retry.Migrated
+		e.Stats.MigratedTasks++
 	case r == placer.Lost:
 		e.Stats.LostTasks++
 	}
-	now := meta.Time(e.now)
+	now := wellknown.Time(e.now)
 	e.change(t, func(p *corev1.Pod) {
 		p.Status.Phase = corev1.PodFailed
 		if ok {
@@ -784,9 +784,9 @@
 		return
 	}
 	t.started = true
-	e.feed(placer.Event{Kind: placer.Noted, ID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id, Use: placer.Runs,
+	e.feed(placer.Event{Kind: placer.UsageReported, TaskID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id, Usage: placer.Started,
 		Value: e.now - t.holder.sent})
-	now := meta.Time(e.now)
+	now := wellknown.Time(e.now)
 	e.change(t, func(p *corev1.Pod) {
 		p.Status.Phase = corev1.PodRunning
 		p.Status.StartTime = &now
@@ -837,7 +837,7 @@
 		return
 	}
 	t.deleted = true
-	stamp := metav1.NewTime(meta.Time(e.now).Time)
+	stamp := metav1.NewTime(wellknown.Time(e.now).Time)
 	grace := int64(30)
 	e.change(t, func(p *corev1.Pod) { p.DeletionTimestamp, p.DeletionGracePeriodSeconds = &stamp, &grace })
 	e.halt(t, reason)
@@ -856,7 +856,7 @@
 		at := t.open
 		e.withdraw(t)
 		t.phase = ending
-		e.effect(Effect{Kind: Abandon, Node: at.n.name, UID: t.uid, Attempt: at.number})
+		e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
 		e.failedAttempt(at, placer.Cancelled, placer.NoReason, nil)
 		t.phase = waiting
 		e.finishTask(t)
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -5,7 +5,7 @@
 //
 // It knows bytes and connections and nothing of what they mean. It may touch the operating system; of the project it
 // imports only the queue of timers.
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/timers"
+	"heathshed/internal/timerqueue"
 )
 
 // Limits that hold for every connection unless set otherwise.
@@ -50,7 +50,7 @@
 	start  time.Time
 	wall   float64 // Unix seconds at start
 	now    float64
-	timers timers.Queue
+	timers timerqueue.Queue
 	dirty  []*Conn
 	again  []*Conn
 	ends   []func()
@@ -241,7 +241,7 @@
 
 // Timer is a function that runs later.
 type Timer struct {
-	t *timers.Timer
+	t *timerqueue.Timer
 	l *Loop
 }
 
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/feed/characterization_test.go
+++ b/internal/eventqueue/characterization_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package eventqueue_test
 
 import (
 	"crypto/sha256"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/feed"
+	"heathshed/internal/eventqueue"
 	"heathshed/placer"
 )
 
@@ -52,7 +52,7 @@
 		lines = append(lines, fmt.Sprintf("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order))
 	}
 	for _, after := range []float64{math.Inf(-1), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, math.Inf(1)} {
-		lines = append(lines, fmt.Sprintf("wait %x %x", math.Float64bits(after), math.Float64bits(feed.Wait(after))))
+		lines = append(lines, fmt.Sprintf("wait %x %x", math.Float64bits(after), math.Float64bits(eventqueue.Delay(after))))
 	}
 	compareGolden(t, lines)
 }
@@ -66,7 +66,7 @@
 func (e *echoModule) Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action {
 	fmt.Fprintf(e.log, "e%d@%g/%d ", ev.Token, now, len(actions))
 	for i := range e.random.IntN(4) {
-		actions = append(actions, placer.Action{Kind: placer.Wake, Token: ev.Token*10 + uint64(i)})
+		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: ev.Token*10 + uint64(i)})
 	}
 	return actions
 }
@@ -74,17 +74,17 @@
 func playFeed(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var b strings.Builder
-	f := feed.Feed{Module: &echoModule{random, &b}}
-	f.Do = func(a *placer.Action) {
+	f := eventqueue.Queue{Placer: &echoModule{random, &b}}
+	f.Execute = func(a *placer.Action) {
 		fmt.Fprintf(&b, "a%d ", a.Token)
 		if a.Token < 100000 && random.IntN(2) == 0 {
-			f.Post(placer.Event{Kind: placer.Woken, Token: a.Token})
+			f.Post(placer.Event{Kind: placer.TimerFired, Token: a.Token})
 			f.Run(-1) // does nothing within an action
 		}
 	}
 	for step := range 40 {
 		for range random.IntN(4) {
-			f.Post(placer.Event{Kind: placer.Woken, Token: uint64(step + 1)})
+			f.Post(placer.Event{Kind: placer.TimerFired, Token: uint64(step + 1)})
 		}
 		f.Run(float64(step))
 		b.WriteString("| ")
--- a/internal/drill/drill.go
+++ b/internal/faultinjection/faultinjection.go
@@ -2,7 +2,7 @@
 
 // Package drill carries out a plan of load and trouble over sockets: it starts schedulers, machines and an inventory as processes
 // of their own, drives them as a client, and has the auditor check what passed.
-package drill
+package faultinjection
 
 import (
 	"bufio"
@@ -26,19 +26,19 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
-	"heathshed/internal/meta"
-	"heathshed/internal/model"
-	"heathshed/internal/settings"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/config"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
+	"heathshed/internal/wellknown"
 )
 
 // Options are what a drill is run with.
 type Options struct {
 	Exe      string // the heathshed binary
 	Dir      string // for settings, taps and logs; it must exist
-	Script   badday.Script
-	Settings settings.Settings
+	Script   scenario.Script
+	Settings config.Settings
 	Progress func(elapsed float64, r Figures)
 	// DropWatch is the time in seconds between deliberate breaks of the client's own watches; 0 is none.
 	DropWatch float64
@@ -93,10 +93,10 @@
 	if err := d.startAll(ctx); err != nil {
 		return nil, err
 	}
-	var nodes []badday.Node
+	var nodes []scenario.Node
 	for i := range o.Script.Nodes {
 		_, kind, rack, zone := o.Settings.Machine(i)
-		nodes = append(nodes, badday.Node{Name: model.NodeName(i), Zone: zone, Rack: rack, Kind: kind})
+		nodes = append(nodes, scenario.Node{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind})
 	}
 	plan := o.Script.Plan(nodes)
 	ctx, cancel := context.WithCancel(ctx)
@@ -159,7 +159,7 @@
 	}
 	s.Inventory = d.procs["inventory"].addr
 	for i := range d.o.Script.Nodes {
-		name := model.NodeName(i)
+		name := simulation.NodeName(i)
 		if i == 0 {
 			cfg = filepath.Join(d.o.Dir, "nodes.json")
 			if err := writeSettings(cfg, &s); err != nil {
@@ -173,7 +173,7 @@
 	}
 	for i := range d.o.Script.Schedulers {
 		p := s
-		p.Name, p.Self, p.Peers, p.Listen = model.SchedulerName(i), i, d.o.Script.Schedulers, "127.0.0.1:0"
+		p.Name, p.Self, p.Peers, p.Listen = simulation.SchedulerName(i), i, d.o.Script.Schedulers, "127.0.0.1:0"
 		cfg := filepath.Join(d.o.Dir, p.Name+".json")
 		if err := writeSettings(cfg, &p); err != nil {
 			return err
@@ -183,14 +183,14 @@
 		}
 	}
 	for i := range d.o.Script.Schedulers {
-		if err := d.ready(ctx, model.SchedulerName(i)); err != nil {
+		if err := d.ready(ctx, simulation.SchedulerName(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func writeSettings(file string, s *settings.Settings) error {
+func writeSettings(file string, s *config.Settings) error {
 	b, err := s.Text()
 	if err != nil {
 		return err
@@ -332,12 +332,12 @@
 	return 0, last
 }
 
-func (d *drill) act(ctx context.Context, a *badday.Action) {
+func (d *drill) act(ctx context.Context, a *scenario.Action) {
 	switch a.Do {
-	case badday.Submit:
+	case scenario.Submit:
 		late := time.Since(d.start).Seconds() - a.At
-		b, _ := json.Marshal(model.Job(a.Job))
-		code, err := d.send(ctx, "POST", model.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs",
+		b, _ := json.Marshal(simulation.Job(a.Job))
+		code, err := d.send(ctx, "POST", simulation.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs",
 			"application/json", b, 400)
 		d.count(func(f *Figures) {
 			if late > 0.05 {
@@ -347,27 +347,27 @@
 				f.Jobs++
 			}
 		})
-	case badday.Delete:
-		d.send(ctx, "DELETE", model.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs/"+a.Job.Name,
+	case scenario.Delete:
+		d.send(ctx, "DELETE", simulation.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs/"+a.Job.Name,
 			"application/json", nil, 1)
-	case badday.Fault:
+	case scenario.Fault:
 		b, _ := json.Marshal(&a.Faults)
 		d.send(ctx, "PUT", a.Node, "/heathshed/faults", "application/json", b, 1)
-	case badday.Inventory:
+	case scenario.Inventory:
 		b, _ := json.Marshal(&fault.Inventory{Cut: a.Cut})
 		d.send(ctx, "PUT", "inventory", "/heathshed/faults", "application/json", b, 1)
-	case badday.Kill:
-		d.kill(ctx, model.SchedulerName(a.Scheduler), a.For)
-	case badday.Drain, badday.Undrain:
-		body := fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, a.Do == badday.Drain)
+	case scenario.Kill:
+		d.kill(ctx, simulation.SchedulerName(a.Scheduler), a.For)
+	case scenario.Drain, scenario.Undrain:
+		body := fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, a.Do == scenario.Drain)
 		for i := range d.o.Script.Schedulers {
-			name := model.SchedulerName(i)
+			name := simulation.SchedulerName(i)
 			what := audit.Told
-			if a.Do == badday.Undrain {
+			if a.Do == scenario.Undrain {
 				// Before the order: from its sending on offers may go there.
 				d.tap(audit.Event{What: audit.Undrained, Scheduler: name, Node: a.Node})
 			}
-			if _, err := d.send(ctx, "PATCH", name, "/api/v1/nodes/"+a.Node, "application/merge-patch+json", body, 1); err == nil && a.Do == badday.Drain {
+			if _, err := d.send(ctx, "PATCH", name, "/api/v1/nodes/"+a.Node, "application/merge-patch+json", body, 1); err == nil && a.Do == scenario.Drain {
 				d.tap(audit.Event{What: what, Scheduler: name, Node: a.Node})
 			}
 		}
@@ -401,7 +401,7 @@
 
 // watch is the client's watch on the Pods of a scheduler. It resumes from the last revision it saw; when that is gone it lists anew.
 func (d *drill) watch(ctx context.Context, i int) {
-	name := model.SchedulerName(i)
+	name := simulation.SchedulerName(i)
 	rev := ""
 	for ctx.Err() == nil {
 		if rev == "" {
@@ -497,12 +497,12 @@
 // saw takes what the client sees of a Pod.
 func (d *drill) saw(name string, p *corev1.Pod, kind string) {
 	uid := string(p.UID)
-	reason := meta.SettledOf(p)
+	reason := wellknown.SettledOf(p)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := now()
 	tap := func(ev audit.Event) {
-		ev.At, ev.UID, ev.Scheduler, ev.Class = at, uid, name, p.Labels[meta.Class]
+		ev.At, ev.UID, ev.Scheduler, ev.Class = at, uid, name, p.Labels[wellknown.Class]
 		d.events = append(d.events, ev)
 	}
 	_, known := d.asked[uid]
@@ -514,7 +514,7 @@
 		// One whose outcome stands already when it is first seen was taken over after a restart, or settled before the watch came.
 		if reason == "" {
 			d.fig.Tasks++
-			tap(audit.Event{What: audit.Asked, GiveUp: meta.Seconds(p.Annotations[meta.GiveUpAt])})
+			tap(audit.Event{What: audit.Asked, GiveUp: wellknown.Seconds(p.Annotations[wellknown.GiveUpAt])})
 		}
 	}
 	if reason != "" && !d.told[uid] {
@@ -558,6 +558,6 @@
 		f.Close()
 	}
 	r := &Result{Seconds: d.o.Script.Seconds, Schedulers: d.o.Script.Schedulers, Nodes: d.o.Script.Nodes, Figures: d.figures()}
-	r.Audit = audit.Check(audit.Config{Classes: model.Classes(&d.o.Settings), DrainGrace: d.o.Settings.Rules.DrainGrace, Slack: 0.15}, events)
+	r.Audit = audit.Check(audit.Config{Classes: simulation.Classes(&d.o.Settings), DrainGrace: d.o.Settings.Rules.DrainGrace, Slack: 0.15}, events)
 	return r, nil
 }
--- a/internal/drill/drill_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"testing"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/scenario"
 )
 
 // A short day over real processes, with schedulers killed, machines dying and the inventory away, breaks no rule; and every outcome
@@ -19,11 +19,11 @@
 	if out, err := exec.Command("go", "build", "-o", exe, "heathshed/cmd/heathshed").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v: %s", err, out)
 	}
-	d := badday.Default()
+	d := scenario.Default()
 	d.Seconds, d.Calm, d.Nodes, d.Schedulers, d.Load.TasksPerSecond, d.Load.Services = 12, 6, 6, 2, 12, 8
-	d.Trouble = []badday.Trouble{{Kind: "crash", At: 1, For: 2, Part: 0.3}, {Kind: "discovery_down", At: 1.5, For: 2},
+	d.Trouble = []scenario.Trouble{{Kind: "crash", At: 1, For: 2, Part: 0.3}, {Kind: "discovery_down", At: 1.5, For: 2},
 		{Kind: "balancer_roll", At: 2, For: 2, Part: 1}, {Kind: "lose_answers", At: 3, For: 1, Part: 0.5}, {Kind: "flush", At: 4, For: 1, Part: 0.3}}
-	r, err := Run(context.Background(), Options{Exe: exe, Dir: t.TempDir(), Script: d, Settings: settings.Default(), DropWatch: 1, Hostile: true})
+	r, err := Run(context.Background(), Options{Exe: exe, Dir: t.TempDir(), Script: d, Settings: config.Default(), DropWatch: 1, Hostile: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/drill/hostile.go
+++ b/internal/faultinjection/hostile.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"heathshed/internal/model"
+	"heathshed/internal/simulation"
 )
 
 // Hostile figures of what clients that mean harm met, and of the schedulers' memory meanwhile.
@@ -31,7 +31,7 @@
 // bombs are requests as in the table of package api's tests, each with its way in.
 func bombs() (out [][4]string) {
 	const jobs = "/apis/batch/v1/namespaces/default/jobs"
-	node := "/api/v1/nodes/" + model.NodeName(0)
+	node := "/api/v1/nodes/" + simulation.NodeName(0)
 	job := func(cpu string) string {
 		return `{"metadata":{"name":"bomb"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
 			`{"requests":{"cpu":"` + cpu + `"}}}]}}}}`
@@ -62,7 +62,7 @@
 // harm sends bombs to one scheduler, twice a second, and keeps connections open that never read or never end their request, until the
 // day ends.
 func (d *drill) harm(ctx context.Context, i int) {
-	name := model.SchedulerName(i)
+	name := simulation.SchedulerName(i)
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
@@ -137,7 +137,7 @@
 		sum := 0
 		d.mu.Lock()
 		for i := range d.o.Script.Schedulers {
-			if p := d.procs[model.SchedulerName(i)]; p != nil && p.cmd != nil && p.cmd.Process != nil {
+			if p := d.procs[simulation.SchedulerName(i)]; p != nil && p.cmd != nil && p.cmd.Process != nil {
 				m := resident(p.cmd.Process.Pid)
 				sum += m
 				d.fig.Hostile.MostHeld = max(d.fig.Hostile.MostHeld, m)
--- a/internal/httpc/httpc.go
+++ b/internal/httpc/httpc.go
@@ -10,8 +10,8 @@
 	"slices"
 
 	"heathshed/internal/connpool"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
-	"heathshed/internal/loop"
 )
 
 // ErrTimeout ends a call that was not answered in time.
@@ -32,7 +32,7 @@
 	Pool          connpool.Policy
 	Limits        http1.Limits
 
-	l     *loop.Loop
+	l     *eventloop.Loop
 	addr  string
 	idle  []*conn
 	ages  []float64 // scratch
@@ -41,7 +41,7 @@
 }
 
 // New returns a client for the server at a literal address.
-func New(l *loop.Loop, addr string) *Client {
+func New(l *eventloop.Loop, addr string) *Client {
 	lim := http1.DefaultLimits()
 	lim.Body = 64 << 20
 	return &Client{l: l, addr: addr, ConnectWithin: 1, Pool: connpool.DefaultPolicy(), Limits: lim}
@@ -64,7 +64,7 @@
 	c       *Client
 	request []byte
 	conn    *conn
-	timer   *loop.Timer
+	timer   *eventloop.Timer
 	over    bool
 	head    bool // a HEAD request
 	body    []byte
@@ -97,7 +97,7 @@
 		}
 		d := c.Pool.Choose(c.ages, c.open, call.Careful)
 		var chosen *conn
-		if d.Choice == connpool.Use || d.Choice == connpool.Replace {
+		if d.Action == connpool.Use || d.Action == connpool.Replace {
 			chosen = c.idle[d.Index]
 		}
 		stale := make([]*conn, 0, len(d.Stale))
@@ -107,7 +107,7 @@
 		for _, k := range stale {
 			k.lc.Close()
 		}
-		switch d.Choice {
+		switch d.Action {
 		case connpool.Use:
 			c.forget(chosen)
 			chosen.run(call)
@@ -194,7 +194,7 @@
 
 type conn struct {
 	c      *Client
-	lc     *loop.Conn
+	lc     *eventloop.Conn
 	dec    http1.Decoder
 	call   *Call
 	opened bool
@@ -208,7 +208,7 @@
 	k.lc.Write(call.request)
 }
 
-func (k *conn) Opened(lc *loop.Conn) {
+func (k *conn) Opened(lc *eventloop.Conn) {
 	k.lc, k.opened = lc, true
 	if k.call == nil || k.call.over {
 		lc.Close()
@@ -217,7 +217,7 @@
 	lc.Write(k.call.request)
 }
 
-func (k *conn) Data(lc *loop.Conn, b []byte) int {
+func (k *conn) Data(lc *eventloop.Conn, b []byte) int {
 	n := 0
 	for {
 		call := k.call
@@ -291,9 +291,9 @@
 	}
 }
 
-func (k *conn) Drained(*loop.Conn) {}
+func (k *conn) Drained(*eventloop.Conn) {}
 
-func (k *conn) Closed(_ *loop.Conn, err error) {
+func (k *conn) Closed(_ *eventloop.Conn, err error) {
 	if !k.stream {
 		k.c.open--
 	}
--- a/internal/httpd/bench_test.go
+++ b/internal/httpd/bench_test.go
@@ -13,15 +13,15 @@
 	"sync"
 	"testing"
 
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
-	"heathshed/internal/loop"
 )
 
 var answer = []byte(`{"kind":"Status","status":"Success"}`)
 
 // ours and theirs serve the same answer.
 func ours(tb testing.TB) (addr string, stop func()) {
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -7,9 +7,9 @@
 import (
 	"errors"
 
-	"heathshed/internal/budget"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
-	"heathshed/internal/loop"
+	"heathshed/internal/memquota"
 )
 
 // Handler answers a request, at once or later, by Exchange.Respond. The request's Body is valid until then.
@@ -32,14 +32,14 @@
 
 // Server is a set of connections that share a handler.
 type Server struct {
-	l        *loop.Loop
+	l        *eventloop.Loop
 	o        Options
 	handler  Handler
-	ln       *loop.Listener
+	ln       *eventloop.Listener
 	conns    map[*conn]struct{}
 	streams  map[*conn]struct{}
 	draining bool
-	memory   *budget.Budget
+	memory   *memquota.Budget
 	lastID   uint64
 	byID     map[uint64]*conn
 	cutting  bool
@@ -50,13 +50,13 @@
 }
 
 // Listen serves at an address.
-func Listen(l *loop.Loop, addr string, o Options, h Handler) (*Server, error) {
+func Listen(l *eventloop.Loop, addr string, o Options, h Handler) (*Server, error) {
 	s := &Server{l: l, o: o, handler: h, conns: map[*conn]struct{}{}, streams: map[*conn]struct{}{}, byID: map[uint64]*conn{}}
 	if o.Memory <= 0 {
 		s.o.Memory = DefaultOptions().Memory
 	}
-	s.memory = budget.New(s.o.Memory)
-	ln, err := l.Listen(addr, func(*loop.Conn) loop.Handler {
+	s.memory = memquota.New(s.o.Memory)
+	ln, err := l.Listen(addr, func(*eventloop.Conn) eventloop.Handler {
 		return &conn{s: s, dec: http1.Decoder{Limits: o.Limits}}
 	})
 	if err != nil {
@@ -76,7 +76,7 @@
 func (s *Server) Streams() int { return len(s.streams) }
 
 // Memory is what connections share, to be read between events.
-func (s *Server) Memory() *budget.Budget { return s.memory }
+func (s *Server) Memory() *memquota.Budget { return s.memory }
 
 // held tells the budget what a connection holds, and cuts off whom the budget names.
 func (c *conn) held() {
@@ -143,13 +143,13 @@
 type conn struct {
 	s     *Server
 	id    uint64
-	lc    *loop.Conn
+	lc    *eventloop.Conn
 	dec   http1.Decoder
 	x     *Exchange // the request being read or answered
 	ex    Exchange  // reused
 	begun float64   // first byte of the request being read; 0 between requests
 	moved float64   // last time that the peer took or sent something
-	timer *loop.Timer
+	timer *eventloop.Timer
 	last  bool // no request after this one
 }
 
@@ -166,7 +166,7 @@
 	stream http1.Stream
 }
 
-func (c *conn) Opened(lc *loop.Conn) {
+func (c *conn) Opened(lc *eventloop.Conn) {
 	c.lc, c.moved = lc, lc.Loop().Now()
 	lc.MaxIn = c.s.o.Limits.Head + 64<<10
 	c.s.conns[c] = struct{}{}
@@ -213,7 +213,7 @@
 	})
 }
 
-func (c *conn) Data(lc *loop.Conn, b []byte) int {
+func (c *conn) Data(lc *eventloop.Conn, b []byte) int {
 	n := c.take(lc, b)
 	if !lc.Closed() {
 		c.held()
@@ -221,7 +221,7 @@
 	return n
 }
 
-func (c *conn) take(lc *loop.Conn, b []byte) int {
+func (c *conn) take(lc *eventloop.Conn, b []byte) int {
 	n := 0
 	for !c.last && (c.x == nil || !c.x.asked) {
 		if c.x == nil && c.begun == 0 && lc.Buffered() > c.s.o.HighWater {
@@ -448,7 +448,7 @@
 	c.next()
 }
 
-func (c *conn) Drained(*loop.Conn) {
+func (c *conn) Drained(*eventloop.Conn) {
 	c.moved = c.s.l.Now()
 	c.pull()
 	if c.x == nil && !c.last && !c.lc.Closed() {
@@ -457,7 +457,7 @@
 	c.held()
 }
 
-func (c *conn) Closed(*loop.Conn, error) {
+func (c *conn) Closed(*eventloop.Conn, error) {
 	c.timer.Stop()
 	c.s.memory.Leave(c.id)
 	delete(c.s.byID, c.id)
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -15,14 +15,14 @@
 
 	"golang.org/x/sys/unix"
 
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
-	"heathshed/internal/loop"
 )
 
 // serve runs a server whose answers tell the request; the path says what else it does.
-func serve(t *testing.T, o Options) (*loop.Loop, *Server, chan string) {
+func serve(t *testing.T, o Options) (*eventloop.Loop, *Server, chan string) {
 	t.Helper()
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/budget/characterization_test.go
+++ b/internal/memquota/characterization_test.go
@@ -1,4 +1,4 @@
-package budget_test
+package memquota_test
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/budget"
+	"heathshed/internal/memquota"
 )
 
 const (
@@ -43,9 +43,9 @@
 // TestCharacterization compares shares, rooms and who is cut off over seeded inputs with the golden file. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
-	lines := []string{fmt.Sprint("bounds ", budget.Floor, " ", budget.Least)}
+	lines := []string{fmt.Sprint("bounds ", memquota.Floor, " ", memquota.Least)}
 	for _, memory := range []int64{-1, 0, 1, 64<<20 - 1, 64 << 20, 64<<20 + 7, 100_000_001, 1 << 30, 3<<30 + 5, 1 << 40} {
-		s := budget.Divide(memory)
+		s := memquota.Divide(memory)
 		lines = append(lines, fmt.Sprint("shares ", memory, " ", s.Connections, " ", s.History, " ", s.Objects))
 	}
 	for _, total := range []int64{0, 1, 4095, 4096, 4097, 100_000, 1 << 20} {
@@ -61,7 +61,7 @@
 
 func playBudget(total int64, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, uint64(total)))
-	b := budget.New(total)
+	b := memquota.New(total)
 	var text strings.Builder
 	now := 0.0
 	for range 300 {
@@ -91,11 +91,11 @@
 	random := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
-		var all []budget.Candidate
+		var all []memquota.Candidate
 		for range random.IntN(8) {
-			all = append(all, budget.Candidate{Busy: random.IntN(3) == 0, Known: random.IntN(2) == 0, Idle: float64(random.IntN(4))})
+			all = append(all, memquota.Candidate{Busy: random.IntN(3) == 0, Proven: random.IntN(2) == 0, Idle: float64(random.IntN(4))})
 		}
-		fmt.Fprint(&text, budget.Evict(all), " ")
+		fmt.Fprint(&text, memquota.SelectEviction(all), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text.String())))
 }
--- a/internal/budget/seats_test.go
+++ b/internal/memquota/eviction_test.go
@@ -1,4 +1,4 @@
-package budget
+package memquota
 
 import "testing"
 
@@ -11,10 +11,10 @@
 		{"nobody", nil, -1},
 		{"all busy", []Candidate{{Busy: true, Idle: 9}, {Busy: true}}, -1},
 		{"the longest idle stranger", []Candidate{{Idle: 1}, {Idle: 3}, {Idle: 2}}, 1},
-		{"strangers before the known", []Candidate{{Known: true, Idle: 90}, {Idle: 1}}, 1},
-		{"the known where no stranger is", []Candidate{{Known: true, Idle: 1}, {Busy: true, Idle: 9}, {Known: true, Idle: 2}}, 2},
+		{"strangers before the known", []Candidate{{Proven: true, Idle: 90}, {Idle: 1}}, 1},
+		{"the known where no stranger is", []Candidate{{Proven: true, Idle: 1}, {Busy: true, Idle: 9}, {Proven: true, Idle: 2}}, 2},
 	} {
-		if got := Evict(c.candidates); got != c.want {
+		if got := SelectEviction(c.candidates); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/internal/budget/budget.go
+++ b/internal/memquota/memquota.go
@@ -8,7 +8,7 @@
 // something stays free for the next: n of them hold a part of 1/(n+1) each. What cannot be taken in parts, such as the body of a request, is
 // taken and told; then the largest holder, and of holders of about the same size the one that has stood still the longest, is cut off
 // until the rest fits. So a user is never cut off because of one smaller than half of it.
-package budget
+package memquota
 
 import "math"
 
--- a/internal/budget/budget_test.go
+++ b/internal/memquota/memquota_test.go
@@ -1,4 +1,4 @@
-package budget
+package memquota
 
 import (
 	"testing"
--- a/internal/recovery/recovery.go
+++ b/internal/metastability/metastability.go
@@ -2,28 +2,28 @@
 // feeds on them. It plays a steady load in simulated time, applies a trigger, takes it away, and says when the goodput was back for good.
 //
 // It is pure: the same trial gives the same verdict. It uses model and what lies below it.
-package recovery
+package metastability
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/gate"
-	"heathshed/internal/model"
-	"heathshed/internal/owner"
-	"heathshed/internal/settings"
+	"heathshed/internal/admission"
+	"heathshed/internal/config"
+	"heathshed/internal/retry"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
 )
 
 // Trial is one run. Times are in seconds.
 type Trial struct {
 	Seed    uint64
-	Trigger badday.Trouble
+	Trigger scenario.Trouble
 	Load    float64 // as a part of what the machines can hold
 	Backoff int     // of each Job
-	Gate    gate.Config
-	Owner   owner.Policy
+	Gate    admission.Config
+	Owner   retry.Policy
 }
 
 // Verdict is what came of a trial.
@@ -61,15 +61,15 @@
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*r.Float64() }
 	ratio := func(lo, hi float64) float64 { return lo * math.Pow(hi/lo, r.Float64()) }
 	t := Trial{Seed: seed, Load: between(0.3, 0.5), Backoff: int(ratio(2, 2000))}
-	t.Trigger = badday.Trouble{Kind: Triggers[r.IntN(len(Triggers))], At: quiet, For: between(3, 8), Part: between(0.5, 1), Scale: ratio(3, 10)}
-	g := gate.DefaultConfig()
+	t.Trigger = scenario.Trouble{Kind: Triggers[r.IntN(len(Triggers))], At: quiet, For: between(3, 8), Part: between(0.5, 1), Scale: ratio(3, 10)}
+	g := admission.DefaultConfig()
 	g.MinInFlight, g.Start, g.MaxInFlight = between(1, 16), ratio(4, 512), ratio(64, 8192)
-	g.Decrease, g.Window, g.LatePart = between(0.5, 0.95), ratio(0.05, 2), between(0.05, 0.6)
+	g.Decrease, g.Window, g.LateFraction = between(0.5, 0.95), ratio(0.05, 2), between(0.05, 0.6)
 	g.MaxWaiting = int(ratio(100, 100000))
 	g.RetryRatio, g.RetryRate, g.RetryBurst = between(0.05, 1), ratio(0.5, 20), ratio(5, 500)
 	t.Gate = g
-	o := owner.DefaultPolicy()
-	o.Again, o.Growth, o.Most, o.Soon = between(1, 4), between(1, 2), between(5, 30), between(0.1, 1)
+	o := retry.DefaultPolicy()
+	o.Delay, o.Multiplier, o.MaxDelay, o.ShortDelay = between(1, 4), between(1, 2), between(5, 30), between(0.1, 1)
 	t.Owner = o
 	return t
 }
@@ -101,23 +101,23 @@
 const full = machines * 48 * 2 / (1.33 * life)
 
 func run(t Trial, trouble bool) (course, error) {
-	s := settings.Default()
-	d := badday.Default()
+	s := config.Default()
+	d := scenario.Default()
 	d.Seed, d.Nodes, d.Schedulers, d.Trouble = t.Seed, machines, 2, nil
 	if trouble {
-		d.Trouble = []badday.Trouble{t.Trigger}
+		d.Trouble = []scenario.Trouble{t.Trigger}
 	}
 	d.Load.Classes = map[string]float64{"web": 1}
 	d.Load.Cores, d.Load.Memory, d.Load.Life, d.Load.Backoff = 1, 1, life, t.Backoff
 	d.Load.TasksPerSecond = t.Load * full
 	d.Seconds, d.Calm = horizon+10, 10
-	c := model.FromSettings(&s, &d)
+	c := simulation.FromSettings(&s, &d)
 	for i := range c.Schedulers {
-		shares := c.Schedulers[i].Gate.Shares
-		c.Schedulers[i].Gate, c.Schedulers[i].Owner = t.Gate, t.Owner
-		c.Schedulers[i].Gate.Shares = shares
+		shares := c.Schedulers[i].Admission.Shares
+		c.Schedulers[i].Admission, c.Schedulers[i].Retry = t.Gate, t.Owner
+		c.Schedulers[i].Admission.Shares = shares
 	}
-	w, err := model.New(c)
+	w, err := simulation.New(c)
 	if err != nil {
 		return course{}, fmt.Errorf("trial %d: %w", t.Seed, err)
 	}
@@ -129,7 +129,7 @@
 		n := 0
 		for i := range c.Schedulers {
 			if e := w.Engine(i); e != nil {
-				n += e.Open()
+				n += e.OpenTasks()
 			}
 		}
 		out.open = append(out.open, n)
@@ -137,8 +137,8 @@
 	w.Run(nil, aim) // so that the last window is as whole as the others
 	for i := range c.Schedulers {
 		if e := w.Engine(i); e != nil {
-			out.asks += e.Stats.Asks
-			out.offers += e.Stats.Offers
+			out.asks += e.Stats.PlacementRequests
+			out.offers += e.Stats.Attempts
 		}
 	}
 	all, good := make([]int, int(horizon)+2), make([]int, int(horizon)+2)
--- a/internal/recovery/recovery_test.go
+++ b/internal/metastability/metastability_test.go
@@ -1,11 +1,11 @@
-package recovery
+package metastability
 
 import (
 	"sync"
 	"testing"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/gate"
+	"heathshed/internal/admission"
+	"heathshed/internal/scenario"
 )
 
 // all plays trials on four goroutines; each is a world of its own.
@@ -45,8 +45,8 @@
 // A gate that takes what it shed itself for asks again stays in a bad minute for ever: the search finds it, and finds nothing in the same
 // trial without the mistake.
 func TestPlantedFailureIsFound(t *testing.T) {
-	good := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Gate: gate.DefaultConfig(), Owner: Draw(1).Owner,
-		Trigger: badday.Trouble{Kind: "burst", At: quiet, For: 8, Scale: 10}}
+	good := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Gate: admission.DefaultConfig(), Owner: Draw(1).Owner,
+		Trigger: scenario.Trouble{Kind: "burst", At: quiet, For: 8, Scale: 10}}
 	bad := good
 	bad.Gate.ShedDraws = true
 	v := all(t, []Trial{good, bad})
--- a/internal/machine/characterization_test.go
+++ b/internal/nodesim/characterization_test.go
@@ -1,4 +1,4 @@
-package machine_test
+package nodesim_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"heathshed/internal/golden"
-	"heathshed/internal/machine"
+	"heathshed/internal/nodesim"
 )
 
 // TestCharacterizeMachines pins the effects and figures of the node model under seeded offers, stops, drains and stalls. Regenerate the
@@ -14,19 +14,19 @@
 func TestCharacterizeMachines(t *testing.T) {
 	r := golden.NewRecorder()
 	for i, run := range []struct {
-		change func(*machine.Config)
+		change func(*nodesim.Config)
 		gap    float64 // mean seconds between calls
 	}{
-		{func(*machine.Config) {}, 0.15},
-		{func(c *machine.Config) { c.Cold, c.Cores = true, 64 }, 0.6},
-		{func(c *machine.Config) { c.Cold = true }, 0.02},
-		{func(c *machine.Config) { c.UseMin, c.UseMax, c.BookMemory, c.Grace = 0.7, 1.2, 2, 1.5 }, 0.1},
-		{func(c *machine.Config) {
+		{func(*nodesim.Config) {}, 0.15},
+		{func(c *nodesim.Config) { c.Cold, c.Cores = true, 64 }, 0.6},
+		{func(c *nodesim.Config) { c.Cold = true }, 0.02},
+		{func(c *nodesim.Config) { c.UseMin, c.UseMax, c.BookMemory, c.Grace = 0.7, 1.2, 2, 1.5 }, 0.1},
+		{func(c *nodesim.Config) {
 			c.AnswersWhenRunning, c.PushesOut, c.MaxWaiting, c.StartsAtOnce = true, false, 3, 1
 		}, 0.05},
-		{func(c *machine.Config) { c.Grace, c.KeepEnded, c.KeepPrograms, c.Cores, c.Memory = -1, 2, 1, 4, 8 }, 0.2},
+		{func(c *nodesim.Config) { c.Grace, c.KeepEnded, c.KeepPrograms, c.Cores, c.Memory = -1, 2, 1, 4, 8 }, 0.2},
 	} {
-		config := machine.DefaultConfig()
+		config := nodesim.DefaultConfig()
 		config.Seed = uint64(i)
 		run.change(&config)
 		operate(r, fmt.Sprintf("machine %d", i), config, run.gap)
@@ -34,15 +34,15 @@
 	r.Check(t, "machines")
 }
 
-func operate(r *golden.Recorder, name string, config machine.Config, gap float64) {
+func operate(r *golden.Recorder, name string, config nodesim.Config, gap float64) {
 	rng := rand.New(rand.NewPCG(31, config.Seed))
 	now, next := 50.0, 0
-	m := machine.New(config, now)
-	m.Refuse = func(o *machine.Offer) machine.Reason {
+	m := nodesim.New(config, now)
+	m.Refuse = func(o *nodesim.Offer) nodesim.Reason {
 		if o.Service == "service-9" {
-			return machine.NotHere
+			return nodesim.WrongNode
 		}
-		return machine.None
+		return nodesim.None
 	}
 	var kinds [5]int
 	var reasons [10]int
@@ -65,14 +65,14 @@
 	r.Line("%s: effects %v, reasons %v, %d starts, %d duplicates", name, kinds, reasons, m.Starts, m.Duplicates)
 }
 
-func act(r *golden.Recorder, m *machine.Machine, rng *rand.Rand, now float64, next *int) {
+func act(r *golden.Recorder, m *nodesim.Node, rng *rand.Rand, now float64, next *int) {
 	switch draw := rng.IntN(100); {
 	case draw < 75:
 		*next++
-		m.Offer(now, machine.Offer{UID: fmt.Sprint(*next), Attempt: 1, Service: fmt.Sprintf("service-%d", rng.IntN(10)), Priority: rng.IntN(3),
+		m.Offer(now, nodesim.Offer{UID: fmt.Sprint(*next), Attempt: 1, Service: fmt.Sprintf("service-%d", rng.IntN(10)), Priority: rng.IntN(3),
 			Cores: 0.5 + 3*rng.Float64(), Memory: 0.5 + 6*rng.Float64(), Life: float64(rng.IntN(2)) * 9 * rng.Float64()})
 	case draw < 83:
-		m.Offer(now, machine.Offer{UID: fmt.Sprint(*next - rng.IntN(9)), Attempt: rng.IntN(4), Service: "service-1", Cores: 1, Memory: 1})
+		m.Offer(now, nodesim.Offer{UID: fmt.Sprint(*next - rng.IntN(9)), Attempt: rng.IntN(4), Service: "service-1", Cores: 1, Memory: 1})
 	case draw < 92:
 		had, ran := m.Stop(now, fmt.Sprint(*next-rng.IntN(15)), rng.IntN(3))
 		r.Booleans(had, ran)
@@ -85,7 +85,7 @@
 	}
 }
 
-func observe(r *golden.Recorder, m *machine.Machine, kinds *[5]int, reasons *[10]int) {
+func observe(r *golden.Recorder, m *nodesim.Node, kinds *[5]int, reasons *[10]int) {
 	for _, x := range m.Ready() {
 		kinds[x.Kind]++
 		reasons[x.Reason]++
--- a/internal/machine/machine.go
+++ b/internal/nodesim/node.go
@@ -4,14 +4,14 @@
 //
 // It is pure: time is passed in, randomness comes from its seed, what happens comes out as effects. The stand-in puts it on a
 // socket.
-package machine
+package nodesim
 
 import (
 	"math/rand/v2"
 	"slices"
 	"sort"
 
-	"heathshed/internal/timers"
+	"heathshed/internal/timerqueue"
 )
 
 // Config is a machine. Times are in seconds, memory in GiB.
@@ -51,13 +51,13 @@
 // The reasons.
 const (
 	None Reason = iota
-	NoCores
-	NoMemory
-	TooMany
-	NotHere
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	WrongNode
 	Evicted
-	PushedOut
-	SentAway
+	Preempted
+	Drained
 	Stopped
 	NeverRan // stopped or sent away before it ran
 )
@@ -121,8 +121,8 @@
 	Reason  Reason
 }
 
-// Machine is one machine in one life.
-type Machine struct {
+// Node is one machine in one life.
+type Node struct {
 	cfg      Config
 	rng      *rand.Rand
 	now      float64
@@ -143,7 +143,7 @@
 	draining bool
 	fell     bool
 	seq      int
-	timers   timers.Queue
+	timers   timerqueue.Queue
 	effects  []Effect
 
 	// Refuse, when set, refuses offers of its choice; Stall holds decisions back until then. For fault injection.
@@ -157,8 +157,8 @@
 type send struct{ at, weight float64 }
 
 // New makes a machine that comes up now.
-func New(cfg Config, now float64) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)), now: now, born: now, tasks: map[string]*Task{},
+func New(cfg Config, now float64) *Node {
+	m := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)), now: now, born: now, tasks: map[string]*Task{},
 		sealed: map[string]int{}, begun: map[string]bool{}, running: map[string]int{}}
 	if !cfg.Cold {
 		m.born = now - cfg.WarmWithin
@@ -168,17 +168,17 @@
 }
 
 // Ready takes the effects that have come up.
-func (m *Machine) Ready() []Effect {
+func (m *Node) Ready() []Effect {
 	x := m.effects
 	m.effects = nil
 	return x
 }
 
 // NextWake is when Tick wants to be called.
-func (m *Machine) NextWake() float64 { return m.timers.Next() }
+func (m *Node) NextWake() float64 { return m.timers.Next() }
 
 // Tick lets due timers run.
-func (m *Machine) Tick(now float64) {
+func (m *Node) Tick(now float64) {
 	for !m.fell {
 		t := m.timers.Pop(now)
 		if t == nil {
@@ -191,23 +191,23 @@
 }
 
 // Free is what nobody asked for.
-func (m *Machine) Free() (cores, memory float64) {
+func (m *Node) Free() (cores, memory float64) {
 	return m.cfg.Cores - m.asked.cores, m.cfg.Memory - m.asked.memory
 }
 
 // Unused is what is not in use.
-func (m *Machine) Unused() (cores, memory float64) {
+func (m *Node) Unused() (cores, memory float64) {
 	return max(m.cfg.Cores-m.used.cores, 0), max(m.cfg.Memory-m.used.memory, 0)
 }
 
 // Busy is the part of the cores in use, Waiting the offers and starts that wait.
-func (m *Machine) Busy() float64 { return min(m.used.cores/m.cfg.Cores, 1) }
+func (m *Node) Busy() float64 { return min(m.used.cores/m.cfg.Cores, 1) }
 
 // Waiting is the number of offers and starts that wait.
-func (m *Machine) Waiting() int { return len(m.queue) + len(m.toStart) }
+func (m *Node) Waiting() int { return len(m.queue) + len(m.toStart) }
 
 // Holds is the number of tasks held.
-func (m *Machine) Holds() int {
+func (m *Node) Holds() int {
 	n := 0
 	for _, t := range m.held {
 		if t.Phase <= Running {
@@ -218,15 +218,15 @@
 }
 
 // Config is what the machine was made with.
-func (m *Machine) Config() Config { return m.cfg }
+func (m *Node) Config() Config { return m.cfg }
 
 // Draining says whether it drains.
-func (m *Machine) Draining() bool { return m.draining }
+func (m *Node) Draining() bool { return m.draining }
 
-func (m *Machine) emit(x Effect) { m.effects = append(m.effects, x) }
+func (m *Node) emit(x Effect) { m.effects = append(m.effects, x) }
 
 // pace is the part of its full pace at which the machine starts tasks now.
-func (m *Machine) pace() float64 {
+func (m *Node) pace() float64 {
 	if m.cfg.WarmWithin <= 0 || m.now >= m.born+m.cfg.WarmWithin {
 		return 1
 	}
@@ -234,7 +234,7 @@
 }
 
 // Offer takes an offer. The answer comes as an effect, for a repeat or a full line at once.
-func (m *Machine) Offer(now float64, o Offer) {
+func (m *Node) Offer(now float64, o Offer) {
 	m.Tick(now)
 	if m.fell {
 		return
@@ -249,7 +249,7 @@
 		return
 	}
 	if len(m.queue) >= m.cfg.MaxWaiting {
-		m.refuse(&o, TooMany)
+		m.refuse(&o, QueueFull)
 		return
 	}
 	m.queue = append(m.queue, o)
@@ -257,7 +257,7 @@
 }
 
 // push counts an offer against what a cold machine bears.
-func (m *Machine) push(o Offer) {
+func (m *Node) push(o Offer) {
 	if m.now >= m.born+m.cfg.WarmWithin || m.cfg.FallWindow <= 0 {
 		m.sends = nil
 		return
@@ -277,12 +277,12 @@
 	}
 }
 
-func (m *Machine) refuse(o *Offer, r Reason) {
+func (m *Node) refuse(o *Offer, r Reason) {
 	m.emit(Effect{Kind: Answered, UID: o.UID, Attempt: o.Attempt, Reason: r})
 }
 
 // look takes the next offer in hand.
-func (m *Machine) look() {
+func (m *Node) look() {
 	if m.looking || len(m.queue) == 0 {
 		return
 	}
@@ -303,14 +303,14 @@
 }
 
 // StallUntil holds every decision and start back until then.
-func (m *Machine) StallUntil(t float64) { m.stall = t }
+func (m *Node) StallUntil(t float64) { m.stall = t }
 
 // repeats says whether an offer repeats one that was accepted: a later attempt of a task that ended here does not.
 func (t *Task) repeats(o *Offer) bool {
 	return t != nil && (t.Phase <= Running || o.Attempt <= t.Attempt)
 }
 
-func (m *Machine) decide(o *Offer) {
+func (m *Node) decide(o *Offer) {
 	if t := m.tasks[o.UID]; t.repeats(o) {
 		m.emit(Effect{Kind: Answered, UID: o.UID, Attempt: o.Attempt, Task: t})
 		return
@@ -322,7 +322,7 @@
 		}
 	}
 	if m.draining || o.Attempt <= m.sealed[o.UID] {
-		m.refuse(o, NotHere)
+		m.refuse(o, WrongNode)
 		return
 	}
 	if r := m.short(o); r != None {
@@ -346,26 +346,26 @@
 	m.start()
 }
 
-func (m *Machine) answer(t *Task) {
+func (m *Node) answer(t *Task) {
 	if !t.answered {
 		t.answered = true
 		m.emit(Effect{Kind: Answered, UID: t.UID, Attempt: t.Attempt, Task: t})
 	}
 }
 
-func (m *Machine) short(o *Offer) Reason {
+func (m *Node) short(o *Offer) Reason {
 	const grain = 1e-9
 	switch {
 	case m.asked.cores+o.Cores > m.cfg.Cores*m.cfg.BookCores+grain:
-		return NoCores
+		return InsufficientCores
 	case m.asked.memory+o.Memory > m.cfg.Memory*m.cfg.BookMemory+grain:
-		return NoMemory
+		return InsufficientMemory
 	}
 	return None
 }
 
 // makeRoom pushes out tasks of lower priority, the lowest and youngest first, if that is enough.
-func (m *Machine) makeRoom(o *Offer) bool {
+func (m *Node) makeRoom(o *Offer) bool {
 	var low []*Task
 	var c, mem float64
 	for _, t := range m.live() {
@@ -388,19 +388,19 @@
 		if m.short(o) == None {
 			break
 		}
-		m.end(t, Ended, PushedOut)
+		m.end(t, Ended, Preempted)
 	}
 	return m.short(o) == None
 }
 
 // live returns the tasks held, oldest first.
-func (m *Machine) live() []*Task {
+func (m *Node) live() []*Task {
 	m.held = slices.DeleteFunc(m.held, func(t *Task) bool { return t.Phase > Running })
 	return slices.Clone(m.held)
 }
 
 // start begins as many starts as may go on at a time.
-func (m *Machine) start() {
+func (m *Node) start() {
 	for m.starting < m.cfg.StartsAtOnce && len(m.toStart) > 0 {
 		t := m.toStart[0]
 		m.toStart = m.toStart[1:]
@@ -426,11 +426,11 @@
 }
 
 // has says whether the program of the task's service is at hand.
-func (m *Machine) has(t *Task) bool {
+func (m *Node) has(t *Task) bool {
 	return m.running[t.Service] > 0 || slices.Contains(m.programs, t.Service)
 }
 
-func (m *Machine) runs(t *Task) {
+func (m *Node) runs(t *Task) {
 	if t.Phase != Accepted {
 		return
 	}
@@ -450,7 +450,7 @@
 	})
 }
 
-func (m *Machine) end(t *Task, p Phase, r Reason) {
+func (m *Node) end(t *Task, p Phase, r Reason) {
 	if t.Phase > Running {
 		return
 	}
@@ -466,7 +466,7 @@
 		if m.programs = append(m.programs, t.Service); len(m.programs) > m.cfg.KeepPrograms {
 			m.programs = m.programs[1:]
 		}
-	} else if p == Ended && (r == Stopped || r == SentAway || r == PushedOut) {
+	} else if p == Ended && (r == Stopped || r == Drained || r == Preempted) {
 		r = NeverRan
 	}
 	t.Phase, t.Reason, t.endedAt = p, r, m.now
@@ -474,7 +474,7 @@
 	m.asked.memory -= t.Memory
 	if !t.answered {
 		t.answered = true
-		m.emit(Effect{Kind: Answered, UID: t.UID, Attempt: t.Attempt, Reason: NotHere})
+		m.emit(Effect{Kind: Answered, UID: t.UID, Attempt: t.Attempt, Reason: WrongNode})
 	}
 	m.emit(Effect{Kind: Changed, Task: t})
 	m.seal(t.UID, t.Attempt)
@@ -489,7 +489,7 @@
 const maxSealed = 100000
 
 // seal forbids attempts of a task up to the given number.
-func (m *Machine) seal(uid string, attempt int) {
+func (m *Node) seal(uid string, attempt int) {
 	if _, ok := m.sealed[uid]; !ok {
 		m.order = append(m.order, uid)
 		if len(m.order) > maxSealed {
@@ -502,14 +502,14 @@
 
 // Stop stops a task if the machine has it, and forbids attempts up to the given number if not. had says that it has or had
 // the task, ran that it ran.
-func (m *Machine) Stop(now float64, uid string, attempt int) (had, ran bool) {
+func (m *Node) Stop(now float64, uid string, attempt int) (had, ran bool) {
 	m.Tick(now)
 	m.seal(uid, attempt)
 	i := slices.IndexFunc(m.queue, func(o Offer) bool { return o.UID == uid && o.Attempt <= attempt })
 	if i >= 0 && !(i == 0 && m.looking) {
 		o := m.queue[i]
 		m.queue = slices.Delete(m.queue, i, i+1)
-		m.refuse(&o, NotHere)
+		m.refuse(&o, WrongNode)
 	}
 	t := m.tasks[uid]
 	if t == nil {
@@ -520,7 +520,7 @@
 }
 
 // Drain takes no more tasks, and sends those that it holds away after its grace.
-func (m *Machine) Drain(now float64) {
+func (m *Node) Drain(now float64) {
 	m.Tick(now)
 	if m.draining {
 		return
@@ -532,20 +532,20 @@
 	m.at(m.now+m.cfg.Grace, func() {
 		if m.draining {
 			for _, t := range m.live() {
-				m.end(t, Ended, SentAway)
+				m.end(t, Ended, Drained)
 			}
 		}
 	})
 }
 
 // Undrain takes tasks again.
-func (m *Machine) Undrain(now float64) {
+func (m *Node) Undrain(now float64) {
 	m.Tick(now)
 	m.draining = false
 }
 
 // breathe lets use wander and evicts when memory runs out.
-func (m *Machine) breathe() {
+func (m *Node) breathe() {
 	for _, t := range m.live() {
 		if t.Phase == Running {
 			t.factorCores = min(max(t.factorCores+0.04*(m.rng.Float64()-0.5), m.cfg.UseMin), m.cfg.UseMax)
@@ -570,7 +570,7 @@
 }
 
 // measure adds up what is in use.
-func (m *Machine) measure() {
+func (m *Node) measure() {
 	m.used.cores, m.used.memory = 0, 0
 	for _, t := range m.live() {
 		if t.Phase == Running {
@@ -581,7 +581,7 @@
 }
 
 // use brings what a task uses up to date. Memory grows over three seconds after a start.
-func (m *Machine) use(t *Task) {
+func (m *Node) use(t *Task) {
 	m.used.cores -= t.UseCores
 	m.used.memory -= t.UseMemory
 	t.UseCores = t.Cores * t.factorCores
@@ -590,4 +590,4 @@
 	m.used.memory += t.UseMemory
 }
 
-func (m *Machine) at(at float64, fn func()) { m.timers.Add(at, fn) }
+func (m *Node) at(at float64, fn func()) { m.timers.Add(at, fn) }
--- a/internal/platform/bulletin.go
+++ b/internal/platform/bulletin.go
@@ -6,10 +6,10 @@
 	"errors"
 	"strconv"
 
-	"heathshed/internal/backoff"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
 	"heathshed/internal/httpc"
-	"heathshed/internal/loop"
+	"heathshed/internal/retry"
 	"heathshed/internal/sse"
 )
 
@@ -32,13 +32,13 @@
 	call   *httpc.Call
 	gen    int // of the call: what an earlier one still tells is skipped
 	dec    sse.Decoder
-	quiet  *loop.Timer
-	retry  backoff.Backoff
-	again  *loop.Timer
+	quiet  *eventloop.Timer
+	retry  retry.Backoff
+	again  *eventloop.Timer
 }
 
 func newBulletin(s *Server, addr string) *bulletin {
-	b := &bulletin{s: s, addr: addr, retry: backoff.Backoff{Min: 0.05, Max: 1}}
+	b := &bulletin{s: s, addr: addr, retry: retry.Backoff{Min: 0.05, Max: 1}}
 	b.client = b.newClient()
 	return b
 }
@@ -70,11 +70,11 @@
 	b.s.stats.BulletinOpens++
 	failure := error(nil)
 	b.call = b.client.Do("GET", "/bulletins", []http1.Field{{Name: "Accept", Value: "text/event-stream"},
-		{Name: "Last-Event-ID", Value: strconv.FormatUint(b.s.c.Last(), 10)}}, nil, 0, &httpc.Call{
+		{Name: "Last-Event-ID", Value: strconv.FormatUint(b.s.c.LastDiscoveryEvent(), 10)}}, nil, 0, &httpc.Call{
 		Started: func(h *http1.Head) {
 			if gen == b.gen && h.Status == 200 {
 				b.heard()
-				b.s.c.Streaming(b.s.l.Now(), true)
+				b.s.c.SetDiscoveryConnected(b.s.l.Now(), true)
 				b.s.pump()
 			}
 		},
@@ -89,7 +89,7 @@
 				}
 				b.s.stats.BulletinEvents++
 				b.s.log.Trace().Str("id", e.ID).Str("data", e.Data).Msg("bulletin>")
-				ok, err := b.s.c.Bulletin(b.s.l.Now(), []byte(e.Data))
+				ok, err := b.s.c.ReceiveDiscoveryEvent(b.s.l.Now(), []byte(e.Data))
 				if err == nil && !ok {
 					err = errGap
 				}
@@ -135,7 +135,7 @@
 		s.l.After(0, call.Cancel)
 	}
 	s.warn("bulletin", b.addr, err)
-	s.c.Streaming(s.l.Now(), false)
+	s.c.SetDiscoveryConnected(s.l.Now(), false)
 	s.pump()
 	b.again.Stop()
 	b.again = s.l.After(b.retry.Next(s.rng.Float64()), b.open)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -8,7 +8,7 @@
 	"os"
 	"strconv"
 
-	"heathshed/internal/simsettings"
+	"heathshed/internal/simconfig"
 )
 
 // maxConfig bounds the configuration file, in bytes.
@@ -16,13 +16,13 @@
 
 // Config is what the platform tells a scheduler at its start.
 type Config struct {
-	Name, Listen, Bulletin string
-	Seed                   uint64
-	Cores                  float64
-	Memory                 int64 // bytes; 0 if not told
-	Sockets                int   // descriptors; 0 if not told
-	Known                  json.RawMessage
-	Settings               *simsettings.Settings
+	Name, Listen, Discovery string
+	Seed                    uint64
+	Cores                   float64
+	Memory                  int64 // bytes; 0 if not told
+	Sockets                 int   // descriptors; 0 if not told
+	InitialEvents           json.RawMessage
+	Settings                *simconfig.Settings
 }
 
 // ReadConfig reads the configuration at a path. An error names the field that cannot be used.
@@ -64,7 +64,7 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Bulletin: f.Bulletin, Known: f.Known, Cores: f.Limits.Cores,
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Bulletin, InitialEvents: f.Known, Cores: f.Limits.Cores,
 		Memory: f.Limits.MemoryMB << 20, Sockets: f.Limits.Sockets}
 	if c.Name == "" {
 		return nil, fmt.Errorf("name: is empty")
@@ -72,7 +72,7 @@
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if _, err := netip.ParseAddrPort(c.Bulletin); err != nil {
+	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
 		return nil, fmt.Errorf("bulletin: %w", err)
 	}
 	var err error
@@ -88,7 +88,7 @@
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if c.Settings, err = simsettings.Parse(f.Settings); err != nil {
+	if c.Settings, err = simconfig.Parse(f.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -9,12 +9,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/backoff"
-	"heathshed/internal/budget"
 	"heathshed/internal/connpool"
 	"heathshed/internal/dispatch"
-	"heathshed/internal/jsonl"
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/memquota"
+	"heathshed/internal/platformproto"
+	"heathshed/internal/retry"
 	"heathshed/placer"
 )
 
@@ -38,12 +38,12 @@
 	addr    string
 	conns   []*nodeConn
 	dialing *nodeConn
-	queue   []*dispatch.Offer // wait for the dial
-	owed    []byte            // releases for a machine that no connection reaches
-	retry   backoff.Backoff
+	queue   []*dispatch.Attempt // wait for the dial
+	owed    []byte              // releases for a machine that no connection reaches
+	retry   retry.Backoff
 	retryAt float64
 	downAt  float64 // when its last connection ended; 0 if none was
-	reach   connpool.Reach
+	reach   connpool.Reachability
 	holds   bool
 	wanted  bool // a connection, by what the machine holds or is owed
 }
@@ -52,18 +52,18 @@
 type nodeConn struct {
 	k      *link
 	no     uint64
-	lc     *loop.Conn
-	offers map[*dispatch.Offer]struct{}
+	lc     *eventloop.Conn
+	offers map[*dispatch.Attempt]struct{}
 	up     bool
 	since  float64 // when it came up
-	state  connpool.State
-	m      jsonl.Message
+	state  connpool.ConnState
+	m      platformproto.Message
 }
 
 func (s *Server) link(id placer.NodeID) *link {
 	k := s.links[id]
 	if k == nil {
-		k = &link{s: s, id: id, retry: backoff.Backoff{Min: 0.2, Max: 1}, reach: s.reach}
+		k = &link{s: s, id: id, retry: retry.Backoff{Min: 0.2, Max: 1}, reach: s.reach}
 		if n := s.c.Node(id); n != nil {
 			k.addr = n.Addr
 		}
@@ -93,7 +93,7 @@
 }
 
 // send has an offer go out on an open connection, or on one that is dialled for it.
-func (k *link) send(o *dispatch.Offer) {
+func (k *link) send(o *dispatch.Attempt) {
 	if c := k.usable(); c != nil {
 		c.send(o)
 		return
@@ -106,7 +106,7 @@
 func (k *link) usable() *nodeConn {
 	var best *nodeConn
 	for _, c := range k.conns {
-		if c.state.Usable() && (best == nil || c.state.Heard > best.state.Heard) {
+		if c.state.Usable() && (best == nil || c.state.LastReceived > best.state.LastReceived) {
 			best = c
 		}
 	}
@@ -123,8 +123,8 @@
 		return
 	}
 	s.nextNode++
-	c := &nodeConn{k: k, no: s.nextNode, offers: map[*dispatch.Offer]struct{}{}}
-	within := s.cfg.Settings.Placer.ConnectWithin
+	c := &nodeConn{k: k, no: s.nextNode, offers: map[*dispatch.Attempt]struct{}{}}
+	within := s.cfg.Settings.Placer.ConnectTimeout
 	if within <= 0 {
 		within = 0.25
 	}
@@ -134,7 +134,7 @@
 		s.l.After(0, func() { k.failed(err) })
 		return
 	}
-	lc.MaxIn = 2 * jsonl.MaxLine
+	lc.MaxIn = 2 * platformproto.MaxLine
 	c.lc, k.dialing = lc, c
 	s.nodeConns++
 }
@@ -145,12 +145,12 @@
 	s.stats.DialsFailed++
 	k.retryAt = s.l.Now() + k.retry.Next(s.rng.Float64())
 	if err != errNoSeat { // that says nothing of the machine
-		k.reach.Failed(s.l.Now(), errors.Is(err, unix.ECONNREFUSED))
+		k.reach.DialFailed(s.l.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
 	q := k.queue
 	k.queue = nil
 	for _, o := range q {
-		s.c.Unreachable(s.l.Now(), o)
+		s.c.ConnectFailed(s.l.Now(), o)
 	}
 	s.pump()
 }
@@ -184,29 +184,29 @@
 // freeSeat closes the connection to a machine that is missed least, and says whether there was one.
 func (s *Server) freeSeat() bool {
 	now := s.l.Now()
-	var candidates []budget.Candidate
+	var candidates []memquota.Candidate
 	var conns []*nodeConn
 	for _, k := range s.links {
 		for _, c := range k.conns {
-			candidates = append(candidates, budget.Candidate{Busy: len(c.offers) > 0 || k.holds && now-c.since < s.seatFor, Known: k.holds, Idle: now - c.state.Used})
+			candidates = append(candidates, memquota.Candidate{Busy: len(c.offers) > 0 || k.holds && now-c.since < s.seatFor, Proven: k.holds, Idle: now - c.state.LastSent})
 			conns = append(conns, c)
 		}
 	}
-	i := budget.Evict(candidates)
+	i := memquota.SelectEviction(candidates)
 	if i >= 0 {
 		conns[i].lc.Close()
 	}
 	return i >= 0
 }
 
-func (c *nodeConn) send(o *dispatch.Offer) {
+func (c *nodeConn) send(o *dispatch.Attempt) {
 	s := c.k.s
-	if !s.c.MayStart(s.l.Now(), o) {
+	if !s.c.PrepareSend(s.l.Now(), o) {
 		return
 	}
 	o.Conn = c
 	c.offers[o] = struct{}{}
-	c.state.Used = s.l.Now()
+	c.state.LastSent = s.l.Now()
 	s.trace(">node", c.no, c.lc.Peer(), &o.Message)
 	c.lc.SetOut(o.Message.Append(c.lc.Out()))
 }
@@ -214,9 +214,9 @@
 // release sends a message about an offer to its machine.
 func (k *link) release(e *dispatch.Effect) {
 	s := k.s
-	c, _ := e.Offer.Conn.(*nodeConn)
+	c, _ := e.Attempt.Conn.(*nodeConn)
 	if c != nil {
-		delete(c.offers, e.Offer)
+		delete(c.offers, e.Attempt)
 	}
 	if c == nil || c.lc.Closed() {
 		if c = k.usable(); c == nil && len(k.conns) > 0 {
@@ -238,8 +238,8 @@
 }
 
 func (c *nodeConn) test() {
-	if c.state.Tested == 0 {
-		c.state.Tested = c.k.s.l.Now()
+	if c.state.HealthCheckSent == 0 {
+		c.state.HealthCheckSent = c.k.s.l.Now()
 		c.lc.SetOut(check.Append(c.lc.Out()))
 	}
 }
@@ -249,25 +249,25 @@
 	s := k.s
 	now := s.l.Now()
 	n := s.c.Node(k.id)
-	holds := n != nil && n.Standing() > 0
+	holds := n != nil && n.RunningTasks() > 0
 	// A list may leave a machine out that the next one has again: what is open there is not given up for that.
-	if !holds && (n == nil || n.GoneFor(now) > dispatch.GoneGrace) {
+	if !holds && (n == nil || n.TerminatedFor(now) > dispatch.TerminationGrace) {
 		k.closeAll()
 		delete(s.links, k.id)
 		return
 	}
 	if holds && !k.holds {
-		k.reach.Heard(now) // what came of it before says nothing of these tasks
+		k.reach.Received(now) // what came of it before says nothing of these tasks
 	}
 	k.holds = holds
 	for _, c := range slices.Clone(k.conns) {
-		c.state.Requests, c.state.Held, c.state.Spare = len(c.offers), holds, len(k.conns) > 1
+		c.state.PendingRequests, c.state.RunsTasks, c.state.HasAlternative = len(c.offers), holds, len(k.conns) > 1
 		switch s.shared.KeepAlive(now, c.state) {
-		case connpool.Test:
+		case connpool.SendHealthCheck:
 			c.test()
-		case connpool.Retire:
+		case connpool.CloseIdle:
 			c.lc.Close()
-		case connpool.Break:
+		case connpool.CloseUnresponsive:
 			s.stats.Broken++
 			c.lc.Close()
 		}
@@ -276,16 +276,16 @@
 	if !holds && len(k.owed) == 0 || len(k.conns) > 0 {
 		return
 	}
-	switch loss := k.reach.Lost(now); {
-	case !holds || loss == connpool.Present:
-	case loss == connpool.Ended:
+	switch loss := k.reach.Status(now); {
+	case !holds || loss == connpool.Reachable:
+	case loss == connpool.ProcessEnded:
 		s.stats.MachinesLost++
-		s.log.Warn().Str("machine", n.UID).Int("tasks", n.Standing()).Msg("machine taken for lost: it refuses")
-		s.c.NodeLost(now, k.id)
+		s.log.Warn().Str("machine", n.UID).Int("tasks", n.RunningTasks()).Msg("machine taken for lost: it refuses")
+		s.c.NodeDead(now, k.id)
 		k.owed = nil
 		return
 	default:
-		if tasks := s.c.NodeSilent(now, k.id); tasks > 0 {
+		if tasks := s.c.NodeUnresponsive(now, k.id); tasks > 0 {
 			s.stats.MachinesLost++
 			s.log.Warn().Str("machine", n.UID).Int("tasks", tasks).Msg("machine taken for lost: it is silent")
 		}
@@ -294,13 +294,13 @@
 	k.wanted = n.State != placer.Gone
 }
 
-var check = jsonl.Message{Kind: jsonl.Check, UID: "0000000000000001", ID: 1, HasReason: true}
+var check = platformproto.Message{Kind: platformproto.Check, UID: "0000000000000001", ID: 1, HasReason: true}
 
-func (c *nodeConn) Opened(lc *loop.Conn) {
+func (c *nodeConn) Opened(lc *eventloop.Conn) {
 	k := c.k
 	s := k.s
-	c.up, c.since, c.state.Heard, c.state.Used = true, s.l.Now(), s.l.Now(), s.l.Now()
-	k.reach.Heard(s.l.Now())
+	c.up, c.since, c.state.LastReceived, c.state.LastSent = true, s.l.Now(), s.l.Now(), s.l.Now()
+	k.reach.Received(s.l.Now())
 	if k.dialing == c {
 		k.dialing = nil
 	}
@@ -320,31 +320,31 @@
 
 var errStrange = errors.New("message that a machine does not send")
 
-func (c *nodeConn) Data(lc *loop.Conn, b []byte) int {
+func (c *nodeConn) Data(lc *eventloop.Conn, b []byte) int {
 	s := c.k.s
-	c.state.Heard = s.l.Now()
-	c.k.reach.Heard(c.state.Heard)
+	c.state.LastReceived = s.l.Now()
+	c.k.reach.Received(c.state.LastReceived)
 	n, err := s.lines(lc, b, func(line []byte) (bool, error) {
-		if err := jsonl.Parse(line, &c.m); err != nil {
+		if err := platformproto.Parse(line, &c.m); err != nil {
 			return false, err
 		}
-		if c.m.Kind == jsonl.Launch || c.m.Kind == jsonl.Check {
+		if c.m.Kind == platformproto.Launch || c.m.Kind == platformproto.Check {
 			return false, errStrange
 		}
 		s.trace("node>", c.no, lc.Peer(), &c.m)
-		if c.m.Kind == jsonl.Checked {
-			c.state.Tested = 0
+		if c.m.Kind == platformproto.Checked {
+			c.state.HealthCheckSent = 0
 			return false, nil
 		}
-		s.c.FromNode(s.l.Now(), c.k.id, &c.m)
+		s.c.ReceiveFromNode(s.l.Now(), c.k.id, &c.m)
 		return false, nil
 	})
 	c.settle()
 	switch {
 	case n == len(b):
-		c.state.Cut = 0
-	case n > 0 || c.state.Cut == 0:
-		c.state.Cut = s.l.Now()
+		c.state.IncompleteSince = 0
+	case n > 0 || c.state.IncompleteSince == 0:
+		c.state.IncompleteSince = s.l.Now()
 	}
 	s.pump()
 	if err != nil && !lc.Closed() {
@@ -359,15 +359,15 @@
 // settle forgets the offers that have their answer.
 func (c *nodeConn) settle() {
 	for o := range c.offers {
-		if !o.Open() {
+		if !o.Unanswered() {
 			delete(c.offers, o)
 		}
 	}
 }
 
-func (c *nodeConn) Drained(*loop.Conn) {}
+func (c *nodeConn) Drained(*eventloop.Conn) {}
 
-func (c *nodeConn) Closed(_ *loop.Conn, err error) {
+func (c *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	k := c.k
 	s := k.s
 	s.nodeConns--
@@ -383,16 +383,16 @@
 		k.conns = slices.Delete(k.conns, i, i+1)
 	}
 	k.downAt = s.l.Now()
-	if !errors.Is(err, loop.ErrClosedHere) {
+	if !errors.Is(err, eventloop.ErrClosedHere) {
 		s.stats.NodeBreaks++
 	}
-	all := make([]*dispatch.Offer, 0, len(c.offers))
+	all := make([]*dispatch.Attempt, 0, len(c.offers))
 	for o := range c.offers {
 		all = append(all, o)
 	}
 	c.offers = nil
 	for _, o := range all {
-		s.c.Broken(s.l.Now(), o)
+		s.c.ConnectionLost(s.l.Now(), o)
 	}
 	s.pump()
 }
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -116,7 +116,7 @@
 	sv := serve(t, 256)
 	c := sv.owner()
 	io.WriteString(c, launch(2, "query", `"x"`))
-	sv.until("set-up", func() bool { return sv.c.Open() == 1 })
+	sv.until("set-up", func() bool { return sv.c.OpenRequests() == 1 })
 	// The attempt begins long after the set-up was read, when the module looks again for a machine: the owner's connection is ready only
 	// after the one that is dialled.
 	wait(t, "call", sv.board.calls).text <- fmt.Sprintf("id: 2\ndata: %s\n\n", event(2, entry(1, n.addr, "in_service")))
@@ -191,7 +191,7 @@
 	sv := serve(t, 256, n.addr)
 	c := sv.owner()
 	io.WriteString(c, launch(1, "seats", `"x"`))
-	sv.until("answer", func() bool { return sv.c.Counts.Failed+sv.c.Counts.Refused == 1 })
+	sv.until("answer", func() bool { return sv.c.Counts.Failed+sv.c.Counts.Rejected == 1 })
 	decided, sent := make(chan struct{}), make(chan struct{})
 	sv.l.Post(func() {
 		sv.stopping, sv.stopAt = true, sv.l.Now()-1
@@ -276,12 +276,12 @@
 	io.WriteString(a, "noise\n") // ends the connection, which lingers for its owner to close it too
 	sv.until("closing", func() bool { return sv.stats.BadOwners["unreadable"] > 0 })
 	io.WriteString(<-conns, stop(1, 16))
-	sv.until("end", func() bool { return sv.c.Standing() == 0 })
+	sv.until("end", func() bool { return sv.c.RunningTasks() == 0 })
 	b := sv.owner()
 	io.WriteString(b, test)
 	b.want(`"stop"`, "0000000000000001", `"reason":16`)
 	sv.on(func() {
-		if sv.c.Counts.Retold > 0 {
+		if sv.c.Counts.Redeliveries > 0 {
 			t.Error("told on the closing connection first")
 		}
 	})
@@ -305,7 +305,7 @@
 		io.WriteString(c, stop(1, 16)) // the machine's word is ready first
 		a.Close()
 	}, nil)
-	sv.until("end", func() bool { return sv.c.Standing() == 0 && len(sv.owners) == 0 })
+	sv.until("end", func() bool { return sv.c.RunningTasks() == 0 && len(sv.owners) == 0 })
 	b := sv.owner()
 	io.WriteString(b, test)
 	b.want(`"stop"`, "0000000000000001", `"reason":16`)
@@ -332,12 +332,12 @@
 	}
 	io.WriteString(o, test+named(1))
 	o.want(`"stop"`, "0000000000000001", `"reason":16`)
-	sv.until("both ends", func() bool { return sv.c.Counts.Unheld == 1 })
+	sv.until("both ends", func() bool { return sv.c.Counts.UnknownTasks == 1 })
 	io.WriteString(o, named(2))
 	o.want(`"stop"`, "0000000000000002", `"reason":41`)
 	sv.on(func() {
-		if sv.c.Standing() != 0 {
-			t.Errorf("%d stand", sv.c.Standing())
+		if sv.c.RunningTasks() != 0 {
+			t.Errorf("%d stand", sv.c.RunningTasks())
 		}
 	})
 }
@@ -361,8 +361,8 @@
 	}, nil)
 	standing := -1
 	sv.until("attempt", func() bool {
-		if sv.c.Counts.Offers > 0 && standing < 0 {
-			standing = sv.c.Standing()
+		if sv.c.Counts.Attempts > 0 && standing < 0 {
+			standing = sv.c.RunningTasks()
 		}
 		return standing >= 0
 	})
@@ -390,7 +390,7 @@
 	b.want(`"checked"`)
 	io.WriteString(named, strings.Replace(launch(2, "query", `"x"`), "service:", "at:s-00000001;service:", 1))
 	c := wait(t, "task", conns)
-	sv.until("three owners and two tasks", func() bool { return len(sv.owners) == 3 && sv.c.Standing() == 2 })
+	sv.until("three owners and two tasks", func() bool { return len(sv.owners) == 3 && sv.c.RunningTasks() == 2 })
 	sweep := func() {
 		sv.on(func() {
 			for _, oc := range sv.owners {
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -5,56 +5,56 @@
 import (
 	"errors"
 
-	"heathshed/internal/budget"
 	"heathshed/internal/dispatch"
-	"heathshed/internal/jsonl"
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/memquota"
+	"heathshed/internal/platformproto"
 )
 
 // ownerConn is one accepted connection.
 type ownerConn struct {
 	s      *Server
-	lc     *loop.Conn
+	lc     *eventloop.Conn
 	id     dispatch.ConnID
 	opened float64
 	last   float64 // when the last message that made sense came
 	part   float64 // since when the last message has been incomplete; 0 if it is not
 	naming bool    // tasks that stand already are being named on it
 	ended  bool    // is being closed, and nobody's to the core
-	m      jsonl.Message
+	m      platformproto.Message
 }
 
-func (s *Server) accept(lc *loop.Conn) loop.Handler {
+func (s *Server) accept(lc *eventloop.Conn) eventloop.Handler {
 	s.nextOwner++
 	s.stats.Accepted++
-	lc.MaxIn = 2 * jsonl.MaxLine
+	lc.MaxIn = 2 * platformproto.MaxLine
 	oc := &ownerConn{s: s, lc: lc, id: s.nextOwner, opened: s.l.Now(), last: s.l.Now()}
 	s.owners[oc.id] = oc
-	s.c.OwnerOpened(s.l.Now(), oc.id)
+	s.c.ClientConnected(s.l.Now(), oc.id)
 	if len(s.owners) >= s.maxOwners-2 {
 		s.makeRoom()
 	}
 	return oc
 }
 
-func (oc *ownerConn) Opened(*loop.Conn) {}
+func (oc *ownerConn) Opened(*eventloop.Conn) {}
 
-func (oc *ownerConn) Data(lc *loop.Conn, b []byte) int {
+func (oc *ownerConn) Data(lc *eventloop.Conn, b []byte) int {
 	s := oc.s
 	n, err := s.lines(lc, b, func(line []byte) (bool, error) {
-		if err := jsonl.Parse(line, &oc.m); err != nil {
+		if err := platformproto.Parse(line, &oc.m); err != nil {
 			return false, err
 		}
 		s.trace("owner>", uint64(oc.id), lc.Peer(), &oc.m)
-		named := s.c.Counts.Named
-		if err := s.c.FromOwner(s.l.Now(), oc.id, &oc.m); err != nil {
+		named := s.c.Counts.Adopted
+		if err := s.c.ReceiveFromClient(s.l.Now(), oc.id, &oc.m); err != nil {
 			s.stats.BadOwners[kind(err)]++
 			s.warn("owner's message not taken", lc.Peer(), err)
 		} else {
 			oc.last = s.l.Now()
 		}
 		// Tasks that stand already come by the thousand after a start, and count soon whether read or not: the rest is read in this turn too.
-		if s.c.Counts.Named == named {
+		if s.c.Counts.Adopted == named {
 			return false, nil
 		}
 		if !oc.naming {
@@ -80,13 +80,13 @@
 	return min(n, len(b))
 }
 
-func (oc *ownerConn) Drained(*loop.Conn) {}
+func (oc *ownerConn) Drained(*eventloop.Conn) {}
 
-func (oc *ownerConn) Closed(_ *loop.Conn, err error) {
+func (oc *ownerConn) Closed(_ *eventloop.Conn, err error) {
 	s := oc.s
 	s.log.Trace().Uint64("conn", uint64(oc.id)).Err(err).Msg("owner closed")
 	delete(s.owners, oc.id)
-	s.c.OwnerClosed(s.l.Now(), oc.id)
+	s.c.ClientDisconnected(s.l.Now(), oc.id)
 	s.pump()
 }
 
@@ -96,14 +96,14 @@
 		return
 	}
 	oc.ended = true
-	oc.s.c.OwnerClosed(oc.s.l.Now(), oc.id)
+	oc.s.c.ClientDisconnected(oc.s.l.Now(), oc.id)
 	oc.s.pump()
 	oc.lc.CloseAfterFlush()
 }
 
 var errUnread = errors.New("does not read what it is sent")
 
-func (oc *ownerConn) write(m *jsonl.Message) {
+func (oc *ownerConn) write(m *platformproto.Message) {
 	if oc.lc.Buffered() > unsentToOwner {
 		oc.s.warn("owner's connection ended", oc.lc.Peer(), errUnread)
 		oc.s.l.After(0, oc.lc.Close)
@@ -117,9 +117,9 @@
 // idle says whether a connection has nothing under way and never had. The last way to owners of tasks that stand is kept: an owner who finds
 // its connection closed need not open another before it asks for something new, and is owed the end of its task within a second.
 func (oc *ownerConn) idle(now float64) bool {
-	open, good := oc.s.c.OwnerOpen(oc.id)
+	open, good := oc.s.c.ClientRequests(oc.id)
 	return !oc.ended && open == 0 && !good && now-oc.last > strangerFor && !(oc.part > 0 && now-oc.part < partFor) &&
-		!oc.s.c.OwnerNeeded(oc.id)
+		!oc.s.c.IsLastClient(oc.id)
 }
 
 // sweepOwners closes connections that have nothing under way and never had. A request that the system has received by now is looked for
@@ -145,14 +145,14 @@
 		if oc.ended {
 			continue // its seat is about to be free; it is not missed at all, but what it is owed may be on its way
 		}
-		open, good := s.c.OwnerOpen(oc.id)
-		s.candidates = append(s.candidates, budget.Candidate{Busy: open > 0 || oc.opened == now, Known: good, Idle: now - max(oc.last, oc.part)})
+		open, good := s.c.ClientRequests(oc.id)
+		s.candidates = append(s.candidates, memquota.Candidate{Busy: open > 0 || oc.opened == now, Proven: good, Idle: now - max(oc.last, oc.part)})
 		s.candidateOf = append(s.candidateOf, oc)
 	}
-	for i := budget.Evict(s.candidates); i >= 0; i = budget.Evict(s.candidates) {
+	for i := memquota.SelectEviction(s.candidates); i >= 0; i = memquota.SelectEviction(s.candidates) {
 		oc := s.candidateOf[i]
 		oc.lc.ReadNow()
-		if open, _ := s.c.OwnerOpen(oc.id); open == 0 && !oc.lc.Paused() {
+		if open, _ := s.c.ClientRequests(oc.id); open == 0 && !oc.lc.Paused() {
 			s.stats.Crowded++
 			oc.lc.Close()
 			return
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -12,12 +12,12 @@
 
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/budget"
 	"heathshed/internal/connpool"
 	"heathshed/internal/dispatch"
-	"heathshed/internal/feed"
-	"heathshed/internal/jsonl"
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/memquota"
+	"heathshed/internal/platformproto"
 	"heathshed/placer"
 )
 
@@ -39,31 +39,31 @@
 
 // Server is one scheduler.
 type Server struct {
-	l    *loop.Loop
+	l    *eventloop.Loop
 	c    *dispatch.Core
 	cfg  *Config
 	rng  *rand.Rand // of the configuration's seed, so that schedulers started at one moment do not try again in step
 	log  zerolog.Logger
-	ln   *loop.Listener
-	due  *loop.Timer
+	ln   *eventloop.Listener
+	due  *eventloop.Timer
 	done func()
 
 	owners      map[dispatch.ConnID]*ownerConn
 	nextOwner   dispatch.ConnID
 	maxOwners   int
-	candidates  []budget.Candidate // scratch of makeRoom
+	candidates  []memquota.Candidate // scratch of makeRoom
 	candidateOf []*ownerConn
 	maxNodes    int
-	shared      connpool.Shared
-	reach       connpool.Reach // as each machine's begins
+	shared      connpool.SharedPolicy
+	reach       connpool.Reachability // as each machine's begins
 	nodeConns   int
 	nextNode    uint64
 	links       map[placer.NodeID]*link
 	waiting     []*link // scratch of reconnect
 	seatFor     float64
 	bulletin    *bulletin
-	resume      []*loop.Conn
-	starts      []*dispatch.Offer // attempts that go out at the end of the turn
+	resume      []*eventloop.Conn
+	starts      []*dispatch.Attempt // attempts that go out at the end of the turn
 	stopping    bool
 	stopAt      float64
 	stats       Stats
@@ -79,28 +79,28 @@
 
 // kind is a word for what is wrong with a message, one of a few.
 func kind(err error) string {
-	var b *dispatch.Bad
+	var b *dispatch.InvalidMessageError
 	switch {
 	case errors.As(err, &b):
 		return b.Kind
-	case errors.Is(err, jsonl.ErrTooLong):
+	case errors.Is(err, platformproto.ErrTooLong):
 		return "long line"
 	}
 	return "unreadable"
 }
 
 // New makes a scheduler on the loop and begins to listen. Its end is told by done, on the loop.
-func New(l *loop.Loop, cfg *Config, p feed.Module, log zerolog.Logger, done func()) (*Server, error) {
-	core, err := dispatch.New(l.Now(), cfg.Settings, p, cfg.Known)
+func New(l *eventloop.Loop, cfg *Config, p eventqueue.Placer, log zerolog.Logger, done func()) (*Server, error) {
+	core, err := dispatch.New(l.Now(), cfg.Settings, p, cfg.InitialEvents)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	s := &Server{l: l, c: core, cfg: cfg, log: log, done: done, owners: map[dispatch.ConnID]*ownerConn{},
 		links: map[placer.NodeID]*link{}, stats: Stats{BadOwners: map[string]uint64{}, BadMachines: map[string]uint64{}}}
 	s.rng = rand.New(rand.NewPCG(cfg.Seed, 0x6a09e667f3bcc908))
-	s.reach = connpool.Reach{SilentFor: silentFor, RefusedFor: refusedFor}
+	s.reach = connpool.Reachability{UnresponsiveAfter: silentFor, RefusedAfter: refusedFor}
 	s.seatFor = seatFor
-	s.shared = connpool.DefaultShared()
+	s.shared = connpool.DefaultSharedPolicy()
 	s.shared.MaxIdle = cfg.Settings.ConnIdle * 0.6 // well before the machine closes it: an offer must not cross that
 	sockets := cfg.Sockets
 	if sockets == 0 {
@@ -112,10 +112,10 @@
 	if s.ln, err = l.Listen(cfg.Listen, s.accept); err != nil {
 		return nil, err
 	}
-	s.bulletin = newBulletin(s, cfg.Bulletin)
+	s.bulletin = newBulletin(s, cfg.Discovery)
 	s.bulletin.open()
 	s.pump()
-	log.Trace().Str("settings", fmt.Sprintf("%+v", *cfg.Settings)).RawJSON("known", cfg.Known).Msg("configuration")
+	log.Trace().Str("settings", fmt.Sprintf("%+v", *cfg.Settings)).RawJSON("known", cfg.InitialEvents).Msg("configuration")
 	l.After(housekeeping, s.keep)
 	l.After(reportEvery, s.report)
 	return s, nil
@@ -126,9 +126,9 @@
 
 // Reload goes over to the bulletin that a new configuration names.
 func (s *Server) Reload(cfg *Config) {
-	if cfg.Bulletin != s.bulletin.addr {
-		s.log.Info().Str("bulletin", cfg.Bulletin).Uint64("last", s.c.Last()).Msg("bulletin moved")
-		s.bulletin.move(cfg.Bulletin)
+	if cfg.Discovery != s.bulletin.addr {
+		s.log.Info().Str("bulletin", cfg.Discovery).Uint64("last", s.c.LastDiscoveryEvent()).Msg("bulletin moved")
+		s.bulletin.move(cfg.Discovery)
 	}
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	s.stopping, s.stopAt = true, s.l.Now()
-	s.log.Info().Int("open", s.c.Open()).Int("standing", s.c.Standing()).Msg("stopping")
+	s.log.Info().Int("open", s.c.OpenRequests()).Int("standing", s.c.RunningTasks()).Msg("stopping")
 	s.l.After(acceptAfter, s.ending)
 }
 
@@ -155,7 +155,7 @@
 		unread = unread || oc.part > 0 || oc.lc.Paused()
 	}
 	inTime := s.l.Now() < s.stopAt+s.stayFor()
-	if s.c.Open() > 0 || inTime && (unread || s.c.Standing() > 0 && len(s.owners) > 0) {
+	if s.c.OpenRequests() > 0 || inTime && (unread || s.c.RunningTasks() > 0 && len(s.owners) > 0) {
 		s.l.After(0.01, s.ending)
 		return
 	}
@@ -195,7 +195,7 @@
 			s.carryOut(&effects[i])
 		}
 	}
-	due := s.c.Due()
+	due := s.c.NextTimer()
 	if s.due != nil && s.due.Due() == due {
 		return
 	}
@@ -212,23 +212,23 @@
 
 func (s *Server) carryOut(e *dispatch.Effect) {
 	switch e.Kind {
-	case dispatch.Tell:
+	case dispatch.SendToClient:
 		if oc := s.owners[e.Conn]; oc != nil {
 			oc.write(&e.Message)
 		}
-	case dispatch.Send:
-		s.start(e.Offer)
-	case dispatch.Release:
-		s.link(e.Offer.Node).release(e)
-	case dispatch.Held:
-		s.link(e.Offer.Node)
-	case dispatch.Roster:
+	case dispatch.SendAttempt:
+		s.start(e.Attempt)
+	case dispatch.SendToNode:
+		s.link(e.Attempt.Node).release(e)
+	case dispatch.ConnectNode:
+		s.link(e.Attempt.Node)
+	case dispatch.NodesChanged:
 		s.follow()
 	}
 }
 
 // start has an attempt go out at the end of the turn.
-func (s *Server) start(o *dispatch.Offer) {
+func (s *Server) start(o *dispatch.Attempt) {
 	s.starts = append(s.starts, o)
 	if len(s.starts) == 1 {
 		s.l.AtEnd(s.begin)
@@ -242,14 +242,14 @@
 	all := s.starts
 	s.starts = nil
 	for _, o := range all {
-		if oc := s.owners[o.Owner()]; oc != nil {
+		if oc := s.owners[o.Client()]; oc != nil {
 			oc.lc.ReadNow()
 			if oc.lc.Paused() && !oc.lc.Closed() { // lines of it wait for their turn; a cancel may be among them
 				s.start(o)
 				continue
 			}
 		}
-		if o.Waiting() {
+		if o.Pending() {
 			s.link(o.Node).send(o)
 		}
 	}
@@ -269,15 +269,15 @@
 // report writes what was counted to the log.
 func (s *Server) report() {
 	c := &s.c.Counts
-	s.log.Info().Int("owners", len(s.owners)).Int("node_conns", s.nodeConns).Int("links", len(s.links)).Int("open", s.c.Open()).
-		Int("standing", s.c.Standing()).Uint64("bulletin", s.c.Last()).Interface("core", c).Interface("sockets", &s.stats).Msg("counts")
+	s.log.Info().Int("owners", len(s.owners)).Int("node_conns", s.nodeConns).Int("links", len(s.links)).Int("open", s.c.OpenRequests()).
+		Int("standing", s.c.RunningTasks()).Uint64("bulletin", s.c.LastDiscoveryEvent()).Interface("core", c).Interface("sockets", &s.stats).Msg("counts")
 	if !s.stopping {
 		s.l.After(reportEvery, s.report)
 	}
 }
 
 // trace logs one message at level trace.
-func (s *Server) trace(what string, conn uint64, peer string, m *jsonl.Message) {
+func (s *Server) trace(what string, conn uint64, peer string, m *platformproto.Message) {
 	if s.log.GetLevel() > zerolog.TraceLevel {
 		return
 	}
@@ -285,7 +285,7 @@
 	if m.HasReason {
 		e.Int("reason", m.Reason)
 	}
-	for f := jsonl.Class; f <= jsonl.Load; f++ {
+	for f := platformproto.Class; f <= platformproto.Load; f++ {
 		if m.Has(f) {
 			e.Str(f.String(), m.Get(f))
 		}
@@ -294,7 +294,7 @@
 }
 
 // later has a connection's unread lines looked at in the next turn: one that sends much does not keep the others waiting.
-func (s *Server) later(lc *loop.Conn) {
+func (s *Server) later(lc *eventloop.Conn) {
 	lc.PauseRead(true)
 	s.resume = append(s.resume, lc)
 	if len(s.resume) == 1 {
@@ -310,13 +310,13 @@
 
 // lines calls f for each whole line of b, at most linesPerTurn beside those that f takes for free, and returns how many bytes were taken. The
 // error is that of f, or jsonl.ErrTooLong for a line without an end.
-func (s *Server) lines(lc *loop.Conn, b []byte, f func(line []byte) (free bool, err error)) (int, error) {
+func (s *Server) lines(lc *eventloop.Conn, b []byte, f func(line []byte) (free bool, err error)) (int, error) {
 	n := 0
 	for taken := 0; taken < linesPerTurn; {
 		i := bytes.IndexByte(b[n:], '\n')
 		if i < 0 {
-			if len(b)-n >= jsonl.MaxLine {
-				return n, jsonl.ErrTooLong
+			if len(b)-n >= platformproto.MaxLine {
+				return n, platformproto.ErrTooLong
 			}
 			return n, nil
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -19,7 +19,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
 	"heathshed/placer"
 )
 
@@ -171,7 +171,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,7 +290,7 @@
 				o.want(`"running"`, fmt.Sprintf("%016x", i+1))
 			}
 			sv.on(func() {
-				if c := sv.c.Counts; c.Bound != 6 || c.Offers <= 6 {
+				if c := sv.c.Counts; c.Bound != 6 || c.Attempts <= 6 {
 					t.Errorf("%+v", c)
 				}
 			})
@@ -306,7 +306,7 @@
 	io.WriteString(o, launch(1, "seats", `"x"`))
 	o.want(`"stop"`, `"reason":34`) // refused: nothing ran
 	sv.on(func() {
-		if c := sv.c.Counts; c.Unreachable == 0 || c.Broken+c.TimedOut > 0 {
+		if c := sv.c.Counts; c.ConnectFailures == 0 || c.ConnectionsLost+c.TimedOut > 0 {
 			t.Errorf("%+v", c)
 		}
 	})
@@ -354,7 +354,7 @@
 
 func TestBulletinBreaksRepeatsStopsAndMoves(t *testing.T) {
 	sv := serve(t, 256)
-	last := func() (n uint64) { sv.on(func() { n = sv.c.Last() }); return n }
+	last := func() (n uint64) { sv.on(func() { n = sv.c.LastDiscoveryEvent() }); return n }
 	c := wait(t, "call", sv.board.calls)
 	if c.last != "1" {
 		t.Fatalf("Last-Event-ID %q", c.last)
@@ -378,7 +378,7 @@
 	}
 	other := newBoard(t)
 	cfg := *sv.cfg
-	cfg.Bulletin = other.addr()
+	cfg.Discovery = other.addr()
 	sv.on(func() { sv.Reload(&cfg); sv.Reload(&cfg) })
 	c = wait(t, "call at the new address", other.calls)
 	if c.last != "3" {
@@ -589,7 +589,7 @@
 				}
 			})
 			sv := serve(t, 256, n.addr)
-			sv.on(func() { sv.reach.SilentFor = 2 })
+			sv.on(func() { sv.reach.UnresponsiveAfter = 2 })
 			o := sv.owner()
 			io.WriteString(o, launch(1, "seats", `"x"`))
 			o.want(`"running"`)
@@ -605,7 +605,7 @@
 				still = 1 // and elsewhere it may run on, until the machine says that it ended
 			}
 			sv.on(func() {
-				if sv.stats.MachinesLost != 1 || sv.c.Standing() != still || sv.c.Counts.Lost != 1 {
+				if sv.stats.MachinesLost != 1 || sv.c.RunningTasks() != still || sv.c.Counts.TasksLost != 1 {
 					t.Errorf("%+v, %+v", sv.stats, sv.c.Counts)
 				}
 			})
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/loop"
+	"heathshed/internal/eventloop"
 	"heathshed/placer"
 )
 
@@ -106,7 +106,7 @@
 				t.Fatal(err)
 			}
 			sv := &service{t: t, ended: make(chan struct{})}
-			l, err := loop.New()
+			l, err := eventloop.New()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -86,7 +86,7 @@
 
 func (sv *service) move(addr string) {
 	cfg := *sv.cfg
-	cfg.Bulletin = addr
+	cfg.Discovery = addr
 	sv.on(func() { sv.Reload(&cfg) })
 }
 
@@ -108,7 +108,7 @@
 		"while it shuts down":       {head + second, "2", func(sv *service, _ *stream) { sv.stopping, sv.stopAt = true, sv.l.Now() }},
 		"after a reload to the same": {head + second, "2", func(sv *service, f *stream) {
 			cfg := *sv.cfg
-			cfg.Bulletin = f.Addr().String()
+			cfg.Discovery = f.Addr().String()
 			sv.Reload(&cfg)
 		}},
 	} {
@@ -132,7 +132,7 @@
 			}
 			wait(t, "end of the silent connection", first.over)
 			io.WriteString(again, head+told(2)+told(3, entry(2, "127.0.0.1:1", "in_service")))
-			sv.until("event", func() bool { return sv.c.Last() == 3 })
+			sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
 		})
 	}
 }
@@ -144,9 +144,9 @@
 	sv.move(a.Addr().String())
 	old := wait(t, "call", a.asked)
 	io.WriteString(old, head+told(2)+"id: 3\ndata: ")
-	sv.until("event", func() bool { return sv.c.Last() == 2 })
+	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
 	cfg := *sv.cfg
-	cfg.Bulletin = b.Addr().String()
+	cfg.Discovery = b.Addr().String()
 	sv.hold(func() { io.WriteString(old, event(3, entry(7, "127.0.0.1:1", "in_service"))+"\n\n") }, func() { sv.Reload(&cfg) })
 	c := wait(t, "call", b.asked)
 	if c.last != "2" {
@@ -154,7 +154,7 @@
 	}
 	wait(t, "end of the old connection", old.over)
 	io.WriteString(c, head+told(3, entry(8, "127.0.0.1:1", "in_service")))
-	sv.until("event", func() bool { return sv.c.Last() == 3 })
+	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
 	sv.on(func() {
 		n := 0
 		for range sv.links {
@@ -173,7 +173,7 @@
 	sv.move(a.Addr().String())
 	first := wait(t, "call", a.asked)
 	io.WriteString(first, head+told(2))
-	sv.until("event", func() bool { return sv.c.Last() == 2 })
+	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
 	later := listen(t, "127.0.0.77:0") // where nobody else takes the port meanwhile
 	later.Close()
 	sv.move(later.Addr().String())
@@ -186,7 +186,7 @@
 		t.Errorf("asked from %s", c.last)
 	}
 	io.WriteString(c, head+told(3))
-	sv.until("event", func() bool { return sv.c.Last() == 3 })
+	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
 	sv.move(a.Addr().String())
 	c = wait(t, "call at the first address", a.asked)
 	if c.last != "3" {
@@ -237,7 +237,7 @@
 			io.WriteString(o, launch(2, "seats", `"x"`))
 			say := wait(t, "attempt", answer)
 			call.text <- whole(2, entry(9, "127.0.0.1:1", "in_service"))
-			sv.until("the list", func() bool { return sv.c.Last() == 2 })
+			sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
 			sv.on(func() {
 				for _, k := range sv.links {
 					k.keep()
@@ -245,14 +245,14 @@
 			})
 			if c.back {
 				call.text <- whole(3, entry(1, n.addr, "in_service"))
-				sv.until("the list", func() bool { return sv.c.Last() == 3 })
+				sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
 			}
 			say()
 			o.want(`"running"`, "0000000000000002")
 			if c.back {
 				sv.on(func() {
-					if sv.c.Standing() != all {
-						t.Errorf("%d stand", sv.c.Standing())
+					if sv.c.RunningTasks() != all {
+						t.Errorf("%d stand", sv.c.RunningTasks())
 					}
 				})
 				return
@@ -275,14 +275,14 @@
 	io.WriteString(o, launch(1, "query", `"x"`))
 	o.want(`"running"`)
 	call.text <- fmt.Sprintf("id: 2\ndata: %s\n\n", event(2, entry(1, n.addr, "terminated"), entry(2, n.addr, "in_service")))
-	sv.until("the list", func() bool { return sv.c.Last() == 2 })
+	sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
 	io.WriteString(o, launch(2, "query", `"x"`))
 	o.want(`"running"`, "0000000000000002")
 	o.want(`"stop"`, "0000000000000001", `"reason":41`)
 	sv.until("one link", func() bool { return len(sv.links) == 1 })
 	sv.on(func() {
-		if sv.c.Standing() != 1 || sv.nodeConns != 1 {
-			t.Errorf("%d stand, %d connections", sv.c.Standing(), sv.nodeConns)
+		if sv.c.RunningTasks() != 1 || sv.nodeConns != 1 {
+			t.Errorf("%d stand, %d connections", sv.c.RunningTasks(), sv.nodeConns)
 		}
 	})
 }
@@ -297,7 +297,7 @@
 		}
 	})
 	sv := serve(t, 256, n.addr)
-	sv.on(func() { sv.reach.SilentFor = 0.5 })
+	sv.on(func() { sv.reach.UnresponsiveAfter = 0.5 })
 	o := sv.owner()
 	io.WriteString(o, launch(1, "seats", `"x"`))
 	o.want(`"running"`)
@@ -311,8 +311,8 @@
 	_, end := silentUntil(t, p)
 	o.want(`"stop"`, `"reason":41`)
 	sv.on(func() {
-		if sv.c.Standing() != 1 {
-			t.Errorf("%d stand", sv.c.Standing())
+		if sv.c.RunningTasks() != 1 {
+			t.Errorf("%d stand", sv.c.RunningTasks())
 		}
 	})
 	end()
@@ -329,7 +329,7 @@
 		t.Fatalf("%q, %v", line, err)
 	}
 	io.WriteString(c, stop(1, 31))
-	sv.until("end of the task", func() bool { return sv.c.Standing() == 0 })
+	sv.until("end of the task", func() bool { return sv.c.RunningTasks() == 0 })
 	io.WriteString(o, test)
 	if line := o.line(); !strings.Contains(line, `"checked"`) {
 		t.Errorf("the owner was told more: %s", line)
@@ -396,8 +396,8 @@
 		}
 	}
 	sv.on(func() {
-		if sv.c.Standing() != machines || sv.nodeConns > sv.maxNodes || sv.maxNodes >= machines/2+5 {
-			t.Errorf("%d stand, %d connections of %d", sv.c.Standing(), sv.nodeConns, sv.maxNodes)
+		if sv.c.RunningTasks() != machines || sv.nodeConns > sv.maxNodes || sv.maxNodes >= machines/2+5 {
+			t.Errorf("%d stand, %d connections of %d", sv.c.RunningTasks(), sv.nodeConns, sv.maxNodes)
 		}
 	})
 }
@@ -438,7 +438,7 @@
 	if line := o.line(); !strings.Contains(line, `"stop"`) || !strings.Contains(line, `"reason":41`) {
 		t.Fatal(line)
 	}
-	sv.until("late answer", func() bool { return sv.c.Counts.Unheld == 1 })
+	sv.until("late answer", func() bool { return sv.c.Counts.UnknownTasks == 1 })
 	io.WriteString(o, test)
 	if line := o.line(); !strings.Contains(line, `"checked"`) {
 		t.Fatal(line)
--- a/internal/jsonl/characterization_test.go
+++ b/internal/platformproto/characterization_test.go
@@ -1,4 +1,4 @@
-package jsonl_test
+package platformproto_test
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/jsonl"
+	"heathshed/internal/platformproto"
 )
 
 const (
@@ -59,16 +59,16 @@
 
 // describe parses one line and gives the verdict and every value as numbers and wire bytes.
 func describe(line string) string {
-	var m jsonl.Message
-	if err := jsonl.Parse([]byte(line), &m); err != nil {
-		if err == jsonl.ErrTooLong {
+	var m platformproto.Message
+	if err := platformproto.Parse([]byte(line), &m); err != nil {
+		if err == platformproto.ErrTooLong {
 			return "too long\n"
 		}
 		return "refused\n"
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(m.Kind), m.UID, uint64(m.ID), m.Reason, m.HasReason, m.Body)
-	for f := jsonl.Class; f <= jsonl.Load; f++ {
+	for f := platformproto.Class; f <= platformproto.Load; f++ {
 		fmt.Fprintf(&b, " %d %t %q", uint8(f), m.Has(f), m.Get(f))
 	}
 	fmt.Fprintf(&b, "\n%s", m.Append([]byte("before")))
@@ -116,7 +116,7 @@
 		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`, `{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
 	}
 	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
-	for _, size := range []int{100, jsonl.MaxLine - 2, jsonl.MaxLine - 1, jsonl.MaxLine, jsonl.MaxLine + 1, 16383, 16384} {
+	for _, size := range []int{100, platformproto.MaxLine - 2, platformproto.MaxLine - 1, platformproto.MaxLine, platformproto.MaxLine + 1, 16383, 16384} {
 		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-frame)+`"}`, strings.Repeat(" ", size))
 	}
 	return append(lines, " \t\r\n{ \"kind\" : \"stop\" , "+uid+" , \"meta\" : { \"class\" : 5 , \"left\" : \"6\" } } \r", `{"kind":"stop",`+uid+`}x`,
@@ -151,17 +151,17 @@
 func encodings() string {
 	var b strings.Builder
 	for k := range 12 {
-		for f := jsonl.Class; f <= jsonl.Load; f++ {
-			m := jsonl.Message{Kind: jsonl.Kind(k), UID: "00000000000000ff", ID: 255, Reason: k * 17, HasReason: k%2 == 0}
+		for f := platformproto.Class; f <= platformproto.Load; f++ {
+			m := platformproto.Message{Kind: platformproto.Kind(k), UID: "00000000000000ff", ID: 255, Reason: k * 17, HasReason: k%2 == 0}
 			m.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
-			m.Set(jsonl.Value, "")
+			m.Set(platformproto.Value, "")
 			if k%3 == 0 {
 				m.Body = `"raw \u0041"`
 			}
 			b.Write(m.Append(nil))
 		}
 	}
-	m := jsonl.Message{Kind: jsonl.Stop, Reason: -5, HasReason: true}
+	m := platformproto.Message{Kind: platformproto.Stop, Reason: -5, HasReason: true}
 	b.Write(m.Append(nil))
 	return b.String()
 }
@@ -170,11 +170,11 @@
 	var b strings.Builder
 	for _, s := range []string{"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
 		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é"} {
-		id, err := jsonl.ParseID(s)
+		id, err := platformproto.ParseID(s)
 		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&b, jsonl.MaxLine, jsonl.CauseEnd, jsonl.CauseCancelled, jsonl.CauseFull, jsonl.CauseReset, jsonl.CauseBusy, jsonl.CauseError, jsonl.CauseMoot)
-	for f := jsonl.Class; f <= jsonl.Load; f++ {
+	fmt.Fprintln(&b, platformproto.MaxLine, platformproto.CauseEnd, platformproto.CauseCancelled, platformproto.CauseFull, platformproto.CauseReset, platformproto.CauseBusy, platformproto.CauseError, platformproto.CauseExpired)
+	for f := platformproto.Class; f <= platformproto.Load; f++ {
 		fmt.Fprintln(&b, f.String()) // the word on the wire
 	}
 	return b.String()
--- a/internal/jsonl/jsonl.go
+++ b/internal/platformproto/message.go
@@ -3,7 +3,7 @@
 // It is pure: bytes in, messages out, no socket and no clock, and it imports nothing of the project. What it accepts is stricter than JSON:
 // a line that another reader might refuse or read otherwise (text that is no UTF-8, half of a surrogate pair, a key that comes twice) is an
 // error here, for what is passed on spoilt costs everything else that is open on the same connection.
-package jsonl
+package platformproto
 
 import (
 	"errors"
@@ -54,7 +54,7 @@
 	CauseReset     = 41  // broke, or was cut
 	CauseBusy      = 42  // refused, trying again is harmless
 	CauseError     = 47  // failed
-	CauseMoot      = 102 // never left
+	CauseExpired   = 102 // never left
 )
 
 // ID names a task between two parties: 16 hexadecimal digits.
@@ -83,7 +83,7 @@
 	Left
 	Tenant
 	Key
-	Idem // of a class that machines deduplicate: the name under which they know a copy
+	IdempotencyKey // of a class that machines deduplicate: the name under which they know a copy
 	Extras
 	Wait
 	Note
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/platformproto/message_test.go
@@ -1,4 +1,4 @@
-package jsonl
+package platformproto
 
 import (
 	"encoding/json"
--- a/internal/kclient/object.go
+++ b/internal/reflector/object.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package kclient
+package reflector
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/bound"
+	"heathshed/internal/decodelimit"
 )
 
 const binaryType = "application/vnd.kubernetes.protobuf"
@@ -25,12 +25,12 @@
 // Decode reads the object, within the bounds of one.
 func (o Object) Decode(into interface{ Unmarshal([]byte) error }) error {
 	if o.Binary {
-		if err := bound.Proto(o.Raw, bound.Object()); err != nil {
+		if err := decodelimit.Proto(o.Raw, decodelimit.Object()); err != nil {
 			return err
 		}
 		return into.Unmarshal(o.Raw)
 	}
-	if err := bound.JSON(o.Raw, bound.Object()); err != nil {
+	if err := decodelimit.JSON(o.Raw, decodelimit.Object()); err != nil {
 		return err
 	}
 	return json.Unmarshal(o.Raw, into)
--- a/internal/kclient/reflector.go
+++ b/internal/reflector/reflector.go
@@ -2,7 +2,7 @@
 
 // Package kclient follows a collection of a Kubernetes-style API over the event loop: it lists, watches from the list's
 // revision, resumes, and lists anew when the history is gone.
-package kclient
+package reflector
 
 import (
 	"bytes"
@@ -15,20 +15,20 @@
 
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/backoff"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
 	"heathshed/internal/httpc"
-	"heathshed/internal/loop"
+	"heathshed/internal/retry"
 )
 
 // Reflector follows one collection. Set the fields, then Start. Callbacks run on the loop.
 type Reflector struct {
-	Loop   *loop.Loop
+	Loop   *eventloop.Loop
 	Client *httpc.Client
 	Path   string // such as /api/v1/nodes
 	Labels string // label selector
 	Rand   *rand.Rand
-	Retry  backoff.Backoff
+	Retry  retry.Backoff
 	// ListWithin bounds a list in seconds, Quiet how long a watch may bring no byte before it counts as broken; 0 is no bound.
 	ListWithin, Quiet float64
 
@@ -42,8 +42,8 @@
 
 	rev     string
 	call    *httpc.Call
-	timer   *loop.Timer
-	quiet   *loop.Timer
+	timer   *eventloop.Timer
+	quiet   *eventloop.Timer
 	stopped bool
 	line    []byte
 	failed  error
--- a/internal/backoff/backoff.go
+++ b/internal/retry/backoff.go
@@ -1,5 +1,4 @@
-// Package backoff decides how long to wait before something that failed is tried again. It is pure.
-package backoff
+package retry
 
 // Backoff doubles a wait from Min to Max seconds. The zero value waits not at all.
 type Backoff struct {
--- a/internal/backoff/characterization_test.go
+++ b/internal/retry/backoff_characterization_test.go
@@ -1,4 +1,4 @@
-package backoff_test
+package retry_test
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/backoff"
+	"heathshed/internal/retry"
 )
 
 const (
-	goldenPath   = "testdata/characterization.golden"
+	goldenPath   = "testdata/backoff.golden"
 	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
 )
 
@@ -41,7 +41,7 @@
 
 // TestCharacterization compares waits, as float bits, with the golden file: for a grid of bounds and jitters, before and after a reset. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
 // file anew; a missing file is a failure.
-func TestCharacterization(t *testing.T) {
+func TestCharacterizeBackoff(t *testing.T) {
 	var lines []string
 	for _, bounds := range [][2]float64{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
 		for _, jitter := range []float64{0, 0.25, 0.5, 1} {
@@ -52,7 +52,7 @@
 }
 
 func waits(bounds [2]float64, jitter float64) string {
-	b := backoff.Backoff{Min: bounds[0], Max: bounds[1]}
+	b := retry.Backoff{Min: bounds[0], Max: bounds[1]}
 	line := fmt.Sprintf("%g %g %g:", bounds[0], bounds[1], jitter)
 	for i := range 20 {
 		if i == 14 {
--- a/internal/owner/characterization_test.go
+++ b/internal/retry/characterization_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package retry_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"heathshed/internal/golden"
-	"heathshed/internal/owner"
+	"heathshed/internal/retry"
 	"heathshed/placer"
 )
 
@@ -14,15 +14,15 @@
 // the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizeOwner(t *testing.T) {
 	record := golden.NewRecorder()
-	policies := []owner.Policy{owner.DefaultPolicy(), {Again: 0.2, Soon: 0.05, Growth: 3, Most: 9, Settle: 1}, {Again: 4, Growth: 0.5}}
+	policies := []retry.Policy{retry.DefaultPolicy(), {Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1}, {Delay: 4, Multiplier: 0.5}}
 	for i, policy := range policies {
 		rng := rand.New(rand.NewPCG(5, uint64(i)))
 		var verdicts [4]int
 		for step := range 4000 {
-			s := owner.Standing{Effect: placer.Effect(step % 3), Cause: owner.Cause(rng.IntN(6)), Now: 1000 + rng.Float64(),
-				Asked: rng.IntN(12), Budget: rng.IntN(4), InDoubt: rng.IntN(4) == 0, MayRan: rng.IntN(5) == 0,
-				Delay: float64(rng.IntN(3)) * 3 * rng.Float64(), Jitter: rng.Float64()}
-			s.GiveUp = s.Now - 2 + 40*rng.Float64()
+			s := retry.State{Idempotency: placer.Idempotency(step % 3), Cause: retry.Cause(rng.IntN(6)), Now: 1000 + rng.Float64(),
+				Attempts: rng.IntN(12), Budget: rng.IntN(4), OutcomeUnknown: rng.IntN(4) == 0, MayHaveRun: rng.IntN(5) == 0,
+				RetryAfter: float64(rng.IntN(3)) * 3 * rng.Float64(), Jitter: rng.Float64()}
+			s.Deadline = s.Now - 2 + 40*rng.Float64()
 			verdict, at := policy.Next(s)
 			verdicts[verdict]++
 			record.Integers(int64(verdict))
@@ -32,7 +32,7 @@
 			}
 		}
 		for budget := range 20 {
-			record.Floats(policy.Patience(0.5*float64(budget+1), budget))
+			record.Floats(policy.MaxWait(0.5*float64(budget+1), budget))
 		}
 		record.Line("policy %d: verdicts %v", i, verdicts)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
--- a/internal/badday/badday.go
+++ b/internal/scenario/scenario.go
@@ -2,7 +2,7 @@
 // timed actions. The same plan is carried out over sockets by drill and in simulated time by model.
 //
 // It is pure: the same script gives the same plan.
-package badday
+package scenario
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"sort"
 	"strings"
 
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/emulator/fault"
 )
 
 // Script is a day. Times are in seconds from its start.
@@ -85,7 +85,7 @@
 	Do        Do
 	Job       *Job
 	Node      string
-	Faults    fault.Machine
+	Faults    fault.Node
 	Cut       float64
 	Scheduler int
 	For       float64
@@ -224,67 +224,67 @@
 	return all[:min(len(all), max(1, int(math.Round(part*float64(len(all))))))]
 }
 
-func (p *planner) fault(at float64, n Node, f fault.Machine) {
+func (p *planner) fault(at float64, n Node, f fault.Node) {
 	p.add(Action{At: at, Do: Fault, Node: n.Name, Faults: f})
 }
 
 func (p *planner) trouble(t *Trouble) {
 	yes := true
-	each := func(f fault.Machine) {
+	each := func(f fault.Node) {
 		for _, n := range p.some(t.Part, nil) {
 			p.fault(t.At, n, f)
 		}
 	}
 	switch t.Kind {
 	case "class_fail":
-		each(fault.Machine{Error: t.For, Class: t.Class})
+		each(fault.Node{Error: t.For, Class: t.Class})
 	case "fast_errors":
-		each(fault.Machine{Error: t.For})
+		each(fault.Node{Error: t.For})
 	case "refuse":
-		each(fault.Machine{Refuse: t.For})
+		each(fault.Node{Refuse: t.For})
 	case "crash":
-		each(fault.Machine{Crash: max(t.For, 0.1)})
+		each(fault.Node{Crash: max(t.For, 0.1)})
 	case "reconnect":
-		each(fault.Machine{Reset: t.For})
+		each(fault.Node{Reset: t.For})
 	case "lose_answers":
-		each(fault.Machine{LoseAnswer: t.For})
+		each(fault.Node{LoseAnswer: t.For})
 	case "trickle":
-		each(fault.Machine{Trickle: t.For})
+		each(fault.Node{Trickle: t.For})
 	case "clocks":
 		for i, n := range p.some(t.Part, nil) {
 			off := -t.Scale
 			if i%3 == 2 {
 				off = t.Scale / 2
 			}
-			p.fault(t.At, n, fault.Machine{Clock: off})
+			p.fault(t.At, n, fault.Node{Clock: off})
 		}
 	case "mass_restart":
 		for _, n := range p.some(t.Part, nil) {
-			p.fault(t.At+t.For*p.rng.Float64(), n, fault.Machine{Crash: 1 + p.rng.Float64()})
+			p.fault(t.At+t.For*p.rng.Float64(), n, fault.Node{Crash: 1 + p.rng.Float64()})
 		}
 	case "discovery_down":
 		p.add(Action{At: t.At, Do: Inventory, Cut: t.For})
 	case "pauses":
 		for _, n := range p.some(t.Part, nil) {
 			for at := t.At + 2*p.rng.Float64(); at < t.At+t.For; at += 2 {
-				p.fault(at, n, fault.Machine{Stall: 0.2 + 0.3*p.rng.Float64()})
+				p.fault(at, n, fault.Node{Stall: 0.2 + 0.3*p.rng.Float64()})
 			}
 		}
 	case "preempt":
 		kind := p.nodes[p.rng.IntN(len(p.nodes))].Kind
 		for _, n := range p.some(t.Part, func(n Node) bool { return n.Kind == kind }) {
-			p.fault(t.At, n, fault.Machine{Drain: &yes})
-			p.fault(t.At+2, n, fault.Machine{Crash: max(t.For, 0.1)})
+			p.fault(t.At, n, fault.Node{Drain: &yes})
+			p.fault(t.At+2, n, fault.Node{Crash: max(t.For, 0.1)})
 		}
 	case "shrink":
 		for _, n := range p.some(t.Part, nil) {
 			at := t.At + min(t.For/3, 5)*p.rng.Float64()
-			p.fault(at, n, fault.Machine{Drain: &yes})
-			p.fault(at+3, n, fault.Machine{Crash: max(t.For-3, 0.1)})
+			p.fault(at, n, fault.Node{Drain: &yes})
+			p.fault(at+3, n, fault.Node{Crash: max(t.For-3, 0.1)})
 		}
 	case "grow":
 		for _, n := range p.some(t.Part, nil) {
-			p.fault(0, n, fault.Machine{Crash: max(t.At, 0.1) + 3*p.rng.Float64()})
+			p.fault(0, n, fault.Node{Crash: max(t.At, 0.1) + 3*p.rng.Float64()})
 		}
 	case "zone_cut":
 		name := t.Name
@@ -292,7 +292,7 @@
 			name = p.nodes[0].Rack
 		}
 		for _, n := range p.some(1, func(n Node) bool { return n.Zone == name || n.Rack == name }) {
-			p.fault(t.At, n, fault.Machine{Cut: t.For})
+			p.fault(t.At, n, fault.Node{Cut: t.For})
 		}
 	case "drain":
 		for _, n := range p.some(t.Part, nil) {
--- a/internal/badday/badday_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import "testing"
 
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/meta"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/wellknown"
 )
 
 // BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the answers, and tells the time from the moment each was due
@@ -26,7 +26,7 @@
 	for _, machines := range []int{10, 100, 500} {
 		for _, rate := range []int{50, 200, 800} {
 			b.Run(fmt.Sprintf("machines=%d/rate=%d", machines, rate), func(b *testing.B) {
-				c := start(b, func(s *settings.Settings) { s.StandIn.Nodes, s.StandIn.Racks, s.HeardWithin = machines, 10, 20 })
+				c := start(b, func(s *config.Settings) { s.Emulator.Nodes, s.Emulator.Racks, s.HeardWithin = machines, 10, 20 })
 				hist := hdrhistogram.New(1, 60_000_000, 3)
 				due := sync.Map{}
 				settled := make(chan struct{}, 1<<16)
@@ -46,8 +46,8 @@
 						if json.Unmarshal(line, &ev) != nil {
 							return
 						}
-						name := ev.Object.Labels[meta.JobName]
-						if meta.SettledOf(&ev.Object) != "" && !seen[name] {
+						name := ev.Object.Labels[wellknown.JobName]
+						if wellknown.SettledOf(&ev.Object) != "" && !seen[name] {
 							seen[name] = true
 							if at, ok := due.Load(name); ok {
 								hist.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/scenario"
 )
 
 // on runs f on the scheduler's loop.
@@ -52,7 +52,7 @@
 		return n
 	}
 	c.eventually("all watch", func() bool { return watches() == 4000 })
-	c.submit(badday.Job{Name: "a", Class: "batch", Service: "s", Tasks: 1000, Cores: 0.01, Memory: 0.01, Life: 60, Backoff: 6})
+	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 1000, Cores: 0.01, Memory: 0.01, Life: 60, Backoff: 6})
 	most := int64(0)
 	c.eventually("settled", func() bool {
 		c.on(func() { most = max(most, c.sch.http.Memory().Held()) })
@@ -78,8 +78,8 @@
 // Requests for lists in a pipeline whose answers are never read, and bodies that never end, hold no more than their share, and others are
 // served meanwhile.
 func TestUnreadAnswersAndEndlessBodies(t *testing.T) {
-	c := start(t, func(s *settings.Settings) { s.Limits.Memory = 256 })
-	c.submit(badday.Job{Name: "a", Class: "batch", Service: "s", Tasks: 2000, Cores: 0.01, Memory: 0.01, Life: 60, Backoff: 6})
+	c := start(t, func(s *config.Settings) { s.Limits.Memory = 256 })
+	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 2000, Cores: 0.01, Memory: 0.01, Life: 60, Backoff: 6})
 	c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
 	before := heap()
 	c.crowd(200, strings.Repeat("GET /api/v1/pods HTTP/1.1\r\nHost: a\r\n\r\n", 2000))
--- a/internal/scheduler/clientgo_test.go
+++ b/internal/scheduler/clientgo_test.go
@@ -19,10 +19,10 @@
 	"k8s.io/client-go/rest"
 	"k8s.io/client-go/tools/cache"
 
-	"heathshed/internal/badday"
-	"heathshed/internal/meta"
-	"heathshed/internal/model"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
+	"heathshed/internal/wellknown"
 )
 
 func clientset(t *testing.T, c *cluster) *kubernetes.Clientset {
@@ -46,7 +46,7 @@
 		t.Fatalf("discovery: %v, %v", lists, err)
 	}
 	jobs := k.BatchV1().Jobs("default")
-	j := model.Job(&badday.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Life: 0.3, Backoff: 2})
+	j := simulation.Job(&scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Life: 0.3, Backoff: 2})
 	if _, err := jobs.Create(ctx, j, metav1.CreateOptions{DryRun: []string{metav1.DryRunAll}}); err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 			w.Stop()
 		}
 	}
-	if r := settled(c.job("a")); r != meta.Placed {
+	if r := settled(c.job("a")); r != wellknown.Placed {
 		t.Fatalf("settled as %q", r)
 	}
 	// Pages come from one snapshot, though Pods are deleted between them.
@@ -126,7 +126,7 @@
 		t.Fatalf("stale update: %v", err)
 	}
 	bad := j.DeepCopy()
-	bad.Spec.Template.Labels[meta.Class] = "none"
+	bad.Spec.Template.Labels[wellknown.Class] = "none"
 	if _, err := jobs.Create(ctx, bad, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
 		t.Fatalf("unknown class: %v", err)
 	}
@@ -160,9 +160,9 @@
 		p := now.(*corev1.Pod)
 		was := ""
 		if old != nil {
-			was = meta.SettledOf(old.(*corev1.Pod))
+			was = wellknown.SettledOf(old.(*corev1.Pod))
 		}
-		if r := meta.SettledOf(p); r != was {
+		if r := wellknown.SettledOf(p); r != was {
 			if was != "" {
 				outcomes <- "changed"
 			}
@@ -178,7 +178,7 @@
 	}
 	const each, rounds = 20, 5
 	for i := range rounds {
-		c.submit(badday.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Life: 30, Backoff: 3})
+		c.submit(scenario.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Life: 30, Backoff: 3})
 		// Break every open connection, in the middle of what it carries.
 		done := make(chan struct{})
 		c.l.Post(func() { c.sch.http.CloseConns(); close(done) })
@@ -187,7 +187,7 @@
 	for n := range each * rounds {
 		select {
 		case r := <-outcomes:
-			if r != meta.Placed {
+			if r != wellknown.Placed {
 				t.Fatalf("outcome %d is %s", n, r)
 			}
 		case <-time.After(30 * time.Second):
@@ -207,10 +207,10 @@
 func TestDrainByPatch(t *testing.T) {
 	c := start(t, nil)
 	k, ctx := clientset(t, c), context.Background()
-	c.submit(badday.Job{Name: "a", Class: "web", Service: "s", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.submit(scenario.Job{Name: "a", Class: "web", Service: "s", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 12 })
-	c.fault(fault.Machine{Stall: 0.4})
-	c.submit(badday.Job{Name: "b", Class: "batch", Service: "t", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.fault(fault.Node{Stall: 0.4})
+	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "t", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 	node := c.pods("?fieldSelector=status.phase=Running")[0].Spec.NodeName
 	if _, err := k.CoreV1().Nodes().Patch(ctx, node, types.StrategicMergePatchType, []byte(`{"spec":{"unschedulable":true}}`), metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
@@ -225,7 +225,7 @@
 	}
 	c.eventually("nothing runs there", func() bool {
 		for _, p := range c.pods("?fieldSelector=spec.nodeName=" + node) {
-			if !meta.Finished(&p) {
+			if !wellknown.Finished(&p) {
 				return false
 			}
 		}
--- a/internal/scheduler/hardcases_test.go
+++ b/internal/scheduler/hardcases_test.go
@@ -18,11 +18,11 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
-	"heathshed/internal/meta"
-	"heathshed/internal/settings"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/config"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/scenario"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 )
 
 // An accepted offer whose answer is lost: a task that must not run twice is found running and adopted, one that may is asked again
@@ -30,11 +30,11 @@
 func TestLostAnswers(t *testing.T) {
 	for _, class := range []string{"once", "keyed", "web"} {
 		t.Run(class, func(t *testing.T) {
-			c := start(t, func(s *settings.Settings) { s.Owner.Settle = 1 })
-			c.fault(fault.Machine{LoseAnswer: 0.4})
-			c.submit(badday.Job{Name: "a", Class: class, Service: "s", Tasks: 6, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 6})
+			c := start(t, func(s *config.Settings) { s.Retry.Settle = 1 })
+			c.fault(fault.Node{LoseAnswer: 0.4})
+			c.submit(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 6, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 6})
 			c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-			if r := settled(c.job("a")); r != meta.Placed {
+			if r := settled(c.job("a")); r != wellknown.Placed {
 				t.Errorf("settled as %s", r)
 			}
 			c.eventually("all run once", func() bool {
@@ -63,19 +63,19 @@
 
 // Nothing answers until the deadline: every task has its one final answer, and one that must not run twice is not refused but failed.
 func TestDeadlineOnTimeout(t *testing.T) {
-	for class, want := range map[string]string{"web": meta.Refused, "once": meta.Failed} {
+	for class, want := range map[string]string{"web": wellknown.Rejected, "once": wellknown.Failed} {
 		t.Run(class, func(t *testing.T) {
-			c := start(t, func(s *settings.Settings) {
+			c := start(t, func(s *config.Settings) {
 				for i := range s.Classes {
 					s.Classes[i].Deadline = 1
 				}
-				s.Owner.Settle = 0.3
+				s.Retry.Settle = 0.3
 			})
-			c.fault(fault.Machine{Stall: 3})
-			c.submit(badday.Job{Name: "a", Class: class, Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
+			c.fault(fault.Node{Stall: 3})
+			c.submit(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
 			c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
 			for _, p := range c.pods("") {
-				if r := meta.SettledOf(&p); r != want && r != meta.Failed {
+				if r := wellknown.SettledOf(&p); r != want && r != wellknown.Failed {
 					t.Errorf("%s: %s", p.Name, r)
 				}
 			}
@@ -86,13 +86,13 @@
 }
 
 func TestAllMachinesRefuse(t *testing.T) {
-	c := start(t, func(s *settings.Settings) {
+	c := start(t, func(s *config.Settings) {
 		s.Classes[1].Deadline = 1.5
 	})
-	c.fault(fault.Machine{Refuse: 100})
-	c.submit(badday.Job{Name: "a", Class: "batch", Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 1})
+	c.fault(fault.Node{Refuse: 100})
+	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 1})
 	c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-	if r := settled(c.job("a")); r != meta.Refused {
+	if r := settled(c.job("a")); r != wellknown.Rejected {
 		t.Errorf("settled as %s, want Refused: none may have run", r)
 	}
 	for _, p := range c.pods("") {
@@ -107,7 +107,7 @@
 func TestKilledAndStartedAgain(t *testing.T) {
 	c := start(t, nil)
 	for _, class := range []string{"once", "batch"} {
-		c.submit(badday.Job{Name: class, Class: class, Service: class, Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+		c.submit(scenario.Job{Name: class, Class: class, Service: class, Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 	}
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 16 })
 	before := map[string]bool{}
@@ -119,8 +119,8 @@
 	c.up()
 	after := c.pods("")
 	for _, p := range after {
-		if !before[string(p.UID)] || meta.SettledOf(&p) != meta.Placed {
-			t.Errorf("%s after the restart: settled as %q", p.Name, meta.SettledOf(&p))
+		if !before[string(p.UID)] || wellknown.SettledOf(&p) != wellknown.Placed {
+			t.Errorf("%s after the restart: settled as %q", p.Name, wellknown.SettledOf(&p))
 		}
 	}
 	if len(after) != 16 || c.seen(audit.Started) != 16 {
@@ -149,8 +149,8 @@
 	for _, how := range []string{"Background", "Foreground"} {
 		t.Run(how, func(t *testing.T) {
 			c := start(t, nil)
-			c.fault(fault.Machine{Stall: 0.5})
-			c.submit(badday.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+			c.fault(fault.Node{Stall: 0.5})
+			c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 			c.eventually("offers are out", func() bool { return c.seen(audit.Offered) > 0 })
 			c.want(200, "DELETE", "/apis/batch/v1/namespaces/default/jobs/a?propagationPolicy="+how, "", "")
 			c.eventually("all is gone", func() bool { return len(c.pods("")) == 0 && c.job("a") == nil })
@@ -158,7 +158,7 @@
 				n, done := 0, make(chan struct{})
 				c.sl.Post(func() {
 					for _, x := range c.nodes {
-						n += x.Machine().Holds()
+						n += x.Sim().Holds()
 					}
 					close(done)
 				})
@@ -172,9 +172,9 @@
 
 // A watch that is cut in the middle of an event resumes where it was; one whose history is gone is told so.
 func TestWatchCutAndResumed(t *testing.T) {
-	c := start(t, func(s *settings.Settings) { s.Limits.History = 60 })
+	c := start(t, func(s *config.Settings) { s.Limits.History = 60 })
 	rev := c.rev()
-	c.submit(badday.Job{Name: "a", Class: "batch", Service: "s", Tasks: 10, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
+	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 10, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 10 })
 	seen := map[string]int{}
 	last := fmt.Sprint(rev)
@@ -211,13 +211,13 @@
 		conn.Close()
 	}
 	// Ten Pods are added, placed and seen running: thirty events. Then the history moves on.
-	c.submit(badday.Job{Name: "b", Class: "batch", Service: "s", Tasks: 30, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
+	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 30, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
 	c.eventually("more run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 40 })
 	c.want(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", "")
 }
 
 func TestRefusedRequests(t *testing.T) {
-	c := start(t, func(s *settings.Settings) { s.Limits.Body, s.Limits.Pods = 4096, 50 })
+	c := start(t, func(s *config.Settings) { s.Limits.Body, s.Limits.Pods = 4096, 50 })
 	const jobs = "/apis/batch/v1/namespaces/default/jobs"
 	body := jobText("fit", 1)
 	pad := func(n int) string { return body + strings.Repeat(" ", n-len(body)) }
@@ -314,8 +314,8 @@
 
 // Many idle watches and a Job of ten thousand tasks side by side: all settle, and a watch sees each of its events.
 func TestManyWatchesAndTasks(t *testing.T) {
-	c := start(t, func(s *settings.Settings) {
-		s.StandIn.MaxWaiting, s.StandIn.LookMin, s.StandIn.LookMax = 4096, 0, 0.0001
+	c := start(t, func(s *config.Settings) {
+		s.Emulator.MaxWaiting, s.Emulator.LookMin, s.Emulator.LookMax = 4096, 0, 0.0001
 	})
 	const watches, tasks = 5000, 10000
 	var conns []net.Conn
@@ -365,12 +365,12 @@
 // A stop in order: what was taken gets its answer, watches end cleanly, nothing new is taken.
 func TestStopInOrder(t *testing.T) {
 	c := start(t, nil)
-	c.fault(fault.Machine{Stall: 0.3})
+	c.fault(fault.Node{Stall: 0.3})
 	resp, err := http.Get(c.base + "/api/v1/pods?watch=1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.submit(badday.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 	c.eventually("offers are out", func() bool { return c.seen(audit.Offered) > 0 })
 	stopped := make(chan struct{})
 	c.l.Post(func() { c.sch.Stop(20, func() { close(stopped); c.l.Stop() }) })
@@ -387,7 +387,7 @@
 	out := map[string]bool{}
 	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
 		var ev struct{ Object corev1.Pod }
-		if json.Unmarshal([]byte(line), &ev) == nil && meta.SettledOf(&ev.Object) != "" {
+		if json.Unmarshal([]byte(line), &ev) == nil && wellknown.SettledOf(&ev.Object) != "" {
 			out[string(ev.Object.UID)] = true
 		}
 	}
@@ -400,12 +400,12 @@
 // The inventory goes away, comes back empty, then whole: what runs goes on, nothing that must not run twice is started again, and new
 // work is placed afterwards.
 func TestInventoryCutAndEmpty(t *testing.T) {
-	c := start(t, func(s *settings.Settings) { s.Limits.LostAfter = 0.5 })
-	c.submit(badday.Job{Name: "a", Class: "once", Service: "s", Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c := start(t, func(s *config.Settings) { s.Limits.LostAfter = 0.5 })
+	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 8 })
 	c.sl.Post(func() { c.inv.Fault(fault.Inventory{Cut: 0.5}) })
-	c.submit(badday.Job{Name: "b", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-	c.eventually("b is settled by the list as it was", func() bool { return settled(c.job("b")) == meta.Placed })
+	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.eventually("b is settled by the list as it was", func() bool { return settled(c.job("b")) == wellknown.Placed })
 	nodes := func() int {
 		var l corev1.NodeList
 		if code, b := c.try("GET", "/api/v1/nodes", "", nil); code != 200 || json.Unmarshal(b, &l) != nil {
@@ -420,8 +420,8 @@
 		return n == 0 && nodes() == 0
 	})
 	c.eventually("the machines are listed again", func() bool { return nodes() == len(c.nodes) })
-	c.submit(badday.Job{Name: "c", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-	c.eventually("c is settled", func() bool { return settled(c.job("c")) == meta.Placed })
+	c.submit(scenario.Job{Name: "c", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.eventually("c is settled", func() bool { return settled(c.job("c")) == wellknown.Placed })
 	if n := len(c.pods("?labelSelector=job-name=a&fieldSelector=status.phase=Running")); n != 8 || c.job("a").Status.Failed != 0 {
 		t.Errorf("%d of 8 tasks run, %v", n, c.job("a").Status)
 	}
@@ -431,10 +431,10 @@
 // Answers that trickle a few bytes at a time are read whole; nothing is asked twice on their account.
 func TestTrickledAnswers(t *testing.T) {
 	c := start(t, nil)
-	c.fault(fault.Machine{Trickle: 0.5})
-	c.submit(badday.Job{Name: "a", Class: "once", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
+	c.fault(fault.Node{Trickle: 0.5})
+	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
 	c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-	if r := settled(c.job("a")); r != meta.Placed || c.seen(audit.Offered) != 4 {
+	if r := settled(c.job("a")); r != wellknown.Placed || c.seen(audit.Offered) != 4 {
 		t.Errorf("settled as %s after %d offers", r, c.seen(audit.Offered))
 	}
 	c.audit()
