--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -16,38 +16,38 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
-	"heathshed/internal/budget"
+	"heathshed/internal/config"
+	"heathshed/internal/emulator"
+	"heathshed/internal/emulator/fault"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/httpd"
-	"heathshed/internal/loop"
-	"heathshed/internal/meta"
-	"heathshed/internal/model"
-	"heathshed/internal/settings"
-	"heathshed/internal/standin"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/memquota"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
+	"heathshed/internal/wellknown"
 )
 
 // cluster is a scheduler with stand-ins, in this process.
 type cluster struct {
 	t     testing.TB
-	s     settings.Settings
+	s     config.Settings
 	base  string
-	l     *loop.Loop // of the scheduler
+	l     *eventloop.Loop // of the scheduler
 	sch   *Scheduler
 	done  chan error
-	sl    *loop.Loop // of the stand-ins
-	inv   *standin.Inventory
-	nodes []*standin.Node
+	sl    *eventloop.Loop // of the stand-ins
+	inv   *emulator.Inventory
+	nodes []*emulator.Node
 
 	mu     sync.Mutex
 	events []audit.Event
 }
 
-func start(t testing.TB, change func(*settings.Settings)) *cluster {
+func start(t testing.TB, change func(*config.Settings)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, s: settings.Default()}
+	c := &cluster{t: t, s: config.Default()}
 	s := &c.s
-	s.Listen, s.StandIn.Late, s.StandIn.Nodes, s.HeardWithin = "127.0.0.1:0", 0.05, 4, 2
+	s.Listen, s.Emulator.Late, s.Emulator.Nodes, s.HeardWithin = "127.0.0.1:0", 0.05, 4, 2
 	s.Limits.KeepFinished = 0
 	if change != nil {
 		change(s)
@@ -56,22 +56,22 @@
 		t.Fatal(err)
 	}
 	var err error
-	if c.sl, err = loop.New(); err != nil {
+	if c.sl, err = eventloop.New(); err != nil {
 		t.Fatal(err)
 	}
 	tap := func(ev audit.Event) { c.mu.Lock(); c.events = append(c.events, ev); c.mu.Unlock() }
-	if c.inv, err = standin.StartInventory(c.sl, standin.InventoryOptions{Listen: "127.0.0.1:0", Late: s.StandIn.Late, SilentAfter: 1, Tap: tap}); err != nil {
+	if c.inv, err = emulator.StartInventory(c.sl, emulator.InventoryOptions{Listen: "127.0.0.1:0", Late: s.Emulator.Late, SilentAfter: 1, Tap: tap}); err != nil {
 		t.Fatal(err)
 	}
 	s.Inventory = c.inv.Addr()
-	for i := range s.StandIn.Nodes {
+	for i := range s.Emulator.Nodes {
 		cfg, kind, rack, zone := s.Machine(i)
 		beat := 0.1
-		if s.StandIn.Nodes >= 100 {
+		if s.Emulator.Nodes >= 100 {
 			beat = 0.5 // as heathshed up has it; more would measure the inventory
 		}
-		n, err := standin.StartNode(c.sl, standin.NodeOptions{Name: model.NodeName(i), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0",
-			Inventory: c.inv.Addr(), Beat: beat, Machine: cfg, Priorities: s.Priorities(), Tap: tap})
+		n, err := emulator.StartNode(c.sl, emulator.NodeOptions{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0",
+			Inventory: c.inv.Addr(), Beat: beat, Sim: cfg, Priorities: s.Priorities(), Tap: tap})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,13 +87,13 @@
 // up starts the scheduler, at the address that it had.
 func (c *cluster) up() {
 	c.t.Helper()
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	h := httpd.DefaultOptions()
 	h.Limits.Body = c.s.Limits.Body
-	h.Memory = budget.Divide(int64(c.s.Limits.Memory) << 20).Connections
+	h.Memory = memquota.Divide(int64(c.s.Limits.Memory) << 20).Connections
 	c.sch, err = New(l, Options{Engine: c.s.Engine(7, int64(l.Now()*1e6)), Listen: c.s.Listen, Inventory: c.s.Inventory, Version: "test",
 		HTTP: h, ConnectWithin: c.s.ConnectWithin, HeardWithin: c.s.HeardWithin, Log: zerolog.Nop()})
 	if err != nil {
@@ -154,12 +154,12 @@
 	c.t.Fatalf("never seen: %s", what)
 }
 
-func (c *cluster) submit(j badday.Job) {
+func (c *cluster) submit(j scenario.Job) {
 	c.t.Helper()
 	if j.Namespace == "" {
 		j.Namespace = "default"
 	}
-	b, err := json.Marshal(model.Job(&j))
+	b, err := json.Marshal(simulation.Job(&j))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 func settled(j *batchv1.Job) string {
 	if j != nil {
 		for _, k := range j.Status.Conditions {
-			if k.Type == meta.Settled {
+			if k.Type == wellknown.Settled {
 				return k.Reason
 			}
 		}
@@ -212,7 +212,7 @@
 }
 
 // fault makes machines faulty; none named is all.
-func (c *cluster) fault(f fault.Machine, nodes ...int) {
+func (c *cluster) fault(f fault.Node, nodes ...int) {
 	done := make(chan struct{})
 	c.sl.Post(func() {
 		for i, n := range c.nodes {
@@ -248,7 +248,7 @@
 	c.mu.Lock()
 	events := append([]audit.Event(nil), c.events...)
 	c.mu.Unlock()
-	r := audit.Check(audit.Config{Classes: model.Classes(&c.s), DrainGrace: c.s.Rules.DrainGrace, Slack: 0.5}, events)
+	r := audit.Check(audit.Config{Classes: simulation.Classes(&c.s), DrainGrace: c.s.Rules.DrainGrace, Slack: 0.5}, events)
 	for _, v := range r.Violations {
 		c.t.Error(v)
 	}
--- a/internal/scheduler/metrics.go
+++ b/internal/scheduler/metrics.go
@@ -35,35 +35,35 @@
 		name, help string
 		v          *uint64
 	}{
-		{"asks_total", "Asks brought to the placer.", &st.Asks},
-		{"asked_again_total", "Asks after the first of a task.", &st.AskedAgain},
+		{"asks_total", "Asks brought to the placer.", &st.PlacementRequests},
+		{"asked_again_total", "Asks after the first of a task.", &st.Retries},
 		{"asks_shed_total", "Asks that the gate refused.", &st.Shed},
-		{"offers_total", "Offers sent to machines.", &st.Offers},
+		{"offers_total", "Offers sent to machines.", &st.Attempts},
 		{"offers_accepted_total", "Offers that machines accepted.", &st.Accepted},
-		{"offers_refused_total", "Offers that machines refused.", &st.Refusals},
-		{"offers_in_doubt_total", "Offers that ended without word whether they were accepted.", &st.Doubts},
+		{"offers_refused_total", "Offers that machines refused.", &st.Rejections},
+		{"offers_in_doubt_total", "Offers that ended without word whether they were accepted.", &st.UnknownOutcomes},
 		{"adopted_total", "Doubtful attempts found running.", &st.Adopted},
-		{"taken_over_total", "Tasks found on machines after a restart.", &st.TakenOver},
+		{"taken_over_total", "Tasks found on machines after a restart.", &st.Recovered},
 		{"stops_total", "Orders to stop sent to machines.", &st.Stops},
 		{"tasks_placed_total", "Tasks settled as placed.", &st.Placed},
-		{"tasks_refused_total", "Tasks settled as refused.", &st.Refused},
+		{"tasks_refused_total", "Tasks settled as refused.", &st.Rejected},
 		{"tasks_failed_total", "Tasks settled as failed.", &st.Failed},
 		{"tasks_lost_total", "Placed tasks lost with their machine.", &st.LostTasks},
 		{"tasks_evicted_total", "Placed tasks evicted for memory.", &st.EvictedTasks},
-		{"tasks_moved_total", "Placed tasks moved or evicted by order.", &st.MovedTasks},
+		{"tasks_moved_total", "Placed tasks moved or evicted by order.", &st.MigratedTasks},
 		{"jobs_created_total", "Jobs taken.", &st.JobsCreated},
 		{"jobs_finished_total", "Jobs finished.", &st.JobsFinished},
-		{"jobs_turned_away_total", "Jobs turned away because too many tasks are held.", &st.JobsTurnedAway},
+		{"jobs_turned_away_total", "Jobs turned away because too many tasks are held.", &st.JobsRejected},
 	} {
 		v := c.v
 		counter(c.name, c.help, func() uint64 { return *v })
 	}
-	gauge("tasks_open", "Tasks without a final answer.", func() float64 { return float64(s.e.Open()) })
-	gauge("gate_limit", "Learned limit on asks under way.", func() float64 { return s.e.Gate().Limit() })
-	gauge("gate_waiting", "Asks that stand in line at the gate.", func() float64 { return float64(s.e.Gate().Waiting()) })
+	gauge("tasks_open", "Tasks without a final answer.", func() float64 { return float64(s.e.OpenTasks()) })
+	gauge("gate_limit", "Learned limit on asks under way.", func() float64 { return s.e.Admission().Limit() })
+	gauge("gate_waiting", "Asks that stand in line at the gate.", func() float64 { return float64(s.e.Admission().Waiting()) })
 	gauge("pods", "Pods held.", func() float64 { return float64(s.e.Store().Len(store.Pods)) })
-	gauge("machines_ready", "Machines that the inventory lists as ready or draining.", func() float64 { n, _ := s.e.Heard(); return float64(n) })
-	gauge("machines_heard", "Machines whose tasks are being watched.", func() float64 { _, n := s.e.Heard(); return float64(n) })
+	gauge("machines_ready", "Machines that the inventory lists as ready or draining.", func() float64 { n, _ := s.e.NodeHeartbeat(); return float64(n) })
+	gauge("machines_heard", "Machines whose tasks are being watched.", func() float64 { _, n := s.e.NodeHeartbeat(); return float64(n) })
 	gauge("watches", "Open watches.", func() float64 { return float64(s.api.Watchers()) })
 	gauge("connections", "Open API connections.", func() float64 { return float64(s.http.Conns()) })
 	gauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.",
@@ -72,7 +72,7 @@
 	counter("connections_cut_total", "API connections cut off because they held too much.", func() uint64 { return s.http.Memory().Cut })
 	gauge("objects_bytes", "Memory of the objects held, counted high.", func() float64 { return float64(s.e.Store().Live()) })
 	gauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(s.e.Store().Past()) })
-	gauge("gate_budget", "Asks that may be made again at once.", func() float64 { return s.e.Gate().Budget() })
+	gauge("gate_budget", "Asks that may be made again at once.", func() float64 { return s.e.Admission().Budget() })
 	gauge("revision", "Revision of the last change.", func() float64 { return float64(s.e.Store().Rev()) })
 	counter("bad_requests_total", "Requests that could not be read.", func() uint64 { return s.http.BadRequests })
 	counter("loop_turns_total", "Turns of the event loop.", func() uint64 { return s.l.Iterations })
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -19,15 +19,15 @@
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/api"
-	"heathshed/internal/backoff"
 	"heathshed/internal/engine"
+	"heathshed/internal/eventloop"
 	"heathshed/internal/http1"
 	"heathshed/internal/httpc"
 	"heathshed/internal/httpd"
-	"heathshed/internal/kclient"
-	"heathshed/internal/loop"
-	"heathshed/internal/meta"
+	"heathshed/internal/reflector"
+	"heathshed/internal/retry"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
@@ -48,12 +48,12 @@
 // Scheduler is one running scheduler. All its methods are for the loop's goroutine.
 type Scheduler struct {
 	o      Options
-	l      *loop.Loop
+	l      *eventloop.Loop
 	e      *engine.Engine
 	api    *api.Server
 	http   *httpd.Server
 	rng    *rand.Rand
-	inv    *kclient.Reflector
+	inv    *reflector.Reflector
 	invUp  bool
 	began  float64
 	ready  bool
@@ -61,7 +61,7 @@
 
 	machines map[string]*machine
 	calls    map[callKey]*httpc.Call
-	timer    *loop.Timer
+	timer    *eventloop.Timer
 	effects  []engine.Effect
 	busy     bool
 	shown    int64
@@ -79,11 +79,11 @@
 type machine struct {
 	name   string
 	client *httpc.Client
-	pods   *kclient.Reflector
+	pods   *reflector.Reflector
 }
 
 // New starts a scheduler on a loop: it listens and begins to follow the inventory.
-func New(l *loop.Loop, o Options) (*Scheduler, error) {
+func New(l *eventloop.Loop, o Options) (*Scheduler, error) {
 	e, err := engine.New(o.Engine)
 	if err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 	if s.http, err = httpd.Listen(l, o.Listen, o.HTTP, s.serve); err != nil {
 		return nil, err
 	}
-	s.inv = &kclient.Reflector{Loop: l, Client: httpc.New(l, o.Inventory), Path: "/api/v1/nodes", Rand: s.rng,
-		Retry: backoff.Backoff{Min: 0.1, Max: 2}, ListWithin: 10, Quiet: o.WatchQuiet,
+	s.inv = &reflector.Reflector{Loop: l, Client: httpc.New(l, o.Inventory), Path: "/api/v1/nodes", Rand: s.rng,
+		Retry: retry.Backoff{Min: 0.1, Max: 2}, ListWithin: 10, Quiet: o.WatchQuiet,
 		Listed: s.nodesListed, Event: s.nodeEvent, Lost: s.inventoryLost}
 	s.inv.Start()
 	var tick func()
@@ -128,7 +128,7 @@
 	case !s.listed:
 		return errors.New("the inventory has not been heard of")
 	}
-	listed, heard := s.e.Heard()
+	listed, heard := s.e.NodeHeartbeat()
 	if listed == 0 {
 		return errors.New("the inventory lists no machine that is ready")
 	}
@@ -186,19 +186,19 @@
 
 func (s *Scheduler) carryOut(x *engine.Effect) {
 	switch x.Kind {
-	case engine.SendOffer:
+	case engine.SendAttempt:
 		s.sendOffer(x)
-	case engine.Abandon:
+	case engine.AbandonAttempt:
 		if c := s.calls[callKey{x.UID, x.Attempt}]; c != nil {
 			c.Cancel()
 		}
 	case engine.StopTask:
 		s.stopTask(x)
-	case engine.FollowNode:
+	case engine.WatchNode:
 		s.follow(x.Node, x.Address)
-	case engine.LeaveNode:
+	case engine.UnwatchNode:
 		s.leave(x.Node)
-	case engine.Relist:
+	case engine.RelistNodes:
 		s.inv.Relist()
 	}
 }
@@ -208,9 +208,9 @@
 	m := &machine{name: name, client: httpc.New(s.l, address)}
 	m.client.ConnectWithin = s.o.ConnectWithin
 	s.machines[name] = m
-	m.pods = &kclient.Reflector{Loop: s.l, Client: m.client, Path: "/api/v1/pods", Rand: s.rng,
-		Labels: meta.Scheduler + "=" + s.o.Engine.Name, Retry: backoff.Backoff{Min: 0.1, Max: 1}, ListWithin: 5, Quiet: s.o.WatchQuiet}
-	m.pods.Listed = func(h *http1.Head, rev string, items []kclient.Object) {
+	m.pods = &reflector.Reflector{Loop: s.l, Client: m.client, Path: "/api/v1/pods", Rand: s.rng,
+		Labels: wellknown.Scheduler + "=" + s.o.Engine.Name, Retry: retry.Backoff{Min: 0.1, Max: 1}, ListWithin: 5, Quiet: s.o.WatchQuiet}
+	m.pods.Listed = func(h *http1.Head, rev string, items []reflector.Object) {
 		v, _ := strconv.ParseInt(rev, 10, 64)
 		pods := make([]*corev1.Pod, 0, len(items))
 		for _, it := range items {
@@ -221,10 +221,10 @@
 			}
 			pods = append(pods, p)
 		}
-		s.e.NodePods(s.l.Now(), name, h.Header.Get(meta.BootHeader), v, pods)
+		s.e.NodePods(s.l.Now(), name, h.Header.Get(wellknown.IncarnationHeader), v, pods)
 		s.after()
 	}
-	m.pods.Event = func(kind string, o kclient.Object) {
+	m.pods.Event = func(kind string, o reflector.Object) {
 		p := &corev1.Pod{}
 		if err := o.Decode(p); err != nil {
 			s.o.Log.Warn().Str("machine", name).Err(err).Msg("pod event cannot be read")
@@ -235,7 +235,7 @@
 	}
 	m.pods.Lost = func(err error) {
 		s.o.Log.Debug().Str("machine", name).Err(err).Msg("machine out of reach")
-		s.e.NodeSilent(s.l.Now(), name)
+		s.e.NodeUnresponsive(s.l.Now(), name)
 		s.after()
 	}
 	m.pods.Start()
@@ -259,28 +259,28 @@
 }
 
 func (s *Scheduler) sendOffer(x *engine.Effect) {
-	ans := engine.OfferAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
+	ans := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
 	m := s.machines[x.Node]
 	body, err := json.Marshal(x.Pod)
 	if m == nil || err != nil {
 		ans.Result = placer.Unreachable
-		s.l.After(0, func() { s.e.OfferDone(s.l.Now(), ans); s.after() })
+		s.l.After(0, func() { s.e.AttemptDone(s.l.Now(), ans); s.after() })
 		return
 	}
 	key := callKey{x.UID, x.Attempt}
 	call := &httpc.Call{Careful: x.Careful, Done: func(h *http1.Head, body []byte, err error) {
 		delete(s.calls, key)
 		answer(&ans, h, body, err)
-		s.e.OfferDone(s.l.Now(), ans)
+		s.e.AttemptDone(s.l.Now(), ans)
 		s.after()
 	}}
 	s.calls[key] = call
 	m.client.Do("POST", podPath(x.Namespace, ""), []http1.Field{{Name: "Content-Type", Value: "application/json"},
-		{Name: meta.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 0, call)
+		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 0, call)
 }
 
 // answer translates a machine's answer to an offer.
-func answer(ans *engine.OfferAnswer, h *http1.Head, body []byte, err error) {
+func answer(ans *engine.AttemptAnswer, h *http1.Head, body []byte, err error) {
 	var ce *httpc.ConnectError
 	switch {
 	case errors.As(err, &ce):
@@ -290,16 +290,16 @@
 		ans.Result = placer.Lost
 		return
 	}
-	ans.Boot = h.Header.Get(meta.BootHeader)
-	if d, err := meta.ParseDict(h.Header.Get(meta.LoadHeader)); err == nil && len(d) > 0 {
+	ans.Incarnation = h.Header.Get(wellknown.IncarnationHeader)
+	if d, err := wellknown.ParseDict(h.Header.Get(wellknown.LoadHeader)); err == nil && len(d) > 0 {
 		value := func(name string) float64 {
 			if v, ok := d[name]; ok {
 				return v
 			}
 			return math.NaN()
 		}
-		ans.Report = &placer.Report{FreeCores: value("free-cores"), FreeMemory: value("free-memory"), Busy: value("busy"),
-			Queue: value("queue")}
+		ans.Report = &placer.Report{FreeCores: value("free-cores"), FreeMemory: value("free-memory"), Utilization: value("busy"),
+			QueueLength: value("queue")}
 	}
 	if h.Status/100 == 2 {
 		var p corev1.Pod
@@ -307,8 +307,8 @@
 			ans.Result = placer.Errored
 			return
 		}
-		if p.Status.Reason == meta.NeverRan {
-			ans.Result, ans.Reason = placer.Refused, placer.NotHere
+		if p.Status.Reason == wellknown.NeverRan {
+			ans.Result, ans.Reason = placer.Rejected, placer.WrongNode
 			return
 		}
 		ans.Accepted, ans.Pod = true, &p
@@ -319,14 +319,14 @@
 	json.Unmarshal(body, &st)
 	ans.Stated = st.Message
 	switch string(st.Reason) {
-	case meta.OutOfCPU:
-		ans.Result, ans.Reason = placer.Refused, placer.NoCores
-	case meta.OutOfMemory:
-		ans.Result, ans.Reason = placer.Refused, placer.NoMemory
-	case meta.TooMany:
-		ans.Result, ans.Reason = placer.Refused, placer.TooManyWait
-	case meta.NotHere:
-		ans.Result, ans.Reason = placer.Refused, placer.NotHere
+	case wellknown.OutOfCPU:
+		ans.Result, ans.Reason = placer.Rejected, placer.InsufficientCores
+	case wellknown.OutOfMemory:
+		ans.Result, ans.Reason = placer.Rejected, placer.InsufficientMemory
+	case wellknown.QueueFull:
+		ans.Result, ans.Reason = placer.Rejected, placer.QueueFull
+	case wellknown.WrongNode:
+		ans.Result, ans.Reason = placer.Rejected, placer.WrongNode
 	default:
 		ans.Result = placer.Errored
 	}
@@ -350,10 +350,10 @@
 	body, _ := json.Marshal(&metav1.DeleteOptions{TypeMeta: metav1.TypeMeta{Kind: "DeleteOptions", APIVersion: "v1"},
 		Preconditions: &metav1.Preconditions{UID: &x.UID}})
 	m.client.Do("DELETE", podPath(ns, name), []http1.Field{{Name: "Content-Type", Value: "application/json"},
-		{Name: meta.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 5, &httpc.Call{
+		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 5, &httpc.Call{
 		Done: func(h *http1.Head, body []byte, err error) {
 			if err == nil {
-				ans.Boot = h.Header.Get(meta.BootHeader)
+				ans.Incarnation = h.Header.Get(wellknown.IncarnationHeader)
 			}
 			switch {
 			case err != nil:
@@ -363,7 +363,7 @@
 				var p corev1.Pod
 				if json.Unmarshal(body, &p) == nil && p.UID == ans.UID {
 					ans.Known, ans.Had = true, true
-					ans.Ran = p.Status.Reason != meta.NeverRan
+					ans.Ran = p.Status.Reason != wellknown.NeverRan
 				}
 			}
 			s.e.StopDone(s.l.Now(), ans)
@@ -371,7 +371,7 @@
 		}})
 }
 
-func (s *Scheduler) nodesListed(_ *http1.Head, _ string, items []kclient.Object) {
+func (s *Scheduler) nodesListed(_ *http1.Head, _ string, items []reflector.Object) {
 	nodes := make([]*corev1.Node, 0, len(items))
 	for _, it := range items {
 		n := &corev1.Node{}
@@ -390,7 +390,7 @@
 	s.after()
 }
 
-func (s *Scheduler) nodeEvent(kind string, o kclient.Object) {
+func (s *Scheduler) nodeEvent(kind string, o reflector.Object) {
 	n := &corev1.Node{}
 	if err := o.Decode(n); err != nil {
 		s.o.Log.Warn().Err(err).Msg("machine event cannot be read")
@@ -422,7 +422,7 @@
 	s.stopping = true
 	s.e.Stop(s.l.Now())
 	s.after()
-	s.o.Log.Info().Int("open", s.e.Open()).Msg("stopping: waiting for final answers")
+	s.o.Log.Info().Int("open", s.e.OpenTasks()).Msg("stopping: waiting for final answers")
 	until := s.l.Now() + within
 	finished := false
 	finish := func() {
@@ -433,11 +433,11 @@
 	}
 	var wait func()
 	wait = func() {
-		if s.e.Open() > 0 && s.l.Now() < until {
+		if s.e.OpenTasks() > 0 && s.l.Now() < until {
 			s.l.After(0.02, wait)
 			return
 		}
-		if n := s.e.Open(); n > 0 {
+		if n := s.e.OpenTasks(); n > 0 {
 			s.o.Log.Error().Int("open", n).Msg("stopped with tasks unanswered")
 		}
 		s.inv.Stop()
--- a/internal/simhost/characterization_test.go
+++ b/internal/simadapter/characterization_test.go
@@ -1,4 +1,4 @@
-package simhost_test
+package simadapter_test
 
 // Characterization tests: they drive the adapter through a scripted run in a closed loop. A simulated peer reads
 // each reply, carries out its actions and builds the next batch; a running SHA-256 covers all bytes of all
@@ -7,7 +7,7 @@
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
 //
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simhost -run Characterization
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simadapter -run Characterization
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/simhost"
+	"heathshed/internal/simadapter"
 )
 
 // compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
@@ -301,7 +301,7 @@
 func TestCharacterizationOfARun(t *testing.T) {
 	p := &peer{rng: rand.New(rand.NewPCG(6, 8)), now: 50, digest: sha256.New()}
 	var problems bytes.Buffer
-	if err := simhost.Run(p, p, &problems); err != nil {
+	if err := simadapter.Run(p, p, &problems); err != nil {
 		t.Fatal(err)
 	}
 	if p.problem != nil {
@@ -318,7 +318,7 @@
 		begin := record(uint8(19), uint32(0), uint64(9), uint32(len(eager)), []byte(eager))
 		body := append(begin, r...)
 		in := append(record(uint32(1), uint32(12+len(body)), uint32(2), 50.0), body...)
-		if simhost.Run(bytes.NewReader(in), io.Discard, io.Discard) != nil {
+		if simadapter.Run(bytes.NewReader(in), io.Discard, io.Discard) != nil {
 			text.WriteByte('1')
 		} else {
 			text.WriteByte('0')
--- a/internal/simhost/host.go
+++ b/internal/simadapter/simadapter.go
@@ -1,5 +1,5 @@
 // Package simhost lets placers speak the simulator's wire: one Placer for each instance, nothing shared.
-package simhost
+package simadapter
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 	"fmt"
 	"io"
 
-	"heathshed/internal/simsettings"
-	"heathshed/internal/wire"
+	"heathshed/internal/simconfig"
+	"heathshed/internal/simproto"
 	"heathshed/placer"
 )
 
@@ -21,16 +21,16 @@
 type host struct {
 	instances map[uint32]*instance
 	lists     [16][]placer.Node
-	w         wire.Writer
+	w         simproto.Writer
 	actions   []placer.Action
 	problems  io.Writer
 }
 
 // Run answers batches from in on out until the input ends. What was understood only in part is not answered.
 func Run(in io.Reader, out io.Writer, problems io.Writer) error {
-	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	r := simproto.NewReader(bufio.NewReaderSize(in, 1<<16))
 	h := &host{instances: map[uint32]*instance{}, problems: problems}
-	var ev wire.Event
+	var ev simproto.Event
 	for {
 		b, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -57,13 +57,13 @@
 	}
 }
 
-func (h *host) event(now float64, ev *wire.Event) error {
+func (h *host) event(now float64, ev *simproto.Event) error {
 	switch ev.Code {
-	case wire.DefineList:
+	case simproto.DefineList:
 		list := h.lists[ev.Sheet][:0]
 		for _, e := range ev.Entries {
-			n := placer.Node{ID: placer.NodeID(e.Node), Zone: int(e.Zone), Rack: int(e.Cell), Kind: int(e.Kind),
-				FreeCores: float64(e.FreeCores), FreeMemory: float64(e.FreeMemory), Since: e.OnlineSince}
+			n := placer.Node{ID: placer.NodeID(e.Node), Zone: int(e.Zone), Rack: int(e.Cell), NodeType: int(e.Kind),
+				FreeCores: float64(e.FreeCores), FreeMemory: float64(e.FreeMemory), StartedAt: e.OnlineSince}
 			switch e.Health {
 			case 1:
 				n.State = placer.Ready
@@ -74,8 +74,8 @@
 		}
 		h.lists[ev.Sheet] = list
 		return nil
-	case wire.Begin:
-		s, err := simsettings.Parse(ev.Settings)
+	case simproto.Begin:
+		s, err := simconfig.Parse(ev.Settings)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", ev.Who, err)
 		}
@@ -85,7 +85,7 @@
 		}
 		h.instances[ev.Who] = &instance{p: p, fields: s.ReportFields}
 		return nil
-	case wire.Down:
+	case simproto.Down:
 		delete(h.instances, ev.Who)
 		return nil
 	}
@@ -113,29 +113,29 @@
 	for i := range h.actions {
 		a := &h.actions[i]
 		switch a.Kind {
-		case placer.Offer:
-			h.w.Assign(who, uint64(a.Task), a.Until, wire.Node(a.Node))
-		case placer.Refuse:
+		case placer.StartAttempt:
+			h.w.Assign(who, uint64(a.Task), a.Until, simproto.Node(a.Node))
+		case placer.Reject:
 			h.w.TurnAway(who, uint64(a.Task), a.After)
 		case placer.Fail:
 			h.w.Fail(who, uint64(a.Task))
-		case placer.Wake:
+		case placer.SetTimer:
 			h.w.Timer(who, a.Token, a.After)
-		case placer.Watch:
+		case placer.WatchNodes:
 			h.w.Watch(who)
-		case placer.Move:
+		case placer.Migrate:
 			h.w.Vacate(who, uint64(a.Task))
-		case placer.Fetch:
+		case placer.ListNodes:
 			h.w.Lookup(who)
 		}
 	}
 }
 
-func (in *instance) translate(ev *wire.Event, lists *[16][]placer.Node) (e placer.Event, ok bool, err error) {
-	e.ID, e.Node, e.Attempt = placer.TaskID(ev.ID), placer.NodeID(ev.Node), int(ev.Attempt)
+func (in *instance) translate(ev *simproto.Event, lists *[16][]placer.Node) (e placer.Event, ok bool, err error) {
+	e.TaskID, e.Node, e.Attempt = placer.TaskID(ev.ID), placer.NodeID(ev.Node), int(ev.Attempt)
 	switch ev.Code {
-	case wire.Discovery:
-		e.Kind = placer.Listed
+	case simproto.Discovery:
+		e.Kind = placer.NodesListed
 		switch ev.ListKind {
 		case 0:
 			e.List = placer.FullList
@@ -153,28 +153,28 @@
 			return e, false, fmt.Errorf("list number %d is over 15", ev.Sheet)
 		}
 		e.Nodes = lists[ev.Sheet]
-	case wire.ToPlace, wire.InPlace:
+	case simproto.ToPlace, simproto.InPlace:
 		e.Kind = placer.Arrived
-		if ev.Code == wire.InPlace {
-			e.Kind = placer.Running
+		if ev.Code == simproto.InPlace {
+			e.Kind = placer.Adopted
 		}
 		e.Task = placer.Task{ID: placer.TaskID(ev.ID), Class: int(ev.Class), Tenant: int(ev.Tenant),
 			Service: placer.ServiceID(ev.Service), Cores: float64(ev.Cores), Memory: float64(ev.Memory),
-			Deadline: ev.Deadline, Again: ev.Flags&(2|16) != 0}
-	case wire.Seated:
+			Deadline: ev.Deadline, IsRetry: ev.Flags&(2|16) != 0}
+	case simproto.Seated:
 		e.Kind, e.Elapsed = placer.Bound, ev.Elapsed
-	case wire.UpdateOf:
-		e.Kind, e.Use, e.Value = placer.Noted, placer.UseKind(ev.Sort), float64(ev.Value)
-	case wire.ReportBack:
-		e.Kind, e.Elapsed, e.Over, e.Reason = placer.Ended, ev.Elapsed, ev.Finished != 0, placer.Reason(ev.Remark)
+	case simproto.UpdateOf:
+		e.Kind, e.Usage, e.Value = placer.UsageReported, placer.UsageKind(ev.Sort), float64(ev.Value)
+	case simproto.ReportBack:
+		e.Kind, e.Elapsed, e.Final, e.Reason = placer.Ended, ev.Elapsed, ev.Finished != 0, placer.Reason(ev.Remark)
 		if e.Result, err = result(ev.Status); err != nil {
 			return e, false, err
 		}
 		e.Report = in.load(ev.Load)
-	case wire.Hangup:
+	case simproto.Hangup:
 		e.Kind = placer.Withdrawn
-	case wire.TickDue:
-		e.Kind, e.Token = placer.Woken, ev.Token
+	case simproto.TickDue:
+		e.Kind, e.Token = placer.TimerFired, ev.Token
 	default: // probes and peers are not used
 		return e, false, nil
 	}
@@ -188,7 +188,7 @@
 	case 255:
 		return placer.Errored, nil
 	case 254:
-		return placer.Refused, nil
+		return placer.Rejected, nil
 	case 253:
 		return placer.TimedOut, nil
 	case 252:
@@ -198,7 +198,7 @@
 	case 250:
 		return placer.Cancelled, nil
 	case 249:
-		return placer.Moot, nil
+		return placer.Expired, nil
 	}
 	return 0, fmt.Errorf("outcome %d is not known", status)
 }
@@ -208,10 +208,10 @@
 	if len(values) == 0 {
 		return nil
 	}
-	in.report = simsettings.NoReport()
+	in.report = simconfig.NoReport()
 	for i, v := range values {
 		if i < len(in.fields) {
-			simsettings.Tell(&in.report, in.fields[i], float64(v))
+			simconfig.SetReportField(&in.report, in.fields[i], float64(v))
 		}
 	}
 	return &in.report
--- a/internal/simhost/host_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -1,4 +1,4 @@
-package simhost
+package simadapter
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/simsettings"
+	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
@@ -124,19 +124,19 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := simsettings.Parse([]byte(text))
+	s, err := simconfig.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, fields := s.Placer, s.ReportFields
 	k := c.Classes[1]
-	if c.Self != 1 || c.Peers != 2 || c.MaxAttempts != 3 || !c.AnswersWhenRunning || !c.ReportsUse || len(fields) != 2 ||
-		k.Effect != placer.Keyed || k.Group != placer.Rack || k.Remembers != 3 || k.Apart != placer.Rack || k.Most != 2 ||
-		c.Classes[0].Apart != placer.NoPlace || c.Kinds[1].Memory != 32 {
+	if c.Self != 1 || c.Peers != 2 || c.MaxAttempts != 3 || !c.AcknowledgesOnStart || !c.ReportsUsage || len(fields) != 2 ||
+		k.Idempotency != placer.IdempotentByKey || k.DedupDomain != placer.RackDomain || k.DedupWindow != 3 || k.SpreadDomain != placer.RackDomain || k.MaxPerDomain != 2 ||
+		c.Classes[0].SpreadDomain != placer.NoDomain || c.NodeTypes[1].Memory != 32 {
 		t.Fatalf("%+v", c)
 	}
 	in := instance{fields: fields}
-	if r := in.load([]float32{3, 0.5}); r.FreeMemory != 3 || r.Busy != 0.5 || r.FreeCores == r.FreeCores {
+	if r := in.load([]float32{3, 0.5}); r.FreeMemory != 3 || r.Utilization != 0.5 || r.FreeCores == r.FreeCores {
 		t.Fatalf("%+v", r)
 	}
 }
--- a/internal/simsettings/characterization_test.go
+++ b/internal/simconfig/characterization_test.go
@@ -1,4 +1,4 @@
-package simsettings_test
+package simconfig_test
 
 // Characterization tests: they pin the result of Parse field by field for settings of three shapes, and which
 // settings are refused.
@@ -6,7 +6,7 @@
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
 //
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simsettings -run Characterization
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simconfig -run Characterization
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/simsettings"
+	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
@@ -87,7 +87,7 @@
  "rules":{"answerSlackS":0.41,"askWithinS":42.1,"coldFrom":0.43,"drainGraceS":4.4,"fallS":4.5,"overloadFactor":4.6,"warmWithinS":4.7}}`
 
 // describe writes all results in a fixed order: integers in decimal, floats as bits, texts quoted.
-func describe(s *simsettings.Settings) string {
+func describe(s *simconfig.Settings) string {
 	var b strings.Builder
 	floats := func(values ...float64) {
 		for _, v := range values {
@@ -96,18 +96,18 @@
 		b.WriteByte('\n')
 	}
 	c := &s.Placer
-	fmt.Fprintf(&b, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", c.Self, c.Peers, c.Zone, c.MaxAttempts, c.AnswersWhenRunning,
-		c.ListShowsRoom, c.ReportsUse, c.ServicesStay, c.PushesOut, c.TwoAtOnce, c.MustAsk, c.MayDelayOwners)
+	fmt.Fprintf(&b, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", c.Self, c.Peers, c.Zone, c.MaxAttempts, c.AcknowledgesOnStart,
+		c.ListShowsCapacity, c.ReportsUsage, c.StickyServices, c.Preempts, c.AllowsHedging, c.MustPollNodes, c.SendsRetryAfter)
 	b.WriteString("2:")
-	floats(c.BookCores, c.BookMemory, c.ConnectWithin, c.AnswerSlack, c.DrainGrace, c.ColdFrom, c.WarmWithin, c.FallMultiple)
+	floats(c.OvercommitCores, c.OvercommitMemory, c.ConnectTimeout, c.AnswerGrace, c.DrainGrace, c.WarmupMinPace, c.WarmupDuration, c.OverloadMultiple)
 	b.WriteString("3:")
-	floats(c.FallWindow, c.ColdAlways, c.AskWithin, c.MaxDelay, c.SettleAfter, c.FleetPrice, c.CrossPrice, c.MovePrice,
-		c.OverShareWorth)
+	floats(c.OverloadWindow, c.WarmupAttempts, c.MaxPollInterval, c.MaxRetryAfter, c.UnknownOutcomeWait, c.NodeCost, c.CrossZoneCost, c.MigrationCost,
+		c.OverQuotaWeight)
 	for _, k := range c.Classes {
-		fmt.Fprintf(&b, "4: %d %d %d %d %d %d", uint8(k.Effect), uint8(k.Group), k.Priority, k.NodeKind, uint8(k.Apart), k.Most)
-		floats(k.Remembers, k.Aim, k.Deadline, k.Worth, k.LateWorth, k.StartBonus, k.CalmUpTo, k.FadesOver)
+		fmt.Fprintf(&b, "4: %d %d %d %d %d %d", uint8(k.Idempotency), uint8(k.DedupDomain), k.Priority, k.NodeType, uint8(k.SpreadDomain), k.MaxPerDomain)
+		floats(k.DedupWindow, k.LatencyObjective, k.Deadline, k.Weight, k.LateWeight, k.StartBonus, k.SaturationThreshold, k.DegradationRange)
 	}
-	for _, k := range c.Kinds {
+	for _, k := range c.NodeTypes {
 		b.WriteString("5:")
 		floats(k.Cores, k.Memory)
 	}
@@ -115,7 +115,7 @@
 		b.WriteString("6:")
 		floats(tenant.Share, tenant.Cores)
 	}
-	fmt.Fprintf(&b, "7: %q %q %q %q %q\n", s.Classes, s.Tenants, s.Zones, s.Kinds, s.ReportFields)
+	fmt.Fprintf(&b, "7: %q %q %q %q %q\n", s.Classes, s.Tenants, s.Zones, s.NodeTypes, s.ReportFields)
 	b.WriteString("8:")
 	floats(s.ConnIdle, s.Round)
 	return b.String()
@@ -124,7 +124,7 @@
 func TestCharacterizationOfParse(t *testing.T) {
 	var text strings.Builder
 	for i, settings := range []string{minimal, short, full} {
-		s, err := simsettings.Parse([]byte(settings))
+		s, err := simconfig.Parse([]byte(settings))
 		if err != nil {
 			t.Fatalf("shape %d: %v", i, err)
 		}
@@ -145,7 +145,7 @@
 		{`{"discovery"`, `["discovery"`, "settings: invalid character ':' after array element"},
 	} {
 		got := ""
-		if _, err := simsettings.Parse([]byte(strings.Replace(short, c.old, c.new, 1))); err != nil {
+		if _, err := simconfig.Parse([]byte(strings.Replace(short, c.old, c.new, 1))); err != nil {
 			got = err.Error()
 		}
 		if got != c.want {
@@ -157,8 +157,8 @@
 // TestCharacterizationOfTell pins which field of a report each wire word sets; the rest stays not told.
 func TestCharacterizationOfTell(t *testing.T) {
 	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
-		r := simsettings.NoReport()
-		simsettings.Tell(&r, word, 2.5)
+		r := simconfig.NoReport()
+		simconfig.SetReportField(&r, word, 2.5)
 		if got := told(r); got != want {
 			t.Errorf("%s sets %s, want %s", word, got, want)
 		}
@@ -168,7 +168,7 @@
 // told has one digit for each value of a report: 0 if it was not told, 1 if it is 2.5.
 func told(r placer.Report) string {
 	var b strings.Builder
-	for _, v := range []float64{r.FreeCores, r.FreeMemory, r.Busy, r.Queue} {
+	for _, v := range []float64{r.FreeCores, r.FreeMemory, r.Utilization, r.QueueLength} {
 		switch {
 		case math.IsNaN(v):
 			b.WriteByte('0')
--- a/internal/simsettings/simsettings.go
+++ b/internal/simconfig/simconfig.go
@@ -1,6 +1,6 @@
 // Package simsettings reads the settings of the simulator's first message, which a scheduler in service gets in its configuration file:
 // one reader for both, so that the module is told the same in both places. It is pure: no I/O, clock, goroutine or global.
-package simsettings
+package simconfig
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 type Settings struct {
 	Placer placer.Config
 	// Names, in the order of their numbers. The last serves for no other: a name that is not here is not known.
-	Classes, Tenants, Zones, Kinds []string
+	Classes, Tenants, Zones, NodeTypes []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
 	// ConnIdle is after how many seconds a machine closes an idle connection; 0 if not told.
@@ -112,35 +112,35 @@
 	x, r, p := &s.Extra, &s.Rules, &s.Permissions
 	c := placer.Config{
 		Self: s.Me, Peers: s.PeersTotal, Zone: s.MyZone,
-		BookCores: x.CPUBooking, BookMemory: x.AdmitMemory, AnswersWhenRunning: x.SaysYes == "running",
-		ListShowsRoom: x.FreeInList, ReportsUse: x.Counts == "used", PushesOut: x.PushesOut, ServicesStay: x.Bound,
-		MaxAttempts: p.MostTries, TwoAtOnce: p.MayDuplicate, ConnectWithin: p.ConnectTimeoutS,
-		AnswerSlack: r.AnswerSlackS, DrainGrace: r.DrainGraceS, ColdFrom: r.ColdFrom, WarmWithin: r.WarmWithinS,
-		FallMultiple: r.OverloadFactor, FallWindow: r.FallS, ColdAlways: x.YoungLimit,
-		MustAsk: s.Discovery == "ask", AskWithin: r.AskWithinS, MayDelayOwners: p.RetryAfter,
-		MaxDelay: p.MaxRetryAfterS, SettleAfter: x.CheckAfterS, OverShareWorth: s.OverShareWorth, FleetPrice: s.Tariffs.Fleet, CrossPrice: s.Tariffs.Cross, MovePrice: s.Tariffs.Moves,
+		OvercommitCores: x.CPUBooking, OvercommitMemory: x.AdmitMemory, AcknowledgesOnStart: x.SaysYes == "running",
+		ListShowsCapacity: x.FreeInList, ReportsUsage: x.Counts == "used", Preempts: x.PushesOut, StickyServices: x.Bound,
+		MaxAttempts: p.MostTries, AllowsHedging: p.MayDuplicate, ConnectTimeout: p.ConnectTimeoutS,
+		AnswerGrace: r.AnswerSlackS, DrainGrace: r.DrainGraceS, WarmupMinPace: r.ColdFrom, WarmupDuration: r.WarmWithinS,
+		OverloadMultiple: r.OverloadFactor, OverloadWindow: r.FallS, WarmupAttempts: x.YoungLimit,
+		MustPollNodes: s.Discovery == "ask", MaxPollInterval: r.AskWithinS, SendsRetryAfter: p.RetryAfter,
+		MaxRetryAfter: p.MaxRetryAfterS, UnknownOutcomeWait: x.CheckAfterS, OverQuotaWeight: s.OverShareWorth, NodeCost: s.Tariffs.Fleet, CrossZoneCost: s.Tariffs.Cross, MigrationCost: s.Tariffs.Moves,
 	}
 	for i, l := range s.Lanes {
 		k := placer.Class{
-			Remembers: l.KeyTTLS, Aim: l.ObjectiveS, Deadline: l.HardLimitS, Worth: l.Worth, LateWorth: l.LateValue,
-			StartBonus: at(x.StartBonusS, i, 0), Priority: at(x.Precedence, i, 0), NodeKind: at(x.ClassKind, i, -1),
-			Most: at(x.TogetherMax, i, 0), CalmUpTo: at(x.FullUpTo, i, 0), FadesOver: at(x.FadesOver, i, 0),
+			DedupWindow: l.KeyTTLS, LatencyObjective: l.ObjectiveS, Deadline: l.HardLimitS, Weight: l.Worth, LateWeight: l.LateValue,
+			StartBonus: at(x.StartBonusS, i, 0), Priority: at(x.Precedence, i, 0), NodeType: at(x.ClassKind, i, -1),
+			MaxPerDomain: at(x.TogetherMax, i, 0), SaturationThreshold: at(x.FullUpTo, i, 0), DegradationRange: at(x.FadesOver, i, 0),
 		}
 		switch l.Effect {
 		case "idempotent":
-			k.Effect = placer.Repeatable
+			k.Idempotency = placer.Idempotent
 		case "deduplicated":
-			k.Effect = placer.Keyed
+			k.Idempotency = placer.IdempotentByKey
 		case "at_most_once":
-			k.Effect = placer.Once
+			k.Idempotency = placer.NonIdempotent
 		default:
 			return nil, fmt.Errorf("settings: lanes[%d].effect: %q is not known", i, l.Effect)
 		}
 		var err error
-		if k.Group, err = place(l.KeyScope); err != nil && k.Effect == placer.Keyed {
+		if k.DedupDomain, err = place(l.KeyScope); err != nil && k.Idempotency == placer.IdempotentByKey {
 			return nil, fmt.Errorf("settings: lanes[%d].keyScope: %w", i, err)
 		}
-		if k.Apart, err = place(at(x.ApartBy, i, "none")); err != nil {
+		if k.SpreadDomain, err = place(at(x.ApartBy, i, "none")); err != nil {
 			return nil, fmt.Errorf("settings: extra.apartBy[%d]: %w", i, err)
 		}
 		c.Classes = append(c.Classes, k)
@@ -150,12 +150,12 @@
 			len(x.KindMemory), len(x.CoresByKind))
 	}
 	for i := range x.CoresByKind {
-		c.Kinds = append(c.Kinds, placer.Kind{Cores: x.CoresByKind[i], Memory: x.KindMemory[i]})
+		c.NodeTypes = append(c.NodeTypes, placer.NodeType{Cores: x.CoresByKind[i], Memory: x.KindMemory[i]})
 	}
 	for i, o := range s.Orgs {
 		c.Tenants = append(c.Tenants, placer.Tenant{Share: o.Share, Cores: at(x.QuotaCores, i, 0)})
 	}
-	out := &Settings{Placer: c, Zones: s.Zones, Kinds: s.Flavors, ReportFields: s.LoadReport.Fields,
+	out := &Settings{Placer: c, Zones: s.Zones, NodeTypes: s.Flavors, ReportFields: s.LoadReport.Fields,
 		ConnIdle: p.ConnIdleS, Round: s.RoundS}
 	for _, l := range s.Lanes {
 		out.Classes = append(out.Classes, l.Name)
@@ -169,35 +169,35 @@
 // NoReport is a load report of which nothing was told.
 func NoReport() placer.Report {
 	none := math.NaN()
-	return placer.Report{FreeCores: none, FreeMemory: none, Busy: none, Queue: none}
+	return placer.Report{FreeCores: none, FreeMemory: none, Utilization: none, QueueLength: none}
 }
 
-// Tell enters the value of one field of a load report; names that have no use here are skipped.
-func Tell(r *placer.Report, field string, value float64) {
+// SetReportField enters the value of one field of a load report; names that have no use here are skipped.
+func SetReportField(r *placer.Report, field string, value float64) {
 	switch field {
 	case "x0":
 		r.FreeCores = value
 	case "x1":
 		r.FreeMemory = value
 	case "utilization":
-		r.Busy = value
+		r.Utilization = value
 	case "backlog":
-		r.Queue = value
+		r.QueueLength = value
 	}
 }
 
-func place(name string) (placer.Place, error) {
+func place(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
-		return placer.NoPlace, nil
+		return placer.NoDomain, nil
 	case "machine":
-		return placer.OneNode, nil
+		return placer.NodeDomain, nil
 	case "cell":
-		return placer.Rack, nil
+		return placer.RackDomain, nil
 	case "zone":
-		return placer.Zone, nil
+		return placer.ZoneDomain, nil
 	case "all":
-		return placer.Everywhere, nil
+		return placer.ClusterDomain, nil
 	}
-	return placer.NoPlace, fmt.Errorf("%q is no place", name)
+	return placer.NoDomain, fmt.Errorf("%q is no place", name)
 }
--- a/internal/wire/characterization_test.go
+++ b/internal/simproto/characterization_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package simproto_test
 
 // Characterization tests: they pin what the reader makes of each event code, what the writer emits for each
 // action, and which truncated inputs are refused.
@@ -6,7 +6,7 @@
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
 //
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/wire -run Characterization
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simproto -run Characterization
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/wire"
+	"heathshed/internal/simproto"
 )
 
 // compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
@@ -104,7 +104,7 @@
 }
 
 // describe writes all fields of an event as numbers in a fixed order; floats as bits, bytes in hex.
-func describe(ev *wire.Event) string {
+func describe(ev *simproto.Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %d %d %d %d %d %d %d", ev.Code, ev.Who, ev.ID, ev.Key, ev.Service, uint64(ev.Node), ev.Class, ev.Tenant)
 	fmt.Fprintf(&b, " %x %x %x %x", math.Float64bits(ev.Deadline), math.Float64bits(ev.Life), math.Float32bits(ev.Cores),
@@ -125,7 +125,7 @@
 
 func TestCharacterizationOfEvents(t *testing.T) {
 	all := records()
-	r := wire.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
+	r := simproto.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
 	var text strings.Builder
 	for range 2 {
 		batch, err := r.Next()
@@ -134,7 +134,7 @@
 		}
 		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(batch.Now), r.Rest())
 		for range batch.Count {
-			var ev wire.Event
+			var ev simproto.Event
 			if err := r.Read(&ev); err != nil {
 				t.Fatal(err)
 			}
@@ -146,13 +146,13 @@
 
 // readable says how many records of an input are read before an error; -1 if the batch itself is refused.
 func readable(in []byte) (count int, failed bool) {
-	r := wire.NewReader(bytes.NewReader(in))
+	r := simproto.NewReader(bytes.NewReader(in))
 	batch, err := r.Next()
 	if err != nil {
 		return -1, true
 	}
 	for range batch.Count {
-		var ev wire.Event
+		var ev simproto.Event
 		if r.Read(&ev) != nil {
 			return count, true
 		}
@@ -193,10 +193,10 @@
 }
 
 func TestCharacterizationOfActions(t *testing.T) {
-	node := wire.Node(binary.LittleEndian.Uint32(address[:])) | wire.Node(binary.LittleEndian.Uint16(address[4:]))<<32
+	node := simproto.Node(binary.LittleEndian.Uint32(address[:])) | simproto.Node(binary.LittleEndian.Uint16(address[4:]))<<32
 	long := strings.Repeat("x", 70000)
 	var text strings.Builder
-	var w wire.Writer
+	var w simproto.Writer
 	write := func(number uint32, actions ...func()) {
 		w.Start(number)
 		for _, action := range actions {
@@ -207,7 +207,7 @@
 	}
 	all := []func(){
 		func() { w.Assign(5, 1001, 12.5, node) },
-		func() { w.Assign(math.MaxUint32, math.MaxUint64, math.Inf(1), wire.Node(1<<48-1)) },
+		func() { w.Assign(math.MaxUint32, math.MaxUint64, math.Inf(1), simproto.Node(1<<48-1)) },
 		func() { w.TurnAway(5, 1001, 0.1) },
 		func() { w.Fail(5, 1001) },
 		func() { w.Timer(5, 33, 0.5) },
--- a/internal/wire/wire.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
 // Package wire reads batches of events and writes replies, as the simulator speaks them. It knows bytes and
 // nothing of their meaning.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/simproto_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
--- a/internal/model/characterization_test.go
+++ b/internal/simulation/characterization_test.go
@@ -1,4 +1,4 @@
-package model_test
+package simulation_test
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"testing"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
+	"heathshed/internal/config"
 	"heathshed/internal/golden"
-	"heathshed/internal/model"
-	"heathshed/internal/settings"
+	"heathshed/internal/scenario"
+	"heathshed/internal/simulation"
 	"heathshed/internal/store"
 )
 
@@ -27,7 +27,7 @@
 		loss       float64
 	}{{"one-scheduler", 3, 1, 0}, {"three-schedulers", 4, 3, 0.02}} {
 		t.Run(run.name, func(t *testing.T) {
-			script := badday.Default()
+			script := scenario.Default()
 			script.Seed, script.Schedulers, script.Nodes = run.seed, run.schedulers, 10
 			script.Load.TasksPerSecond = 8
 			script.Stretch(70)
@@ -42,21 +42,21 @@
 // day is one run with its record.
 type day struct {
 	t         *testing.T
-	script    badday.Script
-	config    model.Config
-	world     *model.World
+	script    scenario.Script
+	config    simulation.Config
+	world     *simulation.World
 	revisions []int64
 	calls     int
 	record    *golden.Recorder
 }
 
-func newDay(t *testing.T, script badday.Script, loss float64) *day {
-	defaults := settings.Default()
-	d := &day{t: t, script: script, config: model.FromSettings(&defaults, &script), record: golden.NewRecorder()}
+func newDay(t *testing.T, script scenario.Script, loss float64) *day {
+	defaults := config.Default()
+	d := &day{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: golden.NewRecorder()}
 	d.config.KeepEvents, d.config.LoseAnswer, d.config.LoseOffer = true, loss, loss
 	d.config.Each = d.observe
 	d.revisions = make([]int64, script.Schedulers)
-	world, err := model.New(d.config)
+	world, err := simulation.New(d.config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,10 +65,10 @@
 }
 
 // observe records what changed in the store of a scheduler.
-func (d *day) observe(w *model.World, scheduler int) {
+func (d *day) observe(w *simulation.World, scheduler int) {
 	d.calls++
 	e := w.Engine(scheduler)
-	d.record.Integers(int64(scheduler), int64(e.Open()))
+	d.record.Integers(int64(scheduler), int64(e.OpenTasks()))
 	d.record.Floats(w.Now(), e.NextWake())
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		from := d.revisions[scheduler]
@@ -133,9 +133,9 @@
 	for i := range d.script.Schedulers {
 		if e := w.Engine(i); e != nil {
 			c := e.Stats
-			d.record.Line("scheduler %d: revision %d, counters %v", i, e.Store().Rev(), []uint64{c.Asks, c.Offers, c.Accepted, c.Refusals,
-				c.Doubts, c.Adopted, c.Stops, c.Placed, c.Refused, c.Failed, c.Shed, c.AskedAgain, c.LostTasks, c.EvictedTasks,
-				c.MovedTasks, c.TakenOver, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsTurnedAway, c.Late})
+			d.record.Line("scheduler %d: revision %d, counters %v", i, e.Store().Rev(), []uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections,
+				c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed, c.Retries, c.LostTasks, c.EvictedTasks,
+				c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsRejected, c.LateAnswers})
 		}
 	}
 }
--- a/internal/model/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -1,17 +1,17 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/scenario"
 )
 
 // overload plays a steady load of so many times what the machines can hold, and counts tasks placed within a second of their making.
 func overload(t testing.TB, on bool, times, seconds float64) (good, late int, r audit.Report) {
-	d := badday.Default()
+	d := scenario.Default()
 	d.Nodes, d.Schedulers, d.Trouble, d.Seconds, d.Calm = 6, 2, nil, seconds+10, 10
 	d.Load.Classes = map[string]float64{"web": 1}
 	d.Load.Cores, d.Load.Memory, d.Load.Life, d.Load.Backoff = 1, 1, 5, 2
@@ -19,7 +19,7 @@
 	d.Load.TasksPerSecond = times * 6 * 48 * 2 / (1.33 * 5)
 	w := play(t, d, func(c *Config) {
 		for i := range c.Schedulers {
-			c.Schedulers[i].Gate.Off = !on
+			c.Schedulers[i].Admission.Disabled = !on
 		}
 	})
 	for _, l := range w.Latency {
@@ -69,20 +69,20 @@
 	for _, additive := range []bool{false, true} {
 		for _, machines := range []int{8, 50, 500} {
 			b.Run(fmt.Sprintf("additive=%v/machines=%d", additive, machines), func(b *testing.B) {
-				d := badday.Default()
+				d := scenario.Default()
 				d.Nodes, d.Schedulers, d.Trouble, d.Seconds, d.Calm = machines, 1, nil, 60, 60
 				d.Load.TasksPerSecond = 0
-				s := settings.Default()
+				s := config.Default()
 				c := FromSettings(&s, &d)
-				c.Schedulers[0].Gate.Additive, c.Schedulers[0].History = additive, 1<<20
+				c.Schedulers[0].Admission.Additive, c.Schedulers[0].History = additive, 1<<20
 				w, err := New(c)
 				if err != nil {
 					b.Fatal(err)
 				}
-				var plan []badday.Action
+				var plan []scenario.Action
 				n := machines * 100
 				for i := range 10 {
-					plan = append(plan, badday.Action{At: 2, Do: badday.Submit, Job: &badday.Job{Name: fmt.Sprint("j", i), Namespace: "default", Class: "batch",
+					plan = append(plan, scenario.Action{At: 2, Do: scenario.Submit, Job: &scenario.Job{Name: fmt.Sprint("j", i), Namespace: "default", Class: "batch",
 						Service: fmt.Sprint("s", i), Tasks: n / 10, Cores: 0.01, Memory: 0.01, Life: 2, Backoff: 1000}})
 				}
 				w.Run(plan, 60)
--- a/internal/model/model.go
+++ b/internal/simulation/simulation.go
@@ -2,7 +2,7 @@
 // very machines that the stand-ins run, links with latency and loss between them, and the same plans of load and trouble.
 //
 // It is pure: the same configuration and plan give the same events, whatever the machine it runs on.
-package model
+package simulation
 
 import (
 	"container/heap"
@@ -18,19 +18,19 @@
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
+	"heathshed/internal/emulator/fault"
 	"heathshed/internal/engine"
-	"heathshed/internal/machine"
-	"heathshed/internal/meta"
-	"heathshed/internal/standin/fault"
+	"heathshed/internal/nodesim"
+	"heathshed/internal/scenario"
 	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
 	"heathshed/placer"
 )
 
 // NodeConfig is one machine of the model.
 type NodeConfig struct {
-	badday.Node
-	Machine machine.Config
+	scenario.Node
+	Sim nodesim.Config
 }
 
 // Config is a world. Times are in seconds.
@@ -134,7 +134,7 @@
 type node struct {
 	w       *World
 	cfg     NodeConfig
-	m       *machine.Machine
+	m       *nodesim.Node
 	life    int
 	boot    string
 	started float64
@@ -142,7 +142,7 @@
 	wake    float64
 	pods    map[string]*corev1.Pod
 	watch   []*follower
-	waiting map[string]func(*machine.Effect)
+	waiting map[string]func(*nodesim.Effect)
 
 	faults fault.State
 	cut    float64
@@ -165,7 +165,7 @@
 		n := &node{w: w, cfg: cfg.Nodes[i]}
 		w.nodes = append(w.nodes, n)
 		w.byName[n.cfg.Name] = n
-		n.up(n.cfg.Machine.Cold)
+		n.up(n.cfg.Sim.Cold)
 		w.list[n.cfg.Name] = &listed{o: n.object(), ready: true, seen: w.now}
 		w.tap(audit.Event{What: audit.ListedReady, Node: n.cfg.Name})
 		w.after(cfg.Beat*w.rng.Float64(), n.beat)
@@ -209,7 +209,7 @@
 }
 
 // Run carries out a plan whose times count from now, and goes on for so many seconds.
-func (w *World) Run(plan []badday.Action, seconds float64) {
+func (w *World) Run(plan []scenario.Action, seconds float64) {
 	start := w.now
 	for i := range plan {
 		a := &plan[i]
@@ -225,18 +225,18 @@
 	w.now = end
 }
 
-func (w *World) act(a *badday.Action) {
+func (w *World) act(a *scenario.Action) {
 	switch a.Do {
-	case badday.Submit:
+	case scenario.Submit:
 		w.submit(a.Job, 0)
-	case badday.Delete:
+	case scenario.Delete:
 		if s := w.scheds[a.Job.Scheduler]; s.e != nil {
 			s.e.DeleteJob(w.now, a.Job.Namespace, a.Job.Name, "", "", "")
 			s.after()
 		}
-	case badday.Fault:
+	case scenario.Fault:
 		w.byName[a.Node].fault(a.Faults)
-	case badday.Inventory:
+	case scenario.Inventory:
 		w.invCut = w.now + a.Cut
 		w.tap(audit.Event{What: audit.CutOff})
 		w.after(a.Cut, func() {
@@ -253,7 +253,7 @@
 				s.after()
 			}
 		}
-	case badday.Kill:
+	case scenario.Kill:
 		s := w.scheds[a.Scheduler]
 		s.kill()
 		w.after(a.For, func() {
@@ -261,16 +261,16 @@
 				s.start()
 			}
 		})
-	case badday.Drain, badday.Undrain:
+	case scenario.Drain, scenario.Undrain:
 		for _, s := range w.scheds {
 			if s.e == nil {
 				continue
 			}
 			if o, ok := s.e.Store().Get(store.Nodes, "", a.Node).(*corev1.Node); ok {
-				order := a.Do == badday.Drain
+				order := a.Do == scenario.Drain
 				if _, err := s.e.UpdateNode(w.now, o.DeepCopy(), &order, false); err == nil {
 					what := audit.Told
-					if a.Do == badday.Undrain {
+					if a.Do == scenario.Undrain {
 						what = audit.Undrained
 					}
 					w.tap(audit.Event{What: what, Scheduler: s.cfg.Name, Node: a.Node})
@@ -282,7 +282,7 @@
 }
 
 // submit posts a Job; while its scheduler is down or not ready the client tries again.
-func (w *World) submit(j *badday.Job, tries int) {
+func (w *World) submit(j *scenario.Job, tries int) {
 	s := w.scheds[j.Scheduler]
 	if s.e == nil || !s.ready() {
 		if tries < 100 {
@@ -298,18 +298,18 @@
 }
 
 // Job is a Job of a plan as the API has it.
-func Job(j *badday.Job) *batchv1.Job {
+func Job(j *scenario.Job) *batchv1.Job {
 	n, backoff := int32(j.Tasks), int32(j.Backoff)
 	o := &batchv1.Job{}
 	o.Name, o.Namespace = j.Name, j.Namespace
 	o.Spec.Parallelism, o.Spec.Completions, o.Spec.BackoffLimit = &n, &n, &backoff
 	t := &o.Spec.Template
-	t.Labels = map[string]string{meta.Class: j.Class, meta.Service: j.Service}
-	t.Annotations = map[string]string{meta.Lifetime: strconv.FormatFloat(j.Life, 'f', 3, 64)}
+	t.Labels = map[string]string{wellknown.Class: j.Class, wellknown.Service: j.Service}
+	t.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(j.Life, 'f', 3, 64)}
 	t.Spec.RestartPolicy = corev1.RestartPolicyNever
 	t.Spec.Containers = []corev1.Container{{Name: "main", Image: "stand-in", Resources: corev1.ResourceRequirements{Requests: corev1.ResourceList{
 		corev1.ResourceCPU:    *resource.NewMilliQuantity(int64(j.Cores*1000), resource.DecimalSI),
-		corev1.ResourceMemory: *resource.NewQuantity(int64(j.Memory*meta.Gibibyte), resource.BinarySI)}}}}
+		corev1.ResourceMemory: *resource.NewQuantity(int64(j.Memory*wellknown.Gibibyte), resource.BinarySI)}}}}
 	return o
 }
 
@@ -344,7 +344,7 @@
 }
 
 func (s *sched) ready() bool {
-	listed, heard := s.e.Heard()
+	listed, heard := s.e.NodeHeartbeat()
 	return s.synced && listed > 0 && (heard == listed || s.w.now > s.inv+5)
 }
 
@@ -432,17 +432,17 @@
 			if _, ok := s.asked[uid]; !ok && c.Op == store.Added {
 				s.asked[uid] = s.w.now
 				s.w.Created = append(s.w.Created, s.w.now)
-				if meta.SettledOf(p) == "" {
-					s.w.tap(audit.Event{What: audit.Asked, UID: string(uid), Scheduler: s.cfg.Name, Class: p.Labels[meta.Class],
-						GiveUp: meta.Seconds(p.Annotations[meta.GiveUpAt])})
+				if wellknown.SettledOf(p) == "" {
+					s.w.tap(audit.Event{What: audit.Asked, UID: string(uid), Scheduler: s.cfg.Name, Class: p.Labels[wellknown.Class],
+						GiveUp: wellknown.Seconds(p.Annotations[wellknown.GiveUpAt])})
 				} else {
 					s.told[uid] = true // found running after a restart: its outcome was told before
 				}
 			}
-			if r := meta.SettledOf(p); r != "" && !s.told[uid] {
+			if r := wellknown.SettledOf(p); r != "" && !s.told[uid] {
 				s.told[uid] = true
 				s.w.tap(audit.Event{What: audit.Settled, UID: string(uid), Scheduler: s.cfg.Name, Reason: r})
-				if r == meta.Placed {
+				if r == wellknown.Placed {
 					s.w.Latency = append(s.w.Latency, s.w.now-s.asked[uid])
 					s.w.Asked = append(s.w.Asked, s.asked[uid])
 				}
@@ -460,9 +460,9 @@
 
 func (s *sched) carryOut(x *engine.Effect) {
 	switch x.Kind {
-	case engine.SendOffer:
+	case engine.SendAttempt:
 		s.sendOffer(x)
-	case engine.Abandon:
+	case engine.AbandonAttempt:
 		k := key(string(x.UID), x.Attempt)
 		if _, ok := s.calls[k]; ok {
 			s.calls[k] = false
@@ -470,19 +470,19 @@
 		}
 	case engine.StopTask:
 		s.stopTask(x)
-	case engine.FollowNode:
+	case engine.WatchNode:
 		if f := s.follow[x.Node]; f != nil {
 			f.gone = true
 		}
 		f := &follower{s: s, n: s.w.byName[x.Node]}
 		s.follow[x.Node] = f
 		f.connect()
-	case engine.LeaveNode:
+	case engine.UnwatchNode:
 		if f := s.follow[x.Node]; f != nil {
 			f.gone = true
 			delete(s.follow, x.Node)
 		}
-	case engine.Relist:
+	case engine.RelistNodes:
 		s.relist()
 	}
 }
@@ -494,8 +494,8 @@
 	w, n, life := s.w, s.w.byName[x.Node], s.life
 	k := key(string(x.UID), x.Attempt)
 	s.calls[k] = true
-	ans := engine.OfferAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
-	done := func(d float64, a engine.OfferAnswer) {
+	ans := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
+	done := func(d float64, a engine.AttemptAnswer) {
 		w.after(d, func() {
 			if s.e == nil || s.life != life {
 				return
@@ -504,7 +504,7 @@
 				a.Accepted, a.Result = false, placer.Lost // the connection was closed here before
 			}
 			delete(s.calls, k)
-			s.e.OfferDone(w.now, a)
+			s.e.AttemptDone(w.now, a)
 			s.after()
 		})
 	}
@@ -520,9 +520,9 @@
 			done(w.cfg.ConnectWithin, ans)
 			return
 		}
-		class := pod.Labels[meta.Class]
+		class := pod.Labels[wellknown.Class]
 		w.tap(audit.Event{What: audit.Offered, Node: n.cfg.Name, Rack: n.cfg.Rack, Zone: n.cfg.Zone, UID: string(x.UID), Attempt: x.Attempt,
-			Class: class, Service: pod.Namespace + "/" + pod.Labels[meta.Service], Scheduler: s.cfg.Name})
+			Class: class, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service], Scheduler: s.cfg.Name})
 		hungUp := func(r placer.Result) {
 			w.tap(audit.Event{What: audit.HungUp, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt})
 			ans.Result = r
@@ -536,7 +536,7 @@
 			hungUp(placer.Errored)
 			return
 		}
-		n.waiting[k] = func(e *machine.Effect) {
+		n.waiting[k] = func(e *nodesim.Effect) {
 			d := w.link()
 			if w.now < n.faults.Trickle {
 				d++
@@ -546,27 +546,27 @@
 				return
 			}
 			a := ans
-			a.Boot = n.boot
+			a.Incarnation = n.boot
 			c, m := n.m.Unused()
-			a.Report = &placer.Report{FreeCores: c, FreeMemory: m, Busy: n.m.Busy(), Queue: float64(n.m.Waiting())}
+			a.Report = &placer.Report{FreeCores: c, FreeMemory: m, Utilization: n.m.Busy(), QueueLength: float64(n.m.Waiting())}
 			if e.Task != nil {
 				a.Accepted, a.Rev = true, n.rev
 			} else {
-				a.Result, a.Reason = placer.Refused, refusals[e.Reason]
+				a.Result, a.Reason = placer.Rejected, refusals[e.Reason]
 				w.tap(audit.Event{What: audit.Refused, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt, Reason: fmt.Sprint(e.Reason)})
 			}
 			done(d, a)
 		}
-		life, _ := strconv.ParseFloat(pod.Annotations[meta.Lifetime], 64)
-		cores, mem := meta.Requests(&pod.Spec)
-		n.m.Offer(w.now, machine.Offer{UID: string(x.UID), Attempt: x.Attempt, Service: pod.Namespace + "/" + pod.Labels[meta.Service],
+		life, _ := strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64)
+		cores, mem := wellknown.Requests(&pod.Spec)
+		n.m.Offer(w.now, nodesim.Offer{UID: string(x.UID), Attempt: x.Attempt, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service],
 			Cores: cores, Memory: mem, Priority: w.cfg.Priorities[class], Life: life, Payload: pod})
 		n.after()
 	})
 }
 
-var refusals = map[machine.Reason]placer.Reason{machine.NoCores: placer.NoCores, machine.NoMemory: placer.NoMemory,
-	machine.TooMany: placer.TooManyWait, machine.NotHere: placer.NotHere}
+var refusals = map[nodesim.Reason]placer.Reason{nodesim.InsufficientCores: placer.InsufficientCores, nodesim.InsufficientMemory: placer.InsufficientMemory,
+	nodesim.QueueFull: placer.QueueFull, nodesim.WrongNode: placer.WrongNode}
 
 func (s *sched) stopTask(x *engine.Effect) {
 	w, n, life := s.w, s.w.byName[x.Node], s.life
@@ -584,7 +584,7 @@
 			back(w.cfg.ConnectWithin)
 			return
 		}
-		ans.Known, ans.Boot = true, n.boot
+		ans.Known, ans.Incarnation = true, n.boot
 		ans.Had, ans.Ran = n.m.Stop(w.now, string(x.UID), x.Attempt)
 		if !ans.Had {
 			w.tap(audit.Event{What: audit.Sealed, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt})
@@ -612,7 +612,7 @@
 		var pods []*corev1.Pod
 		names := make([]string, 0, len(f.n.pods))
 		for uid, p := range f.n.pods {
-			if p.Labels[meta.Scheduler] == f.s.cfg.Name {
+			if p.Labels[wellknown.Scheduler] == f.s.cfg.Name {
 				names = append(names, uid)
 			}
 		}
@@ -641,7 +641,7 @@
 func (f *follower) broken() {
 	f.on = false
 	f.send(func() {
-		f.s.e.NodeSilent(f.s.w.now, f.n.cfg.Name)
+		f.s.e.NodeUnresponsive(f.s.w.now, f.n.cfg.Name)
 		f.s.w.after(0.1, f.connect)
 	})
 }
@@ -651,9 +651,9 @@
 func (n *node) up(cold bool) {
 	w := n.w
 	n.life++
-	c := n.cfg.Machine
+	c := n.cfg.Sim
 	c.Cold, c.Seed = cold, c.Seed+uint64(n.life)*7919
-	n.m = machine.New(c, w.now)
+	n.m = nodesim.New(c, w.now)
 	n.boot = fmt.Sprintf("%s-%d", n.cfg.Name, n.life)
 	n.started = 0
 	if cold {
@@ -661,12 +661,12 @@
 	}
 	n.rev = int64(w.now * 1e6)
 	n.wake = math.Inf(1)
-	n.pods, n.waiting = map[string]*corev1.Pod{}, map[string]func(*machine.Effect){}
-	n.m.Refuse = func(*machine.Offer) machine.Reason {
+	n.pods, n.waiting = map[string]*corev1.Pod{}, map[string]func(*nodesim.Effect){}
+	n.m.Refuse = func(*nodesim.Offer) nodesim.Reason {
 		if w.now < n.faults.Refuse {
-			return machine.NoCores
+			return nodesim.InsufficientCores
 		}
-		return machine.None
+		return nodesim.None
 	}
 	w.tap(audit.Event{What: audit.Up, Node: n.cfg.Name})
 	n.after()
@@ -733,15 +733,15 @@
 	}
 }
 
-func (n *node) effect(x *machine.Effect) {
+func (n *node) effect(x *nodesim.Effect) {
 	switch x.Kind {
-	case machine.Answered:
+	case nodesim.Answered:
 		k := key(x.UID, x.Attempt)
 		if f := n.waiting[k]; f != nil {
 			delete(n.waiting, k)
 			f(x)
 		}
-	case machine.Changed:
+	case nodesim.Changed:
 		t := x.Task
 		p := Show(t, n.cfg.Name)
 		n.rev++
@@ -749,19 +749,19 @@
 		n.pods[t.UID] = p
 		what := audit.Ended
 		switch t.Phase {
-		case machine.Accepted:
+		case nodesim.Accepted:
 			what = audit.Accepted
-		case machine.Running:
+		case nodesim.Running:
 			what = audit.Started
 		}
 		n.w.tap(audit.Event{What: what, Node: n.cfg.Name, UID: t.UID, Attempt: t.Attempt, Reason: p.Status.Reason})
 		n.tell(p, false)
-	case machine.Forgotten:
+	case nodesim.Forgotten:
 		p := n.pods[x.Task.UID]
 		delete(n.pods, x.Task.UID)
 		n.rev++
 		n.tell(p, true)
-	case machine.Fell:
+	case nodesim.Fell:
 		n.w.tap(audit.Event{What: audit.Fell, Node: n.cfg.Name})
 		n.down(30)
 	}
@@ -769,29 +769,29 @@
 
 func (n *node) tell(p *corev1.Pod, deleted bool) {
 	for _, f := range n.watch {
-		if f.on && !f.gone && f.s.cfg.Name == p.Labels[meta.Scheduler] {
+		if f.on && !f.gone && f.s.cfg.Name == p.Labels[wellknown.Scheduler] {
 			f.send(func() { f.s.e.NodePod(n.w.now, n.cfg.Name, p, deleted) })
 		}
 	}
 }
 
-var phases = map[machine.Phase]corev1.PodPhase{machine.Accepted: corev1.PodPending, machine.Running: corev1.PodRunning,
-	machine.Succeeded: corev1.PodSucceeded, machine.Ended: corev1.PodFailed}
+var phases = map[nodesim.Phase]corev1.PodPhase{nodesim.Accepted: corev1.PodPending, nodesim.Running: corev1.PodRunning,
+	nodesim.Succeeded: corev1.PodSucceeded, nodesim.Ended: corev1.PodFailed}
 
-var ends = map[machine.Reason]string{machine.Evicted: meta.Evicted, machine.PushedOut: meta.Preempted, machine.SentAway: meta.SentAway,
-	machine.Stopped: meta.Stopped, machine.NeverRan: meta.NeverRan}
+var ends = map[nodesim.Reason]string{nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
+	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverRan}
 
 // Show is the Pod of a machine's task as the machine shows it. The task's payload must be the Pod that was offered.
-func Show(t *machine.Task, name string) *corev1.Pod {
+func Show(t *nodesim.Task, name string) *corev1.Pod {
 	was := t.Payload.(*corev1.Pod)
 	p := &corev1.Pod{ObjectMeta: *was.ObjectMeta.DeepCopy(), Spec: was.Spec}
 	p.Spec.NodeName = name
 	if p.Annotations == nil {
 		p.Annotations = map[string]string{}
 	}
-	p.Annotations[meta.AttemptAnnotation] = strconv.Itoa(t.Attempt)
-	if t.Phase == machine.Running {
-		p.Annotations[meta.Use] = meta.FormatDict("cores", t.UseCores, "memory", t.UseMemory)
+	p.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(t.Attempt)
+	if t.Phase == nodesim.Running {
+		p.Annotations[wellknown.Use] = wellknown.FormatDict("cores", t.UseCores, "memory", t.UseMemory)
 	}
 	p.Status = corev1.PodStatus{Phase: phases[t.Phase], Reason: ends[t.Reason]}
 	return p
@@ -822,7 +822,7 @@
 	}
 	was := l.o
 	l.seen = max(l.seen, seen)
-	if l.ready && was != nil && was.Annotations[meta.Free] == o.Annotations[meta.Free] && was.Status.NodeInfo.BootID == o.Status.NodeInfo.BootID &&
+	if l.ready && was != nil && was.Annotations[wellknown.Free] == o.Annotations[wellknown.Free] && was.Status.NodeInfo.BootID == o.Status.NodeInfo.BootID &&
 		was.Spec.Unschedulable == o.Spec.Unschedulable {
 		return
 	}
@@ -872,11 +872,11 @@
 func (n *node) object() *corev1.Node {
 	o := &corev1.Node{}
 	o.Name, o.UID = n.cfg.Name, types.UID("node-"+n.cfg.Name)
-	o.Labels = map[string]string{meta.Zone: n.cfg.Zone, meta.Rack: n.cfg.Rack, meta.Kind: n.cfg.Kind}
+	o.Labels = map[string]string{wellknown.Zone: n.cfg.Zone, wellknown.Rack: n.cfg.Rack, wellknown.Kind: n.cfg.Kind}
 	c, m := n.m.Free()
-	o.Annotations = map[string]string{meta.Free: meta.FormatDict("cores", c, "memory", m)}
+	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", c, "memory", m)}
 	if n.started > 0 {
-		o.Annotations[meta.Started] = meta.Instant(n.started + n.faults.Clock)
+		o.Annotations[wellknown.Started] = wellknown.Instant(n.started + n.faults.Clock)
 	}
 	o.Spec.Unschedulable = n.m.Draining()
 	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
@@ -886,7 +886,7 @@
 	return o
 }
 
-func (n *node) fault(f fault.Machine) {
+func (n *node) fault(f fault.Node) {
 	now := n.w.now
 	n.faults.Order(now, f)
 	if f.Stall != 0 && n.m != nil {
--- a/internal/model/model_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/badday"
+	"heathshed/internal/config"
 	"heathshed/internal/proptest"
-	"heathshed/internal/settings"
+	"heathshed/internal/scenario"
 	"heathshed/internal/store"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "60") }
 
-func play(t interface{ Fatal(...any) }, d badday.Script, change func(*Config)) *World {
-	s := settings.Default()
+func play(t interface{ Fatal(...any) }, d scenario.Script, change func(*Config)) *World {
+	s := config.Default()
 	c := FromSettings(&s, &d)
 	c.KeepEvents = true
 	if change != nil {
@@ -34,9 +34,9 @@
 // Any kinds of trouble, alone and overlapping, on lossy links: the five rules hold, revisions only grow, and every task that was
 // asked has its one outcome.
 func TestRulesHoldOnRandomDays(t *testing.T) {
-	kinds := slices.Sorted(maps.Keys(badday.Kinds))
+	kinds := slices.Sorted(maps.Keys(scenario.Kinds))
 	rapid.Check(t, func(t *rapid.T) {
-		d := badday.Default()
+		d := scenario.Default()
 		d.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
 		d.Seconds, d.Calm = 100, 65
 		d.Nodes = rapid.IntRange(4, 14).Draw(t, "nodes")
@@ -45,7 +45,7 @@
 		d.Load.Services = 12
 		d.Trouble = nil
 		for i := range rapid.IntRange(1, 5).Draw(t, "troubles") {
-			d.Trouble = append(d.Trouble, badday.Trouble{Kind: rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind", i)),
+			d.Trouble = append(d.Trouble, scenario.Trouble{Kind: rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind", i)),
 				At: rapid.Float64Range(0, 25).Draw(t, fmt.Sprint("at", i)), For: rapid.Float64Range(0.5, 15).Draw(t, fmt.Sprint("for", i)),
 				Part: rapid.Float64Range(0.1, 1).Draw(t, fmt.Sprint("part", i)), Scale: rapid.Float64Range(0.5, 3).Draw(t, fmt.Sprint("scale", i))})
 		}
@@ -70,7 +70,7 @@
 
 // The same day gives the same events, byte for byte.
 func TestSameSeedSameEvents(t *testing.T) {
-	d := badday.Default()
+	d := scenario.Default()
 	d.Seconds, d.Calm = 60, 30
 	for i := range d.Trouble {
 		d.Trouble[i].At = float64(i)
@@ -83,9 +83,9 @@
 
 // A list and the changes after it give the state, at any point of a day.
 func TestListAndWatchEqualState(t *testing.T) {
-	d := badday.Default()
+	d := scenario.Default()
 	d.Seconds, d.Calm, d.Schedulers = 60, 20, 1
-	d.Trouble = []badday.Trouble{{Kind: "crash", At: 5, For: 5, Part: 0.4}, {Kind: "flush", At: 15, For: 3, Part: 0.5}}
+	d.Trouble = []scenario.Trouble{{Kind: "crash", At: 5, For: 5, Part: 0.4}, {Kind: "flush", At: 15, For: 3, Part: 0.5}}
 	var from store.Snapshot
 	calls := 0
 	w := play(t, d, func(c *Config) {
--- a/internal/model/world.go
+++ b/internal/simulation/world.go
@@ -1,20 +1,20 @@
-package model
+package simulation
 
 import (
 	"fmt"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/badday"
-	"heathshed/internal/settings"
+	"heathshed/internal/config"
+	"heathshed/internal/scenario"
 )
 
 // FromSettings describes the world that `heathshed badday` would start for a script: the same machines, schedulers and rules.
-func FromSettings(s *settings.Settings, d *badday.Script) Config {
+func FromSettings(s *config.Settings, d *scenario.Script) Config {
 	c := Config{Seed: d.Seed, Priorities: s.Priorities(), LinkMin: 0.0001, LinkMax: 0.0006, ConnectWithin: s.ConnectWithin, Beat: 0.5,
-		Late: s.StandIn.Late, SilentAfter: s.StandIn.SilentAfter, Start: 1.8e9, Classes: Classes(s), DrainGrace: s.Rules.DrainGrace}
+		Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter, Start: 1.8e9, Classes: Classes(s), DrainGrace: s.Rules.DrainGrace}
 	for i := range d.Nodes {
 		m, kind, rack, zone := s.Machine(i)
-		c.Nodes = append(c.Nodes, NodeConfig{Node: badday.Node{Name: NodeName(i), Zone: zone, Rack: rack, Kind: kind}, Machine: m})
+		c.Nodes = append(c.Nodes, NodeConfig{Node: scenario.Node{Name: NodeName(i), Zone: zone, Rack: rack, Kind: kind}, Sim: m})
 	}
 	for i := range d.Schedulers {
 		p := *s
@@ -31,8 +31,8 @@
 func SchedulerName(i int) string { return fmt.Sprintf("scheduler-%d", i+1) }
 
 // NodesOf are the machines as plans speak of them.
-func (c *Config) NodesOf() []badday.Node {
-	var out []badday.Node
+func (c *Config) NodesOf() []scenario.Node {
+	var out []scenario.Node
 	for i := range c.Nodes {
 		out = append(out, c.Nodes[i].Node)
 	}
@@ -40,7 +40,7 @@
 }
 
 // Classes are the rules of the classes as the auditor needs them.
-func Classes(s *settings.Settings) map[string]audit.Class {
+func Classes(s *config.Settings) map[string]audit.Class {
 	out := map[string]audit.Class{}
 	for _, k := range s.Classes {
 		c := audit.Class{Once: k.Effect == "at_most_once", Keyed: k.Effect == "deduplicated", Group: k.KeyScope, TTL: k.KeyTTL, AtMost: k.Together}
--- a/internal/timers/characterization_test.go
+++ b/internal/timerqueue/characterization_test.go
@@ -1,4 +1,4 @@
-package timers_test
+package timerqueue_test
 
 import (
 	"crypto/sha256"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/timers"
+	"heathshed/internal/timerqueue"
 )
 
 const (
@@ -55,9 +55,9 @@
 
 func playQueue(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 3))
-	var queue timers.Queue
+	var queue timerqueue.Queue
 	var b strings.Builder
-	var added []*timers.Timer
+	var added []*timerqueue.Timer
 	add := func(at float64) {
 		number := len(added)
 		added = append(added, queue.Add(at, func() { fmt.Fprintf(&b, "r%d ", number) }))
--- a/internal/timers/timers.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,6 @@
 // Package timers is a queue of functions to run at given times: the earliest first, those of equal time in the order in which they were
 // added. It is pure: whoever holds the queue knows the time.
-package timers
+package timerqueue
 
 import (
 	"container/heap"
--- a/internal/meta/meta.go
+++ b/internal/wellknown/wellknown.go
@@ -1,6 +1,6 @@
 // Package meta names what the project adds to the Kubernetes API: labels, annotations, conditions and header fields, with
 // the text forms of their values. It is pure and imports nothing of the project.
-package meta
+package wellknown
 
 import (
 	"fmt"
@@ -40,28 +40,28 @@
 
 // Settled is the condition that a Pod or Job gets once, with one of the three reasons.
 const (
-	Settled = "heathshed.io/Settled"
-	Placed  = "Placed"
-	Refused = "Refused"
-	Failed  = "Failed"
+	Settled  = "heathshed.io/Settled"
+	Placed   = "Placed"
+	Rejected = "Refused"
+	Failed   = "Failed"
 )
 
 // Header fields between a scheduler and a machine.
 const (
-	AttemptHeader = "Heathshed-Attempt" // number of the attempt for this Pod; see the docs on machines
-	LoadHeader    = "Heathshed-Load"    // RFC 9651 dictionary: free-cores, free-memory, busy, queue
-	BootHeader    = "Heathshed-Boot"    // identity of this life of the machine
+	AttemptHeader     = "Heathshed-Attempt" // number of the attempt for this Pod; see the docs on machines
+	LoadHeader        = "Heathshed-Load"    // RFC 9651 dictionary: free-cores, free-memory, busy, queue
+	IncarnationHeader = "Heathshed-Boot"    // identity of this life of the machine
 )
 
 // Reasons that a machine states, as the kubelet does.
 const (
 	OutOfCPU    = "OutOfcpu"
 	OutOfMemory = "OutOfmemory"
-	TooMany     = "TooManyWaiting"
-	NotHere     = "NotHere"
+	QueueFull   = "TooManyWaiting"
+	WrongNode   = "NotHere"
 	Evicted     = "Evicted"
 	Preempted   = "Preempting"
-	SentAway    = "NodeShutdown"
+	Drained     = "NodeShutdown"
 	NeverRan    = "NeverStarted"
 	Stopped     = "Stopped"
 	Lost        = "NodeLost"
--- a/internal/record/characterization_test.go
+++ b/internal/workload/characterization_test.go
@@ -1,4 +1,4 @@
-package record_test
+package workload_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"github.com/klauspost/compress/zstd"
 
 	"heathshed/internal/golden"
-	"heathshed/internal/record"
+	"heathshed/internal/workload"
 )
 
 // The tests pin entries and problems of each recorded format for fixed inputs. Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1
@@ -61,11 +61,11 @@
 ],"comment":"end"}}`
 
 // entries writes all entries and problems of a source, and returns the entries.
-func entries(r *golden.Recorder, label string, source record.Reader) (all []record.Entry) {
+func entries(r *golden.Recorder, label string, source workload.Reader) (all []workload.Entry) {
 	r.Line("== %s", label)
 	for range 200 {
 		e, err := source.Next()
-		var p *record.Problem
+		var p *workload.Problem
 		switch {
 		case errors.Is(err, io.EOF):
 			r.Line("end")
@@ -85,7 +85,7 @@
 	return all
 }
 
-func entry(r *golden.Recorder, e record.Entry) {
+func entry(r *golden.Recorder, e workload.Entry) {
 	r.Line("entry %016x %v %q %q %q %q %d %d %016x %q %q %q %d", math.Float64bits(e.At), e.Coarse, e.Method, e.Host, e.Path, e.Query, e.Status,
 		e.Bytes, math.Float64bits(e.Duration), e.Addr, e.User, e.File, e.Line)
 }
@@ -93,28 +93,28 @@
 // TestCharacterizeFormats pins access logs, JSON lines and HAR files, with malformed and truncated ones.
 func TestCharacterizeFormats(t *testing.T) {
 	r := golden.NewRecorder()
-	for _, text := range []string{record.Common, record.Combined,
+	for _, text := range []string{workload.Common, workload.Combined,
 		`$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" "$http_user_agent"`,
 		`$time_iso8601 $request_method $uri ?$args $body_bytes_sent $request_time $host $status`, `%t %m %U%%%q %D`, `$msec $request_method $uri $args $bytes_sent $request_time $http_host $status`,
 		`%h %l %u %t "%r" %>s %B %T %v`, ``, `%h`, `%t`, `%t%r`, `%t "%r`, `%q %t %r`, `%Z %t %r`, `%{x`, `$unknown $time_local $request`, `%{%s}t %r`, `%`, `$`} {
-		f, err := record.ParseFormat(text)
+		f, err := workload.ParseFormat(text)
 		if err != nil {
 			r.Line("== %s: %v", text, err)
 			continue
 		}
-		entries(r, text, record.NewLog(strings.NewReader(logLines), "f.log", f))
+		entries(r, text, workload.NewLog(strings.NewReader(logLines), "f.log", f))
 	}
-	entries(r, "json lines", record.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", record.DefaultJSONFields()))
-	fields := record.DefaultJSONFields()
+	entries(r, "json lines", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", workload.DefaultJSONFields()))
+	fields := workload.DefaultJSONFields()
 	fields.Time, fields.Path, fields.User = "nested.time", "nested.path", ""
-	entries(r, "json lines, other fields", record.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", fields))
-	entries(r, "har", record.NewHAR(strings.NewReader(harText), "f.har"))
+	entries(r, "json lines, other fields", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", fields))
+	entries(r, "har", workload.NewHAR(strings.NewReader(harText), "f.har"))
 	for _, text := range []string{"", "{}", "[]", `{"log":[]}`, `{"log":{}}`, `{"log":{"entries":{}}}`, harText[:300], harText[:len(harText)-30], "x"} {
-		entries(r, fmt.Sprintf("har of %d bytes", len(text)), record.NewHAR(strings.NewReader(text), "f.har"))
+		entries(r, fmt.Sprintf("har of %d bytes", len(text)), workload.NewHAR(strings.NewReader(text), "f.har"))
 	}
 	long := strings.Repeat("x", 1<<20) + strings.Repeat("y", 9) + "\n" + logLines
-	f, _ := record.ParseFormat(record.Common)
-	entries(r, "a line of more than a MiB", record.NewLog(strings.NewReader(long), "f.log", f))
+	f, _ := workload.ParseFormat(workload.Common)
+	entries(r, "a line of more than a MiB", workload.NewLog(strings.NewReader(long), "f.log", f))
 	r.Check(t, "formats")
 }
 
@@ -122,7 +122,7 @@
 func TestCharacterizeSources(t *testing.T) {
 	r := golden.NewRecorder()
 	for i, content := range [][]byte{[]byte(logLines), zipped(logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
-		opened, err := record.Open(bytes.NewReader(content))
+		opened, err := workload.Open(bytes.NewReader(content))
 		if err != nil {
 			r.Line("source %d: %v", i, err)
 			continue
@@ -132,7 +132,7 @@
 		r.Checkpoint(fmt.Sprintf("source %d: %d bytes, %v,", i, len(whole), err))
 	}
 	for i, text := range []string{logLines, jsonLines, harText, "", "  \n", strings.SplitAfter(logLines, "\n")[2], `{"log":1}`, `{"a"`} {
-		format, whole, err := record.Guess(strings.NewReader(text))
+		format, whole, err := workload.Guess(strings.NewReader(text))
 		rest, _ := io.ReadAll(whole)
 		r.Line("guess %d: %s, %v, %d bytes", i, format, err, len(rest))
 	}
@@ -160,11 +160,11 @@
 
 func sorted(r *golden.Recorder, window float64) {
 	r.Line("== window %v", window)
-	s := record.Sorter{Window: window}
-	var out []record.Entry
+	s := workload.Sorter{Window: window}
+	var out []workload.Entry
 	for i, at := range []float64{10, 10, 9, 12, 11.5, 10, 14, 14, 14, 13, 20, 15, 18, 18, 18.5, 30, 8} {
-		var p *record.Problem
-		out, p = s.Add(record.Entry{At: at, Coarse: at == math.Trunc(at), Method: "GET", Path: "/", File: "f", Line: int64(i)}, out)
+		var p *workload.Problem
+		out, p = s.Add(workload.Entry{At: at, Coarse: at == math.Trunc(at), Method: "GET", Path: "/", File: "f", Line: int64(i)}, out)
 		if p != nil {
 			r.Line("problem %q", p.Error())
 		}
--- a/internal/record/record.go
+++ b/internal/workload/workload.go
@@ -2,7 +2,7 @@
 // time. What cannot be read is reported by kind and place and skipped; the rest goes on.
 //
 // It is a codec: it reads from io.Readers that it is given, opens no file, and knows nothing of tasks.
-package record
+package workload
 
 import (
 	"bufio"
--- a/internal/record/record_test.go
+++ b/internal/workload/workload_test.go
@@ -1,4 +1,4 @@
-package record
+package workload
 
 import (
 	"bytes"
--- a/placer/api.go
+++ b/placer/api.go
@@ -20,48 +20,48 @@
 // NodeID names a machine. It says nothing of where the machine stands.
 type NodeID uint64
 
-// Effect says what a second start of a task would do.
-type Effect uint8
+// Idempotency says what a second start of a task would do.
+type Idempotency uint8
 
 // The effects a class can have.
 const (
-	Repeatable Effect = iota // a second copy does no harm
-	Keyed                    // machines of one group drop repeats for a while
-	Once                     // must never be started twice
+	Idempotent      Idempotency = iota // a second copy does no harm
+	IdempotentByKey                    // machines of one group drop repeats for a while
+	NonIdempotent                      // must never be started twice
 )
 
-// Place is a kind of location that a rule speaks of.
-type Place uint8
+// TopologyDomain is a kind of location that a rule speaks of.
+type TopologyDomain uint8
 
 // The places: none, one machine, a rack, a zone, or all machines together.
 const (
-	NoPlace Place = iota
-	OneNode
-	Rack
-	Zone
-	Everywhere
+	NoDomain TopologyDomain = iota
+	NodeDomain
+	RackDomain
+	ZoneDomain
+	ClusterDomain
 )
 
 // Class is what tasks of one kind have in common.
 type Class struct {
-	Effect     Effect
-	Group      Place   // Keyed: the machines that drop repeats
-	Remembers  float64 // Keyed: for how long they do, from the first doubtful offer
-	Aim        float64 // a first start within this earns full worth
-	Deadline   float64 // how long an owner waits
-	Worth      float64 // worth of a second of full service
-	LateWorth  float64 // part of the start's worth between aim and deadline
-	StartBonus float64 // seconds of service that a start in time is worth
-	Priority   int
-	NodeKind   int     // the kind of machine needed, or -1
-	Apart      Place   // where tasks of a service must not crowd
-	Most       int     // how many of a service may share such a place
-	CalmUpTo   float64 // full service while the cores are busy up to this part
-	FadesOver  float64 // service falls to nothing over this much more
+	Idempotency         Idempotency
+	DedupDomain         TopologyDomain // Keyed: the machines that drop repeats
+	DedupWindow         float64        // Keyed: for how long they do, from the first doubtful offer
+	LatencyObjective    float64        // a first start within this earns full worth
+	Deadline            float64        // how long an owner waits
+	Weight              float64        // worth of a second of full service
+	LateWeight          float64        // part of the start's worth between aim and deadline
+	StartBonus          float64        // seconds of service that a start in time is worth
+	Priority            int
+	NodeType            int            // the kind of machine needed, or -1
+	SpreadDomain        TopologyDomain // where tasks of a service must not crowd
+	MaxPerDomain        int            // how many of a service may share such a place
+	SaturationThreshold float64        // full service while the cores are busy up to this part
+	DegradationRange    float64        // service falls to nothing over this much more
 }
 
-// Kind is a type of machine.
-type Kind struct{ Cores, Memory float64 }
+// NodeType is a type of machine.
+type NodeType struct{ Cores, Memory float64 }
 
 // Tenant is one of those who share the fleet.
 type Tenant struct {
@@ -74,35 +74,35 @@
 	Self, Peers int // number of this scheduler and how many there are
 	Zone        int // the zone of this scheduler
 	Classes     []Class
-	Kinds       []Kind
+	NodeTypes   []NodeType
 	Tenants     []Tenant
 
-	BookCores, BookMemory float64 // machines accept asks up to these multiples of their size
-	AnswersWhenRunning    bool    // a bind is told when the task runs, not when it was accepted
-	ListShowsRoom         bool    // list entries carry room that nobody asked for
-	ReportsUse            bool    // reports count use, not asks
-	ServicesStay          bool    // the tasks of a service come to one scheduler while it is up
-	PushesOut             bool    // machines push out lower priorities
-
-	MaxAttempts    int
-	TwoAtOnce      bool    // two attempts of a task may be out together
-	ConnectWithin  float64 // a connection fails after this
-	AnswerSlack    float64 // a final answer counts this long after the deadline
-	DrainGrace     float64
-	ColdFrom       float64 // a machine that just came up starts tasks at this part of its pace or better
-	WarmWithin     float64 // and is warm after this
-	FallMultiple   float64 // a cold machine falls over at this multiple of what it can do
-	FallWindow     float64 // kept up for this long
-	ColdAlways     float64 // offers in a fall window, from all schedulers, that a cold machine always bears
-	MustAsk        bool    // the list comes only when asked for
-	AskWithin      float64 // how long the list may go unasked
-	MayDelayOwners bool    // owners are told when to come again
-	MaxDelay       float64 // and follow it up to this
-	SettleAfter    float64 // how long owners of doubtful tasks wait
-	FleetPrice     float64 // of machines that hold a task beyond those needed, as a part of all
-	CrossPrice     float64 // of tasks that run outside this scheduler's zone, as a part of all
-	MovePrice      float64 // of one move for each task
-	OverShareWorth float64 // worth of a task beyond its tenant's share
+	OvercommitCores, OvercommitMemory float64 // machines accept asks up to these multiples of their size
+	AcknowledgesOnStart               bool    // a bind is told when the task runs, not when it was accepted
+	ListShowsCapacity                 bool    // list entries carry room that nobody asked for
+	ReportsUsage                      bool    // reports count use, not asks
+	StickyServices                    bool    // the tasks of a service come to one scheduler while it is up
+	Preempts                          bool    // machines push out lower priorities
+
+	MaxAttempts        int
+	AllowsHedging      bool    // two attempts of a task may be out together
+	ConnectTimeout     float64 // a connection fails after this
+	AnswerGrace        float64 // a final answer counts this long after the deadline
+	DrainGrace         float64
+	WarmupMinPace      float64 // a machine that just came up starts tasks at this part of its pace or better
+	WarmupDuration     float64 // and is warm after this
+	OverloadMultiple   float64 // a cold machine falls over at this multiple of what it can do
+	OverloadWindow     float64 // kept up for this long
+	WarmupAttempts     float64 // offers in a fall window, from all schedulers, that a cold machine always bears
+	MustPollNodes      bool    // the list comes only when asked for
+	MaxPollInterval    float64 // how long the list may go unasked
+	SendsRetryAfter    bool    // owners are told when to come again
+	MaxRetryAfter      float64 // and follow it up to this
+	UnknownOutcomeWait float64 // how long owners of doubtful tasks wait
+	NodeCost           float64 // of machines that hold a task beyond those needed, as a part of all
+	CrossZoneCost      float64 // of tasks that run outside this scheduler's zone, as a part of all
+	MigrationCost      float64 // of one move for each task
+	OverQuotaWeight    float64 // worth of a task beyond its tenant's share
 }
 
 // check returns an error that names the first field that cannot be used.
@@ -110,7 +110,7 @@
 	switch {
 	case len(c.Classes) == 0:
 		return errors.New("config has no classes")
-	case len(c.Kinds) == 0:
+	case len(c.NodeTypes) == 0:
 		return errors.New("config has no kinds of machine")
 	case c.Peers < 1:
 		return fmt.Errorf("peers %d: want at least 1", c.Peers)
@@ -123,20 +123,20 @@
 		name  string
 		value float64
 	}{
-		{"warm within", c.WarmWithin}, {"fall window", c.FallWindow}, {"cold always", c.ColdAlways},
-		{"answer slack", c.AnswerSlack}, {"drain grace", c.DrainGrace}, {"ask within", c.AskWithin},
-		{"fleet price", c.FleetPrice}, {"cross price", c.CrossPrice}, {"move price", c.MovePrice},
+		{"warm within", c.WarmupDuration}, {"fall window", c.OverloadWindow}, {"cold always", c.WarmupAttempts},
+		{"answer slack", c.AnswerGrace}, {"drain grace", c.DrainGrace}, {"ask within", c.MaxPollInterval},
+		{"fleet price", c.NodeCost}, {"cross price", c.CrossZoneCost}, {"move price", c.MigrationCost},
 	} {
 		if !(v.value >= 0) {
 			return fmt.Errorf("%s %v: want 0 or more", v.name, v.value)
 		}
 	}
 	for i, k := range c.Classes {
-		if !(k.Aim > 0) || !(k.Deadline > 0) {
-			return fmt.Errorf("class %d: aim %v or deadline %v not usable", i, k.Aim, k.Deadline)
+		if !(k.LatencyObjective > 0) || !(k.Deadline > 0) {
+			return fmt.Errorf("class %d: aim %v or deadline %v not usable", i, k.LatencyObjective, k.Deadline)
 		}
 	}
-	for i, k := range c.Kinds {
+	for i, k := range c.NodeTypes {
 		if !(k.Cores > 0) || !(k.Memory > 0) {
 			return fmt.Errorf("kind %d: cores %v or memory %v not usable", i, k.Cores, k.Memory)
 		}
@@ -151,7 +151,7 @@
 	Service       ServiceID
 	Cores, Memory float64
 	Deadline      float64 // clock time
-	Again         bool    // it came before
+	IsRetry       bool    // it came before
 }
 
 // NodeState is what the list says of a machine.
@@ -167,14 +167,14 @@
 // Node is one entry of the list of machines.
 type Node struct {
 	ID                    NodeID
-	Zone, Rack, Kind      int
+	Zone, Rack, NodeType  int
 	State                 NodeState
 	FreeCores, FreeMemory float64 // nobody asked for; may be negative
-	Since                 float64 // clock time of the last start; 0 is long ago
+	StartedAt             float64 // clock time of the last start; 0 is long ago
 }
 
 // Report is what a machine says of its load. A value that was not told is NaN.
-type Report struct{ FreeCores, FreeMemory, Busy, Queue float64 }
+type Report struct{ FreeCores, FreeMemory, Utilization, QueueLength float64 }
 
 // ListKind says how a list is meant.
 type ListKind uint8
@@ -194,12 +194,12 @@
 const (
 	Finished Result = iota
 	Errored
-	Refused
+	Rejected
 	TimedOut
 	Unreachable
 	Lost
 	Cancelled
-	Moot
+	Expired
 )
 
 // Reason says more about a result.
@@ -208,24 +208,24 @@
 // The reasons a machine gives.
 const (
 	NoReason Reason = iota
-	NoCores
-	NoMemory
-	TooManyWait
-	NotHere
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	WrongNode
 	Evicted
-	PushedOut
-	SentAway
+	Preempted
+	Drained
 )
 
-// UseKind says what a note on a task measures.
-type UseKind uint8
+// UsageKind says what a note on a task measures.
+type UsageKind uint8
 
 // The notes on a running task.
 const (
-	Runs UseKind = iota + 1
+	Started UsageKind = iota + 1
 	CoresUsed
 	MemoryUsed
-	ServedPart
+	ServedFraction
 	NodeMemory
 )
 
@@ -236,31 +236,31 @@
 // there); Bound has ID, Attempt, Node and Elapsed; Ended has ID, Attempt, Node, Result, Reason, Elapsed, Over
 // and Report; Noted has ID, Attempt, Node, Use and Value; Withdrawn has ID; Woken has Token.
 const (
-	Listed EventKind = iota + 1
+	NodesListed EventKind = iota + 1
 	Arrived
-	Running
+	Adopted
 	Bound
 	Ended
-	Noted
+	UsageReported
 	Withdrawn
-	Woken
+	TimerFired
 )
 
 // Event is something that happened to this scheduler.
 type Event struct {
 	Kind    EventKind
-	ID      TaskID
+	TaskID  TaskID
 	Task    Task
 	Node    NodeID
 	Attempt int
 	Result  Result
 	Reason  Reason
 	Elapsed float64 // since the offer
-	Over    bool    // the ask is over
+	Final   bool    // the ask is over
 	Report  *Report // nil when none came
 	List    ListKind
 	Nodes   []Node // read during Handle only
-	Use     UseKind
+	Usage   UsageKind
 	Value   float64
 	Token   uint64
 }
@@ -272,13 +272,13 @@
 // should not come earlier; 0 is no advice); Fail has Task; Wake has Token and After; Watch and Fetch ask for
 // the list, with changes from now on or once; Move stops a bound Task, whose owner then asks again.
 const (
-	Offer ActionKind = iota + 1
-	Refuse
+	StartAttempt ActionKind = iota + 1
+	Reject
 	Fail
-	Wake
-	Watch
-	Fetch
-	Move
+	SetTimer
+	WatchNodes
+	ListNodes
+	Migrate
 )
 
 // Action is something the scheduler must do now.
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -9,8 +9,8 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("machines=", n), func(b *testing.B) {
-			p, err := New(Config{Peers: 1, Classes: []Class{{Aim: 1, Deadline: 8, NodeKind: -1, CalmUpTo: 1, FadesOver: 1}},
-				Kinds: []Kind{{Cores: 32, Memory: 64}}, BookCores: 2, BookMemory: 2, ListShowsRoom: true, MaxAttempts: 3, AnswerSlack: 0.01, AskWithin: 10}, 1)
+			p, err := New(Config{Peers: 1, Classes: []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+				NodeTypes: []NodeType{{Cores: 32, Memory: 64}}, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true, MaxAttempts: 3, AnswerGrace: 0.01, MaxPollInterval: 10}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -18,7 +18,7 @@
 			for i := range n {
 				list = append(list, Node{ID: NodeID(i + 1), State: Ready, FreeCores: 32, FreeMemory: 64})
 			}
-			acts := p.Handle(1, Event{Kind: Listed, List: FullList, Nodes: list}, nil)
+			acts := p.Handle(1, Event{Kind: NodesListed, List: FullList, Nodes: list}, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			now := 10.0
@@ -27,9 +27,9 @@
 				id := TaskID(i + 1)
 				acts = p.Handle(now, Event{Kind: Arrived, Task: Task{ID: id, Service: ServiceID(i % 50), Cores: 0.1, Memory: 0.1, Deadline: now + 8}}, acts[:0])
 				for _, a := range acts {
-					if a.Kind == Offer {
-						p.Handle(now, Event{Kind: Bound, ID: id, Attempt: a.Attempt, Node: a.Node, Elapsed: 0.005}, nil)
-						p.Handle(now+0.005, Event{Kind: Ended, ID: id, Attempt: a.Attempt, Node: a.Node, Result: Finished, Over: true}, nil)
+					if a.Kind == StartAttempt {
+						p.Handle(now, Event{Kind: Bound, TaskID: id, Attempt: a.Attempt, Node: a.Node, Elapsed: 0.005}, nil)
+						p.Handle(now+0.005, Event{Kind: Ended, TaskID: id, Attempt: a.Attempt, Node: a.Node, Result: Finished, Final: true}, nil)
 					}
 				}
 			}
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -95,24 +95,24 @@
 	firstSince     float64 // clock time of the machines' last start, 0 for long ago
 }
 
-func classes(apart ...placer.Place) []placer.Class {
+func classes(apart ...placer.TopologyDomain) []placer.Class {
 	all := []placer.Class{
-		{Effect: placer.Repeatable, Group: placer.Everywhere, Aim: 1, Deadline: 6, Worth: 1, StartBonus: 5, NodeKind: -1,
-			CalmUpTo: 1, FadesOver: 1},
-		{Effect: placer.Keyed, Group: placer.Rack, Remembers: 3, Aim: 0.5, Deadline: 5, Worth: 2, LateWorth: 0.5, NodeKind: -1,
-			CalmUpTo: 0.8, FadesOver: 0.4},
-		{Effect: placer.Once, Aim: 1.5, Deadline: 8, Worth: 4, Priority: 2, NodeKind: 1, CalmUpTo: 0.9, FadesOver: 0.2},
-		{Effect: placer.Keyed, Group: placer.Everywhere, Remembers: 2, Aim: 2, Deadline: 4, Worth: 1, NodeKind: 0,
-			CalmUpTo: 0.7, FadesOver: 0.5},
-		{Effect: placer.Repeatable, Group: placer.Zone, Aim: 0.8, Deadline: 3, Worth: 1, NodeKind: -1, CalmUpTo: 0.95},
-		{Effect: placer.Keyed, Group: placer.OneNode, Remembers: 6, Aim: 0.7, Deadline: 7, Worth: 1, NodeKind: -1,
-			CalmUpTo: 1, FadesOver: 0.1},
-		{Effect: placer.Keyed, Group: placer.Zone, Remembers: 1, Aim: 1, Deadline: 6, Worth: 1, NodeKind: -1, CalmUpTo: 1},
+		{Idempotency: placer.Idempotent, DedupDomain: placer.ClusterDomain, LatencyObjective: 1, Deadline: 6, Weight: 1, StartBonus: 5, NodeType: -1,
+			SaturationThreshold: 1, DegradationRange: 1},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.RackDomain, DedupWindow: 3, LatencyObjective: 0.5, Deadline: 5, Weight: 2, LateWeight: 0.5, NodeType: -1,
+			SaturationThreshold: 0.8, DegradationRange: 0.4},
+		{Idempotency: placer.NonIdempotent, LatencyObjective: 1.5, Deadline: 8, Weight: 4, Priority: 2, NodeType: 1, SaturationThreshold: 0.9, DegradationRange: 0.2},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ClusterDomain, DedupWindow: 2, LatencyObjective: 2, Deadline: 4, Weight: 1, NodeType: 0,
+			SaturationThreshold: 0.7, DegradationRange: 0.5},
+		{Idempotency: placer.Idempotent, DedupDomain: placer.ZoneDomain, LatencyObjective: 0.8, Deadline: 3, Weight: 1, NodeType: -1, SaturationThreshold: 0.95},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.NodeDomain, DedupWindow: 6, LatencyObjective: 0.7, Deadline: 7, Weight: 1, NodeType: -1,
+			SaturationThreshold: 1, DegradationRange: 0.1},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ZoneDomain, DedupWindow: 1, LatencyObjective: 1, Deadline: 6, Weight: 1, NodeType: -1, SaturationThreshold: 1},
 	}
 	for i := range all {
-		all[i].Apart, all[i].Most = apart[i%len(apart)], 2+i%3
-		if all[i].Apart == placer.Everywhere {
-			all[i].Most = 12
+		all[i].SpreadDomain, all[i].MaxPerDomain = apart[i%len(apart)], 2+i%3
+		if all[i].SpreadDomain == placer.ClusterDomain {
+			all[i].MaxPerDomain = 12
 		}
 	}
 	return all
@@ -120,48 +120,48 @@
 
 func baseConfig() placer.Config {
 	return placer.Config{
-		Peers: 1, Classes: classes(placer.NoPlace, placer.OneNode, placer.Rack, placer.Zone, placer.Everywhere),
-		Kinds:     []placer.Kind{{Cores: 8, Memory: 16}, {Cores: 16, Memory: 32}, {Cores: 4, Memory: 64}},
-		Tenants:   []placer.Tenant{{Share: 0.6, Cores: 100}, {Share: 0.4, Cores: 60}},
-		BookCores: 1.5, BookMemory: 1.2, MaxAttempts: 4, ConnectWithin: 0.2, AnswerSlack: 0.1, DrainGrace: 2, ColdFrom: 0.3,
-		WarmWithin: 6, FallMultiple: 2, FallWindow: 1, ColdAlways: 4, AskWithin: 9, MaxDelay: 5, SettleAfter: 2, OverShareWorth: 0.2,
+		Peers: 1, Classes: classes(placer.NoDomain, placer.NodeDomain, placer.RackDomain, placer.ZoneDomain, placer.ClusterDomain),
+		NodeTypes:       []placer.NodeType{{Cores: 8, Memory: 16}, {Cores: 16, Memory: 32}, {Cores: 4, Memory: 64}},
+		Tenants:         []placer.Tenant{{Share: 0.6, Cores: 100}, {Share: 0.4, Cores: 60}},
+		OvercommitCores: 1.5, OvercommitMemory: 1.2, MaxAttempts: 4, ConnectTimeout: 0.2, AnswerGrace: 0.1, DrainGrace: 2, WarmupMinPace: 0.3,
+		WarmupDuration: 6, OverloadMultiple: 2, OverloadWindow: 1, WarmupAttempts: 4, MaxPollInterval: 9, MaxRetryAfter: 5, UnknownOutcomeWait: 2, OverQuotaWeight: 0.2,
 	}
 }
 
 func scripts() []script {
 	stay := baseConfig()
-	stay.ServicesStay, stay.AnswersWhenRunning, stay.PushesOut = true, true, true
+	stay.StickyServices, stay.AcknowledgesOnStart, stay.Preempts = true, true, true
 
 	fleet := baseConfig()
-	fleet.Self, fleet.Peers, fleet.ListShowsRoom, fleet.ReportsUse = 1, 3, true, true
-	fleet.FleetPrice, fleet.MovePrice, fleet.MayDelayOwners = 0.3, 0.02, true
-	fleet.Classes = classes(placer.NoPlace, placer.Rack)
+	fleet.Self, fleet.Peers, fleet.ListShowsCapacity, fleet.ReportsUsage = 1, 3, true, true
+	fleet.NodeCost, fleet.MigrationCost, fleet.SendsRetryAfter = 0.3, 0.02, true
+	fleet.Classes = classes(placer.NoDomain, placer.RackDomain)
 
 	zones := baseConfig()
-	zones.Self, zones.Peers, zones.Zone, zones.CrossPrice, zones.MustAsk = 2, 8, 1, 0.2, true
-	zones.ListShowsRoom, zones.ColdAlways, zones.TwoAtOnce = true, 20, true
-	zones.Classes = classes(placer.Zone, placer.NoPlace, placer.OneNode, placer.Rack)
+	zones.Self, zones.Peers, zones.Zone, zones.CrossZoneCost, zones.MustPollNodes = 2, 8, 1, 0.2, true
+	zones.ListShowsCapacity, zones.WarmupAttempts, zones.AllowsHedging = true, 20, true
+	zones.Classes = classes(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
 
 	tight := baseConfig()
-	tight.Self, tight.Peers, tight.ReportsUse, tight.MaxAttempts = 0, 2, true, 6
-	tight.MustAsk, tight.AskWithin, tight.BookCores, tight.BookMemory = true, 3, 1, 1
+	tight.Self, tight.Peers, tight.ReportsUsage, tight.MaxAttempts = 0, 2, true, 6
+	tight.MustPollNodes, tight.MaxPollInterval, tight.OvercommitCores, tight.OvercommitMemory = true, 3, 1, 1
 
 	crowd := baseConfig()
-	crowd.Peers, crowd.ListShowsRoom, crowd.BookCores, crowd.BookMemory = 2, true, 20, 20
-	crowd.Classes = classes(placer.NoPlace)
+	crowd.Peers, crowd.ListShowsCapacity, crowd.OvercommitCores, crowd.OvercommitMemory = 2, true, 20, 20
+	crowd.Classes = classes(placer.NoDomain)
 	for i := range crowd.Classes {
 		crowd.Classes[i].Deadline += 8
-		crowd.Classes[i].NodeKind = -1
+		crowd.Classes[i].NodeType = -1
 	}
 
 	memory := baseConfig()
-	memory.ListShowsRoom, memory.ReportsUse, memory.BookCores, memory.BookMemory = true, true, 2, 2
+	memory.ListShowsCapacity, memory.ReportsUsage, memory.OvercommitCores, memory.OvercommitMemory = true, true, 2, 2
 
 	dear := fleet // moves cost more than the machines that they free
-	dear.FleetPrice, dear.MovePrice, dear.ColdAlways = 0.1, 0.2, 30
+	dear.NodeCost, dear.MigrationCost, dear.WarmupAttempts = 0.1, 0.2, 30
 
 	deaf := zones // the list hardly ever comes
-	deaf.AskWithin, deaf.Peers = 400, 3
+	deaf.MaxPollInterval, deaf.Peers = 400, 3
 
 	return []script{
 		{name: "stay", seed: 1, events: 12000, config: stay, machines: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
@@ -216,27 +216,27 @@
 	changes := []func(*placer.Config){
 		func(*placer.Config) {},
 		func(c *placer.Config) { c.Classes = nil },
-		func(c *placer.Config) { c.Kinds = nil },
+		func(c *placer.Config) { c.NodeTypes = nil },
 		func(c *placer.Config) { c.Peers = 0 },
 		func(c *placer.Config) { c.Self = -1 },
 		func(c *placer.Config) { c.Self = 1 },
 		func(c *placer.Config) { c.MaxAttempts = 0 },
-		func(c *placer.Config) { c.WarmWithin = -1 },
-		func(c *placer.Config) { c.FallWindow = nan },
-		func(c *placer.Config) { c.ColdAlways = -0.5 },
-		func(c *placer.Config) { c.AnswerSlack = -1 },
+		func(c *placer.Config) { c.WarmupDuration = -1 },
+		func(c *placer.Config) { c.OverloadWindow = nan },
+		func(c *placer.Config) { c.WarmupAttempts = -0.5 },
+		func(c *placer.Config) { c.AnswerGrace = -1 },
 		func(c *placer.Config) { c.DrainGrace = -1 },
-		func(c *placer.Config) { c.AskWithin = nan },
-		func(c *placer.Config) { c.FleetPrice = -1 },
-		func(c *placer.Config) { c.CrossPrice = -1 },
-		func(c *placer.Config) { c.MovePrice = -1 },
-		func(c *placer.Config) { c.MovePrice = inf },
-		func(c *placer.Config) { c.Classes[1].Aim = 0 },
+		func(c *placer.Config) { c.MaxPollInterval = nan },
+		func(c *placer.Config) { c.NodeCost = -1 },
+		func(c *placer.Config) { c.CrossZoneCost = -1 },
+		func(c *placer.Config) { c.MigrationCost = -1 },
+		func(c *placer.Config) { c.MigrationCost = inf },
+		func(c *placer.Config) { c.Classes[1].LatencyObjective = 0 },
 		func(c *placer.Config) { c.Classes[1].Deadline = nan },
-		func(c *placer.Config) { c.Kinds[0].Cores = 0 },
-		func(c *placer.Config) { c.Kinds[1].Memory = -1 },
+		func(c *placer.Config) { c.NodeTypes[0].Cores = 0 },
+		func(c *placer.Config) { c.NodeTypes[1].Memory = -1 },
 		func(c *placer.Config) { c.Tenants = nil },
-		func(c *placer.Config) { c.BookCores = -1 },
+		func(c *placer.Config) { c.OvercommitCores = -1 },
 	}
 	const want = "10000000000000001000011"
 	var got strings.Builder
@@ -322,7 +322,7 @@
 		t.Fatal(err)
 	}
 	sim := &simulation{script: s, p: p, rng: rand.New(rand.NewPCG(s.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !s.config.MustAsk}
+		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !s.config.MustPollNodes}
 	sim.start()
 	for sim.events < s.events {
 		next := heap.Pop(&sim.queue).(pendingEvent)
@@ -401,17 +401,17 @@
 
 func (s *simulation) carryOut(a placer.Action) {
 	switch a.Kind {
-	case placer.Offer:
+	case placer.StartAttempt:
 		s.offered(a)
-	case placer.Wake:
-		s.after(a.After, func() { s.handle(placer.Event{Kind: placer.Woken, Token: a.Token}) })
-	case placer.Watch, placer.Fetch:
+	case placer.SetTimer:
+		s.after(a.After, func() { s.handle(placer.Event{Kind: placer.TimerFired, Token: a.Token}) })
+	case placer.WatchNodes, placer.ListNodes:
 		s.after(0.05+0.1*s.rng.Float64(), s.answerList)
-	case placer.Move:
+	case placer.Migrate:
 		if t := s.byID[a.Task]; t != nil {
 			s.after(0.3, func() { s.moved(t) })
 		}
-	case placer.Refuse, placer.Fail:
+	case placer.Reject, placer.Fail:
 		if t := s.byID[a.Task]; t != nil && s.chance(0.3) {
 			s.after(0.5+s.rng.Float64(), func() { s.comesAgain(t) })
 		}
@@ -423,9 +423,9 @@
 func (s *simulation) addMachine(since float64) {
 	s.nextNode += 7
 	m := &simMachine{Node: placer.Node{ID: s.nextNode, Zone: s.rng.IntN(s.script.zones), Rack: s.rng.IntN(s.script.racks),
-		Kind: s.rng.IntN(len(s.script.config.Kinds)), State: placer.Ready, Since: since}}
+		NodeType: s.rng.IntN(len(s.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
 	if s.chance(0.03) {
-		m.Kind = 9 // a kind that the configuration does not know
+		m.NodeType = 9 // a kind that the configuration does not know
 	}
 	s.machines = append(s.machines, m)
 }
@@ -438,15 +438,15 @@
 	return n
 }
 
-func (s *simulation) size(m *simMachine) placer.Kind {
-	if m.Kind < len(s.script.config.Kinds) {
-		return s.script.config.Kinds[m.Kind]
+func (s *simulation) size(m *simMachine) placer.NodeType {
+	if m.NodeType < len(s.script.config.NodeTypes) {
+		return s.script.config.NodeTypes[m.NodeType]
 	}
-	return placer.Kind{Cores: 8, Memory: 16}
+	return placer.NodeType{Cores: 8, Memory: 16}
 }
 
 func (s *simulation) listed(kind placer.ListKind) {
-	ev := placer.Event{Kind: placer.Listed, List: kind}
+	ev := placer.Event{Kind: placer.NodesListed, List: kind}
 	for _, m := range s.machines {
 		if m.removed || kind == placer.ListFailed || kind == placer.Changes && s.chance(0.6) {
 			continue
@@ -463,7 +463,7 @@
 	}
 	switch {
 	case s.chance(s.script.listFails):
-		s.subscribed = !s.script.config.MustAsk
+		s.subscribed = !s.script.config.MustPollNodes
 		s.listed(placer.ListFailed)
 	case s.chance(0.2):
 		s.listed(placer.FullList)
@@ -507,7 +507,7 @@
 	case draw < 0.55:
 		m.broken = !m.broken
 	default:
-		m.State, m.Since = placer.Ready, s.now-0.5*s.rng.Float64()
+		m.State, m.StartedAt = placer.Ready, s.now-0.5*s.rng.Float64()
 	}
 }
 
@@ -530,8 +530,8 @@
 		use = 1.3
 	}
 	r := &placer.Report{FreeCores: size.Cores - m.asked*use, FreeMemory: size.Memory - m.askedMemory*use,
-		Busy: m.asked * use / size.Cores, Queue: float64(s.rng.IntN(4))}
-	for _, field := range []*float64{&r.FreeCores, &r.FreeMemory, &r.Busy, &r.Queue} {
+		Utilization: m.asked * use / size.Cores, QueueLength: float64(s.rng.IntN(4))}
+	for _, field := range []*float64{&r.FreeCores, &r.FreeMemory, &r.Utilization, &r.QueueLength} {
 		if s.chance(0.25) {
 			*field = math.NaN()
 		}
@@ -546,7 +546,7 @@
 	t := placer.Task{ID: s.nextTask, Class: class, Tenant: s.rng.IntN(2),
 		Service: placer.ServiceID(1 + s.rng.IntN(s.script.services)),
 		Cores:   s.script.task * (0.5 + s.rng.Float64()), Memory: s.script.taskMemory * (0.5 + s.rng.Float64()),
-		Deadline: s.now + s.script.config.Classes[class].Deadline, Again: s.chance(0.1)}
+		Deadline: s.now + s.script.config.Classes[class].Deadline, IsRetry: s.chance(0.1)}
 	s.nextTask++
 	return t
 }
@@ -607,7 +607,7 @@
 }
 
 func (s *simulation) withdraw(t *simTask) {
-	s.handle(placer.Event{Kind: placer.Withdrawn, ID: t.task.ID})
+	s.handle(placer.Event{Kind: placer.Withdrawn, TaskID: t.task.ID})
 	attempt := len(t.ended) - 1
 	if attempt >= 0 && !t.ended[attempt] && s.chance(0.8-s.script.withdrawn) {
 		s.end(t, attempt, placer.Cancelled, placer.NoReason, true)
@@ -617,7 +617,7 @@
 // comesAgain lets the owner of a task that was turned away ask for it again.
 func (s *simulation) comesAgain(t *simTask) {
 	again := t.task
-	again.ID, again.Again = s.nextTask, true
+	again.ID, again.IsRetry = s.nextTask, true
 	again.Deadline = s.now + 4
 	s.nextTask++
 	s.arrive(again)
@@ -629,7 +629,7 @@
 	if attempt < 0 || t.ended[attempt] {
 		return
 	}
-	s.end(t, attempt, placer.Lost, placer.SentAway, true)
+	s.end(t, attempt, placer.Lost, placer.Drained, true)
 	s.comesAgain(t)
 }
 
@@ -645,7 +645,7 @@
 	m.asked += t.task.Cores
 	m.askedMemory += t.task.Memory
 	for range 1 + i%2 { // some are told twice
-		s.handle(placer.Event{Kind: placer.Running, Task: t.task, Node: m.ID})
+		s.handle(placer.Event{Kind: placer.Adopted, Task: t.task, Node: m.ID})
 	}
 	s.after(3+20*s.rng.Float64(), func() { s.finish(t, 0) })
 }
@@ -672,15 +672,15 @@
 	case m.removed || m.State == placer.Gone:
 		later(latency, placer.Unreachable, placer.NoReason)
 	case m.State == placer.Draining:
-		later(latency, placer.Refused, placer.NotHere)
+		later(latency, placer.Rejected, placer.WrongNode)
 	case m.broken && s.chance(0.5):
 		later(a.Until-s.now, placer.TimedOut, placer.NoReason)
 	case m.broken:
 		later(latency, placer.Errored, placer.NoReason)
-	case m.asked+t.task.Cores > size.Cores*s.script.config.BookCores:
-		later(latency, placer.Refused, placer.NoCores)
-	case m.askedMemory+t.task.Memory > size.Memory*s.script.config.BookMemory:
-		later(latency, placer.Refused, placer.NoMemory)
+	case m.asked+t.task.Cores > size.Cores*s.script.config.OvercommitCores:
+		later(latency, placer.Rejected, placer.InsufficientCores)
+	case m.askedMemory+t.task.Memory > size.Memory*s.script.config.OvercommitMemory:
+		later(latency, placer.Rejected, placer.InsufficientMemory)
 	case s.chance(s.script.failing):
 		outcome := s.drawFailure()
 		later(latency, outcome.result, outcome.reason)
@@ -697,12 +697,12 @@
 // drawFailure is how an attempt may end before its bind.
 func (s *simulation) drawFailure() outcome {
 	all := []outcome{
-		{placer.Refused, placer.NoCores}, {placer.Refused, placer.NoMemory}, {placer.Refused, placer.TooManyWait},
-		{placer.Refused, placer.NotHere}, {placer.Refused, placer.NoReason}, {placer.Refused, placer.TooManyWait},
+		{placer.Rejected, placer.InsufficientCores}, {placer.Rejected, placer.InsufficientMemory}, {placer.Rejected, placer.QueueFull},
+		{placer.Rejected, placer.WrongNode}, {placer.Rejected, placer.NoReason}, {placer.Rejected, placer.QueueFull},
 		{placer.Errored, placer.NoReason}, {placer.Errored, placer.NoReason}, {placer.TimedOut, placer.NoReason},
 		{placer.Unreachable, placer.NoReason}, {placer.Lost, placer.NoReason}, {placer.Lost, placer.Evicted},
-		{placer.Lost, placer.PushedOut}, {placer.Lost, placer.SentAway}, {placer.Cancelled, placer.NoReason},
-		{placer.Moot, placer.NoReason}, {placer.Finished, placer.NoReason},
+		{placer.Lost, placer.Preempted}, {placer.Lost, placer.Drained}, {placer.Cancelled, placer.NoReason},
+		{placer.Expired, placer.NoReason}, {placer.Finished, placer.NoReason},
 	}
 	return all[s.rng.IntN(len(all))]
 }
@@ -715,12 +715,12 @@
 	m := t.machines[attempt]
 	m.asked += t.task.Cores
 	m.askedMemory += t.task.Memory
-	ev := placer.Event{Kind: placer.Bound, ID: t.task.ID, Attempt: attempt, Node: m.ID, Elapsed: elapsed}
+	ev := placer.Event{Kind: placer.Bound, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Elapsed: elapsed}
 	s.handle(ev)
 	if s.chance(0.02) {
 		s.handle(ev) // told twice
 	}
-	for use := placer.Runs; use <= placer.NodeMemory; use++ {
+	for use := placer.Started; use <= placer.NodeMemory; use++ {
 		if s.chance(0.5) {
 			s.after(0.2+s.rng.Float64(), func() { s.note(t, attempt, use) })
 		}
@@ -728,9 +728,9 @@
 	s.after(t.lifetime, func() { s.finish(t, attempt) })
 }
 
-func (s *simulation) note(t *simTask, attempt int, use placer.UseKind) {
+func (s *simulation) note(t *simTask, attempt int, use placer.UsageKind) {
 	value := 2 * s.rng.Float64() * t.task.Cores
-	s.handle(placer.Event{Kind: placer.Noted, ID: t.task.ID, Attempt: attempt, Node: t.machines[attempt].ID, Use: use, Value: value})
+	s.handle(placer.Event{Kind: placer.UsageReported, TaskID: t.task.ID, Attempt: attempt, Node: t.machines[attempt].ID, Usage: use, Value: value})
 }
 
 // finish ends a bound task, mostly well.
@@ -752,8 +752,8 @@
 		m.asked -= t.task.Cores
 		m.askedMemory -= t.task.Memory
 	}
-	ev := placer.Event{Kind: placer.Ended, ID: t.task.ID, Attempt: attempt, Node: m.ID, Result: result, Reason: reason,
-		Elapsed: 0.1, Over: over, Report: s.report(m)}
+	ev := placer.Event{Kind: placer.Ended, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Result: result, Reason: reason,
+		Elapsed: 0.1, Final: over, Report: s.report(m)}
 	s.handle(ev)
 	if s.chance(0.02) {
 		s.handle(ev) // told twice
@@ -766,16 +766,16 @@
 	id := placer.TaskID(1 + s.rng.IntN(int(s.nextTask)))
 	node := s.machines[s.rng.IntN(len(s.machines))].ID
 	kinds := []placer.Event{
-		{Kind: placer.Bound, ID: id, Attempt: 50, Node: node},
-		{Kind: placer.Bound, ID: 1 << 40, Node: node},
-		{Kind: placer.Bound, ID: id, Attempt: -1, Node: node},
-		{Kind: placer.Ended, ID: id, Attempt: 50, Node: node, Result: placer.Lost},
-		{Kind: placer.Ended, ID: 1 << 40, Node: node},
-		{Kind: placer.Noted, ID: id, Attempt: -1, Use: placer.CoresUsed, Value: 1},
-		{Kind: placer.Noted, ID: id, Attempt: 0, Use: placer.UseKind(77), Value: 1},
-		{Kind: placer.Withdrawn, ID: 1 << 40},
-		{Kind: placer.Woken, Token: 1 << 40},
-		{Kind: placer.EventKind(200), ID: id},
+		{Kind: placer.Bound, TaskID: id, Attempt: 50, Node: node},
+		{Kind: placer.Bound, TaskID: 1 << 40, Node: node},
+		{Kind: placer.Bound, TaskID: id, Attempt: -1, Node: node},
+		{Kind: placer.Ended, TaskID: id, Attempt: 50, Node: node, Result: placer.Lost},
+		{Kind: placer.Ended, TaskID: 1 << 40, Node: node},
+		{Kind: placer.UsageReported, TaskID: id, Attempt: -1, Usage: placer.CoresUsed, Value: 1},
+		{Kind: placer.UsageReported, TaskID: id, Attempt: 0, Usage: placer.UsageKind(77), Value: 1},
+		{Kind: placer.Withdrawn, TaskID: 1 << 40},
+		{Kind: placer.TimerFired, Token: 1 << 40},
+		{Kind: placer.EventKind(200), TaskID: id},
 	}
 	s.handleAt(s.now-0.05, kinds[s.rng.IntN(len(kinds))])
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -85,7 +85,7 @@
 		shortAim: math.Inf(1),
 	}
 	for _, c := range cfg.Classes {
-		p.shortAim = min(p.shortAim, c.Aim)
+		p.shortAim = min(p.shortAim, c.LatencyObjective)
 	}
 	return p, nil
 }
@@ -97,30 +97,30 @@
 	p.out = actions
 	if !p.started {
 		p.started, p.born = true, now
-		if p.cfg.MustAsk {
+		if p.cfg.MustPollNodes {
 			p.askList()
 		}
 		p.wakeIn(nil, wakeTidy, p.jittered(tidyEvery*window))
 	}
 	p.now = max(now, p.now)
 	switch ev.Kind {
-	case Listed:
+	case NodesListed:
 		p.listed(ev)
 	case Arrived:
 		p.arrived(ev.Task)
-	case Running:
+	case Adopted:
 		p.running(ev)
 	case Bound:
 		p.bound(ev)
 	case Ended:
 		p.ended(ev)
-	case Noted:
+	case UsageReported:
 		p.noted(ev)
 	case Withdrawn:
-		if t := p.tasks[ev.ID]; t != nil {
+		if t := p.tasks[ev.TaskID]; t != nil {
 			p.close(t)
 		}
-	case Woken:
+	case TimerFired:
 		p.woken(ev.Token)
 	}
 	out := p.out
@@ -142,7 +142,7 @@
 		p.answer(t)
 		return
 	}
-	p.wakeIn(t, wakeDeadline, task.Deadline+p.cfg.AnswerSlack/2-p.now)
+	p.wakeIn(t, wakeDeadline, task.Deadline+p.cfg.AnswerGrace/2-p.now)
 	p.place(t)
 }
 
@@ -196,7 +196,7 @@
 	if ev.List == ListFailed {
 		p.subscribed = false
 		p.listFails++
-		back := min(p.cfg.AskWithin/2, p.shortAim*math.Exp2(float64(min(p.listFails, 6))))
+		back := min(p.cfg.MaxPollInterval/2, p.shortAim*math.Exp2(float64(min(p.listFails, 6))))
 		p.wakeIn(nil, wakeList, p.jittered(back))
 		return
 	}
@@ -210,13 +210,13 @@
 	}
 	for _, n := range ev.Nodes {
 		m := p.machine(n.ID)
-		if m.known && n.Since != m.Since {
+		if m.known && n.StartedAt != m.StartedAt {
 			m.strikes, m.avoidUntil, m.fullUntil, m.kept = 0, 0, 0, m.kept[:0]
 			m.pending, m.reported = m.pending[:0], false
 		}
 		m.Node, m.known = n, true
-		if n.Kind >= 0 && n.Kind < len(p.cfg.Kinds) {
-			m.cores, m.memory = p.cfg.Kinds[n.Kind].Cores, p.cfg.Kinds[n.Kind].Memory
+		if n.NodeType >= 0 && n.NodeType < len(p.cfg.NodeTypes) {
+			m.cores, m.memory = p.cfg.NodeTypes[n.NodeType].Cores, p.cfg.NodeTypes[n.NodeType].Memory
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	if !p.agreed() {
 		p.pool = prefer(p.pool, calm)
 	}
-	if !(p.cfg.CrossPrice > 0) {
+	if !(p.cfg.CrossZoneCost > 0) {
 		return p.pool
 	}
 	// Tasks in another zone have a price here: own machines first, while they have room.
@@ -261,7 +261,7 @@
 // small one, then by number. What the list shows as asked, at the learned use, must fit the open ones with
 // some room.
 func (p *Placer) pack() {
-	if !(p.cfg.FleetPrice > 0) || !p.cfg.ListShowsRoom || p.packed && p.now-p.packedAt < window/20 {
+	if !(p.cfg.NodeCost > 0) || !p.cfg.ListShowsCapacity || p.packed && p.now-p.packedAt < window/20 {
 		return
 	}
 	p.packed, p.packedAt = true, p.now
@@ -279,7 +279,7 @@
 	}
 	calm := math.Inf(1)
 	for _, k := range p.cfg.Classes {
-		calm = min(calm, k.CalmUpTo)
+		calm = min(calm, k.SaturationThreshold)
 	}
 	uc, um = ac*p.useCores.mean, am*p.useMemory.mean
 	slices.SortFunc(p.sorted, func(a, b *machine) int {
@@ -296,7 +296,7 @@
 		}
 		was := m.reserve
 		m.reserve = i > 1 && uc <= c*calm*to && um <= mem*memoryTight*to &&
-			ac <= c*p.cfg.BookCores*to && am <= mem*p.cfg.BookMemory*to
+			ac <= c*p.cfg.OvercommitCores*to && am <= mem*p.cfg.OvercommitMemory*to
 		if m.reserve && !was {
 			m.reserveSince = p.now
 		}
@@ -311,7 +311,7 @@
 // until the longest of them ends. It must be nearly empty, so that peers who do the same move few tasks.
 func (p *Placer) tidy() {
 	p.pack()
-	if p.cfg.FleetPrice <= p.cfg.MovePrice {
+	if p.cfg.NodeCost <= p.cfg.MigrationCost {
 		return
 	}
 	for _, m := range p.sorted {
@@ -325,7 +325,7 @@
 			continue
 		}
 		a.t.moved = true
-		p.out = append(p.out, Action{Kind: Move, Task: a.t.ID})
+		p.out = append(p.out, Action{Kind: Migrate, Task: a.t.ID})
 		return
 	}
 }
@@ -358,7 +358,7 @@
 	if !heard {
 		return true
 	}
-	if c+(p.cfg.BookCores-1)*m.cores < t.Cores || mem+(p.cfg.BookMemory-1)*m.memory < t.Memory {
+	if c+(p.cfg.OvercommitCores-1)*m.cores < t.Cores || mem+(p.cfg.OvercommitMemory-1)*m.memory < t.Memory {
 		return false
 	}
 	// Accepting is not serving: memory in use near the size slows all tasks or evicts them, and these come
@@ -372,29 +372,30 @@
 				rm += d.memory * p.useMemory.mean
 			}
 		}
-		if !math.IsNaN(m.report.Busy) {
-			uc = m.report.Busy*m.cores + rc
-		} else if p.cfg.ReportsUse && !math.IsNaN(m.report.FreeCores) {
+		if !math.IsNaN(m.report.Utilization) {
+			uc = m.report.Utilization*m.cores + rc
+		} else if p.cfg.ReportsUsage && !math.IsNaN(m.report.FreeCores) {
 			uc = m.cores - m.report.FreeCores + rc
 		}
-		if p.cfg.ReportsUse && !math.IsNaN(m.report.FreeMemory) {
+		if p.cfg.ReportsUsage && !math.IsNaN(m.report.FreeMemory) {
 			um = max(um, m.memory-m.report.FreeMemory+rm) // memory of young tasks still grows
 		}
 	}
 	k := &p.cfg.Classes[t.Class]
-	m.busyAfter = (uc+t.Cores*p.useCores.mean)/m.cores - (k.CalmUpTo + k.FadesOver*fadeBorne)
-	return !p.cfg.ReportsUse || um+t.Memory*p.useMemory.mean <= memoryTight*m.memory
+	threshold := k.SaturationThreshold + k.DegradationRange*fadeBorne
+	m.busyAfter = (uc+t.Cores*p.useCores.mean)/m.cores - threshold
+	return !p.cfg.ReportsUsage || um+t.Memory*p.useMemory.mean <= memoryTight*m.memory
 }
 
 // noted learns from news of an own task. What it uses of what it asked stands for all tasks until a machine
 // has told: with few tasks a scheduler waits long for that and would take too many machines for needed.
 func (p *Placer) noted(ev Event) {
-	t := p.tasks[ev.ID]
+	t := p.tasks[ev.TaskID]
 	if t == nil || ev.Attempt < 0 || ev.Attempt >= len(t.attempts) {
 		return
 	}
-	switch use := &p.useCores; ev.Use {
-	case Runs:
+	switch use := &p.useCores; ev.Usage {
+	case Started:
 		if t.attempts[ev.Attempt].fresh {
 			p.fresh[t.Class].add(p.now-t.attempts[ev.Attempt].sent, learn)
 		}
@@ -403,7 +404,7 @@
 		fallthrough
 	case CoresUsed:
 		asked := t.Cores
-		if ev.Use == MemoryUsed {
+		if ev.Usage == MemoryUsed {
 			asked = t.Memory
 		}
 		if asked > 0 {
@@ -418,12 +419,12 @@
 	if !heard || m.cores-c < m.cores*enoughAsked || m.memory-mem < m.memory*enoughAsked {
 		return
 	}
-	if r := m.report.Busy; !math.IsNaN(r) {
+	if r := m.report.Utilization; !math.IsNaN(r) {
 		p.useCores.add(r*m.cores/(m.cores-c), learn/2)
-	} else if r := m.report.FreeCores; p.cfg.ReportsUse && !math.IsNaN(r) {
+	} else if r := m.report.FreeCores; p.cfg.ReportsUsage && !math.IsNaN(r) {
 		p.useCores.add((m.cores-r)/(m.cores-c), learn/2)
 	}
-	if r := m.report.FreeMemory; p.cfg.ReportsUse && !math.IsNaN(r) {
+	if r := m.report.FreeMemory; p.cfg.ReportsUsage && !math.IsNaN(r) {
 		p.useMemory.add((m.memory-r)/(m.memory-mem), learn/2)
 	}
 }
@@ -433,9 +434,9 @@
 func (p *Placer) room(m *machine) (cores, memory float64, heard bool) {
 	m.dropBefore(p.now - window)
 	switch {
-	case p.cfg.ListShowsRoom && m.known:
+	case p.cfg.ListShowsCapacity && m.known:
 		cores, memory = m.FreeCores, m.FreeMemory
-	case m.reported && !p.cfg.ReportsUse && p.now-m.reportAt < staleReport*window:
+	case m.reported && !p.cfg.ReportsUsage && p.now-m.reportAt < staleReport*window:
 		cores, memory = m.report.FreeCores, m.report.FreeMemory
 	default:
 		return m.cores / 2, m.memory / 2, false
@@ -471,7 +472,7 @@
 
 // agreed says whether it is known where a service runs: its tasks come to one scheduler, or to so many that
 // they go by its number. Then the program comes before calm cores, else the other way round.
-func (p *Placer) agreed() bool { return p.cfg.ServicesStay || p.cfg.Peers > 2*homes }
+func (p *Placer) agreed() bool { return p.cfg.StickyServices || p.cfg.Peers > 2*homes }
 
 // pair draws two of the set at random, again while both are crowded. If every pair was crowded the last
 // stands, less crowded first: holding the task back helps nobody.
@@ -512,7 +513,7 @@
 // crowded ones. What is drawn stays uniform over all that passed.
 func (p *Placer) slowFresh(t *ask) bool {
 	f := &p.fresh[t.Class]
-	return f.n == 0 || f.mean+f.dev > p.cfg.Classes[t.Class].Aim/2
+	return f.n == 0 || f.mean+f.dev > p.cfg.Classes[t.Class].LatencyObjective/2
 }
 
 // likely moves the machines that are likely to have the service's program to the front of the set and returns
@@ -526,7 +527,7 @@
 			n++
 		}
 	}
-	if p.cfg.ServicesStay || !p.agreed() {
+	if p.cfg.StickyServices || !p.agreed() {
 		return set[:n]
 	}
 	for _, m := range set {
@@ -592,7 +593,7 @@
 
 // place takes the next step for a task that has no offer out: the other of the pair, a fresh pair, or a wait.
 func (p *Placer) place(t *ask) {
-	if len(t.attempts) >= p.cfg.MaxAttempts || !p.mayRetry(t) || t.Deadline-p.now <= p.cfg.AnswerSlack {
+	if len(t.attempts) >= p.cfg.MaxAttempts || !p.mayRetry(t) || t.Deadline-p.now <= p.cfg.AnswerGrace {
 		p.answer(t)
 		return
 	}
@@ -606,7 +607,7 @@
 	first, second := p.draw(t)
 	if first == nil {
 		about := lateWait * wait
-		if p.now < t.arrived+p.cfg.Classes[t.Class].Aim {
+		if p.now < t.arrived+p.cfg.Classes[t.Class].LatencyObjective {
 			about = inAimWait * wait
 		}
 		p.hold(t, about)
@@ -625,18 +626,18 @@
 		m.coldSends = append(m.coldSends, p.now)
 	}
 	p.addService(a)
-	p.out = append(p.out, Action{Kind: Offer, Task: t.ID, Node: m.ID, Attempt: len(t.attempts) - 1,
+	p.out = append(p.out, Action{Kind: StartAttempt, Task: t.ID, Node: m.ID, Attempt: len(t.attempts) - 1,
 		Until: min(t.Deadline, p.now+p.patience(t))})
 }
 
 // patience is how long an offer may go unanswered.
 func (p *Placer) patience(t *ask) float64 {
 	c, seen := &p.cfg.Classes[t.Class], &p.answers[t.Class]
-	least := c.Aim / 2
-	if p.cfg.AnswersWhenRunning {
+	least := c.LatencyObjective / 2
+	if p.cfg.AcknowledgesOnStart {
 		return c.Deadline * runPatience
-	} else if c.Effect == Once {
-		least = 2 * c.Aim
+	} else if c.Idempotency == NonIdempotent {
+		least = 2 * c.LatencyObjective
 	}
 	if seen.n == 0 {
 		return max(least, c.Deadline/4)
@@ -646,7 +647,7 @@
 
 // hold waits about so long and then draws afresh; too near the deadline it answers instead.
 func (p *Placer) hold(t *ask, about float64) {
-	after := min(p.jittered(about), t.Deadline-p.cfg.AnswerSlack-p.now)
+	after := min(p.jittered(about), t.Deadline-p.cfg.AnswerGrace-p.now)
 	if after <= 0 {
 		p.answer(t)
 		return
@@ -662,7 +663,7 @@
 // ---- outcome ----
 
 func (p *Placer) bound(ev Event) {
-	t := p.tasks[ev.ID]
+	t := p.tasks[ev.TaskID]
 	if t == nil || ev.Attempt < 0 || ev.Attempt >= len(t.attempts) {
 		return
 	}
@@ -676,7 +677,7 @@
 	p.rebook(m, a.sent, t, true)
 	m.hold(a)
 	p.answers[t.Class].add(ev.Elapsed, learn)
-	if p.cfg.AnswersWhenRunning && a.fresh {
+	if p.cfg.AcknowledgesOnStart && a.fresh {
 		p.fresh[t.Class].add(ev.Elapsed, learn)
 	}
 	p.worked(m)
@@ -685,7 +686,7 @@
 }
 
 func (p *Placer) ended(ev Event) {
-	t := p.tasks[ev.ID]
+	t := p.tasks[ev.TaskID]
 	if t == nil || ev.Attempt < 0 || ev.Attempt >= len(t.attempts) || !t.attempts[ev.Attempt].out {
 		return
 	}
@@ -709,13 +710,13 @@
 	}
 	p.judge(ev, a)
 	switch ev.Result {
-	case Refused, Unreachable, Moot:
+	case Rejected, Unreachable, Expired:
 	default:
 		if !a.bound && t.doubt == nil {
 			t.doubt = a
 		}
 	}
-	if ev.Over || a.bound {
+	if ev.Final || a.bound {
 		p.close(t)
 	}
 	if t.over {
@@ -727,7 +728,7 @@
 
 // next decides what follows an attempt that did not place the task.
 func (p *Placer) next(t *ask, ev Event) {
-	if ev.Result == Refused && ev.Reason != NotHere {
+	if ev.Result == Rejected && ev.Reason != WrongNode {
 		t.refusals++
 		if t.other == nil && t.refusals >= 2 {
 			p.hold(t, wait)
@@ -743,10 +744,10 @@
 func (p *Placer) judge(ev Event, a *attempt) {
 	m := a.m
 	switch ev.Result {
-	case Refused:
-		if ev.Reason != NotHere {
+	case Rejected:
+		if ev.Reason != WrongNode {
 			m.fullUntil = p.now + wait
-		} else if p.cfg.Classes[a.t.Class].Effect != Keyed {
+		} else if p.cfg.Classes[a.t.Class].Idempotency != IdempotentByKey {
 			p.strike(m) // it drains, before the list says so; of a keyed task a copy may stand
 		}
 	case Errored:
@@ -754,7 +755,7 @@
 	case Unreachable, TimedOut:
 		p.strike(m)
 	case Lost:
-		if ev.Reason == NoReason || ev.Reason == SentAway {
+		if ev.Reason == NoReason || ev.Reason == Drained {
 			p.strike(m)
 		}
 	}
@@ -806,7 +807,7 @@
 	if m.strikes == 0 {
 		return true
 	}
-	return p.now >= m.avoidUntil && m.open == 0 && p.cfg.Classes[t.Class].Effect != Once
+	return p.now >= m.avoidUntil && m.open == 0 && p.cfg.Classes[t.Class].Idempotency != NonIdempotent
 }
 
 // ---- rule guards ----
@@ -822,8 +823,9 @@
 	if !m.known || m.State != Ready || m.cores <= 0 {
 		return false
 	}
-	if c.NodeKind >= 0 && c.NodeKind != m.Kind ||
-		t.doubt != nil && !(p.mayRetry(t) && (c.Effect == Repeatable || together(c.Group, t.doubt.m, m))) {
+	if c.NodeType >= 0 && c.NodeType != m.NodeType ||
+		t.doubt != nil && !(p.mayRetry(t) &&
+			(c.Idempotency == Idempotent || together(c.DedupDomain, t.doubt.m, m))) {
 		return false
 	}
 	return p.coldAllows(m) && p.spreadAllows(t, m)
@@ -834,17 +836,17 @@
 	if t.doubt == nil {
 		return true
 	}
-	switch c := &p.cfg.Classes[t.Class]; c.Effect {
-	case Repeatable:
+	switch c := &p.cfg.Classes[t.Class]; c.Idempotency {
+	case Idempotent:
 		return true
-	case Keyed:
-		return p.now < t.doubt.sent+keepMargin*c.Remembers
+	case IdempotentByKey:
+		return p.now < t.doubt.sent+keepMargin*c.DedupWindow
 	}
 	return false
 }
 
 func (p *Placer) cold(m *machine) bool {
-	return m.Since > 0 && p.now-m.Since < p.cfg.WarmWithin
+	return m.StartedAt > 0 && p.now-m.StartedAt < p.cfg.WarmupDuration
 }
 
 // coldAllows keeps this scheduler within its part of the offers that a cold machine always bears. All parts
@@ -855,12 +857,12 @@
 	if !p.cold(m) {
 		return true
 	}
-	span := coldMargin * p.cfg.FallWindow
-	if p.now-p.born < span && p.born-m.Since < p.cfg.WarmWithin && p.born > m.Since {
+	span := coldMargin * p.cfg.OverloadWindow
+	if p.now-p.born < span && p.born-m.StartedAt < p.cfg.WarmupDuration && p.born > m.StartedAt {
 		return false
 	}
 	m.dropSends(p.now - span)
-	all, peers := max(p.cfg.ColdAlways, 0), float64(p.cfg.Peers)
+	all, peers := max(p.cfg.WarmupAttempts, 0), float64(p.cfg.Peers)
 	part := math.Floor(all / peers)
 	place := math.Floor(chance(uint64(m.ID), 0) * peers)
 	if math.Mod(place+float64(p.cfg.Self), peers) < math.Floor(all-part*peers) {
@@ -873,28 +875,28 @@
 // that no list has named might stand anywhere, so it counts everywhere.
 func (p *Placer) spreadAllows(t *ask, m *machine) bool {
 	c := &p.cfg.Classes[t.Class]
-	if c.Apart == NoPlace {
+	if c.SpreadDomain == NoDomain {
 		return true
 	}
 	n := 1
 	for _, a := range p.byService[t.Service] {
-		if a.m == m || c.Apart != OneNode && (!a.m.known || together(c.Apart, a.m, m)) {
+		if a.m == m || c.SpreadDomain != NodeDomain && (!a.m.known || together(c.SpreadDomain, a.m, m)) {
 			n++
 		}
 	}
-	return n <= c.Most
+	return n <= c.MaxPerDomain
 }
 
 // askList asks for the list with changes from now on, and sees to it that it is asked again if nothing comes.
 func (p *Placer) askList() {
 	p.listAsked = p.now
-	p.out = append(p.out, Action{Kind: Watch})
-	p.wakeIn(nil, wakeList, p.jittered(p.cfg.AskWithin/2))
+	p.out = append(p.out, Action{Kind: WatchNodes})
+	p.wakeIn(nil, wakeList, p.jittered(p.cfg.MaxPollInterval/2))
 }
 
 // checkList asks again after a failure, or when a subscription has been silent for long.
 func (p *Placer) checkList() {
-	quiet := p.cfg.AskWithin / 3
+	quiet := p.cfg.MaxPollInterval / 3
 	if !p.subscribed && p.now-p.listAsked > p.shortAim || p.now-max(p.listHeard, p.listAsked) > quiet {
 		p.askList()
 	} else {
@@ -910,10 +912,10 @@
 	ok := t.outstanding() == nil
 	if ok && t.doubt != nil {
 		c := &p.cfg.Classes[t.Class]
-		ok = c.Effect == Repeatable || c.Effect == Keyed && c.Group == Everywhere
+		ok = c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupDomain == ClusterDomain
 	}
 	if ok {
-		p.out = append(p.out, Action{Kind: Refuse, Task: t.ID})
+		p.out = append(p.out, Action{Kind: Reject, Task: t.ID})
 	} else {
 		p.out = append(p.out, Action{Kind: Fail, Task: t.ID})
 	}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -16,16 +16,16 @@
 	return Config{
 		Peers: 2,
 		Classes: []Class{
-			{Aim: 1, Deadline: 5, NodeKind: -1, CalmUpTo: 1, FadesOver: 1, Worth: 1},
-			{Aim: 1, Deadline: 6, NodeKind: -1, CalmUpTo: 1, FadesOver: 1, Worth: 3, Effect: Once, Apart: OneNode, Most: 2},
-			{Aim: 1, Deadline: 6, NodeKind: -1, CalmUpTo: 1, FadesOver: 1, Worth: 3, Effect: Keyed, Group: Rack,
-				Remembers: 4, Apart: Rack, Most: 3},
-			{Aim: 1, Deadline: 5, NodeKind: 1, CalmUpTo: 1, FadesOver: 1, Worth: 1},
+			{LatencyObjective: 1, Deadline: 5, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
+			{LatencyObjective: 1, Deadline: 6, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 3, Idempotency: NonIdempotent, SpreadDomain: NodeDomain, MaxPerDomain: 2},
+			{LatencyObjective: 1, Deadline: 6, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 3, Idempotency: IdempotentByKey, DedupDomain: RackDomain,
+				DedupWindow: 4, SpreadDomain: RackDomain, MaxPerDomain: 3},
+			{LatencyObjective: 1, Deadline: 5, NodeType: 1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
 		},
-		Kinds:     []Kind{{16, 32}, {32, 64}},
-		BookCores: 1, BookMemory: 1, ListShowsRoom: true, MaxAttempts: 4, ConnectWithin: 0.25, AnswerSlack: 0.01,
-		DrainGrace: 1, ColdFrom: 0.2, WarmWithin: 10, FallMultiple: 2, FallWindow: 2, ColdAlways: 8, AskWithin: 10,
-		SettleAfter: 3, ServicesStay: true,
+		NodeTypes:       []NodeType{{16, 32}, {32, 64}},
+		OvercommitCores: 1, OvercommitMemory: 1, ListShowsCapacity: true, MaxAttempts: 4, ConnectTimeout: 0.25, AnswerGrace: 0.01,
+		DrainGrace: 1, WarmupMinPace: 0.2, WarmupDuration: 10, OverloadMultiple: 2, OverloadWindow: 2, WarmupAttempts: 8, MaxPollInterval: 10,
+		UnknownOutcomeWait: 3, StickyServices: true,
 	}
 }
 
@@ -33,7 +33,7 @@
 	var out []Node
 	for i := range n {
 		kind := i % 2
-		out = append(out, Node{ID: NodeID(i + 1), Rack: i / 3, Zone: i % 2, Kind: kind, State: Ready,
+		out = append(out, Node{ID: NodeID(i + 1), Rack: i / 3, Zone: i % 2, NodeType: kind, State: Ready,
 			FreeCores: float64(16 * (kind + 1)), FreeMemory: float64(32 * (kind + 1))})
 	}
 	return out
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Handle(100, Event{Kind: Listed, List: CachedList, Nodes: nodes}, nil)
+	p.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
 	return p
 }
 
@@ -69,7 +69,7 @@
 
 func offered(t testing.TB, acts []Action) Action {
 	t.Helper()
-	o := only(acts, Offer)
+	o := only(acts, StartAttempt)
 	if len(o) != 1 {
 		t.Fatalf("want one offer, got %+v", acts)
 	}
@@ -77,19 +77,19 @@
 }
 
 func end(p *Placer, now float64, o Action, r Result, why Reason) []Action {
-	return p.Handle(now, Event{Kind: Ended, ID: o.Task, Attempt: o.Attempt, Node: o.Node, Result: r, Reason: why}, nil)
+	return p.Handle(now, Event{Kind: Ended, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Result: r, Reason: why}, nil)
 }
 
 func bind(p *Placer, now float64, o Action) []Action {
-	return p.Handle(now, Event{Kind: Bound, ID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: 0.01}, nil)
+	return p.Handle(now, Event{Kind: Bound, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: 0.01}, nil)
 }
 
 func TestNewNamesWhatIsUnusable(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"classes": func(c *Config) { c.Classes = nil }, "kinds": func(c *Config) { c.Kinds = nil },
-		"peers": func(c *Config) { c.Peers = 0 }, "aim": func(c *Config) { c.Classes[0].Aim = math.NaN() },
-		"cores": func(c *Config) { c.Kinds[0].Cores = 0 }, "self": func(c *Config) { c.Self = c.Peers },
-		"fleet price": func(c *Config) { c.FleetPrice = -1 }, "fall window": func(c *Config) { c.FallWindow = math.NaN() },
+		"classes": func(c *Config) { c.Classes = nil }, "kinds": func(c *Config) { c.NodeTypes = nil },
+		"peers": func(c *Config) { c.Peers = 0 }, "aim": func(c *Config) { c.Classes[0].LatencyObjective = math.NaN() },
+		"cores": func(c *Config) { c.NodeTypes[0].Cores = 0 }, "self": func(c *Config) { c.Self = c.Peers },
+		"fleet price": func(c *Config) { c.NodeCost = -1 }, "fall window": func(c *Config) { c.OverloadWindow = math.NaN() },
 	} {
 		c := config()
 		spoil(&c)
@@ -106,12 +106,12 @@
 		nodes := fleet(6)
 		for i := range nodes { // node 1 the fullest, node 6 the emptiest, by free share
 			share := float64(i+1) / 8
-			size := float64(16 * (nodes[i].Kind + 1))
+			size := float64(16 * (nodes[i].NodeType + 1))
 			nodes[i].FreeCores, nodes[i].FreeMemory = size*share, size*2*share
 		}
 		p := start(t, config(), uint64(s), nodes)
 		o := offered(t, arrive(p, 100.1, task(1, 0)))
-		second := offered(t, end(p, 100.2, o, Refused, NoCores))
+		second := offered(t, end(p, 100.2, o, Rejected, InsufficientCores))
 		if second.Node > o.Node {
 			t.Fatalf("seed %d: fuller machine %d was offered to before %d", s, o.Node, second.Node)
 		}
@@ -160,16 +160,16 @@
 func TestBothRefusedWaitsAndDrawsAfresh(t *testing.T) {
 	p := start(t, config(), 7, fleet(6))
 	o := offered(t, arrive(p, 100.1, task(1, 0)))
-	o2 := offered(t, end(p, 100.2, o, Refused, NoCores))
+	o2 := offered(t, end(p, 100.2, o, Rejected, InsufficientCores))
 	if o2.Node == o.Node {
 		t.Fatal("the second offer went to the machine that refused")
 	}
-	acts := end(p, 100.3, o2, Refused, NoCores)
-	w := only(acts, Wake)
-	if len(only(acts, Offer)) != 0 || len(w) != 1 || w[0].After < 0.5 || w[0].After > 1.5 {
+	acts := end(p, 100.3, o2, Rejected, InsufficientCores)
+	w := only(acts, SetTimer)
+	if len(only(acts, StartAttempt)) != 0 || len(w) != 1 || w[0].After < 0.5 || w[0].After > 1.5 {
 		t.Fatalf("want a wait of about a second, got %+v", acts)
 	}
-	offered(t, p.Handle(100.3+w[0].After, Event{Kind: Woken, Token: w[0].Token}, nil))
+	offered(t, p.Handle(100.3+w[0].After, Event{Kind: TimerFired, Token: w[0].Token}, nil))
 }
 
 func TestOnceIsNeverRepeatedAfterDoubt(t *testing.T) {
@@ -177,14 +177,14 @@
 		p := start(t, config(), 3, fleet(6))
 		o := offered(t, arrive(p, 100.1, task(1, 1)))
 		acts := end(p, 100.5, o, r, NoReason)
-		if len(only(acts, Offer))+len(only(acts, Refuse)) != 0 || len(only(acts, Fail)) != 1 {
+		if len(only(acts, StartAttempt))+len(only(acts, Reject)) != 0 || len(only(acts, Fail)) != 1 {
 			t.Errorf("result %d: %+v", r, acts)
 		}
 	}
-	for _, r := range []Result{Refused, Unreachable, Moot} {
+	for _, r := range []Result{Rejected, Unreachable, Expired} {
 		p := start(t, config(), 3, fleet(6))
 		o := offered(t, arrive(p, 100.1, task(1, 1)))
-		if acts := end(p, 100.5, o, r, NotHere); len(only(acts, Offer)) != 1 {
+		if acts := end(p, 100.5, o, r, WrongNode); len(only(acts, StartAttempt)) != 1 {
 			t.Errorf("result %d proves that nothing ran, got %+v", r, acts)
 		}
 	}
@@ -198,8 +198,8 @@
 		if (o2.Node-1)/3 != (o.Node-1)/3 {
 			t.Fatalf("seed %d: repeat left the rack", s)
 		}
-		acts := end(p, 104.2, o2, Refused, NoCores) // past what the rack remembers
-		if len(only(acts, Offer))+len(only(acts, Refuse)) != 0 || len(only(acts, Fail)) != 1 {
+		acts := end(p, 104.2, o2, Rejected, InsufficientCores) // past what the rack remembers
+		if len(only(acts, StartAttempt))+len(only(acts, Reject)) != 0 || len(only(acts, Fail)) != 1 {
 			t.Fatalf("seed %d: after the window: %+v", s, acts)
 		}
 	}
@@ -209,10 +209,10 @@
 	nodes := fleet(4)
 	p := start(t, config(), 1, nodes)
 	nodes[0].State = Draining
-	p.Handle(100.1, Event{Kind: Listed, List: Changes, Nodes: nodes[:1]}, nil)
-	p.Handle(100.2, Event{Kind: Listed, List: FullList, Nodes: append([]Node{nodes[0]}, nodes[2:]...)}, nil)
+	p.Handle(100.1, Event{Kind: NodesListed, List: Changes, Nodes: nodes[:1]}, nil)
+	p.Handle(100.2, Event{Kind: NodesListed, List: FullList, Nodes: append([]Node{nodes[0]}, nodes[2:]...)}, nil)
 	for i := range 40 {
-		for _, o := range only(arrive(p, 100.3, task(i+1, 0)), Offer) {
+		for _, o := range only(arrive(p, 100.3, task(i+1, 0)), StartAttempt) {
 			if o.Node <= 2 {
 				t.Fatalf("offer to machine %d, which drains or is gone", o.Node)
 			}
@@ -222,16 +222,16 @@
 
 func TestColdMachineGetsOnlyOwnPart(t *testing.T) {
 	nodes := fleet(1)
-	nodes[0].Since = 98
+	nodes[0].StartedAt = 98
 	p := start(t, config(), 1, nodes)
-	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, StartAttempt)) != 0 {
 		t.Fatal("a scheduler that just started does not know what it sent before, yet offered")
 	}
 	n := 0
 	for i := range 20 {
 		k := task(i+10, 0)
 		k.Deadline = 109
-		n += len(only(arrive(p, 103+float64(i)/20, k), Offer))
+		n += len(only(arrive(p, 103+float64(i)/20, k), StartAttempt))
 	}
 	if n != 4 { // 8 always borne, two peers
 		t.Fatalf("%d offers in a fall window, want this scheduler's part of 4", n)
@@ -245,12 +245,12 @@
 	for self := range c.Peers {
 		c.Self = self
 		nodes := fleet(1)
-		nodes[0].Since = 98
+		nodes[0].StartedAt = 98
 		p := start(t, c, uint64(self), nodes)
 		for i := range 20 {
 			k := task(i+1, 0)
 			k.Deadline = 109
-			sent += len(only(arrive(p, 103+float64(i)/10, k), Offer))
+			sent += len(only(arrive(p, 103+float64(i)/10, k), StartAttempt))
 		}
 	}
 	if sent == 0 || sent > 8 {
@@ -260,17 +260,17 @@
 
 func TestSpreadCountsOffersAndRunningTasks(t *testing.T) {
 	p := start(t, config(), 1, fleet(1))
-	p.Handle(100, Event{Kind: Running, Node: 1, Task: Task{ID: 900, Class: 1, Service: 5, Cores: 1, Memory: 1}}, nil)
+	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Class: 1, Service: 5, Cores: 1, Memory: 1}}, nil)
 	k := task(1, 1)
 	k.Service = 5
 	o := offered(t, arrive(p, 100.1, k))
 	k.ID = 2
-	if acts := arrive(p, 100.2, k); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.2, k); len(only(acts, StartAttempt)) != 0 {
 		t.Fatal("a third of the service on one machine")
 	}
-	p.Handle(100.3, Event{Kind: Withdrawn, ID: o.Task}, nil) // the attempt is still out and still counts
+	p.Handle(100.3, Event{Kind: Withdrawn, TaskID: o.Task}, nil) // the attempt is still out and still counts
 	k.ID = 3
-	if acts := arrive(p, 100.4, k); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.4, k); len(only(acts, StartAttempt)) != 0 {
 		t.Fatal("an attempt without an outcome did not count")
 	}
 	end(p, 100.5, o, Cancelled, NoReason)
@@ -287,7 +287,7 @@
 		k := task(i+1, 0)
 		spoil(&k)
 		acts := arrive(p, 100.1, k)
-		if len(only(acts, Offer)) != 0 || len(only(acts, Refuse)) != 1 {
+		if len(only(acts, StartAttempt)) != 0 || len(only(acts, Reject)) != 1 {
 			t.Errorf("case %d: %+v", i, acts)
 		}
 	}
@@ -296,11 +296,11 @@
 // A machine full of memory by use, not by ask, evicts: the tasks come again and evict others.
 func TestMemoryInUseMakesAMachineFull(t *testing.T) {
 	c := config()
-	c.BookCores, c.BookMemory, c.ReportsUse = 4, 4, true
+	c.OvercommitCores, c.OvercommitMemory, c.ReportsUsage = 4, 4, true
 	nodes := fleet(1)
 	nodes[0].FreeMemory = 2
 	p := start(t, c, 1, nodes)
-	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, StartAttempt)) != 0 {
 		t.Fatal("offer to a machine whose memory is nearly in use")
 	}
 	p.useMemory.mean = 0.5 // tasks use half of what they ask
@@ -312,7 +312,7 @@
 	hits := 0
 	for s := range 100 {
 		p := start(t, config(), uint64(s), fleet(4))
-		p.Handle(100, Event{Kind: Running, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+		p.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 		k := task(1, 0)
 		k.Service = 5
 		if offered(t, arrive(p, 100.1, k)).Node == 2 {
@@ -332,7 +332,7 @@
 // A slow start is not a silent machine.
 func TestPatienceWhereAnswersAreStarts(t *testing.T) {
 	c := config()
-	c.AnswersWhenRunning = true
+	c.AcknowledgesOnStart = true
 	p := start(t, c, 1, fleet(4))
 	for range 50 {
 		p.answers[0].add(0.05, learn)
@@ -345,10 +345,10 @@
 // Machines beyond need hold the price of their last tasks until the longest ends.
 func TestReserveGetsNoOffersAndIsTidied(t *testing.T) {
 	c := config()
-	c.FleetPrice, c.MovePrice = 0.2, 0.05
+	c.NodeCost, c.MigrationCost = 0.2, 0.05
 	nodes := fleet(6)
 	p := start(t, c, 1, nodes)
-	p.Handle(100, Event{Kind: Running, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 	for i := range 20 {
 		if o := offered(t, arrive(p, 100.1+float64(i)/100, task(i+1, 0))); p.byID[o.Node].reserve {
 			t.Fatalf("offer to machine %d in reserve", o.Node)
@@ -361,7 +361,7 @@
 		p.now = 101 + float64(i)/10
 		p.out = nil
 		p.tidy()
-		for _, a := range only(p.out, Move) {
+		for _, a := range only(p.out, Migrate) {
 			if a.Task != 900 || moved {
 				t.Fatalf("moved %+v", a)
 			}
@@ -398,7 +398,7 @@
 	for i := range 10 {
 		at := 100 + 0.3*float64(i)
 		o := offered(t, arrive(p, at, task(i+1, 0)))
-		errs := Event{Kind: Ended, ID: o.Task, Node: o.Node, Attempt: o.Attempt, Result: Errored}
+		errs := Event{Kind: Ended, TaskID: o.Task, Node: o.Node, Attempt: o.Attempt, Result: Errored}
 		again := offered(t, p.Handle(at+0.01, errs, nil))
 		if m := p.byID[o.Node]; m.strikes != 1 || again.Node == o.Node {
 			t.Fatalf("after one error: %d strikes, next %d of %d", m.strikes, again.Node, o.Node)
@@ -419,10 +419,10 @@
 		now := 100 + float64(i)
 		was, next := Node{ID: NodeID(i + 1), State: Gone}, fleet(1)[0]
 		next.ID = NodeID(i + 5)
-		p.Handle(now, Event{Kind: Listed, List: Changes, Nodes: []Node{was, next}}, nil)
+		p.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{was, next}}, nil)
 		for token, w := range p.wakes {
 			if w.kind == wakeTidy {
-				p.Handle(now, Event{Kind: Woken, Token: token}, nil)
+				p.Handle(now, Event{Kind: TimerFired, Token: token}, nil)
 				break
 			}
 		}
@@ -434,27 +434,27 @@
 
 func TestListIsAskedAgain(t *testing.T) {
 	c := config()
-	c.MustAsk = true
+	c.MustPollNodes = true
 	p, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	acts := p.Handle(100, Event{Kind: Listed, List: CachedList, Nodes: fleet(2)}, nil)
-	if len(only(acts, Watch)) != 1 {
+	acts := p.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: fleet(2)}, nil)
+	if len(only(acts, WatchNodes)) != 1 {
 		t.Fatal("the list was not asked for")
 	}
 	now := 100.0
 	for range 5 { // each failure leads to another call, well inside the stated time
-		acts = p.Handle(now, Event{Kind: Listed, List: ListFailed}, nil)
+		acts = p.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
 		asked := now
-		for len(only(acts, Watch)) == 0 {
-			w := only(acts, Wake)
+		for len(only(acts, WatchNodes)) == 0 {
+			w := only(acts, SetTimer)
 			if len(w) != 1 {
 				t.Fatalf("no wake for the list: %+v", acts)
 			}
 			now += w[0].After
-			acts = p.Handle(now, Event{Kind: Woken, Token: w[0].Token}, nil)
-			if now-asked > c.AskWithin {
+			acts = p.Handle(now, Event{Kind: TimerFired, Token: w[0].Token}, nil)
+			if now-asked > c.MaxPollInterval {
 				t.Fatalf("list unasked for %.1f s", now-asked)
 			}
 		}
@@ -528,18 +528,18 @@
 func (s *script) check(a Action) {
 	s.log = append(s.log, fmt.Sprintf("%.3f %+v", s.now, a))
 	bad := func(f string, x ...any) { s.t.Fatalf("at %.3f, %+v: %s", s.now, a, fmt.Sprintf(f, x...)) }
-	if a.Kind == Wake {
+	if a.Kind == SetTimer {
 		s.ticks = append(s.ticks, tick{s.now + a.After, a.Token})
 		return
 	}
-	if a.Kind == Watch || a.Kind == Fetch {
+	if a.Kind == WatchNodes || a.Kind == ListNodes {
 		return
 	}
 	f := s.tasks[a.Task]
 	if f == nil {
 		bad("no such task")
 	}
-	if a.Kind == Move {
+	if a.Kind == Migrate {
 		if len(f.tries) == 0 || !f.tries[len(f.tries)-1].bound {
 			bad("moved a task that is not bound")
 		}
@@ -558,49 +558,49 @@
 			bad("rule 2: an attempt is out")
 		}
 	}
-	if a.Kind == Refuse || a.Kind == Fail {
+	if a.Kind == Reject || a.Kind == Fail {
 		f.final++
 		f.over = true
-		if s.now > f.Deadline+s.c.AnswerSlack {
+		if s.now > f.Deadline+s.c.AnswerGrace {
 			bad("rule 1: %.3f s late", s.now-f.Deadline)
 		}
-		if a.Kind == Refuse && doubt != nil && c.Effect != Repeatable && !(c.Effect == Keyed && c.Group == Everywhere) {
+		if a.Kind == Reject && doubt != nil && c.Idempotency != Idempotent && !(c.Idempotency == IdempotentByKey && c.DedupDomain == ClusterDomain) {
 			bad("rule 2: refused after doubt")
 		}
 		return
 	}
 	n := s.nodes[a.Node]
 	if doubt != nil {
-		if c.Effect == Once || c.Effect == Keyed && (n.Rack != doubt.node.Rack || s.now > doubt.sent+c.Remembers) {
+		if c.Idempotency == NonIdempotent || c.Idempotency == IdempotentByKey && (n.Rack != doubt.node.Rack || s.now > doubt.sent+c.DedupWindow) {
 			bad("rule 2: sent after doubt")
 		}
 	}
-	if n.State != Ready || len(f.tries) >= s.c.MaxAttempts || c.NodeKind >= 0 && c.NodeKind != n.Kind {
+	if n.State != Ready || len(f.tries) >= s.c.MaxAttempts || c.NodeType >= 0 && c.NodeType != n.NodeType {
 		bad("rule 3, attempts or kind: node %+v", n)
 	}
-	if n.Since > 0 && s.now-n.Since < s.c.WarmWithin {
+	if n.StartedAt > 0 && s.now-n.StartedAt < s.c.WarmupDuration {
 		k := 1
 		for _, at := range s.cold[n.ID] {
-			if s.now-at <= s.c.FallWindow {
+			if s.now-at <= s.c.OverloadWindow {
 				k++
 			}
 		}
-		if float64(k) > math.Ceil(s.c.ColdAlways/float64(s.c.Peers)) {
+		if float64(k) > math.Ceil(s.c.WarmupAttempts/float64(s.c.Peers)) {
 			bad("rule 4: %d in a window", k)
 		}
 		s.cold[n.ID] = append(s.cold[n.ID], s.now)
 	}
-	if c.Apart != NoPlace {
+	if c.SpreadDomain != NoDomain {
 		k := 1
 		for _, g := range s.tasks {
 			for _, x := range g.tries {
 				if g.Service == f.Service && (x.out || x.bound) &&
-					(x.node.ID == n.ID || c.Apart == Rack && x.node.Rack == n.Rack) {
+					(x.node.ID == n.ID || c.SpreadDomain == RackDomain && x.node.Rack == n.Rack) {
 					k++
 				}
 			}
 		}
-		if k > c.Most {
+		if k > c.MaxPerDomain {
 			bad("rule 5: %d of the service together", k)
 		}
 	}
@@ -610,14 +610,14 @@
 func (s *script) ended(f *fact, i int, r Result, why Reason) {
 	x := f.tries[i]
 	over := f.over || x.bound
-	if !x.bound && r != Refused && r != Unreachable && r != Moot {
+	if !x.bound && r != Rejected && r != Unreachable && r != Expired {
 		x.maybe = true
 	}
 	x.out, x.bound = false, false
 	if over {
 		f.over = true
 	}
-	ev := Event{Kind: Ended, ID: f.ID, Attempt: i, Node: x.node.ID, Result: r, Reason: why, Over: over,
+	ev := Event{Kind: Ended, TaskID: f.ID, Attempt: i, Node: x.node.ID, Result: r, Reason: why, Final: over,
 		Elapsed: s.now - x.sent}
 	if s.r.IntN(2) == 0 {
 		ev.Report = &Report{s.r.Float64() * 16, s.r.Float64() * 32, s.r.Float64(), math.NaN()}
@@ -630,7 +630,7 @@
 	for k := 0; k < len(s.ticks); {
 		if w := s.ticks[k]; w.at <= s.now {
 			s.ticks = append(s.ticks[:k], s.ticks[k+1:]...)
-			s.handle(Event{Kind: Woken, Token: w.token})
+			s.handle(Event{Kind: TimerFired, Token: w.token})
 			continue
 		}
 		k++
@@ -645,9 +645,9 @@
 				switch v := s.r.IntN(12); {
 				case v < 5 && !f.over:
 					x.out, x.bound, f.over = false, true, true
-					s.handle(Event{Kind: Bound, ID: f.ID, Attempt: k, Node: x.node.ID, Elapsed: s.now - x.sent})
+					s.handle(Event{Kind: Bound, TaskID: f.ID, Attempt: k, Node: x.node.ID, Elapsed: s.now - x.sent})
 				case v < 8:
-					s.ended(f, k, Refused, Reason(1+s.r.IntN(4)))
+					s.ended(f, k, Rejected, Reason(1+s.r.IntN(4)))
 				case v < 9:
 					s.ended(f, k, Unreachable, NoReason)
 				case v < 10:
@@ -661,9 +661,9 @@
 		}
 		if !f.over && s.r.IntN(2000) == 0 {
 			f.over = true
-			s.handle(Event{Kind: Withdrawn, ID: id})
+			s.handle(Event{Kind: Withdrawn, TaskID: id})
 		}
-		if !f.over && s.now > f.Deadline+s.c.AnswerSlack {
+		if !f.over && s.now > f.Deadline+s.c.AnswerGrace {
 			s.t.Fatalf("rule 1: task %d has no answer", id)
 		}
 	}
@@ -678,7 +678,7 @@
 			n := s.nodes[s.ids[s.r.IntN(len(s.ids))]]
 			s.tasks[id].over = true
 			s.tasks[id].tries = []*try{{node: n, sent: s.now, bound: true}}
-			s.handle(Event{Kind: Running, Task: k, Node: n.ID})
+			s.handle(Event{Kind: Adopted, Task: k, Node: n.ID})
 		} else {
 			s.handle(Event{Kind: Arrived, Task: k})
 		}
@@ -691,13 +691,13 @@
 		case 1:
 			n.State = Gone
 		case 2:
-			n.State, n.Since = Ready, s.now-s.r.Float64()
+			n.State, n.StartedAt = Ready, s.now-s.r.Float64()
 		case 3:
 			n.State = Ready
 			n.FreeCores = s.r.Float64() * 32
 		}
 		s.nodes[n.ID] = n
-		s.handle(Event{Kind: Listed, List: Changes, Nodes: []Node{n}})
+		s.handle(Event{Kind: NodesListed, List: Changes, Nodes: []Node{n}})
 	}
 	if s.waves && s.r.IntN(300) == 0 {
 		s.wave()
@@ -714,10 +714,10 @@
 				all = append(all, n)
 			}
 		}
-		s.handle(Event{Kind: Listed, List: FullList, Nodes: all})
+		s.handle(Event{Kind: NodesListed, List: FullList, Nodes: all})
 	}
 	if s.r.IntN(500) == 0 {
-		s.handle(Event{Kind: Listed, List: ListFailed})
+		s.handle(Event{Kind: NodesListed, List: ListFailed})
 	}
 	if i%400 == 0 { // forget what is long over
 		keep := s.order[:0]
@@ -744,14 +744,14 @@
 	for i, id := range s.ids {
 		n := s.nodes[id]
 		switch {
-		case restart && n.Kind == kind:
-			n.State, n.Since = Ready, s.now-s.r.Float64()/2
+		case restart && n.NodeType == kind:
+			n.State, n.StartedAt = Ready, s.now-s.r.Float64()/2
 		case !restart && i%3 == first && n.State == Ready:
 			n.State = Draining
 		case !restart && i%3 == first && n.State == Draining:
 			n.State = Gone
 			fresh := n
-			fresh.ID, fresh.State, fresh.Since = NodeID(len(s.nodes)+1), Ready, s.now
+			fresh.ID, fresh.State, fresh.StartedAt = NodeID(len(s.nodes)+1), Ready, s.now
 			s.nodes[fresh.ID] = fresh
 			s.ids[i] = fresh.ID
 			struck = append(struck, fresh)
@@ -761,7 +761,7 @@
 		s.nodes[id] = n
 		struck = append(struck, n)
 	}
-	s.handle(Event{Kind: Listed, List: Changes, Nodes: struck})
+	s.handle(Event{Kind: NodesListed, List: Changes, Nodes: struck})
 }
 
 func play(t *testing.T, seed uint64, steps int) []string {
@@ -769,8 +769,8 @@
 }
 
 func playFleet(t *testing.T, seed uint64, steps int, c Config, machines int, waves bool) []string {
-	c.Self, c.MustAsk = int(seed%2), seed%3 == 0
-	c.FleetPrice, c.MovePrice, c.ReportsUse, c.AnswersWhenRunning = 0.1*float64(seed%2), 0.05, seed%2 == 0, seed%5 == 0
+	c.Self, c.MustPollNodes = int(seed%2), seed%3 == 0
+	c.NodeCost, c.MigrationCost, c.ReportsUsage, c.AcknowledgesOnStart = 0.1*float64(seed%2), 0.05, seed%2 == 0, seed%5 == 0
 	s := &script{t: t, c: c, waves: waves, r: rand.New(rand.NewPCG(seed, 1)), now: 50, nodes: map[NodeID]Node{},
 		tasks: map[TaskID]*fact{}, cold: map[NodeID][]float64{}}
 	for _, n := range fleet(machines) {
@@ -781,7 +781,7 @@
 	if s.p, err = New(c, seed); err != nil {
 		t.Fatal(err)
 	}
-	s.handle(Event{Kind: Listed, List: CachedList, Nodes: fleet(machines)})
+	s.handle(Event{Kind: NodesListed, List: CachedList, Nodes: fleet(machines)})
 	for i := range steps {
 		s.step(i)
 	}
@@ -811,7 +811,7 @@
 func TestRulesInLargeFleets(t *testing.T) {
 	for seed := range uint64(6) {
 		c := config()
-		c.Peers, c.ColdAlways, c.ServicesStay = 200, 60, seed%2 > 0
+		c.Peers, c.WarmupAttempts, c.StickyServices = 200, 60, seed%2 > 0
 		offers := 0
 		for _, l := range playFleet(t, seed, 8000, c, 60, true) {
 			if strings.Contains(l, "{Kind:1 ") {
@@ -834,8 +834,8 @@
 // A machine that drains before the list says so frees room with every task it sends away, and draws all offers.
 func TestMachineThatSendsTasksAwayIsAvoided(t *testing.T) {
 	p := start(t, config(), 1, fleet(4))
-	p.Handle(100, Event{Kind: Running, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
-	end(p, 100.1, Action{Task: 900}, Lost, SentAway)
+	p.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	end(p, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
 		if o := offered(t, arrive(p, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); o.Node == 2 {
 			t.Fatal("offer to a machine that sends its tasks away")
@@ -871,7 +871,7 @@
 	p := start(t, config(), 1, nodes)
 	p.now = 100
 	p.strike(p.byID[4])
-	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.1, task(1, 0)); len(only(acts, StartAttempt)) != 0 {
 		t.Fatalf("offer to a machine just struck: %+v", acts)
 	}
 }
@@ -881,13 +881,13 @@
 	nodes := fleet(1)
 	nodes[0].FreeCores = 0
 	p := start(t, config(), 1, nodes)
-	wakes := only(arrive(p, 100.1, task(1, 0)), Wake)
+	wakes := only(arrive(p, 100.1, task(1, 0)), SetTimer)
 	w := wakes[len(wakes)-1] // the first is for the deadline
 	early := w.After
 	now, late := 100.1, 0.0
 	for now < 103 {
 		now += w.After
-		again := only(p.Handle(now, Event{Kind: Woken, Token: w.Token}, nil), Wake)
+		again := only(p.Handle(now, Event{Kind: TimerFired, Token: w.Token}, nil), SetTimer)
 		if len(again) != 1 {
 			t.Fatalf("at %.2f: %+v", now, again)
 		}
@@ -902,7 +902,7 @@
 func TestSpreadDoesNotSendTasksToDeadMachines(t *testing.T) {
 	p := start(t, config(), 1, fleet(6)) // racks of three
 	for i := range 3 {
-		p.Handle(100, Event{Kind: Running, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
+		p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
 	}
 	for id := NodeID(4); id <= 6; id++ {
 		p.now = 100
@@ -910,7 +910,7 @@
 	}
 	k := task(1, 2)
 	k.Service = 5
-	if acts := arrive(p, 100.1, k); len(only(acts, Offer)) != 0 {
+	if acts := arrive(p, 100.1, k); len(only(acts, StartAttempt)) != 0 {
 		t.Fatalf("offer to a machine just struck: %+v", acts)
 	}
 }
@@ -926,7 +926,7 @@
 func TestOwnZoneFirstWhereCrossingHasAPrice(t *testing.T) {
 	c := config()
 	for _, price := range []float64{0, 0.1} {
-		c.CrossPrice = price
+		c.CrossZoneCost = price
 		other := 0
 		for s := range 60 {
 			p := start(t, c, uint64(s), fleet(6))
@@ -948,9 +948,9 @@
 // Where a bind is told at the start some task is always starting; that must not keep the last tasks on a reserve.
 func TestTidyingGoesOnWhileTasksStart(t *testing.T) {
 	c := config()
-	c.FleetPrice, c.MovePrice = 0.2, 0.05
+	c.NodeCost, c.MigrationCost = 0.2, 0.05
 	p := start(t, c, 1, fleet(6))
-	p.Handle(100, Event{Kind: Running, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 	k := task(1, 0)
 	k.Deadline = 110
 	offered(t, arrive(p, 100.1, k))
@@ -958,7 +958,7 @@
 		p.now, p.out = at, nil
 		p.tidy()
 	}
-	if len(only(p.out, Move)) == 0 && !p.tasks[900].moved {
+	if len(only(p.out, Migrate)) == 0 && !p.tasks[900].moved {
 		t.Fatal("no move while a task starts")
 	}
 }
@@ -967,7 +967,7 @@
 // a word, or every start is a fresh one.
 func TestSchedulersAgreeWhereAServiceRuns(t *testing.T) {
 	c := config()
-	c.Peers, c.ServicesStay = 300, false
+	c.Peers, c.StickyServices = 300, false
 	used := map[NodeID]bool{}
 	for self := range 200 {
 		c.Self = self
@@ -985,11 +985,11 @@
 // once, traffic uneven, offers refused, some of the schedulers killed and started anew.
 func TestAllSchedulersTogetherSpareColdMachines(t *testing.T) {
 	c := config()
-	c.Peers, c.ColdAlways, c.WarmWithin, c.ServicesStay, c.BookCores, c.BookMemory = 300, 7, 20, false, 9, 9
+	c.Peers, c.WarmupAttempts, c.WarmupDuration, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 300, 7, 20, false, 9, 9
 	nodes := fleet(30)
 	for i := range nodes {
 		if i%3 > 0 {
-			nodes[i].Since = 99
+			nodes[i].StartedAt = 99
 		}
 	}
 	r := rand.New(rand.NewPCG(4, 4))
@@ -1003,7 +1003,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				p.Handle(now, Event{Kind: Listed, List: CachedList, Nodes: nodes}, nil)
+				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
 				peers[self] = p
 			}
 			if r.IntN(1+self/20) > 0 {
@@ -1013,25 +1013,25 @@
 			k := task(id, 0)
 			k.Deadline = now + 1.1
 			acts := arrive(peers[self], now, k)
-			for o := only(acts, Offer); len(o) > 0; o = only(acts, Offer) {
+			for o := only(acts, StartAttempt); len(o) > 0; o = only(acts, StartAttempt) {
 				n := o[0].Node
-				if nodes[n-1].Since > 0 {
+				if nodes[n-1].StartedAt > 0 {
 					cold++
 					list := append(sent[n], now)
-					for now-list[0] > c.FallWindow {
+					for now-list[0] > c.OverloadWindow {
 						list = list[1:]
 					}
 					sent[n] = list
 					most = max(most, len(list))
 				}
-				acts = end(peers[self], now, o[0], Refused, []Reason{NoCores, TooManyWait}[r.IntN(2)])
+				acts = end(peers[self], now, o[0], Rejected, []Reason{InsufficientCores, QueueFull}[r.IntN(2)])
 			}
 		}
 	}
-	if float64(most) > c.ColdAlways {
-		t.Errorf("%d offers in a window at one cold machine, %v are borne", most, c.ColdAlways)
+	if float64(most) > c.WarmupAttempts {
+		t.Errorf("%d offers in a window at one cold machine, %v are borne", most, c.WarmupAttempts)
 	}
-	if least := 20 * 12 / c.FallWindow * c.ColdAlways / 4; float64(cold) < least {
+	if least := 20 * 12 / c.OverloadWindow * c.WarmupAttempts / 4; float64(cold) < least {
 		t.Errorf("%d offers at cold machines in all, at least %v wanted: the budget lies idle", cold, least)
 	}
 }
@@ -1043,9 +1043,9 @@
 	for _, always := range []float64{4, 12, 42, 100} {
 		for _, dials := range []bool{false, true} {
 			c := config()
-			c.Peers, c.ColdAlways, c.WarmWithin, c.FallWindow, c.ServicesStay, c.BookCores, c.BookMemory = 30, always, 30, 1, false, 99, 99
+			c.Peers, c.WarmupAttempts, c.WarmupDuration, c.OverloadWindow, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 30, always, 30, 1, false, 99, 99
 			nodes := fleet(1)
-			nodes[0].Since = 99
+			nodes[0].StartedAt = 99
 			r := rand.New(rand.NewPCG(7, 7))
 			var arrivals []float64
 			peers := make([]*Placer, c.Peers)
@@ -1056,7 +1056,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				p.Handle(now, Event{Kind: Listed, List: CachedList, Nodes: nodes}, nil)
+				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
 				peers[self], connected[self] = p, 0
 			}
 			for self := range peers {
@@ -1077,20 +1077,20 @@
 					id++
 					k := task(id, 0)
 					k.Deadline = now + 1.1
-					for _, o := range only(arrive(p, now, k), Offer) {
+					for _, o := range only(arrive(p, now, k), StartAttempt) {
 						if dials && connected[self] == 0 {
-							connected[self] = now + r.Float64()*c.ConnectWithin
+							connected[self] = now + r.Float64()*c.ConnectTimeout
 						}
 						at := max(now, connected[self])
 						arrivals = append(arrivals, at)
-						p.Handle(at, Event{Kind: Bound, ID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: at - now}, nil)
+						p.Handle(at, Event{Kind: Bound, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: at - now}, nil)
 					}
 				}
 			}
 			slices.Sort(arrivals)
 			most, first := 0, 0
 			for i, at := range arrivals {
-				for at-arrivals[first] > c.FallWindow {
+				for at-arrivals[first] > c.OverloadWindow {
 					first++
 				}
 				most = max(most, i-first+1)
@@ -1115,9 +1115,9 @@
 	p := start(t, config(), 1, fleet(4))
 	for i := range 20 {
 		id := TaskID(900 + i)
-		p.Handle(100, Event{Kind: Running, Node: 2, Task: Task{ID: id, Service: 5, Cores: 2, Memory: 4}}, nil)
-		p.Handle(100, Event{Kind: Noted, ID: id, Use: CoresUsed, Value: 1}, nil)
-		p.Handle(100, Event{Kind: Noted, ID: id, Use: MemoryUsed, Value: 1}, nil)
+		p.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: id, Service: 5, Cores: 2, Memory: 4}}, nil)
+		p.Handle(100, Event{Kind: UsageReported, TaskID: id, Usage: CoresUsed, Value: 1}, nil)
+		p.Handle(100, Event{Kind: UsageReported, TaskID: id, Usage: MemoryUsed, Value: 1}, nil)
 	}
 	if c, m := p.useCores.mean, p.useMemory.mean; c > 0.55 || c < 0.5 || m > 0.3 || m < 0.25 {
 		t.Errorf("asks are taken to come to %.2f of cores and %.2f of memory, want 0.5 and 0.25", c, m)
@@ -1127,19 +1127,19 @@
 // A fleet that grows with cold machines: they take few tasks yet, so counting on them would close warm ones.
 func TestColdMachinesDoNotPutWarmOnesInReserve(t *testing.T) {
 	c := config()
-	c.FleetPrice = 0.2
+	c.NodeCost = 0.2
 	nodes := fleet(12)
 	for i := range nodes {
 		nodes[i].FreeCores *= 0.5
 		nodes[i].FreeMemory *= 0.5
 		if i%2 > 0 {
-			nodes[i].Since = 99.5
+			nodes[i].StartedAt = 99.5
 		}
 	}
 	p := start(t, c, 1, nodes)
 	arrive(p, 100.1, task(1, 0))
 	for _, m := range p.machines {
-		if m.reserve && m.Since == 0 {
+		if m.reserve && m.StartedAt == 0 {
 			t.Fatalf("warm machine %d is in reserve, half of the fleet is cold", m.ID)
 		}
 	}
--- a/placer/state.go
+++ b/placer/state.go
@@ -190,7 +190,7 @@
 func (p *Placer) machine(id NodeID) *machine {
 	m := p.byID[id]
 	if m == nil {
-		m = &machine{Node: Node{ID: id, Kind: -1, Rack: -1, Zone: -1}, services: map[ServiceID]int{}}
+		m = &machine{Node: Node{ID: id, NodeType: -1, Rack: -1, Zone: -1}, services: map[ServiceID]int{}}
 		p.byID[id] = m
 		p.machines = append(p.machines, m)
 	}
@@ -218,13 +218,13 @@
 }
 
 // together says whether two machines share a place of the given kind.
-func together(where Place, a, b *machine) bool {
+func together(where TopologyDomain, a, b *machine) bool {
 	switch where {
-	case Everywhere:
+	case ClusterDomain:
 		return true
-	case Zone:
+	case ZoneDomain:
 		return a.known && b.known && a.Node.Zone == b.Node.Zone
-	case Rack:
+	case RackDomain:
 		return a.known && b.known && a.Node.Rack == b.Node.Rack
 	}
 	return a == b
@@ -254,7 +254,7 @@
 	case wakeList:
 		p.listWake = p.nextWake
 	}
-	p.out = append(p.out, Action{Kind: Wake, Token: p.nextWake, After: max(after, 0)})
+	p.out = append(p.out, Action{Kind: SetTimer, Token: p.nextWake, After: max(after, 0)})
 }
 
 // chance is a fixed number between 0 and 1, both left out, for a pair of numbers.
