--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -76,25 +76,25 @@
 
 // Violation is a rule found broken.
 type Violation struct {
-	Rule int // 1 to 5
-	At   float64
-	Text string
+	Rule int     `json:"Rule"` // 1 to 5
+	At   float64 `json:"At"`
+	Text string  `json:"Text"`
 }
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d at %.3f: %s", v.Rule, v.At, v.Text) }
 
 // Report is what an audit found.
 type Report struct {
-	Violations []Violation
-	Events     int
-	Tasks      int            // asked
-	Outcomes   map[string]int // of tasks, by reason
-	Forgotten  int            // without outcome because their scheduler was killed or their owner withdrew
-	Offers     int
-	Refusals   int
-	Starts     int
-	Ends       map[string]int // by reason
-	Crashes    int
+	Violations []Violation    `json:"Violations"`
+	Events     int            `json:"Events"`
+	Tasks      int            `json:"Tasks"`     // asked
+	Outcomes   map[string]int `json:"Outcomes"`  // of tasks, by reason
+	Forgotten  int            `json:"Forgotten"` // without outcome because their scheduler was killed or their owner withdrew
+	Offers     int            `json:"Offers"`
+	Refusals   int            `json:"Refusals"`
+	Starts     int            `json:"Starts"`
+	Ends       map[string]int `json:"Ends"` // by reason
+	Crashes    int            `json:"Crashes"`
 }
 
 type offer struct {
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -48,19 +48,27 @@
 
 // Figures are what the client saw.
 type Figures struct {
-	Jobs, JobsLate, Tasks, Settled, Dropped, Relisted, Kills int
-	Errors                                                   int // requests that had to be tried again
-	P50, P99, Max                                            float64
-	Hostile                                                  Hostile
+	Jobs     int     `json:"Jobs"`
+	JobsLate int     `json:"JobsLate"`
+	Tasks    int     `json:"Tasks"`
+	Settled  int     `json:"Settled"`
+	Dropped  int     `json:"Dropped"`
+	Relisted int     `json:"Relisted"`
+	Kills    int     `json:"Kills"`
+	Errors   int     `json:"Errors"` // requests that had to be tried again
+	P50      float64 `json:"P50"`
+	P99      float64 `json:"P99"`
+	Max      float64 `json:"Max"`
+	Hostile  Hostile `json:"Hostile"`
 }
 
 // Result is what came of a drill.
 type Result struct {
-	Seconds    float64
-	Schedulers int
-	Nodes      int
-	Figures    Figures
-	Audit      audit.Report
+	Seconds    float64      `json:"Seconds"`
+	Schedulers int          `json:"Schedulers"`
+	Nodes      int          `json:"Nodes"`
+	Figures    Figures      `json:"Figures"`
+	Audit      audit.Report `json:"Audit"`
 }
 
 // proc is a child process.
--- a/internal/faultinjection/hostile.go
+++ b/internal/faultinjection/hostile.go
@@ -19,13 +19,13 @@
 
 // Hostile figures of what clients that mean harm met, and of the schedulers' memory meanwhile.
 type Hostile struct {
-	Bombs    int // requests that are small to send and dear to read
-	Refused  int // of them, answered with a 4xx
-	Taken    int // of them, answered otherwise: there should be none
-	Silent   int // connections opened that never read, or never end their request
-	Early    int // median resident memory of the schedulers in the second quarter of the day, MiB together
-	Late     int // the same in the last quarter
-	MostHeld int // the most that one scheduler had at any second, MiB
+	Bombs    int `json:"Bombs"`    // requests that are small to send and dear to read
+	Refused  int `json:"Refused"`  // of them, answered with a 4xx
+	Taken    int `json:"Taken"`    // of them, answered otherwise: there should be none
+	Silent   int `json:"Silent"`   // connections opened that never read, or never end their request
+	Early    int `json:"Early"`    // median resident memory of the schedulers in the second quarter of the day, MiB together
+	Late     int `json:"Late"`     // the same in the last quarter
+	MostHeld int `json:"MostHeld"` // the most that one scheduler had at any second, MiB
 }
 
 // bombs are requests as in the table of package api's tests, each with its way in.
