--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -11,11 +11,10 @@
 	"heathshed/internal/metastability"
 )
 
-// trialRow is what one trial of the search printed as JSON.
-type trialRow struct {
-	Trial   metastability.Trial   `json:"trial"`
-	Verdict metastability.Verdict `json:"verdict"`
-	Held    bool                  `json:"held"`
+// playedTrial is a trial with what came of it.
+type playedTrial struct {
+	trial   metastability.Trial
+	verdict metastability.Verdict
 }
 
 func recoverCommand() *cobra.Command {
@@ -29,7 +28,7 @@
 			if trials < 1 || trials > 100000 || workers < 1 || workers > 1024 {
 				return fmt.Errorf("trials %d, workers %d: want 1 to 100000 and 1 to 1024", trials, workers)
 			}
-			rows := make([]trialRow, trials)
+			rows := make([]playedTrial, trials)
 			errs := make([]error, trials)
 			next := make(chan int)
 			var wg sync.WaitGroup
@@ -41,7 +40,7 @@
 						t := metastability.Draw(seed + uint64(i))
 						t.Gate.ShedDraws = plant
 						v, err := metastability.Play(t)
-						rows[i], errs[i] = trialRow{t, v, v.Held()}, err
+						rows[i], errs[i] = playedTrial{t, v}, err
 					}
 				}()
 			}
@@ -56,24 +55,22 @@
 					return errs[i]
 				}
 				r := &rows[i]
-				if !r.Held {
+				held := r.verdict.Held()
+				if !held {
 					failed++
 				}
-				if r.Held && !every {
+				if held && !every {
 					continue
 				}
 				if asJSON {
-					if r.Verdict.Back > 1e9 {
-						r.Verdict.Back = -1 // JSON knows no infinity
-					}
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(r); err != nil {
+					if err := json.NewEncoder(c.OutOrStdout()).Encode(newTrialRow(&r.trial, &r.verdict)); err != nil {
 						return err
 					}
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "seed %d  held %v  %s for %.1f s  load %.2f  backoff %d  in time %.2f, at worst %.2f  back after %.0f s of %.0f  "+
-					"open %d at most, %d at the end\n", r.Trial.Seed, r.Held, r.Trial.Trigger.Kind, r.Trial.Trigger.For, r.Trial.Load, r.Trial.Backoff,
-					r.Verdict.Before, r.Verdict.Worst, r.Verdict.Back, r.Verdict.Allowed, r.Verdict.Peak, r.Verdict.Left)
+					"open %d at most, %d at the end\n", r.trial.Seed, held, r.trial.Trigger.Kind, r.trial.Trigger.For, r.trial.Load, r.trial.Backoff,
+					r.verdict.Before, r.verdict.Worst, r.verdict.Back, r.verdict.Allowed, r.verdict.Peak, r.verdict.Left)
 			}
 			fmt.Fprintf(c.ErrOrStderr(), "%d trials, %d not back in time\n", trials, failed)
 			if failed > 0 {
--- /dev/null
+++ b/cmd/heathshed/metastability_json.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"math"
+
+	"heathshed/internal/admission"
+	"heathshed/internal/metastability"
+	"heathshed/internal/retry"
+	"heathshed/internal/scenario"
+)
+
+// trialRow is one trial of the search as it is printed as JSON. Its keys are part of the command's output: they stay as they are when the
+// fields that they are filled from get other names.
+type trialRow struct {
+	Trial   trialJSON   `json:"trial"`
+	Verdict verdictJSON `json:"verdict"`
+	Held    bool        `json:"held"`
+}
+
+type trialJSON struct {
+	Seed      uint64           `json:"Seed"`
+	Trigger   scenario.Trouble `json:"Trigger"`
+	Load      float64          `json:"Load"`
+	Backoff   int              `json:"Backoff"`
+	Admission admissionJSON    `json:"Gate"`
+	Retry     retryJSON        `json:"Owner"`
+}
+
+type admissionJSON struct {
+	Shares       []float64 `json:"Shares"`
+	MinInFlight  float64   `json:"MinInFlight"`
+	MaxInFlight  float64   `json:"MaxInFlight"`
+	Start        float64   `json:"Start"`
+	Decrease     float64   `json:"Decrease"`
+	Window       float64   `json:"Window"`
+	LateFraction float64   `json:"LatePart"`
+	MaxWaiting   int       `json:"MaxWaiting"`
+	RetryRatio   float64   `json:"RetryRatio"`
+	RetryRate    float64   `json:"RetryRate"`
+	RetryBurst   float64   `json:"RetryBurst"`
+	ShedDraws    bool      `json:"ShedDraws"`
+	Additive     bool      `json:"Additive"`
+	Disabled     bool      `json:"Off"`
+}
+
+type retryJSON struct {
+	Delay                 float64 `json:"Again"`
+	ShortDelay            float64 `json:"Soon"`
+	Multiplier            float64 `json:"Growth"`
+	MaxDelay              float64 `json:"Most"`
+	UnknownOutcomeTimeout float64 `json:"Settle"`
+}
+
+type verdictJSON struct {
+	BaselineGoodput   float64 `json:"Before"`
+	WorstGoodput      float64 `json:"Worst"`
+	RecoveryTime      float64 `json:"Back"` // -1 if the system did not recover: JSON has no infinity
+	AllowedTime       float64 `json:"Allowed"`
+	PeakOpenTasks     int     `json:"Peak"`
+	FinalOpenTasks    int     `json:"Left"`
+	PlacementRequests uint64  `json:"Asks"`
+	Attempts          uint64  `json:"Offers"`
+}
+
+func newTrialRow(t *metastability.Trial, v *metastability.Verdict) trialRow {
+	verdict := verdictJSON{
+		BaselineGoodput:   v.Before,
+		WorstGoodput:      v.Worst,
+		RecoveryTime:      v.Back,
+		AllowedTime:       v.Allowed,
+		PeakOpenTasks:     v.Peak,
+		FinalOpenTasks:    v.Left,
+		PlacementRequests: v.Asks,
+		Attempts:          v.Offers,
+	}
+	if math.IsInf(v.Back, 1) {
+		verdict.RecoveryTime = -1
+	}
+	trial := trialJSON{Seed: t.Seed, Trigger: t.Trigger, Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Gate),
+		Retry: newRetryJSON(&t.Owner)}
+	return trialRow{Trial: trial, Verdict: verdict, Held: v.Held()}
+}
+
+func newAdmissionJSON(c *admission.Config) admissionJSON {
+	return admissionJSON{
+		Shares:       c.Shares,
+		MinInFlight:  c.MinInFlight,
+		MaxInFlight:  c.MaxInFlight,
+		Start:        c.Start,
+		Decrease:     c.Decrease,
+		Window:       c.Window,
+		LateFraction: c.LateFraction,
+		MaxWaiting:   c.MaxWaiting,
+		RetryRatio:   c.RetryRatio,
+		RetryRate:    c.RetryRate,
+		RetryBurst:   c.RetryBurst,
+		ShedDraws:    c.ShedDraws,
+		Additive:     c.Additive,
+		Disabled:     c.Disabled,
+	}
+}
+
+func newRetryJSON(p *retry.Policy) retryJSON {
+	return retryJSON{
+		Delay:                 p.Delay,
+		ShortDelay:            p.ShortDelay,
+		Multiplier:            p.Multiplier,
+		MaxDelay:              p.MaxDelay,
+		UnknownOutcomeTimeout: p.UnknownOutcomeTimeout,
+	}
+}
--- /dev/null
+++ b/cmd/heathshed/metastability_test.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"encoding/json"
+	"math"
+	"testing"
+
+	"heathshed/internal/admission"
+	"heathshed/internal/metastability"
+	"heathshed/internal/retry"
+	"heathshed/internal/scenario"
+)
+
+// TestTrialJSON pins the keys and their order in what the search prints as JSON.
+func TestTrialJSON(t *testing.T) {
+	trial := metastability.Trial{
+		Seed:    1,
+		Trigger: scenario.Trouble{Kind: "burst", At: 2, For: 3, Part: 4, Scale: 5, Class: "web", Name: "a"},
+		Load:    6,
+		Backoff: 7,
+		Gate: admission.Config{Shares: []float64{8}, MinInFlight: 9, MaxInFlight: 10, Start: 11, Decrease: 12, Window: 13, LateFraction: 14,
+			MaxWaiting: 15, RetryRatio: 16, RetryRate: 17, RetryBurst: 18, ShedDraws: true, Additive: true, Disabled: true},
+		Owner: retry.Policy{Delay: 19, ShortDelay: 20, Multiplier: 21, MaxDelay: 22, UnknownOutcomeTimeout: 23},
+	}
+	const wantTrial = `{"trial":{"Seed":1,"Trigger":{"kind":"burst","at":2,"for":3,"part":4,"scale":5,"class":"web","name":"a"},` +
+		`"Load":6,"Backoff":7,"Gate":{"Shares":[8],"MinInFlight":9,"MaxInFlight":10,"Start":11,"Decrease":12,"Window":13,"LatePart":14,` +
+		`"MaxWaiting":15,"RetryRatio":16,"RetryRate":17,"RetryBurst":18,"ShedDraws":true,"Additive":true,"Off":true},` +
+		`"Owner":{"Again":19,"Soon":20,"Growth":21,"Most":22,"Settle":23}},`
+	for _, c := range []struct {
+		name string
+		back float64
+		want string
+	}{
+		{"recovered", 26, wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":26,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":true}`},
+		{"never recovered", math.Inf(1), wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":-1,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":false}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			verdict := metastability.Verdict{Before: 24, Worst: 25, Back: c.back, Allowed: 27, Peak: 28, Left: 29, Asks: 30, Offers: 31}
+			got, err := json.Marshal(newTrialRow(&trial, &verdict))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(got) != c.want {
+				t.Errorf("got  %s\nwant %s", got, c.want)
+			}
+		})
+	}
+}
