--- a/cmd/heathshed/client.go
+++ b/cmd/heathshed/client.go
@@ -25,20 +25,20 @@
 	"heathshed/internal/wellknown"
 )
 
-// remote is the API as the operators' commands use it.
-type remote struct{ server string }
+// apiClient is the API as the operators' commands use it.
+type apiClient struct{ server string }
 
-func (r *remote) add(c *cobra.Command) {
+func (client *apiClient) register(c *cobra.Command) {
 	def := os.Getenv("HEATHSHED_SERVER")
 	if def == "" {
 		def = "http://127.0.0.1:8480"
 	}
-	c.PersistentFlags().StringVarP(&r.server, "server", "s", def, "address of the API (or HEATHSHED_SERVER)")
+	c.PersistentFlags().StringVarP(&client.server, "server", "s", def, "address of the API (or HEATHSHED_SERVER)")
 }
 
 // do sends a request and reads a whole answer into out.
-func (r *remote) do(ctx context.Context, method, path, contentType string, body []byte, out any) error {
-	resp, err := r.open(ctx, method, path, contentType, body)
+func (client *apiClient) do(ctx context.Context, method, path, contentType string, body []byte, out any) error {
+	resp, err := client.open(ctx, method, path, contentType, body)
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-func (r *remote) open(ctx context.Context, method, path, contentType string, body []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(r.server, "/")+path, bytes.NewReader(body))
+func (client *apiClient) open(ctx context.Context, method, path, contentType string, body []byte) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(client.server, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -64,17 +64,17 @@
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-		var st metav1.Status
-		if json.Unmarshal(b, &st) == nil && st.Message != "" {
-			return nil, fmt.Errorf("%s (%d)", st.Message, resp.StatusCode)
+		var status metav1.Status
+		if json.Unmarshal(b, &status) == nil && status.Message != "" {
+			return nil, fmt.Errorf("%s (%d)", status.Message, resp.StatusCode)
 		}
 		return nil, fmt.Errorf("%s %s: status %d", method, path, resp.StatusCode)
 	}
 	return resp, nil
 }
 
-// collection is the path of a resource. namespace "" is all.
-func collection(resource, namespace string) (string, error) {
+// collectionPath is the path of a resource. namespace "" is all.
+func collectionPath(resource, namespace string) (string, error) {
 	ns := ""
 	if namespace != "" {
 		ns = "/namespaces/" + url.PathEscape(namespace)
@@ -90,7 +90,7 @@
 	return "", fmt.Errorf("%q: want jobs, pods (tasks) or nodes (machines)", resource)
 }
 
-func settledOf(conds []batchv1.JobCondition) string {
+func settledCondition(conds []batchv1.JobCondition) string {
 	for _, c := range conds {
 		if c.Type == wellknown.Settled && c.Status == corev1.ConditionTrue {
 			return c.Reason + ": " + c.Message
@@ -99,8 +99,8 @@
 	return ""
 }
 
-// row is one line of a table.
-func row(kind string, raw json.RawMessage) []string {
+// tableRow is one line of a table.
+func tableRow(kind string, raw json.RawMessage) []string {
 	switch kind {
 	case "Job":
 		var j batchv1.Job
@@ -117,7 +117,7 @@
 		} else if j.Spec.Parallelism != nil {
 			n = *j.Spec.Parallelism
 		}
-		return []string{j.Namespace, j.Name, fmt.Sprintf("%d/%d", j.Status.Succeeded, n), fmt.Sprint(j.Status.Active), state, settledOf(j.Status.Conditions)}
+		return []string{j.Namespace, j.Name, fmt.Sprintf("%d/%d", j.Status.Succeeded, n), fmt.Sprint(j.Status.Active), state, settledCondition(j.Status.Conditions)}
 	case "Pod":
 		var p corev1.Pod
 		json.Unmarshal(raw, &p)
@@ -127,10 +127,10 @@
 				why = c.Message
 			}
 		}
-		if p.Status.Reason != "" && p.Status.Message != "" && wellknown.SettledOf(&p) == wellknown.Placed {
+		if p.Status.Reason != "" && p.Status.Message != "" && wellknown.SettledReason(&p) == wellknown.Placed {
 			why = p.Status.Reason + ": " + p.Status.Message
 		}
-		return []string{p.Namespace, p.Name, string(p.Status.Phase), p.Spec.NodeName, wellknown.SettledOf(&p), why}
+		return []string{p.Namespace, p.Name, string(p.Status.Phase), p.Spec.NodeName, wellknown.SettledReason(&p), why}
 	case "Node":
 		var n corev1.Node
 		json.Unmarshal(raw, &n)
@@ -141,12 +141,12 @@
 		if n.Spec.Unschedulable {
 			state += ",Drained"
 		}
-		return []string{n.Name, state, n.Labels[wellknown.Kind], n.Labels[wellknown.Zone], n.Labels[wellknown.Rack], n.Annotations[wellknown.Free]}
+		return []string{n.Name, state, n.Labels[wellknown.Kind], n.Labels[wellknown.Zone], n.Labels[wellknown.Rack], n.Annotations[wellknown.FreeCapacity]}
 	}
 	return nil
 }
 
-var heads = map[string][]string{"Job": {"NAMESPACE", "NAME", "SUCCEEDED", "ACTIVE", "STATE", "SETTLED"},
+var tableHeaders = map[string][]string{"Job": {"NAMESPACE", "NAME", "SUCCEEDED", "ACTIVE", "STATE", "SETTLED"},
 	"Pod": {"NAMESPACE", "NAME", "PHASE", "NODE", "SETTLED", "MESSAGE"}, "Node": {"NAME", "STATE", "KIND", "ZONE", "RACK", "FREE"}}
 
 func clientCommands() []*cobra.Command {
@@ -154,11 +154,11 @@
 }
 
 func getCommand() *cobra.Command {
-	var r remote
+	var r apiClient
 	var ns, labels, output string
 	c := &cobra.Command{Use: "get jobs|pods|nodes [NAME]", Short: "Show jobs, tasks or machines", Args: cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			path, err := collection(args[0], ns)
+			path, err := collectionPath(args[0], ns)
 			if err != nil {
 				return err
 			}
@@ -185,9 +185,9 @@
 						fmt.Fprintf(c.OutOrStdout(), "%s\n", it)
 					} else {
 						if n == 0 {
-							fmt.Fprintln(w, strings.Join(heads[kind], "\t"))
+							fmt.Fprintln(w, strings.Join(tableHeaders[kind], "\t"))
 						}
-						fmt.Fprintln(w, strings.Join(row(kind, it), "\t"))
+						fmt.Fprintln(w, strings.Join(tableRow(kind, it), "\t"))
 					}
 					n++
 				}
@@ -200,45 +200,45 @@
 				q.Set("continue", l.Metadata.Continue)
 			}
 		}}
-	r.add(c)
+	r.register(c)
 	c.Flags().StringVarP(&ns, "namespace", "n", "", "namespace; all if none")
 	c.Flags().StringVarP(&labels, "selector", "l", "", "label selector")
 	c.Flags().StringVarP(&output, "output", "o", "table", "table or json (a line each)")
 	return c
 }
 
-// follow watches a collection from a revision, "" with what is there now first, and goes on over broken connections. f returns true to
+// watch watches a collection from a revision, "" with what is there now first, and goes on over broken connections. f returns true to
 // end it.
-func (r *remote) follow(ctx context.Context, path string, q url.Values, rev string, f func(kind string, raw json.RawMessage) bool) error {
-	for tries := 0; ; {
-		q.Set("watch", "true")
-		q.Set("allowWatchBookmarks", "true")
-		q.Set("resourceVersion", rev)
-		resp, err := r.open(ctx, "GET", path+"?"+q.Encode(), "", nil)
+func (client *apiClient) watch(ctx context.Context, path string, query url.Values, rev string, handle func(kind string, raw json.RawMessage) bool) error {
+	for attempts := 0; ; {
+		query.Set("watch", "true")
+		query.Set("allowWatchBookmarks", "true")
+		query.Set("resourceVersion", rev)
+		resp, err := client.open(ctx, "GET", path+"?"+query.Encode(), "", nil)
 		if err == nil {
-			sc := bufio.NewScanner(resp.Body)
-			sc.Buffer(nil, 8<<20)
-			for sc.Scan() {
-				var ev struct {
+			scanner := bufio.NewScanner(resp.Body)
+			scanner.Buffer(nil, 8<<20)
+			for scanner.Scan() {
+				var event struct {
 					Type   string          `json:"type"`
 					Object json.RawMessage `json:"object"`
 				}
-				var o metav1.PartialObjectMetadata
-				if json.Unmarshal(sc.Bytes(), &ev) != nil || json.Unmarshal(ev.Object, &o) != nil {
+				var object metav1.PartialObjectMetadata
+				if json.Unmarshal(scanner.Bytes(), &event) != nil || json.Unmarshal(event.Object, &object) != nil {
 					break
 				}
-				if ev.Type == "ERROR" {
-					var st metav1.Status
-					json.Unmarshal(ev.Object, &st)
+				if event.Type == "ERROR" {
+					var status metav1.Status
+					json.Unmarshal(event.Object, &status)
 					resp.Body.Close()
-					if st.Code == 410 {
+					if status.Code == 410 {
 						rev = ""
 						break
 					}
-					return errors.New(st.Message)
+					return errors.New(status.Message)
 				}
-				tries, rev = 0, o.ResourceVersion
-				if ev.Type != "BOOKMARK" && f(ev.Type, ev.Object) {
+				attempts, rev = 0, object.ResourceVersion
+				if event.Type != "BOOKMARK" && handle(event.Type, event.Object) {
 					resp.Body.Close()
 					return nil
 				}
@@ -248,23 +248,23 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if tries++; tries > 20 {
+		if attempts++; attempts > 20 {
 			return fmt.Errorf("watch does not come about: %w", err)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(time.Duration(min(tries, 10)) * 200 * time.Millisecond):
+		case <-time.After(time.Duration(min(attempts, 10)) * 200 * time.Millisecond):
 		}
 	}
 }
 
 func watchCommand() *cobra.Command {
-	var r remote
+	var r apiClient
 	var ns, labels, output string
 	c := &cobra.Command{Use: "watch jobs|pods|nodes", Short: "Show changes as they come, over broken connections", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			path, err := collection(args[0], ns)
+			path, err := collectionPath(args[0], ns)
 			if err != nil {
 				return err
 			}
@@ -274,18 +274,18 @@
 			}
 			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
 			defer cancel()
-			return r.follow(ctx, path, q, "", func(kind string, raw json.RawMessage) bool {
+			return r.watch(ctx, path, q, "", func(kind string, raw json.RawMessage) bool {
 				if output == "json" {
 					fmt.Fprintf(c.OutOrStdout(), `{"type":%q,"object":%s}`+"\n", kind, raw)
 					return false
 				}
 				var tm metav1.TypeMeta
 				json.Unmarshal(raw, &tm)
-				fmt.Fprintf(c.OutOrStdout(), "%-8s  %s\n", kind, strings.Join(row(tm.Kind, raw), "  "))
+				fmt.Fprintf(c.OutOrStdout(), "%-8s  %s\n", kind, strings.Join(tableRow(tm.Kind, raw), "  "))
 				return false
 			})
 		}}
-	r.add(c)
+	r.register(c)
 	c.Flags().StringVarP(&ns, "namespace", "n", "", "namespace; all if none")
 	c.Flags().StringVarP(&labels, "selector", "l", "", "label selector")
 	c.Flags().StringVarP(&output, "output", "o", "table", "table or json (a line each)")
@@ -293,7 +293,7 @@
 }
 
 func submitCommand() *cobra.Command {
-	var r remote
+	var r apiClient
 	var ns, file, name, class, service, cpu, memory string
 	var tasks int
 	var life float64
@@ -308,13 +308,13 @@
 			case file != "":
 				body, err = os.ReadFile(file)
 			default:
-				body, err = json.Marshal(flagJob(name, class, service, cpu, memory, tasks, life))
+				body, err = json.Marshal(jobFromFlags(name, class, service, cpu, memory, tasks, life))
 			}
 			if err != nil {
 				return err
 			}
 			var j batchv1.Job
-			path, _ := collection("jobs", ns)
+			path, _ := collectionPath("jobs", ns)
 			if err := r.do(c.Context(), "POST", path+"?fieldValidation=Strict", "application/json", body, &j); err != nil {
 				return err
 			}
@@ -325,13 +325,13 @@
 			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
 			defer cancel()
 			outcome := ""
-			err = r.follow(ctx, path, url.Values{"fieldSelector": {"metadata.name=" + j.Name}}, "", func(kind string, raw json.RawMessage) bool {
+			err = r.watch(ctx, path, url.Values{"fieldSelector": {"metadata.name=" + j.Name}}, "", func(kind string, raw json.RawMessage) bool {
 				var o batchv1.Job
 				json.Unmarshal(raw, &o)
 				if o.UID != j.UID {
 					return false
 				}
-				outcome = settledOf(o.Status.Conditions)
+				outcome = settledCondition(o.Status.Conditions)
 				return outcome != "" || kind == "DELETED"
 			})
 			if err != nil {
@@ -343,7 +343,7 @@
 			}
 			return nil
 		}}
-	r.add(c)
+	r.register(c)
 	f := c.Flags()
 	f.StringVarP(&file, "file", "f", "", "file with a Job as JSON; - is standard input")
 	f.StringVarP(&ns, "namespace", "n", "default", "namespace")
@@ -358,8 +358,8 @@
 	return c
 }
 
-// flagJob is the Job that flags describe.
-func flagJob(name, class, service, cpu, memory string, tasks int, life float64) map[string]any {
+// jobFromFlags is the Job that flags describe.
+func jobFromFlags(name, class, service, cpu, memory string, tasks int, life float64) map[string]any {
 	labels, annotations := map[string]string{}, map[string]string{}
 	if class != "" {
 		labels[wellknown.Class] = class
@@ -381,7 +381,7 @@
 }
 
 func drainCommand(use string, on bool) *cobra.Command {
-	var r remote
+	var r apiClient
 	var evict bool
 	short := "Order that nothing new goes to a machine"
 	if !on {
@@ -422,7 +422,7 @@
 		fmt.Fprintf(c.OutOrStdout(), "%d tasks told to move\n", count)
 		return nil
 	}}
-	r.add(c)
+	r.register(c)
 	if on {
 		c.Flags().BoolVar(&evict, "evict", false, "also move the tasks that run there")
 	}
--- a/cmd/heathshed/load.go
+++ b/cmd/heathshed/load.go
@@ -22,15 +22,15 @@
 	return c
 }
 
-// source is how recorded files are read.
-type source struct {
+// sourceFlags is how recorded files are read.
+type sourceFlags struct {
 	format string
 	window float64
 	strict bool
 	report string
 }
 
-func (s *source) add(c *cobra.Command) {
+func (s *sourceFlags) register(c *cobra.Command) {
 	c.Flags().StringVar(&s.format, "format", "auto", "har, jsonl, common, combined, or an Apache LogFormat or nginx log_format; auto looks at the first bytes")
 	c.Flags().Float64Var(&s.window, "window", 5, "seconds within which entries that are out of order are put in order")
 	c.Flags().BoolVar(&s.strict, "strict", false, "stop at the first entry that cannot be read")
@@ -38,7 +38,7 @@
 }
 
 // open makes a reader for one file; - is standard input.
-func (s *source) open(name string) (workload.Reader, io.Closer, error) {
+func (s *sourceFlags) open(name string) (workload.Reader, io.Closer, error) {
 	f := os.Stdin
 	if name != "-" {
 		var err error
@@ -46,13 +46,13 @@
 			return nil, nil, err
 		}
 	}
-	r, err := workload.Open(f)
+	r, err := workload.Decompress(f)
 	if err != nil {
 		return nil, f, fmt.Errorf("%s: %w", name, err)
 	}
 	format := s.format
 	if format == "auto" {
-		if format, r, err = workload.Guess(r); err != nil {
+		if format, r, err = workload.DetectFormat(r); err != nil {
 			return nil, f, fmt.Errorf("%s: %w", name, err)
 		}
 	}
@@ -87,41 +87,41 @@
 	times   []float32 // since the first, in seconds; four bytes an entry
 }
 
-func (x *inspection) see(e *workload.Entry) {
-	if x.Entries == 0 {
-		x.first = e.At
+func (i *inspection) add(entry *workload.Entry) {
+	if i.Entries == 0 {
+		i.first = entry.At
 	}
-	x.Entries++
-	x.last = max(x.last, e.At)
-	if len(x.Methods) < 100 || x.Methods[e.Method] > 0 {
-		x.Methods[e.Method]++
+	i.Entries++
+	i.last = max(i.last, entry.At)
+	if len(i.Methods) < 100 || i.Methods[entry.Method] > 0 {
+		i.Methods[entry.Method]++
 	}
-	if e.Status > 0 {
-		x.Status[fmt.Sprintf("%dxx", e.Status/100)]++
+	if entry.Status > 0 {
+		i.Status[fmt.Sprintf("%dxx", entry.Status/100)]++
 	}
-	x.times = append(x.times, float32(e.At-x.first))
+	i.times = append(i.times, float32(entry.At-i.first))
 }
 
-func (x *inspection) finish() {
-	if x.Entries == 0 {
+func (i *inspection) finish() {
+	if i.Entries == 0 {
 		return
 	}
 	stamp := func(s float64) string { return time.UnixMicro(int64(s * 1e6)).UTC().Format(time.RFC3339Nano) }
-	x.First, x.Last = stamp(x.first), stamp(x.last)
-	x.Curve = make([]int, 60)
-	span := max(x.last-x.first, 1e-9)
-	for _, t := range x.times {
-		x.Curve[min(59, int(float64(t)/span*60))]++
+	i.First, i.Last = stamp(i.first), stamp(i.last)
+	i.Curve = make([]int, 60)
+	duration := max(i.last-i.first, 1e-9)
+	for _, t := range i.times {
+		i.Curve[min(59, int(float64(t)/duration*60))]++
 	}
 }
 
 func inspectCommand() *cobra.Command {
-	var s source
+	var s sourceFlags
 	var asJSON bool
 	c := &cobra.Command{Use: "inspect FILE...", Short: "Show what recorded files hold, and what of them cannot be read",
 		Long: "Read access logs, JSON lines or HAR files (gzip and zstd too) and show counts, the arrival curve and what was skipped.\nExit code 4 says that entries were skipped.",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			x := inspection{Skipped: map[string]int{}, Methods: map[string]int{}, Status: map[string]int{}}
+			result := inspection{Skipped: map[string]int{}, Methods: map[string]int{}, Status: map[string]int{}}
 			var report *json.Encoder
 			if s.report != "" {
 				w, err := os.Create(s.report)
@@ -132,8 +132,8 @@
 				report = json.NewEncoder(w)
 			}
 			shown := 0
-			skip := func(p *workload.Problem) error {
-				x.Skipped[p.Kind]++
+			skip := func(p *workload.EntryError) error {
+				result.Skipped[p.Kind]++
 				if report != nil {
 					if err := report.Encode(p); err != nil {
 						return err
@@ -148,62 +148,62 @@
 				return nil
 			}
 			for _, name := range args {
-				if err := s.read(name, x.see, skip); err != nil {
+				if err := s.read(name, result.add, skip); err != nil {
 					return err
 				}
 			}
-			x.finish()
+			result.finish()
 			if asJSON {
-				if err := json.NewEncoder(c.OutOrStdout()).Encode(&x); err != nil {
+				if err := json.NewEncoder(c.OutOrStdout()).Encode(&result); err != nil {
 					return err
 				}
 			} else {
-				printInspection(c.OutOrStdout(), &x)
+				printInspection(c.OutOrStdout(), &result)
 			}
-			if len(x.Skipped) > 0 {
+			if len(result.Skipped) > 0 {
 				return &exitError{4, errors.New("some entries were skipped")}
 			}
 			return nil
 		}}
-	s.add(c)
+	s.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 // read gives the entries of one file in order of time.
-func (s *source) read(name string, see func(*workload.Entry), skip func(*workload.Problem) error) error {
-	r, f, err := s.open(name)
-	if f != nil {
-		defer f.Close()
+func (s *sourceFlags) read(name string, handle func(*workload.Entry), skip func(*workload.EntryError) error) error {
+	r, closer, err := s.open(name)
+	if closer != nil {
+		defer closer.Close()
 	}
 	if err != nil {
 		return err
 	}
 	sorter := workload.Sorter{Window: s.window}
 	var out []workload.Entry
-	give := func() {
+	emit := func() {
 		for i := range out {
-			see(&out[i])
+			handle(&out[i])
 		}
 		out = out[:0]
 	}
 	for {
-		e, err := r.Next()
-		var p *workload.Problem
+		entry, err := r.Next()
+		var problem *workload.EntryError
 		switch {
 		case errors.Is(err, io.EOF):
 			out = sorter.Flush(out)
-			give()
+			emit()
 			return nil
-		case errors.As(err, &p):
+		case errors.As(err, &problem):
 		case err != nil:
 			return fmt.Errorf("%s: %w", name, err)
 		default:
-			out, p = sorter.Add(e, out)
-			give()
+			out, problem = sorter.Add(entry, out)
+			emit()
 		}
-		if p != nil {
-			if err := skip(p); err != nil {
+		if problem != nil {
+			if err := skip(problem); err != nil {
 				return err
 			}
 		}
--- a/cmd/heathshed/main.go
+++ b/cmd/heathshed/main.go
@@ -24,7 +24,7 @@
 func main() {
 	root := &cobra.Command{Use: "heathshed", Short: "Places long-running work on the machines of a cluster", SilenceUsage: true,
 		SilenceErrors: true}
-	root.AddCommand(upCommand(), serveCommand(), standinCommand(), configCommand(), versionCommand(), baddayCommand(), recoverCommand(), loadCommand(), platformCommand())
+	root.AddCommand(upCommand(), serveCommand(), emulateCommand(), configCommand(), versionCommand(), scenarioCommand(), metastabilityCommand(), loadCommand(), platformCommand())
 	root.AddCommand(clientCommands()...)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "heathshed:", err)
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -17,10 +17,10 @@
 	verdict metastability.Verdict
 }
 
-func recoverCommand() *cobra.Command {
+func metastabilityCommand() *cobra.Command {
 	var trials, workers int
 	var seed uint64
-	var plant, every, asJSON bool
+	var plant, all, asJSON bool
 	c := &cobra.Command{Use: "recover", Short: "Search, in simulated time, for trouble whose effects outlast it",
 		Long: "Play trials of a steady load with a trigger that is taken away, over random settings of gate and owner, and say which ones were not\n" +
 			"back at their earlier goodput in time. Exit code 3 says that there were some. The same seed gives the same trials.",
@@ -37,10 +37,10 @@
 				go func() {
 					defer wg.Done()
 					for i := range next {
-						t := metastability.Draw(seed + uint64(i))
-						t.Gate.ShedDraws = plant
-						v, err := metastability.Play(t)
-						rows[i], errs[i] = playedTrial{t, v}, err
+						trial := metastability.Draw(seed + uint64(i))
+						trial.Admission.ShedUsesRetryBudget = plant
+						verdict, err := metastability.Play(trial)
+						rows[i], errs[i] = playedTrial{trial, verdict}, err
 					}
 				}()
 			}
@@ -55,11 +55,11 @@
 					return errs[i]
 				}
 				r := &rows[i]
-				held := r.verdict.Held()
+				held := r.verdict.Recovered()
 				if !held {
 					failed++
 				}
-				if held && !every {
+				if held && !all {
 					continue
 				}
 				if asJSON {
@@ -69,8 +69,8 @@
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "seed %d  held %v  %s for %.1f s  load %.2f  backoff %d  in time %.2f, at worst %.2f  back after %.0f s of %.0f  "+
-					"open %d at most, %d at the end\n", r.trial.Seed, held, r.trial.Trigger.Kind, r.trial.Trigger.For, r.trial.Load, r.trial.Backoff,
-					r.verdict.Before, r.verdict.Worst, r.verdict.Back, r.verdict.Allowed, r.verdict.Peak, r.verdict.Left)
+					"open %d at most, %d at the end\n", r.trial.Seed, held, r.trial.Trigger.Kind, r.trial.Trigger.Duration, r.trial.Load, r.trial.Backoff,
+					r.verdict.BaselineGoodput, r.verdict.WorstGoodput, r.verdict.RecoveryTime, r.verdict.AllowedTime, r.verdict.PeakOpenTasks, r.verdict.FinalOpenTasks)
 			}
 			fmt.Fprintf(c.ErrOrStderr(), "%d trials, %d not back in time\n", trials, failed)
 			if failed > 0 {
@@ -82,7 +82,7 @@
 	c.Flags().IntVar(&workers, "workers", runtime.NumCPU(), "trials played at a time")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first trial; the others follow")
 	c.Flags().BoolVar(&plant, "plant", false, "make the mistake of a gate that takes what it shed itself for asks again")
-	c.Flags().BoolVar(&every, "all", false, "print every trial, not only those that failed")
+	c.Flags().BoolVar(&all, "all", false, "print every trial, not only those that failed")
 	c.Flags().BoolVar(&asJSON, "json", false, "print trials as JSON lines")
 	return c
 }
--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -18,12 +18,12 @@
 }
 
 type trialJSON struct {
-	Seed      uint64           `json:"Seed"`
-	Trigger   scenario.Trouble `json:"Trigger"`
-	Load      float64          `json:"Load"`
-	Backoff   int              `json:"Backoff"`
-	Admission admissionJSON    `json:"Gate"`
-	Retry     retryJSON        `json:"Owner"`
+	Seed      uint64         `json:"Seed"`
+	Trigger   scenario.Fault `json:"Trigger"`
+	Load      float64        `json:"Load"`
+	Backoff   int            `json:"Backoff"`
+	Admission admissionJSON  `json:"Gate"`
+	Retry     retryJSON      `json:"Owner"`
 }
 
 type admissionJSON struct {
@@ -64,21 +64,21 @@
 
 func newTrialRow(t *metastability.Trial, v *metastability.Verdict) trialRow {
 	verdict := verdictJSON{
-		BaselineGoodput:   v.Before,
-		WorstGoodput:      v.Worst,
-		RecoveryTime:      v.Back,
-		AllowedTime:       v.Allowed,
-		PeakOpenTasks:     v.Peak,
-		FinalOpenTasks:    v.Left,
-		PlacementRequests: v.Asks,
-		Attempts:          v.Offers,
+		BaselineGoodput:   v.BaselineGoodput,
+		WorstGoodput:      v.WorstGoodput,
+		RecoveryTime:      v.RecoveryTime,
+		AllowedTime:       v.AllowedTime,
+		PeakOpenTasks:     v.PeakOpenTasks,
+		FinalOpenTasks:    v.FinalOpenTasks,
+		PlacementRequests: v.PlacementRequests,
+		Attempts:          v.Attempts,
 	}
-	if math.IsInf(v.Back, 1) {
+	if math.IsInf(v.RecoveryTime, 1) {
 		verdict.RecoveryTime = -1
 	}
-	trial := trialJSON{Seed: t.Seed, Trigger: t.Trigger, Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Gate),
-		Retry: newRetryJSON(&t.Owner)}
-	return trialRow{Trial: trial, Verdict: verdict, Held: v.Held()}
+	trial := trialJSON{Seed: t.Seed, Trigger: t.Trigger, Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
+		Retry: newRetryJSON(&t.Retry)}
+	return trialRow{Trial: trial, Verdict: verdict, Held: v.Recovered()}
 }
 
 func newAdmissionJSON(c *admission.Config) admissionJSON {
@@ -86,16 +86,16 @@
 		Shares:       c.Shares,
 		MinInFlight:  c.MinInFlight,
 		MaxInFlight:  c.MaxInFlight,
-		Start:        c.Start,
-		Decrease:     c.Decrease,
-		Window:       c.Window,
+		Start:        c.InitialInFlight,
+		Decrease:     c.DecreaseFactor,
+		Window:       c.DecreaseInterval,
 		LateFraction: c.LateFraction,
-		MaxWaiting:   c.MaxWaiting,
+		MaxWaiting:   c.MaxQueued,
 		RetryRatio:   c.RetryRatio,
 		RetryRate:    c.RetryRate,
 		RetryBurst:   c.RetryBurst,
-		ShedDraws:    c.ShedDraws,
-		Additive:     c.Additive,
+		ShedDraws:    c.ShedUsesRetryBudget,
+		Additive:     c.AdditiveOnly,
 		Disabled:     c.Disabled,
 	}
 }
--- a/cmd/heathshed/metastability_test.go
+++ b/cmd/heathshed/metastability_test.go
@@ -15,12 +15,12 @@
 func TestTrialJSON(t *testing.T) {
 	trial := metastability.Trial{
 		Seed:    1,
-		Trigger: scenario.Trouble{Kind: "burst", At: 2, For: 3, Part: 4, Scale: 5, Class: "web", Name: "a"},
+		Trigger: scenario.Fault{Kind: "burst", At: 2, Duration: 3, Fraction: 4, Scale: 5, Class: "web", Name: "a"},
 		Load:    6,
 		Backoff: 7,
-		Gate: admission.Config{Shares: []float64{8}, MinInFlight: 9, MaxInFlight: 10, Start: 11, Decrease: 12, Window: 13, LateFraction: 14,
-			MaxWaiting: 15, RetryRatio: 16, RetryRate: 17, RetryBurst: 18, ShedDraws: true, Additive: true, Disabled: true},
-		Owner: retry.Policy{Delay: 19, ShortDelay: 20, Multiplier: 21, MaxDelay: 22, UnknownOutcomeTimeout: 23},
+		Admission: admission.Config{Shares: []float64{8}, MinInFlight: 9, MaxInFlight: 10, InitialInFlight: 11, DecreaseFactor: 12, DecreaseInterval: 13, LateFraction: 14,
+			MaxQueued: 15, RetryRatio: 16, RetryRate: 17, RetryBurst: 18, ShedUsesRetryBudget: true, AdditiveOnly: true, Disabled: true},
+		Retry: retry.Policy{Delay: 19, ShortDelay: 20, Multiplier: 21, MaxDelay: 22, UnknownOutcomeTimeout: 23},
 	}
 	const wantTrial = `{"trial":{"Seed":1,"Trigger":{"kind":"burst","at":2,"for":3,"part":4,"scale":5,"class":"web","name":"a"},` +
 		`"Load":6,"Backoff":7,"Gate":{"Shares":[8],"MinInFlight":9,"MaxInFlight":10,"Start":11,"Decrease":12,"Window":13,"LatePart":14,` +
@@ -35,7 +35,7 @@
 		{"never recovered", math.Inf(1), wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":-1,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":false}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			verdict := metastability.Verdict{Before: 24, Worst: 25, Back: c.back, Allowed: 27, Peak: 28, Left: 29, Asks: 30, Offers: 31}
+			verdict := metastability.Verdict{BaselineGoodput: 24, WorstGoodput: 25, RecoveryTime: c.back, AllowedTime: 27, PeakOpenTasks: 28, FinalOpenTasks: 29, PlacementRequests: 30, Attempts: 31}
 			got, err := json.Marshal(newTrialRow(&trial, &verdict))
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -25,23 +25,23 @@
 	return c
 }
 
-// platformConfig reads the file that LB_CONFIG names; the other variables must agree with it.
-func platformConfig() (*platform.Config, error) {
+// readPlatformConfig reads the file that LB_CONFIG names; the other variables must agree with it.
+func readPlatformConfig() (*platform.Config, error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
 		return nil, errors.New("LB_CONFIG: not set")
 	}
-	cfg, err := platform.ReadConfig(path)
+	config, err := platform.ReadConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	if v := os.Getenv("LB_NAME"); v != "" && v != cfg.Name {
-		return nil, fmt.Errorf("LB_NAME: %q, the configuration's name is %q", v, cfg.Name)
+	if v := os.Getenv("LB_NAME"); v != "" && v != config.Name {
+		return nil, fmt.Errorf("LB_NAME: %q, the configuration's name is %q", v, config.Name)
 	}
-	if v := os.Getenv("LB_LISTEN"); v != "" && v != cfg.Listen {
-		return nil, fmt.Errorf("LB_LISTEN: %q, the configuration's listen is %q", v, cfg.Listen)
+	if v := os.Getenv("LB_LISTEN"); v != "" && v != config.Listen {
+		return nil, fmt.Errorf("LB_LISTEN: %q, the configuration's listen is %q", v, config.Listen)
 	}
-	return cfg, nil
+	return config, nil
 }
 
 func runPlatform(levelName string) error {
@@ -51,45 +51,45 @@
 	}
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	cfg, err := platformConfig()
+	config, err := readPlatformConfig()
 	if err != nil {
 		return &exitError{2, err}
 	}
 	// One loop does all work: a second scheduler thread would only take the core from it.
 	runtime.GOMAXPROCS(1)
-	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(cfg.Memory / 2)
+	if config.Memory > 0 {
+		debug.SetMemoryLimit(config.Memory / 2)
 	}
-	p, err := placer.New(cfg.Settings.Placer, cfg.Seed)
+	policy, err := placer.New(config.Settings.Placer, config.Seed)
 	if err != nil {
 		return &exitError{2, fmt.Errorf("settings: %w", err)}
 	}
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return err
 	}
-	s, err := platform.New(l, cfg, p, log, l.Stop)
+	server, err := platform.New(loop, config, policy, log, loop.Stop)
 	if err != nil {
 		return &exitError{2, err}
 	}
-	log.Info().Str("name", cfg.Name).Str("listen", s.Addr()).Msg("serving")
+	log.Info().Str("name", config.Name).Str("listen", server.Addr()).Msg("serving")
 	go func() {
 		for sig := range signals {
 			if sig != syscall.SIGHUP {
-				l.Post(s.Stop)
+				loop.Post(server.Stop)
 				continue
 			}
 			// The file is read here, beside the loop; a broken one leaves what is in force.
-			next, err := platformConfig()
-			l.Post(func() {
+			next, err := readPlatformConfig()
+			loop.Post(func() {
 				if err != nil {
 					log.Error().Err(err).Msg("configuration not taken over")
 					return
 				}
-				s.Reload(next)
+				server.Reload(next)
 			})
 		}
 	}()
-	return l.Run()
+	return loop.Run()
 }
--- a/cmd/heathshed/platform_test.go
+++ b/cmd/heathshed/platform_test.go
@@ -30,29 +30,29 @@
  "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1}],
  "permissions":{"mostTries":4},"rules":{"askWithinS":9}}`
 
-func platformText(listen, bulletin string) string {
+func platformConfigText(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"9","bulletin":%q,"limits":{"memory_mb":32,"sockets":256},"known":{"no":0,"items":[]},
-		"settings":%s}`, listen, bulletin, platformSettings)
+		"settings":%s}`, listen, discovery, platformSettings)
 }
 
-func free(t *testing.T) (net.Listener, string) {
+func listenLocal(t *testing.T) (net.Listener, string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	return ln, ln.Addr().String()
+	t.Cleanup(func() { listener.Close() })
+	return listener, listener.Addr().String()
 }
 
-func program(t *testing.T, text string, more ...string) (*exec.Cmd, *bufio.Scanner, string) {
+func startProgram(t *testing.T, config string, env ...string) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "platform")
-	cmd.Env = append(append(os.Environ(), "HEATHSHED_TEST_MAIN=1", "LB_CONFIG="+path), more...)
+	cmd.Env = append(append(os.Environ(), "HEATHSHED_TEST_MAIN=1", "LB_CONFIG="+path), env...)
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +65,8 @@
 	return cmd, bufio.NewScanner(pipe), path
 }
 
-// logged reads the log until a line has the text.
-func logged(t *testing.T, log *bufio.Scanner, text string) {
+// awaitLog reads the log until a line has the text.
+func awaitLog(t *testing.T, log *bufio.Scanner, text string) {
 	t.Helper()
 	for log.Scan() {
 		if strings.Contains(log.Text(), text) {
@@ -76,18 +76,18 @@
 	t.Fatalf("the log ends without %q", text)
 }
 
-func TestPlatformRefusesWhatItCannotUse(t *testing.T) {
-	_, bulletin := free(t)
-	good := platformText("127.0.0.1:0", bulletin)
+func TestPlatformRejectsInvalidConfig(t *testing.T) {
+	_, discovery := listenLocal(t)
+	good := platformConfigText("127.0.0.1:0", discovery)
 	for name, c := range map[string]struct{ text, env, want string }{
 		"settings": {strings.Replace(good, "idempotent", "maybe", 1), "", "lanes[0].effect"},
 		"attempts": {strings.Replace(good, `"mostTries":4`, `"mostTries":0`, 1), "", "attempts 0"},
-		"known":    {strings.Replace(good, `"items":[]`, `"items":[{"no":"x"}]`, 1), "", "known: json: cannot unmarshal string into Go struct field bulletinEvent.items.no"},
+		"known":    {strings.Replace(good, `"items":[]`, `"items":[{"no":"x"}]`, 1), "", "known: json: cannot unmarshal string into Go struct field discoveryEvent.items.no"},
 		"no JSON":  {good[:40], "", "config.json"},
 		"name":     {good, "LB_NAME=n7", "LB_NAME"},
 		"listen":   {good, "LB_LISTEN=127.0.0.1:9", "LB_LISTEN"},
 	} {
-		cmd, log, _ := program(t, c.text, c.env)
+		cmd, log, _ := startProgram(t, c.text, c.env)
 		lines, all := 0, ""
 		for log.Scan() {
 			lines++
@@ -103,8 +103,8 @@
 // TestPlatformSignals: a broken file leaves the old configuration in force, a good one moves the bulletin, several signals at once move it
 // once, and the program ends in order. The processor time and memory of its start are bounded: a scheduler has a small machine.
 func TestPlatformSignals(t *testing.T) {
-	first, bulletin := free(t)
-	second, moved := free(t)
+	first, discovery := listenLocal(t)
+	second, moved := listenLocal(t)
 	calls := func(ln net.Listener) <-chan struct{} {
 		ch := make(chan struct{}, 100)
 		go func() {
@@ -121,8 +121,8 @@
 		return ch
 	}
 	atFirst, atSecond := calls(first), calls(second)
-	cmd, log, path := program(t, platformText("127.0.0.1:0", bulletin))
-	logged(t, log, "serving")
+	cmd, log, path := startProgram(t, platformConfigText("127.0.0.1:0", discovery))
+	awaitLog(t, log, "serving")
 	<-atFirst
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
@@ -137,18 +137,18 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "configuration not taken over")
-	if err := os.WriteFile(path, []byte(platformText("127.0.0.1:0", moved)), 0o600); err != nil {
+	awaitLog(t, log, "configuration not taken over")
+	if err := os.WriteFile(path, []byte(platformConfigText("127.0.0.1:0", moved)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
 		cmd.Process.Signal(syscall.SIGHUP)
 	}
-	logged(t, log, "bulletin moved")
+	awaitLog(t, log, "bulletin moved")
 	<-atSecond
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGTERM)
-	logged(t, log, "stopped")
+	awaitLog(t, log, "stopped")
 	cmd.Wait()
 	if code := cmd.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("exit status %d", code)
@@ -162,17 +162,17 @@
 
 // TestDescriptorsAreLeft: idle clients fill every descriptor that owners may have while the bulletin is down. Once it is back, the watch, a
 // connection to a machine, an owner and the file of a reload still find one. The limit of the process is the configuration's.
-func TestDescriptorsAreLeft(t *testing.T) {
+func TestDescriptorsReserved(t *testing.T) {
 	const sockets = 64
 	ln, err := net.Listen("tcp", "127.0.0.78:0") // where nobody else takes the port meanwhile
 	if err != nil {
 		t.Fatal(err)
 	}
-	bulletin := ln.Addr().String()
+	discovery := ln.Addr().String()
 	ln.Close() // down
-	moved, second := free(t)
-	node, machine := free(t)
-	cmd, log, path := program(t, strings.Replace(platformText("127.0.0.1:0", bulletin), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1))
+	moved, second := listenLocal(t)
+	node, nodeAddr := listenLocal(t)
+	cmd, log, path := startProgram(t, strings.Replace(platformConfigText("127.0.0.1:0", discovery), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1))
 	lim := unix.Rlimit{Cur: sockets, Max: sockets}
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &lim, nil); err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 		}
 	}
 	idle()
-	if ln, err = net.Listen("tcp", bulletin); err != nil { // back
+	if ln, err = net.Listen("tcp", discovery); err != nil { // back
 		t.Fatal(err)
 	}
 	defer ln.Close()
@@ -215,21 +215,21 @@
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n%s", text)
 	}
-	watch(ln, fmt.Sprintf("id: 1\ndata: "+`{"no":1,"roster":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":"in_service","boot_ms":0,"open":[8,16]}]}}`+"\n\n", machine))
+	watch(ln, fmt.Sprintf("id: 1\ndata: "+`{"no":1,"roster":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":"in_service","boot_ms":0,"open":[8,16]}]}}`+"\n\n", nodeAddr))
 	idle()
-	o := dial()
-	fmt.Fprintln(o, `{"kind":"launch","uid":"0000000000000007","meta":{"class":"query","left":"4000","key":"0000000000000007","extras":"cores:1;memory:1;service:0000000000000005"},"body":"x"}`)
+	client := dial()
+	fmt.Fprintln(client, `{"kind":"launch","uid":"0000000000000007","meta":{"class":"query","left":"4000","key":"0000000000000007","extras":"cores:1;memory:1;service:0000000000000005"},"body":"x"}`)
 	go func() {
 		if c, err := node.Accept(); err == nil {
 			bufio.NewReader(c).ReadString('\n')
 			fmt.Fprintln(c, `{"kind":"running","uid":"0000000000000007","body":"y"}`)
 		}
 	}()
-	if line, err := bufio.NewReader(o).ReadString('\n'); err != nil || !strings.Contains(line, `"running"`) {
+	if line, err := bufio.NewReader(client).ReadString('\n'); err != nil || !strings.Contains(line, `"running"`) {
 		t.Fatalf("%q, %v", line, err)
 	}
 	idle()
-	if err := os.WriteFile(path, []byte(platformText("127.0.0.1:0", second)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(platformConfigText("127.0.0.1:0", second)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
--- a/cmd/heathshed/run.go
+++ b/cmd/heathshed/run.go
@@ -24,24 +24,24 @@
 	"heathshed/internal/scheduler"
 )
 
-// common are flags that several commands share.
-type common struct {
+// commonFlags are flags that several commands share.
+type commonFlags struct {
 	file, listen, inventory, name, logLevel, logFormat string
-	print                                              bool
+	printConfig                                        bool
 }
 
-func (f *common) add(c *cobra.Command) {
+func (f *commonFlags) register(c *cobra.Command) {
 	c.Flags().StringVarP(&f.file, "config", "c", "", "settings file (JSON with comments); built-in settings if none")
 	c.Flags().StringVar(&f.listen, "listen", "", "address of the API, such as 127.0.0.1:8480; port 0 chooses one")
 	c.Flags().StringVar(&f.inventory, "inventory", "", "address of the inventory")
 	c.Flags().StringVar(&f.name, "name", "", "name of this scheduler")
 	c.Flags().StringVar(&f.logLevel, "log-level", "", "debug, info, warn or error; SIGUSR1 turns debug on and off")
 	c.Flags().StringVar(&f.logFormat, "log-format", "json", "json or text")
-	c.Flags().BoolVar(&f.print, "print-config", false, "print the settings in force and exit")
+	c.Flags().BoolVar(&f.printConfig, "print-config", false, "print the settings in force and exit")
 }
 
 // settings reads the file and lays the flags over it.
-func (f *common) settings() (config.Settings, error) {
+func (f *commonFlags) settings() (config.Settings, error) {
 	s := config.Default()
 	if f.file != "" {
 		var err error
@@ -57,7 +57,7 @@
 			*o.to = o.flag
 		}
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 func printSettings(w io.Writer, s *config.Settings) error {
@@ -69,37 +69,37 @@
 	return err
 }
 
-func (f *common) logger(s *config.Settings) zerolog.Logger {
+func (f *commonFlags) logger(s *config.Settings) zerolog.Logger {
 	var w io.Writer = os.Stderr
 	if f.logFormat == "text" {
 		w = zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: "15:04:05.000"}
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	setLevel(s.LogLevel)
+	setLogLevel(s.LogLevel)
 	return zerolog.New(w).With().Timestamp().Logger()
 }
 
-func setLevel(name string) {
+func setLogLevel(name string) {
 	if l, err := zerolog.ParseLevel(name); err == nil {
 		zerolog.SetGlobalLevel(l)
 	}
 }
 
-// onSignals posts stop to the loop at the first SIGINT or SIGTERM, ends the program at the second, and turns debug logs on and
+// handleSignals posts stop to the loop at the first SIGINT or SIGTERM, ends the program at the second, and turns debug logs on and
 // off at SIGUSR1.
-func onSignals(l *eventloop.Loop, log zerolog.Logger, normal string, stop func()) {
+func handleSignals(l *eventloop.Loop, log zerolog.Logger, configuredLevel string, stop func()) {
 	ch := make(chan os.Signal, 4)
 	signal.Notify(ch, syscall.SIGINT, syscall.SIGTERM, syscall.SIGUSR1)
 	go func() {
-		stopping, debug := false, normal == "debug"
-		for s := range ch {
-			if s == syscall.SIGUSR1 {
-				if debug = !debug; debug {
-					setLevel("debug")
+		stopping, debugEnabled := false, configuredLevel == "debug"
+		for sig := range ch {
+			if sig == syscall.SIGUSR1 {
+				if debugEnabled = !debugEnabled; debugEnabled {
+					setLogLevel("debug")
 				} else {
-					setLevel(normal)
+					setLogLevel(configuredLevel)
 				}
-				log.Warn().Bool("debug", debug).Msg("log level changed")
+				log.Warn().Bool("debug", debugEnabled).Msg("log level changed")
 				continue
 			}
 			if stopping {
@@ -121,109 +121,109 @@
 // they go on growing over restarts.
 func schedulerOptions(s *config.Settings, l *eventloop.Loop, seed uint64, log zerolog.Logger) scheduler.Options {
 	h := httpd.DefaultOptions()
-	h.Limits.Body = s.Limits.Body
-	memory := int64(s.Limits.Memory) << 20
-	h.Memory = memquota.Divide(memory).Connections
+	h.Limits.Body = s.Limits.MaxBodyBytes
+	memory := int64(s.Limits.MemoryMiB) << 20
+	h.MemoryBytes = memquota.Divide(memory).Connections
 	debug.SetMemoryLimit(memory) // the collector works harder near it; what is held is bounded by the shares
 	l.SetMaxConns(s.Limits.Connections)
-	return scheduler.Options{Engine: s.Engine(seed, int64(l.Now()*1e6)), Listen: s.Listen, Inventory: s.Inventory, Version: version, HTTP: h,
-		ConnectWithin: s.ConnectWithin, HeardWithin: s.HeardWithin, MaxList: s.Limits.Page, WatchQuiet: 90, Log: log}
+	return scheduler.Options{Engine: s.Engine(seed, int64(l.Now()*1e6)), ListenAddress: s.Listen, InventoryAddress: s.Inventory, Version: version, HTTP: h,
+		ConnectTimeoutSeconds: s.ConnectTimeout, NodeSyncTimeoutSeconds: s.NodeSyncTimeout, MaxListItems: s.Limits.MaxPage, WatchIdleTimeoutSeconds: 90, Log: log}
 }
 
 func serveCommand() *cobra.Command {
-	var f common
+	var flags commonFlags
 	var seed uint64
 	c := &cobra.Command{Use: "serve", Short: "Run one scheduler", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		s, err := f.settings()
+		settings, err := flags.settings()
 		if err != nil {
 			return err
 		}
-		if f.print {
-			return printSettings(c.OutOrStdout(), &s)
+		if flags.printConfig {
+			return printSettings(c.OutOrStdout(), &settings)
 		}
 		if seed == 0 {
 			seed = randomSeed()
 		}
-		log := f.logger(&s)
-		l, err := eventloop.New()
+		log := flags.logger(&settings)
+		loop, err := eventloop.New()
 		if err != nil {
 			return err
 		}
-		sch, err := scheduler.New(l, schedulerOptions(&s, l, seed, log))
+		sch, err := scheduler.New(loop, schedulerOptions(&settings, loop, seed, log))
 		if err != nil {
 			return err
 		}
-		log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", s.Inventory).Str("name", s.Name).Msg("scheduler listens")
+		log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", settings.Inventory).Str("name", settings.Name).Msg("scheduler listens")
 		fmt.Fprintf(c.OutOrStdout(), "api http://%s\n", sch.Addr())
-		onSignals(l, log, s.LogLevel, func() { sch.Stop(s.StopWithin, l.Stop) })
-		return l.Run()
+		handleSignals(loop, log, settings.LogLevel, func() { sch.Stop(settings.ShutdownTimeout, loop.Stop) })
+		return loop.Run()
 	}}
-	f.add(c)
+	flags.register(c)
 	c.Flags().Uint64Var(&seed, "seed", 0, "seed of all random numbers; 0 draws one")
 	return c
 }
 
 func upCommand() *cobra.Command {
-	var f common
+	var flags commonFlags
 	var nodes int
 	c := &cobra.Command{Use: "up", Short: "Run a scheduler with stand-in machines and an inventory, all in one process",
 		Long: "Run a scheduler with stand-in machines and an inventory on loopback, all in this one process. It is ready when\n" +
 			"/readyz says 200. Ctrl-C stops it in order.", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := f.settings()
+			settings, err := flags.settings()
 			if err != nil {
 				return err
 			}
 			if nodes > 0 {
-				s.Emulator.Nodes = nodes
+				settings.Emulator.Nodes = nodes
 			}
-			if err := s.Check(); err != nil {
+			if err := settings.Validate(); err != nil {
 				return err
 			}
-			if f.print {
-				return printSettings(c.OutOrStdout(), &s)
+			if flags.printConfig {
+				return printSettings(c.OutOrStdout(), &settings)
 			}
-			log := f.logger(&s)
-			l, err := eventloop.New()
+			log := flags.logger(&settings)
+			loop, err := eventloop.New()
 			if err != nil {
 				return err
 			}
 			// The stand-ins have a loop of their own, so that they do not share the scheduler's time.
-			sl, err := eventloop.New()
+			emulatorLoop, err := eventloop.New()
 			if err != nil {
 				return err
 			}
-			inv, err := startStandIns(sl, &s, f.inventory)
+			inventory, err := startEmulator(emulatorLoop, &settings, flags.inventory)
 			if err != nil {
 				return err
 			}
-			s.Inventory = inv.Addr()
-			sch, err := scheduler.New(l, schedulerOptions(&s, l, randomSeed(), log))
+			settings.Inventory = inventory.Addr()
+			sch, err := scheduler.New(loop, schedulerOptions(&settings, loop, randomSeed(), log))
 			if err != nil {
 				return err
 			}
-			log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", "http://"+inv.Addr()).Int("machines", s.Emulator.Nodes).
+			log.Info().Str("api", "http://"+sch.Addr()).Str("inventory", "http://"+inventory.Addr()).Int("machines", settings.Emulator.Nodes).
 				Msg("scheduler, inventory and stand-in machines listen")
 			fmt.Fprintf(c.OutOrStdout(), "api http://%s\n", sch.Addr())
 			done := make(chan error, 1)
-			go func() { done <- sl.Run() }()
-			onSignals(l, log, s.LogLevel, func() { sch.Stop(s.StopWithin, l.Stop) })
-			err = l.Run()
-			sl.Stop()
+			go func() { done <- emulatorLoop.Run() }()
+			handleSignals(loop, log, settings.LogLevel, func() { sch.Stop(settings.ShutdownTimeout, loop.Stop) })
+			err = loop.Run()
+			emulatorLoop.Stop()
 			<-done
 			return err
 		}}
-	f.add(c)
+	flags.register(c)
 	c.Flags().IntVar(&nodes, "nodes", 0, "number of stand-in machines")
 	return c
 }
 
-// startStandIns starts an inventory and machines that report to it.
-func startStandIns(l *eventloop.Loop, s *config.Settings, listen string) (*emulator.Inventory, error) {
+// startEmulator starts an inventory and machines that report to it.
+func startEmulator(l *eventloop.Loop, s *config.Settings, listen string) (*emulator.Inventory, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	inv, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: listen, Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter,
+	inv, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: listen, PublishDelay: s.Emulator.ReportDelay, UnresponsiveAfter: s.Emulator.UnresponsiveAfter,
 		RemoveAfter: s.Emulator.RemoveAfter})
 	if err != nil {
 		return nil, err
@@ -239,14 +239,14 @@
 }
 
 func nodeOptions(s *config.Settings, i int) emulator.NodeOptions {
-	cfg, kind, rack, zone := s.Machine(i)
+	cfg, kind, rack, zone := s.EmulatedNode(i)
 	return emulator.NodeOptions{Name: fmt.Sprintf("node-%02d", i+1), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0", Sim: cfg,
-		Priorities: s.Priorities(), Lives: s.Lives()}
+		Priorities: s.Priorities(), Lifetimes: s.Lifetimes()}
 }
 
-func standinCommand() *cobra.Command {
+func emulateCommand() *cobra.Command {
 	c := &cobra.Command{Use: "standin", Short: "Run a stand-in of a machine or of the inventory"}
-	var f common
+	var f commonFlags
 	var index int
 	var tapFile string
 	node := &cobra.Command{Use: "node", Short: "Run one stand-in machine that reports to an inventory", Args: cobra.NoArgs,
@@ -267,23 +267,23 @@
 			if f.name != "" {
 				o.Name = f.name
 			}
-			tap, err := tapTo(tapFile)
+			tap, err := auditLog(tapFile)
 			if err != nil {
 				return err
 			}
-			o.Tap = tap
+			o.OnEvent = tap
 			n, err := emulator.StartNode(l, o)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "node %s http://%s\n", n.Name(), n.Addr())
-			onSignals(l, f.logger(&s), s.LogLevel, l.Stop)
+			handleSignals(l, f.logger(&s), s.LogLevel, l.Stop)
 			return l.Run()
 		}}
-	f.add(node)
+	f.register(node)
 	node.Flags().IntVar(&index, "index", 0, "number of the machine: gives its kind, rack and seed")
 	node.Flags().StringVar(&tapFile, "tap", "", "file that gets a line for each thing that passes")
-	var g common
+	var g commonFlags
 	var invTap string
 	inv := &cobra.Command{Use: "inventory", Short: "Run a stand-in inventory", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		s, err := g.settings()
@@ -294,27 +294,27 @@
 		if err != nil {
 			return err
 		}
-		tap, err := tapTo(invTap)
+		tap, err := auditLog(invTap)
 		if err != nil {
 			return err
 		}
-		v, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: s.Inventory, Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter,
-			RemoveAfter: s.Emulator.RemoveAfter, Tap: tap})
+		v, err := emulator.StartInventory(l, emulator.InventoryOptions{Listen: s.Inventory, PublishDelay: s.Emulator.ReportDelay, UnresponsiveAfter: s.Emulator.UnresponsiveAfter,
+			RemoveAfter: s.Emulator.RemoveAfter, OnEvent: tap})
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(c.OutOrStdout(), "inventory http://%s\n", v.Addr())
-		onSignals(l, g.logger(&s), s.LogLevel, l.Stop)
+		handleSignals(l, g.logger(&s), s.LogLevel, l.Stop)
 		return l.Run()
 	}}
-	g.add(inv)
+	g.register(inv)
 	inv.Flags().StringVar(&invTap, "tap", "", "file that gets a line for each thing that passes")
 	c.AddCommand(node, inv)
 	return c
 }
 
-// tapTo writes what passes to a file, a line each; nil for no file. Each line is written at once: the process may be killed.
-func tapTo(file string) (func(audit.Event), error) {
+// auditLog writes what passes to a file, a line each; nil for no file. Each line is written at once: the process may be killed.
+func auditLog(file string) (func(audit.Event), error) {
 	if file == "" {
 		return nil, nil
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -42,51 +42,51 @@
 	Ready func() error
 	// Metrics returns the text of /metrics.
 	Metrics func() []byte
-	// MaxList bounds the objects in one page of a list that names no limit; 0 is no bound.
-	MaxList int
+	// DefaultListLimit bounds the objects in one page of a list that names no limit; 0 is no bound.
+	DefaultListLimit int
 
 	now      float64
 	watchers map[*watcher]struct{}
 	closing  bool
 }
 
-// kind describes a resource as the API names it.
-type kind struct {
-	res        store.Resource
-	gv         schema.GroupVersion
-	kind       string
-	namespaced bool
-	verbs      []string
-	short      []string
-	empty      func() store.Object
-	fields     func(o store.Object) fields.Set
-	fieldNames []string
+// resourceType describes a resource as the API names it.
+type resourceType struct {
+	resource         store.Resource
+	groupVersion     schema.GroupVersion
+	kind             string
+	namespaced       bool
+	verbs            []string
+	shortNames       []string
+	newObject        func() store.Object
+	selectableValues func(o store.Object) fields.Set
+	selectableFields []string
 }
 
-var kinds = map[store.Resource]*kind{
-	store.Jobs: {res: store.Jobs, gv: batchv1.SchemeGroupVersion, kind: "Job", empty: func() store.Object { return &batchv1.Job{} }, namespaced: true,
-		verbs:      []string{"create", "delete", "deletecollection", "get", "list", "patch", "update", "watch"},
-		fieldNames: []string{"status.successful"},
-		fields: func(o store.Object) fields.Set {
+var resourceTypes = map[store.Resource]*resourceType{
+	store.Jobs: {resource: store.Jobs, groupVersion: batchv1.SchemeGroupVersion, kind: "Job", newObject: func() store.Object { return &batchv1.Job{} }, namespaced: true,
+		verbs:            []string{"create", "delete", "deletecollection", "get", "list", "patch", "update", "watch"},
+		selectableFields: []string{"status.successful"},
+		selectableValues: func(o store.Object) fields.Set {
 			return fields.Set{"status.successful": strconv.Itoa(int(o.(*batchv1.Job).Status.Succeeded))}
 		}},
-	store.Pods: {res: store.Pods, gv: corev1.SchemeGroupVersion, kind: "Pod", empty: func() store.Object { return &corev1.Pod{} }, namespaced: true,
-		verbs: []string{"delete", "deletecollection", "get", "list", "watch"}, short: []string{"po"},
-		fieldNames: []string{"spec.nodeName", "spec.restartPolicy", "spec.schedulerName", "status.phase"},
-		fields: func(o store.Object) fields.Set {
+	store.Pods: {resource: store.Pods, groupVersion: corev1.SchemeGroupVersion, kind: "Pod", newObject: func() store.Object { return &corev1.Pod{} }, namespaced: true,
+		verbs: []string{"delete", "deletecollection", "get", "list", "watch"}, shortNames: []string{"po"},
+		selectableFields: []string{"spec.nodeName", "spec.restartPolicy", "spec.schedulerName", "status.phase"},
+		selectableValues: func(o store.Object) fields.Set {
 			p := o.(*corev1.Pod)
 			return fields.Set{"spec.nodeName": p.Spec.NodeName, "spec.restartPolicy": string(p.Spec.RestartPolicy),
 				"spec.schedulerName": p.Spec.SchedulerName, "status.phase": string(p.Status.Phase)}
 		}},
-	store.Nodes: {res: store.Nodes, gv: corev1.SchemeGroupVersion, kind: "Node", empty: func() store.Object { return &corev1.Node{} },
-		verbs: []string{"get", "list", "patch", "update", "watch"}, short: []string{"no"},
-		fieldNames: []string{"spec.unschedulable"},
-		fields: func(o store.Object) fields.Set {
+	store.Nodes: {resource: store.Nodes, groupVersion: corev1.SchemeGroupVersion, kind: "Node", newObject: func() store.Object { return &corev1.Node{} },
+		verbs: []string{"get", "list", "patch", "update", "watch"}, shortNames: []string{"no"},
+		selectableFields: []string{"spec.unschedulable"},
+		selectableValues: func(o store.Object) fields.Set {
 			return fields.Set{"spec.unschedulable": strconv.FormatBool(o.(*corev1.Node).Spec.Unschedulable)}
 		}},
-	store.Namespaces: {res: store.Namespaces, gv: corev1.SchemeGroupVersion, kind: "Namespace", empty: func() store.Object { return &corev1.Namespace{} },
-		verbs: []string{"get", "list", "watch"}, short: []string{"ns"}, fieldNames: []string{"status.phase"},
-		fields: func(o store.Object) fields.Set {
+	store.Namespaces: {resource: store.Namespaces, groupVersion: corev1.SchemeGroupVersion, kind: "Namespace", newObject: func() store.Object { return &corev1.Namespace{} },
+		verbs: []string{"get", "list", "watch"}, shortNames: []string{"ns"}, selectableFields: []string{"status.phase"},
+		selectableValues: func(o store.Object) fields.Set {
 			return fields.Set{"status.phase": string(o.(*corev1.Namespace).Status.Phase)}
 		}},
 }
@@ -94,17 +94,17 @@
 // request is a request taken apart.
 type request struct {
 	*http1.Request
-	path      []string
-	query     url.Values
-	kind      *kind
-	namespace string
-	name      string
-	sub       string
-	warnings  []string
+	path         []string
+	query        url.Values
+	resourceType *resourceType
+	namespace    string
+	name         string
+	subresource  string
+	warnings     []string
 }
 
-// maxSelector bounds the terms of a selector.
-const maxSelector = 100
+// maxSelectorTerms bounds the terms of a selector.
+const maxSelectorTerms = 100
 
 const jsonType = "application/json"
 
@@ -114,7 +114,7 @@
 	req := &request{Request: r}
 	resp, err := s.serve(req)
 	if err != nil {
-		resp = statusOf(err)
+		resp = errorResponse(err)
 	}
 	for _, w := range req.warnings {
 		resp.Header = append(resp.Header, http1.Field{Name: "Warning", Value: "299 - " + strconv.Quote(w)})
@@ -142,21 +142,21 @@
 		}
 		r.path = append(r.path, u)
 	}
-	if resp, ok := s.plain(r); ok {
+	if resp, ok := s.serveNonResource(r); ok {
 		return resp, nil
 	}
 	if err := s.route(r); err != nil {
 		return http1.Response{}, err
 	}
-	if r.kind == nil {
-		return s.discover(r)
+	if r.resourceType == nil {
+		return s.serveDiscovery(r)
 	}
 	if e := r.Head.Header.Get("Content-Encoding"); e != "" && !strings.EqualFold(e, "identity") {
 		return http1.Response{}, &apierrors.StatusError{ErrStatus: metav1.Status{Status: metav1.StatusFailure,
 			Code: http.StatusUnsupportedMediaType, Reason: metav1.StatusReasonUnsupportedMediaType,
 			Message: fmt.Sprintf("content-encoding %.40q: bodies are taken as they are only", e)}}
 	}
-	if !accepts(r.Head.Header.Get("Accept")) {
+	if !acceptsJSON(r.Head.Header.Get("Accept")) {
 		return http1.Response{}, &apierrors.StatusError{ErrStatus: metav1.Status{Status: metav1.StatusFailure,
 			Code: http.StatusNotAcceptable, Reason: metav1.StatusReasonNotAcceptable,
 			Message: "only the following media types are accepted: application/json"}}
@@ -165,37 +165,37 @@
 	case s.Engine == nil && m != "GET" && m != "HEAD":
 		return http1.Response{}, s.notAllowed(r)
 	case m == "GET" || m == "HEAD":
-		if r.sub != "" && r.sub != "status" {
+		if r.subresource != "" && r.subresource != "status" {
 			return http1.Response{}, s.notAllowed(r)
 		}
 		if r.name != "" {
 			if r.query.Get("watch") == "true" || r.query.Get("watch") == "1" {
 				r.query.Set("fieldSelector", "metadata.name="+r.name)
 				r.name = ""
-				return s.list(r)
+				return s.listObjects(r)
 			}
-			return s.get(r)
+			return s.getObject(r)
 		}
-		return s.list(r)
-	case r.kind.res == store.Jobs && r.sub == "" && m == "POST" && r.name == "":
+		return s.listObjects(r)
+	case r.resourceType.resource == store.Jobs && r.subresource == "" && m == "POST" && r.name == "":
 		return s.createJob(r)
-	case r.kind.res == store.Pods && r.sub == "eviction" && m == "POST":
-		return s.evict(r)
-	case r.sub == "" && r.name != "" && (m == "PUT" || m == "PATCH") && (r.kind.res == store.Jobs || r.kind.res == store.Nodes):
-		return s.update(r)
-	case r.sub == "" && m == "DELETE" && (r.kind.res == store.Jobs || r.kind.res == store.Pods):
-		return s.remove(r)
+	case r.resourceType.resource == store.Pods && r.subresource == "eviction" && m == "POST":
+		return s.evictPod(r)
+	case r.subresource == "" && r.name != "" && (m == "PUT" || m == "PATCH") && (r.resourceType.resource == store.Jobs || r.resourceType.resource == store.Nodes):
+		return s.updateObject(r)
+	case r.subresource == "" && m == "DELETE" && (r.resourceType.resource == store.Jobs || r.resourceType.resource == store.Pods):
+		return s.deleteObjects(r)
 	}
 	return http1.Response{}, s.notAllowed(r)
 }
 
 func (s *Server) notAllowed(r *request) error {
-	return apierrors.NewMethodNotSupported(schema.GroupResource{Group: r.kind.gv.Group, Resource: r.kind.res.String()},
+	return apierrors.NewMethodNotSupported(schema.GroupResource{Group: r.resourceType.groupVersion.Group, Resource: r.resourceType.resource.String()},
 		strings.ToLower(r.Head.Method))
 }
 
-// plain answers what is no API object.
-func (s *Server) plain(r *request) (http1.Response, bool) {
+// serveNonResource answers what is no API object.
+func (s *Server) serveNonResource(r *request) (http1.Response, bool) {
 	text := func(status int, body string) (http1.Response, bool) {
 		return http1.Response{Status: status, Header: []http1.Field{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}},
 			Body: []byte(body)}, true
@@ -234,55 +234,55 @@
 	case len(p) >= 4 && p[0] == "apis" && p[1] == "batch" && p[2] == "v1":
 		p = p[3:]
 	default:
-		return notFoundPath()
+		return newPathNotFound()
 	}
 	core := r.path[0] == "api"
 	if len(p) >= 3 && p[0] == "namespaces" && (!core || p[2] != "status") {
 		if len(utilvalidation.IsDNS1123Label(p[1])) > 0 {
-			return badSegment("namespace", p[1])
+			return newInvalidSegment("namespace", p[1])
 		}
 		r.namespace = p[1]
 		p = p[2:]
 	}
-	for _, k := range kinds {
-		if k.res.String() == p[0] && (k.gv.Group == "") == core && (r.namespace == "" || k.namespaced) {
-			r.kind = k
+	for _, k := range resourceTypes {
+		if k.resource.String() == p[0] && (k.groupVersion.Group == "") == core && (r.namespace == "" || k.namespaced) {
+			r.resourceType = k
 		}
 	}
-	if r.kind == nil || len(p) > 3 {
-		return notFoundPath()
+	if r.resourceType == nil || len(p) > 3 {
+		return newPathNotFound()
 	}
 	if len(p) > 1 {
 		if len(pathvalidation.IsValidPathSegmentName(p[1])) > 0 || len(utilvalidation.IsDNS1123Subdomain(p[1])) > 0 {
-			return badSegment("name", p[1])
+			return newInvalidSegment("name", p[1])
 		}
 		r.name = p[1]
-		if r.kind.namespaced && r.namespace == "" {
-			return notFoundPath()
+		if r.resourceType.namespaced && r.namespace == "" {
+			return newPathNotFound()
 		}
 	}
 	if len(p) > 2 {
-		r.sub = p[2]
-		if r.sub != "status" && !(r.sub == "eviction" && r.kind.res == store.Pods) {
-			return notFoundPath()
+		r.subresource = p[2]
+		if r.subresource != "status" && !(r.subresource == "eviction" && r.resourceType.resource == store.Pods) {
+			return newPathNotFound()
 		}
 	}
 	return nil
 }
 
-// badSegment refuses a path segment that cannot be the name it stands for: an escaped slash must not become part of one.
-func badSegment(what, got string) error {
+// newInvalidSegment refuses a path segment that cannot be the name it stands for: an escaped slash must not become part of one.
+func newInvalidSegment(what, got string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
 		"with a letter or digit", what, got))
 }
 
-func notFoundPath() error {
+func newPathNotFound() error {
 	return &apierrors.StatusError{ErrStatus: metav1.Status{Status: metav1.StatusFailure, Code: 404,
 		Reason: metav1.StatusReasonNotFound, Message: "the server could not find the requested resource"}}
 }
 
-// accepts says whether JSON is among what a client takes.
-func accepts(header string) bool {
+// acceptsJSON says whether JSON is among what a client takes.
+func acceptsJSON(header string) bool {
 	if header == "" {
 		return true
 	}
@@ -301,27 +301,27 @@
 	return false
 }
 
-func respond(status int, v any) (http1.Response, error) {
+func jsonResponse(status int, v any) (http1.Response, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
 	}
-	return raw(status, append(b, '\n')), nil
+	return encodedResponse(status, append(b, '\n')), nil
 }
 
-func raw(status int, body []byte) http1.Response {
+func encodedResponse(status int, body []byte) http1.Response {
 	return http1.Response{Status: status, Header: []http1.Field{{Name: "Content-Type", Value: jsonType}}, Body: body}
 }
 
-// statusOf turns an error into the API's Status.
-func statusOf(err error) http1.Response {
+// errorResponse turns an error into the API's Status.
+func errorResponse(err error) http1.Response {
 	var se apierrors.APIStatus
 	st := metav1.Status{Status: metav1.StatusFailure, Code: 500, Reason: metav1.StatusReasonInternalError, Message: err.Error()}
 	if errors.As(err, &se) {
 		st = se.Status()
 	}
 	st.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
-	resp, err := respond(int(st.Code), &st)
+	resp, err := jsonResponse(int(st.Code), &st)
 	if err != nil {
 		return http1.Response{Status: 500}
 	}
@@ -331,9 +331,9 @@
 	return resp
 }
 
-// fail puts an engine's error into the API's words.
-func (r *request) fail(err error, name string) error {
-	gr := schema.GroupResource{Group: r.kind.gv.Group, Resource: r.kind.res.String()}
+// statusError puts an engine's error into the API's words.
+func (r *request) statusError(err error, name string) error {
+	gr := schema.GroupResource{Group: r.resourceType.groupVersion.Group, Resource: r.resourceType.resource.String()}
 	var inv *engine.InvalidError
 	switch {
 	case errors.Is(err, engine.ErrNotFound):
@@ -345,21 +345,21 @@
 	case errors.Is(err, engine.ErrTooMany):
 		return apierrors.NewTooManyRequests(err.Error(), 5)
 	case errors.Is(err, engine.ErrStopping):
-		return unavailable(err.Error())
+		return newServiceUnavailable(err.Error())
 	case errors.As(err, &inv):
-		return apierrors.NewInvalid(schema.GroupKind{Group: r.kind.gv.Group, Kind: r.kind.kind}, name,
+		return apierrors.NewInvalid(schema.GroupKind{Group: r.resourceType.groupVersion.Group, Kind: r.resourceType.kind}, name,
 			field.ErrorList{field.Invalid(field.NewPath(inv.Field), inv.Value, inv.Detail)})
 	}
 	return err
 }
 
-func unavailable(words string) error {
+func newServiceUnavailable(words string) error {
 	return &apierrors.StatusError{ErrStatus: metav1.Status{Status: metav1.StatusFailure, Code: 503,
 		Reason: metav1.StatusReasonServiceUnavailable, Message: words, Details: &metav1.StatusDetails{RetryAfterSeconds: 1}}}
 }
 
-// discover answers the paths that tell what there is.
-func (s *Server) discover(r *request) (http1.Response, error) {
+// serveDiscovery answers the paths that tell what there is.
+func (s *Server) serveDiscovery(r *request) (http1.Response, error) {
 	if m := r.Head.Method; m != "GET" && m != "HEAD" {
 		return http1.Response{}, apierrors.NewMethodNotSupported(schema.GroupResource{Resource: r.path[0]}, m)
 	}
@@ -368,16 +368,16 @@
 		PreferredVersion: metav1.GroupVersionForDiscovery{GroupVersion: "batch/v1", Version: "v1"}}
 	switch strings.Join(r.path, "/") {
 	case "version":
-		return respond(200, &version.Info{Major: "1", Minor: "37", GitVersion: "v1.37.2+heathshed-" + s.Version,
+		return jsonResponse(200, &version.Info{Major: "1", Minor: "37", GitVersion: "v1.37.2+heathshed-" + s.Version,
 			GitTreeState: "clean", Compiler: "gc", Platform: "linux/amd64"})
 	case "api":
-		return respond(200, &metav1.APIVersions{TypeMeta: metav1.TypeMeta{Kind: "APIVersions"}, Versions: []string{"v1"},
+		return jsonResponse(200, &metav1.APIVersions{TypeMeta: metav1.TypeMeta{Kind: "APIVersions"}, Versions: []string{"v1"},
 			ServerAddressByClientCIDRs: []metav1.ServerAddressByClientCIDR{}})
 	case "apis":
-		return respond(200, &metav1.APIGroupList{TypeMeta: metav1.TypeMeta{Kind: "APIGroupList", APIVersion: "v1"},
+		return jsonResponse(200, &metav1.APIGroupList{TypeMeta: metav1.TypeMeta{Kind: "APIGroupList", APIVersion: "v1"},
 			Groups: []metav1.APIGroup{group}})
 	case "apis/batch":
-		return respond(200, &group)
+		return jsonResponse(200, &group)
 	}
 	gv := corev1.SchemeGroupVersion
 	if r.path[0] == "apis" {
@@ -385,32 +385,32 @@
 	}
 	list := metav1.APIResourceList{TypeMeta: metav1.TypeMeta{Kind: "APIResourceList", APIVersion: "v1"}, GroupVersion: gv.String()}
 	for _, res := range []store.Resource{store.Jobs, store.Namespaces, store.Nodes, store.Pods} {
-		if k := kinds[res]; k.gv == gv {
+		if k := resourceTypes[res]; k.groupVersion == gv {
 			list.APIResources = append(list.APIResources, metav1.APIResource{Name: res.String(),
-				SingularName: strings.ToLower(k.kind), Namespaced: k.namespaced, Kind: k.kind, Verbs: k.verbs, ShortNames: k.short})
+				SingularName: strings.ToLower(k.kind), Namespaced: k.namespaced, Kind: k.kind, Verbs: k.verbs, ShortNames: k.shortNames})
 			if res == store.Pods {
 				list.APIResources = append(list.APIResources, metav1.APIResource{Name: "pods/eviction", Namespaced: true,
 					Kind: "Eviction", Group: "policy", Version: "v1", Verbs: []string{"create"}})
 			}
 		}
 	}
-	return respond(200, &list)
+	return jsonResponse(200, &list)
 }
 
 // selector is what a list or watch keeps.
 type selector struct {
-	namespace string
-	labels    labels.Selector
-	fields    fields.Selector
-	kind      *kind
-	all       bool
+	namespace    string
+	labels       labels.Selector
+	fields       fields.Selector
+	resourceType *resourceType
+	matchesAll   bool
 }
 
 func (s *selector) matches(o store.Object) bool {
 	if o == nil || s.namespace != "" && o.GetNamespace() != s.namespace {
 		return false
 	}
-	if s.all {
+	if s.matchesAll {
 		return true
 	}
 	if !s.labels.Matches(labels.Set(o.GetLabels())) {
@@ -419,17 +419,17 @@
 	if s.fields.Empty() {
 		return true
 	}
-	set := s.kind.fields(o)
+	set := s.resourceType.selectableValues(o)
 	set["metadata.name"], set["metadata.namespace"] = o.GetName(), o.GetNamespace()
 	return s.fields.Matches(set)
 }
 
-func (r *request) selector() (selector, error) {
-	s := selector{namespace: r.namespace, kind: r.kind}
+func (r *request) parseSelector() (selector, error) {
+	s := selector{namespace: r.namespace, resourceType: r.resourceType}
 	for _, name := range []string{"labelSelector", "fieldSelector"} {
 		// Each comma parts a requirement or a value of one, and each object of a list is held against them all.
-		if n := strings.Count(r.query.Get(name), ","); n >= maxSelector {
-			return s, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, n+1, maxSelector))
+		if n := strings.Count(r.query.Get(name), ","); n >= maxSelectorTerms {
+			return s, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, n+1, maxSelectorTerms))
 		}
 	}
 	var err error
@@ -439,7 +439,7 @@
 	if s.fields, err = fields.ParseSelector(r.query.Get("fieldSelector")); err != nil {
 		return s, apierrors.NewBadRequest("fieldSelector: " + err.Error())
 	}
-	known := append([]string{"metadata.name", "metadata.namespace"}, r.kind.fieldNames...)
+	known := append([]string{"metadata.name", "metadata.namespace"}, r.resourceType.selectableFields...)
 	for _, q := range s.fields.Requirements() {
 		ok := false
 		for _, k := range known {
@@ -449,6 +449,6 @@
 			return s, apierrors.NewBadRequest(fmt.Sprintf("field label not supported: %s", q.Field))
 		}
 	}
-	s.all = s.labels.Empty() && s.fields.Empty()
+	s.matchesAll = s.labels.Empty() && s.fields.Empty()
 	return s, nil
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,7 +12,7 @@
 	"heathshed/internal/store"
 )
 
-func filled(n int) *Server {
+func newPodServer(n int) *Server {
 	st := store.New(100, 50)
 	for i := range n {
 		p := &corev1.Pod{}
@@ -24,13 +24,13 @@
 	return &Server{Store: st}
 }
 
-func (s *Server) ask(method, target, accept string) http1.Response {
+func (s *Server) getAs(method, target, accept string) http1.Response {
 	return s.Serve(1000, &http1.Request{Head: &http1.Head{Method: method, Target: target, Minor: 1, Header: http1.Header{{Name: "Accept", Value: accept}}}})
 }
 
 // What kubectl get sends: rows if the server has them.
 func TestTables(t *testing.T) {
-	s := filled(5)
+	s := newPodServer(5)
 	const kubectl = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json;as=Table;v=v1beta1;g=meta.k8s.io,application/json"
 	for _, c := range []struct {
 		target, accept string
@@ -38,7 +38,7 @@
 		more           bool
 	}{{"/api/v1/pods", kubectl, 5, false}, {"/api/v1/namespaces/default/pods/pa", kubectl, 1, false}, {"/api/v1/pods?limit=2", kubectl, 2, true},
 		{"/api/v1/pods?labelSelector=odd%3D1", kubectl, 2, false}, {"/api/v1/pods", "application/json," + kubectl, -1, false}} {
-		resp := s.ask("GET", c.target, c.accept)
+		resp := s.getAs("GET", c.target, c.accept)
 		var tb metav1.Table
 		if err := json.Unmarshal(resp.Body, &tb); err != nil || resp.Status != 200 {
 			t.Fatalf("%s: %d, %v", c.target, resp.Status, err)
@@ -58,8 +58,8 @@
 
 // An object that begins or ceases to match a selector is added or deleted; a slow reader whose place is gone is told so; an event is one line.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
-	s := filled(2)
-	resp := s.ask("GET", "/api/v1/pods?watch=1&labelSelector=odd%3D1&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan", "")
+	s := newPodServer(2)
+	resp := s.getAs("GET", "/api/v1/pods?watch=1&labelSelector=odd%3D1&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan", "")
 	if resp.Stream == nil {
 		t.Fatalf("no stream: %d %s", resp.Status, resp.Body)
 	}
@@ -105,7 +105,7 @@
 	if !pull(1<<20) || strings.Join(kinds, "") != "ERROR" {
 		t.Errorf("after its place was gone: %v", kinds)
 	}
-	resp.Stream.Stopped()
+	resp.Stream.Close()
 	if s.Watchers() != 0 {
 		t.Error("a watch that ended is still counted")
 	}
--- a/internal/api/binary.go
+++ b/internal/api/binary.go
@@ -72,8 +72,8 @@
 	return c.Binary
 }
 
-// binaryEvent appends one frame.
-func binaryEvent(b []byte, kind string, object []byte) []byte {
+// appendBinaryEvent appends one frame.
+func appendBinaryEvent(b []byte, kind string, object []byte) []byte {
 	inner := 1 + protowire.SizeBytes(len(object))
 	size := 1 + protowire.SizeBytes(len(kind)) + 1 + protowire.SizeBytes(inner)
 	b = binary.BigEndian.AppendUint32(b, uint32(size))
--- a/internal/api/bounds_test.go
+++ b/internal/api/bounds_test.go
@@ -20,8 +20,8 @@
 	"heathshed/internal/wellknown"
 )
 
-// serving is an API over an engine that knows one machine.
-func serving(t testing.TB) *Server {
+// newEngineServer is an API over an engine that knows one machine.
+func newEngineServer(t testing.TB) *Server {
 	s := config.Default()
 	e, err := engine.New(s.Engine(1, 1000))
 	if err != nil {
@@ -39,19 +39,19 @@
 }
 
 const (
-	jobsPath = "/apis/batch/v1/namespaces/default/jobs"
-	nodePath = "/api/v1/nodes/node-1"
-	jsonP    = string(types.JSONPatchType)
-	mergeP   = string(types.MergePatchType)
-	strategP = string(types.StrategicMergePatchType)
+	jobsPath           = "/apis/batch/v1/namespaces/default/jobs"
+	nodePath           = "/api/v1/nodes/node-1"
+	jsonPatchType      = string(types.JSONPatchType)
+	mergePatchType     = string(types.MergePatchType)
+	strategicPatchType = string(types.StrategicMergePatchType)
 )
 
-func jobWith(cpu string) string {
+func jobWithCPU(cpu string) string {
 	return `{"metadata":{"name":"j"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
 		`{"requests":{"cpu":` + cpu + `}}}]}}}}`
 }
 
-func copies(n int) string {
+func copyOperations(n int) string {
 	ops := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
 	for i := range n {
 		ops = append(ops, fmt.Sprintf(`{"op":"copy","from":"/metadata","path":"/metadata/annotations/x%d"}`, i))
@@ -59,8 +59,8 @@
 	return "[" + strings.Join(ops, ",") + "]"
 }
 
-// allocated is what f makes the process allocate, in bytes.
-func allocated(f func()) uint64 {
+// allocatedBytes is what f makes the process allocate, in bytes.
+func allocatedBytes(f func()) uint64 {
 	var a, b runtime.MemStats
 	runtime.ReadMemStats(&a)
 	f()
@@ -68,11 +68,11 @@
 	return b.TotalAlloc - a.TotalAlloc
 }
 
-// mostAllocated is the property of every body: so much for each byte of it, and never more than so much in all.
-func mostAllocated(body int) uint64 { return min(16<<20+2048*uint64(body), 96<<20) }
+// allocationLimit is the property of every body: so much for each byte of it, and never more than so much in all.
+func allocationLimit(body int) uint64 { return min(16<<20+2048*uint64(body), 96<<20) }
 
 // Bodies that are small to send and dear to read are refused before they are read, with a status that says why.
-func TestBombs(t *testing.T) {
+func TestCostlyBodiesAreRejected(t *testing.T) {
 	deep := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
 	wire := func(quantity string) string {
 		// A quantity inside of a message inside of a message, as the binary encoding has it.
@@ -83,33 +83,33 @@
 		name, method, path, kind, body string
 		status                         int
 	}{
-		{"copy of metadata into itself", "PATCH", nodePath, jsonP, copies(40), 413},
-		{"many operations", "PATCH", nodePath, jsonP, "[" + strings.Repeat(`{"op":"test","path":"/kind","value":"Node"},`, 1500) + `{"op":"test","path":"/kind","value":"Node"}]`, 413},
-		{"deep merge patch", "PATCH", nodePath, mergeP, deep(9000), 400},
-		{"deep strategic patch", "PATCH", nodePath, strategP, deep(9000), 400},
+		{"copy of metadata into itself", "PATCH", nodePath, jsonPatchType, copyOperations(40), 413},
+		{"many operations", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(`{"op":"test","path":"/kind","value":"Node"},`, 1500) + `{"op":"test","path":"/kind","value":"Node"}]`, 413},
+		{"deep merge patch", "PATCH", nodePath, mergePatchType, deep(9000), 400},
+		{"deep strategic patch", "PATCH", nodePath, strategicPatchType, deep(9000), 400},
 		{"deep body", "POST", jobsPath, jsonType, deep(9000), 400},
 		{"deep arrays", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
-		{"huge exponent", "POST", jobsPath, jsonType, jobWith(`"1e1000000000"`), 400},
-		{"huge exponent as a number", "POST", jobsPath, jsonType, jobWith(`1e1000000000`), 400},
-		{"tiny exponent", "POST", jobsPath, jsonType, jobWith(`"1e-2147483647"`), 400},
-		{"escaped exponent", "POST", jobsPath, jsonType, jobWith(`"1\u00651000000000"`), 400},
-		{"escaped first digit", "POST", jobsPath, jsonType, jobWith(`"\u0031e1000000000"`), 400},
-		{"many digits", "POST", jobsPath, jsonType, jobWith(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
-		{"exponent by patch", "PATCH", nodePath, mergeP, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
+		{"huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
+		{"huge exponent as a number", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
+		{"tiny exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
+		{"escaped exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
+		{"escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
+		{"many digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
+		{"exponent by patch", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
 		{"exponent in the binary encoding", "POST", jobsPath, "application/vnd.kubernetes.protobuf", wire("1e1000000000"), 400},
 		{"900,000 empty containers", "POST", jobsPath, jsonType, `{"spec":{"template":{"spec":{"containers":[` + strings.Repeat("{},", 900000) + "{}]}}}}", 413},
-		{"many labels", "PATCH", nodePath, mergeP, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
+		{"many labels", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
 		{"selector of 2,000 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
 		{"field selector of 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
 		{"escaped slash", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
 		{"escaped dots", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
 		{"name of another form", "GET", "/api/v1/nodes/a%00b", "", "", 400},
-		{"plain number in an annotation", "PATCH", nodePath, mergeP, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
-		{"ordinary copy", "PATCH", nodePath, jsonP, copies(2), 400}, // a copy of an object is no annotation
+		{"plain number in an annotation", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
+		{"ordinary copy", "PATCH", nodePath, jsonPatchType, copyOperations(2), 400}, // a copy of an object is no annotation
 	} {
-		s := serving(t)
+		s := newEngineServer(t)
 		var resp http1.Response
-		if n, most := allocated(func() { resp = s.send(c.method, c.path, c.kind, c.body) }), mostAllocated(len(c.body)); n > most {
+		if n, most := allocatedBytes(func() { resp = s.send(c.method, c.path, c.kind, c.body) }), allocationLimit(len(c.body)); n > most {
 			t.Errorf("%s: %d bytes of body made %d bytes, want at most %d", c.name, len(c.body), n, most)
 		}
 		if resp.Status != c.status {
@@ -119,7 +119,7 @@
 			t.Errorf("%s: an answer of %d bytes", c.name, len(resp.Body))
 		}
 	}
-	s := serving(t)
+	s := newEngineServer(t)
 	resp := s.Serve(1000, &http1.Request{Head: &http1.Head{Method: "POST", Target: jobsPath, Minor: 1,
 		Header: http1.Header{{Name: "Content-Type", Value: jsonType}, {Name: "Content-Encoding", Value: "gzip"}}}})
 	if resp.Status != 415 {
@@ -129,23 +129,23 @@
 
 // FuzzBody has any body decoded, by any way in, within its bound of memory for each byte.
 func FuzzBody(f *testing.F) {
-	for _, s := range []string{jobWith(`"1"`), jobWith(`"1e1000000000"`), copies(40), `{"metadata":{"labels":{"a":"b"}}}`,
+	for _, s := range []string{jobWithCPU(`"1"`), jobWithCPU(`"1e1000000000"`), copyOperations(40), `{"metadata":{"labels":{"a":"b"}}}`,
 		`{"spec":{"unschedulable":true}}`, "k8s\x00\x0a\x09\x0a\x02v1\x12\x03Job\x12\x02\x0a\x00", `{"kind":"DeleteOptions","dryRun":["All"]}`} {
 		for way := range byte(7) {
 			f.Add(way, s)
 		}
 	}
-	s := serving(f)
+	s := newEngineServer(f)
 	f.Fuzz(func(t *testing.T, way byte, body string) {
 		if len(body) > 1<<16 {
 			return
 		}
-		ways := []struct{ method, path, kind string }{{"POST", jobsPath + "?dryRun=All", jsonType}, {"PATCH", nodePath + "?dryRun=All", jsonP},
-			{"PATCH", nodePath + "?dryRun=All", mergeP}, {"PATCH", nodePath + "?dryRun=All", strategP}, {"PUT", nodePath + "?dryRun=All", jsonType},
+		ways := []struct{ method, path, kind string }{{"POST", jobsPath + "?dryRun=All", jsonType}, {"PATCH", nodePath + "?dryRun=All", jsonPatchType},
+			{"PATCH", nodePath + "?dryRun=All", mergePatchType}, {"PATCH", nodePath + "?dryRun=All", strategicPatchType}, {"PUT", nodePath + "?dryRun=All", jsonType},
 			{"POST", jobsPath + "?dryRun=All", "application/vnd.kubernetes.protobuf"}, {"DELETE", "/api/v1/namespaces/default/pods?dryRun=All", jsonType}}
 		w := ways[int(way)%len(ways)]
 		var resp http1.Response
-		if n, most := allocated(func() { resp = s.send(w.method, w.path, w.kind, body) }), mostAllocated(len(body)); n > most {
+		if n, most := allocatedBytes(func() { resp = s.send(w.method, w.path, w.kind, body) }), allocationLimit(len(body)); n > most {
 			t.Fatalf("%d bytes of body made %d bytes, want at most %d", len(body), n, most)
 		}
 		if resp.Status == 500 {
@@ -163,17 +163,17 @@
 		if len(l)+len(fs) > 1<<13 {
 			return
 		}
-		s := filled(5)
-		r := &request{Request: &http1.Request{Head: &http1.Head{}}, kind: kinds[0], query: map[string][]string{"labelSelector": {l}, "fieldSelector": {fs}}}
-		r.kind = kinds[1]
-		n := allocated(func() {
-			if sel, err := r.selector(); err == nil {
+		s := newPodServer(5)
+		r := &request{Request: &http1.Request{Head: &http1.Head{}}, resourceType: resourceTypes[0], query: map[string][]string{"labelSelector": {l}, "fieldSelector": {fs}}}
+		r.resourceType = resourceTypes[1]
+		n := allocatedBytes(func() {
+			if sel, err := r.parseSelector(); err == nil {
 				for _, o := range []string{"pa", "pb", "pc"} {
-					sel.matches(s.Store.Get(r.kind.res, "default", o))
+					sel.matches(s.Store.Get(r.resourceType.resource, "default", o))
 				}
 			}
 		})
-		if most := mostAllocated(len(l) + len(fs)); n > most {
+		if most := allocationLimit(len(l) + len(fs)); n > most {
 			t.Fatalf("%d bytes made %d bytes", len(l)+len(fs), n)
 		}
 	})
@@ -181,18 +181,18 @@
 
 // A generated name that is taken is drawn again, as long as there are others.
 func TestGeneratedNames(t *testing.T) {
-	s := serving(t)
-	j := &batchv1.Job{ObjectMeta: metav1.ObjectMeta{GenerateName: "g-", Namespace: "default"}}
+	s := newEngineServer(t)
+	job := &batchv1.Job{ObjectMeta: metav1.ObjectMeta{GenerateName: "g-", Namespace: "default"}}
 	zero := int32(0)
-	j.Spec.Completions, j.Spec.Parallelism = &zero, &zero
-	j.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	job.Spec.Completions, job.Spec.Parallelism = &zero, &zero
+	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	seen := map[string]bool{}
 	for i := range 20000 {
-		o, err := s.Engine.CreateJob(1000, j, false)
+		created, err := s.Engine.CreateJob(1000, job, false)
 		if err != nil {
 			t.Fatalf("%d: %v", i, err)
 		}
-		seen[o.Name] = true
+		seen[created.Name] = true
 	}
 	if len(seen) != 20000 {
 		t.Errorf("%d names of 20000 Jobs", len(seen))
@@ -217,7 +217,7 @@
 		items  int
 		whole  bool
 	}{{"/api/v1/pods", 400, false}, {"/api/v1/pods?limit=300", 300, false}, {"/api/v1/pods?limit=3", 3, true}} {
-		resp := s.ask("GET", c.target, jsonType)
+		resp := s.getAs("GET", c.target, jsonType)
 		body := resp.Body
 		if (resp.Stream == nil) != c.whole {
 			t.Fatalf("%s: streamed %v", c.target, resp.Stream != nil)
@@ -233,11 +233,11 @@
 			t.Errorf("%s: %d items, continue %q, %v", c.target, len(l.Items), l.Continue, err)
 		}
 	}
-	resp := s.ask("GET", "/api/v1/pods", jsonType)
+	resp := s.getAs("GET", "/api/v1/pods", jsonType)
 	for i := range 1000 {
 		put(i % 400)
 	}
-	if _, done := resp.Stream.Pull(nil, 10000); !done || !resp.Stream.(*lister).Broken() {
+	if _, done := resp.Stream.Pull(nil, 10000); !done || !resp.Stream.(*listStream).Broken() {
 		t.Error("a list goes on that the history has passed")
 	}
 }
--- a/internal/api/characterization_test.go
+++ b/internal/api/characterization_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	s := &session{engine: e, now: requestStart, record: golden.NewRecorder(),
-		server: &api.Server{Store: e.Store(), Engine: e, Version: "test", MaxList: 50}}
+		server: &api.Server{Store: e.Store(), Engine: e, Version: "test", DefaultListLimit: 50}}
 	s.server.Metrics = func() []byte { return []byte("metric 1\n") }
 	var nodes []*corev1.Node
 	for i, kind := range []string{"standard", "large", "standard"} {
@@ -69,15 +69,15 @@
 }
 
 func listedNode(name, kind string, index int) *corev1.Node {
-	o := &corev1.Node{}
-	o.Name = name
-	o.Labels = map[string]string{wellknown.Kind: kind, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
-	o.Annotations = map[string]string{wellknown.Free: "cores=16.0, memory=32.0"}
-	o.Status.NodeInfo.BootID = "boot-" + name
-	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
-	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0." + strconv.Itoa(index+1)}}
-	o.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
-	return o
+	node := &corev1.Node{}
+	node.Name = name
+	node.Labels = map[string]string{wellknown.Kind: kind, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
+	node.Annotations = map[string]string{wellknown.FreeCapacity: "cores=16.0, memory=32.0"}
+	node.Status.NodeInfo.BootID = "boot-" + name
+	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
+	node.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0." + strconv.Itoa(index+1)}}
+	node.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
+	return node
 }
 
 // advance runs timers for some seconds; nodes accept every offer and report that it runs.
@@ -85,16 +85,16 @@
 	for until := s.now + seconds; s.now < until; {
 		s.now = min(max(s.engine.NextWake(), s.now+0.01), until)
 		s.engine.Tick(s.now)
-		for _, x := range s.engine.Ready(nil) {
-			switch x.Kind {
+		for _, action := range s.engine.Ready(nil) {
+			switch action.Kind {
 			case engine.SendAttempt:
-				pod := x.Pod.DeepCopy()
+				pod := action.Pod.DeepCopy()
 				pod.Status.Phase = corev1.PodRunning
-				s.engine.AttemptDone(s.now, engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Accepted: true, Rev: 2,
-					Incarnation: "boot-" + x.Node, Pod: pod})
+				s.engine.AttemptDone(s.now, engine.AttemptAnswer{UID: action.UID, Attempt: action.Attempt, Node: action.Node, Accepted: true, Revision: 2,
+					Incarnation: "boot-" + action.Node, Pod: pod})
 			case engine.StopTask:
-				s.engine.StopDone(s.now, engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt, Known: true, Had: true,
-					Ran: true, Incarnation: "boot-" + x.Node})
+				s.engine.StopDone(s.now, engine.StopAnswer{UID: action.UID, Node: action.Node, Attempt: action.Attempt, Answered: true, HadTask: true,
+					MayHaveRun: true, Incarnation: "boot-" + action.Node})
 			}
 		}
 	}
@@ -409,14 +409,14 @@
 	}
 	s.record.Line("%d watchers", s.server.Watchers())
 	for _, stream := range streams {
-		stream.Stopped()
+		stream.Close()
 	}
 	s.record.Line("%d watchers", s.server.Watchers())
 	for _, query := range []string{"resourceVersion=1", "resourceVersion=x", "resourceVersion=99999999", "timeoutSeconds=x", "sendInitialEvents=true",
 		"sendInitialEvents=x", "resourceVersionMatch=Exact&resourceVersion=1010", "allowWatchBookmarks=x", "limit=1"} {
 		if response := s.send("GET", "/api/v1/pods?watch=1&"+query, ""); response.Stream != nil {
 			s.pull(query, response.Stream, 1<<20)
-			response.Stream.Stopped()
+			response.Stream.Close()
 		}
 	}
 	s.record.Check(t, "watches")
--- a/internal/api/read.go
+++ b/internal/api/read.go
@@ -43,38 +43,38 @@
 
 // encoded returns the text of a change's object, made once for all who read it.
 func encoded(c *store.Change) []byte {
-	if c.Cache == nil {
+	if c.JSON == nil {
 		b, err := encode(c.Object)
 		if err != nil {
 			b = []byte("null")
 		}
-		c.Cache = b
+		c.JSON = b
 	}
-	return c.Cache
+	return c.JSON
 }
 
-func (r *request) resource() schema.GroupResource {
-	return schema.GroupResource{Group: r.kind.gv.Group, Resource: r.kind.res.String()}
+func (r *request) groupResource() schema.GroupResource {
+	return schema.GroupResource{Group: r.resourceType.groupVersion.Group, Resource: r.resourceType.resource.String()}
 }
 
-func (s *Server) get(r *request) (http1.Response, error) {
-	c := s.Store.Last(r.kind.res, r.namespace, r.name)
+func (s *Server) getObject(r *request) (http1.Response, error) {
+	c := s.Store.Last(r.resourceType.resource, r.namespace, r.name)
 	if c == nil {
-		return http1.Response{}, apierrors.NewNotFound(r.resource(), r.name)
+		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
 	if wantsTable(r.Head.Header.Get("Accept")) {
-		return s.table(r, metav1.ListMeta{ResourceVersion: c.Object.GetResourceVersion()}, []store.Object{c.Object})
+		return s.tableResponse(r, metav1.ListMeta{ResourceVersion: c.Object.GetResourceVersion()}, []store.Object{c.Object})
 	}
-	return raw(200, encoded(c)), nil
+	return encodedResponse(200, encoded(c)), nil
 }
 
-// page is a continue token.
-type page struct {
-	Rev   int64  `json:"rv"`
-	After string `json:"after"`
+// continueToken is a continue token.
+type continueToken struct {
+	Revision int64  `json:"rv"`
+	After    string `json:"after"`
 }
 
-func parseRev(text string) (int64, error) {
+func parseResourceVersion(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -85,22 +85,22 @@
 	return v, nil
 }
 
-func expired(words string) error { return apierrors.NewResourceExpired(words) }
+func newExpired(words string) error { return apierrors.NewResourceExpired(words) }
 
-func tooLarge(rev, now int64) error {
+func newRevisionTooLarge(rev, now int64) error {
 	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", rev, now), 1)
 	err.ErrStatus.Details.Causes = []metav1.StatusCause{{Type: metav1.CauseTypeResourceVersionTooLarge,
 		Message: "Too large resource version"}}
 	return err
 }
 
-func (s *Server) list(r *request) (http1.Response, error) {
-	sel, err := r.selector()
+func (s *Server) listObjects(r *request) (http1.Response, error) {
+	sel, err := r.parseSelector()
 	if err != nil {
 		return http1.Response{}, err
 	}
 	if w := r.query.Get("watch"); w == "true" || w == "1" {
-		return s.watch(r, sel)
+		return s.watchObjects(r, sel)
 	}
 	st := s.Store
 	limit := 0
@@ -110,27 +110,27 @@
 		}
 	}
 	if limit == 0 {
-		limit = s.MaxList
+		limit = s.DefaultListLimit
 	}
-	rev, err := parseRev(r.query.Get("resourceVersion"))
+	rev, err := parseResourceVersion(r.query.Get("resourceVersion"))
 	if err != nil {
 		return http1.Response{}, err
 	}
 	match := r.query.Get("resourceVersionMatch")
-	sn := st.Snapshot(r.kind.res)
+	sn := st.Snapshot(r.resourceType.resource)
 	after := ""
 	switch token := r.query.Get("continue"); {
 	case token != "":
 		if rev != 0 || match != "" {
 			return http1.Response{}, apierrors.NewBadRequest("specifying resource version is not allowed when using continue")
 		}
-		var p page
+		var p continueToken
 		b, err := base64.RawURLEncoding.DecodeString(token)
 		if err != nil || json.Unmarshal(b, &p) != nil {
 			return http1.Response{}, apierrors.NewBadRequest("continue key is not valid")
 		}
-		if sn, err = st.Kept(s.now, r.kind.res, p.Rev); err != nil {
-			return http1.Response{}, expired("The provided continue parameter is too old to display a consistent list result")
+		if sn, err = st.FindSnapshot(s.now, r.resourceType.resource, p.Revision); err != nil {
+			return http1.Response{}, newExpired("The provided continue parameter is too old to display a consistent list result")
 		}
 		after = p.After
 	case match != "" && match != "Exact" && match != "NotOlderThan":
@@ -142,28 +142,28 @@
 			return http1.Response{}, apierrors.NewBadRequest(`resourceVersionMatch "Exact" is forbidden for resourceVersion "0"`)
 		}
 		if rev > st.Rev() {
-			return http1.Response{}, tooLarge(rev, st.Rev())
+			return http1.Response{}, newRevisionTooLarge(rev, st.Rev())
 		}
-		if sn, err = st.Kept(s.now, r.kind.res, rev); err != nil {
-			return http1.Response{}, expired(fmt.Sprintf("too old resource version: %d", rev))
+		if sn, err = st.FindSnapshot(s.now, r.resourceType.resource, rev); err != nil {
+			return http1.Response{}, newExpired(fmt.Sprintf("too old resource version: %d", rev))
 		}
 	case rev > st.Rev():
-		return http1.Response{}, tooLarge(rev, st.Rev())
+		return http1.Response{}, newRevisionTooLarge(rev, st.Rev())
 	}
-	return s.page(r, sel, sn, after, limit)
+	return s.listPage(r, sel, sn, after, limit)
 }
 
-// wholeList is how large a list may be that is answered at once; a larger one is written as its reader takes it.
-const wholeList = 64 << 10
+// maxInlineListBytes is how large a list may be that is answered at once; a larger one is written as its reader takes it.
+const maxInlineListBytes = 64 << 10
 
-// maxRows bounds a page of rows, which are made at once; who wants more goes on with the continue token.
-const maxRows = 1000
+// maxTableRows bounds a page of rows, which are made at once; who wants more goes on with the continue token.
+const maxTableRows = 1000
 
-// page answers one page of a list. The objects' texts are those that watches use.
-func (s *Server) page(r *request, sel selector, sn store.Snapshot, after string, limit int) (http1.Response, error) {
+// listPage answers one page of a list. The objects' texts are those that watches use.
+func (s *Server) listPage(r *request, sel selector, sn store.Snapshot, after string, limit int) (http1.Response, error) {
 	asTable := r.Head.Method == "GET" && wantsTable(r.Head.Header.Get("Accept"))
-	if asTable && (limit == 0 || limit > maxRows) {
-		limit = maxRows
+	if asTable && (limit == 0 || limit > maxTableRows) {
+		limit = maxTableRows
 	}
 	m := metav1.ListMeta{ResourceVersion: strconv.FormatInt(sn.Rev, 10)}
 	var objects []store.Object
@@ -177,7 +177,7 @@
 				more = true
 				left++
 				// The rest is counted only where that costs nothing.
-				return sel.all && left < 1<<16
+				return sel.matchesAll && left < 1<<16
 			default:
 				if asTable {
 					objects = append(objects, c.Object)
@@ -188,59 +188,59 @@
 			return true
 		})
 		if more {
-			token, err := json.Marshal(page{sn.Rev, last})
+			token, err := json.Marshal(continueToken{sn.Rev, last})
 			if err != nil {
 				return http1.Response{}, fmt.Errorf("encode continue token: %w", err)
 			}
 			m.Continue = base64.RawURLEncoding.EncodeToString(token)
-			if sel.all {
+			if sel.matchesAll {
 				m.RemainingItemCount = &left
 			}
-			s.Store.Keep(s.now, sn)
+			s.Store.KeepSnapshot(s.now, sn)
 		}
 	}
 	if asTable {
-		return s.table(r, m, objects)
+		return s.tableResponse(r, m, objects)
 	}
 	head, err := json.Marshal(&m)
 	if err != nil {
 		return http1.Response{}, fmt.Errorf("encode list: %w", err)
 	}
-	l := &lister{s: s, sel: sel, sn: sn, after: after, left: limit, all: limit == 0}
-	l.head = fmt.Appendf(nil, `{"kind":"%sList","apiVersion":"%s","metadata":%s,"items":[`, r.kind.kind, r.kind.gv, head)
-	out, done := l.Pull(nil, wholeList)
+	l := &listStream{server: s, selector: sel, snapshot: sn, after: after, remaining: limit, unlimited: limit == 0}
+	l.head = fmt.Appendf(nil, `{"kind":"%sList","apiVersion":"%s","metadata":%s,"items":[`, r.resourceType.kind, r.resourceType.groupVersion, head)
+	out, done := l.Pull(nil, maxInlineListBytes)
 	if done {
-		return raw(200, out), nil
+		return encodedResponse(200, out), nil
 	}
 	l.head = out
 	return http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: jsonType}}, Stream: l}, nil
 }
 
-// lister is a list that is written as its reader takes it, from one snapshot. It holds no text but the beginning. The snapshot keeps alive
+// listStream is a list that is written as its reader takes it, from one snapshot. It holds no text but the beginning. The snapshot keeps alive
 // what has changed since, so a reader must be done while the history still reaches back to it.
-type lister struct {
-	s      *Server
-	sel    selector
-	sn     store.Snapshot
-	after  string
-	left   int // items that may still come
-	all    bool
-	items  int
-	head   []byte
-	broken bool
+type listStream struct {
+	server    *Server
+	selector  selector
+	snapshot  store.Snapshot
+	after     string
+	remaining int // items that may still come
+	unlimited bool
+	written   int
+	head      []byte
+	broken    bool
 }
 
 // Pull implements http1.Stream.
-func (l *lister) Pull(b []byte, room int) ([]byte, bool) {
-	if l.s.Store.Overtaken(l.sn) {
+func (l *listStream) Pull(b []byte, room int) ([]byte, bool) {
+	if l.server.Store.Outdated(l.snapshot) {
 		l.broken = true
 		return b, true
 	}
 	limit := len(b) + room
 	b, l.head = append(b, l.head...), nil
 	end := true
-	l.sn.Scan(l.sel.namespace, l.after, func(key string, c *store.Change) bool {
-		if !l.all && l.left == 0 {
+	l.snapshot.Scan(l.selector.namespace, l.after, func(key string, c *store.Change) bool {
+		if !l.unlimited && l.remaining == 0 {
 			return false
 		}
 		if len(b) >= limit {
@@ -248,15 +248,15 @@
 			return false
 		}
 		l.after = key
-		if !l.sel.matches(c.Object) {
+		if !l.selector.matches(c.Object) {
 			return true
 		}
-		if l.items > 0 {
+		if l.written > 0 {
 			b = append(b, ',')
 		}
 		b = append(b, encoded(c)...)
-		l.items++
-		l.left--
+		l.written++
+		l.remaining--
 		return true
 	})
 	if end {
@@ -265,53 +265,53 @@
 	return b, end
 }
 
-// Stopped implements http1.Stream.
-func (l *lister) Stopped() {}
+// Close implements http1.Stream.
+func (l *listStream) Close() {}
 
 // Broken says that the list ends here without being whole.
-func (l *lister) Broken() bool { return l.broken }
+func (l *listStream) Broken() bool { return l.broken }
 
 // watcher is one watch: a place in the history of a table. It holds no queue: what its reader has not taken stays in the
 // history, and one that falls behind what is kept is told so and cut off.
 type watcher struct {
-	s         *Server
-	sel       selector
-	rev       int64 // everything up to here was told
-	ends      float64
-	bookmarks bool
-	nextMark  float64
-	initial   *store.Snapshot
-	after     string
-	endOfList bool // a bookmark ends the initial events
-	binary    bool // in the binary encoding
+	server          *Server
+	selector        selector
+	revision        int64 // everything up to here was told
+	deadline        float64
+	bookmarks       bool
+	nextBookmarkAt  float64
+	initialSnapshot *store.Snapshot
+	after           string
+	markInitialEnd  bool // a bookmark ends the initial events
+	binary          bool // in the binary encoding
 }
 
 const (
-	bookmarkEvery  = 60.0 // seconds
-	defaultTimeout = 1800.0
-	pullBatch      = 512
+	bookmarkInterval    = 60.0 // seconds
+	defaultWatchTimeout = 1800.0
+	maxChangesPerRead   = 512
 )
 
-func (s *Server) watch(r *request, sel selector) (http1.Response, error) {
+func (s *Server) watchObjects(r *request, sel selector) (http1.Response, error) {
 	st := s.Store
 	q := r.query
 	bad := func(words string) (http1.Response, error) { return http1.Response{}, apierrors.NewBadRequest(words) }
-	rev, err := parseRev(q.Get("resourceVersion"))
+	rev, err := parseResourceVersion(q.Get("resourceVersion"))
 	if err != nil {
 		return http1.Response{}, err
 	}
 	if s.closing {
-		return http1.Response{}, unavailable("the scheduler stops")
+		return http1.Response{}, newServiceUnavailable("the scheduler stops")
 	}
-	w := &watcher{s: s, sel: sel, rev: rev, ends: s.now + defaultTimeout, bookmarks: q.Get("allowWatchBookmarks") == "true" ||
-		q.Get("allowWatchBookmarks") == "1", nextMark: s.now + bookmarkEvery}
+	w := &watcher{server: s, selector: sel, revision: rev, deadline: s.now + defaultWatchTimeout, bookmarks: q.Get("allowWatchBookmarks") == "true" ||
+		q.Get("allowWatchBookmarks") == "1", nextBookmarkAt: s.now + bookmarkInterval}
 	if v := q.Get("timeoutSeconds"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 {
 			return bad("timeoutSeconds: want a number of 0 or more")
 		}
 		if n > 0 {
-			w.ends = s.now + float64(n)
+			w.deadline = s.now + float64(n)
 		}
 	}
 	initial := rev == 0
@@ -323,21 +323,21 @@
 		if on && !w.bookmarks {
 			return bad("sendInitialEvents needs allowWatchBookmarks")
 		}
-		initial, w.endOfList = on, on
+		initial, w.markInitialEnd = on, on
 		if !on && rev == 0 {
-			w.rev = st.Rev()
+			w.revision = st.Rev()
 		}
 	} else if q.Get("resourceVersionMatch") != "" {
 		return bad("resourceVersionMatch is forbidden for watch unless sendInitialEvents is provided")
 	}
 	if rev > st.Rev() {
-		return http1.Response{}, tooLarge(rev, st.Rev())
+		return http1.Response{}, newRevisionTooLarge(rev, st.Rev())
 	}
 	if initial {
-		sn := st.Snapshot(r.kind.res)
-		w.initial, w.rev = &sn, sn.Rev
-	} else if _, err := st.Since(r.kind.res, w.rev, 1); err != nil {
-		return http1.Response{}, expired(fmt.Sprintf("too old resource version: %d (%d)", rev, st.Rev()))
+		sn := st.Snapshot(r.resourceType.resource)
+		w.initialSnapshot, w.revision = &sn, sn.Rev
+	} else if _, err := st.Since(r.resourceType.resource, w.revision, 1); err != nil {
+		return http1.Response{}, newExpired(fmt.Sprintf("too old resource version: %d (%d)", rev, st.Rev()))
 	}
 	if s.watchers == nil {
 		s.watchers = map[*watcher]struct{}{}
@@ -350,9 +350,9 @@
 	return http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: kind}}, Stream: w}, nil
 }
 
-// KickDelay is how long changes may gather before watches are told of them, in seconds: nothing while watches are few, a few
+// WatchBatchDelay is how long changes may gather before watches are told of them, in seconds: nothing while watches are few, a few
 // microseconds for each when they are many, so that telling them takes a bounded part of the time whatever the rate of changes.
-func KickDelay(watches int) float64 {
+func WatchBatchDelay(watches int) float64 {
 	if watches <= 50 {
 		return 0
 	}
@@ -362,33 +362,33 @@
 // Watchers is the number of open watches.
 func (s *Server) Watchers() int { return len(s.watchers) }
 
-// Advance tells the time for time-outs and bookmarks of watches; pull the streams after it.
-func (s *Server) Advance(now float64) { s.now = now }
+// SetTime tells the time for time-outs and bookmarks of watches; pull the streams after it.
+func (s *Server) SetTime(now float64) { s.now = now }
 
 // CloseWatches ends every watch at its next pull and lets no new one begin.
 func (s *Server) CloseWatches() { s.closing = true }
 
-// event appends one event that brings a change's object.
-func (w *watcher) event(b []byte, kind string, c *store.Change) []byte {
+// appendChange appends one event that brings a change's object.
+func (w *watcher) appendChange(b []byte, kind string, c *store.Change) []byte {
 	if w.binary {
-		return binaryEvent(b, kind, encodedBinary(c))
+		return appendBinaryEvent(b, kind, encodedBinary(c))
 	}
-	return event(b, kind, encoded(c))
+	return appendEvent(b, kind, encoded(c))
 }
 
-// lone appends one event with an object that no other watcher is told of.
-func (w *watcher) lone(b []byte, kind string, o runtime.Object) []byte {
+// appendObject appends one event with an object that no other watcher is told of.
+func (w *watcher) appendObject(b []byte, kind string, o runtime.Object) []byte {
 	if w.binary {
-		return binaryEvent(b, kind, encodeBinary(o))
+		return appendBinaryEvent(b, kind, encodeBinary(o))
 	}
 	text, err := encode(o)
 	if err != nil {
 		text = []byte("null")
 	}
-	return event(b, kind, text)
+	return appendEvent(b, kind, text)
 }
 
-func event(b []byte, kind string, object []byte) []byte {
+func appendEvent(b []byte, kind string, object []byte) []byte {
 	b = append(b, `{"type":"`...)
 	b = append(b, kind...)
 	b = append(b, `","object":`...)
@@ -399,99 +399,99 @@
 // Pull implements http1.Stream.
 func (w *watcher) Pull(b []byte, room int) ([]byte, bool) {
 	limit := len(b) + room
-	if w.initial != nil && w.s.Store.Overtaken(*w.initial) {
-		return w.expire(b, w.initial.Rev), true
+	if w.initialSnapshot != nil && w.server.Store.Outdated(*w.initialSnapshot) {
+		return w.appendExpired(b, w.initialSnapshot.Rev), true
 	}
-	for w.initial != nil && len(b) < limit {
+	for w.initialSnapshot != nil && len(b) < limit {
 		n := 0
-		w.initial.Scan(w.sel.namespace, w.after, func(key string, c *store.Change) bool {
+		w.initialSnapshot.Scan(w.selector.namespace, w.after, func(key string, c *store.Change) bool {
 			w.after = key
 			n++
-			if w.sel.matches(c.Object) {
-				b = w.event(b, "ADDED", c)
+			if w.selector.matches(c.Object) {
+				b = w.appendChange(b, "ADDED", c)
 			}
 			return len(b) < limit
 		})
 		if len(b) < limit || n == 0 {
-			w.initial = nil
-			if w.endOfList {
-				b = w.mark(b, true)
+			w.initialSnapshot = nil
+			if w.markInitialEnd {
+				b = w.appendBookmark(b, true)
 			}
 		}
 	}
-	st := w.s.Store
-	for w.initial == nil && len(b) < limit {
-		if w.rev >= st.Rev() {
+	st := w.server.Store
+	for w.initialSnapshot == nil && len(b) < limit {
+		if w.revision >= st.Rev() {
 			break
 		}
-		changes, err := st.Since(w.sel.kind.res, w.rev, pullBatch)
+		changes, err := st.Since(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
 		if err != nil {
-			return w.expire(b, w.rev), true
+			return w.appendExpired(b, w.revision), true
 		}
 		if len(changes) == 0 {
-			w.rev = st.Rev()
+			w.revision = st.Rev()
 			break
 		}
 		for _, c := range changes {
-			b = w.tell(b, c)
-			w.rev = c.Rev
+			b = w.appendVisibleChange(b, c)
+			w.revision = c.Rev
 			if len(b) >= limit {
 				break
 			}
 		}
 	}
 	switch {
-	case w.s.closing:
+	case w.server.closing:
 		return b, true
-	case w.s.now >= w.ends:
-		if w.bookmarks && w.initial == nil {
-			b = w.mark(b, false)
+	case w.server.now >= w.deadline:
+		if w.bookmarks && w.initialSnapshot == nil {
+			b = w.appendBookmark(b, false)
 		}
 		return b, true
-	case w.bookmarks && w.initial == nil && w.s.now >= w.nextMark:
-		b = w.mark(b, false)
+	case w.bookmarks && w.initialSnapshot == nil && w.server.now >= w.nextBookmarkAt:
+		b = w.appendBookmark(b, false)
 	}
 	return b, false
 }
 
-// expire writes the event that ends a watch whose place in the history is gone.
-func (w *watcher) expire(b []byte, rev int64) []byte {
+// appendExpired writes the event that ends a watch whose place in the history is gone.
+func (w *watcher) appendExpired(b []byte, rev int64) []byte {
 	var gone apierrors.APIStatus
-	errors.As(expired(fmt.Sprintf("too old resource version: %d (%d)", rev, w.s.Store.Rev())), &gone)
+	errors.As(newExpired(fmt.Sprintf("too old resource version: %d (%d)", rev, w.server.Store.Rev())), &gone)
 	st := gone.Status()
 	st.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
-	return w.lone(b, "ERROR", &st)
+	return w.appendObject(b, "ERROR", &st)
 }
 
-// tell writes a change as its watcher sees it: an object that begins to match is added, one that no longer does is deleted.
-func (w *watcher) tell(b []byte, c *store.Change) []byte {
-	now := c.Op != store.Deleted && w.sel.matches(c.Object)
-	before := c.Prev != nil && w.sel.matches(c.Prev)
+// appendVisibleChange writes a change as its watcher sees it: an object that begins to match is added, one that no longer does is deleted.
+func (w *watcher) appendVisibleChange(b []byte, c *store.Change) []byte {
+	now := c.Op != store.Deleted && w.selector.matches(c.Object)
+	before := c.Prev != nil && w.selector.matches(c.Prev)
 	switch {
 	case now && before:
-		return w.event(b, "MODIFIED", c)
+		return w.appendChange(b, "MODIFIED", c)
 	case now:
-		return w.event(b, "ADDED", c)
+		return w.appendChange(b, "ADDED", c)
 	case before && c.Op == store.Deleted:
-		return w.event(b, "DELETED", c)
+		return w.appendChange(b, "DELETED", c)
 	case before:
 		// The last state that matched, with the revision at which it left.
 		o := c.Prev.DeepCopyObject().(store.Object)
 		o.SetResourceVersion(strconv.FormatInt(c.Rev, 10))
-		return w.lone(b, "DELETED", o)
+		return w.appendObject(b, "DELETED", o)
 	}
 	return b
 }
 
-func (w *watcher) mark(b []byte, endOfList bool) []byte {
-	w.nextMark = w.s.now + bookmarkEvery
-	o := w.sel.kind.empty()
-	o.SetResourceVersion(strconv.FormatInt(w.rev, 10))
+func (w *watcher) appendBookmark(b []byte, endOfList bool) []byte {
+	w.nextBookmarkAt = w.server.now + bookmarkInterval
+	o := w.selector.resourceType.newObject()
+	o.SetResourceVersion(strconv.FormatInt(w.revision, 10))
 	if endOfList {
 		o.SetAnnotations(map[string]string{"k8s.io/initial-events-end": "true"})
 	}
-	return w.lone(b, "BOOKMARK", o)
+	return w.appendObject(b, "BOOKMARK", o)
 }
 
-// Stopped implements http1.Stream.
-func (w *watcher) Stopped() { delete(w.s.watchers, w) }
+// Close implements http1.Stream.
+func (w *watcher) Close() { delete(w.server.watchers, w) }
--- a/internal/api/table.go
+++ b/internal/api/table.go
@@ -35,8 +35,8 @@
 	return false
 }
 
-// columns are what is printed of each resource; priority 1 only with -o wide.
-var columns = map[store.Resource][]metav1.TableColumnDefinition{
+// tableColumns are what is printed of each resource; priority 1 only with -o wide.
+var tableColumns = map[store.Resource][]metav1.TableColumnDefinition{
 	store.Jobs: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Completions", Type: "string"},
 		{Name: "Settled", Type: "string"}, {Name: "Age", Type: "string"}},
 	store.Pods: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Settled", Type: "string"},
@@ -54,8 +54,8 @@
 	return duration.HumanDuration(time.Duration((now - float64(made.Unix())) * 1e9))
 }
 
-// cells is the row of an object.
-func cells(o store.Object, now float64) []any {
+// tableCells is the row of an object.
+func tableCells(o store.Object, now float64) []any {
 	switch v := o.(type) {
 	case *batchv1.Job:
 		state, outcome := "Running", ""
@@ -88,7 +88,7 @@
 				message = c.Message
 			}
 		}
-		return []any{v.Name, state, wellknown.SettledOf(v), age(o, now), v.Spec.NodeName, message}
+		return []any{v.Name, state, wellknown.SettledReason(v), age(o, now), v.Spec.NodeName, message}
 	case *corev1.Node:
 		state := "Ready"
 		if !wellknown.NodeReady(v) {
@@ -97,21 +97,21 @@
 		if v.Spec.Unschedulable {
 			state += ",SchedulingDisabled"
 		}
-		return []any{v.Name, state, v.Labels[wellknown.Kind], v.Labels[wellknown.Zone], v.Labels[wellknown.Rack], v.Annotations[wellknown.Free]}
+		return []any{v.Name, state, v.Labels[wellknown.Kind], v.Labels[wellknown.Zone], v.Labels[wellknown.Rack], v.Annotations[wellknown.FreeCapacity]}
 	case *corev1.Namespace:
 		return []any{v.Name, string(v.Status.Phase), age(o, now)}
 	}
 	return nil
 }
 
-// table answers a get or a page of a list as rows, with each object's metadata beside it.
-func (s *Server) table(r *request, m metav1.ListMeta, objects []store.Object) (http1.Response, error) {
-	t := metav1.Table{TypeMeta: metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"}, ListMeta: m, ColumnDefinitions: columns[r.kind.res],
+// tableResponse answers a get or a page of a list as rows, with each object's metadata beside it.
+func (s *Server) tableResponse(r *request, m metav1.ListMeta, objects []store.Object) (http1.Response, error) {
+	t := metav1.Table{TypeMeta: metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"}, ListMeta: m, ColumnDefinitions: tableColumns[r.resourceType.resource],
 		Rows: []metav1.TableRow{}}
 	whole := r.query.Get("includeObject") == "Object"
 	none := r.query.Get("includeObject") == "None"
 	for _, o := range objects {
-		row := metav1.TableRow{Cells: cells(o, s.now)}
+		row := metav1.TableRow{Cells: tableCells(o, s.now)}
 		switch {
 		case none:
 		case whole:
@@ -132,5 +132,5 @@
 		}
 		t.Rows = append(t.Rows, row)
 	}
-	return respond(200, &t)
+	return jsonResponse(200, &t)
 }
--- a/internal/api/write.go
+++ b/internal/api/write.go
@@ -49,8 +49,8 @@
 	case jsonType, "text/json":
 		return r.decodeJSON(body, into, wantKind)
 	case "application/vnd.kubernetes.protobuf":
-		if err := decodelimit.Proto(bytes.TrimPrefix(body, protoMagic), decodelimit.Object()); err != nil {
-			return overBound("body", err)
+		if err := decodelimit.CheckProto(bytes.TrimPrefix(body, protoMagic), decodelimit.ObjectLimits()); err != nil {
+			return newDecodeLimitError("body", err)
 		}
 		m, ok := into.(protoMessage)
 		if !ok || !bytes.HasPrefix(body, protoMagic) {
@@ -76,12 +76,12 @@
 const (
 	maxWarnings = 20
 	maxPatchOps = 1000
-	// maxObject bounds an object that a patch makes, in bytes of JSON.
-	maxObject = 1 << 20
+	// maxPatchedBytes bounds an object that a patch makes, in bytes of JSON.
+	maxPatchedBytes = 1 << 20
 )
 
-// overBound is the answer to a text that would cost too much to decode.
-func overBound(what string, err error) error {
+// newDecodeLimitError is the answer to a text that would cost too much to decode.
+func newDecodeLimitError(what string, err error) error {
 	var e *decodelimit.Error
 	if errors.As(err, &e) && e.TooLarge() {
 		return apierrors.NewRequestEntityTooLargeError(what + ": " + err.Error())
@@ -98,8 +98,8 @@
 
 // decodeJSON reads strictly: fields that are unknown or given twice are refused or warned of, as fieldValidation says.
 func (r *request) decodeJSON(body []byte, into any, wantKind string) error {
-	if err := decodelimit.JSON(body, decodelimit.Object()); err != nil {
-		return overBound("body", err)
+	if err := decodelimit.CheckJSON(body, decodelimit.ObjectLimits()); err != nil {
+		return newDecodeLimitError("body", err)
 	}
 	strict, err := kjson.UnmarshalStrict(body, into)
 	if err != nil {
@@ -148,7 +148,7 @@
 func (s *Server) createJob(r *request) (http1.Response, error) {
 	if s.Ready != nil {
 		if err := s.Ready(); err != nil {
-			return http1.Response{}, unavailable(err.Error())
+			return http1.Response{}, newServiceUnavailable(err.Error())
 		}
 	}
 	if r.namespace == "" {
@@ -170,7 +170,7 @@
 	if s.Store.Get(store.Namespaces, "", r.namespace) == nil {
 		return http1.Response{}, apierrors.NewNotFound(schema.GroupResource{Resource: "namespaces"}, r.namespace)
 	}
-	defaultJob(&j)
+	setJobDefaults(&j)
 	if errs := validateJob(&j); len(errs) > 0 {
 		return http1.Response{}, apierrors.NewInvalid(schema.GroupKind{Group: "batch", Kind: "Job"}, j.Name, errs)
 	}
@@ -180,48 +180,48 @@
 	}
 	out, err := s.Engine.CreateJob(s.now, &j, dry)
 	if err != nil {
-		return http1.Response{}, r.fail(err, j.Name)
+		return http1.Response{}, r.statusError(err, j.Name)
 	}
-	return s.object(201, out)
+	return s.objectResponse(201, out)
 }
 
-func (s *Server) object(status int, o store.Object) (http1.Response, error) {
+func (s *Server) objectResponse(status int, o store.Object) (http1.Response, error) {
 	b, err := encode(o)
 	if err != nil {
 		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
 	}
-	return raw(status, b), nil
+	return encodedResponse(status, b), nil
 }
 
-func ptr[T any](v T) *T { return &v }
+func pointerTo[T any](v T) *T { return &v }
 
-// defaultJob fills in what the specification says stands where nothing is given.
-func defaultJob(j *batchv1.Job) {
+// setJobDefaults fills in what the specification says stands where nothing is given.
+func setJobDefaults(j *batchv1.Job) {
 	s := &j.Spec
 	if s.Parallelism == nil {
-		s.Parallelism = ptr(int32(1))
+		s.Parallelism = pointerTo(int32(1))
 		if s.Completions == nil {
-			s.Completions = ptr(int32(1))
+			s.Completions = pointerTo(int32(1))
 		}
 	}
 	if s.BackoffLimit == nil {
-		s.BackoffLimit = ptr(int32(6))
+		s.BackoffLimit = pointerTo(int32(6))
 	}
 	if s.CompletionMode == nil {
-		s.CompletionMode = ptr(batchv1.NonIndexedCompletion)
+		s.CompletionMode = pointerTo(batchv1.NonIndexedCompletion)
 	}
 	if s.Suspend == nil {
-		s.Suspend = ptr(false)
+		s.Suspend = pointerTo(false)
 	}
 	if s.PodReplacementPolicy == nil {
-		s.PodReplacementPolicy = ptr(batchv1.TerminatingOrFailed)
+		s.PodReplacementPolicy = pointerTo(batchv1.TerminatingOrFailed)
 	}
 	t := &s.Template.Spec
 	if t.DNSPolicy == "" {
 		t.DNSPolicy = corev1.DNSClusterFirst
 	}
 	if t.TerminationGracePeriodSeconds == nil {
-		t.TerminationGracePeriodSeconds = ptr(int64(30))
+		t.TerminationGracePeriodSeconds = pointerTo(int64(30))
 	}
 	if t.SchedulerName == "" {
 		t.SchedulerName = "heathshed"
@@ -243,8 +243,8 @@
 	}
 }
 
-// validateTexts checks labels and annotations, the latter together at most 256 KiB as the Kubernetes API has it.
-func validateTexts(o metav1.Object, at *field.Path) field.ErrorList {
+// validateLabelsAndAnnotations checks labels and annotations, the latter together at most 256 KiB as the Kubernetes API has it.
+func validateLabelsAndAnnotations(o metav1.Object, at *field.Path) field.ErrorList {
 	errs := validation.ValidateLabels(o.GetLabels(), at.Child("labels"))
 	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), at.Child("annotations"))...)
 }
@@ -264,7 +264,7 @@
 			errs = append(errs, field.Invalid(meta.Child("generateName"), j.GenerateName, m))
 		}
 	}
-	errs = append(errs, validateTexts(j, meta)...)
+	errs = append(errs, validateLabelsAndAnnotations(j, meta)...)
 	spec := field.NewPath("spec")
 	nonNegative := func(p *field.Path, v *int32) {
 		if v != nil && *v < 0 {
@@ -286,7 +286,7 @@
 		errs = append(errs, field.Forbidden(spec.Child("selector"), "selectors are generated"))
 	}
 	tpl := spec.Child("template")
-	errs = append(errs, validateTexts(&j.Spec.Template, tpl.Child("metadata"))...)
+	errs = append(errs, validateLabelsAndAnnotations(&j.Spec.Template, tpl.Child("metadata"))...)
 	p := tpl.Child("spec")
 	t := &j.Spec.Template.Spec
 	switch t.RestartPolicy {
@@ -340,34 +340,34 @@
 	return errs
 }
 
-// update serves PUT and PATCH of Jobs and Nodes.
-func (s *Server) update(r *request) (http1.Response, error) {
-	cur := s.Store.Get(r.kind.res, r.namespace, r.name)
+// updateObject serves PUT and PATCH of Jobs and Nodes.
+func (s *Server) updateObject(r *request) (http1.Response, error) {
+	cur := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if cur == nil {
-		return http1.Response{}, apierrors.NewNotFound(r.resource(), r.name)
+		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
 	var next store.Object = &batchv1.Job{}
-	if r.kind.res == store.Nodes {
+	if r.resourceType.resource == store.Nodes {
 		next = &corev1.Node{}
 	}
 	if r.Head.Method == "PUT" {
-		if err := r.decode(r.Body, next, r.kind.kind); err != nil {
+		if err := r.decode(r.Body, next, r.resourceType.kind); err != nil {
 			return http1.Response{}, err
 		}
 	} else {
-		body, err := s.patched(r, cur, next)
+		body, err := s.applyPatch(r, cur, next)
 		if err != nil {
 			return http1.Response{}, err
 		}
-		if err := r.decodeJSON(body, next, r.kind.kind); err != nil {
+		if err := r.decodeJSON(body, next, r.resourceType.kind); err != nil {
 			return http1.Response{}, err
 		}
 	}
 	if next.GetName() != r.name || next.GetNamespace() != r.namespace {
 		return http1.Response{}, apierrors.NewBadRequest("the name or namespace of the object does not match the request")
 	}
-	if errs := validateTexts(next, field.NewPath("metadata")); len(errs) > 0 {
-		return http1.Response{}, apierrors.NewInvalid(schema.GroupKind{Group: r.kind.gv.Group, Kind: r.kind.kind}, r.name, errs)
+	if errs := validateLabelsAndAnnotations(next, field.NewPath("metadata")); len(errs) > 0 {
+		return http1.Response{}, apierrors.NewInvalid(schema.GroupKind{Group: r.resourceType.groupVersion.Group, Kind: r.resourceType.kind}, r.name, errs)
 	}
 	dry, err := r.dryRun(nil)
 	if err != nil {
@@ -375,21 +375,21 @@
 	}
 	var out store.Object
 	if j, ok := next.(*batchv1.Job); ok {
-		defaultJob(j)
+		setJobDefaults(j)
 		out, err = s.Engine.UpdateJob(s.now, j, dry)
 	} else {
 		n := next.(*corev1.Node)
-		out, err = s.Engine.UpdateNode(s.now, n, r.drainOrder(n, cur.(*corev1.Node)), dry)
+		out, err = s.Engine.UpdateNode(s.now, n, r.requestedUnschedulable(n, cur.(*corev1.Node)), dry)
 	}
 	if err != nil {
-		return http1.Response{}, r.fail(err, r.name)
+		return http1.Response{}, r.statusError(err, r.name)
 	}
-	return s.object(200, out)
+	return s.objectResponse(200, out)
 }
 
-// drainOrder says what a request orders about draining, nil if it does not speak of it. A patch speaks of it by naming the field,
+// requestedUnschedulable says what a request orders about draining, nil if it does not speak of it. A patch speaks of it by naming the field,
 // a whole object by another value than the present one.
-func (r *request) drainOrder(next, cur *corev1.Node) *bool {
+func (r *request) requestedUnschedulable(next, cur *corev1.Node) *bool {
 	said := next.Spec.Unschedulable != cur.Spec.Unschedulable
 	var merge struct {
 		Spec map[string]json.RawMessage `json:"spec"`
@@ -410,18 +410,18 @@
 	if !said {
 		return nil
 	}
-	return ptr(next.Spec.Unschedulable)
+	return pointerTo(next.Spec.Unschedulable)
 }
 
-// patched applies the body to the present object.
-func (s *Server) patched(r *request, cur, of store.Object) ([]byte, error) {
+// applyPatch applies the body to the present object.
+func (s *Server) applyPatch(r *request, cur, of store.Object) ([]byte, error) {
 	was, err := encode(cur)
 	if err != nil {
 		return nil, fmt.Errorf("encode present object: %w", err)
 	}
 	t, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
-	if err := decodelimit.JSON(r.Body, decodelimit.Object()); err != nil {
-		return nil, overBound("patch", err)
+	if err := decodelimit.CheckJSON(r.Body, decodelimit.ObjectLimits()); err != nil {
+		return nil, newDecodeLimitError("patch", err)
 	}
 	var out []byte
 	switch types.PatchType(t) {
@@ -436,12 +436,12 @@
 				return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("a JSON patch may have %d operations", maxPatchOps))
 			}
 			o := jsonpatch.NewApplyOptions()
-			o.AccumulatedCopySizeLimit = maxObject
+			o.AccumulatedCopySizeLimit = maxPatchedBytes
 			var large *jsonpatch.AccumulatedCopySizeError
 			if out, err = p.ApplyWithOptions(was, o); errors.As(err, &large) {
 				return nil, apierrors.NewRequestEntityTooLargeError("patch: " + err.Error())
 			} else if err != nil {
-				return nil, apierrors.NewInvalid(schema.GroupKind{Group: r.kind.gv.Group, Kind: r.kind.kind}, r.name,
+				return nil, apierrors.NewInvalid(schema.GroupKind{Group: r.resourceType.groupVersion.Group, Kind: r.resourceType.kind}, r.name,
 					field.ErrorList{field.Invalid(field.NewPath("patch"), fmt.Sprintf("%.1000s", r.Body), err.Error())})
 			}
 		}
@@ -453,8 +453,8 @@
 	if err != nil {
 		return nil, apierrors.NewBadRequest("patch: " + err.Error())
 	}
-	if len(out) > maxObject {
-		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("the patched object has %d bytes: at most %d", len(out), maxObject))
+	if len(out) > maxPatchedBytes {
+		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("the patched object has %d bytes: at most %d", len(out), maxPatchedBytes))
 	}
 	return out, nil
 }
@@ -468,7 +468,7 @@
 		}
 	}
 	if v := r.query.Get("propagationPolicy"); v != "" {
-		o.PropagationPolicy = ptr(metav1.DeletionPropagation(v))
+		o.PropagationPolicy = pointerTo(metav1.DeletionPropagation(v))
 	}
 	if p := o.PropagationPolicy; p != nil {
 		switch *p {
@@ -480,8 +480,8 @@
 	return o, nil
 }
 
-// remove serves DELETE of one object or of all that a list would show.
-func (s *Server) remove(r *request) (http1.Response, error) {
+// deleteObjects serves DELETE of one object or of all that a list would show.
+func (s *Server) deleteObjects(r *request) (http1.Response, error) {
 	o, err := r.deleteOptions()
 	if err != nil {
 		return http1.Response{}, err
@@ -491,33 +491,33 @@
 		return http1.Response{}, err
 	}
 	if r.name != "" {
-		cur := s.Store.Get(r.kind.res, r.namespace, r.name)
+		cur := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 		if cur == nil {
-			return http1.Response{}, apierrors.NewNotFound(r.resource(), r.name)
+			return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 		}
 		if dry {
-			return s.object(200, cur)
+			return s.objectResponse(200, cur)
 		}
-		out, err := s.removeOne(r, cur, &o)
+		out, err := s.deleteObject(r, cur, &o)
 		if err != nil {
-			return http1.Response{}, r.fail(err, r.name)
+			return http1.Response{}, r.statusError(err, r.name)
 		}
 		if j, ok := out.(*batchv1.Job); ok && s.Store.Get(store.Jobs, j.Namespace, j.Name) == nil {
-			return respond(200, &metav1.Status{TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
+			return jsonResponse(200, &metav1.Status{TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
 				Status: metav1.StatusSuccess, Details: &metav1.StatusDetails{Name: j.Name, Group: "batch", Kind: "jobs", UID: j.UID}})
 		}
-		return s.object(200, out)
+		return s.objectResponse(200, out)
 	}
-	sel, err := r.selector()
+	sel, err := r.parseSelector()
 	if err != nil {
 		return http1.Response{}, err
 	}
-	resp, err := s.page(r, sel, s.Store.Snapshot(r.kind.res), "", 0)
+	resp, err := s.listPage(r, sel, s.Store.Snapshot(r.resourceType.resource), "", 0)
 	if err != nil || dry {
 		return resp, err
 	}
 	var hits []store.Object
-	s.Store.Snapshot(r.kind.res).Scan(sel.namespace, "", func(_ string, c *store.Change) bool {
+	s.Store.Snapshot(r.resourceType.resource).Scan(sel.namespace, "", func(_ string, c *store.Change) bool {
 		if sel.matches(c.Object) {
 			hits = append(hits, c.Object)
 		}
@@ -526,14 +526,14 @@
 	o.Preconditions = nil
 	for _, h := range hits {
 		// One that went with another, such as a Pod with its Job, is gone already.
-		if _, err := s.removeOne(r, h, &o); err != nil && s.Store.Get(r.kind.res, h.GetNamespace(), h.GetName()) != nil {
-			return http1.Response{}, r.fail(err, h.GetName())
+		if _, err := s.deleteObject(r, h, &o); err != nil && s.Store.Get(r.resourceType.resource, h.GetNamespace(), h.GetName()) != nil {
+			return http1.Response{}, r.statusError(err, h.GetName())
 		}
 	}
 	return resp, nil
 }
 
-func (s *Server) removeOne(r *request, o store.Object, opt *metav1.DeleteOptions) (store.Object, error) {
+func (s *Server) deleteObject(r *request, o store.Object, opt *metav1.DeleteOptions) (store.Object, error) {
 	var uid types.UID
 	rev := ""
 	if p := opt.Preconditions; p != nil {
@@ -544,7 +544,7 @@
 			rev = *p.ResourceVersion
 		}
 	}
-	if r.kind.res == store.Jobs {
+	if r.resourceType.resource == store.Jobs {
 		how := metav1.DeletePropagationBackground
 		if opt.PropagationPolicy != nil {
 			how = *opt.PropagationPolicy
@@ -554,7 +554,7 @@
 	return s.Engine.DeletePod(s.now, o.GetNamespace(), o.GetName(), uid, rev)
 }
 
-func (s *Server) evict(r *request) (http1.Response, error) {
+func (s *Server) evictPod(r *request) (http1.Response, error) {
 	var ev policyv1.Eviction
 	if err := r.decode(r.Body, &ev, "Eviction"); err != nil {
 		return http1.Response{}, err
@@ -567,7 +567,7 @@
 		uid = *d.Preconditions.UID
 	}
 	if err := s.Engine.EvictPod(s.now, r.namespace, r.name, uid); err != nil {
-		return http1.Response{}, r.fail(err, r.name)
+		return http1.Response{}, r.statusError(err, r.name)
 	}
-	return respond(201, &metav1.Status{TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}, Status: metav1.StatusSuccess, Code: 201})
+	return jsonResponse(201, &metav1.Status{TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}, Status: metav1.StatusSuccess, Code: 201})
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -13,7 +13,7 @@
 // Event is one thing that passed.
 type Event struct {
 	At        float64 `json:"at"` // Unix seconds
-	What      string  `json:"what"`
+	Kind      string  `json:"what"`
 	Node      string  `json:"node,omitempty"`
 	Scheduler string  `json:"scheduler,omitempty"`
 	UID       string  `json:"uid,omitempty"`
@@ -23,7 +23,7 @@
 	Rack      string  `json:"rack,omitempty"`
 	Zone      string  `json:"zone,omitempty"`
 	Reason    string  `json:"reason,omitempty"`
-	GiveUp    float64 `json:"giveUp,omitempty"`
+	Deadline  float64 `json:"giveUp,omitempty"`
 }
 
 // What can pass. At machines: Up, Offered, Accepted, Refused, HungUp (the scheduler stopped waiting before the answer), Started,
@@ -31,27 +31,27 @@
 // ListedReady, ListedDraining, ListedGone, CutOff and CutOver. At clients: Told (a drain order was answered), Asked (a task was
 // taken, with GiveUp), Settled (Reason is its outcome), Withdrawn (its owner took it back). Of schedulers: Killed.
 const (
-	Up             = "up"
-	Offered        = "offer"
-	Accepted       = "accept"
-	Refused        = "refuse"
-	HungUp         = "hangup"
-	Started        = "start"
-	Ended          = "end"
-	Sealed         = "seal"
-	Crashed        = "crash"
-	Fell           = "fall"
-	ListedReady    = "listed-ready"
-	ListedDraining = "listed-draining"
-	ListedGone     = "listed-gone"
-	CutOff         = "cut-off"
-	CutOver        = "cut-over"
-	Told           = "told"
-	Undrained      = "undrained"
-	Asked          = "asked"
-	Settled        = "settled"
-	Withdrawn      = "withdrawn"
-	Killed         = "killed"
+	NodeUp            = "up"
+	AttemptReceived   = "offer"
+	Accepted          = "accept"
+	Rejected          = "refuse"
+	Abandoned         = "hangup"
+	Started           = "start"
+	Ended             = "end"
+	Fenced            = "seal"
+	Crashed           = "crash"
+	Overloaded        = "fall"
+	ListedReady       = "listed-ready"
+	ListedDraining    = "listed-draining"
+	ListedUnavailable = "listed-gone"
+	DiscoveryLost     = "cut-off"
+	DiscoveryRestored = "cut-over"
+	DrainOrdered      = "told"
+	DrainCancelled    = "undrained"
+	Submitted         = "asked"
+	Settled           = "settled"
+	Withdrawn         = "withdrawn"
+	Killed            = "killed"
 )
 
 // NeverRan is the reason of an end that proves that the task never ran.
@@ -59,12 +59,12 @@
 
 // Class is what the rules say of a class.
 type Class struct {
-	Once   bool
-	Keyed  bool
-	Group  string // Keyed: machine, rack, zone or all
-	TTL    float64
-	Apart  string // machine, rack, zone or ""
-	AtMost int
+	AtMostOnce   bool
+	Idempotent   bool
+	KeyScope     string // Keyed: machine, rack, zone or all
+	KeyTTL       float64
+	SpreadBy     string // machine, rack, zone or ""
+	MaxPerDomain int
 }
 
 // Config is what the auditor checks by.
@@ -85,227 +85,229 @@
 
 // Report is what an audit found.
 type Report struct {
-	Violations []Violation    `json:"Violations"`
-	Events     int            `json:"Events"`
-	Tasks      int            `json:"Tasks"`     // asked
-	Outcomes   map[string]int `json:"Outcomes"`  // of tasks, by reason
-	Forgotten  int            `json:"Forgotten"` // without outcome because their scheduler was killed or their owner withdrew
-	Offers     int            `json:"Offers"`
-	Refusals   int            `json:"Refusals"`
-	Starts     int            `json:"Starts"`
-	Ends       map[string]int `json:"Ends"` // by reason
-	Crashes    int            `json:"Crashes"`
+	Violations     []Violation    `json:"Violations"`
+	Events         int            `json:"Events"`
+	Tasks          int            `json:"Tasks"`     // asked
+	Outcomes       map[string]int `json:"Outcomes"`  // of tasks, by reason
+	WithoutOutcome int            `json:"Forgotten"` // without outcome because their scheduler was killed or their owner withdrew
+	Attempts       int            `json:"Offers"`
+	Rejections     int            `json:"Refusals"`
+	Starts         int            `json:"Starts"`
+	Ends           map[string]int `json:"Ends"` // by reason
+	Crashes        int            `json:"Crashes"`
 }
 
-type offer struct {
-	attempt          int
+type attemptState struct {
+	number           int
 	node, rack, zone string
-	at, closed       float64 // closed: answered or hung up; 0 while open
-	refused, sealed  bool
+	sentAt, closedAt float64 // closed: answered or hung up; 0 while open
+	rejected, fenced bool
 	accepted         bool
 	started          bool
 	ended            bool
 	neverRan         bool
-	unheard          bool // the scheduler never got the answer: to it the attempt is over
+	answerLost       bool // the scheduler never got the answer: to it the attempt is over
 }
 
-// safe says whether it is shown that the attempt never ran and will not.
-func (o *offer) safe() bool { return o.refused || o.sealed || o.neverRan }
+// provenNotRun says whether it is shown that the attempt never ran and will not.
+func (attempt *attemptState) provenNotRun() bool {
+	return attempt.rejected || attempt.fenced || attempt.neverRan
+}
 
-type task struct {
+type taskState struct {
 	uid, class, service, scheduler string
-	giveUp                         float64
-	asked, forgotten               bool
+	deadline                       float64
+	submitted, excused             bool
 	outcome                        string
 	settledAt                      float64
-	offers                         []*offer
+	attempts                       []*attemptState
 	starts                         int
 }
 
-type audit struct {
-	cfg    Config
-	rep    Report
-	tasks  map[string]*task
-	order  []string
-	crowd  map[string][]*task // of classes that spread, by scheduler and service
-	shut   map[string]float64 // machine: since when schedulers are told of drain or absence by the list
-	told   map[string]float64 // scheduler and machine: since when it is told by an order
-	cut    bool
-	cutEnd float64
+type auditor struct {
+	config              Config
+	report              Report
+	tasks               map[string]*taskState
+	uids                []string
+	spreadTasks         map[string][]*taskState // of classes that spread, by scheduler and service
+	unavailableSince    map[string]float64      // machine: since when schedulers are told of drain or absence by the list
+	drainOrderedAt      map[string]float64      // scheduler and machine: since when it is told by an order
+	discoveryLost       bool
+	discoveryRestoredAt float64
 }
 
 // Check audits events. They are put in order of time first; those of one time keep their order.
-func Check(cfg Config, events []Event) Report {
-	if cfg.Slack <= 0 {
-		cfg.Slack = 0.1
+func Check(config Config, events []Event) Report {
+	if config.Slack <= 0 {
+		config.Slack = 0.1
 	}
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At < events[j].At })
-	a := &audit{cfg: cfg, tasks: map[string]*task{}, crowd: map[string][]*task{}, shut: map[string]float64{}, told: map[string]float64{}}
-	a.rep.Outcomes, a.rep.Ends = map[string]int{}, map[string]int{}
-	end := 0.0
+	auditor := &auditor{config: config, tasks: map[string]*taskState{}, spreadTasks: map[string][]*taskState{}, unavailableSince: map[string]float64{}, drainOrderedAt: map[string]float64{}}
+	auditor.report.Outcomes, auditor.report.Ends = map[string]int{}, map[string]int{}
+	lastEvent := 0.0
 	for i := range events {
-		a.event(&events[i])
-		end = max(end, events[i].At)
+		auditor.handle(&events[i])
+		lastEvent = max(lastEvent, events[i].At)
 	}
-	a.finish(end)
-	a.rep.Events = len(events)
-	sort.SliceStable(a.rep.Violations, func(i, j int) bool { return a.rep.Violations[i].At < a.rep.Violations[j].At })
-	return a.rep
+	auditor.finish(lastEvent)
+	auditor.report.Events = len(events)
+	sort.SliceStable(auditor.report.Violations, func(i, j int) bool { return auditor.report.Violations[i].At < auditor.report.Violations[j].At })
+	return auditor.report
 }
 
-func (a *audit) broken(rule int, at float64, format string, args ...any) {
-	a.rep.Violations = append(a.rep.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
+func (a *auditor) violation(rule int, at float64, format string, args ...any) {
+	a.report.Violations = append(a.report.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-func (a *audit) task(ev *Event) *task {
-	t := a.tasks[ev.UID]
-	if t == nil {
-		t = &task{uid: ev.UID}
-		a.tasks[ev.UID] = t
-		a.order = append(a.order, ev.UID)
+func (a *auditor) taskOf(event *Event) *taskState {
+	task := a.tasks[event.UID]
+	if task == nil {
+		task = &taskState{uid: event.UID}
+		a.tasks[event.UID] = task
+		a.uids = append(a.uids, event.UID)
 	}
-	if ev.Class != "" {
-		t.class = ev.Class
+	if event.Class != "" {
+		task.class = event.Class
 	}
-	if ev.Service != "" {
-		t.service = ev.Service
+	if event.Service != "" {
+		task.service = event.Service
 	}
-	if ev.Scheduler != "" {
-		t.scheduler = ev.Scheduler
+	if event.Scheduler != "" {
+		task.scheduler = event.Scheduler
 	}
-	return t
+	return task
 }
 
-// find returns the offer that an event at a machine belongs to.
-func (t *task) find(ev *Event) *offer {
-	for i := len(t.offers) - 1; i >= 0; i-- {
-		if o := t.offers[i]; o.attempt == ev.Attempt && o.node == ev.Node {
-			return o
+// findAttempt returns the offer that an event at a machine belongs to.
+func (task *taskState) findAttempt(event *Event) *attemptState {
+	for i := len(task.attempts) - 1; i >= 0; i-- {
+		if attempt := task.attempts[i]; attempt.number == event.Attempt && attempt.node == event.Node {
+			return attempt
 		}
 	}
 	return nil
 }
 
-func (a *audit) event(ev *Event) {
-	switch ev.What {
-	case Asked:
-		t := a.task(ev)
-		t.asked, t.giveUp = true, ev.GiveUp
+func (a *auditor) handle(event *Event) {
+	switch event.Kind {
+	case Submitted:
+		task := a.taskOf(event)
+		task.submitted, task.deadline = true, event.Deadline
 	case Settled:
-		a.settled(ev)
+		a.taskSettled(event)
 	case Withdrawn:
-		a.task(ev).forgotten = true
+		a.taskOf(event).excused = true
 	case Killed:
 		// Orders to a scheduler end with its life.
-		for k := range a.told {
-			if strings.HasPrefix(k, ev.Scheduler+" ") {
-				delete(a.told, k)
+		for key := range a.drainOrderedAt {
+			if strings.HasPrefix(key, event.Scheduler+" ") {
+				delete(a.drainOrderedAt, key)
 			}
 		}
-		for _, uid := range a.order {
-			t := a.tasks[uid]
-			if t.scheduler != ev.Scheduler {
+		for _, uid := range a.uids {
+			task := a.tasks[uid]
+			if task.scheduler != event.Scheduler {
 				continue
 			}
-			t.forgotten = t.forgotten || t.outcome == ""
-			for _, o := range t.offers {
-				o.unheard = o.unheard || t.outcome == ""
+			task.excused = task.excused || task.outcome == ""
+			for _, attempt := range task.attempts {
+				attempt.answerLost = attempt.answerLost || task.outcome == ""
 			}
 		}
 	case ListedReady:
-		delete(a.shut, ev.Node)
-	case ListedDraining, ListedGone:
-		if _, ok := a.shut[ev.Node]; !ok {
-			a.shut[ev.Node] = ev.At
+		delete(a.unavailableSince, event.Node)
+	case ListedDraining, ListedUnavailable:
+		if _, ok := a.unavailableSince[event.Node]; !ok {
+			a.unavailableSince[event.Node] = event.At
 		}
-	case CutOff:
-		a.cut = true
-	case CutOver:
-		a.cut, a.cutEnd = false, ev.At
-	case Told:
-		a.told[ev.Scheduler+" "+ev.Node] = ev.At
-	case Undrained:
-		delete(a.told, ev.Scheduler+" "+ev.Node)
-	case Offered:
-		a.offered(ev)
-	case Refused, HungUp, Accepted, Started, Ended, Sealed:
-		a.answered(ev)
+	case DiscoveryLost:
+		a.discoveryLost = true
+	case DiscoveryRestored:
+		a.discoveryLost, a.discoveryRestoredAt = false, event.At
+	case DrainOrdered:
+		a.drainOrderedAt[event.Scheduler+" "+event.Node] = event.At
+	case DrainCancelled:
+		delete(a.drainOrderedAt, event.Scheduler+" "+event.Node)
+	case AttemptReceived:
+		a.attemptReceived(event)
+	case Rejected, Abandoned, Accepted, Started, Ended, Fenced:
+		a.attemptProgressed(event)
 	case Crashed:
-		a.rep.Crashes++
-		a.lost(ev)
-	case Fell:
-		a.broken(4, ev.At, "machine %s was pushed over while cold", ev.Node)
-		a.lost(ev)
+		a.report.Crashes++
+		a.nodeLost(event)
+	case Overloaded:
+		a.violation(4, event.At, "machine %s was pushed over while cold", event.Node)
+		a.nodeLost(event)
 	}
 }
 
-// lost ends all that a machine held.
-func (a *audit) lost(ev *Event) {
-	for _, uid := range a.order {
-		for _, o := range a.tasks[uid].offers {
-			if o.node == ev.Node {
-				o.ended = true
-				if o.closed == 0 {
-					o.closed = ev.At
+// nodeLost ends all that a machine held.
+func (a *auditor) nodeLost(event *Event) {
+	for _, uid := range a.uids {
+		for _, attempt := range a.tasks[uid].attempts {
+			if attempt.node == event.Node {
+				attempt.ended = true
+				if attempt.closedAt == 0 {
+					attempt.closedAt = event.At
 				}
 			}
 		}
 	}
 }
 
-func (a *audit) settled(ev *Event) {
-	t := a.task(ev)
-	if t.outcome != "" {
-		if t.outcome != ev.Reason {
-			a.broken(1, ev.At, "task %s was %s and is now %s", t.uid, t.outcome, ev.Reason)
+func (a *auditor) taskSettled(event *Event) {
+	task := a.taskOf(event)
+	if task.outcome != "" {
+		if task.outcome != event.Reason {
+			a.violation(1, event.At, "task %s was %s and is now %s", task.uid, task.outcome, event.Reason)
 		} else {
-			a.broken(1, ev.At, "task %s was told as %s twice", t.uid, ev.Reason)
+			a.violation(1, event.At, "task %s was told as %s twice", task.uid, event.Reason)
 		}
 		return
 	}
-	t.outcome, t.settledAt = ev.Reason, ev.At
-	a.rep.Outcomes[ev.Reason]++
-	if t.asked && ev.At > t.giveUp+a.cfg.Slack {
-		a.broken(1, ev.At, "task %s was settled as %s %.3f s after its owner gave up", t.uid, ev.Reason, ev.At-t.giveUp)
+	task.outcome, task.settledAt = event.Reason, event.At
+	a.report.Outcomes[event.Reason]++
+	if task.submitted && event.At > task.deadline+a.config.Slack {
+		a.violation(1, event.At, "task %s was settled as %s %.3f s after its owner gave up", task.uid, event.Reason, event.At-task.deadline)
 	}
 }
 
-func (a *audit) offered(ev *Event) {
-	t := a.task(ev)
-	c := a.cfg.Classes[t.class]
-	a.rep.Offers++
-	o := &offer{attempt: ev.Attempt, node: ev.Node, rack: ev.Rack, zone: ev.Zone, at: ev.At}
-	if since, ok := a.shut[ev.Node]; ok && !a.cut && ev.At > max(since, a.cutEnd+1)+a.cfg.DrainGrace+a.cfg.Slack {
-		a.broken(3, ev.At, "task %s was offered to %s, shown as draining or gone for %.3f s", t.uid, ev.Node, ev.At-since)
+func (a *auditor) attemptReceived(event *Event) {
+	task := a.taskOf(event)
+	class := a.config.Classes[task.class]
+	a.report.Attempts++
+	attempt := &attemptState{number: event.Attempt, node: event.Node, rack: event.Rack, zone: event.Zone, sentAt: event.At}
+	if since, ok := a.unavailableSince[event.Node]; ok && !a.discoveryLost && event.At > max(since, a.discoveryRestoredAt+1)+a.config.DrainGrace+a.config.Slack {
+		a.violation(3, event.At, "task %s was offered to %s, shown as draining or gone for %.3f s", task.uid, event.Node, event.At-since)
 	}
-	if since, ok := a.told[ev.Scheduler+" "+ev.Node]; ok && ev.At > since+a.cfg.DrainGrace+a.cfg.Slack {
-		a.broken(3, ev.At, "task %s was offered to %s %.3f s after its drain was ordered at %s", t.uid, ev.Node, ev.At-since, ev.Scheduler)
+	if since, ok := a.drainOrderedAt[event.Scheduler+" "+event.Node]; ok && event.At > since+a.config.DrainGrace+a.config.Slack {
+		a.violation(3, event.At, "task %s was offered to %s %.3f s after its drain was ordered at %s", task.uid, event.Node, event.At-since, event.Scheduler)
 	}
-	for _, p := range t.offers {
-		if p.attempt >= o.attempt {
-			if p.attempt == o.attempt && (c.Once || p.node != o.node) {
-				a.broken(2, ev.At, "task %s: attempt %d was sent twice", t.uid, o.attempt)
+	for _, earlier := range task.attempts {
+		if earlier.number >= attempt.number {
+			if earlier.number == attempt.number && (class.AtMostOnce || earlier.node != attempt.node) {
+				a.violation(2, event.At, "task %s: attempt %d was sent twice", task.uid, attempt.number)
 			}
 			continue
 		}
 		switch {
-		case p.safe():
-		case c.Once:
-			a.broken(2, ev.At, "task %s must not run twice: offered to %s while attempt %d at %s may have run", t.uid, o.node, p.attempt, p.node)
-		case c.Keyed:
-			if !sameGroup(c.Group, p, o) || ev.At > p.at+c.TTL+a.cfg.Slack {
-				a.broken(2, ev.At, "task %s: offered to %s %.3f s after a doubtful attempt at %s, outside what its key covers", t.uid, o.node, ev.At-p.at, p.node)
+		case earlier.provenNotRun():
+		case class.AtMostOnce:
+			a.violation(2, event.At, "task %s must not run twice: offered to %s while attempt %d at %s may have run", task.uid, attempt.node, earlier.number, earlier.node)
+		case class.Idempotent:
+			if !sameDomain(class.KeyScope, earlier, attempt) || event.At > earlier.sentAt+class.KeyTTL+a.config.Slack {
+				a.violation(2, event.At, "task %s: offered to %s %.3f s after a doubtful attempt at %s, outside what its key covers", task.uid, attempt.node, event.At-earlier.sentAt, earlier.node)
 			}
 		}
 	}
-	t.offers = append(t.offers, o)
-	if c.Apart != "" {
-		a.spread(ev, t, o, c)
+	task.attempts = append(task.attempts, attempt)
+	if class.SpreadBy != "" {
+		a.checkSpread(event, task, attempt, class)
 	}
 }
 
-func sameGroup(group string, a, b *offer) bool {
-	switch group {
+func sameDomain(scope string, a, b *attemptState) bool {
+	switch scope {
 	case "all":
 		return true
 	case "zone":
@@ -316,99 +318,99 @@
 	return a.node == b.node
 }
 
-// spread counts what one scheduler has of a service in one place, as the machines see it.
-func (a *audit) spread(ev *Event, t *task, o *offer, c Class) {
-	n := 0
-	key := t.scheduler + " " + t.service
-	if len(t.offers) == 1 {
-		a.crowd[key] = append(a.crowd[key], t)
+// checkSpread counts what one scheduler has of a service in one place, as the machines see it.
+func (a *auditor) checkSpread(event *Event, task *taskState, attempt *attemptState, class Class) {
+	count := 0
+	key := task.scheduler + " " + task.service
+	if len(task.attempts) == 1 {
+		a.spreadTasks[key] = append(a.spreadTasks[key], task)
 	}
-	for _, u := range a.crowd[key] {
-		for _, p := range u.offers {
-			if p.refused || p.sealed || p.ended || p.unheard || !sameGroup(c.Apart, p, o) {
+	for _, other := range a.spreadTasks[key] {
+		for _, placed := range other.attempts {
+			if placed.rejected || placed.fenced || placed.ended || placed.answerLost || !sameDomain(class.SpreadBy, placed, attempt) {
 				continue
 			}
-			if p.accepted || p.closed == 0 {
-				n++
+			if placed.accepted || placed.closedAt == 0 {
+				count++
 			}
 		}
 	}
-	if n > c.AtMost {
-		a.broken(5, ev.At, "service %s of %s has %d tasks in one %s (%s), %d are allowed", t.service, t.scheduler, n, c.Apart, o.rack, c.AtMost)
+	if count > class.MaxPerDomain {
+		a.violation(5, event.At, "service %s of %s has %d tasks in one %s (%s), %d are allowed", task.service, task.scheduler, count, class.SpreadBy, attempt.rack, class.MaxPerDomain)
 	}
 }
 
-func (a *audit) answered(ev *Event) {
-	t := a.tasks[ev.UID]
-	if t == nil {
+func (a *auditor) attemptProgressed(event *Event) {
+	task := a.tasks[event.UID]
+	if task == nil {
 		return
 	}
-	o := t.find(ev)
-	switch ev.What {
-	case Refused:
-		a.rep.Refusals++
+	attempt := task.findAttempt(event)
+	switch event.Kind {
+	case Rejected:
+		a.report.Rejections++
 	case Started:
-		a.rep.Starts++
-		t.starts++
-		if t.starts > 1 && a.cfg.Classes[t.class].Once {
-			a.broken(2, ev.At, "task %s, which must not run twice, was started %d times, now on %s", t.uid, t.starts, ev.Node)
+		a.report.Starts++
+		task.starts++
+		if task.starts > 1 && a.config.Classes[task.class].AtMostOnce {
+			a.violation(2, event.At, "task %s, which must not run twice, was started %d times, now on %s", task.uid, task.starts, event.Node)
 		}
 	case Ended:
-		a.rep.Ends[ev.Reason]++
-	case Sealed:
+		a.report.Ends[event.Reason]++
+	case Fenced:
 		// It covers every attempt up to this one at the machine.
-		for _, p := range t.offers {
-			if p.node == ev.Node && p.attempt <= ev.Attempt && !p.accepted {
-				p.sealed = true
+		for _, other := range task.attempts {
+			if other.node == event.Node && other.number <= event.Attempt && !other.accepted {
+				other.fenced = true
 			}
 		}
 	}
-	if o == nil {
+	if attempt == nil {
 		return
 	}
-	if o.closed == 0 && ev.What != Started && ev.What != Ended && ev.What != Sealed {
-		o.closed = ev.At
+	if attempt.closedAt == 0 && event.Kind != Started && event.Kind != Ended && event.Kind != Fenced {
+		attempt.closedAt = event.At
 	}
-	switch ev.What {
-	case HungUp:
-		o.unheard = true
-	case Refused:
-		o.refused = !o.accepted
+	switch event.Kind {
+	case Abandoned:
+		attempt.answerLost = true
+	case Rejected:
+		attempt.rejected = !attempt.accepted
 	case Accepted:
-		o.accepted = true
+		attempt.accepted = true
 	case Started:
-		o.started = true
+		attempt.started = true
 	case Ended:
 		// It ends what later attempts of the task at this machine repeated as well.
-		for _, p := range t.offers {
-			if p.node == ev.Node && !p.refused && !p.sealed && !p.ended {
-				p.ended, p.neverRan = true, ev.Reason == NeverRan
+		for _, other := range task.attempts {
+			if other.node == event.Node && !other.rejected && !other.fenced && !other.ended {
+				other.ended, other.neverRan = true, event.Reason == NeverRan
 			}
 		}
 	}
 }
 
-func (a *audit) finish(end float64) {
-	for _, uid := range a.order {
-		t := a.tasks[uid]
-		if t.asked {
-			a.rep.Tasks++
+func (a *auditor) finish(end float64) {
+	for _, uid := range a.uids {
+		task := a.tasks[uid]
+		if task.submitted {
+			a.report.Tasks++
 			switch {
-			case t.outcome != "":
-			case t.forgotten:
-				a.rep.Forgotten++
-			case end > t.giveUp+a.cfg.Slack:
-				a.broken(1, t.giveUp, "task %s has no outcome, its owner gave up", t.uid)
+			case task.outcome != "":
+			case task.excused:
+				a.report.WithoutOutcome++
+			case end > task.deadline+a.config.Slack:
+				a.violation(1, task.deadline, "task %s has no outcome, its owner gave up", task.uid)
 			}
 		}
-		for i, o := range t.offers {
-			closed := o.closed
+		for i, attempt := range task.attempts {
+			closed := attempt.closedAt
 			if closed == 0 {
 				closed = end
 			}
-			for _, p := range t.offers[i+1:] {
-				if p.attempt > o.attempt && p.at < closed-a.cfg.Slack {
-					a.broken(2, p.at, "task %s: attempt %d at %s went out while attempt %d at %s was out", t.uid, p.attempt, p.node, o.attempt, o.node)
+			for _, later := range task.attempts[i+1:] {
+				if later.number > attempt.number && later.sentAt < closed-a.config.Slack {
+					a.violation(2, later.sentAt, "task %s: attempt %d at %s went out while attempt %d at %s was out", task.uid, later.number, later.node, attempt.number, attempt.node)
 				}
 			}
 		}
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -26,11 +26,11 @@
 	for _, line := range strings.Split(string(text), "\n") {
 		r.Line("%s", line)
 	}
-	for _, file := range files(string(text)) {
+	for _, file := range settingsFiles(string(text)) {
 		parsed, err := config.Parse("f", []byte(file))
 		r.Line("%.90q: %v", file, err)
 		if err == nil {
-			derived(t, r, &parsed)
+			recordDerived(t, r, &parsed)
 		}
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "missing"))
@@ -38,8 +38,8 @@
 	r.Check(t, "settings")
 }
 
-// files are good files, and the default with one field after the other replaced by values of the wrong kind or out of range.
-func files(text string) []string {
+// settingsFiles are good files, and the default with one field after the other replaced by values of the wrong kind or out of range.
+func settingsFiles(text string) []string {
 	out := []string{"", "{}", "// c\n{ /* d */ \"name\": \"a\", }", `{"naem": "a"}`, "{\n\"name\": \"a\",\n\"name\": \"b\"}", `{"name": }`, "[]", "3",
 		`{"peers": 1.5}`, `{"peers": 2, "self": 2}`, `{"classes": []}`, `{"kinds": []}`, `{"defaultClass": "x"}`, `{"logLevel": "loud"}`,
 		`{"tenants": [{"name": "a", "share": 0.6, "cores": 4}, {"name": "b", "share": 0.4}]}`, `{"tenants": [{"name": "a"}, {"name": "a"}]}`,
@@ -65,52 +65,52 @@
 	return out
 }
 
-// derived records what follows from settings: machines, priorities, lives, and the configuration of the gate and owners by bits.
-func derived(t *testing.T, r *golden.Recorder, s *config.Settings) {
+// recordDerived records what follows from settings: machines, priorities, lives, and the configuration of the gate and owners by bits.
+func recordDerived(t *testing.T, r *golden.Recorder, s *config.Settings) {
 	text, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Bytes(text)
 	for i := range 9 {
-		m, kind, rack, zone := s.Machine(i)
+		node, kind, rack, zone := s.EmulatedNode(i)
 		r.Texts(kind, rack, zone)
-		r.Floats(m.Cores, m.Memory, m.BookCores, m.BookMemory, m.LookMin, m.LookMax, m.StartWork, m.FreshFactor, m.ColdFrom, m.WarmWithin,
-			m.FallMultiple, m.FallWindow, m.ColdAlways, m.LifeMean, m.UseMin, m.UseMax, m.Grace, m.KeepEnded)
-		r.Integers(int64(m.MaxWaiting), int64(m.StartsAtOnce), int64(m.KeepPrograms), int64(m.Seed))
-		r.Booleans(m.AnswersWhenRunning, m.PushesOut, m.Cold)
+		r.Floats(node.Cores, node.Memory, node.OvercommitCores, node.OvercommitMemory, node.DecisionDelayMin, node.DecisionDelayMax, node.StartSeconds, node.UncachedStartFactor, node.InitialPace, node.WarmUpSeconds,
+			node.OverloadFactor, node.OverloadWindow, node.OverloadMinRequests, node.LifetimeMean, node.UsageMin, node.UsageMax, node.DrainGrace, node.TerminatedRetention)
+		r.Integers(int64(node.MaxQueued), int64(node.MaxConcurrentStarts), int64(node.ProgramCacheSize), int64(node.Seed))
+		r.Booleans(node.AnswerWhenRunning, node.Preempts, node.Cold)
 	}
 	priorities, _ := json.Marshal(s.Priorities())
-	lives, _ := json.Marshal(s.Lives())
+	lifetimes, _ := json.Marshal(s.Lifetimes())
 	r.Bytes(priorities)
-	r.Bytes(lives)
-	c := s.Engine(7, 11)
-	g, o, p := c.Admission, c.Retry, c.Placer
-	r.Floats(g.MinInFlight, g.MaxInFlight, g.Start, g.Decrease, g.Window, g.LateFraction, g.RetryRatio, g.RetryRate, g.RetryBurst,
-		o.Delay, o.ShortDelay, o.Multiplier, o.MaxDelay, o.UnknownOutcomeTimeout, c.FinishedTTL, c.LostAfter, p.OvercommitCores, p.OvercommitMemory, p.ConnectTimeout, p.AnswerGrace,
-		p.DrainGrace, p.WarmupMinPace, p.WarmupDuration, p.OverloadMultiple, p.OverloadWindow, p.WarmupAttempts, p.UnknownOutcomeWait, p.NodeCost, p.CrossZoneCost,
-		p.MigrationCost, p.OverQuotaWeight)
-	r.Integers(int64(g.MaxWaiting), c.MaxHistory, c.MaxObjects, int64(c.History), int64(c.MaxPods), int64(c.DefaultClass), int64(c.Seed), c.BaseRev,
-		int64(p.Self), int64(p.Peers), int64(p.MaxAttempts))
-	r.Booleans(g.Disabled, p.AcknowledgesOnStart, p.ListShowsCapacity, p.ReportsUsage, p.Preempts)
-	for i, k := range p.Classes {
-		r.Texts(c.Classes[i])
+	r.Bytes(lifetimes)
+	engineConfig := s.Engine(7, 11)
+	controller, retryPolicy, policy := engineConfig.Admission, engineConfig.Retry, engineConfig.Placer
+	r.Floats(controller.MinInFlight, controller.MaxInFlight, controller.InitialInFlight, controller.DecreaseFactor, controller.DecreaseInterval, controller.LateFraction, controller.RetryRatio, controller.RetryRate, controller.RetryBurst,
+		retryPolicy.Delay, retryPolicy.ShortDelay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.UnknownOutcomeTimeout, engineConfig.FinishedTTL, engineConfig.NodeLossTimeout, policy.OvercommitCores, policy.OvercommitMemory, policy.ConnectTimeout, policy.AnswerGrace,
+		policy.DrainGrace, policy.WarmupMinPace, policy.WarmupDuration, policy.OverloadMultiple, policy.OverloadWindow, policy.WarmupAttempts, policy.UnknownOutcomeWait, policy.NodeCost, policy.CrossZoneCost,
+		policy.MigrationCost, policy.OverQuotaWeight)
+	r.Integers(int64(controller.MaxQueued), engineConfig.MaxHistory, engineConfig.MaxObjects, int64(engineConfig.History), int64(engineConfig.MaxPods), int64(engineConfig.DefaultClass), int64(engineConfig.Seed), engineConfig.BaseRevision,
+		int64(policy.Self), int64(policy.Peers), int64(policy.MaxAttempts))
+	r.Booleans(controller.Disabled, policy.AcknowledgesOnStart, policy.ListShowsCapacity, policy.ReportsUsage, policy.Preempts)
+	for i, k := range policy.Classes {
+		r.Texts(engineConfig.Classes[i])
 		r.Floats(k.DedupWindow, k.LatencyObjective, k.Deadline, k.Weight, k.LateWeight, k.StartBonus, k.SaturationThreshold, k.DegradationRange)
 		r.Integers(int64(k.Idempotency), int64(k.DedupDomain), int64(k.Priority), int64(k.NodeType), int64(k.SpreadDomain), int64(k.MaxPerDomain))
 	}
-	for i, k := range p.NodeTypes {
-		r.Texts(c.NodeTypes[i])
+	for i, k := range policy.NodeTypes {
+		r.Texts(engineConfig.NodeTypes[i])
 		r.Floats(k.Cores, k.Memory)
 	}
-	for i, k := range p.Tenants {
-		r.Texts(c.Tenants[i])
+	for i, k := range policy.Tenants {
+		r.Texts(engineConfig.Tenants[i])
 		r.Floats(k.Share, k.Cores)
 	}
 	r.Checkpoint("  derived")
 }
 
-// TestCharacterizeDayScripts pins scripts of days and the errors of bad ones.
-func TestCharacterizeDayScripts(t *testing.T) {
+// TestCharacterizeScenarioScripts pins scripts of days and the errors of bad ones.
+func TestCharacterizeScenarioScripts(t *testing.T) {
 	r := golden.NewRecorder()
 	directory := t.TempDir()
 	for i, text := range []string{`{}`, `{"seed": 4, "seconds": 50, "calm": 10}`, `{"trouble": [{"kind": "crash", "at": 5, "for": 3, "part": 0.5}]}`,
@@ -121,12 +121,12 @@
 			t.Fatal(err)
 		}
 		script, err := config.LoadScript(path)
-		words := ""
+		message := ""
 		if err != nil {
-			words = strings.ReplaceAll(err.Error(), directory, "")
+			message = strings.ReplaceAll(err.Error(), directory, "")
 		}
 		encoded, _ := json.Marshal(script)
-		r.Line("%s: %s %s", text, words, encoded)
+		r.Line("%s: %s %s", text, message, encoded)
 	}
 	r.Check(t, "scripts")
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestErrorsNameTheirPosition(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"nothing", `{}`, ""},
 		{"comments", "// c\n{\n  /* d */ \"name\": \"a\", // e\n}\n", ""},
@@ -35,17 +35,17 @@
 }
 
 // What is printed can be read back, to the same.
-func TestPrintedSettingsAreRead(t *testing.T) {
+func TestPrintedSettingsRoundTrip(t *testing.T) {
 	s := Default()
-	a, err := s.Text()
+	printed, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Parse("f", a)
+	parsed, err := Parse("f", printed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, _ := r.Text(); string(a) != string(b) {
+	if again, _ := parsed.Text(); string(printed) != string(again) {
 		t.Error("printed settings differ after reading")
 	}
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,154 +12,154 @@
 
 // Error is a setting that cannot be used, with where it stands.
 type Error struct {
-	File      string
-	Line, Col int
-	Path      string // such as classes[1].effect
-	Msg       string
+	File         string
+	Line, Column int
+	Path         string // such as classes[1].effect
+	Message      string
 }
 
 func (e *Error) Error() string {
 	if e.Path == "" {
-		return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Col, e.Msg)
+		return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 	}
-	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Col, e.Path, e.Msg)
+	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Path, e.Message)
 }
 
 // decoder fills a struct from JSON with comments and remembers where each field stands.
 type decoder struct {
-	file string
-	text []byte
-	at   map[string]int // offset of each path
+	file    string
+	text    []byte
+	offsets map[string]int // offset of each path
 }
 
-func (d *decoder) fail(offset int, path, format string, args ...any) error {
+func (d *decoder) errorAt(offset int, path, format string, args ...any) error {
 	offset = min(max(offset, 0), len(d.text))
 	before := string(d.text[:offset])
 	line := strings.Count(before, "\n") + 1
-	col := offset - strings.LastIndexByte(before, '\n')
-	return &Error{d.file, line, col, path, fmt.Sprintf(format, args...)}
+	column := offset - strings.LastIndexByte(before, '\n')
+	return &Error{d.file, line, column, path, fmt.Sprintf(format, args...)}
 }
 
 // Decode reads JSON with comments and trailing commas into a struct with json tags. Fields that it does not know, or that are
 // given twice, are refused; what is not given stays as it is. It returns where each field stands.
-func (d *decoder) decode(into any) error {
+func (d *decoder) decode(target any) error {
 	v, err := hujson.Parse(d.text)
 	if err != nil {
 		// The library names line and column in its message.
 		return &Error{d.file, 1, 1, "", strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
-	d.at = map[string]int{}
-	return d.value(&v, "", reflect.ValueOf(into).Elem())
+	d.offsets = map[string]int{}
+	return d.value(&v, "", reflect.ValueOf(target).Elem())
 }
 
-func (d *decoder) value(v *hujson.Value, path string, to reflect.Value) error {
-	d.at[path] = v.StartOffset
-	if to.Kind() == reflect.Pointer {
-		to.Set(reflect.New(to.Type().Elem()))
-		to = to.Elem()
+func (d *decoder) value(value *hujson.Value, path string, target reflect.Value) error {
+	d.offsets[path] = value.StartOffset
+	if target.Kind() == reflect.Pointer {
+		target.Set(reflect.New(target.Type().Elem()))
+		target = target.Elem()
 	}
-	switch x := v.Value.(type) {
+	switch typed := value.Value.(type) {
 	case *hujson.Object:
-		if to.Kind() == reflect.Struct {
-			return d.object(x, path, to)
+		if target.Kind() == reflect.Struct {
+			return d.object(typed, path, target)
 		}
-		if to.Kind() == reflect.Map {
-			out := reflect.MakeMap(to.Type())
-			for i := range x.Members {
-				m := &x.Members[i]
-				name := m.Name.Value.(hujson.Literal).String()
-				el := reflect.New(to.Type().Elem()).Elem()
-				if err := d.value(&m.Value, join(path, name), el); err != nil {
+		if target.Kind() == reflect.Map {
+			decoded := reflect.MakeMap(target.Type())
+			for i := range typed.Members {
+				member := &typed.Members[i]
+				name := member.Name.Value.(hujson.Literal).String()
+				element := reflect.New(target.Type().Elem()).Elem()
+				if err := d.value(&member.Value, joinPath(path, name), element); err != nil {
 					return err
 				}
-				if out.MapIndex(reflect.ValueOf(name)).IsValid() {
-					return d.fail(m.Name.StartOffset, join(path, name), "given twice")
+				if decoded.MapIndex(reflect.ValueOf(name)).IsValid() {
+					return d.errorAt(member.Name.StartOffset, joinPath(path, name), "given twice")
 				}
-				out.SetMapIndex(reflect.ValueOf(name), el)
+				decoded.SetMapIndex(reflect.ValueOf(name), element)
 			}
-			to.Set(out)
+			target.Set(decoded)
 			return nil
 		}
-		return d.fail(v.StartOffset, path, "an object, want %s", kindName(to))
+		return d.errorAt(value.StartOffset, path, "an object, want %s", typeName(target))
 	case *hujson.Array:
-		if to.Kind() != reflect.Slice {
-			return d.fail(v.StartOffset, path, "a list, want %s", kindName(to))
+		if target.Kind() != reflect.Slice {
+			return d.errorAt(value.StartOffset, path, "a list, want %s", typeName(target))
 		}
-		out := reflect.MakeSlice(to.Type(), len(x.Elements), len(x.Elements))
-		for i := range x.Elements {
-			if err := d.value(&x.Elements[i], fmt.Sprintf("%s[%d]", path, i), out.Index(i)); err != nil {
+		decoded := reflect.MakeSlice(target.Type(), len(typed.Elements), len(typed.Elements))
+		for i := range typed.Elements {
+			if err := d.value(&typed.Elements[i], fmt.Sprintf("%s[%d]", path, i), decoded.Index(i)); err != nil {
 				return err
 			}
 		}
-		to.Set(out)
+		target.Set(decoded)
 		return nil
 	case hujson.Literal:
-		return d.literal(x, v.StartOffset, path, to)
+		return d.literal(typed, value.StartOffset, path, target)
 	}
-	return d.fail(v.StartOffset, path, "not understood")
+	return d.errorAt(value.StartOffset, path, "not understood")
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func (d *decoder) object(x *hujson.Object, path string, to reflect.Value) error {
+func (d *decoder) object(object *hujson.Object, path string, target reflect.Value) error {
 	seen := map[string]bool{}
-	for i := range x.Members {
-		m := &x.Members[i]
-		name := m.Name.Value.(hujson.Literal).String()
-		p := join(path, name)
+	for i := range object.Members {
+		member := &object.Members[i]
+		name := member.Name.Value.(hujson.Literal).String()
+		memberPath := joinPath(path, name)
 		if seen[name] {
-			return d.fail(m.Name.StartOffset, p, "given twice")
+			return d.errorAt(member.Name.StartOffset, memberPath, "given twice")
 		}
 		seen[name] = true
-		f, ok := fieldNamed(to, name)
+		field, ok := fieldNamed(target, name)
 		if !ok {
-			return d.fail(m.Name.StartOffset, p, "no such setting; there are %s", strings.Join(fieldNames(to), ", "))
+			return d.errorAt(member.Name.StartOffset, memberPath, "no such setting; there are %s", strings.Join(fieldNames(target), ", "))
 		}
-		if err := d.value(&m.Value, p, f); err != nil {
+		if err := d.value(&member.Value, memberPath, field); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *decoder) literal(x hujson.Literal, offset int, path string, to reflect.Value) error {
-	want := func() error { return d.fail(offset, path, "%.40s, want %s", x, kindName(to)) }
-	switch to.Kind() {
+func (d *decoder) literal(literal hujson.Literal, offset int, path string, target reflect.Value) error {
+	mismatch := func() error { return d.errorAt(offset, path, "%.40s, want %s", literal, typeName(target)) }
+	switch target.Kind() {
 	case reflect.String:
-		if x.Kind() != '"' {
-			return want()
+		if literal.Kind() != '"' {
+			return mismatch()
 		}
-		to.SetString(x.String())
+		target.SetString(literal.String())
 	case reflect.Bool:
-		if x.Kind() != 't' && x.Kind() != 'f' {
-			return want()
+		if literal.Kind() != 't' && literal.Kind() != 'f' {
+			return mismatch()
 		}
-		to.SetBool(x.Bool())
+		target.SetBool(literal.Bool())
 	case reflect.Float64:
-		if x.Kind() != '0' || math.IsInf(x.Float(), 0) {
-			return want()
+		if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
+			return mismatch()
 		}
-		to.SetFloat(x.Float())
+		target.SetFloat(literal.Float())
 	case reflect.Int, reflect.Int64, reflect.Uint64:
 		var n int64
-		if x.Kind() != '0' || json.Unmarshal([]byte(x), &n) != nil {
-			return want()
+		if literal.Kind() != '0' || json.Unmarshal([]byte(literal), &n) != nil {
+			return mismatch()
 		}
-		if to.Kind() == reflect.Uint64 {
+		if target.Kind() == reflect.Uint64 {
 			if n < 0 {
-				return want()
+				return mismatch()
 			}
-			to.SetUint(uint64(n))
+			target.SetUint(uint64(n))
 		} else {
-			to.SetInt(n)
+			target.SetInt(n)
 		}
 	default:
-		return want()
+		return mismatch()
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 	return out
 }
 
-func kindName(v reflect.Value) string {
+func typeName(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.String:
 		return "a string"
--- a/internal/connpool/characterization_test.go
+++ b/internal/connpool/characterization_test.go
@@ -44,21 +44,21 @@
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
 	lines := []string{defaults()}
-	for name, text := range []string{choices(), upkeep(connpool.DefaultSharedPolicy()), upkeep(connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}), usable()} {
+	for name, text := range []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}), usableStates()} {
 		lines = append(lines, fmt.Sprintf("grid %d %d %x", name, len(text), sha256.Sum256([]byte(text))))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
-		lines = append(lines, fmt.Sprintf("reach %d %s", seed, reach(seed)))
+		lines = append(lines, fmt.Sprintf("reach %d %s", seed, reachability(seed)))
 	}
 	compareGolden(t, lines)
 }
 
 func defaults() string {
 	p, s := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
-	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle, p.MaxIdleCareful, s.MaxIdle, s.HealthCheckAfter, s.HealthCheckTimeout)
+	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle, p.MaxIdleNonIdempotent, s.MaxIdle, s.HealthCheckAfter, s.HealthCheckTimeout)
 }
 
-func choices() string {
+func connectionChoices() string {
 	var b strings.Builder
 	ages := []float64{0, 0.5, 1, 1.001, 59, 60, 60.001}
 	lists := [][]float64{nil}
@@ -68,12 +68,12 @@
 			lists = append(lists, []float64{x, y}, []float64{x, y, 0.7}, []float64{61, x, y})
 		}
 	}
-	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: 1, MaxIdleCareful: 0.5}, {}} {
+	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: 1, MaxIdleNonIdempotent: 0.5}, {}} {
 		for _, idle := range lists {
 			for open := range 5 {
-				for _, careful := range []bool{false, true} {
-					d := p.Choose(idle, open+len(idle)-1, careful)
-					d32 := p.Choose(idle, 30+open, careful)
+				for _, nonIdempotent := range []bool{false, true} {
+					d := p.Choose(idle, open+len(idle)-1, nonIdempotent)
+					d32 := p.Choose(idle, 30+open, nonIdempotent)
 					fmt.Fprintln(&b, uint8(d.Action), d.Index, d.Stale, uint8(d32.Action), d32.Index, d32.Stale)
 				}
 			}
@@ -82,15 +82,15 @@
 	return b.String()
 }
 
-func upkeep(p connpool.SharedPolicy) string {
+func keepAliveActions(p connpool.SharedPolicy) string {
 	var b strings.Builder
 	moments := []float64{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10}
-	for _, used := range moments {
-		for _, heard := range moments {
-			for _, tested := range moments {
-				for _, cut := range moments {
+	for _, sent := range moments {
+		for _, received := range moments {
+			for _, checked := range moments {
+				for _, incomplete := range moments {
 					for bits := range 8 {
-						s := connpool.ConnState{PendingRequests: bits & 1, RunsTasks: bits&2 > 0, HasAlternative: bits&4 > 0, LastSent: used, LastReceived: heard, HealthCheckSent: tested, IncompleteSince: cut}
+						s := connpool.ConnState{PendingRequests: bits & 1, RunsTasks: bits&2 > 0, HasAlternative: bits&4 > 0, LastSent: sent, LastReceived: received, HealthCheckSent: checked, IncompleteSince: incomplete}
 						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(10, s)), uint8(p.KeepAlive(10.5, s)))
 					}
 				}
@@ -100,20 +100,20 @@
 	return b.String()
 }
 
-func usable() string {
+func usableStates() string {
 	var b strings.Builder
-	for _, tested := range []float64{0, 0.1} {
-		for _, cut := range []float64{0, 0.1} {
+	for _, checked := range []float64{0, 0.1} {
+		for _, incomplete := range []float64{0, 0.1} {
 			for requests := range 3 {
-				fmt.Fprintln(&b, connpool.ConnState{HealthCheckSent: tested, IncompleteSince: cut, PendingRequests: requests}.Usable())
+				fmt.Fprintln(&b, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
 			}
 		}
 	}
 	return b.String()
 }
 
-// reach gives the verdicts on a machine through seeded words and failed dials.
-func reach(seed uint64) string {
+// reachability gives the verdicts on a machine through seeded words and failed dials.
+func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var b strings.Builder
 	now := 0.0
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -7,13 +7,13 @@
 
 // Policy bounds connections. Times are in seconds.
 type Policy struct {
-	MaxConns       int     // open at a time
-	MaxIdle        float64 // one idle for longer is not used again
-	MaxIdleCareful float64 // and for a careful request one idle for longer than this
+	MaxConns             int     // open at a time
+	MaxIdle              float64 // one idle for longer is not used again
+	MaxIdleNonIdempotent float64 // and for a careful request one idle for longer than this
 }
 
 // DefaultPolicy keeps well under what servers commonly allow.
-func DefaultPolicy() Policy { return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleCareful: 1} }
+func DefaultPolicy() Policy { return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleNonIdempotent: 1} }
 
 // Action is what to do with a request.
 type Action uint8
@@ -37,31 +37,31 @@
 
 // Choose decides for one request. idle holds for how long each idle connection has been unused; open counts all connections, the idle ones
 // and those being opened included. The most recently used one is taken, so that the others age and go.
-func (p Policy) Choose(idle []float64, open int, careful bool) Decision {
-	var d Decision
-	best, oldest := -1, -1
+func (p Policy) Choose(idle []float64, open int, nonIdempotent bool) Decision {
+	var decision Decision
+	freshest, oldest := -1, -1
 	for i, age := range idle {
 		if age > p.MaxIdle {
-			d.Stale = append(d.Stale, i)
+			decision.Stale = append(decision.Stale, i)
 			open--
 			continue
 		}
-		if best < 0 || age < idle[best] {
-			best = i
+		if freshest < 0 || age < idle[freshest] {
+			freshest = i
 		}
 		if oldest < 0 || age > idle[oldest] {
 			oldest = i
 		}
 	}
 	switch {
-	case best >= 0 && (!careful || idle[best] <= p.MaxIdleCareful):
-		d.Action, d.Index = Use, best
+	case freshest >= 0 && (!nonIdempotent || idle[freshest] <= p.MaxIdleNonIdempotent):
+		decision.Action, decision.Index = Use, freshest
 	case open < max(p.MaxConns, 1):
-		d.Action = Dial
+		decision.Action = Dial
 	case oldest >= 0:
-		d.Action, d.Index = Replace, oldest
+		decision.Action, decision.Index = Replace, oldest
 	default:
-		d.Action = Wait
+		decision.Action = Wait
 	}
-	return d
+	return decision
 }
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestChoose(t *testing.T) {
-	p := Policy{MaxConns: 3, MaxIdle: 60, MaxIdleCareful: 1}
+	p := Policy{MaxConns: 3, MaxIdle: 60, MaxIdleNonIdempotent: 1}
 	for _, c := range []struct {
 		name    string
 		idle    []float64
--- a/internal/connpool/keepalive.go
+++ b/internal/connpool/keepalive.go
@@ -63,24 +63,26 @@
 	UnresponsiveAfter float64 // seconds without any word, dials failing, after which it is taken for lost
 	RefusedAfter      float64 // and seconds of refusals
 
-	word, refused float64
-	failed        bool // a dial, since the last word
+	lastReceived, refusedSince float64
+	hasFailedDial              bool // a dial, since the last word
 }
 
 // Received tells that something came from the machine, or that a connection came up.
-func (r *Reachability) Received(now float64) { r.word, r.refused, r.failed = now, 0, false }
+func (r *Reachability) Received(now float64) {
+	r.lastReceived, r.refusedSince, r.hasFailedDial = now, 0, false
+}
 
 // DialFailed tells that a dial failed, and whether it was refused rather than left without an answer.
 func (r *Reachability) DialFailed(now float64, refused bool) {
-	if r.word == 0 {
-		r.word = now
+	if r.lastReceived == 0 {
+		r.lastReceived = now
 	}
-	r.failed = true
+	r.hasFailedDial = true
 	switch {
 	case !refused:
-		r.refused = 0
-	case r.refused == 0:
-		r.refused = now
+		r.refusedSince = 0
+	case r.refusedSince == 0:
+		r.refusedSince = now
 	}
 }
 
@@ -98,9 +100,9 @@
 // Status says whether the machine is to be taken for lost, and how. One that was not dialled has not been silent.
 func (r *Reachability) Status(now float64) NodeStatus {
 	switch {
-	case r.refused > 0 && now-r.refused > r.RefusedAfter:
+	case r.refusedSince > 0 && now-r.refusedSince > r.RefusedAfter:
 		return ProcessEnded
-	case r.failed && r.refused == 0 && now-r.word > r.UnresponsiveAfter:
+	case r.hasFailedDial && r.refusedSince == 0 && now-r.lastReceived > r.UnresponsiveAfter:
 		return Unresponsive
 	}
 	return Reachable
--- a/internal/connpool/keepalive_test.go
+++ b/internal/connpool/keepalive_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestReach(t *testing.T) {
+func TestReachability(t *testing.T) {
 	r := Reachability{UnresponsiveAfter: 6, RefusedAfter: 1}
 	r.Received(100)
 	r.DialFailed(101, false)
--- a/internal/decodelimit/characterization_test.go
+++ b/internal/decodelimit/characterization_test.go
@@ -47,24 +47,24 @@
 // sent to clients, so they are part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
-	o := decodelimit.Object()
-	lines := []string{fmt.Sprint("object ", o.Bytes, " ", o.Depth, " ", o.Values, " ", o.Number, " ", o.Exponent, " ", o.Digits)}
+	o := decodelimit.ObjectLimits()
+	lines := []string{fmt.Sprint("object ", o.Bytes, " ", o.Depth, " ", o.Values, " ", o.NumberLength, " ", o.Exponent, " ", o.Digits)}
 	for i, limits := range limitSets {
 		for j, text := range corpus() {
-			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(decodelimit.JSON([]byte(text), limits))))
+			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits))))
 		}
 		for j, text := range quantities {
 			lines = append(lines, fmt.Sprintf("limits %d quantity %d %s", i, j, describeQuantity(text, limits)))
 		}
 		for j, message := range messages() {
-			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(decodelimit.Proto(message, limits))))
+			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits))))
 		}
 		lines = append(lines, fmt.Sprintf("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i))))))
 	}
 	compareGolden(t, lines)
 }
 
-var limitSets = []decodelimit.Limits{decodelimit.Object(), {}, {Bytes: 60, Depth: 3, Values: 5, Number: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
+var limitSets = []decodelimit.Limits{decodelimit.ObjectLimits(), {}, {Bytes: 60, Depth: 3, Values: 5, NumberLength: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
 
 func describe(err error) string {
 	var over *decodelimit.Error
@@ -75,7 +75,7 @@
 }
 
 func describeQuantity(text string, limits decodelimit.Limits) string {
-	if over := decodelimit.Quantity([]byte(text), limits); over != nil {
+	if over := decodelimit.CheckQuantity([]byte(text), limits); over != nil {
 		return describe(over)
 	}
 	return "true"
@@ -135,7 +135,7 @@
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			b.WriteString(describe(decodelimit.JSON(changed, limits)) + describe(decodelimit.Proto(changed, limits)) + "\n")
+			b.WriteString(describe(decodelimit.CheckJSON(changed, limits)) + describe(decodelimit.CheckProto(changed, limits)) + "\n")
 		}
 	}
 	return b.String()
--- a/internal/decodelimit/json.go
+++ b/internal/decodelimit/json.go
@@ -11,17 +11,17 @@
 
 // Limits bound one text. A field of 0 is no bound.
 type Limits struct {
-	Bytes    int // of the whole text
-	Depth    int // of objects and arrays inside each other
-	Values   int // objects, arrays, strings, numbers and literals, names not counted
-	Number   int // characters of a number
-	Exponent int // the largest magnitude of a decimal exponent in a number or a quantity
-	Digits   int // digits of a quantity written as a string
+	Bytes        int // of the whole text
+	Depth        int // of objects and arrays inside each other
+	Values       int // objects, arrays, strings, numbers and literals, names not counted
+	NumberLength int // characters of a number
+	Exponent     int // the largest magnitude of a decimal exponent in a number or a quantity
+	Digits       int // digits of a quantity written as a string
 }
 
-// Object is what one object of the API may be.
-func Object() Limits {
-	return Limits{Bytes: 3 << 20, Depth: 64, Values: 20000, Number: 64, Exponent: 99, Digits: 64}
+// ObjectLimits is what one object of the API may be.
+func ObjectLimits() Limits {
+	return Limits{Bytes: 3 << 20, Depth: 64, Values: 20000, NumberLength: 64, Exponent: 99, Digits: 64}
 }
 
 // Error is a text over a bound.
@@ -38,15 +38,15 @@
 // TooLarge says whether the bound is one of size rather than of form.
 func (e *Error) TooLarge() bool { return e.What == "too many bytes" || e.What == "too many values" }
 
-// text are the names below which a string is free text, never a quantity.
-var text = map[string]bool{"annotations": true, "labels": true, "matchLabels": true, "nodeSelector": true, "value": true, "values": true,
+// freeTextFields are the names below which a string is free text, never a quantity.
+var freeTextFields = map[string]bool{"annotations": true, "labels": true, "matchLabels": true, "nodeSelector": true, "value": true, "values": true,
 	"args": true, "command": true, "message": true, "stringData": true, "fieldsV1": true}
 
-// JSON checks a text that claims to be JSON. It does not say whether it is JSON: a decoder does that; what it lets pass is safe to hand
+// CheckJSON checks a text that claims to be JSON. It does not say whether it is JSON: a decoder does that; what it lets pass is safe to hand
 // to one.
-func JSON(b []byte, l Limits) error {
-	if l.Bytes > 0 && len(b) > l.Bytes {
-		return &Error{"too many bytes", l.Bytes, l.Bytes}
+func CheckJSON(b []byte, limits Limits) error {
+	if limits.Bytes > 0 && len(b) > limits.Bytes {
+		return &Error{"too many bytes", limits.Bytes, limits.Bytes}
 	}
 	var (
 		depth, values int
@@ -55,14 +55,14 @@
 		inObject      [1024]bool
 		wantName      bool
 	)
-	deepest := min(len(inObject)-1, l.Depth)
-	if l.Depth <= 0 {
+	deepest := min(len(inObject)-1, limits.Depth)
+	if limits.Depth <= 0 {
 		deepest = len(inObject) - 1
 	}
 	value := func(at int) error {
 		values++
-		if l.Values > 0 && values > l.Values {
-			return &Error{"too many values", l.Values, at}
+		if limits.Values > 0 && values > limits.Values {
+			return &Error{"too many values", limits.Values, at}
 		}
 		return nil
 	}
@@ -75,7 +75,7 @@
 			if depth++; depth > deepest {
 				return &Error{"objects too deep inside each other", deepest, i}
 			}
-			if free == 0 && text[string(name)] {
+			if free == 0 && freeTextFields[string(name)] {
 				free = depth
 			}
 			inObject[depth], wantName = c == '{', c == '{'
@@ -111,8 +111,8 @@
 				if err := value(i); err != nil {
 					return err
 				}
-				if free == 0 && !text[string(name)] {
-					if err := Quantity(s, l); err != nil {
+				if free == 0 && !freeTextFields[string(name)] {
+					if err := CheckQuantity(s, limits); err != nil {
 						err.Offset += i
 						return err
 					}
@@ -127,10 +127,10 @@
 			if err := value(i); err != nil {
 				return err
 			}
-			if l.Number > 0 && j-i > l.Number {
-				return &Error{"number too long", l.Number, i}
+			if limits.NumberLength > 0 && j-i > limits.NumberLength {
+				return &Error{"number too long", limits.NumberLength, i}
 			}
-			if err := Quantity(b[i:j], l); err != nil {
+			if err := CheckQuantity(b[i:j], limits); err != nil {
 				err.Offset += i
 				return err
 			}
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// Quantity checks a text that may be read as a quantity of a resource, such as 1e3 or 500m. What is no number passes: it does no harm.
+// CheckQuantity checks a text that may be read as a quantity of a resource, such as 1e3 or 500m. What is no number passes: it does no harm.
 // A backslash may hide characters from this look, so a number with one in it is refused.
-func Quantity(s []byte, l Limits) *Error {
+func CheckQuantity(s []byte, limits Limits) *Error {
 	s = bytes.TrimSpace(s) // as the decoder of quantities does
 	i, digits := 0, 0
 	if i < len(s) && (s[i] == '+' || s[i] == '-') {
@@ -161,14 +161,14 @@
 		digits++
 	}
 	// A unit has three characters at most. What goes on longer is no quantity, such as an identity that begins with digits.
-	if l.Digits > 0 && digits > l.Digits && len(s)-i <= 3 {
-		return &Error{"too many digits in a quantity", l.Digits, 0}
+	if limits.Digits > 0 && digits > limits.Digits && len(s)-i <= 3 {
+		return &Error{"too many digits in a quantity", limits.Digits, 0}
 	}
 	if i == len(s) {
 		return nil
 	}
 	if s[i] == '\\' && (digits > 0 || i > 0 || len(s) > 1 && s[1] == 'u') {
-		return escaped(s, l)
+		return checkEscapedQuantity(s, limits)
 	}
 	if digits == 0 || s[i] != 'e' && s[i] != 'E' {
 		return nil
@@ -181,22 +181,22 @@
 		exp = min(exp*10+int(s[i]-'0'), 1<<30)
 	}
 	// Only a text that is a number to its end is one: 144e1135-fce3 is the beginning of an identity.
-	if i == len(s) && l.Exponent > 0 && exp > l.Exponent {
-		return &Error{"exponent too large in a quantity", l.Exponent, 0}
+	if i == len(s) && limits.Exponent > 0 && exp > limits.Exponent {
+		return &Error{"exponent too large in a quantity", limits.Exponent, 0}
 	}
 	if i < len(s) && s[i] == '\\' {
-		return escaped(s, l)
+		return checkEscapedQuantity(s, limits)
 	}
 	return nil
 }
 
-// escaped looks at a short text again with its escapes undone; a longer one that hides a number so is refused.
-func escaped(s []byte, l Limits) *Error {
+// checkEscapedQuantity looks at a short text again with its escapes undone; a longer one that hides a number so is refused.
+func checkEscapedQuantity(s []byte, limits Limits) *Error {
 	var out [256]byte
 	n := 0
 	for i := 0; i < len(s); {
 		if n == len(out) {
-			return &Error{"too many digits in a quantity", l.Digits, 0}
+			return &Error{"too many digits in a quantity", limits.Digits, 0}
 		}
 		if s[i] != '\\' {
 			out[n] = s[i]
@@ -227,5 +227,5 @@
 		n++
 		i += 2
 	}
-	return Quantity(out[:n], l)
+	return CheckQuantity(out[:n], limits)
 }
--- a/internal/decodelimit/proto.go
+++ b/internal/decodelimit/proto.go
@@ -2,21 +2,21 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// Proto checks a message in the binary encoding. Without its schema a text cannot be told from a message inside, so a field is looked at
+// CheckProto checks a message in the binary encoding. Without its schema a text cannot be told from a message inside, so a field is looked at
 // as both: as a quantity, and as a message if it reads as one.
-func Proto(b []byte, l Limits) error {
-	if l.Bytes > 0 && len(b) > l.Bytes {
-		return &Error{"too many bytes", l.Bytes, l.Bytes}
+func CheckProto(b []byte, limits Limits) error {
+	if limits.Bytes > 0 && len(b) > limits.Bytes {
+		return &Error{"too many bytes", limits.Bytes, limits.Bytes}
 	}
 	values := 0
-	_, err := proto(b, l, 1, &values, 0)
+	_, err := checkMessage(b, limits, 1, &values, 0)
 	return err
 }
 
-// proto walks one message. ok says that it reads as one to its end; an error is found only in what does.
-func proto(b []byte, l Limits, depth int, values *int, offset int) (ok bool, err error) {
-	if l.Depth > 0 && depth > l.Depth {
-		return true, &Error{"messages too deep inside each other", l.Depth, offset}
+// checkMessage walks one message. ok says that it reads as one to its end; an error is found only in what does.
+func checkMessage(b []byte, limits Limits, depth int, values *int, offset int) (ok bool, err error) {
+	if limits.Depth > 0 && depth > limits.Depth {
+		return true, &Error{"messages too deep inside each other", limits.Depth, offset}
 	}
 	for rest := b; len(rest) > 0; {
 		at := offset + len(b) - len(rest)
@@ -31,7 +31,7 @@
 			}
 			rest = rest[n:]
 			if err == nil {
-				err = count(values, l, at)
+				err = countValue(values, limits, at)
 			}
 			continue
 		}
@@ -43,17 +43,17 @@
 		if err != nil {
 			continue // whether it reads to the end is still to be seen
 		}
-		if err = count(values, l, at); err != nil {
+		if err = countValue(values, limits, at); err != nil {
 			continue
 		}
-		if q := Quantity(v, l); q != nil {
+		if q := CheckQuantity(v, limits); q != nil {
 			q.Offset += at
 			err = q
 			continue
 		}
 		if len(v) > 1 {
 			before := *values
-			inside, e := proto(v, l, depth+1, values, at)
+			inside, e := checkMessage(v, limits, depth+1, values, at)
 			if inside && e != nil {
 				err = e
 			} else if !inside {
@@ -64,9 +64,9 @@
 	return true, err
 }
 
-func count(values *int, l Limits, at int) error {
-	if *values++; l.Values > 0 && *values > l.Values {
-		return &Error{"too many values", l.Values, at}
+func countValue(values *int, limits Limits, at int) error {
+	if *values++; limits.Values > 0 && *values > limits.Values {
+		return &Error{"too many values", limits.Values, at}
 	}
 	return nil
 }
