--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -104,7 +104,7 @@
 const (
 	scriptSteps     = 600
 	checkpointEvery = 50
-	scriptMachines  = 6
+	scriptNodes     = 6
 )
 
 // recorder drives one core and digests what it does.
@@ -119,8 +119,8 @@
 	lastConn   dispatch.ConnID
 	conns      []dispatch.ConnID
 	lastID     uint64
-	waiting    []*dispatch.Attempt // told to be sent and not yet started
-	started    []*dispatch.Attempt // sent at some time
+	pending    []*dispatch.Attempt // told to be sent and not yet started
+	sent       []*dispatch.Attempt // sent at some time
 	states     map[int]string      // of the machines, as last told
 	unordered  bool                // the order of effects is not promised by the current call
 	lines      []string
@@ -133,16 +133,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	module, err := placer.New(settings.Placer, seed)
+	policy, err := placer.New(settings.Placer, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{t: t, random: rand.New(rand.NewPCG(seed, uint64(shape)+1)), digest: sha256.New(), shape: shape, now: 1000, eventNo: 1,
 		states: map[int]string{}, labelStart: fmt.Sprintf("shape %d seed %d", shape, seed)}
 	if arbitrary {
-		r.core, err = dispatch.New(r.now, settings, &arbitraryModule{recorder: r}, []byte(known))
+		r.core, err = dispatch.New(r.now, settings, &arbitraryPlacer{recorder: r}, []byte(known))
 	} else {
-		r.core, err = dispatch.New(r.now, settings, module, []byte(known))
+		r.core, err = dispatch.New(r.now, settings, policy, []byte(known))
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -151,46 +151,46 @@
 	return r
 }
 
-// arbitraryModule stands for the placer: it digests each event in full and answers with actions drawn at random, the rare and the senseless
+// arbitraryPlacer stands for the placer: it digests each event in full and answers with actions drawn at random, the rare and the senseless
 // included, so that moves, attempts beyond the limit and offers that are too late occur.
-type arbitraryModule struct {
+type arbitraryPlacer struct {
 	recorder *recorder
 	tasks    []placer.TaskID
 	token    uint64
 }
 
-func (a *arbitraryModule) Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action {
-	r := a.recorder
+func (p *arbitraryPlacer) Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action {
+	r := p.recorder
 	r.float(now)
-	r.placerEvent(&ev)
+	r.placerEvent(&event)
 	switch {
-	case ev.Kind == placer.Arrived:
-		a.tasks = append(a.tasks, ev.TaskID)
-		return append(actions, a.decide(now, ev.TaskID))
-	case ev.Kind == placer.Adopted:
-		a.tasks = append(a.tasks, ev.TaskID)
-	case ev.Kind == placer.Ended && !ev.Final:
-		if ev.Attempt > 7 {
-			return append(actions, placer.Action{Kind: placer.Reject, Task: ev.TaskID})
+	case event.Kind == placer.Arrived:
+		p.tasks = append(p.tasks, event.TaskID)
+		return append(actions, p.decide(now, event.TaskID))
+	case event.Kind == placer.Adopted:
+		p.tasks = append(p.tasks, event.TaskID)
+	case event.Kind == placer.Ended && !event.Final:
+		if event.Attempt > 7 {
+			return append(actions, placer.Action{Kind: placer.Reject, Task: event.TaskID})
 		}
-		return append(actions, a.decide(now, ev.TaskID))
-	case ev.Kind == placer.Bound:
-		a.token++
-		return append(actions, placer.Action{Kind: placer.SetTimer, Token: a.token, After: pick(r, -1, 0, 0.2, 1.5)})
-	case ev.Kind == placer.UsageReported:
-		return append(actions, placer.Action{Kind: placer.Migrate, Task: ev.TaskID})
-	case ev.Kind == placer.TimerFired && r.random.IntN(2) == 0:
+		return append(actions, p.decide(now, event.TaskID))
+	case event.Kind == placer.Bound:
+		p.token++
+		return append(actions, placer.Action{Kind: placer.SetTimer, Token: p.token, After: pick(r, -1, 0, 0.2, 1.5)})
+	case event.Kind == placer.UsageReported:
+		return append(actions, placer.Action{Kind: placer.Migrate, Task: event.TaskID})
+	case event.Kind == placer.TimerFired && r.random.IntN(2) == 0:
 		actions = append(actions, placer.Action{Kind: pick(r, placer.WatchNodes, placer.ListNodes)})
-		if len(a.tasks) > 0 {
-			recent := a.tasks[max(0, len(a.tasks)-20):]
+		if len(p.tasks) > 0 {
+			recent := p.tasks[max(0, len(p.tasks)-20):]
 			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: pick(r, recent...)})
 		}
 	}
 	return actions
 }
 
-func (a *arbitraryModule) decide(now float64, task placer.TaskID) placer.Action {
-	r := a.recorder
+func (p *arbitraryPlacer) decide(now float64, task placer.TaskID) placer.Action {
+	r := p.recorder
 	switch r.random.IntN(16) {
 	case 0:
 		return placer.Action{Kind: placer.Reject, Task: task, After: pick(r, 0, 0.0001, 0.7501, 99)}
@@ -199,38 +199,38 @@
 	case 2:
 		return placer.Action{Kind: placer.Reject, Task: task + 100000} // unknown
 	}
-	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: dispatch.NodeIDOf(machineName(1 + r.random.IntN(4))),
+	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: dispatch.NodeIDOf(nodeName(1 + r.random.IntN(4))),
 		Until: pick(r, 0, 0, now+0.25, now+0.8, now+100, now-1)}
 }
 
 // placerEvent digests all values of an event in a fixed order.
-func (r *recorder) placerEvent(ev *placer.Event) {
-	r.number(uint64(ev.Kind), uint64(ev.TaskID), uint64(ev.Node), uint64(ev.Attempt), uint64(ev.Result), uint64(ev.Reason))
-	r.float(ev.Elapsed)
-	r.flag(ev.Final)
-	x := &ev.Task
-	r.number(uint64(x.ID), uint64(x.Class), uint64(x.Tenant), uint64(x.Service))
-	r.float(x.Cores)
-	r.float(x.Memory)
-	r.float(x.Deadline)
-	r.flag(x.IsRetry)
-	if r.flag(ev.Report != nil); ev.Report != nil {
-		for _, v := range []float64{ev.Report.FreeCores, ev.Report.FreeMemory, ev.Report.Utilization, ev.Report.QueueLength} {
+func (r *recorder) placerEvent(event *placer.Event) {
+	r.number(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
+	r.float(event.Elapsed)
+	r.flag(event.Final)
+	task := &event.Task
+	r.number(uint64(task.ID), uint64(task.Class), uint64(task.Tenant), uint64(task.Service))
+	r.float(task.Cores)
+	r.float(task.Memory)
+	r.float(task.Deadline)
+	r.flag(task.IsRetry)
+	if r.flag(event.Report != nil); event.Report != nil {
+		for _, v := range []float64{event.Report.FreeCores, event.Report.FreeMemory, event.Report.Utilization, event.Report.QueueLength} {
 			r.flag(math.IsNaN(v))
 			if !math.IsNaN(v) {
 				r.float(v)
 			}
 		}
 	}
-	r.number(uint64(ev.List), uint64(len(ev.Nodes)))
-	for _, n := range ev.Nodes {
-		r.number(uint64(n.ID), uint64(n.Zone), uint64(n.Rack), uint64(n.NodeType), uint64(n.State))
-		r.float(n.FreeCores)
-		r.float(n.FreeMemory)
-		r.float(n.StartedAt)
+	r.number(uint64(event.List), uint64(len(event.Nodes)))
+	for _, node := range event.Nodes {
+		r.number(uint64(node.ID), uint64(node.Zone), uint64(node.Rack), uint64(node.NodeType), uint64(node.State))
+		r.float(node.FreeCores)
+		r.float(node.FreeMemory)
+		r.float(node.StartedAt)
 	}
-	r.number(uint64(ev.Usage), ev.Token)
-	r.float(ev.Value)
+	r.number(uint64(event.Usage), event.Token)
+	r.float(event.Value)
 }
 
 func (r *recorder) number(values ...uint64) {
@@ -257,27 +257,27 @@
 // verdict digests whether there was an error, and the word under which it is counted, not its text.
 func (r *recorder) verdict(err error) {
 	r.flag(err != nil)
-	var bad *dispatch.InvalidMessageError
-	if errors.As(err, &bad) {
-		r.text(bad.Kind)
-		r.flag(bad.Error() == bad.Unwrap().Error())
+	var invalid *dispatch.InvalidMessageError
+	if errors.As(err, &invalid) {
+		r.text(invalid.Reason)
+		r.flag(invalid.Error() == invalid.Unwrap().Error())
 	}
 }
 
 // encodeEffect is an effect as bytes, in the encoding of its message on the wire.
-func encodeEffect(e *dispatch.Effect) []byte {
-	b := []byte{byte(e.Kind)}
-	b = binary.BigEndian.AppendUint64(b, uint64(e.Conn))
-	if e.TimedOut {
+func encodeEffect(effect *dispatch.Effect) []byte {
+	b := []byte{byte(effect.Kind)}
+	b = binary.BigEndian.AppendUint64(b, uint64(effect.Conn))
+	if effect.TimedOut {
 		b = append(b, 1)
 	}
-	if e.Message.Kind != 0 {
-		b = e.Message.Append(b)
+	if effect.Message.Kind != 0 {
+		b = effect.Message.Append(b)
 	}
-	if o := e.Attempt; o != nil {
-		b = binary.BigEndian.AppendUint64(b, uint64(o.Node))
-		b = binary.BigEndian.AppendUint64(b, uint64(o.Client()))
-		b = o.Message.Append(b)
+	if attempt := effect.Attempt; attempt != nil {
+		b = binary.BigEndian.AppendUint64(b, uint64(attempt.Node))
+		b = binary.BigEndian.AppendUint64(b, uint64(attempt.Client()))
+		b = attempt.Message.Append(b)
 	}
 	return b
 }
@@ -289,10 +289,10 @@
 	for _, e := range r.core.Ready() {
 		encoded = append(encoded, encodeEffect(&e))
 		if e.Kind == dispatch.SendAttempt {
-			r.waiting = append(r.waiting, e.Attempt)
+			r.pending = append(r.pending, e.Attempt)
 		}
 		if e.Kind == dispatch.ConnectNode {
-			r.started = append(r.started, e.Attempt)
+			r.sent = append(r.sent, e.Attempt)
 		}
 	}
 	if r.unordered {
@@ -310,37 +310,37 @@
 	r.number(countValues(&r.core.Counts)...)
 	r.number(uint64(r.core.OpenRequests()), uint64(r.core.RunningTasks()), r.core.LastDiscoveryEvent())
 	for _, id := range r.conns {
-		open, good := r.core.ClientRequests(id)
+		open, placed := r.core.ClientRequests(id)
 		r.number(uint64(open))
-		r.flag(good)
+		r.flag(placed)
 		r.flag(r.core.IsLastClient(id))
 	}
-	for i := range scriptMachines + 1 {
-		n := r.core.Node(dispatch.NodeIDOf(machineName(i)))
-		if r.flag(n != nil); n != nil {
-			r.text(n.UID)
-			r.text(n.Addr)
-			r.number(uint64(n.ID), uint64(n.State), uint64(n.RunningTasks()))
-			r.float(n.StartedAt)
-			r.float(n.TerminatedFor(r.now))
+	for i := range scriptNodes + 1 {
+		node := r.core.Node(dispatch.NodeIDOf(nodeName(i)))
+		if r.flag(node != nil); node != nil {
+			r.text(node.UID)
+			r.text(node.Addr)
+			r.number(uint64(node.ID), uint64(node.State), uint64(node.RunningTasks()))
+			r.float(node.StartedAt)
+			r.float(node.TerminatedFor(r.now))
 		}
 	}
-	for _, o := range r.started {
-		r.flag(o.Live())
-		r.flag(o.Unanswered())
-		r.flag(o.Pending())
-		r.float(o.Age(r.now))
+	for _, attempt := range r.sent {
+		r.flag(attempt.Live())
+		r.flag(attempt.Unanswered())
+		r.flag(attempt.Pending())
+		r.float(attempt.Age(r.now))
 	}
-	machines := 0
-	r.core.Nodes(func(*dispatch.Node) { machines++ })
-	r.number(uint64(machines))
+	nodeCount := 0
+	r.core.Nodes(func(*dispatch.Node) { nodeCount++ })
+	r.number(uint64(nodeCount))
 }
 
 // countValues are the counters in a fixed order.
-func countValues(c *dispatch.Counts) []uint64 {
-	return []uint64{c.PlacementRequests, c.Adopted, c.Accepted, c.Placed, c.Rejected, c.Failed, c.Withdrawn,
-		c.Attempts, c.Bound, c.CapacityRejections, c.NodeErrors, c.ConnectFailures, c.ConnectionsLost, c.TimedOut, c.Expired, c.LateAnswers, c.UnknownTasks,
-		c.TasksEnded, c.Migrations, c.TasksLost, c.PendingNotifications, c.ExpiredNotifications, c.Redeliveries, c.InvalidMessages}
+func countValues(counts *dispatch.Counts) []uint64 {
+	return []uint64{counts.PlacementRequests, counts.Adopted, counts.Accepted, counts.Placed, counts.Rejected, counts.Failed, counts.Withdrawn,
+		counts.Attempts, counts.Bound, counts.CapacityRejections, counts.NodeErrors, counts.ConnectFailures, counts.ConnectionsLost, counts.TimedOut, counts.Expired, counts.LateAnswers, counts.UnknownTasks,
+		counts.TasksEnded, counts.Migrations, counts.TasksLost, counts.PendingNotifications, counts.ExpiredNotifications, counts.Redeliveries, counts.InvalidMessages}
 }
 
 func (r *recorder) checkpoint(step int) {
@@ -351,16 +351,16 @@
 	r.lines = append(r.lines, fmt.Sprintf("%s step %d %x counts %s", r.labelStart, step, r.digest.Sum(nil), strings.Join(counts, " ")))
 }
 
-func machineName(i int) string { return fmt.Sprintf("s-%08x", i) }
+func nodeName(i int) string { return fmt.Sprintf("s-%08x", i) }
 
-func (r *recorder) machine(i int, state string, bootMS int64) string {
+func (r *recorder) nodeJSON(i int, state string, bootMS int64) string {
 	r.states[i] = state
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
-		machineName(i), i, 1+r.eventNo%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
+		nodeName(i), i, 1+r.eventNo%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
 }
 
-func rosterEvent(no int, all bool, machines ...string) string {
-	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, no, no, all, strings.Join(machines, ","))
+func discoveryEventJSON(number int, complete bool, nodes ...string) string {
+	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, number, number, complete, strings.Join(nodes, ","))
 }
 
 func pick[T any](r *recorder, of ...T) T { return of[r.random.IntN(len(of))] }
@@ -372,8 +372,8 @@
 // playScript plays one random script to its end.
 func playScript(t *testing.T, shape int, seed uint64, arbitrary bool) []string {
 	setup := &recorder{states: map[int]string{}}
-	known := `{"no":1,"items":[` + rosterEvent(1, true, setup.machine(1, "in_service", 0), setup.machine(2, "in_service", 0),
-		setup.machine(3, "in_service", 0)) + `]}`
+	known := `{"no":1,"items":[` + discoveryEventJSON(1, true, setup.nodeJSON(1, "in_service", 0), setup.nodeJSON(2, "in_service", 0),
+		setup.nodeJSON(3, "in_service", 0)) + `]}`
 	r := newRecorder(t, shape, seed, known, arbitrary)
 	for i := 1; i <= 3; i++ {
 		r.states[i] = "in_service"
@@ -401,25 +401,25 @@
 	case 0, 1, 2, 3, 4, 5:
 		r.launch("")
 	case 6, 7, 8, 9, 10:
-		r.start()
+		r.send()
 	case 11, 12, 13, 14:
 		r.accept()
 	case 15, 16, 17:
-		r.machineMessage()
+		r.nodeMessage()
 	case 18:
 		r.invalidLaunch()
 	case 19:
-		r.launch(";at:" + pick(r, machineName(1), machineName(2), machineName(3), machineName(4)))
+		r.launch(";at:" + pick(r, nodeName(1), nodeName(2), nodeName(3), nodeName(4)))
 	case 20, 21:
-		r.ownerMessage()
+		r.clientMessage()
 	case 22:
 		r.connectionEvent()
 	case 23, 24:
-		r.bulletin()
+		r.discoveryEvent()
 	case 25:
-		r.offerFailure()
+		r.attemptFailure()
 	case 26:
-		r.machineLoss()
+		r.nodeFailure()
 	case 27:
 		r.core.SetDiscoveryConnected(r.now, r.random.IntN(2) == 0)
 	default:
@@ -449,31 +449,31 @@
 }
 
 func (r *recorder) validLaunch(id uint64, extras string) platformproto.Message {
-	m := wireMessage(platformproto.Launch, id)
-	m.Body = pick(r, `"in"`, `"\u00e9\n"`, `""`)
-	m.Set(platformproto.Class, pick(r, "query", "seats"))
+	msg := wireMessage(platformproto.Launch, id)
+	msg.Body = pick(r, `"in"`, `"\u00e9\n"`, `""`)
+	msg.Set(platformproto.Class, pick(r, "query", "seats"))
 	if tenant := pick(r, scriptTenants[r.shape]...); tenant != "" {
-		m.Set(platformproto.Tenant, tenant)
+		msg.Set(platformproto.Tenant, tenant)
 	}
-	m.Set(platformproto.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
+	msg.Set(platformproto.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
 	if r.random.IntN(3) == 0 {
-		m.Set(platformproto.IdempotencyKey, pick(r, "", "copy", `odd "name"`))
+		msg.Set(platformproto.IdempotencyKey, pick(r, "", "copy", `odd "name"`))
 	}
-	m.Set(platformproto.Left, pick(r, "0", "120", "900", "1000", "2e3"))
+	msg.Set(platformproto.TimeLeft, pick(r, "0", "120", "900", "1000", "2e3"))
 	if extras != "" {
-		m.Set(platformproto.Left, pick(r, "4294967", "1000"))
+		msg.Set(platformproto.TimeLeft, pick(r, "4294967", "1000"))
 	}
-	m.Set(platformproto.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+	msg.Set(platformproto.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
 		pick(r, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
-	return m
+	return msg
 }
 
-func (r *recorder) fromOwner(m *platformproto.Message) {
+func (r *recorder) fromClient(msg *platformproto.Message) {
 	conn := dispatch.ConnID(99) // never opened
 	if len(r.conns) > 0 && r.random.IntN(40) > 0 {
 		conn = pick(r, r.conns...)
 	}
-	r.verdict(r.core.ReceiveFromClient(r.now, conn, m))
+	r.verdict(r.core.ReceiveFromClient(r.now, conn, msg))
 }
 
 func (r *recorder) launch(extras string) {
@@ -482,8 +482,8 @@
 	if r.random.IntN(12) == 0 {
 		id = r.someID() // perhaps in use
 	}
-	m := r.validLaunch(id, extras)
-	r.fromOwner(&m)
+	msg := r.validLaunch(id, extras)
+	r.fromClient(&msg)
 }
 
 func (r *recorder) someID() uint64 { return 1 + r.random.Uint64N(r.lastID+1) }
@@ -495,13 +495,13 @@
 	func(m *platformproto.Message) { m.Set(platformproto.Tenant, "nobody") },
 	func(m *platformproto.Message) { m.Set(platformproto.Key, "12") },
 	func(m *platformproto.Message) { m.Set(platformproto.Key, "000000000000000g") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "-1") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "NaN") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "16000") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "16001") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "6000") },
-	func(m *platformproto.Message) { m.Set(platformproto.Left, "4000.5") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "-1") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "NaN") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "16000") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "16001") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "6000") },
+	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "4000.5") },
 	func(m *platformproto.Message) { m.Set(platformproto.Extras, "") },
 	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1") },
 	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;cores:1") },
@@ -519,89 +519,89 @@
 func (r *recorder) invalidLaunch() {
 	r.lastID++
 	id := pick(r, r.lastID, r.someID())
-	m := r.validLaunch(id, "")
-	pick(r, launchFaults...)(&m)
-	r.fromOwner(&m)
+	msg := r.validLaunch(id, "")
+	pick(r, launchFaults...)(&msg)
+	r.fromClient(&msg)
 }
 
-func (r *recorder) ownerMessage() {
+func (r *recorder) clientMessage() {
 	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stopped, platformproto.Stopped, platformproto.Check, platformproto.Staging, platformproto.Running, platformproto.Checked,
 		platformproto.Update, platformproto.Migrate, platformproto.Kind(0))
-	m := wireMessage(kind, r.someID())
-	m.Reason, m.HasReason = pick(r, 0, 16, 31, 41), r.random.IntN(3) > 0
-	r.fromOwner(&m)
+	msg := wireMessage(kind, r.someID())
+	msg.Cause, msg.HasCause = pick(r, 0, 16, 31, 41), r.random.IntN(3) > 0
+	r.fromClient(&msg)
 }
 
-// start lets an offer go out, one that was ended meanwhile included.
-func (r *recorder) start() {
-	if len(r.waiting) == 0 {
+// send lets an offer go out, one that was ended meanwhile included.
+func (r *recorder) send() {
+	if len(r.pending) == 0 {
 		return
 	}
-	i := r.random.IntN(len(r.waiting))
-	o := r.waiting[i]
-	r.waiting = slices.Delete(r.waiting, i, i+1)
-	may := r.core.PrepareSend(r.now, o)
+	i := r.random.IntN(len(r.pending))
+	attempt := r.pending[i]
+	r.pending = slices.Delete(r.pending, i, i+1)
+	may := r.core.PrepareSend(r.now, attempt)
 	r.flag(may)
-	r.text(string(o.Message.Append(nil)))
+	r.text(string(attempt.Message.Append(nil)))
 	if may {
-		r.started = append(r.started, o)
+		r.sent = append(r.sent, attempt)
 	}
 }
 
-func (r *recorder) fromNode(o *dispatch.Attempt, m *platformproto.Message) {
-	r.core.ReceiveFromNode(r.now, o.Node, m)
+func (r *recorder) fromNode(attempt *dispatch.Attempt, msg *platformproto.Message) {
+	r.core.ReceiveFromNode(r.now, attempt.Node, msg)
 }
 
 // accept lets the machine of an open offer say that the task stands.
 func (r *recorder) accept() {
-	open := r.started
-	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Attempt) bool { return !o.Unanswered() }); len(live) > 0 && r.random.IntN(6) > 0 {
+	open := r.sent
+	if live := slices.DeleteFunc(slices.Clone(r.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() }); len(live) > 0 && r.random.IntN(6) > 0 {
 		open = live
 	}
 	if len(open) == 0 {
 		return
 	}
-	o := pick(r, open...)
-	m := wireMessage(platformproto.Running, uint64(o.Message.ID))
-	m.Body = pick(r, `"out"`, `"out"`, `"out"`, `"\t"`, "")
-	r.fromNode(o, &m)
+	attempt := pick(r, open...)
+	msg := wireMessage(platformproto.Running, uint64(attempt.Message.ID))
+	msg.Body = pick(r, `"out"`, `"out"`, `"out"`, `"\t"`, "")
+	r.fromNode(attempt, &msg)
 }
 
-// machineMessage has a machine say anything about anything.
-func (r *recorder) machineMessage() {
+// nodeMessage has a machine say anything about anything.
+func (r *recorder) nodeMessage() {
 	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Update, platformproto.Update, platformproto.Update, platformproto.Launch, platformproto.Staging,
 		platformproto.Stopped, platformproto.Check, platformproto.Checked, platformproto.Migrate)
-	m := wireMessage(kind, r.someID())
-	m.Reason, m.HasReason = pick(r, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), r.random.IntN(8) > 0
-	m.Set(platformproto.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
-	m.Set(platformproto.Load, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	msg := wireMessage(kind, r.someID())
+	msg.Cause, msg.HasCause = pick(r, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), r.random.IntN(8) > 0
+	msg.Set(platformproto.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	msg.Set(platformproto.LoadReport, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
 	if kind == platformproto.Update {
-		m.Set(platformproto.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
-		m.Set(platformproto.Value, pick(r, "0.5", "1", "3.75", "x", ""))
+		msg.Set(platformproto.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
+		msg.Set(platformproto.Value, pick(r, "0.5", "1", "3.75", "x", ""))
 	}
-	if len(r.started) == 0 || r.random.IntN(8) == 0 {
-		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1+r.random.IntN(4))), &m)
+	if len(r.sent) == 0 || r.random.IntN(8) == 0 {
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1+r.random.IntN(4))), &msg)
 		return
 	}
-	among := r.started[max(0, len(r.started)-12):]
-	if live := slices.DeleteFunc(slices.Clone(r.started), func(o *dispatch.Attempt) bool { return !o.Live() }); len(live) > 0 && r.random.IntN(4) > 0 {
+	among := r.sent[max(0, len(r.sent)-12):]
+	if live := slices.DeleteFunc(slices.Clone(r.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Live() }); len(live) > 0 && r.random.IntN(4) > 0 {
 		among = live
 	}
-	o := pick(r, among...)
-	m.UID, m.ID = o.Message.UID, o.Message.ID
-	r.fromNode(o, &m)
+	attempt := pick(r, among...)
+	msg.UID, msg.ID = attempt.Message.UID, attempt.Message.ID
+	r.fromNode(attempt, &msg)
 }
 
-func (r *recorder) offerFailure() {
-	if len(r.waiting) > 0 && r.random.IntN(2) == 0 {
-		r.core.ConnectFailed(r.now, pick(r, r.waiting...))
-	} else if len(r.started) > 0 {
-		r.core.ConnectionLost(r.now, pick(r, r.started...))
+func (r *recorder) attemptFailure() {
+	if len(r.pending) > 0 && r.random.IntN(2) == 0 {
+		r.core.ConnectFailed(r.now, pick(r, r.pending...))
+	} else if len(r.sent) > 0 {
+		r.core.ConnectionLost(r.now, pick(r, r.sent...))
 	}
 }
 
-func (r *recorder) machineLoss() {
-	id := dispatch.NodeIDOf(machineName(1 + r.random.IntN(scriptMachines)))
+func (r *recorder) nodeFailure() {
+	id := dispatch.NodeIDOf(nodeName(1 + r.random.IntN(scriptNodes)))
 	if r.random.IntN(2) == 0 {
 		r.core.NodeDead(r.now, id)
 	} else {
@@ -609,51 +609,51 @@
 	}
 }
 
-// bulletin tells one event of the bulletin, valid or not. At most one machine changes with an event, since the core promises no order among
+// discoveryEvent tells one event of the bulletin, valid or not. At most one machine changes with an event, since the core promises no order among
 // machines that go at one moment; a machine begins a new life only where at most one task stands, for the same reason.
-func (r *recorder) bulletin() {
+func (r *recorder) discoveryEvent() {
 	r.eventNo++
-	i := 1 + r.random.IntN(scriptMachines)
+	i := 1 + r.random.IntN(scriptNodes)
 	state := pick(r, "in_service", "in_service", "terminating", "terminated")
 	var event string
 	switch r.random.IntN(12) {
 	case 0, 1, 2:
-		event = rosterEvent(r.eventNo, true, r.wholeList(i, state)...)
+		event = discoveryEventJSON(r.eventNo, true, r.completeList(i, state)...)
 	case 3:
 		event = fmt.Sprintf(`{"no":%d}`, r.eventNo)
 	case 4:
 		r.eventNo--
-		event = pick(r, "", "{", `{"no":-1}`, `{"no":"x"}`, rosterEvent(r.eventNo, true), rosterEvent(r.eventNo+2, true),
-			strings.ReplaceAll(rosterEvent(r.eventNo+1, false, `{"uid":"","state":"in_service"}`), "\n", ""),
-			rosterEvent(r.eventNo+1, false, `{"uid":"s-00000001","state":"asleep"}`))
+		event = pick(r, "", "{", `{"no":-1}`, `{"no":"x"}`, discoveryEventJSON(r.eventNo, true), discoveryEventJSON(r.eventNo+2, true),
+			strings.ReplaceAll(discoveryEventJSON(r.eventNo+1, false, `{"uid":"","state":"in_service"}`), "\n", ""),
+			discoveryEventJSON(r.eventNo+1, false, `{"uid":"s-00000001","state":"asleep"}`))
 	default:
-		event = rosterEvent(r.eventNo, false, r.machine(i, state, r.bootOf(i)))
+		event = discoveryEventJSON(r.eventNo, false, r.nodeJSON(i, state, r.startTimeOf(i)))
 	}
 	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(event))
 	r.flag(ok)
 	r.verdict(err)
 }
 
-// bootOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
+// startTimeOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
 // later list, in no order.
-func (r *recorder) bootOf(i int) int64 {
-	n := r.core.Node(dispatch.NodeIDOf(machineName(i)))
-	if n == nil || n.RunningTasks() > 1 {
+func (r *recorder) startTimeOf(i int) int64 {
+	node := r.core.Node(dispatch.NodeIDOf(nodeName(i)))
+	if node == nil || node.RunningTasks() > 1 {
 		return 0
 	}
 	return pick(r, 0, 0, int64(r.now*1000), int64(r.now*1000)-1000, int64(r.now*1000)+900)
 }
 
-// wholeList is the last known list with one machine changed or left out.
-func (r *recorder) wholeList(changed int, state string) (list []string) {
-	for i := 1; i <= scriptMachines; i++ {
+// completeList is the last known list with one machine changed or left out.
+func (r *recorder) completeList(changed int, state string) (list []string) {
+	for i := 1; i <= scriptNodes; i++ {
 		switch {
 		case i == changed && state == "terminated":
 			delete(r.states, i)
 		case i == changed:
-			list = append(list, r.machine(i, state, 0))
+			list = append(list, r.nodeJSON(i, state, 0))
 		case r.states[i] != "":
-			list = append(list, r.machine(i, r.states[i], 0))
+			list = append(list, r.nodeJSON(i, r.states[i], 0))
 		}
 	}
 	return list
@@ -685,13 +685,13 @@
 		r.unordered = true
 		r.openConnection()
 		r.core.SetDiscoveryConnected(r.now, true)
-		r.tellAll("in_service", 0)
-		r.nameTasks(24, 1)
+		r.listAll("in_service", 0)
+		r.adoptTasks(24, 1)
 		r.checkpoint(1)
-		r.tellAll("in_service", 1010_000) // a new life ends what stood
+		r.listAll("in_service", 1010_000) // a new life ends what stood
 		r.checkpoint(2)
-		r.nameTasks(24, 101)
-		r.tellAll("terminated", 0)
+		r.adoptTasks(24, 101)
+		r.listAll("terminated", 0)
 		r.checkpoint(3)
 		r.now += 1.5
 		r.core.Advance(r.now)
@@ -704,30 +704,30 @@
 		lines = append(lines, r.lines...)
 	}
 	lines = append(lines, playRedelivery(t)...)
-	lines = append(lines, playHandover(t)...)
-	lines = append(lines, playNewLife(t)...)
+	lines = append(lines, playAdoptionWait(t)...)
+	lines = append(lines, playNewIncarnation(t)...)
 	lines = append(lines, playLateStart(t)...)
 	lines = append(lines, playLateAnswer(t)...)
-	return append(lines, playRememberedEnds(t)...)
+	return append(lines, playEarlyTerminations(t)...)
 }
 
-func (r *recorder) tellAll(state string, bootMS int64) {
+func (r *recorder) listAll(state string, bootMS int64) {
 	r.eventNo = int(r.core.LastDiscoveryEvent()) + 1
 	var all []string
-	for i := 1; i <= scriptMachines; i++ {
-		all = append(all, r.machine(i, state, bootMS))
+	for i := 1; i <= scriptNodes; i++ {
+		all = append(all, r.nodeJSON(i, state, bootMS))
 	}
-	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(rosterEvent(r.eventNo, false, all...)))
+	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(discoveryEventJSON(r.eventNo, false, all...)))
 	r.flag(ok)
 	r.verdict(err)
 	r.observe(0)
 }
 
-// nameTasks names tasks that stand already, spread over the machines.
-func (r *recorder) nameTasks(count int, first uint64) {
+// adoptTasks names tasks that stand already, spread over the machines.
+func (r *recorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		m := r.validLaunch(first+uint64(i), ";at:"+machineName(1+i%scriptMachines))
-		r.verdict(r.core.ReceiveFromClient(r.now, r.conns[0], &m))
+		msg := r.validLaunch(first+uint64(i), ";at:"+nodeName(1+i%scriptNodes))
+		r.verdict(r.core.ReceiveFromClient(r.now, r.conns[0], &msg))
 		r.observe(0)
 	}
 }
@@ -741,16 +741,16 @@
 		r.labelStart = fmt.Sprintf("redelivery %d", variant)
 		r.openConnection()
 		r.openConnection()
-		r.tellAll("in_service", 0)
-		r.nameTasks(6, 1)
+		r.listAll("in_service", 0)
+		r.adoptTasks(6, 1)
 		if variant%2 == 1 {
 			confirm := wireMessage(platformproto.Stopped, 77)
 			r.verdict(r.core.ReceiveFromClient(r.now, 1, &confirm))
 		}
 		r.endTasks(1, 4)
 		r.now += []float64{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		heard := wireMessage(platformproto.Stopped, 2)
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &heard))
+		acknowledgement := wireMessage(platformproto.Stopped, 2)
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &acknowledgement))
 		r.core.ClientDisconnected(r.now, 1)
 		if variant >= 12 {
 			r.core.ClientDisconnected(r.now, 2)
@@ -759,8 +759,8 @@
 		r.endTasks(5, 6)
 		r.now += []float64{0.5, 7.9, 8.1}[variant%3]
 		r.openConnection()
-		hello := wireMessage(platformproto.Check, 78)
-		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &hello))
+		check := wireMessage(platformproto.Check, 78)
+		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &check))
 		r.observe(0)
 		r.checkpoint(1)
 		lines = append(lines, r.lines...)
@@ -771,29 +771,29 @@
 // endTasks has machines tell the end of the tasks that nameTasks named.
 func (r *recorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
-		m := wireMessage(platformproto.Stop, id)
-		m.Reason, m.HasReason = []int{16, 41}[id%2], true
-		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1+int(id-1)%scriptMachines)), &m)
+		msg := wireMessage(platformproto.Stop, id)
+		msg.Cause, msg.HasCause = []int{16, 41}[id%2], true
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1+int(id-1)%scriptNodes)), &msg)
 		r.observe(0)
 	}
 }
 
-// playHandover has set-ups arrive while tasks that stand are still being named, up to and beyond the longest time that set-ups are held back.
-func playHandover(t *testing.T) []string {
+// playAdoptionWait has set-ups arrive while tasks that stand are still being named, up to and beyond the longest time that set-ups are held back.
+func playAdoptionWait(t *testing.T) []string {
 	r := newRecorder(t, 0, 300, "", false)
 	r.labelStart = "handover"
 	r.openConnection()
 	r.openConnection()
-	r.tellAll("in_service", 0)
-	hello := wireMessage(platformproto.Check, 78)
-	r.verdict(r.core.ReceiveFromClient(r.now, 1, &hello))
+	r.listAll("in_service", 0)
+	check := wireMessage(platformproto.Check, 78)
+	r.verdict(r.core.ReceiveFromClient(r.now, 1, &check))
 	for i := range uint64(40) {
 		r.now += 0.03
 		r.core.Advance(r.now)
 		r.observe(int(i))
-		r.nameTasks(1, 1000+i)
-		m := r.validLaunch(2000+i, "")
-		r.verdict(r.core.ReceiveFromClient(r.now, 2, &m))
+		r.adoptTasks(1, 1000+i)
+		msg := r.validLaunch(2000+i, "")
+		r.verdict(r.core.ReceiveFromClient(r.now, 2, &msg))
 		r.observe(int(i))
 		if i%5 == 4 {
 			r.checkpoint(int(i))
@@ -808,16 +808,16 @@
 	return r.lines
 }
 
-// playNewLife lets a machine begin a new life at times around the tolerance, with one task that stands there.
-func playNewLife(t *testing.T) []string {
+// playNewIncarnation lets a machine begin a new life at times around the tolerance, with one task that stands there.
+func playNewIncarnation(t *testing.T) []string {
 	var lines []string
 	for _, after := range []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100} {
 		r := newRecorder(t, 0, 400, "", false)
 		r.labelStart = fmt.Sprintf("new life after %d", after)
 		r.openConnection()
-		r.tellAll("in_service", 0)
-		r.nameTasks(1, 1)
-		r.tellAll("in_service", 1000_000+after)
+		r.listAll("in_service", 0)
+		r.adoptTasks(1, 1)
+		r.listAll("in_service", 1000_000+after)
 		r.checkpoint(1)
 		lines = append(lines, r.lines...)
 	}
@@ -831,13 +831,13 @@
 		r := newRecorder(t, variant/10, uint64(500+variant), "", true)
 		r.labelStart = fmt.Sprintf("late start %d", variant)
 		r.openConnection()
-		r.tellAll("in_service", 0)
+		r.listAll("in_service", 0)
 		r.launch("")
 		r.observe(0)
 		if due := r.core.NextTimer(); !math.IsInf(due, 1) {
 			r.now = max(r.now, due+[]float64{-0.001, 0, 0.001}[variant%3])
 		}
-		r.start()
+		r.send()
 		r.observe(1)
 		r.checkpoint(1)
 		lines = append(lines, r.lines...)
@@ -853,18 +853,18 @@
 		r := newRecorder(t, variant/16, uint64(600+variant), "", true)
 		r.labelStart = fmt.Sprintf("late answer %d", variant)
 		r.openConnection()
-		r.tellAll("in_service", 0)
+		r.listAll("in_service", 0)
 		r.launch("")
 		r.observe(0)
 		due := r.core.NextTimer()
-		r.start()
+		r.send()
 		r.observe(1)
-		if len(r.started) > 0 {
+		if len(r.sent) > 0 {
 			r.answerLate(due+[]float64{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
-		open, good := r.core.ClientRequests(99)
+		open, placed := r.core.ClientRequests(99)
 		r.number(uint64(open))
-		r.flag(good)
+		r.flag(placed)
 		r.checkpoint(1)
 		lines = append(lines, r.lines...)
 	}
@@ -873,65 +873,65 @@
 
 // answerLate answers the first offer at the given time, with its connection broken before where so wanted, and names its task.
 func (r *recorder) answerLate(at float64, broken bool) {
-	o := r.started[0]
+	attempt := r.sent[0]
 	r.now = max(r.now, at)
 	if broken {
-		r.core.ConnectionLost(r.now, o)
+		r.core.ConnectionLost(r.now, attempt)
 		r.observe(2)
 	}
-	m := wireMessage(platformproto.Running, uint64(o.Message.ID))
-	m.Body = `"out"`
-	r.fromNode(o, &m)
+	msg := wireMessage(platformproto.Running, uint64(attempt.Message.ID))
+	msg.Body = `"out"`
+	r.fromNode(attempt, &msg)
 	r.observe(3)
-	stop := wireMessage(platformproto.Stop, uint64(o.Message.ID))
-	if len(r.waiting) > 0 { // the next attempt: its owner gives the task up
+	stop := wireMessage(platformproto.Stop, uint64(attempt.Message.ID))
+	if len(r.pending) > 0 { // the next attempt: its owner gives the task up
 		r.verdict(r.core.ReceiveFromClient(r.now, 1, &stop))
 		r.observe(4)
 	}
 	for i := 1; i <= 4; i++ {
-		if dispatch.NodeIDOf(machineName(i)) == o.Node {
-			named := r.validLaunch(uint64(o.Message.ID), ";at:"+machineName(i))
-			r.verdict(r.core.ReceiveFromClient(r.now, 1, &named))
+		if dispatch.NodeIDOf(nodeName(i)) == attempt.Node {
+			adoption := r.validLaunch(uint64(attempt.Message.ID), ";at:"+nodeName(i))
+			r.verdict(r.core.ReceiveFromClient(r.now, 1, &adoption))
 			r.observe(5)
 		}
 	}
 }
 
-// playRememberedEnds fills the memory of ends of unknown tasks and the table of tasks beyond their bounds.
-func playRememberedEnds(t *testing.T) []string {
+// playEarlyTerminations fills the memory of ends of unknown tasks and the table of tasks beyond their bounds.
+func playEarlyTerminations(t *testing.T) []string {
 	const beyond = 20010
 	r := newRecorder(t, 0, 200, "", false)
 	r.labelStart = "bounds"
 	r.openConnection()
-	r.tellAll("in_service", 0)
+	r.listAll("in_service", 0)
 	for id := uint64(1); id <= beyond; id++ {
-		m := wireMessage(platformproto.Stop, id)
-		m.Reason = 41
-		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(machineName(1)), &m)
+		msg := wireMessage(platformproto.Stop, id)
+		msg.Cause = 41
+		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1)), &msg)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
-		m := r.validLaunch(id, ";at:"+machineName(1))
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &m))
+		msg := r.validLaunch(id, ";at:"+nodeName(1))
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &msg))
 		r.observe(0)
 	}
 	r.checkpoint(1)
 	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
-		m := r.validLaunch(id, ";at:"+machineName(2))
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &m))
+		msg := r.validLaunch(id, ";at:"+nodeName(2))
+		r.verdict(r.core.ReceiveFromClient(r.now, 1, &msg))
 	}
 	r.observe(0)
 	r.checkpoint(2)
 	return r.lines
 }
 
-// TestCharacterizationKnown pins which lists of earlier events a core starts with, and the state that they leave.
-func TestCharacterizationKnown(t *testing.T) {
+// TestCharacterizationKnownEvents pins which lists of earlier events a core starts with, and the state that they leave.
+func TestCharacterizationKnownEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsShapes[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	one := `{"uid":"s-00000001","state":"in_service"}`
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		known string
 		last  uint64
 		nodes int
@@ -940,27 +940,27 @@
 		{known: ""},
 		{known: "{}"},
 		{known: `{"no":5}`, last: 5},
-		{known: `{"no":2,"items":[` + rosterEvent(7, false, one) + `]}`, last: 7, nodes: 1},
-		{known: `{"no":9,"items":[{"no":3},` + rosterEvent(7, true, one, strings.Replace(one, "01", "02", 1)) + `]}`, last: 9, nodes: 2},
-		{known: `{"no":9,"items":[` + rosterEvent(7, true, `{"uid":"","state":"in_service"}`) + `]}`, bad: true},
-		{known: `{"no":9,"items":[` + rosterEvent(7, true, `{"uid":"x","state":"gone"}`) + `]}`, bad: true},
+		{known: `{"no":2,"items":[` + discoveryEventJSON(7, false, one) + `]}`, last: 7, nodes: 1},
+		{known: `{"no":9,"items":[{"no":3},` + discoveryEventJSON(7, true, one, strings.Replace(one, "01", "02", 1)) + `]}`, last: 9, nodes: 2},
+		{known: `{"no":9,"items":[` + discoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`) + `]}`, bad: true},
+		{known: `{"no":9,"items":[` + discoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`) + `]}`, bad: true},
 		{known: `{"no":`, bad: true},
 	} {
-		module, err := placer.New(settings.Placer, 1)
+		policy, err := placer.New(settings.Placer, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		core, err := dispatch.New(5, settings, module, []byte(c.known))
-		if (err != nil) != c.bad {
-			t.Fatalf("known %s: error %v", c.known, err)
+		core, err := dispatch.New(5, settings, policy, []byte(tc.known))
+		if (err != nil) != tc.bad {
+			t.Fatalf("known %s: error %v", tc.known, err)
 		}
-		if c.bad {
+		if tc.bad {
 			continue
 		}
 		nodes := 0
 		core.Nodes(func(*dispatch.Node) { nodes++ })
-		if core.LastDiscoveryEvent() != c.last || nodes != c.nodes {
-			t.Errorf("known %s: last event %d and %d machines, want %d and %d", c.known, core.LastDiscoveryEvent(), nodes, c.last, c.nodes)
+		if core.LastDiscoveryEvent() != tc.last || nodes != tc.nodes {
+			t.Errorf("known %s: last event %d and %d machines, want %d and %d", tc.known, core.LastDiscoveryEvent(), nodes, tc.last, tc.nodes)
 		}
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "300") }
 
-const settings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a","b"],
+const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a","b"],
  "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":2,"freeInList":true,
   "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
  "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1},
@@ -26,430 +26,430 @@
  "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
 
-func target(i int, state string, boot int64) string {
+func nodeJSON(i int, state string, startedAtMS int64) string {
 	return fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.0.0.%d:1","az":"a","model":"std","pod_group":1,"state":%q,"boot_ms":%d,"open":[16,24]}`,
-		i, i, state, boot)
+		i, i, state, startedAtMS)
 }
 
-func roster(no int, all bool, targets ...string) string {
-	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, no, no, all, strings.Join(targets, ","))
+func discoveryEventJSON(number int, complete bool, nodes ...string) string {
+	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, number, number, complete, strings.Join(nodes, ","))
 }
 
-// world is a core with all that passed between it and the others, and the rules on that.
-type world struct {
-	t       rapid.TB
-	c       *Core
-	now     float64
-	no      int
-	opened  ConnID
-	conns   []ConnID
-	ids     uint64
-	setUps  map[platformproto.ID]*heard
-	sends   []*Attempt // wait for their connection
-	outs    []*Attempt // sent
-	stands  []*Attempt
-	holding map[platformproto.ID]int // offers of a task that are out or stand
+// harness is a core with all that passed between it and the others, and the rules on that.
+type harness struct {
+	t         rapid.TB
+	core      *Core
+	now       float64
+	lastEvent int
+	lastConn  ConnID
+	conns     []ConnID
+	lastID    uint64
+	records   map[platformproto.ID]*clientRecord
+	pending   []*Attempt // wait for their connection
+	sent      []*Attempt // sent
+	running   []*Attempt
+	holding   map[platformproto.ID]int // offers of a task that are out or stand
 }
 
-// heard is what one owner sent and was told.
-type heard struct {
-	toldOn            ConnID // the connection of the last release, 0 once it was heard
-	conn              ConnID
-	deadline          float64
-	gone, at          bool
-	answers, releases int
-	standing          bool
+// clientRecord is what one owner sent and was told.
+type clientRecord struct {
+	notifiedOn             ConnID // the connection of the last release, 0 once it was heard
+	conn                   ConnID
+	deadline               float64
+	withdrawn, adopted     bool
+	answers, notifications int
+	running                bool
 }
 
-func newWorld(t rapid.TB, p eventqueue.Placer) *world {
-	s, err := simconfig.Parse([]byte(settings))
+func newHarness(t rapid.TB, policy eventqueue.Placer) *harness {
+	parsed, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p == nil {
-		if p, err = placer.New(s.Placer, 7); err != nil {
+	if policy == nil {
+		if policy, err = placer.New(parsed.Placer, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w := &world{t: t, now: 1000, no: 1, setUps: map[platformproto.ID]*heard{}, holding: map[platformproto.ID]int{}}
-	known := `{"no":1,"items":[` + roster(1, true, target(1, "in_service", 0), target(2, "in_service", 0), target(3, "in_service", 0)) + `]}`
-	if w.c, err = New(w.now, s, p, []byte(known)); err != nil {
+	h := &harness{t: t, now: 1000, lastEvent: 1, records: map[platformproto.ID]*clientRecord{}, holding: map[platformproto.ID]int{}}
+	knownEvents := `{"no":1,"items":[` + discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0)) + `]}`
+	if h.core, err = New(h.now, parsed, policy, []byte(knownEvents)); err != nil {
 		t.Fatal(err)
 	}
-	w.c.SetDiscoveryConnected(w.now, true)
-	w.pump()
-	return w
+	h.core.SetDiscoveryConnected(h.now, true)
+	h.carryOutEffects()
+	return h
 }
 
-func (w *world) open() ConnID {
-	w.opened++
-	w.c.ClientConnected(w.now, w.opened)
-	w.conns = append(w.conns, w.opened)
-	w.pump()
-	return w.opened
+func (h *harness) connect() ConnID {
+	h.lastConn++
+	h.core.ClientConnected(h.now, h.lastConn)
+	h.conns = append(h.conns, h.lastConn)
+	h.carryOutEffects()
+	return h.lastConn
 }
 
-func (w *world) launch(conn ConnID, class string, left float64, extras string) platformproto.ID {
-	w.ids++
-	m := message(platformproto.Launch, platformproto.ID(w.ids), -1)
-	m.Body = `"in"`
-	for f, v := range map[platformproto.Field]string{platformproto.Class: class, platformproto.Tenant: "south", platformproto.Key: m.UID, platformproto.Left: fmt.Sprint(left),
+func (h *harness) launch(conn ConnID, class string, left float64, extras string) platformproto.ID {
+	h.lastID++
+	msg := newMessage(platformproto.Launch, platformproto.ID(h.lastID), -1)
+	msg.Body = `"in"`
+	for f, v := range map[platformproto.Field]string{platformproto.Class: class, platformproto.Tenant: "south", platformproto.Key: msg.UID, platformproto.TimeLeft: fmt.Sprint(left),
 		platformproto.Extras: "cores:1;memory:1;service:0000000000000009" + extras} {
-		m.Set(f, v)
+		msg.Set(f, v)
 	}
-	w.setUps[m.ID] = &heard{conn: conn, deadline: w.now + left/1000, at: extras != "", standing: extras != ""}
-	if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
-		w.t.Fatalf("launch: %v", err)
+	h.records[msg.ID] = &clientRecord{conn: conn, deadline: h.now + left/1000, adopted: extras != "", running: extras != ""}
+	if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
+		h.t.Fatalf("launch: %v", err)
 	}
-	w.pump()
-	return m.ID
+	h.carryOutEffects()
+	return msg.ID
 }
 
-func message(k platformproto.Kind, id platformproto.ID, cause int) platformproto.Message {
-	return platformproto.Message{Kind: k, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Reason: max(cause, 0), HasReason: cause >= 0}
+func newMessage(kind platformproto.Kind, id platformproto.ID, cause int) platformproto.Message {
+	return platformproto.Message{Kind: kind, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Cause: max(cause, 0), HasCause: cause >= 0}
 }
 
-func (w *world) node(o *Attempt, m platformproto.Message) {
-	w.c.ReceiveFromNode(w.now, o.Node, &m)
-	w.pump()
+func (h *harness) receiveFromNode(attempt *Attempt, msg platformproto.Message) {
+	h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
+	h.carryOutEffects()
 }
 
-// pump carries out the effects and holds them against the rules.
-func (w *world) pump() {
-	for _, e := range w.c.Ready() {
+// carryOutEffects carries out the effects and holds them against the rules.
+func (h *harness) carryOutEffects() {
+	for _, e := range h.core.Ready() {
 		switch e.Kind {
 		case SendAttempt:
-			w.sends = append(w.sends, e.Attempt)
+			h.pending = append(h.pending, e.Attempt)
 		case SendToClient:
-			h := w.setUps[e.Message.ID]
-			if h == nil {
-				w.t.Fatalf("told %v of a set-up that nobody sent", e.Message)
+			record := h.records[e.Message.ID]
+			if record == nil {
+				h.t.Fatalf("told %v of a set-up that nobody sent", e.Message)
 			}
 			switch {
 			case e.Message.Kind == platformproto.Running:
-				if h.answers++; h.gone || h.at || e.Conn != h.conn || e.Message.Body != `"out"` || w.now > h.deadline+0.01 {
-					w.t.Fatalf("answer %v at %v to %+v on %d", e.Message, w.now, h, e.Conn)
+				if record.answers++; record.withdrawn || record.adopted || e.Conn != record.conn || e.Message.Body != `"out"` || h.now > record.deadline+0.01 {
+					h.t.Fatalf("answer %v at %v to %+v on %d", e.Message, h.now, record, e.Conn)
 				}
-				h.standing = true
-			case h.standing:
+				record.running = true
+			case record.running:
 				// A second one only where the first went out on a connection that has ended since, with no word that it was heard.
-				if h.releases++; h.releases > 1 && (h.toldOn == 0 || w.c.owners[h.toldOn] != nil) {
-					w.t.Fatalf("second release %v", e.Message)
+				if record.notifications++; record.notifications > 1 && (record.notifiedOn == 0 || h.core.clients[record.notifiedOn] != nil) {
+					h.t.Fatalf("second release %v", e.Message)
 				}
-				h.toldOn = e.Conn
+				record.notifiedOn = e.Conn
 			default:
-				if h.answers++; h.gone || w.now > h.deadline+0.011 {
-					w.t.Fatalf("refusal %v at %v to %+v", e.Message, w.now, h)
+				if record.answers++; record.withdrawn || h.now > record.deadline+0.011 {
+					h.t.Fatalf("refusal %v at %v to %+v", e.Message, h.now, record)
 				}
 			}
-			if h.answers > 1 {
-				w.t.Fatalf("second answer %v", e.Message)
+			if record.answers > 1 {
+				h.t.Fatalf("second answer %v", e.Message)
 			}
 		}
 	}
 }
 
-// hear has an owner say that it heard a release.
-func (w *world) hear(id platformproto.ID) {
-	h := w.setUps[id]
-	if h.toldOn == 0 || w.c.owners[h.toldOn] == nil {
+// acknowledge has an owner say that it heard a release.
+func (h *harness) acknowledge(id platformproto.ID) {
+	record := h.records[id]
+	if record.notifiedOn == 0 || h.core.clients[record.notifiedOn] == nil {
 		return
 	}
-	m := message(platformproto.Stopped, id, -1)
-	if err := w.c.ReceiveFromClient(w.now, h.toldOn, &m); err != nil {
-		w.t.Fatal(err)
+	msg := newMessage(platformproto.Stopped, id, -1)
+	if err := h.core.ReceiveFromClient(h.now, record.notifiedOn, &msg); err != nil {
+		h.t.Fatal(err)
 	}
-	h.toldOn = 0
-	w.pump()
+	record.notifiedOn = 0
+	h.carryOutEffects()
 }
 
-// start lets an offer that waits go out. Its task may have no other out.
-func (w *world) start(i int) {
-	o := w.sends[i]
-	w.sends = append(w.sends[:i], w.sends[i+1:]...)
-	if !w.c.PrepareSend(w.now, o) {
-		w.pump()
+// send lets an offer that waits go out. Its task may have no other out.
+func (h *harness) send(i int) {
+	attempt := h.pending[i]
+	h.pending = append(h.pending[:i], h.pending[i+1:]...)
+	if !h.core.PrepareSend(h.now, attempt) {
+		h.carryOutEffects()
 		return
 	}
-	for _, x := range append(w.outs, w.stands...) {
-		if x != o && x.t == o.t && x.Live() {
-			w.t.Fatalf("two attempts of %s are out", o.Message.UID)
+	for _, other := range append(h.sent, h.running...) {
+		if other != attempt && other.request == attempt.request && other.Live() {
+			h.t.Fatalf("two attempts of %s are out", attempt.Message.UID)
 		}
 	}
-	if n := w.c.Node(o.Node); n.State != placer.Ready || w.now >= o.until {
-		w.t.Fatalf("offer to a machine in state %d at %v, until %v", n.State, w.now, o.until)
+	if node := h.core.Node(attempt.Node); node.State != placer.Ready || h.now >= attempt.expiresAt {
+		h.t.Fatalf("offer to a machine in state %d at %v, until %v", node.State, h.now, attempt.expiresAt)
 	}
-	w.outs = append(w.outs, o)
-	w.pump()
+	h.sent = append(h.sent, attempt)
+	h.carryOutEffects()
 }
 
-func (w *world) advance(by float64) {
-	to := w.now + by
-	for w.c.NextTimer() <= to {
-		w.now = max(w.now, w.c.NextTimer())
-		w.c.Advance(w.now)
-		w.pump()
+func (h *harness) advance(by float64) {
+	to := h.now + by
+	for h.core.NextTimer() <= to {
+		h.now = max(h.now, h.core.NextTimer())
+		h.core.Advance(h.now)
+		h.carryOutEffects()
 	}
-	w.now = to
+	h.now = to
 }
 
-// TestEveryOrder plays owners, machines and connections in any order: each set-up gets one answer in time unless its owner gave it up, no
+// TestRandomEventOrders plays owners, machines and connections in any order: each set-up gets one answer in time unless its owner gave it up, no
 // two attempts of a task are out at once, what stood is released once, and in the end nothing is held.
-func TestEveryOrder(t *testing.T) {
+func TestRandomEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, nil)
-		w.open()
-		some := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
+		h := newHarness(t, nil)
+		h.connect()
+		draw := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 		steps := rapid.IntRange(1, 120).Draw(t, "steps")
 		for range steps {
-			switch some(16, "step") {
+			switch draw(16, "step") {
 			case 0, 1, 2:
-				if len(w.conns) > 0 {
-					class := []string{"query", "seats"}[some(2, "class")]
-					w.launch(w.conns[some(len(w.conns), "conn")], class, float64(some(4000, "left")), "")
+				if len(h.conns) > 0 {
+					class := []string{"query", "seats"}[draw(2, "class")]
+					h.launch(h.conns[draw(len(h.conns), "conn")], class, float64(draw(4000, "left")), "")
 				}
 			case 3, 4, 5:
-				if len(w.sends) > 0 {
-					w.start(some(len(w.sends), "send"))
+				if len(h.pending) > 0 {
+					h.send(draw(len(h.pending), "send"))
 				}
 			case 6:
-				if len(w.sends) > 0 {
-					i := some(len(w.sends), "send")
-					w.c.ConnectFailed(w.now, w.sends[i])
-					w.sends = append(w.sends[:i], w.sends[i+1:]...)
-					w.pump()
+				if len(h.pending) > 0 {
+					i := draw(len(h.pending), "send")
+					h.core.ConnectFailed(h.now, h.pending[i])
+					h.pending = append(h.pending[:i], h.pending[i+1:]...)
+					h.carryOutEffects()
 				}
 			case 7, 8:
-				if len(w.outs) > 0 {
-					o := w.outs[some(len(w.outs), "out")]
-					m := message(platformproto.Running, o.Message.ID, -1)
-					m.Body = `"out"`
-					w.node(o, m)
+				if len(h.sent) > 0 {
+					attempt := h.sent[draw(len(h.sent), "out")]
+					msg := newMessage(platformproto.Running, attempt.Message.ID, -1)
+					msg.Body = `"out"`
+					h.receiveFromNode(attempt, msg)
 					// It may be a later attempt at the same machine that this answers.
-					for _, o := range w.outs {
-						if o.state == bound && !slices.Contains(w.stands, o) {
-							w.stands = append(w.stands, o)
+					for _, attempt := range h.sent {
+						if attempt.state == attemptRunning && !slices.Contains(h.running, attempt) {
+							h.running = append(h.running, attempt)
 						}
 					}
 				}
 			case 9:
-				if len(w.outs) > 0 {
-					w.node(w.outs[some(len(w.outs), "out")],
-						message(platformproto.Stop, w.outs[some(len(w.outs), "of")].Message.ID, []int{16, 31, 34, 41, 47, 102, 5}[some(7, "cause")]))
+				if len(h.sent) > 0 {
+					h.receiveFromNode(h.sent[draw(len(h.sent), "out")],
+						newMessage(platformproto.Stop, h.sent[draw(len(h.sent), "of")].Message.ID, []int{16, 31, 34, 41, 47, 102, 5}[draw(7, "cause")]))
 				}
 			case 10:
-				if len(w.outs) > 0 {
-					w.c.ConnectionLost(w.now, w.outs[some(len(w.outs), "out")])
-					w.pump()
+				if len(h.sent) > 0 {
+					h.core.ConnectionLost(h.now, h.sent[draw(len(h.sent), "out")])
+					h.carryOutEffects()
 				}
 			case 11:
-				if w.ids > 0 {
-					id := platformproto.ID(1 + some(int(w.ids), "id"))
-					if h := w.setUps[id]; w.c.owners[h.conn] != nil {
-						h.gone = h.gone || h.answers == 0
-						m := message(platformproto.Stop, id, 16)
-						if err := w.c.ReceiveFromClient(w.now, h.conn, &m); err != nil {
+				if h.lastID > 0 {
+					id := platformproto.ID(1 + draw(int(h.lastID), "id"))
+					if record := h.records[id]; h.core.clients[record.conn] != nil {
+						record.withdrawn = record.withdrawn || record.answers == 0
+						msg := newMessage(platformproto.Stop, id, 16)
+						if err := h.core.ReceiveFromClient(h.now, record.conn, &msg); err != nil {
 							t.Fatal(err)
 						}
-						w.pump()
+						h.carryOutEffects()
 					}
 				}
 			case 12:
-				switch some(4, "event") {
+				switch draw(4, "event") {
 				case 0:
-					if len(w.conns) < 5 {
-						w.open()
+					if len(h.conns) < 5 {
+						h.connect()
 					}
 				case 1:
-					if len(w.conns) > 0 {
-						i := some(len(w.conns), "conn")
-						for _, h := range w.setUps {
-							h.gone = h.gone || h.conn == w.conns[i] && h.answers == 0
+					if len(h.conns) > 0 {
+						i := draw(len(h.conns), "conn")
+						for _, record := range h.records {
+							record.withdrawn = record.withdrawn || record.conn == h.conns[i] && record.answers == 0
 						}
-						w.c.ClientDisconnected(w.now, w.conns[i])
-						w.conns = append(w.conns[:i], w.conns[i+1:]...)
-						w.pump()
+						h.core.ClientDisconnected(h.now, h.conns[i])
+						h.conns = append(h.conns[:i], h.conns[i+1:]...)
+						h.carryOutEffects()
 					}
 				case 2: // a whole list in the middle of the numbers, which may leave machines out
-					w.no++
+					h.lastEvent++
 					var all []string
 					for i := range 5 {
-						if some(3, "listed") > 0 {
-							all = append(all, target(1+i, []string{"in_service", "terminating"}[some(2, "state")], 0))
+						if draw(3, "listed") > 0 {
+							all = append(all, nodeJSON(1+i, []string{"in_service", "terminating"}[draw(2, "state")], 0))
 						}
 					}
-					if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(roster(w.no, true, all...))); !ok || err != nil {
+					if ok, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(discoveryEventJSON(h.lastEvent, true, all...))); !ok || err != nil {
 						t.Fatal(ok, err)
 					}
-					w.pump()
+					h.carryOutEffects()
 				default:
-					w.no++
-					ev := roster(w.no, false, target(1+some(5, "node"), []string{"in_service", "terminating", "terminated"}[some(3, "state")],
-						int64(some(3, "boot"))*int64(w.now*1000)))
-					if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(ev)); !ok || err != nil {
+					h.lastEvent++
+					event := discoveryEventJSON(h.lastEvent, false, nodeJSON(1+draw(5, "node"), []string{"in_service", "terminating", "terminated"}[draw(3, "state")],
+						int64(draw(3, "boot"))*int64(h.now*1000)))
+					if ok, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(event)); !ok || err != nil {
 						t.Fatal(ok, err)
 					}
-					w.pump()
+					h.carryOutEffects()
 				}
 			case 13:
-				if w.ids > 0 {
-					w.hear(platformproto.ID(1 + some(int(w.ids), "id")))
+				if h.lastID > 0 {
+					h.acknowledge(platformproto.ID(1 + draw(int(h.lastID), "id")))
 				}
 			case 14: // the core is told that a task stands, or that it does and is over at its machine, in either order
-				if len(w.conns) > 0 {
-					conn, end := w.conns[some(len(w.conns), "conn")], message(platformproto.Stop, platformproto.ID(w.ids+1), platformproto.CauseEnd)
-					crossed := some(2, "crossed") == 0
+				if len(h.conns) > 0 {
+					conn, end := h.conns[draw(len(h.conns), "conn")], newMessage(platformproto.Stop, platformproto.ID(h.lastID+1), platformproto.CauseEnd)
+					crossed := draw(2, "crossed") == 0
 					if crossed {
-						w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000001"), &end)
+						h.core.ReceiveFromNode(h.now, NodeIDOf("s-00000001"), &end)
 					}
-					id := w.launch(conn, "seats", 4294967, ";at:s-00000001")
+					id := h.launch(conn, "seats", 4294967, ";at:s-00000001")
 					if !crossed {
-						w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000001"), &end)
-						w.pump()
+						h.core.ReceiveFromNode(h.now, NodeIDOf("s-00000001"), &end)
+						h.carryOutEffects()
 					}
-					if w.setUps[id].releases != 1 {
-						t.Fatalf("%d releases of a task that ended", w.setUps[id].releases)
+					if h.records[id].notifications != 1 {
+						t.Fatalf("%d releases of a task that ended", h.records[id].notifications)
 					}
 				}
 			default:
-				w.advance(float64(some(2000, "ms")) / 1000)
+				h.advance(float64(draw(2000, "ms")) / 1000)
 			}
 		}
-		w.settle()
+		h.settle()
 	})
 }
 
 // settle ends all that stands, waits until everything is over, and looks at what is left.
-func (w *world) settle() {
-	w.advance(10)
-	for _, o := range append([]*Attempt(nil), w.stands...) {
-		w.node(o, message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd))
+func (h *harness) settle() {
+	h.advance(10)
+	for _, attempt := range append([]*Attempt(nil), h.running...) {
+		h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd))
 	}
-	w.open()
-	hello := message(platformproto.Check, 1<<60, 0)
-	w.setUps[hello.ID] = &heard{standing: true}
-	if err := w.c.ReceiveFromClient(w.now, w.opened, &hello); err != nil {
-		w.t.Fatal(err)
+	h.connect()
+	check := newMessage(platformproto.Check, 1<<60, 0)
+	h.records[check.ID] = &clientRecord{running: true}
+	if err := h.core.ReceiveFromClient(h.now, h.lastConn, &check); err != nil {
+		h.t.Fatal(err)
 	}
-	w.pump()
-	w.advance(30)
-	for id, h := range w.setUps {
-		if h.answers == 0 && !h.gone && !h.at && id != hello.ID {
-			w.t.Fatalf("set-up %x was never answered: %+v", uint64(id), h)
+	h.carryOutEffects()
+	h.advance(30)
+	for id, record := range h.records {
+		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check.ID {
+			h.t.Fatalf("set-up %x was never answered: %+v", uint64(id), record)
 		}
 	}
-	c := w.c
-	if c.OpenRequests() != 0 || c.RunningTasks() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 || len(c.owed) != 0 {
-		w.t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places, %d owed", c.OpenRequests(), c.RunningTasks(), len(c.tasks), len(c.byID),
-			len(c.places), len(c.owed))
+	core := h.core
+	if core.OpenRequests() != 0 || core.RunningTasks() != 0 || len(core.requests) != 0 || len(core.requestsByID) != 0 || len(core.attempts) != 0 || len(core.pendingNotifications) != 0 {
+		h.t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places, %d owed", core.OpenRequests(), core.RunningTasks(), len(core.requests), len(core.requestsByID),
+			len(core.attempts), len(core.pendingNotifications))
 	}
 }
 
-// TestTakingOver plays a start in which tasks that stand are named, in any order with their ends at their machines, lists, and connections of
+// TestAdoptionInRandomOrder plays a start in which tasks that stand are named, in any order with their ends at their machines, lists, and connections of
 // owners that come and go: each end is told once, and nothing is left standing that has ended.
-func TestTakingOver(t *testing.T) {
+func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, nil)
-		some := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
+		h := newHarness(t, nil)
+		draw := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 		node := func(id int) placer.NodeID { return NodeIDOf(fmt.Sprintf("s-%08x", 1+id%3)) }
-		conn := w.open()
-		const tasks = 12
-		named, over := map[int]bool{}, map[int]bool{}
+		conn := h.connect()
+		const taskCount = 12
+		adopted, terminated := map[int]bool{}, map[int]bool{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			id := 1 + some(tasks, "id")
-			switch some(6, "step") {
+			id := 1 + draw(taskCount, "id")
+			switch draw(6, "step") {
 			case 0, 1:
-				if named[id] && w.setUps[platformproto.ID(id)].conn != conn { // named again elsewhere
-					w.setUps[platformproto.ID(id)].conn = conn
+				if adopted[id] && h.records[platformproto.ID(id)].conn != conn { // named again elsewhere
+					h.records[platformproto.ID(id)].conn = conn
 				}
-				h := w.setUps[platformproto.ID(id)]
-				if h == nil {
-					h = &heard{conn: conn, at: true, standing: true}
-					w.setUps[platformproto.ID(id)] = h
+				record := h.records[platformproto.ID(id)]
+				if record == nil {
+					record = &clientRecord{conn: conn, adopted: true, running: true}
+					h.records[platformproto.ID(id)] = record
 				}
-				if h.releases > 0 {
+				if record.notifications > 0 {
 					continue // its owner knows
 				}
-				m := w.setUpMessage(platformproto.ID(id))
-				m.Set(platformproto.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
-				m.Set(platformproto.Left, "4294967")
-				if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
+				msg := h.launchMessage(platformproto.ID(id))
+				msg.Set(platformproto.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
+				msg.Set(platformproto.TimeLeft, "4294967")
+				if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 					t.Fatal(err)
 				}
-				named[id] = true
-				w.pump()
+				adopted[id] = true
+				h.carryOutEffects()
 			case 2, 3:
-				over[id] = true
-				m := message(platformproto.Stop, platformproto.ID(id), []int{16, 41}[some(2, "cause")])
-				w.c.ReceiveFromNode(w.now, node(id), &m)
-				w.pump()
+				terminated[id] = true
+				msg := newMessage(platformproto.Stop, platformproto.ID(id), []int{16, 41}[draw(2, "cause")])
+				h.core.ReceiveFromNode(h.now, node(id), &msg)
+				h.carryOutEffects()
 			case 4:
-				w.c.ClientDisconnected(w.now, conn)
-				w.pump()
-				conn = w.open()
-				hello := message(platformproto.Check, 1<<60, 0)
-				w.setUps[hello.ID] = &heard{standing: true}
-				if err := w.c.ReceiveFromClient(w.now, conn, &hello); err != nil {
+				h.core.ClientDisconnected(h.now, conn)
+				h.carryOutEffects()
+				conn = h.connect()
+				check := newMessage(platformproto.Check, 1<<60, 0)
+				h.records[check.ID] = &clientRecord{running: true}
+				if err := h.core.ReceiveFromClient(h.now, conn, &check); err != nil {
 					t.Fatal(err)
 				}
-				w.pump()
+				h.carryOutEffects()
 			default:
-				w.advance(float64(some(300, "ms")) / 1000)
+				h.advance(float64(draw(300, "ms")) / 1000)
 			}
 		}
-		for id := range named {
-			if h := w.setUps[platformproto.ID(id)]; over[id] && h.releases == 0 {
+		for id := range adopted {
+			if record := h.records[platformproto.ID(id)]; terminated[id] && record.notifications == 0 {
 				t.Fatalf("task %d ended and was named, and its owner was told nothing", id)
 			}
 		}
-		for id := 1; id <= tasks; id++ {
-			m := message(platformproto.Stop, platformproto.ID(id), platformproto.CauseEnd)
-			w.c.ReceiveFromNode(w.now, node(id), &m)
+		for id := 1; id <= taskCount; id++ {
+			msg := newMessage(platformproto.Stop, platformproto.ID(id), platformproto.CauseEnd)
+			h.core.ReceiveFromNode(h.now, node(id), &msg)
 		}
-		w.pump()
-		w.settle()
-		if len(w.c.ends) != 0 || len(w.c.endsBy) != 0 {
-			t.Fatalf("%d ends are still remembered", len(w.c.ends))
+		h.carryOutEffects()
+		h.settle()
+		if len(h.core.earlyTerminations) != 0 || len(h.core.earlyTerminationOrder) != 0 {
+			t.Fatalf("%d ends are still remembered", len(h.core.earlyTerminations))
 		}
 	})
 }
 
-// script is a module that offers each task to machine 1 and does nothing else of its own accord.
-type script struct {
-	to     placer.NodeID
+// scriptedPlacer is a module that offers each task to machine 1 and does nothing else of its own accord.
+type scriptedPlacer struct {
+	node   placer.NodeID
 	events []placer.Event
 }
 
-func (s *script) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
-	s.events = append(s.events, ev)
+func (p *scriptedPlacer) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
+	p.events = append(p.events, ev)
 	switch {
 	case ev.Kind == placer.Arrived:
-		return append(actions, placer.Action{Kind: placer.StartAttempt, Task: ev.TaskID, Node: s.to, Until: ev.Task.Deadline})
+		return append(actions, placer.Action{Kind: placer.StartAttempt, Task: ev.TaskID, Node: p.node, Until: ev.Task.Deadline})
 	case ev.Kind == placer.Ended && !ev.Final:
 		return append(actions, placer.Action{Kind: placer.Reject, Task: ev.TaskID, After: 1.5})
 	}
 	return actions
 }
 
-func (s *script) last() placer.Event { return s.events[len(s.events)-1] }
+func (p *scriptedPlacer) last() placer.Event { return p.events[len(p.events)-1] }
 
-func standing(t *testing.T, class string) (*world, *script, *Attempt) {
+func sentAttempt(t *testing.T, class string) (*harness, *scriptedPlacer, *Attempt) {
 	t.Helper()
-	s := &script{to: NodeIDOf("s-00000001")}
-	w := newWorld(t, s)
-	w.launch(w.open(), class, 2000, "")
-	w.start(0)
-	return w, s, w.outs[0]
+	policy := &scriptedPlacer{node: NodeIDOf("s-00000001")}
+	h := newHarness(t, policy)
+	h.launch(h.connect(), class, 2000, "")
+	h.send(0)
+	return h, policy, h.sent[0]
 }
 
-func accept(w *world, o *Attempt) {
-	m := message(platformproto.Running, o.Message.ID, -1)
-	m.Body = `"out"`
-	w.node(o, m)
+func accept(h *harness, attempt *Attempt) {
+	msg := newMessage(platformproto.Running, attempt.Message.ID, -1)
+	msg.Body = `"out"`
+	h.receiveFromNode(attempt, msg)
 }
 
 func TestLateAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, class string
 		gone        bool
 		released    bool
@@ -458,107 +458,107 @@
 		{"one that must not is left to its owner's inquiry", "seats", false, false},
 		{"one whose owner gave it up is released", "seats", true, true},
 	} {
-		w, _, o := standing(t, c.class)
-		if c.gone {
-			m := message(platformproto.Stop, o.Message.ID, 16)
-			w.setUps[m.ID].gone = true
-			if err := w.c.ReceiveFromClient(w.now, 1, &m); err != nil {
+		h, _, attempt := sentAttempt(t, tc.class)
+		if tc.gone {
+			msg := newMessage(platformproto.Stop, attempt.Message.ID, 16)
+			h.records[msg.ID].withdrawn = true
+			if err := h.core.ReceiveFromClient(h.now, 1, &msg); err != nil {
 				t.Fatal(err)
 			}
-			w.pump()
+			h.carryOutEffects()
 		} else {
-			w.advance(2.005)
+			h.advance(2.005)
 		}
-		m := message(platformproto.Running, o.Message.ID, -1)
-		m.Body = `"out"`
-		w.c.ReceiveFromNode(w.now, o.Node, &m)
+		msg := newMessage(platformproto.Running, attempt.Message.ID, -1)
+		msg.Body = `"out"`
+		h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 		released := false
-		for _, e := range w.c.Ready() {
+		for _, e := range h.core.Ready() {
 			released = released || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
 		}
-		if released != c.released || w.c.RunningTasks() != 0 {
-			t.Errorf("%s: released %v", c.name, released)
+		if released != tc.released || h.core.RunningTasks() != 0 {
+			t.Errorf("%s: released %v", tc.name, released)
 		}
 	}
 }
 
-func TestReleaseFindsAnOwner(t *testing.T) {
-	told := func(w *world) (conns []ConnID) {
-		for _, e := range w.c.Ready() {
+func TestNotificationFindsAClient(t *testing.T) {
+	notifiedOn := func(h *harness) (conns []ConnID) {
+		for _, e := range h.core.Ready() {
 			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop {
 				conns = append(conns, e.Conn)
 			}
 		}
 		return conns
 	}
-	end := func(w *world, o *Attempt) {
-		m := message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd)
-		w.c.ReceiveFromNode(w.now, o.Node, &m)
+	finish := func(h *harness, attempt *Attempt) {
+		msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd)
+		h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 	}
-	w, _, o := standing(t, "seats")
-	accept(w, o)
-	w.open()
-	end(w, o)
-	if got := told(w); len(got) != 1 || got[0] != 1 {
+	h, _, attempt := sentAttempt(t, "seats")
+	accept(h, attempt)
+	h.connect()
+	finish(h, attempt)
+	if got := notifiedOn(h); len(got) != 1 || got[0] != 1 {
 		t.Fatalf("own connection is open, told on %v", got)
 	}
-	w, _, o = standing(t, "seats")
-	accept(w, o)
-	stranger := w.open() // says nothing
-	w.c.ClientDisconnected(w.now, 1)
-	end(w, o)
-	if got := told(w); len(got) != 0 || w.c.Counts.PendingNotifications != 1 {
-		t.Fatalf("told on %v, a stranger has %d", got, stranger)
-	}
-	next := w.open()
-	m := message(platformproto.Check, 77, 0)
-	if err := w.c.ReceiveFromClient(w.now+7, next, &m); err != nil {
+	h, _, attempt = sentAttempt(t, "seats")
+	accept(h, attempt)
+	unidentified := h.connect() // says nothing
+	h.core.ClientDisconnected(h.now, 1)
+	finish(h, attempt)
+	if got := notifiedOn(h); len(got) != 0 || h.core.Counts.PendingNotifications != 1 {
+		t.Fatalf("told on %v, a stranger has %d", got, unidentified)
+	}
+	next := h.connect()
+	msg := newMessage(platformproto.Check, 77, 0)
+	if err := h.core.ReceiveFromClient(h.now+7, next, &msg); err != nil {
 		t.Fatal(err)
 	}
-	if got := told(w); len(got) != 1 || got[0] != next {
+	if got := notifiedOn(h); len(got) != 1 || got[0] != next {
 		t.Fatalf("told on %v", got)
 	}
-	if err := w.c.ReceiveFromClient(w.now+7, next, &m); err != nil || len(told(w)) != 0 {
+	if err := h.core.ReceiveFromClient(h.now+7, next, &msg); err != nil || len(notifiedOn(h)) != 0 {
 		t.Fatal("told twice")
 	}
 }
 
 // TestMoveCrossesTheEnd: the owner of a moved task is told of its end too, unless the machine confirms that it ended by the move.
-func TestMoveCrossesTheEnd(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestMigrationCrossesTermination(t *testing.T) {
+	for name, tc := range map[string]struct {
 		cause, want int
 	}{"confirmed": {platformproto.CauseCancelled, -1}, "ended by itself": {platformproto.CauseEnd, platformproto.CauseEnd}, "no word": {-1, platformproto.CauseCancelled}} {
-		w, _, o := standing(t, "seats")
-		accept(w, o)
-		w.c.act(&placer.Action{Kind: placer.Migrate, Task: o.t.id})
-		if out := w.c.Ready(); len(out) != 2 || out[0].Message.Kind != platformproto.Migrate || out[1].Kind != SendToNode {
+		h, _, attempt := sentAttempt(t, "seats")
+		accept(h, attempt)
+		h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+		if out := h.core.Ready(); len(out) != 2 || out[0].Message.Kind != platformproto.Migrate || out[1].Kind != SendToNode {
 			t.Fatalf("%s: %+v", name, out)
 		}
-		if c.cause >= 0 {
-			m := message(platformproto.Stop, o.Message.ID, c.cause)
-			w.c.ReceiveFromNode(w.now, o.Node, &m)
+		if tc.cause >= 0 {
+			msg := newMessage(platformproto.Stop, attempt.Message.ID, tc.cause)
+			h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 		}
-		w.c.Advance(w.now + 1)
+		h.core.Advance(h.now + 1)
 		got := -1
-		for _, e := range w.c.Ready() {
+		for _, e := range h.core.Ready() {
 			if e.Kind == SendToClient {
-				got = e.Message.Reason
+				got = e.Message.Cause
 			}
 		}
-		if got != c.want {
-			t.Errorf("%s: owner told %d, want %d", name, got, c.want)
+		if got != tc.want {
+			t.Errorf("%s: owner told %d, want %d", name, got, tc.want)
 		}
 	}
 }
 
 // TestSetUpsWaitForWhatStands: what stands already is named in many lines after the first test. A set-up that is read among them is told to the
 // module behind the last, unless they go on for too long; at other times it is told at once.
-func TestSetUpsWaitForWhatStands(t *testing.T) {
-	s := &script{to: NodeIDOf("s-00000001")}
-	w := newWorld(t, s)
-	conn := w.open()
+func TestRequestsWaitForAdoptions(t *testing.T) {
+	policy := &scriptedPlacer{node: NodeIDOf("s-00000001")}
+	h := newHarness(t, policy)
+	conn := h.connect()
 	order := func() (got string) {
-		for _, ev := range s.events {
+		for _, ev := range policy.events {
 			switch ev.Kind {
 			case placer.Adopted:
 				got += "r"
@@ -566,44 +566,44 @@
 				got += "A"
 			}
 		}
-		s.events = nil
+		policy.events = nil
 		return got
 	}
-	check := message(platformproto.Check, 1<<50, 0)
-	w.setUps[check.ID] = &heard{standing: true}
-	if err := w.c.ReceiveFromClient(w.now, conn, &check); err != nil {
+	check := newMessage(platformproto.Check, 1<<50, 0)
+	h.records[check.ID] = &clientRecord{running: true}
+	if err := h.core.ReceiveFromClient(h.now, conn, &check); err != nil {
 		t.Fatal(err)
 	}
-	w.pump()
-	w.launch(conn, "query", 2000, "") // read before the first
+	h.carryOutEffects()
+	h.launch(conn, "query", 2000, "") // read before the first
 	for range 5 {
-		w.launch(conn, "seats", 4294967, ";at:s-00000001")
-		w.advance(namedGap / 2)
+		h.launch(conn, "seats", 4294967, ";at:s-00000001")
+		h.advance(adoptionIdleGap / 2)
 	}
-	gone := w.launch(conn, "query", 2000, "") // and one that is taken back meanwhile
-	w.setUps[gone].gone = true
-	back := message(platformproto.Stop, gone, 16)
-	if err := w.c.ReceiveFromClient(w.now, conn, &back); err != nil {
+	withdrawn := h.launch(conn, "query", 2000, "") // and one that is taken back meanwhile
+	h.records[withdrawn].withdrawn = true
+	withdrawal := newMessage(platformproto.Stop, withdrawn, 16)
+	if err := h.core.ReceiveFromClient(h.now, conn, &withdrawal); err != nil {
 		t.Fatal(err)
 	}
-	w.launch(conn, "query", 2000, "")
-	w.advance(namedGap)
+	h.launch(conn, "query", 2000, "")
+	h.advance(adoptionIdleGap)
 	if got := order(); got != "rrrrrAA" {
 		t.Errorf("the module was told %s", got)
 	}
-	w.launch(conn, "query", 2000, "")
+	h.launch(conn, "query", 2000, "")
 	if got := order(); got != "A" {
 		t.Errorf("the module was told %q of a set-up alone", got)
 	}
-	w.launch(conn, "query", 3000, "")
+	h.launch(conn, "query", 3000, "")
 	order()
-	for i := range int(2 * handover / namedGap) {
-		w.launch(conn, "seats", 4294967, ";at:s-00000001")
+	for i := range int(2 * adoptionMaxWait / adoptionIdleGap) {
+		h.launch(conn, "seats", 4294967, ";at:s-00000001")
 		if i == 0 {
-			w.launch(conn, "query", 100, "") // is answered in its time all the same
+			h.launch(conn, "query", 100, "") // is answered in its time all the same
 		}
-		w.launch(conn, "query", 3000, "")
-		w.advance(namedGap / 2)
+		h.launch(conn, "query", 3000, "")
+		h.advance(adoptionIdleGap / 2)
 	}
 	if got := order(); !strings.HasSuffix(got, "rArA") || strings.Index(got, "A") > 6 {
 		t.Errorf("long after the first test the module was told %s", got)
@@ -612,8 +612,8 @@
 
 // TestReleaseThatCrossesTheEndOfItsConnection: a release, or a move, sent on a connection that its owner closes at that moment was told to
 // nobody. One that was heard, or that went out long ago to an owner that does not say what it hears, is not sent again.
-func TestReleaseThatCrossesTheEndOfItsConnection(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestRedeliveryAfterDisconnect(t *testing.T) {
+	for name, tc := range map[string]struct {
 		says, heard, move, other bool
 		after                    float64
 		want                     int
@@ -627,88 +627,88 @@
 		"a move long ago":                  {says: true, move: true, after: 1.5, want: 0},
 		"longer ago than anything is owed": {says: true, after: 9, want: 0},
 	} {
-		w, _, o := standing(t, "seats")
-		accept(w, o)
-		say := func(conn ConnID, m platformproto.Message) {
-			if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
+		h, _, attempt := sentAttempt(t, "seats")
+		accept(h, attempt)
+		send := func(conn ConnID, msg platformproto.Message) {
+			if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if c.says {
-			say(1, message(platformproto.Stopped, 99, -1))
+		if tc.says {
+			send(1, newMessage(platformproto.Stopped, 99, -1))
 		}
-		if c.move {
-			w.c.act(&placer.Action{Kind: placer.Migrate, Task: o.t.id})
-			m := message(platformproto.Stop, o.Message.ID, platformproto.CauseCancelled)
-			w.c.ReceiveFromNode(w.now, o.Node, &m)
+		if tc.move {
+			h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+			msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseCancelled)
+			h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 		} else {
-			m := message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd)
-			w.c.ReceiveFromNode(w.now, o.Node, &m)
+			msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd)
+			h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 		}
-		if c.heard {
-			say(1, message(platformproto.Stopped, o.Message.ID, -1))
+		if tc.heard {
+			send(1, newMessage(platformproto.Stopped, attempt.Message.ID, -1))
 		}
-		w.c.Ready()
-		w.c.Advance(w.now + c.after)
-		w.now += c.after
+		h.core.Ready()
+		h.core.Advance(h.now + tc.after)
+		h.now += tc.after
 		other := ConnID(0)
-		if c.other {
-			other = w.open()
-			say(other, message(platformproto.Check, 77, 0))
-			w.c.Ready()
+		if tc.other {
+			other = h.connect()
+			send(other, newMessage(platformproto.Check, 77, 0))
+			h.core.Ready()
 		}
-		w.c.ClientDisconnected(w.now, 1)
-		if !c.other {
-			other = w.open()
-			say(other, message(platformproto.Check, 77, 0))
+		h.core.ClientDisconnected(h.now, 1)
+		if !tc.other {
+			other = h.connect()
+			send(other, newMessage(platformproto.Check, 77, 0))
 		}
 		got := 0
-		for _, e := range w.c.Ready() {
-			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop && e.Message.ID == o.Message.ID && e.Conn == other {
+		for _, e := range h.core.Ready() {
+			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop && e.Message.ID == attempt.Message.ID && e.Conn == other {
 				got++
 			}
 		}
-		if got != c.want {
-			t.Errorf("%s: told %d times, want %d", name, got, c.want)
+		if got != tc.want {
+			t.Errorf("%s: told %d times, want %d", name, got, tc.want)
 		}
 	}
 }
 
 // TestSilentMachine: what stood at a machine that says nothing is over for its owner at once, and for the module once the machine has said so, or
 // nothing can be owed any more.
-func TestSilentMachine(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestUnresponsiveNode(t *testing.T) {
+	for name, tc := range map[string]struct {
 		cause int
 		as    placer.Result
 	}{"says that it ended it": {platformproto.CauseCancelled, placer.Cancelled}, "says that it had ended": {platformproto.CauseEnd, placer.Finished},
 		"never says anything": {-1, placer.Cancelled}} {
-		w, s, o := standing(t, "seats")
-		accept(w, o)
-		h := w.setUps[o.Message.ID]
-		events := len(s.events)
-		if n := w.c.NodeUnresponsive(w.now, o.Node); n != 1 {
+		h, policy, attempt := sentAttempt(t, "seats")
+		accept(h, attempt)
+		record := h.records[attempt.Message.ID]
+		events := len(policy.events)
+		if n := h.core.NodeUnresponsive(h.now, attempt.Node); n != 1 {
 			t.Fatalf("%s: %d tasks", name, n)
 		}
-		cut := false
-		out := w.c.Ready()
+		stopped := false
+		out := h.core.Ready()
 		for _, e := range out {
-			cut = cut || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
+			stopped = stopped || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
 		}
-		w.c.out = out
-		w.pump()
-		if h.releases != 1 || !cut || len(s.events) != events || w.c.RunningTasks() != 1 {
-			t.Errorf("%s: %+v, machine told %v, %d events, %d standing", name, h, cut, len(s.events)-events, w.c.RunningTasks())
+		h.core.effects = out
+		h.carryOutEffects()
+		if record.notifications != 1 || !stopped || len(policy.events) != events || h.core.RunningTasks() != 1 {
+			t.Errorf("%s: %+v, machine told %v, %d events, %d standing", name, record, stopped, len(policy.events)-events, h.core.RunningTasks())
 		}
-		if n := w.c.NodeUnresponsive(w.now, o.Node); n != 0 {
+		if n := h.core.NodeUnresponsive(h.now, attempt.Node); n != 0 {
 			t.Errorf("%s: %d tasks at the second time", name, n)
 		}
-		if c.cause >= 0 {
-			w.node(o, message(platformproto.Stop, o.Message.ID, c.cause))
+		if tc.cause >= 0 {
+			h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, tc.cause))
 		} else {
-			w.advance(owedFor + 0.01)
+			h.advance(notificationRetention + 0.01)
 		}
-		if h.releases != 1 || s.last().Kind != placer.Ended || s.last().Result != c.as || w.c.RunningTasks() != 0 {
-			t.Errorf("%s: %+v, last event %+v", name, h, s.last())
+		if record.notifications != 1 || policy.last().Kind != placer.Ended || policy.last().Result != tc.as || h.core.RunningTasks() != 0 {
+			t.Errorf("%s: %+v, last event %+v", name, record, policy.last())
 		}
 	}
 }
@@ -716,182 +716,182 @@
 // TestEndBeforeTheAnswer: a machine that sends a task away, evicts it or pushes it out had accepted it, though its answer is late: the task has
 // stood and is over. Its owner is told at once, no other attempt is made, and the late answer changes nothing. What broke on its way, or is
 // handed back as full, is tried elsewhere.
-func TestEndBeforeTheAnswer(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestTerminationBeforeTheAnswer(t *testing.T) {
+	for name, tc := range map[string]struct {
 		cause int
 		note  string
 		over  bool
 	}{"sent away": {platformproto.CauseReset, "drained", true}, "evicted": {platformproto.CauseReset, "oom", true}, "pushed out": {platformproto.CauseReset, "preempted", true},
 		"broke on its way": {platformproto.CauseReset, "", false}, "full": {platformproto.CauseFull, "drained", false}} {
-		w, s, o := standing(t, "query")
-		h := w.setUps[o.Message.ID]
-		m := message(platformproto.Stop, o.Message.ID, c.cause)
-		m.Set(platformproto.Note, c.note)
-		w.c.ReceiveFromNode(w.now, o.Node, &m)
-		var told []int
-		out := w.c.Ready()
+		h, policy, attempt := sentAttempt(t, "query")
+		record := h.records[attempt.Message.ID]
+		msg := newMessage(platformproto.Stop, attempt.Message.ID, tc.cause)
+		msg.Set(platformproto.Note, tc.note)
+		h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
+		var notified []int
+		out := h.core.Ready()
 		for _, e := range out {
 			if e.Kind == SendToClient {
-				told = append(told, e.Message.Reason)
+				notified = append(notified, e.Message.Cause)
 			}
 		}
-		w.c.out = out
-		w.pump()
-		bound := false
-		for _, ev := range s.events {
-			bound = bound || ev.Kind == placer.Bound
+		h.core.effects = out
+		h.carryOutEffects()
+		boundPosted := false
+		for _, ev := range policy.events {
+			boundPosted = boundPosted || ev.Kind == placer.Bound
 		}
-		if c.over != (len(told) == 1 && told[0] == platformproto.CauseReset) || bound != c.over || s.last().Final != c.over || h.answers != 1 {
-			t.Errorf("%s: owner told %v, module told that it stood %v, last event %+v", name, told, bound, s.last())
+		if tc.over != (len(notified) == 1 && notified[0] == platformproto.CauseReset) || boundPosted != tc.over || policy.last().Final != tc.over || record.answers != 1 {
+			t.Errorf("%s: owner told %v, module told that it stood %v, last event %+v", name, notified, boundPosted, policy.last())
 		}
-		accept(w, o)
-		if w.c.RunningTasks() != 0 || h.answers != 1 {
+		accept(h, attempt)
+		if h.core.RunningTasks() != 0 || record.answers != 1 {
 			t.Errorf("%s: stands after a late answer", name)
 		}
 	}
 }
 
-func TestTasksHeldAlready(t *testing.T) {
-	w := newWorld(t, nil)
-	conn := w.open()
-	id := w.launch(conn, "seats", 4294967, ";at:s-00000002")
-	if w.c.RunningTasks() != 1 || w.c.OpenRequests() != 0 {
+func TestAdoption(t *testing.T) {
+	h := newHarness(t, nil)
+	conn := h.connect()
+	id := h.launch(conn, "seats", 4294967, ";at:s-00000002")
+	if h.core.RunningTasks() != 1 || h.core.OpenRequests() != 0 {
 		t.Fatal("not taken over")
 	}
-	again := w.setUps[id]
-	w.ids--
-	w.launch(conn, "seats", 4294967, ";at:s-00000002") // named twice
-	w.setUps[id] = again
-	if w.c.RunningTasks() != 1 {
+	record := h.records[id]
+	h.lastID--
+	h.launch(conn, "seats", 4294967, ";at:s-00000002") // named twice
+	h.records[id] = record
+	if h.core.RunningTasks() != 1 {
 		t.Fatal("taken over twice")
 	}
-	w.c.ReceiveFromNode(w.now, NodeIDOf("s-00000002"), &platformproto.Message{Kind: platformproto.Stop, ID: id, Reason: 16, HasReason: true})
-	w.pump()
-	if again.releases != 1 || w.c.RunningTasks() != 0 {
-		t.Fatalf("%+v", again)
+	h.core.ReceiveFromNode(h.now, NodeIDOf("s-00000002"), &platformproto.Message{Kind: platformproto.Stop, ID: id, Cause: 16, HasCause: true})
+	h.carryOutEffects()
+	if record.notifications != 1 || h.core.RunningTasks() != 0 {
+		t.Fatalf("%+v", record)
 	}
 }
 
-func TestMachinesThatGoOrBeginAnew(t *testing.T) {
+func TestNodesThatTerminateOrRestart(t *testing.T) {
 	for name, ev := range map[string]string{
-		"terminated":  roster(2, false, target(1, "terminated", 0)),
-		"left out":    roster(2, true, target(2, "in_service", 0)),
-		"a new start": roster(2, false, target(1, "in_service", 2000_000)),
+		"terminated":  discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
+		"left out":    discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
+		"a new start": discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
-		w, s, o := standing(t, "query")
-		accept(w, o)
-		h := w.setUps[o.Message.ID]
-		w.now += 3
-		if _, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(ev)); err != nil {
+		h, policy, attempt := sentAttempt(t, "query")
+		accept(h, attempt)
+		record := h.records[attempt.Message.ID]
+		h.now += 3
+		if _, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(ev)); err != nil {
 			t.Fatal(err)
 		}
-		w.pump()
-		w.advance(TerminationGrace + 0.01)
-		if h.releases != 1 || s.last().Result != placer.Lost {
-			t.Errorf("%s: %+v, last event %+v", name, h, s.last())
+		h.carryOutEffects()
+		h.advance(TerminationGrace + 0.01)
+		if record.notifications != 1 || policy.last().Result != placer.Lost {
+			t.Errorf("%s: %+v, last event %+v", name, record, policy.last())
 		}
 	}
 }
 
-func TestBulletin(t *testing.T) {
-	w := newWorld(t, nil)
-	for _, c := range []struct {
+func TestDiscoveryEvents(t *testing.T) {
+	h := newHarness(t, nil)
+	for _, tc := range []struct {
 		ev      string
 		ok, bad bool
 		last    uint64
 	}{
-		{roster(2, false, target(4, "in_service", 0)), true, false, 2},
-		{roster(2, false, target(4, "terminated", 0)), true, false, 2},  // had already
-		{roster(4, false, target(4, "terminated", 0)), false, false, 2}, // a gap
-		{roster(3, false, target(4, "terminating", 0))[:40], false, true, 2},
-		{roster(3, false, target(4, "sleeping", 0)), false, true, 2},
+		{discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
+		{discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},  // had already
+		{discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2}, // a gap
+		{discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
+		{discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
 		{`{"no":3,"other":{}}`, true, false, 3},
-		{roster(4, false, target(4, "terminating", 0)), true, false, 4},
+		{discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
-		if ok, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(c.ev)); ok != c.ok || (err != nil) != c.bad || w.c.LastDiscoveryEvent() != c.last {
-			t.Errorf("%s: ok %v, %v, last %d", c.ev, ok, err, w.c.LastDiscoveryEvent())
-		}
-	}
-	if n := w.c.Node(NodeIDOf("s-00000004")); n.State != placer.Draining {
-		t.Errorf("state %d", n.State)
-	}
-}
-
-func TestSetUpsThatMakeNoSense(t *testing.T) {
-	w := newWorld(t, nil)
-	conn := w.open()
-	id := w.launch(conn, "query", 1000, "")
-	for name, change := range map[string]func(*platformproto.Message){
-		"class":        func(m *platformproto.Message) { m.Set(platformproto.Class, "gold") },
-		"tenant":       func(m *platformproto.Message) { m.Set(platformproto.Tenant, "north") },
-		"key":          func(m *platformproto.Message) { m.Set(platformproto.Key, "x") },
-		"body":         func(m *platformproto.Message) { m.Body = "" },
-		"left":         func(m *platformproto.Message) { m.Set(platformproto.Left, "-1") },
-		"left long":    func(m *platformproto.Message) { m.Set(platformproto.Left, "8001") },
-		"left huge":    func(m *platformproto.Message) { m.Set(platformproto.Left, "1e300") },
-		"left NaN":     func(m *platformproto.Message) { m.Set(platformproto.Left, "NaN") },
-		"cores":        func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:-1;memory:1") },
-		"cores Inf":    func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:Inf;memory:1") },
-		"no memory":    func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1") },
-		"service":      func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;service:zz") },
-		"at":           func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:s-77777777") },
-		"an id in use": func(m *platformproto.Message) { m.ID, m.UID = id, fmt.Sprintf("%016x", uint64(id)) },
+		if ok, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(tc.ev)); ok != tc.ok || (err != nil) != tc.bad || h.core.LastDiscoveryEvent() != tc.last {
+			t.Errorf("%s: ok %v, %v, last %d", tc.ev, ok, err, h.core.LastDiscoveryEvent())
+		}
+	}
+	if node := h.core.Node(NodeIDOf("s-00000004")); node.State != placer.Draining {
+		t.Errorf("state %d", node.State)
+	}
+}
+
+func TestInvalidRequests(t *testing.T) {
+	h := newHarness(t, nil)
+	conn := h.connect()
+	id := h.launch(conn, "query", 1000, "")
+	for name, spoil := range map[string]func(*platformproto.Message){
+		"class":        func(msg *platformproto.Message) { msg.Set(platformproto.Class, "gold") },
+		"tenant":       func(msg *platformproto.Message) { msg.Set(platformproto.Tenant, "north") },
+		"key":          func(msg *platformproto.Message) { msg.Set(platformproto.Key, "x") },
+		"body":         func(msg *platformproto.Message) { msg.Body = "" },
+		"left":         func(msg *platformproto.Message) { msg.Set(platformproto.TimeLeft, "-1") },
+		"left long":    func(msg *platformproto.Message) { msg.Set(platformproto.TimeLeft, "8001") },
+		"left huge":    func(msg *platformproto.Message) { msg.Set(platformproto.TimeLeft, "1e300") },
+		"left NaN":     func(msg *platformproto.Message) { msg.Set(platformproto.TimeLeft, "NaN") },
+		"cores":        func(msg *platformproto.Message) { msg.Set(platformproto.Extras, "cores:-1;memory:1") },
+		"cores Inf":    func(msg *platformproto.Message) { msg.Set(platformproto.Extras, "cores:Inf;memory:1") },
+		"no memory":    func(msg *platformproto.Message) { msg.Set(platformproto.Extras, "cores:1") },
+		"service":      func(msg *platformproto.Message) { msg.Set(platformproto.Extras, "cores:1;memory:1;service:zz") },
+		"at":           func(msg *platformproto.Message) { msg.Set(platformproto.Extras, "cores:1;memory:1;at:s-77777777") },
+		"an id in use": func(msg *platformproto.Message) { msg.ID, msg.UID = id, fmt.Sprintf("%016x", uint64(id)) },
 	} {
-		m := w.setUpMessage(99)
-		change(&m)
-		other := w.open()
-		err := w.c.ReceiveFromClient(w.now, other, &m)
-		out := w.c.Ready()
-		if err == nil || len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Reason != platformproto.CauseError {
+		msg := h.launchMessage(99)
+		spoil(&msg)
+		other := h.connect()
+		err := h.core.ReceiveFromClient(h.now, other, &msg)
+		out := h.core.Ready()
+		if err == nil || len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Cause != platformproto.CauseError {
 			t.Errorf("%s: %v, %+v", name, err, out)
 		}
 	}
-	if w.c.OpenRequests() != 1 {
-		t.Errorf("%d open", w.c.OpenRequests())
+	if h.core.OpenRequests() != 1 {
+		t.Errorf("%d open", h.core.OpenRequests())
 	}
 }
 
-func (w *world) setUpMessage(id platformproto.ID) platformproto.Message {
-	m := message(platformproto.Launch, id, -1)
-	m.Body = `"in"`
-	for f, v := range map[platformproto.Field]string{platformproto.Class: "query", platformproto.Tenant: "south", platformproto.Key: m.UID, platformproto.Left: "1000",
+func (h *harness) launchMessage(id platformproto.ID) platformproto.Message {
+	msg := newMessage(platformproto.Launch, id, -1)
+	msg.Body = `"in"`
+	for f, v := range map[platformproto.Field]string{platformproto.Class: "query", platformproto.Tenant: "south", platformproto.Key: msg.UID, platformproto.TimeLeft: "1000",
 		platformproto.Extras: "cores:1;memory:1"} {
-		m.Set(f, v)
+		msg.Set(f, v)
 	}
-	return m
+	return msg
 }
 
 // TestChurn: thousands of machines, connections and tasks come and go, and all tables are back at their size.
 func TestChurn(t *testing.T) {
-	w := newWorld(t, nil)
+	h := newHarness(t, nil)
 	for i := range 3000 {
-		conn := w.open()
-		w.launch(conn, "query", 500, "")
-		for len(w.sends) > 0 {
-			w.start(0)
+		conn := h.connect()
+		h.launch(conn, "query", 500, "")
+		for len(h.pending) > 0 {
+			h.send(0)
 		}
-		for _, o := range w.outs {
-			accept(w, o)
+		for _, attempt := range h.sent {
+			accept(h, attempt)
 			if i%2 == 0 {
-				w.node(o, message(platformproto.Stop, o.Message.ID, platformproto.CauseEnd))
+				h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd))
 			}
 		}
-		w.outs, w.stands = nil, w.outs // of earlier ones the machine is gone
-		w.no++
-		if _, err := w.c.ReceiveDiscoveryEvent(w.now, []byte(roster(w.no, false, target(i+4, "in_service", 0), target(i+1, "terminated", 0)))); err != nil {
+		h.sent, h.running = nil, h.sent // of earlier ones the machine is gone
+		h.lastEvent++
+		if _, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(discoveryEventJSON(h.lastEvent, false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0)))); err != nil {
 			t.Fatal(err)
 		}
-		w.advance(0.2)
-		w.c.ClientDisconnected(w.now, conn)
-		w.pump()
+		h.advance(0.2)
+		h.core.ClientDisconnected(h.now, conn)
+		h.carryOutEffects()
 	}
-	w.conns = nil
-	w.settle()
-	w.advance(forgetAfter)
-	if n := len(w.c.nodes); n > 4 {
+	h.conns = nil
+	h.settle()
+	h.advance(terminatedNodeRetention)
+	if n := len(h.core.nodes); n > 4 {
 		t.Errorf("%d machines are still known", n)
 	}
-	if n := w.c.timers.Len(); n > 20 {
+	if n := h.core.timers.Len(); n > 20 {
 		t.Errorf("%d timers", n)
 	}
 }
@@ -905,85 +905,85 @@
 		"\"extras\":\"cores:0;memory:0;;x\"},\"body\":\"\"}\n{\"kind\":\"update\",\"uid\":\"0000000000000002\",\"meta\":{\"note\":\"cpu\",\"value\":\"NaN\"}}\n" +
 		"{\"kind\":\"migrate\",\"uid\":\"0000000000000002\"}")
 	f.Fuzz(func(t *testing.T, text string) {
-		w := newWorld(t, nil)
-		conn := w.open()
+		h := newHarness(t, nil)
+		conn := h.connect()
 		for line := range strings.SplitSeq(text, "\n") {
-			var m platformproto.Message
-			if platformproto.Parse([]byte(line), &m) != nil {
+			var msg platformproto.Message
+			if platformproto.Parse([]byte(line), &msg) != nil {
 				continue
 			}
-			w.c.ReceiveFromClient(w.now, conn, &m)
-			for _, e := range w.c.Ready() {
+			h.core.ReceiveFromClient(h.now, conn, &msg)
+			for _, e := range h.core.Ready() {
 				if e.Kind == SendAttempt {
-					w.c.PrepareSend(w.now, e.Attempt)
+					h.core.PrepareSend(h.now, e.Attempt)
 				}
 			}
 			for i := 1; i <= 3; i++ {
-				w.c.ReceiveFromNode(w.now, NodeIDOf(fmt.Sprintf("s-%08x", i)), &m)
+				h.core.ReceiveFromNode(h.now, NodeIDOf(fmt.Sprintf("s-%08x", i)), &msg)
 			}
-			w.c.Ready()
-			w.now += 0.1
+			h.core.Ready()
+			h.now += 0.1
 		}
-		w.c.ClientDisconnected(w.now, conn)
+		h.core.ClientDisconnected(h.now, conn)
 		for i := 1; i <= 3; i++ {
-			w.c.NodeDead(w.now, NodeIDOf(fmt.Sprintf("s-%08x", i)))
+			h.core.NodeDead(h.now, NodeIDOf(fmt.Sprintf("s-%08x", i)))
 		}
-		for end := w.now + 20; w.c.NextTimer() < end; {
-			w.now = max(w.now, w.c.NextTimer())
-			w.c.Advance(w.now)
-			w.c.Ready()
+		for until := h.now + 20; h.core.NextTimer() < until; {
+			h.now = max(h.now, h.core.NextTimer())
+			h.core.Advance(h.now)
+			h.core.Ready()
 		}
-		if c := w.c; c.OpenRequests() != 0 || c.RunningTasks() != 0 || len(c.tasks) != 0 || len(c.byID) != 0 || len(c.places) != 0 {
-			t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places", c.OpenRequests(), c.RunningTasks(), len(c.tasks), len(c.byID), len(c.places))
+		if core := h.core; core.OpenRequests() != 0 || core.RunningTasks() != 0 || len(core.requests) != 0 || len(core.requestsByID) != 0 || len(core.attempts) != 0 {
+			t.Fatalf("left: %d open, %d standing, %d tasks, %d ids, %d places", core.OpenRequests(), core.RunningTasks(), len(core.requests), len(core.requestsByID), len(core.attempts))
 		}
 	})
 }
 
 // TestTooManyTasks: what is held is bounded, and the bound lets go with what was held.
 func TestTooManyTasks(t *testing.T) {
-	w := newWorld(t, &script{})
-	conn := w.open()
+	h := newHarness(t, &scriptedPlacer{})
+	conn := h.connect()
 	for range maxTasks {
-		w.launch(conn, "query", 1000, ";at:s-00000001")
+		h.launch(conn, "query", 1000, ";at:s-00000001")
 	}
-	refused := func() bool {
-		m := w.setUpMessage(platformproto.ID(1e6))
-		if err := w.c.ReceiveFromClient(w.now, conn, &m); err != nil {
+	rejected := func() bool {
+		msg := h.launchMessage(platformproto.ID(1e6))
+		if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 			t.Fatal(err)
 		}
-		out := w.c.Ready()
-		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Reason == platformproto.CauseBusy
+		out := h.core.Ready()
+		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Cause == platformproto.CauseBusy
 	}
-	if !refused() {
+	if !rejected() {
 		t.Fatal("one too many was taken")
 	}
-	w.c.NodeDead(w.now, NodeIDOf("s-00000001"))
-	w.pump()
-	if refused() {
+	h.core.NodeDead(h.now, NodeIDOf("s-00000001"))
+	h.carryOutEffects()
+	if rejected() {
 		t.Fatal("refused after all have gone")
 	}
 }
 
 // TestWaitsBelowTheClocksGrain: a wait too short for a clock of this size must not bring the same moment back for ever.
-func TestWaitsBelowTheClocksGrain(t *testing.T) {
+func TestDelaysBelowClockResolution(t *testing.T) {
 	const now = 1.8e9 // Unix seconds: the grain is 2.4e-7
 	for _, after := range []float64{0, 1e-9} {
-		wakes := 0
-		c := &Core{s: &simconfig.Settings{}, now: now}
-		c.module = eventqueue.Queue{Execute: c.act, Placer: decide(func(ev placer.Event) []placer.Action {
-			if wakes++; wakes > 1000 {
-				t.Fatalf("woken %d times in one moment, waits of %g s", wakes, after)
+		wakeups := 0
+		core := &Core{settings: &simconfig.Settings{}, now: now}
+		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(ev placer.Event) []placer.Action {
+			if wakeups++; wakeups > 1000 {
+				t.Fatalf("woken %d times in one moment, waits of %g s", wakeups, after)
 			}
 			return []placer.Action{{Kind: placer.SetTimer, After: after}}
 		})}
-		c.post(placer.Event{Kind: placer.TimerFired})
-		c.run()
-		c.Advance(now)
+		core.post(placer.Event{Kind: placer.TimerFired})
+		core.runEvents()
+		core.Advance(now)
 	}
 }
 
-type decide func(placer.Event) []placer.Action
+type placerFunc func(placer.Event) []placer.Action
 
-func (d decide) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
-	return append(actions, d(ev)...)
+func (f placerFunc) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
+	return append(actions, f(ev)...)
 }
--- a/internal/dispatch/offers.go
+++ b/internal/dispatch/offers.go
@@ -10,380 +10,380 @@
 	"heathshed/placer"
 )
 
-// offer begins an attempt.
-func (c *Core) offer(t *task, a *placer.Action) {
-	o := &Attempt{Node: a.Node, Message: t.toNode(), t: t, attempt: len(t.offers), until: a.Until, sent: c.now}
-	if a.Until <= 0 || a.Until > t.deadline {
-		o.until = t.deadline
+// startAttempt begins an attempt.
+func (c *Core) startAttempt(req *request, action *placer.Action) {
+	attempt := &Attempt{Node: action.Node, Message: req.launchMessage(), request: req, number: len(req.attempts), expiresAt: action.Until, createdAt: c.now}
+	if action.Until <= 0 || action.Until > req.deadline {
+		attempt.expiresAt = req.deadline
 	}
-	t.offers = append(t.offers, o)
+	req.attempts = append(req.attempts, attempt)
 	c.Counts.Attempts++
-	if t.over || o.until <= c.now || len(t.offers) > c.s.Placer.MaxAttempts || c.nodes[a.Node] == nil {
-		o.state = givenUp
-		c.done(o, placer.Expired, placer.NoReason, nil)
+	if req.closed || attempt.expiresAt <= c.now || len(req.attempts) > c.settings.Placer.MaxAttempts || c.nodes[action.Node] == nil {
+		attempt.state = attemptAbandoned
+		c.postAttemptEnded(attempt, placer.Expired, placer.NoReason, nil)
 		return
 	}
-	c.places[place{o.Node, t.m.ID}] = o
-	o.timer = c.timers.Add(o.until, func() {
-		if o.state == waiting {
+	c.attempts[attemptKey{attempt.Node, req.message.ID}] = attempt
+	attempt.timer = c.timers.Add(attempt.expiresAt, func() {
+		if attempt.state == attemptPending {
 			// Its connection did not come up in time: it never left.
-			c.unsent(o, placer.Unreachable)
+			c.endUnsentAttempt(attempt, placer.Unreachable)
 			return
 		}
-		c.giveUp(o, placer.TimedOut, true)
+		c.abandonAttempt(attempt, placer.TimedOut, true)
 	})
-	c.out = append(c.out, Effect{Kind: SendAttempt, Attempt: o})
+	c.effects = append(c.effects, Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
 // PrepareSend looks at an offer again before its first byte goes out, and fills in how long it may take. Where it says false the offer must not
 // be sent, and nothing more is to be told of it.
-func (c *Core) PrepareSend(now float64, o *Attempt) bool {
-	c.tick(now)
-	if o.state != waiting {
+func (c *Core) PrepareSend(now float64, attempt *Attempt) bool {
+	c.setTime(now)
+	if attempt.state != attemptPending {
 		return false
 	}
-	n := c.nodes[o.Node]
-	if n == nil || n.State != placer.Ready || o.until <= c.now {
-		c.unsent(o, placer.Expired)
-		c.run()
+	node := c.nodes[attempt.Node]
+	if node == nil || node.State != placer.Ready || attempt.expiresAt <= c.now {
+		c.endUnsentAttempt(attempt, placer.Expired)
+		c.runEvents()
 		return false
 	}
-	o.Message.Set(platformproto.Left, strconv.Itoa(max(int((o.until-c.now)*1000), 1)))
-	o.state = out
+	attempt.Message.Set(platformproto.TimeLeft, strconv.Itoa(max(int((attempt.expiresAt-c.now)*1000), 1)))
+	attempt.state = attemptSent
 	return true
 }
 
 // ConnectFailed tells that no connection came up for an offer, so that it was never sent.
-func (c *Core) ConnectFailed(now float64, o *Attempt) {
-	c.tick(now)
-	if o.state == waiting {
+func (c *Core) ConnectFailed(now float64, attempt *Attempt) {
+	c.setTime(now)
+	if attempt.state == attemptPending {
 		c.Counts.ConnectFailures++
-		c.unsent(o, placer.Unreachable)
-		c.run()
+		c.endUnsentAttempt(attempt, placer.Unreachable)
+		c.runEvents()
 	}
 }
 
 // ConnectionLost tells that the connection ended on which an offer was sent. It proves nothing.
-func (c *Core) ConnectionLost(now float64, o *Attempt) {
-	c.tick(now)
-	if o.state == out {
+func (c *Core) ConnectionLost(now float64, attempt *Attempt) {
+	c.setTime(now)
+	if attempt.state == attemptSent {
 		c.Counts.ConnectionsLost++
-		o.state = givenUp // closing gave it up
-		c.linger(o)
-		c.done(o, placer.Lost, placer.NoReason, nil)
-		c.run()
+		attempt.state = attemptAbandoned // closing gave it up
+		c.retainAttempt(attempt)
+		c.postAttemptEnded(attempt, placer.Lost, placer.NoReason, nil)
+		c.runEvents()
 	}
 }
 
-// unsent ends an offer that never left.
-func (c *Core) unsent(o *Attempt, as placer.Result) {
-	c.forget(o)
-	if as == placer.Expired {
+// endUnsentAttempt ends an offer that never left.
+func (c *Core) endUnsentAttempt(attempt *Attempt, result placer.Result) {
+	c.removeAttempt(attempt)
+	if result == placer.Expired {
 		c.Counts.Expired++
 	}
-	c.done(o, as, placer.NoReason, nil)
+	c.postAttemptEnded(attempt, result, placer.NoReason, nil)
 }
 
-// giveUp ends an offer that was not answered. Its machine is told, and what it says afterwards is late.
-func (c *Core) giveUp(o *Attempt, as placer.Result, timedOut bool) {
-	if o.state == waiting {
-		c.unsent(o, placer.Expired)
+// abandonAttempt ends an offer that was not answered. Its machine is told, and what it says afterwards is late.
+func (c *Core) abandonAttempt(attempt *Attempt, result placer.Result, timedOut bool) {
+	if attempt.state == attemptPending {
+		c.endUnsentAttempt(attempt, placer.Expired)
 		return
 	}
 	if timedOut {
 		c.Counts.TimedOut++
 	}
-	o.state = givenUp
-	c.linger(o)
-	c.release(o, platformproto.CauseEnd, timedOut)
-	c.done(o, as, placer.NoReason, nil)
+	attempt.state = attemptAbandoned
+	c.retainAttempt(attempt)
+	c.stopTask(attempt, platformproto.CauseEnd, timedOut)
+	c.postAttemptEnded(attempt, result, placer.NoReason, nil)
 }
 
-// linger remembers an attempt that was given up for as long as its machine may speak of it.
-func (c *Core) linger(o *Attempt) {
-	c.timers.Stop(o.timer)
-	o.timer = c.timers.Add(c.now+c.s.Placer.UnknownOutcomeWait+lateFor, func() { c.forget(o) })
+// retainAttempt remembers an attempt that was given up for as long as its machine may speak of it.
+func (c *Core) retainAttempt(attempt *Attempt) {
+	c.timers.Stop(attempt.timer)
+	attempt.timer = c.timers.Add(c.now+c.settings.Placer.UnknownOutcomeWait+lateAnswerRetention, func() { c.removeAttempt(attempt) })
 }
 
-// forget takes an offer out of all that machines may speak of.
-func (c *Core) forget(o *Attempt) {
-	c.timers.Stop(o.timer)
-	if k := (place{o.Node, o.t.m.ID}); c.places[k] == o {
-		delete(c.places, k)
+// removeAttempt takes an offer out of all that machines may speak of.
+func (c *Core) removeAttempt(attempt *Attempt) {
+	c.timers.Stop(attempt.timer)
+	if key := (attemptKey{attempt.Node, attempt.request.message.ID}); c.attempts[key] == attempt {
+		delete(c.attempts, key)
 	}
-	if n := c.nodes[o.Node]; n != nil {
-		delete(n.standing, o)
+	if node := c.nodes[attempt.Node]; node != nil {
+		delete(node.running, attempt)
 	}
-	o.state = ended
+	attempt.state = attemptTerminated
 }
 
-// done tells the module how an attempt ended.
-func (c *Core) done(o *Attempt, as placer.Result, why placer.Reason, r *placer.Report) {
-	c.post(placer.Event{Kind: placer.Ended, TaskID: o.t.id, Attempt: o.attempt, Node: o.Node, Result: as, Reason: why,
-		Elapsed: c.now - o.sent, Final: o.t.over, Report: r})
+// postAttemptEnded tells the module how an attempt ended.
+func (c *Core) postAttemptEnded(attempt *Attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
+	c.post(placer.Event{Kind: placer.Ended, TaskID: attempt.request.taskID, Attempt: attempt.number, Node: attempt.Node, Result: result, Reason: reason,
+		Elapsed: c.now - attempt.createdAt, Final: attempt.request.closed, Report: report})
 }
 
-// release tells a machine that a task is given up, or is to end. Of one that stood the machine's word is waited for, but not for good.
-func (c *Core) release(o *Attempt, cause int, timedOut bool) {
-	if o.state == bound && !o.ending {
-		if o.t.moved {
-			c.timers.Add(c.now+movedWord, func() { c.unmoved(o) })
+// stopTask tells a machine that a task is given up, or is to end. Of one that stood the machine's word is waited for, but not for good.
+func (c *Core) stopTask(attempt *Attempt, cause int, timedOut bool) {
+	if attempt.state == attemptRunning && !attempt.terminating {
+		if attempt.request.migrating {
+			c.timers.Add(c.now+migrationConfirmTimeout, func() { c.notifyUnconfirmedMigration(attempt) })
 		}
-		o.timer = c.timers.Add(c.now+owedFor, func() { c.end(o, placer.Cancelled, placer.NoReason, nil, platformproto.CauseCancelled) })
+		attempt.timer = c.timers.Add(c.now+notificationRetention, func() { c.endTask(attempt, placer.Cancelled, placer.NoReason, nil, platformproto.CauseCancelled) })
 	}
-	o.ending = true
-	c.out = append(c.out, Effect{Kind: SendToNode, Attempt: o, TimedOut: timedOut, Message: reply(&o.t.m, platformproto.Stop, cause)})
+	attempt.terminating = true
+	c.effects = append(c.effects, Effect{Kind: SendToNode, Attempt: attempt, TimedOut: timedOut, Message: replyTo(&attempt.request.message, platformproto.Stop, cause)})
 }
 
 // ReceiveFromNode takes one message of a machine. What concerns nothing that is known there changes nothing.
-func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, m *platformproto.Message) {
-	c.tick(now)
-	o := c.places[place{node, m.ID}]
-	if o == nil || o.state == waiting {
-		if m.Kind == platformproto.Running || m.Kind == platformproto.Stop {
+func (c *Core) ReceiveFromNode(now float64, nodeID placer.NodeID, msg *platformproto.Message) {
+	c.setTime(now)
+	attempt := c.attempts[attemptKey{nodeID, msg.ID}]
+	if attempt == nil || attempt.state == attemptPending {
+		if msg.Kind == platformproto.Running || msg.Kind == platformproto.Stop {
 			c.Counts.UnknownTasks++
 		}
-		if o == nil && m.Kind == platformproto.Stop {
-			c.noteEnd(place{node, m.ID}, m.Reason)
+		if attempt == nil && msg.Kind == platformproto.Stop {
+			c.recordEarlyTermination(attemptKey{nodeID, msg.ID}, msg.Cause)
 		}
 		return
 	}
-	switch m.Kind {
+	switch msg.Kind {
 	case platformproto.Running:
-		c.accepted(o, m)
+		c.handleRunning(attempt, msg)
 	case platformproto.Stop:
-		c.stopped(o, m)
+		c.handleStop(attempt, msg)
 	case platformproto.Update:
-		if use := slices.Index(uses[:], m.Get(platformproto.Note)); use > 0 && o.state == bound && !o.t.over {
-			v, _ := strconv.ParseFloat(m.Get(platformproto.Value), 64)
-			c.post(placer.Event{Kind: placer.UsageReported, TaskID: o.t.id, Attempt: o.attempt, Node: node, Usage: placer.UsageKind(use), Value: v})
+		if kind := slices.Index(usageNotes[:], msg.Get(platformproto.Note)); kind > 0 && attempt.state == attemptRunning && !attempt.request.closed {
+			v, _ := strconv.ParseFloat(msg.Get(platformproto.Value), 64)
+			c.post(placer.Event{Kind: placer.UsageReported, TaskID: attempt.request.taskID, Attempt: attempt.number, Node: nodeID, Usage: placer.UsageKind(kind), Value: v})
 		}
 	}
-	c.run()
+	c.runEvents()
 }
 
-var uses = [...]string{"", "up", "cpu", "mem", "share", "tight"}
+var usageNotes = [...]string{"", "up", "cpu", "mem", "share", "tight"}
 
-var reasons = [...]string{"", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained"}
+var stopNotes = [...]string{"", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained"}
 
-func (c *Core) accepted(o *Attempt, m *platformproto.Message) {
-	t := o.t
-	if o.state == out && c.now > t.deadline+c.s.Placer.AnswerGrace {
-		c.giveUp(o, placer.TimedOut, false) // its timer is late, the owner waits no longer
-	}
-	switch o.state {
-	case out:
-		if m.Body == "" {
+func (c *Core) handleRunning(attempt *Attempt, msg *platformproto.Message) {
+	req := attempt.request
+	if attempt.state == attemptSent && c.now > req.deadline+c.settings.Placer.AnswerGrace {
+		c.abandonAttempt(attempt, placer.TimedOut, false) // its timer is late, the owner waits no longer
+	}
+	switch attempt.state {
+	case attemptSent:
+		if msg.Body == "" {
 			return // not an answer that could be passed on
 		}
-		c.timers.Stop(o.timer)
-		o.state, o.bound = bound, c.now
+		c.timers.Stop(attempt.timer)
+		attempt.state, attempt.runningSince = attemptRunning, c.now
 		c.Counts.Bound++
 		c.Counts.Placed++
-		c.open--
-		if ow := c.owners[t.conn]; ow != nil {
-			delete(ow.open, t)
-			ow.good = c.now
+		c.openRequests--
+		if client := c.clients[req.conn]; client != nil {
+			delete(client.openRequests, req)
+			client.lastPlacedAt = c.now
 		}
-		if n := c.nodes[o.Node]; n != nil {
-			n.standing[o] = struct{}{}
-			if n.State == placer.Gone {
-				c.expireTasks(n) // the list's word was first; no second one will come to end this task
+		if node := c.nodes[attempt.Node]; node != nil {
+			node.running[attempt] = struct{}{}
+			if node.State == placer.Terminated {
+				c.scheduleTaskExpiry(node) // the list's word was first; no second one will come to end this task
 			}
 		}
-		a := reply(&t.m, platformproto.Running, -1)
-		a.Body = m.Body
-		c.tell(t.conn, a)
-		c.post(placer.Event{Kind: placer.Bound, TaskID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
-	case givenUp:
+		answer := replyTo(&req.message, platformproto.Running, -1)
+		answer.Body = msg.Body
+		c.sendToClient(req.conn, answer)
+		c.post(placer.Event{Kind: placer.Bound, TaskID: req.taskID, Attempt: attempt.number, Node: attempt.Node, Elapsed: c.now - attempt.createdAt})
+	case attemptAbandoned:
 		c.Counts.LateAnswers++
 		// A copy of a task that may run twice, or one whose owner has gone, holds room for nobody: it is released at once. Of the others
 		// the owner asks the machines after a while, and names the scheduler that is to look after what they hold: cutting it meanwhile
 		// would undo a start that must not be made again.
-		if t.gone || c.s.Placer.Classes[t.class].Idempotency == placer.Idempotent {
-			c.release(o, platformproto.CauseEnd, false)
+		if req.withdrawn || c.settings.Placer.Classes[req.class].Idempotency == placer.Idempotent {
+			c.stopTask(attempt, platformproto.CauseEnd, false)
 		}
 	}
 }
 
-func (c *Core) stopped(o *Attempt, m *platformproto.Message) {
-	why := placer.Reason(max(slices.Index(reasons[:], m.Get(platformproto.Note)), 0))
-	r := c.report(m)
-	switch o.state {
-	case out:
-		c.forget(o)
-		switch m.Reason {
+func (c *Core) handleStop(attempt *Attempt, msg *platformproto.Message) {
+	reason := placer.Reason(max(slices.Index(stopNotes[:], msg.Get(platformproto.Note)), 0))
+	report := c.parseLoadReport(msg)
+	switch attempt.state {
+	case attemptSent:
+		c.removeAttempt(attempt)
+		switch msg.Cause {
 		case platformproto.CauseFull:
 			c.Counts.CapacityRejections++
-			c.done(o, placer.Rejected, why, r)
+			c.postAttemptEnded(attempt, placer.Rejected, reason, report)
 		case platformproto.CauseError:
 			c.Counts.NodeErrors++
-			c.done(o, placer.Errored, why, r)
+			c.postAttemptEnded(attempt, placer.Errored, reason, report)
 		case platformproto.CauseExpired:
 			c.Counts.Expired++
-			c.done(o, placer.Expired, why, r)
+			c.postAttemptEnded(attempt, placer.Expired, reason, report)
 		default:
 			c.Counts.ConnectionsLost++
-			if why == placer.Evicted || why == placer.Preempted || why == placer.Drained {
-				c.stood(o, m, why, r)
+			if reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained {
+				c.endAcceptedUnanswered(attempt, msg, reason, report)
 				return
 			}
-			c.done(o, placer.Lost, why, r)
+			c.postAttemptEnded(attempt, placer.Lost, reason, report)
 		}
-	case bound:
-		switch m.Reason {
+	case attemptRunning:
+		switch msg.Cause {
 		case platformproto.CauseEnd:
-			c.end(o, placer.Finished, why, r, m.Reason)
+			c.endTask(attempt, placer.Finished, reason, report, msg.Cause)
 		case platformproto.CauseCancelled:
-			c.end(o, placer.Cancelled, why, r, m.Reason)
+			c.endTask(attempt, placer.Cancelled, reason, report, msg.Cause)
 		default:
-			c.end(o, placer.Lost, why, r, m.Reason)
+			c.endTask(attempt, placer.Lost, reason, report, msg.Cause)
 		}
-	case givenUp:
-		c.forget(o)
-		c.noteEnd(place{o.Node, o.t.m.ID}, m.Reason)
+	case attemptAbandoned:
+		c.removeAttempt(attempt)
+		c.recordEarlyTermination(attemptKey{attempt.Node, attempt.request.message.ID}, msg.Cause)
 	}
 }
 
-// stood ends a set-up whose machine accepted it, though its answer has not come, and then evicted it, pushed it out or sent it away: what it has
+// endAcceptedUnanswered ends a set-up whose machine accepted it, though its answer has not come, and then evicted it, pushed it out or sent it away: what it has
 // not accepted, a machine hands back as full. The answer was lost or is late, the task has stood and is over, and that is its owner's to know,
 // who comes again; another attempt would have a task stand anew under an id that is over.
-func (c *Core) stood(o *Attempt, m *platformproto.Message, why placer.Reason, r *placer.Report) {
-	t := o.t
+func (c *Core) endAcceptedUnanswered(attempt *Attempt, msg *platformproto.Message, reason placer.Reason, report *placer.Report) {
+	req := attempt.request
 	c.Counts.TasksLost++
-	c.close(t)
-	if c.owners[t.conn] != nil {
-		c.tell(t.conn, reply(&t.m, platformproto.Stop, m.Reason))
+	c.closeRequest(req)
+	if c.clients[req.conn] != nil {
+		c.sendToClient(req.conn, replyTo(&req.message, platformproto.Stop, msg.Cause))
 	}
-	c.post(placer.Event{Kind: placer.Bound, TaskID: t.id, Attempt: o.attempt, Node: o.Node, Elapsed: c.now - o.sent})
-	c.done(o, placer.Lost, why, r)
-	c.drop(t)
+	c.post(placer.Event{Kind: placer.Bound, TaskID: req.taskID, Attempt: attempt.number, Node: attempt.Node, Elapsed: c.now - attempt.createdAt})
+	c.postAttemptEnded(attempt, placer.Lost, reason, report)
+	c.removeRequest(req)
 }
 
-// noteEnd keeps the word of an end for as long as its owner may yet name the task as one that stands here. After a start a machine tells on
+// recordEarlyTermination keeps the word of an end for as long as its owner may yet name the task as one that stands here. After a start a machine tells on
 // its first connection what ended while nobody was connected, and may be quicker than the owners with their thousands of tasks. A machine may
 // say a great many such things, so their number is bounded: the earliest go first.
-func (c *Core) noteEnd(p place, cause int) {
-	if _, twice := c.ends[p]; twice {
+func (c *Core) recordEarlyTermination(key attemptKey, cause int) {
+	if _, known := c.earlyTerminations[key]; known {
 		return
 	}
-	if len(c.endsBy) >= maxEnds {
-		delete(c.ends, c.endsBy[0])
-		c.endsBy = c.endsBy[1:]
+	if len(c.earlyTerminationOrder) >= maxEarlyTerminations {
+		delete(c.earlyTerminations, c.earlyTerminationOrder[0])
+		c.earlyTerminationOrder = c.earlyTerminationOrder[1:]
 	}
-	c.endsBy = append(c.endsBy, p)
-	c.ends[p] = gone{cause, c.now + owedFor}
-	if len(c.endsBy) == 1 {
-		c.timers.Add(c.now+owedFor, c.forgetEnds)
+	c.earlyTerminationOrder = append(c.earlyTerminationOrder, key)
+	c.earlyTerminations[key] = earlyTermination{cause, c.now + notificationRetention}
+	if len(c.earlyTerminationOrder) == 1 {
+		c.timers.Add(c.now+notificationRetention, c.expireEarlyTerminations)
 	}
 }
 
-// forgetEnds drops the words of ends that are too old to matter, so that none is held when nothing more comes.
-func (c *Core) forgetEnds() {
-	n := 0
-	for n < len(c.endsBy) && c.ends[c.endsBy[n]].until <= c.now {
-		delete(c.ends, c.endsBy[n])
-		n++
+// expireEarlyTerminations drops the words of ends that are too old to matter, so that none is held when nothing more comes.
+func (c *Core) expireEarlyTerminations() {
+	expired := 0
+	for expired < len(c.earlyTerminationOrder) && c.earlyTerminations[c.earlyTerminationOrder[expired]].expiresAt <= c.now {
+		delete(c.earlyTerminations, c.earlyTerminationOrder[expired])
+		expired++
 	}
-	c.endsBy = slices.Delete(c.endsBy, 0, n)
-	if len(c.endsBy) > 0 {
-		c.timers.Add(c.ends[c.endsBy[0]].until, c.forgetEnds)
+	c.earlyTerminationOrder = slices.Delete(c.earlyTerminationOrder, 0, expired)
+	if len(c.earlyTerminationOrder) > 0 {
+		c.timers.Add(c.earlyTerminations[c.earlyTerminationOrder[0]].expiresAt, c.expireEarlyTerminations)
 	}
 }
 
-// unmoved tells the owner of a task that was moved that it is over, where its machine has not confirmed that it ended by the move. When a
+// notifyUnconfirmedMigration tells the owner of a task that was moved that it is over, where its machine has not confirmed that it ended by the move. When a
 // task comes to its end at the moment of the move, its owner takes neither for the release that it is owed: on a day of vanishing machines
 // one of 129 moves crossed such an end, and the owner was told of nothing.
-func (c *Core) unmoved(o *Attempt) {
-	if o.state == bound && o.t.moved {
-		o.t.moved = false
-		c.toOwner(o.t, reply(&o.t.m, platformproto.Stop, platformproto.CauseCancelled))
+func (c *Core) notifyUnconfirmedMigration(attempt *Attempt) {
+	if attempt.state == attemptRunning && attempt.request.migrating {
+		attempt.request.migrating = false
+		c.notifyClient(attempt.request, replyTo(&attempt.request.message, platformproto.Stop, platformproto.CauseCancelled))
 	}
 }
 
-// end closes a task that stood. Its owner is told, but for one that ended it itself, or was told of a move that the machine confirms.
-func (c *Core) end(o *Attempt, as placer.Result, why placer.Reason, r *placer.Report, cause int) {
-	t := o.t
-	c.forget(o)
+// endTask closes a task that stood. Its owner is told, but for one that ended it itself, or was told of a move that the machine confirms.
+func (c *Core) endTask(attempt *Attempt, result placer.Result, reason placer.Reason, report *placer.Report, cause int) {
+	req := attempt.request
+	c.removeAttempt(attempt)
 	c.Counts.TasksEnded++
-	if as == placer.Lost {
+	if result == placer.Lost {
 		c.Counts.TasksLost++
 	}
-	if !t.over || t.moved && cause != platformproto.CauseCancelled {
-		t.over = true
-		c.toOwner(t, reply(&t.m, platformproto.Stop, cause))
+	if !req.closed || req.migrating && cause != platformproto.CauseCancelled {
+		req.closed = true
+		c.notifyClient(req, replyTo(&req.message, platformproto.Stop, cause))
 	}
-	c.done(o, as, why, r)
-	c.drop(t)
+	c.postAttemptEnded(attempt, result, reason, report)
+	c.removeRequest(req)
 }
 
-// report reads a load report, nil if none came.
-func (c *Core) report(m *platformproto.Message) *placer.Report {
-	text := m.Get(platformproto.Load)
+// parseLoadReport reads a load report, nil if none came.
+func (c *Core) parseLoadReport(msg *platformproto.Message) *placer.Report {
+	text := msg.Get(platformproto.LoadReport)
 	if text == "" {
 		return nil
 	}
-	r := simconfig.NoReport()
-	some := false
+	report := simconfig.NoReport()
+	known := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
-		if v, err := strconv.ParseFloat(value, 64); err == nil && slices.Contains(c.s.ReportFields, name) {
-			simconfig.SetReportField(&r, name, v)
-			some = true
+		if amount, err := strconv.ParseFloat(value, 64); err == nil && slices.Contains(c.settings.ReportFields, name) {
+			simconfig.SetReportField(&report, name, amount)
+			known = true
 		}
 	}
-	if !some {
+	if !known {
 		return nil
 	}
-	return &r
+	return &report
 }
 
-// expireTasks takes what stands at a machine that has gone for lost, once it has stayed away for a moment: its own word of its tasks comes by
+// scheduleTaskExpiry takes what stands at a machine that has gone for lost, once it has stayed away for a moment: its own word of its tasks comes by
 // its connections and says more than the list's.
-func (c *Core) expireTasks(n *Node) {
-	if len(n.standing) == 0 {
+func (c *Core) scheduleTaskExpiry(node *Node) {
+	if len(node.running) == 0 {
 		return
 	}
-	at := n.toldAt
-	if n.lostAt == at {
+	terminatedAt := node.stateChangedAt
+	if node.expiryScheduledFor == terminatedAt {
 		return // is looked after
 	}
-	n.lostAt = at
-	c.timers.Add(max(c.now, at+TerminationGrace), func() {
-		n.lostAt = 0
-		if n.State == placer.Gone && n.toldAt == at {
-			c.NodeDead(c.now, n.ID)
+	node.expiryScheduledFor = terminatedAt
+	c.timers.Add(max(c.now, terminatedAt+TerminationGrace), func() {
+		node.expiryScheduledFor = 0
+		if node.State == placer.Terminated && node.stateChangedAt == terminatedAt {
+			c.NodeDead(c.now, node.ID)
 		}
 	})
 }
 
-// expireNode takes a machine that has gone for good out of the books.
-func (c *Core) expireNode(n *Node) {
-	if n.leaving {
+// scheduleNodeRemoval takes a machine that has gone for good out of the books.
+func (c *Core) scheduleNodeRemoval(node *Node) {
+	if node.removalScheduled {
 		return
 	}
-	n.leaving = true
-	c.timers.Add(max(n.toldAt+forgetAfter, c.now+TerminationGrace), func() {
-		n.leaving = false
+	node.removalScheduled = true
+	c.timers.Add(max(node.stateChangedAt+terminatedNodeRetention, c.now+TerminationGrace), func() {
+		node.removalScheduled = false
 		switch {
-		case n.State != placer.Gone:
-		case len(n.standing) > 0 || n.toldAt+forgetAfter > c.now:
-			c.expireNode(n)
+		case node.State != placer.Terminated:
+		case len(node.running) > 0 || node.stateChangedAt+terminatedNodeRetention > c.now:
+			c.scheduleNodeRemoval(node)
 		default:
-			delete(c.nodes, n.ID)
+			delete(c.nodes, node.ID)
 		}
 	})
 }
 
 // NodeDead ends all that stands at a machine whose process has ended, or that has gone.
 func (c *Core) NodeDead(now float64, id placer.NodeID) {
-	c.tick(now)
-	if n := c.nodes[id]; n != nil {
-		for _, o := range n.tasks() {
-			c.end(o, placer.Lost, placer.NoReason, nil, causeLost)
+	c.setTime(now)
+	if node := c.nodes[id]; node != nil {
+		for _, attempt := range node.runningAttempts() {
+			c.endTask(attempt, placer.Lost, placer.NoReason, nil, causeLost)
 		}
 	}
-	c.run()
+	c.runEvents()
 }
 
 // NodeUnresponsive gives up all that stands at a machine that says nothing, and returns how much that is. Owners are told at once. But the tasks may
@@ -391,21 +391,21 @@
 // says that it did, or for as long as a release is owed. Else it would count a service's room as free that a machine about to come back has in
 // use, and break the limit on how many of a service run in one place.
 func (c *Core) NodeUnresponsive(now float64, id placer.NodeID) (tasks int) {
-	c.tick(now)
-	if n := c.nodes[id]; n != nil {
-		for _, o := range n.tasks() {
-			if o.ending {
+	c.setTime(now)
+	if node := c.nodes[id]; node != nil {
+		for _, attempt := range node.runningAttempts() {
+			if attempt.terminating {
 				continue
 			}
 			tasks++
 			c.Counts.TasksLost++
-			if !o.t.over {
-				o.t.over = true
-				c.toOwner(o.t, reply(&o.t.m, platformproto.Stop, causeLost))
+			if !attempt.request.closed {
+				attempt.request.closed = true
+				c.notifyClient(attempt.request, replyTo(&attempt.request.message, platformproto.Stop, causeLost))
 			}
-			c.release(o, platformproto.CauseCancelled, false)
+			c.stopTask(attempt, platformproto.CauseCancelled, false)
 		}
 	}
-	c.run()
+	c.runEvents()
 	return tasks
 }
--- a/internal/emulator/inventory.go
+++ b/internal/emulator/inventory.go
@@ -20,195 +20,195 @@
 
 // InventoryOptions describe a stand-in inventory.
 type InventoryOptions struct {
-	Listen      string
-	Late        float64 // seconds after which what machines report is shown
-	SilentAfter float64 // a machine that has not reported for so long is shown as not ready
-	RemoveAfter float64 // and for so long is taken out; 0 never
-	History     int
+	Listen            string
+	PublishDelay      float64 // seconds after which what machines report is shown
+	UnresponsiveAfter float64 // a machine that has not reported for so long is shown as not ready
+	RemoveAfter       float64 // and for so long is taken out; 0 never
+	History           int
 	// Tap, if set, is told how each machine is shown, and of cuts.
-	Tap func(audit.Event)
+	OnEvent func(audit.Event)
 }
 
 // Inventory lists the machines that report to it.
 type Inventory struct {
-	o      InventoryOptions
-	l      *eventloop.Loop
-	http   *httpd.Server
-	api    *api.Server
-	st     *store.Store
-	addr   string
-	seen   map[string]float64
-	last   map[string]*corev1.Node
-	hidden map[string]bool
-	empty  float64
-	cut    float64
-	shown  int64
+	options          InventoryOptions
+	loop             *eventloop.Loop
+	server           *httpd.Server
+	api              *api.Server
+	store            *store.Store
+	addr             string
+	reportedAt       map[string]float64
+	reported         map[string]*corev1.Node
+	hidden           map[string]bool
+	emptyUntil       float64
+	unreachableUntil float64
+	shownRevision    int64
 }
 
 // StartInventory puts an inventory on a socket.
-func StartInventory(l *eventloop.Loop, o InventoryOptions) (*Inventory, error) {
-	if o.SilentAfter <= 0 {
-		o.SilentAfter = 2
+func StartInventory(loop *eventloop.Loop, options InventoryOptions) (*Inventory, error) {
+	if options.UnresponsiveAfter <= 0 {
+		options.UnresponsiveAfter = 2
 	}
-	if o.History <= 0 {
-		o.History = 5000
+	if options.History <= 0 {
+		options.History = 5000
 	}
-	v := &Inventory{o: o, l: l, addr: o.Listen, st: store.New(int64(l.Now()*1e6), o.History), seen: map[string]float64{},
-		last: map[string]*corev1.Node{}, hidden: map[string]bool{}}
-	v.api = &api.Server{Store: v.st, Version: "standin"}
-	if err := v.listen(); err != nil {
+	inv := &Inventory{options: options, loop: loop, addr: options.Listen, store: store.New(int64(loop.Now()*1e6), options.History), reportedAt: map[string]float64{},
+		reported: map[string]*corev1.Node{}, hidden: map[string]bool{}}
+	inv.api = &api.Server{Store: inv.store, Version: "standin"}
+	if err := inv.listen(); err != nil {
 		return nil, err
 	}
 	var check func()
 	check = func() {
-		v.check()
-		l.After(0.25, check)
+		inv.checkUnresponsive()
+		loop.After(0.25, check)
 	}
-	l.After(0.25, check)
-	return v, nil
+	loop.After(0.25, check)
+	return inv, nil
 }
 
-func (v *Inventory) listen() error {
-	opt := httpd.DefaultOptions()
-	opt.IdleWithin = 600
-	srv, err := httpd.Listen(v.l, v.addr, opt, v.serve)
+func (inv *Inventory) listen() error {
+	serverOptions := httpd.DefaultOptions()
+	serverOptions.IdleTimeoutSeconds = 600
+	server, err := httpd.Listen(inv.loop, inv.addr, serverOptions, inv.serve)
 	if err != nil {
 		return fmt.Errorf("inventory: %w", err)
 	}
-	v.http, v.addr = srv, srv.Addr()
+	inv.server, inv.addr = server, server.Addr()
 	return nil
 }
 
 // Addr is where the inventory listens.
-func (v *Inventory) Addr() string { return v.addr }
+func (inv *Inventory) Addr() string { return inv.addr }
 
-func (v *Inventory) serve(x *httpd.Exchange) {
-	path, _, _ := strings.Cut(x.Head.Target, "?")
+func (inv *Inventory) serve(exchange *httpd.Exchange) {
+	path, _, _ := strings.Cut(exchange.Head.Target, "?")
 	switch {
-	case x.Head.Method == "PUT" && strings.HasPrefix(path, "/api/v1/nodes/") && strings.HasSuffix(path, "/status"):
-		o := &corev1.Node{}
-		if err := json.Unmarshal(x.Body, o); err != nil || o.Name == "" || len(o.Status.Conditions) == 0 {
-			x.Respond(status(400, "BadRequest", "want a Node with a name and conditions"))
+	case exchange.Head.Method == "PUT" && strings.HasPrefix(path, "/api/v1/nodes/") && strings.HasSuffix(path, "/status"):
+		node := &corev1.Node{}
+		if err := json.Unmarshal(exchange.Body, node); err != nil || node.Name == "" || len(node.Status.Conditions) == 0 {
+			exchange.Respond(statusResponse(400, "BadRequest", "want a Node with a name and conditions"))
 			return
 		}
-		x.Respond(http1.Response{Status: 204})
-		v.l.After(v.o.Late, func() { v.report(o) })
-	case x.Head.Method == "PUT" && path == "/heathshed/faults":
-		var f fault.Inventory
-		if err := json.Unmarshal(x.Body, &f); err != nil {
-			x.Respond(status(400, "BadRequest", "faults: "+err.Error()))
+		exchange.Respond(http1.Response{Status: 204})
+		inv.loop.After(inv.options.PublishDelay, func() { inv.report(node) })
+	case exchange.Head.Method == "PUT" && path == "/heathshed/faults":
+		var ordered fault.Inventory
+		if err := json.Unmarshal(exchange.Body, &ordered); err != nil {
+			exchange.Respond(statusResponse(400, "BadRequest", "faults: "+err.Error()))
 			return
 		}
-		x.Respond(http1.Response{Status: 204})
-		v.Fault(f)
+		exchange.Respond(http1.Response{Status: 204})
+		inv.Fault(ordered)
 	default:
-		x.Respond(v.api.Serve(v.l.Now(), &x.Request))
+		exchange.Respond(inv.api.Serve(inv.loop.Now(), &exchange.Request))
 	}
 }
 
 // report shows what a machine says of itself.
-func (v *Inventory) report(o *corev1.Node) {
-	v.seen[o.Name] = v.l.Now()
-	v.last[o.Name] = o
-	v.show(o, true)
-	v.kick()
+func (inv *Inventory) report(node *corev1.Node) {
+	inv.reportedAt[node.Name] = inv.loop.Now()
+	inv.reported[node.Name] = node
+	inv.publish(node, true)
+	inv.notifyWatchers()
 }
 
-func (v *Inventory) tap(what, node string) {
-	if v.o.Tap != nil {
-		v.o.Tap(audit.Event{At: v.l.Now(), What: what, Node: node})
+func (inv *Inventory) record(kind, node string) {
+	if inv.options.OnEvent != nil {
+		inv.options.OnEvent(audit.Event{At: inv.loop.Now(), Kind: kind, Node: node})
 	}
 }
 
-func (v *Inventory) show(o *corev1.Node, ready bool) {
-	if v.hidden[o.Name] || v.l.Now() < v.empty {
-		if v.st.Delete(store.Nodes, "", o.Name) {
-			v.tap(audit.ListedGone, o.Name)
+func (inv *Inventory) publish(node *corev1.Node, ready bool) {
+	if inv.hidden[node.Name] || inv.loop.Now() < inv.emptyUntil {
+		if inv.store.Delete(store.Nodes, "", node.Name) {
+			inv.record(audit.ListedUnavailable, node.Name)
 		}
 		return
 	}
-	switch was, _ := v.st.Get(store.Nodes, "", o.Name).(*corev1.Node); {
+	switch previous, _ := inv.store.Get(store.Nodes, "", node.Name).(*corev1.Node); {
 	case !ready:
-		v.tap(audit.ListedGone, o.Name)
-	case o.Spec.Unschedulable:
-		v.tap(audit.ListedDraining, o.Name)
-	case was == nil || was.Spec.Unschedulable || was.Status.Conditions[0].Status != corev1.ConditionTrue:
-		v.tap(audit.ListedReady, o.Name)
+		inv.record(audit.ListedUnavailable, node.Name)
+	case node.Spec.Unschedulable:
+		inv.record(audit.ListedDraining, node.Name)
+	case previous == nil || previous.Spec.Unschedulable || previous.Status.Conditions[0].Status != corev1.ConditionTrue:
+		inv.record(audit.ListedReady, node.Name)
 	}
-	o = o.DeepCopy()
-	o.ResourceVersion = ""
+	node = node.DeepCopy()
+	node.ResourceVersion = ""
 	if !ready {
-		for i := range o.Status.Conditions {
-			if c := &o.Status.Conditions[i]; c.Type == corev1.NodeReady {
-				c.Status, c.Reason = corev1.ConditionUnknown, "NodeStatusUnknown"
+		for i := range node.Status.Conditions {
+			if condition := &node.Status.Conditions[i]; condition.Type == corev1.NodeReady {
+				condition.Status, condition.Reason = corev1.ConditionUnknown, "NodeStatusUnknown"
 			}
 		}
 	}
-	v.st.Put(store.Nodes, o)
+	inv.store.Put(store.Nodes, node)
 }
 
-func (v *Inventory) kick() {
-	if rev := v.st.Rev(); rev != v.shown {
-		v.shown = rev
-		v.api.Advance(v.l.Now())
-		v.http.Kick()
+func (inv *Inventory) notifyWatchers() {
+	if rev := inv.store.Rev(); rev != inv.shownRevision {
+		inv.shownRevision = rev
+		inv.api.SetTime(inv.loop.Now())
+		inv.server.PullStreams()
 	}
 }
 
-// check looks for machines that have gone silent.
-func (v *Inventory) check() {
-	now := v.l.Now()
-	for name, at := range v.seen {
-		cur, _ := v.st.Get(store.Nodes, "", name).(*corev1.Node)
+// checkUnresponsive looks for machines that have gone silent.
+func (inv *Inventory) checkUnresponsive() {
+	now := inv.loop.Now()
+	for name, at := range inv.reportedAt {
+		current, _ := inv.store.Get(store.Nodes, "", name).(*corev1.Node)
 		switch {
-		case v.o.RemoveAfter > 0 && now-at > v.o.RemoveAfter:
-			delete(v.seen, name)
-			delete(v.last, name)
-			v.st.Delete(store.Nodes, "", name)
-			v.tap(audit.ListedGone, name)
-		case now-at > v.o.SilentAfter && cur != nil && cur.Status.Conditions[0].Status == corev1.ConditionTrue:
-			v.show(v.last[name], false)
+		case inv.options.RemoveAfter > 0 && now-at > inv.options.RemoveAfter:
+			delete(inv.reportedAt, name)
+			delete(inv.reported, name)
+			inv.store.Delete(store.Nodes, "", name)
+			inv.record(audit.ListedUnavailable, name)
+		case now-at > inv.options.UnresponsiveAfter && current != nil && current.Status.Conditions[0].Status == corev1.ConditionTrue:
+			inv.publish(inv.reported[name], false)
 		}
 	}
-	v.api.Advance(now)
-	v.http.Kick()
-	v.kick()
+	inv.api.SetTime(now)
+	inv.server.PullStreams()
+	inv.notifyWatchers()
 }
 
 // Fault makes the inventory faulty.
-func (v *Inventory) Fault(f fault.Inventory) {
-	now := v.l.Now()
-	if f.Cut > 0 {
-		v.cut = now + f.Cut
-		v.tap(audit.CutOff, "")
-		v.http.Close()
-		var again func()
-		again = func() {
-			if v.l.Now() < v.cut-0.001 {
+func (inv *Inventory) Fault(ordered fault.Inventory) {
+	now := inv.loop.Now()
+	if ordered.Unreachable > 0 {
+		inv.unreachableUntil = now + ordered.Unreachable
+		inv.record(audit.DiscoveryLost, "")
+		inv.server.Close()
+		var listenAgain func()
+		listenAgain = func() {
+			if inv.loop.Now() < inv.unreachableUntil-0.001 {
 				return
 			}
-			if err := v.listen(); err != nil {
-				v.l.After(0.1, again)
+			if err := inv.listen(); err != nil {
+				inv.loop.After(0.1, listenAgain)
 				return
 			}
-			v.tap(audit.CutOver, "")
+			inv.record(audit.DiscoveryRestored, "")
 		}
-		v.l.After(f.Cut, again)
+		inv.loop.After(ordered.Unreachable, listenAgain)
 	}
-	if f.Empty > 0 {
-		v.empty = now + f.Empty
+	if ordered.Empty > 0 {
+		inv.emptyUntil = now + ordered.Empty
 	}
-	if f.Hide != nil || f.Empty > 0 {
-		v.hidden = map[string]bool{}
-		for _, name := range f.Hide {
-			v.hidden[name] = true
+	if ordered.Hide != nil || ordered.Empty > 0 {
+		inv.hidden = map[string]bool{}
+		for _, name := range ordered.Hide {
+			inv.hidden[name] = true
 		}
-		for _, o := range v.last {
-			v.show(o, true)
+		for _, node := range inv.reported {
+			inv.publish(node, true)
 		}
-		v.kick()
+		inv.notifyWatchers()
 	}
 }
 
-// Machines is the number of machines shown.
-func (v *Inventory) Machines() int { return v.st.Len(store.Nodes) }
+// NodeCount is the number of machines shown.
+func (inv *Inventory) NodeCount() int { return inv.store.Len(store.Nodes) }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -37,54 +37,54 @@
 	Name, Zone, Rack, Kind string
 	Listen                 string // 127.0.0.1:0 chooses a port, kept over crashes
 	Inventory              string // address; "" reports nowhere
-	Beat                   float64
+	ReportInterval         float64
 	Sim                    nodesim.Config
 	Priorities             map[string]int     // of classes
-	Lives                  map[string]float64 // seconds that tasks of a class run on average, where they name no lifetime
+	Lifetimes              map[string]float64 // seconds that tasks of a class run on average, where they name no lifetime
 	// Tap, if set, is told of each offer as it arrives and of what became of it.
-	Tap func(audit.Event)
+	OnEvent func(audit.Event)
 }
 
 // Node is a stand-in machine on a socket.
 type Node struct {
-	o       NodeOptions
-	l       *eventloop.Loop
-	m       *nodesim.Node
-	http    *httpd.Server
-	api     *api.Server
-	st      *store.Store
-	inv     *httpc.Client
-	addr    string
-	boot    string
-	lives   int
-	started float64
-	timer   *eventloop.Timer
-	pending map[string][]*httpd.Exchange // by uid and attempt
-	load    string
-	shown   int64
-	seed    uint64
-	beaten  bool // it has reported
-	stopped bool
-
-	faults   fault.State
-	cutUntil float64
-	dripping bool
+	options       NodeOptions
+	loop          *eventloop.Loop
+	sim           *nodesim.Node
+	server        *httpd.Server
+	api           *api.Server
+	store         *store.Store
+	inventory     *httpc.Client
+	addr          string
+	incarnation   string
+	starts        int
+	startedAt     float64
+	wakeTimer     *eventloop.Timer
+	pending       map[string][]*httpd.Exchange // by uid and attempt
+	loadReport    string
+	shownRevision int64
+	seed          uint64
+	reported      bool // it has reported
+	stopped       bool
+
+	faults           fault.NodeState
+	unreachableUntil float64
+	trickling        bool
 }
 
 // StartNode puts a machine on a socket and reports it to the inventory.
-func StartNode(l *eventloop.Loop, o NodeOptions) (*Node, error) {
-	if o.Beat <= 0 {
-		o.Beat = 0.5
+func StartNode(loop *eventloop.Loop, options NodeOptions) (*Node, error) {
+	if options.ReportInterval <= 0 {
+		options.ReportInterval = 0.5
 	}
-	n := &Node{o: o, l: l, addr: o.Listen, seed: o.Sim.Seed}
-	if err := n.up(o.Sim.Cold); err != nil {
+	n := &Node{options: options, loop: loop, addr: options.Listen, seed: options.Sim.Seed}
+	if err := n.start(options.Sim.Cold); err != nil {
 		return nil, err
 	}
-	if o.Inventory != "" {
-		n.inv = httpc.New(l, o.Inventory)
-		n.inv.Pool.MaxConns = 1
+	if options.Inventory != "" {
+		n.inventory = httpc.New(loop, options.Inventory)
+		n.inventory.Pool.MaxConns = 1
 	}
-	n.beat()
+	n.reportPeriodically()
 	return n, nil
 }
 
@@ -92,469 +92,469 @@
 func (n *Node) Addr() string { return n.addr }
 
 // Name is the machine's name.
-func (n *Node) Name() string { return n.o.Name }
+func (n *Node) Name() string { return n.options.Name }
 
 // Sim is the model behind the socket, nil while it is down.
-func (n *Node) Sim() *nodesim.Node { return n.m }
-
-// up begins a life.
-func (n *Node) up(cold bool) error {
-	now := n.l.Now()
-	n.lives++
-	cfg := n.o.Sim
-	cfg.Cold, cfg.Seed = cold, n.seed+uint64(n.lives)*7919
-	n.m = nodesim.New(cfg, now)
-	n.boot = fmt.Sprintf("%s-%d-%d", n.o.Name, int64(now*1e3), n.lives)
-	n.started = 0
+func (n *Node) Sim() *nodesim.Node { return n.sim }
+
+// start begins a life.
+func (n *Node) start(cold bool) error {
+	now := n.loop.Now()
+	n.starts++
+	cfg := n.options.Sim
+	cfg.Cold, cfg.Seed = cold, n.seed+uint64(n.starts)*7919
+	n.sim = nodesim.New(cfg, now)
+	n.incarnation = fmt.Sprintf("%s-%d-%d", n.options.Name, int64(now*1e3), n.starts)
+	n.startedAt = 0
 	if cold {
-		n.started = now
+		n.startedAt = now
 	}
 	n.pending = map[string][]*httpd.Exchange{}
-	n.st = store.New(int64(now*1e6), 5000)
-	n.api = &api.Server{Store: n.st, Version: "standin"}
-	n.m.Refuse = func(o *nodesim.Offer) nodesim.Reason {
-		if n.l.Now() < n.faults.Refuse {
+	n.store = store.New(int64(now*1e6), 5000)
+	n.api = &api.Server{Store: n.store, Version: "standin"}
+	n.sim.RejectHook = func(request *nodesim.Request) nodesim.Reason {
+		if n.loop.Now() < n.faults.RejectUntil {
 			return nodesim.InsufficientCores
 		}
 		return nodesim.None
 	}
-	opt := httpd.DefaultOptions()
-	opt.IdleWithin = 600
-	srv, err := httpd.Listen(n.l, n.addr, opt, n.serve)
+	serverOptions := httpd.DefaultOptions()
+	serverOptions.IdleTimeoutSeconds = 600
+	server, err := httpd.Listen(n.loop, n.addr, serverOptions, n.serve)
 	if err != nil {
-		return fmt.Errorf("machine %s: %w", n.o.Name, err)
+		return fmt.Errorf("machine %s: %w", n.options.Name, err)
 	}
-	n.http, n.addr = srv, srv.Addr()
-	n.tap(audit.Event{What: audit.Up, Reason: map[bool]string{true: "cold", false: "warm"}[cold]})
-	n.after()
+	n.server, n.addr = server, server.Addr()
+	n.record(audit.Event{Kind: audit.NodeUp, Reason: map[bool]string{true: "cold", false: "warm"}[cold]})
+	n.processEffects()
 	return nil
 }
 
-func (n *Node) tap(t audit.Event) {
-	if n.o.Tap != nil {
-		t.At, t.Node, t.Rack, t.Zone = n.l.Now(), n.o.Name, n.o.Rack, n.o.Zone
-		n.o.Tap(t)
+func (n *Node) record(event audit.Event) {
+	if n.options.OnEvent != nil {
+		event.At, event.Node, event.Rack, event.Zone = n.loop.Now(), n.options.Name, n.options.Rack, n.options.Zone
+		n.options.OnEvent(event)
 	}
 }
 
-// beat reports to the inventory, again and again.
-func (n *Node) beat() {
+// reportPeriodically reports to the inventory, again and again.
+func (n *Node) reportPeriodically() {
 	if n.stopped {
 		return
 	}
-	next := n.o.Beat
-	if !n.beaten {
+	next := n.options.ReportInterval
+	if !n.reported {
 		// Machines that start together must not report together for ever.
-		n.beaten = true
-		next *= float64(xxhash.Sum64String(n.o.Name)%1000) / 1000
+		n.reported = true
+		next *= float64(xxhash.Sum64String(n.options.Name)%1000) / 1000
 	}
-	n.l.After(next, n.beat)
-	if n.m == nil {
+	n.loop.After(next, n.reportPeriodically)
+	if n.sim == nil {
 		return
 	}
-	n.m.Tick(n.l.Now())
-	n.measure()
-	n.after()
-	if n.inv == nil {
+	n.sim.Tick(n.loop.Now())
+	n.updateLoadReport()
+	n.processEffects()
+	if n.inventory == nil {
 		return
 	}
 	body, err := json.Marshal(n.Object())
 	if err != nil {
 		return
 	}
-	n.inv.Do("PUT", "/api/v1/nodes/"+url.PathEscape(n.o.Name)+"/status", []http1.Field{{Name: "Content-Type", Value: "application/json"}},
+	n.inventory.Do("PUT", "/api/v1/nodes/"+url.PathEscape(n.options.Name)+"/status", []http1.Field{{Name: "Content-Type", Value: "application/json"}},
 		body, 2, &httpc.Call{Done: func(*http1.Head, []byte, error) {}})
 }
 
-func (n *Node) measure() {
-	c, m := n.m.Unused()
-	n.load = wellknown.FormatDict("free-cores", c, "free-memory", m, "busy", n.m.Busy(), "queue", float64(n.m.Waiting()))
+func (n *Node) updateLoadReport() {
+	unusedCores, unusedMemory := n.sim.Unused()
+	n.loadReport = wellknown.FormatDict("free-cores", unusedCores, "free-memory", unusedMemory, "busy", n.sim.Utilization(), "queue", float64(n.sim.QueueLength()))
 }
 
 // Object is the machine as the inventory shows it.
 func (n *Node) Object() *corev1.Node {
-	o := &corev1.Node{TypeMeta: metav1.TypeMeta{Kind: "Node", APIVersion: "v1"}}
-	o.Name = n.o.Name
-	o.UID = types.UID("node-" + n.o.Name)
-	o.Labels = map[string]string{wellknown.Zone: n.o.Zone, wellknown.Rack: n.o.Rack, wellknown.Kind: n.o.Kind, corev1.LabelHostname: n.o.Name}
-	c, m := n.m.Free()
-	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", c, "memory", m)}
-	if n.started > 0 {
-		o.Annotations[wellknown.Started] = wellknown.Instant(n.started + n.faults.Clock)
-	}
-	o.Spec.Unschedulable = n.m.Draining()
-	cfg := n.m.Config()
-	o.Status.Capacity = corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(cfg.Cores*1000), resource.DecimalSI),
+	object := &corev1.Node{TypeMeta: metav1.TypeMeta{Kind: "Node", APIVersion: "v1"}}
+	object.Name = n.options.Name
+	object.UID = types.UID("node-" + n.options.Name)
+	object.Labels = map[string]string{wellknown.Zone: n.options.Zone, wellknown.Rack: n.options.Rack, wellknown.Kind: n.options.Kind, corev1.LabelHostname: n.options.Name}
+	freeCores, freeMemory := n.sim.Free()
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", freeCores, "memory", freeMemory)}
+	if n.startedAt > 0 {
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(n.startedAt + n.faults.ClockSkew)
+	}
+	object.Spec.Unschedulable = n.sim.Draining()
+	cfg := n.sim.Config()
+	object.Status.Capacity = corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(cfg.Cores*1000), resource.DecimalSI),
 		corev1.ResourceMemory: *resource.NewQuantity(int64(cfg.Memory*wellknown.Gibibyte), resource.BinarySI)}
-	o.Status.Allocatable = o.Status.Capacity
-	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue, Reason: "StandInReady"}}
+	object.Status.Allocatable = object.Status.Capacity
+	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue, Reason: "StandInReady"}}
 	host, port, _ := strings.Cut(n.addr, ":")
-	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: host}}
-	p, _ := strconv.Atoi(port)
-	o.Status.DaemonEndpoints.KubeletEndpoint.Port = int32(p)
-	o.Status.NodeInfo.BootID = n.boot
-	return o
+	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: host}}
+	portNumber, _ := strconv.Atoi(port)
+	object.Status.DaemonEndpoints.KubeletEndpoint.Port = int32(portNumber)
+	object.Status.NodeInfo.BootID = n.incarnation
+	return object
 }
 
-// after sends what the model says and sets its next wake-up.
-func (n *Node) after() {
-	if n.m == nil {
+// processEffects sends what the model says and sets its next wake-up.
+func (n *Node) processEffects() {
+	if n.sim == nil {
 		return
 	}
 	for {
-		effects := n.m.Ready()
+		effects := n.sim.Ready()
 		if len(effects) == 0 {
 			break
 		}
 		for i := range effects {
-			if n.m == nil {
+			if n.sim == nil {
 				return
 			}
-			n.effect(&effects[i])
+			n.handleEffect(&effects[i])
 		}
 	}
-	if n.m == nil {
+	if n.sim == nil {
 		return
 	}
-	n.timer.Stop()
-	if at := n.m.NextWake(); !math.IsInf(at, 1) {
-		n.timer = n.l.At(at, func() {
-			if n.m != nil {
-				n.m.Tick(n.l.Now())
-				n.after()
+	n.wakeTimer.Stop()
+	if at := n.sim.NextWake(); !math.IsInf(at, 1) {
+		n.wakeTimer = n.loop.At(at, func() {
+			if n.sim != nil {
+				n.sim.Tick(n.loop.Now())
+				n.processEffects()
 			}
 		})
 	}
-	if rev := n.st.Rev(); rev != n.shown {
-		n.shown = rev
-		n.api.Advance(n.l.Now())
-		n.http.Kick()
+	if rev := n.store.Rev(); rev != n.shownRevision {
+		n.shownRevision = rev
+		n.api.SetTime(n.loop.Now())
+		n.server.PullStreams()
 	}
 }
 
-func key(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
+func attemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
 
-var reasons = map[nodesim.Reason]string{nodesim.InsufficientCores: wellknown.OutOfCPU, nodesim.InsufficientMemory: wellknown.OutOfMemory, nodesim.QueueFull: wellknown.QueueFull,
+var reasonNames = map[nodesim.Reason]string{nodesim.InsufficientCores: wellknown.OutOfCPU, nodesim.InsufficientMemory: wellknown.OutOfMemory, nodesim.QueueFull: wellknown.QueueFull,
 	nodesim.WrongNode: wellknown.WrongNode, nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
-	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverRan}
+	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverStarted}
 
-func (n *Node) effect(x *nodesim.Effect) {
-	switch x.Kind {
+func (n *Node) handleEffect(effect *nodesim.Effect) {
+	switch effect.Kind {
 	case nodesim.Answered:
-		k := key(x.UID, x.Attempt)
-		waiting := n.pending[k]
-		delete(n.pending, k)
-		for _, ex := range waiting {
-			n.answer(ex, x)
+		key := attemptKey(effect.UID, effect.Attempt)
+		waiting := n.pending[key]
+		delete(n.pending, key)
+		for _, exchange := range waiting {
+			n.answer(exchange, effect)
 		}
 	case nodesim.Changed:
-		t := x.Task
-		p := n.show(t)
-		n.st.Put(store.Pods, p)
-		tap := audit.Event{UID: t.UID, Attempt: t.Attempt, Scheduler: p.Labels[wellknown.Scheduler], Class: p.Labels[wellknown.Class], Service: t.Service,
-			Reason: reasons[t.Reason]}
-		switch t.Phase {
+		task := effect.Task
+		pod := n.pod(task)
+		n.store.Put(store.Pods, pod)
+		event := audit.Event{UID: task.UID, Attempt: task.Attempt, Scheduler: pod.Labels[wellknown.Scheduler], Class: pod.Labels[wellknown.Class], Service: task.Service,
+			Reason: reasonNames[task.Reason]}
+		switch task.Phase {
 		case nodesim.Accepted:
-			tap.What = audit.Accepted
+			event.Kind = audit.Accepted
 		case nodesim.Running:
-			tap.What = audit.Started
+			event.Kind = audit.Started
 		default:
-			tap.What = audit.Ended
+			event.Kind = audit.Ended
 		}
-		n.tap(tap)
-	case nodesim.Forgotten:
-		p := x.Task.Payload.(*corev1.Pod)
-		n.st.Delete(store.Pods, p.Namespace, p.Name)
-	case nodesim.Fell:
-		n.tap(audit.Event{What: audit.Fell})
-		n.down(30)
+		n.record(event)
+	case nodesim.Removed:
+		pod := effect.Task.Payload.(*corev1.Pod)
+		n.store.Delete(store.Pods, pod.Namespace, pod.Name)
+	case nodesim.Overloaded:
+		n.record(audit.Event{Kind: audit.Overloaded})
+		n.crash(30)
 	}
 }
 
-// show is the Pod of a task as it stands.
-func (n *Node) show(t *nodesim.Task) *corev1.Pod { return simulation.Show(t, n.o.Name) }
+// pod is the Pod of a task as it stands.
+func (n *Node) pod(task *nodesim.Task) *corev1.Pod { return simulation.PodOfTask(task, n.options.Name) }
 
-func (n *Node) answer(ex *httpd.Exchange, x *nodesim.Effect) {
-	now := n.l.Now()
-	if x.Task != nil && now < n.faults.LoseAnswer {
-		ex.Reset()
+func (n *Node) answer(exchange *httpd.Exchange, effect *nodesim.Effect) {
+	now := n.loop.Now()
+	if effect.Task != nil && now < n.faults.LoseAnswerUntil {
+		exchange.Reset()
 		return
 	}
-	resp := n.refusal(x.Reason)
-	if x.Task != nil {
-		p := n.show(x.Task)
-		if o := n.st.Get(store.Pods, p.Namespace, p.Name); o != nil {
-			p.ResourceVersion = o.GetResourceVersion()
+	resp := n.rejection(effect.Reason)
+	if effect.Task != nil {
+		pod := n.pod(effect.Task)
+		if stored := n.store.Get(store.Pods, pod.Namespace, pod.Name); stored != nil {
+			pod.ResourceVersion = stored.GetResourceVersion()
 		} else {
-			p.ResourceVersion = strconv.FormatInt(n.st.Rev(), 10)
+			pod.ResourceVersion = strconv.FormatInt(n.store.Rev(), 10)
 		}
-		b, _ := json.Marshal(p)
-		resp = http1.Response{Status: 201, Body: b}
+		body, _ := json.Marshal(pod)
+		resp = http1.Response{Status: 201, Body: body}
 	} else {
-		n.tap(audit.Event{What: audit.Refused, UID: x.UID, Attempt: x.Attempt, Reason: reasons[x.Reason]})
+		n.record(audit.Event{Kind: audit.Rejected, UID: effect.UID, Attempt: effect.Attempt, Reason: reasonNames[effect.Reason]})
 	}
-	n.respond(ex, resp)
+	n.respond(exchange, resp)
 }
 
-func (n *Node) respond(ex *httpd.Exchange, resp http1.Response) {
+func (n *Node) respond(exchange *httpd.Exchange, resp http1.Response) {
 	resp.Header = append(resp.Header, http1.Field{Name: "Content-Type", Value: "application/json"},
-		http1.Field{Name: wellknown.LoadHeader, Value: n.load}, http1.Field{Name: wellknown.IncarnationHeader, Value: n.boot})
-	if n.l.Now() < n.faults.Trickle {
-		n.l.After(0.05, func() {
-			ex.Respond(http1.Response{Status: resp.Status, Header: resp.Header, Stream: &slow{l: n.l, rest: resp.Body}})
+		http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport}, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation})
+	if n.loop.Now() < n.faults.TrickleUntil {
+		n.loop.After(0.05, func() {
+			exchange.Respond(http1.Response{Status: resp.Status, Header: resp.Header, Stream: &trickleBody{loop: n.loop, rest: resp.Body}})
 		})
-		n.drip()
+		n.keepTrickling()
 		return
 	}
-	ex.Respond(resp)
+	exchange.Respond(resp)
 }
 
-// slow is a body that trickles: a few bytes every twentieth of a second.
-type slow struct {
-	l    *eventloop.Loop
-	rest []byte
-	last float64
+// trickleBody is a body that trickles: a few bytes every twentieth of a second.
+type trickleBody struct {
+	loop      *eventloop.Loop
+	rest      []byte
+	lastWrite float64
 }
 
-const dripEvery, dripBytes = 0.05, 64
+const trickleInterval, trickleBytes = 0.05, 64
 
 // Pull implements http1.Stream.
-func (s *slow) Pull(b []byte, _ int) ([]byte, bool) {
-	if now := s.l.Now(); now >= s.last+dripEvery*0.9 {
-		n := min(len(s.rest), dripBytes)
-		b, s.rest, s.last = append(b, s.rest[:n]...), s.rest[n:], now
+func (s *trickleBody) Pull(b []byte, _ int) ([]byte, bool) {
+	if now := s.loop.Now(); now >= s.lastWrite+trickleInterval*0.9 {
+		n := min(len(s.rest), trickleBytes)
+		b, s.rest, s.lastWrite = append(b, s.rest[:n]...), s.rest[n:], now
 	}
 	return b, len(s.rest) == 0
 }
 
-// Stopped implements http1.Stream.
-func (s *slow) Stopped() {}
+// Close implements http1.Stream.
+func (s *trickleBody) Close() {}
 
-// drip keeps trickling answers going.
-func (n *Node) drip() {
-	if n.dripping {
+// keepTrickling keeps trickling answers going.
+func (n *Node) keepTrickling() {
+	if n.trickling {
 		return
 	}
-	n.dripping = true
+	n.trickling = true
 	var again func()
 	again = func() {
-		if n.m == nil {
-			n.dripping = false
+		if n.sim == nil {
+			n.trickling = false
 			return
 		}
-		n.http.Kick()
-		if n.dripping = n.l.Now() < n.faults.Trickle+5; n.dripping {
-			n.l.After(dripEvery, again)
+		n.server.PullStreams()
+		if n.trickling = n.loop.Now() < n.faults.TrickleUntil+5; n.trickling {
+			n.loop.After(trickleInterval, again)
 		}
 	}
-	n.l.After(dripEvery, again)
+	n.loop.After(trickleInterval, again)
 }
 
-func status(code int, reason, message string) http1.Response {
+func statusResponse(code int, reason, message string) http1.Response {
 	b, _ := json.Marshal(&metav1.Status{TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}, Status: metav1.StatusFailure,
 		Code: int32(code), Reason: metav1.StatusReason(reason), Message: message})
 	return http1.Response{Status: code, Body: b}
 }
 
-func (n *Node) refusal(r nodesim.Reason) http1.Response {
-	switch r {
+func (n *Node) rejection(reason nodesim.Reason) http1.Response {
+	switch reason {
 	case nodesim.InsufficientCores:
-		return status(409, wellknown.OutOfCPU, "Node didn't have enough resource: cpu")
+		return statusResponse(409, wellknown.OutOfCPU, "Node didn't have enough resource: cpu")
 	case nodesim.InsufficientMemory:
-		return status(409, wellknown.OutOfMemory, "Node didn't have enough resource: memory")
+		return statusResponse(409, wellknown.OutOfMemory, "Node didn't have enough resource: memory")
 	case nodesim.QueueFull:
-		return status(429, wellknown.QueueFull, "too many offers wait")
+		return statusResponse(429, wellknown.QueueFull, "too many offers wait")
 	}
-	return status(409, wellknown.WrongNode, "the machine drains, or this attempt was given up")
+	return statusResponse(409, wellknown.WrongNode, "the machine drains, or this attempt was given up")
 }
 
-func (n *Node) serve(x *httpd.Exchange) {
-	now := n.l.Now()
-	if n.m == nil || now < n.cutUntil {
-		x.Reset()
+func (n *Node) serve(exchange *httpd.Exchange) {
+	now := n.loop.Now()
+	if n.sim == nil || now < n.unreachableUntil {
+		exchange.Reset()
 		return
 	}
-	path, _, _ := strings.Cut(x.Head.Target, "?")
+	path, _, _ := strings.Cut(exchange.Head.Target, "?")
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	pods := len(parts) >= 5 && parts[0] == "api" && parts[2] == "namespaces" && parts[4] == "pods"
 	switch {
-	case x.Head.Method == "PUT" && path == "/heathshed/faults":
-		var f fault.Node
-		if err := json.Unmarshal(x.Body, &f); err != nil {
-			n.respond(x, status(400, "BadRequest", "faults: "+err.Error()))
+	case exchange.Head.Method == "PUT" && path == "/heathshed/faults":
+		var ordered fault.Node
+		if err := json.Unmarshal(exchange.Body, &ordered); err != nil {
+			n.respond(exchange, statusResponse(400, "BadRequest", "faults: "+err.Error()))
 			return
 		}
-		x.Respond(http1.Response{Status: 204})
-		n.Fault(f)
-	case pods && len(parts) == 5 && x.Head.Method == "POST":
-		n.offer(x)
-	case pods && len(parts) == 6 && x.Head.Method == "DELETE":
-		n.stop(x)
+		exchange.Respond(http1.Response{Status: 204})
+		n.Fault(ordered)
+	case pods && len(parts) == 5 && exchange.Head.Method == "POST":
+		n.startTask(exchange)
+	case pods && len(parts) == 6 && exchange.Head.Method == "DELETE":
+		n.stopTask(exchange)
 	default:
-		n.m.Tick(now)
-		n.after()
-		resp := n.api.Serve(now, &x.Request)
-		resp.Header = append(resp.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.boot},
-			http1.Field{Name: wellknown.LoadHeader, Value: n.load})
-		x.Respond(resp)
+		n.sim.Tick(now)
+		n.processEffects()
+		resp := n.api.Serve(now, &exchange.Request)
+		resp.Header = append(resp.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation},
+			http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport})
+		exchange.Respond(resp)
 	}
 }
 
-func (n *Node) offer(x *httpd.Exchange) {
-	now := n.l.Now()
-	p := &corev1.Pod{}
-	attempt, err := strconv.Atoi(x.Head.Header.Get(wellknown.AttemptHeader))
+func (n *Node) startTask(exchange *httpd.Exchange) {
+	now := n.loop.Now()
+	pod := &corev1.Pod{}
+	attempt, err := strconv.Atoi(exchange.Head.Header.Get(wellknown.AttemptHeader))
 	if err == nil {
-		err = json.Unmarshal(x.Body, p)
+		err = json.Unmarshal(exchange.Body, pod)
 	}
-	if err != nil || p.UID == "" || p.Name == "" || p.Namespace == "" {
-		n.respond(x, status(400, "BadRequest", "want a Pod with uid, name and namespace, and the attempt's number in "+wellknown.AttemptHeader))
+	if err != nil || pod.UID == "" || pod.Name == "" || pod.Namespace == "" {
+		n.respond(exchange, statusResponse(400, "BadRequest", "want a Pod with uid, name and namespace, and the attempt's number in "+wellknown.AttemptHeader))
 		return
 	}
-	if p.Labels == nil {
-		p.Labels = map[string]string{}
+	if pod.Labels == nil {
+		pod.Labels = map[string]string{}
 	}
-	if p.Annotations == nil {
-		p.Annotations = map[string]string{}
+	if pod.Annotations == nil {
+		pod.Annotations = map[string]string{}
 	}
-	class := p.Labels[wellknown.Class]
-	n.tap(audit.Event{What: audit.Offered, UID: string(p.UID), Attempt: attempt, Scheduler: p.Labels[wellknown.Scheduler], Class: class,
-		Service: p.Namespace + "/" + service(p)})
-	hungUp := audit.Event{What: audit.HungUp, UID: string(p.UID), Attempt: attempt}
-	if now < n.faults.Reset {
-		n.tap(hungUp)
-		x.Reset()
+	class := pod.Labels[wellknown.Class]
+	n.record(audit.Event{Kind: audit.AttemptReceived, UID: string(pod.UID), Attempt: attempt, Scheduler: pod.Labels[wellknown.Scheduler], Class: class,
+		Service: pod.Namespace + "/" + serviceName(pod)})
+	abandoned := audit.Event{Kind: audit.Abandoned, UID: string(pod.UID), Attempt: attempt}
+	if now < n.faults.ResetUntil {
+		n.record(abandoned)
+		exchange.Reset()
 		return
 	}
-	if n.faults.Errs(now, class) {
-		n.tap(hungUp)
-		n.respond(x, status(500, "InternalError", "the machine fails"))
+	if n.faults.FailsClass(now, class) {
+		n.record(abandoned)
+		n.respond(exchange, statusResponse(500, "InternalError", "the machine fails"))
 		return
 	}
-	c, m := wellknown.Requests(&p.Spec)
-	o := nodesim.Offer{UID: string(p.UID), Attempt: attempt, Service: p.Namespace + "/" + service(p), Cores: c, Memory: m,
-		Priority: n.o.Priorities[class], Payload: p}
-	if v, err := strconv.ParseFloat(p.Annotations[wellknown.Lifetime], 64); err == nil && v > 0 && v < 1e7 {
-		o.Life = v
+	cores, memory := wellknown.Requests(&pod.Spec)
+	request := nodesim.Request{UID: string(pod.UID), Attempt: attempt, Service: pod.Namespace + "/" + serviceName(pod), Cores: cores, Memory: memory,
+		Priority: n.options.Priorities[class], Payload: pod}
+	if lifetime, err := strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64); err == nil && lifetime > 0 && lifetime < 1e7 {
+		request.Lifetime = lifetime
 	} else {
-		o.Life = n.o.Lives[class]
+		request.Lifetime = n.options.Lifetimes[class]
 	}
-	k := key(o.UID, attempt)
-	x.OnGone = func() { n.tap(hungUp) }
-	n.pending[k] = append(n.pending[k], x)
-	n.m.Offer(now, o)
-	n.after()
+	key := attemptKey(request.UID, attempt)
+	exchange.OnDisconnect = func() { n.record(abandoned) }
+	n.pending[key] = append(n.pending[key], exchange)
+	n.sim.Submit(now, request)
+	n.processEffects()
 }
 
-func service(p *corev1.Pod) string {
+func serviceName(p *corev1.Pod) string {
 	if s := p.Labels[wellknown.Service]; s != "" {
 		return s
 	}
 	return p.Labels[wellknown.JobName]
 }
 
-func (n *Node) stop(x *httpd.Exchange) {
-	var d metav1.DeleteOptions
-	attempt, err := strconv.Atoi(x.Head.Header.Get(wellknown.AttemptHeader))
+func (n *Node) stopTask(exchange *httpd.Exchange) {
+	var deleteOptions metav1.DeleteOptions
+	attempt, err := strconv.Atoi(exchange.Head.Header.Get(wellknown.AttemptHeader))
 	if err == nil {
-		err = json.Unmarshal(x.Body, &d)
+		err = json.Unmarshal(exchange.Body, &deleteOptions)
 	}
-	if err != nil || d.Preconditions == nil || d.Preconditions.UID == nil {
-		n.respond(x, status(400, "BadRequest", "want preconditions.uid and "+wellknown.AttemptHeader))
+	if err != nil || deleteOptions.Preconditions == nil || deleteOptions.Preconditions.UID == nil {
+		n.respond(exchange, statusResponse(400, "BadRequest", "want preconditions.uid and "+wellknown.AttemptHeader))
 		return
 	}
-	uid := string(*d.Preconditions.UID)
-	had, ran := n.m.Stop(n.l.Now(), uid, attempt)
+	uid := string(*deleteOptions.Preconditions.UID)
+	had, ran := n.sim.Stop(n.loop.Now(), uid, attempt)
 	if !had {
-		n.tap(audit.Event{What: audit.Sealed, UID: uid, Attempt: attempt})
+		n.record(audit.Event{Kind: audit.Fenced, UID: uid, Attempt: attempt})
 	}
-	n.after()
+	n.processEffects()
 	if !had {
-		n.respond(x, status(404, "NotFound", "no such Pod; this attempt will not be taken any more"))
+		n.respond(exchange, statusResponse(404, "NotFound", "no such Pod; this attempt will not be taken any more"))
 		return
 	}
-	p := &corev1.Pod{}
-	p.UID = types.UID(uid)
-	p.Status.Phase, p.Status.Reason = corev1.PodFailed, wellknown.Stopped
+	pod := &corev1.Pod{}
+	pod.UID = types.UID(uid)
+	pod.Status.Phase, pod.Status.Reason = corev1.PodFailed, wellknown.Stopped
 	if !ran {
-		p.Status.Reason = wellknown.NeverRan
+		pod.Status.Reason = wellknown.NeverStarted
 	}
-	b, _ := json.Marshal(p)
-	n.respond(x, http1.Response{Status: 200, Body: b})
+	body, _ := json.Marshal(pod)
+	n.respond(exchange, http1.Response{Status: 200, Body: body})
 }
 
 // Fault makes the machine faulty, or well again.
-func (n *Node) Fault(f fault.Node) {
-	now := n.l.Now()
-	n.faults.Order(now, f)
-	if n.m != nil && f.Stall != 0 {
-		n.m.StallUntil(now + f.Stall)
-	}
-	if f.Cut > 0 {
-		n.cutUntil = now + f.Cut
-		n.http.Close()
-		n.l.After(f.Cut, func() {
-			if n.m != nil && n.l.Now() >= n.cutUntil-0.001 {
+func (n *Node) Fault(ordered fault.Node) {
+	now := n.loop.Now()
+	n.faults.Apply(now, ordered)
+	if n.sim != nil && ordered.Stall != 0 {
+		n.sim.StallUntil(now + ordered.Stall)
+	}
+	if ordered.Unreachable > 0 {
+		n.unreachableUntil = now + ordered.Unreachable
+		n.server.Close()
+		n.loop.After(ordered.Unreachable, func() {
+			if n.sim != nil && n.loop.Now() >= n.unreachableUntil-0.001 {
 				n.relisten()
 			}
 		})
 	}
-	if f.Drain != nil && n.m != nil {
-		if *f.Drain {
-			n.m.Drain(now)
+	if ordered.Drain != nil && n.sim != nil {
+		if *ordered.Drain {
+			n.sim.Drain(now)
 		} else {
-			n.m.Undrain(now)
+			n.sim.Undrain(now)
 		}
-		n.after()
+		n.processEffects()
 	}
-	if f.Crash > 0 {
-		n.tap(audit.Event{What: audit.Crashed})
-		n.down(f.Crash)
+	if ordered.Crash > 0 {
+		n.record(audit.Event{Kind: audit.Crashed})
+		n.crash(ordered.Crash)
 	}
 }
 
 func (n *Node) relisten() {
-	opt := httpd.DefaultOptions()
-	opt.IdleWithin = 600
-	srv, err := httpd.Listen(n.l, n.addr, opt, n.serve)
+	serverOptions := httpd.DefaultOptions()
+	serverOptions.IdleTimeoutSeconds = 600
+	server, err := httpd.Listen(n.loop, n.addr, serverOptions, n.serve)
 	if err != nil {
-		n.l.After(0.1, func() {
-			if n.m != nil {
+		n.loop.After(0.1, func() {
+			if n.sim != nil {
 				n.relisten()
 			}
 		})
 		return
 	}
-	n.http = srv
+	n.server = server
 }
 
-// down ends this life; another, cold one begins after so many seconds.
-func (n *Node) down(d float64) {
-	if n.m == nil {
+// crash ends this life; another, cold one begins after so many seconds.
+func (n *Node) crash(downtime float64) {
+	if n.sim == nil {
 		return
 	}
-	n.m = nil
-	n.timer.Stop()
-	n.http.Close()
-	var again func()
-	again = func() {
-		if n.stopped || n.m != nil {
+	n.sim = nil
+	n.wakeTimer.Stop()
+	n.server.Close()
+	var restart func()
+	restart = func() {
+		if n.stopped || n.sim != nil {
 			return
 		}
-		if err := n.up(true); err != nil {
-			n.m = nil
-			n.l.After(0.1, again)
+		if err := n.start(true); err != nil {
+			n.sim = nil
+			n.loop.After(0.1, restart)
 		}
 	}
-	n.l.After(d, again)
+	n.loop.After(downtime, restart)
 }
 
 // Stop takes the machine away for good.
 func (n *Node) Stop() {
 	n.stopped = true
-	if n.m != nil {
-		n.m = nil
-		n.timer.Stop()
-		n.http.Close()
+	if n.sim != nil {
+		n.sim = nil
+		n.wakeTimer.Stop()
+		n.server.Close()
 	}
 }
--- a/internal/engine/characterization_test.go
+++ b/internal/engine/characterization_test.go
@@ -31,53 +31,53 @@
 
 // fakeNode is a node of a script: it answers offers and stop orders at random, and holds the Pods that it accepted.
 type fakeNode struct {
-	name     string
-	life     int
-	revision int64
-	ready    bool
-	removed  bool
-	draining bool
-	pods     []*corev1.Pod // in order of acceptance
-	floor    map[types.UID]int
+	name        string
+	incarnation int
+	revision    int64
+	ready       bool
+	removed     bool
+	draining    bool
+	pods        []*corev1.Pod // in order of acceptance
+	floor       map[types.UID]int
 }
 
-func (n *fakeNode) boot() string { return fmt.Sprintf("%s-life-%d", n.name, n.life) }
+func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
 
 func (n *fakeNode) find(uid types.UID) int {
-	return slices.IndexFunc(n.pods, func(p *corev1.Pod) bool { return p.UID == uid })
+	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
 }
 
 // delayed is a call of the engine that is still on its way.
 type delayed struct {
-	at       float64
-	sequence int
-	life     int
-	call     func()
+	at          float64
+	sequence    int
+	incarnation int
+	call        func()
 }
 
 // script drives one engine through seeded calls and records all that is observable after each call.
 type script struct {
-	t        *testing.T
-	rng      *rand.Rand
-	config   engine.Config
-	engine   *engine.Engine
-	life     int
-	now      float64
-	nodes    []*fakeNode
-	queue    []delayed
-	sequence int
-	revision int64
-	jobs     []string
-	record   *golden.Recorder
-	kinds    [8]int64 // effects by kind
-	changes  [4][3]int64
-	failures map[string]int64
+	t           *testing.T
+	rng         *rand.Rand
+	config      engine.Config
+	engine      *engine.Engine
+	incarnation int
+	now         float64
+	nodes       []*fakeNode
+	queue       []delayed
+	sequence    int
+	revision    int64
+	jobs        []string
+	record      *golden.Recorder
+	kinds       [8]int64 // effects by kind
+	changes     [4][3]int64
+	failures    map[string]int64
 }
 
 func newScript(t *testing.T, seed uint64, change func(*engine.Config)) *script {
 	defaults := config.Default()
 	defaults.Tenants = []config.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
-	defaults.Limits.KeepFinished = 40
+	defaults.Limits.FinishedTTL = 40
 	config := defaults.Engine(seed, 1000)
 	if change != nil {
 		change(&config)
@@ -85,7 +85,7 @@
 	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: golden.NewRecorder(),
 		failures: map[string]int64{}}
 	for i := range 10 {
-		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), life: 1, ready: true, floor: map[types.UID]int{}})
+		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
 	}
 	s.restart()
 	return s
@@ -93,15 +93,15 @@
 
 // restart replaces the engine by a new one, as after a crash of the scheduler.
 func (s *script) restart() {
-	s.life++
+	s.incarnation++
 	config := s.config
-	config.Seed += uint64(s.life) * 7919
-	config.BaseRev = s.revision + 1000
+	config.Seed += uint64(s.incarnation) * 7919
+	config.BaseRevision = s.revision + 1000
 	e, err := engine.New(config)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.engine, s.revision = e, config.BaseRev
+	s.engine, s.revision = e, config.BaseRevision
 	s.observe()
 	s.after(0.05, s.fullList)
 }
@@ -109,7 +109,7 @@
 // after makes a call of the present engine some seconds later.
 func (s *script) after(seconds float64, call func()) {
 	s.sequence++
-	s.queue = append(s.queue, delayed{s.now + seconds, s.sequence, s.life, call})
+	s.queue = append(s.queue, delayed{s.now + seconds, s.sequence, s.incarnation, call})
 }
 
 // observe records effects and changes, and lets the nodes react to effects.
@@ -119,19 +119,19 @@
 		s.carryOut(effect)
 	}
 	s.recordChanges()
-	s.record.Floats(s.engine.NextWake(), s.engine.Admission().Limit(), s.engine.Admission().Budget())
-	listed, heard := s.engine.NodeHeartbeat()
-	s.record.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(heard), s.engine.Store().Live(), s.engine.Store().Past())
+	s.record.Floats(s.engine.NextWake(), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
+	listed, watched := s.engine.NodeCounts()
+	s.record.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
 }
 
-func (s *script) recordEffect(x *engine.Effect) {
-	s.kinds[x.Kind]++
-	s.record.Integers(int64(x.Kind), int64(x.Attempt))
-	s.record.Texts(x.Node, x.Address, string(x.UID), x.Namespace, x.Name)
-	s.record.Floats(x.Until)
-	s.record.Booleans(x.Careful, x.Pod != nil)
-	if x.Pod != nil {
-		s.recordObject(x.Pod)
+func (s *script) recordEffect(effect *engine.Effect) {
+	s.kinds[effect.Kind]++
+	s.record.Integers(int64(effect.Kind), int64(effect.Attempt))
+	s.record.Texts(effect.Node, effect.Address, string(effect.UID), effect.Namespace, effect.Name)
+	s.record.Floats(effect.Deadline)
+	s.record.Booleans(effect.AvoidUnknownOutcome, effect.Pod != nil)
+	if effect.Pod != nil {
+		s.recordObject(effect.Pod)
 	}
 }
 
@@ -162,7 +162,7 @@
 			entries = append(entries, entry{table, change})
 		}
 	}
-	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.change.Rev, b.change.Rev) })
+	slices.SortFunc(entries, func(left, right entry) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
 	for _, e := range entries {
 		s.changes[e.table][e.change.Op]++
 		s.record.Integers(int64(e.table), int64(e.change.Op), e.change.Rev)
@@ -188,33 +188,33 @@
 }
 
 func (s *script) node(name string) *fakeNode {
-	for _, n := range s.nodes {
-		if n.name == name {
-			return n
+	for _, node := range s.nodes {
+		if node.name == name {
+			return node
 		}
 	}
 	return nil
 }
 
-func (s *script) carryOut(x engine.Effect) {
-	switch x.Kind {
+func (s *script) carryOut(effect engine.Effect) {
+	switch effect.Kind {
 	case engine.SendAttempt:
-		s.answerOffer(x)
+		s.answerAttempt(effect)
 	case engine.StopTask:
-		s.answerStop(x)
+		s.answerStop(effect)
 	case engine.WatchNode:
-		s.after(0.02+0.1*s.rng.Float64(), func() { s.listPods(s.node(x.Node)) })
+		s.after(0.02+0.1*s.rng.Float64(), func() { s.listPods(s.node(effect.Node)) })
 	case engine.RelistNodes:
 		s.after(0.05, s.fullList)
 	}
 }
 
-// answerOffer lets a node accept, refuse, lose or ignore an offer.
-func (s *script) answerOffer(x engine.Effect) {
-	n := s.node(x.Node)
-	answer := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node, Incarnation: n.boot()}
+// answerAttempt lets a node accept, refuse, lose or ignore an offer.
+func (s *script) answerAttempt(effect engine.Effect) {
+	node := s.node(effect.Node)
+	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
 	delay := 0.005 + 0.05*s.rng.Float64()
-	accept := n.ready && !n.removed && x.Attempt > n.floor[x.UID]
+	accept := node.ready && !node.removed && effect.Attempt > node.floor[effect.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
 		answer.Result, answer.Incarnation = placer.Unreachable, ""
@@ -222,200 +222,200 @@
 		answer.Result, answer.Reason = placer.Rejected, placer.InsufficientCores
 		answer.Report = &placer.Report{FreeCores: 1, FreeMemory: 2, Utilization: 0.9, QueueLength: 3}
 	case draw < 20:
-		answer.Result, answer.Stated = placer.Errored, "internal error"
+		answer.Result, answer.Message = placer.Errored, "internal error"
 	case draw < 24:
 		answer.Result = placer.Lost
 	case draw < 30:
 		return // no answer ever
 	case draw < 38: // the node takes the task, the answer is lost
-		s.accept(n, x)
+		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
 	case draw < 46: // the answer comes too late
-		answer.Accepted, answer.Rev, delay = true, s.accept(n, x), 3+8*s.rng.Float64()
+		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), 3+8*s.rng.Float64()
 	default:
-		answer.Accepted, answer.Rev = true, s.accept(n, x)
+		answer.Accepted, answer.Revision = true, s.accept(node, effect)
 		if draw > 90 {
-			answer.Pod = n.pods[n.find(x.UID)]
+			answer.Pod = node.pods[node.find(effect.UID)]
 		}
 	}
 	s.after(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
 // accept has a node hold a task, start it and end it later, and returns the node's revision.
-func (s *script) accept(n *fakeNode, x engine.Effect) int64 {
-	n.revision++
-	pod := x.Pod.DeepCopy()
-	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(x.Attempt)
-	pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
+func (s *script) accept(node *fakeNode, effect engine.Effect) int64 {
+	node.revision++
+	pod := effect.Pod.DeepCopy()
+	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(effect.Attempt)
+	pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
 	pod.Status.Phase = corev1.PodPending
-	if i := n.find(pod.UID); i >= 0 {
-		n.pods[i] = pod
-		return n.revision
+	if i := node.find(pod.UID); i >= 0 {
+		node.pods[i] = pod
+		return node.revision
 	}
-	n.pods = append(n.pods, pod)
-	s.plan(n, pod.UID)
-	return n.revision
+	node.pods = append(node.pods, pod)
+	s.plan(node, pod.UID)
+	return node.revision
 }
 
 // plan has the task run and end, as the node's watch tells it.
-func (s *script) plan(n *fakeNode, uid types.UID) {
-	life := n.life
-	reasons := []string{"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverRan, wellknown.Stopped}
+func (s *script) plan(node *fakeNode, uid types.UID) {
+	life := node.incarnation
+	reasons := []string{"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped}
 	reason := reasons[s.rng.IntN(len(reasons))]
-	gone := s.rng.IntN(12) == 0
+	vanishes := s.rng.IntN(12) == 0
 	start := 0.02 + 0.3*s.rng.Float64()
 	end := start + 1 + 15*s.rng.Float64()
-	s.onNode(start, n, life, uid, func(p *corev1.Pod) {
-		p.Status.Phase = corev1.PodRunning
-		p.Annotations[wellknown.Use] = wellknown.FormatDict("cores", 0.5, "memory", 1.25)
+	s.onNode(start, node, life, uid, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodRunning
+		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", 0.5, "memory", 1.25)
 	}, false)
-	s.onNode(end, n, life, uid, func(p *corev1.Pod) {
-		p.Status.Phase = corev1.PodSucceeded
+	s.onNode(end, node, life, uid, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodSucceeded
 		if reason != "" {
-			p.Status.Phase, p.Status.Reason, p.Status.Message = corev1.PodFailed, reason, "stated by the node"
+			pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, "stated by the node"
 		}
 	}, false)
-	if gone {
-		s.onNode(start+0.5, n, life, uid, func(p *corev1.Pod) {}, true)
+	if vanishes {
+		s.onNode(start+0.5, node, life, uid, func(pod *corev1.Pod) {}, true)
 	}
 }
 
 // onNode changes a Pod at a node some time later, whatever scheduler life there is, and tells the engine.
-func (s *script) onNode(seconds float64, n *fakeNode, life int, uid types.UID, change func(*corev1.Pod), remove bool) {
+func (s *script) onNode(seconds float64, node *fakeNode, life int, uid types.UID, change func(*corev1.Pod), remove bool) {
 	s.after(seconds, func() {
-		i := n.find(uid)
-		if n.life != life || i < 0 {
+		i := node.find(uid)
+		if node.incarnation != life || i < 0 {
 			return
 		}
-		n.revision++
-		pod := n.pods[i].DeepCopy()
+		node.revision++
+		pod := node.pods[i].DeepCopy()
 		change(pod)
-		pod.ResourceVersion = strconv.FormatInt(n.revision, 10)
-		n.pods[i] = pod
+		pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
+		node.pods[i] = pod
 		if remove || wellknown.Finished(pod) {
-			n.pods = slices.Delete(n.pods, i, i+1)
+			node.pods = slices.Delete(node.pods, i, i+1)
 		}
-		s.engine.NodePod(s.now, n.name, pod, remove)
+		s.engine.NodePod(s.now, node.name, pod, remove)
 	})
-	s.queue[len(s.queue)-1].life = 0 // of the node, not of the scheduler
-}
-
-func (s *script) answerStop(x engine.Effect) {
-	n := s.node(x.Node)
-	answer := engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt}
-	if n.ready && !n.removed && s.rng.IntN(10) > 1 {
-		answer.Known, answer.Incarnation = true, n.boot()
-		n.floor[x.UID] = max(n.floor[x.UID], x.Attempt)
-		if i := n.find(x.UID); i >= 0 {
-			answer.Had, answer.Ran = true, n.pods[i].Status.Phase == corev1.PodRunning
-			n.pods = slices.Delete(n.pods, i, i+1)
+	s.queue[len(s.queue)-1].incarnation = 0 // of the node, not of the scheduler
+}
+
+func (s *script) answerStop(effect engine.Effect) {
+	node := s.node(effect.Node)
+	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
+	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
+		answer.Answered, answer.Incarnation = true, node.incarnationID()
+		node.floor[effect.UID] = max(node.floor[effect.UID], effect.Attempt)
+		if i := node.find(effect.UID); i >= 0 {
+			answer.HadTask, answer.MayHaveRun = true, node.pods[i].Status.Phase == corev1.PodRunning
+			node.pods = slices.Delete(node.pods, i, i+1)
 		}
 	}
 	s.after(0.005+0.2*s.rng.Float64(), func() { s.engine.StopDone(s.now, answer) })
 }
 
 // listPods tells the engine all Pods of a node.
-func (s *script) listPods(n *fakeNode) {
-	if n.ready && !n.removed {
-		s.engine.NodePods(s.now, n.name, n.boot(), n.revision, slices.Clone(n.pods))
+func (s *script) listPods(node *fakeNode) {
+	if node.ready && !node.removed {
+		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
 	}
 }
 
-func (s *script) object(n *fakeNode) *corev1.Node {
-	index := slices.Index(s.nodes, n)
-	o := &corev1.Node{}
-	o.Name, o.UID = n.name, types.UID("uid-"+n.name)
-	o.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
+func (s *script) object(node *fakeNode) *corev1.Node {
+	index := slices.Index(s.nodes, node)
+	object := &corev1.Node{}
+	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
+	object.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
-	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", max(32-float64(len(n.pods)), 1), "memory", 60.5)}
-	if n.life > 1 {
-		o.Annotations[wellknown.Started] = wellknown.Instant(s.now - 1)
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", max(32-float64(len(node.pods)), 1), "memory", 60.5)}
+	if node.incarnation > 1 {
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
 	}
-	o.Spec.Unschedulable = n.draining
-	o.Status.NodeInfo.BootID = n.boot()
+	object.Spec.Unschedulable = node.draining
+	object.Status.NodeInfo.BootID = node.incarnationID()
 	status := corev1.ConditionTrue
-	if !n.ready {
+	if !node.ready {
 		status = corev1.ConditionUnknown
 	}
-	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: status}}
-	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", index+n.life)}}
-	o.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
-	return o
+	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: status}}
+	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", index+node.incarnation)}}
+	object.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
+	return object
 }
 
 func (s *script) fullList() {
 	var list []*corev1.Node
-	for _, n := range s.nodes {
-		if !n.removed {
-			list = append(list, s.object(n))
+	for _, node := range s.nodes {
+		if !node.removed {
+			list = append(list, s.object(node))
 		}
 	}
 	s.engine.NodesListed(s.now, engine.FullList, list, nil)
 }
 
-func (s *script) changed(n *fakeNode) {
-	if n.removed {
-		s.engine.NodesListed(s.now, engine.Changes, nil, []string{n.name})
+func (s *script) changed(node *fakeNode) {
+	if node.removed {
+		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
 		return
 	}
-	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(n)}, nil)
+	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(node)}, nil)
 }
 
 func pointer[T any](value T) *T { return &value }
 
 // job draws a Job, now and then one that must be turned away.
 func (s *script) job() *batchv1.Job {
-	o := &batchv1.Job{}
-	o.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
-	o.Name = fmt.Sprintf("job-%03d", len(s.jobs))
+	drawn := &batchv1.Job{}
+	drawn.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
+	drawn.Name = fmt.Sprintf("job-%03d", len(s.jobs))
 	tasks := int32(s.rng.IntN(7))
-	o.Spec.Completions, o.Spec.Parallelism = &tasks, pointer(tasks)
-	o.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
-	o.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
+	drawn.Spec.Completions, drawn.Spec.Parallelism = &tasks, pointer(tasks)
+	drawn.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
+	drawn.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
 	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
 	if class != "" {
-		o.Spec.Template.Labels[wellknown.Class] = class
+		drawn.Spec.Template.Labels[wellknown.Class] = class
 	}
-	o.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
-	o.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
-	o.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
+	drawn.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
+	drawn.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	drawn.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
 		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
 			corev1.ResourceMemory: *resource.NewQuantity(int64(1+s.rng.IntN(4))<<30, resource.BinarySI)}}}}
-	s.vary(o)
-	return o
+	s.vary(drawn)
+	return drawn
 }
 
 // vary draws the rarer settings of a Job.
-func (s *script) vary(o *batchv1.Job) {
+func (s *script) vary(drawn *batchv1.Job) {
 	switch s.rng.IntN(24) {
 	case 0:
-		o.Name, o.GenerateName = "", "generated-"
+		drawn.Name, drawn.GenerateName = "", "generated-"
 	case 1:
-		o.Spec.Suspend = pointer(true)
+		drawn.Spec.Suspend = pointer(true)
 	case 2:
-		o.Spec.ActiveDeadlineSeconds = pointer(int64(4))
+		drawn.Spec.ActiveDeadlineSeconds = pointer(int64(4))
 	case 3:
-		o.Spec.TTLSecondsAfterFinished = pointer(int32(3))
+		drawn.Spec.TTLSecondsAfterFinished = pointer(int32(3))
 	case 4:
-		o.Spec.Parallelism = pointer(int32(1))
+		drawn.Spec.Parallelism = pointer(int32(1))
 	case 5:
-		o.Namespace = "unknown"
+		drawn.Namespace = "unknown"
 	case 6:
-		o.Spec.Template.Labels[wellknown.Class] = "unknown"
+		drawn.Spec.Template.Labels[wellknown.Class] = "unknown"
 	case 7:
-		o.Spec.Completions = pointer(int32(1 << 30))
+		drawn.Spec.Completions = pointer(int32(1 << 30))
 	case 8:
-		o.Spec.Completions, o.Spec.Parallelism, o.Spec.BackoffLimit = nil, nil, nil
+		drawn.Spec.Completions, drawn.Spec.Parallelism, drawn.Spec.BackoffLimit = nil, nil, nil
 	case 9:
-		o.Spec.Template.Labels, o.Spec.Template.Annotations = nil, nil
+		drawn.Spec.Template.Labels, drawn.Spec.Template.Annotations = nil, nil
 	case 10:
-		o.Labels, o.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
+		drawn.Labels, drawn.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
 	}
 }
 
 func (s *script) create(dry bool) {
-	o := s.job()
-	created, err := s.engine.CreateJob(s.now, o, dry)
+	job := s.job()
+	created, err := s.engine.CreateJob(s.now, job, dry)
 	if err != nil {
 		s.result(nil, err)
 		return
@@ -447,29 +447,29 @@
 	if object == nil {
 		return
 	}
-	o := object.DeepCopyObject().(*batchv1.Job)
+	update := object.DeepCopyObject().(*batchv1.Job)
 	dry := s.rng.IntN(8) == 0
 	switch s.rng.IntN(14) {
 	case 0, 1, 2:
-		o.Spec.Suspend = pointer(true)
+		update.Spec.Suspend = pointer(true)
 	case 3, 4, 5, 6:
-		o.Spec.Suspend = nil
+		update.Spec.Suspend = nil
 	case 7:
-		o.Spec.Parallelism = pointer(int32(s.rng.IntN(5)))
+		update.Spec.Parallelism = pointer(int32(s.rng.IntN(5)))
 	case 8:
-		o.Labels = map[string]string{"changed": strconv.Itoa(s.rng.IntN(5))}
+		update.Labels = map[string]string{"changed": strconv.Itoa(s.rng.IntN(5))}
 	case 9:
-		o.ResourceVersion = "1"
+		update.ResourceVersion = "1"
 	case 10:
-		o.Spec.Template.Spec.Containers[0].Image = "other"
+		update.Spec.Template.Spec.Containers[0].Image = "other"
 	case 11:
-		o.Spec.Completions = pointer(int32(77))
+		update.Spec.Completions = pointer(int32(77))
 	case 12:
-		o.Spec.Parallelism = pointer(int32(-1))
+		update.Spec.Parallelism = pointer(int32(-1))
 	case 13:
-		o.Name += "-missing"
+		update.Name += "-missing"
 	}
-	updated, err := s.engine.UpdateJob(s.now, o, dry)
+	updated, err := s.engine.UpdateJob(s.now, update, dry)
 	if err != nil {
 		s.result(nil, err)
 		return
@@ -532,7 +532,7 @@
 	if object == nil {
 		return
 	}
-	o := object.DeepCopyObject().(*corev1.Node)
+	update := object.DeepCopyObject().(*corev1.Node)
 	var order *bool
 	dry := s.rng.IntN(6) == 0
 	switch s.rng.IntN(10) {
@@ -541,15 +541,15 @@
 	case 2, 3, 4, 5:
 		order = pointer(false)
 	case 6:
-		o.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
+		update.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
 	case 7:
-		o.Labels[wellknown.Rack] = "elsewhere"
+		update.Labels[wellknown.Rack] = "elsewhere"
 	case 8:
-		o.ResourceVersion = "1"
+		update.ResourceVersion = "1"
 	case 9:
-		o.Name = "missing"
+		update.Name = "missing"
 	}
-	updated, err := s.engine.UpdateNode(s.now, o, order, dry)
+	updated, err := s.engine.UpdateNode(s.now, update, order, dry)
 	if err != nil {
 		s.result(nil, err)
 		return
@@ -557,38 +557,38 @@
 	s.result(updated, nil)
 }
 
-// nodeTrouble restarts, silences, removes or drains a node, or brings one back.
-func (s *script) nodeTrouble() {
-	n := s.nodes[s.rng.IntN(len(s.nodes))]
+// nodeFault restarts, silences, removes or drains a node, or brings one back.
+func (s *script) nodeFault() {
+	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
 	case 0, 1:
-		n.life, n.pods, n.floor = n.life+1, nil, map[types.UID]int{}
-		s.after(0.3, func() { s.listPods(n) })
-		s.changed(n)
+		node.incarnation, node.pods, node.floor = node.incarnation+1, nil, map[types.UID]int{}
+		s.after(0.3, func() { s.listPods(node) })
+		s.changed(node)
 	case 2:
-		n.ready = false
-		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, n.name) })
-		s.changed(n)
+		node.ready = false
+		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
+		s.changed(node)
 	case 3:
-		n.removed = true
-		s.engine.NodeUnresponsive(s.now, n.name)
+		node.removed = true
+		s.engine.NodeUnresponsive(s.now, node.name)
 		s.observe()
-		s.changed(n)
+		s.changed(node)
 	case 4:
-		n.draining = !n.draining
-		s.changed(n)
+		node.draining = !node.draining
+		s.changed(node)
 	case 5:
-		s.engine.NodesListed(s.now, engine.ListLost, nil, nil)
+		s.engine.NodesListed(s.now, engine.ListUnavailable, nil, nil)
 	case 6:
 		s.fullList()
 	case 7, 8:
-		s.listPods(n)
+		s.listPods(node)
 	case 9:
 		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
 	default:
-		n.ready, n.removed, n.draining = true, false, false
-		s.after(0.1, func() { s.listPods(n) })
-		s.changed(n)
+		node.ready, node.removed, node.draining = true, false, false
+		s.after(0.1, func() { s.listPods(node) })
+		s.changed(node)
 	}
 }
 
@@ -608,7 +608,7 @@
 	case draw < 80:
 		s.updateNode()
 	default:
-		s.nodeTrouble()
+		s.nodeFault()
 	}
 	s.observe()
 }
@@ -617,8 +617,8 @@
 func (s *script) advance(until float64) {
 	for {
 		next := s.engine.NextWake()
-		slices.SortStableFunc(s.queue, func(a, b delayed) int {
-			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
+		slices.SortStableFunc(s.queue, func(left, right delayed) int {
+			return cmp.Or(cmp.Compare(left.at, right.at), cmp.Compare(left.sequence, right.sequence))
 		})
 		queued := len(s.queue) > 0 && s.queue[0].at < next
 		if queued {
@@ -633,10 +633,10 @@
 			s.observe()
 			continue
 		}
-		d := s.queue[0]
+		due := s.queue[0]
 		s.queue = s.queue[1:]
-		if d.life == 0 || d.life == s.life {
-			d.call()
+		if due.incarnation == 0 || due.incarnation == s.incarnation {
+			due.call()
 			s.observe()
 		}
 	}
@@ -645,15 +645,15 @@
 
 // checkpoint writes the digest so far with the counters of the engine in a fixed order.
 func (s *script) checkpoint(label string) {
-	c := s.engine.Stats
-	for _, v := range []uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections, c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed,
-		c.Retries, c.LostTasks, c.EvictedTasks, c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated,
-		c.JobsRejected, c.LateAnswers} {
-		s.record.Integers(int64(v))
+	stats := s.engine.Stats
+	for _, counter := range []uint64{stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections, stats.UnknownOutcomes, stats.Adopted, stats.Stops, stats.Placed, stats.Rejected, stats.Failed, stats.Shed,
+		stats.Retries, stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks, stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated,
+		stats.JobsRejected, stats.LateAnswers} {
+		s.record.Integers(int64(counter))
 	}
 	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v", label, s.kinds, s.changes, s.engine.OpenTasks(), s.revision,
-		[]uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections, c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed, c.Retries,
-			c.LostTasks, c.EvictedTasks, c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsRejected, c.LateAnswers})
+		[]uint64{stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections, stats.UnknownOutcomes, stats.Adopted, stats.Stops, stats.Placed, stats.Rejected, stats.Failed, stats.Shed, stats.Retries,
+			stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks, stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers})
 	s.record.Checkpoint(label)
 }
 
@@ -675,7 +675,7 @@
 	s.checkpoint("after the stop")
 	s.engine.Store().Snapshot(store.Pods).Scan("", "", func(key string, change *store.Change) bool {
 		pod := change.Object.(*corev1.Pod)
-		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, wellknown.SettledOf(pod))
+		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, wellknown.SettledReason(pod))
 		return true
 	})
 	s.checkpoint("final tasks")
@@ -732,10 +732,10 @@
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
 		{"small-limits", 3, 300, false, func(c *engine.Config) {
-			c.MaxPods, c.MaxObjects, c.History, c.AdmitBatch, c.LostAfter = 90, 600000, 5000, 3, 2
+			c.MaxPods, c.MaxObjects, c.History, c.MaxStartsPerCall, c.NodeLossTimeout = 90, 600000, 5000, 3, 2
 		}},
 		{"narrow-gate", 4, 300, true, func(c *engine.Config) {
-			c.Admission.MinInFlight, c.Admission.MaxInFlight, c.Admission.Start, c.Admission.MaxWaiting, c.FinishedTTL = 1, 3, 2, 12, 0
+			c.Admission.MinInFlight, c.Admission.MaxInFlight, c.Admission.InitialInFlight, c.Admission.MaxQueued, c.FinishedTTL = 1, 3, 2, 12, 0
 		}},
 		{"pull-list", 5, 200, true, func(c *engine.Config) { c.Placer.MustPollNodes, c.Placer.AcknowledgesOnStart = true, true }},
 	} {
