--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,33 +29,33 @@
 
 // Config is what an engine is told at its start.
 type Config struct {
-	Name         string // of this scheduler; machines keep it with each Pod
-	Placer       placer.Config
-	Classes      []string // names, as in Placer.Classes
-	DefaultClass int
-	NodeTypes    []string // names, as in Placer.Kinds
-	Tenants      []string // namespaces, as in Placer.Tenants; every namespace may ask if there are none
-	Zone         string   // of this scheduler
-	Retry        retry.Policy
-	Admission    admission.Config // of the front door; the zero value lets everything pass
-	Seed         uint64
-	BaseRev      int64   // revisions begin above this
-	History      int     // changes kept per table for watches
-	MaxPods      int     // Pods held at a time; further Jobs are turned away
-	MaxHistory   int64   // bytes of changes kept for watches, as store.Cost counts; 0 is no bound
-	MaxObjects   int64   // bytes of objects held at a time, counted so; further Jobs are turned away. 0 is no bound
-	FinishedTTL  float64 // seconds that a finished Job without a time of its own is kept
-	LostAfter    float64 // seconds that a machine may be neither heard of nor listed before its tasks count as lost
-	AdmitBatch   int     // tasks begun in one call; the rest follow in the next
+	Name             string // of this scheduler; machines keep it with each Pod
+	Placer           placer.Config
+	Classes          []string // names, as in Placer.Classes
+	DefaultClass     int
+	NodeTypes        []string // names, as in Placer.Kinds
+	Tenants          []string // namespaces, as in Placer.Tenants; every namespace may ask if there are none
+	Zone             string   // of this scheduler
+	Retry            retry.Policy
+	Admission        admission.Config // of the front door; the zero value lets everything pass
+	Seed             uint64
+	BaseRevision     int64   // revisions begin above this
+	History          int     // changes kept per table for watches
+	MaxPods          int     // Pods held at a time; further Jobs are turned away
+	MaxHistory       int64   // bytes of changes kept for watches, as store.Cost counts; 0 is no bound
+	MaxObjects       int64   // bytes of objects held at a time, counted so; further Jobs are turned away. 0 is no bound
+	FinishedTTL      float64 // seconds that a finished Job without a time of its own is kept
+	NodeLossTimeout  float64 // seconds that a machine may be neither heard of nor listed before its tasks count as lost
+	MaxStartsPerCall int     // tasks begun in one call; the rest follow in the next
 }
 
 // Defaults for what a Config leaves at zero.
 const (
-	DefaultHistory         = 20000
-	DefaultMaxPods         = 200000
-	DefaultLostAfter       = 8.0
-	DefaultMaxPollInterval = 10.0
-	DefaultAdmitBatch      = 256
+	DefaultHistory          = 20000
+	DefaultMaxPods          = 200000
+	DefaultNodeLossTimeout  = 8.0
+	DefaultMaxPollInterval  = 10.0
+	DefaultMaxStartsPerCall = 256
 )
 
 // EffectKind selects what an Effect asks for.
@@ -75,47 +75,47 @@
 
 // Effect is something that must happen outside.
 type Effect struct {
-	Kind      EffectKind
-	Node      string
-	Address   string // of the machine: host:port
-	Pod       *corev1.Pod
-	UID       types.UID
-	Namespace string
-	Name      string
-	Attempt   int
-	Until     float64 // SendOffer: the answer is of no use after this
-	Careful   bool    // SendOffer: a doubt whether it was read is dear
+	Kind                EffectKind
+	Node                string
+	Address             string // of the machine: host:port
+	Pod                 *corev1.Pod
+	UID                 types.UID
+	Namespace           string
+	Name                string
+	Attempt             int
+	Deadline            float64 // SendOffer: the answer is of no use after this
+	AvoidUnknownOutcome bool    // SendOffer: a doubt whether it was read is dear
 }
 
 // Engine is one scheduler. It is for one goroutine.
 type Engine struct {
-	cfg    Config
-	now    float64
-	rng    *rand.Rand
-	module eventqueue.Queue
-	gate   *admission.Controller
-	gateAt *timer
-	store  *store.Store
+	cfg            Config
+	now            float64
+	rng            *rand.Rand
+	events         eventqueue.Queue
+	admission      *admission.Controller
+	admissionTimer *timer
+	store          *store.Store
 
 	effects []Effect
 
 	timers timerqueue.Queue
 
-	jobs     map[string]*job // by namespace/name
-	tasks    map[types.UID]*task
-	asks     map[placer.TaskID]*ask
-	lastAsk  placer.TaskID
-	nodes    map[string]*node
-	byID     map[placer.NodeID]*node
-	zones    map[string]int
-	racks    map[string]int
-	dirty    []*job
-	backlog  []*job // jobs with tasks to begin
-	admits   bool   // a timer for the backlog is set
-	listed   bool   // the inventory was heard of
-	stopping bool
-	unnamed  int    // tasks that have no final answer yet
-	finished []*job // Jobs that have ended, the oldest first; those that are gone are skipped
+	jobs            map[string]*job // by namespace/name
+	tasks           map[types.UID]*task
+	requests        map[placer.TaskID]*placementRequest
+	lastRequestID   placer.TaskID
+	nodes           map[string]*node
+	nodesByID       map[placer.NodeID]*node
+	zones           map[string]int
+	racks           map[string]int
+	dirtyJobs       []*job
+	backlog         []*job // jobs with tasks to begin
+	startScheduled  bool   // a timer for the backlog is set
+	inventoryListed bool   // the inventory was heard of
+	stopping        bool
+	openTasks       int    // tasks that have no final answer yet
+	finishedJobs    []*job // Jobs that have ended, the oldest first; those that are gone are skipped
 
 	// Stats count what happened since the start.
 	Stats Stats
@@ -140,42 +140,42 @@
 	if cfg.DefaultClass < 0 || cfg.DefaultClass >= len(cfg.Classes) {
 		return nil, fmt.Errorf("engine: default class %d of %d", cfg.DefaultClass, len(cfg.Classes))
 	}
-	set := func(p *int, v int) {
-		if *p <= 0 {
-			*p = v
+	set := func(policy *int, v int) {
+		if *policy <= 0 {
+			*policy = v
 		}
 	}
 	set(&cfg.History, DefaultHistory)
 	set(&cfg.MaxPods, DefaultMaxPods)
-	set(&cfg.AdmitBatch, DefaultAdmitBatch)
+	set(&cfg.MaxStartsPerCall, DefaultMaxStartsPerCall)
 	if cfg.Placer.MaxPollInterval <= 0 {
 		cfg.Placer.MaxPollInterval = DefaultMaxPollInterval
 	}
-	if cfg.LostAfter <= 0 {
-		cfg.LostAfter = DefaultLostAfter
+	if cfg.NodeLossTimeout <= 0 {
+		cfg.NodeLossTimeout = DefaultNodeLossTimeout
 	}
 	if cfg.Retry == (retry.Policy{}) {
 		cfg.Retry = retry.DefaultPolicy()
 	}
 	e := &Engine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6865617468)),
-		store: store.NewBounded(cfg.BaseRev, cfg.History, cfg.MaxHistory), jobs: map[string]*job{}, tasks: map[types.UID]*task{},
-		asks: map[placer.TaskID]*ask{}, nodes: map[string]*node{}, byID: map[placer.NodeID]*node{},
+		store: store.NewBounded(cfg.BaseRevision, cfg.History, cfg.MaxHistory), jobs: map[string]*job{}, tasks: map[types.UID]*task{},
+		requests: map[placer.TaskID]*placementRequest{}, nodes: map[string]*node{}, nodesByID: map[placer.NodeID]*node{},
 		zones: map[string]int{cfg.Zone: 0}, racks: map[string]int{}}
 	e.cfg.Placer.Zone = 0
-	p, err := placer.New(e.cfg.Placer, cfg.Seed)
+	policy, err := placer.New(e.cfg.Placer, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	e.module = eventqueue.Queue{Placer: p, Execute: e.carryOut}
-	if e.cfg.Admission.MaxWaiting == 0 {
+	e.events = eventqueue.Queue{Placer: policy, Execute: e.execute}
+	if e.cfg.Admission.MaxQueued == 0 {
 		e.cfg.Admission = admission.DefaultConfig()
 		e.cfg.Admission.Disabled = true
 	}
 	e.cfg.Admission.Shares = nil
-	for _, t := range cfg.Placer.Tenants {
-		e.cfg.Admission.Shares = append(e.cfg.Admission.Shares, t.Share)
+	for _, tenant := range cfg.Placer.Tenants {
+		e.cfg.Admission.Shares = append(e.cfg.Admission.Shares, tenant.Share)
 	}
-	if e.gate, err = admission.New(e.cfg.Admission); err != nil {
+	if e.admission, err = admission.New(e.cfg.Admission); err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
 	e.addNamespaces()
@@ -201,106 +201,106 @@
 
 // Tick lets due timers run.
 func (e *Engine) Tick(now float64) {
-	e.begin(now)
+	e.beginCall(now)
 	// What is added meanwhile for now waits for the next call.
-	for n := e.timers.Len(); n > 0; n-- {
-		t := e.timers.Pop(e.now)
-		if t == nil {
+	for count := e.timers.Len(); count > 0; count-- {
+		due := e.timers.Pop(e.now)
+		if due == nil {
 			break
 		}
-		t.Run()
+		due.Run()
 	}
-	e.end()
+	e.endCall()
 }
 
 // Admission is the front door, to be read between calls.
-func (e *Engine) Admission() *admission.Controller { return e.gate }
+func (e *Engine) Admission() *admission.Controller { return e.admission }
 
 // OpenTasks is the number of tasks without a final answer.
-func (e *Engine) OpenTasks() int { return e.unnamed }
+func (e *Engine) OpenTasks() int { return e.openTasks }
 
 // Stop turns new Jobs away from now on and gives every task that waits its final answer as soon as the rules allow: tasks
 // are not asked again.
 func (e *Engine) Stop(now float64) {
-	e.begin(now)
+	e.beginCall(now)
 	e.stopping = true
-	for _, t := range e.sortedTasks() {
-		if t.phase == asking && t.ask.queued {
-			e.withdraw(t)
-			t.phase = waiting
+	for _, task := range e.sortedTasks() {
+		if task.phase == phaseRequesting && task.request.queued {
+			e.withdrawRequest(task)
+			task.phase = phaseWaiting
 		}
-		if t.phase == waiting && !t.inDoubt() {
-			e.settle(t, e.endOf(t), "the scheduler stops")
+		if task.phase == phaseWaiting && !task.hasUnknownOutcome() {
+			e.settle(task, e.failureReason(task), "the scheduler stops")
 		}
 	}
-	e.end()
+	e.endCall()
 }
 
-// begin and end stand around every call.
-func (e *Engine) begin(now float64) { e.now = max(e.now, now) }
-
-func (e *Engine) end() {
-	e.drainQueue()
-	e.openGate()
-	dirty := e.dirty
-	e.dirty = nil
-	for _, j := range dirty {
-		j.dirty = false
-		e.flushJob(j)
+// beginCall and end stand around every call.
+func (e *Engine) beginCall(now float64) { e.now = max(e.now, now) }
+
+func (e *Engine) endCall() {
+	e.drainEvents()
+	e.admitRequests()
+	dirty := e.dirtyJobs
+	e.dirtyJobs = nil
+	for _, job := range dirty {
+		job.dirty = false
+		e.writeJobStatus(job)
 	}
-	e.drainQueue()
+	e.drainEvents()
 }
 
-// feed queues an event for the module, drainQueue hands over what is queued.
-func (e *Engine) feed(ev placer.Event) { e.module.Post(ev) }
+// post queues an event for the module, drainQueue hands over what is queued.
+func (e *Engine) post(event placer.Event) { e.events.Post(event) }
 
-func (e *Engine) drainQueue() { e.module.Run(e.now) }
+func (e *Engine) drainEvents() { e.events.Run(e.now) }
 
-func (e *Engine) carryOut(a *placer.Action) {
-	switch a.Kind {
+func (e *Engine) execute(action *placer.Action) {
+	switch action.Kind {
 	case placer.StartAttempt:
-		e.offer(a)
+		e.startAttempt(action)
 	case placer.Reject:
-		e.answered(a.Task, retry.Rejected, a.After)
+		e.requestEnded(action.Task, retry.Rejected, action.After)
 	case placer.Fail:
-		e.answered(a.Task, retry.Failed, 0)
+		e.requestEnded(action.Task, retry.Failed, 0)
 	case placer.SetTimer:
-		token := a.Token
-		e.after(eventqueue.Delay(a.After), func() { e.feed(placer.Event{Kind: placer.TimerFired, Token: token}); e.drainQueue() })
+		token := action.Token
+		e.runAfter(eventqueue.Delay(action.After), func() { e.post(placer.Event{Kind: placer.TimerFired, Token: token}); e.drainEvents() })
 	case placer.WatchNodes, placer.ListNodes:
-		e.effect(Effect{Kind: RelistNodes})
+		e.emit(Effect{Kind: RelistNodes})
 	case placer.Migrate:
-		e.move(a.Task)
+		e.migrateTask(action.Task)
 	}
 }
 
-func (e *Engine) effect(x Effect) { e.effects = append(e.effects, x) }
+func (e *Engine) emit(effect Effect) { e.effects = append(e.effects, effect) }
 
 // timer is a function that runs in a later Tick.
 type timer = timerqueue.Timer
 
-func (e *Engine) at(at float64, fn func()) *timer { return e.timers.Add(at, fn) }
+func (e *Engine) runAt(when float64, fn func()) *timer { return e.timers.Add(when, fn) }
 
-func (e *Engine) after(d float64, fn func()) *timer { return e.at(e.now+max(d, 0), fn) }
+func (e *Engine) runAfter(delay float64, fn func()) *timer { return e.runAt(e.now+max(delay, 0), fn) }
 
-func (e *Engine) stopTimer(t *timer) { e.timers.Stop(t) }
+func (e *Engine) stopTimer(task *timer) { e.timers.Stop(task) }
 
 // newUID makes a random identity in the form of a UUID, from the engine's own seed.
 func (e *Engine) newUID() types.UID {
-	a, b := e.rng.Uint64(), e.rng.Uint64()
-	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(a), uint16(a>>32), a>>52,
-		0x8000|uint16(b)&0x3fff, b>>16))
+	first, second := e.rng.Uint64(), e.rng.Uint64()
+	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(first), uint16(first>>32), first>>52,
+		0x8000|uint16(second)&0x3fff, second>>16))
 }
 
 const suffixLetters = "bcdfghjklmnpqrstvwxz2456789"
 
-// suffix makes five letters for generated names, as the Kubernetes API does.
-func (e *Engine) suffix() string {
-	b := make([]byte, 5)
-	for i := range b {
-		b[i] = suffixLetters[e.rng.IntN(len(suffixLetters))]
+// randomSuffix makes five letters for generated names, as the Kubernetes API does.
+func (e *Engine) randomSuffix() string {
+	letters := make([]byte, 5)
+	for i := range letters {
+		letters[i] = suffixLetters[e.rng.IntN(len(suffixLetters))]
 	}
-	return string(b)
+	return string(letters)
 }
 
 // serviceID is the same at every scheduler for the same service.
@@ -309,21 +309,21 @@
 }
 
 func (e *Engine) sortedTasks() []*task {
-	out := make([]*task, 0, len(e.tasks))
-	for _, t := range e.tasks {
-		out = append(out, t)
+	tasks := make([]*task, 0, len(e.tasks))
+	for _, task := range e.tasks {
+		tasks = append(tasks, task)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].seq < out[j].seq })
-	return out
+	sort.Slice(tasks, func(i, job int) bool { return tasks[i].sequence < tasks[job].sequence })
+	return tasks
 }
 
-func intern(m map[string]int, name string) int {
-	i, ok := m[name]
+func intern(indexes map[string]int, name string) int {
+	index, ok := indexes[name]
 	if !ok {
-		i = len(m)
-		m[name] = i
+		index = len(indexes)
+		indexes[name] = index
 	}
-	return i
+	return index
 }
 
 // Errors of calls. The API turns them into statuses.
@@ -343,25 +343,25 @@
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Field, e.Value, e.Detail) }
 
-func jobKey(j *batchv1.Job) string { return store.Key(j.Namespace, j.Name) }
+func jobKey(object *batchv1.Job) string { return store.Key(object.Namespace, object.Name) }
 
-func setCondition(conds []corev1.PodCondition, c corev1.PodCondition) []corev1.PodCondition {
-	for i := range conds {
-		if conds[i].Type == c.Type {
-			if conds[i].Status == c.Status {
-				c.LastTransitionTime = conds[i].LastTransitionTime
+func setCondition(conditions []corev1.PodCondition, condition corev1.PodCondition) []corev1.PodCondition {
+	for i := range conditions {
+		if conditions[i].Type == condition.Type {
+			if conditions[i].Status == condition.Status {
+				condition.LastTransitionTime = conditions[i].LastTransitionTime
 			}
-			conds[i] = c
-			return conds
+			conditions[i] = condition
+			return conditions
 		}
 	}
-	return append(conds, c)
+	return append(conditions, condition)
 }
 
-// tenant is the number of a namespace, and whether it may ask.
-func (e *Engine) tenant(namespace string) (int, bool) {
-	for i, n := range e.cfg.Tenants {
-		if n == namespace {
+// tenantOf is the number of a namespace, and whether it may ask.
+func (e *Engine) tenantOf(namespace string) (int, bool) {
+	for i, name := range e.cfg.Tenants {
+		if name == namespace {
 			return i, true
 		}
 	}
@@ -373,10 +373,10 @@
 		if e.store.Get(store.Namespaces, "", name) != nil {
 			continue
 		}
-		ns := &corev1.Namespace{}
-		ns.Name, ns.UID = name, e.newUID()
-		ns.Labels = map[string]string{"kubernetes.io/metadata.name": name}
-		ns.Status.Phase = corev1.NamespaceActive
-		e.store.Put(store.Namespaces, ns)
+		namespace := &corev1.Namespace{}
+		namespace.Name, namespace.UID = name, e.newUID()
+		namespace.Labels = map[string]string{"kubernetes.io/metadata.name": name}
+		namespace.Status.Phase = corev1.NamespaceActive
+		e.store.Put(store.Namespaces, namespace)
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,18 +14,18 @@
 )
 
 func listedNode(boot string, started float64) *corev1.Node {
-	o := &corev1.Node{}
-	o.Name = "n"
-	o.Labels = map[string]string{wellknown.Kind: "k"}
-	o.Annotations = map[string]string{}
+	node := &corev1.Node{}
+	node.Name = "n"
+	node.Labels = map[string]string{wellknown.Kind: "k"}
+	node.Annotations = map[string]string{}
 	if started > 0 {
-		o.Annotations[wellknown.Started] = wellknown.Instant(started)
+		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
 	}
-	o.Status.NodeInfo.BootID = boot
-	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
-	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0.1"}}
-	o.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
-	return o
+	node.Status.NodeInfo.BootID = boot
+	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
+	node.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0.1"}}
+	node.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
+	return node
 }
 
 func newEngine(t *testing.T) *Engine {
@@ -40,8 +40,8 @@
 }
 
 // A machine whose clock is behind must not look warm when it has just come up, nor one that is ahead stay cold for ever.
-func TestColdByOwnClock(t *testing.T) {
-	for _, c := range []struct {
+func TestWarmupUsesOwnClock(t *testing.T) {
+	for _, test := range []struct {
 		name          string
 		first, second *corev1.Node // as listed at 1000 and at 1100
 		want          float64
@@ -53,31 +53,31 @@
 		{"there before us", listedNode("a", 990), listedNode("a", 990), 990},
 	} {
 		e := newEngine(t)
-		e.NodesListed(1000, FullList, []*corev1.Node{c.first}, nil)
-		e.NodesListed(1100, Changes, []*corev1.Node{c.second}, nil)
-		if got := e.nodes["n"].since; got != c.want {
-			t.Errorf("%s: since %v, want %v", c.name, got, c.want)
+		e.NodesListed(1000, FullList, []*corev1.Node{test.first}, nil)
+		e.NodesListed(1100, Changes, []*corev1.Node{test.second}, nil)
+		if got := e.nodes["n"].startedAt; got != test.want {
+			t.Errorf("%s: since %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
 // The list is late: a life that the machine itself has left ends nothing of its present one.
-func TestLateListNamesAnEarlierLife(t *testing.T) {
+func TestLateListWithEarlierIncarnation(t *testing.T) {
 	e := newEngine(t)
 	e.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
 	e.NodePods(1001, "n", "a", 1, nil)
 	e.NodePods(1010, "n", "b", 1, nil)
 	e.NodesListed(1011, Changes, []*corev1.Node{listedNode("a", 0)}, nil)
-	e.learn(e.nodes["n"], "a")
-	if got := e.nodes["n"].boot; got != "b" {
+	e.observeIncarnation(e.nodes["n"], "a")
+	if got := e.nodes["n"].incarnation; got != "b" {
 		t.Errorf("the machine is taken back to life %q", got)
 	}
 }
 
 // A machine that says that it does not have a task speaks of its present life only. If the attempt was sent to an earlier one it may have
 // run there, and a task that must not run twice is not asked for again.
-func TestFenceAnsweredByAnotherLife(t *testing.T) {
-	for _, c := range []struct {
+func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
+	for _, test := range []struct {
 		name, boot string
 		again      bool // it is asked for again
 	}{{"same life", "a", true}, {"another life", "b", false}} {
@@ -87,44 +87,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := listedNode("a", 0)
-		n.Annotations[wellknown.Free] = "cores=8.0, memory=8.0"
-		e.NodesListed(1000, FullList, []*corev1.Node{n}, nil)
+		node := listedNode("a", 0)
+		node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
+		e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
 		e.NodePods(1000, "n", "a", 1, nil)
-		j := &batchv1.Job{}
-		j.Name, j.Namespace = "j", "default"
-		if _, err := e.CreateJob(1001, j, false); err != nil {
+		job := &batchv1.Job{}
+		job.Name, job.Namespace = "j", "default"
+		if _, err := e.CreateJob(1001, job, false); err != nil {
 			t.Fatal(err)
 		}
-		offers, now := 0, 1001.0
+		attempts, now := 0, 1001.0
 		for now < 1060 {
-			for _, x := range e.Ready(nil) {
-				switch x.Kind {
+			for _, effect := range e.Ready(nil) {
+				switch effect.Kind {
 				case SendAttempt:
-					offers++ // and no answer comes
+					attempts++ // and no answer comes
 				case StopTask:
-					e.StopDone(now, StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt, Known: true, Incarnation: c.boot})
+					e.StopDone(now, StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt, Answered: true, Incarnation: test.boot})
 				}
 			}
 			now = min(e.NextWake(), 1060)
 			e.Tick(now)
 		}
-		if (offers > 1) != c.again {
-			t.Errorf("%s: %d offers", c.name, offers)
+		if (attempts > 1) != test.again {
+			t.Errorf("%s: %d offers", test.name, attempts)
 		}
 	}
 }
 
 // What is over makes room for what is new, the oldest first, but not before its outcome could be read.
-func TestFinishedJobsMakeRoom(t *testing.T) {
+func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	e := newEngine(t)
 	e.cfg.MaxPods, e.cfg.MaxObjects = 100, 1<<30
-	create := func(now float64, name string, n int) error {
-		j := &batchv1.Job{}
-		j.Name, j.Namespace = name, "default"
-		k, zero := int32(n), int32(0)
-		j.Spec.Completions, j.Spec.Parallelism, j.Spec.BackoffLimit = &k, &k, &zero
-		_, err := e.CreateJob(now, j, false)
+	create := func(now float64, name string, tasks int) error {
+		job := &batchv1.Job{}
+		job.Name, job.Namespace = name, "default"
+		completions, zero := int32(tasks), int32(0)
+		job.Spec.Completions, job.Spec.Parallelism, job.Spec.BackoffLimit = &completions, &completions, &zero
+		_, err := e.CreateJob(now, job, false)
 		for range 10 {
 			e.Tick(now)
 		}
@@ -152,21 +152,21 @@
 	}
 	big := &batchv1.Job{}
 	big.Name, big.Namespace = "big", "default"
-	n := int32(100)
-	big.Spec.Completions, big.Spec.Parallelism = &n, &n
+	tasks := int32(100)
+	big.Spec.Completions, big.Spec.Parallelism = &tasks, &tasks
 	big.Spec.Template.Annotations = map[string]string{"x": strings.Repeat("x", 4<<20)}
-	var inv *InvalidError
-	if _, err := e.CreateJob(now+32, big, false); !errors.As(err, &inv) {
+	var invalid *InvalidError
+	if _, err := e.CreateJob(now+32, big, false); !errors.As(err, &invalid) {
 		t.Errorf("a Job of 400 MB: %v", err)
 	}
 }
 
 // A task that ended without success is requested again by a timer. Where the engine is stopped before that timer fires, the new Pod gets
 // its final answer and nothing is sent for it.
-func TestStopWhileATaskWaitsToRunAgain(t *testing.T) {
+func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	e := newEngine(t)
 	node := listedNode("a", 0)
-	node.Annotations[wellknown.Free] = "cores=8.0, memory=8.0"
+	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
 	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
 	e.NodePods(1000, "n", "a", 1, nil)
 	job := &batchv1.Job{}
@@ -193,7 +193,7 @@
 	}
 	pod := sent[0].Pod.DeepCopy()
 	pod.Status.Phase = corev1.PodRunning
-	e.AttemptDone(now, AttemptAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Incarnation: "a", Rev: 2, Pod: pod})
+	e.AttemptDone(now, AttemptAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Incarnation: "a", Revision: 2, Pod: pod})
 	now++
 	failed := pod.DeepCopy()
 	failed.ResourceVersion = "3"
--- a/internal/engine/jobs.go
+++ b/internal/engine/jobs.go
@@ -21,63 +21,63 @@
 
 // job is a Job with its tasks, one for each index.
 type job struct {
-	key            string
-	uid            types.UID
-	obj            *batchv1.Job // the last stored state
-	class, tenant  int
-	service        placer.ServiceID
-	cores, memory  float64
-	slots          []slot
-	next           int // first index not begun
-	active         int
-	ready          int
-	succeeded      int
-	failed         int // ends of tasks that were no success
-	exhausted      int // indexes that will not be asked again
-	settled        map[string]int
-	mayRan         bool
-	pods           map[string]struct{} // names of all Pods in the store
-	dirty          bool
-	queued         bool
-	gone           bool // deleted; Pods may be left
-	done           bool
-	doneAt         float64
-	podCost        int64 // of each of its Pods, as store.Cost counts
-	suspended      bool
-	foreground     bool
-	takenOver      bool
-	carriedText    string
-	deadline, ttl  *timer
-	failWhole      string // reason to fail the Job as a whole
-	failWholeWords string
-}
-
-type slot struct {
-	cur     *task
-	done    bool
-	settled bool
-	budget  int
-	begun   bool
-	timer   *timer
-}
-
-func deref[T any](p *T, or T) T {
-	if p == nil {
-		return or
-	}
-	return *p
-}
-
-const defaultBackoff = 6
-
-// count is the number of tasks of a Job.
-func count(j *batchv1.Job) int {
-	return int(deref(j.Spec.Completions, deref(j.Spec.Parallelism, 1)))
-}
-
-// classOf finds the class that a template names.
-func (e *Engine) classOf(l map[string]string) (int, *InvalidError) {
-	name, ok := l[wellknown.Class]
+	key                     string
+	uid                     types.UID
+	object                  *batchv1.Job // the last stored state
+	class, tenant           int
+	service                 placer.ServiceID
+	cores, memory           float64
+	indexes                 []indexState
+	nextIndex               int // first index not begun
+	active                  int
+	ready                   int
+	succeeded               int
+	failed                  int // ends of tasks that were no success
+	exhausted               int // indexes that will not be asked again
+	settled                 map[string]int
+	mayHaveRun              bool
+	pods                    map[string]struct{} // names of all Pods in the store
+	dirty                   bool
+	queued                  bool
+	deleted                 bool // deleted; Pods may be left
+	finished                bool
+	finishedAt              float64
+	podCost                 int64 // of each of its Pods, as store.Cost counts
+	suspended               bool
+	foregroundDeletion      bool
+	adopted                 bool
+	manifestText            string
+	deadlineTimer, ttlTimer *timer
+	failureReason           string // reason to fail the Job as a whole
+	failureMessage          string
+}
+
+type indexState struct {
+	task        *task
+	done        bool
+	settled     bool
+	retryBudget int
+	started     bool
+	retryTimer  *timer
+}
+
+func valueOr[T any](pointer *T, otherwise T) T {
+	if pointer == nil {
+		return otherwise
+	}
+	return *pointer
+}
+
+const defaultBackoffLimit = 6
+
+// taskCount is the number of tasks of a Job.
+func taskCount(object *batchv1.Job) int {
+	return int(valueOr(object.Spec.Completions, valueOr(object.Spec.Parallelism, 1)))
+}
+
+// classFromLabels finds the class that a template names.
+func (e *Engine) classFromLabels(labels map[string]string) (int, *InvalidError) {
+	name, ok := labels[wellknown.Class]
 	if !ok {
 		return e.cfg.DefaultClass, nil
 	}
@@ -87,641 +87,641 @@
 	return 0, &InvalidError{"spec.template.metadata.labels[" + wellknown.Class + "]", fmt.Sprintf("no such class; there are %v", e.cfg.Classes), name}
 }
 
-// describe fills in what a Job asks for, or says why it cannot be taken.
-func (e *Engine) describe(o *batchv1.Job) (*job, error) {
-	l := o.Spec.Template.Labels
-	class, bad := e.classOf(l)
-	if bad != nil {
-		return nil, bad
+// newJob fills in what a Job asks for, or says why it cannot be taken.
+func (e *Engine) newJob(object *batchv1.Job) (*job, error) {
+	labels := object.Spec.Template.Labels
+	class, invalid := e.classFromLabels(labels)
+	if invalid != nil {
+		return nil, invalid
 	}
-	tenant, ok := e.tenant(o.Namespace)
+	tenant, ok := e.tenantOf(object.Namespace)
 	if !ok {
-		return nil, &InvalidError{"metadata.namespace", "no such tenant", o.Namespace}
+		return nil, &InvalidError{"metadata.namespace", "no such tenant", object.Namespace}
 	}
-	n := count(o)
-	if n < 0 || n > e.cfg.MaxPods {
-		return nil, &InvalidError{"spec.completions", fmt.Sprintf("must be 0 to %d", e.cfg.MaxPods), n}
+	tasks := taskCount(object)
+	if tasks < 0 || tasks > e.cfg.MaxPods {
+		return nil, &InvalidError{"spec.completions", fmt.Sprintf("must be 0 to %d", e.cfg.MaxPods), tasks}
 	}
-	j := &job{key: jobKey(o), uid: o.UID, obj: o, class: class, tenant: tenant, settled: map[string]int{},
-		pods: map[string]struct{}{}, slots: make([]slot, n)}
-	j.cores, j.memory = wellknown.Requests(&o.Spec.Template.Spec)
-	service := l[wellknown.Service]
+	job := &job{key: jobKey(object), uid: object.UID, object: object, class: class, tenant: tenant, settled: map[string]int{},
+		pods: map[string]struct{}{}, indexes: make([]indexState, tasks)}
+	job.cores, job.memory = wellknown.Requests(&object.Spec.Template.Spec)
+	service := labels[wellknown.Service]
 	if service == "" {
-		service = o.Name
+		service = object.Name
 	}
-	j.service = serviceID(o.Namespace, service)
-	j.suspended = deref(o.Spec.Suspend, false)
-	budget := int(max(deref(o.Spec.BackoffLimit, defaultBackoff), 0))
-	for i := range j.slots {
-		j.slots[i].budget = budget
+	job.service = serviceID(object.Namespace, service)
+	job.suspended = valueOr(object.Spec.Suspend, false)
+	budget := int(max(valueOr(object.Spec.BackoffLimit, defaultBackoffLimit), 0))
+	for i := range job.indexes {
+		job.indexes[i].retryBudget = budget
 	}
-	return j, nil
+	return job, nil
 }
 
 // CreateJob takes a Job that the API has checked and defaulted. With dry it only says what would come of it.
-func (e *Engine) CreateJob(now float64, o *batchv1.Job, dry bool) (*batchv1.Job, error) {
-	e.begin(now)
-	defer e.end()
-	o = o.DeepCopy()
-	if o.Name == "" && o.GenerateName != "" {
+func (e *Engine) CreateJob(now float64, object *batchv1.Job, dry bool) (*batchv1.Job, error) {
+	e.beginCall(now)
+	defer e.endCall()
+	object = object.DeepCopy()
+	if object.Name == "" && object.GenerateName != "" {
 		// The Kubernetes API server draws again when a name is taken.
 		for range 8 {
-			o.Name = fmt.Sprintf("%.248s", o.GenerateName) + e.suffix()
-			if e.jobs[jobKey(o)] == nil {
+			object.Name = fmt.Sprintf("%.248s", object.GenerateName) + e.randomSuffix()
+			if e.jobs[jobKey(object)] == nil {
 				break
 			}
 		}
 	}
-	if e.jobs[jobKey(o)] != nil {
+	if e.jobs[jobKey(object)] != nil {
 		return nil, ErrExists
 	}
 	if e.stopping {
 		return nil, ErrStopping
 	}
-	o.UID = e.newUID()
-	o.CreationTimestamp = wellknown.Time(e.now)
-	o.Generation = 1
-	o.Status = batchv1.JobStatus{}
-	if o.Spec.Selector == nil {
-		o.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{wellknown.JobUID: string(o.UID)}}
+	object.UID = e.newUID()
+	object.CreationTimestamp = wellknown.APITime(e.now)
+	object.Generation = 1
+	object.Status = batchv1.JobStatus{}
+	if object.Spec.Selector == nil {
+		object.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{wellknown.JobUID: string(object.UID)}}
 	}
-	if o.Spec.Template.Labels == nil {
-		o.Spec.Template.Labels = map[string]string{}
+	if object.Spec.Template.Labels == nil {
+		object.Spec.Template.Labels = map[string]string{}
 	}
-	for k, v := range map[string]string{wellknown.JobUID: string(o.UID), wellknown.JobName: o.Name, "controller-uid": string(o.UID),
-		"job-name": o.Name} {
-		o.Spec.Template.Labels[k] = v
+	for key, value := range map[string]string{wellknown.JobUID: string(object.UID), wellknown.JobName: object.Name, "controller-uid": string(object.UID),
+		"job-name": object.Name} {
+		object.Spec.Template.Labels[key] = value
 	}
-	j, err := e.describe(o)
+	job, err := e.newJob(object)
 	if err != nil {
 		return nil, err
 	}
-	j.podCost = store.Cost(o)
-	if need := j.podCost * int64(1+len(j.slots)); e.cfg.MaxObjects > 0 && need > e.cfg.MaxObjects {
-		return nil, &InvalidError{"spec.template", fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", len(j.slots), need, e.cfg.MaxObjects),
-			len(j.slots)}
+	job.podCost = store.Cost(object)
+	if need := job.podCost * int64(1+len(job.indexes)); e.cfg.MaxObjects > 0 && need > e.cfg.MaxObjects {
+		return nil, &InvalidError{"spec.template", fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", len(job.indexes), need, e.cfg.MaxObjects),
+			len(job.indexes)}
 	}
-	for e.full(j) {
-		if !e.makeRoom(dry) {
+	for e.exceedsLimits(job) {
+		if !e.evictFinishedJob(dry) {
 			e.Stats.JobsRejected++
 			return nil, ErrTooMany
 		}
 	}
 	if dry {
-		return o, nil
+		return object, nil
 	}
 	e.Stats.JobsCreated++
-	e.jobs[j.key] = j
-	e.store.Put(store.Jobs, o)
-	j.obj = o
-	e.startJob(j)
-	return e.store.Get(store.Jobs, o.Namespace, o.Name).(*batchv1.Job), nil
+	e.jobs[job.key] = job
+	e.store.Put(store.Jobs, object)
+	job.object = object
+	e.startJob(job)
+	return e.store.Get(store.Jobs, object.Namespace, object.Name).(*batchv1.Job), nil
 }
 
-// full says whether a Job is too much beside what is held.
-func (e *Engine) full(j *job) bool {
-	pods, bytes := e.waitingPods()
-	return e.store.Len(store.Pods)+pods+len(j.slots) > e.cfg.MaxPods ||
-		e.cfg.MaxObjects > 0 && e.store.Live()+bytes+j.podCost*int64(1+len(j.slots)) > e.cfg.MaxObjects
+// exceedsLimits says whether a Job is too much beside what is held.
+func (e *Engine) exceedsLimits(job *job) bool {
+	pods, bytes := e.pendingPods()
+	return e.store.Len(store.Pods)+pods+len(job.indexes) > e.cfg.MaxPods ||
+		e.cfg.MaxObjects > 0 && e.store.ObjectCost()+bytes+job.podCost*int64(1+len(job.indexes)) > e.cfg.MaxObjects
 }
 
-// keptLeast is how long a finished Job stays, so that its outcome can be read, even if room is wanted.
-const keptLeast = 30.0 // seconds
+// minFinishedRetention is how long a finished Job stays, so that its outcome can be read, even if room is wanted.
+const minFinishedRetention = 30.0 // seconds
 
-// makeRoom takes away the Job that finished first, and says whether there was one. A limit that is full of what is over must let go.
-func (e *Engine) makeRoom(dry bool) bool {
-	for len(e.finished) > 0 {
-		j := e.finished[0]
-		if !j.gone && e.jobs[j.key] == j {
-			if dry || e.now-j.doneAt < keptLeast {
+// evictFinishedJob takes away the Job that finished first, and says whether there was one. A limit that is full of what is over must let go.
+func (e *Engine) evictFinishedJob(dry bool) bool {
+	for len(e.finishedJobs) > 0 {
+		job := e.finishedJobs[0]
+		if !job.deleted && e.jobs[job.key] == job {
+			if dry || e.now-job.finishedAt < minFinishedRetention {
 				return false
 			}
-			e.removeJob(j, metav1.DeletePropagationBackground)
-			e.finished = e.finished[1:]
+			e.removeJob(job, metav1.DeletePropagationBackground)
+			e.finishedJobs = e.finishedJobs[1:]
 			return true
 		}
-		e.finished = e.finished[1:]
+		e.finishedJobs = e.finishedJobs[1:]
 	}
 	return false
 }
 
-// ended notes that a Job has finished.
-func (e *Engine) ended(j *job) {
-	j.done, j.doneAt = true, e.now
+// jobFinished notes that a Job has finished.
+func (e *Engine) jobFinished(finished *job) {
+	finished.finished, finished.finishedAt = true, e.now
 	e.Stats.JobsFinished++
-	if len(e.finished) > 2*len(e.jobs)+16 {
-		e.finished = slices.DeleteFunc(e.finished, func(j *job) bool { return j.gone })
+	if len(e.finishedJobs) > 2*len(e.jobs)+16 {
+		e.finishedJobs = slices.DeleteFunc(e.finishedJobs, func(finished *job) bool { return finished.deleted })
 	}
-	e.finished = append(e.finished, j)
+	e.finishedJobs = append(e.finishedJobs, finished)
 }
 
-// waitingPods is the number of tasks that were taken and have no Pod yet, and what they will take.
-func (e *Engine) waitingPods() (n int, bytes int64) {
-	for _, j := range e.backlog {
-		n += len(j.slots) - j.next
-		bytes += j.podCost * int64(len(j.slots)-j.next)
+// pendingPods is the number of tasks that were taken and have no Pod yet, and what they will take.
+func (e *Engine) pendingPods() (count int, bytes int64) {
+	for _, job := range e.backlog {
+		count += len(job.indexes) - job.nextIndex
+		bytes += job.podCost * int64(len(job.indexes)-job.nextIndex)
 	}
-	return n, bytes
+	return count, bytes
 }
 
-func (e *Engine) startJob(j *job) {
-	if s := j.obj.Spec.ActiveDeadlineSeconds; s != nil && !j.suspended {
-		e.stopTimer(j.deadline)
-		j.deadline = e.after(float64(*s), func() { e.failJob(j, "DeadlineExceeded", "Job was active longer than specified deadline") })
+func (e *Engine) startJob(job *job) {
+	if seconds := job.object.Spec.ActiveDeadlineSeconds; seconds != nil && !job.suspended {
+		e.stopTimer(job.deadlineTimer)
+		job.deadlineTimer = e.runAfter(float64(*seconds), func() { e.failJob(job, "DeadlineExceeded", "Job was active longer than specified deadline") })
 	}
-	e.enqueue(j)
-	e.touchJob(j)
+	e.enqueueJob(job)
+	e.markJobDirty(job)
 }
 
-func (e *Engine) enqueue(j *job) {
-	if !j.queued && !j.gone && !j.suspended && j.failWhole == "" && j.next < len(j.slots) {
-		j.queued = true
-		e.backlog = append(e.backlog, j)
+func (e *Engine) enqueueJob(job *job) {
+	if !job.queued && !job.deleted && !job.suspended && job.failureReason == "" && job.nextIndex < len(job.indexes) {
+		job.queued = true
+		e.backlog = append(e.backlog, job)
 	}
-	if len(e.backlog) > 0 && !e.admits {
-		e.admits = true
-		e.after(0, e.admit)
+	if len(e.backlog) > 0 && !e.startScheduled {
+		e.startScheduled = true
+		e.runAfter(0, e.startTasks)
 	}
 }
 
-const turn = 32 // tasks that a Job may begin before the next Job's turn
+const startsPerTurn = 32 // tasks that a Job may begin before the next Job's turn
 
-// admit begins tasks of Jobs in turn, a bounded number in one call, so that a large Job holds up nobody.
-func (e *Engine) admit() {
-	e.admits = false
-	left := e.cfg.AdmitBatch
+// startTasks begins tasks of Jobs in turn, a bounded number in one call, so that a large Job holds up nobody.
+func (e *Engine) startTasks() {
+	e.startScheduled = false
+	left := e.cfg.MaxStartsPerCall
 	for left > 0 && len(e.backlog) > 0 {
-		j := e.backlog[0]
+		job := e.backlog[0]
 		e.backlog = e.backlog[1:]
-		j.queued = false
-		if j.gone || j.suspended || j.failWhole != "" {
+		job.queued = false
+		if job.deleted || job.suspended || job.failureReason != "" {
 			continue
 		}
-		limit := int(deref(j.obj.Spec.Parallelism, 1))
-		for n := 0; n < turn && left > 0 && j.next < len(j.slots) && j.active < limit; n++ {
-			i := j.next
-			j.next++
-			if j.slots[i].begun || j.slots[i].done {
+		limit := int(valueOr(job.object.Spec.Parallelism, 1))
+		for started := 0; started < startsPerTurn && left > 0 && job.nextIndex < len(job.indexes) && job.active < limit; started++ {
+			i := job.nextIndex
+			job.nextIndex++
+			if job.indexes[i].started || job.indexes[i].done {
 				continue
 			}
-			e.spawn(j, i)
+			e.startTask(job, i)
 			left--
 		}
-		e.drainQueue()
-		if j.next < len(j.slots) && j.active < limit {
-			e.enqueue(j)
+		e.drainEvents()
+		if job.nextIndex < len(job.indexes) && job.active < limit {
+			e.enqueueJob(job)
 		}
 	}
-	if len(e.backlog) > 0 && !e.admits {
-		e.admits = true
-		e.after(0, e.admit)
-	}
-}
-
-// spawn makes the Pod of an index and begins to ask for it.
-func (e *Engine) spawn(j *job, i int) {
-	s := &j.slots[i]
-	s.begun, s.timer = true, nil
-	t := &task{uid: e.newUID(), namespace: j.obj.Namespace, job: j, index: i, class: j.class, tenant: j.tenant,
-		service: j.service, cores: j.cores, memory: j.memory, budget: s.budget}
-	t.name = fmt.Sprintf("%.52s-%d-%s", j.obj.Name, i, e.suffix())
-	t.giveUp = e.now + e.cfg.Retry.MaxWait(e.cfg.Placer.Classes[j.class].Deadline, t.budget)
-	if j.deadline.Pending() {
-		t.giveUp = min(t.giveUp, j.deadline.At)
-	}
-	s.cur = t
-	j.active++
-	p := &corev1.Pod{Spec: j.obj.Spec.Template.Spec} // shared: what is in the store is never changed
-	p.Name, p.Namespace, p.UID = t.name, t.namespace, t.uid
-	p.GenerateName = fmt.Sprintf("%s-%d-", j.obj.Name, i)
-	p.Labels = maps.Clone(j.obj.Spec.Template.Labels)
-	p.Annotations = maps.Clone(j.obj.Spec.Template.Annotations)
-	if p.Labels == nil {
-		p.Labels = map[string]string{}
-	}
-	if p.Annotations == nil {
-		p.Annotations = map[string]string{}
-	}
-	p.Labels[wellknown.Index] = strconv.Itoa(i)
-	p.Annotations[wellknown.Index] = strconv.Itoa(i)
-	p.Annotations[wellknown.GiveUpAt] = wellknown.Instant(t.giveUp)
-	p.CreationTimestamp = wellknown.Time(e.now)
-	p.OwnerReferences = []metav1.OwnerReference{ownedBy(j)}
-	p.Status.Phase = corev1.PodPending
-	p.Status.QOSClass = corev1.PodQOSBurstable
-	j.pods[t.name] = struct{}{}
-	e.addTask(t, p)
+	if len(e.backlog) > 0 && !e.startScheduled {
+		e.startScheduled = true
+		e.runAfter(0, e.startTasks)
+	}
+}
+
+// startTask makes the Pod of an index and begins to ask for it.
+func (e *Engine) startTask(job *job, i int) {
+	state := &job.indexes[i]
+	state.started, state.retryTimer = true, nil
+	task := &task{uid: e.newUID(), namespace: job.object.Namespace, job: job, index: i, class: job.class, tenant: job.tenant,
+		service: job.service, cores: job.cores, memory: job.memory, retryBudget: state.retryBudget}
+	task.name = fmt.Sprintf("%.52s-%d-%s", job.object.Name, i, e.randomSuffix())
+	task.deadline = e.now + e.cfg.Retry.MaxWait(e.cfg.Placer.Classes[job.class].Deadline, task.retryBudget)
+	if job.deadlineTimer.Pending() {
+		task.deadline = min(task.deadline, job.deadlineTimer.At)
+	}
+	state.task = task
+	job.active++
+	pod := &corev1.Pod{Spec: job.object.Spec.Template.Spec} // shared: what is in the store is never changed
+	pod.Name, pod.Namespace, pod.UID = task.name, task.namespace, task.uid
+	pod.GenerateName = fmt.Sprintf("%s-%d-", job.object.Name, i)
+	pod.Labels = maps.Clone(job.object.Spec.Template.Labels)
+	pod.Annotations = maps.Clone(job.object.Spec.Template.Annotations)
+	if pod.Labels == nil {
+		pod.Labels = map[string]string{}
+	}
+	if pod.Annotations == nil {
+		pod.Annotations = map[string]string{}
+	}
+	pod.Labels[wellknown.Index] = strconv.Itoa(i)
+	pod.Annotations[wellknown.Index] = strconv.Itoa(i)
+	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(task.deadline)
+	pod.CreationTimestamp = wellknown.APITime(e.now)
+	pod.OwnerReferences = []metav1.OwnerReference{jobOwnerReference(job)}
+	pod.Status.Phase = corev1.PodPending
+	pod.Status.QOSClass = corev1.PodQOSBurstable
+	job.pods[task.name] = struct{}{}
+	e.registerTask(task, pod)
 	if e.stopping {
 		// Never requested: the placer would handle the request and make an attempt before it handled a withdrawal of it.
-		t.phase = waiting
-		e.settle(t, wellknown.Rejected, "the scheduler stops")
+		task.phase = phaseWaiting
+		e.settle(task, wellknown.Rejected, "the scheduler stops")
 	} else {
-		e.begAsk(t)
+		e.requestPlacement(task)
 	}
-	e.touchJob(j)
+	e.markJobDirty(job)
 }
 
-func ownedBy(j *job) metav1.OwnerReference {
+func jobOwnerReference(job *job) metav1.OwnerReference {
 	yes := true
-	return metav1.OwnerReference{APIVersion: "batch/v1", Kind: "Job", Name: j.obj.Name, UID: j.uid, Controller: &yes,
+	return metav1.OwnerReference{APIVersion: "batch/v1", Kind: "Job", Name: job.object.Name, UID: job.uid, Controller: &yes,
 		BlockOwnerDeletion: &yes}
 }
 
-// carried is the Job as machines keep it with each Pod, so that a scheduler that starts anew finds out what it is for.
-func (j *job) carried() string {
-	if j.carriedText == "" {
-		o := batchv1.Job{ObjectMeta: metav1.ObjectMeta{Name: j.obj.Name, Namespace: j.obj.Namespace, UID: j.uid,
-			Labels: j.obj.Labels, CreationTimestamp: j.obj.CreationTimestamp}, Spec: j.obj.Spec}
-		b, err := json.Marshal(&o)
+// manifest is the Job as machines keep it with each Pod, so that a scheduler that starts anew finds out what it is for.
+func (j *job) manifest() string {
+	if j.manifestText == "" {
+		object := batchv1.Job{ObjectMeta: metav1.ObjectMeta{Name: j.object.Name, Namespace: j.object.Namespace, UID: j.uid,
+			Labels: j.object.Labels, CreationTimestamp: j.object.CreationTimestamp}, Spec: j.object.Spec}
+		encoded, err := json.Marshal(&object)
 		if err != nil {
 			return ""
 		}
-		j.carriedText = string(b)
+		j.manifestText = string(encoded)
 	}
-	return j.carriedText
+	return j.manifestText
 }
 
-// jobSettled counts the first outcome of each index.
-func (e *Engine) jobSettled(t *task, reason string) {
-	j := t.job
-	s := &j.slots[t.index]
-	if s.settled || t.stopReason == "Suspended" || s.cur != t {
+// recordSettled counts the first outcome of each index.
+func (e *Engine) recordSettled(task *task, reason string) {
+	job := task.job
+	state := &job.indexes[task.index]
+	if state.settled || task.stopReason == "Suspended" || state.task != task {
 		return
 	}
-	s.settled = true
-	j.settled[reason]++
-	j.mayRan = j.mayRan || t.everRan
-	e.touchJob(j)
+	state.settled = true
+	job.settled[reason]++
+	job.mayHaveRun = job.mayHaveRun || task.everMayHaveRun
+	e.markJobDirty(job)
 }
 
 // jobTaskEnded counts the end of a task and has it asked for again where the Job wants that.
-func (e *Engine) jobTaskEnded(t *task, ok bool, c retry.Cause) {
-	j := t.job
-	s := &j.slots[t.index]
-	if s.cur != t {
+func (e *Engine) jobTaskEnded(task *task, ok bool, cause retry.Cause) {
+	job := task.job
+	state := &job.indexes[task.index]
+	if state.task != task {
 		return
 	}
-	s.cur = nil
-	j.active--
-	e.touchJob(j)
+	state.task = nil
+	job.active--
+	e.markJobDirty(job)
 	switch {
 	case ok:
-		j.succeeded++
-		s.done = true
-	case j.gone:
-	case j.suspended && t.stopReason == "Suspended":
-		s.begun = false
-		j.next = min(j.next, t.index)
+		job.succeeded++
+		state.done = true
+	case job.deleted:
+	case job.suspended && task.stopReason == "Suspended":
+		state.started = false
+		job.nextIndex = min(job.nextIndex, task.index)
 	default:
-		j.failed++
-		again := e.againAfterRun(j, s, t, c)
+		job.failed++
+		again := e.scheduleRerun(job, state, task, cause)
 		if !again {
-			s.done = true
-			j.exhausted++
+			state.done = true
+			job.exhausted++
 		}
 	}
-	e.enqueue(j)
-	e.checkJob(j)
+	e.enqueueJob(job)
+	e.finishJobIfDone(job)
 }
 
-// againAfterRun has an index asked for again after its task ended without success.
-func (e *Engine) againAfterRun(j *job, s *slot, t *task, c retry.Cause) bool {
-	if j.failWhole != "" || c == retry.Rejected && t.stopReason == "" || e.stopping {
+// scheduleRerun has an index asked for again after its task ended without success.
+func (e *Engine) scheduleRerun(job *job, state *indexState, task *task, cause retry.Cause) bool {
+	if job.failureReason != "" || cause == retry.Rejected && task.stopReason == "" || e.stopping {
 		return false // the owner asked as often as it may before it settled
 	}
-	effect := e.cfg.Placer.Classes[j.class].Idempotency
-	if effect == placer.NonIdempotent && (c == retry.Failed || t.mayRan) {
+	idempotency := e.cfg.Placer.Classes[job.class].Idempotency
+	if idempotency == placer.NonIdempotent && (cause == retry.Failed || task.mayHaveRun) {
 		return false // it ran to its end, or may still have a copy that nobody knows of
 	}
-	budget := t.budget
-	if c == retry.Migrated || t.stopReason != "" {
+	budget := task.retryBudget
+	if cause == retry.Migrated || task.stopReason != "" {
 		budget = max(budget, 1) // moves on our own order cost nothing
 	}
 	// The end is known, so there is no doubt left; the owner only chooses the wait.
-	v, at := e.cfg.Retry.Next(retry.State{Idempotency: placer.Idempotent, Cause: c, Now: e.now, Deadline: e.now + 3600,
-		Attempts: max(int(deref(j.obj.Spec.BackoffLimit, defaultBackoff))-t.budget+1, 1), Budget: budget, Jitter: e.rng.Float64()})
-	if v != retry.RetryAt {
+	decision, retryAt := e.cfg.Retry.Next(retry.State{Idempotency: placer.Idempotent, Cause: cause, Now: e.now, Deadline: e.now + 3600,
+		Attempts: max(int(valueOr(job.object.Spec.BackoffLimit, defaultBackoffLimit))-task.retryBudget+1, 1), RetriesLeft: budget, Jitter: e.rng.Float64()})
+	if decision != retry.RetryAt {
 		return false
 	}
-	if effect != placer.Idempotent {
-		at = max(at, e.now+e.cfg.Retry.UnknownOutcomeTimeout)
+	if idempotency != placer.Idempotent {
+		retryAt = max(retryAt, e.now+e.cfg.Retry.UnknownOutcomeTimeout)
 	}
-	s.budget = t.budget
-	if budget == t.budget {
-		s.budget--
+	state.retryBudget = task.retryBudget
+	if budget == task.retryBudget {
+		state.retryBudget--
 	}
-	i := t.index
-	s.timer = e.at(at, func() {
-		if !j.gone && !j.suspended && j.failWhole == "" && j.slots[i].cur == nil {
-			e.spawn(j, i)
-			e.drainQueue()
+	i := task.index
+	state.retryTimer = e.runAt(retryAt, func() {
+		if !job.deleted && !job.suspended && job.failureReason == "" && job.indexes[i].task == nil {
+			e.startTask(job, i)
+			e.drainEvents()
 		}
 	})
 	return true
 }
 
-func (e *Engine) touchJob(j *job) {
-	if !j.dirty {
-		j.dirty = true
-		e.dirty = append(e.dirty, j)
+func (e *Engine) markJobDirty(job *job) {
+	if !job.dirty {
+		job.dirty = true
+		e.dirtyJobs = append(e.dirtyJobs, job)
 	}
 }
 
-// checkJob ends a Job whose tasks have all ended.
-func (e *Engine) checkJob(j *job) {
-	if j.done || j.gone || j.active > 0 || j.suspended && j.failWhole == "" {
+// finishJobIfDone ends a Job whose tasks have all ended.
+func (e *Engine) finishJobIfDone(job *job) {
+	if job.finished || job.deleted || job.active > 0 || job.suspended && job.failureReason == "" {
 		return
 	}
-	if j.failWhole == "" && j.succeeded+j.exhausted < len(j.slots) {
+	if job.failureReason == "" && job.succeeded+job.exhausted < len(job.indexes) {
 		return
 	}
-	e.ended(j)
-	e.stopTimer(j.deadline)
-	e.touchJob(j)
-	keep := e.cfg.FinishedTTL
-	if s := j.obj.Spec.TTLSecondsAfterFinished; s != nil {
-		keep = float64(*s)
-	} else if keep <= 0 {
+	e.jobFinished(job)
+	e.stopTimer(job.deadlineTimer)
+	e.markJobDirty(job)
+	retention := e.cfg.FinishedTTL
+	if ttlSeconds := job.object.Spec.TTLSecondsAfterFinished; ttlSeconds != nil {
+		retention = float64(*ttlSeconds)
+	} else if retention <= 0 {
 		return
 	}
-	j.ttl = e.after(keep, func() {
-		if e.jobs[j.key] == j {
-			e.removeJob(j, metav1.DeletePropagationBackground)
+	job.ttlTimer = e.runAfter(retention, func() {
+		if e.jobs[job.key] == job {
+			e.removeJob(job, metav1.DeletePropagationBackground)
 		}
 	})
 }
 
 // failJob ends a Job as a whole: what is active is stopped.
-func (e *Engine) failJob(j *job, reason, words string) {
-	if j.done || j.gone || j.failWhole != "" {
+func (e *Engine) failJob(job *job, reason, message string) {
+	if job.finished || job.deleted || job.failureReason != "" {
 		return
 	}
-	j.failWhole, j.failWholeWords = reason, words
-	for i := range j.slots {
-		e.stopTimer(j.slots[i].timer)
-		if t := j.slots[i].cur; t != nil {
-			e.halt(t, reason)
+	job.failureReason, job.failureMessage = reason, message
+	for i := range job.indexes {
+		e.stopTimer(job.indexes[i].retryTimer)
+		if task := job.indexes[i].task; task != nil {
+			e.stopTask(task, reason)
 		}
 	}
-	e.drainQueue()
-	e.checkJob(j)
-	e.touchJob(j)
+	e.drainEvents()
+	e.finishJobIfDone(job)
+	e.markJobDirty(job)
 }
 
-// flushJob writes a Job's status if it changed.
-func (e *Engine) flushJob(j *job) {
-	if j.gone || e.jobs[j.key] != j {
+// writeJobStatus writes a Job's status if it changed.
+func (e *Engine) writeJobStatus(job *job) {
+	if job.deleted || e.jobs[job.key] != job {
 		return
 	}
-	if len(j.slots) == 0 && !j.done && !j.suspended {
-		e.ended(j)
+	if len(job.indexes) == 0 && !job.finished && !job.suspended {
+		e.jobFinished(job)
 	}
 	// A spec may be large, and is not changed here.
-	next := *j.obj
-	o := &next
-	j.obj.ObjectMeta.DeepCopyInto(&o.ObjectMeta)
-	j.obj.Status.DeepCopyInto(&o.Status)
-	s := &o.Status
-	now := wellknown.Time(e.now)
-	if s.StartTime == nil && !j.suspended {
-		s.StartTime = &now
-	}
-	s.Active, s.Succeeded, s.Failed = int32(j.active), int32(j.succeeded), int32(j.failed)
-	s.CompletedIndexes = ""
+	next := *job.object
+	updated := &next
+	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
+	job.object.Status.DeepCopyInto(&updated.Status)
+	status := &updated.Status
+	now := wellknown.APITime(e.now)
+	if status.StartTime == nil && !job.suspended {
+		status.StartTime = &now
+	}
+	status.Active, status.Succeeded, status.Failed = int32(job.active), int32(job.succeeded), int32(job.failed)
+	status.CompletedIndexes = ""
 	total := 0
-	for _, n := range j.settled {
-		total += n
+	for _, settled := range job.settled {
+		total += settled
 	}
-	if total == len(j.slots) {
+	if total == len(job.indexes) {
 		reason := wellknown.Failed
 		switch {
-		case j.settled[wellknown.Placed] == total:
+		case job.settled[wellknown.Placed] == total:
 			reason = wellknown.Placed
-		case j.settled[wellknown.Placed] == 0 && j.settled[wellknown.Failed] == 0 && !j.mayRan:
+		case job.settled[wellknown.Placed] == 0 && job.settled[wellknown.Failed] == 0 && !job.mayHaveRun:
 			reason = wellknown.Rejected
 		}
-		setJobCondition(s, wellknown.Settled, reason, fmt.Sprintf("%d placed, %d refused, %d failed", j.settled[wellknown.Placed],
-			j.settled[wellknown.Rejected], j.settled[wellknown.Failed]), now, true)
+		setJobCondition(status, wellknown.Settled, reason, fmt.Sprintf("%d placed, %d refused, %d failed", job.settled[wellknown.Placed],
+			job.settled[wellknown.Rejected], job.settled[wellknown.Failed]), now, true)
 	}
-	if j.suspended {
-		setJobCondition(s, batchv1.JobSuspended, "JobSuspended", "Job suspended", now, false)
+	if job.suspended {
+		setJobCondition(status, batchv1.JobSuspended, "JobSuspended", "Job suspended", now, false)
 	} else {
-		for i := range s.Conditions {
-			if c := &s.Conditions[i]; c.Type == batchv1.JobSuspended && c.Status == corev1.ConditionTrue {
-				c.Status, c.Reason, c.Message, c.LastTransitionTime = corev1.ConditionFalse, "JobResumed", "Job resumed", now
+		for i := range status.Conditions {
+			if condition := &status.Conditions[i]; condition.Type == batchv1.JobSuspended && condition.Status == corev1.ConditionTrue {
+				condition.Status, condition.Reason, condition.Message, condition.LastTransitionTime = corev1.ConditionFalse, "JobResumed", "Job resumed", now
 			}
 		}
 	}
-	if j.done {
+	if job.finished {
 		switch {
-		case j.failWhole != "":
-			setJobCondition(s, batchv1.JobFailed, j.failWhole, j.failWholeWords, now, true)
-		case j.exhausted > 0:
-			setJobCondition(s, batchv1.JobFailed, "FailedIndexes", fmt.Sprintf("%d of %d tasks did not succeed", j.exhausted,
-				len(j.slots)), now, true)
+		case job.failureReason != "":
+			setJobCondition(status, batchv1.JobFailed, job.failureReason, job.failureMessage, now, true)
+		case job.exhausted > 0:
+			setJobCondition(status, batchv1.JobFailed, "FailedIndexes", fmt.Sprintf("%d of %d tasks did not succeed", job.exhausted,
+				len(job.indexes)), now, true)
 		default:
-			setJobCondition(s, batchv1.JobComplete, "CompletionsReached", "Reached expected number of succeeded pods", now, true)
-			if s.CompletionTime == nil {
-				s.CompletionTime = &now
+			setJobCondition(status, batchv1.JobComplete, "CompletionsReached", "Reached expected number of succeeded pods", now, true)
+			if status.CompletionTime == nil {
+				status.CompletionTime = &now
 			}
 		}
 	}
-	if equality.Semantic.DeepEqual(&o.Status, &j.obj.Status) {
+	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
-	j.obj = o
-	e.store.Put(store.Jobs, o)
+	job.object = updated
+	e.store.Put(store.Jobs, updated)
 }
 
 // setJobCondition sets a condition. One that is final is never changed once it stands.
-func setJobCondition(s *batchv1.JobStatus, kind batchv1.JobConditionType, reason, message string, now metav1.Time, final bool) {
-	c := batchv1.JobCondition{Type: kind, Status: corev1.ConditionTrue, Reason: reason, Message: message,
+func setJobCondition(status *batchv1.JobStatus, kind batchv1.JobConditionType, reason, message string, now metav1.Time, final bool) {
+	condition := batchv1.JobCondition{Type: kind, Status: corev1.ConditionTrue, Reason: reason, Message: message,
 		LastProbeTime: now, LastTransitionTime: now}
-	for i := range s.Conditions {
-		if s.Conditions[i].Type == kind {
-			if !final && s.Conditions[i].Status != corev1.ConditionTrue {
-				s.Conditions[i] = c
+	for i := range status.Conditions {
+		if status.Conditions[i].Type == kind {
+			if !final && status.Conditions[i].Status != corev1.ConditionTrue {
+				status.Conditions[i] = condition
 			}
 			return
 		}
 	}
-	s.Conditions = append(s.Conditions, c)
+	status.Conditions = append(status.Conditions, condition)
 }
 
 // UpdateJob replaces the parts of a Job that may change: labels, annotations, suspend, parallelism, time to live and active
 // deadline. o.ResourceVersion, if set, must be the present one.
-func (e *Engine) UpdateJob(now float64, o *batchv1.Job, dry bool) (*batchv1.Job, error) {
-	e.begin(now)
-	defer e.end()
-	j := e.jobs[jobKey(o)]
-	if j == nil {
+func (e *Engine) UpdateJob(now float64, update *batchv1.Job, dry bool) (*batchv1.Job, error) {
+	e.beginCall(now)
+	defer e.endCall()
+	job := e.jobs[jobKey(update)]
+	if job == nil {
 		return nil, ErrNotFound
 	}
-	if o.ResourceVersion != "" && o.ResourceVersion != j.obj.ResourceVersion || o.UID != "" && o.UID != j.uid {
+	if update.ResourceVersion != "" && update.ResourceVersion != job.object.ResourceVersion || update.UID != "" && update.UID != job.uid {
 		return nil, ErrConflict
 	}
-	was := j.obj
-	next := was.DeepCopy()
-	next.Labels, next.Annotations = maps.Clone(o.Labels), maps.Clone(o.Annotations)
-	next.Spec.Suspend, next.Spec.Parallelism = o.Spec.Suspend, o.Spec.Parallelism
-	next.Spec.TTLSecondsAfterFinished, next.Spec.ActiveDeadlineSeconds = o.Spec.TTLSecondsAfterFinished, o.Spec.ActiveDeadlineSeconds
+	current := job.object
+	next := current.DeepCopy()
+	next.Labels, next.Annotations = maps.Clone(update.Labels), maps.Clone(update.Annotations)
+	next.Spec.Suspend, next.Spec.Parallelism = update.Spec.Suspend, update.Spec.Parallelism
+	next.Spec.TTLSecondsAfterFinished, next.Spec.ActiveDeadlineSeconds = update.Spec.TTLSecondsAfterFinished, update.Spec.ActiveDeadlineSeconds
 	// What is left may not differ.
-	rest := o.Spec
+	rest := update.Spec
 	rest.Suspend, rest.Parallelism = next.Spec.Suspend, next.Spec.Parallelism
 	rest.TTLSecondsAfterFinished, rest.ActiveDeadlineSeconds = next.Spec.TTLSecondsAfterFinished, next.Spec.ActiveDeadlineSeconds
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		same bool
 	}{
-		{"spec.template", equality.Semantic.DeepEqual(&rest.Template, &was.Spec.Template)},
-		{"spec.completions", equality.Semantic.DeepEqual(rest.Completions, was.Spec.Completions)},
-		{"spec.selector", equality.Semantic.DeepEqual(rest.Selector, was.Spec.Selector)},
-		{"spec.completionMode", equality.Semantic.DeepEqual(rest.CompletionMode, was.Spec.CompletionMode)},
-		{"spec.backoffLimit", equality.Semantic.DeepEqual(rest.BackoffLimit, was.Spec.BackoffLimit)},
+		{"spec.template", equality.Semantic.DeepEqual(&rest.Template, &current.Spec.Template)},
+		{"spec.completions", equality.Semantic.DeepEqual(rest.Completions, current.Spec.Completions)},
+		{"spec.selector", equality.Semantic.DeepEqual(rest.Selector, current.Spec.Selector)},
+		{"spec.completionMode", equality.Semantic.DeepEqual(rest.CompletionMode, current.Spec.CompletionMode)},
+		{"spec.backoffLimit", equality.Semantic.DeepEqual(rest.BackoffLimit, current.Spec.BackoffLimit)},
 	} {
-		if !f.same {
-			return nil, &InvalidError{f.name, "field is immutable", "changed"}
+		if !field.same {
+			return nil, &InvalidError{field.name, "field is immutable", "changed"}
 		}
 	}
-	if p := next.Spec.Parallelism; p != nil && *p < 0 {
-		return nil, &InvalidError{"spec.parallelism", "must be 0 or more", *p}
+	if parallelism := next.Spec.Parallelism; parallelism != nil && *parallelism < 0 {
+		return nil, &InvalidError{"spec.parallelism", "must be 0 or more", *parallelism}
 	}
-	if equality.Semantic.DeepEqual(next, was) {
-		return was, nil
+	if equality.Semantic.DeepEqual(next, current) {
+		return current, nil
 	}
-	if !equality.Semantic.DeepEqual(&next.Spec, &was.Spec) {
+	if !equality.Semantic.DeepEqual(&next.Spec, &current.Spec) {
 		next.Generation++
 	}
 	if dry {
 		return next, nil
 	}
-	j.obj, j.carriedText = next, ""
+	job.object, job.manifestText = next, ""
 	e.store.Put(store.Jobs, next)
-	suspend := deref(next.Spec.Suspend, false)
+	suspend := valueOr(next.Spec.Suspend, false)
 	switch {
-	case suspend && !j.suspended && !j.done:
-		j.suspended = true
-		e.stopTimer(j.deadline)
-		for i := range j.slots {
-			e.stopTimer(j.slots[i].timer)
-			t := j.slots[i].cur
-			if t == nil {
-				if j.slots[i].begun && !j.slots[i].done {
-					j.slots[i].begun = false
-					j.next = min(j.next, i)
+	case suspend && !job.suspended && !job.finished:
+		job.suspended = true
+		e.stopTimer(job.deadlineTimer)
+		for i := range job.indexes {
+			e.stopTimer(job.indexes[i].retryTimer)
+			task := job.indexes[i].task
+			if task == nil {
+				if job.indexes[i].started && !job.indexes[i].done {
+					job.indexes[i].started = false
+					job.nextIndex = min(job.nextIndex, i)
 				}
 				continue
 			}
-			e.deletePodOf(t, "Suspended")
+			e.deleteTaskPod(task, "Suspended")
 		}
-	case !suspend && j.suspended:
-		j.suspended = false
-		e.startJob(j)
+	case !suspend && job.suspended:
+		job.suspended = false
+		e.startJob(job)
 	default:
-		e.enqueue(j)
+		e.enqueueJob(job)
 	}
-	e.touchJob(j)
-	return e.jobs[j.key].obj, nil
+	e.markJobDirty(job)
+	return e.jobs[job.key].object, nil
 }
 
-func (e *Engine) deletePodOf(t *task, reason string) {
-	if p := e.pod(t); p != nil {
-		e.deletePod(p, reason)
+func (e *Engine) deleteTaskPod(task *task, reason string) {
+	if pod := e.podOf(task); pod != nil {
+		e.deletePod(pod, reason)
 	}
 }
 
 // DeleteJob takes a Job away, with its Pods as the policy says; "" is Background.
-func (e *Engine) DeleteJob(now float64, namespace, name string, uid types.UID, rev string, how metav1.DeletionPropagation) (*batchv1.Job, error) {
-	e.begin(now)
-	defer e.end()
-	j := e.jobs[store.Key(namespace, name)]
-	if j == nil {
+func (e *Engine) DeleteJob(now float64, namespace, name string, uid types.UID, resourceVersion string, propagation metav1.DeletionPropagation) (*batchv1.Job, error) {
+	e.beginCall(now)
+	defer e.endCall()
+	job := e.jobs[store.Key(namespace, name)]
+	if job == nil {
 		return nil, ErrNotFound
 	}
-	if uid != "" && uid != j.uid || rev != "" && rev != j.obj.ResourceVersion {
+	if uid != "" && uid != job.uid || resourceVersion != "" && resourceVersion != job.object.ResourceVersion {
 		return nil, ErrConflict
 	}
-	e.removeJob(j, how)
-	return j.obj, nil
+	e.removeJob(job, propagation)
+	return job.object, nil
 }
 
-func (e *Engine) removeJob(j *job, how metav1.DeletionPropagation) {
-	if j.gone {
+func (e *Engine) removeJob(job *job, propagation metav1.DeletionPropagation) {
+	if job.deleted {
 		return
 	}
-	j.gone = true
-	e.stopTimer(j.deadline)
-	e.stopTimer(j.ttl)
-	for i := range j.slots {
-		e.stopTimer(j.slots[i].timer)
+	job.deleted = true
+	e.stopTimer(job.deadlineTimer)
+	e.stopTimer(job.ttlTimer)
+	for i := range job.indexes {
+		e.stopTimer(job.indexes[i].retryTimer)
 	}
-	names := slices.Sorted(maps.Keys(j.pods))
-	if how == metav1.DeletePropagationOrphan {
+	names := slices.Sorted(maps.Keys(job.pods))
+	if propagation == metav1.DeletePropagationOrphan {
 		for _, name := range names {
-			o := e.store.Get(store.Pods, j.obj.Namespace, name)
-			if o == nil {
+			object := e.store.Get(store.Pods, job.object.Namespace, name)
+			if object == nil {
 				continue
 			}
-			p := o.(*corev1.Pod).DeepCopy()
-			p.OwnerReferences = nil
-			e.store.Put(store.Pods, p)
-			if t := e.tasks[p.UID]; t != nil {
-				t.job = nil
+			pod := object.(*corev1.Pod).DeepCopy()
+			pod.OwnerReferences = nil
+			e.store.Put(store.Pods, pod)
+			if task := e.tasks[pod.UID]; task != nil {
+				task.job = nil
 			}
 		}
-		j.pods = nil
-	}
-	if how == metav1.DeletePropagationForeground && len(names) > 0 {
-		j.foreground = true
-		o := j.obj.DeepCopy()
-		stamp := wellknown.Time(e.now)
-		o.DeletionTimestamp = &stamp
-		o.Finalizers = append(o.Finalizers, metav1.FinalizerDeleteDependents)
-		e.store.Put(store.Jobs, o)
-		j.obj = o
+		job.pods = nil
+	}
+	if propagation == metav1.DeletePropagationForeground && len(names) > 0 {
+		job.foregroundDeletion = true
+		object := job.object.DeepCopy()
+		stamp := wellknown.APITime(e.now)
+		object.DeletionTimestamp = &stamp
+		object.Finalizers = append(object.Finalizers, metav1.FinalizerDeleteDependents)
+		e.store.Put(store.Jobs, object)
+		job.object = object
 	} else {
-		e.dropJob(j)
+		e.deleteJobObject(job)
 	}
-	if how != metav1.DeletePropagationOrphan {
+	if propagation != metav1.DeletePropagationOrphan {
 		for _, name := range names {
-			if o := e.store.Get(store.Pods, j.obj.Namespace, name); o != nil {
-				e.deletePod(o.(*corev1.Pod), "Deleted")
+			if object := e.store.Get(store.Pods, job.object.Namespace, name); object != nil {
+				e.deletePod(object.(*corev1.Pod), "Deleted")
 			}
 		}
 	}
-	e.drainQueue()
+	e.drainEvents()
 }
 
-func (e *Engine) dropJob(j *job) {
-	if e.jobs[j.key] == j {
-		delete(e.jobs, j.key)
-		e.store.Delete(store.Jobs, j.obj.Namespace, j.obj.Name)
+func (e *Engine) deleteJobObject(job *job) {
+	if e.jobs[job.key] == job {
+		delete(e.jobs, job.key)
+		e.store.Delete(store.Jobs, job.object.Namespace, job.object.Name)
 	}
 }
 
-func (j *job) dropPod(name string) { delete(j.pods, name) }
+func (j *job) removePod(name string) { delete(j.pods, name) }
 
-func (e *Engine) podGone(t *task) {
-	if t.job != nil {
-		t.job.dropPod(t.name)
-		e.jobEmptied(t.job)
+func (e *Engine) podRemoved(task *task) {
+	if task.job != nil {
+		task.job.removePod(task.name)
+		e.finishForegroundDeletion(task.job)
 	}
 }
 
-// jobEmptied finishes a foreground deletion when the last Pod is gone.
-func (e *Engine) jobEmptied(j *job) {
-	if j.foreground && len(j.pods) == 0 {
-		j.foreground = false
-		e.dropJob(j)
+// finishForegroundDeletion finishes a foreground deletion when the last Pod is gone.
+func (e *Engine) finishForegroundDeletion(job *job) {
+	if job.foregroundDeletion && len(job.pods) == 0 {
+		job.foregroundDeletion = false
+		e.deleteJobObject(job)
 	}
 }
 
-func (e *Engine) jobOf(p *corev1.Pod) *job {
-	for i := range p.OwnerReferences {
-		r := &p.OwnerReferences[i]
-		if r.Kind == "Job" {
-			if j := e.jobs[store.Key(p.Namespace, r.Name)]; j != nil && j.uid == r.UID {
-				return j
+func (e *Engine) jobOfPod(pod *corev1.Pod) *job {
+	for i := range pod.OwnerReferences {
+		reference := &pod.OwnerReferences[i]
+		if reference.Kind == "Job" {
+			if job := e.jobs[store.Key(pod.Namespace, reference.Name)]; job != nil && job.uid == reference.UID {
+				return job
 			}
 		}
 	}
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -21,26 +21,26 @@
 
 // node is a machine as this scheduler knows it.
 type node struct {
-	name      string
-	id        placer.NodeID
-	address   string
-	inv       *corev1.Node // as the inventory has it; nil once it left
-	drained   bool         // ordered here
-	labels    map[string]string
-	labelled  bool // labels were set here
-	touched   bool // drained or labelled here since it was shown
-	state     placer.NodeState
-	boot      string
-	past      []string // lives that are over: a late word of them says nothing
-	following bool     // its Pods are watched and heard of
-	listBoot  string   // the life that the list names
-	since     float64  // when that began by our clock, 0 is long ago
-	held      map[types.UID]*task
-	doubts    map[*attempt]struct{} // attempts at it that may have been accepted
-	goneSince float64
-	shownAt   float64
-	shownAs   uint64 // what the inventory said but for the room, when it was shown
-	told      bool   // the placer knows it
+	name                 string
+	id                   placer.NodeID
+	address              string
+	inventory            *corev1.Node // as the inventory has it; nil once it left
+	drainOrdered         bool         // ordered here
+	customLabels         map[string]string
+	hasCustomLabels      bool // labels were set here
+	publishPending       bool // drained or labelled here since it was shown
+	state                placer.NodeState
+	incarnation          string
+	pastIncarnations     []string // lives that are over: a late word of them says nothing
+	podsWatched          bool     // its Pods are watched and heard of
+	listedIncarnation    string   // the life that the list names
+	startedAt            float64  // when that began by our clock, 0 is long ago
+	running              map[types.UID]*task
+	unknownOutcomes      map[*attempt]struct{} // attempts at it that may have been accepted
+	absentSince          float64
+	publishedAt          float64
+	publishedFingerprint uint64 // what the inventory said but for the room, when it was shown
+	reportedToPlacer     bool   // the placer knows it
 }
 
 // Listing is how the inventory's words are meant.
@@ -50,569 +50,571 @@
 const (
 	FullList Listing = iota
 	Changes
-	// ListLost says that the inventory is out of reach; what is known stands.
-	ListLost
+	// ListUnavailable says that the inventory is out of reach; what is known stands.
+	ListUnavailable
 )
 
 // NodesListed takes machines from the inventory. removed names those that a change takes away.
 func (e *Engine) NodesListed(now float64, kind Listing, nodes []*corev1.Node, removed []string) {
-	e.begin(now)
-	defer e.end()
-	if kind == ListLost {
+	e.beginCall(now)
+	defer e.endCall()
+	if kind == ListUnavailable {
 		// Where the list is pushed nobody asked for it, and the adapter sees to it that it comes again.
 		if e.cfg.Placer.MustPollNodes {
-			e.feed(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
+			e.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 		return
 	}
 	seen := map[string]bool{}
 	var changed []*node
-	for _, o := range nodes {
-		seen[o.Name] = true
-		n := e.nodes[o.Name]
-		if n == nil {
-			n = &node{name: o.Name, id: placer.NodeID(xxhash.Sum64String(o.Name)), held: map[types.UID]*task{}}
-			if other := e.byID[n.id]; other != nil {
+	for _, object := range nodes {
+		seen[object.Name] = true
+		entry := e.nodes[object.Name]
+		if entry == nil {
+			entry = &node{name: object.Name, id: placer.NodeID(xxhash.Sum64String(object.Name)), running: map[types.UID]*task{}}
+			if other := e.nodesByID[entry.id]; other != nil {
 				continue // two names of one number: the second cannot be told apart
 			}
-			e.nodes[o.Name], e.byID[n.id] = n, n
+			e.nodes[object.Name], e.nodesByID[entry.id] = entry, entry
 		}
-		if addr := wellknown.NodeAddress(o); addr != n.address {
-			if n.address != "" {
-				e.effect(Effect{Kind: UnwatchNode, Node: n.name})
-				n.following = false
+		if address := wellknown.NodeAddress(object); address != entry.address {
+			if entry.address != "" {
+				e.emit(Effect{Kind: UnwatchNode, Node: entry.name})
+				entry.podsWatched = false
 			}
-			if n.address = addr; addr != "" {
-				e.effect(Effect{Kind: WatchNode, Node: n.name, Address: addr})
+			if entry.address = address; address != "" {
+				e.emit(Effect{Kind: WatchNode, Node: entry.name, Address: address})
 			}
 		}
 		// The list is late: it may name a life that is over. Which life a machine is in only the machine itself says.
-		n.inv = o
-		changed = append(changed, n)
+		entry.inventory = object
+		changed = append(changed, entry)
 	}
 	if kind == FullList {
-		for name, n := range e.nodes {
-			if !seen[name] && n.inv != nil {
+		for name, entry := range e.nodes {
+			if !seen[name] && entry.inventory != nil {
 				removed = append(removed, name)
 			}
 		}
 		slices.Sort(removed)
 	}
 	for _, name := range removed {
-		if n := e.nodes[name]; n != nil && n.inv != nil {
-			n.inv = nil
-			changed = append(changed, n)
+		if entry := e.nodes[name]; entry != nil && entry.inventory != nil {
+			entry.inventory = nil
+			changed = append(changed, entry)
 		}
 	}
 	list := placer.Changes
 	if kind == FullList {
 		list = placer.FullList
 	}
-	out := make([]placer.Node, 0, len(changed))
-	for _, n := range changed {
-		out = append(out, e.observe(n))
-		e.showNode(n)
+	observed := make([]placer.Node, 0, len(changed))
+	for _, entry := range changed {
+		observed = append(observed, e.placerNode(entry))
+		e.publishNode(entry)
 	}
-	e.listed = true
-	e.feed(placer.Event{Kind: placer.NodesListed, List: list, Nodes: out})
+	e.inventoryListed = true
+	e.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: observed})
 }
 
-// observe turns what is known of a machine into the placer's terms.
-func (e *Engine) observe(n *node) placer.Node {
-	out := placer.Node{ID: n.id, NodeType: -1, State: placer.Gone}
-	was := n.state
-	n.state = placer.Gone
-	if o := n.inv; o != nil {
-		l := o.Labels
-		out.Zone, out.Rack = intern(e.zones, l[wellknown.Zone]), intern(e.racks, l[wellknown.Rack])
-		out.NodeType = slices.Index(e.cfg.NodeTypes, l[wellknown.Kind])
-		out.StartedAt = e.since(n, o)
-		free, _ := wellknown.ParseDict(o.Annotations[wellknown.Free])
-		out.FreeCores, out.FreeMemory = free["cores"], free["memory"]
+// placerNode turns what is known of a machine into the placer's terms.
+func (e *Engine) placerNode(node *node) placer.Node {
+	observed := placer.Node{ID: node.id, NodeType: -1, State: placer.Terminated}
+	previousState := node.state
+	node.state = placer.Terminated
+	if object := node.inventory; object != nil {
+		labels := object.Labels
+		observed.Zone, observed.Rack = intern(e.zones, labels[wellknown.Zone]), intern(e.racks, labels[wellknown.Rack])
+		observed.NodeType = slices.Index(e.cfg.NodeTypes, labels[wellknown.Kind])
+		observed.StartedAt = e.incarnationStart(node, object)
+		free, _ := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
+		observed.FreeCores, observed.FreeMemory = free["cores"], free["memory"]
 		switch {
-		case n.drained || o.Spec.Unschedulable:
-			n.state = placer.Draining
-		case wellknown.NodeReady(o) && n.address != "":
-			n.state = placer.Ready
+		case node.drainOrdered || object.Spec.Unschedulable:
+			node.state = placer.Draining
+		case wellknown.NodeReady(object) && node.address != "":
+			node.state = placer.Ready
 		}
 	}
-	out.State = n.state
-	if n.state == placer.Gone && (was != placer.Gone || !n.told) {
-		n.goneSince = e.now
-		e.checkGone(n)
+	observed.State = node.state
+	if node.state == placer.Terminated && (previousState != placer.Terminated || !node.reportedToPlacer) {
+		node.absentSince = e.now
+		e.scheduleLossCheck(node)
 	}
-	n.told = true
-	return out
+	node.reportedToPlacer = true
+	return observed
 }
 
-// since is when the life that the list names began, by this scheduler's clock. Machines have clocks of their own: one that is
+// incarnationStart is when the life that the list names began, by this scheduler's clock. Machines have clocks of their own: one that is
 // behind would make a cold machine look warm. A life that begins under our eyes began when we first saw it, or at most the
 // list's delay before, which only makes it count as cold for longer.
-func (e *Engine) since(n *node, o *corev1.Node) float64 {
-	boot, stated := o.Status.NodeInfo.BootID, wellknown.Seconds(o.Annotations[wellknown.Started])
-	if n.listBoot != boot || boot == "" || !n.told {
+func (e *Engine) incarnationStart(node *node, object *corev1.Node) float64 {
+	incarnation, statedStart := object.Status.NodeInfo.BootID, wellknown.ParseTimestamp(object.Annotations[wellknown.Started])
+	if node.listedIncarnation != incarnation || incarnation == "" || !node.reportedToPlacer {
 		switch {
-		case stated == 0:
-			n.since = 0
-		case e.listed:
-			n.since = e.now
+		case statedStart == 0:
+			node.startedAt = 0
+		case e.inventoryListed:
+			node.startedAt = e.now
 		default:
-			n.since = min(stated, e.now) // it was there before us: there is only its own word
+			node.startedAt = min(statedStart, e.now) // it was there before us: there is only its own word
 		}
-		n.listBoot = boot
+		node.listedIncarnation = incarnation
 	}
-	return n.since
+	return node.startedAt
 }
 
-// checkGone sees to the tasks of a machine that stays out of the list and is not heard of.
-func (e *Engine) checkGone(n *node) {
-	e.after(e.cfg.LostAfter, func() {
-		if n.state != placer.Gone || n.following || e.now-n.goneSince < e.cfg.LostAfter {
+// scheduleLossCheck sees to the tasks of a machine that stays out of the list and is not heard of.
+func (e *Engine) scheduleLossCheck(node *node) {
+	e.runAfter(e.cfg.NodeLossTimeout, func() {
+		if node.state != placer.Terminated || node.podsWatched || e.now-node.absentSince < e.cfg.NodeLossTimeout {
 			return
 		}
-		for _, t := range n.tasks() {
-			if t.effect(e) != placer.NonIdempotent {
-				e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" is gone")
+		for _, task := range node.sortedTasks() {
+			if task.idempotency(e) != placer.NonIdempotent {
+				e.runningTaskEnded(task, placer.Lost, placer.NoReason, wellknown.NodeLost, node.name+" is gone")
 			}
 			// A task that must not run twice may run on a machine that is merely cut off: only the machine itself, or
 			// its new life, can say that it ended.
 		}
-		e.drainQueue()
-		e.forgetNode(n)
+		e.drainEvents()
+		e.discardNode(node)
 	})
 }
 
-func (n *node) tasks() []*task {
-	out := make([]*task, 0, len(n.held))
-	for _, t := range n.held {
-		out = append(out, t)
+func (n *node) sortedTasks() []*task {
+	tasks := make([]*task, 0, len(n.running))
+	for _, task := range n.running {
+		tasks = append(tasks, task)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].seq < out[j].seq })
-	return out
+	sort.Slice(tasks, func(i, j int) bool { return tasks[i].sequence < tasks[j].sequence })
+	return tasks
 }
 
-// forgetNode drops a machine that has left the inventory and holds nothing.
-func (e *Engine) forgetNode(n *node) {
-	if n.inv != nil || len(n.held) > 0 || n.address == "" {
+// discardNode drops a machine that has left the inventory and holds nothing.
+func (e *Engine) discardNode(node *node) {
+	if node.inventory != nil || len(node.running) > 0 || node.address == "" {
 		return
 	}
-	e.effect(Effect{Kind: UnwatchNode, Node: n.name})
-	n.address = ""
-	n.following = false
+	e.emit(Effect{Kind: UnwatchNode, Node: node.name})
+	node.address = ""
+	node.podsWatched = false
 }
 
-const pastLives = 16
+const maxPastIncarnations = 16
 
-// learn notes the identity of a machine's life. In a new life nothing of the old one runs.
-func (e *Engine) learn(n *node, boot string) {
-	if boot == "" || boot == n.boot || slices.Contains(n.past, boot) {
+// observeIncarnation notes the identity of a machine's life. In a new life nothing of the old one runs.
+func (e *Engine) observeIncarnation(node *node, incarnation string) {
+	if incarnation == "" || incarnation == node.incarnation || slices.Contains(node.pastIncarnations, incarnation) {
 		return
 	}
-	old := n.boot
-	n.boot = boot
-	if n.past = append(n.past, old); len(n.past) > pastLives {
-		n.past = n.past[1:]
+	previous := node.incarnation
+	node.incarnation = incarnation
+	if node.pastIncarnations = append(node.pastIncarnations, previous); len(node.pastIncarnations) > maxPastIncarnations {
+		node.pastIncarnations = node.pastIncarnations[1:]
 	}
-	if old == "" {
+	if previous == "" {
 		return
 	}
-	for _, t := range n.tasks() {
-		if t.holder.boot != boot {
-			e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" restarted")
+	for _, task := range node.sortedTasks() {
+		if task.runningAttempt.acceptedIncarnation != incarnation {
+			e.runningTaskEnded(task, placer.Lost, placer.NoReason, wellknown.NodeLost, node.name+" restarted")
 		}
 	}
 	// By the machine's own list of doubts: a restart must not cost a look at every task there is.
-	doubts := make([]*attempt, 0, len(n.doubts))
-	for at := range n.doubts {
-		doubts = append(doubts, at)
-	}
-	slices.SortFunc(doubts, func(a, b *attempt) int { return cmp.Or(cmp.Compare(a.t.seq, b.t.seq), cmp.Compare(a.number, b.number)) })
-	for _, at := range doubts {
-		if at.isDoubt() {
-			e.resolved(at, true)
+	doubts := make([]*attempt, 0, len(node.unknownOutcomes))
+	for attempt := range node.unknownOutcomes {
+		doubts = append(doubts, attempt)
+	}
+	slices.SortFunc(doubts, func(left, right *attempt) int {
+		return cmp.Or(cmp.Compare(left.task.sequence, right.task.sequence), cmp.Compare(left.number, right.number))
+	})
+	for _, attempt := range doubts {
+		if attempt.outcomeUnknown() {
+			e.resolveOutcome(attempt, true)
 		}
 	}
 }
 
-// showNode stores a machine as the API shows it. Changes of its room alone are shown every few seconds.
-func (e *Engine) showNode(n *node) {
-	if n.inv == nil {
-		e.store.Delete(store.Nodes, "", n.name)
+// publishNode stores a machine as the API shows it. Changes of its room alone are shown every few seconds.
+func (e *Engine) publishNode(node *node) {
+	if node.inventory == nil {
+		e.store.Delete(store.Nodes, "", node.name)
 		return
 	}
-	as, known := fingerprint(n.inv)
-	if was, _ := e.store.Get(store.Nodes, "", n.name).(*corev1.Node); known && was != nil && as == n.shownAs && !n.touched &&
-		(e.now-n.shownAt < 5 || was.Annotations[wellknown.Free] == n.inv.Annotations[wellknown.Free]) {
+	digest, known := fingerprint(node.inventory)
+	if stored, _ := e.store.Get(store.Nodes, "", node.name).(*corev1.Node); known && stored != nil && digest == node.publishedFingerprint && !node.publishPending &&
+		(e.now-node.publishedAt < 5 || stored.Annotations[wellknown.FreeCapacity] == node.inventory.Annotations[wellknown.FreeCapacity]) {
 		return // most news are of room alone, and come often
 	}
-	n.shownAs, n.touched = as, false
-	o := n.inv.DeepCopy()
-	if n.labelled {
-		o.Labels = maps.Clone(n.labels)
-		for _, k := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
-			if v, ok := n.inv.Labels[k]; ok {
-				o.Labels[k] = v
+	node.publishedFingerprint, node.publishPending = digest, false
+	published := node.inventory.DeepCopy()
+	if node.hasCustomLabels {
+		published.Labels = maps.Clone(node.customLabels)
+		for _, key := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
+			if v, ok := node.inventory.Labels[key]; ok {
+				published.Labels[key] = v
 			}
 		}
 	}
-	o.Spec.Unschedulable = o.Spec.Unschedulable || n.drained
+	published.Spec.Unschedulable = published.Spec.Unschedulable || node.drainOrdered
 	var since *corev1.Taint
-	for i := range o.Spec.Taints {
-		if o.Spec.Taints[i].Key == corev1.TaintNodeUnschedulable {
-			since = &o.Spec.Taints[i]
+	for i := range published.Spec.Taints {
+		if published.Spec.Taints[i].Key == corev1.TaintNodeUnschedulable {
+			since = &published.Spec.Taints[i]
 		}
 	}
-	if o.Spec.Unschedulable && since == nil {
-		o.Spec.Taints = append(o.Spec.Taints, corev1.Taint{Key: corev1.TaintNodeUnschedulable, Effect: corev1.TaintEffectNoSchedule})
+	if published.Spec.Unschedulable && since == nil {
+		published.Spec.Taints = append(published.Spec.Taints, corev1.Taint{Key: corev1.TaintNodeUnschedulable, Effect: corev1.TaintEffectNoSchedule})
 	}
-	if was := e.store.Get(store.Nodes, "", n.name); was != nil {
-		w := was.(*corev1.Node)
-		o.ResourceVersion = w.ResourceVersion
-		if equality.Semantic.DeepEqual(w, o) {
+	if stored := e.store.Get(store.Nodes, "", node.name); stored != nil {
+		storedNode := stored.(*corev1.Node)
+		published.ResourceVersion = storedNode.ResourceVersion
+		if equality.Semantic.DeepEqual(storedNode, published) {
 			return
 		}
-		if e.now-n.shownAt < 5 {
-			free := o.Annotations[wellknown.Free]
-			if o.Annotations != nil {
-				o.Annotations[wellknown.Free] = w.Annotations[wellknown.Free]
+		if e.now-node.publishedAt < 5 {
+			free := published.Annotations[wellknown.FreeCapacity]
+			if published.Annotations != nil {
+				published.Annotations[wellknown.FreeCapacity] = storedNode.Annotations[wellknown.FreeCapacity]
 			}
-			if equality.Semantic.DeepEqual(w, o) {
+			if equality.Semantic.DeepEqual(storedNode, published) {
 				return
 			}
-			o.Annotations[wellknown.Free] = free
+			published.Annotations[wellknown.FreeCapacity] = free
 		}
 	}
-	n.shownAt = e.now
-	e.store.Put(store.Nodes, o)
+	node.publishedAt = e.now
+	e.store.Put(store.Nodes, published)
 }
 
 // fingerprint is a number of all that the inventory says of a machine but its room and revision, and whether it could be made.
-func fingerprint(o *corev1.Node) (uint64, bool) {
-	c := *o
-	c.ResourceVersion = ""
-	if _, ok := c.Annotations[wellknown.Free]; ok {
-		c.Annotations = maps.Clone(c.Annotations)
-		delete(c.Annotations, wellknown.Free)
-	}
-	b, err := c.Marshal()
-	return xxhash.Sum64(b), err == nil
+func fingerprint(object *corev1.Node) (uint64, bool) {
+	stripped := *object
+	stripped.ResourceVersion = ""
+	if _, ok := stripped.Annotations[wellknown.FreeCapacity]; ok {
+		stripped.Annotations = maps.Clone(stripped.Annotations)
+		delete(stripped.Annotations, wellknown.FreeCapacity)
+	}
+	encoded, err := stripped.Marshal()
+	return xxhash.Sum64(encoded), err == nil
 }
 
 // UpdateNode takes the drain order and labels of a Node from the API; the drain counts as told at once.
 // The argument order is the drain order, nil if the call gives none: a machine that the inventory drains shows as unschedulable without one.
-func (e *Engine) UpdateNode(now float64, o *corev1.Node, order *bool, dry bool) (*corev1.Node, error) {
-	e.begin(now)
-	defer e.end()
-	n := e.nodes[o.Name]
-	cur, _ := e.store.Get(store.Nodes, "", o.Name).(*corev1.Node)
-	if n == nil || cur == nil {
+func (e *Engine) UpdateNode(now float64, update *corev1.Node, order *bool, dry bool) (*corev1.Node, error) {
+	e.beginCall(now)
+	defer e.endCall()
+	node := e.nodes[update.Name]
+	current, _ := e.store.Get(store.Nodes, "", update.Name).(*corev1.Node)
+	if node == nil || current == nil {
 		return nil, ErrNotFound
 	}
-	if o.ResourceVersion != "" && o.ResourceVersion != cur.ResourceVersion || o.UID != "" && o.UID != cur.UID {
+	if update.ResourceVersion != "" && update.ResourceVersion != current.ResourceVersion || update.UID != "" && update.UID != current.UID {
 		return nil, ErrConflict
 	}
-	for _, k := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
-		if o.Labels[k] != cur.Labels[k] {
-			return nil, &InvalidError{"metadata.labels[" + k + "]", "the inventory says where a machine stands; it cannot be changed here", o.Labels[k]}
+	for _, key := range []string{wellknown.Zone, wellknown.Rack, wellknown.Kind} {
+		if update.Labels[key] != current.Labels[key] {
+			return nil, &InvalidError{"metadata.labels[" + key + "]", "the inventory says where a machine stands; it cannot be changed here", update.Labels[key]}
 		}
 	}
 	if dry {
-		next := cur.DeepCopy()
-		next.Labels = o.Labels
+		next := current.DeepCopy()
+		next.Labels = update.Labels
 		if order != nil {
-			next.Spec.Unschedulable = *order || n.inv != nil && n.inv.Spec.Unschedulable
+			next.Spec.Unschedulable = *order || node.inventory != nil && node.inventory.Spec.Unschedulable
 		}
 		return next, nil
 	}
-	if !maps.Equal(o.Labels, cur.Labels) {
-		n.labels, n.labelled, n.touched = maps.Clone(o.Labels), true, true
+	if !maps.Equal(update.Labels, current.Labels) {
+		node.customLabels, node.hasCustomLabels, node.publishPending = maps.Clone(update.Labels), true, true
 	}
-	if order != nil && *order != n.drained {
-		n.drained, n.touched = *order, true
-		e.feed(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{e.observe(n)}})
-		e.drainQueue()
+	if order != nil && *order != node.drainOrdered {
+		node.drainOrdered, node.publishPending = *order, true
+		e.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{e.placerNode(node)}})
+		e.drainEvents()
 	}
-	e.showNode(n)
-	return e.store.Get(store.Nodes, "", o.Name).(*corev1.Node), nil
+	e.publishNode(node)
+	return e.store.Get(store.Nodes, "", update.Name).(*corev1.Node), nil
 }
 
 // NodePods takes the whole list of own Pods at a machine, with the machine's revision and the identity of its life.
-func (e *Engine) NodePods(now float64, name, boot string, rev int64, pods []*corev1.Pod) {
-	e.begin(now)
-	defer e.end()
-	n := e.nodes[name]
-	if n == nil {
+func (e *Engine) NodePods(now float64, name, incarnation string, revision int64, pods []*corev1.Pod) {
+	e.beginCall(now)
+	defer e.endCall()
+	node := e.nodes[name]
+	if node == nil {
 		return
 	}
-	n.following = true
-	e.learn(n, boot)
+	node.podsWatched = true
+	e.observeIncarnation(node, incarnation)
 	seen := map[types.UID]bool{}
-	for _, p := range pods {
-		seen[p.UID] = true
-		e.podAt(n, p, false)
+	for _, pod := range pods {
+		seen[pod.UID] = true
+		e.observePod(node, pod, false)
 	}
-	for _, t := range n.tasks() {
+	for _, task := range node.sortedTasks() {
 		// One accepted after the list was made is not in it.
-		if !seen[t.uid] && t.holder.rev <= rev {
-			e.endUnseen(t, n)
+		if !seen[task.uid] && task.runningAttempt.revision <= revision {
+			e.runningTaskMissing(task, node)
 		}
 	}
 }
 
-// endUnseen ends a task that its machine does not show any more.
-func (e *Engine) endUnseen(t *task, n *node) {
-	if t.stopReason != "" {
-		e.heldEnded(t, placer.Cancelled, placer.NoReason, t.stopReason, "")
+// runningTaskMissing ends a task that its machine does not show any more.
+func (e *Engine) runningTaskMissing(task *task, node *node) {
+	if task.stopReason != "" {
+		e.runningTaskEnded(task, placer.Cancelled, placer.NoReason, task.stopReason, "")
 		return
 	}
-	e.heldEnded(t, placer.Lost, placer.NoReason, wellknown.Lost, n.name+" does not hold it any more")
+	e.runningTaskEnded(task, placer.Lost, placer.NoReason, wellknown.NodeLost, node.name+" does not hold it any more")
 }
 
 // NodePod takes a change of one own Pod at a machine.
-func (e *Engine) NodePod(now float64, name string, p *corev1.Pod, deleted bool) {
-	e.begin(now)
-	defer e.end()
-	if n := e.nodes[name]; n != nil {
-		e.podAt(n, p, deleted)
+func (e *Engine) NodePod(now float64, name string, pod *corev1.Pod, deleted bool) {
+	e.beginCall(now)
+	defer e.endCall()
+	if node := e.nodes[name]; node != nil {
+		e.observePod(node, pod, deleted)
 	}
 }
 
 // NodeUnresponsive says that a machine's Pods can no longer be watched.
 func (e *Engine) NodeUnresponsive(now float64, name string) {
-	e.begin(now)
-	defer e.end()
-	if n := e.nodes[name]; n != nil && n.following {
-		n.following = false
-		if n.state == placer.Gone {
-			n.goneSince = e.now
-			e.checkGone(n)
+	e.beginCall(now)
+	defer e.endCall()
+	if node := e.nodes[name]; node != nil && node.podsWatched {
+		node.podsWatched = false
+		if node.state == placer.Terminated {
+			node.absentSince = e.now
+			e.scheduleLossCheck(node)
 		}
 	}
 }
 
-func podRev(p *corev1.Pod) int64 {
-	v, _ := strconv.ParseInt(p.ResourceVersion, 10, 64)
+func podRevision(pod *corev1.Pod) int64 {
+	v, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64)
 	return v
 }
 
-// podAt brings a task in line with what a machine shows of it.
-func (e *Engine) podAt(n *node, p *corev1.Pod, deleted bool) {
-	t := e.tasks[p.UID]
-	over := deleted || wellknown.Finished(p)
-	if t == nil {
-		if !over && p.Labels[wellknown.Scheduler] == e.cfg.Name {
-			e.takeOver(n, p)
+// observePod brings a task in line with what a machine shows of it.
+func (e *Engine) observePod(node *node, pod *corev1.Pod, deleted bool) {
+	task := e.tasks[pod.UID]
+	over := deleted || wellknown.Finished(pod)
+	if task == nil {
+		if !over && pod.Labels[wellknown.Scheduler] == e.cfg.Name {
+			e.adoptPod(node, pod)
 		}
 		return
 	}
-	if at := t.open; at != nil && at.n == n {
+	if attempt := task.inFlight; attempt != nil && attempt.node == node {
 		// Its answer is on the way, or is about to be lost: what the watch says meanwhile counts once that is known.
-		at.boot, at.rev, at.last, at.lastGone = n.boot, podRev(p), p, deleted
+		attempt.acceptedIncarnation, attempt.revision, attempt.lastPod, attempt.lastPodDeleted = node.incarnation, podRevision(pod), pod, deleted
 		return
 	}
-	if h := t.holder; h != nil && h.n == n {
-		e.follow(t, p, deleted)
+	if running := task.runningAttempt; running != nil && running.node == node {
+		e.observeRunning(task, pod, deleted)
 		return
 	}
-	for _, at := range t.doubts {
-		if at.n != n {
+	for _, attempt := range task.unknownOutcomes {
+		if attempt.node != node {
 			continue
 		}
-		e.doubtful(at, n.boot, p, deleted)
+		e.observeUnknownOutcome(attempt, node.incarnation, pod, deleted)
 		return
 	}
 	if !over {
-		e.stopCopy(n, t.uid, t.namespace, t.name, t.attempts)
+		e.stopStrayCopy(node, task.uid, task.namespace, task.name, task.attemptCount)
 	}
 }
 
-// doubtful takes what a machine shows of an attempt in doubt.
-func (e *Engine) doubtful(at *attempt, boot string, p *corev1.Pod, deleted bool) {
-	if deleted || wellknown.Finished(p) {
-		e.resolved(at, p.Status.Reason != wellknown.NeverRan)
+// observeUnknownOutcome takes what a machine shows of an attempt in doubt.
+func (e *Engine) observeUnknownOutcome(attempt *attempt, incarnation string, pod *corev1.Pod, deleted bool) {
+	if deleted || wellknown.Finished(pod) {
+		e.resolveOutcome(attempt, pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
-	t := at.t
-	e.found(at, boot, podRev(p))
-	if t.holder != nil && t.holder.n == at.n {
-		e.follow(t, p, false)
+	task := attempt.task
+	e.attemptFoundRunning(attempt, incarnation, podRevision(pod))
+	if task.runningAttempt != nil && task.runningAttempt.node == attempt.node {
+		e.observeRunning(task, pod, false)
 	}
 }
 
-// follow takes news of a held task.
-func (e *Engine) follow(t *task, p *corev1.Pod, deleted bool) {
+// observeRunning takes news of a held task.
+func (e *Engine) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
-	case p.Status.Phase == corev1.PodSucceeded:
-		e.ran(t)
-		e.heldEnded(t, placer.Finished, placer.NoReason, "", "")
-	case p.Status.Phase == corev1.PodFailed:
-		e.heldFailed(t, p)
+	case pod.Status.Phase == corev1.PodSucceeded:
+		e.taskStarted(task)
+		e.runningTaskEnded(task, placer.Finished, placer.NoReason, "", "")
+	case pod.Status.Phase == corev1.PodFailed:
+		e.runningTaskFailed(task, pod)
 	case deleted:
-		e.endUnseen(t, t.holder.n)
+		e.runningTaskMissing(task, task.runningAttempt.node)
 	default:
-		if p.Status.Phase == corev1.PodRunning {
-			e.ran(t)
+		if pod.Status.Phase == corev1.PodRunning {
+			e.taskStarted(task)
 		}
-		use, _ := wellknown.ParseDict(p.Annotations[wellknown.Use])
-		for _, u := range []struct {
+		used, _ := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
+		for _, usage := range []struct {
 			name string
 			kind placer.UsageKind
 		}{{"cores", placer.CoresUsed}, {"memory", placer.MemoryUsed}} {
-			if v, ok := use[u.name]; ok && t.holder != nil {
-				e.feed(placer.Event{Kind: placer.UsageReported, TaskID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id,
-					Usage: u.kind, Value: v})
+			if value, ok := used[usage.name]; ok && task.runningAttempt != nil {
+				e.post(placer.Event{Kind: placer.UsageReported, TaskID: task.runningAttempt.request.id, Attempt: task.runningAttempt.requestSequence, Node: task.runningAttempt.node.id,
+					Usage: usage.kind, Value: value})
 			}
 		}
 	}
 }
 
-// heldFailed ends a held task for the reason that its machine states.
-func (e *Engine) heldFailed(t *task, p *corev1.Pod) {
-	r, why := placer.Lost, placer.NoReason
-	switch p.Status.Reason {
+// runningTaskFailed ends a held task for the reason that its machine states.
+func (e *Engine) runningTaskFailed(task *task, pod *corev1.Pod) {
+	result, reason := placer.Lost, placer.NoReason
+	switch pod.Status.Reason {
 	case wellknown.Evicted:
-		why = placer.Evicted
+		reason = placer.Evicted
 	case wellknown.Preempted:
-		why = placer.Preempted
+		reason = placer.Preempted
 	case wellknown.Drained:
-		why = placer.Drained
-	case wellknown.Stopped, wellknown.NeverRan:
-		r = placer.Cancelled
-		if t.stopReason != "" {
-			e.heldEnded(t, r, why, t.stopReason, p.Status.Message)
+		reason = placer.Drained
+	case wellknown.Stopped, wellknown.NeverStarted:
+		result = placer.Cancelled
+		if task.stopReason != "" {
+			e.runningTaskEnded(task, result, reason, task.stopReason, pod.Status.Message)
 			return
 		}
 	case "Error":
-		r = placer.Finished
+		result = placer.Finished
 	}
-	e.heldEnded(t, r, why, p.Status.Reason, p.Status.Message)
+	e.runningTaskEnded(task, result, reason, pod.Status.Reason, pod.Status.Message)
 }
 
-// takeOver adopts a task that an earlier life of this scheduler placed. Its Job is rebuilt from what the machine kept.
-func (e *Engine) takeOver(n *node, p *corev1.Pod) {
-	class, bad := e.classOf(p.Labels)
-	tenant, _ := e.tenant(p.Namespace)
-	if bad != nil || e.store.Get(store.Pods, p.Namespace, p.Name) != nil {
-		e.stopCopy(n, p.UID, p.Namespace, p.Name, 1<<30)
+// adoptPod adopts a task that an earlier life of this scheduler placed. Its Job is rebuilt from what the machine kept.
+func (e *Engine) adoptPod(node *node, pod *corev1.Pod) {
+	class, invalid := e.classFromLabels(pod.Labels)
+	tenant, _ := e.tenantOf(pod.Namespace)
+	if invalid != nil || e.store.Get(store.Pods, pod.Namespace, pod.Name) != nil {
+		e.stopStrayCopy(node, pod.UID, pod.Namespace, pod.Name, 1<<30)
 		return
 	}
 	e.Stats.Recovered++
-	t := &task{uid: p.UID, namespace: p.Namespace, name: p.Name, class: class, tenant: tenant, phase: running, everRan: true,
-		asked: 1, settled: true, giveUp: e.now}
-	t.cores, t.memory = wellknown.Requests(&p.Spec)
-	service := p.Labels[wellknown.Service]
+	task := &task{uid: pod.UID, namespace: pod.Namespace, name: pod.Name, class: class, tenant: tenant, phase: phaseRunning, everMayHaveRun: true,
+		requestsSubmitted: 1, settled: true, deadline: e.now}
+	task.cores, task.memory = wellknown.Requests(&pod.Spec)
+	service := pod.Labels[wellknown.Service]
 	if service == "" {
-		service = p.Labels[wellknown.JobName]
+		service = pod.Labels[wellknown.JobName]
 	}
-	t.service = serviceID(p.Namespace, service)
-	t.seq = int(e.Stats.PodsCreated)
+	task.service = serviceID(pod.Namespace, service)
+	task.sequence = int(e.Stats.PodsCreated)
 	e.Stats.PodsCreated++
-	e.tasks[t.uid] = t
+	e.tasks[task.uid] = task
 
-	o := p.DeepCopy()
-	o.Labels[wellknown.Scheduler] = e.cfg.Name
-	delete(o.Annotations, wellknown.Job)
-	delete(o.Annotations, wellknown.Use)
-	o.Spec.NodeName = n.name
-	now := wellknown.Time(e.now)
-	phase := o.Status.Phase
-	o.Status = corev1.PodStatus{Phase: corev1.PodPending}
-	for _, c := range []corev1.PodCondition{{Type: wellknown.Settled, Reason: wellknown.Placed, Message: "found running on " + n.name +
+	adopted := pod.DeepCopy()
+	adopted.Labels[wellknown.Scheduler] = e.cfg.Name
+	delete(adopted.Annotations, wellknown.JobManifest)
+	delete(adopted.Annotations, wellknown.Usage)
+	adopted.Spec.NodeName = node.name
+	now := wellknown.APITime(e.now)
+	phase := adopted.Status.Phase
+	adopted.Status = corev1.PodStatus{Phase: corev1.PodPending}
+	for _, condition := range []corev1.PodCondition{{Type: wellknown.Settled, Reason: wellknown.Placed, Message: "found running on " + node.name +
 		" after the scheduler's restart"}, {Type: corev1.PodScheduled}} {
-		c.Status, c.LastTransitionTime = corev1.ConditionTrue, now
-		o.Status.Conditions = setCondition(o.Status.Conditions, c)
+		condition.Status, condition.LastTransitionTime = corev1.ConditionTrue, now
+		adopted.Status.Conditions = setCondition(adopted.Status.Conditions, condition)
 	}
-	e.takeOverJob(t, p)
-	e.store.Put(store.Pods, o)
-	if t.job != nil {
-		t.job.pods[t.name] = struct{}{}
+	e.adoptJob(task, pod)
+	e.store.Put(store.Pods, adopted)
+	if task.job != nil {
+		task.job.pods[task.name] = struct{}{}
 	}
-	number, _ := strconv.Atoi(p.Annotations[wellknown.AttemptAnnotation])
-	e.adopt(t, n, max(number, 1), n.boot, podRev(p))
+	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation])
+	e.adoptTask(task, node, max(number, 1), node.incarnation, podRevision(pod))
 	if phase == corev1.PodRunning {
-		e.ran(t)
+		e.taskStarted(task)
 	}
-	if t.job != nil && t.job.gone {
-		e.deletePodOf(t, "Deleted")
+	if task.job != nil && task.job.deleted {
+		e.deleteTaskPod(task, "Deleted")
 	}
 }
 
-// takeOverJob joins a task that was taken over to its Job, which it rebuilds if it is not there.
-func (e *Engine) takeOverJob(t *task, p *corev1.Pod) {
-	var o batchv1.Job
-	if json.Unmarshal([]byte(p.Annotations[wellknown.Job]), &o) != nil || o.Name == "" || o.Namespace != p.Namespace {
+// adoptJob joins a task that was taken over to its Job, which it rebuilds if it is not there.
+func (e *Engine) adoptJob(task *task, pod *corev1.Pod) {
+	var object batchv1.Job
+	if json.Unmarshal([]byte(pod.Annotations[wellknown.JobManifest]), &object) != nil || object.Name == "" || object.Namespace != pod.Namespace {
 		return
 	}
-	index, err := strconv.Atoi(p.Labels[wellknown.Index])
-	j := e.jobs[jobKey(&o)]
-	if j == nil {
-		o.Generation = 1
-		j, _ = e.describe(&o)
-		if j == nil {
+	index, err := strconv.Atoi(pod.Labels[wellknown.Index])
+	job := e.jobs[jobKey(&object)]
+	if job == nil {
+		object.Generation = 1
+		job, _ = e.newJob(&object)
+		if job == nil {
 			return
 		}
-		j.takenOver = true
-		j.next = len(j.slots) // nothing of it is begun before the machines have been heard
-		e.jobs[j.key] = j
-		e.store.Put(store.Jobs, &o)
-		e.after(e.cfg.LostAfter, func() { e.takeOverRest(j) })
+		job.adopted = true
+		job.nextIndex = len(job.indexes) // nothing of it is begun before the machines have been heard
+		e.jobs[job.key] = job
+		e.store.Put(store.Jobs, &object)
+		e.runAfter(e.cfg.NodeLossTimeout, func() { e.finishJobAdoption(job) })
 	}
-	if j.uid != o.UID || err != nil || index < 0 || index >= len(j.slots) || j.slots[index].cur != nil {
+	if job.uid != object.UID || err != nil || index < 0 || index >= len(job.indexes) || job.indexes[index].task != nil {
 		return
 	}
-	s := &j.slots[index]
-	if s.done {
-		s.done = false
-		j.exhausted--
+	state := &job.indexes[index]
+	if state.done {
+		state.done = false
+		job.exhausted--
 	}
-	if !s.settled {
-		s.settled = true
-		j.settled[wellknown.Placed]++
+	if !state.settled {
+		state.settled = true
+		job.settled[wellknown.Placed]++
 	}
-	s.cur, s.begun = t, true
-	t.job, t.index, t.budget = j, index, s.budget
-	j.active++
-	e.touchJob(j)
+	state.task, state.started = task, true
+	task.job, task.index, task.retryBudget = job, index, state.retryBudget
+	job.active++
+	e.markJobDirty(job)
 }
 
-// takeOverRest decides on the indexes of a rebuilt Job that no machine showed: they may have ended, or never begun. What may
+// finishJobAdoption decides on the indexes of a rebuilt Job that no machine showed: they may have ended, or never begun. What may
 // run twice is asked for again; the rest is not.
-func (e *Engine) takeOverRest(j *job) {
-	if j.gone || e.jobs[j.key] != j {
+func (e *Engine) finishJobAdoption(job *job) {
+	if job.deleted || e.jobs[job.key] != job {
 		return
 	}
-	for i := range j.slots {
-		s := &j.slots[i]
-		if s.begun {
+	for i := range job.indexes {
+		state := &job.indexes[i]
+		if state.started {
 			continue
 		}
-		if e.cfg.Placer.Classes[j.class].Idempotency == placer.Idempotent {
-			j.next = min(j.next, i)
+		if e.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent {
+			job.nextIndex = min(job.nextIndex, i)
 			continue
 		}
-		s.begun, s.done = true, true
-		j.exhausted++
-		j.failed++
-		if !s.settled {
-			s.settled = true
-			j.settled[wellknown.Failed]++
-			j.mayRan = true
+		state.started, state.done = true, true
+		job.exhausted++
+		job.failed++
+		if !state.settled {
+			state.settled = true
+			job.settled[wellknown.Failed]++
+			job.mayHaveRun = true
 		}
 	}
-	e.enqueue(j)
-	e.touchJob(j)
-	e.checkJob(j)
+	e.enqueueJob(job)
+	e.markJobDirty(job)
+	e.finishJobIfDone(job)
 }
 
-// NodeHeartbeat says how many machines the inventory lists as ready, and of how many the Pods are known.
-func (e *Engine) NodeHeartbeat() (listed, heard int) {
-	for _, n := range e.nodes {
-		if n.state != placer.Gone {
+// NodeCounts says how many machines the inventory lists as ready, and of how many the Pods are known.
+func (e *Engine) NodeCounts() (listed, watched int) {
+	for _, node := range e.nodes {
+		if node.state != placer.Terminated {
 			listed++
-			if n.following {
-				heard++
+			if node.podsWatched {
+				watched++
 			}
 		}
 	}
-	return listed, heard
+	return listed, watched
 }
--- a/internal/engine/tasks.go
+++ b/internal/engine/tasks.go
@@ -16,219 +16,221 @@
 	"heathshed/placer"
 )
 
-// phase of a task.
-type phase uint8
+// taskPhase of a task.
+type taskPhase uint8
 
 const (
-	asking  phase = iota // the placer has it
-	waiting              // the owner waits before it asks again, or for a doubt
-	running              // a machine holds it
-	ending               // it is over, attempts may still be out
+	phaseRequesting  taskPhase = iota // the placer has it
+	phaseWaiting                      // the owner waits before it asks again, or for a doubt
+	phaseRunning                      // a machine holds it
+	phaseTerminating                  // it is over, attempts may still be out
 )
 
 // task is one Pod: asked for until it is placed, refused or failed, then followed until it ends.
 type task struct {
-	seq             int
-	uid             types.UID
-	namespace, name string
-	job             *job // nil for an orphan
-	index           int
-	class, tenant   int
-	service         placer.ServiceID
-	cores, memory   float64
-	giveUp          float64
-	budget          int  // times it may be asked again
-	asked           int  // asks that reached the placer
-	shed            bool // some ask was shed at the gate
-	mayRan          bool
-	everRan         bool // some attempt may have run, whatever was learned later
-	phase           phase
-	settled         bool
-	ask             *ask
-	attempts        int // sent so far, over all asks
-	open            *attempt
-	doubts          []*attempt
-	holder          *attempt // the attempt that runs
-	wait            *timer
-	lastReason      string // what a machine last stated
-	stopReason      string // why it is being stopped; "" if it is not
-	deleted         bool   // the Pod goes once nothing is out
-	started         bool   // it was seen running
-	counted         bool   // the Job knows its end
-}
-
-// ask is one request to the placer.
-type ask struct {
+	sequence          int
+	uid               types.UID
+	namespace, name   string
+	job               *job // nil for an orphan
+	index             int
+	class, tenant     int
+	service           placer.ServiceID
+	cores, memory     float64
+	deadline          float64
+	retryBudget       int  // times it may be asked again
+	requestsSubmitted int  // asks that reached the placer
+	wasShed           bool // some ask was shed at the gate
+	mayHaveRun        bool
+	everMayHaveRun    bool // some attempt may have run, whatever was learned later
+	phase             taskPhase
+	settled           bool
+	request           *placementRequest
+	attemptCount      int // sent so far, over all asks
+	inFlight          *attempt
+	unknownOutcomes   []*attempt
+	runningAttempt    *attempt // the attempt that runs
+	retryTimer        *timer
+	lastFailure       string // what a machine last stated
+	stopReason        string // why it is being stopped; "" if it is not
+	deleted           bool   // the Pod goes once nothing is out
+	started           bool   // it was seen running
+	endReported       bool   // the Job knows its end
+}
+
+// placementRequest is one request to the placer.
+type placementRequest struct {
 	id       placer.TaskID
-	t        *task
+	task     *task
 	attempts []*attempt
 	answered bool
 	queued   bool // it stands in line at the gate; the placer does not know it
-	again    bool
+	isRetry  bool
 	deadline float64
 }
 
 // attempt is one offer, or a task found running.
 type attempt struct {
-	a        *ask
-	t        *task
-	seq      int // number within the ask
-	number   int // number within the task; what machines are told
-	n        *node
-	last     *corev1.Pod // what the machine's watch showed while it was open
-	lastGone bool
-	sent     float64
-	until    float64
-	timer    *timer
-	told     bool   // the placer has its outcome
-	life     string // of the machine, as known at the offer
-	boot     string // of the machine, where it accepted
-	rev      int64  // the machine's revision at acceptance
-	fence    *timer
-	fencing  bool
-	tries    int
-}
-
-func (t *task) inDoubt() bool { return len(t.doubts) > 0 }
-
-func (t *task) effect(e *Engine) placer.Idempotency { return e.cfg.Placer.Classes[t.class].Idempotency }
-
-// addTask enters a new Pod.
-func (e *Engine) addTask(t *task, p *corev1.Pod) {
-	t.seq = int(e.Stats.PodsCreated)
+	request             *placementRequest
+	task                *task
+	requestSequence     int // number within the ask
+	number              int // number within the task; what machines are told
+	node                *node
+	lastPod             *corev1.Pod // what the machine's watch showed while it was open
+	lastPodDeleted      bool
+	sentAt              float64
+	deadline            float64
+	timeoutTimer        *timer
+	outcomeReported     bool   // the placer has its outcome
+	sentIncarnation     string // of the machine, as known at the offer
+	acceptedIncarnation string // of the machine, where it accepted
+	revision            int64  // the machine's revision at acceptance
+	fenceTimer          *timer
+	stopInFlight        bool
+	stopsSent           int
+}
+
+func (t *task) hasUnknownOutcome() bool { return len(t.unknownOutcomes) > 0 }
+
+func (t *task) idempotency(e *Engine) placer.Idempotency {
+	return e.cfg.Placer.Classes[t.class].Idempotency
+}
+
+// registerTask enters a new Pod.
+func (e *Engine) registerTask(task *task, pod *corev1.Pod) {
+	task.sequence = int(e.Stats.PodsCreated)
 	e.Stats.PodsCreated++
-	e.tasks[t.uid] = t
-	e.unnamed++
-	e.store.Put(store.Pods, p)
-}
-
-// begAsk brings a task to the gate under a new number. What it lets pass goes to the placer.
-func (e *Engine) begAsk(t *task) {
-	e.lastAsk++
-	k := &e.cfg.Placer.Classes[t.class]
-	a := &ask{id: e.lastAsk, t: t, again: t.asked > 0, deadline: min(t.giveUp, e.now+k.Deadline)}
-	e.asks[a.id] = a
-	t.ask, t.phase, t.wait = a, asking, nil
+	e.tasks[task.uid] = task
+	e.openTasks++
+	e.store.Put(store.Pods, pod)
+}
+
+// requestPlacement brings a task to the gate under a new number. What it lets pass goes to the placer.
+func (e *Engine) requestPlacement(task *task) {
+	e.lastRequestID++
+	class := &e.cfg.Placer.Classes[task.class]
+	request := &placementRequest{id: e.lastRequestID, task: task, isRetry: task.requestsSubmitted > 0, deadline: min(task.deadline, e.now+class.Deadline)}
+	e.requests[request.id] = request
+	task.request, task.phase, task.retryTimer = request, phaseRequesting, nil
 	e.Stats.PlacementRequests++
-	if a.again || t.shed {
+	if request.isRetry || task.wasShed {
 		e.Stats.Retries++
 	}
-	kind := &e.cfg.Placer.NodeTypes[0]
-	v, shed := e.gate.Arrive(e.now, admission.Request{ID: uint64(a.id), Tenant: t.tenant, Priority: k.Priority, Cost: max(t.cores/kind.Cores, t.memory/kind.Memory),
-		Deadline: a.deadline, Until: t.giveUp, LatencyObjective: k.LatencyObjective, IsRetry: a.again, Shed: t.shed})
-	switch v {
+	nodeType := &e.cfg.Placer.NodeTypes[0]
+	verdict, shedding := e.admission.Submit(e.now, admission.Request{ID: uint64(request.id), Tenant: task.tenant, Priority: class.Priority, Cost: max(task.cores/nodeType.Cores, task.memory/nodeType.Memory),
+		Deadline: request.deadline, FinalDeadline: task.deadline, LatencyObjective: class.LatencyObjective, IsRetry: request.isRetry, ShedBefore: task.wasShed})
+	switch verdict {
 	case admission.Admit:
-		e.bring(a)
-	case admission.Wait:
-		a.queued = true
+		e.submitRequest(request)
+	case admission.Queue:
+		request.queued = true
 	case admission.Shed:
-		e.shed(a, shed)
+		e.shedRequest(request, shedding)
 	}
 }
 
-// bring hands an ask to the placer.
-func (e *Engine) bring(a *ask) {
-	t := a.t
-	a.queued = false
-	a.deadline = min(t.giveUp, e.now+e.cfg.Placer.Classes[t.class].Deadline)
-	t.asked++
-	e.feed(placer.Event{Kind: placer.Arrived, Task: placer.Task{ID: a.id, Class: t.class, Tenant: t.tenant, Service: t.service, Cores: t.cores,
-		Memory: t.memory, IsRetry: a.again, Deadline: a.deadline}})
+// submitRequest hands an ask to the placer.
+func (e *Engine) submitRequest(request *placementRequest) {
+	task := request.task
+	request.queued = false
+	request.deadline = min(task.deadline, e.now+e.cfg.Placer.Classes[task.class].Deadline)
+	task.requestsSubmitted++
+	e.post(placer.Event{Kind: placer.Arrived, Task: placer.Task{ID: request.id, Class: task.class, Tenant: task.tenant, Service: task.service, Cores: task.cores,
+		Memory: task.memory, IsRetry: request.isRetry, Deadline: request.deadline}})
 }
 
-// shed ends an ask that the gate refuses. Nothing of it ran.
-func (e *Engine) shed(a *ask, s admission.Shedding) {
+// shedRequest ends an ask that the gate refuses. Nothing of it ran.
+func (e *Engine) shedRequest(request *placementRequest, shedding admission.ShedRequest) {
 	e.Stats.Shed++
-	a.answered, a.queued, a.t.shed = true, false, true
-	e.forgetAsk(a)
-	a.t.lastReason = "not asked for: " + s.Why
-	e.decide(a.t, retry.Shed, s.Delay)
+	request.answered, request.queued, request.task.wasShed = true, false, true
+	e.discardRequest(request)
+	request.task.lastFailure = "not asked for: " + shedding.Reason
+	e.retryOrSettle(request.task, retry.Shed, shedding.RetryAfter)
 }
 
-// openGate lets pass what may, and sees to it that it is looked at again in time.
-func (e *Engine) openGate() {
+// admitRequests lets pass what may, and sees to it that it is looked at again in time.
+func (e *Engine) admitRequests() {
 	for {
-		pass, shed := e.gate.Next(e.now)
+		pass, shed := e.admission.Poll(e.now)
 		for _, id := range pass {
-			e.bring(e.asks[placer.TaskID(id)])
+			e.submitRequest(e.requests[placer.TaskID(id)])
 		}
-		for _, s := range shed {
-			e.shed(e.asks[placer.TaskID(s.ID)], s)
+		for _, shedding := range shed {
+			e.shedRequest(e.requests[placer.TaskID(shedding.ID)], shedding)
 		}
-		e.drainQueue()
+		e.drainEvents()
 		if len(pass)+len(shed) == 0 {
 			break
 		}
 	}
-	at := max(e.gate.NextDeadline(), e.now+0.001)
-	if !e.gateAt.Pending() || at < e.gateAt.At {
-		e.stopTimer(e.gateAt)
-		e.gateAt = nil
-		if !math.IsInf(at, 1) {
-			e.gateAt = e.at(at, func() {}) // the end of every call opens the gate
+	wakeAt := max(e.admission.NextDeadline(), e.now+0.001)
+	if !e.admissionTimer.Pending() || wakeAt < e.admissionTimer.At {
+		e.stopTimer(e.admissionTimer)
+		e.admissionTimer = nil
+		if !math.IsInf(wakeAt, 1) {
+			e.admissionTimer = e.runAt(wakeAt, func() {}) // the end of every call opens the gate
 		}
 	}
 }
 
-// offer carries out the placer's offer.
-func (e *Engine) offer(act *placer.Action) {
-	a, n := e.asks[act.Task], e.byID[act.Node]
-	if a == nil || n == nil || a.answered {
-		panic(fmt.Sprintf("engine: offer of ask %d to machine %d, which are not both open", act.Task, act.Node))
+// startAttempt carries out the placer's offer.
+func (e *Engine) startAttempt(action *placer.Action) {
+	request, node := e.requests[action.Task], e.nodesByID[action.Node]
+	if request == nil || node == nil || request.answered {
+		panic(fmt.Sprintf("engine: offer of ask %d to machine %d, which are not both open", action.Task, action.Node))
 	}
-	t := a.t
-	if t.open != nil || t.holder != nil {
-		panic(fmt.Sprintf("engine: task %s has an attempt out already", t.uid))
+	task := request.task
+	if task.inFlight != nil || task.runningAttempt != nil {
+		panic(fmt.Sprintf("engine: task %s has an attempt out already", task.uid))
 	}
-	t.attempts++
-	at := &attempt{a: a, t: t, seq: act.Attempt, number: t.attempts, n: n, sent: e.now, until: act.Until, life: n.boot}
-	a.attempts = append(a.attempts, at)
-	t.open = at
+	task.attemptCount++
+	attempt := &attempt{request: request, task: task, requestSequence: action.Attempt, number: task.attemptCount, node: node, sentAt: e.now, deadline: action.Until, sentIncarnation: node.incarnation}
+	request.attempts = append(request.attempts, attempt)
+	task.inFlight = attempt
 	e.Stats.Attempts++
-	at.timer = e.at(act.Until, func() { e.timedOut(at) })
-	e.effect(Effect{Kind: SendAttempt, Node: n.name, Address: n.address, Pod: e.offered(t), UID: t.uid,
-		Namespace: t.namespace, Name: t.name, Attempt: at.number, Until: act.Until,
-		Careful: t.effect(e) != placer.Idempotent})
-}
-
-// offered is the Pod as machines get it.
-func (e *Engine) offered(t *task) *corev1.Pod {
-	p := e.pod(t)
-	if p == nil {
-		panic("engine: task without a Pod: " + string(t.uid))
-	}
-	next := *p
-	p.ObjectMeta.DeepCopyInto(&next.ObjectMeta)
-	p = &next
-	p.ResourceVersion = ""
-	p.Labels[wellknown.Scheduler] = e.cfg.Name
-	p.Labels[wellknown.Class] = e.cfg.Classes[t.class]
-	if t.job != nil {
-		p.Annotations[wellknown.Job] = t.job.carried()
-	}
-	p.Status = corev1.PodStatus{}
-	return p
-}
-
-func (e *Engine) pod(t *task) *corev1.Pod {
-	o := e.store.Get(store.Pods, t.namespace, t.name)
-	if o == nil || o.GetUID() != t.uid {
+	attempt.timeoutTimer = e.runAt(action.Until, func() { e.attemptTimedOut(attempt) })
+	e.emit(Effect{Kind: SendAttempt, Node: node.name, Address: node.address, Pod: e.podForNode(task), UID: task.uid,
+		Namespace: task.namespace, Name: task.name, Attempt: attempt.number, Deadline: action.Until,
+		AvoidUnknownOutcome: task.idempotency(e) != placer.Idempotent})
+}
+
+// podForNode is the Pod as machines get it.
+func (e *Engine) podForNode(task *task) *corev1.Pod {
+	pod := e.podOf(task)
+	if pod == nil {
+		panic("engine: task without a Pod: " + string(task.uid))
+	}
+	next := *pod
+	pod.ObjectMeta.DeepCopyInto(&next.ObjectMeta)
+	pod = &next
+	pod.ResourceVersion = ""
+	pod.Labels[wellknown.Scheduler] = e.cfg.Name
+	pod.Labels[wellknown.Class] = e.cfg.Classes[task.class]
+	if task.job != nil {
+		pod.Annotations[wellknown.JobManifest] = task.job.manifest()
+	}
+	pod.Status = corev1.PodStatus{}
+	return pod
+}
+
+func (e *Engine) podOf(task *task) *corev1.Pod {
+	object := e.store.Get(store.Pods, task.namespace, task.name)
+	if object == nil || object.GetUID() != task.uid {
 		return nil
 	}
-	return o.(*corev1.Pod)
+	return object.(*corev1.Pod)
 }
 
-// change stores a changed copy of a task's Pod.
-func (e *Engine) change(t *task, f func(p *corev1.Pod)) {
-	p := e.pod(t)
-	if p == nil {
+// updatePod stores a changed copy of a task's Pod.
+func (e *Engine) updatePod(task *task, mutate func(pod *corev1.Pod)) {
+	pod := e.podOf(task)
+	if pod == nil {
 		return
 	}
 	// A spec may be large, and all that ever changes in it is the name of the machine.
-	next := *p
-	p.ObjectMeta.DeepCopyInto(&next.ObjectMeta)
-	p.Status.DeepCopyInto(&next.Status)
-	f(&next)
+	next := *pod
+	pod.ObjectMeta.DeepCopyInto(&next.ObjectMeta)
+	pod.Status.DeepCopyInto(&next.Status)
+	mutate(&next)
 	e.store.Put(store.Pods, &next)
 }
 
@@ -240,189 +242,189 @@
 	Accepted    bool
 	Result      placer.Result // where it was not accepted
 	Reason      placer.Reason
-	Stated      string // the machine's own words
+	Message     string // the machine's own words
 	Report      *placer.Report
 	Incarnation string      // identity of the machine's life
-	Rev         int64       // the machine's revision of the Pod
+	Revision    int64       // the machine's revision of the Pod
 	Pod         *corev1.Pod // as the machine shows it, where it was accepted
 }
 
 // AttemptDone takes the answer to an offer.
-func (e *Engine) AttemptDone(now float64, ans AttemptAnswer) {
-	e.begin(now)
-	defer e.end()
-	t := e.tasks[ans.UID]
-	if t == nil {
+func (e *Engine) AttemptDone(now float64, answer AttemptAnswer) {
+	e.beginCall(now)
+	defer e.endCall()
+	task := e.tasks[answer.UID]
+	if task == nil {
 		// The task is over. An acceptance then left a copy that nobody waits for.
-		if n := e.nodes[ans.Node]; ans.Accepted && n != nil {
+		if node := e.nodes[answer.Node]; answer.Accepted && node != nil {
 			e.Stats.LateAnswers++
-			e.stopCopy(n, ans.UID, "", "", ans.Attempt)
+			e.stopStrayCopy(node, answer.UID, "", "", answer.Attempt)
 		}
 		return
 	}
-	if at := t.open; at != nil && at.number == ans.Attempt && at.n.name == ans.Node {
-		e.learn(at.n, ans.Incarnation)
-		if ans.Accepted {
-			e.accepted(at, ans)
+	if attempt := task.inFlight; attempt != nil && attempt.number == answer.Attempt && attempt.node.name == answer.Node {
+		e.observeIncarnation(attempt.node, answer.Incarnation)
+		if answer.Accepted {
+			e.attemptAccepted(attempt, answer)
 			return
 		}
-		t.lastReason = stated(ans)
-		if ans.Result == placer.Rejected {
+		task.lastFailure = answerMessage(answer)
+		if answer.Result == placer.Rejected {
 			e.Stats.Rejections++
 		}
-		e.failedAttempt(at, ans.Result, ans.Reason, ans.Report)
+		e.attemptFailed(attempt, answer.Result, answer.Reason, answer.Report)
 		return
 	}
 	// An answer that comes after the attempt was given up.
-	for _, at := range t.doubts {
-		if at.number != ans.Attempt || at.n.name != ans.Node {
+	for _, attempt := range task.unknownOutcomes {
+		if attempt.number != answer.Attempt || attempt.node.name != answer.Node {
 			continue
 		}
 		e.Stats.LateAnswers++
 		switch {
-		case ans.Accepted:
-			e.found(at, ans.Incarnation, ans.Rev)
-		case ans.Result == placer.Rejected || ans.Result == placer.Unreachable:
-			e.resolved(at, false)
+		case answer.Accepted:
+			e.attemptFoundRunning(attempt, answer.Incarnation, answer.Revision)
+		case answer.Result == placer.Rejected || answer.Result == placer.Unreachable:
+			e.resolveOutcome(attempt, false)
 		}
 		return
 	}
-	if ans.Accepted {
-		if n := e.nodes[ans.Node]; n != nil && (t.holder == nil || t.holder.n != n) {
-			e.stopCopy(n, t.uid, t.namespace, t.name, ans.Attempt)
+	if answer.Accepted {
+		if node := e.nodes[answer.Node]; node != nil && (task.runningAttempt == nil || task.runningAttempt.node != node) {
+			e.stopStrayCopy(node, task.uid, task.namespace, task.name, answer.Attempt)
 		}
 	}
 }
 
-func stated(ans AttemptAnswer) string {
-	if ans.Stated != "" {
-		return ans.Node + ": " + ans.Stated
+func answerMessage(answer AttemptAnswer) string {
+	if answer.Message != "" {
+		return answer.Node + ": " + answer.Message
 	}
-	switch ans.Result {
+	switch answer.Result {
 	case placer.Unreachable:
-		return ans.Node + ": no connection"
+		return answer.Node + ": no connection"
 	case placer.TimedOut:
-		return ans.Node + ": no answer in time"
+		return answer.Node + ": no answer in time"
 	case placer.Lost:
-		return ans.Node + ": the answer broke off"
+		return answer.Node + ": the answer broke off"
 	case placer.Errored:
-		return ans.Node + ": answered with an error"
+		return answer.Node + ": answered with an error"
 	}
-	return ans.Node + ": refused"
+	return answer.Node + ": refused"
 }
 
-// accepted places a task.
-func (e *Engine) accepted(at *attempt, ans AttemptAnswer) {
-	t := at.t
+// attemptAccepted places a task.
+func (e *Engine) attemptAccepted(attempt *attempt, answer AttemptAnswer) {
+	task := attempt.task
 	e.Stats.Accepted++
-	t.open = nil
-	e.stopTimer(at.timer)
-	if at.last == nil || at.boot != ans.Incarnation {
-		at.last, at.rev = nil, 0
-	}
-	at.boot = ans.Incarnation
-	e.feed(placer.Event{Kind: placer.Bound, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Elapsed: e.now - at.sent})
-	at.a.answered = true
-	e.gate.Done(e.now, uint64(at.a.id), true)
-	e.hold(t, at)
+	task.inFlight = nil
+	e.stopTimer(attempt.timeoutTimer)
+	if attempt.lastPod == nil || attempt.acceptedIncarnation != answer.Incarnation {
+		attempt.lastPod, attempt.revision = nil, 0
+	}
+	attempt.acceptedIncarnation = answer.Incarnation
+	e.post(placer.Event{Kind: placer.Bound, TaskID: attempt.request.id, Attempt: attempt.requestSequence, Node: attempt.node.id, Elapsed: e.now - attempt.sentAt})
+	attempt.request.answered = true
+	e.admission.Complete(e.now, uint64(attempt.request.id), true)
+	e.bindTask(task, attempt)
 	// News that overtook the answer, or came with it.
-	if p := at.last; p != nil && at.rev > ans.Rev {
-		e.follow(t, p, at.lastGone)
-	} else if p := ans.Pod; p != nil {
-		e.follow(t, p, false)
-	}
-	at.last = nil
-	at.rev = ans.Rev
-}
-
-// hold notes that a machine holds the task and settles it as placed.
-func (e *Engine) hold(t *task, at *attempt) {
-	t.holder, t.phase = at, running
-	t.everRan = true
-	at.n.held[t.uid] = t
-	e.stopTimer(t.wait)
-	t.wait = nil
-	if t.deleted || t.stopReason != "" {
-		e.stopHolder(t)
-	}
-	if t.settled {
-		e.change(t, func(p *corev1.Pod) { p.Spec.NodeName = at.n.name })
+	if pod := attempt.lastPod; pod != nil && attempt.revision > answer.Revision {
+		e.observeRunning(task, pod, attempt.lastPodDeleted)
+	} else if pod := answer.Pod; pod != nil {
+		e.observeRunning(task, pod, false)
+	}
+	attempt.lastPod = nil
+	attempt.revision = answer.Revision
+}
+
+// bindTask notes that a machine holds the task and settles it as placed.
+func (e *Engine) bindTask(task *task, attempt *attempt) {
+	task.runningAttempt, task.phase = attempt, phaseRunning
+	task.everMayHaveRun = true
+	attempt.node.running[task.uid] = task
+	e.stopTimer(task.retryTimer)
+	task.retryTimer = nil
+	if task.deleted || task.stopReason != "" {
+		e.stopRunning(task)
+	}
+	if task.settled {
+		e.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = attempt.node.name })
 		return
 	}
-	e.settle(t, wellknown.Placed, "accepted by "+at.n.name)
+	e.settle(task, wellknown.Placed, "accepted by "+attempt.node.name)
 }
 
-// failedAttempt tells the placer how the open attempt ended, keeping what it leaves in doubt.
-func (e *Engine) failedAttempt(at *attempt, r placer.Result, why placer.Reason, rep *placer.Report) {
-	t := at.t
-	t.open = nil
-	e.stopTimer(at.timer)
-	switch r {
+// attemptFailed tells the placer how the open attempt ended, keeping what it leaves in doubt.
+func (e *Engine) attemptFailed(attempt *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
+	task := attempt.task
+	task.inFlight = nil
+	e.stopTimer(attempt.timeoutTimer)
+	switch result {
 	case placer.Rejected, placer.Unreachable, placer.Expired:
 	default:
-		e.doubt(at)
+		e.trackUnknownOutcome(attempt)
 	}
-	at.told = true
-	e.feed(placer.Event{Kind: placer.Ended, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
-		Elapsed: e.now - at.sent, Final: at.a.answered, Report: rep})
-	if at.a.answered || t.phase == ending {
-		e.forgetAsk(at.a)
-		e.tidyTask(t)
+	attempt.outcomeReported = true
+	e.post(placer.Event{Kind: placer.Ended, TaskID: attempt.request.id, Attempt: attempt.requestSequence, Node: attempt.node.id, Result: result, Reason: reason,
+		Elapsed: e.now - attempt.sentAt, Final: attempt.request.answered, Report: report})
+	if attempt.request.answered || task.phase == phaseTerminating {
+		e.discardRequest(attempt.request)
+		e.discardTask(task)
 	}
 }
 
-// doubt keeps an attempt that may have been accepted. A copy of a task that may run twice is stopped; one that must not is
+// trackUnknownOutcome keeps an attempt that may have been accepted. A copy of a task that may run twice is stopped; one that must not is
 // looked for first, since it may be running.
-func (e *Engine) doubt(at *attempt) {
-	t := at.t
+func (e *Engine) trackUnknownOutcome(unresolved *attempt) {
+	task := unresolved.task
 	e.Stats.UnknownOutcomes++
-	t.everRan = true
-	t.doubts = append(t.doubts, at)
-	if at.n.doubts == nil {
-		at.n.doubts = map[*attempt]struct{}{}
-	}
-	at.n.doubts[at] = struct{}{}
-	if t.effect(e) == placer.Idempotent || t.phase == ending {
-		e.fence(at)
+	task.everMayHaveRun = true
+	task.unknownOutcomes = append(task.unknownOutcomes, unresolved)
+	if unresolved.node.unknownOutcomes == nil {
+		unresolved.node.unknownOutcomes = map[*attempt]struct{}{}
+	}
+	unresolved.node.unknownOutcomes[unresolved] = struct{}{}
+	if task.idempotency(e) == placer.Idempotent || task.phase == phaseTerminating {
+		e.fenceAttempt(unresolved)
 		return
 	}
-	if at.last != nil {
-		e.after(0, func() {
-			if at.isDoubt() {
-				e.doubtful(at, at.boot, at.last, at.lastGone)
-				e.drainQueue()
+	if unresolved.lastPod != nil {
+		e.runAfter(0, func() {
+			if unresolved.outcomeUnknown() {
+				e.observeUnknownOutcome(unresolved, unresolved.acceptedIncarnation, unresolved.lastPod, unresolved.lastPodDeleted)
+				e.drainEvents()
 			}
 		})
 	}
-	at.fence = e.after(e.cfg.Retry.UnknownOutcomeTimeout, func() { at.fence = nil; e.fence(at); e.drainQueue() })
+	unresolved.fenceTimer = e.runAfter(e.cfg.Retry.UnknownOutcomeTimeout, func() { unresolved.fenceTimer = nil; e.fenceAttempt(unresolved); e.drainEvents() })
 }
 
-// timedOut gives up the open attempt.
-func (e *Engine) timedOut(at *attempt) {
-	t := at.t
-	if t.open != at {
+// attemptTimedOut gives up the open attempt.
+func (e *Engine) attemptTimedOut(attempt *attempt) {
+	task := attempt.task
+	if task.inFlight != attempt {
 		return
 	}
-	t.lastReason = at.n.name + ": no answer in time"
-	e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
-	e.failedAttempt(at, placer.TimedOut, placer.NoReason, nil)
-	e.drainQueue()
+	task.lastFailure = attempt.node.name + ": no answer in time"
+	e.emit(Effect{Kind: AbandonAttempt, Node: attempt.node.name, UID: task.uid, Attempt: attempt.number})
+	e.attemptFailed(attempt, placer.TimedOut, placer.NoReason, nil)
+	e.drainEvents()
 }
 
-// fence asks a machine to stop the task if it has it, and never to take this attempt if it has not. It is repeated until the
+// fenceAttempt asks a machine to stop the task if it has it, and never to take this attempt if it has not. It is repeated until the
 // machine answers or is known to have begun a new life.
-func (e *Engine) fence(at *attempt) {
-	if !at.isDoubt() || at.fencing {
+func (e *Engine) fenceAttempt(attempt *attempt) {
+	if !attempt.outcomeUnknown() || attempt.stopInFlight {
 		return
 	}
-	at.fencing = true
-	at.tries++
+	attempt.stopInFlight = true
+	attempt.stopsSent++
 	e.Stats.Stops++
-	e.effect(Effect{Kind: StopTask, Node: at.n.name, Address: at.n.address, UID: at.t.uid,
-		Namespace: at.t.namespace, Name: at.t.name, Attempt: at.number})
+	e.emit(Effect{Kind: StopTask, Node: attempt.node.name, Address: attempt.node.address, UID: attempt.task.uid,
+		Namespace: attempt.task.namespace, Name: attempt.task.name, Attempt: attempt.number})
 }
 
-func (at *attempt) isDoubt() bool { return slices.Contains(at.t.doubts, at) }
+func (at *attempt) outcomeUnknown() bool { return slices.Contains(at.task.unknownOutcomes, at) }
 
 // StopAnswer is how a machine answered StopTask.
 type StopAnswer struct {
@@ -430,193 +432,193 @@
 	Node        string
 	Attempt     int
 	Incarnation string // identity of the machine's life
-	Known       bool   // the machine answered
-	Had         bool   // it has or had the task under this attempt
-	Ran         bool   // and the task may have run
+	Answered    bool   // the machine answered
+	HadTask     bool   // it has or had the task under this attempt
+	MayHaveRun  bool   // and the task may have run
 }
 
 // StopDone takes the answer to StopTask.
-func (e *Engine) StopDone(now float64, ans StopAnswer) {
-	e.begin(now)
-	defer e.end()
-	if n := e.nodes[ans.Node]; n != nil && ans.Known {
-		e.learn(n, ans.Incarnation)
-	}
-	t := e.tasks[ans.UID]
-	if t == nil {
+func (e *Engine) StopDone(now float64, answer StopAnswer) {
+	e.beginCall(now)
+	defer e.endCall()
+	if node := e.nodes[answer.Node]; node != nil && answer.Answered {
+		e.observeIncarnation(node, answer.Incarnation)
+	}
+	task := e.tasks[answer.UID]
+	if task == nil {
 		return
 	}
-	for _, at := range t.doubts {
-		if at.number != ans.Attempt || at.n.name != ans.Node {
+	for _, attempt := range task.unknownOutcomes {
+		if attempt.number != answer.Attempt || attempt.node.name != answer.Node {
 			continue
 		}
-		at.fencing = false
-		if ans.Known {
+		attempt.stopInFlight = false
+		if answer.Answered {
 			// A machine that does not have the task says so of its present life only.
-			e.resolved(at, ans.Had && ans.Ran || !ans.Had && (at.life == "" || at.life != ans.Incarnation))
+			e.resolveOutcome(attempt, answer.HadTask && answer.MayHaveRun || !answer.HadTask && (attempt.sentIncarnation == "" || attempt.sentIncarnation != answer.Incarnation))
 			return
 		}
-		e.stopTimer(at.fence)
-		at.fence = e.after(min(0.25*float64(int(1)<<min(at.tries, 5)), 5), func() { at.fence = nil; e.fence(at); e.drainQueue() })
+		e.stopTimer(attempt.fenceTimer)
+		attempt.fenceTimer = e.runAfter(min(0.25*float64(int(1)<<min(attempt.stopsSent, 5)), 5), func() { attempt.fenceTimer = nil; e.fenceAttempt(attempt); e.drainEvents() })
 		return
 	}
-	if h := t.holder; h != nil && h.number == ans.Attempt && h.n.name == ans.Node && t.stopReason != "" {
-		if ans.Known {
-			e.heldEnded(t, placer.Cancelled, placer.NoReason, t.stopReason, "")
+	if running := task.runningAttempt; running != nil && running.number == answer.Attempt && running.node.name == answer.Node && task.stopReason != "" {
+		if answer.Answered {
+			e.runningTaskEnded(task, placer.Cancelled, placer.NoReason, task.stopReason, "")
 			return
 		}
-		h.tries++
-		h.fence = e.after(min(0.25*float64(int(1)<<min(h.tries, 5)), 5), func() { h.fence = nil; e.stopHolder(t) })
+		running.stopsSent++
+		running.fenceTimer = e.runAfter(min(0.25*float64(int(1)<<min(running.stopsSent, 5)), 5), func() { running.fenceTimer = nil; e.stopRunning(task) })
 	}
 }
 
-// undoubt takes an attempt from the doubts of its task and its machine.
-func (e *Engine) undoubt(at *attempt) {
-	if i := slices.Index(at.t.doubts, at); i >= 0 {
-		at.t.doubts = slices.Delete(at.t.doubts, i, i+1)
-		delete(at.n.doubts, at)
+// untrackUnknownOutcome takes an attempt from the doubts of its task and its machine.
+func (e *Engine) untrackUnknownOutcome(attempt *attempt) {
+	if i := slices.Index(attempt.task.unknownOutcomes, attempt); i >= 0 {
+		attempt.task.unknownOutcomes = slices.Delete(attempt.task.unknownOutcomes, i, i+1)
+		delete(attempt.node.unknownOutcomes, attempt)
 	}
-	e.stopTimer(at.fence)
-	at.fence = nil
+	e.stopTimer(attempt.fenceTimer)
+	attempt.fenceTimer = nil
 }
 
-// resolved ends a doubt: the attempt never ran, or it is over and may have.
-func (e *Engine) resolved(at *attempt, ran bool) {
-	t := at.t
-	e.undoubt(at)
-	t.mayRan = t.mayRan || ran
-	e.forgetAsk(at.a)
-	if t.phase == waiting && !t.inDoubt() && t.wait != nil && t.effect(e) != placer.Idempotent {
-		e.stopTimer(t.wait)
-		e.decide(t, retry.Failed, 0)
+// resolveOutcome ends a doubt: the attempt never ran, or it is over and may have.
+func (e *Engine) resolveOutcome(attempt *attempt, ran bool) {
+	task := attempt.task
+	e.untrackUnknownOutcome(attempt)
+	task.mayHaveRun = task.mayHaveRun || ran
+	e.discardRequest(attempt.request)
+	if task.phase == phaseWaiting && !task.hasUnknownOutcome() && task.retryTimer != nil && task.idempotency(e) != placer.Idempotent {
+		e.stopTimer(task.retryTimer)
+		e.retryOrSettle(task, retry.Failed, 0)
 		return
 	}
-	e.tidyTask(t)
+	e.discardTask(task)
 }
 
-// found is a doubtful attempt that turns out to run.
-func (e *Engine) found(at *attempt, boot string, rev int64) {
-	t := at.t
-	if t.phase == running || t.open != nil || t.phase == ending || t.settled || t.deleted || at.fencing {
+// attemptFoundRunning is a doubtful attempt that turns out to run.
+func (e *Engine) attemptFoundRunning(attempt *attempt, incarnation string, revision int64) {
+	task := attempt.task
+	if task.phase == phaseRunning || task.inFlight != nil || task.phase == phaseTerminating || task.settled || task.deleted || attempt.stopInFlight {
 		// Another attempt is out or nobody waits: the copy goes.
-		e.fence(at)
+		e.fenceAttempt(attempt)
 		return
 	}
 	// The placer must not send it again: take the ask back, then hand it over as running.
-	e.undoubt(at)
+	e.untrackUnknownOutcome(attempt)
 	e.Stats.Adopted++
-	e.withdraw(t)
-	e.adopt(t, at.n, at.number, boot, rev)
-}
-
-// adopt hands a task that runs to the placer, under a number of its own.
-func (e *Engine) adopt(t *task, n *node, number int, boot string, rev int64) {
-	e.lastAsk++
-	a := &ask{id: e.lastAsk, t: t, answered: true}
-	at := &attempt{a: a, t: t, n: n, number: number, sent: e.now, boot: boot, rev: rev}
-	a.attempts = append(a.attempts, at)
-	e.asks[a.id] = a
-	t.ask = a
-	t.attempts = max(t.attempts, number)
-	e.feed(placer.Event{Kind: placer.Adopted, Node: n.id, Task: placer.Task{ID: a.id, Class: t.class, Tenant: t.tenant,
-		Service: t.service, Cores: t.cores, Memory: t.memory, Deadline: t.giveUp}})
-	e.hold(t, at)
-}
-
-// withdraw takes the present ask back from the placer.
-func (e *Engine) withdraw(t *task) {
-	if a := t.ask; a != nil && !a.answered {
-		a.answered = true
-		e.gate.Drop(uint64(a.id))
-		if !a.queued {
-			e.feed(placer.Event{Kind: placer.Withdrawn, TaskID: a.id})
+	e.withdrawRequest(task)
+	e.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
+}
+
+// adoptTask hands a task that runs to the placer, under a number of its own.
+func (e *Engine) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
+	e.lastRequestID++
+	request := &placementRequest{id: e.lastRequestID, task: task, answered: true}
+	attempt := &attempt{request: request, task: task, node: node, number: number, sentAt: e.now, acceptedIncarnation: incarnation, revision: revision}
+	request.attempts = append(request.attempts, attempt)
+	e.requests[request.id] = request
+	task.request = request
+	task.attemptCount = max(task.attemptCount, number)
+	e.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: placer.Task{ID: request.id, Class: task.class, Tenant: task.tenant,
+		Service: task.service, Cores: task.cores, Memory: task.memory, Deadline: task.deadline}})
+	e.bindTask(task, attempt)
+}
+
+// withdrawRequest takes the present ask back from the placer.
+func (e *Engine) withdrawRequest(task *task) {
+	if request := task.request; request != nil && !request.answered {
+		request.answered = true
+		e.admission.Cancel(uint64(request.id))
+		if !request.queued {
+			e.post(placer.Event{Kind: placer.Withdrawn, TaskID: request.id})
 		}
-		a.queued = false
-		e.forgetAsk(a)
+		request.queued = false
+		e.discardRequest(request)
 	}
 }
 
-// answered takes the placer's final word on an ask that it did not place.
-func (e *Engine) answered(id placer.TaskID, c retry.Cause, delay float64) {
-	a := e.asks[id]
-	if a == nil || a.answered {
+// requestEnded takes the placer's final word on an ask that it did not place.
+func (e *Engine) requestEnded(id placer.TaskID, cause retry.Cause, delay float64) {
+	request := e.requests[id]
+	if request == nil || request.answered {
 		return
 	}
-	a.answered = true
-	e.gate.Done(e.now, uint64(a.id), false)
-	t := a.t
-	if t.open != nil {
+	request.answered = true
+	e.admission.Complete(e.now, uint64(request.id), false)
+	task := request.task
+	if task.inFlight != nil {
 		// Its outcome did not come by the deadline.
-		at := t.open
-		e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
-		e.failedAttempt(at, placer.TimedOut, placer.NoReason, nil)
+		attempt := task.inFlight
+		e.emit(Effect{Kind: AbandonAttempt, Node: attempt.node.name, UID: task.uid, Attempt: attempt.number})
+		e.attemptFailed(attempt, placer.TimedOut, placer.NoReason, nil)
 	}
-	e.forgetAsk(a)
-	e.decide(t, c, delay)
+	e.discardRequest(request)
+	e.retryOrSettle(task, cause, delay)
 }
 
-// forgetAsk drops an ask of which the placer knows all there is.
-func (e *Engine) forgetAsk(a *ask) {
-	if !a.answered {
+// discardRequest drops an ask of which the placer knows all there is.
+func (e *Engine) discardRequest(request *placementRequest) {
+	if !request.answered {
 		return
 	}
-	for _, at := range a.attempts {
-		if at.t.open == at || at.t.holder == at {
+	for _, attempt := range request.attempts {
+		if attempt.task.inFlight == attempt || attempt.task.runningAttempt == attempt {
 			return
 		}
 	}
-	delete(e.asks, a.id)
+	delete(e.requests, request.id)
 }
 
-// decide does what the owner does next with a task that is not placed.
-func (e *Engine) decide(t *task, c retry.Cause, delay float64) {
-	t.phase, t.ask, t.wait = waiting, nil, nil
-	if t.deleted {
-		e.finishTask(t)
+// retryOrSettle does what the owner does next with a task that is not placed.
+func (e *Engine) retryOrSettle(task *task, cause retry.Cause, delay float64) {
+	task.phase, task.request, task.retryTimer = phaseWaiting, nil, nil
+	if task.deleted {
+		e.terminateTask(task)
 		return
 	}
 	if e.stopping {
-		t.budget = 0
+		task.retryBudget = 0
 	}
-	v, at := e.cfg.Retry.Next(retry.State{Idempotency: t.effect(e), Cause: c, Now: e.now, Deadline: t.giveUp, Attempts: t.asked,
-		Budget: t.budget, OutcomeUnknown: t.inDoubt(), MayHaveRun: t.mayRan, RetryAfter: delay, Jitter: e.rng.Float64()})
-	switch v {
+	decision, retryAt := e.cfg.Retry.Next(retry.State{Idempotency: task.idempotency(e), Cause: cause, Now: e.now, Deadline: task.deadline, Attempts: task.requestsSubmitted,
+		RetriesLeft: task.retryBudget, OutcomeUnknown: task.hasUnknownOutcome(), MayHaveRun: task.mayHaveRun, RetryAfter: delay, Jitter: e.rng.Float64()})
+	switch decision {
 	case retry.RetryAt:
-		t.budget--
-		t.wait = e.at(at, func() { e.begAsk(t); e.drainQueue() })
+		task.retryBudget--
+		task.retryTimer = e.runAt(retryAt, func() { e.requestPlacement(task); e.drainEvents() })
 	case retry.AwaitOutcome:
-		t.wait = e.at(at, func() { e.decide(t, c, 0); e.drainQueue() })
+		task.retryTimer = e.runAt(retryAt, func() { e.retryOrSettle(task, cause, 0); e.drainEvents() })
 	case retry.Reject:
-		e.settle(t, wellknown.Rejected, t.why("no machine took it"))
+		e.settle(task, wellknown.Rejected, task.failureMessage("no machine took it"))
 	case retry.Fail:
-		e.settle(t, wellknown.Failed, t.why("it could not be placed"))
+		e.settle(task, wellknown.Failed, task.failureMessage("it could not be placed"))
 	}
 }
 
-func (e *Engine) endOf(t *task) string {
-	if t.mayRan || t.inDoubt() {
+func (e *Engine) failureReason(task *task) string {
+	if task.mayHaveRun || task.hasUnknownOutcome() {
 		return wellknown.Failed
 	}
 	return wellknown.Rejected
 }
 
-func (t *task) why(short string) string {
-	if t.lastReason != "" {
-		short += "; last: " + t.lastReason
+func (t *task) failureMessage(summary string) string {
+	if t.lastFailure != "" {
+		summary += "; last: " + t.lastFailure
 	}
-	if t.inDoubt() {
-		short += "; an attempt may have been accepted by " + t.doubts[0].n.name
+	if t.hasUnknownOutcome() {
+		summary += "; an attempt may have been accepted by " + t.unknownOutcomes[0].node.name
 	}
-	return short
+	return summary
 }
 
 // settle gives a task its one outcome.
-func (e *Engine) settle(t *task, reason, message string) {
-	if t.settled {
+func (e *Engine) settle(task *task, reason, message string) {
+	if task.settled {
 		return
 	}
-	t.settled = true
-	e.unnamed--
+	task.settled = true
+	e.openTasks--
 	switch reason {
 	case wellknown.Placed:
 		e.Stats.Placed++
@@ -625,267 +627,267 @@
 	default:
 		e.Stats.Failed++
 	}
-	now := wellknown.Time(e.now)
-	e.change(t, func(p *corev1.Pod) {
-		p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: wellknown.Settled,
+	now := wellknown.APITime(e.now)
+	e.updatePod(task, func(pod *corev1.Pod) {
+		pod.Status.Conditions = setCondition(pod.Status.Conditions, corev1.PodCondition{Type: wellknown.Settled,
 			Status: corev1.ConditionTrue, Reason: reason, Message: message, LastTransitionTime: now, LastProbeTime: now})
 		if reason == wellknown.Placed {
-			p.Spec.NodeName = t.holder.n.name
-			p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: corev1.PodScheduled,
+			pod.Spec.NodeName = task.runningAttempt.node.name
+			pod.Status.Conditions = setCondition(pod.Status.Conditions, corev1.PodCondition{Type: corev1.PodScheduled,
 				Status: corev1.ConditionTrue, LastTransitionTime: now})
 			return
 		}
-		p.Status.Phase, p.Status.Reason, p.Status.Message = corev1.PodFailed, reason, message
-		p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: corev1.PodScheduled,
+		pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, message
+		pod.Status.Conditions = setCondition(pod.Status.Conditions, corev1.PodCondition{Type: corev1.PodScheduled,
 			Status: corev1.ConditionFalse, Reason: corev1.PodReasonUnschedulable, Message: message, LastTransitionTime: now})
 	})
-	if t.job != nil {
-		e.jobSettled(t, reason)
+	if task.job != nil {
+		e.recordSettled(task, reason)
 	}
 	if reason != wellknown.Placed {
-		e.stopTimer(t.wait)
-		t.wait = nil
-		e.finishTask(t)
+		e.stopTimer(task.retryTimer)
+		task.retryTimer = nil
+		e.terminateTask(task)
 	}
 }
 
-// finishTask ends a task that neither runs nor will be asked again; its attempts in doubt are still seen to.
-func (e *Engine) finishTask(t *task) {
-	if t.phase == ending {
-		e.tidyTask(t)
+// terminateTask ends a task that neither runs nor will be asked again; its attempts in doubt are still seen to.
+func (e *Engine) terminateTask(task *task) {
+	if task.phase == phaseTerminating {
+		e.discardTask(task)
 		return
 	}
-	e.stopTimer(t.wait)
-	t.wait = nil
-	if !t.settled {
+	e.stopTimer(task.retryTimer)
+	task.retryTimer = nil
+	if !task.settled {
 		// Only a deletion comes here with an open outcome: the owner gave it up.
-		e.settle(t, wellknown.Failed, "deleted before it was placed")
+		e.settle(task, wellknown.Failed, "deleted before it was placed")
 		return
 	}
-	t.phase = ending
-	for _, at := range append([]*attempt(nil), t.doubts...) {
-		e.stopTimer(at.fence)
-		at.fence = nil
-		e.fence(at)
+	task.phase = phaseTerminating
+	for _, attempt := range append([]*attempt(nil), task.unknownOutcomes...) {
+		e.stopTimer(attempt.fenceTimer)
+		attempt.fenceTimer = nil
+		e.fenceAttempt(attempt)
 	}
-	e.countEnd(t, false, retry.Rejected)
-	e.tidyTask(t)
+	e.reportTaskEnd(task, false, retry.Rejected)
+	e.discardTask(task)
 }
 
-// tidyTask forgets a task when nothing of it is out, and takes its Pod away if it was deleted.
-func (e *Engine) tidyTask(t *task) {
-	if t.phase != ending || t.open != nil || t.holder != nil {
+// discardTask forgets a task when nothing of it is out, and takes its Pod away if it was deleted.
+func (e *Engine) discardTask(task *task) {
+	if task.phase != phaseTerminating || task.inFlight != nil || task.runningAttempt != nil {
 		return
 	}
-	if len(t.doubts) > 0 {
+	if len(task.unknownOutcomes) > 0 {
 		return
 	}
-	delete(e.tasks, t.uid)
-	if t.deleted && e.pod(t) != nil {
-		e.store.Delete(store.Pods, t.namespace, t.name)
-		e.podGone(t)
+	delete(e.tasks, task.uid)
+	if task.deleted && e.podOf(task) != nil {
+		e.store.Delete(store.Pods, task.namespace, task.name)
+		e.podRemoved(task)
 	}
 }
 
-// countEnd tells the Job once how one of its tasks ended.
-func (e *Engine) countEnd(t *task, ok bool, c retry.Cause) {
-	if !t.counted {
-		t.counted = true
-		if t.job != nil {
-			e.jobTaskEnded(t, ok, c)
+// reportTaskEnd tells the Job once how one of its tasks ended.
+func (e *Engine) reportTaskEnd(task *task, ok bool, cause retry.Cause) {
+	if !task.endReported {
+		task.endReported = true
+		if task.job != nil {
+			e.jobTaskEnded(task, ok, cause)
 		}
 	}
 }
 
-// stopHolder asks the machine that holds the task to stop it.
-func (e *Engine) stopHolder(t *task) {
-	h := t.holder
-	if h == nil {
+// stopRunning asks the machine that holds the task to stop it.
+func (e *Engine) stopRunning(task *task) {
+	running := task.runningAttempt
+	if running == nil {
 		return
 	}
 	e.Stats.Stops++
-	e.effect(Effect{Kind: StopTask, Node: h.n.name, Address: h.n.address, UID: t.uid, Namespace: t.namespace,
-		Name: t.name, Attempt: h.number})
+	e.emit(Effect{Kind: StopTask, Node: running.node.name, Address: running.node.address, UID: task.uid, Namespace: task.namespace,
+		Name: task.name, Attempt: running.number})
 }
 
-// stopCopy asks a machine to stop a task that it should not hold.
-func (e *Engine) stopCopy(n *node, uid types.UID, namespace, name string, number int) {
+// stopStrayCopy asks a machine to stop a task that it should not hold.
+func (e *Engine) stopStrayCopy(node *node, uid types.UID, namespace, name string, number int) {
 	e.Stats.Stops++
-	e.effect(Effect{Kind: StopTask, Node: n.name, Address: n.address, UID: uid, Namespace: namespace, Name: name,
+	e.emit(Effect{Kind: StopTask, Node: node.name, Address: node.address, UID: uid, Namespace: namespace, Name: name,
 		Attempt: number})
 }
 
-// move carries out the placer's move: the task stops and is asked for again.
-func (e *Engine) move(id placer.TaskID) {
-	a := e.asks[id]
-	if a == nil || a.t.holder == nil || a.t.holder.a != a || a.t.stopReason != "" {
+// migrateTask carries out the placer's move: the task stops and is asked for again.
+func (e *Engine) migrateTask(id placer.TaskID) {
+	request := e.requests[id]
+	if request == nil || request.task.runningAttempt == nil || request.task.runningAttempt.request != request || request.task.stopReason != "" {
 		return
 	}
-	a.t.stopReason = "Moved"
-	e.stopHolder(a.t)
+	request.task.stopReason = "Moved"
+	e.stopRunning(request.task)
 }
 
-// heldEnded takes the end of a task that ran. stated is the reason kept in the Pod, "" for an end in order.
-func (e *Engine) heldEnded(t *task, r placer.Result, why placer.Reason, stated, message string) {
-	at := t.holder
-	if at == nil {
+// runningTaskEnded takes the end of a task that ran. stated is the reason kept in the Pod, "" for an end in order.
+func (e *Engine) runningTaskEnded(task *task, result placer.Result, reason placer.Reason, statedReason, message string) {
+	attempt := task.runningAttempt
+	if attempt == nil {
 		return
 	}
-	t.holder = nil
-	e.stopTimer(at.fence)
-	delete(at.n.held, t.uid)
-	at.told = true
-	e.feed(placer.Event{Kind: placer.Ended, TaskID: at.a.id, Attempt: at.seq, Node: at.n.id, Result: r, Reason: why,
-		Elapsed: e.now - at.sent, Final: true})
-	e.forgetAsk(at.a)
-	ok := r == placer.Finished && stated == ""
+	task.runningAttempt = nil
+	e.stopTimer(attempt.fenceTimer)
+	delete(attempt.node.running, task.uid)
+	attempt.outcomeReported = true
+	e.post(placer.Event{Kind: placer.Ended, TaskID: attempt.request.id, Attempt: attempt.requestSequence, Node: attempt.node.id, Result: result, Reason: reason,
+		Elapsed: e.now - attempt.sentAt, Final: true})
+	e.discardRequest(attempt.request)
+	ok := result == placer.Finished && statedReason == ""
 	cause := retry.Lost
 	switch {
-	case r == placer.Finished:
+	case result == placer.Finished:
 		cause = retry.Failed // of its own doing
-	case why == placer.Evicted:
+	case reason == placer.Evicted:
 		cause = retry.Evicted
 		e.Stats.EvictedTasks++
-	case stated == "Moved" || stated == "Evicted" && r == placer.Cancelled:
+	case statedReason == "Moved" || statedReason == "Evicted" && result == placer.Cancelled:
 		cause = retry.Migrated
 		e.Stats.MigratedTasks++
-	case r == placer.Lost:
+	case result == placer.Lost:
 		e.Stats.LostTasks++
 	}
-	now := wellknown.Time(e.now)
-	e.change(t, func(p *corev1.Pod) {
-		p.Status.Phase = corev1.PodFailed
+	now := wellknown.APITime(e.now)
+	e.updatePod(task, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodFailed
 		if ok {
-			p.Status.Phase = corev1.PodSucceeded
+			pod.Status.Phase = corev1.PodSucceeded
 		}
-		p.Status.Reason, p.Status.Message = stated, message
-		p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: corev1.PodReady,
+		pod.Status.Reason, pod.Status.Message = statedReason, message
+		pod.Status.Conditions = setCondition(pod.Status.Conditions, corev1.PodCondition{Type: corev1.PodReady,
 			Status: corev1.ConditionFalse, Reason: "PodCompleted", LastTransitionTime: now})
-		for i := range p.Status.ContainerStatuses {
-			c := &p.Status.ContainerStatuses[i]
+		for i := range pod.Status.ContainerStatuses {
+			container := &pod.Status.ContainerStatuses[i]
 			code := int32(0)
-			if r == placer.Finished && !ok {
+			if result == placer.Finished && !ok {
 				code = 1
 			} else if !ok {
 				code = 137
 			}
-			c.Ready = false
-			c.State = corev1.ContainerState{Terminated: &corev1.ContainerStateTerminated{ExitCode: code, Reason: stated,
+			container.Ready = false
+			container.State = corev1.ContainerState{Terminated: &corev1.ContainerStateTerminated{ExitCode: code, Reason: statedReason,
 				FinishedAt: now}}
 		}
 	})
-	e.countEnd(t, ok, cause)
-	e.finishTask(t)
+	e.reportTaskEnd(task, ok, cause)
+	e.terminateTask(task)
 }
 
-// ran notes that a held task runs.
-func (e *Engine) ran(t *task) {
-	if t.started {
+// taskStarted notes that a held task runs.
+func (e *Engine) taskStarted(task *task) {
+	if task.started {
 		return
 	}
-	t.started = true
-	e.feed(placer.Event{Kind: placer.UsageReported, TaskID: t.holder.a.id, Attempt: t.holder.seq, Node: t.holder.n.id, Usage: placer.Started,
-		Value: e.now - t.holder.sent})
-	now := wellknown.Time(e.now)
-	e.change(t, func(p *corev1.Pod) {
-		p.Status.Phase = corev1.PodRunning
-		p.Status.StartTime = &now
+	task.started = true
+	e.post(placer.Event{Kind: placer.UsageReported, TaskID: task.runningAttempt.request.id, Attempt: task.runningAttempt.requestSequence, Node: task.runningAttempt.node.id, Usage: placer.Started,
+		Value: e.now - task.runningAttempt.sentAt})
+	now := wellknown.APITime(e.now)
+	e.updatePod(task, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodRunning
+		pod.Status.StartTime = &now
 		yes := true
-		p.Status.ContainerStatuses = nil
-		for i := range p.Spec.Containers {
-			c := &p.Spec.Containers[i]
-			p.Status.ContainerStatuses = append(p.Status.ContainerStatuses, corev1.ContainerStatus{Name: c.Name, Image: c.Image,
+		pod.Status.ContainerStatuses = nil
+		for i := range pod.Spec.Containers {
+			container := &pod.Spec.Containers[i]
+			pod.Status.ContainerStatuses = append(pod.Status.ContainerStatuses, corev1.ContainerStatus{Name: container.Name, Image: container.Image,
 				Ready: true, Started: &yes, State: corev1.ContainerState{Running: &corev1.ContainerStateRunning{StartedAt: now}}})
 		}
 		for _, kind := range []corev1.PodConditionType{corev1.PodInitialized, corev1.ContainersReady, corev1.PodReady} {
-			p.Status.Conditions = setCondition(p.Status.Conditions, corev1.PodCondition{Type: kind,
+			pod.Status.Conditions = setCondition(pod.Status.Conditions, corev1.PodCondition{Type: kind,
 				Status: corev1.ConditionTrue, LastTransitionTime: now})
 		}
 	})
 }
 
 // DeletePod has a Pod stopped and taken away. uid may be "".
-func (e *Engine) DeletePod(now float64, namespace, name string, uid types.UID, rev string) (*corev1.Pod, error) {
-	e.begin(now)
-	defer e.end()
-	o := e.store.Get(store.Pods, namespace, name)
-	if o == nil {
+func (e *Engine) DeletePod(now float64, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
+	e.beginCall(now)
+	defer e.endCall()
+	object := e.store.Get(store.Pods, namespace, name)
+	if object == nil {
 		return nil, ErrNotFound
 	}
-	p := o.(*corev1.Pod)
-	if uid != "" && uid != p.UID || rev != "" && rev != p.ResourceVersion {
+	pod := object.(*corev1.Pod)
+	if uid != "" && uid != pod.UID || resourceVersion != "" && resourceVersion != pod.ResourceVersion {
 		return nil, ErrConflict
 	}
-	e.deletePod(p, "Deleted")
-	if o := e.store.Get(store.Pods, namespace, name); o != nil {
-		return o.(*corev1.Pod), nil
+	e.deletePod(pod, "Deleted")
+	if object := e.store.Get(store.Pods, namespace, name); object != nil {
+		return object.(*corev1.Pod), nil
 	}
-	return p, nil
+	return pod, nil
 }
 
-func (e *Engine) deletePod(p *corev1.Pod, reason string) {
-	t := e.tasks[p.UID]
-	if t == nil {
-		e.store.Delete(store.Pods, p.Namespace, p.Name)
-		if j := e.jobOf(p); j != nil {
-			j.dropPod(p.Name)
-			e.jobEmptied(j)
+func (e *Engine) deletePod(pod *corev1.Pod, reason string) {
+	task := e.tasks[pod.UID]
+	if task == nil {
+		e.store.Delete(store.Pods, pod.Namespace, pod.Name)
+		if job := e.jobOfPod(pod); job != nil {
+			job.removePod(pod.Name)
+			e.finishForegroundDeletion(job)
 		}
 		return
 	}
-	if t.deleted {
+	if task.deleted {
 		return
 	}
-	t.deleted = true
-	stamp := metav1.NewTime(wellknown.Time(e.now).Time)
+	task.deleted = true
+	stamp := metav1.NewTime(wellknown.APITime(e.now).Time)
 	grace := int64(30)
-	e.change(t, func(p *corev1.Pod) { p.DeletionTimestamp, p.DeletionGracePeriodSeconds = &stamp, &grace })
-	e.halt(t, reason)
+	e.updatePod(task, func(pod *corev1.Pod) { pod.DeletionTimestamp, pod.DeletionGracePeriodSeconds = &stamp, &grace })
+	e.stopTask(task, reason)
 }
 
-// halt stops a task wherever it stands.
-func (e *Engine) halt(t *task, reason string) {
-	if t.stopReason == "" {
-		t.stopReason = reason
+// stopTask stops a task wherever it stands.
+func (e *Engine) stopTask(task *task, reason string) {
+	if task.stopReason == "" {
+		task.stopReason = reason
 	}
 	switch {
-	case t.holder != nil:
-		e.stopHolder(t)
-	case t.open != nil:
+	case task.runningAttempt != nil:
+		e.stopRunning(task)
+	case task.inFlight != nil:
 		// The offer cannot be called back: give it up, and see to it that no copy stays.
-		at := t.open
-		e.withdraw(t)
-		t.phase = ending
-		e.effect(Effect{Kind: AbandonAttempt, Node: at.n.name, UID: t.uid, Attempt: at.number})
-		e.failedAttempt(at, placer.Cancelled, placer.NoReason, nil)
-		t.phase = waiting
-		e.finishTask(t)
+		attempt := task.inFlight
+		e.withdrawRequest(task)
+		task.phase = phaseTerminating
+		e.emit(Effect{Kind: AbandonAttempt, Node: attempt.node.name, UID: task.uid, Attempt: attempt.number})
+		e.attemptFailed(attempt, placer.Cancelled, placer.NoReason, nil)
+		task.phase = phaseWaiting
+		e.terminateTask(task)
 	default:
-		e.withdraw(t)
-		t.phase = waiting
-		e.finishTask(t)
+		e.withdrawRequest(task)
+		task.phase = phaseWaiting
+		e.terminateTask(task)
 	}
 }
 
 // EvictPod stops a Pod that runs; its owner asks for it again soon. One that does not run is deleted.
 func (e *Engine) EvictPod(now float64, namespace, name string, uid types.UID) error {
-	e.begin(now)
-	defer e.end()
-	o := e.store.Get(store.Pods, namespace, name)
-	if o == nil {
+	e.beginCall(now)
+	defer e.endCall()
+	object := e.store.Get(store.Pods, namespace, name)
+	if object == nil {
 		return ErrNotFound
 	}
-	p := o.(*corev1.Pod)
-	if uid != "" && uid != p.UID {
+	pod := object.(*corev1.Pod)
+	if uid != "" && uid != pod.UID {
 		return ErrConflict
 	}
-	if t := e.tasks[p.UID]; t != nil && t.holder != nil {
-		if t.stopReason == "" {
-			t.stopReason = "Evicted"
-			e.stopHolder(t)
+	if task := e.tasks[pod.UID]; task != nil && task.runningAttempt != nil {
+		if task.stopReason == "" {
+			task.stopReason = "Evicted"
+			e.stopRunning(task)
 		}
 		return nil
 	}
-	e.deletePod(p, "Evicted")
+	e.deletePod(pod, "Evicted")
 	return nil
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -14,10 +14,10 @@
 // Errors that end a connection.
 var (
 	ErrConnectTimeout = errors.New("connect: no answer in time")
-	ErrClosedHere     = errors.New("closed on this side")
+	ErrClosedLocally  = errors.New("closed on this side")
 )
 
-const maxReadNow = 64 // pieces at once, of a peer that sends as fast as they are read
+const maxReadNowPieces = 64 // pieces at once, of a peer that sends as fast as they are read
 
 // Handler gets what happens to one connection, on the loop's goroutine.
 type Handler interface {
@@ -33,53 +33,53 @@
 
 // Conn is one non-blocking TCP connection.
 type Conn struct {
-	// MaxIn is how many unconsumed bytes are held before reading stops until the handler resumes it.
-	MaxIn int
-
-	l        *Loop
-	h        Handler
-	fd       int
-	gen      int32
-	peer     netip.AddrPort
-	interest uint32
-	in       []byte
-	out      []byte
-	sent     int
-	accepted bool
-	dialling bool
-	paused   bool
-	eof      bool
-	blocked  bool // writing waits for the system
-	dirty    bool
-	again    bool
-	closing  bool // close once drained
-	closed   bool
-	inData   bool
-	timer    *Timer
+	// MaxInput is how many unconsumed bytes are held before reading stops until the handler resumes it.
+	MaxInput int
+
+	loop            *Loop
+	handler         Handler
+	fd              int
+	generation      int32
+	peer            netip.AddrPort
+	interest        uint32
+	input           []byte
+	output          []byte
+	outputSent      int
+	accepted        bool
+	dialing         bool
+	readPaused      bool
+	peerClosed      bool
+	writeBlocked    bool // writing waits for the system
+	flushQueued     bool
+	redeliverQueued bool
+	closeAfterFlush bool // close once drained
+	closed          bool
+	delivering      bool
+	timer           *Timer
 }
 
 // Dial connects to a literal address. The handler's Closed gets the error if that fails or takes longer than the given
 // number of seconds.
-func (l *Loop) Dial(addr string, within float64, h Handler) (*Conn, error) {
-	ap, err := netip.ParseAddrPort(addr)
+func (l *Loop) Dial(addr string, timeoutSeconds float64, h Handler) (*Conn, error) {
+	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	fd, err := unix.Socket(family(ap), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := unix.Socket(addressFamily(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: socket: %w", addr, err)
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err := unix.Connect(fd, sockaddr(ap)); err != nil && err != unix.EINPROGRESS {
+	if err := unix.Connect(fd, socketAddress(address)); err != nil && err != unix.EINPROGRESS {
 		unix.Close(fd)
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	c := l.add(fd, unix.EPOLLOUT)
+	c := l.addConn(fd, unix.EPOLLOUT)
 	if c == nil {
 		return nil, fmt.Errorf("dial %s: epoll add failed", addr)
 	}
-	c.h, c.peer, c.dialling = h, ap, true
-	c.timer = l.After(within, func() { c.fail(ErrConnectTimeout) })
+	c.handler, c.peer, c.dialing = h, address, true
+	c.timer = l.After(timeoutSeconds, func() { c.closeWithError(ErrConnectTimeout) })
 	return c, nil
 }
 
@@ -87,25 +87,25 @@
 func (c *Conn) Peer() string { return c.peer.String() }
 
 // Loop is the loop that the connection lives on.
-func (c *Conn) Loop() *Loop { return c.l }
+func (c *Conn) Loop() *Loop { return c.loop }
 
 // Buffered is the number of bytes written that the system has not taken.
-func (c *Conn) Buffered() int { return len(c.out) - c.sent }
+func (c *Conn) Buffered() int { return len(c.output) - c.outputSent }
 
-// Held is the memory that the connection's queues take, in bytes.
-func (c *Conn) Held() int { return cap(c.in) + cap(c.out) }
+// BufferMemory is the memory that the connection's queues take, in bytes.
+func (c *Conn) BufferMemory() int { return cap(c.input) + cap(c.output) }
 
 // Closed says whether the connection is over.
 func (c *Conn) Closed() bool { return c.closed }
 
 // Paused says whether reading has stopped, so that bytes and the peer's end may be unread.
-func (c *Conn) Paused() bool { return c.paused }
+func (c *Conn) Paused() bool { return c.readPaused }
 
 // ReadNow delivers what the system has received by now, the peer's end included, rather than what it had at the beginning of the turn. It
 // does nothing within the connection's own Data, or while reading is paused.
 func (c *Conn) ReadNow() {
-	for range maxReadNow {
-		if c.closed || c.dialling || c.paused || c.eof || c.inData || !c.read() {
+	for range maxReadNowPieces {
+		if c.closed || c.dialing || c.readPaused || c.peerClosed || c.delivering || !c.readOnce() {
 			return
 		}
 	}
@@ -113,153 +113,153 @@
 
 // Write queues bytes; they leave at the end of the turn. The slice is copied.
 func (c *Conn) Write(b []byte) {
-	if c.closed || c.closing {
+	if c.closed || c.closeAfterFlush {
 		return
 	}
-	c.out = append(c.Out(), b...)
-	c.touch()
+	c.output = append(c.OutputBuffer(), b...)
+	c.queueFlush()
 }
 
-// Out returns the queue of bytes to append to; give the result back to SetOut or Untouched.
-func (c *Conn) Out() []byte {
-	if c.out == nil && len(c.l.spare) > 0 {
-		c.out = c.l.spare[len(c.l.spare)-1]
-		c.l.spare = c.l.spare[:len(c.l.spare)-1]
+// OutputBuffer returns the queue of bytes to append to; give the result back to SetOut or Untouched.
+func (c *Conn) OutputBuffer() []byte {
+	if c.output == nil && len(c.loop.spareBuffers) > 0 {
+		c.output = c.loop.spareBuffers[len(c.loop.spareBuffers)-1]
+		c.loop.spareBuffers = c.loop.spareBuffers[:len(c.loop.spareBuffers)-1]
 	}
-	return c.out
+	return c.output
 }
 
-// release gives the queue's memory back: an idle connection holds none.
-func (c *Conn) release() {
-	if n := cap(c.out); n > 0 && n <= maxSpare && len(c.l.spare) < maxSpares {
-		c.l.spare = append(c.l.spare, c.out[:0])
+// releaseOutput gives the queue's memory back: an idle connection holds none.
+func (c *Conn) releaseOutput() {
+	if n := cap(c.output); n > 0 && n <= maxSpareBufferSize && len(c.loop.spareBuffers) < maxSpareBuffers {
+		c.loop.spareBuffers = append(c.loop.spareBuffers, c.output[:0])
 	}
-	c.out = nil
+	c.output = nil
 }
 
-// SetOut puts back what was appended to Out.
-func (c *Conn) SetOut(b []byte) {
-	if c.closed || c.closing {
+// CommitOutput puts back what was appended to Out.
+func (c *Conn) CommitOutput(b []byte) {
+	if c.closed || c.closeAfterFlush {
 		return
 	}
-	c.out = b
-	c.touch()
+	c.output = b
+	c.queueFlush()
 }
 
-// Untouched puts back Out when nothing was appended to it.
-func (c *Conn) Untouched(b []byte) {
-	if c.closed || c.closing {
+// DiscardOutput puts back Out when nothing was appended to it.
+func (c *Conn) DiscardOutput(b []byte) {
+	if c.closed || c.closeAfterFlush {
 		return
 	}
-	if c.out = b; len(b) == 0 && !c.dirty {
-		c.release()
+	if c.output = b; len(b) == 0 && !c.flushQueued {
+		c.releaseOutput()
 	}
 }
 
 // Redeliver has bytes that were left unconsumed delivered again, on the next turn.
 func (c *Conn) Redeliver() {
-	if !c.closed && !c.paused && !c.again && (len(c.in) > 0 || c.eof || c.inData) {
-		c.again = true
-		c.l.again = append(c.l.again, c)
+	if !c.closed && !c.readPaused && !c.redeliverQueued && (len(c.input) > 0 || c.peerClosed || c.delivering) {
+		c.redeliverQueued = true
+		c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
 	}
 }
 
 // Flush hands what is queued to the system now rather than at the end of the turn, for who writes much to many.
 func (c *Conn) Flush() {
-	if !c.closed && !c.dialling && !c.blocked && c.Buffered() > 0 {
+	if !c.closed && !c.dialing && !c.writeBlocked && c.Buffered() > 0 {
 		c.flush()
 	}
 }
 
-func (c *Conn) touch() {
-	if !c.dirty && !c.dialling {
-		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
+func (c *Conn) queueFlush() {
+	if !c.flushQueued && !c.dialing {
+		c.flushQueued = true
+		c.loop.flushQueue = append(c.loop.flushQueue, c)
 	}
 }
 
 // PauseRead stops or resumes reading. Bytes at hand are delivered again after resuming.
 func (c *Conn) PauseRead(on bool) {
-	if c.closed || c.paused == on {
+	if c.closed || c.readPaused == on {
 		return
 	}
-	c.paused = on
-	c.update()
-	if !on && (len(c.in) > 0 || c.eof) && !c.again {
-		c.again = true
-		c.l.again = append(c.l.again, c)
+	c.readPaused = on
+	c.updateInterest()
+	if !on && (len(c.input) > 0 || c.peerClosed) && !c.redeliverQueued {
+		c.redeliverQueued = true
+		c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
 	}
 }
 
 // Close closes at once; what is queued is lost. The handler's Closed is called with ErrClosedHere.
-func (c *Conn) Close() { c.fail(ErrClosedHere) }
+func (c *Conn) Close() { c.closeWithError(ErrClosedLocally) }
 
 // CloseAfterFlush closes once what is queued has gone out, and takes in no more.
 func (c *Conn) CloseAfterFlush() {
-	if c.closed || c.closing {
+	if c.closed || c.closeAfterFlush {
 		return
 	}
-	c.closing = true
-	if c.Buffered() == 0 && !c.dirty {
-		c.finish()
+	c.closeAfterFlush = true
+	if c.Buffered() == 0 && !c.flushQueued {
+		c.shutdownWrite()
 		return
 	}
-	c.touch()
+	c.queueFlush()
 }
 
-// finish says the end to the peer and drains for a moment, so that an answer before the end of a body is not lost to a
+// shutdownWrite says the end to the peer and drains for a moment, so that an answer before the end of a body is not lost to a
 // reset.
-func (c *Conn) finish() {
+func (c *Conn) shutdownWrite() {
 	unix.Shutdown(c.fd, unix.SHUT_WR)
-	if c.eof {
-		c.fail(ErrClosedHere)
+	if c.peerClosed {
+		c.closeWithError(ErrClosedLocally)
 		return
 	}
 	if c.timer == nil {
-		c.paused = false
-		c.update()
-		c.timer = c.l.After(0.5, func() { c.fail(ErrClosedHere) })
+		c.readPaused = false
+		c.updateInterest()
+		c.timer = c.loop.After(0.5, func() { c.closeWithError(ErrClosedLocally) })
 	}
 }
 
-func (c *Conn) update() {
+func (c *Conn) updateInterest() {
 	if c.closed {
 		return
 	}
 	var want uint32
-	if c.dialling || c.blocked {
+	if c.dialing || c.writeBlocked {
 		want |= unix.EPOLLOUT
 	}
-	if !c.paused && !c.eof && !c.dialling {
+	if !c.readPaused && !c.peerClosed && !c.dialing {
 		want |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if want == c.interest {
 		return
 	}
 	c.interest = want
-	ev := unix.EpollEvent{Events: want, Fd: int32(c.fd), Pad: c.gen}
-	if err := unix.EpollCtl(c.l.epfd, unix.EPOLL_CTL_MOD, c.fd, &ev); err != nil {
-		c.fail(fmt.Errorf("epoll mod: %w", err))
+	ev := unix.EpollEvent{Events: want, Fd: int32(c.fd), Pad: c.generation}
+	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &ev); err != nil {
+		c.closeWithError(fmt.Errorf("epoll mod: %w", err))
 	}
 }
 
-func (c *Conn) ready(events uint32) {
-	if c.dialling {
+func (c *Conn) handleReady(events uint32) {
+	if c.dialing {
 		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = unix.Errno(code)
 		}
 		if err != nil {
-			c.fail(fmt.Errorf("connect %s: %w", c.peer, err))
+			c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
 			return
 		}
-		c.dialling = false
+		c.dialing = false
 		c.timer.Stop()
 		c.timer = nil
-		c.h.Opened(c)
-		c.update()
+		c.handler.Opened(c)
+		c.updateInterest()
 		if c.Buffered() > 0 {
-			c.touch()
+			c.queueFlush()
 		}
 		return
 	}
@@ -269,141 +269,141 @@
 	if c.closed {
 		return
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.paused {
-		c.read()
+	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.readPaused {
+		c.readOnce()
 	} else if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
 		code, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if code != 0 {
-			c.fail(unix.Errno(code))
-		} else if !c.paused {
-			c.read()
+			c.closeWithError(unix.Errno(code))
+		} else if !c.readPaused {
+			c.readOnce()
 		} else {
-			c.fail(io.EOF)
+			c.closeWithError(io.EOF)
 		}
 	}
 }
 
-// read takes one piece, and says whether there may be more.
-func (c *Conn) read() bool {
-	n, err := unix.Read(c.fd, c.l.buf)
+// readOnce takes one piece, and says whether there may be more.
+func (c *Conn) readOnce() bool {
+	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch {
 	case err == unix.EINTR:
 		return true
 	case err == unix.EAGAIN:
 		return false
 	case err != nil:
-		c.fail(fmt.Errorf("read: %w", err))
+		c.closeWithError(fmt.Errorf("read: %w", err))
 	case n == 0:
-		c.eof = true
-		if c.closing {
-			c.fail(ErrClosedHere)
+		c.peerClosed = true
+		if c.closeAfterFlush {
+			c.closeWithError(ErrClosedLocally)
 			return false
 		}
-		c.update()
+		c.updateInterest()
 		c.deliver(nil)
-	case c.closing:
+	case c.closeAfterFlush:
 	default:
-		c.deliver(c.l.buf[:n])
+		c.deliver(c.loop.readBuffer[:n])
 	}
 	return n > 0
 }
 
 // deliver hands bytes over; what is not consumed is kept. An idle connection holds no buffer.
 func (c *Conn) deliver(b []byte) {
-	if c.inData {
+	if c.delivering {
 		return
 	}
-	own := len(c.in) > 0
+	own := len(c.input) > 0
 	if own {
-		c.in = append(c.in, b...)
-		b = c.in
+		c.input = append(c.input, b...)
+		b = c.input
 	}
 	if len(b) > 0 {
-		c.inData = true
-		n := c.h.Data(c, b)
-		c.inData = false
+		c.delivering = true
+		n := c.handler.Data(c, b)
+		c.delivering = false
 		if c.closed {
 			return
 		}
 		rest := b[n:]
 		switch {
 		case len(rest) == 0:
-			c.in = nil
+			c.input = nil
 		case own:
-			c.in = c.in[:copy(c.in, rest)]
+			c.input = c.input[:copy(c.input, rest)]
 		default:
-			c.in = append([]byte(nil), rest...)
+			c.input = append([]byte(nil), rest...)
 		}
-		if len(c.in) > c.MaxIn {
+		if len(c.input) > c.MaxInput {
 			c.PauseRead(true)
 		}
 	}
-	if c.eof && !c.paused && !c.closing {
-		c.fail(io.EOF)
+	if c.peerClosed && !c.readPaused && !c.closeAfterFlush {
+		c.closeWithError(io.EOF)
 	}
 }
 
 func (c *Conn) flush() {
-	for c.sent < len(c.out) {
-		n, err := unix.Write(c.fd, c.out[c.sent:])
+	for c.outputSent < len(c.output) {
+		n, err := unix.Write(c.fd, c.output[c.outputSent:])
 		if err == unix.EINTR {
 			continue
 		}
 		if err == unix.EAGAIN {
-			if !c.blocked {
-				c.blocked = true
-				c.update()
+			if !c.writeBlocked {
+				c.writeBlocked = true
+				c.updateInterest()
 			}
 			// Keep the queue from growing by what has gone out.
-			if c.sent > 1<<16 && c.sent > len(c.out)/2 {
-				c.out = c.out[:copy(c.out, c.out[c.sent:])]
-				c.sent = 0
+			if c.outputSent > 1<<16 && c.outputSent > len(c.output)/2 {
+				c.output = c.output[:copy(c.output, c.output[c.outputSent:])]
+				c.outputSent = 0
 			}
 			// What has to wait for its reader waits in as little as it needs.
-			if left := len(c.out) - c.sent; cap(c.out) > 2*left+4096 {
-				small := append(make([]byte, 0, left), c.out[c.sent:]...)
-				c.release()
-				c.out, c.sent = small, 0
+			if left := len(c.output) - c.outputSent; cap(c.output) > 2*left+4096 {
+				small := append(make([]byte, 0, left), c.output[c.outputSent:]...)
+				c.releaseOutput()
+				c.output, c.outputSent = small, 0
 			}
 			return
 		}
 		if err != nil {
-			c.fail(fmt.Errorf("write: %w", err))
+			c.closeWithError(fmt.Errorf("write: %w", err))
 			return
 		}
-		c.sent += n
+		c.outputSent += n
 	}
-	c.sent = 0
-	c.out = c.out[:0]
-	was := c.blocked
-	c.blocked = false
+	c.outputSent = 0
+	c.output = c.output[:0]
+	was := c.writeBlocked
+	c.writeBlocked = false
 	if was {
-		c.update()
+		c.updateInterest()
 	}
-	if c.closing {
-		c.finish()
+	if c.closeAfterFlush {
+		c.shutdownWrite()
 		return
 	}
 	if c.closed {
 		return
 	}
-	c.h.Drained(c)
-	if c.Buffered() == 0 && !c.dirty {
-		c.release()
+	c.handler.Drained(c)
+	if c.Buffered() == 0 && !c.flushQueued {
+		c.releaseOutput()
 	}
 }
 
-func (c *Conn) fail(err error) {
+func (c *Conn) closeWithError(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.timer.Stop()
-	c.l.conns[c.fd] = nil
+	c.loop.conns[c.fd] = nil
 	unix.Close(c.fd)
 	if c.accepted {
-		c.l.accepted--
+		c.loop.accepted--
 	}
-	c.in, c.out = nil, nil
-	c.h.Closed(c, err)
+	c.input, c.output = nil, nil
+	c.handler.Closed(c, err)
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -21,16 +21,16 @@
 
 // Limits that hold for every connection unless set otherwise.
 const (
-	// DefaultMaxIn is how many bytes a handler may leave unread before reading stops.
-	DefaultMaxIn = 4 << 20
+	// DefaultMaxInput is how many bytes a handler may leave unread before reading stops.
+	DefaultMaxInput = 4 << 20
 	// DefaultMaxConns is how many accepted connections a loop holds.
-	DefaultMaxConns = 16384
-	readChunk       = 64 << 10
-	sendBuffer      = 128 << 10 // of the system, for an accepted connection; it takes twice as much
-	acceptBatch     = 64
-	maxBacklog      = 4096 // connections that wait to be accepted
-	maxSpare        = 64 << 10
-	maxSpares       = 256
+	DefaultMaxConns      = 16384
+	readBufferSize       = 64 << 10
+	socketSendBufferSize = 128 << 10 // of the system, for an accepted connection; it takes twice as much
+	acceptBatch          = 64
+	maxBacklog           = 4096 // connections that wait to be accepted
+	maxSpareBufferSize   = 64 << 10
+	maxSpareBuffers      = 256
 )
 
 // ErrMaxConns closes a connection over the limit.
@@ -39,23 +39,23 @@
 // Loop runs handlers, timers and posted functions one after another. Only Post and Stop may be called from other
 // goroutines.
 type Loop struct {
-	epfd, evfd int
-	reserve    int // a descriptor kept to close, so that accept can refuse when descriptors run out
-	conns      []*Conn
-	listeners  map[int]*Listener
-	gen        int32
-	accepted   int
-	maxConns   int
-
-	start  time.Time
-	wall   float64 // Unix seconds at start
-	now    float64
-	timers timerqueue.Queue
-	dirty  []*Conn
-	again  []*Conn
-	ends   []func()
-	buf    []byte
-	spare  [][]byte // queues of connections that have nothing to send
+	epollFD, eventFD int
+	reserveFD        int // a descriptor kept to close, so that accept can refuse when descriptors run out
+	conns            []*Conn
+	listeners        map[int]*Listener
+	lastGeneration   int32
+	accepted         int
+	maxConns         int
+
+	startTime         time.Time
+	startSeconds      float64 // Unix seconds at start
+	now               float64
+	timers            timerqueue.Queue
+	flushQueue        []*Conn
+	redeliverQueue    []*Conn
+	iterationEndFuncs []func()
+	readBuffer        []byte
+	spareBuffers      [][]byte // queues of connections that have nothing to send
 
 	mu      sync.Mutex
 	posted  []func()
@@ -83,10 +83,10 @@
 		return nil, fmt.Errorf("epoll add: %w", err)
 	}
 	t := time.Now()
-	l := &Loop{epfd: epfd, evfd: evfd, listeners: map[int]*Listener{}, maxConns: DefaultMaxConns,
-		start: t, wall: float64(t.UnixNano()) / 1e9, buf: make([]byte, readChunk)}
-	l.reserve, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
-	l.now = l.wall
+	l := &Loop{epollFD: epfd, eventFD: evfd, listeners: map[int]*Listener{}, maxConns: DefaultMaxConns,
+		startTime: t, startSeconds: float64(t.UnixNano()) / 1e9, readBuffer: make([]byte, readBufferSize)}
+	l.reserveFD, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
+	l.now = l.startSeconds
 	return l, nil
 }
 
@@ -96,7 +96,7 @@
 // Now is the time of this turn in Unix seconds. It never goes back, whatever is done to the clock of the machine.
 func (l *Loop) Now() float64 { return l.now }
 
-func (l *Loop) readClock() float64 { return l.wall + time.Since(l.start).Seconds() }
+func (l *Loop) readClock() float64 { return l.startSeconds + time.Since(l.startTime).Seconds() }
 
 // Accepted is the number of accepted connections open now.
 func (l *Loop) Accepted() int { return l.accepted }
@@ -110,21 +110,21 @@
 		l.posted = append(l.posted, f)
 		if first {
 			// Under the lock, so that the descriptor cannot be closed in between.
-			unix.Write(l.evfd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+			unix.Write(l.eventFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 		}
 	}
 	l.mu.Unlock()
 }
 
-// AtEnd has f run once at the end of this turn, after all that was ready and due, before what handlers wrote goes out.
-func (l *Loop) AtEnd(f func()) { l.ends = append(l.ends, f) }
+// AtIterationEnd has f run once at the end of this turn, after all that was ready and due, before what handlers wrote goes out.
+func (l *Loop) AtIterationEnd(f func()) { l.iterationEndFuncs = append(l.iterationEndFuncs, f) }
 
 // Stop ends Run after the present turn.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	if !l.stopped {
 		l.stopped = true
-		unix.Write(l.evfd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+		unix.Write(l.eventFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 	}
 	l.mu.Unlock()
 }
@@ -140,46 +140,46 @@
 		if stopped {
 			return nil
 		}
-		wait := -1
-		if waiting || len(l.again) > 0 || len(l.ends) > 0 {
-			wait = 0
+		timeoutMilliseconds := -1
+		if waiting || len(l.redeliverQueue) > 0 || len(l.iterationEndFuncs) > 0 {
+			timeoutMilliseconds = 0
 		} else if l.timers.Len() > 0 {
-			d := l.timers.Next() - l.readClock()
+			untilTimer := l.timers.Next() - l.readClock()
 			switch {
-			case d <= 0:
-				wait = 0
-			case d > 60:
-				wait = 60000
+			case untilTimer <= 0:
+				timeoutMilliseconds = 0
+			case untilTimer > 60:
+				timeoutMilliseconds = 60000
 			default:
-				wait = int(d*1000) + 1
+				timeoutMilliseconds = int(untilTimer*1000) + 1
 			}
 		}
-		n, err := unix.EpollWait(l.epfd, events, wait)
+		n, err := unix.EpollWait(l.epollFD, events, timeoutMilliseconds)
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
 		l.now = max(l.now, l.readClock())
 		l.Iterations++
-		l.turn(events[:max(n, 0)])
+		l.runIteration(events[:max(n, 0)])
 	}
 }
 
-func (l *Loop) turn(events []unix.EpollEvent) {
+func (l *Loop) runIteration(events []unix.EpollEvent) {
 	l.Events += uint64(len(events))
 	for i := range events {
 		ev := &events[i]
 		fd := int(ev.Fd)
-		if fd == l.evfd {
+		if fd == l.eventFD {
 			var b [8]byte
-			unix.Read(l.evfd, b[:])
+			unix.Read(l.eventFD, b[:])
 			continue
 		}
 		if ln := l.listeners[fd]; ln != nil {
 			ln.accept()
 			continue
 		}
-		if fd < len(l.conns) && l.conns[fd] != nil && l.conns[fd].gen == ev.Pad {
-			l.conns[fd].ready(ev.Events)
+		if fd < len(l.conns) && l.conns[fd] != nil && l.conns[fd].generation == ev.Pad {
+			l.conns[fd].handleReady(ev.Events)
 		}
 	}
 	l.mu.Lock()
@@ -196,24 +196,24 @@
 		}
 		t.Run()
 	}
-	again := l.again
-	l.again = nil
+	again := l.redeliverQueue
+	l.redeliverQueue = nil
 	for _, c := range again {
-		if c.again = false; !c.closed && !c.paused {
+		if c.redeliverQueued = false; !c.closed && !c.readPaused {
 			c.deliver(nil)
 		}
 	}
-	for n := len(l.ends); n > 0; n-- {
-		f := l.ends[0]
-		l.ends = l.ends[1:]
+	for n := len(l.iterationEndFuncs); n > 0; n-- {
+		f := l.iterationEndFuncs[0]
+		l.iterationEndFuncs = l.iterationEndFuncs[1:]
 		f()
 	}
 	// What handlers wrote goes out once a turn, so that the answers of a pipeline share a system call.
-	for len(l.dirty) > 0 {
-		dirty := l.dirty
-		l.dirty = nil
+	for len(l.flushQueue) > 0 {
+		dirty := l.flushQueue
+		l.flushQueue = nil
 		for _, c := range dirty {
-			if c.dirty = false; !c.closed {
+			if c.flushQueued = false; !c.closed {
 				c.flush()
 			}
 		}
@@ -223,7 +223,7 @@
 func (l *Loop) close() {
 	l.mu.Lock()
 	l.stopped, l.posted = true, nil
-	unix.Close(l.evfd)
+	unix.Close(l.eventFD)
 	l.mu.Unlock()
 	for _, c := range l.conns {
 		if c != nil {
@@ -233,16 +233,16 @@
 	for fd := range l.listeners {
 		unix.Close(fd)
 	}
-	if l.reserve >= 0 {
-		unix.Close(l.reserve)
+	if l.reserveFD >= 0 {
+		unix.Close(l.reserveFD)
 	}
-	unix.Close(l.epfd)
+	unix.Close(l.epollFD)
 }
 
 // Timer is a function that runs later.
 type Timer struct {
-	t *timerqueue.Timer
-	l *Loop
+	timer *timerqueue.Timer
+	loop  *Loop
 }
 
 // At has f run on the loop at the given time in Unix seconds, or soon after.
@@ -254,16 +254,16 @@
 // Stop takes the timer back. It may be called on a nil or spent timer.
 func (t *Timer) Stop() {
 	if t != nil {
-		t.l.timers.Stop(t.t)
+		t.loop.timers.Stop(t.timer)
 	}
 }
 
 // Due is when the timer runs, in Unix seconds.
-func (t *Timer) Due() float64 { return t.t.At }
+func (t *Timer) Due() float64 { return t.timer.At }
 
 // Listener accepts connections.
 type Listener struct {
-	l       *Loop
+	loop    *Loop
 	fd      int
 	addr    netip.AddrPort
 	handler func(*Conn) Handler
@@ -272,45 +272,45 @@
 // Listen accepts TCP connections at a loopback or other literal address, such as 127.0.0.1:0. Each gets the handler
 // that the function returns.
 func (l *Loop) Listen(addr string, handler func(*Conn) Handler) (*Listener, error) {
-	ap, err := netip.ParseAddrPort(addr)
+	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
 	}
-	fd, err := unix.Socket(family(ap), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := unix.Socket(addressFamily(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: socket: %w", addr, err)
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, sockaddr(ap)); err == nil {
+	if err = unix.Bind(fd, socketAddress(address)); err == nil {
 		err = unix.Listen(fd, maxBacklog)
 	}
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
 	}
-	ln := &Listener{l: l, fd: fd, addr: ap, handler: handler}
-	if sa, err := unix.Getsockname(fd); err == nil {
-		ln.addr = addrPort(sa)
+	listener := &Listener{loop: l, fd: fd, addr: address, handler: handler}
+	if boundAddress, err := unix.Getsockname(fd); err == nil {
+		listener.addr = addrPort(boundAddress)
 	}
 	ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(fd)}
-	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: epoll add: %w", addr, err)
 	}
-	l.listeners[fd] = ln
-	return ln, nil
+	l.listeners[fd] = listener
+	return listener, nil
 }
 
 // Addr is the address listened at, with the port that the system chose.
 func (ln *Listener) Addr() string { return ln.addr.String() }
 
 // Closed says whether the listener no longer accepts.
-func (ln *Listener) Closed() bool { return ln.l.listeners[ln.fd] != ln }
+func (ln *Listener) Closed() bool { return ln.loop.listeners[ln.fd] != ln }
 
 // Close stops accepting.
 func (ln *Listener) Close() {
-	if ln.l.listeners[ln.fd] == ln {
-		delete(ln.l.listeners, ln.fd)
+	if ln.loop.listeners[ln.fd] == ln {
+		delete(ln.loop.listeners, ln.fd)
 		unix.Close(ln.fd)
 	}
 }
@@ -324,11 +324,11 @@
 
 // accept takes in some connections, and says whether there may be more.
 func (ln *Listener) accept() bool {
-	l := ln.l
+	l := ln.loop
 	// Few at a time where there are few seats: whoever makes room for a newcomer has to have heard those that came before it, or a crowd
 	// that says nothing takes all seats in one turn.
 	for range min(acceptBatch, max(l.maxConns/4, 1)) {
-		fd, sa, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, peerAddress, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 		case unix.EINTR, unix.ECONNABORTED:
@@ -336,12 +336,12 @@
 		case unix.EMFILE, unix.ENFILE:
 			// No descriptor left: the connection would stay ready and the loop would spin. The reserve takes it
 			// in, so that it can be closed.
-			if l.reserve >= 0 {
-				unix.Close(l.reserve)
+			if l.reserveFD >= 0 {
+				unix.Close(l.reserveFD)
 				if fd, _, err := unix.Accept4(ln.fd, unix.SOCK_CLOEXEC); err == nil {
 					unix.Close(fd)
 				}
-				l.reserve, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
+				l.reserveFD, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 				continue
 			}
 			return false
@@ -354,24 +354,24 @@
 		}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		// The system's own queue for a reader that does not read is memory too.
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer)
-		c := l.add(fd, unix.EPOLLIN|unix.EPOLLRDHUP)
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketSendBufferSize)
+		c := l.addConn(fd, unix.EPOLLIN|unix.EPOLLRDHUP)
 		if c == nil {
 			continue
 		}
-		c.accepted, c.peer = true, addrPort(sa)
+		c.accepted, c.peer = true, addrPort(peerAddress)
 		l.accepted++
-		c.h = ln.handler(c)
-		c.h.Opened(c)
+		c.handler = ln.handler(c)
+		c.handler.Opened(c)
 	}
 	return true
 }
 
-func (l *Loop) add(fd int, events uint32) *Conn {
-	l.gen++
-	c := &Conn{l: l, fd: fd, gen: l.gen, interest: events, MaxIn: DefaultMaxIn}
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.gen}
-	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+func (l *Loop) addConn(fd int, events uint32) *Conn {
+	l.lastGeneration++
+	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, MaxInput: DefaultMaxInput}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		unix.Close(fd)
 		return nil
 	}
@@ -382,18 +382,18 @@
 	return c
 }
 
-func family(ap netip.AddrPort) int {
-	if ap.Addr().Is4() {
+func addressFamily(address netip.AddrPort) int {
+	if address.Addr().Is4() {
 		return unix.AF_INET
 	}
 	return unix.AF_INET6
 }
 
-func sockaddr(ap netip.AddrPort) unix.Sockaddr {
-	if ap.Addr().Is4() {
-		return &unix.SockaddrInet4{Port: int(ap.Port()), Addr: ap.Addr().As4()}
+func socketAddress(address netip.AddrPort) unix.Sockaddr {
+	if address.Addr().Is4() {
+		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
 	}
-	return &unix.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}
+	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 }
 
 func addrPort(sa unix.Sockaddr) netip.AddrPort {
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// echo sends back what it gets, a bounded amount at a time.
-type echo struct{ closed func(error) }
+// echoHandler sends back what it gets, a bounded amount at a time.
+type echoHandler struct{ onClosed func(error) }
 
-func (e *echo) Opened(*Conn)               {}
-func (e *echo) Data(c *Conn, b []byte) int { c.Write(b); return len(b) }
-func (e *echo) Drained(*Conn)              {}
-func (e *echo) Closed(_ *Conn, err error)  { e.closed(err) }
+func (e *echoHandler) Opened(*Conn)               {}
+func (e *echoHandler) Data(c *Conn, b []byte) int { c.Write(b); return len(b) }
+func (e *echoHandler) Drained(*Conn)              {}
+func (e *echoHandler) Closed(_ *Conn, err error)  { e.onClosed(err) }
 
-func run(t *testing.T) *Loop {
+func newLoop(t *testing.T) *Loop {
 	t.Helper()
 	l, err := New()
 	if err != nil {
@@ -29,9 +29,9 @@
 }
 
 func TestEchoTimersAndPosts(t *testing.T) {
-	l := run(t)
+	l := newLoop(t)
 	ends := make(chan error, 10)
-	ln, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echo{func(err error) { ends <- err }} })
+	ln, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echoHandler{func(err error) { ends <- err }} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,9 +77,9 @@
 }
 
 func TestConnectionLimitAndDialErrors(t *testing.T) {
-	l := run(t)
+	l := newLoop(t)
 	l.SetMaxConns(2)
-	ln, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echo{func(error) {}} })
+	ln, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return &echoHandler{func(error) {}} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,10 +90,10 @@
 	}
 	addr := closed.Addr().String()
 	closed.Close()
-	if _, err := l.Dial(addr, 1, &echo{func(err error) { failed <- err }}); err != nil {
+	if _, err := l.Dial(addr, 1, &echoHandler{func(err error) { failed <- err }}); err != nil {
 		failed <- err
 	}
-	if _, err := l.Dial("host:1", 1, &echo{}); err == nil {
+	if _, err := l.Dial("host:1", 1, &echoHandler{}); err == nil {
 		t.Error("a name was dialled")
 	}
 	done := make(chan error, 1)
--- a/internal/eventqueue/characterization_test.go
+++ b/internal/eventqueue/characterization_test.go
@@ -48,7 +48,7 @@
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for seed := uint64(1); seed <= 10; seed++ {
-		order := playFeed(seed)
+		order := playQueue(seed)
 		lines = append(lines, fmt.Sprintf("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order))
 	}
 	for _, after := range []float64{math.Inf(-1), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, math.Inf(1)} {
@@ -57,36 +57,36 @@
 	compareGolden(t, lines)
 }
 
-// echoModule answers each event with up to three actions that carry its number.
-type echoModule struct {
+// echoPlacer answers each event with up to three actions that carry its number.
+type echoPlacer struct {
 	random *rand.Rand
 	log    *strings.Builder
 }
 
-func (e *echoModule) Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action {
-	fmt.Fprintf(e.log, "e%d@%g/%d ", ev.Token, now, len(actions))
-	for i := range e.random.IntN(4) {
-		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: ev.Token*10 + uint64(i)})
+func (p *echoPlacer) Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action {
+	fmt.Fprintf(p.log, "e%d@%g/%d ", event.Token, now, len(actions))
+	for i := range p.random.IntN(4) {
+		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: event.Token*10 + uint64(i)})
 	}
 	return actions
 }
 
-func playFeed(seed uint64) string {
+func playQueue(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var b strings.Builder
-	f := eventqueue.Queue{Placer: &echoModule{random, &b}}
-	f.Execute = func(a *placer.Action) {
+	queue := eventqueue.Queue{Placer: &echoPlacer{random, &b}}
+	queue.Execute = func(a *placer.Action) {
 		fmt.Fprintf(&b, "a%d ", a.Token)
 		if a.Token < 100000 && random.IntN(2) == 0 {
-			f.Post(placer.Event{Kind: placer.TimerFired, Token: a.Token})
-			f.Run(-1) // does nothing within an action
+			queue.Post(placer.Event{Kind: placer.TimerFired, Token: a.Token})
+			queue.Run(-1) // does nothing within an action
 		}
 	}
 	for step := range 40 {
 		for range random.IntN(4) {
-			f.Post(placer.Event{Kind: placer.TimerFired, Token: uint64(step + 1)})
+			queue.Post(placer.Event{Kind: placer.TimerFired, Token: uint64(step + 1)})
 		}
-		f.Run(float64(step))
+		queue.Run(float64(step))
 		b.WriteString("| ")
 	}
 	return b.String()
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -18,30 +18,30 @@
 	Placer  Placer
 	Execute func(*placer.Action)
 
-	queue   []placer.Event
+	events  []placer.Event
 	actions []placer.Action
 	running bool
 }
 
 // Post queues an event.
-func (f *Queue) Post(ev placer.Event) { f.queue = append(f.queue, ev) }
+func (q *Queue) Post(event placer.Event) { q.events = append(q.events, event) }
 
 // Run hands over all that is queued. Within Do it does nothing.
-func (f *Queue) Run(now float64) {
-	if f.running {
+func (q *Queue) Run(now float64) {
+	if q.running {
 		return
 	}
-	f.running = true
-	for len(f.queue) > 0 {
-		ev := f.queue[0]
-		f.queue = f.queue[1:]
-		f.actions = f.Placer.Handle(now, ev, f.actions[:0])
-		for i := range f.actions {
-			f.Execute(&f.actions[i])
+	q.running = true
+	for len(q.events) > 0 {
+		event := q.events[0]
+		q.events = q.events[1:]
+		q.actions = q.Placer.Handle(now, event, q.actions[:0])
+		for i := range q.actions {
+			q.Execute(&q.actions[i])
 		}
 	}
-	f.queue = nil
-	f.running = false
+	q.events = nil
+	q.running = false
 }
 
 // Delay is how long to wait where the module asked for so many seconds.
