--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -35,31 +35,31 @@
 
 // Options are what a drill is run with.
 type Options struct {
-	Exe      string // the heathshed binary
-	Dir      string // for settings, taps and logs; it must exist
-	Script   scenario.Script
-	Settings config.Settings
-	Progress func(elapsed float64, r Figures)
-	// DropWatch is the time in seconds between deliberate breaks of the client's own watches; 0 is none.
-	DropWatch float64
+	Executable string // the heathshed binary
+	Dir        string // for settings, taps and logs; it must exist
+	Script     scenario.Script
+	Settings   config.Settings
+	Progress   func(elapsed float64, r Figures)
+	// WatchDropInterval is the time in seconds between deliberate breaks of the client's own watches; 0 is none.
+	WatchDropInterval float64
 	// Hostile has clients that mean harm beside the ordinary one.
 	Hostile bool
 }
 
 // Figures are what the client saw.
 type Figures struct {
-	Jobs     int     `json:"Jobs"`
-	JobsLate int     `json:"JobsLate"`
-	Tasks    int     `json:"Tasks"`
-	Settled  int     `json:"Settled"`
-	Dropped  int     `json:"Dropped"`
-	Relisted int     `json:"Relisted"`
-	Kills    int     `json:"Kills"`
-	Errors   int     `json:"Errors"` // requests that had to be tried again
-	P50      float64 `json:"P50"`
-	P99      float64 `json:"P99"`
-	Max      float64 `json:"Max"`
-	Hostile  Hostile `json:"Hostile"`
+	Jobs           int     `json:"Jobs"`
+	JobsLate       int     `json:"JobsLate"`
+	Tasks          int     `json:"Tasks"`
+	Settled        int     `json:"Settled"`
+	WatchesDropped int     `json:"Dropped"`
+	Relists        int     `json:"Relisted"`
+	SchedulerKills int     `json:"Kills"`
+	Retries        int     `json:"Errors"` // requests that had to be tried again
+	P50            float64 `json:"P50"`
+	P99            float64 `json:"P99"`
+	Max            float64 `json:"Max"`
+	Hostile        Hostile `json:"Hostile"`
 }
 
 // Result is what came of a drill.
@@ -71,78 +71,78 @@
 	Audit      audit.Report `json:"Audit"`
 }
 
-// proc is a child process.
-type proc struct {
+// process is a child process.
+type process struct {
 	cmd  *exec.Cmd
 	addr string
 	args []string
 	log  string
 }
 
-type drill struct {
-	o      Options
-	start  time.Time
-	procs  map[string]*proc
-	client *http.Client
+type runner struct {
+	options   Options
+	startedAt time.Time
+	processes map[string]*process
+	client    *http.Client
 
-	mu     sync.Mutex
-	events []audit.Event
-	fig    Figures
-	hist   *hdrhistogram.Histogram
-	asked  map[string]float64
-	told   map[string]bool
+	mu          sync.Mutex
+	events      []audit.Event
+	figures     Figures
+	latency     *hdrhistogram.Histogram
+	submittedAt map[string]float64
+	settled     map[string]bool
 }
 
 // Run plays a script. It returns after the script's time, with every process ended.
-func Run(ctx context.Context, o Options) (*Result, error) {
-	d := &drill{o: o, procs: map[string]*proc{}, hist: hdrhistogram.New(1, 600_000_000, 3), asked: map[string]float64{}, told: map[string]bool{},
+func Run(ctx context.Context, options Options) (*Result, error) {
+	run := &runner{options: options, processes: map[string]*process{}, latency: hdrhistogram.New(1, 600_000_000, 3), submittedAt: map[string]float64{}, settled: map[string]bool{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	defer d.stopAll()
-	if err := d.startAll(ctx); err != nil {
+	defer run.stopAll()
+	if err := run.startAll(ctx); err != nil {
 		return nil, err
 	}
 	var nodes []scenario.Node
-	for i := range o.Script.Nodes {
-		_, kind, rack, zone := o.Settings.Machine(i)
+	for i := range options.Script.Nodes {
+		_, kind, rack, zone := options.Settings.EmulatedNode(i)
 		nodes = append(nodes, scenario.Node{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind})
 	}
-	plan := o.Script.Plan(nodes)
+	plan := options.Script.Plan(nodes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	for i := range o.Script.Schedulers {
+	for i := range options.Script.Schedulers {
 		wg.Add(1)
-		go func() { defer wg.Done(); d.watch(ctx, i) }()
+		go func() { defer wg.Done(); run.watch(ctx, i) }()
 	}
-	if o.Hostile {
-		for i := range o.Script.Schedulers {
+	if options.Hostile {
+		for i := range options.Script.Schedulers {
 			wg.Add(1)
-			go func() { defer wg.Done(); d.harm(ctx, i) }()
+			go func() { defer wg.Done(); run.runHostileClient(ctx, i) }()
 		}
 	}
 	wg.Add(1)
-	go func() { defer wg.Done(); d.weigh(ctx) }()
-	d.start = time.Now()
-	end := d.start.Add(time.Duration(o.Script.Seconds * float64(time.Second)))
+	go func() { defer wg.Done(); run.sampleMemory(ctx) }()
+	run.startedAt = time.Now()
+	end := run.startedAt.Add(time.Duration(options.Script.Seconds * float64(time.Second)))
 	progress := time.NewTicker(2 * time.Second)
 	defer progress.Stop()
 	for i := 0; i < len(plan) || time.Now().Before(end); {
 		next := end
 		if i < len(plan) {
-			next = d.start.Add(time.Duration(plan[i].At * float64(time.Second)))
+			next = run.startedAt.Add(time.Duration(plan[i].At * float64(time.Second)))
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-progress.C:
-			if o.Progress != nil {
-				o.Progress(time.Since(d.start).Seconds(), d.figures())
+			if options.Progress != nil {
+				options.Progress(time.Since(run.startedAt).Seconds(), run.snapshot())
 			}
 		case <-time.After(time.Until(next)):
 			if i < len(plan) {
-				a := &plan[i]
+				action := &plan[i]
 				i++
-				go d.act(ctx, a)
+				go run.perform(ctx, action)
 			}
 		}
 	}
@@ -150,48 +150,48 @@
 	time.Sleep(500 * time.Millisecond)
 	cancel()
 	wg.Wait()
-	d.stopAll()
-	return d.result()
+	run.stopAll()
+	return run.result()
 }
 
-func (d *drill) startAll(ctx context.Context) error {
-	s := d.o.Settings
+func (r *runner) startAll(ctx context.Context) error {
+	settings := r.options.Settings
 	// The inventory's port is chosen first; every other process is told of it.
-	s.Inventory = "127.0.0.1:0"
-	cfg := filepath.Join(d.o.Dir, "inventory.json")
-	if err := writeSettings(cfg, &s); err != nil {
+	settings.Inventory = "127.0.0.1:0"
+	settingsFile := filepath.Join(r.options.Dir, "inventory.json")
+	if err := writeSettings(settingsFile, &settings); err != nil {
 		return err
 	}
-	if err := d.spawn("inventory", "standin", "inventory", "-c", cfg, "--tap", d.tapFile("inventory")); err != nil {
+	if err := r.spawn("inventory", "standin", "inventory", "-c", settingsFile, "--tap", r.eventFile("inventory")); err != nil {
 		return err
 	}
-	s.Inventory = d.procs["inventory"].addr
-	for i := range d.o.Script.Nodes {
+	settings.Inventory = r.processes["inventory"].addr
+	for i := range r.options.Script.Nodes {
 		name := simulation.NodeName(i)
 		if i == 0 {
-			cfg = filepath.Join(d.o.Dir, "nodes.json")
-			if err := writeSettings(cfg, &s); err != nil {
+			settingsFile = filepath.Join(r.options.Dir, "nodes.json")
+			if err := writeSettings(settingsFile, &settings); err != nil {
 				return err
 			}
 		}
-		if err := d.spawn(name, "standin", "node", "-c", cfg, "--name", name, "--index", fmt.Sprint(i), "--listen", "127.0.0.1:0",
-			"--tap", d.tapFile(name)); err != nil {
+		if err := r.spawn(name, "standin", "node", "-c", settingsFile, "--name", name, "--index", fmt.Sprint(i), "--listen", "127.0.0.1:0",
+			"--tap", r.eventFile(name)); err != nil {
 			return err
 		}
 	}
-	for i := range d.o.Script.Schedulers {
-		p := s
-		p.Name, p.Self, p.Peers, p.Listen = simulation.SchedulerName(i), i, d.o.Script.Schedulers, "127.0.0.1:0"
-		cfg := filepath.Join(d.o.Dir, p.Name+".json")
-		if err := writeSettings(cfg, &p); err != nil {
+	for i := range r.options.Script.Schedulers {
+		schedulerSettings := settings
+		schedulerSettings.Name, schedulerSettings.Self, schedulerSettings.Peers, schedulerSettings.Listen = simulation.SchedulerName(i), i, r.options.Script.Schedulers, "127.0.0.1:0"
+		settingsFile := filepath.Join(r.options.Dir, schedulerSettings.Name+".json")
+		if err := writeSettings(settingsFile, &schedulerSettings); err != nil {
 			return err
 		}
-		if err := d.spawn(p.Name, "serve", "-c", cfg); err != nil {
+		if err := r.spawn(schedulerSettings.Name, "serve", "-c", settingsFile); err != nil {
 			return err
 		}
 	}
-	for i := range d.o.Script.Schedulers {
-		if err := d.ready(ctx, simulation.SchedulerName(i)); err != nil {
+	for i := range r.options.Script.Schedulers {
+		if err := r.waitReady(ctx, simulation.SchedulerName(i)); err != nil {
 			return err
 		}
 	}
@@ -206,28 +206,28 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-func (d *drill) tapFile(name string) string { return filepath.Join(d.o.Dir, name+".tap") }
+func (r *runner) eventFile(name string) string { return filepath.Join(r.options.Dir, name+".tap") }
 
 // spawn starts a process and waits for the line that tells its address.
-func (d *drill) spawn(name string, args ...string) error {
-	cmd := exec.Command(d.o.Exe, args...)
+func (r *runner) spawn(name string, args ...string) error {
+	cmd := exec.Command(r.options.Executable, args...)
 	// A child does not outlive the drill, however that ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	logFile := filepath.Join(d.o.Dir, name+".log")
-	w, err := os.OpenFile(logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	logFile := filepath.Join(r.options.Dir, name+".log")
+	logWriter, err := os.OpenFile(logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
 	}
-	cmd.Stderr = w
-	out, err := cmd.StdoutPipe()
+	cmd.Stderr = logWriter
+	stdout, err := cmd.StdoutPipe()
 	if err == nil {
 		err = cmd.Start()
 	}
-	w.Close()
+	logWriter.Close()
 	if err != nil {
 		return fmt.Errorf("start %s: %w", name, err)
 	}
-	line, err := bufio.NewReader(out).ReadString('\n')
+	line, err := bufio.NewReader(stdout).ReadString('\n')
 	i := strings.Index(line, "http://")
 	if err != nil || i < 0 {
 		cmd.Process.Kill()
@@ -235,37 +235,37 @@
 		b, _ := os.ReadFile(logFile)
 		return fmt.Errorf("start %s: said %q: %v; log: %.300s", name, line, err, b)
 	}
-	d.mu.Lock()
-	d.procs[name] = &proc{cmd: cmd, addr: strings.TrimSpace(line[i+len("http://"):]), args: args, log: logFile}
-	d.mu.Unlock()
+	r.mu.Lock()
+	r.processes[name] = &process{cmd: cmd, addr: strings.TrimSpace(line[i+len("http://"):]), args: args, log: logFile}
+	r.mu.Unlock()
 	return nil
 }
 
-func (d *drill) addr(name string) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if p := d.procs[name]; p != nil {
-		return "http://" + p.addr
+func (r *runner) baseURL(name string) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if process := r.processes[name]; process != nil {
+		return "http://" + process.addr
 	}
 	return ""
 }
 
-func (d *drill) stopAll() {
-	d.mu.Lock()
-	procs := d.procs
-	d.procs = map[string]*proc{}
-	d.mu.Unlock()
-	for _, p := range procs {
-		p.cmd.Process.Signal(syscall.SIGKILL)
+func (r *runner) stopAll() {
+	r.mu.Lock()
+	processes := r.processes
+	r.processes = map[string]*process{}
+	r.mu.Unlock()
+	for _, process := range processes {
+		process.cmd.Process.Signal(syscall.SIGKILL)
 	}
-	for _, p := range procs {
-		p.cmd.Wait()
+	for _, process := range processes {
+		process.cmd.Wait()
 	}
 }
 
-func (d *drill) ready(ctx context.Context, name string) error {
+func (r *runner) waitReady(ctx context.Context, name string) error {
 	for range 300 {
-		if resp, err := d.client.Get(d.addr(name) + "/readyz"); err == nil {
+		if resp, err := r.client.Get(r.baseURL(name) + "/readyz"); err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -283,53 +283,53 @@
 
 func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
-func (d *drill) tap(ev audit.Event) {
-	ev.At = now()
-	d.mu.Lock()
-	d.events = append(d.events, ev)
-	d.mu.Unlock()
+func (r *runner) record(event audit.Event) {
+	event.At = now()
+	r.mu.Lock()
+	r.events = append(r.events, event)
+	r.mu.Unlock()
 }
 
-func (d *drill) count(f func(*Figures)) {
-	d.mu.Lock()
-	f(&d.fig)
-	d.mu.Unlock()
+func (r *runner) update(f func(*Figures)) {
+	r.mu.Lock()
+	f(&r.figures)
+	r.mu.Unlock()
 }
 
-func (d *drill) figures() Figures {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f := d.fig
-	f.P50, f.P99, f.Max = float64(d.hist.ValueAtQuantile(50))/1e6, float64(d.hist.ValueAtQuantile(99))/1e6, float64(d.hist.Max())/1e6
+func (r *runner) snapshot() Figures {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f := r.figures
+	f.P50, f.P99, f.Max = float64(r.latency.ValueAtQuantile(50))/1e6, float64(r.latency.ValueAtQuantile(99))/1e6, float64(r.latency.Max())/1e6
 	return f
 }
 
 // send brings a request to its end: it is tried again while the server is down or turns it away for now.
-func (d *drill) send(ctx context.Context, method, base, path, contentType string, body []byte, tries int) (int, error) {
-	var last error
-	for i := range tries {
+func (r *runner) send(ctx context.Context, method, base, path, contentType string, body []byte, maxAttempts int) (int, error) {
+	var lastErr error
+	for i := range maxAttempts {
 		if i > 0 {
-			d.count(func(f *Figures) { f.Errors++ })
+			r.update(func(f *Figures) { f.Retries++ })
 			select {
 			case <-ctx.Done():
 				return 0, ctx.Err()
 			case <-time.After(250 * time.Millisecond):
 			}
 		}
-		req, err := http.NewRequestWithContext(ctx, method, d.addr(base)+path, bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, method, r.baseURL(base)+path, bytes.NewReader(body))
 		if err != nil {
 			return 0, err
 		}
 		req.Header.Set("Content-Type", contentType)
-		resp, err := d.client.Do(req)
+		resp, err := r.client.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		b, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode == 429 || resp.StatusCode == 503 {
-			last = fmt.Errorf("status %d", resp.StatusCode)
+			lastErr = fmt.Errorf("status %d", resp.StatusCode)
 			continue
 		}
 		if resp.StatusCode/100 != 2 {
@@ -337,17 +337,17 @@
 		}
 		return resp.StatusCode, nil
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-func (d *drill) act(ctx context.Context, a *scenario.Action) {
-	switch a.Do {
-	case scenario.Submit:
-		late := time.Since(d.start).Seconds() - a.At
-		b, _ := json.Marshal(simulation.Job(a.Job))
-		code, err := d.send(ctx, "POST", simulation.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs",
+func (r *runner) perform(ctx context.Context, action *scenario.Action) {
+	switch action.Kind {
+	case scenario.SubmitJob:
+		late := time.Since(r.startedAt).Seconds() - action.At
+		b, _ := json.Marshal(simulation.NewJob(action.Job))
+		code, err := r.send(ctx, "POST", simulation.SchedulerName(action.Job.Scheduler), "/apis/batch/v1/namespaces/"+action.Job.Namespace+"/jobs",
 			"application/json", b, 400)
-		d.count(func(f *Figures) {
+		r.update(func(f *Figures) {
 			if late > 0.05 {
 				f.JobsLate++
 			}
@@ -355,52 +355,52 @@
 				f.Jobs++
 			}
 		})
-	case scenario.Delete:
-		d.send(ctx, "DELETE", simulation.SchedulerName(a.Job.Scheduler), "/apis/batch/v1/namespaces/"+a.Job.Namespace+"/jobs/"+a.Job.Name,
+	case scenario.DeleteJob:
+		r.send(ctx, "DELETE", simulation.SchedulerName(action.Job.Scheduler), "/apis/batch/v1/namespaces/"+action.Job.Namespace+"/jobs/"+action.Job.Name,
 			"application/json", nil, 1)
-	case scenario.Fault:
-		b, _ := json.Marshal(&a.Faults)
-		d.send(ctx, "PUT", a.Node, "/heathshed/faults", "application/json", b, 1)
-	case scenario.Inventory:
-		b, _ := json.Marshal(&fault.Inventory{Cut: a.Cut})
-		d.send(ctx, "PUT", "inventory", "/heathshed/faults", "application/json", b, 1)
-	case scenario.Kill:
-		d.kill(ctx, simulation.SchedulerName(a.Scheduler), a.For)
-	case scenario.Drain, scenario.Undrain:
-		body := fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, a.Do == scenario.Drain)
-		for i := range d.o.Script.Schedulers {
+	case scenario.InjectNodeFault:
+		b, _ := json.Marshal(&action.NodeFault)
+		r.send(ctx, "PUT", action.Node, "/heathshed/faults", "application/json", b, 1)
+	case scenario.CutInventory:
+		b, _ := json.Marshal(&fault.Inventory{Unreachable: action.OutageSeconds})
+		r.send(ctx, "PUT", "inventory", "/heathshed/faults", "application/json", b, 1)
+	case scenario.KillScheduler:
+		r.restartScheduler(ctx, simulation.SchedulerName(action.Scheduler), action.DowntimeSeconds)
+	case scenario.DrainNode, scenario.UndrainNode:
+		body := fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, action.Kind == scenario.DrainNode)
+		for i := range r.options.Script.Schedulers {
 			name := simulation.SchedulerName(i)
-			what := audit.Told
-			if a.Do == scenario.Undrain {
+			what := audit.DrainOrdered
+			if action.Kind == scenario.UndrainNode {
 				// Before the order: from its sending on offers may go there.
-				d.tap(audit.Event{What: audit.Undrained, Scheduler: name, Node: a.Node})
+				r.record(audit.Event{Kind: audit.DrainCancelled, Scheduler: name, Node: action.Node})
 			}
-			if _, err := d.send(ctx, "PATCH", name, "/api/v1/nodes/"+a.Node, "application/merge-patch+json", body, 1); err == nil && a.Do == scenario.Drain {
-				d.tap(audit.Event{What: what, Scheduler: name, Node: a.Node})
+			if _, err := r.send(ctx, "PATCH", name, "/api/v1/nodes/"+action.Node, "application/merge-patch+json", body, 1); err == nil && action.Kind == scenario.DrainNode {
+				r.record(audit.Event{Kind: what, Scheduler: name, Node: action.Node})
 			}
 		}
 	}
 }
 
-// kill ends a scheduler at once and starts it again at its address.
-func (d *drill) kill(ctx context.Context, name string, down float64) {
-	d.mu.Lock()
-	p := d.procs[name]
-	d.mu.Unlock()
-	if p == nil {
+// restartScheduler ends a scheduler at once and starts it again at its address.
+func (r *runner) restartScheduler(ctx context.Context, name string, downtime float64) {
+	r.mu.Lock()
+	process := r.processes[name]
+	r.mu.Unlock()
+	if process == nil {
 		return
 	}
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
-	d.tap(audit.Event{What: audit.Killed, Scheduler: name})
-	d.count(func(f *Figures) { f.Kills++ })
+	process.cmd.Process.Kill()
+	process.cmd.Wait()
+	r.record(audit.Event{Kind: audit.Killed, Scheduler: name})
+	r.update(func(f *Figures) { f.SchedulerKills++ })
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(time.Duration(down * float64(time.Second))):
+	case <-time.After(time.Duration(downtime * float64(time.Second))):
 	}
 	for range 20 {
-		if d.spawn(name, append(append([]string{}, p.args...), "--listen", p.addr)...) == nil {
+		if r.spawn(name, append(append([]string{}, process.args...), "--listen", process.addr)...) == nil {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -408,26 +408,26 @@
 }
 
 // watch is the client's watch on the Pods of a scheduler. It resumes from the last revision it saw; when that is gone it lists anew.
-func (d *drill) watch(ctx context.Context, i int) {
+func (r *runner) watch(ctx context.Context, i int) {
 	name := simulation.SchedulerName(i)
 	rev := ""
 	for ctx.Err() == nil {
 		if rev == "" {
-			rev = d.list(ctx, name)
+			rev = r.list(ctx, name)
 		}
 		if rev == "" {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		wctx, cancel := context.WithCancel(ctx)
-		if d.o.DropWatch > 0 {
-			wctx, cancel = context.WithTimeout(ctx, time.Duration(d.o.DropWatch*float64(time.Second)))
+		watchCtx, cancel := context.WithCancel(ctx)
+		if r.options.WatchDropInterval > 0 {
+			watchCtx, cancel = context.WithTimeout(ctx, time.Duration(r.options.WatchDropInterval*float64(time.Second)))
 		}
 		var err error
-		rev, err = d.follow(wctx, name, rev)
+		rev, err = r.follow(watchCtx, name, rev)
 		cancel()
-		if wctx.Err() == context.DeadlineExceeded {
-			d.count(func(f *Figures) { f.Dropped++ })
+		if watchCtx.Err() == context.DeadlineExceeded {
+			r.update(func(f *Figures) { f.WatchesDropped++ })
 		} else if err != nil {
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -436,12 +436,12 @@
 
 var errExpired = errors.New("expired")
 
-func (d *drill) follow(ctx context.Context, name, rev string) (string, error) {
-	req, err := http.NewRequestWithContext(ctx, "GET", d.addr(name)+"/api/v1/pods?watch=true&allowWatchBookmarks=true&resourceVersion="+rev, nil)
+func (r *runner) follow(ctx context.Context, name, rev string) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, "GET", r.baseURL(name)+"/api/v1/pods?watch=true&allowWatchBookmarks=true&resourceVersion="+rev, nil)
 	if err != nil {
 		return rev, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return rev, err
 	}
@@ -452,97 +452,97 @@
 	if resp.StatusCode != 200 {
 		return rev, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	r := bufio.NewReaderSize(resp.Body, 64<<10)
+	reader := bufio.NewReaderSize(resp.Body, 64<<10)
 	for {
 		// A line cut short by the break of a connection is no event: it comes again after the resume.
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return rev, err
 		}
-		var ev struct {
+		var event struct {
 			Type   string          `json:"type"`
 			Object json.RawMessage `json:"object"`
 		}
-		if err := json.Unmarshal(line, &ev); err != nil {
+		if err := json.Unmarshal(line, &event); err != nil {
 			return rev, fmt.Errorf("event: %w", err)
 		}
-		if ev.Type == "ERROR" {
+		if event.Type == "ERROR" {
 			return "", errExpired
 		}
-		var p corev1.Pod
-		if err := json.Unmarshal(ev.Object, &p); err != nil {
+		var pod corev1.Pod
+		if err := json.Unmarshal(event.Object, &pod); err != nil {
 			return rev, fmt.Errorf("pod: %w", err)
 		}
-		rev = p.ResourceVersion
-		if ev.Type != "BOOKMARK" {
-			d.saw(name, &p, ev.Type)
+		rev = pod.ResourceVersion
+		if event.Type != "BOOKMARK" {
+			r.observePod(name, &pod, event.Type)
 		}
 	}
 }
 
 // list is a fresh start: what is new counts as asked now, what has an outcome as told now.
-func (d *drill) list(ctx context.Context, name string) string {
-	req, err := http.NewRequestWithContext(ctx, "GET", d.addr(name)+"/api/v1/pods", nil)
+func (r *runner) list(ctx context.Context, name string) string {
+	req, err := http.NewRequestWithContext(ctx, "GET", r.baseURL(name)+"/api/v1/pods", nil)
 	if err != nil {
 		return ""
 	}
-	resp, err := d.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return ""
 	}
 	defer resp.Body.Close()
-	var l corev1.PodList
-	if resp.StatusCode != 200 || json.NewDecoder(resp.Body).Decode(&l) != nil {
+	var pods corev1.PodList
+	if resp.StatusCode != 200 || json.NewDecoder(resp.Body).Decode(&pods) != nil {
 		return ""
 	}
-	d.count(func(f *Figures) { f.Relisted++ })
-	for i := range l.Items {
-		d.saw(name, &l.Items[i], "LISTED")
+	r.update(func(f *Figures) { f.Relists++ })
+	for i := range pods.Items {
+		r.observePod(name, &pods.Items[i], "LISTED")
 	}
-	return l.ResourceVersion
+	return pods.ResourceVersion
 }
 
-// saw takes what the client sees of a Pod.
-func (d *drill) saw(name string, p *corev1.Pod, kind string) {
-	uid := string(p.UID)
-	reason := wellknown.SettledOf(p)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// observePod takes what the client sees of a Pod.
+func (r *runner) observePod(name string, pod *corev1.Pod, kind string) {
+	uid := string(pod.UID)
+	reason := wellknown.SettledReason(pod)
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	at := now()
-	tap := func(ev audit.Event) {
-		ev.At, ev.UID, ev.Scheduler, ev.Class = at, uid, name, p.Labels[wellknown.Class]
-		d.events = append(d.events, ev)
+	record := func(event audit.Event) {
+		event.At, event.UID, event.Scheduler, event.Class = at, uid, name, pod.Labels[wellknown.Class]
+		r.events = append(r.events, event)
 	}
-	_, known := d.asked[uid]
+	_, known := r.submittedAt[uid]
 	if !known {
 		if kind == "DELETED" {
 			return
 		}
-		d.asked[uid] = at
+		r.submittedAt[uid] = at
 		// One whose outcome stands already when it is first seen was taken over after a restart, or settled before the watch came.
 		if reason == "" {
-			d.fig.Tasks++
-			tap(audit.Event{What: audit.Asked, GiveUp: wellknown.Seconds(p.Annotations[wellknown.GiveUpAt])})
+			r.figures.Tasks++
+			record(audit.Event{Kind: audit.Submitted, Deadline: wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])})
 		}
 	}
-	if reason != "" && !d.told[uid] {
-		d.told[uid] = true
-		d.fig.Settled++
-		tap(audit.Event{What: audit.Settled, Reason: reason})
+	if reason != "" && !r.settled[uid] {
+		r.settled[uid] = true
+		r.figures.Settled++
+		record(audit.Event{Kind: audit.Settled, Reason: reason})
 		if kind != "LISTED" && known {
-			d.hist.RecordValue(max(1, int64((at-d.asked[uid])*1e6)))
+			r.latency.RecordValue(max(1, int64((at-r.submittedAt[uid])*1e6)))
 		}
 	}
 	if kind == "DELETED" {
-		if !d.told[uid] {
-			tap(audit.Event{What: audit.Withdrawn})
+		if !r.settled[uid] {
+			record(audit.Event{Kind: audit.Withdrawn})
 		}
 	}
 }
 
-func (d *drill) result() (*Result, error) {
-	events := d.events
-	names, err := filepath.Glob(filepath.Join(d.o.Dir, "*.tap"))
+func (r *runner) result() (*Result, error) {
+	events := r.events
+	names, err := filepath.Glob(filepath.Join(r.options.Dir, "*.tap"))
 	if err != nil {
 		return nil, err
 	}
@@ -554,18 +554,18 @@
 		}
 		dec := json.NewDecoder(f)
 		for {
-			var ev audit.Event
-			if err := dec.Decode(&ev); err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
+			var event audit.Event
+			if err := dec.Decode(&event); err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 				break
 			} else if err != nil {
 				f.Close()
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
-			events = append(events, ev)
+			events = append(events, event)
 		}
 		f.Close()
 	}
-	r := &Result{Seconds: d.o.Script.Seconds, Schedulers: d.o.Script.Schedulers, Nodes: d.o.Script.Nodes, Figures: d.figures()}
-	r.Audit = audit.Check(audit.Config{Classes: simulation.Classes(&d.o.Settings), DrainGrace: d.o.Settings.Rules.DrainGrace, Slack: 0.15}, events)
-	return r, nil
+	result := &Result{Seconds: r.options.Script.Seconds, Schedulers: r.options.Script.Schedulers, Nodes: r.options.Script.Nodes, Figures: r.snapshot()}
+	result.Audit = audit.Check(audit.Config{Classes: simulation.AuditClasses(&r.options.Settings), DrainGrace: r.options.Settings.Rules.DrainGrace, Slack: 0.15}, events)
+	return result, nil
 }
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -14,26 +14,26 @@
 
 // A short day over real processes, with schedulers killed, machines dying and the inventory away, breaks no rule; and every outcome
 // that the client saw it saw once. Clients that mean harm change nothing of it.
-func TestShortBadDay(t *testing.T) {
-	exe := filepath.Join(t.TempDir(), "heathshed")
-	if out, err := exec.Command("go", "build", "-o", exe, "heathshed/cmd/heathshed").CombinedOutput(); err != nil {
+func TestShortScenario(t *testing.T) {
+	executable := filepath.Join(t.TempDir(), "heathshed")
+	if out, err := exec.Command("go", "build", "-o", executable, "heathshed/cmd/heathshed").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v: %s", err, out)
 	}
-	d := scenario.Default()
-	d.Seconds, d.Calm, d.Nodes, d.Schedulers, d.Load.TasksPerSecond, d.Load.Services = 12, 6, 6, 2, 12, 8
-	d.Trouble = []scenario.Trouble{{Kind: "crash", At: 1, For: 2, Part: 0.3}, {Kind: "discovery_down", At: 1.5, For: 2},
-		{Kind: "balancer_roll", At: 2, For: 2, Part: 1}, {Kind: "lose_answers", At: 3, For: 1, Part: 0.5}, {Kind: "flush", At: 4, For: 1, Part: 0.3}}
-	r, err := Run(context.Background(), Options{Exe: exe, Dir: t.TempDir(), Script: d, Settings: config.Default(), DropWatch: 1, Hostile: true})
+	script := scenario.Default()
+	script.Seconds, script.Cooldown, script.Nodes, script.Schedulers, script.Load.TasksPerSecond, script.Load.Services = 12, 6, 6, 2, 12, 8
+	script.Faults = []scenario.Fault{{Kind: "crash", At: 1, Duration: 2, Fraction: 0.3}, {Kind: "discovery_down", At: 1.5, Duration: 2},
+		{Kind: "balancer_roll", At: 2, Duration: 2, Fraction: 1}, {Kind: "lose_answers", At: 3, Duration: 1, Fraction: 0.5}, {Kind: "flush", At: 4, Duration: 1, Fraction: 0.3}}
+	result, err := Run(context.Background(), Options{Executable: executable, Dir: t.TempDir(), Script: script, Settings: config.Default(), WatchDropInterval: 1, Hostile: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range r.Audit.Violations {
+	for _, v := range result.Audit.Violations {
 		t.Error(v)
 	}
-	if h := r.Figures.Hostile; h.Bombs == 0 || h.Taken != 0 || h.Silent == 0 || h.MostHeld == 0 {
-		t.Errorf("hostile clients: %+v", h)
+	if hostile := result.Figures.Hostile; hostile.ExpensiveRequests == 0 || hostile.Accepted != 0 || hostile.StalledConnections == 0 || hostile.MemoryPeak == 0 {
+		t.Errorf("hostile clients: %+v", hostile)
 	}
-	if r.Audit.Tasks == 0 || r.Audit.Offers == 0 || r.Audit.Starts == 0 || r.Figures.Kills != 2 || r.Audit.Crashes == 0 {
-		t.Errorf("the day did not come about: %+v", r)
+	if result.Audit.Tasks == 0 || result.Audit.Attempts == 0 || result.Audit.Starts == 0 || result.Figures.SchedulerKills != 2 || result.Audit.Crashes == 0 {
+		t.Errorf("the day did not come about: %+v", result)
 	}
 }
--- a/internal/http1/characterization_test.go
+++ b/internal/http1/characterization_test.go
@@ -111,13 +111,13 @@
 			return pending, err
 		}
 		switch kind {
-		case http1.HeadEnd:
+		case http1.HeadComplete:
 			describeHead(b, &d.Head)
-		case http1.Data:
+		case http1.BodyData:
 			fmt.Fprintf(b, "%.100q ", d.Body)
 		}
 		pending = pending[n:]
-		if kind == http1.More {
+		if kind == http1.NeedMore {
 			return pending, nil
 		}
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -32,7 +32,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
-func bad(format string, args ...any) *Error { return &Error{400, fmt.Sprintf(format, args...)} }
+func badRequest(format string, args ...any) *Error { return &Error{400, fmt.Sprintf(format, args...)} }
 
 // Field is one header field. Name keeps the sender's letters; compare with Is.
 type Field struct{ Name, Value string }
@@ -88,22 +88,22 @@
 // What Next can find. More: nothing yet, bring more bytes. HeadEnd: Head is complete. Data: Body holds a piece of the
 // body. End: the message is complete.
 const (
-	More Kind = iota
-	HeadEnd
-	Data
-	End
+	NeedMore Kind = iota
+	HeadComplete
+	BodyData
+	MessageComplete
 )
 
 type state uint8
 
 const (
-	atHead state = iota
-	inBody
-	chunkSize
-	inChunk
-	chunkEnd
-	inTrailer
-	toClose
+	stateHead state = iota
+	stateBody
+	stateChunkSize
+	stateChunkData
+	stateChunkEnd
+	stateTrailer
+	stateUntilClose
 	atEnd
 	failed
 )
@@ -118,78 +118,78 @@
 	Head Head
 	Body []byte // the piece of the last Data; valid until the input changes
 
-	state state
-	left  int64
-	total int64
-	seen  int // bytes of the head searched already
-	err   *Error
+	state     state
+	remaining int64
+	bodySize  int64
+	searched  int // bytes of the head searched already
+	err       *Error
 }
 
 // Next reads from the front of in and returns how many bytes it took. After an error it returns that error always.
 func (d *Decoder) Next(in []byte) (n int, k Kind, err error) {
 	if d.err != nil {
-		return 0, More, d.err
+		return 0, NeedMore, d.err
 	}
-	n, k, e := d.next(in)
+	n, k, e := d.decode(in)
 	if e != nil {
 		d.err = e
-		return n, More, e
+		return n, NeedMore, e
 	}
 	return n, k, nil
 }
 
-func (d *Decoder) next(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decode(in []byte) (int, Kind, *Error) {
 	switch d.state {
-	case atHead:
-		return d.head(in)
-	case inBody, inChunk:
-		if d.left == 0 {
-			if d.state == inBody {
-				return d.end(0)
+	case stateHead:
+		return d.decodeHead(in)
+	case stateBody, stateChunkData:
+		if d.remaining == 0 {
+			if d.state == stateBody {
+				return d.endMessage(0)
 			}
-			d.state = chunkEnd
-			return d.next(in)
+			d.state = stateChunkEnd
+			return d.decode(in)
 		}
 		if len(in) == 0 {
-			return 0, More, nil
+			return 0, NeedMore, nil
 		}
-		n := int(min(d.left, int64(len(in))))
-		d.left -= int64(n)
+		n := int(min(d.remaining, int64(len(in))))
+		d.remaining -= int64(n)
 		d.Body = in[:n]
-		return n, Data, nil
-	case toClose:
+		return n, BodyData, nil
+	case stateUntilClose:
 		if len(in) == 0 {
-			return 0, More, nil
+			return 0, NeedMore, nil
 		}
-		if d.total += int64(len(in)); d.Limits.Body > 0 && d.total > int64(d.Limits.Body) {
-			return 0, More, &Error{413, "body over the limit"}
+		if d.bodySize += int64(len(in)); d.Limits.Body > 0 && d.bodySize > int64(d.Limits.Body) {
+			return 0, NeedMore, &Error{413, "body over the limit"}
 		}
 		d.Body = in
-		return len(in), Data, nil
-	case chunkEnd:
+		return len(in), BodyData, nil
+	case stateChunkEnd:
 		if len(in) < 2 {
 			if len(in) == 1 && in[0] != '\r' {
-				return 0, More, bad("chunk does not end with a line end")
+				return 0, NeedMore, badRequest("chunk does not end with a line end")
 			}
-			return 0, More, nil
+			return 0, NeedMore, nil
 		}
 		if in[0] != '\r' || in[1] != '\n' {
-			return 0, More, bad("chunk does not end with a line end")
+			return 0, NeedMore, badRequest("chunk does not end with a line end")
 		}
-		d.state = chunkSize
-		n, k, err := d.next(in[2:])
+		d.state = stateChunkSize
+		n, k, err := d.decode(in[2:])
 		return n + 2, k, err
-	case chunkSize:
-		return d.chunk(in)
-	case inTrailer:
-		return d.trailer(in)
+	case stateChunkSize:
+		return d.decodeChunkSize(in)
+	case stateTrailer:
+		return d.decodeTrailer(in)
 	}
-	return 0, More, bad("nothing may follow")
+	return 0, NeedMore, badRequest("nothing may follow")
 }
 
-func (d *Decoder) end(n int) (int, Kind, *Error) {
-	d.state, d.total, d.Body = atHead, 0, nil
-	return n, End, nil
+func (d *Decoder) endMessage(n int) (int, Kind, *Error) {
+	d.state, d.bodySize, d.Body = stateHead, 0, nil
+	return n, MessageComplete, nil
 }
 
 // EOF tells that the stream is over. It returns nil if that is a legal end of a message, which is then complete, or
@@ -198,55 +198,55 @@
 	switch {
 	case d.err != nil:
 		return false, d.err
-	case d.state == toClose:
-		d.end(0)
+	case d.state == stateUntilClose:
+		d.endMessage(0)
 		return true, nil
-	case d.state == atHead && rest == 0:
+	case d.state == stateHead && rest == 0:
 		return false, nil
 	}
-	return false, bad("the stream ends inside a message")
+	return false, badRequest("the stream ends inside a message")
 }
 
-func (d *Decoder) head(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeHead(in []byte) (int, Kind, *Error) {
 	skipped := 0
 	if !d.Responses {
 		// RFC 9112, 2.2: an empty line before a request line is ignored. One only.
 		if len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
 			in, skipped = in[2:], 2
-			d.seen = max(0, d.seen-2)
+			d.searched = max(0, d.searched-2)
 		}
 	}
-	from := max(0, d.seen-3)
+	from := max(0, d.searched-3)
 	i := bytes.Index(in[from:], []byte("\r\n\r\n"))
 	if i < 0 {
-		d.seen = len(in) + skipped
+		d.searched = len(in) + skipped
 		if j := bytes.IndexByte(in, '\n'); j < 0 && len(in) > d.Limits.Line || j > d.Limits.Line {
-			return 0, More, &Error{414, "start line over the limit"}
+			return 0, NeedMore, &Error{414, "start line over the limit"}
 		}
 		if len(in) > d.Limits.Head {
-			return 0, More, &Error{431, "header over the limit"}
+			return 0, NeedMore, &Error{431, "header over the limit"}
 		}
 		// A line feed without carriage return can never become legal: say so now.
 		if j := bytes.IndexByte(in, '\n'); j == 0 || j > 0 && in[j-1] != '\r' {
-			return 0, More, bad("line feed without carriage return")
+			return 0, NeedMore, badRequest("line feed without carriage return")
 		}
-		return 0, More, nil
+		return 0, NeedMore, nil
 	}
 	size := from + i + 4
-	d.seen = 0
+	d.searched = 0
 	if size > d.Limits.Head {
-		return 0, More, &Error{431, "header over the limit"}
+		return 0, NeedMore, &Error{431, "header over the limit"}
 	}
 	// One copy of the head's text; every field is a part of it.
 	text := string(in[:size-2])
 	d.Head = Head{Header: d.Head.Header[:0:0]}
-	if err := d.parse(text); err != nil {
-		return 0, More, err
+	if err := d.parseHead(text); err != nil {
+		return 0, NeedMore, err
 	}
-	return skipped + size, HeadEnd, nil
+	return skipped + size, HeadComplete, nil
 }
 
-func (d *Decoder) parse(text string) *Error {
+func (d *Decoder) parseHead(text string) *Error {
 	line, text, err := cutLine(text)
 	if err != nil {
 		return err
@@ -255,9 +255,9 @@
 		return &Error{414, "start line over the limit"}
 	}
 	if d.Responses {
-		err = d.statusLine(line)
+		err = d.parseStatusLine(line)
 	} else {
-		err = d.requestLine(line)
+		err = d.parseRequestLine(line)
 	}
 	if err != nil {
 		return err
@@ -267,7 +267,7 @@
 		if line, text, err = cutLine(text); err != nil {
 			return err
 		}
-		f, err := field(line)
+		f, err := parseField(line)
 		if err != nil {
 			return err
 		}
@@ -277,7 +277,7 @@
 		h = append(h, f)
 	}
 	d.Head.Header = h
-	return d.framing()
+	return d.setFraming()
 }
 
 // cutLine takes one line off, without its end. A bare carriage return or line feed is refused.
@@ -285,24 +285,24 @@
 	for i := 0; i < len(s); i++ {
 		switch s[i] {
 		case '\n':
-			return "", "", bad("line feed without carriage return")
+			return "", "", badRequest("line feed without carriage return")
 		case '\r':
 			if i+1 >= len(s) || s[i+1] != '\n' {
-				return "", "", bad("carriage return without line feed")
+				return "", "", badRequest("carriage return without line feed")
 			}
 			return s[:i], s[i+2:], nil
 		}
 	}
-	return "", "", bad("line without end")
+	return "", "", badRequest("line without end")
 }
 
-func (d *Decoder) requestLine(line string) *Error {
+func (d *Decoder) parseRequestLine(line string) *Error {
 	i := 0
-	for i < len(line) && isToken[line[i]] {
+	for i < len(line) && isTokenByte[line[i]] {
 		i++
 	}
 	if i == 0 || i >= len(line) || line[i] != ' ' {
-		return bad("no method in the request line")
+		return badRequest("no method in the request line")
 	}
 	d.Head.Method = line[:i]
 	rest := line[i+1:]
@@ -311,20 +311,20 @@
 		j++
 	}
 	if j == 0 || j >= len(rest) || rest[j] != ' ' {
-		return bad("no target in the request line")
+		return badRequest("no target in the request line")
 	}
 	d.Head.Target = rest[:j]
 	if d.Head.Target[0] != '/' && d.Head.Target != "*" {
 		if !bytes.Contains([]byte(d.Head.Target), []byte("://")) && d.Head.Method != "CONNECT" {
-			return bad("target is neither a path nor a URL")
+			return badRequest("target is neither a path nor a URL")
 		}
 	}
-	return d.version(rest[j+1:])
+	return d.parseVersion(rest[j+1:])
 }
 
-func (d *Decoder) version(v string) *Error {
+func (d *Decoder) parseVersion(v string) *Error {
 	if len(v) != 8 || v[:5] != "HTTP/" || v[6] != '.' || v[5] < '0' || v[5] > '9' || v[7] < '0' || v[7] > '9' {
-		return bad("malformed version")
+		return badRequest("malformed version")
 	}
 	if v[5] != '1' {
 		return &Error{505, "version not supported"}
@@ -333,21 +333,21 @@
 	return nil
 }
 
-func (d *Decoder) statusLine(line string) *Error {
+func (d *Decoder) parseStatusLine(line string) *Error {
 	if len(line) < 12 || line[8] != ' ' {
-		return bad("malformed status line")
+		return badRequest("malformed status line")
 	}
-	if err := d.version(line[:8]); err != nil {
+	if err := d.parseVersion(line[:8]); err != nil {
 		return err
 	}
 	for _, c := range []byte(line[9:12]) {
 		if c < '0' || c > '9' {
-			return bad("malformed status")
+			return badRequest("malformed status")
 		}
 		d.Head.Status = d.Head.Status*10 + int(c-'0')
 	}
 	if len(line) > 12 && line[12] != ' ' || d.Head.Status < 100 {
-		return bad("malformed status")
+		return badRequest("malformed status")
 	}
 	if len(line) > 13 {
 		d.Head.Reason = line[13:]
@@ -355,16 +355,16 @@
 	return nil
 }
 
-func field(line string) (Field, *Error) {
+func parseField(line string) (Field, *Error) {
 	if line == "" || line[0] == ' ' || line[0] == '\t' {
-		return Field{}, bad("folded header line")
+		return Field{}, badRequest("folded header line")
 	}
 	i := 0
-	for i < len(line) && isToken[line[i]] {
+	for i < len(line) && isTokenByte[line[i]] {
 		i++
 	}
 	if i == 0 || i >= len(line) || line[i] != ':' {
-		return Field{}, bad("malformed header field")
+		return Field{}, badRequest("malformed header field")
 	}
 	name, v := line[:i], line[i+1:]
 	for v != "" && (v[0] == ' ' || v[0] == '\t') {
@@ -375,15 +375,15 @@
 	}
 	for j := 0; j < len(v); j++ {
 		if v[j] < ' ' && v[j] != '\t' || v[j] == 0x7f {
-			return Field{}, bad("control character in header field %s", name)
+			return Field{}, badRequest("control character in header field %s", name)
 		}
 	}
 	return Field{name, v}, nil
 }
 
-// framing decides how long the body is (RFC 9112, 6.3). Anything ambiguous is refused: two readers that disagree on a
+// setFraming decides how long the body is (RFC 9112, 6.3). Anything ambiguous is refused: two readers that disagree on a
 // length are how requests are smuggled.
-func (d *Decoder) framing() *Error {
+func (d *Decoder) setFraming() *Error {
 	h := &d.Head
 	length, lengths, codings, hosts := "", 0, 0, 0
 	h.Close = h.Minor == 0
@@ -392,19 +392,19 @@
 		switch {
 		case f.Is("Content-Length"):
 			if lengths++; lengths > 1 {
-				return bad("content-length given twice")
+				return badRequest("content-length given twice")
 			}
 			length = f.Value
 		case f.Is("Transfer-Encoding"):
 			if codings++; codings > 1 {
-				return bad("transfer-encoding given twice")
+				return badRequest("transfer-encoding given twice")
 			}
 			if !equalFold(f.Value, "chunked") {
 				return &Error{501, "transfer-encoding other than chunked"}
 			}
 			h.Chunked = true
 		case f.Is("Connection"):
-			for _, t := range tokens(f.Value) {
+			for _, t := range splitList(f.Value) {
 				if equalFold(t, "close") {
 					h.Close = true
 				} else if equalFold(t, "keep-alive") && h.Minor == 0 {
@@ -421,19 +421,19 @@
 		}
 	}
 	if !d.Responses && (hosts > 1 || hosts == 0 && h.Minor > 0) {
-		return bad("%d host fields, want one", hosts)
+		return badRequest("%d host fields, want one", hosts)
 	}
 	if h.Chunked && (lengths > 0 || h.Minor == 0) {
-		return bad("transfer-encoding beside content-length or before HTTP/1.1")
+		return badRequest("transfer-encoding beside content-length or before HTTP/1.1")
 	}
 	h.Length = -1
 	if lengths > 0 {
 		if len(length) == 0 || len(length) > 18 {
-			return bad("malformed content-length")
+			return badRequest("malformed content-length")
 		}
 		for _, c := range []byte(length) {
 			if c < '0' || c > '9' {
-				return bad("malformed content-length")
+				return badRequest("malformed content-length")
 			}
 		}
 		h.Length, _ = strconv.ParseInt(length, 10, 64)
@@ -444,33 +444,33 @@
 	if !h.Chunked && lengths == 0 && !d.Responses {
 		h.Length = 0
 	}
-	d.total = 0
+	d.bodySize = 0
 	switch {
 	case h.Chunked:
-		d.state = chunkSize
+		d.state = stateChunkSize
 	case h.Length >= 0:
 		if d.Limits.Body > 0 && h.Length > int64(d.Limits.Body) {
 			return &Error{413, "body over the limit"}
 		}
-		d.state, d.left = inBody, h.Length
+		d.state, d.remaining = stateBody, h.Length
 	default:
-		d.state, h.Close = toClose, true
+		d.state, h.Close = stateUntilClose, true
 	}
 	return nil
 }
 
 const maxChunkLine = 256
 
-func (d *Decoder) chunk(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeChunkSize(in []byte) (int, Kind, *Error) {
 	i := bytes.IndexByte(in, '\n')
 	if i < 0 {
 		if len(in) > maxChunkLine {
-			return 0, More, bad("chunk line over the limit")
+			return 0, NeedMore, badRequest("chunk line over the limit")
 		}
-		return 0, More, nil
+		return 0, NeedMore, nil
 	}
 	if i == 0 || in[i-1] != '\r' || i > maxChunkLine {
-		return 0, More, bad("malformed chunk line")
+		return 0, NeedMore, badRequest("malformed chunk line")
 	}
 	line := in[:i-1]
 	size, j := int64(0), 0
@@ -490,69 +490,69 @@
 			break
 		}
 		if j >= 15 {
-			return 0, More, bad("chunk size too large")
+			return 0, NeedMore, badRequest("chunk size too large")
 		}
 		size = size<<4 | int64(c)
 	}
 	if j == 0 {
-		return 0, More, bad("malformed chunk size")
+		return 0, NeedMore, badRequest("malformed chunk size")
 	}
 	// Extensions are allowed and ignored, but must look like some.
 	ext := bytes.TrimLeft(line[j:], " \t")
 	if len(ext) > 0 && ext[0] != ';' || len(ext) == 0 && j < len(line) {
-		return 0, More, bad("malformed chunk size")
+		return 0, NeedMore, badRequest("malformed chunk size")
 	}
 	for _, c := range ext {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return 0, More, bad("control character in chunk extension")
+			return 0, NeedMore, badRequest("control character in chunk extension")
 		}
 	}
-	if d.total += size; d.Limits.Body > 0 && d.total > int64(d.Limits.Body) {
-		return 0, More, &Error{413, "body over the limit"}
+	if d.bodySize += size; d.Limits.Body > 0 && d.bodySize > int64(d.Limits.Body) {
+		return 0, NeedMore, &Error{413, "body over the limit"}
 	}
 	if size == 0 {
-		d.state, d.total = inTrailer, 0
-		n, k, err := d.next(in[i+1:])
+		d.state, d.bodySize = stateTrailer, 0
+		n, k, err := d.decode(in[i+1:])
 		return n + i + 1, k, err
 	}
-	d.state, d.left = inChunk, size
-	n, k, err := d.next(in[i+1:])
+	d.state, d.remaining = stateChunkData, size
+	n, k, err := d.decode(in[i+1:])
 	return n + i + 1, k, err
 }
 
-// trailer reads trailer fields, checks them and drops them.
-func (d *Decoder) trailer(in []byte) (int, Kind, *Error) {
+// decodeTrailer reads trailer fields, checks them and drops them.
+func (d *Decoder) decodeTrailer(in []byte) (int, Kind, *Error) {
 	n := 0
 	for {
 		i := bytes.IndexByte(in[n:], '\n')
 		if i < 0 {
-			if int(d.total)+len(in)-n > d.Limits.Trailer {
-				return n, More, &Error{431, "trailer over the limit"}
+			if int(d.bodySize)+len(in)-n > d.Limits.Trailer {
+				return n, NeedMore, &Error{431, "trailer over the limit"}
 			}
-			return n, More, nil
+			return n, NeedMore, nil
 		}
 		line := in[n : n+i+1]
 		if len(line) < 2 || line[len(line)-2] != '\r' {
-			return n, More, bad("line feed without carriage return")
+			return n, NeedMore, badRequest("line feed without carriage return")
 		}
 		n += len(line)
 		if len(line) == 2 {
-			return d.end(n)
+			return d.endMessage(n)
 		}
-		if d.total += int64(len(line)); int(d.total) > d.Limits.Trailer {
-			return n, More, &Error{431, "trailer over the limit"}
+		if d.bodySize += int64(len(line)); int(d.bodySize) > d.Limits.Trailer {
+			return n, NeedMore, &Error{431, "trailer over the limit"}
 		}
 		if bytes.IndexByte(line[:len(line)-2], '\r') >= 0 {
-			return n, More, bad("carriage return without line feed")
+			return n, NeedMore, badRequest("carriage return without line feed")
 		}
-		if _, err := field(string(line[:len(line)-2])); err != nil {
-			return n, More, err
+		if _, err := parseField(string(line[:len(line)-2])); err != nil {
+			return n, NeedMore, err
 		}
 	}
 }
 
-// tokens splits a comma list.
-func tokens(s string) []string {
+// splitList splits a comma list.
+func splitList(s string) []string {
 	var out []string
 	for s != "" {
 		i := 0
@@ -593,7 +593,7 @@
 	return true
 }
 
-var isToken = func() (t [256]bool) {
+var isTokenByte = func() (t [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		t[c] = true
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -29,15 +29,15 @@
 			if err != nil {
 				return out, err
 			}
-			if k == Data {
+			if k == BodyData {
 				body = append(body, d.Body...)
 			}
 			have = have[m:]
-			if k == End {
+			if k == MessageComplete {
 				out = append(out, message{d.Head, body})
 				body = nil
 			}
-			if k == More {
+			if k == NeedMore {
 				break
 			}
 		}
@@ -53,7 +53,7 @@
 	return out, nil
 }
 
-var requests = []struct {
+var requestCases = []struct {
 	name, in string
 	status   int // 0: taken
 	body     string
@@ -95,12 +95,12 @@
 	{"trailer over the limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("a", 200) + "\r\n\r\n", 431, ""},
 }
 
-var small = Limits{Line: 200, Head: 500, Fields: 10, Body: 1024, Trailer: 100}
+var smallLimits = Limits{Line: 200, Head: 500, Fields: 10, Body: 1024, Trailer: 100}
 
 func TestRequests(t *testing.T) {
-	for _, c := range requests {
+	for _, c := range requestCases {
 		for _, piece := range []int{1, 3, 1 << 20} {
-			d := &Decoder{Limits: small}
+			d := &Decoder{Limits: smallLimits}
 			out, err := decodeAll(d, []byte(c.in), piece)
 			var e *Error
 			switch {
@@ -127,7 +127,7 @@
 		{"cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, true},
 		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, true},
 	} {
-		d := &Decoder{Limits: small, Responses: true, NoBody: c.noBody}
+		d := &Decoder{Limits: smallLimits, Responses: true, NoBody: c.noBody}
 		out, err := decodeAll(d, []byte(c.in), 1)
 		if c.bad != (err != nil) || !c.bad && (len(out) != 1 || string(out[0].body) != c.body) {
 			t.Errorf("%s: %d messages, %v", c.name, len(out), err)
@@ -137,16 +137,16 @@
 
 func TestPipelineInOrder(t *testing.T) {
 	one := "POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"
-	out, err := decodeAll(&Decoder{Limits: small}, []byte(strings.Repeat(one, 500)), 7)
+	out, err := decodeAll(&Decoder{Limits: smallLimits}, []byte(strings.Repeat(one, 500)), 7)
 	if err != nil || len(out) != 500 {
 		t.Fatalf("%d requests, %v", len(out), err)
 	}
 }
 
-// stricter says why this decoder may refuse what net/http takes. Each difference is wanted:
+// rejectedOnlyHere says why this decoder may refuse what net/http takes. Each difference is wanted:
 // net/http takes bare line feeds, equal lengths given twice, a space before the first header's colon in no case but trims
 // others, targets that are no path, and has other limits.
-func stricter(in []byte) bool {
+func rejectedOnlyHere(in []byte) bool {
 	s := string(in)
 	for i := 0; i < len(s); i++ {
 		if s[i] == '\n' && (i == 0 || s[i-1] != '\r') {
@@ -165,7 +165,7 @@
 // FuzzRequest checks that pieces do not matter, that nothing panics, and that what net/http refuses is refused here, with the same
 // body where both take it.
 func FuzzRequest(f *testing.F) {
-	for _, c := range requests {
+	for _, c := range requestCases {
 		f.Add([]byte(c.in))
 	}
 	limits := DefaultLimits()
@@ -189,7 +189,7 @@
 			body, err = io.ReadAll(req.Body)
 		}
 		if err != nil {
-			if !differs(in) {
+			if !acceptedOnlyHere(in) {
 				t.Fatalf("taken here, refused by net/http: %v", err)
 			}
 			return
@@ -200,9 +200,9 @@
 	})
 }
 
-// differs names what is taken here though net/http refuses it: a target whose escapes are wrong (the API answers 400 itself), host
+// acceptedOnlyHere names what is taken here though net/http refuses it: a target whose escapes are wrong (the API answers 400 itself), host
 // values that are no host, a minor version over one, and trailer fields that net/http forbids.
-func differs(in []byte) bool {
+func acceptedOnlyHere(in []byte) bool {
 	line, rest, _ := strings.Cut(string(in), "\r\n")
 	for line == "" && rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
@@ -217,20 +217,20 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\n\r\nrest"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, errWhole := decodeAll(&Decoder{Limits: small, Responses: true}, in, 1<<20)
-		pieces, errPieces := decodeAll(&Decoder{Limits: small, Responses: true}, in, 1)
+		whole, errWhole := decodeAll(&Decoder{Limits: smallLimits, Responses: true}, in, 1<<20)
+		pieces, errPieces := decodeAll(&Decoder{Limits: smallLimits, Responses: true}, in, 1)
 		if (errWhole == nil) != (errPieces == nil) || len(whole) != len(pieces) {
 			t.Fatalf("whole: %d messages, %v; in pieces: %d, %v", len(whole), errWhole, len(pieces), errPieces)
 		}
 	})
 }
 
-// looser are the table's refusals that net/http takes (RFC 9112 asks for each refusal: 3.2, 5.2, 5.1 and 2.3).
-var looser = map[string]bool{"no host": true, "folded": true, "space before colon": true, "version": true}
+// acceptedByNetHTTP are the table's refusals that net/http takes (RFC 9112 asks for each refusal: 3.2, 5.2, 5.1 and 2.3).
+var acceptedByNetHTTP = map[string]bool{"no host": true, "folded": true, "space before colon": true, "version": true}
 
 // The table's refusals are refused by net/http too, or stand in stricter.
 func TestAgainstNetHTTP(t *testing.T) {
-	for _, c := range requests {
+	for _, c := range requestCases {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(c.in)))
 		if err == nil {
 			_, err = io.ReadAll(req.Body)
@@ -239,7 +239,7 @@
 		switch {
 		case c.status == 0 && err != nil && !strings.HasPrefix(c.in, "\r\n"):
 			t.Errorf("%s: taken here, net/http says %v", c.name, err)
-		case c.status != 0 && err == nil && !limit && !stricter([]byte(c.in)) && !looser[c.name]:
+		case c.status != 0 && err == nil && !limit && !rejectedOnlyHere([]byte(c.in)) && !acceptedByNetHTTP[c.name]:
 			t.Errorf("%s: refused here, taken by net/http, and not among the differences", c.name)
 		}
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -20,6 +20,6 @@
 	// Pull appends what there is to send, about room bytes at most, and says whether the body ends there. Nothing
 	// appended and not done: call again after something happened.
 	Pull(b []byte, room int) (out []byte, done bool)
-	// Stopped is called once, when nobody will pull any more.
-	Stopped()
+	// Close is called once, when nobody will pull any more.
+	Close()
 }
--- a/internal/httpc/httpc.go
+++ b/internal/httpc/httpc.go
@@ -28,23 +28,23 @@
 
 // Client calls one server.
 type Client struct {
-	ConnectWithin float64 // seconds
-	Pool          connpool.Policy
-	Limits        http1.Limits
+	ConnectTimeoutSeconds float64 // seconds
+	Pool                  connpool.Policy
+	Limits                http1.Limits
 
-	l     *eventloop.Loop
-	addr  string
-	idle  []*conn
-	ages  []float64 // scratch
-	open  int
-	queue []*Call
+	loop      *eventloop.Loop
+	addr      string
+	idle      []*conn
+	idleAges  []float64 // scratch
+	openConns int
+	waiting   []*Call
 }
 
 // New returns a client for the server at a literal address.
-func New(l *eventloop.Loop, addr string) *Client {
-	lim := http1.DefaultLimits()
-	lim.Body = 64 << 20
-	return &Client{l: l, addr: addr, ConnectWithin: 1, Pool: connpool.DefaultPolicy(), Limits: lim}
+func New(loop *eventloop.Loop, addr string) *Client {
+	limits := http1.DefaultLimits()
+	limits.Body = 64 << 20
+	return &Client{loop: loop, addr: addr, ConnectTimeoutSeconds: 1, Pool: connpool.DefaultPolicy(), Limits: limits}
 }
 
 // Addr is the server's address.
@@ -58,20 +58,20 @@
 	// Data, where set, gets the body of a 2xx answer piece by piece; Done then has no body. Started is called at the head.
 	Started func(h *http1.Head)
 	Data    func(b []byte)
-	// Careful says that a request that may or may not have been read is dear: see package connpool.
-	Careful bool
+	// AvoidUnknownOutcome says that a request that may or may not have been read is dear: see package connpool.
+	AvoidUnknownOutcome bool
 
-	c       *Client
-	request []byte
-	conn    *conn
-	timer   *eventloop.Timer
-	over    bool
-	head    bool // a HEAD request
-	body    []byte
+	client      *Client
+	request     []byte
+	conn        *conn
+	timer       *eventloop.Timer
+	finished    bool
+	headRequest bool // a HEAD request
+	body        []byte
 }
 
 // Do sends a request. Within bounds the whole call in seconds; 0 does not.
-func (c *Client) Do(method, target string, header []http1.Field, body []byte, within float64, call *Call) *Call {
+func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeoutSeconds float64, call *Call) *Call {
 	b := http1.AppendRequestLine(make([]byte, 0, 256+len(body)), method, target)
 	b = http1.AppendField(b, "Host", c.addr)
 	for i := range header {
@@ -81,9 +81,9 @@
 		b = http1.AppendLength(b, len(body))
 	}
 	b = append(b, "\r\n"...)
-	call.c, call.request, call.head = c, append(b, body...), method == "HEAD"
-	if within > 0 {
-		call.timer = c.l.After(within, func() { call.abort(ErrTimeout) })
+	call.client, call.request, call.headRequest = c, append(b, body...), method == "HEAD"
+	if timeoutSeconds > 0 {
+		call.timer = c.loop.After(timeoutSeconds, func() { call.abort(ErrTimeout) })
 	}
 	c.start(call)
 	return call
@@ -91,58 +91,58 @@
 
 func (c *Client) start(call *Call) {
 	if call.Data == nil {
-		c.ages = c.ages[:0]
-		for _, k := range c.idle {
-			c.ages = append(c.ages, c.l.Now()-k.since)
+		c.idleAges = c.idleAges[:0]
+		for _, connection := range c.idle {
+			c.idleAges = append(c.idleAges, c.loop.Now()-connection.idleSince)
 		}
-		d := c.Pool.Choose(c.ages, c.open, call.Careful)
+		decision := c.Pool.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
 		var chosen *conn
-		if d.Action == connpool.Use || d.Action == connpool.Replace {
-			chosen = c.idle[d.Index]
+		if decision.Action == connpool.Use || decision.Action == connpool.Replace {
+			chosen = c.idle[decision.Index]
 		}
-		stale := make([]*conn, 0, len(d.Stale))
-		for _, i := range d.Stale {
+		stale := make([]*conn, 0, len(decision.Stale))
+		for _, i := range decision.Stale {
 			stale = append(stale, c.idle[i])
 		}
-		for _, k := range stale {
-			k.lc.Close()
+		for _, connection := range stale {
+			connection.transport.Close()
 		}
-		switch d.Action {
+		switch decision.Action {
 		case connpool.Use:
-			c.forget(chosen)
-			chosen.run(call)
+			c.removeIdle(chosen)
+			chosen.send(call)
 			return
 		case connpool.Replace:
-			chosen.lc.Close()
+			chosen.transport.Close()
 		case connpool.Wait:
-			c.queue = append(c.queue, call)
+			c.waiting = append(c.waiting, call)
 			return
 		}
 	}
-	k := &conn{c: c, call: call, dec: http1.Decoder{Limits: c.Limits, Responses: true, NoBody: call.head}}
+	connection := &conn{client: c, call: call, decoder: http1.Decoder{Limits: c.Limits, Responses: true, NoBody: call.headRequest}}
 	if call.Data != nil {
-		k.stream = true
-		k.dec.Limits.Body = 0
+		connection.streaming = true
+		connection.decoder.Limits.Body = 0
 	} else {
-		c.open++
+		c.openConns++
 	}
-	call.conn = k
-	lc, err := c.l.Dial(c.addr, c.ConnectWithin, k)
+	call.conn = connection
+	transport, err := c.loop.Dial(c.addr, c.ConnectTimeoutSeconds, connection)
 	if err != nil {
-		if !k.stream {
-			c.open--
+		if !connection.streaming {
+			c.openConns--
 		}
 		call.conn = nil
 		// Later, so that no caller is called back before Do returns.
-		c.l.After(0, func() { call.finish(nil, nil, &ConnectError{err}) })
+		c.loop.After(0, func() { call.finish(nil, nil, &ConnectError{err}) })
 		return
 	}
-	k.lc = lc
+	connection.transport = transport
 }
 
-// forget takes a connection out of the idle ones.
-func (c *Client) forget(k *conn) {
-	if i := slices.Index(c.idle, k); i >= 0 {
+// removeIdle takes a connection out of the idle ones.
+func (c *Client) removeIdle(connection *conn) {
+	if i := slices.Index(c.idle, connection); i >= 0 {
 		c.idle = slices.Delete(c.idle, i, i+1)
 	}
 }
@@ -151,34 +151,34 @@
 func (call *Call) Cancel() { call.abort(ErrCancelled) }
 
 func (call *Call) abort(err error) {
-	if call.over {
+	if call.finished {
 		return
 	}
-	k := call.conn
-	if k == nil || !k.opened {
+	connection := call.conn
+	if connection == nil || !connection.connected {
 		err = &ConnectError{err} // never sent
 	}
 	call.finish(nil, nil, err)
-	if k != nil {
-		k.lc.Close()
+	if connection != nil {
+		connection.transport.Close()
 	}
 }
 
-func (call *Call) finish(h *http1.Head, body []byte, err error) {
-	if call.over {
+func (call *Call) finish(head *http1.Head, body []byte, err error) {
+	if call.finished {
 		return
 	}
-	call.over = true
+	call.finished = true
 	call.timer.Stop()
-	call.Done(h, body, err)
+	call.Done(head, body, err)
 }
 
 // Close drops idle connections and fails what waits.
 func (c *Client) Close() {
 	c.CloseIdle()
-	q := c.queue
-	c.queue = nil
-	for _, call := range q {
+	waiting := c.waiting
+	c.waiting = nil
+	for _, call := range waiting {
 		call.finish(nil, nil, &ConnectError{ErrCancelled})
 	}
 }
@@ -187,126 +187,126 @@
 func (c *Client) CloseIdle() {
 	idle := c.idle
 	c.idle = nil
-	for _, k := range idle {
-		k.lc.Close()
+	for _, connection := range idle {
+		connection.transport.Close()
 	}
 }
 
 type conn struct {
-	c      *Client
-	lc     *eventloop.Conn
-	dec    http1.Decoder
-	call   *Call
-	opened bool
-	stream bool
-	since  float64
+	client    *Client
+	transport *eventloop.Conn
+	decoder   http1.Decoder
+	call      *Call
+	connected bool
+	streaming bool
+	idleSince float64
 }
 
-func (k *conn) run(call *Call) {
-	call.conn, k.call = k, call
-	k.dec.NoBody = call.head
-	k.lc.Write(call.request)
+func (c *conn) send(call *Call) {
+	call.conn, c.call = c, call
+	c.decoder.NoBody = call.headRequest
+	c.transport.Write(call.request)
 }
 
-func (k *conn) Opened(lc *eventloop.Conn) {
-	k.lc, k.opened = lc, true
-	if k.call == nil || k.call.over {
-		lc.Close()
+func (c *conn) Opened(transport *eventloop.Conn) {
+	c.transport, c.connected = transport, true
+	if c.call == nil || c.call.finished {
+		transport.Close()
 		return
 	}
-	lc.Write(k.call.request)
+	transport.Write(c.call.request)
 }
 
-func (k *conn) Data(lc *eventloop.Conn, b []byte) int {
-	n := 0
+func (c *conn) Data(transport *eventloop.Conn, input []byte) int {
+	consumed := 0
 	for {
-		call := k.call
+		call := c.call
 		if call == nil {
-			lc.Close() // bytes that nobody asked for
-			return len(b)
+			transport.Close() // bytes that nobody asked for
+			return len(input)
 		}
-		m, kind, err := k.dec.Next(b[n:])
-		n += m
+		taken, kind, err := c.decoder.Next(input[consumed:])
+		consumed += taken
 		if err != nil {
-			call.finish(nil, nil, fmt.Errorf("%s: %w", k.c.addr, err))
-			lc.Close()
-			return len(b)
+			call.finish(nil, nil, fmt.Errorf("%s: %w", c.client.addr, err))
+			transport.Close()
+			return len(input)
 		}
 		switch kind {
-		case http1.More:
-			return n
-		case http1.HeadEnd:
-			if call.Started != nil && k.dec.Head.Status >= 200 {
-				call.Started(&k.dec.Head)
+		case http1.NeedMore:
+			return consumed
+		case http1.HeadComplete:
+			if call.Started != nil && c.decoder.Head.Status >= 200 {
+				call.Started(&c.decoder.Head)
 			}
-		case http1.Data:
-			if call.Data != nil && k.dec.Head.Status/100 == 2 {
-				call.Data(k.dec.Body)
+		case http1.BodyData:
+			if call.Data != nil && c.decoder.Head.Status/100 == 2 {
+				call.Data(c.decoder.Body)
 			} else {
-				call.body = append(call.body, k.dec.Body...)
+				call.body = append(call.body, c.decoder.Body...)
 			}
-		case http1.End:
-			if k.dec.Head.Status < 200 {
+		case http1.MessageComplete:
+			if c.decoder.Head.Status < 200 {
 				continue
 			}
-			k.call = nil
-			keep := !k.dec.Head.Close && !k.stream
-			call.finish(&k.dec.Head, call.body, nil)
-			if lc.Closed() {
-				return n
+			c.call = nil
+			keep := !c.decoder.Head.Close && !c.streaming
+			call.finish(&c.decoder.Head, call.body, nil)
+			if transport.Closed() {
+				return consumed
 			}
 			if !keep {
-				lc.Close()
-				return len(b)
+				transport.Close()
+				return len(input)
 			}
-			k.since = k.c.l.Now()
-			if len(k.c.queue) > 0 {
-				k.c.next(k)
+			c.idleSince = c.client.loop.Now()
+			if len(c.client.waiting) > 0 {
+				c.client.runNext(c)
 			} else {
-				k.c.idle = append(k.c.idle, k)
+				c.client.idle = append(c.client.idle, c)
 			}
 		}
-		if lc.Closed() {
-			return n
+		if transport.Closed() {
+			return consumed
 		}
 	}
 }
 
-// next gives a free connection to the first call that waits.
-func (c *Client) next(k *conn) {
-	for len(c.queue) > 0 {
-		call := c.queue[0]
-		c.queue = c.queue[1:]
-		if !call.over {
-			if k != nil {
-				k.run(call)
+// runNext gives a free connection to the first call that waits.
+func (c *Client) runNext(connection *conn) {
+	for len(c.waiting) > 0 {
+		call := c.waiting[0]
+		c.waiting = c.waiting[1:]
+		if !call.finished {
+			if connection != nil {
+				connection.send(call)
 			} else {
 				c.start(call)
 			}
 			return
 		}
 	}
-	if k != nil {
-		c.idle = append(c.idle, k)
+	if connection != nil {
+		c.idle = append(c.idle, connection)
 	}
 }
 
-func (k *conn) Drained(*eventloop.Conn) {}
+func (c *conn) Drained(*eventloop.Conn) {}
 
-func (k *conn) Closed(_ *eventloop.Conn, err error) {
-	if !k.stream {
-		k.c.open--
+func (c *conn) Closed(_ *eventloop.Conn, err error) {
+	if !c.streaming {
+		c.client.openConns--
 	}
-	k.c.forget(k)
-	if call := k.call; call != nil {
-		k.call = nil
-		if !k.opened {
+	c.client.removeIdle(c)
+	if call := c.call; call != nil {
+		c.call = nil
+		if !c.connected {
 			call.finish(nil, nil, &ConnectError{err})
-		} else if ok, eofErr := k.dec.EOF(0); ok && eofErr == nil && !call.over {
-			call.finish(&k.dec.Head, call.body, nil)
+		} else if ok, eofErr := c.decoder.EOF(0); ok && eofErr == nil && !call.finished {
+			call.finish(&c.decoder.Head, call.body, nil)
 		} else {
-			call.finish(nil, nil, fmt.Errorf("%s: connection broke: %w", k.c.addr, err))
+			call.finish(nil, nil, fmt.Errorf("%s: connection broke: %w", c.client.addr, err))
 		}
 	}
-	k.c.next(nil)
+	c.client.runNext(nil)
 }
--- a/internal/httpd/bench_test.go
+++ b/internal/httpd/bench_test.go
@@ -17,16 +17,16 @@
 	"heathshed/internal/http1"
 )
 
-var answer = []byte(`{"kind":"Status","status":"Success"}`)
+var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
 
-// ours and theirs serve the same answer.
-func ours(tb testing.TB) (addr string, stop func()) {
+// startHeathshed and theirs serve the same answer.
+func startHeathshed(tb testing.TB) (addr string, stop func()) {
 	l, err := eventloop.New()
 	if err != nil {
 		tb.Fatal(err)
 	}
 	s, err := Listen(l, "127.0.0.1:0", DefaultOptions(), func(x *Exchange) {
-		x.Respond(http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: answer})
+		x.Respond(http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: responseBody})
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -36,7 +36,7 @@
 	return s.Addr(), sync.OnceFunc(func() { l.Stop(); <-done })
 }
 
-func theirs(tb testing.TB) (addr string, stop func()) {
+func startNetHTTP(tb testing.TB) (addr string, stop func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -44,7 +44,7 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(answer)
+		w.Write(responseBody)
 	})}
 	go s.Serve(ln)
 	return ln.Addr().String(), func() { s.Close() }
@@ -54,7 +54,7 @@
 // client.
 func BenchmarkRequests(b *testing.B) {
 	for _, depth := range []int{1, 16} {
-		for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": ours, "net-http": theirs} {
+		for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
 			b.Run(fmt.Sprintf("pipeline=%d/%s", depth, name), func(b *testing.B) {
 				addr, stop := start(b)
 				defer stop()
@@ -80,7 +80,7 @@
 								return
 							}
 							for range depth {
-								if err := skip(r); err != nil {
+								if err := skipResponse(r); err != nil {
 									done <- err
 									return
 								}
@@ -99,15 +99,15 @@
 	}
 }
 
-// skip reads one answer without allocating, so that the client weighs the same on both.
-func skip(r *bufio.Reader) error {
+// skipResponse reads one answer without allocating, so that the client weighs the same on both.
+func skipResponse(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
 			return err
 		}
 		if len(line) == 2 {
-			_, err = r.Discard(len(answer))
+			_, err = r.Discard(len(responseBody))
 			return err
 		}
 	}
@@ -115,7 +115,7 @@
 
 // BenchmarkIdleConnections tells the memory that an idle connection holds, after one request on it.
 func BenchmarkIdleConnections(b *testing.B) {
-	for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": ours, "net-http": theirs} {
+	for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
 		b.Run(name, func(b *testing.B) {
 			addr, stop := start(b)
 			defer stop()
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -17,57 +17,57 @@
 
 // Options bound what a peer may do.
 type Options struct {
-	Limits      http1.Limits
-	HeadWithin  float64 // seconds from the first byte of a request to its last
-	IdleWithin  float64 // seconds between requests
-	StallWithin float64 // seconds that a peer may take nothing of what waits for it
-	HighWater   int     // bytes that may wait to be sent before a stream is no longer pulled, or the next request taken
-	Memory      int64   // bytes that all connections together may hold: see package budget
+	Limits                http1.Limits
+	RequestTimeoutSeconds float64 // seconds from the first byte of a request to its last
+	IdleTimeoutSeconds    float64 // seconds between requests
+	WriteTimeoutSeconds   float64 // seconds that a peer may take nothing of what waits for it
+	HighWaterMark         int     // bytes that may wait to be sent before a stream is no longer pulled, or the next request taken
+	MemoryBytes           int64   // bytes that all connections together may hold: see package budget
 }
 
 // DefaultOptions are those of the API server.
 func DefaultOptions() Options {
-	return Options{Limits: http1.DefaultLimits(), HeadWithin: 15, IdleWithin: 300, StallWithin: 30, HighWater: 256 << 10, Memory: 128 << 20}
+	return Options{Limits: http1.DefaultLimits(), RequestTimeoutSeconds: 15, IdleTimeoutSeconds: 300, WriteTimeoutSeconds: 30, HighWaterMark: 256 << 10, MemoryBytes: 128 << 20}
 }
 
 // Server is a set of connections that share a handler.
 type Server struct {
-	l        *eventloop.Loop
-	o        Options
-	handler  Handler
-	ln       *eventloop.Listener
-	conns    map[*conn]struct{}
-	streams  map[*conn]struct{}
-	draining bool
-	memory   *memquota.Budget
-	lastID   uint64
-	byID     map[uint64]*conn
-	cutting  bool
-	hungry   bool
+	loop          *eventloop.Loop
+	options       Options
+	handler       Handler
+	listener      *eventloop.Listener
+	conns         map[*conn]struct{}
+	streams       map[*conn]struct{}
+	draining      bool
+	memory        *memquota.Budget
+	lastConnID    uint64
+	connsByID     map[uint64]*conn
+	evicting      bool
+	pullScheduled bool
 
 	// Requests and BadRequests count for metrics.
 	Requests, BadRequests uint64
 }
 
 // Listen serves at an address.
-func Listen(l *eventloop.Loop, addr string, o Options, h Handler) (*Server, error) {
-	s := &Server{l: l, o: o, handler: h, conns: map[*conn]struct{}{}, streams: map[*conn]struct{}{}, byID: map[uint64]*conn{}}
-	if o.Memory <= 0 {
-		s.o.Memory = DefaultOptions().Memory
-	}
-	s.memory = memquota.New(s.o.Memory)
-	ln, err := l.Listen(addr, func(*eventloop.Conn) eventloop.Handler {
-		return &conn{s: s, dec: http1.Decoder{Limits: o.Limits}}
+func Listen(loop *eventloop.Loop, addr string, options Options, handler Handler) (*Server, error) {
+	s := &Server{loop: loop, options: options, handler: handler, conns: map[*conn]struct{}{}, streams: map[*conn]struct{}{}, connsByID: map[uint64]*conn{}}
+	if options.MemoryBytes <= 0 {
+		s.options.MemoryBytes = DefaultOptions().MemoryBytes
+	}
+	s.memory = memquota.New(s.options.MemoryBytes)
+	listener, err := loop.Listen(addr, func(*eventloop.Conn) eventloop.Handler {
+		return &conn{server: s, decoder: http1.Decoder{Limits: options.Limits}}
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.ln = ln
+	s.listener = listener
 	return s, nil
 }
 
 // Addr is the address served at.
-func (s *Server) Addr() string { return s.ln.Addr() }
+func (s *Server) Addr() string { return s.listener.Addr() }
 
 // Conns is the number of open connections, Streams that of those with an endless answer.
 func (s *Server) Conns() int { return len(s.conns) }
@@ -78,48 +78,48 @@
 // Memory is what connections share, to be read between events.
 func (s *Server) Memory() *memquota.Budget { return s.memory }
 
-// held tells the budget what a connection holds, and cuts off whom the budget names.
-func (c *conn) held() {
-	s := c.s
-	if c.lc.Closed() {
+// updateMemory tells the budget what a connection holds, and cuts off whom the budget names.
+func (c *conn) updateMemory() {
+	s := c.server
+	if c.transport.Closed() {
 		return
 	}
-	s.memory.Hold(s.l.Now(), c.id, int64(c.lc.Held()+cap(c.ex.body)))
-	if s.cutting {
+	s.memory.SetUsed(s.loop.Now(), c.id, int64(c.transport.BufferMemory()+cap(c.exchangeStorage.body)))
+	if s.evicting {
 		return
 	}
-	s.cutting = true
-	for id, over := s.memory.Over(); over; id, over = s.memory.Over() {
-		s.byID[id].lc.Close()
+	s.evicting = true
+	for id, over := s.memory.OverQuota(); over; id, over = s.memory.OverQuota() {
+		s.connsByID[id].transport.Close()
 	}
-	s.cutting = false
+	s.evicting = false
 }
 
-// Kick pulls every stream whose peer keeps up. Call it when something has happened that streams tell of.
-func (s *Server) Kick() {
+// PullStreams pulls every stream whose peer keeps up. Call it when something has happened that streams tell of.
+func (s *Server) PullStreams() {
 	for c := range s.streams {
-		c.pull()
+		c.pullStream()
 		// With thousands of streams, what all are told in one turn would be more than there is room for.
-		c.lc.Flush()
-		c.held()
+		c.transport.Flush()
+		c.updateMemory()
 	}
 }
 
-// later has streams that found no room pulled again soon.
-func (s *Server) later() {
-	if !s.hungry {
-		s.hungry = true
-		s.l.After(0.01, func() { s.hungry = false; s.Kick() })
+// schedulePull has streams that found no room pulled again soon.
+func (s *Server) schedulePull() {
+	if !s.pullScheduled {
+		s.pullScheduled = true
+		s.loop.After(0.01, func() { s.pullScheduled = false; s.PullStreams() })
 	}
 }
 
 // Drain stops accepting and ends each connection after its present answer; done is called when none is left.
 func (s *Server) Drain(done func()) {
 	s.draining = true
-	s.ln.Close()
+	s.listener.Close()
 	for c := range s.conns {
-		if c.x == nil {
-			c.lc.CloseAfterFlush()
+		if c.exchange == nil {
+			c.transport.CloseAfterFlush()
 		}
 	}
 	var wait func()
@@ -128,355 +128,357 @@
 			done()
 			return
 		}
-		s.l.After(0.02, wait)
+		s.loop.After(0.02, wait)
 	}
 	wait()
 }
 
 // Close ends all at once.
 func (s *Server) Close() {
-	s.ln.Close()
+	s.listener.Close()
 	s.CloseConns()
 }
 
 // conn is one connection; it answers one request at a time, in order.
 type conn struct {
-	s     *Server
-	id    uint64
-	lc    *eventloop.Conn
-	dec   http1.Decoder
-	x     *Exchange // the request being read or answered
-	ex    Exchange  // reused
-	begun float64   // first byte of the request being read; 0 between requests
-	moved float64   // last time that the peer took or sent something
-	timer *eventloop.Timer
-	last  bool // no request after this one
+	server             *Server
+	id                 uint64
+	transport          *eventloop.Conn
+	decoder            http1.Decoder
+	exchange           *Exchange // the request being read or answered
+	exchangeStorage    Exchange  // reused
+	requestStartedAt   float64   // first byte of the request being read; 0 between requests
+	lastProgressAt     float64   // last time that the peer took or sent something
+	timer              *eventloop.Timer
+	closeAfterResponse bool // no request after this one
 }
 
 // Exchange is one request and its answer.
 type Exchange struct {
 	http1.Request
 	// OnGone, if set, is called when the peer goes away before the answer.
-	OnGone func()
+	OnDisconnect func()
 
-	c      *conn
-	body   []byte
-	asked  bool // handed to the handler
-	done   bool
-	stream http1.Stream
+	conn       *conn
+	body       []byte
+	dispatched bool // handed to the handler
+	finished   bool
+	stream     http1.Stream
 }
 
-func (c *conn) Opened(lc *eventloop.Conn) {
-	c.lc, c.moved = lc, lc.Loop().Now()
-	lc.MaxIn = c.s.o.Limits.Head + 64<<10
-	c.s.conns[c] = struct{}{}
-	c.s.lastID++
-	c.id = c.s.lastID
-	c.s.byID[c.id] = c
-	c.s.memory.Join(c.moved, c.id)
-	c.arm()
+func (c *conn) Opened(transport *eventloop.Conn) {
+	c.transport, c.lastProgressAt = transport, transport.Loop().Now()
+	transport.MaxInput = c.server.options.Limits.Head + 64<<10
+	c.server.conns[c] = struct{}{}
+	c.server.lastConnID++
+	c.id = c.server.lastConnID
+	c.server.connsByID[c.id] = c
+	c.server.memory.Add(c.lastProgressAt, c.id)
+	c.armTimer()
 }
 
-// within sees to it that the timer fires within so many seconds, for a time-out shorter than that of an idle connection.
-func (c *conn) within(d float64) {
-	if c.timer.Due() > c.s.l.Now()+d {
+// shortenTimer sees to it that the timer fires within so many seconds, for a time-out shorter than that of an idle connection.
+func (c *conn) shortenTimer(seconds float64) {
+	if c.timer.Due() > c.server.loop.Now()+seconds {
 		c.timer.Stop()
-		c.arm()
+		c.armTimer()
 	}
 }
 
-// arm sees to the time-outs with one timer a connection, that is set anew when it fires, or by within.
-func (c *conn) arm() {
-	l, o := c.s.l, &c.s.o
-	at := c.moved + o.IdleWithin
+// armTimer sees to the time-outs with one timer a connection, that is set anew when it fires, or by within.
+func (c *conn) armTimer() {
+	loop, options := c.server.loop, &c.server.options
+	at := c.lastProgressAt + options.IdleTimeoutSeconds
 	switch {
-	case c.begun > 0:
-		at = c.begun + o.HeadWithin
-	case c.lc.Buffered() > 0:
-		at = c.moved + o.StallWithin
-	case c.x != nil:
-		at = l.Now() + o.StallWithin
-	}
-	c.timer = l.At(max(at, l.Now()+0.05), func() {
-		now := l.Now()
+	case c.requestStartedAt > 0:
+		at = c.requestStartedAt + options.RequestTimeoutSeconds
+	case c.transport.Buffered() > 0:
+		at = c.lastProgressAt + options.WriteTimeoutSeconds
+	case c.exchange != nil:
+		at = loop.Now() + options.WriteTimeoutSeconds
+	}
+	c.timer = loop.At(max(at, loop.Now()+0.05), func() {
+		now := loop.Now()
 		switch {
-		case c.begun > 0 && now >= c.begun+o.HeadWithin:
-			c.refuse(&http1.Error{Status: 408, Reason: "request took too long"})
-		case c.lc.Buffered() > 0 && now >= c.moved+o.StallWithin:
-			c.lc.Close()
-		case c.x == nil && c.begun == 0 && c.lc.Buffered() == 0 && now >= c.moved+o.IdleWithin:
-			c.lc.CloseAfterFlush()
+		case c.requestStartedAt > 0 && now >= c.requestStartedAt+options.RequestTimeoutSeconds:
+			c.rejectRequest(&http1.Error{Status: 408, Reason: "request took too long"})
+		case c.transport.Buffered() > 0 && now >= c.lastProgressAt+options.WriteTimeoutSeconds:
+			c.transport.Close()
+		case c.exchange == nil && c.requestStartedAt == 0 && c.transport.Buffered() == 0 && now >= c.lastProgressAt+options.IdleTimeoutSeconds:
+			c.transport.CloseAfterFlush()
 		}
-		if !c.lc.Closed() {
-			c.arm()
+		if !c.transport.Closed() {
+			c.armTimer()
 		}
 	})
 }
 
-func (c *conn) Data(lc *eventloop.Conn, b []byte) int {
-	n := c.take(lc, b)
-	if !lc.Closed() {
-		c.held()
+func (c *conn) Data(transport *eventloop.Conn, b []byte) int {
+	n := c.consume(transport, b)
+	if !transport.Closed() {
+		c.updateMemory()
 	}
 	return n
 }
 
-func (c *conn) take(lc *eventloop.Conn, b []byte) int {
-	n := 0
-	for !c.last && (c.x == nil || !c.x.asked) {
-		if c.x == nil && c.begun == 0 && lc.Buffered() > c.s.o.HighWater {
+func (c *conn) consume(transport *eventloop.Conn, input []byte) int {
+	consumed := 0
+	for !c.closeAfterResponse && (c.exchange == nil || !c.exchange.dispatched) {
+		if c.exchange == nil && c.requestStartedAt == 0 && transport.Buffered() > c.server.options.HighWaterMark {
 			// It asks faster than it reads the answers: the next request waits until these have gone.
-			lc.PauseRead(true)
-			return n
+			transport.PauseRead(true)
+			return consumed
 		}
-		if c.begun == 0 {
-			if len(b) == n {
+		if c.requestStartedAt == 0 {
+			if len(input) == consumed {
 				break
 			}
-			c.begun = c.s.l.Now()
+			c.requestStartedAt = c.server.loop.Now()
 		}
-		m, k, err := c.dec.Next(b[n:])
-		n += m
+		taken, kind, err := c.decoder.Next(input[consumed:])
+		consumed += taken
 		if err != nil {
-			c.refuse(err)
-			return len(b)
+			c.rejectRequest(err)
+			return len(input)
 		}
-		switch k {
-		case http1.More:
-			c.within(c.s.o.HeadWithin)
-			return n
-		case http1.HeadEnd:
-			c.ex = Exchange{c: c, body: c.ex.body[:0]}
-			c.x = &c.ex
-			c.x.Head, c.x.Peer = &c.dec.Head, lc.Peer()
-			if c.dec.Head.Expect {
-				lc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		switch kind {
+		case http1.NeedMore:
+			c.shortenTimer(c.server.options.RequestTimeoutSeconds)
+			return consumed
+		case http1.HeadComplete:
+			c.exchangeStorage = Exchange{conn: c, body: c.exchangeStorage.body[:0]}
+			c.exchange = &c.exchangeStorage
+			c.exchange.Head, c.exchange.Peer = &c.decoder.Head, transport.Peer()
+			if c.decoder.Head.Expect {
+				transport.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
-		case http1.Data:
-			c.x.body = append(c.x.body, c.dec.Body...)
-		case http1.End:
-			c.begun, c.moved = 0, c.s.l.Now()
-			c.x.Body, c.x.asked = c.x.body, true
-			c.last = c.dec.Head.Close
-			c.s.Requests++
-			c.s.handler(c.x)
-			if lc.Closed() {
-				return n
+		case http1.BodyData:
+			c.exchange.body = append(c.exchange.body, c.decoder.Body...)
+		case http1.MessageComplete:
+			c.requestStartedAt, c.lastProgressAt = 0, c.server.loop.Now()
+			c.exchange.Body, c.exchange.dispatched = c.exchange.body, true
+			c.closeAfterResponse = c.decoder.Head.Close
+			c.server.Requests++
+			c.server.handler(c.exchange)
+			if transport.Closed() {
+				return consumed
 			}
 		}
 	}
-	if c.last && c.x == nil {
-		return len(b)
+	if c.closeAfterResponse && c.exchange == nil {
+		return len(input)
 	}
-	if c.x != nil && c.x.asked && len(b)-n > lc.MaxIn/2 {
-		lc.PauseRead(true)
+	if c.exchange != nil && c.exchange.dispatched && len(input)-consumed > transport.MaxInput/2 {
+		transport.PauseRead(true)
 	}
-	return n
+	return consumed
 }
 
-// refuse answers what cannot be taken and closes.
-func (c *conn) refuse(err error) {
-	c.s.BadRequests++
+// rejectRequest answers what cannot be taken and closes.
+func (c *conn) rejectRequest(err error) {
+	c.server.BadRequests++
 	status := 400
-	var e *http1.Error
-	if errors.As(err, &e) {
-		status = e.Status
+	var httpErr *http1.Error
+	if errors.As(err, &httpErr) {
+		status = httpErr.Status
 	}
-	c.last, c.begun = true, 0
-	if c.x != nil && c.x.asked {
-		c.lc.Close()
+	c.closeAfterResponse, c.requestStartedAt = true, 0
+	if c.exchange != nil && c.exchange.dispatched {
+		c.transport.Close()
 		return
 	}
 	body := []byte(err.Error() + "\n")
-	out := http1.AppendStatus(c.lc.Out(), status)
+	out := http1.AppendStatus(c.transport.OutputBuffer(), status)
 	out = http1.AppendField(out, "Content-Type", "text/plain; charset=utf-8")
 	out = http1.AppendLength(out, len(body))
 	out = append(out, "Connection: close\r\n\r\n"...)
-	c.lc.SetOut(append(out, body...))
-	c.x = nil
-	c.lc.CloseAfterFlush()
+	c.transport.CommitOutput(append(out, body...))
+	c.exchange = nil
+	c.transport.CloseAfterFlush()
 }
 
-// Gone says whether the peer went away, so that an answer is of no use.
-func (x *Exchange) Gone() bool { return x.done || x.c.lc.Closed() || x.c.x != x }
+// Finished says whether the peer went away, so that an answer is of no use.
+func (e *Exchange) Finished() bool {
+	return e.finished || e.conn.transport.Closed() || e.conn.exchange != e
+}
 
 // Reset breaks the connection without an answer; stand-ins use it to be faulty.
-func (x *Exchange) Reset() {
-	if !x.Gone() {
-		x.c.lc.Close()
+func (e *Exchange) Reset() {
+	if !e.Finished() {
+		e.conn.transport.Close()
 	}
 }
 
 // Respond sends the answer. It may be called once, from the handler or later.
-func (x *Exchange) Respond(r http1.Response) {
-	c := x.c
-	if x.Gone() {
-		if r.Stream != nil {
-			r.Stream.Stopped()
+func (e *Exchange) Respond(response http1.Response) {
+	c := e.conn
+	if e.Finished() {
+		if response.Stream != nil {
+			response.Stream.Close()
 		}
 		return
 	}
-	x.done = true
-	if c.s.draining {
-		c.last = true
+	e.finished = true
+	if c.server.draining {
+		c.closeAfterResponse = true
 	}
-	out := http1.AppendStatus(c.lc.Out(), r.Status)
-	for i := range r.Header {
-		out = http1.AppendField(out, r.Header[i].Name, r.Header[i].Value)
+	out := http1.AppendStatus(c.transport.OutputBuffer(), response.Status)
+	for i := range response.Header {
+		out = http1.AppendField(out, response.Header[i].Name, response.Header[i].Value)
 	}
-	if r.Stream != nil && x.Head.Minor == 0 {
-		c.last = true // HTTP/1.0 knows no chunks: the body ends with the connection
+	if response.Stream != nil && e.Head.Minor == 0 {
+		c.closeAfterResponse = true // HTTP/1.0 knows no chunks: the body ends with the connection
 	}
-	if c.last {
+	if c.closeAfterResponse {
 		out = append(out, "Connection: close\r\n"...)
 	}
-	if r.Stream != nil {
-		if x.Head.Minor > 0 {
+	if response.Stream != nil {
+		if e.Head.Minor > 0 {
 			out = append(out, "Transfer-Encoding: chunked\r\n"...)
 		}
-		c.lc.SetOut(append(out, "\r\n"...))
-		if x.Head.Method == "HEAD" {
-			r.Stream.Stopped()
-			c.next()
+		c.transport.CommitOutput(append(out, "\r\n"...))
+		if e.Head.Method == "HEAD" {
+			response.Stream.Close()
+			c.nextRequest()
 			return
 		}
-		x.stream = r.Stream
-		c.s.streams[c] = struct{}{}
-		c.within(c.s.o.StallWithin)
-		c.pull()
+		e.stream = response.Stream
+		c.server.streams[c] = struct{}{}
+		c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+		c.pullStream()
 		return
 	}
-	if r.Status != 204 && r.Status != 304 && r.Status >= 200 {
-		out = http1.AppendLength(out, len(r.Body))
+	if response.Status != 204 && response.Status != 304 && response.Status >= 200 {
+		out = http1.AppendLength(out, len(response.Body))
 	}
 	out = append(out, "\r\n"...)
-	if x.Head.Method != "HEAD" {
-		out = append(out, r.Body...)
+	if e.Head.Method != "HEAD" {
+		out = append(out, response.Body...)
 	}
-	c.lc.SetOut(out)
-	c.within(c.s.o.StallWithin)
-	c.held()
-	if !c.lc.Closed() {
-		c.next()
+	c.transport.CommitOutput(out)
+	c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+	c.updateMemory()
+	if !c.transport.Closed() {
+		c.nextRequest()
 	}
 }
 
-// next makes the connection ready for another request.
-func (c *conn) next() {
-	c.x = nil
-	c.moved = c.s.l.Now()
-	if c.last {
-		c.lc.CloseAfterFlush()
+// nextRequest makes the connection ready for another request.
+func (c *conn) nextRequest() {
+	c.exchange = nil
+	c.lastProgressAt = c.server.loop.Now()
+	if c.closeAfterResponse {
+		c.transport.CloseAfterFlush()
 		return
 	}
-	if cap(c.ex.body) > 4<<10 {
-		c.ex.body = nil
+	if cap(c.exchangeStorage.body) > 4<<10 {
+		c.exchangeStorage.body = nil
 	}
-	if c.lc.Buffered() <= c.s.o.HighWater {
-		c.lc.PauseRead(false)
+	if c.transport.Buffered() <= c.server.options.HighWaterMark {
+		c.transport.PauseRead(false)
 	}
-	c.lc.Redeliver()
+	c.transport.Redeliver()
 }
 
-// pull has the stream of the present answer write what it may.
-func (c *conn) pull() {
-	x := c.x
-	if x == nil || x.stream == nil {
+// pullStream has the stream of the present answer write what it may.
+func (c *conn) pullStream() {
+	exchange := c.exchange
+	if exchange == nil || exchange.stream == nil {
 		return
 	}
 	// What goes out at the end of this turn counts until then.
-	for c.lc.Buffered() < c.s.o.HighWater && x.stream != nil && !c.lc.Closed() {
-		room := min(c.s.o.HighWater-c.lc.Buffered(), int(c.s.memory.Room(c.id)))
+	for c.transport.Buffered() < c.server.options.HighWaterMark && exchange.stream != nil && !c.transport.Closed() {
+		room := min(c.server.options.HighWaterMark-c.transport.Buffered(), int(c.server.memory.Available(c.id)))
 		if room <= 0 {
-			if c.lc.Buffered() == 0 {
-				c.s.later()
+			if c.transport.Buffered() == 0 {
+				c.server.schedulePull()
 			}
 			return
 		}
-		if !c.pullOnce(x, room) {
-			c.held()
+		if !c.pullChunk(exchange, room) {
+			c.updateMemory()
 			return
 		}
-		c.held()
+		c.updateMemory()
 	}
 }
 
-// pullOnce pulls once, and says whether there may be more.
-func (c *conn) pullOnce(x *Exchange, room int) bool {
-	out := c.lc.Out()
+// pullChunk pulls once, and says whether there may be more.
+func (c *conn) pullChunk(exchange *Exchange, room int) bool {
+	out := c.transport.OutputBuffer()
 	before := len(out)
-	chunked := x.Head.Minor > 0
+	chunked := exchange.Head.Minor > 0
 	if chunked {
 		// The chunk's size stands before its data: leave room for eight digits.
 		out = append(out, "00000000\r\n"...)
 	}
 	start := len(out)
-	out, done := x.stream.Pull(out, room)
+	out, done := exchange.stream.Pull(out, room)
 	size := len(out) - start
 	switch {
 	case size == 0:
 		// Nothing came: take the size line back without waking the writer.
-		c.lc.Untouched(out[:before])
+		c.transport.DiscardOutput(out[:before])
 	case chunked:
 		const hex = "0123456789abcdef"
 		for i, v := 7, size; i >= 0; i, v = i-1, v>>4 {
 			out[before+i] = hex[v&15]
 		}
-		c.lc.SetOut(append(out, "\r\n"...))
+		c.transport.CommitOutput(append(out, "\r\n"...))
 	default:
-		c.lc.SetOut(out)
+		c.transport.CommitOutput(out)
 	}
 	if !done {
 		return size > 0
 	}
-	if b, ok := x.stream.(interface{ Broken() bool }); ok && b.Broken() {
-		c.lc.Close() // it must not look whole
+	if b, ok := exchange.stream.(interface{ Broken() bool }); ok && b.Broken() {
+		c.transport.Close() // it must not look whole
 		return false
 	}
 	if chunked {
-		c.lc.Write([]byte(http1.LastChunk))
+		c.transport.Write([]byte(http1.LastChunk))
 	}
 	c.endStream()
 	return false
 }
 
 func (c *conn) endStream() {
-	x := c.x
-	delete(c.s.streams, c)
-	x.stream.Stopped()
-	x.stream = nil
-	c.next()
+	exchange := c.exchange
+	delete(c.server.streams, c)
+	exchange.stream.Close()
+	exchange.stream = nil
+	c.nextRequest()
 }
 
 func (c *conn) Drained(*eventloop.Conn) {
-	c.moved = c.s.l.Now()
-	c.pull()
-	if c.x == nil && !c.last && !c.lc.Closed() {
-		c.lc.PauseRead(false)
+	c.lastProgressAt = c.server.loop.Now()
+	c.pullStream()
+	if c.exchange == nil && !c.closeAfterResponse && !c.transport.Closed() {
+		c.transport.PauseRead(false)
 	}
-	c.held()
+	c.updateMemory()
 }
 
 func (c *conn) Closed(*eventloop.Conn, error) {
 	c.timer.Stop()
-	c.s.memory.Leave(c.id)
-	delete(c.s.byID, c.id)
-	delete(c.s.conns, c)
-	delete(c.s.streams, c)
-	if c.x != nil && c.x.stream != nil {
-		c.x.stream.Stopped()
-		c.x.stream = nil
-	}
-	if x := c.x; x != nil && x.asked && !x.done && x.OnGone != nil {
-		x.done = true
-		x.OnGone()
-	}
-	c.x = nil
+	c.server.memory.Remove(c.id)
+	delete(c.server.connsByID, c.id)
+	delete(c.server.conns, c)
+	delete(c.server.streams, c)
+	if c.exchange != nil && c.exchange.stream != nil {
+		c.exchange.stream.Close()
+		c.exchange.stream = nil
+	}
+	if exchange := c.exchange; exchange != nil && exchange.dispatched && !exchange.finished && exchange.OnDisconnect != nil {
+		exchange.finished = true
+		exchange.OnDisconnect()
+	}
+	c.exchange = nil
 }
 
 // CloseConns breaks every open connection; the server goes on.
 func (s *Server) CloseConns() {
 	for c := range s.conns {
-		c.lc.Close()
+		c.transport.Close()
 	}
 }
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -19,8 +19,8 @@
 	"heathshed/internal/http1"
 )
 
-// serve runs a server whose answers tell the request; the path says what else it does.
-func serve(t *testing.T, o Options) (*eventloop.Loop, *Server, chan string) {
+// startServer runs a server whose answers tell the request; the path says what else it does.
+func startServer(t *testing.T, o Options) (*eventloop.Loop, *Server, chan string) {
 	t.Helper()
 	l, err := eventloop.New()
 	if err != nil {
@@ -33,9 +33,9 @@
 		case "/later":
 			l.After(0.01, func() { x.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
 		case "/never":
-			x.OnGone = func() { gone <- target }
+			x.OnDisconnect = func() { gone <- target }
 		case "/stream":
-			x.Respond(http1.Response{Status: 200, Stream: &count{n: 1000}})
+			x.Respond(http1.Response{Status: 200, Stream: &numberStream{end: 1000}})
 		default:
 			x.Respond(http1.Response{Status: 200, Body: fmt.Appendf(nil, "%s %s %s", x.Head.Method, target, x.Body)})
 		}
@@ -49,21 +49,21 @@
 	return l, s, gone
 }
 
-// count is a stream of numbers, one a line.
-type count struct{ at, n int }
+// numberStream is a stream of numbers, one a line.
+type numberStream struct{ next, end int }
 
-func (c *count) Pull(b []byte, room int) ([]byte, bool) {
-	for limit := len(b) + room; c.at < c.n && len(b) < limit; c.at++ {
-		b = fmt.Appendln(b, c.at)
+func (c *numberStream) Pull(b []byte, room int) ([]byte, bool) {
+	for limit := len(b) + room; c.next < c.end && len(b) < limit; c.next++ {
+		b = fmt.Appendln(b, c.next)
 	}
-	return b, c.at == c.n
+	return b, c.next == c.end
 }
-func (c *count) Stopped() {}
+func (c *numberStream) Close() {}
 
 func TestAgainstNetHTTPClient(t *testing.T) {
 	o := DefaultOptions()
 	o.Limits.Body = 100
-	_, s, _ := serve(t, o)
+	_, s, _ := startServer(t, o)
 	base := "http://" + s.Addr()
 	for _, c := range []struct {
 		method, path, body string
@@ -116,8 +116,8 @@
 // the end of the connection.
 func TestTimeoutsAndEnds(t *testing.T) {
 	o := DefaultOptions()
-	o.HeadWithin = 0.1
-	_, s, gone := serve(t, o)
+	o.RequestTimeoutSeconds = 0.1
+	_, s, gone := startServer(t, o)
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 
 // With no descriptor left a connection is closed rather than left to spin on; those that are open go on.
 func TestNoDescriptorsLeft(t *testing.T) {
-	l, s, _ := serve(t, DefaultOptions())
+	l, s, _ := startServer(t, DefaultOptions())
 	open, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/memquota/characterization_test.go
+++ b/internal/memquota/characterization_test.go
@@ -43,7 +43,7 @@
 // TestCharacterization compares shares, rooms and who is cut off over seeded inputs with the golden file. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
 // file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
-	lines := []string{fmt.Sprint("bounds ", memquota.Floor, " ", memquota.Least)}
+	lines := []string{fmt.Sprint("bounds ", memquota.MinAllowance, " ", memquota.MinMemory)}
 	for _, memory := range []int64{-1, 0, 1, 64<<20 - 1, 64 << 20, 64<<20 + 7, 100_000_001, 1 << 30, 3<<30 + 5, 1 << 40} {
 		s := memquota.Divide(memory)
 		lines = append(lines, fmt.Sprint("shares ", memory, " ", s.Connections, " ", s.History, " ", s.Objects))
@@ -61,7 +61,7 @@
 
 func playBudget(total int64, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, uint64(total)))
-	b := memquota.New(total)
+	budget := memquota.New(total)
 	var text strings.Builder
 	now := 0.0
 	for range 300 {
@@ -69,20 +69,20 @@
 		now += float64(random.IntN(2))
 		switch random.IntN(8) {
 		case 0, 1:
-			b.Leave(id) // a user joins once
-			b.Join(now, id)
+			budget.Remove(id) // a user joins once
+			budget.Add(now, id)
 		case 2:
-			b.Leave(id)
+			budget.Remove(id)
 		case 3:
-			over, is := b.Over()
+			over, is := budget.OverQuota()
 			fmt.Fprint(&text, over, is, " ")
 			if is {
-				b.Leave(over)
+				budget.Remove(over)
 			}
 		default:
-			b.Hold(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[random.IntN(7)])
+			budget.SetUsed(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[random.IntN(7)])
 		}
-		fmt.Fprint(&text, b.Held(), b.Total(), b.Users(), b.Cut, b.Room(id), b.Room(id+1), " ")
+		fmt.Fprint(&text, budget.Used(), budget.Total(), budget.Users(), budget.Evicted, budget.Available(id), budget.Available(id+1), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text.String())))
 }
@@ -93,7 +93,7 @@
 	for range 300 {
 		var all []memquota.Candidate
 		for range random.IntN(8) {
-			all = append(all, memquota.Candidate{Busy: random.IntN(3) == 0, Proven: random.IntN(2) == 0, Idle: float64(random.IntN(4))})
+			all = append(all, memquota.Candidate{Busy: random.IntN(3) == 0, Established: random.IntN(2) == 0, IdleSeconds: float64(random.IntN(4))})
 		}
 		fmt.Fprint(&text, memquota.SelectEviction(all), " ")
 	}
--- a/internal/memquota/memquota.go
+++ b/internal/memquota/memquota.go
@@ -19,12 +19,12 @@
 	Objects     int64 // jobs, tasks and machines, with their encodings
 }
 
-// Least is the smallest memory that can be divided.
-const Least = 64 << 20
+// MinMemory is the smallest memory that can be divided.
+const MinMemory = 64 << 20
 
 // Divide splits memory into shares whose sum never exceeds it.
 func Divide(memory int64) Shares {
-	memory = max(memory, Least)
+	memory = max(memory, MinMemory)
 	s := Shares{Connections: memory / 16, History: memory / 8}
 	s.Objects = memory - s.Connections - s.History - memory/4 // a quarter is left to what has no share of its own
 	return s
@@ -32,26 +32,28 @@
 
 // Budget is memory shared by connections. The zero value is not usable; see New.
 type Budget struct {
-	total, held int64
+	total, used int64
 	users       map[uint64]*user
 
-	// Cut counts users that were cut off.
-	Cut uint64
+	// Evicted counts users that were cut off.
+	Evicted uint64
 }
 
 type user struct {
-	held  int64
-	moved float64 // when it last held less than before, or joined
+	used         int64
+	lastShrunkAt float64 // when it last held less than before, or joined
 }
 
-// Floor is what a user that holds nothing may always take, so that one small event or answer never waits for others.
-const Floor = 4 << 10
+// MinAllowance is what a user that holds nothing may always take, so that one small event or answer never waits for others.
+const MinAllowance = 4 << 10
 
 // New makes a budget of so many bytes.
-func New(total int64) *Budget { return &Budget{total: max(total, Floor), users: map[uint64]*user{}} }
+func New(total int64) *Budget {
+	return &Budget{total: max(total, MinAllowance), users: map[uint64]*user{}}
+}
 
-// Held is what all users hold, Total what they may; Users is how many there are.
-func (b *Budget) Held() int64 { return b.held }
+// Used is what all users hold, Total what they may; Users is how many there are.
+func (b *Budget) Used() int64 { return b.used }
 
 // Total is what all users together may hold.
 func (b *Budget) Total() int64 { return b.total }
@@ -59,61 +61,61 @@
 // Users is the number of users.
 func (b *Budget) Users() int { return len(b.users) }
 
-// Join adds a user that holds nothing.
-func (b *Budget) Join(now float64, id uint64) { b.users[id] = &user{moved: now} }
+// Add adds a user that holds nothing.
+func (b *Budget) Add(now float64, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
 
-// Leave takes a user away with all that it holds.
-func (b *Budget) Leave(id uint64) {
-	if u := b.users[id]; u != nil {
-		b.held -= u.held
+// Remove takes a user away with all that it holds.
+func (b *Budget) Remove(id uint64) {
+	if holder := b.users[id]; holder != nil {
+		b.used -= holder.used
 		delete(b.users, id)
 	}
 }
 
-// Room is how many more bytes a user may take on of its own accord.
-func (b *Budget) Room(id uint64) int64 {
-	u := b.users[id]
-	if u == nil {
+// Available is how many more bytes a user may take on of its own accord.
+func (b *Budget) Available(id uint64) int64 {
+	holder := b.users[id]
+	if holder == nil {
 		return 0
 	}
-	room := b.total - b.held - u.held
-	if u.held == 0 {
-		room = max(room, min(Floor, b.total))
+	available := b.total - b.used - holder.used
+	if holder.used == 0 {
+		available = max(available, min(MinAllowance, b.total))
 	}
-	return max(room, 0)
+	return max(available, 0)
 }
 
-// Hold tells what a user holds now.
-func (b *Budget) Hold(now float64, id uint64, bytes int64) {
-	u := b.users[id]
-	if u == nil {
+// SetUsed tells what a user holds now.
+func (b *Budget) SetUsed(now float64, id uint64, used int64) {
+	holder := b.users[id]
+	if holder == nil {
 		return
 	}
-	if bytes < u.held {
-		u.moved = now
+	if used < holder.used {
+		holder.lastShrunkAt = now
 	}
-	b.held += bytes - u.held
-	u.held = bytes
+	b.used += used - holder.used
+	holder.used = used
 }
 
-// Over returns a user that must be cut off because more is held than there is, and false if all fits. The caller has it leave and asks
+// OverQuota returns a user that must be cut off because more is held than there is, and false if all fits. The caller has it leave and asks
 // again.
-func (b *Budget) Over() (id uint64, over bool) {
-	if b.held <= b.total {
+func (b *Budget) OverQuota() (id uint64, over bool) {
+	if b.used <= b.total {
 		return 0, false
 	}
-	var most int64
-	for _, u := range b.users {
-		most = max(most, u.held)
+	var largest int64
+	for _, holder := range b.users {
+		largest = max(largest, holder.used)
 	}
 	oldest := math.Inf(1)
-	for i, u := range b.users {
-		if u.held > most/2 && (u.moved < oldest || u.moved == oldest && i < id) {
-			id, oldest, over = i, u.moved, true
+	for candidate, holder := range b.users {
+		if holder.used > largest/2 && (holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id) {
+			id, oldest, over = candidate, holder.lastShrunkAt, true
 		}
 	}
 	if over {
-		b.Cut++
+		b.Evicted++
 	}
 	return id, over
 }
--- a/internal/memquota/memquota_test.go
+++ b/internal/memquota/memquota_test.go
@@ -14,95 +14,95 @@
 // gone, nobody goes because of one smaller than half of it, one that holds nothing has room, and all is free when all have left.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		total := rapid.Int64Range(Floor, 1<<20).Draw(t, "total")
-		b := New(total)
-		held := map[uint64]int64{}
+		total := rapid.Int64Range(MinAllowance, 1<<20).Draw(t, "total")
+		budget := New(total)
+		used := map[uint64]int64{}
 		now, next := 0.0, uint64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
 			now += rapid.Float64Range(0, 1).Draw(t, "dt")
-			if len(held) == 0 || rapid.IntRange(0, 3).Draw(t, "join") == 0 {
+			if len(used) == 0 || rapid.IntRange(0, 3).Draw(t, "join") == 0 {
 				next++
-				b.Join(now, next)
-				held[next] = 0
+				budget.Add(now, next)
+				used[next] = 0
 				continue
 			}
 			id := uint64(rapid.IntRange(1, int(next)).Draw(t, "who"))
-			was, ok := held[id]
+			was, ok := used[id]
 			if !ok {
-				if b.Room(id) != 0 {
+				if budget.Available(id) != 0 {
 					t.Fatal("room for one that left")
 				}
 				continue
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // it takes what it may
-				room := b.Room(id)
-				if was == 0 && room < min(Floor, total) {
-					t.Fatalf("no room for one that holds nothing: %d", room)
+				available := budget.Available(id)
+				if was == 0 && available < min(MinAllowance, total) {
+					t.Fatalf("no room for one that holds nothing: %d", available)
 				}
-				before := b.Held()
-				b.Hold(now, id, was+room)
-				held[id] = was + room
-				if was > 0 && before <= total && b.Held() > total {
-					t.Fatalf("granted %d of %d", b.Held(), total)
+				before := budget.Used()
+				budget.SetUsed(now, id, was+available)
+				used[id] = was + available
+				if was > 0 && before <= total && budget.Used() > total {
+					t.Fatalf("granted %d of %d", budget.Used(), total)
 				}
 			case 1: // it takes more
-				held[id] = was + rapid.Int64Range(0, total).Draw(t, "bytes")
-				b.Hold(now, id, held[id])
+				used[id] = was + rapid.Int64Range(0, total).Draw(t, "bytes")
+				budget.SetUsed(now, id, used[id])
 			case 2: // it is read
-				held[id] = was / 2
-				b.Hold(now, id, was/2)
+				used[id] = was / 2
+				budget.SetUsed(now, id, was/2)
 			case 3:
-				b.Leave(id)
-				delete(held, id)
+				budget.Remove(id)
+				delete(used, id)
 			}
-			for who, over := b.Over(); over; who, over = b.Over() {
-				for other, h := range held {
-					if h > 2*held[who]+1 {
-						t.Fatalf("%d goes with %d while %d holds %d", who, held[who], other, h)
+			for user, over := budget.OverQuota(); over; user, over = budget.OverQuota() {
+				for other, h := range used {
+					if h > 2*used[user]+1 {
+						t.Fatalf("%d goes with %d while %d holds %d", user, used[user], other, h)
 					}
 				}
-				b.Leave(who)
-				delete(held, who)
+				budget.Remove(user)
+				delete(used, user)
 			}
 			sum := int64(0)
-			for _, h := range held {
+			for _, h := range used {
 				sum += h
 			}
-			if sum != b.Held() || sum > total || len(held) != b.Users() {
-				t.Fatalf("%d held, counted %d of %d", sum, b.Held(), total)
+			if sum != budget.Used() || sum > total || len(used) != budget.Users() {
+				t.Fatalf("%d held, counted %d of %d", sum, budget.Used(), total)
 			}
 		}
-		for id := range held {
-			b.Leave(id)
+		for id := range used {
+			budget.Remove(id)
 		}
-		if b.Held() != 0 {
-			t.Fatalf("%d held by nobody", b.Held())
+		if budget.Used() != 0 {
+			t.Fatalf("%d held by nobody", budget.Used())
 		}
 	})
 }
 
 // However many take all that they may, something stays free for the next, and nobody is cut off.
-func TestGreedyUsersShare(t *testing.T) {
-	b := New(128 << 20)
+func TestLargeUsersShare(t *testing.T) {
+	budget := New(128 << 20)
 	for id := range uint64(4000) {
-		b.Join(0, id)
+		budget.Add(0, id)
 	}
 	for range 50 {
 		for id := range uint64(4000) {
-			if r := b.Room(id); r >= Floor {
-				b.Hold(1, id, b.users[id].held+Floor)
+			if r := budget.Available(id); r >= MinAllowance {
+				budget.SetUsed(1, id, budget.users[id].used+MinAllowance)
 			}
 		}
 	}
-	if _, over := b.Over(); over || b.Held() < 100<<20 {
-		t.Errorf("%d held of %d, over %v", b.Held(), b.Total(), over)
+	if _, over := budget.OverQuota(); over || budget.Used() < 100<<20 {
+		t.Errorf("%d held of %d, over %v", budget.Used(), budget.Total(), over)
 	}
 }
 
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := rapid.Int64Range(Least, 1<<50).Draw(t, "memory")
+		m := rapid.Int64Range(MinMemory, 1<<50).Draw(t, "memory")
 		s := Divide(m)
 		if s.Connections <= 0 || s.History <= 0 || s.Objects <= 0 || s.Connections+s.History+s.Objects > m {
 			t.Fatalf("%+v of %d", s, m)
--- a/internal/metastability/metastability.go
+++ b/internal/metastability/metastability.go
@@ -18,37 +18,37 @@
 
 // Trial is one run. Times are in seconds.
 type Trial struct {
-	Seed    uint64
-	Trigger scenario.Trouble
-	Load    float64 // as a part of what the machines can hold
-	Backoff int     // of each Job
-	Gate    admission.Config
-	Owner   retry.Policy
+	Seed      uint64
+	Trigger   scenario.Fault
+	Load      float64 // as a part of what the machines can hold
+	Backoff   int     // of each Job
+	Admission admission.Config
+	Retry     retry.Policy
 }
 
 // Verdict is what came of a trial.
 type Verdict struct {
-	Before  float64 // part of the tasks that are placed within their aim in the worst ten seconds without the trigger
-	Worst   float64 // the same with the trigger
-	Back    float64 // from the end of the trigger until goodput and line were back for good; infinity if they never were
-	Allowed float64
-	Peak    int // tasks without an answer at most
-	Left    int // and in the end
-	Asks    uint64
-	Offers  uint64
+	BaselineGoodput   float64 // part of the tasks that are placed within their aim in the worst ten seconds without the trigger
+	WorstGoodput      float64 // the same with the trigger
+	RecoveryTime      float64 // from the end of the trigger until goodput and line were back for good; infinity if they never were
+	AllowedTime       float64
+	PeakOpenTasks     int // tasks without an answer at most
+	FinalOpenTasks    int // and in the end
+	PlacementRequests uint64
+	Attempts          uint64
 }
 
-// Held says that the system was back in time.
-func (v *Verdict) Held() bool { return v.Back <= v.Allowed }
+// Recovered says that the system was back in time.
+func (v *Verdict) Recovered() bool { return v.RecoveryTime <= v.AllowedTime }
 
 const (
-	quiet    = 20.0 // seconds before the trigger
-	window   = 10.0
-	back     = 0.95 // of the goodput before
-	grace    = 30.0 // in which the system must be back, beside twice the time that an ideal one needs for the tasks that wait
-	machines = 6
-	life     = 4.0
-	aim      = 1.0
+	triggerAt         = 20.0 // seconds before the trigger
+	goodputWindow     = 10.0
+	recoveredFraction = 0.95 // of the goodput before
+	recoveryGrace     = 30.0 // in which the system must be back, beside twice the time that an ideal one needs for the tasks that wait
+	nodeCount         = 6
+	meanLifetime      = 4.0
+	latencyObjective  = 1.0
 )
 
 // Triggers are the kinds of trouble that are tried: a burst, a mass restart, a cut, slow machines, lost answers, refusals and a flood.
@@ -57,131 +57,131 @@
 
 // Draw makes a trial from a seed: any trigger over any settings that an operator might choose.
 func Draw(seed uint64) Trial {
-	r := rand.New(rand.NewPCG(seed, 0x7265636f76657279))
-	between := func(lo, hi float64) float64 { return lo + (hi-lo)*r.Float64() }
-	ratio := func(lo, hi float64) float64 { return lo * math.Pow(hi/lo, r.Float64()) }
-	t := Trial{Seed: seed, Load: between(0.3, 0.5), Backoff: int(ratio(2, 2000))}
-	t.Trigger = scenario.Trouble{Kind: Triggers[r.IntN(len(Triggers))], At: quiet, For: between(3, 8), Part: between(0.5, 1), Scale: ratio(3, 10)}
-	g := admission.DefaultConfig()
-	g.MinInFlight, g.Start, g.MaxInFlight = between(1, 16), ratio(4, 512), ratio(64, 8192)
-	g.Decrease, g.Window, g.LateFraction = between(0.5, 0.95), ratio(0.05, 2), between(0.05, 0.6)
-	g.MaxWaiting = int(ratio(100, 100000))
-	g.RetryRatio, g.RetryRate, g.RetryBurst = between(0.05, 1), ratio(0.5, 20), ratio(5, 500)
-	t.Gate = g
-	o := retry.DefaultPolicy()
-	o.Delay, o.Multiplier, o.MaxDelay, o.ShortDelay = between(1, 4), between(1, 2), between(5, 30), between(0.1, 1)
-	t.Owner = o
-	return t
+	random := rand.New(rand.NewPCG(seed, 0x7265636f76657279))
+	between := func(lo, hi float64) float64 { return lo + (hi-lo)*random.Float64() }
+	ratio := func(lo, hi float64) float64 { return lo * math.Pow(hi/lo, random.Float64()) }
+	trial := Trial{Seed: seed, Load: between(0.3, 0.5), Backoff: int(ratio(2, 2000))}
+	trial.Trigger = scenario.Fault{Kind: Triggers[random.IntN(len(Triggers))], At: triggerAt, Duration: between(3, 8), Fraction: between(0.5, 1), Scale: ratio(3, 10)}
+	admissionConfig := admission.DefaultConfig()
+	admissionConfig.MinInFlight, admissionConfig.InitialInFlight, admissionConfig.MaxInFlight = between(1, 16), ratio(4, 512), ratio(64, 8192)
+	admissionConfig.DecreaseFactor, admissionConfig.DecreaseInterval, admissionConfig.LateFraction = between(0.5, 0.95), ratio(0.05, 2), between(0.05, 0.6)
+	admissionConfig.MaxQueued = int(ratio(100, 100000))
+	admissionConfig.RetryRatio, admissionConfig.RetryRate, admissionConfig.RetryBurst = between(0.05, 1), ratio(0.5, 20), ratio(5, 500)
+	trial.Admission = admissionConfig
+	retryPolicy := retry.DefaultPolicy()
+	retryPolicy.Delay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.ShortDelay = between(1, 4), between(1, 2), between(5, 30), between(0.1, 1)
+	trial.Retry = retryPolicy
+	return trial
 }
 
 // Play carries a trial out twice, with its trigger and without: what dips without it is no effect of it.
-func Play(t Trial) (Verdict, error) {
-	calm, err := run(t, false)
+func Play(trial Trial) (Verdict, error) {
+	baseline, err := runTrial(trial, false)
 	if err != nil {
 		return Verdict{}, err
 	}
-	r, err := run(t, true)
+	triggered, err := runTrial(trial, true)
 	if err != nil {
 		return Verdict{}, err
 	}
-	return judge(t, calm, r), nil
+	return judge(trial, baseline, triggered), nil
 }
 
 const horizon = 150.0
 
-// course is how a run went.
-type course struct {
-	goodput []float64 // part placed in time of the tasks created in the window that ends at each second
-	open    []int     // tasks without an answer at each second
-	asks    uint64
-	offers  uint64
+// timeline is how a run went.
+type timeline struct {
+	goodput           []float64 // part placed in time of the tasks created in the window that ends at each second
+	openTasks         []int     // tasks without an answer at each second
+	placementRequests uint64
+	attempts          uint64
 }
 
-// full is how many tasks a second the machines can hold: six of 32 and 64 cores in turn, booked twice, tasks of 1.33 cores on average.
-const full = machines * 48 * 2 / (1.33 * life)
+// fleetCapacity is how many tasks a second the machines can hold: six of 32 and 64 cores in turn, booked twice, tasks of 1.33 cores on average.
+const fleetCapacity = nodeCount * 48 * 2 / (1.33 * meanLifetime)
 
-func run(t Trial, trouble bool) (course, error) {
-	s := config.Default()
-	d := scenario.Default()
-	d.Seed, d.Nodes, d.Schedulers, d.Trouble = t.Seed, machines, 2, nil
-	if trouble {
-		d.Trouble = []scenario.Trouble{t.Trigger}
+func runTrial(trial Trial, withTrigger bool) (timeline, error) {
+	settings := config.Default()
+	script := scenario.Default()
+	script.Seed, script.Nodes, script.Schedulers, script.Faults = trial.Seed, nodeCount, 2, nil
+	if withTrigger {
+		script.Faults = []scenario.Fault{trial.Trigger}
 	}
-	d.Load.Classes = map[string]float64{"web": 1}
-	d.Load.Cores, d.Load.Memory, d.Load.Life, d.Load.Backoff = 1, 1, life, t.Backoff
-	d.Load.TasksPerSecond = t.Load * full
-	d.Seconds, d.Calm = horizon+10, 10
-	c := simulation.FromSettings(&s, &d)
-	for i := range c.Schedulers {
-		shares := c.Schedulers[i].Admission.Shares
-		c.Schedulers[i].Admission, c.Schedulers[i].Retry = t.Gate, t.Owner
-		c.Schedulers[i].Admission.Shares = shares
+	script.Load.Classes = map[string]float64{"web": 1}
+	script.Load.Cores, script.Load.Memory, script.Load.Lifetime, script.Load.BackoffLimit = 1, 1, meanLifetime, trial.Backoff
+	script.Load.TasksPerSecond = trial.Load * fleetCapacity
+	script.Seconds, script.Cooldown = horizon+10, 10
+	cfg := simulation.FromSettings(&settings, &script)
+	for i := range cfg.Schedulers {
+		shares := cfg.Schedulers[i].Admission.Shares
+		cfg.Schedulers[i].Admission, cfg.Schedulers[i].Retry = trial.Admission, trial.Retry
+		cfg.Schedulers[i].Admission.Shares = shares
 	}
-	w, err := simulation.New(c)
+	world, err := simulation.New(cfg)
 	if err != nil {
-		return course{}, fmt.Errorf("trial %d: %w", t.Seed, err)
+		return timeline{}, fmt.Errorf("trial %d: %w", trial.Seed, err)
 	}
-	start := w.Now()
-	w.Run(d.Plan(c.NodesOf()), 0)
-	var out course
+	start := world.Now()
+	world.Run(script.Plan(cfg.ScenarioNodes()), 0)
+	var result timeline
 	for range int(horizon) {
-		w.Run(nil, 1)
-		n := 0
-		for i := range c.Schedulers {
-			if e := w.Engine(i); e != nil {
-				n += e.OpenTasks()
+		world.Run(nil, 1)
+		open := 0
+		for i := range cfg.Schedulers {
+			if e := world.Engine(i); e != nil {
+				open += e.OpenTasks()
 			}
 		}
-		out.open = append(out.open, n)
+		result.openTasks = append(result.openTasks, open)
 	}
-	w.Run(nil, aim) // so that the last window is as whole as the others
-	for i := range c.Schedulers {
-		if e := w.Engine(i); e != nil {
-			out.asks += e.Stats.PlacementRequests
-			out.offers += e.Stats.Attempts
+	world.Run(nil, latencyObjective) // so that the last window is as whole as the others
+	for i := range cfg.Schedulers {
+		if e := world.Engine(i); e != nil {
+			result.placementRequests += e.Stats.PlacementRequests
+			result.attempts += e.Stats.Attempts
 		}
 	}
-	all, good := make([]int, int(horizon)+2), make([]int, int(horizon)+2)
-	for _, at := range w.Created {
-		all[int(at-start)]++
+	createdPerSecond, inTimePerSecond := make([]int, int(horizon)+2), make([]int, int(horizon)+2)
+	for _, at := range world.CreatedAt {
+		createdPerSecond[int(at-start)]++
 	}
-	for i, at := range w.Asked {
-		if w.Latency[i] <= aim {
-			good[int(at-start)]++
+	for i, at := range world.PlacedCreatedAt {
+		if world.PlacementLatency[i] <= latencyObjective {
+			inTimePerSecond[int(at-start)]++
 		}
 	}
 	for end := 1; end <= int(horizon); end++ {
-		a, g := 0, 0
-		for i := max(0, end-int(window)); i < end; i++ {
-			a += all[i]
-			g += good[i]
+		created, inTime := 0, 0
+		for i := max(0, end-int(goodputWindow)); i < end; i++ {
+			created += createdPerSecond[i]
+			inTime += inTimePerSecond[i]
 		}
-		out.goodput = append(out.goodput, 1)
-		if a > 0 {
-			out.goodput[end-1] = float64(g) / float64(a)
+		result.goodput = append(result.goodput, 1)
+		if created > 0 {
+			result.goodput[end-1] = float64(inTime) / float64(created)
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-func judge(t Trial, calm, r course) Verdict {
-	v := Verdict{Before: 1, Worst: 1, Asks: r.asks, Offers: r.offers, Left: r.open[len(r.open)-1]}
-	usual := 0
-	for i := int(window); i < len(calm.goodput); i++ {
-		v.Before = min(v.Before, calm.goodput[i])
-		usual = max(usual, calm.open[i])
+func judge(trial Trial, baseline, triggered timeline) Verdict {
+	verdict := Verdict{BaselineGoodput: 1, WorstGoodput: 1, PlacementRequests: triggered.placementRequests, Attempts: triggered.attempts, FinalOpenTasks: triggered.openTasks[len(triggered.openTasks)-1]}
+	baselineOpen := 0
+	for i := int(goodputWindow); i < len(baseline.goodput); i++ {
+		verdict.BaselineGoodput = min(verdict.BaselineGoodput, baseline.goodput[i])
+		baselineOpen = max(baselineOpen, baseline.openTasks[i])
 	}
-	end := t.Trigger.At + t.Trigger.For
-	last := end // the latest time at which it was not back
-	for i := int(t.Trigger.At); i < len(r.goodput); i++ {
-		v.Worst, v.Peak = min(v.Worst, r.goodput[i]), max(v.Peak, r.open[i])
-		if at := float64(i + 1); r.goodput[i] < back*v.Before || at > end && float64(r.open[i]) > 1.05*float64(usual)+20 {
-			last = max(last, at)
+	end := trial.Trigger.At + trial.Trigger.Duration
+	lastDegraded := end // the latest time at which it was not back
+	for i := int(trial.Trigger.At); i < len(triggered.goodput); i++ {
+		verdict.WorstGoodput, verdict.PeakOpenTasks = min(verdict.WorstGoodput, triggered.goodput[i]), max(verdict.PeakOpenTasks, triggered.openTasks[i])
+		if at := float64(i + 1); triggered.goodput[i] < recoveredFraction*verdict.BaselineGoodput || at > end && float64(triggered.openTasks[i]) > 1.05*float64(baselineOpen)+20 {
+			lastDegraded = max(lastDegraded, at)
 		}
 	}
-	if v.Back = last - end; last >= horizon-1 {
-		v.Back = math.Inf(1)
+	if verdict.RecoveryTime = lastDegraded - end; lastDegraded >= horizon-1 {
+		verdict.RecoveryTime = math.Inf(1)
 	}
-	v.Allowed = grace + 2*float64(v.Peak)/(full*(1-t.Load))
-	return v
+	verdict.AllowedTime = recoveryGrace + 2*float64(verdict.PeakOpenTasks)/(fleetCapacity*(1-trial.Load))
+	return verdict
 }
--- a/internal/metastability/metastability_test.go
+++ b/internal/metastability/metastability_test.go
@@ -8,8 +8,8 @@
 	"heathshed/internal/scenario"
 )
 
-// all plays trials on four goroutines; each is a world of its own.
-func all(t *testing.T, trials []Trial) []Verdict {
+// playAll plays trials on four goroutines; each is a world of its own.
+func playAll(t *testing.T, trials []Trial) []Verdict {
 	out := make([]Verdict, len(trials))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, 4)
@@ -35,8 +35,8 @@
 	for seed := range uint64(8) {
 		trials = append(trials, Draw(seed+1))
 	}
-	for i, v := range all(t, trials) {
-		if !v.Held() {
+	for i, v := range playAll(t, trials) {
+		if !v.Recovered() {
 			t.Errorf("%+v: %+v", trials[i], v)
 		}
 	}
@@ -45,16 +45,16 @@
 // A gate that takes what it shed itself for asks again stays in a bad minute for ever: the search finds it, and finds nothing in the same
 // trial without the mistake.
 func TestPlantedFailureIsFound(t *testing.T) {
-	good := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Gate: admission.DefaultConfig(), Owner: Draw(1).Owner,
-		Trigger: scenario.Trouble{Kind: "burst", At: quiet, For: 8, Scale: 10}}
-	bad := good
-	bad.Gate.ShedDraws = true
-	v := all(t, []Trial{good, bad})
-	if !v[0].Held() {
-		t.Errorf("without the mistake: %+v", v[0])
+	sound := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Admission: admission.DefaultConfig(), Retry: Draw(1).Retry,
+		Trigger: scenario.Fault{Kind: "burst", At: triggerAt, Duration: 8, Scale: 10}}
+	faulty := sound
+	faulty.Admission.ShedUsesRetryBudget = true
+	verdicts := playAll(t, []Trial{sound, faulty})
+	if !verdicts[0].Recovered() {
+		t.Errorf("without the mistake: %+v", verdicts[0])
 	}
-	if v[1].Held() {
-		t.Errorf("with the mistake: %+v", v[1])
+	if verdicts[1].Recovered() {
+		t.Errorf("with the mistake: %+v", verdicts[1])
 	}
-	t.Logf("without %+v\nwith %+v", v[0], v[1])
+	t.Logf("without %+v\nwith %+v", verdicts[0], verdicts[1])
 }
--- a/internal/nodesim/node.go
+++ b/internal/nodesim/node.go
@@ -16,33 +16,33 @@
 
 // Config is a machine. Times are in seconds, memory in GiB.
 type Config struct {
-	Cores, Memory         float64
-	BookCores, BookMemory float64 // accepts asks up to these multiples of its size
-	LookMin, LookMax      float64 // time to look at an offer
-	MaxWaiting            int     // offers that may wait
-	StartsAtOnce          int
-	StartWork             float64 // time of a start with the program at hand, when warm
-	FreshFactor           float64 // and this many times it without
-	KeepPrograms          int
-	ColdFrom, WarmWithin  float64 // pace of starts after it came up, and until it is whole
-	FallMultiple          float64 // falls over at this many times what it can start
-	FallWindow            float64
-	ColdAlways            float64 // offers in a window that it always bears
-	AnswersWhenRunning    bool
-	PushesOut             bool
-	LifeMean              float64 // of tasks that name none
-	UseMin, UseMax        float64 // part of what a task asks that it uses
-	Grace                 float64 // a draining machine sends its tasks away after this; below 0 never
-	KeepEnded             float64 // how long ended tasks are shown
-	Cold                  bool    // it comes up cold
-	Seed                  uint64
+	Cores, Memory                      float64
+	OvercommitCores, OvercommitMemory  float64 // accepts asks up to these multiples of its size
+	DecisionDelayMin, DecisionDelayMax float64 // time to look at an offer
+	MaxQueued                          int     // offers that may wait
+	MaxConcurrentStarts                int
+	StartSeconds                       float64 // time of a start with the program at hand, when warm
+	UncachedStartFactor                float64 // and this many times it without
+	ProgramCacheSize                   int
+	InitialPace, WarmUpSeconds         float64 // pace of starts after it came up, and until it is whole
+	OverloadFactor                     float64 // falls over at this many times what it can start
+	OverloadWindow                     float64
+	OverloadMinRequests                float64 // offers in a window that it always bears
+	AnswerWhenRunning                  bool
+	Preempts                           bool
+	LifetimeMean                       float64 // of tasks that name none
+	UsageMin, UsageMax                 float64 // part of what a task asks that it uses
+	DrainGrace                         float64 // a draining machine sends its tasks away after this; below 0 never
+	TerminatedRetention                float64 // how long ended tasks are shown
+	Cold                               bool    // it comes up cold
+	Seed                               uint64
 }
 
 // DefaultConfig is a mid-sized warm machine.
 func DefaultConfig() Config {
-	return Config{Cores: 32, Memory: 64, BookCores: 2, BookMemory: 1.5, LookMin: 0.002, LookMax: 0.006, MaxWaiting: 64,
-		StartsAtOnce: 4, StartWork: 0.03, FreshFactor: 6, KeepPrograms: 8, ColdFrom: 0.2, WarmWithin: 15, FallMultiple: 4,
-		FallWindow: 3, ColdAlways: 8, PushesOut: true, LifeMean: 20, UseMin: 0.4, UseMax: 0.8, Grace: 0, KeepEnded: 60}
+	return Config{Cores: 32, Memory: 64, OvercommitCores: 2, OvercommitMemory: 1.5, DecisionDelayMin: 0.002, DecisionDelayMax: 0.006, MaxQueued: 64,
+		MaxConcurrentStarts: 4, StartSeconds: 0.03, UncachedStartFactor: 6, ProgramCacheSize: 8, InitialPace: 0.2, WarmUpSeconds: 15, OverloadFactor: 4,
+		OverloadWindow: 3, OverloadMinRequests: 8, Preempts: true, LifetimeMean: 20, UsageMin: 0.4, UsageMax: 0.8, DrainGrace: 0, TerminatedRetention: 60}
 }
 
 // Reason of a refusal or an end.
@@ -70,35 +70,35 @@
 	Accepted Phase = iota
 	Running
 	Succeeded
-	Ended // see Reason
+	Terminated // see Reason
 )
 
-// Offer is what a scheduler asks.
-type Offer struct {
+// Request is what a scheduler asks.
+type Request struct {
 	UID           string
 	Attempt       int
 	Service       string
 	Cores, Memory float64
 	Priority      int
-	Life          float64 // 0 draws one
+	Lifetime      float64 // 0 draws one
 	Payload       any
 }
 
 // Task is an accepted offer.
 type Task struct {
-	Offer
-	Phase                  Phase
-	Reason                 Reason
-	UseCores, UseMemory    float64
-	ran                    bool
-	answered               bool
-	factorCores, factorMem float64
-	startedAt, endedAt     float64
-	seq                    int
+	Request
+	Phase                     Phase
+	Reason                    Reason
+	UsedCores, UsedMemory     float64
+	ran                       bool
+	answered                  bool
+	coresFactor, memoryFactor float64
+	startedAt, terminatedAt   float64
+	sequence                  int
 }
 
 // Ran says whether the task ever ran.
-func (t *Task) Ran() bool { return t.ran }
+func (task *Task) Ran() bool { return task.ran }
 
 // EffectKind selects what an effect says.
 type EffectKind uint8
@@ -108,8 +108,8 @@
 const (
 	Answered EffectKind = iota + 1
 	Changed
-	Forgotten
-	Fell
+	Removed
+	Overloaded
 )
 
 // Effect is something that others see.
@@ -123,471 +123,471 @@
 
 // Node is one machine in one life.
 type Node struct {
-	cfg      Config
-	rng      *rand.Rand
-	now      float64
-	born     float64
-	queue    []Offer
-	looking  bool
-	tasks    map[string]*Task
-	held     []*Task        // in order of acceptance; ended ones are taken out at the next breath
-	running  map[string]int // tasks that run, by service
-	sealed   map[string]int // attempts up to this are not taken any more
-	order    []string       // of sealed, oldest first
-	programs []string
-	starting int
-	toStart  []*Task
-	asked    struct{ cores, memory float64 }
-	used     struct{ cores, memory float64 }
-	sends    []send
-	draining bool
-	fell     bool
-	seq      int
-	timers   timerqueue.Queue
-	effects  []Effect
+	cfg            Config
+	rng            *rand.Rand
+	now            float64
+	warmUpStart    float64
+	queue          []Request
+	deciding       bool
+	tasks          map[string]*Task
+	active         []*Task        // in order of acceptance; ended ones are taken out at the next breath
+	running        map[string]int // tasks that run, by service
+	fenced         map[string]int // attempts up to this are not taken any more
+	fencedOrder    []string       // of sealed, oldest first
+	cachedPrograms []string
+	starting       int
+	startQueue     []*Task
+	requested      struct{ cores, memory float64 }
+	used           struct{ cores, memory float64 }
+	recentRequests []recentRequest
+	draining       bool
+	overloaded     bool
+	sequence       int
+	timers         timerqueue.Queue
+	effects        []Effect
 
 	// Refuse, when set, refuses offers of its choice; Stall holds decisions back until then. For fault injection.
-	Refuse func(o *Offer) Reason
-	stall  float64
+	RejectHook   func(o *Request) Reason
+	stalledUntil float64
 	// Starts and Duplicates count begun starts, and starts of a uid that had begun before in this life: always 0.
-	Starts, Duplicates int
-	begun              map[string]bool
+	Starts, DuplicateStarts int
+	started                 map[string]bool
 }
 
-type send struct{ at, weight float64 }
+type recentRequest struct{ at, weight float64 }
 
 // New makes a machine that comes up now.
 func New(cfg Config, now float64) *Node {
-	m := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)), now: now, born: now, tasks: map[string]*Task{},
-		sealed: map[string]int{}, begun: map[string]bool{}, running: map[string]int{}}
+	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)), now: now, warmUpStart: now, tasks: map[string]*Task{},
+		fenced: map[string]int{}, started: map[string]bool{}, running: map[string]int{}}
 	if !cfg.Cold {
-		m.born = now - cfg.WarmWithin
+		n.warmUpStart = now - cfg.WarmUpSeconds
 	}
-	m.at(now+1, m.breathe)
-	return m
+	n.schedule(now+1, n.updateUsage)
+	return n
 }
 
 // Ready takes the effects that have come up.
-func (m *Node) Ready() []Effect {
-	x := m.effects
-	m.effects = nil
-	return x
+func (n *Node) Ready() []Effect {
+	effects := n.effects
+	n.effects = nil
+	return effects
 }
 
 // NextWake is when Tick wants to be called.
-func (m *Node) NextWake() float64 { return m.timers.Next() }
+func (n *Node) NextWake() float64 { return n.timers.Next() }
 
 // Tick lets due timers run.
-func (m *Node) Tick(now float64) {
-	for !m.fell {
-		t := m.timers.Pop(now)
-		if t == nil {
+func (n *Node) Tick(now float64) {
+	for !n.overloaded {
+		timer := n.timers.Pop(now)
+		if timer == nil {
 			break
 		}
-		m.now = max(m.now, t.At)
-		t.Run()
+		n.now = max(n.now, timer.At)
+		timer.Run()
 	}
-	m.now = max(m.now, now)
+	n.now = max(n.now, now)
 }
 
 // Free is what nobody asked for.
-func (m *Node) Free() (cores, memory float64) {
-	return m.cfg.Cores - m.asked.cores, m.cfg.Memory - m.asked.memory
+func (n *Node) Free() (cores, memory float64) {
+	return n.cfg.Cores - n.requested.cores, n.cfg.Memory - n.requested.memory
 }
 
 // Unused is what is not in use.
-func (m *Node) Unused() (cores, memory float64) {
-	return max(m.cfg.Cores-m.used.cores, 0), max(m.cfg.Memory-m.used.memory, 0)
+func (n *Node) Unused() (cores, memory float64) {
+	return max(n.cfg.Cores-n.used.cores, 0), max(n.cfg.Memory-n.used.memory, 0)
 }
 
-// Busy is the part of the cores in use, Waiting the offers and starts that wait.
-func (m *Node) Busy() float64 { return min(m.used.cores/m.cfg.Cores, 1) }
+// Utilization is the part of the cores in use, Waiting the offers and starts that wait.
+func (n *Node) Utilization() float64 { return min(n.used.cores/n.cfg.Cores, 1) }
 
-// Waiting is the number of offers and starts that wait.
-func (m *Node) Waiting() int { return len(m.queue) + len(m.toStart) }
+// QueueLength is the number of offers and starts that wait.
+func (n *Node) QueueLength() int { return len(n.queue) + len(n.startQueue) }
 
-// Holds is the number of tasks held.
-func (m *Node) Holds() int {
-	n := 0
-	for _, t := range m.held {
-		if t.Phase <= Running {
-			n++
+// ActiveTasks is the number of tasks held.
+func (n *Node) ActiveTasks() int {
+	count := 0
+	for _, task := range n.active {
+		if task.Phase <= Running {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Config is what the machine was made with.
-func (m *Node) Config() Config { return m.cfg }
+func (n *Node) Config() Config { return n.cfg }
 
 // Draining says whether it drains.
-func (m *Node) Draining() bool { return m.draining }
+func (n *Node) Draining() bool { return n.draining }
 
-func (m *Node) emit(x Effect) { m.effects = append(m.effects, x) }
+func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
 // pace is the part of its full pace at which the machine starts tasks now.
-func (m *Node) pace() float64 {
-	if m.cfg.WarmWithin <= 0 || m.now >= m.born+m.cfg.WarmWithin {
+func (n *Node) pace() float64 {
+	if n.cfg.WarmUpSeconds <= 0 || n.now >= n.warmUpStart+n.cfg.WarmUpSeconds {
 		return 1
 	}
-	return m.cfg.ColdFrom + (1-m.cfg.ColdFrom)*(m.now-m.born)/m.cfg.WarmWithin
+	return n.cfg.InitialPace + (1-n.cfg.InitialPace)*(n.now-n.warmUpStart)/n.cfg.WarmUpSeconds
 }
 
-// Offer takes an offer. The answer comes as an effect, for a repeat or a full line at once.
-func (m *Node) Offer(now float64, o Offer) {
-	m.Tick(now)
-	if m.fell {
+// Submit takes an offer. The answer comes as an effect, for a repeat or a full line at once.
+func (n *Node) Submit(now float64, request Request) {
+	n.Tick(now)
+	if n.overloaded {
 		return
 	}
-	m.push(o)
-	if m.fell {
+	n.recordRequest(request)
+	if n.overloaded {
 		return
 	}
-	if t := m.tasks[o.UID]; t.repeats(&o) {
+	if task := n.tasks[request.UID]; task.isRepeatedBy(&request) {
 		// A repeat starts nothing.
-		m.emit(Effect{Kind: Answered, UID: o.UID, Attempt: o.Attempt, Task: t})
+		n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Task: task})
 		return
 	}
-	if len(m.queue) >= m.cfg.MaxWaiting {
-		m.refuse(&o, QueueFull)
+	if len(n.queue) >= n.cfg.MaxQueued {
+		n.reject(&request, QueueFull)
 		return
 	}
-	m.queue = append(m.queue, o)
-	m.look()
+	n.queue = append(n.queue, request)
+	n.decideNext()
 }
 
-// push counts an offer against what a cold machine bears.
-func (m *Node) push(o Offer) {
-	if m.now >= m.born+m.cfg.WarmWithin || m.cfg.FallWindow <= 0 {
-		m.sends = nil
+// recordRequest counts an offer against what a cold machine bears.
+func (n *Node) recordRequest(request Request) {
+	if n.now >= n.warmUpStart+n.cfg.WarmUpSeconds || n.cfg.OverloadWindow <= 0 {
+		n.recentRequests = nil
 		return
 	}
-	for len(m.sends) > 0 && m.sends[0].at < m.now-m.cfg.FallWindow {
-		m.sends = m.sends[1:]
+	for len(n.recentRequests) > 0 && n.recentRequests[0].at < n.now-n.cfg.OverloadWindow {
+		n.recentRequests = n.recentRequests[1:]
 	}
-	m.sends = append(m.sends, send{m.now, 1})
-	sum := 0.0
-	for _, s := range m.sends {
-		sum += s.weight
+	n.recentRequests = append(n.recentRequests, recentRequest{n.now, 1})
+	total := 0.0
+	for _, entry := range n.recentRequests {
+		total += entry.weight
 	}
-	can := m.pace() * float64(m.cfg.StartsAtOnce) / max(m.cfg.StartWork, 1e-6) * m.cfg.FallWindow
-	if sum > m.cfg.ColdAlways && sum > m.cfg.FallMultiple*can {
-		m.fell = true
-		m.emit(Effect{Kind: Fell})
+	startable := n.pace() * float64(n.cfg.MaxConcurrentStarts) / max(n.cfg.StartSeconds, 1e-6) * n.cfg.OverloadWindow
+	if total > n.cfg.OverloadMinRequests && total > n.cfg.OverloadFactor*startable {
+		n.overloaded = true
+		n.emit(Effect{Kind: Overloaded})
 	}
 }
 
-func (m *Node) refuse(o *Offer, r Reason) {
-	m.emit(Effect{Kind: Answered, UID: o.UID, Attempt: o.Attempt, Reason: r})
+func (n *Node) reject(request *Request, reason Reason) {
+	n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Reason: reason})
 }
 
-// look takes the next offer in hand.
-func (m *Node) look() {
-	if m.looking || len(m.queue) == 0 {
+// decideNext takes the next offer in hand.
+func (n *Node) decideNext() {
+	if n.deciding || len(n.queue) == 0 {
 		return
 	}
-	m.looking = true
-	d := m.cfg.LookMin + (m.cfg.LookMax-m.cfg.LookMin)*m.rng.Float64()
-	m.at(max(m.now, m.stall)+d, func() {
-		if m.now < m.stall {
-			m.looking = false
-			m.look()
+	n.deciding = true
+	delay := n.cfg.DecisionDelayMin + (n.cfg.DecisionDelayMax-n.cfg.DecisionDelayMin)*n.rng.Float64()
+	n.schedule(max(n.now, n.stalledUntil)+delay, func() {
+		if n.now < n.stalledUntil {
+			n.deciding = false
+			n.decideNext()
 			return
 		}
-		m.looking = false
-		o := m.queue[0]
-		m.queue = m.queue[1:]
-		m.decide(&o)
-		m.look()
+		n.deciding = false
+		request := n.queue[0]
+		n.queue = n.queue[1:]
+		n.decide(&request)
+		n.decideNext()
 	})
 }
 
 // StallUntil holds every decision and start back until then.
-func (m *Node) StallUntil(t float64) { m.stall = t }
+func (n *Node) StallUntil(until float64) { n.stalledUntil = until }
 
-// repeats says whether an offer repeats one that was accepted: a later attempt of a task that ended here does not.
-func (t *Task) repeats(o *Offer) bool {
-	return t != nil && (t.Phase <= Running || o.Attempt <= t.Attempt)
+// isRepeatedBy says whether an offer repeats one that was accepted: a later attempt of a task that ended here does not.
+func (task *Task) isRepeatedBy(request *Request) bool {
+	return task != nil && (task.Phase <= Running || request.Attempt <= task.Attempt)
 }
 
-func (m *Node) decide(o *Offer) {
-	if t := m.tasks[o.UID]; t.repeats(o) {
-		m.emit(Effect{Kind: Answered, UID: o.UID, Attempt: o.Attempt, Task: t})
+func (n *Node) decide(request *Request) {
+	if task := n.tasks[request.UID]; task.isRepeatedBy(request) {
+		n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Task: task})
 		return
 	}
-	if m.Refuse != nil {
-		if r := m.Refuse(o); r != None {
-			m.refuse(o, r)
+	if n.RejectHook != nil {
+		if reason := n.RejectHook(request); reason != None {
+			n.reject(request, reason)
 			return
 		}
 	}
-	if m.draining || o.Attempt <= m.sealed[o.UID] {
-		m.refuse(o, WrongNode)
+	if n.draining || request.Attempt <= n.fenced[request.UID] {
+		n.reject(request, WrongNode)
 		return
 	}
-	if r := m.short(o); r != None {
-		if !m.cfg.PushesOut || !m.makeRoom(o) {
-			m.refuse(o, r)
+	if reason := n.shortage(request); reason != None {
+		if !n.cfg.Preempts || !n.preemptFor(request) {
+			n.reject(request, reason)
 			return
 		}
 	}
-	m.seq++
-	span := m.cfg.UseMax - m.cfg.UseMin
-	t := &Task{Offer: *o, factorCores: m.cfg.UseMin + span*m.rng.Float64(), factorMem: m.cfg.UseMin + span*m.rng.Float64(), seq: m.seq}
-	m.tasks[o.UID] = t
-	m.held = append(m.held, t)
-	m.asked.cores += o.Cores
-	m.asked.memory += o.Memory
-	m.emit(Effect{Kind: Changed, Task: t})
-	if !m.cfg.AnswersWhenRunning {
-		m.answer(t)
+	n.sequence++
+	span := n.cfg.UsageMax - n.cfg.UsageMin
+	task := &Task{Request: *request, coresFactor: n.cfg.UsageMin + span*n.rng.Float64(), memoryFactor: n.cfg.UsageMin + span*n.rng.Float64(), sequence: n.sequence}
+	n.tasks[request.UID] = task
+	n.active = append(n.active, task)
+	n.requested.cores += request.Cores
+	n.requested.memory += request.Memory
+	n.emit(Effect{Kind: Changed, Task: task})
+	if !n.cfg.AnswerWhenRunning {
+		n.answer(task)
 	}
-	m.toStart = append(m.toStart, t)
-	m.start()
+	n.startQueue = append(n.startQueue, task)
+	n.startQueued()
 }
 
-func (m *Node) answer(t *Task) {
-	if !t.answered {
-		t.answered = true
-		m.emit(Effect{Kind: Answered, UID: t.UID, Attempt: t.Attempt, Task: t})
+func (n *Node) answer(task *Task) {
+	if !task.answered {
+		task.answered = true
+		n.emit(Effect{Kind: Answered, UID: task.UID, Attempt: task.Attempt, Task: task})
 	}
 }
 
-func (m *Node) short(o *Offer) Reason {
-	const grain = 1e-9
+func (n *Node) shortage(request *Request) Reason {
+	const tolerance = 1e-9
 	switch {
-	case m.asked.cores+o.Cores > m.cfg.Cores*m.cfg.BookCores+grain:
+	case n.requested.cores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores+tolerance:
 		return InsufficientCores
-	case m.asked.memory+o.Memory > m.cfg.Memory*m.cfg.BookMemory+grain:
+	case n.requested.memory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory+tolerance:
 		return InsufficientMemory
 	}
 	return None
 }
 
-// makeRoom pushes out tasks of lower priority, the lowest and youngest first, if that is enough.
-func (m *Node) makeRoom(o *Offer) bool {
-	var low []*Task
-	var c, mem float64
-	for _, t := range m.live() {
-		if t.Priority < o.Priority {
-			low = append(low, t)
-			c += t.Cores
-			mem += t.Memory
+// preemptFor pushes out tasks of lower priority, the lowest and youngest first, if that is enough.
+func (n *Node) preemptFor(request *Request) bool {
+	var candidates []*Task
+	var lowCores, lowMemory float64
+	for _, task := range n.activeTasks() {
+		if task.Priority < request.Priority {
+			candidates = append(candidates, task)
+			lowCores += task.Cores
+			lowMemory += task.Memory
 		}
 	}
-	if m.asked.cores-c+o.Cores > m.cfg.Cores*m.cfg.BookCores || m.asked.memory-mem+o.Memory > m.cfg.Memory*m.cfg.BookMemory {
+	if n.requested.cores-lowCores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores || n.requested.memory-lowMemory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory {
 		return false
 	}
-	sort.SliceStable(low, func(i, j int) bool {
-		if low[i].Priority != low[j].Priority {
-			return low[i].Priority < low[j].Priority
+	sort.SliceStable(candidates, func(i, j int) bool {
+		if candidates[i].Priority != candidates[j].Priority {
+			return candidates[i].Priority < candidates[j].Priority
 		}
-		return low[i].seq > low[j].seq
+		return candidates[i].sequence > candidates[j].sequence
 	})
-	for _, t := range low {
-		if m.short(o) == None {
+	for _, task := range candidates {
+		if n.shortage(request) == None {
 			break
 		}
-		m.end(t, Ended, Preempted)
+		n.terminate(task, Terminated, Preempted)
 	}
-	return m.short(o) == None
+	return n.shortage(request) == None
 }
 
-// live returns the tasks held, oldest first.
-func (m *Node) live() []*Task {
-	m.held = slices.DeleteFunc(m.held, func(t *Task) bool { return t.Phase > Running })
-	return slices.Clone(m.held)
+// activeTasks returns the tasks held, oldest first.
+func (n *Node) activeTasks() []*Task {
+	n.active = slices.DeleteFunc(n.active, func(task *Task) bool { return task.Phase > Running })
+	return slices.Clone(n.active)
 }
 
-// start begins as many starts as may go on at a time.
-func (m *Node) start() {
-	for m.starting < m.cfg.StartsAtOnce && len(m.toStart) > 0 {
-		t := m.toStart[0]
-		m.toStart = m.toStart[1:]
-		if t.Phase != Accepted {
+// startQueued begins as many starts as may go on at a time.
+func (n *Node) startQueued() {
+	for n.starting < n.cfg.MaxConcurrentStarts && len(n.startQueue) > 0 {
+		task := n.startQueue[0]
+		n.startQueue = n.startQueue[1:]
+		if task.Phase != Accepted {
 			continue
 		}
-		m.starting++
-		m.Starts++
-		if m.begun[t.UID] {
-			m.Duplicates++
+		n.starting++
+		n.Starts++
+		if n.started[task.UID] {
+			n.DuplicateStarts++
 		}
-		m.begun[t.UID] = true
-		work := m.cfg.StartWork
-		if !m.has(t) {
-			work *= max(m.cfg.FreshFactor, 1)
+		n.started[task.UID] = true
+		work := n.cfg.StartSeconds
+		if !n.programCached(task) {
+			work *= max(n.cfg.UncachedStartFactor, 1)
 		}
-		m.at(max(m.now, m.stall)+work/m.pace(), func() {
-			m.starting--
-			m.runs(t)
-			m.start()
+		n.schedule(max(n.now, n.stalledUntil)+work/n.pace(), func() {
+			n.starting--
+			n.taskStarted(task)
+			n.startQueued()
 		})
 	}
 }
 
-// has says whether the program of the task's service is at hand.
-func (m *Node) has(t *Task) bool {
-	return m.running[t.Service] > 0 || slices.Contains(m.programs, t.Service)
+// programCached says whether the program of the task's service is at hand.
+func (n *Node) programCached(task *Task) bool {
+	return n.running[task.Service] > 0 || slices.Contains(n.cachedPrograms, task.Service)
 }
 
-func (m *Node) runs(t *Task) {
-	if t.Phase != Accepted {
+func (n *Node) taskStarted(task *Task) {
+	if task.Phase != Accepted {
 		return
 	}
-	t.Phase, t.ran, t.startedAt = Running, true, m.now
-	m.running[t.Service]++
-	m.use(t)
-	m.emit(Effect{Kind: Changed, Task: t})
-	m.answer(t)
-	life := t.Life
-	if life <= 0 {
-		life = m.cfg.LifeMean * (0.3 + m.rng.ExpFloat64()*0.7)
-	}
-	m.at(m.now+life, func() {
-		if t.Phase == Running {
-			m.end(t, Succeeded, None)
+	task.Phase, task.ran, task.startedAt = Running, true, n.now
+	n.running[task.Service]++
+	n.measureTask(task)
+	n.emit(Effect{Kind: Changed, Task: task})
+	n.answer(task)
+	lifetime := task.Lifetime
+	if lifetime <= 0 {
+		lifetime = n.cfg.LifetimeMean * (0.3 + n.rng.ExpFloat64()*0.7)
+	}
+	n.schedule(n.now+lifetime, func() {
+		if task.Phase == Running {
+			n.terminate(task, Succeeded, None)
 		}
 	})
 }
 
-func (m *Node) end(t *Task, p Phase, r Reason) {
-	if t.Phase > Running {
+func (n *Node) terminate(task *Task, phase Phase, reason Reason) {
+	if task.Phase > Running {
 		return
 	}
-	m.used.cores -= t.UseCores
-	m.used.memory -= t.UseMemory
-	if t.Phase == Running {
-		if m.running[t.Service]--; m.running[t.Service] <= 0 {
-			delete(m.running, t.Service)
+	n.used.cores -= task.UsedCores
+	n.used.memory -= task.UsedMemory
+	if task.Phase == Running {
+		if n.running[task.Service]--; n.running[task.Service] <= 0 {
+			delete(n.running, task.Service)
 		}
-		if i := slices.Index(m.programs, t.Service); i >= 0 {
-			m.programs = slices.Delete(m.programs, i, i+1)
+		if i := slices.Index(n.cachedPrograms, task.Service); i >= 0 {
+			n.cachedPrograms = slices.Delete(n.cachedPrograms, i, i+1)
 		}
-		if m.programs = append(m.programs, t.Service); len(m.programs) > m.cfg.KeepPrograms {
-			m.programs = m.programs[1:]
+		if n.cachedPrograms = append(n.cachedPrograms, task.Service); len(n.cachedPrograms) > n.cfg.ProgramCacheSize {
+			n.cachedPrograms = n.cachedPrograms[1:]
 		}
-	} else if p == Ended && (r == Stopped || r == Drained || r == Preempted) {
-		r = NeverRan
-	}
-	t.Phase, t.Reason, t.endedAt = p, r, m.now
-	m.asked.cores -= t.Cores
-	m.asked.memory -= t.Memory
-	if !t.answered {
-		t.answered = true
-		m.emit(Effect{Kind: Answered, UID: t.UID, Attempt: t.Attempt, Reason: WrongNode})
-	}
-	m.emit(Effect{Kind: Changed, Task: t})
-	m.seal(t.UID, t.Attempt)
-	m.at(m.now+m.cfg.KeepEnded, func() {
-		if m.tasks[t.UID] == t {
-			delete(m.tasks, t.UID)
-			m.emit(Effect{Kind: Forgotten, Task: t})
+	} else if phase == Terminated && (reason == Stopped || reason == Drained || reason == Preempted) {
+		reason = NeverRan
+	}
+	task.Phase, task.Reason, task.terminatedAt = phase, reason, n.now
+	n.requested.cores -= task.Cores
+	n.requested.memory -= task.Memory
+	if !task.answered {
+		task.answered = true
+		n.emit(Effect{Kind: Answered, UID: task.UID, Attempt: task.Attempt, Reason: WrongNode})
+	}
+	n.emit(Effect{Kind: Changed, Task: task})
+	n.fence(task.UID, task.Attempt)
+	n.schedule(n.now+n.cfg.TerminatedRetention, func() {
+		if n.tasks[task.UID] == task {
+			delete(n.tasks, task.UID)
+			n.emit(Effect{Kind: Removed, Task: task})
 		}
 	})
 }
 
-const maxSealed = 100000
+const maxFenced = 100000
 
-// seal forbids attempts of a task up to the given number.
-func (m *Node) seal(uid string, attempt int) {
-	if _, ok := m.sealed[uid]; !ok {
-		m.order = append(m.order, uid)
-		if len(m.order) > maxSealed {
-			delete(m.sealed, m.order[0])
-			m.order = m.order[1:]
+// fence forbids attempts of a task up to the given number.
+func (n *Node) fence(uid string, attempt int) {
+	if _, ok := n.fenced[uid]; !ok {
+		n.fencedOrder = append(n.fencedOrder, uid)
+		if len(n.fencedOrder) > maxFenced {
+			delete(n.fenced, n.fencedOrder[0])
+			n.fencedOrder = n.fencedOrder[1:]
 		}
 	}
-	m.sealed[uid] = max(m.sealed[uid], attempt)
+	n.fenced[uid] = max(n.fenced[uid], attempt)
 }
 
 // Stop stops a task if the machine has it, and forbids attempts up to the given number if not. had says that it has or had
 // the task, ran that it ran.
-func (m *Node) Stop(now float64, uid string, attempt int) (had, ran bool) {
-	m.Tick(now)
-	m.seal(uid, attempt)
-	i := slices.IndexFunc(m.queue, func(o Offer) bool { return o.UID == uid && o.Attempt <= attempt })
-	if i >= 0 && !(i == 0 && m.looking) {
-		o := m.queue[i]
-		m.queue = slices.Delete(m.queue, i, i+1)
-		m.refuse(&o, WrongNode)
+func (n *Node) Stop(now float64, uid string, attempt int) (had, ran bool) {
+	n.Tick(now)
+	n.fence(uid, attempt)
+	i := slices.IndexFunc(n.queue, func(request Request) bool { return request.UID == uid && request.Attempt <= attempt })
+	if i >= 0 && !(i == 0 && n.deciding) {
+		request := n.queue[i]
+		n.queue = slices.Delete(n.queue, i, i+1)
+		n.reject(&request, WrongNode)
 	}
-	t := m.tasks[uid]
-	if t == nil {
-		return false, m.begun[uid]
+	task := n.tasks[uid]
+	if task == nil {
+		return false, n.started[uid]
 	}
-	m.end(t, Ended, Stopped)
-	return true, t.ran
+	n.terminate(task, Terminated, Stopped)
+	return true, task.ran
 }
 
 // Drain takes no more tasks, and sends those that it holds away after its grace.
-func (m *Node) Drain(now float64) {
-	m.Tick(now)
-	if m.draining {
+func (n *Node) Drain(now float64) {
+	n.Tick(now)
+	if n.draining {
 		return
 	}
-	m.draining = true
-	if m.cfg.Grace < 0 {
+	n.draining = true
+	if n.cfg.DrainGrace < 0 {
 		return
 	}
-	m.at(m.now+m.cfg.Grace, func() {
-		if m.draining {
-			for _, t := range m.live() {
-				m.end(t, Ended, Drained)
+	n.schedule(n.now+n.cfg.DrainGrace, func() {
+		if n.draining {
+			for _, task := range n.activeTasks() {
+				n.terminate(task, Terminated, Drained)
 			}
 		}
 	})
 }
 
 // Undrain takes tasks again.
-func (m *Node) Undrain(now float64) {
-	m.Tick(now)
-	m.draining = false
+func (n *Node) Undrain(now float64) {
+	n.Tick(now)
+	n.draining = false
 }
 
-// breathe lets use wander and evicts when memory runs out.
-func (m *Node) breathe() {
-	for _, t := range m.live() {
-		if t.Phase == Running {
-			t.factorCores = min(max(t.factorCores+0.04*(m.rng.Float64()-0.5), m.cfg.UseMin), m.cfg.UseMax)
+// updateUsage lets use wander and evicts when memory runs out.
+func (n *Node) updateUsage() {
+	for _, task := range n.activeTasks() {
+		if task.Phase == Running {
+			task.coresFactor = min(max(task.coresFactor+0.04*(n.rng.Float64()-0.5), n.cfg.UsageMin), n.cfg.UsageMax)
 		}
 	}
-	m.measure()
-	for m.used.memory > m.cfg.Memory {
-		l := m.live()
+	n.sumUsage()
+	for n.used.memory > n.cfg.Memory {
+		active := n.activeTasks()
 		var worst *Task
-		for _, t := range l {
-			if t.Phase == Running && (worst == nil || t.Priority < worst.Priority ||
-				t.Priority == worst.Priority && t.UseMemory-t.Memory > worst.UseMemory-worst.Memory) {
-				worst = t
+		for _, task := range active {
+			if task.Phase == Running && (worst == nil || task.Priority < worst.Priority ||
+				task.Priority == worst.Priority && task.UsedMemory-task.Memory > worst.UsedMemory-worst.Memory) {
+				worst = task
 			}
 		}
 		if worst == nil {
 			break
 		}
-		m.end(worst, Ended, Evicted)
+		n.terminate(worst, Terminated, Evicted)
 	}
-	m.at(m.now+1, m.breathe)
+	n.schedule(n.now+1, n.updateUsage)
 }
 
-// measure adds up what is in use.
-func (m *Node) measure() {
-	m.used.cores, m.used.memory = 0, 0
-	for _, t := range m.live() {
-		if t.Phase == Running {
-			t.UseCores, t.UseMemory = 0, 0
-			m.use(t)
+// sumUsage adds up what is in use.
+func (n *Node) sumUsage() {
+	n.used.cores, n.used.memory = 0, 0
+	for _, task := range n.activeTasks() {
+		if task.Phase == Running {
+			task.UsedCores, task.UsedMemory = 0, 0
+			n.measureTask(task)
 		}
 	}
 }
 
-// use brings what a task uses up to date. Memory grows over three seconds after a start.
-func (m *Node) use(t *Task) {
-	m.used.cores -= t.UseCores
-	m.used.memory -= t.UseMemory
-	t.UseCores = t.Cores * t.factorCores
-	t.UseMemory = t.Memory * t.factorMem * min(1, 0.4+0.2*(m.now-t.startedAt))
-	m.used.cores += t.UseCores
-	m.used.memory += t.UseMemory
+// measureTask brings what a task uses up to date. Memory grows over three seconds after a start.
+func (n *Node) measureTask(task *Task) {
+	n.used.cores -= task.UsedCores
+	n.used.memory -= task.UsedMemory
+	task.UsedCores = task.Cores * task.coresFactor
+	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*(n.now-task.startedAt))
+	n.used.cores += task.UsedCores
+	n.used.memory += task.UsedMemory
 }
 
-func (m *Node) at(at float64, fn func()) { m.timers.Add(at, fn) }
+func (n *Node) schedule(at float64, run func()) { n.timers.Add(at, run) }
--- a/internal/platform/bulletin.go
+++ b/internal/platform/bulletin.go
@@ -14,129 +14,129 @@
 )
 
 const (
-	silence  = 2.2 // seconds without a byte, where a comment comes every second
-	maxEvent = 2 << 20
+	watchIdleTimeout = 2.2 // seconds without a byte, where a comment comes every second
+	maxEventBytes    = 2 << 20
 )
 
 var (
-	errSilent = errors.New("bulletin is silent")
-	errGap    = errors.New("bulletin: numbers have a gap")
-	errNotSSE = errors.New("bulletin: not an event stream")
+	errWatchIdle        = errors.New("bulletin is silent")
+	errEventGap         = errors.New("bulletin: numbers have a gap")
+	errUnexpectedStatus = errors.New("bulletin: not an event stream")
 )
 
-// bulletin follows the list of machines.
-type bulletin struct {
-	s      *Server
-	addr   string
-	client *httpc.Client
-	call   *httpc.Call
-	gen    int // of the call: what an earlier one still tells is skipped
-	dec    sse.Decoder
-	quiet  *eventloop.Timer
-	retry  retry.Backoff
-	again  *eventloop.Timer
+// discoveryWatch follows the list of machines.
+type discoveryWatch struct {
+	server     *Server
+	addr       string
+	client     *httpc.Client
+	call       *httpc.Call
+	generation int // of the call: what an earlier one still tells is skipped
+	decoder    sse.Decoder
+	idleTimer  *eventloop.Timer
+	backoff    retry.Backoff
+	retryTimer *eventloop.Timer
 }
 
-func newBulletin(s *Server, addr string) *bulletin {
-	b := &bulletin{s: s, addr: addr, retry: retry.Backoff{Min: 0.05, Max: 1}}
-	b.client = b.newClient()
-	return b
+func newDiscoveryWatch(server *Server, addr string) *discoveryWatch {
+	watch := &discoveryWatch{server: server, addr: addr, backoff: retry.Backoff{Min: 0.05, Max: 1}}
+	watch.client = watch.newClient()
+	return watch
 }
 
-func (b *bulletin) newClient() *httpc.Client {
-	c := httpc.New(b.s.l, b.addr)
-	c.ConnectWithin = 0.5
-	return c
+func (w *discoveryWatch) newClient() *httpc.Client {
+	client := httpc.New(w.server.loop, w.addr)
+	client.ConnectTimeoutSeconds = 0.5
+	return client
 }
 
-// move goes over to another address; the numbers go on.
-func (b *bulletin) move(addr string) {
-	b.addr = addr
-	b.client = b.newClient()
-	b.retry.Reset()
-	b.open()
+// moveTo goes over to another address; the numbers go on.
+func (w *discoveryWatch) moveTo(addr string) {
+	w.addr = addr
+	w.client = w.newClient()
+	w.backoff.Reset()
+	w.open()
 }
 
 // open asks for what comes after the last event had.
-func (b *bulletin) open() {
-	b.again.Stop()
-	b.quiet.Stop()
-	b.gen++
-	gen := b.gen
-	if b.call != nil {
-		b.call.Cancel()
+func (w *discoveryWatch) open() {
+	w.retryTimer.Stop()
+	w.idleTimer.Stop()
+	w.generation++
+	generation := w.generation
+	if w.call != nil {
+		w.call.Cancel()
 	}
-	b.dec = sse.Decoder{MaxEvent: maxEvent}
-	b.s.stats.BulletinOpens++
+	w.decoder = sse.Decoder{MaxEvent: maxEventBytes}
+	w.server.stats.WatchesOpened++
 	failure := error(nil)
-	b.call = b.client.Do("GET", "/bulletins", []http1.Field{{Name: "Accept", Value: "text/event-stream"},
-		{Name: "Last-Event-ID", Value: strconv.FormatUint(b.s.c.LastDiscoveryEvent(), 10)}}, nil, 0, &httpc.Call{
-		Started: func(h *http1.Head) {
-			if gen == b.gen && h.Status == 200 {
-				b.heard()
-				b.s.c.SetDiscoveryConnected(b.s.l.Now(), true)
-				b.s.pump()
+	w.call = w.client.Do("GET", "/bulletins", []http1.Field{{Name: "Accept", Value: "text/event-stream"},
+		{Name: "Last-Event-ID", Value: strconv.FormatUint(w.server.core.LastDiscoveryEvent(), 10)}}, nil, 0, &httpc.Call{
+		Started: func(head *http1.Head) {
+			if generation == w.generation && head.Status == 200 {
+				w.resetIdleTimer()
+				w.server.core.SetDiscoveryConnected(w.server.loop.Now(), true)
+				w.server.processReady()
 			}
 		},
 		Data: func(data []byte) {
-			if gen != b.gen || failure != nil {
+			if generation != w.generation || failure != nil {
 				return
 			}
-			b.heard()
-			err := b.dec.Write(data, func(e sse.Event) {
+			w.resetIdleTimer()
+			err := w.decoder.Write(data, func(event sse.Event) {
 				if failure != nil {
 					return
 				}
-				b.s.stats.BulletinEvents++
-				b.s.log.Trace().Str("id", e.ID).Str("data", e.Data).Msg("bulletin>")
-				ok, err := b.s.c.ReceiveDiscoveryEvent(b.s.l.Now(), []byte(e.Data))
-				if err == nil && !ok {
-					err = errGap
+				w.server.stats.WatchEvents++
+				w.server.log.Trace().Str("id", event.ID).Str("data", event.Data).Msg("bulletin>")
+				inSequence, err := w.server.core.ReceiveDiscoveryEvent(w.server.loop.Now(), []byte(event.Data))
+				if err == nil && !inSequence {
+					err = errEventGap
 				}
 				if err != nil {
 					failure = err
 				} else {
-					b.retry.Reset()
+					w.backoff.Reset()
 				}
 			})
 			if failure == nil {
 				failure = err
 			}
-			b.s.pump()
+			w.server.processReady()
 			if failure != nil {
-				b.broken(failure)
+				w.retryAfterFailure(failure)
 			}
 		},
-		Done: func(h *http1.Head, body []byte, err error) {
-			if gen == b.gen {
-				if err == nil && h.Status != 200 {
-					err = errNotSSE
+		Done: func(head *http1.Head, body []byte, err error) {
+			if generation == w.generation {
+				if err == nil && head.Status != 200 {
+					err = errUnexpectedStatus
 				}
-				b.broken(err)
+				w.retryAfterFailure(err)
 			}
 		}})
-	b.heard()
+	w.resetIdleTimer()
 }
 
-// heard puts off the moment at which silence is taken for a stop.
-func (b *bulletin) heard() {
-	b.quiet.Stop()
-	b.quiet = b.s.l.After(silence, func() { b.broken(errSilent) })
+// resetIdleTimer puts off the moment at which silence is taken for a stop.
+func (w *discoveryWatch) resetIdleTimer() {
+	w.idleTimer.Stop()
+	w.idleTimer = w.server.loop.After(watchIdleTimeout, func() { w.retryAfterFailure(errWatchIdle) })
 }
 
-// broken asks again soon: at once after a stream that told something, then ever more slowly.
-func (b *bulletin) broken(err error) {
-	s := b.s
-	b.gen++ // nothing of the old call counts any more
-	b.quiet.Stop()
-	if call := b.call; call != nil {
-		b.call = nil
+// retryAfterFailure asks again soon: at once after a stream that told something, then ever more slowly.
+func (w *discoveryWatch) retryAfterFailure(err error) {
+	s := w.server
+	w.generation++ // nothing of the old call counts any more
+	w.idleTimer.Stop()
+	if call := w.call; call != nil {
+		w.call = nil
 		// Later: the call may be in the middle of telling.
-		s.l.After(0, call.Cancel)
+		s.loop.After(0, call.Cancel)
 	}
-	s.warn("bulletin", b.addr, err)
-	s.c.SetDiscoveryConnected(s.l.Now(), false)
-	s.pump()
-	b.again.Stop()
-	b.again = s.l.After(b.retry.Next(s.rng.Float64()), b.open)
+	s.warn("bulletin", w.addr, err)
+	s.core.SetDiscoveryConnected(s.loop.Now(), false)
+	s.processReady()
+	w.retryTimer.Stop()
+	w.retryTimer = s.loop.After(w.backoff.Next(s.rng.Float64()), w.open)
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -11,8 +11,8 @@
 	"heathshed/internal/simconfig"
 )
 
-// maxConfig bounds the configuration file, in bytes.
-const maxConfig = 16 << 20
+// maxConfigBytes bounds the configuration file, in bytes.
+const maxConfigBytes = 16 << 20
 
 // Config is what the platform tells a scheduler at its start.
 type Config struct {
@@ -27,28 +27,28 @@
 
 // ReadConfig reads the configuration at a path. An error names the field that cannot be used.
 func ReadConfig(path string) (*Config, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxConfig+1))
+	defer file.Close()
+	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if len(text) > maxConfig {
-		return nil, fmt.Errorf("configuration %s: over %d bytes", path, maxConfig)
+	if len(text) > maxConfigBytes {
+		return nil, fmt.Errorf("configuration %s: over %d bytes", path, maxConfigBytes)
 	}
-	c, err := ParseConfig(text)
+	config, err := ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
 // ParseConfig reads the text of a configuration.
 func ParseConfig(text []byte) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name     string          `json:"name"`
 		Listen   string          `json:"listen"`
 		Seed     string          `json:"seed"`
@@ -61,35 +61,35 @@
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Bulletin, InitialEvents: f.Known, Cores: f.Limits.Cores,
-		Memory: f.Limits.MemoryMB << 20, Sockets: f.Limits.Sockets}
-	if c.Name == "" {
+	config := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Bulletin, InitialEvents: file.Known, Cores: file.Limits.Cores,
+		Memory: file.Limits.MemoryMB << 20, Sockets: file.Limits.Sockets}
+	if config.Name == "" {
 		return nil, fmt.Errorf("name: is empty")
 	}
-	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+	if _, err := netip.ParseAddrPort(config.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
+	if _, err := netip.ParseAddrPort(config.Discovery); err != nil {
 		return nil, fmt.Errorf("bulletin: %w", err)
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if !(c.Cores >= 0) || f.Limits.MemoryMB < 0 || f.Limits.MemoryMB > 1<<30 || c.Sockets < 0 {
-		return nil, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", c.Cores, f.Limits.MemoryMB, c.Sockets)
+	if !(config.Cores >= 0) || file.Limits.MemoryMB < 0 || file.Limits.MemoryMB > 1<<30 || config.Sockets < 0 {
+		return nil, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", config.Cores, file.Limits.MemoryMB, config.Sockets)
 	}
-	if c.Sockets > 0 && c.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits: sockets %d: want at least %d", c.Sockets, leastSockets)
+	if config.Sockets > 0 && config.Sockets < minSockets {
+		return nil, fmt.Errorf("limits: sockets %d: want at least %d", config.Sockets, minSockets)
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	if c.Settings, err = simconfig.Parse(f.Settings); err != nil {
+	if config.Settings, err = simconfig.Parse(file.Settings); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -21,378 +21,378 @@
 // A machine that holds tasks is taken for lost after these times in seconds. Owners are to know within 8 s of the end; refusals may be a
 // process that is being started again.
 const (
-	silentFor  = 6.0
-	refusedFor = 1.0
+	unresponsiveTimeout = 6.0
+	refusedTimeout      = 1.0
 )
 
-// seatFor is how long, in seconds, a connection to a machine that holds tasks keeps its seat where there are more such machines than seats.
+// slotHoldTime is how long, in seconds, a connection to a machine that holds tasks keeps its seat where there are more such machines than seats.
 // They take turns then, so that each can say within 8 s how its tasks end.
-const seatFor = 2.0
+const slotHoldTime = 2.0
 
-const owedBytes = 64 << 10 // of releases that wait for a connection, for each machine
+const maxPendingBytes = 64 << 10 // of releases that wait for a connection, for each machine
 
-// link is all connections to one machine, told apart by its uid: another machine may sit where it was.
-type link struct {
-	s       *Server
-	id      placer.NodeID
-	addr    string
-	conns   []*nodeConn
-	dialing *nodeConn
-	queue   []*dispatch.Attempt // wait for the dial
-	owed    []byte              // releases for a machine that no connection reaches
-	retry   retry.Backoff
-	retryAt float64
-	downAt  float64 // when its last connection ended; 0 if none was
-	reach   connpool.Reachability
-	holds   bool
-	wanted  bool // a connection, by what the machine holds or is owed
+// nodeLink is all connections to one machine, told apart by its uid: another machine may sit where it was.
+type nodeLink struct {
+	server          *Server
+	id              placer.NodeID
+	addr            string
+	conns           []*nodeConn
+	dialing         *nodeConn
+	queued          []*dispatch.Attempt // wait for the dial
+	pendingMessages []byte              // releases for a machine that no connection reaches
+	backoff         retry.Backoff
+	retryAt         float64
+	disconnectedAt  float64 // when its last connection ended; 0 if none was
+	reachability    connpool.Reachability
+	hasTasks        bool
+	needsConn       bool // a connection, by what the machine holds or is owed
 }
 
 // nodeConn is one connection to a machine.
 type nodeConn struct {
-	k      *link
-	no     uint64
-	lc     *eventloop.Conn
-	offers map[*dispatch.Attempt]struct{}
-	up     bool
-	since  float64 // when it came up
-	state  connpool.ConnState
-	m      platformproto.Message
+	link          *nodeLink
+	id            uint64
+	conn          *eventloop.Conn
+	attempts      map[*dispatch.Attempt]struct{}
+	established   bool
+	establishedAt float64 // when it came up
+	keepAlive     connpool.ConnState
+	message       platformproto.Message
 }
 
-func (s *Server) link(id placer.NodeID) *link {
-	k := s.links[id]
-	if k == nil {
-		k = &link{s: s, id: id, retry: retry.Backoff{Min: 0.2, Max: 1}, reach: s.reach}
-		if n := s.c.Node(id); n != nil {
-			k.addr = n.Addr
+func (s *Server) linkTo(id placer.NodeID) *nodeLink {
+	link := s.links[id]
+	if link == nil {
+		link = &nodeLink{server: s, id: id, backoff: retry.Backoff{Min: 0.2, Max: 1}, reachability: s.reachability}
+		if n := s.core.Node(id); n != nil {
+			link.addr = n.Addr
 		}
-		s.links[id] = k
+		s.links[id] = link
 	}
-	return k
+	return link
 }
 
-// follow brings the links in line with the roster: a machine that has moved is spoken to at its new address.
-func (s *Server) follow() {
-	s.c.Nodes(func(n *dispatch.Node) {
-		k := s.links[n.ID]
-		if k != nil && k.addr != n.Addr {
-			k.addr = n.Addr
-			k.closeAll()
+// updateNodeAddresses brings the links in line with the roster: a machine that has moved is spoken to at its new address.
+func (s *Server) updateNodeAddresses() {
+	s.core.Nodes(func(node *dispatch.Node) {
+		link := s.links[node.ID]
+		if link != nil && link.addr != node.Addr {
+			link.addr = node.Addr
+			link.closeConns()
 		}
 	})
 }
 
-func (k *link) closeAll() {
-	for _, c := range slices.Clone(k.conns) {
-		c.lc.Close()
+func (link *nodeLink) closeConns() {
+	for _, nc := range slices.Clone(link.conns) {
+		nc.conn.Close()
 	}
-	if k.dialing != nil {
-		k.dialing.lc.Close()
+	if link.dialing != nil {
+		link.dialing.conn.Close()
 	}
 }
 
 // send has an offer go out on an open connection, or on one that is dialled for it.
-func (k *link) send(o *dispatch.Attempt) {
-	if c := k.usable(); c != nil {
-		c.send(o)
+func (link *nodeLink) send(attempt *dispatch.Attempt) {
+	if nc := link.usableConn(); nc != nil {
+		nc.send(attempt)
 		return
 	}
-	k.queue = append(k.queue, o)
-	k.dial()
+	link.queued = append(link.queued, attempt)
+	link.dial()
 }
 
-// usable is a connection that offers may go out on: of those that may, the one heard of last.
-func (k *link) usable() *nodeConn {
+// usableConn is a connection that offers may go out on: of those that may, the one heard of last.
+func (link *nodeLink) usableConn() *nodeConn {
 	var best *nodeConn
-	for _, c := range k.conns {
-		if c.state.Usable() && (best == nil || c.state.LastReceived > best.state.LastReceived) {
-			best = c
+	for _, nc := range link.conns {
+		if nc.keepAlive.Usable() && (best == nil || nc.keepAlive.LastReceived > best.keepAlive.LastReceived) {
+			best = nc
 		}
 	}
 	return best
 }
 
-func (k *link) dial() {
-	if k.dialing != nil {
+func (link *nodeLink) dial() {
+	if link.dialing != nil {
 		return
 	}
-	s := k.s
-	if !s.seat() {
-		s.l.After(0, func() { k.failed(errNoSeat) })
+	s := link.server
+	if !s.ensureNodeSlot() {
+		s.loop.After(0, func() { link.dialFailed(errNoConnectionSlot) })
 		return
 	}
-	s.nextNode++
-	c := &nodeConn{k: k, no: s.nextNode, offers: map[*dispatch.Attempt]struct{}{}}
-	within := s.cfg.Settings.Placer.ConnectTimeout
-	if within <= 0 {
-		within = 0.25
+	s.lastNodeConnID++
+	nc := &nodeConn{link: link, id: s.lastNodeConnID, attempts: map[*dispatch.Attempt]struct{}{}}
+	timeout := s.config.Settings.Placer.ConnectTimeout
+	if timeout <= 0 {
+		timeout = 0.25
 	}
-	s.stats.Dials++
-	lc, err := s.l.Dial(k.addr, within, c)
+	s.stats.NodeDials++
+	conn, err := s.loop.Dial(link.addr, timeout, nc)
 	if err != nil {
-		s.l.After(0, func() { k.failed(err) })
+		s.loop.After(0, func() { link.dialFailed(err) })
 		return
 	}
-	lc.MaxIn = 2 * platformproto.MaxLine
-	c.lc, k.dialing = lc, c
-	s.nodeConns++
+	conn.MaxInput = 2 * platformproto.MaxLine
+	nc.conn, link.dialing = conn, nc
+	s.openNodeConns++
 }
 
-// failed tells that no connection came up.
-func (k *link) failed(err error) {
-	s := k.s
-	s.stats.DialsFailed++
-	k.retryAt = s.l.Now() + k.retry.Next(s.rng.Float64())
-	if err != errNoSeat { // that says nothing of the machine
-		k.reach.DialFailed(s.l.Now(), errors.Is(err, unix.ECONNREFUSED))
-	}
-	q := k.queue
-	k.queue = nil
-	for _, o := range q {
-		s.c.ConnectFailed(s.l.Now(), o)
-	}
-	s.pump()
+// dialFailed tells that no connection came up.
+func (link *nodeLink) dialFailed(err error) {
+	s := link.server
+	s.stats.NodeDialsFailed++
+	link.retryAt = s.loop.Now() + link.backoff.Next(s.rng.Float64())
+	if err != errNoConnectionSlot { // that says nothing of the machine
+		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
+	}
+	queued := link.queued
+	link.queued = nil
+	for _, attempt := range queued {
+		s.core.ConnectFailed(s.loop.Now(), attempt)
+	}
+	s.processReady()
 }
 
-var errNoSeat = errors.New("no descriptor is left for a connection to a machine")
+var errNoConnectionSlot = errors.New("no descriptor is left for a connection to a machine")
 
-// seat says whether there is a descriptor for one more connection to a machine.
-func (s *Server) seat() bool { return s.nodeConns < s.maxNodes || s.freeSeat() }
+// ensureNodeSlot says whether there is a descriptor for one more connection to a machine.
+func (s *Server) ensureNodeSlot() bool { return s.openNodeConns < s.maxNodeConns || s.evictNodeConn() }
 
-// reconnect dials the machines that hold tasks, or are owed something, and have no connection: those first that have been without one for
+// reconnectNodes dials the machines that hold tasks, or are owed something, and have no connection: those first that have been without one for
 // longest. Where there are more of them than seats they take turns, and each must come to its turn before the end of a task there is overdue.
-func (s *Server) reconnect() {
-	now := s.l.Now()
-	s.waiting = s.waiting[:0]
-	for _, k := range s.links {
-		if k.wanted && len(k.conns) == 0 && k.dialing == nil && now >= k.retryAt {
-			s.waiting = append(s.waiting, k)
+func (s *Server) reconnectNodes() {
+	now := s.loop.Now()
+	s.disconnected = s.disconnected[:0]
+	for _, link := range s.links {
+		if link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt {
+			s.disconnected = append(s.disconnected, link)
 		}
 	}
-	slices.SortFunc(s.waiting, func(a, b *link) int {
-		return cmp.Or(cmp.Compare(a.downAt, b.downAt), cmp.Compare(a.id, b.id))
+	slices.SortFunc(s.disconnected, func(a, b *nodeLink) int {
+		return cmp.Or(cmp.Compare(a.disconnectedAt, b.disconnectedAt), cmp.Compare(a.id, b.id))
 	})
-	for _, k := range s.waiting {
-		if !s.seat() {
+	for _, link := range s.disconnected {
+		if !s.ensureNodeSlot() {
 			return
 		}
-		k.dial()
+		link.dial()
 	}
 }
 
-// freeSeat closes the connection to a machine that is missed least, and says whether there was one.
-func (s *Server) freeSeat() bool {
-	now := s.l.Now()
+// evictNodeConn closes the connection to a machine that is missed least, and says whether there was one.
+func (s *Server) evictNodeConn() bool {
+	now := s.loop.Now()
 	var candidates []memquota.Candidate
 	var conns []*nodeConn
-	for _, k := range s.links {
-		for _, c := range k.conns {
-			candidates = append(candidates, memquota.Candidate{Busy: len(c.offers) > 0 || k.holds && now-c.since < s.seatFor, Proven: k.holds, Idle: now - c.state.LastSent})
-			conns = append(conns, c)
+	for _, link := range s.links {
+		for _, nc := range link.conns {
+			candidates = append(candidates, memquota.Candidate{Busy: len(nc.attempts) > 0 || link.hasTasks && now-nc.establishedAt < s.slotHoldTime, Established: link.hasTasks, IdleSeconds: now - nc.keepAlive.LastSent})
+			conns = append(conns, nc)
 		}
 	}
 	i := memquota.SelectEviction(candidates)
 	if i >= 0 {
-		conns[i].lc.Close()
+		conns[i].conn.Close()
 	}
 	return i >= 0
 }
 
-func (c *nodeConn) send(o *dispatch.Attempt) {
-	s := c.k.s
-	if !s.c.PrepareSend(s.l.Now(), o) {
+func (nc *nodeConn) send(attempt *dispatch.Attempt) {
+	s := nc.link.server
+	if !s.core.PrepareSend(s.loop.Now(), attempt) {
 		return
 	}
-	o.Conn = c
-	c.offers[o] = struct{}{}
-	c.state.LastSent = s.l.Now()
-	s.trace(">node", c.no, c.lc.Peer(), &o.Message)
-	c.lc.SetOut(o.Message.Append(c.lc.Out()))
+	attempt.Conn = nc
+	nc.attempts[attempt] = struct{}{}
+	nc.keepAlive.LastSent = s.loop.Now()
+	s.traceMessage(">node", nc.id, nc.conn.Peer(), &attempt.Message)
+	nc.conn.CommitOutput(attempt.Message.Append(nc.conn.OutputBuffer()))
 }
 
-// release sends a message about an offer to its machine.
-func (k *link) release(e *dispatch.Effect) {
-	s := k.s
-	c, _ := e.Attempt.Conn.(*nodeConn)
-	if c != nil {
-		delete(c.offers, e.Attempt)
-	}
-	if c == nil || c.lc.Closed() {
-		if c = k.usable(); c == nil && len(k.conns) > 0 {
-			c = k.conns[0]
+// sendMessage sends a message about an offer to its machine.
+func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
+	s := link.server
+	nc, _ := effect.Attempt.Conn.(*nodeConn)
+	if nc != nil {
+		delete(nc.attempts, effect.Attempt)
+	}
+	if nc == nil || nc.conn.Closed() {
+		if nc = link.usableConn(); nc == nil && len(link.conns) > 0 {
+			nc = link.conns[0]
 		}
-	} else if e.TimedOut {
+	} else if effect.TimedOut {
 		// Slow, or carrying nothing any more: a test tells, and no offer goes out here until it does.
-		s.stats.Doubted++
-		defer c.test()
+		s.stats.NodeConnsSuspected++
+		defer nc.sendHealthCheck()
 	}
-	if c == nil {
-		if len(k.owed) < owedBytes {
-			k.owed = e.Message.Append(k.owed)
+	if nc == nil {
+		if len(link.pendingMessages) < maxPendingBytes {
+			link.pendingMessages = effect.Message.Append(link.pendingMessages)
 		}
 		return
 	}
-	s.trace(">node", c.no, c.lc.Peer(), &e.Message)
-	c.lc.SetOut(e.Message.Append(c.lc.Out()))
+	s.traceMessage(">node", nc.id, nc.conn.Peer(), &effect.Message)
+	nc.conn.CommitOutput(effect.Message.Append(nc.conn.OutputBuffer()))
 }
 
-func (c *nodeConn) test() {
-	if c.state.HealthCheckSent == 0 {
-		c.state.HealthCheckSent = c.k.s.l.Now()
-		c.lc.SetOut(check.Append(c.lc.Out()))
+func (nc *nodeConn) sendHealthCheck() {
+	if nc.keepAlive.HealthCheckSent == 0 {
+		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
+		nc.conn.CommitOutput(healthCheck.Append(nc.conn.OutputBuffer()))
 	}
 }
 
-// keep closes connections that are idle or of no further use, and sees to it that a machine that holds tasks can say how they end.
-func (k *link) keep() {
-	s := k.s
-	now := s.l.Now()
-	n := s.c.Node(k.id)
-	holds := n != nil && n.RunningTasks() > 0
+// maintain closes connections that are idle or of no further use, and sees to it that a machine that holds tasks can say how they end.
+func (link *nodeLink) maintain() {
+	s := link.server
+	now := s.loop.Now()
+	node := s.core.Node(link.id)
+	hasTasks := node != nil && node.RunningTasks() > 0
 	// A list may leave a machine out that the next one has again: what is open there is not given up for that.
-	if !holds && (n == nil || n.TerminatedFor(now) > dispatch.TerminationGrace) {
-		k.closeAll()
-		delete(s.links, k.id)
+	if !hasTasks && (node == nil || node.TerminatedFor(now) > dispatch.TerminationGrace) {
+		link.closeConns()
+		delete(s.links, link.id)
 		return
 	}
-	if holds && !k.holds {
-		k.reach.Received(now) // what came of it before says nothing of these tasks
+	if hasTasks && !link.hasTasks {
+		link.reachability.Received(now) // what came of it before says nothing of these tasks
 	}
-	k.holds = holds
-	for _, c := range slices.Clone(k.conns) {
-		c.state.PendingRequests, c.state.RunsTasks, c.state.HasAlternative = len(c.offers), holds, len(k.conns) > 1
-		switch s.shared.KeepAlive(now, c.state) {
+	link.hasTasks = hasTasks
+	for _, nc := range slices.Clone(link.conns) {
+		nc.keepAlive.PendingRequests, nc.keepAlive.RunsTasks, nc.keepAlive.HasAlternative = len(nc.attempts), hasTasks, len(link.conns) > 1
+		switch s.keepAlive.KeepAlive(now, nc.keepAlive) {
 		case connpool.SendHealthCheck:
-			c.test()
+			nc.sendHealthCheck()
 		case connpool.CloseIdle:
-			c.lc.Close()
+			nc.conn.Close()
 		case connpool.CloseUnresponsive:
-			s.stats.Broken++
-			c.lc.Close()
+			s.stats.NodeConnsUnresponsive++
+			nc.conn.Close()
 		}
 	}
-	k.wanted = false
-	if !holds && len(k.owed) == 0 || len(k.conns) > 0 {
+	link.needsConn = false
+	if !hasTasks && len(link.pendingMessages) == 0 || len(link.conns) > 0 {
 		return
 	}
-	switch loss := k.reach.Status(now); {
-	case !holds || loss == connpool.Reachable:
-	case loss == connpool.ProcessEnded:
-		s.stats.MachinesLost++
-		s.log.Warn().Str("machine", n.UID).Int("tasks", n.RunningTasks()).Msg("machine taken for lost: it refuses")
-		s.c.NodeDead(now, k.id)
-		k.owed = nil
+	switch status := link.reachability.Status(now); {
+	case !hasTasks || status == connpool.Reachable:
+	case status == connpool.ProcessEnded:
+		s.stats.NodesUnreachable++
+		s.log.Warn().Str("machine", node.UID).Int("tasks", node.RunningTasks()).Msg("machine taken for lost: it refuses")
+		s.core.NodeDead(now, link.id)
+		link.pendingMessages = nil
 		return
 	default:
-		if tasks := s.c.NodeUnresponsive(now, k.id); tasks > 0 {
-			s.stats.MachinesLost++
-			s.log.Warn().Str("machine", n.UID).Int("tasks", tasks).Msg("machine taken for lost: it is silent")
+		if tasks := s.core.NodeUnresponsive(now, link.id); tasks > 0 {
+			s.stats.NodesUnreachable++
+			s.log.Warn().Str("machine", node.UID).Int("tasks", tasks).Msg("machine taken for lost: it is silent")
 		}
 	}
 	// One that has gone is not dialled: another machine may sit there by now, and its word would be taken for the gone one's.
-	k.wanted = n.State != placer.Gone
+	link.needsConn = node.State != placer.Terminated
 }
 
-var check = platformproto.Message{Kind: platformproto.Check, UID: "0000000000000001", ID: 1, HasReason: true}
+var healthCheck = platformproto.Message{Kind: platformproto.Check, UID: "0000000000000001", ID: 1, HasCause: true}
 
-func (c *nodeConn) Opened(lc *eventloop.Conn) {
-	k := c.k
-	s := k.s
-	c.up, c.since, c.state.LastReceived, c.state.LastSent = true, s.l.Now(), s.l.Now(), s.l.Now()
-	k.reach.Received(s.l.Now())
-	if k.dialing == c {
-		k.dialing = nil
-	}
-	k.retry.Reset()
-	k.conns = append(k.conns, c)
-	if len(k.owed) > 0 {
-		lc.Write(k.owed)
-		k.owed = nil
-	}
-	q := k.queue
-	k.queue = nil
-	for _, o := range q {
-		s.start(o)
-	}
-	s.pump()
+func (nc *nodeConn) Opened(conn *eventloop.Conn) {
+	link := nc.link
+	s := link.server
+	nc.established, nc.establishedAt, nc.keepAlive.LastReceived, nc.keepAlive.LastSent = true, s.loop.Now(), s.loop.Now(), s.loop.Now()
+	link.reachability.Received(s.loop.Now())
+	if link.dialing == nc {
+		link.dialing = nil
+	}
+	link.backoff.Reset()
+	link.conns = append(link.conns, nc)
+	if len(link.pendingMessages) > 0 {
+		conn.Write(link.pendingMessages)
+		link.pendingMessages = nil
+	}
+	queued := link.queued
+	link.queued = nil
+	for _, attempt := range queued {
+		s.scheduleAttempt(attempt)
+	}
+	s.processReady()
 }
 
-var errStrange = errors.New("message that a machine does not send")
+var errUnexpectedKind = errors.New("message that a machine does not send")
 
-func (c *nodeConn) Data(lc *eventloop.Conn, b []byte) int {
-	s := c.k.s
-	c.state.LastReceived = s.l.Now()
-	c.k.reach.Received(c.state.LastReceived)
-	n, err := s.lines(lc, b, func(line []byte) (bool, error) {
-		if err := platformproto.Parse(line, &c.m); err != nil {
+func (nc *nodeConn) Data(conn *eventloop.Conn, data []byte) int {
+	s := nc.link.server
+	nc.keepAlive.LastReceived = s.loop.Now()
+	nc.link.reachability.Received(nc.keepAlive.LastReceived)
+	consumed, err := s.readLines(conn, data, func(line []byte) (bool, error) {
+		if err := platformproto.Parse(line, &nc.message); err != nil {
 			return false, err
 		}
-		if c.m.Kind == platformproto.Launch || c.m.Kind == platformproto.Check {
-			return false, errStrange
+		if nc.message.Kind == platformproto.Launch || nc.message.Kind == platformproto.Check {
+			return false, errUnexpectedKind
 		}
-		s.trace("node>", c.no, lc.Peer(), &c.m)
-		if c.m.Kind == platformproto.Checked {
-			c.state.HealthCheckSent = 0
+		s.traceMessage("node>", nc.id, conn.Peer(), &nc.message)
+		if nc.message.Kind == platformproto.Checked {
+			nc.keepAlive.HealthCheckSent = 0
 			return false, nil
 		}
-		s.c.ReceiveFromNode(s.l.Now(), c.k.id, &c.m)
+		s.core.ReceiveFromNode(s.loop.Now(), nc.link.id, &nc.message)
 		return false, nil
 	})
-	c.settle()
+	nc.removeAnswered()
 	switch {
-	case n == len(b):
-		c.state.IncompleteSince = 0
-	case n > 0 || c.state.IncompleteSince == 0:
-		c.state.IncompleteSince = s.l.Now()
-	}
-	s.pump()
-	if err != nil && !lc.Closed() {
-		s.stats.BadMachines[kind(err)]++
-		s.warn("machine's connection ended", lc.Peer(), err)
-		lc.Close()
-		return len(b)
-	}
-	return min(n, len(b))
+	case consumed == len(data):
+		nc.keepAlive.IncompleteSince = 0
+	case consumed > 0 || nc.keepAlive.IncompleteSince == 0:
+		nc.keepAlive.IncompleteSince = s.loop.Now()
+	}
+	s.processReady()
+	if err != nil && !conn.Closed() {
+		s.stats.InvalidFromNodes[invalidKind(err)]++
+		s.warn("machine's connection ended", conn.Peer(), err)
+		conn.Close()
+		return len(data)
+	}
+	return min(consumed, len(data))
 }
 
-// settle forgets the offers that have their answer.
-func (c *nodeConn) settle() {
-	for o := range c.offers {
-		if !o.Unanswered() {
-			delete(c.offers, o)
+// removeAnswered forgets the offers that have their answer.
+func (nc *nodeConn) removeAnswered() {
+	for attempt := range nc.attempts {
+		if !attempt.Unanswered() {
+			delete(nc.attempts, attempt)
 		}
 	}
 }
 
-func (c *nodeConn) Drained(*eventloop.Conn) {}
+func (nc *nodeConn) Drained(*eventloop.Conn) {}
 
-func (c *nodeConn) Closed(_ *eventloop.Conn, err error) {
-	k := c.k
-	s := k.s
-	s.nodeConns--
-	s.log.Trace().Uint64("conn", c.no).Str("addr", k.addr).Bool("up", c.up).Err(err).Msg("node closed")
-	if !c.up {
-		if k.dialing == c {
-			k.dialing = nil
+func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
+	link := nc.link
+	s := link.server
+	s.openNodeConns--
+	s.log.Trace().Uint64("conn", nc.id).Str("addr", link.addr).Bool("up", nc.established).Err(err).Msg("node closed")
+	if !nc.established {
+		if link.dialing == nc {
+			link.dialing = nil
 		}
-		k.failed(err)
+		link.dialFailed(err)
 		return
 	}
-	if i := slices.Index(k.conns, c); i >= 0 {
-		k.conns = slices.Delete(k.conns, i, i+1)
+	if i := slices.Index(link.conns, nc); i >= 0 {
+		link.conns = slices.Delete(link.conns, i, i+1)
 	}
-	k.downAt = s.l.Now()
-	if !errors.Is(err, eventloop.ErrClosedHere) {
-		s.stats.NodeBreaks++
+	link.disconnectedAt = s.loop.Now()
+	if !errors.Is(err, eventloop.ErrClosedLocally) {
+		s.stats.NodeConnsLost++
 	}
-	all := make([]*dispatch.Attempt, 0, len(c.offers))
-	for o := range c.offers {
-		all = append(all, o)
+	unanswered := make([]*dispatch.Attempt, 0, len(nc.attempts))
+	for attempt := range nc.attempts {
+		unanswered = append(unanswered, attempt)
 	}
-	c.offers = nil
-	for _, o := range all {
-		s.c.ConnectionLost(s.l.Now(), o)
+	nc.attempts = nil
+	for _, attempt := range unanswered {
+		s.core.ConnectionLost(s.loop.Now(), attempt)
 	}
-	s.pump()
+	s.processReady()
 }
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -11,152 +11,152 @@
 	"heathshed/internal/platformproto"
 )
 
-// ownerConn is one accepted connection.
-type ownerConn struct {
-	s      *Server
-	lc     *eventloop.Conn
-	id     dispatch.ConnID
-	opened float64
-	last   float64 // when the last message that made sense came
-	part   float64 // since when the last message has been incomplete; 0 if it is not
-	naming bool    // tasks that stand already are being named on it
-	ended  bool    // is being closed, and nobody's to the core
-	m      platformproto.Message
+// clientConn is one accepted connection.
+type clientConn struct {
+	server          *Server
+	conn            *eventloop.Conn
+	id              dispatch.ConnID
+	openedAt        float64
+	lastMessageAt   float64 // when the last message that made sense came
+	incompleteSince float64 // since when the last message has been incomplete; 0 if it is not
+	adopting        bool    // tasks that stand already are being named on it
+	closing         bool    // is being closed, and nobody's to the core
+	message         platformproto.Message
 }
 
-func (s *Server) accept(lc *eventloop.Conn) eventloop.Handler {
-	s.nextOwner++
-	s.stats.Accepted++
-	lc.MaxIn = 2 * platformproto.MaxLine
-	oc := &ownerConn{s: s, lc: lc, id: s.nextOwner, opened: s.l.Now(), last: s.l.Now()}
-	s.owners[oc.id] = oc
-	s.c.ClientConnected(s.l.Now(), oc.id)
-	if len(s.owners) >= s.maxOwners-2 {
-		s.makeRoom()
+func (s *Server) acceptClient(conn *eventloop.Conn) eventloop.Handler {
+	s.lastClientID++
+	s.stats.ClientsAccepted++
+	conn.MaxInput = 2 * platformproto.MaxLine
+	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: s.loop.Now(), lastMessageAt: s.loop.Now()}
+	s.clients[client.id] = client
+	s.core.ClientConnected(s.loop.Now(), client.id)
+	if len(s.clients) >= s.maxClients-2 {
+		s.evictClient()
 	}
-	return oc
+	return client
 }
 
-func (oc *ownerConn) Opened(*eventloop.Conn) {}
+func (cc *clientConn) Opened(*eventloop.Conn) {}
 
-func (oc *ownerConn) Data(lc *eventloop.Conn, b []byte) int {
-	s := oc.s
-	n, err := s.lines(lc, b, func(line []byte) (bool, error) {
-		if err := platformproto.Parse(line, &oc.m); err != nil {
+func (cc *clientConn) Data(conn *eventloop.Conn, data []byte) int {
+	s := cc.server
+	consumed, err := s.readLines(conn, data, func(line []byte) (bool, error) {
+		if err := platformproto.Parse(line, &cc.message); err != nil {
 			return false, err
 		}
-		s.trace("owner>", uint64(oc.id), lc.Peer(), &oc.m)
-		named := s.c.Counts.Adopted
-		if err := s.c.ReceiveFromClient(s.l.Now(), oc.id, &oc.m); err != nil {
-			s.stats.BadOwners[kind(err)]++
-			s.warn("owner's message not taken", lc.Peer(), err)
+		s.traceMessage("owner>", uint64(cc.id), conn.Peer(), &cc.message)
+		adoptedBefore := s.core.Counts.Adopted
+		if err := s.core.ReceiveFromClient(s.loop.Now(), cc.id, &cc.message); err != nil {
+			s.stats.InvalidFromClients[invalidKind(err)]++
+			s.warn("owner's message not taken", conn.Peer(), err)
 		} else {
-			oc.last = s.l.Now()
+			cc.lastMessageAt = s.loop.Now()
 		}
 		// Tasks that stand already come by the thousand after a start, and count soon whether read or not: the rest is read in this turn too.
-		if s.c.Counts.Adopted == named {
+		if s.core.Counts.Adopted == adoptedBefore {
 			return false, nil
 		}
-		if !oc.naming {
-			oc.naming = true
-			s.l.AtEnd(func() { oc.naming = false; lc.ReadNow() })
+		if !cc.adopting {
+			cc.adopting = true
+			s.loop.AtIterationEnd(func() { cc.adopting = false; conn.ReadNow() })
 		}
 		return true, nil
 	})
 	switch {
-	case n == len(b):
-		oc.part = 0
-	case n > 0 || oc.part == 0:
-		oc.part = s.l.Now()
+	case consumed == len(data):
+		cc.incompleteSince = 0
+	case consumed > 0 || cc.incompleteSince == 0:
+		cc.incompleteSince = s.loop.Now()
 	}
-	s.pump()
-	if err != nil && !lc.Closed() {
+	s.processReady()
+	if err != nil && !conn.Closed() {
 		// What cannot be read cannot be answered either, and what follows it means nothing.
-		s.stats.BadOwners[kind(err)]++
-		s.warn("owner's connection ended", lc.Peer(), err)
-		oc.end()
-		return len(b)
+		s.stats.InvalidFromClients[invalidKind(err)]++
+		s.warn("owner's connection ended", conn.Peer(), err)
+		cc.closeGracefully()
+		return len(data)
 	}
-	return min(n, len(b))
+	return min(consumed, len(data))
 }
 
-func (oc *ownerConn) Drained(*eventloop.Conn) {}
+func (cc *clientConn) Drained(*eventloop.Conn) {}
 
-func (oc *ownerConn) Closed(_ *eventloop.Conn, err error) {
-	s := oc.s
-	s.log.Trace().Uint64("conn", uint64(oc.id)).Err(err).Msg("owner closed")
-	delete(s.owners, oc.id)
-	s.c.ClientDisconnected(s.l.Now(), oc.id)
-	s.pump()
+func (cc *clientConn) Closed(_ *eventloop.Conn, err error) {
+	s := cc.server
+	s.log.Trace().Uint64("conn", uint64(cc.id)).Err(err).Msg("owner closed")
+	delete(s.clients, cc.id)
+	s.core.ClientDisconnected(s.loop.Now(), cc.id)
+	s.processReady()
 }
 
-// end closes the connection once what was written has gone out. From now on it is nobody's: what the core would tell on it would be lost.
-func (oc *ownerConn) end() {
-	if oc.ended {
+// closeGracefully closes the connection once what was written has gone out. From now on it is nobody's: what the core would tell on it would be lost.
+func (cc *clientConn) closeGracefully() {
+	if cc.closing {
 		return
 	}
-	oc.ended = true
-	oc.s.c.ClientDisconnected(oc.s.l.Now(), oc.id)
-	oc.s.pump()
-	oc.lc.CloseAfterFlush()
+	cc.closing = true
+	cc.server.core.ClientDisconnected(cc.server.loop.Now(), cc.id)
+	cc.server.processReady()
+	cc.conn.CloseAfterFlush()
 }
 
-var errUnread = errors.New("does not read what it is sent")
+var errClientNotReading = errors.New("does not read what it is sent")
 
-func (oc *ownerConn) write(m *platformproto.Message) {
-	if oc.lc.Buffered() > unsentToOwner {
-		oc.s.warn("owner's connection ended", oc.lc.Peer(), errUnread)
-		oc.s.l.After(0, oc.lc.Close)
+func (cc *clientConn) send(message *platformproto.Message) {
+	if cc.conn.Buffered() > maxUnsentToClient {
+		cc.server.warn("owner's connection ended", cc.conn.Peer(), errClientNotReading)
+		cc.server.loop.After(0, cc.conn.Close)
 		return
 	}
-	oc.s.trace(">owner", uint64(oc.id), oc.lc.Peer(), m)
-	out := m.Append(oc.lc.Out())
-	oc.lc.SetOut(out)
+	cc.server.traceMessage(">owner", uint64(cc.id), cc.conn.Peer(), message)
+	out := message.Append(cc.conn.OutputBuffer())
+	cc.conn.CommitOutput(out)
 }
 
-// idle says whether a connection has nothing under way and never had. The last way to owners of tasks that stand is kept: an owner who finds
+// isIdle says whether a connection has nothing under way and never had. The last way to owners of tasks that stand is kept: an owner who finds
 // its connection closed need not open another before it asks for something new, and is owed the end of its task within a second.
-func (oc *ownerConn) idle(now float64) bool {
-	open, good := oc.s.c.ClientRequests(oc.id)
-	return !oc.ended && open == 0 && !good && now-oc.last > strangerFor && !(oc.part > 0 && now-oc.part < partFor) &&
-		!oc.s.c.IsLastClient(oc.id)
+func (cc *clientConn) isIdle(now float64) bool {
+	open, proven := cc.server.core.ClientRequests(cc.id)
+	return !cc.closing && open == 0 && !proven && now-cc.lastMessageAt > idleClientTimeout && !(cc.incompleteSince > 0 && now-cc.incompleteSince < incompleteMessageTimeout) &&
+		!cc.server.core.IsLastClient(cc.id)
 }
 
-// sweepOwners closes connections that have nothing under way and never had. A request that the system has received by now is looked for
+// closeIdleClients closes connections that have nothing under way and never had. A request that the system has received by now is looked for
 // first: it would be lost with the connection.
-func (s *Server) sweepOwners() {
-	now := s.l.Now()
-	for _, oc := range s.owners {
-		if !oc.idle(now) {
+func (s *Server) closeIdleClients() {
+	now := s.loop.Now()
+	for _, client := range s.clients {
+		if !client.isIdle(now) {
 			continue
 		}
-		if oc.lc.ReadNow(); oc.idle(now) && !oc.lc.Closed() && !oc.lc.Paused() {
-			s.stats.Strangers++
-			oc.end()
+		if client.conn.ReadNow(); client.isIdle(now) && !client.conn.Closed() && !client.conn.Paused() {
+			s.stats.IdleClientsClosed++
+			client.closeGracefully()
 		}
 	}
 }
 
-// makeRoom closes the connection that is missed least, if nothing has come on it by now.
-func (s *Server) makeRoom() {
-	now := s.l.Now()
-	s.candidates, s.candidateOf = s.candidates[:0], s.candidateOf[:0]
-	for _, oc := range s.owners {
-		if oc.ended {
+// evictClient closes the connection that is missed least, if nothing has come on it by now.
+func (s *Server) evictClient() {
+	now := s.loop.Now()
+	s.evictionCandidates, s.evictionConns = s.evictionCandidates[:0], s.evictionConns[:0]
+	for _, client := range s.clients {
+		if client.closing {
 			continue // its seat is about to be free; it is not missed at all, but what it is owed may be on its way
 		}
-		open, good := s.c.ClientRequests(oc.id)
-		s.candidates = append(s.candidates, memquota.Candidate{Busy: open > 0 || oc.opened == now, Proven: good, Idle: now - max(oc.last, oc.part)})
-		s.candidateOf = append(s.candidateOf, oc)
+		open, proven := s.core.ClientRequests(client.id)
+		s.evictionCandidates = append(s.evictionCandidates, memquota.Candidate{Busy: open > 0 || client.openedAt == now, Established: proven, IdleSeconds: now - max(client.lastMessageAt, client.incompleteSince)})
+		s.evictionConns = append(s.evictionConns, client)
 	}
-	for i := memquota.SelectEviction(s.candidates); i >= 0; i = memquota.SelectEviction(s.candidates) {
-		oc := s.candidateOf[i]
-		oc.lc.ReadNow()
-		if open, _ := s.c.ClientRequests(oc.id); open == 0 && !oc.lc.Paused() {
-			s.stats.Crowded++
-			oc.lc.Close()
+	for i := memquota.SelectEviction(s.evictionCandidates); i >= 0; i = memquota.SelectEviction(s.evictionCandidates) {
+		client := s.evictionConns[i]
+		client.conn.ReadNow()
+		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.Paused() {
+			s.stats.ClientsEvicted++
+			client.conn.Close()
 			return
 		}
-		s.candidates[i].Busy = true
+		s.evictionCandidates[i].Busy = true
 	}
 }
