--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -23,9 +23,9 @@
 	"heathshed/placer"
 )
 
-const patient = 20 * time.Second // longer than anything here takes: what is waited for are events
+const testTimeout = 20 * time.Second // longer than anything here takes: what is waited for are events
 
-const settings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
+const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
  "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":20,"freeInList":true,
   "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
  "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1},
@@ -34,21 +34,21 @@
  "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25,"connIdleS":15},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
 
-// standin is a machine: each line that it gets is handed to say, which may answer.
-type standin struct {
-	addr string
-	ln   net.Listener
-	got  chan string
+// testNode is a machine: each line that it gets is handed to say, which may answer.
+type testNode struct {
+	addr     string
+	listener net.Listener
+	received chan string
 }
 
-func machine(t *testing.T, say func(conn net.Conn, line string)) *standin {
+func startNode(t *testing.T, handle func(conn net.Conn, line string)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	n := &standin{ln.Addr().String(), ln, make(chan string, 1000)}
+	node := &testNode{ln.Addr().String(), ln, make(chan string, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -63,61 +63,61 @@
 					if err != nil {
 						return
 					}
-					n.got <- line
-					say(c, line)
+					node.received <- line
+					handle(c, line)
 				}
 			}()
 		}
 	}()
-	return n
+	return node
 }
 
-func uid(line string) string {
+func taskUID(line string) string {
 	_, rest, _ := strings.Cut(line, `"uid":"`)
 	id, _, _ := strings.Cut(rest, `"`)
 	return id
 }
 
 // accepts has every task stand, with a description that a careless codec would change.
-const described = `"a\/b\u00e9\u0041\r\n"`
+const taskDescription = `"a\/b\u00e9\u0041\r\n"`
 
-func accepts(c net.Conn, line string) {
+func acceptTask(conn net.Conn, line string) {
 	if strings.Contains(line, `"launch"`) {
-		fmt.Fprintf(c, `{"kind":"running","uid":%q,"body":%s}`+"\n", uid(line), described)
+		fmt.Fprintf(conn, `{"kind":"running","uid":%q,"body":%s}`+"\n", taskUID(line), taskDescription)
 	}
 }
 
-func entry(i int, addr, state string) string {
+func nodeEntry(i int, addr, state string) string {
 	return fmt.Sprintf(`{"uid":"s-%08x","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":%q,"boot_ms":0,"open":[%d,%d]}`,
 		i, addr, state, 16/i, 24/i) // the first is the emptiest
 }
 
-func event(no int, targets ...string) string {
+func discoveryEvent(no int, targets ...string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, no, no, no == 1, strings.Join(targets, ","))
 }
 
-// board is a bulletin. Each call is answered by what the test sends for it.
-type board struct {
+// discoveryServer is a bulletin. Each call is answered by what the test sends for it.
+type discoveryServer struct {
 	*httptest.Server
-	calls chan *call
+	calls chan *discoveryCall
 }
 
-type call struct {
-	last string
-	text chan string // closed where the stream ends
+type discoveryCall struct {
+	lastEventID string
+	text        chan string // closed where the stream ends
 }
 
-func newBoard(t *testing.T) *board {
-	b := &board{calls: make(chan *call, 100)}
-	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := &call{r.Header.Get("Last-Event-ID"), make(chan string)}
+func startDiscovery(t *testing.T) *discoveryServer {
+	server := &discoveryServer{calls: make(chan *discoveryCall, 100)}
+	server.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		call := &discoveryCall{r.Header.Get("Last-Event-ID"), make(chan string)}
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.WriteHeader(200)
 		w.(http.Flusher).Flush()
-		b.calls <- c
+		server.calls <- call
 		for {
 			select {
-			case text, ok := <-c.text:
+			case text, ok := <-call.text:
 				if !ok {
 					return
 				}
@@ -128,102 +128,102 @@
 			}
 		}
 	}))
-	t.Cleanup(b.Close)
-	return b
+	t.Cleanup(server.Close)
+	return server
 }
 
-func (b *board) addr() string { return strings.TrimPrefix(b.URL, "http://") }
+func (server *discoveryServer) addr() string { return strings.TrimPrefix(server.URL, "http://") }
 
-func wait[T any](t *testing.T, what string, ch <-chan T) T {
+func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("not reached")
 	}
 }
 
-type service struct {
+type testServer struct {
 	*Server
-	t     *testing.T
-	board *board
-	ended chan struct{}
+	t         *testing.T
+	discovery *discoveryServer
+	stopped   chan struct{}
 }
 
-func serve(t *testing.T, sockets int, machines ...string) *service {
+func startServer(t *testing.T, sockets int, nodes ...string) *testServer {
 	t.Helper()
-	sv := &service{t: t, board: newBoard(t), ended: make(chan struct{})}
+	server := &testServer{t: t, discovery: startDiscovery(t), stopped: make(chan struct{})}
 	targets := ""
-	for i, addr := range machines {
+	for i, addr := range nodes {
 		if i > 0 {
 			targets += ","
 		}
-		targets += entry(i+1, addr, "in_service")
+		targets += nodeEntry(i+1, addr, "in_service")
 	}
-	cfg, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
-		"known":{"no":1,"items":[%s]},"settings":%s}`, sv.board.addr(), sockets, event(1, targets), settings)))
+	config, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
+		"known":{"no":1,"items":[%s]},"settings":%s}`, server.discovery.addr(), sockets, discoveryEvent(1, targets), testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := placer.New(cfg.Settings.Placer, cfg.Seed)
+	policy, err := placer.New(config.Settings.Placer, config.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sv.Server, err = New(l, cfg, p, zerolog.Nop(), l.Stop); err != nil {
+	if server.Server, err = New(loop, config, policy, zerolog.Nop(), loop.Stop); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		l.Run()
-		close(sv.ended)
+		loop.Run()
+		close(server.stopped)
 	}()
-	t.Cleanup(func() { l.Stop(); wait(t, "end", sv.ended) })
-	return sv
+	t.Cleanup(func() { loop.Stop(); waitFor(t, "end", server.stopped) })
+	return server
 }
 
-// on runs f on the loop.
-func (sv *service) on(f func()) {
+// runOnLoop runs f on the loop.
+func (server *testServer) runOnLoop(f func()) {
 	done := make(chan struct{})
-	sv.l.Post(func() { f(); close(done) })
-	wait(sv.t, "turn of the loop", done)
+	server.loop.Post(func() { f(); close(done) })
+	waitFor(server.t, "turn of the loop", done)
 }
 
-// client is an owner.
-type client struct {
+// testClient is an owner.
+type testClient struct {
 	net.Conn
-	t *testing.T
-	r *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
-func (sv *service) owner() *client {
-	c, err := net.Dial("tcp", sv.Addr())
+func (server *testServer) connect() *testClient {
+	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
-		sv.t.Fatal(err)
+		server.t.Fatal(err)
 	}
-	sv.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
-	return &client{c, sv.t, bufio.NewReader(c)}
+	server.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{conn, server.t, bufio.NewReader(conn)}
 }
 
-func (c *client) line() string {
+func (c *testClient) readLine() string {
 	c.t.Helper()
-	line, err := c.r.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.t.Fatalf("owner: %v", err)
 	}
 	return line
 }
 
-// want reads lines until one has all the texts.
-func (c *client) want(texts ...string) string {
+// expect reads lines until one has all the texts.
+func (c *testClient) expect(texts ...string) string {
 	c.t.Helper()
 	for {
-		line := c.line()
+		line := c.readLine()
 		all := true
 		for _, s := range texts {
 			all = all && strings.Contains(line, s)
@@ -234,63 +234,63 @@
 	}
 }
 
-func launch(id int, class, body string) string {
+func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x","extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n",
 		id, class, id, body)
 }
 
-func TestWholePath(t *testing.T) {
-	n := machine(t, func(c net.Conn, line string) {
-		accepts(c, line)
+func TestRequestEndToEnd(t *testing.T) {
+	node := startNode(t, func(c net.Conn, line string) {
+		acceptTask(c, line)
 		if strings.Contains(line, `"launch"`) {
-			fmt.Fprintf(c, `{"kind":"update","uid":%q,"meta":{"note":"up","value":1}}`+"\n", uid(line))
+			fmt.Fprintf(c, `{"kind":"update","uid":%q,"meta":{"note":"up","value":1}}`+"\n", taskUID(line))
 		}
 	})
-	sv := serve(t, 256, n.addr)
-	o := sv.owner()
-	io.WriteString(o, `{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n")
-	o.want(`"checked"`, `"0000000000000001"`, `"reason":1`)
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
+	io.WriteString(client, `{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n")
+	client.expect(`"checked"`, `"0000000000000001"`, `"reason":1`)
 	body := `"9d\u0034\r\nc=IN \/"`
-	text := launch(7, "seats", body)
+	text := launchMessage(7, "seats", body)
 	text = strings.Replace(text, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // machines deduplicate by it
 	for _, piece := range []string{text[:10], text[10:50], text[50:]} {
-		io.WriteString(o, piece)
+		io.WriteString(client, piece)
 	}
-	o.want(`"running"`, `"0000000000000007"`, `"body":`+described)
-	got := wait(t, "launch", n.got)
+	client.expect(`"running"`, `"0000000000000007"`, `"body":`+taskDescription)
+	got := waitFor(t, "launch", node.received)
 	if !strings.Contains(got, `"body":`+body) || !strings.Contains(got, `"class":"seats"`) || !strings.Contains(got, `"key":"0000000000000007"`) ||
 		!strings.Contains(got, `"left":"`) || !strings.Contains(got, `"idem":"e45e5817dae4"`) {
 		t.Fatalf("the machine got %s", got)
 	}
-	io.WriteString(o, `{"kind":"stop","uid":"0000000000000007","meta":{},"reason":31}`+"\n")
-	if got := wait(t, "release", n.got); !strings.Contains(got, `"stop"`) || !strings.Contains(got, `"reason":31`) {
+	io.WriteString(client, `{"kind":"stop","uid":"0000000000000007","meta":{},"reason":31}`+"\n")
+	if got := waitFor(t, "release", node.received); !strings.Contains(got, `"stop"`) || !strings.Contains(got, `"reason":31`) {
 		t.Fatalf("the machine got %s", got)
 	}
 }
 
-func TestTroubleAtOneMachineMovesTasksOn(t *testing.T) {
+func TestNodeFaultMovesTaskToAnotherNode(t *testing.T) {
 	for name, say := range map[string]func(net.Conn, string){
 		"noise":       func(c net.Conn, _ string) { io.WriteString(c, "\x00\xff\x17 noise\n") },
 		"endless":     func(c net.Conn, _ string) { io.WriteString(c, strings.Repeat("x", 40<<10)) },
-		"broken off":  func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"running","uid":%q,"bo`, uid(l)); c.Close() },
-		"stops short": func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"running","uid":%q,"bo`, uid(l)) },
+		"broken off":  func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"running","uid":%q,"bo`, taskUID(l)); c.Close() },
+		"stops short": func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"running","uid":%q,"bo`, taskUID(l)) },
 		"silent":      func(net.Conn, string) {},
-		"error":       func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":47}`+"\n", uid(l)) },
+		"error":       func(c net.Conn, l string) { fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":47}`+"\n", taskUID(l)) },
 		"full": func(c net.Conn, l string) {
-			fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":34,"meta":{"note":"cpu_full"}}`+"\n", uid(l))
+			fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":34,"meta":{"note":"cpu_full"}}`+"\n", taskUID(l))
 		},
 		"closes": func(c net.Conn, _ string) { c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad, good := machine(t, say), machine(t, accepts)
-			sv := serve(t, 256, bad.addr, good.addr)
-			o := sv.owner()
+			bad, good := startNode(t, say), startNode(t, acceptTask)
+			server := startServer(t, 256, bad.addr, good.addr)
+			client := server.connect()
 			for i := range 6 {
-				io.WriteString(o, launch(i+1, "query", `"x"`))
-				o.want(`"running"`, fmt.Sprintf("%016x", i+1))
+				io.WriteString(client, launchMessage(i+1, "query", `"x"`))
+				client.expect(`"running"`, fmt.Sprintf("%016x", i+1))
 			}
-			sv.on(func() {
-				if c := sv.c.Counts; c.Bound != 6 || c.Attempts <= 6 {
+			server.runOnLoop(func() {
+				if c := server.core.Counts; c.Bound != 6 || c.Attempts <= 6 {
 					t.Errorf("%+v", c)
 				}
 			})
@@ -298,15 +298,15 @@
 	}
 }
 
-func TestNobodyToConnectTo(t *testing.T) {
-	n := machine(t, accepts)
-	n.ln.Close()
-	sv := serve(t, 256, n.addr)
-	o := sv.owner()
-	io.WriteString(o, launch(1, "seats", `"x"`))
-	o.want(`"stop"`, `"reason":34`) // refused: nothing ran
-	sv.on(func() {
-		if c := sv.c.Counts; c.ConnectFailures == 0 || c.ConnectionsLost+c.TimedOut > 0 {
+func TestNoReachableNode(t *testing.T) {
+	node := startNode(t, acceptTask)
+	node.listener.Close()
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
+	io.WriteString(client, launchMessage(1, "seats", `"x"`))
+	client.expect(`"stop"`, `"reason":34`) // refused: nothing ran
+	server.runOnLoop(func() {
+		if c := server.core.Counts; c.ConnectFailures == 0 || c.ConnectionsLost+c.TimedOut > 0 {
 			t.Errorf("%+v", c)
 		}
 	})
@@ -314,75 +314,75 @@
 
 // TestSpoiltReleaseIsHeardAgain: a machine sends its release once more on the next connection that opens, so a connection on which one was
 // spoilt has to be followed by another while tasks stand.
-func TestSpoiltReleaseIsHeardAgain(t *testing.T) {
+func TestTaskEndRedeliveredAfterCorruptMessage(t *testing.T) {
 	var mu sync.Mutex
-	held, end := "", make(chan net.Conn, 1)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	runningUID, end := "", make(chan net.Conn, 1)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	go func() {
 		for i := 0; ; i++ {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			if held != "" {
-				fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":16}`+"\n", held)
+			if runningUID != "" {
+				fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":16}`+"\n", runningUID)
 			}
 			mu.Unlock()
 			go func() {
 				if line, err := bufio.NewReader(c).ReadString('\n'); err == nil && strings.Contains(line, `"launch"`) {
 					mu.Lock()
-					held = uid(line)
+					runningUID = taskUID(line)
 					mu.Unlock()
-					accepts(c, line)
+					acceptTask(c, line)
 					end <- c
 				}
 			}()
 		}
 	}()
-	sv := serve(t, 256, ln.Addr().String())
-	o := sv.owner()
-	io.WriteString(o, launch(1, "seats", `"x"`))
-	o.want(`"running"`)
-	io.WriteString(wait(t, "task", end), "{spoilt\n")
-	o.want(`"stop"`, `"reason":16`)
-}
-
-func TestBulletinBreaksRepeatsStopsAndMoves(t *testing.T) {
-	sv := serve(t, 256)
-	last := func() (n uint64) { sv.on(func() { n = sv.c.LastDiscoveryEvent() }); return n }
-	c := wait(t, "call", sv.board.calls)
-	if c.last != "1" {
-		t.Fatalf("Last-Event-ID %q", c.last)
-	}
-	e2, e3, e4 := event(2, entry(1, "127.0.0.1:1", "in_service")), event(3, entry(1, "127.0.0.1:1", "terminating")), event(4)
+	server := startServer(t, 256, listener.Addr().String())
+	client := server.connect()
+	io.WriteString(client, launchMessage(1, "seats", `"x"`))
+	client.expect(`"running"`)
+	io.WriteString(waitFor(t, "task", end), "{spoilt\n")
+	client.expect(`"stop"`, `"reason":16`)
+}
+
+func TestDiscoveryBreaksRepeatsStopsAndMoves(t *testing.T) {
+	server := startServer(t, 256)
+	last := func() (n uint64) { server.runOnLoop(func() { n = server.core.LastDiscoveryEvent() }); return n }
+	c := waitFor(t, "call", server.discovery.calls)
+	if c.lastEventID != "1" {
+		t.Fatalf("Last-Event-ID %q", c.lastEventID)
+	}
+	e2, e3, e4 := discoveryEvent(2, nodeEntry(1, "127.0.0.1:1", "in_service")), discoveryEvent(3, nodeEntry(1, "127.0.0.1:1", "terminating")), discoveryEvent(4)
 	c.text <- "id: 2\ndata: " + e2 + "\n\nid: 2\ndata: " + e2 + "\n\nid: 3\ndata: " + e3[:20]
 	close(c.text) // in the middle of an event
-	c = wait(t, "call after a break", sv.board.calls)
-	if c.last != "2" || last() != 2 {
-		t.Fatalf("Last-Event-ID %q after a break", c.last)
+	c = waitFor(t, "call after a break", server.discovery.calls)
+	if c.lastEventID != "2" || last() != 2 {
+		t.Fatalf("Last-Event-ID %q after a break", c.lastEventID)
 	}
 	c.text <- "id: 4\ndata: " + e4 + "\n\n" // a gap
-	c = wait(t, "call after a gap", sv.board.calls)
-	if c.last != "2" {
-		t.Fatalf("Last-Event-ID %q after a gap", c.last)
+	c = waitFor(t, "call after a gap", server.discovery.calls)
+	if c.lastEventID != "2" {
+		t.Fatalf("Last-Event-ID %q after a gap", c.lastEventID)
 	}
 	c.text <- "id: 3\ndata: " + e3 + "\n\n" // and then silence
-	c = wait(t, "call after silence", sv.board.calls)
-	if c.last != "3" {
-		t.Fatalf("Last-Event-ID %q after silence", c.last)
-	}
-	other := newBoard(t)
-	cfg := *sv.cfg
-	cfg.Discovery = other.addr()
-	sv.on(func() { sv.Reload(&cfg); sv.Reload(&cfg) })
-	c = wait(t, "call at the new address", other.calls)
-	if c.last != "3" {
-		t.Fatalf("Last-Event-ID %q after a move", c.last)
+	c = waitFor(t, "call after silence", server.discovery.calls)
+	if c.lastEventID != "3" {
+		t.Fatalf("Last-Event-ID %q after silence", c.lastEventID)
+	}
+	other := startDiscovery(t)
+	next := *server.config
+	next.Discovery = other.addr()
+	server.runOnLoop(func() { server.Reload(&next); server.Reload(&next) })
+	c = waitFor(t, "call at the new address", other.calls)
+	if c.lastEventID != "3" {
+		t.Fatalf("Last-Event-ID %q after a move", c.lastEventID)
 	}
 	c.text <- "id: 4\ndata: " + e4 + "\n\n"
 	for last() != 4 {
@@ -394,127 +394,129 @@
 	}
 }
 
-func TestBadClients(t *testing.T) {
-	n := machine(t, accepts)
-	sv := serve(t, 256, n.addr)
-	good := sv.owner()
-	io.WriteString(good, launch(1, "query", `"x"`))
-	good.want(`"running"`)
+func TestMisbehavingClients(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	good := server.connect()
+	io.WriteString(good, launchMessage(1, "query", `"x"`))
+	good.expect(`"running"`)
 	id := 1000
 	var all sync.WaitGroup
-	for name, send := range map[string]func(c *client){
-		"says nothing":  func(*client) {},
-		"noise":         func(c *client) { io.WriteString(c, "\xff\xfe\x00\n") },
-		"half a line":   func(c *client) { io.WriteString(c, `{"kind":"lau`) },
-		"60 MB":         func(c *client) { go io.CopyN(c, zeros{}, 60<<20) },
-		"unknown class": func(c *client) { io.WriteString(c, launch(id, "gold", `"x"`)) },
-		"no id":         func(c *client) { io.WriteString(c, `{"kind":"launch","meta":{}}`+"\n") },
-		"unknown ids":   func(c *client) { io.WriteString(c, `{"kind":"stop","uid":"00000000000000ff","reason":16}`+"\n") },
-		"one id twice":  func(c *client) { io.WriteString(c, launch(id+1, "gold", `"x"`)+launch(id+1, "gold", `"y"`)) },
-		"an open id":    func(c *client) { io.WriteString(c, launch(1, "query", `"other"`)) },
-		"takes them back": func(c *client) {
-			io.WriteString(c, launch(id+2, "gold", `"x"`)+`{"kind":"stop","uid":"00000000000003ea","reason":16}`+"\n")
+	for name, send := range map[string]func(c *testClient){
+		"says nothing":  func(*testClient) {},
+		"noise":         func(c *testClient) { io.WriteString(c, "\xff\xfe\x00\n") },
+		"half a line":   func(c *testClient) { io.WriteString(c, `{"kind":"lau`) },
+		"60 MB":         func(c *testClient) { go io.CopyN(c, zeroReader{}, 60<<20) },
+		"unknown class": func(c *testClient) { io.WriteString(c, launchMessage(id, "gold", `"x"`)) },
+		"no id":         func(c *testClient) { io.WriteString(c, `{"kind":"launch","meta":{}}`+"\n") },
+		"unknown ids":   func(c *testClient) { io.WriteString(c, `{"kind":"stop","uid":"00000000000000ff","reason":16}`+"\n") },
+		"one id twice": func(c *testClient) {
+			io.WriteString(c, launchMessage(id+1, "gold", `"x"`)+launchMessage(id+1, "gold", `"y"`))
+		},
+		"an open id": func(c *testClient) { io.WriteString(c, launchMessage(1, "query", `"other"`)) },
+		"takes them back": func(c *testClient) {
+			io.WriteString(c, launchMessage(id+2, "gold", `"x"`)+`{"kind":"stop","uid":"00000000000003ea","reason":16}`+"\n")
 		},
 	} {
-		c := sv.owner()
+		c := server.connect()
 		start := time.Now()
 		send(c)
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			line, err := c.r.ReadString('\n')
+			line, err := c.reader.ReadString('\n')
 			if took := time.Since(start); took > 3*time.Second || strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`) {
 				t.Errorf("%s: after %v %q, %v", name, took, line, err)
 			}
 		}()
 	}
 	all.Wait()
-	io.WriteString(good, launch(2, "query", `"x"`))
-	good.want(`"running"`, "0000000000000002")
-	sv.on(func() {
+	io.WriteString(good, launchMessage(2, "query", `"x"`))
+	good.expect(`"running"`, "0000000000000002")
+	server.runOnLoop(func() {
 		for _, kind := range []string{"unreadable", "long line", "class", "id in use"} {
-			if sv.stats.BadOwners[kind] == 0 {
-				t.Errorf("no bad input of kind %q was counted: %v", kind, sv.stats.BadOwners)
+			if server.stats.InvalidFromClients[kind] == 0 {
+				t.Errorf("no bad input of kind %q was counted: %v", kind, server.stats.InvalidFromClients)
 			}
 		}
 	})
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
+func (zeroReader) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
 // TestCrowd: hundreds of connections that say nothing leave room for owners, within the descriptors there are.
-func TestCrowd(t *testing.T) {
-	n := machine(t, accepts)
-	sv := serve(t, 64, n.addr)
-	good := sv.owner()
-	io.WriteString(good, launch(1, "query", `"x"`))
-	good.want(`"running"`)
+func TestIdleClientsLeaveConnectionSlots(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 64, node.addr)
+	good := server.connect()
+	io.WriteString(good, launchMessage(1, "query", `"x"`))
+	good.expect(`"running"`)
 	for range 300 {
-		sv.owner()
+		server.connect()
 	}
 	for i := range 20 {
-		c := sv.owner()
-		io.WriteString(c, launch(10+i, "query", `"x"`))
-		c.want(`"running"`)
+		c := server.connect()
+		io.WriteString(c, launchMessage(10+i, "query", `"x"`))
+		c.expect(`"running"`)
 	}
-	sv.on(func() {
-		if len(sv.owners) > sv.maxOwners || sv.maxOwners+sv.maxNodes+spareSockets > 64 {
-			t.Errorf("%d owners' connections, %d allowed", len(sv.owners), sv.maxOwners)
+	server.runOnLoop(func() {
+		if len(server.clients) > server.maxClients || server.maxClients+server.maxNodeConns+reservedSockets > 64 {
+			t.Errorf("%d owners' connections, %d allowed", len(server.clients), server.maxClients)
 		}
 	})
-	io.WriteString(good, launch(2, "query", `"x"`))
-	good.want(`"running"`, "0000000000000002")
+	io.WriteString(good, launchMessage(2, "query", `"x"`))
+	good.expect(`"running"`, "0000000000000002")
 }
 
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	answer := make(chan func(), 10)
 	type task struct {
 		conn net.Conn
 		uid  string
 	}
 	held := make(chan task, 10)
-	n := machine(t, func(c net.Conn, line string) {
+	node := startNode(t, func(c net.Conn, line string) {
 		if strings.Contains(line, `"launch"`) {
-			answer <- func() { accepts(c, line) }
-			held <- task{c, uid(line)}
+			answer <- func() { acceptTask(c, line) }
+			held <- task{c, taskUID(line)}
 		}
 	})
-	sv := serve(t, 256, n.addr)
-	a := sv.owner()
-	io.WriteString(a, launch(1, "seats", `"x"`))
-	first := wait(t, "launch", answer)
-	sv.on(func() { sv.Stop(); sv.Stop() })
-	b := sv.owner() // connections keep coming for a while
-	io.WriteString(b, launch(2, "seats", `"x"`))
-	second := wait(t, "launch after the signal", answer)
+	server := startServer(t, 256, node.addr)
+	a := server.connect()
+	io.WriteString(a, launchMessage(1, "seats", `"x"`))
+	first := waitFor(t, "launch", answer)
+	server.runOnLoop(func() { server.Stop(); server.Stop() })
+	b := server.connect() // connections keep coming for a while
+	io.WriteString(b, launchMessage(2, "seats", `"x"`))
+	second := waitFor(t, "launch after the signal", answer)
 	first()
 	second()
-	a.want(`"running"`)
-	b.want(`"running"`)
+	a.expect(`"running"`)
+	b.expect(`"running"`)
 	// While a task stands, and nothing else is open, its end is still told.
 	closed := make(chan struct{})
-	sv.l.Post(func() {
+	server.loop.Post(func() {
 		var watch func()
 		watch = func() {
-			if sv.ln.Closed() {
+			if server.listener.Closed() {
 				close(closed)
 			} else {
-				sv.l.After(0.01, watch)
+				server.loop.After(0.01, watch)
 			}
 		}
 		watch()
 	})
-	wait(t, "end of listening", closed)
+	waitFor(t, "end of listening", closed)
 	last := <-held
 	fmt.Fprintf(last.conn, `{"kind":"stop","uid":%q,"reason":16}`+"\n", last.uid)
-	a.want(`"stop"`, last.uid, `"reason":16`)
-	wait(t, "end", sv.ended)
+	a.expect(`"stop"`, last.uid, `"reason":16`)
+	waitFor(t, "end", server.stopped)
 }
 
-func TestConfigNamesTheField(t *testing.T) {
-	good := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070","limits":{"sockets":256},"known":{"no":0,"items":[]},"settings":` + settings + `}`
+func TestConfigErrorNamesField(t *testing.T) {
+	good := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070","limits":{"sockets":256},"known":{"no":0,"items":[]},"settings":` + testSettings + `}`
 	if _, err := ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -536,23 +538,23 @@
 	}
 }
 
-// silentPort accepts no connection and refuses none, as a machine that has vanished: its queue of connections is full.
-func silentPort(t *testing.T, port int) string {
-	addr, end := silentUntil(t, port)
-	t.Cleanup(end)
+// unresponsivePort accepts no connection and refuses none, as a machine that has vanished: its queue of connections is full.
+func unresponsivePort(t *testing.T, port int) string {
+	addr, stop := listenUnresponsive(t, port)
+	t.Cleanup(stop)
 	return addr
 }
 
-// silentUntil is a silentPort that can be ended.
-func silentUntil(t *testing.T, port int) (addr string, end func()) {
+// listenUnresponsive is a silentPort that can be ended.
+func listenUnresponsive(t *testing.T, port int) (addr string, stop func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends := []func(){func() { unix.Close(fd) }}
-	end = func() {
-		for _, f := range ends {
+	closers := []func(){func() { unix.Close(fd) }}
+	stop = func() {
+		for _, f := range closers {
 			f()
 		}
 	}
@@ -563,50 +565,50 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	sa, err := unix.Getsockname(fd)
+	address, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr = fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port)
+	addr = fmt.Sprintf("127.0.0.1:%d", address.(*unix.SockaddrInet4).Port)
 	for {
 		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
 		if err != nil {
-			return addr, end
+			return addr, stop
 		}
-		ends = append(ends, func() { c.Close() })
+		closers = append(closers, func() { c.Close() })
 	}
 }
 
 // TestMachinesThatVanish: what stands at a machine that says nothing any more is released to its owner, whether connections to it are refused
 // or never come up, and what was kept for the machine goes.
-func TestMachinesThatVanish(t *testing.T) {
-	for _, how := range []string{"refuses", "silent"} {
-		t.Run(how, func(t *testing.T) {
+func TestVanishedNodes(t *testing.T) {
+	for _, mode := range []string{"refuses", "silent"} {
+		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			n := machine(t, func(c net.Conn, line string) {
+			node := startNode(t, func(c net.Conn, line string) {
 				if strings.Contains(line, `"launch"`) { // tests are not answered
-					accepts(c, line)
+					acceptTask(c, line)
 				}
 			})
-			sv := serve(t, 256, n.addr)
-			sv.on(func() { sv.reach.UnresponsiveAfter = 2 })
-			o := sv.owner()
-			io.WriteString(o, launch(1, "seats", `"x"`))
-			o.want(`"running"`)
-			n.ln.Close()
-			if how == "silent" {
-				_, port, _ := net.SplitHostPort(n.addr)
+			server := startServer(t, 256, node.addr)
+			server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 2 })
+			client := server.connect()
+			io.WriteString(client, launchMessage(1, "seats", `"x"`))
+			client.expect(`"running"`)
+			node.listener.Close()
+			if mode == "silent" {
+				_, port, _ := net.SplitHostPort(node.addr)
 				p, _ := strconv.Atoi(port)
-				silentPort(t, p)
+				unresponsivePort(t, p)
 			}
-			o.want(`"stop"`, `"reason":41`)
-			still := 0 // what ran at a machine that refuses has ended with it
-			if how == "silent" {
-				still = 1 // and elsewhere it may run on, until the machine says that it ended
+			client.expect(`"stop"`, `"reason":41`)
+			running := 0 // what ran at a machine that refuses has ended with it
+			if mode == "silent" {
+				running = 1 // and elsewhere it may run on, until the machine says that it ended
 			}
-			sv.on(func() {
-				if sv.stats.MachinesLost != 1 || sv.c.RunningTasks() != still || sv.c.Counts.TasksLost != 1 {
-					t.Errorf("%+v, %+v", sv.stats, sv.c.Counts)
+			server.runOnLoop(func() {
+				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != running || server.core.Counts.TasksLost != 1 {
+					t.Errorf("%+v, %+v", server.stats, server.core.Counts)
 				}
 			})
 		})
@@ -615,63 +617,63 @@
 
 // TestSeatsOfMachines: connections to machines stay within their part of the descriptors, and an offer that finds no seat is told as
 // unreachable rather than made with a seat of somebody else's.
-func TestSeatsOfMachines(t *testing.T) {
+func TestNodeConnectionLimit(t *testing.T) {
 	var addrs []string
 	for range 30 {
-		addrs = append(addrs, machine(t, accepts).addr)
+		addrs = append(addrs, startNode(t, acceptTask).addr)
 	}
-	sv := serve(t, 64, addrs...)
-	o := sv.owner()
+	server := startServer(t, 64, addrs...)
+	client := server.connect()
 	for i := range 200 {
-		io.WriteString(o, launch(i+1, "query", `"x"`))
-		o.want(fmt.Sprintf("%016x", i+1))
+		io.WriteString(client, launchMessage(i+1, "query", `"x"`))
+		client.expect(fmt.Sprintf("%016x", i+1))
 	}
-	sv.on(func() {
-		if sv.nodeConns > sv.maxNodes || sv.stats.MachinesLost > 0 {
-			t.Errorf("%d connections to machines, %d allowed; %d machines lost", sv.nodeConns, sv.maxNodes, sv.stats.MachinesLost)
+	server.runOnLoop(func() {
+		if server.openNodeConns > server.maxNodeConns || server.stats.NodesUnreachable > 0 {
+			t.Errorf("%d connections to machines, %d allowed; %d machines lost", server.openNodeConns, server.maxNodeConns, server.stats.NodesUnreachable)
 		}
 	})
 }
 
 // TestLinksGoWithTheirMachines: nothing is kept for machines that the bulletin ended long ago, also where what stood there went last.
-func TestLinksGoWithTheirMachines(t *testing.T) {
-	n := machine(t, accepts)
-	sv := serve(t, 256, n.addr)
-	o := sv.owner()
-	c := wait(t, "call", sv.board.calls)
+func TestLinksRemovedWithTerminatedNodes(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
+	c := waitFor(t, "call", server.discovery.calls)
 	for i := range 20 {
-		io.WriteString(o, launch(i+1, "query", `"x"`))
-		o.want(`"running"`)
+		io.WriteString(client, launchMessage(i+1, "query", `"x"`))
+		client.expect(`"running"`)
 		no := 2 + i
-		c.text <- fmt.Sprintf("id: %d\ndata: %s\n\n", no, event(no, entry(no-1, n.addr, "terminated"), entry(no, n.addr, "in_service")))
-		o.want(`"stop"`, `"reason":41`) // a second later
+		c.text <- fmt.Sprintf("id: %d\ndata: %s\n\n", no, discoveryEvent(no, nodeEntry(no-1, node.addr, "terminated"), nodeEntry(no, node.addr, "in_service")))
+		client.expect(`"stop"`, `"reason":41`) // a second later
 		if i == 1 {
 			break
 		}
 	}
 	gone := make(chan struct{})
-	sv.l.Post(func() {
+	server.loop.Post(func() {
 		var look func()
 		look = func() {
-			if len(sv.links) == 0 {
+			if len(server.links) == 0 {
 				close(gone)
 				return
 			}
-			sv.l.After(0.05, look)
+			server.loop.After(0.05, look)
 		}
 		look()
 	})
-	wait(t, "end of the links", gone)
+	waitFor(t, "end of the links", gone)
 }
 
 // TestUnreadAnswers: an owner that does not read what it is sent is cut off before its answers grow without end.
-func TestUnreadAnswers(t *testing.T) {
-	sv := serve(t, 256)
-	o := sv.owner()
+func TestClientThatDoesNotRead(t *testing.T) {
+	server := startServer(t, 256)
+	client := server.connect()
 	lines := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
 	var sent int64
 	for sent < 1<<30 {
-		n, err := o.Write(lines)
+		n, err := client.Write(lines)
 		if sent += int64(n); err != nil {
 			break
 		}
@@ -679,19 +681,19 @@
 	if sent >= 1<<30 {
 		t.Fatal("never cut off")
 	}
-	sv.on(func() {
-		if len(sv.owners) != 0 {
-			t.Errorf("%d connections", len(sv.owners))
+	server.runOnLoop(func() {
+		if len(server.clients) != 0 {
+			t.Errorf("%d connections", len(server.clients))
 		}
 	})
 }
 
 // TestBulletinIsNotHammered: a bulletin that ends every call at once is asked ever more slowly.
-func TestBulletinIsNotHammered(t *testing.T) {
-	sv := serve(t, 256)
+func TestDiscoveryBackoff(t *testing.T) {
+	server := startServer(t, 256)
 	var first time.Time
 	for i := range 6 {
-		c := wait(t, "call", sv.board.calls)
+		c := waitFor(t, "call", server.discovery.calls)
 		if i == 0 {
 			first = time.Now()
 		}
@@ -705,24 +707,24 @@
 
 // TestDeadConnectionIsLeft: a connection on which an offer was not answered in time gets a test, and no offer until it passes; the machine
 // itself is well, and a new connection to it serves.
-func TestDeadConnectionIsLeft(t *testing.T) {
+func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	var mu sync.Mutex
 	var dead net.Conn
-	n := machine(t, func(c net.Conn, line string) {
+	node := startNode(t, func(c net.Conn, line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if dead == nil {
 			dead = c
 		}
 		if c != dead {
-			accepts(c, line)
+			acceptTask(c, line)
 		}
 	})
-	sv := serve(t, 256, n.addr)
-	o := sv.owner()
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
 	for i := range 4 {
-		io.WriteString(o, launch(i+1, "query", `"x"`))
-		if strings.Contains(o.want(fmt.Sprintf("%016x", i+1)), `"running"`) {
+		io.WriteString(client, launchMessage(i+1, "query", `"x"`))
+		if strings.Contains(client.expect(fmt.Sprintf("%016x", i+1)), `"running"`) {
 			return
 		}
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -13,342 +13,344 @@
 	"time"
 )
 
-// stream is a bulletin whose bytes the test writes itself. Each connection that asks comes with the id that it asked from.
-type stream struct {
+// rawDiscovery is a bulletin whose bytes the test writes itself. Each connection that asks comes with the id that it asked from.
+type rawDiscovery struct {
 	net.Listener
-	asked chan *asked
+	calls chan *rawDiscoveryCall
 }
 
-type asked struct {
+type rawDiscoveryCall struct {
 	net.Conn
-	last string
-	over chan struct{} // the scheduler has ended it
+	lastEventID string
+	closed      chan struct{} // the scheduler has ended it
 }
 
-func newStream(t *testing.T, ln net.Listener) *stream {
+func startRawDiscovery(t *testing.T, ln net.Listener) *rawDiscovery {
 	t.Helper()
-	f := &stream{ln, make(chan *asked, 100)}
+	discovery := &rawDiscovery{ln, make(chan *rawDiscoveryCall, 100)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				a := &asked{Conn: c, over: make(chan struct{})}
-				r := bufio.NewReader(c)
+				call := &rawDiscoveryCall{Conn: conn, closed: make(chan struct{})}
+				reader := bufio.NewReader(conn)
 				for {
-					line, err := r.ReadString('\n')
+					line, err := reader.ReadString('\n')
 					if err != nil {
 						return
 					}
 					if id, found := strings.CutPrefix(line, "Last-Event-ID: "); found {
-						a.last = strings.TrimSpace(id)
+						call.lastEventID = strings.TrimSpace(id)
 					}
 					if line == "\r\n" {
 						break
 					}
 				}
-				f.asked <- a
-				io.Copy(io.Discard, r)
-				close(a.over)
+				discovery.calls <- call
+				io.Copy(io.Discard, reader)
+				close(call.closed)
 			}()
 		}
 	}()
 	t.Cleanup(func() {
 		for {
 			select {
-			case a := <-f.asked:
-				a.Close()
+			case call := <-discovery.calls:
+				call.Close()
 			default:
 				return
 			}
 		}
 	})
-	return f
+	return discovery
 }
 
-func listen(t *testing.T, addr string) net.Listener {
+func listenOn(t *testing.T, addr string) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ln
+	return listener
 }
 
-const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n"
+const sseResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n"
 
-func told(no int, targets ...string) string {
-	return fmt.Sprintf("id: %d\ndata: %s\n\n", no, event(no, targets...))
+func sseEvent(no int, targets ...string) string {
+	return fmt.Sprintf("id: %d\ndata: %s\n\n", no, discoveryEvent(no, targets...))
 }
 
-func (sv *service) move(addr string) {
-	cfg := *sv.cfg
-	cfg.Discovery = addr
-	sv.on(func() { sv.Reload(&cfg) })
+func (server *testServer) moveDiscovery(addr string) {
+	next := *server.config
+	next.Discovery = addr
+	server.runOnLoop(func() { server.Reload(&next) })
 }
 
 // TestWatchFallsSilent: wherever a watch falls silent, it is asked again within what the platform leaves for that, from the last event had.
-func TestWatchFallsSilent(t *testing.T) {
-	second := told(2, entry(1, "127.0.0.1:1", "in_service"))
+func TestDiscoveryWatchIdleTimeout(t *testing.T) {
+	second := sseEvent(2, nodeEntry(1, "127.0.0.1:1", "in_service"))
 	for name, c := range map[string]struct {
 		text string
 		last string
-		with func(sv *service, f *stream)
+		with func(server *testServer, f *rawDiscovery)
 	}{
 		"before the first byte":     {"", "1", nil},
-		"in the middle of the head": {head[:40], "1", nil},
-		"after the head":            {head, "1", nil},
-		"after a comment":           {head + ": still here\n\n", "1", nil},
-		"in the middle of an event": {head + second[:30], "1", nil},
-		"in the middle of its end":  {head + second[:len(second)-1], "1", nil},
-		"after an event":            {head + second, "2", nil},
-		"while it shuts down":       {head + second, "2", func(sv *service, _ *stream) { sv.stopping, sv.stopAt = true, sv.l.Now() }},
-		"after a reload to the same": {head + second, "2", func(sv *service, f *stream) {
-			cfg := *sv.cfg
-			cfg.Discovery = f.Addr().String()
-			sv.Reload(&cfg)
+		"in the middle of the head": {sseResponseHead[:40], "1", nil},
+		"after the head":            {sseResponseHead, "1", nil},
+		"after a comment":           {sseResponseHead + ": still here\n\n", "1", nil},
+		"in the middle of an event": {sseResponseHead + second[:30], "1", nil},
+		"in the middle of its end":  {sseResponseHead + second[:len(second)-1], "1", nil},
+		"after an event":            {sseResponseHead + second, "2", nil},
+		"while it shuts down": {sseResponseHead + second, "2", func(server *testServer, _ *rawDiscovery) {
+			server.stopping, server.stopRequestedAt = true, server.loop.Now()
+		}},
+		"after a reload to the same": {sseResponseHead + second, "2", func(server *testServer, f *rawDiscovery) {
+			next := *server.config
+			next.Discovery = f.Addr().String()
+			server.Reload(&next)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sv := serve(t, 256)
-			f := newStream(t, listen(t, "127.0.0.1:0"))
-			sv.move(f.Addr().String())
-			first := wait(t, "call", f.asked)
+			server := startServer(t, 256)
+			f := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+			server.moveDiscovery(f.Addr().String())
+			first := waitFor(t, "call", f.calls)
 			io.WriteString(first, c.text)
 			if c.with != nil {
-				sv.on(func() { c.with(sv, f) })
+				server.runOnLoop(func() { c.with(server, f) })
 			}
 			start := time.Now()
-			again := wait(t, "second call", f.asked)
-			if again.last != c.last {
-				t.Errorf("asked from %s, want %s", again.last, c.last)
+			again := waitFor(t, "second call", f.calls)
+			if again.lastEventID != c.last {
+				t.Errorf("asked from %s, want %s", again.lastEventID, c.last)
 			}
 			if took := time.Since(start); took > 4*time.Second {
 				t.Errorf("asked again after %v", took)
 			}
-			wait(t, "end of the silent connection", first.over)
-			io.WriteString(again, head+told(2)+told(3, entry(2, "127.0.0.1:1", "in_service")))
-			sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
+			waitFor(t, "end of the silent connection", first.closed)
+			io.WriteString(again, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntry(2, "127.0.0.1:1", "in_service")))
+			server.waitUntil("event", func() bool { return server.core.LastDiscoveryEvent() == 3 })
 		})
 	}
 }
 
 // TestOldWatchAfterAMove: what the connection to the old address still says after a move is not heard; the numbers go on at the new one.
-func TestOldWatchAfterAMove(t *testing.T) {
-	sv := serve(t, 256)
-	a, b := newStream(t, listen(t, "127.0.0.1:0")), newStream(t, listen(t, "127.0.0.1:0"))
-	sv.move(a.Addr().String())
-	old := wait(t, "call", a.asked)
-	io.WriteString(old, head+told(2)+"id: 3\ndata: ")
-	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
-	cfg := *sv.cfg
-	cfg.Discovery = b.Addr().String()
-	sv.hold(func() { io.WriteString(old, event(3, entry(7, "127.0.0.1:1", "in_service"))+"\n\n") }, func() { sv.Reload(&cfg) })
-	c := wait(t, "call", b.asked)
-	if c.last != "2" {
-		t.Errorf("asked from %s", c.last)
+func TestOldDiscoveryWatchIgnoredAfterMove(t *testing.T) {
+	server := startServer(t, 256)
+	a, b := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+	server.moveDiscovery(a.Addr().String())
+	old := waitFor(t, "call", a.calls)
+	io.WriteString(old, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
+	server.waitUntil("event", func() bool { return server.core.LastDiscoveryEvent() == 2 })
+	next := *server.config
+	next.Discovery = b.Addr().String()
+	server.holdLoop(func() { io.WriteString(old, discoveryEvent(3, nodeEntry(7, "127.0.0.1:1", "in_service"))+"\n\n") }, func() { server.Reload(&next) })
+	c := waitFor(t, "call", b.calls)
+	if c.lastEventID != "2" {
+		t.Errorf("asked from %s", c.lastEventID)
 	}
-	wait(t, "end of the old connection", old.over)
-	io.WriteString(c, head+told(3, entry(8, "127.0.0.1:1", "in_service")))
-	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
-	sv.on(func() {
+	waitFor(t, "end of the old connection", old.closed)
+	io.WriteString(c, sseResponseHead+sseEvent(3, nodeEntry(8, "127.0.0.1:1", "in_service")))
+	server.waitUntil("event", func() bool { return server.core.LastDiscoveryEvent() == 3 })
+	server.runOnLoop(func() {
 		n := 0
-		for range sv.links {
+		for range server.links {
 			n++
 		}
-		if sv.stats.BulletinOpens != 3 || n != 0 {
-			t.Errorf("%d calls, %d links", sv.stats.BulletinOpens, n)
+		if server.stats.WatchesOpened != 3 || n != 0 {
+			t.Errorf("%d calls, %d links", server.stats.WatchesOpened, n)
 		}
 	})
 }
 
 // TestMoveToWhereNobodyListensYet: a reload may name an address that listens only later, and the next the first one again.
-func TestMoveToWhereNobodyListensYet(t *testing.T) {
-	sv := serve(t, 256)
-	a := newStream(t, listen(t, "127.0.0.1:0"))
-	sv.move(a.Addr().String())
-	first := wait(t, "call", a.asked)
-	io.WriteString(first, head+told(2))
-	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
-	later := listen(t, "127.0.0.77:0") // where nobody else takes the port meanwhile
+func TestDiscoveryMovesBeforeServerListens(t *testing.T) {
+	server := startServer(t, 256)
+	a := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+	server.moveDiscovery(a.Addr().String())
+	first := waitFor(t, "call", a.calls)
+	io.WriteString(first, sseResponseHead+sseEvent(2))
+	server.waitUntil("event", func() bool { return server.core.LastDiscoveryEvent() == 2 })
+	later := listenOn(t, "127.0.0.77:0") // where nobody else takes the port meanwhile
 	later.Close()
-	sv.move(later.Addr().String())
+	server.moveDiscovery(later.Addr().String())
 	opens := uint64(0)
-	sv.on(func() { opens = sv.stats.BulletinOpens })
-	sv.until("tries", func() bool { return sv.stats.BulletinOpens >= opens+2 })
-	b := newStream(t, listen(t, later.Addr().String()))
-	c := wait(t, "call", b.asked)
-	if c.last != "2" {
-		t.Errorf("asked from %s", c.last)
+	server.runOnLoop(func() { opens = server.stats.WatchesOpened })
+	server.waitUntil("tries", func() bool { return server.stats.WatchesOpened >= opens+2 })
+	b := startRawDiscovery(t, listenOn(t, later.Addr().String()))
+	c := waitFor(t, "call", b.calls)
+	if c.lastEventID != "2" {
+		t.Errorf("asked from %s", c.lastEventID)
 	}
-	io.WriteString(c, head+told(3))
-	sv.until("event", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
-	sv.move(a.Addr().String())
-	c = wait(t, "call at the first address", a.asked)
-	if c.last != "3" {
-		t.Errorf("asked from %s", c.last)
+	io.WriteString(c, sseResponseHead+sseEvent(3))
+	server.waitUntil("event", func() bool { return server.core.LastDiscoveryEvent() == 3 })
+	server.moveDiscovery(a.Addr().String())
+	c = waitFor(t, "call at the first address", a.calls)
+	if c.lastEventID != "3" {
+		t.Errorf("asked from %s", c.lastEventID)
 	}
 }
 
 // TestServedFromWhatIsKnown: with discovery down from the start, and later in the middle of it, set-ups are placed on the machines known.
-func TestServedFromWhatIsKnown(t *testing.T) {
-	sv := serve(t, 256, machine(t, accepts).addr)
-	sv.board.Close()
-	sv.until("failed calls", func() bool { return sv.stats.BulletinOpens >= 3 })
-	o := sv.owner()
-	io.WriteString(o, test+launch(1, "seats", `"x"`))
-	o.want(`"running"`)
+func TestPlacementWithoutDiscovery(t *testing.T) {
+	server := startServer(t, 256, startNode(t, acceptTask).addr)
+	server.discovery.Close()
+	server.waitUntil("failed calls", func() bool { return server.stats.WatchesOpened >= 3 })
+	client := server.connect()
+	io.WriteString(client, checkMessage+launchMessage(1, "seats", `"x"`))
+	client.expect(`"running"`)
 }
 
-// whole is a list of all machines in the middle of the numbers.
-func whole(no int, targets ...string) string {
-	return "id: " + fmt.Sprint(no) + "\ndata: " + strings.Replace(event(no, targets...), `"all":false`, `"all":true`, 1) + "\n\n"
+// sseFullList is a list of all machines in the middle of the numbers.
+func sseFullList(no int, targets ...string) string {
+	return "id: " + fmt.Sprint(no) + "\ndata: " + strings.Replace(discoveryEvent(no, targets...), `"all":false`, `"all":true`, 1) + "\n\n"
 }
 
 // TestWholeListLeavesAMachineOut: a whole list in the middle of the numbers lacks a machine that has an attempt open, and a task standing or
 // none, and the next one has it again: nothing is given up for that. If none has it again, all ends, though the machine's answer came after the
 // list's word.
-func TestWholeListLeavesAMachineOut(t *testing.T) {
+func TestFullListOmitsNode(t *testing.T) {
 	for _, c := range []struct{ back, standing bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			t.Parallel()
 			answer := make(chan func(), 1)
-			n := machine(t, func(c net.Conn, line string) {
-				switch uid(line) {
+			node := startNode(t, func(c net.Conn, line string) {
+				switch taskUID(line) {
 				case "0000000000000001":
-					accepts(c, line)
+					acceptTask(c, line)
 				case "0000000000000002":
-					answer <- func() { accepts(c, line) }
+					answer <- func() { acceptTask(c, line) }
 				}
 			})
-			sv := serve(t, 256, n.addr)
-			call := wait(t, "call", sv.board.calls)
-			o := sv.owner()
+			server := startServer(t, 256, node.addr)
+			call := waitFor(t, "call", server.discovery.calls)
+			client := server.connect()
 			all := 1
 			if c.standing {
 				all = 2
-				io.WriteString(o, launch(1, "query", `"x"`))
-				o.want(`"running"`, "0000000000000001")
+				io.WriteString(client, launchMessage(1, "query", `"x"`))
+				client.expect(`"running"`, "0000000000000001")
 			}
-			io.WriteString(o, launch(2, "seats", `"x"`))
-			say := wait(t, "attempt", answer)
-			call.text <- whole(2, entry(9, "127.0.0.1:1", "in_service"))
-			sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
-			sv.on(func() {
-				for _, k := range sv.links {
-					k.keep()
+			io.WriteString(client, launchMessage(2, "seats", `"x"`))
+			answerNow := waitFor(t, "attempt", answer)
+			call.text <- sseFullList(2, nodeEntry(9, "127.0.0.1:1", "in_service"))
+			server.waitUntil("the list", func() bool { return server.core.LastDiscoveryEvent() == 2 })
+			server.runOnLoop(func() {
+				for _, link := range server.links {
+					link.maintain()
 				}
 			})
 			if c.back {
-				call.text <- whole(3, entry(1, n.addr, "in_service"))
-				sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 3 })
+				call.text <- sseFullList(3, nodeEntry(1, node.addr, "in_service"))
+				server.waitUntil("the list", func() bool { return server.core.LastDiscoveryEvent() == 3 })
 			}
-			say()
-			o.want(`"running"`, "0000000000000002")
+			answerNow()
+			client.expect(`"running"`, "0000000000000002")
 			if c.back {
-				sv.on(func() {
-					if sv.c.RunningTasks() != all {
-						t.Errorf("%d stand", sv.c.RunningTasks())
+				server.runOnLoop(func() {
+					if server.core.RunningTasks() != all {
+						t.Errorf("%d stand", server.core.RunningTasks())
 					}
 				})
 				return
 			}
 			ended := map[string]bool{}
 			for len(ended) < all {
-				line := o.want(`"stop"`, `"reason":41`)
-				ended[uid(line)] = true
+				line := client.expect(`"stop"`, `"reason":41`)
+				ended[taskUID(line)] = true
 			}
 		})
 	}
 }
 
 // TestNewMachineAtTheAddressOfAGoneOne: what is owed to the old machine is not taken for the new one's, nor its word for the old one's.
-func TestNewMachineAtTheAddressOfAGoneOne(t *testing.T) {
-	n := machine(t, accepts)
-	sv := serve(t, 256, n.addr)
-	call := wait(t, "call", sv.board.calls)
-	o := sv.owner()
-	io.WriteString(o, launch(1, "query", `"x"`))
-	o.want(`"running"`)
-	call.text <- fmt.Sprintf("id: 2\ndata: %s\n\n", event(2, entry(1, n.addr, "terminated"), entry(2, n.addr, "in_service")))
-	sv.until("the list", func() bool { return sv.c.LastDiscoveryEvent() == 2 })
-	io.WriteString(o, launch(2, "query", `"x"`))
-	o.want(`"running"`, "0000000000000002")
-	o.want(`"stop"`, "0000000000000001", `"reason":41`)
-	sv.until("one link", func() bool { return len(sv.links) == 1 })
-	sv.on(func() {
-		if sv.c.RunningTasks() != 1 || sv.nodeConns != 1 {
-			t.Errorf("%d stand, %d connections", sv.c.RunningTasks(), sv.nodeConns)
+func TestNewNodeAtAddressOfTerminatedNode(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	call := waitFor(t, "call", server.discovery.calls)
+	client := server.connect()
+	io.WriteString(client, launchMessage(1, "query", `"x"`))
+	client.expect(`"running"`)
+	call.text <- fmt.Sprintf("id: 2\ndata: %s\n\n", discoveryEvent(2, nodeEntry(1, node.addr, "terminated"), nodeEntry(2, node.addr, "in_service")))
+	server.waitUntil("the list", func() bool { return server.core.LastDiscoveryEvent() == 2 })
+	io.WriteString(client, launchMessage(2, "query", `"x"`))
+	client.expect(`"running"`, "0000000000000002")
+	client.expect(`"stop"`, "0000000000000001", `"reason":41`)
+	server.waitUntil("one link", func() bool { return len(server.links) == 1 })
+	server.runOnLoop(func() {
+		if server.core.RunningTasks() != 1 || server.openNodeConns != 1 {
+			t.Errorf("%d stand, %d connections", server.core.RunningTasks(), server.openNodeConns)
 		}
 	})
 }
 
 // TestSilentMachineThatReturns: a machine that was taken for lost comes back with the task that it held, whose owner was told that it is over.
 // It is told to end the task, and until it has said so the task counts as running there.
-func TestSilentMachineThatReturns(t *testing.T) {
+func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
-	n := machine(t, func(c net.Conn, line string) {
+	node := startNode(t, func(c net.Conn, line string) {
 		if strings.Contains(line, `"launch"`) { // tests are not answered
-			accepts(c, line)
+			acceptTask(c, line)
 		}
 	})
-	sv := serve(t, 256, n.addr)
-	sv.on(func() { sv.reach.UnresponsiveAfter = 0.5 })
-	o := sv.owner()
-	io.WriteString(o, launch(1, "seats", `"x"`))
-	o.want(`"running"`)
-	wait(t, "launch", n.got)
-	_, port, _ := net.SplitHostPort(n.addr)
+	server := startServer(t, 256, node.addr)
+	server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 0.5 })
+	client := server.connect()
+	io.WriteString(client, launchMessage(1, "seats", `"x"`))
+	client.expect(`"running"`)
+	waitFor(t, "launch", node.received)
+	_, port, _ := net.SplitHostPort(node.addr)
 	p, err := strconv.Atoi(port)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.ln.Close()
-	_, end := silentUntil(t, p)
-	o.want(`"stop"`, `"reason":41`)
-	sv.on(func() {
-		if sv.c.RunningTasks() != 1 {
-			t.Errorf("%d stand", sv.c.RunningTasks())
+	node.listener.Close()
+	_, stopListening := listenUnresponsive(t, p)
+	client.expect(`"stop"`, `"reason":41`)
+	server.runOnLoop(func() {
+		if server.core.RunningTasks() != 1 {
+			t.Errorf("%d stand", server.core.RunningTasks())
 		}
 	})
-	end()
-	ln := listen(t, n.addr) // back
-	defer ln.Close()
-	c, err := ln.Accept()
+	stopListening()
+	listener := listenOn(t, node.addr) // back
+	defer listener.Close()
+	c, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	line, err := bufio.NewReader(c).ReadString('\n')
-	if err != nil || !strings.Contains(line, `"stop"`) || uid(line) != "0000000000000001" {
+	if err != nil || !strings.Contains(line, `"stop"`) || taskUID(line) != "0000000000000001" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	io.WriteString(c, stop(1, 31))
-	sv.until("end of the task", func() bool { return sv.c.RunningTasks() == 0 })
-	io.WriteString(o, test)
-	if line := o.line(); !strings.Contains(line, `"checked"`) {
+	io.WriteString(c, stopMessage(1, 31))
+	server.waitUntil("end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	io.WriteString(client, checkMessage)
+	if line := client.readLine(); !strings.Contains(line, `"checked"`) {
 		t.Errorf("the owner was told more: %s", line)
 	}
 }
 
 // TestMachinesTakeTurns: more machines hold tasks than there are seats for connections to them. They take turns, and between two turns of one no
 // other has more than two: so each can say how its tasks end before that is overdue.
-func TestMachinesTakeTurns(t *testing.T) {
-	const machines, turns = 40, 4
+func TestNodesShareConnectionSlots(t *testing.T) {
+	const nodeCount, turns = 40, 4
 	order := make(chan int, 10000)
 	var addrs []string
-	for i := range machines {
-		ln := listen(t, "127.0.0.1:0")
-		t.Cleanup(func() { ln.Close() })
-		addrs = append(addrs, ln.Addr().String())
+	for i := range nodeCount {
+		listener := listenOn(t, "127.0.0.1:0")
+		t.Cleanup(func() { listener.Close() })
+		addrs = append(addrs, listener.Addr().String())
 		go func() {
 			for {
-				c, err := ln.Accept()
+				c, err := listener.Accept()
 				if err != nil {
 					return
 				}
@@ -362,114 +364,114 @@
 							return
 						}
 						if strings.Contains(line, `"check"`) {
-							fmt.Fprintf(c, `{"kind":"checked","uid":%q,"reason":1}`+"\n", uid(line))
+							fmt.Fprintf(c, `{"kind":"checked","uid":%q,"reason":1}`+"\n", taskUID(line))
 						}
 					}
 				}()
 			}
 		}()
 	}
-	sv := serve(t, 64, addrs...)
-	o := sv.owner()
-	sv.on(func() { sv.seatFor = 0.1 })
-	for i := range machines {
-		io.WriteString(o, strings.Replace(launch(i+1, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", i+1), 1))
+	server := startServer(t, 64, addrs...)
+	client := server.connect()
+	server.runOnLoop(func() { server.slotHoldTime = 0.1 })
+	for i := range nodeCount {
+		io.WriteString(client, strings.Replace(launchMessage(i+1, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", i+1), 1))
 	}
-	had := make([]int, machines)
-	between := make([][]int, machines) // how often each of the others had a turn since the last one of this
-	for i := range between {
-		between[i] = make([]int, machines)
+	turnsOf := make([]int, nodeCount)
+	turnsSince := make([][]int, nodeCount) // how often each of the others had a turn since the last one of this
+	for i := range turnsSince {
+		turnsSince[i] = make([]int, nodeCount)
 	}
-	for done := 0; done < machines; {
-		i := wait(t, "turn", order)
-		if had[i]++; had[i] == turns {
+	for done := 0; done < nodeCount; {
+		i := waitFor(t, "turn", order)
+		if turnsOf[i]++; turnsOf[i] == turns {
 			done++
 		}
-		between[i] = make([]int, machines)
-		for j := range between {
+		turnsSince[i] = make([]int, nodeCount)
+		for j := range turnsSince {
 			if j == i {
 				continue
 			}
-			if between[j][i]++; between[j][i] > 2 && had[j] < turns {
-				t.Fatalf("machine %d had %d turns since the last one of machine %d", i, between[j][i], j)
+			if turnsSince[j][i]++; turnsSince[j][i] > 2 && turnsOf[j] < turns {
+				t.Fatalf("machine %d had %d turns since the last one of machine %d", i, turnsSince[j][i], j)
 			}
 		}
 	}
-	sv.on(func() {
-		if sv.c.RunningTasks() != machines || sv.nodeConns > sv.maxNodes || sv.maxNodes >= machines/2+5 {
-			t.Errorf("%d stand, %d connections of %d", sv.c.RunningTasks(), sv.nodeConns, sv.maxNodes)
+	server.runOnLoop(func() {
+		if server.core.RunningTasks() != nodeCount || server.openNodeConns > server.maxNodeConns || server.maxNodeConns >= nodeCount/2+5 {
+			t.Errorf("%d stand, %d connections of %d", server.core.RunningTasks(), server.openNodeConns, server.maxNodeConns)
 		}
 	})
 }
 
 // TestDialThatNeverComesUp: neither its descriptor nor its queue stays, and its set-ups are answered.
-func TestDialThatNeverComesUp(t *testing.T) {
-	sv := serve(t, 256, silentPort(t, 0))
-	o := sv.owner()
+func TestDialTimeout(t *testing.T) {
+	server := startServer(t, 256, unresponsivePort(t, 0))
+	client := server.connect()
 	for i := range 20 {
-		io.WriteString(o, launch(i+1, "query", `"x"`))
+		io.WriteString(client, launchMessage(i+1, "query", `"x"`))
 	}
 	for range 20 {
-		o.want(`"stop"`, `"reason":34`)
+		client.expect(`"stop"`, `"reason":34`)
 	}
-	sv.until("end of the dials", func() bool {
-		for _, k := range sv.links {
-			if len(k.queue) > 0 || k.dialing != nil {
+	server.waitUntil("end of the dials", func() bool {
+		for _, link := range server.links {
+			if len(link.queued) > 0 || link.dialing != nil {
 				return false
 			}
 		}
-		return sv.nodeConns == 0
+		return server.openNodeConns == 0
 	})
 }
 
 // TestEndOvertakesTheAnswer: a machine's word that it sent a task away comes before its word that it accepted it. The task is over for its owner,
 // and no other machine gets it under that id.
-func TestEndOvertakesTheAnswer(t *testing.T) {
-	n := machine(t, func(c net.Conn, line string) {
+func TestTaskEndPrecedesAnswer(t *testing.T) {
+	node := startNode(t, func(c net.Conn, line string) {
 		if strings.Contains(line, `"launch"`) {
-			fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":41,"meta":{"note":"drained"}}`+"\n", uid(line))
-			accepts(c, line)
+			fmt.Fprintf(c, `{"kind":"stop","uid":%q,"reason":41,"meta":{"note":"drained"}}`+"\n", taskUID(line))
+			acceptTask(c, line)
 		}
 	})
-	other := machine(t, accepts)
-	sv := serve(t, 256, n.addr, other.addr)
-	o := sv.owner()
-	io.WriteString(o, launch(1, "query", `"x"`))
-	if line := o.line(); !strings.Contains(line, `"stop"`) || !strings.Contains(line, `"reason":41`) {
+	otherNode := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr, otherNode.addr)
+	client := server.connect()
+	io.WriteString(client, launchMessage(1, "query", `"x"`))
+	if line := client.readLine(); !strings.Contains(line, `"stop"`) || !strings.Contains(line, `"reason":41`) {
 		t.Fatal(line)
 	}
-	sv.until("late answer", func() bool { return sv.c.Counts.UnknownTasks == 1 })
-	io.WriteString(o, test)
-	if line := o.line(); !strings.Contains(line, `"checked"`) {
+	server.waitUntil("late answer", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	io.WriteString(client, checkMessage)
+	if line := client.readLine(); !strings.Contains(line, `"checked"`) {
 		t.Fatal(line)
 	}
 }
 
 // TestSecondAnswersChangeNothing: copies of answers, and answers under ids that nobody sent, come before, with and after the good one.
-func TestSecondAnswersChangeNothing(t *testing.T) {
-	n := machine(t, func(c net.Conn, line string) {
+func TestDuplicateAnswersIgnored(t *testing.T) {
+	node := startNode(t, func(c net.Conn, line string) {
 		if !strings.Contains(line, `"launch"`) {
 			return
 		}
-		good := fmt.Sprintf(`{"kind":"running","uid":%q,"body":"y"}`+"\n", uid(line))
-		other := fmt.Sprintf(`{"kind":"running","uid":%q,"body":"z"}`+"\n", uid(line))
-		over := fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid(line))
+		good := fmt.Sprintf(`{"kind":"running","uid":%q,"body":"y"}`+"\n", taskUID(line))
+		other := fmt.Sprintf(`{"kind":"running","uid":%q,"body":"z"}`+"\n", taskUID(line))
+		over := fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", taskUID(line))
 		strange := `{"kind":"running","uid":"00000000000000ee","body":"y"}` + "\n" + `{"kind":"stop","uid":"00000000000000ee","reason":34}` + "\n"
 		io.WriteString(c, strange+good+good+other+over+over+other+strange)
 	})
-	sv := serve(t, 256, n.addr)
-	o := sv.owner()
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
 	for i := range 5 {
-		io.WriteString(o, launch(i+1, "seats", `"x"`))
+		io.WriteString(client, launchMessage(i+1, "seats", `"x"`))
 		id := fmt.Sprintf("%016x", i+1)
-		if line := o.line(); !strings.Contains(line, id) || !strings.Contains(line, `"body":"y"`) {
+		if line := client.readLine(); !strings.Contains(line, id) || !strings.Contains(line, `"body":"y"`) {
 			t.Fatal(line)
 		}
-		if line := o.line(); !strings.Contains(line, id) || !strings.Contains(line, `"reason":16`) {
+		if line := client.readLine(); !strings.Contains(line, id) || !strings.Contains(line, `"reason":16`) {
 			t.Fatal(line)
 		}
-		io.WriteString(o, test)
-		if line := o.line(); !strings.Contains(line, `"checked"`) {
+		io.WriteString(client, checkMessage)
+		if line := client.readLine(); !strings.Contains(line, `"checked"`) {
 			t.Fatal(line)
 		}
 	}
--- a/internal/platformproto/characterization_test.go
+++ b/internal/platformproto/characterization_test.go
@@ -59,19 +59,19 @@
 
 // describe parses one line and gives the verdict and every value as numbers and wire bytes.
 func describe(line string) string {
-	var m platformproto.Message
-	if err := platformproto.Parse([]byte(line), &m); err != nil {
+	var msg platformproto.Message
+	if err := platformproto.Parse([]byte(line), &msg); err != nil {
 		if err == platformproto.ErrTooLong {
 			return "too long\n"
 		}
 		return "refused\n"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(m.Kind), m.UID, uint64(m.ID), m.Reason, m.HasReason, m.Body)
-	for f := platformproto.Class; f <= platformproto.Load; f++ {
-		fmt.Fprintf(&b, " %d %t %q", uint8(f), m.Has(f), m.Get(f))
+	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(msg.Kind), msg.UID, uint64(msg.ID), msg.Cause, msg.HasCause, msg.Body)
+	for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
+		fmt.Fprintf(&b, " %d %t %q", uint8(f), msg.Has(f), msg.Get(f))
 	}
-	fmt.Fprintf(&b, "\n%s", m.Append([]byte("before")))
+	fmt.Fprintf(&b, "\n%s", msg.Append([]byte("before")))
 	return b.String()
 }
 
@@ -151,18 +151,18 @@
 func encodings() string {
 	var b strings.Builder
 	for k := range 12 {
-		for f := platformproto.Class; f <= platformproto.Load; f++ {
-			m := platformproto.Message{Kind: platformproto.Kind(k), UID: "00000000000000ff", ID: 255, Reason: k * 17, HasReason: k%2 == 0}
-			m.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
-			m.Set(platformproto.Value, "")
+		for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
+			msg := platformproto.Message{Kind: platformproto.Kind(k), UID: "00000000000000ff", ID: 255, Cause: k * 17, HasCause: k%2 == 0}
+			msg.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
+			msg.Set(platformproto.Value, "")
 			if k%3 == 0 {
-				m.Body = `"raw \u0041"`
+				msg.Body = `"raw \u0041"`
 			}
-			b.Write(m.Append(nil))
+			b.Write(msg.Append(nil))
 		}
 	}
-	m := platformproto.Message{Kind: platformproto.Stop, Reason: -5, HasReason: true}
-	b.Write(m.Append(nil))
+	msg := platformproto.Message{Kind: platformproto.Stop, Cause: -5, HasCause: true}
+	b.Write(msg.Append(nil))
 	return b.String()
 }
 
@@ -174,7 +174,7 @@
 		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
 	}
 	fmt.Fprintln(&b, platformproto.MaxLine, platformproto.CauseEnd, platformproto.CauseCancelled, platformproto.CauseFull, platformproto.CauseReset, platformproto.CauseBusy, platformproto.CauseError, platformproto.CauseExpired)
-	for f := platformproto.Class; f <= platformproto.Load; f++ {
+	for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
 		fmt.Fprintln(&b, f.String()) // the word on the wire
 	}
 	return b.String()
--- a/internal/platformproto/message.go
+++ b/internal/platformproto/message.go
@@ -15,7 +15,7 @@
 // MaxLine is the longest line in bytes, its line feed included.
 const MaxLine = 16 << 10
 
-const maxDepth = 8 // of values that have no meaning here
+const maxSkippedDepth = 8 // of values that have no meaning here
 
 // ErrTooLong is a line without an end within MaxLine.
 var ErrTooLong = errors.New("line longer than 16 KiB")
@@ -36,12 +36,12 @@
 	Migrate                 // a move
 )
 
-var kinds = [...]string{Launch: "launch", Staging: "staging", Running: "running", Stop: "stop", Stopped: "stopped", Check: "check",
+var kindNames = [...]string{Launch: "launch", Staging: "staging", Running: "running", Stop: "stop", Stopped: "stopped", Check: "check",
 	Checked: "checked", Update: "update", Migrate: "migrate"}
 
 func (k Kind) String() string {
-	if int(k) < len(kinds) && k > 0 {
-		return kinds[k]
+	if int(k) < len(kindNames) && k > 0 {
+		return kindNames[k]
 	}
 	return "kind " + strconv.Itoa(int(k))
 }
@@ -61,17 +61,17 @@
 type ID uint64
 
 // ParseID reads 16 hexadecimal digits.
-func ParseID(s string) (ID, error) {
-	if len(s) != 16 {
-		return 0, fmt.Errorf("id of %d characters, want 16 hexadecimal digits", len(s))
+func ParseID(text string) (ID, error) {
+	if len(text) != 16 {
+		return 0, fmt.Errorf("id of %d characters, want 16 hexadecimal digits", len(text))
 	}
-	for i := range len(s) {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
+	for i := range len(text) {
+		if c := text[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
 			return 0, fmt.Errorf("id with a character %q, want 16 hexadecimal digits", c)
 		}
 	}
-	n, err := strconv.ParseUint(s, 16, 64)
-	return ID(n), err
+	number, err := strconv.ParseUint(text, 16, 64)
+	return ID(number), err
 }
 
 // Field is a number's place among the fields that have a meaning here.
@@ -80,19 +80,19 @@
 // The fields.
 const (
 	Class Field = iota
-	Left
+	TimeLeft
 	Tenant
 	Key
 	IdempotencyKey // of a class that machines deduplicate: the name under which they know a copy
 	Extras
-	Wait
+	RetryAfter
 	Note
 	Value
-	Load
-	fields
+	LoadReport
+	fieldCount
 )
 
-var fieldNames = [fields]string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
+var fieldNames = [fieldCount]string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
 func (f Field) String() string { return fieldNames[f] }
 
@@ -101,14 +101,14 @@
 	Kind Kind
 	UID  string // as it was written
 	ID   ID
-	// Reason is the cause, HasReason whether there was one.
-	Reason    int
-	HasReason bool
+	// Cause is the cause, HasReason whether there was one.
+	Cause    int
+	HasCause bool
 	// Body is the description as the JSON text that it came as, quotes included; "" without one. It is passed on so, for no reader can
 	// tell the difference.
 	Body string
-	meta [fields]string
-	has  [fields]bool
+	meta [fieldCount]string
+	has  [fieldCount]bool
 }
 
 // Get returns a field's text, "" if it is absent. A number is given as it was written.
@@ -121,151 +121,151 @@
 func (m *Message) Set(f Field, text string) { m.meta[f], m.has[f] = text, true }
 
 // Parse reads one line without its line feed.
-func Parse(line []byte, m *Message) error {
-	*m = Message{}
+func Parse(line []byte, msg *Message) error {
+	*msg = Message{}
 	if len(line) >= MaxLine {
 		return ErrTooLong
 	}
 	if !utf8.Valid(line) {
 		return errors.New("line is not UTF-8")
 	}
-	p := parser{b: line}
-	var seen uint
-	p.space()
-	err := p.object(func(key string) error {
-		bit := uint(0)
+	p := parser{line: line}
+	var keysSeen uint
+	p.skipSpace()
+	err := p.parseObject(func(key string) error {
+		keyBit := uint(0)
 		var err error
 		switch key {
 		case "kind":
-			bit = 1
-			var s string
-			if s, err = p.text(); err == nil {
-				err = m.setKind(s)
+			keyBit = 1
+			var text string
+			if text, err = p.parseString(); err == nil {
+				err = msg.setKind(text)
 			}
 		case "uid":
-			bit = 2
-			if m.UID, err = p.text(); err == nil {
-				m.ID, err = ParseID(m.UID)
+			keyBit = 2
+			if msg.UID, err = p.parseString(); err == nil {
+				msg.ID, err = ParseID(msg.UID)
 			}
 		case "meta":
-			bit = 4
-			err = p.object(func(name string) error { return p.metaField(m, name) })
+			keyBit = 4
+			err = p.parseObject(func(name string) error { return p.parseMetaField(msg, name) })
 		case "reason":
-			bit = 8
-			var s string
-			if s, err = p.number(); err == nil {
-				m.HasReason = true
-				m.Reason, err = strconv.Atoi(s)
+			keyBit = 8
+			var text string
+			if text, err = p.parseNumber(); err == nil {
+				msg.HasCause = true
+				msg.Cause, err = strconv.Atoi(text)
 			}
 		case "body":
-			bit = 16
-			from := p.i
-			if _, err = p.text(); err == nil {
-				m.Body = string(p.b[from:p.i])
+			keyBit = 16
+			start := p.position
+			if _, err = p.parseString(); err == nil {
+				msg.Body = string(p.line[start:p.position])
 			}
 		default:
-			err = p.skip(0)
+			err = p.skipValue(0)
 		}
 		if err != nil {
 			return fmt.Errorf("%.20q: %w", key, err)
 		}
-		if seen&bit != 0 {
+		if keysSeen&keyBit != 0 {
 			return fmt.Errorf("%q comes twice", key)
 		}
-		seen |= bit
+		keysSeen |= keyBit
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if p.space(); p.i < len(p.b) {
-		return p.fail("the end of the line")
+	if p.skipSpace(); p.position < len(p.line) {
+		return p.syntaxError("the end of the line")
 	}
-	if seen&3 != 3 {
+	if keysSeen&3 != 3 {
 		return errors.New(`message without "kind" or "uid"`)
 	}
 	return nil
 }
 
-func (m *Message) setKind(s string) error {
-	for k, name := range kinds {
-		if name != "" && name == s {
+func (m *Message) setKind(word string) error {
+	for k, name := range kindNames {
+		if name != "" && name == word {
 			m.Kind = Kind(k)
 			return nil
 		}
 	}
-	return fmt.Errorf("%.20q is no kind of message", s)
+	return fmt.Errorf("%.20q is no kind of message", word)
 }
 
-func (p *parser) metaField(m *Message, name string) error {
-	for f, n := range fieldNames {
-		if n != name {
+func (p *parser) parseMetaField(msg *Message, name string) error {
+	for field, known := range fieldNames {
+		if known != name {
 			continue
 		}
-		if m.has[f] {
+		if msg.has[field] {
 			return fmt.Errorf("%q comes twice", name)
 		}
 		var err error
 		if p.peek() == '"' {
-			m.meta[f], err = p.text()
+			msg.meta[field], err = p.parseString()
 		} else {
-			m.meta[f], err = p.number()
+			msg.meta[field], err = p.parseNumber()
 		}
-		m.has[f] = true
+		msg.has[field] = true
 		if err != nil {
 			return fmt.Errorf("%q: %w", name, err)
 		}
 		return nil
 	}
-	return p.skip(0)
+	return p.skipValue(0)
 }
 
 // Append writes the message as one line with its line feed.
-func (m *Message) Append(b []byte) []byte {
-	b = append(b, `{"kind":"`...)
-	b = append(b, m.Kind.String()...)
-	b = append(b, `","uid":"`...)
-	b = append(b, m.UID...)
-	b = append(b, `","meta":{`...)
+func (m *Message) Append(buffer []byte) []byte {
+	buffer = append(buffer, `{"kind":"`...)
+	buffer = append(buffer, m.Kind.String()...)
+	buffer = append(buffer, `","uid":"`...)
+	buffer = append(buffer, m.UID...)
+	buffer = append(buffer, `","meta":{`...)
 	first := true
 	for f, name := range fieldNames {
 		if !m.has[f] {
 			continue
 		}
 		if !first {
-			b = append(b, ',')
+			buffer = append(buffer, ',')
 		}
 		first = false
-		b = append(b, '"')
-		b = append(b, name...)
-		b = append(b, `":`...)
-		b = appendText(b, m.meta[f])
+		buffer = append(buffer, '"')
+		buffer = append(buffer, name...)
+		buffer = append(buffer, `":`...)
+		buffer = appendString(buffer, m.meta[f])
 	}
-	b = append(b, '}')
-	if m.HasReason {
-		b = append(b, `,"reason":`...)
-		b = strconv.AppendInt(b, int64(m.Reason), 10)
+	buffer = append(buffer, '}')
+	if m.HasCause {
+		buffer = append(buffer, `,"reason":`...)
+		buffer = strconv.AppendInt(buffer, int64(m.Cause), 10)
 	}
 	if m.Body != "" {
-		b = append(b, `,"body":`...)
-		b = append(b, m.Body...)
+		buffer = append(buffer, `,"body":`...)
+		buffer = append(buffer, m.Body...)
 	}
-	return append(b, '}', '\n')
+	return append(buffer, '}', '\n')
 }
 
-// appendText writes a JSON string.
-func appendText(b []byte, s string) []byte {
+// appendString writes a JSON string.
+func appendString(buffer []byte, text string) []byte {
 	const hex = "0123456789abcdef"
-	b = append(b, '"')
-	for i := range len(s) {
-		switch c := s[i]; {
+	buffer = append(buffer, '"')
+	for i := range len(text) {
+		switch c := text[i]; {
 		case c == '"' || c == '\\':
-			b = append(b, '\\', c)
+			buffer = append(buffer, '\\', c)
 		case c < 0x20:
-			b = append(b, '\\', 'u', '0', '0', hex[c>>4], hex[c&15])
+			buffer = append(buffer, '\\', 'u', '0', '0', hex[c>>4], hex[c&15])
 		default:
-			b = append(b, c)
+			buffer = append(buffer, c)
 		}
 	}
-	return append(b, '"')
+	return append(buffer, '"')
 }
--- a/internal/platformproto/message_test.go
+++ b/internal/platformproto/message_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-const launch = `{"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch","left":1500},"body":"9d\u0034\r\nc=IN \/ \ud83d\ude00 é"}`
+const launchLine = `{"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch","left":1500},"body":"9d\u0034\r\nc=IN \/ \ud83d\ude00 é"}`
 
-func TestMessagesPassUnchanged(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	var m, again Message
-	if err := Parse([]byte(launch), &m); err != nil {
+	if err := Parse([]byte(launchLine), &m); err != nil {
 		t.Fatal(err)
 	}
-	if m.Kind != Launch || m.ID != 0x9b1f03aa5c7e2d41 || m.Get(Left) != "1500" || m.Get(Class) != "batch" || m.Has(Wait) || m.HasReason {
+	if m.Kind != Launch || m.ID != 0x9b1f03aa5c7e2d41 || m.Get(TimeLeft) != "1500" || m.Get(Class) != "batch" || m.Has(RetryAfter) || m.HasCause {
 		t.Fatalf("%+v", m)
 	}
-	if want := launch[strings.Index(launch, `"9d`) : len(launch)-1]; m.Body != want {
+	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; m.Body != want {
 		t.Fatalf("body %s, want it as it was written: %s", m.Body, want)
 	}
 	m.Set(Extras, "a\"b\\c\x01")
-	m.Reason, m.HasReason = 34, true
+	m.Cause, m.HasCause = 34, true
 	line := m.Append(nil)
 	if err := Parse(line[:len(line)-1], &again); err != nil || again != m {
 		t.Fatalf("%v\n%+v\n%+v", err, m, again)
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestBadLines(t *testing.T) {
+func TestInvalidLines(t *testing.T) {
 	id := `"uid":"9b1f03aa5c7e2d41"`
 	for name, line := range map[string]string{
 		"empty":              ``,
 		"no object":          `[1]`,
-		"cut":                launch[:60],
-		"more after it":      launch + `{}`,
+		"cut":                launchLine[:60],
+		"more after it":      launchLine + `{}`,
 		"no id":              `{"kind":"stop"}`,
 		"no kind":            `{` + id + `}`,
 		"short id":           `{"kind":"stop","uid":"9b1f"}`,
@@ -79,7 +79,7 @@
 // FuzzLine holds the codec against encoding/json: what is taken is JSON, and what is written is read as the same. Memory is bounded by
 // the length of the line.
 func FuzzLine(f *testing.F) {
-	f.Add([]byte(launch))
+	f.Add([]byte(launchLine))
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
 	f.Add([]byte(`{"kind":"check","uid":"0000000000000001","z":[[[{}]]]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/platformproto/parser.go
+++ b/internal/platformproto/parser.go
@@ -8,111 +8,111 @@
 
 // parser reads JSON values (RFC 8259) from a text that is valid UTF-8. It goes forward only and takes each byte once.
 type parser struct {
-	b []byte
-	i int
+	line     []byte
+	position int
 }
 
-func (p *parser) fail(want string) error {
-	if p.i >= len(p.b) {
-		return fmt.Errorf("line ends at byte %d, want %s", p.i, want)
+func (p *parser) syntaxError(want string) error {
+	if p.position >= len(p.line) {
+		return fmt.Errorf("line ends at byte %d, want %s", p.position, want)
 	}
-	return fmt.Errorf("byte %d is %q, want %s", p.i, p.b[p.i], want)
+	return fmt.Errorf("byte %d is %q, want %s", p.position, p.line[p.position], want)
 }
 
-func (p *parser) space() {
-	for p.i < len(p.b) && (p.b[p.i] == ' ' || p.b[p.i] == '\t' || p.b[p.i] == '\r' || p.b[p.i] == '\n') {
-		p.i++
+func (p *parser) skipSpace() {
+	for p.position < len(p.line) && (p.line[p.position] == ' ' || p.line[p.position] == '\t' || p.line[p.position] == '\r' || p.line[p.position] == '\n') {
+		p.position++
 	}
 }
 
 // peek is the next byte, 0 at the end.
 func (p *parser) peek() byte {
-	if p.i < len(p.b) {
-		return p.b[p.i]
+	if p.position < len(p.line) {
+		return p.line[p.position]
 	}
 	return 0
 }
 
-func (p *parser) take(c byte) error {
-	if p.peek() != c || p.i >= len(p.b) {
-		return p.fail(fmt.Sprintf("%q", c))
+func (p *parser) expect(c byte) error {
+	if p.peek() != c || p.position >= len(p.line) {
+		return p.syntaxError(fmt.Sprintf("%q", c))
 	}
-	p.i++
+	p.position++
 	return nil
 }
 
-// object reads an object; value is called for each key and reads what it stands for.
-func (p *parser) object(value func(key string) error) error {
-	if err := p.take('{'); err != nil {
+// parseObject reads an object; value is called for each key and reads what it stands for.
+func (p *parser) parseObject(value func(key string) error) error {
+	if err := p.expect('{'); err != nil {
 		return err
 	}
-	p.space()
+	p.skipSpace()
 	if p.peek() == '}' {
-		p.i++
+		p.position++
 		return nil
 	}
 	for {
-		p.space()
-		key, err := p.text()
+		p.skipSpace()
+		key, err := p.parseString()
 		if err != nil {
 			return err
 		}
-		p.space()
-		if err := p.take(':'); err != nil {
+		p.skipSpace()
+		if err := p.expect(':'); err != nil {
 			return err
 		}
-		p.space()
+		p.skipSpace()
 		if err := value(key); err != nil {
 			return err
 		}
-		p.space()
+		p.skipSpace()
 		if p.peek() == ',' {
-			p.i++
+			p.position++
 			continue
 		}
-		return p.take('}')
+		return p.expect('}')
 	}
 }
 
-// text reads a string and undoes its escapes.
-func (p *parser) text() (string, error) {
-	if err := p.take('"'); err != nil {
+// parseString reads a string and undoes its escapes.
+func (p *parser) parseString() (string, error) {
+	if err := p.expect('"'); err != nil {
 		return "", err
 	}
-	from := p.i
-	for p.i < len(p.b) && p.b[p.i] != '"' && p.b[p.i] != '\\' && p.b[p.i] >= 0x20 {
-		p.i++
+	start := p.position
+	for p.position < len(p.line) && p.line[p.position] != '"' && p.line[p.position] != '\\' && p.line[p.position] >= 0x20 {
+		p.position++
 	}
 	if p.peek() == '"' { // nothing to undo
-		s := string(p.b[from:p.i])
-		p.i++
-		return s, nil
+		value := string(p.line[start:p.position])
+		p.position++
+		return value, nil
 	}
-	out := append([]byte(nil), p.b[from:p.i]...)
-	for p.i < len(p.b) {
-		c := p.b[p.i]
+	unescaped := append([]byte(nil), p.line[start:p.position]...)
+	for p.position < len(p.line) {
+		c := p.line[p.position]
 		switch {
 		case c == '"':
-			p.i++
-			return string(out), nil
+			p.position++
+			return string(unescaped), nil
 		case c < 0x20:
-			return "", p.fail("no control character in a string")
+			return "", p.syntaxError("no control character in a string")
 		case c != '\\':
-			out = append(out, c)
-			p.i++
+			unescaped = append(unescaped, c)
+			p.position++
 		default:
-			r, err := p.escape()
+			r, err := p.parseEscape()
 			if err != nil {
 				return "", err
 			}
-			out = utf8.AppendRune(out, r)
+			unescaped = utf8.AppendRune(unescaped, r)
 		}
 	}
-	return "", p.fail("the end of a string")
+	return "", p.syntaxError("the end of a string")
 }
 
-func (p *parser) escape() (rune, error) {
-	p.i++ // the backslash
+func (p *parser) parseEscape() (rune, error) {
+	p.position++ // the backslash
 	c := p.peek()
 	switch c {
 	case '"', '\\', '/':
@@ -127,14 +127,14 @@
 	case 't':
 		c = '\t'
 	case 'u':
-		r, err := p.hex4()
+		r, err := p.parseHex4()
 		if err != nil || !utf16.IsSurrogate(r) {
 			return r, err
 		}
 		// Half of a pair stands for no character: readers differ on it.
-		if p.peek() == '\\' && p.i+1 < len(p.b) && p.b[p.i+1] == 'u' {
-			p.i++
-			low, err := p.hex4()
+		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
+			p.position++
+			low, err := p.parseHex4()
 			if err != nil {
 				return 0, err
 			}
@@ -142,17 +142,17 @@
 				return r, nil
 			}
 		}
-		return 0, p.fail("a whole surrogate pair")
+		return 0, p.syntaxError("a whole surrogate pair")
 	default:
-		return 0, p.fail("an escape")
+		return 0, p.syntaxError("an escape")
 	}
-	p.i++
+	p.position++
 	return rune(c), nil
 }
 
-// hex4 reads uXXXX.
-func (p *parser) hex4() (rune, error) {
-	p.i++
+// parseHex4 reads uXXXX.
+func (p *parser) parseHex4() (rune, error) {
+	p.position++
 	var r rune
 	for range 4 {
 		c := p.peek()
@@ -164,94 +164,94 @@
 		case c >= 'A' && c <= 'F':
 			r = r<<4 | rune(c-'A'+10)
 		default:
-			return 0, p.fail("a hexadecimal digit")
+			return 0, p.syntaxError("a hexadecimal digit")
 		}
-		p.i++
+		p.position++
 	}
 	return r, nil
 }
 
-func (p *parser) digits() bool {
-	from := p.i
+func (p *parser) skipDigits() bool {
+	start := p.position
 	for p.peek() >= '0' && p.peek() <= '9' {
-		p.i++
+		p.position++
 	}
-	return p.i > from
+	return p.position > start
 }
 
-// number reads a number and returns it as written.
-func (p *parser) number() (string, error) {
-	from := p.i
+// parseNumber reads a number and returns it as written.
+func (p *parser) parseNumber() (string, error) {
+	start := p.position
 	if p.peek() == '-' {
-		p.i++
+		p.position++
 	}
 	if p.peek() == '0' {
-		p.i++
-	} else if !p.digits() {
-		return "", p.fail("a number")
+		p.position++
+	} else if !p.skipDigits() {
+		return "", p.syntaxError("a number")
 	}
 	if p.peek() == '.' {
-		p.i++
-		if !p.digits() {
-			return "", p.fail("a digit")
+		p.position++
+		if !p.skipDigits() {
+			return "", p.syntaxError("a digit")
 		}
 	}
 	if c := p.peek(); c == 'e' || c == 'E' {
-		p.i++
+		p.position++
 		if c := p.peek(); c == '+' || c == '-' {
-			p.i++
+			p.position++
 		}
-		if !p.digits() {
-			return "", p.fail("a digit")
+		if !p.skipDigits() {
+			return "", p.syntaxError("a digit")
 		}
 	}
-	return string(p.b[from:p.i]), nil
+	return string(p.line[start:p.position]), nil
 }
 
-// skip reads any value and forgets it.
-func (p *parser) skip(depth int) error {
-	if depth > maxDepth {
-		return fmt.Errorf("byte %d: nested deeper than %d", p.i, maxDepth)
+// skipValue reads any value and forgets it.
+func (p *parser) skipValue(depth int) error {
+	if depth > maxSkippedDepth {
+		return fmt.Errorf("byte %d: nested deeper than %d", p.position, maxSkippedDepth)
 	}
 	switch c := p.peek(); c {
 	case '"':
-		_, err := p.text()
+		_, err := p.parseString()
 		return err
 	case '{':
-		return p.object(func(string) error { return p.skip(depth + 1) })
+		return p.parseObject(func(string) error { return p.skipValue(depth + 1) })
 	case '[':
-		p.i++
-		p.space()
+		p.position++
+		p.skipSpace()
 		if p.peek() == ']' {
-			p.i++
+			p.position++
 			return nil
 		}
 		for {
-			p.space()
-			if err := p.skip(depth + 1); err != nil {
+			p.skipSpace()
+			if err := p.skipValue(depth + 1); err != nil {
 				return err
 			}
-			p.space()
+			p.skipSpace()
 			if p.peek() != ',' {
-				return p.take(']')
+				return p.expect(']')
 			}
-			p.i++
+			p.position++
 		}
 	case 't':
-		return p.word("true")
+		return p.expectLiteral("true")
 	case 'f':
-		return p.word("false")
+		return p.expectLiteral("false")
 	case 'n':
-		return p.word("null")
+		return p.expectLiteral("null")
 	}
-	_, err := p.number()
+	_, err := p.parseNumber()
 	return err
 }
 
-func (p *parser) word(w string) error {
-	if len(p.b)-p.i < len(w) || string(p.b[p.i:p.i+len(w)]) != w {
-		return p.fail(w)
+func (p *parser) expectLiteral(literal string) error {
+	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
+		return p.syntaxError(literal)
 	}
-	p.i += len(w)
+	p.position += len(literal)
 	return nil
 }
--- a/internal/reflector/object.go
+++ b/internal/reflector/object.go
@@ -14,64 +14,64 @@
 	"heathshed/internal/decodelimit"
 )
 
-const binaryType = "application/vnd.kubernetes.protobuf"
+const protobufMediaType = "application/vnd.kubernetes.protobuf"
 
 // Object is an object as it came: JSON or, from a watch, the binary encoding. It is valid until the callback returns.
 type Object struct {
-	Raw    []byte
-	Binary bool
+	Raw      []byte
+	Protobuf bool
 }
 
 // Decode reads the object, within the bounds of one.
 func (o Object) Decode(into interface{ Unmarshal([]byte) error }) error {
-	if o.Binary {
-		if err := decodelimit.Proto(o.Raw, decodelimit.Object()); err != nil {
+	if o.Protobuf {
+		if err := decodelimit.CheckProto(o.Raw, decodelimit.ObjectLimits()); err != nil {
 			return err
 		}
 		return into.Unmarshal(o.Raw)
 	}
-	if err := decodelimit.JSON(o.Raw, decodelimit.Object()); err != nil {
+	if err := decodelimit.CheckJSON(o.Raw, decodelimit.ObjectLimits()); err != nil {
 		return err
 	}
 	return json.Unmarshal(o.Raw, into)
 }
 
 var (
-	errFrame  = errors.New("frame of a watch cannot be read")
-	errFrames = errors.New("frame over the limit")
+	errMalformedFrame = errors.New("frame of a watch cannot be read")
+	errFrameTooLarge  = errors.New("frame over the limit")
 )
 
-// frames cuts the stream into frames: a length in four bytes, high byte first, and an event.
-func (r *Reflector) frames(b []byte) {
-	call, kept, whole := r.call, len(r.line) > 0, 0
-	if kept {
-		r.line = append(r.line, b...)
-		b = r.line
+// decodeFrames cuts the stream into frames: a length in four bytes, high byte first, and an event.
+func (r *Reflector) decodeFrames(b []byte) {
+	call, continued, complete := r.call, len(r.partial) > 0, 0
+	if continued {
+		r.partial = append(r.partial, b...)
+		b = r.partial
 	}
 	for len(b) >= 4 {
 		n := int(binary.BigEndian.Uint32(b))
-		if n > maxLine {
-			r.fail(errFrames)
+		if n > maxEventSize {
+			r.abortWatch(errFrameTooLarge)
 			return
 		}
 		if len(b) < 4+n {
 			break
 		}
-		whole++
-		r.frame(b[4 : 4+n])
-		if b = b[4+n:]; r.stopped || r.call != call || r.failed != nil {
+		complete++
+		r.handleFrame(b[4 : 4+n])
+		if b = b[4+n:]; r.stopped || r.call != call || r.watchErr != nil {
 			return
 		}
 	}
-	if kept && whole == 0 {
+	if continued && complete == 0 {
 		return // a large frame is not copied for each piece of it
 	}
 	// What is left is kept in memory of its own: b is the connection's, or the end of line.
-	r.line = append([]byte(nil), b...)
+	r.partial = append([]byte(nil), b...)
 }
 
-// field finds the last field of a number that holds bytes in a message. A message that cannot be read has none.
-func field(b []byte, number protowire.Number) (v []byte) {
+// lastBytesField finds the last field of a number that holds bytes in a message. A message that cannot be read has none.
+func lastBytesField(b []byte, number protowire.Number) (v []byte) {
 	for len(b) > 0 {
 		num, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -102,24 +102,24 @@
 	objectMetadata, metadataVersion         = 1, 6
 )
 
-// frame takes one event. Of its object only the revision is looked at; the rest is decoded by who wants it.
-func (r *Reflector) frame(b []byte) {
-	kind := string(field(b, eventType))
-	o := field(field(b, eventObject), rawExtensionRaw)
+// handleFrame takes one event. Of its object only the revision is looked at; the rest is decoded by who wants it.
+func (r *Reflector) handleFrame(b []byte) {
+	kind := string(lastBytesField(b, eventType))
+	o := lastBytesField(lastBytesField(b, eventObject), rawExtensionRaw)
 	if len(o) < 4 || string(o[:4]) != "k8s\x00" {
-		r.fail(errFrame)
+		r.abortWatch(errMalformedFrame)
 		return
 	}
-	raw := field(o[4:], unknownRaw)
+	raw := lastBytesField(o[4:], unknownRaw)
 	if kind == "ERROR" {
-		var st metav1.Status
-		r.ended(&st, st.Unmarshal(raw))
+		var status metav1.Status
+		r.handleErrorEvent(&status, status.Unmarshal(raw))
 		return
 	}
-	rev := string(field(field(raw, objectMetadata), metadataVersion))
+	rev := string(lastBytesField(lastBytesField(raw, objectMetadata), metadataVersion))
 	if rev == "" {
-		r.fail(fmt.Errorf("%w: %s without resourceVersion", errFrame, kind))
+		r.abortWatch(fmt.Errorf("%w: %s without resourceVersion", errMalformedFrame, kind))
 		return
 	}
-	r.take(kind, rev, Object{Raw: raw, Binary: true})
+	r.handleEvent(kind, rev, Object{Raw: raw, Protobuf: true})
 }
--- a/internal/reflector/reflector.go
+++ b/internal/reflector/reflector.go
@@ -29,28 +29,28 @@
 	Labels string // label selector
 	Rand   *rand.Rand
 	Retry  retry.Backoff
-	// ListWithin bounds a list in seconds, Quiet how long a watch may bring no byte before it counts as broken; 0 is no bound.
-	ListWithin, Quiet float64
+	// ListTimeoutSeconds bounds a list in seconds, Quiet how long a watch may bring no byte before it counts as broken; 0 is no bound.
+	ListTimeoutSeconds, WatchIdleTimeoutSeconds float64
 
-	// Listed gets a whole list; Event a change of one object (ADDED, MODIFIED or DELETED). head carries the answer's fields.
-	Listed func(head *http1.Head, rev string, items []Object)
-	Event  func(kind string, object Object)
-	// Lost is called whenever list or watch fails; it goes on by itself.
-	Lost func(err error)
-	// Lists and Resumes count.
-	Lists, Resumes uint64
+	// OnList gets a whole list; Event a change of one object (ADDED, MODIFIED or DELETED). head carries the answer's fields.
+	OnList  func(head *http1.Head, rev string, items []Object)
+	OnEvent func(kind string, object Object)
+	// OnError is called whenever list or watch fails; it goes on by itself.
+	OnError func(err error)
+	// ListCount and Resumes count.
+	ListCount, ResumeCount uint64
 
-	rev     string
-	call    *httpc.Call
-	timer   *eventloop.Timer
-	quiet   *eventloop.Timer
-	stopped bool
-	line    []byte
-	failed  error
-	binary  bool // the watch is in the binary encoding
+	resourceVersion string
+	call            *httpc.Call
+	retryTimer      *eventloop.Timer
+	idleTimer       *eventloop.Timer
+	stopped         bool
+	partial         []byte
+	watchErr        error
+	protobuf        bool // the watch is in the binary encoding
 }
 
-const maxLine = 8 << 20
+const maxEventSize = 8 << 20
 
 // Start begins with a list.
 func (r *Reflector) Start() { r.list() }
@@ -61,8 +61,8 @@
 		return
 	}
 	r.stopped = true
-	r.timer.Stop()
-	r.quiet.Stop()
+	r.retryTimer.Stop()
+	r.idleTimer.Stop()
 	if r.call != nil {
 		r.call.Cancel()
 	}
@@ -73,8 +73,8 @@
 	if r.stopped {
 		return
 	}
-	r.rev = ""
-	r.timer.Stop()
+	r.resourceVersion = ""
+	r.retryTimer.Stop()
 	if c := r.call; c != nil {
 		r.call = nil
 		c.Cancel()
@@ -82,24 +82,24 @@
 	r.list()
 }
 
-func (r *Reflector) target(q url.Values) string {
+func (r *Reflector) requestTarget(q url.Values) string {
 	if r.Labels != "" {
 		q.Set("labelSelector", r.Labels)
 	}
 	return r.Path + "?" + q.Encode()
 }
 
-func (r *Reflector) again(err error) {
+func (r *Reflector) retryLater(err error) {
 	if r.stopped {
 		return
 	}
-	r.Lost(err)
+	r.OnError(err)
 	if r.stopped {
 		return
 	}
-	r.timer = r.Loop.After(r.Retry.Next(r.Rand.Float64()), func() {
-		if r.rev != "" {
-			r.Resumes++
+	r.retryTimer = r.Loop.After(r.Retry.Next(r.Rand.Float64()), func() {
+		if r.resourceVersion != "" {
+			r.ResumeCount++
 			r.watch()
 		} else {
 			r.list()
@@ -108,15 +108,15 @@
 }
 
 func (r *Reflector) list() {
-	r.Lists++
+	r.ListCount++
 	call := &httpc.Call{}
-	call.Done = func(h *http1.Head, body []byte, err error) {
+	call.Done = func(head *http1.Head, body []byte, err error) {
 		if r.stopped || r.call != call {
 			return
 		}
 		r.call = nil
-		if err == nil && h.Status != 200 {
-			err = statusError(h.Status, body)
+		if err == nil && head.Status != 200 {
+			err = statusError(head.Status, body)
 		}
 		var l struct {
 			Metadata metav1.ListMeta   `json:"metadata"`
@@ -130,41 +130,41 @@
 			err = errors.New("list without resourceVersion")
 		}
 		if err != nil {
-			r.again(fmt.Errorf("list %s%s: %w", r.Client.Addr(), r.Path, err))
+			r.retryLater(fmt.Errorf("list %s%s: %w", r.Client.Addr(), r.Path, err))
 			return
 		}
-		r.rev = l.Metadata.ResourceVersion
+		r.resourceVersion = l.Metadata.ResourceVersion
 		for _, it := range l.Items {
 			items = append(items, Object{Raw: it})
 		}
-		r.Listed(h, r.rev, items)
+		r.OnList(head, r.resourceVersion, items)
 		if !r.stopped && r.call == nil {
 			r.watch()
 		}
 	}
 	r.call = call
-	r.Client.Do("GET", r.target(url.Values{}), []http1.Field{{Name: "Accept", Value: "application/json"}}, nil, r.ListWithin, call)
+	r.Client.Do("GET", r.requestTarget(url.Values{}), []http1.Field{{Name: "Accept", Value: "application/json"}}, nil, r.ListTimeoutSeconds, call)
 }
 
 func statusError(code int, body []byte) error {
-	var st metav1.Status
-	if json.Unmarshal(body, &st) == nil && st.Message != "" {
-		return fmt.Errorf("status %d: %s", code, st.Message)
+	var status metav1.Status
+	if json.Unmarshal(body, &status) == nil && status.Message != "" {
+		return fmt.Errorf("status %d: %s", code, status.Message)
 	}
 	return fmt.Errorf("status %d", code)
 }
 
 func (r *Reflector) watch() {
-	r.line, r.failed = nil, nil
+	r.partial, r.watchErr = nil, nil
 	call := &httpc.Call{}
 	alive := func() {
-		r.quiet.Stop()
-		if r.Quiet > 0 {
-			r.quiet = r.Loop.After(r.Quiet, func() { call.Cancel() })
+		r.idleTimer.Stop()
+		if r.WatchIdleTimeoutSeconds > 0 {
+			r.idleTimer = r.Loop.After(r.WatchIdleTimeoutSeconds, func() { call.Cancel() })
 		}
 	}
-	call.Started = func(h *http1.Head) {
-		r.binary = strings.HasPrefix(h.Header.Get("Content-Type"), binaryType)
+	call.Started = func(head *http1.Head) {
+		r.protobuf = strings.HasPrefix(head.Header.Get("Content-Type"), protobufMediaType)
 		alive()
 	}
 	call.Data = func(b []byte) {
@@ -173,80 +173,80 @@
 		}
 		alive()
 		r.Retry.Reset()
-		r.feed(b)
+		r.decodeStream(b)
 	}
-	call.Done = func(h *http1.Head, body []byte, err error) {
-		r.quiet.Stop()
+	call.Done = func(head *http1.Head, body []byte, err error) {
+		r.idleTimer.Stop()
 		if r.stopped || r.call != call {
 			return
 		}
 		r.call = nil
 		switch {
-		case r.failed != nil:
-			err = r.failed
-		case err == nil && h.Status == 410:
-			r.rev = ""
-			err = statusError(h.Status, body)
-		case err == nil && h.Status != 200:
-			err = statusError(h.Status, body)
+		case r.watchErr != nil:
+			err = r.watchErr
+		case err == nil && head.Status == 410:
+			r.resourceVersion = ""
+			err = statusError(head.Status, body)
+		case err == nil && head.Status != 200:
+			err = statusError(head.Status, body)
 		case err == nil:
 			// The server ended it in order: go on from where it stopped.
-			r.Resumes++
+			r.ResumeCount++
 			r.watch()
 			return
 		}
-		r.again(fmt.Errorf("watch %s%s: %w", r.Client.Addr(), r.Path, err))
+		r.retryLater(fmt.Errorf("watch %s%s: %w", r.Client.Addr(), r.Path, err))
 	}
 	r.call = call
-	r.Client.Do("GET", r.target(url.Values{"watch": {"true"}, "resourceVersion": {r.rev}, "allowWatchBookmarks": {"true"}}),
-		[]http1.Field{{Name: "Accept", Value: binaryType + ", application/json"}}, nil, 0, call)
+	r.Client.Do("GET", r.requestTarget(url.Values{"watch": {"true"}, "resourceVersion": {r.resourceVersion}, "allowWatchBookmarks": {"true"}}),
+		[]http1.Field{{Name: "Accept", Value: protobufMediaType + ", application/json"}}, nil, 0, call)
 }
 
-// feed cuts the stream into lines or frames, one event each.
-func (r *Reflector) feed(b []byte) {
+// decodeStream cuts the stream into lines or frames, one event each.
+func (r *Reflector) decodeStream(b []byte) {
 	call := r.call
-	if r.binary {
-		r.frames(b)
+	if r.protobuf {
+		r.decodeFrames(b)
 		return
 	}
-	for len(b) > 0 && r.failed == nil {
+	for len(b) > 0 && r.watchErr == nil {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			if r.line = append(r.line, b...); len(r.line) > maxLine {
-				r.fail(errors.New("event over the limit"))
+			if r.partial = append(r.partial, b...); len(r.partial) > maxEventSize {
+				r.abortWatch(errors.New("event over the limit"))
 			}
 			return
 		}
 		line := b[:i]
-		if len(r.line) > 0 {
-			line = append(r.line, line...)
-			r.line = nil
+		if len(r.partial) > 0 {
+			line = append(r.partial, line...)
+			r.partial = nil
 		}
 		b = b[i+1:]
-		r.event(line)
+		r.handleJSONEvent(line)
 		if r.stopped || r.call != call {
 			return
 		}
 	}
 }
 
-func (r *Reflector) fail(err error) {
-	r.failed = err
+func (r *Reflector) abortWatch(err error) {
+	r.watchErr = err
 	r.call.Cancel()
 }
 
-func (r *Reflector) event(line []byte) {
+func (r *Reflector) handleJSONEvent(line []byte) {
 	var ev struct {
 		Type   string          `json:"type"`
 		Object json.RawMessage `json:"object"`
 	}
 	if err := json.Unmarshal(line, &ev); err != nil {
-		r.fail(fmt.Errorf("event: %w", err))
+		r.abortWatch(fmt.Errorf("event: %w", err))
 		return
 	}
 	if ev.Type == "ERROR" {
-		var st metav1.Status
-		r.ended(&st, json.Unmarshal(ev.Object, &st))
+		var status metav1.Status
+		r.handleErrorEvent(&status, json.Unmarshal(ev.Object, &status))
 		return
 	}
 	var m struct {
@@ -255,28 +255,28 @@
 		} `json:"metadata"`
 	}
 	if err := json.Unmarshal(ev.Object, &m); err != nil {
-		r.fail(fmt.Errorf("event object: %w", err))
+		r.abortWatch(fmt.Errorf("event object: %w", err))
 		return
 	}
-	r.take(ev.Type, m.Metadata.ResourceVersion, Object{Raw: ev.Object})
+	r.handleEvent(ev.Type, m.Metadata.ResourceVersion, Object{Raw: ev.Object})
 }
 
-// ended takes the event that ends a watch.
-func (r *Reflector) ended(st *metav1.Status, err error) {
-	if err == nil && (st.Code == 410 || st.Reason == metav1.StatusReasonExpired) {
-		r.rev = ""
+// handleErrorEvent takes the event that ends a watch.
+func (r *Reflector) handleErrorEvent(status *metav1.Status, err error) {
+	if err == nil && (status.Code == 410 || status.Reason == metav1.StatusReasonExpired) {
+		r.resourceVersion = ""
 	}
-	r.fail(fmt.Errorf("error event: %s", st.Message))
+	r.abortWatch(fmt.Errorf("error event: %s", status.Message))
 }
 
-func (r *Reflector) take(kind, rev string, o Object) {
+func (r *Reflector) handleEvent(kind, rev string, o Object) {
 	switch kind {
 	case "ADDED", "MODIFIED", "DELETED":
-		r.rev = rev
-		r.Event(kind, o)
+		r.resourceVersion = rev
+		r.OnEvent(kind, o)
 	case "BOOKMARK":
-		r.rev = rev
+		r.resourceVersion = rev
 	default:
-		r.fail(fmt.Errorf("event type %q is not known", kind))
+		r.abortWatch(fmt.Errorf("event type %q is not known", kind))
 	}
 }
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -8,12 +8,12 @@
 
 // Next returns the wait after one more failure. jitter is a random number from 0 to 1 that spreads it over half its length.
 func (b *Backoff) Next(jitter float64) float64 {
-	w := b.Min
-	for i := 0; i < b.failures && w < b.Max; i++ {
-		w *= 2
+	delay := b.Min
+	for i := 0; i < b.failures && delay < b.Max; i++ {
+		delay *= 2
 	}
 	b.failures++
-	return min(w, b.Max) * (0.75 + 0.5*jitter)
+	return min(delay, b.Max) * (0.75 + 0.5*jitter)
 }
 
 // Reset forgets the failures.
--- a/internal/retry/backoff_characterization_test.go
+++ b/internal/retry/backoff_characterization_test.go
@@ -45,20 +45,20 @@
 	var lines []string
 	for _, bounds := range [][2]float64{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
 		for _, jitter := range []float64{0, 0.25, 0.5, 1} {
-			lines = append(lines, waits(bounds, jitter))
+			lines = append(lines, delays(bounds, jitter))
 		}
 	}
 	compareGolden(t, lines)
 }
 
-func waits(bounds [2]float64, jitter float64) string {
-	b := retry.Backoff{Min: bounds[0], Max: bounds[1]}
+func delays(bounds [2]float64, jitter float64) string {
+	backoff := retry.Backoff{Min: bounds[0], Max: bounds[1]}
 	line := fmt.Sprintf("%g %g %g:", bounds[0], bounds[1], jitter)
 	for i := range 20 {
 		if i == 14 {
-			b.Reset()
+			backoff.Reset()
 		}
-		line += fmt.Sprintf(" %x", math.Float64bits(b.Next(jitter)))
+		line += fmt.Sprintf(" %x", math.Float64bits(backoff.Next(jitter)))
 	}
 	return line
 }
--- a/internal/retry/characterization_test.go
+++ b/internal/retry/characterization_test.go
@@ -10,22 +10,22 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeOwner pins the verdicts of owners and their times by bits, for seeded standings of every effect and cause. Regenerate
+// TestCharacterizePolicy pins the verdicts of owners and their times by bits, for seeded standings of every effect and cause. Regenerate
 // the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
-func TestCharacterizeOwner(t *testing.T) {
+func TestCharacterizePolicy(t *testing.T) {
 	record := golden.NewRecorder()
 	policies := []retry.Policy{retry.DefaultPolicy(), {Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1}, {Delay: 4, Multiplier: 0.5}}
 	for i, policy := range policies {
 		rng := rand.New(rand.NewPCG(5, uint64(i)))
-		var verdicts [4]int
+		var decisions [4]int
 		for step := range 4000 {
-			s := retry.State{Idempotency: placer.Idempotency(step % 3), Cause: retry.Cause(rng.IntN(6)), Now: 1000 + rng.Float64(),
-				Attempts: rng.IntN(12), Budget: rng.IntN(4), OutcomeUnknown: rng.IntN(4) == 0, MayHaveRun: rng.IntN(5) == 0,
+			state := retry.State{Idempotency: placer.Idempotency(step % 3), Cause: retry.Cause(rng.IntN(6)), Now: 1000 + rng.Float64(),
+				Attempts: rng.IntN(12), RetriesLeft: rng.IntN(4), OutcomeUnknown: rng.IntN(4) == 0, MayHaveRun: rng.IntN(5) == 0,
 				RetryAfter: float64(rng.IntN(3)) * 3 * rng.Float64(), Jitter: rng.Float64()}
-			s.Deadline = s.Now - 2 + 40*rng.Float64()
-			verdict, at := policy.Next(s)
-			verdicts[verdict]++
-			record.Integers(int64(verdict))
+			state.Deadline = state.Now - 2 + 40*rng.Float64()
+			decision, at := policy.Next(state)
+			decisions[decision]++
+			record.Integers(int64(decision))
 			record.Floats(at)
 			if step%500 == 499 {
 				record.Checkpoint(fmt.Sprintf("policy %d, step %d", i, step+1))
@@ -34,7 +34,7 @@
 		for budget := range 20 {
 			record.Floats(policy.MaxWait(0.5*float64(budget+1), budget))
 		}
-		record.Line("policy %d: verdicts %v", i, verdicts)
+		record.Line("policy %d: verdicts %v", i, decisions)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
 	}
 	record.Check(t, "owner")
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -40,7 +40,7 @@
 	Now            float64
 	Deadline       float64 // when the owner stops waiting for the task to be placed
 	Attempts       int     // times that machines were asked so far
-	Budget         int     // times it may be asked again
+	RetriesLeft    int     // times it may be asked again
 	OutcomeUnknown bool    // an attempt may have been accepted, and its machine has not said
 	MayHaveRun     bool    // an attempt may have run, and that can no longer be known
 	RetryAfter     float64 // the scheduler's advice not to come before, from now
@@ -59,61 +59,61 @@
 )
 
 // Next decides. A task that must not run twice is never asked again while an attempt may have run.
-func (p *Policy) Next(s State) (v Decision, at float64) {
-	if s.Idempotency != placer.Idempotent {
+func (p *Policy) Next(state State) (decision Decision, at float64) {
+	if state.Idempotency != placer.Idempotent {
 		switch {
-		case s.MayHaveRun:
-			return Fail, s.Now
-		case s.OutcomeUnknown && s.Now < s.Deadline:
-			return AwaitOutcome, s.Deadline
-		case s.OutcomeUnknown:
-			return Fail, s.Now
+		case state.MayHaveRun:
+			return Fail, state.Now
+		case state.OutcomeUnknown && state.Now < state.Deadline:
+			return AwaitOutcome, state.Deadline
+		case state.OutcomeUnknown:
+			return Fail, state.Now
 		}
 	}
-	end := Reject
-	if s.Cause != Rejected && s.Cause != Shed || s.OutcomeUnknown || s.MayHaveRun {
-		end = Fail
+	final := Reject
+	if state.Cause != Rejected && state.Cause != Shed || state.OutcomeUnknown || state.MayHaveRun {
+		final = Fail
 	}
-	if s.Budget <= 0 {
-		return end, s.Now
+	if state.RetriesLeft <= 0 {
+		return final, state.Now
 	}
-	at = s.Now + p.wait(s)
-	if at >= s.Deadline {
-		return end, s.Now
+	at = state.Now + p.delay(state)
+	if at >= state.Deadline {
+		return final, state.Now
 	}
 	return RetryAt, at
 }
 
-func (p *Policy) wait(s State) float64 {
-	spread := 0.7 + 0.6*s.Jitter
-	if s.Cause == Migrated || s.Cause == Lost {
+func (p *Policy) delay(state State) float64 {
+	spread := 0.7 + 0.6*state.Jitter
+	if state.Cause == Migrated || state.Cause == Lost {
 		return p.ShortDelay * spread
 	}
-	w := max(p.Delay, 1)
-	if s.Cause == Shed {
+	delay := max(p.Delay, 1)
+	if state.Cause == Shed {
 		// No machine was troubled, so waits do not grow by it; they are as long as the line, and spread upwards.
-		return max(w, s.RetryAfter) * (1 + 0.5*s.Jitter)
+		return max(delay, state.RetryAfter) * (1 + 0.5*state.Jitter)
 	}
-	for range s.Attempts - 1 {
-		if w *= max(p.Multiplier, 1); w >= p.MaxDelay {
-			w = max(p.MaxDelay, 1)
+	for range state.Attempts - 1 {
+		if delay *= max(p.Multiplier, 1); delay >= p.MaxDelay {
+			delay = max(p.MaxDelay, 1)
 			break
 		}
 	}
-	return max(w*spread, 1, s.RetryAfter)
+	return max(delay*spread, 1, state.RetryAfter)
 }
 
 // MaxWait is how long an owner waits at most for the outcome of a task that is asked for again so many times, each ask
 // taking up to deadline seconds.
-func (p *Policy) MaxWait(deadline float64, budget int) float64 {
+func (p *Policy) MaxWait(deadline float64, retries int) float64 {
 	total := deadline
-	for i := range budget {
-		s := State{Attempts: i + 1, Jitter: 1, Cause: Rejected}
-		w := p.wait(s)
-		if w >= p.MaxDelay {
-			return total + float64(budget-i)*(1.3*p.MaxDelay+deadline)
+	for i := range retries {
+		state := State{Attempts: i + 1, Jitter: 1, Cause: Rejected}
+		delay := p.delay(state)
+		if delay >= p.MaxDelay {
+			return total + float64(retries-i)*(1.3*p.MaxDelay+deadline)
 		}
-		total += w + deadline
+		total += delay + deadline
 	}
 	return total
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,11 +26,11 @@
 	for _, machines := range []int{10, 100, 500} {
 		for _, rate := range []int{50, 200, 800} {
 			b.Run(fmt.Sprintf("machines=%d/rate=%d", machines, rate), func(b *testing.B) {
-				c := start(b, func(s *config.Settings) { s.Emulator.Nodes, s.Emulator.Racks, s.HeardWithin = machines, 10, 20 })
+				c := startCluster(b, func(s *config.Settings) { s.Emulator.Nodes, s.Emulator.Racks, s.NodeSyncTimeout = machines, 10, 20 })
 				hist := hdrhistogram.New(1, 60_000_000, 3)
 				due := sync.Map{}
 				settled := make(chan struct{}, 1<<16)
-				resp, err := http.Get(c.base + "/api/v1/pods?watch=1")
+				resp, err := http.Get(c.baseURL + "/api/v1/pods?watch=1")
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -47,7 +47,7 @@
 							return
 						}
 						name := ev.Object.Labels[wellknown.JobName]
-						if wellknown.SettledOf(&ev.Object) != "" && !seen[name] {
+						if wellknown.SettledReason(&ev.Object) != "" && !seen[name] {
 							seen[name] = true
 							if at, ok := due.Load(name); ok {
 								hist.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
@@ -66,8 +66,8 @@
 					name := fmt.Sprint("b", i)
 					due.Store(name, at)
 					go func() {
-						body := []byte(jobText(name, 1))
-						resp, err := client.Post(c.base+"/apis/batch/v1/namespaces/default/jobs", "application/json", bytes.NewReader(body))
+						body := []byte(jobJSON(name, 1))
+						resp, err := client.Post(c.baseURL+"/apis/batch/v1/namespaces/default/jobs", "application/json", bytes.NewReader(body))
 						if err == nil {
 							resp.Body.Close()
 						}
@@ -94,13 +94,13 @@
 func BenchmarkFanOut(b *testing.B) {
 	for _, watchers := range []int{1, 100, 5000} {
 		b.Run(fmt.Sprint("watchers=", watchers), func(b *testing.B) {
-			c := start(b, nil)
+			c := startCluster(b, nil)
 			var wg sync.WaitGroup
 			var total int64
 			var mu sync.Mutex
 			tasks := max(20, min(2000, 200000/watchers))
 			for range watchers {
-				conn, err := net.Dial("tcp", c.sch.Addr())
+				conn, err := net.Dial("tcp", c.scheduler.Addr())
 				if err != nil {
 					b.Skip(err)
 				}
@@ -130,13 +130,13 @@
 			}
 			c.eventually("all watch", func() bool {
 				n, done := 0, make(chan struct{})
-				c.l.Post(func() { n = c.sch.api.Watchers(); close(done) })
+				c.loop.Post(func() { n = c.scheduler.apiServer.Watchers(); close(done) })
 				<-done
 				return n == watchers
 			})
 			b.ResetTimer()
 			begin := time.Now()
-			c.want(201, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json", jobText("fan", tasks))
+			c.requireStatus(201, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json", jobJSON("fan", tasks))
 			wg.Wait()
 			b.ReportMetric(float64(total)/time.Since(begin).Seconds(), "events/s")
 			b.ReportMetric(0, "ns/op")
--- a/internal/scheduler/clientgo_test.go
+++ b/internal/scheduler/clientgo_test.go
@@ -27,7 +27,7 @@
 
 func clientset(t *testing.T, c *cluster) *kubernetes.Clientset {
 	t.Helper()
-	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.base, QPS: 1000, Burst: 1000})
+	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.baseURL, QPS: 1000, Burst: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 
 // The public clientset, unchanged: discovery, create, dry run, conflict, paging, patch, delete.
 func TestClientset(t *testing.T) {
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	k, ctx := clientset(t, c), context.Background()
 	if v, err := k.Discovery().ServerVersion(); err != nil || v.Major != "1" {
 		t.Fatalf("version: %v, %v", v, err)
@@ -46,7 +46,7 @@
 		t.Fatalf("discovery: %v, %v", lists, err)
 	}
 	jobs := k.BatchV1().Jobs("default")
-	j := simulation.Job(&scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Life: 0.3, Backoff: 2})
+	j := simulation.NewJob(&scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Lifetime: 0.3, BackoffLimit: 2})
 	if _, err := jobs.Create(ctx, j, metav1.CreateOptions{DryRun: []string{metav1.DryRunAll}}); err != nil {
 		t.Fatal(err)
 	}
@@ -68,11 +68,11 @@
 		if ev.Type == watch.Error {
 			t.Fatal(ev.Object)
 		}
-		if has(c.job("a"), "Complete") {
+		if hasCondition(c.job("a"), "Complete") {
 			w.Stop()
 		}
 	}
-	if r := settled(c.job("a")); r != wellknown.Placed {
+	if r := settledReason(c.job("a")); r != wellknown.Placed {
 		t.Fatalf("settled as %q", r)
 	}
 	// Pages come from one snapshot, though Pods are deleted between them.
@@ -130,11 +130,11 @@
 	if _, err := jobs.Create(ctx, bad, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
 		t.Fatalf("unknown class: %v", err)
 	}
-	c.eventually("the resumed Job completes", func() bool { return has(c.job(made.Name), "Complete") })
+	c.eventually("the resumed Job completes", func() bool { return hasCondition(c.job(made.Name), "Complete") })
 	if err := jobs.DeleteCollection(ctx, metav1.DeleteOptions{}, metav1.ListOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	c.audit()
+	c.checkAudit()
 }
 
 // An informer sees every Pod settle once, across connections that are dropped under it, in JSON and in the binary encoding.
@@ -145,8 +145,8 @@
 }
 
 func informerAcrossDrops(t *testing.T, accept string) {
-	c := start(t, nil)
-	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.base, QPS: 1000, Burst: 1000, ContentConfig: rest.ContentConfig{
+	c := startCluster(t, nil)
+	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.baseURL, QPS: 1000, Burst: 1000, ContentConfig: rest.ContentConfig{
 		AcceptContentTypes: accept, ContentType: "application/json"}})
 	if err != nil {
 		t.Fatal(err)
@@ -160,9 +160,9 @@
 		p := now.(*corev1.Pod)
 		was := ""
 		if old != nil {
-			was = wellknown.SettledOf(old.(*corev1.Pod))
+			was = wellknown.SettledReason(old.(*corev1.Pod))
 		}
-		if r := wellknown.SettledOf(p); r != was {
+		if r := wellknown.SettledReason(p); r != was {
 			if was != "" {
 				outcomes <- "changed"
 			}
@@ -178,10 +178,10 @@
 	}
 	const each, rounds = 20, 5
 	for i := range rounds {
-		c.submit(scenario.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Life: 30, Backoff: 3})
+		c.submitJob(scenario.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Lifetime: 30, BackoffLimit: 3})
 		// Break every open connection, in the middle of what it carries.
 		done := make(chan struct{})
-		c.l.Post(func() { c.sch.http.CloseConns(); close(done) })
+		c.loop.Post(func() { c.scheduler.httpServer.CloseConns(); close(done) })
 		<-done
 	}
 	for n := range each * rounds {
@@ -199,24 +199,24 @@
 		t.Fatalf("one more outcome: %s", r)
 	case <-time.After(100 * time.Millisecond):
 	}
-	c.audit()
+	c.checkAudit()
 }
 
 // A drain by patch, as kubectl drain does it: nothing new goes there, what runs moves, and a drain between offer and answer breaks
 // nothing.
 func TestDrainByPatch(t *testing.T) {
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	k, ctx := clientset(t, c), context.Background()
-	c.submit(scenario.Job{Name: "a", Class: "web", Service: "s", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.submitJob(scenario.Job{Name: "a", Class: "web", Service: "s", Tasks: 12, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 12 })
-	c.fault(fault.Node{Stall: 0.4})
-	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "t", Tasks: 12, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+	c.injectFault(fault.Node{Stall: 0.4})
+	c.submitJob(scenario.Job{Name: "b", Class: "batch", Service: "t", Tasks: 12, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
 	node := c.pods("?fieldSelector=status.phase=Running")[0].Spec.NodeName
 	if _, err := k.CoreV1().Nodes().Patch(ctx, node, types.StrategicMergePatchType, []byte(`{"spec":{"unschedulable":true}}`), metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	told := time.Now()
-	c.eventually("b is settled", func() bool { return settled(c.job("b")) != "" })
+	c.eventually("b is settled", func() bool { return settledReason(c.job("b")) != "" })
 	for _, p := range c.pods("?fieldSelector=spec.nodeName=" + node + ",status.phase=Running") {
 		err := k.PolicyV1().Evictions("default").Evict(ctx, &policyv1.Eviction{ObjectMeta: metav1.ObjectMeta{Name: p.Name, Namespace: "default"}})
 		if err != nil {
@@ -233,10 +233,10 @@
 	})
 	c.mu.Lock()
 	for _, ev := range c.events {
-		if ev.What == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.s.Rules.DrainGrace {
+		if ev.Kind == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.settings.Rules.DrainGrace {
 			t.Errorf("offered to %s %.3f s after the order", node, ev.At-float64(told.UnixNano())/1e9)
 		}
 	}
 	c.mu.Unlock()
-	c.audit()
+	c.checkAudit()
 }
--- a/internal/scheduler/hardcases_test.go
+++ b/internal/scheduler/hardcases_test.go
@@ -27,14 +27,14 @@
 
 // An accepted offer whose answer is lost: a task that must not run twice is found running and adopted, one that may is asked again
 // and its copy stopped; each settles as placed, and runs once in the end.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	for _, class := range []string{"once", "keyed", "web"} {
 		t.Run(class, func(t *testing.T) {
-			c := start(t, func(s *config.Settings) { s.Retry.Settle = 1 })
-			c.fault(fault.Node{LoseAnswer: 0.4})
-			c.submit(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 6, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 6})
-			c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-			if r := settled(c.job("a")); r != wellknown.Placed {
+			c := startCluster(t, func(s *config.Settings) { s.Retry.UnknownOutcomeTimeout = 1 })
+			c.injectFault(fault.Node{LoseAnswer: 0.4})
+			c.submitJob(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 6, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 6})
+			c.eventually("settled", func() bool { return settledReason(c.job("a")) != "" })
+			if r := settledReason(c.job("a")); r != wellknown.Placed {
 				t.Errorf("settled as %s", r)
 			}
 			c.eventually("all run once", func() bool {
@@ -42,7 +42,7 @@
 				defer c.mu.Unlock()
 				live := map[string]int{}
 				for _, ev := range c.events {
-					switch ev.What {
+					switch ev.Kind {
 					case audit.Accepted:
 						live[ev.UID]++
 					case audit.Ended:
@@ -56,7 +56,7 @@
 				}
 				return len(live) == 6
 			})
-			c.audit()
+			c.checkAudit()
 		})
 	}
 }
@@ -65,34 +65,34 @@
 func TestDeadlineOnTimeout(t *testing.T) {
 	for class, want := range map[string]string{"web": wellknown.Rejected, "once": wellknown.Failed} {
 		t.Run(class, func(t *testing.T) {
-			c := start(t, func(s *config.Settings) {
+			c := startCluster(t, func(s *config.Settings) {
 				for i := range s.Classes {
 					s.Classes[i].Deadline = 1
 				}
-				s.Retry.Settle = 0.3
+				s.Retry.UnknownOutcomeTimeout = 0.3
 			})
-			c.fault(fault.Node{Stall: 3})
-			c.submit(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
-			c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
+			c.injectFault(fault.Node{Stall: 3})
+			c.submitJob(scenario.Job{Name: "a", Class: class, Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 0})
+			c.eventually("settled", func() bool { return settledReason(c.job("a")) != "" })
 			for _, p := range c.pods("") {
-				if r := wellknown.SettledOf(&p); r != want && r != wellknown.Failed {
+				if r := wellknown.SettledReason(&p); r != want && r != wellknown.Failed {
 					t.Errorf("%s: %s", p.Name, r)
 				}
 			}
-			c.eventually("the Job ends", func() bool { return has(c.job("a"), batchv1.JobFailed) })
-			c.audit()
+			c.eventually("the Job ends", func() bool { return hasCondition(c.job("a"), batchv1.JobFailed) })
+			c.checkAudit()
 		})
 	}
 }
 
-func TestAllMachinesRefuse(t *testing.T) {
-	c := start(t, func(s *config.Settings) {
+func TestAllNodesReject(t *testing.T) {
+	c := startCluster(t, func(s *config.Settings) {
 		s.Classes[1].Deadline = 1.5
 	})
-	c.fault(fault.Node{Refuse: 100})
-	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 1})
-	c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-	if r := settled(c.job("a")); r != wellknown.Rejected {
+	c.injectFault(fault.Node{Reject: 100})
+	c.submitJob(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 5, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 1})
+	c.eventually("settled", func() bool { return settledReason(c.job("a")) != "" })
+	if r := settledReason(c.job("a")); r != wellknown.Rejected {
 		t.Errorf("settled as %s, want Refused: none may have run", r)
 	}
 	for _, p := range c.pods("") {
@@ -100,81 +100,81 @@
 			t.Errorf("%s does not say why: %q", p.Name, p.Status.Message)
 		}
 	}
-	c.audit()
+	c.checkAudit()
 }
 
 // The scheduler is killed with tasks running and started again: it takes them over and starts none of them anew.
-func TestKilledAndStartedAgain(t *testing.T) {
-	c := start(t, nil)
+func TestRestartAdoptsRunningTasks(t *testing.T) {
+	c := startCluster(t, nil)
 	for _, class := range []string{"once", "batch"} {
-		c.submit(scenario.Job{Name: class, Class: class, Service: class, Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+		c.submitJob(scenario.Job{Name: class, Class: class, Service: class, Tasks: 8, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
 	}
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 16 })
 	before := map[string]bool{}
 	for _, p := range c.pods("") {
 		before[string(p.UID)] = true
 	}
-	rev := c.rev()
-	c.kill()
-	c.up()
+	rev := c.revision()
+	c.killScheduler()
+	c.startScheduler()
 	after := c.pods("")
 	for _, p := range after {
-		if !before[string(p.UID)] || wellknown.SettledOf(&p) != wellknown.Placed {
-			t.Errorf("%s after the restart: settled as %q", p.Name, wellknown.SettledOf(&p))
+		if !before[string(p.UID)] || wellknown.SettledReason(&p) != wellknown.Placed {
+			t.Errorf("%s after the restart: settled as %q", p.Name, wellknown.SettledReason(&p))
 		}
 	}
-	if len(after) != 16 || c.seen(audit.Started) != 16 {
-		t.Errorf("%d Pods after the restart, %d starts in all, want 16", len(after), c.seen(audit.Started))
+	if len(after) != 16 || c.countEvents(audit.Started) != 16 {
+		t.Errorf("%d Pods after the restart, %d starts in all, want 16", len(after), c.countEvents(audit.Started))
 	}
 	for _, name := range []string{"once", "batch"} {
 		if j := c.job(name); j == nil || j.Status.Active != 8 {
 			t.Errorf("Job %s after the restart: %v", name, j)
 		}
 	}
-	if code, _ := c.try("GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", nil); code != 410 {
+	if code, _ := c.request("GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", nil); code != 410 {
 		t.Errorf("watch from a revision of the earlier life: status %d, want 410", code)
 	}
 	// The client posts its Job again: it is there.
-	c.want(409, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json", jobText("once", 8))
-	c.audit()
+	c.requireStatus(409, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json", jobJSON("once", 8))
+	c.checkAudit()
 }
 
-func jobText(name string, n int) string {
+func jobJSON(name string, n int) string {
 	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q},"spec":{"parallelism":%d,"completions":%d,"template":{"spec":{`+
 		`"restartPolicy":"Never","containers":[{"name":"m","image":"i","resources":{"requests":{"cpu":"10m","memory":"1Mi"}}}]}}}}`, name, n, n)
 }
 
 // A Job is deleted while its offers are out: no task of it stays anywhere.
-func TestDeleteWithOffersOut(t *testing.T) {
+func TestDeleteWithAttemptsInFlight(t *testing.T) {
 	for _, how := range []string{"Background", "Foreground"} {
 		t.Run(how, func(t *testing.T) {
-			c := start(t, nil)
-			c.fault(fault.Node{Stall: 0.5})
-			c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-			c.eventually("offers are out", func() bool { return c.seen(audit.Offered) > 0 })
-			c.want(200, "DELETE", "/apis/batch/v1/namespaces/default/jobs/a?propagationPolicy="+how, "", "")
+			c := startCluster(t, nil)
+			c.injectFault(fault.Node{Stall: 0.5})
+			c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
+			c.eventually("offers are out", func() bool { return c.countEvents(audit.AttemptReceived) > 0 })
+			c.requireStatus(200, "DELETE", "/apis/batch/v1/namespaces/default/jobs/a?propagationPolicy="+how, "", "")
 			c.eventually("all is gone", func() bool { return len(c.pods("")) == 0 && c.job("a") == nil })
 			c.eventually("no machine holds a task", func() bool {
 				n, done := 0, make(chan struct{})
-				c.sl.Post(func() {
+				c.emulatorLoop.Post(func() {
 					for _, x := range c.nodes {
-						n += x.Sim().Holds()
+						n += x.Sim().ActiveTasks()
 					}
 					close(done)
 				})
 				<-done
 				return n == 0
 			})
-			c.audit()
+			c.checkAudit()
 		})
 	}
 }
 
 // A watch that is cut in the middle of an event resumes where it was; one whose history is gone is told so.
-func TestWatchCutAndResumed(t *testing.T) {
-	c := start(t, func(s *config.Settings) { s.Limits.History = 60 })
-	rev := c.rev()
-	c.submit(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 10, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
+func TestWatchDisconnectedAndResumed(t *testing.T) {
+	c := startCluster(t, func(s *config.Settings) { s.Limits.History = 60 })
+	rev := c.revision()
+	c.submitJob(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 10, Cores: 0.1, Memory: 0.1, Lifetime: 60, BackoffLimit: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 10 })
 	seen := map[string]int{}
 	last := fmt.Sprint(rev)
@@ -182,7 +182,7 @@
 		if cuts > 200 {
 			t.Fatalf("%d events after %d cuts", len(seen), cuts)
 		}
-		conn, err := net.Dial("tcp", c.sch.Addr())
+		conn, err := net.Dial("tcp", c.scheduler.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -211,55 +211,55 @@
 		conn.Close()
 	}
 	// Ten Pods are added, placed and seen running: thirty events. Then the history moves on.
-	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 30, Cores: 0.1, Memory: 0.1, Life: 60, Backoff: 3})
+	c.submitJob(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 30, Cores: 0.1, Memory: 0.1, Lifetime: 60, BackoffLimit: 3})
 	c.eventually("more run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 40 })
-	c.want(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", "")
+	c.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", "")
 }
 
-func TestRefusedRequests(t *testing.T) {
-	c := start(t, func(s *config.Settings) { s.Limits.Body, s.Limits.Pods = 4096, 50 })
+func TestRejectedRequests(t *testing.T) {
+	c := startCluster(t, func(s *config.Settings) { s.Limits.MaxBodyBytes, s.Limits.MaxPods = 4096, 50 })
 	const jobs = "/apis/batch/v1/namespaces/default/jobs"
-	body := jobText("fit", 1)
+	body := jobJSON("fit", 1)
 	pad := func(n int) string { return body + strings.Repeat(" ", n-len(body)) }
-	c.want(201, "POST", jobs, "application/json", pad(4096))
-	c.want(413, "POST", jobs, "application/json", pad(4097))
+	c.requireStatus(201, "POST", jobs, "application/json", pad(4096))
+	c.requireStatus(413, "POST", jobs, "application/json", pad(4097))
 	for _, x := range []struct {
 		code                         int
 		method, path, ct, body, says string
 	}{
 		{400, "POST", jobs, "application/json", "{", "unexpected end"},
-		{400, "POST", jobs + "?fieldValidation=Strict", "application/json", strings.Replace(jobText("x", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1), "spek"},
-		{400, "POST", jobs, "application/json", strings.Replace(jobText("x", 1), `"Job"`, `"Pod"`, 1), "want a Job"},
-		{404, "POST", "/apis/batch/v1/namespaces/none/jobs", "application/json", jobText("x", 1), "none"},
+		{400, "POST", jobs + "?fieldValidation=Strict", "application/json", strings.Replace(jobJSON("x", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1), "spek"},
+		{400, "POST", jobs, "application/json", strings.Replace(jobJSON("x", 1), `"Job"`, `"Pod"`, 1), "want a Job"},
+		{404, "POST", "/apis/batch/v1/namespaces/none/jobs", "application/json", jobJSON("x", 1), "none"},
 		{404, "GET", "/apis/apps/v1/deployments", "", "", "could not find"},
 		{405, "POST", "/api/v1/nodes", "application/json", "{}", "not supported"},
 		{405, "DELETE", "/api/v1/nodes/node-01", "", "", "not supported"},
 		{409, "POST", jobs, "application/json", body, "already exists"},
 		{415, "POST", jobs, "application/yaml", "a: b", "accepted media types"},
 		{415, "PATCH", "/api/v1/nodes/node-01", "application/apply-patch+yaml", "{}", "content-type"},
-		{422, "POST", jobs, "application/json", strings.Replace(jobText("x", 1), "Never", "Always", 1), "restartPolicy"},
-		{422, "POST", jobs, "application/json", jobText("X!", 1), "metadata.name"},
-		{422, "POST", jobs, "application/json", strings.Replace(jobText("x", 1), `"10m"`, `"-1"`, 1), "requests"},
+		{422, "POST", jobs, "application/json", strings.Replace(jobJSON("x", 1), "Never", "Always", 1), "restartPolicy"},
+		{422, "POST", jobs, "application/json", jobJSON("X!", 1), "metadata.name"},
+		{422, "POST", jobs, "application/json", strings.Replace(jobJSON("x", 1), `"10m"`, `"-1"`, 1), "requests"},
 		{422, "PATCH", "/api/v1/nodes/node-01", "application/merge-patch+json", `{"metadata":{"labels":{"heathshed.io/rack":"z"}}}`, "inventory"},
-		{429, "POST", jobs, "application/json", jobText("many", 50), "too many"},
+		{429, "POST", jobs, "application/json", jobJSON("many", 50), "too many"},
 		{400, "GET", "/api/v1/pods?fieldSelector=spec.x=1", "", "", "not supported"},
 		{400, "GET", "/api/v1/pods?resourceVersion=x", "", "", "resource version"},
 		{400, "GET", "/api/v1/pods?continue=x", "", "", "continue"},
 		{504, "GET", "/api/v1/pods?resourceVersion=9999999999999999", "", "", "Too large"},
 	} {
-		b := c.want(x.code, x.method, x.path, x.ct, x.body)
-		var st struct{ Kind, Message string }
-		if json.Unmarshal(b, &st) != nil || st.Kind != "Status" || !strings.Contains(st.Message, x.says) {
+		b := c.requireStatus(x.code, x.method, x.path, x.ct, x.body)
+		var status struct{ Kind, Message string }
+		if json.Unmarshal(b, &status) != nil || status.Kind != "Status" || !strings.Contains(status.Message, x.says) {
 			t.Errorf("%d %s %s: %.300s, want a Status with %q", x.code, x.method, x.path, b, x.says)
 		}
 	}
-	req, _ := http.NewRequest("GET", c.base+"/api/v1/pods", nil)
+	req, _ := http.NewRequest("GET", c.baseURL+"/api/v1/pods", nil)
 	req.Header.Set("Accept", "text/html")
 	if resp, err := http.DefaultClient.Do(req); err != nil || resp.StatusCode != 406 {
 		t.Errorf("accept: %v, %v", resp, err)
 	}
-	unknown := strings.Replace(jobText("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
-	resp, err := http.Post(c.base+jobs, "application/json", strings.NewReader(unknown))
+	unknown := strings.Replace(jobJSON("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
+	resp, err := http.Post(c.baseURL+jobs, "application/json", strings.NewReader(unknown))
 	if err != nil || resp.StatusCode != 201 || !strings.Contains(resp.Header.Get("Warning"), "spek") {
 		t.Errorf("unknown field: %v, %v", resp, err)
 	}
@@ -267,17 +267,17 @@
 
 // Ten thousand requests in one pipeline are answered in order; half-open and slow peers hold up nobody.
 func TestPipelineAndHalfOpen(t *testing.T) {
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	var silent []net.Conn
 	for range 50 {
-		x, err := net.Dial("tcp", c.sch.Addr())
+		x, err := net.Dial("tcp", c.scheduler.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprint(x, "GET /livez HT") // and nothing more
 		silent = append(silent, x)
 	}
-	conn, err := net.Dial("tcp", c.sch.Addr())
+	conn, err := net.Dial("tcp", c.scheduler.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -306,7 +306,7 @@
 	}
 	c.eventually("half-open connections are let go", func() bool {
 		n, done := 0, make(chan struct{})
-		c.l.Post(func() { n = c.sch.http.Conns(); close(done) })
+		c.loop.Post(func() { n = c.scheduler.httpServer.Conns(); close(done) })
 		<-done
 		return n <= 2
 	})
@@ -314,13 +314,13 @@
 
 // Many idle watches and a Job of ten thousand tasks side by side: all settle, and a watch sees each of its events.
 func TestManyWatchesAndTasks(t *testing.T) {
-	c := start(t, func(s *config.Settings) {
-		s.Emulator.MaxWaiting, s.Emulator.LookMin, s.Emulator.LookMax = 4096, 0, 0.0001
+	c := startCluster(t, func(s *config.Settings) {
+		s.Emulator.MaxQueued, s.Emulator.DecisionDelayMin, s.Emulator.DecisionDelayMax = 4096, 0, 0.0001
 	})
 	const watches, tasks = 5000, 10000
 	var conns []net.Conn
 	for i := range watches {
-		x, err := net.Dial("tcp", c.sch.Addr())
+		x, err := net.Dial("tcp", c.scheduler.Addr())
 		if err != nil {
 			t.Skipf("only %d connections: %v", i, err)
 		}
@@ -334,46 +334,46 @@
 	}()
 	c.eventually("all watch", func() bool {
 		n, done := 0, make(chan struct{})
-		c.l.Post(func() { n = c.sch.api.Watchers(); close(done) })
+		c.loop.Post(func() { n = c.scheduler.apiServer.Watchers(); close(done) })
 		<-done
 		return n == watches
 	})
-	c.want(201, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json",
-		strings.Replace(jobText("big", tasks), `"template":{`, `"template":{"metadata":{"annotations":{"heathshed.io/lifetime":"0.5"}},`, 1))
-	c.eventually("all settle", func() bool { return settled(c.job("big")) != "" })
-	if j := c.job("big"); settled(j) == "" || c.count(store.Pods) < tasks {
+	c.requireStatus(201, "POST", "/apis/batch/v1/namespaces/default/jobs", "application/json",
+		strings.Replace(jobJSON("big", tasks), `"template":{`, `"template":{"metadata":{"annotations":{"heathshed.io/lifetime":"0.5"}},`, 1))
+	c.eventually("all settle", func() bool { return settledReason(c.job("big")) != "" })
+	if j := c.job("big"); settledReason(j) == "" || c.count(store.Pods) < tasks {
 		t.Errorf("%v with %d Pods", j.Status, c.count(store.Pods))
 	}
 }
 
-// rev is the revision of the last change.
-func (c *cluster) rev() int64 {
+// revision is the revision of the last change.
+func (c *cluster) revision() int64 {
 	var rev int64
 	done := make(chan struct{})
-	c.l.Post(func() { rev = c.sch.Rev(); close(done) })
+	c.loop.Post(func() { rev = c.scheduler.Revision(); close(done) })
 	<-done
 	return rev
 }
 
 func (c *cluster) count(r store.Resource) int {
 	n, done := 0, make(chan struct{})
-	c.l.Post(func() { n = c.sch.Count(r); close(done) })
+	c.loop.Post(func() { n = c.scheduler.ObjectCount(r); close(done) })
 	<-done
 	return n
 }
 
 // A stop in order: what was taken gets its answer, watches end cleanly, nothing new is taken.
-func TestStopInOrder(t *testing.T) {
-	c := start(t, nil)
-	c.fault(fault.Node{Stall: 0.3})
-	resp, err := http.Get(c.base + "/api/v1/pods?watch=1")
+func TestGracefulStop(t *testing.T) {
+	c := startCluster(t, nil)
+	c.injectFault(fault.Node{Stall: 0.3})
+	resp, err := http.Get(c.baseURL + "/api/v1/pods?watch=1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-	c.eventually("offers are out", func() bool { return c.seen(audit.Offered) > 0 })
+	c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
+	c.eventually("offers are out", func() bool { return c.countEvents(audit.AttemptReceived) > 0 })
 	stopped := make(chan struct{})
-	c.l.Post(func() { c.sch.Stop(20, func() { close(stopped); c.l.Stop() }) })
+	c.loop.Post(func() { c.scheduler.Stop(20, func() { close(stopped); c.loop.Stop() }) })
 	// The watch ends with a whole chunked body, after an outcome for each task.
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -387,55 +387,55 @@
 	out := map[string]bool{}
 	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
 		var ev struct{ Object corev1.Pod }
-		if json.Unmarshal([]byte(line), &ev) == nil && wellknown.SettledOf(&ev.Object) != "" {
+		if json.Unmarshal([]byte(line), &ev) == nil && wellknown.SettledReason(&ev.Object) != "" {
 			out[string(ev.Object.UID)] = true
 		}
 	}
 	if len(out) != 10 {
 		t.Errorf("%d outcomes of 10", len(out))
 	}
-	c.audit()
+	c.checkAudit()
 }
 
 // The inventory goes away, comes back empty, then whole: what runs goes on, nothing that must not run twice is started again, and new
 // work is placed afterwards.
-func TestInventoryCutAndEmpty(t *testing.T) {
-	c := start(t, func(s *config.Settings) { s.Limits.LostAfter = 0.5 })
-	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 8, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
+func TestInventoryDisconnectedAndEmpty(t *testing.T) {
+	c := startCluster(t, func(s *config.Settings) { s.Limits.NodeLossTimeout = 0.5 })
+	c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 8, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
 	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 8 })
-	c.sl.Post(func() { c.inv.Fault(fault.Inventory{Cut: 0.5}) })
-	c.submit(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-	c.eventually("b is settled by the list as it was", func() bool { return settled(c.job("b")) == wellknown.Placed })
+	c.emulatorLoop.Post(func() { c.inventory.Fault(fault.Inventory{Unreachable: 0.5}) })
+	c.submitJob(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
+	c.eventually("b is settled by the list as it was", func() bool { return settledReason(c.job("b")) == wellknown.Placed })
 	nodes := func() int {
 		var l corev1.NodeList
-		if code, b := c.try("GET", "/api/v1/nodes", "", nil); code != 200 || json.Unmarshal(b, &l) != nil {
+		if code, b := c.request("GET", "/api/v1/nodes", "", nil); code != 200 || json.Unmarshal(b, &l) != nil {
 			return -1
 		}
 		return len(l.Items)
 	}
 	c.eventually("the inventory is back", func() bool {
 		n, done := 0, make(chan struct{})
-		c.sl.Post(func() { c.inv.Fault(fault.Inventory{Empty: 1.5}); n = c.inv.Machines(); close(done) })
+		c.emulatorLoop.Post(func() { c.inventory.Fault(fault.Inventory{Empty: 1.5}); n = c.inventory.NodeCount(); close(done) })
 		<-done
 		return n == 0 && nodes() == 0
 	})
 	c.eventually("the machines are listed again", func() bool { return nodes() == len(c.nodes) })
-	c.submit(scenario.Job{Name: "c", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 3})
-	c.eventually("c is settled", func() bool { return settled(c.job("c")) == wellknown.Placed })
+	c.submitJob(scenario.Job{Name: "c", Class: "batch", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
+	c.eventually("c is settled", func() bool { return settledReason(c.job("c")) == wellknown.Placed })
 	if n := len(c.pods("?labelSelector=job-name=a&fieldSelector=status.phase=Running")); n != 8 || c.job("a").Status.Failed != 0 {
 		t.Errorf("%d of 8 tasks run, %v", n, c.job("a").Status)
 	}
-	c.audit()
+	c.checkAudit()
 }
 
 // Answers that trickle a few bytes at a time are read whole; nothing is asked twice on their account.
-func TestTrickledAnswers(t *testing.T) {
-	c := start(t, nil)
-	c.fault(fault.Node{Trickle: 0.5})
-	c.submit(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Life: 60, Backoff: 0})
-	c.eventually("settled", func() bool { return settled(c.job("a")) != "" })
-	if r := settled(c.job("a")); r != wellknown.Placed || c.seen(audit.Offered) != 4 {
-		t.Errorf("settled as %s after %d offers", r, c.seen(audit.Offered))
+func TestTrickledResponses(t *testing.T) {
+	c := startCluster(t, nil)
+	c.injectFault(fault.Node{Trickle: 0.5})
+	c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 4, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 0})
+	c.eventually("settled", func() bool { return settledReason(c.job("a")) != "" })
+	if r := settledReason(c.job("a")); r != wellknown.Placed || c.countEvents(audit.AttemptReceived) != 4 {
+		t.Errorf("settled as %s after %d offers", r, c.countEvents(audit.AttemptReceived))
 	}
-	c.audit()
+	c.checkAudit()
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -29,94 +29,94 @@
 
 // cluster is a scheduler with stand-ins, in this process.
 type cluster struct {
-	t     testing.TB
-	s     config.Settings
-	base  string
-	l     *eventloop.Loop // of the scheduler
-	sch   *Scheduler
-	done  chan error
-	sl    *eventloop.Loop // of the stand-ins
-	inv   *emulator.Inventory
-	nodes []*emulator.Node
+	t            testing.TB
+	settings     config.Settings
+	baseURL      string
+	loop         *eventloop.Loop // of the scheduler
+	scheduler    *Scheduler
+	loopDone     chan error
+	emulatorLoop *eventloop.Loop // of the stand-ins
+	inventory    *emulator.Inventory
+	nodes        []*emulator.Node
 
 	mu     sync.Mutex
 	events []audit.Event
 }
 
-func start(t testing.TB, change func(*config.Settings)) *cluster {
+func startCluster(t testing.TB, change func(*config.Settings)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, s: config.Default()}
-	s := &c.s
-	s.Listen, s.Emulator.Late, s.Emulator.Nodes, s.HeardWithin = "127.0.0.1:0", 0.05, 4, 2
-	s.Limits.KeepFinished = 0
+	c := &cluster{t: t, settings: config.Default()}
+	s := &c.settings
+	s.Listen, s.Emulator.ReportDelay, s.Emulator.Nodes, s.NodeSyncTimeout = "127.0.0.1:0", 0.05, 4, 2
+	s.Limits.FinishedTTL = 0
 	if change != nil {
 		change(s)
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if c.sl, err = eventloop.New(); err != nil {
+	if c.emulatorLoop, err = eventloop.New(); err != nil {
 		t.Fatal(err)
 	}
 	tap := func(ev audit.Event) { c.mu.Lock(); c.events = append(c.events, ev); c.mu.Unlock() }
-	if c.inv, err = emulator.StartInventory(c.sl, emulator.InventoryOptions{Listen: "127.0.0.1:0", Late: s.Emulator.Late, SilentAfter: 1, Tap: tap}); err != nil {
+	if c.inventory, err = emulator.StartInventory(c.emulatorLoop, emulator.InventoryOptions{Listen: "127.0.0.1:0", PublishDelay: s.Emulator.ReportDelay, UnresponsiveAfter: 1, OnEvent: tap}); err != nil {
 		t.Fatal(err)
 	}
-	s.Inventory = c.inv.Addr()
+	s.Inventory = c.inventory.Addr()
 	for i := range s.Emulator.Nodes {
-		cfg, kind, rack, zone := s.Machine(i)
-		beat := 0.1
+		nodeConfig, kind, rack, zone := s.EmulatedNode(i)
+		heartbeatSeconds := 0.1
 		if s.Emulator.Nodes >= 100 {
-			beat = 0.5 // as heathshed up has it; more would measure the inventory
+			heartbeatSeconds = 0.5 // as heathshed up has it; more would measure the inventory
 		}
-		n, err := emulator.StartNode(c.sl, emulator.NodeOptions{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0",
-			Inventory: c.inv.Addr(), Beat: beat, Sim: cfg, Priorities: s.Priorities(), Tap: tap})
+		n, err := emulator.StartNode(c.emulatorLoop, emulator.NodeOptions{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0",
+			Inventory: c.inventory.Addr(), ReportInterval: heartbeatSeconds, Sim: nodeConfig, Priorities: s.Priorities(), OnEvent: tap})
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.nodes = append(c.nodes, n)
 	}
-	sdone := make(chan error, 1)
-	go func() { sdone <- c.sl.Run() }()
-	t.Cleanup(func() { c.kill(); c.sl.Stop(); <-sdone })
-	c.up()
+	emulatorDone := make(chan error, 1)
+	go func() { emulatorDone <- c.emulatorLoop.Run() }()
+	t.Cleanup(func() { c.killScheduler(); c.emulatorLoop.Stop(); <-emulatorDone })
+	c.startScheduler()
 	return c
 }
 
-// up starts the scheduler, at the address that it had.
-func (c *cluster) up() {
+// startScheduler starts the scheduler, at the address that it had.
+func (c *cluster) startScheduler() {
 	c.t.Helper()
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	h := httpd.DefaultOptions()
-	h.Limits.Body = c.s.Limits.Body
-	h.Memory = memquota.Divide(int64(c.s.Limits.Memory) << 20).Connections
-	c.sch, err = New(l, Options{Engine: c.s.Engine(7, int64(l.Now()*1e6)), Listen: c.s.Listen, Inventory: c.s.Inventory, Version: "test",
-		HTTP: h, ConnectWithin: c.s.ConnectWithin, HeardWithin: c.s.HeardWithin, Log: zerolog.Nop()})
+	httpOptions := httpd.DefaultOptions()
+	httpOptions.Limits.Body = c.settings.Limits.MaxBodyBytes
+	httpOptions.MemoryBytes = memquota.Divide(int64(c.settings.Limits.MemoryMiB) << 20).Connections
+	c.scheduler, err = New(loop, Options{Engine: c.settings.Engine(7, int64(loop.Now()*1e6)), ListenAddress: c.settings.Listen, InventoryAddress: c.settings.Inventory, Version: "test",
+		HTTP: httpOptions, ConnectTimeoutSeconds: c.settings.ConnectTimeout, NodeSyncTimeoutSeconds: c.settings.NodeSyncTimeout, Log: zerolog.Nop()})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.l, c.done = l, make(chan error, 1)
-	c.s.Listen = c.sch.Addr()
-	c.base = "http://" + c.sch.Addr()
-	go func(done chan error) { done <- l.Run() }(c.done)
-	c.eventually("the scheduler is ready", func() bool { code, _ := c.try("GET", "/readyz", "", nil); return code == 200 })
+	c.loop, c.loopDone = loop, make(chan error, 1)
+	c.settings.Listen = c.scheduler.Addr()
+	c.baseURL = "http://" + c.scheduler.Addr()
+	go func(done chan error) { done <- loop.Run() }(c.loopDone)
+	c.eventually("the scheduler is ready", func() bool { code, _ := c.request("GET", "/readyz", "", nil); return code == 200 })
 }
 
-// kill ends the scheduler at once.
-func (c *cluster) kill() {
-	if c.l != nil {
-		c.l.Stop()
-		<-c.done
-		c.l = nil
+// killScheduler ends the scheduler at once.
+func (c *cluster) killScheduler() {
+	if c.loop != nil {
+		c.loop.Stop()
+		<-c.loopDone
+		c.loop = nil
 	}
 }
 
-func (c *cluster) try(method, path, contentType string, body []byte) (int, []byte) {
-	req, err := http.NewRequest(method, c.base+path, bytes.NewReader(body))
+func (c *cluster) request(method, path, contentType string, body []byte) (int, []byte) {
+	req, err := http.NewRequest(method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -133,9 +133,9 @@
 	return resp.StatusCode, b
 }
 
-func (c *cluster) want(code int, method, path, contentType, body string) []byte {
+func (c *cluster) requireStatus(code int, method, path, contentType, body string) []byte {
 	c.t.Helper()
-	got, b := c.try(method, path, contentType, []byte(body))
+	got, b := c.request(method, path, contentType, []byte(body))
 	if got != code {
 		c.t.Fatalf("%s %s: status %d, want %d: %.300s", method, path, got, code, b)
 	}
@@ -154,20 +154,20 @@
 	c.t.Fatalf("never seen: %s", what)
 }
 
-func (c *cluster) submit(j scenario.Job) {
+func (c *cluster) submitJob(job scenario.Job) {
 	c.t.Helper()
-	if j.Namespace == "" {
-		j.Namespace = "default"
+	if job.Namespace == "" {
+		job.Namespace = "default"
 	}
-	b, err := json.Marshal(simulation.Job(&j))
+	b, err := json.Marshal(simulation.NewJob(&job))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.want(201, "POST", "/apis/batch/v1/namespaces/"+j.Namespace+"/jobs", "application/json", string(b))
+	c.requireStatus(201, "POST", "/apis/batch/v1/namespaces/"+job.Namespace+"/jobs", "application/json", string(b))
 }
 
 func (c *cluster) job(name string) *batchv1.Job {
-	code, b := c.try("GET", "/apis/batch/v1/namespaces/default/jobs/"+name, "", nil)
+	code, b := c.request("GET", "/apis/batch/v1/namespaces/default/jobs/"+name, "", nil)
 	if code != 200 {
 		return nil
 	}
@@ -178,7 +178,7 @@
 	return j
 }
 
-func settled(j *batchv1.Job) string {
+func settledReason(j *batchv1.Job) string {
 	if j != nil {
 		for _, k := range j.Status.Conditions {
 			if k.Type == wellknown.Settled {
@@ -189,7 +189,7 @@
 	return ""
 }
 
-func has(j *batchv1.Job, kind batchv1.JobConditionType) bool {
+func hasCondition(j *batchv1.Job, kind batchv1.JobConditionType) bool {
 	if j != nil {
 		for _, k := range j.Status.Conditions {
 			if k.Type == kind && k.Status == corev1.ConditionTrue {
@@ -201,20 +201,20 @@
 }
 
 func (c *cluster) pods(query string) []corev1.Pod {
-	var l corev1.PodList
-	code, b := c.try("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
+	var list corev1.PodList
+	code, b := c.request("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
 	if code == 200 {
-		if err := json.Unmarshal(b, &l); err != nil {
+		if err := json.Unmarshal(b, &list); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	return l.Items
+	return list.Items
 }
 
-// fault makes machines faulty; none named is all.
-func (c *cluster) fault(f fault.Node, nodes ...int) {
+// injectFault makes machines faulty; none named is all.
+func (c *cluster) injectFault(f fault.Node, nodes ...int) {
 	done := make(chan struct{})
-	c.sl.Post(func() {
+	c.emulatorLoop.Post(func() {
 		for i, n := range c.nodes {
 			hit := len(nodes) == 0
 			for _, k := range nodes {
@@ -229,26 +229,26 @@
 	<-done
 }
 
-// seen counts what passed at the machines.
-func (c *cluster) seen(what string) int {
+// countEvents counts what passed at the machines.
+func (c *cluster) countEvents(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for i := range c.events {
-		if c.events[i].What == what {
+		if c.events[i].Kind == what {
 			n++
 		}
 	}
 	return n
 }
 
-// audit checks the rules on what passed at the machines so far.
-func (c *cluster) audit() {
+// checkAudit checks the rules on what passed at the machines so far.
+func (c *cluster) checkAudit() {
 	c.t.Helper()
 	c.mu.Lock()
 	events := append([]audit.Event(nil), c.events...)
 	c.mu.Unlock()
-	r := audit.Check(audit.Config{Classes: simulation.Classes(&c.s), DrainGrace: c.s.Rules.DrainGrace, Slack: 0.5}, events)
+	r := audit.Check(audit.Config{Classes: simulation.AuditClasses(&c.settings), DrainGrace: c.settings.Rules.DrainGrace, Slack: 0.5}, events)
 	for _, v := range r.Violations {
 		c.t.Error(v)
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -33,219 +33,219 @@
 
 // Options are what a scheduler is run with.
 type Options struct {
-	Engine        engine.Config
-	Listen        string // address of the API
-	Inventory     string // address of the inventory
-	Version       string
-	HTTP          httpd.Options
-	ConnectWithin float64 // seconds to connect to a machine
-	WatchQuiet    float64 // seconds after which a watch that brings nothing is checked by a new one; 0 never
-	HeardWithin   float64 // seconds that the machines found at the start have to show what they hold
-	MaxList       int
-	Log           zerolog.Logger
+	Engine                  engine.Config
+	ListenAddress           string // address of the API
+	InventoryAddress        string // address of the inventory
+	Version                 string
+	HTTP                    httpd.Options
+	ConnectTimeoutSeconds   float64 // seconds to connect to a machine
+	WatchIdleTimeoutSeconds float64 // seconds after which a watch that brings nothing is checked by a new one; 0 never
+	NodeSyncTimeoutSeconds  float64 // seconds that the machines found at the start have to show what they hold
+	MaxListItems            int
+	Log                     zerolog.Logger
 }
 
 // Scheduler is one running scheduler. All its methods are for the loop's goroutine.
 type Scheduler struct {
-	o      Options
-	l      *eventloop.Loop
-	e      *engine.Engine
-	api    *api.Server
-	http   *httpd.Server
-	rng    *rand.Rand
-	inv    *reflector.Reflector
-	invUp  bool
-	began  float64
-	ready  bool
-	listed bool
+	options            Options
+	loop               *eventloop.Loop
+	engine             *engine.Engine
+	apiServer          *api.Server
+	httpServer         *httpd.Server
+	random             *rand.Rand
+	inventory          *reflector.Reflector
+	inventoryReachable bool
+	startedAt          float64
+	ready              bool
+	inventoryListed    bool
 
-	machines map[string]*machine
-	calls    map[callKey]*httpc.Call
-	timer    *eventloop.Timer
-	effects  []engine.Effect
-	busy     bool
-	shown    int64
-	kicking  bool
-	stopping bool
-	met      *metrics
+	nodes             map[string]*nodeClient
+	calls             map[attemptKey]*httpc.Call
+	timer             *eventloop.Timer
+	effects           []engine.Effect
+	processingEffects bool
+	publishedRevision int64
+	publishScheduled  bool
+	stopping          bool
+	metrics           *metrics
 }
 
-type callKey struct {
+type attemptKey struct {
 	uid     types.UID
 	attempt int
 }
 
-// machine is the connections to one machine.
-type machine struct {
+// nodeClient is the connections to one machine.
+type nodeClient struct {
 	name   string
 	client *httpc.Client
 	pods   *reflector.Reflector
 }
 
 // New starts a scheduler on a loop: it listens and begins to follow the inventory.
-func New(l *eventloop.Loop, o Options) (*Scheduler, error) {
-	e, err := engine.New(o.Engine)
+func New(loop *eventloop.Loop, options Options) (*Scheduler, error) {
+	core, err := engine.New(options.Engine)
 	if err != nil {
 		return nil, err
 	}
-	s := &Scheduler{o: o, l: l, e: e, began: l.Now(), machines: map[string]*machine{}, calls: map[callKey]*httpc.Call{},
-		rng: rand.New(rand.NewPCG(o.Engine.Seed, 0x736f636b))}
-	s.api = &api.Server{Store: e.Store(), Engine: e, Version: o.Version, Ready: s.readyErr, MaxList: o.MaxList}
-	s.met = newMetrics(s)
-	s.api.Metrics = s.met.text
-	if s.http, err = httpd.Listen(l, o.Listen, o.HTTP, s.serve); err != nil {
+	s := &Scheduler{options: options, loop: loop, engine: core, startedAt: loop.Now(), nodes: map[string]*nodeClient{}, calls: map[attemptKey]*httpc.Call{},
+		random: rand.New(rand.NewPCG(options.Engine.Seed, 0x736f636b))}
+	s.apiServer = &api.Server{Store: core.Store(), Engine: core, Version: options.Version, Ready: s.readinessError, DefaultListLimit: options.MaxListItems}
+	s.metrics = newMetrics(s)
+	s.apiServer.Metrics = s.metrics.exposition
+	if s.httpServer, err = httpd.Listen(loop, options.ListenAddress, options.HTTP, s.serveRequest); err != nil {
 		return nil, err
 	}
-	s.inv = &reflector.Reflector{Loop: l, Client: httpc.New(l, o.Inventory), Path: "/api/v1/nodes", Rand: s.rng,
-		Retry: retry.Backoff{Min: 0.1, Max: 2}, ListWithin: 10, Quiet: o.WatchQuiet,
-		Listed: s.nodesListed, Event: s.nodeEvent, Lost: s.inventoryLost}
-	s.inv.Start()
+	s.inventory = &reflector.Reflector{Loop: loop, Client: httpc.New(loop, options.InventoryAddress), Path: "/api/v1/nodes", Rand: s.random,
+		Retry: retry.Backoff{Min: 0.1, Max: 2}, ListTimeoutSeconds: 10, WatchIdleTimeoutSeconds: options.WatchIdleTimeoutSeconds,
+		OnList: s.handleNodeList, OnEvent: s.handleNodeEvent, OnError: s.handleInventoryError}
+	s.inventory.Start()
 	var tick func()
 	tick = func() {
-		s.api.Advance(l.Now())
-		s.http.Kick()
-		l.After(1, tick)
+		s.apiServer.SetTime(loop.Now())
+		s.httpServer.PullStreams()
+		loop.After(1, tick)
 	}
-	l.After(1, tick)
-	s.after()
+	loop.After(1, tick)
+	s.processEffects()
 	return s, nil
 }
 
 // Addr is where the API listens.
-func (s *Scheduler) Addr() string { return s.http.Addr() }
+func (s *Scheduler) Addr() string { return s.httpServer.Addr() }
 
 // Engine is the engine, to be read on the loop.
-func (s *Scheduler) Engine() *engine.Engine { return s.e }
+func (s *Scheduler) Engine() *engine.Engine { return s.engine }
 
-// readyErr says why no tasks are taken yet: a scheduler that begins must first hear what the machines hold, or it might start
+// readinessError says why no tasks are taken yet: a scheduler that begins must first hear what the machines hold, or it might start
 // what runs already.
-func (s *Scheduler) readyErr() error {
+func (s *Scheduler) readinessError() error {
 	switch {
 	case s.stopping:
 		return errors.New("the scheduler stops")
 	case s.ready:
 		return nil
-	case !s.listed:
+	case !s.inventoryListed:
 		return errors.New("the inventory has not been heard of")
 	}
-	listed, heard := s.e.NodeHeartbeat()
+	listed, heard := s.engine.NodeCounts()
 	if listed == 0 {
 		return errors.New("the inventory lists no machine that is ready")
 	}
-	if heard < listed && s.l.Now()-s.began < s.o.HeardWithin {
+	if heard < listed && s.loop.Now()-s.startedAt < s.options.NodeSyncTimeoutSeconds {
 		return fmt.Errorf("%d of %d machines have shown what they hold", heard, listed)
 	}
 	s.ready = true
 	return nil
 }
 
-func (s *Scheduler) serve(x *httpd.Exchange) {
-	resp := s.api.Serve(s.l.Now(), &x.Request)
-	s.met.request(x.Head.Method, resp.Status)
-	if s.o.Log.GetLevel() <= zerolog.DebugLevel {
-		s.o.Log.Debug().Str("peer", x.Peer).Str("method", x.Head.Method).Str("target", x.Head.Target).Int("status", resp.Status).
+func (s *Scheduler) serveRequest(exchange *httpd.Exchange) {
+	resp := s.apiServer.Serve(s.loop.Now(), &exchange.Request)
+	s.metrics.countRequest(exchange.Head.Method, resp.Status)
+	if s.options.Log.GetLevel() <= zerolog.DebugLevel {
+		s.options.Log.Debug().Str("peer", exchange.Peer).Str("method", exchange.Head.Method).Str("target", exchange.Head.Target).Int("status", resp.Status).
 			Msg("request")
 	}
-	x.Respond(resp)
-	s.after()
+	exchange.Respond(resp)
+	s.processEffects()
 }
 
-// after carries out what the engine wants, sets its next wake-up and tells watchers of changes.
-func (s *Scheduler) after() {
-	if s.busy {
+// processEffects carries out what the engine wants, sets its next wake-up and tells watchers of changes.
+func (s *Scheduler) processEffects() {
+	if s.processingEffects {
 		return
 	}
-	s.busy = true
+	s.processingEffects = true
 	for {
-		s.effects = s.e.Ready(s.effects[:0])
+		s.effects = s.engine.Ready(s.effects[:0])
 		if len(s.effects) == 0 {
 			break
 		}
 		for i := range s.effects {
-			s.carryOut(&s.effects[i])
+			s.executeEffect(&s.effects[i])
 		}
 	}
-	s.busy = false
+	s.processingEffects = false
 	s.timer.Stop()
-	if at := s.e.NextWake(); !math.IsInf(at, 1) {
-		s.timer = s.l.At(at, func() {
-			s.e.Tick(s.l.Now())
-			s.after()
+	if at := s.engine.NextWake(); !math.IsInf(at, 1) {
+		s.timer = s.loop.At(at, func() {
+			s.engine.Tick(s.loop.Now())
+			s.processEffects()
 		})
 	}
-	if s.e.Store().Rev() != s.shown && !s.kicking {
-		s.kicking = true
-		s.l.After(api.KickDelay(s.http.Streams()), func() {
-			s.kicking = false
-			s.shown = s.e.Store().Rev()
-			s.api.Advance(s.l.Now())
-			s.http.Kick()
+	if s.engine.Store().Rev() != s.publishedRevision && !s.publishScheduled {
+		s.publishScheduled = true
+		s.loop.After(api.WatchBatchDelay(s.httpServer.Streams()), func() {
+			s.publishScheduled = false
+			s.publishedRevision = s.engine.Store().Rev()
+			s.apiServer.SetTime(s.loop.Now())
+			s.httpServer.PullStreams()
 		})
 	}
 }
 
-func (s *Scheduler) carryOut(x *engine.Effect) {
-	switch x.Kind {
+func (s *Scheduler) executeEffect(effect *engine.Effect) {
+	switch effect.Kind {
 	case engine.SendAttempt:
-		s.sendOffer(x)
+		s.sendAttempt(effect)
 	case engine.AbandonAttempt:
-		if c := s.calls[callKey{x.UID, x.Attempt}]; c != nil {
+		if c := s.calls[attemptKey{effect.UID, effect.Attempt}]; c != nil {
 			c.Cancel()
 		}
 	case engine.StopTask:
-		s.stopTask(x)
+		s.stopTask(effect)
 	case engine.WatchNode:
-		s.follow(x.Node, x.Address)
+		s.watchNode(effect.Node, effect.Address)
 	case engine.UnwatchNode:
-		s.leave(x.Node)
+		s.unwatchNode(effect.Node)
 	case engine.RelistNodes:
-		s.inv.Relist()
+		s.inventory.Relist()
 	}
 }
 
-func (s *Scheduler) follow(name, address string) {
-	s.leave(name)
-	m := &machine{name: name, client: httpc.New(s.l, address)}
-	m.client.ConnectWithin = s.o.ConnectWithin
-	s.machines[name] = m
-	m.pods = &reflector.Reflector{Loop: s.l, Client: m.client, Path: "/api/v1/pods", Rand: s.rng,
-		Labels: wellknown.Scheduler + "=" + s.o.Engine.Name, Retry: retry.Backoff{Min: 0.1, Max: 1}, ListWithin: 5, Quiet: s.o.WatchQuiet}
-	m.pods.Listed = func(h *http1.Head, rev string, items []reflector.Object) {
+func (s *Scheduler) watchNode(name, address string) {
+	s.unwatchNode(name)
+	node := &nodeClient{name: name, client: httpc.New(s.loop, address)}
+	node.client.ConnectTimeoutSeconds = s.options.ConnectTimeoutSeconds
+	s.nodes[name] = node
+	node.pods = &reflector.Reflector{Loop: s.loop, Client: node.client, Path: "/api/v1/pods", Rand: s.random,
+		Labels: wellknown.Scheduler + "=" + s.options.Engine.Name, Retry: retry.Backoff{Min: 0.1, Max: 1}, ListTimeoutSeconds: 5, WatchIdleTimeoutSeconds: s.options.WatchIdleTimeoutSeconds}
+	node.pods.OnList = func(head *http1.Head, rev string, items []reflector.Object) {
 		v, _ := strconv.ParseInt(rev, 10, 64)
 		pods := make([]*corev1.Pod, 0, len(items))
 		for _, it := range items {
 			p := &corev1.Pod{}
 			if err := it.Decode(p); err != nil {
-				s.o.Log.Warn().Str("machine", name).Err(err).Msg("pod in list cannot be read")
+				s.options.Log.Warn().Str("machine", name).Err(err).Msg("pod in list cannot be read")
 				continue
 			}
 			pods = append(pods, p)
 		}
-		s.e.NodePods(s.l.Now(), name, h.Header.Get(wellknown.IncarnationHeader), v, pods)
-		s.after()
+		s.engine.NodePods(s.loop.Now(), name, head.Header.Get(wellknown.IncarnationHeader), v, pods)
+		s.processEffects()
 	}
-	m.pods.Event = func(kind string, o reflector.Object) {
+	node.pods.OnEvent = func(kind string, o reflector.Object) {
 		p := &corev1.Pod{}
 		if err := o.Decode(p); err != nil {
-			s.o.Log.Warn().Str("machine", name).Err(err).Msg("pod event cannot be read")
+			s.options.Log.Warn().Str("machine", name).Err(err).Msg("pod event cannot be read")
 			return
 		}
-		s.e.NodePod(s.l.Now(), name, p, kind == "DELETED")
-		s.after()
+		s.engine.NodePod(s.loop.Now(), name, p, kind == "DELETED")
+		s.processEffects()
 	}
-	m.pods.Lost = func(err error) {
-		s.o.Log.Debug().Str("machine", name).Err(err).Msg("machine out of reach")
-		s.e.NodeUnresponsive(s.l.Now(), name)
-		s.after()
+	node.pods.OnError = func(err error) {
+		s.options.Log.Debug().Str("machine", name).Err(err).Msg("machine out of reach")
+		s.engine.NodeUnresponsive(s.loop.Now(), name)
+		s.processEffects()
 	}
-	m.pods.Start()
+	node.pods.Start()
 }
 
-func (s *Scheduler) leave(name string) {
-	if m := s.machines[name]; m != nil {
-		delete(s.machines, name)
-		m.pods.Stop()
-		m.client.Close()
+func (s *Scheduler) unwatchNode(name string) {
+	if node := s.nodes[name]; node != nil {
+		delete(s.nodes, name)
+		node.pods.Stop()
+		node.client.Close()
 	}
 }
 
@@ -258,172 +258,172 @@
 	return p
 }
 
-func (s *Scheduler) sendOffer(x *engine.Effect) {
-	ans := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
-	m := s.machines[x.Node]
-	body, err := json.Marshal(x.Pod)
-	if m == nil || err != nil {
-		ans.Result = placer.Unreachable
-		s.l.After(0, func() { s.e.AttemptDone(s.l.Now(), ans); s.after() })
+func (s *Scheduler) sendAttempt(effect *engine.Effect) {
+	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node}
+	node := s.nodes[effect.Node]
+	body, err := json.Marshal(effect.Pod)
+	if node == nil || err != nil {
+		answer.Result = placer.Unreachable
+		s.loop.After(0, func() { s.engine.AttemptDone(s.loop.Now(), answer); s.processEffects() })
 		return
 	}
-	key := callKey{x.UID, x.Attempt}
-	call := &httpc.Call{Careful: x.Careful, Done: func(h *http1.Head, body []byte, err error) {
+	key := attemptKey{effect.UID, effect.Attempt}
+	call := &httpc.Call{AvoidUnknownOutcome: effect.AvoidUnknownOutcome, Done: func(head *http1.Head, body []byte, err error) {
 		delete(s.calls, key)
-		answer(&ans, h, body, err)
-		s.e.AttemptDone(s.l.Now(), ans)
-		s.after()
+		decodeAttemptAnswer(&answer, head, body, err)
+		s.engine.AttemptDone(s.loop.Now(), answer)
+		s.processEffects()
 	}}
 	s.calls[key] = call
-	m.client.Do("POST", podPath(x.Namespace, ""), []http1.Field{{Name: "Content-Type", Value: "application/json"},
-		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 0, call)
+	node.client.Do("POST", podPath(effect.Namespace, ""), []http1.Field{{Name: "Content-Type", Value: "application/json"},
+		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(effect.Attempt)}}, body, 0, call)
 }
 
-// answer translates a machine's answer to an offer.
-func answer(ans *engine.AttemptAnswer, h *http1.Head, body []byte, err error) {
-	var ce *httpc.ConnectError
+// decodeAttemptAnswer translates a machine's answer to an offer.
+func decodeAttemptAnswer(answer *engine.AttemptAnswer, head *http1.Head, body []byte, err error) {
+	var connectError *httpc.ConnectError
 	switch {
-	case errors.As(err, &ce):
-		ans.Result = placer.Unreachable
+	case errors.As(err, &connectError):
+		answer.Result = placer.Unreachable
 		return
 	case err != nil:
-		ans.Result = placer.Lost
+		answer.Result = placer.Lost
 		return
 	}
-	ans.Incarnation = h.Header.Get(wellknown.IncarnationHeader)
-	if d, err := wellknown.ParseDict(h.Header.Get(wellknown.LoadHeader)); err == nil && len(d) > 0 {
+	answer.Incarnation = head.Header.Get(wellknown.IncarnationHeader)
+	if d, err := wellknown.ParseDict(head.Header.Get(wellknown.LoadHeader)); err == nil && len(d) > 0 {
 		value := func(name string) float64 {
 			if v, ok := d[name]; ok {
 				return v
 			}
 			return math.NaN()
 		}
-		ans.Report = &placer.Report{FreeCores: value("free-cores"), FreeMemory: value("free-memory"), Utilization: value("busy"),
+		answer.Report = &placer.Report{FreeCores: value("free-cores"), FreeMemory: value("free-memory"), Utilization: value("busy"),
 			QueueLength: value("queue")}
 	}
-	if h.Status/100 == 2 {
+	if head.Status/100 == 2 {
 		var p corev1.Pod
-		if err := json.Unmarshal(body, &p); err != nil || p.UID != ans.UID {
-			ans.Result = placer.Errored
+		if err := json.Unmarshal(body, &p); err != nil || p.UID != answer.UID {
+			answer.Result = placer.Errored
 			return
 		}
-		if p.Status.Reason == wellknown.NeverRan {
-			ans.Result, ans.Reason = placer.Rejected, placer.WrongNode
+		if p.Status.Reason == wellknown.NeverStarted {
+			answer.Result, answer.Reason = placer.Rejected, placer.WrongNode
 			return
 		}
-		ans.Accepted, ans.Pod = true, &p
-		ans.Rev, _ = strconv.ParseInt(p.ResourceVersion, 10, 64)
+		answer.Accepted, answer.Pod = true, &p
+		answer.Revision, _ = strconv.ParseInt(p.ResourceVersion, 10, 64)
 		return
 	}
-	var st metav1.Status
-	json.Unmarshal(body, &st)
-	ans.Stated = st.Message
-	switch string(st.Reason) {
+	var status metav1.Status
+	json.Unmarshal(body, &status)
+	answer.Message = status.Message
+	switch string(status.Reason) {
 	case wellknown.OutOfCPU:
-		ans.Result, ans.Reason = placer.Rejected, placer.InsufficientCores
+		answer.Result, answer.Reason = placer.Rejected, placer.InsufficientCores
 	case wellknown.OutOfMemory:
-		ans.Result, ans.Reason = placer.Rejected, placer.InsufficientMemory
+		answer.Result, answer.Reason = placer.Rejected, placer.InsufficientMemory
 	case wellknown.QueueFull:
-		ans.Result, ans.Reason = placer.Rejected, placer.QueueFull
+		answer.Result, answer.Reason = placer.Rejected, placer.QueueFull
 	case wellknown.WrongNode:
-		ans.Result, ans.Reason = placer.Rejected, placer.WrongNode
+		answer.Result, answer.Reason = placer.Rejected, placer.WrongNode
 	default:
-		ans.Result = placer.Errored
+		answer.Result = placer.Errored
 	}
 }
 
-func (s *Scheduler) stopTask(x *engine.Effect) {
-	ans := engine.StopAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
-	m := s.machines[x.Node]
-	if m == nil {
-		s.l.After(0, func() { s.e.StopDone(s.l.Now(), ans); s.after() })
+func (s *Scheduler) stopTask(effect *engine.Effect) {
+	answer := engine.StopAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node}
+	node := s.nodes[effect.Node]
+	if node == nil {
+		s.loop.After(0, func() { s.engine.StopDone(s.loop.Now(), answer); s.processEffects() })
 		return
 	}
-	name := x.Name
+	name := effect.Name
 	if name == "" {
-		name = string(x.UID)
+		name = string(effect.UID)
 	}
-	ns := x.Namespace
-	if ns == "" {
-		ns = "default"
+	namespace := effect.Namespace
+	if namespace == "" {
+		namespace = "default"
 	}
 	body, _ := json.Marshal(&metav1.DeleteOptions{TypeMeta: metav1.TypeMeta{Kind: "DeleteOptions", APIVersion: "v1"},
-		Preconditions: &metav1.Preconditions{UID: &x.UID}})
-	m.client.Do("DELETE", podPath(ns, name), []http1.Field{{Name: "Content-Type", Value: "application/json"},
-		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(x.Attempt)}}, body, 5, &httpc.Call{
-		Done: func(h *http1.Head, body []byte, err error) {
+		Preconditions: &metav1.Preconditions{UID: &effect.UID}})
+	node.client.Do("DELETE", podPath(namespace, name), []http1.Field{{Name: "Content-Type", Value: "application/json"},
+		{Name: wellknown.AttemptHeader, Value: strconv.Itoa(effect.Attempt)}}, body, 5, &httpc.Call{
+		Done: func(head *http1.Head, body []byte, err error) {
 			if err == nil {
-				ans.Incarnation = h.Header.Get(wellknown.IncarnationHeader)
+				answer.Incarnation = head.Header.Get(wellknown.IncarnationHeader)
 			}
 			switch {
 			case err != nil:
-			case h.Status == 404:
-				ans.Known = true
-			case h.Status == 200:
+			case head.Status == 404:
+				answer.Answered = true
+			case head.Status == 200:
 				var p corev1.Pod
-				if json.Unmarshal(body, &p) == nil && p.UID == ans.UID {
-					ans.Known, ans.Had = true, true
-					ans.Ran = p.Status.Reason != wellknown.NeverRan
+				if json.Unmarshal(body, &p) == nil && p.UID == answer.UID {
+					answer.Answered, answer.HadTask = true, true
+					answer.MayHaveRun = p.Status.Reason != wellknown.NeverStarted
 				}
 			}
-			s.e.StopDone(s.l.Now(), ans)
-			s.after()
+			s.engine.StopDone(s.loop.Now(), answer)
+			s.processEffects()
 		}})
 }
 
-func (s *Scheduler) nodesListed(_ *http1.Head, _ string, items []reflector.Object) {
+func (s *Scheduler) handleNodeList(_ *http1.Head, _ string, items []reflector.Object) {
 	nodes := make([]*corev1.Node, 0, len(items))
 	for _, it := range items {
 		n := &corev1.Node{}
 		if err := it.Decode(n); err != nil {
-			s.o.Log.Warn().Err(err).Msg("machine in list cannot be read")
+			s.options.Log.Warn().Err(err).Msg("machine in list cannot be read")
 			continue
 		}
 		nodes = append(nodes, n)
 	}
-	if !s.invUp {
-		s.invUp = true
-		s.o.Log.Info().Int("machines", len(nodes)).Str("inventory", s.o.Inventory).Msg("inventory heard")
+	if !s.inventoryReachable {
+		s.inventoryReachable = true
+		s.options.Log.Info().Int("machines", len(nodes)).Str("inventory", s.options.InventoryAddress).Msg("inventory heard")
 	}
-	s.listed = true
-	s.e.NodesListed(s.l.Now(), engine.FullList, nodes, nil)
-	s.after()
+	s.inventoryListed = true
+	s.engine.NodesListed(s.loop.Now(), engine.FullList, nodes, nil)
+	s.processEffects()
 }
 
-func (s *Scheduler) nodeEvent(kind string, o reflector.Object) {
+func (s *Scheduler) handleNodeEvent(kind string, o reflector.Object) {
 	n := &corev1.Node{}
 	if err := o.Decode(n); err != nil {
-		s.o.Log.Warn().Err(err).Msg("machine event cannot be read")
+		s.options.Log.Warn().Err(err).Msg("machine event cannot be read")
 		return
 	}
 	if kind == "DELETED" {
-		s.e.NodesListed(s.l.Now(), engine.Changes, nil, []string{n.Name})
+		s.engine.NodesListed(s.loop.Now(), engine.Changes, nil, []string{n.Name})
 	} else {
-		s.e.NodesListed(s.l.Now(), engine.Changes, []*corev1.Node{n}, nil)
+		s.engine.NodesListed(s.loop.Now(), engine.Changes, []*corev1.Node{n}, nil)
 	}
-	s.after()
+	s.processEffects()
 }
 
-func (s *Scheduler) inventoryLost(err error) {
-	if s.invUp {
-		s.invUp = false
-		s.o.Log.Warn().Err(err).Msg("inventory out of reach")
+func (s *Scheduler) handleInventoryError(err error) {
+	if s.inventoryReachable {
+		s.inventoryReachable = false
+		s.options.Log.Warn().Err(err).Msg("inventory out of reach")
 	}
-	s.e.NodesListed(s.l.Now(), engine.ListLost, nil, nil)
-	s.after()
+	s.engine.NodesListed(s.loop.Now(), engine.ListUnavailable, nil, nil)
+	s.processEffects()
 }
 
 // Stop takes no new tasks, waits until every task that was taken has its final answer, at most so many seconds, ends watches
 // and connections in order, and calls done.
-func (s *Scheduler) Stop(within float64, done func()) {
+func (s *Scheduler) Stop(timeoutSeconds float64, done func()) {
 	if s.stopping {
 		return
 	}
 	s.stopping = true
-	s.e.Stop(s.l.Now())
-	s.after()
-	s.o.Log.Info().Int("open", s.e.OpenTasks()).Msg("stopping: waiting for final answers")
-	until := s.l.Now() + within
+	s.engine.Stop(s.loop.Now())
+	s.processEffects()
+	s.options.Log.Info().Int("open", s.engine.OpenTasks()).Msg("stopping: waiting for final answers")
+	until := s.loop.Now() + timeoutSeconds
 	finished := false
 	finish := func() {
 		if !finished {
@@ -433,27 +433,27 @@
 	}
 	var wait func()
 	wait = func() {
-		if s.e.OpenTasks() > 0 && s.l.Now() < until {
-			s.l.After(0.02, wait)
+		if s.engine.OpenTasks() > 0 && s.loop.Now() < until {
+			s.loop.After(0.02, wait)
 			return
 		}
-		if n := s.e.OpenTasks(); n > 0 {
-			s.o.Log.Error().Int("open", n).Msg("stopped with tasks unanswered")
+		if n := s.engine.OpenTasks(); n > 0 {
+			s.options.Log.Error().Int("open", n).Msg("stopped with tasks unanswered")
 		}
-		s.inv.Stop()
-		for name := range s.machines {
-			s.leave(name)
+		s.inventory.Stop()
+		for name := range s.nodes {
+			s.unwatchNode(name)
 		}
-		s.api.CloseWatches()
-		s.http.Kick()
-		s.http.Drain(finish)
-		s.l.After(2, func() { s.http.Close(); finish() })
+		s.apiServer.CloseWatches()
+		s.httpServer.PullStreams()
+		s.httpServer.Drain(finish)
+		s.loop.After(2, func() { s.httpServer.Close(); finish() })
 	}
 	wait()
 }
 
-// Rev is the revision of the last change, for those who look in from outside.
-func (s *Scheduler) Rev() int64 { return s.e.Store().Rev() }
+// Revision is the revision of the last change, for those who look in from outside.
+func (s *Scheduler) Revision() int64 { return s.engine.Store().Rev() }
 
-// Count is the number of objects in a table.
-func (s *Scheduler) Count(r store.Resource) int { return s.e.Store().Len(r) }
+// ObjectCount is the number of objects in a table.
+func (s *Scheduler) ObjectCount(r store.Resource) int { return s.engine.Store().Len(r) }
--- a/internal/simadapter/characterization_test.go
+++ b/internal/simadapter/characterization_test.go
@@ -59,9 +59,9 @@
 	return "(no line)"
 }
 
-// eager starts tasks on machines that show their room; lean packs them, and asks for the list.
+// pushSettings starts tasks on machines that show their room; lean packs them, and asks for the list.
 const (
-	eager = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
+	pushSettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
   "freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],"saysYes":"running",
   "startBonusS":[5,6],"togetherMax":[0,2],"youngLimit":12},
@@ -69,7 +69,7 @@
   {"effect":"deduplicated","hardLimitS":5,"keyScope":"cell","keyTtlS":3,"objectiveS":1,"worth":2}],
  "loadReport":{"fields":["x1","utilization"]},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
-	lean = `{"discovery":"ask","me":1,"myZone":1,"peersTotal":2,
+	consolidatingSettings = `{"discovery":"ask","me":1,"myZone":1,"peersTotal":2,
  "extra":{"admitMemory":1,"apartBy":["machine","none"],"classKind":[-1],"coresByKind":[8,16],"counts":"used","cpuBooking":1.2,
   "freeInList":true,"fullUpTo":[0.9],"fadesOver":[0.3],"kindMemory":[16,32],"saysYes":"accepted","togetherMax":[3],"youngLimit":6,
   "bound":true},
@@ -85,8 +85,8 @@
 	checkpointEvery = 50
 )
 
-// due is a record that is sent once its time has come.
-type due struct {
+// pendingRecord is a record that is sent once its time has come.
+type pendingRecord struct {
 	at     float64
 	record []byte
 }
@@ -97,7 +97,7 @@
 	now     float64
 	number  uint32
 	rest    []byte // of the batch being read
-	waiting []due
+	waiting []pendingRecord
 	nextID  uint64
 	digest  hash.Hash
 	replies int
@@ -135,12 +135,12 @@
 	p.now += 0.1 * p.rng.Float64()
 	var records [][]byte
 	if p.number == 1 {
-		for who, settings := range []string{eager, lean} {
+		for who, settings := range []string{pushSettings, consolidatingSettings} {
 			records = append(records, record(uint8(19), uint32(who), uint64(9+who), uint32(len(settings)), []byte(settings)))
 		}
 	}
 	if p.number%10 == 1 {
-		records = append(records, p.list(), p.listNews(0), p.listNews(1))
+		records = append(records, p.list(), p.nodesListed(0), p.nodesListed(1))
 	}
 	later := p.waiting[:0]
 	for _, d := range p.waiting {
@@ -155,7 +155,7 @@
 		records = append(records, p.task(uint32(p.rng.IntN(2))))
 	}
 	if p.number%40 == 7 {
-		records = append(records, p.strays()...)
+		records = append(records, p.unmatchedRecords()...)
 	}
 	body := bytes.Join(records, nil)
 	return append(record(p.number, uint32(12+len(body)), uint32(len(records)), p.now), body...)
@@ -182,7 +182,7 @@
 	return append(record(uint8(16), uint8(2), uint32(count)), entries...)
 }
 
-func (p *peer) listNews(who uint32) []byte {
+func (p *peer) nodesListed(who uint32) []byte {
 	kinds := []uint8{0, 1, 2, 4, 4, 4}
 	return record(uint8(26), who, kinds[p.rng.IntN(len(kinds))], p.number, uint8(2))
 }
@@ -203,8 +203,8 @@
 		uint8(p.rng.IntN(32)))
 }
 
-// strays are records for instances, tasks and timers that do not exist, and of codes that have no use.
-func (p *peer) strays() [][]byte {
+// unmatchedRecords are records for instances, tasks and timers that do not exist, and of codes that have no use.
+func (p *peer) unmatchedRecords() [][]byte {
 	address := nodeAddress(3)
 	return [][]byte{
 		record(uint8(22), uint32(77), uint64(1)),
@@ -212,13 +212,13 @@
 		record(uint8(25), uint32(1), uint64(1)<<50, uint8(9), 0.1, address),
 		record(uint8(20), uint32(0), uint16(253), address, 0.5, uint8(1), float32(2)),
 		record(uint8(28), uint32(1), uint32(0), uint16(3), []byte("abc")),
-		record(uint8(19), uint32(5), uint64(p.number), uint32(len(eager)), []byte(eager)),
+		record(uint8(19), uint32(5), uint64(p.number), uint32(len(pushSettings)), []byte(pushSettings)),
 		record(uint8(23), uint32(5)),
 	}
 }
 
 func (p *peer) later(seconds float64, r []byte) {
-	p.waiting = append(p.waiting, due{p.now + seconds, r})
+	p.waiting = append(p.waiting, pendingRecord{p.now + seconds, r})
 }
 
 // Write takes one reply.
@@ -241,7 +241,7 @@
 		p.actions[code]++
 		switch code {
 		case 86:
-			p.offered(who, binary.LittleEndian.Uint64(fields), [6]byte(fields[16:22]))
+			p.attemptStarted(who, binary.LittleEndian.Uint64(fields), [6]byte(fields[16:22]))
 			actions = fields[22:]
 		case 92:
 			after := math.Float64frombits(binary.LittleEndian.Uint64(fields[8:]))
@@ -256,7 +256,7 @@
 		case 83:
 			actions = fields[8:]
 		case 91:
-			p.later(0.1, p.listNews(who))
+			p.later(0.1, p.nodesListed(who))
 			actions = fields[1:]
 		default:
 			p.problem = fmt.Errorf("reply %d: action of code %d", p.replies, code)
@@ -265,8 +265,8 @@
 	}
 }
 
-// offered draws the outcome of an offer. The attempt is not on the wire, so outcomes are told of each number.
-func (p *peer) offered(who uint32, id uint64, node [6]byte) {
+// attemptStarted draws the outcome of an offer. The attempt is not on the wire, so outcomes are told of each number.
+func (p *peer) attemptStarted(who uint32, id uint64, node [6]byte) {
 	status := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
 	ends := func(after float64, attempt int) {
 		load := p.load(who, node)
@@ -315,7 +315,7 @@
 func TestCharacterizationOfRefusedInput(t *testing.T) {
 	var text strings.Builder
 	refused := func(r []byte) {
-		begin := record(uint8(19), uint32(0), uint64(9), uint32(len(eager)), []byte(eager))
+		begin := record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
 		body := append(begin, r...)
 		in := append(record(uint32(1), uint32(12+len(body)), uint32(2), 50.0), body...)
 		if simadapter.Run(bytes.NewReader(in), io.Discard, io.Discard) != nil {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -13,120 +13,120 @@
 )
 
 type instance struct {
-	p      *placer.Placer
-	fields []string
-	report placer.Report
+	placer       *placer.Placer
+	reportFields []string
+	report       placer.Report
 }
 
-type host struct {
+type adapter struct {
 	instances map[uint32]*instance
 	lists     [16][]placer.Node
-	w         simproto.Writer
+	writer    simproto.Writer
 	actions   []placer.Action
-	problems  io.Writer
+	warnings  io.Writer
 }
 
 // Run answers batches from in on out until the input ends. What was understood only in part is not answered.
-func Run(in io.Reader, out io.Writer, problems io.Writer) error {
-	r := simproto.NewReader(bufio.NewReaderSize(in, 1<<16))
-	h := &host{instances: map[uint32]*instance{}, problems: problems}
+func Run(in io.Reader, out io.Writer, warnings io.Writer) error {
+	reader := simproto.NewReader(bufio.NewReaderSize(in, 1<<16))
+	a := &adapter{instances: map[uint32]*instance{}, warnings: warnings}
 	var ev simproto.Event
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		h.w.Start(b.Number)
-		for i := uint32(0); i < b.Count; i++ {
-			if err := r.Read(&ev); err != nil {
-				return fmt.Errorf("batch %d, record %d: %w", b.Number, i, err)
+		a.writer.Start(batch.Number)
+		for i := uint32(0); i < batch.Count; i++ {
+			if err := reader.Read(&ev); err != nil {
+				return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 			}
-			if err := h.event(b.Now, &ev); err != nil {
-				return fmt.Errorf("batch %d, record %d: %w", b.Number, i, err)
+			if err := a.handleEvent(batch.Now, &ev); err != nil {
+				return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 			}
 		}
-		if r.Rest() != 0 {
-			return fmt.Errorf("batch %d: %d bytes follow the last record", b.Number, r.Rest())
+		if reader.Remaining() != 0 {
+			return fmt.Errorf("batch %d: %d bytes follow the last record", batch.Number, reader.Remaining())
 		}
-		if _, err := out.Write(h.w.Finish()); err != nil {
-			return fmt.Errorf("reply to batch %d: %w", b.Number, err)
+		if _, err := out.Write(a.writer.Finish()); err != nil {
+			return fmt.Errorf("reply to batch %d: %w", batch.Number, err)
 		}
 	}
 }
 
-func (h *host) event(now float64, ev *simproto.Event) error {
+func (a *adapter) handleEvent(now float64, ev *simproto.Event) error {
 	switch ev.Code {
-	case simproto.DefineList:
-		list := h.lists[ev.Sheet][:0]
-		for _, e := range ev.Entries {
-			n := placer.Node{ID: placer.NodeID(e.Node), Zone: int(e.Zone), Rack: int(e.Cell), NodeType: int(e.Kind),
-				FreeCores: float64(e.FreeCores), FreeMemory: float64(e.FreeMemory), StartedAt: e.OnlineSince}
-			switch e.Health {
+	case simproto.EventDefineList:
+		list := a.lists[ev.ListNumber][:0]
+		for _, entry := range ev.Entries {
+			node := placer.Node{ID: placer.NodeID(entry.Node), Zone: int(entry.Zone), Rack: int(entry.Rack), NodeType: int(entry.NodeType),
+				FreeCores: float64(entry.FreeCores), FreeMemory: float64(entry.FreeMemory), StartedAt: entry.StartedAt}
+			switch entry.State {
 			case 1:
-				n.State = placer.Ready
+				node.State = placer.Ready
 			case 2:
-				n.State = placer.Draining
+				node.State = placer.Draining
 			}
-			list = append(list, n)
+			list = append(list, node)
 		}
-		h.lists[ev.Sheet] = list
+		a.lists[ev.ListNumber] = list
 		return nil
-	case simproto.Begin:
+	case simproto.EventInstanceStart:
 		s, err := simconfig.Parse(ev.Settings)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", ev.Who, err)
+			return fmt.Errorf("instance %d: %w", ev.Instance, err)
 		}
 		p, err := placer.New(s.Placer, ev.Seed)
 		if err != nil {
-			return fmt.Errorf("instance %d: settings: %w", ev.Who, err)
+			return fmt.Errorf("instance %d: settings: %w", ev.Instance, err)
 		}
-		h.instances[ev.Who] = &instance{p: p, fields: s.ReportFields}
+		a.instances[ev.Instance] = &instance{placer: p, reportFields: s.ReportFields}
 		return nil
-	case simproto.Down:
-		delete(h.instances, ev.Who)
+	case simproto.EventInstanceStop:
+		delete(a.instances, ev.Instance)
 		return nil
 	}
-	in := h.instances[ev.Who]
+	in := a.instances[ev.Instance]
 	if in == nil {
-		fmt.Fprintf(h.problems, "event %d for instance %d, which has not begun: skipped\n", ev.Code, ev.Who)
+		fmt.Fprintf(a.warnings, "event %d for instance %d, which has not begun: skipped\n", ev.Code, ev.Instance)
 		return nil
 	}
-	e, ok, err := in.translate(ev, &h.lists)
+	entry, ok, err := in.translate(ev, &a.lists)
 	if err != nil || !ok {
 		return err
 	}
-	h.decide(now, ev.Who, in, e)
+	a.decide(now, ev.Instance, in, entry)
 	return nil
 }
 
 // decide hands one event to the placer; a panic there becomes the wire's word for it, for that instance.
-func (h *host) decide(now float64, who uint32, in *instance, e placer.Event) {
+func (a *adapter) decide(now float64, id uint32, in *instance, e placer.Event) {
 	defer func() {
-		if x := recover(); x != nil {
-			h.w.Bug(who, fmt.Sprintf("panic: %v", x))
+		if cause := recover(); cause != nil {
+			a.writer.ReportPanic(id, fmt.Sprintf("panic: %v", cause))
 		}
 	}()
-	h.actions = in.p.Handle(now, e, h.actions[:0])
-	for i := range h.actions {
-		a := &h.actions[i]
-		switch a.Kind {
+	a.actions = in.placer.Handle(now, e, a.actions[:0])
+	for i := range a.actions {
+		action := &a.actions[i]
+		switch action.Kind {
 		case placer.StartAttempt:
-			h.w.Assign(who, uint64(a.Task), a.Until, simproto.Node(a.Node))
+			a.writer.StartAttempt(id, uint64(action.Task), action.Until, simproto.NodeAddress(action.Node))
 		case placer.Reject:
-			h.w.TurnAway(who, uint64(a.Task), a.After)
+			a.writer.Reject(id, uint64(action.Task), action.After)
 		case placer.Fail:
-			h.w.Fail(who, uint64(a.Task))
+			a.writer.Fail(id, uint64(action.Task))
 		case placer.SetTimer:
-			h.w.Timer(who, a.Token, a.After)
+			a.writer.SetTimer(id, action.Token, action.After)
 		case placer.WatchNodes:
-			h.w.Watch(who)
+			a.writer.WatchNodes(id)
 		case placer.Migrate:
-			h.w.Vacate(who, uint64(a.Task))
+			a.writer.Migrate(id, uint64(action.Task))
 		case placer.ListNodes:
-			h.w.Lookup(who)
+			a.writer.ListNodes(id)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 func (in *instance) translate(ev *simproto.Event, lists *[16][]placer.Node) (e placer.Event, ok bool, err error) {
 	e.TaskID, e.Node, e.Attempt = placer.TaskID(ev.ID), placer.NodeID(ev.Node), int(ev.Attempt)
 	switch ev.Code {
-	case simproto.Discovery:
+	case simproto.EventNodesListed:
 		e.Kind = placer.NodesListed
 		switch ev.ListKind {
 		case 0:
@@ -149,31 +149,31 @@
 		default:
 			return e, false, fmt.Errorf("list kind %d is not known", ev.ListKind)
 		}
-		if int(ev.Sheet) >= len(lists) {
-			return e, false, fmt.Errorf("list number %d is over 15", ev.Sheet)
+		if int(ev.ListNumber) >= len(lists) {
+			return e, false, fmt.Errorf("list number %d is over 15", ev.ListNumber)
 		}
-		e.Nodes = lists[ev.Sheet]
-	case simproto.ToPlace, simproto.InPlace:
+		e.Nodes = lists[ev.ListNumber]
+	case simproto.EventTaskArrived, simproto.EventTaskAdopted:
 		e.Kind = placer.Arrived
-		if ev.Code == simproto.InPlace {
+		if ev.Code == simproto.EventTaskAdopted {
 			e.Kind = placer.Adopted
 		}
 		e.Task = placer.Task{ID: placer.TaskID(ev.ID), Class: int(ev.Class), Tenant: int(ev.Tenant),
 			Service: placer.ServiceID(ev.Service), Cores: float64(ev.Cores), Memory: float64(ev.Memory),
 			Deadline: ev.Deadline, IsRetry: ev.Flags&(2|16) != 0}
-	case simproto.Seated:
+	case simproto.EventAttemptBound:
 		e.Kind, e.Elapsed = placer.Bound, ev.Elapsed
-	case simproto.UpdateOf:
-		e.Kind, e.Usage, e.Value = placer.UsageReported, placer.UsageKind(ev.Sort), float64(ev.Value)
-	case simproto.ReportBack:
-		e.Kind, e.Elapsed, e.Final, e.Reason = placer.Ended, ev.Elapsed, ev.Finished != 0, placer.Reason(ev.Remark)
-		if e.Result, err = result(ev.Status); err != nil {
+	case simproto.EventUsageReported:
+		e.Kind, e.Usage, e.Value = placer.UsageReported, placer.UsageKind(ev.UsageKind), float64(ev.Value)
+	case simproto.EventAttemptEnded:
+		e.Kind, e.Elapsed, e.Final, e.Reason = placer.Ended, ev.Elapsed, ev.Final != 0, placer.Reason(ev.Reason)
+		if e.Result, err = parseResult(ev.Status); err != nil {
 			return e, false, err
 		}
-		e.Report = in.load(ev.Load)
-	case simproto.Hangup:
+		e.Report = in.parseReport(ev.Load)
+	case simproto.EventTaskWithdrawn:
 		e.Kind = placer.Withdrawn
-	case simproto.TickDue:
+	case simproto.EventTimerFired:
 		e.Kind, e.Token = placer.TimerFired, ev.Token
 	default: // probes and peers are not used
 		return e, false, nil
@@ -181,7 +181,7 @@
 	return e, true, nil
 }
 
-func result(status uint16) (placer.Result, error) {
+func parseResult(status uint16) (placer.Result, error) {
 	switch status {
 	case 0:
 		return placer.Finished, nil
@@ -203,15 +203,15 @@
 	return 0, fmt.Errorf("outcome %d is not known", status)
 }
 
-// load names the values of a load report; nil if none came.
-func (in *instance) load(values []float32) *placer.Report {
+// parseReport names the values of a load report; nil if none came.
+func (in *instance) parseReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
 	}
 	in.report = simconfig.NoReport()
 	for i, v := range values {
-		if i < len(in.fields) {
-			simconfig.SetReportField(&in.report, in.fields[i], float64(v))
+		if i < len(in.reportFields) {
+			simconfig.SetReportField(&in.report, in.reportFields[i], float64(v))
 		}
 	}
 	return &in.report
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-const text = `{"discovery":"push","me":1,"myZone":0,"peersTotal":2,"unheardOf":{"a":[1]},
+const testSettings = `{"discovery":"push","me":1,"myZone":0,"peersTotal":2,"unheardOf":{"a":[1]},
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used",
   "cpuBooking":2,"freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],
   "saysYes":"running","startBonusS":[5,6],"togetherMax":[0,2],"youngLimit":12},
@@ -19,10 +19,10 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// names is the same with the names of classes, tenants, zones and kinds, as a scheduler in service gets them.
-var names = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
+// testSettingsWithNames is the same with the names of classes, tenants, zones and kinds, as a scheduler in service gets them.
+var testSettingsWithNames = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
-	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(text)
+	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
 
 type batch struct {
 	buf   bytes.Buffer
@@ -68,8 +68,8 @@
 	return out.String(), problems.String(), err
 }
 
-func TestATaskIsOfferedOnTheWire(t *testing.T) {
-	out, _, err := run(arrives(begin(4, text), 4, 77).bytes(1, 10))
+func TestTaskArrivalStartsAnAttempt(t *testing.T) {
+	out, _, err := run(arrives(begin(4, testSettings), 4, 77).bytes(1, 10))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,12 +84,12 @@
 	}
 }
 
-func TestStrangersHarmNobody(t *testing.T) {
-	plain, _, err := run(arrives(begin(4, text), 4, 77).bytes(1, 10))
+func TestUnmatchedEventsAreIgnored(t *testing.T) {
+	plain, _, err := run(arrives(begin(4, testSettings), 4, 77).bytes(1, 10))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := begin(4, text)
+	b := begin(4, testSettings)
 	arrives(b, 8, 5)                                            // not begun
 	b.add(uint8(22), uint32(4), uint64(12345))                  // an id never given
 	b.add(uint8(21), uint32(4), uint64(99999))                  // a timer never set
@@ -100,18 +100,18 @@
 	}
 }
 
-func TestBadInputEndsWithoutAReply(t *testing.T) {
+func TestInvalidInputEndsWithoutReply(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
 		"no json":    {begin(4, "{").bytes(1, 10), "settings"},
-		"effect":     {begin(4, strings.Replace(text, "idempotent", "maybe", 1)).bytes(1, 10), "lanes[0].effect"},
-		"place":      {begin(4, strings.Replace(text, `"none","cell"`, `"moon"`, 1)).bytes(1, 10), "apartBy[0]"},
-		"kinds":      {begin(4, strings.Replace(text, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(1, 10), "kindMemory"},
-		"attempts":   {begin(4, strings.Replace(text, `"mostTries":3`, `"mostTries":0`, 1)).bytes(1, 10), "attempts 0"},
-		"list kind":  {begin(4, text).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(1, 10), "list kind 9"},
-		"bytes left": {func() []byte { b := begin(4, text); b.count--; return b.bytes(1, 10) }(), "follow the last"},
+		"effect":     {begin(4, strings.Replace(testSettings, "idempotent", "maybe", 1)).bytes(1, 10), "lanes[0].effect"},
+		"place":      {begin(4, strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)).bytes(1, 10), "apartBy[0]"},
+		"kinds":      {begin(4, strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(1, 10), "kindMemory"},
+		"attempts":   {begin(4, strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)).bytes(1, 10), "attempts 0"},
+		"list kind":  {begin(4, testSettings).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(1, 10), "list kind 9"},
+		"bytes left": {func() []byte { b := begin(4, testSettings); b.count--; return b.bytes(1, 10) }(), "follow the last"},
 	} {
 		out, _, err := run(c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || out != "" {
@@ -124,7 +124,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := simconfig.Parse([]byte(text))
+	s, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,17 +135,17 @@
 		c.Classes[0].SpreadDomain != placer.NoDomain || c.NodeTypes[1].Memory != 32 {
 		t.Fatalf("%+v", c)
 	}
-	in := instance{fields: fields}
-	if r := in.load([]float32{3, 0.5}); r.FreeMemory != 3 || r.Utilization != 0.5 || r.FreeCores == r.FreeCores {
+	in := instance{reportFields: fields}
+	if r := in.parseReport([]float32{3, 0.5}); r.FreeMemory != 3 || r.Utilization != 0.5 || r.FreeCores == r.FreeCores {
 		t.Fatalf("%+v", r)
 	}
 }
 
-func TestAPanicBecomesTheWiresWordForIt(t *testing.T) {
-	h := &host{instances: map[uint32]*instance{}}
-	h.w.Start(1)
+func TestPanicIsReportedForTheInstance(t *testing.T) {
+	h := &adapter{instances: map[uint32]*instance{}}
+	h.writer.Start(1)
 	h.decide(10, 4, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
-	out := string(h.w.Finish())
+	out := string(h.writer.Finish())
 	if out[12] != 90 || !strings.Contains(out, "panic") {
 		t.Fatalf("%x", out)
 	}
--- a/internal/simconfig/characterization_test.go
+++ b/internal/simconfig/characterization_test.go
@@ -117,7 +117,7 @@
 	}
 	fmt.Fprintf(&b, "7: %q %q %q %q %q\n", s.Classes, s.Tenants, s.Zones, s.NodeTypes, s.ReportFields)
 	b.WriteString("8:")
-	floats(s.ConnIdle, s.Round)
+	floats(s.IdleTimeout, s.BatchInterval)
 	return b.String()
 }
 
@@ -133,8 +133,8 @@
 	compareGolden(t, "settings.golden", text.String())
 }
 
-// TestCharacterizationOfRefusals pins which settings are refused, and the word for it: these name JSON keys.
-func TestCharacterizationOfRefusals(t *testing.T) {
+// TestCharacterizationOfInvalidSettings pins which settings are refused, and the word for it: these name JSON keys.
+func TestCharacterizationOfInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"idempotent"`, `"idempotent"`, ""},
 		{`"idempotent"`, `"maybe"`, `settings: lanes[0].effect: "maybe" is not known`},
@@ -154,19 +154,19 @@
 	}
 }
 
-// TestCharacterizationOfTell pins which field of a report each wire word sets; the rest stays not told.
-func TestCharacterizationOfTell(t *testing.T) {
+// TestCharacterizationOfSetReportField pins which field of a report each wire word sets; the rest stays not told.
+func TestCharacterizationOfSetReportField(t *testing.T) {
 	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
 		r := simconfig.NoReport()
 		simconfig.SetReportField(&r, word, 2.5)
-		if got := told(r); got != want {
+		if got := describeReport(r); got != want {
 			t.Errorf("%s sets %s, want %s", word, got, want)
 		}
 	}
 }
 
-// told has one digit for each value of a report: 0 if it was not told, 1 if it is 2.5.
-func told(r placer.Report) string {
+// describeReport has one digit for each value of a report: 0 if it was not told, 1 if it is 2.5.
+func describeReport(r placer.Report) string {
 	var b strings.Builder
 	for _, v := range []float64{r.FreeCores, r.FreeMemory, r.Utilization, r.QueueLength} {
 		switch {
