--- a/internal/simconfig/simconfig.go
+++ b/internal/simconfig/simconfig.go
@@ -17,10 +17,10 @@
 	Classes, Tenants, Zones, NodeTypes []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
-	// ConnIdle is after how many seconds a machine closes an idle connection; 0 if not told.
-	ConnIdle float64
-	// Round is how often events are handed over at most, in seconds.
-	Round float64
+	// IdleTimeout is after how many seconds a machine closes an idle connection; 0 if not told.
+	IdleTimeout float64
+	// BatchInterval is how often events are handed over at most, in seconds.
+	BatchInterval float64
 }
 
 // settings are the keys of the first message that have a use here; unknown keys are skipped.
@@ -95,75 +95,75 @@
 	} `json:"rules"`
 }
 
-// at returns the i-th value; as the wire has it for class lists, the last serves for the rest.
-func at[T any](of []T, i int, absent T) T {
-	if len(of) == 0 {
-		return absent
+// valueOrLast returns the i-th value; as the wire has it for class lists, the last serves for the rest.
+func valueOrLast[T any](values []T, i int, fallback T) T {
+	if len(values) == 0 {
+		return fallback
 	}
-	return of[min(i, len(of)-1)]
+	return values[min(i, len(values)-1)]
 }
 
 // Parse reads the JSON text of the settings. An error names the key that cannot be used.
 func Parse(text []byte) (*Settings, error) {
-	var s settings
-	if err := json.Unmarshal(text, &s); err != nil {
+	var parsed settings
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	x, r, p := &s.Extra, &s.Rules, &s.Permissions
-	c := placer.Config{
-		Self: s.Me, Peers: s.PeersTotal, Zone: s.MyZone,
-		OvercommitCores: x.CPUBooking, OvercommitMemory: x.AdmitMemory, AcknowledgesOnStart: x.SaysYes == "running",
-		ListShowsCapacity: x.FreeInList, ReportsUsage: x.Counts == "used", Preempts: x.PushesOut, StickyServices: x.Bound,
-		MaxAttempts: p.MostTries, AllowsHedging: p.MayDuplicate, ConnectTimeout: p.ConnectTimeoutS,
-		AnswerGrace: r.AnswerSlackS, DrainGrace: r.DrainGraceS, WarmupMinPace: r.ColdFrom, WarmupDuration: r.WarmWithinS,
-		OverloadMultiple: r.OverloadFactor, OverloadWindow: r.FallS, WarmupAttempts: x.YoungLimit,
-		MustPollNodes: s.Discovery == "ask", MaxPollInterval: r.AskWithinS, SendsRetryAfter: p.RetryAfter,
-		MaxRetryAfter: p.MaxRetryAfterS, UnknownOutcomeWait: x.CheckAfterS, OverQuotaWeight: s.OverShareWorth, NodeCost: s.Tariffs.Fleet, CrossZoneCost: s.Tariffs.Cross, MigrationCost: s.Tariffs.Moves,
+	extra, rules, permissions := &parsed.Extra, &parsed.Rules, &parsed.Permissions
+	config := placer.Config{
+		Self: parsed.Me, Peers: parsed.PeersTotal, Zone: parsed.MyZone,
+		OvercommitCores: extra.CPUBooking, OvercommitMemory: extra.AdmitMemory, AcknowledgesOnStart: extra.SaysYes == "running",
+		ListShowsCapacity: extra.FreeInList, ReportsUsage: extra.Counts == "used", Preempts: extra.PushesOut, StickyServices: extra.Bound,
+		MaxAttempts: permissions.MostTries, AllowsHedging: permissions.MayDuplicate, ConnectTimeout: permissions.ConnectTimeoutS,
+		AnswerGrace: rules.AnswerSlackS, DrainGrace: rules.DrainGraceS, WarmupMinPace: rules.ColdFrom, WarmupDuration: rules.WarmWithinS,
+		OverloadMultiple: rules.OverloadFactor, OverloadWindow: rules.FallS, WarmupAttempts: extra.YoungLimit,
+		MustPollNodes: parsed.Discovery == "ask", MaxPollInterval: rules.AskWithinS, SendsRetryAfter: permissions.RetryAfter,
+		MaxRetryAfter: permissions.MaxRetryAfterS, UnknownOutcomeWait: extra.CheckAfterS, OverQuotaWeight: parsed.OverShareWorth, NodeCost: parsed.Tariffs.Fleet, CrossZoneCost: parsed.Tariffs.Cross, MigrationCost: parsed.Tariffs.Moves,
 	}
-	for i, l := range s.Lanes {
-		k := placer.Class{
-			DedupWindow: l.KeyTTLS, LatencyObjective: l.ObjectiveS, Deadline: l.HardLimitS, Weight: l.Worth, LateWeight: l.LateValue,
-			StartBonus: at(x.StartBonusS, i, 0), Priority: at(x.Precedence, i, 0), NodeType: at(x.ClassKind, i, -1),
-			MaxPerDomain: at(x.TogetherMax, i, 0), SaturationThreshold: at(x.FullUpTo, i, 0), DegradationRange: at(x.FadesOver, i, 0),
+	for i, lane := range parsed.Lanes {
+		class := placer.Class{
+			DedupWindow: lane.KeyTTLS, LatencyObjective: lane.ObjectiveS, Deadline: lane.HardLimitS, Weight: lane.Worth, LateWeight: lane.LateValue,
+			StartBonus: valueOrLast(extra.StartBonusS, i, 0), Priority: valueOrLast(extra.Precedence, i, 0), NodeType: valueOrLast(extra.ClassKind, i, -1),
+			MaxPerDomain: valueOrLast(extra.TogetherMax, i, 0), SaturationThreshold: valueOrLast(extra.FullUpTo, i, 0), DegradationRange: valueOrLast(extra.FadesOver, i, 0),
 		}
-		switch l.Effect {
+		switch lane.Effect {
 		case "idempotent":
-			k.Idempotency = placer.Idempotent
+			class.Idempotency = placer.Idempotent
 		case "deduplicated":
-			k.Idempotency = placer.IdempotentByKey
+			class.Idempotency = placer.IdempotentByKey
 		case "at_most_once":
-			k.Idempotency = placer.NonIdempotent
+			class.Idempotency = placer.NonIdempotent
 		default:
-			return nil, fmt.Errorf("settings: lanes[%d].effect: %q is not known", i, l.Effect)
+			return nil, fmt.Errorf("settings: lanes[%d].effect: %q is not known", i, lane.Effect)
 		}
 		var err error
-		if k.DedupDomain, err = place(l.KeyScope); err != nil && k.Idempotency == placer.IdempotentByKey {
+		if class.DedupDomain, err = parseDomain(lane.KeyScope); err != nil && class.Idempotency == placer.IdempotentByKey {
 			return nil, fmt.Errorf("settings: lanes[%d].keyScope: %w", i, err)
 		}
-		if k.SpreadDomain, err = place(at(x.ApartBy, i, "none")); err != nil {
+		if class.SpreadDomain, err = parseDomain(valueOrLast(extra.ApartBy, i, "none")); err != nil {
 			return nil, fmt.Errorf("settings: extra.apartBy[%d]: %w", i, err)
 		}
-		c.Classes = append(c.Classes, k)
+		config.Classes = append(config.Classes, class)
 	}
-	if len(x.KindMemory) != len(x.CoresByKind) {
+	if len(extra.KindMemory) != len(extra.CoresByKind) {
 		return nil, fmt.Errorf("settings: extra.kindMemory: %d kinds, extra.coresByKind has %d",
-			len(x.KindMemory), len(x.CoresByKind))
+			len(extra.KindMemory), len(extra.CoresByKind))
 	}
-	for i := range x.CoresByKind {
-		c.NodeTypes = append(c.NodeTypes, placer.NodeType{Cores: x.CoresByKind[i], Memory: x.KindMemory[i]})
+	for i := range extra.CoresByKind {
+		config.NodeTypes = append(config.NodeTypes, placer.NodeType{Cores: extra.CoresByKind[i], Memory: extra.KindMemory[i]})
 	}
-	for i, o := range s.Orgs {
-		c.Tenants = append(c.Tenants, placer.Tenant{Share: o.Share, Cores: at(x.QuotaCores, i, 0)})
+	for i, tenant := range parsed.Orgs {
+		config.Tenants = append(config.Tenants, placer.Tenant{Share: tenant.Share, Cores: valueOrLast(extra.QuotaCores, i, 0)})
 	}
-	out := &Settings{Placer: c, Zones: s.Zones, NodeTypes: s.Flavors, ReportFields: s.LoadReport.Fields,
-		ConnIdle: p.ConnIdleS, Round: s.RoundS}
-	for _, l := range s.Lanes {
-		out.Classes = append(out.Classes, l.Name)
+	settings := &Settings{Placer: config, Zones: parsed.Zones, NodeTypes: parsed.Flavors, ReportFields: parsed.LoadReport.Fields,
+		IdleTimeout: permissions.ConnIdleS, BatchInterval: parsed.RoundS}
+	for _, lane := range parsed.Lanes {
+		settings.Classes = append(settings.Classes, lane.Name)
 	}
-	for _, o := range s.Orgs {
-		out.Tenants = append(out.Tenants, o.Name)
+	for _, tenant := range parsed.Orgs {
+		settings.Tenants = append(settings.Tenants, tenant.Name)
 	}
-	return out, nil
+	return settings, nil
 }
 
 // NoReport is a load report of which nothing was told.
@@ -186,7 +186,7 @@
 	}
 }
 
-func place(name string) (placer.TopologyDomain, error) {
+func parseDomain(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
 		return placer.NoDomain, nil
--- a/internal/simproto/characterization_test.go
+++ b/internal/simproto/characterization_test.go
@@ -106,19 +106,19 @@
 // describe writes all fields of an event as numbers in a fixed order; floats as bits, bytes in hex.
 func describe(ev *simproto.Event) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %d %d %d %d %d %d %d", ev.Code, ev.Who, ev.ID, ev.Key, ev.Service, uint64(ev.Node), ev.Class, ev.Tenant)
-	fmt.Fprintf(&b, " %x %x %x %x", math.Float64bits(ev.Deadline), math.Float64bits(ev.Life), math.Float32bits(ev.Cores),
+	fmt.Fprintf(&b, "%d %d %d %d %d %d %d %d", ev.Code, ev.Instance, ev.ID, ev.IdempotencyKey, ev.Service, uint64(ev.Node), ev.Class, ev.Tenant)
+	fmt.Fprintf(&b, " %x %x %x %x", math.Float64bits(ev.Deadline), math.Float64bits(ev.Lifetime), math.Float32bits(ev.Cores),
 		math.Float32bits(ev.Memory))
-	fmt.Fprintf(&b, " %d %d %x %d %d %d", ev.Flags, ev.Attempt, math.Float64bits(ev.Elapsed), ev.Remark, ev.Finished, ev.Status)
+	fmt.Fprintf(&b, " %d %d %x %d %d %d", ev.Flags, ev.Attempt, math.Float64bits(ev.Elapsed), ev.Reason, ev.Final, ev.Status)
 	fmt.Fprintf(&b, " load%d", len(ev.Load))
 	for _, v := range ev.Load {
 		fmt.Fprintf(&b, " %x", math.Float32bits(v))
 	}
-	fmt.Fprintf(&b, " %d %x %d %d %d %d", ev.Sort, math.Float32bits(ev.Value), ev.Token, ev.ListKind, ev.Sheet, ev.Stamp)
+	fmt.Fprintf(&b, " %d %x %d %d %d %d", ev.UsageKind, math.Float32bits(ev.Value), ev.Token, ev.ListKind, ev.ListNumber, ev.ListVersion)
 	fmt.Fprintf(&b, " %d [%x] %d [%x] list%d", ev.Seed, ev.Settings, ev.From, ev.Body, len(ev.Entries))
 	for _, e := range ev.Entries {
-		fmt.Fprintf(&b, " (%d %d %d %x %d %x %d %x %x)", uint64(e.Node), e.Zone, e.Kind, math.Float32bits(e.FreeCores), e.Cell,
-			math.Float32bits(e.FreeMemory), e.Health, math.Float32bits(e.Units), math.Float64bits(e.OnlineSince))
+		fmt.Fprintf(&b, " (%d %d %d %x %d %x %d %x %x)", uint64(e.Node), e.Zone, e.NodeType, math.Float32bits(e.FreeCores), e.Rack,
+			math.Float32bits(e.FreeMemory), e.State, math.Float32bits(e.Units), math.Float64bits(e.StartedAt))
 	}
 	return b.String()
 }
@@ -132,20 +132,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(batch.Now), r.Rest())
+		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(batch.Now), r.Remaining())
 		for range batch.Count {
 			var ev simproto.Event
 			if err := r.Read(&ev); err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Rest())
+			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Remaining())
 		}
 	}
 	compareGolden(t, "events.golden", text.String())
 }
 
-// readable says how many records of an input are read before an error; -1 if the batch itself is refused.
-func readable(in []byte) (count int, failed bool) {
+// countReadable says how many records of an input are read before an error; -1 if the batch itself is refused.
+func countReadable(in []byte) (count int, failed bool) {
 	r := simproto.NewReader(bytes.NewReader(in))
 	batch, err := r.Next()
 	if err != nil {
@@ -161,31 +161,31 @@
 	return count, false
 }
 
-// TestCharacterizationOfRefusals cuts each record at every length, and tries every event code alone.
-func TestCharacterizationOfRefusals(t *testing.T) {
+// TestCharacterizationOfInvalidInput cuts each record at every length, and tries every event code alone.
+func TestCharacterizationOfInvalidInput(t *testing.T) {
 	var text strings.Builder
 	digit := map[bool]byte{false: '0', true: '1'}
 	for _, one := range records() {
 		fmt.Fprintf(&text, "%d ", one[0])
 		for length := range len(one) + 1 {
-			count, failed := readable(frameOf(1, 1, one[:length]))
+			count, failed := countReadable(frameOf(1, 1, one[:length]))
 			fmt.Fprintf(&text, "%d%c", count+1, digit[failed])
 		}
 		text.WriteByte('\n')
 	}
 	for code := range 256 {
-		_, failed := readable(frameOf(1, 1, append([]byte{byte(code)}, make([]byte, 80)...)))
+		_, failed := countReadable(frameOf(1, 1, append([]byte{byte(code)}, make([]byte, 80)...)))
 		text.WriteByte(digit[failed])
 	}
 	text.WriteByte('\n')
-	for sheet := range 256 {
-		_, failed := readable(frameOf(1, 1, record(uint8(16), uint8(sheet), uint32(0))))
+	for listNumber := range 256 {
+		_, failed := countReadable(frameOf(1, 1, record(uint8(16), uint8(listNumber), uint32(0))))
 		text.WriteByte(digit[failed])
 	}
 	text.WriteByte('\n')
 	whole := frameOf(1, 1, records()...)
 	for length := range len(whole) + 1 {
-		count, _ := readable(whole[:length])
+		count, _ := countReadable(whole[:length])
 		fmt.Fprintf(&text, "%d,", count)
 	}
 	text.WriteByte('\n')
@@ -193,7 +193,7 @@
 }
 
 func TestCharacterizationOfActions(t *testing.T) {
-	node := simproto.Node(binary.LittleEndian.Uint32(address[:])) | simproto.Node(binary.LittleEndian.Uint16(address[4:]))<<32
+	node := simproto.NodeAddress(binary.LittleEndian.Uint32(address[:])) | simproto.NodeAddress(binary.LittleEndian.Uint16(address[4:]))<<32
 	long := strings.Repeat("x", 70000)
 	var text strings.Builder
 	var w simproto.Writer
@@ -206,19 +206,19 @@
 		fmt.Fprintf(&text, "%d %x\n", len(reply), reply[:min(len(reply), 300)])
 	}
 	all := []func(){
-		func() { w.Assign(5, 1001, 12.5, node) },
-		func() { w.Assign(math.MaxUint32, math.MaxUint64, math.Inf(1), simproto.Node(1<<48-1)) },
-		func() { w.TurnAway(5, 1001, 0.1) },
+		func() { w.StartAttempt(5, 1001, 12.5, node) },
+		func() { w.StartAttempt(math.MaxUint32, math.MaxUint64, math.Inf(1), simproto.NodeAddress(1<<48-1)) },
+		func() { w.Reject(5, 1001, 0.1) },
 		func() { w.Fail(5, 1001) },
-		func() { w.Timer(5, 33, 0.5) },
-		func() { w.Watch(5) },
-		func() { w.Lookup(5) },
-		func() { w.Vacate(5, 1001) },
+		func() { w.SetTimer(5, 33, 0.5) },
+		func() { w.WatchNodes(5) },
+		func() { w.ListNodes(5) },
+		func() { w.Migrate(5, 1001) },
 		func() { w.Abort(5, 1001, 2) },
-		func() { w.Record(5, "ab") },
-		func() { w.Bug(5, "cd") },
-		func() { w.Bug(5, "") },
-		func() { w.Record(5, long) },
+		func() { w.Log(5, "ab") },
+		func() { w.ReportPanic(5, "cd") },
+		func() { w.ReportPanic(5, "") },
+		func() { w.Log(5, long) },
 	}
 	write(0)
 	for i, action := range all {
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -12,81 +12,81 @@
 
 // The codes of events.
 const (
-	DefineList    = 16
-	ReportBack    = 17
-	ToPlace       = 18
-	Begin         = 19
-	CheckResult   = 20
-	TickDue       = 21
-	Hangup        = 22
-	Down          = 23
-	InPlace       = 24
-	Seated        = 25
-	Discovery     = 26
-	UpdateOf      = 27
-	NeighbourSays = 28
+	EventDefineList        = 16
+	EventAttemptEnded      = 17
+	EventTaskArrived       = 18
+	EventInstanceStart     = 19
+	EventHealthCheckResult = 20
+	EventTimerFired        = 21
+	EventTaskWithdrawn     = 22
+	EventInstanceStop      = 23
+	EventTaskAdopted       = 24
+	EventAttemptBound      = 25
+	EventNodesListed       = 26
+	EventUsageReported     = 27
+	EventPeerMessage       = 28
 )
 
 // The codes of actions.
 const (
-	AbortAttempt = 80
-	Record       = 82
-	FailTask     = 83
-	TurnAway     = 85
-	Assign       = 86
-	Vacate       = 87
-	Lookup       = 89
-	Bug          = 90
-	WatchList    = 91
-	Timer        = 92
+	ActionAbortAttempt = 80
+	ActionLog          = 82
+	ActionFail         = 83
+	ActionReject       = 85
+	ActionStartAttempt = 86
+	ActionMigrate      = 87
+	ActionListNodes    = 89
+	ActionReportPanic  = 90
+	ActionWatchNodes   = 91
+	ActionSetTimer     = 92
 )
 
 const (
-	headerBytes = 20
-	entryBytes  = 31
-	chunk       = 1 << 20 // a frame is read in such pieces, so that a false length allocates little
+	headerBytes    = 20
+	entryBytes     = 31
+	readChunkBytes = 1 << 20 // a frame is read in such pieces, so that a false length allocates little
 )
 
-// Node is a node's address, packed; it goes back to the wire as it came.
-type Node uint64
-
-// Entry is one line of a list.
-type Entry struct {
-	Node        Node
-	Zone, Kind  uint8
-	FreeCores   float32
-	Cell        uint16
-	FreeMemory  float32
-	Health      uint8
-	Units       float32
-	OnlineSince float64
+// NodeAddress is a node's address, packed; it goes back to the wire as it came.
+type NodeAddress uint64
+
+// NodeEntry is one line of a list.
+type NodeEntry struct {
+	Node           NodeAddress
+	Zone, NodeType uint8
+	FreeCores      float32
+	Rack           uint16
+	FreeMemory     float32
+	State          uint8
+	Units          float32
+	StartedAt      float64
 }
 
 // Event is one record of a batch. Which fields hold depends on Code; slices are valid until the next Read.
 type Event struct {
-	Code             uint8
-	Who              uint32
-	ID, Key, Service uint64
-	Node             Node
-	Class, Tenant    uint16
-	Deadline, Life   float64
-	Cores, Memory    float32
-	Flags            uint8
-	Attempt          uint8
-	Elapsed          float64
-	Remark, Finished uint8
-	Status           uint16
-	Load             []float32
-	Sort             uint8
-	Value            float32
-	Token            uint64
-	ListKind, Sheet  uint8
-	Stamp            uint32
-	Seed             uint64
-	Settings         []byte
-	Entries          []Entry
-	From             uint32
-	Body             []byte
+	Code                        uint8
+	Instance                    uint32
+	ID, IdempotencyKey, Service uint64
+	Node                        NodeAddress
+	Class, Tenant               uint16
+	Deadline, Lifetime          float64
+	Cores, Memory               float32
+	Flags                       uint8
+	Attempt                     uint8
+	Elapsed                     float64
+	Reason, Final               uint8
+	Status                      uint16
+	Load                        []float32
+	UsageKind                   uint8
+	Value                       float32
+	Token                       uint64
+	ListKind, ListNumber        uint8
+	ListVersion                 uint32
+	Seed                        uint64
+	Settings                    []byte
+	Entries                     []NodeEntry
+	From                        uint32
+	Body                        []byte
 }
 
 // Batch is one frame of events.
@@ -98,189 +98,189 @@
 
 // Reader reads batches.
 type Reader struct {
-	r       io.Reader
+	input   io.Reader
 	buf     []byte
-	head    [headerBytes]byte
-	pos     int
+	header  [headerBytes]byte
+	offset  int
 	code    uint8
 	err     error
 	load    []float32
-	entries []Entry
+	entries []NodeEntry
 }
 
 // NewReader reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
+func NewReader(r io.Reader) *Reader { return &Reader{input: r} }
 
 // Next reads the header and body of the next batch. At the end of input between batches it returns io.EOF.
-func (d *Reader) Next() (Batch, error) {
-	if _, err := io.ReadFull(d.r, d.head[:]); err != nil {
+func (r *Reader) Next() (Batch, error) {
+	if _, err := io.ReadFull(r.input, r.header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
 		return Batch{}, fmt.Errorf("wire: batch header: %w", err)
 	}
-	h := d.head[:]
-	b := Batch{binary.LittleEndian.Uint32(h), binary.LittleEndian.Uint32(h[8:]),
-		math.Float64frombits(binary.LittleEndian.Uint64(h[12:]))}
-	length := binary.LittleEndian.Uint32(h[4:])
+	header := r.header[:]
+	batch := Batch{binary.LittleEndian.Uint32(header), binary.LittleEndian.Uint32(header[8:]),
+		math.Float64frombits(binary.LittleEndian.Uint64(header[12:]))}
+	length := binary.LittleEndian.Uint32(header[4:])
 	if length < headerBytes-8 {
-		return b, fmt.Errorf("wire: batch %d: length %d is under its own header's", b.Number, length)
+		return batch, fmt.Errorf("wire: batch %d: length %d is under its own header's", batch.Number, length)
 	}
-	if math.IsNaN(b.Now) || math.IsInf(b.Now, 0) {
-		return b, fmt.Errorf("wire: batch %d: clock %v", b.Number, b.Now)
+	if math.IsNaN(batch.Now) || math.IsInf(batch.Now, 0) {
+		return batch, fmt.Errorf("wire: batch %d: clock %v", batch.Number, batch.Now)
 	}
-	n := int(length) - (headerBytes - 8)
-	if uint64(b.Count)*5 > uint64(n) { // no record is shorter
-		return b, fmt.Errorf("wire: batch %d: %d records do not fit in %d bytes", b.Number, b.Count, n)
+	size := int(length) - (headerBytes - 8)
+	if uint64(batch.Count)*5 > uint64(size) { // no record is shorter
+		return batch, fmt.Errorf("wire: batch %d: %d records do not fit in %d bytes", batch.Number, batch.Count, size)
 	}
-	d.buf, d.pos, d.err = d.buf[:0], 0, nil
-	for len(d.buf) < n {
-		step := min(chunk, n-len(d.buf))
-		at := len(d.buf)
-		if cap(d.buf) < at+step {
-			d.buf = append(d.buf, make([]byte, step)...)
+	r.buf, r.offset, r.err = r.buf[:0], 0, nil
+	for len(r.buf) < size {
+		step := min(readChunkBytes, size-len(r.buf))
+		filled := len(r.buf)
+		if cap(r.buf) < filled+step {
+			r.buf = append(r.buf, make([]byte, step)...)
 		} else {
-			d.buf = d.buf[:at+step]
+			r.buf = r.buf[:filled+step]
 		}
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return b, fmt.Errorf("wire: batch %d: body ends early: %w", b.Number, err)
+		if _, err := io.ReadFull(r.input, r.buf[filled:]); err != nil {
+			return batch, fmt.Errorf("wire: batch %d: body ends early: %w", batch.Number, err)
 		}
 	}
-	return b, nil
+	return batch, nil
 }
 
-// Rest says how many bytes of the batch are unread.
-func (d *Reader) Rest() int { return len(d.buf) - d.pos }
+// Remaining says how many bytes of the batch are unread.
+func (r *Reader) Remaining() int { return len(r.buf) - r.offset }
 
-func (d *Reader) take(n int) []byte {
-	if d.err != nil {
+func (r *Reader) bytes(n int) []byte {
+	if r.err != nil {
 		return nil
 	}
-	if n < 0 || n > len(d.buf)-d.pos {
-		d.err = fmt.Errorf("wire: record of code %d: wants %d bytes at %d, %d are left",
-			d.code, n, d.pos, len(d.buf)-d.pos)
+	if n < 0 || n > len(r.buf)-r.offset {
+		r.err = fmt.Errorf("wire: record of code %d: wants %d bytes at %d, %d are left",
+			r.code, n, r.offset, len(r.buf)-r.offset)
 		return nil
 	}
-	b := d.buf[d.pos : d.pos+n]
-	d.pos += n
+	b := r.buf[r.offset : r.offset+n]
+	r.offset += n
 	return b
 }
 
-func (d *Reader) u8() uint8 {
-	if b := d.take(1); b != nil {
+func (r *Reader) u8() uint8 {
+	if b := r.bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (d *Reader) u16() uint16 {
-	if b := d.take(2); b != nil {
+func (r *Reader) u16() uint16 {
+	if b := r.bytes(2); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (d *Reader) u32() uint32 {
-	if b := d.take(4); b != nil {
+func (r *Reader) u32() uint32 {
+	if b := r.bytes(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (d *Reader) u64() uint64 {
-	if b := d.take(8); b != nil {
+func (r *Reader) u64() uint64 {
+	if b := r.bytes(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (d *Reader) f32() float32 { return math.Float32frombits(d.u32()) }
-func (d *Reader) f64() float64 { return math.Float64frombits(d.u64()) }
+func (r *Reader) f32() float32 { return math.Float32frombits(r.u32()) }
+func (r *Reader) f64() float64 { return math.Float64frombits(r.u64()) }
 
-func (d *Reader) node() Node {
-	if b := d.take(6); b != nil {
-		return Node(binary.LittleEndian.Uint32(b)) | Node(binary.LittleEndian.Uint16(b[4:]))<<32
+func (r *Reader) node() NodeAddress {
+	if b := r.bytes(6); b != nil {
+		return NodeAddress(binary.LittleEndian.Uint32(b)) | NodeAddress(binary.LittleEndian.Uint16(b[4:]))<<32
 	}
 	return 0
 }
 
-func (d *Reader) report() []float32 {
-	n := int(d.u8())
-	d.load = d.load[:0]
-	for i := 0; i < n && d.err == nil; i++ {
-		d.load = append(d.load, d.f32())
+func (r *Reader) report() []float32 {
+	n := int(r.u8())
+	r.load = r.load[:0]
+	for i := 0; i < n && r.err == nil; i++ {
+		r.load = append(r.load, r.f32())
 	}
-	return d.load
+	return r.load
 }
 
 // Read reads the next record of the batch into ev.
-func (d *Reader) Read(ev *Event) error {
-	d.code = 0
-	at := d.pos
-	*ev = Event{Code: d.u8()}
-	d.code = ev.Code
-	if ev.Code == DefineList {
-		ev.Sheet = d.u8()
-		ev.Entries = d.list()
-		if d.err == nil && ev.Sheet > 15 {
-			d.err = fmt.Errorf("wire: list number %d at byte %d is over 15", ev.Sheet, at)
+func (r *Reader) Read(ev *Event) error {
+	r.code = 0
+	start := r.offset
+	*ev = Event{Code: r.u8()}
+	r.code = ev.Code
+	if ev.Code == EventDefineList {
+		ev.ListNumber = r.u8()
+		ev.Entries = r.list()
+		if r.err == nil && ev.ListNumber > 15 {
+			r.err = fmt.Errorf("wire: list number %d at byte %d is over 15", ev.ListNumber, start)
 		}
-		return d.err
+		return r.err
 	}
-	ev.Who = d.u32()
+	ev.Instance = r.u32()
 	switch ev.Code {
-	case Begin:
-		ev.Seed = d.u64()
-		ev.Settings = d.take(int(d.u32()))
-	case Down:
-	case Discovery:
-		ev.ListKind, ev.Stamp, ev.Sheet = d.u8(), d.u32(), d.u8()
-	case ToPlace:
-		ev.ID, ev.Class, ev.Tenant, ev.Key = d.u64(), d.u16(), d.u16(), d.u64()
-		ev.Deadline, ev.Life, ev.Service = d.f64(), d.f64(), d.u64()
-		ev.Cores, ev.Memory, ev.Flags = d.f32(), d.f32(), d.u8()
-	case InPlace:
-		ev.ID, ev.Node, ev.Life, ev.Deadline = d.u64(), d.node(), d.f64(), d.f64()
-		ev.Class, ev.Key, ev.Flags = d.u16(), d.u64(), d.u8()
-		ev.Cores, ev.Memory, ev.Service, ev.Tenant = d.f32(), d.f32(), d.u64(), d.u16()
-	case Seated:
-		ev.ID, ev.Attempt, ev.Elapsed, ev.Node = d.u64(), d.u8(), d.f64(), d.node()
-	case UpdateOf:
-		ev.ID, ev.Attempt, ev.Node, ev.Sort, ev.Value = d.u64(), d.u8(), d.node(), d.u8(), d.f32()
-	case ReportBack:
-		ev.ID, ev.Node, ev.Elapsed = d.u64(), d.node(), d.f64()
-		ev.Remark, ev.Attempt, ev.Finished, ev.Status = d.u8(), d.u8(), d.u8(), d.u16()
-		ev.Load = d.report()
-	case Hangup:
-		ev.ID = d.u64()
-	case TickDue:
-		ev.Token = d.u64()
-	case CheckResult:
-		ev.Status, ev.Node, ev.Elapsed = d.u16(), d.node(), d.f64()
-		ev.Load = d.report()
-	case NeighbourSays:
-		ev.From = d.u32()
-		ev.Body = d.take(int(d.u16()))
+	case EventInstanceStart:
+		ev.Seed = r.u64()
+		ev.Settings = r.bytes(int(r.u32()))
+	case EventInstanceStop:
+	case EventNodesListed:
+		ev.ListKind, ev.ListVersion, ev.ListNumber = r.u8(), r.u32(), r.u8()
+	case EventTaskArrived:
+		ev.ID, ev.Class, ev.Tenant, ev.IdempotencyKey = r.u64(), r.u16(), r.u16(), r.u64()
+		ev.Deadline, ev.Lifetime, ev.Service = r.f64(), r.f64(), r.u64()
+		ev.Cores, ev.Memory, ev.Flags = r.f32(), r.f32(), r.u8()
+	case EventTaskAdopted:
+		ev.ID, ev.Node, ev.Lifetime, ev.Deadline = r.u64(), r.node(), r.f64(), r.f64()
+		ev.Class, ev.IdempotencyKey, ev.Flags = r.u16(), r.u64(), r.u8()
+		ev.Cores, ev.Memory, ev.Service, ev.Tenant = r.f32(), r.f32(), r.u64(), r.u16()
+	case EventAttemptBound:
+		ev.ID, ev.Attempt, ev.Elapsed, ev.Node = r.u64(), r.u8(), r.f64(), r.node()
+	case EventUsageReported:
+		ev.ID, ev.Attempt, ev.Node, ev.UsageKind, ev.Value = r.u64(), r.u8(), r.node(), r.u8(), r.f32()
+	case EventAttemptEnded:
+		ev.ID, ev.Node, ev.Elapsed = r.u64(), r.node(), r.f64()
+		ev.Reason, ev.Attempt, ev.Final, ev.Status = r.u8(), r.u8(), r.u8(), r.u16()
+		ev.Load = r.report()
+	case EventTaskWithdrawn:
+		ev.ID = r.u64()
+	case EventTimerFired:
+		ev.Token = r.u64()
+	case EventHealthCheckResult:
+		ev.Status, ev.Node, ev.Elapsed = r.u16(), r.node(), r.f64()
+		ev.Load = r.report()
+	case EventPeerMessage:
+		ev.From = r.u32()
+		ev.Body = r.bytes(int(r.u16()))
 	default:
-		if d.err == nil {
-			d.err = fmt.Errorf("wire: unknown event code %d at byte %d", ev.Code, at)
+		if r.err == nil {
+			r.err = fmt.Errorf("wire: unknown event code %d at byte %d", ev.Code, start)
 		}
 	}
-	return d.err
+	return r.err
 }
 
-func (d *Reader) list() []Entry {
-	n := d.u32()
-	if d.err == nil && uint64(n)*entryBytes > uint64(d.Rest()) {
-		d.err = fmt.Errorf("wire: list of %d entries does not fit in %d bytes", n, d.Rest())
+func (r *Reader) list() []NodeEntry {
+	n := r.u32()
+	if r.err == nil && uint64(n)*entryBytes > uint64(r.Remaining()) {
+		r.err = fmt.Errorf("wire: list of %d entries does not fit in %d bytes", n, r.Remaining())
 		return nil
 	}
-	d.entries = d.entries[:0]
-	for i := uint32(0); i < n && d.err == nil; i++ {
-		d.entries = append(d.entries, Entry{Node: d.node(), Zone: d.u8(), FreeCores: d.f32(), Kind: d.u8(),
-			Cell: d.u16(), FreeMemory: d.f32(), Health: d.u8(), Units: d.f32(), OnlineSince: d.f64()})
+	r.entries = r.entries[:0]
+	for i := uint32(0); i < n && r.err == nil; i++ {
+		r.entries = append(r.entries, NodeEntry{Node: r.node(), Zone: r.u8(), FreeCores: r.f32(), NodeType: r.u8(),
+			Rack: r.u16(), FreeMemory: r.f32(), State: r.u8(), Units: r.f32(), StartedAt: r.f64()})
 	}
-	return d.entries
+	return r.entries
 }
 
 // Writer builds one reply at a time.
@@ -303,18 +303,18 @@
 	return w.buf
 }
 
-func (w *Writer) action(code uint8, who uint32) {
+func (w *Writer) action(code uint8, instance uint32) {
 	w.count++
 	w.buf = append(w.buf, code)
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, who)
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, instance)
 }
 
 func (w *Writer) u64(v uint64)  { w.buf = binary.LittleEndian.AppendUint64(w.buf, v) }
 func (w *Writer) f64(v float64) { w.u64(math.Float64bits(v)) }
 
-func (w *Writer) node(n Node) {
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(n))
-	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(n>>32))
+func (w *Writer) node(node NodeAddress) {
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(node))
+	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(node>>32))
 }
 
 func (w *Writer) text(s string) {
@@ -323,64 +323,64 @@
 	w.buf = append(w.buf, s...)
 }
 
-// Assign offers a task to a node until the given clock time.
-func (w *Writer) Assign(who uint32, id uint64, until float64, n Node) {
-	w.action(Assign, who)
+// StartAttempt offers a task to a node until the given clock time.
+func (w *Writer) StartAttempt(instance uint32, id uint64, until float64, node NodeAddress) {
+	w.action(ActionStartAttempt, instance)
 	w.u64(id)
 	w.f64(until)
-	w.node(n)
+	w.node(node)
 }
 
-// TurnAway refuses a task.
-func (w *Writer) TurnAway(who uint32, id uint64, after float64) {
-	w.action(TurnAway, who)
+// Reject refuses a task.
+func (w *Writer) Reject(instance uint32, id uint64, afterSeconds float64) {
+	w.action(ActionReject, instance)
 	w.u64(id)
-	w.f64(after)
+	w.f64(afterSeconds)
 }
 
 // Fail fails a task.
-func (w *Writer) Fail(who uint32, id uint64) {
-	w.action(FailTask, who)
+func (w *Writer) Fail(instance uint32, id uint64) {
+	w.action(ActionFail, instance)
 	w.u64(id)
 }
 
-// Timer asks for a tick.
-func (w *Writer) Timer(who uint32, token uint64, after float64) {
-	w.action(Timer, who)
+// SetTimer asks for a tick.
+func (w *Writer) SetTimer(instance uint32, token uint64, afterSeconds float64) {
+	w.action(ActionSetTimer, instance)
 	w.u64(token)
-	w.f64(after)
+	w.f64(afterSeconds)
 }
 
-// Watch asks for the list and its changes.
-func (w *Writer) Watch(who uint32) {
-	w.action(WatchList, who)
+// WatchNodes asks for the list and its changes.
+func (w *Writer) WatchNodes(instance uint32) {
+	w.action(ActionWatchNodes, instance)
 	w.buf = append(w.buf, 1)
 }
 
-// Lookup asks for the list once.
-func (w *Writer) Lookup(who uint32) { w.action(Lookup, who) }
+// ListNodes asks for the list once.
+func (w *Writer) ListNodes(instance uint32) { w.action(ActionListNodes, instance) }
 
-// Vacate stops a placed task.
-func (w *Writer) Vacate(who uint32, id uint64) {
-	w.action(Vacate, who)
+// Migrate stops a placed task.
+func (w *Writer) Migrate(instance uint32, id uint64) {
+	w.action(ActionMigrate, instance)
 	w.u64(id)
 }
 
 // Abort ceases waiting for an attempt.
-func (w *Writer) Abort(who uint32, id uint64, attempt uint8) {
-	w.action(AbortAttempt, who)
+func (w *Writer) Abort(instance uint32, id uint64, attempt uint8) {
+	w.action(ActionAbortAttempt, instance)
 	w.u64(id)
 	w.buf = append(w.buf, attempt)
 }
 
-// Record adds a line to the report.
-func (w *Writer) Record(who uint32, text string) {
-	w.action(Record, who)
+// Log adds a line to the report.
+func (w *Writer) Log(instance uint32, text string) {
+	w.action(ActionLog, instance)
 	w.text(text)
 }
 
-// Bug tells that the decision code failed.
-func (w *Writer) Bug(who uint32, text string) {
-	w.action(Bug, who)
+// ReportPanic tells that the decision code failed.
+func (w *Writer) ReportPanic(instance uint32, text string) {
+	w.action(ActionReportPanic, instance)
 	w.text(text)
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -41,8 +41,8 @@
 
 var addr = [6]byte{192, 168, 3, 4, 0x39, 0x30}
 
-func packed(a [6]byte) Node {
-	return Node(binary.LittleEndian.Uint32(a[:])) | Node(binary.LittleEndian.Uint16(a[4:]))<<32
+func packed(a [6]byte) NodeAddress {
+	return NodeAddress(binary.LittleEndian.Uint32(a[:])) | NodeAddress(binary.LittleEndian.Uint16(a[4:]))<<32
 }
 
 func TestEveryEventIsRead(t *testing.T) {
@@ -67,20 +67,20 @@
 	}
 	n := packed(addr)
 	want := []Event{
-		{Code: DefineList, Sheet: 3, Entries: []Entry{{n, 1, 0, 2.5, 9, -4, 2, 1, 77.5}}},
-		{Code: Discovery, Who: 5, ListKind: 4, Stamp: 41, Sheet: 3},
-		{Code: Begin, Who: 5, Seed: 99, Settings: []byte("{}")},
-		{Code: ToPlace, Who: 5, ID: 1001, Class: 1, Tenant: 2, Key: 8, Deadline: 12.5, Life: 3.25, Service: 6,
+		{Code: EventDefineList, ListNumber: 3, Entries: []NodeEntry{{n, 1, 0, 2.5, 9, -4, 2, 1, 77.5}}},
+		{Code: EventNodesListed, Instance: 5, ListKind: 4, ListVersion: 41, ListNumber: 3},
+		{Code: EventInstanceStart, Instance: 5, Seed: 99, Settings: []byte("{}")},
+		{Code: EventTaskArrived, Instance: 5, ID: 1001, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
 			Cores: 0.5, Memory: 1.5, Flags: 17},
-		{Code: InPlace, Who: 5, ID: 1002, Node: n, Class: 1, Tenant: 2, Key: 8, Deadline: 12.5, Life: 3.25, Service: 6,
+		{Code: EventTaskAdopted, Instance: 5, ID: 1002, Node: n, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
 			Cores: 0.5, Memory: 1.5, Flags: 16},
-		{Code: Seated, Who: 5, ID: 1001, Attempt: 2, Elapsed: 0.125, Node: n},
-		{Code: UpdateOf, Who: 5, ID: 1001, Attempt: 2, Node: n, Sort: 3, Value: 0.75},
-		{Code: ReportBack, Who: 5, ID: 1001, Node: n, Elapsed: 0.125, Remark: 5, Attempt: 2, Finished: 1, Status: 251,
+		{Code: EventAttemptBound, Instance: 5, ID: 1001, Attempt: 2, Elapsed: 0.125, Node: n},
+		{Code: EventUsageReported, Instance: 5, ID: 1001, Attempt: 2, Node: n, UsageKind: 3, Value: 0.75},
+		{Code: EventAttemptEnded, Instance: 5, ID: 1001, Node: n, Elapsed: 0.125, Reason: 5, Attempt: 2, Final: 1, Status: 251,
 			Load: []float32{3, 4}},
-		{Code: Hangup, Who: 5, ID: 1001}, {Code: TickDue, Who: 5, Token: 33}, {Code: Down, Who: 5},
-		{Code: CheckResult, Who: 5, Status: 253, Node: n, Elapsed: 0.5, Load: []float32{}},
-		{Code: NeighbourSays, Who: 5, From: 2, Body: []byte("abc")},
+		{Code: EventTaskWithdrawn, Instance: 5, ID: 1001}, {Code: EventTimerFired, Instance: 5, Token: 33}, {Code: EventInstanceStop, Instance: 5},
+		{Code: EventHealthCheckResult, Instance: 5, Status: 253, Node: n, Elapsed: 0.5, Load: []float32{}},
+		{Code: EventPeerMessage, Instance: 5, From: 2, Body: []byte("abc")},
 	}
 	for i := range want {
 		var got Event
@@ -91,8 +91,8 @@
 			t.Errorf("event %d:\n got %+v\nwant %+v", i, got, want[i])
 		}
 	}
-	if r.Rest() != 0 {
-		t.Errorf("%d bytes left", r.Rest())
+	if r.Remaining() != 0 {
+		t.Errorf("%d bytes left", r.Remaining())
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last batch: %v", err)
@@ -102,16 +102,16 @@
 func TestActionsAreWritten(t *testing.T) {
 	var w Writer
 	w.Start(7)
-	w.Assign(5, 1001, 12.5, packed(addr))
-	w.TurnAway(5, 1001, 0.25)
+	w.StartAttempt(5, 1001, 12.5, packed(addr))
+	w.Reject(5, 1001, 0.25)
 	w.Fail(5, 1001)
-	w.Timer(5, 33, 0.5)
-	w.Watch(5)
-	w.Lookup(5)
-	w.Vacate(5, 1001)
+	w.SetTimer(5, 33, 0.5)
+	w.WatchNodes(5)
+	w.ListNodes(5)
+	w.Migrate(5, 1001)
 	w.Abort(5, 1001, 2)
-	w.Record(5, "ab")
-	w.Bug(5, "cd")
+	w.Log(5, "ab")
+	w.ReportPanic(5, "cd")
 	f := (&frame{}).add(uint8(86), uint32(5), uint64(1001), 12.5, addr).add(uint8(85), uint32(5), uint64(1001), 0.25).
 		add(uint8(83), uint32(5), uint64(1001)).add(uint8(92), uint32(5), uint64(33), 0.5).
 		add(uint8(91), uint32(5), uint8(1)).add(uint8(89), uint32(5)).add(uint8(87), uint32(5), uint64(1001)).
--- a/internal/simulation/characterization_test.go
+++ b/internal/simulation/characterization_test.go
@@ -16,10 +16,10 @@
 	"heathshed/internal/store"
 )
 
-// TestCharacterizeDays pins simulated days with every kind of trouble: plans, what passed between the parties, the stored changes of every
+// TestCharacterizeScenarios pins simulated days with every kind of trouble: plans, what passed between the parties, the stored changes of every
 // scheduler, its counters, and the report of the auditor, checked by the rules as they are and by rules that are broken on purpose.
 // Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
-func TestCharacterizeDays(t *testing.T) {
+func TestCharacterizeScenarios(t *testing.T) {
 	for _, run := range []struct {
 		name       string
 		seed       uint64
@@ -31,16 +31,16 @@
 			script.Seed, script.Schedulers, script.Nodes = run.seed, run.schedulers, 10
 			script.Load.TasksPerSecond = 8
 			script.Stretch(70)
-			day := newDay(t, script, run.loss)
-			day.run()
-			day.report()
-			day.record.Check(t, "day-"+run.name)
+			scenarioRun := newScenarioRun(t, script, run.loss)
+			scenarioRun.run()
+			scenarioRun.recordWorld()
+			scenarioRun.record.Check(t, "day-"+run.name)
 		})
 	}
 }
 
-// day is one run with its record.
-type day struct {
+// scenarioRun is one run with its record.
+type scenarioRun struct {
 	t         *testing.T
 	script    scenario.Script
 	config    simulation.Config
@@ -50,104 +50,104 @@
 	record    *golden.Recorder
 }
 
-func newDay(t *testing.T, script scenario.Script, loss float64) *day {
+func newScenarioRun(t *testing.T, script scenario.Script, loss float64) *scenarioRun {
 	defaults := config.Default()
-	d := &day{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: golden.NewRecorder()}
-	d.config.KeepEvents, d.config.LoseAnswer, d.config.LoseOffer = true, loss, loss
-	d.config.Each = d.observe
-	d.revisions = make([]int64, script.Schedulers)
-	world, err := simulation.New(d.config)
+	run := &scenarioRun{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: golden.NewRecorder()}
+	run.config.KeepEvents, run.config.AnswerLossRate, run.config.AttemptLossRate = true, loss, loss
+	run.config.AfterEngineCall = run.observe
+	run.revisions = make([]int64, script.Schedulers)
+	world, err := simulation.New(run.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.world = world
-	return d
+	run.world = world
+	return run
 }
 
 // observe records what changed in the store of a scheduler.
-func (d *day) observe(w *simulation.World, scheduler int) {
-	d.calls++
-	e := w.Engine(scheduler)
-	d.record.Integers(int64(scheduler), int64(e.OpenTasks()))
-	d.record.Floats(w.Now(), e.NextWake())
+func (r *scenarioRun) observe(w *simulation.World, scheduler int) {
+	r.calls++
+	engine := w.Engine(scheduler)
+	r.record.Integers(int64(scheduler), int64(engine.OpenTasks()))
+	r.record.Floats(w.Now(), engine.NextWake())
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
-		from := d.revisions[scheduler]
-		changes, err := e.Store().Since(table, from, math.MaxInt32)
+		from := r.revisions[scheduler]
+		changes, err := engine.Store().Since(table, from, math.MaxInt32)
 		if err != nil { // a new life of the scheduler: its revisions begin higher
-			changes, _ = e.Store().Since(table, e.Config().BaseRev, math.MaxInt32)
+			changes, _ = engine.Store().Since(table, engine.Config().BaseRevision, math.MaxInt32)
 		}
 		for _, change := range changes {
-			d.record.Integers(int64(table), int64(change.Op), change.Rev)
-			d.record.Bytes(d.encode(change.Object))
+			r.record.Integers(int64(table), int64(change.Op), change.Rev)
+			r.record.Bytes(r.encode(change.Object))
 		}
 	}
-	d.revisions[scheduler] = e.Store().Rev()
-	if d.calls%2000 == 0 {
-		d.record.Checkpoint(fmt.Sprintf("call %d at %016x", d.calls, math.Float64bits(w.Now())))
+	r.revisions[scheduler] = engine.Store().Rev()
+	if r.calls%2000 == 0 {
+		r.record.Checkpoint(fmt.Sprintf("call %d at %016x", r.calls, math.Float64bits(w.Now())))
 	}
 }
 
-func (d *day) encode(value any) []byte {
+func (r *scenarioRun) encode(value any) []byte {
 	b, err := json.Marshal(value)
 	if err != nil {
-		d.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return b
 }
 
-func (d *day) run() {
-	plan := d.script.Plan(d.config.NodesOf())
+func (r *scenarioRun) run() {
+	plan := r.script.Plan(r.config.ScenarioNodes())
 	for _, action := range plan {
-		d.record.Floats(action.At, action.Cut, action.For)
-		d.record.Integers(int64(action.Do), int64(action.Scheduler))
-		d.record.Texts(action.Node)
+		r.record.Floats(action.At, action.OutageSeconds, action.DowntimeSeconds)
+		r.record.Integers(int64(action.Kind), int64(action.Scheduler))
+		r.record.Texts(action.Node)
 		if j := action.Job; j != nil {
-			d.record.Texts(j.Name, j.Namespace, j.Class, j.Service)
-			d.record.Integers(int64(j.Scheduler), int64(j.Tasks), int64(j.Backoff))
-			d.record.Floats(j.Cores, j.Memory, j.Life)
+			r.record.Texts(j.Name, j.Namespace, j.Class, j.Service)
+			r.record.Integers(int64(j.Scheduler), int64(j.Tasks), int64(j.BackoffLimit))
+			r.record.Floats(j.Cores, j.Memory, j.Lifetime)
 		}
 	}
-	d.record.Checkpoint(fmt.Sprintf("plan of %d actions", len(plan)))
-	d.world.Run(plan, d.script.Seconds)
+	r.record.Checkpoint(fmt.Sprintf("plan of %d actions", len(plan)))
+	r.world.Run(plan, r.script.Seconds)
 }
 
-func (d *day) report() {
-	w := d.world
-	d.record.Checkpoint(fmt.Sprintf("end: %d calls, %d steps", d.calls, w.Steps()))
-	for i, event := range w.Events {
-		d.record.Bytes(d.encode(event))
+func (r *scenarioRun) recordWorld() {
+	world := r.world
+	r.record.Checkpoint(fmt.Sprintf("end: %d calls, %d steps", r.calls, world.Steps()))
+	for i, event := range world.Events {
+		r.record.Bytes(r.encode(event))
 		if i%3000 == 2999 {
-			d.record.Checkpoint(fmt.Sprintf("event %d", i+1))
+			r.record.Checkpoint(fmt.Sprintf("event %d", i+1))
 		}
 	}
-	d.record.Floats(w.Latency...)
-	d.record.Floats(w.Asked...)
-	d.record.Floats(w.Created...)
-	d.record.Checkpoint(fmt.Sprintf("%d events, %d placed, %d created", len(w.Events), len(w.Latency), len(w.Created)))
-	d.verdicts("rules as they are", w.Audit())
+	r.record.Floats(world.PlacementLatency...)
+	r.record.Floats(world.PlacedCreatedAt...)
+	r.record.Floats(world.CreatedAt...)
+	r.record.Checkpoint(fmt.Sprintf("%d events, %d placed, %d created", len(world.Events), len(world.PlacementLatency), len(world.CreatedAt)))
+	r.recordReport("rules as they are", world.Audit())
 	broken := audit.Config{Classes: map[string]audit.Class{}, DrainGrace: -1, Slack: -1}
-	for _, name := range slices.Sorted(maps.Keys(d.config.Classes)) {
-		broken.Classes[name] = audit.Class{Once: true, Apart: "machine", AtMost: 1}
+	for _, name := range slices.Sorted(maps.Keys(r.config.Classes)) {
+		broken.Classes[name] = audit.Class{AtMostOnce: true, SpreadBy: "machine", MaxPerDomain: 1}
 	}
-	d.verdicts("rules broken on purpose", audit.Check(broken, w.Events))
-	for i := range d.script.Schedulers {
-		if e := w.Engine(i); e != nil {
-			c := e.Stats
-			d.record.Line("scheduler %d: revision %d, counters %v", i, e.Store().Rev(), []uint64{c.PlacementRequests, c.Attempts, c.Accepted, c.Rejections,
-				c.UnknownOutcomes, c.Adopted, c.Stops, c.Placed, c.Rejected, c.Failed, c.Shed, c.Retries, c.LostTasks, c.EvictedTasks,
-				c.MigratedTasks, c.Recovered, c.JobsCreated, c.JobsFinished, c.PodsCreated, c.JobsRejected, c.LateAnswers})
+	r.recordReport("rules broken on purpose", audit.Check(broken, world.Events))
+	for i := range r.script.Schedulers {
+		if engine := world.Engine(i); engine != nil {
+			stats := engine.Stats
+			r.record.Line("scheduler %d: revision %d, counters %v", i, engine.Store().Rev(), []uint64{stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections,
+				stats.UnknownOutcomes, stats.Adopted, stats.Stops, stats.Placed, stats.Rejected, stats.Failed, stats.Shed, stats.Retries, stats.LostTasks, stats.EvictedTasks,
+				stats.MigratedTasks, stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers})
 		}
 	}
 }
 
-// verdicts writes a report of the auditor.
-func (d *day) verdicts(label string, r audit.Report) {
-	for _, v := range r.Violations {
-		d.record.Integers(int64(v.Rule))
-		d.record.Floats(v.At)
-		d.record.Texts(v.Text)
+// recordReport writes a report of the auditor.
+func (r *scenarioRun) recordReport(label string, report audit.Report) {
+	for _, v := range report.Violations {
+		r.record.Integers(int64(v.Rule))
+		r.record.Floats(v.At)
+		r.record.Texts(v.Text)
 	}
-	d.record.Line("%s: %d violations, %d events, %d tasks, outcomes %s, %d forgotten, %d offers, %d refusals, %d starts, ends %s, %d crashes", label,
-		len(r.Violations), r.Events, r.Tasks, d.encode(r.Outcomes), r.Forgotten, r.Offers, r.Refusals, r.Starts, d.encode(r.Ends), r.Crashes)
-	d.record.Checkpoint(label)
+	r.record.Line("%s: %d violations, %d events, %d tasks, outcomes %s, %d forgotten, %d offers, %d refusals, %d starts, ends %s, %d crashes", label,
+		len(report.Violations), report.Events, report.Tasks, r.encode(report.Outcomes), report.WithoutOutcome, report.Attempts, report.Rejections, report.Starts, r.encode(report.Ends), report.Crashes)
+	r.record.Checkpoint(label)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -35,149 +35,149 @@
 
 // Config is a world. Times are in seconds.
 type Config struct {
-	Seed                  uint64
-	Schedulers            []engine.Config
-	Nodes                 []NodeConfig
-	Priorities            map[string]int
-	LinkMin, LinkMax      float64 // one way
-	ConnectWithin         float64
-	Beat                  float64 // between reports of a machine to the inventory
-	Late                  float64 // of the inventory
-	SilentAfter           float64
-	LoseAnswer, LoseOffer float64 // chances that a connection breaks after or before the machine reads an offer
-	Start                 float64 // Unix seconds
-	KeepEvents            bool    // keep what passed for the auditor
-	Classes               map[string]audit.Class
-	DrainGrace            float64
-	Each                  func(w *World, scheduler int) // called after every call of an engine, for invariants
+	Seed                            uint64
+	Schedulers                      []engine.Config
+	Nodes                           []NodeConfig
+	Priorities                      map[string]int
+	LatencyMin, LatencyMax          float64 // one way
+	ConnectTimeout                  float64
+	ReportInterval                  float64 // between reports of a machine to the inventory
+	ReportDelay                     float64 // of the inventory
+	UnresponsiveAfter               float64
+	AnswerLossRate, AttemptLossRate float64 // chances that a connection breaks after or before the machine reads an offer
+	StartTime                       float64 // Unix seconds
+	KeepEvents                      bool    // keep what passed for the auditor
+	Classes                         map[string]audit.Class
+	DrainGrace                      float64
+	AfterEngineCall                 func(w *World, scheduler int) // called after every call of an engine, for invariants
 }
 
 // World is a run.
 type World struct {
-	cfg    Config
-	rng    *rand.Rand
-	now    float64
-	queue  events
-	seq    int
-	scheds []*sched
-	nodes  []*node
-	byName map[string]*node
-	// list is what the inventory shows.
-	list    map[string]*listed
-	invCut  float64
-	Events  []audit.Event
-	steps   int
-	pulled  int
-	Latency []float64 // from a task's creation to its placing, seconds
-	Asked   []float64 // when the task of each Latency was created
-	Created []float64 // when each task was created
-}
-
-type event struct {
+	cfg         Config
+	rng         *rand.Rand
+	now         float64
+	queue       timerHeap
+	lastSeq     int
+	schedulers  []*scheduler
+	nodes       []*node
+	nodesByName map[string]*node
+	// inventory is what the inventory shows.
+	inventory         map[string]*inventoryEntry
+	inventoryCutUntil float64
+	Events            []audit.Event
+	steps             int
+	pulled            int
+	PlacementLatency  []float64 // from a task's creation to its placing, seconds
+	PlacedCreatedAt   []float64 // when the task of each Latency was created
+	CreatedAt         []float64 // when each task was created
+}
+
+type timer struct {
 	at  float64
 	seq int
-	fn  func()
+	run func()
 }
 
-type events []event
+type timerHeap []timer
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
-	old[len(old)-1] = event{}
+	old[len(old)-1] = timer{}
 	*h = old[:len(old)-1]
 	return e
 }
 
-type listed struct {
-	o     *corev1.Node
-	ready bool
-	seen  float64
+type inventoryEntry struct {
+	object     *corev1.Node
+	ready      bool
+	lastReport float64
 }
 
-// sched is one scheduler, or a place where one was killed.
-type sched struct {
-	w      *World
-	i      int
-	cfg    engine.Config
-	e      *engine.Engine
-	life   int
-	wake   float64
-	shown  int64
-	follow map[string]*follower
-	calls  map[string]bool // offers under way, by uid and attempt; false once abandoned
-	asked  map[types.UID]float64
-	told   map[types.UID]bool
-	synced bool // has the list
-	inv    float64
+// scheduler is one scheduler, or a place where one was killed.
+type scheduler struct {
+	world       *World
+	index       int
+	cfg         engine.Config
+	engine      *engine.Engine
+	incarnation int
+	wakeAt      float64
+	watchedRev  int64
+	watches     map[string]*podWatch
+	attempts    map[string]bool // offers under way, by uid and attempt; false once abandoned
+	created     map[types.UID]float64
+	settled     map[types.UID]bool
+	synced      bool // has the list
+	syncedAt    float64
 }
 
-// follower is a scheduler's watch on the Pods of a machine.
-type follower struct {
-	s    *sched
-	n    *node
-	life int     // of the machine
-	last float64 // when the last event arrives: they keep their order
-	on   bool
-	gone bool
+// podWatch is a scheduler's watch on the Pods of a machine.
+type podWatch struct {
+	scheduler       *scheduler
+	node            *node
+	nodeIncarnation int     // of the machine
+	lastArrival     float64 // when the last event arrives: they keep their order
+	established     bool
+	cancelled       bool
 }
 
 type node struct {
-	w       *World
-	cfg     NodeConfig
-	m       *nodesim.Node
-	life    int
-	boot    string
-	started float64
-	rev     int64
-	wake    float64
-	pods    map[string]*corev1.Pod
-	watch   []*follower
-	waiting map[string]func(*nodesim.Effect)
-
-	faults fault.State
-	cut    float64
+	world       *World
+	cfg         NodeConfig
+	sim         *nodesim.Node
+	incarnation int
+	bootID      string
+	started     float64
+	rev         int64
+	wakeAt      float64
+	pods        map[string]*corev1.Pod
+	watches     []*podWatch
+	pending     map[string]func(*nodesim.Effect)
+
+	faults   fault.NodeState
+	cutUntil float64
 }
 
 // New makes a world at its start: machines are up and known, schedulers begin.
 func New(cfg Config) (*World, error) {
-	if cfg.ConnectWithin <= 0 {
-		cfg.ConnectWithin = 1
+	if cfg.ConnectTimeout <= 0 {
+		cfg.ConnectTimeout = 1
 	}
-	if cfg.Beat <= 0 {
-		cfg.Beat = 0.5
+	if cfg.ReportInterval <= 0 {
+		cfg.ReportInterval = 0.5
 	}
-	if cfg.SilentAfter <= 0 {
-		cfg.SilentAfter = 2
+	if cfg.UnresponsiveAfter <= 0 {
+		cfg.UnresponsiveAfter = 2
 	}
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d6f64656c)), now: cfg.Start, byName: map[string]*node{},
-		list: map[string]*listed{}}
+	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d6f64656c)), now: cfg.StartTime, nodesByName: map[string]*node{},
+		inventory: map[string]*inventoryEntry{}}
 	for i := range cfg.Nodes {
-		n := &node{w: w, cfg: cfg.Nodes[i]}
+		n := &node{world: w, cfg: cfg.Nodes[i]}
 		w.nodes = append(w.nodes, n)
-		w.byName[n.cfg.Name] = n
-		n.up(n.cfg.Sim.Cold)
-		w.list[n.cfg.Name] = &listed{o: n.object(), ready: true, seen: w.now}
-		w.tap(audit.Event{What: audit.ListedReady, Node: n.cfg.Name})
-		w.after(cfg.Beat*w.rng.Float64(), n.beat)
+		w.nodesByName[n.cfg.Name] = n
+		n.start(n.cfg.Sim.Cold)
+		w.inventory[n.cfg.Name] = &inventoryEntry{object: n.object(), ready: true, lastReport: w.now}
+		w.record(audit.Event{Kind: audit.ListedReady, Node: n.cfg.Name})
+		w.after(cfg.ReportInterval*w.rng.Float64(), n.report)
 	}
 	for i := range cfg.Schedulers {
-		s := &sched{w: w, i: i, cfg: cfg.Schedulers[i]}
-		w.scheds = append(w.scheds, s)
+		s := &scheduler{world: w, index: i, cfg: cfg.Schedulers[i]}
+		w.schedulers = append(w.schedulers, s)
 		if err := s.start(); err != nil {
 			return nil, err
 		}
 	}
-	w.after(0.25, w.checkSilent)
+	w.after(0.25, w.checkUnresponsive)
 	return w, nil
 }
 
@@ -188,725 +188,725 @@
 func (w *World) Steps() int { return w.steps }
 
 // Engine is the engine of a scheduler, nil while it is down.
-func (w *World) Engine(i int) *engine.Engine { return w.scheds[i].e }
+func (w *World) Engine(i int) *engine.Engine { return w.schedulers[i].engine }
 
-func (w *World) after(d float64, fn func()) { w.at(w.now+max(d, 0), fn) }
+func (w *World) after(delay float64, run func()) { w.at(w.now+max(delay, 0), run) }
 
-func (w *World) at(at float64, fn func()) {
-	w.seq++
-	heap.Push(&w.queue, event{max(at, w.now), w.seq, fn})
+func (w *World) at(at float64, run func()) {
+	w.lastSeq++
+	heap.Push(&w.queue, timer{max(at, w.now), w.lastSeq, run})
 }
 
-func (w *World) tap(ev audit.Event) {
+func (w *World) record(ev audit.Event) {
 	if w.cfg.KeepEvents {
 		ev.At = w.now
 		w.Events = append(w.Events, ev)
 	}
 }
 
-func (w *World) link() float64 {
-	return w.cfg.LinkMin + (w.cfg.LinkMax-w.cfg.LinkMin)*w.rng.Float64()
+func (w *World) latency() float64 {
+	return w.cfg.LatencyMin + (w.cfg.LatencyMax-w.cfg.LatencyMin)*w.rng.Float64()
 }
 
 // Run carries out a plan whose times count from now, and goes on for so many seconds.
 func (w *World) Run(plan []scenario.Action, seconds float64) {
 	start := w.now
 	for i := range plan {
-		a := &plan[i]
-		w.at(start+a.At, func() { w.act(a) })
+		action := &plan[i]
+		w.at(start+action.At, func() { w.perform(action) })
 	}
 	end := start + seconds
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+		next := heap.Pop(&w.queue).(timer)
+		w.now = next.at
 		w.steps++
-		e.fn()
+		next.run()
 	}
 	w.now = end
 }
 
-func (w *World) act(a *scenario.Action) {
-	switch a.Do {
-	case scenario.Submit:
-		w.submit(a.Job, 0)
-	case scenario.Delete:
-		if s := w.scheds[a.Job.Scheduler]; s.e != nil {
-			s.e.DeleteJob(w.now, a.Job.Namespace, a.Job.Name, "", "", "")
-			s.after()
-		}
-	case scenario.Fault:
-		w.byName[a.Node].fault(a.Faults)
-	case scenario.Inventory:
-		w.invCut = w.now + a.Cut
-		w.tap(audit.Event{What: audit.CutOff})
-		w.after(a.Cut, func() {
-			if w.now >= w.invCut {
-				w.tap(audit.Event{What: audit.CutOver})
-				for _, s := range w.scheds {
-					s.relist()
+func (w *World) perform(action *scenario.Action) {
+	switch action.Kind {
+	case scenario.SubmitJob:
+		w.submit(action.Job, 0)
+	case scenario.DeleteJob:
+		if sched := w.schedulers[action.Job.Scheduler]; sched.engine != nil {
+			sched.engine.DeleteJob(w.now, action.Job.Namespace, action.Job.Name, "", "", "")
+			sched.process()
+		}
+	case scenario.InjectNodeFault:
+		w.nodesByName[action.Node].injectFault(action.NodeFault)
+	case scenario.CutInventory:
+		w.inventoryCutUntil = w.now + action.OutageSeconds
+		w.record(audit.Event{Kind: audit.DiscoveryLost})
+		w.after(action.OutageSeconds, func() {
+			if w.now >= w.inventoryCutUntil {
+				w.record(audit.Event{Kind: audit.DiscoveryRestored})
+				for _, sched := range w.schedulers {
+					sched.relist()
 				}
 			}
 		})
-		for _, s := range w.scheds {
-			if s.e != nil {
-				s.e.NodesListed(w.now, engine.ListLost, nil, nil)
-				s.after()
+		for _, sched := range w.schedulers {
+			if sched.engine != nil {
+				sched.engine.NodesListed(w.now, engine.ListUnavailable, nil, nil)
+				sched.process()
 			}
 		}
-	case scenario.Kill:
-		s := w.scheds[a.Scheduler]
-		s.kill()
-		w.after(a.For, func() {
-			if s.e == nil {
-				s.start()
+	case scenario.KillScheduler:
+		sched := w.schedulers[action.Scheduler]
+		sched.kill()
+		w.after(action.DowntimeSeconds, func() {
+			if sched.engine == nil {
+				sched.start()
 			}
 		})
-	case scenario.Drain, scenario.Undrain:
-		for _, s := range w.scheds {
-			if s.e == nil {
+	case scenario.DrainNode, scenario.UndrainNode:
+		for _, sched := range w.schedulers {
+			if sched.engine == nil {
 				continue
 			}
-			if o, ok := s.e.Store().Get(store.Nodes, "", a.Node).(*corev1.Node); ok {
-				order := a.Do == scenario.Drain
-				if _, err := s.e.UpdateNode(w.now, o.DeepCopy(), &order, false); err == nil {
-					what := audit.Told
-					if a.Do == scenario.Undrain {
-						what = audit.Undrained
+			if object, ok := sched.engine.Store().Get(store.Nodes, "", action.Node).(*corev1.Node); ok {
+				unschedulable := action.Kind == scenario.DrainNode
+				if _, err := sched.engine.UpdateNode(w.now, object.DeepCopy(), &unschedulable, false); err == nil {
+					kind := audit.DrainOrdered
+					if action.Kind == scenario.UndrainNode {
+						kind = audit.DrainCancelled
 					}
-					w.tap(audit.Event{What: what, Scheduler: s.cfg.Name, Node: a.Node})
+					w.record(audit.Event{Kind: kind, Scheduler: sched.cfg.Name, Node: action.Node})
 				}
-				s.after()
+				sched.process()
 			}
 		}
 	}
 }
 
 // submit posts a Job; while its scheduler is down or not ready the client tries again.
-func (w *World) submit(j *scenario.Job, tries int) {
-	s := w.scheds[j.Scheduler]
-	if s.e == nil || !s.ready() {
-		if tries < 100 {
-			w.after(0.5, func() { w.submit(j, tries+1) })
+func (w *World) submit(job *scenario.Job, attempts int) {
+	sched := w.schedulers[job.Scheduler]
+	if sched.engine == nil || !sched.ready() {
+		if attempts < 100 {
+			w.after(0.5, func() { w.submit(job, attempts+1) })
 		}
 		return
 	}
-	_, err := s.e.CreateJob(w.now, Job(j), false)
-	if err == engine.ErrTooMany && tries < 100 {
-		w.after(1, func() { w.submit(j, tries+1) })
-	}
-	s.after()
-}
-
-// Job is a Job of a plan as the API has it.
-func Job(j *scenario.Job) *batchv1.Job {
-	n, backoff := int32(j.Tasks), int32(j.Backoff)
-	o := &batchv1.Job{}
-	o.Name, o.Namespace = j.Name, j.Namespace
-	o.Spec.Parallelism, o.Spec.Completions, o.Spec.BackoffLimit = &n, &n, &backoff
-	t := &o.Spec.Template
-	t.Labels = map[string]string{wellknown.Class: j.Class, wellknown.Service: j.Service}
-	t.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(j.Life, 'f', 3, 64)}
-	t.Spec.RestartPolicy = corev1.RestartPolicyNever
-	t.Spec.Containers = []corev1.Container{{Name: "main", Image: "stand-in", Resources: corev1.ResourceRequirements{Requests: corev1.ResourceList{
-		corev1.ResourceCPU:    *resource.NewMilliQuantity(int64(j.Cores*1000), resource.DecimalSI),
-		corev1.ResourceMemory: *resource.NewQuantity(int64(j.Memory*wellknown.Gibibyte), resource.BinarySI)}}}}
-	return o
+	_, err := sched.engine.CreateJob(w.now, NewJob(job), false)
+	if err == engine.ErrTooMany && attempts < 100 {
+		w.after(1, func() { w.submit(job, attempts+1) })
+	}
+	sched.process()
+}
+
+// NewJob is a Job of a plan as the API has it.
+func NewJob(planned *scenario.Job) *batchv1.Job {
+	tasks, backoff := int32(planned.Tasks), int32(planned.BackoffLimit)
+	job := &batchv1.Job{}
+	job.Name, job.Namespace = planned.Name, planned.Namespace
+	job.Spec.Parallelism, job.Spec.Completions, job.Spec.BackoffLimit = &tasks, &tasks, &backoff
+	template := &job.Spec.Template
+	template.Labels = map[string]string{wellknown.Class: planned.Class, wellknown.Service: planned.Service}
+	template.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(planned.Lifetime, 'f', 3, 64)}
+	template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	template.Spec.Containers = []corev1.Container{{Name: "main", Image: "stand-in", Resources: corev1.ResourceRequirements{Requests: corev1.ResourceList{
+		corev1.ResourceCPU:    *resource.NewMilliQuantity(int64(planned.Cores*1000), resource.DecimalSI),
+		corev1.ResourceMemory: *resource.NewQuantity(int64(planned.Memory*wellknown.Gibibyte), resource.BinarySI)}}}}
+	return job
 }
 
 // ---- schedulers ----
 
-func (s *sched) start() error {
-	s.life++
-	c := s.cfg
-	c.Seed += uint64(s.life) * 1000003
-	c.BaseRev = int64(s.w.now * 1e6)
-	e, err := engine.New(c)
+func (s *scheduler) start() error {
+	s.incarnation++
+	cfg := s.cfg
+	cfg.Seed += uint64(s.incarnation) * 1000003
+	cfg.BaseRevision = int64(s.world.now * 1e6)
+	started, err := engine.New(cfg)
 	if err != nil {
 		return err
 	}
-	s.e, s.wake, s.shown, s.synced = e, math.Inf(1), c.BaseRev, false
-	s.follow, s.calls = map[string]*follower{}, map[string]bool{}
-	s.asked, s.told = map[types.UID]float64{}, map[types.UID]bool{}
-	s.after()
+	s.engine, s.wakeAt, s.watchedRev, s.synced = started, math.Inf(1), cfg.BaseRevision, false
+	s.watches, s.attempts = map[string]*podWatch{}, map[string]bool{}
+	s.created, s.settled = map[types.UID]float64{}, map[types.UID]bool{}
+	s.process()
 	s.relist()
 	return nil
 }
 
-func (s *sched) kill() {
-	if s.e == nil {
+func (s *scheduler) kill() {
+	if s.engine == nil {
 		return
 	}
-	s.w.tap(audit.Event{What: audit.Killed, Scheduler: s.cfg.Name})
-	s.e = nil
-	for _, f := range s.follow {
-		f.gone = true
+	s.world.record(audit.Event{Kind: audit.Killed, Scheduler: s.cfg.Name})
+	s.engine = nil
+	for _, watch := range s.watches {
+		watch.cancelled = true
 	}
 }
 
-func (s *sched) ready() bool {
-	listed, heard := s.e.NodeHeartbeat()
-	return s.synced && listed > 0 && (heard == listed || s.w.now > s.inv+5)
+func (s *scheduler) ready() bool {
+	listed, synced := s.engine.NodeCounts()
+	return s.synced && listed > 0 && (synced == listed || s.world.now > s.syncedAt+5)
 }
 
 // relist brings the whole list, after a moment.
-func (s *sched) relist() {
-	life := s.life
-	s.w.after(s.w.link()*2, func() {
-		if s.e == nil || s.life != life {
+func (s *scheduler) relist() {
+	incarnation := s.incarnation
+	s.world.after(s.world.latency()*2, func() {
+		if s.engine == nil || s.incarnation != incarnation {
 			return
 		}
-		if s.w.now < s.w.invCut {
+		if s.world.now < s.world.inventoryCutUntil {
 			return // the end of the cut brings it
 		}
 		if !s.synced {
-			s.synced, s.inv = true, s.w.now
+			s.synced, s.syncedAt = true, s.world.now
 		}
 		var nodes []*corev1.Node
-		for _, n := range s.w.nodes {
-			if l := s.w.list[n.cfg.Name]; l != nil {
-				nodes = append(nodes, l.shown())
+		for _, n := range s.world.nodes {
+			if entry := s.world.inventory[n.cfg.Name]; entry != nil {
+				nodes = append(nodes, entry.visible())
 			}
 		}
-		s.e.NodesListed(s.w.now, engine.FullList, nodes, nil)
-		s.after()
+		s.engine.NodesListed(s.world.now, engine.FullList, nodes, nil)
+		s.process()
 	})
 }
 
-func (l *listed) shown() *corev1.Node {
-	if l.ready {
-		return l.o
+func (entry *inventoryEntry) visible() *corev1.Node {
+	if entry.ready {
+		return entry.object
 	}
-	o := l.o.DeepCopy()
+	o := entry.object.DeepCopy()
 	o.Status.Conditions[0].Status = corev1.ConditionUnknown
 	return o
 }
 
-// after carries out what the engine wants and looks at what clients see.
-func (s *sched) after() {
-	w := s.w
-	for s.e != nil {
-		effects := s.e.Ready(nil)
+// process carries out what the engine wants and looks at what clients see.
+func (s *scheduler) process() {
+	w := s.world
+	for s.engine != nil {
+		effects := s.engine.Ready(nil)
 		if len(effects) == 0 {
 			break
 		}
 		for i := range effects {
-			s.carryOut(&effects[i])
+			s.apply(&effects[i])
 		}
 	}
-	if s.e == nil {
+	if s.engine == nil {
 		return
 	}
-	if w.cfg.Each != nil {
-		w.cfg.Each(w, s.i)
+	if w.cfg.AfterEngineCall != nil {
+		w.cfg.AfterEngineCall(w, s.index)
 	}
-	s.look()
-	if at := s.e.NextWake(); at < s.wake {
-		s.wake = at
-		life := s.life
+	s.watchPods()
+	if at := s.engine.NextWake(); at < s.wakeAt {
+		s.wakeAt = at
+		incarnation := s.incarnation
 		w.at(at, func() {
-			if s.e != nil && s.life == life && s.wake <= w.now {
-				s.wake = math.Inf(1)
-				s.e.Tick(w.now)
-				s.after()
+			if s.engine != nil && s.incarnation == incarnation && s.wakeAt <= w.now {
+				s.wakeAt = math.Inf(1)
+				s.engine.Tick(w.now)
+				s.process()
 			}
 		})
 	}
 }
 
-// look is a client's watch on Pods.
-func (s *sched) look() {
-	st := s.e.Store()
-	for s.shown < st.Rev() {
-		changes, err := st.Since(store.Pods, s.shown, 1000)
+// watchPods is a client's watch on Pods.
+func (s *scheduler) watchPods() {
+	podStore := s.engine.Store()
+	for s.watchedRev < podStore.Rev() {
+		changes, err := podStore.Since(store.Pods, s.watchedRev, 1000)
 		if err != nil {
 			panic("model: the watch fell behind: " + err.Error())
 		}
 		if len(changes) == 0 {
-			s.shown = st.Rev()
+			s.watchedRev = podStore.Rev()
 			break
 		}
-		for _, c := range changes {
-			s.shown = c.Rev
-			p := c.Object.(*corev1.Pod)
-			uid := p.UID
-			if _, ok := s.asked[uid]; !ok && c.Op == store.Added {
-				s.asked[uid] = s.w.now
-				s.w.Created = append(s.w.Created, s.w.now)
-				if wellknown.SettledOf(p) == "" {
-					s.w.tap(audit.Event{What: audit.Asked, UID: string(uid), Scheduler: s.cfg.Name, Class: p.Labels[wellknown.Class],
-						GiveUp: wellknown.Seconds(p.Annotations[wellknown.GiveUpAt])})
+		for _, change := range changes {
+			s.watchedRev = change.Rev
+			pod := change.Object.(*corev1.Pod)
+			uid := pod.UID
+			if _, ok := s.created[uid]; !ok && change.Op == store.Added {
+				s.created[uid] = s.world.now
+				s.world.CreatedAt = append(s.world.CreatedAt, s.world.now)
+				if wellknown.SettledReason(pod) == "" {
+					s.world.record(audit.Event{Kind: audit.Submitted, UID: string(uid), Scheduler: s.cfg.Name, Class: pod.Labels[wellknown.Class],
+						Deadline: wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])})
 				} else {
-					s.told[uid] = true // found running after a restart: its outcome was told before
+					s.settled[uid] = true // found running after a restart: its outcome was told before
 				}
 			}
-			if r := wellknown.SettledOf(p); r != "" && !s.told[uid] {
-				s.told[uid] = true
-				s.w.tap(audit.Event{What: audit.Settled, UID: string(uid), Scheduler: s.cfg.Name, Reason: r})
-				if r == wellknown.Placed {
-					s.w.Latency = append(s.w.Latency, s.w.now-s.asked[uid])
-					s.w.Asked = append(s.w.Asked, s.asked[uid])
+			if reason := wellknown.SettledReason(pod); reason != "" && !s.settled[uid] {
+				s.settled[uid] = true
+				s.world.record(audit.Event{Kind: audit.Settled, UID: string(uid), Scheduler: s.cfg.Name, Reason: reason})
+				if reason == wellknown.Placed {
+					s.world.PlacementLatency = append(s.world.PlacementLatency, s.world.now-s.created[uid])
+					s.world.PlacedCreatedAt = append(s.world.PlacedCreatedAt, s.created[uid])
 				}
 			}
-			if c.Op == store.Deleted {
-				if !s.told[uid] {
-					s.w.tap(audit.Event{What: audit.Withdrawn, UID: string(uid), Scheduler: s.cfg.Name})
+			if change.Op == store.Deleted {
+				if !s.settled[uid] {
+					s.world.record(audit.Event{Kind: audit.Withdrawn, UID: string(uid), Scheduler: s.cfg.Name})
 				}
-				delete(s.asked, uid)
-				delete(s.told, uid)
+				delete(s.created, uid)
+				delete(s.settled, uid)
 			}
 		}
 	}
 }
 
-func (s *sched) carryOut(x *engine.Effect) {
-	switch x.Kind {
+func (s *scheduler) apply(effect *engine.Effect) {
+	switch effect.Kind {
 	case engine.SendAttempt:
-		s.sendOffer(x)
+		s.sendAttempt(effect)
 	case engine.AbandonAttempt:
-		k := key(string(x.UID), x.Attempt)
-		if _, ok := s.calls[k]; ok {
-			s.calls[k] = false
-			s.w.tap(audit.Event{What: audit.HungUp, UID: string(x.UID), Attempt: x.Attempt, Node: x.Node})
+		attempt := attemptKey(string(effect.UID), effect.Attempt)
+		if _, ok := s.attempts[attempt]; ok {
+			s.attempts[attempt] = false
+			s.world.record(audit.Event{Kind: audit.Abandoned, UID: string(effect.UID), Attempt: effect.Attempt, Node: effect.Node})
 		}
 	case engine.StopTask:
-		s.stopTask(x)
+		s.stopTask(effect)
 	case engine.WatchNode:
-		if f := s.follow[x.Node]; f != nil {
-			f.gone = true
+		if watch := s.watches[effect.Node]; watch != nil {
+			watch.cancelled = true
 		}
-		f := &follower{s: s, n: s.w.byName[x.Node]}
-		s.follow[x.Node] = f
-		f.connect()
+		watch := &podWatch{scheduler: s, node: s.world.nodesByName[effect.Node]}
+		s.watches[effect.Node] = watch
+		watch.connect()
 	case engine.UnwatchNode:
-		if f := s.follow[x.Node]; f != nil {
-			f.gone = true
-			delete(s.follow, x.Node)
+		if watch := s.watches[effect.Node]; watch != nil {
+			watch.cancelled = true
+			delete(s.watches, effect.Node)
 		}
 	case engine.RelistNodes:
 		s.relist()
 	}
 }
 
-func key(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
+func attemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
 
-// sendOffer brings an offer over a link to a machine, and the answer back.
-func (s *sched) sendOffer(x *engine.Effect) {
-	w, n, life := s.w, s.w.byName[x.Node], s.life
-	k := key(string(x.UID), x.Attempt)
-	s.calls[k] = true
-	ans := engine.AttemptAnswer{UID: x.UID, Attempt: x.Attempt, Node: x.Node}
-	done := func(d float64, a engine.AttemptAnswer) {
-		w.after(d, func() {
-			if s.e == nil || s.life != life {
+// sendAttempt brings an offer over a link to a machine, and the answer back.
+func (s *scheduler) sendAttempt(effect *engine.Effect) {
+	w, node, incarnation := s.world, s.world.nodesByName[effect.Node], s.incarnation
+	attempt := attemptKey(string(effect.UID), effect.Attempt)
+	s.attempts[attempt] = true
+	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node}
+	done := func(delay float64, final engine.AttemptAnswer) {
+		w.after(delay, func() {
+			if s.engine == nil || s.incarnation != incarnation {
 				return
 			}
-			if !s.calls[k] && a.Accepted {
-				a.Accepted, a.Result = false, placer.Lost // the connection was closed here before
+			if !s.attempts[attempt] && final.Accepted {
+				final.Accepted, final.Result = false, placer.Lost // the connection was closed here before
 			}
-			delete(s.calls, k)
-			s.e.AttemptDone(w.now, a)
-			s.after()
+			delete(s.attempts, attempt)
+			s.engine.AttemptDone(w.now, final)
+			s.process()
 		})
 	}
-	pod := x.Pod
-	w.after(w.link(), func() {
+	pod := effect.Pod
+	w.after(w.latency(), func() {
 		switch {
-		case n.m == nil:
-			ans.Result = placer.Unreachable
-			done(w.link(), ans)
+		case node.sim == nil:
+			answer.Result = placer.Unreachable
+			done(w.latency(), answer)
 			return
-		case w.now < n.cut:
-			ans.Result = placer.Unreachable
-			done(w.cfg.ConnectWithin, ans)
+		case w.now < node.cutUntil:
+			answer.Result = placer.Unreachable
+			done(w.cfg.ConnectTimeout, answer)
 			return
 		}
 		class := pod.Labels[wellknown.Class]
-		w.tap(audit.Event{What: audit.Offered, Node: n.cfg.Name, Rack: n.cfg.Rack, Zone: n.cfg.Zone, UID: string(x.UID), Attempt: x.Attempt,
+		w.record(audit.Event{Kind: audit.AttemptReceived, Node: node.cfg.Name, Rack: node.cfg.Rack, Zone: node.cfg.Zone, UID: string(effect.UID), Attempt: effect.Attempt,
 			Class: class, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service], Scheduler: s.cfg.Name})
-		hungUp := func(r placer.Result) {
-			w.tap(audit.Event{What: audit.HungUp, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt})
-			ans.Result = r
-			done(w.link(), ans)
+		hungUp := func(result placer.Result) {
+			w.record(audit.Event{Kind: audit.Abandoned, Node: node.cfg.Name, UID: string(effect.UID), Attempt: effect.Attempt})
+			answer.Result = result
+			done(w.latency(), answer)
 		}
 		switch {
-		case w.now < n.faults.Reset || w.rng.Float64() < w.cfg.LoseOffer:
+		case w.now < node.faults.ResetUntil || w.rng.Float64() < w.cfg.AttemptLossRate:
 			hungUp(placer.Lost)
 			return
-		case n.faults.Errs(w.now, class):
+		case node.faults.FailsClass(w.now, class):
 			hungUp(placer.Errored)
 			return
 		}
-		n.waiting[k] = func(e *nodesim.Effect) {
-			d := w.link()
-			if w.now < n.faults.Trickle {
-				d++
+		node.pending[attempt] = func(outcome *nodesim.Effect) {
+			delay := w.latency()
+			if w.now < node.faults.TrickleUntil {
+				delay++
 			}
-			if e == nil || e.Task != nil && (w.now < n.faults.LoseAnswer || w.rng.Float64() < w.cfg.LoseAnswer) {
+			if outcome == nil || outcome.Task != nil && (w.now < node.faults.LoseAnswerUntil || w.rng.Float64() < w.cfg.AnswerLossRate) {
 				hungUp(placer.Lost)
 				return
 			}
-			a := ans
-			a.Incarnation = n.boot
-			c, m := n.m.Unused()
-			a.Report = &placer.Report{FreeCores: c, FreeMemory: m, Utilization: n.m.Busy(), QueueLength: float64(n.m.Waiting())}
-			if e.Task != nil {
-				a.Accepted, a.Rev = true, n.rev
+			final := answer
+			final.Incarnation = node.bootID
+			c, m := node.sim.Unused()
+			final.Report = &placer.Report{FreeCores: c, FreeMemory: m, Utilization: node.sim.Utilization(), QueueLength: float64(node.sim.QueueLength())}
+			if outcome.Task != nil {
+				final.Accepted, final.Revision = true, node.rev
 			} else {
-				a.Result, a.Reason = placer.Rejected, refusals[e.Reason]
-				w.tap(audit.Event{What: audit.Refused, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt, Reason: fmt.Sprint(e.Reason)})
+				final.Result, final.Reason = placer.Rejected, rejectReasons[outcome.Reason]
+				w.record(audit.Event{Kind: audit.Rejected, Node: node.cfg.Name, UID: string(effect.UID), Attempt: effect.Attempt, Reason: fmt.Sprint(outcome.Reason)})
 			}
-			done(d, a)
+			done(delay, final)
 		}
-		life, _ := strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64)
+		incarnation, _ := strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64)
 		cores, mem := wellknown.Requests(&pod.Spec)
-		n.m.Offer(w.now, nodesim.Offer{UID: string(x.UID), Attempt: x.Attempt, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service],
-			Cores: cores, Memory: mem, Priority: w.cfg.Priorities[class], Life: life, Payload: pod})
-		n.after()
+		node.sim.Submit(w.now, nodesim.Request{UID: string(effect.UID), Attempt: effect.Attempt, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service],
+			Cores: cores, Memory: mem, Priority: w.cfg.Priorities[class], Lifetime: incarnation, Payload: pod})
+		node.process()
 	})
 }
 
-var refusals = map[nodesim.Reason]placer.Reason{nodesim.InsufficientCores: placer.InsufficientCores, nodesim.InsufficientMemory: placer.InsufficientMemory,
+var rejectReasons = map[nodesim.Reason]placer.Reason{nodesim.InsufficientCores: placer.InsufficientCores, nodesim.InsufficientMemory: placer.InsufficientMemory,
 	nodesim.QueueFull: placer.QueueFull, nodesim.WrongNode: placer.WrongNode}
 
-func (s *sched) stopTask(x *engine.Effect) {
-	w, n, life := s.w, s.w.byName[x.Node], s.life
-	ans := engine.StopAnswer{UID: x.UID, Node: x.Node, Attempt: x.Attempt}
-	back := func(d float64) {
-		w.after(d, func() {
-			if s.e != nil && s.life == life {
-				s.e.StopDone(w.now, ans)
-				s.after()
+func (s *scheduler) stopTask(effect *engine.Effect) {
+	w, node, incarnation := s.world, s.world.nodesByName[effect.Node], s.incarnation
+	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
+	reply := func(delay float64) {
+		w.after(delay, func() {
+			if s.engine != nil && s.incarnation == incarnation {
+				s.engine.StopDone(w.now, answer)
+				s.process()
 			}
 		})
 	}
-	w.after(w.link(), func() {
-		if n.m == nil || w.now < n.cut {
-			back(w.cfg.ConnectWithin)
+	w.after(w.latency(), func() {
+		if node.sim == nil || w.now < node.cutUntil {
+			reply(w.cfg.ConnectTimeout)
 			return
 		}
-		ans.Known, ans.Incarnation = true, n.boot
-		ans.Had, ans.Ran = n.m.Stop(w.now, string(x.UID), x.Attempt)
-		if !ans.Had {
-			w.tap(audit.Event{What: audit.Sealed, Node: n.cfg.Name, UID: string(x.UID), Attempt: x.Attempt})
+		answer.Answered, answer.Incarnation = true, node.bootID
+		answer.HadTask, answer.MayHaveRun = node.sim.Stop(w.now, string(effect.UID), effect.Attempt)
+		if !answer.HadTask {
+			w.record(audit.Event{Kind: audit.Fenced, Node: node.cfg.Name, UID: string(effect.UID), Attempt: effect.Attempt})
 		}
-		n.after()
-		back(w.link())
+		node.process()
+		reply(w.latency())
 	})
 }
 
 // ---- watches on machines ----
 
-func (f *follower) connect() {
-	w := f.s.w
-	life := f.s.life
-	w.after(w.link()*2, func() {
-		if f.gone || f.s.e == nil || f.s.life != life {
+func (f *podWatch) connect() {
+	w := f.scheduler.world
+	incarnation := f.scheduler.incarnation
+	w.after(w.latency()*2, func() {
+		if f.cancelled || f.scheduler.engine == nil || f.scheduler.incarnation != incarnation {
 			return
 		}
-		if f.n.m == nil || w.now < f.n.cut {
+		if f.node.sim == nil || w.now < f.node.cutUntil {
 			w.after(0.1+0.9*w.rng.Float64(), f.connect)
 			return
 		}
-		f.on, f.life = true, f.n.life
-		f.n.watch = append(f.n.watch, f)
+		f.established, f.nodeIncarnation = true, f.node.incarnation
+		f.node.watches = append(f.node.watches, f)
 		var pods []*corev1.Pod
-		names := make([]string, 0, len(f.n.pods))
-		for uid, p := range f.n.pods {
-			if p.Labels[wellknown.Scheduler] == f.s.cfg.Name {
-				names = append(names, uid)
+		uids := make([]string, 0, len(f.node.pods))
+		for uid, p := range f.node.pods {
+			if p.Labels[wellknown.Scheduler] == f.scheduler.cfg.Name {
+				uids = append(uids, uid)
 			}
 		}
-		sort.Strings(names)
-		for _, uid := range names {
-			pods = append(pods, f.n.pods[uid])
+		sort.Strings(uids)
+		for _, uid := range uids {
+			pods = append(pods, f.node.pods[uid])
 		}
-		boot, rev := f.n.boot, f.n.rev
-		f.send(func() { f.s.e.NodePods(w.now, f.n.cfg.Name, boot, rev, pods) })
+		boot, rev := f.node.bootID, f.node.rev
+		f.send(func() { f.scheduler.engine.NodePods(w.now, f.node.cfg.Name, boot, rev, pods) })
 	})
 }
 
 // send brings an event to the scheduler, in order.
-func (f *follower) send(fn func()) {
-	w, life := f.s.w, f.s.life
-	f.last = max(f.last, w.now+w.link())
-	w.at(f.last, func() {
-		if !f.gone && f.s.e != nil && f.s.life == life {
+func (f *podWatch) send(fn func()) {
+	w, incarnation := f.scheduler.world, f.scheduler.incarnation
+	f.lastArrival = max(f.lastArrival, w.now+w.latency())
+	w.at(f.lastArrival, func() {
+		if !f.cancelled && f.scheduler.engine != nil && f.scheduler.incarnation == incarnation {
 			fn()
-			f.s.after()
+			f.scheduler.process()
 		}
 	})
 }
 
-// broken ends a watch; the scheduler connects again.
-func (f *follower) broken() {
-	f.on = false
+// lost ends a watch; the scheduler connects again.
+func (f *podWatch) lost() {
+	f.established = false
 	f.send(func() {
-		f.s.e.NodeUnresponsive(f.s.w.now, f.n.cfg.Name)
-		f.s.w.after(0.1, f.connect)
+		f.scheduler.engine.NodeUnresponsive(f.scheduler.world.now, f.node.cfg.Name)
+		f.scheduler.world.after(0.1, f.connect)
 	})
 }
 
 // ---- machines ----
 
-func (n *node) up(cold bool) {
-	w := n.w
-	n.life++
-	c := n.cfg.Sim
-	c.Cold, c.Seed = cold, c.Seed+uint64(n.life)*7919
-	n.m = nodesim.New(c, w.now)
-	n.boot = fmt.Sprintf("%s-%d", n.cfg.Name, n.life)
+func (n *node) start(cold bool) {
+	w := n.world
+	n.incarnation++
+	cfg := n.cfg.Sim
+	cfg.Cold, cfg.Seed = cold, cfg.Seed+uint64(n.incarnation)*7919
+	n.sim = nodesim.New(cfg, w.now)
+	n.bootID = fmt.Sprintf("%s-%d", n.cfg.Name, n.incarnation)
 	n.started = 0
 	if cold {
 		n.started = w.now
 	}
 	n.rev = int64(w.now * 1e6)
-	n.wake = math.Inf(1)
-	n.pods, n.waiting = map[string]*corev1.Pod{}, map[string]func(*nodesim.Effect){}
-	n.m.Refuse = func(*nodesim.Offer) nodesim.Reason {
-		if w.now < n.faults.Refuse {
+	n.wakeAt = math.Inf(1)
+	n.pods, n.pending = map[string]*corev1.Pod{}, map[string]func(*nodesim.Effect){}
+	n.sim.RejectHook = func(*nodesim.Request) nodesim.Reason {
+		if w.now < n.faults.RejectUntil {
 			return nodesim.InsufficientCores
 		}
 		return nodesim.None
 	}
-	w.tap(audit.Event{What: audit.Up, Node: n.cfg.Name})
-	n.after()
+	w.record(audit.Event{Kind: audit.NodeUp, Node: n.cfg.Name})
+	n.process()
 }
 
-func (n *node) down(d float64) {
-	if n.m == nil {
+func (n *node) stop(delay float64) {
+	if n.sim == nil {
 		return
 	}
-	waiting := n.waiting
-	n.m, n.waiting = nil, nil
-	keys := make([]string, 0, len(waiting))
-	for k := range waiting {
+	pending := n.pending
+	n.sim, n.pending = nil, nil
+	keys := make([]string, 0, len(pending))
+	for k := range pending {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		waiting[k](nil)
+		pending[k](nil)
 	}
 	n.breakWatches()
-	n.w.after(d, func() {
-		if n.m == nil {
-			n.up(true)
+	n.world.after(delay, func() {
+		if n.sim == nil {
+			n.start(true)
 		}
 	})
 }
 
 func (n *node) breakWatches() {
-	watch := n.watch
-	n.watch = nil
-	for _, f := range watch {
-		if !f.gone {
-			f.broken()
+	watches := n.watches
+	n.watches = nil
+	for _, watch := range watches {
+		if !watch.cancelled {
+			watch.lost()
 		}
 	}
 }
 
-func (n *node) after() {
-	for n.m != nil {
-		effects := n.m.Ready()
+func (n *node) process() {
+	for n.sim != nil {
+		effects := n.sim.Ready()
 		if len(effects) == 0 {
 			break
 		}
 		for i := range effects {
-			if n.m == nil {
+			if n.sim == nil {
 				return
 			}
-			n.effect(&effects[i])
+			n.apply(&effects[i])
 		}
 	}
-	if n.m == nil {
+	if n.sim == nil {
 		return
 	}
-	if at := n.m.NextWake(); at < n.wake {
-		n.wake = at
-		life := n.life
-		n.w.at(at, func() {
-			if n.m != nil && n.life == life && n.wake <= n.w.now {
-				n.wake = math.Inf(1)
-				n.m.Tick(n.w.now)
-				n.after()
+	if at := n.sim.NextWake(); at < n.wakeAt {
+		n.wakeAt = at
+		incarnation := n.incarnation
+		n.world.at(at, func() {
+			if n.sim != nil && n.incarnation == incarnation && n.wakeAt <= n.world.now {
+				n.wakeAt = math.Inf(1)
+				n.sim.Tick(n.world.now)
+				n.process()
 			}
 		})
 	}
 }
 
-func (n *node) effect(x *nodesim.Effect) {
-	switch x.Kind {
+func (n *node) apply(effect *nodesim.Effect) {
+	switch effect.Kind {
 	case nodesim.Answered:
-		k := key(x.UID, x.Attempt)
-		if f := n.waiting[k]; f != nil {
-			delete(n.waiting, k)
-			f(x)
+		attempt := attemptKey(effect.UID, effect.Attempt)
+		if reply := n.pending[attempt]; reply != nil {
+			delete(n.pending, attempt)
+			reply(effect)
 		}
 	case nodesim.Changed:
-		t := x.Task
-		p := Show(t, n.cfg.Name)
+		task := effect.Task
+		pod := PodOfTask(task, n.cfg.Name)
 		n.rev++
-		p.ResourceVersion = strconv.FormatInt(n.rev, 10)
-		n.pods[t.UID] = p
-		what := audit.Ended
-		switch t.Phase {
+		pod.ResourceVersion = strconv.FormatInt(n.rev, 10)
+		n.pods[task.UID] = pod
+		kind := audit.Ended
+		switch task.Phase {
 		case nodesim.Accepted:
-			what = audit.Accepted
+			kind = audit.Accepted
 		case nodesim.Running:
-			what = audit.Started
+			kind = audit.Started
 		}
-		n.w.tap(audit.Event{What: what, Node: n.cfg.Name, UID: t.UID, Attempt: t.Attempt, Reason: p.Status.Reason})
-		n.tell(p, false)
-	case nodesim.Forgotten:
-		p := n.pods[x.Task.UID]
-		delete(n.pods, x.Task.UID)
+		n.world.record(audit.Event{Kind: kind, Node: n.cfg.Name, UID: task.UID, Attempt: task.Attempt, Reason: pod.Status.Reason})
+		n.notifyWatches(pod, false)
+	case nodesim.Removed:
+		pod := n.pods[effect.Task.UID]
+		delete(n.pods, effect.Task.UID)
 		n.rev++
-		n.tell(p, true)
-	case nodesim.Fell:
-		n.w.tap(audit.Event{What: audit.Fell, Node: n.cfg.Name})
-		n.down(30)
+		n.notifyWatches(pod, true)
+	case nodesim.Overloaded:
+		n.world.record(audit.Event{Kind: audit.Overloaded, Node: n.cfg.Name})
+		n.stop(30)
 	}
 }
 
-func (n *node) tell(p *corev1.Pod, deleted bool) {
-	for _, f := range n.watch {
-		if f.on && !f.gone && f.s.cfg.Name == p.Labels[wellknown.Scheduler] {
-			f.send(func() { f.s.e.NodePod(n.w.now, n.cfg.Name, p, deleted) })
+func (n *node) notifyWatches(pod *corev1.Pod, deleted bool) {
+	for _, watch := range n.watches {
+		if watch.established && !watch.cancelled && watch.scheduler.cfg.Name == pod.Labels[wellknown.Scheduler] {
+			watch.send(func() { watch.scheduler.engine.NodePod(n.world.now, n.cfg.Name, pod, deleted) })
 		}
 	}
 }
 
-var phases = map[nodesim.Phase]corev1.PodPhase{nodesim.Accepted: corev1.PodPending, nodesim.Running: corev1.PodRunning,
-	nodesim.Succeeded: corev1.PodSucceeded, nodesim.Ended: corev1.PodFailed}
+var podPhases = map[nodesim.Phase]corev1.PodPhase{nodesim.Accepted: corev1.PodPending, nodesim.Running: corev1.PodRunning,
+	nodesim.Succeeded: corev1.PodSucceeded, nodesim.Terminated: corev1.PodFailed}
 
-var ends = map[nodesim.Reason]string{nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
-	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverRan}
+var podReasons = map[nodesim.Reason]string{nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
+	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverStarted}
 
-// Show is the Pod of a machine's task as the machine shows it. The task's payload must be the Pod that was offered.
-func Show(t *nodesim.Task, name string) *corev1.Pod {
-	was := t.Payload.(*corev1.Pod)
-	p := &corev1.Pod{ObjectMeta: *was.ObjectMeta.DeepCopy(), Spec: was.Spec}
-	p.Spec.NodeName = name
-	if p.Annotations == nil {
-		p.Annotations = map[string]string{}
+// PodOfTask is the Pod of a machine's task as the machine shows it. The task's payload must be the Pod that was offered.
+func PodOfTask(task *nodesim.Task, nodeName string) *corev1.Pod {
+	assigned := task.Payload.(*corev1.Pod)
+	pod := &corev1.Pod{ObjectMeta: *assigned.ObjectMeta.DeepCopy(), Spec: assigned.Spec}
+	pod.Spec.NodeName = nodeName
+	if pod.Annotations == nil {
+		pod.Annotations = map[string]string{}
 	}
-	p.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(t.Attempt)
-	if t.Phase == nodesim.Running {
-		p.Annotations[wellknown.Use] = wellknown.FormatDict("cores", t.UseCores, "memory", t.UseMemory)
+	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(task.Attempt)
+	if task.Phase == nodesim.Running {
+		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", task.UsedCores, "memory", task.UsedMemory)
 	}
-	p.Status = corev1.PodStatus{Phase: phases[t.Phase], Reason: ends[t.Reason]}
-	return p
+	pod.Status = corev1.PodStatus{Phase: podPhases[task.Phase], Reason: podReasons[task.Reason]}
+	return pod
 }
 
-// beat reports to the inventory, which shows it late.
-func (n *node) beat() {
-	w := n.w
-	w.after(w.cfg.Beat, n.beat)
-	if n.m == nil {
+// report reports to the inventory, which shows it late.
+func (n *node) report() {
+	w := n.world
+	w.after(w.cfg.ReportInterval, n.report)
+	if n.sim == nil {
 		return
 	}
-	n.m.Tick(w.now)
-	n.after()
-	if n.m == nil {
+	n.sim.Tick(w.now)
+	n.process()
+	if n.sim == nil {
 		return
 	}
-	o := n.object()
-	seen := w.now
-	w.after(w.cfg.Late, func() { w.report(o, seen) })
+	object := n.object()
+	reportedAt := w.now
+	w.after(w.cfg.ReportDelay, func() { w.showReport(object, reportedAt) })
 }
 
-func (w *World) report(o *corev1.Node, seen float64) {
-	l := w.list[o.Name]
-	if l == nil {
-		l = &listed{}
-		w.list[o.Name] = l
+func (w *World) showReport(object *corev1.Node, reportedAt float64) {
+	entry := w.inventory[object.Name]
+	if entry == nil {
+		entry = &inventoryEntry{}
+		w.inventory[object.Name] = entry
 	}
-	was := l.o
-	l.seen = max(l.seen, seen)
-	if l.ready && was != nil && was.Annotations[wellknown.Free] == o.Annotations[wellknown.Free] && was.Status.NodeInfo.BootID == o.Status.NodeInfo.BootID &&
-		was.Spec.Unschedulable == o.Spec.Unschedulable {
+	previous := entry.object
+	entry.lastReport = max(entry.lastReport, reportedAt)
+	if entry.ready && previous != nil && previous.Annotations[wellknown.FreeCapacity] == object.Annotations[wellknown.FreeCapacity] && previous.Status.NodeInfo.BootID == object.Status.NodeInfo.BootID &&
+		previous.Spec.Unschedulable == object.Spec.Unschedulable {
 		return
 	}
-	if !l.ready || was == nil || was.Spec.Unschedulable != o.Spec.Unschedulable {
-		what := audit.ListedReady
-		if o.Spec.Unschedulable {
-			what = audit.ListedDraining
+	if !entry.ready || previous == nil || previous.Spec.Unschedulable != object.Spec.Unschedulable {
+		kind := audit.ListedReady
+		if object.Spec.Unschedulable {
+			kind = audit.ListedDraining
 		}
-		w.tap(audit.Event{What: what, Node: o.Name})
+		w.record(audit.Event{Kind: kind, Node: object.Name})
 	}
-	l.o, l.ready = o, true
-	w.push(l)
+	entry.object, entry.ready = object, true
+	w.notify(entry)
 }
 
-// push shows a change to every scheduler that follows the inventory.
-func (w *World) push(l *listed) {
-	if w.now < w.invCut {
+// notify shows a change to every scheduler that follows the inventory.
+func (w *World) notify(entry *inventoryEntry) {
+	if w.now < w.inventoryCutUntil {
 		return
 	}
-	o := l.shown()
-	for _, s := range w.scheds {
-		life := s.life
-		if s.e == nil || !s.synced {
+	object := entry.visible()
+	for _, sched := range w.schedulers {
+		incarnation := sched.incarnation
+		if sched.engine == nil || !sched.synced {
 			continue
 		}
-		w.after(w.cfg.LinkMax, func() {
-			if s.e != nil && s.life == life && w.now >= w.invCut {
-				s.e.NodesListed(w.now, engine.Changes, []*corev1.Node{o}, nil)
-				s.after()
+		w.after(w.cfg.LatencyMax, func() {
+			if sched.engine != nil && sched.incarnation == incarnation && w.now >= w.inventoryCutUntil {
+				sched.engine.NodesListed(w.now, engine.Changes, []*corev1.Node{object}, nil)
+				sched.process()
 			}
 		})
 	}
 }
 
-// checkSilent shows machines as not ready that have not reported.
-func (w *World) checkSilent() {
-	w.after(0.25, w.checkSilent)
+// checkUnresponsive shows machines as not ready that have not reported.
+func (w *World) checkUnresponsive() {
+	w.after(0.25, w.checkUnresponsive)
 	for _, n := range w.nodes {
-		if l := w.list[n.cfg.Name]; l != nil && l.ready && w.now-l.seen > w.cfg.SilentAfter+w.cfg.Late {
-			l.ready = false
-			w.tap(audit.Event{What: audit.ListedGone, Node: n.cfg.Name})
-			w.push(l)
+		if entry := w.inventory[n.cfg.Name]; entry != nil && entry.ready && w.now-entry.lastReport > w.cfg.UnresponsiveAfter+w.cfg.ReportDelay {
+			entry.ready = false
+			w.record(audit.Event{Kind: audit.ListedUnavailable, Node: n.cfg.Name})
+			w.notify(entry)
 		}
 	}
 }
 
 func (n *node) object() *corev1.Node {
-	o := &corev1.Node{}
-	o.Name, o.UID = n.cfg.Name, types.UID("node-"+n.cfg.Name)
-	o.Labels = map[string]string{wellknown.Zone: n.cfg.Zone, wellknown.Rack: n.cfg.Rack, wellknown.Kind: n.cfg.Kind}
-	c, m := n.m.Free()
-	o.Annotations = map[string]string{wellknown.Free: wellknown.FormatDict("cores", c, "memory", m)}
+	object := &corev1.Node{}
+	object.Name, object.UID = n.cfg.Name, types.UID("node-"+n.cfg.Name)
+	object.Labels = map[string]string{wellknown.Zone: n.cfg.Zone, wellknown.Rack: n.cfg.Rack, wellknown.Kind: n.cfg.Kind}
+	cores, memory := n.sim.Free()
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", cores, "memory", memory)}
 	if n.started > 0 {
-		o.Annotations[wellknown.Started] = wellknown.Instant(n.started + n.faults.Clock)
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(n.started + n.faults.ClockSkew)
 	}
-	o.Spec.Unschedulable = n.m.Draining()
-	o.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
-	o.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: n.cfg.Name}}
-	o.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
-	o.Status.NodeInfo.BootID = n.boot
-	return o
+	object.Spec.Unschedulable = n.sim.Draining()
+	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
+	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: n.cfg.Name}}
+	object.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
+	object.Status.NodeInfo.BootID = n.bootID
+	return object
 }
 
-func (n *node) fault(f fault.Node) {
-	now := n.w.now
-	n.faults.Order(now, f)
-	if f.Stall != 0 && n.m != nil {
-		n.m.StallUntil(now + f.Stall)
+func (n *node) injectFault(order fault.Node) {
+	now := n.world.now
+	n.faults.Apply(now, order)
+	if order.Stall != 0 && n.sim != nil {
+		n.sim.StallUntil(now + order.Stall)
 	}
-	if f.Cut > 0 {
-		n.cut = now + f.Cut
+	if order.Unreachable > 0 {
+		n.cutUntil = now + order.Unreachable
 		n.breakWatches()
 	}
-	if f.Drain != nil && n.m != nil {
-		if *f.Drain {
-			n.m.Drain(now)
+	if order.Drain != nil && n.sim != nil {
+		if *order.Drain {
+			n.sim.Drain(now)
 		} else {
-			n.m.Undrain(now)
+			n.sim.Undrain(now)
 		}
-		n.after()
+		n.process()
 	}
-	if f.Crash > 0 && n.m != nil {
-		n.w.tap(audit.Event{What: audit.Crashed, Node: n.cfg.Name})
-		n.down(f.Crash)
+	if order.Crash > 0 && n.sim != nil {
+		n.world.record(audit.Event{Kind: audit.Crashed, Node: n.cfg.Name})
+		n.stop(order.Crash)
 	}
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -16,90 +16,90 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "60") }
 
-func play(t interface{ Fatal(...any) }, d scenario.Script, change func(*Config)) *World {
-	s := config.Default()
-	c := FromSettings(&s, &d)
-	c.KeepEvents = true
-	if change != nil {
-		change(&c)
+func runScenario(t interface{ Fatal(...any) }, script scenario.Script, configure func(*Config)) *World {
+	settings := config.Default()
+	cfg := FromSettings(&settings, &script)
+	cfg.KeepEvents = true
+	if configure != nil {
+		configure(&cfg)
 	}
-	w, err := New(c)
+	world, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Run(d.Plan(c.NodesOf()), d.Seconds)
-	return w
+	world.Run(script.Plan(cfg.ScenarioNodes()), script.Seconds)
+	return world
 }
 
 // Any kinds of trouble, alone and overlapping, on lossy links: the five rules hold, revisions only grow, and every task that was
 // asked has its one outcome.
-func TestRulesHoldOnRandomDays(t *testing.T) {
-	kinds := slices.Sorted(maps.Keys(scenario.Kinds))
+func TestRulesHoldInRandomScenarios(t *testing.T) {
+	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
 	rapid.Check(t, func(t *rapid.T) {
-		d := scenario.Default()
-		d.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
-		d.Seconds, d.Calm = 100, 65
-		d.Nodes = rapid.IntRange(4, 14).Draw(t, "nodes")
-		d.Schedulers = rapid.IntRange(1, 4).Draw(t, "schedulers")
-		d.Load.TasksPerSecond = rapid.Float64Range(2, 25).Draw(t, "load")
-		d.Load.Services = 12
-		d.Trouble = nil
+		script := scenario.Default()
+		script.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
+		script.Seconds, script.Cooldown = 100, 65
+		script.Nodes = rapid.IntRange(4, 14).Draw(t, "nodes")
+		script.Schedulers = rapid.IntRange(1, 4).Draw(t, "schedulers")
+		script.Load.TasksPerSecond = rapid.Float64Range(2, 25).Draw(t, "load")
+		script.Load.Services = 12
+		script.Faults = nil
 		for i := range rapid.IntRange(1, 5).Draw(t, "troubles") {
-			d.Trouble = append(d.Trouble, scenario.Trouble{Kind: rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind", i)),
-				At: rapid.Float64Range(0, 25).Draw(t, fmt.Sprint("at", i)), For: rapid.Float64Range(0.5, 15).Draw(t, fmt.Sprint("for", i)),
-				Part: rapid.Float64Range(0.1, 1).Draw(t, fmt.Sprint("part", i)), Scale: rapid.Float64Range(0.5, 3).Draw(t, fmt.Sprint("scale", i))})
+			script.Faults = append(script.Faults, scenario.Fault{Kind: rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind", i)),
+				At: rapid.Float64Range(0, 25).Draw(t, fmt.Sprint("at", i)), Duration: rapid.Float64Range(0.5, 15).Draw(t, fmt.Sprint("for", i)),
+				Fraction: rapid.Float64Range(0.1, 1).Draw(t, fmt.Sprint("part", i)), Scale: rapid.Float64Range(0.5, 3).Draw(t, fmt.Sprint("scale", i))})
 		}
 		last := map[int]int64{}
-		w := play(t, d, func(c *Config) {
-			c.LoseOffer = rapid.Float64Range(0, 0.05).Draw(t, "loseOffer")
-			c.LoseAnswer = rapid.Float64Range(0, 0.05).Draw(t, "loseAnswer")
-			c.Each = func(w *World, i int) {
-				if rev := w.Engine(i).Store().Rev(); rev < last[i] {
+		world := runScenario(t, script, func(cfg *Config) {
+			cfg.AttemptLossRate = rapid.Float64Range(0, 0.05).Draw(t, "loseOffer")
+			cfg.AnswerLossRate = rapid.Float64Range(0, 0.05).Draw(t, "loseAnswer")
+			cfg.AfterEngineCall = func(world *World, i int) {
+				if rev := world.Engine(i).Store().Rev(); rev < last[i] {
 					panic(fmt.Sprintf("revision went back from %d to %d", last[i], rev))
 				} else {
 					last[i] = rev
 				}
 			}
 		})
-		r := w.Audit()
-		if len(r.Violations) > 0 {
-			t.Fatalf("%d violations in %d tasks, first: %v", len(r.Violations), r.Tasks, r.Violations[:min(len(r.Violations), 5)])
+		report := world.Audit()
+		if len(report.Violations) > 0 {
+			t.Fatalf("%d violations in %d tasks, first: %v", len(report.Violations), report.Tasks, report.Violations[:min(len(report.Violations), 5)])
 		}
 	})
 }
 
 // The same day gives the same events, byte for byte.
 func TestSameSeedSameEvents(t *testing.T) {
-	d := scenario.Default()
-	d.Seconds, d.Calm = 60, 30
-	for i := range d.Trouble {
-		d.Trouble[i].At = float64(i)
+	script := scenario.Default()
+	script.Seconds, script.Cooldown = 60, 30
+	for i := range script.Faults {
+		script.Faults[i].At = float64(i)
 	}
-	a, b := play(t, d, nil), play(t, d, nil)
-	if len(a.Events) == 0 || !slices.Equal(a.Events, b.Events) {
-		t.Fatalf("%d and %d events, or not the same ones", len(a.Events), len(b.Events))
+	first, second := runScenario(t, script, nil), runScenario(t, script, nil)
+	if len(first.Events) == 0 || !slices.Equal(first.Events, second.Events) {
+		t.Fatalf("%d and %d events, or not the same ones", len(first.Events), len(second.Events))
 	}
 }
 
 // A list and the changes after it give the state, at any point of a day.
 func TestListAndWatchEqualState(t *testing.T) {
-	d := scenario.Default()
-	d.Seconds, d.Calm, d.Schedulers = 60, 20, 1
-	d.Trouble = []scenario.Trouble{{Kind: "crash", At: 5, For: 5, Part: 0.4}, {Kind: "flush", At: 15, For: 3, Part: 0.5}}
-	var from store.Snapshot
+	script := scenario.Default()
+	script.Seconds, script.Cooldown, script.Schedulers = 60, 20, 1
+	script.Faults = []scenario.Fault{{Kind: "crash", At: 5, Duration: 5, Fraction: 0.4}, {Kind: "flush", At: 15, Duration: 3, Fraction: 0.5}}
+	var snapshot store.Snapshot
 	calls := 0
-	w := play(t, d, func(c *Config) {
-		c.Each = func(w *World, i int) {
+	w := runScenario(t, script, func(c *Config) {
+		c.AfterEngineCall = func(w *World, i int) {
 			if calls++; calls == 2000 {
-				from = w.Engine(0).Store().Snapshot(store.Pods)
+				snapshot = w.Engine(0).Store().Snapshot(store.Pods)
 			}
 		}
 	})
-	st := w.Engine(0).Store()
+	podStore := w.Engine(0).Store()
 	got := map[string]store.Object{}
-	from.Scan("", "", func(k string, c *store.Change) bool { got[k] = c.Object; return true })
-	for rev := from.Rev; ; {
-		changes, err := st.Since(store.Pods, rev, 100)
+	snapshot.Scan("", "", func(key string, c *store.Change) bool { got[key] = c.Object; return true })
+	for rev := snapshot.Rev; ; {
+		changes, err := podStore.Since(store.Pods, rev, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,25 +108,25 @@
 		}
 		for _, c := range changes {
 			rev = c.Rev
-			k := store.Key(c.Object.GetNamespace(), c.Object.GetName())
-			switch _, had := got[k]; {
+			key := store.Key(c.Object.GetNamespace(), c.Object.GetName())
+			switch _, had := got[key]; {
 			case c.Op == store.Deleted && !had, c.Op == store.Added && had, c.Op == store.Modified && !had:
-				t.Fatalf("revision %d: %v of %s, had %v", c.Rev, c.Op, k, had)
+				t.Fatalf("revision %d: %v of %s, had %v", c.Rev, c.Op, key, had)
 			case c.Op == store.Deleted:
-				delete(got, k)
+				delete(got, key)
 			default:
-				got[k] = c.Object
+				got[key] = c.Object
 			}
 		}
 	}
-	n := 0
-	st.Snapshot(store.Pods).Scan("", "", func(k string, c *store.Change) bool {
-		if n++; got[k] != c.Object {
-			t.Fatalf("%s differs", k)
+	objects := 0
+	podStore.Snapshot(store.Pods).Scan("", "", func(key string, c *store.Change) bool {
+		if objects++; got[key] != c.Object {
+			t.Fatalf("%s differs", key)
 		}
 		return true
 	})
-	if n != len(got) || n == 0 {
-		t.Fatalf("%d objects by list and watch, %d are there", len(got), n)
+	if objects != len(got) || objects == 0 {
+		t.Fatalf("%d objects by list and watch, %d are there", len(got), objects)
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,19 +9,19 @@
 )
 
 // FromSettings describes the world that `heathshed badday` would start for a script: the same machines, schedulers and rules.
-func FromSettings(s *config.Settings, d *scenario.Script) Config {
-	c := Config{Seed: d.Seed, Priorities: s.Priorities(), LinkMin: 0.0001, LinkMax: 0.0006, ConnectWithin: s.ConnectWithin, Beat: 0.5,
-		Late: s.Emulator.Late, SilentAfter: s.Emulator.SilentAfter, Start: 1.8e9, Classes: Classes(s), DrainGrace: s.Rules.DrainGrace}
-	for i := range d.Nodes {
-		m, kind, rack, zone := s.Machine(i)
-		c.Nodes = append(c.Nodes, NodeConfig{Node: scenario.Node{Name: NodeName(i), Zone: zone, Rack: rack, Kind: kind}, Sim: m})
+func FromSettings(settings *config.Settings, script *scenario.Script) Config {
+	cfg := Config{Seed: script.Seed, Priorities: settings.Priorities(), LatencyMin: 0.0001, LatencyMax: 0.0006, ConnectTimeout: settings.ConnectTimeout, ReportInterval: 0.5,
+		ReportDelay: settings.Emulator.ReportDelay, UnresponsiveAfter: settings.Emulator.UnresponsiveAfter, StartTime: 1.8e9, Classes: AuditClasses(settings), DrainGrace: settings.Rules.DrainGrace}
+	for i := range script.Nodes {
+		sim, kind, rack, zone := settings.EmulatedNode(i)
+		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: scenario.Node{Name: NodeName(i), Zone: zone, Rack: rack, Kind: kind}, Sim: sim})
 	}
-	for i := range d.Schedulers {
-		p := *s
-		p.Self, p.Peers, p.Name = i, d.Schedulers, SchedulerName(i)
-		c.Schedulers = append(c.Schedulers, p.Engine(d.Seed*31+uint64(i), 0))
+	for i := range script.Schedulers {
+		own := *settings
+		own.Self, own.Peers, own.Name = i, script.Schedulers, SchedulerName(i)
+		cfg.Schedulers = append(cfg.Schedulers, own.Engine(script.Seed*31+uint64(i), 0))
 	}
-	return c
+	return cfg
 }
 
 // NodeName and SchedulerName are the names that days use.
@@ -30,8 +30,8 @@
 // SchedulerName is the name of the i-th scheduler of a day.
 func SchedulerName(i int) string { return fmt.Sprintf("scheduler-%d", i+1) }
 
-// NodesOf are the machines as plans speak of them.
-func (c *Config) NodesOf() []scenario.Node {
+// ScenarioNodes are the machines as plans speak of them.
+func (c *Config) ScenarioNodes() []scenario.Node {
 	var out []scenario.Node
 	for i := range c.Nodes {
 		out = append(out, c.Nodes[i].Node)
@@ -39,15 +39,15 @@
 	return out
 }
 
-// Classes are the rules of the classes as the auditor needs them.
-func Classes(s *config.Settings) map[string]audit.Class {
-	out := map[string]audit.Class{}
-	for _, k := range s.Classes {
-		c := audit.Class{Once: k.Effect == "at_most_once", Keyed: k.Effect == "deduplicated", Group: k.KeyScope, TTL: k.KeyTTL, AtMost: k.Together}
-		if k.ApartBy != "" && k.ApartBy != "none" {
-			c.Apart = k.ApartBy
+// AuditClasses are the rules of the classes as the auditor needs them.
+func AuditClasses(s *config.Settings) map[string]audit.Class {
+	classes := map[string]audit.Class{}
+	for _, class := range s.Classes {
+		rules := audit.Class{AtMostOnce: class.Idempotency == "at_most_once", Idempotent: class.Idempotency == "deduplicated", KeyScope: class.DedupDomain, KeyTTL: class.DedupWindow, MaxPerDomain: class.MaxPerDomain}
+		if class.SpreadDomain != "" && class.SpreadDomain != "none" {
+			rules.SpreadBy = class.SpreadDomain
 		}
-		out[k.Name] = c
+		classes[class.Name] = rules
 	}
-	return out
+	return classes
 }
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -29,16 +29,16 @@
 	// Comments counts the comment lines.
 	Comments uint64
 
-	line    []byte
-	data    strings.Builder
-	some    bool // the event has data
-	event   string
-	id      string
-	size    int
-	begun   bool
-	afterCR bool
-	bom     int
-	err     error
+	line       []byte
+	data       strings.Builder
+	hasData    bool // the event has data
+	eventType  string
+	lastID     string
+	eventSize  int
+	started    bool
+	afterCR    bool
+	bomMatched int
+	err        error
 }
 
 // Write takes the next piece and calls emit for each event that it completes. After an error it returns that error always.
@@ -52,16 +52,16 @@
 	}
 	for _, c := range b {
 		// A byte order mark at the very start is skipped.
-		if !d.begun {
+		if !d.started {
 			const mark = "\xef\xbb\xbf"
-			if c == mark[d.bom] {
-				if d.bom++; d.bom == len(mark) {
-					d.begun = true
+			if c == mark[d.bomMatched] {
+				if d.bomMatched++; d.bomMatched == len(mark) {
+					d.started = true
 				}
 				continue
 			}
-			d.begun = true
-			d.line = append(d.line, mark[:d.bom]...)
+			d.started = true
+			d.line = append(d.line, mark[:d.bomMatched]...)
 		}
 		if d.afterCR {
 			d.afterCR = false
@@ -74,7 +74,7 @@
 			d.endLine(emit)
 			continue
 		}
-		if d.size++; d.size > limit {
+		if d.eventSize++; d.eventSize > limit {
 			d.err = ErrTooLarge
 			d.line, d.data = nil, strings.Builder{}
 			return d.err
@@ -88,14 +88,14 @@
 	line := d.line
 	d.line = d.line[:0]
 	if len(line) == 0 {
-		if d.some {
-			e := Event{ID: d.id, Type: d.event, Data: d.data.String()}
-			if e.Type == "" {
-				e.Type = "message"
+		if d.hasData {
+			event := Event{ID: d.lastID, Type: d.eventType, Data: d.data.String()}
+			if event.Type == "" {
+				event.Type = "message"
 			}
-			emit(e)
+			emit(event)
 		}
-		d.data, d.some, d.event, d.size = strings.Builder{}, false, "", 0
+		d.data, d.hasData, d.eventType, d.eventSize = strings.Builder{}, false, "", 0
 		if cap(d.line) > 64<<10 { // one large event does not hold its memory for good
 			d.line = nil
 		}
@@ -103,23 +103,23 @@
 	}
 	if line[0] == ':' {
 		d.Comments++
-		d.size -= len(line) // a stream of comments is no large event
+		d.eventSize -= len(line) // a stream of comments is no large event
 		return
 	}
 	name, value, _ := strings.Cut(string(line), ":")
 	value = strings.TrimPrefix(value, " ")
 	switch name {
 	case "data":
-		if d.some {
+		if d.hasData {
 			d.data.WriteByte('\n')
 		}
 		d.data.WriteString(value)
-		d.some = true
+		d.hasData = true
 	case "event":
-		d.event = value
+		d.eventType = value
 	case "id":
 		if !strings.ContainsRune(value, 0) {
-			d.id = value
+			d.lastID = value
 		}
 	}
 }
--- a/internal/store/characterization_test.go
+++ b/internal/store/characterization_test.go
@@ -31,12 +31,12 @@
 	s, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
 		s.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
-		s.Keep(float64(i), s.Snapshot(store.Pods))
+		s.KeepSnapshot(float64(i), s.Snapshot(store.Pods))
 	}
 	for _, now := range []float64{80, 310, 318.5, 345, 378, 380.5, 400} {
 		found := []int64{}
 		for revision := range s.Rev() + 2 {
-			if snapshot, err := s.Kept(now, store.Pods, revision); err == nil {
+			if snapshot, err := s.FindSnapshot(now, store.Pods, revision); err == nil {
 				found = append(found, revision, int64(snapshot.Len()))
 			}
 		}
@@ -56,7 +56,7 @@
 		} else {
 			record.Integers(s.Put(table, newObject(table, namespace, object, rng)))
 		}
-		record.Integers(s.Rev(), s.Live(), s.Past(), int64(s.Len(table)))
+		record.Integers(s.Rev(), s.ObjectCost(), s.HistoryCost(), int64(s.Len(table)))
 		readChanges(record, s, table, s.Rev()-int64(rng.IntN(30)), 1+rng.IntN(10))
 		if step%10 == 0 {
 			readSnapshot(record, s, now, table, rng)
@@ -115,14 +115,14 @@
 
 // readSnapshot keeps a snapshot and reads parts of it, and of one that was kept before.
 func readSnapshot(record *golden.Recorder, s *store.Store, now float64, table store.Resource, rng *rand.Rand) {
-	s.Keep(now, s.Snapshot(table))
-	snapshot, err := s.Kept(now, table, s.Rev()-int64(rng.IntN(3)*10))
+	s.KeepSnapshot(now, s.Snapshot(table))
+	snapshot, err := s.FindSnapshot(now, table, s.Rev()-int64(rng.IntN(3)*10))
 	record.Error(err)
 	if err != nil {
 		return
 	}
 	record.Integers(snapshot.Rev, int64(snapshot.Len()))
-	record.Booleans(s.Overtaken(snapshot))
+	record.Booleans(s.Outdated(snapshot))
 	after := ""
 	if rng.IntN(2) == 0 {
 		after = store.Key("ab", "object-10")
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,12 +31,12 @@
 	Pods
 	Nodes
 	Namespaces
-	resources
+	resourceCount
 )
 
-var names = [resources]string{"jobs", "pods", "nodes", "namespaces"}
+var resourceNames = [resourceCount]string{"jobs", "pods", "nodes", "namespaces"}
 
-func (r Resource) String() string { return names[r] }
+func (r Resource) String() string { return resourceNames[r] }
 
 // Op is a kind of change.
 type Op uint8
@@ -56,7 +56,7 @@
 	Rev          int64
 	Op           Op
 	Object, Prev Object
-	Cache        []byte // as JSON
+	JSON         []byte // as JSON
 	Binary       []byte // in the binary encoding
 }
 
@@ -68,33 +68,33 @@
 
 // Store is a set of tables that share one revision.
 type Store struct {
-	rev    int64
-	tables [resources]table
-	keep   int
-	most   int64 // cost of the histories of all tables, 0 is no bound
-	kept   []Snapshot
+	rev            int64
+	tables         [resourceCount]table
+	historyLength  int
+	maxHistoryCost int64 // cost of the histories of all tables, 0 is no bound
+	snapshots      []Snapshot
 }
 
 type table struct {
 	objects btree.Map[string, *Change] // the last change of each
 	// history holds changes in order of revision from position head on; lost is the revision of the last one dropped.
-	history []*Change
-	head    int
-	lost    int64
-	past    int64 // cost of the history
-	live    int64 // cost of the objects
+	history     []*Change
+	head        int
+	lastDropped int64
+	historyCost int64 // cost of the history
+	objectCost  int64 // cost of the objects
 }
 
 // New makes a store whose first change gets a revision above base, and which keeps at least so many changes per table.
 // A base that grows with time lets revisions go on growing over restarts.
-func New(base int64, keep int) *Store { return NewBounded(base, keep, 0) }
+func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
 // NewBounded is New with a bound on the memory of all histories together, in bytes as Cost counts them: fewer changes are kept where they
 // are large. 0 is no bound.
-func NewBounded(base int64, keep int, most int64) *Store {
-	s := &Store{rev: base, keep: max(keep, 1), most: most}
+func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
+	s := &Store{rev: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
-		s.tables[i].lost = base
+		s.tables[i].lastDropped = base
 	}
 	return s
 }
@@ -107,66 +107,66 @@
 
 // Get returns an object or nil.
 func (s *Store) Get(r Resource, namespace, name string) Object {
-	if c := s.Last(r, namespace, name); c != nil {
-		return c.Object
+	if change := s.Last(r, namespace, name); change != nil {
+		return change.Object
 	}
 	return nil
 }
 
 // Last returns the change that brought an object to its present state, or nil.
 func (s *Store) Last(r Resource, namespace, name string) *Change {
-	c, _ := s.tables[r].objects.Get(Key(namespace, name))
-	return c
+	change, _ := s.tables[r].objects.Get(Key(namespace, name))
+	return change
 }
 
 // Len is the number of objects in a table.
 func (s *Store) Len(r Resource) int { return s.tables[r].objects.Len() }
 
 // Cost is the memory that an object takes while it is kept, in bytes: itself, and its texts in each encoding. It is counted high.
-func Cost(o Object) int64 {
+func Cost(object Object) int64 {
 	size := 0
-	if z, ok := o.(interface{ Size() int }); ok {
-		size = z.Size()
+	if sized, ok := object.(interface{ Size() int }); ok {
+		size = sized.Size()
 	}
 	return 2048 + 5*int64(size)
 }
 
-// Live is the cost of all objects that stand, Past that of the history.
-func (s *Store) Live() (n int64) {
+// ObjectCost is the cost of all objects that stand, Past that of the history.
+func (s *Store) ObjectCost() (total int64) {
 	for i := range s.tables {
-		n += s.tables[i].live
+		total += s.tables[i].objectCost
 	}
-	return n
+	return total
 }
 
-// Past is the cost of the changes that are kept.
-func (s *Store) Past() (n int64) {
+// HistoryCost is the cost of the changes that are kept.
+func (s *Store) HistoryCost() (total int64) {
 	for i := range s.tables {
-		n += s.tables[i].past
+		total += s.tables[i].historyCost
 	}
-	return n
+	return total
 }
 
 // Put adds or replaces an object and sets its resourceVersion. The caller gives the object away.
-func (s *Store) Put(r Resource, o Object) int64 {
-	t := &s.tables[r]
+func (s *Store) Put(r Resource, object Object) int64 {
+	table := &s.tables[r]
 	s.rev++
-	o.SetResourceVersion(strconv.FormatInt(s.rev, 10))
-	c := &Change{Rev: s.rev, Op: Added, Object: o, cost: Cost(o)}
-	if prev, replaced := t.objects.Set(Key(o.GetNamespace(), o.GetName()), c); replaced {
-		c.Op, c.Prev = Modified, prev.Object
-		t.live -= prev.cost
+	object.SetResourceVersion(strconv.FormatInt(s.rev, 10))
+	change := &Change{Rev: s.rev, Op: Added, Object: object, cost: Cost(object)}
+	if prev, replaced := table.objects.Set(Key(object.GetNamespace(), object.GetName()), change); replaced {
+		change.Op, change.Prev = Modified, prev.Object
+		table.objectCost -= prev.cost
 	}
-	t.live += c.cost
-	t.add(c, s.keep)
-	s.trim()
+	table.objectCost += change.cost
+	table.appendChange(change, s.historyLength)
+	s.trimHistories()
 	return s.rev
 }
 
 // Delete takes an object out. It returns false if there was none.
 func (s *Store) Delete(r Resource, namespace, name string) bool {
-	t := &s.tables[r]
-	was, ok := t.objects.Delete(Key(namespace, name))
+	table := &s.tables[r]
+	was, ok := table.objects.Delete(Key(namespace, name))
 	if !ok {
 		return false
 	}
@@ -174,40 +174,40 @@
 	prev := was.Object
 	last := prev.DeepCopyObject().(Object)
 	last.SetResourceVersion(strconv.FormatInt(s.rev, 10))
-	t.live -= was.cost
-	t.add(&Change{Rev: s.rev, Op: Deleted, Object: last, Prev: prev, cost: was.cost}, s.keep)
-	s.trim()
+	table.objectCost -= was.cost
+	table.appendChange(&Change{Rev: s.rev, Op: Deleted, Object: last, Prev: prev, cost: was.cost}, s.historyLength)
+	s.trimHistories()
 	return true
 }
 
-// trim drops changes, the oldest of the table whose history costs most first, until all fit. The last change of a table is always kept, so
+// trimHistories drops changes, the oldest of the table whose history costs most first, until all fit. The last change of a table is always kept, so
 // that who keeps up is never told that it is too old.
-func (s *Store) trim() {
-	for s.most > 0 && s.Past() > s.most {
-		var most *table
+func (s *Store) trimHistories() {
+	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
+		var costliest *table
 		for i := range s.tables {
-			if t := &s.tables[i]; len(t.history)-t.head > 1 && (most == nil || t.past > most.past) {
-				most = t
+			if table := &s.tables[i]; len(table.history)-table.head > 1 && (costliest == nil || table.historyCost > costliest.historyCost) {
+				costliest = table
 			}
 		}
-		if most == nil {
+		if costliest == nil {
 			return
 		}
-		most.drop(len(most.history) - most.head - 1)
+		costliest.trimHistory(len(costliest.history) - costliest.head - 1)
 	}
 }
 
-func (t *table) add(c *Change, keep int) {
-	t.history = append(t.history, c)
-	t.past += c.cost
-	t.drop(keep)
+func (t *table) appendChange(change *Change, historyLength int) {
+	t.history = append(t.history, change)
+	t.historyCost += change.cost
+	t.trimHistory(historyLength)
 }
 
-// drop leaves the last so many changes.
-func (t *table) drop(keep int) {
-	for len(t.history)-t.head > keep {
-		t.lost = t.history[t.head].Rev
-		t.past -= t.history[t.head].cost
+// trimHistory leaves the last so many changes.
+func (t *table) trimHistory(length int) {
+	for len(t.history)-t.head > length {
+		t.lastDropped = t.history[t.head].Rev
+		t.historyCost -= t.history[t.head].cost
 		t.history[t.head] = nil
 		t.head++
 		if t.head > 1024 && t.head > len(t.history)/2 {
@@ -219,27 +219,27 @@
 
 // Since returns the changes of a table after a revision, oldest first, at most so many. The slice is valid until the next
 // change.
-func (s *Store) Since(r Resource, rev int64, most int) ([]*Change, error) {
-	t := &s.tables[r]
-	if rev < t.lost {
-		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, rev, ErrExpired, t.lost)
+func (s *Store) Since(r Resource, rev int64, limit int) ([]*Change, error) {
+	table := &s.tables[r]
+	if rev < table.lastDropped {
+		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, rev, ErrExpired, table.lastDropped)
 	}
 	if rev > s.rev {
 		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, rev, ErrFuture, s.rev)
 	}
-	h := t.history[t.head:]
-	if len(h) == 0 || h[len(h)-1].Rev <= rev {
+	history := table.history[table.head:]
+	if len(history) == 0 || history[len(history)-1].Rev <= rev {
 		return nil, nil
 	}
-	lo, hi := 0, len(h)
+	lo, hi := 0, len(history)
 	for lo < hi {
-		if m := (lo + hi) / 2; h[m].Rev <= rev {
-			lo = m + 1
+		if middle := (lo + hi) / 2; history[middle].Rev <= rev {
+			lo = middle + 1
 		} else {
-			hi = m
+			hi = middle
 		}
 	}
-	return h[lo:min(len(h), lo+most)], nil
+	return history[lo:min(len(history), lo+limit)], nil
 }
 
 // Snapshot is a table as it stood at one revision.
@@ -247,7 +247,7 @@
 	Resource Resource
 	Rev      int64
 	objects  *btree.Map[string, *Change]
-	at       float64
+	keptAt   float64
 }
 
 // Snapshot returns the table as it stands. It costs the same whatever the table holds.
@@ -256,47 +256,49 @@
 }
 
 const (
-	keptSnapshots = 64
-	keptFor       = 300.0 // seconds
+	maxSnapshots      = 64
+	snapshotRetention = 300.0 // seconds
 )
 
-// Keep remembers a snapshot, so that a list can go on from it. The oldest gives way when there are many.
-func (s *Store) Keep(now float64, sn Snapshot) {
-	s.expire(now)
-	for i := range s.kept {
-		if s.kept[i].Rev == sn.Rev && s.kept[i].Resource == sn.Resource {
-			s.kept[i].at = now
+// KeepSnapshot remembers a snapshot, so that a list can go on from it. The oldest gives way when there are many.
+func (s *Store) KeepSnapshot(now float64, snapshot Snapshot) {
+	s.expireSnapshots(now)
+	for i := range s.snapshots {
+		if s.snapshots[i].Rev == snapshot.Rev && s.snapshots[i].Resource == snapshot.Resource {
+			s.snapshots[i].keptAt = now
 			return
 		}
 	}
-	sn.at = now
-	if len(s.kept) >= keptSnapshots {
-		s.kept = append(s.kept[:0], s.kept[1:]...)
+	snapshot.keptAt = now
+	if len(s.snapshots) >= maxSnapshots {
+		s.snapshots = append(s.snapshots[:0], s.snapshots[1:]...)
 	}
-	s.kept = append(s.kept, sn)
+	s.snapshots = append(s.snapshots, snapshot)
 }
 
-func (s *Store) expire(now float64) {
-	n := 0
-	for _, k := range s.kept {
-		if now-k.at <= keptFor && !s.Overtaken(k) {
-			s.kept[n] = k
-			n++
+func (s *Store) expireSnapshots(now float64) {
+	remaining := 0
+	for _, snapshot := range s.snapshots {
+		if now-snapshot.keptAt <= snapshotRetention && !s.Outdated(snapshot) {
+			s.snapshots[remaining] = snapshot
+			remaining++
 		}
 	}
-	clear(s.kept[n:])
-	s.kept = s.kept[:n]
+	clear(s.snapshots[remaining:])
+	s.snapshots = s.snapshots[:remaining]
 }
 
-// Overtaken says that the history no longer reaches back to a snapshot. Who still holds it keeps alive what nobody else does.
-func (s *Store) Overtaken(sn Snapshot) bool { return sn.Rev < s.tables[sn.Resource].lost }
+// Outdated says that the history no longer reaches back to a snapshot. Who still holds it keeps alive what nobody else does.
+func (s *Store) Outdated(snapshot Snapshot) bool {
+	return snapshot.Rev < s.tables[snapshot.Resource].lastDropped
+}
 
-// Kept finds a snapshot that was kept, or the present one if it is of that revision.
-func (s *Store) Kept(now float64, r Resource, rev int64) (Snapshot, error) {
-	s.expire(now)
-	for _, k := range s.kept {
-		if k.Rev == rev && k.Resource == r {
-			return k, nil
+// FindSnapshot finds a snapshot that was kept, or the present one if it is of that revision.
+func (s *Store) FindSnapshot(now float64, r Resource, rev int64) (Snapshot, error) {
+	s.expireSnapshots(now)
+	for _, snapshot := range s.snapshots {
+		if snapshot.Rev == rev && snapshot.Resource == r {
+			return snapshot, nil
 		}
 	}
 	if rev == s.rev {
@@ -309,15 +311,15 @@
 func (sn Snapshot) Len() int { return sn.objects.Len() }
 
 // Scan calls f for the objects, each as its last change, of a namespace ("" is all) whose key is above after, in order of key, until f says false.
-func (sn Snapshot) Scan(namespace, after string, f func(key string, c *Change) bool) {
+func (sn Snapshot) Scan(namespace, after string, visit func(key string, change *Change) bool) {
 	prefix := ""
 	if namespace != "" {
 		prefix = namespace + "/"
 	}
-	sn.objects.Ascend(max(prefix, after), func(k string, c *Change) bool {
-		if !strings.HasPrefix(k, prefix) {
+	sn.objects.Ascend(max(prefix, after), func(key string, change *Change) bool {
+		if !strings.HasPrefix(key, prefix) {
 			return false
 		}
-		return k == after || f(k, c)
+		return key == after || visit(key, change)
 	})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -111,12 +111,12 @@
 		t.Errorf("102: %v, %v", c, err)
 	}
 	sn := s.Snapshot(Pods)
-	s.Keep(1000, sn)
+	s.KeepSnapshot(1000, sn)
 	s.Put(Pods, pod("a", "later"))
-	if got, err := s.Kept(1001, Pods, sn.Rev); err != nil || got.Len() != 5 {
+	if got, err := s.FindSnapshot(1001, Pods, sn.Rev); err != nil || got.Len() != 5 {
 		t.Errorf("kept: %v", err)
 	}
-	if _, err := s.Kept(1000+keptFor+1, Pods, sn.Rev); !errors.Is(err, ErrExpired) {
+	if _, err := s.FindSnapshot(1000+snapshotRetention+1, Pods, sn.Rev); !errors.Is(err, ErrExpired) {
 		t.Errorf("kept too long: %v", err)
 	}
 }
@@ -132,8 +132,8 @@
 			p.Annotations = map[string]string{"a": strings.Repeat("x", 200<<10)}
 		}
 		s.Put(Pods, p)
-		if s.Past() > most {
-			t.Fatalf("after %d changes the history costs %d", i+1, s.Past())
+		if s.HistoryCost() > most {
+			t.Fatalf("after %d changes the history costs %d", i+1, s.HistoryCost())
 		}
 		if got, err := s.Since(Pods, s.Rev()-1, 10); err != nil || len(got) != 1 {
 			t.Fatalf("the last change is not kept: %v", err)
@@ -146,16 +146,16 @@
 	for i := range 10 {
 		s.Delete(Pods, "default", fmt.Sprint("p", i))
 	}
-	if s.Live() != 0 {
-		t.Errorf("%d bytes of objects that are gone", s.Live())
+	if s.ObjectCost() != 0 {
+		t.Errorf("%d bytes of objects that are gone", s.ObjectCost())
 	}
-	s.Keep(0, sn)
+	s.KeepSnapshot(0, sn)
 	for i := range 2000 {
 		p := &corev1.Pod{}
 		p.Namespace, p.Name = "default", fmt.Sprint("q", i%10)
 		s.Put(Pods, p)
 	}
-	if _, err := s.Kept(1, Pods, sn.Rev); !errors.Is(err, ErrExpired) || !s.Overtaken(sn) {
+	if _, err := s.FindSnapshot(1, Pods, sn.Rev); !errors.Is(err, ErrExpired) || !s.Outdated(sn) {
 		t.Errorf("a snapshot that the history has passed is kept: %v", err)
 	}
 }
--- a/internal/wellknown/wellknown.go
+++ b/internal/wellknown/wellknown.go
@@ -28,11 +28,11 @@
 
 // Annotations.
 const (
-	GiveUpAt = "heathshed.io/give-up-at" // on Pods: when the owner stops waiting for the outcome
-	Job      = "heathshed.io/job"        // on Pods at machines: the Job, for a scheduler that takes over
-	Free     = "heathshed.io/free"       // on Nodes: cores and memory that nobody asked for
-	Started  = "heathshed.io/started"    // on Nodes: last start
-	Use      = "heathshed.io/use"        // on Pods at machines: cores and memory in use
+	OutcomeDeadline = "heathshed.io/give-up-at" // on Pods: when the owner stops waiting for the outcome
+	JobManifest     = "heathshed.io/job"        // on Pods at machines: the Job, for a scheduler that takes over
+	FreeCapacity    = "heathshed.io/free"       // on Nodes: cores and memory that nobody asked for
+	Started         = "heathshed.io/started"    // on Nodes: last start
+	Usage           = "heathshed.io/use"        // on Pods at machines: cores and memory in use
 	// AttemptAnnotation, on Pods at machines, is the number of the attempt that was accepted.
 	AttemptAnnotation = "heathshed.io/attempt"
 	Lifetime          = "heathshed.io/lifetime" // on Pods: how long the stand-in lets it run
@@ -55,16 +55,16 @@
 
 // Reasons that a machine states, as the kubelet does.
 const (
-	OutOfCPU    = "OutOfcpu"
-	OutOfMemory = "OutOfmemory"
-	QueueFull   = "TooManyWaiting"
-	WrongNode   = "NotHere"
-	Evicted     = "Evicted"
-	Preempted   = "Preempting"
-	Drained     = "NodeShutdown"
-	NeverRan    = "NeverStarted"
-	Stopped     = "Stopped"
-	Lost        = "NodeLost"
+	OutOfCPU     = "OutOfcpu"
+	OutOfMemory  = "OutOfmemory"
+	QueueFull    = "TooManyWaiting"
+	WrongNode    = "NotHere"
+	Evicted      = "Evicted"
+	Preempted    = "Preempting"
+	Drained      = "NodeShutdown"
+	NeverStarted = "NeverStarted"
+	Stopped      = "Stopped"
+	NodeLost     = "NodeLost"
 )
 
 // Dict is a set of named numbers in the form of an RFC 9651 dictionary.
@@ -75,19 +75,19 @@
 	if text == "" {
 		return nil, nil
 	}
-	d, err := httpsfv.UnmarshalDictionary([]string{text})
+	dictionary, err := httpsfv.UnmarshalDictionary([]string{text})
 	if err != nil {
 		return nil, fmt.Errorf("dictionary %.40q: %w", text, err)
 	}
 	out := Dict{}
-	for _, k := range d.Names() {
-		m, _ := d.Get(k)
-		if it, ok := m.(httpsfv.Item); ok {
-			switch v := it.Value.(type) {
+	for _, key := range dictionary.Names() {
+		member, _ := dictionary.Get(key)
+		if item, ok := member.(httpsfv.Item); ok {
+			switch value := item.Value.(type) {
 			case float64:
-				out[k] = v
+				out[key] = value
 			case int64:
-				out[k] = float64(v)
+				out[key] = float64(value)
 			}
 		}
 	}
@@ -96,20 +96,20 @@
 
 // FormatDict writes named numbers with three decimals, in the order given: name, value, name, value.
 func FormatDict(pairs ...any) string {
-	var b strings.Builder
+	var builder strings.Builder
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if i > 0 {
-			b.WriteString(", ")
+			builder.WriteString(", ")
 		}
-		b.WriteString(pairs[i].(string))
-		b.WriteByte('=')
-		b.WriteString(strconv.FormatFloat(pairs[i+1].(float64), 'f', 3, 64))
+		builder.WriteString(pairs[i].(string))
+		builder.WriteByte('=')
+		builder.WriteString(strconv.FormatFloat(pairs[i+1].(float64), 'f', 3, 64))
 	}
-	return b.String()
+	return builder.String()
 }
 
-// Seconds turns an instant into Unix seconds, 0 if it is not one.
-func Seconds(text string) float64 {
+// ParseTimestamp turns an instant into Unix seconds, 0 if it is not one.
+func ParseTimestamp(text string) float64 {
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
 		return 0
@@ -117,14 +117,14 @@
 	return float64(t.UnixMicro()) / 1e6
 }
 
-// Instant writes Unix seconds as RFC 3339 with microseconds.
-func Instant(s float64) string {
-	return time.UnixMicro(int64(s * 1e6)).UTC().Format("2006-01-02T15:04:05.000000Z07:00")
+// FormatTimestamp writes Unix seconds as RFC 3339 with microseconds.
+func FormatTimestamp(seconds float64) string {
+	return time.UnixMicro(int64(seconds * 1e6)).UTC().Format("2006-01-02T15:04:05.000000Z07:00")
 }
 
-// Time turns Unix seconds into the API's time, which has whole seconds.
-func Time(s float64) metav1.Time {
-	return metav1.NewTime(time.UnixMicro(int64(s * 1e6)).UTC().Truncate(time.Second))
+// APITime turns Unix seconds into the API's time, which has whole seconds.
+func APITime(seconds float64) metav1.Time {
+	return metav1.NewTime(time.UnixMicro(int64(seconds * 1e6)).UTC().Truncate(time.Second))
 }
 
 // Gibibyte is the unit of memory that decisions count in.
@@ -133,60 +133,60 @@
 // Requests adds up what a Pod's containers ask for: cores, and memory in GiB. Init containers run one after another and
 // count by the largest.
 func Requests(spec *corev1.PodSpec) (cores, memory float64) {
-	read := func(c *corev1.Container) (float64, float64) {
-		q := c.Resources.Requests
-		cpu, mem := q[corev1.ResourceCPU], q[corev1.ResourceMemory]
+	read := func(container *corev1.Container) (float64, float64) {
+		requests := container.Resources.Requests
+		cpu, mem := requests[corev1.ResourceCPU], requests[corev1.ResourceMemory]
 		if cpu.IsZero() {
-			cpu = c.Resources.Limits[corev1.ResourceCPU]
+			cpu = container.Resources.Limits[corev1.ResourceCPU]
 		}
 		if mem.IsZero() {
-			mem = c.Resources.Limits[corev1.ResourceMemory]
+			mem = container.Resources.Limits[corev1.ResourceMemory]
 		}
 		return float64(cpu.MilliValue()) / 1000, float64(mem.Value()) / Gibibyte
 	}
 	for i := range spec.Containers {
-		c, m := read(&spec.Containers[i])
-		cores += c
-		memory += m
+		container, memoryRequest := read(&spec.Containers[i])
+		cores += container
+		memory += memoryRequest
 	}
 	for i := range spec.InitContainers {
-		c, m := read(&spec.InitContainers[i])
-		cores, memory = max(cores, c), max(memory, m)
+		container, memoryRequest := read(&spec.InitContainers[i])
+		cores, memory = max(cores, container), max(memory, memoryRequest)
 	}
 	return cores, memory
 }
 
-// SettledOf returns the reason of a Pod's settled condition, or "".
-func SettledOf(p *corev1.Pod) string {
-	for i := range p.Status.Conditions {
-		if c := &p.Status.Conditions[i]; c.Type == Settled && c.Status == corev1.ConditionTrue {
-			return c.Reason
+// SettledReason returns the reason of a Pod's settled condition, or "".
+func SettledReason(pod *corev1.Pod) string {
+	for i := range pod.Status.Conditions {
+		if condition := &pod.Status.Conditions[i]; condition.Type == Settled && condition.Status == corev1.ConditionTrue {
+			return condition.Reason
 		}
 	}
 	return ""
 }
 
 // Finished says whether a Pod will not run any more.
-func Finished(p *corev1.Pod) bool {
-	return p.Status.Phase == corev1.PodSucceeded || p.Status.Phase == corev1.PodFailed
+func Finished(pod *corev1.Pod) bool {
+	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
 
 // NodeAddress is where a machine's API listens, or "".
-func NodeAddress(n *corev1.Node) string {
-	port := n.Status.DaemonEndpoints.KubeletEndpoint.Port
-	for _, a := range n.Status.Addresses {
-		if a.Type == corev1.NodeInternalIP && port > 0 {
-			return fmt.Sprintf("%s:%d", a.Address, port)
+func NodeAddress(node *corev1.Node) string {
+	port := node.Status.DaemonEndpoints.KubeletEndpoint.Port
+	for _, address := range node.Status.Addresses {
+		if address.Type == corev1.NodeInternalIP && port > 0 {
+			return fmt.Sprintf("%s:%d", address.Address, port)
 		}
 	}
 	return ""
 }
 
 // NodeReady says whether the inventory takes the machine for alive.
-func NodeReady(n *corev1.Node) bool {
-	for _, c := range n.Status.Conditions {
-		if c.Type == corev1.NodeReady {
-			return c.Status == corev1.ConditionTrue
+func NodeReady(node *corev1.Node) bool {
+	for _, condition := range node.Status.Conditions {
+		if condition.Type == corev1.NodeReady {
+			return condition.Status == corev1.ConditionTrue
 		}
 	}
 	return false
--- a/internal/workload/characterization_test.go
+++ b/internal/workload/characterization_test.go
@@ -60,12 +60,12 @@
 {"startedDateTime":"2026-10-10T13:55:38Z","request":{"method":"GET","url":"/only/path?q"},"serverIPAddress":"10.0.0.1"}
 ],"comment":"end"}}`
 
-// entries writes all entries and problems of a source, and returns the entries.
-func entries(r *golden.Recorder, label string, source workload.Reader) (all []workload.Entry) {
+// recordEntries writes all entries and problems of a source, and returns the entries.
+func recordEntries(r *golden.Recorder, label string, source workload.Reader) (all []workload.Entry) {
 	r.Line("== %s", label)
 	for range 200 {
 		e, err := source.Next()
-		var p *workload.Problem
+		var p *workload.EntryError
 		switch {
 		case errors.Is(err, io.EOF):
 			r.Line("end")
@@ -78,16 +78,16 @@
 			r.Line("error %v", err)
 			return all
 		default:
-			entry(r, e)
+			recordEntry(r, e)
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-func entry(r *golden.Recorder, e workload.Entry) {
-	r.Line("entry %016x %v %q %q %q %q %d %d %016x %q %q %q %d", math.Float64bits(e.At), e.Coarse, e.Method, e.Host, e.Path, e.Query, e.Status,
-		e.Bytes, math.Float64bits(e.Duration), e.Addr, e.User, e.File, e.Line)
+func recordEntry(r *golden.Recorder, e workload.Entry) {
+	r.Line("entry %016x %v %q %q %q %q %d %d %016x %q %q %q %d", math.Float64bits(e.At), e.WholeSeconds, e.Method, e.Host, e.Path, e.Query, e.Status,
+		e.Bytes, math.Float64bits(e.Duration), e.RemoteAddr, e.User, e.File, e.Line)
 }
 
 // TestCharacterizeFormats pins access logs, JSON lines and HAR files, with malformed and truncated ones.
@@ -102,27 +102,27 @@
 			r.Line("== %s: %v", text, err)
 			continue
 		}
-		entries(r, text, workload.NewLog(strings.NewReader(logLines), "f.log", f))
+		recordEntries(r, text, workload.NewLog(strings.NewReader(logLines), "f.log", f))
 	}
-	entries(r, "json lines", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", workload.DefaultJSONFields()))
+	recordEntries(r, "json lines", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", workload.DefaultJSONFields()))
 	fields := workload.DefaultJSONFields()
 	fields.Time, fields.Path, fields.User = "nested.time", "nested.path", ""
-	entries(r, "json lines, other fields", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", fields))
-	entries(r, "har", workload.NewHAR(strings.NewReader(harText), "f.har"))
+	recordEntries(r, "json lines, other fields", workload.NewJSONLines(strings.NewReader(jsonLines), "f.jsonl", fields))
+	recordEntries(r, "har", workload.NewHAR(strings.NewReader(harText), "f.har"))
 	for _, text := range []string{"", "{}", "[]", `{"log":[]}`, `{"log":{}}`, `{"log":{"entries":{}}}`, harText[:300], harText[:len(harText)-30], "x"} {
-		entries(r, fmt.Sprintf("har of %d bytes", len(text)), workload.NewHAR(strings.NewReader(text), "f.har"))
+		recordEntries(r, fmt.Sprintf("har of %d bytes", len(text)), workload.NewHAR(strings.NewReader(text), "f.har"))
 	}
 	long := strings.Repeat("x", 1<<20) + strings.Repeat("y", 9) + "\n" + logLines
 	f, _ := workload.ParseFormat(workload.Common)
-	entries(r, "a line of more than a MiB", workload.NewLog(strings.NewReader(long), "f.log", f))
+	recordEntries(r, "a line of more than a MiB", workload.NewLog(strings.NewReader(long), "f.log", f))
 	r.Check(t, "formats")
 }
 
 // TestCharacterizeSources pins how compressed sources are opened, formats are guessed, and entries are brought in order.
 func TestCharacterizeSources(t *testing.T) {
 	r := golden.NewRecorder()
-	for i, content := range [][]byte{[]byte(logLines), zipped(logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
-		opened, err := workload.Open(bytes.NewReader(content))
+	for i, content := range [][]byte{[]byte(logLines), gzipped(logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
+		opened, err := workload.Decompress(bytes.NewReader(content))
 		if err != nil {
 			r.Line("source %d: %v", i, err)
 			continue
@@ -132,17 +132,17 @@
 		r.Checkpoint(fmt.Sprintf("source %d: %d bytes, %v,", i, len(whole), err))
 	}
 	for i, text := range []string{logLines, jsonLines, harText, "", "  \n", strings.SplitAfter(logLines, "\n")[2], `{"log":1}`, `{"a"`} {
-		format, whole, err := workload.Guess(strings.NewReader(text))
+		format, whole, err := workload.DetectFormat(strings.NewReader(text))
 		rest, _ := io.ReadAll(whole)
 		r.Line("guess %d: %s, %v, %d bytes", i, format, err, len(rest))
 	}
 	for _, window := range []float64{0, 1, 2.5, 100} {
-		sorted(r, window)
+		recordSorted(r, window)
 	}
 	r.Check(t, "sources")
 }
 
-func zipped(text string) []byte {
+func gzipped(text string) []byte {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	z.Write([]byte(text))
@@ -158,18 +158,18 @@
 	return z.EncodeAll([]byte(text), nil)
 }
 
-func sorted(r *golden.Recorder, window float64) {
+func recordSorted(r *golden.Recorder, window float64) {
 	r.Line("== window %v", window)
 	s := workload.Sorter{Window: window}
 	var out []workload.Entry
 	for i, at := range []float64{10, 10, 9, 12, 11.5, 10, 14, 14, 14, 13, 20, 15, 18, 18, 18.5, 30, 8} {
-		var p *workload.Problem
-		out, p = s.Add(workload.Entry{At: at, Coarse: at == math.Trunc(at), Method: "GET", Path: "/", File: "f", Line: int64(i)}, out)
+		var p *workload.EntryError
+		out, p = s.Add(workload.Entry{At: at, WholeSeconds: at == math.Trunc(at), Method: "GET", Path: "/", File: "f", Line: int64(i)}, out)
 		if p != nil {
 			r.Line("problem %q", p.Error())
 		}
 	}
 	for _, e := range s.Flush(out) {
-		entry(r, e)
+		recordEntry(r, e)
 	}
 }
--- a/internal/workload/format.go
+++ b/internal/workload/format.go
@@ -23,11 +23,11 @@
 	Combined = Common + ` "%{Referer}i" "%{User-agent}i"`
 )
 
-var apache = map[string]string{"h": "addr", "a": "addr", "l": "-", "u": "user", "t": "time", "r": "request", "s": "status", ">s": "status",
+var apacheFields = map[string]string{"h": "addr", "a": "addr", "l": "-", "u": "user", "t": "time", "r": "request", "s": "status", ">s": "status",
 	"b": "bytes", "B": "bytes", "O": "bytes", "D": "micros", "T": "seconds", "m": "method", "U": "path", "q": "query", "v": "host", "V": "host",
 	"H": "-", "{Host}i": "host"}
 
-var nginx = map[string]string{"remote_addr": "addr", "remote_user": "user", "time_local": "time", "time_iso8601": "time", "msec": "time",
+var nginxFields = map[string]string{"remote_addr": "addr", "remote_user": "user", "time_local": "time", "time_iso8601": "time", "msec": "time",
 	"request": "request", "status": "status", "body_bytes_sent": "bytes", "bytes_sent": "bytes", "request_time": "seconds", "host": "host",
 	"http_host": "host", "request_method": "method", "uri": "path", "request_uri": "path", "args": "query", "query_string": "query"}
 
@@ -73,7 +73,7 @@
 				return nil, fmt.Errorf("format: %q names no field", s[i:])
 			}
 			name = s[i+1 : j+1]
-			if known, ok = apache[name]; !ok && strings.HasPrefix(name, "{") {
+			if known, ok = apacheFields[name]; !ok && strings.HasPrefix(name, "{") {
 				known, ok = "-", true
 			}
 			i = j + 1
@@ -83,7 +83,7 @@
 				j++
 			}
 			name = s[i+1 : j]
-			if known, ok = nginx[name]; !ok && name != "" {
+			if known, ok = nginxFields[name]; !ok && name != "" {
 				known, ok = "-", true
 			}
 			i = j
@@ -112,127 +112,127 @@
 }
 
 type logReader struct {
-	l lines
-	f *Format
+	lines  lineReader
+	format *Format
 }
 
 // NewLog reads an access log of the given format.
 func NewLog(r io.Reader, file string, f *Format) Reader {
-	return &logReader{lines{r: bufio.NewReaderSize(r, 64<<10), file: file}, f}
+	return &logReader{lineReader{source: bufio.NewReaderSize(r, 64<<10), file: file}, f}
 }
 
 func (r *logReader) Next() (Entry, error) {
 	for {
-		line, cut, err := r.l.next()
+		line, truncated, err := r.lines.next()
 		if err != nil {
 			return Entry{}, err
 		}
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		e, p := r.f.parse(line)
-		if p != nil {
-			p.File, p.Line, p.Text = r.l.file, r.l.n, start(line)
-			if cut && p.Kind == Malformed {
-				p.Kind = Truncated
+		entry, problem := r.format.parse(line)
+		if problem != nil {
+			problem.File, problem.Line, problem.Text = r.lines.file, r.lines.number, excerpt(line)
+			if truncated && problem.Kind == Malformed {
+				problem.Kind = Truncated
 			}
-			return Entry{}, p
+			return Entry{}, problem
 		}
-		e.File, e.Line = r.l.file, r.l.n
-		return e, nil
+		entry.File, entry.Line = r.lines.file, r.lines.number
+		return entry, nil
 	}
 }
 
-func (f *Format) parse(line string) (Entry, *Problem) {
-	e := Entry{}
+func (f *Format) parse(line string) (Entry, *EntryError) {
+	entry := Entry{}
 	timed := false
-	for i, p := range f.parts {
-		if p.field == "" {
-			if !strings.HasPrefix(line, p.text) {
-				return e, &Problem{Kind: Malformed, Err: fmt.Sprintf("want %q", start(p.text))}
+	for i, current := range f.parts {
+		if current.field == "" {
+			if !strings.HasPrefix(line, current.text) {
+				return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("want %q", excerpt(current.text))}
 			}
-			line = line[len(p.text):]
+			line = line[len(current.text):]
 			continue
 		}
-		var v string
+		var value string
 		switch {
-		case p.field == "time" && strings.HasPrefix(line, "["):
+		case current.field == "time" && strings.HasPrefix(line, "["):
 			j := strings.IndexByte(line, ']')
 			if j < 0 {
-				return e, &Problem{Kind: Malformed, Err: "time has no end"}
+				return entry, &EntryError{Kind: Malformed, Reason: "time has no end"}
 			}
-			v, line = line[1:j], line[j+1:]
-		case p.quoted:
+			value, line = line[1:j], line[j+1:]
+		case current.quoted:
 			j := endOfQuoted(line)
-			v, line = unescape(line[:j]), line[j:]
+			value, line = unescape(line[:j]), line[j:]
 		case i+1 < len(f.parts):
 			j := strings.Index(line, f.parts[i+1].text)
 			if j < 0 {
-				return e, &Problem{Kind: Malformed, Err: fmt.Sprintf("%s has no end", p.field)}
+				return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("%s has no end", current.field)}
 			}
-			v, line = line[:j], line[j:]
+			value, line = line[:j], line[j:]
 		default:
-			v, line = line, ""
+			value, line = line, ""
 		}
-		if v == "-" {
-			v = ""
+		if value == "-" {
+			value = ""
 		}
 		var err error
-		switch p.field {
+		switch current.field {
 		case "time":
-			if e.At, e.Coarse, err = parseTime(v); err != nil {
-				return e, &Problem{Kind: BadTime, Err: err.Error()}
+			if entry.At, entry.WholeSeconds, err = parseTime(value); err != nil {
+				return entry, &EntryError{Kind: BadTime, Reason: err.Error()}
 			}
 			timed = true
 		case "request":
-			w := strings.Split(v, " ")
-			if len(w) < 2 || w[0] == "" || w[1] == "" {
-				return e, &Problem{Kind: BadRequest, Err: fmt.Sprintf("request %q", start(v))}
+			words := strings.Split(value, " ")
+			if len(words) < 2 || words[0] == "" || words[1] == "" {
+				return entry, &EntryError{Kind: BadRequest, Reason: fmt.Sprintf("request %q", excerpt(value))}
 			}
-			e.Method = w[0]
-			e.Path, e.Query, _ = strings.Cut(w[1], "?")
+			entry.Method = words[0]
+			entry.Path, entry.Query, _ = strings.Cut(words[1], "?")
 		case "method":
-			e.Method = v
+			entry.Method = value
 		case "path":
-			path, query, found := strings.Cut(v, "?")
-			if e.Path = path; found {
-				e.Query = query
+			path, query, found := strings.Cut(value, "?")
+			if entry.Path = path; found {
+				entry.Query = query
 			}
 		case "query":
-			e.Query = strings.TrimPrefix(v, "?")
+			entry.Query = strings.TrimPrefix(value, "?")
 		case "host":
-			e.Host = v
+			entry.Host = value
 		case "addr":
-			e.Addr = v
+			entry.RemoteAddr = value
 		case "user":
-			e.User = v
+			entry.User = value
 		case "status":
-			e.Status, err = strconv.Atoi(v)
+			entry.Status, err = strconv.Atoi(value)
 		case "bytes":
-			if v != "" {
-				e.Bytes, err = strconv.ParseInt(v, 10, 64)
+			if value != "" {
+				entry.Bytes, err = strconv.ParseInt(value, 10, 64)
 			}
 		case "micros", "seconds":
-			if v != "" {
-				e.Duration, err = strconv.ParseFloat(v, 64)
+			if value != "" {
+				entry.Duration, err = strconv.ParseFloat(value, 64)
 			}
-			if p.field == "micros" {
-				e.Duration /= 1e6
+			if current.field == "micros" {
+				entry.Duration /= 1e6
 			}
 		}
 		if err != nil {
-			return e, &Problem{Kind: Malformed, Err: fmt.Sprintf("%s %q", p.field, start(v))}
+			return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("%s %q", current.field, excerpt(value))}
 		}
 	}
 	switch {
 	case line != "":
-		return e, &Problem{Kind: Malformed, Err: fmt.Sprintf("more follows: %q", start(line))}
+		return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("more follows: %q", excerpt(line))}
 	case !timed:
-		return e, &Problem{Kind: BadTime, Err: "no time"}
-	case e.Path == "":
-		return e, &Problem{Kind: BadRequest, Err: "no path"}
+		return entry, &EntryError{Kind: BadTime, Reason: "no time"}
+	case entry.Path == "":
+		return entry, &EntryError{Kind: BadRequest, Reason: "no path"}
 	}
-	return e, nil
+	return entry, nil
 }
 
 // endOfQuoted is the place of the quote that ends a field; a backslash takes the next byte with it.
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -16,12 +16,12 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
-// all reads a source to its end: entries, and problems by kind.
-func all(t testing.TB, r Reader) (out []Entry, kinds map[string]int) {
+// readAll reads a source to its end: entries, and problems by kind.
+func readAll(t testing.TB, r Reader) (out []Entry, kinds map[string]int) {
 	kinds = map[string]int{}
 	for range 1 << 20 {
 		e, err := r.Next()
-		var p *Problem
+		var p *EntryError
 		switch {
 		case errors.Is(err, io.EOF):
 			return out, kinds
@@ -37,7 +37,7 @@
 	return nil, nil
 }
 
-func format(t testing.TB, s string) *Format {
+func mustParseFormat(t testing.TB, s string) *Format {
 	f, err := ParseFormat(s)
 	if err != nil {
 		t.Fatal(err)
@@ -45,26 +45,26 @@
 	return f
 }
 
-const good = `10.0.0.1 - ana [10/Oct/2026:13:55:36 -0500] "GET /a/b?c=d HTTP/1.1" 200 2326`
+const commonLine = `10.0.0.1 - ana [10/Oct/2026:13:55:36 -0500] "GET /a/b?c=d HTTP/1.1" 200 2326`
 
 func TestLogLines(t *testing.T) {
 	const ng = `$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" $request_time`
 	for _, c := range []struct{ name, format, line, kind string }{
-		{"common", Common, good, ""},
-		{"no bytes", Common, strings.Replace(good, "2326", "-", 1), ""},
-		{"combined", Combined, good + ` "-" "a \"b\" c"`, ""},
-		{"nginx", ng, good + ` "http://x/" 0.120`, ""},
+		{"common", Common, commonLine, ""},
+		{"no bytes", Common, strings.Replace(commonLine, "2326", "-", 1), ""},
+		{"combined", Combined, commonLine + ` "-" "a \"b\" c"`, ""},
+		{"nginx", ng, commonLine + ` "http://x/" 0.120`, ""},
 		{"method and path apart", `%t %m %U%%%q %D`, `[10/Oct/2026:13:55:36 -0500] GET /a/b%?c=d 1500`, ""},
-		{"cut", Common, good[:60], Truncated},
-		{"no request", Common, strings.Replace(good, "GET /a/b?c=d HTTP/1.1", "-", 1), BadRequest},
-		{"time", Common, strings.Replace(good, "Oct", "Okt", 1), BadTime},
-		{"year", Common, strings.Replace(good, "2026", "1066", 1), BadTime},
-		{"status", Common, strings.Replace(good, " 200 ", " 2x0 ", 1), Malformed},
-		{"more", Common, good + " x", Malformed},
+		{"cut", Common, commonLine[:60], Truncated},
+		{"no request", Common, strings.Replace(commonLine, "GET /a/b?c=d HTTP/1.1", "-", 1), BadRequest},
+		{"time", Common, strings.Replace(commonLine, "Oct", "Okt", 1), BadTime},
+		{"year", Common, strings.Replace(commonLine, "2026", "1066", 1), BadTime},
+		{"status", Common, strings.Replace(commonLine, " 200 ", " 2x0 ", 1), Malformed},
+		{"more", Common, commonLine + " x", Malformed},
 		{"other", Common, "hello", Truncated},
 	} {
-		out, kinds := all(t, NewLog(strings.NewReader(c.line+map[bool]string{true: "", false: "\n"}[c.kind == Truncated]), "f", format(t, c.format)))
-		if c.kind == "" && (len(out) != 1 || out[0].Path != "/a/b" || out[0].Query != "c=d" || out[0].Method != "GET" || out[0].At != 1791658536 || !out[0].Coarse) {
+		out, kinds := readAll(t, NewLog(strings.NewReader(c.line+map[bool]string{true: "", false: "\n"}[c.kind == Truncated]), "f", mustParseFormat(t, c.format)))
+		if c.kind == "" && (len(out) != 1 || out[0].Path != "/a/b" || out[0].Query != "c=d" || out[0].Method != "GET" || out[0].At != 1791658536 || !out[0].WholeSeconds) {
 			t.Errorf("%s: %+v, %v", c.name, out, kinds)
 		}
 		if c.kind != "" && (len(out) != 0 || kinds[c.kind] != 1) {
@@ -78,7 +78,7 @@
 	}
 }
 
-func har(n int) string {
+func harFile(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"log":{"version":"1.2","creator":{"name":"x","x":[1,{"entries":[2]}]},"entries":[`)
 	for i := range n {
@@ -91,22 +91,22 @@
 }
 
 // Cut at every byte: no panic, every whole entry before the cut is there, and the cut is told.
-func TestCutAtEveryByte(t *testing.T) {
-	text := har(4)
+func TestTruncatedAtEveryByte(t *testing.T) {
+	text := harFile(4)
 	for i := range len(text) {
-		out, kinds := all(t, NewHAR(strings.NewReader(text[:i]), "f"))
+		out, kinds := readAll(t, NewHAR(strings.NewReader(text[:i]), "f"))
 		whole := strings.Count(text[:i], `"size":5}}}`)
 		if len(out) != whole || i < strings.Index(text, `],"pages"`) && kinds[Truncated] != 1 {
 			t.Fatalf("cut at %d: %d entries, want %d; %v", i, len(out), whole, kinds)
 		}
 	}
-	out, kinds := all(t, NewHAR(strings.NewReader(text), "f"))
+	out, kinds := readAll(t, NewHAR(strings.NewReader(text), "f"))
 	if len(out) != 4 || len(kinds) != 0 || out[3].Host != "h.example" || out[3].Path != "/p3" || out[3].Query != "q" || out[3].Duration != 0.0125 {
 		t.Fatalf("%+v, %v", out, kinds)
 	}
-	log := strings.Repeat(good+"\n", 3)
+	log := strings.Repeat(commonLine+"\n", 3)
 	for i := range len(log) {
-		out, _ := all(t, NewLog(strings.NewReader(log[:i]), "f", format(t, Common)))
+		out, _ := readAll(t, NewLog(strings.NewReader(log[:i]), "f", mustParseFormat(t, Common)))
 		if n := strings.Count(log[:i], "\n"); len(out) < n || len(out) > n+1 {
 			t.Fatalf("cut at %d: %d entries of %d", i, len(out), n)
 		}
@@ -120,11 +120,11 @@
 	z := gzip.NewWriter(&b)
 	z.Write([]byte(text))
 	z.Close()
-	r, err := Open(&b)
+	r, err := Decompress(&b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, kinds := all(t, NewJSONLines(r, "f", DefaultJSONFields()))
+	out, kinds := readAll(t, NewJSONLines(r, "f", DefaultJSONFields()))
 	if len(out) != 2 || out[0].At != 1791640536.25 || out[1].At != 1791640536.25 || out[0].Query != "b" || kinds[BadTime] != 1 || kinds[BadRequest] != 1 || kinds[Truncated] != 1 {
 		t.Errorf("%+v, %v", out, kinds)
 	}
@@ -136,13 +136,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := Sorter{Window: rapid.Float64Range(0, 5).Draw(t, "window")}
 		var out []Entry
-		back, newest, n := 0, 0.0, rapid.IntRange(0, 80).Draw(t, "n")
+		rejected, newest, n := 0, 0.0, rapid.IntRange(0, 80).Draw(t, "n")
 		for i := range n {
 			at := 100 + float64(rapid.IntRange(0, 40).Draw(t, "at"))/4
-			var p *Problem
-			out, p = s.Add(Entry{At: at, Coarse: rapid.Bool().Draw(t, "coarse"), Line: int64(i)}, out)
+			var p *EntryError
+			out, p = s.Add(Entry{At: at, WholeSeconds: rapid.Bool().Draw(t, "coarse"), Line: int64(i)}, out)
 			if p != nil {
-				back++
+				rejected++
 				if at >= newest-s.Window {
 					t.Fatalf("%v was turned back, newest %v, window %v", at, newest, s.Window)
 				}
@@ -150,8 +150,8 @@
 			newest = max(newest, at)
 		}
 		out = s.Flush(out)
-		if len(out)+back != n {
-			t.Fatalf("%d given out, %d turned back of %d", len(out), back, n)
+		if len(out)+rejected != n {
+			t.Fatalf("%d given out, %d turned back of %d", len(out), rejected, n)
 		}
 		for i := 1; i < len(out); i++ {
 			if out[i].At < out[i-1].At || out[i].At == out[i-1].At && out[i].Line < out[i-1].Line {
@@ -162,11 +162,11 @@
 }
 
 func FuzzLog(f *testing.F) {
-	f.Add(good)
-	f.Add(good + "\n\n# c\n" + good[:30])
-	combined := format(f, Combined)
+	f.Add(commonLine)
+	f.Add(commonLine + "\n\n# c\n" + commonLine[:30])
+	combined := mustParseFormat(f, Combined)
 	f.Fuzz(func(t *testing.T, text string) {
-		out, kinds := all(t, NewLog(strings.NewReader(text), "f", combined))
+		out, kinds := readAll(t, NewLog(strings.NewReader(text), "f", combined))
 		n := len(out)
 		for _, k := range kinds {
 			n += k
@@ -174,7 +174,7 @@
 		if want := strings.Count(text, "\n") + 1; n > want {
 			t.Fatalf("%d entries and problems in %d lines", n, want)
 		}
-		all(t, NewJSONLines(strings.NewReader(text), "f", DefaultJSONFields()))
-		all(t, NewHAR(strings.NewReader(text), "f"))
+		readAll(t, NewJSONLines(strings.NewReader(text), "f", DefaultJSONFields()))
+		readAll(t, NewHAR(strings.NewReader(text), "f"))
 	})
 }
--- a/placer/api.go
+++ b/placer/api.go
@@ -159,7 +159,7 @@
 
 // The states of a machine.
 const (
-	Gone NodeState = iota
+	Terminated NodeState = iota
 	Ready
 	Draining
 )
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -75,7 +75,7 @@
 	events int
 	config placer.Config
 
-	machines       int     // in the fleet at the start
+	nodes          int     // in the fleet at the start
 	zones, racks   int     // over which they are spread
 	services       int     // that tasks belong to
 	arrivalsPerSec float64 // mean rate of new tasks
@@ -86,12 +86,12 @@
 	listEvery      float64 // seconds between pushed lists
 	listFails      float64 // part of the list answers that are failures
 	failing        float64 // part of the offers that end in an error before the bind
-	broken         int     // machines that never start a task
-	silent         float64 // part of the offers whose outcome comes after the deadline
-	quietAfter     int     // events after which few tasks arrive, 0 for never
+	brokenNodes    int     // machines that never start a task
+	lateOutcomes   float64 // part of the offers whose outcome comes after the deadline
+	lowLoadAfter   int     // events after which few tasks arrive, 0 for never
 	withdrawn      float64 // part of the tasks that their owners withdraw early
 	returnsAfter   float64 // seconds after which a machine that left comes back, 0 for never
-	useOfAsk       float64 // part of what is asked that is used at least
+	minUsageRatio  float64 // part of what is asked that is used at least
 	firstSince     float64 // clock time of the machines' last start, 0 for long ago
 }
 
@@ -164,28 +164,28 @@
 	deaf.MaxPollInterval, deaf.Peers = 400, 3
 
 	return []script{
-		{name: "stay", seed: 1, events: 12000, config: stay, machines: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
-			lifetime: 5, task: 0.9, taskMemory: 1.5, churnEvery: 1.5, listEvery: 0.7, listFails: 0.1, failing: 0.15, broken: 2,
-			silent: 0.03},
-		{name: "fleet", seed: 2, events: 12000, config: fleet, machines: 30, zones: 1, racks: 5, services: 30, arrivalsPerSec: 10,
-			lifetime: 8, task: 0.7, taskMemory: 1.2, churnEvery: 6, listEvery: 0.5, failing: 0.05, broken: 1, silent: 0.01,
-			quietAfter: 6000},
-		{name: "zones", seed: 3, events: 12000, config: zones, machines: 40, zones: 3, racks: 8, services: 40, arrivalsPerSec: 12,
-			lifetime: 6, task: 1, taskMemory: 2, churnEvery: 0.3, listEvery: 0.6, listFails: 0.25, failing: 0.2, broken: 3,
-			silent: 0.02},
-		{name: "tight", seed: 4, events: 12000, config: tight, machines: 6, zones: 2, racks: 2, services: 5, arrivalsPerSec: 9,
-			lifetime: 9, task: 2, taskMemory: 5, churnEvery: 5, listEvery: 1, listFails: 0.3, failing: 0.35, broken: 1, silent: 0.05},
-		{name: "slow", seed: 5, events: 6000, config: stay, machines: 12, zones: 2, racks: 3, services: 4, arrivalsPerSec: 0.4,
-			lifetime: 20, task: 1, taskMemory: 2, churnEvery: 8, listEvery: 3, listFails: 0.05, failing: 0.1, silent: 0.01},
-		{name: "crowd", seed: 6, events: 8000, config: crowd, machines: 4, zones: 1, racks: 2, services: 200, arrivalsPerSec: 3,
-			lifetime: 1, task: 0.05, taskMemory: 0.05, churnEvery: 4, listEvery: 0.5, failing: 0.02, silent: 0.5, withdrawn: 0.6},
-		{name: "memory", seed: 7, events: 6000, config: memory, machines: 10, zones: 2, racks: 4, services: 40, arrivalsPerSec: 8,
-			lifetime: 8, task: 0.3, taskMemory: 4, listEvery: 0.3, failing: 0.02, useOfAsk: 0.35},
-		{name: "return", seed: 8, events: 8000, config: fleet, machines: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 3,
+		{name: "stay", seed: 1, events: 12000, config: stay, nodes: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
+			lifetime: 5, task: 0.9, taskMemory: 1.5, churnEvery: 1.5, listEvery: 0.7, listFails: 0.1, failing: 0.15, brokenNodes: 2,
+			lateOutcomes: 0.03},
+		{name: "fleet", seed: 2, events: 12000, config: fleet, nodes: 30, zones: 1, racks: 5, services: 30, arrivalsPerSec: 10,
+			lifetime: 8, task: 0.7, taskMemory: 1.2, churnEvery: 6, listEvery: 0.5, failing: 0.05, brokenNodes: 1, lateOutcomes: 0.01,
+			lowLoadAfter: 6000},
+		{name: "zones", seed: 3, events: 12000, config: zones, nodes: 40, zones: 3, racks: 8, services: 40, arrivalsPerSec: 12,
+			lifetime: 6, task: 1, taskMemory: 2, churnEvery: 0.3, listEvery: 0.6, listFails: 0.25, failing: 0.2, brokenNodes: 3,
+			lateOutcomes: 0.02},
+		{name: "tight", seed: 4, events: 12000, config: tight, nodes: 6, zones: 2, racks: 2, services: 5, arrivalsPerSec: 9,
+			lifetime: 9, task: 2, taskMemory: 5, churnEvery: 5, listEvery: 1, listFails: 0.3, failing: 0.35, brokenNodes: 1, lateOutcomes: 0.05},
+		{name: "slow", seed: 5, events: 6000, config: stay, nodes: 12, zones: 2, racks: 3, services: 4, arrivalsPerSec: 0.4,
+			lifetime: 20, task: 1, taskMemory: 2, churnEvery: 8, listEvery: 3, listFails: 0.05, failing: 0.1, lateOutcomes: 0.01},
+		{name: "crowd", seed: 6, events: 8000, config: crowd, nodes: 4, zones: 1, racks: 2, services: 200, arrivalsPerSec: 3,
+			lifetime: 1, task: 0.05, taskMemory: 0.05, churnEvery: 4, listEvery: 0.5, failing: 0.02, lateOutcomes: 0.5, withdrawn: 0.6},
+		{name: "memory", seed: 7, events: 6000, config: memory, nodes: 10, zones: 2, racks: 4, services: 40, arrivalsPerSec: 8,
+			lifetime: 8, task: 0.3, taskMemory: 4, listEvery: 0.3, failing: 0.02, minUsageRatio: 0.35},
+		{name: "return", seed: 8, events: 8000, config: fleet, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 3,
 			lifetime: 2, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 0.5, failing: 0.05, returnsAfter: 59.5},
-		{name: "dear", seed: 9, events: 4000, config: dear, machines: 20, zones: 1, racks: 4, services: 15, arrivalsPerSec: 6,
-			lifetime: 6, task: 1, taskMemory: 1, listEvery: 0.5, failing: 0.05, quietAfter: 2000, firstSince: 998},
-		{name: "deaf", seed: 10, events: 4000, config: deaf, machines: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 2,
+		{name: "dear", seed: 9, events: 4000, config: dear, nodes: 20, zones: 1, racks: 4, services: 15, arrivalsPerSec: 6,
+			lifetime: 6, task: 1, taskMemory: 1, listEvery: 0.5, failing: 0.05, lowLoadAfter: 2000, firstSince: 998},
+		{name: "deaf", seed: 10, events: 4000, config: deaf, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 2,
 			lifetime: 6, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 4, listFails: 0.85, failing: 0.05},
 	}
 }
@@ -256,19 +256,19 @@
 
 // ---- the simulated fleet ----
 
-// simMachine is the true state of a machine, which the Placer sees through lists and reports only.
-type simMachine struct {
+// simNode is the true state of a machine, which the Placer sees through lists and reports only.
+type simNode struct {
 	placer.Node
-	asked, askedMemory float64
-	broken             bool
-	removed            bool
+	requestedCores, requestedMemory float64
+	broken                          bool
+	removed                         bool
 }
 
 // simTask is a task of the simulation.
 type simTask struct {
 	task     placer.Task
-	machines []*simMachine // by attempt
-	ended    []bool        // by attempt
+	nodes    []*simNode // by attempt
+	ended    []bool     // by attempt
 	bound    bool
 	lifetime float64
 }
@@ -302,7 +302,7 @@
 	now        float64
 	queue      eventQueue
 	sequence   int
-	machines   []*simMachine
+	nodes      []*simNode
 	tasks      []*simTask
 	byID       map[placer.TaskID]*simTask
 	nextNode   placer.NodeID
@@ -332,18 +332,18 @@
 }
 
 func (s *simulation) start() {
-	for range s.script.machines {
-		s.addMachine(s.script.firstSince)
+	for range s.script.nodes {
+		s.addNode(s.script.firstSince)
 	}
-	for i := range s.script.broken {
-		s.machines[i*3%len(s.machines)].broken = true
+	for i := range s.script.brokenNodes {
+		s.nodes[i*3%len(s.nodes)].broken = true
 	}
 	for i := range 8 {
-		s.foundRunning(i)
+		s.adopt(i)
 	}
-	s.pushList()
+	s.pushNodes()
 	s.arrivals()
-	s.strays()
+	s.unmatchedEvents()
 	if s.script.churnEvery > 0 {
 		s.after(s.script.churnEvery, s.churn)
 	}
@@ -402,52 +402,52 @@
 func (s *simulation) carryOut(a placer.Action) {
 	switch a.Kind {
 	case placer.StartAttempt:
-		s.offered(a)
+		s.attemptStarted(a)
 	case placer.SetTimer:
 		s.after(a.After, func() { s.handle(placer.Event{Kind: placer.TimerFired, Token: a.Token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		s.after(0.05+0.1*s.rng.Float64(), s.answerList)
+		s.after(0.05+0.1*s.rng.Float64(), s.answerPoll)
 	case placer.Migrate:
 		if t := s.byID[a.Task]; t != nil {
-			s.after(0.3, func() { s.moved(t) })
+			s.after(0.3, func() { s.migrate(t) })
 		}
 	case placer.Reject, placer.Fail:
 		if t := s.byID[a.Task]; t != nil && s.chance(0.3) {
-			s.after(0.5+s.rng.Float64(), func() { s.comesAgain(t) })
+			s.after(0.5+s.rng.Float64(), func() { s.resubmit(t) })
 		}
 	}
 }
 
 // ---- lists and the fleet ----
 
-func (s *simulation) addMachine(since float64) {
+func (s *simulation) addNode(since float64) {
 	s.nextNode += 7
-	m := &simMachine{Node: placer.Node{ID: s.nextNode, Zone: s.rng.IntN(s.script.zones), Rack: s.rng.IntN(s.script.racks),
+	m := &simNode{Node: placer.Node{ID: s.nextNode, Zone: s.rng.IntN(s.script.zones), Rack: s.rng.IntN(s.script.racks),
 		NodeType: s.rng.IntN(len(s.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
 	if s.chance(0.03) {
 		m.NodeType = 9 // a kind that the configuration does not know
 	}
-	s.machines = append(s.machines, m)
+	s.nodes = append(s.nodes, m)
 }
 
 // entry is the line that the list shows for a machine.
-func (s *simulation) entry(m *simMachine) placer.Node {
+func (s *simulation) entry(m *simNode) placer.Node {
 	n := m.Node
 	size := s.size(m)
-	n.FreeCores, n.FreeMemory = size.Cores-m.asked, size.Memory-m.askedMemory
+	n.FreeCores, n.FreeMemory = size.Cores-m.requestedCores, size.Memory-m.requestedMemory
 	return n
 }
 
-func (s *simulation) size(m *simMachine) placer.NodeType {
+func (s *simulation) size(m *simNode) placer.NodeType {
 	if m.NodeType < len(s.script.config.NodeTypes) {
 		return s.script.config.NodeTypes[m.NodeType]
 	}
 	return placer.NodeType{Cores: 8, Memory: 16}
 }
 
-func (s *simulation) listed(kind placer.ListKind) {
+func (s *simulation) sendNodes(kind placer.ListKind) {
 	ev := placer.Event{Kind: placer.NodesListed, List: kind}
-	for _, m := range s.machines {
+	for _, m := range s.nodes {
 		if m.removed || kind == placer.ListFailed || kind == placer.Changes && s.chance(0.6) {
 			continue
 		}
@@ -456,54 +456,54 @@
 	s.handle(ev)
 }
 
-func (s *simulation) pushList() {
-	s.after(s.script.listEvery, s.pushList)
+func (s *simulation) pushNodes() {
+	s.after(s.script.listEvery, s.pushNodes)
 	if !s.subscribed {
 		return
 	}
 	switch {
 	case s.chance(s.script.listFails):
 		s.subscribed = !s.script.config.MustPollNodes
-		s.listed(placer.ListFailed)
+		s.sendNodes(placer.ListFailed)
 	case s.chance(0.2):
-		s.listed(placer.FullList)
+		s.sendNodes(placer.FullList)
 	case s.chance(0.2):
-		s.listed(placer.CachedList)
+		s.sendNodes(placer.CachedList)
 	default:
-		s.listed(placer.Changes)
+		s.sendNodes(placer.Changes)
 	}
 }
 
-// answerList answers a request for the list, if it does so at all.
-func (s *simulation) answerList() {
+// answerPoll answers a request for the list, if it does so at all.
+func (s *simulation) answerPoll() {
 	switch {
 	case s.chance(s.script.listFails):
-		s.listed(placer.ListFailed)
+		s.sendNodes(placer.ListFailed)
 	case s.chance(0.1): // no answer
 	default:
 		s.subscribed = s.chance(0.8)
-		s.listed(placer.FullList)
+		s.sendNodes(placer.FullList)
 	}
 }
 
 // churn changes one machine: it drains, leaves, restarts or is replaced.
 func (s *simulation) churn() {
 	s.after(s.script.churnEvery*(0.5+s.rng.Float64()), s.churn)
-	m := s.machines[s.rng.IntN(len(s.machines))]
+	m := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch draw := s.rng.Float64(); {
 	case s.script.returnsAfter > 0:
-		s.leave(m)
+		s.removeForAWhile(m)
 	case m.removed:
-		if len(s.machines) < 4*s.script.machines {
-			s.addMachine(s.now)
+		if len(s.nodes) < 4*s.script.nodes {
+			s.addNode(s.now)
 		}
 	case draw < 0.2:
 		m.State = placer.Draining
 	case draw < 0.35:
-		m.State = placer.Gone
+		m.State = placer.Terminated
 	case draw < 0.45:
 		m.removed = true
-		s.addMachine(s.now)
+		s.addNode(s.now)
 	case draw < 0.55:
 		m.broken = !m.broken
 	default:
@@ -511,8 +511,8 @@
 	}
 }
 
-// leave takes a machine off the list and brings it back, as it was, about when it is forgotten.
-func (s *simulation) leave(m *simMachine) {
+// removeForAWhile takes a machine off the list and brings it back, as it was, about when it is forgotten.
+func (s *simulation) removeForAWhile(m *simNode) {
 	if m.removed || m.State != placer.Ready {
 		return
 	}
@@ -521,16 +521,16 @@
 }
 
 // report is what a machine tells of its load; parts of it are missing at random.
-func (s *simulation) report(m *simMachine) *placer.Report {
+func (s *simulation) report(m *simNode) *placer.Report {
 	if s.chance(0.3) {
 		return nil
 	}
-	size, use := s.size(m), 0.5+s.script.useOfAsk+(0.4-s.script.useOfAsk)*s.rng.Float64()
+	size, use := s.size(m), 0.5+s.script.minUsageRatio+(0.4-s.script.minUsageRatio)*s.rng.Float64()
 	if s.chance(0.05) {
 		use = 1.3
 	}
-	r := &placer.Report{FreeCores: size.Cores - m.asked*use, FreeMemory: size.Memory - m.askedMemory*use,
-		Utilization: m.asked * use / size.Cores, QueueLength: float64(s.rng.IntN(4))}
+	r := &placer.Report{FreeCores: size.Cores - m.requestedCores*use, FreeMemory: size.Memory - m.requestedMemory*use,
+		Utilization: m.requestedCores * use / size.Cores, QueueLength: float64(s.rng.IntN(4))}
 	for _, field := range []*float64{&r.FreeCores, &r.FreeMemory, &r.Utilization, &r.QueueLength} {
 		if s.chance(0.25) {
 			*field = math.NaN()
@@ -553,13 +553,13 @@
 
 func (s *simulation) arrivals() {
 	rate := s.script.arrivalsPerSec
-	if s.script.quietAfter > 0 && s.events > s.script.quietAfter {
+	if s.script.lowLoadAfter > 0 && s.events > s.script.lowLoadAfter {
 		rate /= 8
 	}
 	s.after(-math.Log(1-s.rng.Float64())/rate, s.arrivals)
 	t := s.newTask()
 	if s.chance(0.02) {
-		s.spoil(&t)
+		s.invalidate(&t)
 	}
 	s.arrive(t)
 	if s.chance(0.01) { // a burst
@@ -569,8 +569,8 @@
 	}
 }
 
-// spoil makes a task one that can never be placed.
-func (s *simulation) spoil(t *placer.Task) {
+// invalidate makes a task one that can never be placed.
+func (s *simulation) invalidate(t *placer.Task) {
 	switch s.rng.IntN(9) {
 	case 0:
 		t.Class = -1
@@ -614,8 +614,8 @@
 	}
 }
 
-// comesAgain lets the owner of a task that was turned away ask for it again.
-func (s *simulation) comesAgain(t *simTask) {
+// resubmit lets the owner of a task that was turned away ask for it again.
+func (s *simulation) resubmit(t *simTask) {
 	again := t.task
 	again.ID, again.IsRetry = s.nextTask, true
 	again.Deadline = s.now + 4
@@ -623,43 +623,43 @@
 	s.arrive(again)
 }
 
-// moved stops a task at the scheduler's wish.
-func (s *simulation) moved(t *simTask) {
+// migrate stops a task at the scheduler's wish.
+func (s *simulation) migrate(t *simTask) {
 	attempt := len(t.ended) - 1
 	if attempt < 0 || t.ended[attempt] {
 		return
 	}
 	s.end(t, attempt, placer.Lost, placer.Drained, true)
-	s.comesAgain(t)
+	s.resubmit(t)
 }
 
-// foundRunning tells of a task that runs already; some stand on machines that no list has named.
-func (s *simulation) foundRunning(i int) {
-	m := s.machines[s.rng.IntN(len(s.machines))]
+// adopt tells of a task that runs already; some stand on machines that no list has named.
+func (s *simulation) adopt(i int) {
+	m := s.nodes[s.rng.IntN(len(s.nodes))]
 	if i%4 == 3 {
-		m = &simMachine{Node: placer.Node{ID: placer.NodeID(900000 + i)}}
+		m = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + i)}}
 	}
-	t := &simTask{task: s.newTask(), machines: []*simMachine{m}, ended: []bool{false}, bound: true}
+	t := &simTask{task: s.newTask(), nodes: []*simNode{m}, ended: []bool{false}, bound: true}
 	s.tasks = append(s.tasks, t)
 	s.byID[t.task.ID] = t
-	m.asked += t.task.Cores
-	m.askedMemory += t.task.Memory
+	m.requestedCores += t.task.Cores
+	m.requestedMemory += t.task.Memory
 	for range 1 + i%2 { // some are told twice
 		s.handle(placer.Event{Kind: placer.Adopted, Task: t.task, Node: m.ID})
 	}
 	s.after(3+20*s.rng.Float64(), func() { s.finish(t, 0) })
 }
 
-// offered draws what becomes of an offer.
-func (s *simulation) offered(a placer.Action) {
+// attemptStarted draws what becomes of an offer.
+func (s *simulation) attemptStarted(a placer.Action) {
 	t := s.byID[a.Task]
-	var m *simMachine
-	for _, candidate := range s.machines {
+	var m *simNode
+	for _, candidate := range s.nodes {
 		if candidate.ID == a.Node {
 			m = candidate
 		}
 	}
-	t.machines, t.ended = append(t.machines, m), append(t.ended, false)
+	t.nodes, t.ended = append(t.nodes, m), append(t.ended, false)
 	attempt, sent := a.Attempt, s.now
 	latency := 0.01 + 0.2*s.rng.Float64()
 	later := func(seconds float64, result placer.Result, reason placer.Reason) {
@@ -667,9 +667,9 @@
 	}
 	size := s.size(m)
 	switch {
-	case s.chance(s.script.silent): // the outcome comes too late
+	case s.chance(s.script.lateOutcomes): // the outcome comes too late
 		later(t.task.Deadline-s.now+1, placer.TimedOut, placer.NoReason)
-	case m.removed || m.State == placer.Gone:
+	case m.removed || m.State == placer.Terminated:
 		later(latency, placer.Unreachable, placer.NoReason)
 	case m.State == placer.Draining:
 		later(latency, placer.Rejected, placer.WrongNode)
@@ -677,9 +677,9 @@
 		later(a.Until-s.now, placer.TimedOut, placer.NoReason)
 	case m.broken:
 		later(latency, placer.Errored, placer.NoReason)
-	case m.asked+t.task.Cores > size.Cores*s.script.config.OvercommitCores:
+	case m.requestedCores+t.task.Cores > size.Cores*s.script.config.OvercommitCores:
 		later(latency, placer.Rejected, placer.InsufficientCores)
-	case m.askedMemory+t.task.Memory > size.Memory*s.script.config.OvercommitMemory:
+	case m.requestedMemory+t.task.Memory > size.Memory*s.script.config.OvercommitMemory:
 		later(latency, placer.Rejected, placer.InsufficientMemory)
 	case s.chance(s.script.failing):
 		outcome := s.drawFailure()
@@ -712,9 +712,9 @@
 		return
 	}
 	t.bound = true
-	m := t.machines[attempt]
-	m.asked += t.task.Cores
-	m.askedMemory += t.task.Memory
+	m := t.nodes[attempt]
+	m.requestedCores += t.task.Cores
+	m.requestedMemory += t.task.Memory
 	ev := placer.Event{Kind: placer.Bound, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Elapsed: elapsed}
 	s.handle(ev)
 	if s.chance(0.02) {
@@ -722,15 +722,15 @@
 	}
 	for use := placer.Started; use <= placer.NodeMemory; use++ {
 		if s.chance(0.5) {
-			s.after(0.2+s.rng.Float64(), func() { s.note(t, attempt, use) })
+			s.after(0.2+s.rng.Float64(), func() { s.reportUsage(t, attempt, use) })
 		}
 	}
 	s.after(t.lifetime, func() { s.finish(t, attempt) })
 }
 
-func (s *simulation) note(t *simTask, attempt int, use placer.UsageKind) {
+func (s *simulation) reportUsage(t *simTask, attempt int, use placer.UsageKind) {
 	value := 2 * s.rng.Float64() * t.task.Cores
-	s.handle(placer.Event{Kind: placer.UsageReported, TaskID: t.task.ID, Attempt: attempt, Node: t.machines[attempt].ID, Usage: use, Value: value})
+	s.handle(placer.Event{Kind: placer.UsageReported, TaskID: t.task.ID, Attempt: attempt, Node: t.nodes[attempt].ID, Usage: use, Value: value})
 }
 
 // finish ends a bound task, mostly well.
@@ -747,10 +747,10 @@
 		return
 	}
 	t.ended[attempt] = true
-	m := t.machines[attempt]
+	m := t.nodes[attempt]
 	if t.bound && attempt == len(t.ended)-1 {
-		m.asked -= t.task.Cores
-		m.askedMemory -= t.task.Memory
+		m.requestedCores -= t.task.Cores
+		m.requestedMemory -= t.task.Memory
 	}
 	ev := placer.Event{Kind: placer.Ended, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Result: result, Reason: reason,
 		Elapsed: 0.1, Final: over, Report: s.report(m)}
@@ -760,11 +760,11 @@
 	}
 }
 
-// strays hands in events that match nothing, and clocks that go back a little.
-func (s *simulation) strays() {
-	s.after(0.5+s.rng.Float64(), s.strays)
+// unmatchedEvents hands in events that match nothing, and clocks that go back a little.
+func (s *simulation) unmatchedEvents() {
+	s.after(0.5+s.rng.Float64(), s.unmatchedEvents)
 	id := placer.TaskID(1 + s.rng.IntN(int(s.nextTask)))
-	node := s.machines[s.rng.IntN(len(s.machines))].ID
+	node := s.nodes[s.rng.IntN(len(s.nodes))].ID
 	kinds := []placer.Event{
 		{Kind: placer.Bound, TaskID: id, Attempt: 50, Node: node},
 		{Kind: placer.Bound, TaskID: 1 << 40, Node: node},
