--- /dev/null
+++ b/internal/engine/adoption.go
@@ -0,0 +1,200 @@
+package engine
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
+	"heathshed/placer"
+)
+
+// adoptTask hands a task that was found running to the placer, by a new request that is closed from the start.
+func (e *Engine) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
+	e.lastRequestID++
+	request := &placementRequest{id: e.lastRequestID, task: task, closed: true}
+	adopted := &attempt{
+		request:             request,
+		task:                task,
+		node:                node,
+		number:              number,
+		sentAt:              e.now,
+		acceptedIncarnation: incarnation,
+		revision:            revision,
+	}
+	request.attempts = append(request.attempts, adopted)
+	e.requests[request.id] = request
+	task.request = request
+	task.attemptCount = max(task.attemptCount, number)
+	e.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: e.placerTask(request, task.deadline)})
+	e.bindTask(task, adopted)
+}
+
+// adoptPod adopts a task that a process before this one has placed. Its Job is rebuilt from what the node kept with the Pod. A Pod that
+// cannot be adopted is stopped.
+func (e *Engine) adoptPod(node *node, found *corev1.Pod) {
+	class, invalid := e.classFromLabels(found.Labels)
+	if invalid != nil || e.store.Get(store.Pods, found.Namespace, found.Name) != nil {
+		e.stopCopy(node, found.UID, found.Namespace, found.Name, allAttempts)
+		return
+	}
+	e.Stats.Recovered++
+	adopted := e.taskOfPod(found, class)
+	e.addTask(adopted)
+	e.adoptJob(adopted, found)
+	e.store.Put(store.Pods, e.adoptedPod(node, found))
+	if adopted.job != nil {
+		adopted.job.pods[adopted.name] = struct{}{}
+	}
+	e.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
+	if found.Status.Phase == corev1.PodRunning {
+		e.taskStarted(adopted)
+	}
+	if adopted.job != nil && adopted.job.deleted {
+		e.deleteTaskPod(adopted, stopDeleted)
+	}
+}
+
+// allAttempts is above the number of any attempt.
+const allAttempts = 1 << 30
+
+// attemptNumber returns the number of the attempt by which a node accepted a Pod, at least 1.
+func attemptNumber(pod *corev1.Pod) int {
+	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation]) // 0 if the Pod states no number
+	return max(number, 1)
+}
+
+// taskOfPod returns the task of a Pod that was found running. Its outcome was settled by the process that placed it.
+func (e *Engine) taskOfPod(found *corev1.Pod, class int) *task {
+	tenant, _ := e.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
+	service := found.Labels[wellknown.Service]
+	if service == "" {
+		service = found.Labels[wellknown.JobName]
+	}
+	adopted := &task{
+		uid:               found.UID,
+		namespace:         found.Namespace,
+		name:              found.Name,
+		class:             class,
+		tenant:            tenant,
+		service:           serviceID(found.Namespace, service),
+		deadline:          e.now,
+		settled:           true,
+		requestsSubmitted: 1,
+		everMayHaveRun:    true,
+	}
+	adopted.cores, adopted.memory = wellknown.Requests(&found.Spec)
+	return adopted
+}
+
+// adoptedPod returns the Pod of an adopted task as it is stored.
+func (e *Engine) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
+	now := wellknown.APITime(e.now)
+	pod := found.DeepCopy()
+	pod.Labels[wellknown.Scheduler] = e.cfg.Name
+	delete(pod.Annotations, wellknown.JobManifest)
+	delete(pod.Annotations, wellknown.Usage)
+	pod.Spec.NodeName = node.name
+	pod.Status = corev1.PodStatus{Phase: corev1.PodPending}
+	setPodCondition(pod, corev1.PodCondition{
+		Type:               wellknown.Settled,
+		Status:             corev1.ConditionTrue,
+		Reason:             wellknown.Placed,
+		Message:            fmt.Sprintf("found running on %s after the scheduler's restart", node.name),
+		LastTransitionTime: now,
+	})
+	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
+	return pod
+}
+
+// adoptJob joins an adopted task to its Job, which it rebuilds if it is not stored. A Pod that names no usable Job has a task without one.
+func (e *Engine) adoptJob(adopted *task, found *corev1.Pod) {
+	var object batchv1.Job
+	err := json.Unmarshal([]byte(found.Annotations[wellknown.JobManifest]), &object)
+	if err != nil || object.Name == "" || object.Namespace != found.Namespace {
+		return
+	}
+	job := e.jobs[jobKey(&object)]
+	if job == nil {
+		if job = e.rebuildJob(&object); job == nil {
+			return
+		}
+	}
+	index, err := strconv.Atoi(found.Labels[wellknown.Index])
+	if err != nil || index < 0 || index >= len(job.indexes) || job.uid != object.UID || job.indexes[index].task != nil {
+		return
+	}
+	e.adoptIndex(job, index, adopted)
+}
+
+// rebuildJob stores a Job that a node kept with a Pod. No task of it is started before the other nodes could show theirs. It returns nil if
+// the Job is not valid any more.
+func (e *Engine) rebuildJob(object *batchv1.Job) *job {
+	object.Generation = 1
+	rebuilt, err := e.newJob(object)
+	if err != nil {
+		return nil
+	}
+	rebuilt.nextIndex = len(rebuilt.indexes)
+	e.jobs[rebuilt.key] = rebuilt
+	e.store.Put(store.Jobs, object)
+	e.runAfter(e.cfg.NodeLossTimeout, func() { e.finishJobAdoption(rebuilt) })
+	return rebuilt
+}
+
+// adoptIndex makes an adopted task that of an index without one.
+func (e *Engine) adoptIndex(job *job, index int, adopted *task) {
+	state := &job.indexes[index]
+	if state.state == indexFinished {
+		job.exhausted--
+	}
+	if !state.settled {
+		state.settled = true
+		job.settled[wellknown.Placed]++
+	}
+	state.state = indexActive
+	state.task = adopted
+	adopted.job = job
+	adopted.index = index
+	adopted.retryBudget = state.retryBudget
+	job.active++
+	e.markJobDirty(job)
+}
+
+// finishJobAdoption decides on the indexes of a rebuilt Job that no node has shown: their tasks may have ended, or never been started. Those
+// that may run twice are started, the others fail.
+func (e *Engine) finishJobAdoption(job *job) {
+	if job.deleted || e.jobs[job.key] != job {
+		return
+	}
+	idempotent := e.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent
+	for i := range job.indexes {
+		switch {
+		case job.indexes[i].state != indexPending:
+		case idempotent:
+			job.restartIndex(i)
+		default:
+			job.failUnseenIndex(i)
+		}
+	}
+	e.enqueueJob(job)
+	e.markJobDirty(job)
+	e.finishJobIfDone(job)
+}
+
+// failUnseenIndex fails an index of a rebuilt Job whose task may have run.
+func (j *job) failUnseenIndex(i int) {
+	index := &j.indexes[i]
+	index.state = indexFinished
+	j.exhausted++
+	j.failed++
+	if !index.settled {
+		index.settled = true
+		j.settled[wellknown.Failed]++
+		j.mayHaveRun = true
+	}
+}
--- /dev/null
+++ b/internal/engine/config.go
@@ -0,0 +1,89 @@
+package engine
+
+import (
+	"fmt"
+
+	"heathshed/internal/admission"
+	"heathshed/internal/retry"
+	"heathshed/placer"
+)
+
+// Config holds the settings of an Engine.
+type Config struct {
+	// Name identifies this scheduler. Nodes keep it with each Pod.
+	Name string
+
+	Placer       placer.Config
+	Classes      []string // names of Placer.Classes, in their order
+	DefaultClass int      // index of the class of tasks that name none
+	NodeTypes    []string // names of Placer.NodeTypes, in their order
+	Tenants      []string // namespaces of Placer.Tenants, in their order; if empty, every namespace is accepted
+	Zone         string   // topology zone of this scheduler
+
+	Retry     retry.Policy     // zero means retry.DefaultPolicy
+	Admission admission.Config // zero means that every request is admitted
+	Seed      uint64           // of the random source
+
+	BaseRevision int64 // resource versions begin above this
+	History      int   // changes kept per table for watches
+	MaxHistory   int64 // bytes of changes kept for watches, as store.Cost counts; 0 means no limit
+	MaxPods      int   // Pods stored or pending at a time; further Jobs are rejected
+	MaxObjects   int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
+
+	// FinishedTTL is how many seconds a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
+	FinishedTTL float64
+	// NodeLossTimeout is how many seconds a node may be absent from the inventory and unresponsive before its tasks count as lost.
+	NodeLossTimeout float64
+	// MaxStartsPerCall limits the tasks that one call starts. The rest are started by the next calls.
+	MaxStartsPerCall int
+}
+
+// Defaults for settings that a Config leaves at zero.
+const (
+	DefaultHistory          = 20000
+	DefaultMaxPods          = 200000
+	DefaultNodeLossTimeout  = 8.0  // seconds
+	DefaultMaxPollInterval  = 10.0 // seconds
+	DefaultMaxStartsPerCall = 256
+)
+
+// validate reports the first setting that cannot be used.
+func (c *Config) validate() error {
+	if len(c.Classes) != len(c.Placer.Classes) {
+		return fmt.Errorf("engine: %d class names for %d classes", len(c.Classes), len(c.Placer.Classes))
+	}
+	if len(c.NodeTypes) != len(c.Placer.NodeTypes) {
+		return fmt.Errorf("engine: %d node type names for %d node types", len(c.NodeTypes), len(c.Placer.NodeTypes))
+	}
+	if c.DefaultClass < 0 || c.DefaultClass >= len(c.Classes) {
+		return fmt.Errorf("engine: default class %d of %d", c.DefaultClass, len(c.Classes))
+	}
+	return nil
+}
+
+// setDefaults fills in the settings that were left at zero, and those of the admission controller that follow from others.
+func (c *Config) setDefaults() {
+	setIfUnset(&c.History, DefaultHistory)
+	setIfUnset(&c.MaxPods, DefaultMaxPods)
+	setIfUnset(&c.MaxStartsPerCall, DefaultMaxStartsPerCall)
+	setIfUnset(&c.Placer.MaxPollInterval, DefaultMaxPollInterval)
+	setIfUnset(&c.NodeLossTimeout, DefaultNodeLossTimeout)
+	if c.Retry == (retry.Policy{}) {
+		c.Retry = retry.DefaultPolicy()
+	}
+	c.Placer.Zone = 0 // this scheduler's zone is the first that is interned
+	if c.Admission.MaxQueued == 0 {
+		c.Admission = admission.DefaultConfig()
+		c.Admission.Disabled = true
+	}
+	c.Admission.Shares = nil
+	for _, tenant := range c.Placer.Tenants {
+		c.Admission.Shares = append(c.Admission.Shares, tenant.Share)
+	}
+}
+
+func setIfUnset[T int | float64](setting *T, value T) {
+	if *setting <= 0 {
+		*setting = value
+	}
+}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,7 +13,8 @@
 	"heathshed/placer"
 )
 
-func listedNode(boot string, started float64) *corev1.Node {
+// listedNode returns a ready node as the inventory lists it. A start time of 0 is not stated.
+func listedNode(incarnation string, started float64) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = "n"
 	node.Labels = map[string]string{wellknown.Kind: "k"}
@@ -21,7 +22,7 @@
 	if started > 0 {
 		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
 	}
-	node.Status.NodeInfo.BootID = boot
+	node.Status.NodeInfo.BootID = incarnation
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
 	node.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0.1"}}
 	node.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
@@ -39,7 +40,8 @@
 	return e
 }
 
-// A machine whose clock is behind must not look warm when it has just come up, nor one that is ahead stay cold for ever.
+// The start of a node is taken by the scheduler's clock: a node whose clock is behind must warm up after a start, and one whose clock is
+// ahead must not warm up for ever.
 func TestWarmupUsesOwnClock(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -52,16 +54,18 @@
 		{"there before us, clock ahead", listedNode("a", 5000), listedNode("a", 5000), 1000},
 		{"there before us", listedNode("a", 990), listedNode("a", 990), 990},
 	} {
-		e := newEngine(t)
-		e.NodesListed(1000, FullList, []*corev1.Node{test.first}, nil)
-		e.NodesListed(1100, Changes, []*corev1.Node{test.second}, nil)
-		if got := e.nodes["n"].startedAt; got != test.want {
-			t.Errorf("%s: since %v, want %v", test.name, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			e := newEngine(t)
+			e.NodesListed(1000, FullList, []*corev1.Node{test.first}, nil)
+			e.NodesListed(1100, Changes, []*corev1.Node{test.second}, nil)
+			if got := e.nodes["n"].listedStartedAt; got != test.want {
+				t.Errorf("started at %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// The list is late: a life that the machine itself has left ends nothing of its present one.
+// A list may be late: an incarnation that the node itself has left does not end the present one.
 func TestLateListWithEarlierIncarnation(t *testing.T) {
 	e := newEngine(t)
 	e.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
@@ -70,52 +74,57 @@
 	e.NodesListed(1011, Changes, []*corev1.Node{listedNode("a", 0)}, nil)
 	e.observeIncarnation(e.nodes["n"], "a")
 	if got := e.nodes["n"].incarnation; got != "b" {
-		t.Errorf("the machine is taken back to life %q", got)
+		t.Errorf("the node is taken back to incarnation %q", got)
 	}
 }
 
-// A machine that says that it does not have a task speaks of its present life only. If the attempt was sent to an earlier one it may have
-// run there, and a task that must not run twice is not asked for again.
+// A node that does not have a task says so of its present incarnation only. If the attempt was sent to an earlier one it may have run
+// there, and a task that must not run twice is not requested again.
 func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
 	for _, test := range []struct {
-		name, boot string
-		again      bool // it is asked for again
-	}{{"same life", "a", true}, {"another life", "b", false}} {
-		e, err := New(Config{Name: "s", Classes: []string{"once"}, NodeTypes: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1,
-			Classes:   []placer.Class{{Idempotency: placer.NonIdempotent, LatencyObjective: 1, Deadline: 2, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
-			NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}}, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		node := listedNode("a", 0)
-		node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
-		e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
-		e.NodePods(1000, "n", "a", 1, nil)
-		job := &batchv1.Job{}
-		job.Name, job.Namespace = "j", "default"
-		if _, err := e.CreateJob(1001, job, false); err != nil {
-			t.Fatal(err)
-		}
-		attempts, now := 0, 1001.0
-		for now < 1060 {
-			for _, effect := range e.Ready(nil) {
-				switch effect.Kind {
-				case SendAttempt:
-					attempts++ // and no answer comes
-				case StopTask:
-					e.StopDone(now, StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt, Answered: true, Incarnation: test.boot})
+		name, incarnation string
+		again             bool // it is requested again
+	}{{"same incarnation", "a", true}, {"another incarnation", "b", false}} {
+		t.Run(test.name, func(t *testing.T) {
+			e, err := New(Config{Name: "s", Classes: []string{"once"}, NodeTypes: []string{"k"}, Placer: placer.Config{
+				Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true,
+				Classes: []placer.Class{{Idempotency: placer.NonIdempotent, LatencyObjective: 1, Deadline: 2, NodeType: -1,
+					SaturationThreshold: 1, DegradationRange: 1}},
+				NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
+			}})
+			if err != nil {
+				t.Fatal(err)
+			}
+			node := listedNode("a", 0)
+			node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
+			e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
+			e.NodePods(1000, "n", "a", 1, nil)
+			job := &batchv1.Job{}
+			job.Name, job.Namespace = "j", "default"
+			if _, err := e.CreateJob(1001, job, false); err != nil {
+				t.Fatal(err)
+			}
+			attempts, now := 0, 1001.0
+			for now < 1060 {
+				for _, effect := range e.Ready(nil) {
+					switch effect.Kind {
+					case SendAttempt:
+						attempts++ // it is never answered
+					case StopTask:
+						e.StopDone(now, StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt, Answered: true, Incarnation: test.incarnation})
+					}
 				}
+				now = min(e.NextWake(), 1060)
+				e.Tick(now)
 			}
-			now = min(e.NextWake(), 1060)
-			e.Tick(now)
-		}
-		if (attempts > 1) != test.again {
-			t.Errorf("%s: %d offers", test.name, attempts)
-		}
+			if (attempts > 1) != test.again {
+				t.Errorf("%d attempts", attempts)
+			}
+		})
 	}
 }
 
-// What is over makes room for what is new, the oldest first, but not before its outcome could be read.
+// Finished Jobs are removed for new ones, the oldest first, but not before their outcome could be read.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	e := newEngine(t)
 	e.cfg.MaxPods, e.cfg.MaxObjects = 100, 1<<30
@@ -137,7 +146,7 @@
 	if err := create(now, "b", 60); !errors.Is(err, ErrTooMany) {
 		t.Fatalf("120 of 100 Pods: %v", err)
 	}
-	// No machine is there: all are refused by their deadline.
+	// There is no node: all are rejected at their deadline.
 	for ; e.OpenTasks() > 0 && now < 1100; now++ {
 		e.Tick(now)
 	}
@@ -161,8 +170,8 @@
 	}
 }
 
-// A task that ended without success is requested again by a timer. Where the engine is stopped before that timer fires, the new Pod gets
-// its final answer and nothing is sent for it.
+// A task that ended without success is started again by a timer. If the engine is stopped before that timer fires, the new Pod gets its
+// final outcome and nothing is sent for it.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	e := newEngine(t)
 	node := listedNode("a", 0)
@@ -216,6 +225,6 @@
 		t.Errorf("%d attempts after the stop", len(again))
 	}
 	if e.OpenTasks() != 0 {
-		t.Errorf("%d tasks have no final answer", e.OpenTasks())
+		t.Errorf("%d tasks have no final outcome", e.OpenTasks())
 	}
 }
--- /dev/null
+++ b/internal/engine/script_calls_test.go
@@ -0,0 +1,210 @@
+package engine_test
+
+import (
+	"fmt"
+	"strconv"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/api/resource"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+
+	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
+)
+
+func pointer[T any](value T) *T { return &value }
+
+// job draws a Job, now and then one that is not valid.
+func (s *script) job() *batchv1.Job {
+	drawn := &batchv1.Job{}
+	drawn.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
+	drawn.Name = fmt.Sprintf("job-%03d", len(s.jobs))
+	tasks := int32(s.rng.IntN(7))
+	drawn.Spec.Completions, drawn.Spec.Parallelism = &tasks, pointer(tasks)
+	drawn.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
+	drawn.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
+	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
+	if class != "" {
+		drawn.Spec.Template.Labels[wellknown.Class] = class
+	}
+	drawn.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
+	drawn.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	drawn.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
+		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
+			corev1.ResourceMemory: *resource.NewQuantity(int64(1+s.rng.IntN(4))<<30, resource.BinarySI)}}}}
+	s.vary(drawn)
+	return drawn
+}
+
+// vary draws settings of a Job that few Jobs have.
+func (s *script) vary(drawn *batchv1.Job) {
+	switch s.rng.IntN(24) {
+	case 0:
+		drawn.Name, drawn.GenerateName = "", "generated-"
+	case 1:
+		drawn.Spec.Suspend = pointer(true)
+	case 2:
+		drawn.Spec.ActiveDeadlineSeconds = pointer(int64(4))
+	case 3:
+		drawn.Spec.TTLSecondsAfterFinished = pointer(int32(3))
+	case 4:
+		drawn.Spec.Parallelism = pointer(int32(1))
+	case 5:
+		drawn.Namespace = "unknown"
+	case 6:
+		drawn.Spec.Template.Labels[wellknown.Class] = "unknown"
+	case 7:
+		drawn.Spec.Completions = pointer(int32(1 << 30))
+	case 8:
+		drawn.Spec.Completions, drawn.Spec.Parallelism, drawn.Spec.BackoffLimit = nil, nil, nil
+	case 9:
+		drawn.Spec.Template.Labels, drawn.Spec.Template.Annotations = nil, nil
+	case 10:
+		drawn.Labels, drawn.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
+	}
+}
+
+func (s *script) create(dry bool) {
+	job := s.job()
+	created, err := s.engine.CreateJob(s.now, job, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(created, nil)
+	if !dry {
+		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
+	}
+}
+
+// pick draws a stored object of a table, the n-th in order of key.
+func (s *script) pick(table store.Resource) store.Object {
+	snapshot := s.engine.Store().Snapshot(table)
+	if snapshot.Len() == 0 {
+		return nil
+	}
+	skip := s.rng.IntN(snapshot.Len())
+	var picked store.Object
+	snapshot.Scan("", "", func(_ string, change *store.Change) bool {
+		picked = change.Object
+		skip--
+		return skip >= 0
+	})
+	return picked
+}
+
+func (s *script) updateJob() {
+	object := s.pick(store.Jobs)
+	if object == nil {
+		return
+	}
+	update := object.DeepCopyObject().(*batchv1.Job)
+	dry := s.rng.IntN(8) == 0
+	switch s.rng.IntN(14) {
+	case 0, 1, 2:
+		update.Spec.Suspend = pointer(true)
+	case 3, 4, 5, 6:
+		update.Spec.Suspend = nil
+	case 7:
+		update.Spec.Parallelism = pointer(int32(s.rng.IntN(5)))
+	case 8:
+		update.Labels = map[string]string{"changed": strconv.Itoa(s.rng.IntN(5))}
+	case 9:
+		update.ResourceVersion = "1"
+	case 10:
+		update.Spec.Template.Spec.Containers[0].Image = "other"
+	case 11:
+		update.Spec.Completions = pointer(int32(77))
+	case 12:
+		update.Spec.Parallelism = pointer(int32(-1))
+	case 13:
+		update.Name += "-missing"
+	}
+	updated, err := s.engine.UpdateJob(s.now, update, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(updated, nil)
+}
+
+func (s *script) deleteJob() {
+	object := s.pick(store.Jobs)
+	if object == nil {
+		return
+	}
+	how := []metav1.DeletionPropagation{"", metav1.DeletePropagationBackground, metav1.DeletePropagationForeground,
+		metav1.DeletePropagationOrphan}[s.rng.IntN(4)]
+	name, uid, revision := object.GetName(), object.GetUID(), object.GetResourceVersion()
+	switch s.rng.IntN(12) {
+	case 0:
+		name += "-missing"
+	case 1:
+		uid = "other"
+	case 2:
+		revision = "1"
+	case 3, 4, 5, 6:
+		uid, revision = "", ""
+	}
+	deleted, err := s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(deleted, nil)
+}
+
+func (s *script) stopPod(evict bool) {
+	object := s.pick(store.Pods)
+	if object == nil {
+		return
+	}
+	name, uid := object.GetName(), object.GetUID()
+	switch s.rng.IntN(10) {
+	case 0:
+		name += "-missing"
+	case 1:
+		uid = "other"
+	}
+	if evict {
+		s.result(nil, s.engine.EvictPod(s.now, object.GetNamespace(), name, uid))
+		return
+	}
+	deleted, err := s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, "")
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(deleted, nil)
+}
+
+func (s *script) updateNode() {
+	object := s.pick(store.Nodes)
+	if object == nil {
+		return
+	}
+	update := object.DeepCopyObject().(*corev1.Node)
+	var order *bool
+	dry := s.rng.IntN(6) == 0
+	switch s.rng.IntN(10) {
+	case 0, 1:
+		order = pointer(true)
+	case 2, 3, 4, 5:
+		order = pointer(false)
+	case 6:
+		update.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
+	case 7:
+		update.Labels[wellknown.Rack] = "elsewhere"
+	case 8:
+		update.ResourceVersion = "1"
+	case 9:
+		update.Name = "missing"
+	}
+	updated, err := s.engine.UpdateNode(s.now, update, order, dry)
+	if err != nil {
+		s.result(nil, err)
+		return
+	}
+	s.result(updated, nil)
+}
--- /dev/null
+++ b/internal/engine/script_nodes_test.go
@@ -0,0 +1,219 @@
+package engine_test
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/engine"
+	"heathshed/internal/wellknown"
+	"heathshed/placer"
+)
+
+// fakeNode is a node of a script: it answers attempts and stop orders at random, and runs the Pods that it accepted.
+type fakeNode struct {
+	name        string
+	incarnation int
+	revision    int64
+	ready       bool
+	removed     bool
+	draining    bool
+	pods        []*corev1.Pod // in order of acceptance
+	floor       map[types.UID]int
+}
+
+func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
+
+func (n *fakeNode) find(uid types.UID) int {
+	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
+}
+
+// answerAttempt lets a node accept, reject, lose or ignore an attempt.
+func (s *script) answerAttempt(effect engine.Effect) {
+	node := s.node(effect.Node)
+	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
+	delay := 0.005 + 0.05*s.rng.Float64()
+	accept := node.ready && !node.removed && effect.Attempt > node.floor[effect.UID]
+	switch draw := s.rng.IntN(100); {
+	case !accept || draw < 6:
+		answer.Result, answer.Incarnation = placer.Unreachable, ""
+	case draw < 16:
+		answer.Result, answer.Reason = placer.Rejected, placer.InsufficientCores
+		answer.Report = &placer.Report{FreeCores: 1, FreeMemory: 2, Utilization: 0.9, QueueLength: 3}
+	case draw < 20:
+		answer.Result, answer.Message = placer.Errored, "internal error"
+	case draw < 24:
+		answer.Result = placer.Lost
+	case draw < 30:
+		return // never answered
+	case draw < 38: // accepted, but the answer is lost
+		s.accept(node, effect)
+		answer.Result, answer.Incarnation = placer.Lost, ""
+	case draw < 46: // accepted, but the answer comes too late
+		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), 3+8*s.rng.Float64()
+	default:
+		answer.Accepted, answer.Revision = true, s.accept(node, effect)
+		if draw > 90 {
+			answer.Pod = node.pods[node.find(effect.UID)]
+		}
+	}
+	s.after(delay, func() { s.engine.AttemptDone(s.now, answer) })
+}
+
+// accept has a node accept a task, start it and end it later, and returns the node's revision.
+func (s *script) accept(node *fakeNode, effect engine.Effect) int64 {
+	node.revision++
+	pod := effect.Pod.DeepCopy()
+	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(effect.Attempt)
+	pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
+	pod.Status.Phase = corev1.PodPending
+	if i := node.find(pod.UID); i >= 0 {
+		node.pods[i] = pod
+		return node.revision
+	}
+	node.pods = append(node.pods, pod)
+	s.plan(node, pod.UID)
+	return node.revision
+}
+
+// plan schedules what the node's watch shows of a task: that it runs, that it ends, and sometimes that its Pod vanishes.
+func (s *script) plan(node *fakeNode, uid types.UID) {
+	incarnation := node.incarnation
+	reasons := []string{"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped}
+	reason := reasons[s.rng.IntN(len(reasons))]
+	vanishes := s.rng.IntN(12) == 0
+	start := 0.02 + 0.3*s.rng.Float64()
+	end := start + 1 + 15*s.rng.Float64()
+	s.onNode(start, node, incarnation, uid, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodRunning
+		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", 0.5, "memory", 1.25)
+	}, false)
+	s.onNode(end, node, incarnation, uid, func(pod *corev1.Pod) {
+		pod.Status.Phase = corev1.PodSucceeded
+		if reason != "" {
+			pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, "stated by the node"
+		}
+	}, false)
+	if vanishes {
+		s.onNode(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
+	}
+}
+
+// onNode schedules a change of a Pod at a node, which the scheduler that runs then is notified of.
+func (s *script) onNode(seconds float64, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
+	s.after(seconds, func() {
+		i := node.find(uid)
+		if node.incarnation != incarnation || i < 0 {
+			return
+		}
+		node.revision++
+		pod := node.pods[i].DeepCopy()
+		change(pod)
+		pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
+		node.pods[i] = pod
+		if remove || wellknown.Finished(pod) {
+			node.pods = slices.Delete(node.pods, i, i+1)
+		}
+		s.engine.NodePod(s.now, node.name, pod, remove)
+	})
+	s.queue[len(s.queue)-1].incarnation = 0 // whatever the scheduler's incarnation
+}
+
+func (s *script) answerStop(effect engine.Effect) {
+	node := s.node(effect.Node)
+	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
+	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
+		answer.Answered, answer.Incarnation = true, node.incarnationID()
+		node.floor[effect.UID] = max(node.floor[effect.UID], effect.Attempt)
+		if i := node.find(effect.UID); i >= 0 {
+			answer.HadTask, answer.MayHaveRun = true, node.pods[i].Status.Phase == corev1.PodRunning
+			node.pods = slices.Delete(node.pods, i, i+1)
+		}
+	}
+	s.after(0.005+0.2*s.rng.Float64(), func() { s.engine.StopDone(s.now, answer) })
+}
+
+// listPods notifies the engine of all Pods of a node.
+func (s *script) listPods(node *fakeNode) {
+	if node.ready && !node.removed {
+		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
+	}
+}
+
+func (s *script) object(node *fakeNode) *corev1.Node {
+	index := slices.Index(s.nodes, node)
+	object := &corev1.Node{}
+	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
+	object.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
+		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", max(32-float64(len(node.pods)), 1), "memory", 60.5)}
+	if node.incarnation > 1 {
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
+	}
+	object.Spec.Unschedulable = node.draining
+	object.Status.NodeInfo.BootID = node.incarnationID()
+	status := corev1.ConditionTrue
+	if !node.ready {
+		status = corev1.ConditionUnknown
+	}
+	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: status}}
+	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", index+node.incarnation)}}
+	object.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
+	return object
+}
+
+func (s *script) fullList() {
+	var list []*corev1.Node
+	for _, node := range s.nodes {
+		if !node.removed {
+			list = append(list, s.object(node))
+		}
+	}
+	s.engine.NodesListed(s.now, engine.FullList, list, nil)
+}
+
+func (s *script) changed(node *fakeNode) {
+	if node.removed {
+		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
+		return
+	}
+	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(node)}, nil)
+}
+
+// nodeFault restarts, disconnects, removes or drains a node, or brings one back.
+func (s *script) nodeFault() {
+	node := s.nodes[s.rng.IntN(len(s.nodes))]
+	switch s.rng.IntN(12) {
+	case 0, 1:
+		node.incarnation, node.pods, node.floor = node.incarnation+1, nil, map[types.UID]int{}
+		s.after(0.3, func() { s.listPods(node) })
+		s.changed(node)
+	case 2:
+		node.ready = false
+		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
+		s.changed(node)
+	case 3:
+		node.removed = true
+		s.engine.NodeUnresponsive(s.now, node.name)
+		s.observe()
+		s.changed(node)
+	case 4:
+		node.draining = !node.draining
+		s.changed(node)
+	case 5:
+		s.engine.NodesListed(s.now, engine.ListUnavailable, nil, nil)
+	case 6:
+		s.fullList()
+	case 7, 8:
+		s.listPods(node)
+	case 9:
+		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
+	default:
+		node.ready, node.removed, node.draining = true, false, false
+		s.after(0.1, func() { s.listPods(node) })
+		s.changed(node)
+	}
+}
--- /dev/null
+++ b/internal/engine/task_state.go
@@ -0,0 +1,128 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+)
+
+// taskState says where a task is between the creation of its Pod and its removal from the engine.
+type taskState uint8
+
+const (
+	// taskCreated: the Pod is stored, and no request was made yet. No task is left in this state at the end of a call.
+	taskCreated taskState = iota
+	// taskQueued: a placement request waits at the admission controller, and the placer does not know it.
+	taskQueued
+	// taskSubmitted: the placer has a request, and no attempt is in flight.
+	taskSubmitted
+	// taskAttempting: an attempt is in flight.
+	taskAttempting
+	// taskWaiting: no request is open. A retry is due later, or an attempt's outcome is unknown and awaited.
+	taskWaiting
+	// taskBound: a node accepted the task and has not reported it as running yet.
+	taskBound
+	// taskRunning: its node reported it as running.
+	taskRunning
+	// taskTerminating: the task has ended. Attempts with an unknown outcome are still being stopped.
+	taskTerminating
+	// taskRemoved: the engine no longer keeps the task.
+	taskRemoved
+
+	taskStates
+)
+
+var taskStateNames = [taskStates]string{
+	"created", "queued", "submitted", "attempting", "waiting", "bound", "running", "terminating", "removed",
+}
+
+func (s taskState) String() string { return taskStateNames[s] }
+
+// taskTransitions lists the states that may follow each state.
+//
+// An attempt whose outcome was unknown may be found running while the task is queued, submitted or waiting: the task is then bound by it.
+var taskTransitions = [taskStates][]taskState{
+	taskCreated:     {taskQueued, taskSubmitted, taskWaiting, taskBound},
+	taskQueued:      {taskSubmitted, taskWaiting, taskBound},
+	taskSubmitted:   {taskAttempting, taskWaiting, taskBound},
+	taskAttempting:  {taskSubmitted, taskBound},
+	taskWaiting:     {taskQueued, taskSubmitted, taskWaiting, taskBound, taskTerminating},
+	taskBound:       {taskRunning, taskTerminating},
+	taskRunning:     {taskTerminating},
+	taskTerminating: {taskRemoved},
+	taskRemoved:     {},
+}
+
+// requestOpen says whether a placement request of the task is queued or with the placer.
+func (s taskState) requestOpen() bool {
+	return s == taskQueued || s == taskSubmitted || s == taskAttempting
+}
+
+// onNode says whether a node has accepted the task, which has not ended.
+func (s taskState) onNode() bool { return s == taskBound || s == taskRunning }
+
+// canBind says whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
+func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
+
+// setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
+func (e *Engine) setState(task *task, next taskState) {
+	if !slices.Contains(taskTransitions[task.state], next) && e.badTransition == nil {
+		e.badTransition = fmt.Errorf("engine: task %s goes from %s to %s", task.uid, task.state, next)
+	}
+	task.state = next
+}
+
+// CheckInvariants returns an error if a task has made an illegal transition, or is in a state that does not agree with its attempts,
+// its request or its node. It looks at every task: it is for tests and simulations, between calls.
+func (e *Engine) CheckInvariants() error {
+	if e.badTransition != nil {
+		return e.badTransition
+	}
+	open := 0
+	for _, task := range inCreationOrder(e.tasks) {
+		if violated := task.violatedInvariant(); violated != "" {
+			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violated)
+		}
+		if !task.settled {
+			open++
+		}
+	}
+	if open != e.openTasks {
+		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, e.openTasks)
+	}
+	return nil
+}
+
+// violatedInvariant describes what does not agree with the task's state, "" if all does.
+func (t *task) violatedInvariant() string {
+	ended := t.state == taskTerminating
+	for _, invariant := range []struct {
+		description string
+		holds       bool
+	}{
+		{"it is kept", t.state != taskCreated && t.state != taskRemoved},
+		{"an attempt is in flight only while it is attempting", (t.inFlight != nil) == (t.state == taskAttempting)},
+		{"an attempt runs only on a node", (t.runningAttempt != nil) == t.state.onNode()},
+		{"its node knows that it runs there", t.runningAttempt == nil || t.runningAttempt.node.running[t.uid] == t},
+		{"a request is open only before it is placed", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
+		{"a retry is pending only while it waits", !t.retryTimer.Pending() || t.state == taskWaiting},
+		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
+		{"it is kept after its end only for unknown outcomes", !ended || t.hasUnknownOutcome()},
+		{"a task that is to stop has ended or is being stopped at its node", t.stopReason == "" || t.state.onNode() || ended},
+		{"a deleted task is to stop", !t.deleted || t.stopReason != ""},
+		{"its unknown outcomes are known by their nodes", t.unknownOutcomesAreIndexed()},
+	} {
+		if !invariant.holds {
+			return "violated: " + invariant.description
+		}
+	}
+	return ""
+}
+
+func (t *task) unknownOutcomesAreIndexed() bool {
+	for _, attempt := range t.unknownOutcomes {
+		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/simulation/characterization_test.go
+++ b/internal/simulation/characterization_test.go
@@ -68,6 +68,9 @@
 func (r *scenarioRun) observe(w *simulation.World, scheduler int) {
 	r.calls++
 	engine := w.Engine(scheduler)
+	if err := engine.CheckInvariants(); err != nil {
+		r.t.Fatal(err)
+	}
 	r.record.Integers(int64(scheduler), int64(engine.OpenTasks()))
 	r.record.Floats(w.Now(), engine.NextWake())
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
--- a/internal/store/characterization_test.go
+++ b/internal/store/characterization_test.go
@@ -20,7 +20,7 @@
 func TestCharacterizeStore(t *testing.T) {
 	record := golden.NewRecorder()
 	for i, s := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
-		changeStore(t, record, fmt.Sprintf("store %d", i), s, uint64(i))
+		changeStore(record, fmt.Sprintf("store %d", i), s, uint64(i))
 	}
 	keepSnapshots(record)
 	record.Check(t, "store")
@@ -44,7 +44,7 @@
 	}
 }
 
-func changeStore(t *testing.T, record *golden.Recorder, name string, s *store.Store, seed uint64) {
+func changeStore(record *golden.Recorder, name string, s *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	base, now := s.Rev(), 0.0
 	for step := range 3000 {
