--- /dev/null
+++ b/internal/nodesim/lifecycle.go
@@ -0,0 +1,142 @@
+package nodesim
+
+import "slices"
+
+// maxFenced bounds the fences that are kept; the oldest are dropped first.
+const maxFenced = 100000
+
+// startQueued begins as many starts as may be under way at a time.
+func (n *Node) startQueued() {
+	for n.starting < n.cfg.MaxConcurrentStarts && len(n.startQueue) > 0 {
+		task := n.startQueue[0]
+		n.startQueue = n.startQueue[1:]
+		if task.Phase != Accepted {
+			continue
+		}
+		n.starting++
+		n.Starts++
+		if n.started[task.UID] {
+			n.DuplicateStarts++
+		}
+		n.started[task.UID] = true
+		work := n.cfg.StartSeconds
+		if !n.programCached(task) {
+			work *= max(n.cfg.UncachedStartFactor, 1)
+		}
+		n.schedule(max(n.now, n.stalledUntil)+work/n.pace(), func() {
+			n.starting--
+			n.taskStarted(task)
+			n.startQueued()
+		})
+	}
+}
+
+// programCached reports whether the program of the task's service runs or is cached.
+func (n *Node) programCached(task *Task) bool {
+	return n.running[task.Service] > 0 || slices.Contains(n.cachedPrograms, task.Service)
+}
+
+// cacheProgram puts the program of a service at the end of the cache, and drops the least recently used one if the cache is full.
+func (n *Node) cacheProgram(service string) {
+	if i := slices.Index(n.cachedPrograms, service); i >= 0 {
+		n.cachedPrograms = slices.Delete(n.cachedPrograms, i, i+1)
+	}
+	n.cachedPrograms = append(n.cachedPrograms, service)
+	if len(n.cachedPrograms) > n.cfg.ProgramCacheSize {
+		n.cachedPrograms = n.cachedPrograms[1:]
+	}
+}
+
+// taskStarted takes a task from Accepted to Running and schedules its end.
+func (n *Node) taskStarted(task *Task) {
+	if task.Phase != Accepted {
+		return
+	}
+	task.Phase = Running
+	task.ran = true
+	task.startedAt = n.now
+	n.running[task.Service]++
+	n.measureTask(task)
+	n.emit(Effect{Kind: Changed, Task: task})
+	n.answer(task)
+	lifetime := task.Lifetime
+	if lifetime <= 0 {
+		lifetime = n.cfg.LifetimeMean * (0.3 + n.rng.ExpFloat64()*0.7)
+	}
+	n.schedule(n.now+lifetime, func() {
+		if task.Phase == Running {
+			n.terminate(task, Succeeded, None)
+		}
+	})
+}
+
+// terminate takes an active task to the given final phase. It does nothing if the task has ended.
+func (n *Node) terminate(task *Task, phase Phase, reason Reason) {
+	if task.ended() {
+		return
+	}
+	n.used.cores -= task.UsedCores
+	n.used.memory -= task.UsedMemory
+	switch {
+	case task.Phase == Running:
+		n.running[task.Service]--
+		if n.running[task.Service] <= 0 {
+			delete(n.running, task.Service)
+		}
+		n.cacheProgram(task.Service)
+	case phase == Terminated && endsBeforeStart(reason):
+		reason = NeverRan
+	}
+	task.Phase = phase
+	task.Reason = reason
+	n.requested.cores -= task.Cores
+	n.requested.memory -= task.Memory
+	if !task.answered {
+		task.answered = true
+		n.emit(Effect{Kind: Answered, UID: task.UID, Attempt: task.Attempt, Reason: WrongNode})
+	}
+	n.emit(Effect{Kind: Changed, Task: task})
+	n.fence(task.UID, task.Attempt)
+	n.schedule(n.now+n.cfg.TerminatedRetention, func() {
+		if n.tasks[task.UID] == task {
+			delete(n.tasks, task.UID)
+			n.emit(Effect{Kind: Removed, Task: task})
+		}
+	})
+}
+
+// endsBeforeStart reports whether a termination by this reason can meet a task that has not started.
+func endsBeforeStart(reason Reason) bool {
+	return reason == Stopped || reason == Drained || reason == Preempted
+}
+
+// fence forbids attempts of a task up to the given number.
+func (n *Node) fence(uid string, attempt int) {
+	if _, ok := n.fenced[uid]; !ok {
+		n.fencedOrder = append(n.fencedOrder, uid)
+		if len(n.fencedOrder) > maxFenced {
+			delete(n.fenced, n.fencedOrder[0])
+			n.fencedOrder = n.fencedOrder[1:]
+		}
+	}
+	n.fenced[uid] = max(n.fenced[uid], attempt)
+}
+
+// Stop terminates a task if the node has it, and fences its attempts up to the given number in any case. had reports whether the node has
+// or recently had the task, ran whether the task ran; without had, ran reports whether a start of it ever began.
+func (n *Node) Stop(now float64, uid string, attempt int) (had, ran bool) {
+	n.Tick(now)
+	n.fence(uid, attempt)
+	i := slices.IndexFunc(n.queue, func(request Request) bool { return request.UID == uid && request.Attempt <= attempt })
+	if i >= 0 && !(i == 0 && n.deciding) {
+		request := n.queue[i]
+		n.queue = slices.Delete(n.queue, i, i+1)
+		n.reject(&request, WrongNode)
+	}
+	task := n.tasks[uid]
+	if task == nil {
+		return false, n.started[uid]
+	}
+	n.terminate(task, Terminated, Stopped)
+	return true, task.ran
+}
--- /dev/null
+++ b/internal/nodesim/request.go
@@ -0,0 +1,181 @@
+package nodesim
+
+import "sort"
+
+// recentRequest counts towards the overload of a node that warms up.
+type recentRequest struct{ at, weight float64 }
+
+// pace returns the fraction of its full pace at which the node starts tasks now.
+func (n *Node) pace() float64 {
+	if n.warm() {
+		return 1
+	}
+	return n.cfg.InitialPace + (1-n.cfg.InitialPace)*(n.now-n.warmUpStart)/n.cfg.WarmUpSeconds
+}
+
+// warm reports whether the warm-up is over.
+func (n *Node) warm() bool {
+	return n.cfg.WarmUpSeconds <= 0 || n.now >= n.warmUpStart+n.cfg.WarmUpSeconds
+}
+
+// Submit takes a request. The answer comes as an effect: at once for a repeat or if the queue is full, else after the decision.
+func (n *Node) Submit(now float64, request Request) {
+	n.Tick(now)
+	if n.overloaded {
+		return
+	}
+	n.recordRequest()
+	if n.overloaded {
+		return
+	}
+	if task := n.tasks[request.UID]; task.isRepeatedBy(&request) {
+		n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Task: task})
+		return
+	}
+	if len(n.queue) >= n.cfg.MaxQueued {
+		n.reject(&request, QueueFull)
+		return
+	}
+	n.queue = append(n.queue, request)
+	n.decideNext()
+}
+
+// recordRequest counts a request, and fails the node if it is overloaded while it warms up.
+func (n *Node) recordRequest() {
+	if n.warm() || n.cfg.OverloadWindow <= 0 {
+		n.recentRequests = nil
+		return
+	}
+	for len(n.recentRequests) > 0 && n.recentRequests[0].at < n.now-n.cfg.OverloadWindow {
+		n.recentRequests = n.recentRequests[1:]
+	}
+	n.recentRequests = append(n.recentRequests, recentRequest{at: n.now, weight: 1})
+	total := 0.0
+	for _, entry := range n.recentRequests {
+		total += entry.weight
+	}
+	startable := n.pace() * float64(n.cfg.MaxConcurrentStarts) / max(n.cfg.StartSeconds, 1e-6) * n.cfg.OverloadWindow
+	if total > n.cfg.OverloadMinRequests && total > n.cfg.OverloadFactor*startable {
+		n.overloaded = true
+		n.emit(Effect{Kind: Overloaded})
+	}
+}
+
+func (n *Node) reject(request *Request, reason Reason) {
+	n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Reason: reason})
+}
+
+// decideNext schedules the decision on the first request of the queue.
+func (n *Node) decideNext() {
+	if n.deciding || len(n.queue) == 0 {
+		return
+	}
+	n.deciding = true
+	delay := n.cfg.DecisionDelayMin + (n.cfg.DecisionDelayMax-n.cfg.DecisionDelayMin)*n.rng.Float64()
+	n.schedule(max(n.now, n.stalledUntil)+delay, func() {
+		n.deciding = false
+		if n.now < n.stalledUntil {
+			n.decideNext()
+			return
+		}
+		request := n.queue[0]
+		n.queue = n.queue[1:]
+		n.decide(&request)
+		n.decideNext()
+	})
+}
+
+// decide accepts a request, or rejects it.
+func (n *Node) decide(request *Request) {
+	if task := n.tasks[request.UID]; task.isRepeatedBy(request) {
+		n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Task: task})
+		return
+	}
+	if n.RejectHook != nil {
+		if reason := n.RejectHook(request); reason != None {
+			n.reject(request, reason)
+			return
+		}
+	}
+	if n.draining || request.Attempt <= n.fenced[request.UID] {
+		n.reject(request, WrongNode)
+		return
+	}
+	if reason := n.shortage(request); reason != None {
+		if !n.cfg.Preempts || !n.preemptFor(request) {
+			n.reject(request, reason)
+			return
+		}
+	}
+	n.accept(request)
+}
+
+// accept makes a task of a request and queues its start.
+func (n *Node) accept(request *Request) {
+	n.sequence++
+	task := &Task{Request: *request, sequence: n.sequence}
+	usageSpan := n.cfg.UsageMax - n.cfg.UsageMin
+	task.coresFactor = n.cfg.UsageMin + usageSpan*n.rng.Float64()
+	task.memoryFactor = n.cfg.UsageMin + usageSpan*n.rng.Float64()
+	n.tasks[request.UID] = task
+	n.active = append(n.active, task)
+	n.requested.cores += request.Cores
+	n.requested.memory += request.Memory
+	n.emit(Effect{Kind: Changed, Task: task})
+	if !n.cfg.AnswerWhenRunning {
+		n.answer(task)
+	}
+	n.startQueue = append(n.startQueue, task)
+	n.startQueued()
+}
+
+// answer says that a task was accepted, once.
+func (n *Node) answer(task *Task) {
+	if !task.answered {
+		task.answered = true
+		n.emit(Effect{Kind: Answered, UID: task.UID, Attempt: task.Attempt, Task: task})
+	}
+}
+
+// shortage returns which resource a request exceeds, None if it fits.
+func (n *Node) shortage(request *Request) Reason {
+	const tolerance = 1e-9 // of rounding in the running sums
+	switch {
+	case n.requested.cores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores+tolerance:
+		return InsufficientCores
+	case n.requested.memory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory+tolerance:
+		return InsufficientMemory
+	}
+	return None
+}
+
+// preemptFor terminates tasks of lower priority, the lowest and youngest first, until a request fits. It terminates none, and reports
+// false, if all of them together are not enough.
+func (n *Node) preemptFor(request *Request) bool {
+	var candidates []*Task
+	var preemptable amount
+	for _, task := range n.activeTasks() {
+		if task.Priority < request.Priority {
+			candidates = append(candidates, task)
+			preemptable.cores += task.Cores
+			preemptable.memory += task.Memory
+		}
+	}
+	if n.requested.cores-preemptable.cores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores ||
+		n.requested.memory-preemptable.memory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory {
+		return false
+	}
+	sort.SliceStable(candidates, func(i, j int) bool {
+		if candidates[i].Priority != candidates[j].Priority {
+			return candidates[i].Priority < candidates[j].Priority
+		}
+		return candidates[i].sequence > candidates[j].sequence
+	})
+	for _, task := range candidates {
+		if n.shortage(request) == None {
+			break
+		}
+		n.terminate(task, Terminated, Preempted)
+	}
+	return n.shortage(request) == None
+}
--- /dev/null
+++ b/internal/nodesim/task.go
@@ -0,0 +1,85 @@
+package nodesim
+
+// Reason says why a request was rejected or a task was terminated.
+type Reason uint8
+
+// The reasons. The first four after None are of rejections, the others of terminations.
+const (
+	None Reason = iota
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	WrongNode // the node drains, or the attempt is fenced
+	Evicted   // memory ran out
+	Preempted // a request of higher priority needed the resources
+	Drained
+	Stopped  // by a client's order
+	NeverRan // stopped, drained or preempted before it ran
+)
+
+// Phase of a task.
+type Phase uint8
+
+// The phases, in the order in which a task passes them; Succeeded and Terminated are final.
+const (
+	Accepted Phase = iota
+	Running
+	Succeeded
+	Terminated // Task.Reason says why
+)
+
+// Request asks a node to run a task: one attempt of a scheduler.
+type Request struct {
+	UID           string
+	Attempt       int
+	Service       string // tasks of one service share a program
+	Cores, Memory float64
+	Priority      int
+	Lifetime      float64 // seconds; 0 draws one
+	Payload       any     // kept with the task, not looked at
+}
+
+// Task is an accepted request.
+type Task struct {
+	Request
+	Phase                     Phase
+	Reason                    Reason
+	UsedCores, UsedMemory     float64
+	coresFactor, memoryFactor float64 // fractions of the requested cores and memory that the task uses
+	startedAt                 float64
+	sequence                  int // in order of acceptance
+	ran                       bool
+	answered                  bool
+}
+
+// Ran reports whether the task ever ran.
+func (task *Task) Ran() bool { return task.ran }
+
+// ended reports whether the task is in a final phase.
+func (task *Task) ended() bool { return task.Phase > Running }
+
+// isRepeatedBy reports whether a request repeats the one that was accepted. A later attempt of a task that has ended here does not: it may
+// start the task again.
+func (task *Task) isRepeatedBy(request *Request) bool {
+	return task != nil && (!task.ended() || request.Attempt <= task.Attempt)
+}
+
+// EffectKind selects the meaning of an Effect.
+type EffectKind uint8
+
+// The effects.
+const (
+	Answered   EffectKind = iota + 1 // a request: UID, Attempt, and Task if it was accepted, Reason if not
+	Changed                          // Task has a new phase
+	Removed                          // Task is no longer reported
+	Overloaded                       // the node failed under load while it warmed up; nothing follows
+)
+
+// Effect is something that others see of a node.
+type Effect struct {
+	Kind    EffectKind
+	UID     string
+	Attempt int
+	Task    *Task
+	Reason  Reason
+}
--- /dev/null
+++ b/internal/nodesim/usage.go
@@ -0,0 +1,61 @@
+package nodesim
+
+// usageInterval is the time between updates of what tasks use, in seconds.
+const usageInterval = 1
+
+// updateUsage lets the usage of cores drift at random, and evicts tasks while memory is short.
+func (n *Node) updateUsage() {
+	for _, task := range n.activeTasks() {
+		if task.Phase == Running {
+			task.coresFactor = min(max(task.coresFactor+0.04*(n.rng.Float64()-0.5), n.cfg.UsageMin), n.cfg.UsageMax)
+		}
+	}
+	n.sumUsage()
+	for n.used.memory > n.cfg.Memory {
+		victim := n.evictionCandidate()
+		if victim == nil {
+			break
+		}
+		n.terminate(victim, Terminated, Evicted)
+	}
+	n.schedule(n.now+usageInterval, n.updateUsage)
+}
+
+// evictionCandidate returns the running task of the lowest priority, among equals the one that exceeds its request by most, nil if none runs.
+func (n *Node) evictionCandidate() *Task {
+	var candidate *Task
+	for _, task := range n.activeTasks() {
+		if task.Phase == Running && (candidate == nil || evictedBefore(task, candidate)) {
+			candidate = task
+		}
+	}
+	return candidate
+}
+
+func evictedBefore(a, b *Task) bool {
+	if a.Priority != b.Priority {
+		return a.Priority < b.Priority
+	}
+	return a.UsedMemory-a.Memory > b.UsedMemory-b.Memory
+}
+
+// sumUsage computes the usage of the node anew, so that rounding errors of the running sums do not add up.
+func (n *Node) sumUsage() {
+	n.used = amount{}
+	for _, task := range n.activeTasks() {
+		if task.Phase == Running {
+			task.UsedCores, task.UsedMemory = 0, 0
+			n.measureTask(task)
+		}
+	}
+}
+
+// measureTask updates what a task uses, and the sum. Memory grows over three seconds after the start.
+func (n *Node) measureTask(task *Task) {
+	n.used.cores -= task.UsedCores
+	n.used.memory -= task.UsedMemory
+	task.UsedCores = task.Cores * task.coresFactor
+	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*(n.now-task.startedAt))
+	n.used.cores += task.UsedCores
+	n.used.memory += task.UsedMemory
+}
