--- a/internal/emulator/inventory.go
+++ b/internal/emulator/inventory.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"strings"
 
 	corev1 "k8s.io/api/core/v1"
@@ -18,96 +19,120 @@
 	"heathshed/internal/store"
 )
 
-// InventoryOptions describe a stand-in inventory.
+const (
+	defaultUnresponsiveAfter = 2    // seconds
+	checkInterval            = 0.25 // seconds between checks for nodes that do not report
+)
+
+// InventoryOptions describe an emulated inventory. Times are in seconds.
 type InventoryOptions struct {
 	Listen            string
-	PublishDelay      float64 // seconds after which what machines report is shown
-	UnresponsiveAfter float64 // a machine that has not reported for so long is shown as not ready
-	RemoveAfter       float64 // and for so long is taken out; 0 never
-	History           int
-	// Tap, if set, is told how each machine is shown, and of cuts.
+	PublishDelay      float64 // from a node's report until it is shown
+	UnresponsiveAfter float64 // without a report, until a node is shown as not ready; 0 is the default
+	RemoveAfter       float64 // without a report, until a node is removed; 0 is never
+	History           int     // changes that a watch can resume from; 0 is the default
+	// OnEvent, if set, receives how each node is shown, and when the inventory cannot be reached.
 	OnEvent func(audit.Event)
 }
 
-// Inventory lists the machines that report to it.
+// Inventory lists the nodes that report to it. All of its methods are called on its loop.
 type Inventory struct {
-	options          InventoryOptions
-	loop             *eventloop.Loop
-	server           *httpd.Server
-	api              *api.Server
-	store            *store.Store
-	addr             string
-	reportedAt       map[string]float64
-	reported         map[string]*corev1.Node
-	hidden           map[string]bool
+	options       InventoryOptions
+	loop          *eventloop.Loop
+	server        *httpd.Server
+	api           *api.Server
+	store         *store.Store
+	addr          string
+	reportedAt    map[string]float64      // by node: time of the last report
+	reported      map[string]*corev1.Node // by node: the last report
+	shownRevision int64                   // of the store, that watches have been given
+
+	hidden           map[string]bool // nodes that are not shown, by an injected fault
 	emptyUntil       float64
 	unreachableUntil float64
-	shownRevision    int64
 }
 
 // StartInventory puts an inventory on a socket.
 func StartInventory(loop *eventloop.Loop, options InventoryOptions) (*Inventory, error) {
 	if options.UnresponsiveAfter <= 0 {
-		options.UnresponsiveAfter = 2
+		options.UnresponsiveAfter = defaultUnresponsiveAfter
 	}
 	if options.History <= 0 {
-		options.History = 5000
+		options.History = historyRevisions
 	}
-	inv := &Inventory{options: options, loop: loop, addr: options.Listen, store: store.New(int64(loop.Now()*1e6), options.History), reportedAt: map[string]float64{},
-		reported: map[string]*corev1.Node{}, hidden: map[string]bool{}}
-	inv.api = &api.Server{Store: inv.store, Version: "standin"}
+	inv := &Inventory{
+		options:    options,
+		loop:       loop,
+		addr:       options.Listen,
+		store:      store.New(int64(loop.Now()*1e6), options.History),
+		reportedAt: map[string]float64{},
+		reported:   map[string]*corev1.Node{},
+		hidden:     map[string]bool{},
+	}
+	inv.api = &api.Server{Store: inv.store, Version: apiVersion}
 	if err := inv.listen(); err != nil {
 		return nil, err
 	}
 	var check func()
 	check = func() {
 		inv.checkUnresponsive()
-		loop.After(0.25, check)
+		loop.After(checkInterval, check)
 	}
-	loop.After(0.25, check)
+	loop.After(checkInterval, check)
 	return inv, nil
 }
 
 func (inv *Inventory) listen() error {
-	serverOptions := httpd.DefaultOptions()
-	serverOptions.IdleTimeoutSeconds = 600
-	server, err := httpd.Listen(inv.loop, inv.addr, serverOptions, inv.serve)
+	server, err := listen(inv.loop, inv.addr, inv.serve)
 	if err != nil {
 		return fmt.Errorf("inventory: %w", err)
 	}
-	inv.server, inv.addr = server, server.Addr()
+	inv.server = server
+	inv.addr = server.Addr()
 	return nil
 }
 
-// Addr is where the inventory listens.
+// Addr returns the address on which the inventory listens.
 func (inv *Inventory) Addr() string { return inv.addr }
 
+// NodeCount returns the number of nodes shown.
+func (inv *Inventory) NodeCount() int { return inv.store.Len(store.Nodes) }
+
 func (inv *Inventory) serve(exchange *httpd.Exchange) {
 	path, _, _ := strings.Cut(exchange.Head.Target, "?")
+	isNodeStatus := strings.HasPrefix(path, "/api/v1/nodes/") && strings.HasSuffix(path, "/status")
 	switch {
-	case exchange.Head.Method == "PUT" && strings.HasPrefix(path, "/api/v1/nodes/") && strings.HasSuffix(path, "/status"):
-		node := &corev1.Node{}
-		if err := json.Unmarshal(exchange.Body, node); err != nil || node.Name == "" || len(node.Status.Conditions) == 0 {
-			exchange.Respond(statusResponse(400, "BadRequest", "want a Node with a name and conditions"))
-			return
-		}
-		exchange.Respond(http1.Response{Status: 204})
-		inv.loop.After(inv.options.PublishDelay, func() { inv.report(node) })
-	case exchange.Head.Method == "PUT" && path == "/heathshed/faults":
-		var ordered fault.Inventory
-		if err := json.Unmarshal(exchange.Body, &ordered); err != nil {
-			exchange.Respond(statusResponse(400, "BadRequest", "faults: "+err.Error()))
-			return
-		}
-		exchange.Respond(http1.Response{Status: 204})
-		inv.Fault(ordered)
+	case exchange.Head.Method == http.MethodPut && isNodeStatus:
+		inv.serveReport(exchange)
+	case exchange.Head.Method == http.MethodPut && path == faultsPath:
+		inv.serveFault(exchange)
 	default:
 		exchange.Respond(inv.api.Serve(inv.loop.Now(), &exchange.Request))
 	}
 }
 
-// report shows what a machine says of itself.
-func (inv *Inventory) report(node *corev1.Node) {
+func (inv *Inventory) serveReport(exchange *httpd.Exchange) {
+	node := &corev1.Node{}
+	if err := json.Unmarshal(exchange.Body, node); err != nil || node.Name == "" || len(node.Status.Conditions) == 0 {
+		exchange.Respond(statusResponse(http.StatusBadRequest, "BadRequest", "want a Node with a name and conditions"))
+		return
+	}
+	exchange.Respond(http1.Response{Status: http.StatusNoContent})
+	inv.loop.After(inv.options.PublishDelay, func() { inv.takeReport(node) })
+}
+
+func (inv *Inventory) serveFault(exchange *httpd.Exchange) {
+	var injected fault.Inventory
+	if err := json.Unmarshal(exchange.Body, &injected); err != nil {
+		exchange.Respond(statusResponse(http.StatusBadRequest, "BadRequest", "faults: "+err.Error()))
+		return
+	}
+	exchange.Respond(http1.Response{Status: http.StatusNoContent})
+	inv.Fault(injected)
+}
+
+// takeReport publishes what a node reported.
+func (inv *Inventory) takeReport(node *corev1.Node) {
 	inv.reportedAt[node.Name] = inv.loop.Now()
 	inv.reported[node.Name] = node
 	inv.publish(node, true)
@@ -120,6 +145,7 @@
 	}
 }
 
+// publish stores a node for schedulers to see, with its reported state or as not ready, and records what they see of it.
 func (inv *Inventory) publish(node *corev1.Node, ready bool) {
 	if inv.hidden[node.Name] || inv.loop.Now() < inv.emptyUntil {
 		if inv.store.Delete(store.Nodes, "", node.Name) {
@@ -127,46 +153,59 @@
 		}
 		return
 	}
-	switch previous, _ := inv.store.Get(store.Nodes, "", node.Name).(*corev1.Node); {
+	previous, _ := inv.store.Get(store.Nodes, "", node.Name).(*corev1.Node)
+	switch {
 	case !ready:
 		inv.record(audit.ListedUnavailable, node.Name)
 	case node.Spec.Unschedulable:
 		inv.record(audit.ListedDraining, node.Name)
-	case previous == nil || previous.Spec.Unschedulable || previous.Status.Conditions[0].Status != corev1.ConditionTrue:
+	case previous == nil || previous.Spec.Unschedulable || !shownReady(previous):
 		inv.record(audit.ListedReady, node.Name)
 	}
 	node = node.DeepCopy()
 	node.ResourceVersion = ""
 	if !ready {
-		for i := range node.Status.Conditions {
-			if condition := &node.Status.Conditions[i]; condition.Type == corev1.NodeReady {
-				condition.Status, condition.Reason = corev1.ConditionUnknown, "NodeStatusUnknown"
-			}
-		}
+		markNotReady(node)
 	}
 	inv.store.Put(store.Nodes, node)
 }
 
+// shownReady reports whether a node of the store is shown as ready.
+func shownReady(node *corev1.Node) bool {
+	return node.Status.Conditions[0].Status == corev1.ConditionTrue
+}
+
+func markNotReady(node *corev1.Node) {
+	for i := range node.Status.Conditions {
+		condition := &node.Status.Conditions[i]
+		if condition.Type == corev1.NodeReady {
+			condition.Status = corev1.ConditionUnknown
+			condition.Reason = "NodeStatusUnknown"
+		}
+	}
+}
+
+// notifyWatchers gives watches the changes since the last call.
 func (inv *Inventory) notifyWatchers() {
-	if rev := inv.store.Rev(); rev != inv.shownRevision {
-		inv.shownRevision = rev
+	if revision := inv.store.Rev(); revision != inv.shownRevision {
+		inv.shownRevision = revision
 		inv.api.SetTime(inv.loop.Now())
 		inv.server.PullStreams()
 	}
 }
 
-// checkUnresponsive looks for machines that have gone silent.
+// checkUnresponsive shows nodes that have not reported for some time as not ready, and removes them later.
 func (inv *Inventory) checkUnresponsive() {
 	now := inv.loop.Now()
-	for name, at := range inv.reportedAt {
-		current, _ := inv.store.Get(store.Nodes, "", name).(*corev1.Node)
+	for name, reportedAt := range inv.reportedAt {
+		shown, _ := inv.store.Get(store.Nodes, "", name).(*corev1.Node)
 		switch {
-		case inv.options.RemoveAfter > 0 && now-at > inv.options.RemoveAfter:
+		case inv.options.RemoveAfter > 0 && now-reportedAt > inv.options.RemoveAfter:
 			delete(inv.reportedAt, name)
 			delete(inv.reported, name)
 			inv.store.Delete(store.Nodes, "", name)
 			inv.record(audit.ListedUnavailable, name)
-		case now-at > inv.options.UnresponsiveAfter && current != nil && current.Status.Conditions[0].Status == corev1.ConditionTrue:
+		case now-reportedAt > inv.options.UnresponsiveAfter && shown != nil && shownReady(shown):
 			inv.publish(inv.reported[name], false)
 		}
 	}
@@ -175,40 +214,47 @@
 	inv.notifyWatchers()
 }
 
-// Fault makes the inventory faulty.
-func (inv *Inventory) Fault(ordered fault.Inventory) {
-	now := inv.loop.Now()
-	if ordered.Unreachable > 0 {
-		inv.unreachableUntil = now + ordered.Unreachable
-		inv.record(audit.DiscoveryLost, "")
-		inv.server.Close()
-		var listenAgain func()
-		listenAgain = func() {
-			if inv.loop.Now() < inv.unreachableUntil-0.001 {
-				return
-			}
-			if err := inv.listen(); err != nil {
-				inv.loop.After(0.1, listenAgain)
-				return
-			}
-			inv.record(audit.DiscoveryRestored, "")
-		}
-		inv.loop.After(ordered.Unreachable, listenAgain)
+// Fault injects faults into the inventory.
+func (inv *Inventory) Fault(injected fault.Inventory) {
+	if injected.Unreachable > 0 {
+		inv.makeUnreachable(injected.Unreachable)
+	}
+	if injected.Empty > 0 {
+		inv.emptyUntil = inv.loop.Now() + injected.Empty
+	}
+	if injected.Hide != nil || injected.Empty > 0 {
+		inv.hide(injected.Hide)
 	}
-	if ordered.Empty > 0 {
-		inv.emptyUntil = now + ordered.Empty
+}
+
+// hide stops showing the nodes of these names, and shows the others again.
+func (inv *Inventory) hide(names []string) {
+	inv.hidden = map[string]bool{}
+	for _, name := range names {
+		inv.hidden[name] = true
+	}
+	for _, node := range inv.reported {
+		inv.publish(node, true)
 	}
-	if ordered.Hide != nil || ordered.Empty > 0 {
-		inv.hidden = map[string]bool{}
-		for _, name := range ordered.Hide {
-			inv.hidden[name] = true
+	inv.notifyWatchers()
+}
+
+// makeUnreachable closes the inventory's socket for so many seconds.
+func (inv *Inventory) makeUnreachable(seconds float64) {
+	inv.unreachableUntil = inv.loop.Now() + seconds
+	inv.record(audit.DiscoveryLost, "")
+	inv.server.Close()
+	var listenAgain func()
+	listenAgain = func() {
+		if inv.loop.Now() < inv.unreachableUntil-timerTolerance {
+			return
 		}
-		for _, node := range inv.reported {
-			inv.publish(node, true)
+		if err := inv.listen(); err != nil {
+			// The port may not be free yet.
+			inv.loop.After(listenRetryInterval, listenAgain)
+			return
 		}
-		inv.notifyWatchers()
+		inv.record(audit.DiscoveryRestored, "")
 	}
+	inv.loop.After(seconds, listenAgain)
 }
-
-// NodeCount is the number of machines shown.
-func (inv *Inventory) NodeCount() int { return inv.store.Len(store.Nodes) }
--- a/internal/nodesim/lifecycle.go
+++ b/internal/nodesim/lifecycle.go
@@ -128,7 +128,7 @@
 	n.Tick(now)
 	n.fence(uid, attempt)
 	i := slices.IndexFunc(n.queue, func(request Request) bool { return request.UID == uid && request.Attempt <= attempt })
-	if i >= 0 && !(i == 0 && n.deciding) {
+	if underDecision := i == 0 && n.deciding; i >= 0 && !underDecision {
 		request := n.queue[i]
 		n.queue = slices.Delete(n.queue, i, i+1)
 		n.reject(&request, WrongNode)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -522,7 +522,7 @@
 		}
 		class := pod.Labels[wellknown.Class]
 		w.record(audit.Event{Kind: audit.AttemptReceived, Node: node.cfg.Name, Rack: node.cfg.Rack, Zone: node.cfg.Zone, UID: string(effect.UID), Attempt: effect.Attempt,
-			Class: class, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service], Scheduler: s.cfg.Name})
+			Class: class, Service: nodesim.PodService(pod), Scheduler: s.cfg.Name})
 		hungUp := func(result placer.Result) {
 			w.record(audit.Event{Kind: audit.Abandoned, Node: node.cfg.Name, UID: string(effect.UID), Attempt: effect.Attempt})
 			answer.Result = result
@@ -557,10 +557,9 @@
 			}
 			done(delay, final)
 		}
-		incarnation, _ := strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64)
-		cores, mem := wellknown.Requests(&pod.Spec)
-		node.sim.Submit(w.now, nodesim.Request{UID: string(effect.UID), Attempt: effect.Attempt, Service: pod.Namespace + "/" + pod.Labels[wellknown.Service],
-			Cores: cores, Memory: mem, Priority: w.cfg.Priorities[class], Lifetime: incarnation, Payload: pod})
+		request := nodesim.PodRequest(pod, effect.Attempt, w.cfg.Priorities[class])
+		request.Lifetime, _ = strconv.ParseFloat(pod.Annotations[wellknown.Lifetime], 64)
+		node.sim.Submit(w.now, request)
 		node.process()
 	})
 }
@@ -651,9 +650,7 @@
 func (n *node) start(cold bool) {
 	w := n.world
 	n.incarnation++
-	cfg := n.cfg.Sim
-	cfg.Cold, cfg.Seed = cold, cfg.Seed+uint64(n.incarnation)*7919
-	n.sim = nodesim.New(cfg, w.now)
+	n.sim = nodesim.New(n.cfg.Sim.ForIncarnation(n.incarnation, cold), w.now)
 	n.bootID = fmt.Sprintf("%s-%d", n.cfg.Name, n.incarnation)
 	n.started = 0
 	if cold {
@@ -705,19 +702,7 @@
 }
 
 func (n *node) process() {
-	for n.sim != nil {
-		effects := n.sim.Ready()
-		if len(effects) == 0 {
-			break
-		}
-		for i := range effects {
-			if n.sim == nil {
-				return
-			}
-			n.apply(&effects[i])
-		}
-	}
-	if n.sim == nil {
+	if n.sim == nil || !n.sim.DispatchEffects(n.apply) {
 		return
 	}
 	if at := n.sim.NextWake(); at < n.wakeAt {
@@ -733,7 +718,8 @@
 	}
 }
 
-func (n *node) apply(effect *nodesim.Effect) {
+// apply carries out an effect of the node, and reports whether the node is still up.
+func (n *node) apply(effect *nodesim.Effect) bool {
 	switch effect.Kind {
 	case nodesim.Answered:
 		attempt := attemptKey(effect.UID, effect.Attempt)
@@ -743,18 +729,11 @@
 		}
 	case nodesim.Changed:
 		task := effect.Task
-		pod := PodOfTask(task, n.cfg.Name)
+		pod := nodesim.Pod(task, n.cfg.Name)
 		n.rev++
 		pod.ResourceVersion = strconv.FormatInt(n.rev, 10)
 		n.pods[task.UID] = pod
-		kind := audit.Ended
-		switch task.Phase {
-		case nodesim.Accepted:
-			kind = audit.Accepted
-		case nodesim.Running:
-			kind = audit.Started
-		}
-		n.world.record(audit.Event{Kind: kind, Node: n.cfg.Name, UID: task.UID, Attempt: task.Attempt, Reason: pod.Status.Reason})
+		n.world.record(audit.Event{Kind: task.Phase.EventKind(), Node: n.cfg.Name, UID: task.UID, Attempt: task.Attempt, Reason: pod.Status.Reason})
 		n.notifyWatches(pod, false)
 	case nodesim.Removed:
 		pod := n.pods[effect.Task.UID]
@@ -765,6 +744,7 @@
 		n.world.record(audit.Event{Kind: audit.Overloaded, Node: n.cfg.Name})
 		n.stop(30)
 	}
+	return n.sim != nil
 }
 
 func (n *node) notifyWatches(pod *corev1.Pod, deleted bool) {
@@ -775,28 +755,6 @@
 	}
 }
 
-var podPhases = map[nodesim.Phase]corev1.PodPhase{nodesim.Accepted: corev1.PodPending, nodesim.Running: corev1.PodRunning,
-	nodesim.Succeeded: corev1.PodSucceeded, nodesim.Terminated: corev1.PodFailed}
-
-var podReasons = map[nodesim.Reason]string{nodesim.Evicted: wellknown.Evicted, nodesim.Preempted: wellknown.Preempted, nodesim.Drained: wellknown.Drained,
-	nodesim.Stopped: wellknown.Stopped, nodesim.NeverRan: wellknown.NeverStarted}
-
-// PodOfTask is the Pod of a machine's task as the machine shows it. The task's payload must be the Pod that was offered.
-func PodOfTask(task *nodesim.Task, nodeName string) *corev1.Pod {
-	assigned := task.Payload.(*corev1.Pod)
-	pod := &corev1.Pod{ObjectMeta: *assigned.ObjectMeta.DeepCopy(), Spec: assigned.Spec}
-	pod.Spec.NodeName = nodeName
-	if pod.Annotations == nil {
-		pod.Annotations = map[string]string{}
-	}
-	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(task.Attempt)
-	if task.Phase == nodesim.Running {
-		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", task.UsedCores, "memory", task.UsedMemory)
-	}
-	pod.Status = corev1.PodStatus{Phase: podPhases[task.Phase], Reason: podReasons[task.Reason]}
-	return pod
-}
-
 // report reports to the inventory, which shows it late.
 func (n *node) report() {
 	w := n.world
@@ -870,20 +828,11 @@
 }
 
 func (n *node) object() *corev1.Node {
-	object := &corev1.Node{}
-	object.Name, object.UID = n.cfg.Name, types.UID("node-"+n.cfg.Name)
-	object.Labels = map[string]string{wellknown.Zone: n.cfg.Zone, wellknown.Rack: n.cfg.Rack, wellknown.Kind: n.cfg.Kind}
-	cores, memory := n.sim.Free()
-	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", cores, "memory", memory)}
+	identity := nodesim.Identity{Name: n.cfg.Name, Zone: n.cfg.Zone, Rack: n.cfg.Rack, Kind: n.cfg.Kind, Incarnation: n.bootID, Host: n.cfg.Name, Port: 1}
 	if n.started > 0 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(n.started + n.faults.ClockSkew)
+		identity.StartedAt = n.started + n.faults.ClockSkew
 	}
-	object.Spec.Unschedulable = n.sim.Draining()
-	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
-	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: n.cfg.Name}}
-	object.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
-	object.Status.NodeInfo.BootID = n.bootID
-	return object
+	return n.sim.Object(identity)
 }
 
 func (n *node) injectFault(order fault.Node) {
@@ -897,11 +846,7 @@
 		n.breakWatches()
 	}
 	if order.Drain != nil && n.sim != nil {
-		if *order.Drain {
-			n.sim.Drain(now)
-		} else {
-			n.sim.Undrain(now)
-		}
+		n.sim.SetDraining(now, *order.Drain)
 		n.process()
 	}
 	if order.Crash > 0 && n.sim != nil {
