--- /dev/null
+++ b/internal/audit/auditor.go
@@ -0,0 +1,264 @@
+package audit
+
+import "fmt"
+
+// attemptState is what is known of one attempt at one node.
+type attemptState struct {
+	number           int
+	node, rack, zone string
+	receivedAt       float64
+	closedAt         float64 // when it was answered or abandoned; 0 while it is in flight
+	rejected         bool
+	fenced           bool
+	accepted         bool
+	ended            bool
+	neverRan         bool // it ended, and it is proven that the task never ran
+	answerLost       bool // the scheduler never got the answer: to it the attempt is over
+}
+
+// provenNotRun reports whether it is proven that the attempt did not run the task and will not.
+func (attempt *attemptState) provenNotRun() bool {
+	return attempt.rejected || attempt.fenced || attempt.neverRan
+}
+
+// occupies reports whether, as far as its scheduler can know, the attempt runs the task or may still do so.
+func (attempt *attemptState) occupies() bool {
+	if attempt.rejected || attempt.fenced || attempt.ended || attempt.answerLost {
+		return false
+	}
+	return attempt.accepted || attempt.closedAt == 0
+}
+
+// taskState is what is known of one task.
+type taskState struct {
+	uid, class, service, scheduler string
+	submitted                      bool
+	deadline                       float64 // for the outcome
+	outcome                        string  // "" while there is none
+	excused                        bool    // no outcome is due: the scheduler was killed, or the client withdrew the task
+	attempts                       []*attemptState
+	starts                         int
+}
+
+// findAttempt returns the latest attempt that an event at a node belongs to, nil if there is none.
+func (task *taskState) findAttempt(event *Event) *attemptState {
+	for i := len(task.attempts) - 1; i >= 0; i-- {
+		attempt := task.attempts[i]
+		if attempt.number == event.Attempt && attempt.node == event.Node {
+			return attempt
+		}
+	}
+	return nil
+}
+
+// drainOrder names a node that a scheduler was ordered to drain.
+type drainOrder struct{ scheduler, node string }
+
+// serviceKey names a service of one scheduler.
+type serviceKey struct{ scheduler, service string }
+
+// auditor takes events in order of time.
+type auditor struct {
+	config      Config
+	report      Report
+	tasks       map[string]*taskState
+	uids        []string                    // keys of tasks, in order of their first event
+	spreadTasks map[serviceKey][]*taskState // of classes that are spread
+
+	unavailableSince    map[string]float64 // by node: since when the inventory shows it as draining or unavailable
+	drainOrderedAt      map[drainOrder]float64
+	discoveryLost       bool
+	discoveryRestoredAt float64
+}
+
+func newAuditor(config Config) *auditor {
+	return &auditor{
+		config:           config,
+		report:           Report{Outcomes: map[string]int{}, Ends: map[string]int{}},
+		tasks:            map[string]*taskState{},
+		spreadTasks:      map[serviceKey][]*taskState{},
+		unavailableSince: map[string]float64{},
+		drainOrderedAt:   map[drainOrder]float64{},
+	}
+}
+
+func (a *auditor) violation(rule int, at float64, format string, args ...any) {
+	a.report.Violations = append(a.report.Violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
+}
+
+// taskOf returns the state of an event's task, and takes what the event says of it.
+func (a *auditor) taskOf(event *Event) *taskState {
+	task := a.tasks[event.UID]
+	if task == nil {
+		task = &taskState{uid: event.UID}
+		a.tasks[event.UID] = task
+		a.uids = append(a.uids, event.UID)
+	}
+	if event.Class != "" {
+		task.class = event.Class
+	}
+	if event.Service != "" {
+		task.service = event.Service
+	}
+	if event.Scheduler != "" {
+		task.scheduler = event.Scheduler
+	}
+	return task
+}
+
+func (a *auditor) handle(event *Event) {
+	switch event.Kind {
+	case Submitted, Settled, Withdrawn:
+		a.handleClient(event)
+	case DrainOrdered, DrainCancelled, Killed:
+		a.handleScheduler(event)
+	case ListedReady, ListedDraining, ListedUnavailable, DiscoveryLost, DiscoveryRestored:
+		a.handleInventory(event)
+	case AttemptReceived:
+		a.attemptReceived(event)
+	case Rejected, Abandoned, Accepted, Started, Ended, Fenced:
+		a.attemptProgressed(event)
+	case Crashed:
+		a.report.Crashes++
+		a.nodeLost(event)
+	case Overloaded:
+		a.violation(ruleWarmUp, event.At, "machine %s was pushed over while cold", event.Node)
+		a.nodeLost(event)
+	}
+}
+
+func (a *auditor) handleClient(event *Event) {
+	task := a.taskOf(event)
+	switch event.Kind {
+	case Submitted:
+		task.submitted = true
+		task.deadline = event.Deadline
+	case Settled:
+		a.taskSettled(event, task)
+	case Withdrawn:
+		task.excused = true
+	}
+}
+
+func (a *auditor) handleScheduler(event *Event) {
+	order := drainOrder{event.Scheduler, event.Node}
+	switch event.Kind {
+	case DrainOrdered:
+		a.drainOrderedAt[order] = event.At
+	case DrainCancelled:
+		delete(a.drainOrderedAt, order)
+	case Killed:
+		a.schedulerKilled(event.Scheduler)
+	}
+}
+
+// schedulerKilled forgets what a scheduler process knew: orders to drain, and its tasks without an outcome.
+func (a *auditor) schedulerKilled(scheduler string) {
+	for order := range a.drainOrderedAt {
+		if order.scheduler == scheduler {
+			delete(a.drainOrderedAt, order)
+		}
+	}
+	for _, uid := range a.uids {
+		task := a.tasks[uid]
+		if task.scheduler != scheduler || task.outcome != "" {
+			continue
+		}
+		task.excused = true
+		for _, attempt := range task.attempts {
+			attempt.answerLost = true
+		}
+	}
+}
+
+func (a *auditor) handleInventory(event *Event) {
+	switch event.Kind {
+	case ListedReady:
+		delete(a.unavailableSince, event.Node)
+	case ListedDraining, ListedUnavailable:
+		if _, ok := a.unavailableSince[event.Node]; !ok {
+			a.unavailableSince[event.Node] = event.At
+		}
+	case DiscoveryLost:
+		a.discoveryLost = true
+	case DiscoveryRestored:
+		a.discoveryLost = false
+		a.discoveryRestoredAt = event.At
+	}
+}
+
+// nodeLost ends all attempts at a node.
+func (a *auditor) nodeLost(event *Event) {
+	for _, uid := range a.uids {
+		for _, attempt := range a.tasks[uid].attempts {
+			if attempt.node != event.Node {
+				continue
+			}
+			attempt.ended = true
+			if attempt.closedAt == 0 {
+				attempt.closedAt = event.At
+			}
+		}
+	}
+}
+
+// attemptProgressed takes what became of an attempt at its node.
+func (a *auditor) attemptProgressed(event *Event) {
+	task := a.tasks[event.UID]
+	if task == nil {
+		return
+	}
+	switch event.Kind {
+	case Rejected:
+		a.report.Rejections++
+	case Started:
+		a.report.Starts++
+		a.taskStarted(event, task)
+	case Ended:
+		a.report.Ends[event.Reason]++
+	case Fenced:
+		task.fence(event)
+	}
+	if attempt := task.findAttempt(event); attempt != nil {
+		task.progress(attempt, event)
+	}
+}
+
+// fence marks the attempts that a fence covers: all up to its own at the node that were not accepted.
+func (task *taskState) fence(event *Event) {
+	for _, attempt := range task.attempts {
+		if attempt.node == event.Node && attempt.number <= event.Attempt && !attempt.accepted {
+			attempt.fenced = true
+		}
+	}
+}
+
+// progress takes an event into the state of its attempt.
+func (task *taskState) progress(attempt *attemptState, event *Event) {
+	switch event.Kind {
+	case Abandoned, Rejected, Accepted:
+		if attempt.closedAt == 0 {
+			attempt.closedAt = event.At
+		}
+	}
+	switch event.Kind {
+	case Abandoned:
+		attempt.answerLost = true
+	case Rejected:
+		attempt.rejected = !attempt.accepted
+	case Accepted:
+		attempt.accepted = true
+	case Ended:
+		task.endAt(event)
+	}
+}
+
+// endAt ends all open attempts at a node: those after the one that the node accepted were repeats of it.
+func (task *taskState) endAt(event *Event) {
+	for _, attempt := range task.attempts {
+		if attempt.node == event.Node && !attempt.rejected && !attempt.fenced && !attempt.ended {
+			attempt.ended = true
+			attempt.neverRan = event.Reason == NeverRan
+		}
+	}
+}
--- /dev/null
+++ b/internal/audit/rules.go
@@ -0,0 +1,157 @@
+package audit
+
+// discoveryRecovery is the time in seconds, after the inventory can be reached again, in which schedulers must have read it.
+const discoveryRecovery = 1
+
+// taskSettled takes the outcome of a task: there is one, and it is in time.
+func (a *auditor) taskSettled(event *Event, task *taskState) {
+	switch task.outcome {
+	case "":
+	case event.Reason:
+		a.violation(ruleOutcome, event.At, "task %s was told as %s twice", task.uid, event.Reason)
+		return
+	default:
+		a.violation(ruleOutcome, event.At, "task %s was %s and is now %s", task.uid, task.outcome, event.Reason)
+		return
+	}
+	task.outcome = event.Reason
+	a.report.Outcomes[event.Reason]++
+	if task.submitted && event.At > task.deadline+a.config.Slack {
+		a.violation(ruleOutcome, event.At, "task %s was settled as %s %.3f s after its owner gave up", task.uid, event.Reason,
+			event.At-task.deadline)
+	}
+}
+
+// taskStarted counts a start: a task that must run at most once has one.
+func (a *auditor) taskStarted(event *Event, task *taskState) {
+	task.starts++
+	if task.starts > 1 && a.config.Classes[task.class].AtMostOnce {
+		a.violation(ruleRetry, event.At, "task %s, which must not run twice, was started %d times, now on %s", task.uid, task.starts, event.Node)
+	}
+}
+
+// attemptReceived takes a new attempt and checks whether the scheduler might make it.
+func (a *auditor) attemptReceived(event *Event) {
+	task := a.taskOf(event)
+	class := a.config.Classes[task.class]
+	a.report.Attempts++
+	attempt := &attemptState{number: event.Attempt, node: event.Node, rack: event.Rack, zone: event.Zone, receivedAt: event.At}
+	a.checkDrain(event, task)
+	for _, earlier := range task.attempts {
+		a.checkRetry(task, class, earlier, attempt)
+	}
+	task.attempts = append(task.attempts, attempt)
+	if class.SpreadBy != "" {
+		a.checkSpread(task, attempt, class)
+	}
+}
+
+// checkDrain checks an attempt against the nodes that drain or are unavailable, by the inventory and by order.
+func (a *auditor) checkDrain(event *Event, task *taskState) {
+	// respectedFrom is when a scheduler that learned of a drain at the given time must respect it.
+	respectedFrom := func(at float64) float64 { return at + a.config.DrainGrace + a.config.Slack }
+	since, unavailable := a.unavailableSince[event.Node]
+	// Without the inventory a scheduler cannot know.
+	if unavailable && !a.discoveryLost && event.At > respectedFrom(max(since, a.discoveryRestoredAt+discoveryRecovery)) {
+		a.violation(ruleDrain, event.At, "task %s was offered to %s, shown as draining or gone for %.3f s", task.uid, event.Node, event.At-since)
+	}
+	orderedAt, ordered := a.drainOrderedAt[drainOrder{event.Scheduler, event.Node}]
+	if ordered && event.At > respectedFrom(orderedAt) {
+		a.violation(ruleDrain, event.At, "task %s was offered to %s %.3f s after its drain was ordered at %s", task.uid, event.Node,
+			event.At-orderedAt, event.Scheduler)
+	}
+}
+
+// checkRetry checks an attempt against an earlier one of its task.
+func (a *auditor) checkRetry(task *taskState, class Class, earlier, attempt *attemptState) {
+	at := attempt.receivedAt
+	if earlier.number >= attempt.number {
+		if earlier.number == attempt.number && (class.AtMostOnce || earlier.node != attempt.node) {
+			a.violation(ruleRetry, at, "task %s: attempt %d was sent twice", task.uid, attempt.number)
+		}
+		return
+	}
+	switch {
+	case earlier.provenNotRun():
+	case class.AtMostOnce:
+		a.violation(ruleRetry, at, "task %s must not run twice: offered to %s while attempt %d at %s may have run", task.uid, attempt.node,
+			earlier.number, earlier.node)
+	case class.Idempotent:
+		if !sameDomain(class.KeyScope, earlier, attempt) || at > earlier.receivedAt+class.KeyTTL+a.config.Slack {
+			a.violation(ruleRetry, at, "task %s: offered to %s %.3f s after a doubtful attempt at %s, outside what its key covers", task.uid,
+				attempt.node, at-earlier.receivedAt, earlier.node)
+		}
+	}
+}
+
+// sameDomain reports whether two attempts are at the same node, rack or zone, as the scope says.
+func sameDomain(scope string, a, b *attemptState) bool {
+	switch scope {
+	case "all":
+		return true
+	case "zone":
+		return a.zone == b.zone
+	case "rack":
+		return a.rack == b.rack
+	}
+	return a.node == b.node
+}
+
+// checkSpread counts the attempts of one service of a scheduler in the domain of a new one.
+func (a *auditor) checkSpread(task *taskState, attempt *attemptState, class Class) {
+	key := serviceKey{task.scheduler, task.service}
+	if len(task.attempts) == 1 {
+		a.spreadTasks[key] = append(a.spreadTasks[key], task)
+	}
+	count := 0
+	for _, other := range a.spreadTasks[key] {
+		for _, placed := range other.attempts {
+			if placed.occupies() && sameDomain(class.SpreadBy, placed, attempt) {
+				count++
+			}
+		}
+	}
+	if count > class.MaxPerDomain {
+		a.violation(ruleSpread, attempt.receivedAt, "service %s of %s has %d tasks in one %s (%s), %d are allowed", task.service, task.scheduler,
+			count, class.SpreadBy, attempt.rack, class.MaxPerDomain)
+	}
+}
+
+// finish checks what can be said only when all events are in.
+func (a *auditor) finish(end float64) {
+	for _, uid := range a.uids {
+		task := a.tasks[uid]
+		if task.submitted {
+			a.report.Tasks++
+			a.checkOutcome(task, end)
+		}
+		a.checkConcurrentAttempts(task, end)
+	}
+}
+
+// checkOutcome checks that a task has an outcome if one is due.
+func (a *auditor) checkOutcome(task *taskState, end float64) {
+	switch {
+	case task.outcome != "":
+	case task.excused:
+		a.report.WithoutOutcome++
+	case end > task.deadline+a.config.Slack:
+		a.violation(ruleOutcome, task.deadline, "task %s has no outcome, its owner gave up", task.uid)
+	}
+}
+
+// checkConcurrentAttempts checks that no attempt of a task was made while an earlier one was in flight.
+func (a *auditor) checkConcurrentAttempts(task *taskState, end float64) {
+	for i, attempt := range task.attempts {
+		closedAt := attempt.closedAt
+		if closedAt == 0 {
+			closedAt = end
+		}
+		for _, later := range task.attempts[i+1:] {
+			if later.number > attempt.number && later.receivedAt < closedAt-a.config.Slack {
+				a.violation(ruleRetry, later.receivedAt, "task %s: attempt %d at %s went out while attempt %d at %s was out", task.uid, later.number,
+					later.node, attempt.number, attempt.node)
+			}
+		}
+	}
+}
