--- a/internal/eventqueue/characterization_test.go
+++ b/internal/eventqueue/characterization_test.go
@@ -5,59 +5,29 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
 	"heathshed/internal/eventqueue"
+	"heathshed/internal/golden"
 	"heathshed/placer"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
-}
-
-// TestCharacterization compares the order of events and actions with the golden file, where actions post further events and start a nested run,
-// and the waits for a grid of wishes. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// TestCharacterization compares with the golden file the order of events and actions, where actions post further events and start a nested run,
+// and the delays for a range of values. See package golden for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	var lines []string
+	record := golden.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
 		order := playQueue(seed)
-		lines = append(lines, fmt.Sprintf("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order))
+		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
 	}
 	for _, after := range []float64{math.Inf(-1), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, math.Inf(1)} {
-		lines = append(lines, fmt.Sprintf("wait %x %x", math.Float64bits(after), math.Float64bits(eventqueue.Delay(after))))
+		record.Line("wait %x %x", math.Float64bits(after), math.Float64bits(eventqueue.Delay(after)))
 	}
-	compareGolden(t, lines)
+	record.Check(t, "characterization")
 }
 
-// echoPlacer answers each event with up to three actions that carry its number.
+// echoPlacer answers each event with up to three actions that carry its token.
 type echoPlacer struct {
 	random *rand.Rand
 	log    *strings.Builder
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,32 +1,34 @@
-// Package feed is the queue between a core and the module: events are handed over one after another, and the actions of one are carried out,
-// in order, before the next is told. It is pure: time is passed in.
+// Package eventqueue is the queue between a scheduler's core and its placer: events are passed to the placer one after another, and the
+// actions that it returns for one event are executed, in order, before the next event is passed. It is pure: the time is passed in.
 package eventqueue
 
 import "heathshed/placer"
 
-// MinDelay is the shortest wait in seconds. At the size of a Unix clock a wait below its grain (2.4e-7 s) brings the same moment back, and
-// a module that waits for a deadline that is that near would be woken in it for ever.
+// MinDelay is the shortest delay of a timer in seconds. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
+// adding less to it may give the same time again, and a placer that waits for a deadline so near would be woken at that time for ever.
 const MinDelay = 1e-6
 
-// Placer is a *placer.Placer, or what stands for it in a test.
+// Placer makes the placement decisions: a *placer.Placer, or a substitute in tests.
 type Placer interface {
-	Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action
+	// Handle handles one event at the given clock time, and returns actions with those that it asks for appended.
+	Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action
 }
 
-// Queue drives one module. Do carries out one action; events that come up meanwhile are posted and wait their turn.
+// Queue passes events to one placer and executes its actions. It is to be used by one goroutine at a time.
 type Queue struct {
-	Placer  Placer
+	Placer Placer
+	// Execute executes one action. Events that it posts are passed after all actions of the current event.
 	Execute func(*placer.Action)
 
 	events  []placer.Event
-	actions []placer.Action
+	actions []placer.Action // the buffer for Handle
 	running bool
 }
 
 // Post queues an event.
 func (q *Queue) Post(event placer.Event) { q.events = append(q.events, event) }
 
-// Run hands over all that is queued. Within Do it does nothing.
+// Run passes all queued events to the placer. It does nothing if it is called within Execute.
 func (q *Queue) Run(now float64) {
 	if q.running {
 		return
@@ -44,5 +46,5 @@
 	q.running = false
 }
 
-// Delay is how long to wait where the module asked for so many seconds.
+// Delay returns the delay in seconds for a timer that the placer asked to be set after the given time.
 func Delay(after float64) float64 { return max(after, MinDelay) }
--- a/internal/timerqueue/characterization_test.go
+++ b/internal/timerqueue/characterization_test.go
@@ -5,52 +5,22 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
+	"heathshed/internal/golden"
 	"heathshed/internal/timerqueue"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
-}
-
-// TestCharacterization compares the order in which a queue gives out timers, many of equal time, with the golden file. Some are stopped, some
-// are added while others run. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// TestCharacterization compares with the golden file the order in which a queue returns timers, many of equal time. Some are stopped, some are
+// added while others run. See package golden for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	var lines []string
+	record := golden.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
 		order := playQueue(seed)
-		lines = append(lines, fmt.Sprintf("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order))
+		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
 	}
-	compareGolden(t, lines)
+	record.Check(t, "characterization")
 }
 
 func playQueue(seed uint64) string {
