--- a/internal/platformproto/characterization_test.go
+++ b/internal/platformproto/characterization_test.go
@@ -2,57 +2,30 @@
 
 import (
 	"crypto/sha256"
+	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
+	"heathshed/internal/golden"
 	"heathshed/internal/platformproto"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-// TestCharacterization compares what the codec makes of a fixed corpus of lines, and of seeded mutations of it, with the golden file: the
-// verdict, the values of each message and the bytes it is encoded to. Texts of errors are left out. Run with HEATHSHED_UPDATE_GOLDEN=1 to write
-// the golden file anew; a missing file is a failure.
+// TestCharacterization compares with the golden file what the codec makes of a fixed corpus of lines and of seeded mutations of it: whether a line
+// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are left out. See package golden for how the file
+// is written anew.
 func TestCharacterization(t *testing.T) {
-	var lines []string
+	record := golden.NewRecorder()
 	for i, line := range corpus() {
-		lines = append(lines, fmt.Sprintf("line %d %s", i, digestOf(describe(line))))
+		record.Line("line %d %s", i, digestOf(describe(line)))
 	}
 	for seed := uint64(1); seed <= 20; seed++ {
-		lines = append(lines, fmt.Sprintf("mutations %d %s", seed, digestOf(mutations(seed))))
-	}
-	lines = append(lines, "encoding "+digestOf(encodings()), "identifiers "+digestOf(identifiers()))
-	compareGolden(t, lines)
-}
-
-func compareGolden(t *testing.T, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d digests, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("digest %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
+		record.Line("mutations %d %s", seed, digestOf(mutations(seed)))
 	}
+	record.Line("encoding %s", digestOf(encodings()))
+	record.Line("identifiers %s", digestOf(identifiers()))
+	record.Check(t, "characterization")
 }
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
@@ -61,7 +34,7 @@
 func describe(line string) string {
 	var msg platformproto.Message
 	if err := platformproto.Parse([]byte(line), &msg); err != nil {
-		if err == platformproto.ErrTooLong {
+		if errors.Is(err, platformproto.ErrTooLong) {
 			return "too long\n"
 		}
 		return "refused\n"
@@ -173,7 +146,8 @@
 		id, err := platformproto.ParseID(s)
 		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&b, platformproto.MaxLine, platformproto.CauseEnd, platformproto.CauseCancelled, platformproto.CauseFull, platformproto.CauseReset, platformproto.CauseBusy, platformproto.CauseError, platformproto.CauseExpired)
+	fmt.Fprintln(&b, platformproto.MaxLine, platformproto.CauseEnd, platformproto.CauseCancelled, platformproto.CauseFull, platformproto.CauseReset,
+		platformproto.CauseBusy, platformproto.CauseError, platformproto.CauseExpired)
 	for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
 		fmt.Fprintln(&b, f.String()) // the word on the wire
 	}
--- a/internal/platformproto/message.go
+++ b/internal/platformproto/message.go
@@ -1,8 +1,8 @@
-// Package jsonl is the codec of the shared platform's protocol: JSON lines that each hold one message about one task.
+// Package platformproto is the codec of the shared platform's protocol: JSON lines that each hold one message about one task.
 //
-// It is pure: bytes in, messages out, no socket and no clock, and it imports nothing of the project. What it accepts is stricter than JSON:
-// a line that another reader might refuse or read otherwise (text that is no UTF-8, half of a surrogate pair, a key that comes twice) is an
-// error here, for what is passed on spoilt costs everything else that is open on the same connection.
+// It is pure: it has no I/O and no clock, and imports no other package of the project. What it accepts is stricter than JSON: a line that
+// another reader might reject or read differently (text that is not UTF-8, half of a surrogate pair, a duplicate key) is an error here,
+// because a message that is passed on and rejected there ends everything else that is open on the same connection.
 package platformproto
 
 import (
@@ -15,9 +15,10 @@
 // MaxLine is the longest line in bytes, its line feed included.
 const MaxLine = 16 << 10
 
-const maxSkippedDepth = 8 // of values that have no meaning here
+// maxSkippedDepth bounds the nesting of values under unknown keys.
+const maxSkippedDepth = 8
 
-// ErrTooLong is a line without an end within MaxLine.
+// ErrTooLong is the error of a line that does not end within MaxLine.
 var ErrTooLong = errors.New("line longer than 16 KiB")
 
 // Kind is the type of a message.
@@ -25,20 +26,21 @@
 
 // The kinds of message.
 const (
-	Launch  Kind = iota + 1 // a set-up
-	Staging                 // progress; means nothing
-	Running                 // an answer: the task stands
-	Stop                    // a refusal, a withdrawal or a release
-	Stopped                 // a release was heard; means nothing
-	Check                   // a test
-	Checked                 // its result
-	Update                  // a note on a task that stands
-	Migrate                 // a move
+	Launch  Kind = iota + 1 // a placement request, or an adoption of a running task
+	Staging                 // progress of an attempt; has no effect
+	Running                 // the answer that the task runs
+	Stop                    // a rejection, withdrawal or end of a task; its cause says which
+	Stopped                 // the acknowledgement of a Stop
+	Check                   // a health check
+	Checked                 // the answer to a health check
+	Update                  // a measurement of a running task
+	Migrate                 // asks a client to place a running task anew
 )
 
 var kindNames = [...]string{Launch: "launch", Staging: "staging", Running: "running", Stop: "stop", Stopped: "stopped", Check: "check",
 	Checked: "checked", Update: "update", Migrate: "migrate"}
 
+// String returns the kind's word on the wire.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && k > 0 {
 		return kindNames[k]
@@ -46,81 +48,131 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Causes that a Stop can have.
+// The causes of a Stop.
 const (
-	CauseEnd       = 16  // given up by the scheduler or owner; of a task that stood: it came to its end
-	CauseCancelled = 31  // moved, or ended by its owner
-	CauseFull      = 34  // refused, never ran
-	CauseReset     = 41  // broke, or was cut
-	CauseBusy      = 42  // refused, trying again is harmless
+	CauseEnd       = 16  // given up by the scheduler or the client; of a running task: it ended by itself
+	CauseCancelled = 31  // migrated, or stopped by its client
+	CauseFull      = 34  // rejected for want of capacity; it never ran
+	CauseReset     = 41  // the connection, the node or the task failed
+	CauseBusy      = 42  // rejected because too much is open; it may be tried again
 	CauseError     = 47  // failed
-	CauseExpired   = 102 // never left
+	CauseExpired   = 102 // the time for it was over before it was sent
 )
 
-// ID names a task between two parties: 16 hexadecimal digits.
+// ID identifies a task between two parties.
 type ID uint64
 
-// ParseID reads 16 hexadecimal digits.
+// idDigits is the length of an ID on the wire.
+const idDigits = 16
+
+// ParseID parses an ID: 16 hexadecimal digits of either case.
 func ParseID(text string) (ID, error) {
-	if len(text) != 16 {
+	if len(text) != idDigits {
 		return 0, fmt.Errorf("id of %d characters, want 16 hexadecimal digits", len(text))
 	}
 	for i := range len(text) {
-		if c := text[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
-			return 0, fmt.Errorf("id with a character %q, want 16 hexadecimal digits", c)
+		if !isHexDigit(text[i]) {
+			return 0, fmt.Errorf("id with a character %q, want 16 hexadecimal digits", text[i])
 		}
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
 	return ID(number), err
 }
 
-// Field is a number's place among the fields that have a meaning here.
+func isHexDigit(c byte) bool {
+	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
+}
+
+// Field selects one of the fields of a message's meta object.
 type Field uint8
 
 // The fields.
 const (
-	Class Field = iota
-	TimeLeft
-	Tenant
-	Key
-	IdempotencyKey // of a class that machines deduplicate: the name under which they know a copy
-	Extras
-	RetryAfter
-	Note
-	Value
-	LoadReport
+	Class          Field = iota // the class of a request
+	TimeLeft                    // milliseconds until the sender no longer waits for an answer
+	Tenant                      // the tenant that a request belongs to
+	Key                         // 16 hexadecimal digits that are passed on to the node
+	IdempotencyKey              // in classes that nodes deduplicate: the name under which they recognise a repeated request
+	Extras                      // name:value pairs, separated by semicolons
+	RetryAfter                  // milliseconds for which a rejected client is advised to wait
+	Note                        // a word: what an Update measures, or the reason of a Stop
+	Value                       // the measured value of an Update
+	LoadReport                  // the load of a node: name:value pairs, separated by semicolons
 	fieldCount
 )
 
 var fieldNames = [fieldCount]string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
+// String returns the field's name on the wire.
 func (f Field) String() string { return fieldNames[f] }
 
-// Message is one line. Parse fills it with copies, so that it does not hold on to the buffer it came from.
+func fieldOf(name string) (field Field, known bool) {
+	for i, fieldName := range fieldNames {
+		if fieldName == name {
+			return Field(i), true
+		}
+	}
+	return 0, false
+}
+
+// Message is one line. It holds no reference to the buffer that it was parsed from.
 type Message struct {
 	Kind Kind
-	UID  string // as it was written
+	UID  string // the ID as it was written
 	ID   ID
-	// Cause is the cause, HasReason whether there was one.
+	// Cause is the cause of a Stop, or the result of a health check. HasCause says whether there is one.
 	Cause    int
 	HasCause bool
-	// Body is the description as the JSON text that it came as, quotes included; "" without one. It is passed on so, for no reader can
-	// tell the difference.
+	// Body describes the task or its answer: the JSON string as it was written, quotes included, "" if there is none. Passing it on unchanged
+	// needs no decoding.
 	Body string
 	meta [fieldCount]string
 	has  [fieldCount]bool
 }
 
-// Get returns a field's text, "" if it is absent. A number is given as it was written.
-func (m *Message) Get(f Field) string { return m.meta[f] }
+// Get returns a field's text, "" if the field is absent. A number is returned as it was written.
+func (m *Message) Get(field Field) string { return m.meta[field] }
 
-// Has says whether the field is there.
-func (m *Message) Has(f Field) bool { return m.has[f] }
+// Has says whether a field is present.
+func (m *Message) Has(field Field) bool { return m.has[field] }
 
-// Set enters a field.
-func (m *Message) Set(f Field, text string) { m.meta[f], m.has[f] = text, true }
+// Set sets a field.
+func (m *Message) Set(field Field, text string) {
+	m.meta[field] = text
+	m.has[field] = true
+}
+
+// keySet is a set of the keys of a message's object. Unknown keys are not part of it.
+type keySet uint8
+
+const (
+	keyKind keySet = 1 << iota
+	keyUID
+	keyMeta
+	keyReason
+	keyBody
+
+	requiredKeys = keyKind | keyUID
+)
 
-// Parse reads one line without its line feed.
+// keyOf returns the set of one key, empty if the key is unknown.
+func keyOf(key string) keySet {
+	switch key {
+	case "kind":
+		return keyKind
+	case "uid":
+		return keyUID
+	case "meta":
+		return keyMeta
+	case "reason":
+		return keyReason
+	case "body":
+		return keyBody
+	}
+	return 0
+}
+
+// Parse parses one line without its line feed. The error is ErrTooLong, or says what is invalid and where.
 func Parse(line []byte, msg *Message) error {
 	*msg = Message{}
 	if len(line) >= MaxLine {
@@ -130,97 +182,109 @@
 		return errors.New("line is not UTF-8")
 	}
 	p := parser{line: line}
-	var keysSeen uint
+	var seen keySet
 	p.skipSpace()
 	err := p.parseObject(func(key string) error {
-		keyBit := uint(0)
-		var err error
-		switch key {
-		case "kind":
-			keyBit = 1
-			var text string
-			if text, err = p.parseString(); err == nil {
-				err = msg.setKind(text)
-			}
-		case "uid":
-			keyBit = 2
-			if msg.UID, err = p.parseString(); err == nil {
-				msg.ID, err = ParseID(msg.UID)
-			}
-		case "meta":
-			keyBit = 4
-			err = p.parseObject(func(name string) error { return p.parseMetaField(msg, name) })
-		case "reason":
-			keyBit = 8
-			var text string
-			if text, err = p.parseNumber(); err == nil {
-				msg.HasCause = true
-				msg.Cause, err = strconv.Atoi(text)
-			}
-		case "body":
-			keyBit = 16
-			start := p.position
-			if _, err = p.parseString(); err == nil {
-				msg.Body = string(p.line[start:p.position])
-			}
-		default:
-			err = p.skipValue(0)
-		}
-		if err != nil {
+		known := keyOf(key)
+		if err := p.parseMember(msg, known); err != nil {
 			return fmt.Errorf("%.20q: %w", key, err)
 		}
-		if keysSeen&keyBit != 0 {
-			return fmt.Errorf("%q comes twice", key)
+		if seen&known != 0 {
+			return fmt.Errorf("duplicate key %q", key)
 		}
-		keysSeen |= keyBit
+		seen |= known
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if p.skipSpace(); p.position < len(p.line) {
+	p.skipSpace()
+	if p.position < len(p.line) {
 		return p.syntaxError("the end of the line")
 	}
-	if keysSeen&3 != 3 {
+	if seen&requiredKeys != requiredKeys {
 		return errors.New(`message without "kind" or "uid"`)
 	}
 	return nil
 }
 
-func (m *Message) setKind(word string) error {
-	for k, name := range kindNames {
+// parseMember parses the value of one key of a message's object. The value of an unknown key is skipped.
+func (p *parser) parseMember(msg *Message, key keySet) (err error) {
+	switch key {
+	case keyKind:
+		return p.parseKind(msg)
+	case keyUID:
+		if msg.UID, err = p.parseString(); err != nil {
+			return err
+		}
+		msg.ID, err = ParseID(msg.UID)
+		return err
+	case keyMeta:
+		return p.parseObject(func(name string) error { return p.parseMetaField(msg, name) })
+	case keyReason:
+		return p.parseCause(msg)
+	case keyBody:
+		return p.parseBody(msg)
+	}
+	return p.skipValue(0)
+}
+
+func (p *parser) parseKind(msg *Message) error {
+	word, err := p.parseString()
+	if err != nil {
+		return err
+	}
+	for kind, name := range kindNames {
 		if name != "" && name == word {
-			m.Kind = Kind(k)
+			msg.Kind = Kind(kind)
 			return nil
 		}
 	}
-	return fmt.Errorf("%.20q is no kind of message", word)
+	return fmt.Errorf("unknown kind %.20q", word)
 }
 
-func (p *parser) parseMetaField(msg *Message, name string) error {
-	for field, known := range fieldNames {
-		if known != name {
-			continue
-		}
-		if msg.has[field] {
-			return fmt.Errorf("%q comes twice", name)
-		}
-		var err error
-		if p.peek() == '"' {
-			msg.meta[field], err = p.parseString()
-		} else {
-			msg.meta[field], err = p.parseNumber()
-		}
-		msg.has[field] = true
-		if err != nil {
-			return fmt.Errorf("%q: %w", name, err)
-		}
-		return nil
+func (p *parser) parseCause(msg *Message) error {
+	text, err := p.parseNumber()
+	if err != nil {
+		return err
 	}
-	return p.skipValue(0)
+	msg.HasCause = true
+	msg.Cause, err = strconv.Atoi(text)
+	return err
+}
+
+// parseBody checks a JSON string and keeps it as it was written.
+func (p *parser) parseBody(msg *Message) error {
+	start := p.position
+	if _, err := p.parseString(); err != nil {
+		return err
+	}
+	msg.Body = string(p.line[start:p.position])
+	return nil
+}
+
+// parseMetaField parses the value of one key of the meta object: a string or a number. The value of an unknown key is skipped.
+func (p *parser) parseMetaField(msg *Message, name string) (err error) {
+	field, known := fieldOf(name)
+	if !known {
+		return p.skipValue(0)
+	}
+	if msg.has[field] {
+		return fmt.Errorf("duplicate key %q", name)
+	}
+	if p.peek() == '"' {
+		msg.meta[field], err = p.parseString()
+	} else {
+		msg.meta[field], err = p.parseNumber()
+	}
+	msg.has[field] = true
+	if err != nil {
+		return fmt.Errorf("%q: %w", name, err)
+	}
+	return nil
 }
 
-// Append writes the message as one line with its line feed.
+// Append appends the message as one line with its line feed.
 func (m *Message) Append(buffer []byte) []byte {
 	buffer = append(buffer, `{"kind":"`...)
 	buffer = append(buffer, m.Kind.String()...)
@@ -253,7 +317,7 @@
 	return append(buffer, '}', '\n')
 }
 
-// appendString writes a JSON string.
+// appendString appends a JSON string.
 func appendString(buffer []byte, text string) []byte {
 	const hex = "0123456789abcdef"
 	buffer = append(buffer, '"')
--- a/internal/platformproto/message_test.go
+++ b/internal/platformproto/message_test.go
@@ -63,12 +63,14 @@
 		"more than a line":   `{"kind":"stop",` + id + `,"body":"` + strings.Repeat("a", MaxLine) + `"}`,
 		"comma without more": `{"kind":"stop",` + id + `,}`,
 	} {
-		var m Message
-		if err := Parse([]byte(line), &m); err == nil {
-			t.Errorf("%s: taken as %+v", name, m)
-		} else if name == "more than a line" && !errors.Is(err, ErrTooLong) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			var m Message
+			if err := Parse([]byte(line), &m); err == nil {
+				t.Errorf("accepted as %+v", m)
+			} else if name == "more than a line" && !errors.Is(err, ErrTooLong) {
+				t.Error(err)
+			}
+		})
 	}
 	var m Message
 	if err := Parse([]byte(`{"kind":"stop",`+id+`,"more":{"a":[1,null,true,{"b":"c"}]},"meta":{"other":[]}}`), &m); err != nil {
@@ -76,8 +78,8 @@
 	}
 }
 
-// FuzzLine holds the codec against encoding/json: what is taken is JSON, and what is written is read as the same. Memory is bounded by
-// the length of the line.
+// FuzzLine compares the codec with encoding/json: what it accepts is JSON, and what it writes is parsed as the same. Memory is bounded by the
+// length of the line.
 func FuzzLine(f *testing.F) {
 	f.Add([]byte(launchLine))
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
@@ -95,7 +97,7 @@
 			return
 		}
 		if !json.Valid(in) {
-			t.Fatalf("taken, but no JSON: %q", in)
+			t.Fatalf("accepted, but no JSON: %q", in)
 		}
 		line := m.Append(nil)
 		if err := Parse(line[:len(line)-1], &again); (err != nil || again != m) && len(line) < MaxLine {
--- a/internal/platformproto/parser.go
+++ b/internal/platformproto/parser.go
@@ -6,12 +6,13 @@
 	"unicode/utf8"
 )
 
-// parser reads JSON values (RFC 8259) from a text that is valid UTF-8. It goes forward only and takes each byte once.
+// parser parses JSON values (RFC 8259) in a line that is valid UTF-8. It never goes back.
 type parser struct {
 	line     []byte
 	position int
 }
 
+// syntaxError says what was expected at the current position.
 func (p *parser) syntaxError(want string) error {
 	if p.position >= len(p.line) {
 		return fmt.Errorf("line ends at byte %d, want %s", p.position, want)
@@ -20,12 +21,14 @@
 }
 
 func (p *parser) skipSpace() {
-	for p.position < len(p.line) && (p.line[p.position] == ' ' || p.line[p.position] == '\t' || p.line[p.position] == '\r' || p.line[p.position] == '\n') {
+	for p.position < len(p.line) && isSpace(p.line[p.position]) {
 		p.position++
 	}
 }
 
-// peek is the next byte, 0 at the end.
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
+
+// peek returns the next byte, 0 at the end of the line.
 func (p *parser) peek() byte {
 	if p.position < len(p.line) {
 		return p.line[p.position]
@@ -33,6 +36,7 @@
 	return 0
 }
 
+// expect consumes the given byte.
 func (p *parser) expect(c byte) error {
 	if p.peek() != c || p.position >= len(p.line) {
 		return p.syntaxError(fmt.Sprintf("%q", c))
@@ -41,7 +45,7 @@
 	return nil
 }
 
-// parseObject reads an object; value is called for each key and reads what it stands for.
+// parseObject parses an object. It calls value for each key to parse the key's value.
 func (p *parser) parseObject(value func(key string) error) error {
 	if err := p.expect('{'); err != nil {
 		return err
@@ -74,16 +78,16 @@
 	}
 }
 
-// parseString reads a string and undoes its escapes.
+// parseString parses a string and returns it with its escapes decoded.
 func (p *parser) parseString() (string, error) {
 	if err := p.expect('"'); err != nil {
 		return "", err
 	}
 	start := p.position
-	for p.position < len(p.line) && p.line[p.position] != '"' && p.line[p.position] != '\\' && p.line[p.position] >= 0x20 {
+	for p.position < len(p.line) && isPlain(p.line[p.position]) {
 		p.position++
 	}
-	if p.peek() == '"' { // nothing to undo
+	if p.peek() == '"' { // no escapes
 		value := string(p.line[start:p.position])
 		p.position++
 		return value, nil
@@ -111,6 +115,10 @@
 	return "", p.syntaxError("the end of a string")
 }
 
+// isPlain says whether a byte stands for itself in a string.
+func isPlain(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
+
+// parseEscape parses an escape sequence.
 func (p *parser) parseEscape() (rune, error) {
 	p.position++ // the backslash
 	c := p.peek()
@@ -131,7 +139,7 @@
 		if err != nil || !utf16.IsSurrogate(r) {
 			return r, err
 		}
-		// Half of a pair stands for no character: readers differ on it.
+		// Readers differ on half of a surrogate pair, which stands for no character.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
 			low, err := p.parseHex4()
@@ -150,7 +158,7 @@
 	return rune(c), nil
 }
 
-// parseHex4 reads uXXXX.
+// parseHex4 parses uXXXX.
 func (p *parser) parseHex4() (rune, error) {
 	p.position++
 	var r rune
@@ -171,6 +179,7 @@
 	return r, nil
 }
 
+// skipDigits consumes decimal digits and says whether there were any.
 func (p *parser) skipDigits() bool {
 	start := p.position
 	for p.peek() >= '0' && p.peek() <= '9' {
@@ -179,7 +188,7 @@
 	return p.position > start
 }
 
-// parseNumber reads a number and returns it as written.
+// parseNumber parses a number and returns it as written.
 func (p *parser) parseNumber() (string, error) {
 	start := p.position
 	if p.peek() == '-' {
@@ -208,7 +217,7 @@
 	return string(p.line[start:p.position]), nil
 }
 
-// skipValue reads any value and forgets it.
+// skipValue consumes a value of any kind. It fails on values that are nested deeper than maxSkippedDepth.
 func (p *parser) skipValue(depth int) error {
 	if depth > maxSkippedDepth {
 		return fmt.Errorf("byte %d: nested deeper than %d", p.position, maxSkippedDepth)
@@ -220,23 +229,7 @@
 	case '{':
 		return p.parseObject(func(string) error { return p.skipValue(depth + 1) })
 	case '[':
-		p.position++
-		p.skipSpace()
-		if p.peek() == ']' {
-			p.position++
-			return nil
-		}
-		for {
-			p.skipSpace()
-			if err := p.skipValue(depth + 1); err != nil {
-				return err
-			}
-			p.skipSpace()
-			if p.peek() != ',' {
-				return p.expect(']')
-			}
-			p.position++
-		}
+		return p.skipArray(depth)
 	case 't':
 		return p.expectLiteral("true")
 	case 'f':
@@ -248,6 +241,28 @@
 	return err
 }
 
+// skipArray consumes an array at the given depth.
+func (p *parser) skipArray(depth int) error {
+	p.position++ // the bracket
+	p.skipSpace()
+	if p.peek() == ']' {
+		p.position++
+		return nil
+	}
+	for {
+		p.skipSpace()
+		if err := p.skipValue(depth + 1); err != nil {
+			return err
+		}
+		p.skipSpace()
+		if p.peek() != ',' {
+			return p.expect(']')
+		}
+		p.position++
+	}
+}
+
+// expectLiteral consumes the given word.
 func (p *parser) expectLiteral(literal string) error {
 	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
 		return p.syntaxError(literal)
