--- /dev/null
+++ b/internal/dispatch/adoption.go
@@ -0,0 +1,115 @@
+package dispatch
+
+import (
+	"slices"
+
+	"heathshed/internal/platformproto"
+	"heathshed/placer"
+)
+
+// Adoption: after a start of this scheduler, clients list their running tasks, and the scheduler takes responsibility for them.
+
+const (
+	// adoptionMaxWait bounds the time after the first health check for which new requests wait for adoptions.
+	adoptionMaxWait = 1.0
+	// adoptionIdleGap is the time without an adoption after which no more are expected.
+	adoptionIdleGap = 0.05
+	// maxEarlyTerminations is the highest number of early terminations that are kept.
+	maxEarlyTerminations = maxTasks
+)
+
+// earlyTermination records that a node reported the end of a task that is not known here. Its client may yet list it for adoption.
+type earlyTermination struct {
+	cause     int
+	expiresAt float64
+}
+
+// adopt enters a task that runs on a node already.
+func (c *Core) adopt(client *clientConn, msg *platformproto.Message, parsed parsedRequest) error {
+	node := c.nodes[c.nodeID(parsed.adoptedFrom)]
+	if node == nil {
+		return invalidMessage(InvalidNode, "launch %s: extras: at: node %.40q is not in the registry", msg.UID, parsed.adoptedFrom)
+	}
+	key := attemptKey{node.ID, msg.ID}
+	if earlier := c.attempts[key]; earlier != nil {
+		c.removeAttempt(earlier) // it was abandoned here, and accepted by the node after all
+	}
+	if early, terminated := c.earlyTerminations[key]; terminated {
+		// The client listed the task before it could learn of its end, which the node reports only once.
+		c.Counts.TasksEnded++
+		c.sendNotification(client, c.newNotification(replyTo(msg, platformproto.Stop, early.cause)))
+		return nil
+	}
+	task := parsed.task
+	req := c.addRequest(client.id, msg, &task, requestRunning)
+	client.lastPlacedAt = c.now
+	attempt := &Attempt{
+		Node:         node.ID,
+		Message:      req.launchMessage(),
+		request:      req,
+		state:        attemptRunning,
+		createdAt:    c.now,
+		runningSince: c.now,
+	}
+	req.attempts = append(req.attempts, attempt)
+	c.attempts[key] = attempt
+	node.running[attempt] = struct{}{}
+	c.post(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
+	c.emit(Effect{Kind: ConnectNode, Attempt: attempt})
+	if node.State == placer.Terminated {
+		c.scheduleTaskExpiry(node)
+	}
+	return nil
+}
+
+// postArrival passes a new request to the placer. After a start, clients list hundreds of running tasks on one connection while new requests
+// come on others, and a request that is placed before all of them were adopted is placed without regard to where its service runs. So new
+// requests wait until no more adoptions come, for a short time at most and never beyond their deadline.
+func (c *Core) postArrival(req *request, task placer.Task) {
+	waitUntil := min(c.lastAdoptionAt+adoptionIdleGap, c.firstHealthCheckAt+adoptionMaxWait, req.deadline)
+	if c.now >= waitUntil {
+		c.post(placer.Event{Kind: placer.Arrived, TaskID: req.taskID, Task: task})
+		return
+	}
+	c.timers.Add(waitUntil, func() {
+		if !req.state.closed() {
+			c.postArrival(req, task)
+		}
+	})
+}
+
+// recordEarlyTermination keeps the end of an unknown task for as long as its client may yet list the task for adoption. After a start, a node
+// reports on its first connection what ended while it had none, and may be faster than clients that list thousands of tasks. The number of
+// records is bounded: the oldest go first.
+func (c *Core) recordEarlyTermination(key attemptKey, cause int) {
+	if _, known := c.earlyTerminations[key]; known {
+		return
+	}
+	if len(c.earlyTerminationOrder) >= maxEarlyTerminations {
+		delete(c.earlyTerminations, c.earlyTerminationOrder[0])
+		c.earlyTerminationOrder = c.earlyTerminationOrder[1:]
+	}
+	record := earlyTermination{cause: cause, expiresAt: c.now + notificationRetention}
+	c.earlyTerminations[key] = record
+	c.earlyTerminationOrder = append(c.earlyTerminationOrder, key)
+	if len(c.earlyTerminationOrder) == 1 {
+		c.timers.Add(record.expiresAt, c.expireEarlyTerminations)
+	}
+}
+
+// expireEarlyTerminations removes the records that have expired, and sets a timer for the next one.
+func (c *Core) expireEarlyTerminations() {
+	expired := 0
+	for _, key := range c.earlyTerminationOrder {
+		if c.earlyTerminations[key].expiresAt > c.now {
+			break
+		}
+		delete(c.earlyTerminations, key)
+		expired++
+	}
+	c.earlyTerminationOrder = slices.Delete(c.earlyTerminationOrder, 0, expired)
+	if len(c.earlyTerminationOrder) > 0 {
+		oldest := c.earlyTerminations[c.earlyTerminationOrder[0]]
+		c.timers.Add(oldest.expiresAt, c.expireEarlyTerminations)
+	}
+}
--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -259,7 +259,7 @@
 	r.flag(err != nil)
 	var invalid *dispatch.InvalidMessageError
 	if errors.As(err, &invalid) {
-		r.text(invalid.Reason)
+		r.text(string(invalid.Reason))
 		r.flag(invalid.Error() == invalid.Unwrap().Error())
 	}
 }
@@ -303,6 +303,9 @@
 		r.text(string(b))
 	}
 	r.state()
+	if n := r.core.IllegalTransitions(); n != 0 {
+		r.t.Fatalf("%s, step %d: %d illegal state transitions", r.labelStart, step, n)
+	}
 }
 
 func (r *recorder) state() {
--- /dev/null
+++ b/internal/dispatch/core.go
@@ -0,0 +1,196 @@
+// Package dispatch is the core of the scheduler's front on the shared platform. It keeps placement requests of clients, attempts to start
+// their tasks on nodes, running tasks, notifications that clients are still to receive, and the node registry, and it translates between the
+// platform's messages and the events and actions of package placer.
+//
+// It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller is to
+// carry out. The package is pure: it has no I/O, clock, goroutine or global state. It makes no placement decisions: each event goes to the
+// placer, and each action comes from it. All times are clock times in seconds, all durations are in seconds.
+package dispatch
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"strconv"
+
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/platformproto"
+	"heathshed/internal/simconfig"
+	"heathshed/internal/timerqueue"
+	"heathshed/placer"
+)
+
+// maxTasks is the highest number of open placement requests and running tasks that are held at a time. Each takes about 2 KB.
+const maxTasks = 20000
+
+// EffectKind selects what the caller is to do for an Effect.
+type EffectKind uint8
+
+// The kinds of effect.
+const (
+	// SendToClient sends Message on the client connection Conn.
+	SendToClient EffectKind = iota + 1
+	// SendAttempt sends Attempt to its node. The caller calls Core.PrepareSend before the first byte goes out.
+	SendAttempt
+	// SendToNode sends Message to the node of Attempt, on the connection that Attempt went out on if that is open, else on any.
+	SendToNode
+	// ConnectNode opens a connection to the node of Attempt, which runs a task that was adopted: the node needs one to report the task's end.
+	ConnectNode
+	// NodesChanged says that nodes or their addresses may have changed.
+	NodesChanged
+)
+
+// Effect is an instruction to the caller. Effects are to be carried out in order.
+type Effect struct {
+	Kind    EffectKind
+	Conn    ConnID
+	Attempt *Attempt
+	Message platformproto.Message
+	// TimedOut says, with SendToNode, that the attempt was not answered in time: the connection that it went out on may be broken.
+	TimedOut bool
+}
+
+// Core is the state of the scheduler on the platform. It is to be used by one goroutine at a time.
+type Core struct {
+	// Counts are to be read only.
+	Counts Counts
+
+	settings *simconfig.Settings
+	events   eventqueue.Queue
+	now      float64
+	timers   timerqueue.Queue
+	effects  []Effect
+
+	requests           map[placer.TaskID]*request
+	requestsByID       map[platformproto.ID]*request
+	openRequests       int // requests in state requestOpen
+	lastTaskID         placer.TaskID
+	illegalTransitions int // see transition
+
+	attempts map[attemptKey]*Attempt // all that nodes may still send messages about
+
+	clients              map[ConnID]*clientConn
+	pendingNotifications []notification // those that found no connection, in the order in which they came up
+
+	earlyTerminations     map[attemptKey]earlyTermination
+	earlyTerminationOrder []attemptKey // keys of earlyTerminations, oldest first
+	firstHealthCheckAt    float64      // when the first health check of a client came, 0 if none has
+	lastAdoptionAt        float64      // when a running task was last adopted, or firstHealthCheckAt
+
+	nodes              map[placer.NodeID]*Node
+	lastDiscoveryEvent uint64
+	discoveryConnected bool
+	listRequested      bool // the placer asked for the node list while discovery was not connected, and waits for an answer
+}
+
+// New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
+// platform's configuration, or empty. The error says which part of it is invalid.
+func New(now float64, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
+	c := &Core{
+		settings:          settings,
+		now:               now,
+		requests:          map[placer.TaskID]*request{},
+		requestsByID:      map[platformproto.ID]*request{},
+		attempts:          map[attemptKey]*Attempt{},
+		clients:           map[ConnID]*clientConn{},
+		earlyTerminations: map[attemptKey]earlyTermination{},
+		nodes:             map[placer.NodeID]*Node{},
+	}
+	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
+	var list knownEventList
+	if len(knownEvents) > 0 {
+		if err := json.Unmarshal(knownEvents, &list); err != nil {
+			return nil, fmt.Errorf("known: %w", err)
+		}
+	}
+	for i := range list.Events {
+		event := &list.Events[i]
+		if _, err := c.applyDiscoveryEvent(event); err != nil {
+			return nil, fmt.Errorf("known: items[%d]: %w", i, err)
+		}
+		c.lastDiscoveryEvent = max(c.lastDiscoveryEvent, event.Number)
+	}
+	c.lastDiscoveryEvent = max(c.lastDiscoveryEvent, list.Number)
+	c.post(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: c.placerNodes()})
+	c.runEvents()
+	return c, nil
+}
+
+// Ready returns the effects since the last call. The caller owns the slice.
+func (c *Core) Ready() []Effect {
+	effects := c.effects
+	c.effects = nil
+	return effects
+}
+
+// NextTimer returns when Advance is to be called next, infinity if never.
+func (c *Core) NextTimer() float64 { return c.timers.Next() }
+
+// Advance runs the timers that are due.
+func (c *Core) Advance(now float64) {
+	c.setTime(now)
+	for timer := c.timers.Pop(c.now); timer != nil; timer = c.timers.Pop(c.now) {
+		timer.Run()
+		c.runEvents()
+	}
+}
+
+// setTime sets the clock. It never goes back.
+func (c *Core) setTime(now float64) { c.now = max(c.now, now) }
+
+// emit adds an effect for the caller.
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
+
+// post queues an event for the placer.
+func (c *Core) post(event placer.Event) { c.events.Post(event) }
+
+// runEvents passes all queued events to the placer and executes its actions.
+func (c *Core) runEvents() { c.events.Run(c.now) }
+
+// execute executes an action of the placer. An action on an unknown task has no effect.
+func (c *Core) execute(action *placer.Action) {
+	switch action.Kind {
+	case placer.SetTimer:
+		token := action.Token
+		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
+	case placer.WatchNodes, placer.ListNodes:
+		c.requestNodeList()
+	default:
+		if req := c.requests[action.Task]; req != nil {
+			c.executeForRequest(req, action)
+		}
+	}
+}
+
+func (c *Core) executeForRequest(req *request, action *placer.Action) {
+	switch action.Kind {
+	case placer.StartAttempt:
+		c.startAttempt(req, action)
+	case placer.Reject:
+		c.Counts.Rejected++
+		c.answerRequest(req, c.rejection(req, action.After))
+	case placer.Fail:
+		c.Counts.Failed++
+		c.answerRequest(req, replyTo(&req.message, platformproto.Stop, platformproto.CauseError))
+	case placer.Migrate:
+		c.migrateTask(req)
+	}
+}
+
+// rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
+func (c *Core) rejection(req *request, retryAfter float64) platformproto.Message {
+	answer := replyTo(&req.message, platformproto.Stop, platformproto.CauseFull)
+	if retryAfter > 0 && c.settings.Placer.SendsRetryAfter {
+		milliseconds := math.Ceil(min(retryAfter, c.settings.Placer.MaxRetryAfter) * 1000)
+		answer.Set(platformproto.RetryAfter, strconv.Itoa(int(milliseconds)))
+	}
+	return answer
+}
+
+// noCause makes replyTo leave out the cause.
+const noCause = -1
+
+// replyTo returns a message about the task of msg. A negative cause is left out.
+func replyTo(msg *platformproto.Message, kind platformproto.Kind, cause int) platformproto.Message {
+	return platformproto.Message{Kind: kind, UID: msg.UID, ID: msg.ID, Cause: max(cause, 0), HasCause: cause >= 0}
+}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -116,6 +117,9 @@
 
 // carryOutEffects carries out the effects and holds them against the rules.
 func (h *harness) carryOutEffects() {
+	if n := h.core.IllegalTransitions(); n != 0 {
+		h.t.Fatalf("%d illegal state transitions", n)
+	}
 	for _, e := range h.core.Ready() {
 		switch e.Kind {
 		case SendAttempt:
@@ -987,3 +991,51 @@
 func (f placerFunc) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
 	return append(actions, f(ev)...)
 }
+
+func TestMessageOnClosedConnection(t *testing.T) {
+	h := newHarness(t, nil)
+	msg := h.launchMessage(1)
+	if err := h.core.ReceiveFromClient(h.now, 42, &msg); !errors.Is(err, ErrClientNotConnected) {
+		t.Errorf("error %v", err)
+	}
+}
+
+// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
+func TestRequestTransitions(t *testing.T) {
+	if len(requestTransitions) != int(requestTerminated)+1 {
+		t.Fatalf("transitions for %d states", len(requestTransitions))
+	}
+	for from := requestOpen; from <= requestTerminated; from++ {
+		for to := requestOpen; to <= requestTerminated; to++ {
+			legal := slices.Contains(requestTransitions[from], to)
+			if legal && from.closed() && !to.closed() {
+				t.Errorf("state %d is closed and leads to %d", from, to)
+			}
+			core, req := &Core{}, &request{state: from}
+			core.transition(req, to)
+			if counted := core.illegalTransitions == 1; req.state != to || counted == legal {
+				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, req.state, counted)
+			}
+		}
+	}
+}
+
+// TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
+func TestAttemptTransitions(t *testing.T) {
+	if len(attemptTransitions) != int(attemptTerminated)+1 {
+		t.Fatalf("transitions for %d states", len(attemptTransitions))
+	}
+	for from := attemptPending; from <= attemptTerminated; from++ {
+		for to := attemptPending; to <= attemptTerminated; to++ {
+			legal := slices.Contains(attemptTransitions[from], to)
+			if legal && to <= from {
+				t.Errorf("state %d leads back to %d", from, to)
+			}
+			core, attempt := &Core{}, &Attempt{state: from}
+			core.transitionAttempt(attempt, to)
+			if counted := core.illegalTransitions == 1; attempt.state != to || counted == legal {
+				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, attempt.state, counted)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatch/export_test.go
@@ -0,0 +1,4 @@
+package dispatch
+
+// IllegalTransitions returns how many transitions were not in the tables of legal ones.
+func (c *Core) IllegalTransitions() int { return c.illegalTransitions }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -82,7 +82,7 @@
 	var invalid *dispatch.InvalidMessageError
 	switch {
 	case errors.As(err, &invalid):
-		return invalid.Reason
+		return string(invalid.Reason)
 	case errors.Is(err, platformproto.ErrTooLong):
 		return "long line"
 	}
