--- a/internal/connpool/characterization_test.go
+++ b/internal/connpool/characterization_test.go
@@ -4,53 +4,26 @@
 	"crypto/sha256"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
 	"heathshed/internal/connpool"
+	"heathshed/internal/golden"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
-}
-
-// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package golden.
 func TestCharacterization(t *testing.T) {
-	lines := []string{defaults()}
-	for name, text := range []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}), usableStates()} {
-		lines = append(lines, fmt.Sprintf("grid %d %d %x", name, len(text), sha256.Sum256([]byte(text))))
+	record := golden.NewRecorder()
+	record.Line("%s", defaults())
+	shortPolicy := connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}
+	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
+	for i, grid := range grids {
+		record.Line("grid %d %d %x", i, len(grid), sha256.Sum256([]byte(grid)))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
-		lines = append(lines, fmt.Sprintf("reach %d %s", seed, reachability(seed)))
+		record.Line("reach %d %s", seed, reachability(seed))
 	}
-	compareGolden(t, lines)
+	record.Check(t, "characterization")
 }
 
 func defaults() string {
@@ -90,7 +63,15 @@
 			for _, checked := range moments {
 				for _, incomplete := range moments {
 					for bits := range 8 {
-						s := connpool.ConnState{PendingRequests: bits & 1, RunsTasks: bits&2 > 0, HasAlternative: bits&4 > 0, LastSent: sent, LastReceived: received, HealthCheckSent: checked, IncompleteSince: incomplete}
+						s := connpool.ConnState{
+							PendingRequests: bits & 1,
+							RunsTasks:       bits&2 > 0,
+							HasAlternative:  bits&4 > 0,
+							LastSent:        sent,
+							LastReceived:    received,
+							HealthCheckSent: checked,
+							IncompleteSince: incomplete,
+						}
 						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(10, s)), uint8(p.KeepAlive(10.5, s)))
 					}
 				}
@@ -112,7 +93,7 @@
 	return b.String()
 }
 
-// reachability gives the verdicts on a machine through seeded words and failed dials.
+// reachability returns a digest of the verdicts on a node through random messages and failed dials.
 func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var b strings.Builder
@@ -128,7 +109,8 @@
 		case 3, 4, 5:
 			r.DialFailed(now, random.IntN(4) == 0)
 		}
-		fmt.Fprint(&b, uint8(r.Status(now)), uint8(r.Status(now+1)), uint8(r.Status(now+1.001)), uint8(r.Status(now+6)), uint8(r.Status(now+6.5)), " ")
+		fmt.Fprint(&b, uint8(r.Status(now)), uint8(r.Status(now+1)), uint8(r.Status(now+1.001)), uint8(r.Status(now+6)),
+			uint8(r.Status(now+6.5)), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(b.String())))
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,34 +1,36 @@
-// Package connpool decides which connection a request to a machine goes out on. It is pure.
-//
-// A connection that has been idle may have been closed at the other end just now; a request on it then ends without word whether it was
-// read. For most requests that costs a repeat. For an offer of a task that must not run twice it costs a doubt, and seconds of waiting, so
-// such an offer takes a connection only while it is fresh, and otherwise a new one, whose failure proves that nothing was sent.
+// Package connpool holds the policies of connection reuse: which connection a request goes out on, when a connection is checked or closed,
+// and when a node counts as unreachable. It opens no connection itself and reads no clock.
 package connpool
 
-// Policy bounds connections. Times are in seconds.
+// Policy chooses connections that carry one request at a time. Times are in seconds.
+//
+// The other end may close an idle connection at the moment at which a request goes out on it. Whether that request was received is then
+// unknown. An idempotent request is simply sent again. For another one the outcome has to be found out, which takes seconds, so it only
+// uses a connection that was in use a moment ago; otherwise a new one is dialed, whose failure proves that nothing was sent.
 type Policy struct {
 	MaxConns             int     // open at a time
-	MaxIdle              float64 // one idle for longer is not used again
-	MaxIdleNonIdempotent float64 // and for a careful request one idle for longer than this
+	MaxIdle              float64 // a connection that was idle for longer is not used again
+	MaxIdleNonIdempotent float64 // as MaxIdle, for requests that are not idempotent
 }
 
-// DefaultPolicy keeps well under what servers commonly allow.
-func DefaultPolicy() Policy { return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleNonIdempotent: 1} }
+// DefaultPolicy returns limits well under those that servers commonly have.
+func DefaultPolicy() Policy {
+	return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleNonIdempotent: 1}
+}
 
 // Action is what to do with a request.
 type Action uint8
 
-// The choices. Use takes idle connection Index. Dial opens one. Replace closes idle connection Index, the longest idle, and opens one. Wait
-// holds the request until a connection is free.
+// The actions.
 const (
-	Use Action = iota
-	Dial
-	Replace
-	Wait
+	Use     Action = iota // send it on the idle connection Index
+	Dial                  // open a connection for it
+	Replace               // close the idle connection Index, the longest idle, and open one
+	Wait                  // hold it until a connection is free
 )
 
-// Decision is a choice, with the idle connections that are too old to be used by any request: these are to be closed first. Index counts in
-// the list that was passed in.
+// Decision is an action, with the idle connections to close first since no request may use them any more. Indexes are those of the list
+// given to Choose.
 type Decision struct {
 	Action Action
 	Index  int
@@ -36,7 +38,7 @@
 }
 
 // Choose decides for one request. idle holds for how long each idle connection has been unused; open counts all connections, the idle ones
-// and those being opened included. The most recently used one is taken, so that the others age and go.
+// and those being dialed included. The most recently used connection is preferred, so that surplus ones become stale.
 func (p Policy) Choose(idle []float64, open int, nonIdempotent bool) Decision {
 	var decision Decision
 	freshest, oldest := -1, -1
@@ -55,11 +57,13 @@
 	}
 	switch {
 	case freshest >= 0 && (!nonIdempotent || idle[freshest] <= p.MaxIdleNonIdempotent):
-		decision.Action, decision.Index = Use, freshest
+		decision.Action = Use
+		decision.Index = freshest
 	case open < max(p.MaxConns, 1):
 		decision.Action = Dial
 	case oldest >= 0:
-		decision.Action, decision.Index = Replace, oldest
+		decision.Action = Replace
+		decision.Index = oldest
 	default:
 		decision.Action = Wait
 	}
--- a/internal/connpool/keepalive.go
+++ b/internal/connpool/keepalive.go
@@ -1,78 +1,93 @@
 package connpool
 
-// SharedPolicy bounds connections that carry many requests at a time, to one machine. Times are in seconds.
+// SharedPolicy keeps connections to one node that carry many requests at a time. Times are in seconds.
 //
-// A test is a message that the other end answers at once, however busy it is: it tells a slow machine, which has to be waited for, from a
-// connection that stays open and carries nothing any more, on which waiting is in vain.
+// A health check is a message that the other end answers at once, however busy it is. It tells a slow node, which has to be waited for, from
+// a connection that is open but dead, on which waiting is in vain.
 type SharedPolicy struct {
-	MaxIdle            float64 // closed after so long without a request, where nothing is expected of the other end; 0 keeps it
-	HealthCheckAfter   float64 // tested after so long without a word, while something is expected
-	HealthCheckTimeout float64 // a test without an answer for so long: of no further use
+	MaxIdle            float64 // closed after so long without a request if nothing is expected on it; 0 for never
+	HealthCheckAfter   float64 // checked after so long without traffic while something is expected
+	HealthCheckTimeout float64 // unresponsive if a health check or the rest of a message takes longer
 }
 
-// DefaultSharedPolicy suits machines that answer tests at once over a network of a few milliseconds.
+// DefaultSharedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
+// idle connections.
 func DefaultSharedPolicy() SharedPolicy {
 	return SharedPolicy{HealthCheckAfter: 1, HealthCheckTimeout: 0.5}
 }
 
-// ConnState is that of one such connection. Times are points on one clock.
+// ConnState is the state of one such connection. Times are points on the clock of KeepAlive's now.
 type ConnState struct {
-	PendingRequests int     // without an answer
-	RunsTasks       bool    // the machine holds something whose end it will tell
-	HasAlternative  bool    // another connection serves as well
+	PendingRequests int     // unanswered
+	RunsTasks       bool    // the node runs tasks whose end it will report
+	HasAlternative  bool    // there is another connection to the node
 	LastSent        float64 // when a request last went out
-	LastReceived    float64 // when anything last came in
-	HealthCheckSent float64 // when the test went out that is still to be answered; 0 if none is
+	LastReceived    float64 // when anything last arrived
+	HealthCheckSent float64 // when the unanswered health check went out; 0 if there is none
 	IncompleteSince float64 // since when the last message has been incomplete; 0 if it is not
 }
 
-// Usable says whether requests may go out on the connection: not while a test or the rest of a message is waited for.
+// Usable reports whether requests may go out on the connection: not while a health check or the rest of a message is awaited.
 func (s ConnState) Usable() bool { return s.HealthCheckSent == 0 && s.IncompleteSince == 0 }
 
+// expectsMessage reports whether the node owes an answer or the end of a task.
+func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
+
+// closable reports whether closing the connection loses nothing.
+func (s ConnState) closable() bool {
+	return s.PendingRequests == 0 && (!s.RunsTasks || s.HasAlternative)
+}
+
 // KeepAliveAction is what to do with a connection.
 type KeepAliveAction uint8
 
-// The kinds of upkeep.
+// The actions.
 const (
-	NoAction          KeepAliveAction = iota // nothing
-	SendHealthCheck                          // send a test
-	CloseIdle                                // close it: nothing is lost with it
-	CloseUnresponsive                        // close it: it carries nothing any more, what is open on it has to be taken for lost
+	NoAction          KeepAliveAction = iota
+	SendHealthCheck                   // send a health check
+	CloseIdle                         // close it: nothing is lost
+	CloseUnresponsive                 // close it: it is dead, and the outcome of its pending requests is unknown
 )
 
 // KeepAlive decides for one connection.
 func (p SharedPolicy) KeepAlive(now float64, s ConnState) KeepAliveAction {
-	switch {
-	case s.IncompleteSince > 0 && now-s.IncompleteSince > p.HealthCheckTimeout:
+	if s.IncompleteSince > 0 && now-s.IncompleteSince > p.HealthCheckTimeout {
 		return CloseUnresponsive
-	case s.HealthCheckSent > 0:
+	}
+	if s.HealthCheckSent > 0 {
 		if now-s.HealthCheckSent > p.HealthCheckTimeout {
 			return CloseUnresponsive
 		}
-	case (s.PendingRequests > 0 || s.RunsTasks) && now-max(s.LastReceived, s.LastSent) > p.HealthCheckAfter:
+		return NoAction
+	}
+	if s.expectsMessage() && now-max(s.LastReceived, s.LastSent) > p.HealthCheckAfter {
 		return SendHealthCheck
-	case s.PendingRequests == 0 && p.MaxIdle > 0 && now-s.LastSent > p.MaxIdle && (!s.RunsTasks || s.HasAlternative):
+	}
+	if p.MaxIdle > 0 && now-s.LastSent > p.MaxIdle && s.closable() {
 		return CloseIdle
 	}
 	return NoAction
 }
 
-// Reachability judges from connections and dials whether a machine that holds tasks is still there. A machine that has vanished or is cut off gives
-// no sign: open connections stay silent and new ones never come up. One whose process has ended refuses.
+// Reachability judges from messages and failed dials whether a node that runs tasks can be reached. A node that has vanished or is cut off
+// gives no sign: open connections fall silent and dials time out. One whose process has ended refuses connections. Times are in seconds.
 type Reachability struct {
-	UnresponsiveAfter float64 // seconds without any word, dials failing, after which it is taken for lost
-	RefusedAfter      float64 // and seconds of refusals
+	UnresponsiveAfter float64 // without any message while dials fail
+	RefusedAfter      float64 // of refused connections
 
-	lastReceived, refusedSince float64
-	hasFailedDial              bool // a dial, since the last word
+	lastReceived  float64
+	refusedSince  float64 // 0 if the last dial was not refused
+	hasFailedDial bool    // since lastReceived
 }
 
-// Received tells that something came from the machine, or that a connection came up.
+// Received records that a message arrived or that a connection was established.
 func (r *Reachability) Received(now float64) {
-	r.lastReceived, r.refusedSince, r.hasFailedDial = now, 0, false
+	r.lastReceived = now
+	r.refusedSince = 0
+	r.hasFailedDial = false
 }
 
-// DialFailed tells that a dial failed, and whether it was refused rather than left without an answer.
+// DialFailed records that a dial failed, and whether it was refused rather than left unanswered.
 func (r *Reachability) DialFailed(now float64, refused bool) {
 	if r.lastReceived == 0 {
 		r.lastReceived = now
@@ -86,18 +101,18 @@
 	}
 }
 
-// NodeStatus is how a machine is lost.
+// NodeStatus is the verdict on a node.
 type NodeStatus uint8
 
-// The kinds of loss. An Ended machine refuses connections: its process has ended, with all that ran in it. A Silent one may be cut off and run
-// on.
+// The verdicts.
 const (
-	Reachable NodeStatus = iota
-	ProcessEnded
-	Unresponsive
+	Reachable    NodeStatus = iota
+	ProcessEnded            // it refuses connections: its process has ended, and all tasks with it
+	Unresponsive            // it does not answer; its tasks may still run
 )
 
-// Status says whether the machine is to be taken for lost, and how. One that was not dialled has not been silent.
+// Status returns the verdict on the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
+// nothing to report.
 func (r *Reachability) Status(now float64) NodeStatus {
 	switch {
 	case r.refusedSince > 0 && now-r.refusedSince > r.RefusedAfter:
