--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -17,52 +16,70 @@
 	"heathshed/placer"
 )
 
+// Environment variables that the platform sets.
+const (
+	platformConfigVariable = "LB_CONFIG" // path of the configuration file
+	platformNameVariable   = "LB_NAME"   // optional; must agree with the configuration
+	platformListenVariable = "LB_LISTEN" // optional; must agree with the configuration
+)
+
+// exitInvalidConfig is the exit status for a configuration or flag that cannot be used.
+const exitInvalidConfig = 2
+
+// signalBacklog is how many signals may wait to be handled.
+const signalBacklog = 16
+
 func platformCommand() *cobra.Command {
 	level := "info"
-	c := &cobra.Command{Use: "platform", Short: "Run one scheduler on the shared platform, as LB_CONFIG says", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return runPlatform(level) }}
-	c.Flags().StringVar(&level, "log-level", level, "trace, debug, info, warn or error; trace logs every message")
-	return c
+	command := &cobra.Command{
+		Use:   "platform",
+		Short: "Run one scheduler on the shared platform, as LB_CONFIG says",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return runPlatform(level) },
+	}
+	command.Flags().StringVar(&level, "log-level", level, "trace, debug, info, warn or error; trace logs every message")
+	return command
 }
 
-// readPlatformConfig reads the file that LB_CONFIG names; the other variables must agree with it.
+// readPlatformConfig reads the file that LB_CONFIG names and checks that the other variables agree with it.
 func readPlatformConfig() (*platform.Config, error) {
-	path := os.Getenv("LB_CONFIG")
+	path := os.Getenv(platformConfigVariable)
 	if path == "" {
-		return nil, errors.New("LB_CONFIG: not set")
+		return nil, fmt.Errorf("%s: not set", platformConfigVariable)
 	}
 	config, err := platform.ReadConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	if v := os.Getenv("LB_NAME"); v != "" && v != config.Name {
-		return nil, fmt.Errorf("LB_NAME: %q, the configuration's name is %q", v, config.Name)
+	if name := os.Getenv(platformNameVariable); name != "" && name != config.Name {
+		return nil, fmt.Errorf("%s: %q, the configuration's name is %q", platformNameVariable, name, config.Name)
 	}
-	if v := os.Getenv("LB_LISTEN"); v != "" && v != config.Listen {
-		return nil, fmt.Errorf("LB_LISTEN: %q, the configuration's listen is %q", v, config.Listen)
+	if listen := os.Getenv(platformListenVariable); listen != "" && listen != config.Listen {
+		return nil, fmt.Errorf("%s: %q, the configuration's listen is %q", platformListenVariable, listen, config.Listen)
 	}
 	return config, nil
 }
 
+// runPlatform runs the scheduler until a signal stops it.
 func runPlatform(levelName string) error {
 	level, err := zerolog.ParseLevel(levelName)
 	if err != nil {
-		return &exitError{2, fmt.Errorf("log-level: %w", err)}
+		return &exitError{exitInvalidConfig, fmt.Errorf("log-level: %w", err)}
 	}
-	signals := make(chan os.Signal, 16)
+	signals := make(chan os.Signal, signalBacklog)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	config, err := readPlatformConfig()
 	if err != nil {
-		return &exitError{2, err}
+		return &exitError{exitInvalidConfig, err}
 	}
-	// One loop does all work: a second scheduler thread would only take the core from it.
+	// One event loop does all the work; a second processor would only add switches between threads.
 	runtime.GOMAXPROCS(1)
 	if config.Memory > 0 {
 		debug.SetMemoryLimit(config.Memory / 2)
 	}
 	policy, err := placer.New(config.Settings.Placer, config.Seed)
 	if err != nil {
-		return &exitError{2, fmt.Errorf("settings: %w", err)}
+		return &exitError{exitInvalidConfig, fmt.Errorf("settings: %w", err)}
 	}
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
 	loop, err := eventloop.New()
@@ -71,25 +88,28 @@
 	}
 	server, err := platform.New(loop, config, policy, log, loop.Stop)
 	if err != nil {
-		return &exitError{2, err}
+		return &exitError{exitInvalidConfig, err}
 	}
 	log.Info().Str("name", config.Name).Str("listen", server.Addr()).Msg("serving")
-	go func() {
-		for sig := range signals {
-			if sig != syscall.SIGHUP {
-				loop.Post(server.Stop)
-				continue
-			}
-			// The file is read here, beside the loop; a broken one leaves what is in force.
-			next, err := readPlatformConfig()
-			loop.Post(func() {
-				if err != nil {
-					log.Error().Err(err).Msg("configuration not taken over")
-					return
-				}
-				server.Reload(next)
-			})
-		}
-	}()
+	go handlePlatformSignals(signals, loop, server, log)
 	return loop.Run()
 }
+
+// handlePlatformSignals reloads the configuration on SIGHUP and stops the server on any other signal.
+func handlePlatformSignals(signals <-chan os.Signal, loop *eventloop.Loop, server *platform.Server, log zerolog.Logger) {
+	for received := range signals {
+		if received != syscall.SIGHUP {
+			loop.Post(server.Stop)
+			continue
+		}
+		// The file is read outside the loop. One that cannot be used leaves the present configuration in force.
+		next, err := readPlatformConfig()
+		loop.Post(func() {
+			if err != nil {
+				log.Error().Err(err).Msg("configuration reload failed")
+				return
+			}
+			server.Reload(next)
+		})
+	}
+}
--- a/cmd/heathshed/platform_test.go
+++ b/cmd/heathshed/platform_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"os/exec"
@@ -25,14 +27,17 @@
 	os.Exit(m.Run())
 }
 
+// programTimeout is longer than anything here takes: the tests wait for events.
+const programTimeout = 20 * time.Second
+
 const platformSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
  "extra":{"cpuBooking":2,"admitMemory":2,"coresByKind":[8],"kindMemory":[16],"freeInList":true,"saysYes":"accepted","youngLimit":12},
  "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1}],
  "permissions":{"mostTries":4},"rules":{"askWithinS":9}}`
 
-func platformConfigText(listen, discovery string) string {
-	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"9","bulletin":%q,"limits":{"memory_mb":32,"sockets":256},"known":{"no":0,"items":[]},
-		"settings":%s}`, listen, discovery, platformSettings)
+func platformConfigText(discovery string) string {
+	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"memory_mb":32,"sockets":256},"known":{"no":0,"items":[]},
+		"settings":%s}`, discovery, platformSettings)
 }
 
 func listenLocal(t *testing.T) (net.Listener, string) {
@@ -41,16 +46,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	closeOnCleanup(t, listener)
 	return listener, listener.Addr().String()
 }
 
+// closeOnCleanup closes a listener or connection at the end of the test unless the test has done so itself.
+func closeOnCleanup(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := closer.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			t.Errorf("close: %v", err)
+		}
+	})
+}
+
+// startProgram runs "heathshed platform" on a configuration. It returns the process, its log and the path of the configuration file.
 func startProgram(t *testing.T, config string, env ...string) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, config)
 	cmd := exec.Command(os.Args[0], "platform")
 	cmd.Env = append(append(os.Environ(), "HEATHSHED_TEST_MAIN=1", "LB_CONFIG="+path), env...)
 	pipe, err := cmd.StderrPipe()
@@ -60,11 +74,47 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	kill := time.AfterFunc(20*time.Second, func() { cmd.Process.Kill() })
-	t.Cleanup(func() { kill.Stop(); cmd.Process.Kill(); cmd.Wait() })
+	kill := time.AfterFunc(programTimeout, func() { killProgram(t, cmd) })
+	t.Cleanup(func() {
+		kill.Stop()
+		if cmd.ProcessState == nil { // not waited for yet
+			killProgram(t, cmd)
+			waitForExit(t, cmd)
+		}
+	})
 	return cmd, bufio.NewScanner(pipe), path
 }
 
+func killProgram(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	if err := cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		t.Errorf("kill: %v", err)
+	}
+}
+
+// waitForExit waits until the program has ended, with whatever status.
+func waitForExit(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	var exit *exec.ExitError
+	if err := cmd.Wait(); err != nil && !errors.As(err, &exit) {
+		t.Errorf("wait: %v", err)
+	}
+}
+
+func sendSignal(t *testing.T, cmd *exec.Cmd, sig syscall.Signal) {
+	t.Helper()
+	if err := cmd.Process.Signal(sig); err != nil {
+		t.Fatalf("signal %v: %v", sig, err)
+	}
+}
+
+func writeConfig(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // awaitLog reads the log until a line has the text.
 func awaitLog(t *testing.T, log *bufio.Scanner, text string) {
 	t.Helper()
@@ -78,78 +128,92 @@
 
 func TestPlatformRejectsInvalidConfig(t *testing.T) {
 	_, discovery := listenLocal(t)
-	good := platformConfigText("127.0.0.1:0", discovery)
-	for name, c := range map[string]struct{ text, env, want string }{
-		"settings": {strings.Replace(good, "idempotent", "maybe", 1), "", "lanes[0].effect"},
-		"attempts": {strings.Replace(good, `"mostTries":4`, `"mostTries":0`, 1), "", "attempts 0"},
-		"known":    {strings.Replace(good, `"items":[]`, `"items":[{"no":"x"}]`, 1), "", "known: json: cannot unmarshal string into Go struct field discoveryEvent.items.no"},
-		"no JSON":  {good[:40], "", "config.json"},
-		"name":     {good, "LB_NAME=n7", "LB_NAME"},
-		"listen":   {good, "LB_LISTEN=127.0.0.1:9", "LB_LISTEN"},
+	good := platformConfigText(discovery)
+	badEvent := `"items":[{"no":"x"}]`
+	for _, test := range []struct{ name, config, env, want string }{
+		{"settings", strings.Replace(good, "idempotent", "maybe", 1), "", "lanes[0].effect"},
+		{"attempts", strings.Replace(good, `"mostTries":4`, `"mostTries":0`, 1), "", "attempts 0"},
+		{"known", strings.Replace(good, `"items":[]`, badEvent, 1), "",
+			"known: json: cannot unmarshal string into Go struct field discoveryEvent.items.no"},
+		{"no JSON", good[:40], "", "config.json"},
+		{"name", good, "LB_NAME=n7", "LB_NAME"},
+		{"listen", good, "LB_LISTEN=127.0.0.1:9", "LB_LISTEN"},
 	} {
-		cmd, log, _ := startProgram(t, c.text, c.env)
-		lines, all := 0, ""
-		for log.Scan() {
-			lines++
-			all += log.Text()
-		}
-		cmd.Wait()
-		if code := cmd.ProcessState.ExitCode(); code != 2 || lines != 1 || !strings.Contains(all, c.want) {
-			t.Errorf("%s: exit status %d, %d lines: %s", name, code, lines, all)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			cmd, log, _ := startProgram(t, test.config, test.env)
+			lines, all := 0, ""
+			for log.Scan() {
+				lines++
+				all += log.Text()
+			}
+			waitForExit(t, cmd)
+			if code := cmd.ProcessState.ExitCode(); code != 2 || lines != 1 || !strings.Contains(all, test.want) {
+				t.Errorf("exit status %d, %d lines: %s", code, lines, all)
+			}
+		})
 	}
 }
 
-// TestPlatformSignals: a broken file leaves the old configuration in force, a good one moves the bulletin, several signals at once move it
-// once, and the program ends in order. The processor time and memory of its start are bounded: a scheduler has a small machine.
-func TestPlatformSignals(t *testing.T) {
-	first, discovery := listenLocal(t)
-	second, moved := listenLocal(t)
-	calls := func(ln net.Listener) <-chan struct{} {
-		ch := make(chan struct{}, 100)
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				if line, _ := bufio.NewReader(c).ReadString('\n'); strings.HasPrefix(line, "GET /bulletins ") {
-					ch <- struct{}{}
-				}
+// discoveryCalls reports each request for the discovery stream that arrives at a listener. None is answered.
+func discoveryCalls(listener net.Listener) <-chan struct{} {
+	calls := make(chan struct{}, 100)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
 			}
-		}()
-		return ch
-	}
-	atFirst, atSecond := calls(first), calls(second)
-	cmd, log, path := startProgram(t, platformConfigText("127.0.0.1:0", discovery))
-	awaitLog(t, log, "serving")
-	<-atFirst
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
+			line, err := bufio.NewReader(conn).ReadString('\n')
+			if err == nil && strings.HasPrefix(line, "GET /bulletins ") {
+				calls <- struct{}{}
+			}
+		}
+	}()
+	return calls
+}
+
+// residentKB returns the resident memory of a process in KiB.
+func residentKB(t *testing.T, pid int) int {
+	t.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rss, _ := strings.Cut(string(status), "VmRSS:")
-	kb, err := strconv.Atoi(strings.Fields(rss)[0])
-	if err != nil || kb > 28<<10 {
-		t.Errorf("resident memory at the start: %d KB", kb)
-	}
-	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
+	_, resident, _ := strings.Cut(string(status), "VmRSS:")
+	kb, err := strconv.Atoi(strings.Fields(resident)[0])
+	if err != nil {
 		t.Fatal(err)
 	}
-	cmd.Process.Signal(syscall.SIGHUP)
-	awaitLog(t, log, "configuration not taken over")
-	if err := os.WriteFile(path, []byte(platformConfigText("127.0.0.1:0", moved)), 0o600); err != nil {
-		t.Fatal(err)
+	return kb
+}
+
+// TestPlatformSignals: a configuration that cannot be read leaves the old one in force, a good one moves the discovery watch, several
+// signals at once move it once, and the program stops gracefully. The processor time and memory of its start are bounded: a scheduler has
+// little of either.
+func TestPlatformSignals(t *testing.T) {
+	first, discovery := listenLocal(t)
+	second, moved := listenLocal(t)
+	atFirst, atSecond := discoveryCalls(first), discoveryCalls(second)
+	cmd, log, path := startProgram(t, platformConfigText(discovery))
+	awaitLog(t, log, "serving")
+	<-atFirst
+	resident := residentKB(t, cmd.Process.Pid)
+	if resident > 28<<10 {
+		t.Errorf("resident memory at the start: %d KB", resident)
 	}
+	writeConfig(t, path, "{")
+	sendSignal(t, cmd, syscall.SIGHUP)
+	awaitLog(t, log, "configuration reload failed")
+	writeConfig(t, path, platformConfigText(moved))
 	for range 3 {
-		cmd.Process.Signal(syscall.SIGHUP)
+		sendSignal(t, cmd, syscall.SIGHUP)
 	}
-	awaitLog(t, log, "bulletin moved")
+	awaitLog(t, log, "discovery server changed")
 	<-atSecond
-	cmd.Process.Signal(syscall.SIGTERM)
-	cmd.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, cmd, syscall.SIGTERM)
+	sendSignal(t, cmd, syscall.SIGTERM)
 	awaitLog(t, log, "stopped")
-	cmd.Wait()
+	waitForExit(t, cmd)
 	if code := cmd.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("exit status %d", code)
 	}
@@ -157,81 +221,113 @@
 	if cpu > time.Second {
 		t.Errorf("%v of processor time for doing nothing", cpu)
 	}
-	t.Logf("resident at the start %d KB, processor time over its life %v", kb, cpu)
+	t.Logf("resident at the start %d KB, processor time over its life %v", resident, cpu)
 }
 
-// TestDescriptorsAreLeft: idle clients fill every descriptor that owners may have while the bulletin is down. Once it is back, the watch, a
-// connection to a machine, an owner and the file of a reload still find one. The limit of the process is the configuration's.
+// dialProgram connects to the program with the test's timeout.
+func dialProgram(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, conn)
+	if err := conn.SetDeadline(time.Now().Add(programTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// serveDiscovery accepts one discovery watch and sends it events.
+func serveDiscovery(t *testing.T, listener net.Listener, events string) {
+	t.Helper()
+	if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(programTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, conn)
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	if err != nil || !strings.HasPrefix(line, "GET /bulletins ") {
+		t.Fatalf("%q, %v", line, err)
+	}
+	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+	if _, err := io.WriteString(conn, head+events); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// serveOneTask accepts one connection at a node and has the task that is launched on it run.
+func serveOneTask(node net.Listener) error {
+	conn, err := node.Accept()
+	if err != nil {
+		return err
+	}
+	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(conn, `{"kind":"running","uid":"0000000000000007","body":"y"}`)
+	return err
+}
+
+// TestDescriptorsReserved: idle clients use every descriptor that clients may have while discovery is down. Once it is back, the watch, a
+// connection to a node, a client and the file of a reload still find one. The limit of the process is the configuration's.
 func TestDescriptorsReserved(t *testing.T) {
 	const sockets = 64
-	ln, err := net.Listen("tcp", "127.0.0.78:0") // where nobody else takes the port meanwhile
+	down, err := net.Listen("tcp", "127.0.0.78:0") // an address at which no other test takes the port meanwhile
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery := ln.Addr().String()
-	ln.Close() // down
+	discovery := down.Addr().String()
+	if err := down.Close(); err != nil {
+		t.Fatal(err)
+	}
 	moved, second := listenLocal(t)
 	node, nodeAddr := listenLocal(t)
-	cmd, log, path := startProgram(t, strings.Replace(platformConfigText("127.0.0.1:0", discovery), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1))
-	lim := unix.Rlimit{Cur: sockets, Max: sockets}
-	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &lim, nil); err != nil {
+	config := strings.Replace(platformConfigText(discovery), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
+	cmd, log, path := startProgram(t, config)
+	limit := unix.Rlimit{Cur: sockets, Max: sockets}
+	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
 	addr := ""
-	for log.Scan() {
+	for addr == "" && log.Scan() {
 		if _, rest, found := strings.Cut(log.Text(), `"listen":"`); found {
 			addr, _, _ = strings.Cut(rest, `"`)
-			break
-		}
-	}
-	dial := func() net.Conn {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		return c
 	}
-	idle := func() {
+	openIdleClients := func() {
 		for range 3 * sockets {
-			dial()
+			dialProgram(t, addr)
 		}
 	}
-	idle()
-	if ln, err = net.Listen("tcp", discovery); err != nil { // back
+	openIdleClients()
+	up, err := net.Listen("tcp", discovery)
+	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	watch := func(ln net.Listener, text string) {
-		ln.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
-		c, err := ln.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.HasPrefix(line, "GET /bulletins ") {
-			t.Fatalf("%q, %v", line, err)
-		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n%s", text)
+	closeOnCleanup(t, up)
+	entry := fmt.Sprintf(`{"uid":"s-1","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":"in_service","boot_ms":0,"open":[8,16]}`, nodeAddr)
+	serveDiscovery(t, up, "id: 1\ndata: "+`{"no":1,"roster":{"rev":1,"all":true,"targets":[`+entry+`]}}`+"\n\n")
+	openIdleClients()
+	client := dialProgram(t, addr)
+	launch := `{"kind":"launch","uid":"0000000000000007","meta":{"class":"query","left":"4000","key":"0000000000000007",` +
+		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":"x"}`
+	if _, err := fmt.Fprintln(client, launch); err != nil {
+		t.Fatal(err)
 	}
-	watch(ln, fmt.Sprintf("id: 1\ndata: "+`{"no":1,"roster":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":"in_service","boot_ms":0,"open":[8,16]}]}}`+"\n\n", nodeAddr))
-	idle()
-	client := dial()
-	fmt.Fprintln(client, `{"kind":"launch","uid":"0000000000000007","meta":{"class":"query","left":"4000","key":"0000000000000007","extras":"cores:1;memory:1;service:0000000000000005"},"body":"x"}`)
-	go func() {
-		if c, err := node.Accept(); err == nil {
-			bufio.NewReader(c).ReadString('\n')
-			fmt.Fprintln(c, `{"kind":"running","uid":"0000000000000007","body":"y"}`)
-		}
-	}()
+	served := make(chan error, 1)
+	go func() { served <- serveOneTask(node) }()
 	if line, err := bufio.NewReader(client).ReadString('\n'); err != nil || !strings.Contains(line, `"running"`) {
 		t.Fatalf("%q, %v", line, err)
 	}
-	idle()
-	if err := os.WriteFile(path, []byte(platformConfigText("127.0.0.1:0", second)), 0o600); err != nil {
-		t.Fatal(err)
+	if err := <-served; err != nil {
+		t.Errorf("node: %v", err)
 	}
-	cmd.Process.Signal(syscall.SIGHUP)
-	watch(moved, "")
+	openIdleClients()
+	writeConfig(t, path, platformConfigText(second))
+	sendSignal(t, cmd, syscall.SIGHUP)
+	serveDiscovery(t, moved, "")
 }
--- /dev/null
+++ b/internal/platform/client_conn.go
@@ -0,0 +1,256 @@
+//go:build linux
+
+package platform
+
+import (
+	"errors"
+	"fmt"
+
+	"heathshed/internal/dispatch"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/memquota"
+	"heathshed/internal/platformproto"
+)
+
+// Timeouts of client connections, in seconds.
+const (
+	// idleClientTimeout is after how long a connection is closed that has no open request and never had a task placed. The platform
+	// allows 3 s.
+	idleClientTimeout = 2.0
+	// incompleteMessageTimeout is how long such a connection is left open from the moment at which a message began to arrive on it.
+	incompleteMessageTimeout = 0.7
+)
+
+// maxUnsentToClient is how many bytes may wait for a client to read them before its connection is closed.
+const maxUnsentToClient = 256 << 10
+
+// clientSlotReserve is how many connection slots of clients are kept free by evicting connections.
+const clientSlotReserve = 2
+
+// errClientNotReading ends the connection of a client that lets its answers pile up.
+var errClientNotReading = errors.New("client does not read its messages")
+
+// clientConnState is the state of a client connection.
+type clientConnState uint8
+
+const (
+	clientOpen     clientConnState = iota // reads and writes
+	clientAdopting                        // as clientOpen; running tasks were adopted in this iteration, the rest of them is read at its end
+	clientClosing                         // closes once its output is flushed; disconnected for the core
+	clientClosed
+)
+
+func (state clientConnState) String() string {
+	return [...]string{"open", "adopting", "closing", "closed"}[state]
+}
+
+// canBecome reports whether a transition is legal.
+func (state clientConnState) canBecome(next clientConnState) bool {
+	switch state {
+	case clientOpen:
+		return next != clientOpen
+	case clientAdopting:
+		return next != clientAdopting
+	case clientClosing:
+		return next == clientClosed
+	}
+	return false
+}
+
+// clientConn is the connection of one client.
+type clientConn struct {
+	server          *Server
+	conn            *eventloop.Conn
+	id              dispatch.ConnID
+	state           clientConnState
+	openedAt        float64
+	lastMessageAt   float64 // when the last valid message arrived; openedAt if none did
+	incompleteSince float64 // since when the last message has been incomplete; 0 if it is not
+	message         platformproto.Message
+}
+
+// acceptClient returns the handler of a connection that has just been accepted.
+func (s *Server) acceptClient(conn *eventloop.Conn) eventloop.Handler {
+	s.lastClientID++
+	s.stats.ClientsAccepted++
+	conn.MaxInput = 2 * platformproto.MaxLine
+	now := s.loop.Now()
+	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: now, lastMessageAt: now}
+	s.clients[client.id] = client
+	s.core.ClientConnected(now, client.id)
+	if len(s.clients) >= s.maxClients-clientSlotReserve {
+		s.evictClient()
+	}
+	return client
+}
+
+// setState makes a transition. One that is not legal is a fault of the program.
+func (c *clientConn) setState(next clientConnState) {
+	if !c.state.canBecome(next) {
+		panic(fmt.Sprintf("platform: client connection %d: transition from %v to %v", c.id, c.state, next))
+	}
+	c.state = next
+}
+
+// Opened implements eventloop.Handler.
+func (c *clientConn) Opened(*eventloop.Conn) {}
+
+// Data implements eventloop.Handler: it handles the complete lines of data.
+func (c *clientConn) Data(conn *eventloop.Conn, data []byte) int {
+	s := c.server
+	consumed, err := s.readLines(conn, data, c.handleLine)
+	c.incompleteSince = nextIncompleteSince(c.incompleteSince, s.loop.Now(), consumed, len(data))
+	s.processReady()
+	if err != nil && !conn.Closed() {
+		// A line that cannot be parsed cannot be answered, and the lines after it cannot be trusted.
+		s.stats.InvalidFromClients.add(err)
+		s.warn("client connection closed", conn.Peer(), err)
+		c.closeGracefully()
+		return len(data)
+	}
+	return consumed
+}
+
+// handleLine hands one message to the core. An error ends the connection.
+func (c *clientConn) handleLine(line []byte) (lineCost, error) {
+	s := c.server
+	if err := platformproto.Parse(line, &c.message); err != nil {
+		return lineCounts, err
+	}
+	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
+	adoptedBefore := s.core.Counts.Adopted
+	if err := s.core.ReceiveFromClient(s.loop.Now(), c.id, &c.message); err != nil {
+		s.stats.InvalidFromClients.add(err)
+		s.warn("client message rejected", c.conn.Peer(), err)
+	} else {
+		c.lastMessageAt = s.loop.Now()
+	}
+	if s.core.Counts.Adopted == adoptedBefore {
+		return lineCounts, nil
+	}
+	c.readAllAdoptions()
+	return lineFree, nil
+}
+
+// readAllAdoptions reads the connection once more at the end of this iteration of the loop. After a restart, clients report thousands of
+// running tasks at once. They use capacity whether they have been read or not, so all that have arrived are read before anything is placed.
+func (c *clientConn) readAllAdoptions() {
+	if c.state == clientAdopting {
+		return
+	}
+	c.setState(clientAdopting)
+	c.server.loop.AtIterationEnd(func() {
+		if c.state == clientAdopting {
+			c.setState(clientOpen)
+		}
+		c.conn.ReadNow()
+	})
+}
+
+// Drained implements eventloop.Handler.
+func (c *clientConn) Drained(*eventloop.Conn) {}
+
+// Closed implements eventloop.Handler.
+func (c *clientConn) Closed(_ *eventloop.Conn, err error) {
+	s := c.server
+	s.log.Trace().Uint64("conn", uint64(c.id)).Err(err).Msg("client connection ended")
+	c.setState(clientClosed)
+	delete(s.clients, c.id)
+	s.core.ClientDisconnected(s.loop.Now(), c.id)
+	s.processReady()
+}
+
+// closeGracefully closes the connection once its output is flushed. The core learns at once that the client has disconnected: a
+// notification written from now on would be lost.
+func (c *clientConn) closeGracefully() {
+	if c.state == clientClosing {
+		return
+	}
+	c.setState(clientClosing)
+	c.server.core.ClientDisconnected(c.server.loop.Now(), c.id)
+	c.server.processReady()
+	c.conn.CloseAfterFlush()
+}
+
+// send writes a message, or closes the connection if the client has left too much unread.
+func (c *clientConn) send(message *platformproto.Message) {
+	s := c.server
+	if c.conn.Buffered() > maxUnsentToClient {
+		s.warn("client connection closed", c.conn.Peer(), errClientNotReading)
+		s.loop.After(0, c.conn.Close) // not at once: the caller may be in the middle of handling this connection
+		return
+	}
+	s.traceMessage(">client", uint64(c.id), c.conn.Peer(), message)
+	c.conn.CommitOutput(message.Append(c.conn.OutputBuffer()))
+}
+
+// isIdle reports whether the connection may be closed: it has no open request, never had a task placed and was silent for long enough. The
+// last connection to a client while tasks run is kept. A client need not open a new connection before its next request, but must be
+// notified of the end of its task within a second.
+func (c *clientConn) isIdle(now float64) bool {
+	core := c.server.core
+	open, placed := core.ClientRequests(c.id)
+	return c.state != clientClosing && open == 0 && !placed && c.timedOut(now) && !core.IsLastClient(c.id)
+}
+
+// timedOut reports whether no message arrived for idleClientTimeout, nor the beginning of one for incompleteMessageTimeout.
+func (c *clientConn) timedOut(now float64) bool {
+	receiving := c.incompleteSince > 0 && now-c.incompleteSince < incompleteMessageTimeout
+	return now-c.lastMessageAt > idleClientTimeout && !receiving
+}
+
+// closeIdleClients closes the idle connections. Each is read once more first: a request that the system has received already would be lost
+// with its connection.
+func (s *Server) closeIdleClients() {
+	now := s.loop.Now()
+	for _, client := range s.clients {
+		if !client.isIdle(now) {
+			continue
+		}
+		client.conn.ReadNow()
+		if client.isIdle(now) && !client.conn.Closed() && !client.conn.Paused() {
+			s.stats.IdleClientsClosed++
+			client.closeGracefully()
+		}
+	}
+}
+
+// evictClient closes the connection that is least likely to be needed, to free its slot. Each candidate is read once more first; one on
+// which a request has arrived is kept and the next one is tried.
+func (s *Server) evictClient() {
+	s.collectEvictionCandidates()
+	for {
+		i := memquota.SelectEviction(s.evictionCandidates)
+		if i < 0 {
+			return
+		}
+		client := s.evictionConns[i]
+		client.conn.ReadNow()
+		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.Paused() {
+			s.stats.ClientsEvicted++
+			client.conn.Close()
+			return
+		}
+		s.evictionCandidates[i].Busy = true
+	}
+}
+
+// collectEvictionCandidates fills evictionCandidates and evictionConns. Connections that are closing are none: their slots become free
+// soon, and their last answers may still be on their way.
+func (s *Server) collectEvictionCandidates() {
+	now := s.loop.Now()
+	s.evictionCandidates = s.evictionCandidates[:0]
+	s.evictionConns = s.evictionConns[:0]
+	for _, client := range s.clients {
+		if client.state == clientClosing {
+			continue
+		}
+		open, placed := s.core.ClientRequests(client.id)
+		s.evictionCandidates = append(s.evictionCandidates, memquota.Candidate{
+			Busy:        open > 0 || client.openedAt == now,
+			Established: placed,
+			IdleSeconds: now - max(client.lastMessageAt, client.incompleteSince),
+		})
+		s.evictionConns = append(s.evictionConns, client)
+	}
+}
--- /dev/null
+++ b/internal/platform/client_conn_test.go
@@ -0,0 +1,236 @@
+//go:build linux
+
+package platform
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// TestMisbehavingClients: clients that send nothing, nonsense or too much are answered or disconnected, and harm no other client.
+func TestMisbehavingClients(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	good := server.connect()
+	good.launch(1, "query")
+	good.expect(`"running"`)
+	const id = 1000
+	stopTaken := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 1002
+	var all sync.WaitGroup
+	for name, send := range map[string]func(c *testClient){
+		"sends nothing": func(*testClient) {},
+		"noise":         func(c *testClient) { c.send("\xff\xfe\x00\n") },
+		"half a line":   func(c *testClient) { c.send(`{"kind":"lau`) },
+		"60 MB":         func(c *testClient) { go c.flood(60 << 20) },
+		"unknown class": func(c *testClient) { c.launch(id, "gold") },
+		"no id":         func(c *testClient) { c.send(`{"kind":"launch","meta":{}}` + "\n") },
+		"unknown id":    func(c *testClient) { c.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
+		"one id twice":  func(c *testClient) { c.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`)) },
+		"an id in use":  func(c *testClient) { c.send(launchMessage(1, "query", `"other"`)) },
+		"cancels":       func(c *testClient) { c.send(launchMessage(id+2, "gold", `"x"`) + stopTaken) },
+	} {
+		c := server.connect()
+		start := time.Now()
+		send(c)
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			line, err := c.reader.ReadString('\n')
+			unexpected := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
+			if took := time.Since(start); took > 3*time.Second || unexpected {
+				t.Errorf("%s: after %v %q, %v", name, took, line, err)
+			}
+		}()
+	}
+	all.Wait()
+	good.launch(2, "query")
+	good.expect(`"running"`, "0000000000000002")
+	server.runOnLoop(func() {
+		counted := server.stats.InvalidFromClients
+		for kind, count := range map[string]uint64{
+			"unreadable": counted.Unreadable, "long line": counted.LineTooLong, "class": counted.Class, "id in use": counted.DuplicateID,
+		} {
+			if count == 0 {
+				t.Errorf("no invalid input of kind %q was counted: %+v", kind, counted)
+			}
+		}
+	})
+}
+
+// flood sends zeros until the server closes the connection.
+func (c *testClient) flood(bytes int) {
+	block := make([]byte, 32<<10)
+	for sent := 0; sent < bytes; {
+		n, err := c.Write(block)
+		sent += n
+		if err != nil {
+			return
+		}
+	}
+}
+
+// TestIdleClientsLeaveConnectionSlots: hundreds of idle connections leave slots for other clients, within the limit of descriptors.
+func TestIdleClientsLeaveConnectionSlots(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 64, node.addr)
+	good := server.connect()
+	good.launch(1, "query")
+	good.expect(`"running"`)
+	for range 300 {
+		server.connect()
+	}
+	for i := range 20 {
+		c := server.connect()
+		c.launch(10+i, "query")
+		c.expect(`"running"`)
+	}
+	server.runOnLoop(func() {
+		if len(server.clients) > server.maxClients || server.maxClients+server.maxNodeConns+reservedSockets > 64 {
+			t.Errorf("%d client connections, %d allowed", len(server.clients), server.maxClients)
+		}
+	})
+	good.launch(2, "query")
+	good.expect(`"running"`, "0000000000000002")
+}
+
+// TestClientThatDoesNotRead: a client that does not read is disconnected before its answers grow without bound.
+func TestClientThatDoesNotRead(t *testing.T) {
+	server := startServer(t, 256)
+	client := server.connect()
+	lines := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
+	var sent int64
+	for sent < 1<<30 {
+		n, err := client.Write(lines)
+		if sent += int64(n); err != nil {
+			break
+		}
+	}
+	if sent >= 1<<30 {
+		t.Fatal("never disconnected")
+	}
+	server.runOnLoop(func() {
+		if len(server.clients) != 0 {
+			t.Errorf("%d connections", len(server.clients))
+		}
+	})
+}
+
+// TestReadBeforeClosingClient: a request that the system has received on a connection about to be closed, as idle or for its slot, is served.
+func TestReadBeforeClosingClient(t *testing.T) {
+	for name, closing := range map[string]func(server *testServer){
+		"idle":         func(server *testServer) { server.closeIdleClients() },
+		"for its slot": func(server *testServer) { server.evictClient() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := startServer(t, 256, startNode(t, acceptTask).addr)
+			client := server.connect()
+			server.waitUntil("client", func() bool { return len(server.clients) == 1 })
+			server.holdLoop(func() { client.launch(1, "query") }, func() {
+				server.ageClients()
+				closing(server)
+			})
+			client.expect(`"running"`)
+		})
+	}
+}
+
+// TestIdleClientWithIncompleteMessage: a connection on which a message has arrived in part is not idle yet; one on which it stays incomplete is.
+func TestIdleClientWithIncompleteMessage(t *testing.T) {
+	server := startServer(t, 256, startNode(t, acceptTask).addr)
+	slow, half := server.connect(), server.connect()
+	text := launchMessage(1, "query", `"x"`)
+	slow.send(text[:40])
+	half.send(text[:40])
+	server.waitUntil("half a line", func() bool { return server.incompleteClients() == 2 })
+	server.runOnLoop(func() {
+		server.ageClients() // silent for long, and then half a line
+		server.closeIdleClients()
+	})
+	slow.send(text[40:])
+	slow.expect(`"running"`)
+	half.expectClosed()
+}
+
+// TestNoNotificationOnClosingConnection: the end of a task while the connection of its client is closing is reported on the next connection.
+func TestNoNotificationOnClosingConnection(t *testing.T) {
+	conns := make(chan net.Conn, 1)
+	node := startNode(t, acceptTaskAndReport(conns))
+	server := startServer(t, 256, node.addr)
+	a := server.connect()
+	a.launch(1, "query")
+	a.expect(`"running"`)
+	a.send("noise\n") // ends the connection, which stays open for reading until the client closes it too
+	server.waitUntil("closing", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
+	sendTo(t, waitFor(t, "task", conns), stopMessage(1, 16))
+	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 })
+	b := server.connect()
+	b.send(checkMessage)
+	b.expect(`"stop"`, "0000000000000001", `"reason":16`)
+	server.runOnLoop(func() {
+		if server.core.Counts.Redeliveries > 0 {
+			t.Error("the end was sent on the closing connection first")
+		}
+	})
+}
+
+// TestNotificationRedeliveredWhenClientCloses: a notification sent at the moment at which its client closes the connection is sent once more, on the
+// next one.
+func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
+	conns := make(chan net.Conn, 1)
+	node := startNode(t, acceptTaskAndReport(conns))
+	server := startServer(t, 256, node.addr)
+	a := server.connect()
+	a.launch(1, "query")
+	a.expect(`"running"`)
+	nodeConn := waitFor(t, "task", conns)
+	server.holdLoop(func() {
+		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
+		a.close()
+	}, nil)
+	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 && len(server.clients) == 0 })
+	b := server.connect()
+	b.send(checkMessage)
+	b.expect(`"stop"`, "0000000000000001", `"reason":16`)
+}
+
+// TestLastClientConnectionIsKept: a connection on which only adoptions or rejected requests arrived is not closed as idle while it is the only one: the
+// end of a running task is reported on it at once.
+func TestLastClientConnectionIsKept(t *testing.T) {
+	conns := make(chan net.Conn, 1)
+	node := startNode(t, acceptTaskAndReport(conns))
+	server := startServer(t, 256, node.addr)
+	a, b, adopter := server.connect(), server.connect(), server.connect()
+	a.launch(1, "query")
+	a.expect(`"running"`)
+	b.send(checkMessage)
+	b.expect(`"checked"`)
+	adopter.send(adoptMessage(2, 1))
+	nodeConn := waitFor(t, "task", conns)
+	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients) == 3 && server.core.RunningTasks() == 2 })
+	closeIdle := func() {
+		server.runOnLoop(func() {
+			server.ageClients()
+			server.closeIdleClients()
+		})
+	}
+	closeIdle()
+	b.expectClosed() // not the only one, and no task was placed on it
+	b.close()
+	a.close()
+	server.waitUntil("one client", func() bool { return len(server.clients) == 1 })
+	closeIdle()
+	sendTo(t, nodeConn, stopMessage(1, 16))
+	adopter.expect(`"stop"`, "0000000000000001")
+
+	d := server.connect()
+	d.send(checkMessage)
+	d.expect(`"checked"`)
+	adopter.close()
+	server.waitUntil("one client", func() bool { return len(server.clients) == 1 })
+	closeIdle()
+	sendTo(t, nodeConn, stopMessage(2, 16))
+	d.expect(`"stop"`, "0000000000000002")
+}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/netip"
@@ -11,27 +12,49 @@
 	"heathshed/internal/simconfig"
 )
 
-// maxConfigBytes bounds the configuration file, in bytes.
+// maxConfigBytes bounds the configuration file.
 const maxConfigBytes = 16 << 20
 
-// Config is what the platform tells a scheduler at its start.
+// maxMemoryMB bounds the memory limit of a configuration, in MiB.
+const maxMemoryMB = 1 << 30
+
+// Config is what the platform gives a scheduler at its start.
 type Config struct {
-	Name, Listen, Discovery string
-	Seed                    uint64
-	Cores                   float64
-	Memory                  int64 // bytes; 0 if not told
-	Sockets                 int   // descriptors; 0 if not told
-	InitialEvents           json.RawMessage
-	Settings                *simconfig.Settings
+	Name          string
+	Listen        string // address for clients
+	Discovery     string // address of the discovery server
+	Seed          uint64
+	Cores         float64         // limit; 0 if none is given
+	Memory        int64           // limit in bytes; 0 if none is given
+	Sockets       int             // limit of file descriptors; 0 if none is given
+	InitialEvents json.RawMessage // discovery events that are known at the start
+	Settings      *simconfig.Settings
+}
+
+// configFile is the JSON of a configuration.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Seed      string          `json:"seed"` // hexadecimal
+	Discovery string          `json:"bulletin"`
+	Known     json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+	Limits    configLimits    `json:"limits"`
 }
 
-// ReadConfig reads the configuration at a path. An error names the field that cannot be used.
+type configLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int64   `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// ReadConfig reads the configuration file at a path. An error names the field that cannot be used.
 func ReadConfig(path string) (*Config, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer file.Close()
+	defer file.Close() //nolint:errcheck // only read; ReadAll returns what can fail
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -46,50 +69,64 @@
 	return config, nil
 }
 
-// ParseConfig reads the text of a configuration.
+// ParseConfig reads a configuration from its JSON text. An error names the field that cannot be used.
 func ParseConfig(text []byte) (*Config, error) {
-	var file struct {
-		Name     string          `json:"name"`
-		Listen   string          `json:"listen"`
-		Seed     string          `json:"seed"`
-		Bulletin string          `json:"bulletin"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-		Limits   struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int64   `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-	}
+	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	config := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Bulletin, InitialEvents: file.Known, Cores: file.Limits.Cores,
-		Memory: file.Limits.MemoryMB << 20, Sockets: file.Limits.Sockets}
-	if config.Name == "" {
-		return nil, fmt.Errorf("name: is empty")
-	}
-	if _, err := netip.ParseAddrPort(config.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	if _, err := netip.ParseAddrPort(config.Discovery); err != nil {
-		return nil, fmt.Errorf("bulletin: %w", err)
+	if err := file.checkIdentity(); err != nil {
+		return nil, err
 	}
-	var err error
-	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if !(config.Cores >= 0) || file.Limits.MemoryMB < 0 || file.Limits.MemoryMB > 1<<30 || config.Sockets < 0 {
-		return nil, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", config.Cores, file.Limits.MemoryMB, config.Sockets)
-	}
-	if config.Sockets > 0 && config.Sockets < minSockets {
-		return nil, fmt.Errorf("limits: sockets %d: want at least %d", config.Sockets, minSockets)
+	if err := file.Limits.check(); err != nil {
+		return nil, err
 	}
 	if len(file.Settings) == 0 {
-		return nil, fmt.Errorf("settings: missing")
+		return nil, errors.New("settings: missing")
 	}
-	if config.Settings, err = simconfig.Parse(file.Settings); err != nil {
+	settings, err := simconfig.Parse(file.Settings)
+	if err != nil {
 		return nil, err
 	}
-	return config, nil
+	return &Config{
+		Name:          file.Name,
+		Listen:        file.Listen,
+		Discovery:     file.Discovery,
+		Seed:          seed,
+		Cores:         file.Limits.Cores,
+		Memory:        file.Limits.MemoryMB << 20,
+		Sockets:       file.Limits.Sockets,
+		InitialEvents: file.Known,
+		Settings:      settings,
+	}, nil
+}
+
+// checkIdentity checks the name and the addresses.
+func (file *configFile) checkIdentity() error {
+	if file.Name == "" {
+		return errors.New("name: is empty")
+	}
+	if _, err := netip.ParseAddrPort(file.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if _, err := netip.ParseAddrPort(file.Discovery); err != nil {
+		return fmt.Errorf("bulletin: %w", err)
+	}
+	return nil
+}
+
+// check checks the ranges of the limits.
+func (limits *configLimits) check() error {
+	validMemory := limits.MemoryMB >= 0 && limits.MemoryMB <= maxMemoryMB
+	if !(limits.Cores >= 0) || !validMemory || limits.Sockets < 0 {
+		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", limits.Cores, limits.MemoryMB, limits.Sockets)
+	}
+	if limits.Sockets > 0 && limits.Sockets < minSockets {
+		return fmt.Errorf("limits: sockets %d: want at least %d", limits.Sockets, minSockets)
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/platform/config_test.go
@@ -0,0 +1,37 @@
+//go:build linux
+
+package platform
+
+import (
+	"os"
+	"strings"
+	"testing"
+)
+
+// TestConfigErrorNamesField: the error of a configuration that cannot be used names the field.
+func TestConfigErrorNamesField(t *testing.T) {
+	good := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070",` +
+		`"limits":{"sockets":256},"known":{"no":0,"items":[]},"settings":` + testSettings + `}`
+	if _, err := ParseConfig([]byte(good)); err != nil {
+		t.Fatal(err)
+	}
+	for field, change := range map[string][2]string{
+		"name":     {`"n3"`, `""`},
+		"listen":   {`127.0.0.1:5080`, `localhost`},
+		"bulletin": {`127.0.0.1:7070`, `nowhere`},
+		"seed":     {`8c1f`, `zz`},
+		"sockets":  {`256`, `3`},
+		"settings": {`"settings":`, `"other":`},
+		"lanes[0]": {`idempotent`, `maybe`},
+	} {
+		t.Run(field, func(t *testing.T) {
+			_, err := ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1)))
+			if err == nil || !strings.Contains(err.Error(), field) {
+				t.Errorf("got %v, want an error that names %s", err, field)
+			}
+		})
+	}
+	if _, err := ReadConfig(os.DevNull); err == nil {
+		t.Error("an empty file was accepted")
+	}
+}
--- /dev/null
+++ b/internal/platform/fixture_test.go
@@ -0,0 +1,323 @@
+//go:build linux
+
+package platform
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"heathshed/internal/eventloop"
+	"heathshed/internal/eventqueue"
+	"heathshed/placer"
+)
+
+// testTimeout is longer than anything here takes: the tests wait for events.
+const testTimeout = 20 * time.Second
+
+const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
+ "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":20,"freeInList":true,
+  "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
+ "lanes":[{"name":"query","effect":"idempotent","hardLimitS":4,"keyScope":"all","objectiveS":1,"worth":1},
+  {"name":"seats","effect":"at_most_once","hardLimitS":5,"keyScope":"all","objectiveS":1,"worth":2}],
+ "orgs":[{"name":"south"}],"loadReport":{"fields":["x0","x1"],"how":"answers"},
+ "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25,"connIdleS":15},
+ "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
+
+// checkMessage is a health check.
+const checkMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
+
+// launchMessage is a placement request. body is JSON.
+func launchMessage(id int, class, body string) string {
+	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
+		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
+}
+
+// adoptMessage is a placement request for a task that runs already, on the node with a number.
+func adoptMessage(id, node int) string {
+	return strings.Replace(launchMessage(id, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", node), 1)
+}
+
+func stopMessage(id, reason int) string {
+	return fmt.Sprintf(`{"kind":"stop","uid":"%016x","meta":{},"reason":%d}`+"\n", id, reason)
+}
+
+// taskUID returns the uid of a message.
+func taskUID(line string) string {
+	_, rest, _ := strings.Cut(line, `"uid":"`)
+	uid, _, _ := strings.Cut(rest, `"`)
+	return uid
+}
+
+// waitFor receives from a channel.
+func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+		panic("not reached")
+	}
+}
+
+func listenOn(t *testing.T, addr string) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, listener)
+	return listener
+}
+
+// closeOnCleanup closes a listener or connection at the end of the test unless the test has done so itself.
+func closeOnCleanup(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := closer.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			t.Errorf("close: %v", err)
+		}
+	})
+}
+
+func closeNow(t *testing.T, closer io.Closer) {
+	t.Helper()
+	if err := closer.Close(); err != nil {
+		t.Fatalf("close: %v", err)
+	}
+}
+
+// sendTo writes to a connection.
+func sendTo(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatalf("write: %v", err)
+	}
+}
+
+// testServer is a Server on a loop of its own.
+type testServer struct {
+	*Server
+	t         *testing.T
+	discovery *discoveryServer
+	stopped   chan struct{}
+}
+
+// startServer starts a server with a limit of descriptors that knows nodes at the given addresses from its configuration.
+func startServer(t *testing.T, sockets int, nodes ...string) *testServer {
+	t.Helper()
+	entries := make([]string, len(nodes))
+	for i, addr := range nodes {
+		entries[i] = nodeEntry(i+1, addr, "in_service")
+	}
+	discovery := startDiscovery(t)
+	config, err := ParseConfig(configText(discovery.addr(), sockets, discoveryEvent(1, entries...), testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	policy, err := placer.New(config.Settings.Placer, config.Seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := runServer(t, config, policy)
+	server.discovery = discovery
+	return server
+}
+
+// configText is a configuration with one known event.
+func configText(discovery string, sockets int, event, settings string) []byte {
+	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
+		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, sockets, event, settings)
+}
+
+// runServer runs a server until the end of the test.
+func runServer(t *testing.T, config *Config, policy eventqueue.Placer) *testServer {
+	t.Helper()
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &testServer{t: t, stopped: make(chan struct{})}
+	if server.Server, err = New(loop, config, policy, zerolog.Nop(), loop.Stop); err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		defer close(server.stopped)
+		if err := loop.Run(); err != nil {
+			t.Errorf("loop: %v", err)
+		}
+	}()
+	t.Cleanup(func() {
+		loop.Stop()
+		waitFor(t, "end of the server", server.stopped)
+	})
+	return server
+}
+
+// runOnLoop runs f on the loop.
+func (server *testServer) runOnLoop(f func()) {
+	server.t.Helper()
+	done := make(chan struct{})
+	server.loop.Post(func() {
+		f()
+		close(done)
+	})
+	waitFor(server.t, "iteration of the loop", done)
+}
+
+// holdLoop runs act while the loop is held, then afterwards on the loop, in the iteration in which it was held. So the system knows of what
+// act did, on loopback at once, and the loop does not.
+func (server *testServer) holdLoop(act, afterwards func()) {
+	server.t.Helper()
+	held, released, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	server.loop.Post(func() {
+		close(held)
+		<-released
+		if afterwards != nil {
+			afterwards()
+		}
+		close(done)
+	})
+	waitFor(server.t, "iteration of the loop", held)
+	act()
+	close(released)
+	waitFor(server.t, "end of the iteration", done)
+}
+
+// waitUntil checks a condition on the loop until it is true.
+func (server *testServer) waitUntil(what string, condition func() bool) {
+	server.t.Helper()
+	done := make(chan struct{})
+	var poll func()
+	poll = func() {
+		if condition() {
+			close(done)
+			return
+		}
+		server.loop.After(0.001, poll)
+	}
+	server.loop.Post(poll)
+	waitFor(server.t, what, done)
+}
+
+// waitForEvent waits until the discovery event with a number has been received.
+func (server *testServer) waitForEvent(number uint64) {
+	server.t.Helper()
+	server.waitUntil("discovery event", func() bool { return server.core.LastDiscoveryEvent() == number })
+}
+
+// incompleteClients returns on how many connections a message has arrived in part. It is called on the loop.
+func (server *testServer) incompleteClients() int {
+	n := 0
+	for _, client := range server.clients {
+		if client.incompleteSince > 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// ageClients has all connections appear idle for 10 s more. It is called on the loop.
+func (server *testServer) ageClients() {
+	for _, client := range server.clients {
+		client.openedAt -= 10
+		client.lastMessageAt -= 10
+	}
+}
+
+// finishStopNow goes to the end of a stop whose signal came a second ago. It is called on the loop.
+func (server *testServer) finishStopNow() {
+	server.stopping = true
+	server.stopRequestedAt = server.loop.Now() - 1
+	server.finishStop()
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	net.Conn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+// connect opens a client's connection.
+func (server *testServer) connect() *testClient {
+	server.t.Helper()
+	conn, err := net.Dial("tcp", server.Addr())
+	if err != nil {
+		server.t.Fatal(err)
+	}
+	closeOnCleanup(server.t, conn)
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		server.t.Fatal(err)
+	}
+	return &testClient{conn, server.t, bufio.NewReader(conn)}
+}
+
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	sendTo(c.t, c.Conn, text)
+}
+
+// launch sends a placement request.
+func (c *testClient) launch(id int, class string) {
+	c.t.Helper()
+	c.send(launchMessage(id, class, `"x"`))
+}
+
+func (c *testClient) close() {
+	c.t.Helper()
+	closeNow(c.t, c.Conn)
+}
+
+func (c *testClient) readLine() string {
+	c.t.Helper()
+	line, err := c.reader.ReadString('\n')
+	if err != nil {
+		c.t.Fatalf("client: %v", err)
+	}
+	return line
+}
+
+// expect reads lines until one has all the texts.
+func (c *testClient) expect(texts ...string) string {
+	c.t.Helper()
+	for {
+		line := c.readLine()
+		if containsAll(line, texts...) {
+			return line
+		}
+	}
+}
+
+// expectNext fails the test unless the next line has all the texts.
+func (c *testClient) expectNext(texts ...string) {
+	c.t.Helper()
+	if line := c.readLine(); !containsAll(line, texts...) {
+		c.t.Fatalf("got %s, want all of %q", line, texts)
+	}
+}
+
+// expectClosed fails the test unless the server has closed the connection without another line.
+func (c *testClient) expectClosed() {
+	c.t.Helper()
+	if line, err := c.reader.ReadString('\n'); err != io.EOF {
+		c.t.Fatalf("%q, %v, want the end of the connection", line, err)
+	}
+}
+
+func containsAll(text string, parts ...string) bool {
+	for _, part := range parts {
+		if !strings.Contains(text, part) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/platform/lines.go
@@ -0,0 +1,82 @@
+//go:build linux
+
+package platform
+
+import (
+	"bytes"
+
+	"heathshed/internal/eventloop"
+	"heathshed/internal/platformproto"
+)
+
+// maxLinesPerTurn is how many lines of one connection are handled in one iteration of the loop before the others have their turn.
+const maxLinesPerTurn = 64
+
+// lineCost says whether a line counts towards maxLinesPerTurn.
+type lineCost uint8
+
+const (
+	lineCounts lineCost = iota
+	lineFree
+)
+
+// readLines calls handle for each complete line of data, without its newline, until maxLinesPerTurn of them have counted; the rest is
+// deferred to the next iteration of the loop. It returns how many bytes were consumed. The error is that of handle, or
+// platformproto.ErrTooLong for a line that is longer than the protocol allows.
+func (s *Server) readLines(conn *eventloop.Conn, data []byte, handle func(line []byte) (lineCost, error)) (int, error) {
+	consumed := 0
+	for handled := 0; handled < maxLinesPerTurn; {
+		end := bytes.IndexByte(data[consumed:], '\n')
+		if end < 0 {
+			if len(data)-consumed >= platformproto.MaxLine {
+				return consumed, platformproto.ErrTooLong
+			}
+			return consumed, nil
+		}
+		cost, err := handle(data[consumed : consumed+end])
+		if err != nil {
+			return consumed, err
+		}
+		consumed += end + 1
+		if conn.Closed() {
+			return consumed, nil
+		}
+		if cost == lineCounts {
+			handled++
+		}
+	}
+	if consumed < len(data) {
+		s.deferReading(conn)
+	}
+	return consumed, nil
+}
+
+// deferReading pauses a connection until the next iteration of the loop.
+func (s *Server) deferReading(conn *eventloop.Conn) {
+	conn.PauseRead(true)
+	s.deferredConns = append(s.deferredConns, conn)
+	if len(s.deferredConns) == 1 {
+		s.loop.After(0, s.resumeReading)
+	}
+}
+
+// resumeReading resumes the connections that were deferred.
+func (s *Server) resumeReading() {
+	deferred := s.deferredConns
+	s.deferredConns = nil
+	for _, conn := range deferred {
+		conn.PauseRead(false)
+	}
+}
+
+// nextIncompleteSince returns since when the last message on a connection has been incomplete, 0 if it is not, after consumed of the given
+// number of unread bytes were consumed. previous is the value before.
+func nextIncompleteSince(previous, now float64, consumed, unread int) float64 {
+	switch {
+	case consumed == unread:
+		return 0
+	case consumed > 0 || previous == 0:
+		return now
+	}
+	return previous
+}
--- /dev/null
+++ b/internal/platform/logging.go
@@ -0,0 +1,55 @@
+//go:build linux
+
+package platform
+
+import (
+	"github.com/rs/zerolog"
+
+	"heathshed/internal/platformproto"
+)
+
+// maxWarningsPerSecond bounds how often bad input and failures of peers are logged.
+const maxWarningsPerSecond = 5
+
+// warningLimit counts the warnings of the present second.
+type warningLimit struct {
+	windowStart float64
+	count       int
+}
+
+// allow reports whether one more warning may be logged.
+func (limit *warningLimit) allow(now float64) bool {
+	if now > limit.windowStart+1 {
+		*limit = warningLimit{windowStart: now}
+	}
+	limit.count++
+	return limit.count <= maxWarningsPerSecond
+}
+
+// warn logs a failure that a peer has caused, unless there are too many.
+func (s *Server) warn(what, peer string, err error) {
+	if s.warnings.allow(s.loop.Now()) {
+		s.log.Warn().Str("peer", peer).Err(err).Msg(what)
+	}
+}
+
+// traceMessage logs one message at level trace. direction says where it comes from or goes to.
+func (s *Server) traceMessage(direction string, conn uint64, peer string, message *platformproto.Message) {
+	if s.log.GetLevel() > zerolog.TraceLevel {
+		return
+	}
+	event := s.log.Trace().
+		Str("kind", message.Kind.String()).
+		Str("uid", message.UID).
+		Uint64("conn", conn).
+		Str("peer", peer)
+	if message.HasCause {
+		event.Int("reason", message.Cause)
+	}
+	for field := platformproto.Class; field <= platformproto.LoadReport; field++ {
+		if message.Has(field) {
+			event.Str(field.String(), message.Get(field))
+		}
+	}
+	event.Msg(direction)
+}
--- /dev/null
+++ b/internal/platform/node_link_test.go
@@ -0,0 +1,329 @@
+//go:build linux
+
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// TestTaskEndRedeliveredAfterCorruptMessage: a node reports the end of a task once more on the next connection that opens, so a connection that ended
+// with a corrupt message has to be followed by another while tasks run.
+func TestTaskEndRedeliveredAfterCorruptMessage(t *testing.T) {
+	var mu sync.Mutex
+	runningUID := "" // guarded by mu
+	conns := make(chan net.Conn, 1)
+	listener := listenOn(t, "127.0.0.1:0")
+	go acceptConns(listener, func(conn net.Conn) {
+		mu.Lock()
+		uid := runningUID
+		mu.Unlock()
+		if uid != "" {
+			if err := respond(conn, `{"kind":"stop","uid":%q,"reason":16}`+"\n", uid); err != nil {
+				return
+			}
+		}
+		line, err := bufio.NewReader(conn).ReadString('\n')
+		if err != nil || !isLaunch(line) {
+			return
+		}
+		mu.Lock()
+		runningUID = taskUID(line)
+		mu.Unlock()
+		if err := acceptTask(conn, line); err == nil {
+			conns <- conn
+		}
+	})
+	server := startServer(t, 256, listener.Addr().String())
+	client := server.connect()
+	client.launch(1, "seats")
+	client.expect(`"running"`)
+	sendTo(t, waitFor(t, "task", conns), "{corrupt\n")
+	client.expect(`"stop"`, `"reason":16`)
+}
+
+// TestVanishedNodes: the tasks of a node that can no longer be reached are reported as lost, whether connections to it are refused or time out.
+func TestVanishedNodes(t *testing.T) {
+	for _, mode := range []string{"refuses", "silent"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			node := startNode(t, acceptTask) // which leaves health checks unanswered
+			server := startServer(t, 256, node.addr)
+			server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 2 })
+			client := server.connect()
+			client.launch(1, "seats")
+			client.expect(`"running"`)
+			closeNow(t, node.listener)
+			running := 0 // the tasks of a node that refuses connections have ended with it
+			if mode == "silent" {
+				unresponsivePort(t, node.port())
+				running = 1 // others may run on, until the node reports that they ended
+			}
+			client.expect(`"stop"`, `"reason":41`)
+			server.runOnLoop(func() {
+				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != running || server.core.Counts.TasksLost != 1 {
+					t.Errorf("%+v, %+v", server.stats, server.core.Counts)
+				}
+			})
+		})
+	}
+}
+
+// TestUnresponsiveNodeReturns: a node that was declared unresponsive comes back with its task, whose client was notified that it is over. It is told to
+// end the task, and until it reports so the task counts as running there.
+func TestUnresponsiveNodeReturns(t *testing.T) {
+	t.Parallel()
+	node := startNode(t, acceptTask) // which leaves health checks unanswered
+	server := startServer(t, 256, node.addr)
+	server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 0.5 })
+	client := server.connect()
+	client.launch(1, "seats")
+	client.expect(`"running"`)
+	waitFor(t, "launch", node.received)
+	closeNow(t, node.listener)
+	_, stopListening := listenUnresponsive(t, node.port())
+	client.expect(`"stop"`, `"reason":41`)
+	server.runOnLoop(func() {
+		if running := server.core.RunningTasks(); running != 1 {
+			t.Errorf("%d tasks run", running)
+		}
+	})
+	stopListening()
+	listener := listenOn(t, node.addr) // back
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOnCleanup(t, conn)
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	if err != nil || !strings.Contains(line, `"stop"`) || taskUID(line) != "0000000000000001" {
+		t.Fatalf("%q, %v", line, err)
+	}
+	sendTo(t, conn, stopMessage(1, 31))
+	server.waitUntil("end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	client.send(checkMessage)
+	client.expectNext(`"checked"`) // nothing else was reported
+}
+
+// TestUnresponsiveConnectionIsAvoided: after an attempt that was not answered in time, a connection gets a health check and no attempt until that is
+// answered. The node itself is well, and a new connection to it serves.
+func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
+	var mu sync.Mutex
+	var dead net.Conn
+	node := startNode(t, func(conn net.Conn, line string) error {
+		mu.Lock()
+		defer mu.Unlock()
+		if dead == nil {
+			dead = conn
+		}
+		if conn == dead {
+			return nil
+		}
+		return acceptTask(conn, line)
+	})
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
+	for i := range 4 {
+		client.launch(i+1, "query")
+		if strings.Contains(client.expect(fmt.Sprintf("%016x", i+1)), `"running"`) {
+			return
+		}
+	}
+	t.Error("all attempts went out on a dead connection")
+}
+
+// TestNodeConnectionLimit: connections to nodes stay within their part of the descriptors, and an attempt that finds no connection slot counts
+// as unreachable instead of taking the slot of another.
+func TestNodeConnectionLimit(t *testing.T) {
+	var addrs []string
+	for range 30 {
+		addrs = append(addrs, startNode(t, acceptTask).addr)
+	}
+	server := startServer(t, 64, addrs...)
+	client := server.connect()
+	for i := range 200 {
+		client.launch(i+1, "query")
+		client.expect(fmt.Sprintf("%016x", i+1))
+	}
+	server.runOnLoop(func() {
+		if server.openNodeConns > server.maxNodeConns || server.stats.NodesUnreachable > 0 {
+			t.Errorf("%d connections to nodes, %d allowed; %d nodes unreachable", server.openNodeConns, server.maxNodeConns,
+				server.stats.NodesUnreachable)
+		}
+	})
+}
+
+// TestNodesShareConnectionSlots: more nodes run tasks than there are connection slots. They take turns, and between two turns of one no other has more
+// than two: so each can report how its tasks end before that is overdue.
+func TestNodesShareConnectionSlots(t *testing.T) {
+	const nodeCount, turns = 40, 4
+	accepted := make(chan int, 10000) // numbers of nodes, as they are connected to
+	var addrs []string
+	for i := range nodeCount {
+		listener := listenOn(t, "127.0.0.1:0")
+		addrs = append(addrs, listener.Addr().String())
+		go acceptConns(listener, func(conn net.Conn) {
+			accepted <- i
+			readLinesOf(conn, func(line string) error {
+				if !strings.Contains(line, `"check"`) {
+					return nil
+				}
+				return respond(conn, `{"kind":"checked","uid":%q,"reason":1}`+"\n", taskUID(line))
+			})
+		})
+	}
+	server := startServer(t, 64, addrs...)
+	client := server.connect()
+	server.runOnLoop(func() { server.slotHoldTime = 0.1 })
+	for i := range nodeCount {
+		client.send(adoptMessage(i+1, i+1))
+	}
+	turnsOf := make([]int, nodeCount)
+	turnsSince := make([][]int, nodeCount) // turnsSince[j][i] is how many turns node i had since the last one of node j
+	for i := range turnsSince {
+		turnsSince[i] = make([]int, nodeCount)
+	}
+	for done := 0; done < nodeCount; {
+		i := waitFor(t, "turn", accepted)
+		if turnsOf[i]++; turnsOf[i] == turns {
+			done++
+		}
+		turnsSince[i] = make([]int, nodeCount)
+		for j := range turnsSince {
+			if j == i {
+				continue
+			}
+			if turnsSince[j][i]++; turnsSince[j][i] > 2 && turnsOf[j] < turns {
+				t.Fatalf("node %d had %d turns since the last one of node %d", i, turnsSince[j][i], j)
+			}
+		}
+	}
+	server.runOnLoop(func() {
+		slotsSuffice := server.maxNodeConns >= nodeCount/2+5
+		if server.core.RunningTasks() != nodeCount || server.openNodeConns > server.maxNodeConns || slotsSuffice {
+			t.Errorf("%d tasks run, %d connections of %d", server.core.RunningTasks(), server.openNodeConns, server.maxNodeConns)
+		}
+	})
+}
+
+// TestLinksRemovedWithTerminatedNodes: no link is kept for a node that was terminated long ago, also if its tasks ended last.
+func TestLinksRemovedWithTerminatedNodes(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	client := server.connect()
+	call := waitFor(t, "call", server.discovery.calls)
+	for i := range 2 {
+		client.launch(i+1, "query")
+		client.expect(`"running"`)
+		call.text <- sseEvent(2+i, nodeEntry(1+i, node.addr, "terminated"), nodeEntry(2+i, node.addr, "in_service"))
+		client.expect(`"stop"`, `"reason":41`) // a second later
+	}
+	server.waitUntil("end of the links", func() bool { return len(server.links) == 0 })
+}
+
+// TestDialTimeout: a dial that is never answered keeps neither its descriptor nor its queue, and its requests are answered.
+func TestDialTimeout(t *testing.T) {
+	server := startServer(t, 256, unresponsivePort(t, 0))
+	client := server.connect()
+	for i := range 20 {
+		client.launch(i+1, "query")
+	}
+	for range 20 {
+		client.expect(`"stop"`, `"reason":34`)
+	}
+	server.waitUntil("end of the dials", func() bool {
+		for _, link := range server.links {
+			if len(link.queued) > 0 || link.dialing != nil {
+				return false
+			}
+		}
+		return server.openNodeConns == 0
+	})
+}
+
+// TestFullListOmitsNode: a full list omits a node that has an attempt in flight, and a running task or none, and the next list has it again: nothing
+// is given up for that. If no list has it again, everything there ends, though the node answered after the list.
+func TestFullListOmitsNode(t *testing.T) {
+	for _, test := range []struct{ back, running bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			t.Parallel()
+			launches := make(chan heldLaunch, 1)
+			node := startNode(t, func(conn net.Conn, line string) error {
+				switch taskUID(line) {
+				case "0000000000000001":
+					return acceptTask(conn, line)
+				case "0000000000000002":
+					launches <- heldLaunch{conn, line}
+				}
+				return nil
+			})
+			server := startServer(t, 256, node.addr)
+			call := waitFor(t, "call", server.discovery.calls)
+			client := server.connect()
+			tasks := 1
+			if test.running {
+				tasks = 2
+				client.launch(1, "query")
+				client.expect(`"running"`, "0000000000000001")
+			}
+			client.launch(2, "seats")
+			launch := waitFor(t, "attempt", launches)
+			call.text <- sseFullList(2, nodeEntry(9, "127.0.0.1:1", "in_service"))
+			server.waitForEvent(2)
+			server.runOnLoop(func() {
+				for _, link := range server.links {
+					link.maintain()
+				}
+			})
+			if test.back {
+				call.text <- sseFullList(3, nodeEntry(1, node.addr, "in_service"))
+				server.waitForEvent(3)
+			}
+			launch.accept(t)
+			client.expect(`"running"`, "0000000000000002")
+			if test.back {
+				server.runOnLoop(func() {
+					if running := server.core.RunningTasks(); running != tasks {
+						t.Errorf("%d tasks run, want %d", running, tasks)
+					}
+				})
+				return
+			}
+			ended := map[string]bool{}
+			for len(ended) < tasks {
+				line := client.expect(`"stop"`, `"reason":41`)
+				ended[taskUID(line)] = true
+			}
+		})
+	}
+}
+
+// TestNewNodeAtAddressOfTerminatedNode: messages for a terminated node do not reach a new node at its address, nor count its messages as those of the
+// terminated one.
+func TestNewNodeAtAddressOfTerminatedNode(t *testing.T) {
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	call := waitFor(t, "call", server.discovery.calls)
+	client := server.connect()
+	client.launch(1, "query")
+	client.expect(`"running"`)
+	call.text <- sseEvent(2, nodeEntry(1, node.addr, "terminated"), nodeEntry(2, node.addr, "in_service"))
+	server.waitForEvent(2)
+	client.launch(2, "query")
+	client.expect(`"running"`, "0000000000000002")
+	client.expect(`"stop"`, "0000000000000001", `"reason":41`)
+	server.waitUntil("one link", func() bool { return len(server.links) == 1 })
+	server.runOnLoop(func() {
+		if server.core.RunningTasks() != 1 || server.openNodeConns != 1 {
+			t.Errorf("%d tasks run, %d connections", server.core.RunningTasks(), server.openNodeConns)
+		}
+	})
+}
--- /dev/null
+++ b/internal/platform/server.go
@@ -0,0 +1,225 @@
+//go:build linux
+
+// Package platform runs one scheduler on the shared platform: it accepts clients, connects to nodes and follows the platform's discovery
+// stream, all on one event loop.
+//
+// The package moves bytes and keeps connections. It parses what arrives, hands it to a dispatch.Core and carries out the effects that the
+// core returns; it makes no placement decisions. Everything but New runs on the loop's goroutine, so nothing is locked. Points in time are
+// the loop's clock in Unix seconds, durations are seconds.
+package platform
+
+import (
+	"fmt"
+	"math/rand/v2"
+
+	"github.com/rs/zerolog"
+
+	"heathshed/internal/connpool"
+	"heathshed/internal/dispatch"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/memquota"
+	"heathshed/placer"
+)
+
+// housekeepingInterval is the time between two passes over all connections, in seconds.
+const housekeepingInterval = 0.1
+
+// farFuture is how far ahead, in seconds, a timer of the core still gets a timer of the loop. The core answers infinity for "never".
+const farFuture = 1e6
+
+// Limits on file descriptors.
+const (
+	defaultSockets  = 4096 // where the configuration sets no limit
+	minSockets      = 64
+	reservedSockets = 16 // for files, the loop itself and the discovery watch
+)
+
+// idleShare is the part of the idle timeout that the platform gives, after which an idle node connection is closed from this side. A node
+// that closed it first could do so while an attempt is on its way.
+const idleShare = 0.6
+
+// seedStream separates the server's random numbers from others that are drawn from the configuration's seed.
+const seedStream = 0x6a09e667f3bcc908
+
+// Server is one scheduler.
+type Server struct {
+	loop     *eventloop.Loop
+	core     *dispatch.Core
+	config   *Config
+	rng      *rand.Rand // seeded by the configuration, so that schedulers started together do not retry in step
+	log      zerolog.Logger
+	warnings warningLimit
+	stats    Stats
+
+	coreTimer *eventloop.Timer // runs the core when its next timer is due; nil if none is set
+	discovery *discoveryWatch
+
+	listener           *eventloop.Listener
+	clients            map[dispatch.ConnID]*clientConn
+	lastClientID       dispatch.ConnID
+	maxClients         int
+	evictionCandidates []memquota.Candidate // reused by evictClient
+	evictionConns      []*clientConn        // the connections of evictionCandidates, by index
+	deferredConns      []*eventloop.Conn    // reading is paused until the next iteration of the loop
+
+	links           map[placer.NodeID]*nodeLink
+	openNodeConns   int // connections to nodes, those being dialed included
+	maxNodeConns    int
+	lastNodeConnID  nodeConnID
+	slotHoldTime    float64               // seconds, see the constant
+	keepAlive       connpool.SharedPolicy // of connections to nodes
+	reachability    connpool.Reachability // the initial state of each link
+	disconnected    []*nodeLink           // reused by reconnectNodes
+	pendingAttempts []*dispatch.Attempt   // to be sent at the end of this iteration of the loop
+
+	stopping        bool
+	stopRequestedAt float64 // Unix seconds
+	onStopped       func()
+}
+
+// New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
+// configuration cannot be used or that its address cannot be listened on.
+func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
+	core, err := dispatch.New(loop.Now(), config.Settings, policy, config.InitialEvents)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	sockets := config.Sockets
+	if sockets == 0 {
+		sockets = defaultSockets
+	}
+	maxNodeConns := (sockets - reservedSockets) / 2 // clients use a third at most; the rest of their half is for unidentified ones
+	s := &Server{
+		loop:         loop,
+		core:         core,
+		config:       config,
+		rng:          rand.New(rand.NewPCG(config.Seed, seedStream)),
+		log:          log,
+		clients:      map[dispatch.ConnID]*clientConn{},
+		maxClients:   sockets - reservedSockets - maxNodeConns,
+		links:        map[placer.NodeID]*nodeLink{},
+		maxNodeConns: maxNodeConns,
+		slotHoldTime: slotHoldTime,
+		keepAlive:    connpool.DefaultSharedPolicy(),
+		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, RefusedAfter: refusedTimeout},
+		onStopped:    onStopped,
+	}
+	s.keepAlive.MaxIdle = config.Settings.IdleTimeout * idleShare
+	loop.SetMaxConns(s.maxClients)
+	if s.listener, err = loop.Listen(config.Listen, s.acceptClient); err != nil {
+		return nil, err
+	}
+	s.discovery = newDiscoveryWatch(s, config.Discovery)
+	s.discovery.open()
+	s.processReady()
+	log.Trace().Str("settings", fmt.Sprintf("%+v", *config.Settings)).RawJSON("known", config.InitialEvents).Msg("configuration")
+	loop.After(housekeepingInterval, s.housekeep)
+	loop.After(statsInterval, s.logStats)
+	return s, nil
+}
+
+// Addr returns the address that clients connect to.
+func (s *Server) Addr() string { return s.listener.Addr() }
+
+// Reload takes over the discovery address of a new configuration. Its other fields are ignored.
+func (s *Server) Reload(next *Config) {
+	if next.Discovery == s.discovery.addr {
+		return
+	}
+	s.log.Info().
+		Str("discovery", next.Discovery).
+		Uint64("last_event", s.core.LastDiscoveryEvent()).
+		Msg("discovery server changed")
+	s.discovery.moveTo(next.Discovery)
+}
+
+// processReady carries out the effects that the core has ready, then sets the loop's timer to the core's next one. It follows each call
+// that tells the core of an event.
+func (s *Server) processReady() {
+	for effects := s.core.Ready(); len(effects) > 0; effects = s.core.Ready() {
+		for i := range effects {
+			s.applyEffect(&effects[i])
+		}
+	}
+	due := s.core.NextTimer()
+	if s.coreTimer != nil && s.coreTimer.Due() == due {
+		return
+	}
+	s.coreTimer.Stop()
+	s.coreTimer = nil
+	if due < s.loop.Now()+farFuture {
+		s.coreTimer = s.loop.At(due, s.advanceCore)
+	}
+}
+
+// advanceCore runs the timers of the core that are due.
+func (s *Server) advanceCore() {
+	s.coreTimer = nil
+	s.core.Advance(s.loop.Now())
+	s.processReady()
+}
+
+// applyEffect carries out one effect of the core.
+func (s *Server) applyEffect(effect *dispatch.Effect) {
+	switch effect.Kind {
+	case dispatch.SendToClient:
+		if client := s.clients[effect.Conn]; client != nil {
+			client.send(&effect.Message)
+		}
+	case dispatch.SendAttempt:
+		s.scheduleAttempt(effect.Attempt)
+	case dispatch.SendToNode:
+		s.linkTo(effect.Attempt.Node).sendMessage(effect)
+	case dispatch.ConnectNode:
+		s.linkTo(effect.Attempt.Node)
+	case dispatch.NodesChanged:
+		s.updateNodeAddresses()
+	}
+}
+
+// scheduleAttempt sends an attempt at the end of this iteration of the loop.
+func (s *Server) scheduleAttempt(attempt *dispatch.Attempt) {
+	s.pendingAttempts = append(s.pendingAttempts, attempt)
+	if len(s.pendingAttempts) == 1 {
+		s.loop.AtIterationEnd(s.sendPendingAttempts)
+	}
+}
+
+// sendPendingAttempts sends the scheduled attempts. No attempt may go out for a client that has canceled its request or closed its
+// connection. Either may have reached the system already without having been read: in this iteration, in any order with the event that
+// scheduled the attempt, or since. So the client's connection is read once more first, which ends the attempt before its first byte.
+func (s *Server) sendPendingAttempts() {
+	pending := s.pendingAttempts
+	s.pendingAttempts = nil
+	for _, attempt := range pending {
+		if s.clientHasUnreadLines(attempt.Client()) { // a cancellation may be among them
+			s.scheduleAttempt(attempt)
+			continue
+		}
+		if attempt.Pending() {
+			s.linkTo(attempt.Node).send(attempt)
+		}
+	}
+}
+
+// clientHasUnreadLines reads a client's connection and reports whether lines are left that wait for the next iteration of the loop.
+func (s *Server) clientHasUnreadLines(id dispatch.ConnID) bool {
+	client := s.clients[id]
+	if client == nil {
+		return false
+	}
+	client.conn.ReadNow()
+	return client.conn.Paused() && !client.conn.Closed()
+}
+
+// housekeep closes connections that are of no further use and dials the nodes that need one, then schedules the next pass.
+func (s *Server) housekeep() {
+	s.closeIdleClients()
+	for _, link := range s.links {
+		link.maintain()
+	}
+	s.reconnectNodes()
+	s.processReady()
+	s.loop.After(housekeepingInterval, s.housekeep)
+}
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -5,36 +5,32 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"strings"
 	"testing"
 
-	"github.com/rs/zerolog"
-
-	"heathshed/internal/eventloop"
 	"heathshed/placer"
 )
 
-// TestUnfamiliarSettings feeds settings that no customer of ours has yet to a whole start: each either is refused with an error that names
-// the key, or gives a scheduler that answers a set-up of each class.
+// TestUnfamiliarSettings: settings of no customer yet either are rejected with an error that names the key, or give a server that answers a request
+// of each class.
 func TestUnfamiliarSettings(t *testing.T) {
 	type object = map[string]any
 	sub := func(settings object, name string) object { return settings[name].(object) }
 	class := func(settings object, i int) object { return settings["lanes"].([]any)[i].(object) }
-	for name, c := range map[string]struct {
-		change  func(settings object)
-		refused string // what the error names, if it is one
-		places  bool   // a machine takes the set-ups
+	for name, test := range map[string]struct {
+		change   func(settings object)
+		rejected string // part of the error, if there is one
+		placed   bool   // requests of each class are placed
 	}{
-		"as they are":      {func(object) {}, "", true},
+		"unchanged":        {func(object) {}, "", true},
 		"unknown keys":     {func(settings object) { settings["später"] = []any{1}; sub(settings, "extra")["x"] = object{"y": nil} }, "", true},
-		"classes reversed": {func(settings object) { loop := settings["lanes"].([]any); loop[0], loop[1] = loop[1], loop[0] }, "", true},
-		"names as people write them": {func(settings object) {
+		"classes reversed": {func(settings object) { lanes := settings["lanes"].([]any); lanes[0], lanes[1] = lanes[1], lanes[0] }, "", true},
+		"names with special characters": {func(settings object) {
 			class(settings, 0)["name"], class(settings, 1)["name"] = `préstamo "libros", ;:`, "0"
 			settings["orgs"].([]any)[0].(object)["name"] = "Straße\t1\u2028"
 			settings["zones"], settings["flavors"] = []any{"ж"}, []any{"größer als"}
 		}, "", true},
-		"a class that the module never saw": {func(settings object) {
+		"an unknown class": {func(settings object) {
 			settings["lanes"] = append(settings["lanes"].([]any), object{"name": "new", "effect": "deduplicated", "keyScope": "zone", "keyTtlS": 3.0, "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 		}, "", true},
 		"forty classes": {func(settings object) {
@@ -43,12 +39,12 @@
 				all = append(all, object{"name": fmt.Sprint("c", i), "effect": "idempotent", "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 			}
 			settings["lanes"] = all
-		}, "", false}, // there is one machine
-		"no tenants": {func(settings object) { delete(settings, "orgs") }, "", true},
-		"no zones":   {func(settings object) { delete(settings, "zones") }, "", true},
-		"no kinds":   {func(settings object) { delete(settings, "flavors") }, "", false},
-		"no reports": {func(settings object) { delete(settings, "loadReport") }, "", true},
-		"no rules":   {func(settings object) { delete(settings, "rules") }, "", true},
+		}, "", false}, // there is one node
+		"no tenants":    {func(settings object) { delete(settings, "orgs") }, "", true},
+		"no zones":      {func(settings object) { delete(settings, "zones") }, "", true},
+		"no node types": {func(settings object) { delete(settings, "flavors") }, "", false},
+		"no reports":    {func(settings object) { delete(settings, "loadReport") }, "", true},
+		"no rules":      {func(settings object) { delete(settings, "rules") }, "", true},
 		"no lists by class": {func(settings object) {
 			x := sub(settings, "extra")
 			delete(x, "apartBy")
@@ -59,19 +55,19 @@
 		"no time to connect":            {func(settings object) { delete(sub(settings, "permissions"), "connectTimeoutS") }, "", true},
 		"connections idle for no time":  {func(settings object) { sub(settings, "permissions")["connIdleS"] = 0 }, "", true},
 		"connections idle for a moment": {func(settings object) { sub(settings, "permissions")["connIdleS"] = 0.01 }, "", true},
-		"one try":                       {func(settings object) { sub(settings, "permissions")["mostTries"] = 1 }, "", true},
-		"no try":                        {func(settings object) { sub(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
+		"one attempt":                   {func(settings object) { sub(settings, "permissions")["mostTries"] = 1 }, "", true},
+		"no attempt":                    {func(settings object) { sub(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
 		"no classes":                    {func(settings object) { settings["lanes"] = []any{} }, "class", false},
-		"no aim":                        {func(settings object) { delete(class(settings, 0), "objectiveS") }, "class 0: aim", false},
+		"no objective":                  {func(settings object) { delete(class(settings, 0), "objectiveS") }, "class 0: aim", false},
 		"short deadlines":               {func(settings object) { class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 0.3, 0.25 }, "", true},
 		"long deadlines": {func(settings object) {
 			class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 3600.0, 86400.0
 		}, "", true},
-		"cold machines bear nothing": {func(settings object) { sub(settings, "extra")["youngLimit"] = 0 }, "", true},
-		"three hundred peers":        {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
-		"effect":                     {func(settings object) { class(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
-		"kinds without memory":       {func(settings object) { sub(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
-		"a number as a word":         {func(settings object) { sub(settings, "rules")["fallS"] = "soon" }, "fallS", false},
+		"no attempts on nodes that warm up": {func(settings object) { sub(settings, "extra")["youngLimit"] = 0 }, "", true},
+		"three hundred peers":               {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
+		"effect":                            {func(settings object) { class(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
+		"node types without memory":         {func(settings object) { sub(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
+		"a string for a number":             {func(settings object) { sub(settings, "rules")["fallS"] = "soon" }, "fallS", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +75,7 @@
 			if err := json.Unmarshal([]byte(testSettings), &settings); err != nil {
 				t.Fatal(err)
 			}
-			c.change(settings)
+			test.change(settings)
 			text, err := json.Marshal(settings)
 			if err != nil {
 				t.Fatal(err)
@@ -92,59 +88,52 @@
 			if f, _ := settings["flavors"].([]any); len(f) > 0 {
 				known = strings.Replace(known, `"std"`, fmt.Sprintf("%q", f[0]), 1)
 			}
-			config, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":256},
-				"known":{"no":1,"items":[%s]},"settings":%s}`, startDiscovery(t).addr(), known, text)))
+			config, err := ParseConfig(configText(startDiscovery(t).addr(), 256, known, string(text)))
 			var policy *placer.Placer
 			if err == nil {
 				policy, err = placer.New(config.Settings.Placer, config.Seed)
 			}
-			if c.refused != "" {
-				if err == nil || !strings.Contains(err.Error(), c.refused) {
-					t.Fatalf("error %v, want one that names %s", err, c.refused)
+			if test.rejected != "" {
+				if err == nil || !strings.Contains(err.Error(), test.rejected) {
+					t.Fatalf("error %v, want one that names %s", err, test.rejected)
 				}
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			server := &testServer{t: t, stopped: make(chan struct{})}
-			loop, err := eventloop.New()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if server.Server, err = New(loop, config, policy, zerolog.Nop(), loop.Stop); err != nil {
-				t.Fatal(err)
-			}
-			go func() {
-				loop.Run()
-				close(server.stopped)
-			}()
-			t.Cleanup(func() { loop.Stop(); waitFor(t, "end", server.stopped) })
+			server := runServer(t, config, policy)
 			client := server.connect()
-			io.WriteString(client, checkMessage)
+			client.send(checkMessage)
 			client.expect(`"checked"`)
-			for i, name := range config.Settings.Classes {
-				quoted, err := json.Marshal(name)
-				if err != nil {
-					t.Fatal(err)
-				}
-				line := strings.Replace(launchMessage(i+1, "query", `"x"`), `"query"`, string(quoted), 1)
-				line = strings.Replace(line, `"left":"3000"`, fmt.Sprintf(`"left":"%d"`, int(min(3, config.Settings.Placer.Classes[i].Deadline)*1000)), 1)
-				if len(config.Settings.Tenants) > 0 {
-					tenant, err := json.Marshal(config.Settings.Tenants[0])
-					if err != nil {
-						t.Fatal(err)
-					}
-					line = strings.Replace(line, `"south"`, string(tenant), 1)
-				} else {
-					line = strings.Replace(line, `"tenant":"south",`, "", 1)
-				}
-				io.WriteString(client, line)
+			for i, class := range config.Settings.Classes {
+				client.send(launchOfClass(t, config, i))
 				answer := client.expect(fmt.Sprintf("%016x", i+1))
-				if c.places && !strings.Contains(answer, `"running"`) {
-					t.Errorf("class %q: %s", name, answer)
+				if test.placed && !strings.Contains(answer, `"running"`) {
+					t.Errorf("class %q: %s", class, answer)
 				}
 			}
 		})
 	}
 }
+
+// launchOfClass is a placement request of the class with an index.
+func launchOfClass(t *testing.T, config *Config, index int) string {
+	t.Helper()
+	line := strings.Replace(launchMessage(index+1, "query", `"x"`), `"query"`, quoteJSON(t, config.Settings.Classes[index]), 1)
+	left := int(min(3, config.Settings.Placer.Classes[index].Deadline) * 1000)
+	line = strings.Replace(line, `"left":"3000"`, fmt.Sprintf(`"left":"%d"`, left), 1)
+	if len(config.Settings.Tenants) == 0 {
+		return strings.Replace(line, `"tenant":"south",`, "", 1)
+	}
+	return strings.Replace(line, `"south"`, quoteJSON(t, config.Settings.Tenants[0]), 1)
+}
+
+func quoteJSON(t *testing.T, text string) string {
+	t.Helper()
+	quoted, err := json.Marshal(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(quoted)
+}
--- /dev/null
+++ b/internal/platform/shutdown.go
@@ -0,0 +1,93 @@
+//go:build linux
+
+package platform
+
+// Times of a graceful stop, in seconds. From the signal to stop, the platform sends clients and requests for 0.7 s at most.
+const (
+	acceptGrace   = 0.85 // from the signal until the listener closes
+	pollInterval  = 0.01 // between two looks at what is still open
+	closeGrace    = 0.5  // for clients to close their side of their connections, at the end
+	minCloseGrace = 0.1  // the least of that, when time is short; stopReserve covers it
+)
+
+// The platform kills a scheduler some time after its signal to stop: the longest deadline of a class, at most maxStopDeadline, and
+// stopMargin. stopReserve is kept of that for a busy processor. All in seconds.
+const (
+	maxStopDeadline = 3.0
+	stopMargin      = 0.7
+	stopReserve     = 0.15
+)
+
+// Stop begins a graceful stop: the server goes on accepting clients for acceptGrace, answers every request that it has accepted and then
+// stops. Further calls have no effect.
+func (s *Server) Stop() {
+	if s.stopping {
+		return
+	}
+	s.stopping = true
+	s.stopRequestedAt = s.loop.Now()
+	s.log.Info().
+		Int("open_requests", s.core.OpenRequests()).
+		Int("running_tasks", s.core.RunningTasks()).
+		Msg("stopping")
+	s.loop.After(acceptGrace, s.finishStop)
+}
+
+// finishStop closes the listener, and the clients' connections once no accepted request is open. While tasks run, the server stays for as
+// long as the platform surely lets it, to notify clients of tasks that end: the end of a task of which no scheduler learns is reported late
+// or never.
+func (s *Server) finishStop() {
+	if !s.listener.Closed() {
+		s.listener.Drain()
+		s.listener.Close()
+	}
+	unread := s.readClients()
+	inTime := s.loop.Now() < s.stopRequestedAt+s.stopTimeout()
+	if s.core.OpenRequests() > 0 || inTime && (unread || s.canNotifyClients()) {
+		s.loop.After(pollInterval, s.finishStop)
+		return
+	}
+	for _, client := range s.clients {
+		client.closeGracefully()
+	}
+	now := s.loop.Now()
+	deadline := min(now+closeGrace, s.stopRequestedAt+s.stopTimeout()+minCloseGrace)
+	s.awaitClientsClosed(max(now+minCloseGrace, deadline))
+}
+
+// readClients reads every client connection and reports whether one has more to come: the rest of a message, or lines that wait for the
+// next iteration of the loop.
+func (s *Server) readClients() (unread bool) {
+	for _, client := range s.clients {
+		client.conn.ReadNow()
+		unread = unread || client.incompleteSince > 0 || client.conn.Paused()
+	}
+	return unread
+}
+
+// canNotifyClients reports whether a task may still end and a client is connected to be notified.
+func (s *Server) canNotifyClients() bool {
+	return s.core.RunningTasks() > 0 && len(s.clients) > 0
+}
+
+// awaitClientsClosed ends the server when the clients have closed their connections too, at the deadline in Unix seconds at the latest. If
+// the process ended while a byte of a client was unread, the system would reset that connection and destroy answers that the client has not
+// read yet.
+func (s *Server) awaitClientsClosed(deadline float64) {
+	if len(s.clients) > 0 && s.loop.Now() < deadline {
+		s.loop.After(pollInterval, func() { s.awaitClientsClosed(deadline) })
+		return
+	}
+	s.logStats()
+	s.log.Info().Msg("stopped")
+	s.onStopped()
+}
+
+// stopTimeout is how long after its signal to stop the platform surely leaves a scheduler running, in seconds.
+func (s *Server) stopTimeout() float64 {
+	longest := 0.0
+	for i := range s.config.Settings.Placer.Classes {
+		longest = max(longest, s.config.Settings.Placer.Classes[i].Deadline)
+	}
+	return min(longest, maxStopDeadline) + stopMargin - stopReserve
+}
--- /dev/null
+++ b/internal/platform/stats_test.go
@@ -0,0 +1,49 @@
+//go:build linux
+
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"testing"
+
+	"heathshed/internal/dispatch"
+	"heathshed/internal/platformproto"
+)
+
+// TestInvalidInputJSON: each kind of invalid input has its counter, and only counters above 0 are logged, under the words that operators know.
+func TestInvalidInputJSON(t *testing.T) {
+	for _, test := range []struct {
+		err  error
+		want string
+	}{
+		{&dispatch.InvalidMessageError{Reason: "at", Err: errors.New("x")}, `{"at":1}`},
+		{&dispatch.InvalidMessageError{Reason: "body", Err: errors.New("x")}, `{"body":1}`},
+		{&dispatch.InvalidMessageError{Reason: "class", Err: errors.New("x")}, `{"class":1}`},
+		{&dispatch.InvalidMessageError{Reason: "extras", Err: errors.New("x")}, `{"extras":1}`},
+		{&dispatch.InvalidMessageError{Reason: "id in use", Err: errors.New("x")}, `{"id in use":1}`},
+		{&dispatch.InvalidMessageError{Reason: "key", Err: errors.New("x")}, `{"key":1}`},
+		{&dispatch.InvalidMessageError{Reason: "left", Err: errors.New("x")}, `{"left":1}`},
+		{&dispatch.InvalidMessageError{Reason: "stop", Err: errors.New("x")}, `{"stop":1}`},
+		{&dispatch.InvalidMessageError{Reason: "tenant", Err: errors.New("x")}, `{"tenant":1}`},
+		{&dispatch.InvalidMessageError{Reason: "new", Err: errors.New("x")}, `{"other":1}`},
+		{fmt.Errorf("line 3: %w", platformproto.ErrTooLong), `{"long line":1}`},
+		{errors.New("no JSON"), `{"unreadable":1}`},
+		{nil, `{}`},
+	} {
+		t.Run(test.want, func(t *testing.T) {
+			var counters InvalidInput
+			if test.err != nil {
+				counters.add(test.err)
+			}
+			text, err := json.Marshal(&counters)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(text) != test.want {
+				t.Errorf("got %s", text)
+			}
+		})
+	}
+}
