--- a/placer/api.go
+++ b/placer/api.go
@@ -9,6 +9,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 )
 
 // TaskID names one ask for a placing; a task that comes again has a new one.
@@ -144,6 +145,15 @@
 	return nil
 }
 
+// accepts reports whether a task names a class, requests finite amounts and has a deadline after now.
+func (c *Config) accepts(task *Task, now float64) bool {
+	hasClass := task.Class >= 0 && task.Class < len(c.Classes)
+	return hasClass && isFiniteAmount(task.Cores) && isFiniteAmount(task.Memory) && task.Deadline > now
+}
+
+// isFiniteAmount reports whether x is a number, not negative and not infinite.
+func isFiniteAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+
 // Task is one ask for a placing.
 type Task struct {
 	ID            TaskID
@@ -202,6 +212,11 @@
 	Expired
 )
 
+// neverRan reports whether the result proves that the attempt did not start the task.
+func (r Result) neverRan() bool {
+	return r == Rejected || r == Unreachable || r == Expired
+}
+
 // Reason says more about a result.
 type Reason uint8
 
--- /dev/null
+++ b/placer/average.go
@@ -0,0 +1,32 @@
+package placer
+
+// runningAverage is an exponentially weighted mean and deviation. Until the first sample estimates may be added; the
+// initial mean counts as one of them. With estimates, early samples weigh more, by their number.
+type runningAverage struct {
+	mean, deviation    float64
+	samples, estimates int
+}
+
+// add adds a sample.
+func (a *runningAverage) add(value, weight float64) {
+	a.samples++
+	if a.samples+a.estimates == 1 {
+		a.mean, a.deviation = value, value/initialDeviationDivisor
+		return
+	}
+	if a.estimates > 0 {
+		weight = max(weight, 1/float64(a.samples+a.estimates))
+	}
+	difference := value - a.mean
+	a.mean += difference * weight
+	a.deviation += (max(difference, -difference) - a.deviation) * weight
+}
+
+// addEstimate adds an estimate. It has no effect after the first sample.
+func (a *runningAverage) addEstimate(value, minWeight float64) {
+	if a.samples > 0 {
+		return
+	}
+	a.estimates++
+	a.mean += (value - a.mean) * max(minWeight, 1/float64(a.estimates+1))
+}
