--- a/placer/api.go
+++ b/placer/api.go
@@ -1,9 +1,11 @@
-// Package placer decides where long-lived tasks run on shared machines.
+// Package placer decides on which nodes long-lived tasks run.
 //
-// A Placer is the brain of one scheduler. Hand it events in the order in which they happened, each with a
-// clock that never goes back, and carry out the actions it returns in the order in which they stand. Time is
-// in seconds on any clock. Equal configurations, seeds and events give equal actions. A Placer does no I/O,
-// reads no clock, starts no goroutine and is for one goroutine at a time.
+// A Placer decides for one scheduler. The caller hands it events in the order in which they happened, each with the
+// time, which never goes back, and carries out the returned actions in their order. All times are in seconds on any
+// one clock. Equal configurations, seeds and events give equal actions. A Placer does no I/O, reads no clock, starts no
+// goroutine, and must not be used by several goroutines at once.
+//
+// The algorithm and the origin of its constants are described in docs/design.md.
 package placer
 
 import (
@@ -12,29 +14,29 @@
 	"math"
 )
 
-// TaskID names one ask for a placing; a task that comes again has a new one.
+// TaskID identifies one placement request and the task that it places. A task that is requested again has a new ID.
 type TaskID uint64
 
-// ServiceID names the service that a task belongs to.
+// ServiceID identifies the service that a task belongs to. Tasks of one service run the same program.
 type ServiceID uint64
 
-// NodeID names a machine. It says nothing of where the machine stands.
+// NodeID identifies a node. It says nothing about the node's location.
 type NodeID uint64
 
-// Idempotency says what a second start of a task would do.
+// Idempotency is the effect of starting a task twice.
 type Idempotency uint8
 
-// The effects a class can have.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second copy does no harm
-	IdempotentByKey                    // machines of one group drop repeats for a while
-	NonIdempotent                      // must never be started twice
+	IdempotentByKey                    // nodes of one domain drop a repeat for a while, by its key
+	NonIdempotent                      // the task must never start twice
 )
 
-// TopologyDomain is a kind of location that a rule speaks of.
+// TopologyDomain is a kind of failure domain that a rule refers to.
 type TopologyDomain uint8
 
-// The places: none, one machine, a rack, a zone, or all machines together.
+// The kinds of domain, from none at all to all nodes together.
 const (
 	NoDomain TopologyDomain = iota
 	NodeDomain
@@ -43,67 +45,70 @@
 	ClusterDomain
 )
 
-// Class is what tasks of one kind have in common.
+// Class holds what tasks of one kind have in common.
 type Class struct {
 	Idempotency         Idempotency
-	DedupDomain         TopologyDomain // Keyed: the machines that drop repeats
-	DedupWindow         float64        // Keyed: for how long they do, from the first doubtful offer
-	LatencyObjective    float64        // a first start within this earns full worth
-	Deadline            float64        // how long an owner waits
-	Weight              float64        // worth of a second of full service
-	LateWeight          float64        // part of the start's worth between aim and deadline
-	StartBonus          float64        // seconds of service that a start in time is worth
-	Priority            int
-	NodeType            int            // the kind of machine needed, or -1
-	SpreadDomain        TopologyDomain // where tasks of a service must not crowd
-	MaxPerDomain        int            // how many of a service may share such a place
-	SaturationThreshold float64        // full service while the cores are busy up to this part
-	DegradationRange    float64        // service falls to nothing over this much more
+	DedupDomain         TopologyDomain // with IdempotentByKey: the nodes that drop repeats
+	DedupWindow         float64        // with IdempotentByKey: seconds for which they do, from the first attempt
+	LatencyObjective    float64        // seconds from arrival within which a first start has its full weight
+	Deadline            float64        // seconds for which a client waits for the answer
+	Weight              float64        // value of a second of full service
+	LateWeight          float64        // part of the start's value between LatencyObjective and Deadline
+	StartBonus          float64        // value of a start in time, in seconds of service
+	Priority            int            // where nodes preempt: a higher priority evicts a lower one
+	NodeType            int            // index of the node type that is required, or -1 for any
+	SpreadDomain        TopologyDomain // the domain in which MaxPerDomain holds, or NoDomain
+	MaxPerDomain        int            // tasks of one service that may run in one such domain
+	SaturationThreshold float64        // utilization of the cores up to which tasks get full service
+	DegradationRange    float64        // utilization beyond it over which the service falls to nothing
 }
 
-// NodeType is a type of machine.
-type NodeType struct{ Cores, Memory float64 }
+// NodeType is the size of nodes of one type.
+type NodeType struct {
+	Cores  float64
+	Memory float64 // in the unit of Task.Memory
+}
 
-// Tenant is one of those who share the fleet.
+// Tenant is one of the users that share the nodes.
 type Tenant struct {
-	Share float64 // its part of the service
-	Cores float64 // cores it may ask for, over all schedulers, within its share
+	Share float64 // its part of the service, between 0 and 1
+	Cores float64 // cores that it may request, at all schedulers together
 }
 
-// Config is all that a scheduler is told at its start.
+// Config is the configuration of one scheduler. Durations are in seconds.
 type Config struct {
-	Self, Peers int // number of this scheduler and how many there are
+	Self, Peers int // the number of this scheduler, from 0, and the number of all schedulers
 	Zone        int // the zone of this scheduler
 	Classes     []Class
 	NodeTypes   []NodeType
 	Tenants     []Tenant
 
-	OvercommitCores, OvercommitMemory float64 // machines accept asks up to these multiples of their size
-	AcknowledgesOnStart               bool    // a bind is told when the task runs, not when it was accepted
-	ListShowsCapacity                 bool    // list entries carry room that nobody asked for
-	ReportsUsage                      bool    // reports count use, not asks
-	StickyServices                    bool    // the tasks of a service come to one scheduler while it is up
-	Preempts                          bool    // machines push out lower priorities
-
-	MaxAttempts        int
-	AllowsHedging      bool    // two attempts of a task may be out together
-	ConnectTimeout     float64 // a connection fails after this
-	AnswerGrace        float64 // a final answer counts this long after the deadline
-	DrainGrace         float64
-	WarmupMinPace      float64 // a machine that just came up starts tasks at this part of its pace or better
-	WarmupDuration     float64 // and is warm after this
-	OverloadMultiple   float64 // a cold machine falls over at this multiple of what it can do
-	OverloadWindow     float64 // kept up for this long
-	WarmupAttempts     float64 // offers in a fall window, from all schedulers, that a cold machine always bears
-	MustPollNodes      bool    // the list comes only when asked for
-	MaxPollInterval    float64 // how long the list may go unasked
-	SendsRetryAfter    bool    // owners are told when to come again
-	MaxRetryAfter      float64 // and follow it up to this
-	UnknownOutcomeWait float64 // how long owners of doubtful tasks wait
-	NodeCost           float64 // of machines that hold a task beyond those needed, as a part of all
-	CrossZoneCost      float64 // of tasks that run outside this scheduler's zone, as a part of all
-	MigrationCost      float64 // of one move for each task
-	OverQuotaWeight    float64 // worth of a task beyond its tenant's share
+	OvercommitCores, OvercommitMemory float64 // nodes accept requests up to these multiples of their size
+	AcknowledgesOnStart               bool    // Bound is sent when the task starts, not when it is accepted
+	ListShowsCapacity                 bool    // node lists carry the free capacity
+	ReportsUsage                      bool    // reports count what is used, not what is requested
+	StickyServices                    bool    // all tasks of a service arrive at one scheduler while it is up
+	Preempts                          bool    // nodes evict tasks of a lower priority
+
+	MaxAttempts        int     // attempts for one request
+	AllowsHedging      bool    // two attempts for a request may be outstanding at once
+	ConnectTimeout     float64 // time after which a connection attempt fails
+	AnswerGrace        float64 // time after the deadline at which a final answer still counts
+	DrainGrace         float64 // time after a node starts to drain in which attempts are still permitted
+	WarmupMinPace      float64 // part of its pace at which a node starts tasks when it has just started
+	WarmupDuration     float64 // time after which a started node has its full pace
+	OverloadMultiple   float64 // multiple of its pace at which a warming node becomes overloaded
+	OverloadWindow     float64 // time for which this must last
+	WarmupAttempts     float64 // attempts per OverloadWindow, by all schedulers, that a warming node withstands
+	MustPollNodes      bool    // node lists are sent only on request
+	MaxPollInterval    float64 // longest time between two requests for the list
+	SendsRetryAfter    bool    // rejections carry a Retry-After for the client
+	MaxRetryAfter      float64 // longest Retry-After that clients follow
+	UnknownOutcomeWait float64 // time for which clients wait after an unknown outcome
+	NodeCost           float64 // cost of nodes in use beyond those needed, as a part of the total value
+	CrossZoneCost      float64 // cost of tasks outside the scheduler's zone, as a part of the total value
+	MigrationCost      float64 // cost of one migration of each task, as a part of the total value
+	OverQuotaWeight    float64 // weight of a task beyond its tenant's share
 }
 
 // check returns an error that names the first field that cannot be used.
@@ -112,34 +117,48 @@
 	case len(c.Classes) == 0:
 		return errors.New("config has no classes")
 	case len(c.NodeTypes) == 0:
-		return errors.New("config has no kinds of machine")
+		return errors.New("config has no node types")
 	case c.Peers < 1:
 		return fmt.Errorf("peers %d: want at least 1", c.Peers)
 	case c.Self < 0 || c.Self >= c.Peers:
 		return fmt.Errorf("self %d: want 0 to %d, one of the peers", c.Self, c.Peers-1)
 	case c.MaxAttempts < 1:
-		return fmt.Errorf("attempts %d: want at least 1", c.MaxAttempts)
+		return fmt.Errorf("max attempts %d: want at least 1", c.MaxAttempts)
 	}
-	for _, v := range []struct {
-		name  string
-		value float64
-	}{
-		{"warm within", c.WarmupDuration}, {"fall window", c.OverloadWindow}, {"cold always", c.WarmupAttempts},
-		{"answer slack", c.AnswerGrace}, {"drain grace", c.DrainGrace}, {"ask within", c.MaxPollInterval},
-		{"fleet price", c.NodeCost}, {"cross price", c.CrossZoneCost}, {"move price", c.MigrationCost},
-	} {
-		if !(v.value >= 0) {
-			return fmt.Errorf("%s %v: want 0 or more", v.name, v.value)
+	if err := c.checkNotNegative(); err != nil {
+		return err
+	}
+	for i, class := range c.Classes {
+		if !(class.LatencyObjective > 0) || !(class.Deadline > 0) {
+			return fmt.Errorf("class %d: latency objective %v and deadline %v must be positive",
+				i, class.LatencyObjective, class.Deadline)
 		}
 	}
-	for i, k := range c.Classes {
-		if !(k.LatencyObjective > 0) || !(k.Deadline > 0) {
-			return fmt.Errorf("class %d: aim %v or deadline %v not usable", i, k.LatencyObjective, k.Deadline)
+	for i, nodeType := range c.NodeTypes {
+		if !(nodeType.Cores > 0) || !(nodeType.Memory > 0) {
+			return fmt.Errorf("node type %d: cores %v and memory %v must be positive", i, nodeType.Cores, nodeType.Memory)
 		}
 	}
-	for i, k := range c.NodeTypes {
-		if !(k.Cores > 0) || !(k.Memory > 0) {
-			return fmt.Errorf("kind %d: cores %v or memory %v not usable", i, k.Cores, k.Memory)
+	return nil
+}
+
+func (c *Config) checkNotNegative() error {
+	for _, field := range []struct {
+		name  string
+		value float64
+	}{
+		{"warmup duration", c.WarmupDuration},
+		{"overload window", c.OverloadWindow},
+		{"warmup attempts", c.WarmupAttempts},
+		{"answer grace", c.AnswerGrace},
+		{"drain grace", c.DrainGrace},
+		{"max poll interval", c.MaxPollInterval},
+		{"node cost", c.NodeCost},
+		{"cross-zone cost", c.CrossZoneCost},
+		{"migration cost", c.MigrationCost},
+	} {
+		if !(field.value >= 0) {
+			return fmt.Errorf("%s %v: want 0 or more", field.name, field.value)
 		}
 	}
 	return nil
@@ -154,62 +173,66 @@
 // isFiniteAmount reports whether x is a number, not negative and not infinite.
 func isFiniteAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// Task is one ask for a placing.
+// Task is a request to place a task.
 type Task struct {
 	ID            TaskID
-	Class, Tenant int
+	Class, Tenant int // indexes in Config
 	Service       ServiceID
-	Cores, Memory float64
-	Deadline      float64 // clock time
-	IsRetry       bool    // it came before
+	Cores, Memory float64 // requested capacity
+	Deadline      float64 // time by which the final answer is due
+	IsRetry       bool    // the client requested the task before
 }
 
-// NodeState is what the list says of a machine.
+// NodeState is the state of a node as the node list shows it.
 type NodeState uint8
 
-// The states of a machine.
+// The states of a node.
 const (
 	Terminated NodeState = iota
 	Ready
-	Draining
+	Draining // runs its tasks but accepts no others
 )
 
-// Node is one entry of the list of machines.
+// Node is an entry of the node list.
 type Node struct {
 	ID                    NodeID
-	Zone, Rack, NodeType  int
+	Zone, Rack, NodeType  int // NodeType is an index in Config
 	State                 NodeState
-	FreeCores, FreeMemory float64 // nobody asked for; may be negative
-	StartedAt             float64 // clock time of the last start; 0 is long ago
+	FreeCores, FreeMemory float64 // capacity that is not requested; negative on an overcommitted node
+	StartedAt             float64 // time of the last start; 0 is long ago
 }
 
-// Report is what a machine says of its load. A value that was not told is NaN.
-type Report struct{ FreeCores, FreeMemory, Utilization, QueueLength float64 }
+// Report is a node's report of its load. A value that is not reported is NaN.
+type Report struct {
+	FreeCores, FreeMemory float64 // not in use where Config.ReportsUsage, otherwise not requested
+	Utilization           float64 // part of the cores in use; 1 is all
+	QueueLength           float64 // tasks that wait on the node
+}
 
-// ListKind says how a list is meant.
+// ListKind is the kind of a node list.
 type ListKind uint8
 
 // The kinds of list.
 const (
-	FullList ListKind = iota
-	CachedList
-	Changes
-	ListFailed
+	FullList   ListKind = iota // all nodes; others have terminated
+	CachedList                 // a full list that may be out of date
+	Changes                    // only the nodes that have changed
+	ListFailed                 // the request for the list failed
 )
 
-// Result says how an attempt ended.
+// Result is the outcome of an attempt.
 type Result uint8
 
-// The results of an attempt. Refused, Unreachable and Moot prove that the task never ran.
+// The results of an attempt. Rejected, Unreachable and Expired prove that the task did not start.
 const (
-	Finished Result = iota
-	Errored
-	Rejected
-	TimedOut
-	Unreachable
-	Lost
-	Cancelled
-	Expired
+	Finished    Result = iota // the task has run to its end
+	Errored                   // the node answered with an error, or the task failed
+	Rejected                  // the node did not accept the task
+	TimedOut                  // no answer came in time
+	Unreachable               // no connection to the node
+	Lost                      // the connection broke, or the node stopped the task
+	Cancelled                 // the client withdrew the task
+	Expired                   // the attempt was not sent before its deadline
 )
 
 // neverRan reports whether the result proves that the attempt did not start the task.
@@ -220,89 +243,85 @@
 // Reason says more about a result.
 type Reason uint8
 
-// The reasons a machine gives.
+// The reasons that a node gives.
 const (
 	NoReason Reason = iota
 	InsufficientCores
 	InsufficientMemory
 	QueueFull
-	WrongNode
-	Evicted
-	Preempted
-	Drained
+	WrongNode // the node does not take this task, for example since it is draining
+	Evicted   // the node ran out of memory
+	Preempted // a task of a higher priority took its place
+	Drained   // the node stopped the task as it drains
 )
 
-// UsageKind says what a note on a task measures.
+// UsageKind is what a usage report on a running task measures.
 type UsageKind uint8
 
-// The notes on a running task.
+// The kinds of usage report.
 const (
-	Started UsageKind = iota + 1
-	CoresUsed
-	MemoryUsed
-	ServedFraction
-	NodeMemory
+	Started        UsageKind = iota + 1 // the task has started
+	CoresUsed                           // cores in use by the task
+	MemoryUsed                          // memory in use by the task
+	ServedFraction                      // part of full service that it gives
+	NodeMemory                          // memory in use on its node
 )
 
-// EventKind selects what an Event says.
+// EventKind selects the meaning of an Event.
 type EventKind uint8
 
-// The events: Listed has List and Nodes; Arrived has Task; Running has Task and Node (attempt 0 is running
-// there); Bound has ID, Attempt, Node and Elapsed; Ended has ID, Attempt, Node, Result, Reason, Elapsed, Over
-// and Report; Noted has ID, Attempt, Node, Use and Value; Withdrawn has ID; Woken has Token.
+// The kinds of event, with the fields that they use.
 const (
-	NodesListed EventKind = iota + 1
-	Arrived
-	Adopted
-	Bound
-	Ended
-	UsageReported
-	Withdrawn
-	TimerFired
+	NodesListed   EventKind = iota + 1 // a node list arrived: List, Nodes
+	Arrived                            // a placement request arrived: Task
+	Adopted                            // a task was found running, as attempt 0: Task, Node
+	Bound                              // a node accepted an attempt: TaskID, Attempt, Node, Elapsed
+	Ended                              // an attempt ended: as Bound, and Result, Reason, Final, Report
+	UsageReported                      // a running task was measured: TaskID, Attempt, Node, Usage, Value
+	Withdrawn                          // the client gave up a request: TaskID
+	TimerFired                         // a timer that was set has fired: Token
 )
 
-// Event is something that happened to this scheduler.
+// Event is something that happened to the scheduler.
 type Event struct {
 	Kind    EventKind
 	TaskID  TaskID
 	Task    Task
 	Node    NodeID
-	Attempt int
+	Attempt int // number of the attempt for its request, from 0
 	Result  Result
 	Reason  Reason
-	Elapsed float64 // since the offer
-	Final   bool    // the ask is over
-	Report  *Report // nil when none came
+	Elapsed float64 // seconds since the attempt was sent
+	Final   bool    // no further attempt is permitted
+	Report  *Report // nil if none came
 	List    ListKind
 	Nodes   []Node // read during Handle only
 	Usage   UsageKind
-	Value   float64
+	Value   float64 // in the unit of Usage
 	Token   uint64
 }
 
-// ActionKind selects what an Action asks for.
+// ActionKind selects the meaning of an Action.
 type ActionKind uint8
 
-// The actions: Offer has Task, Node, Attempt and Until (give up then); Refuse has Task and After (the owner
-// should not come earlier; 0 is no advice); Fail has Task; Wake has Token and After; Watch and Fetch ask for
-// the list, with changes from now on or once; Move stops a bound Task, whose owner then asks again.
+// The kinds of action, with the fields that they use.
 const (
-	StartAttempt ActionKind = iota + 1
-	Reject
-	Fail
-	SetTimer
-	WatchNodes
-	ListNodes
-	Migrate
+	StartAttempt ActionKind = iota + 1 // send the task to a node: Task, Node, Attempt, Until
+	Reject                             // answer the client that the task was not placed: Task, After
+	Fail                               // answer the client that the outcome is not known: Task
+	SetTimer                           // hand in TimerFired later: Token, After
+	WatchNodes                         // request the node list and later changes
+	ListNodes                          // request the node list once
+	Migrate                            // stop a bound task, which the client then requests again: Task
 )
 
-// Action is something the scheduler must do now.
+// Action is something that the scheduler must do now.
 type Action struct {
 	Kind    ActionKind
 	Task    TaskID
 	Node    NodeID
 	Attempt int
-	Until   float64
-	After   float64
+	Until   float64 // time at which the attempt times out
+	After   float64 // seconds; for Reject the Retry-After, or 0 for none
 	Token   uint64
 }
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -5,12 +5,17 @@
 	"testing"
 )
 
-// BenchmarkDecision is one task arriving and being bound, by the number of machines.
+// BenchmarkDecision is one task that arrives, is bound and ends, by the number of nodes.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
-		b.Run(fmt.Sprint("machines=", n), func(b *testing.B) {
-			p, err := New(Config{Peers: 1, Classes: []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
-				NodeTypes: []NodeType{{Cores: 32, Memory: 64}}, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true, MaxAttempts: 3, AnswerGrace: 0.01, MaxPollInterval: 10}, 1)
+		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
+			p, err := New(Config{
+				Peers:           1,
+				Classes:         []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+				NodeTypes:       []NodeType{{Cores: 32, Memory: 64}},
+				OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true,
+				MaxAttempts: 3, AnswerGrace: 0.01, MaxPollInterval: 10,
+			}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -25,7 +30,8 @@
 			for i := range b.N {
 				now += 0.01
 				id := TaskID(i + 1)
-				acts = p.Handle(now, Event{Kind: Arrived, Task: Task{ID: id, Service: ServiceID(i % 50), Cores: 0.1, Memory: 0.1, Deadline: now + 8}}, acts[:0])
+				task := Task{ID: id, Service: ServiceID(i % 50), Cores: 0.1, Memory: 0.1, Deadline: now + 8}
+				acts = p.Handle(now, Event{Kind: Arrived, Task: task}, acts[:0])
 				for _, a := range acts {
 					if a.Kind == StartAttempt {
 						p.Handle(now, Event{Kind: Bound, TaskID: id, Attempt: a.Attempt, Node: a.Node, Elapsed: 0.005}, nil)
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -1,7 +1,7 @@
 package placer_test
 
 // Characterization tests: they pin what a Placer does, to the last bit, so that a refactoring can be shown to
-// change nothing. Each script drives one Placer through a seeded discrete-event simulation of a fleet and
+// change nothing. Each script drives one Placer through a seeded discrete-event simulation of nodes and
 // writes a running SHA-256 of all actions at fixed checkpoints. The first checkpoint that differs locates a
 // change to within checkpointEvents events.
 //
@@ -14,14 +14,7 @@
 // on another architecture may round differently.
 
 import (
-	"bytes"
-	"container/heap"
-	"crypto/sha256"
-	"encoding/binary"
-	"fmt"
-	"hash"
 	"math"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -66,33 +59,31 @@
 	return "(no line)"
 }
 
-// ---- the scripts ----
-
-// script is a scheduler configuration with the fleet and the load that it meets.
+// script is a scheduler configuration with nodes and a load. Times are in seconds.
 type script struct {
 	name   string
 	seed   uint64
 	events int
 	config placer.Config
 
-	nodes          int     // in the fleet at the start
+	nodes          int     // at the start
 	zones, racks   int     // over which they are spread
 	services       int     // that tasks belong to
 	arrivalsPerSec float64 // mean rate of new tasks
 	lifetime       float64 // mean seconds for which a bound task runs
 	task           float64 // cores of a typical task
 	taskMemory     float64 // memory of a typical task
-	churnEvery     float64 // mean seconds between changes of the fleet, 0 for none
+	churnEvery     float64 // mean seconds between changes of the nodes, 0 for none
 	listEvery      float64 // seconds between pushed lists
 	listFails      float64 // part of the list answers that are failures
-	failing        float64 // part of the offers that end in an error before the bind
-	brokenNodes    int     // machines that never start a task
-	lateOutcomes   float64 // part of the offers whose outcome comes after the deadline
+	failing        float64 // part of the attempts that end before they are bound
+	brokenNodes    int     // nodes that never start a task
+	lateOutcomes   float64 // part of the attempts whose outcome comes after the deadline
 	lowLoadAfter   int     // events after which few tasks arrive, 0 for never
-	withdrawn      float64 // part of the tasks that their owners withdraw early
-	returnsAfter   float64 // seconds after which a machine that left comes back, 0 for never
-	minUsageRatio  float64 // part of what is asked that is used at least
-	firstSince     float64 // clock time of the machines' last start, 0 for long ago
+	withdrawn      float64 // part of the tasks that their clients withdraw early
+	returnsAfter   float64 // seconds after which a removed node is listed again, 0 for never
+	minUsageRatio  float64 // part of the requested capacity that is used at least
+	firstSince     float64 // time of the nodes' last start, 0 for long ago
 }
 
 func classes(apart ...placer.TopologyDomain) []placer.Class {
@@ -157,10 +148,10 @@
 	memory := baseConfig()
 	memory.ListShowsCapacity, memory.ReportsUsage, memory.OvercommitCores, memory.OvercommitMemory = true, true, 2, 2
 
-	dear := fleet // moves cost more than the machines that they free
+	dear := fleet // migrations cost more than the nodes that they free
 	dear.NodeCost, dear.MigrationCost, dear.WarmupAttempts = 0.1, 0.2, 30
 
-	deaf := zones // the list hardly ever comes
+	deaf := zones // lists hardly ever arrive
 	deaf.MaxPollInterval, deaf.Peers = 400, 3
 
 	return []script{
@@ -253,529 +244,3 @@
 		t.Fatalf("accepted configurations\n got %s\nwant %s", got.String(), want)
 	}
 }
-
-// ---- the simulated fleet ----
-
-// simNode is the true state of a machine, which the Placer sees through lists and reports only.
-type simNode struct {
-	placer.Node
-	requestedCores, requestedMemory float64
-	broken                          bool
-	removed                         bool
-}
-
-// simTask is a task of the simulation.
-type simTask struct {
-	task     placer.Task
-	nodes    []*simNode // by attempt
-	ended    []bool     // by attempt
-	bound    bool
-	lifetime float64
-}
-
-// pendingEvent is something that the simulation does at a later time.
-type pendingEvent struct {
-	at       float64
-	sequence int
-	do       func()
-}
-
-type eventQueue []pendingEvent
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(pendingEvent)) }
-func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
-// simulation runs one script.
-type simulation struct {
-	script     script
-	p          *placer.Placer
-	rng        *rand.Rand
-	now        float64
-	queue      eventQueue
-	sequence   int
-	nodes      []*simNode
-	tasks      []*simTask
-	byID       map[placer.TaskID]*simTask
-	nextNode   placer.NodeID
-	nextTask   placer.TaskID
-	subscribed bool
-	digest     hash.Hash
-	events     int
-	actions    [8]int // by the number of their kind
-	out        *strings.Builder
-	buffer     []placer.Action
-}
-
-func runScript(t *testing.T, s script, out *strings.Builder) {
-	t.Helper()
-	p, err := placer.New(s.config, s.seed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	sim := &simulation{script: s, p: p, rng: rand.New(rand.NewPCG(s.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !s.config.MustPollNodes}
-	sim.start()
-	for sim.events < s.events {
-		next := heap.Pop(&sim.queue).(pendingEvent)
-		sim.now = next.at
-		next.do()
-	}
-}
-
-func (s *simulation) start() {
-	for range s.script.nodes {
-		s.addNode(s.script.firstSince)
-	}
-	for i := range s.script.brokenNodes {
-		s.nodes[i*3%len(s.nodes)].broken = true
-	}
-	for i := range 8 {
-		s.adopt(i)
-	}
-	s.pushNodes()
-	s.arrivals()
-	s.unmatchedEvents()
-	if s.script.churnEvery > 0 {
-		s.after(s.script.churnEvery, s.churn)
-	}
-}
-
-func (s *simulation) after(seconds float64, do func()) {
-	s.sequence++
-	heap.Push(&s.queue, pendingEvent{s.now + seconds, s.sequence, do})
-}
-
-// chance is true in the given part of all calls.
-func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
-
-// handle hands an event to the Placer, digests what it answers and carries that out.
-func (s *simulation) handle(ev placer.Event) {
-	s.handleAt(s.now, ev)
-}
-
-func (s *simulation) handleAt(now float64, ev placer.Event) {
-	prefix := placer.Action{Kind: 99, Token: uint64(s.events)} // what stands in the buffer must stay there
-	s.buffer = s.p.Handle(now, ev, append(s.buffer[:0], prefix))
-	s.digestActions()
-	s.events++
-	if s.events%checkpointEvents == 0 && s.events <= s.script.events {
-		fmt.Fprintf(s.out, "%s %d %v %x\n", s.script.name, s.events, s.actions[1:], s.digest.Sum(nil))
-	}
-	for _, a := range copyOfActions(s.buffer) {
-		s.carryOut(a)
-	}
-}
-
-// copyOfActions copies the actions of one event, for carrying them out may hand in the next event.
-func copyOfActions(actions []placer.Action) []placer.Action {
-	return append([]placer.Action(nil), actions[1:]...)
-}
-
-func (s *simulation) digestActions() {
-	var b bytes.Buffer
-	word := func(v uint64) { b.Write(binary.LittleEndian.AppendUint64(nil, v)) }
-	word(uint64(len(s.buffer)))
-	for _, a := range s.buffer {
-		word(uint64(a.Kind))
-		word(uint64(a.Task))
-		word(uint64(a.Node))
-		word(uint64(a.Attempt))
-		word(math.Float64bits(a.Until))
-		word(math.Float64bits(a.After))
-		word(a.Token)
-		if int(a.Kind) < len(s.actions) {
-			s.actions[a.Kind]++
-		}
-	}
-	s.digest.Write(b.Bytes())
-}
-
-func (s *simulation) carryOut(a placer.Action) {
-	switch a.Kind {
-	case placer.StartAttempt:
-		s.attemptStarted(a)
-	case placer.SetTimer:
-		s.after(a.After, func() { s.handle(placer.Event{Kind: placer.TimerFired, Token: a.Token}) })
-	case placer.WatchNodes, placer.ListNodes:
-		s.after(0.05+0.1*s.rng.Float64(), s.answerPoll)
-	case placer.Migrate:
-		if t := s.byID[a.Task]; t != nil {
-			s.after(0.3, func() { s.migrate(t) })
-		}
-	case placer.Reject, placer.Fail:
-		if t := s.byID[a.Task]; t != nil && s.chance(0.3) {
-			s.after(0.5+s.rng.Float64(), func() { s.resubmit(t) })
-		}
-	}
-}
-
-// ---- lists and the fleet ----
-
-func (s *simulation) addNode(since float64) {
-	s.nextNode += 7
-	m := &simNode{Node: placer.Node{ID: s.nextNode, Zone: s.rng.IntN(s.script.zones), Rack: s.rng.IntN(s.script.racks),
-		NodeType: s.rng.IntN(len(s.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
-	if s.chance(0.03) {
-		m.NodeType = 9 // a kind that the configuration does not know
-	}
-	s.nodes = append(s.nodes, m)
-}
-
-// entry is the line that the list shows for a machine.
-func (s *simulation) entry(m *simNode) placer.Node {
-	n := m.Node
-	size := s.size(m)
-	n.FreeCores, n.FreeMemory = size.Cores-m.requestedCores, size.Memory-m.requestedMemory
-	return n
-}
-
-func (s *simulation) size(m *simNode) placer.NodeType {
-	if m.NodeType < len(s.script.config.NodeTypes) {
-		return s.script.config.NodeTypes[m.NodeType]
-	}
-	return placer.NodeType{Cores: 8, Memory: 16}
-}
-
-func (s *simulation) sendNodes(kind placer.ListKind) {
-	ev := placer.Event{Kind: placer.NodesListed, List: kind}
-	for _, m := range s.nodes {
-		if m.removed || kind == placer.ListFailed || kind == placer.Changes && s.chance(0.6) {
-			continue
-		}
-		ev.Nodes = append(ev.Nodes, s.entry(m))
-	}
-	s.handle(ev)
-}
-
-func (s *simulation) pushNodes() {
-	s.after(s.script.listEvery, s.pushNodes)
-	if !s.subscribed {
-		return
-	}
-	switch {
-	case s.chance(s.script.listFails):
-		s.subscribed = !s.script.config.MustPollNodes
-		s.sendNodes(placer.ListFailed)
-	case s.chance(0.2):
-		s.sendNodes(placer.FullList)
-	case s.chance(0.2):
-		s.sendNodes(placer.CachedList)
-	default:
-		s.sendNodes(placer.Changes)
-	}
-}
-
-// answerPoll answers a request for the list, if it does so at all.
-func (s *simulation) answerPoll() {
-	switch {
-	case s.chance(s.script.listFails):
-		s.sendNodes(placer.ListFailed)
-	case s.chance(0.1): // no answer
-	default:
-		s.subscribed = s.chance(0.8)
-		s.sendNodes(placer.FullList)
-	}
-}
-
-// churn changes one machine: it drains, leaves, restarts or is replaced.
-func (s *simulation) churn() {
-	s.after(s.script.churnEvery*(0.5+s.rng.Float64()), s.churn)
-	m := s.nodes[s.rng.IntN(len(s.nodes))]
-	switch draw := s.rng.Float64(); {
-	case s.script.returnsAfter > 0:
-		s.removeForAWhile(m)
-	case m.removed:
-		if len(s.nodes) < 4*s.script.nodes {
-			s.addNode(s.now)
-		}
-	case draw < 0.2:
-		m.State = placer.Draining
-	case draw < 0.35:
-		m.State = placer.Terminated
-	case draw < 0.45:
-		m.removed = true
-		s.addNode(s.now)
-	case draw < 0.55:
-		m.broken = !m.broken
-	default:
-		m.State, m.StartedAt = placer.Ready, s.now-0.5*s.rng.Float64()
-	}
-}
-
-// removeForAWhile takes a machine off the list and brings it back, as it was, about when it is forgotten.
-func (s *simulation) removeForAWhile(m *simNode) {
-	if m.removed || m.State != placer.Ready {
-		return
-	}
-	m.removed = true
-	s.after(s.script.returnsAfter+2*s.rng.Float64(), func() { m.removed = false })
-}
-
-// report is what a machine tells of its load; parts of it are missing at random.
-func (s *simulation) report(m *simNode) *placer.Report {
-	if s.chance(0.3) {
-		return nil
-	}
-	size, use := s.size(m), 0.5+s.script.minUsageRatio+(0.4-s.script.minUsageRatio)*s.rng.Float64()
-	if s.chance(0.05) {
-		use = 1.3
-	}
-	r := &placer.Report{FreeCores: size.Cores - m.requestedCores*use, FreeMemory: size.Memory - m.requestedMemory*use,
-		Utilization: m.requestedCores * use / size.Cores, QueueLength: float64(s.rng.IntN(4))}
-	for _, field := range []*float64{&r.FreeCores, &r.FreeMemory, &r.Utilization, &r.QueueLength} {
-		if s.chance(0.25) {
-			*field = math.NaN()
-		}
-	}
-	return r
-}
-
-// ---- tasks ----
-
-func (s *simulation) newTask() placer.Task {
-	class := s.rng.IntN(len(s.script.config.Classes))
-	t := placer.Task{ID: s.nextTask, Class: class, Tenant: s.rng.IntN(2),
-		Service: placer.ServiceID(1 + s.rng.IntN(s.script.services)),
-		Cores:   s.script.task * (0.5 + s.rng.Float64()), Memory: s.script.taskMemory * (0.5 + s.rng.Float64()),
-		Deadline: s.now + s.script.config.Classes[class].Deadline, IsRetry: s.chance(0.1)}
-	s.nextTask++
-	return t
-}
-
-func (s *simulation) arrivals() {
-	rate := s.script.arrivalsPerSec
-	if s.script.lowLoadAfter > 0 && s.events > s.script.lowLoadAfter {
-		rate /= 8
-	}
-	s.after(-math.Log(1-s.rng.Float64())/rate, s.arrivals)
-	t := s.newTask()
-	if s.chance(0.02) {
-		s.invalidate(&t)
-	}
-	s.arrive(t)
-	if s.chance(0.01) { // a burst
-		for range 15 {
-			s.arrive(s.newTask())
-		}
-	}
-}
-
-// invalidate makes a task one that can never be placed.
-func (s *simulation) invalidate(t *placer.Task) {
-	switch s.rng.IntN(9) {
-	case 0:
-		t.Class = -1
-	case 1:
-		t.Class = 99
-	case 2:
-		t.Cores = math.NaN()
-	case 3:
-		t.Cores = math.Inf(1)
-	case 4:
-		t.Memory = -1
-	case 5:
-		t.Memory = math.Inf(1)
-	case 6:
-		t.Deadline = s.now
-	case 7:
-		t.Deadline = math.NaN()
-	case 8:
-		t.Cores, t.Memory = 0, 0
-	}
-}
-
-func (s *simulation) arrive(task placer.Task) {
-	t := &simTask{task: task, lifetime: s.script.lifetime * 2 * s.rng.Float64()}
-	s.tasks = append(s.tasks, t)
-	s.byID[task.ID] = t
-	s.handle(placer.Event{Kind: placer.Arrived, Task: task})
-	if s.chance(0.02) {
-		s.handle(placer.Event{Kind: placer.Arrived, Task: task}) // told twice
-	}
-	if s.chance(0.05 + s.script.withdrawn) {
-		s.after(2*s.rng.Float64()*(1-s.script.withdrawn), func() { s.withdraw(t) })
-	}
-}
-
-func (s *simulation) withdraw(t *simTask) {
-	s.handle(placer.Event{Kind: placer.Withdrawn, TaskID: t.task.ID})
-	attempt := len(t.ended) - 1
-	if attempt >= 0 && !t.ended[attempt] && s.chance(0.8-s.script.withdrawn) {
-		s.end(t, attempt, placer.Cancelled, placer.NoReason, true)
-	}
-}
-
-// resubmit lets the owner of a task that was turned away ask for it again.
-func (s *simulation) resubmit(t *simTask) {
-	again := t.task
-	again.ID, again.IsRetry = s.nextTask, true
-	again.Deadline = s.now + 4
-	s.nextTask++
-	s.arrive(again)
-}
-
-// migrate stops a task at the scheduler's wish.
-func (s *simulation) migrate(t *simTask) {
-	attempt := len(t.ended) - 1
-	if attempt < 0 || t.ended[attempt] {
-		return
-	}
-	s.end(t, attempt, placer.Lost, placer.Drained, true)
-	s.resubmit(t)
-}
-
-// adopt tells of a task that runs already; some stand on machines that no list has named.
-func (s *simulation) adopt(i int) {
-	m := s.nodes[s.rng.IntN(len(s.nodes))]
-	if i%4 == 3 {
-		m = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + i)}}
-	}
-	t := &simTask{task: s.newTask(), nodes: []*simNode{m}, ended: []bool{false}, bound: true}
-	s.tasks = append(s.tasks, t)
-	s.byID[t.task.ID] = t
-	m.requestedCores += t.task.Cores
-	m.requestedMemory += t.task.Memory
-	for range 1 + i%2 { // some are told twice
-		s.handle(placer.Event{Kind: placer.Adopted, Task: t.task, Node: m.ID})
-	}
-	s.after(3+20*s.rng.Float64(), func() { s.finish(t, 0) })
-}
-
-// attemptStarted draws what becomes of an offer.
-func (s *simulation) attemptStarted(a placer.Action) {
-	t := s.byID[a.Task]
-	var m *simNode
-	for _, candidate := range s.nodes {
-		if candidate.ID == a.Node {
-			m = candidate
-		}
-	}
-	t.nodes, t.ended = append(t.nodes, m), append(t.ended, false)
-	attempt, sent := a.Attempt, s.now
-	latency := 0.01 + 0.2*s.rng.Float64()
-	later := func(seconds float64, result placer.Result, reason placer.Reason) {
-		s.after(seconds, func() { s.end(t, attempt, result, reason, s.chance(0.03)) })
-	}
-	size := s.size(m)
-	switch {
-	case s.chance(s.script.lateOutcomes): // the outcome comes too late
-		later(t.task.Deadline-s.now+1, placer.TimedOut, placer.NoReason)
-	case m.removed || m.State == placer.Terminated:
-		later(latency, placer.Unreachable, placer.NoReason)
-	case m.State == placer.Draining:
-		later(latency, placer.Rejected, placer.WrongNode)
-	case m.broken && s.chance(0.5):
-		later(a.Until-s.now, placer.TimedOut, placer.NoReason)
-	case m.broken:
-		later(latency, placer.Errored, placer.NoReason)
-	case m.requestedCores+t.task.Cores > size.Cores*s.script.config.OvercommitCores:
-		later(latency, placer.Rejected, placer.InsufficientCores)
-	case m.requestedMemory+t.task.Memory > size.Memory*s.script.config.OvercommitMemory:
-		later(latency, placer.Rejected, placer.InsufficientMemory)
-	case s.chance(s.script.failing):
-		outcome := s.drawFailure()
-		later(latency, outcome.result, outcome.reason)
-	default:
-		s.after(latency+0.4*s.rng.Float64(), func() { s.bind(t, attempt, s.now-sent) })
-	}
-}
-
-type outcome struct {
-	result placer.Result
-	reason placer.Reason
-}
-
-// drawFailure is how an attempt may end before its bind.
-func (s *simulation) drawFailure() outcome {
-	all := []outcome{
-		{placer.Rejected, placer.InsufficientCores}, {placer.Rejected, placer.InsufficientMemory}, {placer.Rejected, placer.QueueFull},
-		{placer.Rejected, placer.WrongNode}, {placer.Rejected, placer.NoReason}, {placer.Rejected, placer.QueueFull},
-		{placer.Errored, placer.NoReason}, {placer.Errored, placer.NoReason}, {placer.TimedOut, placer.NoReason},
-		{placer.Unreachable, placer.NoReason}, {placer.Lost, placer.NoReason}, {placer.Lost, placer.Evicted},
-		{placer.Lost, placer.Preempted}, {placer.Lost, placer.Drained}, {placer.Cancelled, placer.NoReason},
-		{placer.Expired, placer.NoReason}, {placer.Finished, placer.NoReason},
-	}
-	return all[s.rng.IntN(len(all))]
-}
-
-func (s *simulation) bind(t *simTask, attempt int, elapsed float64) {
-	if t.ended[attempt] {
-		return
-	}
-	t.bound = true
-	m := t.nodes[attempt]
-	m.requestedCores += t.task.Cores
-	m.requestedMemory += t.task.Memory
-	ev := placer.Event{Kind: placer.Bound, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Elapsed: elapsed}
-	s.handle(ev)
-	if s.chance(0.02) {
-		s.handle(ev) // told twice
-	}
-	for use := placer.Started; use <= placer.NodeMemory; use++ {
-		if s.chance(0.5) {
-			s.after(0.2+s.rng.Float64(), func() { s.reportUsage(t, attempt, use) })
-		}
-	}
-	s.after(t.lifetime, func() { s.finish(t, attempt) })
-}
-
-func (s *simulation) reportUsage(t *simTask, attempt int, use placer.UsageKind) {
-	value := 2 * s.rng.Float64() * t.task.Cores
-	s.handle(placer.Event{Kind: placer.UsageReported, TaskID: t.task.ID, Attempt: attempt, Node: t.nodes[attempt].ID, Usage: use, Value: value})
-}
-
-// finish ends a bound task, mostly well.
-func (s *simulation) finish(t *simTask, attempt int) {
-	o := outcome{placer.Finished, placer.NoReason}
-	if s.chance(0.25) {
-		o = s.drawFailure()
-	}
-	s.end(t, attempt, o.result, o.reason, s.chance(0.9))
-}
-
-func (s *simulation) end(t *simTask, attempt int, result placer.Result, reason placer.Reason, over bool) {
-	if t.ended[attempt] {
-		return
-	}
-	t.ended[attempt] = true
-	m := t.nodes[attempt]
-	if t.bound && attempt == len(t.ended)-1 {
-		m.requestedCores -= t.task.Cores
-		m.requestedMemory -= t.task.Memory
-	}
-	ev := placer.Event{Kind: placer.Ended, TaskID: t.task.ID, Attempt: attempt, Node: m.ID, Result: result, Reason: reason,
-		Elapsed: 0.1, Final: over, Report: s.report(m)}
-	s.handle(ev)
-	if s.chance(0.02) {
-		s.handle(ev) // told twice
-	}
-}
-
-// unmatchedEvents hands in events that match nothing, and clocks that go back a little.
-func (s *simulation) unmatchedEvents() {
-	s.after(0.5+s.rng.Float64(), s.unmatchedEvents)
-	id := placer.TaskID(1 + s.rng.IntN(int(s.nextTask)))
-	node := s.nodes[s.rng.IntN(len(s.nodes))].ID
-	kinds := []placer.Event{
-		{Kind: placer.Bound, TaskID: id, Attempt: 50, Node: node},
-		{Kind: placer.Bound, TaskID: 1 << 40, Node: node},
-		{Kind: placer.Bound, TaskID: id, Attempt: -1, Node: node},
-		{Kind: placer.Ended, TaskID: id, Attempt: 50, Node: node, Result: placer.Lost},
-		{Kind: placer.Ended, TaskID: 1 << 40, Node: node},
-		{Kind: placer.UsageReported, TaskID: id, Attempt: -1, Usage: placer.CoresUsed, Value: 1},
-		{Kind: placer.UsageReported, TaskID: id, Attempt: 0, Usage: placer.UsageKind(77), Value: 1},
-		{Kind: placer.Withdrawn, TaskID: 1 << 40},
-		{Kind: placer.TimerFired, Token: 1 << 40},
-		{Kind: placer.EventKind(200), TaskID: id},
-	}
-	s.handleAt(s.now-0.05, kinds[s.rng.IntN(len(kinds))])
-}
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -31,7 +31,7 @@
 	if !(p.cfg.CrossZoneCost > 0) {
 		return p.candidates
 	}
-	return preferNodes(p.candidates, func(node *trackedNode) bool { return node.Node.Zone == p.cfg.Zone })
+	return preferNodes(p.candidates, func(node *trackedNode) bool { return node.Zone == p.cfg.Zone })
 }
 
 // tooFewHealthy marks the ready nodes that are healthy for the request and reports whether these are so few
--- a/placer/node.go
+++ b/placer/node.go
@@ -158,9 +158,9 @@
 	case ClusterDomain:
 		return true
 	case ZoneDomain:
-		return a.listed && b.listed && a.Node.Zone == b.Node.Zone
+		return a.listed && b.listed && a.Zone == b.Zone
 	case RackDomain:
-		return a.listed && b.listed && a.Node.Rack == b.Node.Rack
+		return a.listed && b.listed && a.Rack == b.Rack
 	}
 	return a == b
 }
--- /dev/null
+++ b/placer/slowstart_test.go
@@ -0,0 +1,174 @@
+package placer
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+func TestWarmingNodeGetsOnlyOwnShareOfAttempts(t *testing.T) {
+	nodes := testNodes(1)
+	nodes[0].StartedAt = 98
+	p := newTestPlacer(t, testConfig(), 1, nodes)
+	if acts := arrive(p, 100.1, newTask(1, 0)); len(actionsOfKind(acts, StartAttempt)) != 0 {
+		t.Fatal("a scheduler that has just started does not know its earlier attempts, yet made one")
+	}
+	n := 0
+	for i := range 20 {
+		k := newTask(i+10, 0)
+		k.Deadline = 109
+		n += len(actionsOfKind(arrive(p, 103+float64(i)/20, k), StartAttempt))
+	}
+	if n != 4 { // 8 for two peers
+		t.Fatalf("%d attempts in an overload window, want this scheduler's share of 4", n)
+	}
+}
+
+func TestPeersShareFewerWarmupAttemptsThanPeers(t *testing.T) {
+	c := testConfig()
+	c.Peers = 20
+	sent := 0
+	for self := range c.Peers {
+		c.Self = self
+		nodes := testNodes(1)
+		nodes[0].StartedAt = 98
+		p := newTestPlacer(t, c, uint64(self), nodes)
+		for i := range 20 {
+			k := newTask(i+1, 0)
+			k.Deadline = 109
+			sent += len(actionsOfKind(arrive(p, 103+float64(i)/10, k), StartAttempt))
+		}
+	}
+	if sent == 0 || sent > 8 {
+		t.Fatalf("%d attempts in an overload window by 20 peers, want 1 to 8", sent)
+	}
+}
+
+// A warming node must withstand the attempts of all schedulers: hundreds of them, with most nodes warming up at once,
+// uneven traffic, rejected attempts, and schedulers that restart.
+func TestAllSchedulersRespectWarmupAttempts(t *testing.T) {
+	c := testConfig()
+	c.Peers, c.WarmupAttempts, c.WarmupDuration, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 300, 7, 20, false, 9, 9
+	nodes := testNodes(30)
+	for i := range nodes {
+		if i%3 > 0 {
+			nodes[i].StartedAt = 99
+		}
+	}
+	r := rand.New(rand.NewPCG(4, 4))
+	sent, most, warming := map[NodeID][]float64{}, 0, 0
+	peers := make([]*Placer, c.Peers)
+	for now, id := 100.0, 0; now < 112; now += 0.05 {
+		for self := range peers {
+			if peers[self] == nil || r.IntN(2000) == 0 {
+				c.Self = self
+				p, err := New(c, uint64(self+id))
+				if err != nil {
+					t.Fatal(err)
+				}
+				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
+				peers[self] = p
+			}
+			if r.IntN(1+self/20) > 0 {
+				continue
+			}
+			id++
+			k := newTask(id, 0)
+			k.Deadline = now + 1.1
+			acts := arrive(peers[self], now, k)
+			for o := actionsOfKind(acts, StartAttempt); len(o) > 0; o = actionsOfKind(acts, StartAttempt) {
+				n := o[0].Node
+				if nodes[n-1].StartedAt > 0 {
+					warming++
+					list := append(sent[n], now)
+					for now-list[0] > c.OverloadWindow {
+						list = list[1:]
+					}
+					sent[n] = list
+					most = max(most, len(list))
+				}
+				acts = endAttempt(peers[self], now, o[0], Rejected, []Reason{InsufficientCores, QueueFull}[r.IntN(2)])
+			}
+		}
+	}
+	if float64(most) > c.WarmupAttempts {
+		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, c.WarmupAttempts)
+	}
+	if least := 20 * 12 / c.OverloadWindow * c.WarmupAttempts / 4; float64(warming) < least {
+		t.Errorf("%d attempts on warming nodes in all, want at least %v: the allowance is not used", warming, least)
+	}
+}
+
+// Thirty schedulers and one warming node, half of the traffic at two of them, half of them restarted in between without
+// memory. What is sent within a window is what the node withstands. Where an attempt waits for its connection, what
+// arrives within a window may be more by a random part.
+func TestThirtySchedulersOverOneWarmingNode(t *testing.T) {
+	for _, always := range []float64{4, 12, 42, 100} {
+		for _, dials := range []bool{false, true} {
+			c := testConfig()
+			c.Peers, c.WarmupAttempts, c.WarmupDuration, c.OverloadWindow, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 30, always, 30, 1, false, 99, 99
+			nodes := testNodes(1)
+			nodes[0].StartedAt = 99
+			r := rand.New(rand.NewPCG(7, 7))
+			var arrivals []float64
+			peers := make([]*Placer, c.Peers)
+			connected := make([]float64, c.Peers) // when the connection of each was established
+			fresh := func(now float64, self, life int) {
+				c.Self = self
+				p, err := New(c, uint64(self+100*life))
+				if err != nil {
+					t.Fatal(err)
+				}
+				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
+				peers[self], connected[self] = p, 0
+			}
+			for self := range peers {
+				fresh(99, self, 1) // before the node has started
+			}
+			id := 0
+			for step := range 800 {
+				now := 100 + float64(step)/50
+				if step == 300 {
+					for self := 0; self < c.Peers; self += 2 {
+						fresh(now, self, 2)
+					}
+				}
+				for self, p := range peers {
+					if self >= 2 && r.IntN(28) > 1 {
+						continue
+					}
+					id++
+					k := newTask(id, 0)
+					k.Deadline = now + 1.1
+					for _, o := range actionsOfKind(arrive(p, now, k), StartAttempt) {
+						if dials && connected[self] == 0 {
+							connected[self] = now + r.Float64()*c.ConnectTimeout
+						}
+						at := max(now, connected[self])
+						arrivals = append(arrivals, at)
+						p.Handle(at, Event{Kind: Bound, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: at - now}, nil)
+					}
+				}
+			}
+			slices.Sort(arrivals)
+			most, first := 0, 0
+			for i, at := range arrivals {
+				for at-arrivals[first] > c.OverloadWindow {
+					first++
+				}
+				most = max(most, i-first+1)
+			}
+			bound := always
+			if dials {
+				bound += 2*math.Sqrt(always) + 2
+			}
+			if float64(most) > bound {
+				t.Errorf("%v withstood, dials %v: %d in a window, want at most %.0f", always, dials, most, bound)
+			}
+			if float64(len(arrivals)) < 16*always/4 {
+				t.Errorf("%v withstood, dials %v: %d in all: the allowance is not used", always, dials, len(arrivals))
+			}
+		}
+	}
+}
