--- a/internal/simadapter/characterization_test.go
+++ b/internal/simadapter/characterization_test.go
@@ -59,7 +59,8 @@
 	return "(no line)"
 }
 
-// pushSettings starts tasks on machines that show their room; lean packs them, and asks for the list.
+// With pushSettings node lists are pushed and carry the free capacity; with consolidatingSettings nodes in use have a cost
+// and lists are polled.
 const (
 	pushSettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
@@ -163,7 +164,7 @@
 
 func nodeAddress(i int) [6]byte { return [6]byte{10, 0, byte(i / 5), byte(i), 1, 2} }
 
-// list defines list 2: twenty machines, some of them draining, gone or just started.
+// list defines list 2: twenty nodes, some of them draining, terminated or just started.
 func (p *peer) list() []byte {
 	var entries []byte
 	const count = 20
@@ -265,7 +266,7 @@
 	}
 }
 
-// attemptStarted draws the outcome of an offer. The attempt is not on the wire, so outcomes are told of each number.
+// attemptStarted draws the outcome of an attempt. The action does not carry its number, so outcomes are sent for several.
 func (p *peer) attemptStarted(who uint32, id uint64, node [6]byte) {
 	status := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
 	ends := func(after float64, attempt int) {
@@ -311,10 +312,10 @@
 	compareGolden(t, "run.golden", p.text.String())
 }
 
-// TestCharacterizationOfRefusedInput pins which codes of lists and outcomes the adapter refuses: 1 for refused.
+// TestCharacterizationOfRefusedInput pins which codes of lists and outcomes the adapter rejects: 1 for rejected.
 func TestCharacterizationOfRefusedInput(t *testing.T) {
 	var text strings.Builder
-	refused := func(r []byte) {
+	rejected := func(r []byte) {
 		begin := record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
 		body := append(begin, r...)
 		in := append(record(uint32(1), uint32(12+len(body)), uint32(2), 50.0), body...)
@@ -325,15 +326,15 @@
 		}
 	}
 	for kind := range 16 {
-		refused(record(uint8(26), uint32(0), uint8(kind), uint32(1), uint8(0)))
+		rejected(record(uint8(26), uint32(0), uint8(kind), uint32(1), uint8(0)))
 	}
 	text.WriteByte('\n')
 	for sheet := range 20 {
-		refused(record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(sheet)))
+		rejected(record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(sheet)))
 	}
 	text.WriteByte('\n')
 	for status := range 260 {
-		refused(record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
+		rejected(record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
 	}
 	text.WriteByte('\n')
 	compareGolden(t, "refused.golden", text.String())
--- a/internal/simadapter/equivalence_test.go
+++ b/internal/simadapter/equivalence_test.go
@@ -13,7 +13,7 @@
 	"heathshed/placer"
 )
 
-// recorder is the module as the dispatch core drives it, with the events and actions of a step.
+// recorder records the events and actions of a step of a placer that the dispatch core drives.
 type recorder struct {
 	placer      *placer.Placer
 	events      []string
@@ -21,7 +21,7 @@
 	firedTimers []uint64
 }
 
-// describeEvent is all that an event says, as text: what was not told of a report is NaN, which equals nothing.
+// describeEvent returns an event as text, since NaN, which stands for what is not reported, equals nothing.
 func describeEvent(ev placer.Event) string {
 	report := ev.Report
 	ev.Report = nil
@@ -42,14 +42,14 @@
 	return actions
 }
 
-// twoDrivers drives the simulator's adapter and the dispatch core through the same day.
+// twoDrivers drives the simulator's adapter and the dispatch core through the same events.
 type twoDrivers struct {
 	t              *testing.T
 	adapter        *adapter
 	core           *dispatch.Core
 	recorder       *recorder
 	now            float64
-	adapterEvents  []string // the events that the adapter makes of the wire's
+	adapterEvents  []string // translated by the adapter
 	adapterActions []placer.Action
 	attempts       map[uint64]*dispatch.Attempt // by task
 	outstanding    map[uint64]placer.Action
@@ -74,13 +74,13 @@
 	b.adapterActions = append(b.adapterActions, b.adapter.actions...)
 }
 
-// compare compares what both did in this step and notes the offers.
+// compare compares what both did in this step and notes the attempts.
 func (b *twoDrivers) compare(step string) {
 	b.t.Helper()
 	for _, e := range b.core.Ready() {
 		if e.Kind == dispatch.SendAttempt {
 			if !b.core.PrepareSend(b.now, e.Attempt) {
-				b.t.Fatalf("%s: offer not allowed to start", step)
+				b.t.Fatalf("%s: attempt not allowed to start", step)
 			}
 			b.attempts[uint64(e.Attempt.Message.ID)] = e.Attempt
 		}
@@ -99,7 +99,7 @@
 	b.adapterEvents, b.recorder.events, b.adapterActions, b.recorder.actions = nil, nil, nil, nil
 }
 
-// advance lets time pass; the timers of both fall due.
+// advance lets time pass and fires the timers of both.
 func (b *twoDrivers) advance(to float64) {
 	b.t.Helper()
 	for b.core.NextTimer() <= to {
@@ -109,7 +109,7 @@
 		for _, token := range b.recorder.firedTimers {
 			b.sendToAdapter(simproto.Event{Code: simproto.EventTimerFired, Token: token})
 		}
-		for id, a := range b.outstanding { // a time-out is no wake-up
+		for id, a := range b.outstanding { // attempts that time out
 			if a.Until <= b.now && b.attempts[id] != nil && !b.attempts[id].Live() {
 				b.sendToAdapter(simproto.Event{Code: simproto.EventAttemptEnded, ID: id, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Status: 253,
 					Elapsed: b.attempts[id].Age(b.now)})
@@ -130,19 +130,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &twoDrivers{t: t, adapter: &adapter{instances: map[uint32]*instance{}}, recorder: &recorder{placer: p}, now: 1000, attempts: map[uint64]*dispatch.Attempt{},
-		outstanding: map[uint64]placer.Action{}}
-	roster, entries := "", []simproto.NodeEntry(nil)
+	b := &twoDrivers{t: t, adapter: &adapter{instances: map[uint32]*instance{}}, recorder: &recorder{placer: p},
+		now: 1000, attempts: map[uint64]*dispatch.Attempt{}, outstanding: map[uint64]placer.Action{}}
+	nodes, entries := "", []simproto.NodeEntry(nil)
 	for i, uid := range nodeNamesByID(6) {
 		if i > 0 {
-			roster += ","
+			nodes += ","
 		}
-		roster += fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"b","model":"large","pod_group":%d,"state":"in_service",
+		nodes += fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"b","model":"large","pod_group":%d,"state":"in_service",
 			"boot_ms":0,"open":[14,30]}`, uid, i)
 		entries = append(entries, simproto.NodeEntry{Node: simproto.NodeAddress(dispatch.NodeIDOf(uid)), Zone: 1, NodeType: 1, FreeCores: 14, FreeMemory: 30,
 			Rack: uint16(i), State: 1})
 	}
-	if b.core, err = dispatch.New(b.now, s, b.recorder, []byte(`{"no":3,"items":[{"no":3,"roster":{"rev":1,"all":true,"targets":[`+roster+`]}}]}`)); err != nil {
+	if b.core, err = dispatch.New(b.now, s, b.recorder, []byte(`{"no":3,"items":[{"no":3,"roster":{"rev":1,"all":true,"targets":[`+nodes+`]}}]}`)); err != nil {
 		t.Fatal(err)
 	}
 	b.adapter.writer.Start(1)
@@ -225,18 +225,18 @@
 			back.Status, back.Final = 250, 1
 			b.sendToAdapter(back)
 		case 7:
-			b.advance(b.now + 0.5) // nothing is answered
+			b.advance(b.now + 0.5) // the attempt is not answered
 			continue
 		}
 		delete(b.outstanding, ids)
 		b.compare(fmt.Sprintf("outcome %d", i))
 	}
 	if b.core.Counts.TimedOut == 0 || b.core.Counts.CapacityRejections == 0 || b.core.Counts.Bound < 5 {
-		t.Fatalf("the day was too quiet: %+v", b.core.Counts)
+		t.Fatalf("too few outcomes: %+v", b.core.Counts)
 	}
 }
 
-// nodeNamesByID is n names of machines in the order of their numbers, the order of a cached list.
+// nodeNamesByID returns n names of nodes in the order of their IDs, which is the order of a cached list.
 func nodeNamesByID(n int) []string {
 	var all []string
 	for i := 0; len(all) < n; i++ {
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -19,7 +19,8 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// testSettingsWithNames is the same with the names of classes, tenants, zones and kinds, as a scheduler in service gets them.
+// testSettingsWithNames is the same with the names of classes, tenants, zones and node types, as a scheduler in production
+// gets them.
 var testSettingsWithNames = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
@@ -39,9 +40,10 @@
 	return b
 }
 
-func (b *batch) bytes(number uint32, now float64) []byte {
+// bytes returns the batch, which is number 1 at time 10.
+func (b *batch) bytes() []byte {
 	var out bytes.Buffer
-	for _, v := range []any{number, uint32(12 + b.buf.Len()), b.count, now} {
+	for _, v := range []any{uint32(1), uint32(12 + b.buf.Len()), b.count, 10.0} {
 		if err := binary.Write(&out, binary.LittleEndian, v); err != nil {
 			panic(err)
 		}
@@ -51,11 +53,15 @@
 
 var node = [6]byte{10, 0, 0, 1, 1, 2}
 
-func begin(who uint32, settings string) *batch {
-	return (&batch{}).add(uint8(19), who, uint64(9), uint32(len(settings)), []byte(settings)).
+// testInstance is the instance that the tests start.
+const testInstance = uint32(4)
+
+// beginInstance starts an instance and gives it a list of one node.
+func beginInstance(settings string) *batch {
+	return (&batch{}).add(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)).
 		add(uint8(16), uint8(0), uint32(1), node, uint8(0), float32(8), uint8(0), uint16(1), float32(16), uint8(1),
 			float32(1), 0.0).
-		add(uint8(26), who, uint8(1), uint32(1), uint8(0))
+		add(uint8(26), testInstance, uint8(1), uint32(1), uint8(0))
 }
 
 func arrives(b *batch, who uint32, id uint64) *batch {
@@ -69,7 +75,7 @@
 }
 
 func TestTaskArrivalStartsAnAttempt(t *testing.T) {
-	out, _, err := run(arrives(begin(4, testSettings), 4, 77).bytes(1, 10))
+	out, _, err := run(arrives(beginInstance(testSettings), 4, 77).bytes())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,23 +86,23 @@
 		}
 	}
 	if !strings.Contains(out, want.String()) || !strings.HasSuffix(out, string(node[:])) {
-		t.Fatalf("no offer to the node in %x", out)
+		t.Fatalf("no attempt on the node in %x", out)
 	}
 }
 
 func TestUnmatchedEventsAreIgnored(t *testing.T) {
-	plain, _, err := run(arrives(begin(4, testSettings), 4, 77).bytes(1, 10))
+	plain, _, err := run(arrives(beginInstance(testSettings), 4, 77).bytes())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := begin(4, testSettings)
-	arrives(b, 8, 5)                                            // not begun
-	b.add(uint8(22), uint32(4), uint64(12345))                  // an id never given
-	b.add(uint8(21), uint32(4), uint64(99999))                  // a timer never set
-	b.add(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node) // an attempt never made
-	out, problems, err := run(arrives(b, 4, 77).bytes(1, 10))
+	b := beginInstance(testSettings)
+	arrives(b, 8, 5)                                            // an instance that has not begun
+	b.add(uint8(22), uint32(4), uint64(12345))                  // an unknown task
+	b.add(uint8(21), uint32(4), uint64(99999))                  // an unknown timer
+	b.add(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node) // an unknown attempt
+	out, problems, err := run(arrives(b, 4, 77).bytes())
 	if err != nil || out != plain || !strings.Contains(problems, "has not begun") {
-		t.Fatalf("err %v, same %v, problems %q", err, out == plain, problems)
+		t.Fatalf("err %v, same %v, warnings %q", err, out == plain, problems)
 	}
 }
 
@@ -105,13 +111,13 @@
 		in   []byte
 		want string
 	}{
-		"no json":    {begin(4, "{").bytes(1, 10), "settings"},
-		"effect":     {begin(4, strings.Replace(testSettings, "idempotent", "maybe", 1)).bytes(1, 10), "lanes[0].effect"},
-		"place":      {begin(4, strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)).bytes(1, 10), "apartBy[0]"},
-		"kinds":      {begin(4, strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(1, 10), "kindMemory"},
-		"attempts":   {begin(4, strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)).bytes(1, 10), "attempts 0"},
-		"list kind":  {begin(4, testSettings).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(1, 10), "list kind 9"},
-		"bytes left": {func() []byte { b := begin(4, testSettings); b.count--; return b.bytes(1, 10) }(), "follow the last"},
+		"no json":    {beginInstance("{").bytes(), "settings"},
+		"effect":     {beginInstance(strings.Replace(testSettings, "idempotent", "maybe", 1)).bytes(), "lanes[0].effect"},
+		"place":      {beginInstance(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)).bytes(), "apartBy[0]"},
+		"kinds":      {beginInstance(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(), "kindMemory"},
+		"attempts":   {beginInstance(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)).bytes(), "attempts 0"},
+		"list kind":  {beginInstance(testSettings).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(), "list kind 9"},
+		"bytes left": {func() []byte { b := beginInstance(testSettings); b.count--; return b.bytes() }(), "follow the last"},
 	} {
 		out, _, err := run(c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || out != "" {
@@ -129,9 +135,10 @@
 		t.Fatal(err)
 	}
 	c, fields := s.Placer, s.ReportFields
-	k := c.Classes[1]
+	class := c.Classes[1]
 	if c.Self != 1 || c.Peers != 2 || c.MaxAttempts != 3 || !c.AcknowledgesOnStart || !c.ReportsUsage || len(fields) != 2 ||
-		k.Idempotency != placer.IdempotentByKey || k.DedupDomain != placer.RackDomain || k.DedupWindow != 3 || k.SpreadDomain != placer.RackDomain || k.MaxPerDomain != 2 ||
+		class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
+		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 ||
 		c.Classes[0].SpreadDomain != placer.NoDomain || c.NodeTypes[1].Memory != 32 {
 		t.Fatalf("%+v", c)
 	}
@@ -142,10 +149,10 @@
 }
 
 func TestPanicIsReportedForTheInstance(t *testing.T) {
-	h := &adapter{instances: map[uint32]*instance{}}
-	h.writer.Start(1)
-	h.decide(10, 4, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
-	out := string(h.writer.Finish())
+	a := &adapter{instances: map[uint32]*instance{}}
+	a.writer.Start(1)
+	a.decide(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
+	out := string(a.writer.Finish())
 	if out[12] != 90 || !strings.Contains(out, "panic") {
 		t.Fatalf("%x", out)
 	}
--- a/internal/simconfig/characterization_test.go
+++ b/internal/simconfig/characterization_test.go
@@ -1,7 +1,7 @@
 package simconfig_test
 
 // Characterization tests: they pin the result of Parse field by field for settings of three shapes, and which
-// settings are refused.
+// settings are rejected.
 //
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
@@ -133,7 +133,7 @@
 	compareGolden(t, "settings.golden", text.String())
 }
 
-// TestCharacterizationOfInvalidSettings pins which settings are refused, and the word for it: these name JSON keys.
+// TestCharacterizationOfInvalidSettings pins which settings are rejected, and the error text, which names JSON keys.
 func TestCharacterizationOfInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"idempotent"`, `"idempotent"`, ""},
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestCharacterizationOfSetReportField pins which field of a report each wire word sets; the rest stays not told.
+// TestCharacterizationOfSetReportField pins which field of a report each name sets; the others stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
 	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
 		r := simconfig.NoReport()
@@ -165,7 +165,7 @@
 	}
 }
 
-// describeReport has one digit for each value of a report: 0 if it was not told, 1 if it is 2.5.
+// describeReport returns one digit for each value of a report: 0 if it is NaN, 1 if it is 2.5.
 func describeReport(r placer.Report) string {
 	var b strings.Builder
 	for _, v := range []float64{r.FreeCores, r.FreeMemory, r.Utilization, r.QueueLength} {
--- a/internal/simconfig/simconfig.go
+++ b/internal/simconfig/simconfig.go
@@ -1,189 +1,160 @@
-// Package simsettings reads the settings of the simulator's first message, which a scheduler in service gets in its configuration file:
-// one reader for both, so that the module is told the same in both places. It is pure: no I/O, clock, goroutine or global.
+// Package simconfig reads the settings of a scheduler, which the simulator sends in its first message and a scheduler in
+// production has in its configuration file. Both use this one reader, so that the placer gets the same configuration in
+// both. The package does no I/O and has no state.
 package simconfig
 
 import (
 	"encoding/json"
 	"fmt"
-	"math"
 
 	"heathshed/placer"
 )
 
-// Settings are what the program needs beside the module's configuration, with that configuration.
+// Settings is the configuration of the placer and what else a scheduler needs of the settings.
 type Settings struct {
 	Placer placer.Config
-	// Names, in the order of their numbers. The last serves for no other: a name that is not here is not known.
+	// Names in the order of their numbers. Unlike the values of classes, the last does not stand for the rest: other names
+	// are unknown.
 	Classes, Tenants, Zones, NodeTypes []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
-	// IdleTimeout is after how many seconds a machine closes an idle connection; 0 if not told.
+	// IdleTimeout is the time, in seconds, after which a node closes an idle connection, or 0 if it is not known.
 	IdleTimeout float64
-	// BatchInterval is how often events are handed over at most, in seconds.
+	// BatchInterval is the least time, in seconds, between two batches of events.
 	BatchInterval float64
 }
 
-// settings are the keys of the first message that have a use here; unknown keys are skipped.
-type settings struct {
-	Discovery string `json:"discovery"`
-	Extra     struct {
-		AdmitMemory float64   `json:"admitMemory"`
-		ApartBy     []string  `json:"apartBy"`
-		Bound       bool      `json:"bound"`
-		ClassKind   []int     `json:"classKind"`
-		CoresByKind []float64 `json:"coresByKind"`
-		Counts      string    `json:"counts"`
-		CPUBooking  float64   `json:"cpuBooking"`
-		FadesOver   []float64 `json:"fadesOver"`
-		FreeInList  bool      `json:"freeInList"`
-		FullUpTo    []float64 `json:"fullUpTo"`
-		KindMemory  []float64 `json:"kindMemory"`
-		Precedence  []int     `json:"precedence"`
-		PushesOut   bool      `json:"pushesOut"`
-		QuotaCores  []float64 `json:"quotaCores"`
-		SaysYes     string    `json:"saysYes"`
-		StartBonusS []float64 `json:"startBonusS"`
-		TogetherMax []int     `json:"togetherMax"`
-		YoungLimit  float64   `json:"youngLimit"`
-		CheckAfterS float64   `json:"checkAfterS"`
-	} `json:"extra"`
-	Flavors []string `json:"flavors"`
-	RoundS  float64  `json:"roundS"`
-	Zones   []string `json:"zones"`
-	Lanes   []struct {
-		Effect     string  `json:"effect"`
-		HardLimitS float64 `json:"hardLimitS"`
-		KeyScope   string  `json:"keyScope"`
-		KeyTTLS    float64 `json:"keyTtlS"`
-		LateValue  float64 `json:"lateValue"`
-		ObjectiveS float64 `json:"objectiveS"`
-		Worth      float64 `json:"worth"`
-		Name       string  `json:"name"`
-	} `json:"lanes"`
-	LoadReport struct {
-		Fields []string `json:"fields"`
-	} `json:"loadReport"`
-	Me     int `json:"me"`
-	MyZone int `json:"myZone"`
-	Orgs   []struct {
-		Name  string  `json:"name"`
-		Share float64 `json:"share"`
-	} `json:"orgs"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	PeersTotal     int     `json:"peersTotal"`
-	Permissions    struct {
-		ConnIdleS       float64 `json:"connIdleS"`
-		ConnectTimeoutS float64 `json:"connectTimeoutS"`
-		MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
-		MayDuplicate    bool    `json:"mayDuplicate"`
-		MostTries       int     `json:"mostTries"`
-		RetryAfter      bool    `json:"retryAfter"`
-	} `json:"permissions"`
-	Tariffs struct {
-		Cross float64 `json:"crossZone"`
-		Fleet float64 `json:"fleet"`
-		Moves float64 `json:"moves"`
-	} `json:"tariffs"`
-	Rules struct {
-		AnswerSlackS   float64 `json:"answerSlackS"`
-		AskWithinS     float64 `json:"askWithinS"`
-		ColdFrom       float64 `json:"coldFrom"`
-		DrainGraceS    float64 `json:"drainGraceS"`
-		FallS          float64 `json:"fallS"`
-		OverloadFactor float64 `json:"overloadFactor"`
-		WarmWithinS    float64 `json:"warmWithinS"`
-	} `json:"rules"`
-}
-
-// valueOrLast returns the i-th value; as the wire has it for class lists, the last serves for the rest.
-func valueOrLast[T any](values []T, i int, fallback T) T {
-	if len(values) == 0 {
-		return fallback
-	}
-	return values[min(i, len(values)-1)]
-}
-
 // Parse reads the JSON text of the settings. An error names the key that cannot be used.
 func Parse(text []byte) (*Settings, error) {
 	var parsed settings
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	extra, rules, permissions := &parsed.Extra, &parsed.Rules, &parsed.Permissions
-	config := placer.Config{
-		Self: parsed.Me, Peers: parsed.PeersTotal, Zone: parsed.MyZone,
-		OvercommitCores: extra.CPUBooking, OvercommitMemory: extra.AdmitMemory, AcknowledgesOnStart: extra.SaysYes == "running",
-		ListShowsCapacity: extra.FreeInList, ReportsUsage: extra.Counts == "used", Preempts: extra.PushesOut, StickyServices: extra.Bound,
-		MaxAttempts: permissions.MostTries, AllowsHedging: permissions.MayDuplicate, ConnectTimeout: permissions.ConnectTimeoutS,
-		AnswerGrace: rules.AnswerSlackS, DrainGrace: rules.DrainGraceS, WarmupMinPace: rules.ColdFrom, WarmupDuration: rules.WarmWithinS,
-		OverloadMultiple: rules.OverloadFactor, OverloadWindow: rules.FallS, WarmupAttempts: extra.YoungLimit,
-		MustPollNodes: parsed.Discovery == "ask", MaxPollInterval: rules.AskWithinS, SendsRetryAfter: permissions.RetryAfter,
-		MaxRetryAfter: permissions.MaxRetryAfterS, UnknownOutcomeWait: extra.CheckAfterS, OverQuotaWeight: parsed.OverShareWorth, NodeCost: parsed.Tariffs.Fleet, CrossZoneCost: parsed.Tariffs.Cross, MigrationCost: parsed.Tariffs.Moves,
+	result := &Settings{
+		Placer:        parsed.placerConfig(),
+		Zones:         parsed.Zones,
+		NodeTypes:     parsed.Flavors,
+		ReportFields:  parsed.LoadReport.Fields,
+		IdleTimeout:   parsed.Permissions.ConnIdleS,
+		BatchInterval: parsed.RoundS,
 	}
-	for i, lane := range parsed.Lanes {
-		class := placer.Class{
-			DedupWindow: lane.KeyTTLS, LatencyObjective: lane.ObjectiveS, Deadline: lane.HardLimitS, Weight: lane.Worth, LateWeight: lane.LateValue,
-			StartBonus: valueOrLast(extra.StartBonusS, i, 0), Priority: valueOrLast(extra.Precedence, i, 0), NodeType: valueOrLast(extra.ClassKind, i, -1),
-			MaxPerDomain: valueOrLast(extra.TogetherMax, i, 0), SaturationThreshold: valueOrLast(extra.FullUpTo, i, 0), DegradationRange: valueOrLast(extra.FadesOver, i, 0),
-		}
-		switch lane.Effect {
-		case "idempotent":
-			class.Idempotency = placer.Idempotent
-		case "deduplicated":
-			class.Idempotency = placer.IdempotentByKey
-		case "at_most_once":
-			class.Idempotency = placer.NonIdempotent
-		default:
-			return nil, fmt.Errorf("settings: lanes[%d].effect: %q is not known", i, lane.Effect)
-		}
-		var err error
-		if class.DedupDomain, err = parseDomain(lane.KeyScope); err != nil && class.Idempotency == placer.IdempotentByKey {
-			return nil, fmt.Errorf("settings: lanes[%d].keyScope: %w", i, err)
-		}
-		if class.SpreadDomain, err = parseDomain(valueOrLast(extra.ApartBy, i, "none")); err != nil {
-			return nil, fmt.Errorf("settings: extra.apartBy[%d]: %w", i, err)
+	for i := range parsed.Lanes {
+		class, err := parsed.class(i)
+		if err != nil {
+			return nil, fmt.Errorf("settings: %w", err)
 		}
-		config.Classes = append(config.Classes, class)
+		result.Placer.Classes = append(result.Placer.Classes, class)
+		result.Classes = append(result.Classes, parsed.Lanes[i].Name)
 	}
-	if len(extra.KindMemory) != len(extra.CoresByKind) {
-		return nil, fmt.Errorf("settings: extra.kindMemory: %d kinds, extra.coresByKind has %d",
-			len(extra.KindMemory), len(extra.CoresByKind))
+	var err error
+	if result.Placer.NodeTypes, err = parsed.nodeTypes(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
 	}
-	for i := range extra.CoresByKind {
-		config.NodeTypes = append(config.NodeTypes, placer.NodeType{Cores: extra.CoresByKind[i], Memory: extra.KindMemory[i]})
+	for i, org := range parsed.Orgs {
+		tenant := placer.Tenant{Share: org.Share, Cores: valueOrLast(parsed.Extra.QuotaCores, i, 0)}
+		result.Placer.Tenants = append(result.Placer.Tenants, tenant)
+		result.Tenants = append(result.Tenants, org.Name)
 	}
-	for i, tenant := range parsed.Orgs {
-		config.Tenants = append(config.Tenants, placer.Tenant{Share: tenant.Share, Cores: valueOrLast(extra.QuotaCores, i, 0)})
+	return result, nil
+}
+
+// placerConfig returns the configuration without its classes, node types and tenants.
+func (s *settings) placerConfig() placer.Config {
+	extra, rules, permissions := &s.Extra, &s.Rules, &s.Permissions
+	return placer.Config{
+		Self:                s.Me,
+		Peers:               s.PeersTotal,
+		Zone:                s.MyZone,
+		OvercommitCores:     extra.CPUBooking,
+		OvercommitMemory:    extra.AdmitMemory,
+		AcknowledgesOnStart: extra.SaysYes == "running",
+		ListShowsCapacity:   extra.FreeInList,
+		ReportsUsage:        extra.Counts == "used",
+		StickyServices:      extra.Bound,
+		Preempts:            extra.PushesOut,
+		MaxAttempts:         permissions.MostTries,
+		AllowsHedging:       permissions.MayDuplicate,
+		ConnectTimeout:      permissions.ConnectTimeoutS,
+		AnswerGrace:         rules.AnswerSlackS,
+		DrainGrace:          rules.DrainGraceS,
+		WarmupMinPace:       rules.ColdFrom,
+		WarmupDuration:      rules.WarmWithinS,
+		OverloadMultiple:    rules.OverloadFactor,
+		OverloadWindow:      rules.FallS,
+		WarmupAttempts:      extra.YoungLimit,
+		MustPollNodes:       s.Discovery == "ask",
+		MaxPollInterval:     rules.AskWithinS,
+		SendsRetryAfter:     permissions.RetryAfter,
+		MaxRetryAfter:       permissions.MaxRetryAfterS,
+		UnknownOutcomeWait:  extra.CheckAfterS,
+		NodeCost:            s.Tariffs.Fleet,
+		CrossZoneCost:       s.Tariffs.Cross,
+		MigrationCost:       s.Tariffs.Moves,
+		OverQuotaWeight:     s.OverShareWorth,
 	}
-	settings := &Settings{Placer: config, Zones: parsed.Zones, NodeTypes: parsed.Flavors, ReportFields: parsed.LoadReport.Fields,
-		IdleTimeout: permissions.ConnIdleS, BatchInterval: parsed.RoundS}
-	for _, lane := range parsed.Lanes {
-		settings.Classes = append(settings.Classes, lane.Name)
+}
+
+// class returns the i-th class, which the settings call a lane.
+func (s *settings) class(i int) (placer.Class, error) {
+	lane, extra := &s.Lanes[i], &s.Extra
+	class := placer.Class{
+		DedupWindow:         lane.KeyTTLS,
+		LatencyObjective:    lane.ObjectiveS,
+		Deadline:            lane.HardLimitS,
+		Weight:              lane.Worth,
+		LateWeight:          lane.LateValue,
+		StartBonus:          valueOrLast(extra.StartBonusS, i, 0),
+		Priority:            valueOrLast(extra.Precedence, i, 0),
+		NodeType:            valueOrLast(extra.ClassKind, i, -1),
+		MaxPerDomain:        valueOrLast(extra.TogetherMax, i, 0),
+		SaturationThreshold: valueOrLast(extra.FullUpTo, i, 0),
+		DegradationRange:    valueOrLast(extra.FadesOver, i, 0),
+	}
+	var err error
+	if class.Idempotency, err = parseIdempotency(lane.Effect); err != nil {
+		return class, fmt.Errorf("lanes[%d].effect: %w", i, err)
+	}
+	class.DedupDomain, err = parseDomain(lane.KeyScope)
+	if err != nil && class.Idempotency == placer.IdempotentByKey {
+		return class, fmt.Errorf("lanes[%d].keyScope: %w", i, err)
+	}
+	if class.SpreadDomain, err = parseDomain(valueOrLast(extra.ApartBy, i, "none")); err != nil {
+		return class, fmt.Errorf("extra.apartBy[%d]: %w", i, err)
+	}
+	return class, nil
+}
+
+func (s *settings) nodeTypes() ([]placer.NodeType, error) {
+	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
+	if len(memory) != len(cores) {
+		return nil, fmt.Errorf("extra.kindMemory: %d kinds, extra.coresByKind has %d", len(memory), len(cores))
 	}
-	for _, tenant := range parsed.Orgs {
-		settings.Tenants = append(settings.Tenants, tenant.Name)
+	var types []placer.NodeType
+	for i := range cores {
+		types = append(types, placer.NodeType{Cores: cores[i], Memory: memory[i]})
 	}
-	return settings, nil
+	return types, nil
 }
 
-// NoReport is a load report of which nothing was told.
-func NoReport() placer.Report {
-	none := math.NaN()
-	return placer.Report{FreeCores: none, FreeMemory: none, Utilization: none, QueueLength: none}
+// valueOrLast returns the i-th value of a list by class, or the last where the list is shorter. An empty list stands
+// for the fallback.
+func valueOrLast[T any](values []T, i int, fallback T) T {
+	if len(values) == 0 {
+		return fallback
+	}
+	return values[min(i, len(values)-1)]
 }
 
-// SetReportField enters the value of one field of a load report; names that have no use here are skipped.
-func SetReportField(r *placer.Report, field string, value float64) {
-	switch field {
-	case "x0":
-		r.FreeCores = value
-	case "x1":
-		r.FreeMemory = value
-	case "utilization":
-		r.Utilization = value
-	case "backlog":
-		r.QueueLength = value
+func parseIdempotency(name string) (placer.Idempotency, error) {
+	switch name {
+	case "idempotent":
+		return placer.Idempotent, nil
+	case "deduplicated":
+		return placer.IdempotentByKey, nil
+	case "at_most_once":
+		return placer.NonIdempotent, nil
 	}
+	return placer.Idempotent, fmt.Errorf("%q is not known", name)
 }
 
 func parseDomain(name string) (placer.TopologyDomain, error) {
--- a/internal/simproto/characterization_test.go
+++ b/internal/simproto/characterization_test.go
@@ -1,7 +1,7 @@
 package simproto_test
 
 // Characterization tests: they pin what the reader makes of each event code, what the writer emits for each
-// action, and which truncated inputs are refused.
+// action, and which truncated inputs are rejected.
 //
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
@@ -144,7 +144,7 @@
 	compareGolden(t, "events.golden", text.String())
 }
 
-// countReadable says how many records of an input are read before an error; -1 if the batch itself is refused.
+// countReadable returns how many records of an input are read before an error; -1 if the batch itself is rejected.
 func countReadable(in []byte) (count int, failed bool) {
 	r := simproto.NewReader(bytes.NewReader(in))
 	batch, err := r.Next()
