--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -93,42 +93,47 @@
 }
 
 // Check compares what was recorded with the file testdata/<name>.golden, or writes that file if UpdateVariable is 1.
-func (r *Recorder) Check(t testing.TB, name string) {
-	t.Helper()
-	got := strings.Join(r.lines, "\n") + "\n"
+func (r *Recorder) Check(tb testing.TB, name string) {
+	tb.Helper()
+	CheckText(tb, name, strings.Join(r.lines, "\n")+"\n")
+}
+
+// CheckText compares a text with the file testdata/<name>.golden, or writes that file if UpdateVariable is 1.
+func CheckText(tb testing.TB, name, got string) {
+	tb.Helper()
 	path := filepath.Join("testdata", name+".golden")
 	if os.Getenv(UpdateVariable) == "1" {
-		write(t, path, got)
+		write(tb, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatalf("the golden file is missing; see package golden: %v", err)
+		tb.Fatalf("the golden file is missing; see package golden: %v", err)
 	}
-	compare(t, path, got, string(want))
+	compare(tb, path, got, string(want))
 }
 
-func write(t testing.TB, path, text string) {
-	t.Helper()
+func write(tb testing.TB, path, text string) {
+	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
 // compare reports the first line that differs.
-func compare(t testing.TB, path, got, want string) {
-	t.Helper()
+func compare(tb testing.TB, path, got, want string) {
+	tb.Helper()
 	if got == want {
 		return
 	}
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i := range min(len(gotLines), len(wantLines)) {
 		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d differs:\n got %.600s\nwant %.600s", path, i+1, gotLines[i], wantLines[i])
+			tb.Fatalf("%s:%d differs:\n got %.600s\nwant %.600s", path, i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines)-1, len(wantLines)-1)
+	tb.Fatalf("%s: got %d lines, want %d", path, len(gotLines)-1, len(wantLines)-1)
 }
--- a/internal/simadapter/characterization_test.go
+++ b/internal/simadapter/characterization_test.go
@@ -18,47 +18,13 @@
 	"io"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"heathshed/internal/golden"
 	"heathshed/internal/simadapter"
 )
 
-// compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("HEATHSHED_UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("%s differs first at line %d of %d (now %d lines):\n got %q\nwant %q", name, i+1,
-				len(wantLines), len(gotLines), lineAt(gotLines, i), lineAt(wantLines, i))
-		}
-	}
-}
-
-func lineAt(lines []string, i int) string {
-	if i < len(lines) {
-		return lines[i]
-	}
-	return "(no line)"
-}
-
 // With pushSettings node lists are pushed and carry the free capacity; with consolidatingSettings nodes in use have a cost
 // and lists are polled.
 const (
@@ -309,7 +275,7 @@
 		t.Fatal(p.problem)
 	}
 	fmt.Fprintf(&p.text, "problems %d %x\n", bytes.Count(problems.Bytes(), []byte("\n")), sha256.Sum256(problems.Bytes()))
-	compareGolden(t, "run.golden", p.text.String())
+	golden.CheckText(t, "run", p.text.String())
 }
 
 // TestCharacterizationOfRefusedInput pins which codes of lists and outcomes the adapter rejects: 1 for rejected.
@@ -337,5 +303,5 @@
 		rejected(record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
 	}
 	text.WriteByte('\n')
-	compareGolden(t, "refused.golden", text.String())
+	golden.CheckText(t, "refused", text.String())
 }
--- a/internal/simconfig/characterization_test.go
+++ b/internal/simconfig/characterization_test.go
@@ -11,48 +11,14 @@
 import (
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"heathshed/internal/golden"
 	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
 
-// compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("HEATHSHED_UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("%s differs first at line %d of %d (now %d lines):\n got %q\nwant %q", name, i+1,
-				len(wantLines), len(gotLines), lineAt(gotLines, i), lineAt(wantLines, i))
-		}
-	}
-}
-
-func lineAt(lines []string, i int) string {
-	if i < len(lines) {
-		return lines[i]
-	}
-	return "(no line)"
-}
-
 // minimal has no optional key.
 const minimal = `{"peersTotal":1,"permissions":{"mostTries":1},"extra":{"coresByKind":[4],"kindMemory":[8]},
  "lanes":[{"effect":"idempotent","hardLimitS":4,"objectiveS":1}]}`
@@ -130,7 +96,7 @@
 		}
 		fmt.Fprintf(&text, "shape %d\n%s", i, describe(s))
 	}
-	compareGolden(t, "settings.golden", text.String())
+	golden.CheckText(t, "settings", text.String())
 }
 
 // TestCharacterizationOfInvalidSettings pins which settings are rejected, and the error text, which names JSON keys.
--- a/internal/simproto/characterization_test.go
+++ b/internal/simproto/characterization_test.go
@@ -13,47 +13,13 @@
 	"encoding/binary"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"heathshed/internal/golden"
 	"heathshed/internal/simproto"
 )
 
-// compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("HEATHSHED_UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("%s differs first at line %d of %d (now %d lines):\n got %q\nwant %q", name, i+1,
-				len(wantLines), len(gotLines), lineAt(gotLines, i), lineAt(wantLines, i))
-		}
-	}
-}
-
-func lineAt(lines []string, i int) string {
-	if i < len(lines) {
-		return lines[i]
-	}
-	return "(no line)"
-}
-
 // record encodes one record from values of fixed width, little endian.
 func record(values ...any) []byte {
 	var b bytes.Buffer
@@ -141,7 +107,7 @@
 			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Remaining())
 		}
 	}
-	compareGolden(t, "events.golden", text.String())
+	golden.CheckText(t, "events", text.String())
 }
 
 // countReadable returns how many records of an input are read before an error; -1 if the batch itself is rejected.
@@ -189,7 +155,7 @@
 		fmt.Fprintf(&text, "%d,", count)
 	}
 	text.WriteByte('\n')
-	compareGolden(t, "refusals.golden", text.String())
+	golden.CheckText(t, "refusals", text.String())
 }
 
 func TestCharacterizationOfActions(t *testing.T) {
@@ -225,5 +191,5 @@
 		write(uint32(i+1), action)
 	}
 	write(math.MaxUint32, all...)
-	compareGolden(t, "actions.golden", text.String())
+	golden.CheckText(t, "actions", text.String())
 }
