--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,22 +1,21 @@
-// Package store keeps API objects with a revision for every change, consistent snapshots for lists, and a bounded
-// history for watches.
+// Package store keeps API objects with a revision for every change, consistent snapshots for lists, and a bounded history of changes for
+// watches.
 //
-// It is pure: no I/O, clock or goroutine. A Store is for one goroutine; a Snapshot may be read anywhere. Objects that
-// were put in are never changed again.
+// It is pure: no I/O, no clock, no goroutines. A Store must be used by one goroutine at a time; a Snapshot may be read by any. Stored
+// objects must not be changed.
 package store
 
 import (
 	"errors"
 	"fmt"
 	"strconv"
-	"strings"
 
 	"github.com/tidwall/btree"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/runtime"
 )
 
-// Object is what a store holds.
+// Object is an API object that can be stored.
 type Object interface {
 	metav1.Object
 	runtime.Object
@@ -36,76 +35,71 @@
 
 var resourceNames = [resourceCount]string{"jobs", "pods", "nodes", "namespaces"}
 
+// String returns the plural name of the resource in the API.
 func (r Resource) String() string { return resourceNames[r] }
 
 // Op is a kind of change.
 type Op uint8
 
-// The kinds.
+// The kinds of changes.
 const (
 	Added Op = iota
 	Modified
 	Deleted
 )
 
-// Change is one entry of the history. Prev is what stood before, nil for Added. For Deleted, Object is the last state with
-// the revision of the deletion. Cache and
-// Binary are for whoever encodes it: one encoding serves every watcher.
+// Change is one entry of the history.
 type Change struct {
-	cost         int64
-	Rev          int64
-	Op           Op
-	Object, Prev Object
-	JSON         []byte // as JSON
-	Binary       []byte // in the binary encoding
+	Rev    int64
+	Op     Op
+	Object Object // for Deleted: the last state, with the revision of the deletion
+	Prev   Object // the state before; nil for Added
+
+	// JSON and Binary are encodings of Object that its readers may set, so that it is encoded once for all watchers.
+	JSON   []byte
+	Binary []byte
+
+	cost int64 // see Cost
 }
 
-// Errors of a read that cannot be served.
+// Errors of reads. The API server turns them into statuses, with their texts as messages.
 var (
+	// ErrExpired means that the history does not reach back to the revision any more. The caller must list anew.
 	ErrExpired = errors.New("the revision is older than the history that is kept")
-	ErrFuture  = errors.New("the revision lies in the future")
+	// ErrFuture means that no change has the revision yet.
+	ErrFuture = errors.New("the revision lies in the future")
 )
 
-// Store is a set of tables that share one revision.
+// Store is a set of tables that share one sequence of revisions.
 type Store struct {
-	rev            int64
+	revision       int64
 	tables         [resourceCount]table
-	historyLength  int
-	maxHistoryCost int64 // cost of the histories of all tables, 0 is no bound
+	historyLength  int   // changes per table
+	maxHistoryCost int64 // of the histories of all tables; 0 means no limit
 	snapshots      []Snapshot
 }
 
-type table struct {
-	objects btree.Map[string, *Change] // the last change of each
-	// history holds changes in order of revision from position head on; lost is the revision of the last one dropped.
-	history     []*Change
-	head        int
-	lastDropped int64
-	historyCost int64 // cost of the history
-	objectCost  int64 // cost of the objects
-}
-
-// New makes a store whose first change gets a revision above base, and which keeps at least so many changes per table.
-// A base that grows with time lets revisions go on growing over restarts.
+// New returns an empty Store whose first change has a revision above base. It keeps up to historyLength changes per table. If base grows
+// with time, revisions grow over restarts.
 func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
-// NewBounded is New with a bound on the memory of all histories together, in bytes as Cost counts them: fewer changes are kept where they
-// are large. 0 is no bound.
+// NewBounded returns a Store like New. The histories of all tables together cost at most maxHistoryCost, in bytes as Cost counts: fewer
+// changes are kept if they are large. 0 means no limit.
 func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
-	s := &Store{rev: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
+	s := &Store{revision: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
 		s.tables[i].lastDropped = base
 	}
 	return s
 }
 
-// Rev is the revision of the last change.
-func (s *Store) Rev() int64 { return s.rev }
+// Rev returns the revision of the last change.
+func (s *Store) Rev() int64 { return s.revision }
 
-// Key is the place of an object in its table.
+// Key returns the key of an object in its table.
 func Key(namespace, name string) string { return namespace + "/" + name }
 
-// Get returns an object or nil.
+// Get returns a stored object, nil if there is none.
 func (s *Store) Get(r Resource, namespace, name string) Object {
 	if change := s.Last(r, namespace, name); change != nil {
 		return change.Object
@@ -113,25 +107,31 @@
 	return nil
 }
 
-// Last returns the change that brought an object to its present state, or nil.
+// Last returns the change that made a stored object what it is, nil if there is no such object.
 func (s *Store) Last(r Resource, namespace, name string) *Change {
-	change, _ := s.tables[r].objects.Get(Key(namespace, name))
+	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // nil if there is none
 	return change
 }
 
-// Len is the number of objects in a table.
+// Len returns the number of objects in a table.
 func (s *Store) Len(r Resource) int { return s.tables[r].objects.Len() }
 
-// Cost is the memory that an object takes while it is kept, in bytes: itself, and its texts in each encoding. It is counted high.
+// What Cost counts, on the high side.
+const (
+	costPerObject = 2048 // bytes beside the fields
+	costPerByte   = 5    // bytes per byte of the binary encoding, for the fields and the cached encodings
+)
+
+// Cost returns an upper estimate of the memory in bytes that an object and its encodings take while it is kept.
 func Cost(object Object) int64 {
 	size := 0
 	if sized, ok := object.(interface{ Size() int }); ok {
 		size = sized.Size()
 	}
-	return 2048 + 5*int64(size)
+	return costPerObject + costPerByte*int64(size)
 }
 
-// ObjectCost is the cost of all objects that stand, Past that of the history.
+// ObjectCost returns the cost of all stored objects.
 func (s *Store) ObjectCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].objectCost
@@ -139,7 +139,7 @@
 	return total
 }
 
-// HistoryCost is the cost of the changes that are kept.
+// HistoryCost returns the cost of all changes in the histories.
 func (s *Store) HistoryCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].historyCost
@@ -147,179 +147,132 @@
 	return total
 }
 
-// Put adds or replaces an object and sets its resourceVersion. The caller gives the object away.
+// Put adds or replaces an object, sets its resource version, and returns that. The caller must not change the object afterwards.
 func (s *Store) Put(r Resource, object Object) int64 {
 	table := &s.tables[r]
-	s.rev++
-	object.SetResourceVersion(strconv.FormatInt(s.rev, 10))
-	change := &Change{Rev: s.rev, Op: Added, Object: object, cost: Cost(object)}
-	if prev, replaced := table.objects.Set(Key(object.GetNamespace(), object.GetName()), change); replaced {
-		change.Op, change.Prev = Modified, prev.Object
-		table.objectCost -= prev.cost
+	s.revision++
+	object.SetResourceVersion(strconv.FormatInt(s.revision, 10))
+	change := &Change{Rev: s.revision, Op: Added, Object: object, cost: Cost(object)}
+	if previous, replaced := table.objects.Set(Key(object.GetNamespace(), object.GetName()), change); replaced {
+		change.Op = Modified
+		change.Prev = previous.Object
+		table.objectCost -= previous.cost
 	}
 	table.objectCost += change.cost
 	table.appendChange(change, s.historyLength)
 	s.trimHistories()
-	return s.rev
+	return s.revision
 }
 
-// Delete takes an object out. It returns false if there was none.
+// Delete removes an object. It returns false if there is none.
 func (s *Store) Delete(r Resource, namespace, name string) bool {
 	table := &s.tables[r]
-	was, ok := table.objects.Delete(Key(namespace, name))
+	previous, ok := table.objects.Delete(Key(namespace, name))
 	if !ok {
 		return false
 	}
-	s.rev++
-	prev := was.Object
-	last := prev.DeepCopyObject().(Object)
-	last.SetResourceVersion(strconv.FormatInt(s.rev, 10))
-	table.objectCost -= was.cost
-	table.appendChange(&Change{Rev: s.rev, Op: Deleted, Object: last, Prev: prev, cost: was.cost}, s.historyLength)
+	s.revision++
+	last := previous.Object.DeepCopyObject().(Object)
+	last.SetResourceVersion(strconv.FormatInt(s.revision, 10))
+	table.objectCost -= previous.cost
+	change := &Change{Rev: s.revision, Op: Deleted, Object: last, Prev: previous.Object, cost: previous.cost}
+	table.appendChange(change, s.historyLength)
 	s.trimHistories()
 	return true
 }
 
-// trimHistories drops changes, the oldest of the table whose history costs most first, until all fit. The last change of a table is always kept, so
-// that who keeps up is never told that it is too old.
+// trimHistories drops the oldest changes of the table whose history costs most until all histories are within their limit. The last change
+// of each table is kept, so that a watch that has seen all changes never expires.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
-		var costliest *table
-		for i := range s.tables {
-			if table := &s.tables[i]; len(table.history)-table.head > 1 && (costliest == nil || table.historyCost > costliest.historyCost) {
-				costliest = table
-			}
-		}
+		costliest := s.costliestHistory()
 		if costliest == nil {
 			return
 		}
-		costliest.trimHistory(len(costliest.history) - costliest.head - 1)
+		costliest.trimHistory(costliest.historyLength() - 1)
 	}
 }
 
-func (t *table) appendChange(change *Change, historyLength int) {
-	t.history = append(t.history, change)
-	t.historyCost += change.cost
-	t.trimHistory(historyLength)
-}
-
-// trimHistory leaves the last so many changes.
-func (t *table) trimHistory(length int) {
-	for len(t.history)-t.head > length {
-		t.lastDropped = t.history[t.head].Rev
-		t.historyCost -= t.history[t.head].cost
-		t.history[t.head] = nil
-		t.head++
-		if t.head > 1024 && t.head > len(t.history)/2 {
-			t.history = append([]*Change(nil), t.history[t.head:]...)
-			t.head = 0
+// costliestHistory returns the table with the costliest history of more than one change, nil if there is none.
+func (s *Store) costliestHistory() *table {
+	var costliest *table
+	for i := range s.tables {
+		table := &s.tables[i]
+		if table.historyLength() <= 1 {
+			continue
+		}
+		if costliest == nil || table.historyCost > costliest.historyCost {
+			costliest = table
 		}
 	}
+	return costliest
 }
 
-// Since returns the changes of a table after a revision, oldest first, at most so many. The slice is valid until the next
-// change.
-func (s *Store) Since(r Resource, rev int64, limit int) ([]*Change, error) {
+// Since returns up to limit changes of a table after a revision, the oldest first. The slice is valid until the next change. The error is
+// ErrExpired or ErrFuture.
+func (s *Store) Since(r Resource, revision int64, limit int) ([]*Change, error) {
 	table := &s.tables[r]
-	if rev < table.lastDropped {
-		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, rev, ErrExpired, table.lastDropped)
-	}
-	if rev > s.rev {
-		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, rev, ErrFuture, s.rev)
+	if revision < table.lastDropped {
+		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, revision, ErrExpired, table.lastDropped)
 	}
-	history := table.history[table.head:]
-	if len(history) == 0 || history[len(history)-1].Rev <= rev {
-		return nil, nil
-	}
-	lo, hi := 0, len(history)
-	for lo < hi {
-		if middle := (lo + hi) / 2; history[middle].Rev <= rev {
-			lo = middle + 1
-		} else {
-			hi = middle
-		}
+	if revision > s.revision {
+		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, revision, ErrFuture, s.revision)
 	}
-	return history[lo:min(len(history), lo+limit)], nil
+	return table.changesAfter(revision, limit), nil
 }
 
-// Snapshot is a table as it stood at one revision.
-type Snapshot struct {
-	Resource Resource
-	Rev      int64
-	objects  *btree.Map[string, *Change]
-	keptAt   float64
-}
+// table holds the objects of one resource, and the history of their changes.
+type table struct {
+	objects    btree.Map[string, *Change] // the last change of each object, by Key
+	objectCost int64
 
-// Snapshot returns the table as it stands. It costs the same whatever the table holds.
-func (s *Store) Snapshot(r Resource) Snapshot {
-	return Snapshot{Resource: r, Rev: s.rev, objects: s.tables[r].objects.Copy()}
+	history     []*Change // in order of revision, from head on
+	head        int
+	historyCost int64
+	lastDropped int64 // revision of the last change that was dropped from the history
 }
 
-const (
-	maxSnapshots      = 64
-	snapshotRetention = 300.0 // seconds
-)
+func (t *table) historyLength() int { return len(t.history) - t.head }
 
-// KeepSnapshot remembers a snapshot, so that a list can go on from it. The oldest gives way when there are many.
-func (s *Store) KeepSnapshot(now float64, snapshot Snapshot) {
-	s.expireSnapshots(now)
-	for i := range s.snapshots {
-		if s.snapshots[i].Rev == snapshot.Rev && s.snapshots[i].Resource == snapshot.Resource {
-			s.snapshots[i].keptAt = now
-			return
-		}
-	}
-	snapshot.keptAt = now
-	if len(s.snapshots) >= maxSnapshots {
-		s.snapshots = append(s.snapshots[:0], s.snapshots[1:]...)
-	}
-	s.snapshots = append(s.snapshots, snapshot)
-}
-
-func (s *Store) expireSnapshots(now float64) {
-	remaining := 0
-	for _, snapshot := range s.snapshots {
-		if now-snapshot.keptAt <= snapshotRetention && !s.Outdated(snapshot) {
-			s.snapshots[remaining] = snapshot
-			remaining++
-		}
-	}
-	clear(s.snapshots[remaining:])
-	s.snapshots = s.snapshots[:remaining]
+// appendChange appends a change to the history and trims that to a length.
+func (t *table) appendChange(change *Change, length int) {
+	t.history = append(t.history, change)
+	t.historyCost += change.cost
+	t.trimHistory(length)
 }
 
-// Outdated says that the history no longer reaches back to a snapshot. Who still holds it keeps alive what nobody else does.
-func (s *Store) Outdated(snapshot Snapshot) bool {
-	return snapshot.Rev < s.tables[snapshot.Resource].lastDropped
-}
+// minCompaction is the number of dropped entries at the front of a history from which on it is copied to free their memory.
+const minCompaction = 1024
 
-// FindSnapshot finds a snapshot that was kept, or the present one if it is of that revision.
-func (s *Store) FindSnapshot(now float64, r Resource, rev int64) (Snapshot, error) {
-	s.expireSnapshots(now)
-	for _, snapshot := range s.snapshots {
-		if snapshot.Rev == rev && snapshot.Resource == r {
-			return snapshot, nil
+// trimHistory drops the oldest changes until at most the given number is left.
+func (t *table) trimHistory(length int) {
+	for t.historyLength() > length {
+		dropped := t.history[t.head]
+		t.lastDropped = dropped.Rev
+		t.historyCost -= dropped.cost
+		t.history[t.head] = nil
+		t.head++
+		if t.head > minCompaction && t.head > len(t.history)/2 {
+			t.history = append([]*Change(nil), t.history[t.head:]...)
+			t.head = 0
 		}
 	}
-	if rev == s.rev {
-		return s.Snapshot(r), nil
-	}
-	return Snapshot{}, fmt.Errorf("%s: revision %d: %w", r, rev, ErrExpired)
 }
 
-// Len is the number of objects.
-func (sn Snapshot) Len() int { return sn.objects.Len() }
-
-// Scan calls f for the objects, each as its last change, of a namespace ("" is all) whose key is above after, in order of key, until f says false.
-func (sn Snapshot) Scan(namespace, after string, visit func(key string, change *Change) bool) {
-	prefix := ""
-	if namespace != "" {
-		prefix = namespace + "/"
+// changesAfter returns up to limit changes after a revision, by binary search.
+func (t *table) changesAfter(revision int64, limit int) []*Change {
+	history := t.history[t.head:]
+	if len(history) == 0 || history[len(history)-1].Rev <= revision {
+		return nil
 	}
-	sn.objects.Ascend(max(prefix, after), func(key string, change *Change) bool {
-		if !strings.HasPrefix(key, prefix) {
-			return false
+	low, high := 0, len(history)
+	for low < high {
+		middle := (low + high) / 2
+		if history[middle].Rev <= revision {
+			low = middle + 1
+		} else {
+			high = middle
 		}
-		return key == after || visit(key, change)
-	})
+	}
+	return history[low:min(len(history), low+limit)]
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,8 @@
 	return p
 }
 
-// Random changes: revisions grow by one, a snapshot never changes, snapshot plus history is the state, pages are one snapshot.
+// TestStore makes random changes: revisions grow by one, a snapshot never changes, and a snapshot with the changes since gives the present
+// state.
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Int64Range(0, 1e15).Draw(t, "base")
@@ -96,6 +97,7 @@
 	})
 }
 
+// TestSinceBounds reads changes and snapshots at the ends of what is kept.
 func TestSinceBounds(t *testing.T) {
 	s := New(100, 3)
 	for i := range 5 {
@@ -121,7 +123,8 @@
 	}
 }
 
-// Large changes leave fewer in the history, and its cost is free again; objects that go give theirs back.
+// TestHistoryIsBoundedInBytes puts large changes, of which fewer are kept. Small ones are then kept in full number again, and deleted objects
+// cost nothing any more.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	const most = 8 << 20
 	s := NewBounded(1, 1000, most)
