--- a/internal/emulator/node_report.go
+++ b/internal/emulator/node_report.go
@@ -44,8 +44,12 @@
 
 func (n *Node) updateLoadReport() {
 	cores, memory := n.sim.Unused()
-	n.loadReport = wellknown.FormatDict("free-cores", cores, "free-memory", memory, "busy", n.sim.Utilization(),
-		"queue", float64(n.sim.QueueLength()))
+	n.loadReport = wellknown.FormatDict(
+		wellknown.Member{Name: "free-cores", Value: cores},
+		wellknown.Member{Name: "free-memory", Value: memory},
+		wellknown.Member{Name: "busy", Value: n.sim.Utilization()},
+		wellknown.Member{Name: "queue", Value: float64(n.sim.QueueLength())},
+	)
 }
 
 // sendReport sends the node's object to the inventory. The answer does not matter: the next report follows soon.
--- a/internal/engine/node.go
+++ b/internal/engine/node.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		return 0, 0
 	}
-	return free["cores"], free["memory"]
+	return free[wellknown.DictCores], free[wellknown.DictMemory]
 }
 
 // incarnationStart returns when the incarnation that the inventory states began, by this scheduler's clock; 0 is long ago. The clocks of
--- a/internal/engine/node_pods.go
+++ b/internal/engine/node_pods.go
@@ -117,7 +117,7 @@
 	for _, usage := range []struct {
 		name string
 		kind placer.UsageKind
-	}{{"cores", placer.CoresUsed}, {"memory", placer.MemoryUsed}} {
+	}{{wellknown.DictCores, placer.CoresUsed}, {wellknown.DictMemory, placer.MemoryUsed}} {
 		value, ok := used[usage.name]
 		if !ok {
 			continue
--- a/internal/engine/script_nodes_test.go
+++ b/internal/engine/script_nodes_test.go
@@ -89,7 +89,7 @@
 	end := start + 1 + 15*s.rng.Float64()
 	s.onNode(start, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
-		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", 0.5, "memory", 1.25)
+		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(0.5, 1.25)
 	}, false)
 	s.onNode(end, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodSucceeded
@@ -149,7 +149,7 @@
 	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
 	object.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
-	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", max(32-float64(len(node.pods)), 1), "memory", 60.5)}
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
 		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
 	}
--- a/internal/nodesim/object.go
+++ b/internal/nodesim/object.go
@@ -68,7 +68,7 @@
 	}
 	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(task.Attempt)
 	if task.Phase == Running {
-		pod.Annotations[wellknown.Usage] = wellknown.FormatDict("cores", task.UsedCores, "memory", task.UsedMemory)
+		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(task.UsedCores, task.UsedMemory)
 	}
 	pod.Status = corev1.PodStatus{Phase: podPhases[task.Phase], Reason: task.Reason.APIReason()}
 	return pod
@@ -90,7 +90,7 @@
 	object.UID = types.UID("node-" + identity.Name)
 	object.Labels = map[string]string{wellknown.Zone: identity.Zone, wellknown.Rack: identity.Rack, wellknown.Kind: identity.Kind}
 	cores, memory := n.Free()
-	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatDict("cores", cores, "memory", memory)}
+	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(cores, memory)}
 	if identity.StartedAt != 0 {
 		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(identity.StartedAt)
 	}
--- /dev/null
+++ b/internal/wellknown/objects.go
@@ -0,0 +1,77 @@
+package wellknown
+
+import (
+	"fmt"
+
+	corev1 "k8s.io/api/core/v1"
+)
+
+// Gibibyte is the number of bytes in the unit of memory that decisions count in.
+const Gibibyte = 1 << 30
+
+// Requests returns the cores and the memory in GiB that a Pod's containers request together. Init containers run one after another before
+// the others: the largest of them counts.
+func Requests(spec *corev1.PodSpec) (cores, memory float64) {
+	for i := range spec.Containers {
+		containerCores, containerMemory := containerRequests(&spec.Containers[i])
+		cores += containerCores
+		memory += containerMemory
+	}
+	for i := range spec.InitContainers {
+		containerCores, containerMemory := containerRequests(&spec.InitContainers[i])
+		cores = max(cores, containerCores)
+		memory = max(memory, containerMemory)
+	}
+	return cores, memory
+}
+
+// containerRequests returns the requests of a container, in place of one that is not set its limit.
+func containerRequests(container *corev1.Container) (cores, memory float64) {
+	cpu := container.Resources.Requests[corev1.ResourceCPU]
+	if cpu.IsZero() {
+		cpu = container.Resources.Limits[corev1.ResourceCPU]
+	}
+	bytes := container.Resources.Requests[corev1.ResourceMemory]
+	if bytes.IsZero() {
+		bytes = container.Resources.Limits[corev1.ResourceMemory]
+	}
+	return float64(cpu.MilliValue()) / 1000, float64(bytes.Value()) / Gibibyte
+}
+
+// SettledReason returns the reason of a Pod's Settled condition, "" if its outcome is not final.
+func SettledReason(pod *corev1.Pod) string {
+	for i := range pod.Status.Conditions {
+		condition := &pod.Status.Conditions[i]
+		if condition.Type == Settled && condition.Status == corev1.ConditionTrue {
+			return condition.Reason
+		}
+	}
+	return ""
+}
+
+// Finished says whether a Pod has ended.
+func Finished(pod *corev1.Pod) bool {
+	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
+}
+
+// NodeAddress returns host:port of a node's API, "" if the Node does not state it.
+func NodeAddress(node *corev1.Node) string {
+	port := node.Status.DaemonEndpoints.KubeletEndpoint.Port
+	for _, address := range node.Status.Addresses {
+		if address.Type == corev1.NodeInternalIP && port > 0 {
+			return fmt.Sprintf("%s:%d", address.Address, port)
+		}
+	}
+	return ""
+}
+
+// NodeReady says whether a Node's Ready condition is true.
+func NodeReady(node *corev1.Node) bool {
+	for i := range node.Status.Conditions {
+		condition := &node.Status.Conditions[i]
+		if condition.Type == corev1.NodeReady {
+			return condition.Status == corev1.ConditionTrue
+		}
+	}
+	return false
+}
