--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,19 +11,24 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
-// Random arrivals and ends: nothing is lost, nothing passes twice, no more are under way than the limit, asks again that are not placed
-// stay within their budget, none of them holds up a first ask, and what waits is shed by its deadline.
+// TestRequestsAreNeverLost plays random arrivals and completions: no request is lost or admitted twice, no more are in flight than the
+// limit, retries that are not placed stay within their budget, no retry holds up a first attempt, and what is queued is shed by its deadline.
 func TestRequestsAreNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
 		config.Shares = []float64{0.6, 0.3, 0.1}
-		config.InitialInFlight, config.MinInFlight, config.MaxInFlight = float64(rapid.IntRange(1, 30).Draw(t, "start")), 1, 40
-		config.MaxQueued, config.RetryBurst = rapid.IntRange(1, 60).Draw(t, "waiting"), 5
+		config.InitialInFlight = float64(rapid.IntRange(1, 30).Draw(t, "start"))
+		config.MinInFlight = 1
+		config.MaxInFlight = 40
+		config.MaxQueued = rapid.IntRange(1, 60).Draw(t, "waiting")
+		config.RetryBurst = 5
 		controller, err := New(config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, id, placed, retries, placedRetries := 0.0, uint64(0), 0, 0, 0
+		now := 0.0
+		id := uint64(0)
+		placed, retries, placedRetries := 0, 0, 0
 		requests := map[uint64]Request{}
 		state := map[uint64]string{}
 		var inFlight []uint64
@@ -31,7 +36,8 @@
 			if from := state[id]; from != "" && from != "wait" {
 				t.Fatalf("%d goes from %s to %s", id, from, to)
 			}
-			if state[id] = to; to == "pass" {
+			state[id] = to
+			if to == "pass" {
 				inFlight = append(inFlight, id)
 				if requests[id].IsRetry {
 					retries++
@@ -42,9 +48,16 @@
 			now += rapid.Float64Range(0, 0.3).Draw(t, "dt")
 			if rapid.Bool().Draw(t, "arrive") || len(inFlight) == 0 {
 				id++
-				request := Request{ID: id, Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Cost: 1,
-					Deadline: now + rapid.Float64Range(0.1, 5).Draw(t, "deadline"), LatencyObjective: 0.5, IsRetry: rapid.IntRange(0, 3).Draw(t, "again") == 0,
-					ShedBefore: rapid.IntRange(0, 2).Draw(t, "shed") == 0}
+				request := Request{
+					ID:               id,
+					Tenant:           rapid.IntRange(0, 2).Draw(t, "tenant"),
+					Priority:         rapid.IntRange(0, 2).Draw(t, "priority"),
+					Cost:             1,
+					Deadline:         now + rapid.Float64Range(0.1, 5).Draw(t, "deadline"),
+					LatencyObjective: 0.5,
+					IsRetry:          rapid.IntRange(0, 3).Draw(t, "again") == 0,
+					ShedBefore:       rapid.IntRange(0, 2).Draw(t, "shed") == 0,
+				}
 				request.FinalDeadline = request.Deadline + rapid.Float64Range(0, 2).Draw(t, "until")
 				requests[id] = request
 				decision, _ := controller.Submit(now, request)
@@ -65,23 +78,28 @@
 			admitted, shed := controller.Poll(now)
 			for _, x := range admitted {
 				if now > requests[x].FinalDeadline {
-					t.Fatal("let pass after its owner gave up")
+					t.Fatal("admitted after its client gave up")
 				}
 				move(x, "pass")
 			}
 			for _, x := range shed {
 				move(x.ID, "shed")
 			}
-			if float64(retries-placedRetries) > config.RetryBurst+config.RetryRatio*float64(placed)+config.RetryRate*now+1e-6 || controller.RetryBudget() < -1e-9 {
-				t.Fatalf("%d asks again that were not placed beside %d placings in %.1f s", retries-placedRetries, placed, now)
+			granted := config.RetryBurst + config.RetryRatio*float64(placed) + config.RetryRate*now
+			if float64(retries-placedRetries) > granted+1e-6 || controller.RetryBudget() < -1e-9 {
+				t.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", retries-placedRetries, placed, now)
 			}
 			for x, s := range state {
-				if s == "wait" && !requests[x].IsRetry && controller.hasCapacity(now) {
-					t.Fatalf("first ask %d waits though there is room", x)
+				if s == "wait" && !requests[x].IsRetry && controller.limiter.hasCapacity(now) {
+					t.Fatalf("first attempt %d is queued though there is capacity", x)
 				}
 			}
-			if controller.InFlight() != len(inFlight) || controller.counted > len(inFlight) || controller.counted < 0 || controller.Limit() < config.MinInFlight || controller.Limit() > config.MaxInFlight {
-				t.Fatalf("%d under way, counted %d; limit %v", len(inFlight), controller.InFlight(), controller.Limit())
+			counted := controller.limiter.counted
+			if controller.InFlight() != len(inFlight) || counted > len(inFlight) || counted < 0 {
+				t.Fatalf("%d in flight, controller says %d and counts %d", len(inFlight), controller.InFlight(), counted)
+			}
+			if controller.Limit() < config.MinInFlight || controller.Limit() > config.MaxInFlight {
+				t.Fatalf("limit %v", controller.Limit())
 			}
 			queued := 0
 			for _, s := range state {
@@ -90,66 +108,84 @@
 				}
 			}
 			if queued != controller.QueueLength() || queued > config.MaxQueued {
-				t.Fatalf("%d wait, counted %d", queued, controller.QueueLength())
+				t.Fatalf("%d queued, controller says %d", queued, controller.QueueLength())
 			}
 		}
-		// In the end all that waits is shed.
+		// In the end all that is queued is shed.
 		if _, shed := controller.Poll(now + 100); len(shed) != controller.QueueLength()+len(shed) {
-			t.Fatal("some wait for ever")
+			t.Fatal("some requests stay queued for ever")
 		}
 	})
 }
 
-// Under steady overload tenants pass by their shares, whatever they ask; what one leaves the others have.
+// TestShares checks that under steady overload tenants are admitted by their shares, however much they request, and that what one does not
+// use is divided among the others.
 func TestShares(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ask  []int // items each per turn
+		rate []int // requests of each tenant per turn
 		want []float64
 	}{
-		{"all ask too much", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
+		{"all exceed their shares", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
 		{"one bursts", []int{7, 4, 90}, []float64{0.6, 0.3, 0.1}},
-		{"one is silent", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
-		{"one asks little", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
+		{"one is idle", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
+		{"one uses less than its share", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
 	} {
-		cfg := DefaultConfig()
-		cfg.Shares, cfg.InitialInFlight, cfg.MinInFlight, cfg.MaxInFlight = []float64{0.6, 0.3, 0.1}, 10, 10, 10
-		controller, err := New(cfg)
-		if err != nil {
-			t.Fatal(err)
-		}
-		id, admitted, total := uint64(0), make([]float64, 3), 0.0
-		tenantOf := map[uint64]int{}
-		for turn := range 1000 {
-			now := float64(turn) * 0.01
-			for x := range controller.inFlight {
-				controller.Complete(now, x, true)
+		t.Run(c.name, func(t *testing.T) {
+			admitted := admittedByTenant(t, c.rate)
+			total := 0.0
+			for _, n := range admitted {
+				total += n
 			}
-			for tenant, n := range c.ask {
-				for range n {
-					id++
-					tenantOf[id] = tenant
-					if decision, _ := controller.Submit(now, Request{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, FinalDeadline: 1e9, LatencyObjective: 1}); decision == Admit {
-						admitted[tenant]++
-						total++
-					}
+			for i, want := range c.want {
+				if got := admitted[i] / total; math.Abs(got-want) > 0.02 {
+					t.Errorf("tenant %d has %.3f of the admitted requests, want %.3f", i, got, want)
 				}
 			}
-			polled, _ := controller.Poll(now)
-			for _, x := range polled {
-				admitted[tenantOf[x]]++
-				total++
-			}
+		})
+	}
+}
+
+// admittedByTenant submits requests at rates per turn for 1000 turns, each of which completes in the next turn, and returns how many were
+// admitted of each tenant.
+func admittedByTenant(t *testing.T, rate []int) []float64 {
+	t.Helper()
+	config := DefaultConfig()
+	config.Shares = []float64{0.6, 0.3, 0.1}
+	config.InitialInFlight = 10
+	config.MinInFlight = 10
+	config.MaxInFlight = 10
+	controller, err := New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	admitted := make([]float64, len(config.Shares))
+	tenantOf := map[uint64]int{}
+	id := uint64(0)
+	for turn := range 1000 {
+		now := float64(turn) * 0.01
+		for completed := range controller.limiter.inFlight {
+			controller.Complete(now, completed, true)
 		}
-		for i, want := range c.want {
-			if got := admitted[i] / total; math.Abs(got-want) > 0.02 {
-				t.Errorf("%s: tenant %d has %.3f of what passed, want %.3f", c.name, i, got, want)
+		for tenant, n := range rate {
+			for range n {
+				id++
+				tenantOf[id] = tenant
+				request := Request{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, FinalDeadline: 1e9, LatencyObjective: 1}
+				if decision, _ := controller.Submit(now, request); decision == Admit {
+					admitted[tenant]++
+				}
 			}
 		}
+		polled, _ := controller.Poll(now)
+		for _, next := range polled {
+			admitted[tenantOf[next]]++
+		}
 	}
+	return admitted
 }
 
-// The limit falls while asks come back late and grows again when they do not.
+// TestLimitAdapts checks that the limit falls while requests complete late and grows again when they do not.
 func TestLimitAdapts(t *testing.T) {
 	controller, err := New(DefaultConfig())
 	if err != nil {
@@ -176,12 +212,12 @@
 	low := controller.Limit()
 	play(20, 0.01)
 	if low >= start/2 || controller.Limit() <= 2*low {
-		t.Errorf("limit %v, %v after late answers, %v after good ones", start, low, controller.Limit())
+		t.Errorf("limit %v, %v after late requests, %v after prompt ones", start, low, controller.Limit())
 	}
 }
 
-// play has a gate meet asks again, and first asks, of which a part is placed, each after the same time, until seconds have passed.
-// It returns how many were placed.
+// play submits a backlog of retries, each of which completes after the same time and, if it was shed or not placed, comes again, until
+// seconds have passed. It returns how many were placed.
 func play(controller *Controller, from, seconds float64, backlog int, placed func(now float64) bool) (n int) {
 	type end struct {
 		at float64
@@ -220,8 +256,8 @@
 	return n
 }
 
-// A backlog of asks again costs a bad minute no more than the budget, and is worked off at once when the machines are back, although
-// nobody asks for the first time: the budget grows with what succeeds.
+// TestRetryBudgetRecovers checks that a backlog of retries costs no more than the budget while no node accepts, and that it is worked off
+// soon after nodes recover although there are no first attempts: the budget grows with what succeeds.
 func TestRetryBudgetRecovers(t *testing.T) {
 	controller, err := New(DefaultConfig())
 	if err != nil {
@@ -229,20 +265,20 @@
 	}
 	play(controller, 1, 60, 20000, func(float64) bool { return false })
 	if most := controller.cfg.RetryBurst + 60*controller.cfg.RetryRate + 1; float64(controller.Admitted) > most {
-		t.Errorf("%d asks again in a bad minute, want at most %v", controller.Admitted, most)
+		t.Errorf("%d retries admitted in a minute without success, want at most %v", controller.Admitted, most)
 	}
 	controller, _ = New(DefaultConfig())
 	const faultSeconds = 30.0
 	n := play(controller, 1, faultSeconds+30, 20000, func(now float64) bool { return now > 1+faultSeconds })
 	if n < 19000 {
-		t.Errorf("%d of 20000 placed within 30 s of the end of a bad half minute", n)
+		t.Errorf("%d of 20000 placed within 30 s after a fault of half a minute", n)
 	}
 	if controller.RetryBudget() < controller.cfg.RetryBurst-1 {
 		t.Errorf("budget %v in the end, want it full", controller.RetryBudget())
 	}
 }
 
-// A gate that is off lets everything pass, and its budget stays as it was.
+// TestDisabledUsesNoRetryBudget checks that a disabled controller admits everything and leaves the retry budget as it is.
 func TestDisabledUsesNoRetryBudget(t *testing.T) {
 	c := DefaultConfig()
 	c.Disabled = true
@@ -252,7 +288,7 @@
 	}
 	for id := range uint64(1000) {
 		if v, _ := controller.Submit(1, Request{ID: id, IsRetry: true, Deadline: 2, FinalDeadline: 2, LatencyObjective: 1}); v != Admit {
-			t.Fatal("held up by a gate that is off")
+			t.Fatal("not admitted by a disabled controller")
 		}
 	}
 	if controller.RetryBudget() != c.RetryBurst {
--- a/internal/admission/characterization_test.go
+++ b/internal/admission/characterization_test.go
@@ -10,15 +10,15 @@
 	"heathshed/internal/golden"
 )
 
-// TestCharacterizeAdmission pins the verdicts of the gate, their delays by bits, and its figures after each call, under seeded load with
-// several tenants. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// TestCharacterizeAdmission pins the decisions of a controller, their delays by bits, and its figures after each call, under seeded load
+// with several tenants. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizeAdmission(t *testing.T) {
 	record := golden.NewRecorder()
 	for _, run := range []struct {
 		name   string
 		change func(*admission.Config)
 		gap    float64 // mean seconds between calls
-		placed float64 // part of the asks that are placed
+		placed float64 // part of the requests that are placed
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
 		{"overload", func(c *admission.Config) { c.InitialInFlight, c.MaxInFlight, c.MaxQueued = 4, 12, 60 }, 0.01, 0.9},
@@ -34,11 +34,12 @@
 	} {
 		recordAdmissions(t, record, run.name, run.change, run.gap, run.placed)
 	}
-	recordInvalidConfigs(t, record)
+	recordInvalidConfigs(record)
 	record.Check(t, "admission")
 }
 
 func recordAdmissions(t *testing.T, record *golden.Recorder, name string, change func(*admission.Config), gap, placed float64) {
+	t.Helper()
 	config := admission.DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1, 0}
 	change(&config)
@@ -98,8 +99,8 @@
 	return request
 }
 
-// recordInvalidConfigs pins the texts of refused configurations.
-func recordInvalidConfigs(t *testing.T, record *golden.Recorder) {
+// recordInvalidConfigs pins the error texts of invalid configurations.
+func recordInvalidConfigs(record *golden.Recorder) {
 	for i, change := range []func(*admission.Config){
 		func(c *admission.Config) { c.MinInFlight = 0 }, func(c *admission.Config) { c.MaxInFlight = 0 }, func(c *admission.Config) { c.InitialInFlight = 0 },
 		func(c *admission.Config) { c.DecreaseFactor = 1 }, func(c *admission.Config) { c.DecreaseInterval = -1 }, func(c *admission.Config) { c.LateFraction = 2 },
--- /dev/null
+++ b/internal/admission/example_test.go
@@ -0,0 +1,65 @@
+package admission_test
+
+import (
+	"fmt"
+
+	"heathshed/internal/admission"
+)
+
+// A controller with one slot admits a request, queues the next, and admits that once the first completes.
+func Example() {
+	config := admission.DefaultConfig()
+	config.MinInFlight = 1
+	config.MaxInFlight = 1
+	controller, err := admission.New(config)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	request := admission.Request{ID: 1, Cost: 1, Deadline: 10, FinalDeadline: 20, LatencyObjective: 2}
+	decision, _ := controller.Submit(0, request)
+	fmt.Println("first admitted:", decision == admission.Admit)
+
+	request.ID = 2
+	decision, _ = controller.Submit(0.1, request)
+	fmt.Println("second queued:", decision == admission.Queue)
+
+	controller.Complete(0.5, 1, true)
+	admitted, shed := controller.Poll(0.5)
+	fmt.Println("admitted:", admitted, "shed:", len(shed))
+	// Output:
+	// first admitted: true
+	// second queued: true
+	// admitted: [2] shed: 0
+}
+
+// A request that is still queued when it could no longer start in time is shed with advice when to come again.
+func ExampleController_Poll() {
+	config := admission.DefaultConfig()
+	config.MinInFlight = 1
+	config.MaxInFlight = 1
+	controller, err := admission.New(config)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	controller.Submit(0, admission.Request{ID: 1, Deadline: 60, FinalDeadline: 60, LatencyObjective: 30})
+	controller.Submit(0, admission.Request{ID: 2, Deadline: 5, FinalDeadline: 5, LatencyObjective: 2})
+	fmt.Println("call again by:", controller.NextDeadline())
+
+	_, shed := controller.Poll(4)
+	for _, request := range shed {
+		fmt.Printf("request %d: %s; retry after %.2f s\n", request.ID, request.Reason, request.RetryAfter)
+	}
+	// Output:
+	// call again by: 4
+	// request 2: it waited until it could no longer start in time; retry after 0.78 s
+}
+
+// An invalid field of the settings is reported by name.
+func ExampleConfig_Validate() {
+	config := admission.DefaultConfig()
+	config.LateFraction = 2
+	fmt.Println(config.Validate())
+	// Output: gate: late part 2: want 0 to 1
+}
--- /dev/null
+++ b/internal/admission/queue.go
@@ -0,0 +1,134 @@
+package admission
+
+import (
+	"container/heap"
+	"slices"
+)
+
+// queuedRequest is a request that waits for admission.
+type queuedRequest struct {
+	Request
+	arrivedAt float64
+	expiresAt float64 // when it becomes overdue or, if it is demoted already or a retry, is shed
+	tenant    *tenantQueue
+	removed   bool // it left the queue; the slices and heaps that still hold it skip it
+}
+
+// tenantQueue holds the queued requests of one tenant.
+type tenantQueue struct {
+	share       float64
+	virtualTime float64                      // cost admitted so far over share
+	byClass     [numClasses][]*priorityQueue // by descending priority
+	queued      [numClasses]int
+}
+
+func (t *tenantQueue) totalQueued() int {
+	return t.queued[classFirst] + t.queued[classDemoted] + t.queued[classRetry]
+}
+
+func (t *tenantQueue) enqueue(entry *queuedRequest) {
+	class := entry.class()
+	queues := &t.byClass[class]
+	i, found := slices.BinarySearchFunc(*queues, entry.Priority, compareDescending)
+	if !found {
+		*queues = slices.Insert(*queues, i, &priorityQueue{priority: entry.Priority})
+	}
+	queue := (*queues)[i]
+	queue.entries = append(queue.entries, entry)
+	queue.length++
+	t.queued[class]++
+}
+
+// remove marks an entry as removed; trimRemoved drops it from its slice later.
+func (t *tenantQueue) remove(entry *queuedRequest) {
+	class := entry.class()
+	entry.removed = true
+	t.queued[class]--
+	for _, queue := range t.byClass[class] {
+		if queue.priority == entry.Priority {
+			queue.length--
+		}
+	}
+}
+
+// next returns the request to admit next, or nil: by class, then by priority, then as selectEntry says.
+func (t *tenantQueue) next(now float64) *queuedRequest {
+	for _, queues := range t.byClass {
+		for _, queue := range queues {
+			if entry := queue.selectEntry(now); entry != nil {
+				return entry
+			}
+		}
+	}
+	return nil
+}
+
+// priorityQueue holds the requests of one tenant, class and priority in order of arrival.
+type priorityQueue struct {
+	priority int
+	entries  []*queuedRequest // removed ones stay until they reach an end of the slice
+	length   int              // entries that are not removed
+}
+
+// compareDescending orders queues by descending priority.
+func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
+
+// fifoFraction is the part of its latency objective that the oldest request may have waited before the newest is admitted first.
+const fifoFraction = 0.4
+
+// selectEntry returns the oldest request while the queue is short, which is to say while the oldest has waited for less than fifoFraction of
+// its latency objective, and the newest after that: under overload, admission in order of arrival would make every start late.
+func (q *priorityQueue) selectEntry(now float64) *queuedRequest {
+	q.trimRemoved()
+	if q.length == 0 {
+		return nil
+	}
+	oldest := q.entries[0]
+	if now-oldest.arrivedAt < oldest.LatencyObjective*fifoFraction {
+		return oldest
+	}
+	return q.entries[len(q.entries)-1]
+}
+
+// trimRemoved drops removed entries from both ends of the slice.
+func (q *priorityQueue) trimRemoved() {
+	for len(q.entries) > 0 && q.entries[0].removed {
+		q.entries[0] = nil
+		q.entries = q.entries[1:]
+	}
+	for n := len(q.entries); n > 0 && q.entries[n-1].removed; n = len(q.entries) {
+		q.entries[n-1] = nil
+		q.entries = q.entries[:n-1]
+	}
+}
+
+// expiryHeap orders the queued requests of all tenants by expiry. Removed ones are skipped when they reach the top. It implements
+// heap.Interface.
+type expiryHeap []*queuedRequest
+
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*queuedRequest)) }
+
+// Pop implements heap.Interface.
+func (h *expiryHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	return last
+}
+
+// first returns the request that expires first, or nil.
+func (h *expiryHeap) first() *queuedRequest {
+	for len(*h) > 0 && (*h)[0].removed {
+		heap.Pop(h)
+	}
+	if len(*h) == 0 {
+		return nil
+	}
+	return (*h)[0]
+}
--- /dev/null
+++ b/internal/admission/retry_budget.go
@@ -0,0 +1,47 @@
+package admission
+
+import "math"
+
+// retryBudget is a token bucket for retries: a retry takes one token, time and placed requests bring tokens, up to a burst. So retries stay a
+// bounded part of the load while nodes fail, and grow with what succeeds once they recover.
+type retryBudget struct {
+	tokens     float64
+	refilledAt float64 // time of the last refill
+	ratio      float64 // tokens for each placed request
+	rate       float64 // tokens a second
+	burst      float64 // most tokens
+}
+
+func newRetryBudget(cfg *Config) retryBudget {
+	return retryBudget{tokens: cfg.RetryBurst, ratio: cfg.RetryRatio, rate: cfg.RetryRate, burst: cfg.RetryBurst}
+}
+
+// refill adds the tokens for the time since the last refill.
+func (b *retryBudget) refill(now float64) {
+	b.tokens = min(b.tokens+max(now-b.refilledAt, 0)*b.rate, b.burst)
+	b.refilledAt = max(b.refilledAt, now)
+}
+
+// allows says whether a retry may be admitted.
+func (b *retryBudget) allows() bool { return b.tokens >= 1 }
+
+func (b *retryBudget) take() { b.tokens-- }
+
+func (b *retryBudget) add(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
+
+// placed accounts for a placed request. A retry gets its token back as well: only a retry that failed stays paid for.
+func (b *retryBudget) placed(usedToken bool) {
+	refund := b.ratio
+	if usedToken {
+		refund++
+	}
+	b.add(refund)
+}
+
+// nextTokenAt is when time alone will have brought a whole token: infinity if a retry may be admitted already or time brings none.
+func (b *retryBudget) nextTokenAt() float64 {
+	if b.allows() || b.rate <= 0 {
+		return math.Inf(1)
+	}
+	return b.refilledAt + (1-b.tokens)/b.rate
+}
--- /dev/null
+++ b/internal/admission/shares.go
@@ -0,0 +1,108 @@
+package admission
+
+import (
+	"container/heap"
+	"math"
+)
+
+// minCost is the least that a request is charged, so that requests without a cost are divided by shares as well.
+const minCost = 0.01
+
+// fairQueue holds all queued requests and divides admissions among tenants by their shares: weighted fair queueing over virtual time, which
+// is admitted cost over share.
+type fairQueue struct {
+	byID        map[uint64]*queuedRequest
+	expiry      expiryHeap
+	tenants     []*tenantQueue
+	virtualTime float64 // of the tenant that was admitted last, before its charge
+}
+
+func newFairQueue(shares []float64) fairQueue {
+	queue := fairQueue{byID: map[uint64]*queuedRequest{}}
+	smallest := smallestShare(shares)
+	for _, share := range shares {
+		if !(share > 0) {
+			share = smallest
+		}
+		queue.tenants = append(queue.tenants, &tenantQueue{share: share})
+	}
+	if len(queue.tenants) == 0 {
+		queue.tenants = []*tenantQueue{{share: 1}}
+	}
+	return queue
+}
+
+// smallestShare returns the smallest positive share, or 1 if there is none.
+func smallestShare(shares []float64) float64 {
+	smallest := math.Inf(1)
+	for _, share := range shares {
+		if share > 0 {
+			smallest = min(smallest, share)
+		}
+	}
+	if math.IsInf(smallest, 1) {
+		return 1
+	}
+	return smallest
+}
+
+func (q *fairQueue) len() int { return len(q.byID) }
+
+// tenant returns a tenant by number; an unknown one is tenant 0.
+func (q *fairQueue) tenant(number int) *tenantQueue {
+	if number < 0 || number >= len(q.tenants) {
+		number = 0
+	}
+	return q.tenants[number]
+}
+
+// enqueue adds an entry to the queue of its tenant.
+func (q *fairQueue) enqueue(entry *queuedRequest) {
+	q.byID[entry.ID] = entry
+	entry.tenant.enqueue(entry)
+	heap.Push(&q.expiry, entry)
+}
+
+func (q *fairQueue) remove(entry *queuedRequest) {
+	delete(q.byID, entry.ID)
+	entry.tenant.remove(entry)
+}
+
+// queuedAhead returns how many queued requests an arrival of a class may not overtake. A class is held up by itself and by earlier ones only.
+func (q *fairQueue) queuedAhead(arriving requestClass) int {
+	ahead := 0
+	for _, tenant := range q.tenants {
+		for class := range arriving + 1 {
+			ahead += tenant.queued[class]
+		}
+	}
+	return ahead
+}
+
+// nextTenant returns the tenant to admit from: the one with the least virtual time among those with requests that may be admitted, so that
+// what one tenant does not use is divided among the others. It returns nil if there is none.
+func (q *fairQueue) nextTenant(retriesAllowed bool) *tenantQueue {
+	var selected *tenantQueue
+	for _, candidate := range q.tenants {
+		firstAttempts := candidate.queued[classFirst] + candidate.queued[classDemoted]
+		if firstAttempts == 0 && (candidate.queued[classRetry] == 0 || !retriesAllowed) {
+			continue
+		}
+		if selected == nil || candidate.virtualTime < selected.virtualTime {
+			selected = candidate
+		}
+	}
+	return selected
+}
+
+// catchUp advances a tenant to the present virtual time: one that was idle has no claim to what it did not use.
+func (q *fairQueue) catchUp(tenant *tenantQueue) {
+	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
+}
+
+// charge accounts for an admitted request.
+func (q *fairQueue) charge(tenant *tenantQueue, cost float64) {
+	q.catchUp(tenant)
+	q.virtualTime = tenant.virtualTime
+	tenant.virtualTime += max(cost, minCost) / tenant.share
+}
--- /dev/null
+++ b/internal/admission/shedding.go
@@ -0,0 +1,48 @@
+package admission
+
+import "math"
+
+// ShedRequest is a request that was shed: it did no harm, and its client may submit another.
+type ShedRequest struct {
+	ID         uint64
+	RetryAfter float64 // seconds before which the client should not submit again
+	Reason     string  // one of the Reason constants
+}
+
+// The reasons for which requests are shed, as users read them.
+const (
+	ReasonLate        = "it waited until it could no longer start in time"
+	ReasonQueueFull   = "too many asks wait"
+	ReasonRetryBudget = "too much is asked again"
+)
+
+// maxRetryAfter bounds the advice to clients of shed requests, in seconds. The rate during a fault says nothing of the time after it, and
+// a client that was told to wait for long would come back long after there is capacity again.
+const maxRetryAfter = 15.0
+
+// retryAfterSteps is over how many steps the advice is spread, so that clients do not come back as a wave.
+const retryAfterSteps = 16
+
+// shed returns the notice for a request that was shed. Its RetryAfter is about as long as the queue takes.
+func (c *Controller) shed(id uint64, reason string) ShedRequest {
+	wait := 1 + float64(c.queue.len())/max(c.rate.perSecond, 1)
+	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
+	spread := float64(step) / retryAfterSteps
+	return ShedRequest{
+		ID:         id,
+		RetryAfter: min(wait, maxRetryAfter) * (0.75 + 0.5*spread),
+		Reason:     reason,
+	}
+}
+
+// admissionRate is the number of admissions a second, smoothed over about a second.
+type admissionRate struct {
+	perSecond float64
+	updatedAt float64
+}
+
+func (r *admissionRate) record(now float64) {
+	elapsed := max(now-r.updatedAt, 0)
+	r.perSecond = r.perSecond*math.Exp(-elapsed) + 1
+	r.updatedAt = now
+}
