--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -1,20 +1,23 @@
 package retry
 
-// Backoff doubles a wait from Min to Max seconds. The zero value waits not at all.
+// backoffSpread is the part of its length over which a delay is spread by jitter, half of it to each side.
+const backoffSpread = 0.5
+
+// Backoff doubles a delay from Min to Max seconds with each failure. The zero value does not delay at all.
 type Backoff struct {
 	Min, Max float64
 	failures int
 }
 
-// Next returns the wait after one more failure. jitter is a random number from 0 to 1 that spreads it over half its length.
+// Next records a failure and returns the delay after it, in seconds. jitter is a random number from 0 to 1.
 func (b *Backoff) Next(jitter float64) float64 {
 	delay := b.Min
 	for i := 0; i < b.failures && delay < b.Max; i++ {
 		delay *= 2
 	}
 	b.failures++
-	return min(delay, b.Max) * (0.75 + 0.5*jitter)
+	return min(delay, b.Max) * (1 - backoffSpread/2 + backoffSpread*jitter)
 }
 
-// Reset forgets the failures.
+// Reset begins again at Min, as after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/retry/characterization_test.go
+++ b/internal/retry/characterization_test.go
@@ -10,8 +10,8 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizePolicy pins the verdicts of owners and their times by bits, for seeded standings of every effect and cause. Regenerate
-// the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// TestCharacterizePolicy pins decisions and their times by bits, for seeded states of every idempotency and cause. Regenerate the golden
+// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizePolicy(t *testing.T) {
 	record := golden.NewRecorder()
 	policies := []retry.Policy{retry.DefaultPolicy(), {Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1}, {Delay: 4, Multiplier: 0.5}}
@@ -37,5 +37,5 @@
 		record.Line("policy %d: verdicts %v", i, decisions)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
 	}
-	record.Check(t, "owner")
+	record.Check(t, "policy")
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -1,119 +1,141 @@
-// Package owner decides what an owner of a task does between asks: when it asks again after a refusal, a failure or a loss,
-// when it must wait because an attempt may have run, and what it says at the end.
-//
-// It is pure: time and randomness are passed in. Placing itself is decided by placer.
 package retry
 
 import "heathshed/placer"
 
-// Policy holds the waits, in seconds.
+const (
+	minDelay = 1.0 // seconds; the least delay after an attempt that reached a node
+
+	// A delay is spread by jitter around its mean, so that clients do not come back as a wave.
+	minSpread    = 0.7
+	jitterSpread = 0.6
+
+	// shedSpread is by how much jitter lengthens the delay of a request that was shed. It is never shortened: the scheduler said when.
+	shedSpread = 0.5
+)
+
+// Policy holds the delays of a client, in seconds.
 type Policy struct {
-	Delay                 float64 // mean wait after a refusal, a failure or an eviction; never under one second
-	ShortDelay            float64 // mean wait after a move or the loss of a machine
-	Multiplier            float64 // each further failure multiplies the wait by this
-	MaxDelay              float64 // and it stops growing here
-	UnknownOutcomeTimeout float64 // how long to look for a task that may have been accepted before asking its machine to drop it
+	Delay                 float64 // mean delay after a rejection, a failure or an eviction; never under one second
+	ShortDelay            float64 // mean delay after a migration or the loss of a node
+	Multiplier            float64 // each further attempt multiplies the delay by this
+	MaxDelay              float64 // up to this
+	UnknownOutcomeTimeout float64 // how long to wait for the outcome of an attempt before the node is asked to drop the task
 }
 
-// DefaultPolicy has the waits of the docs.
+// DefaultPolicy returns the documented defaults.
 func DefaultPolicy() Policy {
 	return Policy{Delay: 1.5, ShortDelay: 0.2, Multiplier: 1.5, MaxDelay: 20, UnknownOutcomeTimeout: 3}
 }
 
-// Cause says why the owner is asked what to do.
+// Cause is why a task has to be decided about.
 type Cause uint8
 
 // The causes.
 const (
-	Rejected Cause = iota // the scheduler refused: a new try does no harm
-	Failed                // the scheduler gives no word on its effect
-	Evicted
-	Migrated
-	Lost
-	Shed // the scheduler itself had no room to ask a machine; it says when to come again
+	Rejected Cause = iota // the scheduler rejected the request: another one does no harm
+	Failed                // the request failed, and the scheduler does not say whether the task ran
+	Evicted               // the task was evicted from its node
+	Migrated              // the task is moved to another node
+	Lost                  // the node of the task was lost
+	Shed                  // the scheduler shed the request before any node was asked; it says when to come again
 )
 
-// State is what is known of a task when it has no attempt out and does not run.
+// State is what a client knows of a task that does not run and has no attempt in flight. Times are in seconds.
 type State struct {
 	Idempotency    placer.Idempotency
 	Cause          Cause
 	Now            float64
-	Deadline       float64 // when the owner stops waiting for the task to be placed
-	Attempts       int     // times that machines were asked so far
-	RetriesLeft    int     // times it may be asked again
-	OutcomeUnknown bool    // an attempt may have been accepted, and its machine has not said
-	MayHaveRun     bool    // an attempt may have run, and that can no longer be known
-	RetryAfter     float64 // the scheduler's advice not to come before, from now
+	Deadline       float64 // when the client stops waiting for the task to be placed
+	Attempts       int     // how often nodes were asked so far
+	RetriesLeft    int
+	OutcomeUnknown bool    // an attempt may have been accepted, and its node has not answered
+	MayHaveRun     bool    // an attempt may have run, and its outcome can no longer be learned
+	RetryAfter     float64 // the scheduler's advice how long to wait, from Now
 	Jitter         float64 // a random number from 0 to 1
 }
 
-// Decision is what to do.
+// Decision is what a client does next.
 type Decision uint8
 
-// The verdicts. Ask has At; Wait lasts until the doubt is resolved or At; the others are final.
+// The decisions.
 const (
-	RetryAt Decision = iota
-	AwaitOutcome
-	Reject
-	Fail
+	RetryAt      Decision = iota // request placement again at the returned time
+	AwaitOutcome                 // wait until the outcome is known, at most until the returned time
+	Reject                       // final: the task did not run, and a new request does no harm
+	Fail                         // final: the task may have run
 )
 
-// Next decides. A task that must not run twice is never asked again while an attempt may have run.
+// Next returns what to do, and when. A task that is not idempotent is never retried while an attempt may have run.
 func (p *Policy) Next(state State) (decision Decision, at float64) {
-	if state.Idempotency != placer.Idempotent {
-		switch {
-		case state.MayHaveRun:
-			return Fail, state.Now
-		case state.OutcomeUnknown && state.Now < state.Deadline:
-			return AwaitOutcome, state.Deadline
-		case state.OutcomeUnknown:
-			return Fail, state.Now
-		}
-	}
-	final := Reject
-	if state.Cause != Rejected && state.Cause != Shed || state.OutcomeUnknown || state.MayHaveRun {
-		final = Fail
+	if state.Idempotency != placer.Idempotent && state.mayRunTwice() {
+		return state.resolveOutcome()
 	}
 	if state.RetriesLeft <= 0 {
-		return final, state.Now
+		return state.giveUp()
 	}
 	at = state.Now + p.delay(state)
 	if at >= state.Deadline {
-		return final, state.Now
+		return state.giveUp()
 	}
 	return RetryAt, at
 }
 
-func (p *Policy) delay(state State) float64 {
-	spread := 0.7 + 0.6*state.Jitter
-	if state.Cause == Migrated || state.Cause == Lost {
-		return p.ShortDelay * spread
+// mayRunTwice says whether a retry might start the task a second time.
+func (s *State) mayRunTwice() bool { return s.MayHaveRun || s.OutcomeUnknown }
+
+// resolveOutcome waits for an unknown outcome while it may still be learned, and fails the task otherwise.
+func (s *State) resolveOutcome() (Decision, float64) {
+	if !s.MayHaveRun && s.Now < s.Deadline {
+		return AwaitOutcome, s.Deadline
 	}
-	delay := max(p.Delay, 1)
-	if state.Cause == Shed {
-		// No machine was troubled, so waits do not grow by it; they are as long as the line, and spread upwards.
-		return max(delay, state.RetryAfter) * (1 + 0.5*state.Jitter)
+	return Fail, s.Now
+}
+
+// giveUp ends the task: as rejected only if it is certain that it did not run.
+func (s *State) giveUp() (Decision, float64) {
+	harmless := s.Cause == Rejected || s.Cause == Shed
+	if harmless && !s.mayRunTwice() {
+		return Reject, s.Now
+	}
+	return Fail, s.Now
+}
+
+// delay is how long to wait before the next request, in seconds.
+func (p *Policy) delay(state State) float64 {
+	factor := minSpread + jitterSpread*state.Jitter
+	switch state.Cause {
+	case Migrated, Lost:
+		return p.ShortDelay * factor
+	case Shed:
+		// No node was asked, so the delay does not grow with the attempts: it is as long as the queue.
+		return max(p.Delay, minDelay, state.RetryAfter) * (1 + shedSpread*state.Jitter)
 	}
-	for range state.Attempts - 1 {
-		if delay *= max(p.Multiplier, 1); delay >= p.MaxDelay {
-			delay = max(p.MaxDelay, 1)
-			break
+	return max(p.grownDelay(state.Attempts)*factor, minDelay, state.RetryAfter)
+}
+
+// grownDelay is the mean delay after a number of attempts.
+func (p *Policy) grownDelay(attempts int) float64 {
+	delay := max(p.Delay, minDelay)
+	for range attempts - 1 {
+		delay *= max(p.Multiplier, 1)
+		if delay >= p.MaxDelay {
+			return max(p.MaxDelay, minDelay)
 		}
 	}
-	return max(delay*spread, 1, state.RetryAfter)
+	return delay
 }
 
-// MaxWait is how long an owner waits at most for the outcome of a task that is asked for again so many times, each ask
-// taking up to deadline seconds.
+// MaxWait is how long a client waits at most for the outcome of a task that is retried a number of times, when each request takes up to
+// deadline seconds.
 func (p *Policy) MaxWait(deadline float64, retries int) float64 {
 	total := deadline
 	for i := range retries {
-		state := State{Attempts: i + 1, Jitter: 1, Cause: Rejected}
-		delay := p.delay(state)
-		if delay >= p.MaxDelay {
-			return total + float64(retries-i)*(1.3*p.MaxDelay+deadline)
+		longest := p.delay(State{Attempts: i + 1, Jitter: 1, Cause: Rejected})
+		if longest >= p.MaxDelay {
+			// It grows no further: the rest is not reckoned one by one.
+			return total + float64(retries-i)*((minSpread+jitterSpread)*p.MaxDelay+deadline)
 		}
-		total += delay + deadline
+		total += longest + deadline
 	}
 	return total
 }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -19,29 +19,31 @@
 		change func(*State)
 		want   Decision
 	}{
-		{"refused", func(state *State) {}, RetryAt},
-		{"refused, nothing left", func(state *State) { state.RetriesLeft = 0 }, Reject},
-		{"failed, nothing left", func(state *State) { state.RetriesLeft, state.Cause = 0, Failed }, Fail},
-		{"refused, too late to ask again", func(state *State) { state.Deadline = 101 }, Reject},
-		{"once, in doubt", func(state *State) { state.Idempotency, state.OutcomeUnknown = placer.NonIdempotent, true }, AwaitOutcome},
-		{"once, in doubt at the end", func(state *State) {
+		{"rejected", func(*State) {}, RetryAt},
+		{"rejected, no retries left", func(state *State) { state.RetriesLeft = 0 }, Reject},
+		{"failed, no retries left", func(state *State) { state.RetriesLeft, state.Cause = 0, Failed }, Fail},
+		{"rejected, too late for a retry", func(state *State) { state.Deadline = 101 }, Reject},
+		{"not idempotent, outcome unknown", func(state *State) { state.Idempotency, state.OutcomeUnknown = placer.NonIdempotent, true }, AwaitOutcome},
+		{"not idempotent, outcome unknown at the deadline", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown, state.Now = placer.NonIdempotent, true, 200
 		}, Fail},
-		{"once, may have run", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
-		{"keyed, in doubt", func(state *State) { state.Idempotency, state.OutcomeUnknown = placer.IdempotentByKey, true }, AwaitOutcome},
-		{"repeatable, in doubt", func(state *State) { state.OutcomeUnknown = true }, RetryAt},
-		{"repeatable, in doubt, nothing left", func(state *State) { state.OutcomeUnknown, state.RetriesLeft = true, 0 }, Fail},
+		{"not idempotent, may have run", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
+		{"idempotent by key, outcome unknown", func(state *State) { state.Idempotency, state.OutcomeUnknown = placer.IdempotentByKey, true }, AwaitOutcome},
+		{"idempotent, outcome unknown", func(state *State) { state.OutcomeUnknown = true }, RetryAt},
+		{"idempotent, outcome unknown, no retries left", func(state *State) { state.OutcomeUnknown, state.RetriesLeft = true, 0 }, Fail},
 	} {
-		state := base
-		c.change(&state)
-		if decision, _ := policy.Next(state); decision != c.want {
-			t.Errorf("%s: verdict %d, want %d", c.name, decision, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			state := base
+			c.change(&state)
+			if decision, _ := policy.Next(state); decision != c.want {
+				t.Errorf("decision %d, want %d", decision, c.want)
+			}
+		})
 	}
 }
 
-// Whatever the standing: no wait under a second after a refusal, none past the end, and a task that must not run twice is never
-// asked again while an attempt may have run.
+// TestNextRespectsDelays checks for any state: no delay under a second after a rejection, none past the deadline, and no retry of a task that
+// is not idempotent while an attempt may have run.
 func TestNextRespectsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{Delay: rapid.Float64Range(0, 5).Draw(t, "again"), ShortDelay: rapid.Float64Range(0, 2).Draw(t, "soon"),
@@ -53,22 +55,22 @@
 		decision, at := policy.Next(state)
 		if decision == RetryAt {
 			if state.Idempotency != placer.Idempotent && (state.OutcomeUnknown || state.MayHaveRun) {
-				t.Fatal("asked again though an attempt may have run")
+				t.Fatal("retry though an attempt may have run")
 			}
 			if state.RetriesLeft <= 0 || at >= state.Deadline || at < state.Now {
-				t.Fatalf("asked again at %v with budget %d, owner gives up at %v", at, state.RetriesLeft, state.Deadline)
+				t.Fatalf("retry at %v with %d retries left, client gives up at %v", at, state.RetriesLeft, state.Deadline)
 			}
 			if state.Cause < Migrated && at < state.Now+1 {
-				t.Fatalf("asked again after %v s", at-state.Now)
+				t.Fatalf("retry after %v s", at-state.Now)
 			}
 		}
 		if decision == Reject && (state.OutcomeUnknown || state.MayHaveRun) {
-			t.Fatal("said that a new try does no harm though an attempt may have run")
+			t.Fatal("reported as rejected though an attempt may have run")
 		}
 	})
 }
 
-// Every ask that may be made ends before the owner's patience does.
+// TestMaxWaitCoversAllAttempts checks that every attempt that a policy allows ends within MaxWait.
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
 	policy := DefaultPolicy()
 	for budget := range 40 {
@@ -78,7 +80,7 @@
 			at = next + 8
 		}
 		if most := policy.MaxWait(8, budget); at > most+1e-6 {
-			t.Errorf("budget %d: the last ask ends at %v, patience is %v", budget, at, most)
+			t.Errorf("%d retries: the last attempt ends at %v, want at most %v", budget, at, most)
 		}
 	}
 }
