--- /dev/null
+++ b/internal/decodelimit/bench_test.go
@@ -0,0 +1,57 @@
+package decodelimit
+
+import (
+	"encoding/json"
+	"testing"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/api/resource"
+)
+
+// benchmarkJob is a Job of ordinary size.
+func benchmarkJob() *batchv1.Job {
+	job := &batchv1.Job{}
+	job.Name = "job-144e1135"
+	job.Namespace = "default"
+	job.Labels = map[string]string{"heathshed.io/class": "web", "team": "a"}
+	requests := corev1.ResourceList{corev1.ResourceCPU: resource.MustParse("500m"), corev1.ResourceMemory: resource.MustParse("1Gi")}
+	for range 4 {
+		container := corev1.Container{Name: "main", Image: "registry/image:1.2.3", Args: []string{"--replicas", "3"}}
+		container.Resources.Requests = requests
+		job.Spec.Template.Spec.Containers = append(job.Spec.Template.Spec.Containers, container)
+	}
+	return job
+}
+
+// BenchmarkCheckJSON checks a Job as JSON.
+func BenchmarkCheckJSON(b *testing.B) {
+	text, err := json.Marshal(benchmarkJob())
+	if err != nil {
+		b.Fatal(err)
+	}
+	limits := ObjectLimits()
+	b.SetBytes(int64(len(text)))
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := CheckJSON(text, limits); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkCheckProto checks the same Job in the protobuf encoding.
+func BenchmarkCheckProto(b *testing.B) {
+	message, err := benchmarkJob().Marshal()
+	if err != nil {
+		b.Fatal(err)
+	}
+	limits := ObjectLimits()
+	b.SetBytes(int64(len(message)))
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := CheckProto(message, limits); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/decodelimit/characterization_test.go
+++ b/internal/decodelimit/characterization_test.go
@@ -5,63 +5,34 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"heathshed/internal/decodelimit"
+	"heathshed/internal/golden"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
-}
-
-// TestCharacterization compares verdicts on texts around each bound, and on seeded mutations, with the golden file. The words of a refusal are
-// sent to clients, so they are part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
+// part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterization(t *testing.T) {
 	o := decodelimit.ObjectLimits()
-	lines := []string{fmt.Sprint("object ", o.Bytes, " ", o.Depth, " ", o.Values, " ", o.NumberLength, " ", o.Exponent, " ", o.Digits)}
+	record := golden.NewRecorder()
+	record.Line("object %d %d %d %d %d %d", o.Bytes, o.Depth, o.Values, o.NumberLength, o.Exponent, o.Digits)
 	for i, limits := range limitSets {
 		for j, text := range corpus() {
-			lines = append(lines, fmt.Sprintf("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits))))
+			record.Line("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits)))
 		}
 		for j, text := range quantities {
-			lines = append(lines, fmt.Sprintf("limits %d quantity %d %s", i, j, describeQuantity(text, limits)))
+			record.Line("limits %d quantity %d %s", i, j, describeQuantity(text, limits))
 		}
 		for j, message := range messages() {
-			lines = append(lines, fmt.Sprintf("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits))))
+			record.Line("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits)))
 		}
-		lines = append(lines, fmt.Sprintf("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i))))))
+		record.Line("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i)))))
 	}
-	compareGolden(t, lines)
+	record.Check(t, "characterization")
 }
 
 var limitSets = []decodelimit.Limits{decodelimit.ObjectLimits(), {}, {Bytes: 60, Depth: 3, Values: 5, NumberLength: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
--- a/internal/decodelimit/decodelimit_test.go
+++ b/internal/decodelimit/decodelimit_test.go
@@ -8,8 +8,8 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// Only a text that is a number to its end may be a quantity that is refused: an identity that begins like one must pass in both
-// encodings, or a task that runs would not be seen.
+// TestQuantities checks that only a text that is a number to its end is rejected as a quantity: a UID that begins like one must pass in both
+// encodings, or a running task would not be seen.
 func TestQuantities(t *testing.T) {
 	limits := ObjectLimits()
 	for s, ok := range map[string]bool{"1": true, "500m": true, "1e3": true, "1E6": true, "100Ki": true, "1e99": true, "": true, "e9999": true,
--- a/internal/decodelimit/proto.go
+++ b/internal/decodelimit/proto.go
@@ -2,71 +2,72 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// CheckProto checks a message in the binary encoding. Without its schema a text cannot be told from a message inside, so a field is looked at
-// as both: as a quantity, and as a message if it reads as one.
-func CheckProto(b []byte, limits Limits) error {
-	if limits.Bytes > 0 && len(b) > limits.Bytes {
-		return &Error{"too many bytes", limits.Bytes, limits.Bytes}
+// anyFieldNumber stands for the number of a field where only its wire type matters.
+const anyFieldNumber = 1
+
+// CheckProto checks a message in the protobuf encoding and returns an *Error if it exceeds a limit. Without a schema, a string cannot be told
+// from a nested message, so a field is checked as both: as a quantity, and as a message if it is well formed as one.
+func CheckProto(message []byte, limits Limits) error {
+	if err := limits.checkBytes(message); err != nil {
+		return err
 	}
-	values := 0
-	_, err := checkMessage(b, limits, 1, &values, 0)
-	return err
+	scanner := messageScanner{limits: limits}
+	if _, err := scanner.scan(message, 1, 0); err != nil {
+		return err
+	}
+	return nil
 }
 
-// checkMessage walks one message. ok says that it reads as one to its end; an error is found only in what does.
-func checkMessage(b []byte, limits Limits, depth int, values *int, offset int) (ok bool, err error) {
-	if limits.Depth > 0 && depth > limits.Depth {
-		return true, &Error{"messages too deep inside each other", limits.Depth, offset}
+// messageScanner walks a message and those nested in it.
+type messageScanner struct {
+	limits Limits
+	values int
+}
+
+// scan walks one message, at an offset in the whole text. wellFormed says that it is a message to its end; there is an error only if it is.
+func (s *messageScanner) scan(message []byte, depth, offset int) (wellFormed bool, err *Error) {
+	if s.limits.Depth > 0 && depth > s.limits.Depth {
+		return true, &Error{MessagesTooDeep, s.limits.Depth, offset}
 	}
-	for rest := b; len(rest) > 0; {
-		at := offset + len(b) - len(rest)
-		_, kind, n := protowire.ConsumeTag(rest)
+	for rest := message; len(rest) > 0; {
+		at := offset + len(message) - len(rest)
+		_, wireType, n := protowire.ConsumeTag(rest)
 		if n < 0 {
 			return false, nil
 		}
 		rest = rest[n:]
-		if kind != protowire.BytesType {
-			if n = protowire.ConsumeFieldValue(1, kind, rest); n < 0 {
-				return false, nil
-			}
-			rest = rest[n:]
-			if err == nil {
-				err = countValue(values, limits, at)
-			}
-			continue
+		var value []byte // stays empty for a field that is not length-delimited
+		if wireType == protowire.BytesType {
+			value, n = protowire.ConsumeBytes(rest)
+		} else {
+			n = protowire.ConsumeFieldValue(anyFieldNumber, wireType, rest)
 		}
-		v, n := protowire.ConsumeBytes(rest)
 		if n < 0 {
 			return false, nil
 		}
 		rest = rest[n:]
-		if err != nil {
-			continue // whether it reads to the end is still to be seen
-		}
-		if err = countValue(values, limits, at); err != nil {
-			continue
-		}
-		if q := CheckQuantity(v, limits); q != nil {
-			q.Offset += at
-			err = q
-			continue
-		}
-		if len(v) > 1 {
-			before := *values
-			inside, e := checkMessage(v, limits, depth+1, values, at)
-			if inside && e != nil {
-				err = e
-			} else if !inside {
-				*values = before
-			}
+		if err == nil { // after an error only whether the message is well formed remains to be seen
+			err = s.checkField(value, depth, at)
 		}
 	}
 	return true, err
 }
 
-func countValue(values *int, limits Limits, at int) error {
-	if *values++; limits.Values > 0 && *values > limits.Values {
-		return &Error{"too many values", limits.Values, at}
+// checkField checks one field of a message as a value, as a quantity and as a nested message.
+func (s *messageScanner) checkField(value []byte, depth, offset int) *Error {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
+		return err
 	}
-	return nil
+	if len(value) == 0 {
+		return nil
+	}
+	if err := checkQuantityAt(value, &s.limits, offset); err != nil || len(value) == 1 {
+		return err
+	}
+	before := s.values
+	wellFormed, err := s.scan(value, depth+1, offset)
+	if !wellFormed {
+		s.values = before // it is a string after all
+	}
+	return err
 }
