--- a/cmd/heathshed/load.go
+++ b/cmd/heathshed/load.go
@@ -133,7 +133,7 @@
 			}
 			shown := 0
 			skip := func(p *workload.EntryError) error {
-				result.Skipped[p.Kind]++
+				result.Skipped[string(p.Kind)]++
 				if report != nil {
 					if err := report.Encode(p); err != nil {
 						return err
--- a/internal/workload/characterization_test.go
+++ b/internal/workload/characterization_test.go
@@ -60,8 +60,8 @@
 {"startedDateTime":"2026-10-10T13:55:38Z","request":{"method":"GET","url":"/only/path?q"},"serverIPAddress":"10.0.0.1"}
 ],"comment":"end"}}`
 
-// recordEntries writes all entries and problems of a source, and returns the entries.
-func recordEntries(r *golden.Recorder, label string, source workload.Reader) (all []workload.Entry) {
+// recordEntries writes all entries and errors of a source.
+func recordEntries(r *golden.Recorder, label string, source workload.Reader) {
 	r.Line("== %s", label)
 	for range 200 {
 		e, err := source.Next()
@@ -69,20 +69,18 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			r.Line("end")
-			return all
+			return
 		case errors.As(err, &p):
 			// What the JSON library says of a type that has no name holds names of Go fields.
 			text, _, _ := strings.Cut(p.Error(), " of type struct")
 			r.Line("problem %q %q %d %q %q", p.Kind, p.File, p.Line, p.Text, text)
 		case err != nil:
 			r.Line("error %v", err)
-			return all
+			return
 		default:
 			recordEntry(r, e)
-			all = append(all, e)
 		}
 	}
-	return all
 }
 
 func recordEntry(r *golden.Recorder, e workload.Entry) {
@@ -121,7 +119,7 @@
 // TestCharacterizeSources pins how compressed sources are opened, formats are guessed, and entries are brought in order.
 func TestCharacterizeSources(t *testing.T) {
 	r := golden.NewRecorder()
-	for i, content := range [][]byte{[]byte(logLines), gzipped(logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
+	for i, content := range [][]byte{[]byte(logLines), gzipped(t, logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
 		opened, err := workload.Decompress(bytes.NewReader(content))
 		if err != nil {
 			r.Line("source %d: %v", i, err)
@@ -142,20 +140,26 @@
 	r.Check(t, "sources")
 }
 
-func gzipped(text string) []byte {
-	var b bytes.Buffer
-	z := gzip.NewWriter(&b)
-	z.Write([]byte(text))
-	z.Close()
-	return b.Bytes()
+func gzipped(t *testing.T, text string) []byte {
+	t.Helper()
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
+	if _, err := w.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return compressed.Bytes()
 }
 
 func zstandard(t *testing.T, text string) []byte {
-	z, err := zstd.NewWriter(nil)
+	t.Helper()
+	w, err := zstd.NewWriter(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return z.EncodeAll([]byte(text), nil)
+	return w.EncodeAll([]byte(text), nil)
 }
 
 func recordSorted(r *golden.Recorder, window float64) {
--- /dev/null
+++ b/internal/workload/entry.go
@@ -0,0 +1,66 @@
+// Package workload reads recorded load: access logs described by a format string, JSON lines and HAR files, each as a stream of entries
+// in order of time. An entry that cannot be read is reported as an *EntryError and skipped; reading goes on behind it.
+//
+// The package is a codec: it reads from the io.Readers it is given, opens no file and knows nothing of tasks.
+package workload
+
+import "fmt"
+
+// Entry is one recorded request.
+type Entry struct {
+	At           float64 // Unix seconds
+	WholeSeconds bool    // the source gave no fractions of a second
+	Method       string
+	Host         string
+	Path         string
+	Query        string
+	Status       int
+	Bytes        int64
+	Duration     float64 // seconds, 0 if the source gave none
+	RemoteAddr   string
+	User         string
+	File         string
+	Line         int64 // number of the line, or of the entry in a HAR file, from 1
+	order        int64 // order of arrival at a Sorter
+}
+
+// Reader yields entries in the order of the source. Next returns an *EntryError for an entry that is skipped, io.EOF at the end, and any
+// other error when the source cannot be read further.
+type Reader interface{ Next() (Entry, error) }
+
+// ErrorKind classifies the entries that are skipped.
+type ErrorKind string
+
+// Why an entry is skipped.
+const (
+	Malformed  ErrorKind = "malformed"    // the line does not have the format
+	BadTime    ErrorKind = "bad-time"     // no time, or one that cannot be parsed
+	BadRequest ErrorKind = "bad-request"  // no method or no path
+	TooLong    ErrorKind = "too-long"     // the line exceeds the limit
+	Truncated  ErrorKind = "truncated"    // the source ends inside an entry
+	OutOfOrder ErrorKind = "out-of-order" // older than the sorting window allows
+)
+
+// EntryError reports an entry that was skipped because it could not be read or could not be put in order.
+type EntryError struct {
+	Kind   ErrorKind `json:"kind"`
+	File   string    `json:"file"`
+	Line   int64     `json:"line"`
+	Text   string    `json:"text"` // the beginning of the entry
+	Reason string    `json:"error"`
+}
+
+func (e *EntryError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Kind, e.Reason)
+}
+
+// maxErrorText bounds the input quoted in an error, in bytes.
+const maxErrorText = 80
+
+// excerpt returns the beginning of a text, for errors.
+func excerpt(s string) string {
+	if len(s) > maxErrorText {
+		s = s[:maxErrorText]
+	}
+	return s
+}
--- a/internal/workload/format.go
+++ b/internal/workload/format.go
@@ -1,259 +1,200 @@
 package workload
 
 import (
-	"bufio"
+	"errors"
 	"fmt"
-	"io"
-	"strconv"
 	"strings"
 )
 
-// Format is a compiled log format: literals and fields in turn.
-type Format struct{ parts []part }
-
-type part struct {
-	field  string // "" is a literal
-	text   string // the literal
-	quoted bool   // the field stands in double quotes, with escapes
-}
-
-// Formats that have names: NCSA Common and Combined.
+// Common and Combined are the NCSA log formats of these names.
 const (
 	Common   = `%h %l %u %t "%r" %>s %b`
 	Combined = Common + ` "%{Referer}i" "%{User-agent}i"`
 )
 
-var apacheFields = map[string]string{"h": "addr", "a": "addr", "l": "-", "u": "user", "t": "time", "r": "request", "s": "status", ">s": "status",
-	"b": "bytes", "B": "bytes", "O": "bytes", "D": "micros", "T": "seconds", "m": "method", "U": "path", "q": "query", "v": "host", "V": "host",
-	"H": "-", "{Host}i": "host"}
+// field names what a part of a log line sets in an entry.
+type field string
+
+const (
+	fieldIgnored field = "-"
+	fieldAddr    field = "addr"
+	fieldUser    field = "user"
+	fieldTime    field = "time"
+	fieldRequest field = "request" // method, target and protocol
+	fieldMethod  field = "method"
+	fieldPath    field = "path"
+	fieldQuery   field = "query"
+	fieldHost    field = "host"
+	fieldStatus  field = "status"
+	fieldBytes   field = "bytes"
+	fieldSeconds field = "seconds" // duration
+	fieldMicros  field = "micros"  // duration
+)
+
+// apacheFields are the known directives of an Apache LogFormat. Directives in braces that are not listed are ignored.
+var apacheFields = map[string]field{
+	"h":       fieldAddr,
+	"a":       fieldAddr,
+	"l":       fieldIgnored,
+	"u":       fieldUser,
+	"t":       fieldTime,
+	"r":       fieldRequest,
+	"s":       fieldStatus,
+	">s":      fieldStatus,
+	"b":       fieldBytes,
+	"B":       fieldBytes,
+	"O":       fieldBytes,
+	"D":       fieldMicros,
+	"T":       fieldSeconds,
+	"m":       fieldMethod,
+	"U":       fieldPath,
+	"q":       fieldQuery,
+	"v":       fieldHost,
+	"V":       fieldHost,
+	"H":       fieldIgnored,
+	"{Host}i": fieldHost,
+}
+
+// nginxFields are the known variables of an nginx log_format. Other variables are ignored.
+var nginxFields = map[string]field{
+	"remote_addr":     fieldAddr,
+	"remote_user":     fieldUser,
+	"time_local":      fieldTime,
+	"time_iso8601":    fieldTime,
+	"msec":            fieldTime,
+	"request":         fieldRequest,
+	"status":          fieldStatus,
+	"body_bytes_sent": fieldBytes,
+	"bytes_sent":      fieldBytes,
+	"request_time":    fieldSeconds,
+	"host":            fieldHost,
+	"http_host":       fieldHost,
+	"request_method":  fieldMethod,
+	"uri":             fieldPath,
+	"request_uri":     fieldPath,
+	"args":            fieldQuery,
+	"query_string":    fieldQuery,
+}
+
+// Format is a compiled log format: literals and fields in turn.
+type Format struct{ parts []part }
 
-var nginxFields = map[string]string{"remote_addr": "addr", "remote_user": "user", "time_local": "time", "time_iso8601": "time", "msec": "time",
-	"request": "request", "status": "status", "body_bytes_sent": "bytes", "bytes_sent": "bytes", "request_time": "seconds", "host": "host",
-	"http_host": "host", "request_method": "method", "uri": "path", "request_uri": "path", "args": "query", "query_string": "query"}
+// part is a literal, or a field if one is set.
+type part struct {
+	field   field
+	literal string
+	quoted  bool // the field is inside double quotes, with escapes
+}
 
-// ParseFormat compiles an Apache LogFormat or an nginx log_format. A format without a time or without what was asked for is refused, and so
-// are two fields with nothing between them.
+// ParseFormat compiles an Apache LogFormat or an nginx log_format. It rejects a format without a time, one with neither a request nor a
+// path, and one with two fields that nothing separates.
 func ParseFormat(s string) (*Format, error) {
-	f := &Format{}
-	literal := ""
-	fields := map[string]bool{}
-	add := func(name string) error {
-		if literal == "" && len(f.parts) > 0 {
-			return fmt.Errorf("format: nothing stands between two fields, before %q", name)
-		}
-		if literal != "" {
-			f.parts = append(f.parts, part{text: literal})
-		}
-		f.parts = append(f.parts, part{field: name, quoted: strings.HasSuffix(literal, `"`)})
-		fields[name] = true
-		literal = ""
-		return nil
-	}
-	for i := 0; i < len(s); {
-		var name, known string
-		ok := true
-		switch {
-		case strings.HasPrefix(s[i:], "%%"):
-			literal += "%"
-			i += 2
-			continue
-		case s[i] == '%':
-			j := i + 1
-			if j < len(s) && s[j] == '>' {
-				j++
-			}
-			if j < len(s) && s[j] == '{' {
-				k := strings.IndexByte(s[j:], '}')
-				if k < 0 {
-					return nil, fmt.Errorf("format: %q has no end", s[i:])
-				}
-				j += k + 1
-			}
-			if j >= len(s) {
-				return nil, fmt.Errorf("format: %q names no field", s[i:])
-			}
-			name = s[i+1 : j+1]
-			if known, ok = apacheFields[name]; !ok && strings.HasPrefix(name, "{") {
-				known, ok = "-", true
-			}
-			i = j + 1
-		case s[i] == '$':
-			j := i + 1
-			for j < len(s) && (s[j] == '_' || s[j] >= 'a' && s[j] <= 'z' || s[j] >= '0' && s[j] <= '9') {
-				j++
-			}
-			name = s[i+1 : j]
-			if known, ok = nginxFields[name]; !ok && name != "" {
-				known, ok = "-", true
-			}
-			i = j
-		default:
-			literal += s[i : i+1]
-			i++
-			continue
-		}
-		if !ok {
-			return nil, fmt.Errorf("format: field %q is not known", name)
-		}
-		if err := add(known); err != nil {
+	c := formatCompiler{seen: map[field]bool{}}
+	for rest := s; rest != ""; {
+		var err error
+		if rest, err = c.consume(rest); err != nil {
 			return nil, err
 		}
 	}
-	if literal != "" {
-		f.parts = append(f.parts, part{text: literal})
-	}
-	if !fields["time"] {
-		return nil, fmt.Errorf("format: no time")
-	}
-	if !fields["request"] && !fields["path"] {
-		return nil, fmt.Errorf("format: no request and no path")
-	}
-	return f, nil
+	return c.finish()
 }
 
-type logReader struct {
-	lines  lineReader
-	format *Format
+// formatCompiler builds a Format from left to right.
+type formatCompiler struct {
+	parts   []part
+	literal string // collected since the last field
+	seen    map[field]bool
 }
 
-// NewLog reads an access log of the given format.
-func NewLog(r io.Reader, file string, f *Format) Reader {
-	return &logReader{lineReader{source: bufio.NewReaderSize(r, 64<<10), file: file}, f}
-}
-
-func (r *logReader) Next() (Entry, error) {
-	for {
-		line, truncated, err := r.lines.next()
+// consume compiles the first literal byte, escape or field of a text and returns the rest.
+func (c *formatCompiler) consume(text string) (rest string, err error) {
+	switch {
+	case strings.HasPrefix(text, "%%"):
+		c.literal += "%"
+		return text[2:], nil
+	case text[0] == '%':
+		name, rest, err := cutDirective(text)
 		if err != nil {
-			return Entry{}, err
+			return "", err
 		}
-		if line == "" || line[0] == '#' {
-			continue
+		found, known := apacheFields[name]
+		if !known && strings.HasPrefix(name, "{") {
+			found, known = fieldIgnored, true
 		}
-		entry, problem := r.format.parse(line)
-		if problem != nil {
-			problem.File, problem.Line, problem.Text = r.lines.file, r.lines.number, excerpt(line)
-			if truncated && problem.Kind == Malformed {
-				problem.Kind = Truncated
-			}
-			return Entry{}, problem
+		return rest, c.addField(name, found, known)
+	case text[0] == '$':
+		name, rest := cutVariable(text)
+		found, known := nginxFields[name]
+		if !known && name != "" {
+			found, known = fieldIgnored, true
 		}
-		entry.File, entry.Line = r.lines.file, r.lines.number
-		return entry, nil
+		return rest, c.addField(name, found, known)
 	}
+	c.literal += text[:1]
+	return text[1:], nil
 }
 
-func (f *Format) parse(line string) (Entry, *EntryError) {
-	entry := Entry{}
-	timed := false
-	for i, current := range f.parts {
-		if current.field == "" {
-			if !strings.HasPrefix(line, current.text) {
-				return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("want %q", excerpt(current.text))}
-			}
-			line = line[len(current.text):]
-			continue
-		}
-		var value string
-		switch {
-		case current.field == "time" && strings.HasPrefix(line, "["):
-			j := strings.IndexByte(line, ']')
-			if j < 0 {
-				return entry, &EntryError{Kind: Malformed, Reason: "time has no end"}
-			}
-			value, line = line[1:j], line[j+1:]
-		case current.quoted:
-			j := endOfQuoted(line)
-			value, line = unescape(line[:j]), line[j:]
-		case i+1 < len(f.parts):
-			j := strings.Index(line, f.parts[i+1].text)
-			if j < 0 {
-				return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("%s has no end", current.field)}
-			}
-			value, line = line[:j], line[j:]
-		default:
-			value, line = line, ""
-		}
-		if value == "-" {
-			value = ""
-		}
-		var err error
-		switch current.field {
-		case "time":
-			if entry.At, entry.WholeSeconds, err = parseTime(value); err != nil {
-				return entry, &EntryError{Kind: BadTime, Reason: err.Error()}
-			}
-			timed = true
-		case "request":
-			words := strings.Split(value, " ")
-			if len(words) < 2 || words[0] == "" || words[1] == "" {
-				return entry, &EntryError{Kind: BadRequest, Reason: fmt.Sprintf("request %q", excerpt(value))}
-			}
-			entry.Method = words[0]
-			entry.Path, entry.Query, _ = strings.Cut(words[1], "?")
-		case "method":
-			entry.Method = value
-		case "path":
-			path, query, found := strings.Cut(value, "?")
-			if entry.Path = path; found {
-				entry.Query = query
-			}
-		case "query":
-			entry.Query = strings.TrimPrefix(value, "?")
-		case "host":
-			entry.Host = value
-		case "addr":
-			entry.RemoteAddr = value
-		case "user":
-			entry.User = value
-		case "status":
-			entry.Status, err = strconv.Atoi(value)
-		case "bytes":
-			if value != "" {
-				entry.Bytes, err = strconv.ParseInt(value, 10, 64)
-			}
-		case "micros", "seconds":
-			if value != "" {
-				entry.Duration, err = strconv.ParseFloat(value, 64)
-			}
-			if current.field == "micros" {
-				entry.Duration /= 1e6
-			}
-		}
-		if err != nil {
-			return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("%s %q", current.field, excerpt(value))}
+// cutDirective cuts an Apache directive such as %h, %>s or %{Referer}i off a text, and returns its name without the percent sign.
+func cutDirective(text string) (name, rest string, err error) {
+	end := 1
+	if end < len(text) && text[end] == '>' {
+		end++
+	}
+	if end < len(text) && text[end] == '{' {
+		brace := strings.IndexByte(text[end:], '}')
+		if brace < 0 {
+			return "", "", fmt.Errorf("format: %q has no end", text)
 		}
+		end += brace + 1
 	}
-	switch {
-	case line != "":
-		return entry, &EntryError{Kind: Malformed, Reason: fmt.Sprintf("more follows: %q", excerpt(line))}
-	case !timed:
-		return entry, &EntryError{Kind: BadTime, Reason: "no time"}
-	case entry.Path == "":
-		return entry, &EntryError{Kind: BadRequest, Reason: "no path"}
+	if end >= len(text) {
+		return "", "", fmt.Errorf("format: %q names no field", text)
 	}
-	return entry, nil
+	return text[1 : end+1], text[end+1:], nil
 }
 
-// endOfQuoted is the place of the quote that ends a field; a backslash takes the next byte with it.
-func endOfQuoted(s string) int {
-	for i := 0; i < len(s); i++ {
-		switch s[i] {
-		case '\\':
-			i++
-		case '"':
-			return i
-		}
+// cutVariable cuts an nginx variable such as $remote_addr off a text, and returns its name without the dollar sign.
+func cutVariable(text string) (name, rest string) {
+	end := 1
+	for end < len(text) && isVariableByte(text[end]) {
+		end++
+	}
+	return text[1:end], text[end:]
+}
+
+func isVariableByte(b byte) bool {
+	return b == '_' || b >= 'a' && b <= 'z' || b >= '0' && b <= '9'
+}
+
+// addField appends the collected literal and a field.
+func (c *formatCompiler) addField(name string, added field, known bool) error {
+	if !known {
+		return fmt.Errorf("format: field %q is not known", name)
+	}
+	if c.literal == "" && len(c.parts) > 0 {
+		return fmt.Errorf("format: nothing stands between two fields, before %q", added)
+	}
+	quoted := strings.HasSuffix(c.literal, `"`)
+	c.addLiteral()
+	c.parts = append(c.parts, part{field: added, quoted: quoted})
+	c.seen[added] = true
+	return nil
+}
+
+func (c *formatCompiler) addLiteral() {
+	if c.literal != "" {
+		c.parts = append(c.parts, part{literal: c.literal})
+		c.literal = ""
 	}
-	return len(s)
 }
 
-func unescape(s string) string {
-	if !strings.Contains(s, `\`) {
-		return s
+func (c *formatCompiler) finish() (*Format, error) {
+	c.addLiteral()
+	if !c.seen[fieldTime] {
+		return nil, errors.New("format: no time")
 	}
-	if u, err := strconv.Unquote(`"` + s + `"`); err == nil {
-		return u
+	if !c.seen[fieldRequest] && !c.seen[fieldPath] {
+		return nil, errors.New("format: no request and no path")
 	}
-	return s
+	return &Format{parts: c.parts}, nil
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -17,8 +17,9 @@
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
 // readAll reads a source to its end: entries, and problems by kind.
-func readAll(t testing.TB, r Reader) (out []Entry, kinds map[string]int) {
-	kinds = map[string]int{}
+func readAll(tb testing.TB, r Reader) (out []Entry, kinds map[ErrorKind]int) {
+	tb.Helper()
+	kinds = map[ErrorKind]int{}
 	for range 1 << 20 {
 		e, err := r.Next()
 		var p *EntryError
@@ -28,19 +29,20 @@
 		case errors.As(err, &p):
 			kinds[p.Kind]++
 		case err != nil:
-			t.Fatal(err)
+			tb.Fatal(err)
 		default:
 			out = append(out, e)
 		}
 	}
-	t.Fatal("no end")
+	tb.Fatal("no end")
 	return nil, nil
 }
 
-func mustParseFormat(t testing.TB, s string) *Format {
+func mustParseFormat(tb testing.TB, s string) *Format {
+	tb.Helper()
 	f, err := ParseFormat(s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return f
 }
@@ -49,7 +51,10 @@
 
 func TestLogLines(t *testing.T) {
 	const ng = `$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" $request_time`
-	for _, c := range []struct{ name, format, line, kind string }{
+	for _, c := range []struct {
+		name, format, line string
+		kind               ErrorKind
+	}{
 		{"common", Common, commonLine, ""},
 		{"no bytes", Common, strings.Replace(commonLine, "2326", "-", 1), ""},
 		{"combined", Combined, commonLine + ` "-" "a \"b\" c"`, ""},
@@ -63,14 +68,30 @@
 		{"more", Common, commonLine + " x", Malformed},
 		{"other", Common, "hello", Truncated},
 	} {
-		out, kinds := readAll(t, NewLog(strings.NewReader(c.line+map[bool]string{true: "", false: "\n"}[c.kind == Truncated]), "f", mustParseFormat(t, c.format)))
-		if c.kind == "" && (len(out) != 1 || out[0].Path != "/a/b" || out[0].Query != "c=d" || out[0].Method != "GET" || out[0].At != 1791658536 || !out[0].WholeSeconds) {
-			t.Errorf("%s: %+v, %v", c.name, out, kinds)
-		}
-		if c.kind != "" && (len(out) != 0 || kinds[c.kind] != 1) {
-			t.Errorf("%s: %+v, %v, want %s", c.name, out, kinds, c.kind)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			source := c.line
+			if c.kind != Truncated {
+				source += "\n"
+			}
+			out, kinds := readAll(t, NewLog(strings.NewReader(source), "f", mustParseFormat(t, c.format)))
+			if c.kind != "" {
+				if len(out) != 0 || kinds[c.kind] != 1 {
+					t.Errorf("%+v, %v, want %s", out, kinds, c.kind)
+				}
+				return
+			}
+			if len(out) != 1 {
+				t.Fatalf("%+v, %v, want one entry", out, kinds)
+			}
+			got := out[0]
+			if got.Path != "/a/b" || got.Query != "c=d" || got.Method != "GET" || got.At != 1791658536 || !got.WholeSeconds {
+				t.Errorf("%+v, %v", got, kinds)
+			}
+		})
 	}
+}
+
+func TestParseFormatErrors(t *testing.T) {
 	for _, bad := range []string{"", "%h %r", "%t %b", "%t%r", "%t %{x", "%t %r %Z", "%t %r %"} {
 		if _, err := ParseFormat(bad); err == nil {
 			t.Errorf("format %q was taken", bad)
@@ -118,8 +139,12 @@
 		`{"time":1791640536250,"path":"/c"}` + "\n{\"time\":\"x\",\"path\":\"/\"}\n{\"time\":1791640536}\n{\"time\":"
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	z.Write([]byte(text))
-	z.Close()
+	if _, err := z.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
+	}
 	r, err := Decompress(&b)
 	if err != nil {
 		t.Fatal(err)
