--- a/cmd/heathshed/run.go
+++ b/cmd/heathshed/run.go
@@ -239,8 +239,8 @@
 }
 
 func nodeOptions(s *config.Settings, i int) emulator.NodeOptions {
-	cfg, kind, rack, zone := s.EmulatedNode(i)
-	return emulator.NodeOptions{Name: fmt.Sprintf("node-%02d", i+1), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0", Sim: cfg,
+	emulated := s.EmulatedNode(i)
+	return emulator.NodeOptions{Name: fmt.Sprintf("node-%02d", i+1), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType, Listen: "127.0.0.1:0", Sim: emulated.Sim,
 		Priorities: s.Priorities(), Lifetimes: s.Lifetimes()}
 }
 
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -38,7 +38,7 @@
 	r.Check(t, "settings")
 }
 
-// settingsFiles are good files, and the default with one field after the other replaced by values of the wrong kind or out of range.
+// settingsFiles are valid files, and the default with one field after the other replaced by values of the wrong kind or out of range.
 func settingsFiles(text string) []string {
 	out := []string{"", "{}", "// c\n{ /* d */ \"name\": \"a\", }", `{"naem": "a"}`, "{\n\"name\": \"a\",\n\"name\": \"b\"}", `{"name": }`, "[]", "3",
 		`{"peers": 1.5}`, `{"peers": 2, "self": 2}`, `{"classes": []}`, `{"kinds": []}`, `{"defaultClass": "x"}`, `{"logLevel": "loud"}`,
@@ -65,16 +65,18 @@
 	return out
 }
 
-// recordDerived records what follows from settings: machines, priorities, lives, and the configuration of the gate and owners by bits.
+// recordDerived records what is derived from settings, floats by their bits: emulated nodes, priorities, lifetimes and the engine's configuration.
 func recordDerived(t *testing.T, r *golden.Recorder, s *config.Settings) {
+	t.Helper()
 	text, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Bytes(text)
 	for i := range 9 {
-		node, kind, rack, zone := s.EmulatedNode(i)
-		r.Texts(kind, rack, zone)
+		emulated := s.EmulatedNode(i)
+		node := emulated.Sim
+		r.Texts(emulated.NodeType, emulated.Rack, emulated.Zone)
 		r.Floats(node.Cores, node.Memory, node.OvercommitCores, node.OvercommitMemory, node.DecisionDelayMin, node.DecisionDelayMax, node.StartSeconds, node.UncachedStartFactor, node.InitialPace, node.WarmUpSeconds,
 			node.OverloadFactor, node.OverloadWindow, node.OverloadMinRequests, node.LifetimeMean, node.UsageMin, node.UsageMax, node.DrainGrace, node.TerminatedRetention)
 		r.Integers(int64(node.MaxQueued), int64(node.MaxConcurrentStarts), int64(node.ProgramCacheSize), int64(node.Seed))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -24,17 +25,49 @@
 		{"broken", "{\n  \"name\": }", "f:"},
 		{"shares", `{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`, "tenants[1].share"},
 	} {
-		_, err := Parse("f", []byte(c.text))
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", c.name, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: %v, want %q", c.name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("f", []byte(c.text))
+			if c.want == "" {
+				if err != nil {
+					t.Error(err)
+				}
+				return
+			}
+			var positioned *Error
+			if !errors.As(err, &positioned) || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want an *Error with %q", err, c.want)
+			}
+		})
 	}
 }
 
-// What is printed can be read back, to the same.
+// Settings that are not read from a file have no position: the error names the setting.
+func TestValidateNamesTheField(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Settings)
+		want   FieldError
+	}{
+		{"text", func(s *Settings) { s.LogLevel = "loud" }, FieldError{"logLevel", "want debug, info, warn or error"}},
+		{"number", func(s *Settings) { s.Retry.Delay = 0 }, FieldError{"owner.again", "0: want 1 to 3600"}},
+		{"element", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 3600 at most"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := Default()
+			c.change(&s)
+			err := s.Validate()
+			var field *FieldError
+			if !errors.As(err, &field) || *field != c.want {
+				t.Fatalf("%v, want %+v", err, c.want)
+			}
+			if want := "settings: " + c.want.Path + ": " + c.want.Reason; err.Error() != want {
+				t.Errorf("%q, want %q", err, want)
+			}
+		})
+	}
+}
+
+// Printed settings can be parsed again, to the same settings.
 func TestPrintedSettingsRoundTrip(t *testing.T) {
 	s := Default()
 	printed, err := s.Text()
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -10,46 +10,23 @@
 	"github.com/tailscale/hujson"
 )
 
-// Error is a setting that cannot be used, with where it stands.
-type Error struct {
-	File         string
-	Line, Column int
-	Path         string // such as classes[1].effect
-	Message      string
-}
-
-func (e *Error) Error() string {
-	if e.Path == "" {
-		return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
-	}
-	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Path, e.Message)
-}
-
-// decoder fills a struct from JSON with comments and remembers where each field stands.
+// decoder fills a struct from JSON with comments and records the offset of each field.
 type decoder struct {
 	file    string
 	text    []byte
-	offsets map[string]int // offset of each path
-}
-
-func (d *decoder) errorAt(offset int, path, format string, args ...any) error {
-	offset = min(max(offset, 0), len(d.text))
-	before := string(d.text[:offset])
-	line := strings.Count(before, "\n") + 1
-	column := offset - strings.LastIndexByte(before, '\n')
-	return &Error{d.file, line, column, path, fmt.Sprintf(format, args...)}
+	offsets map[string]int // by path
 }
 
-// Decode reads JSON with comments and trailing commas into a struct with json tags. Fields that it does not know, or that are
-// given twice, are refused; what is not given stays as it is. It returns where each field stands.
+// decode reads JSON with comments and trailing commas into a struct with json tags. A field that the struct does not have, or that is
+// given twice, is an error; a field that is not given keeps its value.
 func (d *decoder) decode(target any) error {
-	v, err := hujson.Parse(d.text)
+	root, err := hujson.Parse(d.text)
 	if err != nil {
 		// The library names line and column in its message.
-		return &Error{d.file, 1, 1, "", strings.TrimPrefix(err.Error(), "hujson: ")}
+		return &Error{File: d.file, Line: 1, Column: 1, Message: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
 	d.offsets = map[string]int{}
-	return d.value(&v, "", reflect.ValueOf(target).Elem())
+	return d.value(&root, "", reflect.ValueOf(target).Elem())
 }
 
 func (d *decoder) value(value *hujson.Value, path string, target reflect.Value) error {
@@ -60,57 +37,31 @@
 	}
 	switch typed := value.Value.(type) {
 	case *hujson.Object:
-		if target.Kind() == reflect.Struct {
+		switch target.Kind() {
+		case reflect.Struct:
 			return d.object(typed, path, target)
+		case reflect.Map:
+			return d.mapping(typed, path, target)
+		default:
+			return d.errorAt(value.StartOffset, path, "an object, want %s", typeName(target))
 		}
-		if target.Kind() == reflect.Map {
-			decoded := reflect.MakeMap(target.Type())
-			for i := range typed.Members {
-				member := &typed.Members[i]
-				name := member.Name.Value.(hujson.Literal).String()
-				element := reflect.New(target.Type().Elem()).Elem()
-				if err := d.value(&member.Value, joinPath(path, name), element); err != nil {
-					return err
-				}
-				if decoded.MapIndex(reflect.ValueOf(name)).IsValid() {
-					return d.errorAt(member.Name.StartOffset, joinPath(path, name), "given twice")
-				}
-				decoded.SetMapIndex(reflect.ValueOf(name), element)
-			}
-			target.Set(decoded)
-			return nil
-		}
-		return d.errorAt(value.StartOffset, path, "an object, want %s", typeName(target))
 	case *hujson.Array:
 		if target.Kind() != reflect.Slice {
 			return d.errorAt(value.StartOffset, path, "a list, want %s", typeName(target))
 		}
-		decoded := reflect.MakeSlice(target.Type(), len(typed.Elements), len(typed.Elements))
-		for i := range typed.Elements {
-			if err := d.value(&typed.Elements[i], fmt.Sprintf("%s[%d]", path, i), decoded.Index(i)); err != nil {
-				return err
-			}
-		}
-		target.Set(decoded)
-		return nil
+		return d.list(typed, path, target)
 	case hujson.Literal:
 		return d.literal(typed, value.StartOffset, path, target)
 	}
 	return d.errorAt(value.StartOffset, path, "not understood")
 }
 
-func joinPath(path, name string) string {
-	if path == "" {
-		return name
-	}
-	return path + "." + name
-}
-
+// object decodes into a struct.
 func (d *decoder) object(object *hujson.Object, path string, target reflect.Value) error {
 	seen := map[string]bool{}
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := member.Name.Value.(hujson.Literal).String()
+		name := memberName(member)
 		memberPath := joinPath(path, name)
 		if seen[name] {
 			return d.errorAt(member.Name.StartOffset, memberPath, "given twice")
@@ -127,64 +78,130 @@
 	return nil
 }
 
+// mapping decodes into a map with string keys.
+func (d *decoder) mapping(object *hujson.Object, path string, target reflect.Value) error {
+	decoded := reflect.MakeMap(target.Type())
+	for i := range object.Members {
+		member := &object.Members[i]
+		name := memberName(member)
+		memberPath := joinPath(path, name)
+		element := reflect.New(target.Type().Elem()).Elem()
+		if err := d.value(&member.Value, memberPath, element); err != nil {
+			return err
+		}
+		key := reflect.ValueOf(name)
+		if decoded.MapIndex(key).IsValid() {
+			return d.errorAt(member.Name.StartOffset, memberPath, "given twice")
+		}
+		decoded.SetMapIndex(key, element)
+	}
+	target.Set(decoded)
+	return nil
+}
+
+// list decodes into a slice.
+func (d *decoder) list(array *hujson.Array, path string, target reflect.Value) error {
+	decoded := reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements))
+	for i := range array.Elements {
+		if err := d.value(&array.Elements[i], fmt.Sprintf("%s[%d]", path, i), decoded.Index(i)); err != nil {
+			return err
+		}
+	}
+	target.Set(decoded)
+	return nil
+}
+
+// literal decodes a string, number or boolean.
 func (d *decoder) literal(literal hujson.Literal, offset int, path string, target reflect.Value) error {
-	mismatch := func() error { return d.errorAt(offset, path, "%.40s, want %s", literal, typeName(target)) }
+	if !setLiteral(literal, target) {
+		return d.errorAt(offset, path, "%.40s, want %s", literal, typeName(target))
+	}
+	return nil
+}
+
+// setLiteral sets a value from a literal and reports whether the literal is of its type.
+func setLiteral(literal hujson.Literal, target reflect.Value) bool {
+	isNumber := literal.Kind() == '0'
 	switch target.Kind() {
 	case reflect.String:
 		if literal.Kind() != '"' {
-			return mismatch()
+			return false
 		}
 		target.SetString(literal.String())
+		return true
 	case reflect.Bool:
 		if literal.Kind() != 't' && literal.Kind() != 'f' {
-			return mismatch()
+			return false
 		}
 		target.SetBool(literal.Bool())
+		return true
 	case reflect.Float64:
-		if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
-			return mismatch()
+		if !isNumber || math.IsInf(literal.Float(), 0) {
+			return false
 		}
 		target.SetFloat(literal.Float())
+		return true
 	case reflect.Int, reflect.Int64, reflect.Uint64:
-		var n int64
-		if literal.Kind() != '0' || json.Unmarshal([]byte(literal), &n) != nil {
-			return mismatch()
-		}
-		if target.Kind() == reflect.Uint64 {
-			if n < 0 {
-				return mismatch()
-			}
-			target.SetUint(uint64(n))
-		} else {
-			target.SetInt(n)
-		}
-	default:
-		return mismatch()
+		return isNumber && setInteger(literal, target)
 	}
-	return nil
+	return false
+}
+
+// setInteger sets an integer from a number and reports whether the number is one that fits.
+func setInteger(literal hujson.Literal, target reflect.Value) bool {
+	var number int64
+	if err := json.Unmarshal([]byte(literal), &number); err != nil {
+		return false
+	}
+	if target.Kind() != reflect.Uint64 {
+		target.SetInt(number)
+		return true
+	}
+	if number < 0 {
+		return false
+	}
+	target.SetUint(uint64(number))
+	return true
+}
+
+func memberName(member *hujson.ObjectMember) string {
+	return member.Name.Value.(hujson.Literal).String()
+}
+
+func joinPath(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
 }
 
+// fieldNamed returns the field of a struct with a json name.
 func fieldNamed(v reflect.Value, name string) (reflect.Value, bool) {
-	t := v.Type()
-	for i := range t.NumField() {
-		if tag, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ","); tag == name {
+	for i := range v.NumField() {
+		if jsonName(v.Type().Field(i)) == name {
 			return v.Field(i), true
 		}
 	}
 	return reflect.Value{}, false
 }
 
+// fieldNames returns the json names of the fields of a struct.
 func fieldNames(v reflect.Value) []string {
-	var out []string
-	t := v.Type()
-	for i := range t.NumField() {
-		if tag, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ","); tag != "" {
-			out = append(out, tag)
+	var names []string
+	for i := range v.NumField() {
+		if name := jsonName(v.Type().Field(i)); name != "" {
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
+}
+
+func jsonName(field reflect.StructField) string {
+	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+	return name
 }
 
+// typeName names a type as errors do.
 func typeName(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.String:
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -103,8 +103,8 @@
 	}
 	var nodes []scenario.Node
 	for i := range options.Script.Nodes {
-		_, kind, rack, zone := options.Settings.EmulatedNode(i)
-		nodes = append(nodes, scenario.Node{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind})
+		emulated := options.Settings.EmulatedNode(i)
+		nodes = append(nodes, scenario.Node{Name: simulation.NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType})
 	}
 	plan := options.Script.Plan(nodes)
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -65,13 +65,13 @@
 	}
 	s.Inventory = c.inventory.Addr()
 	for i := range s.Emulator.Nodes {
-		nodeConfig, kind, rack, zone := s.EmulatedNode(i)
+		emulated := s.EmulatedNode(i)
 		heartbeatSeconds := 0.1
 		if s.Emulator.Nodes >= 100 {
 			heartbeatSeconds = 0.5 // as heathshed up has it; more would measure the inventory
 		}
-		n, err := emulator.StartNode(c.emulatorLoop, emulator.NodeOptions{Name: simulation.NodeName(i), Zone: zone, Rack: rack, Kind: kind, Listen: "127.0.0.1:0",
-			Inventory: c.inventory.Addr(), ReportInterval: heartbeatSeconds, Sim: nodeConfig, Priorities: s.Priorities(), OnEvent: tap})
+		n, err := emulator.StartNode(c.emulatorLoop, emulator.NodeOptions{Name: simulation.NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType, Listen: "127.0.0.1:0",
+			Inventory: c.inventory.Addr(), ReportInterval: heartbeatSeconds, Sim: emulated.Sim, Priorities: s.Priorities(), OnEvent: tap})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -13,8 +13,9 @@
 	cfg := Config{Seed: script.Seed, Priorities: settings.Priorities(), LatencyMin: 0.0001, LatencyMax: 0.0006, ConnectTimeout: settings.ConnectTimeout, ReportInterval: 0.5,
 		ReportDelay: settings.Emulator.ReportDelay, UnresponsiveAfter: settings.Emulator.UnresponsiveAfter, StartTime: 1.8e9, Classes: AuditClasses(settings), DrainGrace: settings.Rules.DrainGrace}
 	for i := range script.Nodes {
-		sim, kind, rack, zone := settings.EmulatedNode(i)
-		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: scenario.Node{Name: NodeName(i), Zone: zone, Rack: rack, Kind: kind}, Sim: sim})
+		emulated := settings.EmulatedNode(i)
+		identity := scenario.Node{Name: NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType}
+		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: identity, Sim: emulated.Sim})
 	}
 	for i := range script.Schedulers {
 		own := *settings
