--- a/internal/simulation/characterization_test.go
+++ b/internal/simulation/characterization_test.go
@@ -16,7 +16,7 @@
 	"heathshed/internal/store"
 )
 
-// TestCharacterizeScenarios pins simulated days with every kind of trouble: plans, what passed between the parties, the stored changes of every
+// TestCharacterizeScenarios pins simulated scenarios with every kind of fault: plans, audit events, the stored changes of every
 // scheduler, its counters, and the report of the auditor, checked by the rules as they are and by rules that are broken on purpose.
 // Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizeScenarios(t *testing.T) {
@@ -28,7 +28,9 @@
 	}{{"one-scheduler", 3, 1, 0}, {"three-schedulers", 4, 3, 0.02}} {
 		t.Run(run.name, func(t *testing.T) {
 			script := scenario.Default()
-			script.Seed, script.Schedulers, script.Nodes = run.seed, run.schedulers, 10
+			script.Seed = run.seed
+			script.Schedulers = run.schedulers
+			script.Nodes = 10
 			script.Load.TasksPerSecond = 8
 			script.Stretch(70)
 			scenarioRun := newScenarioRun(t, script, run.loss)
@@ -39,7 +41,7 @@
 	}
 }
 
-// scenarioRun is one run with its record.
+// scenarioRun is a run of a scenario with its record.
 type scenarioRun struct {
 	t         *testing.T
 	script    scenario.Script
@@ -51,9 +53,12 @@
 }
 
 func newScenarioRun(t *testing.T, script scenario.Script, loss float64) *scenarioRun {
+	t.Helper()
 	defaults := config.Default()
 	run := &scenarioRun{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: golden.NewRecorder()}
-	run.config.KeepEvents, run.config.AnswerLossRate, run.config.AttemptLossRate = true, loss, loss
+	run.config.KeepEvents = true
+	run.config.AnswerLossRate = loss
+	run.config.AttemptLossRate = loss
 	run.config.AfterEngineCall = run.observe
 	run.revisions = make([]int64, script.Schedulers)
 	world, err := simulation.New(run.config)
@@ -76,7 +81,7 @@
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		from := r.revisions[scheduler]
 		changes, err := engine.Store().Since(table, from, math.MaxInt32)
-		if err != nil { // a new life of the scheduler: its revisions begin higher
+		if err != nil { // a new incarnation of the scheduler: its revisions begin higher
 			changes, _ = engine.Store().Since(table, engine.Config().BaseRevision, math.MaxInt32)
 		}
 		for _, change := range changes {
--- /dev/null
+++ b/internal/simulation/link.go
@@ -0,0 +1,219 @@
+package simulation
+
+import (
+	"fmt"
+	"strconv"
+
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/audit"
+	"heathshed/internal/engine"
+	"heathshed/internal/nodesim"
+	"heathshed/internal/wellknown"
+	"heathshed/placer"
+)
+
+// trickleDelay is how much longer an answer takes that trickles, in seconds.
+const trickleDelay = 1
+
+// latency draws the time that a message takes over a link.
+func (w *World) latency() float64 {
+	return w.cfg.LatencyMin + (w.cfg.LatencyMax-w.cfg.LatencyMin)*w.rng.Float64()
+}
+
+// attemptState is what a scheduler makes of an attempt that it has sent.
+type attemptState uint8
+
+const (
+	attemptAbandoned attemptState = iota // the scheduler has closed the connection
+	attemptInFlight
+)
+
+// attemptKey identifies an attempt at a scheduler and at a node.
+func attemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
+
+// attempt is an attempt on its way from a scheduler to a node and back.
+type attempt struct {
+	scheduler *scheduler
+	alive     func() bool // the scheduler's incarnation that made it still runs
+	node      *node
+	key       string
+	pod       *corev1.Pod
+	answer    engine.AttemptAnswer // without an outcome
+}
+
+// sendAttempt sends an attempt over a link to a node.
+func (s *scheduler) sendAttempt(effect *engine.Effect) {
+	a := &attempt{
+		scheduler: s,
+		alive:     s.aliveCheck(),
+		node:      s.world.nodesByName[effect.Node],
+		key:       attemptKey(string(effect.UID), effect.Attempt),
+		pod:       effect.Pod,
+		answer:    engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node},
+	}
+	s.attempts[a.key] = attemptInFlight
+	s.world.after(s.world.latency(), a.arrive)
+}
+
+// abandonAttempt closes the connection of an attempt: its answer is not awaited any more.
+func (s *scheduler) abandonAttempt(effect *engine.Effect) {
+	key := attemptKey(string(effect.UID), effect.Attempt)
+	if _, ok := s.attempts[key]; ok {
+		s.attempts[key] = attemptAbandoned
+		s.world.record(audit.Event{Kind: audit.Abandoned, UID: string(effect.UID), Attempt: effect.Attempt, Node: effect.Node})
+	}
+}
+
+// arrive brings the attempt to the node.
+func (a *attempt) arrive() {
+	n, w := a.node, a.scheduler.world
+	switch {
+	case n.sim == nil:
+		a.fail(placer.Unreachable, w.latency())
+		return
+	case !n.reachable():
+		a.fail(placer.Unreachable, w.cfg.ConnectTimeout)
+		return
+	}
+	received := a.event(audit.AttemptReceived)
+	received.Rack = n.cfg.Rack
+	received.Zone = n.cfg.Zone
+	received.Class = a.pod.Labels[wellknown.Class]
+	received.Service = nodesim.PodService(a.pod)
+	received.Scheduler = a.scheduler.cfg.Name
+	w.record(received)
+	switch {
+	case w.now < n.faults.ResetUntil || w.rng.Float64() < w.cfg.AttemptLossRate:
+		a.breakConnection(placer.Lost)
+		return
+	case n.faults.FailsClass(w.now, received.Class):
+		a.breakConnection(placer.Errored)
+		return
+	}
+	n.pending[a.key] = a.answered
+	n.sim.Submit(w.now, a.request())
+	n.process()
+}
+
+// event returns an audit event of the node about the attempt.
+func (a *attempt) event(kind string) audit.Event {
+	return audit.Event{Kind: kind, Node: a.node.cfg.Name, UID: string(a.answer.UID), Attempt: a.answer.Attempt}
+}
+
+// request is the attempt as the node takes it.
+func (a *attempt) request() nodesim.Request {
+	priority := a.scheduler.world.cfg.Priorities[a.pod.Labels[wellknown.Class]]
+	request := nodesim.PodRequest(a.pod, a.answer.Attempt, priority)
+	// A Pod that gives no lifetime, or an invalid one, has that of the node's configuration.
+	request.Lifetime, _ = strconv.ParseFloat(a.pod.Annotations[wellknown.Lifetime], 64)
+	return request
+}
+
+// answered sends the node's answer back. outcome is nil if the node went down before it had one.
+func (a *attempt) answered(outcome *nodesim.Effect) {
+	n, w := a.node, a.scheduler.world
+	delay := w.latency()
+	if w.now < n.faults.TrickleUntil {
+		delay += trickleDelay
+	}
+	if outcome == nil || outcome.Task != nil && a.answerLost() {
+		a.breakConnection(placer.Lost)
+		return
+	}
+	answer := a.answer
+	answer.Incarnation = n.bootID
+	cores, memory := n.sim.Unused()
+	answer.Report = &placer.Report{
+		FreeCores:   cores,
+		FreeMemory:  memory,
+		Utilization: n.sim.Utilization(),
+		QueueLength: float64(n.sim.QueueLength()),
+	}
+	if outcome.Task != nil {
+		answer.Accepted = true
+		answer.Revision = n.rev
+	} else {
+		answer.Result = placer.Rejected
+		answer.Reason = rejectReasons[outcome.Reason]
+		rejected := a.event(audit.Rejected)
+		rejected.Reason = fmt.Sprint(outcome.Reason)
+		w.record(rejected)
+	}
+	a.deliver(answer, delay)
+}
+
+// answerLost decides whether the connection breaks between an acceptance and its answer.
+func (a *attempt) answerLost() bool {
+	w := a.scheduler.world
+	return w.now < a.node.faults.LoseAnswerUntil || w.rng.Float64() < w.cfg.AnswerLossRate
+}
+
+// breakConnection ends the attempt without an answer of the node.
+func (a *attempt) breakConnection(result placer.Result) {
+	w := a.scheduler.world
+	w.record(a.event(audit.Abandoned))
+	a.fail(result, w.latency())
+}
+
+// fail lets the scheduler find, after a delay, that the attempt has failed.
+func (a *attempt) fail(result placer.Result, delay float64) {
+	answer := a.answer
+	answer.Result = result
+	a.deliver(answer, delay)
+}
+
+// deliver brings an answer to the scheduler after a delay, if it still runs.
+func (a *attempt) deliver(answer engine.AttemptAnswer, delay float64) {
+	s := a.scheduler
+	s.world.after(delay, func() {
+		if !a.alive() {
+			return
+		}
+		if s.attempts[a.key] != attemptInFlight && answer.Accepted {
+			answer.Accepted = false
+			answer.Result = placer.Lost
+		}
+		delete(s.attempts, a.key)
+		s.engine.AttemptDone(s.world.now, answer)
+		s.process()
+	})
+}
+
+var rejectReasons = map[nodesim.Reason]placer.Reason{
+	nodesim.InsufficientCores:  placer.InsufficientCores,
+	nodesim.InsufficientMemory: placer.InsufficientMemory,
+	nodesim.QueueFull:          placer.QueueFull,
+	nodesim.WrongNode:          placer.WrongNode,
+}
+
+// stopTask sends the order to stop a task to a node, and the answer back.
+func (s *scheduler) stopTask(effect *engine.Effect) {
+	w := s.world
+	n := w.nodesByName[effect.Node]
+	uid := string(effect.UID)
+	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
+	alive := s.aliveCheck()
+	reply := func(delay float64) {
+		w.after(delay, func() {
+			if alive() {
+				s.engine.StopDone(w.now, answer)
+				s.process()
+			}
+		})
+	}
+	w.after(w.latency(), func() {
+		if !n.reachable() {
+			reply(w.cfg.ConnectTimeout)
+			return
+		}
+		answer.Answered = true
+		answer.Incarnation = n.bootID
+		answer.HadTask, answer.MayHaveRun = n.sim.Stop(w.now, uid, answer.Attempt)
+		if !answer.HadTask {
+			w.record(audit.Event{Kind: audit.Fenced, Node: n.cfg.Name, UID: uid, Attempt: answer.Attempt})
+		}
+		n.process()
+		reply(w.latency())
+	})
+}
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -9,15 +9,24 @@
 	"heathshed/internal/scenario"
 )
 
-// runOverload plays a steady load of so many times what the machines can hold, and counts tasks placed within a second of their making.
-func runOverload(t testing.TB, admission bool, multiple, seconds float64) (good, late int, r audit.Report) {
+// runOverload runs a steady load, a multiple of what the nodes can run, and counts the tasks placed within a second of their creation, and
+// those placed later.
+func runOverload(tb testing.TB, admission bool, multiple, seconds float64) (good, late int, r audit.Report) {
+	tb.Helper()
 	script := scenario.Default()
-	script.Nodes, script.Schedulers, script.Faults, script.Seconds, script.Cooldown = 6, 2, nil, seconds+10, 10
+	script.Nodes = 6
+	script.Schedulers = 2
+	script.Faults = nil
+	script.Seconds = seconds + 10
+	script.Cooldown = 10
 	script.Load.Classes = map[string]float64{"web": 1}
-	script.Load.Cores, script.Load.Memory, script.Load.Lifetime, script.Load.BackoffLimit = 1, 1, 5, 2
-	// Booked cores of the fleet over the mean of what a task takes: 6 machines of 32 and 64 cores, booked twice.
+	script.Load.Cores = 1
+	script.Load.Memory = 1
+	script.Load.Lifetime = 5
+	script.Load.BackoffLimit = 2
+	// Overcommitted cores over the mean of what a task uses: 6 nodes of 32 and 64 cores, overcommitted twice.
 	script.Load.TasksPerSecond = multiple * 6 * 48 * 2 / (1.33 * 5)
-	world := runScenario(t, script, func(c *Config) {
+	world := runScenario(tb, script, func(c *Config) {
 		for i := range c.Schedulers {
 			c.Schedulers[i].Admission.Disabled = !admission
 		}
@@ -31,13 +40,13 @@
 	}
 	r = world.Audit()
 	if n := len(r.Violations); n > 0 {
-		t.Fatal(n, "violations, first", r.Violations[0])
+		tb.Fatal(n, "violations, first", r.Violations[0])
 	}
 	return good, late, r
 }
 
-// BenchmarkOverload asks for multiples of what a fleet of six machines can hold, with the gate and without, in simulated time. Goodput is
-// tasks placed within a second of their making, for each second; late are those placed after it.
+// BenchmarkOverload requests multiples of what six nodes can run, with admission control and without, in simulated time. good/s are the
+// tasks placed within a second of their creation, late/s those placed later.
 func BenchmarkOverload(b *testing.B) {
 	for _, admission := range []bool{false, true} {
 		for _, multiple := range []float64{0.5, 1, 2, 5, 10} {
@@ -52,8 +61,8 @@
 	}
 }
 
-// Ten times too much: the gate keeps nine tenths of the goodput that there is at half the load, and half as much again as there is
-// without it, though the first seconds, in which the machines fill, are the same. Simulated time: the same figures on any machine.
+// At ten times the capacity, admission control keeps nine tenths of the goodput at half the load, and half as much again as without it,
+// though the first seconds, in which the nodes fill, are the same. Time is simulated: the figures are the same on any machine.
 func TestOverload(t *testing.T) {
 	half, _, _ := runOverload(t, true, 0.5, 30)
 	with, _, _ := runOverload(t, true, 10, 30)
@@ -63,18 +72,23 @@
 	}
 }
 
-// BenchmarkColdStart brings a line of short tasks, 100 for each machine, to a scheduler that has just begun, and tells how soon it places
-// nine tenths as many a second as in its best fifth of a second, with slow start and with a limit that grows by a constant step only.
+// BenchmarkColdStart submits short tasks, 100 for each node, to a scheduler that has just started, and reports how soon it places nine
+// tenths as many per second as in its best fifth of a second, with slow start and with a limit that only grows additively.
 func BenchmarkColdStart(b *testing.B) {
 	for _, additive := range []bool{false, true} {
 		for _, nodes := range []int{8, 50, 500} {
 			b.Run(fmt.Sprintf("additive=%v/machines=%d", additive, nodes), func(b *testing.B) {
 				script := scenario.Default()
-				script.Nodes, script.Schedulers, script.Faults, script.Seconds, script.Cooldown = nodes, 1, nil, 60, 60
+				script.Nodes = nodes
+				script.Schedulers = 1
+				script.Faults = nil
+				script.Seconds = 60
+				script.Cooldown = 60
 				script.Load.TasksPerSecond = 0
 				settings := config.Default()
 				cfg := FromSettings(&settings, &script)
-				cfg.Schedulers[0].Admission.AdditiveOnly, cfg.Schedulers[0].History = additive, 1<<20
+				cfg.Schedulers[0].Admission.AdditiveOnly = additive
+				cfg.Schedulers[0].History = 1 << 20
 				world, err := New(cfg)
 				if err != nil {
 					b.Fatal(err)
--- /dev/null
+++ b/internal/simulation/plan.go
@@ -0,0 +1,117 @@
+package simulation
+
+import (
+	"errors"
+	"strconv"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/api/resource"
+
+	"heathshed/internal/audit"
+	"heathshed/internal/engine"
+	"heathshed/internal/scenario"
+	"heathshed/internal/store"
+	"heathshed/internal/wellknown"
+)
+
+// How a simulated client submits a job again.
+const (
+	maxSubmitRetries = 100
+	downRetryDelay   = 0.5 // while the scheduler is down or not ready, in seconds
+	fullRetryDelay   = 1   // while the scheduler has too many Pods, in seconds
+)
+
+// perform carries out an action of a plan.
+func (w *World) perform(action *scenario.Action) {
+	switch action.Kind {
+	case scenario.SubmitJob:
+		w.submit(action.Job, 0)
+	case scenario.DeleteJob:
+		w.deleteJob(action.Job)
+	case scenario.InjectNodeFault:
+		w.nodesByName[action.Node].injectFault(action.NodeFault)
+	case scenario.CutInventory:
+		w.inventory.cut(action.OutageSeconds)
+	case scenario.KillScheduler:
+		w.schedulers[action.Scheduler].restart(action.DowntimeSeconds)
+	case scenario.DrainNode, scenario.UndrainNode:
+		w.orderDrain(action.Node, action.Kind == scenario.DrainNode)
+	}
+}
+
+// submit creates a Job. The client retries while its scheduler is down, not ready or full.
+func (w *World) submit(job *scenario.Job, retries int) {
+	retryAfter := func(delay float64) {
+		if retries < maxSubmitRetries {
+			w.after(delay, func() { w.submit(job, retries+1) })
+		}
+	}
+	s := w.schedulers[job.Scheduler]
+	if s.engine == nil || !s.ready() {
+		retryAfter(downRetryDelay)
+		return
+	}
+	_, err := s.engine.CreateJob(w.now, NewJob(job), false)
+	if errors.Is(err, engine.ErrTooMany) {
+		retryAfter(fullRetryDelay)
+	}
+	s.process()
+}
+
+func (w *World) deleteJob(job *scenario.Job) {
+	s := w.schedulers[job.Scheduler]
+	if s.engine == nil {
+		return
+	}
+	// A job that has finished and expired cannot be deleted any more.
+	_, _ = s.engine.DeleteJob(w.now, job.Namespace, job.Name, "", "", "")
+	s.process()
+}
+
+// orderDrain marks a node as unschedulable, or schedulable again, at every scheduler.
+func (w *World) orderDrain(name string, unschedulable bool) {
+	kind := audit.DrainCancelled
+	if unschedulable {
+		kind = audit.DrainOrdered
+	}
+	for _, s := range w.schedulers {
+		if s.engine == nil {
+			continue
+		}
+		object, ok := s.engine.Store().Get(store.Nodes, "", name).(*corev1.Node)
+		if !ok {
+			continue
+		}
+		order := unschedulable
+		if _, err := s.engine.UpdateNode(w.now, object.DeepCopy(), &order, false); err == nil {
+			w.record(audit.Event{Kind: kind, Scheduler: s.cfg.Name, Node: name})
+		}
+		s.process()
+	}
+}
+
+// NewJob returns a planned job as an object of the API.
+func NewJob(planned *scenario.Job) *batchv1.Job {
+	tasks, backoffLimit := int32(planned.Tasks), int32(planned.BackoffLimit)
+	job := &batchv1.Job{}
+	job.Name = planned.Name
+	job.Namespace = planned.Namespace
+	job.Spec.Parallelism = &tasks
+	job.Spec.Completions = &tasks
+	job.Spec.BackoffLimit = &backoffLimit
+	template := &job.Spec.Template
+	template.Labels = map[string]string{wellknown.Class: planned.Class, wellknown.Service: planned.Service}
+	template.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(planned.Lifetime, 'f', 3, 64)}
+	template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	requests := corev1.ResourceList{
+		corev1.ResourceCPU:    *resource.NewMilliQuantity(int64(planned.Cores*1000), resource.DecimalSI),
+		corev1.ResourceMemory: *resource.NewQuantity(int64(planned.Memory*wellknown.Gibibyte), resource.BinarySI),
+	}
+	template.Spec.Containers = []corev1.Container{{
+		Name:      "main",
+		Image:     "stand-in",
+		Resources: corev1.ResourceRequirements{Requests: requests},
+	}}
+	return job
+}
--- /dev/null
+++ b/internal/simulation/scheduler.go
@@ -0,0 +1,175 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/audit"
+	"heathshed/internal/engine"
+)
+
+const (
+	// nodeSyncTimeout is how long after its first list a scheduler waits for the tasks of all listed nodes, in seconds.
+	nodeSyncTimeout = 5
+	// schedulerSeedStride separates the seeds of a scheduler's incarnations.
+	schedulerSeedStride = 1000003
+	// revisionsPerSecond lets the revisions of a later incarnation begin above those of an earlier one.
+	revisionsPerSecond = 1e6
+)
+
+// scheduler runs the incarnations of one scheduler: engine is nil while it is down.
+type scheduler struct {
+	world       *World
+	index       int
+	cfg         engine.Config
+	engine      *engine.Engine
+	incarnation int
+	wakeAt      float64 // of the earliest timer that wakes the engine, infinity if none is set
+	synced      bool    // it has the list of nodes
+	syncedAt    float64 // when it first had it
+	watches     map[string]*podWatch
+	attempts    map[string]attemptState // in flight, by attemptKey
+
+	// What a client of this scheduler sees by watching Pods.
+	watchedRev int64
+	created    map[types.UID]float64 // when the client first saw a task
+	settled    map[types.UID]bool    // the client has seen its outcome
+}
+
+// start begins an incarnation.
+func (s *scheduler) start() error {
+	s.incarnation++
+	cfg := s.cfg
+	cfg.Seed += uint64(s.incarnation) * schedulerSeedStride
+	cfg.BaseRevision = int64(s.world.now * revisionsPerSecond)
+	started, err := engine.New(cfg)
+	if err != nil {
+		return fmt.Errorf("scheduler %s: %w", cfg.Name, err)
+	}
+	s.engine = started
+	s.wakeAt = math.Inf(1)
+	s.synced = false
+	s.watches = map[string]*podWatch{}
+	s.attempts = map[string]attemptState{}
+	s.watchedRev = cfg.BaseRevision
+	s.created = map[types.UID]float64{}
+	s.settled = map[types.UID]bool{}
+	s.process()
+	s.relist()
+	return nil
+}
+
+// kill ends the incarnation at once.
+func (s *scheduler) kill() {
+	if s.engine == nil {
+		return
+	}
+	s.world.record(audit.Event{Kind: audit.Killed, Scheduler: s.cfg.Name})
+	s.engine = nil
+	for _, watch := range s.watches {
+		watch.cancelled = true
+	}
+}
+
+// restart kills the scheduler and starts it again after a number of seconds.
+func (s *scheduler) restart(downtime float64) {
+	s.kill()
+	s.world.after(downtime, func() {
+		if s.engine != nil {
+			return
+		}
+		if err := s.start(); err != nil {
+			panic("simulation: a configuration that was valid at the start is not any more: " + err.Error())
+		}
+	})
+}
+
+// aliveCheck returns a function that reports whether the present incarnation still runs.
+func (s *scheduler) aliveCheck() func() bool {
+	incarnation := s.incarnation
+	return func() bool { return s.engine != nil && s.incarnation == incarnation }
+}
+
+// ready reports whether a running scheduler takes jobs: it has the list, and the tasks of all listed nodes or has waited for them.
+func (s *scheduler) ready() bool {
+	listed, synced := s.engine.NodeCounts()
+	waited := s.world.now > s.syncedAt+nodeSyncTimeout
+	return s.synced && listed > 0 && (synced == listed || waited)
+}
+
+// relist requests the full list of nodes, which arrives after a round trip.
+func (s *scheduler) relist() {
+	w := s.world
+	alive := s.aliveCheck()
+	w.after(w.latency()*2, func() {
+		if !alive() || !w.inventory.reachable() {
+			return // after an outage of the inventory it is requested again
+		}
+		if !s.synced {
+			s.synced = true
+			s.syncedAt = w.now
+		}
+		s.engine.NodesListed(w.now, engine.FullList, w.inventory.list(), nil)
+		s.process()
+	})
+}
+
+// process carries out the engine's effects, shows the client what has changed, and schedules the engine's next wake-up.
+func (s *scheduler) process() {
+	w := s.world
+	for s.engine != nil {
+		effects := s.engine.Ready(nil)
+		if len(effects) == 0 {
+			break
+		}
+		for i := range effects {
+			s.apply(&effects[i])
+		}
+	}
+	if s.engine == nil {
+		return
+	}
+	if w.cfg.AfterEngineCall != nil {
+		w.cfg.AfterEngineCall(w, s.index)
+	}
+	s.watchPods()
+	s.scheduleWake()
+}
+
+func (s *scheduler) scheduleWake() {
+	at := s.engine.NextWake()
+	if at >= s.wakeAt {
+		return
+	}
+	w := s.world
+	s.wakeAt = at
+	alive := s.aliveCheck()
+	w.at(at, func() {
+		if alive() && s.wakeAt <= w.now {
+			s.wakeAt = math.Inf(1)
+			s.engine.Tick(w.now)
+			s.process()
+		}
+	})
+}
+
+// apply carries out one effect of the engine.
+func (s *scheduler) apply(effect *engine.Effect) {
+	switch effect.Kind {
+	case engine.SendAttempt:
+		s.sendAttempt(effect)
+	case engine.AbandonAttempt:
+		s.abandonAttempt(effect)
+	case engine.StopTask:
+		s.stopTask(effect)
+	case engine.WatchNode:
+		s.unwatchNode(effect.Node)
+		s.watchNode(effect.Node)
+	case engine.UnwatchNode:
+		s.unwatchNode(effect.Node)
+	case engine.RelistNodes:
+		s.relist()
+	}
+}
--- /dev/null
+++ b/internal/simulation/settings.go
@@ -0,0 +1,89 @@
+package simulation
+
+import (
+	"fmt"
+
+	"heathshed/internal/audit"
+	"heathshed/internal/config"
+	"heathshed/internal/scenario"
+)
+
+// Latencies of links on loopback, one way, in seconds.
+const (
+	loopbackLatencyMin = 0.0001
+	loopbackLatencyMax = 0.0006
+)
+
+const (
+	// scenarioStartTime is when simulated scenarios begin, in Unix seconds.
+	scenarioStartTime = 1.8e9
+	// scenarioReportInterval is that of the emulator's nodes, in seconds.
+	scenarioReportInterval = 0.5
+	// schedulerSeedFactor separates the seeds of schedulers.
+	schedulerSeedFactor = 31
+)
+
+// FromSettings describes the world that the command scenario would start for a script: the same nodes, schedulers and rules.
+func FromSettings(settings *config.Settings, script *scenario.Script) Config {
+	cfg := Config{
+		Seed:              script.Seed,
+		Priorities:        settings.Priorities(),
+		LatencyMin:        loopbackLatencyMin,
+		LatencyMax:        loopbackLatencyMax,
+		ConnectTimeout:    settings.ConnectTimeout,
+		ReportInterval:    scenarioReportInterval,
+		ReportDelay:       settings.Emulator.ReportDelay,
+		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter,
+		StartTime:         scenarioStartTime,
+		Classes:           AuditClasses(settings),
+		DrainGrace:        settings.Rules.DrainGrace,
+	}
+	for i := range script.Nodes {
+		emulated := settings.EmulatedNode(i)
+		identity := scenario.Node{Name: NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType}
+		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: identity, Sim: emulated.Sim})
+	}
+	for i := range script.Schedulers {
+		own := *settings
+		own.Self = i
+		own.Peers = script.Schedulers
+		own.Name = SchedulerName(i)
+		cfg.Schedulers = append(cfg.Schedulers, own.Engine(script.Seed*schedulerSeedFactor+uint64(i), 0))
+	}
+	return cfg
+}
+
+// NodeName is the name of the i-th node of a scenario.
+func NodeName(i int) string { return fmt.Sprintf("node-%02d", i+1) }
+
+// SchedulerName is the name of the i-th scheduler of a scenario.
+func SchedulerName(i int) string { return fmt.Sprintf("scheduler-%d", i+1) }
+
+// ScenarioNodes returns the nodes as plans refer to them.
+func (c *Config) ScenarioNodes() []scenario.Node {
+	var nodes []scenario.Node
+	for i := range c.Nodes {
+		nodes = append(nodes, c.Nodes[i].Node)
+	}
+	return nodes
+}
+
+// AuditClasses returns the rules of the classes as the auditor needs them.
+func AuditClasses(settings *config.Settings) map[string]audit.Class {
+	classes := map[string]audit.Class{}
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		rules := audit.Class{
+			AtMostOnce:   class.Idempotency == "at_most_once",
+			Idempotent:   class.Idempotency == "deduplicated",
+			KeyScope:     class.DedupDomain,
+			KeyTTL:       class.DedupWindow,
+			MaxPerDomain: class.MaxPerDomain,
+		}
+		if class.SpreadDomain != "none" {
+			rules.SpreadBy = class.SpreadDomain
+		}
+		classes[class.Name] = rules
+	}
+	return classes
+}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -31,14 +31,15 @@
 	return world
 }
 
-// Any kinds of trouble, alone and overlapping, on lossy links: the five rules hold, revisions only grow, and every task that was
-// asked has its one outcome.
+// With any kinds of faults, alone and overlapping, on lossy links, the five rules hold, revisions only grow, and every submitted task has
+// one outcome.
 func TestRulesHoldInRandomScenarios(t *testing.T) {
 	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
 	rapid.Check(t, func(t *rapid.T) {
 		script := scenario.Default()
 		script.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
-		script.Seconds, script.Cooldown = 100, 65
+		script.Seconds = 100
+		script.Cooldown = 65
 		script.Nodes = rapid.IntRange(4, 14).Draw(t, "nodes")
 		script.Schedulers = rapid.IntRange(1, 4).Draw(t, "schedulers")
 		script.Load.TasksPerSecond = rapid.Float64Range(2, 25).Draw(t, "load")
@@ -53,12 +54,12 @@
 		world := runScenario(t, script, func(cfg *Config) {
 			cfg.AttemptLossRate = rapid.Float64Range(0, 0.05).Draw(t, "loseOffer")
 			cfg.AnswerLossRate = rapid.Float64Range(0, 0.05).Draw(t, "loseAnswer")
-			cfg.AfterEngineCall = func(world *World, i int) {
-				if rev := world.Engine(i).Store().Rev(); rev < last[i] {
+			cfg.AfterEngineCall = func(w *World, i int) {
+				rev := w.Engine(i).Store().Rev()
+				if rev < last[i] {
 					panic(fmt.Sprintf("revision went back from %d to %d", last[i], rev))
-				} else {
-					last[i] = rev
 				}
+				last[i] = rev
 			}
 		})
 		report := world.Audit()
@@ -68,10 +69,11 @@
 	})
 }
 
-// The same day gives the same events, byte for byte.
+// The same script gives the same events.
 func TestSameSeedSameEvents(t *testing.T) {
 	script := scenario.Default()
-	script.Seconds, script.Cooldown = 60, 30
+	script.Seconds = 60
+	script.Cooldown = 30
 	for i := range script.Faults {
 		script.Faults[i].At = float64(i)
 	}
@@ -81,15 +83,17 @@
 	}
 }
 
-// A list and the changes after it give the state, at any point of a day.
+// A list and the changes after it give the state, at any point of a run.
 func TestListAndWatchEqualState(t *testing.T) {
 	script := scenario.Default()
-	script.Seconds, script.Cooldown, script.Schedulers = 60, 20, 1
+	script.Seconds = 60
+	script.Cooldown = 20
+	script.Schedulers = 1
 	script.Faults = []scenario.Fault{{Kind: "crash", At: 5, Duration: 5, Fraction: 0.4}, {Kind: "flush", At: 15, Duration: 3, Fraction: 0.5}}
 	var snapshot store.Snapshot
 	calls := 0
 	w := runScenario(t, script, func(c *Config) {
-		c.AfterEngineCall = func(w *World, i int) {
+		c.AfterEngineCall = func(w *World, _ int) {
 			if calls++; calls == 2000 {
 				snapshot = w.Engine(0).Store().Snapshot(store.Pods)
 			}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,54 +1,136 @@
+// Package simulation runs schedulers, nodes and an inventory in simulated time: the engine and placer that run on sockets, the nodes that
+// the emulator runs, links with latency and loss between them, and the same plans of load and faults.
+//
+// The package is pure: the same configuration and plan give the same events on any machine.
 package simulation
 
 import (
-	"fmt"
+	"math/rand/v2"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/config"
+	"heathshed/internal/engine"
+	"heathshed/internal/nodesim"
 	"heathshed/internal/scenario"
+	"heathshed/internal/timerqueue"
 )
 
-// FromSettings describes the world that `heathshed badday` would start for a script: the same machines, schedulers and rules.
-func FromSettings(settings *config.Settings, script *scenario.Script) Config {
-	cfg := Config{Seed: script.Seed, Priorities: settings.Priorities(), LatencyMin: 0.0001, LatencyMax: 0.0006, ConnectTimeout: settings.ConnectTimeout, ReportInterval: 0.5,
-		ReportDelay: settings.Emulator.ReportDelay, UnresponsiveAfter: settings.Emulator.UnresponsiveAfter, StartTime: 1.8e9, Classes: AuditClasses(settings), DrainGrace: settings.Rules.DrainGrace}
-	for i := range script.Nodes {
-		emulated := settings.EmulatedNode(i)
-		identity := scenario.Node{Name: NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType}
-		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: identity, Sim: emulated.Sim})
-	}
-	for i := range script.Schedulers {
-		own := *settings
-		own.Self, own.Peers, own.Name = i, script.Schedulers, SchedulerName(i)
-		cfg.Schedulers = append(cfg.Schedulers, own.Engine(script.Seed*31+uint64(i), 0))
-	}
-	return cfg
+// NodeConfig configures one simulated node.
+type NodeConfig struct {
+	scenario.Node
+	Sim nodesim.Config
 }
 
-// NodeName and SchedulerName are the names that days use.
-func NodeName(i int) string { return fmt.Sprintf("node-%02d", i+1) }
+// Config configures a World. Times are in seconds.
+type Config struct {
+	Seed                            uint64
+	Schedulers                      []engine.Config
+	Nodes                           []NodeConfig
+	Priorities                      map[string]int // of classes
+	LatencyMin, LatencyMax          float64        // of a link, one way
+	ConnectTimeout                  float64        // until a connection to an unreachable node fails
+	ReportInterval                  float64        // between reports of a node to the inventory
+	ReportDelay                     float64        // until the inventory shows a report
+	UnresponsiveAfter               float64        // without a report, a node is shown as not ready
+	AnswerLossRate, AttemptLossRate float64        // probabilities that a connection breaks after or before the node reads an attempt
+	StartTime                       float64        // Unix seconds
+	KeepEvents                      bool           // record events for the auditor
+	Classes                         map[string]audit.Class
+	DrainGrace                      float64
+	AfterEngineCall                 func(w *World, scheduler int) // called after every call of an engine, to check invariants
+}
 
-// SchedulerName is the name of the i-th scheduler of a day.
-func SchedulerName(i int) string { return fmt.Sprintf("scheduler-%d", i+1) }
+// Defaults of a Config, in seconds.
+const (
+	defaultConnectTimeout    = 1
+	defaultReportInterval    = 0.5
+	defaultUnresponsiveAfter = 2
+)
 
-// ScenarioNodes are the machines as plans speak of them.
-func (c *Config) ScenarioNodes() []scenario.Node {
-	var out []scenario.Node
-	for i := range c.Nodes {
-		out = append(out, c.Nodes[i].Node)
-	}
-	return out
+// randomStream is the second word of the seed of a world's random source.
+const randomStream = 0x6d6f64656c
+
+// World is one run of a simulation.
+type World struct {
+	cfg         Config
+	rng         *rand.Rand
+	now         float64 // Unix seconds
+	timers      timerqueue.Queue
+	steps       int
+	schedulers  []*scheduler
+	nodes       []*node
+	nodesByName map[string]*node
+	inventory   inventory
+
+	Events           []audit.Event // if Config.KeepEvents is set
+	PlacementLatency []float64     // from a task's creation to its placement, in seconds, for each placed task
+	PlacedCreatedAt  []float64     // when the task of each PlacementLatency was created
+	CreatedAt        []float64     // when each task was created
 }
 
-// AuditClasses are the rules of the classes as the auditor needs them.
-func AuditClasses(s *config.Settings) map[string]audit.Class {
-	classes := map[string]audit.Class{}
-	for _, class := range s.Classes {
-		rules := audit.Class{AtMostOnce: class.Idempotency == "at_most_once", Idempotent: class.Idempotency == "deduplicated", KeyScope: class.DedupDomain, KeyTTL: class.DedupWindow, MaxPerDomain: class.MaxPerDomain}
-		if class.SpreadDomain != "" && class.SpreadDomain != "none" {
-			rules.SpreadBy = class.SpreadDomain
+// New returns a world at its start: the nodes run and are listed, and the schedulers begin.
+func New(cfg Config) (*World, error) {
+	if cfg.ConnectTimeout <= 0 {
+		cfg.ConnectTimeout = defaultConnectTimeout
+	}
+	if cfg.ReportInterval <= 0 {
+		cfg.ReportInterval = defaultReportInterval
+	}
+	if cfg.UnresponsiveAfter <= 0 {
+		cfg.UnresponsiveAfter = defaultUnresponsiveAfter
+	}
+	w := &World{
+		cfg:         cfg,
+		rng:         rand.New(rand.NewPCG(cfg.Seed, randomStream)),
+		now:         cfg.StartTime,
+		nodesByName: map[string]*node{},
+	}
+	w.inventory = inventory{world: w, entries: map[string]*inventoryEntry{}}
+	for i := range cfg.Nodes {
+		n := &node{world: w, cfg: cfg.Nodes[i]}
+		w.nodes = append(w.nodes, n)
+		w.nodesByName[n.cfg.Name] = n
+		n.start(n.cfg.Sim.Cold)
+		w.inventory.add(n.object())
+		w.after(cfg.ReportInterval*w.rng.Float64(), n.report)
+	}
+	for i := range cfg.Schedulers {
+		s := &scheduler{world: w, index: i, cfg: cfg.Schedulers[i]}
+		w.schedulers = append(w.schedulers, s)
+		if err := s.start(); err != nil {
+			return nil, err
 		}
-		classes[class.Name] = rules
 	}
-	return classes
+	w.after(inventoryCheckInterval, w.inventory.checkUnresponsive)
+	return w, nil
+}
+
+// Now is the simulated time in Unix seconds.
+func (w *World) Now() float64 { return w.now }
+
+// Steps is the number of timers that have run so far.
+func (w *World) Steps() int { return w.steps }
+
+// Engine is the engine of a scheduler, nil while the scheduler is down.
+func (w *World) Engine(i int) *engine.Engine { return w.schedulers[i].engine }
+
+// after schedules a function to run after a delay, at once if it is negative.
+func (w *World) after(delay float64, run func()) { w.at(w.now+max(delay, 0), run) }
+
+// at schedules a function to run at a time, at once if that is past. Functions of equal time run in the order in which they were scheduled.
+func (w *World) at(at float64, run func()) { w.timers.Add(max(at, w.now), run) }
+
+// Run carries out a plan whose times count from now, and lets a number of seconds pass.
+func (w *World) Run(plan []scenario.Action, seconds float64) {
+	start := w.now
+	for i := range plan {
+		action := &plan[i]
+		w.at(start+action.At, func() { w.perform(action) })
+	}
+	end := start + seconds
+	for next := w.timers.Pop(end); next != nil; next = w.timers.Pop(end) {
+		w.now = next.At
+		w.steps++
+		next.Run()
+	}
+	w.now = end
 }
