--- /dev/null
+++ b/internal/scenario/script.go
@@ -0,0 +1,217 @@
+// Package scenario plans the load and the faults of a fault-injection run. A script states how much is submitted and which faults occur
+// when; a seed turns it into a list of timed actions. Package faultinjection carries a plan out over sockets, package simulation in
+// simulated time.
+//
+// The package is pure: the same script gives the same plan.
+package scenario
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Script is a scenario. Times are in seconds from its start.
+type Script struct {
+	Seed       uint64  `json:"seed"`
+	Seconds    float64 `json:"seconds"`
+	Schedulers int     `json:"schedulers"`
+	Nodes      int     `json:"nodes"`
+	Load       Load    `json:"load"`
+	Faults     []Fault `json:"trouble"`
+	// Cooldown is the time at the end in which nothing new is submitted, so that all outcomes are in.
+	Cooldown float64 `json:"calm"`
+}
+
+// Load is what clients submit.
+type Load struct {
+	TasksPerSecond float64            `json:"tasksPerSecond"`
+	TasksPerJob    float64            `json:"tasksPerJob"` // mean
+	Services       int                `json:"services"`
+	Classes        map[string]float64 `json:"classes"` // weights
+	Tenants        map[string]float64 `json:"tenants"` // weights; none is the tenant "default" alone
+	Cores          float64            `json:"cores"`   // of a task, mean
+	Memory         float64            `json:"memory"`  // of a task, mean, GiB
+	Lifetime       float64            `json:"life"`    // of a task, mean, seconds
+	BackoffLimit   int                `json:"backoff"` // retries of a job
+}
+
+// Fault is one fault of a scenario.
+type Fault struct {
+	Kind     string  `json:"kind"` // a key of FaultKinds
+	At       float64 `json:"at"`
+	Duration float64 `json:"for"`
+	Fraction float64 `json:"part"`  // of the nodes, services or schedulers; 0 is all nodes
+	Scale    float64 `json:"scale"` // factor of the load, or seconds of clock skew
+	Class    string  `json:"class"` // of class_fail
+	Name     string  `json:"name"`  // of a tenant, zone or rack
+}
+
+// active reports whether the fault lasts at the given time.
+func (fault *Fault) active(at float64) bool {
+	return at >= fault.At && at < fault.At+fault.Duration
+}
+
+// The kinds of faults.
+const (
+	burst         = "burst"
+	tenantBurst   = "tenant_burst"
+	classFail     = "class_fail"
+	fastErrors    = "fast_errors"
+	refuse        = "refuse"
+	crash         = "crash"
+	massRestart   = "mass_restart"
+	discoveryDown = "discovery_down"
+	flush         = "flush"
+	pauses        = "pauses"
+	preempt       = "preempt"
+	reconnect     = "reconnect"
+	loseAnswers   = "lose_answers"
+	trickle       = "trickle"
+	clocks        = "clocks"
+	shrink        = "shrink"
+	grow          = "grow"
+	zoneCut       = "zone_cut"
+	drain         = "drain"
+	rollingKill   = "balancer_roll"
+)
+
+const (
+	defaultTenant      = "default"
+	minFaultDuration   = 2.0 // seconds that a fault lasts at least in a script that is shortened, if it did before
+	minCooldownDivisor = 5   // a shortened script keeps at least one part in so many as cooldown
+)
+
+// FaultKinds describes each kind of fault by the fields of a script that it reads.
+var FaultKinds = map[string]string{
+	burst:         "load times scale",
+	tenantBurst:   "load of tenant name times scale",
+	classFail:     "part of the nodes answers attempts of class with errors",
+	fastErrors:    "part of the nodes answers every attempt with an error at once",
+	refuse:        "part of the nodes rejects everything",
+	crash:         "part of the nodes crashes at once and comes back cold after for",
+	massRestart:   "part of the nodes restarts, one after another, within for",
+	discoveryDown: "the inventory is unreachable",
+	flush:         "part of the services is deleted by its clients and submitted again within seconds",
+	pauses:        "part of the nodes stalls for 0.2 to 0.5 s every two seconds",
+	preempt:       "part of the nodes of one kind is drained, crashes two seconds later, and comes back after for",
+	reconnect:     "part of the nodes breaks connections before reading attempts",
+	loseAnswers:   "part of the nodes accepts and breaks the connection instead of answering",
+	trickle:       "part of the nodes sends its answers a few bytes at a time",
+	clocks:        "the clocks of part of the nodes are scale seconds behind, or half as many ahead",
+	shrink:        "part of the nodes drains and goes away for for",
+	grow:          "part of the nodes is there only from at on, cold",
+	zoneCut:       "the nodes of zone or rack name (the first rack if none) are unreachable, their tasks run on",
+	drain:         "part of the nodes is drained by an order at the schedulers, and given back after for",
+	rollingKill:   "part of the schedulers is killed and started again, one after another, within for",
+}
+
+// Default returns the scenario of the documentation: every kind of fault at least once, some at the same time.
+func Default() Script {
+	script := Script{Seed: 1, Seconds: 600, Schedulers: 3, Nodes: 24, Cooldown: 60,
+		Load: Load{TasksPerSecond: 20, TasksPerJob: 5, Services: 40, Cores: 1, Memory: 2, Lifetime: 12, BackoffLimit: 3,
+			Classes: map[string]float64{"web": 0.5, "batch": 0.25, "once": 0.05, "keyed": 0.1, "spread": 0.1}}}
+	inSequence := []Fault{
+		{Kind: burst, Duration: 8, Scale: 2},
+		{Kind: crash, Duration: 10, Fraction: 0.2},
+		{Kind: discoveryDown, Duration: 15},
+		{Kind: classFail, Duration: 12, Fraction: 0.3, Class: "web"},
+		{Kind: fastErrors, Duration: 8, Fraction: 0.15},
+		{Kind: flush, Duration: 3, Fraction: 0.4},
+		{Kind: massRestart, Duration: 25, Fraction: 0.8},
+		{Kind: pauses, Duration: 20, Fraction: 0.4},
+		{Kind: preempt, Duration: 10, Fraction: 0.5},
+		{Kind: reconnect, Duration: 4, Fraction: 0.3},
+		{Kind: loseAnswers, Duration: 6, Fraction: 0.3},
+		{Kind: shrink, Duration: 25, Fraction: 0.3},
+		{Kind: zoneCut, Duration: 10},
+		{Kind: tenantBurst, Duration: 8, Scale: 4},
+		{Kind: rollingKill, Duration: 20, Fraction: 1},
+		{Kind: drain, Duration: 20, Fraction: 0.2},
+		{Kind: refuse, Duration: 6, Fraction: 0.5},
+		{Kind: trickle, Duration: 8, Fraction: 0.3},
+	}
+	const first, interval = 20.0, 28.0 // seconds
+	for i, fault := range inSequence {
+		fault.At = first + interval*float64(i)
+		script.Faults = append(script.Faults, fault)
+	}
+	script.Faults = append(script.Faults,
+		Fault{Kind: grow, At: 60, Fraction: 0.15},
+		Fault{Kind: clocks, At: 1, Fraction: 0.5, Scale: 40},
+		Fault{Kind: crash, At: 140, Duration: 8, Fraction: 0.15},
+		Fault{Kind: discoveryDown, At: 210, Duration: 12},
+		Fault{Kind: rollingKill, At: 300, Duration: 10, Fraction: 0.7},
+		Fault{Kind: burst, At: 385, Duration: 8, Scale: 2})
+	return script
+}
+
+// Stretch gives a script another length. All of its faults stay within the part in which tasks are submitted; the cooldown does not shrink
+// as fast as the rest.
+func (s *Script) Stretch(seconds float64) {
+	cooldown := min(s.Cooldown*max(seconds/s.Seconds, 1), max(s.Cooldown*seconds/s.Seconds, seconds/minCooldownDivisor))
+	factor := (seconds - cooldown) / max(s.Seconds-s.Cooldown, 1e-9)
+	for i := range s.Faults {
+		fault := &s.Faults[i]
+		fault.At *= factor
+		shortest := min(fault.Duration, minFaultDuration)
+		fault.Duration = min(max(fault.Duration*factor, shortest), max(seconds-cooldown-fault.At, 0))
+	}
+	s.Seconds = seconds
+	s.Cooldown = cooldown
+}
+
+// Validate returns the path of the first field that cannot be used, and what is wrong with it; both are "" if there is none.
+func (s *Script) Validate() (path, msg string) {
+	load := &s.Load
+	for _, field := range []struct {
+		path            string
+		value, low, top float64
+	}{
+		{"seconds", s.Seconds, 1, 86400},
+		{"calm", s.Cooldown, 0, 3600},
+		{"schedulers", float64(s.Schedulers), 1, 100},
+		{"nodes", float64(s.Nodes), 1, 20000},
+		{"load.tasksPerSecond", load.TasksPerSecond, 0, 1e5},
+		{"load.tasksPerJob", load.TasksPerJob, 1, 1e5},
+		{"load.services", float64(load.Services), 1, 1e6},
+		{"load.cores", load.Cores, 0, 1e4},
+		{"load.memory", load.Memory, 0, 1e5},
+		{"load.life", load.Lifetime, 0.01, 1e6},
+		{"load.backoff", float64(load.BackoffLimit), 0, 1000},
+	} {
+		if !within(field.value, field.low, field.top) {
+			return field.path, fmt.Sprintf("%v: want %v to %v", field.value, field.low, field.top)
+		}
+	}
+	if len(load.Classes) == 0 {
+		return "load.classes", "want one at least"
+	}
+	for i := range s.Faults {
+		if field, msg := s.Faults[i].validate(); msg != "" {
+			return fmt.Sprintf("trouble[%d].%s", i, field), msg
+		}
+	}
+	return "", ""
+}
+
+// within reports whether a value is in a closed range. NaN is in none.
+func within(value, low, top float64) bool { return value >= low && value <= top }
+
+// nonNegative reports whether a value is 0 or more. NaN is not.
+func nonNegative(value float64) bool { return value >= 0 }
+
+func (fault *Fault) validate() (field, msg string) {
+	switch {
+	case FaultKinds[fault.Kind] == "":
+		return "kind", fmt.Sprintf("%q: want one of %s", fault.Kind, strings.Join(slices.Sorted(maps.Keys(FaultKinds)), ", "))
+	case !nonNegative(fault.At) || !nonNegative(fault.Duration):
+		return "at", "want 0 or more"
+	case !within(fault.Fraction, 0, 1):
+		return "part", "want 0 to 1"
+	case !nonNegative(fault.Scale):
+		return "scale", "want 0 or more"
+	}
+	return "", ""
+}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/script_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// However short a day is made, each of its troubles meets asks.
+// TestFaultsMeetLoad checks that tasks are submitted during each fault of the default scenario, however short it is made.
 func TestFaultsMeetLoad(t *testing.T) {
 	var nodes []Node
 	for range 24 {
@@ -14,7 +14,7 @@
 			script.Seed = seed + 1
 			script.Stretch(seconds)
 			if script.Seconds != seconds || script.Cooldown < min(seconds/6, 20) {
-				t.Fatalf("%v seconds with %v of calm", script.Seconds, script.Cooldown)
+				t.Fatalf("%v seconds with %v of cooldown", script.Seconds, script.Cooldown)
 			}
 			var submissions []float64
 			for _, action := range script.Plan(nodes) {
@@ -30,7 +30,7 @@
 					}
 				}
 				if count == 0 {
-					t.Errorf("%v seconds, seed %d: nothing is asked in %s from %.1f for %.1f", seconds, script.Seed, fault.Kind, fault.At, fault.Duration)
+					t.Errorf("%v seconds, seed %d: nothing is submitted in %s from %.1f for %.1f", seconds, script.Seed, fault.Kind, fault.At, fault.Duration)
 				}
 			}
 		}
