--- /dev/null
+++ b/internal/dispatch/core_test.go
@@ -0,0 +1,33 @@
+package dispatch
+
+import (
+	"testing"
+
+	"heathshed/internal/eventqueue"
+	"heathshed/internal/simconfig"
+	"heathshed/placer"
+)
+
+// TestDelaysBelowClockResolution: a delay too short for the clock's resolution must not wake the placer at the same time for ever.
+func TestDelaysBelowClockResolution(t *testing.T) {
+	const now = 1.8e9 // Unix seconds: the resolution is 2.4e-7
+	for _, after := range []float64{0, 1e-9} {
+		wakeups := 0
+		core := &Core{settings: &simconfig.Settings{}, now: now}
+		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(placer.Event) []placer.Action {
+			if wakeups++; wakeups > 1000 {
+				t.Fatalf("woken %d times at one time, delays of %g s", wakeups, after)
+			}
+			return []placer.Action{{Kind: placer.SetTimer, After: after}}
+		})}
+		core.post(placer.Event{Kind: placer.TimerFired})
+		core.runEvents()
+		core.Advance(now)
+	}
+}
+
+type placerFunc func(placer.Event) []placer.Action
+
+func (f placerFunc) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
+	return append(actions, f(ev)...)
+}
--- /dev/null
+++ b/internal/dispatch/request_test.go
@@ -0,0 +1,130 @@
+package dispatch
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"heathshed/internal/platformproto"
+)
+
+// TestInvalidRequests: an invalid request is answered on its own connection with an error and counted by its reason; no other request ends.
+func TestInvalidRequests(t *testing.T) {
+	h := newHarness(t, nil)
+	conn := h.connect()
+	id := h.launch(conn, "query", 1000, "")
+	set := func(field platformproto.Field, text string) func(*platformproto.Message) {
+		return func(msg *platformproto.Message) { msg.Set(field, text) }
+	}
+	for name, tc := range map[string]struct {
+		reason InvalidReason
+		spoil  func(*platformproto.Message)
+	}{
+		"class":        {InvalidClass, set(platformproto.Class, "gold")},
+		"tenant":       {InvalidTenant, set(platformproto.Tenant, "north")},
+		"key":          {InvalidKey, set(platformproto.Key, "x")},
+		"body":         {InvalidBody, func(msg *platformproto.Message) { msg.Body = "" }},
+		"left":         {InvalidTimeLeft, set(platformproto.TimeLeft, "-1")},
+		"left long":    {InvalidTimeLeft, set(platformproto.TimeLeft, "8001")},
+		"left huge":    {InvalidTimeLeft, set(platformproto.TimeLeft, "1e300")},
+		"left NaN":     {InvalidTimeLeft, set(platformproto.TimeLeft, "NaN")},
+		"cores":        {InvalidExtras, set(platformproto.Extras, "cores:-1;memory:1")},
+		"cores Inf":    {InvalidExtras, set(platformproto.Extras, "cores:Inf;memory:1")},
+		"no memory":    {InvalidExtras, set(platformproto.Extras, "cores:1")},
+		"service":      {InvalidExtras, set(platformproto.Extras, "cores:1;memory:1;service:zz")},
+		"at":           {InvalidNode, set(platformproto.Extras, "cores:1;memory:1;at:s-77777777")},
+		"an id in use": {InvalidIDInUse, func(msg *platformproto.Message) { msg.ID, msg.UID = id, fmt.Sprintf("%016x", uint64(id)) }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			msg := h.launchMessage(99)
+			tc.spoil(&msg)
+			other := h.connect()
+			err := h.core.ReceiveFromClient(h.now, other, &msg)
+			var invalid *InvalidMessageError
+			if !errors.As(err, &invalid) || invalid.Reason != tc.reason {
+				t.Errorf("error %v, want reason %q", err, tc.reason)
+			}
+			out := h.core.Ready()
+			if len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Cause != platformproto.CauseError {
+				t.Errorf("effects %+v", out)
+			}
+		})
+	}
+	if h.core.OpenRequests() != 1 {
+		t.Errorf("%d open", h.core.OpenRequests())
+	}
+}
+
+// TestTooManyTasks: the number of tasks is bounded, and requests are accepted again once tasks have ended.
+func TestTooManyTasks(t *testing.T) {
+	h := newHarness(t, &scriptedPlacer{})
+	conn := h.connect()
+	for range maxTasks {
+		h.launch(conn, "query", 1000, ";at:s-00000001")
+	}
+	rejected := func() bool {
+		msg := h.launchMessage(platformproto.ID(1e6))
+		if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
+			t.Fatal(err)
+		}
+		out := h.core.Ready()
+		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Cause == platformproto.CauseBusy
+	}
+	if !rejected() {
+		t.Fatal("one too many was accepted")
+	}
+	h.core.NodeDead(h.now, NodeIDOf("s-00000001"))
+	h.carryOutEffects()
+	if rejected() {
+		t.Fatal("rejected after all have ended")
+	}
+}
+
+func TestMessageOnClosedConnection(t *testing.T) {
+	h := newHarness(t, nil)
+	msg := h.launchMessage(1)
+	if err := h.core.ReceiveFromClient(h.now, 42, &msg); !errors.Is(err, ErrClientNotConnected) {
+		t.Errorf("error %v", err)
+	}
+}
+
+// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
+func TestRequestTransitions(t *testing.T) {
+	if len(requestTransitions) != int(requestTerminated)+1 {
+		t.Fatalf("transitions for %d states", len(requestTransitions))
+	}
+	for from := requestOpen; from <= requestTerminated; from++ {
+		for to := requestOpen; to <= requestTerminated; to++ {
+			legal := slices.Contains(requestTransitions[from], to)
+			if legal && from.closed() && !to.closed() {
+				t.Errorf("state %d is closed and leads to %d", from, to)
+			}
+			core, req := &Core{}, &request{state: from}
+			core.transition(req, to)
+			if counted := core.illegalTransitions == 1; req.state != to || counted == legal {
+				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, req.state, counted)
+			}
+		}
+	}
+}
+
+// TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
+func TestAttemptTransitions(t *testing.T) {
+	if len(attemptTransitions) != int(attemptTerminated)+1 {
+		t.Fatalf("transitions for %d states", len(attemptTransitions))
+	}
+	for from := attemptPending; from <= attemptTerminated; from++ {
+		for to := attemptPending; to <= attemptTerminated; to++ {
+			legal := slices.Contains(attemptTransitions[from], to)
+			if legal && to <= from {
+				t.Errorf("state %d leads back to %d", from, to)
+			}
+			core, attempt := &Core{}, &Attempt{state: from}
+			core.transitionAttempt(attempt, to)
+			if counted := core.illegalTransitions == 1; attempt.state != to || counted == legal {
+				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, attempt.state, counted)
+			}
+		}
+	}
+}
