--- a/internal/dispatch/registry_test.go
+++ b/internal/dispatch/registry_test.go
@@ -100,3 +100,17 @@
 		t.Errorf("state %d", node.State)
 	}
 }
+
+// TestNodeIDCollision: two nodes whose UIDs have the same hash get different IDs, and each keeps its own.
+func TestNodeIDCollision(t *testing.T) {
+	h := newHarness(t, nil)
+	id := NodeIDOf("s-00000004")
+	h.core.nodes[id] = &Node{ID: id, UID: "another"}
+	for range 2 {
+		h.deliver(false, nodeJSON(4, "in_service", 0))
+		node := h.core.Node(id + 1)
+		if node == nil || node.UID != "s-00000004" || h.core.Node(id).UID != "another" {
+			t.Fatalf("node %+v", node)
+		}
+	}
+}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -10,8 +10,8 @@
 	"heathshed/placer"
 )
 
-// requestState is the state of a placement request. States from requestMigrating on are closed: the client needs no further message about
-// the task's own end.
+// requestState is the state of a placement request. The states from requestMigrating on are closed: the client has been told of the end or asked
+// for it, and is not told again, unless a node does not confirm a migration.
 type requestState uint8
 
 const (
@@ -35,6 +35,7 @@
 	requestTerminated: {},
 }
 
+// closed says whether no answer and no notification of the task's end is due any more.
 func (s requestState) closed() bool { return s >= requestMigrating }
 
 // request is one placement request of a client, and after it was answered the running task.
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"heathshed/internal/platformproto"
+	"heathshed/placer"
 )
 
 // TestInvalidRequests: an invalid request is answered on its own connection with an error and counted by its reason; no other request ends.
@@ -89,6 +90,22 @@
 	}
 }
 
+// TestActionsOnClosedRequest: actions of the placer on a task that is migrating change nothing but the counts.
+func TestActionsOnClosedRequest(t *testing.T) {
+	for name, kind := range map[string]placer.ActionKind{"reject": placer.Reject, "fail": placer.Fail, "migrate": placer.Migrate} {
+		t.Run(name, func(t *testing.T) {
+			h, _, attempt := sentAttempt(t, "seats")
+			accept(h, attempt)
+			h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+			h.core.Ready()
+			h.core.execute(&placer.Action{Kind: kind, Task: attempt.request.taskID})
+			if out := h.core.Ready(); len(out) != 0 || attempt.request.state != requestMigrating || h.core.RunningTasks() != 1 {
+				t.Errorf("state %d, effects %+v", attempt.request.state, out)
+			}
+		})
+	}
+}
+
 // TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
 func TestRequestTransitions(t *testing.T) {
 	if len(requestTransitions) != int(requestTerminated)+1 {
