--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -36,8 +36,8 @@
 type Attempt struct {
 	Node    placer.NodeID
 	Message platformproto.Message // the request as it goes to the node
-	// Conn is for the caller's use: the connection that the attempt went out on.
-	Conn any
+	// Conn is set by the caller: the connection that the attempt was sent on, 0 until then.
+	Conn NodeConnID
 
 	request      *request
 	number       int // among the attempts of its request, from 0
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -11,6 +11,9 @@
 // ConnID identifies a client connection. 0 is none.
 type ConnID uint64
 
+// NodeConnID is the caller's number of a connection to a node; 0 is none.
+type NodeConnID uint64
+
 // ErrClientNotConnected is the error of a message on a client connection that is not open.
 var ErrClientNotConnected = errors.New("client connection is not open")
 
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -42,13 +42,10 @@
 	return false
 }
 
-// nodeConnID numbers a connection to a node. 0 is none.
-type nodeConnID uint64
-
 // nodeConn is one connection to a node.
 type nodeConn struct {
 	link          *nodeLink
-	id            nodeConnID
+	id            dispatch.NodeConnID
 	conn          *eventloop.Conn
 	state         nodeConnState
 	establishedAt float64
--- a/internal/platform/node_link.go
+++ b/internal/platform/node_link.go
@@ -115,8 +115,7 @@
 // sendMessage sends a message about an attempt: on the connection that the attempt went out on if that is open, else on any other, else on
 // the next one that is established.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
-	id, _ := effect.Attempt.Conn.(nodeConnID) // 0 if the attempt was not sent
-	nc := link.connByID(id)
+	nc := link.connByID(effect.Attempt.Conn)
 	if nc != nil {
 		delete(nc.attempts, effect.Attempt)
 	}
@@ -139,7 +138,7 @@
 }
 
 // connByID returns the open connection with a number, nil if there is none.
-func (link *nodeLink) connByID(id nodeConnID) *nodeConn {
+func (link *nodeLink) connByID(id dispatch.NodeConnID) *nodeConn {
 	for _, nc := range link.conns {
 		if nc.id == id {
 			return nc
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -66,7 +66,7 @@
 	links           map[placer.NodeID]*nodeLink
 	openNodeConns   int // connections to nodes, those being dialed included
 	maxNodeConns    int
-	lastNodeConnID  nodeConnID
+	lastNodeConnID  dispatch.NodeConnID
 	slotHoldTime    float64               // seconds, see the constant
 	keepAlive       connpool.SharedPolicy // of connections to nodes
 	reachability    connpool.Reachability // the initial state of each link
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -55,32 +55,32 @@
 	var invalid *dispatch.InvalidMessageError
 	switch {
 	case errors.As(err, &invalid):
-		return in.messageCounter(string(invalid.Reason))
+		return in.messageCounter(invalid.Reason)
 	case errors.Is(err, platformproto.ErrTooLong):
 		return &in.LineTooLong
 	}
 	return &in.Unreadable
 }
 
-func (in *InvalidInput) messageCounter(reason string) *uint64 {
+func (in *InvalidInput) messageCounter(reason dispatch.InvalidReason) *uint64 {
 	switch reason {
-	case "at":
+	case dispatch.InvalidNode:
 		return &in.UnknownNode
-	case "body":
+	case dispatch.InvalidBody:
 		return &in.Body
-	case "class":
+	case dispatch.InvalidClass:
 		return &in.Class
-	case "extras":
+	case dispatch.InvalidExtras:
 		return &in.Extras
-	case "id in use":
+	case dispatch.InvalidIDInUse:
 		return &in.DuplicateID
-	case "key":
+	case dispatch.InvalidKey:
 		return &in.IdempotencyKey
-	case "left":
+	case dispatch.InvalidTimeLeft:
 		return &in.TimeLeft
-	case "stop":
+	case dispatch.InvalidStop:
 		return &in.StopOfOtherConn
-	case "tenant":
+	case dispatch.InvalidTenant:
 		return &in.Tenant
 	}
 	return &in.Other
