--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -49,19 +49,19 @@
 	stopSent     bool // the node was told to stop the task
 }
 
-// Live says whether the attempt waits for its answer or runs the task.
+// Live reports whether the attempt waits for its answer or runs the task.
 func (a *Attempt) Live() bool { return a.state <= attemptRunning }
 
 // Client returns the connection that the request came on.
 func (a *Attempt) Client() ConnID { return a.request.conn }
 
-// Pending says whether the attempt is still to be sent.
+// Pending reports whether the attempt is still to be sent.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
 // Age returns the seconds since the placer asked for the attempt.
 func (a *Attempt) Age(now float64) float64 { return now - a.createdAt }
 
-// Unanswered says whether the attempt waits for its connection or its answer.
+// Unanswered reports whether the attempt waits for its connection or its answer.
 func (a *Attempt) Unanswered() bool { return a.state <= attemptSent }
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
@@ -105,7 +105,7 @@
 	c.emit(Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
-// canStart says whether a new attempt, the last of its request, may be sent.
+// canStart reports whether a new attempt, the last of its request, may be sent.
 func (c *Core) canStart(attempt *Attempt) bool {
 	req := attempt.request
 	if req.state.closed() || attempt.expiresAt <= c.now {
@@ -160,7 +160,7 @@
 		return
 	}
 	c.Counts.ConnectionsLost++
-	c.transitionAttempt(attempt, attemptAbandoned) // the node is not told: the end of the connection told it
+	c.transitionAttempt(attempt, attemptAbandoned) // the node needs no Stop: the end of the connection tells it
 	c.retainAttempt(attempt)
 	c.postAttemptEnded(attempt, outcome{result: placer.Lost})
 	c.runEvents()
@@ -209,7 +209,7 @@
 	c.transitionAttempt(attempt, attemptTerminated)
 }
 
-// outcome says how an attempt ended, with what the node said of it.
+// outcome is how an attempt ended, with the reason and the load report that the node gave.
 type outcome struct {
 	result placer.Result
 	reason placer.Reason
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -58,7 +58,7 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsLastClient says whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
+// IsLastClient reports whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
 // be sent on any other.
 func (c *Core) IsLastClient(conn ConnID) bool {
 	client := c.clients[conn]
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// TestDelaysBelowClockResolution: a delay too short for the clock's resolution must not wake the placer at the same time for ever.
+// TestDelaysBelowClockResolution: a delay too short for the clock's resolution must not wake the placer at the same time forever.
 func TestDelaysBelowClockResolution(t *testing.T) {
 	const now = 1.8e9 // Unix seconds: the resolution is 2.4e-7
 	for _, after := range []float64{0, 1e-9} {
--- a/internal/dispatch/node_message.go
+++ b/internal/dispatch/node_message.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// handleRunning handles a node's word that it accepted an attempt.
+// handleRunning handles a node's acceptance of an attempt.
 func (c *Core) handleRunning(attempt *Attempt, msg *platformproto.Message) {
 	latest := attempt.request.deadline + c.settings.Placer.AnswerGrace
 	if attempt.state == attemptSent && c.now > latest {
@@ -106,7 +106,7 @@
 	}
 }
 
-// handleNodeStop handles a node's rejection of an attempt or its word that a task has ended.
+// handleNodeStop handles a node's rejection of an attempt or its report that a task has ended.
 func (c *Core) handleNodeStop(attempt *Attempt, msg *platformproto.Message) {
 	switch attempt.state {
 	case attemptSent:
@@ -154,7 +154,7 @@
 	c.postAttemptEnded(attempt, ended)
 }
 
-// impliesAcceptance says whether a node gives the reason only for tasks that it had accepted.
+// impliesAcceptance reports whether a node gives the reason only for tasks that it had accepted.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
--- a/internal/dispatch/notification.go
+++ b/internal/dispatch/notification.go
@@ -23,7 +23,7 @@
 	migration bool // it was sent as a request to migrate, which clients never acknowledge
 }
 
-// needsRedelivery says whether the client may not have received the notification before its connection ended at the given time.
+// needsRedelivery reports whether the client may not have received the notification before its connection ended at the given time.
 func (n *notification) needsRedelivery(now float64, acknowledges bool) bool {
 	if n.expiresAt <= now {
 		return false
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -88,7 +88,7 @@
 	return now - n.stateChangedAt
 }
 
-// update takes over what a discovery event says of the node.
+// update enters what a discovery event says about the node.
 func (n *Node) update(entry *nodeEntry, state placer.NodeState, now float64) {
 	if n.State != state {
 		n.State = state
@@ -267,7 +267,7 @@
 }
 
 // scheduleTaskExpiry sets a timer that ends the running tasks of a terminated node as lost, unless its state changes meanwhile. The wait is for
-// what the node itself says of its tasks on its connections, which is more than the discovery event does.
+// the reports that the node itself sends about its tasks, which say more than the discovery event does.
 func (c *Core) scheduleTaskExpiry(node *Node) {
 	if len(node.running) == 0 {
 		return
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -35,7 +35,7 @@
 	requestTerminated: {},
 }
 
-// closed says whether no answer and no notification of the task's end is due any more.
+// closed reports whether no answer and no notification of the task's end is due any more.
 func (s requestState) closed() bool { return s >= requestMigrating }
 
 // request is one placement request of a client, and after it was answered the running task.
@@ -162,7 +162,7 @@
 	}
 }
 
-// InvalidReason says what is wrong with an invalid message. Its values are words for logs and counters.
+// InvalidReason is what is wrong with an invalid message. Its values are the words that logs and counters show.
 type InvalidReason string
 
 // The reasons why a message is invalid.
@@ -311,5 +311,5 @@
 	return c.now + leftMS/1000, nil
 }
 
-// inRange says whether a value is a number from 0 to limit.
+// inRange reports whether a value is a number from 0 to limit. NaN is not.
 func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -5,7 +5,7 @@
 import "heathshed/placer"
 
 // MinDelay is the shortest delay of a timer in seconds. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
-// adding less to it may give the same time again, and a placer that waits for a deadline so near would be woken at that time for ever.
+// adding less to it may give the same time again, and a placer that waits for a deadline so near would be woken at that time forever.
 const MinDelay = 1e-6
 
 // Placer makes the placement decisions: a *placer.Placer, or a substitute in tests.
--- a/internal/platformproto/message.go
+++ b/internal/platformproto/message.go
@@ -120,7 +120,7 @@
 	Kind Kind
 	UID  string // the ID as it was written
 	ID   ID
-	// Cause is the cause of a Stop, or the result of a health check. HasCause says whether there is one.
+	// Cause is the cause of a Stop, or the result of a health check. HasCause reports whether there is one.
 	Cause    int
 	HasCause bool
 	// Body describes the task or its answer: the JSON string as it was written, quotes included, "" if there is none. Passing it on unchanged
@@ -133,7 +133,7 @@
 // Get returns a field's text, "" if the field is absent. A number is returned as it was written.
 func (m *Message) Get(field Field) string { return m.meta[field] }
 
-// Has says whether a field is present.
+// Has reports whether a field is present.
 func (m *Message) Has(field Field) bool { return m.has[field] }
 
 // Set sets a field.
--- a/internal/platformproto/parser.go
+++ b/internal/platformproto/parser.go
@@ -115,7 +115,7 @@
 	return "", p.syntaxError("the end of a string")
 }
 
-// isPlain says whether a byte stands for itself in a string.
+// isPlain reports whether a byte stands for itself in a string.
 func isPlain(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
 
 // parseEscape parses an escape sequence.
@@ -179,7 +179,7 @@
 	return r, nil
 }
 
-// skipDigits consumes decimal digits and says whether there were any.
+// skipDigits consumes decimal digits and reports whether there were any.
 func (p *parser) skipDigits() bool {
 	start := p.position
 	for p.peek() >= '0' && p.peek() <= '9' {
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -24,7 +24,7 @@
 	index    int    // in the heap, or notQueued
 }
 
-// Pending says whether the timer is still in its queue. A nil timer is not.
+// Pending reports whether the timer is still in its queue. A nil timer is not.
 func (t *Timer) Pending() bool { return t != nil && t.index != notQueued }
 
 // Add adds a function to be run at the given clock time.
