--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -58,7 +58,7 @@
 		"one attempt":                   {func(settings object) { sub(settings, "permissions")["mostTries"] = 1 }, "", true},
 		"no attempt":                    {func(settings object) { sub(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
 		"no classes":                    {func(settings object) { settings["lanes"] = []any{} }, "class", false},
-		"no objective":                  {func(settings object) { delete(class(settings, 0), "objectiveS") }, "class 0: latency objective", false},
+		"no objective":                  {func(settings object) { delete(class(settings, 0), "objectiveS") }, "class 0: latency objective 0", false},
 		"short deadlines":               {func(settings object) { class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 0.3, 0.25 }, "", true},
 		"long deadlines": {func(settings object) {
 			class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 3600.0, 86400.0
