--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -31,9 +31,11 @@
 
 func newEngine(t *testing.T) *Engine {
 	t.Helper()
-	e, err := New(Config{Name: "s", Classes: []string{"c"}, NodeTypes: []string{"k"}, Placer: placer.Config{Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1,
-		Classes: []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}}, NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
-		OvercommitCores: 1, OvercommitMemory: 1, ListShowsCapacity: true, WarmupDuration: 15}})
+	e, err := New(Config{Name: "s", Classes: []string{"c"}, NodeTypes: []string{"k"}, Placer: placer.Config{
+		Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1, OvercommitCores: 1, OvercommitMemory: 1, ListShowsCapacity: true, WarmupDuration: 15,
+		Classes:   []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+		NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +113,8 @@
 					case SendAttempt:
 						attempts++ // it is never answered
 					case StopTask:
-						e.StopDone(now, StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt, Answered: true, Incarnation: test.incarnation})
+						e.StopDone(now, StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt, Answered: true,
+							Incarnation: test.incarnation})
 					}
 				}
 				now = min(e.NextWake(), 1060)
@@ -202,7 +205,8 @@
 	}
 	pod := sent[0].Pod.DeepCopy()
 	pod.Status.Phase = corev1.PodRunning
-	e.AttemptDone(now, AttemptAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Incarnation: "a", Revision: 2, Pod: pod})
+	e.AttemptDone(now, AttemptAnswer{UID: sent[0].UID, Node: "n", Attempt: sent[0].Attempt, Accepted: true, Incarnation: "a",
+		Revision: 2, Pod: pod})
 	now++
 	failed := pod.DeepCopy()
 	failed.ResourceVersion = "3"
--- a/internal/engine/script_nodes_test.go
+++ b/internal/engine/script_nodes_test.go
@@ -82,7 +82,9 @@
 // plan schedules what the node's watch shows of a task: that it runs, that it ends, and sometimes that its Pod vanishes.
 func (s *script) plan(node *fakeNode, uid types.UID) {
 	incarnation := node.incarnation
-	reasons := []string{"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped}
+	reasons := []string{
+		"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped,
+	}
 	reason := reasons[s.rng.IntN(len(reasons))]
 	vanishes := s.rng.IntN(12) == 0
 	start := 0.02 + 0.3*s.rng.Float64()
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -241,14 +241,16 @@
 // checkpoint writes the digest so far with the counters of the engine in a fixed order.
 func (s *script) checkpoint(label string) {
 	stats := s.engine.Stats
-	for _, counter := range []uint64{stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections, stats.UnknownOutcomes, stats.Adopted, stats.Stops, stats.Placed, stats.Rejected, stats.Failed, stats.Shed,
-		stats.Retries, stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks, stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated,
-		stats.JobsRejected, stats.LateAnswers} {
+	counters := []uint64{
+		stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections, stats.UnknownOutcomes, stats.Adopted, stats.Stops,
+		stats.Placed, stats.Rejected, stats.Failed, stats.Shed, stats.Retries, stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks,
+		stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers,
+	}
+	for _, counter := range counters {
 		s.record.Integers(int64(counter))
 	}
-	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v", label, s.kinds, s.changes, s.engine.OpenTasks(), s.revision,
-		[]uint64{stats.PlacementRequests, stats.Attempts, stats.Accepted, stats.Rejections, stats.UnknownOutcomes, stats.Adopted, stats.Stops, stats.Placed, stats.Rejected, stats.Failed, stats.Shed, stats.Retries,
-			stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks, stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers})
+	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v",
+		label, s.kinds, s.changes, s.engine.OpenTasks(), s.revision, counters)
 	s.record.Checkpoint(label)
 }
 
