--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -70,6 +70,28 @@
 	retryTimer  *timer
 }
 
+// violatedInvariant describes what does not agree between a Job and its tasks, "" if all does.
+func (j *job) violatedInvariant() string {
+	active := 0
+	for i := range j.indexes {
+		index := &j.indexes[i]
+		if (index.task != nil) != (index.state == indexActive) {
+			return fmt.Sprintf("violated: index %d has a task only while it is active", i)
+		}
+		if index.task == nil {
+			continue
+		}
+		active++
+		if index.task.job != j || index.task.index != i {
+			return fmt.Sprintf("violated: the task of index %d knows its Job and its index", i)
+		}
+	}
+	if active != j.active {
+		return fmt.Sprintf("violated: %d indexes are active, %d are counted", active, j.active)
+	}
+	return ""
+}
+
 func valueOr[T any](pointer *T, otherwise T) T {
 	if pointer == nil {
 		return otherwise
--- a/internal/engine/task_state.go
+++ b/internal/engine/task_state.go
@@ -71,8 +71,9 @@
 	task.state = next
 }
 
-// CheckInvariants returns an error if a task has made an illegal transition, or is in a state that does not agree with its attempts,
-// its request or its node. It looks at every task: it is for tests and simulations, between calls.
+// CheckInvariants returns an error if a task has made an illegal transition, if a task's state does not agree with its attempts, its
+// request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and simulations,
+// between calls.
 func (e *Engine) CheckInvariants() error {
 	if e.badTransition != nil {
 		return e.badTransition
@@ -89,6 +90,11 @@
 	if open != e.openTasks {
 		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, e.openTasks)
 	}
+	for key, job := range e.jobs {
+		if violated := job.violatedInvariant(); violated != "" {
+			return fmt.Errorf("engine: Job %s: %s", key, violated)
+		}
+	}
 	return nil
 }
 
--- a/internal/engine/task_state_test.go
+++ b/internal/engine/task_state_test.go
@@ -88,6 +88,10 @@
 			"an attempt runs only on a node"},
 		{"retry while requested", func(e *Engine, corrupted *task) { corrupted.retryTimer = e.runAfter(1, func() {}) },
 			"a retry is pending only while it waits"},
+		{"no task of its index", func(_ *Engine, corrupted *task) { corrupted.job.indexes[0].task = nil },
+			"index 0 has a task only while it is active"},
+		{"another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 }, "the task of index 0 knows its Job and its index"},
+		{"active miscounted", func(_ *Engine, corrupted *task) { corrupted.job.active = 0 }, "1 indexes are active, 0 are counted"},
 		{"miscounted", func(e *Engine, _ *task) { e.openTasks++ }, "1 tasks have no final outcome, 2 are counted"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
