--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -24,11 +24,12 @@
 	return &Server{Store: st}
 }
 
-func (s *Server) getAs(method, target, accept string) http1.Response {
-	return s.Serve(1000, &http1.Request{Head: &http1.Head{Method: method, Target: target, Minor: 1, Header: http1.Header{{Name: "Accept", Value: accept}}}})
+// getAs sends a GET with an Accept header field.
+func (s *Server) getAs(target, accept string) http1.Response {
+	return s.Serve(1000, &http1.Request{Head: &http1.Head{Method: "GET", Target: target, Minor: 1, Header: http1.Header{{Name: "Accept", Value: accept}}}})
 }
 
-// What kubectl get sends: rows if the server has them.
+// TestTables sends what kubectl get sends, which is answered with rows.
 func TestTables(t *testing.T) {
 	s := newPodServer(5)
 	const kubectl = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json;as=Table;v=v1beta1;g=meta.k8s.io,application/json"
@@ -38,14 +39,14 @@
 		more           bool
 	}{{"/api/v1/pods", kubectl, 5, false}, {"/api/v1/namespaces/default/pods/pa", kubectl, 1, false}, {"/api/v1/pods?limit=2", kubectl, 2, true},
 		{"/api/v1/pods?labelSelector=odd%3D1", kubectl, 2, false}, {"/api/v1/pods", "application/json," + kubectl, -1, false}} {
-		resp := s.getAs("GET", c.target, c.accept)
+		resp := s.getAs(c.target, c.accept)
 		var tb metav1.Table
 		if err := json.Unmarshal(resp.Body, &tb); err != nil || resp.Status != 200 {
 			t.Fatalf("%s: %d, %v", c.target, resp.Status, err)
 		}
 		if c.rows < 0 {
 			if tb.Kind != "PodList" {
-				t.Errorf("%s: %s where plain JSON comes first", c.target, tb.Kind)
+				t.Errorf("%s: %s where the client prefers plain JSON", c.target, tb.Kind)
 			}
 			continue
 		}
@@ -56,10 +57,11 @@
 	}
 }
 
-// An object that begins or ceases to match a selector is added or deleted; a slow reader whose place is gone is told so; an event is one line.
+// TestWatchSelectorsAndExpiry checks that an object that begins or ceases to match a selector is added or deleted, that a watch whose place is
+// no longer in the history gets an error, and that an event is one line.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
 	s := newPodServer(2)
-	resp := s.getAs("GET", "/api/v1/pods?watch=1&labelSelector=odd%3D1&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan", "")
+	resp := s.getAs("/api/v1/pods?watch=1&labelSelector=odd%3D1&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan", "")
 	if resp.Stream == nil {
 		t.Fatalf("no stream: %d %s", resp.Status, resp.Body)
 	}
@@ -103,7 +105,7 @@
 	}
 	kinds = nil
 	if !pull(1<<20) || strings.Join(kinds, "") != "ERROR" {
-		t.Errorf("after its place was gone: %v", kinds)
+		t.Errorf("after its place was no longer in the history: %v", kinds)
 	}
 	resp.Stream.Close()
 	if s.Watchers() != 0 {
--- a/internal/api/binary.go
+++ b/internal/api/binary.go
@@ -5,16 +5,16 @@
 	"mime"
 	"strings"
 
+	"google.golang.org/protobuf/encoding/protowire"
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/runtime"
-
-	"google.golang.org/protobuf/encoding/protowire"
+	"k8s.io/apimachinery/pkg/watch"
 
 	"heathshed/internal/store"
 )
 
-// The binary encoding of the Kubernetes API: an object is "k8s\x00" and a runtime.Unknown that holds it; a watch is frames of a length
+// The protobuf encoding of the Kubernetes API: an object is "k8s\x00" and a runtime.Unknown that holds it; a watch is frames of a length
 // in four bytes, high byte first, and a metav1.WatchEvent.
 // See https://kubernetes.io/docs/reference/using-api/api-concepts/#protobuf-encoding.
 const (
@@ -22,10 +22,14 @@
 	binaryWatch = binaryType + ";stream=watch"
 )
 
-// wantsBinary says whether a client likes the binary encoding better than JSON: what it names first counts.
+// protoMagic is what an object in the protobuf encoding begins with.
+var protoMagic = []byte("k8s\x00")
+
+// wantsBinary says whether a client prefers the protobuf encoding to JSON, by which it names first.
 func wantsBinary(accept string) bool {
-	for _, part := range strings.Split(accept, ",") {
-		switch t, _, _ := mime.ParseMediaType(part); t {
+	for part := range strings.SplitSeq(accept, ",") {
+		mediaType, _, _ := mime.ParseMediaType(part) // an invalid parameter leaves the media type, an invalid type is ""
+		switch mediaType {
 		case binaryType:
 			return true
 		case jsonType, "*/*", "application/*":
@@ -35,52 +39,61 @@
 	return false
 }
 
-// encodeBinary writes an object with its kind; what cannot be written comes without content.
+// encodeBinary returns an object in the protobuf encoding, with its kind and API version. One that cannot be encoded comes without content.
 func encodeBinary(o runtime.Object) []byte {
-	version, kind := "v1", "Status"
+	version, kind := typeOf(o)
+	var content []byte
+	if message, ok := o.(interface{ Marshal() ([]byte, error) }); ok {
+		if encoded, err := message.Marshal(); err == nil {
+			content = encoded
+		}
+	}
+	const tagsAndLengths = 24 // at most, with protoMagic
+	b := make([]byte, 0, len(content)+len(version)+len(kind)+tagsAndLengths)
+	b = append(b, protoMagic...)
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // runtime.Unknown.TypeMeta
+	b = protowire.AppendVarint(b, uint64(4+len(version)+len(kind)))
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // TypeMeta.APIVersion
+	b = protowire.AppendString(b, version)
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // TypeMeta.Kind
+	b = protowire.AppendString(b, kind)
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // runtime.Unknown.Raw
+	return protowire.AppendBytes(b, content)
+}
+
+// typeOf returns the API version and the kind of an object that is served.
+func typeOf(o runtime.Object) (version, kind string) {
 	switch o.(type) {
 	case *batchv1.Job:
-		version, kind = "batch/v1", "Job"
+		return "batch/v1", "Job"
 	case *corev1.Pod:
-		kind = "Pod"
+		return "v1", "Pod"
 	case *corev1.Node:
-		kind = "Node"
+		return "v1", "Node"
 	case *corev1.Namespace:
-		kind = "Namespace"
+		return "v1", "Namespace"
 	}
-	var raw []byte
-	if m, ok := o.(interface{ Marshal() ([]byte, error) }); ok {
-		raw, _ = m.Marshal()
-	}
-	b := make([]byte, 0, len(raw)+len(version)+len(kind)+24)
-	b = append(b, protoMagic...)
-	b = protowire.AppendTag(b, 1, protowire.BytesType)
-	b = protowire.AppendVarint(b, uint64(4+len(version)+len(kind)))
-	b = protowire.AppendTag(b, 1, protowire.BytesType)
-	b = protowire.AppendString(b, version)
-	b = protowire.AppendTag(b, 2, protowire.BytesType)
-	b = protowire.AppendString(b, kind)
-	b = protowire.AppendTag(b, 2, protowire.BytesType)
-	return protowire.AppendBytes(b, raw)
+	return "v1", "Status"
 }
 
-// encodedBinary is a change's object in the binary encoding, made once for all who read it.
-func encodedBinary(c *store.Change) []byte {
-	if c.Binary == nil {
-		c.Binary = encodeBinary(c.Object)
+// encodedBinary returns the object of a change in the protobuf encoding, encoded once for all that read it.
+func encodedBinary(change *store.Change) []byte {
+	if change.Binary == nil {
+		change.Binary = encodeBinary(change.Object)
 	}
-	return c.Binary
+	return change.Binary
 }
 
-// appendBinaryEvent appends one frame.
-func appendBinaryEvent(b []byte, kind string, object []byte) []byte {
-	inner := 1 + protowire.SizeBytes(len(object))
-	size := 1 + protowire.SizeBytes(len(kind)) + 1 + protowire.SizeBytes(inner)
+// appendBinaryEvent appends one frame: an event with an object that is encoded already.
+func appendBinaryEvent(b []byte, event watch.EventType, object []byte) []byte {
+	const tagSize = 1
+	inner := tagSize + protowire.SizeBytes(len(object))
+	size := tagSize + protowire.SizeBytes(len(event)) + tagSize + protowire.SizeBytes(inner)
 	b = binary.BigEndian.AppendUint32(b, uint32(size))
-	b = protowire.AppendTag(b, 1, protowire.BytesType)
-	b = protowire.AppendString(b, kind)
-	b = protowire.AppendTag(b, 2, protowire.BytesType)
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // WatchEvent.Type
+	b = protowire.AppendString(b, string(event))
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // WatchEvent.Object
 	b = protowire.AppendVarint(b, uint64(inner))
-	b = protowire.AppendTag(b, 1, protowire.BytesType)
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // RawExtension.Raw
 	return protowire.AppendBytes(b, object)
 }
--- a/internal/api/bounds_test.go
+++ b/internal/api/bounds_test.go
@@ -20,12 +20,13 @@
 	"heathshed/internal/wellknown"
 )
 
-// newEngineServer is an API over an engine that knows one machine.
-func newEngineServer(t testing.TB) *Server {
+// newEngineServer returns an API over an engine that knows one node.
+func newEngineServer(tb testing.TB) *Server {
+	tb.Helper()
 	s := config.Default()
 	e, err := engine.New(s.Engine(1, 1000))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	n := &corev1.Node{}
 	n.Name, n.Labels = "node-1", map[string]string{wellknown.Kind: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
@@ -59,7 +60,7 @@
 	return "[" + strings.Join(ops, ",") + "]"
 }
 
-// allocatedBytes is what f makes the process allocate, in bytes.
+// allocatedBytes returns how many bytes the process allocates while f runs.
 func allocatedBytes(f func()) uint64 {
 	var a, b runtime.MemStats
 	runtime.ReadMemStats(&a)
@@ -68,10 +69,11 @@
 	return b.TotalAlloc - a.TotalAlloc
 }
 
-// allocationLimit is the property of every body: so much for each byte of it, and never more than so much in all.
+// allocationLimit is how many bytes serving a request may allocate: a number for each byte of its body, and a bound for any body.
 func allocationLimit(body int) uint64 { return min(16<<20+2048*uint64(body), 96<<20) }
 
-// Bodies that are small to send and dear to read are refused before they are read, with a status that says why.
+// TestCostlyBodiesAreRejected checks that bodies that are small to send and expensive to decode are rejected before they are decoded, with a
+// status that says why.
 func TestCostlyBodiesAreRejected(t *testing.T) {
 	deep := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
 	wire := func(quantity string) string {
@@ -110,13 +112,13 @@
 		s := newEngineServer(t)
 		var resp http1.Response
 		if n, most := allocatedBytes(func() { resp = s.send(c.method, c.path, c.kind, c.body) }), allocationLimit(len(c.body)); n > most {
-			t.Errorf("%s: %d bytes of body made %d bytes, want at most %d", c.name, len(c.body), n, most)
+			t.Errorf("%s: %d bytes of body allocate %d bytes, want at most %d", c.name, len(c.body), n, most)
 		}
 		if resp.Status != c.status {
 			t.Errorf("%s: status %d, want %d: %.200s", c.name, resp.Status, c.status, resp.Body)
 		}
 		if len(resp.Body) > 64<<10 {
-			t.Errorf("%s: an answer of %d bytes", c.name, len(resp.Body))
+			t.Errorf("%s: a response of %d bytes", c.name, len(resp.Body))
 		}
 	}
 	s := newEngineServer(t)
@@ -127,7 +129,7 @@
 	}
 }
 
-// FuzzBody has any body decoded, by any way in, within its bound of memory for each byte.
+// FuzzBody checks that any body, on any path, is served within allocationLimit and without an internal error.
 func FuzzBody(f *testing.F) {
 	for _, s := range []string{jobWithCPU(`"1"`), jobWithCPU(`"1e1000000000"`), copyOperations(40), `{"metadata":{"labels":{"a":"b"}}}`,
 		`{"spec":{"unschedulable":true}}`, "k8s\x00\x0a\x09\x0a\x02v1\x12\x03Job\x12\x02\x0a\x00", `{"kind":"DeleteOptions","dryRun":["All"]}`} {
@@ -146,7 +148,7 @@
 		w := ways[int(way)%len(ways)]
 		var resp http1.Response
 		if n, most := allocatedBytes(func() { resp = s.send(w.method, w.path, w.kind, body) }), allocationLimit(len(body)); n > most {
-			t.Fatalf("%d bytes of body made %d bytes, want at most %d", len(body), n, most)
+			t.Fatalf("%d bytes of body allocate %d bytes, want at most %d", len(body), n, most)
 		}
 		if resp.Status == 500 {
 			t.Fatalf("status 500: %s", resp.Body)
@@ -154,7 +156,7 @@
 	})
 }
 
-// FuzzSelector has any selector parsed and held against objects within its bound.
+// FuzzSelector checks that any selector is parsed and matched against objects within allocationLimit.
 func FuzzSelector(f *testing.F) {
 	for _, s := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(s, s)
@@ -174,12 +176,12 @@
 			}
 		})
 		if most := allocationLimit(len(l) + len(fs)); n > most {
-			t.Fatalf("%d bytes made %d bytes", len(l)+len(fs), n)
+			t.Fatalf("%d bytes allocate %d bytes", len(l)+len(fs), n)
 		}
 	})
 }
 
-// A generated name that is taken is drawn again, as long as there are others.
+// TestGeneratedNames checks that a generated name that is taken is drawn again.
 func TestGeneratedNames(t *testing.T) {
 	s := newEngineServer(t)
 	job := &batchv1.Job{ObjectMeta: metav1.ObjectMeta{GenerateName: "g-", Namespace: "default"}}
@@ -199,7 +201,8 @@
 	}
 }
 
-// A list larger than what is answered at once comes in pieces that together are the list, and breaks off where the history has passed it.
+// TestLargeListIsStreamed checks that a large list comes in pieces that together are the list, and ends broken once the history no longer
+// reaches back to its snapshot.
 func TestLargeListIsStreamed(t *testing.T) {
 	st := store.New(100, 500)
 	put := func(i int) {
@@ -217,7 +220,7 @@
 		items  int
 		whole  bool
 	}{{"/api/v1/pods", 400, false}, {"/api/v1/pods?limit=300", 300, false}, {"/api/v1/pods?limit=3", 3, true}} {
-		resp := s.getAs("GET", c.target, jsonType)
+		resp := s.getAs(c.target, jsonType)
 		body := resp.Body
 		if (resp.Stream == nil) != c.whole {
 			t.Fatalf("%s: streamed %v", c.target, resp.Stream != nil)
@@ -233,11 +236,11 @@
 			t.Errorf("%s: %d items, continue %q, %v", c.target, len(l.Items), l.Continue, err)
 		}
 	}
-	resp := s.getAs("GET", "/api/v1/pods", jsonType)
+	resp := s.getAs("/api/v1/pods", jsonType)
 	for i := range 1000 {
 		put(i % 400)
 	}
 	if _, done := resp.Stream.Pull(nil, 10000); !done || !resp.Stream.(*listStream).Broken() {
-		t.Error("a list goes on that the history has passed")
+		t.Error("a list goes on although the history no longer reaches back to it")
 	}
 }
--- a/internal/api/characterization_test.go
+++ b/internal/api/characterization_test.go
@@ -36,7 +36,7 @@
 	requestStart = 1.8e9
 )
 
-// session sends requests to one server at times that grow.
+// session sends requests to one server at increasing times.
 type session struct {
 	server *api.Server
 	engine *engine.Engine
@@ -45,11 +45,13 @@
 }
 
 func newSession(t *testing.T) *session {
+	t.Helper()
 	defaults := config.Default()
 	return sessionOf(t, defaults.Engine(1, 1000))
 }
 
 func sessionOf(t *testing.T, config engine.Config) *session {
+	t.Helper()
 	e, err := engine.New(config)
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +82,7 @@
 	return node
 }
 
-// advance runs timers for some seconds; nodes accept every offer and report that it runs.
+// advance runs timers for some seconds; nodes accept every attempt and report that the task runs.
 func (s *session) advance(seconds float64) {
 	for until := s.now + seconds; s.now < until; {
 		s.now = min(max(s.engine.NextWake(), s.now+0.01), until)
@@ -124,7 +126,7 @@
 	return out
 }
 
-// pull takes what a watch has to send.
+// pull records what a watch has to send.
 func (s *session) pull(label string, stream http1.Stream, room int) {
 	for range 40 {
 		b, done := stream.Pull(nil, room)
@@ -138,6 +140,7 @@
 
 // watch begins a watch whose answer must be a stream.
 func (s *session) watch(t *testing.T, target string, header ...string) http1.Stream {
+	t.Helper()
 	response := s.send("GET", target, "", header...)
 	if response.Stream == nil {
 		t.Fatalf("%s: no stream: %d", target, response.Status)
@@ -263,7 +266,7 @@
 	s.send("POST", "/apis", "{}", "Content-Type", jsonMedia)
 }
 
-// binaryJob is a Job in the binary encoding.
+// binaryJob returns a Job in the protobuf encoding.
 func (s *session) binaryJob(name string) string {
 	o := &batchv1.Job{}
 	o.Name = name
@@ -366,7 +369,7 @@
 	return names
 }
 
-// TestCharacterizeFullServer pins the answer to a Job for which there is no room.
+// TestCharacterizeFullServer pins the answer to a Job for which there is no capacity.
 func TestCharacterizeFullServer(t *testing.T) {
 	defaults := config.Default()
 	config := defaults.Engine(1, 1000)
@@ -379,7 +382,7 @@
 	s.record.Check(t, "full")
 }
 
-// TestCharacterizeWatches pins the bytes of watches: as JSON, in the binary encoding, with selectors, bookmarks and initial events.
+// TestCharacterizeWatches pins the bytes of watches: as JSON, in the protobuf encoding, with selectors, bookmarks and initial events.
 func TestCharacterizeWatches(t *testing.T) {
 	s := newSession(t)
 	var streams []http1.Stream
--- /dev/null
+++ b/internal/api/decode.go
@@ -0,0 +1,119 @@
+package api
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"mime"
+	"net/http"
+	"strings"
+
+	apierrors "k8s.io/apimachinery/pkg/api/errors"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/runtime"
+	kjson "sigs.k8s.io/json"
+
+	"heathshed/internal/decodelimit"
+)
+
+const (
+	maxWarnings     = 20
+	maxWarningChars = 200
+)
+
+// protoMessage is an object that can be decoded from the protobuf encoding.
+type protoMessage interface{ Unmarshal([]byte) error }
+
+// decode reads the body into an object of a kind: JSON, or the protobuf encoding, which client-go prefers.
+func (r *request) decode(into any, wantKind string) error {
+	mediaType := jsonType
+	if header := r.Head.Header.Get("Content-Type"); header != "" {
+		var err error
+		if mediaType, _, err = mime.ParseMediaType(header); err != nil {
+			return apierrors.NewBadRequest("content-type: " + err.Error())
+		}
+	}
+	switch mediaType {
+	case jsonType, "text/json":
+		return r.decodeJSON(r.Body, into, wantKind)
+	case binaryType:
+		return decodeBinary(r.Body, into, wantKind)
+	}
+	return newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
+		fmt.Sprintf("the body of the request was in an unknown format - "+
+			"accepted media types include: application/json, application/vnd.kubernetes.protobuf; not %s", mediaType))
+}
+
+// decodeBinary reads a body in the protobuf encoding.
+func decodeBinary(body []byte, into any, wantKind string) error {
+	content, hasMagic := bytes.CutPrefix(body, protoMagic)
+	if err := decodelimit.CheckProto(content, decodelimit.ObjectLimits()); err != nil {
+		return newDecodeLimitError("body", err)
+	}
+	message, ok := into.(protoMessage)
+	if !ok || !hasMagic {
+		return apierrors.NewBadRequest("body is not in the encoding that content-type names")
+	}
+	var envelope runtime.Unknown
+	if err := envelope.Unmarshal(content); err != nil {
+		return apierrors.NewBadRequest("body: " + err.Error())
+	}
+	if err := checkKind(envelope.Kind, wantKind); err != nil {
+		return err
+	}
+	if err := message.Unmarshal(envelope.Raw); err != nil {
+		return apierrors.NewBadRequest("body: " + err.Error())
+	}
+	return nil
+}
+
+// decodeJSON reads a text strictly: fields that are unknown or given twice are rejected or warned of, as fieldValidation says.
+func (r *request) decodeJSON(text []byte, into any, wantKind string) error {
+	if err := decodelimit.CheckJSON(text, decodelimit.ObjectLimits()); err != nil {
+		return newDecodeLimitError("body", err)
+	}
+	strictErrors, err := kjson.UnmarshalStrict(text, into)
+	if err != nil {
+		return apierrors.NewBadRequest("body: " + err.Error())
+	}
+	var meta metav1.TypeMeta
+	if err := json.Unmarshal(text, &meta); err == nil {
+		if err := checkKind(meta.Kind, wantKind); err != nil {
+			return err
+		}
+	}
+	if len(strictErrors) == 0 {
+		return nil
+	}
+	return r.reportStrictErrors(strictErrors)
+}
+
+// reportStrictErrors rejects, ignores or warns of fields that are unknown or given twice.
+func (r *request) reportStrictErrors(strictErrors []error) error {
+	var warnings []string
+	for i, strictError := range strictErrors {
+		if i == maxWarnings {
+			warnings = append(warnings, fmt.Sprintf("and %d more", len(strictErrors)-i))
+			break
+		}
+		warnings = append(warnings, fmt.Sprintf("%.*s", maxWarningChars, strictError.Error()))
+	}
+	switch r.query.Get("fieldValidation") {
+	case metav1.FieldValidationStrict:
+		return apierrors.NewBadRequest("strict decoding error: " + strings.Join(warnings, ", "))
+	case metav1.FieldValidationIgnore:
+		return nil
+	case "", metav1.FieldValidationWarn:
+		r.warnings = append(r.warnings, warnings...)
+		return nil
+	}
+	return apierrors.NewBadRequest("fieldValidation: want Ignore, Warn or Strict")
+}
+
+// checkKind checks the kind of an object in a body. It may be left out.
+func checkKind(got, want string) error {
+	if got != "" && got != want {
+		return apierrors.NewBadRequest(fmt.Sprintf("the object in the body is a %s, want a %s", got, want))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/api/delete.go
@@ -0,0 +1,165 @@
+package api
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+
+	batchv1 "k8s.io/api/batch/v1"
+	policyv1 "k8s.io/api/policy/v1"
+	apierrors "k8s.io/apimachinery/pkg/api/errors"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/http1"
+	"heathshed/internal/store"
+)
+
+// deleteObjects serves DELETE of one object, or of all that a list would show.
+func (s *Server) deleteObjects(r *request) (http1.Response, error) {
+	options, err := r.deleteOptions()
+	if err != nil {
+		return http1.Response{}, err
+	}
+	dryRun, err := r.dryRun(options.DryRun)
+	if err != nil {
+		return http1.Response{}, err
+	}
+	if r.name != "" {
+		return s.deleteNamed(r, options, dryRun)
+	}
+	return s.deleteCollection(r, options, dryRun)
+}
+
+// deleteOptions reads the options from the body and the query.
+func (r *request) deleteOptions() (*metav1.DeleteOptions, error) {
+	options := &metav1.DeleteOptions{}
+	if len(bytes.TrimSpace(r.Body)) > 0 {
+		if err := r.decode(options, "DeleteOptions"); err != nil {
+			return nil, err
+		}
+	}
+	if policy := r.query.Get("propagationPolicy"); policy != "" {
+		options.PropagationPolicy = new(metav1.DeletionPropagation(policy))
+	}
+	if options.PropagationPolicy == nil {
+		return options, nil
+	}
+	switch policy := *options.PropagationPolicy; policy {
+	case metav1.DeletePropagationOrphan, metav1.DeletePropagationBackground, metav1.DeletePropagationForeground:
+		return options, nil
+	default:
+		return nil, apierrors.NewBadRequest(fmt.Sprintf("propagationPolicy: %q is not known", policy))
+	}
+}
+
+// deleteNamed deletes one object. The answer is the object, or a Status if it is a Job that is gone at once.
+func (s *Server) deleteNamed(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
+	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
+	if current == nil {
+		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
+	}
+	if dryRun {
+		return objectResponse(http.StatusOK, current)
+	}
+	deleted, err := s.deleteObject(r, current, options)
+	if err != nil {
+		return http1.Response{}, r.statusError(err, r.name)
+	}
+	job, isJob := deleted.(*batchv1.Job)
+	if isJob && s.Store.Get(store.Jobs, job.Namespace, job.Name) == nil {
+		return jsonResponse(http.StatusOK, &metav1.Status{
+			TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
+			Status:   metav1.StatusSuccess,
+			Details:  &metav1.StatusDetails{Name: job.Name, Group: "batch", Kind: "jobs", UID: job.UID},
+		})
+	}
+	return objectResponse(http.StatusOK, deleted)
+}
+
+// deleteCollection deletes all objects that a list would show. The answer is that list.
+func (s *Server) deleteCollection(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
+	selector, err := r.parseSelector()
+	if err != nil {
+		return http1.Response{}, err
+	}
+	response, err := s.listPage(r, selector, s.Store.Snapshot(r.resourceType.resource), "", 0)
+	if err != nil || dryRun {
+		return response, err
+	}
+	options.Preconditions = nil // they are about one object
+	for _, selected := range s.selected(&selector) {
+		_, err := s.deleteObject(r, selected, options)
+		if err == nil {
+			continue
+		}
+		// An object that was deleted with another, such as a Pod with its Job, is no error.
+		if s.Store.Get(r.resourceType.resource, selected.GetNamespace(), selected.GetName()) != nil {
+			return http1.Response{}, r.statusError(err, selected.GetName())
+		}
+	}
+	return response, nil
+}
+
+// selected returns the present objects that match a selector.
+func (s *Server) selected(selector *objectSelector) []store.Object {
+	var objects []store.Object
+	snapshot := s.Store.Snapshot(selector.resourceType.resource)
+	snapshot.Scan(selector.namespace, "", func(_ string, change *store.Change) bool {
+		if selector.matches(change.Object) {
+			objects = append(objects, change.Object)
+		}
+		return true
+	})
+	return objects
+}
+
+// deleteObject has the engine delete a Job or a Pod.
+func (s *Server) deleteObject(r *request, o store.Object, options *metav1.DeleteOptions) (store.Object, error) {
+	var uid types.UID
+	revision := ""
+	if preconditions := options.Preconditions; preconditions != nil {
+		if preconditions.UID != nil {
+			uid = *preconditions.UID
+		}
+		if preconditions.ResourceVersion != nil {
+			revision = *preconditions.ResourceVersion
+		}
+	}
+	if r.resourceType.resource == store.Pods {
+		return s.Engine.DeletePod(s.now, o.GetNamespace(), o.GetName(), uid, revision)
+	}
+	propagation := metav1.DeletePropagationBackground
+	if options.PropagationPolicy != nil {
+		propagation = *options.PropagationPolicy
+	}
+	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, revision, propagation)
+}
+
+// evictPod serves POST of an Eviction.
+func (s *Server) evictPod(r *request) (http1.Response, error) {
+	var eviction policyv1.Eviction
+	if err := r.decode(&eviction, "Eviction"); err != nil {
+		return http1.Response{}, err
+	}
+	if eviction.Name != "" && eviction.Name != r.name {
+		return http1.Response{}, apierrors.NewBadRequest("name in URL does not match name in Eviction object")
+	}
+	if err := s.Engine.EvictPod(s.now, r.namespace, r.name, evictionUID(&eviction)); err != nil {
+		return http1.Response{}, r.statusError(err, r.name)
+	}
+	return jsonResponse(http.StatusCreated, &metav1.Status{
+		TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
+		Status:   metav1.StatusSuccess,
+		Code:     http.StatusCreated,
+	})
+}
+
+// evictionUID returns the UID that the Pod must have, "" for any.
+func evictionUID(eviction *policyv1.Eviction) types.UID {
+	options := eviction.DeleteOptions
+	if options == nil || options.Preconditions == nil || options.Preconditions.UID == nil {
+		return ""
+	}
+	return *options.Preconditions.UID
+}
--- /dev/null
+++ b/internal/api/resources.go
@@ -0,0 +1,103 @@
+package api
+
+import (
+	"slices"
+	"strconv"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/fields"
+	"k8s.io/apimachinery/pkg/runtime/schema"
+
+	"heathshed/internal/store"
+)
+
+// resourceType describes a resource as the API names it.
+type resourceType struct {
+	resource     store.Resource
+	groupVersion schema.GroupVersion
+	kind         string
+	namespaced   bool
+	verbs        []string
+	shortNames   []string
+	newObject    func() store.Object
+	// selectableFields are the fields that a field selector may name besides the name and the namespace; selectableValues returns their
+	// values.
+	selectableFields []string
+	selectableValues func(o store.Object) fields.Set
+}
+
+var resourceTypes = map[store.Resource]*resourceType{
+	store.Jobs: {
+		resource:         store.Jobs,
+		groupVersion:     batchv1.SchemeGroupVersion,
+		kind:             "Job",
+		namespaced:       true,
+		verbs:            []string{"create", "delete", "deletecollection", "get", "list", "patch", "update", "watch"},
+		newObject:        func() store.Object { return &batchv1.Job{} },
+		selectableFields: []string{"status.successful"},
+		selectableValues: func(o store.Object) fields.Set {
+			job := o.(*batchv1.Job)
+			return fields.Set{"status.successful": strconv.Itoa(int(job.Status.Succeeded))}
+		},
+	},
+	store.Pods: {
+		resource:         store.Pods,
+		groupVersion:     corev1.SchemeGroupVersion,
+		kind:             "Pod",
+		namespaced:       true,
+		verbs:            []string{"delete", "deletecollection", "get", "list", "watch"},
+		shortNames:       []string{"po"},
+		newObject:        func() store.Object { return &corev1.Pod{} },
+		selectableFields: []string{"spec.nodeName", "spec.restartPolicy", "spec.schedulerName", "status.phase"},
+		selectableValues: func(o store.Object) fields.Set {
+			pod := o.(*corev1.Pod)
+			return fields.Set{
+				"spec.nodeName":      pod.Spec.NodeName,
+				"spec.restartPolicy": string(pod.Spec.RestartPolicy),
+				"spec.schedulerName": pod.Spec.SchedulerName,
+				"status.phase":       string(pod.Status.Phase),
+			}
+		},
+	},
+	store.Nodes: {
+		resource:         store.Nodes,
+		groupVersion:     corev1.SchemeGroupVersion,
+		kind:             "Node",
+		verbs:            []string{"get", "list", "patch", "update", "watch"},
+		shortNames:       []string{"no"},
+		newObject:        func() store.Object { return &corev1.Node{} },
+		selectableFields: []string{"spec.unschedulable"},
+		selectableValues: func(o store.Object) fields.Set {
+			node := o.(*corev1.Node)
+			return fields.Set{"spec.unschedulable": strconv.FormatBool(node.Spec.Unschedulable)}
+		},
+	},
+	store.Namespaces: {
+		resource:         store.Namespaces,
+		groupVersion:     corev1.SchemeGroupVersion,
+		kind:             "Namespace",
+		verbs:            []string{"get", "list", "watch"},
+		shortNames:       []string{"ns"},
+		newObject:        func() store.Object { return &corev1.Namespace{} },
+		selectableFields: []string{"status.phase"},
+		selectableValues: func(o store.Object) fields.Set {
+			namespace := o.(*corev1.Namespace)
+			return fields.Set{"status.phase": string(namespace.Status.Phase)}
+		},
+	},
+}
+
+// supports says whether a verb of the API applies to the resource.
+func (t *resourceType) supports(verb string) bool { return slices.Contains(t.verbs, verb) }
+
+// findResourceType returns the resource of a name in the core group or the other one, nil if there is none.
+func findResourceType(name string, core bool) *resourceType {
+	for _, candidate := range resourceTypes {
+		isCore := candidate.groupVersion.Group == ""
+		if candidate.resource.String() == name && isCore == core {
+			return candidate
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/api/response.go
@@ -0,0 +1,116 @@
+package api
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	apierrors "k8s.io/apimachinery/pkg/api/errors"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/runtime"
+
+	"heathshed/internal/http1"
+	"heathshed/internal/store"
+)
+
+const jsonType = "application/json"
+
+// encode returns an object as JSON, with its kind and API version.
+func encode(o runtime.Object) ([]byte, error) {
+	switch typed := o.(type) {
+	case *batchv1.Job:
+		job := *typed
+		job.TypeMeta = metav1.TypeMeta{Kind: "Job", APIVersion: "batch/v1"}
+		return json.Marshal(&job)
+	case *corev1.Pod:
+		pod := *typed
+		pod.TypeMeta = metav1.TypeMeta{Kind: "Pod", APIVersion: "v1"}
+		return json.Marshal(&pod)
+	case *corev1.Node:
+		node := *typed
+		node.TypeMeta = metav1.TypeMeta{Kind: "Node", APIVersion: "v1"}
+		return json.Marshal(&node)
+	case *corev1.Namespace:
+		namespace := *typed
+		namespace.TypeMeta = metav1.TypeMeta{Kind: "Namespace", APIVersion: "v1"}
+		return json.Marshal(&namespace)
+	}
+	return json.Marshal(o)
+}
+
+// encodeOrNull is encode for a stream, which can no longer report an error.
+func encodeOrNull(o runtime.Object) []byte {
+	text, err := encode(o)
+	if err != nil {
+		return []byte("null")
+	}
+	return text
+}
+
+// encoded returns the object of a change as JSON, encoded once for all that read it.
+func encoded(change *store.Change) []byte {
+	if change.JSON == nil {
+		change.JSON = encodeOrNull(change.Object)
+	}
+	return change.JSON
+}
+
+func contentType(mediaType string) []http1.Field {
+	return []http1.Field{{Name: "Content-Type", Value: mediaType}}
+}
+
+// textResponse returns a response that is no API object.
+func textResponse(status int, mediaType string, body []byte) http1.Response {
+	return http1.Response{Status: status, Header: contentType(mediaType), Body: body}
+}
+
+// encodedResponse returns a response with a body that is JSON already.
+func encodedResponse(status int, body []byte) http1.Response {
+	return http1.Response{Status: status, Header: contentType(jsonType), Body: body}
+}
+
+// jsonResponse returns a response with a value as JSON.
+func jsonResponse(status int, value any) (http1.Response, error) {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
+	}
+	return encodedResponse(status, append(body, '\n')), nil
+}
+
+// objectResponse returns a response with an API object.
+func objectResponse(status int, o store.Object) (http1.Response, error) {
+	body, err := encode(o)
+	if err != nil {
+		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
+	}
+	return encodedResponse(status, body), nil
+}
+
+// errorResponse returns an error as the API's Status object. An error that has no status is an internal one.
+func errorResponse(err error) http1.Response {
+	status := metav1.Status{
+		Status:  metav1.StatusFailure,
+		Code:    http.StatusInternalServerError,
+		Reason:  metav1.StatusReasonInternalError,
+		Message: err.Error(),
+	}
+	var withStatus apierrors.APIStatus
+	if errors.As(err, &withStatus) {
+		status = withStatus.Status()
+	}
+	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
+	response, err := jsonResponse(int(status.Code), &status)
+	if err != nil {
+		return http1.Response{Status: http.StatusInternalServerError}
+	}
+	if details := status.Details; details != nil && details.RetryAfterSeconds > 0 {
+		retryAfter := strconv.Itoa(int(details.RetryAfterSeconds))
+		response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: retryAfter})
+	}
+	return response
+}
--- /dev/null
+++ b/internal/api/selector.go
@@ -0,0 +1,85 @@
+package api
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	apierrors "k8s.io/apimachinery/pkg/api/errors"
+	"k8s.io/apimachinery/pkg/fields"
+	"k8s.io/apimachinery/pkg/labels"
+
+	"heathshed/internal/store"
+)
+
+// maxSelectorTerms bounds the terms of a selector.
+const maxSelectorTerms = 100
+
+// objectSelector selects the objects of a list or a watch: by namespace, labels and fields.
+type objectSelector struct {
+	namespace    string // "" for all
+	labels       labels.Selector
+	fields       fields.Selector
+	resourceType *resourceType
+	matchesAll   bool // there is neither a label nor a field selector
+}
+
+func (s *objectSelector) matches(o store.Object) bool {
+	if o == nil || s.namespace != "" && o.GetNamespace() != s.namespace {
+		return false
+	}
+	if s.matchesAll {
+		return true
+	}
+	if !s.labels.Matches(labels.Set(o.GetLabels())) {
+		return false
+	}
+	if s.fields.Empty() {
+		return true
+	}
+	values := s.resourceType.selectableValues(o)
+	values["metadata.name"] = o.GetName()
+	values["metadata.namespace"] = o.GetNamespace()
+	return s.fields.Matches(values)
+}
+
+// parseSelector reads the namespace and the selectors of a request.
+func (r *request) parseSelector() (objectSelector, error) {
+	selector := objectSelector{namespace: r.namespace, resourceType: r.resourceType}
+	labelText := r.query.Get("labelSelector")
+	fieldText := r.query.Get("fieldSelector")
+	if err := checkSelectorTerms("labelSelector", labelText); err != nil {
+		return selector, err
+	}
+	if err := checkSelectorTerms("fieldSelector", fieldText); err != nil {
+		return selector, err
+	}
+	var err error
+	if selector.labels, err = labels.Parse(labelText); err != nil {
+		return selector, apierrors.NewBadRequest("unable to parse requirement: " + err.Error())
+	}
+	if selector.fields, err = fields.ParseSelector(fieldText); err != nil {
+		return selector, apierrors.NewBadRequest("fieldSelector: " + err.Error())
+	}
+	for _, requirement := range selector.fields.Requirements() {
+		if !r.resourceType.isSelectable(requirement.Field) {
+			return selector, apierrors.NewBadRequest(fmt.Sprintf("field label not supported: %s", requirement.Field))
+		}
+	}
+	selector.matchesAll = selector.labels.Empty() && selector.fields.Empty()
+	return selector, nil
+}
+
+// checkSelectorTerms bounds a selector before it is parsed. A comma separates two requirements, or two values of one, and each object of a
+// list is matched against all of them.
+func checkSelectorTerms(name, text string) error {
+	if commas := strings.Count(text, ","); commas >= maxSelectorTerms {
+		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, commas+1, maxSelectorTerms))
+	}
+	return nil
+}
+
+// isSelectable says whether a field selector may name a field.
+func (t *resourceType) isSelectable(name string) bool {
+	return name == "metadata.name" || name == "metadata.namespace" || slices.Contains(t.selectableFields, name)
+}
--- a/internal/api/table.go
+++ b/internal/api/table.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"mime"
+	"net/http"
 	"strings"
 	"time"
 
@@ -18,119 +19,183 @@
 	"heathshed/internal/wellknown"
 )
 
-// wantsTable says whether a client asks for rows to print before it asks for plain objects, as kubectl get does.
+// wantsTable says whether a client prefers rows to print to plain objects, as kubectl get does.
 func wantsTable(accept string) bool {
-	for _, part := range strings.Split(accept, ",") {
-		t, params, err := mime.ParseMediaType(part)
+	for part := range strings.SplitSeq(accept, ",") {
+		mediaType, parameters, err := mime.ParseMediaType(part)
 		if err != nil {
 			continue
 		}
 		switch {
-		case params["as"] == "Table" && params["g"] == "meta.k8s.io" && params["v"] == "v1":
+		case parameters["as"] == "Table" && parameters["g"] == "meta.k8s.io" && parameters["v"] == "v1":
 			return true
-		case t == jsonType && params["as"] == "":
+		case mediaType == jsonType && parameters["as"] == "":
 			return false
 		}
 	}
 	return false
 }
 
-// tableColumns are what is printed of each resource; priority 1 only with -o wide.
+// tableColumns are the columns of each resource. Those of priority 1 are printed with -o wide only.
 var tableColumns = map[store.Resource][]metav1.TableColumnDefinition{
-	store.Jobs: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Completions", Type: "string"},
-		{Name: "Settled", Type: "string"}, {Name: "Age", Type: "string"}},
-	store.Pods: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Settled", Type: "string"},
-		{Name: "Age", Type: "string"}, {Name: "Node", Type: "string"}, {Name: "Message", Type: "string", Priority: 1}},
-	store.Nodes: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Kind", Type: "string"},
-		{Name: "Zone", Type: "string"}, {Name: "Rack", Type: "string"}, {Name: "Free", Type: "string", Priority: 1}},
-	store.Namespaces: {{Name: "Name", Type: "string", Format: "name"}, {Name: "Status", Type: "string"}, {Name: "Age", Type: "string"}},
+	store.Jobs: {
+		{Name: "Name", Type: "string", Format: "name"},
+		{Name: "Status", Type: "string"},
+		{Name: "Completions", Type: "string"},
+		{Name: "Settled", Type: "string"},
+		{Name: "Age", Type: "string"},
+	},
+	store.Pods: {
+		{Name: "Name", Type: "string", Format: "name"},
+		{Name: "Status", Type: "string"},
+		{Name: "Settled", Type: "string"},
+		{Name: "Age", Type: "string"},
+		{Name: "Node", Type: "string"},
+		{Name: "Message", Type: "string", Priority: 1},
+	},
+	store.Nodes: {
+		{Name: "Name", Type: "string", Format: "name"},
+		{Name: "Status", Type: "string"},
+		{Name: "Kind", Type: "string"},
+		{Name: "Zone", Type: "string"},
+		{Name: "Rack", Type: "string"},
+		{Name: "Free", Type: "string", Priority: 1},
+	},
+	store.Namespaces: {
+		{Name: "Name", Type: "string", Format: "name"},
+		{Name: "Status", Type: "string"},
+		{Name: "Age", Type: "string"},
+	},
 }
 
+// age returns how long ago an object was created, as kubectl prints it.
 func age(o store.Object, now float64) string {
-	made := o.GetCreationTimestamp()
-	if made.IsZero() {
+	created := o.GetCreationTimestamp()
+	if created.IsZero() {
 		return "<unknown>"
 	}
-	return duration.HumanDuration(time.Duration((now - float64(made.Unix())) * 1e9))
+	return duration.HumanDuration(time.Duration((now - float64(created.Unix())) * 1e9))
 }
 
-// tableCells is the row of an object.
+// tableCells returns the row of an object, by tableColumns.
 func tableCells(o store.Object, now float64) []any {
-	switch v := o.(type) {
+	switch typed := o.(type) {
 	case *batchv1.Job:
-		state, outcome := "Running", ""
-		for _, c := range v.Status.Conditions {
-			if c.Status != corev1.ConditionTrue {
-				continue
-			}
-			switch c.Type {
-			case wellknown.Settled:
-				outcome = c.Reason
-			case batchv1.JobComplete, batchv1.JobFailed, batchv1.JobSuspended:
-				state = string(c.Type)
-			}
-		}
-		want := int32(1)
-		if v.Spec.Completions != nil {
-			want = *v.Spec.Completions
-		} else if v.Spec.Parallelism != nil {
-			want = *v.Spec.Parallelism
-		}
-		return []any{v.Name, state, fmt.Sprintf("%d/%d", v.Status.Succeeded, want), outcome, age(o, now)}
+		return jobCells(typed, now)
 	case *corev1.Pod:
-		state := string(v.Status.Phase)
-		if v.Status.Reason != "" {
-			state = v.Status.Reason
-		}
-		message := v.Status.Message
-		for _, c := range v.Status.Conditions {
-			if c.Type == wellknown.Settled && message == "" {
-				message = c.Message
-			}
-		}
-		return []any{v.Name, state, wellknown.SettledReason(v), age(o, now), v.Spec.NodeName, message}
+		return podCells(typed, now)
 	case *corev1.Node:
-		state := "Ready"
-		if !wellknown.NodeReady(v) {
-			state = "NotReady"
-		}
-		if v.Spec.Unschedulable {
-			state += ",SchedulingDisabled"
-		}
-		return []any{v.Name, state, v.Labels[wellknown.Kind], v.Labels[wellknown.Zone], v.Labels[wellknown.Rack], v.Annotations[wellknown.FreeCapacity]}
+		return nodeCells(typed)
 	case *corev1.Namespace:
-		return []any{v.Name, string(v.Status.Phase), age(o, now)}
+		return []any{typed.Name, string(typed.Status.Phase), age(typed, now)}
 	}
 	return nil
 }
 
-// tableResponse answers a get or a page of a list as rows, with each object's metadata beside it.
-func (s *Server) tableResponse(r *request, m metav1.ListMeta, objects []store.Object) (http1.Response, error) {
-	t := metav1.Table{TypeMeta: metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"}, ListMeta: m, ColumnDefinitions: tableColumns[r.resourceType.resource],
-		Rows: []metav1.TableRow{}}
-	whole := r.query.Get("includeObject") == "Object"
-	none := r.query.Get("includeObject") == "None"
+func jobCells(job *batchv1.Job, now float64) []any {
+	state := "Running"
+	outcome := ""
+	for _, condition := range job.Status.Conditions {
+		if condition.Status != corev1.ConditionTrue {
+			continue
+		}
+		switch condition.Type {
+		case wellknown.Settled:
+			outcome = condition.Reason
+		case batchv1.JobComplete, batchv1.JobFailed, batchv1.JobSuspended:
+			state = string(condition.Type)
+		}
+	}
+	completions := fmt.Sprintf("%d/%d", job.Status.Succeeded, wantedCompletions(job))
+	return []any{job.Name, state, completions, outcome, age(job, now)}
+}
+
+// wantedCompletions is the number of tasks that a Job is to complete.
+func wantedCompletions(job *batchv1.Job) int32 {
+	switch {
+	case job.Spec.Completions != nil:
+		return *job.Spec.Completions
+	case job.Spec.Parallelism != nil:
+		return *job.Spec.Parallelism
+	}
+	return defaultCompletions
+}
+
+func podCells(pod *corev1.Pod, now float64) []any {
+	state := string(pod.Status.Phase)
+	if pod.Status.Reason != "" {
+		state = pod.Status.Reason
+	}
+	message := pod.Status.Message
+	for _, condition := range pod.Status.Conditions {
+		if condition.Type == wellknown.Settled && message == "" {
+			message = condition.Message
+		}
+	}
+	return []any{pod.Name, state, wellknown.SettledReason(pod), age(pod, now), pod.Spec.NodeName, message}
+}
+
+func nodeCells(node *corev1.Node) []any {
+	state := "Ready"
+	if !wellknown.NodeReady(node) {
+		state = "NotReady"
+	}
+	if node.Spec.Unschedulable {
+		state += ",SchedulingDisabled"
+	}
+	return []any{
+		node.Name,
+		state,
+		node.Labels[wellknown.Kind],
+		node.Labels[wellknown.Zone],
+		node.Labels[wellknown.Rack],
+		node.Annotations[wellknown.FreeCapacity],
+	}
+}
+
+// The values of the includeObject parameter.
+const (
+	includeObject = "Object"
+	includeNone   = "None"
+)
+
+// tableResponse answers a get or a page of a list as rows, each with the metadata of its object unless the request says otherwise.
+func (s *Server) tableResponse(r *request, meta metav1.ListMeta, objects []store.Object) (http1.Response, error) {
+	table := metav1.Table{
+		TypeMeta:          metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"},
+		ListMeta:          meta,
+		ColumnDefinitions: tableColumns[r.resourceType.resource],
+		Rows:              []metav1.TableRow{},
+	}
+	include := r.query.Get("includeObject")
 	for _, o := range objects {
-		row := metav1.TableRow{Cells: tableCells(o, s.now)}
-		switch {
-		case none:
-		case whole:
-			b, err := encode(o)
-			if err != nil {
-				return http1.Response{}, fmt.Errorf("encode row: %w", err)
-			}
-			row.Object = runtime.RawExtension{Raw: b}
-		default:
-			p := metav1.PartialObjectMetadata{TypeMeta: metav1.TypeMeta{Kind: "PartialObjectMetadata", APIVersion: "meta.k8s.io/v1"}}
-			p.Name, p.Namespace, p.UID, p.ResourceVersion = o.GetName(), o.GetNamespace(), o.GetUID(), o.GetResourceVersion()
-			p.Labels, p.Annotations, p.CreationTimestamp = o.GetLabels(), o.GetAnnotations(), o.GetCreationTimestamp()
-			b, err := json.Marshal(&p)
-			if err != nil {
-				return http1.Response{}, fmt.Errorf("encode row: %w", err)
-			}
-			row.Object = runtime.RawExtension{Raw: b}
+		object, err := encodeRowObject(o, include)
+		if err != nil {
+			return http1.Response{}, fmt.Errorf("encode row: %w", err)
 		}
-		t.Rows = append(t.Rows, row)
+		table.Rows = append(table.Rows, metav1.TableRow{Cells: tableCells(o, s.now), Object: runtime.RawExtension{Raw: object}})
+	}
+	return jsonResponse(http.StatusOK, &table)
+}
+
+// encodeRowObject returns what a row holds of its object besides the cells: the whole object, nothing, or its metadata.
+func encodeRowObject(o store.Object, include string) ([]byte, error) {
+	switch include {
+	case includeObject:
+		return encode(o)
+	case includeNone:
+		return nil, nil
 	}
-	return jsonResponse(200, &t)
+	return json.Marshal(&metav1.PartialObjectMetadata{
+		TypeMeta: metav1.TypeMeta{Kind: "PartialObjectMetadata", APIVersion: "meta.k8s.io/v1"},
+		ObjectMeta: metav1.ObjectMeta{
+			Name:              o.GetName(),
+			Namespace:         o.GetNamespace(),
+			UID:               o.GetUID(),
+			ResourceVersion:   o.GetResourceVersion(),
+			Labels:            o.GetLabels(),
+			Annotations:       o.GetAnnotations(),
+			CreationTimestamp: o.GetCreationTimestamp(),
+		},
+	})
 }
--- /dev/null
+++ b/internal/api/update.go
@@ -0,0 +1,171 @@
+package api
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"mime"
+	"net/http"
+
+	jsonpatch "github.com/evanphx/json-patch/v5"
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+	apierrors "k8s.io/apimachinery/pkg/api/errors"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/types"
+	"k8s.io/apimachinery/pkg/util/strategicpatch"
+	"k8s.io/apimachinery/pkg/util/validation/field"
+
+	"heathshed/internal/decodelimit"
+	"heathshed/internal/http1"
+	"heathshed/internal/store"
+)
+
+const (
+	maxPatchOps = 1000
+	// maxPatchedBytes bounds an object that results from a patch, in bytes of JSON.
+	maxPatchedBytes = 1 << 20
+	// maxPatchExcerpt is how many characters of a patch an error quotes.
+	maxPatchExcerpt = 1000
+)
+
+// updateObject serves PUT and PATCH of Jobs and Nodes.
+func (s *Server) updateObject(r *request) (http1.Response, error) {
+	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
+	if current == nil {
+		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
+	}
+	updated := r.resourceType.newObject()
+	if err := r.decodeUpdate(current, updated); err != nil {
+		return http1.Response{}, err
+	}
+	if updated.GetName() != r.name || updated.GetNamespace() != r.namespace {
+		return http1.Response{}, apierrors.NewBadRequest("the name or namespace of the object does not match the request")
+	}
+	if errs := validateLabelsAndAnnotations(updated, field.NewPath("metadata")); len(errs) > 0 {
+		return http1.Response{}, apierrors.NewInvalid(r.groupKind(), r.name, errs)
+	}
+	dryRun, err := r.dryRun(nil)
+	if err != nil {
+		return http1.Response{}, err
+	}
+	stored, err := s.applyUpdate(r, current, updated, dryRun)
+	if err != nil {
+		return http1.Response{}, r.statusError(err, r.name)
+	}
+	return objectResponse(http.StatusOK, stored)
+}
+
+// decodeUpdate reads the object of a PUT, or that which results from a PATCH of the current one.
+func (r *request) decodeUpdate(current, into store.Object) error {
+	if r.Head.Method == http.MethodPut {
+		return r.decode(into, r.resourceType.kind)
+	}
+	patched, err := r.applyPatch(current, into)
+	if err != nil {
+		return err
+	}
+	return r.decodeJSON(patched, into, r.resourceType.kind)
+}
+
+// applyUpdate has the engine update an object.
+func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
+	if job, ok := updated.(*batchv1.Job); ok {
+		setJobDefaults(job)
+		return s.Engine.UpdateJob(s.now, job, dryRun)
+	}
+	node := updated.(*corev1.Node)
+	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
+}
+
+// requestedUnschedulable returns what a request says about spec.unschedulable, nil if it says nothing. A patch says something by naming the
+// field, and any request by changing its value.
+func (r *request) requestedUnschedulable(updated, current *corev1.Node) *bool {
+	changed := updated.Spec.Unschedulable != current.Spec.Unschedulable
+	named := r.Head.Method == http.MethodPatch && patchNamesUnschedulable(r.Body)
+	if !changed && !named {
+		return nil
+	}
+	return new(updated.Spec.Unschedulable)
+}
+
+// patchNamesUnschedulable says whether a merge patch or a JSON patch names spec.unschedulable.
+func patchNamesUnschedulable(patch []byte) bool {
+	var merge struct {
+		Spec map[string]json.RawMessage `json:"spec"`
+	}
+	if json.Unmarshal(patch, &merge) == nil {
+		_, named := merge.Spec["unschedulable"]
+		return named
+	}
+	var operations []struct {
+		Path string `json:"path"`
+	}
+	if json.Unmarshal(patch, &operations) != nil {
+		return false
+	}
+	for _, operation := range operations {
+		if operation.Path == "/spec/unschedulable" {
+			return true
+		}
+	}
+	return false
+}
+
+// applyPatch returns the current object with the patch in the body applied, as JSON. schemaOf has the type of the object.
+func (r *request) applyPatch(current, schemaOf store.Object) ([]byte, error) {
+	original, err := encode(current)
+	if err != nil {
+		return nil, fmt.Errorf("encode present object: %w", err)
+	}
+	if err := decodelimit.CheckJSON(r.Body, decodelimit.ObjectLimits()); err != nil {
+		return nil, newDecodeLimitError("patch", err)
+	}
+	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type")) // an invalid type is none of these
+	var patched []byte
+	switch types.PatchType(mediaType) {
+	case types.MergePatchType:
+		patched, err = jsonpatch.MergePatch(original, r.Body)
+	case types.StrategicMergePatchType:
+		patched, err = strategicpatch.StrategicMergePatch(original, r.Body, schemaOf)
+	case types.JSONPatchType:
+		patched, err = r.applyJSONPatch(original)
+	default:
+		return nil, newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
+			fmt.Sprintf("content-type %q: want %s, %s or %s", mediaType, types.JSONPatchType, types.MergePatchType, types.StrategicMergePatchType))
+	}
+	var status *apierrors.StatusError
+	if errors.As(err, &status) {
+		return nil, status
+	}
+	if err != nil {
+		return nil, apierrors.NewBadRequest("patch: " + err.Error())
+	}
+	if len(patched) > maxPatchedBytes {
+		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("the patched object has %d bytes: at most %d", len(patched), maxPatchedBytes))
+	}
+	return patched, nil
+}
+
+// applyJSONPatch applies a JSON patch, whose operations and copies are bounded.
+func (r *request) applyJSONPatch(original []byte) ([]byte, error) {
+	patch, err := jsonpatch.DecodePatch(r.Body)
+	if err != nil {
+		return nil, err
+	}
+	if len(patch) > maxPatchOps {
+		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("a JSON patch may have %d operations", maxPatchOps))
+	}
+	options := jsonpatch.NewApplyOptions()
+	options.AccumulatedCopySizeLimit = maxPatchedBytes
+	patched, err := patch.ApplyWithOptions(original, options)
+	var tooLarge *jsonpatch.AccumulatedCopySizeError
+	if errors.As(err, &tooLarge) {
+		return nil, apierrors.NewRequestEntityTooLargeError("patch: " + err.Error())
+	}
+	if err != nil {
+		excerpt := fmt.Sprintf("%.*s", maxPatchExcerpt, r.Body)
+		return nil, apierrors.NewInvalid(r.groupKind(), r.name, field.ErrorList{field.Invalid(field.NewPath("patch"), excerpt, err.Error())})
+	}
+	return patched, nil
+}
