--- a/internal/api/binary.go
+++ b/internal/api/binary.go
@@ -6,8 +6,6 @@
 	"strings"
 
 	"google.golang.org/protobuf/encoding/protowire"
-	batchv1 "k8s.io/api/batch/v1"
-	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/runtime"
 	"k8s.io/apimachinery/pkg/watch"
 
@@ -61,21 +59,6 @@
 	return protowire.AppendBytes(b, content)
 }
 
-// typeOf returns the API version and the kind of an object that is served.
-func typeOf(o runtime.Object) (version, kind string) {
-	switch o.(type) {
-	case *batchv1.Job:
-		return "batch/v1", "Job"
-	case *corev1.Pod:
-		return "v1", "Pod"
-	case *corev1.Node:
-		return "v1", "Node"
-	case *corev1.Namespace:
-		return "v1", "Namespace"
-	}
-	return "v1", "Status"
-}
-
 // encodedBinary returns the object of a change in the protobuf encoding, encoded once for all that read it.
 func encodedBinary(change *store.Change) []byte {
 	if change.Binary == nil {
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -19,29 +19,46 @@
 
 const jsonType = "application/json"
 
-// encode returns an object as JSON, with its kind and API version.
+// encode returns an object as JSON, with its kind and API version. The object itself, which others may be reading, stays as it is.
 func encode(o runtime.Object) ([]byte, error) {
+	version, kind := typeOf(o)
+	meta := metav1.TypeMeta{Kind: kind, APIVersion: version}
 	switch typed := o.(type) {
 	case *batchv1.Job:
 		job := *typed
-		job.TypeMeta = metav1.TypeMeta{Kind: "Job", APIVersion: "batch/v1"}
+		job.TypeMeta = meta
 		return json.Marshal(&job)
 	case *corev1.Pod:
 		pod := *typed
-		pod.TypeMeta = metav1.TypeMeta{Kind: "Pod", APIVersion: "v1"}
+		pod.TypeMeta = meta
 		return json.Marshal(&pod)
 	case *corev1.Node:
 		node := *typed
-		node.TypeMeta = metav1.TypeMeta{Kind: "Node", APIVersion: "v1"}
+		node.TypeMeta = meta
 		return json.Marshal(&node)
 	case *corev1.Namespace:
 		namespace := *typed
-		namespace.TypeMeta = metav1.TypeMeta{Kind: "Namespace", APIVersion: "v1"}
+		namespace.TypeMeta = meta
 		return json.Marshal(&namespace)
 	}
 	return json.Marshal(o)
 }
 
+// typeOf returns the API version and the kind of an object that is served: a Status if it is none of the resources.
+func typeOf(o runtime.Object) (version, kind string) {
+	switch o.(type) {
+	case *batchv1.Job:
+		return "batch/v1", "Job"
+	case *corev1.Pod:
+		return "v1", "Pod"
+	case *corev1.Node:
+		return "v1", "Node"
+	case *corev1.Namespace:
+		return "v1", "Namespace"
+	}
+	return "v1", "Status"
+}
+
 // encodeOrNull is encode for a stream, which can no longer report an error.
 func encodeOrNull(o runtime.Object) []byte {
 	text, err := encode(o)
