--- a/internal/http1/characterization_test.go
+++ b/internal/http1/characterization_test.go
@@ -93,7 +93,7 @@
 		var err error
 		if pending, err = drain(&d, pending, &b); err != nil {
 			_, _, again := d.Next([]byte("x"))
-			fmt.Fprintf(&b, "%t ", again == err)
+			fmt.Fprintf(&b, "%t ", same(again, err))
 			break
 		}
 	}
@@ -102,6 +102,9 @@
 	return b.String()
 }
 
+// same reports whether two errors are one, and neither wraps the other.
+func same(a, b error) bool { return errors.Is(a, b) && errors.Is(b, a) }
+
 func drain(d *http1.Decoder, pending string, b *strings.Builder) (string, error) {
 	for {
 		n, kind, err := d.Next([]byte(pending))
--- /dev/null
+++ b/internal/http1/decoder.go
@@ -0,0 +1,146 @@
+package http1
+
+// Kind is what Decoder.Next found.
+type Kind uint8
+
+const (
+	// NeedMore says that nothing is complete yet: call again with more bytes.
+	NeedMore Kind = iota
+	// HeadComplete says that Decoder.Head is set.
+	HeadComplete
+	// BodyData says that Decoder.Body holds a piece of the body.
+	BodyData
+	// MessageComplete says that the message ends here.
+	MessageComplete
+)
+
+// state is what part of a message comes next.
+type state uint8
+
+const (
+	stateHead       state = iota
+	stateBody             // of known length
+	stateChunkSize        // the line before a chunk
+	stateChunkData        // of a chunk
+	stateChunkEnd         // the line end after a chunk
+	stateTrailer          // after the last chunk
+	stateUntilClose       // a body that ends with the connection
+)
+
+// Decoder splits a stream into messages. The zero value with Limits set decodes requests.
+type Decoder struct {
+	Limits Limits
+	// Responses makes it decode responses.
+	Responses bool
+	// NoBody says that the next response has no body whatever its header says: it answers HEAD.
+	NoBody bool
+
+	Head Head
+	Body []byte // the piece of the last BodyData; valid until the input changes
+
+	state       state
+	remaining   int64 // bytes of the body, or of the chunk, still to come
+	sectionSize int64 // bytes of the body, or of the trailer section, so far
+	searched    int   // bytes of an incomplete head that hold no end
+	err         *Error
+}
+
+// Next decodes from the front of in and returns how many bytes it consumed. The error is an *Error; once there is one,
+// every call returns it.
+func (d *Decoder) Next(in []byte) (consumed int, kind Kind, err error) {
+	if d.err != nil {
+		return 0, NeedMore, d.err
+	}
+	consumed, kind, decodeErr := d.decode(in)
+	if decodeErr != nil {
+		d.err = decodeErr
+		return consumed, NeedMore, decodeErr
+	}
+	return consumed, kind, nil
+}
+
+// EOF is called when the stream has ended with so many bytes not consumed. It returns an error if that is inside a
+// message. complete says that the end has completed a message, whose body ends with the connection.
+func (d *Decoder) EOF(unconsumed int) (complete bool, err error) {
+	switch {
+	case d.err != nil:
+		return false, d.err
+	case d.state == stateUntilClose:
+		d.startMessage()
+		return true, nil
+	case d.state == stateHead && unconsumed == 0:
+		return false, nil
+	}
+	return false, badRequest("the stream ends inside a message")
+}
+
+func (d *Decoder) decode(in []byte) (int, Kind, *Error) {
+	switch d.state {
+	case stateHead:
+		return d.decodeHead(in)
+	case stateBody:
+		if d.remaining == 0 {
+			return d.endMessage(0)
+		}
+		return d.decodeRemaining(in)
+	case stateChunkSize:
+		return d.decodeChunkSize(in)
+	case stateChunkData:
+		if d.remaining == 0 {
+			d.state = stateChunkEnd
+			return d.decodeChunkEnd(in)
+		}
+		return d.decodeRemaining(in)
+	case stateChunkEnd:
+		return d.decodeChunkEnd(in)
+	case stateTrailer:
+		return d.decodeTrailer(in)
+	default:
+		return d.decodeUntilClose(in)
+	}
+}
+
+// decodeRemaining takes a piece of a body or chunk of known length.
+func (d *Decoder) decodeRemaining(in []byte) (int, Kind, *Error) {
+	if len(in) == 0 {
+		return 0, NeedMore, nil
+	}
+	n := int(min(d.remaining, int64(len(in))))
+	d.remaining -= int64(n)
+	d.Body = in[:n]
+	return n, BodyData, nil
+}
+
+// decodeUntilClose takes a piece of a body that ends with the connection.
+func (d *Decoder) decodeUntilClose(in []byte) (int, Kind, *Error) {
+	if len(in) == 0 {
+		return 0, NeedMore, nil
+	}
+	if err := d.countBody(int64(len(in))); err != nil {
+		return 0, NeedMore, err
+	}
+	d.Body = in
+	return len(in), BodyData, nil
+}
+
+// countBody adds to the size of a body whose length was not given before it.
+func (d *Decoder) countBody(bytes int64) *Error {
+	d.sectionSize += bytes
+	if d.Limits.Body > 0 && d.sectionSize > int64(d.Limits.Body) {
+		return errBodyTooLarge()
+	}
+	return nil
+}
+
+// endMessage completes a message whose last n bytes have been consumed.
+func (d *Decoder) endMessage(n int) (int, Kind, *Error) {
+	d.startMessage()
+	return n, MessageComplete, nil
+}
+
+// startMessage makes the decoder ready for the next message.
+func (d *Decoder) startMessage() {
+	d.state = stateHead
+	d.sectionSize = 0
+	d.Body = nil
+}
--- /dev/null
+++ b/internal/http1/head.go
@@ -0,0 +1,197 @@
+package http1
+
+import (
+	"bytes"
+	"strings"
+)
+
+const (
+	headEnd = "\r\n\r\n"
+
+	// initialFields is how many header fields there is space for at first.
+	initialFields = 12
+
+	versionLength    = len("HTTP/1.1")
+	statusLineLength = len("HTTP/1.1 200") // without the reason phrase, which may be left out
+)
+
+// decodeHead takes the start line and header, all at once.
+func (d *Decoder) decodeHead(in []byte) (int, Kind, *Error) {
+	skipped := 0
+	if !d.Responses && len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
+		// RFC 9112, 2.2: an empty line before a request line is ignored. One only.
+		in = in[2:]
+		skipped = 2
+		d.searched = max(0, d.searched-2)
+	}
+	// The end may have begun in the last bytes searched before.
+	from := max(0, d.searched-len(headEnd)+1)
+	i := bytes.Index(in[from:], []byte(headEnd))
+	if i < 0 {
+		d.searched = len(in) + skipped
+		return 0, NeedMore, d.checkIncompleteHead(in)
+	}
+	size := from + i + len(headEnd)
+	d.searched = 0
+	if size > d.Limits.Head {
+		return 0, NeedMore, errHeaderTooLarge("header over the limit")
+	}
+	// One copy of the head's text; every field is a part of it.
+	text := string(in[:size-2])
+	d.Head = Head{}
+	if err := d.parseHead(text); err != nil {
+		return 0, NeedMore, err
+	}
+	return skipped + size, HeadComplete, nil
+}
+
+// checkIncompleteHead rejects a head that no further bytes can make legal.
+func (d *Decoder) checkIncompleteHead(in []byte) *Error {
+	lineEnd := bytes.IndexByte(in, '\n')
+	if lineEnd < 0 && len(in) > d.Limits.Line || lineEnd > d.Limits.Line {
+		return errLineTooLong()
+	}
+	if len(in) > d.Limits.Head {
+		return errHeaderTooLarge("header over the limit")
+	}
+	if lineEnd == 0 || lineEnd > 0 && in[lineEnd-1] != '\r' {
+		return errBareLineFeed()
+	}
+	return nil
+}
+
+// parseHead parses the lines of a head, without the empty one that ends it.
+func (d *Decoder) parseHead(text string) *Error {
+	line, text, err := cutLine(text)
+	if err != nil {
+		return err
+	}
+	if len(line) > d.Limits.Line {
+		return errLineTooLong()
+	}
+	if d.Responses {
+		err = d.parseStatusLine(line)
+	} else {
+		err = d.parseRequestLine(line)
+	}
+	if err != nil {
+		return err
+	}
+	header := make(Header, 0, initialFields)
+	for text != "" {
+		if line, text, err = cutLine(text); err != nil {
+			return err
+		}
+		field, err := parseField(line)
+		if err != nil {
+			return err
+		}
+		if len(header) >= d.Limits.Fields {
+			return errHeaderTooLarge("too many header fields")
+		}
+		header = append(header, field)
+	}
+	d.Head.Header = header
+	return d.setFraming()
+}
+
+// cutLine cuts one line, without its end, off the front of s. A bare carriage return or line feed is rejected.
+func cutLine(s string) (line, rest string, err *Error) {
+	end := strings.IndexByte(s, '\r')
+	if end < 0 {
+		if strings.IndexByte(s, '\n') >= 0 {
+			return "", "", errBareLineFeed()
+		}
+		return "", "", badRequest("line without end")
+	}
+	if strings.IndexByte(s[:end], '\n') >= 0 {
+		return "", "", errBareLineFeed()
+	}
+	if end+1 >= len(s) || s[end+1] != '\n' {
+		return "", "", errBareCarriageReturn()
+	}
+	return s[:end], s[end+2:], nil
+}
+
+func (d *Decoder) parseRequestLine(line string) *Error {
+	methodEnd := tokenLength(line)
+	if methodEnd == 0 || methodEnd >= len(line) || line[methodEnd] != ' ' {
+		return badRequest("no method in the request line")
+	}
+	rest := line[methodEnd+1:]
+	targetEnd := 0
+	for targetEnd < len(rest) && rest[targetEnd] > ' ' && rest[targetEnd] < 0x7f {
+		targetEnd++
+	}
+	if targetEnd == 0 || targetEnd >= len(rest) || rest[targetEnd] != ' ' {
+		return badRequest("no target in the request line")
+	}
+	d.Head.Method = line[:methodEnd]
+	d.Head.Target = rest[:targetEnd]
+	if !isTarget(d.Head.Method, d.Head.Target) {
+		return badRequest("target is neither a path nor a URL")
+	}
+	return d.parseVersion(rest[targetEnd+1:])
+}
+
+// isTarget reports whether a request target has one of the forms of RFC 9112, 3.2.
+func isTarget(method, target string) bool {
+	if target[0] == '/' || target == "*" || method == "CONNECT" {
+		return true
+	}
+	return strings.Contains(target, "://")
+}
+
+func (d *Decoder) parseVersion(version string) *Error {
+	if !isVersion(version) {
+		return badRequest("malformed version")
+	}
+	if version[5] != '1' {
+		return &Error{StatusVersionNotSupported, "version not supported"}
+	}
+	d.Head.Minor = int(version[7] - '0')
+	return nil
+}
+
+func isVersion(s string) bool {
+	return len(s) == versionLength && s[:5] == "HTTP/" && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
+}
+
+func (d *Decoder) parseStatusLine(line string) *Error {
+	if len(line) < statusLineLength || line[versionLength] != ' ' {
+		return badRequest("malformed status line")
+	}
+	if err := d.parseVersion(line[:versionLength]); err != nil {
+		return err
+	}
+	for _, c := range []byte(line[versionLength+1 : statusLineLength]) {
+		if !isDigit(c) {
+			return badRequest("malformed status")
+		}
+		d.Head.Status = d.Head.Status*10 + int(c-'0')
+	}
+	if len(line) > statusLineLength && line[statusLineLength] != ' ' || d.Head.Status < StatusContinue {
+		return badRequest("malformed status")
+	}
+	if len(line) > statusLineLength+1 {
+		d.Head.Reason = line[statusLineLength+1:]
+	}
+	return nil
+}
+
+// parseField parses a header or trailer field.
+func parseField(line string) (Field, *Error) {
+	if line == "" || isSpace(line[0]) {
+		return Field{}, badRequest("folded header line")
+	}
+	nameEnd := tokenLength(line)
+	if nameEnd == 0 || nameEnd >= len(line) || line[nameEnd] != ':' {
+		return Field{}, badRequest("malformed header field")
+	}
+	name := line[:nameEnd]
+	value := trimSpace(line[nameEnd+1:])
+	if hasControl(value) {
+		return Field{}, badRequest("control character in header field %s", name)
+	}
+	return Field{name, value}, nil
+}
--- /dev/null
+++ b/internal/http1/status.go
@@ -0,0 +1,83 @@
+package http1
+
+// Status codes that this project sends or decides by.
+const (
+	StatusContinue             = 100
+	StatusOK                   = 200
+	StatusCreated              = 201
+	StatusAccepted             = 202
+	StatusNoContent            = 204
+	StatusNotModified          = 304
+	StatusBadRequest           = 400
+	StatusUnauthorized         = 401
+	StatusForbidden            = 403
+	StatusNotFound             = 404
+	StatusMethodNotAllowed     = 405
+	StatusNotAcceptable        = 406
+	StatusRequestTimeout       = 408
+	StatusConflict             = 409
+	StatusGone                 = 410
+	StatusLengthRequired       = 411
+	StatusContentTooLarge      = 413
+	StatusURITooLong           = 414
+	StatusUnsupportedMediaType = 415
+	StatusExpectationFailed    = 417
+	StatusUnprocessableContent = 422
+	StatusTooManyRequests      = 429
+	StatusHeaderFieldsTooLarge = 431
+	StatusInternalServerError  = 500
+	StatusNotImplemented       = 501
+	StatusServiceUnavailable   = 503
+	StatusGatewayTimeout       = 504
+	StatusVersionNotSupported  = 505
+)
+
+var statusTexts = map[int]string{
+	StatusContinue:             "Continue",
+	StatusOK:                   "OK",
+	StatusCreated:              "Created",
+	StatusAccepted:             "Accepted",
+	StatusNoContent:            "No Content",
+	StatusNotModified:          "Not Modified",
+	StatusBadRequest:           "Bad Request",
+	StatusUnauthorized:         "Unauthorized",
+	StatusForbidden:            "Forbidden",
+	StatusNotFound:             "Not Found",
+	StatusMethodNotAllowed:     "Method Not Allowed",
+	StatusNotAcceptable:        "Not Acceptable",
+	StatusRequestTimeout:       "Request Timeout",
+	StatusConflict:             "Conflict",
+	StatusGone:                 "Gone",
+	StatusLengthRequired:       "Length Required",
+	StatusContentTooLarge:      "Content Too Large",
+	StatusURITooLong:           "URI Too Long",
+	StatusUnsupportedMediaType: "Unsupported Media Type",
+	StatusExpectationFailed:    "Expectation Failed",
+	StatusUnprocessableContent: "Unprocessable Content",
+	StatusTooManyRequests:      "Too Many Requests",
+	StatusHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	StatusInternalServerError:  "Internal Server Error",
+	StatusNotImplemented:       "Not Implemented",
+	StatusServiceUnavailable:   "Service Unavailable",
+	StatusGatewayTimeout:       "Gateway Timeout",
+	StatusVersionNotSupported:  "HTTP Version Not Supported",
+}
+
+// unknownStatusText is the reason phrase of a status that is not in the list; clients ignore it.
+const unknownStatusText = "Status"
+
+// StatusText is the reason phrase of a status.
+func StatusText(status int) string {
+	if text := statusTexts[status]; text != "" {
+		return text
+	}
+	return unknownStatusText
+}
+
+// IsSuccess reports whether a status is one of success.
+func IsSuccess(status int) bool { return status/100 == 2 }
+
+// StatusHasBody reports whether a response of this status may have a body.
+func StatusHasBody(status int) bool {
+	return status >= StatusOK && status != StatusNoContent && status != StatusNotModified
+}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -40,7 +40,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends one chunk; nothing for no data, which would end the body.
+// AppendChunk appends one chunk. It appends nothing for no data: an empty chunk would end the body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -53,21 +53,3 @@
 
 // LastChunk ends a chunked body without trailers.
 const LastChunk = "0\r\n\r\n"
-
-var statusTexts = map[int]string{
-	100: "Continue", 200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 304: "Not Modified",
-	400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
-	406: "Not Acceptable", 408: "Request Timeout", 409: "Conflict", 410: "Gone", 411: "Length Required",
-	413: "Content Too Large", 414: "URI Too Long", 415: "Unsupported Media Type", 417: "Expectation Failed",
-	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported",
-}
-
-// StatusText is the reason phrase of a status.
-func StatusText(status int) string {
-	if s := statusTexts[status]; s != "" {
-		return s
-	}
-	return "Status"
-}
