--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -11,195 +11,162 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors that end a connection.
+// Errors that Handler.Closed gets when this side ends a connection.
 var (
+	// ErrConnectTimeout: a dialed connection was not established in time.
 	ErrConnectTimeout = errors.New("connect: no answer in time")
-	ErrClosedLocally  = errors.New("closed on this side")
+	// ErrClosedLocally: Close or CloseAfterFlush was called.
+	ErrClosedLocally = errors.New("closed on this side")
 )
 
-const maxReadNowPieces = 64 // pieces at once, of a peer that sends as fast as they are read
+const (
+	// DefaultMaxInput is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInput.
+	DefaultMaxInput = 4 << 20
+
+	// lingerSeconds is how long a connection waits for the peer's end after its own, so that a response sent before the end of
+	// a request's body is not lost to a reset.
+	lingerSeconds = 0.5
+)
 
 // Handler gets what happens to one connection, on the loop's goroutine.
 type Handler interface {
-	// Opened is called once: when an accepted connection begins, or a dialled one is established.
+	// Opened is called once: when an accepted connection begins, or a dialed one is established.
 	Opened(c *Conn)
-	// Data gets all bytes that were not yet consumed and returns how many it takes. The slice is the loop's.
+	// Data gets all bytes not yet consumed and returns how many it consumes. The slice is valid during the call only.
 	Data(c *Conn, b []byte) int
-	// Drained is called when everything written has gone to the system, if something had to wait.
+	// Drained is called when all queued output has been given to the system.
 	Drained(c *Conn)
-	// Closed is called once, last. err is io.EOF when the peer closed in order.
+	// Closed is called once, last. err is io.EOF if the peer ended the connection in order.
 	Closed(c *Conn, err error)
 }
 
-// Conn is one non-blocking TCP connection.
+// Conn is one non-blocking TCP connection. All methods are for the loop's goroutine.
 type Conn struct {
 	// MaxInput is how many unconsumed bytes are held before reading stops until the handler resumes it.
 	MaxInput int
 
-	loop            *Loop
-	handler         Handler
-	fd              int
-	generation      int32
-	peer            netip.AddrPort
-	interest        uint32
-	input           []byte
-	output          []byte
-	outputSent      int
-	accepted        bool
-	dialing         bool
-	readPaused      bool
-	peerClosed      bool
-	writeBlocked    bool // writing waits for the system
-	flushQueued     bool
-	redeliverQueued bool
-	closeAfterFlush bool // close once drained
-	closed          bool
-	delivering      bool
-	timer           *Timer
+	loop       *Loop
+	handler    Handler
+	fd         int
+	generation int32 // tells it from an earlier connection with the same descriptor
+	peer       netip.AddrPort
+	interest   uint32 // epoll events registered
+	input      []byte // received and not consumed
+	output     []byte // queued to be sent
+	outputSent int    // bytes of output that the system has taken
+	timer      *Timer // limits dialing and lingering; nil otherwise
+	state      connState
+
+	// Each of these holds or not in several states, independently of the others.
+	accepted        bool // counts in Loop.accepted
+	readPaused      bool // by the handler, or because of MaxInput
+	peerClosed      bool // the peer has ended its side
+	delivering      bool // Handler.Data is running
+	writeBlocked    bool // the system takes no output for now
+	flushQueued     bool // in Loop.flushQueue
+	redeliverQueued bool // in Loop.redeliverQueue
 }
 
-// Dial connects to a literal address. The handler's Closed gets the error if that fails or takes longer than the given
-// number of seconds.
+// Dial connects to a literal address. If that fails later, or takes longer than the given number of seconds, the
+// handler's Closed gets the error.
 func (l *Loop) Dial(addr string, timeoutSeconds float64, h Handler) (*Conn, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	fd, err := unix.Socket(addressFamily(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := newSocket(address)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: socket: %w", addr, err)
 	}
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err := unix.Connect(fd, socketAddress(address)); err != nil && err != unix.EINPROGRESS {
-		unix.Close(fd)
+	setNoDelay(fd)
+	if err := unix.Connect(fd, socketAddress(address)); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		closeFD(fd)
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	c := l.addConn(fd, unix.EPOLLOUT)
-	if c == nil {
-		return nil, fmt.Errorf("dial %s: epoll add failed", addr)
+	c, err := l.addConn(fd, unix.EPOLLOUT, stateDialing)
+	if err != nil {
+		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	c.handler, c.peer, c.dialing = h, address, true
+	c.handler = h
+	c.peer = address
 	c.timer = l.After(timeoutSeconds, func() { c.closeWithError(ErrConnectTimeout) })
 	return c, nil
 }
 
+// addConn registers a socket with the loop; it closes the socket if that fails.
+func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
+	l.lastGeneration++
+	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, state: state, MaxInput: DefaultMaxInput}
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
+		closeFD(fd)
+		return nil, fmt.Errorf("epoll add: %w", err)
+	}
+	for len(l.conns) <= fd {
+		l.conns = append(l.conns, nil)
+	}
+	l.conns[fd] = c
+	return c, nil
+}
+
 // Peer is the address at the other end.
 func (c *Conn) Peer() string { return c.peer.String() }
 
-// Loop is the loop that the connection lives on.
+// Loop is the loop that runs the connection.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Buffered is the number of bytes written that the system has not taken.
+// Buffered is the number of queued bytes that the system has not taken.
 func (c *Conn) Buffered() int { return len(c.output) - c.outputSent }
 
-// BufferMemory is the memory that the connection's queues take, in bytes.
+// BufferMemory is the memory that the connection's buffers take, in bytes.
 func (c *Conn) BufferMemory() int { return cap(c.input) + cap(c.output) }
 
-// Closed says whether the connection is over.
-func (c *Conn) Closed() bool { return c.closed }
+// Closed reports whether the connection has ended.
+func (c *Conn) Closed() bool { return c.state == stateClosed }
 
-// Paused says whether reading has stopped, so that bytes and the peer's end may be unread.
+// Paused reports whether reading is paused, so that bytes and the peer's end may not have been read.
 func (c *Conn) Paused() bool { return c.readPaused }
 
-// ReadNow delivers what the system has received by now, the peer's end included, rather than what it had at the beginning of the turn. It
-// does nothing within the connection's own Data, or while reading is paused.
-func (c *Conn) ReadNow() {
-	for range maxReadNowPieces {
-		if c.closed || c.dialing || c.readPaused || c.peerClosed || c.delivering || !c.readOnce() {
-			return
-		}
-	}
-}
-
-// Write queues bytes; they leave at the end of the turn. The slice is copied.
-func (c *Conn) Write(b []byte) {
-	if c.closed || c.closeAfterFlush {
-		return
-	}
-	c.output = append(c.OutputBuffer(), b...)
-	c.queueFlush()
-}
-
-// OutputBuffer returns the queue of bytes to append to; give the result back to SetOut or Untouched.
-func (c *Conn) OutputBuffer() []byte {
-	if c.output == nil && len(c.loop.spareBuffers) > 0 {
-		c.output = c.loop.spareBuffers[len(c.loop.spareBuffers)-1]
-		c.loop.spareBuffers = c.loop.spareBuffers[:len(c.loop.spareBuffers)-1]
-	}
-	return c.output
-}
-
-// releaseOutput gives the queue's memory back: an idle connection holds none.
-func (c *Conn) releaseOutput() {
-	if n := cap(c.output); n > 0 && n <= maxSpareBufferSize && len(c.loop.spareBuffers) < maxSpareBuffers {
-		c.loop.spareBuffers = append(c.loop.spareBuffers, c.output[:0])
-	}
-	c.output = nil
-}
-
-// CommitOutput puts back what was appended to Out.
-func (c *Conn) CommitOutput(b []byte) {
-	if c.closed || c.closeAfterFlush {
-		return
-	}
-	c.output = b
-	c.queueFlush()
-}
-
-// DiscardOutput puts back Out when nothing was appended to it.
-func (c *Conn) DiscardOutput(b []byte) {
-	if c.closed || c.closeAfterFlush {
+// PauseRead pauses or resumes reading. After resuming, unconsumed bytes are delivered again.
+func (c *Conn) PauseRead(on bool) {
+	if c.state == stateClosed || c.readPaused == on {
 		return
 	}
-	if c.output = b; len(b) == 0 && !c.flushQueued {
-		c.releaseOutput()
+	c.readPaused = on
+	c.updateInterest()
+	if !on && (len(c.input) > 0 || c.peerClosed) && !c.redeliverQueued {
+		c.queueRedelivery()
 	}
 }
 
-// Redeliver has bytes that were left unconsumed delivered again, on the next turn.
+// Redeliver has unconsumed bytes delivered again in the next iteration.
 func (c *Conn) Redeliver() {
-	if !c.closed && !c.readPaused && !c.redeliverQueued && (len(c.input) > 0 || c.peerClosed || c.delivering) {
-		c.redeliverQueued = true
-		c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
-	}
-}
-
-// Flush hands what is queued to the system now rather than at the end of the turn, for who writes much to many.
-func (c *Conn) Flush() {
-	if !c.closed && !c.dialing && !c.writeBlocked && c.Buffered() > 0 {
-		c.flush()
+	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
+		return
 	}
-}
-
-func (c *Conn) queueFlush() {
-	if !c.flushQueued && !c.dialing {
-		c.flushQueued = true
-		c.loop.flushQueue = append(c.loop.flushQueue, c)
+	if len(c.input) > 0 || c.peerClosed || c.delivering {
+		c.queueRedelivery()
 	}
 }
 
-// PauseRead stops or resumes reading. Bytes at hand are delivered again after resuming.
-func (c *Conn) PauseRead(on bool) {
-	if c.closed || c.readPaused == on {
-		return
-	}
-	c.readPaused = on
-	c.updateInterest()
-	if !on && (len(c.input) > 0 || c.peerClosed) && !c.redeliverQueued {
-		c.redeliverQueued = true
-		c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
-	}
+func (c *Conn) queueRedelivery() {
+	c.redeliverQueued = true
+	c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
 }
 
-// Close closes at once; what is queued is lost. The handler's Closed is called with ErrClosedHere.
+// Close closes the connection at once; queued output is lost. Handler.Closed gets ErrClosedLocally.
 func (c *Conn) Close() { c.closeWithError(ErrClosedLocally) }
 
-// CloseAfterFlush closes once what is queued has gone out, and takes in no more.
+// CloseAfterFlush closes the connection once queued output has been sent, and queues no more.
 func (c *Conn) CloseAfterFlush() {
-	if c.closed || c.closeAfterFlush {
+	switch c.state {
+	case stateDialing:
+		c.setState(stateDialingThenClose)
+	case stateOpen:
+		c.setState(stateClosing)
+	default:
 		return
 	}
-	c.closeAfterFlush = true
 	if c.Buffered() == 0 && !c.flushQueued {
 		c.shutdownWrite()
 		return
@@ -207,203 +174,111 @@
 	c.queueFlush()
 }
 
-// shutdownWrite says the end to the peer and drains for a moment, so that an answer before the end of a body is not lost to a
-// reset.
+// shutdownWrite ends this side of a connection that closes and waits a little for the peer's end.
 func (c *Conn) shutdownWrite() {
-	unix.Shutdown(c.fd, unix.SHUT_WR)
+	// It fails when the connection is broken or not established; that is reported by reading or by the dial.
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	if c.peerClosed {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
-	if c.timer == nil {
-		c.readPaused = false
-		c.updateInterest()
-		c.timer = c.loop.After(0.5, func() { c.closeWithError(ErrClosedLocally) })
+	if c.state != stateClosing {
+		return // lingering already, or dialing, which has its own time limit
 	}
+	c.setState(stateLingering)
+	c.readPaused = false
+	c.updateInterest()
+	c.timer = c.loop.After(lingerSeconds, func() { c.closeWithError(ErrClosedLocally) })
 }
 
+func (c *Conn) closeWithError(err error) {
+	if c.state == stateClosed {
+		return
+	}
+	c.setState(stateClosed)
+	c.timer.Stop()
+	c.loop.conns[c.fd] = nil
+	closeFD(c.fd)
+	if c.accepted {
+		c.loop.accepted--
+	}
+	c.input = nil
+	c.output = nil
+	c.handler.Closed(c, err)
+}
+
+// updateInterest registers with epoll the events that the connection now waits for.
 func (c *Conn) updateInterest() {
-	if c.closed {
+	if c.state == stateClosed {
 		return
 	}
-	var want uint32
-	if c.dialing || c.writeBlocked {
-		want |= unix.EPOLLOUT
+	var events uint32
+	if c.state.dialing() || c.writeBlocked {
+		events |= unix.EPOLLOUT
 	}
-	if !c.readPaused && !c.peerClosed && !c.dialing {
-		want |= unix.EPOLLIN | unix.EPOLLRDHUP
+	if !c.readPaused && !c.peerClosed && !c.state.dialing() {
+		events |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
-	if want == c.interest {
+	if events == c.interest {
 		return
 	}
-	c.interest = want
-	ev := unix.EpollEvent{Events: want, Fd: int32(c.fd), Pad: c.generation}
-	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &ev); err != nil {
+	c.interest = events
+	event := unix.EpollEvent{Events: events, Fd: int32(c.fd), Pad: c.generation}
+	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &event); err != nil {
 		c.closeWithError(fmt.Errorf("epoll mod: %w", err))
 	}
 }
 
+// handleReady handles a readiness event of epoll.
 func (c *Conn) handleReady(events uint32) {
-	if c.dialing {
-		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-		if err == nil && code != 0 {
-			err = unix.Errno(code)
-		}
-		if err != nil {
-			c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
-			return
-		}
-		c.dialing = false
-		c.timer.Stop()
-		c.timer = nil
-		c.handler.Opened(c)
-		c.updateInterest()
-		if c.Buffered() > 0 {
-			c.queueFlush()
-		}
+	if c.state.dialing() {
+		c.finishDial()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
 		c.flush()
 	}
-	if c.closed {
+	if c.state == stateClosed {
 		return
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.readPaused {
 		c.readOnce()
-	} else if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
-		code, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-		if code != 0 {
-			c.closeWithError(unix.Errno(code))
-		} else if !c.readPaused {
-			c.readOnce()
-		} else {
-			c.closeWithError(io.EOF)
-		}
-	}
-}
-
-// readOnce takes one piece, and says whether there may be more.
-func (c *Conn) readOnce() bool {
-	n, err := unix.Read(c.fd, c.loop.readBuffer)
-	switch {
-	case err == unix.EINTR:
-		return true
-	case err == unix.EAGAIN:
-		return false
-	case err != nil:
-		c.closeWithError(fmt.Errorf("read: %w", err))
-	case n == 0:
-		c.peerClosed = true
-		if c.closeAfterFlush {
-			c.closeWithError(ErrClosedLocally)
-			return false
-		}
-		c.updateInterest()
-		c.deliver(nil)
-	case c.closeAfterFlush:
-	default:
-		c.deliver(c.loop.readBuffer[:n])
-	}
-	return n > 0
-}
-
-// deliver hands bytes over; what is not consumed is kept. An idle connection holds no buffer.
-func (c *Conn) deliver(b []byte) {
-	if c.delivering {
 		return
 	}
-	own := len(c.input) > 0
-	if own {
-		c.input = append(c.input, b...)
-		b = c.input
-	}
-	if len(b) > 0 {
-		c.delivering = true
-		n := c.handler.Data(c, b)
-		c.delivering = false
-		if c.closed {
-			return
-		}
-		rest := b[n:]
-		switch {
-		case len(rest) == 0:
-			c.input = nil
-		case own:
-			c.input = c.input[:copy(c.input, rest)]
-		default:
-			c.input = append([]byte(nil), rest...)
-		}
-		if len(c.input) > c.MaxInput {
-			c.PauseRead(true)
-		}
-	}
-	if c.peerClosed && !c.readPaused && !c.closeAfterFlush {
-		c.closeWithError(io.EOF)
+	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
+		c.handleHangup()
 	}
 }
 
-func (c *Conn) flush() {
-	for c.outputSent < len(c.output) {
-		n, err := unix.Write(c.fd, c.output[c.outputSent:])
-		if err == unix.EINTR {
-			continue
-		}
-		if err == unix.EAGAIN {
-			if !c.writeBlocked {
-				c.writeBlocked = true
-				c.updateInterest()
-			}
-			// Keep the queue from growing by what has gone out.
-			if c.outputSent > 1<<16 && c.outputSent > len(c.output)/2 {
-				c.output = c.output[:copy(c.output, c.output[c.outputSent:])]
-				c.outputSent = 0
-			}
-			// What has to wait for its reader waits in as little as it needs.
-			if left := len(c.output) - c.outputSent; cap(c.output) > 2*left+4096 {
-				small := append(make([]byte, 0, left), c.output[c.outputSent:]...)
-				c.releaseOutput()
-				c.output, c.outputSent = small, 0
-			}
-			return
-		}
-		if err != nil {
-			c.closeWithError(fmt.Errorf("write: %w", err))
-			return
-		}
-		c.outputSent += n
-	}
-	c.outputSent = 0
-	c.output = c.output[:0]
-	was := c.writeBlocked
-	c.writeBlocked = false
-	if was {
-		c.updateInterest()
-	}
-	if c.closeAfterFlush {
-		c.shutdownWrite()
+// finishDial handles the answer to connect.
+func (c *Conn) finishDial() {
+	if err := socketError(c.fd); err != nil {
+		c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
 		return
 	}
-	if c.closed {
-		return
+	if c.state == stateDialing {
+		c.setState(stateOpen)
+	} else {
+		c.setState(stateClosing)
 	}
-	c.handler.Drained(c)
-	if c.Buffered() == 0 && !c.flushQueued {
-		c.releaseOutput()
+	c.timer.Stop()
+	c.timer = nil
+	c.handler.Opened(c)
+	c.updateInterest()
+	if c.Buffered() > 0 {
+		c.queueFlush()
 	}
 }
 
-func (c *Conn) closeWithError(err error) {
-	if c.closed {
-		return
-	}
-	c.closed = true
-	c.timer.Stop()
-	c.loop.conns[c.fd] = nil
-	unix.Close(c.fd)
-	if c.accepted {
-		c.loop.accepted--
+// handleHangup handles a connection that has broken or that both sides have ended.
+func (c *Conn) handleHangup() {
+	err := socketError(c.fd)
+	switch {
+	case err != nil:
+		c.closeWithError(fmt.Errorf("socket: %w", err))
+	case !c.readPaused:
+		c.readOnce()
+	default:
+		c.closeWithError(io.EOF)
 	}
-	c.input, c.output = nil, nil
-	c.handler.Closed(c, err)
 }
