--- a/internal/httpd/bench_test.go
+++ b/internal/httpd/bench_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,35 +20,55 @@
 
 var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
 
-// startHeathshed and theirs serve the same answer.
+// startHeathshed starts this package's server; it and startNetHTTP send the same response.
 func startHeathshed(tb testing.TB) (addr string, stop func()) {
-	l, err := eventloop.New()
+	tb.Helper()
+	loop, err := eventloop.New()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s, err := Listen(l, "127.0.0.1:0", DefaultOptions(), func(x *Exchange) {
-		x.Respond(http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: responseBody})
+	server, err := Listen(loop, "127.0.0.1:0", DefaultOptions(), func(e *Exchange) {
+		e.Respond(http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: responseBody})
 	})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
-	return s.Addr(), sync.OnceFunc(func() { l.Stop(); <-done })
+	go func() { done <- loop.Run() }()
+	stop = sync.OnceFunc(func() {
+		loop.Stop()
+		if err := <-done; err != nil {
+			tb.Error(err)
+		}
+	})
+	return server.Addr(), stop
 }
 
+// startNetHTTP starts the server of the standard library.
 func startNetHTTP(tb testing.TB) (addr string, stop func()) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return // the client has ended the connection
+		}
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(responseBody)
+		_, _ = w.Write(responseBody) // fails only when the client has ended the connection
 	})}
-	go s.Serve(ln)
-	return ln.Addr().String(), func() { s.Close() }
+	done := make(chan error, 1)
+	go func() { done <- server.Serve(listener) }()
+	stop = sync.OnceFunc(func() {
+		if err := server.Close(); err != nil {
+			tb.Error(err)
+		}
+		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
+			tb.Error(err)
+		}
+	})
+	return listener.Addr().String(), stop
 }
 
 // BenchmarkRequests sends requests over 16 connections, one at a time on each or 16 in a pipeline, to both servers with the same
@@ -66,28 +87,7 @@
 				done := make(chan error, conns)
 				for i := range conns {
 					n := (b.N/depth + conns - 1 - i) / conns
-					go func() {
-						c, err := net.Dial("tcp", addr)
-						if err != nil {
-							done <- err
-							return
-						}
-						defer c.Close()
-						r := bufio.NewReader(c)
-						for range n {
-							if _, err := c.Write(request); err != nil {
-								done <- err
-								return
-							}
-							for range depth {
-								if err := skipResponse(r); err != nil {
-									done <- err
-									return
-								}
-							}
-						}
-						done <- nil
-					}()
+					go func() { done <- exchangeRequests(addr, request, n, depth) }()
 				}
 				for range conns {
 					if err := <-done; err != nil {
@@ -99,6 +99,26 @@
 	}
 }
 
+// exchangeRequests opens a connection, sends the request n times and reads depth responses to each.
+func exchangeRequests(addr string, request []byte, n, depth int) error {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return err
+	}
+	r := bufio.NewReader(conn)
+	for range n {
+		if _, err := conn.Write(request); err != nil {
+			return errors.Join(err, conn.Close())
+		}
+		for range depth {
+			if err := skipResponse(r); err != nil {
+				return errors.Join(err, conn.Close())
+			}
+		}
+	}
+	return conn.Close()
+}
+
 // skipResponse reads one answer without allocating, so that the client weighs the same on both.
 func skipResponse(r *bufio.Reader) error {
 	for {
@@ -136,16 +156,20 @@
 			}
 			buf := make([]byte, 1024)
 			for _, c := range conns {
-				fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+				if _, err := fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+					b.Fatal(err)
+				}
 				if _, err := c.Read(buf); err != nil {
 					b.Fatal(err)
 				}
 			}
 			after := heap()
 			for _, c := range conns {
-				c.Close()
+				if err := c.Close(); err != nil {
+					b.Fatal(err)
+				}
 			}
-			conns = nil
+			clear(conns) // their memory does not count as the server's
 			stop()
 			empty := heap()
 			b.ReportMetric(float64(int64(after)-int64(empty))/n, "B/conn")
--- /dev/null
+++ b/internal/httpd/conn.go
@@ -0,0 +1,249 @@
+//go:build linux
+
+package httpd
+
+import (
+	"errors"
+
+	"heathshed/internal/eventloop"
+	"heathshed/internal/http1"
+)
+
+const (
+	minTimerSeconds = 0.05     // between two looks at a connection's time limits
+	inputSlack      = 64 << 10 // bytes that may wait unread beyond a head
+	maxKeptBody     = 4 << 10  // bytes of a body's buffer that is kept for the next request
+)
+
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+// conn is one connection. It responds to one request at a time, in order.
+type conn struct {
+	server    *Server
+	id        uint64
+	transport *eventloop.Conn
+	decoder   http1.Decoder
+	state     connState
+	exchange  Exchange // the present request and its response; reused for the next
+	timer     *eventloop.Timer
+
+	requestStartedAt   float64 // Unix seconds of the first byte of the request that is being read
+	lastProgressAt     float64 // Unix seconds at which the peer last took or sent something
+	closeAfterResponse bool
+}
+
+// Opened implements eventloop.Handler.
+func (c *conn) Opened(transport *eventloop.Conn) {
+	s := c.server
+	c.transport = transport
+	c.lastProgressAt = s.loop.Now()
+	transport.MaxInput = s.options.Limits.Head + inputSlack
+	s.conns[c] = struct{}{}
+	s.lastConnID++
+	c.id = s.lastConnID
+	s.connsByID[c.id] = c
+	s.memory.Add(c.lastProgressAt, c.id)
+	c.armTimer()
+}
+
+// Data implements eventloop.Handler.
+func (c *conn) Data(transport *eventloop.Conn, input []byte) int {
+	consumed := c.consume(input)
+	if !transport.Closed() {
+		c.updateMemory()
+	}
+	return consumed
+}
+
+// Drained implements eventloop.Handler.
+func (c *conn) Drained(*eventloop.Conn) {
+	c.lastProgressAt = c.server.loop.Now()
+	c.pullStream()
+	if !c.state.hasExchange() && c.state != stateEnded {
+		c.transport.PauseRead(false)
+	}
+	c.updateMemory()
+}
+
+// Closed implements eventloop.Handler. The reason of the end makes no difference to a request.
+func (c *conn) Closed(*eventloop.Conn, error) {
+	s := c.server
+	c.timer.Stop()
+	s.memory.Remove(c.id)
+	delete(s.connsByID, c.id)
+	delete(s.conns, c)
+	delete(s.streams, c)
+	c.closeStream()
+	unanswered := c.state == stateHandling
+	if c.state != stateEnded {
+		c.setState(stateEnded)
+	}
+	if unanswered && c.exchange.OnDisconnect != nil {
+		c.exchange.OnDisconnect()
+	}
+}
+
+// consume reads requests from input, has them handled, and returns how many bytes it consumed.
+func (c *conn) consume(input []byte) int {
+	consumed := 0
+	for c.state.readsRequest() {
+		if c.state == stateIdle {
+			if c.transport.Buffered() > c.server.options.HighWaterMark {
+				// The peer sends requests faster than it reads the responses: the next one waits until these have gone out.
+				c.transport.PauseRead(true)
+				return consumed
+			}
+			if consumed == len(input) {
+				return consumed
+			}
+			c.requestStartedAt = c.server.loop.Now()
+			c.setState(stateReadingHead)
+		}
+		n, kind, err := c.decoder.Next(input[consumed:])
+		consumed += n
+		if err != nil {
+			c.rejectRequest(err)
+			return len(input)
+		}
+		if kind == http1.NeedMore {
+			c.shortenTimer(c.server.options.RequestTimeoutSeconds)
+			return consumed
+		}
+		c.handleDecoded(kind)
+		if c.transport.Closed() {
+			return consumed
+		}
+	}
+	if c.state == stateEnded {
+		return len(input)
+	}
+	if len(input)-consumed > c.transport.MaxInput/2 {
+		c.transport.PauseRead(true)
+	}
+	return consumed
+}
+
+// handleDecoded handles a part of a request that the decoder has found.
+func (c *conn) handleDecoded(kind http1.Kind) {
+	e := &c.exchange
+	switch kind {
+	case http1.HeadComplete:
+		c.setState(stateReadingBody)
+		*e = Exchange{conn: c, body: e.body[:0]}
+		e.Head = &c.decoder.Head
+		e.Peer = c.transport.Peer()
+		if e.Head.Expect {
+			c.transport.Write([]byte(continueResponse))
+		}
+	case http1.BodyData:
+		e.body = append(e.body, c.decoder.Body...)
+	case http1.MessageComplete:
+		c.setState(stateHandling)
+		c.lastProgressAt = c.server.loop.Now()
+		c.closeAfterResponse = e.Head.Close
+		e.Body = e.body
+		c.server.Requests++
+		c.server.handler(e)
+	}
+}
+
+// rejectRequest responds to a request that cannot be read, and closes.
+func (c *conn) rejectRequest(err error) {
+	c.server.BadRequests++
+	c.setState(stateEnded)
+	status := http1.StatusBadRequest
+	var rejection *http1.Error
+	if errors.As(err, &rejection) {
+		status = rejection.Status
+	}
+	body := []byte(err.Error() + "\n")
+	out := http1.AppendStatus(c.transport.OutputBuffer(), status)
+	out = http1.AppendField(out, "Content-Type", "text/plain; charset=utf-8")
+	out = http1.AppendLength(out, len(body))
+	out = append(out, "Connection: close\r\n\r\n"...)
+	c.transport.CommitOutput(append(out, body...))
+	c.transport.CloseAfterFlush()
+}
+
+// nextRequest makes the connection ready for another request, or closes it if there is to be none.
+func (c *conn) nextRequest() {
+	c.lastProgressAt = c.server.loop.Now()
+	if c.closeAfterResponse {
+		c.setState(stateEnded)
+		c.transport.CloseAfterFlush()
+		return
+	}
+	c.setState(stateIdle)
+	if cap(c.exchange.body) > maxKeptBody {
+		c.exchange.body = nil
+	}
+	if c.transport.Buffered() <= c.server.options.HighWaterMark {
+		c.transport.PauseRead(false)
+	}
+	c.transport.Redeliver()
+}
+
+// updateMemory tells the quota what the connection holds and closes the connections that are over it.
+func (c *conn) updateMemory() {
+	if c.transport.Closed() {
+		return
+	}
+	s := c.server
+	held := c.transport.BufferMemory() + cap(c.exchange.body)
+	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
+	s.evictOverQuota()
+}
+
+// armTimer sets the connection's one timer for the time limit that now holds. It is set anew when it fires.
+func (c *conn) armTimer() {
+	loop := c.server.loop
+	c.timer = loop.At(max(c.deadline(), loop.Now()+minTimerSeconds), func() {
+		c.checkDeadline()
+		if !c.transport.Closed() {
+			c.armTimer()
+		}
+	})
+}
+
+// shortenTimer sets the timer anew if it would fire later than in so many seconds.
+func (c *conn) shortenTimer(seconds float64) {
+	if c.timer.Due() > c.server.loop.Now()+seconds {
+		c.timer.Stop()
+		c.armTimer()
+	}
+}
+
+// deadline is when the time limit that now holds is over, in Unix seconds.
+func (c *conn) deadline() float64 {
+	options := &c.server.options
+	switch {
+	case c.state.inRequest():
+		return c.requestStartedAt + options.RequestTimeoutSeconds
+	case c.transport.Buffered() > 0:
+		return c.lastProgressAt + options.WriteTimeoutSeconds
+	case c.state.awaitsResponse():
+		// No limit holds; look again by the time that output may have come to wait.
+		return c.server.loop.Now() + options.WriteTimeoutSeconds
+	}
+	return c.lastProgressAt + options.IdleTimeoutSeconds
+}
+
+// checkDeadline ends a connection whose time limit is over.
+func (c *conn) checkDeadline() {
+	now := c.server.loop.Now()
+	options := &c.server.options
+	buffered := c.transport.Buffered()
+	switch {
+	case c.state.inRequest() && now >= c.requestStartedAt+options.RequestTimeoutSeconds:
+		c.rejectRequest(&http1.Error{Status: http1.StatusRequestTimeout, Reason: "request took too long"})
+	case buffered > 0 && now >= c.lastProgressAt+options.WriteTimeoutSeconds:
+		c.transport.Close()
+	case c.isIdle() && now >= c.lastProgressAt+options.IdleTimeoutSeconds:
+		c.transport.CloseAfterFlush()
+	}
+}
+
+// isIdle reports whether there is neither a request nor a response, nor output that waits.
+func (c *conn) isIdle() bool {
+	return !c.state.inRequest() && !c.state.awaitsResponse() && c.transport.Buffered() == 0
+}
--- /dev/null
+++ b/internal/httpd/exchange.go
@@ -0,0 +1,106 @@
+//go:build linux
+
+package httpd
+
+import "heathshed/internal/http1"
+
+// Exchange is one request and its response.
+type Exchange struct {
+	http1.Request
+	// OnDisconnect, if set, is called when the connection ends before the response.
+	OnDisconnect func()
+
+	conn   *conn
+	body   []byte       // the request's, with its memory reused
+	stream http1.Stream // the rest of the response; nil if there is none
+}
+
+// Finished reports whether a response is no longer of use: there has been one, or the connection has ended.
+func (e *Exchange) Finished() bool {
+	return e.conn.state != stateHandling || e.conn.transport.Closed()
+}
+
+// Reset closes the connection without a response; emulators use it to be faulty.
+func (e *Exchange) Reset() {
+	if !e.Finished() {
+		e.conn.transport.Close()
+	}
+}
+
+// Respond sends the response. It may be called once, from the handler or later.
+func (e *Exchange) Respond(response http1.Response) {
+	c := e.conn
+	if e.Finished() {
+		if response.Stream != nil {
+			response.Stream.Close()
+		}
+		return
+	}
+	c.setState(stateResponding)
+	if c.server.draining {
+		c.closeAfterResponse = true
+	}
+	if response.Stream != nil {
+		e.respondStream(&response)
+	} else {
+		e.respondBody(&response)
+	}
+}
+
+// chunked reports whether a stream goes out in chunks. HTTP/1.0 knows none: there the body ends with the connection.
+func (e *Exchange) chunked() bool { return e.Head.Minor > 0 }
+
+func (e *Exchange) isHead() bool { return e.Head.Method == "HEAD" }
+
+// appendHead appends the status line and the fields of a response, without those of the body's length.
+func (e *Exchange) appendHead(out []byte, response *http1.Response) []byte {
+	out = http1.AppendStatus(out, response.Status)
+	for i := range response.Header {
+		out = http1.AppendField(out, response.Header[i].Name, response.Header[i].Value)
+	}
+	if e.conn.closeAfterResponse {
+		out = append(out, "Connection: close\r\n"...)
+	}
+	return out
+}
+
+// respondBody sends a response whose body is complete.
+func (e *Exchange) respondBody(response *http1.Response) {
+	c := e.conn
+	out := e.appendHead(c.transport.OutputBuffer(), response)
+	if http1.StatusHasBody(response.Status) {
+		out = http1.AppendLength(out, len(response.Body))
+	}
+	out = append(out, "\r\n"...)
+	if !e.isHead() {
+		out = append(out, response.Body...)
+	}
+	c.transport.CommitOutput(out)
+	c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+	c.updateMemory()
+	if !c.transport.Closed() {
+		c.nextRequest()
+	}
+}
+
+// respondStream sends the head of a response whose body is a stream, and begins to pull the stream.
+func (e *Exchange) respondStream(response *http1.Response) {
+	c := e.conn
+	if !e.chunked() {
+		c.closeAfterResponse = true
+	}
+	out := e.appendHead(c.transport.OutputBuffer(), response)
+	if e.chunked() {
+		out = append(out, "Transfer-Encoding: chunked\r\n"...)
+	}
+	c.transport.CommitOutput(append(out, "\r\n"...))
+	if e.isHead() {
+		response.Stream.Close()
+		c.nextRequest()
+		return
+	}
+	e.stream = response.Stream
+	c.server.streams[c] = struct{}{}
+	c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+	c.pullStream()
+}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -19,145 +19,183 @@
 	"heathshed/internal/http1"
 )
 
-// startServer runs a server whose answers tell the request; the path says what else it does.
-func startServer(t *testing.T, o Options) (*eventloop.Loop, *Server, chan string) {
+// startServer runs a server whose responses repeat the request; the path says what else it does. disconnects gets the path
+// of each request whose peer went away before the response.
+func startServer(t *testing.T, o Options) (loop *eventloop.Loop, server *Server, disconnects chan string) {
 	t.Helper()
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := make(chan string, 10)
-	s, err := Listen(l, "127.0.0.1:0", o, func(x *Exchange) {
-		target := x.Head.Target
+	disconnects = make(chan string, 10)
+	server, err = Listen(loop, "127.0.0.1:0", o, func(e *Exchange) {
+		target := e.Head.Target
 		switch target {
 		case "/later":
-			l.After(0.01, func() { x.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
+			loop.After(0.01, func() { e.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
 		case "/never":
-			x.OnDisconnect = func() { gone <- target }
+			e.OnDisconnect = func() { disconnects <- target }
 		case "/stream":
-			x.Respond(http1.Response{Status: 200, Stream: &numberStream{end: 1000}})
+			e.Respond(http1.Response{Status: 200, Stream: &numberStream{end: 1000}})
 		default:
-			x.Respond(http1.Response{Status: 200, Body: fmt.Appendf(nil, "%s %s %s", x.Head.Method, target, x.Body)})
+			e.Respond(http1.Response{Status: 200, Body: fmt.Appendf(nil, "%s %s %s", e.Head.Method, target, e.Body)})
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
-	t.Cleanup(func() { l.Stop(); <-done })
-	return l, s, gone
+	go func() { done <- loop.Run() }()
+	t.Cleanup(func() {
+		loop.Stop()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return loop, server, disconnects
 }
 
 // numberStream is a stream of numbers, one a line.
 type numberStream struct{ next, end int }
 
-func (c *numberStream) Pull(b []byte, room int) ([]byte, bool) {
-	for limit := len(b) + room; c.next < c.end && len(b) < limit; c.next++ {
-		b = fmt.Appendln(b, c.next)
+func (s *numberStream) Pull(b []byte, room int) ([]byte, bool) {
+	for limit := len(b) + room; s.next < s.end && len(b) < limit; s.next++ {
+		b = fmt.Appendln(b, s.next)
 	}
-	return b, c.next == c.end
+	return b, s.next == s.end
+}
+func (s *numberStream) Close() {}
+
+// openConn connects to the server and sends text.
+func openConn(t *testing.T, server *Server, text string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", server.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor: the test may have closed it
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+func readBody(t *testing.T, resp *http.Response) []byte {
+	t.Helper()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Error(err)
+	}
+	if err := resp.Body.Close(); err != nil {
+		t.Error(err)
+	}
+	return b
 }
-func (c *numberStream) Close() {}
 
 func TestAgainstNetHTTPClient(t *testing.T) {
 	o := DefaultOptions()
 	o.Limits.Body = 100
-	_, s, _ := startServer(t, o)
-	base := "http://" + s.Addr()
+	_, server, _ := startServer(t, o)
+	base := "http://" + server.Addr()
+	fits := strings.Repeat("x", 100)
 	for _, c := range []struct {
-		method, path, body string
-		expect, chunked    bool
-		code               int
-		want               string
+		name, method, path, body string
+		expect, chunked          bool
+		code                     int
+		want                     string
 	}{
-		{"GET", "/a", "", false, false, 200, "GET /a "}, {"POST", "/a", "xyz", false, false, 200, "POST /a xyz"},
-		{"POST", "/a", "xyz", true, false, 200, "POST /a xyz"}, {"POST", "/a", "xyz", false, true, 200, "POST /a xyz"},
-		{"HEAD", "/a", "", false, false, 200, ""}, {"GET", "/later", "", false, false, 200, "later"},
-		{"POST", "/a", strings.Repeat("x", 100), false, false, 200, "POST /a " + strings.Repeat("x", 100)},
-		{"POST", "/a", strings.Repeat("x", 101), false, false, 413, ""}, {"POST", "/a", strings.Repeat("x", 101), false, true, 413, ""},
+		{name: "get", method: "GET", path: "/a", code: 200, want: "GET /a "},
+		{name: "post", method: "POST", path: "/a", body: "xyz", code: 200, want: "POST /a xyz"},
+		{name: "post with expectation", method: "POST", path: "/a", body: "xyz", expect: true, code: 200, want: "POST /a xyz"},
+		{name: "post in chunks", method: "POST", path: "/a", body: "xyz", chunked: true, code: 200, want: "POST /a xyz"},
+		{name: "head", method: "HEAD", path: "/a", code: 200},
+		{name: "later response", method: "GET", path: "/later", code: 200, want: "later"},
+		{name: "body of the limit", method: "POST", path: "/a", body: fits, code: 200, want: "POST /a " + fits},
+		{name: "body over the limit", method: "POST", path: "/a", body: fits + "x", code: 413},
+		{name: "chunks over the limit", method: "POST", path: "/a", body: fits + "x", chunked: true, code: 413},
 	} {
-		var body io.Reader
-		if c.body != "" {
-			body = strings.NewReader(c.body)
-		}
-		if c.chunked {
-			body = io.MultiReader(body)
-		}
-		req, err := http.NewRequest(c.method, base+c.path, body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if c.expect {
-			req.Header.Set("Expect", "100-continue")
-		}
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Errorf("%s %s: %v", c.method, c.path, err)
-			continue
-		}
-		b, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if resp.StatusCode != c.code || c.want != "" && string(b) != c.want {
-			t.Errorf("%s %s with %d bytes: %d %.200q", c.method, c.path, len(c.body), resp.StatusCode, b)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var body io.Reader
+			if c.body != "" {
+				body = strings.NewReader(c.body)
+			}
+			if c.chunked {
+				body = io.MultiReader(body) // of a length that the client does not know
+			}
+			req, err := http.NewRequest(c.method, base+c.path, body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if c.expect {
+				req.Header.Set("Expect", "100-continue")
+			}
+			resp, err := http.DefaultClient.Do(req)
+			if err != nil {
+				t.Fatal(err)
+			}
+			b := readBody(t, resp)
+			if resp.StatusCode != c.code || c.want != "" && string(b) != c.want {
+				t.Errorf("%d bytes: %d %.200q", len(c.body), resp.StatusCode, b)
+			}
+		})
 	}
 	resp, err := http.Get(base + "/stream")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := io.ReadAll(resp.Body)
-	if lines := strings.Count(string(b), "\n"); err != nil || lines != 1000 {
-		t.Errorf("stream: %d lines, %v", lines, err)
+	if lines := strings.Count(string(readBody(t, resp)), "\n"); lines != 1000 {
+		t.Errorf("stream: %d lines", lines)
 	}
 }
 
-// A peer that begins a request and does not end it is answered with 408; one that goes away is told of; HTTP/1.0 gets its stream to
-// the end of the connection.
-func TestTimeoutsAndEnds(t *testing.T) {
+// A peer that begins a request and does not end it gets a 408.
+func TestRequestTimeout(t *testing.T) {
 	o := DefaultOptions()
 	o.RequestTimeoutSeconds = 0.1
-	_, s, gone := startServer(t, o)
-	c, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprint(c, "GET / HT")
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	_, server, _ := startServer(t, o)
+	conn := openConn(t, server, "GET / HT")
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 408 {
 		t.Errorf("half a request: %v, %v", resp, err)
 	}
-	c.Close()
-	if c, err = net.Dial("tcp", s.Addr()); err != nil {
+}
+
+// The handler is told of a peer that goes away before the response.
+func TestDisconnectBeforeResponse(t *testing.T) {
+	_, server, disconnects := startServer(t, DefaultOptions())
+	conn := openConn(t, server, "GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
+	time.Sleep(10 * time.Millisecond)
+	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, "GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
-	time.Sleep(10 * time.Millisecond)
-	c.Close()
-	if got := <-gone; got != "/never" {
-		t.Errorf("gone: %s", got)
+	if got := <-disconnects; got != "/never" {
+		t.Errorf("disconnected: %s", got)
 	}
-	if c, err = net.Dial("tcp", s.Addr()); err != nil {
+}
+
+// A stream to HTTP/1.0 ends with the connection, without chunks.
+func TestStreamToHTTP10(t *testing.T) {
+	_, server, _ := startServer(t, DefaultOptions())
+	conn := openConn(t, server, "GET /stream HTTP/1.0\r\n\r\n")
+	b, err := io.ReadAll(conn)
+	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, "GET /stream HTTP/1.0\r\n\r\n")
-	b, err := io.ReadAll(c)
-	if err != nil || strings.Count(string(b), "\n") != 1000+strings.Count(string(b[:strings.Index(string(b), "\r\n\r\n")+4]), "\n") || strings.Contains(string(b), "chunked") {
-		t.Errorf("stream to 1.0: %d bytes, %v", len(b), err)
+	head, body, ok := strings.Cut(string(b), "\r\n\r\n")
+	if !ok || strings.Count(body, "\n") != 1000 || strings.Contains(head+body, "chunked") {
+		t.Errorf("%d bytes, %d lines, head %q", len(b), strings.Count(body, "\n"), head)
 	}
 }
 
 // With no descriptor left a connection is closed rather than left to spin on; those that are open go on.
 func TestNoDescriptorsLeft(t *testing.T) {
-	l, s, _ := startServer(t, DefaultOptions())
-	open, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer open.Close()
+	loop, server, _ := startServer(t, DefaultOptions())
+	open := openConn(t, server, "")
 	r := bufio.NewReader(open)
 	get := func() error {
-		fmt.Fprint(open, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n")
+		if _, err := io.WriteString(open, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+			return err
+		}
 		resp, err := http.ReadResponse(r, nil)
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
@@ -172,25 +210,25 @@
 		t.Skip(err)
 	}
 	// The client's sockets are made first: the limit then hits the accepting side.
-	fds := make([]int, 0, 8)
-	for range 8 {
-		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
-		if err != nil {
-			t.Fatal(err)
+	fds := openSockets(t, 8)
+	restore := sync.OnceFunc(func() {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+			t.Error(err)
 		}
-		fds = append(fds, fd)
-	}
-	restore := sync.OnceFunc(func() { unix.Setrlimit(unix.RLIMIT_NOFILE, &was) })
+	})
 	defer restore()
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(fds[len(fds)-1]) + 1, Max: was.Max}); err != nil {
 		t.Skip(err)
 	}
 	var port int
-	fmt.Sscanf(s.Addr(), "127.0.0.1:%d", &port)
+	if _, err := fmt.Sscanf(server.Addr(), "127.0.0.1:%d", &port); err != nil {
+		t.Fatal(err)
+	}
 	for _, fd := range fds {
 		if err := unix.Connect(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			t.Fatal(err)
 		}
+		// The end of the connection or a reset, either will do.
 		if n, _ := unix.Read(fd, make([]byte, 1)); n > 0 {
 			t.Error("an answer out of nothing")
 		}
@@ -199,12 +237,28 @@
 		t.Errorf("the open connection: %v", err)
 	}
 	restore()
-	turns := make(chan uint64, 1)
-	l.Post(func() { turns <- l.Iterations })
-	if n := <-turns; n > 10000 {
-		t.Errorf("%d turns of the loop: it spins", n)
+	iterations := make(chan uint64, 1)
+	loop.Post(func() { iterations <- loop.Iterations })
+	if n := <-iterations; n > 10000 {
+		t.Errorf("%d iterations of the loop: it spins", n)
 	}
-	for _, fd := range fds {
-		unix.Close(fd)
+}
+
+// openSockets makes sockets that are not connected.
+func openSockets(t *testing.T, n int) []int {
+	t.Helper()
+	fds := make([]int, 0, n)
+	for range n {
+		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			if err := unix.Close(fd); err != nil {
+				t.Error(err)
+			}
+		})
+		fds = append(fds, fd)
 	}
+	return fds
 }
--- /dev/null
+++ b/internal/httpd/state_test.go
@@ -0,0 +1,32 @@
+//go:build linux
+
+package httpd
+
+import "testing"
+
+// TestConnStates checks that a connection goes through a request in order, may end at any time, and never goes on after.
+func TestConnStates(t *testing.T) {
+	next := map[connState]connState{
+		stateIdle:        stateReadingHead,
+		stateReadingHead: stateReadingBody,
+		stateReadingBody: stateHandling,
+		stateHandling:    stateResponding,
+		stateResponding:  stateIdle,
+	}
+	for from := stateIdle; from <= stateEnded; from++ {
+		for to := stateIdle; to <= stateEnded; to++ {
+			follows, ok := next[from]
+			want := ok && (to == follows || to == stateEnded)
+			if got := transitions(from, to); got != want {
+				t.Errorf("from %s to %s: taken %t, want %t", from, to, got, want)
+			}
+		}
+	}
+}
+
+// transitions reports whether a connection goes from one state to another without panic.
+func transitions(from, to connState) (taken bool) {
+	defer func() { taken = recover() == nil }()
+	(&conn{state: from}).setState(to)
+	return true
+}
--- /dev/null
+++ b/internal/httpd/stream.go
@@ -0,0 +1,102 @@
+//go:build linux
+
+package httpd
+
+import "heathshed/internal/http1"
+
+// chunkPlaceholder stands before a chunk's data until its size is known.
+const chunkPlaceholder = "00000000\r\n"
+
+const chunkSizeDigits = len(chunkPlaceholder) - len("\r\n")
+
+// incompleteStream is a stream that may end without being complete.
+type incompleteStream interface {
+	// Broken reports, after its end, whether it is incomplete.
+	Broken() bool
+}
+
+// pullStream has the stream of the present response, if any, write what the peer and the memory quota allow.
+func (c *conn) pullStream() {
+	e := &c.exchange
+	// What goes out at the end of this iteration counts until then.
+	for e.stream != nil && !c.transport.Closed() {
+		free := c.server.options.HighWaterMark - c.transport.Buffered()
+		if free <= 0 {
+			return
+		}
+		room := min(free, int(c.server.memory.Available(c.id)))
+		if room <= 0 {
+			if c.transport.Buffered() == 0 {
+				c.server.schedulePull()
+			}
+			return
+		}
+		more := c.pullOnce(room)
+		c.updateMemory()
+		if !more {
+			return
+		}
+	}
+}
+
+// pullOnce pulls the stream once, for about room bytes, and reports whether there may be more.
+func (c *conn) pullOnce(room int) bool {
+	e := &c.exchange
+	out := c.transport.OutputBuffer()
+	before := len(out)
+	if e.chunked() {
+		out = append(out, chunkPlaceholder...)
+	}
+	start := len(out)
+	out, done := e.stream.Pull(out, room)
+	size := len(out) - start
+	switch {
+	case size == 0:
+		// Nothing came: take the placeholder back without queueing a flush.
+		c.transport.DiscardOutput(out[:before])
+	case e.chunked():
+		putChunkSize(out[before:], size)
+		c.transport.CommitOutput(append(out, "\r\n"...))
+	default:
+		c.transport.CommitOutput(out)
+	}
+	if !done {
+		return size > 0
+	}
+	c.endStream()
+	return false
+}
+
+// putChunkSize writes a chunk's size over its placeholder.
+func putChunkSize(b []byte, size int) {
+	const digits = "0123456789abcdef"
+	for i := chunkSizeDigits - 1; i >= 0; i-- {
+		b[i] = digits[size&15]
+		size >>= 4
+	}
+}
+
+// endStream completes a response whose stream has ended, or closes the connection if the stream is incomplete: the response
+// must not look complete.
+func (c *conn) endStream() {
+	if stream, ok := c.exchange.stream.(incompleteStream); ok && stream.Broken() {
+		c.transport.Close()
+		return
+	}
+	if c.exchange.chunked() {
+		c.transport.Write([]byte(http1.LastChunk))
+	}
+	delete(c.server.streams, c)
+	c.closeStream()
+	c.nextRequest()
+}
+
+// closeStream tells the stream, if any, that it is not pulled any more.
+func (c *conn) closeStream() {
+	stream := c.exchange.stream
+	if stream == nil {
+		return
+	}
+	c.exchange.stream = nil
+	stream.Close()
+}
