--- a/internal/sse/characterization_test.go
+++ b/internal/sse/characterization_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/sha256"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -86,7 +87,8 @@
 	for _, piece := range pieces {
 		err := d.Write([]byte(piece), func(e sse.Event) { fmt.Fprintf(&b, "%q %q %q\n", e.ID, e.Type, e.Data) })
 		failed = failed || err != nil
-		if err != nil && err != sse.ErrTooLarge {
+		// ErrTooLarge itself, not an error that wraps it.
+		if err != nil && (!errors.Is(err, sse.ErrTooLarge) || errors.Unwrap(err) != nil) {
 			b.WriteString("another error\n")
 		}
 	}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,7 +1,8 @@
-// Package sse reads server-sent events (text/event-stream, by the WHATWG HTML specification) from pieces of any size.
+// Package sse decodes server-sent events (text/event-stream, as the WHATWG HTML specification has them) from pieces of any
+// size.
 //
-// It is pure: bytes in, events out, no socket and no clock, and it imports nothing of the project. An event that the stream ends in the
-// middle of is never given out.
+// It is pure: it takes bytes and gives events, knows neither sockets nor time, and imports nothing of the project. An event
+// that the end of the stream cuts short is never given out.
 package sse
 
 import (
@@ -9,59 +10,63 @@
 	"strings"
 )
 
-// DefaultMaxEvent is how many bytes one event may take, its field names included.
-const DefaultMaxEvent = 4 << 20
+const (
+	// DefaultMaxEvent is how many bytes one event may take, its field names included.
+	DefaultMaxEvent = 4 << 20
 
-// ErrTooLarge ends a stream whose event does not end within the limit.
+	maxKeptLine     = 64 << 10 // bytes of the line buffer that is kept after an event
+	byteOrderMark   = "\xef\xbb\xbf"
+	defaultType     = "message"
+	commentPrefix   = ':'
+	fieldSeparator  = ":"
+	fieldValueSpace = " " // one is dropped from the front of a value
+)
+
+// ErrTooLarge ends a stream one of whose events does not end within the limit.
 var ErrTooLarge = errors.New("event stream: event too large")
 
 // Event is one message of the stream.
 type Event struct {
-	ID   string // the last id that the stream has told, which stays until another is told
-	Type string // "message" if none was told
+	ID   string // the last that the stream has set; it holds until another is set
+	Type string // "message" if none was set
 	Data string
 }
 
-// Decoder takes a stream apart. The zero value is ready to use.
+// Decoder splits a stream into events. The zero value is ready to use.
 type Decoder struct {
-	// MaxEvent bounds one event in bytes; DefaultMaxEvent if 0.
+	// MaxEvent bounds one event in bytes; 0 is DefaultMaxEvent.
 	MaxEvent int
 	// Comments counts the comment lines.
 	Comments uint64
 
-	line       []byte
-	data       strings.Builder
-	hasData    bool // the event has data
-	eventType  string
+	// Of the stream.
+	bomMatched int  // bytes of a byte order mark so far
+	started    bool // a byte order mark, if any, is behind
+	afterCR    bool // a line feed now belongs to the line end before it
 	lastID     string
-	eventSize  int
-	started    bool
-	afterCR    bool
-	bomMatched int
 	err        error
+
+	// Of the present event.
+	line      []byte
+	data      strings.Builder
+	hasData   bool
+	eventType string
+	eventSize int // bytes, without comments
 }
 
-// Write takes the next piece and calls emit for each event that it completes. After an error it returns that error always.
+// Write decodes the next piece and calls emit for each event that it completes. Once there is an error, every call returns
+// it.
 func (d *Decoder) Write(b []byte, emit func(Event)) error {
+	if d.err != nil {
+		return d.err
+	}
 	limit := d.MaxEvent
 	if limit <= 0 {
 		limit = DefaultMaxEvent
 	}
-	if d.err != nil {
-		return d.err
-	}
 	for _, c := range b {
-		// A byte order mark at the very start is skipped.
-		if !d.started {
-			const mark = "\xef\xbb\xbf"
-			if c == mark[d.bomMatched] {
-				if d.bomMatched++; d.bomMatched == len(mark) {
-					d.started = true
-				}
-				continue
-			}
-			d.started = true
-			d.line = append(d.line, mark[:d.bomMatched]...)
+		if !d.started && d.matchByteOrderMark(c) {
+			continue
 		}
 		if d.afterCR {
 			d.afterCR = false
@@ -74,9 +79,9 @@
 			d.endLine(emit)
 			continue
 		}
-		if d.eventSize++; d.eventSize > limit {
-			d.err = ErrTooLarge
-			d.line, d.data = nil, strings.Builder{}
+		d.eventSize++
+		if d.eventSize > limit {
+			d.fail(ErrTooLarge)
 			return d.err
 		}
 		d.line = append(d.line, c)
@@ -84,30 +89,61 @@
 	return nil
 }
 
+// fail ends the stream and releases its buffers.
+func (d *Decoder) fail(err error) {
+	d.err = err
+	d.line = nil
+	d.data = strings.Builder{}
+}
+
+// matchByteOrderMark reports whether c continues a byte order mark at the very start of the stream, which is skipped. If
+// not, what looked like one is the start of a line.
+func (d *Decoder) matchByteOrderMark(c byte) bool {
+	if c == byteOrderMark[d.bomMatched] {
+		d.bomMatched++
+		d.started = d.bomMatched == len(byteOrderMark)
+		return true
+	}
+	d.started = true
+	d.line = append(d.line, byteOrderMark[:d.bomMatched]...)
+	return false
+}
+
 func (d *Decoder) endLine(emit func(Event)) {
 	line := d.line
 	d.line = d.line[:0]
-	if len(line) == 0 {
-		if d.hasData {
-			event := Event{ID: d.lastID, Type: d.eventType, Data: d.data.String()}
-			if event.Type == "" {
-				event.Type = "message"
-			}
-			emit(event)
-		}
-		d.data, d.hasData, d.eventType, d.eventSize = strings.Builder{}, false, "", 0
-		if cap(d.line) > 64<<10 { // one large event does not hold its memory for good
-			d.line = nil
+	switch {
+	case len(line) == 0:
+		d.endEvent(emit)
+	case line[0] == commentPrefix:
+		d.Comments++
+		d.eventSize -= len(line) // a stream of comments is not a large event
+	default:
+		name, value, _ := strings.Cut(string(line), fieldSeparator)
+		d.setField(name, strings.TrimPrefix(value, fieldValueSpace))
+	}
+}
+
+// endEvent gives the event out if it has data, and begins the next.
+func (d *Decoder) endEvent(emit func(Event)) {
+	if d.hasData {
+		event := Event{ID: d.lastID, Type: d.eventType, Data: d.data.String()}
+		if event.Type == "" {
+			event.Type = defaultType
 		}
-		return
+		emit(event)
 	}
-	if line[0] == ':' {
-		d.Comments++
-		d.eventSize -= len(line) // a stream of comments is no large event
-		return
+	d.data = strings.Builder{}
+	d.hasData = false
+	d.eventType = ""
+	d.eventSize = 0
+	if cap(d.line) > maxKeptLine {
+		d.line = nil
 	}
-	name, value, _ := strings.Cut(string(line), ":")
-	value = strings.TrimPrefix(value, " ")
+}
+
+// setField applies a field of the present event. Unknown fields are ignored.
+func (d *Decoder) setField(name, value string) {
 	switch name {
 	case "data":
 		if d.hasData {
