--- /dev/null
+++ b/internal/httpc/call.go
@@ -0,0 +1,55 @@
+//go:build linux
+
+package httpc
+
+import (
+	"heathshed/internal/eventloop"
+	"heathshed/internal/http1"
+)
+
+// Call is one request in flight. Set the exported fields before Client.Do.
+type Call struct {
+	// Done gets the response, or an error: a *ConnectError if the request was never sent. Head and body are valid during the
+	// call only.
+	Done func(head *http1.Head, body []byte, err error)
+	// Data, if set, gets the body of a 2xx response piece by piece; Done then has no body.
+	Data func(b []byte)
+	// Started, if set, is called at the head of the response.
+	Started func(head *http1.Head)
+	// AvoidUnknownOutcome says that it is costly not to know whether the request has been read: see package connpool.
+	AvoidUnknownOutcome bool
+
+	client      *Client
+	request     []byte
+	conn        *conn // nil while the call waits for one
+	timer       *eventloop.Timer
+	finished    bool
+	headRequest bool // the method is HEAD
+	body        []byte
+}
+
+// Cancel ends the call; Done gets ErrCancelled.
+func (call *Call) Cancel() { call.abort(ErrCancelled) }
+
+func (call *Call) abort(err error) {
+	if call.finished {
+		return
+	}
+	connection := call.conn
+	if connection == nil || !connection.connected {
+		err = &ConnectError{err}
+	}
+	call.finish(nil, nil, err)
+	if connection != nil {
+		connection.transport.Close()
+	}
+}
+
+func (call *Call) finish(head *http1.Head, body []byte, err error) {
+	if call.finished {
+		return
+	}
+	call.finished = true
+	call.timer.Stop()
+	call.Done(head, body, err)
+}
--- /dev/null
+++ b/internal/httpc/client.go
@@ -0,0 +1,209 @@
+//go:build linux
+
+// Package httpc is an HTTP/1.1 client on the event loop. A Client calls one server; a Call gets either a complete response
+// or the pieces of one that goes on.
+package httpc
+
+import (
+	"errors"
+	"slices"
+
+	"heathshed/internal/connpool"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/http1"
+)
+
+const (
+	defaultConnectTimeoutSeconds = 1
+	defaultMaxBody               = 64 << 20 // bytes of a response
+	requestHeadSize              = 256      // bytes for which there is space in a request at first, beside its body
+)
+
+var (
+	// ErrTimeout ends a call that was not answered in time.
+	ErrTimeout = errors.New("no answer in time")
+	// ErrCancelled ends a call by Call.Cancel or Client.Close.
+	ErrCancelled = errors.New("cancelled")
+)
+
+// ConnectError says that there was no connection: the request was never sent.
+type ConnectError struct{ Err error }
+
+func (e *ConnectError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *ConnectError) Unwrap() error { return e.Err }
+
+// Client calls one server. Its methods are for the loop's goroutine.
+type Client struct {
+	ConnectTimeoutSeconds float64
+	Pool                  connpool.Policy
+	Limits                http1.Limits // of a response
+
+	loop      *eventloop.Loop
+	addr      string
+	idle      []*conn
+	idleAges  []float64 // seconds; scratch space of chooseConn
+	openConns int       // without those of streams
+	waiting   []*Call   // for a connection
+}
+
+// New returns a client for the server at a literal address.
+func New(loop *eventloop.Loop, addr string) *Client {
+	limits := http1.DefaultLimits()
+	limits.Body = defaultMaxBody
+	return &Client{
+		loop:                  loop,
+		addr:                  addr,
+		ConnectTimeoutSeconds: defaultConnectTimeoutSeconds,
+		Pool:                  connpool.DefaultPolicy(),
+		Limits:                limits,
+	}
+}
+
+// Addr is the server's address.
+func (c *Client) Addr() string { return c.addr }
+
+// Do sends a request. If timeoutSeconds is not zero it bounds the whole call. The call is returned.
+func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeoutSeconds float64, call *Call) *Call {
+	call.client = c
+	call.request = c.appendRequest(make([]byte, 0, requestHeadSize+len(body)), method, target, header, body)
+	call.headRequest = method == "HEAD"
+	if timeoutSeconds > 0 {
+		call.timer = c.loop.After(timeoutSeconds, func() { call.abort(ErrTimeout) })
+	}
+	c.start(call)
+	return call
+}
+
+func (c *Client) appendRequest(b []byte, method, target string, header []http1.Field, body []byte) []byte {
+	b = http1.AppendRequestLine(b, method, target)
+	b = http1.AppendField(b, "Host", c.addr)
+	for i := range header {
+		b = http1.AppendField(b, header[i].Name, header[i].Value)
+	}
+	if len(body) > 0 || methodTakesBody(method) {
+		b = http1.AppendLength(b, len(body))
+	}
+	b = append(b, "\r\n"...)
+	return append(b, body...)
+}
+
+func methodTakesBody(method string) bool {
+	return method == "POST" || method == "PUT" || method == "PATCH"
+}
+
+// start sends a call on an idle connection or a new one, or has it wait for one. A stream gets a connection of its own.
+func (c *Client) start(call *Call) {
+	if call.Data != nil {
+		c.dial(call)
+		return
+	}
+	switch decision, chosen := c.chooseConn(call); decision {
+	case connpool.Use:
+		c.removeIdle(chosen)
+		chosen.send(call)
+	case connpool.Wait:
+		c.waiting = append(c.waiting, call)
+	case connpool.Replace:
+		chosen.transport.Close()
+		c.dial(call)
+	default:
+		c.dial(call)
+	}
+}
+
+// chooseConn asks the pool's policy for a connection and closes those that it finds stale.
+func (c *Client) chooseConn(call *Call) (connpool.Action, *conn) {
+	c.idleAges = c.idleAges[:0]
+	for _, connection := range c.idle {
+		c.idleAges = append(c.idleAges, c.loop.Now()-connection.idleSince)
+	}
+	decision := c.Pool.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
+	var chosen *conn
+	if decision.Action == connpool.Use || decision.Action == connpool.Replace {
+		chosen = c.idle[decision.Index]
+	}
+	// Closing one changes c.idle, to which the indices refer.
+	stale := make([]*conn, 0, len(decision.Stale))
+	for _, i := range decision.Stale {
+		stale = append(stale, c.idle[i])
+	}
+	for _, connection := range stale {
+		connection.transport.Close()
+	}
+	return decision.Action, chosen
+}
+
+// dial opens a connection for a call.
+func (c *Client) dial(call *Call) {
+	connection := &conn{
+		client:    c,
+		call:      call,
+		streaming: call.Data != nil,
+		decoder:   http1.Decoder{Limits: c.Limits, Responses: true, NoBody: call.headRequest},
+	}
+	if connection.streaming {
+		connection.decoder.Limits.Body = 0
+	} else {
+		c.openConns++
+	}
+	call.conn = connection
+	transport, err := c.loop.Dial(c.addr, c.ConnectTimeoutSeconds, connection)
+	if err != nil {
+		if !connection.streaming {
+			c.openConns--
+		}
+		call.conn = nil
+		// Later, so that no caller is called back before Do returns.
+		c.loop.After(0, func() { call.finish(nil, nil, &ConnectError{err}) })
+		return
+	}
+	connection.transport = transport
+}
+
+// runNext starts the first call that waits, on the given free connection or, if that is nil, on any.
+func (c *Client) runNext(free *conn) {
+	for len(c.waiting) > 0 {
+		call := c.waiting[0]
+		c.waiting = c.waiting[1:]
+		if call.finished {
+			continue
+		}
+		if free != nil {
+			free.send(call)
+		} else {
+			c.start(call)
+		}
+		return
+	}
+	if free != nil {
+		c.idle = append(c.idle, free)
+	}
+}
+
+// removeIdle removes a connection from the idle ones.
+func (c *Client) removeIdle(connection *conn) {
+	if i := slices.Index(c.idle, connection); i >= 0 {
+		c.idle = slices.Delete(c.idle, i, i+1)
+	}
+}
+
+// Close closes idle connections and fails the calls that wait for one.
+func (c *Client) Close() {
+	c.CloseIdle()
+	waiting := c.waiting
+	c.waiting = nil
+	for _, call := range waiting {
+		call.finish(nil, nil, &ConnectError{ErrCancelled})
+	}
+}
+
+// CloseIdle closes idle connections.
+func (c *Client) CloseIdle() {
+	idle := c.idle
+	c.idle = nil
+	for _, connection := range idle {
+		connection.transport.Close()
+	}
+}
--- /dev/null
+++ b/internal/httpc/conn.go
@@ -0,0 +1,140 @@
+//go:build linux
+
+package httpc
+
+import (
+	"fmt"
+
+	"heathshed/internal/eventloop"
+	"heathshed/internal/http1"
+)
+
+// conn is one connection to the server. It carries one call at a time.
+type conn struct {
+	client    *Client
+	transport *eventloop.Conn
+	decoder   http1.Decoder
+	call      *Call // nil if it is idle
+	connected bool
+	streaming bool    // it is the connection of a stream and carries no other call
+	idleSince float64 // Unix seconds
+}
+
+// send sends a call's request on an established connection.
+func (c *conn) send(call *Call) {
+	call.conn = c
+	c.call = call
+	c.decoder.NoBody = call.headRequest
+	c.transport.Write(call.request)
+}
+
+// Opened implements eventloop.Handler.
+func (c *conn) Opened(transport *eventloop.Conn) {
+	c.transport = transport
+	c.connected = true
+	if c.call == nil || c.call.finished {
+		transport.Close()
+		return
+	}
+	transport.Write(c.call.request)
+}
+
+// Data implements eventloop.Handler.
+func (c *conn) Data(transport *eventloop.Conn, input []byte) int {
+	consumed := 0
+	for {
+		call := c.call
+		if call == nil {
+			// Bytes that no call asked for. TODO: also reached when a response has just ended and no call waits, so that a
+			// connection is never kept for a later call.
+			transport.Close()
+			return len(input)
+		}
+		n, kind, err := c.decoder.Next(input[consumed:])
+		consumed += n
+		if err != nil {
+			call.finish(nil, nil, fmt.Errorf("%s: %w", c.client.addr, err))
+			transport.Close()
+			return len(input)
+		}
+		if kind == http1.NeedMore {
+			return consumed
+		}
+		c.handleDecoded(kind)
+		if transport.Closed() {
+			return consumed
+		}
+	}
+}
+
+// handleDecoded handles a part of a response that the decoder has found.
+func (c *conn) handleDecoded(kind http1.Kind) {
+	call := c.call
+	head := &c.decoder.Head
+	switch kind {
+	case http1.HeadComplete:
+		if call.Started != nil && !isInterim(head) {
+			call.Started(head)
+		}
+	case http1.BodyData:
+		if call.Data != nil && http1.IsSuccess(head.Status) {
+			call.Data(c.decoder.Body)
+		} else {
+			call.body = append(call.body, c.decoder.Body...)
+		}
+	case http1.MessageComplete:
+		if !isInterim(head) {
+			c.completeCall()
+		}
+	}
+}
+
+// isInterim reports whether another response to the same request follows.
+func isInterim(head *http1.Head) bool { return head.Status < http1.StatusOK }
+
+// completeCall finishes the call whose response has ended and makes the connection free for another.
+func (c *conn) completeCall() {
+	call := c.call
+	c.call = nil
+	keep := !c.decoder.Head.Close && !c.streaming
+	call.finish(&c.decoder.Head, call.body, nil)
+	if c.transport.Closed() {
+		return
+	}
+	if !keep {
+		c.transport.Close()
+		return
+	}
+	c.idleSince = c.client.loop.Now()
+	c.client.runNext(c)
+}
+
+// Drained implements eventloop.Handler.
+func (c *conn) Drained(*eventloop.Conn) {}
+
+// Closed implements eventloop.Handler.
+func (c *conn) Closed(_ *eventloop.Conn, err error) {
+	if !c.streaming {
+		c.client.openConns--
+	}
+	c.client.removeIdle(c)
+	if call := c.call; call != nil {
+		c.call = nil
+		c.failCall(call, err)
+	}
+	c.client.runNext(nil)
+}
+
+// failCall finishes a call whose connection has ended, which may be how its response ends.
+func (c *conn) failCall(call *Call, err error) {
+	if !c.connected {
+		call.finish(nil, nil, &ConnectError{err})
+		return
+	}
+	complete, eofErr := c.decoder.EOF(0)
+	if complete && eofErr == nil && !call.finished {
+		call.finish(&c.decoder.Head, call.body, nil)
+		return
+	}
+	call.finish(nil, nil, fmt.Errorf("%s: connection broke: %w", c.client.addr, err))
+}
--- /dev/null
+++ b/internal/httpc/httpc_test.go
@@ -0,0 +1,230 @@
+//go:build linux
+
+package httpc
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"heathshed/internal/eventloop"
+	"heathshed/internal/http1"
+)
+
+const testTimeout = 10 * time.Second
+
+// result is what a call's Done got.
+type result struct {
+	status int
+	body   string
+	err    error
+}
+
+// startLoop runs an event loop until the end of the test.
+func startLoop(t *testing.T) *eventloop.Loop {
+	t.Helper()
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() { done <- loop.Run() }()
+	t.Cleanup(func() {
+		loop.Stop()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return loop
+}
+
+// startRaw starts a server that sends each connection the same bytes after a request, and then ends it unless it is to stay
+// open. It returns its address.
+func startRaw(t *testing.T, response string, staysOpen bool) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return // the listener is closed
+			}
+			go serveRaw(conn, response, staysOpen)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func serveRaw(conn net.Conn, response string, staysOpen bool) {
+	defer func() { _ = conn.Close() }() // the client may have closed it already
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
+		return
+	}
+	if _, err := io.WriteString(conn, response); err != nil {
+		return
+	}
+	if staysOpen {
+		_, _ = io.Copy(io.Discard, conn) // until the client ends the connection
+	}
+}
+
+// do makes a call on the loop and returns what its Done gets.
+func do(t *testing.T, loop *eventloop.Loop, addr, method string, timeoutSeconds float64, prepare func(*Call)) result {
+	t.Helper()
+	results := make(chan result, 2)
+	call := &Call{Done: func(head *http1.Head, body []byte, err error) {
+		r := result{body: string(body), err: err}
+		if head != nil {
+			r.status = head.Status
+		}
+		results <- r
+	}}
+	loop.Post(func() {
+		New(loop, addr).Do(method, "/", nil, nil, timeoutSeconds, call)
+		if prepare != nil {
+			prepare(call)
+		}
+	})
+	select {
+	case r := <-results:
+		return r
+	case <-time.After(testTimeout):
+		t.Fatal("no result")
+		return result{}
+	}
+}
+
+func TestResponses(t *testing.T) {
+	loop := startLoop(t)
+	for _, c := range []struct {
+		name, method, response string
+		staysOpen              bool
+		status                 int
+		body, wantErr          string
+	}{
+		{name: "length", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", staysOpen: true, status: 200, body: "ab"},
+		{name: "chunked", method: "GET", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", staysOpen: true, status: 200, body: "ab"},
+		{name: "until close", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
+		{name: "no body to HEAD", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", staysOpen: true, status: 200},
+		{name: "after an interim response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", staysOpen: true, status: 201, body: "x"},
+		{name: "error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", staysOpen: true, status: 503, body: "busy"},
+		{name: "cut short", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: "connection broke"},
+		{name: "nothing", method: "GET", wantErr: "connection broke"},
+		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: "malformed status"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := do(t, loop, startRaw(t, c.response, c.staysOpen), c.method, 5, nil)
+			if c.wantErr != "" {
+				var connectError *ConnectError
+				if got.err == nil || !strings.Contains(got.err.Error(), c.wantErr) || errors.As(got.err, &connectError) {
+					t.Fatalf("error %v, want %q", got.err, c.wantErr)
+				}
+				return
+			}
+			if got.err != nil || got.status != c.status || got.body != c.body {
+				t.Fatalf("got %d %q, %v", got.status, got.body, got.err)
+			}
+		})
+	}
+}
+
+// A stream's pieces go to Data as they come, and its end to Done.
+func TestStream(t *testing.T) {
+	loop := startLoop(t)
+	var pieces strings.Builder
+	started := 0
+	addr := startRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", true)
+	results := make(chan result, 1)
+	loop.Post(func() {
+		New(loop, addr).Do("GET", "/", nil, nil, 0, &Call{
+			Started: func(head *http1.Head) { started = head.Status },
+			Data:    func(b []byte) { pieces.Write(b) },
+			Done: func(_ *http1.Head, body []byte, err error) {
+				results <- result{started, pieces.String() + string(body), err}
+			},
+		})
+	})
+	if got := <-results; got.err != nil || got.status != 200 || got.body != "abc" {
+		t.Errorf("started with %d, got %q, %v", got.status, got.body, got.err)
+	}
+}
+
+// The error tells whether the request may have been read.
+func TestErrors(t *testing.T) {
+	loop := startLoop(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	unused := listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	silent := startRaw(t, "", true)
+	cancelAfter := func(seconds float64) func(*Call) {
+		return func(call *Call) { loop.After(seconds, call.Cancel) }
+	}
+	for _, c := range []struct {
+		name, addr     string
+		timeoutSeconds float64
+		prepare        func(*Call)
+		want           error // nil: any
+		neverSent      bool
+	}{
+		{name: "nothing listens", addr: unused, timeoutSeconds: 5, neverSent: true},
+		{name: "no address", addr: "host:1", timeoutSeconds: 5, neverSent: true},
+		{name: "cancelled at once", addr: silent, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
+		{name: "cancelled after it was sent", addr: silent, prepare: cancelAfter(0.2), want: ErrCancelled},
+		{name: "timeout", addr: silent, timeoutSeconds: 0.2, want: ErrTimeout},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := do(t, loop, c.addr, "GET", c.timeoutSeconds, c.prepare)
+			var connectError *ConnectError
+			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != c.neverSent {
+				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, c.neverSent)
+			}
+			if c.want != nil && !errors.Is(got.err, c.want) {
+				t.Errorf("error %v, want %v", got.err, c.want)
+			}
+		})
+	}
+}
+
+// Calls beyond the pool's limit wait for a connection, and Close fails those that still wait.
+func TestCloseFailsWaitingCalls(t *testing.T) {
+	loop := startLoop(t)
+	addr := startRaw(t, "", true)
+	const calls = 40
+	results := make(chan error, calls)
+	loop.Post(func() {
+		client := New(loop, addr)
+		client.Pool.MaxConns = 1
+		for i := range calls {
+			client.Do("GET", fmt.Sprint("/", i), nil, nil, 0.3, &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }})
+		}
+		client.Close()
+	})
+	cancelled := 0
+	for range calls {
+		if err := <-results; errors.Is(err, ErrCancelled) {
+			cancelled++
+		} else if !errors.Is(err, ErrTimeout) {
+			t.Errorf("error %v", err)
+		}
+	}
+	if cancelled != calls-1 {
+		t.Errorf("%d of %d calls cancelled, want all but the one with a connection", cancelled, calls)
+	}
+}
