--- a/internal/reflector/reflector.go
+++ b/internal/reflector/reflector.go
@@ -1,11 +1,10 @@
 //go:build linux
 
-// Package kclient follows a collection of a Kubernetes-style API over the event loop: it lists, watches from the list's
-// revision, resumes, and lists anew when the history is gone.
+// Package reflector follows a collection of a Kubernetes-style API on the event loop: it lists, watches from the list's
+// resource version, resumes a watch that ends, and lists again when the server has no history from there.
 package reflector
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -21,7 +20,35 @@
 	"heathshed/internal/retry"
 )
 
-// Reflector follows one collection. Set the fields, then Start. Callbacks run on the loop.
+const (
+	jsonMediaType     = "application/json"
+	protobufMediaType = "application/vnd.kubernetes.protobuf"
+)
+
+var errNoResourceVersion = errors.New("list without resourceVersion")
+
+// StatusError is a response of the server other than success.
+type StatusError struct {
+	Code    int
+	Message string // of the Status object in the body; "" if there was none
+}
+
+func (e *StatusError) Error() string {
+	if e.Message == "" {
+		return fmt.Sprintf("status %d", e.Code)
+	}
+	return fmt.Sprintf("status %d: %s", e.Code, e.Message)
+}
+
+func newStatusError(code int, body []byte) *StatusError {
+	var status metav1.Status
+	if json.Unmarshal(body, &status) != nil {
+		return &StatusError{Code: code} // the body need not be a Status object
+	}
+	return &StatusError{Code: code, Message: status.Message}
+}
+
+// Reflector follows one collection. Set the exported fields, then call Start. Callbacks run on the loop.
 type Reflector struct {
 	Loop   *eventloop.Loop
 	Client *httpc.Client
@@ -29,33 +56,36 @@
 	Labels string // label selector
 	Rand   *rand.Rand
 	Retry  retry.Backoff
-	// ListTimeoutSeconds bounds a list in seconds, Quiet how long a watch may bring no byte before it counts as broken; 0 is no bound.
-	ListTimeoutSeconds, WatchIdleTimeoutSeconds float64
+	// ListTimeoutSeconds bounds a list; 0 is no bound.
+	ListTimeoutSeconds float64
+	// WatchIdleTimeoutSeconds is how long a watch may bring no byte before it counts as broken; 0 is no bound.
+	WatchIdleTimeoutSeconds float64
 
-	// OnList gets a whole list; Event a change of one object (ADDED, MODIFIED or DELETED). head carries the answer's fields.
-	OnList  func(head *http1.Head, rev string, items []Object)
+	// OnList gets a complete list. head is that of the response.
+	OnList func(head *http1.Head, resourceVersion string, items []Object)
+	// OnEvent gets a change of one object; kind is ADDED, MODIFIED or DELETED.
 	OnEvent func(kind string, object Object)
-	// OnError is called whenever list or watch fails; it goes on by itself.
+	// OnError is called whenever a list or watch fails. It is retried without further ado.
 	OnError func(err error)
-	// ListCount and Resumes count.
+	// ListCount and ResumeCount count for metrics.
 	ListCount, ResumeCount uint64
 
-	resourceVersion string
+	resourceVersion string // to watch from; "" if a list is needed
 	call            *httpc.Call
 	retryTimer      *eventloop.Timer
 	idleTimer       *eventloop.Timer
 	stopped         bool
-	partial         []byte
-	watchErr        error
-	protobuf        bool // the watch is in the binary encoding
-}
 
-const maxEventSize = 8 << 20
+	// Of the present watch.
+	partial  []byte // an event that is not complete
+	watchErr error  // why the watch was aborted
+	protobuf bool   // the events are frames of the binary encoding
+}
 
 // Start begins with a list.
 func (r *Reflector) Start() { r.list() }
 
-// Stop ends it; no callback follows.
+// Stop ends the reflector; no callback follows.
 func (r *Reflector) Stop() {
 	if r.stopped {
 		return
@@ -68,27 +98,31 @@
 	}
 }
 
-// Relist drops the watch and lists anew.
+// Relist drops the watch and lists again.
 func (r *Reflector) Relist() {
 	if r.stopped {
 		return
 	}
 	r.resourceVersion = ""
 	r.retryTimer.Stop()
-	if c := r.call; c != nil {
+	if call := r.call; call != nil {
 		r.call = nil
-		c.Cancel()
+		call.Cancel()
 	}
 	r.list()
 }
 
-func (r *Reflector) requestTarget(q url.Values) string {
+func (r *Reflector) requestTarget(query url.Values) string {
 	if r.Labels != "" {
-		q.Set("labelSelector", r.Labels)
+		query.Set("labelSelector", r.Labels)
 	}
-	return r.Path + "?" + q.Encode()
+	return r.Path + "?" + query.Encode()
 }
 
+// isCurrent reports whether a call is the one that the reflector waits for, rather than one that Relist or Stop has ended.
+func (r *Reflector) isCurrent(call *httpc.Call) bool { return !r.stopped && r.call == call }
+
+// retryLater reports an error and lists or watches again after a backoff.
 func (r *Reflector) retryLater(err error) {
 	if r.stopped {
 		return
@@ -98,12 +132,12 @@
 		return
 	}
 	r.retryTimer = r.Loop.After(r.Retry.Next(r.Rand.Float64()), func() {
-		if r.resourceVersion != "" {
-			r.ResumeCount++
-			r.watch()
-		} else {
+		if r.resourceVersion == "" {
 			r.list()
+			return
 		}
+		r.ResumeCount++
+		r.watch()
 	})
 }
 
@@ -111,172 +145,115 @@
 	r.ListCount++
 	call := &httpc.Call{}
 	call.Done = func(head *http1.Head, body []byte, err error) {
-		if r.stopped || r.call != call {
-			return
-		}
-		r.call = nil
-		if err == nil && head.Status != 200 {
-			err = statusError(head.Status, body)
-		}
-		var l struct {
-			Metadata metav1.ListMeta   `json:"metadata"`
-			Items    []json.RawMessage `json:"items"`
-		}
-		var items []Object
-		if err == nil {
-			err = json.Unmarshal(body, &l)
-		}
-		if err == nil && l.Metadata.ResourceVersion == "" {
-			err = errors.New("list without resourceVersion")
-		}
-		if err != nil {
-			r.retryLater(fmt.Errorf("list %s%s: %w", r.Client.Addr(), r.Path, err))
-			return
-		}
-		r.resourceVersion = l.Metadata.ResourceVersion
-		for _, it := range l.Items {
-			items = append(items, Object{Raw: it})
-		}
-		r.OnList(head, r.resourceVersion, items)
-		if !r.stopped && r.call == nil {
-			r.watch()
+		if r.isCurrent(call) {
+			r.call = nil
+			r.handleList(head, body, err)
 		}
 	}
 	r.call = call
-	r.Client.Do("GET", r.requestTarget(url.Values{}), []http1.Field{{Name: "Accept", Value: "application/json"}}, nil, r.ListTimeoutSeconds, call)
+	accept := []http1.Field{{Name: "Accept", Value: jsonMediaType}}
+	r.Client.Do("GET", r.requestTarget(url.Values{}), accept, nil, r.ListTimeoutSeconds, call)
 }
 
-func statusError(code int, body []byte) error {
-	var status metav1.Status
-	if json.Unmarshal(body, &status) == nil && status.Message != "" {
-		return fmt.Errorf("status %d: %s", code, status.Message)
+func (r *Reflector) handleList(head *http1.Head, body []byte, err error) {
+	var items []Object
+	var resourceVersion string
+	if err == nil {
+		resourceVersion, items, err = decodeList(head, body)
+	}
+	if err != nil {
+		r.retryLater(fmt.Errorf("list %s%s: %w", r.Client.Addr(), r.Path, err))
+		return
+	}
+	r.resourceVersion = resourceVersion
+	r.OnList(head, resourceVersion, items)
+	if !r.stopped && r.call == nil {
+		r.watch()
+	}
+}
+
+func decodeList(head *http1.Head, body []byte) (resourceVersion string, items []Object, err error) {
+	if head.Status != http1.StatusOK {
+		return "", nil, newStatusError(head.Status, body)
+	}
+	var list struct {
+		Metadata metav1.ListMeta   `json:"metadata"`
+		Items    []json.RawMessage `json:"items"`
+	}
+	if err := json.Unmarshal(body, &list); err != nil {
+		return "", nil, err
+	}
+	if list.Metadata.ResourceVersion == "" {
+		return "", nil, errNoResourceVersion
+	}
+	for _, item := range list.Items {
+		items = append(items, Object{Raw: item})
 	}
-	return fmt.Errorf("status %d", code)
+	return list.Metadata.ResourceVersion, items, nil
 }
 
 func (r *Reflector) watch() {
-	r.partial, r.watchErr = nil, nil
+	r.partial = nil
+	r.watchErr = nil
 	call := &httpc.Call{}
-	alive := func() {
-		r.idleTimer.Stop()
-		if r.WatchIdleTimeoutSeconds > 0 {
-			r.idleTimer = r.Loop.After(r.WatchIdleTimeoutSeconds, func() { call.Cancel() })
-		}
-	}
 	call.Started = func(head *http1.Head) {
 		r.protobuf = strings.HasPrefix(head.Header.Get("Content-Type"), protobufMediaType)
-		alive()
+		r.restartIdleTimer(call)
 	}
 	call.Data = func(b []byte) {
-		if r.stopped || r.call != call {
+		if !r.isCurrent(call) {
 			return
 		}
-		alive()
+		r.restartIdleTimer(call)
 		r.Retry.Reset()
 		r.decodeStream(b)
 	}
 	call.Done = func(head *http1.Head, body []byte, err error) {
 		r.idleTimer.Stop()
-		if r.stopped || r.call != call {
-			return
-		}
-		r.call = nil
-		switch {
-		case r.watchErr != nil:
-			err = r.watchErr
-		case err == nil && head.Status == 410:
-			r.resourceVersion = ""
-			err = statusError(head.Status, body)
-		case err == nil && head.Status != 200:
-			err = statusError(head.Status, body)
-		case err == nil:
-			// The server ended it in order: go on from where it stopped.
-			r.ResumeCount++
-			r.watch()
-			return
+		if r.isCurrent(call) {
+			r.call = nil
+			r.handleWatchEnd(head, body, err)
 		}
-		r.retryLater(fmt.Errorf("watch %s%s: %w", r.Client.Addr(), r.Path, err))
 	}
 	r.call = call
-	r.Client.Do("GET", r.requestTarget(url.Values{"watch": {"true"}, "resourceVersion": {r.resourceVersion}, "allowWatchBookmarks": {"true"}}),
-		[]http1.Field{{Name: "Accept", Value: protobufMediaType + ", application/json"}}, nil, 0, call)
+	query := url.Values{
+		"watch":               {"true"},
+		"resourceVersion":     {r.resourceVersion},
+		"allowWatchBookmarks": {"true"},
+	}
+	accept := []http1.Field{{Name: "Accept", Value: protobufMediaType + ", " + jsonMediaType}}
+	r.Client.Do("GET", r.requestTarget(query), accept, nil, 0, call)
 }
 
-// decodeStream cuts the stream into lines or frames, one event each.
-func (r *Reflector) decodeStream(b []byte) {
-	call := r.call
-	if r.protobuf {
-		r.decodeFrames(b)
-		return
+// restartIdleTimer cancels the watch if it brings nothing from now on for too long.
+func (r *Reflector) restartIdleTimer(call *httpc.Call) {
+	r.idleTimer.Stop()
+	if r.WatchIdleTimeoutSeconds > 0 {
+		r.idleTimer = r.Loop.After(r.WatchIdleTimeoutSeconds, func() { call.Cancel() })
 	}
-	for len(b) > 0 && r.watchErr == nil {
-		i := bytes.IndexByte(b, '\n')
-		if i < 0 {
-			if r.partial = append(r.partial, b...); len(r.partial) > maxEventSize {
-				r.abortWatch(errors.New("event over the limit"))
-			}
-			return
-		}
-		line := b[:i]
-		if len(r.partial) > 0 {
-			line = append(r.partial, line...)
-			r.partial = nil
-		}
-		b = b[i+1:]
-		r.handleJSONEvent(line)
-		if r.stopped || r.call != call {
-			return
+}
+
+// handleWatchEnd resumes a watch that the server has ended in order, and retries one that has failed.
+func (r *Reflector) handleWatchEnd(head *http1.Head, body []byte, err error) {
+	switch {
+	case r.watchErr != nil:
+		err = r.watchErr
+	case err != nil:
+	case head.Status == http1.StatusOK:
+		r.ResumeCount++
+		r.watch()
+		return
+	default:
+		if head.Status == http1.StatusGone {
+			r.resourceVersion = ""
 		}
+		err = newStatusError(head.Status, body)
 	}
+	r.retryLater(fmt.Errorf("watch %s%s: %w", r.Client.Addr(), r.Path, err))
 }
 
+// abortWatch ends the present watch because of what it has brought.
 func (r *Reflector) abortWatch(err error) {
 	r.watchErr = err
 	r.call.Cancel()
 }
-
-func (r *Reflector) handleJSONEvent(line []byte) {
-	var ev struct {
-		Type   string          `json:"type"`
-		Object json.RawMessage `json:"object"`
-	}
-	if err := json.Unmarshal(line, &ev); err != nil {
-		r.abortWatch(fmt.Errorf("event: %w", err))
-		return
-	}
-	if ev.Type == "ERROR" {
-		var status metav1.Status
-		r.handleErrorEvent(&status, json.Unmarshal(ev.Object, &status))
-		return
-	}
-	var m struct {
-		Metadata struct {
-			ResourceVersion string `json:"resourceVersion"`
-		} `json:"metadata"`
-	}
-	if err := json.Unmarshal(ev.Object, &m); err != nil {
-		r.abortWatch(fmt.Errorf("event object: %w", err))
-		return
-	}
-	r.handleEvent(ev.Type, m.Metadata.ResourceVersion, Object{Raw: ev.Object})
-}
-
-// handleErrorEvent takes the event that ends a watch.
-func (r *Reflector) handleErrorEvent(status *metav1.Status, err error) {
-	if err == nil && (status.Code == 410 || status.Reason == metav1.StatusReasonExpired) {
-		r.resourceVersion = ""
-	}
-	r.abortWatch(fmt.Errorf("error event: %s", status.Message))
-}
-
-func (r *Reflector) handleEvent(kind, rev string, o Object) {
-	switch kind {
-	case "ADDED", "MODIFIED", "DELETED":
-		r.resourceVersion = rev
-		r.OnEvent(kind, o)
-	case "BOOKMARK":
-		r.resourceVersion = rev
-	default:
-		r.abortWatch(fmt.Errorf("event type %q is not known", kind))
-	}
-}
