--- a/internal/metastability/metastability_test.go
+++ b/internal/metastability/metastability_test.go
@@ -10,6 +10,7 @@
 
 // playAll plays trials on four goroutines; each is a world of its own.
 func playAll(t *testing.T, trials []Trial) []Verdict {
+	t.Helper()
 	out := make([]Verdict, len(trials))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, 4)
@@ -29,7 +30,7 @@
 	return out
 }
 
-// Whatever the trigger and the settings, goodput is back in time once the trigger is gone.
+// Whatever the trigger and the settings, goodput recovers in time once the trigger is over.
 func TestNoMetastableFailure(t *testing.T) {
 	var trials []Trial
 	for seed := range uint64(8) {
@@ -42,8 +43,8 @@
 	}
 }
 
-// A gate that takes what it shed itself for asks again stays in a bad minute for ever: the search finds it, and finds nothing in the same
-// trial without the mistake.
+// An admission controller that counts requests which it shed itself as retries never recovers: the search finds it, and finds nothing in
+// the same trial without the mistake.
 func TestPlantedFailureIsFound(t *testing.T) {
 	sound := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Admission: admission.DefaultConfig(), Retry: Draw(1).Retry,
 		Trigger: scenario.Fault{Kind: "burst", At: triggerAt, Duration: 8, Scale: 10}}
--- /dev/null
+++ b/internal/metastability/verdict.go
@@ -0,0 +1,62 @@
+package metastability
+
+import "math"
+
+// When a run counts as recovered.
+const (
+	recoveredFraction = 0.95 // of the baseline's goodput
+	openTasksFactor   = 1.05 // on the open tasks of the baseline
+	openTasksMargin   = 20   // open tasks beyond that
+	// The system must recover within recoveryGrace seconds and drainFactor times what an ideal one needs for the open tasks.
+	recoveryGrace = 30.0
+	drainFactor   = 2
+)
+
+// Verdict is the result of a trial. Times are in seconds.
+type Verdict struct {
+	BaselineGoodput   float64 // least fraction of tasks placed in time in a window without the trigger
+	WorstGoodput      float64 // the same with the trigger
+	RecoveryTime      float64 // from the end of the trigger until goodput and open tasks were normal for good; infinity if they never were
+	AllowedTime       float64 // for the recovery
+	PeakOpenTasks     int     // most tasks without an outcome
+	FinalOpenTasks    int     // tasks without an outcome in the end
+	PlacementRequests uint64
+	Attempts          uint64
+}
+
+// Recovered reports whether the system recovered in time.
+func (v *Verdict) Recovered() bool { return v.RecoveryTime <= v.AllowedTime }
+
+func judge(trial Trial, baseline, triggered timeline) Verdict {
+	verdict := Verdict{
+		BaselineGoodput:   1,
+		WorstGoodput:      1,
+		PlacementRequests: triggered.placementRequests,
+		Attempts:          triggered.attempts,
+		FinalOpenTasks:    triggered.openTasks[len(triggered.openTasks)-1],
+	}
+	baselineOpen := 0
+	for i := goodputWindow; i < len(baseline.goodput); i++ {
+		verdict.BaselineGoodput = min(verdict.BaselineGoodput, baseline.goodput[i])
+		baselineOpen = max(baselineOpen, baseline.openTasks[i])
+	}
+	normalOpen := openTasksFactor*float64(baselineOpen) + openTasksMargin
+	triggerEnd := trial.Trigger.At + trial.Trigger.Duration
+	lastDegraded := triggerEnd
+	for i := int(trial.Trigger.At); i < len(triggered.goodput); i++ {
+		verdict.WorstGoodput = min(verdict.WorstGoodput, triggered.goodput[i])
+		verdict.PeakOpenTasks = max(verdict.PeakOpenTasks, triggered.openTasks[i])
+		at := float64(i + 1)
+		goodputLow := triggered.goodput[i] < recoveredFraction*verdict.BaselineGoodput
+		backlogged := at > triggerEnd && float64(triggered.openTasks[i]) > normalOpen
+		if goodputLow || backlogged {
+			lastDegraded = max(lastDegraded, at)
+		}
+	}
+	verdict.RecoveryTime = lastDegraded - triggerEnd
+	if lastDegraded >= horizon-1 {
+		verdict.RecoveryTime = math.Inf(1)
+	}
+	verdict.AllowedTime = recoveryGrace + drainFactor*float64(verdict.PeakOpenTasks)/(fleetCapacity*(1-trial.Load))
+	return verdict
+}
