--- /dev/null
+++ b/cmd/heathshed/get.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"os/signal"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+)
+
+// pageLimit is the number of objects requested at a time.
+const pageLimit = "500"
+
+// selectionFlags say which objects are shown, and how.
+type selectionFlags struct {
+	client                    apiClient
+	namespace, labels, output string
+}
+
+func (f *selectionFlags) register(c *cobra.Command) {
+	f.client.register(c)
+	flags := c.Flags()
+	flags.StringVarP(&f.namespace, "namespace", "n", "", "namespace; all if none")
+	flags.StringVarP(&f.labels, "selector", "l", "", "label selector")
+	flags.StringVarP(&f.output, "output", "o", "table", "table or json (a line each)")
+}
+
+func (f *selectionFlags) query() url.Values {
+	query := url.Values{}
+	if f.labels != "" {
+		query.Set("labelSelector", f.labels)
+	}
+	return query
+}
+
+func getCommand() *cobra.Command {
+	var flags selectionFlags
+	c := &cobra.Command{
+		Use:   "get jobs|pods|nodes [NAME]",
+		Short: "Show jobs, tasks or nodes",
+		Args:  cobra.RangeArgs(1, 2),
+		RunE: func(c *cobra.Command, args []string) error {
+			path, err := collectionPath(args[0], flags.namespace)
+			if err != nil {
+				return err
+			}
+			query := flags.query()
+			if len(args) > 1 {
+				query.Set("fieldSelector", "metadata.name="+args[1])
+			}
+			objects, err := flags.list(c.Context(), c.OutOrStdout(), path, query)
+			if err != nil {
+				return err
+			}
+			if objects == 0 && len(args) > 1 {
+				return fmt.Errorf("%s %q not found", args[0], args[1])
+			}
+			return nil
+		},
+	}
+	flags.register(c)
+	return c
+}
+
+// list prints the objects of a collection, page by page, and returns how many there were.
+func (f *selectionFlags) list(ctx context.Context, w io.Writer, path string, query url.Values) (objects int, err error) {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	query.Set("limit", pageLimit)
+	for {
+		var page struct {
+			Kind     string            `json:"kind"`
+			Metadata metav1.ListMeta   `json:"metadata"`
+			Items    []json.RawMessage `json:"items"`
+		}
+		if err := f.client.do(ctx, http.MethodGet, path+"?"+query.Encode(), "", nil, &page); err != nil {
+			return objects, err
+		}
+		kind := strings.TrimSuffix(page.Kind, "List")
+		for _, item := range page.Items {
+			if f.output == "json" {
+				printf(w, "%s\n", item)
+			} else {
+				if objects == 0 {
+					printf(table, "%s\n", strings.Join(tableHeaders[kind], "\t"))
+				}
+				printf(table, "%s\n", strings.Join(tableRow(kind, item), "\t"))
+			}
+			objects++
+		}
+		if page.Metadata.Continue == "" {
+			return objects, table.Flush()
+		}
+		query.Set("continue", page.Metadata.Continue)
+	}
+}
+
+func watchCommand() *cobra.Command {
+	var flags selectionFlags
+	c := &cobra.Command{
+		Use:   "watch jobs|pods|nodes",
+		Short: "Show changes as they come, over broken connections",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			path, err := collectionPath(args[0], flags.namespace)
+			if err != nil {
+				return err
+			}
+			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
+			defer cancel()
+			return flags.client.watch(ctx, path, flags.query(), func(eventType string, object json.RawMessage) bool {
+				flags.printEvent(c.OutOrStdout(), eventType, object)
+				return false
+			})
+		},
+	}
+	flags.register(c)
+	return c
+}
+
+func (f *selectionFlags) printEvent(w io.Writer, eventType string, object json.RawMessage) {
+	if f.output == "json" {
+		printf(w, `{"type":%q,"object":%s}`+"\n", eventType, object)
+		return
+	}
+	kind := decodeObject[metav1.TypeMeta](object).Kind
+	printf(w, "%-8s  %s\n", eventType, strings.Join(tableRow(kind, object), "  "))
+}
--- /dev/null
+++ b/cmd/heathshed/inspect.go
@@ -0,0 +1,154 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"heathshed/internal/workload"
+)
+
+const (
+	maxShownErrors = 10  // skipped entries that are printed one by one
+	maxMethods     = 100 // different methods that are counted
+	curveParts     = 60  // of the time that the entries cover
+)
+
+func loadCommand() *cobra.Command {
+	c := &cobra.Command{Use: "load", Short: "Work with recorded load"}
+	c.AddCommand(inspectCommand())
+	return c
+}
+
+func inspectCommand() *cobra.Command {
+	var source sourceFlags
+	var report string
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "inspect FILE...",
+		Short: "Show what recorded files contain, and which entries cannot be read",
+		Long: "Read access logs, JSON lines or HAR files (gzip and zstd too) and show counts, the arrival curve and what was skipped.\n" +
+			"Exit status 4 means that entries were skipped.",
+		Args: cobra.MinimumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			i := newInspector(&source, asJSON, c.ErrOrStderr())
+			return i.run(c.OutOrStdout(), args, report)
+		},
+	}
+	source.register(c)
+	c.Flags().StringVar(&report, "report", "", "file that gets a JSON line for each entry that was skipped")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	return c
+}
+
+// inspector reads files and collects their inspection.
+type inspector struct {
+	source     *sourceFlags
+	asJSON     bool
+	warnings   io.Writer     // gets the first skipped entries, unless the inspection is printed as JSON
+	report     *json.Encoder // gets all skipped entries; may be nil
+	skipped    int
+	inspection inspection
+}
+
+func newInspector(source *sourceFlags, asJSON bool, warnings io.Writer) *inspector {
+	empty := inspection{Skipped: map[workload.ErrorKind]int{}, Methods: map[string]int{}, Status: map[string]int{}}
+	return &inspector{source: source, asJSON: asJSON, warnings: warnings, inspection: empty}
+}
+
+func (i *inspector) run(out io.Writer, files []string, reportFile string) error {
+	if reportFile != "" {
+		w, err := os.Create(reportFile)
+		if err != nil {
+			return err
+		}
+		defer func() { _ = w.Close() }() // each line was written at once
+		i.report = json.NewEncoder(w)
+	}
+	for _, file := range files {
+		if err := i.source.read(file, i.inspection.add, i.skip); err != nil {
+			return err
+		}
+	}
+	i.inspection.finish()
+	if !i.asJSON {
+		i.inspection.print(out)
+	} else if err := json.NewEncoder(out).Encode(&i.inspection); err != nil {
+		return err
+	}
+	if len(i.inspection.Skipped) > 0 {
+		return &exitError{exitEntriesSkipped, errors.New("some entries were skipped")}
+	}
+	return nil
+}
+
+// skip counts and reports a skipped entry. With --strict it returns the entry's error.
+func (i *inspector) skip(skipped *workload.EntryError) error {
+	i.inspection.Skipped[skipped.Kind]++
+	if i.report != nil {
+		if err := i.report.Encode(skipped); err != nil {
+			return err
+		}
+	}
+	i.skipped++
+	if i.skipped <= maxShownErrors && !i.asJSON {
+		printf(i.warnings, "%v: %q\n", skipped, skipped.Text)
+	}
+	if i.source.strict {
+		return skipped
+	}
+	return nil
+}
+
+// inspection is the summary of recorded files.
+type inspection struct {
+	Entries int                        `json:"entries"`
+	Skipped map[workload.ErrorKind]int `json:"skipped"`
+	First   string                     `json:"first,omitempty"`
+	Last    string                     `json:"last,omitempty"`
+	Methods map[string]int             `json:"methods"`
+	Status  map[string]int             `json:"status"`
+	Curve   []int                      `json:"curve"` // entries in each of curveParts equal parts of the time
+	first   float64
+	last    float64
+	times   []float32 // of all entries since the first, in seconds; four bytes suffice for the curve
+}
+
+func (i *inspection) add(entry *workload.Entry) {
+	if i.Entries == 0 {
+		i.first = entry.At
+	}
+	i.Entries++
+	i.last = max(i.last, entry.At)
+	if len(i.Methods) < maxMethods || i.Methods[entry.Method] > 0 {
+		i.Methods[entry.Method]++
+	}
+	if entry.Status > 0 {
+		i.Status[fmt.Sprintf("%dxx", entry.Status/100)]++
+	}
+	i.times = append(i.times, float32(entry.At-i.first))
+}
+
+// finish derives the times and the curve from the entries.
+func (i *inspection) finish() {
+	if i.Entries == 0 {
+		return
+	}
+	i.First = formatTime(i.first)
+	i.Last = formatTime(i.last)
+	i.Curve = make([]int, curveParts)
+	duration := max(i.last-i.first, 1e-9)
+	for _, since := range i.times {
+		part := int(float64(since) / duration * curveParts)
+		i.Curve[min(curveParts-1, part)]++
+	}
+}
+
+func formatTime(seconds float64) string {
+	return time.UnixMicro(int64(seconds * 1e6)).UTC().Format(time.RFC3339Nano)
+}
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"runtime"
 	"sync"
 
@@ -11,78 +12,104 @@
 	"heathshed/internal/metastability"
 )
 
-// playedTrial is a trial with what came of it.
+const (
+	maxTrials  = 100000
+	maxWorkers = 1024
+)
+
+// metastabilityFlags are the flags of the command metastability.
+type metastabilityFlags struct {
+	trials, workers    int
+	seed               uint64
+	plant, all, asJSON bool
+}
+
+func metastabilityCommand() *cobra.Command {
+	var flags metastabilityFlags
+	c := &cobra.Command{
+		Use:   "metastability",
+		Short: "Search, in simulated time, for faults whose effects persist",
+		Long: "Run trials of a steady load with a trigger that is removed again, over random settings of admission and retries, and print which\n" +
+			"ones did not recover their goodput in time. Exit status 3 means that there were some. The same seed gives the same trials.",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return searchMetastability(c, &flags) },
+	}
+	f := c.Flags()
+	f.IntVar(&flags.trials, "trials", 50, "number of trials")
+	f.IntVar(&flags.workers, "workers", runtime.NumCPU(), "trials run at a time")
+	f.Uint64Var(&flags.seed, "seed", 1, "seed of the first trial; the others follow")
+	f.BoolVar(&flags.plant, "plant", false, "plant a mistake: an admission controller that counts requests which it shed itself as retries")
+	f.BoolVar(&flags.all, "all", false, "print every trial, not only those that failed")
+	f.BoolVar(&flags.asJSON, "json", false, "print trials as JSON lines")
+	return c
+}
+
+func searchMetastability(c *cobra.Command, flags *metastabilityFlags) error {
+	if flags.trials < 1 || flags.trials > maxTrials || flags.workers < 1 || flags.workers > maxWorkers {
+		return fmt.Errorf("trials %d, workers %d: want 1 to %d and 1 to %d", flags.trials, flags.workers, maxTrials, maxWorkers)
+	}
+	failed := 0
+	for _, played := range playTrials(flags) {
+		if played.err != nil {
+			return played.err
+		}
+		recovered := played.verdict.Recovered()
+		if !recovered {
+			failed++
+		}
+		if recovered && !flags.all {
+			continue
+		}
+		if err := printTrial(c.OutOrStdout(), &played, flags.asJSON); err != nil {
+			return err
+		}
+	}
+	printf(c.ErrOrStderr(), "%d trials, %d not back in time\n", flags.trials, failed)
+	if failed > 0 {
+		return &exitError{exitNotRecovered, fmt.Errorf("%d of %d trials were not back in time", failed, flags.trials)}
+	}
+	return nil
+}
+
+// playedTrial is a trial with its verdict.
 type playedTrial struct {
 	trial   metastability.Trial
 	verdict metastability.Verdict
+	err     error
 }
 
-func metastabilityCommand() *cobra.Command {
-	var trials, workers int
-	var seed uint64
-	var plant, all, asJSON bool
-	c := &cobra.Command{Use: "recover", Short: "Search, in simulated time, for trouble whose effects outlast it",
-		Long: "Play trials of a steady load with a trigger that is taken away, over random settings of gate and owner, and say which ones were not\n" +
-			"back at their earlier goodput in time. Exit code 3 says that there were some. The same seed gives the same trials.",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			if trials < 1 || trials > 100000 || workers < 1 || workers > 1024 {
-				return fmt.Errorf("trials %d, workers %d: want 1 to 100000 and 1 to 1024", trials, workers)
-			}
-			rows := make([]playedTrial, trials)
-			errs := make([]error, trials)
-			next := make(chan int)
-			var wg sync.WaitGroup
-			for range workers {
-				wg.Add(1)
-				go func() {
-					defer wg.Done()
-					for i := range next {
-						trial := metastability.Draw(seed + uint64(i))
-						trial.Admission.ShedUsesRetryBudget = plant
-						verdict, err := metastability.Play(trial)
-						rows[i], errs[i] = playedTrial{trial, verdict}, err
-					}
-				}()
-			}
-			for i := range trials {
-				next <- i
-			}
-			close(next)
-			wg.Wait()
-			failed := 0
-			for i := range rows {
-				if errs[i] != nil {
-					return errs[i]
-				}
-				r := &rows[i]
-				held := r.verdict.Recovered()
-				if !held {
-					failed++
-				}
-				if held && !all {
-					continue
-				}
-				if asJSON {
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(newTrialRow(&r.trial, &r.verdict)); err != nil {
-						return err
-					}
-					continue
-				}
-				fmt.Fprintf(c.OutOrStdout(), "seed %d  held %v  %s for %.1f s  load %.2f  backoff %d  in time %.2f, at worst %.2f  back after %.0f s of %.0f  "+
-					"open %d at most, %d at the end\n", r.trial.Seed, held, r.trial.Trigger.Kind, r.trial.Trigger.Duration, r.trial.Load, r.trial.Backoff,
-					r.verdict.BaselineGoodput, r.verdict.WorstGoodput, r.verdict.RecoveryTime, r.verdict.AllowedTime, r.verdict.PeakOpenTasks, r.verdict.FinalOpenTasks)
+// playTrials runs the trials on a number of workers and returns them in the order of their seeds.
+func playTrials(flags *metastabilityFlags) []playedTrial {
+	played := make([]playedTrial, flags.trials)
+	next := make(chan int)
+	var workers sync.WaitGroup
+	for range flags.workers {
+		workers.Add(1)
+		go func() {
+			defer workers.Done()
+			for i := range next {
+				trial := metastability.Draw(flags.seed + uint64(i))
+				trial.Admission.ShedUsesRetryBudget = flags.plant
+				verdict, err := metastability.Play(trial)
+				played[i] = playedTrial{trial, verdict, err}
 			}
-			fmt.Fprintf(c.ErrOrStderr(), "%d trials, %d not back in time\n", trials, failed)
-			if failed > 0 {
-				return &exitError{3, fmt.Errorf("%d of %d trials were not back in time", failed, trials)}
-			}
-			return nil
-		}}
-	c.Flags().IntVar(&trials, "trials", 50, "number of trials")
-	c.Flags().IntVar(&workers, "workers", runtime.NumCPU(), "trials played at a time")
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first trial; the others follow")
-	c.Flags().BoolVar(&plant, "plant", false, "make the mistake of a gate that takes what it shed itself for asks again")
-	c.Flags().BoolVar(&all, "all", false, "print every trial, not only those that failed")
-	c.Flags().BoolVar(&asJSON, "json", false, "print trials as JSON lines")
-	return c
+		}()
+	}
+	for i := range flags.trials {
+		next <- i
+	}
+	close(next)
+	workers.Wait()
+	return played
+}
+
+func printTrial(w io.Writer, played *playedTrial, asJSON bool) error {
+	t, v := &played.trial, &played.verdict
+	if asJSON {
+		return json.NewEncoder(w).Encode(newTrialJSON(t, v))
+	}
+	printf(w, "seed %d  held %v  %s for %.1f s  load %.2f  backoff %d  in time %.2f, at worst %.2f  back after %.0f s of %.0f  "+
+		"open %d at most, %d at the end\n", t.Seed, v.Recovered(), t.Trigger.Kind, t.Trigger.Duration, t.Load, t.Backoff,
+		v.BaselineGoodput, v.WorstGoodput, v.RecoveryTime, v.AllowedTime, v.PeakOpenTasks, v.FinalOpenTasks)
+	return nil
 }
--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -9,9 +9,9 @@
 	"heathshed/internal/scenario"
 )
 
-// trialRow is one trial of the search as it is printed as JSON. Its keys are part of the command's output: they stay as they are when the
+// trialResultJSON is one trial of the search as it is printed as JSON. Its keys are part of the command's output: they stay as they are when the
 // fields that they are filled from get other names.
-type trialRow struct {
+type trialResultJSON struct {
 	Trial   trialJSON   `json:"trial"`
 	Verdict verdictJSON `json:"verdict"`
 	Held    bool        `json:"held"`
@@ -62,7 +62,7 @@
 	Attempts          uint64  `json:"Offers"`
 }
 
-func newTrialRow(t *metastability.Trial, v *metastability.Verdict) trialRow {
+func newTrialJSON(t *metastability.Trial, v *metastability.Verdict) trialResultJSON {
 	verdict := verdictJSON{
 		BaselineGoodput:   v.BaselineGoodput,
 		WorstGoodput:      v.WorstGoodput,
@@ -78,7 +78,7 @@
 	}
 	trial := trialJSON{Seed: t.Seed, Trigger: t.Trigger, Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
 		Retry: newRetryJSON(&t.Retry)}
-	return trialRow{Trial: trial, Verdict: verdict, Held: v.Recovered()}
+	return trialResultJSON{Trial: trial, Verdict: verdict, Held: v.Recovered()}
 }
 
 func newAdmissionJSON(c *admission.Config) admissionJSON {
--- a/cmd/heathshed/metastability_test.go
+++ b/cmd/heathshed/metastability_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			verdict := metastability.Verdict{BaselineGoodput: 24, WorstGoodput: 25, RecoveryTime: c.back, AllowedTime: 27, PeakOpenTasks: 28, FinalOpenTasks: 29, PlacementRequests: 30, Attempts: 31}
-			got, err := json.Marshal(newTrialRow(&trial, &verdict))
+			got, err := json.Marshal(newTrialJSON(&trial, &verdict))
 			if err != nil {
 				t.Fatal(err)
 			}
--- /dev/null
+++ b/cmd/heathshed/scenario_result.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"io"
+	"maps"
+	"slices"
+
+	"heathshed/internal/audit"
+	"heathshed/internal/faultinjection"
+)
+
+// maxPrintedViolations bounds the violations that are printed one by one.
+const maxPrintedViolations = 20
+
+func printProgress(w io.Writer, elapsed float64, f *faultinjection.Figures) {
+	printf(w, "%5.0f s  jobs %d  tasks %d  settled %d  watches broken %d  schedulers killed %d  p50 %.3f s  p99 %.3f s\n",
+		elapsed, f.Jobs, f.Tasks, f.Settled, f.WatchesDropped, f.SchedulerKills, f.P50, f.P99)
+}
+
+// printResult prints the result of a scenario as text.
+func printResult(w io.Writer, result *faultinjection.Result) {
+	report, figures := &result.Audit, &result.Figures
+	printf(w, "day of %.0f s: %d schedulers, %d machines\n", result.Seconds, result.Schedulers, result.Nodes)
+	printf(w, "tasks asked %d, placed %d, refused %d, failed %d, without outcome as their scheduler was killed or their owner withdrew %d\n",
+		report.Tasks, report.Outcomes["Placed"], report.Outcomes["Refused"], report.Outcomes["Failed"], report.WithoutOutcome)
+	printf(w, "offers %d, refused %d, starts %d, machine crashes %d, schedulers killed %d\n",
+		report.Attempts, report.Rejections, report.Starts, report.Crashes, figures.SchedulerKills)
+	printf(w, "client watches broken %d, lists anew %d, requests tried again %d\n", figures.WatchesDropped, figures.Relists, figures.Retries)
+	printf(w, "asked to settled: p50 %.4f s, p99 %.4f s, max %.4f s\n", figures.P50, figures.P99, figures.Max)
+	printHostile(w, &figures.Hostile)
+	printEnds(w, report.Ends)
+	printViolations(w, report)
+}
+
+func printHostile(w io.Writer, clients *faultinjection.Hostile) {
+	if clients.MemoryPeak == 0 {
+		return
+	}
+	printf(w, "memory of the schedulers: %d MiB in the second quarter, %d MiB in the last; one had %d MiB at most\n",
+		clients.MemoryEarly, clients.MemoryLate, clients.MemoryPeak)
+	if clients.StalledConnections > 0 {
+		printf(w, "hostile clients: %d bombs, %d refused, %d taken; %d connections that never read or never ended a request\n",
+			clients.ExpensiveRequests, clients.Rejected, clients.Accepted, clients.StalledConnections)
+	}
+}
+
+// printEnds prints how many tasks ended for each reason.
+func printEnds(w io.Writer, ends map[string]int) {
+	printf(w, "ends:")
+	for _, reason := range slices.Sorted(maps.Keys(ends)) {
+		name := reason
+		if reason == "" {
+			name = "in order"
+		}
+		printf(w, " %s %d,", name, ends[reason])
+	}
+	printf(w, "\n")
+}
+
+func printViolations(w io.Writer, report *audit.Report) {
+	printf(w, "rules: %d violations in %d events\n", len(report.Violations), report.Events)
+	for i, violation := range report.Violations {
+		if i == maxPrintedViolations {
+			printf(w, "  and %d more\n", len(report.Violations)-i)
+			break
+		}
+		printf(w, "  %s\n", violation)
+	}
+}
--- /dev/null
+++ b/cmd/heathshed/serve.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"runtime/debug"
+
+	"github.com/rs/zerolog"
+	"github.com/spf13/cobra"
+
+	"heathshed/internal/config"
+	"heathshed/internal/emulator"
+	"heathshed/internal/eventloop"
+	"heathshed/internal/httpd"
+	"heathshed/internal/memquota"
+	"heathshed/internal/scheduler"
+)
+
+const (
+	// watchIdleTimeout is how long a watch on the inventory may be silent, in seconds.
+	watchIdleTimeout = 90
+	// revisionsPerSecond lets the revisions of a scheduler continue to grow over its restarts.
+	revisionsPerSecond = 1e6
+)
+
+func serveCommand() *cobra.Command {
+	var flags commonFlags
+	var seed uint64
+	c := &cobra.Command{
+		Use:   "serve",
+		Short: "Run one scheduler",
+		Args:  cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			settings, err := flags.settings()
+			if err != nil {
+				return err
+			}
+			if flags.printConfig {
+				return printSettings(c.OutOrStdout(), &settings)
+			}
+			if seed == 0 {
+				seed = randomSeed()
+			}
+			return serve(c, &flags, &settings, seed)
+		},
+	}
+	flags.register(c)
+	c.Flags().Uint64Var(&seed, "seed", 0, "seed of all random numbers; 0 draws one")
+	return c
+}
+
+// serve runs a scheduler until it is stopped by a signal.
+func serve(c *cobra.Command, flags *commonFlags, settings *config.Settings, seed uint64) error {
+	log := flags.logger(settings)
+	loop, err := eventloop.New()
+	if err != nil {
+		return err
+	}
+	server, err := scheduler.New(loop, schedulerOptions(settings, loop, seed, log))
+	if err != nil {
+		return err
+	}
+	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", settings.Inventory).Str("name", settings.Name).Msg("scheduler listens")
+	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout, loop.Stop) })
+	return loop.Run()
+}
+
+func randomSeed() uint64 {
+	var seed [8]byte
+	_, _ = rand.Read(seed[:]) // never fails
+	return binary.LittleEndian.Uint64(seed[:])
+}
+
+// schedulerOptions returns the options of a scheduler, and sets the limits of the process and of the loop that it runs on.
+func schedulerOptions(settings *config.Settings, loop *eventloop.Loop, seed uint64, log zerolog.Logger) scheduler.Options {
+	memory := int64(settings.Limits.MemoryMiB) << 20
+	debug.SetMemoryLimit(memory) // the garbage collector runs more often near it; the shares of package memquota bound the use
+	loop.SetMaxConns(settings.Limits.Connections)
+	http := httpd.DefaultOptions()
+	http.Limits.Body = settings.Limits.MaxBodyBytes
+	http.MemoryBytes = memquota.Divide(memory).Connections
+	return scheduler.Options{
+		Engine:                  settings.Engine(seed, int64(loop.Now()*revisionsPerSecond)),
+		ListenAddress:           settings.Listen,
+		InventoryAddress:        settings.Inventory,
+		Version:                 version,
+		HTTP:                    http,
+		ConnectTimeoutSeconds:   settings.ConnectTimeout,
+		NodeSyncTimeoutSeconds:  settings.NodeSyncTimeout,
+		MaxListItems:            settings.Limits.MaxPage,
+		WatchIdleTimeoutSeconds: watchIdleTimeout,
+		Log:                     log,
+	}
+}
+
+func upCommand() *cobra.Command {
+	var flags commonFlags
+	var nodes int
+	c := &cobra.Command{
+		Use:   "up",
+		Short: "Run a scheduler with emulated nodes and an inventory, all in one process",
+		Long: "Run a scheduler with emulated nodes and an inventory on loopback, all in this one process. It is ready when\n" +
+			"/readyz returns 200. Ctrl-C shuts it down gracefully.",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			settings, err := flags.settings()
+			if err != nil {
+				return err
+			}
+			if nodes > 0 {
+				settings.Emulator.Nodes = nodes
+			}
+			if err := settings.Validate(); err != nil {
+				return err
+			}
+			if flags.printConfig {
+				return printSettings(c.OutOrStdout(), &settings)
+			}
+			return up(c, &flags, &settings)
+		},
+	}
+	flags.register(c)
+	c.Flags().IntVar(&nodes, "nodes", 0, "number of emulated nodes")
+	return c
+}
+
+// up runs a scheduler and the emulator until they are stopped by a signal.
+func up(c *cobra.Command, flags *commonFlags, settings *config.Settings) error {
+	log := flags.logger(settings)
+	loop, err := eventloop.New()
+	if err != nil {
+		return err
+	}
+	// The emulator has a loop of its own, so that it does not delay the scheduler.
+	emulatorLoop, err := eventloop.New()
+	if err != nil {
+		return err
+	}
+	inventory, err := startEmulator(emulatorLoop, settings, flags.inventory)
+	if err != nil {
+		return err
+	}
+	settings.Inventory = inventory.Addr()
+	server, err := scheduler.New(loop, schedulerOptions(settings, loop, randomSeed(), log))
+	if err != nil {
+		return err
+	}
+	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", "http://"+inventory.Addr()).Int("nodes", settings.Emulator.Nodes).
+		Msg("scheduler, inventory and emulated nodes listen")
+	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
+	emulatorDone := make(chan error, 1)
+	go func() { emulatorDone <- emulatorLoop.Run() }()
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout, loop.Stop) })
+	err = loop.Run()
+	emulatorLoop.Stop()
+	if emulatorErr := <-emulatorDone; emulatorErr != nil {
+		log.Error().Err(emulatorErr).Msg("emulator failed")
+	}
+	return err
+}
+
+// startEmulator starts an inventory and the nodes that report to it.
+func startEmulator(loop *eventloop.Loop, settings *config.Settings, listen string) (*emulator.Inventory, error) {
+	options := inventoryOptions(settings)
+	options.Listen = listen
+	if listen == "" {
+		options.Listen = anyLoopbackPort
+	}
+	inventory, err := emulator.StartInventory(loop, options)
+	if err != nil {
+		return nil, err
+	}
+	for i := range settings.Emulator.Nodes {
+		options := nodeOptions(settings, i)
+		options.Inventory = inventory.Addr()
+		if _, err := emulator.StartNode(loop, options); err != nil {
+			return nil, err
+		}
+	}
+	return inventory, nil
+}
--- /dev/null
+++ b/cmd/heathshed/source.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"heathshed/internal/workload"
+)
+
+// sourceFlags say how recorded files are read.
+type sourceFlags struct {
+	format string
+	window float64
+	strict bool
+}
+
+func (s *sourceFlags) register(c *cobra.Command) {
+	flags := c.Flags()
+	flags.StringVar(&s.format, "format", "auto", "har, jsonl, common, combined, or an Apache LogFormat or nginx log_format; auto looks at the first bytes")
+	flags.Float64Var(&s.window, "window", 5, "seconds within which entries that are out of order are put in order")
+	flags.BoolVar(&s.strict, "strict", false, "stop at the first entry that cannot be read")
+}
+
+// read passes the entries of a file to handle in order of time, and those that cannot be read to skip, which may end the reading with an
+// error. - is standard input.
+func (s *sourceFlags) read(name string, handle func(*workload.Entry), skip func(*workload.EntryError) error) error {
+	file := os.Stdin
+	if name != "-" {
+		var err error
+		if file, err = os.Open(name); err != nil {
+			return err
+		}
+	}
+	defer func() { _ = file.Close() }() // only read
+	reader, err := s.newReader(file, name)
+	if err != nil {
+		return err
+	}
+	sorter := workload.Sorter{Window: s.window}
+	var sorted []workload.Entry
+	emit := func() {
+		for i := range sorted {
+			handle(&sorted[i])
+		}
+		sorted = sorted[:0]
+	}
+	for {
+		entry, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			sorted = sorter.Flush(sorted)
+			emit()
+			return nil
+		}
+		var skipped *workload.EntryError
+		if err == nil {
+			sorted, skipped = sorter.Add(entry, sorted)
+			emit()
+		} else if !errors.As(err, &skipped) {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		if skipped != nil {
+			if err := skip(skipped); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// newReader returns a reader of the entries of a file.
+func (s *sourceFlags) newReader(file io.Reader, name string) (workload.Reader, error) {
+	source, err := workload.Decompress(file)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	format := s.format
+	if format == "auto" {
+		if format, source, err = workload.DetectFormat(source); err != nil {
+			return nil, fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	switch format {
+	case "har":
+		return workload.NewHAR(source, name), nil
+	case "jsonl":
+		return workload.NewJSONLines(source, name, workload.DefaultJSONFields()), nil
+	case "common":
+		format = workload.Common
+	case "combined":
+		format = workload.Combined
+	}
+	logFormat, err := workload.ParseFormat(format)
+	if err != nil {
+		return nil, err
+	}
+	return workload.NewLog(source, name, logFormat), nil
+}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost plays heathshed's decisions on the simulator's wire, on standard input and output.
+// Command simadapter answers the simulator on standard input and output with heathshed's placement decisions.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simadapter.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "simadapter:", err) // nobody is left to tell if this fails
 		os.Exit(1)
 	}
 }
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -162,7 +162,7 @@
 	if err := writeSettings(settingsFile, &settings); err != nil {
 		return err
 	}
-	if err := r.spawn("inventory", "standin", "inventory", "-c", settingsFile, "--tap", r.eventFile("inventory")); err != nil {
+	if err := r.spawn("inventory", "emulate", "inventory", "-c", settingsFile, "--tap", r.eventFile("inventory")); err != nil {
 		return err
 	}
 	settings.Inventory = r.processes["inventory"].addr
@@ -174,7 +174,7 @@
 				return err
 			}
 		}
-		if err := r.spawn(name, "standin", "node", "-c", settingsFile, "--name", name, "--index", fmt.Sprint(i), "--listen", "127.0.0.1:0",
+		if err := r.spawn(name, "emulate", "node", "-c", settingsFile, "--name", name, "--index", fmt.Sprint(i), "--listen", "127.0.0.1:0",
 			"--tap", r.eventFile(name)); err != nil {
 			return err
 		}
