--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -12,8 +12,8 @@
 	"heathshed/internal/scenario"
 )
 
-// A short day over real processes, with schedulers killed, machines dying and the inventory away, breaks no rule; and every outcome
-// that the client saw it saw once. Clients that mean harm change nothing of it.
+// TestShortScenario runs a short scenario over real processes. No rule is broken while schedulers are killed, nodes crash and the inventory is
+// unreachable, each outcome reaches the client once, and hostile clients change nothing of it.
 func TestShortScenario(t *testing.T) {
 	executable := filepath.Join(t.TempDir(), "heathshed")
 	if out, err := exec.Command("go", "build", "-o", executable, "heathshed/cmd/heathshed").CombinedOutput(); err != nil {
@@ -34,6 +34,6 @@
 		t.Errorf("hostile clients: %+v", hostile)
 	}
 	if result.Audit.Tasks == 0 || result.Audit.Attempts == 0 || result.Audit.Starts == 0 || result.Figures.SchedulerKills != 2 || result.Audit.Crashes == 0 {
-		t.Errorf("the day did not come about: %+v", result)
+		t.Errorf("the scenario did not come about: %+v", result)
 	}
 }
--- a/internal/faultinjection/hostile.go
+++ b/internal/faultinjection/hostile.go
@@ -3,159 +3,157 @@
 package faultinjection
 
 import (
+	"bytes"
 	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"slices"
-	"strconv"
 	"strings"
 	"time"
 
 	"heathshed/internal/simulation"
 )
 
-// Hostile figures of what clients that mean harm met, and of the schedulers' memory meanwhile.
+// Hostile holds what hostile clients met, and the memory of the schedulers meanwhile.
 type Hostile struct {
-	ExpensiveRequests  int `json:"Bombs"`    // requests that are small to send and dear to read
-	Rejected           int `json:"Refused"`  // of them, answered with a 4xx
-	Accepted           int `json:"Taken"`    // of them, answered otherwise: there should be none
+	ExpensiveRequests  int `json:"Bombs"`    // requests that are small to send and costly to process
+	Rejected           int `json:"Refused"`  // of them, answered with a status of 400 to 499
+	Accepted           int `json:"Taken"`    // of them, answered otherwise, but not with 503: there should be none
 	StalledConnections int `json:"Silent"`   // connections opened that never read, or never end their request
-	MemoryEarly        int `json:"Early"`    // median resident memory of the schedulers in the second quarter of the day, MiB together
+	MemoryEarly        int `json:"Early"`    // median resident memory of all schedulers in the second quarter of the run, MiB
 	MemoryLate         int `json:"Late"`     // the same in the last quarter
-	MemoryPeak         int `json:"MostHeld"` // the most that one scheduler had at any second, MiB
-}
-
-// expensiveRequests are requests as in the table of package api's tests, each with its way in.
-func expensiveRequests() (out [][4]string) {
-	const jobs = "/apis/batch/v1/namespaces/default/jobs"
-	node := "/api/v1/nodes/" + simulation.NodeName(0)
-	job := func(cpu string) string {
-		return `{"metadata":{"name":"bomb"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
-			`{"requests":{"cpu":"` + cpu + `"}}}]}}}}`
-	}
-	ops := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
-	for i := range 40 {
-		ops = append(ops, fmt.Sprintf(`{"op":"copy","from":"/metadata","path":"/metadata/annotations/x%d"}`, i))
-	}
-	deep := strings.Repeat(`{"a":`, 9000) + "1" + strings.Repeat("}", 9000)
-	return [][4]string{
-		{"PATCH", node, "application/json-patch+json", "[" + strings.Join(ops, ",") + "]"},
-		{"PATCH", node, "application/merge-patch+json", deep},
-		{"PATCH", node, "application/strategic-merge-patch+json", deep},
-		{"POST", jobs, "application/json", job("1e1000000000")},
-		{"POST", jobs, "application/json", job("1e-2147483647")},
-		{"POST", jobs, "application/json", `{"spec":{"template":{"spec":{"containers":[` + strings.Repeat("{},", 500000) + `{}]}}}}`},
-		{"GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", ""},
-		{"GET", "/api/v1/namespaces/default%2Fx/pods", "", ""},
-	}
+	MemoryPeak         int `json:"MostHeld"` // highest resident memory of one scheduler, MiB
 }
 
 const (
 	unreadWatches         = 150
 	incompleteRequests    = 100
 	unreadListConnections = 10
+	listsPerConnection    = 500
+
+	hostileInterval       = 500 * time.Millisecond // between expensive requests
+	reopenRounds          = 40                     // expensive requests after which stalled connections are opened anew
+	dialTimeout           = time.Second
+	hostileWriteTimeout   = 50 * time.Millisecond
+	incompleteBodyBytes   = 3_000_000
+	nestingDepth          = 9000
+	containerCount        = 500_000
+	patchCopies           = 40
+	selectorRequirements  = 2000
+	largestExponent       = "1e1000000000"
+	smallestExponent      = "1e-2147483647"
+	jsonPatchType         = "application/json-patch+json"
+	strategicMergeType    = "application/strategic-merge-patch+json"
+	defaultNamespaceJobs  = "/apis/batch/v1/namespaces/default/jobs"
+	escapedNamespacePods  = "/api/v1/namespaces/default%2Fx/pods"
+	unreadWatchRequest    = "GET /api/v1/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"
+	unreadListRequest     = "GET /api/v1/pods HTTP/1.1\r\nHost: a\r\n\r\n"
+	incompleteHeadRequest = "GET /api/v1/po"
 )
 
-// runHostileClient sends bombs to one scheduler, twice a second, and keeps connections open that never read or never end their request, until the
-// day ends.
-func (r *runner) runHostileClient(ctx context.Context, i int) {
-	name := simulation.SchedulerName(i)
-	var open []net.Conn
-	defer func() {
-		for _, c := range open {
-			c.Close()
-		}
-	}()
-	openStalled := func(n int, text string) {
-		for range n {
-			conn, err := net.DialTimeout("tcp", strings.TrimPrefix(r.baseURL(name), "http://"), time.Second)
-			if err != nil {
-				return
-			}
-			open = append(open, conn)
-			conn.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
-			io.WriteString(conn, text)
-			r.update(func(f *Figures) { f.Hostile.StalledConnections++ })
-		}
+// expensiveRequests returns requests that are small to send and would be costly to process, one for each way in. Package api has a test for
+// each.
+func expensiveRequests() []apiRequest {
+	node := "/api/v1/nodes/" + simulation.NodeName(0)
+	operations := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
+	for i := range patchCopies {
+		operations = append(operations, fmt.Sprintf(`{"op":"copy","from":"/metadata","path":"/metadata/annotations/x%d"}`, i))
+	}
+	doublingPatch := "[" + strings.Join(operations, ",") + "]"
+	deepObject := strings.Repeat(`{"a":`, nestingDepth) + "1" + strings.Repeat("}", nestingDepth)
+	manyContainers := `{"spec":{"template":{"spec":{"containers":[` + strings.Repeat("{},", containerCount) + `{}]}}}}`
+	return []apiRequest{
+		{http.MethodPatch, node, jsonPatchType, []byte(doublingPatch)},
+		{http.MethodPatch, node, mergePatchType, []byte(deepObject)},
+		{http.MethodPatch, node, strategicMergeType, []byte(deepObject)},
+		{http.MethodPost, defaultNamespaceJobs, jsonType, jobRequesting(largestExponent)},
+		{http.MethodPost, defaultNamespaceJobs, jsonType, jobRequesting(smallestExponent)},
+		{http.MethodPost, defaultNamespaceJobs, jsonType, []byte(manyContainers)},
+		{http.MethodGet, "/api/v1/pods?labelSelector=" + strings.Repeat("a,", selectorRequirements) + "a", "", nil},
+		{http.MethodGet, escapedNamespacePods, "", nil},
 	}
+}
+
+// jobRequesting returns a Job whose task requests the given quantity of CPU.
+func jobRequesting(cpu string) []byte {
+	return []byte(`{"metadata":{"name":"bomb"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
+		`{"requests":{"cpu":"` + cpu + `"}}}]}}}}`)
+}
+
+// stalledConnections are open connections of a hostile client.
+type stalledConnections struct {
+	runner    *runner
+	scheduler string
+	open      []net.Conn
+}
+
+// runHostileClient sends expensive requests to one scheduler, and keeps connections open that never read or never end their request, until
+// the context ends.
+func (r *runner) runHostileClient(ctx context.Context, scheduler string) {
+	stalled := &stalledConnections{runner: r, scheduler: scheduler}
+	defer stalled.closeAll()
 	requests := expensiveRequests()
 	for round := 0; ctx.Err() == nil; round++ {
-		if round%40 == 0 {
+		if round%reopenRounds == 0 {
 			// The scheduler, or a kill of it, has closed many of them by now.
-			for _, c := range open {
-				c.Close()
-			}
-			open = open[:0]
-			openStalled(unreadWatches, "GET /api/v1/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n")
-			openStalled(incompleteRequests/2, "POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 3000000\r\n\r\n{")
-			openStalled(incompleteRequests/2, "GET /api/v1/po")
-			openStalled(unreadListConnections, strings.Repeat("GET /api/v1/pods HTTP/1.1\r\nHost: a\r\n\r\n", 500))
-		}
-		b := requests[round%len(requests)]
-		req, err := http.NewRequestWithContext(ctx, b[0], r.baseURL(name)+b[1], strings.NewReader(b[3]))
-		if err == nil {
-			req.Header.Set("Content-Type", b[2])
-			if resp, err := r.client.Do(req); err == nil {
-				io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<20))
-				resp.Body.Close()
-				r.update(func(f *Figures) {
-					f.Hostile.ExpensiveRequests++
-					if resp.StatusCode/100 == 4 {
-						f.Hostile.Rejected++
-					} else if resp.StatusCode != 503 {
-						f.Hostile.Accepted++
-					}
-				})
-			}
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(500 * time.Millisecond):
+			stalled.closeAll()
+			stalled.openAll()
 		}
+		r.sendExpensive(ctx, scheduler, &requests[round%len(requests)])
+		_ = sleep(ctx, hostileInterval) // the loop looks at the context
 	}
 }
 
-// residentMiB is the memory of a process in MiB, as /proc tells it (VmRSS of proc(5)); 0 if it is not there.
-func residentMiB(pid int) int {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+// sendExpensive sends an expensive request and counts how it was answered, if it was.
+func (r *runner) sendExpensive(ctx context.Context, scheduler string, request *apiRequest) {
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, r.baseURL(scheduler)+request.path, bytes.NewReader(request.body))
 	if err != nil {
-		return 0
+		return
 	}
-	_, after, _ := strings.Cut(string(b), "VmRSS:")
-	line, _, _ := strings.Cut(after, "kB")
-	kibibytes, _ := strconv.Atoi(strings.TrimSpace(line))
-	return kibibytes >> 10
+	httpRequest.Header.Set("Content-Type", request.contentType)
+	response, err := r.client.Do(httpRequest)
+	if err != nil {
+		return
+	}
+	discard(response)
+	r.update(func(f *Figures) {
+		f.Hostile.ExpensiveRequests++
+		switch {
+		case response.StatusCode/100 == 4:
+			f.Hostile.Rejected++
+		case response.StatusCode != http.StatusServiceUnavailable:
+			f.Hostile.Accepted++
+		}
+	})
 }
 
-// sampleMemory looks at the schedulers' memory once a second, until the day ends.
-func (r *runner) sampleMemory(ctx context.Context) {
-	var totals []int
-	for ctx.Err() == nil {
-		total := 0
-		r.mu.Lock()
-		for i := range r.options.Script.Schedulers {
-			if p := r.processes[simulation.SchedulerName(i)]; p != nil && p.cmd != nil && p.cmd.Process != nil {
-				m := residentMiB(p.cmd.Process.Pid)
-				total += m
-				r.figures.Hostile.MemoryPeak = max(r.figures.Hostile.MemoryPeak, m)
-			}
-		}
-		r.mu.Unlock()
-		totals = append(totals, total)
-		select {
-		case <-ctx.Done():
-		case <-time.After(time.Second):
+func (s *stalledConnections) openAll() {
+	incompleteBody := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n{", defaultNamespaceJobs, incompleteBodyBytes)
+	s.openEach(unreadWatches, unreadWatchRequest)
+	s.openEach(incompleteRequests/2, incompleteBody)
+	s.openEach(incompleteRequests/2, incompleteHeadRequest)
+	s.openEach(unreadListConnections, strings.Repeat(unreadListRequest, listsPerConnection))
+}
+
+// openEach opens so many connections and sends the text on each. It ends early if the scheduler does not accept one.
+func (s *stalledConnections) openEach(count int, text string) {
+	for range count {
+		conn, err := net.DialTimeout("tcp", strings.TrimPrefix(s.runner.baseURL(s.scheduler), addressPrefix), dialTimeout)
+		if err != nil {
+			return
 		}
+		s.open = append(s.open, conn)
+		// The text may not be taken whole, as answers to its first part are not read: that is the attack.
+		_ = conn.SetWriteDeadline(time.Now().Add(hostileWriteTimeout))
+		_, _ = io.WriteString(conn, text)
+		s.runner.update(func(f *Figures) { f.Hostile.StalledConnections++ })
 	}
-	n := len(totals)
-	if n < 8 {
-		return
+}
+
+func (s *stalledConnections) closeAll() {
+	for _, conn := range s.open {
+		closeQuietly(conn)
 	}
-	median := func(s []int) int { s = slices.Sorted(slices.Values(s)); return s[len(s)/2] }
-	r.update(func(f *Figures) {
-		f.Hostile.MemoryEarly, f.Hostile.MemoryLate = median(totals[n/4:n/2]), median(totals[n-n/4:])
-	})
+	s.open = s.open[:0]
 }
