--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -241,7 +241,8 @@
 		delete(returning, tick)
 		for ; waiting > 0; waiting-- {
 			id++
-			if decision, _ := controller.Submit(now, Request{ID: id, Deadline: now + 10, FinalDeadline: now + 10, LatencyObjective: 1, IsRetry: true, ShedBefore: true}); decision == Admit {
+			request := Request{ID: id, Deadline: now + 10, FinalDeadline: now + 10, LatencyObjective: 1, IsRetry: true, ShedBefore: true}
+			if decision, _ := controller.Submit(now, request); decision == Admit {
 				ends = append(ends, end{now + 0.02, id})
 			}
 		}
--- a/internal/admission/characterization_test.go
+++ b/internal/admission/characterization_test.go
@@ -102,10 +102,16 @@
 // recordInvalidConfigs pins the error texts of invalid configurations.
 func recordInvalidConfigs(record *golden.Recorder) {
 	for i, change := range []func(*admission.Config){
-		func(c *admission.Config) { c.MinInFlight = 0 }, func(c *admission.Config) { c.MaxInFlight = 0 }, func(c *admission.Config) { c.InitialInFlight = 0 },
-		func(c *admission.Config) { c.DecreaseFactor = 1 }, func(c *admission.Config) { c.DecreaseInterval = -1 }, func(c *admission.Config) { c.LateFraction = 2 },
-		func(c *admission.Config) { c.MaxQueued = 0 }, func(c *admission.Config) { c.RetryRatio = -1 },
-		func(c *admission.Config) { c.RetryRate = -1 }, func(c *admission.Config) { c.RetryBurst = -1 },
+		func(c *admission.Config) { c.MinInFlight = 0 },
+		func(c *admission.Config) { c.MaxInFlight = 0 },
+		func(c *admission.Config) { c.InitialInFlight = 0 },
+		func(c *admission.Config) { c.DecreaseFactor = 1 },
+		func(c *admission.Config) { c.DecreaseInterval = -1 },
+		func(c *admission.Config) { c.LateFraction = 2 },
+		func(c *admission.Config) { c.MaxQueued = 0 },
+		func(c *admission.Config) { c.RetryRatio = -1 },
+		func(c *admission.Config) { c.RetryRate = -1 },
+		func(c *admission.Config) { c.RetryBurst = -1 },
 		func(c *admission.Config) { c.Shares = []float64{-1} },
 	} {
 		config := admission.DefaultConfig()
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -34,26 +34,37 @@
 	s := newPodServer(5)
 	const kubectl = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json;as=Table;v=v1beta1;g=meta.k8s.io,application/json"
 	for _, c := range []struct {
-		target, accept string
-		rows           int
-		more           bool
-	}{{"/api/v1/pods", kubectl, 5, false}, {"/api/v1/namespaces/default/pods/pa", kubectl, 1, false}, {"/api/v1/pods?limit=2", kubectl, 2, true},
-		{"/api/v1/pods?labelSelector=odd%3D1", kubectl, 2, false}, {"/api/v1/pods", "application/json," + kubectl, -1, false}} {
-		resp := s.getAs(c.target, c.accept)
-		var tb metav1.Table
-		if err := json.Unmarshal(resp.Body, &tb); err != nil || resp.Status != 200 {
-			t.Fatalf("%s: %d, %v", c.target, resp.Status, err)
-		}
-		if c.rows < 0 {
-			if tb.Kind != "PodList" {
-				t.Errorf("%s: %s where the client prefers plain JSON", c.target, tb.Kind)
+		name, target, accept string
+		kind                 string
+		rows                 int
+		more                 bool
+	}{
+		{"list", "/api/v1/pods", kubectl, "Table", 5, false},
+		{"one object", "/api/v1/namespaces/default/pods/pa", kubectl, "Table", 1, false},
+		{"page", "/api/v1/pods?limit=2", kubectl, "Table", 2, true},
+		{"selector", "/api/v1/pods?labelSelector=odd%3D1", kubectl, "Table", 2, false},
+		{"plain JSON preferred", "/api/v1/pods", "application/json," + kubectl, "PodList", 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			resp := s.getAs(c.target, c.accept)
+			var table metav1.Table
+			if err := json.Unmarshal(resp.Body, &table); err != nil || resp.Status != 200 {
+				t.Fatalf("status %d, %v", resp.Status, err)
 			}
-			continue
-		}
-		if tb.Kind != "Table" || len(tb.Rows) != c.rows || (tb.Continue != "") != c.more || len(tb.Rows[0].Cells) != len(tb.ColumnDefinitions) ||
-			!strings.Contains(string(tb.Rows[0].Object.Raw), `"PartialObjectMetadata"`) {
-			t.Errorf("%s: %s with %d rows, continue %q", c.target, tb.Kind, len(tb.Rows), tb.Continue)
-		}
+			if table.Kind != c.kind || len(table.Rows) != c.rows || (table.Continue != "") != c.more {
+				t.Fatalf("%s with %d rows, continue %q", table.Kind, len(table.Rows), table.Continue)
+			}
+			if c.kind != "Table" {
+				return
+			}
+			row := table.Rows[0]
+			if len(row.Cells) != len(table.ColumnDefinitions) {
+				t.Errorf("%d cells for %d columns", len(row.Cells), len(table.ColumnDefinitions))
+			}
+			if !strings.Contains(string(row.Object.Raw), `"PartialObjectMetadata"`) {
+				t.Errorf("object of a row: %s", row.Object.Raw)
+			}
+		})
 	}
 }
 
--- a/internal/api/bounds_test.go
+++ b/internal/api/bounds_test.go
@@ -109,18 +109,25 @@
 		{"plain number in an annotation", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
 		{"ordinary copy", "PATCH", nodePath, jsonPatchType, copyOperations(2), 400}, // a copy of an object is no annotation
 	} {
-		s := newEngineServer(t)
-		var resp http1.Response
-		if n, most := allocatedBytes(func() { resp = s.send(c.method, c.path, c.kind, c.body) }), allocationLimit(len(c.body)); n > most {
-			t.Errorf("%s: %d bytes of body allocate %d bytes, want at most %d", c.name, len(c.body), n, most)
-		}
-		if resp.Status != c.status {
-			t.Errorf("%s: status %d, want %d: %.200s", c.name, resp.Status, c.status, resp.Body)
-		}
-		if len(resp.Body) > 64<<10 {
-			t.Errorf("%s: a response of %d bytes", c.name, len(resp.Body))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			s := newEngineServer(t)
+			var resp http1.Response
+			allocated := allocatedBytes(func() { resp = s.send(c.method, c.path, c.kind, c.body) })
+			if most := allocationLimit(len(c.body)); allocated > most {
+				t.Errorf("%d bytes of body allocate %d bytes, want at most %d", len(c.body), allocated, most)
+			}
+			if resp.Status != c.status {
+				t.Errorf("status %d, want %d: %.200s", resp.Status, c.status, resp.Body)
+			}
+			if len(resp.Body) > 64<<10 {
+				t.Errorf("a response of %d bytes", len(resp.Body))
+			}
+		})
 	}
+}
+
+// TestCompressedBodyIsRejected checks that a body with a content encoding is rejected.
+func TestCompressedBodyIsRejected(t *testing.T) {
 	s := newEngineServer(t)
 	resp := s.Serve(1000, &http1.Request{Head: &http1.Head{Method: "POST", Target: jobsPath, Minor: 1,
 		Header: http1.Header{{Name: "Content-Type", Value: jsonType}, {Name: "Content-Encoding", Value: "gzip"}}}})
--- a/internal/decodelimit/decodelimit_test.go
+++ b/internal/decodelimit/decodelimit_test.go
@@ -12,29 +12,62 @@
 // encodings, or a running task would not be seen.
 func TestQuantities(t *testing.T) {
 	limits := ObjectLimits()
-	for s, ok := range map[string]bool{"1": true, "500m": true, "1e3": true, "1E6": true, "100Ki": true, "1e99": true, "": true, "e9999": true,
-		"144e1135-fce3-47cd-83ea-3cf99f69d193": true, "3e33835c-4f55-4600-ad83-2c224c2f507e": true, "1e1000x": true,
-		strings.Repeat("9", 70) + "-rest": true, "1e100": false, "1e1000000000": false, "-1e-2147483647": false, "+.5E999": false,
-		strings.Repeat("9", 65): false, strings.Repeat("9", 65) + "Ki": false, `1\u00651000`: false, " 1e1000 ": false, "1e1000\u00a0": false, `\u0031e1000`: false} {
-		if err := CheckQuantity([]byte(s), limits); (err == nil) != ok {
-			t.Errorf("%.40q: %v", s, err)
-		}
+	for _, c := range []struct {
+		name, text string
+		ok         bool
+	}{
+		{"integer", "1", true},
+		{"unit", "500m", true},
+		{"exponent", "1e3", true},
+		{"capital exponent", "1E6", true},
+		{"binary unit", "100Ki", true},
+		{"largest exponent", "1e99", true},
+		{"empty", "", true},
+		{"no digits", "e9999", true},
+		{"UID like a large exponent", "144e1135-fce3-47cd-83ea-3cf99f69d193", true},
+		{"UID like a larger exponent", "3e33835c-4f55-4600-ad83-2c224c2f507e", true},
+		{"letter after the exponent", "1e1000x", true},
+		{"many digits of no quantity", strings.Repeat("9", 70) + "-rest", true},
+		{"exponent too large", "1e100", false},
+		{"exponent much too large", "1e1000000000", false},
+		{"negative exponent", "-1e-2147483647", false},
+		{"sign and point", "+.5E999", false},
+		{"too many digits", strings.Repeat("9", 65), false},
+		{"too many digits with a unit", strings.Repeat("9", 65) + "Ki", false},
+		{"escaped exponent", `1\u00651000`, false},
+		{"spaces around", " 1e1000 ", false},
+		{"no-break space after", "1e1000\u00a0", false},
+		{"escaped first digit", `\u0031e1000`, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := CheckQuantity([]byte(c.text), limits); (err == nil) != c.ok {
+				t.Errorf("%.40q: %v", c.text, err)
+			}
+		})
 	}
 }
 
+// TestIdentitiesPass checks that UIDs that begin like numbers pass in both encodings.
 func TestIdentitiesPass(t *testing.T) {
-	for _, uid := range []string{"144e1135-fce3-47cd-83ea-3cf99f69d193", "3e338350-4f55-4600-ad83-2c224c2f507e", "00000000-0000-4000-8000-000000000000"} {
-		p := &corev1.Pod{}
-		p.Name, p.UID = "p", types.UID(uid)
-		b, err := p.Marshal()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := CheckProto(b, ObjectLimits()); err != nil {
-			t.Errorf("%s: %v", uid, err)
-		}
-		if err := CheckJSON([]byte(`{"metadata":{"uid":"`+uid+`"}}`), ObjectLimits()); err != nil {
-			t.Errorf("%s: %v", uid, err)
-		}
+	for _, uid := range []string{
+		"144e1135-fce3-47cd-83ea-3cf99f69d193",
+		"3e338350-4f55-4600-ad83-2c224c2f507e",
+		"00000000-0000-4000-8000-000000000000",
+	} {
+		t.Run(uid, func(t *testing.T) {
+			pod := &corev1.Pod{}
+			pod.Name = "p"
+			pod.UID = types.UID(uid)
+			message, err := pod.Marshal()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := CheckProto(message, ObjectLimits()); err != nil {
+				t.Errorf("protobuf: %v", err)
+			}
+			if err := CheckJSON([]byte(`{"metadata":{"uid":"`+uid+`"}}`), ObjectLimits()); err != nil {
+				t.Errorf("JSON: %v", err)
+			}
+		})
 	}
 }
--- a/internal/retry/characterization_test.go
+++ b/internal/retry/characterization_test.go
@@ -14,7 +14,11 @@
 // file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizePolicy(t *testing.T) {
 	record := golden.NewRecorder()
-	policies := []retry.Policy{retry.DefaultPolicy(), {Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1}, {Delay: 4, Multiplier: 0.5}}
+	policies := []retry.Policy{
+		retry.DefaultPolicy(),
+		{Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1},
+		{Delay: 4, Multiplier: 0.5},
+	}
 	for i, policy := range policies {
 		rng := rand.New(rand.NewPCG(5, uint64(i)))
 		var decisions [4]int
