--- a/internal/nodesim/characterization_test.go
+++ b/internal/nodesim/characterization_test.go
@@ -9,7 +9,7 @@
 	"heathshed/internal/nodesim"
 )
 
-// TestCharacterizeNodes pins the effects and figures of the node model under seeded offers, stops, drains and stalls. Regenerate the
+// TestCharacterizeNodes pins the effects and figures of a simulated node under seeded requests, stops, drains and stalls. Regenerate the
 // golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
 func TestCharacterizeNodes(t *testing.T) {
 	recorder := golden.NewRecorder()
