--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -38,7 +38,7 @@
 	revision    int64
 }
 
-// newerThan says whether the observation was made after the node gave an answer. Revisions count within an incarnation.
+// newerThan reports whether the observation was made after the node gave an answer. Revisions count within an incarnation.
 func (o *observedPod) newerThan(answer *AttemptAnswer) bool {
 	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-// is says whether an attempt is the one that a node's answer names. A nil attempt is none.
+// is reports whether an attempt is the one that a node's answer names. A nil attempt is none.
 func (a *attempt) is(node string, number int) bool {
 	return a != nil && a.number == number && a.node.name == node
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -7,8 +7,8 @@
 // The engine does not decide where tasks are placed, which package placer does, nor when a placement request is retried, which package
 // retry does.
 //
-// Errors of calls are ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping and *InvalidError. All other methods cannot fail: what
-// they are told of unknown nodes, tasks and attempts is ignored.
+// Errors of calls are ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping and *InvalidError. The other methods cannot fail: they ignore
+// unknown nodes, tasks and attempts.
 package engine
 
 import (
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -51,7 +51,7 @@
 	ttlTimer      *timer // ttlSecondsAfterFinished
 }
 
-// indexState says what becomes of a completion index.
+// indexState is the state of a completion index.
 type indexState uint8
 
 const (
@@ -112,7 +112,7 @@
 	return int(valueOr(j.object.Spec.BackoffLimit, defaultBackoffLimit))
 }
 
-// canStart says whether tasks of the Job may be started.
+// canStart reports whether tasks of the Job may be started.
 func (j *job) canStart() bool { return !j.deleted && !j.suspended && j.failureReason == "" }
 
 // cost returns what the Job and all its Pods cost, as store.Cost counts.
@@ -252,7 +252,7 @@
 	labels["job-name"] = object.Name // the older form of the label
 }
 
-// exceedsLimits says whether a new Job is too much beside the stored objects and the Pods that are still to be created.
+// exceedsLimits reports whether a new Job is too much beside the stored objects and the Pods that are still to be created.
 func (e *Engine) exceedsLimits(created *job) bool {
 	pods, bytes := e.pendingPods()
 	if e.store.Len(store.Pods)+pods+len(created.indexes) > e.cfg.MaxPods {
@@ -274,7 +274,7 @@
 // minFinishedRetention is how many seconds a finished Job is kept at least, so that its outcome can be read.
 const minFinishedRetention = 30.0
 
-// evictFinishedJob removes the Job that finished first, and says whether it did. A dry run removes nothing.
+// evictFinishedJob removes the Job that finished first, and reports whether it did. A dry run removes nothing.
 func (e *Engine) evictFinishedJob(dryRun bool) bool {
 	for len(e.finishedJobs) > 0 {
 		oldest := e.finishedJobs[0]
--- a/internal/engine/job_start.go
+++ b/internal/engine/job_start.go
@@ -206,7 +206,7 @@
 	return true
 }
 
-// mayRerun says whether an index may be started again after its task ended without success.
+// mayRerun reports whether an index may be started again after its task ended without success.
 func (e *Engine) mayRerun(job *job, task *task, cause retry.Cause, idempotency placer.Idempotency) bool {
 	switch {
 	case job.failureReason != "" || e.stopping:
--- a/internal/engine/node.go
+++ b/internal/engine/node.go
@@ -40,7 +40,7 @@
 	publishedFingerprint uint64  // of the inventory's Node that was published
 }
 
-// Listing says what a call of NodesListed contains.
+// Listing selects what a call of NodesListed contains.
 type Listing uint8
 
 const (
@@ -57,7 +57,7 @@
 	e.beginCall(now)
 	defer e.endCall()
 	if kind == ListUnavailable {
-		// A list that is pushed was not asked for by the placer: the caller sees to it that it comes again.
+		// The placer did not request a list that is pushed: the caller watches again by itself.
 		if e.cfg.Placer.MustPollNodes {
 			e.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
@@ -80,7 +80,7 @@
 	e.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: reported})
 }
 
-// updateNodes takes listed nodes and returns them, without those that cannot be told from another.
+// updateNodes takes listed nodes and returns them, without those whose number at the placer is that of another node.
 func (e *Engine) updateNodes(listed []*corev1.Node) []*node {
 	var updated []*node
 	for _, object := range listed {
@@ -287,7 +287,7 @@
 // maxPastIncarnations is how many past incarnations of a node are remembered.
 const maxPastIncarnations = 16
 
-// startsIncarnation takes the identity that a node states, and says whether a known incarnation has ended by it.
+// startsIncarnation takes the identity that a node states, and reports whether a known incarnation has ended by it.
 func (n *node) startsIncarnation(incarnation string) bool {
 	if incarnation == "" || incarnation == n.incarnation || slices.Contains(n.pastIncarnations, incarnation) {
 		return false
--- a/internal/engine/node_pods.go
+++ b/internal/engine/node_pods.go
@@ -136,7 +136,7 @@
 // reasonError is the reason that a node states for a task that ended by itself without success.
 const reasonError = "Error"
 
-// failedEnd says how a task ended whose Pod the node shows as failed.
+// failedEnd describes the end of a task whose Pod the node shows as failed.
 func failedEnd(task *task, pod *corev1.Pod) taskEnd {
 	end := taskEnd{result: placer.Lost, status: pod.Status.Reason, message: pod.Status.Message}
 	switch pod.Status.Reason {
--- a/internal/engine/node_publish.go
+++ b/internal/engine/node_publish.go
@@ -49,7 +49,7 @@
 	return left.Annotations[wellknown.FreeCapacity] == right.Annotations[wellknown.FreeCapacity]
 }
 
-// onlyFreeCapacityDiffers says whether a node differs from the stored one in nothing but the free capacity.
+// onlyFreeCapacityDiffers reports whether a node differs from the stored one in nothing but the free capacity.
 func onlyFreeCapacityDiffers(stored, published *corev1.Node) bool {
 	free := published.Annotations[wellknown.FreeCapacity]
 	if published.Annotations != nil {
@@ -106,7 +106,7 @@
 }
 
 // UpdateNode takes the labels of a Node and an order to drain it or to end its drain, nil if the update gives none: a node that the
-// inventory drains shows as unschedulable without an order. The placer is told of an order at once. The update's UID and resource version
+// inventory drains shows as unschedulable without an order. The placer is notified of an order at once. The update's UID and resource version
 // are not checked if they are empty. It returns the Node as stored; a dry run only returns what would be stored. Errors: ErrNotFound,
 // ErrConflict, *InvalidError.
 func (e *Engine) UpdateNode(now float64, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
--- a/internal/engine/reconcile.go
+++ b/internal/engine/reconcile.go
@@ -74,7 +74,7 @@
 	e.discardTask(task)
 }
 
-// awaitsOutcomes says whether a task is not requested again before all outcomes are known.
+// awaitsOutcomes reports whether a task is not requested again before all outcomes are known.
 func (e *Engine) awaitsOutcomes(task *task) bool {
 	return task.state == taskWaiting && task.retryTimer != nil && e.idempotencyOf(task) != placer.Idempotent
 }
--- a/internal/engine/task.go
+++ b/internal/engine/task.go
@@ -184,7 +184,7 @@
 	e.updatePod(task, e.showStarted)
 }
 
-// taskEnd says how a task ended that a node had accepted.
+// taskEnd describes how a task ended that a node had accepted.
 type taskEnd struct {
 	result  placer.Result
 	reason  placer.Reason
--- a/internal/engine/task_state.go
+++ b/internal/engine/task_state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// taskState says where a task is between the creation of its Pod and its removal from the engine.
+// taskState is the state of a task between the creation of its Pod and its removal from the engine.
 type taskState uint8
 
 const (
@@ -52,15 +52,15 @@
 	taskRemoved:     {},
 }
 
-// requestOpen says whether a placement request of the task is queued or with the placer.
+// requestOpen reports whether a placement request of the task is queued or with the placer.
 func (s taskState) requestOpen() bool {
 	return s == taskQueued || s == taskSubmitted || s == taskAttempting
 }
 
-// onNode says whether a node has accepted the task, which has not ended.
+// onNode reports whether a node has accepted the task, which has not ended.
 func (s taskState) onNode() bool { return s == taskBound || s == taskRunning }
 
-// canBind says whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
+// canBind reports whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
 // setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -56,7 +56,8 @@
 	s.snapshots = s.snapshots[:remaining]
 }
 
-// Outdated says that the history no longer reaches back to a snapshot. Whoever still has it keeps objects in memory that nobody else needs.
+// Outdated reports whether the history no longer reaches back to a snapshot. A reader that still uses it keeps objects in memory that are
+// needed for nothing else.
 func (s *Store) Outdated(snapshot Snapshot) bool {
 	return snapshot.Rev < s.tables[snapshot.Resource].lastDropped
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -78,7 +78,7 @@
 		changes, err := s.Since(Pods, old.Rev, 1000)
 		if errors.Is(err, ErrExpired) {
 			if s.Rev()-old.Rev <= int64(keep) {
-				t.Fatal("history is gone too soon")
+				t.Fatal("history is dropped too soon")
 			}
 			return
 		}
@@ -150,7 +150,7 @@
 		s.Delete(Pods, "default", fmt.Sprint("p", i))
 	}
 	if s.ObjectCost() != 0 {
-		t.Errorf("%d bytes of objects that are gone", s.ObjectCost())
+		t.Errorf("%d bytes of deleted objects", s.ObjectCost())
 	}
 	s.KeepSnapshot(0, sn)
 	for i := range 2000 {
--- a/internal/wellknown/objects.go
+++ b/internal/wellknown/objects.go
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// Finished says whether a Pod has ended.
+// Finished reports whether a Pod has ended.
 func Finished(pod *corev1.Pod) bool {
 	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
@@ -65,7 +65,7 @@
 	return ""
 }
 
-// NodeReady says whether a Node's Ready condition is true.
+// NodeReady reports whether a Node's Ready condition is true.
 func NodeReady(node *corev1.Node) bool {
 	for i := range node.Status.Conditions {
 		condition := &node.Status.Conditions[i]
