--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -139,8 +139,7 @@
 	e.stopping = true
 	for _, task := range inCreationOrder(e.tasks) {
 		if task.state == taskQueued {
-			e.withdrawRequest(task)
-			e.setState(task, taskWaiting)
+			e.withdrawQueuedRequest(task)
 		}
 		if task.state == taskWaiting && !task.hasUnknownOutcome() {
 			e.settleUnplaced(task, task.unplacedReason(), stoppingMessage)
@@ -149,6 +148,17 @@
 	e.endCall()
 }
 
+// withdrawQueuedRequest takes back a request that waits for admission while the engine stops. No timer of the task is pending then, so where
+// the outcome of an earlier attempt is unknown, what follows is decided here.
+func (e *Engine) withdrawQueuedRequest(task *task) {
+	e.withdrawRequest(task)
+	if task.hasUnknownOutcome() {
+		e.retryOrSettle(task, retry.Shed, 0)
+		return
+	}
+	e.setState(task, taskWaiting)
+}
+
 const stoppingMessage = "the scheduler stops"
 
 // beginCall must be the first step of every call, endCall the last.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,6 +8,7 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
+	"heathshed/internal/admission"
 	"heathshed/internal/store"
 	"heathshed/internal/wellknown"
 	"heathshed/placer"
@@ -232,3 +233,82 @@
 		t.Errorf("%d tasks have no final outcome", e.OpenTasks())
 	}
 }
+
+// A Node of the inventory may have no annotations. A change of it must not be taken for a change of its free capacity.
+func TestNodeWithoutAnnotationsChanges(t *testing.T) {
+	e := newEngine(t)
+	first := listedNode("a", 0)
+	first.Annotations = nil
+	e.NodesListed(1000, FullList, []*corev1.Node{first}, nil)
+	changed := first.DeepCopy()
+	changed.Labels["team"] = "records"
+	e.NodesListed(1001, Changes, []*corev1.Node{changed}, nil)
+	stored, ok := e.Store().Get(store.Nodes, "", "n").(*corev1.Node)
+	if !ok || stored.Labels["team"] != "records" {
+		t.Errorf("the stored node is %v, want the changed one", stored)
+	}
+}
+
+// A task may wait for admission while the outcome of an earlier attempt is unknown. Where the engine is stopped then, the task still gets
+// its final outcome.
+func TestStopWhileRetryWithUnknownOutcomeIsQueued(t *testing.T) {
+	limits := admission.DefaultConfig()
+	limits.MinInFlight, limits.MaxInFlight, limits.InitialInFlight = 1, 1, 1
+	e, err := New(Config{
+		Name:      "s",
+		Classes:   []string{"c"},
+		NodeTypes: []string{"k"},
+		Admission: limits,
+		Placer: placer.Config{
+			Peers:             1,
+			MaxAttempts:       1,
+			AnswerGrace:       0.1,
+			Classes:           []placer.Class{{LatencyObjective: 1, Deadline: 2, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+			NodeTypes:         []placer.NodeType{{Cores: 8, Memory: 8}},
+			OvercommitCores:   1,
+			OvercommitMemory:  1,
+			ListShowsCapacity: true,
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := listedNode("a", 0)
+	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
+	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
+	e.NodePods(1000, "n", "a", 1, nil)
+	job := &batchv1.Job{}
+	job.Name, job.Namespace = "j", "default"
+	tasks := int32(3)
+	job.Spec.Completions, job.Spec.Parallelism = &tasks, &tasks
+	if _, err := e.CreateJob(1001, job, false); err != nil {
+		t.Fatal(err)
+	}
+	queued := func() bool {
+		for _, task := range e.tasks {
+			if task.state == taskQueued && task.hasUnknownOutcome() {
+				return true
+			}
+		}
+		return false
+	}
+	// No attempt and no stop is ever answered.
+	now := 1001.0
+	for !queued() {
+		if now = e.NextWake(); now > 1030 {
+			t.Fatal("no retry was queued while an outcome was unknown")
+		}
+		e.Tick(now)
+	}
+	e.Stop(now)
+	for end := now + 100; e.OpenTasks() > 0 && now < end; {
+		now = min(e.NextWake(), end)
+		e.Tick(now)
+	}
+	if open := e.OpenTasks(); open != 0 {
+		t.Errorf("%d tasks have no final outcome 100 s after the stop", open)
+	}
+	if err := e.CheckInvariants(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/engine/node_publish.go
+++ b/internal/engine/node_publish.go
@@ -51,10 +51,11 @@
 
 // onlyFreeCapacityDiffers reports whether a node differs from the stored one in nothing but the free capacity.
 func onlyFreeCapacityDiffers(stored, published *corev1.Node) bool {
-	free := published.Annotations[wellknown.FreeCapacity]
-	if published.Annotations != nil {
-		published.Annotations[wellknown.FreeCapacity] = stored.Annotations[wellknown.FreeCapacity]
+	if published.Annotations == nil {
+		return false // it states no free capacity that could differ
 	}
+	free := published.Annotations[wellknown.FreeCapacity]
+	published.Annotations[wellknown.FreeCapacity] = stored.Annotations[wellknown.FreeCapacity]
 	if equality.Semantic.DeepEqual(stored, published) {
 		return true
 	}
