--- a/cmd/heathshed/main.go
+++ b/cmd/heathshed/main.go
@@ -16,6 +16,7 @@
 // Exit statuses other than 0 and 1.
 const (
 	exitNotPlaced      = 2 // submit --wait: the job was not placed
+	exitInvalidConfig  = 2 // platform: the configuration or a flag cannot be used
 	exitRulesViolated  = 3 // scenario: a placement rule was violated
 	exitNotRecovered   = 3 // metastability: a trial did not recover in time
 	exitEntriesSkipped = 4 // load inspect: entries could not be read
--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -23,9 +23,6 @@
 	platformListenVariable = "LB_LISTEN" // optional; must agree with the configuration
 )
 
-// exitInvalidConfig is the exit status for a configuration or flag that cannot be used.
-const exitInvalidConfig = 2
-
 // signalBacklog is how many signals may wait to be handled.
 const signalBacklog = 16
 
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -154,17 +154,24 @@
 	half.expectClosed()
 }
 
-// TestNoNotificationOnClosingConnection: the end of a task while the connection of its client is closing is reported on the next connection.
-func TestNoNotificationOnClosingConnection(t *testing.T) {
+// startServerWithTask returns a server on whose one node task 1 runs, the client of that task and the node's end of the connection to it.
+func startServerWithTask(t *testing.T) (*testServer, *testClient, net.Conn) {
+	t.Helper()
 	conns := make(chan net.Conn, 1)
 	node := startNode(t, acceptTaskAndReport(conns))
 	server := startServer(t, 256, node.addr)
-	a := server.connect()
-	a.launch(1, "query")
-	a.expect(`"running"`)
+	client := server.connect()
+	client.launch(1, "query")
+	client.expect(`"running"`)
+	return server, client, waitFor(t, "task", conns)
+}
+
+// TestNoNotificationOnClosingConnection: the end of a task while the connection of its client is closing is reported on the next connection.
+func TestNoNotificationOnClosingConnection(t *testing.T) {
+	server, a, nodeConn := startServerWithTask(t)
 	a.send("noise\n") // ends the connection, which stays open for reading until the client closes it too
 	server.waitUntil("closing", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
-	sendTo(t, waitFor(t, "task", conns), stopMessage(1, 16))
+	sendTo(t, nodeConn, stopMessage(1, 16))
 	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 })
 	b := server.connect()
 	b.send(checkMessage)
@@ -179,13 +186,7 @@
 // TestNotificationRedeliveredWhenClientCloses: a notification sent at the moment at which its client closes the connection is sent once more, on the
 // next one.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
-	conns := make(chan net.Conn, 1)
-	node := startNode(t, acceptTaskAndReport(conns))
-	server := startServer(t, 256, node.addr)
-	a := server.connect()
-	a.launch(1, "query")
-	a.expect(`"running"`)
-	nodeConn := waitFor(t, "task", conns)
+	server, a, nodeConn := startServerWithTask(t)
 	server.holdLoop(func() {
 		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
 		a.close()
