--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -111,7 +111,7 @@
 	return b.String() + `],"pages":[]}}`
 }
 
-// Cut at every byte: no panic, every whole entry before the cut is there, and the cut is told.
+// Truncated at every byte: no panic, every complete entry before the end is read, and the truncation is reported.
 func TestTruncatedAtEveryByte(t *testing.T) {
 	text := harFile(4)
 	for i := range len(text) {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Whatever the order in which entries come: what is given out is in order, nothing is lost or doubled, equal times keep their order, and
-// only what is older than the window is turned back.
+// In whatever order entries are added, they are emitted in order, none is lost or doubled, entries of equal time keep their order, and
+// only those older than the window are rejected.
 func TestSorter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Sorter{Window: rapid.Float64Range(0, 5).Draw(t, "window")}
