--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -8,7 +8,6 @@
 import (
 	"fmt"
 	"math"
-	"strconv"
 
 	corev1 "k8s.io/api/core/v1"
 
@@ -27,7 +26,6 @@
 	defaultReportInterval = 0.5  // seconds
 	idleTimeoutSeconds    = 600  // of connections to an emulator
 	historyRevisions      = 5000 // changes that a watch can resume from
-	overloadDowntime      = 30   // seconds from a failure by overload to the next start
 	listenRetryInterval   = 0.1  // seconds
 	timerTolerance        = 0.001
 	apiVersion            = "standin" // in what the API states of its server
@@ -213,7 +211,7 @@
 func (n *Node) handleEffect(effect *nodesim.Effect) bool {
 	switch effect.Kind {
 	case nodesim.Answered:
-		key := attemptKey(effect.UID, effect.Attempt)
+		key := nodesim.AttemptKey(effect.UID, effect.Attempt)
 		waiting := n.pending[key]
 		delete(n.pending, key)
 		for _, exchange := range waiting {
@@ -226,7 +224,7 @@
 		n.store.Delete(store.Pods, pod.Namespace, pod.Name)
 	case nodesim.Overloaded:
 		n.record(audit.Event{Kind: audit.Overloaded})
-		n.crash(overloadDowntime)
+		n.crash(nodesim.OverloadDowntime)
 	}
 	return n.sim != nil
 }
@@ -245,5 +243,3 @@
 		Reason:    task.Reason.APIReason(),
 	})
 }
-
-func attemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
--- a/internal/emulator/node_http.go
+++ b/internal/emulator/node_http.go
@@ -110,7 +110,7 @@
 	}
 	request := nodesim.PodRequest(pod, attempt, n.options.Priorities[class])
 	request.Lifetime = n.lifetime(pod, class)
-	key := attemptKey(uid, attempt)
+	key := nodesim.AttemptKey(uid, attempt)
 	exchange.OnDisconnect = recordAbandoned
 	n.pending[key] = append(n.pending[key], exchange)
 	n.sim.Submit(now, request)
--- a/internal/emulator/node_report.go
+++ b/internal/emulator/node_report.go
@@ -39,7 +39,9 @@
 	n.sim.Tick(n.loop.Now())
 	n.updateLoadReport()
 	n.processEffects()
-	n.sendReport()
+	if n.sim != nil {
+		n.sendReport()
+	}
 }
 
 func (n *Node) updateLoadReport() {
--- a/internal/nodesim/config.go
+++ b/internal/nodesim/config.go
@@ -41,6 +41,9 @@
 	}
 }
 
+// OverloadDowntime is the time in seconds from a failure by overload to the next start of the node.
+const OverloadDowntime = 30
+
 // seedStride separates the random sequences of the incarnations of one node.
 const seedStride = 7919
 
--- a/internal/nodesim/task.go
+++ b/internal/nodesim/task.go
@@ -1,5 +1,7 @@
 package nodesim
 
+import "strconv"
+
 // Reason says why a request was rejected or a task was terminated.
 type Reason uint8
 
@@ -39,6 +41,9 @@
 	Payload       any     // kept with the task, not looked at
 }
 
+// AttemptKey returns a map key for one attempt of a task.
+func AttemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
+
 // Task is an accepted request.
 type Task struct {
 	Request
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -29,9 +29,6 @@
 	attemptInFlight
 )
 
-// attemptKey identifies an attempt at a scheduler and at a node.
-func attemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
-
 // attempt is an attempt on its way from a scheduler to a node and back.
 type attempt struct {
 	scheduler *scheduler
@@ -48,7 +45,7 @@
 		scheduler: s,
 		alive:     s.aliveCheck(),
 		node:      s.world.nodesByName[effect.Node],
-		key:       attemptKey(string(effect.UID), effect.Attempt),
+		key:       nodesim.AttemptKey(string(effect.UID), effect.Attempt),
 		pod:       effect.Pod,
 		answer:    engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node},
 	}
@@ -58,7 +55,7 @@
 
 // abandonAttempt closes the connection of an attempt: its answer is not awaited any more.
 func (s *scheduler) abandonAttempt(effect *engine.Effect) {
-	key := attemptKey(string(effect.UID), effect.Attempt)
+	key := nodesim.AttemptKey(string(effect.UID), effect.Attempt)
 	if _, ok := s.attempts[key]; ok {
 		s.attempts[key] = attemptAbandoned
 		s.world.record(audit.Event{Kind: audit.Abandoned, UID: string(effect.UID), Attempt: effect.Attempt, Node: effect.Node})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,12 +13,8 @@
 	"heathshed/internal/nodesim"
 )
 
-const (
-	// kubeletPort is the port that simulated nodes show: any, as nobody connects to it.
-	kubeletPort = 1
-	// overloadDowntime is how long a node is down after an overload, in seconds.
-	overloadDowntime = 30
-)
+// kubeletPort is the port that simulated nodes show: any, as nobody connects to it.
+const kubeletPort = 1
 
 // node runs the incarnations of one node: sim is nil while it is down.
 type node struct {
@@ -116,7 +112,7 @@
 func (n *node) apply(effect *nodesim.Effect) bool {
 	switch effect.Kind {
 	case nodesim.Answered:
-		key := attemptKey(effect.UID, effect.Attempt)
+		key := nodesim.AttemptKey(effect.UID, effect.Attempt)
 		if answered := n.pending[key]; answered != nil {
 			delete(n.pending, key)
 			answered(effect)
@@ -130,7 +126,7 @@
 		n.notifyWatches(pod, true)
 	case nodesim.Overloaded:
 		n.world.record(audit.Event{Kind: audit.Overloaded, Node: n.cfg.Name})
-		n.crash(overloadDowntime)
+		n.crash(nodesim.OverloadDowntime)
 	}
 	return n.sim != nil
 }
