--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -4,19 +4,33 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"testing"
 
 	_ "pgregory.net/rapid" // its flags
 )
 
-// Main is a TestMain with a seed of 1 and the given number of checks, where the command line does not say otherwise.
+// Main is a TestMain. It sets the seed to 1 and the number of checks to the given one, unless the command line sets them, and exits with
+// status 2 if the library does not know one of the flags or takes no such value.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
-	for name, v := range map[string]string{"rapid.seed": "1", "rapid.checks": checks, "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f != nil && f.Value.String() == f.DefValue {
-			flag.Set(name, v)
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": checks, "rapid.nofailfile": "true"} {
+		if err := setUnlessGiven(name, value); err != nil {
+			fmt.Fprintln(os.Stderr, "proptest:", err)
+			os.Exit(2)
 		}
 	}
 	os.Exit(m.Run())
 }
+
+func setUnlessGiven(name, value string) error {
+	known := flag.Lookup(name)
+	if known == nil {
+		return fmt.Errorf("no flag -%s", name)
+	}
+	if known.Value.String() != known.DefValue {
+		return nil
+	}
+	return flag.Set(name, value)
+}
