--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -16,46 +17,43 @@
 	body []byte
 }
 
-// decodeAll feeds a stream in pieces of the given size and returns the whole messages and the error that ended it.
-func decodeAll(d *Decoder, stream []byte, piece int) (out []message, err error) {
-	var have []byte
+// decodeAll feeds a stream in pieces of the given size and returns the complete messages and the error that ended it.
+func decodeAll(d *Decoder, stream []byte, piece int) (messages []message, err error) {
+	var pending []byte
 	var body []byte
-	for len(stream) > 0 || len(have) > 0 {
+	for len(stream) > 0 || len(pending) > 0 {
 		n := min(piece, len(stream))
-		have = append(have, stream[:n]...)
+		pending = append(pending, stream[:n]...)
 		stream = stream[n:]
-		for {
-			m, k, err := d.Next(have)
+		for kind := BodyData; kind != NeedMore; {
+			var consumed int
+			consumed, kind, err = d.Next(pending)
 			if err != nil {
-				return out, err
+				return messages, err
 			}
-			if k == BodyData {
+			pending = pending[consumed:]
+			switch kind {
+			case BodyData:
 				body = append(body, d.Body...)
-			}
-			have = have[m:]
-			if k == MessageComplete {
-				out = append(out, message{d.Head, body})
+			case MessageComplete:
+				messages = append(messages, message{d.Head, body})
 				body = nil
 			}
-			if k == NeedMore {
-				break
-			}
 		}
 		if n == 0 {
 			break
 		}
 	}
-	if done, err := d.EOF(len(have)); err != nil {
-		return out, err
-	} else if done {
-		out = append(out, message{d.Head, body})
+	complete, err := d.EOF(len(pending))
+	if complete {
+		messages = append(messages, message{d.Head, body})
 	}
-	return out, nil
+	return messages, err
 }
 
 var requestCases = []struct {
 	name, in string
-	status   int // 0: taken
+	status   int // of the rejection; 0: accepted
 	body     string
 }{
 	{"plain", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 0, ""},
@@ -100,15 +98,19 @@
 func TestRequests(t *testing.T) {
 	for _, c := range requestCases {
 		for _, piece := range []int{1, 3, 1 << 20} {
-			d := &Decoder{Limits: smallLimits}
-			out, err := decodeAll(d, []byte(c.in), piece)
-			var e *Error
-			switch {
-			case c.status == 0 && (err != nil || len(out) != 1 || string(out[0].body) != c.body):
-				t.Errorf("%s in pieces of %d: %d messages, %v", c.name, piece, len(out), err)
-			case c.status != 0 && (!errors.As(err, &e) || e.Status != c.status):
-				t.Errorf("%s in pieces of %d: %v, want status %d", c.name, piece, err, c.status)
-			}
+			t.Run(fmt.Sprintf("%s in pieces of %d", c.name, piece), func(t *testing.T) {
+				messages, err := decodeAll(&Decoder{Limits: smallLimits}, []byte(c.in), piece)
+				if c.status != 0 {
+					var rejection *Error
+					if !errors.As(err, &rejection) || rejection.Status != c.status {
+						t.Errorf("%v, want status %d", err, c.status)
+					}
+					return
+				}
+				if err != nil || len(messages) != 1 || string(messages[0].body) != c.body {
+					t.Errorf("%d messages, %v", len(messages), err)
+				}
+			})
 		}
 	}
 }
@@ -127,11 +129,16 @@
 		{"cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, true},
 		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, true},
 	} {
-		d := &Decoder{Limits: smallLimits, Responses: true, NoBody: c.noBody}
-		out, err := decodeAll(d, []byte(c.in), 1)
-		if c.bad != (err != nil) || !c.bad && (len(out) != 1 || string(out[0].body) != c.body) {
-			t.Errorf("%s: %d messages, %v", c.name, len(out), err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			d := &Decoder{Limits: smallLimits, Responses: true, NoBody: c.noBody}
+			messages, err := decodeAll(d, []byte(c.in), 1)
+			if rejected := err != nil; rejected != c.bad {
+				t.Fatalf("rejected with %v, want rejection: %t", err, c.bad)
+			}
+			if !c.bad && (len(messages) != 1 || string(messages[0].body) != c.body) {
+				t.Errorf("%d messages, %v", len(messages), err)
+			}
+		})
 	}
 }
 
@@ -143,8 +150,8 @@
 	}
 }
 
-// rejectedOnlyHere says why this decoder may refuse what net/http takes. Each difference is wanted:
-// net/http takes bare line feeds, equal lengths given twice, a space before the first header's colon in no case but trims
+// rejectedOnlyHere reports whether this decoder may reject what net/http accepts. Each difference is wanted:
+// net/http accepts bare line feeds, equal lengths given twice, a space before the first header's colon in no case but trims
 // others, targets that are no path, and has other limits.
 func rejectedOnlyHere(in []byte) bool {
 	s := string(in)
@@ -162,8 +169,8 @@
 		strings.Contains(low, "http/1.0") || strings.Contains(low, "http/1.2") || strings.Contains(low, "connect ") || strings.Contains(low, "host:") && strings.Count(low, "host:") > 1
 }
 
-// FuzzRequest checks that pieces do not matter, that nothing panics, and that what net/http refuses is refused here, with the same
-// body where both take it.
+// FuzzRequest checks that pieces do not matter, that nothing panics, and that what net/http rejects is rejected here, with the same
+// body where both accept it.
 func FuzzRequest(f *testing.F) {
 	for _, c := range requestCases {
 		f.Add([]byte(c.in))
@@ -190,7 +197,7 @@
 		}
 		if err != nil {
 			if !acceptedOnlyHere(in) {
-				t.Fatalf("taken here, refused by net/http: %v", err)
+				t.Fatalf("accepted here, rejected by net/http: %v", err)
 			}
 			return
 		}
@@ -200,8 +207,9 @@
 	})
 }
 
-// acceptedOnlyHere names what is taken here though net/http refuses it: a target whose escapes are wrong (the API answers 400 itself), host
-// values that are no host, a minor version over one, and trailer fields that net/http forbids.
+// acceptedOnlyHere reports whether a request is of a kind that is accepted here though net/http rejects it: a target whose
+// escapes are malformed (the API responds with 400 itself), host values that are no host, a minor version over one, and
+// trailer fields that net/http forbids.
 func acceptedOnlyHere(in []byte) bool {
 	line, rest, _ := strings.Cut(string(in), "\r\n")
 	for line == "" && rest != "" {
@@ -225,10 +233,10 @@
 	})
 }
 
-// acceptedByNetHTTP are the table's refusals that net/http takes (RFC 9112 asks for each refusal: 3.2, 5.2, 5.1 and 2.3).
+// acceptedByNetHTTP names the table's rejections that net/http accepts. RFC 9112 asks for each of them: 3.2, 5.2, 5.1 and 2.3.
 var acceptedByNetHTTP = map[string]bool{"no host": true, "folded": true, "space before colon": true, "version": true}
 
-// The table's refusals are refused by net/http too, or stand in stricter.
+// The table's rejections are those of net/http too, or are listed in rejectedOnlyHere.
 func TestAgainstNetHTTP(t *testing.T) {
 	for _, c := range requestCases {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(c.in)))
@@ -238,9 +246,9 @@
 		limit := c.status == 413 || c.status == 414 || c.status == 431 || c.status == 417
 		switch {
 		case c.status == 0 && err != nil && !strings.HasPrefix(c.in, "\r\n"):
-			t.Errorf("%s: taken here, net/http says %v", c.name, err)
+			t.Errorf("%s: accepted here, net/http says %v", c.name, err)
 		case c.status != 0 && err == nil && !limit && !rejectedOnlyHere([]byte(c.in)) && !acceptedByNetHTTP[c.name]:
-			t.Errorf("%s: refused here, taken by net/http, and not among the differences", c.name)
+			t.Errorf("%s: rejected here, accepted by net/http, and not among the differences", c.name)
 		}
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	ConnectTimeoutSeconds   float64 // of connections to nodes
 	WatchIdleTimeoutSeconds float64 // after which a watch that brings nothing is replaced by a new one; 0 never
 	NodeSyncTimeoutSeconds  float64 // that the nodes found at the start have to list their tasks before others are accepted
-	MaxListItems            int
+	MaxListItems            int     // of a page of a list whose request gives no limit
 	Log                     zerolog.Logger
 }
 
