--- a/internal/httpd/conn_state.go
+++ b/internal/httpd/conn_state.go
@@ -2,8 +2,6 @@
 
 package httpd
 
-import "fmt"
-
 // connState is where a connection is in its present request: it reads it, then has its handler respond, and begins again
 // with the next one, until it ends.
 type connState uint8
@@ -51,10 +49,12 @@
 // awaitsResponse reports whether the request is complete and its response is not.
 func (s connState) awaitsResponse() bool { return s == stateHandling || s == stateResponding }
 
-// setState is the only place where a connection's state changes. An illegal transition is a fault of this package.
+// setState is the only place where a connection's state changes. An illegal transition is a fault of this package: it is counted and the
+// state stays, since ending the program would end every other connection too.
 func (c *conn) setState(next connState) {
 	if connTransitions[c.state]&(1<<next) == 0 {
-		panic(fmt.Sprintf("httpd: connection goes from %s to %s", c.state, next))
+		c.server.IllegalTransitions++
+		return
 	}
 	c.state = next
 }
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -51,6 +51,9 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
+		if illegal := server.IllegalTransitions; illegal != 0 {
+			t.Errorf("%d illegal transitions of connections' states, want none", illegal)
+		}
 	})
 	return loop, server, disconnects
 }
--- a/internal/httpd/server.go
+++ b/internal/httpd/server.go
@@ -57,6 +57,8 @@
 
 	// Requests and BadRequests count for metrics.
 	Requests, BadRequests uint64
+	// IllegalTransitions counts faults of this package: transitions that a connection's state machine does not have.
+	IllegalTransitions uint64
 }
 
 // Listen starts a server at an address.
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -4,7 +4,6 @@
 
 import (
 	"errors"
-	"fmt"
 
 	"heathshed/internal/dispatch"
 	"heathshed/internal/eventloop"
@@ -84,10 +83,11 @@
 	return client
 }
 
-// setState makes a transition. One that is not legal is a fault of the program.
+// setState makes a transition. One that is not legal is a fault of the program: it is counted and the state stays.
 func (c *clientConn) setState(next clientConnState) {
 	if !c.state.canBecome(next) {
-		panic(fmt.Sprintf("platform: client connection %d: transition from %v to %v", c.id, c.state, next))
+		c.server.recordIllegalTransition("client connection", uint64(c.id), c.state, next)
+		return
 	}
 	c.state = next
 }
--- a/internal/platform/fixture_test.go
+++ b/internal/platform/fixture_test.go
@@ -158,6 +158,9 @@
 	t.Cleanup(func() {
 		loop.Stop()
 		waitFor(t, "end of the server", server.stopped)
+		if illegal := server.stats.IllegalTransitions; illegal != 0 {
+			t.Errorf("%d illegal transitions of connections' states, want none", illegal)
+		}
 	})
 	return server
 }
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -4,7 +4,6 @@
 
 import (
 	"errors"
-	"fmt"
 
 	"heathshed/internal/connpool"
 	"heathshed/internal/dispatch"
@@ -54,10 +53,11 @@
 	message       platformproto.Message
 }
 
-// setState makes a transition. One that is not legal is a fault of the program.
+// setState makes a transition. One that is not legal is a fault of the program: it is counted and the state stays.
 func (nc *nodeConn) setState(next nodeConnState) {
 	if !nc.state.canBecome(next) {
-		panic(fmt.Sprintf("platform: node connection %d: transition from %v to %v", nc.id, nc.state, next))
+		nc.link.server.recordIllegalTransition("node connection", uint64(nc.id), nc.state, next)
+		return
 	}
 	nc.state = next
 }
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -4,6 +4,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"heathshed/internal/dispatch"
 	"heathshed/internal/platformproto"
@@ -25,6 +26,7 @@
 	NodesUnreachable      uint64 // whose tasks were given up
 	WatchesOpened         uint64 // requests to the discovery server
 	WatchEvents           uint64 // events received from it, repeated ones included
+	IllegalTransitions    uint64 // of connections' states: faults of the program, 0 unless there is one
 
 	InvalidFromClients InvalidInput
 	InvalidFromNodes   InvalidInput
@@ -86,6 +88,13 @@
 	return &in.Other
 }
 
+// recordIllegalTransition counts and logs a transition that the state machine of a connection does not have. The program goes on: ending it
+// would cut off the clients of all running tasks.
+func (s *Server) recordIllegalTransition(what string, id uint64, from, to fmt.Stringer) {
+	s.stats.IllegalTransitions++
+	s.log.Error().Str("of", what).Uint64("conn", id).Stringer("from", from).Stringer("to", to).Msg("illegal state transition")
+}
+
 // logStats logs the counters of the core and of the connections, and schedules the next time unless the server stops.
 func (s *Server) logStats() {
 	s.log.Info().
