--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -24,8 +24,8 @@
 	"heathshed/internal/wellknown"
 )
 
-// BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the answers, and tells the time from the moment each was due
-// to be posted until a watch showed it settled.
+// BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the responses, and reports the time from the moment
+// each was due to be posted until a watch showed it settled.
 func BenchmarkPostToSettled(b *testing.B) {
 	for _, machines := range []int{10, 100, 500} {
 		for _, rate := range []int{50, 200, 800} {
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkFanOut tells how many events a second reach so many watchers of all Pods.
+// BenchmarkFanOut reports how many events a second reach so many watchers of all Pods.
 func BenchmarkFanOut(b *testing.B) {
 	for _, watchers := range []int{1, 100, 5000} {
 		b.Run(fmt.Sprint("watchers=", watchers), func(b *testing.B) {
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -33,8 +33,8 @@
 	return m.HeapAlloc
 }
 
-// 4,000 watches that are never read beside a Job of 1,000 tasks stay within what connections may hold, a watch that is read misses
-// nothing, and the memory is free again when they are gone.
+// 4,000 watches that are never read beside a Job of 1,000 tasks stay within the memory quota of connections, and the memory
+// is free again when they are closed.
 func TestUnreadWatches(t *testing.T) {
 	c := startCluster(t, nil)
 	before := heapBytes()
@@ -63,8 +63,8 @@
 	})
 }
 
-// Requests for lists in a pipeline whose answers are never read, and bodies that never end, hold no more than their share, and others are
-// served meanwhile.
+// Pipelined requests for lists whose responses are never read, and bodies that never end, stay within the memory quota, and
+// others are served meanwhile.
 func TestUnreadResponsesAndEndlessBodies(t *testing.T) {
 	c := startCluster(t, func(s *config.Settings) { s.Limits.MemoryMiB = 256 })
 	c.submitJob(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 2000, Cores: 0.01, Memory: 0.01, Lifetime: 60, BackoffLimit: 6})
@@ -74,7 +74,7 @@
 	c.openUnreadConnections(200, "POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 3000000\r\n\r\n"+strings.Repeat(" ", 2900000))
 	var held, total int64
 	var users, evicted int
-	c.eventually("all are there or were evicted", func() bool {
+	c.eventually("all are connected or were evicted", func() bool {
 		c.runOnLoop(func() {
 			m := c.scheduler.httpServer.Memory()
 			held, total, users, evicted = max(held, m.Used()), m.Total(), m.Users(), int(m.Evicted)
@@ -91,7 +91,7 @@
 	t.Logf("held %d KB of %d KB, %d evicted", held>>10, total>>10, evicted)
 }
 
-// A method that nobody knows makes no series of its own.
+// Unknown methods get no series of their own.
 func TestSeriesAreBounded(t *testing.T) {
 	c := startCluster(t, nil)
 	for i := range 50 {
@@ -101,6 +101,6 @@
 		}
 	}
 	if text := c.requireStatus(200, "GET", "/metrics", "", ""); strings.Count(string(text), "heathshed_api_requests_total{") > 10 {
-		t.Error("a series for each method that a peer makes up")
+		t.Error("a series for each unknown method")
 	}
 }
--- a/internal/scheduler/clientgo_test.go
+++ b/internal/scheduler/clientgo_test.go
@@ -98,7 +98,7 @@
 	if len(names) != 7 {
 		t.Fatalf("%d Pods over all pages, want 7", len(names))
 	}
-	c.eventually("the Pods go with their Job", func() bool { return len(c.pods("")) == 0 })
+	c.eventually("the Pods are deleted with their Job", func() bool { return len(c.pods("")) == 0 })
 
 	g := j.DeepCopy()
 	g.Name, g.GenerateName = "", "gen-"
@@ -137,7 +137,8 @@
 	c.checkAudit()
 }
 
-// An informer sees every Pod settle once, across connections that are dropped under it, in JSON and in the binary encoding.
+// An informer sees every Pod settle once although its connections are closed again and again, in JSON and in the binary
+// encoding.
 func TestInformerAcrossDroppedConnections(t *testing.T) {
 	for _, accept := range []string{"", "application/vnd.kubernetes.protobuf,application/json"} {
 		t.Run(accept, func(t *testing.T) { informerAcrossDrops(t, accept) })
@@ -201,8 +202,8 @@
 	c.checkAudit()
 }
 
-// A drain by patch, as kubectl drain does it: nothing new goes there, what runs moves, and a drain between offer and answer breaks
-// nothing.
+// A node is drained by a patch, as kubectl drain does it: no new tasks go there and running ones are migrated, also when the
+// drain comes while attempts are in flight.
 func TestDrainByPatch(t *testing.T) {
 	c := startCluster(t, nil)
 	k, ctx := clientset(t, c), context.Background()
@@ -232,7 +233,7 @@
 	})
 	for _, ev := range c.recordedEvents() {
 		if ev.Kind == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.settings.Rules.DrainGrace {
-			t.Errorf("offered to %s %.3f s after the order", node, ev.At-float64(told.UnixNano())/1e9)
+			t.Errorf("attempt sent to %s %.3f s after the order", node, ev.At-float64(told.UnixNano())/1e9)
 		}
 	}
 	c.checkAudit()
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -25,6 +26,7 @@
 	"heathshed/internal/memquota"
 	"heathshed/internal/scenario"
 	"heathshed/internal/simulation"
+	"heathshed/internal/store"
 	"heathshed/internal/wellknown"
 )
 
@@ -352,3 +354,26 @@
 		c.t.Error(violation)
 	}
 }
+
+func jobJSON(name string, n int) string {
+	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q},"spec":{"parallelism":%d,"completions":%d,"template":{"spec":{`+
+		`"restartPolicy":"Never","containers":[{"name":"m","image":"i","resources":{"requests":{"cpu":"10m","memory":"1Mi"}}}]}}}}`, name, n, n)
+}
+
+// watchers is the number of open watches.
+func (c *cluster) watchers() (n int) {
+	c.runOnLoop(func() { n = c.scheduler.apiServer.Watchers() })
+	return n
+}
+
+// revision is the revision of the last change.
+func (c *cluster) revision() (revision int64) {
+	c.runOnLoop(func() { revision = c.scheduler.Revision() })
+	return revision
+}
+
+// count is the number of objects of a resource.
+func (c *cluster) count(resource store.Resource) (n int) {
+	c.runOnLoop(func() { n = c.scheduler.ObjectCount(resource) })
+	return n
+}
