--- a/internal/scheduler/metrics.go
+++ b/internal/scheduler/metrics.go
@@ -58,25 +58,25 @@
 		name, help string
 		value      *uint64
 	}{
-		{"asks_total", "Asks brought to the placer.", &stats.PlacementRequests},
-		{"asked_again_total", "Asks after the first of a task.", &stats.Retries},
-		{"asks_shed_total", "Asks that the gate refused.", &stats.Shed},
-		{"offers_total", "Offers sent to machines.", &stats.Attempts},
-		{"offers_accepted_total", "Offers that machines accepted.", &stats.Accepted},
-		{"offers_refused_total", "Offers that machines refused.", &stats.Rejections},
-		{"offers_in_doubt_total", "Offers that ended without word whether they were accepted.", &stats.UnknownOutcomes},
-		{"adopted_total", "Doubtful attempts found running.", &stats.Adopted},
-		{"taken_over_total", "Tasks found on machines after a restart.", &stats.Recovered},
-		{"stops_total", "Orders to stop sent to machines.", &stats.Stops},
+		{"asks_total", "Placement requests submitted to the placer.", &stats.PlacementRequests},
+		{"asked_again_total", "Placement requests after the first of a task.", &stats.Retries},
+		{"asks_shed_total", "Placement requests shed by admission control.", &stats.Shed},
+		{"offers_total", "Attempts sent to nodes.", &stats.Attempts},
+		{"offers_accepted_total", "Attempts that nodes accepted.", &stats.Accepted},
+		{"offers_refused_total", "Attempts that nodes rejected.", &stats.Rejections},
+		{"offers_in_doubt_total", "Attempts with an unknown outcome.", &stats.UnknownOutcomes},
+		{"adopted_total", "Attempts with an unknown outcome that were found running.", &stats.Adopted},
+		{"taken_over_total", "Tasks adopted from nodes after a restart.", &stats.Recovered},
+		{"stops_total", "Stop orders sent to nodes.", &stats.Stops},
 		{"tasks_placed_total", "Tasks settled as placed.", &stats.Placed},
-		{"tasks_refused_total", "Tasks settled as refused.", &stats.Rejected},
+		{"tasks_refused_total", "Tasks settled as rejected.", &stats.Rejected},
 		{"tasks_failed_total", "Tasks settled as failed.", &stats.Failed},
-		{"tasks_lost_total", "Placed tasks lost with their machine.", &stats.LostTasks},
+		{"tasks_lost_total", "Placed tasks lost with their node.", &stats.LostTasks},
 		{"tasks_evicted_total", "Placed tasks evicted for memory.", &stats.EvictedTasks},
-		{"tasks_moved_total", "Placed tasks moved or evicted by order.", &stats.MigratedTasks},
-		{"jobs_created_total", "Jobs taken.", &stats.JobsCreated},
+		{"tasks_moved_total", "Placed tasks migrated or evicted by order.", &stats.MigratedTasks},
+		{"jobs_created_total", "Jobs accepted.", &stats.JobsCreated},
 		{"jobs_finished_total", "Jobs finished.", &stats.JobsFinished},
-		{"jobs_turned_away_total", "Jobs turned away because too many tasks are held.", &stats.JobsRejected},
+		{"jobs_turned_away_total", "Jobs rejected because too many tasks are held.", &stats.JobsRejected},
 	} {
 		m.counter(c.name, c.help, func() uint64 { return *c.value })
 	}
@@ -85,14 +85,14 @@
 func (m *metrics) registerEngineGauges(s *Scheduler) {
 	core := s.engine
 	m.gauge("tasks_open", "Tasks without a final answer.", func() float64 { return float64(core.OpenTasks()) })
-	m.gauge("gate_limit", "Learned limit on asks under way.", func() float64 { return core.Admission().Limit() })
-	m.gauge("gate_waiting", "Asks that stand in line at the gate.", func() float64 { return float64(core.Admission().QueueLength()) })
-	m.gauge("gate_budget", "Asks that may be made again at once.", func() float64 { return core.Admission().RetryBudget() })
-	m.gauge("machines_ready", "Machines that the inventory lists as ready or draining.", func() float64 {
+	m.gauge("gate_limit", "Learned limit on concurrent placement requests.", func() float64 { return core.Admission().Limit() })
+	m.gauge("gate_waiting", "Placement requests that wait for admission.", func() float64 { return float64(core.Admission().QueueLength()) })
+	m.gauge("gate_budget", "Retries that the retry budget allows at once.", func() float64 { return core.Admission().RetryBudget() })
+	m.gauge("machines_ready", "Nodes that the inventory lists as ready or draining.", func() float64 {
 		listed, _ := core.NodeCounts()
 		return float64(listed)
 	})
-	m.gauge("machines_heard", "Machines whose tasks are being watched.", func() float64 {
+	m.gauge("machines_heard", "Nodes whose tasks are being watched.", func() float64 {
 		_, watched := core.NodeCounts()
 		return float64(watched)
 	})
@@ -110,7 +110,7 @@
 		return float64(s.httpServer.Memory().Used())
 	})
 	m.gauge("connections_bytes_limit", "Memory that they may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
-	m.counter("connections_cut_total", "API connections cut off because they held too much.", func() uint64 { return s.httpServer.Memory().Evicted })
+	m.counter("connections_cut_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.Memory().Evicted })
 	m.counter("bad_requests_total", "Requests that could not be read.", func() uint64 { return s.httpServer.BadRequests })
 	m.counter("loop_turns_total", "Turns of the event loop.", func() uint64 { return s.loop.Iterations })
 }
