--- a/internal/admission/characterization_test.go
+++ b/internal/admission/characterization_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"heathshed/internal/admission"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 )
 
 // TestCharacterizeAdmission pins the decisions of a controller, their delays by bits, and its figures after each call, under seeded load
-// with several tenants. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// with several tenants. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeAdmission(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for _, run := range []struct {
 		name   string
 		change func(*admission.Config)
@@ -38,7 +38,7 @@
 	record.Check(t, "admission")
 }
 
-func recordAdmissions(t *testing.T, record *golden.Recorder, name string, change func(*admission.Config), gap, placed float64) {
+func recordAdmissions(t *testing.T, record *goldentest.Recorder, name string, change func(*admission.Config), gap, placed float64) {
 	t.Helper()
 	config := admission.DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1, 0}
@@ -100,7 +100,7 @@
 }
 
 // recordInvalidConfigs pins the error texts of invalid configurations.
-func recordInvalidConfigs(record *golden.Recorder) {
+func recordInvalidConfigs(record *goldentest.Recorder) {
 	for i, change := range []func(*admission.Config){
 		func(c *admission.Config) { c.MinInFlight = 0 },
 		func(c *admission.Config) { c.MaxInFlight = 0 },
--- a/internal/api/characterization_test.go
+++ b/internal/api/characterization_test.go
@@ -15,13 +15,13 @@
 	"heathshed/internal/api"
 	"heathshed/internal/config"
 	"heathshed/internal/engine"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/http1"
 	"heathshed/internal/wellknown"
 )
 
 // The tests pin status, header fields and body bytes of the answers to fixed requests. Regenerate the golden files with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 
 const (
 	jsonMedia    = "application/json"
@@ -41,7 +41,7 @@
 	server *api.Server
 	engine *engine.Engine
 	now    float64
-	record *golden.Recorder
+	record *goldentest.Recorder
 }
 
 func newSession(t *testing.T) *session {
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &session{engine: e, now: requestStart, record: golden.NewRecorder(),
+	s := &session{engine: e, now: requestStart, record: goldentest.NewRecorder(),
 		server: &api.Server{Store: e.Store(), Engine: e, Version: "test", DefaultListLimit: 50}}
 	s.server.Metrics = func() []byte { return []byte("metric 1\n") }
 	var nodes []*corev1.Node
--- a/internal/audit/characterization_test.go
+++ b/internal/audit/characterization_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"heathshed/internal/audit"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 )
 
 // TestCharacterizeVerdicts pins the auditor's violations and counts over seeded events, most of which break rules. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeVerdicts(t *testing.T) {
-	recorder := golden.NewRecorder()
+	recorder := goldentest.NewRecorder()
 	config := audit.Config{DrainGrace: 0.5, Slack: 0.1, Classes: map[string]audit.Class{"once": {AtMostOnce: true}, "web": {},
 		"keyed-machine": {Idempotent: true, KeyScope: "machine", KeyTTL: 5}, "keyed-rack": {Idempotent: true, KeyScope: "rack", KeyTTL: 3},
 		"keyed-zone": {Idempotent: true, KeyScope: "zone", KeyTTL: 2}, "keyed-all": {Idempotent: true, KeyScope: "all", KeyTTL: 1},
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -9,15 +9,15 @@
 	"testing"
 
 	"heathshed/internal/config"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 )
 
 // The tests pin printed settings, what follows from them, and the texts of errors. Regenerate the golden files with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 
 // TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones.
 func TestCharacterizeSettings(t *testing.T) {
-	r := golden.NewRecorder()
+	r := goldentest.NewRecorder()
 	s := config.Default()
 	text, err := s.Text()
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // recordDerived records what is derived from settings, floats by their bits: emulated nodes, priorities, lifetimes and the engine's configuration.
-func recordDerived(t *testing.T, r *golden.Recorder, s *config.Settings) {
+func recordDerived(t *testing.T, r *goldentest.Recorder, s *config.Settings) {
 	t.Helper()
 	text, err := s.Text()
 	if err != nil {
@@ -113,7 +113,7 @@
 
 // TestCharacterizeScenarioScripts pins scripts of days and the errors of bad ones.
 func TestCharacterizeScenarioScripts(t *testing.T) {
-	r := golden.NewRecorder()
+	r := goldentest.NewRecorder()
 	directory := t.TempDir()
 	for i, text := range []string{`{}`, `{"seed": 4, "seconds": 50, "calm": 10}`, `{"trouble": [{"kind": "crash", "at": 5, "for": 3, "part": 0.5}]}`,
 		`{"trouble": [{"kind": "x"}]}`, `{"trouble": [{"kind": "crash", "at": -5}]}`, `{"nodes": 0}`, `{"schedulers": 0}`, `{"seconds": -1}`,
--- a/internal/connpool/characterization_test.go
+++ b/internal/connpool/characterization_test.go
@@ -8,12 +8,12 @@
 	"testing"
 
 	"heathshed/internal/connpool"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 )
 
-// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package golden.
+// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package goldentest.
 func TestCharacterization(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	record.Line("%s", defaults())
 	shortPolicy := connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}
 	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
--- a/internal/decodelimit/characterization_test.go
+++ b/internal/decodelimit/characterization_test.go
@@ -11,14 +11,14 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"heathshed/internal/decodelimit"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 )
 
 // TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
-// part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterization(t *testing.T) {
 	o := decodelimit.ObjectLimits()
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	record.Line("object %d %d %d %d %d %d", o.Bytes, o.Depth, o.Values, o.NumberLength, o.Exponent, o.Digits)
 	for i, limits := range limitSets {
 		for j, text := range corpus() {
--- a/internal/dispatch/characterization_test.go
+++ b/internal/dispatch/characterization_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"heathshed/internal/dispatch"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/platformproto"
 	"heathshed/internal/simconfig"
 	"heathshed/placer"
@@ -27,7 +27,7 @@
 		}
 	}
 	lines = append(lines, playDirected(t)...)
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for _, line := range lines {
 		record.Line("%s", line)
 	}
--- a/internal/engine/characterization_test.go
+++ b/internal/engine/characterization_test.go
@@ -12,7 +12,7 @@
 )
 
 // The characterization tests below pin every effect, every stored change and every error of an engine under seeded scripts. Regenerate
-// their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 
 // TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
 func TestCharacterizeMoves(t *testing.T) {
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -14,7 +14,7 @@
 
 	"heathshed/internal/config"
 	"heathshed/internal/engine"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/store"
 	"heathshed/internal/wellknown"
 )
@@ -42,7 +42,7 @@
 	sequence    int
 	revision    int64
 	jobs        []string
-	record      *golden.Recorder
+	record      *goldentest.Recorder
 	kinds       [8]int64 // effects by kind
 	changes     [4][3]int64
 	failures    map[string]int64
@@ -57,7 +57,7 @@
 	if change != nil {
 		change(&config)
 	}
-	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: golden.NewRecorder(),
+	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: goldentest.NewRecorder(),
 		failures: map[string]int64{}}
 	for i := range 10 {
 		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
--- a/internal/eventqueue/characterization_test.go
+++ b/internal/eventqueue/characterization_test.go
@@ -9,14 +9,14 @@
 	"testing"
 
 	"heathshed/internal/eventqueue"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/placer"
 )
 
 // TestCharacterization compares with the golden file the order of events and actions, where actions post further events and start a nested run,
-// and the delays for a range of values. See package golden for how the file is written anew.
+// and the delays for a range of values. See package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
 		order := playQueue(seed)
 		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
--- a/internal/golden/golden.go
+++ b/internal/goldentest/goldentest.go
@@ -1,4 +1,4 @@
-// Package golden supports characterization tests: a test records what it observes, and the record is compared byte for byte with a file
+// Package goldentest supports characterization tests: a test records what it observes, and the record is compared byte for byte with a file
 // in the testdata directory of its package.
 //
 // Records hold only numbers, wire words, encoded bytes and the bits of floating point values, never names of Go identifiers, so that
@@ -6,7 +6,7 @@
 // if the environment variable HEATHSHED_UPDATE_GOLDEN is 1:
 //
 //	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/...
-package golden
+package goldentest
 
 import (
 	"crypto/sha256"
@@ -108,7 +108,7 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		tb.Fatalf("the golden file is missing; see package golden: %v", err)
+		tb.Fatalf("the golden file is missing; see package goldentest: %v", err)
 	}
 	compare(tb, path, got, string(want))
 }
--- a/internal/http1/characterization_test.go
+++ b/internal/http1/characterization_test.go
@@ -5,45 +5,22 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
+	"heathshed/internal/goldentest"
 	"heathshed/internal/http1"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
+// checkLines compares lines with the golden file.
+func checkLines(t *testing.T, lines []string) {
 	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
+	goldentest.CheckText(t, "characterization", strings.Join(lines, "\n")+"\n")
 }
 
 // TestCharacterization compares what the decoder makes of fixed messages, whole, in pieces and under small limits, and of seeded mutations, and
-// what the writer appends, with the golden file. The reason of a refusal is sent to clients, so it is part of it. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// what the writer appends, with the golden file. The reason of a refusal is sent to clients, so it is part of it. See
+// package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
 	l := http1.DefaultLimits()
 	lines := []string{fmt.Sprint("limits ", l.Line, " ", l.Head, " ", l.Fields, " ", l.Body, " ", l.Trailer)}
@@ -53,7 +30,7 @@
 	for seed := uint64(1); seed <= 30; seed++ {
 		lines = append(lines, fmt.Sprintf("mutations %d %s", seed, digestOf(mutations(seed))))
 	}
-	compareGolden(t, append(lines, written()...))
+	checkLines(t, append(lines, written()...))
 }
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
--- a/internal/memquota/characterization_test.go
+++ b/internal/memquota/characterization_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/memquota"
 )
 
 // TestCharacterization pins shares, allowances and evictions over seeded inputs. Regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterization(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
 	for _, memory := range []int64{-1, 0, 1, 64<<20 - 1, 64 << 20, 64<<20 + 7, 100_000_001, 1 << 30, 3<<30 + 5, 1 << 40} {
 		s := memquota.Divide(memory)
--- a/internal/nodesim/characterization_test.go
+++ b/internal/nodesim/characterization_test.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/nodesim"
 )
 
 // TestCharacterizeNodes pins the effects and figures of a simulated node under seeded requests, stops, drains and stalls. Regenerate the
-// golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeNodes(t *testing.T) {
-	recorder := golden.NewRecorder()
+	recorder := goldentest.NewRecorder()
 	for i, run := range []struct {
 		change func(*nodesim.Config)
 		gap    float64 // mean seconds between calls
@@ -38,7 +38,7 @@
 	recorder.Check(t, "machines")
 }
 
-func operate(recorder *golden.Recorder, name string, config nodesim.Config, gap float64) {
+func operate(recorder *goldentest.Recorder, name string, config nodesim.Config, gap float64) {
 	rng := rand.New(rand.NewPCG(31, config.Seed))
 	now, next := 50.0, 0
 	node := nodesim.New(config, now)
@@ -69,7 +69,7 @@
 	recorder.Line("%s: effects %v, reasons %v, %d starts, %d duplicates", name, kinds, reasons, node.Starts, node.DuplicateStarts)
 }
 
-func act(recorder *golden.Recorder, node *nodesim.Node, rng *rand.Rand, now float64, next *int) {
+func act(recorder *goldentest.Recorder, node *nodesim.Node, rng *rand.Rand, now float64, next *int) {
 	switch draw := rng.IntN(100); {
 	case draw < 75:
 		*next++
@@ -89,7 +89,7 @@
 	}
 }
 
-func observe(recorder *golden.Recorder, node *nodesim.Node, kinds *[5]int, reasons *[10]int) {
+func observe(recorder *goldentest.Recorder, node *nodesim.Node, kinds *[5]int, reasons *[10]int) {
 	for _, effect := range node.Ready() {
 		kinds[effect.Kind]++
 		reasons[effect.Reason]++
--- a/internal/platformproto/characterization_test.go
+++ b/internal/platformproto/characterization_test.go
@@ -8,15 +8,15 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/platformproto"
 )
 
 // TestCharacterization compares with the golden file what the codec makes of a fixed corpus of lines and of seeded mutations of it: whether a line
-// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are left out. See package golden for how the file
+// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are left out. See package goldentest for how the file
 // is written anew.
 func TestCharacterization(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for i, line := range corpus() {
 		record.Line("line %d %s", i, digestOf(describe(line)))
 	}
--- a/internal/retry/backoff_characterization_test.go
+++ b/internal/retry/backoff_characterization_test.go
@@ -5,14 +5,14 @@
 	"math"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/retry"
 )
 
 // TestCharacterizeBackoff pins delays by bits for a grid of bounds and jitters, before and after a reset. Regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeBackoff(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for _, bounds := range [][2]float64{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
 		for _, jitter := range []float64{0, 0.25, 0.5, 1} {
 			record.Line("%s", delays(bounds, jitter))
--- a/internal/retry/characterization_test.go
+++ b/internal/retry/characterization_test.go
@@ -5,15 +5,15 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/retry"
 	"heathshed/placer"
 )
 
 // TestCharacterizePolicy pins decisions and their times by bits, for seeded states of every idempotency and cause. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizePolicy(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	policies := []retry.Policy{
 		retry.DefaultPolicy(),
 		{Delay: 0.2, ShortDelay: 0.05, Multiplier: 3, MaxDelay: 9, UnknownOutcomeTimeout: 1},
--- a/internal/simadapter/characterization_test.go
+++ b/internal/simadapter/characterization_test.go
@@ -21,7 +21,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/simadapter"
 )
 
@@ -275,7 +275,7 @@
 		t.Fatal(p.problem)
 	}
 	fmt.Fprintf(&p.text, "problems %d %x\n", bytes.Count(problems.Bytes(), []byte("\n")), sha256.Sum256(problems.Bytes()))
-	golden.CheckText(t, "run", p.text.String())
+	goldentest.CheckText(t, "run", p.text.String())
 }
 
 // TestCharacterizationOfRefusedInput pins which codes of lists and outcomes the adapter rejects: 1 for rejected.
@@ -303,5 +303,5 @@
 		rejected(record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
 	}
 	text.WriteByte('\n')
-	golden.CheckText(t, "refused", text.String())
+	goldentest.CheckText(t, "refused", text.String())
 }
--- a/internal/simconfig/characterization_test.go
+++ b/internal/simconfig/characterization_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/simconfig"
 	"heathshed/placer"
 )
@@ -96,7 +96,7 @@
 		}
 		fmt.Fprintf(&text, "shape %d\n%s", i, describe(s))
 	}
-	golden.CheckText(t, "settings", text.String())
+	goldentest.CheckText(t, "settings", text.String())
 }
 
 // TestCharacterizationOfInvalidSettings pins which settings are rejected, and the error text, which names JSON keys.
--- a/internal/simproto/characterization_test.go
+++ b/internal/simproto/characterization_test.go
@@ -16,7 +16,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/simproto"
 )
 
@@ -107,7 +107,7 @@
 			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Remaining())
 		}
 	}
-	golden.CheckText(t, "events", text.String())
+	goldentest.CheckText(t, "events", text.String())
 }
 
 // countReadable returns how many records of an input are read before an error; -1 if the batch itself is rejected.
@@ -155,7 +155,7 @@
 		fmt.Fprintf(&text, "%d,", count)
 	}
 	text.WriteByte('\n')
-	golden.CheckText(t, "refusals", text.String())
+	goldentest.CheckText(t, "refusals", text.String())
 }
 
 func TestCharacterizationOfActions(t *testing.T) {
@@ -191,5 +191,5 @@
 		write(uint32(i+1), action)
 	}
 	write(math.MaxUint32, all...)
-	golden.CheckText(t, "actions", text.String())
+	goldentest.CheckText(t, "actions", text.String())
 }
--- a/internal/simulation/characterization_test.go
+++ b/internal/simulation/characterization_test.go
@@ -10,7 +10,7 @@
 
 	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/scenario"
 	"heathshed/internal/simulation"
 	"heathshed/internal/store"
@@ -18,7 +18,7 @@
 
 // TestCharacterizeScenarios pins simulated scenarios with every kind of fault: plans, audit events, the stored changes of every
 // scheduler, its counters, and the report of the auditor, checked by the rules as they are and by rules that are broken on purpose.
-// Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeScenarios(t *testing.T) {
 	for _, run := range []struct {
 		name       string
@@ -49,13 +49,13 @@
 	world     *simulation.World
 	revisions []int64
 	calls     int
-	record    *golden.Recorder
+	record    *goldentest.Recorder
 }
 
 func newScenarioRun(t *testing.T, script scenario.Script, loss float64) *scenarioRun {
 	t.Helper()
 	defaults := config.Default()
-	run := &scenarioRun{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: golden.NewRecorder()}
+	run := &scenarioRun{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: goldentest.NewRecorder()}
 	run.config.KeepEvents = true
 	run.config.AnswerLossRate = loss
 	run.config.AttemptLossRate = loss
--- a/internal/sse/characterization_test.go
+++ b/internal/sse/characterization_test.go
@@ -5,44 +5,21 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 
+	"heathshed/internal/goldentest"
 	"heathshed/internal/sse"
 )
 
-const (
-	goldenPath   = "testdata/characterization.golden"
-	goldenUpdate = "HEATHSHED_UPDATE_GOLDEN"
-)
-
-func compareGolden(t *testing.T, lines []string) {
+// checkLines compares lines with the golden file.
+func checkLines(t *testing.T, lines []string) {
 	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if os.Getenv(goldenUpdate) == "1" {
-		if err := os.WriteFile(goldenPath, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatalf("golden file: %v", err)
-	}
-	expected := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	if len(expected) != len(lines) {
-		t.Errorf("%d lines, want %d", len(lines), len(expected))
-	}
-	for i := range min(len(expected), len(lines)) {
-		if expected[i] != lines[i] {
-			t.Errorf("line %d: got %s, want %s", i+1, lines[i], expected[i])
-		}
-	}
+	goldentest.CheckText(t, "characterization", strings.Join(lines, "\n")+"\n")
 }
 
-// TestCharacterization compares the events of fixed streams, split at every position, and of seeded streams with the golden file. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden
-// file anew; a missing file is a failure.
+// TestCharacterization compares the events of fixed streams, split at every position, and of seeded streams with the golden file. See
+// package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for i, stream := range streams {
@@ -64,7 +41,7 @@
 		lines = append(lines, fmt.Sprintf("seed %d %x", seed, sha256.Sum256([]byte(decodeRandom(seed)))))
 	}
 	lines = append(lines, defaultLimit())
-	compareGolden(t, lines)
+	checkLines(t, lines)
 }
 
 func singleBytes(stream string) (pieces []string) {
--- a/internal/store/characterization_test.go
+++ b/internal/store/characterization_test.go
@@ -9,16 +9,16 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/store"
 )
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
 
 // TestCharacterizeStore pins the events, snapshots, errors and trimmed histories of stores under seeded changes. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package golden.
+// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeStore(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for i, s := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
 		changeStore(record, fmt.Sprintf("store %d", i), s, uint64(i))
 	}
@@ -27,7 +27,7 @@
 }
 
 // keepSnapshots keeps more snapshots than a store holds, and looks for each of them as time passes.
-func keepSnapshots(record *golden.Recorder) {
+func keepSnapshots(record *goldentest.Recorder) {
 	s, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
 		s.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
@@ -44,7 +44,7 @@
 	}
 }
 
-func changeStore(record *golden.Recorder, name string, s *store.Store, seed uint64) {
+func changeStore(record *goldentest.Recorder, name string, s *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	base, now := s.Rev(), 0.0
 	for step := range 3000 {
@@ -95,7 +95,7 @@
 	return o
 }
 
-func recordChange(record *golden.Recorder, change *store.Change) {
+func recordChange(record *goldentest.Recorder, change *store.Change) {
 	record.Integers(change.Rev, int64(change.Op), store.Cost(change.Object))
 	record.Texts(change.Object.GetNamespace(), change.Object.GetName(), change.Object.GetResourceVersion())
 	record.Booleans(change.Prev != nil)
@@ -104,7 +104,7 @@
 	}
 }
 
-func readChanges(record *golden.Recorder, s *store.Store, table store.Resource, revision int64, most int) {
+func readChanges(record *goldentest.Recorder, s *store.Store, table store.Resource, revision int64, most int) {
 	changes, err := s.Since(table, revision, most)
 	record.Error(err)
 	record.Integers(int64(len(changes)))
@@ -114,7 +114,7 @@
 }
 
 // readSnapshot keeps a snapshot and reads parts of it, and of one that was kept before.
-func readSnapshot(record *golden.Recorder, s *store.Store, now float64, table store.Resource, rng *rand.Rand) {
+func readSnapshot(record *goldentest.Recorder, s *store.Store, now float64, table store.Resource, rng *rand.Rand) {
 	s.KeepSnapshot(now, s.Snapshot(table))
 	snapshot, err := s.FindSnapshot(now, table, s.Rev()-int64(rng.IntN(3)*10))
 	record.Error(err)
--- a/internal/timerqueue/characterization_test.go
+++ b/internal/timerqueue/characterization_test.go
@@ -8,14 +8,14 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/timerqueue"
 )
 
 // TestCharacterization compares with the golden file the order in which a queue returns timers, many of equal time. Some are stopped, some are
-// added while others run. See package golden for how the file is written anew.
+// added while others run. See package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	record := golden.NewRecorder()
+	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
 		order := playQueue(seed)
 		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
--- a/internal/workload/characterization_test.go
+++ b/internal/workload/characterization_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/klauspost/compress/zstd"
 
-	"heathshed/internal/golden"
+	"heathshed/internal/goldentest"
 	"heathshed/internal/workload"
 )
 
 // The tests pin entries and problems of each recorded format for fixed inputs. Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1
-// only if behaviour is meant to change; see package golden.
+// only if behaviour is meant to change; see package goldentest.
 
 const logLines = `10.0.0.1 - ana [10/Oct/2026:13:55:36 -0500] "GET /a/b?c=d HTTP/1.1" 200 2326
 10.0.0.2 - - [10/Oct/2026:13:55:36 -0500] "POST /x HTTP/1.0" 503 -
@@ -61,7 +61,7 @@
 ],"comment":"end"}}`
 
 // recordEntries writes all entries and errors of a source.
-func recordEntries(r *golden.Recorder, label string, source workload.Reader) {
+func recordEntries(r *goldentest.Recorder, label string, source workload.Reader) {
 	r.Line("== %s", label)
 	for range 200 {
 		e, err := source.Next()
@@ -83,14 +83,14 @@
 	}
 }
 
-func recordEntry(r *golden.Recorder, e workload.Entry) {
+func recordEntry(r *goldentest.Recorder, e workload.Entry) {
 	r.Line("entry %016x %v %q %q %q %q %d %d %016x %q %q %q %d", math.Float64bits(e.At), e.WholeSeconds, e.Method, e.Host, e.Path, e.Query, e.Status,
 		e.Bytes, math.Float64bits(e.Duration), e.RemoteAddr, e.User, e.File, e.Line)
 }
 
 // TestCharacterizeFormats pins access logs, JSON lines and HAR files, with malformed and truncated ones.
 func TestCharacterizeFormats(t *testing.T) {
-	r := golden.NewRecorder()
+	r := goldentest.NewRecorder()
 	for _, text := range []string{workload.Common, workload.Combined,
 		`$remote_addr - $remote_user [$time_local] "$request" $status $body_bytes_sent "$http_referer" "$http_user_agent"`,
 		`$time_iso8601 $request_method $uri ?$args $body_bytes_sent $request_time $host $status`, `%t %m %U%%%q %D`, `$msec $request_method $uri $args $bytes_sent $request_time $http_host $status`,
@@ -118,7 +118,7 @@
 
 // TestCharacterizeSources pins how compressed sources are opened, formats are guessed, and entries are brought in order.
 func TestCharacterizeSources(t *testing.T) {
-	r := golden.NewRecorder()
+	r := goldentest.NewRecorder()
 	for i, content := range [][]byte{[]byte(logLines), gzipped(t, logLines), zstandard(t, logLines), {}, {0x1f, 0x8b, 1}, {0x28, 0xb5, 0x2f, 0xfd, 9}} {
 		opened, err := workload.Decompress(bytes.NewReader(content))
 		if err != nil {
@@ -162,7 +162,7 @@
 	return w.EncodeAll([]byte(text), nil)
 }
 
-func recordSorted(r *golden.Recorder, window float64) {
+func recordSorted(r *goldentest.Recorder, window float64) {
 	r.Line("== window %v", window)
 	s := workload.Sorter{Window: window}
 	var out []workload.Entry
