--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -182,7 +182,7 @@
 	return shed
 }
 
-// demote puts a request that is late whatever happens, but whose client still wants it, behind those that may be in time. It returns false
+// demote moves a request that can no longer start in time, but whose client still waits, behind those that can. It returns false
 // if the client no longer wants it.
 func (c *Controller) demote(now float64, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -225,7 +225,7 @@
 	}
 	var ends []end
 	id := uint64(from * 1e6)
-	waiting, returning := backlog, map[int]int{} // those shed, by the hundredth of a second at which they come again
+	waiting, returning := backlog, map[int]int{} // those shed, by the tick at which they are submitted again
 	for tick := range int(seconds * 100) {
 		now := from + float64(tick)*0.01
 		for len(ends) > 0 && ends[0].at <= now {
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -33,7 +33,7 @@
 	// admitted: [2] shed: 0
 }
 
-// A request that is still queued when it could no longer start in time is shed with advice when to come again.
+// A request that is still queued when it could no longer start in time is shed, with a delay before the next attempt.
 func ExampleController_Poll() {
 	config := admission.DefaultConfig()
 	config.MinInFlight = 1
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// minLatencyObjective is the shortest objective that is reckoned with, in seconds.
+	// minLatencyObjective is the shortest latency objective that is used, in seconds.
 	minLatencyObjective = 0.001
 	// lateSmoothing is the weight of one completed request in limiter.lateFraction.
 	lateSmoothing = 0.05
@@ -12,7 +12,7 @@
 	promptDivisor = 16.0
 	// slowStartIntervals is for how many decrease intervals no request may be late until slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval is the least decrease interval reckoned with for that, in seconds.
+	// minSlowStartInterval is the least decrease interval used in that product, in seconds.
 	minSlowStartInterval = 0.05
 )
 
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -16,8 +16,8 @@
 	ReasonRetryBudget = "too much is asked again"
 )
 
-// maxRetryAfter bounds the advice to clients of shed requests, in seconds. The rate during a fault says nothing of the time after it, and
-// a client that was told to wait for long would come back long after there is capacity again.
+// maxRetryAfter bounds the advice to clients of shed requests, in seconds. The rate during a fault does not predict the
+// rate after it, and a client with a long delay would return long after capacity does.
 const maxRetryAfter = 15.0
 
 // retryAfterSteps is over how many steps the advice is spread, so that clients do not come back as a wave.
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -2,7 +2,7 @@
 // watches as streams.
 //
 // It is a codec above the engine: it knows no socket and no clock (the time comes with each request) and decides nothing about placement.
-// What of the specification is left out stands in docs/api.md.
+// Parts of the specification that are left out are listed in docs/api.md.
 package api
 
 import (
--- a/internal/api/binary.go
+++ b/internal/api/binary.go
@@ -23,7 +23,7 @@
 // protoMagic is what an object in the protobuf encoding begins with.
 var protoMagic = []byte("k8s\x00")
 
-// wantsBinary says whether a client prefers the protobuf encoding to JSON, by which it names first.
+// wantsBinary says whether a client prefers the protobuf encoding to JSON: the one that it names first counts.
 func wantsBinary(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
 		mediaType, _, _ := mime.ParseMediaType(part) // an invalid parameter leaves the media type, an invalid type is ""
--- a/internal/api/bounds_test.go
+++ b/internal/api/bounds_test.go
@@ -77,7 +77,7 @@
 func TestCostlyBodiesAreRejected(t *testing.T) {
 	deep := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
 	wire := func(quantity string) string {
-		// A quantity inside of a message inside of a message, as the binary encoding has it.
+		// A quantity in a message in a message, in the protobuf encoding.
 		in := func(b string) string { return "\x0a" + string(rune(len(b))) + b }
 		return "k8s\x00" + in("\x0a\x02v1\x12\x03Job") + "\x12" + string(rune(len(in(in(quantity))))) + in(in(quantity))
 	}
--- a/internal/api/delete.go
+++ b/internal/api/delete.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// deleteNamed deletes one object. The answer is the object, or a Status if it is a Job that is gone at once.
+// deleteNamed deletes one object. The answer is the object, or a Status if it is a Job that is removed at once.
 func (s *Server) deleteNamed(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if current == nil {
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -29,7 +29,7 @@
 	}}
 }
 
-// newInvalidSegment rejects a path segment that cannot be the name that stands there: an escaped slash must not become part of one.
+// newInvalidSegment rejects a path segment that is no valid name: an escaped slash must not become part of one.
 func newInvalidSegment(what, got string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
 		"with a letter or digit", what, got))
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -20,7 +20,7 @@
 
 const evictionSubresource = "eviction"
 
-// request is an HTTP request with its target taken apart.
+// request is an HTTP request with its target parsed.
 type request struct {
 	*http1.Request
 	path  []string // the unescaped segments, at least one
@@ -55,7 +55,7 @@
 	return apierrors.NewMethodNotSupported(r.groupResource(), strings.ToLower(r.Head.Method))
 }
 
-// parseTarget takes the request target apart, in origin or absolute form.
+// parseTarget parses the request target, in origin or absolute form.
 func (r *request) parseTarget() error {
 	path, rawQuery, _ := strings.Cut(r.Head.Target, "?")
 	if _, authority, absolute := strings.Cut(path, "://"); absolute {
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -14,7 +14,7 @@
 
 const notNegative = "must be greater than or equal to 0"
 
-// validateLabelsAndAnnotations checks labels and annotations, the latter at most 256 KiB together as the specification has it.
+// validateLabelsAndAnnotations checks labels, and annotations, which the specification limits to 256 KiB together.
 func validateLabelsAndAnnotations(o metav1.Object, at *field.Path) field.ErrorList {
 	errs := validation.ValidateLabels(o.GetLabels(), at.Child("labels"))
 	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), at.Child("annotations"))...)
--- a/internal/api/watch.go
+++ b/internal/api/watch.go
@@ -211,7 +211,7 @@
 	return b
 }
 
-// appendChanges appends the changes after the watch's place in the history, up to a length. It returns false if that place is gone.
+// appendChanges appends the changes after the watch's place in the history, up to a length. It returns false if the history no longer reaches back to it.
 func (w *watcher) appendChanges(b []byte, limit int) (out []byte, inHistory bool) {
 	history := w.server.Store
 	for w.initialSnapshot == nil && len(b) < limit && w.revision < history.Rev() {
--- a/internal/decodelimit/json.go
+++ b/internal/decodelimit/json.go
@@ -166,7 +166,7 @@
 	return false
 }
 
-// scanLiteral takes true, false or null, or whatever letters stand there, and returns the offset after it.
+// scanLiteral takes true, false or null, or any other run of lower-case letters, and returns the offset after it.
 func (s *jsonScanner) scanLiteral(at int) (next int, err *Error) {
 	if err := s.limits.countValue(&s.values, at); err != nil {
 		return 0, err
--- a/internal/decodelimit/proto.go
+++ b/internal/decodelimit/proto.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// anyFieldNumber stands for the number of a field where only its wire type matters.
+// anyFieldNumber is passed as the number of a field where only its wire type matters.
 const anyFieldNumber = 1
 
 // CheckProto checks a message in the protobuf encoding and returns an *Error if it exceeds a limit. Without a schema, a string cannot be told
@@ -67,7 +67,7 @@
 	before := s.values
 	wellFormed, err := s.scan(value, depth+1, offset)
 	if !wellFormed {
-		s.values = before // it is a string after all
+		s.values = before // it is a string, not a message
 	}
 	return err
 }
--- a/internal/decodelimit/quantity.go
+++ b/internal/decodelimit/quantity.go
@@ -124,7 +124,7 @@
 	return n, true
 }
 
-// unescapeHex returns the character of four hexadecimal digits, as unescape has it.
+// unescapeHex returns the character of four hexadecimal digits, by the rules of unescape.
 func unescapeHex(digits []byte) byte {
 	value := 0
 	for _, c := range digits {
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -37,7 +37,7 @@
 	Evicted               // the task was evicted from its node
 	Migrated              // the task is moved to another node
 	Lost                  // the node of the task was lost
-	Shed                  // the scheduler shed the request before any node was asked; it says when to come again
+	Shed                  // the scheduler shed the request before any node was asked; State.RetryAfter is its advice
 )
 
 // State is what a client knows of a task that does not run and has no attempt in flight. Times are in seconds.
@@ -132,7 +132,7 @@
 	for i := range retries {
 		longest := p.delay(State{Attempts: i + 1, Jitter: 1, Cause: Rejected})
 		if longest >= p.MaxDelay {
-			// It grows no further: the rest is not reckoned one by one.
+			// The delay does not grow further: the rest is a product.
 			return total + float64(retries-i)*((minSpread+jitterSpread)*p.MaxDelay+deadline)
 		}
 		total += longest + deadline
