--- a/internal/config/script.go
+++ b/internal/config/script.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -19,8 +20,11 @@
 	if err := dec.decode(&script); err != nil {
 		return scenario.Script{}, err
 	}
-	if path, reason := script.Validate(); reason != "" {
-		return scenario.Script{}, dec.locate(&FieldError{Path: path, Reason: reason})
+	var invalid *scenario.FieldError
+	if err := script.Validate(); errors.As(err, &invalid) {
+		return scenario.Script{}, dec.locate(&FieldError{Path: invalid.Path, Reason: invalid.Reason})
+	} else if err != nil {
+		return scenario.Script{}, err
 	}
 	return script, nil
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -162,8 +162,16 @@
 	s.Cooldown = cooldown
 }
 
-// Validate returns the path of the first field that cannot be used, and what is wrong with it; both are "" if there is none.
-func (s *Script) Validate() (path, msg string) {
+// FieldError is a field of a Script that cannot be used.
+type FieldError struct {
+	Path   string // of the field in the script's JSON form, such as load.cores
+	Reason string
+}
+
+func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
+
+// Validate returns a *FieldError for the first field that cannot be used, nil if there is none.
+func (s *Script) Validate() error {
 	load := &s.Load
 	for _, field := range []struct {
 		path            string
@@ -182,18 +190,18 @@
 		{"load.backoff", float64(load.BackoffLimit), 0, 1000},
 	} {
 		if !within(field.value, field.low, field.top) {
-			return field.path, fmt.Sprintf("%v: want %v to %v", field.value, field.low, field.top)
+			return &FieldError{Path: field.path, Reason: fmt.Sprintf("%v: want %v to %v", field.value, field.low, field.top)}
 		}
 	}
 	if len(load.Classes) == 0 {
-		return "load.classes", "want one at least"
+		return &FieldError{Path: "load.classes", Reason: "want one at least"}
 	}
 	for i := range s.Faults {
-		if field, msg := s.Faults[i].validate(); msg != "" {
-			return fmt.Sprintf("trouble[%d].%s", i, field), msg
+		if invalid := s.Faults[i].validate(fmt.Sprintf("trouble[%d]", i)); invalid != nil {
+			return invalid
 		}
 	}
-	return "", ""
+	return nil
 }
 
 // within reports whether a value is in a closed range. NaN is in none.
@@ -202,16 +210,18 @@
 // nonNegative reports whether a value is 0 or more. NaN is not.
 func nonNegative(value float64) bool { return value >= 0 }
 
-func (fault *Fault) validate() (field, msg string) {
+// validate returns the first field of the fault at a path that cannot be used, nil if there is none.
+func (fault *Fault) validate(path string) *FieldError {
 	switch {
 	case FaultKinds[fault.Kind] == "":
-		return "kind", fmt.Sprintf("%q: want one of %s", fault.Kind, strings.Join(slices.Sorted(maps.Keys(FaultKinds)), ", "))
+		kinds := strings.Join(slices.Sorted(maps.Keys(FaultKinds)), ", ")
+		return &FieldError{Path: path + ".kind", Reason: fmt.Sprintf("%q: want one of %s", fault.Kind, kinds)}
 	case !nonNegative(fault.At) || !nonNegative(fault.Duration):
-		return "at", "want 0 or more"
+		return &FieldError{Path: path + ".at", Reason: "want 0 or more"}
 	case !within(fault.Fraction, 0, 1):
-		return "part", "want 0 to 1"
+		return &FieldError{Path: path + ".part", Reason: "want 0 to 1"}
 	case !nonNegative(fault.Scale):
-		return "scale", "want 0 or more"
+		return &FieldError{Path: path + ".scale", Reason: "want 0 or more"}
 	}
-	return "", ""
+	return nil
 }
