--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -59,11 +59,14 @@
 	if digits == 0 {
 		return 0, badRequest("malformed chunk size")
 	}
-	extensions := bytes.TrimLeft(line[digits:], " \t")
-	if len(extensions) > 0 && extensions[0] != ';' {
-		return 0, badRequest("malformed chunk size")
+	if digits == len(line) {
+		return size, nil
+	}
+	extensions := line[digits:]
+	for len(extensions) > 0 && isSpace(extensions[0]) {
+		extensions = extensions[1:]
 	}
-	if len(extensions) == 0 && digits < len(line) {
+	if len(extensions) == 0 || extensions[0] != ';' {
 		return 0, badRequest("malformed chunk size")
 	}
 	if hasControl(extensions) {
