--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -43,6 +43,21 @@
 	return e
 }
 
+// createJobOnOneNode lists a node with free capacity, which runs nothing, and creates a Job of so many tasks at 1001 s.
+func createJobOnOneNode(t *testing.T, e *Engine, tasks int32) {
+	t.Helper()
+	node := listedNode("a", 0)
+	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
+	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
+	e.NodePods(1000, "n", "a", 1, nil)
+	job := &batchv1.Job{}
+	job.Name, job.Namespace = "j", "default"
+	job.Spec.Completions, job.Spec.Parallelism = &tasks, &tasks
+	if _, err := e.CreateJob(1001, job, false); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // The start of a node is taken by the scheduler's clock: a node whose clock is behind must warm up after a start, and one whose clock is
 // ahead must not warm up for ever.
 func TestWarmupUsesOwnClock(t *testing.T) {
@@ -98,15 +113,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			node := listedNode("a", 0)
-			node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
-			e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
-			e.NodePods(1000, "n", "a", 1, nil)
-			job := &batchv1.Job{}
-			job.Name, job.Namespace = "j", "default"
-			if _, err := e.CreateJob(1001, job, false); err != nil {
-				t.Fatal(err)
-			}
+			createJobOnOneNode(t, e, 1)
 			attempts, now := 0, 1001.0
 			for now < 1060 {
 				for _, effect := range e.Ready(nil) {
@@ -178,15 +185,7 @@
 // final outcome and nothing is sent for it.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	e := newEngine(t)
-	node := listedNode("a", 0)
-	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
-	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
-	e.NodePods(1000, "n", "a", 1, nil)
-	job := &batchv1.Job{}
-	job.Name, job.Namespace = "j", "default"
-	if _, err := e.CreateJob(1001, job, false); err != nil {
-		t.Fatal(err)
-	}
+	createJobOnOneNode(t, e, 1)
 	attempts := func() (sent []Effect) {
 		for _, effect := range e.Ready(nil) {
 			if effect.Kind == SendAttempt {
@@ -273,17 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := listedNode("a", 0)
-	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
-	e.NodesListed(1000, FullList, []*corev1.Node{node}, nil)
-	e.NodePods(1000, "n", "a", 1, nil)
-	job := &batchv1.Job{}
-	job.Name, job.Namespace = "j", "default"
-	tasks := int32(3)
-	job.Spec.Completions, job.Spec.Parallelism = &tasks, &tasks
-	if _, err := e.CreateJob(1001, job, false); err != nil {
-		t.Fatal(err)
-	}
+	createJobOnOneNode(t, e, 3)
 	queued := func() bool {
 		for _, task := range e.tasks {
 			if task.state == taskQueued && task.hasUnknownOutcome() {
