--- a/cmd/heathshed/drain.go
+++ b/cmd/heathshed/drain.go
@@ -12,7 +12,7 @@
 	policyv1 "k8s.io/api/policy/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 func drainCommand() *cobra.Command {
--- a/cmd/heathshed/emulate.go
+++ b/cmd/heathshed/emulate.go
@@ -7,11 +7,12 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/emulator"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/lab/simulation"
+	"heathshed/internal/netio/eventloop"
 )
 
 // anyLoopbackPort lets the system choose a port.
@@ -101,7 +102,7 @@
 
 // nodeOptions returns the options of the i-th emulated node, which reports to no inventory yet.
 func nodeOptions(settings *config.Settings, i int) emulator.NodeOptions {
-	emulated := settings.EmulatedNode(i)
+	emulated := labconfig.NodeAt(settings, i)
 	return emulator.NodeOptions{
 		Name:       simulation.NodeName(i),
 		Zone:       emulated.Zone,
@@ -109,8 +110,8 @@
 		Kind:       emulated.NodeType,
 		Listen:     anyLoopbackPort,
 		Sim:        emulated.Sim,
-		Priorities: settings.Priorities(),
-		Lifetimes:  settings.Lifetimes(),
+		Priorities: labconfig.Priorities(settings),
+		Lifetimes:  labconfig.Lifetimes(settings),
 	}
 }
 
--- a/cmd/heathshed/inspect.go
+++ b/cmd/heathshed/inspect.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/workload"
+	"heathshed/internal/lab/workload"
 )
 
 const (
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/metastability"
+	"heathshed/internal/lab/metastability"
 )
 
 const (
--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -3,10 +3,10 @@
 import (
 	"math"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/metastability"
-	"heathshed/internal/retry"
-	"heathshed/internal/scenario"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/lab/metastability"
+	"heathshed/internal/lab/scenario"
 )
 
 // trialResultJSON is one trial of the search as it is printed as JSON. Its keys are part of the command's output: they stay as they are when the
--- a/cmd/heathshed/metastability_test.go
+++ b/cmd/heathshed/metastability_test.go
@@ -5,10 +5,10 @@
 	"math"
 	"testing"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/metastability"
-	"heathshed/internal/retry"
-	"heathshed/internal/scenario"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/lab/metastability"
+	"heathshed/internal/lab/scenario"
 )
 
 // TestTrialJSON pins the keys and their order in what the search prints as JSON.
--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/platform"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/server"
 	"heathshed/placer"
 )
 
@@ -39,12 +39,12 @@
 }
 
 // readPlatformConfig reads the file that LB_CONFIG names and checks that the other variables agree with it.
-func readPlatformConfig() (*platform.Config, error) {
+func readPlatformConfig() (*server.Config, error) {
 	path := os.Getenv(platformConfigVariable)
 	if path == "" {
 		return nil, fmt.Errorf("%s: not set", platformConfigVariable)
 	}
-	config, err := platform.ReadConfig(path)
+	config, err := server.ReadConfig(path)
 	if err != nil {
 		return nil, err
 	}
@@ -83,20 +83,20 @@
 	if err != nil {
 		return err
 	}
-	server, err := platform.New(loop, config, policy, log, loop.Stop)
+	frontend, err := server.New(loop, config, policy, log, loop.Stop)
 	if err != nil {
 		return &exitError{exitInvalidConfig, err}
 	}
-	log.Info().Str("name", config.Name).Str("listen", server.Addr()).Msg("serving")
-	go handlePlatformSignals(signals, loop, server, log)
+	log.Info().Str("name", config.Name).Str("listen", frontend.Addr()).Msg("serving")
+	go handlePlatformSignals(signals, loop, frontend, log)
 	return loop.Run()
 }
 
 // handlePlatformSignals reloads the configuration on SIGHUP and stops the server on any other signal.
-func handlePlatformSignals(signals <-chan os.Signal, loop *eventloop.Loop, server *platform.Server, log zerolog.Logger) {
+func handlePlatformSignals(signals <-chan os.Signal, loop *eventloop.Loop, frontend *server.Server, log zerolog.Logger) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
-			loop.Post(server.Stop)
+			loop.Post(frontend.Stop)
 			continue
 		}
 		// The file is read outside the loop. One that cannot be used leaves the present configuration in force.
@@ -106,7 +106,7 @@
 				log.Error().Err(err).Msg("configuration reload failed")
 				return
 			}
-			server.Reload(next)
+			frontend.Reload(next)
 		})
 	}
 }
--- a/cmd/heathshed/process.go
+++ b/cmd/heathshed/process.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"heathshed/internal/config"
-	"heathshed/internal/eventloop"
+	"heathshed/internal/netio/eventloop"
 )
 
 // exitInterrupted is the exit status after a second signal to stop.
--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -15,9 +15,10 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
-	"heathshed/internal/faultinjection"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/faultinjection"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
 )
 
 // progressInterval is the least time between two lines of progress.
@@ -112,7 +113,7 @@
 	script := scenario.Default()
 	if f.script != "" {
 		var err error
-		if script, err = config.LoadScript(f.script); err != nil {
+		if script, err = labconfig.LoadScript(f.script); err != nil {
 			return scenario.Script{}, err
 		}
 	}
--- a/cmd/heathshed/scenario_result.go
+++ b/cmd/heathshed/scenario_result.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/faultinjection"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/faultinjection"
 )
 
 // maxPrintedViolations bounds the violations that are printed one by one.
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -9,11 +9,11 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
-	"heathshed/internal/emulator"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/httpd"
-	"heathshed/internal/memquota"
-	"heathshed/internal/scheduler"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/kube/scheduler"
+	"heathshed/internal/lab/emulator"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/cmd/heathshed/source.go
+++ b/cmd/heathshed/source.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"heathshed/internal/workload"
+	"heathshed/internal/lab/workload"
 )
 
 // sourceFlags say how recorded files are read.
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 	batchv1 "k8s.io/api/batch/v1"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 // maxJobBytes bounds a job that is read from standard input.
--- a/cmd/heathshed/table.go
+++ b/cmd/heathshed/table.go
@@ -7,7 +7,7 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 // tableHeaders are the columns of tables by the kind of object.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"heathshed/internal/simadapter"
+	"heathshed/internal/simbridge/simadapter"
 )
 
 func main() {
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"heathshed/internal/config"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // The tests pin printed settings, what follows from them, and the texts of errors. Regenerate the golden files with
@@ -74,7 +73,7 @@
 	}
 	r.Bytes(text)
 	for i := range 9 {
-		emulated := s.EmulatedNode(i)
+		emulated := labconfig.NodeAt(s, i)
 		node := emulated.Sim
 		r.Texts(emulated.NodeType, emulated.Rack, emulated.Zone)
 		r.Floats(node.Cores, node.Memory, node.OvercommitCores, node.OvercommitMemory, node.DecisionDelayMin, node.DecisionDelayMax, node.StartSeconds, node.UncachedStartFactor, node.InitialPace, node.WarmUpSeconds,
@@ -82,8 +81,8 @@
 		r.Integers(int64(node.MaxQueued), int64(node.MaxConcurrentStarts), int64(node.ProgramCacheSize), int64(node.Seed))
 		r.Booleans(node.AnswerWhenRunning, node.Preempts, node.Cold)
 	}
-	priorities, _ := json.Marshal(s.Priorities())
-	lifetimes, _ := json.Marshal(s.Lifetimes())
+	priorities, _ := json.Marshal(labconfig.Priorities(s))
+	lifetimes, _ := json.Marshal(labconfig.Lifetimes(s))
 	r.Bytes(priorities)
 	r.Bytes(lifetimes)
 	engineConfig := s.Engine(7, 11)
@@ -110,25 +109,3 @@
 	}
 	r.Checkpoint("  derived")
 }
-
-// TestCharacterizeScenarioScripts pins scripts of days and the errors of bad ones.
-func TestCharacterizeScenarioScripts(t *testing.T) {
-	r := goldentest.NewRecorder()
-	directory := t.TempDir()
-	for i, text := range []string{`{}`, `{"seed": 4, "seconds": 50, "calm": 10}`, `{"trouble": [{"kind": "crash", "at": 5, "for": 3, "part": 0.5}]}`,
-		`{"trouble": [{"kind": "x"}]}`, `{"trouble": [{"kind": "crash", "at": -5}]}`, `{"nodes": 0}`, `{"schedulers": 0}`, `{"seconds": -1}`,
-		`{"load": {"classes": {"web": 1}}}`, `{"load": {"classes": {"web": "x"}}}`, `{"load": {"tasksPerSecond": -1}}`, `{"calm": 1e9}`, `{`, `{"x": 1}`} {
-		path := filepath.Join(directory, fmt.Sprintf("script-%d", i))
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		script, err := config.LoadScript(path)
-		message := ""
-		if err != nil {
-			message = strings.ReplaceAll(err.Error(), directory, "")
-		}
-		encoded, _ := json.Marshal(script)
-		r.Line("%s: %s %s", text, message, encoded)
-	}
-	r.Check(t, "scripts")
-}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
 // Package config reads the program's settings: JSON with comments, in which every field is checked and errors name file, line and column.
-// It also derives from them the configurations of the engine and of emulated nodes.
+// It also derives from them the configuration of the engine. What the emulators and the simulation need is derived by package labconfig.
 //
-// The package is pure but for Load and LoadScript, which read a file.
+// The package is pure but for Load, which reads a file.
 package config
 
 import (
@@ -167,15 +167,22 @@
 // Parse reads settings from text over the defaults and checks the result. file is only named in errors, which are of type *Error.
 func Parse(file string, text []byte) (Settings, error) {
 	s := Default()
-	dec := decoder{file: file, text: text}
-	if err := dec.decode(&s); err != nil {
+	if err := Decode(file, text, &s, s.validate); err != nil {
 		return Settings{}, err
 	}
-	if err := s.validate(); err != nil {
-		return Settings{}, dec.locate(err)
-	}
 	return s, nil
 }
 
+// Decode reads JSON with comments from text into target, a pointer to a struct with json tags, and calls validate afterwards. Fields that the
+// text does not give keep their values; a field that the struct does not have is an error. file is only named in errors, which are of type
+// *Error where they have a position: a *FieldError of validate gets that of its field.
+func Decode(file string, text []byte, target any, validate func() error) error {
+	dec := decoder{file: file, text: text}
+	if err := dec.decode(target); err != nil {
+		return err
+	}
+	return dec.locate(validate())
+}
+
 // Text returns the settings in the form that Parse reads.
 func (s *Settings) Text() ([]byte, error) { return json.MarshalIndent(s, "", "  ") }
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -1,15 +1,13 @@
 package config
 
 import (
-	"heathshed/internal/admission"
-	"heathshed/internal/engine"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/engine"
 )
 
 // Default returns the settings of a program that is given none.
 func Default() Settings {
-	node := nodesim.DefaultConfig()
 	return Settings{
 		Name:         "heathshed",
 		Listen:       "127.0.0.1:8480",
@@ -25,8 +23,8 @@
 			{Name: "large", Cores: 64, Memory: 128},
 		},
 		NodePolicy: NodePolicy{
-			OvercommitCores:   node.OvercommitCores,
-			OvercommitMemory:  node.OvercommitMemory,
+			OvercommitCores:   2,
+			OvercommitMemory:  1.5,
 			ListShowsCapacity: true,
 			Preempts:          true,
 			MaxAttempts:       4,
@@ -34,11 +32,11 @@
 		Rules: Rules{
 			AnswerGrace:      0.25,
 			DrainGrace:       0.5,
-			WarmupMinPace:    node.InitialPace,
-			WarmupDuration:   node.WarmUpSeconds,
-			OverloadMultiple: node.OverloadFactor,
-			OverloadWindow:   node.OverloadWindow,
-			WarmupAttempts:   node.OverloadMinRequests,
+			WarmupMinPace:    0.2,
+			WarmupDuration:   15,
+			OverloadMultiple: 4,
+			OverloadWindow:   3,
+			WarmupAttempts:   8,
 		},
 		Retry:           defaultRetry(),
 		Admission:       defaultAdmission(),
@@ -54,7 +52,7 @@
 			FinishedTTL:     3600,
 			NodeLossTimeout: engine.DefaultNodeLossTimeout,
 		},
-		Emulator: defaultEmulator(&node),
+		Emulator: defaultEmulator(),
 	}
 }
 
@@ -132,7 +130,9 @@
 	}
 }
 
-func defaultEmulator(node *nodesim.Config) Emulator {
+// defaultEmulator returns the emulated cluster of the commands up and emulate. Its nodes are those of nodesim.DefaultConfig, which this package
+// does not import; a test of package labconfig compares them.
+func defaultEmulator() Emulator {
 	return Emulator{
 		Nodes:               8,
 		Racks:               2,
@@ -140,17 +140,17 @@
 		ReportDelay:         1,
 		UnresponsiveAfter:   2,
 		RemoveAfter:         60,
-		DecisionDelayMin:    node.DecisionDelayMin,
-		DecisionDelayMax:    node.DecisionDelayMax,
-		MaxQueued:           node.MaxQueued,
-		MaxConcurrentStarts: node.MaxConcurrentStarts,
-		StartSeconds:        node.StartSeconds,
-		UncachedStartFactor: node.UncachedStartFactor,
-		ProgramCacheSize:    node.ProgramCacheSize,
-		UsageMin:            node.UsageMin,
-		UsageMax:            node.UsageMax,
-		LifetimeMean:        node.LifetimeMean,
-		DrainGrace:          node.DrainGrace,
+		DecisionDelayMin:    0.002,
+		DecisionDelayMax:    0.006,
+		MaxQueued:           64,
+		MaxConcurrentStarts: 4,
+		StartSeconds:        0.03,
+		UncachedStartFactor: 6,
+		ProgramCacheSize:    8,
+		UsageMin:            0.4,
+		UsageMax:            0.8,
+		LifetimeMean:        20,
+		DrainGrace:          0,
 		Seed:                1,
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,7 +7,7 @@
 
 	"k8s.io/apimachinery/pkg/util/validation"
 
-	"heathshed/internal/memquota"
+	"heathshed/internal/control/memquota"
 	"heathshed/placer"
 )
 
--- a/internal/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/proptest"
+	"heathshed/internal/testsupport/proptest"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
--- a/internal/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterizeAdmission pins the decisions of a controller, their delays by bits, and its figures after each call, under seeded load
--- a/internal/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"heathshed/internal/admission"
+	"heathshed/internal/control/admission"
 )
 
 // A controller with one slot admits a request, queues the next, and admits that once the first completes.
--- a/internal/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/connpool"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/control/connpool"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package goldentest.
--- a/internal/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"heathshed/internal/decodelimit"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/control/decodelimit"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
--- a/internal/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/testsupport/goldentest"
 	"heathshed/placer"
 )
 
--- a/internal/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/memquota"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterization pins shares, allowances and evictions over seeded inputs. Regenerate the golden file with
--- a/internal/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -5,8 +5,8 @@
 	"math"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterizeBackoff pins delays by bits for a grid of bounds and jitters, before and after a reset. Regenerate the golden file with
--- a/internal/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/testsupport/goldentest"
 	"heathshed/placer"
 )
 
--- a/internal/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"heathshed/internal/retry"
+	"heathshed/internal/control/retry"
 	"heathshed/placer"
 )
 
--- a/internal/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/proptest"
+	"heathshed/internal/testsupport/proptest"
 	"heathshed/placer"
 )
 
--- a/internal/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterization compares with the golden file the order in which a queue returns timers, many of equal time. Some are stopped, some are
--- a/internal/api/api.go
+++ b/internal/kube/api/api.go
@@ -9,9 +9,9 @@
 	"net/http"
 	"strconv"
 
-	"heathshed/internal/engine"
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 // Server answers API requests about the objects of a store. It may be used by the goroutine of the store only.
--- a/internal/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -8,8 +8,8 @@
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 func newPodServer(n int) *Server {
--- a/internal/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -6,7 +6,7 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
 )
 
 // benchmarkStore holds Pods whose encodings are cached already, as they are while watches are open.
--- a/internal/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -9,7 +9,7 @@
 	"k8s.io/apimachinery/pkg/runtime"
 	"k8s.io/apimachinery/pkg/watch"
 
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
 )
 
 // The protobuf encoding of the Kubernetes API: an object is "k8s\x00" and a runtime.Unknown that holds it; a watch is frames of a length
--- a/internal/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -14,10 +14,10 @@
 	batchv1 "k8s.io/api/batch/v1"
 
 	"heathshed/internal/config"
-	"heathshed/internal/engine"
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
 )
 
 // newEngineServer returns an API over an engine that knows one node.
--- a/internal/api/characterization_test.go
+++ b/internal/kube/api/characterization_test.go
@@ -12,12 +12,12 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/api"
 	"heathshed/internal/config"
-	"heathshed/internal/engine"
-	"heathshed/internal/goldentest"
-	"heathshed/internal/http1"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/api"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // The tests pin status, header fields and body bytes of the answers to fixed requests. Regenerate the golden files with
--- a/internal/api/create.go
+++ b/internal/kube/api/create.go
@@ -8,8 +8,8 @@
 	apierrors "k8s.io/apimachinery/pkg/api/errors"
 	"k8s.io/apimachinery/pkg/runtime/schema"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 // schedulerName is the scheduler of a Job that names none.
--- a/internal/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -13,7 +13,7 @@
 	"k8s.io/apimachinery/pkg/runtime"
 	kjson "sigs.k8s.io/json"
 
-	"heathshed/internal/decodelimit"
+	"heathshed/internal/control/decodelimit"
 )
 
 const (
--- a/internal/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -11,8 +11,8 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 // deleteObjects serves DELETE of one object, or of all that a list would show.
--- a/internal/api/discovery.go
+++ b/internal/kube/api/discovery.go
@@ -11,8 +11,8 @@
 	"k8s.io/apimachinery/pkg/runtime/schema"
 	"k8s.io/apimachinery/pkg/version"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 // The version of the Kubernetes API that is served.
--- a/internal/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -9,8 +9,8 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/util/validation/field"
 
-	"heathshed/internal/decodelimit"
-	"heathshed/internal/engine"
+	"heathshed/internal/control/decodelimit"
+	"heathshed/internal/kube/engine"
 )
 
 const (
--- a/internal/api/list.go
+++ b/internal/kube/api/list.go
@@ -10,8 +10,8 @@
 	apierrors "k8s.io/apimachinery/pkg/api/errors"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/api/request.go
+++ b/internal/kube/api/request.go
@@ -14,8 +14,8 @@
 	"k8s.io/apimachinery/pkg/runtime/schema"
 	utilvalidation "k8s.io/apimachinery/pkg/util/validation"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 const evictionSubresource = "eviction"
--- a/internal/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -9,7 +9,7 @@
 	"k8s.io/apimachinery/pkg/fields"
 	"k8s.io/apimachinery/pkg/runtime/schema"
 
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
 )
 
 // resourceType describes a resource as the API names it.
--- a/internal/api/response.go
+++ b/internal/kube/api/response.go
@@ -13,8 +13,8 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/runtime"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 const jsonType = "application/json"
--- a/internal/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -9,7 +9,7 @@
 	"k8s.io/apimachinery/pkg/fields"
 	"k8s.io/apimachinery/pkg/labels"
 
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
 )
 
 // maxSelectorTerms bounds the terms of a selector.
--- a/internal/api/table.go
+++ b/internal/kube/api/table.go
@@ -14,9 +14,9 @@
 	"k8s.io/apimachinery/pkg/runtime"
 	"k8s.io/apimachinery/pkg/util/duration"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
 )
 
 // wantsTable says whether a client prefers rows to print to plain objects, as kubectl get does.
--- a/internal/api/update.go
+++ b/internal/kube/api/update.go
@@ -16,9 +16,9 @@
 	"k8s.io/apimachinery/pkg/util/strategicpatch"
 	"k8s.io/apimachinery/pkg/util/validation/field"
 
-	"heathshed/internal/decodelimit"
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/control/decodelimit"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -10,8 +10,8 @@
 	"k8s.io/apimachinery/pkg/runtime"
 	"k8s.io/apimachinery/pkg/watch"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -8,8 +8,8 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -6,7 +6,7 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -7,8 +7,8 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/engine"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
 )
 
 // The characterization tests below pin every effect, every stored change and every error of an engine under seeded scripts. Regenerate
--- a/internal/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -17,11 +17,11 @@
 
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/retry"
-	"heathshed/internal/store"
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/kube/store"
 	"heathshed/placer"
 )
 
--- a/internal/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -8,9 +8,9 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -9,8 +9,8 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -9,9 +9,9 @@
 	"k8s.io/apimachinery/pkg/api/equality"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/retry"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 )
 
 // markJobDirty has the status of a Job written at the end of the call.
--- a/internal/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -10,8 +10,8 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 )
 
 // UpdateJob replaces the parts of a Job that may change: labels, annotations, suspend, parallelism, ttlSecondsAfterFinished and
--- a/internal/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -8,7 +8,7 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
 	"heathshed/placer"
 )
 
--- a/internal/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -7,8 +7,8 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/api/equality"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -6,8 +6,8 @@
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -5,8 +5,8 @@
 
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/retry"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/retry"
 	"heathshed/placer"
 )
 
--- a/internal/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -9,8 +9,8 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 )
 
 func pointer[T any](value T) *T { return &value }
--- a/internal/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -13,10 +13,10 @@
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/config"
-	"heathshed/internal/engine"
-	"heathshed/internal/goldentest"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 const scriptStart = 1.8e9 // Unix seconds
--- a/internal/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -8,9 +8,9 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/retry"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
--- a/internal/reflector/event.go
+++ b/internal/kube/reflector/event.go
@@ -10,8 +10,8 @@
 
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/decodelimit"
-	"heathshed/internal/http1"
+	"heathshed/internal/control/decodelimit"
+	"heathshed/internal/netio/http1"
 )
 
 const maxEventSize = 8 << 20 // bytes of one event of a watch
--- a/internal/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -14,10 +14,10 @@
 
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
 )
 
 const (
--- a/internal/reflector/reflector_test.go
+++ b/internal/kube/reflector/reflector_test.go
@@ -18,10 +18,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
 )
 
 const testTimeout = 10 * time.Second
--- a/internal/scheduler/attempt.go
+++ b/internal/kube/scheduler/attempt.go
@@ -12,10 +12,10 @@
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/engine"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
 	"heathshed/placer"
 )
 
--- a/internal/scheduler/bench_test.go
+++ b/internal/kube/scheduler/bench_test.go
@@ -21,7 +21,7 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/config"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 // BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the responses, and reports the time from the moment
--- a/internal/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
+	"heathshed/internal/lab/scenario"
 )
 
 // openUnreadConnections opens connections that send something and never read.
--- a/internal/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -19,10 +19,10 @@
 	"k8s.io/client-go/rest"
 	"k8s.io/client-go/tools/cache"
 
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
 )
 
 func clientset(t *testing.T, c *cluster) *kubernetes.Clientset {
--- a/internal/scheduler/fault_test.go
+++ b/internal/kube/scheduler/fault_test.go
@@ -10,11 +10,11 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/scenario"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/scenario"
 )
 
 // The response to an accepted attempt is lost: a task that must not run twice is found running and adopted; one that may is
--- a/internal/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -17,17 +17,18 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/emulator"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/httpd"
-	"heathshed/internal/memquota"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
@@ -108,7 +109,7 @@
 
 func (c *cluster) startNode(i int) *emulator.Node {
 	c.t.Helper()
-	emulated := c.settings.EmulatedNode(i)
+	emulated := labconfig.NodeAt(&c.settings, i)
 	heartbeatSeconds := 0.1
 	if c.settings.Emulator.Nodes >= 100 {
 		heartbeatSeconds = 0.5 // as heathshed up has it; more would measure the inventory
@@ -122,7 +123,7 @@
 		Inventory:      c.inventory.Addr(),
 		ReportInterval: heartbeatSeconds,
 		Sim:            emulated.Sim,
-		Priorities:     c.settings.Priorities(),
+		Priorities:     labconfig.Priorities(&c.settings),
 		OnEvent:        c.recordEvent,
 	})
 	if err != nil {
--- a/internal/scheduler/inventory.go
+++ b/internal/kube/scheduler/inventory.go
@@ -5,9 +5,9 @@
 import (
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/engine"
-	"heathshed/internal/http1"
-	"heathshed/internal/reflector"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/reflector"
+	"heathshed/internal/netio/http1"
 )
 
 // eventDeleted is the type of the watch event of an object that is no more.
--- a/internal/scheduler/lifecycle_test.go
+++ b/internal/kube/scheduler/lifecycle_test.go
@@ -13,10 +13,10 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/scenario"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/scenario"
 )
 
 // A scheduler that is killed while tasks run adopts them when it is started again, and starts none of them anew.
--- a/internal/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 
-	"heathshed/internal/engine"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/store"
 )
 
 const metricsNamespace = "heathshed"
--- a/internal/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -7,11 +7,11 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/reflector"
-	"heathshed/internal/retry"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/reflector"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
 )
 
 const (
--- a/internal/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -11,14 +11,14 @@
 	"github.com/rs/zerolog"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/api"
-	"heathshed/internal/engine"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/httpc"
-	"heathshed/internal/httpd"
-	"heathshed/internal/reflector"
-	"heathshed/internal/retry"
-	"heathshed/internal/store"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/api"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/reflector"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/httpc"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/internal/scheduler/watch_test.go
+++ b/internal/kube/scheduler/watch_test.go
@@ -15,8 +15,8 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/lab/scenario"
 )
 
 // A watch that is cut in the middle of an event resumes after its last complete one; from a revision that is no longer kept
--- a/internal/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -9,8 +9,8 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
--- a/internal/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -9,7 +9,7 @@
 	corev1 "k8s.io/api/core/v1"
 	"pgregory.net/rapid"
 
-	"heathshed/internal/proptest"
+	"heathshed/internal/testsupport/proptest"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
--- a/internal/audit/characterization_test.go
+++ b/internal/lab/audit/characterization_test.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/goldentest"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterizeVerdicts pins the auditor's violations and counts over seeded events, most of which break rules. Regenerate the golden
--- a/internal/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -12,9 +12,9 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/netio/eventloop"
 )
 
 const testTimeout = 20 * time.Second
--- a/internal/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -10,13 +10,13 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/api"
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpd"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/api"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/internal/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -11,15 +11,15 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/api"
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/httpc"
-	"heathshed/internal/httpd"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/api"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/httpc"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/internal/emulator/node_fault.go
+++ b/internal/lab/emulator/node_fault.go
@@ -3,12 +3,12 @@
 package emulator
 
 import (
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpd"
-	"heathshed/internal/nodesim"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/internal/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -12,13 +12,13 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpd"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpd"
 )
 
 const (
--- a/internal/emulator/node_report.go
+++ b/internal/lab/emulator/node_report.go
@@ -13,10 +13,10 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
 )
 
 const reportTimeout = 2 // seconds
--- a/internal/faultinjection/action.go
+++ b/internal/lab/faultinjection/action.go
@@ -12,10 +12,10 @@
 	"net/http"
 	"time"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
 )
 
 const (
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -19,10 +19,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
 )
 
 const (
@@ -119,7 +120,7 @@
 func planNodes(options *Options) []scenario.Node {
 	var nodes []scenario.Node
 	for i := range options.Script.Nodes {
-		emulated := options.Settings.EmulatedNode(i)
+		emulated := labconfig.NodeAt(&options.Settings, i)
 		nodes = append(nodes, scenario.Node{Name: simulation.NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType})
 	}
 	return nodes
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
+	"heathshed/internal/lab/scenario"
 )
 
 // TestShortScenario runs a short scenario over real processes. No rule is broken while schedulers are killed, nodes crash and the inventory is
--- a/internal/faultinjection/hostile.go
+++ b/internal/lab/faultinjection/hostile.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/simulation"
 )
 
 // Hostile holds what hostile clients met, and the memory of the schedulers meanwhile.
--- a/internal/faultinjection/memory.go
+++ b/internal/lab/faultinjection/memory.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/simulation"
 )
 
 const (
--- a/internal/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/simulation"
 )
 
 const (
--- a/internal/faultinjection/result_json_test.go
+++ b/internal/lab/faultinjection/result_json_test.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"testing"
 
-	"heathshed/internal/audit"
+	"heathshed/internal/lab/audit"
 )
 
 // TestResultJSONKeys pins the keys that scripts read from the JSON form of a result: they do not follow renamed fields.
--- a/internal/faultinjection/watch.go
+++ b/internal/lab/faultinjection/watch.go
@@ -13,8 +13,8 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
 )
 
 const (
--- a/internal/config/script.go
+++ b/internal/lab/labconfig/script.go
@@ -1,11 +1,12 @@
-package config
+package labconfig
 
 import (
 	"errors"
 	"fmt"
 	"os"
 
-	"heathshed/internal/scenario"
+	"heathshed/internal/config"
+	"heathshed/internal/lab/scenario"
 )
 
 // LoadScript reads the script of a fault scenario. What the file does not give is that of the built-in script, but for its faults.
@@ -16,15 +17,18 @@
 	}
 	script := scenario.Default()
 	script.Faults = nil
-	dec := decoder{file: file, text: text}
-	if err := dec.decode(&script); err != nil {
+	if err := config.Decode(file, text, &script, func() error { return validateScript(&script) }); err != nil {
 		return scenario.Script{}, err
 	}
+	return script, nil
+}
+
+// validateScript checks a script. An error about a field is a *config.FieldError.
+func validateScript(script *scenario.Script) error {
+	err := script.Validate()
 	var invalid *scenario.FieldError
-	if err := script.Validate(); errors.As(err, &invalid) {
-		return scenario.Script{}, dec.locate(&FieldError{Path: invalid.Path, Reason: invalid.Reason})
-	} else if err != nil {
-		return scenario.Script{}, err
+	if errors.As(err, &invalid) {
+		return &config.FieldError{Path: invalid.Path, Reason: invalid.Reason}
 	}
-	return script, nil
+	return err
 }
--- a/internal/metastability/metastability.go
+++ b/internal/lab/metastability/metastability.go
@@ -9,8 +9,8 @@
 	"fmt"
 
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
 )
 
 // The load of all trials. Times are in seconds.
--- a/internal/metastability/metastability_test.go
+++ b/internal/lab/metastability/metastability_test.go
@@ -4,8 +4,8 @@
 	"sync"
 	"testing"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/scenario"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/lab/scenario"
 )
 
 // playAll plays trials on four goroutines; each is a world of its own.
--- a/internal/metastability/trial.go
+++ b/internal/lab/metastability/trial.go
@@ -4,9 +4,9 @@
 	"math"
 	"math/rand/v2"
 
-	"heathshed/internal/admission"
-	"heathshed/internal/retry"
-	"heathshed/internal/scenario"
+	"heathshed/internal/control/admission"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/lab/scenario"
 )
 
 // randomStream is the second word of the seed that a trial is drawn from.
--- a/internal/nodesim/characterization_test.go
+++ b/internal/lab/nodesim/characterization_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/nodesim"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterizeNodes pins the effects and figures of a simulated node under seeded requests, stops, drains and stalls. Regenerate the
--- a/internal/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/timerqueue"
 )
 
 // amount is a quantity of both resources: cores, and memory in GiB.
--- a/internal/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -6,8 +6,8 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
 )
 
 var apiReasons = map[Reason]string{
--- a/internal/nodesim/object_test.go
+++ b/internal/lab/nodesim/object_test.go
@@ -6,7 +6,7 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/api/resource"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 func testPod(labels map[string]string) *corev1.Pod {
--- a/internal/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"heathshed/internal/emulator/fault"
+	"heathshed/internal/lab/emulator/fault"
 )
 
 // The seeds of the two random sequences of a plan, beside the script's own. The load is the same with any faults.
--- a/internal/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -3,9 +3,9 @@
 import (
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
 )
 
 const (
--- a/internal/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -8,12 +8,12 @@
 	"slices"
 	"testing"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/goldentest"
-	"heathshed/internal/scenario"
-	"heathshed/internal/simulation"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/lab/simulation"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterizeScenarios pins simulated scenarios with every kind of fault: plans, audit events, the stored changes of every
--- a/internal/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
 )
 
 // injectFault makes the node faulty. A fault that acts on a running node does nothing to one that is down.
--- a/internal/simulation/inventory.go
+++ b/internal/lab/simulation/inventory.go
@@ -3,9 +3,9 @@
 import (
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/engine"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
 )
 
 // inventoryCheckInterval is the time between checks for unresponsive nodes, in seconds.
--- a/internal/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -6,10 +6,10 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/engine"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/nodesim"
 	"heathshed/placer"
 )
 
--- a/internal/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -8,9 +8,9 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/emulator/fault"
-	"heathshed/internal/nodesim"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/emulator/fault"
+	"heathshed/internal/lab/nodesim"
 )
 
 // kubeletPort is the port that simulated nodes show: any, as nobody connects to it.
--- a/internal/simulation/overload_test.go
+++ b/internal/lab/simulation/overload_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/scenario"
 )
 
 // runOverload runs a steady load, a multiple of what the nodes can run, and counts the tasks placed within a second of their creation, and
--- a/internal/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -8,11 +8,11 @@
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/api/resource"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/engine"
-	"heathshed/internal/scenario"
-	"heathshed/internal/store"
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/scenario"
 )
 
 // How a simulated client submits a job again.
--- a/internal/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -5,7 +5,7 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/wellknown"
+	"heathshed/internal/kube/wellknown"
 )
 
 const (
--- a/internal/simulation/scheduler.go
+++ b/internal/lab/simulation/scheduler.go
@@ -6,8 +6,8 @@
 
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/engine"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/lab/audit"
 )
 
 const (
--- a/internal/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 
-	"heathshed/internal/audit"
 	"heathshed/internal/config"
-	"heathshed/internal/scenario"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/labconfig"
+	"heathshed/internal/lab/scenario"
 )
 
 // Latencies of links on loopback, one way, in seconds.
@@ -27,7 +28,7 @@
 func FromSettings(settings *config.Settings, script *scenario.Script) Config {
 	cfg := Config{
 		Seed:              script.Seed,
-		Priorities:        settings.Priorities(),
+		Priorities:        labconfig.Priorities(settings),
 		LatencyMin:        loopbackLatencyMin,
 		LatencyMax:        loopbackLatencyMax,
 		ConnectTimeout:    settings.ConnectTimeout,
@@ -39,7 +40,7 @@
 		DrainGrace:        settings.Rules.DrainGrace,
 	}
 	for i := range script.Nodes {
-		emulated := settings.EmulatedNode(i)
+		emulated := labconfig.NodeAt(settings, i)
 		identity := scenario.Node{Name: NodeName(i), Zone: emulated.Zone, Rack: emulated.Rack, Kind: emulated.NodeType}
 		cfg.Nodes = append(cfg.Nodes, NodeConfig{Node: identity, Sim: emulated.Sim})
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 
 	"heathshed/internal/config"
-	"heathshed/internal/proptest"
-	"heathshed/internal/scenario"
-	"heathshed/internal/store"
+	"heathshed/internal/kube/store"
+	"heathshed/internal/lab/scenario"
+	"heathshed/internal/testsupport/proptest"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "60") }
--- a/internal/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -7,11 +7,11 @@
 import (
 	"math/rand/v2"
 
-	"heathshed/internal/audit"
-	"heathshed/internal/engine"
-	"heathshed/internal/nodesim"
-	"heathshed/internal/scenario"
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/lab/audit"
+	"heathshed/internal/lab/nodesim"
+	"heathshed/internal/lab/scenario"
 )
 
 // NodeConfig configures one simulated node.
--- a/internal/workload/characterization_test.go
+++ b/internal/lab/workload/characterization_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/klauspost/compress/zstd"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/workload"
+	"heathshed/internal/lab/workload"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // The tests pin entries and problems of each recorded format for fixed inputs. Regenerate the golden files with HEATHSHED_UPDATE_GOLDEN=1
--- a/internal/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/timerqueue"
 )
 
 const (
--- a/internal/eventloop/timer.go
+++ b/internal/netio/eventloop/timer.go
@@ -2,7 +2,7 @@
 
 package eventloop
 
-import "heathshed/internal/timerqueue"
+import "heathshed/internal/control/timerqueue"
 
 // Timer is a function that runs later on the loop.
 type Timer struct {
--- a/internal/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // checkLines compares lines with the golden file.
--- a/internal/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -3,8 +3,8 @@
 package httpc
 
 import (
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 // Call is one request in flight. Set the exported fields before Client.Do.
--- a/internal/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -8,9 +8,9 @@
 	"errors"
 	"slices"
 
-	"heathshed/internal/connpool"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/control/connpool"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 // conn is one connection to the server. It carries one call at a time.
--- a/internal/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 const testTimeout = 10 * time.Second
--- a/internal/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -14,8 +14,8 @@
 	"sync"
 	"testing"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
--- a/internal/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -5,8 +5,8 @@
 import (
 	"errors"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -2,7 +2,7 @@
 
 package httpd
 
-import "heathshed/internal/http1"
+import "heathshed/internal/netio/http1"
 
 // Exchange is one request and its response.
 type Exchange struct {
--- a/internal/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 // startServer runs a server whose responses repeat the request; the path says what else it does. disconnects gets the path
--- a/internal/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -5,9 +5,9 @@
 package httpd
 
 import (
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/memquota"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
 )
 
 const (
--- a/internal/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -2,7 +2,7 @@
 
 package httpd
 
-import "heathshed/internal/http1"
+import "heathshed/internal/netio/http1"
 
 // chunkPlaceholder stands before a chunk's data until its size is known.
 const chunkPlaceholder = "00000000\r\n"
--- a/internal/sse/characterization_test.go
+++ b/internal/netio/sse/characterization_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/sse"
+	"heathshed/internal/netio/sse"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // checkLines compares lines with the golden file.
--- a/internal/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -25,7 +25,7 @@
 }
 
 // adopt enters a task that runs on a node already.
-func (c *Core) adopt(client *clientConn, msg *platformproto.Message, parsed parsedRequest) error {
+func (c *Core) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
 	node := c.nodes[c.nodeID(parsed.adoptedFrom)]
 	if node == nil {
 		return invalidMessage(InvalidNode, "launch %s: extras: at: node %.40q is not in the registry", msg.UID, parsed.adoptedFrom)
@@ -37,7 +37,7 @@
 	if early, terminated := c.earlyTerminations[key]; terminated {
 		// The client listed the task before it could learn of its end, which the node reports only once.
 		c.Counts.TasksEnded++
-		c.sendNotification(client, c.newNotification(replyTo(msg, platformproto.Stop, early.cause)))
+		c.sendNotification(client, c.newNotification(replyTo(msg, protocol.Stop, early.cause)))
 		return nil
 	}
 	task := parsed.task
--- a/internal/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -26,7 +26,7 @@
 		policy.events = nil
 		return got
 	}
-	check := newMessage(platformproto.Check, 1<<50, 0)
+	check := newMessage(protocol.Check, 1<<50, 0)
 	h.records[check.ID] = &clientRecord{running: true}
 	if err := h.core.ReceiveFromClient(h.now, conn, &check); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 	withdrawn := h.launch(conn, "query", 2000, "") // and one that is withdrawn meanwhile
 	h.records[withdrawn].withdrawn = true
-	withdrawal := newMessage(platformproto.Stop, withdrawn, 16)
+	withdrawal := newMessage(protocol.Stop, withdrawn, 16)
 	if err := h.core.ReceiveFromClient(h.now, conn, &withdrawal); err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	if h.core.RunningTasks() != 1 {
 		t.Fatal("adopted twice")
 	}
-	h.core.ReceiveFromNode(h.now, NodeIDOf("s-00000002"), &platformproto.Message{Kind: platformproto.Stop, ID: id, Cause: 16, HasCause: true})
+	h.core.ReceiveFromNode(h.now, NodeIDOf("s-00000002"), &protocol.Message{Kind: protocol.Stop, ID: id, Cause: 16, HasCause: true})
 	h.carryOutEffects()
 	if record.notifications != 1 || h.core.RunningTasks() != 0 {
 		t.Fatalf("%+v", record)
--- a/internal/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strconv"
 
-	"heathshed/internal/platformproto"
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -35,7 +35,7 @@
 // Attempt is one attempt to start a task on a node.
 type Attempt struct {
 	Node    placer.NodeID
-	Message platformproto.Message // the request as it goes to the node
+	Message protocol.Message // the request as it goes to the node
 	// Conn is set by the caller: the connection that the attempt was sent on, 0 until then.
 	Conn NodeConnID
 
@@ -69,7 +69,7 @@
 // attemptKey identifies an attempt in messages of nodes.
 type attemptKey struct {
 	node placer.NodeID
-	id   platformproto.ID
+	id   protocol.ID
 }
 
 // transitionAttempt moves an attempt to its next state. Like transition it goes on after an illegal one, and counts it.
@@ -137,7 +137,7 @@
 		return false
 	}
 	leftMS := int((attempt.expiresAt - c.now) * 1000)
-	attempt.Message.Set(platformproto.TimeLeft, strconv.Itoa(max(leftMS, 1)))
+	attempt.Message.Set(protocol.TimeLeft, strconv.Itoa(max(leftMS, 1)))
 	c.transitionAttempt(attempt, attemptSent)
 	return true
 }
@@ -186,7 +186,7 @@
 	}
 	c.transitionAttempt(attempt, attemptAbandoned)
 	c.retainAttempt(attempt)
-	c.stopTask(attempt, platformproto.CauseEnd, timedOut)
+	c.stopTask(attempt, protocol.CauseEnd, timedOut)
 	c.postAttemptEnded(attempt, outcome{result: result})
 }
 
--- a/internal/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -22,7 +22,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h, _, attempt := sentAttempt(t, tc.class)
 			if tc.withdrawn {
-				msg := newMessage(platformproto.Stop, attempt.Message.ID, 16)
+				msg := newMessage(protocol.Stop, attempt.Message.ID, 16)
 				h.records[msg.ID].withdrawn = true
 				if err := h.core.ReceiveFromClient(h.now, 1, &msg); err != nil {
 					t.Fatal(err)
@@ -31,12 +31,12 @@
 			} else {
 				h.advance(2.005)
 			}
-			msg := newMessage(platformproto.Running, attempt.Message.ID, -1)
+			msg := newMessage(protocol.Running, attempt.Message.ID, -1)
 			msg.Body = `"out"`
 			h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 			stopped := false
 			for _, e := range h.core.Ready() {
-				stopped = stopped || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
+				stopped = stopped || e.Kind == SendToNode && e.Message.Kind == protocol.Stop
 			}
 			if stopped != tc.stopped || h.core.RunningTasks() != 0 {
 				t.Errorf("node told to stop the task: %v, want %v", stopped, tc.stopped)
@@ -54,17 +54,17 @@
 		note  string
 		over  bool
 	}{
-		"drained":           {platformproto.CauseReset, "drained", true},
-		"evicted":           {platformproto.CauseReset, "oom", true},
-		"preempted":         {platformproto.CauseReset, "preempted", true},
-		"failed on its way": {platformproto.CauseReset, "", false},
-		"full":              {platformproto.CauseFull, "drained", false},
+		"drained":           {protocol.CauseReset, "drained", true},
+		"evicted":           {protocol.CauseReset, "oom", true},
+		"preempted":         {protocol.CauseReset, "preempted", true},
+		"failed on its way": {protocol.CauseReset, "", false},
+		"full":              {protocol.CauseFull, "drained", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, policy, attempt := sentAttempt(t, "query")
 			record := h.records[attempt.Message.ID]
-			msg := newMessage(platformproto.Stop, attempt.Message.ID, tc.cause)
-			msg.Set(platformproto.Note, tc.note)
+			msg := newMessage(protocol.Stop, attempt.Message.ID, tc.cause)
+			msg.Set(protocol.Note, tc.note)
 			h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 			var notified []int
 			out := h.core.Ready()
@@ -79,7 +79,7 @@
 			for _, ev := range policy.events {
 				bound = bound || ev.Kind == placer.Bound
 			}
-			lost := slices.Equal(notified, []int{platformproto.CauseReset})
+			lost := slices.Equal(notified, []int{protocol.CauseReset})
 			if lost != tc.over || bound != tc.over || policy.last().Final != tc.over || record.answers != 1 {
 				t.Errorf("client notified %v, placer told that it ran %v, last event %+v", notified, bound, policy.last())
 			}
--- a/internal/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -5,8 +5,8 @@
 	"math"
 	"testing"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 )
 
 // playDirected plays short scripts that random ones seldom meet: many nodes and tasks that end at one time (among which the core promises no
@@ -80,12 +80,12 @@
 		r.listAll("in_service", 0)
 		r.adoptTasks(6, 1)
 		if variant%2 == 1 {
-			confirm := wireMessage(platformproto.Stopped, 77)
+			confirm := wireMessage(protocol.Stopped, 77)
 			r.verdict(r.core.ReceiveFromClient(r.now, 1, &confirm))
 		}
 		r.endTasks(1, 4)
 		r.now += []float64{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		acknowledgement := wireMessage(platformproto.Stopped, 2)
+		acknowledgement := wireMessage(protocol.Stopped, 2)
 		r.verdict(r.core.ReceiveFromClient(r.now, 1, &acknowledgement))
 		r.core.ClientDisconnected(r.now, 1)
 		if variant >= 12 {
@@ -95,7 +95,7 @@
 		r.endTasks(5, 6)
 		r.now += []float64{0.5, 7.9, 8.1}[variant%3]
 		r.openConnection()
-		check := wireMessage(platformproto.Check, 78)
+		check := wireMessage(protocol.Check, 78)
 		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &check))
 		r.observe(0)
 		r.checkpoint(1)
@@ -107,7 +107,7 @@
 // endTasks has nodes report the end of tasks that adoptTasks listed.
 func (r *recorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
-		msg := wireMessage(platformproto.Stop, id)
+		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []int{16, 41}[id%2], true
 		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1+int(id-1)%scriptNodes)), &msg)
 		r.observe(0)
@@ -122,7 +122,7 @@
 	r.openConnection()
 	r.openConnection()
 	r.listAll("in_service", 0)
-	check := wireMessage(platformproto.Check, 78)
+	check := wireMessage(protocol.Check, 78)
 	r.verdict(r.core.ReceiveFromClient(r.now, 1, &check))
 	for i := range uint64(40) {
 		r.now += 0.03
@@ -219,11 +219,11 @@
 		r.core.ConnectionLost(r.now, attempt)
 		r.observe(2)
 	}
-	msg := wireMessage(platformproto.Running, uint64(attempt.Message.ID))
+	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = `"out"`
 	r.fromNode(attempt, &msg)
 	r.observe(3)
-	stop := wireMessage(platformproto.Stop, uint64(attempt.Message.ID))
+	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
 	if len(r.pending) > 0 { // the next attempt: its client withdraws the request
 		r.verdict(r.core.ReceiveFromClient(r.now, 1, &stop))
 		r.observe(4)
@@ -246,7 +246,7 @@
 	r.openConnection()
 	r.listAll("in_service", 0)
 	for id := uint64(1); id <= beyond; id++ {
-		msg := wireMessage(platformproto.Stop, id)
+		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
 		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1)), &msg)
 	}
--- a/internal/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
--- a/internal/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/goldentest"
-	"heathshed/internal/platformproto"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/testsupport/goldentest"
 	"heathshed/placer"
 )
 
@@ -87,8 +87,8 @@
 
 func pick[T any](r *recorder, of ...T) T { return of[r.random.IntN(len(of))] }
 
-func wireMessage(kind platformproto.Kind, id uint64) platformproto.Message {
-	return platformproto.Message{Kind: kind, ID: platformproto.ID(id), UID: fmt.Sprintf("%016x", id)}
+func wireMessage(kind protocol.Kind, id uint64) protocol.Message {
+	return protocol.Message{Kind: kind, ID: protocol.ID(id), UID: fmt.Sprintf("%016x", id)}
 }
 
 // playScript plays one random script to its end.
@@ -171,27 +171,27 @@
 	}
 }
 
-func (r *recorder) validLaunch(id uint64, extras string) platformproto.Message {
-	msg := wireMessage(platformproto.Launch, id)
+func (r *recorder) validLaunch(id uint64, extras string) protocol.Message {
+	msg := wireMessage(protocol.Launch, id)
 	msg.Body = pick(r, `"in"`, `"\u00e9\n"`, `""`)
-	msg.Set(platformproto.Class, pick(r, "query", "seats"))
+	msg.Set(protocol.Class, pick(r, "query", "seats"))
 	if tenant := pick(r, scriptTenants[r.shape]...); tenant != "" {
-		msg.Set(platformproto.Tenant, tenant)
+		msg.Set(protocol.Tenant, tenant)
 	}
-	msg.Set(platformproto.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
+	msg.Set(protocol.Key, fmt.Sprintf("%016x", r.random.IntN(9)))
 	if r.random.IntN(3) == 0 {
-		msg.Set(platformproto.IdempotencyKey, pick(r, "", "copy", `odd "name"`))
+		msg.Set(protocol.IdempotencyKey, pick(r, "", "copy", `odd "name"`))
 	}
-	msg.Set(platformproto.TimeLeft, pick(r, "0", "120", "900", "1000", "2e3"))
+	msg.Set(protocol.TimeLeft, pick(r, "0", "120", "900", "1000", "2e3"))
 	if extras != "" {
-		msg.Set(platformproto.TimeLeft, pick(r, "4294967", "1000"))
+		msg.Set(protocol.TimeLeft, pick(r, "4294967", "1000"))
 	}
-	msg.Set(platformproto.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+	msg.Set(protocol.Extras, pick(r, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
 		pick(r, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
 	return msg
 }
 
-func (r *recorder) fromClient(msg *platformproto.Message) {
+func (r *recorder) fromClient(msg *protocol.Message) {
 	conn := dispatch.ConnID(99) // never opened
 	if len(r.conns) > 0 && r.random.IntN(40) > 0 {
 		conn = pick(r, r.conns...)
@@ -212,31 +212,31 @@
 func (r *recorder) someID() uint64 { return 1 + r.random.Uint64N(r.lastID+1) }
 
 // launchFaults spoil a valid launch message.
-var launchFaults = []func(m *platformproto.Message){
-	func(m *platformproto.Message) { m.Body = "" },
-	func(m *platformproto.Message) { m.Set(platformproto.Class, "none") },
-	func(m *platformproto.Message) { m.Set(platformproto.Tenant, "nobody") },
-	func(m *platformproto.Message) { m.Set(platformproto.Key, "12") },
-	func(m *platformproto.Message) { m.Set(platformproto.Key, "000000000000000g") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "-1") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "NaN") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "16000") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "16001") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "6000") },
-	func(m *platformproto.Message) { m.Set(platformproto.TimeLeft, "4000.5") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;cores:1") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:-1;memory:1") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1e9") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1000000001") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:NaN") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:;memory:1") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;service:9") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;memory:1;at:s-77777777") },
-	func(m *platformproto.Message) { m.Set(platformproto.Extras, "cores:1;;memory:1;at:s-00000001;") },
+var launchFaults = []func(m *protocol.Message){
+	func(m *protocol.Message) { m.Body = "" },
+	func(m *protocol.Message) { m.Set(protocol.Class, "none") },
+	func(m *protocol.Message) { m.Set(protocol.Tenant, "nobody") },
+	func(m *protocol.Message) { m.Set(protocol.Key, "12") },
+	func(m *protocol.Message) { m.Set(protocol.Key, "000000000000000g") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "-1") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "NaN") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "16000") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "16001") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "6000") },
+	func(m *protocol.Message) { m.Set(protocol.TimeLeft, "4000.5") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1;cores:1") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:-1;memory:1") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1e9") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1000000001") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:NaN") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:;memory:1") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1;service:9") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1;at:") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;memory:1;at:s-77777777") },
+	func(m *protocol.Message) { m.Set(protocol.Extras, "cores:1;;memory:1;at:s-00000001;") },
 }
 
 func (r *recorder) invalidLaunch() {
@@ -248,9 +248,9 @@
 }
 
 func (r *recorder) clientMessage() {
-	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stopped, platformproto.Stopped,
-		platformproto.Check, platformproto.Staging, platformproto.Running, platformproto.Checked, platformproto.Update, platformproto.Migrate,
-		platformproto.Kind(0))
+	kind := pick(r, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
+		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
+		protocol.Kind(0))
 	msg := wireMessage(kind, r.someID())
 	msg.Cause, msg.HasCause = pick(r, 0, 16, 31, 41), r.random.IntN(3) > 0
 	r.fromClient(&msg)
@@ -272,7 +272,7 @@
 	}
 }
 
-func (r *recorder) fromNode(attempt *dispatch.Attempt, msg *platformproto.Message) {
+func (r *recorder) fromNode(attempt *dispatch.Attempt, msg *protocol.Message) {
 	r.core.ReceiveFromNode(r.now, attempt.Node, msg)
 }
 
@@ -287,23 +287,23 @@
 		return
 	}
 	attempt := pick(r, open...)
-	msg := wireMessage(platformproto.Running, uint64(attempt.Message.ID))
+	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = pick(r, `"out"`, `"out"`, `"out"`, `"\t"`, "")
 	r.fromNode(attempt, &msg)
 }
 
 // nodeMessage has a node send any message about any task.
 func (r *recorder) nodeMessage() {
-	kind := pick(r, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Stop, platformproto.Update,
-		platformproto.Update, platformproto.Update, platformproto.Launch, platformproto.Staging, platformproto.Stopped, platformproto.Check,
-		platformproto.Checked, platformproto.Migrate)
+	kind := pick(r, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
+		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
+		protocol.Checked, protocol.Migrate)
 	msg := wireMessage(kind, r.someID())
 	msg.Cause, msg.HasCause = pick(r, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), r.random.IntN(8) > 0
-	msg.Set(platformproto.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
-	msg.Set(platformproto.LoadReport, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
-	if kind == platformproto.Update {
-		msg.Set(platformproto.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
-		msg.Set(platformproto.Value, pick(r, "0.5", "1", "3.75", "x", ""))
+	msg.Set(protocol.Note, pick(r, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	msg.Set(protocol.LoadReport, pick(r, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	if kind == protocol.Update {
+		msg.Set(protocol.Note, pick(r, "up", "cpu", "mem", "share", "tight", "", "other"))
+		msg.Set(protocol.Value, pick(r, "0.5", "1", "3.75", "x", ""))
 	}
 	if len(r.sent) == 0 || r.random.IntN(8) == 0 {
 		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1+r.random.IntN(4))), &msg)
--- a/internal/dispatch/client.go
+++ b/internal/platform/dispatch/client.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 )
 
 // ConnID identifies a client connection. 0 is none.
@@ -75,7 +75,7 @@
 
 // ReceiveFromClient handles one message of a client. The error is an *InvalidMessageError if the message is invalid, in which case its sender
 // has been answered, or wraps ErrClientNotConnected.
-func (c *Core) ReceiveFromClient(now float64, conn ConnID, msg *platformproto.Message) error {
+func (c *Core) ReceiveFromClient(now float64, conn ConnID, msg *protocol.Message) error {
 	c.setTime(now)
 	client := c.clients[conn]
 	if client == nil {
@@ -84,7 +84,7 @@
 	err := c.handleClientMessage(client, msg)
 	if err != nil {
 		c.Counts.InvalidMessages++
-		c.sendToClient(conn, replyTo(msg, platformproto.Stop, platformproto.CauseError))
+		c.sendToClient(conn, replyTo(msg, protocol.Stop, protocol.CauseError))
 	} else {
 		client.lastValidAt = c.now
 		c.sendPendingNotifications(client)
@@ -94,15 +94,15 @@
 }
 
 // handleClientMessage handles a message of a client by its kind. Kinds that only nodes send have no effect.
-func (c *Core) handleClientMessage(client *clientConn, msg *platformproto.Message) error {
+func (c *Core) handleClientMessage(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
-	case platformproto.Check:
+	case protocol.Check:
 		c.handleHealthCheck(client, msg)
-	case platformproto.Stopped:
+	case protocol.Stopped:
 		client.acknowledge(msg.ID)
-	case platformproto.Launch:
+	case protocol.Launch:
 		return c.handleLaunch(client, msg)
-	case platformproto.Stop:
+	case protocol.Stop:
 		return c.handleClientStop(client, msg)
 	}
 	return nil
@@ -112,16 +112,16 @@
 const healthCheckPassed = 1
 
 // handleHealthCheck answers a health check. After the first one, clients are expected to list their running tasks for adoption.
-func (c *Core) handleHealthCheck(client *clientConn, msg *platformproto.Message) {
+func (c *Core) handleHealthCheck(client *clientConn, msg *protocol.Message) {
 	if c.firstHealthCheckAt == 0 {
 		c.firstHealthCheckAt = c.now
 		c.lastAdoptionAt = c.now // the first adoption may be on its way
 	}
-	c.sendToClient(client.id, replyTo(msg, platformproto.Checked, healthCheckPassed))
+	c.sendToClient(client.id, replyTo(msg, protocol.Checked, healthCheckPassed))
 }
 
 // handleLaunch handles a new placement request, or a task that runs already and is to be adopted.
-func (c *Core) handleLaunch(client *clientConn, msg *platformproto.Message) error {
+func (c *Core) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	c.Counts.PlacementRequests++
 	parsed, err := c.parseRequest(msg)
 	if existing := c.requestsByID[msg.ID]; existing != nil {
@@ -134,7 +134,7 @@
 		return err
 	}
 	if len(c.requestsByID) >= maxTasks {
-		c.sendToClient(client.id, replyTo(msg, platformproto.Stop, platformproto.CauseBusy))
+		c.sendToClient(client.id, replyTo(msg, protocol.Stop, protocol.CauseBusy))
 		return nil
 	}
 	if parsed.isAdoption() {
@@ -149,7 +149,7 @@
 
 // refuseDuplicate handles a launch message whose ID is in use. Two requests with one ID could not both be answered, so an open one on the same
 // connection ends with this one.
-func (c *Core) refuseDuplicate(client *clientConn, existing *request, msg *platformproto.Message) error {
+func (c *Core) refuseDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		c.withdrawRequest(existing)
 	}
@@ -157,7 +157,7 @@
 }
 
 // handleClientStop handles a client's wish to withdraw an open request or to stop a running task.
-func (c *Core) handleClientStop(client *clientConn, msg *platformproto.Message) error {
+func (c *Core) handleClientStop(client *clientConn, msg *protocol.Message) error {
 	req := c.requestsByID[msg.ID]
 	if req == nil {
 		return nil // it crossed our answer
@@ -177,19 +177,19 @@
 }
 
 // clientStopCause is the cause with which a node is asked to stop a task for its client.
-func clientStopCause(msg *platformproto.Message) int {
+func clientStopCause(msg *protocol.Message) int {
 	if msg.HasCause {
 		return msg.Cause
 	}
-	return platformproto.CauseCancelled
+	return protocol.CauseCancelled
 }
 
-func (c *Core) sendToClient(conn ConnID, msg platformproto.Message) {
+func (c *Core) sendToClient(conn ConnID, msg protocol.Message) {
 	c.emit(Effect{Kind: SendToClient, Conn: conn, Message: msg})
 }
 
 // answerClient sends the answer to a request on the connection that the request came on, if that is still open.
-func (c *Core) answerClient(req *request, answer platformproto.Message) {
+func (c *Core) answerClient(req *request, answer protocol.Message) {
 	if c.clients[req.conn] != nil {
 		c.sendToClient(req.conn, answer)
 	}
--- a/internal/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -13,10 +13,10 @@
 	"math"
 	"strconv"
 
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/platformproto"
-	"heathshed/internal/simconfig"
-	"heathshed/internal/timerqueue"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
@@ -45,7 +45,7 @@
 	Kind    EffectKind
 	Conn    ConnID
 	Attempt *Attempt
-	Message platformproto.Message
+	Message protocol.Message
 	// TimedOut says, with SendToNode, that the attempt was not answered in time: the connection that it went out on may be broken.
 	TimedOut bool
 }
@@ -62,7 +62,7 @@
 	effects  []Effect
 
 	requests           map[placer.TaskID]*request
-	requestsByID       map[platformproto.ID]*request
+	requestsByID       map[protocol.ID]*request
 	openRequests       int // requests in state requestOpen
 	lastTaskID         placer.TaskID
 	illegalTransitions int // see transition
@@ -90,7 +90,7 @@
 		settings:          settings,
 		now:               now,
 		requests:          map[placer.TaskID]*request{},
-		requestsByID:      map[platformproto.ID]*request{},
+		requestsByID:      map[protocol.ID]*request{},
 		attempts:          map[attemptKey]*Attempt{},
 		clients:           map[ConnID]*clientConn{},
 		earlyTerminations: map[attemptKey]earlyTermination{},
@@ -171,18 +171,18 @@
 		c.answerRequest(req, c.rejection(req, action.After))
 	case placer.Fail:
 		c.Counts.Failed++
-		c.answerRequest(req, replyTo(&req.message, platformproto.Stop, platformproto.CauseError))
+		c.answerRequest(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
 	case placer.Migrate:
 		c.migrateTask(req)
 	}
 }
 
 // rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
-func (c *Core) rejection(req *request, retryAfter float64) platformproto.Message {
-	answer := replyTo(&req.message, platformproto.Stop, platformproto.CauseFull)
+func (c *Core) rejection(req *request, retryAfter float64) protocol.Message {
+	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.SendsRetryAfter {
 		milliseconds := math.Ceil(min(retryAfter, c.settings.Placer.MaxRetryAfter) * 1000)
-		answer.Set(platformproto.RetryAfter, strconv.Itoa(int(milliseconds)))
+		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
 	}
 	return answer
 }
@@ -191,6 +191,6 @@
 const noCause = -1
 
 // replyTo returns a message about the task of msg. A negative cause is left out.
-func replyTo(msg *platformproto.Message, kind platformproto.Kind, cause int) platformproto.Message {
-	return platformproto.Message{Kind: kind, UID: msg.UID, ID: msg.ID, Cause: max(cause, 0), HasCause: cause >= 0}
+func replyTo(msg *protocol.Message, kind protocol.Kind, cause int) protocol.Message {
+	return protocol.Message{Kind: kind, UID: msg.UID, ID: msg.ID, Cause: max(cause, 0), HasCause: cause >= 0}
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
--- a/internal/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/platformproto"
-	"heathshed/internal/proptest"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/testsupport/proptest"
 	"heathshed/placer"
 )
 
@@ -44,7 +44,7 @@
 	lastConn  ConnID
 	conns     []ConnID
 	lastID    uint64
-	records   map[platformproto.ID]*clientRecord
+	records   map[protocol.ID]*clientRecord
 	pending   []*Attempt // wait for their connection
 	sent      []*Attempt
 	running   []*Attempt
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 	}
-	h := &harness{t: t, now: 1000, lastEvent: 1, records: map[platformproto.ID]*clientRecord{}}
+	h := &harness{t: t, now: 1000, lastEvent: 1, records: map[protocol.ID]*clientRecord{}}
 	list := discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0))
 	knownEvents := `{"no":1,"items":[` + list + `]}`
 	if h.core, err = New(h.now, parsed, policy, []byte(knownEvents)); err != nil {
@@ -90,12 +90,12 @@
 }
 
 // launch sends a launch message for a new task and returns the task's ID. With extras it is an adoption.
-func (h *harness) launch(conn ConnID, class string, leftMS float64, extras string) platformproto.ID {
+func (h *harness) launch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	h.lastID++
-	msg := h.launchMessage(platformproto.ID(h.lastID))
-	msg.Set(platformproto.Class, class)
-	msg.Set(platformproto.TimeLeft, fmt.Sprint(leftMS))
-	msg.Set(platformproto.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
+	msg := h.launchMessage(protocol.ID(h.lastID))
+	msg.Set(protocol.Class, class)
+	msg.Set(protocol.TimeLeft, fmt.Sprint(leftMS))
+	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	adopted := extras != ""
 	h.records[msg.ID] = &clientRecord{conn: conn, deadline: h.now + leftMS/1000, adopted: adopted, running: adopted}
 	if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
@@ -106,22 +106,22 @@
 }
 
 // launchMessage returns a valid launch message.
-func (h *harness) launchMessage(id platformproto.ID) platformproto.Message {
-	msg := newMessage(platformproto.Launch, id, noCause)
+func (h *harness) launchMessage(id protocol.ID) protocol.Message {
+	msg := newMessage(protocol.Launch, id, noCause)
 	msg.Body = `"in"`
-	msg.Set(platformproto.Class, "query")
-	msg.Set(platformproto.Tenant, "south")
-	msg.Set(platformproto.Key, msg.UID)
-	msg.Set(platformproto.TimeLeft, "1000")
-	msg.Set(platformproto.Extras, "cores:1;memory:1")
+	msg.Set(protocol.Class, "query")
+	msg.Set(protocol.Tenant, "south")
+	msg.Set(protocol.Key, msg.UID)
+	msg.Set(protocol.TimeLeft, "1000")
+	msg.Set(protocol.Extras, "cores:1;memory:1")
 	return msg
 }
 
-func newMessage(kind platformproto.Kind, id platformproto.ID, cause int) platformproto.Message {
-	return platformproto.Message{Kind: kind, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Cause: max(cause, 0), HasCause: cause >= 0}
+func newMessage(kind protocol.Kind, id protocol.ID, cause int) protocol.Message {
+	return protocol.Message{Kind: kind, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Cause: max(cause, 0), HasCause: cause >= 0}
 }
 
-func (h *harness) receiveFromNode(attempt *Attempt, msg platformproto.Message) {
+func (h *harness) receiveFromNode(attempt *Attempt, msg protocol.Message) {
 	h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 	h.carryOutEffects()
 }
@@ -143,13 +143,13 @@
 
 // receiveFromCore has the client of a task receive a message and checks it against the rules: one answer in time to a request that was not
 // withdrawn, and one notification of the end of a running task.
-func (h *harness) receiveFromCore(conn ConnID, msg platformproto.Message) {
+func (h *harness) receiveFromCore(conn ConnID, msg protocol.Message) {
 	record := h.records[msg.ID]
 	if record == nil {
 		h.t.Fatalf("sent %v about a request that no client made", msg)
 	}
 	switch {
-	case msg.Kind == platformproto.Running:
+	case msg.Kind == protocol.Running:
 		record.answers++
 		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
 		if unexpected || h.now > record.deadline+0.01 {
@@ -175,12 +175,12 @@
 }
 
 // acknowledge has a client acknowledge its last notification.
-func (h *harness) acknowledge(id platformproto.ID) {
+func (h *harness) acknowledge(id protocol.ID) {
 	record := h.records[id]
 	if record.notifiedOn == 0 || h.core.clients[record.notifiedOn] == nil {
 		return
 	}
-	msg := newMessage(platformproto.Stopped, id, -1)
+	msg := newMessage(protocol.Stopped, id, -1)
 	if err := h.core.ReceiveFromClient(h.now, record.notifiedOn, &msg); err != nil {
 		h.t.Fatal(err)
 	}
@@ -222,10 +222,10 @@
 func (h *harness) settle() {
 	h.advance(10)
 	for _, attempt := range append([]*Attempt(nil), h.running...) {
-		h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd))
+		h.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 	}
 	h.connect()
-	check := newMessage(platformproto.Check, 1<<60, 0)
+	check := newMessage(protocol.Check, 1<<60, 0)
 	h.records[check.ID] = &clientRecord{running: true}
 	if err := h.core.ReceiveFromClient(h.now, h.lastConn, &check); err != nil {
 		h.t.Fatal(err)
@@ -290,7 +290,7 @@
 }
 
 func accept(h *harness, attempt *Attempt) {
-	msg := newMessage(platformproto.Running, attempt.Message.ID, -1)
+	msg := newMessage(protocol.Running, attempt.Message.ID, -1)
 	msg.Body = `"out"`
 	h.receiveFromNode(attempt, msg)
 }
--- a/internal/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"heathshed/internal/platformproto"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
@@ -32,7 +32,7 @@
 
 // ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes nothing but the counts, and
 // that an early termination is recorded.
-func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, msg *platformproto.Message) {
+func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, msg *protocol.Message) {
 	c.setTime(now)
 	key := attemptKey{node, msg.ID}
 	attempt := c.attempts[key]
@@ -41,11 +41,11 @@
 		return
 	}
 	switch msg.Kind {
-	case platformproto.Running:
+	case protocol.Running:
 		c.handleRunning(attempt, msg)
-	case platformproto.Stop:
+	case protocol.Stop:
 		c.handleNodeStop(attempt, msg)
-	case platformproto.Update:
+	case protocol.Update:
 		c.handleUpdate(attempt, msg)
 	}
 	c.runEvents()
@@ -53,22 +53,22 @@
 
 // handleUnknownTask handles a message about a task that the node was not sent, or that is no longer known. pending is the attempt that is yet
 // to be sent to it, if there is one.
-func (c *Core) handleUnknownTask(key attemptKey, pending *Attempt, msg *platformproto.Message) {
-	if msg.Kind == platformproto.Running || msg.Kind == platformproto.Stop {
+func (c *Core) handleUnknownTask(key attemptKey, pending *Attempt, msg *protocol.Message) {
+	if msg.Kind == protocol.Running || msg.Kind == protocol.Stop {
 		c.Counts.UnknownTasks++
 	}
-	if pending == nil && msg.Kind == platformproto.Stop {
+	if pending == nil && msg.Kind == protocol.Stop {
 		c.recordEarlyTermination(key, msg.Cause)
 	}
 }
 
 // handleUpdate passes a measurement of a running task to the placer.
-func (c *Core) handleUpdate(attempt *Attempt, msg *platformproto.Message) {
-	kind, known := usageKinds[msg.Get(platformproto.Note)]
+func (c *Core) handleUpdate(attempt *Attempt, msg *protocol.Message) {
+	kind, known := usageKinds[msg.Get(protocol.Note)]
 	if !known || attempt.state != attemptRunning || attempt.request.state.closed() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(platformproto.Value), 64) // 0 for a value that is no number
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // 0 for a value that is no number
 	c.post(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
@@ -80,7 +80,7 @@
 }
 
 // handleRunning handles a node's acceptance of an attempt.
-func (c *Core) handleRunning(attempt *Attempt, msg *platformproto.Message) {
+func (c *Core) handleRunning(attempt *Attempt, msg *protocol.Message) {
 	latest := attempt.request.deadline + c.settings.Placer.AnswerGrace
 	if attempt.state == attemptSent && c.now > latest {
 		c.abandonAttempt(attempt, placer.TimedOut, false) // its timer is late, and the client no longer waits
@@ -102,12 +102,12 @@
 	c.Counts.LateAnswers++
 	idempotent := c.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
 	if idempotent || attempt.request.state == requestWithdrawn {
-		c.stopTask(attempt, platformproto.CauseEnd, false)
+		c.stopTask(attempt, protocol.CauseEnd, false)
 	}
 }
 
 // handleNodeStop handles a node's rejection of an attempt or its report that a task has ended.
-func (c *Core) handleNodeStop(attempt *Attempt, msg *platformproto.Message) {
+func (c *Core) handleNodeStop(attempt *Attempt, msg *protocol.Message) {
 	switch attempt.state {
 	case attemptSent:
 		c.handleStopOfSent(attempt, msg)
@@ -122,26 +122,26 @@
 // taskResult is the result of a running task that a node stopped with the given cause.
 func taskResult(cause int) placer.Result {
 	switch cause {
-	case platformproto.CauseEnd:
+	case protocol.CauseEnd:
 		return placer.Finished
-	case platformproto.CauseCancelled:
+	case protocol.CauseCancelled:
 		return placer.Cancelled
 	}
 	return placer.Lost
 }
 
 // handleStopOfSent ends an attempt that its node did not accept, or whose acceptance was lost or is late.
-func (c *Core) handleStopOfSent(attempt *Attempt, msg *platformproto.Message) {
+func (c *Core) handleStopOfSent(attempt *Attempt, msg *protocol.Message) {
 	c.removeAttempt(attempt)
 	ended := c.stopOutcome(msg, placer.Lost)
 	switch msg.Cause {
-	case platformproto.CauseFull:
+	case protocol.CauseFull:
 		c.Counts.CapacityRejections++
 		ended.result = placer.Rejected
-	case platformproto.CauseError:
+	case protocol.CauseError:
 		c.Counts.NodeErrors++
 		ended.result = placer.Errored
-	case platformproto.CauseExpired:
+	case protocol.CauseExpired:
 		c.Counts.Expired++
 		ended.result = placer.Expired
 	default:
@@ -160,17 +160,17 @@
 }
 
 // stopOutcome returns the given result with the reason and the load report of a stop message.
-func (c *Core) stopOutcome(msg *platformproto.Message, result placer.Result) outcome {
+func (c *Core) stopOutcome(msg *protocol.Message, result placer.Result) outcome {
 	return outcome{
 		result: result,
-		reason: stopReasons[msg.Get(platformproto.Note)],
+		reason: stopReasons[msg.Get(protocol.Note)],
 		report: c.parseLoadReport(msg),
 	}
 }
 
 // parseLoadReport reads the load report of a message, nil if it has none with a configured field.
-func (c *Core) parseLoadReport(msg *platformproto.Message) *placer.Report {
-	text := msg.Get(platformproto.LoadReport)
+func (c *Core) parseLoadReport(msg *protocol.Message) *placer.Report {
+	text := msg.Get(protocol.LoadReport)
 	if text == "" {
 		return nil
 	}
--- a/internal/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 )
 
 const (
@@ -18,7 +18,7 @@
 // notification is a message that tells a client that its running task has ended or is to migrate. Unlike the answer to a request it may be
 // sent on any connection, and is sent again if the client may not have received it.
 type notification struct {
-	message   platformproto.Message
+	message   protocol.Message
 	expiresAt float64
 	migration bool // it was sent as a request to migrate, which clients never acknowledge
 }
@@ -36,13 +36,13 @@
 }
 
 // newNotification returns a notification that is kept from now on.
-func (c *Core) newNotification(msg platformproto.Message) notification {
+func (c *Core) newNotification(msg protocol.Message) notification {
 	return notification{message: msg, expiresAt: c.now + notificationRetention}
 }
 
 // notifyClient notifies the client of a request whose task runs or ran: on the request's own connection, else on another one of a client,
 // else on the first one that sends a valid message from now on.
-func (c *Core) notifyClient(req *request, msg platformproto.Message) {
+func (c *Core) notifyClient(req *request, msg protocol.Message) {
 	c.notifyAnyClient(req.conn, c.newNotification(msg))
 }
 
@@ -59,9 +59,9 @@
 // sendNotification sends a notification and keeps it until it expires or is acknowledged.
 func (c *Core) sendNotification(client *clientConn, notice notification) {
 	c.sendToClient(client.id, notice.message)
-	if notice.message.Kind == platformproto.Migrate {
+	if notice.message.Kind == protocol.Migrate {
 		// A redelivery notifies of the end that follows from the migration: a client that received the request to migrate ignores it.
-		notice.message = replyTo(&notice.message, platformproto.Stop, platformproto.CauseCancelled)
+		notice.message = replyTo(&notice.message, protocol.Stop, protocol.CauseCancelled)
 		notice.migration = true
 	}
 	client.unacknowledged = slices.DeleteFunc(client.unacknowledged, func(sent notification) bool { return sent.expiresAt <= c.now })
@@ -69,7 +69,7 @@
 }
 
 // acknowledge removes the notifications of a task's end that the client says it has received.
-func (cc *clientConn) acknowledge(id platformproto.ID) {
+func (cc *clientConn) acknowledge(id protocol.ID) {
 	cc.acknowledges = true
 	cc.unacknowledged = slices.DeleteFunc(cc.unacknowledged, func(sent notification) bool {
 		return sent.message.ID == id && !sent.migration
--- a/internal/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -11,14 +11,14 @@
 func TestNotificationFindsAClient(t *testing.T) {
 	notifiedOn := func(h *harness) (conns []ConnID) {
 		for _, e := range h.core.Ready() {
-			if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop {
+			if e.Kind == SendToClient && e.Message.Kind == protocol.Stop {
 				conns = append(conns, e.Conn)
 			}
 		}
 		return conns
 	}
 	finish := func(h *harness, attempt *Attempt) {
-		msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd)
+		msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd)
 		h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 	}
 	h, _, attempt := sentAttempt(t, "seats")
@@ -37,7 +37,7 @@
 		t.Fatalf("notified on %v, connection %d is unidentified", got, unidentified)
 	}
 	next := h.connect()
-	msg := newMessage(platformproto.Check, 77, 0)
+	msg := newMessage(protocol.Check, 77, 0)
 	if err := h.core.ReceiveFromClient(h.now+7, next, &msg); err != nil {
 		t.Fatal(err)
 	}
@@ -69,24 +69,24 @@
 		t.Run(name, func(t *testing.T) {
 			h, _, attempt := sentAttempt(t, "seats")
 			accept(h, attempt)
-			send := func(conn ConnID, msg platformproto.Message) {
+			send := func(conn ConnID, msg protocol.Message) {
 				if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if tc.acknowledges {
-				send(1, newMessage(platformproto.Stopped, 99, -1))
+				send(1, newMessage(protocol.Stopped, 99, -1))
 			}
 			if tc.migration {
 				h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
-				msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseCancelled)
+				msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseCancelled)
 				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 			} else {
-				msg := newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd)
+				msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd)
 				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 			}
 			if tc.acknowledged {
-				send(1, newMessage(platformproto.Stopped, attempt.Message.ID, -1))
+				send(1, newMessage(protocol.Stopped, attempt.Message.ID, -1))
 			}
 			h.core.Ready()
 			h.core.Advance(h.now + tc.after)
@@ -94,17 +94,17 @@
 			other := ConnID(0)
 			if tc.otherOpen {
 				other = h.connect()
-				send(other, newMessage(platformproto.Check, 77, 0))
+				send(other, newMessage(protocol.Check, 77, 0))
 				h.core.Ready()
 			}
 			h.core.ClientDisconnected(h.now, 1)
 			if !tc.otherOpen {
 				other = h.connect()
-				send(other, newMessage(platformproto.Check, 77, 0))
+				send(other, newMessage(protocol.Check, 77, 0))
 			}
 			got := 0
 			for _, e := range h.core.Ready() {
-				if e.Kind == SendToClient && e.Message.Kind == platformproto.Stop && e.Message.ID == attempt.Message.ID && e.Conn == other {
+				if e.Kind == SendToClient && e.Message.Kind == protocol.Stop && e.Message.ID == attempt.Message.ID && e.Conn == other {
 					got++
 				}
 			}
@@ -121,19 +121,19 @@
 	for name, tc := range map[string]struct {
 		cause, want int
 	}{
-		"confirmed":       {platformproto.CauseCancelled, noCause},
-		"ended by itself": {platformproto.CauseEnd, platformproto.CauseEnd},
-		"no message":      {noCause, platformproto.CauseCancelled},
+		"confirmed":       {protocol.CauseCancelled, noCause},
+		"ended by itself": {protocol.CauseEnd, protocol.CauseEnd},
+		"no message":      {noCause, protocol.CauseCancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, _, attempt := sentAttempt(t, "seats")
 			accept(h, attempt)
 			h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
-			if out := h.core.Ready(); len(out) != 2 || out[0].Message.Kind != platformproto.Migrate || out[1].Kind != SendToNode {
+			if out := h.core.Ready(); len(out) != 2 || out[0].Message.Kind != protocol.Migrate || out[1].Kind != SendToNode {
 				t.Fatalf("effects %+v", out)
 			}
 			if tc.cause >= 0 {
-				msg := newMessage(platformproto.Stop, attempt.Message.ID, tc.cause)
+				msg := newMessage(protocol.Stop, attempt.Message.ID, tc.cause)
 				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
 			}
 			h.core.Advance(h.now + 1)
--- a/internal/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -59,7 +59,7 @@
 		p.connectionOrDiscoveryEvent()
 	case 13:
 		if p.lastID > 0 {
-			p.acknowledge(platformproto.ID(1 + p.draw(int(p.lastID), "id")))
+			p.acknowledge(protocol.ID(1 + p.draw(int(p.lastID), "id")))
 		}
 	case 14:
 		p.adoptTerminated()
@@ -103,7 +103,7 @@
 		attempt := p.sent[p.draw(len(p.sent), "out")]
 		id := p.sent[p.draw(len(p.sent), "of")].Message.ID
 		cause := []int{16, 31, 34, 41, 47, 102, 5}[p.draw(7, "cause")]
-		p.receiveFromNode(attempt, newMessage(platformproto.Stop, id, cause))
+		p.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
 	}
 }
 
@@ -111,13 +111,13 @@
 	if p.lastID == 0 {
 		return
 	}
-	id := platformproto.ID(1 + p.draw(int(p.lastID), "id"))
+	id := protocol.ID(1 + p.draw(int(p.lastID), "id"))
 	record := p.records[id]
 	if p.core.clients[record.conn] == nil {
 		return
 	}
 	record.withdrawn = record.withdrawn || record.answers == 0
-	msg := newMessage(platformproto.Stop, id, platformproto.CauseEnd)
+	msg := newMessage(protocol.Stop, id, protocol.CauseEnd)
 	if err := p.core.ReceiveFromClient(p.now, record.conn, &msg); err != nil {
 		p.t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 	}
 	node := NodeIDOf("s-00000001")
 	conn := p.conns[p.draw(len(p.conns), "conn")]
-	end := newMessage(platformproto.Stop, platformproto.ID(p.lastID+1), platformproto.CauseEnd)
+	end := newMessage(protocol.Stop, protocol.ID(p.lastID+1), protocol.CauseEnd)
 	crossed := p.draw(2, "crossed") == 0
 	if crossed {
 		p.core.ReceiveFromNode(p.now, node, &end)
@@ -199,20 +199,20 @@
 			id := 1 + draw(taskCount, "id")
 			switch draw(6, "step") {
 			case 0, 1:
-				if adopted[id] && h.records[platformproto.ID(id)].conn != conn { // listed again on another connection
-					h.records[platformproto.ID(id)].conn = conn
+				if adopted[id] && h.records[protocol.ID(id)].conn != conn { // listed again on another connection
+					h.records[protocol.ID(id)].conn = conn
 				}
-				record := h.records[platformproto.ID(id)]
+				record := h.records[protocol.ID(id)]
 				if record == nil {
 					record = &clientRecord{conn: conn, adopted: true, running: true}
-					h.records[platformproto.ID(id)] = record
+					h.records[protocol.ID(id)] = record
 				}
 				if record.notifications > 0 {
 					continue // its client knows
 				}
-				msg := h.launchMessage(platformproto.ID(id))
-				msg.Set(platformproto.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
-				msg.Set(platformproto.TimeLeft, "4294967")
+				msg := h.launchMessage(protocol.ID(id))
+				msg.Set(protocol.Extras, fmt.Sprintf("cores:1;memory:1;at:s-%08x", 1+id%3))
+				msg.Set(protocol.TimeLeft, "4294967")
 				if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 					t.Fatal(err)
 				}
@@ -220,14 +220,14 @@
 				h.carryOutEffects()
 			case 2, 3:
 				terminated[id] = true
-				msg := newMessage(platformproto.Stop, platformproto.ID(id), []int{16, 41}[draw(2, "cause")])
+				msg := newMessage(protocol.Stop, protocol.ID(id), []int{16, 41}[draw(2, "cause")])
 				h.core.ReceiveFromNode(h.now, node(id), &msg)
 				h.carryOutEffects()
 			case 4:
 				h.core.ClientDisconnected(h.now, conn)
 				h.carryOutEffects()
 				conn = h.connect()
-				check := newMessage(platformproto.Check, 1<<60, 0)
+				check := newMessage(protocol.Check, 1<<60, 0)
 				h.records[check.ID] = &clientRecord{running: true}
 				if err := h.core.ReceiveFromClient(h.now, conn, &check); err != nil {
 					t.Fatal(err)
@@ -238,12 +238,12 @@
 			}
 		}
 		for id := range adopted {
-			if record := h.records[platformproto.ID(id)]; terminated[id] && record.notifications == 0 {
+			if record := h.records[protocol.ID(id)]; terminated[id] && record.notifications == 0 {
 				t.Fatalf("task %d ended and was adopted, and its client was not notified", id)
 			}
 		}
 		for id := 1; id <= taskCount; id++ {
-			msg := newMessage(platformproto.Stop, platformproto.ID(id), platformproto.CauseEnd)
+			msg := newMessage(protocol.Stop, protocol.ID(id), protocol.CauseEnd)
 			h.core.ReceiveFromNode(h.now, node(id), &msg)
 		}
 		h.carryOutEffects()
@@ -266,7 +266,7 @@
 		for _, attempt := range h.sent {
 			accept(h, attempt)
 			if i%2 == 0 {
-				h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, platformproto.CauseEnd))
+				h.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
 		h.sent, h.running = nil, h.sent // the nodes of earlier ones have terminated
@@ -298,8 +298,8 @@
 		h := newHarness(t, nil)
 		conn := h.connect()
 		for line := range strings.SplitSeq(text, "\n") {
-			var msg platformproto.Message
-			if platformproto.Parse([]byte(line), &msg) != nil {
+			var msg protocol.Message
+			if protocol.Parse([]byte(line), &msg) != nil {
 				continue
 			}
 			_ = h.core.ReceiveFromClient(h.now, conn, &msg) // most lines are invalid
--- a/internal/dispatch/registry_test.go
+++ b/internal/platform/dispatch/registry_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -14,8 +14,8 @@
 		cause  int
 		result placer.Result
 	}{
-		"confirms":                  {platformproto.CauseCancelled, placer.Cancelled},
-		"reports that it had ended": {platformproto.CauseEnd, placer.Finished},
+		"confirms":                  {protocol.CauseCancelled, placer.Cancelled},
+		"reports that it had ended": {protocol.CauseEnd, placer.Finished},
 		"stays unresponsive":        {noCause, placer.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			stopped := false
 			out := h.core.Ready()
 			for _, e := range out {
-				stopped = stopped || e.Kind == SendToNode && e.Message.Kind == platformproto.Stop
+				stopped = stopped || e.Kind == SendToNode && e.Message.Kind == protocol.Stop
 			}
 			h.core.effects = out
 			h.carryOutEffects()
@@ -40,7 +40,7 @@
 				t.Errorf("%d tasks at the second time", n)
 			}
 			if tc.cause >= 0 {
-				h.receiveFromNode(attempt, newMessage(platformproto.Stop, attempt.Message.ID, tc.cause))
+				h.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, tc.cause))
 			} else {
 				h.advance(notificationRetention + 0.01)
 			}
--- a/internal/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -41,7 +41,7 @@
 // request is one placement request of a client, and after it was answered the running task.
 type request struct {
 	taskID   placer.TaskID
-	message  platformproto.Message // as the client sent it
+	message  protocol.Message // as the client sent it
 	conn     ConnID
 	class    int
 	deadline float64
@@ -66,12 +66,12 @@
 }
 
 // launchMessage returns the request as a node receives it: ID, class, key, description and, if it has one, the idempotency key.
-func (r *request) launchMessage() platformproto.Message {
-	msg := platformproto.Message{Kind: platformproto.Launch, UID: r.message.UID, ID: r.message.ID, Body: r.message.Body}
-	msg.Set(platformproto.Class, r.message.Get(platformproto.Class))
-	msg.Set(platformproto.Key, r.message.Get(platformproto.Key))
-	if r.message.Has(platformproto.IdempotencyKey) {
-		msg.Set(platformproto.IdempotencyKey, r.message.Get(platformproto.IdempotencyKey))
+func (r *request) launchMessage() protocol.Message {
+	msg := protocol.Message{Kind: protocol.Launch, UID: r.message.UID, ID: r.message.ID, Body: r.message.Body}
+	msg.Set(protocol.Class, r.message.Get(protocol.Class))
+	msg.Set(protocol.Key, r.message.Get(protocol.Key))
+	if r.message.Has(protocol.IdempotencyKey) {
+		msg.Set(protocol.IdempotencyKey, r.message.Get(protocol.IdempotencyKey))
 	}
 	return msg
 }
@@ -86,7 +86,7 @@
 }
 
 // addRequest enters a request whose message is valid.
-func (c *Core) addRequest(conn ConnID, msg *platformproto.Message, task *placer.Task, state requestState) *request {
+func (c *Core) addRequest(conn ConnID, msg *protocol.Message, task *placer.Task, state requestState) *request {
 	c.lastTaskID++
 	task.ID = c.lastTaskID
 	req := &request{
@@ -103,7 +103,7 @@
 }
 
 // openRequest enters a new request and passes it to the placer.
-func (c *Core) openRequest(client *clientConn, msg *platformproto.Message, task placer.Task) {
+func (c *Core) openRequest(client *clientConn, msg *protocol.Message, task placer.Task) {
 	req := c.addRequest(client.id, msg, &task, requestOpen)
 	c.openRequests++
 	client.openRequests[req] = struct{}{}
@@ -111,7 +111,7 @@
 }
 
 // answerRequest gives an open request its final answer, other than that its task runs.
-func (c *Core) answerRequest(req *request, answer platformproto.Message) {
+func (c *Core) answerRequest(req *request, answer protocol.Message) {
 	if req.state.closed() {
 		return
 	}
@@ -205,7 +205,7 @@
 const maxResourceAmount = 1e9
 
 // parseRequest validates a launch message. The error is an *InvalidMessageError.
-func (c *Core) parseRequest(msg *platformproto.Message) (parsed parsedRequest, err error) {
+func (c *Core) parseRequest(msg *protocol.Message) (parsed parsedRequest, err error) {
 	if msg.Body == "" {
 		return parsed, invalidMessage(InvalidBody, "launch %s: no body", msg.UID)
 	}
@@ -215,7 +215,7 @@
 	if parsed.task.Tenant, err = c.parseTenant(msg); err != nil {
 		return parsed, err
 	}
-	if _, err := platformproto.ParseID(msg.Get(platformproto.Key)); err != nil {
+	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
 		return parsed, invalidMessage(InvalidKey, "launch %s: key: %w", msg.UID, err)
 	}
 	resources, err := parsed.parseExtras(msg)
@@ -227,13 +227,13 @@
 	}
 	if resources != 2 {
 		return parsed, invalidMessage(InvalidExtras, "launch %s: extras %.60q: want cores and memory once each", msg.UID,
-			msg.Get(platformproto.Extras))
+			msg.Get(protocol.Extras))
 	}
 	return parsed, nil
 }
 
-func (c *Core) parseClass(msg *platformproto.Message) (int, error) {
-	name := msg.Get(platformproto.Class)
+func (c *Core) parseClass(msg *protocol.Message) (int, error) {
+	name := msg.Get(protocol.Class)
 	class := slices.Index(c.settings.Classes, name)
 	if class < 0 {
 		return 0, invalidMessage(InvalidClass, "launch %s: class %.40q is not known", msg.UID, name)
@@ -242,8 +242,8 @@
 }
 
 // parseTenant returns the tenant's index. A message without a tenant is valid where no tenants are configured.
-func (c *Core) parseTenant(msg *platformproto.Message) (int, error) {
-	name := msg.Get(platformproto.Tenant)
+func (c *Core) parseTenant(msg *protocol.Message) (int, error) {
+	name := msg.Get(protocol.Tenant)
 	if name == "" && len(c.settings.Tenants) == 0 {
 		return 0, nil
 	}
@@ -255,8 +255,8 @@
 }
 
 // parseExtras reads the list of name:value pairs and returns how many of them were resources. Unknown names are skipped.
-func (p *parsedRequest) parseExtras(msg *platformproto.Message) (resources int, err error) {
-	for part := range strings.SplitSeq(msg.Get(platformproto.Extras), ";") {
+func (p *parsedRequest) parseExtras(msg *protocol.Message) (resources int, err error) {
+	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch name {
 		case "cores":
@@ -282,7 +282,7 @@
 	return resources, nil
 }
 
-func parseResource(msg *platformproto.Message, name, value string) (float64, error) {
+func parseResource(msg *protocol.Message, name, value string) (float64, error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	if err != nil || !inRange(amount, maxResourceAmount) {
 		return 0, invalidMessage(InvalidExtras, "launch %s: extras: %s %.40q: want a number from 0 to 1e9", msg.UID, name, value)
@@ -290,8 +290,8 @@
 	return amount, nil
 }
 
-func parseService(msg *platformproto.Message, value string) (placer.ServiceID, error) {
-	id, err := platformproto.ParseID(value)
+func parseService(msg *protocol.Message, value string) (placer.ServiceID, error) {
+	id, err := protocol.ParseID(value)
 	if err != nil {
 		return 0, invalidMessage(InvalidExtras, "launch %s: extras: service: %w", msg.UID, err)
 	}
@@ -300,8 +300,8 @@
 
 // parseDeadline returns the clock time until which the client waits. It may be at most twice the class's deadline away. For an adoption there
 // is no upper limit: no answer is due, and clients give any time there, such as the remaining time of a task without an end.
-func (c *Core) parseDeadline(msg *platformproto.Message, parsed *parsedRequest) (float64, error) {
-	text := msg.Get(platformproto.TimeLeft)
+func (c *Core) parseDeadline(msg *protocol.Message, parsed *parsedRequest) (float64, error) {
+	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
 	limitMS := 2000 * c.settings.Placer.Classes[parsed.task.Class].Deadline
 	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
--- a/internal/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -15,27 +15,27 @@
 	h := newHarness(t, nil)
 	conn := h.connect()
 	id := h.launch(conn, "query", 1000, "")
-	set := func(field platformproto.Field, text string) func(*platformproto.Message) {
-		return func(msg *platformproto.Message) { msg.Set(field, text) }
+	set := func(field protocol.Field, text string) func(*protocol.Message) {
+		return func(msg *protocol.Message) { msg.Set(field, text) }
 	}
 	for name, tc := range map[string]struct {
 		reason InvalidReason
-		spoil  func(*platformproto.Message)
+		spoil  func(*protocol.Message)
 	}{
-		"class":        {InvalidClass, set(platformproto.Class, "gold")},
-		"tenant":       {InvalidTenant, set(platformproto.Tenant, "north")},
-		"key":          {InvalidKey, set(platformproto.Key, "x")},
-		"body":         {InvalidBody, func(msg *platformproto.Message) { msg.Body = "" }},
-		"left":         {InvalidTimeLeft, set(platformproto.TimeLeft, "-1")},
-		"left long":    {InvalidTimeLeft, set(platformproto.TimeLeft, "8001")},
-		"left huge":    {InvalidTimeLeft, set(platformproto.TimeLeft, "1e300")},
-		"left NaN":     {InvalidTimeLeft, set(platformproto.TimeLeft, "NaN")},
-		"cores":        {InvalidExtras, set(platformproto.Extras, "cores:-1;memory:1")},
-		"cores Inf":    {InvalidExtras, set(platformproto.Extras, "cores:Inf;memory:1")},
-		"no memory":    {InvalidExtras, set(platformproto.Extras, "cores:1")},
-		"service":      {InvalidExtras, set(platformproto.Extras, "cores:1;memory:1;service:zz")},
-		"at":           {InvalidNode, set(platformproto.Extras, "cores:1;memory:1;at:s-77777777")},
-		"an id in use": {InvalidIDInUse, func(msg *platformproto.Message) { msg.ID, msg.UID = id, fmt.Sprintf("%016x", uint64(id)) }},
+		"class":        {InvalidClass, set(protocol.Class, "gold")},
+		"tenant":       {InvalidTenant, set(protocol.Tenant, "north")},
+		"key":          {InvalidKey, set(protocol.Key, "x")},
+		"body":         {InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
+		"left":         {InvalidTimeLeft, set(protocol.TimeLeft, "-1")},
+		"left long":    {InvalidTimeLeft, set(protocol.TimeLeft, "8001")},
+		"left huge":    {InvalidTimeLeft, set(protocol.TimeLeft, "1e300")},
+		"left NaN":     {InvalidTimeLeft, set(protocol.TimeLeft, "NaN")},
+		"cores":        {InvalidExtras, set(protocol.Extras, "cores:-1;memory:1")},
+		"cores Inf":    {InvalidExtras, set(protocol.Extras, "cores:Inf;memory:1")},
+		"no memory":    {InvalidExtras, set(protocol.Extras, "cores:1")},
+		"service":      {InvalidExtras, set(protocol.Extras, "cores:1;memory:1;service:zz")},
+		"at":           {InvalidNode, set(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
+		"an id in use": {InvalidIDInUse, func(msg *protocol.Message) { msg.ID, msg.UID = id, fmt.Sprintf("%016x", uint64(id)) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			msg := h.launchMessage(99)
@@ -47,7 +47,7 @@
 				t.Errorf("error %v, want reason %q", err, tc.reason)
 			}
 			out := h.core.Ready()
-			if len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Cause != platformproto.CauseError {
+			if len(out) != 1 || out[0].Kind != SendToClient || out[0].Conn != other || out[0].Message.Cause != protocol.CauseError {
 				t.Errorf("effects %+v", out)
 			}
 		})
@@ -65,12 +65,12 @@
 		h.launch(conn, "query", 1000, ";at:s-00000001")
 	}
 	rejected := func() bool {
-		msg := h.launchMessage(platformproto.ID(1e6))
+		msg := h.launchMessage(protocol.ID(1e6))
 		if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 			t.Fatal(err)
 		}
 		out := h.core.Ready()
-		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Cause == platformproto.CauseBusy
+		return len(out) == 1 && out[0].Kind == SendToClient && out[0].Message.Cause == protocol.CauseBusy
 	}
 	if !rejected() {
 		t.Fatal("one too many was accepted")
--- a/internal/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -10,7 +10,7 @@
 const migrationConfirmTimeout = 0.4
 
 // causeLost is the cause given to clients of tasks that ended with their node.
-const causeLost = platformproto.CauseReset
+const causeLost = protocol.CauseReset
 
 // startTask enters a task that a node has accepted as running, and answers its client.
 func (c *Core) startTask(attempt *Attempt, body string) {
@@ -31,7 +31,7 @@
 			c.scheduleTaskExpiry(node) // no further discovery event will come to end this task
 		}
 	}
-	answer := replyTo(&req.message, platformproto.Running, noCause)
+	answer := replyTo(&req.message, protocol.Running, noCause)
 	answer.Body = body
 	c.sendToClient(req.conn, answer)
 	c.postBound(attempt)
@@ -40,7 +40,7 @@
 // endTask ends a running task. Its client is notified, unless it asked for the end, or was asked to migrate and the node confirms that.
 func (c *Core) endTask(attempt *Attempt, ended outcome, cause int) {
 	req := attempt.request
-	unconfirmedMigration := req.state == requestMigrating && cause != platformproto.CauseCancelled
+	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
 	notify := !req.state.closed() || unconfirmedMigration
 	c.removeAttempt(attempt)
 	c.Counts.TasksEnded++
@@ -49,7 +49,7 @@
 	}
 	c.transition(req, requestTerminated)
 	if notify {
-		c.notifyClient(req, replyTo(&req.message, platformproto.Stop, cause))
+		c.notifyClient(req, replyTo(&req.message, protocol.Stop, cause))
 	}
 	c.postAttemptEnded(attempt, ended)
 	c.removeRequest(req)
@@ -67,7 +67,7 @@
 	req := attempt.request
 	c.Counts.TasksLost++
 	c.closeRequest(req, requestTerminated)
-	c.answerClient(req, replyTo(&req.message, platformproto.Stop, cause))
+	c.answerClient(req, replyTo(&req.message, protocol.Stop, cause))
 	c.postBound(attempt)
 	c.postAttemptEnded(attempt, ended)
 	c.removeRequest(req)
@@ -81,8 +81,8 @@
 	}
 	c.Counts.Migrations++
 	c.transition(req, requestMigrating)
-	c.notifyClient(req, replyTo(&req.message, platformproto.Migrate, noCause))
-	c.stopTask(attempt, platformproto.CauseCancelled, false)
+	c.notifyClient(req, replyTo(&req.message, protocol.Migrate, noCause))
+	c.stopTask(attempt, protocol.CauseCancelled, false)
 }
 
 // notifyUnconfirmedMigration notifies the client of a migrating task that it has ended, if the node has not confirmed that it stopped it for
@@ -93,7 +93,7 @@
 		return
 	}
 	c.transition(req, requestStopping)
-	c.notifyClient(req, replyTo(&req.message, platformproto.Stop, platformproto.CauseCancelled))
+	c.notifyClient(req, replyTo(&req.message, protocol.Stop, protocol.CauseCancelled))
 }
 
 // stopTask tells the node of an attempt to stop the task, or not to start it. A running task ends when the node confirms that, or after
@@ -106,7 +106,7 @@
 	c.emit(Effect{
 		Kind:     SendToNode,
 		Attempt:  attempt,
-		Message:  replyTo(&attempt.request.message, platformproto.Stop, cause),
+		Message:  replyTo(&attempt.request.message, protocol.Stop, cause),
 		TimedOut: timedOut,
 	})
 }
@@ -117,7 +117,7 @@
 		c.timers.Add(c.now+migrationConfirmTimeout, func() { c.notifyUnconfirmedMigration(attempt) })
 	}
 	attempt.timer = c.timers.Add(c.now+notificationRetention, func() {
-		c.endTask(attempt, outcome{result: placer.Cancelled}, platformproto.CauseCancelled)
+		c.endTask(attempt, outcome{result: placer.Cancelled}, protocol.CauseCancelled)
 	})
 }
 
@@ -155,9 +155,9 @@
 		req := attempt.request
 		if !req.state.closed() {
 			c.transition(req, requestStopping)
-			c.notifyClient(req, replyTo(&req.message, platformproto.Stop, causeLost))
+			c.notifyClient(req, replyTo(&req.message, protocol.Stop, causeLost))
 		}
-		c.stopTask(attempt, platformproto.CauseCancelled, false)
+		c.stopTask(attempt, protocol.CauseCancelled, false)
 	}
 	return stopped
 }
--- a/internal/platformproto/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -1,4 +1,4 @@
-package platformproto_test
+package protocol_test
 
 import (
 	"crypto/sha256"
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // TestCharacterization compares with the golden file what the codec makes of a fixed corpus of lines and of seeded mutations of it: whether a line
@@ -32,16 +32,16 @@
 
 // describe parses one line and gives the verdict and every value as numbers and wire bytes.
 func describe(line string) string {
-	var msg platformproto.Message
-	if err := platformproto.Parse([]byte(line), &msg); err != nil {
-		if errors.Is(err, platformproto.ErrTooLong) {
+	var msg protocol.Message
+	if err := protocol.Parse([]byte(line), &msg); err != nil {
+		if errors.Is(err, protocol.ErrTooLong) {
 			return "too long\n"
 		}
 		return "refused\n"
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(msg.Kind), msg.UID, uint64(msg.ID), msg.Cause, msg.HasCause, msg.Body)
-	for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
+	for f := protocol.Class; f <= protocol.LoadReport; f++ {
 		fmt.Fprintf(&b, " %d %t %q", uint8(f), msg.Has(f), msg.Get(f))
 	}
 	fmt.Fprintf(&b, "\n%s", msg.Append([]byte("before")))
@@ -89,7 +89,7 @@
 		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`, `{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
 	}
 	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
-	for _, size := range []int{100, platformproto.MaxLine - 2, platformproto.MaxLine - 1, platformproto.MaxLine, platformproto.MaxLine + 1, 16383, 16384} {
+	for _, size := range []int{100, protocol.MaxLine - 2, protocol.MaxLine - 1, protocol.MaxLine, protocol.MaxLine + 1, 16383, 16384} {
 		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-frame)+`"}`, strings.Repeat(" ", size))
 	}
 	return append(lines, " \t\r\n{ \"kind\" : \"stop\" , "+uid+" , \"meta\" : { \"class\" : 5 , \"left\" : \"6\" } } \r", `{"kind":"stop",`+uid+`}x`,
@@ -124,17 +124,17 @@
 func encodings() string {
 	var b strings.Builder
 	for k := range 12 {
-		for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
-			msg := platformproto.Message{Kind: platformproto.Kind(k), UID: "00000000000000ff", ID: 255, Cause: k * 17, HasCause: k%2 == 0}
+		for f := protocol.Class; f <= protocol.LoadReport; f++ {
+			msg := protocol.Message{Kind: protocol.Kind(k), UID: "00000000000000ff", ID: 255, Cause: k * 17, HasCause: k%2 == 0}
 			msg.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
-			msg.Set(platformproto.Value, "")
+			msg.Set(protocol.Value, "")
 			if k%3 == 0 {
 				msg.Body = `"raw \u0041"`
 			}
 			b.Write(msg.Append(nil))
 		}
 	}
-	msg := platformproto.Message{Kind: platformproto.Stop, Cause: -5, HasCause: true}
+	msg := protocol.Message{Kind: protocol.Stop, Cause: -5, HasCause: true}
 	b.Write(msg.Append(nil))
 	return b.String()
 }
@@ -143,12 +143,12 @@
 	var b strings.Builder
 	for _, s := range []string{"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
 		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é"} {
-		id, err := platformproto.ParseID(s)
+		id, err := protocol.ParseID(s)
 		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&b, platformproto.MaxLine, platformproto.CauseEnd, platformproto.CauseCancelled, platformproto.CauseFull, platformproto.CauseReset,
-		platformproto.CauseBusy, platformproto.CauseError, platformproto.CauseExpired)
-	for f := platformproto.Class; f <= platformproto.LoadReport; f++ {
+	fmt.Fprintln(&b, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseFull, protocol.CauseReset,
+		protocol.CauseBusy, protocol.CauseError, protocol.CauseExpired)
+	for f := protocol.Class; f <= protocol.LoadReport; f++ {
 		fmt.Fprintln(&b, f.String()) // the word on the wire
 	}
 	return b.String()
--- a/internal/platformproto/message.go
+++ b/internal/platform/protocol/message.go
@@ -1,9 +1,9 @@
-// Package platformproto is the codec of the shared platform's protocol: JSON lines that each hold one message about one task.
+// Package protocol is the codec of the shared platform's protocol: JSON lines that each hold one message about one task.
 //
 // It is pure: it has no I/O and no clock, and imports no other package of the project. What it accepts is stricter than JSON: a line that
 // another reader might reject or read differently (text that is not UTF-8, half of a surrogate pair, a duplicate key) is an error here,
 // because a message that is passed on and rejected there ends everything else that is open on the same connection.
-package platformproto
+package protocol
 
 import (
 	"errors"
--- a/internal/platformproto/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -1,4 +1,4 @@
-package platformproto
+package protocol
 
 import (
 	"encoding/json"
--- a/internal/platform/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -1,14 +1,14 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"errors"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/memquota"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 )
 
 // Timeouts of client connections, in seconds.
@@ -65,14 +65,14 @@
 	openedAt        float64
 	lastMessageAt   float64 // when the last valid message arrived; openedAt if none did
 	incompleteSince float64 // since when the last message has been incomplete; 0 if it is not
-	message         platformproto.Message
+	message         protocol.Message
 }
 
 // acceptClient returns the handler of a connection that has just been accepted.
 func (s *Server) acceptClient(conn *eventloop.Conn) eventloop.Handler {
 	s.lastClientID++
 	s.stats.ClientsAccepted++
-	conn.MaxInput = 2 * platformproto.MaxLine
+	conn.MaxInput = 2 * protocol.MaxLine
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: now, lastMessageAt: now}
 	s.clients[client.id] = client
@@ -114,7 +114,7 @@
 // handleLine hands one message to the core. An error ends the connection.
 func (c *clientConn) handleLine(line []byte) (lineCost, error) {
 	s := c.server
-	if err := platformproto.Parse(line, &c.message); err != nil {
+	if err := protocol.Parse(line, &c.message); err != nil {
 		return lineCounts, err
 	}
 	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
@@ -173,7 +173,7 @@
 }
 
 // send writes a message, or closes the connection if the client has left too much unread.
-func (c *clientConn) send(message *platformproto.Message) {
+func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
 	if c.conn.Buffered() > maxUnsentToClient {
 		s.warn("client connection closed", c.conn.Peer(), errClientNotReading)
--- a/internal/platform/config.go
+++ b/internal/platform/server/config.go
@@ -1,4 +1,4 @@
-package platform
+package server
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"heathshed/internal/simconfig"
+	"heathshed/internal/simbridge/simconfig"
 )
 
 // maxConfigBytes bounds the configuration file.
--- a/internal/platform/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package platform
+package server
 
 import "testing"
 
--- a/internal/platform/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -1,17 +1,17 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"errors"
 	"net/http"
 	"strconv"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/http1"
-	"heathshed/internal/httpc"
-	"heathshed/internal/retry"
-	"heathshed/internal/sse"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/netio/httpc"
+	"heathshed/internal/netio/sse"
 )
 
 // discoveryPath is the resource of the discovery server that streams the events of the node registry.
--- a/internal/platform/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/eventqueue"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/netio/eventloop"
 	"heathshed/placer"
 )
 
--- a/internal/platform/lines.go
+++ b/internal/platform/server/lines.go
@@ -1,12 +1,12 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"bytes"
 
-	"heathshed/internal/eventloop"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/protocol"
 )
 
 // maxLinesPerTurn is how many lines of one connection are handled in one iteration of the loop before the others have their turn.
@@ -22,14 +22,14 @@
 
 // readLines calls handle for each complete line of data, without its newline, until maxLinesPerTurn of them have counted; the rest is
 // deferred to the next iteration of the loop. It returns how many bytes were consumed. The error is that of handle, or
-// platformproto.ErrTooLong for a line that is longer than the protocol allows.
+// protocol.ErrTooLong for a line that is longer than the protocol allows.
 func (s *Server) readLines(conn *eventloop.Conn, data []byte, handle func(line []byte) (lineCost, error)) (int, error) {
 	consumed := 0
 	for handled := 0; handled < maxLinesPerTurn; {
 		end := bytes.IndexByte(data[consumed:], '\n')
 		if end < 0 {
-			if len(data)-consumed >= platformproto.MaxLine {
-				return consumed, platformproto.ErrTooLong
+			if len(data)-consumed >= protocol.MaxLine {
+				return consumed, protocol.ErrTooLong
 			}
 			return consumed, nil
 		}
--- a/internal/platform/logging.go
+++ b/internal/platform/server/logging.go
@@ -1,11 +1,11 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/protocol"
 )
 
 // maxWarningsPerSecond bounds how often bad input and failures of peers are logged.
@@ -34,7 +34,7 @@
 }
 
 // traceMessage logs one message at level trace. direction says where it comes from or goes to.
-func (s *Server) traceMessage(direction string, conn uint64, peer string, message *platformproto.Message) {
+func (s *Server) traceMessage(direction string, conn uint64, peer string, message *protocol.Message) {
 	if s.log.GetLevel() > zerolog.TraceLevel {
 		return
 	}
@@ -46,7 +46,7 @@
 	if message.HasCause {
 		event.Int("reason", message.Cause)
 	}
-	for field := platformproto.Class; field <= platformproto.LoadReport; field++ {
+	for field := protocol.Class; field <= protocol.LoadReport; field++ {
 		if message.Has(field) {
 			event.Str(field.String(), message.Get(field))
 		}
--- a/internal/platform/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -1,21 +1,21 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"errors"
 
-	"heathshed/internal/connpool"
-	"heathshed/internal/dispatch"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/control/connpool"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 )
 
 // errUnexpectedKind ends a connection on which a node sends a message that only clients and schedulers send.
 var errUnexpectedKind = errors.New("message kind that a node does not send")
 
 // healthCheck is answered by a node at once, however busy it is.
-var healthCheck = platformproto.Message{Kind: platformproto.Check, UID: "0000000000000001", ID: 1, HasCause: true}
+var healthCheck = protocol.Message{Kind: protocol.Check, UID: "0000000000000001", ID: 1, HasCause: true}
 
 // nodeConnState is the state of a connection to a node.
 type nodeConnState uint8
@@ -50,7 +50,7 @@
 	establishedAt float64
 	attempts      map[*dispatch.Attempt]struct{} // sent here and unanswered
 	keepAlive     connpool.ConnState
-	message       platformproto.Message
+	message       protocol.Message
 }
 
 // setState makes a transition. One that is not legal is a fault of the program: it is counted and the state stays.
@@ -75,7 +75,7 @@
 }
 
 // write queues a message.
-func (nc *nodeConn) write(message *platformproto.Message) {
+func (nc *nodeConn) write(message *protocol.Message) {
 	nc.link.server.traceMessage(">node", uint64(nc.id), nc.conn.Peer(), message)
 	nc.conn.CommitOutput(message.Append(nc.conn.OutputBuffer()))
 }
@@ -120,15 +120,15 @@
 // handleLine hands one message to the core. An error ends the connection.
 func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
 	s := nc.link.server
-	if err := platformproto.Parse(line, &nc.message); err != nil {
+	if err := protocol.Parse(line, &nc.message); err != nil {
 		return lineCounts, err
 	}
 	kind := nc.message.Kind
-	if kind == platformproto.Launch || kind == platformproto.Check {
+	if kind == protocol.Launch || kind == protocol.Check {
 		return lineCounts, errUnexpectedKind
 	}
 	s.traceMessage("node>", uint64(nc.id), nc.conn.Peer(), &nc.message)
-	if kind == platformproto.Checked {
+	if kind == protocol.Checked {
 		nc.keepAlive.HealthCheckSent = 0
 		return lineCounts, nil
 	}
--- a/internal/platform/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"cmp"
@@ -9,12 +9,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathshed/internal/connpool"
-	"heathshed/internal/dispatch"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/memquota"
-	"heathshed/internal/platformproto"
-	"heathshed/internal/retry"
+	"heathshed/internal/control/connpool"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/control/retry"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -192,7 +192,7 @@
 		s.loop.After(0, func() { link.dialFailed(err) })
 		return
 	}
-	conn.MaxInput = 2 * platformproto.MaxLine
+	conn.MaxInput = 2 * protocol.MaxLine
 	nc.conn = conn
 	link.dialing = nc
 	s.openNodeConns++
--- a/internal/platform/server.go
+++ b/internal/platform/server/server.go
@@ -1,12 +1,12 @@
 //go:build linux
 
-// Package platform runs one scheduler on the shared platform: it accepts clients, connects to nodes and follows the platform's discovery
+// Package server runs one scheduler on the shared platform: it accepts clients, connects to nodes and follows the platform's discovery
 // stream, all on one event loop.
 //
 // The package moves bytes and keeps connections. It parses what arrives, hands it to a dispatch.Core and carries out the effects that the
 // core returns; it makes no placement decisions. Everything but New runs on the loop's goroutine, so nothing is locked. Points in time are
 // the loop's clock in Unix seconds, durations are seconds.
-package platform
+package server
 
 import (
 	"fmt"
@@ -14,11 +14,11 @@
 
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/connpool"
-	"heathshed/internal/dispatch"
-	"heathshed/internal/eventloop"
-	"heathshed/internal/eventqueue"
-	"heathshed/internal/memquota"
+	"heathshed/internal/control/connpool"
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/control/memquota"
+	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/platform/dispatch"
 	"heathshed/placer"
 )
 
--- a/internal/platform/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package platform
+package server
 
 // Times of a graceful stop, in seconds. From the signal to stop, the platform sends clients and requests for 0.7 s at most.
 const (
--- a/internal/platform/stats.go
+++ b/internal/platform/server/stats.go
@@ -1,13 +1,13 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"errors"
 	"fmt"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 )
 
 // statsInterval is the time between two log lines with the counters, in seconds.
@@ -58,7 +58,7 @@
 	switch {
 	case errors.As(err, &invalid):
 		return in.messageCounter(invalid.Reason)
-	case errors.Is(err, platformproto.ErrTooLong):
+	case errors.Is(err, protocol.ErrTooLong):
 		return &in.LineTooLong
 	}
 	return &in.Unreadable
--- a/internal/platform/stats_test.go
+++ b/internal/platform/server/stats_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package platform
+package server
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"fmt"
 	"testing"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/platformproto"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
 )
 
 // TestInvalidInputJSON: each kind of invalid input has its counter, and only counters above 0 are logged, under the words that operators know.
@@ -28,7 +28,7 @@
 		{&dispatch.InvalidMessageError{Reason: dispatch.InvalidStop, Err: errors.New("x")}, `{"stop":1}`},
 		{&dispatch.InvalidMessageError{Reason: dispatch.InvalidTenant, Err: errors.New("x")}, `{"tenant":1}`},
 		{&dispatch.InvalidMessageError{Reason: "new", Err: errors.New("x")}, `{"other":1}`},
-		{fmt.Errorf("line 3: %w", platformproto.ErrTooLong), `{"long line":1}`},
+		{fmt.Errorf("line 3: %w", protocol.ErrTooLong), `{"long line":1}`},
 		{errors.New("no JSON"), `{"unreadable":1}`},
 		{nil, `{}`},
 	} {
--- a/internal/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -21,8 +21,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/simadapter"
+	"heathshed/internal/simbridge/simadapter"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // With pushSettings node lists are pushed and carry the free capacity; with consolidatingSettings nodes in use have a cost
--- a/internal/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"testing"
 
-	"heathshed/internal/dispatch"
-	"heathshed/internal/platformproto"
-	"heathshed/internal/simconfig"
-	"heathshed/internal/simproto"
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/simbridge/simproto"
 	"heathshed/placer"
 )
 
@@ -154,26 +154,26 @@
 	var ids uint64
 	launch := func(class, extras string) {
 		ids++
-		m := platformproto.Message{Kind: platformproto.Launch, UID: fmt.Sprintf("%016x", ids), ID: platformproto.ID(ids), Body: `"x"`}
-		m.Set(platformproto.Class, class)
-		m.Set(platformproto.Tenant, "south")
-		m.Set(platformproto.Key, m.UID)
-		m.Set(platformproto.TimeLeft, "4000")
-		m.Set(platformproto.Extras, extras)
+		m := protocol.Message{Kind: protocol.Launch, UID: fmt.Sprintf("%016x", ids), ID: protocol.ID(ids), Body: `"x"`}
+		m.Set(protocol.Class, class)
+		m.Set(protocol.Tenant, "south")
+		m.Set(protocol.Key, m.UID)
+		m.Set(protocol.TimeLeft, "4000")
+		m.Set(protocol.Extras, extras)
 		if err := b.core.ReceiveFromClient(b.now, 1, &m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	node := func(id uint64, m platformproto.Message) {
-		m.ID, m.UID = platformproto.ID(id), fmt.Sprintf("%016x", id)
+	node := func(id uint64, m protocol.Message) {
+		m.ID, m.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
 		b.core.ReceiveFromNode(b.now, b.attempts[id].Node, &m)
 	}
-	with := func(m platformproto.Message, f platformproto.Field, v string) platformproto.Message {
+	with := func(m protocol.Message, f protocol.Field, v string) protocol.Message {
 		m.Set(f, v)
 		return m
 	}
-	stop := func(cause int) platformproto.Message {
-		return platformproto.Message{Kind: platformproto.Stop, Cause: cause, HasCause: true}
+	stop := func(cause int) protocol.Message {
+		return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 	}
 	for i := range 60 {
 		class, lane := "query", uint16(0)
@@ -192,19 +192,19 @@
 		back := simproto.Event{ID: ids, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Elapsed: b.attempts[ids].Age(b.now), Code: simproto.EventAttemptEnded}
 		switch i % 8 {
 		case 0, 1, 2:
-			node(ids, platformproto.Message{Kind: platformproto.Running, Body: `"y"`})
+			node(ids, protocol.Message{Kind: protocol.Running, Body: `"y"`})
 			back.Code = simproto.EventAttemptBound
 			b.sendToAdapter(back)
 			b.compare("running")
-			node(ids, with(with(platformproto.Message{Kind: platformproto.Update}, platformproto.Note, "cpu"), platformproto.Value, "0.75"))
+			node(ids, with(with(protocol.Message{Kind: protocol.Update}, protocol.Note, "cpu"), protocol.Value, "0.75"))
 			b.sendToAdapter(simproto.Event{Code: simproto.EventUsageReported, ID: ids, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), UsageKind: 2, Value: 0.75})
 			if i%8 > 0 {
-				node(ids, with(stop(16), platformproto.LoadReport, "x1:3;utilization:0.5"))
+				node(ids, with(stop(16), protocol.LoadReport, "x1:3;utilization:0.5"))
 				back.Code, back.Final, back.Load = simproto.EventAttemptEnded, 1, []float32{3, 0.5}
 				b.sendToAdapter(back)
 			}
 		case 3:
-			node(ids, with(with(stop(34), platformproto.Note, "mem_full"), platformproto.LoadReport, "x1:0.25;utilization:1"))
+			node(ids, with(with(stop(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
 			back.Status, back.Reason, back.Load = 254, 2, []float32{0.25, 1}
 			b.sendToAdapter(back)
 		case 4:
@@ -217,7 +217,7 @@
 			b.sendToAdapter(back)
 		case 6:
 			m := stop(16)
-			m.ID, m.UID = platformproto.ID(ids), fmt.Sprintf("%016x", ids)
+			m.ID, m.UID = protocol.ID(ids), fmt.Sprintf("%016x", ids)
 			if err := b.core.ReceiveFromClient(b.now, 1, &m); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"io"
 
-	"heathshed/internal/simconfig"
-	"heathshed/internal/simproto"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/simbridge/simproto"
 	"heathshed/placer"
 )
 
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/simconfig"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
--- a/internal/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"heathshed/internal/simconfig"
-	"heathshed/internal/simproto"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/simbridge/simproto"
 	"heathshed/placer"
 )
 
--- a/internal/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -14,8 +14,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/simconfig"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/testsupport/goldentest"
 	"heathshed/placer"
 )
 
--- a/internal/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -16,8 +16,8 @@
 	"strings"
 	"testing"
 
-	"heathshed/internal/goldentest"
-	"heathshed/internal/simproto"
+	"heathshed/internal/simbridge/simproto"
+	"heathshed/internal/testsupport/goldentest"
 )
 
 // record encodes one record from values of fixed width, little endian.
