--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -88,15 +88,15 @@
 	engineConfig := s.Engine(7, 11)
 	controller, retryPolicy, policy := engineConfig.Admission, engineConfig.Retry, engineConfig.Placer
 	r.Floats(controller.MinInFlight, controller.MaxInFlight, controller.InitialInFlight, controller.DecreaseFactor, controller.DecreaseInterval, controller.LateFraction, controller.RetryRatio, controller.RetryRate, controller.RetryBurst,
-		retryPolicy.Delay, retryPolicy.ShortDelay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.UnknownOutcomeTimeout, engineConfig.FinishedTTL, engineConfig.NodeLossTimeout, policy.OvercommitCores, policy.OvercommitMemory, policy.ConnectTimeout, policy.AnswerGrace,
-		policy.DrainGrace, policy.WarmupMinPace, policy.WarmupDuration, policy.OverloadMultiple, policy.OverloadWindow, policy.WarmupAttempts, policy.UnknownOutcomeWait, policy.NodeCost, policy.CrossZoneCost,
-		policy.MigrationCost, policy.OverQuotaWeight)
+		retryPolicy.Delay, retryPolicy.ShortDelay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.UnknownOutcomeTimeout, engineConfig.FinishedTTL, engineConfig.NodeLossTimeout, policy.Overcommit.Cores, policy.Overcommit.Memory, float64(policy.Attempts.ConnectTimeout), float64(policy.Attempts.AnswerGrace),
+		float64(policy.Attempts.DrainGrace), policy.SlowStart.MinPace, float64(policy.SlowStart.Duration), policy.SlowStart.OverloadMultiple, float64(policy.SlowStart.OverloadWindow), policy.SlowStart.MaxAttempts, float64(policy.Retry.UnknownOutcomeWait), policy.Costs.Node, policy.Costs.CrossZone,
+		policy.Costs.Migration, policy.OverQuotaWeight)
 	r.Integers(int64(controller.MaxQueued), engineConfig.MaxHistory, engineConfig.MaxObjects, int64(engineConfig.History), int64(engineConfig.MaxPods), int64(engineConfig.DefaultClass), int64(engineConfig.Seed), engineConfig.BaseRevision,
-		int64(policy.Self), int64(policy.Peers), int64(policy.MaxAttempts))
-	r.Booleans(controller.Disabled, policy.AcknowledgesOnStart, policy.ListShowsCapacity, policy.ReportsUsage, policy.Preempts)
+		int64(policy.Peers.Self), int64(policy.Peers.Total), int64(policy.Attempts.Max))
+	r.Booleans(controller.Disabled, policy.NodeBehavior.AcknowledgesOnStart, policy.NodeBehavior.ListShowsCapacity, policy.NodeBehavior.ReportsUsage, policy.NodeBehavior.Preempts)
 	for i, k := range policy.Classes {
 		r.Texts(engineConfig.Classes[i])
-		r.Floats(k.DedupWindow, k.LatencyObjective, k.Deadline, k.Weight, k.LateWeight, k.StartBonus, k.SaturationThreshold, k.DegradationRange)
+		r.Floats(float64(k.DedupWindow), float64(k.LatencyObjective), float64(k.Deadline), k.Weight, k.LateWeight, float64(k.StartBonus), k.SaturationThreshold, k.DegradationRange)
 		r.Integers(int64(k.Idempotency), int64(k.DedupDomain), int64(k.Priority), int64(k.NodeType), int64(k.SpreadDomain), int64(k.MaxPerDomain))
 	}
 	for i, k := range policy.NodeTypes {
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -21,8 +21,8 @@
 		order := playQueue(seed)
 		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
 	}
-	for _, after := range []float64{math.Inf(-1), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, math.Inf(1)} {
-		record.Line("wait %x %x", math.Float64bits(after), math.Float64bits(eventqueue.Delay(after)))
+	for _, after := range []placer.Seconds{placer.Seconds(math.Inf(-1)), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, placer.Seconds(math.Inf(1))} {
+		record.Line("wait %x %x", math.Float64bits(float64(after)), math.Float64bits(float64(eventqueue.Delay(after))))
 	}
 	record.Check(t, "characterization")
 }
@@ -33,7 +33,7 @@
 	log    *strings.Builder
 }
 
-func (p *echoPlacer) Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action {
+func (p *echoPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
 	fmt.Fprintf(p.log, "e%d@%g/%d ", event.Token, now, len(actions))
 	for i := range p.random.IntN(4) {
 		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: event.Token*10 + uint64(i)})
@@ -56,7 +56,7 @@
 		for range random.IntN(4) {
 			queue.Post(placer.Event{Kind: placer.TimerFired, Token: uint64(step + 1)})
 		}
-		queue.Run(float64(step))
+		queue.Run(placer.Seconds(step))
 		b.WriteString("| ")
 	}
 	return b.String()
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -4,14 +4,14 @@
 
 import "heathshed/placer"
 
-// MinDelay is the shortest delay of a timer in seconds. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
+// MinDelay is the shortest delay of a timer. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
 // adding less to it may give the same time again, and a placer that waits for a deadline so near would be woken at that time forever.
-const MinDelay = 1e-6
+const MinDelay placer.Seconds = 1e-6
 
 // Placer makes the placement decisions: a *placer.Placer, or a substitute in tests.
 type Placer interface {
 	// Handle handles one event at the given clock time, and returns actions with those that it asks for appended.
-	Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action
+	Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action
 }
 
 // Queue passes events to one placer and executes its actions. It is to be used by one goroutine at a time.
@@ -29,7 +29,7 @@
 func (q *Queue) Post(event placer.Event) { q.events = append(q.events, event) }
 
 // Run passes all queued events to the placer. It does nothing if it is called within Execute.
-func (q *Queue) Run(now float64) {
+func (q *Queue) Run(now placer.Seconds) {
 	if q.running {
 		return
 	}
@@ -46,5 +46,5 @@
 	q.running = false
 }
 
-// Delay returns the delay in seconds for a timer that the placer asked to be set after the given time.
-func Delay(after float64) float64 { return max(after, MinDelay) }
+// Delay returns the delay for a timer that the placer asked to be set after the given time.
+func Delay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -67,7 +67,7 @@
 	task.inFlight = started
 	e.setState(task, taskAttempting)
 	e.Stats.Attempts++
-	started.timeoutTimer = e.runAt(action.Until, func() { e.attemptTimedOut(started) })
+	started.timeoutTimer = e.runAt(float64(action.Until), func() { e.attemptTimedOut(started) })
 	e.emit(Effect{
 		Kind:                SendAttempt,
 		Node:                node.name,
@@ -77,7 +77,7 @@
 		Namespace:           task.namespace,
 		Name:                task.name,
 		Attempt:             started.number,
-		Deadline:            action.Until,
+		Deadline:            float64(action.Until),
 		AvoidUnknownOutcome: e.idempotencyOf(task) != placer.Idempotent,
 	})
 }
@@ -185,7 +185,7 @@
 		TaskID:  accepted.request.id,
 		Attempt: accepted.requestSequence,
 		Node:    accepted.node.id,
-		Elapsed: e.now - accepted.sentAt,
+		Elapsed: placer.Seconds(e.now - accepted.sentAt),
 	})
 	accepted.request.closed = true
 	e.admission.Complete(e.now, uint64(accepted.request.id), true)
@@ -234,7 +234,7 @@
 		Node:    failed.node.id,
 		Result:  result,
 		Reason:  reason,
-		Elapsed: e.now - failed.sentAt,
+		Elapsed: placer.Seconds(e.now - failed.sentAt),
 		Final:   failed.request.closed,
 		Report:  report,
 	})
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -16,7 +16,9 @@
 
 // TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
 func TestCharacterizeMoves(t *testing.T) {
-	s := newScript(t, 6, func(c *engine.Config) { c.Placer.NodeCost, c.Placer.MigrationCost, c.Placer.CrossZoneCost = 5, 0.01, 0 })
+	s := newScript(t, 6, func(c *engine.Config) {
+		c.Placer.Costs.Node, c.Placer.Costs.Migration, c.Placer.Costs.CrossZone = 5, 0.01, 0
+	})
 	s.advance(s.now + 5)
 	for i, n := range s.nodes {
 		pod := &corev1.Pod{}
@@ -61,7 +63,9 @@
 		{"narrow-gate", 4, 300, true, func(c *engine.Config) {
 			c.Admission.MinInFlight, c.Admission.MaxInFlight, c.Admission.InitialInFlight, c.Admission.MaxQueued, c.FinishedTTL = 1, 3, 2, 12, 0
 		}},
-		{"pull-list", 5, 200, true, func(c *engine.Config) { c.Placer.MustPollNodes, c.Placer.AcknowledgesOnStart = true, true }},
+		{"pull-list", 5, 200, true, func(c *engine.Config) {
+			c.Placer.Discovery.MustPoll, c.Placer.NodeBehavior.AcknowledgesOnStart = true, true
+		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
 			s := newScript(t, run.seed, run.change)
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -66,7 +66,7 @@
 	setIfUnset(&c.History, DefaultHistory)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
 	setIfUnset(&c.MaxStartsPerCall, DefaultMaxStartsPerCall)
-	setIfUnset(&c.Placer.MaxPollInterval, DefaultMaxPollInterval)
+	setIfUnset(&c.Placer.Discovery.MaxPollInterval, DefaultMaxPollInterval)
 	setIfUnset(&c.NodeLossTimeout, DefaultNodeLossTimeout)
 	if c.Retry == (retry.Policy{}) {
 		c.Retry = retry.DefaultPolicy()
@@ -82,7 +82,7 @@
 	}
 }
 
-func setIfUnset[T int | float64](setting *T, value T) {
+func setIfUnset[T int | float64 | placer.Seconds](setting *T, value T) {
 	if *setting <= 0 {
 		*setting = value
 	}
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -180,7 +180,7 @@
 func (e *Engine) post(event placer.Event) { e.events.Post(event) }
 
 // drainEvents has the placer handle the queued events and executes its actions. It does nothing while an action is executed.
-func (e *Engine) drainEvents() { e.events.Run(e.now) }
+func (e *Engine) drainEvents() { e.events.Run(placer.Seconds(e.now)) }
 
 // execute carries out an action of the placer.
 func (e *Engine) execute(action *placer.Action) {
@@ -188,12 +188,12 @@
 	case placer.StartAttempt:
 		e.startAttempt(action)
 	case placer.Reject:
-		e.requestEnded(action.Task, retry.Rejected, action.After)
+		e.requestEnded(action.Task, retry.Rejected, float64(action.After))
 	case placer.Fail:
 		e.requestEnded(action.Task, retry.Failed, 0)
 	case placer.SetTimer:
 		token := action.Token
-		e.runAfter(eventqueue.Delay(action.After), func() {
+		e.runAfter(float64(eventqueue.Delay(action.After)), func() {
 			e.post(placer.Event{Kind: placer.TimerFired, Token: token})
 			e.drainEvents()
 		})
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -33,9 +33,13 @@
 func newEngine(t *testing.T) *Engine {
 	t.Helper()
 	e, err := New(Config{Name: "s", Classes: []string{"c"}, NodeTypes: []string{"k"}, Placer: placer.Config{
-		Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1, OvercommitCores: 1, OvercommitMemory: 1, ListShowsCapacity: true, WarmupDuration: 15,
-		Classes:   []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
-		NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
+		Peers:        placer.Peers{Total: 1},
+		Classes:      []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+		NodeTypes:    []placer.NodeType{{Cores: 8, Memory: 8}},
+		NodeBehavior: placer.NodeBehavior{ListShowsCapacity: true},
+		Overcommit:   placer.Overcommit{Cores: 1, Memory: 1},
+		SlowStart:    placer.SlowStart{Duration: 15},
+		Attempts:     placer.Attempts{Max: 3, AnswerGrace: 0.1},
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -105,10 +109,13 @@
 	}{{"same incarnation", "a", true}, {"another incarnation", "b", false}} {
 		t.Run(test.name, func(t *testing.T) {
 			e, err := New(Config{Name: "s", Classes: []string{"once"}, NodeTypes: []string{"k"}, Placer: placer.Config{
-				Peers: 1, MaxAttempts: 3, AnswerGrace: 0.1, OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true,
+				Peers: placer.Peers{Total: 1},
 				Classes: []placer.Class{{Idempotency: placer.NonIdempotent, LatencyObjective: 1, Deadline: 2, NodeType: -1,
 					SaturationThreshold: 1, DegradationRange: 1}},
-				NodeTypes: []placer.NodeType{{Cores: 8, Memory: 8}},
+				NodeTypes:    []placer.NodeType{{Cores: 8, Memory: 8}},
+				NodeBehavior: placer.NodeBehavior{ListShowsCapacity: true},
+				Overcommit:   placer.Overcommit{Cores: 2, Memory: 2},
+				Attempts:     placer.Attempts{Max: 3, AnswerGrace: 0.1},
 			}})
 			if err != nil {
 				t.Fatal(err)
@@ -259,14 +266,12 @@
 		NodeTypes: []string{"k"},
 		Admission: limits,
 		Placer: placer.Config{
-			Peers:             1,
-			MaxAttempts:       1,
-			AnswerGrace:       0.1,
-			Classes:           []placer.Class{{LatencyObjective: 1, Deadline: 2, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
-			NodeTypes:         []placer.NodeType{{Cores: 8, Memory: 8}},
-			OvercommitCores:   1,
-			OvercommitMemory:  1,
-			ListShowsCapacity: true,
+			Peers:        placer.Peers{Total: 1},
+			Classes:      []placer.Class{{LatencyObjective: 1, Deadline: 2, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+			NodeTypes:    []placer.NodeType{{Cores: 8, Memory: 8}},
+			NodeBehavior: placer.NodeBehavior{ListShowsCapacity: true},
+			Overcommit:   placer.Overcommit{Cores: 1, Memory: 1},
+			Attempts:     placer.Attempts{Max: 1, AnswerGrace: 0.1},
 		},
 	})
 	if err != nil {
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -124,7 +124,7 @@
 		retryBudget: job.indexes[index].retryBudget,
 	}
 	created.name = fmt.Sprintf("%.*s-%d-%s", maxPodNamePrefix, job.object.Name, index, e.randomSuffix())
-	created.deadline = e.now + e.cfg.Retry.MaxWait(e.cfg.Placer.Classes[job.class].Deadline, created.retryBudget)
+	created.deadline = e.now + e.cfg.Retry.MaxWait(float64(e.cfg.Placer.Classes[job.class].Deadline), created.retryBudget)
 	if job.deadlineTimer.Pending() {
 		created.deadline = min(created.deadline, job.deadlineTimer.At)
 	}
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -58,7 +58,7 @@
 	defer e.endCall()
 	if kind == ListUnavailable {
 		// The placer did not request a list that is pushed: the caller watches again by itself.
-		if e.cfg.Placer.MustPollNodes {
+		if e.cfg.Placer.Discovery.MustPoll {
 			e.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 		return
@@ -161,7 +161,7 @@
 		reported.Zone = intern(e.zones, object.Labels[wellknown.Zone])
 		reported.Rack = intern(e.racks, object.Labels[wellknown.Rack])
 		reported.NodeType = slices.Index(e.cfg.NodeTypes, object.Labels[wellknown.Kind])
-		reported.StartedAt = e.incarnationStart(node)
+		reported.StartedAt = placer.Seconds(e.incarnationStart(node))
 		reported.FreeCores, reported.FreeMemory = freeCapacity(object)
 		switch {
 		case node.drainOrdered || object.Spec.Unschedulable:
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -51,7 +51,7 @@
 		Cost:             max(task.cores/nodeType.Cores, task.memory/nodeType.Memory),
 		Deadline:         e.requestDeadline(task),
 		FinalDeadline:    task.deadline,
-		LatencyObjective: class.LatencyObjective,
+		LatencyObjective: float64(class.LatencyObjective),
 		IsRetry:          request.isRetry,
 		ShedBefore:       task.wasShed,
 	}
@@ -59,7 +59,7 @@
 
 // requestDeadline returns the deadline of a request that is made now.
 func (e *Engine) requestDeadline(task *task) float64 {
-	return min(task.deadline, e.now+e.cfg.Placer.Classes[task.class].Deadline)
+	return min(task.deadline, e.now+float64(e.cfg.Placer.Classes[task.class].Deadline))
 }
 
 // submitRequest hands an admitted request to the placer. Its deadline counts from now.
@@ -82,7 +82,7 @@
 		Service:  task.service,
 		Cores:    task.cores,
 		Memory:   task.memory,
-		Deadline: deadline,
+		Deadline: placer.Seconds(deadline),
 	}
 }
 
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -214,7 +214,7 @@
 		Node:    ended.node.id,
 		Result:  end.result,
 		Reason:  end.reason,
-		Elapsed: e.now - ended.sentAt,
+		Elapsed: placer.Seconds(e.now - ended.sentAt),
 		Final:   true,
 	})
 	e.discardRequest(ended.request)
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -87,10 +87,10 @@
 		Message:   req.launchMessage(),
 		request:   req,
 		number:    len(req.attempts),
-		expiresAt: action.Until,
+		expiresAt: float64(action.Until),
 		createdAt: c.now,
 	}
-	if action.Until <= 0 || action.Until > req.deadline {
+	if action.Until <= 0 || float64(action.Until) > req.deadline {
 		attempt.expiresAt = req.deadline
 	}
 	req.attempts = append(req.attempts, attempt)
@@ -111,7 +111,7 @@
 	if req.state.closed() || attempt.expiresAt <= c.now {
 		return false
 	}
-	return len(req.attempts) <= c.settings.Placer.MaxAttempts && c.nodes[attempt.Node] != nil
+	return len(req.attempts) <= c.settings.Placer.Attempts.Max && c.nodes[attempt.Node] != nil
 }
 
 // expireAttempt ends an attempt that has no answer in time.
@@ -193,7 +193,7 @@
 // retainAttempt keeps an abandoned attempt for as long as its node may send messages about it.
 func (c *Core) retainAttempt(attempt *Attempt) {
 	c.timers.Stop(attempt.timer)
-	retention := c.settings.Placer.UnknownOutcomeWait + lateAnswerRetention
+	retention := float64(c.settings.Placer.Retry.UnknownOutcomeWait) + lateAnswerRetention
 	attempt.timer = c.timers.Add(c.now+retention, func() { c.removeAttempt(attempt) })
 }
 
@@ -225,7 +225,7 @@
 		Node:    attempt.Node,
 		Result:  ended.result,
 		Reason:  ended.reason,
-		Elapsed: attempt.Age(c.now),
+		Elapsed: placer.Seconds(attempt.Age(c.now)),
 		Final:   attempt.request.state.closed(),
 		Report:  ended.report,
 	})
@@ -238,6 +238,6 @@
 		TaskID:  attempt.request.taskID,
 		Attempt: attempt.number,
 		Node:    attempt.Node,
-		Elapsed: attempt.Age(c.now),
+		Elapsed: placer.Seconds(attempt.Age(c.now)),
 	})
 }
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -65,13 +65,13 @@
 // placerEvent digests all values of an event in a fixed order.
 func (r *recorder) placerEvent(event *placer.Event) {
 	r.number(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
-	r.float(event.Elapsed)
+	r.float(float64(event.Elapsed))
 	r.flag(event.Final)
 	task := &event.Task
 	r.number(uint64(task.ID), uint64(task.Class), uint64(task.Tenant), uint64(task.Service))
 	r.float(task.Cores)
 	r.float(task.Memory)
-	r.float(task.Deadline)
+	r.float(float64(task.Deadline))
 	r.flag(task.IsRetry)
 	if r.flag(event.Report != nil); event.Report != nil {
 		for _, v := range []float64{event.Report.FreeCores, event.Report.FreeMemory, event.Report.Utilization, event.Report.QueueLength} {
@@ -86,7 +86,7 @@
 		r.number(uint64(node.ID), uint64(node.Zone), uint64(node.Rack), uint64(node.NodeType), uint64(node.State))
 		r.float(node.FreeCores)
 		r.float(node.FreeMemory)
-		r.float(node.StartedAt)
+		r.float(float64(node.StartedAt))
 	}
 	r.number(uint64(event.Usage), event.Token)
 	r.float(event.Value)
@@ -183,7 +183,7 @@
 			r.text(node.UID)
 			r.text(node.Addr)
 			r.number(uint64(node.ID), uint64(node.State), uint64(node.RunningTasks()))
-			r.float(node.StartedAt)
+			r.float(float64(node.StartedAt))
 			r.float(node.TerminatedFor(r.now))
 		}
 	}
@@ -222,9 +222,9 @@
 	token    uint64
 }
 
-func (p *arbitraryPlacer) Handle(now float64, event placer.Event, actions []placer.Action) []placer.Action {
+func (p *arbitraryPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
 	r := p.recorder
-	r.float(now)
+	r.float(float64(now))
 	r.placerEvent(&event)
 	switch {
 	case event.Kind == placer.Arrived:
@@ -239,7 +239,7 @@
 		return append(actions, p.decide(now, event.TaskID))
 	case event.Kind == placer.Bound:
 		p.token++
-		return append(actions, placer.Action{Kind: placer.SetTimer, Token: p.token, After: pick(r, -1, 0, 0.2, 1.5)})
+		return append(actions, placer.Action{Kind: placer.SetTimer, Token: p.token, After: pick[placer.Seconds](r, -1, 0, 0.2, 1.5)})
 	case event.Kind == placer.UsageReported:
 		return append(actions, placer.Action{Kind: placer.Migrate, Task: event.TaskID})
 	case event.Kind == placer.TimerFired && r.random.IntN(2) == 0:
@@ -252,11 +252,11 @@
 	return actions
 }
 
-func (p *arbitraryPlacer) decide(now float64, task placer.TaskID) placer.Action {
+func (p *arbitraryPlacer) decide(now placer.Seconds, task placer.TaskID) placer.Action {
 	r := p.recorder
 	switch r.random.IntN(16) {
 	case 0:
-		return placer.Action{Kind: placer.Reject, Task: task, After: pick(r, 0, 0.0001, 0.7501, 99)}
+		return placer.Action{Kind: placer.Reject, Task: task, After: pick[placer.Seconds](r, 0, 0.0001, 0.7501, 99)}
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -145,14 +145,14 @@
 func (c *Core) post(event placer.Event) { c.events.Post(event) }
 
 // runEvents passes all queued events to the placer and executes its actions.
-func (c *Core) runEvents() { c.events.Run(c.now) }
+func (c *Core) runEvents() { c.events.Run(placer.Seconds(c.now)) }
 
 // execute executes an action of the placer. An action on an unknown task has no effect.
 func (c *Core) execute(action *placer.Action) {
 	switch action.Kind {
 	case placer.SetTimer:
 		token := action.Token
-		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
+		c.timers.Add(c.now+float64(eventqueue.Delay(action.After)), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
 		c.requestNodeList()
 	default:
@@ -168,7 +168,7 @@
 		c.startAttempt(req, action)
 	case placer.Reject:
 		c.Counts.Rejected++
-		c.answerRequest(req, c.rejection(req, action.After))
+		c.answerRequest(req, c.rejection(req, float64(action.After)))
 	case placer.Fail:
 		c.Counts.Failed++
 		c.answerRequest(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
@@ -180,8 +180,8 @@
 // rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
 func (c *Core) rejection(req *request, retryAfter float64) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
-	if retryAfter > 0 && c.settings.Placer.SendsRetryAfter {
-		milliseconds := math.Ceil(min(retryAfter, c.settings.Placer.MaxRetryAfter) * 1000)
+	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
+		milliseconds := math.Ceil(min(retryAfter, float64(c.settings.Placer.Retry.MaxRetryAfter)) * 1000)
 		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
 	}
 	return answer
--- a/internal/platform/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -11,7 +11,7 @@
 // TestDelaysBelowClockResolution: a delay too short for the clock's resolution must not wake the placer at the same time forever.
 func TestDelaysBelowClockResolution(t *testing.T) {
 	const now = 1.8e9 // Unix seconds: the resolution is 2.4e-7
-	for _, after := range []float64{0, 1e-9} {
+	for _, after := range []placer.Seconds{0, 1e-9} {
 		wakeups := 0
 		core := &Core{settings: &simconfig.Settings{}, now: now}
 		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(placer.Event) []placer.Action {
@@ -28,6 +28,6 @@
 
 type placerFunc func(placer.Event) []placer.Action
 
-func (f placerFunc) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
+func (f placerFunc) Handle(_ placer.Seconds, ev placer.Event, actions []placer.Action) []placer.Action {
 	return append(actions, f(ev)...)
 }
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -267,7 +267,7 @@
 	events []placer.Event
 }
 
-func (p *scriptedPlacer) Handle(_ float64, ev placer.Event, actions []placer.Action) []placer.Action {
+func (p *scriptedPlacer) Handle(_ placer.Seconds, ev placer.Event, actions []placer.Action) []placer.Action {
 	p.events = append(p.events, ev)
 	switch {
 	case ev.Kind == placer.Arrived:
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -81,7 +81,7 @@
 
 // handleRunning handles a node's acceptance of an attempt.
 func (c *Core) handleRunning(attempt *Attempt, msg *protocol.Message) {
-	latest := attempt.request.deadline + c.settings.Placer.AnswerGrace
+	latest := attempt.request.deadline + float64(c.settings.Placer.Attempts.AnswerGrace)
 	if attempt.state == attemptSent && c.now > latest {
 		c.abandonAttempt(attempt, placer.TimedOut, false) // its timer is late, and the client no longer waits
 	}
--- a/internal/platform/dispatch/registry.go
+++ b/internal/platform/dispatch/registry.go
@@ -221,7 +221,7 @@
 		State:      node.State,
 		FreeCores:  entry.Free[0],
 		FreeMemory: entry.Free[1],
-		StartedAt:  node.StartedAt,
+		StartedAt:  placer.Seconds(node.StartedAt),
 	}
 	return node
 }
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -94,7 +94,7 @@
 		message:  *msg,
 		conn:     conn,
 		class:    task.Class,
-		deadline: task.Deadline,
+		deadline: float64(task.Deadline),
 		state:    state,
 	}
 	c.requests[req.taskID] = req
@@ -300,15 +300,15 @@
 
 // parseDeadline returns the clock time until which the client waits. It may be at most twice the class's deadline away. For an adoption there
 // is no upper limit: no answer is due, and clients give any time there, such as the remaining time of a task without an end.
-func (c *Core) parseDeadline(msg *protocol.Message, parsed *parsedRequest) (float64, error) {
+func (c *Core) parseDeadline(msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
-	limitMS := 2000 * c.settings.Placer.Classes[parsed.task.Class].Deadline
+	limitMS := 2000 * float64(c.settings.Placer.Classes[parsed.task.Class].Deadline)
 	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
 	if !valid {
 		return 0, invalidMessage(InvalidTimeLeft, "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", msg.UID, text, limitMS)
 	}
-	return c.now + leftMS/1000, nil
+	return placer.Seconds(c.now + leftMS/1000), nil
 }
 
 // inRange reports whether a value is a number from 0 to limit. NaN is not.
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -182,7 +182,7 @@
 	}
 	s.lastNodeConnID++
 	nc := &nodeConn{link: link, id: s.lastNodeConnID, attempts: map[*dispatch.Attempt]struct{}{}}
-	timeout := s.config.Settings.Placer.ConnectTimeout
+	timeout := float64(s.config.Settings.Placer.Attempts.ConnectTimeout)
 	if timeout <= 0 {
 		timeout = defaultConnectTimeout
 	}
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -87,7 +87,7 @@
 func (s *Server) stopTimeout() float64 {
 	longest := 0.0
 	for i := range s.config.Settings.Placer.Classes {
-		longest = max(longest, s.config.Settings.Placer.Classes[i].Deadline)
+		longest = max(longest, float64(s.config.Settings.Placer.Classes[i].Deadline))
 	}
 	return min(longest, maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%+v with %+v", ev, *report)
 }
 
-func (r *recorder) Handle(now float64, ev placer.Event, actions []placer.Action) []placer.Action {
+func (r *recorder) Handle(now placer.Seconds, ev placer.Event, actions []placer.Action) []placer.Action {
 	r.events = append(r.events, describeEvent(ev))
 	n := len(actions)
 	actions = r.placer.Handle(now, ev, actions)
@@ -110,7 +110,7 @@
 			b.sendToAdapter(simproto.Event{Code: simproto.EventTimerFired, Token: token})
 		}
 		for id, a := range b.outstanding { // attempts that time out
-			if a.Until <= b.now && b.attempts[id] != nil && !b.attempts[id].Live() {
+			if float64(a.Until) <= b.now && b.attempts[id] != nil && !b.attempts[id].Live() {
 				b.sendToAdapter(simproto.Event{Code: simproto.EventAttemptEnded, ID: id, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Status: 253,
 					Elapsed: b.attempts[id].Age(b.now)})
 				delete(b.outstanding, id)
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -109,7 +109,7 @@
 			a.writer.ReportPanic(id, fmt.Sprintf("panic: %v", cause))
 		}
 	}()
-	a.actions = target.placer.Handle(now, event, a.actions[:0])
+	a.actions = target.placer.Handle(placer.Seconds(now), event, a.actions[:0])
 	for i := range a.actions {
 		a.writeAction(id, &a.actions[i])
 	}
@@ -119,13 +119,13 @@
 	task := uint64(action.Task)
 	switch action.Kind {
 	case placer.StartAttempt:
-		a.writer.StartAttempt(id, task, action.Until, simproto.NodeAddress(action.Node))
+		a.writer.StartAttempt(id, task, float64(action.Until), simproto.NodeAddress(action.Node))
 	case placer.Reject:
-		a.writer.Reject(id, task, action.After)
+		a.writer.Reject(id, task, float64(action.After))
 	case placer.Fail:
 		a.writer.Fail(id, task)
 	case placer.SetTimer:
-		a.writer.SetTimer(id, action.Token, action.After)
+		a.writer.SetTimer(id, action.Token, float64(action.After))
 	case placer.WatchNodes:
 		a.writer.WatchNodes(id)
 	case placer.Migrate:
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -136,7 +136,7 @@
 	}
 	c, fields := s.Placer, s.ReportFields
 	class := c.Classes[1]
-	if c.Self != 1 || c.Peers != 2 || c.MaxAttempts != 3 || !c.AcknowledgesOnStart || !c.ReportsUsage || len(fields) != 2 ||
+	if c.Peers.Self != 1 || c.Peers.Total != 2 || c.Attempts.Max != 3 || !c.NodeBehavior.AcknowledgesOnStart || !c.NodeBehavior.ReportsUsage || len(fields) != 2 ||
 		class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
 		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 ||
 		c.Classes[0].SpreadDomain != placer.NoDomain || c.NodeTypes[1].Memory != 32 {
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -22,11 +22,11 @@
 	case simproto.EventTaskAdopted:
 		event.Kind, event.Task = placer.Adopted, translateTask(ev)
 	case simproto.EventAttemptBound:
-		event.Kind, event.Elapsed = placer.Bound, ev.Elapsed
+		event.Kind, event.Elapsed = placer.Bound, placer.Seconds(ev.Elapsed)
 	case simproto.EventUsageReported:
 		event.Kind, event.Usage, event.Value = placer.UsageReported, placer.UsageKind(ev.UsageKind), float64(ev.Value)
 	case simproto.EventAttemptEnded:
-		event.Kind, event.Elapsed, event.Final = placer.Ended, ev.Elapsed, ev.Final != 0
+		event.Kind, event.Elapsed, event.Final = placer.Ended, placer.Seconds(ev.Elapsed), ev.Final != 0
 		event.Reason = placer.Reason(ev.Reason)
 		event.Result, err = translateStatus(ev.Status)
 		event.Report = in.parseReport(ev.Load)
@@ -70,7 +70,7 @@
 		State:      placer.Terminated,
 		FreeCores:  float64(entry.FreeCores),
 		FreeMemory: float64(entry.FreeMemory),
-		StartedAt:  entry.StartedAt,
+		StartedAt:  placer.Seconds(entry.StartedAt),
 	}
 	switch entry.State {
 	case simproto.NodeReady:
@@ -89,7 +89,7 @@
 		Service:  placer.ServiceID(ev.Service),
 		Cores:    float64(ev.Cores),
 		Memory:   float64(ev.Memory),
-		Deadline: ev.Deadline,
+		Deadline: placer.Seconds(ev.Deadline),
 		IsRetry:  ev.Flags&simproto.RetryFlags != 0,
 	}
 }
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -62,16 +62,20 @@
 		b.WriteByte('\n')
 	}
 	c := &s.Placer
-	fmt.Fprintf(&b, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", c.Self, c.Peers, c.Zone, c.MaxAttempts, c.AcknowledgesOnStart,
-		c.ListShowsCapacity, c.ReportsUsage, c.StickyServices, c.Preempts, c.AllowsHedging, c.MustPollNodes, c.SendsRetryAfter)
+	fmt.Fprintf(&b, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", c.Peers.Self, c.Peers.Total, c.Zone, c.Attempts.Max,
+		c.NodeBehavior.AcknowledgesOnStart, c.NodeBehavior.ListShowsCapacity, c.NodeBehavior.ReportsUsage, c.Peers.StickyServices,
+		c.NodeBehavior.Preempts, c.Attempts.AllowsHedging, c.Discovery.MustPoll, c.Retry.SendsRetryAfter)
 	b.WriteString("2:")
-	floats(c.OvercommitCores, c.OvercommitMemory, c.ConnectTimeout, c.AnswerGrace, c.DrainGrace, c.WarmupMinPace, c.WarmupDuration, c.OverloadMultiple)
+	floats(c.Overcommit.Cores, c.Overcommit.Memory, float64(c.Attempts.ConnectTimeout), float64(c.Attempts.AnswerGrace),
+		float64(c.Attempts.DrainGrace), c.SlowStart.MinPace, float64(c.SlowStart.Duration), c.SlowStart.OverloadMultiple)
 	b.WriteString("3:")
-	floats(c.OverloadWindow, c.WarmupAttempts, c.MaxPollInterval, c.MaxRetryAfter, c.UnknownOutcomeWait, c.NodeCost, c.CrossZoneCost, c.MigrationCost,
+	floats(float64(c.SlowStart.OverloadWindow), c.SlowStart.MaxAttempts, float64(c.Discovery.MaxPollInterval),
+		float64(c.Retry.MaxRetryAfter), float64(c.Retry.UnknownOutcomeWait), c.Costs.Node, c.Costs.CrossZone, c.Costs.Migration,
 		c.OverQuotaWeight)
 	for _, k := range c.Classes {
 		fmt.Fprintf(&b, "4: %d %d %d %d %d %d", uint8(k.Idempotency), uint8(k.DedupDomain), k.Priority, k.NodeType, uint8(k.SpreadDomain), k.MaxPerDomain)
-		floats(k.DedupWindow, k.LatencyObjective, k.Deadline, k.Weight, k.LateWeight, k.StartBonus, k.SaturationThreshold, k.DegradationRange)
+		floats(float64(k.DedupWindow), float64(k.LatencyObjective), float64(k.Deadline), k.Weight, k.LateWeight, float64(k.StartBonus),
+			k.SaturationThreshold, k.DegradationRange)
 	}
 	for _, k := range c.NodeTypes {
 		b.WriteString("5:")
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -10,11 +10,13 @@
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
 			p, err := New(Config{
-				Peers:           1,
-				Classes:         []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
-				NodeTypes:       []NodeType{{Cores: 32, Memory: 64}},
-				OvercommitCores: 2, OvercommitMemory: 2, ListShowsCapacity: true,
-				MaxAttempts: 3, AnswerGrace: 0.01, MaxPollInterval: 10,
+				Peers:        Peers{Total: 1},
+				Classes:      []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+				NodeTypes:    []NodeType{{Cores: 32, Memory: 64}},
+				NodeBehavior: NodeBehavior{ListShowsCapacity: true},
+				Overcommit:   Overcommit{Cores: 2, Memory: 2},
+				Attempts:     Attempts{Max: 3, AnswerGrace: 0.01},
+				Discovery:    Discovery{MaxPollInterval: 10},
 			}, 1)
 			if err != nil {
 				b.Fatal(err)
@@ -26,7 +28,7 @@
 			acts := p.Handle(1, Event{Kind: NodesListed, List: FullList, Nodes: list}, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
-			now := 10.0
+			now := Seconds(10)
 			for i := range b.N {
 				now += 0.01
 				id := TaskID(i + 1)
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -8,7 +8,7 @@
 	learningRate = 0.1
 	// initialDeviationDivisor divides the first sample into the first deviation.
 	initialDeviationDivisor = 2
-	// reportMaxAge is the time, in seconds, after which a node's report of free capacity is ignored.
+	// reportMaxAge is the time after which a node's report of free capacity is ignored.
 	reportMaxAge = 2.0 * contenderWindow
 	// minRequestedShare is the part of a node that must be requested before its usage is learned from.
 	minRequestedShare = 0.2
@@ -21,9 +21,9 @@
 func (p *Placer) freeCapacity(node *trackedNode) (cores, memory float64, known bool) {
 	node.dropChangesBefore(p.now - contenderWindow)
 	switch {
-	case p.cfg.ListShowsCapacity && node.listed:
+	case p.cfg.NodeBehavior.ListShowsCapacity && node.listed:
 		cores, memory = node.FreeCores, node.FreeMemory
-	case node.hasReport && !p.cfg.ReportsUsage && p.now-node.reportedAt < reportMaxAge:
+	case node.hasReport && !p.cfg.NodeBehavior.ReportsUsage && p.now-node.reportedAt < reportMaxAge:
 		cores, memory = node.report.FreeCores, node.report.FreeMemory
 	default:
 		return node.cores / 2, node.memory / 2, false
@@ -53,10 +53,10 @@
 	}
 	if !math.IsNaN(node.report.Utilization) {
 		cores = node.report.Utilization*node.cores + recentCores
-	} else if p.cfg.ReportsUsage && !math.IsNaN(node.report.FreeCores) {
+	} else if p.cfg.NodeBehavior.ReportsUsage && !math.IsNaN(node.report.FreeCores) {
 		cores = node.cores - node.report.FreeCores + recentCores
 	}
-	if p.cfg.ReportsUsage && !math.IsNaN(node.report.FreeMemory) {
+	if p.cfg.NodeBehavior.ReportsUsage && !math.IsNaN(node.report.FreeMemory) {
 		// Recently started tasks still grow.
 		memory = max(memory, node.memory-node.report.FreeMemory+recentMemory)
 	}
@@ -74,7 +74,7 @@
 	switch ev.Usage {
 	case Started:
 		if measured.coldStart {
-			p.coldStartTimes[request.Class].add(p.now-measured.sentAt, learningRate)
+			p.coldStartTimes[request.Class].add(float64(p.now-measured.sentAt), learningRate)
 		}
 	case CoresUsed:
 		addUsageEstimate(&p.coresUsage, ev.Value, request.Cores)
@@ -99,10 +99,10 @@
 	report := &node.report
 	if !math.IsNaN(report.Utilization) {
 		p.coresUsage.add(report.Utilization*node.cores/(node.cores-freeCores), usageLearningRate)
-	} else if p.cfg.ReportsUsage && !math.IsNaN(report.FreeCores) {
+	} else if p.cfg.NodeBehavior.ReportsUsage && !math.IsNaN(report.FreeCores) {
 		p.coresUsage.add((node.cores-report.FreeCores)/(node.cores-freeCores), usageLearningRate)
 	}
-	if p.cfg.ReportsUsage && !math.IsNaN(report.FreeMemory) {
+	if p.cfg.NodeBehavior.ReportsUsage && !math.IsNaN(report.FreeMemory) {
 		p.memoryUsage.add((node.memory-report.FreeMemory)/(node.memory-freeMemory), usageLearningRate)
 	}
 }
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -59,31 +59,31 @@
 	return "(no line)"
 }
 
-// script is a scheduler configuration with nodes and a load. Times are in seconds.
+// script is a scheduler configuration with nodes and a load.
 type script struct {
 	name   string
 	seed   uint64
 	events int
 	config placer.Config
 
-	nodes          int     // at the start
-	zones, racks   int     // over which they are spread
-	services       int     // that tasks belong to
-	arrivalsPerSec float64 // mean rate of new tasks
-	lifetime       float64 // mean seconds for which a bound task runs
-	task           float64 // cores of a typical task
-	taskMemory     float64 // memory of a typical task
-	churnEvery     float64 // mean seconds between changes of the nodes, 0 for none
-	listEvery      float64 // seconds between pushed lists
-	listFails      float64 // part of the list answers that are failures
-	failing        float64 // part of the attempts that end before they are bound
-	brokenNodes    int     // nodes that never start a task
-	lateOutcomes   float64 // part of the attempts whose outcome comes after the deadline
-	lowLoadAfter   int     // events after which few tasks arrive, 0 for never
-	withdrawn      float64 // part of the tasks that their clients withdraw early
-	returnsAfter   float64 // seconds after which a removed node is listed again, 0 for never
-	minUsageRatio  float64 // part of the requested capacity that is used at least
-	firstSince     float64 // time of the nodes' last start, 0 for long ago
+	nodes          int            // at the start
+	zones, racks   int            // over which they are spread
+	services       int            // that tasks belong to
+	arrivalsPerSec float64        // mean rate of new tasks
+	lifetime       placer.Seconds // mean time for which a bound task runs
+	task           float64        // cores of a typical task
+	taskMemory     float64        // memory of a typical task
+	churnEvery     placer.Seconds // mean time between changes of the nodes, 0 for none
+	listEvery      placer.Seconds // time between pushed lists
+	listFails      float64        // part of the list answers that are failures
+	failing        float64        // part of the attempts that end before they are bound
+	brokenNodes    int            // nodes that never start a task
+	lateOutcomes   float64        // part of the attempts whose outcome comes after the deadline
+	lowLoadAfter   int            // events after which few tasks arrive, 0 for never
+	withdrawn      float64        // part of the tasks that their clients withdraw early
+	returnsAfter   placer.Seconds // time after which a removed node is listed again, 0 for never
+	minUsageRatio  float64        // part of the requested capacity that is used at least
+	firstSince     placer.Seconds // time of the nodes' last start, 0 for long ago
 }
 
 func classes(apart ...placer.TopologyDomain) []placer.Class {
@@ -111,34 +111,39 @@
 
 func baseConfig() placer.Config {
 	return placer.Config{
-		Peers: 1, Classes: classes(placer.NoDomain, placer.NodeDomain, placer.RackDomain, placer.ZoneDomain, placer.ClusterDomain),
+		Peers:           placer.Peers{Total: 1},
+		Classes:         classes(placer.NoDomain, placer.NodeDomain, placer.RackDomain, placer.ZoneDomain, placer.ClusterDomain),
 		NodeTypes:       []placer.NodeType{{Cores: 8, Memory: 16}, {Cores: 16, Memory: 32}, {Cores: 4, Memory: 64}},
 		Tenants:         []placer.Tenant{{Share: 0.6, Cores: 100}, {Share: 0.4, Cores: 60}},
-		OvercommitCores: 1.5, OvercommitMemory: 1.2, MaxAttempts: 4, ConnectTimeout: 0.2, AnswerGrace: 0.1, DrainGrace: 2, WarmupMinPace: 0.3,
-		WarmupDuration: 6, OverloadMultiple: 2, OverloadWindow: 1, WarmupAttempts: 4, MaxPollInterval: 9, MaxRetryAfter: 5, UnknownOutcomeWait: 2, OverQuotaWeight: 0.2,
+		OverQuotaWeight: 0.2,
+		Overcommit:      placer.Overcommit{Cores: 1.5, Memory: 1.2},
+		SlowStart:       placer.SlowStart{MinPace: 0.3, Duration: 6, OverloadMultiple: 2, OverloadWindow: 1, MaxAttempts: 4},
+		Attempts:        placer.Attempts{Max: 4, ConnectTimeout: 0.2, AnswerGrace: 0.1, DrainGrace: 2},
+		Retry:           placer.Retry{MaxRetryAfter: 5, UnknownOutcomeWait: 2},
+		Discovery:       placer.Discovery{MaxPollInterval: 9},
 	}
 }
 
 func scripts() []script {
 	stay := baseConfig()
-	stay.StickyServices, stay.AcknowledgesOnStart, stay.Preempts = true, true, true
+	stay.Peers.StickyServices, stay.NodeBehavior.AcknowledgesOnStart, stay.NodeBehavior.Preempts = true, true, true
 
 	fleet := baseConfig()
-	fleet.Self, fleet.Peers, fleet.ListShowsCapacity, fleet.ReportsUsage = 1, 3, true, true
-	fleet.NodeCost, fleet.MigrationCost, fleet.SendsRetryAfter = 0.3, 0.02, true
+	fleet.Peers.Self, fleet.Peers.Total, fleet.NodeBehavior.ListShowsCapacity, fleet.NodeBehavior.ReportsUsage = 1, 3, true, true
+	fleet.Costs.Node, fleet.Costs.Migration, fleet.Retry.SendsRetryAfter = 0.3, 0.02, true
 	fleet.Classes = classes(placer.NoDomain, placer.RackDomain)
 
 	zones := baseConfig()
-	zones.Self, zones.Peers, zones.Zone, zones.CrossZoneCost, zones.MustPollNodes = 2, 8, 1, 0.2, true
-	zones.ListShowsCapacity, zones.WarmupAttempts, zones.AllowsHedging = true, 20, true
+	zones.Peers.Self, zones.Peers.Total, zones.Zone, zones.Costs.CrossZone, zones.Discovery.MustPoll = 2, 8, 1, 0.2, true
+	zones.NodeBehavior.ListShowsCapacity, zones.SlowStart.MaxAttempts, zones.Attempts.AllowsHedging = true, 20, true
 	zones.Classes = classes(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
 
 	tight := baseConfig()
-	tight.Self, tight.Peers, tight.ReportsUsage, tight.MaxAttempts = 0, 2, true, 6
-	tight.MustPollNodes, tight.MaxPollInterval, tight.OvercommitCores, tight.OvercommitMemory = true, 3, 1, 1
+	tight.Peers.Self, tight.Peers.Total, tight.NodeBehavior.ReportsUsage, tight.Attempts.Max = 0, 2, true, 6
+	tight.Discovery.MustPoll, tight.Discovery.MaxPollInterval, tight.Overcommit.Cores, tight.Overcommit.Memory = true, 3, 1, 1
 
 	crowd := baseConfig()
-	crowd.Peers, crowd.ListShowsCapacity, crowd.OvercommitCores, crowd.OvercommitMemory = 2, true, 20, 20
+	crowd.Peers.Total, crowd.NodeBehavior.ListShowsCapacity, crowd.Overcommit.Cores, crowd.Overcommit.Memory = 2, true, 20, 20
 	crowd.Classes = classes(placer.NoDomain)
 	for i := range crowd.Classes {
 		crowd.Classes[i].Deadline += 8
@@ -146,13 +151,13 @@
 	}
 
 	memory := baseConfig()
-	memory.ListShowsCapacity, memory.ReportsUsage, memory.OvercommitCores, memory.OvercommitMemory = true, true, 2, 2
+	memory.NodeBehavior.ListShowsCapacity, memory.NodeBehavior.ReportsUsage, memory.Overcommit.Cores, memory.Overcommit.Memory = true, true, 2, 2
 
 	dear := fleet // migrations cost more than the nodes that they free
-	dear.NodeCost, dear.MigrationCost, dear.WarmupAttempts = 0.1, 0.2, 30
+	dear.Costs.Node, dear.Costs.Migration, dear.SlowStart.MaxAttempts = 0.1, 0.2, 30
 
 	deaf := zones // lists hardly ever arrive
-	deaf.MaxPollInterval, deaf.Peers = 400, 3
+	deaf.Discovery.MaxPollInterval, deaf.Peers.Total = 400, 3
 
 	return []script{
 		{name: "stay", seed: 1, events: 12000, config: stay, nodes: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
@@ -208,26 +213,26 @@
 		func(*placer.Config) {},
 		func(c *placer.Config) { c.Classes = nil },
 		func(c *placer.Config) { c.NodeTypes = nil },
-		func(c *placer.Config) { c.Peers = 0 },
-		func(c *placer.Config) { c.Self = -1 },
-		func(c *placer.Config) { c.Self = 1 },
-		func(c *placer.Config) { c.MaxAttempts = 0 },
-		func(c *placer.Config) { c.WarmupDuration = -1 },
-		func(c *placer.Config) { c.OverloadWindow = nan },
-		func(c *placer.Config) { c.WarmupAttempts = -0.5 },
-		func(c *placer.Config) { c.AnswerGrace = -1 },
-		func(c *placer.Config) { c.DrainGrace = -1 },
-		func(c *placer.Config) { c.MaxPollInterval = nan },
-		func(c *placer.Config) { c.NodeCost = -1 },
-		func(c *placer.Config) { c.CrossZoneCost = -1 },
-		func(c *placer.Config) { c.MigrationCost = -1 },
-		func(c *placer.Config) { c.MigrationCost = inf },
+		func(c *placer.Config) { c.Peers.Total = 0 },
+		func(c *placer.Config) { c.Peers.Self = -1 },
+		func(c *placer.Config) { c.Peers.Self = 1 },
+		func(c *placer.Config) { c.Attempts.Max = 0 },
+		func(c *placer.Config) { c.SlowStart.Duration = -1 },
+		func(c *placer.Config) { c.SlowStart.OverloadWindow = placer.Seconds(nan) },
+		func(c *placer.Config) { c.SlowStart.MaxAttempts = -0.5 },
+		func(c *placer.Config) { c.Attempts.AnswerGrace = -1 },
+		func(c *placer.Config) { c.Attempts.DrainGrace = -1 },
+		func(c *placer.Config) { c.Discovery.MaxPollInterval = placer.Seconds(nan) },
+		func(c *placer.Config) { c.Costs.Node = -1 },
+		func(c *placer.Config) { c.Costs.CrossZone = -1 },
+		func(c *placer.Config) { c.Costs.Migration = -1 },
+		func(c *placer.Config) { c.Costs.Migration = inf },
 		func(c *placer.Config) { c.Classes[1].LatencyObjective = 0 },
-		func(c *placer.Config) { c.Classes[1].Deadline = nan },
+		func(c *placer.Config) { c.Classes[1].Deadline = placer.Seconds(nan) },
 		func(c *placer.Config) { c.NodeTypes[0].Cores = 0 },
 		func(c *placer.Config) { c.NodeTypes[1].Memory = -1 },
 		func(c *placer.Config) { c.Tenants = nil },
-		func(c *placer.Config) { c.OvercommitCores = -1 },
+		func(c *placer.Config) { c.Overcommit.Cores = -1 },
 	}
 	const want = "10000000000000001000011"
 	var got strings.Builder
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -14,11 +14,11 @@
 	consolidationHysteresis = 0.95
 	// minOpenNodes is the number of nodes that are never on standby.
 	minOpenNodes = 2
-	// standbyUpdateInterval is the least time, in seconds, between two choices of the standby nodes.
+	// standbyUpdateInterval is the least time between two choices of the standby nodes.
 	standbyUpdateInterval = contenderWindow / 20
-	// consolidationInterval is the mean time, in seconds, between two migrations by one scheduler.
+	// consolidationInterval is the mean time between two migrations by one scheduler.
 	consolidationInterval = 0.1 * contenderWindow
-	// minStandbyTime is the time, in seconds, after which the last tasks of a standby node are migrated.
+	// minStandbyTime is the time after which the last tasks of a standby node are migrated.
 	minStandbyTime = contenderWindow
 	// nearlyEmptyShare is the part of a standby node that may be requested when its last tasks are migrated.
 	nearlyEmptyShare = 0.3
@@ -28,7 +28,7 @@
 // the same list and so choose the same nodes: large nodes stay open first, as each node costs the same, then
 // those with low IDs. What is requested, at the learned usage, must fit on the open nodes with a margin.
 func (p *Placer) updateStandby() {
-	if !(p.cfg.NodeCost > 0) || !p.cfg.ListShowsCapacity {
+	if !(p.cfg.Costs.Node > 0) || !p.cfg.NodeBehavior.ListShowsCapacity {
 		return
 	}
 	if p.standbyKnown && p.now-p.standbyUpdatedAt < standbyUpdateInterval {
@@ -97,15 +97,15 @@
 func (p *Placer) demandFits(demand capacityDemand, openCores, openMemory, fill float64) bool {
 	return demand.usedCores <= openCores*demand.saturationThreshold*fill &&
 		demand.usedMemory <= openMemory*memoryLimit*fill &&
-		demand.requestedCores <= openCores*p.cfg.OvercommitCores*fill &&
-		demand.requestedMemory <= openMemory*p.cfg.OvercommitMemory*fill
+		demand.requestedCores <= openCores*p.cfg.Overcommit.Cores*fill &&
+		demand.requestedMemory <= openMemory*p.cfg.Overcommit.Memory*fill
 }
 
 // drainStandby migrates one own task off a node that has been on standby for long: its last tasks would keep
 // the node in use until the longest of them ends.
 func (p *Placer) drainStandby() {
 	p.updateStandby()
-	if p.cfg.NodeCost <= p.cfg.MigrationCost {
+	if p.cfg.Costs.Node <= p.cfg.Costs.Migration {
 		return
 	}
 	for _, node := range p.standbyOrder {
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -5,20 +5,20 @@
 // The last tasks of an unneeded node keep it in use until the longest ends.
 func TestStandbyNodesGetNoAttemptsAndAreDrained(t *testing.T) {
 	c := testConfig()
-	c.NodeCost, c.MigrationCost = 0.2, 0.05
+	c.Costs.Node, c.Costs.Migration = 0.2, 0.05
 	nodes := testNodes(6)
 	p := newTestPlacer(t, c, 1, nodes)
 	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 	for i := range 20 {
-		if o := startedAttempt(t, arrive(p, 100.1+float64(i)/100, newTask(i+1, 0))); p.nodesByID[o.Node].standby {
+		if o := startedAttempt(t, arrive(p, 100.1+Seconds(i)/100, newTask(i+1, 0))); p.nodesByID[o.Node].standby {
 			t.Fatalf("attempt on standby node %d", o.Node)
 		} else {
-			bindAttempt(p, 100.1+float64(i)/100, o)
+			bindAttempt(p, 100.1+Seconds(i)/100, o)
 		}
 	}
 	moved := false
 	for i := range 40 {
-		p.now = 101 + float64(i)/10
+		p.now = 101 + Seconds(i)/10
 		p.actions = nil
 		p.drainStandby()
 		for _, a := range actionsOfKind(p.actions, Migrate) {
@@ -36,13 +36,13 @@
 // Where Bound is sent at the start some task is always starting; that must not keep the last tasks on a standby node.
 func TestStandbyIsDrainedWhileTasksStart(t *testing.T) {
 	c := testConfig()
-	c.NodeCost, c.MigrationCost = 0.2, 0.05
+	c.Costs.Node, c.Costs.Migration = 0.2, 0.05
 	p := newTestPlacer(t, c, 1, testNodes(6))
 	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 	k := newTask(1, 0)
 	k.Deadline = 110
 	startedAttempt(t, arrive(p, 100.1, k))
-	for _, at := range []float64{101, 103.5, 104} {
+	for _, at := range []Seconds{101, 103.5, 104} {
 		p.now, p.actions = at, nil
 		p.drainStandby()
 	}
@@ -54,7 +54,7 @@
 // Warming nodes take few tasks: counting on them would put warm nodes on standby.
 func TestWarmingNodesDoNotPutWarmNodesOnStandby(t *testing.T) {
 	c := testConfig()
-	c.NodeCost = 0.2
+	c.Costs.Node = 0.2
 	nodes := testNodes(12)
 	for i := range nodes {
 		nodes[i].FreeCores *= 0.5
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -7,8 +7,8 @@
 
 // Constants of the node list.
 const (
-	// nodeRetention is the time, in seconds, for which a terminated node without own tasks is remembered.
-	nodeRetention = 60.0
+	// nodeRetention is the time for which a terminated node without own tasks is remembered.
+	nodeRetention Seconds = 60
 	// maxPollBackoffDoublings bounds the backoff after failed polls, which is doubled for each failure.
 	maxPollBackoffDoublings = 6
 	// pollIntervalDivisor divides MaxPollInterval into the time after which an unanswered poll is repeated,
@@ -76,7 +76,7 @@
 func (p *Placer) watchNodes() {
 	p.lastPollAt = p.now
 	p.actions = append(p.actions, Action{Kind: WatchNodes})
-	p.startTimer(nil, timerPollNodes, p.withJitter(p.cfg.MaxPollInterval/pollIntervalDivisor))
+	p.startTimer(nil, timerPollNodes, p.withJitter(p.cfg.Discovery.MaxPollInterval/pollIntervalDivisor))
 }
 
 // retryPoll schedules the next poll after a failed one, with exponential backoff.
@@ -84,13 +84,14 @@
 	p.watching = false
 	p.pollFailures++
 	doublings := float64(min(p.pollFailures, maxPollBackoffDoublings))
-	backoff := min(p.cfg.MaxPollInterval/pollIntervalDivisor, p.shortestObjective*math.Exp2(doublings))
+	longest := p.cfg.Discovery.MaxPollInterval / pollIntervalDivisor
+	backoff := min(longest, p.shortestObjective*Seconds(math.Exp2(doublings)))
 	p.startTimer(nil, timerPollNodes, p.withJitter(backoff))
 }
 
 // checkWatch polls again after a failure, or when the watch has been quiet for long.
 func (p *Placer) checkWatch() {
-	interval := p.cfg.MaxPollInterval / watchCheckDivisor
+	interval := p.cfg.Discovery.MaxPollInterval / watchCheckDivisor
 	failed := !p.watching && p.now-p.lastPollAt > p.shortestObjective
 	quiet := p.now-max(p.lastListAt, p.lastPollAt) > interval
 	if failed || quiet {
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -5,7 +5,7 @@
 func TestReplacedNodesAreEvicted(t *testing.T) {
 	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 2000 {
-		now := 100 + float64(i)
+		now := 100 + Seconds(i)
 		was, next := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
 		next.ID = NodeID(i + 5)
 		p.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{was, next}}, nil)
@@ -16,14 +16,14 @@
 			}
 		}
 	}
-	if n := len(p.nodes); n > 4+nodeRetention+2 || len(p.nodesByID) != n {
+	if n := len(p.nodes); Seconds(n) > 4+nodeRetention+2 || len(p.nodesByID) != n {
 		t.Fatalf("%d nodes and %d IDs are known after 2000 replacements", n, len(p.nodesByID))
 	}
 }
 
 func TestNodeListIsPolledAgainAfterFailure(t *testing.T) {
 	c := testConfig()
-	c.MustPollNodes = true
+	c.Discovery.MustPoll = true
 	p, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	if len(actionsOfKind(acts, WatchNodes)) != 1 {
 		t.Fatal("the node list was not requested")
 	}
-	now := 100.0
+	now := Seconds(100)
 	for range 5 { // each failure leads to another poll within the poll interval
 		acts = p.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
 		asked := now
@@ -43,7 +43,7 @@
 			}
 			now += w[0].After
 			acts = p.Handle(now, Event{Kind: TimerFired, Token: w[0].Token}, nil)
-			if now-asked > c.MaxPollInterval {
+			if now-asked > c.Discovery.MaxPollInterval {
 				t.Fatalf("no poll for %.1f s", now-asked)
 			}
 		}
--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -9,7 +9,7 @@
 // A task arrives and is attempted on one of two nodes. The node rejects it, and it is attempted on the other.
 func Example() {
 	p, err := placer.New(placer.Config{
-		Peers: 1,
+		Peers: placer.Peers{Total: 1},
 		Classes: []placer.Class{{
 			LatencyObjective:    1,
 			Deadline:            5,
@@ -17,18 +17,16 @@
 			SaturationThreshold: 1,
 			DegradationRange:    1,
 		}},
-		NodeTypes:         []placer.NodeType{{Cores: 16, Memory: 64}},
-		OvercommitCores:   1,
-		OvercommitMemory:  1,
-		ListShowsCapacity: true,
-		MaxAttempts:       3,
-		AnswerGrace:       0.01,
+		NodeTypes:    []placer.NodeType{{Cores: 16, Memory: 64}},
+		NodeBehavior: placer.NodeBehavior{ListShowsCapacity: true},
+		Overcommit:   placer.Overcommit{Cores: 1, Memory: 1},
+		Attempts:     placer.Attempts{Max: 3, AnswerGrace: 0.01},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	handle := func(now float64, event placer.Event) {
+	handle := func(now placer.Seconds, event placer.Event) {
 		for _, action := range p.Handle(now, event, nil) {
 			if action.Kind == placer.StartAttempt {
 				fmt.Println("attempt task", action.Task, "on node", action.Node)
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -28,7 +28,7 @@
 	if !p.hasAffinity() {
 		p.candidates = preferNodes(p.candidates, belowSaturation)
 	}
-	if !(p.cfg.CrossZoneCost > 0) {
+	if !(p.cfg.Costs.CrossZone > 0) {
 		return p.candidates
 	}
 	return preferNodes(p.candidates, func(node *trackedNode) bool { return node.Zone == p.cfg.Zone })
@@ -56,7 +56,7 @@
 // allowed reports whether the rules permit an attempt on the node now. Every attempt passes this check.
 func (p *Placer) allowed(request *placementRequest, node *trackedNode) bool {
 	// Rules 1 and 2: no attempt after the end, none beside another, and no more than permitted.
-	exhausted := len(request.attempts) >= p.cfg.MaxAttempts
+	exhausted := len(request.attempts) >= p.cfg.Attempts.Max
 	if request.done || request.Deadline <= p.now || exhausted || request.outstandingAttempt() != nil {
 		return false
 	}
@@ -85,8 +85,8 @@
 	if !known {
 		return true
 	}
-	if freeCores+(p.cfg.OvercommitCores-1)*node.cores < request.Cores ||
-		freeMemory+(p.cfg.OvercommitMemory-1)*node.memory < request.Memory {
+	if freeCores+(p.cfg.Overcommit.Cores-1)*node.cores < request.Cores ||
+		freeMemory+(p.cfg.Overcommit.Memory-1)*node.memory < request.Memory {
 		return false
 	}
 	// A node may accept more than it can run well: close to full memory it slows down or evicts tasks, which
@@ -95,7 +95,8 @@
 	class := p.class(request)
 	threshold := class.SaturationThreshold + class.DegradationRange*degradationTolerance
 	node.saturationExcess = (usedCores+request.Cores*p.coresUsage.mean)/node.cores - threshold
-	return !p.cfg.ReportsUsage || usedMemory+request.Memory*p.memoryUsage.mean <= memoryLimit*node.memory
+	memoryFits := usedMemory+request.Memory*p.memoryUsage.mean <= memoryLimit*node.memory
+	return memoryFits || !p.cfg.NodeBehavior.ReportsUsage
 }
 
 // belowSaturation reports whether the cores stay within what the class of the present request tolerates.
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -40,7 +40,7 @@
 // A node evicts tasks when its memory in use, not the memory requested, is full.
 func TestMemoryUsageLimitsCapacity(t *testing.T) {
 	c := testConfig()
-	c.OvercommitCores, c.OvercommitMemory, c.ReportsUsage = 4, 4, true
+	c.Overcommit.Cores, c.Overcommit.Memory, c.NodeBehavior.ReportsUsage = 4, 4, true
 	nodes := testNodes(1)
 	nodes[0].FreeMemory = 2
 	p := newTestPlacer(t, c, 1, nodes)
@@ -62,7 +62,7 @@
 func TestOwnZoneFirstWhereCrossingHasAPrice(t *testing.T) {
 	c := testConfig()
 	for _, price := range []float64{0, 0.1} {
-		c.CrossZoneCost = price
+		c.Costs.CrossZone = price
 		other := 0
 		for s := range 60 {
 			p := newTestPlacer(t, c, uint64(s), testNodes(6))
--- a/placer/node.go
+++ b/placer/node.go
@@ -14,17 +14,17 @@
 	failures         int              // that count for outlier detection
 	unanswered       int              // own attempts without an answer
 	recentChanges    []capacityChange // by time
-	rejectsUntil     float64          // a rejection for capacity counts until then
+	rejectsUntil     Seconds          // a rejection for capacity counts until then
 	saturationExcess float64          // projected utilization beyond what the class of the request at hand tolerates
 
 	report         Report
-	reportedAt     float64
-	lastFailureAt  float64
-	ejectedUntil   float64
+	reportedAt     Seconds
+	lastFailureAt  Seconds
+	ejectedUntil   Seconds
 	affinity       float64 // hash of the node and the service of the request at hand
-	standbySince   float64
-	unusedSince    float64           // time since which it is terminated and not in use, or 0
-	warmupSends    []float64         // times of own attempts while it warms up
+	standbySince   Seconds
+	unusedSince    Seconds           // time since which it is terminated and not in use, or 0
+	warmupSends    []Seconds         // times of own attempts while it warms up
 	ownTasks       map[ServiceID]int // own tasks that run or are attempted
 	boundAttempts  []*attempt        // own tasks that run
 	cachedPrograms []ServiceID       // services whose last own task left, the latest last
@@ -32,7 +32,7 @@
 
 // capacityChange is an own change of what is requested of a node, which the node list may not show yet.
 type capacityChange struct {
-	at            float64
+	at            Seconds
 	cores, memory float64
 	isBind        bool
 }
@@ -73,7 +73,7 @@
 }
 
 // dropChangesBefore drops the changes from before the given time.
-func (n *trackedNode) dropChangesBefore(at float64) {
+func (n *trackedNode) dropChangesBefore(at Seconds) {
 	i := 0
 	for i < len(n.recentChanges) && n.recentChanges[i].at < at {
 		i++
@@ -95,7 +95,7 @@
 }
 
 // dropWarmupSendsBefore drops the attempts on a warming node from before the given time.
-func (n *trackedNode) dropWarmupSendsBefore(at float64) {
+func (n *trackedNode) dropWarmupSendsBefore(at Seconds) {
 	i := 0
 	for i < len(n.warmupSends) && n.warmupSends[i] < at {
 		i++
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -18,9 +18,9 @@
 	node.removePendingChange(accepted)
 	node.addChange(capacityChange{at: p.now, cores: request.Cores, memory: request.Memory, isBind: true})
 	node.addBound(accepted)
-	p.answerTimes[request.Class].add(ev.Elapsed, learningRate)
-	if p.cfg.AcknowledgesOnStart && accepted.coldStart {
-		p.coldStartTimes[request.Class].add(ev.Elapsed, learningRate)
+	p.answerTimes[request.Class].add(float64(ev.Elapsed), learningRate)
+	if p.cfg.NodeBehavior.AcknowledgesOnStart && accepted.coldStart {
+		p.coldStartTimes[request.Class].add(float64(ev.Elapsed), learningRate)
 	}
 	p.recordSuccess(node)
 	p.closeRequest(request)
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -64,7 +64,7 @@
 	}
 	node.failures = min(node.failures+1, maxFailures)
 	node.lastFailureAt = p.now
-	ejection := baseEjection * p.shortestObjective * math.Exp2(float64(node.failures-1))
+	ejection := baseEjection * p.shortestObjective * Seconds(math.Exp2(float64(node.failures-1)))
 	node.ejectedUntil = p.now + p.withJitter(ejection)
 	return true
 }
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -25,7 +25,7 @@
 func TestTaskThatFailsOnTwoNodesEjectsNeither(t *testing.T) {
 	p := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	for i := range 10 {
-		at := 100 + 0.3*float64(i)
+		at := 100 + 0.3*Seconds(i)
 		o := startedAttempt(t, arrive(p, at, newTask(i+1, 0)))
 		errs := Event{Kind: Ended, TaskID: o.Task, Node: o.Node, Attempt: o.Attempt, Result: Errored}
 		again := startedAttempt(t, p.Handle(at+0.01, errs, nil))
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -4,9 +4,9 @@
 const (
 	// jitterFraction is the random part of each delay, so that requests do not retry in synchronized waves.
 	jitterFraction = 0.4
-	// redrawWait is the mean wait, in seconds, before a request that both nodes of a pair rejected redraws.
-	redrawWait = 1.0
-	// inTimeRedrawWait and lateRedrawWait are the mean waits, in seconds, when no node passes the filter:
+	// redrawWait is the mean wait before a request that both nodes of a pair rejected redraws.
+	redrawWait Seconds = 1.0
+	// inTimeRedrawWait and lateRedrawWait are the mean waits when no node passes the filter:
 	// before the latency objective, and after it, when a request leaves free capacity to those in time.
 	inTimeRedrawWait = 0.15 * redrawWait
 	lateRedrawWait   = 0.6 * redrawWait
@@ -22,8 +22,8 @@
 // place takes the next step for a request without an outstanding attempt: an attempt at the alternative node,
 // a new draw, a wait, or the final answer.
 func (p *Placer) place(request *placementRequest) {
-	exhausted := len(request.attempts) >= p.cfg.MaxAttempts
-	if exhausted || !p.mayRetry(request) || request.Deadline-p.now <= p.cfg.AnswerGrace {
+	exhausted := len(request.attempts) >= p.cfg.Attempts.Max
+	if exhausted || !p.mayRetry(request) || request.Deadline-p.now <= p.cfg.Attempts.AnswerGrace {
 		p.answerUnplaced(request)
 		return
 	}
@@ -62,10 +62,10 @@
 		Attempt: len(request.attempts) - 1, Until: min(request.Deadline, p.now+p.attemptTimeout(request))})
 }
 
-// attemptTimeout is the time, in seconds, for which an attempt may stay unanswered.
-func (p *Placer) attemptTimeout(request *placementRequest) float64 {
+// attemptTimeout is the time for which an attempt may stay unanswered.
+func (p *Placer) attemptTimeout(request *placementRequest) Seconds {
 	class, times := p.class(request), &p.answerTimes[request.Class]
-	if p.cfg.AcknowledgesOnStart {
+	if p.cfg.NodeBehavior.AcknowledgesOnStart {
 		return class.Deadline * startTimeoutFraction
 	}
 	minimum := class.LatencyObjective / 2
@@ -75,12 +75,12 @@
 	if times.samples == 0 {
 		return max(minimum, class.Deadline/unknownTimeoutDivisor)
 	}
-	return max(minimum, times.mean+timeoutDeviations*times.deviation)
+	return max(minimum, Seconds(times.mean+timeoutDeviations*times.deviation))
 }
 
-// redrawLater redraws after a jittered delay, in seconds. Too close to the deadline it answers instead.
-func (p *Placer) redrawLater(request *placementRequest, delay float64) {
-	after := min(p.withJitter(delay), request.Deadline-p.cfg.AnswerGrace-p.now)
+// redrawLater redraws after a jittered delay. Too close to the deadline it answers instead.
+func (p *Placer) redrawLater(request *placementRequest, delay Seconds) {
+	after := min(p.withJitter(delay), request.Deadline-p.cfg.Attempts.AnswerGrace-p.now)
 	if after <= 0 {
 		p.answerUnplaced(request)
 		return
@@ -89,6 +89,6 @@
 	p.startTimer(request, timerRedraw, after)
 }
 
-func (p *Placer) withJitter(duration float64) float64 {
-	return duration * (1 - jitterFraction/2 + jitterFraction*p.rng.Float64())
+func (p *Placer) withJitter(duration Seconds) Seconds {
+	return duration * Seconds(1-jitterFraction/2+jitterFraction*p.rng.Float64())
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,7 +1,7 @@
 package placer
 
-// Handle processes one event at the time now, in seconds, and appends the resulting actions to actions.
-func (p *Placer) Handle(now float64, ev Event, actions []Action) []Action {
+// Handle processes one event at the time now, and appends the resulting actions to actions.
+func (p *Placer) Handle(now Seconds, ev Event, actions []Action) []Action {
 	p.actions = actions
 	if !p.started {
 		p.start(now)
@@ -32,10 +32,10 @@
 	return out
 }
 
-func (p *Placer) start(now float64) {
+func (p *Placer) start(now Seconds) {
 	p.started = true
 	p.startedAt = now
-	if p.cfg.MustPollNodes {
+	if p.cfg.Discovery.MustPoll {
 		p.watchNodes()
 	}
 	p.startTimer(nil, timerConsolidate, p.withJitter(consolidationInterval))
@@ -81,6 +81,6 @@
 		p.answerUnplaced(request)
 		return
 	}
-	p.startTimer(request, timerDeadline, task.Deadline+p.cfg.AnswerGrace/2-p.now)
+	p.startTimer(request, timerDeadline, task.Deadline+p.cfg.Attempts.AnswerGrace/2-p.now)
 	p.place(request)
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -8,7 +8,7 @@
 
 func testConfig() Config {
 	return Config{
-		Peers: 2,
+		Peers: Peers{Total: 2, StickyServices: true},
 		Classes: []Class{
 			{LatencyObjective: 1, Deadline: 5, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
 			{
@@ -21,12 +21,13 @@
 			},
 			{LatencyObjective: 1, Deadline: 5, NodeType: 1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
 		},
-		NodeTypes:       []NodeType{{Cores: 16, Memory: 32}, {Cores: 32, Memory: 64}},
-		OvercommitCores: 1, OvercommitMemory: 1,
-		ListShowsCapacity: true, StickyServices: true,
-		MaxAttempts: 4, ConnectTimeout: 0.25, AnswerGrace: 0.01, DrainGrace: 1,
-		WarmupMinPace: 0.2, WarmupDuration: 10, OverloadMultiple: 2, OverloadWindow: 2, WarmupAttempts: 8,
-		MaxPollInterval: 10, UnknownOutcomeWait: 3,
+		NodeTypes:    []NodeType{{Cores: 16, Memory: 32}, {Cores: 32, Memory: 64}},
+		NodeBehavior: NodeBehavior{ListShowsCapacity: true},
+		Overcommit:   Overcommit{Cores: 1, Memory: 1},
+		SlowStart:    SlowStart{MinPace: 0.2, Duration: 10, OverloadMultiple: 2, OverloadWindow: 2, MaxAttempts: 8},
+		Attempts:     Attempts{Max: 4, ConnectTimeout: 0.25, AnswerGrace: 0.01, DrainGrace: 1},
+		Retry:        Retry{UnknownOutcomeWait: 3},
+		Discovery:    Discovery{MaxPollInterval: 10},
 	}
 }
 
@@ -57,7 +58,7 @@
 	return Task{ID: TaskID(id), Class: class, Service: ServiceID(id), Cores: 1, Memory: 1, Deadline: 105}
 }
 
-func arrive(p *Placer, now float64, task Task) []Action {
+func arrive(p *Placer, now Seconds, task Task) []Action {
 	return p.Handle(now, Event{Kind: Arrived, Task: task}, nil)
 }
 
@@ -81,11 +82,11 @@
 	return o[0]
 }
 
-func endAttempt(p *Placer, now float64, o Action, r Result, why Reason) []Action {
+func endAttempt(p *Placer, now Seconds, o Action, r Result, why Reason) []Action {
 	return p.Handle(now, Event{Kind: Ended, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Result: r, Reason: why}, nil)
 }
 
-func bindAttempt(p *Placer, now float64, o Action) {
+func bindAttempt(p *Placer, now Seconds, o Action) {
 	p.Handle(now, Event{Kind: Bound, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: 0.01}, nil)
 }
 
@@ -93,12 +94,12 @@
 	for want, invalidate := range map[string]func(*Config){
 		"classes":           func(c *Config) { c.Classes = nil },
 		"node types":        func(c *Config) { c.NodeTypes = nil },
-		"peers":             func(c *Config) { c.Peers = 0 },
-		"latency objective": func(c *Config) { c.Classes[0].LatencyObjective = math.NaN() },
+		"peers":             func(c *Config) { c.Peers.Total = 0 },
+		"latency objective": func(c *Config) { c.Classes[0].LatencyObjective = Seconds(math.NaN()) },
 		"cores":             func(c *Config) { c.NodeTypes[0].Cores = 0 },
-		"self":              func(c *Config) { c.Self = c.Peers },
-		"node cost":         func(c *Config) { c.NodeCost = -1 },
-		"overload window":   func(c *Config) { c.OverloadWindow = math.NaN() },
+		"self":              func(c *Config) { c.Peers.Self = c.Peers.Total },
+		"node cost":         func(c *Config) { c.Costs.Node = -1 },
+		"overload window":   func(c *Config) { c.SlowStart.OverloadWindow = Seconds(math.NaN()) },
 	} {
 		t.Run(want, func(t *testing.T) {
 			c := testConfig()
@@ -147,7 +148,7 @@
 	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i, invalidate := range []func(*Task){
 		func(k *Task) { k.Cores = math.NaN() }, func(k *Task) { k.Memory = -1 }, func(k *Task) { k.Class = 99 },
-		func(k *Task) { k.Cores = math.Inf(1) }, func(k *Task) { k.Deadline = 99 }, func(k *Task) { k.Deadline = math.NaN() },
+		func(k *Task) { k.Cores = math.Inf(1) }, func(k *Task) { k.Deadline = 99 }, func(k *Task) { k.Deadline = Seconds(math.NaN()) },
 	} {
 		k := newTask(i+1, 0)
 		invalidate(&k)
@@ -161,7 +162,7 @@
 // A slow start is not an unresponsive node.
 func TestAttemptTimeoutWhereAcknowledgedOnStart(t *testing.T) {
 	c := testConfig()
-	c.AcknowledgesOnStart = true
+	c.NodeBehavior.AcknowledgesOnStart = true
 	p := newTestPlacer(t, c, 1, testNodes(4))
 	for range 50 {
 		p.answerTimes[0].add(0.05, learningRate)
--- a/placer/request.go
+++ b/placer/request.go
@@ -8,7 +8,7 @@
 // placementRequest is a request to place a task, and afterwards the task while it runs.
 type placementRequest struct {
 	Task
-	arrivedAt      float64
+	arrivedAt      Seconds
 	attempts       []*attempt
 	alternative    *trackedNode // the second node of the pair that was drawn, until it is used
 	rejections     int          // by nodes of the present pair
@@ -34,7 +34,7 @@
 	node           *trackedNode
 	request        *placementRequest
 	state          attemptState
-	sentAt         float64
+	sentAt         Seconds
 	boundIndex     int  // in the node's boundAttempts while the task runs
 	coldStart      bool // it was sent without regard to cached programs, to a node without the program
 	errored        bool // it ended with an error
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -15,25 +15,25 @@
 	config           Config
 	placer           *Placer
 	rng              *rand.Rand
-	now              float64
+	now              Seconds
 	nodes            map[NodeID]Node
 	ids              []NodeID
 	tasks            map[TaskID]*taskState
 	order            []TaskID
 	timers           []scheduledTimer
-	warmupAttempts   map[NodeID][]float64
+	warmupAttempts   map[NodeID][]Seconds
 	log              []string
 	correlatedFaults bool
 }
 
 type scheduledTimer struct {
-	at    float64
+	at    Seconds
 	token uint64
 }
 
 type sentAttempt struct {
 	node               Node
-	sent, until        float64
+	sent, until        Seconds
 	outstanding, bound bool
 	mayHaveRun         bool
 }
@@ -89,7 +89,7 @@
 	if a.Kind == Reject || a.Kind == Fail {
 		task.answers++
 		task.done = true
-		if s.now > task.Deadline+s.config.AnswerGrace {
+		if s.now > task.Deadline+s.config.Attempts.AnswerGrace {
 			fail("rule 1: %.3f s late", s.now-task.Deadline)
 		}
 		dedupEverywhere := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
@@ -106,17 +106,17 @@
 		}
 	}
 	wrongType := class.NodeType >= 0 && class.NodeType != node.NodeType
-	if node.State != Ready || len(task.attempts) >= s.config.MaxAttempts || wrongType {
+	if node.State != Ready || len(task.attempts) >= s.config.Attempts.Max || wrongType {
 		fail("rule 3, attempts or node type: node %+v", node)
 	}
-	if node.StartedAt > 0 && s.now-node.StartedAt < s.config.WarmupDuration {
+	if node.StartedAt > 0 && s.now-node.StartedAt < s.config.SlowStart.Duration {
 		count := 1
 		for _, at := range s.warmupAttempts[node.ID] {
-			if s.now-at <= s.config.OverloadWindow {
+			if s.now-at <= s.config.SlowStart.OverloadWindow {
 				count++
 			}
 		}
-		if float64(count) > math.Ceil(s.config.WarmupAttempts/float64(s.config.Peers)) {
+		if float64(count) > math.Ceil(s.config.SlowStart.MaxAttempts/float64(s.config.Peers.Total)) {
 			fail("rule 4: %d in a window", count)
 		}
 		s.warmupAttempts[node.ID] = append(s.warmupAttempts[node.ID], s.now)
@@ -194,14 +194,14 @@
 			state.done = true
 			s.handle(Event{Kind: Withdrawn, TaskID: id})
 		}
-		if !state.done && s.now > state.Deadline+s.config.AnswerGrace {
+		if !state.done && s.now > state.Deadline+s.config.Attempts.AnswerGrace {
 			s.t.Fatalf("rule 1: task %d has no answer", id)
 		}
 	}
 	if s.rng.IntN(8) == 0 {
 		id := TaskID(i + 1)
 		k := Task{ID: id, Class: s.rng.IntN(len(s.config.Classes)), Service: ServiceID(s.rng.IntN(9)), Cores: s.rng.Float64() * 3,
-			Memory: s.rng.Float64() * 6, Deadline: s.now + 0.5 + 5*s.rng.Float64()}
+			Memory: s.rng.Float64() * 6, Deadline: s.now + 0.5 + Seconds(5*s.rng.Float64())}
 		k.Service = ServiceID(uint64(k.Class)*100 + uint64(k.Service))
 		s.tasks[id] = &taskState{Task: k}
 		s.order = append(s.order, id)
@@ -222,7 +222,7 @@
 		case 1:
 			n.State = Terminated
 		case 2:
-			n.State, n.StartedAt = Ready, s.now-s.rng.Float64()
+			n.State, n.StartedAt = Ready, s.now-Seconds(s.rng.Float64())
 		case 3:
 			n.State = Ready
 			n.FreeCores = s.rng.Float64() * 32
@@ -277,7 +277,7 @@
 		n := s.nodes[id]
 		switch {
 		case restart && n.NodeType == kind:
-			n.State, n.StartedAt = Ready, s.now-s.rng.Float64()/2
+			n.State, n.StartedAt = Ready, s.now-Seconds(s.rng.Float64()/2)
 		case !restart && i%3 == first && n.State == Ready:
 			n.State = Draining
 		case !restart && i%3 == first && n.State == Draining:
@@ -303,10 +303,10 @@
 
 func playScriptOnNodes(t *testing.T, seed uint64, steps int, c Config, nodeCount int, withFaults bool) []string {
 	t.Helper()
-	c.Self, c.MustPollNodes = int(seed%2), seed%3 == 0
-	c.NodeCost, c.MigrationCost, c.ReportsUsage, c.AcknowledgesOnStart = 0.1*float64(seed%2), 0.05, seed%2 == 0, seed%5 == 0
+	c.Peers.Self, c.Discovery.MustPoll = int(seed%2), seed%3 == 0
+	c.Costs.Node, c.Costs.Migration, c.NodeBehavior.ReportsUsage, c.NodeBehavior.AcknowledgesOnStart = 0.1*float64(seed%2), 0.05, seed%2 == 0, seed%5 == 0
 	s := &randomScript{t: t, config: c, correlatedFaults: withFaults, rng: rand.New(rand.NewPCG(seed, 1)), now: 50,
-		nodes: map[NodeID]Node{}, tasks: map[TaskID]*taskState{}, warmupAttempts: map[NodeID][]float64{}}
+		nodes: map[NodeID]Node{}, tasks: map[TaskID]*taskState{}, warmupAttempts: map[NodeID][]Seconds{}}
 	for _, n := range testNodes(nodeCount) {
 		s.nodes[n.ID] = n
 		s.ids = append(s.ids, n.ID)
@@ -344,7 +344,7 @@
 func TestRulesHoldOnManyNodes(t *testing.T) {
 	for seed := range uint64(6) {
 		c := testConfig()
-		c.Peers, c.WarmupAttempts, c.StickyServices = 200, 60, seed%2 > 0
+		c.Peers.Total, c.SlowStart.MaxAttempts, c.Peers.StickyServices = 200, 60, seed%2 > 0
 		attempts := 0
 		for _, l := range playScriptOnNodes(t, seed, 8000, c, 60, true) {
 			if strings.Contains(l, "{Kind:1 ") {
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -4,9 +4,9 @@
 const (
 	// contenderFactor is c of the design: a node may have c times its part of the pending requests.
 	contenderFactor = 2.0
-	// contenderWindow is the time, in seconds, for which a bind counts as a contender. The node list is taken
+	// contenderWindow is the time for which a bind counts as a contender. The node list is taken
 	// to show a change after this time.
-	contenderWindow = 2.0
+	contenderWindow Seconds = 2
 	// maxDraws is the number of immediate draws when both nodes of a pair have too many contenders.
 	maxDraws = 8
 	// preferredNodeCount is the number of nodes chosen by hash for a service whose tasks arrive at many
@@ -109,13 +109,13 @@
 // latency objective. Nodes without the program are then passed over like nodes beyond the contender limit.
 func (p *Placer) coldStartsSlow(request *placementRequest) bool {
 	times := &p.coldStartTimes[request.Class]
-	return times.samples == 0 || times.mean+times.deviation > p.class(request).LatencyObjective/2
+	return times.samples == 0 || Seconds(times.mean+times.deviation) > p.class(request).LatencyObjective/2
 }
 
 // hasAffinity reports whether it is known where a service runs: its tasks arrive at one scheduler, or at so
 // many that its nodes are chosen by hash. A cached program then takes precedence over unsaturated cores.
 func (p *Placer) hasAffinity() bool {
-	return p.cfg.StickyServices || p.cfg.Peers > 2*preferredNodeCount
+	return p.cfg.Peers.StickyServices || p.cfg.Peers.Total > 2*preferredNodeCount
 }
 
 // preferredNodes moves the nodes that are likely to have the service's program to the front of nodes and
@@ -129,7 +129,7 @@
 			count++
 		}
 	}
-	if p.cfg.StickyServices || !p.hasAffinity() {
+	if p.cfg.Peers.StickyServices || !p.hasAffinity() {
 		return nodes[:count]
 	}
 	for _, node := range nodes {
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -127,7 +127,7 @@
 	wakes := actionsOfKind(arrive(p, 100.1, newTask(1, 0)), SetTimer)
 	w := wakes[len(wakes)-1] // the first is for the deadline
 	early := w.After
-	now, late := 100.1, 0.0
+	now, late := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += w.After
 		again := actionsOfKind(p.Handle(now, Event{Kind: TimerFired, Token: w.Token}, nil), SetTimer)
@@ -145,10 +145,10 @@
 // start is a cold one.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	c := testConfig()
-	c.Peers, c.StickyServices = 300, false
+	c.Peers.Total, c.Peers.StickyServices = 300, false
 	used := map[NodeID]bool{}
 	for self := range 200 {
-		c.Self = self
+		c.Peers.Self = self
 		p := newTestPlacer(t, c, uint64(self), testNodes(90))
 		k := newTask(self+1, 0)
 		k.Service = 7
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -29,12 +29,12 @@
 	nodes    []*simNode // by attempt
 	ended    []bool     // by attempt
 	bound    bool
-	lifetime float64
+	lifetime placer.Seconds
 }
 
 // pendingEvent is something that the simulation does at a later time.
 type pendingEvent struct {
-	at       float64
+	at       placer.Seconds
 	sequence int
 	do       func()
 }
@@ -58,7 +58,7 @@
 	script     script
 	p          *placer.Placer
 	rng        *rand.Rand
-	now        float64
+	now        placer.Seconds
 	queue      eventQueue
 	sequence   int
 	nodes      []*simNode
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	sim := &simulation{script: s, p: p, rng: rand.New(rand.NewPCG(s.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !s.config.MustPollNodes}
+		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !s.config.Discovery.MustPoll}
 	sim.start()
 	for sim.events < s.events {
 		next := heap.Pop(&sim.queue).(pendingEvent)
@@ -108,11 +108,14 @@
 	}
 }
 
-func (s *simulation) after(seconds float64, do func()) {
+func (s *simulation) after(delay placer.Seconds, do func()) {
 	s.sequence++
-	heap.Push(&s.queue, pendingEvent{s.now + seconds, s.sequence, do})
+	heap.Push(&s.queue, pendingEvent{s.now + delay, s.sequence, do})
 }
 
+// randomTime draws a time between 0 and 1 second.
+func (s *simulation) randomTime() placer.Seconds { return placer.Seconds(s.rng.Float64()) }
+
 // chance is true in the given part of all calls.
 func (s *simulation) chance(part float64) bool { return s.rng.Float64() < part }
 
@@ -121,7 +124,7 @@
 	s.handleAt(s.now, ev)
 }
 
-func (s *simulation) handleAt(now float64, ev placer.Event) {
+func (s *simulation) handleAt(now placer.Seconds, ev placer.Event) {
 	prefix := placer.Action{Kind: 99, Token: uint64(s.events)} // the buffer must keep its content
 	s.buffer = s.p.Handle(now, ev, append(s.buffer[:0], prefix))
 	s.digestActions()
@@ -148,8 +151,8 @@
 		word(uint64(a.Task))
 		word(uint64(a.Node))
 		word(uint64(a.Attempt))
-		word(math.Float64bits(a.Until))
-		word(math.Float64bits(a.After))
+		word(math.Float64bits(float64(a.Until)))
+		word(math.Float64bits(float64(a.After)))
 		word(a.Token)
 		if int(a.Kind) < len(s.actions) {
 			s.actions[a.Kind]++
@@ -165,19 +168,19 @@
 	case placer.SetTimer:
 		s.after(a.After, func() { s.handle(placer.Event{Kind: placer.TimerFired, Token: a.Token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		s.after(0.05+0.1*s.rng.Float64(), s.answerPoll)
+		s.after(0.05+0.1*s.randomTime(), s.answerPoll)
 	case placer.Migrate:
 		if task := s.byID[a.Task]; task != nil {
 			s.after(0.3, func() { s.migrate(task) })
 		}
 	case placer.Reject, placer.Fail:
 		if task := s.byID[a.Task]; task != nil && s.chance(0.3) {
-			s.after(0.5+s.rng.Float64(), func() { s.resubmit(task) })
+			s.after(0.5+s.randomTime(), func() { s.resubmit(task) })
 		}
 	}
 }
 
-func (s *simulation) addNode(since float64) {
+func (s *simulation) addNode(since placer.Seconds) {
 	s.nextNode += 7
 	node := &simNode{Node: placer.Node{ID: s.nextNode, Zone: s.rng.IntN(s.script.zones), Rack: s.rng.IntN(s.script.racks),
 		NodeType: s.rng.IntN(len(s.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
@@ -220,7 +223,7 @@
 	}
 	switch {
 	case s.chance(s.script.listFails):
-		s.subscribed = !s.script.config.MustPollNodes
+		s.subscribed = !s.script.config.Discovery.MustPoll
 		s.sendNodes(placer.ListFailed)
 	case s.chance(0.2):
 		s.sendNodes(placer.FullList)
@@ -245,7 +248,7 @@
 
 // churn changes one node: it drains, terminates, restarts or is replaced.
 func (s *simulation) churn() {
-	s.after(s.script.churnEvery*(0.5+s.rng.Float64()), s.churn)
+	s.after(s.script.churnEvery*(0.5+s.randomTime()), s.churn)
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch draw := s.rng.Float64(); {
 	case s.script.returnsAfter > 0:
@@ -264,7 +267,7 @@
 	case draw < 0.55:
 		node.broken = !node.broken
 	default:
-		node.State, node.StartedAt = placer.Ready, s.now-0.5*s.rng.Float64()
+		node.State, node.StartedAt = placer.Ready, s.now-0.5*s.randomTime()
 	}
 }
 
@@ -274,7 +277,7 @@
 		return
 	}
 	node.removed = true
-	s.after(s.script.returnsAfter+2*s.rng.Float64(), func() { node.removed = false })
+	s.after(s.script.returnsAfter+2*s.randomTime(), func() { node.removed = false })
 }
 
 // report returns a node's load report; parts of it are missing at random.
@@ -311,7 +314,7 @@
 	if s.script.lowLoadAfter > 0 && s.events > s.script.lowLoadAfter {
 		rate /= 8
 	}
-	s.after(-math.Log(1-s.rng.Float64())/rate, s.arrivals)
+	s.after(placer.Seconds(-math.Log(1-s.rng.Float64())/rate), s.arrivals)
 	task := s.newTask()
 	if s.chance(0.02) {
 		s.invalidate(&task)
@@ -342,14 +345,14 @@
 	case 6:
 		task.Deadline = s.now
 	case 7:
-		task.Deadline = math.NaN()
+		task.Deadline = placer.Seconds(math.NaN())
 	case 8:
 		task.Cores, task.Memory = 0, 0
 	}
 }
 
 func (s *simulation) arrive(task placer.Task) {
-	state := &simTask{task: task, lifetime: s.script.lifetime * 2 * s.rng.Float64()}
+	state := &simTask{task: task, lifetime: s.script.lifetime * 2 * s.randomTime()}
 	s.tasks = append(s.tasks, state)
 	s.byID[task.ID] = state
 	s.handle(placer.Event{Kind: placer.Arrived, Task: task})
@@ -357,7 +360,7 @@
 		s.handle(placer.Event{Kind: placer.Arrived, Task: task}) // repeated
 	}
 	if s.chance(0.05 + s.script.withdrawn) {
-		s.after(2*s.rng.Float64()*(1-s.script.withdrawn), func() { s.withdraw(state) })
+		s.after(placer.Seconds(2*s.rng.Float64()*(1-s.script.withdrawn)), func() { s.withdraw(state) })
 	}
 }
 
@@ -402,7 +405,7 @@
 	for range 1 + i%2 { // some are repeated
 		s.handle(placer.Event{Kind: placer.Adopted, Task: task.task, Node: node.ID})
 	}
-	s.after(3+20*s.rng.Float64(), func() { s.finish(task, 0) })
+	s.after(3+20*s.randomTime(), func() { s.finish(task, 0) })
 }
 
 // attemptStarted draws the outcome of an attempt.
@@ -416,9 +419,9 @@
 	}
 	task.nodes, task.ended = append(task.nodes, node), append(task.ended, false)
 	attempt, sent := a.Attempt, s.now
-	latency := 0.01 + 0.2*s.rng.Float64()
-	later := func(seconds float64, result placer.Result, reason placer.Reason) {
-		s.after(seconds, func() { s.end(task, attempt, result, reason, s.chance(0.03)) })
+	latency := 0.01 + 0.2*s.randomTime()
+	later := func(delay placer.Seconds, result placer.Result, reason placer.Reason) {
+		s.after(delay, func() { s.end(task, attempt, result, reason, s.chance(0.03)) })
 	}
 	size := s.size(node)
 	switch {
@@ -432,15 +435,15 @@
 		later(a.Until-s.now, placer.TimedOut, placer.NoReason)
 	case node.broken:
 		later(latency, placer.Errored, placer.NoReason)
-	case node.requestedCores+task.task.Cores > size.Cores*s.script.config.OvercommitCores:
+	case node.requestedCores+task.task.Cores > size.Cores*s.script.config.Overcommit.Cores:
 		later(latency, placer.Rejected, placer.InsufficientCores)
-	case node.requestedMemory+task.task.Memory > size.Memory*s.script.config.OvercommitMemory:
+	case node.requestedMemory+task.task.Memory > size.Memory*s.script.config.Overcommit.Memory:
 		later(latency, placer.Rejected, placer.InsufficientMemory)
 	case s.chance(s.script.failing):
 		outcome := s.drawFailure()
 		later(latency, outcome.result, outcome.reason)
 	default:
-		s.after(latency+0.4*s.rng.Float64(), func() { s.bind(task, attempt, s.now-sent) })
+		s.after(latency+0.4*s.randomTime(), func() { s.bind(task, attempt, s.now-sent) })
 	}
 }
 
@@ -462,7 +465,7 @@
 	return all[s.rng.IntN(len(all))]
 }
 
-func (s *simulation) bind(task *simTask, attempt int, elapsed float64) {
+func (s *simulation) bind(task *simTask, attempt int, elapsed placer.Seconds) {
 	if task.ended[attempt] {
 		return
 	}
@@ -477,7 +480,7 @@
 	}
 	for use := placer.Started; use <= placer.NodeMemory; use++ {
 		if s.chance(0.5) {
-			s.after(0.2+s.rng.Float64(), func() { s.reportUsage(task, attempt, use) })
+			s.after(0.2+s.randomTime(), func() { s.reportUsage(task, attempt, use) })
 		}
 	}
 	s.after(task.lifetime, func() { s.finish(task, attempt) })
@@ -517,7 +520,7 @@
 
 // unmatchedEvents hands in events that match nothing, at a time slightly before the last event.
 func (s *simulation) unmatchedEvents() {
-	s.after(0.5+s.rng.Float64(), s.unmatchedEvents)
+	s.after(0.5+s.randomTime(), s.unmatchedEvents)
 	id := placer.TaskID(1 + s.rng.IntN(int(s.nextTask)))
 	node := s.nodes[s.rng.IntN(len(s.nodes))].ID
 	kinds := []placer.Event{
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -8,7 +8,7 @@
 
 // warmingUp reports whether a node started so recently that it is limited by rule 4.
 func (p *Placer) warmingUp(node *trackedNode) bool {
-	return node.StartedAt > 0 && p.now-node.StartedAt < p.cfg.WarmupDuration
+	return node.StartedAt > 0 && p.now-node.StartedAt < p.cfg.SlowStart.Duration
 }
 
 // warmupAllows keeps this scheduler within its share of the attempts that a warming node always withstands. A
@@ -18,8 +18,9 @@
 	if !p.warmingUp(node) {
 		return true
 	}
-	window := warmupWindowMargin * p.cfg.OverloadWindow
-	startedDuringWarmup := p.startedAt-node.StartedAt < p.cfg.WarmupDuration && p.startedAt > node.StartedAt
+	limits := &p.cfg.SlowStart
+	window := warmupWindowMargin * limits.OverloadWindow
+	startedDuringWarmup := p.startedAt-node.StartedAt < limits.Duration && p.startedAt > node.StartedAt
 	if p.now-p.startedAt < window && startedDuringWarmup {
 		return false
 	}
@@ -32,10 +33,10 @@
 // traffic. The remainder of the division goes to other schedulers at each node, so that each of many
 // schedulers can use some warming nodes.
 func (p *Placer) warmupShare(node *trackedNode) float64 {
-	total, peers := max(p.cfg.WarmupAttempts, 0), float64(p.cfg.Peers)
+	total, peers := max(p.cfg.SlowStart.MaxAttempts, 0), float64(p.cfg.Peers.Total)
 	share := math.Floor(total / peers)
 	offset := math.Floor(hashUnit(uint64(node.ID), 0) * peers)
-	if math.Mod(offset+float64(p.cfg.Self), peers) < math.Floor(total-share*peers) {
+	if math.Mod(offset+float64(p.cfg.Peers.Self), peers) < math.Floor(total-share*peers) {
 		share++
 	}
 	return share
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -18,7 +18,7 @@
 	for i := range 20 {
 		k := newTask(i+10, 0)
 		k.Deadline = 109
-		n += len(actionsOfKind(arrive(p, 103+float64(i)/20, k), StartAttempt))
+		n += len(actionsOfKind(arrive(p, 103+Seconds(i)/20, k), StartAttempt))
 	}
 	if n != 4 { // 8 for two peers
 		t.Fatalf("%d attempts in an overload window, want this scheduler's share of 4", n)
@@ -27,17 +27,17 @@
 
 func TestPeersShareFewerWarmupAttemptsThanPeers(t *testing.T) {
 	c := testConfig()
-	c.Peers = 20
+	c.Peers.Total = 20
 	sent := 0
-	for self := range c.Peers {
-		c.Self = self
+	for self := range c.Peers.Total {
+		c.Peers.Self = self
 		nodes := testNodes(1)
 		nodes[0].StartedAt = 98
 		p := newTestPlacer(t, c, uint64(self), nodes)
 		for i := range 20 {
 			k := newTask(i+1, 0)
 			k.Deadline = 109
-			sent += len(actionsOfKind(arrive(p, 103+float64(i)/10, k), StartAttempt))
+			sent += len(actionsOfKind(arrive(p, 103+Seconds(i)/10, k), StartAttempt))
 		}
 	}
 	if sent == 0 || sent > 8 {
@@ -49,7 +49,7 @@
 // uneven traffic, rejected attempts, and schedulers that restart.
 func TestAllSchedulersRespectWarmupAttempts(t *testing.T) {
 	c := testConfig()
-	c.Peers, c.WarmupAttempts, c.WarmupDuration, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 300, 7, 20, false, 9, 9
+	c.Peers.Total, c.SlowStart.MaxAttempts, c.SlowStart.Duration, c.Peers.StickyServices, c.Overcommit.Cores, c.Overcommit.Memory = 300, 7, 20, false, 9, 9
 	nodes := testNodes(30)
 	for i := range nodes {
 		if i%3 > 0 {
@@ -57,12 +57,12 @@
 		}
 	}
 	r := rand.New(rand.NewPCG(4, 4))
-	sent, most, warming := map[NodeID][]float64{}, 0, 0
-	peers := make([]*Placer, c.Peers)
-	for now, id := 100.0, 0; now < 112; now += 0.05 {
+	sent, most, warming := map[NodeID][]Seconds{}, 0, 0
+	peers := make([]*Placer, c.Peers.Total)
+	for now, id := Seconds(100), 0; now < 112; now += 0.05 {
 		for self := range peers {
 			if peers[self] == nil || r.IntN(2000) == 0 {
-				c.Self = self
+				c.Peers.Self = self
 				p, err := New(c, uint64(self+id))
 				if err != nil {
 					t.Fatal(err)
@@ -82,7 +82,7 @@
 				if nodes[n-1].StartedAt > 0 {
 					warming++
 					list := append(sent[n], now)
-					for now-list[0] > c.OverloadWindow {
+					for now-list[0] > c.SlowStart.OverloadWindow {
 						list = list[1:]
 					}
 					sent[n] = list
@@ -92,10 +92,10 @@
 			}
 		}
 	}
-	if float64(most) > c.WarmupAttempts {
-		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, c.WarmupAttempts)
+	if float64(most) > c.SlowStart.MaxAttempts {
+		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, c.SlowStart.MaxAttempts)
 	}
-	if least := 20 * 12 / c.OverloadWindow * c.WarmupAttempts / 4; float64(warming) < least {
+	if least := 20 * 12 / float64(c.SlowStart.OverloadWindow) * c.SlowStart.MaxAttempts / 4; float64(warming) < least {
 		t.Errorf("%d attempts on warming nodes in all, want at least %v: the allowance is not used", warming, least)
 	}
 }
@@ -107,15 +107,15 @@
 	for _, always := range []float64{4, 12, 42, 100} {
 		for _, dials := range []bool{false, true} {
 			c := testConfig()
-			c.Peers, c.WarmupAttempts, c.WarmupDuration, c.OverloadWindow, c.StickyServices, c.OvercommitCores, c.OvercommitMemory = 30, always, 30, 1, false, 99, 99
+			c.Peers.Total, c.SlowStart.MaxAttempts, c.SlowStart.Duration, c.SlowStart.OverloadWindow, c.Peers.StickyServices, c.Overcommit.Cores, c.Overcommit.Memory = 30, always, 30, 1, false, 99, 99
 			nodes := testNodes(1)
 			nodes[0].StartedAt = 99
 			r := rand.New(rand.NewPCG(7, 7))
-			var arrivals []float64
-			peers := make([]*Placer, c.Peers)
-			connected := make([]float64, c.Peers) // when the connection of each was established
-			fresh := func(now float64, self, life int) {
-				c.Self = self
+			var arrivals []Seconds
+			peers := make([]*Placer, c.Peers.Total)
+			connected := make([]Seconds, c.Peers.Total) // when the connection of each was established
+			fresh := func(now Seconds, self, life int) {
+				c.Peers.Self = self
 				p, err := New(c, uint64(self+100*life))
 				if err != nil {
 					t.Fatal(err)
@@ -128,9 +128,9 @@
 			}
 			id := 0
 			for step := range 800 {
-				now := 100 + float64(step)/50
+				now := 100 + Seconds(step)/50
 				if step == 300 {
-					for self := 0; self < c.Peers; self += 2 {
+					for self := 0; self < c.Peers.Total; self += 2 {
 						fresh(now, self, 2)
 					}
 				}
@@ -143,7 +143,7 @@
 					k.Deadline = now + 1.1
 					for _, o := range actionsOfKind(arrive(p, now, k), StartAttempt) {
 						if dials && connected[self] == 0 {
-							connected[self] = now + r.Float64()*c.ConnectTimeout
+							connected[self] = now + Seconds(r.Float64())*c.Attempts.ConnectTimeout
 						}
 						at := max(now, connected[self])
 						arrivals = append(arrivals, at)
@@ -154,7 +154,7 @@
 			slices.Sort(arrivals)
 			most, first := 0, 0
 			for i, at := range arrivals {
-				for at-arrivals[first] > c.OverloadWindow {
+				for at-arrivals[first] > c.SlowStart.OverloadWindow {
 					first++
 				}
 				most = max(most, i-first+1)
--- a/placer/state.go
+++ b/placer/state.go
@@ -14,9 +14,9 @@
 type Placer struct {
 	cfg       Config
 	rng       *rand.Rand
-	now       float64 // the latest time of an event, in seconds
+	now       Seconds // the latest time of an event
 	started   bool    // an event has been handled
-	startedAt float64
+	startedAt Seconds
 	actions   []Action // the result of the event being handled
 
 	nodes      []*trackedNode // in the order in which they became known
@@ -33,16 +33,16 @@
 
 	standbyOrder     []*trackedNode // ready nodes, those that stay open first
 	standbyKnown     bool
-	standbyUpdatedAt float64
+	standbyUpdatedAt Seconds
 
 	answerTimes       []runningAverage // seconds from an attempt to its acceptance, by class
 	coldStartTimes    []runningAverage // seconds to a start without the service's program, by class
 	coresUsage        runningAverage   // cores in use per core requested, on all nodes
 	memoryUsage       runningAverage
-	shortestObjective float64 // shortest latency objective of all classes, in seconds
+	shortestObjective Seconds // shortest latency objective of all classes
 
-	lastPollAt   float64
-	lastListAt   float64
+	lastPollAt   Seconds
+	lastListAt   Seconds
 	pollFailures int  // since the last list
 	watching     bool // the last poll was answered
 }
@@ -63,7 +63,7 @@
 		coldStartTimes:    make([]runningAverage, len(cfg.Classes)),
 		coresUsage:        runningAverage{mean: 1},
 		memoryUsage:       runningAverage{mean: 1},
-		shortestObjective: math.Inf(1),
+		shortestObjective: Seconds(math.Inf(1)),
 	}
 	for i := range cfg.Classes {
 		p.shortestObjective = min(p.shortestObjective, cfg.Classes[i].LatencyObjective)
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -16,9 +16,9 @@
 	kind    timerKind
 }
 
-// startTimer requests a timer that fires after the given time in seconds. Only the latest timer for the redraw of a
+// startTimer requests a timer that fires after the given time. Only the latest timer for the redraw of a
 // request, and the latest for polling, has an effect.
-func (p *Placer) startTimer(request *placementRequest, kind timerKind, after float64) {
+func (p *Placer) startTimer(request *placementRequest, kind timerKind, after Seconds) {
 	p.lastToken++
 	token := p.lastToken
 	p.timers[token] = pendingTimer{request: request, kind: kind}
--- /dev/null
+++ b/placer/units.go
@@ -0,0 +1,18 @@
+package placer
+
+import "time"
+
+// Seconds is a duration, or a time on the clock that the caller keeps, in seconds.
+//
+// It is a floating point number and not a time.Duration so that each decision stays equal to the last bit: times are
+// multiplied by jitter, learned factors and parts of an objective, and a rounding to whole nanoseconds on the way would
+// change which of two nodes is drawn. It is a type of its own so that a number without a unit is not taken for a time.
+type Seconds float64
+
+// Duration returns s in whole nanoseconds. Fractions of a nanosecond are dropped, and values beyond the range of a
+// Duration, or that are not numbers, have no defined result.
+func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
+
+// SecondsOf returns d in seconds. The result is the floating point number next to d: it is exact for whole seconds, and
+// otherwise Duration may give back a value that is one nanosecond less.
+func SecondsOf(d time.Duration) Seconds { return Seconds(d.Seconds()) }
