--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -114,19 +114,22 @@
 }
 
 // Check audits events. It sorts them by time; events of the same time keep their order.
-func Check(config Config, events []Event) Report {
+func Check(config Config, events []Event) Report { return auditEvents(config, events).report }
+
+// auditEvents returns the auditor of the events after the last of them.
+func auditEvents(config Config, events []Event) *auditor {
 	if config.Slack <= 0 {
 		config.Slack = defaultSlack
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	a := newAuditor(config)
+	auditor := newAuditor(config)
 	lastEvent := 0.0
 	for i := range events {
-		a.handle(&events[i])
+		auditor.handle(&events[i])
 		lastEvent = max(lastEvent, events[i].At)
 	}
-	a.finish(lastEvent)
-	a.report.Events = len(events)
-	slices.SortStableFunc(a.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return a.report
+	auditor.finish(lastEvent)
+	auditor.report.Events = len(events)
+	slices.SortStableFunc(auditor.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return auditor
 }
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -25,6 +25,16 @@
 	return Event{At: at, Kind: kind, Node: node, UID: uid, Attempt: attempt}
 }
 
+// checked audits events, and fails the test if the states of attempts do not hold together.
+func checked(t *testing.T, config Config, events []Event) Report {
+	t.Helper()
+	auditor := auditEvents(config, events)
+	if err := auditor.checkInvariants(); err != nil {
+		t.Error(err)
+	}
+	return auditor.report
+}
+
 // TestPlantedViolations checks that the auditor finds the one violation among legal events, by its rule, and finds none without.
 func TestPlantedViolations(t *testing.T) {
 	for _, test := range []struct {
@@ -246,7 +256,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			report := Check(rules, test.events)
+			report := checked(t, rules, test.events)
 			if test.rule == 0 {
 				if len(report.Violations) > 0 {
 					t.Fatalf("found %v, want none", report.Violations)
--- a/internal/lab/audit/auditor.go
+++ b/internal/lab/audit/auditor.go
@@ -2,46 +2,39 @@
 
 import "fmt"
 
-// attemptState is what is known of one attempt at one node.
-type attemptState struct {
+// attemptRecord is what is known of one attempt at one node.
+type attemptRecord struct {
 	number           int
 	node, rack, zone string
 	receivedAt       float64
 	closedAt         float64 // when it was answered or abandoned; 0 while it is in flight
-	rejected         bool
-	fenced           bool
-	accepted         bool
-	ended            bool
-	neverRan         bool // it ended, and it is proven that the task never ran
+	state            attemptState
 	answerLost       bool // the scheduler never got the answer: to it the attempt is over
 }
 
-// provenNotRun reports whether it is proven that the attempt did not run the task and will not.
-func (attempt *attemptState) provenNotRun() bool {
-	return attempt.rejected || attempt.fenced || attempt.neverRan
-}
-
 // occupies reports whether, as far as its scheduler can know, the attempt runs the task or may still do so.
-func (attempt *attemptState) occupies() bool {
-	if attempt.rejected || attempt.fenced || attempt.ended || attempt.answerLost {
-		return false
+func (attempt *attemptRecord) occupies() bool { return attempt.state.open() && !attempt.answerLost }
+
+// close notes that the attempt is no longer in flight.
+func (attempt *attemptRecord) close(at float64) {
+	if attempt.closedAt == 0 {
+		attempt.closedAt = at
 	}
-	return attempt.accepted || attempt.closedAt == 0
 }
 
-// taskState is what is known of one task.
-type taskState struct {
+// taskRecord is what is known of one task.
+type taskRecord struct {
 	uid, class, service, scheduler string
 	submitted                      bool
 	deadline                       float64 // for the outcome
 	outcome                        string  // "" while there is none
 	excused                        bool    // no outcome is due: the scheduler was killed, or the client withdrew the task
-	attempts                       []*attemptState
+	attempts                       []*attemptRecord
 	starts                         int
 }
 
 // findAttempt returns the latest attempt that an event at a node belongs to, nil if there is none.
-func (task *taskState) findAttempt(event *Event) *attemptState {
+func (task *taskRecord) findAttempt(event *Event) *attemptRecord {
 	for i := len(task.attempts) - 1; i >= 0; i-- {
 		attempt := task.attempts[i]
 		if attempt.number == event.Attempt && attempt.node == event.Node {
@@ -61,22 +54,24 @@
 type auditor struct {
 	config      Config
 	report      Report
-	tasks       map[string]*taskState
-	uids        []string                    // keys of tasks, in order of their first event
-	spreadTasks map[serviceKey][]*taskState // of classes that are spread
+	tasks       map[string]*taskRecord
+	uids        []string                     // keys of tasks, in order of their first event
+	spreadTasks map[serviceKey][]*taskRecord // of classes that are spread
 
 	unavailableSince    map[string]float64 // by node: since when the inventory shows it as draining or unavailable
 	drainOrderedAt      map[drainOrder]float64
 	discoveryLost       bool
 	discoveryRestoredAt float64
+
+	badTransition error // the first illegal change of an attempt's state
 }
 
 func newAuditor(config Config) *auditor {
 	return &auditor{
 		config:           config,
 		report:           Report{Outcomes: map[string]int{}, Ends: map[string]int{}},
-		tasks:            map[string]*taskState{},
-		spreadTasks:      map[serviceKey][]*taskState{},
+		tasks:            map[string]*taskRecord{},
+		spreadTasks:      map[serviceKey][]*taskRecord{},
 		unavailableSince: map[string]float64{},
 		drainOrderedAt:   map[drainOrder]float64{},
 	}
@@ -87,10 +82,10 @@
 }
 
 // taskOf returns the state of an event's task, and takes what the event says of it.
-func (a *auditor) taskOf(event *Event) *taskState {
+func (a *auditor) taskOf(event *Event) *taskRecord {
 	task := a.tasks[event.UID]
 	if task == nil {
-		task = &taskState{uid: event.UID}
+		task = &taskRecord{uid: event.UID}
 		a.tasks[event.UID] = task
 		a.uids = append(a.uids, event.UID)
 	}
@@ -194,10 +189,8 @@
 			if attempt.node != event.Node {
 				continue
 			}
-			attempt.ended = true
-			if attempt.closedAt == 0 {
-				attempt.closedAt = event.At
-			}
+			a.attemptOver(attempt, false)
+			attempt.close(event.At)
 		}
 	}
 }
@@ -217,48 +210,41 @@
 	case Ended:
 		a.report.Ends[event.Reason]++
 	case Fenced:
-		task.fence(event)
+		a.fence(task, event)
 	}
 	if attempt := task.findAttempt(event); attempt != nil {
-		task.progress(attempt, event)
+		a.progress(task, attempt, event)
 	}
 }
 
-// fence marks the attempts that a fence covers: all up to its own at the node that were not accepted.
-func (task *taskState) fence(event *Event) {
+// fence takes a fence into the attempts that it covers: all up to its own at the node that were not answered.
+func (a *auditor) fence(task *taskRecord, event *Event) {
 	for _, attempt := range task.attempts {
-		if attempt.node == event.Node && attempt.number <= event.Attempt && !attempt.accepted {
-			attempt.fenced = true
+		if attempt.node == event.Node && attempt.number <= event.Attempt && attempt.state.unanswered() {
+			a.setState(attempt, attemptFenced)
 		}
 	}
 }
 
 // progress takes an event into the state of its attempt.
-func (task *taskState) progress(attempt *attemptState, event *Event) {
-	switch event.Kind {
-	case Abandoned, Rejected, Accepted:
-		if attempt.closedAt == 0 {
-			attempt.closedAt = event.At
-		}
-	}
+func (a *auditor) progress(task *taskRecord, attempt *attemptRecord, event *Event) {
 	switch event.Kind {
 	case Abandoned:
+		attempt.close(event.At)
 		attempt.answerLost = true
-	case Rejected:
-		attempt.rejected = !attempt.accepted
-	case Accepted:
-		attempt.accepted = true
+	case Rejected, Accepted:
+		attempt.close(event.At)
+		a.attemptAnswered(attempt, event.Kind == Accepted)
 	case Ended:
-		task.endAt(event)
+		a.endAll(task, event)
 	}
 }
 
-// endAt ends all open attempts at a node: those after the one that the node accepted were repeats of it.
-func (task *taskState) endAt(event *Event) {
+// endAll ends all open attempts of a task at a node: those after the one that the node accepted were repeats of it.
+func (a *auditor) endAll(task *taskRecord, event *Event) {
 	for _, attempt := range task.attempts {
-		if attempt.node == event.Node && !attempt.rejected && !attempt.fenced && !attempt.ended {
-			attempt.ended = true
-			attempt.neverRan = event.Reason == NeverRan
+		if attempt.node == event.Node {
+			a.attemptOver(attempt, event.Reason == NeverRan)
 		}
 	}
 }
--- a/internal/lab/audit/characterization_test.go
+++ b/internal/lab/audit/characterization_test.go
@@ -1,4 +1,4 @@
-package audit_test
+package audit
 
 import (
 	"encoding/json"
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"testing"
 
-	"heathshed/internal/lab/audit"
 	"heathshed/internal/testsupport/goldentest"
 )
 
@@ -14,15 +13,26 @@
 // file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeVerdicts(t *testing.T) {
 	recorder := goldentest.NewRecorder()
-	config := audit.Config{DrainGrace: 0.5, Slack: 0.1, Classes: map[string]audit.Class{"once": {AtMostOnce: true}, "web": {},
-		"keyed-machine": {Idempotent: true, KeyScope: "machine", KeyTTL: 5}, "keyed-rack": {Idempotent: true, KeyScope: "rack", KeyTTL: 3},
-		"keyed-zone": {Idempotent: true, KeyScope: "zone", KeyTTL: 2}, "keyed-all": {Idempotent: true, KeyScope: "all", KeyTTL: 1},
-		"spread-machine": {SpreadBy: "machine", MaxPerDomain: 1}, "spread-rack": {SpreadBy: "rack", MaxPerDomain: 2}, "spread-zone": {SpreadBy: "zone", MaxPerDomain: 2}}}
+	config := Config{
+		DrainGrace: 0.5,
+		Slack:      0.1,
+		Classes: map[string]Class{
+			"once":           {AtMostOnce: true},
+			"web":            {},
+			"keyed-machine":  {Idempotent: true, KeyScope: "machine", KeyTTL: 5},
+			"keyed-rack":     {Idempotent: true, KeyScope: "rack", KeyTTL: 3},
+			"keyed-zone":     {Idempotent: true, KeyScope: "zone", KeyTTL: 2},
+			"keyed-all":      {Idempotent: true, KeyScope: "all", KeyTTL: 1},
+			"spread-machine": {SpreadBy: "machine", MaxPerDomain: 1},
+			"spread-rack":    {SpreadBy: "rack", MaxPerDomain: 2},
+			"spread-zone":    {SpreadBy: "zone", MaxPerDomain: 2},
+		},
+	}
 	for seed := range uint64(60) {
 		if seed == 40 {
 			config.Slack = 0 // the default from here on
 		}
-		report := audit.Check(config, randomEvents(rand.New(rand.NewPCG(41, seed))))
+		report := checked(t, config, randomEvents(rand.New(rand.NewPCG(41, seed))))
 		for _, violation := range report.Violations {
 			recorder.Integers(int64(violation.Rule))
 			recorder.Floats(violation.At)
@@ -47,14 +57,14 @@
 // commonKinds are the kinds that are drawn more often.
 var commonKinds = []string{"offer", "offer", "offer", "accept", "accept", "refuse", "hangup", "start", "end", "asked", "settled"}
 
-func randomEvents(rng *rand.Rand) []audit.Event {
+func randomEvents(rng *rand.Rand) []Event {
 	classes := []string{"once", "web", "keyed-machine", "keyed-rack", "keyed-zone", "keyed-all", "spread-machine", "spread-rack", "spread-zone"}
-	var out []audit.Event
+	var events []Event
 	at := 100.0
 	for range 300 {
 		at += rng.ExpFloat64() * 0.2
 		node, task, scheduler := rng.IntN(6), rng.IntN(25), rng.IntN(2)
-		event := audit.Event{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprintf("node-%d", node), Rack: fmt.Sprintf("rack-%d", node%3),
+		event := Event{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprintf("node-%d", node), Rack: fmt.Sprintf("rack-%d", node%3),
 			Zone: fmt.Sprintf("zone-%d", node%2), UID: fmt.Sprintf("task-%d", task), Class: classes[task%len(classes)],
 			Service: fmt.Sprintf("service-%d", task%4), Scheduler: fmt.Sprintf("scheduler-%d", scheduler), Attempt: 1 + rng.IntN(3)}
 		if rng.IntN(4) > 0 {
@@ -66,9 +76,9 @@
 		case "settled":
 			event.Reason = []string{"Placed", "Refused", "Failed"}[rng.IntN(3)]
 		case "end":
-			event.Reason = []string{"", "Evicted", audit.NeverRan}[rng.IntN(3)]
+			event.Reason = []string{"", "Evicted", NeverRan}[rng.IntN(3)]
 		}
-		out = append(out, event)
+		events = append(events, event)
 	}
-	return out
+	return events
 }
--- a/internal/lab/audit/rules.go
+++ b/internal/lab/audit/rules.go
@@ -4,7 +4,7 @@
 const discoveryRecovery = 1
 
 // taskSettled takes the outcome of a task: there is one, and it is in time.
-func (a *auditor) taskSettled(event *Event, task *taskState) {
+func (a *auditor) taskSettled(event *Event, task *taskRecord) {
 	switch task.outcome {
 	case "":
 	case event.Reason:
@@ -23,7 +23,7 @@
 }
 
 // taskStarted counts a start: a task that must run at most once has one.
-func (a *auditor) taskStarted(event *Event, task *taskState) {
+func (a *auditor) taskStarted(event *Event, task *taskRecord) {
 	task.starts++
 	if task.starts > 1 && a.config.Classes[task.class].AtMostOnce {
 		a.violation(ruleRetry, event.At, "task %s, which must not run twice, was started %d times, now on %s", task.uid, task.starts, event.Node)
@@ -35,7 +35,7 @@
 	task := a.taskOf(event)
 	class := a.config.Classes[task.class]
 	a.report.Attempts++
-	attempt := &attemptState{number: event.Attempt, node: event.Node, rack: event.Rack, zone: event.Zone, receivedAt: event.At}
+	attempt := &attemptRecord{number: event.Attempt, node: event.Node, rack: event.Rack, zone: event.Zone, receivedAt: event.At}
 	a.checkDrain(event, task)
 	for _, earlier := range task.attempts {
 		a.checkRetry(task, class, earlier, attempt)
@@ -47,7 +47,7 @@
 }
 
 // checkDrain checks an attempt against the nodes that drain or are unavailable, by the inventory and by order.
-func (a *auditor) checkDrain(event *Event, task *taskState) {
+func (a *auditor) checkDrain(event *Event, task *taskRecord) {
 	// respectedFrom is when a scheduler that learned of a drain at the given time must respect it.
 	respectedFrom := func(at float64) float64 { return at + a.config.DrainGrace + a.config.Slack }
 	since, unavailable := a.unavailableSince[event.Node]
@@ -63,7 +63,7 @@
 }
 
 // checkRetry checks an attempt against an earlier one of its task.
-func (a *auditor) checkRetry(task *taskState, class Class, earlier, attempt *attemptState) {
+func (a *auditor) checkRetry(task *taskRecord, class Class, earlier, attempt *attemptRecord) {
 	at := attempt.receivedAt
 	if earlier.number >= attempt.number {
 		if earlier.number == attempt.number && (class.AtMostOnce || earlier.node != attempt.node) {
@@ -72,7 +72,7 @@
 		return
 	}
 	switch {
-	case earlier.provenNotRun():
+	case earlier.state.provenNotRun():
 	case class.AtMostOnce:
 		a.violation(ruleRetry, at, "task %s must not run twice: offered to %s while attempt %d at %s may have run", task.uid, attempt.node,
 			earlier.number, earlier.node)
@@ -85,7 +85,7 @@
 }
 
 // sameDomain reports whether two attempts are at the same node, rack or zone, as the scope says.
-func sameDomain(scope string, a, b *attemptState) bool {
+func sameDomain(scope string, a, b *attemptRecord) bool {
 	switch scope {
 	case "all":
 		return true
@@ -98,7 +98,7 @@
 }
 
 // checkSpread counts the attempts of one service of a scheduler in the domain of a new one.
-func (a *auditor) checkSpread(task *taskState, attempt *attemptState, class Class) {
+func (a *auditor) checkSpread(task *taskRecord, attempt *attemptRecord, class Class) {
 	key := serviceKey{task.scheduler, task.service}
 	if len(task.attempts) == 1 {
 		a.spreadTasks[key] = append(a.spreadTasks[key], task)
@@ -130,7 +130,7 @@
 }
 
 // checkOutcome checks that a task has an outcome if one is due.
-func (a *auditor) checkOutcome(task *taskState, end float64) {
+func (a *auditor) checkOutcome(task *taskRecord, end float64) {
 	switch {
 	case task.outcome != "":
 	case task.excused:
@@ -141,7 +141,7 @@
 }
 
 // checkConcurrentAttempts checks that no attempt of a task was made while an earlier one was in flight.
-func (a *auditor) checkConcurrentAttempts(task *taskState, end float64) {
+func (a *auditor) checkConcurrentAttempts(task *taskRecord, end float64) {
 	for i, attempt := range task.attempts {
 		closedAt := attempt.closedAt
 		if closedAt == 0 {
