--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -25,9 +25,9 @@
 
 func playQueue(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 3))
-	var queue timerqueue.Queue
+	var queue timerqueue.Queue[float64]
 	var b strings.Builder
-	var added []*timerqueue.Timer
+	var added []*timerqueue.Timer[float64]
 	add := func(at float64) {
 		number := len(added)
 		added = append(added, queue.Add(at, func() { fmt.Fprintf(&b, "r%d ", number) }))
@@ -54,7 +54,7 @@
 				}
 			}
 		}
-		fmt.Fprintf(&b, "%d %x ", queue.Len(), math.Float64bits(queue.Next()))
+		fmt.Fprintf(&b, "%d %x ", queue.Len(), math.Float64bits(queue.NextOr(math.Inf(1))))
 	}
 	queue.Stop(nil)
 	return b.String()
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -13,6 +13,7 @@
 
 import (
 	"fmt"
+	"math"
 	"math/rand/v2"
 
 	"k8s.io/apimachinery/pkg/types"
@@ -35,7 +36,7 @@
 	admissionTimer *timer
 	store          *store.Store
 	effects        []Effect // not handed out yet
-	timers         timerqueue.Queue
+	timers         timerqueue.Queue[float64]
 
 	jobs           map[string]*job // by store.Key
 	dirtyJobs      []*job          // Jobs whose status is to be written at the end of the call
@@ -116,7 +117,7 @@
 func (e *Engine) OpenTasks() int { return e.openTasks }
 
 // NextWake returns the time at which Tick is to be called, infinity if no timer is pending.
-func (e *Engine) NextWake() float64 { return e.timers.Next() }
+func (e *Engine) NextWake() float64 { return e.timers.NextOr(math.Inf(1)) }
 
 // Tick runs the timers that are due.
 func (e *Engine) Tick(now float64) {
@@ -205,7 +206,7 @@
 }
 
 // timer is a function that runs in a later Tick.
-type timer = timerqueue.Timer
+type timer = timerqueue.Timer[float64]
 
 func (e *Engine) runAt(when float64, fn func()) *timer { return e.timers.Add(when, fn) }
 
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -7,6 +7,7 @@
 package nodesim
 
 import (
+	"math"
 	"math/rand/v2"
 	"slices"
 
@@ -22,7 +23,7 @@
 	rng         *rand.Rand
 	now         float64 // seconds, Unix time or simulated
 	warmUpStart float64
-	timers      timerqueue.Queue
+	timers      timerqueue.Queue[float64]
 	effects     []Effect
 
 	queue          []Request // waiting for a decision
@@ -95,7 +96,7 @@
 }
 
 // NextWake returns the time at which Tick is to be called next.
-func (n *Node) NextWake() float64 { return n.timers.Next() }
+func (n *Node) NextWake() float64 { return n.timers.NextOr(math.Inf(1)) }
 
 // Tick runs the timers that are due.
 func (n *Node) Tick(now float64) {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -54,7 +54,7 @@
 	cfg         Config
 	rng         *rand.Rand
 	now         float64 // Unix seconds
-	timers      timerqueue.Queue
+	timers      timerqueue.Queue[float64]
 	steps       int
 	schedulers  []*scheduler
 	nodes       []*node
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -43,7 +43,7 @@
 	startTime    time.Time
 	startSeconds float64 // Unix time of startTime
 	now          float64 // Unix time of this iteration
-	timers       timerqueue.Queue
+	timers       timerqueue.Queue[float64]
 
 	flushQueue        []*Conn  // connections with output to send at the end of this iteration
 	redeliverQueue    []*Conn  // connections whose unconsumed input is delivered again
@@ -177,7 +177,7 @@
 	if l.timers.Len() == 0 {
 		return -1
 	}
-	seconds := l.timers.Next() - l.readClock()
+	seconds := l.timers.NextOr(l.now) - l.readClock()
 	switch {
 	case seconds <= 0:
 		return 0
--- a/internal/netio/eventloop/timer.go
+++ b/internal/netio/eventloop/timer.go
@@ -6,7 +6,7 @@
 
 // Timer is a function that runs later on the loop.
 type Timer struct {
-	timer *timerqueue.Timer
+	timer *timerqueue.Timer[float64]
 	loop  *Loop
 }
 
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -45,7 +45,7 @@
 	expiresAt    float64 // it is abandoned if it has no answer by then
 	createdAt    float64 // when the placer asked for it
 	runningSince float64 // when the node's answer came, or when the task was adopted
-	timer        *timerqueue.Timer
+	timer        *timerqueue.Timer[float64]
 	stopSent     bool // the node was told to stop the task
 }
 
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -58,7 +58,7 @@
 	settings *simconfig.Settings
 	events   eventqueue.Queue
 	now      float64
-	timers   timerqueue.Queue
+	timers   timerqueue.Queue[float64]
 	effects  []Effect
 
 	requests           map[placer.TaskID]*request
@@ -124,7 +124,7 @@
 }
 
 // NextTimer returns when Advance is to be called next, infinity if never.
-func (c *Core) NextTimer() float64 { return c.timers.Next() }
+func (c *Core) NextTimer() float64 { return c.timers.NextOr(math.Inf(1)) }
 
 // Advance runs the timers that are due.
 func (c *Core) Advance(now float64) {
