--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -14,9 +16,11 @@
 // The tests pin printed settings, what follows from them, and the texts of errors. Regenerate the golden files with
 // HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 
-// TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones.
+// TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones. What is derived from the good files has a golden
+// file of its own, which holds no names of settings.
 func TestCharacterizeSettings(t *testing.T) {
 	r := goldentest.NewRecorder()
+	derived := goldentest.NewRecorder()
 	s := config.Default()
 	text, err := s.Text()
 	if err != nil {
@@ -25,16 +29,34 @@
 	for _, line := range strings.Split(string(text), "\n") {
 		r.Line("%s", line)
 	}
-	for _, file := range settingsFiles(string(text)) {
+	for i, file := range settingsFiles(string(text)) {
 		parsed, err := config.Parse("f", []byte(file))
 		r.Line("%.90q: %v", file, err)
 		if err == nil {
-			recordDerived(t, r, &parsed)
+			recordPrinted(t, r, &parsed)
+			recordDerived(derived, i, &parsed)
 		}
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "missing"))
 	r.Line("missing file: %v", err != nil)
 	r.Check(t, "settings")
+	derived.Check(t, "derived")
+}
+
+// TestFormerFilesDeriveTheSame pins what is derived from files with the names of settings of release 0.1: the same as from those of
+// TestCharacterizeSettings, in which the same values are changed one after the other.
+func TestFormerFilesDeriveTheSame(t *testing.T) {
+	former, err := os.ReadFile("testdata/settings-0.1.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	derived := goldentest.NewRecorder()
+	for i, file := range settingsFiles(strings.TrimSuffix(string(former), "\n")) {
+		if parsed, err := config.Parse("f", []byte(file)); err == nil {
+			recordDerived(derived, i, &parsed)
+		}
+	}
+	derived.Check(t, "derived")
 }
 
 // settingsFiles are valid files, and the default with one field after the other replaced by values of the wrong kind or out of range.
@@ -64,14 +86,20 @@
 	return out
 }
 
-// recordDerived records what is derived from settings, floats by their bits: emulated nodes, priorities, lifetimes and the engine's configuration.
-func recordDerived(t *testing.T, r *goldentest.Recorder, s *config.Settings) {
+// recordPrinted records the printed form of settings.
+func recordPrinted(t *testing.T, r *goldentest.Recorder, s *config.Settings) {
 	t.Helper()
 	text, err := s.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Bytes(text)
+	r.Checkpoint("  printed")
+}
+
+// recordDerived records what is derived from the settings of the file with an index, floats by their bits: emulated nodes, priorities,
+// lifetimes and the engine's configuration.
+func recordDerived(r *goldentest.Recorder, file int, s *config.Settings) {
 	for i := range 9 {
 		emulated := labconfig.NodeAt(s, i)
 		node := emulated.Sim
@@ -107,5 +135,5 @@
 		r.Texts(engineConfig.Tenants[i])
 		r.Floats(k.Share, k.Cores)
 	}
-	r.Checkpoint("  derived")
+	r.Checkpoint(fmt.Sprintf("file %d derived", file))
 }
