--- a/cmd/heathshed/drain.go
+++ b/cmd/heathshed/drain.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"net/url"
 
 	"github.com/spf13/cobra"
@@ -12,22 +11,23 @@
 	policyv1 "k8s.io/api/policy/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
+	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/kube/wellknown"
 )
 
 func drainCommand() *cobra.Command {
-	var client apiClient
+	var server apiServer
 	var evict bool
 	c := &cobra.Command{
 		Use:   "drain NODE",
 		Short: "Drain a node: place nothing more on it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			node, err := client.setUnschedulable(c, args[0], true)
+			node, err := setUnschedulable(c, server.client(), args[0], true)
 			if err != nil || !evict {
 				return err
 			}
-			evicted, err := client.evictAll(c.Context(), node)
+			evicted, err := evictAll(c.Context(), server.client(), node)
 			if err != nil {
 				return err
 			}
@@ -35,31 +35,30 @@
 			return nil
 		},
 	}
-	client.register(c)
+	server.register(c)
 	c.Flags().BoolVar(&evict, "evict", false, "also move the tasks that run there")
 	return c
 }
 
 func undrainCommand() *cobra.Command {
-	var client apiClient
+	var server apiServer
 	c := &cobra.Command{
 		Use:   "undrain NODE",
 		Short: "Cancel the drain of a node",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			_, err := client.setUnschedulable(c, args[0], false)
+			_, err := setUnschedulable(c, server.client(), args[0], false)
 			return err
 		},
 	}
-	client.register(c)
+	server.register(c)
 	return c
 }
 
 // setUnschedulable drains a node or cancels its drain, and prints its new state. It returns the node's name as the server has it.
-func (a *apiClient) setUnschedulable(c *cobra.Command, name string, unschedulable bool) (string, error) {
+func setUnschedulable(c *cobra.Command, client *apiclient.Client, name string, unschedulable bool) (string, error) {
 	var node corev1.Node
-	patch := fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, unschedulable)
-	if err := a.do(c.Context(), http.MethodPatch, "/api/v1/nodes/"+url.PathEscape(name), "application/merge-patch+json", patch, &node); err != nil {
+	if err := client.SetUnschedulable(c.Context(), name, unschedulable, &node); err != nil {
 		return "", err
 	}
 	printf(c.OutOrStdout(), "node %s: unschedulable=%v\n", node.Name, node.Spec.Unschedulable)
@@ -67,10 +66,10 @@
 }
 
 // evictAll evicts the unfinished Pods of a node and returns how many there were.
-func (a *apiClient) evictAll(ctx context.Context, nodeName string) (evicted int, err error) {
+func evictAll(ctx context.Context, client *apiclient.Client, nodeName string) (evicted int, err error) {
 	var pods corev1.PodList
-	query := "fieldSelector=" + url.QueryEscape("spec.nodeName="+nodeName)
-	if err := a.do(ctx, http.MethodGet, "/api/v1/pods?"+query, "", nil, &pods); err != nil {
+	query := url.Values{"fieldSelector": {"spec.nodeName=" + nodeName}}
+	if err := client.Get(ctx, apiclient.PodsPath("")+"?"+query.Encode(), &pods); err != nil {
 		return 0, err
 	}
 	for i := range pods.Items {
@@ -78,7 +77,7 @@
 		if wellknown.Finished(pod) {
 			continue
 		}
-		if err := a.evict(ctx, pod); err != nil {
+		if err := evict(ctx, client, pod); err != nil {
 			return evicted, fmt.Errorf("evict %s: %w", pod.Name, err)
 		}
 		evicted++
@@ -86,7 +85,7 @@
 	return evicted, nil
 }
 
-func (a *apiClient) evict(ctx context.Context, pod *corev1.Pod) error {
+func evict(ctx context.Context, client *apiclient.Client, pod *corev1.Pod) error {
 	eviction, err := json.Marshal(&policyv1.Eviction{
 		TypeMeta:   metav1.TypeMeta{Kind: "Eviction", APIVersion: "policy/v1"},
 		ObjectMeta: metav1.ObjectMeta{Name: pod.Name, Namespace: pod.Namespace},
@@ -94,7 +93,6 @@
 	if err != nil {
 		return err
 	}
-	path := "/api/v1/namespaces/" + url.PathEscape(pod.Namespace) + "/pods/" + url.PathEscape(pod.Name) + "/eviction"
 	var status metav1.Status
-	return a.do(ctx, http.MethodPost, path, "application/json", eviction, &status)
+	return client.Create(ctx, apiclient.EvictionPath(pod.Namespace, pod.Name), eviction, &status)
 }
--- a/cmd/heathshed/get.go
+++ b/cmd/heathshed/get.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
 	"net/url"
 	"os"
 	"os/signal"
@@ -14,19 +12,21 @@
 
 	"github.com/spf13/cobra"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+
+	"heathshed/internal/kube/apiclient"
 )
 
 // pageLimit is the number of objects requested at a time.
-const pageLimit = "500"
+const pageLimit = 500
 
 // selectionFlags say which objects are shown, and how.
 type selectionFlags struct {
-	client                    apiClient
+	server                    apiServer
 	namespace, labels, output string
 }
 
 func (f *selectionFlags) register(c *cobra.Command) {
-	f.client.register(c)
+	f.server.register(c)
 	flags := c.Flags()
 	flags.StringVarP(&f.namespace, "namespace", "n", "", "namespace; all if none")
 	flags.StringVarP(&f.labels, "selector", "l", "", "label selector")
@@ -73,14 +73,8 @@
 // list prints the objects of a collection, page by page, and returns how many there were.
 func (f *selectionFlags) list(ctx context.Context, w io.Writer, path string, query url.Values) (objects int, err error) {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	query.Set("limit", pageLimit)
-	for {
-		var page struct {
-			Kind     string            `json:"kind"`
-			Metadata metav1.ListMeta   `json:"metadata"`
-			Items    []json.RawMessage `json:"items"`
-		}
-		if err := f.client.do(ctx, http.MethodGet, path+"?"+query.Encode(), "", nil, &page); err != nil {
+	for page, err := range f.server.client().Pages(ctx, path, query, pageLimit) {
+		if err != nil {
 			return objects, err
 		}
 		kind := strings.TrimSuffix(page.Kind, "List")
@@ -95,11 +89,8 @@
 			}
 			objects++
 		}
-		if page.Metadata.Continue == "" {
-			return objects, table.Flush()
-		}
-		query.Set("continue", page.Metadata.Continue)
 	}
+	return objects, table.Flush()
 }
 
 func watchCommand() *cobra.Command {
@@ -115,9 +106,9 @@
 			}
 			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
 			defer cancel()
-			return flags.client.watch(ctx, path, flags.query(), func(eventType string, object json.RawMessage) bool {
-				flags.printEvent(c.OutOrStdout(), eventType, object)
-				return false
+			return flags.server.watch(ctx, path, flags.query(), func(event apiclient.Event) error {
+				flags.printEvent(c.OutOrStdout(), event)
+				return nil
 			})
 		},
 	}
@@ -125,11 +116,11 @@
 	return c
 }
 
-func (f *selectionFlags) printEvent(w io.Writer, eventType string, object json.RawMessage) {
+func (f *selectionFlags) printEvent(w io.Writer, event apiclient.Event) {
 	if f.output == "json" {
-		printf(w, `{"type":%q,"object":%s}`+"\n", eventType, object)
+		printf(w, `{"type":%q,"object":%s}`+"\n", event.Type, event.Object)
 		return
 	}
-	kind := decodeObject[metav1.TypeMeta](object).Kind
-	printf(w, "%-8s  %s\n", eventType, strings.Join(tableRow(kind, object), "  "))
+	kind := decodeObject[metav1.TypeMeta](event.Object).Kind
+	printf(w, "%-8s  %s\n", event.Type, strings.Join(tableRow(kind, event.Object), "  "))
 }
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
 	"net/url"
 	"os"
 	"os/signal"
@@ -13,7 +12,9 @@
 
 	"github.com/spf13/cobra"
 	batchv1 "k8s.io/api/batch/v1"
+	"k8s.io/apimachinery/pkg/watch"
 
+	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/kube/wellknown"
 )
 
@@ -22,7 +23,7 @@
 
 // submitFlags are the flags of the command submit: a file, or a job in parts.
 type submitFlags struct {
-	client    apiClient
+	server    apiServer
 	namespace string
 	file      string
 	name      string
@@ -48,7 +49,7 @@
 }
 
 func (f *submitFlags) register(c *cobra.Command) {
-	f.client.register(c)
+	f.server.register(c)
 	flags := c.Flags()
 	flags.StringVarP(&f.file, "file", "f", "", "file with a Job as JSON; - is standard input")
 	flags.StringVarP(&f.namespace, "namespace", "n", "default", "namespace")
@@ -72,7 +73,7 @@
 		return err
 	}
 	var job batchv1.Job
-	if err := flags.client.do(c.Context(), http.MethodPost, path+"?fieldValidation=Strict", "application/json", body, &job); err != nil {
+	if err := flags.server.client().Create(c.Context(), path+"?fieldValidation=Strict", body, &job); err != nil {
 		return err
 	}
 	printf(c.OutOrStdout(), "job %s/%s created\n", job.Namespace, job.Name)
@@ -108,13 +109,16 @@
 func (f *submitFlags) awaitOutcome(ctx context.Context, path string, job *batchv1.Job) (string, error) {
 	outcome := ""
 	query := url.Values{"fieldSelector": {"metadata.name=" + job.Name}}
-	err := f.client.watch(ctx, path, query, func(eventType string, object json.RawMessage) bool {
-		current := decodeObject[batchv1.Job](object)
+	err := f.server.watch(ctx, path, query, func(event apiclient.Event) error {
+		current := decodeObject[batchv1.Job](event.Object)
 		if current.UID != job.UID {
-			return false
+			return nil
 		}
 		outcome = settledCondition(current.Status.Conditions)
-		return outcome != "" || eventType == "DELETED"
+		if outcome != "" || event.Type == watch.Deleted {
+			return apiclient.ErrStopWatch
+		}
+		return nil
 	})
 	return outcome, err
 }
--- /dev/null
+++ b/internal/kube/apiclient/list.go
@@ -0,0 +1,39 @@
+package apiclient
+
+import (
+	"context"
+	"encoding/json"
+	"iter"
+	"maps"
+	"net/url"
+	"strconv"
+
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+)
+
+// Page is a part of a list.
+type Page struct {
+	Kind     string            `json:"kind"` // of the list
+	Metadata metav1.ListMeta   `json:"metadata"`
+	Items    []json.RawMessage `json:"items"`
+}
+
+// Pages yields the pages of a collection, with up to limit objects each. It ends after the first error.
+func (c *Client) Pages(ctx context.Context, path string, query url.Values, limit int) iter.Seq2[*Page, error] {
+	return func(yield func(*Page, error) bool) {
+		pageQuery := url.Values{}
+		maps.Copy(pageQuery, query)
+		pageQuery.Set("limit", strconv.Itoa(limit))
+		for {
+			page := &Page{}
+			if err := c.Get(ctx, path+"?"+pageQuery.Encode(), page); err != nil {
+				yield(nil, err)
+				return
+			}
+			if !yield(page, nil) || page.Metadata.Continue == "" {
+				return
+			}
+			pageQuery.Set("continue", page.Metadata.Continue)
+		}
+	}
+}
--- /dev/null
+++ b/internal/kube/apiclient/watch.go
@@ -0,0 +1,196 @@
+package apiclient
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"net/url"
+	"time"
+
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/watch"
+)
+
+const maxWatchEventBytes = 8 << 20
+
+// Event is a change of an object, or an object that existed when the watch began.
+type Event struct {
+	Type   watch.EventType
+	Object json.RawMessage
+}
+
+// EventHandler takes an event of a watch. ErrStopWatch ends the watch; at another error the watch connects again, and the event comes anew.
+type EventHandler func(Event) error
+
+// ErrStopWatch is returned by an EventHandler to end the watch.
+var ErrStopWatch = errors.New("the watch is to end")
+
+// errDisconnected reports that the connection of a watch was broken.
+var errDisconnected = errors.New("the connection has ended")
+
+// errTimeout reports that a connection has lasted for ConnectionTimeout.
+var errTimeout = errors.New("the connection timeout has passed")
+
+// WatchOptions say what is watched, and how the watch goes on after a connection has ended. It resumes from the last revision that it got.
+type WatchOptions struct {
+	Path  string     // of the collection
+	Query url.Values // selectors of objects
+
+	// List, if set, reads the collection and returns its revision, from which the watch starts. It is called at the beginning, and again when
+	// the server reports an error inside the watch, or that it does not have the revision (status 410 or 504).
+	//
+	// Without List the watch begins with the objects that exist. It begins anew if the server reports inside the watch that the revision has
+	// expired, and ends with a *WatchError if the server reports another error there.
+	List func(context.Context) (revision string, err error)
+
+	// MaxAttempts is the number of connections in a row without an event at which the watch fails. 0 is no limit.
+	MaxAttempts int
+	// RetryStep is the pause after the first failed connection, which grows by as much with each further one, to RetryMax.
+	RetryStep, RetryMax time.Duration
+
+	// ConnectionTimeout, if above 0, ends each connection after that time. The next one follows without a pause.
+	ConnectionTimeout time.Duration
+	// OnConnectionTimeout, if set, is called when ConnectionTimeout has ended a connection.
+	OnConnectionTimeout func()
+}
+
+// Watch watches a collection, over broken connections, until handle ends it or the context is done, and then returns nil. Bookmarks do not
+// reach handle.
+func (c *Client) Watch(ctx context.Context, options WatchOptions, handle EventHandler) error {
+	w := watcher{client: c, options: options, handle: handle}
+	for attempts := 0; ; {
+		err := w.connect(ctx)
+		var failed *WatchError
+		if errors.As(err, &failed) && !w.expired(err) {
+			return failed
+		}
+		if errors.Is(err, ErrStopWatch) || ctx.Err() != nil {
+			return nil
+		}
+		if errors.Is(err, errTimeout) {
+			continue
+		}
+		if w.received {
+			attempts = 0
+		}
+		if attempts++; options.MaxAttempts > 0 && attempts > options.MaxAttempts {
+			return fmt.Errorf("watch does not come about: %w", err)
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(min(time.Duration(attempts)*options.RetryStep, options.RetryMax)):
+		}
+	}
+}
+
+// watcher reads the connections of one watch, one after another.
+type watcher struct {
+	client   *Client
+	options  WatchOptions
+	handle   EventHandler
+	revision string // to resume from; "" to begin anew
+	received bool   // the present connection has brought an event
+}
+
+// expired reports whether the error says that the watch cannot be resumed from its revision.
+func (w *watcher) expired(err error) bool {
+	var failed *WatchError
+	if errors.As(err, &failed) {
+		return w.options.List != nil || failed.Code == http.StatusGone
+	}
+	var status *StatusError
+	return w.options.List != nil && errors.As(err, &status) &&
+		(status.Code == http.StatusGone || status.Code == http.StatusGatewayTimeout)
+}
+
+// connect makes one connection, after a list if that is due, and reads it to its end. It always returns an error.
+func (w *watcher) connect(ctx context.Context) error {
+	w.received = false
+	if w.revision == "" && w.options.List != nil {
+		revision, err := w.options.List(ctx)
+		if err != nil {
+			return err
+		}
+		w.revision = revision
+	}
+	timed, cancel := w.withTimeout(ctx)
+	defer cancel()
+	err := w.read(timed)
+	if w.expired(err) {
+		w.revision = ""
+	}
+	if errors.Is(context.Cause(timed), errTimeout) {
+		if w.options.OnConnectionTimeout != nil {
+			w.options.OnConnectionTimeout()
+		}
+		return errTimeout
+	}
+	return err
+}
+
+// withTimeout returns the context of one connection.
+func (w *watcher) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	if w.options.ConnectionTimeout <= 0 {
+		return context.WithCancel(ctx)
+	}
+	return context.WithTimeoutCause(ctx, w.options.ConnectionTimeout, errTimeout)
+}
+
+// read reads one connection to its end.
+func (w *watcher) read(ctx context.Context) error {
+	query := url.Values{}
+	maps.Copy(query, w.options.Query)
+	query.Set("watch", "true")
+	query.Set("allowWatchBookmarks", "true")
+	query.Set("resourceVersion", w.revision)
+	response, err := w.client.open(ctx, &Request{Method: http.MethodGet, Path: w.options.Path + "?" + query.Encode()})
+	if err != nil {
+		return err
+	}
+	defer closeBody(response)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(nil, maxWatchEventBytes)
+	for lines.Scan() {
+		if err := w.take(lines.Bytes()); err != nil {
+			return err
+		}
+	}
+	return errDisconnected
+}
+
+// take takes one line of a connection. A line that the break of the connection has cut short ends the connection: its event comes again.
+func (w *watcher) take(line []byte) error {
+	var event struct {
+		Type   watch.EventType `json:"type"`
+		Object json.RawMessage `json:"object"`
+	}
+	if json.Unmarshal(line, &event) != nil {
+		return errDisconnected
+	}
+	if event.Type == watch.Error {
+		var status metav1.Status
+		_ = json.Unmarshal(event.Object, &status) // the fields that could be decoded describe the error
+		return &WatchError{Code: int(status.Code), Message: status.Message}
+	}
+	var object struct {
+		Metadata struct {
+			ResourceVersion string `json:"resourceVersion"`
+		} `json:"metadata"`
+	}
+	if json.Unmarshal(event.Object, &object) != nil {
+		return errDisconnected
+	}
+	w.received = true
+	if event.Type != watch.Bookmark {
+		if err := w.handle(Event{Type: event.Type, Object: event.Object}); err != nil {
+			return err
+		}
+	}
+	w.revision = object.Metadata.ResourceVersion
+	return nil
+}
--- a/internal/lab/faultinjection/hostile.go
+++ b/internal/lab/faultinjection/hostile.go
@@ -3,7 +3,6 @@
 package faultinjection
 
 import (
-	"bytes"
 	"context"
 	"fmt"
 	"io"
@@ -12,6 +11,7 @@
 	"strings"
 	"time"
 
+	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/lab/simulation"
 )
 
@@ -43,9 +43,7 @@
 	selectorRequirements  = 2000
 	largestExponent       = "1e1000000000"
 	smallestExponent      = "1e-2147483647"
-	jsonPatchType         = "application/json-patch+json"
-	strategicMergeType    = "application/strategic-merge-patch+json"
-	defaultNamespaceJobs  = "/apis/batch/v1/namespaces/default/jobs"
+	attackedNamespace     = "default"
 	escapedNamespacePods  = "/api/v1/namespaces/default%2Fx/pods"
 	unreadWatchRequest    = "GET /api/v1/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"
 	unreadListRequest     = "GET /api/v1/pods HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -54,8 +52,9 @@
 
 // expensiveRequests returns requests that are small to send and would be costly to process, one for each way in. Package api has a test for
 // each.
-func expensiveRequests() []apiRequest {
-	node := "/api/v1/nodes/" + simulation.NodeName(0)
+func expensiveRequests() []apiclient.Request {
+	node := apiclient.NodePath(simulation.NodeName(0))
+	jobs := apiclient.JobsPath(attackedNamespace)
 	operations := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
 	for i := range patchCopies {
 		operations = append(operations, fmt.Sprintf(`{"op":"copy","from":"/metadata","path":"/metadata/annotations/x%d"}`, i))
@@ -63,15 +62,15 @@
 	doublingPatch := "[" + strings.Join(operations, ",") + "]"
 	deepObject := strings.Repeat(`{"a":`, nestingDepth) + "1" + strings.Repeat("}", nestingDepth)
 	manyContainers := `{"spec":{"template":{"spec":{"containers":[` + strings.Repeat("{},", containerCount) + `{}]}}}}`
-	return []apiRequest{
-		{http.MethodPatch, node, jsonPatchType, []byte(doublingPatch)},
-		{http.MethodPatch, node, mergePatchType, []byte(deepObject)},
-		{http.MethodPatch, node, strategicMergeType, []byte(deepObject)},
-		{http.MethodPost, defaultNamespaceJobs, jsonType, jobRequesting(largestExponent)},
-		{http.MethodPost, defaultNamespaceJobs, jsonType, jobRequesting(smallestExponent)},
-		{http.MethodPost, defaultNamespaceJobs, jsonType, []byte(manyContainers)},
-		{http.MethodGet, "/api/v1/pods?labelSelector=" + strings.Repeat("a,", selectorRequirements) + "a", "", nil},
-		{http.MethodGet, escapedNamespacePods, "", nil},
+	return []apiclient.Request{
+		{Method: http.MethodPatch, Path: node, ContentType: apiclient.JSONPatch, Body: []byte(doublingPatch)},
+		{Method: http.MethodPatch, Path: node, ContentType: apiclient.MergePatch, Body: []byte(deepObject)},
+		{Method: http.MethodPatch, Path: node, ContentType: apiclient.StrategicMergePatch, Body: []byte(deepObject)},
+		{Method: http.MethodPost, Path: jobs, ContentType: apiclient.JSON, Body: jobRequesting(largestExponent)},
+		{Method: http.MethodPost, Path: jobs, ContentType: apiclient.JSON, Body: jobRequesting(smallestExponent)},
+		{Method: http.MethodPost, Path: jobs, ContentType: apiclient.JSON, Body: []byte(manyContainers)},
+		{Method: http.MethodGet, Path: "/api/v1/pods?labelSelector=" + strings.Repeat("a,", selectorRequirements) + "a"},
+		{Method: http.MethodGet, Path: escapedNamespacePods},
 	}
 }
 
@@ -106,17 +105,12 @@
 }
 
 // sendExpensive sends an expensive request and counts how it was answered, if it was.
-func (r *runner) sendExpensive(ctx context.Context, scheduler string, request *apiRequest) {
-	httpRequest, err := http.NewRequestWithContext(ctx, request.method, r.baseURL(scheduler)+request.path, bytes.NewReader(request.body))
+func (r *runner) sendExpensive(ctx context.Context, scheduler string, request *apiclient.Request) {
+	response, err := r.apiOf(scheduler).Send(ctx, request)
 	if err != nil {
 		return
 	}
-	httpRequest.Header.Set("Content-Type", request.contentType)
-	response, err := r.client.Do(httpRequest)
-	if err != nil {
-		return
-	}
-	discard(response)
+	apiclient.Discard(response)
 	r.update(func(f *Figures) {
 		f.Hostile.ExpensiveRequests++
 		switch {
@@ -129,7 +123,7 @@
 }
 
 func (s *stalledConnections) openAll() {
-	incompleteBody := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n{", defaultNamespaceJobs, incompleteBodyBytes)
+	incompleteBody := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n{", apiclient.JobsPath(attackedNamespace), incompleteBodyBytes)
 	s.openEach(unreadWatches, unreadWatchRequest)
 	s.openEach(incompleteRequests/2, incompleteBody)
 	s.openEach(incompleteRequests/2, incompleteHeadRequest)
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"heathshed/internal/config"
+	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/simulation"
 )
@@ -27,6 +28,7 @@
 	addressPrefix   = "http://" // before the address in the first line that a process prints
 	emulatorCommand = "emulate" // subcommand that runs a node or an inventory
 
+	readyPath        = "/readyz"
 	readyPolls       = 300
 	readyInterval    = 50 * time.Millisecond
 	restartAttempts  = 20
@@ -205,8 +207,8 @@
 // waitReady polls a scheduler until it is ready.
 func (r *runner) waitReady(ctx context.Context, name string) error {
 	for range readyPolls {
-		if response, err := r.get(ctx, name, "/readyz"); err == nil {
-			discard(response)
+		if response, err := r.apiOf(name).Send(ctx, &apiclient.Request{Method: http.MethodGet, Path: readyPath}); err == nil {
+			apiclient.Discard(response)
 			if response.StatusCode == http.StatusOK {
 				return nil
 			}
