--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -2,38 +2,21 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"strings"
 	"testing"
 
-	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
 )
 
-func newPodServer(n int) *Server {
-	st := store.New(100, 50)
-	for i := range n {
-		p := &corev1.Pod{}
-		p.Namespace, p.Name = "default", "p"+string(rune('a'+i))
-		p.Labels = map[string]string{"odd": string(rune('0' + i%2))}
-		p.Status.Phase = corev1.PodPending
-		st.Put(store.Pods, p)
-	}
-	return &Server{Store: st}
-}
-
-// getAs sends a GET with an Accept header field.
-func (s *Server) getAs(target, accept string) http1.Response {
-	return s.Serve(1000, &http1.Request{Head: &http1.Head{Method: "GET", Target: target, Minor: 1, Header: http1.Header{{Name: "Accept", Value: accept}}}})
-}
-
 // TestTables sends what kubectl get sends, which is answered with rows.
 func TestTables(t *testing.T) {
-	s := newPodServer(5)
+	server := newPodServer(5)
 	const kubectl = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json;as=Table;v=v1beta1;g=meta.k8s.io,application/json"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, target, accept string
 		kind                 string
 		rows                 int
@@ -45,16 +28,16 @@
 		{"selector", "/api/v1/pods?labelSelector=odd%3D1", kubectl, "Table", 2, false},
 		{"plain JSON preferred", "/api/v1/pods", "application/json," + kubectl, "PodList", 0, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			resp := s.getAs(c.target, c.accept)
+		t.Run(test.name, func(t *testing.T) {
+			response := server.getAs(test.target, test.accept)
 			var table metav1.Table
-			if err := json.Unmarshal(resp.Body, &table); err != nil || resp.Status != 200 {
-				t.Fatalf("status %d, %v", resp.Status, err)
+			if err := json.Unmarshal(response.Body, &table); err != nil || response.Status != 200 {
+				t.Fatalf("status %d, %v", response.Status, err)
 			}
-			if table.Kind != c.kind || len(table.Rows) != c.rows || (table.Continue != "") != c.more {
+			if table.Kind != test.kind || len(table.Rows) != test.rows || (table.Continue != "") != test.more {
 				t.Fatalf("%s with %d rows, continue %q", table.Kind, len(table.Rows), table.Continue)
 			}
-			if c.kind != "Table" {
+			if test.kind != "Table" {
 				return
 			}
 			row := table.Rows[0]
@@ -68,58 +51,61 @@
 	}
 }
 
+// pullEventTypes pulls one piece of a watch and returns the types of its events, each of which must be one line.
+func pullEventTypes(t *testing.T, stream http1.Stream, size int) (eventTypes []string, done bool) {
+	t.Helper()
+	piece, done := stream.Pull(nil, size)
+	for line := range strings.Lines(string(piece)) {
+		var event struct{ Type string }
+		if err := json.Unmarshal([]byte(line), &event); err != nil {
+			t.Fatalf("not an event: %q", line)
+		}
+		eventTypes = append(eventTypes, event.Type)
+	}
+	return eventTypes, done
+}
+
 // TestWatchSelectorsAndExpiry checks that an object that begins or ceases to match a selector is added or deleted, that a watch whose place is
 // no longer in the history gets an error, and that an event is one line.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
-	s := newPodServer(2)
-	resp := s.getAs("/api/v1/pods?watch=1&labelSelector=odd%3D1&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan", "")
-	if resp.Stream == nil {
-		t.Fatalf("no stream: %d %s", resp.Status, resp.Body)
-	}
-	var kinds []string
-	pull := func(room int) (done bool) {
-		var b []byte
-		b, done = resp.Stream.Pull(nil, room)
-		for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
-			var ev struct{ Type string }
-			if line != "" && json.Unmarshal([]byte(line), &ev) != nil {
-				t.Fatalf("not an event: %q", line)
-			}
-			if line != "" {
-				kinds = append(kinds, ev.Type)
-			}
-		}
-		return done
-	}
-	pull(1 << 20)
+	server := newPodServer(2)
 	put := func(name, odd string) {
-		p := &corev1.Pod{}
-		p.Namespace, p.Name, p.Labels = "default", name, map[string]string{"odd": odd}
-		s.Store.Put(store.Pods, p)
+		pod := newPod(name)
+		pod.Labels = map[string]string{"odd": odd}
+		server.Store.Put(store.Pods, pod)
+	}
+	const options = "&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan"
+	response := server.getAs("/api/v1/pods?watch=1&labelSelector=odd%3D1"+options, "")
+	if response.Stream == nil {
+		t.Fatalf("no stream: %d %s", response.Status, response.Body)
 	}
+	events, _ := pullEventTypes(t, response.Stream, 1<<20)
+
 	put("pa", "1")
 	put("pb", "0")
 	put("pa", "1")
 	put("pb", "0")
-	s.Store.Delete(store.Pods, "default", "pa")
-	s.Store.Delete(store.Pods, "default", "pb")
-	for !strings.HasSuffix(strings.Join(kinds, " "), "MODIFIED DELETED") {
-		if pull(1) { // as little at a time as a slow reader takes
-			t.Fatalf("ended after %v", kinds)
+	server.Store.Delete(store.Pods, "default", "pa")
+	server.Store.Delete(store.Pods, "default", "pb")
+	for !strings.HasSuffix(strings.Join(events, " "), "MODIFIED DELETED") {
+		pulled, done := pullEventTypes(t, response.Stream, 1) // as little at a time as a slow reader takes
+		events = append(events, pulled...)
+		if done {
+			t.Fatalf("ended after %v", events)
 		}
 	}
-	if got := strings.Join(kinds, " "); got != "ADDED BOOKMARK ADDED DELETED MODIFIED DELETED" {
-		t.Errorf("events %s", got)
+	if got, want := strings.Join(events, " "), "ADDED BOOKMARK ADDED DELETED MODIFIED DELETED"; got != want {
+		t.Errorf("events %s, want %s", got, want)
 	}
+
 	for i := range 60 {
 		put("px", string(rune('0'+i%2)))
 	}
-	kinds = nil
-	if !pull(1<<20) || strings.Join(kinds, "") != "ERROR" {
-		t.Errorf("after its place was no longer in the history: %v", kinds)
+	if events, done := pullEventTypes(t, response.Stream, 1<<20); !done || !slices.Equal(events, []string{"ERROR"}) {
+		t.Errorf("after its place was no longer in the history: %v, done %v", events, done)
 	}
-	resp.Stream.Close()
-	if s.Watchers() != 0 {
+	response.Stream.Close()
+	if server.Watchers() != 0 {
 		t.Error("a watch that ended is still counted")
 	}
 }
--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -13,9 +13,7 @@
 func benchmarkStore(pods int) *store.Store {
 	objects := store.New(100, 5000)
 	for i := range pods {
-		pod := &corev1.Pod{}
-		pod.Namespace = "default"
-		pod.Name = fmt.Sprintf("pod-%04d", i)
+		pod := newPod(fmt.Sprintf("pod-%04d", i))
 		pod.Labels = map[string]string{"team": "a"}
 		pod.Status.Phase = corev1.PodRunning
 		objects.Put(store.Pods, pod)
@@ -25,19 +23,19 @@
 
 // BenchmarkGet serves GET of one Pod.
 func BenchmarkGet(b *testing.B) {
-	s := &Server{Store: benchmarkStore(100)}
+	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.getAs("/api/v1/namespaces/default/pods/pod-0042", jsonType)
+		server.getAs("/api/v1/namespaces/default/pods/pod-0042", jsonType)
 	}
 }
 
 // BenchmarkList serves a list of 100 Pods with a label selector.
 func BenchmarkList(b *testing.B) {
-	s := &Server{Store: benchmarkStore(100)}
+	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.getAs("/api/v1/namespaces/default/pods?labelSelector=team%3Da", jsonType)
+		server.getAs("/api/v1/namespaces/default/pods?labelSelector=team%3Da", jsonType)
 	}
 }
 
@@ -45,11 +43,11 @@
 func BenchmarkWatchPull(b *testing.B) {
 	for _, accept := range []string{jsonType, binaryType} {
 		b.Run(accept, func(b *testing.B) {
-			s := &Server{Store: benchmarkStore(1000)}
+			server := &Server{Store: benchmarkStore(1000)}
 			var buffer []byte
 			b.ReportAllocs()
 			for b.Loop() {
-				stream := s.getAs("/api/v1/pods?watch=1", accept).Stream
+				stream := server.getAs("/api/v1/pods?watch=1", accept).Stream
 				buffer, _ = stream.Pull(buffer[:0], 1<<20)
 				stream.Close()
 			}
--- /dev/null
+++ b/internal/kube/api/characterization_reads_test.go
@@ -0,0 +1,66 @@
+package api
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// TestCharacterizeReads pins lists, gets, tables, selectors, pages, discovery and their errors.
+func TestCharacterizeReads(t *testing.T) {
+	session := newSession(t)
+	session.fill()
+	collections := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
+	for _, target := range append(collections, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
+		for _, accept := range []string{"", jsonType, tableTypes, binaryType, binaryType + "," + jsonType, "text/html", "*/*"} {
+			session.send("GET", target, "", "Accept", accept)
+		}
+		session.send("HEAD", target, "")
+		session.send("GET", target+"?includeObject=Object", "", "Accept", tableTypes)
+		session.send("GET", target+"?includeObject=None", "", "Accept", tableTypes)
+	}
+	session.readSelections(collections)
+	for _, target := range []string{
+		"/", "/api", "/apis", "/version", "/api/v1", "/apis/batch", "/apis/batch/v1", "/livez", "/readyz", "/healthz",
+		"/metrics", "/nowhere", "/api/v2", "/apis/apps/v1/deployments", podsPath + "/missing", jobsPath + "/missing", "/api/v1/nodes/missing",
+		"/api/v1/namespaces/UPPER/pods", podsPath + "/a%2Fb", podsPath + "/x/log", "/api/v1/pods?x=%zz", "http://host/version", "http://host",
+		podsPath + "/x/status", jobsPath + "/job-1/scale", "/api/v1/namespaces/default/nodes", "/%zz",
+	} {
+		session.get(target)
+	}
+	session.send("GET", "/api/v1/pods", "", "Content-Encoding", "gzip")
+	session.server.Ready = func() error { return errors.New("not yet") }
+	session.get("/readyz")
+	session.record.Check(t, "reads")
+}
+
+func (session *apiSession) readSelections(collections []string) {
+	for _, target := range collections {
+		for _, query := range []string{
+			"limit=2", "limit=-1", "limit=x", "resourceVersion=0", "resourceVersion=1", "resourceVersion=x",
+			"resourceVersion=99999999", "resourceVersion=1010&resourceVersionMatch=Exact", "resourceVersion=1010&resourceVersionMatch=NotOlderThan",
+			"resourceVersionMatch=Exact", "resourceVersionMatch=Other&resourceVersion=1", "labelSelector=team%3Da", "labelSelector=team!%3Da",
+			"labelSelector=heathshed.io/class+in+(web,batch)", "labelSelector=%3D%3D", "fieldSelector=metadata.name%3Djob-1",
+			"fieldSelector=status.phase%3DRunning", "fieldSelector=spec.unschedulable%3Dfalse", "fieldSelector=status.successful%3D0",
+			"fieldSelector=other%3D1", "fieldSelector=%21", "continue=x", "continue=bogus&limit=1",
+			"labelSelector=a" + strings.Repeat(",a", 120),
+		} {
+			session.get(target + "?" + query)
+		}
+		session.pages(target)
+	}
+}
+
+// pages follows the pages of a list.
+func (session *apiSession) pages(target string) {
+	next := ""
+	for range 6 {
+		body := string(session.get(target + "?limit=3" + next).Body)
+		_, token, found := strings.Cut(body, `"continue":"`)
+		if !found {
+			return
+		}
+		token, _, _ = strings.Cut(token, `"`)
+		next = "&continue=" + token
+	}
+}
--- /dev/null
+++ b/internal/kube/api/characterization_writes_test.go
@@ -0,0 +1,209 @@
+package api
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/config"
+)
+
+// TestCharacterizeWrites pins creations, updates, patches, evictions, deletions and their errors.
+func TestCharacterizeWrites(t *testing.T) {
+	session := newSession(t)
+	session.fill()
+	session.createJobs()
+	session.patchObjects()
+	session.replaceObjects()
+	session.removeObjects()
+	session.engine.Stop(session.now)
+	session.post(jobsPath, jobText("too-late", "", 1))
+	session.server.Engine = nil
+	session.post(jobsPath, jobText("read-only", "", 1))
+	session.get("/apis/batch/v1/jobs")
+	session.record.Check(t, "writes")
+}
+
+func (session *apiSession) createJobs() {
+	good := jobText("new", "", 2)
+	goodWith := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
+	for _, body := range []string{
+		"", "{", "[]", "null", `"x"`, "{}", good, good, jobText("Bad_Name", "", 1), jobText("many", "", 1<<28),
+		goodWith(`"name":"new"`, `"generateName":"made-"`),
+		goodWith(`"Never"`, `"Always"`),
+		goodWith(`"Never"`, `"OnFailure"`),
+		goodWith("500m", "-1"),
+		goodWith("500m", "x"),
+		goodWith(`"web"`, `"unknown"`),
+		goodWith(`"spec":`, `"unknown":1,"spec":`),
+		goodWith(`"completions":2`, `"completions":-2`),
+		goodWith(`"kind":"Job"`, `"kind":"Pod"`),
+		goodWith(`"batch/v1"`, `"batch/v2"`),
+		goodWith(`"backoffLimit":1`, `"backoffLimit":-1`),
+		goodWith(`"backoffLimit":1`, `"completionMode":"Indexed"`),
+		goodWith(`"backoffLimit":1`, `"completionMode":"Other"`),
+		goodWith(`"backoffLimit":1`, `"ttlSecondsAfterFinished":-1`),
+		goodWith(`"backoffLimit":1`, `"manualSelector":true`),
+		goodWith(`"backoffLimit":1`, `"activeDeadlineSeconds":0`),
+		goodWith(`"backoffLimit":1`, `"suspend":true`),
+		goodWith(`"name":"new"`, `"name":"other","namespace":"elsewhere"`),
+		jobText("hosts", `,"nodeName":"n"`, 1),
+		jobText("chosen", `,"nodeSelector":{"a":"b"}`, 1),
+		jobText("empty", `,"initContainers":[{"name":"i","image":"j"}]`, 1),
+		goodWith(`"containers":[`, `"containers":[],"other":[`),
+	} {
+		session.post(jobsPath, body)
+		session.advance(0.05)
+	}
+	for _, query := range []string{"dryRun=All", "dryRun=Some", "fieldValidation=Strict", "fieldValidation=Warn", "fieldValidation=Ignore",
+		"fieldValidation=Other", "fieldManager=x"} {
+		body := strings.Replace(jobText("with-query", "", 1), `"spec":`, `"unknown":1,"spec":`, 1)
+		session.post(jobsPath+"?"+query, body)
+	}
+	session.send("POST", jobsPath, good, "Content-Type", "text/plain")
+	session.send("POST", jobsPath, good)
+	session.send("POST", jobsPath, "apiVersion: batch/v1", "Content-Type", "application/yaml")
+	session.send("POST", jobsPath, binaryJob("binary"), "Content-Type", binaryType)
+	session.send("POST", jobsPath, binaryJob("binary-answer"), "Content-Type", binaryType, "Accept", binaryType)
+	session.send("POST", jobsPath, "k8s\x00rubbish", "Content-Type", binaryType)
+	session.post("/api/v1/nodes", "{}")
+	session.post(podsPath, "{}")
+	session.post("/apis", "{}")
+}
+
+// binaryJob returns a Job in the protobuf encoding.
+func binaryJob(name string) string {
+	job := &batchv1.Job{}
+	job.Name = name
+	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	job.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image"}}
+	encoded, _ := job.Marshal()
+	return binaryObject("batch/v1", "Job", encoded)
+}
+
+// patch is the body of a PATCH request with its media type.
+type patch struct{ mediaType, body string }
+
+func (session *apiSession) patchObjects() {
+	for _, change := range []patch{
+		{mergePatchType, `{"metadata":{"labels":{"team":"b"}}}`},
+		{mergePatchType, `{"spec":{"suspend":true}}`},
+		{mergePatchType, `{"spec":{"suspend":false}}`},
+		{mergePatchType, `{"spec":{"parallelism":1}}`},
+		{mergePatchType, `{"spec":{"completions":9}}`},
+		{mergePatchType, `{"metadata":{"resourceVersion":"1"}}`},
+		{mergePatchType, `{"metadata":{"name":"x"}}`},
+		{mergePatchType, `{`},
+		{mergePatchType, `[]`},
+		{mergePatchType, `{"spec":{"unknown":1}}`},
+		{mergePatchType, `{"spec":{"template":{"spec":{"containers":[]}}}}`},
+		{strategicPatchType, `{"metadata":{"annotations":{"a":"b"}}}`},
+		{strategicPatchType, `{"spec":{"template":{"spec":{"containers":[{"name":"main","image":"x"}]}}}}`},
+		{jsonPatchType, `[{"op":"add","path":"/metadata/labels/x","value":"y"}]`},
+		{jsonPatchType, `[{"op":"test","path":"/metadata/name","value":"z"}]`},
+		{jsonPatchType, `[{"op":"remove","path":"/none"}]`},
+		{jsonPatchType, `{}`},
+		{jsonPatchType, `[{"op":"replace","path":"/spec/parallelism","value":"x"}]`},
+		{"application/apply-patch+yaml", "a: b"},
+		{jsonType, "{}"},
+		{"", "{}"},
+	} {
+		session.patch(jobsPath+"/job-3", change)
+		session.patch(jobsPath+"/job-2?dryRun=All", change)
+		session.advance(0.2)
+	}
+	for _, change := range []patch{
+		{mergePatchType, `{"spec":{"unschedulable":true}}`},
+		{strategicPatchType, `{"spec":{"unschedulable":null}}`},
+		{strategicPatchType, `{"spec":{"unschedulable":true}}`},
+		{mergePatchType, `{"spec":{"unschedulable":false}}`},
+		{mergePatchType, `{"metadata":{"labels":{"x":"y"}}}`},
+		{mergePatchType, `{"metadata":{"labels":{"heathshed.io/rack":"other"}}}`},
+		{mergePatchType, `{"metadata":{"labels":{"bad key!":"y"}}}`},
+		{mergePatchType, `{"spec":{"taints":[{"key":"a","effect":"NoSchedule"}]}}`},
+		{mergePatchType, `{"spec":{"podCIDR":"10.0.0.0/8"}}`},
+	} {
+		session.patch(nodePath, change)
+		session.advance(0.1)
+	}
+	for _, path := range []string{"/api/v1/nodes/missing", jobsPath + "/missing", jobsPath + "/job-3/status", podsPath + "/x"} {
+		session.patch(path, patch{mergePatchType, "{}"})
+	}
+}
+
+func (session *apiSession) patch(target string, change patch) {
+	session.send("PATCH", target, change.body, "Content-Type", change.mediaType)
+}
+
+func (session *apiSession) replaceObjects() {
+	current := string(session.get(jobsPath + "/job-3").Body)
+	node := string(session.get(nodePath).Body)
+	session.sendJSON("PUT", jobsPath+"/job-3", current)
+	session.sendJSON("PUT", jobsPath+"/job-3", strings.Replace(current, `"parallelism":1`, `"parallelism":3`, 1))
+	session.sendJSON("PUT", jobsPath+"/job-3", current) // of an older revision
+	session.sendJSON("PUT", jobsPath+"/job-2", current) // of another name
+	session.sendJSON("PUT", jobsPath+"/missing", jobText("missing", "", 1))
+	session.sendJSON("PUT", jobsPath+"/job-3", "{}")
+	session.sendJSON("PUT", nodePath, node)
+	session.sendJSON("PUT", nodePath, strings.Replace(node, `"spec":{`, `"spec":{"unschedulable":true,`, 1))
+	session.sendJSON("PUT", nodePath, "{}")
+	session.get("/api/v1/nodes")
+}
+
+func (session *apiSession) removeObjects() {
+	names := session.podNames()
+	eviction := `{"apiVersion":"policy/v1","kind":"Eviction","metadata":{"name":%q}}`
+	session.post(podsPath+"/"+names[0]+"/eviction", fmt.Sprintf(eviction, names[0]))
+	session.post(podsPath+"/"+names[1]+"/eviction", fmt.Sprintf(eviction, "other"))
+	session.post(podsPath+"/missing/eviction", fmt.Sprintf(eviction, "missing"))
+	session.post(podsPath+"/"+names[1]+"/eviction", "{")
+	session.post(podsPath+"/"+names[1]+"/eviction", "")
+	session.get(podsPath + "/" + names[1] + "/eviction")
+	session.advance(0.5)
+	session.delete(podsPath + "/" + names[2] + "?dryRun=All")
+	session.delete(podsPath + "/" + names[2])
+	session.sendJSON("DELETE", podsPath+"/"+names[3], `{"preconditions":{"uid":"other"}}`)
+	session.delete(podsPath + "/missing")
+	session.advance(0.5)
+	for i, query := range []string{"", "?propagationPolicy=Foreground", "?propagationPolicy=Orphan", "?propagationPolicy=Other", "?gracePeriodSeconds=0",
+		"?dryRun=All"} {
+		session.delete(fmt.Sprintf("%s/job-%d%s", jobsPath, i%4, query))
+	}
+	session.sendJSON("DELETE", jobsPath+"/new", `{"kind":"DeleteOptions","apiVersion":"v1","propagationPolicy":"Background"}`)
+	session.sendJSON("DELETE", jobsPath+"/binary", `{`)
+	session.sendJSON("DELETE", jobsPath+"/binary", `{"orphanDependents":true}`)
+	session.delete(nodePath)
+	session.delete(podsPath + "?labelSelector=heathshed.io/class%3Dweb")
+	session.delete(podsPath + "?labelSelector=%3D")
+	session.advance(2)
+	session.delete(jobsPath + "?dryRun=All")
+	session.delete(jobsPath + "?limit=1")
+	session.delete(jobsPath)
+	session.advance(2)
+	session.get(podsPath)
+}
+
+func (session *apiSession) podNames() []string {
+	var names []string
+	for _, part := range strings.Split(string(session.get(podsPath).Body), `"metadata":{"name":"`)[1:] {
+		name, _, _ := strings.Cut(part, `"`)
+		names = append(names, name)
+	}
+	return names
+}
+
+// TestCharacterizeFullServer pins the answer to a Job for which there is no capacity.
+func TestCharacterizeFullServer(t *testing.T) {
+	settings := config.Default()
+	cfg := settings.Engine(1, 1000)
+	cfg.MaxPods = 5
+	session := newSessionWith(t, cfg)
+	for i := range 3 {
+		session.post(jobsPath, jobText(fmt.Sprintf("job-%d", i), "", 3))
+		session.advance(0.1)
+	}
+	session.record.Check(t, "full")
+}
--- /dev/null
+++ b/internal/kube/api/session_test.go
@@ -0,0 +1,177 @@
+package api
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/config"
+	"heathshed/internal/kube/engine"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/goldentest"
+)
+
+// sessionStart is the time of a session's first request, in Unix seconds.
+const sessionStart = 1.8e9
+
+// apiSession sends requests to one server at increasing times and records status, header fields and body bytes of the responses.
+//
+// Golden files are written with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package goldentest.
+type apiSession struct {
+	server *Server
+	engine *engine.Engine
+	now    float64
+	record *goldentest.Recorder
+}
+
+func newSession(t *testing.T) *apiSession {
+	t.Helper()
+	settings := config.Default()
+	return newSessionWith(t, settings.Engine(1, 1000))
+}
+
+// newSessionWith returns a session with a scheduler that knows three nodes.
+func newSessionWith(t *testing.T, cfg engine.Config) *apiSession {
+	t.Helper()
+	core, err := engine.New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	session := &apiSession{
+		server: &Server{Store: core.Store(), Engine: core, Version: "test", DefaultListLimit: 50},
+		engine: core,
+		now:    sessionStart,
+		record: goldentest.NewRecorder(),
+	}
+	session.server.Metrics = func() []byte { return []byte("metric 1\n") }
+	var nodes []*corev1.Node
+	for i, nodeType := range []string{"standard", "large", "standard"} {
+		nodes = append(nodes, listedNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
+	}
+	core.NodesListed(session.now, engine.FullList, nodes, nil)
+	for _, node := range nodes {
+		core.NodePods(session.now, node.Name, node.Status.NodeInfo.BootID, 1, nil)
+	}
+	return session
+}
+
+func listedNode(name, nodeType string, index int) *corev1.Node {
+	node := &corev1.Node{}
+	node.Name = name
+	node.Labels = map[string]string{wellknown.Kind: nodeType, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
+	node.Annotations = map[string]string{wellknown.FreeCapacity: "cores=16.0, memory=32.0"}
+	node.Status.NodeInfo.BootID = "boot-" + name
+	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
+	node.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0." + strconv.Itoa(index+1)}}
+	node.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
+	return node
+}
+
+// advance runs timers for some seconds; nodes accept every attempt and report that the task runs.
+func (session *apiSession) advance(seconds float64) {
+	for until := session.now + seconds; session.now < until; {
+		session.now = min(max(session.engine.NextWake(), session.now+0.01), until)
+		session.engine.Tick(session.now)
+		for _, effect := range session.engine.Ready(nil) {
+			switch effect.Kind {
+			case engine.SendAttempt:
+				pod := effect.Pod.DeepCopy()
+				pod.Status.Phase = corev1.PodRunning
+				session.engine.AttemptDone(session.now, engine.AttemptAnswer{
+					UID:         effect.UID,
+					Attempt:     effect.Attempt,
+					Node:        effect.Node,
+					Accepted:    true,
+					Revision:    2,
+					Incarnation: "boot-" + effect.Node,
+					Pod:         pod,
+				})
+			case engine.StopTask:
+				session.engine.StopDone(session.now, engine.StopAnswer{
+					UID:         effect.UID,
+					Node:        effect.Node,
+					Attempt:     effect.Attempt,
+					Answered:    true,
+					HadTask:     true,
+					MayHaveRun:  true,
+					Incarnation: "boot-" + effect.Node,
+				})
+			}
+		}
+	}
+}
+
+// send makes a request and records the response; header holds names and values in turn.
+func (session *apiSession) send(method, target, body string, header ...string) http1.Response {
+	response := session.server.Serve(session.now, newRequest(method, target, body, header...))
+	session.record.Line("%s %s %s -> %d %q, %d bytes, %s", method, target, strings.Join(header, " "),
+		response.Status, fieldTexts(response.Header), len(response.Body), digest(response.Body))
+	if response.Status >= 400 {
+		session.record.Line("  %s", response.Body)
+	}
+	return response
+}
+
+func (session *apiSession) get(target string) http1.Response { return session.send("GET", target, "") }
+
+func (session *apiSession) delete(target string) { session.send("DELETE", target, "") }
+
+func (session *apiSession) post(target, body string) { session.sendJSON("POST", target, body) }
+
+func (session *apiSession) sendJSON(method, target, body string) {
+	session.send(method, target, body, "Content-Type", jsonType)
+}
+
+func fieldTexts(header []http1.Field) []string {
+	var texts []string
+	for _, field := range header {
+		texts = append(texts, field.Name+": "+field.Value)
+	}
+	return texts
+}
+
+func digest(text []byte) string {
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:])
+}
+
+// watch begins a watch whose response must be a stream.
+func (session *apiSession) watch(t *testing.T, target string, header ...string) http1.Stream {
+	t.Helper()
+	response := session.send("GET", target, "", header...)
+	if response.Stream == nil {
+		t.Fatalf("%s: no stream: %d", target, response.Status)
+	}
+	return response.Stream
+}
+
+// pull records what a watch has to send, in pieces of about the given size.
+func (session *apiSession) pull(label string, stream http1.Stream, size int) {
+	for range 40 {
+		piece, done := stream.Pull(nil, size)
+		session.record.Line("%s: %d bytes, %s, done %v", label, len(piece), digest(piece), done)
+		if done || len(piece) == 0 {
+			return
+		}
+	}
+}
+
+func jobText(name, extra string, tasks int) string {
+	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q,"labels":{"team":"a"}},"spec":{"completions":%d,"parallelism":%d,`+
+		`"backoffLimit":1,"template":{"metadata":{"labels":{"heathshed.io/class":"web","heathshed.io/service":"s"}},"spec":{"restartPolicy":"Never",`+
+		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, tasks, tasks, extra)
+}
+
+// fill creates Jobs, some of which run.
+func (session *apiSession) fill() {
+	for i := range 4 {
+		session.post(jobsPath, jobText(fmt.Sprintf("job-%d", i), "", i+1))
+		session.advance(0.7)
+	}
+}
