--- a/cmd/heathshed/emulate.go
+++ b/cmd/heathshed/emulate.go
@@ -118,9 +118,9 @@
 // inventoryOptions returns the options of an inventory without its address.
 func inventoryOptions(settings *config.Settings) emulator.InventoryOptions {
 	return emulator.InventoryOptions{
-		PublishDelay:      settings.Emulator.ReportDelay,
-		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter,
-		RemoveAfter:       settings.Emulator.RemoveAfter,
+		PublishDelay:      settings.Emulator.ReportDelay.Seconds(),
+		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter.Seconds(),
+		RemoveAfter:       settings.Emulator.RemoveAfter.Seconds(),
 	}
 }
 
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -62,7 +62,7 @@
 	}
 	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", settings.Inventory).Str("name", settings.Name).Msg("scheduler listens")
 	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
-	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout, loop.Stop) })
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout.Seconds(), loop.Stop) })
 	return loop.Run()
 }
 
@@ -86,8 +86,8 @@
 		InventoryAddress:        settings.Inventory,
 		Version:                 version,
 		HTTP:                    http,
-		ConnectTimeoutSeconds:   settings.ConnectTimeout,
-		NodeSyncTimeoutSeconds:  settings.NodeSyncTimeout,
+		ConnectTimeoutSeconds:   settings.ConnectTimeout.Seconds(),
+		NodeSyncTimeoutSeconds:  settings.NodeSyncTimeout.Seconds(),
 		MaxListItems:            settings.Limits.MaxPage,
 		WatchIdleTimeoutSeconds: watchIdleTimeout,
 		Log:                     log,
@@ -151,7 +151,7 @@
 	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
 	emulatorDone := make(chan error, 1)
 	go func() { emulatorDone <- emulatorLoop.Run() }()
-	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout, loop.Stop) })
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout.Seconds(), loop.Stop) })
 	err = loop.Run()
 	emulatorLoop.Stop()
 	if emulatorErr := <-emulatorDone; emulatorErr != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,7 @@
 	"os"
 )
 
-// Settings configure a scheduler and the emulator. Times are in seconds, memory is in GiB unless said otherwise.
+// Settings configure a scheduler and the emulator. Memory is in GiB unless said otherwise.
 type Settings struct {
 	Name            string     `json:"name"`      // of the scheduler
 	Listen          string     `json:"listen"`    // loopback address of the API
@@ -22,17 +22,17 @@
 	Tenants         []Tenant   `json:"tenants"`
 	Classes         []Class    `json:"classes"`
 	DefaultClass    string     `json:"defaultClass"`
-	NodeTypes       []NodeType `json:"kinds"`
-	NodePolicy      NodePolicy `json:"machines"`
-	Rules           Rules      `json:"rules"`
-	Costs           Costs      `json:"prices"`
-	Retry           Retry      `json:"owner"`
-	Admission       Admission  `json:"gate"`
+	NodeTypes       []NodeType `json:"nodeTypes"`
+	NodePolicy      NodePolicy `json:"nodePolicy"`
+	Timing          Timing     `json:"timing"`
+	Costs           Costs      `json:"costs"`
+	Retry           Retry      `json:"retry"`
+	Admission       Admission  `json:"admission"`
 	Limits          Limits     `json:"limits"`
-	Emulator        Emulator   `json:"standin"`
-	NodeSyncTimeout float64    `json:"heardWithin"` // how long the nodes found at the start have to list their tasks
-	ConnectTimeout  float64    `json:"connectWithin"`
-	ShutdownTimeout float64    `json:"stopWithin"` // for a graceful shutdown
+	Emulator        Emulator   `json:"emulator"`
+	NodeSyncTimeout Duration   `json:"nodeSyncTimeout"` // how long the nodes found at the start have to list their tasks
+	ConnectTimeout  Duration   `json:"connectTimeout"`
+	ShutdownTimeout Duration   `json:"shutdownTimeout"` // for a graceful shutdown
 }
 
 // Tenant is a namespace with a quota.
@@ -44,22 +44,22 @@
 
 // Class configures a class of tasks.
 type Class struct {
-	Name                string  `json:"name"`
-	Idempotency         string  `json:"effect"`   // idempotent, deduplicated or at_most_once
-	DedupDomain         string  `json:"keyScope"` // machine, rack, zone or all: where nodes deduplicate a task by its key
-	DedupWindow         float64 `json:"keyTtl"`   // how long they do
-	LatencyObjective    float64 `json:"aim"`      // for the placement of a task
-	Deadline            float64 `json:"deadline"`
-	Priority            int     `json:"priority"`
-	Weight              float64 `json:"worth"`     // of a task that is placed within the objective
-	LateWeight          float64 `json:"lateWorth"` // of one that is placed later
-	StartBonus          float64 `json:"startBonus"`
-	NodeType            string  `json:"nodeKind"`    // that the tasks need; "" for any
-	SpreadDomain        string  `json:"apartBy"`     // none, machine, rack or zone
-	MaxPerDomain        int     `json:"togetherMax"` // tasks of a service in one such domain
-	SaturationThreshold float64 `json:"calmUpTo"`    // utilization of a node up to which its tasks run at full speed
-	DegradationRange    float64 `json:"fadesOver"`   // utilization above that over which their speed falls
-	MeanLifetime        float64 `json:"life"`        // of emulated tasks
+	Name                string   `json:"name"`
+	Idempotency         string   `json:"idempotency"`      // idempotent, deduplicated or at_most_once
+	DedupDomain         string   `json:"dedupDomain"`      // node, rack, zone or cluster: where nodes deduplicate a task by its key
+	DedupWindow         Duration `json:"dedupWindow"`      // how long they do
+	LatencyObjective    Duration `json:"latencyObjective"` // for the placement of a task
+	Deadline            Duration `json:"deadline"`
+	Priority            int      `json:"priority"`
+	Weight              float64  `json:"weight"`     // of a task that is placed within the objective
+	LateWeight          float64  `json:"lateWeight"` // of one that is placed later
+	StartBonus          float64  `json:"startBonus"`
+	NodeType            string   `json:"nodeType"`            // that the tasks need; "" for any
+	SpreadDomain        string   `json:"spreadDomain"`        // none, node, rack or zone
+	MaxPerDomain        int      `json:"maxPerDomain"`        // tasks of a service in one such domain
+	SaturationThreshold float64  `json:"saturationThreshold"` // utilization of a node up to which its tasks run at full speed
+	DegradationRange    float64  `json:"degradationRange"`    // utilization above that over which their speed falls
+	MeanLifetime        Duration `json:"meanLifetime"`        // of emulated tasks
 }
 
 // NodeType is a type of node with its resources.
@@ -71,117 +71,133 @@
 
 // NodePolicy configures what holds for all nodes.
 type NodePolicy struct {
-	OvercommitCores     float64 `json:"bookCores"`          // factor on a node's cores
-	OvercommitMemory    float64 `json:"bookMemory"`         // factor on a node's memory
-	AcknowledgesOnStart bool    `json:"answersWhenRunning"` // a node answers when the task runs, not when it is accepted
-	ListShowsCapacity   bool    `json:"listShowsRoom"`      // the inventory shows the free capacity of nodes
-	Preempts            bool    `json:"pushesOut"`          // a node preempts tasks of lower priority
-	MaxAttempts         int     `json:"maxAttempts"`        // of one placement request
+	OvercommitCores     float64 `json:"overcommitCores"`     // factor on a node's cores
+	OvercommitMemory    float64 `json:"overcommitMemory"`    // factor on a node's memory
+	AcknowledgesOnStart bool    `json:"acknowledgesOnStart"` // a node answers when the task runs, not when it is accepted
+	ListShowsCapacity   bool    `json:"listShowsCapacity"`   // the inventory shows the free capacity of nodes
+	Preempts            bool    `json:"preempts"`            // a node preempts tasks of lower priority
+	MaxAttempts         int     `json:"maxAttempts"`         // of one placement request
 }
 
-// Rules are the parameters of the five placement rules.
-type Rules struct {
-	AnswerGrace      float64 `json:"answerSlack"`  // beyond a deadline, until an attempt counts as unanswered
-	DrainGrace       float64 `json:"drainGrace"`   // after a drain was published, in which attempts may still arrive
-	WarmupMinPace    float64 `json:"coldFrom"`     // pace of a node that has just started, as a fraction of its full pace
-	WarmupDuration   float64 `json:"warmWithin"`   // until a node has its full pace
-	OverloadMultiple float64 `json:"fallMultiple"` // of its pace at which a warming node is overloaded
-	OverloadWindow   float64 `json:"fallWindow"`   // over which requests to a warming node are counted
-	WarmupAttempts   float64 `json:"coldAlways"`   // that a warming node may always get in the window
+// Timing holds grace periods and the slow start of nodes.
+type Timing struct {
+	AnswerGrace      Duration `json:"answerGrace"`      // beyond a deadline, until an attempt counts as unanswered
+	DrainGrace       Duration `json:"drainGrace"`       // after a drain was published, in which attempts may still arrive
+	WarmupMinPace    float64  `json:"warmupMinPace"`    // pace of a node that has just started, as a fraction of its full pace
+	WarmupDuration   Duration `json:"warmupDuration"`   // until a node has its full pace
+	OverloadMultiple float64  `json:"overloadMultiple"` // of its pace at which a warming node is overloaded
+	OverloadWindow   Duration `json:"overloadWindow"`   // over which requests to a warming node are counted
+	WarmupAttempts   float64  `json:"warmupAttempts"`   // that a warming node may always get in the window
 }
 
 // Costs weigh nodes in use, crossings between zones and migrations in the choice of a node.
 type Costs struct {
-	Node      float64 `json:"fleet"`
-	CrossZone float64 `json:"cross"`
-	Migration float64 `json:"move"`
+	Node      float64 `json:"node"`
+	CrossZone float64 `json:"crossZone"`
+	Migration float64 `json:"migration"`
 }
 
 // Retry configures the delays before a task is requested again.
 type Retry struct {
-	Delay                 float64 `json:"again"`
-	ShortDelay            float64 `json:"soon"`   // after a migration or the loss of a node
-	Multiplier            float64 `json:"growth"` // backoff per further failure
-	MaxDelay              float64 `json:"most"`
-	UnknownOutcomeTimeout float64 `json:"settle"` // until a task of unknown outcome is stopped on its node
+	Delay                 Duration `json:"delay"`
+	ShortDelay            Duration `json:"shortDelay"` // after a migration or the loss of a node
+	Multiplier            float64  `json:"multiplier"` // backoff per further failure
+	MaxDelay              Duration `json:"maxDelay"`
+	UnknownOutcomeTimeout Duration `json:"unknownOutcomeTimeout"` // until a task of unknown outcome is stopped on its node
 }
 
 // Admission configures the admission controller, which bounds the placement requests in flight and sheds the excess.
 type Admission struct {
-	Enabled          bool    `json:"on"`
-	MinInFlight      float64 `json:"minInFlight"`
-	MaxInFlight      float64 `json:"maxInFlight"`
-	InitialInFlight  float64 `json:"start"`
-	DecreaseFactor   float64 `json:"decrease"`
-	DecreaseInterval float64 `json:"window"`
-	LateFraction     float64 `json:"latePart"` // of late answers above which the limit decreases
-	MaxQueued        int     `json:"maxWaiting"`
-	RetryRatio       float64 `json:"retryRatio"`
-	RetryRate        float64 `json:"retryRate"` // per second
-	RetryBurst       float64 `json:"retryBurst"`
+	Enabled          bool     `json:"enabled"`
+	MinInFlight      float64  `json:"minInFlight"`
+	MaxInFlight      float64  `json:"maxInFlight"`
+	InitialInFlight  float64  `json:"initialInFlight"`
+	DecreaseFactor   float64  `json:"decreaseFactor"`
+	DecreaseInterval Duration `json:"decreaseInterval"`
+	LateFraction     float64  `json:"lateFraction"` // of late answers above which the limit decreases
+	MaxQueued        int      `json:"maxQueued"`
+	RetryRatio       float64  `json:"retryRatio"`
+	RetryRate        float64  `json:"retryRate"` // per second
+	RetryBurst       float64  `json:"retryBurst"`
 }
 
 // Limits bound what the program stores and serves.
 type Limits struct {
-	MemoryMiB       int     `json:"memory"` // divided by package memquota
-	Connections     int     `json:"connections"`
-	MaxBodyBytes    int     `json:"body"`
-	MaxPods         int     `json:"pods"`
-	History         int     `json:"history"` // changes stored for watches
-	MaxPage         int     `json:"page"`    // objects in an answer to a list request; 0 for no bound
-	FinishedTTL     float64 `json:"keepFinished"`
-	NodeLossTimeout float64 `json:"lostAfter"`
+	MemoryMiB       int      `json:"memoryMiB"` // divided by package memquota
+	Connections     int      `json:"connections"`
+	MaxBodyBytes    int      `json:"maxBodyBytes"`
+	MaxPods         int      `json:"maxPods"`
+	History         int      `json:"history"` // changes stored for watches
+	MaxPage         int      `json:"maxPage"` // objects in an answer to a list request; 0 for no bound
+	FinishedTTL     Duration `json:"finishedTTL"`
+	NodeLossTimeout Duration `json:"nodeLossTimeout"`
 }
 
 // Emulator configures the emulated nodes and the inventory of the commands up and emulate.
 type Emulator struct {
-	Nodes               int     `json:"nodes"`
-	Racks               int     `json:"racks"`
-	Zones               int     `json:"zones"`
-	ReportDelay         float64 `json:"late"`         // after which the inventory shows a report
-	UnresponsiveAfter   float64 `json:"silentAfter"`  // without a report, a node is shown as not ready
-	RemoveAfter         float64 `json:"removeAfter"`  // without a report, a node is removed; 0 for never
-	DecisionDelayMin    float64 `json:"lookMin"`      // of a node on a request
-	DecisionDelayMax    float64 `json:"lookMax"`      //
-	MaxQueued           int     `json:"maxWaiting"`   // requests at a node
-	MaxConcurrentStarts int     `json:"startsAtOnce"` // of tasks on a node
-	StartSeconds        float64 `json:"startWork"`    // of a start with the program cached, on a warm node
-	UncachedStartFactor float64 `json:"freshFactor"`  // on StartSeconds without the program cached
-	ProgramCacheSize    int     `json:"keepPrograms"` // programs cached on a node
-	UsageMin            float64 `json:"useMin"`       // fraction of its request that a task uses
-	UsageMax            float64 `json:"useMax"`
-	LifetimeMean        float64 `json:"lifeMean"` // of tasks whose class gives none
-	DrainGrace          float64 `json:"grace"`    // after which a draining node terminates its tasks; below 0 for never
-	Seed                uint64  `json:"seed"`
+	Nodes               int      `json:"nodes"`
+	Racks               int      `json:"racks"`
+	Zones               int      `json:"zones"`
+	ReportDelay         Duration `json:"reportDelay"`         // after which the inventory shows a report
+	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // without a report, a node is shown as not ready
+	RemoveAfter         Duration `json:"removeAfter"`         // without a report, a node is removed; 0 for never
+	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // of a node on a request
+	DecisionDelayMax    Duration `json:"decisionDelayMax"`    //
+	MaxQueued           int      `json:"maxQueued"`           // requests at a node
+	MaxConcurrentStarts int      `json:"maxConcurrentStarts"` // of tasks on a node
+	StartDuration       Duration `json:"startDuration"`       // of a start with the program cached, on a warm node
+	UncachedStartFactor float64  `json:"uncachedStartFactor"` // on StartDuration without the program cached
+	ProgramCacheSize    int      `json:"programCacheSize"`    // programs cached on a node
+	UsageMin            float64  `json:"usageMin"`            // fraction of its request that a task uses
+	UsageMax            float64  `json:"usageMax"`
+	MeanLifetime        Duration `json:"meanLifetime"` // of tasks whose class gives none
+	DrainGrace          Duration `json:"drainGrace"`   // after which a draining node terminates its tasks; below 0 for never
+	Seed                uint64   `json:"seed"`
+}
+
+// Document is a settings file that was read.
+type Document struct {
+	Settings Settings
+	Former   []FormerName // what the file gives under former names, in the order of the file
+	Migrated []byte       // the file in present names, with its comments
 }
 
 // Load reads a settings file over the defaults and checks the result.
 func Load(file string) (Settings, error) {
+	document, err := LoadDocument(file)
+	return document.Settings, err
+}
+
+// LoadDocument reads a settings file over the defaults, checks the result, and lists what the file gives under former names.
+func LoadDocument(file string) (Document, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", err)
+		return Document{}, fmt.Errorf("settings: %w", err)
 	}
-	return Parse(file, text)
+	return parseDocument(file, text)
 }
 
 // Parse reads settings from text over the defaults and checks the result. file is only named in errors, which are of type *Error.
 func Parse(file string, text []byte) (Settings, error) {
+	document, err := parseDocument(file, text)
+	return document.Settings, err
+}
+
+func parseDocument(file string, text []byte) (Document, error) {
 	s := Default()
-	if err := Decode(file, text, &s, s.validate); err != nil {
-		return Settings{}, err
+	dec := decoder{file: file, text: text, renames: &formerNames}
+	if err := dec.decode(&s, s.validate); err != nil {
+		return Document{}, err
 	}
-	return s, nil
+	return Document{Settings: s, Former: dec.former, Migrated: dec.document.Pack()}, nil
 }
 
 // Decode reads JSON with comments from text into target, a pointer to a struct with json tags, and calls validate afterwards. Fields that the
-// text does not give keep their values; a field that the struct does not have is an error. file is only named in errors, which are of type
-// *Error where they have a position: a *FieldError of validate gets that of its field.
-func Decode(file string, text []byte, target any, validate func() error) error {
-	dec := decoder{file: file, text: text}
-	if err := dec.decode(target); err != nil {
-		return err
-	}
-	return dec.locate(validate())
+// text does not give keep their values; a field that the struct does not have is an error. The text may give former names. file is only named
+// in errors, which are of type *Error where they have a position: a *FieldError of validate gets that of its field.
+func Decode(file string, text []byte, target any, renames *Renames, validate func() error) error {
+	dec := decoder{file: file, text: text, renames: renames}
+	return dec.decode(target, validate)
 }
 
 // Text returns the settings in the form that Parse reads.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,13 +15,18 @@
 		{"type", "{\n  \"name\": 3\n}", "f:2:11: name: 3, want a string"},
 		{"whole number", `{"peers": 1.5}`, "f:1:11: peers: 1.5, want a whole number"},
 		{"list", `{"classes": {}}`, "f:1:13: classes: an object, want a list"},
-		{"nested", "{\"classes\": [\n {\"name\": \"x\", \"effect\": \"maybe\"}]}", "f:2:26: classes[0].effect: \"maybe\": want idempotent"},
-		{"nested unknown", `{"rules": {"grace": 1}}`, "f:1:12: rules.grace: no such setting"},
-		{"range", "{\n\"rules\": {\n\"answerSlack\": 0}}", "f:3:16: rules.answerSlack: 0: want 0.01 to 10"},
+		{"nested", "{\"classes\": [\n {\"name\": \"x\", \"idempotency\": \"maybe\"}]}", "f:2:31: classes[0].idempotency: \"maybe\": want idempotent"},
+		{"nested unknown", `{"timing": {"grace": 1}}`, "f:1:13: timing.grace: no such setting"},
+		{"range", "{\n\"timing\": {\n\"answerGrace\": 0}}", "f:3:16: timing.answerGrace: 0s: want 10ms to 10s"},
+		{"former name", "{\"classes\": [\n {\"name\": \"x\", \"effect\": \"maybe\"}]}",
+			"f:2:26: classes[0].idempotency (given as classes[0].effect): \"maybe\": want idempotent"},
+		{"unknown in a former section", `{"rules": {"grace": 1}}`, "f:1:12: timing.grace (given as rules.grace): no such setting"},
+		{"range under a former name", "{\n\"rules\": {\n\"answerSlack\": 0}}",
+			"f:3:16: timing.answerGrace (given as rules.answerSlack): 0s: want 10ms to 10s"},
 		{"not loopback", `{"listen": "0.0.0.0:80"}`, "f:1:12: listen"},
 		{"self", `{"peers": 2, "self": 2}`, "f:1:22: self: want 0 to 1"},
 		{"default class", `{"defaultClass": "x"}`, "f:1:18: defaultClass"},
-		{"absent field of a class", `{"classes": [{"name": "a", "effect": "idempotent", "aim": 1}], "defaultClass": "a"}`, "classes[0].deadline"},
+		{"absent field of a class", `{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1}], "defaultClass": "a"}`, "classes[0].deadline"},
 		{"broken", "{\n  \"name\": }", "f:"},
 		{"shares", `{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`, "tenants[1].share"},
 	} {
@@ -49,8 +54,8 @@
 		want   FieldError
 	}{
 		{"text", func(s *Settings) { s.LogLevel = "loud" }, FieldError{"logLevel", "want debug, info, warn or error"}},
-		{"number", func(s *Settings) { s.Retry.Delay = 0 }, FieldError{"owner.again", "0: want 1 to 3600"}},
-		{"element", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 3600 at most"}},
+		{"number", func(s *Settings) { s.Retry.Delay = 0 }, FieldError{"retry.delay", "0s: want 1s to 1h"}},
+		{"element", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 1h at most"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Default()
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -10,27 +10,39 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills a struct from JSON with comments and records the offset of each field.
+// decoder fills a struct from JSON with comments and records the position of each field.
 type decoder struct {
-	file    string
-	text    []byte
-	offsets map[string]int // by path
+	file      string
+	text      []byte
+	renames   *Renames
+	document  hujson.Value // the text in present names
+	positions map[string]position
+	former    []FormerName
 }
 
-// decode reads JSON with comments and trailing commas into a struct with json tags. A field that the struct does not have, or that is
-// given twice, is an error; a field that is not given keeps its value.
-func (d *decoder) decode(target any) error {
-	root, err := hujson.Parse(d.text)
-	if err != nil {
+// position says where a text gives a field.
+type position struct {
+	offset  int    // of the value
+	written string // path as the text gives it, with former names
+}
+
+// decode reads JSON with comments and trailing commas into a struct with json tags and calls validate. A field that the struct does not have,
+// or that is given twice, is an error; a field that is not given keeps its value. Paths are in present names.
+func (d *decoder) decode(target any, validate func() error) error {
+	var err error
+	if d.document, err = hujson.Parse(d.text); err != nil {
 		// The library names line and column in its message.
 		return &Error{File: d.file, Line: 1, Column: 1, Message: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
-	d.offsets = map[string]int{}
-	return d.value(&root, "", reflect.ValueOf(target).Elem())
+	d.positions = map[string]position{"": {offset: d.document.StartOffset}}
+	if err := d.value(&d.document, "", reflect.ValueOf(target).Elem()); err != nil {
+		return err
+	}
+	return d.locate(validate())
 }
 
 func (d *decoder) value(value *hujson.Value, path string, target reflect.Value) error {
-	d.offsets[path] = value.StartOffset
+	d.presentValue(value, path)
 	if target.Kind() == reflect.Pointer {
 		target.Set(reflect.New(target.Type().Elem()))
 		target = target.Elem()
@@ -58,15 +70,16 @@
 
 // object decodes into a struct.
 func (d *decoder) object(object *hujson.Object, path string, target reflect.Value) error {
-	seen := map[string]bool{}
+	given := map[string]givenMember{}
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := memberName(member)
+		this := givenMember{written: memberName(member), offset: member.Name.StartOffset}
+		name := d.presentName(member, path)
 		memberPath := joinPath(path, name)
-		if seen[name] {
-			return d.errorAt(member.Name.StartOffset, memberPath, "given twice")
+		if first, twice := given[name]; twice {
+			return d.errorGivenTwice(memberPath, first, this)
 		}
-		seen[name] = true
+		given[name] = this
 		field, ok := fieldNamed(target, name)
 		if !ok {
 			return d.errorAt(member.Name.StartOffset, memberPath, "no such setting; there are %s", strings.Join(fieldNames(target), ", "))
@@ -78,12 +91,28 @@
 	return nil
 }
 
+// givenMember is a member of an object as the text gives it.
+type givenMember struct {
+	written string
+	offset  int // of the name
+}
+
+// errorGivenTwice returns an error about a field that a text gives twice, which may be under two names.
+func (d *decoder) errorGivenTwice(path string, first, second givenMember) error {
+	if first.written == second.written {
+		return d.errorAt(second.offset, path, "given twice")
+	}
+	firstLine, _ := d.lineAndColumn(first.offset)
+	secondLine, _ := d.lineAndColumn(second.offset)
+	return d.errorAt(second.offset, path, "given twice, as %q in line %d and as %q in line %d", first.written, firstLine, second.written, secondLine)
+}
+
 // mapping decodes into a map with string keys.
 func (d *decoder) mapping(object *hujson.Object, path string, target reflect.Value) error {
 	decoded := reflect.MakeMap(target.Type())
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := memberName(member)
+		name := d.presentName(member, path)
 		memberPath := joinPath(path, name)
 		element := reflect.New(target.Type().Elem()).Elem()
 		if err := d.value(&member.Value, memberPath, element); err != nil {
@@ -103,7 +132,9 @@
 func (d *decoder) list(array *hujson.Array, path string, target reflect.Value) error {
 	decoded := reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements))
 	for i := range array.Elements {
-		if err := d.value(&array.Elements[i], fmt.Sprintf("%s[%d]", path, i), decoded.Index(i)); err != nil {
+		index := fmt.Sprintf("[%d]", i)
+		d.positions[path+index] = position{offset: array.Elements[i].StartOffset, written: d.positions[path].written + index}
+		if err := d.value(&array.Elements[i], path+index, decoded.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -121,7 +152,9 @@
 
 // setLiteral sets a value from a literal and reports whether the literal is of its type.
 func setLiteral(literal hujson.Literal, target reflect.Value) bool {
-	isNumber := literal.Kind() == '0'
+	if target.Type() == durationType {
+		return setDuration(literal, target)
+	}
 	switch target.Kind() {
 	case reflect.String:
 		if literal.Kind() != '"' {
@@ -136,17 +169,22 @@
 		target.SetBool(literal.Bool())
 		return true
 	case reflect.Float64:
-		if !isNumber || math.IsInf(literal.Float(), 0) {
-			return false
-		}
-		target.SetFloat(literal.Float())
-		return true
+		return setNumber(literal, target)
 	case reflect.Int, reflect.Int64, reflect.Uint64:
-		return isNumber && setInteger(literal, target)
+		return literal.Kind() == '0' && setInteger(literal, target)
 	}
 	return false
 }
 
+// setNumber sets a floating point number and reports whether the literal is one that fits.
+func setNumber(literal hujson.Literal, target reflect.Value) bool {
+	if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
+		return false
+	}
+	target.SetFloat(literal.Float())
+	return true
+}
+
 // setInteger sets an integer from a number and reports whether the number is one that fits.
 func setInteger(literal hujson.Literal, target reflect.Value) bool {
 	var number int64
@@ -203,6 +241,9 @@
 
 // typeName names a type as errors do.
 func typeName(v reflect.Value) string {
+	if v.Type() == durationType {
+		return `a duration such as "250ms", or a number of seconds`
+	}
 	switch v.Kind() {
 	case reflect.String:
 		return "a string"
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"time"
+
 	"heathshed/internal/control/admission"
 	"heathshed/internal/control/retry"
 	"heathshed/internal/kube/engine"
@@ -29,27 +31,27 @@
 			Preempts:          true,
 			MaxAttempts:       4,
 		},
-		Rules: Rules{
-			AnswerGrace:      0.25,
-			DrainGrace:       0.5,
+		Timing: Timing{
+			AnswerGrace:      DurationOf(250 * time.Millisecond),
+			DrainGrace:       DurationOf(500 * time.Millisecond),
 			WarmupMinPace:    0.2,
-			WarmupDuration:   15,
+			WarmupDuration:   DurationOf(15 * time.Second),
 			OverloadMultiple: 4,
-			OverloadWindow:   3,
+			OverloadWindow:   DurationOf(3 * time.Second),
 			WarmupAttempts:   8,
 		},
 		Retry:           defaultRetry(),
 		Admission:       defaultAdmission(),
-		NodeSyncTimeout: 5,
-		ConnectTimeout:  1,
-		ShutdownTimeout: 30,
+		NodeSyncTimeout: DurationOf(5 * time.Second),
+		ConnectTimeout:  DurationOf(time.Second),
+		ShutdownTimeout: DurationOf(30 * time.Second),
 		Limits: Limits{
 			MemoryMiB:       2048,
 			Connections:     16384,
 			MaxBodyBytes:    3 << 20,
 			MaxPods:         engine.DefaultMaxPods,
 			History:         engine.DefaultHistory,
-			FinishedTTL:     3600,
+			FinishedTTL:     DurationOf(time.Hour),
 			NodeLossTimeout: engine.DefaultNodeLossTimeout,
 		},
 		Emulator: defaultEmulator(),
@@ -60,8 +62,8 @@
 	batch := Class{
 		Name:                "batch",
 		Idempotency:         "idempotent",
-		LatencyObjective:    4,
-		Deadline:            10,
+		LatencyObjective:    DurationOf(4 * time.Second),
+		Deadline:            DurationOf(10 * time.Second),
 		Weight:              1,
 		LateWeight:          0.2,
 		StartBonus:          8,
@@ -71,8 +73,8 @@
 
 	web := batch
 	web.Name = "web"
-	web.LatencyObjective = 1
-	web.Deadline = 8
+	web.LatencyObjective = DurationOf(time.Second)
+	web.Deadline = DurationOf(8 * time.Second)
 	web.Priority = 1
 	web.Weight = 2
 	web.SaturationThreshold = 0.8
@@ -87,9 +89,9 @@
 	keyed.Name = "keyed"
 	keyed.Idempotency = "deduplicated"
 	keyed.DedupDomain = "rack"
-	keyed.DedupWindow = 5
-	keyed.LatencyObjective = 1
-	keyed.Deadline = 8
+	keyed.DedupWindow = DurationOf(5 * time.Second)
+	keyed.LatencyObjective = DurationOf(time.Second)
+	keyed.Deadline = DurationOf(8 * time.Second)
 	keyed.Priority = 1
 	keyed.Weight = 3
 	keyed.SaturationThreshold = 0.9
@@ -105,11 +107,11 @@
 func defaultRetry() Retry {
 	policy := retry.DefaultPolicy()
 	return Retry{
-		Delay:                 policy.Delay,
-		ShortDelay:            policy.ShortDelay,
+		Delay:                 Duration(policy.Delay),
+		ShortDelay:            Duration(policy.ShortDelay),
 		Multiplier:            policy.Multiplier,
-		MaxDelay:              policy.MaxDelay,
-		UnknownOutcomeTimeout: policy.UnknownOutcomeTimeout,
+		MaxDelay:              Duration(policy.MaxDelay),
+		UnknownOutcomeTimeout: Duration(policy.UnknownOutcomeTimeout),
 	}
 }
 
@@ -121,7 +123,7 @@
 		MaxInFlight:      controller.MaxInFlight,
 		InitialInFlight:  controller.InitialInFlight,
 		DecreaseFactor:   controller.DecreaseFactor,
-		DecreaseInterval: controller.DecreaseInterval,
+		DecreaseInterval: Duration(controller.DecreaseInterval),
 		LateFraction:     controller.LateFraction,
 		MaxQueued:        controller.MaxQueued,
 		RetryRatio:       controller.RetryRatio,
@@ -137,19 +139,19 @@
 		Nodes:               8,
 		Racks:               2,
 		Zones:               1,
-		ReportDelay:         1,
-		UnresponsiveAfter:   2,
-		RemoveAfter:         60,
-		DecisionDelayMin:    0.002,
-		DecisionDelayMax:    0.006,
+		ReportDelay:         DurationOf(time.Second),
+		UnresponsiveAfter:   DurationOf(2 * time.Second),
+		RemoveAfter:         DurationOf(time.Minute),
+		DecisionDelayMin:    DurationOf(2 * time.Millisecond),
+		DecisionDelayMax:    DurationOf(6 * time.Millisecond),
 		MaxQueued:           64,
 		MaxConcurrentStarts: 4,
-		StartSeconds:        0.03,
+		StartDuration:       DurationOf(30 * time.Millisecond),
 		UncachedStartFactor: 6,
 		ProgramCacheSize:    8,
 		UsageMin:            0.4,
 		UsageMax:            0.8,
-		LifetimeMean:        20,
+		MeanLifetime:        DurationOf(20 * time.Second),
 		DrainGrace:          0,
 		Seed:                1,
 	}
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -25,8 +25,8 @@
 		BaseRevision:    baseRev,
 		History:         s.Limits.History,
 		MaxPods:         s.Limits.MaxPods,
-		FinishedTTL:     s.Limits.FinishedTTL,
-		NodeLossTimeout: s.Limits.NodeLossTimeout,
+		FinishedTTL:     s.Limits.FinishedTTL.Seconds(),
+		NodeLossTimeout: s.Limits.NodeLossTimeout.Seconds(),
 		Admission:       s.Admission.controllerConfig(),
 		Retry:           s.Retry.policy(),
 		Placer:          s.placerConfig(),
@@ -52,7 +52,7 @@
 		MaxInFlight:      a.MaxInFlight,
 		InitialInFlight:  a.InitialInFlight,
 		DecreaseFactor:   a.DecreaseFactor,
-		DecreaseInterval: a.DecreaseInterval,
+		DecreaseInterval: a.DecreaseInterval.Seconds(),
 		LateFraction:     a.LateFraction,
 		MaxQueued:        a.MaxQueued,
 		RetryRatio:       a.RetryRatio,
@@ -64,11 +64,11 @@
 
 func (r *Retry) policy() retry.Policy {
 	return retry.Policy{
-		Delay:                 r.Delay,
-		ShortDelay:            r.ShortDelay,
+		Delay:                 r.Delay.Seconds(),
+		ShortDelay:            r.ShortDelay.Seconds(),
 		Multiplier:            r.Multiplier,
-		MaxDelay:              r.MaxDelay,
-		UnknownOutcomeTimeout: r.UnknownOutcomeTimeout,
+		MaxDelay:              r.MaxDelay.Seconds(),
+		UnknownOutcomeTimeout: r.UnknownOutcomeTimeout.Seconds(),
 	}
 }
 
@@ -84,17 +84,17 @@
 		},
 		Overcommit: placer.Overcommit{Cores: s.NodePolicy.OvercommitCores, Memory: s.NodePolicy.OvercommitMemory},
 		SlowStart: placer.SlowStart{
-			MinPace:          s.Rules.WarmupMinPace,
-			Duration:         placer.Seconds(s.Rules.WarmupDuration),
-			OverloadMultiple: s.Rules.OverloadMultiple,
-			OverloadWindow:   placer.Seconds(s.Rules.OverloadWindow),
-			MaxAttempts:      s.Rules.WarmupAttempts,
+			MinPace:          s.Timing.WarmupMinPace,
+			Duration:         placer.Seconds(s.Timing.WarmupDuration),
+			OverloadMultiple: s.Timing.OverloadMultiple,
+			OverloadWindow:   placer.Seconds(s.Timing.OverloadWindow),
+			MaxAttempts:      s.Timing.WarmupAttempts,
 		},
 		Attempts: placer.Attempts{
 			Max:            s.NodePolicy.MaxAttempts,
 			ConnectTimeout: placer.Seconds(s.ConnectTimeout),
-			AnswerGrace:    placer.Seconds(s.Rules.AnswerGrace),
-			DrainGrace:     placer.Seconds(s.Rules.DrainGrace),
+			AnswerGrace:    placer.Seconds(s.Timing.AnswerGrace),
+			DrainGrace:     placer.Seconds(s.Timing.DrainGrace),
 		},
 		Retry: placer.Retry{UnknownOutcomeWait: placer.Seconds(s.Retry.UnknownOutcomeTimeout)},
 		Costs: placer.Costs{Node: s.Costs.Node, CrossZone: s.Costs.CrossZone, Migration: s.Costs.Migration},
--- /dev/null
+++ b/internal/config/duration.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	"encoding/json"
+	"math"
+	"reflect"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/tailscale/hujson"
+)
+
+// Duration is a length of time in settings. In a file it is a string with a unit, such as "250ms", or a number of seconds.
+//
+// It holds floating point seconds, as the engine does, and no time.Duration: a number of seconds that a file gives reaches the engine without
+// any rounding, also where it is no whole number of nanoseconds or too large for a time.Duration.
+type Duration float64
+
+// DurationOf returns a duration that is given in nanoseconds. Up to 104 days it is the floating point number nearest to it.
+func DurationOf(d time.Duration) Duration {
+	if seconds := d / time.Second; seconds*time.Second == d {
+		return Duration(seconds)
+	}
+	// One division of two exact numbers rounds once. Duration.Seconds adds two rounded parts, which may give a neighbouring number.
+	return Duration(float64(d) / float64(time.Second))
+}
+
+// Seconds returns the duration in seconds.
+func (d Duration) Seconds() float64 { return float64(d) }
+
+// Duration returns the duration rounded to nanoseconds, or the nearest that time.Duration can hold.
+func (d Duration) Duration() time.Duration {
+	switch nanoseconds := float64(d) * float64(time.Second); {
+	case nanoseconds >= math.MaxInt64:
+		return math.MaxInt64
+	case nanoseconds <= math.MinInt64:
+		return math.MinInt64
+	}
+	seconds, fraction := math.Modf(float64(d))
+	return time.Duration(seconds)*time.Second + time.Duration(math.Round(fraction*float64(time.Second)))
+}
+
+// isExact reports whether the duration is a whole number of nanoseconds, so that its text form gives it back.
+func (d Duration) isExact() bool { return DurationOf(d.Duration()) == d }
+
+// String returns the duration with a unit, such as 250ms or 1h30m.
+func (d Duration) String() string {
+	if !d.isExact() {
+		return strconv.FormatFloat(float64(d), 'g', -1, 64) + "s"
+	}
+	text := d.Duration().String()
+	if strings.HasSuffix(text, "m0s") {
+		text = strings.TrimSuffix(text, "0s")
+	}
+	if strings.HasSuffix(text, "h0m") {
+		text = strings.TrimSuffix(text, "0m")
+	}
+	return text
+}
+
+// MarshalJSON writes a string with a unit, or a number of seconds if the string would not give back the same duration.
+func (d Duration) MarshalJSON() ([]byte, error) {
+	if !d.isExact() {
+		return json.Marshal(float64(d))
+	}
+	return json.Marshal(d.String())
+}
+
+var durationType = reflect.TypeFor[Duration]()
+
+// setDuration sets a Duration from a string with a unit or a number of seconds and reports whether the literal is one of them.
+func setDuration(literal hujson.Literal, target reflect.Value) bool {
+	if literal.Kind() != '"' {
+		return setNumber(literal, target)
+	}
+	parsed, err := time.ParseDuration(literal.String())
+	if err != nil {
+		return false
+	}
+	target.SetFloat(float64(DurationOf(parsed)))
+	return true
+}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,7 +8,7 @@
 
 // FieldError is a setting whose value cannot be used.
 type FieldError struct {
-	Path   string // of the setting, such as classes[1].effect
+	Path   string // of the setting, such as classes[1].idempotency
 	Reason string
 }
 
@@ -23,28 +23,37 @@
 type Error struct {
 	File         string
 	Line, Column int
-	Path         string // of the setting, such as classes[1].effect; "" if the text is not valid JSON
+	Path         string // of the setting, such as classes[1].idempotency; "" if the text is not valid JSON
+	GivenAs      string // the path with the former names that the file gives, such as classes[1].effect; "" if it gives none
 	Message      string
 }
 
 func (e *Error) Error() string {
-	if e.Path == "" {
-		return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
+	message := e.Message
+	switch {
+	case e.GivenAs != "":
+		message = fmt.Sprintf("%s (given as %s): %s", e.Path, e.GivenAs, e.Message)
+	case e.Path != "":
+		message = e.Path + ": " + e.Message
 	}
-	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Path, e.Message)
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, message)
 }
 
 // errorAt returns an *Error at an offset of the text.
 func (d *decoder) errorAt(offset int, path, format string, args ...any) error {
+	line, column := d.lineAndColumn(offset)
+	e := &Error{File: d.file, Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)}
+	if written := d.positions[path].written; written != path {
+		e.GivenAs = written
+	}
+	return e
+}
+
+// lineAndColumn returns the position of an offset of the text. Both count from 1; the column counts bytes.
+func (d *decoder) lineAndColumn(offset int) (line, column int) {
 	offset = min(max(offset, 0), len(d.text))
 	before := string(d.text[:offset])
-	return &Error{
-		File:    d.file,
-		Line:    strings.Count(before, "\n") + 1,
-		Column:  offset - strings.LastIndexByte(before, '\n'),
-		Path:    path,
-		Message: fmt.Sprintf(format, args...),
-	}
+	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
 // locate adds the position in the decoded text to a *FieldError: that of the setting, or of the innermost enclosing one that the text
@@ -54,11 +63,11 @@
 	if !errors.As(err, &field) {
 		return err
 	}
-	offset, found := d.offsets[field.Path]
-	for path := field.Path; !found && path != ""; offset, found = d.offsets[path] {
+	at, found := d.positions[field.Path]
+	for path := field.Path; !found && path != ""; at, found = d.positions[path] {
 		path = parentPath(path)
 	}
-	return d.errorAt(offset, field.Path, "%s", field.Reason)
+	return d.errorAt(at.offset, field.Path, "%s", field.Reason)
 }
 
 // parentPath is the path of the enclosing object or list, "" for a top-level setting.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -18,21 +18,30 @@
 	"at_most_once": placer.NonIdempotent,
 }
 
+// Values of Class.DedupDomain and Class.SpreadDomain. The empty text is the same as NoDomain.
+const (
+	NoDomain      = "none"
+	NodeDomain    = "node"
+	RackDomain    = "rack"
+	ZoneDomain    = "zone"
+	ClusterDomain = "cluster"
+)
+
 // topologyDomains are the values of Class.DedupDomain and Class.SpreadDomain.
 var topologyDomains = map[string]placer.TopologyDomain{
-	"":        placer.NoDomain,
-	"none":    placer.NoDomain,
-	"machine": placer.NodeDomain,
-	"rack":    placer.RackDomain,
-	"zone":    placer.ZoneDomain,
-	"all":     placer.ClusterDomain,
+	"":            placer.NoDomain,
+	NoDomain:      placer.NoDomain,
+	NodeDomain:    placer.NodeDomain,
+	RackDomain:    placer.RackDomain,
+	ZoneDomain:    placer.ZoneDomain,
+	ClusterDomain: placer.ClusterDomain,
 }
 
 // shareTolerance is the rounding error allowed in the sum of the tenants' shares.
 const shareTolerance = 0.0001
 
-// maxClassDeadline bounds Class.Deadline, in seconds.
-const maxClassDeadline = 3600
+// maxClassDeadline bounds Class.Deadline.
+const maxClassDeadline Duration = 3600
 
 // Validate reports whether settings made in code or by flags can be used. The error wraps a *FieldError.
 func (s *Settings) Validate() error {
@@ -61,8 +70,8 @@
 		return err
 	}
 	for _, b := range slices.Concat(s.policyBounds(), s.admissionBounds(), s.limitBounds(), s.emulatorBounds()) {
-		if !(b.value >= b.min && b.value <= b.max) {
-			return invalid(b.path, "%v: want %v to %v", b.value, b.min, b.max)
+		if !b.hold() {
+			return b.error()
 		}
 	}
 	return nil
@@ -114,11 +123,11 @@
 // validateNodeTypes also returns the names that Class.NodeType may have, among them "" for any type.
 func (s *Settings) validateNodeTypes() (names map[string]bool, err error) {
 	if len(s.NodeTypes) == 0 {
-		return nil, invalid("kinds", "want one at least")
+		return nil, invalid("nodeTypes", "want one at least")
 	}
 	names = map[string]bool{"": true}
 	for i, nodeType := range s.NodeTypes {
-		path := fmt.Sprintf("kinds[%d]", i)
+		path := fmt.Sprintf("nodeTypes[%d]", i)
 		if !isLabelValue(nodeType.Name) || names[nodeType.Name] {
 			return nil, invalid(path+".name", "want a label value, each once")
 		}
@@ -158,20 +167,20 @@
 // validateRequests checks how tasks of the class are requested.
 func (c *Class) validateRequests(path string) error {
 	if _, known := idempotencies[c.Idempotency]; !known {
-		return invalid(path+".effect", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
+		return invalid(path+".idempotency", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
 	}
 	deduplicated := c.Idempotency == "deduplicated"
 	if _, known := topologyDomains[c.DedupDomain]; !known || deduplicated && isNoDomain(c.DedupDomain) {
-		return invalid(path+".keyScope", "%q: want machine, rack, zone or all", c.DedupDomain)
+		return invalid(path+".dedupDomain", "%q: want node, rack, zone or cluster", c.DedupDomain)
 	}
 	if deduplicated && !(c.DedupWindow > 0) {
-		return invalid(path+".keyTtl", "want more than 0")
+		return invalid(path+".dedupWindow", "want more than 0")
 	}
 	if !(c.LatencyObjective > 0) {
-		return invalid(path+".aim", "want more than 0")
+		return invalid(path+".latencyObjective", "want more than 0")
 	}
 	if !(c.Deadline > 0) || c.Deadline > maxClassDeadline {
-		return invalid(path+".deadline", "want more than 0, %d at most", maxClassDeadline)
+		return invalid(path+".deadline", "want more than 0, %v at most", maxClassDeadline)
 	}
 	return nil
 }
@@ -179,106 +188,128 @@
 // validatePlacement checks where tasks of the class may run.
 func (c *Class) validatePlacement(path string, nodeTypes map[string]bool) error {
 	if !nodeTypes[c.NodeType] {
-		return invalid(path+".nodeKind", "%q is not among kinds", c.NodeType)
+		return invalid(path+".nodeType", "%q is not among nodeTypes", c.NodeType)
 	}
-	if _, known := topologyDomains[c.SpreadDomain]; !known || c.SpreadDomain == "all" {
-		return invalid(path+".apartBy", "%q: want none, machine, rack or zone", c.SpreadDomain)
+	if _, known := topologyDomains[c.SpreadDomain]; !known || c.SpreadDomain == ClusterDomain {
+		return invalid(path+".spreadDomain", "%q: want none, node, rack or zone", c.SpreadDomain)
 	}
 	if !isNoDomain(c.SpreadDomain) && c.MaxPerDomain < 1 {
-		return invalid(path+".togetherMax", "want 1 or more beside apartBy")
+		return invalid(path+".maxPerDomain", "want 1 or more beside spreadDomain")
 	}
 	if !(c.SaturationThreshold > 0) {
-		return invalid(path+".calmUpTo", "want more than 0")
+		return invalid(path+".saturationThreshold", "want more than 0")
 	}
 	if !(c.DegradationRange >= 0) {
-		return invalid(path+".fadesOver", "want 0 or more")
+		return invalid(path+".degradationRange", "want 0 or more")
 	}
 	return nil
 }
 
-func isNoDomain(domain string) bool { return domain == "" || domain == "none" }
+func isNoDomain(domain string) bool { return domain == "" || domain == NoDomain }
 
 // bounds are the least and the greatest value of a setting.
 type bounds struct {
 	path            string
 	value, min, max float64
+	isDuration      bool // in seconds
+}
+
+// number bounds a number.
+func number(path string, value, least, greatest float64) bounds {
+	return bounds{path: path, value: value, min: least, max: greatest}
+}
+
+// duration bounds a duration. Constants are in seconds.
+func duration(path string, value, least, greatest Duration) bounds {
+	return bounds{path: path, value: value.Seconds(), min: least.Seconds(), max: greatest.Seconds(), isDuration: true}
+}
+
+// hold reports whether the value is within the bounds. NaN is within none.
+func (b *bounds) hold() bool { return b.value >= b.min && b.value <= b.max }
+
+// error returns the *FieldError of a value out of bounds.
+func (b *bounds) error() error {
+	if b.isDuration {
+		return invalid(b.path, "%v: want %v to %v", Duration(b.value), Duration(b.min), Duration(b.max))
+	}
+	return invalid(b.path, "%v: want %v to %v", b.value, b.min, b.max)
 }
 
 func (s *Settings) policyBounds() []bounds {
 	return []bounds{
-		{"machines.bookCores", s.NodePolicy.OvercommitCores, 0.1, 100},
-		{"machines.bookMemory", s.NodePolicy.OvercommitMemory, 0.1, 100},
-		{"machines.maxAttempts", float64(s.NodePolicy.MaxAttempts), 1, 100},
-		{"rules.answerSlack", s.Rules.AnswerGrace, 0.01, 10},
-		{"rules.drainGrace", s.Rules.DrainGrace, 0, 60},
-		{"rules.coldFrom", s.Rules.WarmupMinPace, 0, 1},
-		{"rules.warmWithin", s.Rules.WarmupDuration, 0, 3600},
-		{"rules.fallMultiple", s.Rules.OverloadMultiple, 0, 1e6},
-		{"rules.fallWindow", s.Rules.OverloadWindow, 0, 60},
-		{"rules.coldAlways", s.Rules.WarmupAttempts, 0, 1e6},
-		{"prices.fleet", s.Costs.Node, 0, 100},
-		{"prices.cross", s.Costs.CrossZone, 0, 100},
-		{"prices.move", s.Costs.Migration, 0, 100},
-		{"owner.again", s.Retry.Delay, 1, 3600},
-		{"owner.soon", s.Retry.ShortDelay, 0, 3600},
-		{"owner.growth", s.Retry.Multiplier, 1, 10},
-		{"owner.most", s.Retry.MaxDelay, 1, 3600},
-		{"owner.settle", s.Retry.UnknownOutcomeTimeout, 0, 600},
+		number("nodePolicy.overcommitCores", s.NodePolicy.OvercommitCores, 0.1, 100),
+		number("nodePolicy.overcommitMemory", s.NodePolicy.OvercommitMemory, 0.1, 100),
+		number("nodePolicy.maxAttempts", float64(s.NodePolicy.MaxAttempts), 1, 100),
+		duration("timing.answerGrace", s.Timing.AnswerGrace, 0.01, 10),
+		duration("timing.drainGrace", s.Timing.DrainGrace, 0, 60),
+		number("timing.warmupMinPace", s.Timing.WarmupMinPace, 0, 1),
+		duration("timing.warmupDuration", s.Timing.WarmupDuration, 0, 3600),
+		number("timing.overloadMultiple", s.Timing.OverloadMultiple, 0, 1e6),
+		duration("timing.overloadWindow", s.Timing.OverloadWindow, 0, 60),
+		number("timing.warmupAttempts", s.Timing.WarmupAttempts, 0, 1e6),
+		number("costs.node", s.Costs.Node, 0, 100),
+		number("costs.crossZone", s.Costs.CrossZone, 0, 100),
+		number("costs.migration", s.Costs.Migration, 0, 100),
+		duration("retry.delay", s.Retry.Delay, 1, 3600),
+		duration("retry.shortDelay", s.Retry.ShortDelay, 0, 3600),
+		number("retry.multiplier", s.Retry.Multiplier, 1, 10),
+		duration("retry.maxDelay", s.Retry.MaxDelay, 1, 3600),
+		duration("retry.unknownOutcomeTimeout", s.Retry.UnknownOutcomeTimeout, 0, 600),
 	}
 }
 
 func (s *Settings) admissionBounds() []bounds {
 	a := &s.Admission
 	return []bounds{
-		{"gate.minInFlight", a.MinInFlight, 1, a.MaxInFlight},
-		{"gate.maxInFlight", a.MaxInFlight, 1, 1e9},
-		{"gate.start", a.InitialInFlight, 1, 1e9},
-		{"gate.decrease", a.DecreaseFactor, 0.01, 0.99},
-		{"gate.window", a.DecreaseInterval, 0, 60},
-		{"gate.latePart", a.LateFraction, 0, 1},
-		{"gate.maxWaiting", float64(a.MaxQueued), 1, 1e9},
-		{"gate.retryRatio", a.RetryRatio, 0, 100},
-		{"gate.retryRate", a.RetryRate, 0, 1e9},
-		{"gate.retryBurst", a.RetryBurst, 0, 1e9},
+		number("admission.minInFlight", a.MinInFlight, 1, a.MaxInFlight),
+		number("admission.maxInFlight", a.MaxInFlight, 1, 1e9),
+		number("admission.initialInFlight", a.InitialInFlight, 1, 1e9),
+		number("admission.decreaseFactor", a.DecreaseFactor, 0.01, 0.99),
+		duration("admission.decreaseInterval", a.DecreaseInterval, 0, 60),
+		number("admission.lateFraction", a.LateFraction, 0, 1),
+		number("admission.maxQueued", float64(a.MaxQueued), 1, 1e9),
+		number("admission.retryRatio", a.RetryRatio, 0, 100),
+		number("admission.retryRate", a.RetryRate, 0, 1e9),
+		number("admission.retryBurst", a.RetryBurst, 0, 1e9),
 	}
 }
 
 func (s *Settings) limitBounds() []bounds {
 	l := &s.Limits
 	return []bounds{
-		{"limits.memory", float64(l.MemoryMiB), memquota.MinMemory >> 20, 1 << 20},
-		{"limits.connections", float64(l.Connections), 1, 1e6},
-		{"limits.body", float64(l.MaxBodyBytes), 1024, 1 << 30},
-		{"limits.pods", float64(l.MaxPods), 1, 1e7},
-		{"limits.history", float64(l.History), 1, 1e7},
-		{"limits.page", float64(l.MaxPage), 0, 1e7},
-		{"limits.keepFinished", l.FinishedTTL, 0, 1e9},
-		{"limits.lostAfter", l.NodeLossTimeout, 0.1, 3600},
-		{"heardWithin", s.NodeSyncTimeout, 0, 600},
-		{"connectWithin", s.ConnectTimeout, 0.01, 60},
-		{"stopWithin", s.ShutdownTimeout, 0, 3600},
+		number("limits.memoryMiB", float64(l.MemoryMiB), memquota.MinMemory>>20, 1<<20),
+		number("limits.connections", float64(l.Connections), 1, 1e6),
+		number("limits.maxBodyBytes", float64(l.MaxBodyBytes), 1024, 1<<30),
+		number("limits.maxPods", float64(l.MaxPods), 1, 1e7),
+		number("limits.history", float64(l.History), 1, 1e7),
+		number("limits.maxPage", float64(l.MaxPage), 0, 1e7),
+		duration("limits.finishedTTL", l.FinishedTTL, 0, 1e9),
+		duration("limits.nodeLossTimeout", l.NodeLossTimeout, 0.1, 3600),
+		duration("nodeSyncTimeout", s.NodeSyncTimeout, 0, 600),
+		duration("connectTimeout", s.ConnectTimeout, 0.01, 60),
+		duration("shutdownTimeout", s.ShutdownTimeout, 0, 3600),
 	}
 }
 
 func (s *Settings) emulatorBounds() []bounds {
 	e := &s.Emulator
 	return []bounds{
-		{"standin.nodes", float64(e.Nodes), 1, 10000},
-		{"standin.racks", float64(e.Racks), 1, 10000},
-		{"standin.zones", float64(e.Zones), 1, 100},
-		{"standin.late", e.ReportDelay, 0, 600},
-		{"standin.silentAfter", e.UnresponsiveAfter, 0.5, 600},
-		{"standin.removeAfter", e.RemoveAfter, 0, 1e6},
-		{"standin.lookMin", e.DecisionDelayMin, 0, 10},
-		{"standin.lookMax", e.DecisionDelayMax, e.DecisionDelayMin, 10},
-		{"standin.maxWaiting", float64(e.MaxQueued), 1, 1e6},
-		{"standin.startsAtOnce", float64(e.MaxConcurrentStarts), 1, 1e6},
-		{"standin.startWork", e.StartSeconds, 0.0001, 600},
-		{"standin.freshFactor", e.UncachedStartFactor, 1, 1000},
-		{"standin.keepPrograms", float64(e.ProgramCacheSize), 0, 1000},
-		{"standin.useMin", e.UsageMin, 0, 10},
-		{"standin.useMax", e.UsageMax, e.UsageMin, 10},
-		{"standin.lifeMean", e.LifetimeMean, 0.01, 1e7},
-		{"standin.grace", e.DrainGrace, -1, 3600},
+		number("emulator.nodes", float64(e.Nodes), 1, 10000),
+		number("emulator.racks", float64(e.Racks), 1, 10000),
+		number("emulator.zones", float64(e.Zones), 1, 100),
+		duration("emulator.reportDelay", e.ReportDelay, 0, 600),
+		duration("emulator.unresponsiveAfter", e.UnresponsiveAfter, 0.5, 600),
+		duration("emulator.removeAfter", e.RemoveAfter, 0, 1e6),
+		duration("emulator.decisionDelayMin", e.DecisionDelayMin, 0, 10),
+		duration("emulator.decisionDelayMax", e.DecisionDelayMax, e.DecisionDelayMin, 10),
+		number("emulator.maxQueued", float64(e.MaxQueued), 1, 1e6),
+		number("emulator.maxConcurrentStarts", float64(e.MaxConcurrentStarts), 1, 1e6),
+		duration("emulator.startDuration", e.StartDuration, 0.0001, 600),
+		number("emulator.uncachedStartFactor", e.UncachedStartFactor, 1, 1000),
+		number("emulator.programCacheSize", float64(e.ProgramCacheSize), 0, 1000),
+		number("emulator.usageMin", e.UsageMin, 0, 10),
+		number("emulator.usageMax", e.UsageMax, e.UsageMin, 10),
+		duration("emulator.meanLifetime", e.MeanLifetime, 0.01, 1e7),
+		duration("emulator.drainGrace", e.DrainGrace, -1, 3600),
 	}
 }
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -232,7 +232,7 @@
 		return len(c.pods("?fieldSelector=status.phase=Running")) == 24
 	})
 	for _, ev := range c.recordedEvents() {
-		if ev.Kind == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.settings.Rules.DrainGrace {
+		if ev.Kind == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.settings.Timing.DrainGrace.Seconds() {
 			t.Errorf("attempt sent to %s %.3f s after the order", node, ev.At-float64(told.UnixNano())/1e9)
 		}
 	}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -85,7 +85,7 @@
 	c.emulatorLoop = loop
 	c.inventory, err = emulator.StartInventory(loop, emulator.InventoryOptions{
 		Listen:            "127.0.0.1:0",
-		PublishDelay:      c.settings.Emulator.ReportDelay,
+		PublishDelay:      c.settings.Emulator.ReportDelay.Seconds(),
 		UnresponsiveAfter: 1,
 		OnEvent:           c.recordEvent,
 	})
@@ -161,8 +161,8 @@
 		InventoryAddress:       c.settings.Inventory,
 		Version:                "test",
 		HTTP:                   httpOptions,
-		ConnectTimeoutSeconds:  c.settings.ConnectTimeout,
-		NodeSyncTimeoutSeconds: c.settings.NodeSyncTimeout,
+		ConnectTimeoutSeconds:  c.settings.ConnectTimeout.Seconds(),
+		NodeSyncTimeoutSeconds: c.settings.NodeSyncTimeout.Seconds(),
 		Log:                    zerolog.Nop(),
 	})
 	if err != nil {
@@ -348,7 +348,7 @@
 	c.t.Helper()
 	auditConfig := audit.Config{
 		Classes:    simulation.AuditClasses(&c.settings),
-		DrainGrace: c.settings.Rules.DrainGrace,
+		DrainGrace: c.settings.Timing.DrainGrace.Seconds(),
 		Slack:      auditSlackSeconds,
 	}
 	for _, violation := range audit.Check(auditConfig, c.recordedEvents()).Violations {
--- a/internal/lab/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -222,7 +222,7 @@
 		}
 	}
 	script := &r.options.Script
-	rules := audit.Config{Classes: simulation.AuditClasses(&r.options.Settings), DrainGrace: r.options.Settings.Rules.DrainGrace, Slack: auditSlack}
+	rules := audit.Config{Classes: simulation.AuditClasses(&r.options.Settings), DrainGrace: r.options.Settings.Timing.DrainGrace.Seconds(), Slack: auditSlack}
 	return &Result{
 		Seconds:    script.Seconds,
 		Schedulers: script.Schedulers,
--- a/internal/lab/labconfig/node.go
+++ b/internal/lab/labconfig/node.go
@@ -46,24 +46,24 @@
 		Memory:              nodeType.Memory,
 		OvercommitCores:     s.NodePolicy.OvercommitCores,
 		OvercommitMemory:    s.NodePolicy.OvercommitMemory,
-		DecisionDelayMin:    e.DecisionDelayMin,
-		DecisionDelayMax:    e.DecisionDelayMax,
+		DecisionDelayMin:    e.DecisionDelayMin.Seconds(),
+		DecisionDelayMax:    e.DecisionDelayMax.Seconds(),
 		MaxQueued:           e.MaxQueued,
 		MaxConcurrentStarts: e.MaxConcurrentStarts,
-		StartSeconds:        e.StartSeconds,
+		StartSeconds:        e.StartDuration.Seconds(),
 		UncachedStartFactor: e.UncachedStartFactor,
 		ProgramCacheSize:    e.ProgramCacheSize,
-		InitialPace:         s.Rules.WarmupMinPace,
-		WarmUpSeconds:       s.Rules.WarmupDuration,
-		OverloadFactor:      s.Rules.OverloadMultiple,
-		OverloadWindow:      s.Rules.OverloadWindow,
-		OverloadMinRequests: s.Rules.WarmupAttempts,
+		InitialPace:         s.Timing.WarmupMinPace,
+		WarmUpSeconds:       s.Timing.WarmupDuration.Seconds(),
+		OverloadFactor:      s.Timing.OverloadMultiple,
+		OverloadWindow:      s.Timing.OverloadWindow.Seconds(),
+		OverloadMinRequests: s.Timing.WarmupAttempts,
 		AnswerWhenRunning:   s.NodePolicy.AcknowledgesOnStart,
 		Preempts:            s.NodePolicy.Preempts,
-		LifetimeMean:        e.LifetimeMean,
+		LifetimeMean:        e.MeanLifetime.Seconds(),
 		UsageMin:            e.UsageMin,
 		UsageMax:            e.UsageMax,
-		DrainGrace:          e.DrainGrace,
+		DrainGrace:          e.DrainGrace.Seconds(),
 		TerminatedRetention: terminatedRetention,
 		Seed:                e.Seed + uint64(i)*nodeSeedStride,
 	}
@@ -82,7 +82,7 @@
 func Lifetimes(s *config.Settings) map[string]float64 {
 	lifetimes := map[string]float64{}
 	for i := range s.Classes {
-		if lifetime := s.Classes[i].MeanLifetime; lifetime > 0 {
+		if lifetime := s.Classes[i].MeanLifetime.Seconds(); lifetime > 0 {
 			lifetimes[s.Classes[i].Name] = lifetime
 		}
 	}
--- a/internal/lab/labconfig/script.go
+++ b/internal/lab/labconfig/script.go
@@ -17,7 +17,7 @@
 	}
 	script := scenario.Default()
 	script.Faults = nil
-	if err := config.Decode(file, text, &script, func() error { return validateScript(&script) }); err != nil {
+	if err := config.Decode(file, text, &script, &config.Renames{}, func() error { return validateScript(&script) }); err != nil {
 		return scenario.Script{}, err
 	}
 	return script, nil
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -31,13 +31,13 @@
 		Priorities:        labconfig.Priorities(settings),
 		LatencyMin:        loopbackLatencyMin,
 		LatencyMax:        loopbackLatencyMax,
-		ConnectTimeout:    settings.ConnectTimeout,
+		ConnectTimeout:    settings.ConnectTimeout.Seconds(),
 		ReportInterval:    scenarioReportInterval,
-		ReportDelay:       settings.Emulator.ReportDelay,
-		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter,
+		ReportDelay:       settings.Emulator.ReportDelay.Seconds(),
+		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter.Seconds(),
 		StartTime:         scenarioStartTime,
 		Classes:           AuditClasses(settings),
-		DrainGrace:        settings.Rules.DrainGrace,
+		DrainGrace:        settings.Timing.DrainGrace.Seconds(),
 	}
 	for i := range script.Nodes {
 		emulated := labconfig.NodeAt(settings, i)
@@ -77,14 +77,25 @@
 		rules := audit.Class{
 			AtMostOnce:   class.Idempotency == "at_most_once",
 			Idempotent:   class.Idempotency == "deduplicated",
-			KeyScope:     class.DedupDomain,
-			KeyTTL:       class.DedupWindow,
+			KeyScope:     auditDomain(class.DedupDomain),
+			KeyTTL:       class.DedupWindow.Seconds(),
 			MaxPerDomain: class.MaxPerDomain,
 		}
-		if class.SpreadDomain != "none" {
-			rules.SpreadBy = class.SpreadDomain
+		if class.SpreadDomain != config.NoDomain {
+			rules.SpreadBy = auditDomain(class.SpreadDomain)
 		}
 		classes[class.Name] = rules
 	}
 	return classes
 }
+
+// auditDomain returns the auditor's word for a domain of the settings.
+func auditDomain(domain string) string {
+	switch domain {
+	case config.NodeDomain:
+		return "machine"
+	case config.ClusterDomain:
+		return "all"
+	}
+	return domain
+}
