--- /dev/null
+++ b/cmd/heathshed/config_test.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestConfigCheck(t *testing.T) {
+	const formerFile = "{\n  // Kept.\n  \"rules\": {\"answerSlack\": 0.3},\n  \"stopWithin\": 5,\n}\n"
+	const presentFile = "{\n  // Kept.\n  \"timing\": {\"answerGrace\": 0.3},\n  \"shutdownTimeout\": 5,\n}\n"
+	for _, c := range []struct {
+		name, text string
+		flags      []string
+		wantOut    string // FILE stands for the path of the file
+		wantErr    string
+		wantStatus int
+	}{
+		{name: "present names", text: presentFile, wantOut: "FILE: ok\n"},
+		{name: "former names", text: formerFile, wantOut: "FILE:3:3: rules is now timing\n" +
+			"FILE:3:13: rules.answerSlack is now timing.answerGrace\n" +
+			"FILE:4:3: stopWithin is now shutdownTimeout\n" +
+			"FILE: ok\n"},
+		{name: "migration", text: formerFile, flags: []string{"--migrate"}, wantOut: presentFile},
+		{name: "migration of present names", text: presentFile, flags: []string{"--migrate"}, wantOut: presentFile},
+		{name: "both names", text: "{\"stopWithin\": 5,\n\"shutdownTimeout\": 5}",
+			wantErr:    "heathshed: FILE:2:1: shutdownTimeout: given twice, as \"stopWithin\" in line 1 and as \"shutdownTimeout\" in line 2\n",
+			wantStatus: 1},
+		{name: "migration of a bad file", text: "{\"stopWithin\": true}", flags: []string{"--migrate"},
+			wantErr:    "heathshed: FILE:1:16: shutdownTimeout (given as stopWithin): true, want a duration such as \"250ms\", or a number of seconds\n",
+			wantStatus: 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			file := filepath.Join(t.TempDir(), "settings.json")
+			if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			stdout, stderr, status := runProgram(t, append([]string{"config", "check", file}, c.flags...)...)
+			if got := strings.ReplaceAll(stdout, file, "FILE"); got != c.wantOut {
+				t.Errorf("standard output:\n%s\nwant\n%s", got, c.wantOut)
+			}
+			if got := strings.ReplaceAll(stderr, file, "FILE"); got != c.wantErr {
+				t.Errorf("standard error:\n%s\nwant\n%s", got, c.wantErr)
+			}
+			if status != c.wantStatus {
+				t.Errorf("exit status %d, want %d", status, c.wantStatus)
+			}
+		})
+	}
+}
+
+// A file with former names starts a program without a word about them.
+func TestFormerNamesAreReadSilently(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(file, []byte(`{"stopWithin": 5, "gate": {"on": false}}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	stdout, stderr, status := runProgram(t, "serve", "-c", file, "--print-config")
+	if !strings.Contains(stdout, `"shutdownTimeout": "5s"`) || !strings.Contains(stdout, `"enabled": false`) {
+		t.Errorf("printed settings:\n%s\nwant those of the file under present names", stdout)
+	}
+	if stderr != "" || status != 0 {
+		t.Errorf("standard error %q, exit status %d; want none and 0", stderr, status)
+	}
+}
--- a/cmd/heathshed/flags.go
+++ b/cmd/heathshed/flags.go
@@ -59,20 +59,3 @@
 	_, err = fmt.Fprintf(w, "%s\n", text)
 	return err
 }
-
-func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Work with settings files"}
-	c.AddCommand(&cobra.Command{
-		Use:   "check FILE",
-		Short: "Check a settings file",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := config.Load(args[0]); err != nil {
-				return err
-			}
-			printf(c.OutOrStdout(), "%s: ok\n", args[0])
-			return nil
-		},
-	})
-	return c
-}
