--- a/internal/control/decodelimit/bench_test.go
+++ b/internal/control/decodelimit/bench_test.go
@@ -24,34 +24,32 @@
 	return job
 }
 
-// BenchmarkCheckJSON checks a Job as JSON.
-func BenchmarkCheckJSON(b *testing.B) {
-	text, err := json.Marshal(benchmarkJob())
-	if err != nil {
-		b.Fatal(err)
-	}
+func benchmarkCheck(b *testing.B, text []byte, check func(text []byte, limits Limits) error) {
+	b.Helper()
 	limits := ObjectLimits()
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := CheckJSON(text, limits); err != nil {
+		if err := check(text, limits); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
+// BenchmarkCheckJSON checks a Job as JSON.
+func BenchmarkCheckJSON(b *testing.B) {
+	text, err := json.Marshal(benchmarkJob())
+	if err != nil {
+		b.Fatal(err)
+	}
+	benchmarkCheck(b, text, CheckJSON)
+}
+
 // BenchmarkCheckProto checks the same Job in the protobuf encoding.
 func BenchmarkCheckProto(b *testing.B) {
 	message, err := benchmarkJob().Marshal()
 	if err != nil {
 		b.Fatal(err)
 	}
-	limits := ObjectLimits()
-	b.SetBytes(int64(len(message)))
-	b.ReportAllocs()
-	for b.Loop() {
-		if err := CheckProto(message, limits); err != nil {
-			b.Fatal(err)
-		}
-	}
+	benchmarkCheck(b, message, CheckProto)
 }
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -1,10 +1,12 @@
 package decodelimit_test
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 
@@ -17,9 +19,9 @@
 // TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
 // part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterization(t *testing.T) {
-	o := decodelimit.ObjectLimits()
+	object := decodelimit.ObjectLimits()
 	record := goldentest.NewRecorder()
-	record.Line("object %d %d %d %d %d %d", o.Bytes, o.Depth, o.Values, o.NumberLength, o.Exponent, o.Digits)
+	record.Line("object %d %d %d %d %d %d", object.Bytes, object.Depth, object.Values, object.NumberLength, object.Exponent, object.Digits)
 	for i, limits := range limitSets {
 		for j, text := range corpus() {
 			record.Line("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits)))
@@ -35,7 +37,14 @@
 	record.Check(t, "characterization")
 }
 
-var limitSets = []decodelimit.Limits{decodelimit.ObjectLimits(), {}, {Bytes: 60, Depth: 3, Values: 5, NumberLength: 6, Exponent: 3, Digits: 4}, {Depth: 1}, {Values: 1}, {Digits: 2, Exponent: 1}}
+var limitSets = []decodelimit.Limits{
+	decodelimit.ObjectLimits(),
+	{},
+	{Bytes: 60, Depth: 3, Values: 5, NumberLength: 6, Exponent: 3, Digits: 4},
+	{Depth: 1},
+	{Values: 1},
+	{Digits: 2, Exponent: 1},
+}
 
 func describe(err error) string {
 	var over *decodelimit.Error
@@ -52,52 +61,65 @@
 	return "true"
 }
 
-var quantities = []string{"", "1", "+1", "-1.5", "500m", "1e3", "1E3", "1e99", "1e100", "1e-100", "12e4", "12e+04", "1e3x", "e3", "12345", "12345Mi", "12345abcd", " 123 ", "1.2.3",
-	`1\u0065100`, `\u0031e100`, `1e\u0031\u0030\u0030`, `\n1`, `1\`, `\u`, `1\u00`, `1\u005c`, `1\uFFFF`, "144e1135-fce3", "1e99999999999999999999",
-	strings.Repeat("9", 64), strings.Repeat("9", 65), strings.Repeat("9", 65) + "Mi", strings.Repeat("9", 65) + "abcd", `1\n` + strings.Repeat("2", 300), "1" + strings.Repeat(`\u0030`, 70)}
+var quantities = []string{
+	"", "1", "+1", "-1.5", "500m", "1e3", "1E3", "1e99", "1e100", "1e-100", "12e4", "12e+04", "1e3x", "e3",
+	"12345", "12345Mi", "12345abcd", " 123 ", "1.2.3",
+	`1\u0065100`, `\u0031e100`, `1e\u0031\u0030\u0030`, `\n1`, `1\`, `\u`, `1\u00`, `1\u005c`, `1\uFFFF`,
+	"144e1135-fce3", "1e99999999999999999999",
+	strings.Repeat("9", 64), strings.Repeat("9", 65), strings.Repeat("9", 65) + "Mi", strings.Repeat("9", 65) + "abcd",
+	`1\n` + strings.Repeat("2", 300), "1" + strings.Repeat(`\u0030`, 70),
+}
 
 func corpus() []string {
-	var all []string
-	for _, q := range quantities {
-		all = append(all, `{"a":"`+q+`"}`, `{"labels":{"a":"`+q+`"},"b":"`+q+`"}`, `{"args":["`+q+`",["`+q+`"]],"c":"`+q+`"}`, `["`+q+`"]`, q)
+	var texts []string
+	for _, quantity := range quantities {
+		inQuotes := `"` + quantity + `"`
+		texts = append(texts,
+			`{"a":`+inQuotes+`}`,
+			`{"labels":{"a":`+inQuotes+`},"b":`+inQuotes+`}`,
+			`{"args":[`+inQuotes+`,[`+inQuotes+`]],"c":`+inQuotes+`}`,
+			`[`+inQuotes+`]`,
+			quantity,
+		)
 	}
 	for _, depth := range []int{1, 2, 3, 4, 63, 64, 65, 1022, 1023, 1024, 2000} {
-		all = append(all, strings.Repeat("[", depth), strings.Repeat(`{"a":`, depth), strings.Repeat("[", depth)+strings.Repeat("]", depth)+"]]")
+		texts = append(texts, strings.Repeat("[", depth), strings.Repeat(`{"a":`, depth), strings.Repeat("[", depth)+strings.Repeat("]", depth)+"]]")
 	}
 	for _, values := range []int{4, 5, 6, 19999, 20000, 20001} {
-		all = append(all, "["+strings.Repeat("1,", values-1)+"1]", "["+strings.Repeat("true,", values))
+		texts = append(texts, "["+strings.Repeat("1,", values-1)+"1]", "["+strings.Repeat("true,", values))
 	}
 	for _, size := range []int{5, 6, 7, 63, 64, 65} {
-		all = append(all, strings.Repeat("1", size), "["+strings.Repeat("-", size)+"]", "1."+strings.Repeat("0", size))
+		texts = append(texts, strings.Repeat("1", size), "["+strings.Repeat("-", size)+"]", "1."+strings.Repeat("0", size))
 	}
-	return append(all, strings.Repeat(" ", 60), strings.Repeat(" ", 61), strings.Repeat(" ", 3<<20), strings.Repeat(" ", 3<<20+1), `{"a":1,"b":{"c":"x"},"d":[null,false]}`,
-		`"open`, `"open\`, `{"value":"1e999","x":"1e999"}`, `{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
+	for _, size := range []int{60, 61, 3 << 20, 3<<20 + 1} {
+		texts = append(texts, strings.Repeat(" ", size))
+	}
+	return append(texts, `{"a":1,"b":{"c":"x"},"d":[null,false]}`, `"open`, `"open\`, `{"value":"1e999","x":"1e999"}`,
+		`{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
 }
 
 // messages are binary messages: flat, nested, cut short, with quantities and with numbers of each encoding.
 func messages() [][]byte {
-	var all [][]byte
-	for _, q := range quantities {
-		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), q)
-		all = append(all, inner, protowire.AppendBytes(protowire.AppendTag(nil, 2, protowire.BytesType), inner), inner[:len(inner)-len(inner)/3])
+	var encoded [][]byte
+	for _, quantity := range quantities {
+		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), quantity)
+		outer := protowire.AppendBytes(protowire.AppendTag(nil, 2, protowire.BytesType), inner)
+		encoded = append(encoded, inner, outer, inner[:len(inner)-len(inner)/3])
 	}
 	nested := protowire.AppendVarint(protowire.AppendTag(nil, 3, protowire.VarintType), 300)
 	for range 70 {
-		all = append(all, nested, append(append([]byte{}, nested...), nested...), append(append([]byte{}, nested...), 0xff))
+		encoded = append(encoded, nested, slices.Concat(nested, nested), slices.Concat(nested, []byte{0xff}))
 		nested = protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), nested)
 	}
 	fixed := protowire.AppendFixed32(protowire.AppendTag(nil, 5, protowire.Fixed32Type), 1)
 	fixed = protowire.AppendFixed64(protowire.AppendTag(fixed, 6, protowire.Fixed64Type), 1)
-	many := []byte{}
-	for range 20001 {
-		many = append(many, 0x08, 0x01)
-	}
-	return append(all, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
+	many := bytes.Repeat([]byte{0x08, 0x01}, 20001)
+	return append(encoded, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
 func mutations(limits decodelimit.Limits, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 7))
-	var b strings.Builder
+	var results strings.Builder
 	for _, text := range corpus() {
 		if len(text) == 0 || len(text) > 300 {
 			continue
@@ -106,8 +128,8 @@
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			b.WriteString(describe(decodelimit.CheckJSON(changed, limits)) + describe(decodelimit.CheckProto(changed, limits)) + "\n")
+			results.WriteString(describe(decodelimit.CheckJSON(changed, limits)) + describe(decodelimit.CheckProto(changed, limits)) + "\n")
 		}
 	}
-	return b.String()
+	return results.String()
 }
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -12,7 +12,7 @@
 // encodings, or a running task would not be seen.
 func TestQuantities(t *testing.T) {
 	limits := ObjectLimits()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, text string
 		ok         bool
 	}{
@@ -39,9 +39,9 @@
 		{"no-break space after", "1e1000\u00a0", false},
 		{"escaped first digit", `\u0031e1000`, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if err := CheckQuantity([]byte(c.text), limits); (err == nil) != c.ok {
-				t.Errorf("%.40q: %v", c.text, err)
+		t.Run(test.name, func(t *testing.T) {
+			if err := CheckQuantity([]byte(test.text), limits); (err == nil) != test.ok {
+				t.Errorf("%.40q: %v", test.text, err)
 			}
 		})
 	}
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -17,8 +17,8 @@
 	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
 	for _, memory := range []int64{-1, 0, 1, 64<<20 - 1, 64 << 20, 64<<20 + 7, 100_000_001, 1 << 30, 3<<30 + 5, 1 << 40} {
-		s := memquota.Divide(memory)
-		record.Line("shares %d %d %d %d", memory, s.Connections, s.History, s.Objects)
+		shares := memquota.Divide(memory)
+		record.Line("shares %d %d %d %d", memory, shares.Connections, shares.History, shares.Objects)
 	}
 	for _, total := range []int64{0, 1, 4095, 4096, 4097, 100_000, 1 << 20} {
 		for seed := uint64(1); seed <= 5; seed++ {
@@ -46,10 +46,10 @@
 		case 2:
 			budget.Remove(id)
 		case 3:
-			over, is := budget.OverQuota()
-			fmt.Fprint(&text, over, is, " ")
-			if is {
-				budget.Remove(over)
+			evicted, over := budget.OverQuota()
+			fmt.Fprint(&text, evicted, over, " ")
+			if over {
+				budget.Remove(evicted)
 			}
 		default:
 			budget.SetUsed(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[random.IntN(7)])
@@ -63,11 +63,15 @@
 	random := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
-		var all []memquota.Candidate
+		var candidates []memquota.Candidate
 		for range random.IntN(8) {
-			all = append(all, memquota.Candidate{Busy: random.IntN(3) == 0, Established: random.IntN(2) == 0, IdleSeconds: float64(random.IntN(4))})
+			candidates = append(candidates, memquota.Candidate{
+				Busy:        random.IntN(3) == 0,
+				Established: random.IntN(2) == 0,
+				IdleSeconds: float64(random.IntN(4)),
+			})
 		}
-		fmt.Fprint(&text, memquota.SelectEviction(all), " ")
+		fmt.Fprint(&text, memquota.SelectEviction(candidates), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text.String())))
 }
--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"strings"
 	"testing"
 
@@ -14,10 +15,67 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
-func pod(ns, name string) *corev1.Pod {
-	p := &corev1.Pod{}
-	p.Namespace, p.Name = ns, name
-	return p
+func newPod(namespace, name string) *corev1.Pod {
+	pod := &corev1.Pod{}
+	pod.Namespace = namespace
+	pod.Name = name
+	return pod
+}
+
+// objectsByKey is what a table should hold.
+type objectsByKey map[string]Object
+
+// change deletes a random Pod, or puts one, in the store and in what it should hold. Revisions must grow by one with each change.
+func (want objectsByKey) change(t *rapid.T, objects *Store, namespace string) {
+	name := fmt.Sprint("p", rapid.IntRange(0, 15).Draw(t, "name"))
+	key, before := Key(namespace, name), objects.Rev()
+	if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
+		_, present := want[key]
+		if objects.Delete(Pods, namespace, name) != present {
+			t.Fatal("delete and state disagree")
+		}
+		delete(want, key)
+		if present != (objects.Rev() == before+1) {
+			t.Fatalf("revision %d after %d, deleted %v", objects.Rev(), before, present)
+		}
+		return
+	}
+	pod := newPod(namespace, name)
+	want[key] = pod
+	if objects.Put(Pods, pod); objects.Rev() != before+1 || pod.ResourceVersion != fmt.Sprint(objects.Rev()) {
+		t.Fatalf("revision %d after %d, the Pod has %s", objects.Rev(), before, pod.ResourceVersion)
+	}
+}
+
+// apply makes the changes of a history.
+func (want objectsByKey) apply(t *rapid.T, changes []*Change) {
+	for _, change := range changes {
+		key := Key(change.Object.GetNamespace(), change.Object.GetName())
+		if previous, present := want[key]; present != (change.Op != Added) || present && previous != change.Prev {
+			t.Fatalf("revision %d does not follow", change.Rev)
+		}
+		if change.Op == Deleted {
+			delete(want, key)
+		} else {
+			want[key] = change.Object
+		}
+	}
+}
+
+// check compares a snapshot, whose objects must come in order.
+func (want objectsByKey) check(t *rapid.T, snapshot Snapshot) {
+	count, last := 0, ""
+	snapshot.Scan("", "", func(key string, change *Change) bool {
+		if want[key] != change.Object || count > 0 && key <= last {
+			t.Fatalf("%s is not what was put, or out of order", key)
+		}
+		count++
+		last = key
+		return true
+	})
+	if count != len(want) {
+		t.Fatalf("%d objects, want %d", count, len(want))
+	}
 }
 
 // TestStore makes random changes: revisions grow by one, a snapshot never changes, and a snapshot with the changes since gives the present
@@ -25,100 +83,56 @@
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Int64Range(0, 1e15).Draw(t, "base")
-		keep := rapid.IntRange(1, 50).Draw(t, "keep")
-		s := New(base, keep)
-		want := map[string]Object{}
+		historyLength := rapid.IntRange(1, 50).Draw(t, "keep")
+		objects := New(base, historyLength)
+		want := objectsByKey{}
 		var old Snapshot
-		var oldWant map[string]Object
+		var wantOld objectsByKey
 		for i := range rapid.IntRange(1, 120).Draw(t, "n") {
-			ns, name := fmt.Sprint("ns", i%3), fmt.Sprint("p", rapid.IntRange(0, 15).Draw(t, "name"))
-			rev := s.Rev()
-			if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
-				_, had := want[Key(ns, name)]
-				if s.Delete(Pods, ns, name) != had {
-					t.Fatal("delete and state disagree")
-				}
-				delete(want, Key(ns, name))
-				if had != (s.Rev() == rev+1) {
-					t.Fatal("revision")
-				}
-			} else {
-				p := pod(ns, name)
-				want[Key(ns, name)] = p
-				if s.Put(Pods, p); s.Rev() != rev+1 || p.ResourceVersion != fmt.Sprint(s.Rev()) {
-					t.Fatal("revision")
-				}
-			}
+			want.change(t, objects, fmt.Sprint("ns", i%3))
 			if i == 10 {
-				old, oldWant = s.Snapshot(Pods), map[string]Object{}
-				for k, v := range want {
-					oldWant[k] = v
-				}
+				old, wantOld = objects.Snapshot(Pods), maps.Clone(want)
 			}
 		}
-		check := func(sn Snapshot, want map[string]Object) {
-			n, last := 0, ""
-			sn.Scan("", "", func(k string, c *Change) bool {
-				if want[k] != c.Object || k <= last && last != "" {
-					t.Fatalf("%s is not what was put, or out of order", k)
-				}
-				n++
-				last = k
-				return true
-			})
-			if n != len(want) {
-				t.Fatalf("%d objects, want %d", n, len(want))
-			}
-		}
-		check(s.Snapshot(Pods), want)
-		if oldWant == nil {
+		want.check(t, objects.Snapshot(Pods))
+		if wantOld == nil {
 			return
 		}
-		check(old, oldWant)
-		changes, err := s.Since(Pods, old.Rev, 1000)
+		wantOld.check(t, old)
+		changes, err := objects.Since(Pods, old.Rev, 1000)
 		if errors.Is(err, ErrExpired) {
-			if s.Rev()-old.Rev <= int64(keep) {
+			if objects.Rev()-old.Rev <= int64(historyLength) {
 				t.Fatal("history is dropped too soon")
 			}
 			return
 		}
-		for _, c := range changes {
-			k := Key(c.Object.GetNamespace(), c.Object.GetName())
-			if prev, had := oldWant[k]; had != (c.Op != Added) || had && prev != c.Prev {
-				t.Fatalf("revision %d does not follow", c.Rev)
-			}
-			if c.Op == Deleted {
-				delete(oldWant, k)
-			} else {
-				oldWant[k] = c.Object
-			}
-		}
-		check(s.Snapshot(Pods), oldWant)
+		wantOld.apply(t, changes)
+		wantOld.check(t, objects.Snapshot(Pods))
 	})
 }
 
 // TestSinceBounds reads changes and snapshots at the ends of what is kept.
 func TestSinceBounds(t *testing.T) {
-	s := New(100, 3)
+	objects := New(100, 3)
 	for i := range 5 {
-		s.Put(Pods, pod("a", fmt.Sprint(i)))
+		objects.Put(Pods, newPod("a", fmt.Sprint(i)))
 	}
-	if _, err := s.Since(Pods, 101, 10); !errors.Is(err, ErrExpired) {
+	if _, err := objects.Since(Pods, 101, 10); !errors.Is(err, ErrExpired) {
 		t.Errorf("101: %v, want expired", err)
 	}
-	if _, err := s.Since(Pods, 106, 10); !errors.Is(err, ErrFuture) {
+	if _, err := objects.Since(Pods, 106, 10); !errors.Is(err, ErrFuture) {
 		t.Errorf("106: %v, want future", err)
 	}
-	if c, err := s.Since(Pods, 102, 2); err != nil || len(c) != 2 || c[0].Rev != 103 {
-		t.Errorf("102: %v, %v", c, err)
+	if changes, err := objects.Since(Pods, 102, 2); err != nil || len(changes) != 2 || changes[0].Rev != 103 {
+		t.Errorf("102: %v, %v", changes, err)
 	}
-	sn := s.Snapshot(Pods)
-	s.KeepSnapshot(1000, sn)
-	s.Put(Pods, pod("a", "later"))
-	if got, err := s.FindSnapshot(1001, Pods, sn.Rev); err != nil || got.Len() != 5 {
+	snapshot := objects.Snapshot(Pods)
+	objects.KeepSnapshot(1000, snapshot)
+	objects.Put(Pods, newPod("a", "later"))
+	if kept, err := objects.FindSnapshot(1001, Pods, snapshot.Rev); err != nil || kept.Len() != 5 {
 		t.Errorf("kept: %v", err)
 	}
-	if _, err := s.FindSnapshot(1000+snapshotRetention+1, Pods, sn.Rev); !errors.Is(err, ErrExpired) {
+	if _, err := objects.FindSnapshot(1000+snapshotRetention+1, Pods, snapshot.Rev); !errors.Is(err, ErrExpired) {
 		t.Errorf("kept too long: %v", err)
 	}
 }
@@ -126,39 +140,36 @@
 // TestHistoryIsBoundedInBytes puts large changes, of which fewer are kept. Small ones are then kept in full number again, and deleted objects
 // cost nothing any more.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
-	const most = 8 << 20
-	s := NewBounded(1, 1000, most)
+	const maxCost = 8 << 20
+	objects := NewBounded(1, 1000, maxCost)
 	for i := range 300 {
-		p := &corev1.Pod{}
-		p.Namespace, p.Name = "default", fmt.Sprint("p", i%10)
+		pod := newPod("default", fmt.Sprint("p", i%10))
 		if i < 200 {
-			p.Annotations = map[string]string{"a": strings.Repeat("x", 200<<10)}
+			pod.Annotations = map[string]string{"a": strings.Repeat("x", 200<<10)}
 		}
-		s.Put(Pods, p)
-		if s.HistoryCost() > most {
-			t.Fatalf("after %d changes the history costs %d", i+1, s.HistoryCost())
+		objects.Put(Pods, pod)
+		if objects.HistoryCost() > maxCost {
+			t.Fatalf("after %d changes the history costs %d", i+1, objects.HistoryCost())
 		}
-		if got, err := s.Since(Pods, s.Rev()-1, 10); err != nil || len(got) != 1 {
+		if changes, err := objects.Since(Pods, objects.Rev()-1, 10); err != nil || len(changes) != 1 {
 			t.Fatalf("the last change is not kept: %v", err)
 		}
 	}
-	if n, err := s.Since(Pods, s.Rev()-90, 100); err != nil || len(n) != 90 {
-		t.Errorf("small changes are kept again: %d, %v", len(n), err)
+	if changes, err := objects.Since(Pods, objects.Rev()-90, 100); err != nil || len(changes) != 90 {
+		t.Errorf("small changes are kept again: %d, %v", len(changes), err)
 	}
-	sn := s.Snapshot(Pods)
+	snapshot := objects.Snapshot(Pods)
 	for i := range 10 {
-		s.Delete(Pods, "default", fmt.Sprint("p", i))
+		objects.Delete(Pods, "default", fmt.Sprint("p", i))
 	}
-	if s.ObjectCost() != 0 {
-		t.Errorf("%d bytes of deleted objects", s.ObjectCost())
+	if objects.ObjectCost() != 0 {
+		t.Errorf("%d bytes of deleted objects", objects.ObjectCost())
 	}
-	s.KeepSnapshot(0, sn)
+	objects.KeepSnapshot(0, snapshot)
 	for i := range 2000 {
-		p := &corev1.Pod{}
-		p.Namespace, p.Name = "default", fmt.Sprint("q", i%10)
-		s.Put(Pods, p)
+		objects.Put(Pods, newPod("default", fmt.Sprint("q", i%10)))
 	}
-	if _, err := s.FindSnapshot(1, Pods, sn.Rev); !errors.Is(err, ErrExpired) || !s.Outdated(sn) {
+	if _, err := objects.FindSnapshot(1, Pods, snapshot.Rev); !errors.Is(err, ErrExpired) || !objects.Outdated(snapshot) {
 		t.Errorf("a snapshot that the history has passed is kept: %v", err)
 	}
 }
