--- a/internal/testsupport/structure/load_test.go
+++ b/internal/testsupport/structure/load_test.go
@@ -11,6 +11,7 @@
 	"go/token"
 	"go/types"
 	"io"
+	"maps"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -66,16 +67,18 @@
 }
 
 func loadModule() (*module, error) {
-	listed, err := listPackages()
+	listed, err := listPackages("-deps", "./...")
+	if err != nil {
+		return nil, err
+	}
+	listed = slices.DeleteFunc(listed, func(pkg *listedPackage) bool { return !pkg.inModule() })
+	exported, err := listPackages(append([]string{"-export"}, outsideImports(listed)...)...)
 	if err != nil {
 		return nil, err
 	}
 	loaded := &module{fileSet: token.NewFileSet()}
-	dependencies := newModuleImporter(loaded.fileSet, listed)
+	dependencies := newModuleImporter(loaded.fileSet, exported)
 	for _, each := range listed {
-		if !each.inModule() {
-			continue
-		}
 		pkg, err := checkPackage(loaded.fileSet, each, dependencies)
 		if err != nil {
 			return nil, fmt.Errorf("reading package %s: %w", each.ImportPath, err)
@@ -86,17 +89,30 @@
 	return loaded, nil
 }
 
-// listPackages returns all packages of the module and what they import, each after those that it imports.
-func listPackages() ([]*listedPackage, error) {
-	command := exec.Command("go", "list", "-export", "-deps", "-json=ImportPath,Dir,GoFiles,Imports,Export,Module", "./...")
+// outsideImports returns the packages of other modules and the standard library that the packages import. Only these are compiled.
+func outsideImports(listed []*listedPackage) []string {
+	outside := map[string]bool{}
+	for _, pkg := range listed {
+		for _, path := range pkg.Imports {
+			if !strings.HasPrefix(path, modulePath+"/") && path != "unsafe" {
+				outside[path] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(outside))
+}
+
+// listPackages returns what the go command lists for its arguments. With -deps each package comes after those that it imports.
+func listPackages(arguments ...string) ([]*listedPackage, error) {
+	command := exec.Command("go", append([]string{"list", "-json=ImportPath,Dir,GoFiles,Imports,Export,Module"}, arguments...)...)
 	command.Dir = moduleRoot
 	output, err := command.Output()
 	if err != nil {
 		var failed *exec.ExitError
 		if errors.As(err, &failed) {
-			return nil, fmt.Errorf("listing the packages: %w: %s", err, failed.Stderr)
+			return nil, fmt.Errorf("listing packages: %w: %s", err, failed.Stderr)
 		}
-		return nil, fmt.Errorf("listing the packages: %w", err)
+		return nil, fmt.Errorf("listing packages: %w", err)
 	}
 	var listed []*listedPackage
 	decoder := json.NewDecoder(bytes.NewReader(output))
@@ -105,7 +121,7 @@
 		if err := decoder.Decode(pkg); errors.Is(err, io.EOF) {
 			return listed, nil
 		} else if err != nil {
-			return nil, fmt.Errorf("listing the packages: %w", err)
+			return nil, fmt.Errorf("listing packages: %w", err)
 		}
 		listed = append(listed, pkg)
 	}
@@ -117,9 +133,9 @@
 	compiled types.Importer
 }
 
-func newModuleImporter(fileSet *token.FileSet, listed []*listedPackage) *moduleImporter {
+func newModuleImporter(fileSet *token.FileSet, exported []*listedPackage) *moduleImporter {
 	exports := map[string]string{}
-	for _, pkg := range listed {
+	for _, pkg := range exported {
 		exports[pkg.ImportPath] = pkg.Export
 	}
 	open := func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) }
