--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -256,3 +256,21 @@
 		})
 	}
 }
+
+// The page for operators lists each former name with the present one.
+func TestFormerNamesAreDocumented(t *testing.T) {
+	page, err := os.ReadFile("../../docs/operations.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range formerNames.Keys {
+		section, formerSection := key.Section, formerPath(key.Section)
+		if key.Section == "classes" {
+			section, formerSection = "classes[]", "classes[]"
+		}
+		row := "| `" + joinPath(formerSection, key.Former) + "` | `" + joinPath(section, key.Name) + "` |"
+		if !strings.Contains(string(page), row) {
+			t.Errorf("operations.md has no row %s", row)
+		}
+	}
+}
--- a/internal/kube/scheduler/metrics_test.go
+++ b/internal/kube/scheduler/metrics_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"maps"
+	"os"
 	"reflect"
 	"slices"
 	"strconv"
@@ -207,3 +208,17 @@
 		}
 	}
 }
+
+// The page for operators lists each former name with the present one.
+func TestFormerMetricNamesAreDocumented(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/operations.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for present, former := range formerMetricNames {
+		row := "| `heathshed_" + former + "` | `heathshed_" + present + "` |"
+		if !strings.Contains(string(page), row) {
+			t.Errorf("operations.md has no row %s", row)
+		}
+	}
+}
