--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -8,54 +8,65 @@
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
+// adopter takes over tasks that were found running at nodes, and rebuilds their Jobs.
+type adopter struct {
+	*environment
+	tasks         *taskTable
+	lifecycle     *taskLifecycle
+	requests      *requestTable
+	podController *podController
+	jobs          *jobTable
+	jobController *jobController
+	jobStarter    *jobStarter
+	jobStatus     *jobStatusWriter
+	publisher     *publisher
+}
+
 // adoptTask hands a task that was found running to the placer, by a new request that is closed from the start.
-func (e *Engine) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
-	e.lastRequestID++
-	request := &placementRequest{id: e.lastRequestID, task: task, closed: true}
+func (a *adopter) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
+	request := &placementRequest{task: task, closed: true}
+	a.requests.add(request)
 	adopted := &attempt{
 		request:             request,
 		task:                task,
 		node:                node,
 		number:              number,
-		sentAt:              e.now,
+		sentAt:              a.now,
 		acceptedIncarnation: incarnation,
 		revision:            revision,
 	}
 	request.attempts = append(request.attempts, adopted)
-	e.requests[request.id] = request
-	task.request = request
 	task.attemptCount = max(task.attemptCount, number)
-	e.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: e.placerTask(request, task.deadline)})
-	e.bindTask(task, adopted)
+	a.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: a.requests.placerTask(request, task.deadline)})
+	a.lifecycle.bind(task, adopted)
 }
 
 // adoptPod adopts a task that a process before this one has placed. Its Job is rebuilt from what the node kept with the Pod. A Pod that
 // cannot be adopted is stopped.
-func (e *Engine) adoptPod(node *node, found *corev1.Pod) {
-	class, invalid := e.classFromLabels(found.Labels)
-	if invalid != nil || e.store.Get(store.Pods, found.Namespace, found.Name) != nil {
-		e.stopCopy(node, found.UID, found.Namespace, found.Name, allAttempts)
+func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
+	class, invalid := a.jobController.classFromLabels(found.Labels)
+	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
+		a.stopCopy(node, found.UID, found.Namespace, found.Name, allAttempts)
 		return
 	}
-	e.Stats.Recovered++
-	adopted := e.taskOfPod(found, class)
-	e.addTask(adopted)
-	e.adoptJob(adopted, found)
-	e.store.Put(store.Pods, e.adoptedPod(node, found))
+	a.stats.Recovered++
+	adopted := a.taskOfPod(found, class)
+	a.tasks.add(adopted)
+	a.adoptJob(adopted, found)
+	a.publisher.putPod(a.adoptedPod(node, found))
 	if adopted.job != nil {
 		adopted.job.pods[adopted.name] = struct{}{}
 	}
-	e.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
+	a.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
 	if found.Status.Phase == corev1.PodRunning {
-		e.taskStarted(adopted)
+		a.lifecycle.started(adopted)
 	}
 	if adopted.job != nil && adopted.job.deleted {
-		e.deleteTaskPod(adopted, stopDeleted)
+		a.podController.deleteOfTask(adopted, stopDeleted)
 	}
 }
 
@@ -69,8 +80,8 @@
 }
 
 // taskOfPod returns the task of a Pod that was found running. Its outcome was settled by the process that placed it.
-func (e *Engine) taskOfPod(found *corev1.Pod, class int) *task {
-	tenant, _ := e.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
+func (a *adopter) taskOfPod(found *corev1.Pod, class int) *task {
+	tenant, _ := a.jobController.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
 	service := found.Labels[wellknown.Service]
 	if service == "" {
 		service = found.Labels[wellknown.JobName]
@@ -82,7 +93,7 @@
 		class:             class,
 		tenant:            tenant,
 		service:           serviceID(found.Namespace, service),
-		deadline:          e.now,
+		deadline:          a.now,
 		settled:           true,
 		requestsSubmitted: 1,
 		everMayHaveRun:    true,
@@ -92,10 +103,10 @@
 }
 
 // adoptedPod returns the Pod of an adopted task as it is stored.
-func (e *Engine) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
-	now := wellknown.APITime(e.now)
+func (a *adopter) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
+	now := wellknown.APITime(a.now)
 	pod := found.DeepCopy()
-	pod.Labels[wellknown.Scheduler] = e.cfg.Name
+	pod.Labels[wellknown.Scheduler] = a.cfg.Name
 	delete(pod.Annotations, wellknown.JobManifest)
 	delete(pod.Annotations, wellknown.Usage)
 	pod.Spec.NodeName = node.name
@@ -112,15 +123,15 @@
 }
 
 // adoptJob joins an adopted task to its Job, which it rebuilds if it is not stored. A Pod that names no usable Job has a task without one.
-func (e *Engine) adoptJob(adopted *task, found *corev1.Pod) {
+func (a *adopter) adoptJob(adopted *task, found *corev1.Pod) {
 	var object batchv1.Job
 	err := json.Unmarshal([]byte(found.Annotations[wellknown.JobManifest]), &object)
 	if err != nil || object.Name == "" || object.Namespace != found.Namespace {
 		return
 	}
-	job := e.jobs[jobKey(&object)]
+	job := a.jobs.get(jobKey(&object))
 	if job == nil {
-		if job = e.rebuildJob(&object); job == nil {
+		if job = a.rebuildJob(&object); job == nil {
 			return
 		}
 	}
@@ -128,26 +139,26 @@
 	if err != nil || index < 0 || index >= len(job.indexes) || job.uid != object.UID || job.indexes[index].task != nil {
 		return
 	}
-	e.adoptIndex(job, index, adopted)
+	a.adoptIndex(job, index, adopted)
 }
 
 // rebuildJob stores a Job that a node kept with a Pod. No task of it is started before the other nodes could show theirs. It returns nil if
 // the Job is not valid any more.
-func (e *Engine) rebuildJob(object *batchv1.Job) *job {
+func (a *adopter) rebuildJob(object *batchv1.Job) *job {
 	object.Generation = 1
-	rebuilt, err := e.newJob(object)
+	rebuilt, err := a.jobController.newJob(object)
 	if err != nil {
 		return nil
 	}
 	rebuilt.nextIndex = len(rebuilt.indexes)
-	e.jobs[rebuilt.key] = rebuilt
-	e.store.Put(store.Jobs, object)
-	e.runAfter(e.cfg.NodeLossTimeout, func() { e.finishJobAdoption(rebuilt) })
+	a.jobs.add(rebuilt)
+	a.publisher.putJob(object)
+	a.runAfter(a.cfg.NodeLossTimeout, func() { a.finishJobAdoption(rebuilt) })
 	return rebuilt
 }
 
 // adoptIndex makes an adopted task that of an index without one.
-func (e *Engine) adoptIndex(job *job, index int, adopted *task) {
+func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
 	state := &job.indexes[index]
 	if state.state == indexFinished {
 		job.exhausted--
@@ -162,16 +173,16 @@
 	adopted.index = index
 	adopted.retryBudget = state.retryBudget
 	job.active++
-	e.markJobDirty(job)
+	a.jobStatus.markDirty(job)
 }
 
 // finishJobAdoption decides on the indexes of a rebuilt Job that no node has shown: their tasks may have ended, or never been started. Those
 // that may run twice are started, the others fail.
-func (e *Engine) finishJobAdoption(job *job) {
-	if job.deleted || e.jobs[job.key] != job {
+func (a *adopter) finishJobAdoption(job *job) {
+	if job.deleted || !a.jobs.holds(job) {
 		return
 	}
-	idempotent := e.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent
+	idempotent := a.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent
 	for i := range job.indexes {
 		switch {
 		case job.indexes[i].state != indexPending:
@@ -181,9 +192,9 @@
 			job.failUnseenIndex(i)
 		}
 	}
-	e.enqueueJob(job)
-	e.markJobDirty(job)
-	e.finishJobIfDone(job)
+	a.jobStarter.enqueue(job)
+	a.jobStatus.markDirty(job)
+	a.jobController.finishIfDone(job)
 }
 
 // failUnseenIndex fails an index of a rebuilt Job whose task may have run.
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -43,9 +43,21 @@
 	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
 }
 
-// startAttempt carries out the placer's decision to send a request's task to a node.
-func (e *Engine) startAttempt(action *placer.Action) {
-	request, node := e.requests[action.Task], e.nodesByID[action.Node]
+// attemptTracker sends attempts to nodes and takes their answers.
+type attemptTracker struct {
+	*environment
+	tasks     *taskTable
+	lifecycle *taskLifecycle
+	requests  *requestTable
+	outcomes  *outcomeReconciler
+	nodes     *nodeRegistry
+	observer  *podObserver
+	publisher *publisher
+}
+
+// start carries out the placer's decision to send a request's task to a node.
+func (t *attemptTracker) start(action *placer.Action) {
+	request, node := t.requests.get(action.Task), t.nodes.withID(action.Node)
 	if request == nil || node == nil || request.closed {
 		panic(fmt.Sprintf("engine: attempt of request %d at node %d, which are not both open", action.Task, action.Node))
 	}
@@ -60,25 +72,25 @@
 		node:            node,
 		requestSequence: action.Attempt,
 		number:          task.attemptCount,
-		sentAt:          e.now,
+		sentAt:          t.now,
 		sentIncarnation: node.incarnation,
 	}
 	request.attempts = append(request.attempts, started)
 	task.inFlight = started
-	e.setState(task, taskAttempting)
-	e.Stats.Attempts++
-	started.timeoutTimer = e.runAt(float64(action.Until), func() { e.attemptTimedOut(started) })
-	e.emit(Effect{
+	t.tasks.setState(task, taskAttempting)
+	t.stats.Attempts++
+	started.timeoutTimer = t.runAt(float64(action.Until), func() { t.timedOut(started) })
+	t.emit(Effect{
 		Kind:                SendAttempt,
 		Node:                node.name,
 		Address:             node.address,
-		Pod:                 e.podForNode(task),
+		Pod:                 t.podForNode(task),
 		UID:                 task.uid,
 		Namespace:           task.namespace,
 		Name:                task.name,
 		Attempt:             started.number,
 		Deadline:            float64(action.Until),
-		AvoidUnknownOutcome: e.idempotencyOf(task) != placer.Idempotent,
+		AvoidUnknownOutcome: t.idempotencyOf(task) != placer.Idempotent,
 	})
 }
 
@@ -117,30 +129,28 @@
 
 const noAnswerInTime = ": no answer in time"
 
-// AttemptDone takes the answer to SendAttempt. It may be called after AbandonAttempt.
-func (e *Engine) AttemptDone(now float64, answer AttemptAnswer) {
-	e.beginCall(now)
-	defer e.endCall()
-	task := e.tasks[answer.UID]
+// done implements Engine.AttemptDone.
+func (t *attemptTracker) done(answer AttemptAnswer) {
+	task := t.tasks.get(answer.UID)
 	if task == nil {
-		e.stopLateAcceptance(&answer)
+		t.stopLateAcceptance(&answer)
 		return
 	}
 	if pending := task.inFlight; pending.is(answer.Node, answer.Attempt) {
-		e.attemptAnswered(pending, &answer)
+		t.answered(pending, &answer)
 		return
 	}
 	if unresolved := task.unknownOutcome(answer.Node, answer.Attempt); unresolved != nil {
-		e.Stats.LateAnswers++
-		e.attemptAnsweredLate(unresolved, &answer)
+		t.stats.LateAnswers++
+		t.outcomes.answeredLate(unresolved, &answer)
 		return
 	}
 	if !answer.Accepted {
 		return
 	}
-	node, running := e.nodes[answer.Node], task.runningAttempt
+	node, running := t.nodes.get(answer.Node), task.runningAttempt
 	if node != nil && (running == nil || running.node != node) {
-		e.stopCopy(node, task.uid, task.namespace, task.name, answer.Attempt)
+		t.stopCopy(node, task.uid, task.namespace, task.name, answer.Attempt)
 	}
 }
 
@@ -150,108 +160,108 @@
 }
 
 // stopLateAcceptance stops the Pod of a task that the engine no longer keeps.
-func (e *Engine) stopLateAcceptance(answer *AttemptAnswer) {
-	node := e.nodes[answer.Node]
+func (t *attemptTracker) stopLateAcceptance(answer *AttemptAnswer) {
+	node := t.nodes.get(answer.Node)
 	if !answer.Accepted || node == nil {
 		return
 	}
-	e.Stats.LateAnswers++
-	e.stopCopy(node, answer.UID, "", "", answer.Attempt)
+	t.stats.LateAnswers++
+	t.stopCopy(node, answer.UID, "", "", answer.Attempt)
 }
 
-// attemptAnswered takes the answer to the attempt in flight.
-func (e *Engine) attemptAnswered(pending *attempt, answer *AttemptAnswer) {
-	e.observeIncarnation(pending.node, answer.Incarnation)
+// answered takes the answer to the attempt in flight.
+func (t *attemptTracker) answered(pending *attempt, answer *AttemptAnswer) {
+	t.nodes.observeIncarnation(pending.node, answer.Incarnation)
 	if answer.Accepted {
-		e.attemptAccepted(pending, answer)
+		t.accepted(pending, answer)
 		return
 	}
 	pending.task.lastFailure = answer.failure()
 	if answer.Result == placer.Rejected {
-		e.Stats.Rejections++
+		t.stats.Rejections++
 	}
-	e.attemptFailed(pending, answer.Result, answer.Reason, answer.Report)
+	t.failed(pending, answer.Result, answer.Reason, answer.Report)
 }
 
-// attemptAccepted binds the task of the attempt in flight.
-func (e *Engine) attemptAccepted(accepted *attempt, answer *AttemptAnswer) {
+// accepted binds the task of the attempt in flight.
+func (t *attemptTracker) accepted(accepted *attempt, answer *AttemptAnswer) {
 	task := accepted.task
-	e.Stats.Accepted++
+	t.stats.Accepted++
 	task.inFlight = nil
-	e.stopTimer(accepted.timeoutTimer)
+	t.stopTimer(accepted.timeoutTimer)
 	accepted.acceptedIncarnation = answer.Incarnation
-	e.post(placer.Event{
+	t.post(placer.Event{
 		Kind:    placer.Bound,
 		TaskID:  accepted.request.id,
 		Attempt: accepted.requestSequence,
 		Node:    accepted.node.id,
-		Elapsed: placer.Seconds(e.now - accepted.sentAt),
+		Elapsed: placer.Seconds(t.now - accepted.sentAt),
 	})
 	accepted.request.closed = true
-	e.admission.Complete(e.now, uint64(accepted.request.id), true)
-	e.bindTask(task, accepted)
+	t.requests.admission.Complete(t.now, uint64(accepted.request.id), true)
+	t.lifecycle.bind(task, accepted)
 	// The node's watch may have been faster than its answer.
 	if observed := accepted.observed; observed.newerThan(answer) {
-		e.observeRunning(task, observed.pod, observed.deleted)
+		t.observer.observeRunning(task, observed.pod, observed.deleted)
 	} else if answer.Pod != nil {
-		e.observeRunning(task, answer.Pod, false)
+		t.observer.observeRunning(task, answer.Pod, false)
 	}
 	accepted.observed = nil
 	accepted.revision = answer.Revision
 }
 
-// attemptTimedOut gives up an attempt if it is still in flight.
-func (e *Engine) attemptTimedOut(pending *attempt) {
+// timedOut gives up an attempt if it is still in flight.
+func (t *attemptTracker) timedOut(pending *attempt) {
 	if pending.task.inFlight != pending {
 		return
 	}
 	pending.task.lastFailure = pending.node.name + noAnswerInTime
-	e.abandonAttempt(pending, placer.TimedOut)
-	e.drainEvents()
+	t.abandon(pending, placer.TimedOut)
+	t.drainEvents()
 }
 
-// abandonAttempt ends the wait for the answer to the attempt in flight.
-func (e *Engine) abandonAttempt(pending *attempt, result placer.Result) {
-	e.emit(Effect{Kind: AbandonAttempt, Node: pending.node.name, UID: pending.task.uid, Attempt: pending.number})
-	e.attemptFailed(pending, result, placer.NoReason, nil)
+// abandon ends the wait for the answer to the attempt in flight.
+func (t *attemptTracker) abandon(pending *attempt, result placer.Result) {
+	t.emit(Effect{Kind: AbandonAttempt, Node: pending.node.name, UID: pending.task.uid, Attempt: pending.number})
+	t.failed(pending, result, placer.NoReason, nil)
 }
 
-// attemptFailed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not take the task
+// failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not take the task
 // the attempt's outcome is unknown.
-func (e *Engine) attemptFailed(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
+func (t *attemptTracker) failed(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
 	failed.task.inFlight = nil
-	e.setState(failed.task, taskSubmitted)
-	e.stopTimer(failed.timeoutTimer)
+	t.tasks.setState(failed.task, taskSubmitted)
+	t.stopTimer(failed.timeoutTimer)
 	switch result {
 	case placer.Rejected, placer.Unreachable, placer.Expired:
 	default:
-		e.trackUnknownOutcome(failed)
+		t.outcomes.track(failed)
 	}
-	e.post(placer.Event{
+	t.post(placer.Event{
 		Kind:    placer.Ended,
 		TaskID:  failed.request.id,
 		Attempt: failed.requestSequence,
 		Node:    failed.node.id,
 		Result:  result,
 		Reason:  reason,
-		Elapsed: placer.Seconds(e.now - failed.sentAt),
+		Elapsed: placer.Seconds(t.now - failed.sentAt),
 		Final:   failed.request.closed,
 		Report:  report,
 	})
-	e.discardRequest(failed.request)
+	t.requests.discard(failed.request)
 }
 
 // podForNode returns a task's Pod as nodes get it, with what a restarted scheduler needs to adopt it.
-func (e *Engine) podForNode(task *task) *corev1.Pod {
-	stored := e.podOf(task)
+func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
+	stored := t.publisher.podOf(task)
 	if stored == nil {
 		panic("engine: task without a Pod: " + string(task.uid))
 	}
 	pod := *stored // the Spec is shared: it is not changed
 	stored.ObjectMeta.DeepCopyInto(&pod.ObjectMeta)
 	pod.ResourceVersion = ""
-	pod.Labels[wellknown.Scheduler] = e.cfg.Name
-	pod.Labels[wellknown.Class] = e.cfg.Classes[task.class]
+	pod.Labels[wellknown.Scheduler] = t.cfg.Name
+	pod.Labels[wellknown.Class] = t.cfg.Classes[task.class]
 	if task.job != nil {
 		pod.Annotations[wellknown.JobManifest] = task.job.manifest()
 	}
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -40,7 +40,7 @@
 	AvoidUnknownOutcome bool
 }
 
-func (e *Engine) emit(effect Effect) { e.effects = append(e.effects, effect) }
+func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
 
 // Ready appends the effects that are due to dst and returns it. Each effect is handed out once.
 func (e *Engine) Ready(dst []Effect) []Effect {
@@ -49,3 +49,17 @@
 	e.effects = e.effects[:0]
 	return dst
 }
+
+// stopCopy orders a node to stop a task, and not to accept attempts up to a number.
+func (env *environment) stopCopy(node *node, uid types.UID, namespace, name string, number int) {
+	env.stats.Stops++
+	env.emit(Effect{
+		Kind:      StopTask,
+		Node:      node.name,
+		Address:   node.address,
+		UID:       uid,
+		Namespace: namespace,
+		Name:      name,
+		Attempt:   number,
+	})
+}
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -80,7 +80,7 @@
 			e := newEngine(t)
 			e.NodesListed(1000, FullList, []*corev1.Node{test.first}, nil)
 			e.NodesListed(1100, Changes, []*corev1.Node{test.second}, nil)
-			if got := e.nodes["n"].listedStartedAt; got != test.want {
+			if got := e.nodes.get("n").listedStartedAt; got != test.want {
 				t.Errorf("started at %v, want %v", got, test.want)
 			}
 		})
@@ -94,8 +94,8 @@
 	e.NodePods(1001, "n", "a", 1, nil)
 	e.NodePods(1010, "n", "b", 1, nil)
 	e.NodesListed(1011, Changes, []*corev1.Node{listedNode("a", 0)}, nil)
-	e.observeIncarnation(e.nodes["n"], "a")
-	if got := e.nodes["n"].incarnation; got != "b" {
+	e.nodes.observeIncarnation(e.nodes.get("n"), "a")
+	if got := e.nodes.get("n").incarnation; got != "b" {
 		t.Errorf("the node is taken back to incarnation %q", got)
 	}
 }
@@ -279,7 +279,7 @@
 	}
 	createJobOnOneNode(t, e, 3)
 	queued := func() bool {
-		for _, task := range e.tasks {
+		for _, task := range e.tasks.byUID {
 			if task.state == taskQueued && task.hasUnknownOutcome() {
 				return true
 			}
--- /dev/null
+++ b/internal/kube/engine/environment.go
@@ -0,0 +1,71 @@
+package engine
+
+import (
+	"fmt"
+	"math/rand/v2"
+
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/placer"
+)
+
+// environment is what all parts of an Engine share: the settings, the time of the present call, the source of random numbers, the timers,
+// the queue of events to the placer, and the effects that the caller has not taken yet.
+type environment struct {
+	cfg      Config
+	now      float64 // Unix seconds of the present call
+	rng      *rand.Rand
+	events   eventqueue.Queue // to the placer
+	effects  []Effect         // not handed out yet
+	timers   timerqueue.Queue[float64]
+	stats    *Stats
+	stopping bool // Stop was called
+}
+
+// advanceClock takes the time of a new call. The clock never goes back.
+func (env *environment) advanceClock(now float64) { env.now = max(env.now, now) }
+
+// post queues an event for the placer.
+func (env *environment) post(event placer.Event) { env.events.Post(event) }
+
+// drainEvents has the placer handle the queued events and executes its actions. It does nothing while an action is executed.
+func (env *environment) drainEvents() { env.events.Run(placer.Seconds(env.now)) }
+
+// timer is a function that runs in a later Tick.
+type timer = timerqueue.Timer[float64]
+
+func (env *environment) runAt(when float64, fn func()) *timer { return env.timers.Add(when, fn) }
+
+func (env *environment) runAfter(delay float64, fn func()) *timer {
+	return env.runAt(env.now+max(delay, 0), fn)
+}
+
+// stopTimer stops a timer. A nil timer and one that has run are ignored.
+func (env *environment) stopTimer(stopped *timer) { env.timers.Stop(stopped) }
+
+func (env *environment) idempotencyOf(task *task) placer.Idempotency {
+	return env.cfg.Placer.Classes[task.class].Idempotency
+}
+
+// newUID draws a version 4 UUID from the engine's own random source.
+func (env *environment) newUID() types.UID {
+	first, second := env.rng.Uint64(), env.rng.Uint64()
+	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(first), uint16(first>>32), first>>52,
+		0x8000|uint16(second)&0x3fff, second>>16))
+}
+
+const (
+	suffixLetters = "bcdfghjklmnpqrstvwxz2456789"
+	suffixLength  = 5
+)
+
+// randomSuffix draws the end of a generated name, in the form that the Kubernetes API uses.
+func (env *environment) randomSuffix() string {
+	letters := make([]byte, suffixLength)
+	for i := range letters {
+		letters[i] = suffixLetters[env.rng.IntN(len(suffixLetters))]
+	}
+	return string(letters)
+}
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -3,14 +3,11 @@
 import (
 	"encoding/json"
 	"fmt"
-	"slices"
 
 	batchv1 "k8s.io/api/batch/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
-	"heathshed/internal/kube/store"
-	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
@@ -118,180 +115,6 @@
 // cost returns what the Job and all its Pods cost, as store.Cost counts.
 func (j *job) cost() int64 { return j.podCost * int64(1+len(j.indexes)) }
 
-// classFromLabels returns the index of the class that a pod template names.
-func (e *Engine) classFromLabels(labels map[string]string) (int, *InvalidError) {
-	name, ok := labels[wellknown.Class]
-	if !ok {
-		return e.cfg.DefaultClass, nil
-	}
-	if i := slices.Index(e.cfg.Classes, name); i >= 0 {
-		return i, nil
-	}
-	return 0, &InvalidError{
-		Field:  "spec.template.metadata.labels[" + wellknown.Class + "]",
-		Detail: fmt.Sprintf("no such class; there are %v", e.cfg.Classes),
-		Value:  name,
-	}
-}
-
-// newJob returns the state of a Job of which nothing was started. The error is an *InvalidError.
-func (e *Engine) newJob(object *batchv1.Job) (*job, error) {
-	labels := object.Spec.Template.Labels
-	class, invalid := e.classFromLabels(labels)
-	if invalid != nil {
-		return nil, invalid
-	}
-	tenant, ok := e.tenantOf(object.Namespace)
-	if !ok {
-		return nil, &InvalidError{Field: "metadata.namespace", Detail: "no such tenant", Value: object.Namespace}
-	}
-	tasks := taskCount(object)
-	if tasks < 0 || tasks > e.cfg.MaxPods {
-		return nil, &InvalidError{Field: "spec.completions", Detail: fmt.Sprintf("must be 0 to %d", e.cfg.MaxPods), Value: tasks}
-	}
-	service := labels[wellknown.Service]
-	if service == "" {
-		service = object.Name
-	}
-	created := &job{
-		key:       jobKey(object),
-		uid:       object.UID,
-		object:    object,
-		class:     class,
-		tenant:    tenant,
-		service:   serviceID(object.Namespace, service),
-		suspended: valueOr(object.Spec.Suspend, false),
-		settled:   map[string]int{},
-		pods:      map[string]struct{}{},
-		indexes:   make([]jobIndex, tasks),
-	}
-	created.cores, created.memory = wellknown.Requests(&object.Spec.Template.Spec)
-	budget := max(created.backoffLimit(), 0)
-	for i := range created.indexes {
-		created.indexes[i].retryBudget = budget
-	}
-	return created, nil
-}
-
-// CreateJob stores a Job that the API server has validated and defaulted, and starts its tasks. It returns the Job as stored. A dry run
-// only returns what would be stored. Errors: ErrExists, ErrStopping, ErrTooMany, *InvalidError.
-func (e *Engine) CreateJob(now float64, object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
-	e.beginCall(now)
-	defer e.endCall()
-	object = object.DeepCopy()
-	e.generateName(object)
-	if e.jobs[jobKey(object)] != nil {
-		return nil, ErrExists
-	}
-	if e.stopping {
-		return nil, ErrStopping
-	}
-	e.initializeJob(object)
-	created, err := e.newJob(object)
-	if err != nil {
-		return nil, err
-	}
-	created.podCost = store.Cost(object)
-	if need := created.cost(); e.cfg.MaxObjects > 0 && need > e.cfg.MaxObjects {
-		tasks := len(created.indexes)
-		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, e.cfg.MaxObjects)
-		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
-	}
-	for e.exceedsLimits(created) {
-		if !e.evictFinishedJob(dryRun) {
-			e.Stats.JobsRejected++
-			return nil, ErrTooMany
-		}
-	}
-	if dryRun {
-		return object, nil
-	}
-	e.Stats.JobsCreated++
-	e.jobs[created.key] = created
-	e.store.Put(store.Jobs, object)
-	e.startJob(created)
-	return e.store.Get(store.Jobs, object.Namespace, object.Name).(*batchv1.Job), nil
-}
-
-// Limits of generated names.
-const (
-	maxGeneratedPrefix = 248 // characters of generateName that are used
-	maxNameDraws       = 8   // names that are drawn if they are taken, as by the Kubernetes API server
-)
-
-// generateName names a Job that has only a generateName.
-func (e *Engine) generateName(object *batchv1.Job) {
-	if object.Name != "" || object.GenerateName == "" {
-		return
-	}
-	for range maxNameDraws {
-		object.Name = fmt.Sprintf("%.*s", maxGeneratedPrefix, object.GenerateName) + e.randomSuffix()
-		if e.jobs[jobKey(object)] == nil {
-			return
-		}
-	}
-}
-
-// initializeJob sets what the API server's registry sets in a new Job: identity, status, selector and labels of its Pods.
-func (e *Engine) initializeJob(object *batchv1.Job) {
-	object.UID = e.newUID()
-	object.CreationTimestamp = wellknown.APITime(e.now)
-	object.Generation = 1
-	object.Status = batchv1.JobStatus{}
-	uid := string(object.UID)
-	if object.Spec.Selector == nil {
-		object.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{wellknown.JobUID: uid}}
-	}
-	if object.Spec.Template.Labels == nil {
-		object.Spec.Template.Labels = map[string]string{}
-	}
-	labels := object.Spec.Template.Labels
-	labels[wellknown.JobUID] = uid
-	labels[wellknown.JobName] = object.Name
-	labels["controller-uid"] = uid   // the older form of the label
-	labels["job-name"] = object.Name // the older form of the label
-}
-
-// exceedsLimits reports whether a new Job is too much beside the stored objects and the Pods that are still to be created.
-func (e *Engine) exceedsLimits(created *job) bool {
-	pods, bytes := e.pendingPods()
-	if e.store.Len(store.Pods)+pods+len(created.indexes) > e.cfg.MaxPods {
-		return true
-	}
-	return e.cfg.MaxObjects > 0 && e.store.ObjectCost()+bytes+created.cost() > e.cfg.MaxObjects
-}
-
-// pendingPods returns how many Pods the Jobs in the backlog still create, and what they will cost.
-func (e *Engine) pendingPods() (count int, bytes int64) {
-	for _, job := range e.backlog {
-		pending := len(job.indexes) - job.nextIndex
-		count += pending
-		bytes += job.podCost * int64(pending)
-	}
-	return count, bytes
-}
-
-// minFinishedRetention is how many seconds a finished Job is kept at least, so that its outcome can be read.
-const minFinishedRetention = 30.0
-
-// evictFinishedJob removes the Job that finished first, and reports whether it did. A dry run removes nothing.
-func (e *Engine) evictFinishedJob(dryRun bool) bool {
-	for len(e.finishedJobs) > 0 {
-		oldest := e.finishedJobs[0]
-		if oldest.deleted || e.jobs[oldest.key] != oldest {
-			e.finishedJobs = e.finishedJobs[1:]
-			continue
-		}
-		if dryRun || e.now-oldest.finishedAt < minFinishedRetention {
-			return false
-		}
-		e.removeJob(oldest, metav1.DeletePropagationBackground)
-		e.finishedJobs = e.finishedJobs[1:]
-		return true
-	}
-	return false
-}
-
 // manifest returns the Job in the form that nodes keep with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if
 // the Job cannot be encoded: the task is then adopted without its Job.
 func (j *job) manifest() string {
@@ -315,3 +138,5 @@
 	j.manifestText = string(encoded)
 	return j.manifestText
 }
+
+func (j *job) removePod(name string) { delete(j.pods, name) }
--- /dev/null
+++ b/internal/kube/engine/job_controller.go
@@ -0,0 +1,121 @@
+package engine
+
+import (
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+
+	"heathshed/internal/control/retry"
+)
+
+// jobController creates, updates, finishes and deletes Jobs, and takes the outcomes and the ends of their tasks.
+type jobController struct {
+	*environment
+	jobs          *jobTable
+	jobStarter    *jobStarter
+	jobStatus     *jobStatusWriter
+	tasks         *taskTable
+	lifecycle     *taskLifecycle
+	podController *podController
+	publisher     *publisher
+}
+
+// recordSettled counts the final outcome of the first task of an index.
+func (c *jobController) recordSettled(task *task, reason string) {
+	job := task.job
+	index := &job.indexes[task.index]
+	if index.settled || task.stopReason == stopSuspended || index.task != task {
+		return
+	}
+	index.settled = true
+	job.settled[reason]++
+	job.mayHaveRun = job.mayHaveRun || task.everMayHaveRun
+	c.jobStatus.markDirty(job)
+}
+
+// taskEnded counts the end of a task, and has its index started again where the Job asks for that.
+func (c *jobController) taskEnded(task *task, succeeded bool, cause retry.Cause) {
+	job := task.job
+	index := &job.indexes[task.index]
+	if index.task != task {
+		return
+	}
+	index.task = nil
+	index.state = indexRetrying
+	job.active--
+	c.jobStatus.markDirty(job)
+	switch {
+	case succeeded:
+		job.succeeded++
+		index.state = indexFinished
+	case job.deleted:
+	case job.suspended && task.stopReason == stopSuspended:
+		job.restartIndex(task.index)
+	default:
+		job.failed++
+		if !c.jobStarter.scheduleRerun(job, task, cause) {
+			index.state = indexFinished
+			job.exhausted++
+		}
+	}
+	c.jobStarter.enqueue(job)
+	c.finishIfDone(job)
+}
+
+// finishIfDone ends a Job whose indexes have all ended, or which fails as a whole and has no active task left.
+func (c *jobController) finishIfDone(job *job) {
+	if job.finished || job.deleted || job.active > 0 {
+		return
+	}
+	failed := job.failureReason != ""
+	allEnded := job.succeeded+job.exhausted >= len(job.indexes)
+	if !failed && (job.suspended || !allEnded) {
+		return
+	}
+	c.finish(job)
+	c.stopTimer(job.deadlineTimer)
+	c.jobStatus.markDirty(job)
+	retention := c.cfg.FinishedTTL
+	if ttlSeconds := job.object.Spec.TTLSecondsAfterFinished; ttlSeconds != nil {
+		retention = float64(*ttlSeconds)
+	} else if retention <= 0 {
+		return
+	}
+	job.ttlTimer = c.runAfter(retention, func() {
+		if c.jobs.holds(job) {
+			c.remove(job, metav1.DeletePropagationBackground)
+		}
+	})
+}
+
+func (c *jobController) finish(finished *job) {
+	finished.finished = true
+	finished.finishedAt = c.now
+	c.stats.JobsFinished++
+	c.jobs.addFinished(finished)
+}
+
+// fail ends a Job as a whole: its active tasks are stopped.
+func (c *jobController) fail(job *job, reason, message string) {
+	if job.finished || job.deleted || job.failureReason != "" {
+		return
+	}
+	job.failureReason = reason
+	job.failureMessage = message
+	for i := range job.indexes {
+		index := &job.indexes[i]
+		c.stopTimer(index.retryTimer)
+		if index.task != nil {
+			c.lifecycle.stop(index.task, reason)
+		}
+	}
+	c.drainEvents()
+	c.finishIfDone(job)
+	c.jobStatus.markDirty(job)
+}
+
+// podRemoved records that the Pod of a task was removed from the store.
+func (c *jobController) podRemoved(task *task) {
+	if task.job != nil {
+		task.job.removePod(task.name)
+		c.finishForegroundDeletion(task.job)
+	}
+}
--- /dev/null
+++ b/internal/kube/engine/job_create.go
@@ -0,0 +1,176 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+
+	batchv1 "k8s.io/api/batch/v1"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+)
+
+// classFromLabels returns the index of the class that a pod template names.
+func (c *jobController) classFromLabels(labels map[string]string) (int, *InvalidError) {
+	name, ok := labels[wellknown.Class]
+	if !ok {
+		return c.cfg.DefaultClass, nil
+	}
+	if i := slices.Index(c.cfg.Classes, name); i >= 0 {
+		return i, nil
+	}
+	return 0, &InvalidError{
+		Field:  "spec.template.metadata.labels[" + wellknown.Class + "]",
+		Detail: fmt.Sprintf("no such class; there are %v", c.cfg.Classes),
+		Value:  name,
+	}
+}
+
+// newJob returns the state of a Job of which nothing was started. The error is an *InvalidError.
+func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
+	labels := object.Spec.Template.Labels
+	class, invalid := c.classFromLabels(labels)
+	if invalid != nil {
+		return nil, invalid
+	}
+	tenant, ok := c.tenantOf(object.Namespace)
+	if !ok {
+		return nil, &InvalidError{Field: "metadata.namespace", Detail: "no such tenant", Value: object.Namespace}
+	}
+	tasks := taskCount(object)
+	if tasks < 0 || tasks > c.cfg.MaxPods {
+		return nil, &InvalidError{Field: "spec.completions", Detail: fmt.Sprintf("must be 0 to %d", c.cfg.MaxPods), Value: tasks}
+	}
+	service := labels[wellknown.Service]
+	if service == "" {
+		service = object.Name
+	}
+	created := &job{
+		key:       jobKey(object),
+		uid:       object.UID,
+		object:    object,
+		class:     class,
+		tenant:    tenant,
+		service:   serviceID(object.Namespace, service),
+		suspended: valueOr(object.Spec.Suspend, false),
+		settled:   map[string]int{},
+		pods:      map[string]struct{}{},
+		indexes:   make([]jobIndex, tasks),
+	}
+	created.cores, created.memory = wellknown.Requests(&object.Spec.Template.Spec)
+	budget := max(created.backoffLimit(), 0)
+	for i := range created.indexes {
+		created.indexes[i].retryBudget = budget
+	}
+	return created, nil
+}
+
+// create implements Engine.CreateJob.
+func (c *jobController) create(object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
+	object = object.DeepCopy()
+	c.generateName(object)
+	if c.jobs.get(jobKey(object)) != nil {
+		return nil, ErrExists
+	}
+	if c.stopping {
+		return nil, ErrStopping
+	}
+	c.initialize(object)
+	created, err := c.newJob(object)
+	if err != nil {
+		return nil, err
+	}
+	created.podCost = store.Cost(object)
+	if need := created.cost(); c.cfg.MaxObjects > 0 && need > c.cfg.MaxObjects {
+		tasks := len(created.indexes)
+		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjects)
+		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
+	}
+	for c.exceedsLimits(created) {
+		if !c.evictFinished(dryRun) {
+			c.stats.JobsRejected++
+			return nil, ErrTooMany
+		}
+	}
+	if dryRun {
+		return object, nil
+	}
+	c.stats.JobsCreated++
+	c.jobs.add(created)
+	c.publisher.putJob(object)
+	c.jobStarter.start(created)
+	return c.publisher.storedJob(object.Namespace, object.Name), nil
+}
+
+// Limits of generated names.
+const (
+	maxGeneratedPrefix = 248 // characters of generateName that are used
+	maxNameDraws       = 8   // names that are drawn if they are taken, as by the Kubernetes API server
+)
+
+// generateName names a Job that has only a generateName.
+func (c *jobController) generateName(object *batchv1.Job) {
+	if object.Name != "" || object.GenerateName == "" {
+		return
+	}
+	for range maxNameDraws {
+		object.Name = fmt.Sprintf("%.*s", maxGeneratedPrefix, object.GenerateName) + c.randomSuffix()
+		if c.jobs.get(jobKey(object)) == nil {
+			return
+		}
+	}
+}
+
+// initialize sets what the API server's registry sets in a new Job: identity, status, selector and labels of its Pods.
+func (c *jobController) initialize(object *batchv1.Job) {
+	object.UID = c.newUID()
+	object.CreationTimestamp = wellknown.APITime(c.now)
+	object.Generation = 1
+	object.Status = batchv1.JobStatus{}
+	uid := string(object.UID)
+	if object.Spec.Selector == nil {
+		object.Spec.Selector = &metav1.LabelSelector{MatchLabels: map[string]string{wellknown.JobUID: uid}}
+	}
+	if object.Spec.Template.Labels == nil {
+		object.Spec.Template.Labels = map[string]string{}
+	}
+	labels := object.Spec.Template.Labels
+	labels[wellknown.JobUID] = uid
+	labels[wellknown.JobName] = object.Name
+	labels["controller-uid"] = uid   // the older form of the label
+	labels["job-name"] = object.Name // the older form of the label
+}
+
+// exceedsLimits reports whether a new Job is too much beside the stored objects and the Pods that are still to be created.
+func (c *jobController) exceedsLimits(created *job) bool {
+	pods, bytes := c.jobStarter.pendingPods()
+	if c.publisher.podCount()+pods+len(created.indexes) > c.cfg.MaxPods {
+		return true
+	}
+	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
+}
+
+// minFinishedRetention is how many seconds a finished Job is kept at least, so that its outcome can be read.
+const minFinishedRetention = 30.0
+
+// evictFinished removes the Job that finished first, and reports whether it did. A dry run removes nothing.
+func (c *jobController) evictFinished(dryRun bool) bool {
+	oldest := c.jobs.oldestFinished()
+	if oldest == nil || dryRun || c.now-oldest.finishedAt < minFinishedRetention {
+		return false
+	}
+	c.remove(oldest, metav1.DeletePropagationBackground)
+	c.jobs.dropOldestFinished()
+	return true
+}
+
+// tenantOf returns the index of a namespace's tenant, and whether the namespace is accepted.
+func (c *jobController) tenantOf(namespace string) (int, bool) {
+	for i, name := range c.cfg.Tenants {
+		if name == namespace {
+			return i, true
+		}
+	}
+	return 0, len(c.cfg.Tenants) == 0 || namespace == defaultNamespace
+}
--- /dev/null
+++ b/internal/kube/engine/job_delete.go
@@ -0,0 +1,102 @@
+package engine
+
+import (
+	"maps"
+	"slices"
+
+	batchv1 "k8s.io/api/batch/v1"
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
+	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/internal/kube/store"
+	"heathshed/internal/kube/wellknown"
+)
+
+// deleteByName implements Engine.DeleteJob.
+func (c *jobController) deleteByName(namespace, name string, uid types.UID, resourceVersion string,
+	propagation metav1.DeletionPropagation) (*batchv1.Job, error) {
+	job := c.jobs.get(store.Key(namespace, name))
+	if job == nil {
+		return nil, ErrNotFound
+	}
+	if err := checkPreconditions(job.object, uid, resourceVersion); err != nil {
+		return nil, err
+	}
+	c.remove(job, propagation)
+	return job.object, nil
+}
+
+func (c *jobController) remove(job *job, propagation metav1.DeletionPropagation) {
+	if job.deleted {
+		return
+	}
+	job.deleted = true
+	c.stopTimer(job.deadlineTimer)
+	c.stopTimer(job.ttlTimer)
+	for i := range job.indexes {
+		c.stopTimer(job.indexes[i].retryTimer)
+	}
+	pods := slices.Sorted(maps.Keys(job.pods))
+	switch {
+	case propagation == metav1.DeletePropagationOrphan:
+		c.orphanPods(job, pods)
+		c.deleteObject(job)
+	case propagation == metav1.DeletePropagationForeground && len(pods) > 0:
+		c.startForegroundDeletion(job)
+		c.deletePodsOf(job, pods)
+	default:
+		c.deleteObject(job)
+		c.deletePodsOf(job, pods)
+	}
+	c.drainEvents()
+}
+
+// orphanPods removes the owner references of a Job's Pods, and detaches their tasks from the Job.
+func (c *jobController) orphanPods(job *job, names []string) {
+	for _, name := range names {
+		stored := c.publisher.storedPod(job.object.Namespace, name)
+		if stored == nil {
+			continue
+		}
+		pod := stored.DeepCopy()
+		pod.OwnerReferences = nil
+		c.publisher.putPod(pod)
+		if task := c.tasks.get(pod.UID); task != nil {
+			task.job = nil
+		}
+	}
+	job.pods = nil
+}
+
+func (c *jobController) deletePodsOf(job *job, names []string) {
+	for _, name := range names {
+		if pod := c.publisher.storedPod(job.object.Namespace, name); pod != nil {
+			c.podController.delete(pod, stopDeleted)
+		}
+	}
+}
+
+// startForegroundDeletion marks the stored Job as deleted. It is removed with its last Pod.
+func (c *jobController) startForegroundDeletion(job *job) {
+	job.foregroundDeletion = true
+	marked := job.object.DeepCopy()
+	now := wellknown.APITime(c.now)
+	marked.DeletionTimestamp = &now
+	marked.Finalizers = append(marked.Finalizers, metav1.FinalizerDeleteDependents)
+	c.publisher.putJob(marked)
+	job.object = marked
+}
+
+// finishForegroundDeletion removes a Job that was deleted in the foreground if its last Pod is removed.
+func (c *jobController) finishForegroundDeletion(job *job) {
+	if job.foregroundDeletion && len(job.pods) == 0 {
+		job.foregroundDeletion = false
+		c.deleteObject(job)
+	}
+}
+
+func (c *jobController) deleteObject(job *job) {
+	if c.jobs.remove(job) {
+		c.publisher.deleteJob(job.object)
+	}
+}
--- /dev/null
+++ b/internal/kube/engine/job_rerun.go
@@ -0,0 +1,65 @@
+package engine
+
+import (
+	"heathshed/internal/control/retry"
+	"heathshed/placer"
+)
+
+// rerunWindow is how many seconds from now package retry may choose for the start of a task whose predecessor has ended: no deadline
+// applies, since the outcome of the index is known.
+const rerunWindow = 3600
+
+// scheduleRerun sets a timer that starts an index again after its task ended without success. It returns false if the index is not started
+// again.
+func (s *jobStarter) scheduleRerun(job *job, task *task, cause retry.Cause) bool {
+	idempotency := s.cfg.Placer.Classes[job.class].Idempotency
+	if !s.mayRerun(job, task, cause, idempotency) {
+		return false
+	}
+	budget := task.retryBudget
+	if cause == retry.Migrated || task.stopReason != "" {
+		budget = max(budget, 1) // a stop that this scheduler ordered costs nothing
+	}
+	// The end of the task is known: only the time of its start is left to choose.
+	decision, at := s.cfg.Retry.Next(retry.State{
+		Idempotency: placer.Idempotent,
+		Cause:       cause,
+		Now:         s.now,
+		Deadline:    s.now + rerunWindow,
+		Attempts:    max(job.backoffLimit()-task.retryBudget+1, 1),
+		RetriesLeft: budget,
+		Jitter:      s.rng.Float64(),
+	})
+	if decision != retry.RetryAt {
+		return false
+	}
+	if idempotency != placer.Idempotent {
+		at = max(at, s.now+s.cfg.Retry.UnknownOutcomeTimeout)
+	}
+	index := task.index
+	state := &job.indexes[index]
+	state.retryBudget = task.retryBudget
+	if budget == task.retryBudget {
+		state.retryBudget--
+	}
+	state.retryTimer = s.runAt(at, func() {
+		if job.canStart() && job.indexes[index].task == nil {
+			s.startTask(job, index)
+			s.drainEvents()
+		}
+	})
+	return true
+}
+
+// mayRerun reports whether an index may be started again after its task ended without success.
+func (s *jobStarter) mayRerun(job *job, task *task, cause retry.Cause, idempotency placer.Idempotency) bool {
+	switch {
+	case job.failureReason != "" || s.stopping:
+		return false
+	case cause == retry.Rejected && task.stopReason == "":
+		return false // its requests were retried as often as allowed
+	case idempotency == placer.NonIdempotent:
+		return cause != retry.Failed && !task.mayHaveRun // it neither ran to its end nor may have a copy
+	}
+	return true
+}
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -2,66 +2,41 @@
 
 import (
 	"fmt"
-	"slices"
 
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/api/equality"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/control/retry"
-	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 )
 
-// markJobDirty has the status of a Job written at the end of the call.
-func (e *Engine) markJobDirty(job *job) {
-	if !job.dirty {
-		job.dirty = true
-		e.dirtyJobs = append(e.dirtyJobs, job)
-	}
+// jobStatusWriter stores the statuses of Jobs that have changed, at the end of each call.
+type jobStatusWriter struct {
+	*environment
+	jobs          *jobTable
+	jobController *jobController
+	publisher     *publisher
+
+	dirty []*job // Jobs whose status is to be written
 }
 
-// recordSettled counts the final outcome of the first task of an index.
-func (e *Engine) recordSettled(task *task, reason string) {
-	job := task.job
-	index := &job.indexes[task.index]
-	if index.settled || task.stopReason == stopSuspended || index.task != task {
-		return
+// writeDirty stores the statuses that have changed in this call.
+func (w *jobStatusWriter) writeDirty() {
+	dirty := w.dirty
+	w.dirty = nil
+	for _, job := range dirty {
+		job.dirty = false
+		w.write(job)
 	}
-	index.settled = true
-	job.settled[reason]++
-	job.mayHaveRun = job.mayHaveRun || task.everMayHaveRun
-	e.markJobDirty(job)
 }
 
-// jobTaskEnded counts the end of a task, and has its index started again where the Job asks for that.
-func (e *Engine) jobTaskEnded(task *task, succeeded bool, cause retry.Cause) {
-	job := task.job
-	index := &job.indexes[task.index]
-	if index.task != task {
-		return
-	}
-	index.task = nil
-	index.state = indexRetrying
-	job.active--
-	e.markJobDirty(job)
-	switch {
-	case succeeded:
-		job.succeeded++
-		index.state = indexFinished
-	case job.deleted:
-	case job.suspended && task.stopReason == stopSuspended:
-		job.restartIndex(task.index)
-	default:
-		job.failed++
-		if !e.scheduleRerun(job, task, cause) {
-			index.state = indexFinished
-			job.exhausted++
-		}
+// markDirty has the status of a Job written at the end of the call.
+func (w *jobStatusWriter) markDirty(job *job) {
+	if !job.dirty {
+		job.dirty = true
+		w.dirty = append(w.dirty, job)
 	}
-	e.enqueueJob(job)
-	e.finishJobIfDone(job)
 }
 
 // restartIndex has an index started anew when the Job's turn comes.
@@ -70,81 +45,23 @@
 	j.nextIndex = min(j.nextIndex, index)
 }
 
-// finishJobIfDone ends a Job whose indexes have all ended, or which fails as a whole and has no active task left.
-func (e *Engine) finishJobIfDone(job *job) {
-	if job.finished || job.deleted || job.active > 0 {
-		return
-	}
-	failed := job.failureReason != ""
-	allEnded := job.succeeded+job.exhausted >= len(job.indexes)
-	if !failed && (job.suspended || !allEnded) {
-		return
-	}
-	e.jobFinished(job)
-	e.stopTimer(job.deadlineTimer)
-	e.markJobDirty(job)
-	retention := e.cfg.FinishedTTL
-	if ttlSeconds := job.object.Spec.TTLSecondsAfterFinished; ttlSeconds != nil {
-		retention = float64(*ttlSeconds)
-	} else if retention <= 0 {
-		return
-	}
-	job.ttlTimer = e.runAfter(retention, func() {
-		if e.jobs[job.key] == job {
-			e.removeJob(job, metav1.DeletePropagationBackground)
-		}
-	})
-}
-
-// minFinishedSlack bounds the entries of deleted Jobs in finishedJobs, together with the number of Jobs.
-const minFinishedSlack = 16
-
-func (e *Engine) jobFinished(finished *job) {
-	finished.finished = true
-	finished.finishedAt = e.now
-	e.Stats.JobsFinished++
-	if len(e.finishedJobs) > 2*len(e.jobs)+minFinishedSlack {
-		e.finishedJobs = slices.DeleteFunc(e.finishedJobs, func(job *job) bool { return job.deleted })
-	}
-	e.finishedJobs = append(e.finishedJobs, finished)
-}
-
-// failJob ends a Job as a whole: its active tasks are stopped.
-func (e *Engine) failJob(job *job, reason, message string) {
-	if job.finished || job.deleted || job.failureReason != "" {
-		return
-	}
-	job.failureReason = reason
-	job.failureMessage = message
-	for i := range job.indexes {
-		index := &job.indexes[i]
-		e.stopTimer(index.retryTimer)
-		if index.task != nil {
-			e.stopTask(index.task, reason)
-		}
-	}
-	e.drainEvents()
-	e.finishJobIfDone(job)
-	e.markJobDirty(job)
-}
-
-// writeJobStatus stores a Job's status if it has changed.
-func (e *Engine) writeJobStatus(job *job) {
-	if job.deleted || e.jobs[job.key] != job {
+// write stores a Job's status if it has changed.
+func (w *jobStatusWriter) write(job *job) {
+	if job.deleted || !w.jobs.holds(job) {
 		return
 	}
 	if len(job.indexes) == 0 && !job.finished && !job.suspended {
-		e.jobFinished(job)
+		w.jobController.finish(job)
 	}
 	updated := *job.object // the Spec is shared: it is not changed
 	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
 	job.object.Status.DeepCopyInto(&updated.Status)
-	job.showStatus(&updated.Status, wellknown.APITime(e.now))
+	job.showStatus(&updated.Status, wellknown.APITime(w.now))
 	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
 	job.object = &updated
-	e.store.Put(store.Jobs, &updated)
+	w.publisher.putJob(&updated)
 }
 
 func (j *job) showStatus(status *batchv1.JobStatus, now metav1.Time) {
--- /dev/null
+++ b/internal/kube/engine/job_table.go
@@ -0,0 +1,83 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/kube/store"
+)
+
+// jobTable holds the Jobs of an Engine.
+type jobTable struct {
+	byKey    map[string]*job // by store.Key
+	finished []*job          // in order of their end; deleted ones are skipped
+}
+
+// get returns the Job of a key, nil if there is none.
+func (t *jobTable) get(key string) *job { return t.byKey[key] }
+
+// holds reports whether a Job has not been removed.
+func (t *jobTable) holds(job *job) bool { return t.byKey[job.key] == job }
+
+func (t *jobTable) add(added *job) { t.byKey[added.key] = added }
+
+// remove gives up a Job, and reports whether it was held.
+func (t *jobTable) remove(removed *job) bool {
+	if !t.holds(removed) {
+		return false
+	}
+	delete(t.byKey, removed.key)
+	return true
+}
+
+// ofPod returns the Job that owns a Pod, nil if it is unknown.
+func (t *jobTable) ofPod(pod *corev1.Pod) *job {
+	for i := range pod.OwnerReferences {
+		reference := &pod.OwnerReferences[i]
+		if reference.Kind != "Job" {
+			continue
+		}
+		if job := t.byKey[store.Key(pod.Namespace, reference.Name)]; job != nil && job.uid == reference.UID {
+			return job
+		}
+	}
+	return nil
+}
+
+// minFinishedSlack bounds the entries of deleted Jobs among the finished, together with the number of Jobs.
+const minFinishedSlack = 16
+
+// addFinished appends a Job to those that have finished.
+func (t *jobTable) addFinished(finished *job) {
+	if len(t.finished) > 2*len(t.byKey)+minFinishedSlack {
+		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.deleted })
+	}
+	t.finished = append(t.finished, finished)
+}
+
+// oldestFinished returns the Job that finished first, nil if none is held.
+func (t *jobTable) oldestFinished() *job {
+	for len(t.finished) > 0 {
+		oldest := t.finished[0]
+		if !oldest.deleted && t.holds(oldest) {
+			return oldest
+		}
+		t.finished = t.finished[1:]
+	}
+	return nil
+}
+
+// dropOldestFinished takes the Job that finished first from those that have finished.
+func (t *jobTable) dropOldestFinished() { t.finished = t.finished[1:] }
+
+// checkInvariants returns an error if a Job does not agree with its tasks.
+func (t *jobTable) checkInvariants() error {
+	for key, job := range t.byKey {
+		if violated := job.violatedInvariant(); violated != "" {
+			return fmt.Errorf("engine: Job %s: %s", key, violated)
+		}
+	}
+	return nil
+}
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -9,7 +9,6 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
-	"heathshed/placer"
 )
 
 // minPublishInterval is how many seconds pass between changes of a stored Node of which only the free capacity differs.
@@ -20,14 +19,14 @@
 
 // publishNode stores a node as the API shows it: as the inventory states, with the labels and the drain order that were given by the API.
 // Changes of the free capacity alone come often, and are stored at most once in minPublishInterval.
-func (e *Engine) publishNode(node *node) {
+func (p *publisher) publishNode(node *node) {
 	if node.inventory == nil {
-		e.store.Delete(store.Nodes, "", node.name)
+		p.store.Delete(store.Nodes, "", node.name)
 		return
 	}
-	stored, _ := e.store.Get(store.Nodes, "", node.name).(*corev1.Node) // nil if it is not stored
+	stored := p.storedNode(node.name)
 	fingerprint, known := nodeFingerprint(node.inventory)
-	recent := e.now-node.publishedAt < minPublishInterval
+	recent := p.now-node.publishedAt < minPublishInterval
 	changed := !known || fingerprint != node.publishedFingerprint || node.publishPending
 	if stored != nil && !changed && (recent || sameFreeCapacity(stored, node.inventory)) {
 		return
@@ -41,8 +40,8 @@
 			return
 		}
 	}
-	node.publishedAt = e.now
-	e.store.Put(store.Nodes, published)
+	node.publishedAt = p.now
+	p.store.Put(store.Nodes, published)
 }
 
 func sameFreeCapacity(left, right *corev1.Node) bool {
@@ -105,62 +104,3 @@
 	encoded, err := stripped.Marshal()
 	return xxhash.Sum64(encoded), err == nil
 }
-
-// UpdateNode takes the labels of a Node and an order to drain it or to end its drain, nil if the update gives none: a node that the
-// inventory drains shows as unschedulable without an order. The placer is notified of an order at once. The update's UID and resource version
-// are not checked if they are empty. It returns the Node as stored; a dry run only returns what would be stored. Errors: ErrNotFound,
-// ErrConflict, *InvalidError.
-func (e *Engine) UpdateNode(now float64, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
-	e.beginCall(now)
-	defer e.endCall()
-	node := e.nodes[update.Name]
-	stored, _ := e.store.Get(store.Nodes, "", update.Name).(*corev1.Node) // nil if it is not stored
-	if node == nil || stored == nil {
-		return nil, ErrNotFound
-	}
-	if err := checkPreconditions(stored, update.UID, update.ResourceVersion); err != nil {
-		return nil, err
-	}
-	if invalid := checkNodeUpdate(stored, update); invalid != nil {
-		return nil, invalid
-	}
-	if dryRun {
-		return node.previewUpdate(stored, update, drain), nil
-	}
-	if !maps.Equal(update.Labels, stored.Labels) {
-		node.customLabels = maps.Clone(update.Labels)
-		node.hasCustomLabels = true
-		node.publishPending = true
-	}
-	if drain != nil && *drain != node.drainOrdered {
-		node.drainOrdered = *drain
-		node.publishPending = true
-		e.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{e.placerNode(node)}})
-		e.drainEvents()
-	}
-	e.publishNode(node)
-	return e.store.Get(store.Nodes, "", update.Name).(*corev1.Node), nil
-}
-
-func checkNodeUpdate(stored, update *corev1.Node) *InvalidError {
-	for _, key := range inventoryLabels {
-		if update.Labels[key] != stored.Labels[key] {
-			return &InvalidError{
-				Field:  "metadata.labels[" + key + "]",
-				Detail: "the inventory says where a machine stands; it cannot be changed here",
-				Value:  update.Labels[key],
-			}
-		}
-	}
-	return nil
-}
-
-// previewUpdate returns what an update would store.
-func (n *node) previewUpdate(stored, update *corev1.Node, drain *bool) *corev1.Node {
-	preview := stored.DeepCopy()
-	preview.Labels = update.Labels
-	if drain != nil {
-		preview.Spec.Unschedulable = *drain || n.inventory != nil && n.inventory.Spec.Unschedulable
-	}
-	return preview
-}
--- /dev/null
+++ b/internal/kube/engine/node_update.go
@@ -0,0 +1,63 @@
+package engine
+
+import (
+	"maps"
+
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/placer"
+)
+
+// updateObject implements Engine.UpdateNode.
+func (r *nodeRegistry) updateObject(update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
+	node := r.byName[update.Name]
+	stored := r.publisher.storedNode(update.Name)
+	if node == nil || stored == nil {
+		return nil, ErrNotFound
+	}
+	if err := checkPreconditions(stored, update.UID, update.ResourceVersion); err != nil {
+		return nil, err
+	}
+	if invalid := checkNodeUpdate(stored, update); invalid != nil {
+		return nil, invalid
+	}
+	if dryRun {
+		return node.previewUpdate(stored, update, drain), nil
+	}
+	if !maps.Equal(update.Labels, stored.Labels) {
+		node.customLabels = maps.Clone(update.Labels)
+		node.hasCustomLabels = true
+		node.publishPending = true
+	}
+	if drain != nil && *drain != node.drainOrdered {
+		node.drainOrdered = *drain
+		node.publishPending = true
+		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{r.placerNode(node)}})
+		r.drainEvents()
+	}
+	r.publisher.publishNode(node)
+	return r.publisher.storedNode(update.Name), nil
+}
+
+func checkNodeUpdate(stored, update *corev1.Node) *InvalidError {
+	for _, key := range inventoryLabels {
+		if update.Labels[key] != stored.Labels[key] {
+			return &InvalidError{
+				Field:  "metadata.labels[" + key + "]",
+				Detail: "the inventory says where a machine stands; it cannot be changed here",
+				Value:  update.Labels[key],
+			}
+		}
+	}
+	return nil
+}
+
+// previewUpdate returns what an update would store.
+func (n *node) previewUpdate(stored, update *corev1.Node, drain *bool) *corev1.Node {
+	preview := stored.DeepCopy()
+	preview.Labels = update.Labels
+	if drain != nil {
+		preview.Spec.Unschedulable = *drain || n.inventory != nil && n.inventory.Spec.Unschedulable
+	}
+	return preview
+}
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -6,51 +6,77 @@
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
-	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
-// podOf returns the stored Pod of a task, nil if it was removed.
-func (e *Engine) podOf(task *task) *corev1.Pod {
-	object := e.store.Get(store.Pods, task.namespace, task.name)
-	if object == nil || object.GetUID() != task.uid {
-		return nil
+// podRevision returns the revision of a Pod at its node.
+func podRevision(pod *corev1.Pod) int64 {
+	revision, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64) // 0 if the Pod states no number
+	return revision
+}
+
+// Exit codes of containers, which nodes do not state.
+const (
+	exitSuccess = 0
+	exitFailure = 1
+	exitKilled  = 137 // 128 + SIGKILL
+)
+
+func (end *taskEnd) exitCode() int32 {
+	switch {
+	case end.succeeded():
+		return exitSuccess
+	case end.result == placer.Finished:
+		return exitFailure
 	}
-	return object.(*corev1.Pod)
+	return exitKilled
 }
 
-// updatePod stores a changed copy of a task's Pod, if it is stored. Of the Spec only the node's name may be changed: the rest is shared.
-func (e *Engine) updatePod(task *task, mutate func(pod *corev1.Pod)) {
-	stored := e.podOf(task)
-	if stored == nil {
+// setPodCondition adds or replaces a condition. The time of its last transition stays unless its status changes.
+func setPodCondition(pod *corev1.Pod, condition corev1.PodCondition) {
+	for i := range pod.Status.Conditions {
+		stored := &pod.Status.Conditions[i]
+		if stored.Type != condition.Type {
+			continue
+		}
+		if stored.Status == condition.Status {
+			condition.LastTransitionTime = stored.LastTransitionTime
+		}
+		*stored = condition
 		return
 	}
-	updated := *stored
-	stored.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
-	stored.Status.DeepCopyInto(&updated.Status)
-	mutate(&updated)
-	e.store.Put(store.Pods, &updated)
+	pod.Status.Conditions = append(pod.Status.Conditions, condition)
 }
 
-// podRevision returns the revision of a Pod at its node.
-func podRevision(pod *corev1.Pod) int64 {
-	revision, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64) // 0 if the Pod states no number
-	return revision
+// jobOwnerReference returns the reference by which Pods name their Job.
+func jobOwnerReference(job *job) metav1.OwnerReference {
+	yes := true
+	return metav1.OwnerReference{
+		APIVersion:         "batch/v1",
+		Kind:               "Job",
+		Name:               job.object.Name,
+		UID:                job.uid,
+		Controller:         &yes,
+		BlockOwnerDeletion: &yes,
+	}
 }
 
+// deletionGracePeriod is the deletionGracePeriodSeconds of deleted Pods, as the Kubernetes API sets it by default.
+const deletionGracePeriod = 30
+
 // showPlaced writes the outcome of a task that a node has accepted into its Pod.
-func (e *Engine) showPlaced(pod *corev1.Pod, node, message string) {
-	now := wellknown.APITime(e.now)
-	e.showSettled(pod, wellknown.Placed, message)
+func (p *publisher) showPlaced(pod *corev1.Pod, node, message string) {
+	now := wellknown.APITime(p.now)
+	p.showSettled(pod, wellknown.Placed, message)
 	pod.Spec.NodeName = node
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
 // showUnplaced writes the outcome of a task that no node has accepted into its Pod.
-func (e *Engine) showUnplaced(pod *corev1.Pod, reason, message string) {
-	now := wellknown.APITime(e.now)
-	e.showSettled(pod, reason, message)
+func (p *publisher) showUnplaced(pod *corev1.Pod, reason, message string) {
+	now := wellknown.APITime(p.now)
+	p.showSettled(pod, reason, message)
 	pod.Status.Phase = corev1.PodFailed
 	pod.Status.Reason = reason
 	pod.Status.Message = message
@@ -63,8 +89,8 @@
 	})
 }
 
-func (e *Engine) showSettled(pod *corev1.Pod, reason, message string) {
-	now := wellknown.APITime(e.now)
+func (p *publisher) showSettled(pod *corev1.Pod, reason, message string) {
+	now := wellknown.APITime(p.now)
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
 		Status:             corev1.ConditionTrue,
@@ -76,8 +102,8 @@
 }
 
 // showStarted writes into a Pod that its containers run.
-func (e *Engine) showStarted(pod *corev1.Pod) {
-	now := wellknown.APITime(e.now)
+func (p *publisher) showStarted(pod *corev1.Pod) {
+	now := wellknown.APITime(p.now)
 	pod.Status.Phase = corev1.PodRunning
 	pod.Status.StartTime = &now
 	pod.Status.ContainerStatuses = nil
@@ -98,8 +124,8 @@
 }
 
 // showEnded writes into a Pod how its task ended.
-func (e *Engine) showEnded(pod *corev1.Pod, end *taskEnd) {
-	now := wellknown.APITime(e.now)
+func (p *publisher) showEnded(pod *corev1.Pod, end *taskEnd) {
+	now := wellknown.APITime(p.now)
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
 		pod.Status.Phase = corev1.PodSucceeded
@@ -120,56 +146,10 @@
 	}
 }
 
-// Exit codes of containers, which nodes do not state.
-const (
-	exitSuccess = 0
-	exitFailure = 1
-	exitKilled  = 137 // 128 + SIGKILL
-)
-
-func (end *taskEnd) exitCode() int32 {
-	switch {
-	case end.succeeded():
-		return exitSuccess
-	case end.result == placer.Finished:
-		return exitFailure
-	}
-	return exitKilled
-}
-
 // showDeleted writes into a Pod that it was deleted and waits for the end of its task.
-func (e *Engine) showDeleted(pod *corev1.Pod) {
-	now := wellknown.APITime(e.now)
+func (p *publisher) showDeleted(pod *corev1.Pod) {
+	now := wellknown.APITime(p.now)
 	gracePeriod := int64(deletionGracePeriod)
 	pod.DeletionTimestamp = &now
 	pod.DeletionGracePeriodSeconds = &gracePeriod
 }
-
-// setPodCondition adds or replaces a condition. The time of its last transition stays unless its status changes.
-func setPodCondition(pod *corev1.Pod, condition corev1.PodCondition) {
-	for i := range pod.Status.Conditions {
-		stored := &pod.Status.Conditions[i]
-		if stored.Type != condition.Type {
-			continue
-		}
-		if stored.Status == condition.Status {
-			condition.LastTransitionTime = stored.LastTransitionTime
-		}
-		*stored = condition
-		return
-	}
-	pod.Status.Conditions = append(pod.Status.Conditions, condition)
-}
-
-// jobOwnerReference returns the reference by which Pods name their Job.
-func jobOwnerReference(job *job) metav1.OwnerReference {
-	yes := true
-	return metav1.OwnerReference{
-		APIVersion:         "batch/v1",
-		Kind:               "Job",
-		Name:               job.object.Name,
-		UID:                job.uid,
-		Controller:         &yes,
-		BlockOwnerDeletion: &yes,
-	}
-}
--- /dev/null
+++ b/internal/kube/engine/pod_controller.go
@@ -0,0 +1,81 @@
+package engine
+
+import (
+	corev1 "k8s.io/api/core/v1"
+	"k8s.io/apimachinery/pkg/types"
+)
+
+// podController deletes and evicts Pods.
+type podController struct {
+	tasks         *taskTable
+	lifecycle     *taskLifecycle
+	jobs          *jobTable
+	jobController *jobController
+	publisher     *publisher
+}
+
+// deleteByName implements Engine.DeletePod.
+func (c *podController) deleteByName(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
+	pod, err := c.find(namespace, name, uid, resourceVersion)
+	if err != nil {
+		return nil, err
+	}
+	c.delete(pod, stopDeleted)
+	if remaining := c.publisher.storedPod(namespace, name); remaining != nil {
+		return remaining, nil
+	}
+	return pod, nil
+}
+
+// find returns the Pod of a name as it is stored. The error is ErrNotFound, or ErrConflict if it is not the one that the caller means.
+func (c *podController) find(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
+	pod := c.publisher.storedPod(namespace, name)
+	if pod == nil {
+		return nil, ErrNotFound
+	}
+	return pod, checkPreconditions(pod, uid, resourceVersion)
+}
+
+// evict implements Engine.EvictPod.
+func (c *podController) evict(namespace, name string, uid types.UID) error {
+	pod, err := c.find(namespace, name, uid, "")
+	if err != nil {
+		return err
+	}
+	task := c.tasks.get(pod.UID)
+	if task == nil || task.runningAttempt == nil {
+		c.delete(pod, stopEvicted)
+		return nil
+	}
+	if task.stopReason == "" {
+		task.stopReason = stopEvicted
+		c.lifecycle.stopRunning(task)
+	}
+	return nil
+}
+
+// delete stops a Pod's task, if it has one that has not ended, and removes the Pod.
+func (c *podController) delete(pod *corev1.Pod, reason string) {
+	task := c.tasks.get(pod.UID)
+	if task == nil {
+		c.publisher.deletePod(pod.Namespace, pod.Name)
+		if job := c.jobs.ofPod(pod); job != nil {
+			job.removePod(pod.Name)
+			c.jobController.finishForegroundDeletion(job)
+		}
+		return
+	}
+	if task.deleted {
+		return
+	}
+	task.deleted = true
+	c.publisher.updatePod(task, c.publisher.showDeleted)
+	c.lifecycle.stop(task, reason)
+}
+
+// deleteOfTask deletes the Pod of a task, if it is stored.
+func (c *podController) deleteOfTask(task *task, reason string) {
+	if pod := c.publisher.podOf(task); pod != nil {
+		c.delete(pod, reason)
+	}
+}
--- a/internal/kube/engine/node_pods.go
+++ b/internal/kube/engine/pod_observer.go
@@ -8,60 +8,51 @@
 	"heathshed/placer"
 )
 
-// NodePods takes the complete list of this scheduler's Pods at a node, with the revision of the list and the node's incarnation. Running
-// tasks that are not in it have ended.
-func (e *Engine) NodePods(now float64, name, incarnation string, revision int64, pods []*corev1.Pod) {
-	e.beginCall(now)
-	defer e.endCall()
-	node := e.nodes[name]
+// podObserver takes what nodes show of the Pods that they run.
+type podObserver struct {
+	*environment
+	tasks     *taskTable
+	lifecycle *taskLifecycle
+	outcomes  *outcomeReconciler
+	nodes     *nodeRegistry
+	adopter   *adopter
+}
+
+// observeAll implements Engine.NodePods.
+func (o *podObserver) observeAll(name, incarnation string, revision int64, pods []*corev1.Pod) {
+	node := o.nodes.get(name)
 	if node == nil {
 		return
 	}
 	node.podsWatched = true
-	e.observeIncarnation(node, incarnation)
+	o.nodes.observeIncarnation(node, incarnation)
 	seen := map[types.UID]bool{}
 	for _, pod := range pods {
 		seen[pod.UID] = true
-		e.observePod(node, pod, false)
+		o.observe(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.running) {
 		// A task that was accepted after the list was made is not in it.
 		if !seen[task.uid] && task.runningAttempt.revision <= revision {
-			e.runningTaskMissing(task)
+			o.runningMissing(task)
 		}
 	}
 }
 
-// NodePod takes a change of one of this scheduler's Pods at a node.
-func (e *Engine) NodePod(now float64, name string, pod *corev1.Pod, deleted bool) {
-	e.beginCall(now)
-	defer e.endCall()
-	if node := e.nodes[name]; node != nil {
-		e.observePod(node, pod, deleted)
-	}
-}
-
-// NodeUnresponsive records that a node's Pods can no longer be watched.
-func (e *Engine) NodeUnresponsive(now float64, name string) {
-	e.beginCall(now)
-	defer e.endCall()
-	node := e.nodes[name]
-	if node == nil || !node.podsWatched {
-		return
-	}
-	node.podsWatched = false
-	if node.state == placer.Terminated {
-		e.nodeAbsent(node)
+// observeOne implements Engine.NodePod.
+func (o *podObserver) observeOne(name string, pod *corev1.Pod, deleted bool) {
+	if node := o.nodes.get(name); node != nil {
+		o.observe(node, pod, deleted)
 	}
 }
 
-// observePod brings a task in line with what a node shows of it.
-func (e *Engine) observePod(node *node, pod *corev1.Pod, deleted bool) {
-	task := e.tasks[pod.UID]
+// observe brings a task in line with what a node shows of it.
+func (o *podObserver) observe(node *node, pod *corev1.Pod, deleted bool) {
+	task := o.tasks.get(pod.UID)
 	over := deleted || wellknown.Finished(pod)
 	if task == nil {
-		if !over && pod.Labels[wellknown.Scheduler] == e.cfg.Name {
-			e.adoptPod(node, pod)
+		if !over && pod.Labels[wellknown.Scheduler] == o.cfg.Name {
+			o.adopter.adoptPod(node, pod)
 		}
 		return
 	}
@@ -71,17 +62,17 @@
 		return
 	}
 	if running := task.runningAttempt; running != nil && running.node == node {
-		e.observeRunning(task, pod, deleted)
+		o.observeRunning(task, pod, deleted)
 		return
 	}
 	for _, unresolved := range task.unknownOutcomes {
 		if unresolved.node == node {
-			e.observeUnknownOutcome(unresolved, observedAt(node, pod, deleted))
+			o.outcomes.observe(unresolved, observedAt(node, pod, deleted))
 			return
 		}
 	}
 	if !over {
-		e.stopCopy(node, task.uid, task.namespace, task.name, task.attemptCount)
+		o.stopCopy(node, task.uid, task.namespace, task.name, task.attemptCount)
 	}
 }
 
@@ -90,26 +81,26 @@
 }
 
 // observeRunning takes what a node shows of a task that it has accepted.
-func (e *Engine) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
+func (o *podObserver) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
 	case pod.Status.Phase == corev1.PodSucceeded:
-		e.taskStarted(task)
-		e.runningTaskEnded(task, taskEnd{result: placer.Finished})
+		o.lifecycle.started(task)
+		o.lifecycle.ended(task, taskEnd{result: placer.Finished})
 	case pod.Status.Phase == corev1.PodFailed:
-		e.runningTaskEnded(task, failedEnd(task, pod))
+		o.lifecycle.ended(task, failedEnd(task, pod))
 	case deleted:
-		e.runningTaskMissing(task)
+		o.runningMissing(task)
 	default:
 		if pod.Status.Phase == corev1.PodRunning {
-			e.taskStarted(task)
+			o.lifecycle.started(task)
 		}
-		e.reportUsage(task.runningAttempt, pod)
+		o.reportUsage(task.runningAttempt, pod)
 	}
 }
 
 // reportUsage forwards the resource usage that a node states of a task to the placer. A usage that cannot be parsed is ignored, as is one
 // that is not stated.
-func (e *Engine) reportUsage(running *attempt, pod *corev1.Pod) {
+func (o *podObserver) reportUsage(running *attempt, pod *corev1.Pod) {
 	used, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
 	if err != nil {
 		return
@@ -122,7 +113,7 @@
 		if !ok {
 			continue
 		}
-		e.post(placer.Event{
+		o.post(placer.Event{
 			Kind:    placer.UsageReported,
 			TaskID:  running.request.id,
 			Attempt: running.requestSequence,
@@ -157,12 +148,12 @@
 	return end
 }
 
-// runningTaskMissing ends a task that its node does not have any more.
-func (e *Engine) runningTaskMissing(task *task) {
+// runningMissing ends a task that its node does not have any more.
+func (o *podObserver) runningMissing(task *task) {
 	if task.stopReason != "" {
-		e.runningTaskEnded(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
+		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
 		return
 	}
 	message := task.runningAttempt.node.name + " does not hold it any more"
-	e.runningTaskEnded(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
+	o.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
 }
--- /dev/null
+++ b/internal/kube/engine/publisher.go
@@ -0,0 +1,83 @@
+package engine
+
+import (
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/kube/store"
+)
+
+// publisher writes what the API shows of Jobs, Pods, Nodes and Namespaces into the store. No other part writes to the store.
+type publisher struct {
+	*environment
+	store *store.Store
+}
+
+func (p *publisher) putJob(object *batchv1.Job) { p.store.Put(store.Jobs, object) }
+
+func (p *publisher) deleteJob(object *batchv1.Job) {
+	p.store.Delete(store.Jobs, object.Namespace, object.Name)
+}
+
+// storedJob returns a Job that is stored.
+func (p *publisher) storedJob(namespace, name string) *batchv1.Job {
+	return p.store.Get(store.Jobs, namespace, name).(*batchv1.Job)
+}
+
+// storedNode returns a Node as it is stored, nil if it is not.
+func (p *publisher) storedNode(name string) *corev1.Node {
+	stored, _ := p.store.Get(store.Nodes, "", name).(*corev1.Node)
+	return stored
+}
+
+func (p *publisher) putPod(pod *corev1.Pod) { p.store.Put(store.Pods, pod) }
+
+func (p *publisher) deletePod(namespace, name string) { p.store.Delete(store.Pods, namespace, name) }
+
+// storedPod returns a Pod as it is stored, nil if it is not.
+func (p *publisher) storedPod(namespace, name string) *corev1.Pod {
+	stored, _ := p.store.Get(store.Pods, namespace, name).(*corev1.Pod)
+	return stored
+}
+
+// podOf returns the stored Pod of a task, nil if it was removed.
+func (p *publisher) podOf(task *task) *corev1.Pod {
+	object := p.store.Get(store.Pods, task.namespace, task.name)
+	if object == nil || object.GetUID() != task.uid {
+		return nil
+	}
+	return object.(*corev1.Pod)
+}
+
+// updatePod stores a changed copy of a task's Pod, if it is stored. Of the Spec only the node's name may be changed: the rest is shared.
+func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
+	stored := p.podOf(task)
+	if stored == nil {
+		return
+	}
+	updated := *stored
+	stored.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
+	stored.Status.DeepCopyInto(&updated.Status)
+	mutate(&updated)
+	p.putPod(&updated)
+}
+
+// addNamespaces stores the Namespace objects of the default namespace and the tenants.
+func (p *publisher) addNamespaces() {
+	for _, name := range append([]string{defaultNamespace}, p.cfg.Tenants...) {
+		if p.store.Get(store.Namespaces, "", name) != nil {
+			continue
+		}
+		namespace := &corev1.Namespace{}
+		namespace.Name = name
+		namespace.UID = p.newUID()
+		namespace.Labels = map[string]string{corev1.LabelMetadataName: name}
+		namespace.Status.Phase = corev1.NamespaceActive
+		p.store.Put(store.Namespaces, namespace)
+	}
+}
+
+func (p *publisher) podCount() int { return p.store.Len(store.Pods) }
+
+// objectCost returns what the stored objects cost, as store.Cost counts.
+func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -17,39 +17,62 @@
 	isRetry  bool // the placer had an earlier request for the task
 }
 
-// requestPlacement submits a new request for a task to the admission controller, and to the placer if it is admitted at once.
-func (e *Engine) requestPlacement(task *task) {
-	e.lastRequestID++
-	request := &placementRequest{id: e.lastRequestID, task: task, isRetry: task.requestsSubmitted > 0}
-	e.requests[request.id] = request
-	task.request = request
+// requestTable holds the requests that are open, or whose attempts are in flight or run, and passes them through the admission controller to
+// the placer.
+type requestTable struct {
+	*environment
+	tasks     *taskTable
+	lifecycle *taskLifecycle
+	attempts  *attemptTracker
+
+	byID      map[placer.TaskID]*placementRequest
+	lastID    placer.TaskID
+	admission *admission.Controller
+	pollTimer *timer // the next poll of the admission controller
+}
+
+// get returns the request of a number at the placer, nil if it is not held.
+func (r *requestTable) get(id placer.TaskID) *placementRequest { return r.byID[id] }
+
+// add assigns the next number to a request, holds it and makes it the last one of its task.
+func (r *requestTable) add(added *placementRequest) {
+	r.lastID++
+	added.id = r.lastID
+	r.byID[added.id] = added
+	added.task.request = added
+}
+
+// place submits a new request for a task to the admission controller, and to the placer if it is admitted at once.
+func (r *requestTable) place(task *task) {
+	request := &placementRequest{task: task, isRetry: task.requestsSubmitted > 0}
+	r.add(request)
 	task.retryTimer = nil
-	e.Stats.PlacementRequests++
+	r.stats.PlacementRequests++
 	if request.isRetry || task.wasShed {
-		e.Stats.Retries++
+		r.stats.Retries++
 	}
-	decision, shed := e.admission.Submit(e.now, e.admissionRequest(request))
+	decision, shed := r.admission.Submit(r.now, r.admissionRequest(request))
 	switch decision {
 	case admission.Admit:
-		e.submitRequest(request)
+		r.submit(request)
 	case admission.Queue:
-		e.setState(task, taskQueued)
+		r.tasks.setState(task, taskQueued)
 	case admission.Shed:
-		e.shedRequest(request, shed)
+		r.shed(request, shed)
 	}
 }
 
 // admissionRequest describes a request to the admission controller. Its cost is the larger share of a node of the first type.
-func (e *Engine) admissionRequest(request *placementRequest) admission.Request {
+func (r *requestTable) admissionRequest(request *placementRequest) admission.Request {
 	task := request.task
-	class := &e.cfg.Placer.Classes[task.class]
-	nodeType := &e.cfg.Placer.NodeTypes[0]
+	class := &r.cfg.Placer.Classes[task.class]
+	nodeType := &r.cfg.Placer.NodeTypes[0]
 	return admission.Request{
 		ID:               uint64(request.id),
 		Tenant:           task.tenant,
 		Priority:         class.Priority,
 		Cost:             max(task.cores/nodeType.Cores, task.memory/nodeType.Memory),
-		Deadline:         e.requestDeadline(task),
+		Deadline:         r.deadline(task),
 		FinalDeadline:    task.deadline,
 		LatencyObjective: float64(class.LatencyObjective),
 		IsRetry:          request.isRetry,
@@ -57,23 +80,23 @@
 	}
 }
 
-// requestDeadline returns the deadline of a request that is made now.
-func (e *Engine) requestDeadline(task *task) float64 {
-	return min(task.deadline, e.now+float64(e.cfg.Placer.Classes[task.class].Deadline))
+// deadline returns the deadline of a request that is made now.
+func (r *requestTable) deadline(task *task) float64 {
+	return min(task.deadline, r.now+float64(r.cfg.Placer.Classes[task.class].Deadline))
 }
 
-// submitRequest hands an admitted request to the placer. Its deadline counts from now.
-func (e *Engine) submitRequest(request *placementRequest) {
+// submit hands an admitted request to the placer. Its deadline counts from now.
+func (r *requestTable) submit(request *placementRequest) {
 	task := request.task
-	e.setState(task, taskSubmitted)
+	r.tasks.setState(task, taskSubmitted)
 	task.requestsSubmitted++
-	submitted := e.placerTask(request, e.requestDeadline(task))
+	submitted := r.placerTask(request, r.deadline(task))
 	submitted.IsRetry = request.isRetry
-	e.post(placer.Event{Kind: placer.Arrived, Task: submitted})
+	r.post(placer.Event{Kind: placer.Arrived, Task: submitted})
 }
 
 // placerTask describes the task of a request to the placer.
-func (e *Engine) placerTask(request *placementRequest, deadline float64) placer.Task {
+func (r *requestTable) placerTask(request *placementRequest, deadline float64) placer.Task {
 	task := request.task
 	return placer.Task{
 		ID:       request.id,
@@ -86,82 +109,82 @@
 	}
 }
 
-// shedRequest ends a request that the admission controller sheds. Nothing of it ran.
-func (e *Engine) shedRequest(request *placementRequest, shed admission.ShedRequest) {
-	e.Stats.Shed++
+// shed ends a request that the admission controller sheds. Nothing of it ran.
+func (r *requestTable) shed(request *placementRequest, shed admission.ShedRequest) {
+	r.stats.Shed++
 	request.closed = true
 	request.task.wasShed = true
-	e.discardRequest(request)
+	r.discard(request)
 	request.task.lastFailure = "not asked for: " + shed.Reason
-	e.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
+	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
-// admitRequests submits the queued requests that may go on now, ends those that are shed, and sets a timer for the next time at which
+// admitQueued submits the queued requests that may go on now, ends those that are shed, and sets a timer for the next time at which
 // the admission controller must be polled.
-func (e *Engine) admitRequests() {
+func (r *requestTable) admitQueued() {
 	for {
-		admitted, shed := e.admission.Poll(e.now)
+		admitted, shed := r.admission.Poll(r.now)
 		for _, id := range admitted {
-			e.submitRequest(e.requests[placer.TaskID(id)])
+			r.submit(r.byID[placer.TaskID(id)])
 		}
 		for _, request := range shed {
-			e.shedRequest(e.requests[placer.TaskID(request.ID)], request)
+			r.shed(r.byID[placer.TaskID(request.ID)], request)
 		}
-		e.drainEvents()
+		r.drainEvents()
 		if len(admitted)+len(shed) == 0 {
 			break
 		}
 	}
-	e.scheduleAdmission(max(e.admission.NextDeadline(), e.now+minAdmissionDelay))
+	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionDelay))
 }
 
 // minAdmissionDelay is the least time in seconds between two polls of the admission controller by timer.
 const minAdmissionDelay = 0.001
 
-// scheduleAdmission makes sure that a call ends at the given time or before: every call ends with a poll of the admission controller.
-func (e *Engine) scheduleAdmission(at float64) {
-	if e.admissionTimer.Pending() && at >= e.admissionTimer.At {
+// schedulePoll makes sure that a call ends at the given time or before: every call ends with a poll of the admission controller.
+func (r *requestTable) schedulePoll(at float64) {
+	if r.pollTimer.Pending() && at >= r.pollTimer.At {
 		return
 	}
-	e.stopTimer(e.admissionTimer)
-	e.admissionTimer = nil
+	r.stopTimer(r.pollTimer)
+	r.pollTimer = nil
 	if !math.IsInf(at, 1) {
-		e.admissionTimer = e.runAt(at, func() {})
+		r.pollTimer = r.runAt(at, func() {})
 	}
 }
 
-// withdrawRequest takes the open request of a task, if it has one, back from the admission controller and the placer.
-func (e *Engine) withdrawRequest(task *task) {
+// withdraw takes the open request of a task, if it has one, back from the admission controller and the placer.
+func (r *requestTable) withdraw(task *task) {
 	request := task.request
 	if request == nil || request.closed {
 		return
 	}
 	request.closed = true
-	e.admission.Cancel(uint64(request.id))
+	r.admission.Cancel(uint64(request.id))
 	if task.state != taskQueued {
-		e.post(placer.Event{Kind: placer.Withdrawn, TaskID: request.id})
+		r.post(placer.Event{Kind: placer.Withdrawn, TaskID: request.id})
 	}
-	e.discardRequest(request)
+	r.discard(request)
 }
 
-// requestEnded takes the placer's final answer to a request that it did not place. An attempt in flight has not been answered by the
+// ended takes the placer's final answer to a request that it did not place. An attempt in flight has not been answered by the
 // request's deadline.
-func (e *Engine) requestEnded(id placer.TaskID, cause retry.Cause, retryAfter float64) {
-	request := e.requests[id]
+func (r *requestTable) ended(id placer.TaskID, cause retry.Cause, retryAfter float64) {
+	request := r.byID[id]
 	if request == nil || request.closed {
 		return
 	}
 	request.closed = true
-	e.admission.Complete(e.now, uint64(request.id), false)
+	r.admission.Complete(r.now, uint64(request.id), false)
 	if pending := request.task.inFlight; pending != nil {
-		e.abandonAttempt(pending, placer.TimedOut)
+		r.attempts.abandon(pending, placer.TimedOut)
 	}
-	e.discardRequest(request)
-	e.retryOrSettle(request.task, cause, retryAfter)
+	r.discard(request)
+	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
-// discardRequest forgets a closed request, unless one of its attempts is in flight or runs: the placer knows that by the request's number.
-func (e *Engine) discardRequest(request *placementRequest) {
+// discard forgets a closed request, unless one of its attempts is in flight or runs: the placer knows that by the request's number.
+func (r *requestTable) discard(request *placementRequest) {
 	if !request.closed {
 		return
 	}
@@ -170,5 +193,5 @@
 			return
 		}
 	}
-	delete(e.requests, request.id)
+	delete(r.byID, request.id)
 }
--- /dev/null
+++ b/internal/kube/engine/task_lifecycle.go
@@ -0,0 +1,198 @@
+package engine
+
+import (
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
+)
+
+// taskLifecycle decides what follows when a task's request ends, a node accepts it, it ends, or it is to stop.
+type taskLifecycle struct {
+	*environment
+	tasks         *taskTable
+	requests      *requestTable
+	attempts      *attemptTracker
+	outcomes      *outcomeReconciler
+	jobController *jobController
+	publisher     *publisher
+}
+
+// retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice in seconds, 0 if it gave none.
+func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter float64) {
+	l.tasks.setState(task, taskWaiting)
+	task.request = nil
+	task.retryTimer = nil
+	if l.stopping {
+		task.retryBudget = 0
+	}
+	decision, at := l.cfg.Retry.Next(retry.State{
+		Idempotency:    l.idempotencyOf(task),
+		Cause:          cause,
+		Now:            l.now,
+		Deadline:       task.deadline,
+		Attempts:       task.requestsSubmitted,
+		RetriesLeft:    task.retryBudget,
+		OutcomeUnknown: task.hasUnknownOutcome(),
+		MayHaveRun:     task.mayHaveRun,
+		RetryAfter:     retryAfter,
+		Jitter:         l.rng.Float64(),
+	})
+	switch decision {
+	case retry.RetryAt:
+		task.retryBudget--
+		task.retryTimer = l.runAt(at, func() {
+			l.requests.place(task)
+			l.drainEvents()
+		})
+	case retry.AwaitOutcome:
+		task.retryTimer = l.runAt(at, func() {
+			l.retryOrSettle(task, cause, 0)
+			l.drainEvents()
+		})
+	case retry.Reject:
+		l.settleUnplaced(task, wellknown.Rejected, task.unplacedMessage("no machine took it"))
+	case retry.Fail:
+		l.settleUnplaced(task, wellknown.Failed, task.unplacedMessage("it could not be placed"))
+	}
+}
+
+// settlePlaced stores the final outcome of a task that a node has accepted.
+func (l *taskLifecycle) settlePlaced(task *task, message string) {
+	l.stats.Placed++
+	l.settle(task, wellknown.Placed, func(pod *corev1.Pod) { l.publisher.showPlaced(pod, task.runningAttempt.node.name, message) })
+}
+
+// settleUnplaced stores the final outcome of a task that waits and is not requested again, and ends the task.
+func (l *taskLifecycle) settleUnplaced(task *task, reason, message string) {
+	if reason == wellknown.Rejected {
+		l.stats.Rejected++
+	} else {
+		l.stats.Failed++
+	}
+	l.settle(task, reason, func(pod *corev1.Pod) { l.publisher.showUnplaced(pod, reason, message) })
+	l.stopTimer(task.retryTimer)
+	task.retryTimer = nil
+	l.terminate(task, false, retry.Rejected)
+}
+
+func (l *taskLifecycle) settle(task *task, reason string, show func(pod *corev1.Pod)) {
+	l.tasks.settle(task)
+	l.publisher.updatePod(task, show)
+	if task.job != nil {
+		l.jobController.recordSettled(task, reason)
+	}
+}
+
+// bind records that a node has accepted a task.
+func (l *taskLifecycle) bind(task *task, accepted *attempt) {
+	l.tasks.setState(task, taskBound)
+	task.runningAttempt = accepted
+	task.everMayHaveRun = true
+	accepted.node.running[task.uid] = task
+	l.stopTimer(task.retryTimer)
+	task.retryTimer = nil
+	if task.settled {
+		l.publisher.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = accepted.node.name })
+		return
+	}
+	l.settlePlaced(task, "accepted by "+accepted.node.name)
+}
+
+// started records that the node of a bound task reports it as running.
+func (l *taskLifecycle) started(task *task) {
+	if task.state == taskRunning {
+		return
+	}
+	l.tasks.setState(task, taskRunning)
+	running := task.runningAttempt
+	l.post(placer.Event{
+		Kind:    placer.UsageReported,
+		TaskID:  running.request.id,
+		Attempt: running.requestSequence,
+		Node:    running.node.id,
+		Usage:   placer.Started,
+		Value:   l.now - running.sentAt,
+	})
+	l.publisher.updatePod(task, l.publisher.showStarted)
+}
+
+// taskEnd describes how a task ended that a node had accepted.
+type taskEnd struct {
+	result  placer.Result
+	reason  placer.Reason
+	status  string // the reason in the Pod's status; "" unless the task failed or was stopped
+	message string // the message in the Pod's status
+}
+
+func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.status == "" }
+
+func (end *taskEnd) migrated() bool {
+	return end.status == stopMigrated || end.status == stopEvicted && end.result == placer.Cancelled
+}
+
+// ended ends a task that a node had accepted. It does nothing if no attempt of the task runs.
+func (l *taskLifecycle) ended(task *task, end taskEnd) {
+	ended := task.runningAttempt
+	if ended == nil {
+		return
+	}
+	task.runningAttempt = nil
+	l.stopTimer(ended.fenceTimer)
+	delete(ended.node.running, task.uid)
+	l.post(placer.Event{
+		Kind:    placer.Ended,
+		TaskID:  ended.request.id,
+		Attempt: ended.requestSequence,
+		Node:    ended.node.id,
+		Result:  end.result,
+		Reason:  end.reason,
+		Elapsed: placer.Seconds(l.now - ended.sentAt),
+		Final:   true,
+	})
+	l.requests.discard(ended.request)
+	cause := l.countEnd(&end)
+	l.publisher.updatePod(task, func(pod *corev1.Pod) { l.publisher.showEnded(pod, &end) })
+	l.terminate(task, end.succeeded(), cause)
+}
+
+// countEnd counts the end of a task in Stats and returns why the task would be started again.
+func (l *taskLifecycle) countEnd(end *taskEnd) retry.Cause {
+	switch {
+	case end.result == placer.Finished:
+		return retry.Failed // by itself
+	case end.reason == placer.Evicted:
+		l.stats.EvictedTasks++
+		return retry.Evicted
+	case end.migrated():
+		l.stats.MigratedTasks++
+		return retry.Migrated
+	case end.result == placer.Lost:
+		l.stats.LostTasks++
+	}
+	return retry.Lost
+}
+
+// terminate ends a task that neither runs nor will be requested again. It stops the attempts whose outcome is unknown, and tells the
+// Job.
+func (l *taskLifecycle) terminate(task *task, succeeded bool, cause retry.Cause) {
+	l.tasks.setState(task, taskTerminating)
+	l.outcomes.fenceAll(task)
+	if task.job != nil {
+		l.jobController.taskEnded(task, succeeded, cause)
+	}
+	l.discard(task)
+}
+
+// discard removes a terminating task once no outcome is unknown, and its Pod if that was deleted.
+func (l *taskLifecycle) discard(task *task) {
+	if task.state != taskTerminating || task.hasUnknownOutcome() {
+		return
+	}
+	l.tasks.remove(task)
+	if task.deleted && l.publisher.podOf(task) != nil {
+		l.publisher.deletePod(task.namespace, task.name)
+		l.jobController.podRemoved(task)
+	}
+}
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -1,10 +1,5 @@
 package engine
 
-import (
-	"fmt"
-	"slices"
-)
-
 // taskState is the state of a task between the creation of its Pod and its removal from the engine.
 type taskState uint8
 
@@ -63,41 +58,6 @@
 // canBind reports whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
-// setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
-func (e *Engine) setState(task *task, next taskState) {
-	if !slices.Contains(taskTransitions[task.state], next) && e.badTransition == nil {
-		e.badTransition = fmt.Errorf("engine: task %s goes from %s to %s", task.uid, task.state, next)
-	}
-	task.state = next
-}
-
-// CheckInvariants returns an error if a task has made an illegal transition, if a task's state does not agree with its attempts, its
-// request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and simulations,
-// between calls.
-func (e *Engine) CheckInvariants() error {
-	if e.badTransition != nil {
-		return e.badTransition
-	}
-	open := 0
-	for _, task := range inCreationOrder(e.tasks) {
-		if violated := task.violatedInvariant(); violated != "" {
-			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violated)
-		}
-		if !task.settled {
-			open++
-		}
-	}
-	if open != e.openTasks {
-		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, e.openTasks)
-	}
-	for key, job := range e.jobs {
-		if violated := job.violatedInvariant(); violated != "" {
-			return fmt.Errorf("engine: Job %s: %s", key, violated)
-		}
-	}
-	return nil
-}
-
 // violatedInvariant describes what does not agree with the task's state, "" if all does.
 func (t *task) violatedInvariant() string {
 	ended := t.state == taskTerminating
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -22,7 +22,7 @@
 	if err := e.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
-	for _, created := range e.tasks {
+	for _, created := range e.tasks.byUID {
 		return e, created
 	}
 	t.Fatal("no task was started")
@@ -55,7 +55,7 @@
 			e := newEngine(t)
 			walked := &task{uid: "u"}
 			for _, next := range test.path {
-				e.setState(walked, next)
+				e.tasks.setState(walked, next)
 			}
 			err := e.CheckInvariants()
 			if test.bad == "" && err != nil {
@@ -82,9 +82,9 @@
 		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
 		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.deleted = true }, "a deleted task is to stop"},
 		{"unknown to its node", func(e *Engine, corrupted *task) {
-			corrupted.unknownOutcomes = append(corrupted.unknownOutcomes, &attempt{task: corrupted, node: e.nodes["n"]})
+			corrupted.unknownOutcomes = append(corrupted.unknownOutcomes, &attempt{task: corrupted, node: e.nodes.get("n")})
 		}, "its unknown outcomes are known by their nodes"},
-		{"two attempts", func(e *Engine, corrupted *task) { corrupted.runningAttempt = &attempt{node: e.nodes["n"]} },
+		{"two attempts", func(e *Engine, corrupted *task) { corrupted.runningAttempt = &attempt{node: e.nodes.get("n")} },
 			"an attempt runs only on a node"},
 		{"retry while requested", func(e *Engine, corrupted *task) { corrupted.retryTimer = e.runAfter(1, func() {}) },
 			"a retry is pending only while it waits"},
@@ -92,7 +92,7 @@
 			"index 0 has a task only while it is active"},
 		{"another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 }, "the task of index 0 knows its Job and its index"},
 		{"active miscounted", func(_ *Engine, corrupted *task) { corrupted.job.active = 0 }, "1 indexes are active, 0 are counted"},
-		{"miscounted", func(e *Engine, _ *task) { e.openTasks++ }, "1 tasks have no final outcome, 2 are counted"},
+		{"miscounted", func(e *Engine, _ *task) { e.tasks.open++ }, "1 tasks have no final outcome, 2 are counted"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			e, corrupted := engineWithTask(t)
--- /dev/null
+++ b/internal/kube/engine/task_stop.go
@@ -0,0 +1,87 @@
+package engine
+
+import (
+	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
+)
+
+// Reasons for which the engine stops a running task. They become the reason in its Pod's status.
+const (
+	stopDeleted   = "Deleted"
+	stopEvicted   = "Evicted"
+	stopMigrated  = "Moved"
+	stopSuspended = "Suspended"
+)
+
+// stoppingMessage is why tasks are not placed once Stop was called.
+const stoppingMessage = "the scheduler stops"
+
+// stopAll begins to stop the engine: every task that waits to be requested gets its final outcome, and none is requested again.
+func (l *taskLifecycle) stopAll() {
+	l.stopping = true
+	for _, task := range l.tasks.inOrder() {
+		if task.state == taskQueued {
+			l.withdrawQueuedRequest(task)
+		}
+		if task.state == taskWaiting && !task.hasUnknownOutcome() {
+			l.settleUnplaced(task, task.unplacedReason(), stoppingMessage)
+		}
+	}
+}
+
+// withdrawQueuedRequest takes back a request that waits for admission while the engine stops. No timer of the task is pending then, so where
+// the outcome of an earlier attempt is unknown, what follows is decided here.
+func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
+	l.requests.withdraw(task)
+	if task.hasUnknownOutcome() {
+		l.retryOrSettle(task, retry.Shed, 0)
+		return
+	}
+	l.tasks.setState(task, taskWaiting)
+}
+
+// stop ends a task, whatever its state. A running task ends when its node has answered.
+func (l *taskLifecycle) stop(task *task, reason string) {
+	if task.stopReason == "" {
+		task.stopReason = reason
+	}
+	switch {
+	case task.state.onNode():
+		l.stopRunning(task)
+		return
+	case task.state == taskTerminating:
+		l.outcomes.fenceAll(task)
+		l.discard(task)
+		return
+	}
+	l.requests.withdraw(task)
+	if pending := task.inFlight; pending != nil {
+		// The attempt cannot be called back: its outcome becomes unknown, and it is fenced at once.
+		l.attempts.abandon(pending, placer.Cancelled)
+	}
+	l.tasks.setState(task, taskWaiting)
+	l.settleUnplaced(task, wellknown.Failed, "deleted before it was placed")
+}
+
+// stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
+func (l *taskLifecycle) stopRunning(task *task) {
+	if running := task.runningAttempt; running != nil {
+		l.stopCopy(running.node, task.uid, task.namespace, task.name, running.number)
+	}
+}
+
+// migrate carries out the placer's decision to move a running task: it is stopped, and its Job starts it again.
+func (l *taskLifecycle) migrate(id placer.TaskID) {
+	request := l.requests.get(id)
+	if request == nil {
+		return
+	}
+	task := request.task
+	running := task.runningAttempt
+	if running == nil || running.request != request || task.stopReason != "" {
+		return
+	}
+	task.stopReason = stopMigrated
+	l.stopRunning(task)
+}
--- /dev/null
+++ b/internal/kube/engine/task_table.go
@@ -0,0 +1,72 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+
+	"k8s.io/apimachinery/pkg/types"
+)
+
+// taskTable holds the tasks of an Engine, and is the only place where a task changes its state.
+type taskTable struct {
+	*environment
+	byUID         map[types.UID]*task
+	open          int   // tasks without a final outcome
+	badTransition error // the first illegal transition of a task, for checkInvariants
+}
+
+// get returns the task of a Pod's UID, nil if there is none.
+func (t *taskTable) get(uid types.UID) *task { return t.byUID[uid] }
+
+// inOrder returns the tasks in the order of their creation.
+func (t *taskTable) inOrder() []*task { return inCreationOrder(t.byUID) }
+
+// add assigns the next sequence number to a task and holds the task.
+func (t *taskTable) add(added *task) {
+	added.sequence = int(t.stats.PodsCreated)
+	t.stats.PodsCreated++
+	t.byUID[added.uid] = added
+	if !added.settled {
+		t.open++
+	}
+}
+
+// settle records that the final outcome of a task is known.
+func (t *taskTable) settle(settled *task) {
+	settled.settled = true
+	t.open--
+}
+
+// remove gives up a task that has ended.
+func (t *taskTable) remove(removed *task) {
+	t.setState(removed, taskRemoved)
+	delete(t.byUID, removed.uid)
+}
+
+// setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
+func (t *taskTable) setState(task *task, next taskState) {
+	if !slices.Contains(taskTransitions[task.state], next) && t.badTransition == nil {
+		t.badTransition = fmt.Errorf("engine: task %s goes from %s to %s", task.uid, task.state, next)
+	}
+	task.state = next
+}
+
+// checkInvariants returns an error if a task has made an illegal transition, or if its state does not agree with the rest of it.
+func (t *taskTable) checkInvariants() error {
+	if t.badTransition != nil {
+		return t.badTransition
+	}
+	open := 0
+	for _, task := range t.inOrder() {
+		if violated := task.violatedInvariant(); violated != "" {
+			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violated)
+		}
+		if !task.settled {
+			open++
+		}
+	}
+	if open != t.open {
+		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, t.open)
+	}
+	return nil
+}
