--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -59,13 +59,13 @@
 	a.adoptJob(adopted, found)
 	a.publisher.putPod(a.adoptedPod(node, found))
 	if adopted.job != nil {
-		adopted.job.pods[adopted.name] = struct{}{}
+		adopted.job.addPod(adopted.name)
 	}
 	a.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
 	if found.Status.Phase == corev1.PodRunning {
 		a.lifecycle.started(adopted)
 	}
-	if adopted.job != nil && adopted.job.deleted {
+	if adopted.job != nil && adopted.job.isDeleted() {
 		a.podController.deleteOfTask(adopted, stopDeleted)
 	}
 }
@@ -136,7 +136,7 @@
 		}
 	}
 	index, err := strconv.Atoi(found.Labels[wellknown.Index])
-	if err != nil || index < 0 || index >= len(job.indexes) || job.uid != object.UID || job.indexes[index].task != nil {
+	if err != nil || index < 0 || index >= job.indexes.len() || job.uid != object.UID || job.indexes.at(index).task != nil {
 		return
 	}
 	a.adoptIndex(job, index, adopted)
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil
 	}
-	rebuilt.nextIndex = len(rebuilt.indexes)
+	rebuilt.indexes.skipAll()
 	a.jobs.add(rebuilt)
 	a.publisher.putJob(object)
 	a.runAfter(a.cfg.NodeLossTimeout, func() { a.finishJobAdoption(rebuilt) })
@@ -159,53 +159,30 @@
 
 // adoptIndex makes an adopted task that of an index without one.
 func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
-	state := &job.indexes[index]
-	if state.state == indexFinished {
-		job.exhausted--
-	}
-	if !state.settled {
-		state.settled = true
-		job.settled[wellknown.Placed]++
-	}
-	state.state = indexActive
-	state.task = adopted
+	job.indexes.adopt(index, adopted)
 	adopted.job = job
 	adopted.index = index
-	adopted.retryBudget = state.retryBudget
-	job.active++
+	adopted.retryBudget = job.indexes.at(index).retryBudget
 	a.jobStatus.markDirty(job)
 }
 
 // finishJobAdoption decides on the indexes of a rebuilt Job that no node has shown: their tasks may have ended, or never been started. Those
 // that may run twice are started, the others fail.
 func (a *adopter) finishJobAdoption(job *job) {
-	if job.deleted || !a.jobs.holds(job) {
+	if job.isDeleted() || !a.jobs.holds(job) {
 		return
 	}
 	idempotent := a.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent
-	for i := range job.indexes {
+	for i := range job.indexes.len() {
 		switch {
-		case job.indexes[i].state != indexPending:
+		case job.indexes.at(i).state != indexPending:
 		case idempotent:
-			job.restartIndex(i)
+			job.indexes.restart(i)
 		default:
-			job.failUnseenIndex(i)
+			job.indexes.failUnseen(i)
 		}
 	}
 	a.jobStarter.enqueue(job)
 	a.jobStatus.markDirty(job)
 	a.jobController.finishIfDone(job)
 }
-
-// failUnseenIndex fails an index of a rebuilt Job whose task may have run.
-func (j *job) failUnseenIndex(i int) {
-	index := &j.indexes[i]
-	index.state = indexFinished
-	j.exhausted++
-	j.failed++
-	if !index.settled {
-		index.settled = true
-		j.settled[wellknown.Failed]++
-		j.mayHaveRun = true
-	}
-}
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -22,6 +22,8 @@
 	timers   timerqueue.Queue[float64]
 	stats    *Stats
 	stopping bool // Stop was called
+
+	transitions transitionCheck
 }
 
 // advanceClock takes the time of a new call. The clock never goes back.
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -21,40 +21,31 @@
 // recordSettled counts the final outcome of the first task of an index.
 func (c *jobController) recordSettled(task *task, reason string) {
 	job := task.job
-	index := &job.indexes[task.index]
-	if index.settled || task.stopReason == stopSuspended || index.task != task {
+	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
 		return
 	}
-	index.settled = true
-	job.settled[reason]++
-	job.mayHaveRun = job.mayHaveRun || task.everMayHaveRun
-	c.jobStatus.markDirty(job)
+	if job.indexes.settleTask(task, reason) {
+		c.jobStatus.markDirty(job)
+	}
 }
 
 // taskEnded counts the end of a task, and has its index started again where the Job asks for that.
 func (c *jobController) taskEnded(task *task, succeeded bool, cause retry.Cause) {
 	job := task.job
-	index := &job.indexes[task.index]
-	if index.task != task {
+	if job.indexes.at(task.index).task != task {
 		return
 	}
-	index.task = nil
-	index.state = indexRetrying
-	job.active--
+	job.indexes.end(task.index)
 	c.jobStatus.markDirty(job)
 	switch {
 	case succeeded:
-		job.succeeded++
-		index.state = indexFinished
-	case job.deleted:
+		job.indexes.succeed(task.index)
+	case job.isDeleted():
 	case job.suspended && task.stopReason == stopSuspended:
-		job.restartIndex(task.index)
+		job.indexes.restart(task.index)
 	default:
-		job.failed++
-		if !c.jobStarter.scheduleRerun(job, task, cause) {
-			index.state = indexFinished
-			job.exhausted++
-		}
+		rerun := c.jobStarter.scheduleRerun(job, task, cause)
+		job.indexes.fail(task.index, rerun)
 	}
 	c.jobStarter.enqueue(job)
 	c.finishIfDone(job)
@@ -62,12 +53,10 @@
 
 // finishIfDone ends a Job whose indexes have all ended, or which fails as a whole and has no active task left.
 func (c *jobController) finishIfDone(job *job) {
-	if job.finished || job.deleted || job.active > 0 {
+	if job.progress.finished() || job.isDeleted() || job.indexes.active > 0 {
 		return
 	}
-	failed := job.failureReason != ""
-	allEnded := job.succeeded+job.exhausted >= len(job.indexes)
-	if !failed && (job.suspended || !allEnded) {
+	if job.progress != jobFailing && (job.suspended || !job.indexes.allEnded()) {
 		return
 	}
 	c.finish(job)
@@ -87,21 +76,19 @@
 }
 
 func (c *jobController) finish(finished *job) {
-	finished.finished = true
-	finished.finishedAt = c.now
+	finished.finish(c.now)
 	c.stats.JobsFinished++
 	c.jobs.addFinished(finished)
 }
 
 // fail ends a Job as a whole: its active tasks are stopped.
 func (c *jobController) fail(job *job, reason, message string) {
-	if job.finished || job.deleted || job.failureReason != "" {
+	if job.progress != jobRunning || job.isDeleted() {
 		return
 	}
-	job.failureReason = reason
-	job.failureMessage = message
-	for i := range job.indexes {
-		index := &job.indexes[i]
+	job.startFailing(reason, message)
+	for i := range job.indexes.len() {
+		index := job.indexes.at(i)
 		c.stopTimer(index.retryTimer)
 		if index.task != nil {
 			c.lifecycle.stop(index.task, reason)
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -47,22 +47,18 @@
 		service = object.Name
 	}
 	created := &job{
-		key:       jobKey(object),
-		uid:       object.UID,
-		object:    object,
-		class:     class,
-		tenant:    tenant,
-		service:   serviceID(object.Namespace, service),
-		suspended: valueOr(object.Spec.Suspend, false),
-		settled:   map[string]int{},
-		pods:      map[string]struct{}{},
-		indexes:   make([]jobIndex, tasks),
+		key:         jobKey(object),
+		uid:         object.UID,
+		object:      object,
+		class:       class,
+		tenant:      tenant,
+		service:     serviceID(object.Namespace, service),
+		suspended:   valueOr(object.Spec.Suspend, false),
+		transitions: &c.transitions,
+		pods:        map[string]struct{}{},
 	}
 	created.cores, created.memory = wellknown.Requests(&object.Spec.Template.Spec)
-	budget := max(created.backoffLimit(), 0)
-	for i := range created.indexes {
-		created.indexes[i].retryBudget = budget
-	}
+	created.indexes = newIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
 	return created, nil
 }
 
@@ -83,7 +79,7 @@
 	}
 	created.podCost = store.Cost(object)
 	if need := created.cost(); c.cfg.MaxObjects > 0 && need > c.cfg.MaxObjects {
-		tasks := len(created.indexes)
+		tasks := created.indexes.len()
 		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjects)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
@@ -145,7 +141,7 @@
 // exceedsLimits reports whether a new Job is too much beside the stored objects and the Pods that are still to be created.
 func (c *jobController) exceedsLimits(created *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
-	if c.publisher.podCount()+pods+len(created.indexes) > c.cfg.MaxPods {
+	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
 		return true
 	}
 	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -27,24 +27,25 @@
 }
 
 func (c *jobController) remove(job *job, propagation metav1.DeletionPropagation) {
-	if job.deleted {
+	if job.isDeleted() {
 		return
 	}
-	job.deleted = true
 	c.stopTimer(job.deadlineTimer)
 	c.stopTimer(job.ttlTimer)
-	for i := range job.indexes {
-		c.stopTimer(job.indexes[i].retryTimer)
+	for i := range job.indexes.len() {
+		c.stopTimer(job.indexes.at(i).retryTimer)
 	}
 	pods := slices.Sorted(maps.Keys(job.pods))
 	switch {
 	case propagation == metav1.DeletePropagationOrphan:
+		job.setDeletion(jobDeleted)
 		c.orphanPods(job, pods)
 		c.deleteObject(job)
 	case propagation == metav1.DeletePropagationForeground && len(pods) > 0:
 		c.startForegroundDeletion(job)
 		c.deletePodsOf(job, pods)
 	default:
+		job.setDeletion(jobDeleted)
 		c.deleteObject(job)
 		c.deletePodsOf(job, pods)
 	}
@@ -65,7 +66,7 @@
 			task.job = nil
 		}
 	}
-	job.pods = nil
+	job.releasePods()
 }
 
 func (c *jobController) deletePodsOf(job *job, names []string) {
@@ -78,19 +79,19 @@
 
 // startForegroundDeletion marks the stored Job as deleted. It is removed with its last Pod.
 func (c *jobController) startForegroundDeletion(job *job) {
-	job.foregroundDeletion = true
+	job.setDeletion(jobDeletingForeground)
 	marked := job.object.DeepCopy()
 	now := wellknown.APITime(c.now)
 	marked.DeletionTimestamp = &now
 	marked.Finalizers = append(marked.Finalizers, metav1.FinalizerDeleteDependents)
 	c.publisher.putJob(marked)
-	job.object = marked
+	job.updateObject(marked)
 }
 
 // finishForegroundDeletion removes a Job that was deleted in the foreground if its last Pod is removed.
 func (c *jobController) finishForegroundDeletion(job *job) {
-	if job.foregroundDeletion && len(job.pods) == 0 {
-		job.foregroundDeletion = false
+	if job.deletion == jobDeletingForeground && len(job.pods) == 0 {
+		job.setDeletion(jobDeleted)
 		c.deleteObject(job)
 	}
 }
--- /dev/null
+++ b/internal/kube/engine/job_indexes.go
@@ -0,0 +1,206 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+
+	"heathshed/internal/kube/wellknown"
+)
+
+// indexState is the state of a completion index.
+type indexState uint8
+
+const (
+	// indexPending: it is to be started.
+	indexPending indexState = iota
+	// indexActive: it has a task.
+	indexActive
+	// indexRetrying: its task ended, and another is started later unless the Job stops.
+	indexRetrying
+	// indexFinished: it has succeeded, or is not started again.
+	indexFinished
+
+	indexStates
+)
+
+var indexStateNames = [indexStates]string{"pending", "active", "retrying", "finished"}
+
+func (s indexState) String() string { return indexStateNames[s] }
+
+// indexTransitions lists the states that may follow each state. A finished index is active again if a copy of its task is adopted.
+var indexTransitions = [indexStates][]indexState{
+	indexPending:  {indexPending, indexActive, indexFinished},
+	indexActive:   {indexRetrying},
+	indexRetrying: {indexPending, indexActive, indexFinished},
+	indexFinished: {indexActive},
+}
+
+// jobIndex is a completion index of a Job.
+type jobIndex struct {
+	state       indexState
+	task        *task // while active
+	settled     bool  // the outcome of its first task is counted
+	retryBudget int   // of the next task
+	retryTimer  *timer
+}
+
+// indexTable holds the completion indexes of a Job and what is counted of them. Only its methods change them.
+type indexTable struct {
+	job         string // store.Key of the Job
+	transitions *transitionCheck
+
+	all       []jobIndex
+	next      int // all indexes below were started
+	active    int // indexes with a task
+	succeeded int // tasks that succeeded
+	failed    int // tasks that ended without success
+	exhausted int // indexes that are not started again
+
+	settled            map[string]int // indexes by the final outcome of their first task
+	unplacedMayHaveRun bool           // a task without placement may have run
+}
+
+func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
+	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[string]int{}}
+	for i := range table.all {
+		table.all[i].retryBudget = retryBudget
+	}
+	return table
+}
+
+func (t *indexTable) len() int { return len(t.all) }
+
+// at returns an index, which the caller must not change.
+func (t *indexTable) at(i int) *jobIndex { return &t.all[i] }
+
+// allEnded reports whether no index has a task that is still to succeed.
+func (t *indexTable) allEnded() bool { return t.succeeded+t.exhausted >= len(t.all) }
+
+// unstarted returns how many indexes are left to look at for a start.
+func (t *indexTable) unstarted() int { return len(t.all) - t.next }
+
+// takeNext returns the next index to look at for a start, unless as many are active as the parallelism allows.
+func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
+	if t.unstarted() <= 0 || t.active >= parallelism {
+		return 0, false
+	}
+	t.next++
+	return t.next - 1, true
+}
+
+// skipAll has no index started until restart is called for it.
+func (t *indexTable) skipAll() { t.next = len(t.all) }
+
+// start makes a new task that of an index.
+func (t *indexTable) start(i int, started *task) {
+	t.activate(i, started)
+	t.all[i].retryTimer = nil
+}
+
+// adopt makes a task that was found running that of an index without one.
+func (t *indexTable) adopt(i int, adopted *task) {
+	if t.all[i].state == indexFinished {
+		t.exhausted--
+	}
+	t.settle(i, wellknown.Placed)
+	t.activate(i, adopted)
+}
+
+func (t *indexTable) activate(i int, active *task) {
+	t.setState(i, indexActive)
+	t.all[i].task = active
+	t.active++
+}
+
+// settle counts the final outcome of the first task of an index, and reports whether it was that of the first.
+func (t *indexTable) settle(i int, outcome string) bool {
+	index := &t.all[i]
+	if index.settled {
+		return false
+	}
+	index.settled = true
+	t.settled[outcome]++
+	return true
+}
+
+// settleTask counts the final outcome of a task if it is the first of its index, and reports whether it is.
+func (t *indexTable) settleTask(settled *task, outcome string) bool {
+	if !t.settle(settled.index, outcome) {
+		return false
+	}
+	t.unplacedMayHaveRun = t.unplacedMayHaveRun || settled.everMayHaveRun
+	return true
+}
+
+// end takes the end of an index's task. One of succeed, fail and restart follows unless the Job is deleted.
+func (t *indexTable) end(i int) {
+	t.all[i].task = nil
+	t.setState(i, indexRetrying)
+	t.active--
+}
+
+// succeed finishes an index whose task has succeeded.
+func (t *indexTable) succeed(i int) {
+	t.succeeded++
+	t.setState(i, indexFinished)
+}
+
+// fail counts a task that ended without success, and finishes its index unless that is started again.
+func (t *indexTable) fail(i int, startedAgain bool) {
+	t.failed++
+	if !startedAgain {
+		t.exhausted++
+		t.setState(i, indexFinished)
+	}
+}
+
+// failUnseen fails an index of a rebuilt Job whose task may have run.
+func (t *indexTable) failUnseen(i int) {
+	t.fail(i, false)
+	if t.settle(i, wellknown.Failed) {
+		t.unplacedMayHaveRun = true
+	}
+}
+
+// restart has an index started anew when the Job's turn comes.
+func (t *indexTable) restart(i int) {
+	t.setState(i, indexPending)
+	t.next = min(t.next, i)
+}
+
+// retryLater sets the timer that starts an index again, and the retries that its next task has.
+func (t *indexTable) retryLater(i, retryBudget int, retryTimer *timer) {
+	t.all[i].retryBudget = retryBudget
+	t.all[i].retryTimer = retryTimer
+}
+
+// setState is the only place where an index changes its state. It goes on after an illegal transition, which CheckInvariants reports.
+func (t *indexTable) setState(i int, next indexState) {
+	index := &t.all[i]
+	if !slices.Contains(indexTransitions[index.state], next) {
+		t.transitions.illegal("index %d of Job %s goes from %s to %s", i, t.job, index.state, next)
+	}
+	index.state = next
+}
+
+// violatedInvariant describes what does not agree between a Job's indexes and their tasks, "" if all does.
+func (t *indexTable) violatedInvariant(owner *job) string {
+	active := 0
+	for i := range t.all {
+		index := &t.all[i]
+		if (index.task != nil) != (index.state == indexActive) {
+			return fmt.Sprintf("violated: index %d has a task only while it is active", i)
+		}
+		if index.task == nil {
+			continue
+		}
+		active++
+		if index.task.job != owner || index.task.index != i {
+			return fmt.Sprintf("violated: the task of index %d knows its Job and its index", i)
+		}
+	}
+	if active != t.active {
+		return fmt.Sprintf("violated: %d indexes are active, %d are counted", active, t.active)
+	}
+	return ""
+}
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -37,24 +37,23 @@
 		at = max(at, s.now+s.cfg.Retry.UnknownOutcomeTimeout)
 	}
 	index := task.index
-	state := &job.indexes[index]
-	state.retryBudget = task.retryBudget
-	if budget == task.retryBudget {
-		state.retryBudget--
+	left := task.retryBudget
+	if budget == left {
+		left--
 	}
-	state.retryTimer = s.runAt(at, func() {
-		if job.canStart() && job.indexes[index].task == nil {
+	job.indexes.retryLater(index, left, s.runAt(at, func() {
+		if job.canStart() && job.indexes.at(index).task == nil {
 			s.startTask(job, index)
 			s.drainEvents()
 		}
-	})
+	}))
 	return true
 }
 
 // mayRerun reports whether an index may be started again after its task ended without success.
 func (s *jobStarter) mayRerun(job *job, task *task, cause retry.Cause, idempotency placer.Idempotency) bool {
 	switch {
-	case job.failureReason != "" || s.stopping:
+	case job.progress.failsAsWhole() || s.stopping:
 		return false
 	case cause == retry.Rejected && task.stopReason == "":
 		return false // its requests were retried as often as allowed
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -39,7 +39,7 @@
 
 // enqueue appends a Job with indexes to start to the backlog.
 func (s *jobStarter) enqueue(job *job) {
-	if !job.queued && job.canStart() && job.nextIndex < len(job.indexes) {
+	if !job.queued && job.canStart() && job.indexes.unstarted() > 0 {
 		job.queued = true
 		s.backlog = append(s.backlog, job)
 	}
@@ -69,7 +69,7 @@
 		}
 		left -= s.startTurn(job, left)
 		s.drainEvents()
-		if job.nextIndex < len(job.indexes) && job.active < job.parallelism() {
+		if job.indexes.unstarted() > 0 && job.indexes.active < job.parallelism() {
 			s.enqueue(job)
 		}
 	}
@@ -81,12 +81,14 @@
 	parallelism := job.parallelism()
 	started := 0
 	for range startsPerTurn {
-		if started >= limit || job.nextIndex >= len(job.indexes) || job.active >= parallelism {
+		if started >= limit {
 			break
 		}
-		index := job.nextIndex
-		job.nextIndex++
-		if job.indexes[index].state == indexPending {
+		index, ok := job.indexes.takeNext(parallelism)
+		if !ok {
+			break
+		}
+		if job.indexes.at(index).state == indexPending {
 			s.startTask(job, index)
 			started++
 		}
@@ -97,13 +99,9 @@
 // startTask creates the Pod of a Job's index and requests its placement.
 func (s *jobStarter) startTask(job *job, index int) {
 	started := s.newTask(job, index)
-	state := &job.indexes[index]
-	state.state = indexActive
-	state.task = started
-	state.retryTimer = nil
-	job.active++
+	job.indexes.start(index, started)
 	pod := s.newPod(started)
-	job.pods[started.name] = struct{}{}
+	job.addPod(started.name)
 	s.tasks.add(started)
 	s.publisher.putPod(pod)
 	if s.stopping {
@@ -131,7 +129,7 @@
 		service:     job.service,
 		cores:       job.cores,
 		memory:      job.memory,
-		retryBudget: job.indexes[index].retryBudget,
+		retryBudget: job.indexes.at(index).retryBudget,
 	}
 	created.name = fmt.Sprintf("%.*s-%d-%s", maxPodNamePrefix, job.object.Name, index, s.randomSuffix())
 	created.deadline = s.now + s.cfg.Retry.MaxWait(float64(s.cfg.Placer.Classes[job.class].Deadline), created.retryBudget)
@@ -173,7 +171,7 @@
 // pendingPods returns how many Pods the Jobs in the backlog still create, and what they will cost.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
-		pending := len(job.indexes) - job.nextIndex
+		pending := job.indexes.unstarted()
 		count += pending
 		bytes += job.podCost * int64(pending)
 	}
--- /dev/null
+++ b/internal/kube/engine/job_state.go
@@ -0,0 +1,107 @@
+package engine
+
+import (
+	"slices"
+)
+
+// jobProgress is how far a Job has come towards its end. A Job may be suspended whatever its progress: see job.suspended.
+type jobProgress uint8
+
+const (
+	// jobRunning: its indexes run or wait for their start.
+	jobRunning jobProgress = iota
+	// jobFailing: it fails as a whole, and its tasks are being stopped.
+	jobFailing
+	// jobFailed: it has failed as a whole, and no task is left.
+	jobFailed
+	// jobEnded: every index has ended, with or without success.
+	jobEnded
+
+	jobProgresses
+)
+
+var jobProgressNames = [jobProgresses]string{"running", "failing", "failed", "ended"}
+
+func (p jobProgress) String() string { return jobProgressNames[p] }
+
+// jobProgressTransitions lists the states that may follow each state.
+var jobProgressTransitions = [jobProgresses][]jobProgress{
+	jobRunning: {jobFailing, jobEnded},
+	jobFailing: {jobFailed},
+	jobFailed:  {},
+	jobEnded:   {},
+}
+
+// finished reports whether the Job has its final condition.
+func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
+
+// failsAsWhole reports whether the Job fails, or has failed, for a reason of its own and not for its indexes.
+func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
+
+// afterLastTask returns the progress of a Job that has no task left and starts none.
+func (p jobProgress) afterLastTask() jobProgress {
+	if p == jobFailing {
+		return jobFailed
+	}
+	return jobEnded
+}
+
+// jobDeletion is how far the deletion of a Job by the API has come.
+type jobDeletion uint8
+
+const (
+	// jobKept: it is not deleted.
+	jobKept jobDeletion = iota
+	// jobDeletingForeground: it is deleted, and stored until its last Pod is removed.
+	jobDeletingForeground
+	// jobDeleted: it is no longer stored. Pods may be left.
+	jobDeleted
+
+	jobDeletions
+)
+
+var jobDeletionNames = [jobDeletions]string{"kept", "deleting foreground", "deleted"}
+
+func (d jobDeletion) String() string { return jobDeletionNames[d] }
+
+// jobDeletionTransitions lists the states that may follow each state.
+var jobDeletionTransitions = [jobDeletions][]jobDeletion{
+	jobKept:               {jobDeletingForeground, jobDeleted},
+	jobDeletingForeground: {jobDeleted},
+	jobDeleted:            {},
+}
+
+// setProgress is the only place where a Job's progress changes. It goes on after an illegal transition, which CheckInvariants reports.
+func (j *job) setProgress(next jobProgress) {
+	if !slices.Contains(jobProgressTransitions[j.progress], next) {
+		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.progress, next)
+	}
+	j.progress = next
+}
+
+// setDeletion is the only place where the deletion of a Job advances. It goes on after an illegal transition, as setProgress does.
+func (j *job) setDeletion(next jobDeletion) {
+	if !slices.Contains(jobDeletionTransitions[j.deletion], next) {
+		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.deletion, next)
+	}
+	j.deletion = next
+}
+
+// isDeleted reports whether the API has deleted the Job. Its Pods may be left.
+func (j *job) isDeleted() bool { return j.deletion != jobKept }
+
+// canStart reports whether tasks of the Job may be started.
+func (j *job) canStart() bool { return !j.isDeleted() && !j.suspended && !j.progress.failsAsWhole() }
+
+// violatedInvariant describes what does not agree between a Job that is held, its states and its tasks, "" if all does.
+func (j *job) violatedInvariant() string {
+	switch {
+	case j.deletion == jobDeleted:
+		return "violated: a deleted Job is not held"
+	case j.progress.failsAsWhole() != (j.failureReason != ""):
+		return "violated: a Job has a reason to fail only if it fails as a whole"
+	case j.deletion == jobDeletingForeground && len(j.pods) == 0:
+		return "violated: a Job that is deleted in the foreground is held only for its Pods"
+	}
+	return j.indexes.violatedInvariant(j)
+}
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -39,18 +39,12 @@
 	}
 }
 
-// restartIndex has an index started anew when the Job's turn comes.
-func (j *job) restartIndex(index int) {
-	j.indexes[index].state = indexPending
-	j.nextIndex = min(j.nextIndex, index)
-}
-
 // write stores a Job's status if it has changed.
 func (w *jobStatusWriter) write(job *job) {
-	if job.deleted || !w.jobs.holds(job) {
+	if job.isDeleted() || !w.jobs.holds(job) {
 		return
 	}
-	if len(job.indexes) == 0 && !job.finished && !job.suspended {
+	if job.indexes.len() == 0 && !job.progress.finished() && !job.suspended {
 		w.jobController.finish(job)
 	}
 	updated := *job.object // the Spec is shared: it is not changed
@@ -60,7 +54,7 @@
 	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
-	job.object = &updated
+	job.updateObject(&updated)
 	w.publisher.putJob(&updated)
 }
 
@@ -68,29 +62,30 @@
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
 	}
-	status.Active = int32(j.active)
-	status.Succeeded = int32(j.succeeded)
-	status.Failed = int32(j.failed)
+	status.Active = int32(j.indexes.active)
+	status.Succeeded = int32(j.indexes.succeeded)
+	status.Failed = int32(j.indexes.failed)
 	status.CompletedIndexes = ""
 	j.showSettled(status, now)
 	j.showSuspended(status, now)
-	if j.finished {
+	if j.progress.finished() {
 		j.showFinished(status, now)
 	}
 }
 
 // showSettled sets the Settled condition once the first task of each index has its final outcome.
 func (j *job) showSettled(status *batchv1.JobStatus, now metav1.Time) {
-	placed, rejected, failed := j.settled[wellknown.Placed], j.settled[wellknown.Rejected], j.settled[wellknown.Failed]
+	settled := j.indexes.settled
+	placed, rejected, failed := settled[wellknown.Placed], settled[wellknown.Rejected], settled[wellknown.Failed]
 	total := placed + rejected + failed
-	if total != len(j.indexes) {
+	if total != j.indexes.len() {
 		return
 	}
 	reason := wellknown.Failed
 	switch {
 	case placed == total:
 		reason = wellknown.Placed
-	case rejected == total && !j.mayHaveRun:
+	case rejected == total && !j.indexes.unplacedMayHaveRun:
 		reason = wellknown.Rejected
 	}
 	message := fmt.Sprintf("%d placed, %d refused, %d failed", placed, rejected, failed)
@@ -115,10 +110,10 @@
 
 func (j *job) showFinished(status *batchv1.JobStatus, now metav1.Time) {
 	switch {
-	case j.failureReason != "":
+	case j.progress == jobFailed:
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, j.failureReason, j.failureMessage, now))
-	case j.exhausted > 0:
-		message := fmt.Sprintf("%d of %d tasks did not succeed", j.exhausted, len(j.indexes))
+	case j.indexes.exhausted > 0:
+		message := fmt.Sprintf("%d of %d tasks did not succeed", j.indexes.exhausted, j.indexes.len())
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, "FailedIndexes", message, now))
 	default:
 		const message = "Reached expected number of succeeded pods"
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -52,7 +52,7 @@
 // addFinished appends a Job to those that have finished.
 func (t *jobTable) addFinished(finished *job) {
 	if len(t.finished) > 2*len(t.byKey)+minFinishedSlack {
-		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.deleted })
+		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.isDeleted() })
 	}
 	t.finished = append(t.finished, finished)
 }
@@ -61,7 +61,7 @@
 func (t *jobTable) oldestFinished() *job {
 	for len(t.finished) > 0 {
 		oldest := t.finished[0]
-		if !oldest.deleted && t.holds(oldest) {
+		if !oldest.isDeleted() && t.holds(oldest) {
 			return oldest
 		}
 		t.finished = t.finished[1:]
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -29,8 +29,7 @@
 	if dryRun {
 		return next, nil
 	}
-	job.object = next
-	job.manifestText = ""
+	job.updateSpec(next)
 	c.publisher.putJob(next)
 	c.applySuspend(job, valueOr(next.Spec.Suspend, false))
 	c.jobStatus.markDirty(job)
@@ -74,7 +73,7 @@
 // applySuspend suspends, resumes or goes on with a Job after an update.
 func (c *jobController) applySuspend(job *job, suspend bool) {
 	switch {
-	case suspend && !job.suspended && !job.finished:
+	case suspend && !job.suspended && !job.progress.finished():
 		c.suspend(job)
 	case !suspend && job.suspended:
 		job.suspended = false
@@ -88,14 +87,14 @@
 func (c *jobController) suspend(job *job) {
 	job.suspended = true
 	c.stopTimer(job.deadlineTimer)
-	for i := range job.indexes {
-		index := &job.indexes[i]
+	for i := range job.indexes.len() {
+		index := job.indexes.at(i)
 		c.stopTimer(index.retryTimer)
 		switch index.state {
 		case indexActive:
 			c.podController.deleteOfTask(index.task, stopSuspended)
 		case indexRetrying:
-			job.restartIndex(i)
+			job.indexes.restart(i)
 		}
 	}
 }
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -10,9 +10,8 @@
 // taskTable holds the tasks of an Engine, and is the only place where a task changes its state.
 type taskTable struct {
 	*environment
-	byUID         map[types.UID]*task
-	open          int   // tasks without a final outcome
-	badTransition error // the first illegal transition of a task, for checkInvariants
+	byUID map[types.UID]*task
+	open  int // tasks without a final outcome
 }
 
 // get returns the task of a Pod's UID, nil if there is none.
@@ -45,17 +44,14 @@
 
 // setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
 func (t *taskTable) setState(task *task, next taskState) {
-	if !slices.Contains(taskTransitions[task.state], next) && t.badTransition == nil {
-		t.badTransition = fmt.Errorf("engine: task %s goes from %s to %s", task.uid, task.state, next)
+	if !slices.Contains(taskTransitions[task.state], next) {
+		t.transitions.illegal("task %s goes from %s to %s", task.uid, task.state, next)
 	}
 	task.state = next
 }
 
-// checkInvariants returns an error if a task has made an illegal transition, or if its state does not agree with the rest of it.
+// checkInvariants returns an error if a task's state does not agree with the rest of it.
 func (t *taskTable) checkInvariants() error {
-	if t.badTransition != nil {
-		return t.badTransition
-	}
 	open := 0
 	for _, task := range t.inOrder() {
 		if violated := task.violatedInvariant(); violated != "" {
