--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -39,8 +39,7 @@
 		acceptedIncarnation: incarnation,
 		revision:            revision,
 	}
-	request.attempts = append(request.attempts, adopted)
-	task.attemptCount = max(task.attemptCount, number)
+	request.addAttempt(adopted)
 	a.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: a.requests.placerTask(request, task.deadline)})
 	a.lifecycle.bind(task, adopted)
 }
@@ -96,7 +95,7 @@
 		deadline:          a.now,
 		settled:           true,
 		requestsSubmitted: 1,
-		everMayHaveRun:    true,
+		attempts:          attemptHistory{evidence: possiblyAccepted},
 	}
 	adopted.cores, adopted.memory = wellknown.Requests(&found.Spec)
 	return adopted
@@ -160,9 +159,7 @@
 // adoptIndex makes an adopted task that of an index without one.
 func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
 	job.indexes.adopt(index, adopted)
-	adopted.job = job
-	adopted.index = index
-	adopted.retryBudget = job.indexes.at(index).retryBudget
+	adopted.joinJob(job, index, job.indexes.at(index).retryBudget)
 	a.jobStatus.markDirty(job)
 }
 
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -62,21 +62,19 @@
 		panic(fmt.Sprintf("engine: attempt of request %d at node %d, which are not both open", action.Task, action.Node))
 	}
 	task := request.task
-	if task.inFlight != nil || task.runningAttempt != nil {
+	if task.attempts.inFlight != nil || task.attempts.running != nil {
 		panic(fmt.Sprintf("engine: task %s has an attempt in flight or running already", task.uid))
 	}
-	task.attemptCount++
 	started := &attempt{
 		request:         request,
 		task:            task,
 		node:            node,
 		requestSequence: action.Attempt,
-		number:          task.attemptCount,
 		sentAt:          t.now,
 		sentIncarnation: node.incarnation,
 	}
-	request.attempts = append(request.attempts, started)
-	task.inFlight = started
+	request.addAttempt(started)
+	task.attempts.begin(started)
 	t.tasks.setState(task, taskAttempting)
 	t.stats.Attempts++
 	started.timeoutTimer = t.runAt(float64(action.Until), func() { t.timedOut(started) })
@@ -136,11 +134,11 @@
 		t.stopLateAcceptance(&answer)
 		return
 	}
-	if pending := task.inFlight; pending.is(answer.Node, answer.Attempt) {
+	if pending := task.attempts.inFlight; pending.is(answer.Node, answer.Attempt) {
 		t.answered(pending, &answer)
 		return
 	}
-	if unresolved := task.unknownOutcome(answer.Node, answer.Attempt); unresolved != nil {
+	if unresolved := task.attempts.unknownAt(answer.Node, answer.Attempt); unresolved != nil {
 		t.stats.LateAnswers++
 		t.outcomes.answeredLate(unresolved, &answer)
 		return
@@ -148,7 +146,7 @@
 	if !answer.Accepted {
 		return
 	}
-	node, running := t.nodes.get(answer.Node), task.runningAttempt
+	node, running := t.nodes.get(answer.Node), task.attempts.running
 	if node != nil && (running == nil || running.node != node) {
 		t.stopCopy(node, task.uid, task.namespace, task.name, answer.Attempt)
 	}
@@ -176,7 +174,7 @@
 		t.accepted(pending, answer)
 		return
 	}
-	pending.task.lastFailure = answer.failure()
+	pending.task.attempts.fail(answer.failure())
 	if answer.Result == placer.Rejected {
 		t.stats.Rejections++
 	}
@@ -187,7 +185,7 @@
 func (t *attemptTracker) accepted(accepted *attempt, answer *AttemptAnswer) {
 	task := accepted.task
 	t.stats.Accepted++
-	task.inFlight = nil
+	task.attempts.endWait()
 	t.stopTimer(accepted.timeoutTimer)
 	accepted.acceptedIncarnation = answer.Incarnation
 	t.post(placer.Event{
@@ -197,8 +195,7 @@
 		Node:    accepted.node.id,
 		Elapsed: placer.Seconds(t.now - accepted.sentAt),
 	})
-	accepted.request.closed = true
-	t.requests.admission.Complete(t.now, uint64(accepted.request.id), true)
+	t.requests.complete(accepted.request, true)
 	t.lifecycle.bind(task, accepted)
 	// The node's watch may have been faster than its answer.
 	if observed := accepted.observed; observed.newerThan(answer) {
@@ -212,10 +209,10 @@
 
 // timedOut gives up an attempt if it is still in flight.
 func (t *attemptTracker) timedOut(pending *attempt) {
-	if pending.task.inFlight != pending {
+	if pending.task.attempts.inFlight != pending {
 		return
 	}
-	pending.task.lastFailure = pending.node.name + noAnswerInTime
+	pending.task.attempts.fail(pending.node.name + noAnswerInTime)
 	t.abandon(pending, placer.TimedOut)
 	t.drainEvents()
 }
@@ -229,7 +226,7 @@
 // failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not take the task
 // the attempt's outcome is unknown.
 func (t *attemptTracker) failed(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
-	failed.task.inFlight = nil
+	failed.task.attempts.endWait()
 	t.tasks.setState(failed.task, taskSubmitted)
 	t.stopTimer(failed.timeoutTimer)
 	switch result {
@@ -268,3 +265,9 @@
 	pod.Status = corev1.PodStatus{}
 	return &pod
 }
+
+// outcomeUnknown reports whether the attempt may have been accepted, and it is not known yet whether it was.
+func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isUnknown(a) }
+
+// observe keeps what the node's watch shows while the attempt is in flight.
+func (a *attempt) observe(observed *observedPod) { a.observed = observed }
--- /dev/null
+++ b/internal/kube/engine/attempt_history.go
@@ -0,0 +1,102 @@
+package engine
+
+import (
+	"slices"
+)
+
+// runEvidence is what is known of whether a task may have run by one of its attempts. It only grows.
+type runEvidence uint8
+
+const (
+	// neverAccepted: each attempt that is over was certainly not accepted.
+	neverAccepted runEvidence = iota
+	// possiblyAccepted: an attempt was accepted, or its outcome was unknown when the wait for its answer ended.
+	possiblyAccepted
+	// possiblyRan: an attempt with unknown outcome is over, and the task may have run by it.
+	possiblyRan
+
+	runEvidences
+)
+
+var runEvidenceNames = [runEvidences]string{"never accepted", "possibly accepted", "possibly ran"}
+
+func (e runEvidence) String() string { return runEvidenceNames[e] }
+
+// attemptHistory holds the attempts of one task and what is known of them. Only its methods change them.
+type attemptHistory struct {
+	count       int        // over all requests
+	inFlight    *attempt   // the attempt that waits for its answer
+	running     *attempt   // the attempt that was accepted
+	unknown     []*attempt // attempts that may have been accepted
+	evidence    runEvidence
+	lastFailure string // why the last attempt or request failed
+}
+
+// begin assigns the next number to an attempt, which is in flight from now on.
+func (h *attemptHistory) begin(started *attempt) {
+	h.count++
+	started.number = h.count
+	h.inFlight = started
+}
+
+// endWait records that the attempt in flight is answered or given up.
+func (h *attemptHistory) endWait() { h.inFlight = nil }
+
+// bind records that an attempt was accepted.
+func (h *attemptHistory) bind(accepted *attempt) {
+	h.running = accepted
+	h.count = max(h.count, accepted.number)
+	h.grow(possiblyAccepted)
+}
+
+// unbind records that the running attempt has ended, and returns it. It returns nil if none runs.
+func (h *attemptHistory) unbind() *attempt {
+	ended := h.running
+	h.running = nil
+	return ended
+}
+
+// fail keeps why the last attempt or request failed.
+func (h *attemptHistory) fail(reason string) { h.lastFailure = reason }
+
+// holds reports whether an attempt is in flight or runs.
+func (h *attemptHistory) holds(attempt *attempt) bool {
+	return h.inFlight == attempt || h.running == attempt
+}
+
+// addUnknown records that the outcome of an attempt is unknown.
+func (h *attemptHistory) addUnknown(unresolved *attempt) {
+	h.unknown = append(h.unknown, unresolved)
+	h.grow(possiblyAccepted)
+}
+
+// removeUnknown records that the outcome of an attempt is known, and reports whether it was unknown.
+func (h *attemptHistory) removeUnknown(resolved *attempt) bool {
+	i := slices.Index(h.unknown, resolved)
+	if i < 0 {
+		return false
+	}
+	h.unknown = slices.Delete(h.unknown, i, i+1)
+	return true
+}
+
+// recordRun records that the task may have run by an attempt that is over.
+func (h *attemptHistory) recordRun() { h.grow(possiblyRan) }
+
+func (h *attemptHistory) grow(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
+
+// hasUnknown reports whether the outcome of an attempt is unknown.
+func (h *attemptHistory) hasUnknown() bool { return len(h.unknown) > 0 }
+
+// isUnknown reports whether the outcome of this attempt is unknown.
+func (h *attemptHistory) isUnknown(attempt *attempt) bool { return slices.Contains(h.unknown, attempt) }
+
+// unknownAt returns the attempt with unknown outcome that a node's answer names, nil if there is none.
+func (h *attemptHistory) unknownAt(node string, number int) *attempt {
+	for _, unresolved := range h.unknown {
+		if unresolved.is(node, number) {
+			return unresolved
+		}
+	}
+	return nil
+}
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -280,7 +280,7 @@
 	createJobOnOneNode(t, e, 3)
 	queued := func() bool {
 		for _, task := range e.tasks.byUID {
-			if task.state == taskQueued && task.hasUnknownOutcome() {
+			if task.state == taskQueued && task.attempts.hasUnknown() {
 				return true
 			}
 		}
@@ -306,3 +306,25 @@
 		t.Error(err)
 	}
 }
+
+// TestNodeWithoutLabelsGetsZone checks that a node whose labels an API update took away shows the zone that the inventory states later.
+func TestNodeWithoutLabelsGetsZone(t *testing.T) {
+	e := newEngine(t)
+	unlabelled := listedNode("a", 0)
+	unlabelled.Labels = map[string]string{"custom": "value"}
+	e.NodesListed(1000, FullList, []*corev1.Node{unlabelled}, nil)
+	update := &corev1.Node{}
+	update.Name = "n"
+	if _, err := e.UpdateNode(1001, update, nil, false); err != nil {
+		t.Fatal(err)
+	}
+
+	inZone := listedNode("a", 0)
+	inZone.Labels = map[string]string{"custom": "value", wellknown.Zone: "z"}
+	e.NodesListed(1002, FullList, []*corev1.Node{inZone}, nil)
+
+	shown := e.Store().Get(store.Nodes, "", "n").(*corev1.Node).Labels
+	if len(shown) != 1 || shown[wellknown.Zone] != "z" {
+		t.Errorf("the node shows the labels %v, want only its zone", shown)
+	}
+}
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -63,7 +63,7 @@
 		pod.OwnerReferences = nil
 		c.publisher.putPod(pod)
 		if task := c.tasks.get(pod.UID); task != nil {
-			task.job = nil
+			task.leaveJob()
 		}
 	}
 	job.releasePods()
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -128,7 +128,7 @@
 	if !t.settle(settled.index, outcome) {
 		return false
 	}
-	t.unplacedMayHaveRun = t.unplacedMayHaveRun || settled.everMayHaveRun
+	t.unplacedMayHaveRun = t.unplacedMayHaveRun || settled.attempts.evidence != neverAccepted
 	return true
 }
 
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -58,7 +58,7 @@
 	case cause == retry.Rejected && task.stopReason == "":
 		return false // its requests were retried as often as allowed
 	case idempotency == placer.NonIdempotent:
-		return cause != retry.Failed && !task.mayHaveRun // it neither ran to its end nor may have a copy
+		return cause != retry.Failed && task.attempts.evidence != possiblyRan // it neither ran to its end nor may have a copy
 	}
 	return true
 }
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -32,13 +32,47 @@
 	unknownOutcomes map[*attempt]struct{} // attempts that the node may have accepted
 
 	drainOrdered         bool              // unschedulable by an API update
-	customLabels         map[string]string // labels by an API update
-	hasCustomLabels      bool
-	publishPending       bool    // the API update is not published yet
-	publishedAt          float64 // last change of the stored Node
-	publishedFingerprint uint64  // of the inventory's Node that was published
+	labelOverride        map[string]string // labels by an API update; nil while those of the inventory show
+	publishPending       bool              // the API update is not published yet
+	publishedAt          float64           // last change of the stored Node
+	publishedFingerprint uint64            // of the inventory's Node that was published
 }
 
+// overrideLabels has the API show the labels of an update, but for those that only the inventory sets.
+func (n *node) overrideLabels(labels map[string]string) {
+	n.labelOverride = cloneOrMake(labels)
+	n.publishPending = true
+}
+
+// orderDrain has the node drained, or ends its drain, by an API update.
+func (n *node) orderDrain(drain bool) {
+	n.drainOrdered = drain
+	n.publishPending = true
+}
+
+// startPublish records what the inventory states of a node that is about to be published with all API updates.
+func (n *node) startPublish(fingerprint uint64) {
+	n.publishedFingerprint = fingerprint
+	n.publishPending = false
+}
+
+// addTask records that a task runs at the node.
+func (n *node) addTask(added *task) { n.running[added.uid] = added }
+
+// removeTask records that a task has ended at the node.
+func (n *node) removeTask(ended *task) { delete(n.running, ended.uid) }
+
+// addUnknown records that the node may have accepted an attempt.
+func (n *node) addUnknown(unresolved *attempt) {
+	if n.unknownOutcomes == nil {
+		n.unknownOutcomes = map[*attempt]struct{}{}
+	}
+	n.unknownOutcomes[unresolved] = struct{}{}
+}
+
+// removeUnknown records that the outcome of an attempt at the node is known.
+func (n *node) removeUnknown(resolved *attempt) { delete(n.unknownOutcomes, resolved) }
+
 // unresolvedAttempts returns the attempts at a node whose outcome is unknown, in order of their tasks' creation.
 func (n *node) unresolvedAttempts() []*attempt {
 	unresolved := make([]*attempt, 0, len(n.unknownOutcomes))
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -31,8 +31,7 @@
 	if stored != nil && !changed && (recent || sameFreeCapacity(stored, node.inventory)) {
 		return
 	}
-	node.publishedFingerprint = fingerprint
-	node.publishPending = false
+	node.startPublish(fingerprint)
 	published := node.apiObject()
 	if stored != nil {
 		published.ResourceVersion = stored.ResourceVersion
@@ -65,8 +64,8 @@
 // apiObject returns a new copy of the node as the API shows it.
 func (n *node) apiObject() *corev1.Node {
 	object := n.inventory.DeepCopy()
-	if n.hasCustomLabels {
-		object.Labels = maps.Clone(n.customLabels)
+	if n.labelOverride != nil {
+		object.Labels = maps.Clone(n.labelOverride)
 		for _, key := range inventoryLabels {
 			if value, ok := n.inventory.Labels[key]; ok {
 				object.Labels[key] = value
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -235,13 +235,19 @@
 	return listed, watched
 }
 
+// podsListed records that a node has listed its Pods, which are watched from now on.
+func (r *nodeRegistry) podsListed(node *node, incarnation string) {
+	node.podsWatched = true
+	r.observeIncarnation(node, incarnation)
+}
+
 // observeIncarnation takes the identity of a node's incarnation. Nothing that ran in an earlier incarnation runs in a new one.
 func (r *nodeRegistry) observeIncarnation(node *node, incarnation string) {
 	if !node.startsIncarnation(incarnation) {
 		return
 	}
 	for _, task := range inCreationOrder(node.running) {
-		if task.runningAttempt.acceptedIncarnation != incarnation {
+		if task.attempts.running.acceptedIncarnation != incarnation {
 			r.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: node.name + " restarted"})
 		}
 	}
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -25,13 +25,10 @@
 		return node.previewUpdate(stored, update, drain), nil
 	}
 	if !maps.Equal(update.Labels, stored.Labels) {
-		node.customLabels = maps.Clone(update.Labels)
-		node.hasCustomLabels = true
-		node.publishPending = true
+		node.overrideLabels(update.Labels)
 	}
 	if drain != nil && *drain != node.drainOrdered {
-		node.drainOrdered = *drain
-		node.publishPending = true
+		node.orderDrain(*drain)
 		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{r.placerNode(node)}})
 		r.drainEvents()
 	}
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -43,14 +43,11 @@
 		return err
 	}
 	task := c.tasks.get(pod.UID)
-	if task == nil || task.runningAttempt == nil {
+	if task == nil || task.attempts.running == nil {
 		c.delete(pod, stopEvicted)
 		return nil
 	}
-	if task.stopReason == "" {
-		task.stopReason = stopEvicted
-		c.lifecycle.stopRunning(task)
-	}
+	c.lifecycle.stopForRestart(task, stopEvicted)
 	return nil
 }
 
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -24,8 +24,7 @@
 	if node == nil {
 		return
 	}
-	node.podsWatched = true
-	o.nodes.observeIncarnation(node, incarnation)
+	o.nodes.podsListed(node, incarnation)
 	seen := map[types.UID]bool{}
 	for _, pod := range pods {
 		seen[pod.UID] = true
@@ -33,7 +32,7 @@
 	}
 	for _, task := range inCreationOrder(node.running) {
 		// A task that was accepted after the list was made is not in it.
-		if !seen[task.uid] && task.runningAttempt.revision <= revision {
+		if !seen[task.uid] && task.attempts.running.revision <= revision {
 			o.runningMissing(task)
 		}
 	}
@@ -56,23 +55,23 @@
 		}
 		return
 	}
-	if pending := task.inFlight; pending != nil && pending.node == node {
+	if pending := task.attempts.inFlight; pending != nil && pending.node == node {
 		// The answer is on its way, or will be lost: what the watch shows meanwhile is used once that is known.
-		pending.observed = observedAt(node, pod, deleted)
+		pending.observe(observedAt(node, pod, deleted))
 		return
 	}
-	if running := task.runningAttempt; running != nil && running.node == node {
+	if running := task.attempts.running; running != nil && running.node == node {
 		o.observeRunning(task, pod, deleted)
 		return
 	}
-	for _, unresolved := range task.unknownOutcomes {
+	for _, unresolved := range task.attempts.unknown {
 		if unresolved.node == node {
 			o.outcomes.observe(unresolved, observedAt(node, pod, deleted))
 			return
 		}
 	}
 	if !over {
-		o.stopCopy(node, task.uid, task.namespace, task.name, task.attemptCount)
+		o.stopCopy(node, task.uid, task.namespace, task.name, task.attempts.count)
 	}
 }
 
@@ -94,7 +93,7 @@
 		if pod.Status.Phase == corev1.PodRunning {
 			o.lifecycle.started(task)
 		}
-		o.reportUsage(task.runningAttempt, pod)
+		o.reportUsage(task.attempts.running, pod)
 	}
 }
 
@@ -154,6 +153,6 @@
 		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
 		return
 	}
-	message := task.runningAttempt.node.name + " does not hold it any more"
+	message := task.attempts.running.node.name + " does not hold it any more"
 	o.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -24,28 +24,13 @@
 	adopter   *adopter
 }
 
-func (t *task) unknownOutcome(node string, number int) *attempt {
-	for _, unresolved := range t.unknownOutcomes {
-		if unresolved.is(node, number) {
-			return unresolved
-		}
-	}
-	return nil
-}
-
-func (a *attempt) outcomeUnknown() bool { return slices.Contains(a.task.unknownOutcomes, a) }
-
 // track keeps an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is stopped at
 // once. Otherwise the engine first waits for it to be found running.
 func (r *outcomeReconciler) track(unresolved *attempt) {
 	task, node := unresolved.task, unresolved.node
 	r.stats.UnknownOutcomes++
-	task.everMayHaveRun = true
-	task.unknownOutcomes = append(task.unknownOutcomes, unresolved)
-	if node.unknownOutcomes == nil {
-		node.unknownOutcomes = map[*attempt]struct{}{}
-	}
-	node.unknownOutcomes[unresolved] = struct{}{}
+	task.attempts.addUnknown(unresolved)
+	node.addUnknown(unresolved)
 	if r.idempotencyOf(task) == placer.Idempotent || task.stopReason != "" {
 		r.fence(unresolved)
 		return
@@ -62,10 +47,8 @@
 }
 
 func (r *outcomeReconciler) untrack(resolved *attempt) {
-	task := resolved.task
-	if i := slices.Index(task.unknownOutcomes, resolved); i >= 0 {
-		task.unknownOutcomes = slices.Delete(task.unknownOutcomes, i, i+1)
-		delete(resolved.node.unknownOutcomes, resolved)
+	if resolved.task.attempts.removeUnknown(resolved) {
+		resolved.node.removeUnknown(resolved)
 	}
 	r.stopTimer(resolved.fenceTimer)
 	resolved.fenceTimer = nil
@@ -75,9 +58,11 @@
 func (r *outcomeReconciler) resolve(resolved *attempt, mayHaveRun bool) {
 	task := resolved.task
 	r.untrack(resolved)
-	task.mayHaveRun = task.mayHaveRun || mayHaveRun
+	if mayHaveRun {
+		task.attempts.recordRun()
+	}
 	r.requests.discard(resolved.request)
-	if r.awaitsOutcomes(task) && !task.hasUnknownOutcome() {
+	if r.awaitsOutcomes(task) && !task.attempts.hasUnknown() {
 		r.stopTimer(task.retryTimer)
 		r.lifecycle.retryOrSettle(task, retry.Failed, 0)
 		return
@@ -108,7 +93,7 @@
 	}
 	task := unresolved.task
 	r.foundRunning(unresolved, observed.incarnation, observed.revision)
-	if running := task.runningAttempt; running != nil && running.node == unresolved.node {
+	if running := task.attempts.running; running != nil && running.node == unresolved.node {
 		r.observer.observeRunning(task, observed.pod, false)
 	}
 }
@@ -150,7 +135,7 @@
 
 // fenceAll fences all attempts of a task at once.
 func (r *outcomeReconciler) fenceAll(task *task) {
-	for _, unresolved := range slices.Clone(task.unknownOutcomes) {
+	for _, unresolved := range slices.Clone(task.attempts.unknown) {
 		r.stopTimer(unresolved.fenceTimer)
 		unresolved.fenceTimer = nil
 		r.fence(unresolved)
@@ -188,11 +173,11 @@
 	if task == nil {
 		return
 	}
-	if unresolved := task.unknownOutcome(answer.Node, answer.Attempt); unresolved != nil {
+	if unresolved := task.attempts.unknownAt(answer.Node, answer.Attempt); unresolved != nil {
 		r.fenceAnswered(unresolved, &answer)
 		return
 	}
-	if running := task.runningAttempt; running.is(answer.Node, answer.Attempt) && task.stopReason != "" {
+	if running := task.attempts.running; running.is(answer.Node, answer.Attempt) && task.stopReason != "" {
 		r.stopAnswered(running, &answer)
 	}
 }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"heathshed/internal/control/admission"
 	"heathshed/internal/control/retry"
@@ -17,6 +18,16 @@
 	isRetry  bool // the placer had an earlier request for the task
 }
 
+// close records that the request is over.
+func (r *placementRequest) close() { r.closed = true }
+
+func (r *placementRequest) addAttempt(started *attempt) { r.attempts = append(r.attempts, started) }
+
+// hasAttempt reports whether an attempt of the request is in flight or runs.
+func (r *placementRequest) hasAttempt() bool {
+	return slices.ContainsFunc(r.attempts, r.task.attempts.holds)
+}
+
 // requestTable holds the requests that are open, or whose attempts are in flight or run, and passes them through the admission controller to
 // the placer.
 type requestTable struct {
@@ -46,7 +57,6 @@
 func (r *requestTable) place(task *task) {
 	request := &placementRequest{task: task, isRetry: task.requestsSubmitted > 0}
 	r.add(request)
-	task.retryTimer = nil
 	r.stats.PlacementRequests++
 	if request.isRetry || task.wasShed {
 		r.stats.Retries++
@@ -112,10 +122,10 @@
 // shed ends a request that the admission controller sheds. Nothing of it ran.
 func (r *requestTable) shed(request *placementRequest, shed admission.ShedRequest) {
 	r.stats.Shed++
-	request.closed = true
+	request.close()
 	request.task.wasShed = true
 	r.discard(request)
-	request.task.lastFailure = "not asked for: " + shed.Reason
+	request.task.attempts.fail("not asked for: " + shed.Reason)
 	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
@@ -159,7 +169,7 @@
 	if request == nil || request.closed {
 		return
 	}
-	request.closed = true
+	request.close()
 	r.admission.Cancel(uint64(request.id))
 	if task.state != taskQueued {
 		r.post(placer.Event{Kind: placer.Withdrawn, TaskID: request.id})
@@ -174,24 +184,26 @@
 	if request == nil || request.closed {
 		return
 	}
-	request.closed = true
-	r.admission.Complete(r.now, uint64(request.id), false)
-	if pending := request.task.inFlight; pending != nil {
+	r.complete(request, false)
+	if pending := request.task.attempts.inFlight; pending != nil {
 		r.attempts.abandon(pending, placer.TimedOut)
 	}
 	r.discard(request)
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
+// complete closes a request that the placer has decided, and lets the admission controller learn from it.
+func (r *requestTable) complete(request *placementRequest, accepted bool) {
+	request.close()
+	r.admission.Complete(r.now, uint64(request.id), accepted)
+}
+
+// release detaches a task from its last request, which has ended without a placement.
+func (r *requestTable) release(task *task) { task.request = nil }
+
 // discard forgets a closed request, unless one of its attempts is in flight or runs: the placer knows that by the request's number.
 func (r *requestTable) discard(request *placementRequest) {
-	if !request.closed {
-		return
-	}
-	for _, attempt := range request.attempts {
-		if attempt.task.inFlight == attempt || attempt.task.runningAttempt == attempt {
-			return
-		}
+	if request.closed && !request.hasAttempt() {
+		delete(r.byID, request.id)
 	}
-	delete(r.byID, request.id)
 }
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -32,19 +32,21 @@
 	retryTimer        *timer            // the next retry, or the end of the wait for an unknown outcome
 	wasShed           bool              // a request was shed by the admission controller
 
-	attemptCount    int        // over all requests
-	inFlight        *attempt   // the attempt that waits for its answer
-	runningAttempt  *attempt   // the attempt that was accepted
-	unknownOutcomes []*attempt // attempts that may have been accepted
-	mayHaveRun      bool       // an attempt that is over may have run
-	everMayHaveRun  bool       // an attempt may have run, as far as was known when it ended
-	lastFailure     string     // why the last attempt or request failed
+	attempts attemptHistory
 
 	stopReason string // why the task is to stop; "" if it is not
 	deleted    bool   // the Pod is removed as soon as the task has ended
 }
 
-func (t *task) hasUnknownOutcome() bool { return len(t.unknownOutcomes) > 0 }
+// joinJob makes a task that was found running that of an index of its Job.
+func (t *task) joinJob(job *job, index, retryBudget int) {
+	t.job = job
+	t.index = index
+	t.retryBudget = retryBudget
+}
+
+// leaveJob detaches a task from its Job, which is deleted without it.
+func (t *task) leaveJob() { t.job = nil }
 
 // inCreationOrder returns the tasks in the order of their creation, which does not depend on the order of the map.
 func inCreationOrder(tasks map[types.UID]*task) []*task {
@@ -53,7 +55,7 @@
 
 // unplacedReason returns the outcome of a task that is given up: Rejected only if it certainly never ran.
 func (t *task) unplacedReason() string {
-	if t.mayHaveRun || t.hasUnknownOutcome() {
+	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknown() {
 		return wellknown.Failed
 	}
 	return wellknown.Rejected
@@ -61,11 +63,11 @@
 
 // unplacedMessage appends what is known of the task's attempts to a summary.
 func (t *task) unplacedMessage(summary string) string {
-	if t.lastFailure != "" {
-		summary += "; last: " + t.lastFailure
+	if t.attempts.lastFailure != "" {
+		summary += "; last: " + t.attempts.lastFailure
 	}
-	if t.hasUnknownOutcome() {
-		summary += "; an attempt may have been accepted by " + t.unknownOutcomes[0].node.name
+	if t.attempts.hasUnknown() {
+		summary += "; an attempt may have been accepted by " + t.attempts.unknown[0].node.name
 	}
 	return summary
 }
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -22,7 +22,7 @@
 // retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice in seconds, 0 if it gave none.
 func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter float64) {
 	l.tasks.setState(task, taskWaiting)
-	task.request = nil
+	l.requests.release(task)
 	task.retryTimer = nil
 	if l.stopping {
 		task.retryBudget = 0
@@ -34,8 +34,8 @@
 		Deadline:       task.deadline,
 		Attempts:       task.requestsSubmitted,
 		RetriesLeft:    task.retryBudget,
-		OutcomeUnknown: task.hasUnknownOutcome(),
-		MayHaveRun:     task.mayHaveRun,
+		OutcomeUnknown: task.attempts.hasUnknown(),
+		MayHaveRun:     task.attempts.evidence == possiblyRan,
 		RetryAfter:     retryAfter,
 		Jitter:         l.rng.Float64(),
 	})
@@ -43,6 +43,7 @@
 	case retry.RetryAt:
 		task.retryBudget--
 		task.retryTimer = l.runAt(at, func() {
+			task.retryTimer = nil
 			l.requests.place(task)
 			l.drainEvents()
 		})
@@ -61,7 +62,7 @@
 // settlePlaced stores the final outcome of a task that a node has accepted.
 func (l *taskLifecycle) settlePlaced(task *task, message string) {
 	l.stats.Placed++
-	l.settle(task, wellknown.Placed, func(pod *corev1.Pod) { l.publisher.showPlaced(pod, task.runningAttempt.node.name, message) })
+	l.settle(task, wellknown.Placed, func(pod *corev1.Pod) { l.publisher.showPlaced(pod, task.attempts.running.node.name, message) })
 }
 
 // settleUnplaced stores the final outcome of a task that waits and is not requested again, and ends the task.
@@ -88,9 +89,8 @@
 // bind records that a node has accepted a task.
 func (l *taskLifecycle) bind(task *task, accepted *attempt) {
 	l.tasks.setState(task, taskBound)
-	task.runningAttempt = accepted
-	task.everMayHaveRun = true
-	accepted.node.running[task.uid] = task
+	task.attempts.bind(accepted)
+	accepted.node.addTask(task)
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	if task.settled {
@@ -106,7 +106,7 @@
 		return
 	}
 	l.tasks.setState(task, taskRunning)
-	running := task.runningAttempt
+	running := task.attempts.running
 	l.post(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  running.request.id,
@@ -134,13 +134,12 @@
 
 // ended ends a task that a node had accepted. It does nothing if no attempt of the task runs.
 func (l *taskLifecycle) ended(task *task, end taskEnd) {
-	ended := task.runningAttempt
+	ended := task.attempts.unbind()
 	if ended == nil {
 		return
 	}
-	task.runningAttempt = nil
 	l.stopTimer(ended.fenceTimer)
-	delete(ended.node.running, task.uid)
+	ended.node.removeTask(task)
 	l.post(placer.Event{
 		Kind:    placer.Ended,
 		TaskID:  ended.request.id,
@@ -187,7 +186,7 @@
 
 // discard removes a terminating task once no outcome is unknown, and its Pod if that was deleted.
 func (l *taskLifecycle) discard(task *task) {
-	if task.state != taskTerminating || task.hasUnknownOutcome() {
+	if task.state != taskTerminating || task.attempts.hasUnknown() {
 		return
 	}
 	l.tasks.remove(task)
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -66,13 +66,13 @@
 		holds       bool
 	}{
 		{"it is kept", t.state != taskCreated && t.state != taskRemoved},
-		{"an attempt is in flight only while it is attempting", (t.inFlight != nil) == (t.state == taskAttempting)},
-		{"an attempt runs only on a node", (t.runningAttempt != nil) == t.state.onNode()},
-		{"its node knows that it runs there", t.runningAttempt == nil || t.runningAttempt.node.running[t.uid] == t},
+		{"an attempt is in flight only while it is attempting", (t.attempts.inFlight != nil) == (t.state == taskAttempting)},
+		{"an attempt runs only on a node", (t.attempts.running != nil) == t.state.onNode()},
+		{"its node knows that it runs there", t.attempts.running == nil || t.attempts.running.node.running[t.uid] == t},
 		{"a request is open only before it is placed", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
 		{"a retry is pending only while it waits", !t.retryTimer.Pending() || t.state == taskWaiting},
 		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
-		{"it is kept after its end only for unknown outcomes", !ended || t.hasUnknownOutcome()},
+		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknown()},
 		{"a task that is to stop has ended or is being stopped at its node", t.stopReason == "" || t.state.onNode() || ended},
 		{"a deleted task is to stop", !t.deleted || t.stopReason != ""},
 		{"its unknown outcomes are known by their nodes", t.unknownOutcomesAreIndexed()},
@@ -85,7 +85,7 @@
 }
 
 func (t *task) unknownOutcomesAreIndexed() bool {
-	for _, attempt := range t.unknownOutcomes {
+	for _, attempt := range t.attempts.unknown {
 		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
 			return false
 		}
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -82,9 +82,9 @@
 		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
 		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.deleted = true }, "a deleted task is to stop"},
 		{"unknown to its node", func(e *Engine, corrupted *task) {
-			corrupted.unknownOutcomes = append(corrupted.unknownOutcomes, &attempt{task: corrupted, node: e.nodes.get("n")})
+			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: e.nodes.get("n")})
 		}, "its unknown outcomes are known by their nodes"},
-		{"two attempts", func(e *Engine, corrupted *task) { corrupted.runningAttempt = &attempt{node: e.nodes.get("n")} },
+		{"two attempts", func(e *Engine, corrupted *task) { corrupted.attempts.running = &attempt{node: e.nodes.get("n")} },
 			"an attempt runs only on a node"},
 		{"retry while requested", func(e *Engine, corrupted *task) { corrupted.retryTimer = e.runAfter(1, func() {}) },
 			"a retry is pending only while it waits"},
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -24,7 +24,7 @@
 		if task.state == taskQueued {
 			l.withdrawQueuedRequest(task)
 		}
-		if task.state == taskWaiting && !task.hasUnknownOutcome() {
+		if task.state == taskWaiting && !task.attempts.hasUnknown() {
 			l.settleUnplaced(task, task.unplacedReason(), stoppingMessage)
 		}
 	}
@@ -34,7 +34,7 @@
 // the outcome of an earlier attempt is unknown, what follows is decided here.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
-	if task.hasUnknownOutcome() {
+	if task.attempts.hasUnknown() {
 		l.retryOrSettle(task, retry.Shed, 0)
 		return
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	l.requests.withdraw(task)
-	if pending := task.inFlight; pending != nil {
+	if pending := task.attempts.inFlight; pending != nil {
 		// The attempt cannot be called back: its outcome becomes unknown, and it is fenced at once.
 		l.attempts.abandon(pending, placer.Cancelled)
 	}
@@ -66,7 +66,7 @@
 
 // stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
 func (l *taskLifecycle) stopRunning(task *task) {
-	if running := task.runningAttempt; running != nil {
+	if running := task.attempts.running; running != nil {
 		l.stopCopy(running.node, task.uid, task.namespace, task.name, running.number)
 	}
 }
@@ -78,10 +78,17 @@
 		return
 	}
 	task := request.task
-	running := task.runningAttempt
-	if running == nil || running.request != request || task.stopReason != "" {
+	running := task.attempts.running
+	if running == nil || running.request != request {
 		return
 	}
-	task.stopReason = stopMigrated
-	l.stopRunning(task)
+	l.stopForRestart(task, stopMigrated)
+}
+
+// stopForRestart stops a running task, which its Job starts again. It does nothing if the task is to stop already.
+func (l *taskLifecycle) stopForRestart(task *task, reason string) {
+	if task.stopReason == "" {
+		task.stopReason = reason
+		l.stopRunning(task)
+	}
 }
