--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"slices"
 	"strconv"
 
 	"heathshed/internal/control/timerqueue"
@@ -12,26 +11,6 @@
 // lateAnswerRetention is for how long an abandoned attempt is kept beyond the time in which clients look for tasks with an unknown outcome.
 const lateAnswerRetention = 5.0
 
-// attemptState is the state of an attempt. States up to attemptRunning are live.
-type attemptState uint8
-
-const (
-	attemptPending    attemptState = iota // not sent
-	attemptSent                           // sent, without an answer
-	attemptRunning                        // accepted by the node in time, or adopted
-	attemptAbandoned                      // given up; what the node still sends about it is late
-	attemptTerminated                     // nothing more is expected of the node
-)
-
-// attemptTransitions are the legal next states of each state.
-var attemptTransitions = [...][]attemptState{
-	attemptPending:    {attemptSent, attemptAbandoned, attemptTerminated},
-	attemptSent:       {attemptRunning, attemptAbandoned, attemptTerminated},
-	attemptRunning:    {attemptTerminated},
-	attemptAbandoned:  {attemptTerminated},
-	attemptTerminated: {},
-}
-
 // Attempt is one attempt to start a task on a node.
 type Attempt struct {
 	Node    placer.NodeID
@@ -50,7 +29,7 @@
 }
 
 // Live reports whether the attempt waits for its answer or runs the task.
-func (a *Attempt) Live() bool { return a.state <= attemptRunning }
+func (a *Attempt) Live() bool { return a.state.live() }
 
 // Client returns the connection that the request came on.
 func (a *Attempt) Client() ConnID { return a.request.conn }
@@ -62,7 +41,7 @@
 func (a *Attempt) Age(now float64) float64 { return now - a.createdAt }
 
 // Unanswered reports whether the attempt waits for its connection or its answer.
-func (a *Attempt) Unanswered() bool { return a.state <= attemptSent }
+func (a *Attempt) Unanswered() bool { return a.state.unanswered() }
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
 
@@ -74,7 +53,7 @@
 
 // transitionAttempt moves an attempt to its next state. Like transition it goes on after an illegal one, and counts it.
 func (c *Core) transitionAttempt(attempt *Attempt, next attemptState) {
-	if !slices.Contains(attemptTransitions[attempt.state], next) {
+	if !attempt.state.canBecome(next) {
 		c.illegalTransitions++
 	}
 	attempt.state = next
--- a/internal/platform/dispatch/client.go
+++ b/internal/platform/dispatch/client.go
@@ -123,7 +123,7 @@
 // handleLaunch handles a new placement request, or a task that runs already and is to be adopted.
 func (c *Core) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	c.Counts.PlacementRequests++
-	parsed, err := c.parseRequest(msg)
+	parsed, err := c.parser.parse(c.now, msg)
 	if existing := c.requestsByID[msg.ID]; existing != nil {
 		if err == nil && parsed.isAdoption() {
 			return nil // adopted already
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -14,7 +14,6 @@
 	"strconv"
 
 	"heathshed/internal/control/eventqueue"
-	"heathshed/internal/control/timerqueue"
 	"heathshed/internal/platform/protocol"
 	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
@@ -23,43 +22,13 @@
 // maxTasks is the highest number of open placement requests and running tasks that are held at a time. Each takes about 2 KB.
 const maxTasks = 20000
 
-// EffectKind selects what the caller is to do for an Effect.
-type EffectKind uint8
-
-// The kinds of effect.
-const (
-	// SendToClient sends Message on the client connection Conn.
-	SendToClient EffectKind = iota + 1
-	// SendAttempt sends Attempt to its node. The caller calls Core.PrepareSend before the first byte goes out.
-	SendAttempt
-	// SendToNode sends Message to the node of Attempt, on the connection that Attempt went out on if that is open, else on any.
-	SendToNode
-	// ConnectNode opens a connection to the node of Attempt, which runs a task that was adopted: the node needs one to report the task's end.
-	ConnectNode
-	// NodesChanged says that nodes or their addresses may have changed.
-	NodesChanged
-)
-
-// Effect is an instruction to the caller. Effects are to be carried out in order.
-type Effect struct {
-	Kind    EffectKind
-	Conn    ConnID
-	Attempt *Attempt
-	Message protocol.Message
-	// TimedOut says, with SendToNode, that the attempt was not answered in time: the connection that it went out on may be broken.
-	TimedOut bool
-}
-
 // Core is the state of the scheduler on the platform. It is to be used by one goroutine at a time.
 type Core struct {
 	// Counts are to be read only.
 	Counts Counts
 
-	settings *simconfig.Settings
-	events   eventqueue.Queue
-	now      float64
-	timers   timerqueue.Queue[float64]
-	effects  []Effect
+	*environment
+	parser requestParser
 
 	requests           map[placer.TaskID]*request
 	requestsByID       map[protocol.ID]*request
@@ -86,9 +55,10 @@
 // New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
 // platform's configuration, or empty. The error says which part of it is invalid.
 func New(now float64, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
+	env := &environment{settings: settings, now: now}
 	c := &Core{
-		settings:          settings,
-		now:               now,
+		environment:       env,
+		parser:            requestParser{settings},
 		requests:          map[placer.TaskID]*request{},
 		requestsByID:      map[protocol.ID]*request{},
 		attempts:          map[attemptKey]*Attempt{},
@@ -96,7 +66,8 @@
 		earlyTerminations: map[attemptKey]earlyTermination{},
 		nodes:             map[placer.NodeID]*Node{},
 	}
-	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
+	env.counts = &c.Counts
+	env.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
 	var list knownEventList
 	if len(knownEvents) > 0 {
 		if err := json.Unmarshal(knownEvents, &list); err != nil {
@@ -117,35 +88,13 @@
 }
 
 // Ready returns the effects since the last call. The caller owns the slice.
-func (c *Core) Ready() []Effect {
-	effects := c.effects
-	c.effects = nil
-	return effects
-}
+func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns when Advance is to be called next, infinity if never.
 func (c *Core) NextTimer() float64 { return c.timers.NextOr(math.Inf(1)) }
 
 // Advance runs the timers that are due.
-func (c *Core) Advance(now float64) {
-	c.setTime(now)
-	for timer := c.timers.Pop(c.now); timer != nil; timer = c.timers.Pop(c.now) {
-		timer.Run()
-		c.runEvents()
-	}
-}
-
-// setTime sets the clock. It never goes back.
-func (c *Core) setTime(now float64) { c.now = max(c.now, now) }
-
-// emit adds an effect for the caller.
-func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
-
-// post queues an event for the placer.
-func (c *Core) post(event placer.Event) { c.events.Post(event) }
-
-// runEvents passes all queued events to the placer and executes its actions.
-func (c *Core) runEvents() { c.events.Run(placer.Seconds(c.now)) }
+func (c *Core) Advance(now float64) { c.advance(now) }
 
 // execute executes an action of the placer. An action on an unknown task has no effect.
 func (c *Core) execute(action *placer.Action) {
--- /dev/null
+++ b/internal/platform/dispatch/environment.go
@@ -0,0 +1,46 @@
+package dispatch
+
+import (
+	"heathshed/internal/control/eventqueue"
+	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/placer"
+)
+
+// environment is what all parts of a core share: the settings, the clock, the timers, the effects for the caller, and the events for the placer.
+type environment struct {
+	settings *simconfig.Settings
+	counts   *Counts
+	now      float64
+	timers   timerqueue.Queue[float64]
+	effects  []Effect // since the last call of takeEffects
+	events   eventqueue.Queue
+}
+
+// setTime sets the clock. It never goes back.
+func (env *environment) setTime(now float64) { env.now = max(env.now, now) }
+
+// emit adds an effect for the caller.
+func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
+
+// takeEffects returns the effects since the last call.
+func (env *environment) takeEffects() []Effect {
+	effects := env.effects
+	env.effects = nil
+	return effects
+}
+
+// post queues an event for the placer.
+func (env *environment) post(event placer.Event) { env.events.Post(event) }
+
+// runEvents passes all queued events to the placer and executes its actions.
+func (env *environment) runEvents() { env.events.Run(placer.Seconds(env.now)) }
+
+// advance runs the timers that are due.
+func (env *environment) advance(now float64) {
+	env.setTime(now)
+	for timer := env.timers.Pop(env.now); timer != nil; timer = env.timers.Pop(env.now) {
+		timer.Run()
+		env.runEvents()
+	}
+}
--- /dev/null
+++ b/internal/platform/dispatch/invalid_message.go
@@ -0,0 +1,34 @@
+package dispatch
+
+import "fmt"
+
+// InvalidReason is what is wrong with an invalid message. Its values are the words that logs and counters show.
+type InvalidReason string
+
+// The reasons why a message is invalid.
+const (
+	InvalidBody     InvalidReason = "body"      // a launch without a description of the task
+	InvalidClass    InvalidReason = "class"     // an unknown class
+	InvalidTenant   InvalidReason = "tenant"    // an unknown tenant
+	InvalidKey      InvalidReason = "key"       // a key that is not an ID
+	InvalidExtras   InvalidReason = "extras"    // missing or malformed extras
+	InvalidTimeLeft InvalidReason = "left"      // a time left that is no number or out of range
+	InvalidNode     InvalidReason = "at"        // an adoption from a node that is not in the registry
+	InvalidIDInUse  InvalidReason = "id in use" // a launch with the ID of another task
+	InvalidStop     InvalidReason = "stop"      // a stop for another connection's request
+)
+
+// InvalidMessageError is the error of an invalid message.
+type InvalidMessageError struct {
+	Reason InvalidReason
+	Err    error
+}
+
+func (e *InvalidMessageError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the error that describes what is invalid.
+func (e *InvalidMessageError) Unwrap() error { return e.Err }
+
+func invalidMessage(reason InvalidReason, format string, args ...any) error {
+	return &InvalidMessageError{reason, fmt.Errorf(format, args...)}
+}
--- /dev/null
+++ b/internal/platform/dispatch/request_parser.go
@@ -0,0 +1,137 @@
+package dispatch
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/placer"
+)
+
+// parsedRequest is what a valid launch message asks for.
+type parsedRequest struct {
+	task        placer.Task
+	adoptedFrom string // UID of the node that already runs the task, "" for a new request
+}
+
+func (p *parsedRequest) isAdoption() bool { return p.adoptedFrom != "" }
+
+// maxResourceAmount bounds the cores and the memory of a task.
+const maxResourceAmount = 1e9
+
+// requestParser validates launch messages against the settings.
+type requestParser struct {
+	settings *simconfig.Settings
+}
+
+// parse validates a launch message that came at the given time. The error is an *InvalidMessageError.
+func (p *requestParser) parse(now float64, msg *protocol.Message) (parsed parsedRequest, err error) {
+	if msg.Body == "" {
+		return parsed, invalidMessage(InvalidBody, "launch %s: no body", msg.UID)
+	}
+	if parsed.task.Class, err = p.parseClass(msg); err != nil {
+		return parsed, err
+	}
+	if parsed.task.Tenant, err = p.parseTenant(msg); err != nil {
+		return parsed, err
+	}
+	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
+		return parsed, invalidMessage(InvalidKey, "launch %s: key: %w", msg.UID, err)
+	}
+	resourceCount, err := parsed.parseExtras(msg)
+	if err != nil {
+		return parsed, err
+	}
+	if parsed.task.Deadline, err = p.parseDeadline(now, msg, &parsed); err != nil {
+		return parsed, err
+	}
+	if resourceCount != 2 {
+		return parsed, invalidMessage(InvalidExtras, "launch %s: extras %.60q: want cores and memory once each", msg.UID,
+			msg.Get(protocol.Extras))
+	}
+	return parsed, nil
+}
+
+func (p *requestParser) parseClass(msg *protocol.Message) (int, error) {
+	name := msg.Get(protocol.Class)
+	class := slices.Index(p.settings.Classes, name)
+	if class < 0 {
+		return 0, invalidMessage(InvalidClass, "launch %s: class %.40q is not known", msg.UID, name)
+	}
+	return class, nil
+}
+
+// parseTenant returns the tenant's index. A message without a tenant is valid where no tenants are configured.
+func (p *requestParser) parseTenant(msg *protocol.Message) (int, error) {
+	name := msg.Get(protocol.Tenant)
+	if name == "" && len(p.settings.Tenants) == 0 {
+		return 0, nil
+	}
+	tenant := slices.Index(p.settings.Tenants, name)
+	if tenant < 0 {
+		return 0, invalidMessage(InvalidTenant, "launch %s: tenant %.40q is not known", msg.UID, name)
+	}
+	return tenant, nil
+}
+
+// parseExtras reads the list of name:value pairs and returns how many of them were resources. Unknown names are skipped.
+func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
+	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
+		name, value, _ := strings.Cut(part, ":")
+		switch name {
+		case "cores":
+			resourceCount++
+			p.task.Cores, err = parseResource(msg, name, value)
+		case "memory":
+			resourceCount++
+			p.task.Memory, err = parseResource(msg, name, value)
+		case "again":
+			p.task.IsRetry = value == "1"
+		case "service":
+			p.task.Service, err = parseService(msg, value)
+		case "at":
+			p.adoptedFrom = value
+			if value == "" {
+				err = invalidMessage(InvalidExtras, "launch %s: extras: at: no node", msg.UID)
+			}
+		}
+		if err != nil {
+			return 0, err
+		}
+	}
+	return resourceCount, nil
+}
+
+func parseResource(msg *protocol.Message, name, value string) (float64, error) {
+	amount, err := strconv.ParseFloat(value, 64)
+	if err != nil || !inRange(amount, maxResourceAmount) {
+		return 0, invalidMessage(InvalidExtras, "launch %s: extras: %s %.40q: want a number from 0 to 1e9", msg.UID, name, value)
+	}
+	return amount, nil
+}
+
+func parseService(msg *protocol.Message, value string) (placer.ServiceID, error) {
+	id, err := protocol.ParseID(value)
+	if err != nil {
+		return 0, invalidMessage(InvalidExtras, "launch %s: extras: service: %w", msg.UID, err)
+	}
+	return placer.ServiceID(id), nil
+}
+
+// parseDeadline returns the clock time until which the client waits. It may be at most twice the class's deadline away. For an adoption there
+// is no upper limit: no answer is due, and clients give any time there, such as the remaining time of a task without an end.
+func (p *requestParser) parseDeadline(now float64, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
+	text := msg.Get(protocol.TimeLeft)
+	leftMS, err := strconv.ParseFloat(text, 64)
+	limitMS := 2000 * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
+	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
+	if !valid {
+		return 0, invalidMessage(InvalidTimeLeft, "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", msg.UID, text, limitMS)
+	}
+	return placer.Seconds(now + leftMS/1000), nil
+}
+
+// inRange reports whether a value is a number from 0 to limit. NaN is not.
+func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -100,7 +100,7 @@
 			h.core.Ready()
 			h.core.execute(&placer.Action{Kind: kind, Task: attempt.request.taskID})
 			if out := h.core.Ready(); len(out) != 0 || attempt.request.state != requestMigrating || h.core.RunningTasks() != 1 {
-				t.Errorf("state %d, effects %+v", attempt.request.state, out)
+				t.Errorf("state %v, effects %+v", attempt.request.state, out)
 			}
 		})
 	}
@@ -115,12 +115,12 @@
 		for to := requestOpen; to <= requestTerminated; to++ {
 			legal := slices.Contains(requestTransitions[from], to)
 			if legal && from.closed() && !to.closed() {
-				t.Errorf("state %d is closed and leads to %d", from, to)
+				t.Errorf("state %v is closed and leads to %v", from, to)
 			}
 			core, req := &Core{}, &request{state: from}
 			core.transition(req, to)
 			if counted := core.illegalTransitions == 1; req.state != to || counted == legal {
-				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, req.state, counted)
+				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, req.state, counted)
 			}
 		}
 	}
@@ -135,12 +135,12 @@
 		for to := attemptPending; to <= attemptTerminated; to++ {
 			legal := slices.Contains(attemptTransitions[from], to)
 			if legal && to <= from {
-				t.Errorf("state %d leads back to %d", from, to)
+				t.Errorf("state %v leads back to %v", from, to)
 			}
 			core, attempt := &Core{}, &Attempt{state: from}
 			core.transitionAttempt(attempt, to)
 			if counted := core.illegalTransitions == 1; attempt.state != to || counted == legal {
-				t.Errorf("from %d to %d: state %d, counted as illegal: %v", from, to, attempt.state, counted)
+				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, attempt.state, counted)
 			}
 		}
 	}
