--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"slices"
-
 	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
@@ -14,19 +12,11 @@
 	adoptionMaxWait = 1.0
 	// adoptionIdleGap is the time without an adoption after which no more are expected.
 	adoptionIdleGap = 0.05
-	// maxEarlyTerminations is the highest number of early terminations that are kept.
-	maxEarlyTerminations = maxTasks
 )
 
-// earlyTermination records that a node reported the end of a task that is not known here. Its client may yet list it for adoption.
-type earlyTermination struct {
-	cause     int
-	expiresAt float64
-}
-
 // adopt enters a task that runs on a node already.
 func (c *Core) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
-	node := c.nodes[c.nodeID(parsed.adoptedFrom)]
+	node := c.nodes.getByUID(parsed.adoptedFrom)
 	if node == nil {
 		return invalidMessage(InvalidNode, "launch %s: extras: at: node %.40q is not in the registry", msg.UID, parsed.adoptedFrom)
 	}
@@ -34,7 +24,7 @@
 	if earlier := c.attempts[key]; earlier != nil {
 		c.removeAttempt(earlier) // it was abandoned here, and accepted by the node after all
 	}
-	if early, terminated := c.earlyTerminations[key]; terminated {
+	if early, terminated := c.earlyTerminations.get(key); terminated {
 		// The client listed the task before it could learn of its end, which the node reports only once.
 		c.Counts.TasksEnded++
 		c.sendNotification(client, c.newNotification(replyTo(msg, protocol.Stop, early.cause)))
@@ -53,12 +43,9 @@
 	}
 	req.attempts = append(req.attempts, attempt)
 	c.attempts[key] = attempt
-	node.running[attempt] = struct{}{}
+	c.nodes.taskStarted(attempt)
 	c.post(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
 	c.emit(Effect{Kind: ConnectNode, Attempt: attempt})
-	if node.State == placer.Terminated {
-		c.scheduleTaskExpiry(node)
-	}
 	return nil
 }
 
@@ -77,39 +64,3 @@
 		}
 	})
 }
-
-// recordEarlyTermination keeps the end of an unknown task for as long as its client may yet list the task for adoption. After a start, a node
-// reports on its first connection what ended while it had none, and may be faster than clients that list thousands of tasks. The number of
-// records is bounded: the oldest go first.
-func (c *Core) recordEarlyTermination(key attemptKey, cause int) {
-	if _, known := c.earlyTerminations[key]; known {
-		return
-	}
-	if len(c.earlyTerminationOrder) >= maxEarlyTerminations {
-		delete(c.earlyTerminations, c.earlyTerminationOrder[0])
-		c.earlyTerminationOrder = c.earlyTerminationOrder[1:]
-	}
-	record := earlyTermination{cause: cause, expiresAt: c.now + notificationRetention}
-	c.earlyTerminations[key] = record
-	c.earlyTerminationOrder = append(c.earlyTerminationOrder, key)
-	if len(c.earlyTerminationOrder) == 1 {
-		c.timers.Add(record.expiresAt, c.expireEarlyTerminations)
-	}
-}
-
-// expireEarlyTerminations removes the records that have expired, and sets a timer for the next one.
-func (c *Core) expireEarlyTerminations() {
-	expired := 0
-	for _, key := range c.earlyTerminationOrder {
-		if c.earlyTerminations[key].expiresAt > c.now {
-			break
-		}
-		delete(c.earlyTerminations, key)
-		expired++
-	}
-	c.earlyTerminationOrder = slices.Delete(c.earlyTerminationOrder, 0, expired)
-	if len(c.earlyTerminationOrder) > 0 {
-		oldest := c.earlyTerminations[c.earlyTerminationOrder[0]]
-		c.timers.Add(oldest.expiresAt, c.expireEarlyTerminations)
-	}
-}
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -90,7 +90,7 @@
 	if req.state.closed() || attempt.expiresAt <= c.now {
 		return false
 	}
-	return len(req.attempts) <= c.settings.Placer.Attempts.Max && c.nodes[attempt.Node] != nil
+	return len(req.attempts) <= c.settings.Placer.Attempts.Max && c.nodes.get(attempt.Node) != nil
 }
 
 // expireAttempt ends an attempt that has no answer in time.
@@ -109,7 +109,7 @@
 	if attempt.state != attemptPending {
 		return false
 	}
-	node := c.nodes[attempt.Node]
+	node := c.nodes.get(attempt.Node)
 	if node == nil || node.State != placer.Ready || attempt.expiresAt <= c.now {
 		c.endUnsentAttempt(attempt, placer.Expired)
 		c.runEvents()
@@ -182,9 +182,7 @@
 	if key := attempt.key(); c.attempts[key] == attempt {
 		delete(c.attempts, key)
 	}
-	if node := c.nodes[attempt.Node]; node != nil {
-		delete(node.running, attempt)
-	}
+	c.nodes.taskEnded(attempt)
 	c.transitionAttempt(attempt, attemptTerminated)
 }
 
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -8,8 +8,6 @@
 package dispatch
 
 import (
-	"encoding/json"
-	"fmt"
 	"math"
 	"strconv"
 
@@ -41,15 +39,11 @@
 	clients              map[ConnID]*clientConn
 	pendingNotifications []notification // those that found no connection, in the order in which they came up
 
-	earlyTerminations     map[attemptKey]earlyTermination
-	earlyTerminationOrder []attemptKey // keys of earlyTerminations, oldest first
-	firstHealthCheckAt    float64      // when the first health check of a client came, 0 if none has
-	lastAdoptionAt        float64      // when a running task was last adopted, or firstHealthCheckAt
+	earlyTerminations  earlyTerminationLog
+	firstHealthCheckAt float64 // when the first health check of a client came, 0 if none has
+	lastAdoptionAt     float64 // when a running task was last adopted, or firstHealthCheckAt
 
-	nodes              map[placer.NodeID]*Node
-	lastDiscoveryEvent uint64
-	discoveryConnected bool
-	listRequested      bool // the placer asked for the node list while discovery was not connected, and waits for an answer
+	nodes nodeRegistry
 }
 
 // New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
@@ -63,26 +57,15 @@
 		requestsByID:      map[protocol.ID]*request{},
 		attempts:          map[attemptKey]*Attempt{},
 		clients:           map[ConnID]*clientConn{},
-		earlyTerminations: map[attemptKey]earlyTermination{},
-		nodes:             map[placer.NodeID]*Node{},
+		earlyTerminations: earlyTerminationLog{environment: env, records: map[attemptKey]earlyTermination{}},
+		nodes:             nodeRegistry{environment: env, nodes: map[placer.NodeID]*Node{}},
 	}
 	env.counts = &c.Counts
 	env.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
-	var list knownEventList
-	if len(knownEvents) > 0 {
-		if err := json.Unmarshal(knownEvents, &list); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
-	}
-	for i := range list.Events {
-		event := &list.Events[i]
-		if _, err := c.applyDiscoveryEvent(event); err != nil {
-			return nil, fmt.Errorf("known: items[%d]: %w", i, err)
-		}
-		c.lastDiscoveryEvent = max(c.lastDiscoveryEvent, event.Number)
+	c.nodes.endLostTask = c.endLostTask
+	if err := c.nodes.load(knownEvents); err != nil {
+		return nil, err
 	}
-	c.lastDiscoveryEvent = max(c.lastDiscoveryEvent, list.Number)
-	c.post(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: c.placerNodes()})
 	c.runEvents()
 	return c, nil
 }
@@ -103,7 +86,7 @@
 		token := action.Token
 		c.timers.Add(c.now+float64(eventqueue.Delay(action.After)), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		c.requestNodeList()
+		c.nodes.requestList()
 	default:
 		if req := c.requests[action.Task]; req != nil {
 			c.executeForRequest(req, action)
@@ -126,6 +109,33 @@
 	}
 }
 
+// Node returns a node of the registry, nil if there is none with the ID.
+func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
+
+// Nodes calls f for each node of the registry, in no particular order.
+func (c *Core) Nodes(f func(*Node)) { c.nodes.each(f) }
+
+// LastDiscoveryEvent returns the number of the last discovery event that was applied.
+func (c *Core) LastDiscoveryEvent() uint64 { return c.nodes.lastDiscoveryEvent }
+
+// ReceiveDiscoveryEvent applies one event of the discovery stream. ok is false if events are missing before it or it is invalid: it was not
+// applied then, and the stream is to be opened again after LastDiscoveryEvent. An event that was applied already is ignored.
+func (c *Core) ReceiveDiscoveryEvent(now float64, data []byte) (ok bool, err error) {
+	c.setTime(now)
+	ok, err = c.nodes.receive(data)
+	c.runEvents()
+	return ok, err
+}
+
+// SetDiscoveryConnected reports whether the discovery stream is connected. The placer's requests for the node list are answered from the
+// stream, whose events are passed on as they come: a request is answered at once while the stream is connected, and fails when an attempt to
+// connect it has failed.
+func (c *Core) SetDiscoveryConnected(now float64, connected bool) {
+	c.setTime(now)
+	c.nodes.setDiscoveryConnected(connected)
+	c.runEvents()
+}
+
 // rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
 func (c *Core) rejection(req *request, retryAfter float64) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
--- a/internal/platform/dispatch/stats.go
+++ b/internal/platform/dispatch/counts.go
@@ -61,10 +61,4 @@
 func (c *Core) OpenRequests() int { return c.openRequests }
 
 // RunningTasks returns the number of running tasks on all nodes.
-func (c *Core) RunningTasks() int {
-	count := 0
-	for _, node := range c.nodes {
-		count += len(node.running)
-	}
-	return count
-}
+func (c *Core) RunningTasks() int { return c.nodes.runningTasks() }
--- /dev/null
+++ b/internal/platform/dispatch/discovery_event.go
@@ -0,0 +1,74 @@
+package dispatch
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"heathshed/placer"
+)
+
+// discoveryEvent is one event of the discovery stream. The JSON keys are the platform's.
+type discoveryEvent struct {
+	Number   uint64    `json:"no"`
+	NodeList *nodeList `json:"roster"` // nil in events of other kinds
+}
+
+// nodeList is a list of nodes: all of them if Complete, else those that changed.
+type nodeList struct {
+	Revision uint64      `json:"rev"`
+	Complete bool        `json:"all"`
+	Nodes    []nodeEntry `json:"targets"`
+}
+
+// nodeEntry describes one node in a discovery event.
+type nodeEntry struct {
+	UID         string     `json:"uid"`
+	Endpoint    string     `json:"endpoint"`
+	Zone        string     `json:"az"`
+	NodeType    string     `json:"model"`
+	Rack        int        `json:"pod_group"`
+	State       string     `json:"state"`
+	StartedAtMS float64    `json:"boot_ms"`
+	Free        [2]float64 `json:"open"` // cores and memory
+}
+
+// knownEventList is the configuration's list of discovery events from before the start.
+type knownEventList struct {
+	Number uint64           `json:"no"` // of the last event
+	Events []discoveryEvent `json:"items"`
+}
+
+// parseDiscoveryEvent parses one event of the discovery stream.
+func parseDiscoveryEvent(data []byte) (*discoveryEvent, error) {
+	var event discoveryEvent
+	if err := json.Unmarshal(data, &event); err != nil {
+		return nil, fmt.Errorf("discovery event: %w", err)
+	}
+	return &event, nil
+}
+
+// validate returns an error if an entry of the event's list cannot be applied.
+func (e *discoveryEvent) validate() error {
+	if e.NodeList == nil {
+		return nil
+	}
+	for i := range e.NodeList.Nodes {
+		entry := &e.NodeList.Nodes[i]
+		if _, valid := parseNodeState(entry.State); !valid || entry.UID == "" {
+			return fmt.Errorf("discovery event %d: target %d: uid %q, state %q", e.Number, i, entry.UID, entry.State)
+		}
+	}
+	return nil
+}
+
+func parseNodeState(text string) (state placer.NodeState, valid bool) {
+	switch text {
+	case "in_service":
+		return placer.Ready, true
+	case "terminating":
+		return placer.Draining, true
+	case "terminated":
+		return placer.Terminated, true
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/platform/dispatch/node.go
@@ -0,0 +1,73 @@
+package dispatch
+
+import (
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"heathshed/placer"
+)
+
+// Node is one node of the registry, as discovery events described it.
+type Node struct {
+	ID        placer.NodeID
+	UID       string
+	Addr      string
+	State     placer.NodeState
+	StartedAt float64 // Unix seconds, 0 for long ago
+
+	placerNode         placer.Node
+	running            map[*Attempt]struct{} // the attempts that run on it
+	stateChangedAt     float64               // when its state last changed
+	expiryScheduledFor float64               // the stateChangedAt for which a timer of scheduleTaskExpiry runs, 0 if none does
+	removalScheduled   bool                  // a timer of scheduleRemoval runs
+}
+
+// RunningTasks returns the number of tasks that run on the node.
+func (n *Node) RunningTasks() int { return len(n.running) }
+
+// runningAttempts returns the attempts that run on the node, in the order of their requests.
+func (n *Node) runningAttempts() []*Attempt {
+	attempts := make([]*Attempt, 0, len(n.running))
+	for attempt := range n.running {
+		attempts = append(attempts, attempt)
+	}
+	slices.SortFunc(attempts, func(a, b *Attempt) int { return int(a.request.taskID) - int(b.request.taskID) })
+	return attempts
+}
+
+// TerminatedFor returns for how many seconds the node has been terminated, 0 if it is not.
+func (n *Node) TerminatedFor(now float64) float64 {
+	if n.State != placer.Terminated {
+		return 0
+	}
+	return now - n.stateChangedAt
+}
+
+// update enters what a discovery event says about the node.
+func (n *Node) update(entry *nodeEntry, state placer.NodeState, now float64) {
+	if n.State != state {
+		n.State = state
+		n.stateChangedAt = now
+	}
+	n.Addr = entry.Endpoint
+	n.StartedAt = entry.StartedAtMS / 1000
+}
+
+// terminate marks a node that is missing from a complete list as terminated.
+func (n *Node) terminate(now float64) {
+	n.State = placer.Terminated
+	n.placerNode.State = placer.Terminated
+	n.stateChangedAt = now
+}
+
+// restartedAfter reports whether the node began its present incarnation after an attempt began to run on it.
+func (n *Node) restartedAfter(attempt *Attempt) bool {
+	return n.StartedAt > attempt.runningSince+incarnationTolerance
+}
+
+// NodeIDOf returns the placer's ID for the node with the given UID. It is the same in every scheduler, since all of them sort and draw nodes by
+// it. It has 48 bits, as many as an address in the simulator's protocol.
+func NodeIDOf(uid string) placer.NodeID {
+	return placer.NodeID(xxhash.Sum64String(uid) & (1<<48 - 1))
+}
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -58,7 +58,7 @@
 		c.Counts.UnknownTasks++
 	}
 	if pending == nil && msg.Kind == protocol.Stop {
-		c.recordEarlyTermination(key, msg.Cause)
+		c.earlyTerminations.record(key, msg.Cause)
 	}
 }
 
@@ -115,7 +115,7 @@
 		c.endTask(attempt, c.stopOutcome(msg, taskResult(msg.Cause)), msg.Cause)
 	case attemptAbandoned:
 		c.removeAttempt(attempt)
-		c.recordEarlyTermination(attempt.key(), msg.Cause)
+		c.earlyTerminations.record(attempt.key(), msg.Cause)
 	}
 }
 
--- /dev/null
+++ b/internal/platform/dispatch/node_registry.go
@@ -0,0 +1,276 @@
+package dispatch
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"heathshed/placer"
+)
+
+const (
+	// TerminationGrace is the time in seconds from the discovery event that reports a node as terminated until its running tasks are assumed
+	// to be lost.
+	TerminationGrace = 1.0
+	// terminatedNodeRetention is the time in seconds after which a terminated node is removed from the registry.
+	terminatedNodeRetention = 60.0
+	// incarnationTolerance is by how many seconds the start time of a node must be later than that of a task for the task to be of an earlier
+	// incarnation: clocks and start times are not exact.
+	incarnationTolerance = 1.0
+)
+
+// nodeRegistry keeps the nodes that discovery events list and the attempts that run on them, and answers the placer's requests for the node
+// list.
+type nodeRegistry struct {
+	*environment
+	endLostTask func(*Attempt) // ends a task that ended with its node
+
+	nodes              map[placer.NodeID]*Node
+	lastDiscoveryEvent uint64
+	discoveryConnected bool
+	listRequested      bool // the placer asked for the node list while discovery was not connected, and waits for an answer
+}
+
+// load applies the discovery events from before the start: a JSON object, or nothing.
+func (r *nodeRegistry) load(knownEvents []byte) error {
+	var list knownEventList
+	if len(knownEvents) > 0 {
+		if err := json.Unmarshal(knownEvents, &list); err != nil {
+			return fmt.Errorf("known: %w", err)
+		}
+	}
+	for i := range list.Events {
+		event := &list.Events[i]
+		if _, err := r.apply(event); err != nil {
+			return fmt.Errorf("known: items[%d]: %w", i, err)
+		}
+		r.lastDiscoveryEvent = max(r.lastDiscoveryEvent, event.Number)
+	}
+	r.lastDiscoveryEvent = max(r.lastDiscoveryEvent, list.Number)
+	r.post(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: r.placerNodes()})
+	return nil
+}
+
+// get returns a node, nil if there is none with the ID.
+func (r *nodeRegistry) get(id placer.NodeID) *Node { return r.nodes[id] }
+
+// getByUID returns a node, nil if there is none with the UID.
+func (r *nodeRegistry) getByUID(uid string) *Node { return r.nodes[r.idOf(uid)] }
+
+// each calls f for each node, in no particular order.
+func (r *nodeRegistry) each(f func(*Node)) {
+	for _, node := range r.nodes {
+		f(node)
+	}
+}
+
+// idOf returns the placer's ID of a node in the registry, or the one that a new node with this UID gets.
+func (r *nodeRegistry) idOf(uid string) placer.NodeID {
+	id := NodeIDOf(uid)
+	for r.nodes[id] != nil && r.nodes[id].UID != uid {
+		id++ // the IDs of two UIDs collide
+	}
+	return id
+}
+
+// placerNodes returns the registry for the placer, in order of IDs.
+func (r *nodeRegistry) placerNodes() []placer.Node {
+	var nodes []placer.Node
+	for _, node := range r.nodes {
+		nodes = append(nodes, node.placerNode)
+	}
+	slices.SortFunc(nodes, func(a, b placer.Node) int { return cmp.Compare(a.ID, b.ID) })
+	return nodes
+}
+
+// runningTasks returns the number of running tasks on all nodes.
+func (r *nodeRegistry) runningTasks() int {
+	count := 0
+	for _, node := range r.nodes {
+		count += len(node.running)
+	}
+	return count
+}
+
+// taskStarted enters an attempt as running on its node. If the node has terminated, no further discovery event will come to end the task.
+func (r *nodeRegistry) taskStarted(attempt *Attempt) {
+	node := r.nodes[attempt.Node]
+	if node == nil {
+		return
+	}
+	node.running[attempt] = struct{}{}
+	if node.State == placer.Terminated {
+		r.scheduleTaskExpiry(node)
+	}
+}
+
+// taskEnded removes an attempt from those that run on its node, if it does.
+func (r *nodeRegistry) taskEnded(attempt *Attempt) {
+	if node := r.nodes[attempt.Node]; node != nil {
+		delete(node.running, attempt)
+	}
+}
+
+// receive applies one event of the discovery stream, see Core.ReceiveDiscoveryEvent.
+func (r *nodeRegistry) receive(data []byte) (ok bool, err error) {
+	event, err := parseDiscoveryEvent(data)
+	if err != nil {
+		return false, err
+	}
+	if event.Number <= r.lastDiscoveryEvent {
+		return true, nil
+	}
+	if event.Number > r.lastDiscoveryEvent+1 {
+		return false, nil
+	}
+	changed, err := r.apply(event)
+	if err != nil {
+		return false, err
+	}
+	r.lastDiscoveryEvent = event.Number
+	if event.NodeList != nil {
+		r.handleNodesListed(event.NodeList, changed)
+	}
+	return true, nil
+}
+
+// apply enters the nodes that a discovery event lists and returns them. An invalid event changes nothing.
+func (r *nodeRegistry) apply(event *discoveryEvent) (changed []placer.Node, err error) {
+	if err := event.validate(); err != nil || event.NodeList == nil {
+		return nil, err
+	}
+	listed := map[placer.NodeID]bool{}
+	for i := range event.NodeList.Nodes {
+		node := r.update(&event.NodeList.Nodes[i])
+		listed[node.ID] = true
+		changed = append(changed, node.placerNode)
+	}
+	if event.NodeList.Complete {
+		r.terminateUnlisted(listed)
+	}
+	return changed, nil
+}
+
+// update enters a valid entry of a discovery event.
+func (r *nodeRegistry) update(entry *nodeEntry) *Node {
+	id := r.idOf(entry.UID)
+	node := r.nodes[id]
+	if node == nil {
+		node = &Node{ID: id, UID: entry.UID, State: placer.Terminated, running: map[*Attempt]struct{}{}}
+		r.nodes[id] = node
+	}
+	state, _ := parseNodeState(entry.State) // valid
+	node.update(entry, state, r.now)
+	node.placerNode = placer.Node{
+		ID:         id,
+		Zone:       slices.Index(r.settings.Zones, entry.Zone),
+		Rack:       entry.Rack,
+		NodeType:   slices.Index(r.settings.NodeTypes, entry.NodeType),
+		State:      node.State,
+		FreeCores:  entry.Free[0],
+		FreeMemory: entry.Free[1],
+		StartedAt:  placer.Seconds(node.StartedAt),
+	}
+	return node
+}
+
+// terminateUnlisted marks the nodes that a complete list leaves out as terminated.
+func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
+	for id, node := range r.nodes {
+		if !listed[id] && node.State != placer.Terminated {
+			node.terminate(r.now)
+		}
+	}
+}
+
+// handleNodesListed reports listed nodes to the placer, and ends the tasks of nodes that have terminated or restarted.
+func (r *nodeRegistry) handleNodesListed(list *nodeList, changed []placer.Node) {
+	kind := placer.Changes
+	if list.Complete {
+		kind = placer.FullList
+	}
+	r.listRequested = false
+	r.post(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changed})
+	for _, node := range r.nodes {
+		if node.State == placer.Terminated {
+			r.scheduleTaskExpiry(node)
+			r.scheduleRemoval(node)
+			continue
+		}
+		for attempt := range node.running {
+			if node.restartedAfter(attempt) {
+				r.endLostTask(attempt)
+			}
+		}
+	}
+	r.emit(Effect{Kind: NodesChanged})
+}
+
+// scheduleTaskExpiry sets a timer that ends the running tasks of a terminated node as lost, unless its state changes meanwhile. The wait is for
+// the reports that the node itself sends about its tasks, which say more than the discovery event does.
+func (r *nodeRegistry) scheduleTaskExpiry(node *Node) {
+	if len(node.running) == 0 {
+		return
+	}
+	terminatedAt := node.stateChangedAt
+	if node.expiryScheduledFor == terminatedAt {
+		return
+	}
+	node.expiryScheduledFor = terminatedAt
+	r.timers.Add(max(r.now, terminatedAt+TerminationGrace), func() {
+		node.expiryScheduledFor = 0
+		if node.State == placer.Terminated && node.stateChangedAt == terminatedAt {
+			r.endTasksOf(node.ID)
+		}
+	})
+}
+
+// endTasksOf ends all tasks that run on a node as lost.
+func (r *nodeRegistry) endTasksOf(id placer.NodeID) {
+	if node := r.nodes[id]; node != nil {
+		for _, attempt := range node.runningAttempts() {
+			r.endLostTask(attempt)
+		}
+	}
+}
+
+// scheduleRemoval sets a timer that removes a terminated node, unless it is listed again or has running tasks.
+func (r *nodeRegistry) scheduleRemoval(node *Node) {
+	if node.removalScheduled {
+		return
+	}
+	node.removalScheduled = true
+	r.timers.Add(max(node.stateChangedAt+terminatedNodeRetention, r.now+TerminationGrace), func() {
+		node.removalScheduled = false
+		switch {
+		case node.State != placer.Terminated:
+		case len(node.running) > 0 || node.stateChangedAt+terminatedNodeRetention > r.now:
+			r.scheduleRemoval(node)
+		default:
+			delete(r.nodes, node.ID)
+		}
+	})
+}
+
+// setDiscoveryConnected notes whether the discovery stream is connected, and answers a request of the placer that waits for it.
+func (r *nodeRegistry) setDiscoveryConnected(connected bool) {
+	r.discoveryConnected = connected
+	if !r.listRequested {
+		return
+	}
+	r.listRequested = false
+	kind := placer.ListFailed
+	if connected {
+		kind = placer.Changes
+	}
+	r.post(placer.Event{Kind: placer.NodesListed, List: kind})
+}
+
+// requestList answers the placer's request for the node list, or leaves the answer to setDiscoveryConnected.
+func (r *nodeRegistry) requestList() {
+	r.listRequested = !r.discoveryConnected
+	if r.discoveryConnected {
+		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
+	}
+}
--- a/internal/platform/dispatch/registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -105,7 +105,7 @@
 func TestNodeIDCollision(t *testing.T) {
 	h := newHarness(t, nil)
 	id := NodeIDOf("s-00000004")
-	h.core.nodes[id] = &Node{ID: id, UID: "another"}
+	h.core.nodes.nodes[id] = &Node{ID: id, UID: "another"}
 	for range 2 {
 		h.deliver(false, nodeJSON(4, "in_service", 0))
 		node := h.core.Node(id + 1)
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -248,8 +248,8 @@
 		}
 		h.carryOutEffects()
 		h.settle()
-		if len(h.core.earlyTerminations) != 0 || len(h.core.earlyTerminationOrder) != 0 {
-			t.Fatalf("%d early terminations are left", len(h.core.earlyTerminations))
+		if len(h.core.earlyTerminations.records) != 0 || len(h.core.earlyTerminations.order) != 0 {
+			t.Fatalf("%d early terminations are left", len(h.core.earlyTerminations.records))
 		}
 	})
 }
@@ -278,7 +278,7 @@
 	h.conns = nil
 	h.settle()
 	h.advance(terminatedNodeRetention)
-	if n := len(h.core.nodes); n > 4 {
+	if n := len(h.core.nodes.nodes); n > 4 {
 		t.Errorf("%d nodes are left", n)
 	}
 	if n := h.core.timers.Len(); n > 20 {
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -25,12 +25,7 @@
 	if client := c.clients[req.conn]; client != nil {
 		client.lastPlacedAt = c.now
 	}
-	if node := c.nodes[attempt.Node]; node != nil {
-		node.running[attempt] = struct{}{}
-		if node.State == placer.Terminated {
-			c.scheduleTaskExpiry(node) // no further discovery event will come to end this task
-		}
-	}
+	c.nodes.taskStarted(attempt)
 	answer := replyTo(&req.message, protocol.Running, noCause)
 	answer.Body = body
 	c.sendToClient(req.conn, answer)
@@ -124,11 +119,7 @@
 // NodeDead ends all tasks that run on a node whose process has ended, or that has terminated.
 func (c *Core) NodeDead(now float64, id placer.NodeID) {
 	c.setTime(now)
-	if node := c.nodes[id]; node != nil {
-		for _, attempt := range node.runningAttempts() {
-			c.endLostTask(attempt)
-		}
-	}
+	c.nodes.endTasksOf(id)
 	c.runEvents()
 }
 
@@ -138,7 +129,7 @@
 // has in use, and would exceed the limit on how many tasks of a service run in one place.
 func (c *Core) NodeUnresponsive(now float64, id placer.NodeID) (tasks int) {
 	c.setTime(now)
-	if node := c.nodes[id]; node != nil {
+	if node := c.nodes.get(id); node != nil {
 		tasks = c.stopUnresponsiveTasks(node)
 	}
 	c.runEvents()
