--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -27,12 +27,12 @@
 	if early, terminated := c.earlyTerminations.get(key); terminated {
 		// The client listed the task before it could learn of its end, which the node reports only once.
 		c.Counts.TasksEnded++
-		c.sendNotification(client, c.newNotification(replyTo(msg, protocol.Stop, early.cause)))
+		c.notifier.notifyOn(client, replyTo(msg, protocol.Stop, early.cause))
 		return nil
 	}
 	task := parsed.task
 	req := c.addRequest(client.id, msg, &task, requestRunning)
-	client.lastPlacedAt = c.now
+	c.clients.taskPlaced(req)
 	attempt := &Attempt{
 		Node:         node.ID,
 		Message:      req.launchMessage(),
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -11,6 +11,9 @@
 // lateAnswerRetention is for how long an abandoned attempt is kept beyond the time in which clients look for tasks with an unknown outcome.
 const lateAnswerRetention = 5.0
 
+// NodeConnID is the caller's number of a connection to a node; 0 is none.
+type NodeConnID uint64
+
 // Attempt is one attempt to start a task on a node.
 type Attempt struct {
 	Node    placer.NodeID
--- /dev/null
+++ b/internal/platform/dispatch/client_registry.go
@@ -0,0 +1,130 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+
+	"heathshed/internal/platform/protocol"
+)
+
+// ConnID identifies a client connection. 0 is none.
+type ConnID uint64
+
+// clientConn is the state of one client connection. Until it has sent a valid message it may belong to anything that found the port.
+type clientConn struct {
+	id            ConnID
+	openRequests  map[*request]struct{}
+	lastPlacedAt  float64     // when a task of a request on it last began to run or was adopted, 0 if none has
+	lastValidAt   float64     // when it last sent a valid message, 0 if it has not
+	notifications deliveryLog // what was sent on it; the notifier's
+}
+
+// identified reports whether the connection has sent a valid message.
+func (conn *clientConn) identified() bool { return conn.lastValidAt > 0 }
+
+// moreRecentThan orders connections by when they last had a task placed, then by their last valid message, then by age.
+func (conn *clientConn) moreRecentThan(other *clientConn) bool {
+	if conn.lastPlacedAt != other.lastPlacedAt {
+		return conn.lastPlacedAt > other.lastPlacedAt
+	}
+	if conn.lastValidAt != other.lastValidAt {
+		return conn.lastValidAt > other.lastValidAt
+	}
+	return conn.id > other.id
+}
+
+// requestsInOrder returns the open requests in the order in which they came.
+func (conn *clientConn) requestsInOrder() []*request {
+	requests := make([]*request, 0, len(conn.openRequests))
+	for req := range conn.openRequests {
+		requests = append(requests, req)
+	}
+	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.taskID, b.taskID) })
+	return requests
+}
+
+// clientRegistry keeps the client connections and sends messages on them.
+type clientRegistry struct {
+	*environment
+	conns map[ConnID]*clientConn
+}
+
+// connect adds a connection.
+func (r *clientRegistry) connect(id ConnID) {
+	r.conns[id] = &clientConn{id: id, openRequests: map[*request]struct{}{}}
+}
+
+// disconnect removes a connection and returns it, nil if it is not open.
+func (r *clientRegistry) disconnect(id ConnID) *clientConn {
+	conn := r.conns[id]
+	delete(r.conns, id)
+	return conn
+}
+
+// get returns a connection, nil if it is not open.
+func (r *clientRegistry) get(id ConnID) *clientConn { return r.conns[id] }
+
+// messageValid notes that a connection has sent a valid message.
+func (r *clientRegistry) messageValid(conn *clientConn) { conn.lastValidAt = r.now }
+
+// requestOpened enters an open request that came on a connection.
+func (r *clientRegistry) requestOpened(req *request) {
+	if conn := r.conns[req.conn]; conn != nil {
+		conn.openRequests[req] = struct{}{}
+	}
+}
+
+// requestClosed removes a request from the open ones of its connection.
+func (r *clientRegistry) requestClosed(req *request) {
+	if conn := r.conns[req.conn]; conn != nil {
+		delete(conn.openRequests, req)
+	}
+}
+
+// taskPlaced notes that the task of a request began to run or was adopted.
+func (r *clientRegistry) taskPlaced(req *request) {
+	if conn := r.conns[req.conn]; conn != nil {
+		conn.lastPlacedAt = r.now
+	}
+}
+
+// send sends a message on a connection.
+func (r *clientRegistry) send(id ConnID, msg protocol.Message) {
+	r.emit(Effect{Kind: SendToClient, Conn: id, Message: msg})
+}
+
+// answer sends the answer to a request on the connection that the request came on, if that is still open.
+func (r *clientRegistry) answer(req *request, answer protocol.Message) {
+	if r.conns[req.conn] != nil {
+		r.send(req.conn, answer)
+	}
+}
+
+// selectFor returns the preferred connection if it is open, else the one that is most likely that of a client with running tasks, nil if none
+// has sent a valid message.
+func (r *clientRegistry) selectFor(preferred ConnID) *clientConn {
+	if conn := r.conns[preferred]; conn != nil {
+		return conn
+	}
+	var best *clientConn
+	for _, conn := range r.conns {
+		if conn.identified() && (best == nil || conn.moreRecentThan(best)) {
+			best = conn
+		}
+	}
+	return best
+}
+
+// onlyIdentified reports whether a connection is the only one that has sent a valid message.
+func (r *clientRegistry) onlyIdentified(id ConnID) bool {
+	conn := r.conns[id]
+	if conn == nil || !conn.identified() {
+		return false
+	}
+	for other, candidate := range r.conns {
+		if other != id && candidate.identified() {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -8,6 +8,8 @@
 package dispatch
 
 import (
+	"errors"
+	"fmt"
 	"math"
 	"strconv"
 
@@ -36,8 +38,8 @@
 
 	attempts map[attemptKey]*Attempt // all that nodes may still send messages about
 
-	clients              map[ConnID]*clientConn
-	pendingNotifications []notification // those that found no connection, in the order in which they came up
+	clients  clientRegistry
+	notifier notifier
 
 	earlyTerminations  earlyTerminationLog
 	firstHealthCheckAt float64 // when the first health check of a client came, 0 if none has
@@ -56,10 +58,11 @@
 		requests:          map[placer.TaskID]*request{},
 		requestsByID:      map[protocol.ID]*request{},
 		attempts:          map[attemptKey]*Attempt{},
-		clients:           map[ConnID]*clientConn{},
+		clients:           clientRegistry{environment: env, conns: map[ConnID]*clientConn{}},
 		earlyTerminations: earlyTerminationLog{environment: env, records: map[attemptKey]earlyTermination{}},
 		nodes:             nodeRegistry{environment: env, nodes: map[placer.NodeID]*Node{}},
 	}
+	c.notifier = notifier{environment: env, clients: &c.clients}
 	env.counts = &c.Counts
 	env.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
 	c.nodes.endLostTask = c.endLostTask
@@ -109,6 +112,65 @@
 	}
 }
 
+// ErrClientNotConnected is the error of a message on a client connection that is not open.
+var ErrClientNotConnected = errors.New("client connection is not open")
+
+// ClientConnected adds a client connection.
+func (c *Core) ClientConnected(now float64, conn ConnID) {
+	c.setTime(now)
+	c.clients.connect(conn)
+}
+
+// ClientDisconnected removes a client connection. Its open requests are withdrawn, since their answers could not be sent. Notifications that
+// the client may not have received are sent again on another connection.
+func (c *Core) ClientDisconnected(now float64, conn ConnID) {
+	c.setTime(now)
+	client := c.clients.disconnect(conn)
+	if client == nil {
+		return
+	}
+	for _, req := range client.requestsInOrder() {
+		c.withdrawRequest(req)
+	}
+	c.notifier.redeliver(client)
+	c.runEvents()
+}
+
+// ClientRequests returns the number of open requests on a connection, and whether a task of any request on it ever ran.
+func (c *Core) ClientRequests(conn ConnID) (open int, placed bool) {
+	client := c.clients.get(conn)
+	if client == nil {
+		return 0, false
+	}
+	return len(client.openRequests), client.lastPlacedAt > 0
+}
+
+// IsLastClient reports whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
+// be sent on any other.
+func (c *Core) IsLastClient(conn ConnID) bool {
+	return c.RunningTasks() > 0 && c.clients.onlyIdentified(conn)
+}
+
+// ReceiveFromClient handles one message of a client. The error is an *InvalidMessageError if the message is invalid, in which case its sender
+// has been answered, or wraps ErrClientNotConnected.
+func (c *Core) ReceiveFromClient(now float64, conn ConnID, msg *protocol.Message) error {
+	c.setTime(now)
+	client := c.clients.get(conn)
+	if client == nil {
+		return fmt.Errorf("receive on connection %d: %w", conn, ErrClientNotConnected)
+	}
+	err := c.handleClientMessage(client, msg)
+	if err != nil {
+		c.Counts.InvalidMessages++
+		c.clients.send(conn, replyTo(msg, protocol.Stop, protocol.CauseError))
+	} else {
+		c.clients.messageValid(client)
+		c.notifier.sendPending(client)
+	}
+	c.runEvents()
+	return err
+}
+
 // Node returns a node of the registry, nil if there is none with the ID.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -159,7 +159,7 @@
 	case record.running:
 		record.notifications++
 		// A second one only if the connection of the first has ended without an acknowledgement.
-		if record.notifications > 1 && (record.notifiedOn == 0 || h.core.clients[record.notifiedOn] != nil) {
+		if record.notifications > 1 && (record.notifiedOn == 0 || h.core.clients.get(record.notifiedOn) != nil) {
 			h.t.Fatalf("second notification %v", msg)
 		}
 		record.notifiedOn = conn
@@ -177,7 +177,7 @@
 // acknowledge has a client acknowledge its last notification.
 func (h *harness) acknowledge(id protocol.ID) {
 	record := h.records[id]
-	if record.notifiedOn == 0 || h.core.clients[record.notifiedOn] == nil {
+	if record.notifiedOn == 0 || h.core.clients.get(record.notifiedOn) == nil {
 		return
 	}
 	msg := newMessage(protocol.Stopped, id, -1)
@@ -238,7 +238,7 @@
 		}
 	}
 	h.requireEmpty()
-	if pending := len(h.core.pendingNotifications); pending != 0 {
+	if pending := len(h.core.notifier.pending); pending != 0 {
 		h.t.Fatalf("left: %d pending notifications", pending)
 	}
 }
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -15,7 +15,7 @@
 	unacknowledgedWindow = 1.0
 )
 
-// notification is a message that tells a client that its running task has ended or is to migrate. Unlike the answer to a request it may be
+// notification is a message that notifies a client that its running task has ended or is to migrate. Unlike the answer to a request it may be
 // sent on any connection, and is sent again if the client may not have received it.
 type notification struct {
 	message   protocol.Message
@@ -35,92 +35,93 @@
 	return now-sentAt < unacknowledgedWindow
 }
 
-// newNotification returns a notification that is kept from now on.
-func (c *Core) newNotification(msg protocol.Message) notification {
-	return notification{message: msg, expiresAt: c.now + notificationRetention}
-}
-
-// notifyClient notifies the client of a request whose task runs or ran: on the request's own connection, else on another one of a client,
-// else on the first one that sends a valid message from now on.
-func (c *Core) notifyClient(req *request, msg protocol.Message) {
-	c.notifyAnyClient(req.conn, c.newNotification(msg))
+// deliveryLog holds the notifications that were sent on one connection.
+type deliveryLog struct {
+	unacknowledged []notification // sent and not acknowledged yet
+	acknowledges   bool           // the client has acknowledged a notification: the protocol leaves it to clients whether they do
 }
 
-// notifyAnyClient sends a notification on the preferred connection if that is open, else on another one. Without any it stays pending.
-func (c *Core) notifyAnyClient(preferred ConnID, notice notification) {
-	if client := c.selectClient(preferred); client != nil {
-		c.sendNotification(client, notice)
-		return
-	}
-	c.Counts.PendingNotifications++
-	c.pendingNotifications = append(c.pendingNotifications, notice)
-}
-
-// sendNotification sends a notification and keeps it until it expires or is acknowledged.
-func (c *Core) sendNotification(client *clientConn, notice notification) {
-	c.sendToClient(client.id, notice.message)
+// add keeps a notification until it expires or is acknowledged.
+func (l *deliveryLog) add(now float64, notice notification) {
 	if notice.message.Kind == protocol.Migrate {
 		// A redelivery notifies of the end that follows from the migration: a client that received the request to migrate ignores it.
 		notice.message = replyTo(&notice.message, protocol.Stop, protocol.CauseCancelled)
 		notice.migration = true
 	}
-	client.unacknowledged = slices.DeleteFunc(client.unacknowledged, func(sent notification) bool { return sent.expiresAt <= c.now })
-	client.unacknowledged = append(client.unacknowledged, notice)
+	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool { return sent.expiresAt <= now })
+	l.unacknowledged = append(l.unacknowledged, notice)
 }
 
 // acknowledge removes the notifications of a task's end that the client says it has received.
-func (cc *clientConn) acknowledge(id protocol.ID) {
-	cc.acknowledges = true
-	cc.unacknowledged = slices.DeleteFunc(cc.unacknowledged, func(sent notification) bool {
+func (l *deliveryLog) acknowledge(id protocol.ID) {
+	l.acknowledges = true
+	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool {
 		return sent.message.ID == id && !sent.migration
 	})
 }
 
-// selectClient returns the preferred connection if it is open, else the one that is most likely that of a client with running tasks, nil if
-// none has sent a valid message.
-func (c *Core) selectClient(preferred ConnID) *clientConn {
-	if client := c.clients[preferred]; client != nil {
-		return client
-	}
-	var best *clientConn
-	for _, client := range c.clients {
-		if client.lastValidAt > 0 && (best == nil || client.moreRecentThan(best)) {
-			best = client
-		}
-	}
-	return best
+// notifier notifies clients of the ends and migrations of their running tasks.
+type notifier struct {
+	*environment
+	clients *clientRegistry
+	pending []notification // those that found no connection, in the order in which they came up
 }
 
-// moreRecentThan orders connections by when they last had a task placed, then by their last valid message, then by age.
-func (cc *clientConn) moreRecentThan(other *clientConn) bool {
-	if cc.lastPlacedAt != other.lastPlacedAt {
-		return cc.lastPlacedAt > other.lastPlacedAt
-	}
-	if cc.lastValidAt != other.lastValidAt {
-		return cc.lastValidAt > other.lastValidAt
+// newNotification returns a notification that is kept from now on.
+func (n *notifier) newNotification(msg protocol.Message) notification {
+	return notification{message: msg, expiresAt: n.now + notificationRetention}
+}
+
+// notify notifies the client of a request whose task runs or ran: on the request's own connection, else on another one of a client, else on the
+// first one that sends a valid message from now on.
+func (n *notifier) notify(req *request, msg protocol.Message) {
+	n.sendOnAny(req.conn, n.newNotification(msg))
+}
+
+// notifyOn sends a notification on a connection that is open.
+func (n *notifier) notifyOn(conn *clientConn, msg protocol.Message) {
+	n.send(conn, n.newNotification(msg))
+}
+
+// sendOnAny sends a notification on the preferred connection if that is open, else on another one. Without any it stays pending.
+func (n *notifier) sendOnAny(preferred ConnID, notice notification) {
+	if conn := n.clients.selectFor(preferred); conn != nil {
+		n.send(conn, notice)
+		return
 	}
-	return cc.id > other.id
+	n.counts.PendingNotifications++
+	n.pending = append(n.pending, notice)
 }
 
-// sendPendingNotifications sends all pending notifications on a connection that has just sent a valid message.
-func (c *Core) sendPendingNotifications(client *clientConn) {
-	for _, notice := range c.pendingNotifications {
-		if notice.expiresAt < c.now {
-			c.Counts.ExpiredNotifications++
+// send sends a notification and keeps it until it expires or is acknowledged.
+func (n *notifier) send(conn *clientConn, notice notification) {
+	n.clients.send(conn.id, notice.message)
+	conn.notifications.add(n.now, notice)
+}
+
+// acknowledge handles a client's message that it has received the notification of a task's end.
+func (n *notifier) acknowledge(conn *clientConn, id protocol.ID) { conn.notifications.acknowledge(id) }
+
+// sendPending sends all pending notifications on a connection that has just sent a valid message.
+func (n *notifier) sendPending(conn *clientConn) {
+	for _, notice := range n.pending {
+		if notice.expiresAt < n.now {
+			n.counts.ExpiredNotifications++
 			continue
 		}
-		c.sendNotification(client, notice)
+		n.send(conn, notice)
 	}
-	c.pendingNotifications = nil
+	n.pending = nil
 }
 
 // redeliver sends again what the client of a connection that has ended may not have received. Clients accept a second notification of a task
 // that they no longer know.
-func (c *Core) redeliver(disconnected *clientConn) {
-	for _, notice := range disconnected.unacknowledged {
-		if notice.needsRedelivery(c.now, disconnected.acknowledges) {
-			c.Counts.Redeliveries++
-			c.notifyAnyClient(0, notice)
+func (n *notifier) redeliver(disconnected *clientConn) {
+	log := &disconnected.notifications
+	for _, notice := range log.unacknowledged {
+		if notice.needsRedelivery(n.now, log.acknowledges) {
+			n.counts.Redeliveries++
+			n.sendOnAny(0, notice)
 		}
 	}
 }
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -113,7 +113,7 @@
 	}
 	id := protocol.ID(1 + p.draw(int(p.lastID), "id"))
 	record := p.records[id]
-	if p.core.clients[record.conn] == nil {
+	if p.core.clients.get(record.conn) == nil {
 		return
 	}
 	record.withdrawn = record.withdrawn || record.answers == 0
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -73,7 +73,7 @@
 func (c *Core) openRequest(client *clientConn, msg *protocol.Message, task placer.Task) {
 	req := c.addRequest(client.id, msg, &task, requestOpen)
 	c.openRequests++
-	client.openRequests[req] = struct{}{}
+	c.clients.requestOpened(req)
 	c.postArrival(req, task)
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	c.closeRequest(req, requestAnswered)
-	c.answerClient(req, answer)
+	c.clients.answer(req, answer)
 	c.abandonLastAttempt(req, placer.TimedOut)
 	c.removeRequest(req)
 }
@@ -109,9 +109,7 @@
 // removeFromOpen removes a request from the open ones.
 func (c *Core) removeFromOpen(req *request) {
 	c.openRequests--
-	if client := c.clients[req.conn]; client != nil {
-		delete(client.openRequests, req)
-	}
+	c.clients.requestClosed(req)
 }
 
 // removeRequest removes a request that has ended. Its attempts stay for as long as nodes may send messages about them.
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -22,13 +22,11 @@
 	c.Counts.Placed++
 	c.transition(req, requestRunning)
 	c.removeFromOpen(req)
-	if client := c.clients[req.conn]; client != nil {
-		client.lastPlacedAt = c.now
-	}
+	c.clients.taskPlaced(req)
 	c.nodes.taskStarted(attempt)
 	answer := replyTo(&req.message, protocol.Running, noCause)
 	answer.Body = body
-	c.sendToClient(req.conn, answer)
+	c.clients.send(req.conn, answer)
 	c.postBound(attempt)
 }
 
@@ -44,7 +42,7 @@
 	}
 	c.transition(req, requestTerminated)
 	if notify {
-		c.notifyClient(req, replyTo(&req.message, protocol.Stop, cause))
+		c.notifier.notify(req, replyTo(&req.message, protocol.Stop, cause))
 	}
 	c.postAttemptEnded(attempt, ended)
 	c.removeRequest(req)
@@ -62,7 +60,7 @@
 	req := attempt.request
 	c.Counts.TasksLost++
 	c.closeRequest(req, requestTerminated)
-	c.answerClient(req, replyTo(&req.message, protocol.Stop, cause))
+	c.clients.answer(req, replyTo(&req.message, protocol.Stop, cause))
 	c.postBound(attempt)
 	c.postAttemptEnded(attempt, ended)
 	c.removeRequest(req)
@@ -76,7 +74,7 @@
 	}
 	c.Counts.Migrations++
 	c.transition(req, requestMigrating)
-	c.notifyClient(req, replyTo(&req.message, protocol.Migrate, noCause))
+	c.notifier.notify(req, replyTo(&req.message, protocol.Migrate, noCause))
 	c.stopTask(attempt, protocol.CauseCancelled, false)
 }
 
@@ -88,7 +86,7 @@
 		return
 	}
 	c.transition(req, requestStopping)
-	c.notifyClient(req, replyTo(&req.message, protocol.Stop, protocol.CauseCancelled))
+	c.notifier.notify(req, replyTo(&req.message, protocol.Stop, protocol.CauseCancelled))
 }
 
 // stopTask tells the node of an attempt to stop the task, or not to start it. A running task ends when the node confirms that, or after
@@ -146,7 +144,7 @@
 		req := attempt.request
 		if !req.state.closed() {
 			c.transition(req, requestStopping)
-			c.notifyClient(req, replyTo(&req.message, protocol.Stop, causeLost))
+			c.notifier.notify(req, replyTo(&req.message, protocol.Stop, causeLost))
 		}
 		c.stopTask(attempt, protocol.CauseCancelled, false)
 	}
--- a/internal/testsupport/structure/methods_test.go
+++ b/internal/testsupport/structure/methods_test.go
@@ -17,7 +17,7 @@
 	"kube/engine.Engine":     153,
 	"lab/nodesim.Node":       41,
 	"placer.Placer":          63,
-	"platform/dispatch.Core": 76,
+	"platform/dispatch.Core": 67,
 }
 
 func TestNoTypeHasTooManyMethods(t *testing.T) {
