--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -5,8 +5,6 @@
 	"heathshed/placer"
 )
 
-// Adoption: after a start of this scheduler, clients list their running tasks, and the scheduler takes responsibility for them.
-
 const (
 	// adoptionMaxWait bounds the time after the first health check for which new requests wait for adoptions.
 	adoptionMaxWait = 1.0
@@ -14,53 +12,70 @@
 	adoptionIdleGap = 0.05
 )
 
-// adopt enters a task that runs on a node already.
-func (c *Core) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
-	node := c.nodes.getByUID(parsed.adoptedFrom)
+// adoption takes responsibility for tasks that run already: after a start of this scheduler, clients list their running tasks.
+type adoption struct {
+	*environment
+	nodes             *nodeRegistry
+	requests          *requestTable
+	attempts          *attemptTable
+	earlyTerminations *earlyTerminationLog
+	notifier          *notifier
+
+	firstHealthCheckAt float64 // when the first health check of a client came, 0 if none has
+	lastAdoptionAt     float64 // when a running task was last adopted, or firstHealthCheckAt
+}
+
+// healthCheckReceived notes a health check. After the first one, clients are expected to list their running tasks.
+func (a *adoption) healthCheckReceived() {
+	if a.firstHealthCheckAt == 0 {
+		a.firstHealthCheckAt = a.now
+		a.lastAdoptionAt = a.now // the first adoption may be on its way
+	}
+}
+
+// adopt enters a task that runs on a node already. The error is an *InvalidMessageError.
+func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
+	a.counts.Adopted++
+	a.lastAdoptionAt = a.now
+	node := a.nodes.getByUID(parsed.adoptedFrom)
 	if node == nil {
 		return invalidMessage(InvalidNode, "launch %s: extras: at: node %.40q is not in the registry", msg.UID, parsed.adoptedFrom)
 	}
 	key := attemptKey{node.ID, msg.ID}
-	if earlier := c.attempts[key]; earlier != nil {
-		c.removeAttempt(earlier) // it was abandoned here, and accepted by the node after all
+	if earlier := a.attempts.get(key); earlier != nil {
+		a.attempts.remove(earlier) // it was abandoned here, and accepted by the node after all
 	}
-	if early, terminated := c.earlyTerminations.get(key); terminated {
+	if early, terminated := a.earlyTerminations.get(key); terminated {
 		// The client listed the task before it could learn of its end, which the node reports only once.
-		c.Counts.TasksEnded++
-		c.notifier.notifyOn(client, replyTo(msg, protocol.Stop, early.cause))
+		a.counts.TasksEnded++
+		a.notifier.notifyOn(client, replyTo(msg, protocol.Stop, early.cause))
 		return nil
 	}
 	task := parsed.task
-	req := c.addRequest(client.id, msg, &task, requestRunning)
-	c.clients.taskPlaced(req)
-	attempt := &Attempt{
-		Node:         node.ID,
-		Message:      req.launchMessage(),
-		request:      req,
-		state:        attemptRunning,
-		createdAt:    c.now,
-		runningSince: c.now,
-	}
-	req.attempts = append(req.attempts, attempt)
-	c.attempts[key] = attempt
-	c.nodes.taskStarted(attempt)
-	c.post(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
-	c.emit(Effect{Kind: ConnectNode, Attempt: attempt})
+	req := a.requests.adopt(client.id, msg, &task)
+	attempt := a.attempts.adopt(req, node.ID)
+	a.post(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
+	a.emit(Effect{Kind: ConnectNode, Attempt: attempt})
 	return nil
 }
 
+// expectedUntil returns until when adoptions are expected: until none came for a while, for a short time at most.
+func (a *adoption) expectedUntil() float64 {
+	return min(a.lastAdoptionAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
+}
+
 // postArrival passes a new request to the placer. After a start, clients list hundreds of running tasks on one connection while new requests
 // come on others, and a request that is placed before all of them were adopted is placed without regard to where its service runs. So new
-// requests wait until no more adoptions come, for a short time at most and never beyond their deadline.
-func (c *Core) postArrival(req *request, task placer.Task) {
-	waitUntil := min(c.lastAdoptionAt+adoptionIdleGap, c.firstHealthCheckAt+adoptionMaxWait, req.deadline)
-	if c.now >= waitUntil {
-		c.post(placer.Event{Kind: placer.Arrived, TaskID: req.taskID, Task: task})
+// requests wait until no more adoptions are expected, but never beyond their deadline.
+func (a *adoption) postArrival(req *request, task placer.Task) {
+	waitUntil := min(a.expectedUntil(), req.deadline)
+	if a.now >= waitUntil {
+		a.post(placer.Event{Kind: placer.Arrived, TaskID: req.taskID, Task: task})
 		return
 	}
-	c.timers.Add(waitUntil, func() {
+	a.timers.Add(waitUntil, func() {
 		if !req.state.closed() {
-			c.postArrival(req, task)
+			a.postArrival(req, task)
 		}
 	})
 }
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -49,6 +49,10 @@
 	conns map[ConnID]*clientConn
 }
 
+func newClientRegistry(env *environment) *clientRegistry {
+	return &clientRegistry{environment: env, conns: map[ConnID]*clientConn{}}
+}
+
 // connect adds a connection.
 func (r *clientRegistry) connect(id ConnID) {
 	r.conns[id] = &clientConn{id: id, openRequests: map[*request]struct{}{}}
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -28,44 +28,23 @@
 	Counts Counts
 
 	*environment
-	parser requestParser
-
-	requests           map[placer.TaskID]*request
-	requestsByID       map[protocol.ID]*request
-	openRequests       int // requests in state requestOpen
-	lastTaskID         placer.TaskID
-	illegalTransitions int // see transition
-
-	attempts map[attemptKey]*Attempt // all that nodes may still send messages about
-
-	clients  clientRegistry
-	notifier notifier
-
-	earlyTerminations  earlyTerminationLog
-	firstHealthCheckAt float64 // when the first health check of a client came, 0 if none has
-	lastAdoptionAt     float64 // when a running task was last adopted, or firstHealthCheckAt
-
-	nodes nodeRegistry
+	clients        *clientRegistry
+	nodes          *nodeRegistry
+	requests       *requestTable
+	attempts       *attemptTable
+	tasks          *taskController
+	notifier       *notifier
+	clientMessages *clientMessageHandler
+	nodeMessages   *nodeMessageHandler
 }
 
 // New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
 // platform's configuration, or empty. The error says which part of it is invalid.
 func New(now float64, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
-	env := &environment{settings: settings, now: now}
-	c := &Core{
-		environment:       env,
-		parser:            requestParser{settings},
-		requests:          map[placer.TaskID]*request{},
-		requestsByID:      map[protocol.ID]*request{},
-		attempts:          map[attemptKey]*Attempt{},
-		clients:           clientRegistry{environment: env, conns: map[ConnID]*clientConn{}},
-		earlyTerminations: earlyTerminationLog{environment: env, records: map[attemptKey]earlyTermination{}},
-		nodes:             nodeRegistry{environment: env, nodes: map[placer.NodeID]*Node{}},
-	}
-	c.notifier = notifier{environment: env, clients: &c.clients}
-	env.counts = &c.Counts
-	env.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
-	c.nodes.endLostTask = c.endLostTask
+	c := &Core{}
+	c.environment = &environment{settings: settings, counts: &c.Counts, now: now}
+	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
+	c.wire()
 	if err := c.nodes.load(knownEvents); err != nil {
 		return nil, err
 	}
@@ -73,6 +52,36 @@
 	return c, nil
 }
 
+// wire builds the parts and connects them.
+func (c *Core) wire() {
+	env := c.environment
+	early := newEarlyTerminationLog(env)
+	c.clients = newClientRegistry(env)
+	c.notifier = &notifier{environment: env, clients: c.clients}
+	c.nodes = newNodeRegistry(env)
+	c.attempts = newAttemptTable(env, c.nodes)
+	c.requests = newRequestTable(env, c.clients, c.attempts)
+	c.tasks = &taskController{environment: env, clients: c.clients, requests: c.requests, attempts: c.attempts, notifier: c.notifier}
+	c.nodes.endLostTask = c.tasks.endLost
+	c.clientMessages = &clientMessageHandler{
+		environment: env,
+		parser:      requestParser{settings: env.settings},
+		clients:     c.clients,
+		requests:    c.requests,
+		tasks:       c.tasks,
+		notifier:    c.notifier,
+		adoption: &adoption{
+			environment:       env,
+			nodes:             c.nodes,
+			requests:          c.requests,
+			attempts:          c.attempts,
+			earlyTerminations: early,
+			notifier:          c.notifier,
+		},
+	}
+	c.nodeMessages = &nodeMessageHandler{environment: env, attempts: c.attempts, tasks: c.tasks, earlyTerminations: early}
+}
+
 // Ready returns the effects since the last call. The caller owns the slice.
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
@@ -91,7 +100,7 @@
 	case placer.WatchNodes, placer.ListNodes:
 		c.nodes.requestList()
 	default:
-		if req := c.requests[action.Task]; req != nil {
+		if req := c.requests.get(action.Task); req != nil {
 			c.executeForRequest(req, action)
 		}
 	}
@@ -100,15 +109,15 @@
 func (c *Core) executeForRequest(req *request, action *placer.Action) {
 	switch action.Kind {
 	case placer.StartAttempt:
-		c.startAttempt(req, action)
+		c.attempts.start(req, action)
 	case placer.Reject:
 		c.Counts.Rejected++
-		c.answerRequest(req, c.rejection(req, float64(action.After)))
+		c.requests.answer(req, c.rejection(req, float64(action.After)))
 	case placer.Fail:
 		c.Counts.Failed++
-		c.answerRequest(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
+		c.requests.answer(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
 	case placer.Migrate:
-		c.migrateTask(req)
+		c.tasks.migrate(req)
 	}
 }
 
@@ -130,7 +139,7 @@
 		return
 	}
 	for _, req := range client.requestsInOrder() {
-		c.withdrawRequest(req)
+		c.requests.withdraw(req)
 	}
 	c.notifier.redeliver(client)
 	c.runEvents()
@@ -159,18 +168,62 @@
 	if client == nil {
 		return fmt.Errorf("receive on connection %d: %w", conn, ErrClientNotConnected)
 	}
-	err := c.handleClientMessage(client, msg)
-	if err != nil {
-		c.Counts.InvalidMessages++
-		c.clients.send(conn, replyTo(msg, protocol.Stop, protocol.CauseError))
-	} else {
-		c.clients.messageValid(client)
-		c.notifier.sendPending(client)
-	}
+	err := c.clientMessages.receive(client, msg)
 	c.runEvents()
 	return err
 }
 
+// PrepareSend checks an attempt again before its first byte goes out, and sets the time that the node may take. If it returns false, the
+// attempt must not be sent, and has ended.
+func (c *Core) PrepareSend(now float64, attempt *Attempt) bool {
+	c.setTime(now)
+	ok := c.attempts.prepareSend(attempt)
+	c.runEvents()
+	return ok
+}
+
+// ConnectFailed reports that no connection came up for an attempt, so that it was not sent.
+func (c *Core) ConnectFailed(now float64, attempt *Attempt) {
+	c.setTime(now)
+	c.attempts.connectFailed(attempt)
+	c.runEvents()
+}
+
+// ConnectionLost reports that the connection ended that an attempt was sent on. The outcome of the attempt is unknown.
+func (c *Core) ConnectionLost(now float64, attempt *Attempt) {
+	c.setTime(now)
+	c.attempts.connectionLost(attempt)
+	c.runEvents()
+}
+
+// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes nothing but the counts, and
+// that an early termination is recorded.
+func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, msg *protocol.Message) {
+	c.setTime(now)
+	c.nodeMessages.receive(node, msg)
+	c.runEvents()
+}
+
+// NodeDead ends all tasks that run on a node whose process has ended, or that has terminated.
+func (c *Core) NodeDead(now float64, id placer.NodeID) {
+	c.setTime(now)
+	c.nodes.endTasksOf(id)
+	c.runEvents()
+}
+
+// NodeUnresponsive stops all tasks that run on an unresponsive node and returns how many they are. Their clients are notified at once. But the
+// tasks may run on if the node is only cut off, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
+// confirms that, or for notificationRetention. Otherwise the placer would take capacity of a service for free that a node about to come back
+// has in use, and would exceed the limit on how many tasks of a service run in one place.
+func (c *Core) NodeUnresponsive(now float64, id placer.NodeID) (tasks int) {
+	c.setTime(now)
+	if node := c.nodes.get(id); node != nil {
+		tasks = c.tasks.stopOn(node)
+	}
+	c.runEvents()
+	return tasks
+}
+
 // Node returns a node of the registry, nil if there is none with the ID.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
@@ -208,10 +261,8 @@
 	return answer
 }
 
-// noCause makes replyTo leave out the cause.
-const noCause = -1
+// OpenRequests returns the number of placement requests without an answer.
+func (c *Core) OpenRequests() int { return c.requests.openCount }
 
-// replyTo returns a message about the task of msg. A negative cause is left out.
-func replyTo(msg *protocol.Message, kind protocol.Kind, cause int) protocol.Message {
-	return protocol.Message{Kind: kind, UID: msg.UID, ID: msg.ID, Cause: max(cause, 0), HasCause: cause >= 0}
-}
+// RunningTasks returns the number of running tasks on all nodes.
+func (c *Core) RunningTasks() int { return c.nodes.runningTasks() }
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -56,9 +56,3 @@
 	// InvalidMessages are messages of clients for which ReceiveFromClient returned an error.
 	InvalidMessages uint64
 }
-
-// OpenRequests returns the number of placement requests without an answer.
-func (c *Core) OpenRequests() int { return c.openRequests }
-
-// RunningTasks returns the number of running tasks on all nodes.
-func (c *Core) RunningTasks() int { return c.nodes.runningTasks() }
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -20,6 +20,10 @@
 	order   []attemptKey // keys of records, oldest first
 }
 
+func newEarlyTerminationLog(env *environment) *earlyTerminationLog {
+	return &earlyTerminationLog{environment: env, records: map[attemptKey]earlyTermination{}}
+}
+
 // get returns the record of a task's end at a node.
 func (l *earlyTerminationLog) get(key attemptKey) (record earlyTermination, found bool) {
 	record, found = l.records[key]
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -246,7 +246,7 @@
 // requireEmpty fails the test if requests or attempts are left.
 func (h *harness) requireEmpty() {
 	core := h.core
-	left := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests), len(core.requestsByID), len(core.attempts)}
+	left := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
 	if slices.ContainsFunc(left, func(n int) bool { return n != 0 }) {
 		h.t.Fatalf("left: open requests, running tasks, requests, requests by ID, attempts: %v", left)
 	}
--- /dev/null
+++ b/internal/platform/dispatch/load_report.go
@@ -0,0 +1,34 @@
+package dispatch
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/placer"
+)
+
+// parseLoadReport reads the load report of a message, nil if it has none of the configured fields.
+func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
+	text := msg.Get(protocol.LoadReport)
+	if text == "" {
+		return nil
+	}
+	report := simconfig.NoReport()
+	known := false
+	for part := range strings.SplitSeq(text, ";") {
+		name, value, _ := strings.Cut(part, ":")
+		amount, err := strconv.ParseFloat(value, 64)
+		if err != nil || !slices.Contains(fields, name) {
+			continue
+		}
+		simconfig.SetReportField(&report, name, amount)
+		known = true
+	}
+	if !known {
+		return nil
+	}
+	return &report
+}
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -32,6 +32,10 @@
 	listRequested      bool // the placer asked for the node list while discovery was not connected, and waits for an answer
 }
 
+func newNodeRegistry(env *environment) *nodeRegistry {
+	return &nodeRegistry{environment: env, nodes: map[placer.NodeID]*Node{}}
+}
+
 // load applies the discovery events from before the start: a JSON object, or nothing.
 func (r *nodeRegistry) load(knownEvents []byte) error {
 	var list knownEventList
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -248,8 +248,9 @@
 		}
 		h.carryOutEffects()
 		h.settle()
-		if len(h.core.earlyTerminations.records) != 0 || len(h.core.earlyTerminations.order) != 0 {
-			t.Fatalf("%d early terminations are left", len(h.core.earlyTerminations.records))
+		early := h.core.nodeMessages.earlyTerminations
+		if len(early.records) != 0 || len(early.order) != 0 {
+			t.Fatalf("%d early terminations are left", len(early.records))
 		}
 	})
 }
--- /dev/null
+++ b/internal/platform/dispatch/request_table.go
@@ -0,0 +1,123 @@
+package dispatch
+
+import (
+	"heathshed/internal/platform/protocol"
+	"heathshed/placer"
+)
+
+// requestTable keeps the placement requests that are open or whose task runs, and moves them from state to state.
+type requestTable struct {
+	*environment
+	clients  *clientRegistry
+	attempts *attemptTable
+
+	byTask             map[placer.TaskID]*request
+	byID               map[protocol.ID]*request
+	openCount          int // requests in state requestOpen
+	lastTaskID         placer.TaskID
+	illegalTransitions int // see transition
+}
+
+func newRequestTable(env *environment, clients *clientRegistry, attempts *attemptTable) *requestTable {
+	return &requestTable{
+		environment: env,
+		clients:     clients,
+		attempts:    attempts,
+		byTask:      map[placer.TaskID]*request{},
+		byID:        map[protocol.ID]*request{},
+	}
+}
+
+// get returns the request with the placer's number, nil if there is none.
+func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
+
+// getByID returns the request with the clients' ID, nil if there is none.
+func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
+
+// full reports whether no further request can be entered.
+func (t *requestTable) full() bool { return len(t.byID) >= maxTasks }
+
+// open enters a new request and gives its task a number.
+func (t *requestTable) open(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
+	req := t.add(conn, msg, task, requestOpen)
+	t.openCount++
+	t.clients.requestOpened(req)
+	return req
+}
+
+// adopt enters a request whose task runs already and gives the task a number.
+func (t *requestTable) adopt(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
+	req := t.add(conn, msg, task, requestRunning)
+	t.clients.taskPlaced(req)
+	return req
+}
+
+func (t *requestTable) add(conn ConnID, msg *protocol.Message, task *placer.Task, state requestState) *request {
+	t.lastTaskID++
+	task.ID = t.lastTaskID
+	req := &request{
+		taskID:   t.lastTaskID,
+		message:  *msg,
+		conn:     conn,
+		class:    task.Class,
+		deadline: float64(task.Deadline),
+		state:    state,
+	}
+	t.byTask[req.taskID] = req
+	t.byID[msg.ID] = req
+	return req
+}
+
+// answer gives an open request its final answer, other than that its task runs.
+func (t *requestTable) answer(req *request, answer protocol.Message) {
+	if req.state.closed() {
+		return
+	}
+	t.close(req, requestAnswered)
+	t.clients.answer(req, answer)
+	t.attempts.abandonLast(req, placer.TimedOut)
+	t.remove(req)
+}
+
+// withdraw ends an open request whose client no longer waits.
+func (t *requestTable) withdraw(req *request) {
+	if req.state.closed() {
+		return
+	}
+	t.counts.Withdrawn++
+	t.close(req, requestWithdrawn)
+	t.post(placer.Event{Kind: placer.Withdrawn, TaskID: req.taskID})
+	t.attempts.abandonLast(req, placer.Cancelled)
+	t.remove(req)
+}
+
+// taskStarted moves an open request to requestRunning.
+func (t *requestTable) taskStarted(req *request) {
+	t.counts.Placed++
+	t.close(req, requestRunning)
+	t.clients.taskPlaced(req)
+}
+
+// close moves an open request to its next state.
+func (t *requestTable) close(req *request, next requestState) {
+	t.transition(req, next)
+	t.openCount--
+	t.clients.requestClosed(req)
+}
+
+// transition moves a request to its next state. A scheduler in service goes on after an illegal transition; it is counted, and tests require
+// that there is none.
+func (t *requestTable) transition(req *request, next requestState) {
+	if !req.state.canBecome(next) {
+		t.illegalTransitions++
+	}
+	req.state = next
+}
+
+// remove removes a request that has ended. Its attempts stay for as long as nodes may send messages about them.
+func (t *requestTable) remove(req *request) {
+	if t.byID[req.message.ID] == req {
+		delete(t.byID, req.message.ID)
+	}
+	delete(t.byTask, req.taskID)
+}
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -117,9 +117,9 @@
 			if legal && from.closed() && !to.closed() {
 				t.Errorf("state %v is closed and leads to %v", from, to)
 			}
-			core, req := &Core{}, &request{state: from}
-			core.transition(req, to)
-			if counted := core.illegalTransitions == 1; req.state != to || counted == legal {
+			table, req := &requestTable{}, &request{state: from}
+			table.transition(req, to)
+			if counted := table.illegalTransitions == 1; req.state != to || counted == legal {
 				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, req.state, counted)
 			}
 		}
@@ -137,9 +137,9 @@
 			if legal && to <= from {
 				t.Errorf("state %v leads back to %v", from, to)
 			}
-			core, attempt := &Core{}, &Attempt{state: from}
-			core.transitionAttempt(attempt, to)
-			if counted := core.illegalTransitions == 1; attempt.state != to || counted == legal {
+			table, attempt := &attemptTable{}, &Attempt{state: from}
+			table.transition(attempt, to)
+			if counted := table.illegalTransitions == 1; attempt.state != to || counted == legal {
 				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, attempt.state, counted)
 			}
 		}
