--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -88,3 +88,39 @@
 		t.Fatalf("%+v", record)
 	}
 }
+
+// TestAdoptionsExpectedUntil: new requests wait after the first health check and after each adoption, and not beyond the longest wait.
+func TestAdoptionsExpectedUntil(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		healthChecksAt []float64
+		adoptedAt      float64
+		want           float64
+	}{
+		{"no health check yet", nil, 0, adoptionIdleGap},
+		{"a first health check", []float64{100}, 0, 100 + adoptionIdleGap},
+		{"a second one", []float64{100, 107}, 0, 100 + adoptionIdleGap},
+		{"an adoption", []float64{100}, 100.5, 100.5 + adoptionIdleGap},
+		{"an adoption long after", []float64{100}, 170, 100 + adoptionMaxWait},
+		{"an adoption before any health check", nil, 170, adoptionMaxWait},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			env := &environment{counts: &Counts{}}
+			part := &adoption{environment: env, nodes: newNodeRegistry(env)}
+			for _, at := range tc.healthChecksAt {
+				env.setTime(at)
+				part.healthCheckReceived()
+			}
+			if tc.adoptedAt > 0 {
+				env.setTime(tc.adoptedAt)
+				if err := part.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFrom: "unlisted"}); err == nil {
+					t.Fatal("adopted from a node that is not in the registry")
+				}
+			}
+
+			if got := part.expectedUntil(); got != tc.want {
+				t.Errorf("expected until %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -207,6 +207,9 @@
 }
 
 func (r *recorder) checkpoint(step int) {
+	if err := r.core.CheckInvariants(); err != nil {
+		r.t.Fatalf("%s, step %d: %v", r.labelStart, step, err)
+	}
 	var counts []string
 	for _, v := range countValues(&r.core.Counts) {
 		counts = append(counts, strconv.FormatUint(v, 10))
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -22,6 +22,12 @@
 // identified reports whether the connection has sent a valid message.
 func (conn *clientConn) identified() bool { return conn.lastValidAt > 0 }
 
+// hasOpen reports whether a request is entered as open.
+func (conn *clientConn) hasOpen(req *request) bool {
+	_, open := conn.openRequests[req]
+	return open
+}
+
 // moreRecentThan orders connections by when they last had a task placed, then by their last valid message, then by age.
 func (conn *clientConn) moreRecentThan(other *clientConn) bool {
 	if conn.lastPlacedAt != other.lastPlacedAt {
@@ -68,6 +74,15 @@
 // get returns a connection, nil if it is not open.
 func (r *clientRegistry) get(id ConnID) *clientConn { return r.conns[id] }
 
+// openRequests returns the number of open requests on all connections.
+func (r *clientRegistry) openRequests() int {
+	count := 0
+	for _, conn := range r.conns {
+		count += len(conn.openRequests)
+	}
+	return count
+}
+
 // messageValid notes that a connection has sent a valid message.
 func (r *clientRegistry) messageValid(conn *clientConn) { conn.lastValidAt = r.now }
 
--- /dev/null
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -0,0 +1,46 @@
+package dispatch
+
+import (
+	"testing"
+
+	"heathshed/internal/platform/protocol"
+)
+
+// TestEarlyTerminationLog: the first end of a task is kept for its time, with one timer for all records, and a full log drops the oldest.
+func TestEarlyTerminationLog(t *testing.T) {
+	env := &environment{now: 100}
+	log := newEarlyTerminationLog(env)
+	requireRecord := func(id protocol.ID, cause int, want bool) {
+		t.Helper()
+		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
+			t.Errorf("at %v: record of task %d %+v, found %v, want %v", env.now, id, record, found, want)
+		}
+	}
+
+	log.record(attemptKey{1, 1}, 16)
+	env.now = 103
+	log.record(attemptKey{1, 1}, 41) // changes neither the cause nor the time
+	log.record(attemptKey{1, 2}, 31)
+
+	requireRecord(1, 16, true)
+	if env.timers.Len() != 1 || env.timers.NextOr(0) != 100+notificationRetention {
+		t.Errorf("%d timers, the next at %v", env.timers.Len(), env.timers.NextOr(0))
+	}
+	env.advance(100 + notificationRetention)
+	requireRecord(1, 0, false)
+	requireRecord(2, 31, true)
+	env.advance(103 + notificationRetention)
+	requireRecord(2, 0, false)
+	if env.timers.Len() != 0 {
+		t.Errorf("%d timers are left", env.timers.Len())
+	}
+
+	for id := range protocol.ID(maxEarlyTerminations + 1) {
+		log.record(attemptKey{1, id}, 16)
+	}
+	requireRecord(0, 0, false)
+	requireRecord(1, 16, true)
+	if err := log.checkInvariants(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -238,11 +238,19 @@
 		}
 	}
 	h.requireEmpty()
+	h.requireInvariants()
 	if pending := len(h.core.notifier.pending); pending != 0 {
 		h.t.Fatalf("left: %d pending notifications", pending)
 	}
 }
 
+// requireInvariants fails the test if the parts of the core contradict each other.
+func (h *harness) requireInvariants() {
+	if err := h.core.CheckInvariants(); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
 // requireEmpty fails the test if requests or attempts are left.
 func (h *harness) requireEmpty() {
 	core := h.core
--- /dev/null
+++ b/internal/platform/dispatch/invariants.go
@@ -0,0 +1,109 @@
+package dispatch
+
+import (
+	"errors"
+	"fmt"
+)
+
+// CheckInvariants returns an error that says which relations between the parts do not hold. It visits all requests, attempts and nodes, and is
+// meant for tests.
+func (c *Core) CheckInvariants() error {
+	return errors.Join(
+		c.requests.checkInvariants(),
+		c.attempts.checkInvariants(),
+		c.nodes.checkInvariants(),
+		c.nodeMessages.earlyTerminations.checkInvariants(),
+	)
+}
+
+// checkInvariants checks that the table's two maps hold the same requests, and that open ones and only they are counted and entered at their
+// connection.
+func (t *requestTable) checkInvariants() error {
+	if t.illegalTransitions > 0 {
+		return fmt.Errorf("requests: %d illegal transitions", t.illegalTransitions)
+	}
+	if len(t.byTask) != len(t.byID) {
+		return fmt.Errorf("requests: %d by task and %d by ID", len(t.byTask), len(t.byID))
+	}
+	open := 0
+	for task, req := range t.byTask {
+		if req.taskID != task || t.byID[req.message.ID] != req {
+			return fmt.Errorf("request %s: task %d and ID lead to different requests", req.message.UID, task)
+		}
+		if req.state == requestOpen {
+			open++
+		}
+		if err := t.checkRequest(req); err != nil {
+			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
+		}
+	}
+	if entered := t.clients.openRequests(); open != t.openCount || open != entered {
+		return fmt.Errorf("requests: %d are open, %d are counted, %d are entered at connections", open, t.openCount, entered)
+	}
+	return nil
+}
+
+func (t *requestTable) checkRequest(req *request) error {
+	runs := req.runningAttempt() != nil
+	switch req.state {
+	case requestOpen:
+		if runs {
+			return errors.New("an attempt runs the task")
+		}
+		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpen(req) {
+			return fmt.Errorf("not entered at connection %d", req.conn)
+		}
+	case requestRunning, requestMigrating, requestStopping:
+		if !runs {
+			return errors.New("no attempt runs the task")
+		}
+	default:
+		return errors.New("ended and not removed")
+	}
+	return nil
+}
+
+// checkInvariants checks that attempts stand under their keys until they terminate, and that running ones are entered at their node.
+func (t *attemptTable) checkInvariants() error {
+	if t.illegalTransitions > 0 {
+		return fmt.Errorf("attempts: %d illegal transitions", t.illegalTransitions)
+	}
+	for key, attempt := range t.byKey {
+		if attempt.key() != key || attempt.state == attemptTerminated {
+			return fmt.Errorf("attempt %s at node %x: state %v, stands under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+		}
+		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
+			return fmt.Errorf("attempt %s at node %x: state %v, entered as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+		}
+	}
+	return nil
+}
+
+// checkInvariants checks that nodes stand under their IDs and that what is entered as running at a node runs there.
+func (r *nodeRegistry) checkInvariants() error {
+	for id, node := range r.nodes {
+		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
+			return fmt.Errorf("node %s in state %d: stands under %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
+		}
+		for attempt := range node.running {
+			if attempt.Node != id || attempt.state != attemptRunning {
+				return fmt.Errorf("node %s: attempt %s in state %v is entered as running", node.UID, attempt.Message.UID, attempt.state)
+			}
+		}
+	}
+	return nil
+}
+
+// checkInvariants checks that each record has its place in the order, and that the oldest expires first.
+func (l *earlyTerminationLog) checkInvariants() error {
+	if len(l.records) != len(l.order) || len(l.order) > maxEarlyTerminations {
+		return fmt.Errorf("early terminations: %d records, %d in order", len(l.records), len(l.order))
+	}
+	for i, key := range l.order {
+		record, found := l.records[key]
+		if !found || i > 0 && record.expiresAt < l.records[l.order[i-1]].expiresAt {
+			return fmt.Errorf("early termination %d of %d: found %v, expires at %v", i, len(l.order), found, record.expiresAt)
+		}
+	}
+	return nil
+}
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"cmp"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -26,13 +27,19 @@
 // RunningTasks returns the number of tasks that run on the node.
 func (n *Node) RunningTasks() int { return len(n.running) }
 
+// runs reports whether an attempt runs on the node.
+func (n *Node) runs(attempt *Attempt) bool {
+	_, running := n.running[attempt]
+	return running
+}
+
 // runningAttempts returns the attempts that run on the node, in the order of their requests.
 func (n *Node) runningAttempts() []*Attempt {
 	attempts := make([]*Attempt, 0, len(n.running))
 	for attempt := range n.running {
 		attempts = append(attempts, attempt)
 	}
-	slices.SortFunc(attempts, func(a, b *Attempt) int { return int(a.request.taskID) - int(b.request.taskID) })
+	slices.SortFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.request.taskID, b.request.taskID) })
 	return attempts
 }
 
@@ -44,14 +51,25 @@
 	return now - n.stateChangedAt
 }
 
-// update enters what a discovery event says about the node.
-func (n *Node) update(entry *nodeEntry, state placer.NodeState, now float64) {
+// update enters what a valid entry of a discovery event says about the node. zone and nodeType are the placer's numbers of the entry's.
+func (n *Node) update(entry *nodeEntry, zone, nodeType int, now float64) {
+	state, _ := parseNodeState(entry.State) // valid
 	if n.State != state {
 		n.State = state
 		n.stateChangedAt = now
 	}
 	n.Addr = entry.Endpoint
 	n.StartedAt = entry.StartedAtMS / 1000
+	n.placerNode = placer.Node{
+		ID:         n.ID,
+		Zone:       zone,
+		Rack:       entry.Rack,
+		NodeType:   nodeType,
+		State:      n.State,
+		FreeCores:  entry.Free[0],
+		FreeMemory: entry.Free[1],
+		StartedAt:  placer.Seconds(n.StartedAt),
+	}
 }
 
 // terminate marks a node that is missing from a complete list as terminated.
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -164,18 +164,7 @@
 		node = &Node{ID: id, UID: entry.UID, State: placer.Terminated, running: map[*Attempt]struct{}{}}
 		r.nodes[id] = node
 	}
-	state, _ := parseNodeState(entry.State) // valid
-	node.update(entry, state, r.now)
-	node.placerNode = placer.Node{
-		ID:         id,
-		Zone:       slices.Index(r.settings.Zones, entry.Zone),
-		Rack:       entry.Rack,
-		NodeType:   slices.Index(r.settings.NodeTypes, entry.NodeType),
-		State:      node.State,
-		FreeCores:  entry.Free[0],
-		FreeMemory: entry.Free[1],
-		StartedAt:  placer.Seconds(node.StartedAt),
-	}
+	node.update(entry, slices.Index(r.settings.Zones, entry.Zone), slices.Index(r.settings.NodeTypes, entry.NodeType), r.now)
 	return node
 }
 
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -114,3 +114,14 @@
 		}
 	}
 }
+
+// TestTaskOfRemovedNode: the start and the end of a task whose node is no longer in the registry change nothing.
+func TestTaskOfRemovedNode(t *testing.T) {
+	registry := newNodeRegistry(&environment{})
+	attempt := &Attempt{Node: 7}
+	registry.taskStarted(attempt)
+	registry.taskEnded(attempt)
+	if registry.runningTasks() != 0 || len(registry.nodes) != 0 || registry.timers.Len() != 0 {
+		t.Errorf("%d tasks, %d nodes, %d timers", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
+	}
+}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -20,6 +20,7 @@
 		p.connect()
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			p.step()
+			p.requireInvariants()
 		}
 		p.settle()
 	})
@@ -236,6 +237,7 @@
 			default:
 				h.advance(float64(draw(300, "ms")) / 1000)
 			}
+			h.requireInvariants()
 		}
 		for id := range adopted {
 			if record := h.records[protocol.ID(id)]; terminated[id] && record.notifications == 0 {
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
 	"testing"
 
 	"heathshed/internal/platform/protocol"
@@ -106,42 +105,20 @@
 	}
 }
 
-// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
-func TestRequestTransitions(t *testing.T) {
-	if len(requestTransitions) != int(requestTerminated)+1 {
-		t.Fatalf("transitions for %d states", len(requestTransitions))
-	}
-	for from := requestOpen; from <= requestTerminated; from++ {
-		for to := requestOpen; to <= requestTerminated; to++ {
-			legal := slices.Contains(requestTransitions[from], to)
-			if legal && from.closed() && !to.closed() {
-				t.Errorf("state %v is closed and leads to %v", from, to)
-			}
-			table, req := &requestTable{}, &request{state: from}
-			table.transition(req, to)
-			if counted := table.illegalTransitions == 1; req.state != to || counted == legal {
-				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, req.state, counted)
-			}
-		}
-	}
-}
+// TestEndOfClosedRequest: a request that is closed already is neither withdrawn nor answered.
+func TestEndOfClosedRequest(t *testing.T) {
+	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
+		t.Run(state.String(), func(t *testing.T) {
+			env := &environment{counts: &Counts{}}
+			table := newRequestTable(env, newClientRegistry(env), newAttemptTable(env, newNodeRegistry(env)))
+			req := &request{state: state}
 
-// TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
-func TestAttemptTransitions(t *testing.T) {
-	if len(attemptTransitions) != int(attemptTerminated)+1 {
-		t.Fatalf("transitions for %d states", len(attemptTransitions))
-	}
-	for from := attemptPending; from <= attemptTerminated; from++ {
-		for to := attemptPending; to <= attemptTerminated; to++ {
-			legal := slices.Contains(attemptTransitions[from], to)
-			if legal && to <= from {
-				t.Errorf("state %v leads back to %v", from, to)
-			}
-			table, attempt := &attemptTable{}, &Attempt{state: from}
-			table.transition(attempt, to)
-			if counted := table.illegalTransitions == 1; attempt.state != to || counted == legal {
-				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, attempt.state, counted)
+			table.withdraw(req)
+			table.answer(req, protocol.Message{})
+
+			if req.state != state || *env.counts != (Counts{}) || table.openCount != 0 || len(env.effects) != 0 {
+				t.Errorf("state %v, counts %+v, %d open, effects %+v", req.state, *env.counts, table.openCount, env.effects)
 			}
-		}
+		})
 	}
 }
