--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -18,12 +18,22 @@
 }
 
 type trialJSON struct {
-	Seed      uint64         `json:"Seed"`
-	Trigger   scenario.Fault `json:"Trigger"`
-	Load      float64        `json:"Load"`
-	Backoff   int            `json:"Backoff"`
-	Admission admissionJSON  `json:"Gate"`
-	Retry     retryJSON      `json:"Owner"`
+	Seed      uint64        `json:"Seed"`
+	Trigger   faultJSON     `json:"Trigger"`
+	Load      float64       `json:"Load"`
+	Backoff   int           `json:"Backoff"`
+	Admission admissionJSON `json:"Gate"`
+	Retry     retryJSON     `json:"Owner"`
+}
+
+type faultJSON struct {
+	Kind     string  `json:"kind"`
+	At       float64 `json:"at"`
+	Duration float64 `json:"for"`
+	Fraction float64 `json:"part"`
+	Scale    float64 `json:"scale"`
+	Class    string  `json:"class"`
+	Name     string  `json:"name"`
 }
 
 type admissionJSON struct {
@@ -76,11 +86,23 @@
 	if math.IsInf(v.RecoveryTime, 1) {
 		verdict.RecoveryTime = -1
 	}
-	trial := trialJSON{Seed: t.Seed, Trigger: t.Trigger, Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
+	trial := trialJSON{Seed: t.Seed, Trigger: newFaultJSON(&t.Trigger), Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
 		Retry: newRetryJSON(&t.Retry)}
 	return trialResultJSON{Trial: trial, Verdict: verdict, Held: v.Recovered()}
 }
 
+func newFaultJSON(fault *scenario.Fault) faultJSON {
+	return faultJSON{
+		Kind:     fault.Kind,
+		At:       fault.At,
+		Duration: fault.Duration,
+		Fraction: fault.Fraction,
+		Scale:    fault.Scale,
+		Class:    fault.Class,
+		Name:     fault.Name,
+	}
+}
+
 func newAdmissionJSON(c *admission.Config) admissionJSON {
 	return admissionJSON{
 		Shares:       c.Shares,
--- a/internal/lab/labconfig/script.go
+++ b/internal/lab/labconfig/script.go
@@ -9,7 +9,18 @@
 	"heathshed/internal/lab/scenario"
 )
 
+// formerScriptNames are the names that fields of a script had in release 0.1.
+var formerScriptNames = config.Renames{Keys: []config.RenamedKey{
+	{Section: "", Former: "trouble", Name: "faults"},
+	{Section: "", Former: "calm", Name: "cooldown"},
+	{Section: "load", Former: "life", Name: "lifetime"},
+	{Section: "load", Former: "backoff", Name: "backoffLimit"},
+	{Section: "faults", Former: "for", Name: "duration"},
+	{Section: "faults", Former: "part", Name: "fraction"},
+}}
+
 // LoadScript reads the script of a fault scenario. What the file does not give is that of the built-in script, but for its faults.
+// The file may give fields under their former names.
 func LoadScript(file string) (scenario.Script, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -17,7 +28,7 @@
 	}
 	script := scenario.Default()
 	script.Faults = nil
-	if err := config.Decode(file, text, &script, &config.Renames{}, func() error { return validateScript(&script) }); err != nil {
+	if err := config.Decode(file, text, &script, &formerScriptNames, func() error { return validateScript(&script) }); err != nil {
 		return scenario.Script{}, err
 	}
 	return script, nil
--- a/internal/lab/scenario/script.go
+++ b/internal/lab/scenario/script.go
@@ -19,9 +19,9 @@
 	Schedulers int     `json:"schedulers"`
 	Nodes      int     `json:"nodes"`
 	Load       Load    `json:"load"`
-	Faults     []Fault `json:"trouble"`
+	Faults     []Fault `json:"faults"`
 	// Cooldown is the time at the end in which nothing new is submitted, so that all outcomes are in.
-	Cooldown float64 `json:"calm"`
+	Cooldown float64 `json:"cooldown"`
 }
 
 // Load is what clients submit.
@@ -29,23 +29,23 @@
 	TasksPerSecond float64            `json:"tasksPerSecond"`
 	TasksPerJob    float64            `json:"tasksPerJob"` // mean
 	Services       int                `json:"services"`
-	Classes        map[string]float64 `json:"classes"` // weights
-	Tenants        map[string]float64 `json:"tenants"` // weights; none is the tenant "default" alone
-	Cores          float64            `json:"cores"`   // of a task, mean
-	Memory         float64            `json:"memory"`  // of a task, mean, GiB
-	Lifetime       float64            `json:"life"`    // of a task, mean, seconds
-	BackoffLimit   int                `json:"backoff"` // retries of a job
+	Classes        map[string]float64 `json:"classes"`      // weights
+	Tenants        map[string]float64 `json:"tenants"`      // weights; none is the tenant "default" alone
+	Cores          float64            `json:"cores"`        // of a task, mean
+	Memory         float64            `json:"memory"`       // of a task, mean, GiB
+	Lifetime       float64            `json:"lifetime"`     // of a task, mean, seconds
+	BackoffLimit   int                `json:"backoffLimit"` // retries of a job
 }
 
 // Fault is one fault of a scenario.
 type Fault struct {
 	Kind     string  `json:"kind"` // a key of FaultKinds
 	At       float64 `json:"at"`
-	Duration float64 `json:"for"`
-	Fraction float64 `json:"part"`  // of the nodes, services or schedulers; 0 is all nodes
-	Scale    float64 `json:"scale"` // factor of the load, or seconds of clock skew
-	Class    string  `json:"class"` // of class_fail
-	Name     string  `json:"name"`  // of a tenant, zone or rack
+	Duration float64 `json:"duration"`
+	Fraction float64 `json:"fraction"` // of the nodes, services or schedulers; 0 is all nodes
+	Scale    float64 `json:"scale"`    // factor of the load, or seconds of clock skew
+	Class    string  `json:"class"`    // of class_fail
+	Name     string  `json:"name"`     // of a tenant, zone or rack
 }
 
 // active reports whether the fault lasts at the given time.
@@ -87,24 +87,24 @@
 var FaultKinds = map[string]string{
 	burst:         "load times scale",
 	tenantBurst:   "load of tenant name times scale",
-	classFail:     "part of the nodes answers attempts of class with errors",
-	fastErrors:    "part of the nodes answers every attempt with an error at once",
-	refuse:        "part of the nodes rejects everything",
-	crash:         "part of the nodes crashes at once and comes back cold after for",
-	massRestart:   "part of the nodes restarts, one after another, within for",
+	classFail:     "fraction of the nodes answers attempts of class with errors",
+	fastErrors:    "fraction of the nodes answers every attempt with an error at once",
+	refuse:        "fraction of the nodes rejects everything",
+	crash:         "fraction of the nodes crashes at once and comes back cold after duration",
+	massRestart:   "fraction of the nodes restarts, one after another, within duration",
 	discoveryDown: "the inventory is unreachable",
-	flush:         "part of the services is deleted by its clients and submitted again within seconds",
-	pauses:        "part of the nodes stalls for 0.2 to 0.5 s every two seconds",
-	preempt:       "part of the nodes of one kind is drained, crashes two seconds later, and comes back after for",
-	reconnect:     "part of the nodes breaks connections before reading attempts",
-	loseAnswers:   "part of the nodes accepts and breaks the connection instead of answering",
-	trickle:       "part of the nodes sends its answers a few bytes at a time",
-	clocks:        "the clocks of part of the nodes are scale seconds behind, or half as many ahead",
-	shrink:        "part of the nodes drains and goes away for for",
-	grow:          "part of the nodes is there only from at on, cold",
+	flush:         "fraction of the services is deleted by its clients and submitted again within seconds",
+	pauses:        "fraction of the nodes stalls for 0.2 to 0.5 s every two seconds",
+	preempt:       "fraction of the nodes of one kind is drained, crashes two seconds later, and comes back after duration",
+	reconnect:     "fraction of the nodes breaks connections before reading attempts",
+	loseAnswers:   "fraction of the nodes accepts and breaks the connection instead of answering",
+	trickle:       "fraction of the nodes sends its answers a few bytes at a time",
+	clocks:        "the clocks of fraction of the nodes are scale seconds behind, or half as many ahead",
+	shrink:        "fraction of the nodes drains and goes away for duration",
+	grow:          "fraction of the nodes is there only from at on, cold",
 	zoneCut:       "the nodes of zone or rack name (the first rack if none) are unreachable, their tasks run on",
-	drain:         "part of the nodes is drained by an order at the schedulers, and given back after for",
-	rollingKill:   "part of the schedulers is killed and started again, one after another, within for",
+	drain:         "fraction of the nodes is drained by an order at the schedulers, and given back after duration",
+	rollingKill:   "fraction of the schedulers is killed and started again, one after another, within duration",
 }
 
 // Default returns the scenario of the documentation: every kind of fault at least once, some at the same time.
@@ -178,7 +178,7 @@
 		value, low, top float64
 	}{
 		{"seconds", s.Seconds, 1, 86400},
-		{"calm", s.Cooldown, 0, 3600},
+		{"cooldown", s.Cooldown, 0, 3600},
 		{"schedulers", float64(s.Schedulers), 1, 100},
 		{"nodes", float64(s.Nodes), 1, 20000},
 		{"load.tasksPerSecond", load.TasksPerSecond, 0, 1e5},
@@ -186,8 +186,8 @@
 		{"load.services", float64(load.Services), 1, 1e6},
 		{"load.cores", load.Cores, 0, 1e4},
 		{"load.memory", load.Memory, 0, 1e5},
-		{"load.life", load.Lifetime, 0.01, 1e6},
-		{"load.backoff", float64(load.BackoffLimit), 0, 1000},
+		{"load.lifetime", load.Lifetime, 0.01, 1e6},
+		{"load.backoffLimit", float64(load.BackoffLimit), 0, 1000},
 	} {
 		if !within(field.value, field.low, field.top) {
 			return &FieldError{Path: field.path, Reason: fmt.Sprintf("%v: want %v to %v", field.value, field.low, field.top)}
@@ -197,7 +197,7 @@
 		return &FieldError{Path: "load.classes", Reason: "want one at least"}
 	}
 	for i := range s.Faults {
-		if invalid := s.Faults[i].validate(fmt.Sprintf("trouble[%d]", i)); invalid != nil {
+		if invalid := s.Faults[i].validate(fmt.Sprintf("faults[%d]", i)); invalid != nil {
 			return invalid
 		}
 	}
@@ -219,7 +219,7 @@
 	case !nonNegative(fault.At) || !nonNegative(fault.Duration):
 		return &FieldError{Path: path + ".at", Reason: "want 0 or more"}
 	case !within(fault.Fraction, 0, 1):
-		return &FieldError{Path: path + ".part", Reason: "want 0 to 1"}
+		return &FieldError{Path: path + ".fraction", Reason: "want 0 to 1"}
 	case !nonNegative(fault.Scale):
 		return &FieldError{Path: path + ".scale", Reason: "want 0 or more"}
 	}
