--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -133,28 +133,6 @@
 	NodeLossTimeout Duration `json:"nodeLossTimeout"`
 }
 
-// Emulator configures the emulated nodes and the inventory of the commands up and emulate.
-type Emulator struct {
-	Nodes               int      `json:"nodes"`
-	Racks               int      `json:"racks"`
-	Zones               int      `json:"zones"`
-	ReportDelay         Duration `json:"reportDelay"`         // after which the inventory shows a report
-	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // without a report, a node is shown as not ready
-	RemoveAfter         Duration `json:"removeAfter"`         // without a report, a node is removed; 0 for never
-	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // of a node on a request
-	DecisionDelayMax    Duration `json:"decisionDelayMax"`    //
-	MaxQueued           int      `json:"maxQueued"`           // requests at a node
-	MaxConcurrentStarts int      `json:"maxConcurrentStarts"` // of tasks on a node
-	StartDuration       Duration `json:"startDuration"`       // of a start with the program cached, on a warm node
-	UncachedStartFactor float64  `json:"uncachedStartFactor"` // on StartDuration without the program cached
-	ProgramCacheSize    int      `json:"programCacheSize"`    // programs cached on a node
-	UsageMin            float64  `json:"usageMin"`            // fraction of its request that a task uses
-	UsageMax            float64  `json:"usageMax"`
-	MeanLifetime        Duration `json:"meanLifetime"` // of tasks whose class gives none
-	DrainGrace          Duration `json:"drainGrace"`   // after which a draining node terminates its tasks; below 0 for never
-	Seed                uint64   `json:"seed"`
-}
-
 // Document is a settings file that was read.
 type Document struct {
 	Settings Settings
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -131,28 +131,3 @@
 		RetryBurst:       controller.RetryBurst,
 	}
 }
-
-// defaultEmulator returns the emulated cluster of the commands up and emulate. Its nodes are those of nodesim.DefaultConfig, which this package
-// does not import; a test of package labconfig compares them.
-func defaultEmulator() Emulator {
-	return Emulator{
-		Nodes:               8,
-		Racks:               2,
-		Zones:               1,
-		ReportDelay:         DurationOf(time.Second),
-		UnresponsiveAfter:   DurationOf(2 * time.Second),
-		RemoveAfter:         DurationOf(time.Minute),
-		DecisionDelayMin:    DurationOf(2 * time.Millisecond),
-		DecisionDelayMax:    DurationOf(6 * time.Millisecond),
-		MaxQueued:           64,
-		MaxConcurrentStarts: 4,
-		StartDuration:       DurationOf(30 * time.Millisecond),
-		UncachedStartFactor: 6,
-		ProgramCacheSize:    8,
-		UsageMin:            0.4,
-		UsageMax:            0.8,
-		MeanLifetime:        DurationOf(20 * time.Second),
-		DrainGrace:          0,
-		Seed:                1,
-	}
-}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -69,7 +69,7 @@
 	if err := s.validateClasses(nodeTypes); err != nil {
 		return err
 	}
-	for _, b := range slices.Concat(s.policyBounds(), s.admissionBounds(), s.limitBounds(), s.emulatorBounds()) {
+	for _, b := range slices.Concat(s.policyBounds(), s.admissionBounds(), s.limitBounds(), s.Emulator.bounds()) {
 		if !b.hold() {
 			return b.error()
 		}
@@ -290,26 +290,3 @@
 		duration("shutdownTimeout", s.ShutdownTimeout, 0, 3600),
 	}
 }
-
-func (s *Settings) emulatorBounds() []bounds {
-	e := &s.Emulator
-	return []bounds{
-		number("emulator.nodes", float64(e.Nodes), 1, 10000),
-		number("emulator.racks", float64(e.Racks), 1, 10000),
-		number("emulator.zones", float64(e.Zones), 1, 100),
-		duration("emulator.reportDelay", e.ReportDelay, 0, 600),
-		duration("emulator.unresponsiveAfter", e.UnresponsiveAfter, 0.5, 600),
-		duration("emulator.removeAfter", e.RemoveAfter, 0, 1e6),
-		duration("emulator.decisionDelayMin", e.DecisionDelayMin, 0, 10),
-		duration("emulator.decisionDelayMax", e.DecisionDelayMax, e.DecisionDelayMin, 10),
-		number("emulator.maxQueued", float64(e.MaxQueued), 1, 1e6),
-		number("emulator.maxConcurrentStarts", float64(e.MaxConcurrentStarts), 1, 1e6),
-		duration("emulator.startDuration", e.StartDuration, 0.0001, 600),
-		number("emulator.uncachedStartFactor", e.UncachedStartFactor, 1, 1000),
-		number("emulator.programCacheSize", float64(e.ProgramCacheSize), 0, 1000),
-		number("emulator.usageMin", e.UsageMin, 0, 10),
-		number("emulator.usageMax", e.UsageMax, e.UsageMin, 10),
-		duration("emulator.meanLifetime", e.MeanLifetime, 0.01, 1e7),
-		duration("emulator.drainGrace", e.DrainGrace, -1, 3600),
-	}
-}
