--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -79,7 +79,7 @@
 				{At: 9.2, Kind: Settled, UID: "t", Reason: "Refused"},
 			},
 			rule:  1,
-			words: "after its owner",
+			words: "after its deadline",
 		},
 		{
 			name: "two outcomes",
@@ -138,7 +138,7 @@
 				nodeEvent(3, Rejected, "a2", "t", 2),
 			},
 			rule:  2,
-			words: "was out",
+			words: "was in flight",
 		},
 		{
 			name: "idempotent, outside the scope of its key",
@@ -149,7 +149,7 @@
 				nodeEvent(4, Accepted, "b1", "t", 2),
 			},
 			rule:  2,
-			words: "key covers",
+			words: "scope of its idempotency key",
 		},
 		{
 			name: "idempotent, in the scope of its key",
@@ -169,7 +169,7 @@
 				nodeEvent(8, Accepted, "a2", "t", 2),
 			},
 			rule:  2,
-			words: "key covers",
+			words: "scope of its idempotency key",
 		},
 		{
 			name: "repeated at its node, then proven not to have run",
@@ -227,7 +227,7 @@
 				nodeEvent(1, Overloaded, "a1", "", 0),
 			},
 			rule:  4,
-			words: "cold",
+			words: "overloaded while warming up",
 		},
 		{
 			name: "too many in one domain",
--- a/internal/lab/audit/auditor.go
+++ b/internal/lab/audit/auditor.go
@@ -117,7 +117,7 @@
 		a.report.Crashes++
 		a.nodeLost(event)
 	case Overloaded:
-		a.violation(ruleWarmUp, event.At, "machine %s was pushed over while cold", event.Node)
+		a.violation(ruleWarmUp, event.At, "node %s was overloaded while warming up", event.Node)
 		a.nodeLost(event)
 	}
 }
--- a/internal/lab/audit/rules.go
+++ b/internal/lab/audit/rules.go
@@ -8,7 +8,7 @@
 	switch task.outcome {
 	case "":
 	case event.Reason:
-		a.violation(ruleOutcome, event.At, "task %s was told as %s twice", task.uid, event.Reason)
+		a.violation(ruleOutcome, event.At, "task %s was notified as %s twice", task.uid, event.Reason)
 		return
 	default:
 		a.violation(ruleOutcome, event.At, "task %s was %s and is now %s", task.uid, task.outcome, event.Reason)
@@ -17,7 +17,7 @@
 	task.outcome = event.Reason
 	a.report.Outcomes[event.Reason]++
 	if task.submitted && event.At > task.deadline+a.config.Slack {
-		a.violation(ruleOutcome, event.At, "task %s was settled as %s %.3f s after its owner gave up", task.uid, event.Reason,
+		a.violation(ruleOutcome, event.At, "task %s was settled as %s %.3f s after its deadline", task.uid, event.Reason,
 			event.At-task.deadline)
 	}
 }
@@ -53,11 +53,11 @@
 	since, unavailable := a.unavailableSince[event.Node]
 	// Without the inventory a scheduler cannot know.
 	if unavailable && !a.discoveryLost && event.At > respectedFrom(max(since, a.discoveryRestoredAt+discoveryRecovery)) {
-		a.violation(ruleDrain, event.At, "task %s was offered to %s, shown as draining or gone for %.3f s", task.uid, event.Node, event.At-since)
+		a.violation(ruleDrain, event.At, "task %s was attempted at %s, shown as draining or unavailable for %.3f s", task.uid, event.Node, event.At-since)
 	}
 	orderedAt, ordered := a.drainOrderedAt[drainOrder{event.Scheduler, event.Node}]
 	if ordered && event.At > respectedFrom(orderedAt) {
-		a.violation(ruleDrain, event.At, "task %s was offered to %s %.3f s after its drain was ordered at %s", task.uid, event.Node,
+		a.violation(ruleDrain, event.At, "task %s was attempted at %s %.3f s after its drain was ordered at %s", task.uid, event.Node,
 			event.At-orderedAt, event.Scheduler)
 	}
 }
@@ -74,12 +74,13 @@
 	switch {
 	case earlier.state.provenNotRun():
 	case class.AtMostOnce:
-		a.violation(ruleRetry, at, "task %s must not run twice: offered to %s while attempt %d at %s may have run", task.uid, attempt.node,
+		a.violation(ruleRetry, at, "task %s must not run twice: attempted at %s while attempt %d at %s may have run", task.uid, attempt.node,
 			earlier.number, earlier.node)
 	case class.Idempotent:
 		if !sameDomain(class.KeyScope, earlier, attempt) || at > earlier.receivedAt+class.KeyTTL+a.config.Slack {
-			a.violation(ruleRetry, at, "task %s: offered to %s %.3f s after a doubtful attempt at %s, outside what its key covers", task.uid,
-				attempt.node, at-earlier.receivedAt, earlier.node)
+			a.violation(ruleRetry, at,
+				"task %s: attempted at %s %.3f s after an attempt with an unknown outcome at %s, outside the scope of its idempotency key",
+				task.uid, attempt.node, at-earlier.receivedAt, earlier.node)
 		}
 	}
 }
@@ -136,7 +137,7 @@
 	case task.excused:
 		a.report.WithoutOutcome++
 	case end > task.deadline+a.config.Slack:
-		a.violation(ruleOutcome, task.deadline, "task %s has no outcome, its owner gave up", task.uid)
+		a.violation(ruleOutcome, task.deadline, "task %s has no outcome at its deadline", task.uid)
 	}
 }
 
@@ -149,7 +150,7 @@
 		}
 		for _, later := range task.attempts[i+1:] {
 			if later.number > attempt.number && later.receivedAt < closedAt-a.config.Slack {
-				a.violation(ruleRetry, later.receivedAt, "task %s: attempt %d at %s went out while attempt %d at %s was out", task.uid, later.number,
+				a.violation(ruleRetry, later.receivedAt, "task %s: attempt %d at %s was made while attempt %d at %s was in flight", task.uid, later.number,
 					later.node, attempt.number, attempt.node)
 			}
 		}
