--- a/cmd/heathshed/apiclient.go
+++ b/cmd/heathshed/apiclient.go
@@ -54,5 +54,5 @@
 	case "nodes", "node", "machines", "machine":
 		return apiclient.NodesPath, nil
 	}
-	return "", fmt.Errorf("%q: want jobs, pods (tasks) or nodes (machines)", resource)
+	return "", fmt.Errorf("%q: want jobs, pods (tasks) or nodes", resource)
 }
--- a/cmd/heathshed/drain.go
+++ b/cmd/heathshed/drain.go
@@ -31,12 +31,12 @@
 			if err != nil {
 				return err
 			}
-			printf(c.OutOrStdout(), "%d tasks told to move\n", evicted)
+			printf(c.OutOrStdout(), "%d tasks evicted\n", evicted)
 			return nil
 		},
 	}
 	server.register(c)
-	c.Flags().BoolVar(&evict, "evict", false, "also move the tasks that run there")
+	c.Flags().BoolVar(&evict, "evict", false, "also evict the tasks that run there")
 	return c
 }
 
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -64,9 +64,9 @@
 			return err
 		}
 	}
-	printf(c.ErrOrStderr(), "%d trials, %d not back in time\n", flags.trials, failed)
+	printf(c.ErrOrStderr(), "%d trials, %d did not recover in time\n", flags.trials, failed)
 	if failed > 0 {
-		return &exitError{exitNotRecovered, fmt.Errorf("%d of %d trials were not back in time", failed, flags.trials)}
+		return &exitError{exitNotRecovered, fmt.Errorf("%d of %d trials did not recover in time", failed, flags.trials)}
 	}
 	return nil
 }
@@ -108,8 +108,8 @@
 	if asJSON {
 		return json.NewEncoder(w).Encode(newTrialJSON(t, v))
 	}
-	printf(w, "seed %d  held %v  %s for %.1f s  load %.2f  backoff %d  in time %.2f, at worst %.2f  back after %.0f s of %.0f  "+
-		"open %d at most, %d at the end\n", t.Seed, v.Recovered(), t.Trigger.Kind, t.Trigger.Duration, t.Load, t.Backoff,
+	printf(w, "seed %d  recovered %v  %s for %.1f s  load %.2f  backoff %d  goodput %.2f, lowest %.2f  recovery after %.0f s of %.0f  "+
+		"open tasks %d at most, %d at the end\n", t.Seed, v.Recovered(), t.Trigger.Kind, t.Trigger.Duration, t.Load, t.Backoff,
 		v.BaselineGoodput, v.WorstGoodput, v.RecoveryTime, v.AllowedTime, v.PeakOpenTasks, v.FinalOpenTasks)
 	return nil
 }
--- a/cmd/heathshed/scenario_result.go
+++ b/cmd/heathshed/scenario_result.go
@@ -20,13 +20,13 @@
 // printResult prints the result of a scenario as text.
 func printResult(w io.Writer, result *faultinjection.Result) {
 	report, figures := &result.Audit, &result.Figures
-	printf(w, "day of %.0f s: %d schedulers, %d machines\n", result.Seconds, result.Schedulers, result.Nodes)
-	printf(w, "tasks asked %d, placed %d, refused %d, failed %d, without outcome as their scheduler was killed or their owner withdrew %d\n",
+	printf(w, "scenario of %.0f s: %d schedulers, %d nodes\n", result.Seconds, result.Schedulers, result.Nodes)
+	printf(w, "tasks submitted %d, placed %d, rejected %d, failed %d, without outcome as their scheduler was killed or their client deleted them %d\n",
 		report.Tasks, report.Outcomes["Placed"], report.Outcomes["Refused"], report.Outcomes["Failed"], report.WithoutOutcome)
-	printf(w, "offers %d, refused %d, starts %d, machine crashes %d, schedulers killed %d\n",
+	printf(w, "attempts %d, rejected %d, starts %d, node crashes %d, schedulers killed %d\n",
 		report.Attempts, report.Rejections, report.Starts, report.Crashes, figures.SchedulerKills)
-	printf(w, "client watches broken %d, lists anew %d, requests tried again %d\n", figures.WatchesDropped, figures.Relists, figures.Retries)
-	printf(w, "asked to settled: p50 %.4f s, p99 %.4f s, max %.4f s\n", figures.P50, figures.P99, figures.Max)
+	printf(w, "client watches broken %d, relists %d, request retries %d\n", figures.WatchesDropped, figures.Relists, figures.Retries)
+	printf(w, "submission to outcome: p50 %.4f s, p99 %.4f s, max %.4f s\n", figures.P50, figures.P99, figures.Max)
 	printHostile(w, &figures.Hostile)
 	printEnds(w, report.Ends)
 	printViolations(w, report)
@@ -39,7 +39,7 @@
 	printf(w, "memory of the schedulers: %d MiB in the second quarter, %d MiB in the last; one had %d MiB at most\n",
 		clients.MemoryEarly, clients.MemoryLate, clients.MemoryPeak)
 	if clients.StalledConnections > 0 {
-		printf(w, "hostile clients: %d bombs, %d refused, %d taken; %d connections that never read or never ended a request\n",
+		printf(w, "hostile clients: %d expensive requests, %d rejected, %d accepted; %d stalled connections\n",
 			clients.ExpensiveRequests, clients.Rejected, clients.Accepted, clients.StalledConnections)
 	}
 }
@@ -50,7 +50,7 @@
 	for _, reason := range slices.Sorted(maps.Keys(ends)) {
 		name := reason
 		if reason == "" {
-			name = "in order"
+			name = "completed"
 		}
 		printf(w, " %s %d,", name, ends[reason])
 	}
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -53,7 +53,7 @@
 	flags := c.Flags()
 	flags.StringVarP(&f.file, "file", "f", "", "file with a Job as JSON; - is standard input")
 	flags.StringVarP(&f.namespace, "namespace", "n", "default", "namespace")
-	flags.StringVar(&f.name, "name", "", "name; one is made up if none")
+	flags.StringVar(&f.name, "name", "", "name; one is generated if none")
 	flags.StringVar(&f.class, "class", "", "class of the tasks")
 	flags.StringVar(&f.service, "service", "", "service that the tasks belong to")
 	flags.StringVar(&f.cpu, "cpu", "500m", "cores of a task")
--- a/internal/kube/apiclient/watch.go
+++ b/internal/kube/apiclient/watch.go
@@ -78,7 +78,7 @@
 			attempts = 0
 		}
 		if attempts++; options.MaxAttempts > 0 && attempts > options.MaxAttempts {
-			return fmt.Errorf("watch does not come about: %w", err)
+			return fmt.Errorf("watch: too many connections without an event: %w", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/kube/apiclient/watch_test.go
+++ b/internal/kube/apiclient/watch_test.go
@@ -104,7 +104,7 @@
 			[]string{"", ""}, []string{"ADDED", "DELETED"}, "",
 		},
 		{"too many connections without an event", texts(first, "", "", ""), []string{"", "5", "5", "5"}, []string{"ADDED"},
-			"watch does not come about: the connection has ended"},
+			"watch: too many connections without an event: the connection has ended"},
 		{"failures are counted from the last event", texts("", "", first, "", "", last), []string{"", "", "", "5", "5", "5"},
 			[]string{"ADDED", "DELETED"}, ""},
 	} {
@@ -180,7 +180,7 @@
 		return "", errors.New("no list")
 	}
 	err := client.Watch(t.Context(), options, func(apiclient.Event) error { return nil })
-	checkWatch(t, err, "watch does not come about: no list")
+	checkWatch(t, err, "watch: too many connections without an event: no list")
 	if want := options.MaxAttempts + 1; lists != want {
 		t.Errorf("%d lists, want %d", lists, want)
 	}
@@ -277,7 +277,7 @@
 		options := options()
 		options.MaxAttempts, options.RetryStep, options.RetryMax = 4, 200*time.Millisecond, 500*time.Millisecond
 		err := client.Watch(t.Context(), options, func(apiclient.Event) error { return nil })
-		if err == nil || !strings.HasPrefix(err.Error(), "watch does not come about: ") {
+		if err == nil || !strings.HasPrefix(err.Error(), "watch: too many connections without an event: ") {
 			t.Errorf("error %v", err)
 		}
 		want := []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1100 * time.Millisecond, 1600 * time.Millisecond}
