--- a/placer/filter.go
+++ b/placer/filter.go
@@ -55,35 +55,36 @@
 		if !healthy || !f.nodeAllowed(now, request, node) {
 			continue
 		}
-		if load := f.projectLoad(now, request, node); load.fits {
-			f.buffer = append(f.buffer, candidate{node: node, saturationExcess: load.saturationExcess})
+		if passed, fits := f.evaluate(now, request, node); fits {
+			f.buffer = append(f.buffer, passed)
 		}
 	}
 }
 
-// accepts reports whether a request may still be attempted on a node that was drawn before.
-func (f *nodeFilter) accepts(now Seconds, request *placementRequest, node *trackedNode) bool {
-	return f.allowed(now, request, node) && f.projectLoad(now, request, node).fits
+// recheck evaluates a node again that was drawn before, and reports whether the request may still be
+// attempted on it.
+func (f *nodeFilter) recheck(now Seconds, request *placementRequest, node *trackedNode) bool {
+	if !f.attemptAllowed(now, request) || !f.nodeAllowed(now, request, node) {
+		return false
+	}
+	_, fits := f.evaluate(now, request, node)
+	return fits
 }
 
-// projectLoad projects the load of a node with the request's task, and notes the result at the node.
-func (f *nodeFilter) projectLoad(now Seconds, request *placementRequest, node *trackedNode) projection {
+// evaluate returns a node that the rules allow as a candidate, or false if it lacks capacity as far as known.
+// It brings the record of the node's load up to date.
+func (f *nodeFilter) evaluate(now Seconds, request *placementRequest, node *trackedNode) (candidate, bool) {
 	if node.load.rejects(now) {
-		return projection{}
+		return candidate{}, false
 	}
 	node.load.dropOldChanges(now)
 	load := f.capacity.project(now, f.cfg.class(request), &request.Task, node)
 	node.load.setSaturation(load.saturationExcess)
-	return load
-}
-
-// allowed reports whether the rules permit an attempt on the node now. Every attempt passes this check.
-func (f *nodeFilter) allowed(now Seconds, request *placementRequest, node *trackedNode) bool {
-	return f.attemptAllowed(now, request) && f.nodeAllowed(now, request, node)
+	return candidate{node: node, saturationExcess: load.saturationExcess}, load.fits
 }
 
-// attemptAllowed reports whether the rules permit an attempt on any node. Rules 1 and 2: no attempt after the
-// end, none beside another, and no more than permitted.
+// attemptAllowed reports whether the rules permit an attempt on any node. Every attempt passes this check and
+// the next one. Rules 1 and 2: no attempt after the end, none beside another, and no more than permitted.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	exhausted := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !exhausted && request.outstandingAttempt() == nil
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -19,7 +19,7 @@
 		p.answerUnplaced(request)
 		return
 	}
-	if node := request.takeAlternative(); node != nil && p.filter.accepts(p.now, request, node) {
+	if node := request.takeAlternative(); node != nil && p.filter.recheck(p.now, request, node) {
 		p.startAttempt(request, node)
 		return
 	}
--- a/placer/request.go
+++ b/placer/request.go
@@ -16,6 +16,14 @@
 	migrated       bool         // a migration was requested
 }
 
+// newAdoptedRequest returns a request whose task was found running on a node, with the attempt that stands for it.
+func newAdoptedRequest(task Task, node *trackedNode, now Seconds) (*placementRequest, *attempt) {
+	request := &placementRequest{Task: task, done: true, arrivedAt: now}
+	adopted := &attempt{node: node, request: request, sentAt: now, state: attemptRunning}
+	request.attempts = append(request.attempts, adopted)
+	return request, adopted
+}
+
 // outstandingAttempt returns the attempt without an outcome, or nil.
 func (r *placementRequest) outstandingAttempt() *attempt {
 	for _, a := range r.attempts {
@@ -64,6 +72,12 @@
 	}
 }
 
+// finish notes that no further attempt is made.
+func (r *placementRequest) finish() {
+	r.done = true
+	r.alternative = nil
+}
+
 // markMigrated notes that a migration of the task was requested.
 func (r *placementRequest) markMigrated() { r.migrated = true }
 
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -21,9 +21,7 @@
 
 // adopt adds a task that was found running on a node and is not known yet, with the attempt that stands for it.
 func (t *requestTable) adopt(task Task, node *trackedNode, now Seconds) *attempt {
-	request := &placementRequest{Task: task, done: true, arrivedAt: now}
-	adopted := &attempt{node: node, request: request, sentAt: now, state: attemptRunning}
-	request.attempts = append(request.attempts, adopted)
+	request, adopted := newAdoptedRequest(task, node, now)
 	t.byID[task.ID] = request
 	return adopted
 }
@@ -40,10 +38,9 @@
 // close ends a request: no further attempt is made.
 func (t *requestTable) close(request *placementRequest) {
 	if !request.done {
-		request.done = true
 		t.unanswered--
 	}
-	request.alternative = nil
+	request.finish()
 	t.removeIfDone(request)
 }
 
