--- /dev/null
+++ b/placer/capacity_test.go
@@ -0,0 +1,142 @@
+package placer
+
+import (
+	"math"
+	"testing"
+)
+
+// sizedNode returns a ready node of 16 cores and 32 of memory that the list shows with half of both free.
+func sizedNode(id NodeID) *trackedNode {
+	node := newTrackedNode(id)
+	node.State, node.listed = Ready, true
+	node.cores, node.memory = 16, 32
+	node.FreeCores, node.FreeMemory = 8, 16
+	return node
+}
+
+func TestFreeCapacity(t *testing.T) {
+	const now = 100
+	change := func(at Seconds) []capacityChange { return []capacityChange{{at: at, cores: 2, memory: 3}} }
+	report := func(at Seconds) nodeLoad {
+		return nodeLoad{hasReport: true, reportedAt: at, report: Report{FreeCores: 4, FreeMemory: 5}}
+	}
+	for name, test := range map[string]struct {
+		behavior NodeBehavior
+		load     nodeLoad
+		changes  []capacityChange
+		want     freeCapacity
+	}{
+		"list":                      {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"list and recent change":    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"list and old change":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"report":                    {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"report and change":         {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"report that is too old":    {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"report of what is used":    {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither list nor a report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			model := &capacityModel{behavior: test.behavior}
+			node := sizedNode(1)
+			node.load = test.load
+			node.load.recentChanges = test.changes
+			if got := model.free(now, node); got != test.want {
+				t.Errorf("got %+v, want %+v", got, test.want)
+			}
+			if len(node.load.recentChanges) != len(test.changes) {
+				t.Error("the estimate changed the node's record")
+			}
+		})
+	}
+}
+
+func TestProjection(t *testing.T) {
+	const now = 100
+	reported := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
+	unknown := math.NaN()
+	lists, usage := NodeBehavior{ListShowsCapacity: true}, NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}
+	for name, test := range map[string]struct {
+		behavior NodeBehavior
+		load     nodeLoad
+		task     Task
+		want     projection
+	}{
+		// 8 of 16 cores are requested. The threshold is 1 and a quarter of the range of 1.
+		"by what is requested":      {lists, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
+		"more than overcommitment":  {lists, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
+		"memory overcommitted":      {lists, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
+		"reported utilization":      {lists, reported(Report{unknown, unknown, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"reported cores in use":     {usage, reported(Report{2, unknown, unknown, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"memory in use nearly full": {usage, reported(Report{unknown, 2, unknown, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"unknown capacity":          {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			cfg := &Config{NodeBehavior: test.behavior, Overcommit: Overcommit{Cores: 2, Memory: 2}}
+			class := &Class{SaturationThreshold: 1, DegradationRange: 1}
+			node := sizedNode(1)
+			node.load = test.load
+			if got := newCapacityModel(cfg).project(now, class, &test.task, node); got != test.want {
+				t.Errorf("got %+v, want %+v", got, test.want)
+			}
+			if node.load.saturationExcess != test.load.saturationExcess {
+				t.Error("the projection changed the node's record")
+			}
+		})
+	}
+}
+
+func TestUsageIsLearnedFromReports(t *testing.T) {
+	const now = 100
+	for name, test := range map[string]struct {
+		free          float64 // cores and half of the memory that nobody has requested
+		report        Report
+		cores, memory float64 // usage learned
+	}{
+		"utilization":           {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"cores and memory":      {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
+		"too little requested":  {15, Report{16, 32, 0, 0}, 1, 1},
+		"nothing reported":      {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
+		"more than requested":   {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
+		"all cores and no load": {8, Report{16, 32, 0, 0}, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
+			node := sizedNode(1)
+			node.FreeCores, node.FreeMemory = test.free, 2*test.free
+			model.observeReport(now, node, &test.report)
+			if got := model.coresUsage.mean; got != test.cores {
+				t.Errorf("usage of cores: got %v, want %v", got, test.cores)
+			}
+			if got := model.memoryUsage.mean; got != test.memory {
+				t.Errorf("usage of memory: got %v, want %v", got, test.memory)
+			}
+			if !node.load.hasReport || node.load.reportedAt != now {
+				t.Error("the report was not noted")
+			}
+		})
+	}
+}
+
+// A change that stands for an attempt goes with its answer, and only that one.
+func TestNodeLoadFollowsAttempts(t *testing.T) {
+	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
+	sent := &attempt{request: request, sentAt: 100}
+	var load nodeLoad
+	load.attemptSent(100, &Task{Cores: 1, Memory: 1})
+	load.attemptSent(100, &request.Task)
+	load.attemptBound(101, sent)
+	if load.recentBinds(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
+		t.Fatalf("after the bind: %+v", load.recentChanges)
+	}
+	load.taskEnded(102, &request.Task)
+	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBind {
+		t.Fatalf("after the end: %+v", last)
+	}
+	if load.recentBinds(103.1) != 0 || load.heldBinds() != 1 {
+		t.Error("an old bind is recent, or is gone before it is dropped")
+	}
+	load.dropOldChanges(103.1)
+	if load.heldBinds() != 0 || len(load.recentChanges) != 1 {
+		t.Errorf("after the drop: %+v", load.recentChanges)
+	}
+}
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -68,3 +68,52 @@
 		}
 	}
 }
+
+func TestMayDrain(t *testing.T) {
+	const now = 100
+	for name, test := range map[string]struct {
+		standby  standbyRecord
+		free     float64 // cores of 16, and half of the memory of 32
+		ownTasks int
+		want     bool
+	}{
+		"nearly empty standby":     {standbyRecord{active: true, since: 98}, 12, 1, true},
+		"more than nearly empty":   {standbyRecord{active: true, since: 98}, 11, 1, false},
+		"on standby for too short": {standbyRecord{active: true, since: 98.1}, 12, 1, false},
+		"open":                     {standbyRecord{since: 98}, 12, 1, false},
+		"no own task":              {standbyRecord{active: true, since: 98}, 12, 0, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			part := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
+			node := sizedNode(1)
+			node.standby = test.standby
+			node.FreeCores, node.FreeMemory = test.free, 2*test.free
+			for range test.ownTasks {
+				node.tasks.adopted(&attempt{request: &placementRequest{}})
+			}
+			if got := part.mayDrain(now, node); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestDemandFits(t *testing.T) {
+	part := &consolidator{cfg: &Config{Overcommit: Overcommit{Cores: 2, Memory: 1.5}}, saturationThreshold: 0.9}
+	for name, test := range map[string]struct {
+		demand capacityDemand
+		want   bool
+	}{
+		"within all limits":          {capacityDemand{160, 120, 72, 73.6}, true},
+		"too many cores requested":   {capacityDemand{161, 120, 72, 73.6}, false},
+		"too much memory requested":  {capacityDemand{160, 121, 72, 73.6}, false},
+		"cores would be saturated":   {capacityDemand{160, 120, 73, 73.6}, false},
+		"memory would be close full": {capacityDemand{160, 120, 72, 73.7}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := part.demandFits(test.demand, 100, 100, 0.8); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -1,6 +1,9 @@
 package placer
 
-import "testing"
+import (
+	"math/rand/v2"
+	"testing"
+)
 
 func TestReplacedNodesAreEvicted(t *testing.T) {
 	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
@@ -49,3 +52,129 @@
 		}
 	}
 }
+
+// newTestPoller returns a poller with an interval of 12 s between polls, and a function that returns the delay of the
+// timer that it has started, after checking whether it has polled.
+func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
+	actions := &actionList{}
+	poller := &nodeListPoller{
+		maxInterval: 12,
+		objective:   1,
+		actions:     actions,
+		timers:      newTimerTable(actions),
+		jitter:      jitter{rng: rand.New(rand.NewPCG(1, 1))},
+	}
+	return poller, func(t *testing.T, wantPoll bool) Seconds {
+		t.Helper()
+		taken := actions.take()
+		if polled := len(actionsOfKind(taken, WatchNodes)) == 1; polled != wantPoll {
+			t.Fatalf("polled: %v, want %v", polled, wantPoll)
+		}
+		timers := actionsOfKind(taken, SetTimer)
+		if len(timers) != 1 || timers[0].Token != poller.timerToken {
+			t.Fatalf("want one timer, got %+v", taken)
+		}
+		return timers[0].After
+	}
+}
+
+func TestPollBackoffDoubles(t *testing.T) {
+	poller, next := newTestPoller()
+	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // at most half of the interval
+		poller.pollFailed()
+		if after := next(t, false); after < 0.8*mean || after > 1.2*mean {
+			t.Errorf("wait of %v s after failure %d, want about %v s", after, failure+1, mean)
+		}
+	}
+	poller.listArrived(100)
+	poller.pollFailed()
+	if after := next(t, false); after > 2.4 {
+		t.Errorf("wait of %v s after the first failure since a list", after)
+	}
+}
+
+func TestWatchIsPolledAgain(t *testing.T) {
+	for name, test := range map[string]struct {
+		listedAt Seconds // 0 for never
+		failed   bool
+		at       Seconds
+		want     bool
+	}{
+		"a list came":                     {101, false, 104.9, false},
+		"quiet for a third of interval":   {101, false, 105.1, true},
+		"no answer yet":                   {0, false, 100.9, false},
+		"no answer":                       {0, false, 101.1, true},
+		"the poll failed, too soon":       {0, true, 100.9, false},
+		"the poll failed":                 {0, true, 101.1, true},
+		"the poll failed after a list":    {100.5, true, 101.1, true},
+		"a list came after a failed poll": {100.5, false, 101.1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			poller, next := newTestPoller()
+			poller.poll(100)
+			next(t, true)
+			if test.listedAt > 0 {
+				poller.listArrived(test.listedAt)
+			}
+			if test.failed {
+				poller.pollFailed()
+				next(t, false)
+			}
+			poller.timerFired(test.at, poller.timerToken-1) // an old timer has no effect
+			if taken := poller.actions.take(); len(taken) != 0 {
+				t.Fatalf("an old timer led to %+v", taken)
+			}
+			poller.timerFired(test.at, poller.timerToken)
+			next(t, test.want)
+		})
+	}
+}
+
+func TestNodeTableAppliesLists(t *testing.T) {
+	entry := func(id NodeID, state NodeState) Node { return Node{ID: id, State: state} }
+	for name, test := range map[string]struct {
+		kind    ListKind
+		entries []Node
+		want    []NodeState // of the nodes 1, 2 and so on
+	}{
+		"full list":     {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
+		"cached list":   {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
+		"changes":       {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
+		"a new node":    {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
+		"an empty list": {FullList, nil, []NodeState{Terminated, Terminated}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := newNodeTable(nil)
+			table.apply(FullList, []Node{entry(1, Ready), entry(2, Ready)})
+			table.apply(test.kind, test.entries)
+			for i, want := range test.want {
+				if got := table.byID[NodeID(i+1)].State; got != want {
+					t.Errorf("node %d is %v, want %v", i+1, got, want)
+				}
+			}
+			if len(table.list) != len(test.want) || len(table.byID) != len(test.want) {
+				t.Errorf("%d nodes and %d IDs, want %d", len(table.list), len(table.byID), len(test.want))
+			}
+		})
+	}
+}
+
+func TestRestartDropsLoadAndHealth(t *testing.T) {
+	table := newNodeTable(nil)
+	table.apply(FullList, []Node{{ID: 1, StartedAt: 50}})
+	node := table.byID[1]
+	node.health = nodeHealth{failures: 2, ejectedUntil: 200}
+	node.load.rejected(100)
+	node.load.setReport(100, &Report{})
+	node.load.taskEnded(100, &Task{})
+	node.tasks.cacheProgram(7)
+	table.apply(Changes, []Node{{ID: 1, StartedAt: 50}})
+	if node.health.failures != 2 || !node.load.hasReport || !node.tasks.hasProgram(7) {
+		t.Error("records were dropped without a restart")
+	}
+	table.apply(Changes, []Node{{ID: 1, StartedAt: 60}})
+	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejects(100) ||
+		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
+		t.Errorf("records after a restart: %+v %+v", node.health, node.load)
+	}
+}
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -1,6 +1,9 @@
 package placer
 
-import "testing"
+import (
+	"math/rand/v2"
+	"testing"
+)
 
 func TestOutlierIsEjectedAndOneCrashIsOneFailure(t *testing.T) {
 	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
@@ -81,3 +84,96 @@
 		t.Fatalf("attempt on a node that has just failed: %+v", acts)
 	}
 }
+
+// newTestDetector returns a detector whose latency objective is a second.
+func newTestDetector() *outlierDetector {
+	return &outlierDetector{objective: 1, jitter: jitter{rng: rand.New(rand.NewPCG(1, 1))}}
+}
+
+func TestEjectionDoublesWithEachFailure(t *testing.T) {
+	detector, node := newTestDetector(), newTrackedNode(1)
+	now, mean := Seconds(100), Seconds(1)
+	for failure := 1; failure <= maxFailures+2; failure++ {
+		if !detector.recordFailure(now, node) {
+			t.Fatalf("failure %d did not count", failure)
+		}
+		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
+			t.Errorf("failure %d ejects the node for %v s, want about %v s", failure, ejected, mean)
+		}
+		if failure < maxFailures {
+			mean *= 2
+		}
+		now += 0.25
+	}
+	if node.health.failures != maxFailures {
+		t.Errorf("%d failures are counted, want at most %d", node.health.failures, maxFailures)
+	}
+}
+
+func TestSuccessTakesBackOneFailureAtATime(t *testing.T) {
+	detector, node := newTestDetector(), newTrackedNode(1)
+	node.health = nodeHealth{failures: 3, ejectedUntil: 100}
+	for _, step := range []struct {
+		now      Seconds
+		failures int
+	}{{99.9, 3}, {100, 2}, {100.2, 2}, {100.25, 1}, {101, 0}, {102, 0}} {
+		detector.recordSuccess(step.now, node)
+		if node.health.failures != step.failures {
+			t.Fatalf("at %v: %d failures, want %d", step.now, node.health.failures, step.failures)
+		}
+	}
+}
+
+func TestEjectedNodeIsProbed(t *testing.T) {
+	for name, test := range map[string]struct {
+		health      nodeHealth
+		unanswered  int
+		idempotency Idempotency
+		want        bool
+	}{
+		"healthy":                         {nodeHealth{}, 5, NonIdempotent, true},
+		"ejected":                         {nodeHealth{failures: 1, ejectedUntil: 100.1}, 0, Idempotent, false},
+		"probed":                          {nodeHealth{failures: 1, ejectedUntil: 100}, 0, Idempotent, true},
+		"one probe at a time":             {nodeHealth{failures: 1, ejectedUntil: 100}, 1, Idempotent, false},
+		"no probe with what runs at most": {nodeHealth{failures: 1, ejectedUntil: 100}, 0, NonIdempotent, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			node := newTrackedNode(1)
+			node.health, node.tasks.unanswered = test.health, test.unanswered
+			if got := newTestDetector().permits(100, &Class{Idempotency: test.idempotency}, node); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestTooFewHealthy(t *testing.T) {
+	for name, test := range map[string]struct {
+		ready, ejected, draining int // numbers of nodes
+		want                     bool
+	}{
+		"all healthy":                     {4, 0, 0, false},
+		"a quarter is healthy":            {1, 3, 0, false},
+		"less than a quarter":             {1, 4, 0, true},
+		"draining nodes are not counted":  {1, 3, 9, false},
+		"no node at all":                  {0, 0, 0, false},
+		"ejected nodes only, so all used": {0, 1, 0, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var nodes []*trackedNode
+			add := func(count int, state NodeState, health nodeHealth) {
+				for range count {
+					node := newTrackedNode(NodeID(len(nodes)))
+					node.State, node.health = state, health
+					nodes = append(nodes, node)
+				}
+			}
+			add(test.ready, Ready, nodeHealth{})
+			add(test.ejected, Ready, nodeHealth{failures: 1, ejectedUntil: 101})
+			add(test.draining, Draining, nodeHealth{})
+			if got := newTestDetector().tooFewHealthy(100, &Class{}, nodes); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/placer/retry_test.go
@@ -0,0 +1,68 @@
+package placer
+
+import "testing"
+
+func TestRetryRule(t *testing.T) {
+	const sentAt, dedupWindow = 100, 10
+	node := func(id NodeID, rack int) *trackedNode {
+		listed := newTrackedNode(id)
+		listed.listed, listed.Rack = true, rack
+		return listed
+	}
+	earlier, rackNeighbor, elsewhere := node(1, 1), node(2, 1), node(3, 2)
+	byKey := func(domain TopologyDomain) Class {
+		return Class{Idempotency: IdempotentByKey, DedupDomain: domain, DedupWindow: dedupWindow}
+	}
+	for name, test := range map[string]struct {
+		class        Class
+		knownOutcome bool
+		now          Seconds
+		allows       bool
+		onNeighbor   bool
+		onElsewhere  bool
+		safeToReject bool
+	}{
+		"known outcome":                {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
+		"not idempotent":               {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
+		"idempotent":                   {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
+		"by key, in the rack":          {byKey(RackDomain), false, 108.9, true, true, false, false},
+		"by key, in the cluster":       {byKey(ClusterDomain), false, 108.9, true, true, true, true},
+		"by key, on the node":          {byKey(NodeDomain), false, 108.9, true, false, false, false},
+		"by key, the window has ended": {byKey(ClusterDomain), false, 109, false, false, false, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
+			request := &placementRequest{}
+			if !test.knownOutcome {
+				request.noteUnknownOutcome(&attempt{node: earlier, sentAt: sentAt})
+			}
+			if got := rule.allows(test.now, request); got != test.allows {
+				t.Errorf("another attempt: got %v, want %v", got, test.allows)
+			}
+			if got := rule.safeToReject(request); got != test.safeToReject {
+				t.Errorf("safe to reject: got %v, want %v", got, test.safeToReject)
+			}
+			if test.knownOutcome {
+				return // any node is allowed
+			}
+			if got := rule.allowsOn(test.now, request, rackNeighbor); got != test.onNeighbor {
+				t.Errorf("on a node of the rack: got %v, want %v", got, test.onNeighbor)
+			}
+			if got := rule.allowsOn(test.now, request, elsewhere); got != test.onElsewhere {
+				t.Errorf("on a node elsewhere: got %v, want %v", got, test.onElsewhere)
+			}
+		})
+	}
+}
+
+func TestOutstandingAttemptMustNotBeRejected(t *testing.T) {
+	rule := &retryRule{cfg: &Config{Classes: []Class{{}}}}
+	request := &placementRequest{attempts: []*attempt{{state: attemptPending}}}
+	if rule.safeToReject(request) {
+		t.Error("safe to reject while an attempt is outstanding")
+	}
+	request.attempts[0].setState(attemptEnded)
+	if !rule.safeToReject(request) {
+		t.Error("not safe to reject after all attempts have ended")
+	}
+}
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -1,7 +1,10 @@
 package placer
 
 import (
+	"cmp"
 	"math"
+	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
@@ -157,3 +160,84 @@
 		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(used), preferredNodeCount)
 	}
 }
+
+// newCandidates returns candidates for nodes with the IDs 1 to count.
+func newCandidates(count int) []candidate {
+	var candidates []candidate
+	for i := range count {
+		candidates = append(candidates, candidate{node: newTrackedNode(NodeID(i + 1))})
+	}
+	return candidates
+}
+
+func candidateIDs(candidates []candidate) []NodeID {
+	ids := []NodeID{}
+	for i := range candidates {
+		ids = append(ids, candidates[i].node.ID)
+	}
+	return ids
+}
+
+// The callers' slice is filtered in place: a second preference of the same slice sees what the first one left.
+func TestPrefer(t *testing.T) {
+	for name, test := range map[string]struct {
+		saturated  []NodeID
+		want, left []NodeID
+	}{
+		"all are wanted":  {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"none is wanted":  {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"some are wanted": {[]NodeID{1, 3}, []NodeID{2, 4}, []NodeID{2, 4, 3, 4}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			candidates := newCandidates(4)
+			for _, id := range test.saturated {
+				candidates[id-1].saturationExcess = 0.1
+			}
+			if got := candidateIDs(prefer(candidates, (*candidate).belowSaturation)); !slices.Equal(got, test.want) {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+			if got := candidateIDs(candidates); !slices.Equal(got, test.left) {
+				t.Errorf("the slice is left as %v, want %v", got, test.left)
+			}
+		})
+	}
+}
+
+func TestNodesWithProgram(t *testing.T) {
+	const service = 7
+	byHash := func(a, b NodeID) int { return cmp.Compare(hashUnit(service, uint64(b)), hashUnit(service, uint64(a))) }
+	hashed := slices.SortedFunc(slices.Values([]NodeID{1, 3, 4, 6}), byHash)
+	for name, test := range map[string]struct {
+		peers Peers
+		want  []NodeID
+	}{
+		"few peers":       {Peers{Total: 4}, []NodeID{2, 5}},
+		"many peers":      {Peers{Total: 5}, []NodeID{2, 5, hashed[0], hashed[1]}},
+		"sticky services": {Peers{Total: 5, StickyServices: true}, []NodeID{2, 5}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			candidates := newCandidates(6)
+			candidates[1].node.tasks.cacheProgram(service)
+			candidates[4].node.tasks.attemptSent(&attempt{request: &placementRequest{Task: Task{Service: service}}})
+			part := &selector{peers: test.peers}
+			if got := candidateIDs(part.withProgram(service, candidates)); !slices.Equal(got, test.want) {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+			all := candidateIDs(candidates)
+			slices.Sort(all)
+			if !slices.Equal(all, []NodeID{1, 2, 3, 4, 5, 6}) {
+				t.Errorf("the candidates are now %v", all)
+			}
+		})
+	}
+}
+
+func TestLastPairStaysWhereAllHaveTooManyContenders(t *testing.T) {
+	part := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
+	candidates := newCandidates(2)
+	candidates[0].node.tasks.unanswered, candidates[1].node.tasks.unanswered = 9, 8
+	drawn := part.drawPair(100, &placementRequest{}, candidates)
+	if drawn.first.ID != 2 || drawn.second.ID != 1 {
+		t.Errorf("drew %d before %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
+	}
+}
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -172,3 +172,62 @@
 		}
 	}
 }
+
+func TestSharesAddUpToWhatNodeWithstands(t *testing.T) {
+	for name, test := range map[string]struct {
+		attempts float64
+		peers    int
+	}{
+		"more attempts than peers":  {42, 30},
+		"fewer attempts than peers": {7, 300},
+		"one peer":                  {8, 1},
+		"divisible":                 {60, 20},
+		"no attempts":               {0, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for id := range NodeID(20) {
+				sum := 0.0
+				for self := range test.peers {
+					part := &slowStart{limits: SlowStart{MaxAttempts: test.attempts}, peers: Peers{Self: self, Total: test.peers}}
+					sum += part.share(newTrackedNode(id))
+				}
+				if sum != test.attempts {
+					t.Fatalf("node %d: the shares add up to %v, want %v", id, sum, test.attempts)
+				}
+			}
+		})
+	}
+}
+
+func TestSlowStartAllows(t *testing.T) {
+	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // the window is 2.2 s
+	for name, test := range map[string]struct {
+		nodeStarted, schedulerStarted Seconds
+		attempts                      []Seconds
+		want                          bool
+	}{
+		"started long ago":                {0, 50, []Seconds{99, 99, 99}, true},
+		"has warmed up":                   {90, 50, []Seconds{99, 99, 99}, true},
+		"warming up":                      {95, 50, nil, true},
+		"below its share":                 {95, 50, []Seconds{99}, true},
+		"share used up":                   {95, 50, []Seconds{98, 99}, false},
+		"old attempts do not count":       {95, 50, []Seconds{97, 97.7, 99}, true},
+		"scheduler has just started":      {95, 98, nil, false},
+		"scheduler started a while ago":   {95, 97.7, nil, true},
+		"scheduler started first":         {98.5, 98, nil, true},
+		"both started at the same moment": {98, 98, nil, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			part := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStarted}
+			node := newTrackedNode(1)
+			node.StartedAt, node.warmupAttempts = test.nodeStarted, test.attempts
+			if got := part.allows(100, node); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+			part.attemptSent(100, node)
+			if kept := node.warmupAttempts; part.warmingUp(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
+				t.Errorf("attempts kept: %v", kept)
+			}
+		})
+	}
+}
