--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -7,9 +7,9 @@
 
 const (
 	// adoptionMaxWait bounds the time after the first health check for which new requests wait for adoptions.
-	adoptionMaxWait = 1.0
+	adoptionMaxWait placer.Seconds = 1.0
 	// adoptionIdleGap is the time without an adoption after which no more are expected.
-	adoptionIdleGap = 0.05
+	adoptionIdleGap placer.Seconds = 0.05
 )
 
 // adoption takes responsibility for tasks that run already: after a start of this scheduler, clients list their running tasks.
@@ -21,8 +21,8 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt float64 // when the first health check of a client came, 0 if none has
-	lastAdoptionAt     float64 // when a running task was last adopted, or firstHealthCheckAt
+	firstHealthCheckAt placer.Seconds // when the first health check of a client came, 0 if none has
+	lastAdoptionAt     placer.Seconds // when a running task was last adopted, or firstHealthCheckAt
 }
 
 // healthCheckReceived notes a health check. After the first one, clients are expected to list their running tasks.
@@ -60,7 +60,7 @@
 }
 
 // expectedUntil returns until when adoptions are expected: until none came for a while, for a short time at most.
-func (a *adoption) expectedUntil() float64 {
+func (a *adoption) expectedUntil() placer.Seconds {
 	return min(a.lastAdoptionAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
 }
 
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -93,15 +93,15 @@
 func TestAdoptionsExpectedUntil(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
-		healthChecksAt []float64
-		adoptedAt      float64
-		want           float64
+		healthChecksAt []placer.Seconds
+		adoptedAt      placer.Seconds
+		want           placer.Seconds
 	}{
 		{"no health check yet", nil, 0, adoptionIdleGap},
-		{"a first health check", []float64{100}, 0, 100 + adoptionIdleGap},
-		{"a second one", []float64{100, 107}, 0, 100 + adoptionIdleGap},
-		{"an adoption", []float64{100}, 100.5, 100.5 + adoptionIdleGap},
-		{"an adoption long after", []float64{100}, 170, 100 + adoptionMaxWait},
+		{"a first health check", []placer.Seconds{100}, 0, 100 + adoptionIdleGap},
+		{"a second one", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
+		{"an adoption", []placer.Seconds{100}, 100.5, 100.5 + adoptionIdleGap},
+		{"an adoption long after", []placer.Seconds{100}, 170, 100 + adoptionMaxWait},
 		{"an adoption before any health check", nil, 170, adoptionMaxWait},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -19,10 +19,10 @@
 	request      *request
 	number       int // among the attempts of its request, from 0
 	state        attemptState
-	expiresAt    float64 // it is abandoned if it has no answer by then
-	createdAt    float64 // when the placer asked for it
-	runningSince float64 // when the node's answer came, or when the task was adopted
-	timer        *timerqueue.Timer[float64]
+	expiresAt    placer.Seconds // it is abandoned if it has no answer by then
+	createdAt    placer.Seconds // when the placer asked for it
+	runningSince placer.Seconds // when the node's answer came, or when the task was adopted
+	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // the node was told to stop the task
 }
 
@@ -35,8 +35,8 @@
 // Pending reports whether the attempt is still to be sent.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
-// Age returns the seconds since the placer asked for the attempt.
-func (a *Attempt) Age(now float64) float64 { return now - a.createdAt }
+// Age returns the time since the placer asked for the attempt.
+func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
 // Unanswered reports whether the attempt waits for its connection or its answer.
 func (a *Attempt) Unanswered() bool { return a.state.unanswered() }
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -8,7 +8,7 @@
 )
 
 // lateAnswerRetention is for how long an abandoned attempt is kept beyond the time in which clients look for tasks with an unknown outcome.
-const lateAnswerRetention = 5.0
+const lateAnswerRetention placer.Seconds = 5.0
 
 // attemptTable keeps the attempts that nodes may still send messages about, moves them from state to state, and reports to the placer what
 // becomes of them.
@@ -33,10 +33,10 @@
 		Node:      action.Node,
 		Message:   req.launchMessage(),
 		request:   req,
-		expiresAt: float64(action.Until),
+		expiresAt: action.Until,
 		createdAt: t.now,
 	}
-	if action.Until <= 0 || float64(action.Until) > req.deadline {
+	if action.Until <= 0 || action.Until > req.deadline {
 		attempt.expiresAt = req.deadline
 	}
 	req.addAttempt(attempt)
@@ -175,12 +175,12 @@
 // retain keeps an abandoned attempt for as long as its node may send messages about it.
 func (t *attemptTable) retain(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
-	retention := float64(t.settings.Placer.Retry.UnknownOutcomeWait) + lateAnswerRetention
+	retention := t.settings.Placer.Retry.UnknownOutcomeWait + lateAnswerRetention
 	t.setTimer(attempt, t.now+retention, func() { t.remove(attempt) })
 }
 
 // setTimer sets the timer of an attempt, which remove stops.
-func (t *attemptTable) setTimer(attempt *Attempt, at float64, run func()) {
+func (t *attemptTable) setTimer(attempt *Attempt, at placer.Seconds, run func()) {
 	attempt.timer = t.timers.Add(at, run)
 }
 
@@ -211,7 +211,7 @@
 		Node:    attempt.Node,
 		Result:  ended.result,
 		Reason:  ended.reason,
-		Elapsed: placer.Seconds(attempt.Age(t.now)),
+		Elapsed: attempt.Age(t.now),
 		Final:   attempt.request.state.closed(),
 		Report:  ended.report,
 	})
@@ -224,6 +224,6 @@
 		TaskID:  attempt.request.taskID,
 		Attempt: attempt.number,
 		Node:    attempt.Node,
-		Elapsed: placer.Seconds(attempt.Age(t.now)),
+		Elapsed: attempt.Age(t.now),
 	})
 }
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -7,6 +7,7 @@
 
 	"heathshed/internal/platform/dispatch"
 	"heathshed/internal/platform/protocol"
+	"heathshed/placer"
 )
 
 // playDirected plays short scripts that random ones seldom meet: many nodes and tasks that end at one time (among which the core promises no
@@ -84,7 +85,7 @@
 			r.verdict(r.core.ReceiveFromClient(r.now, 1, &confirm))
 		}
 		r.endTasks(1, 4)
-		r.now += []float64{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
+		r.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
 		acknowledgement := wireMessage(protocol.Stopped, 2)
 		r.verdict(r.core.ReceiveFromClient(r.now, 1, &acknowledgement))
 		r.core.ClientDisconnected(r.now, 1)
@@ -93,7 +94,7 @@
 		}
 		r.conns = nil
 		r.endTasks(5, 6)
-		r.now += []float64{0.5, 7.9, 8.1}[variant%3]
+		r.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		r.openConnection()
 		check := wireMessage(protocol.Check, 78)
 		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &check))
@@ -173,8 +174,8 @@
 		r.listAll("in_service", 0)
 		r.launch("")
 		r.observe(0)
-		if due := r.core.NextTimer(); !math.IsInf(due, 1) {
-			r.now = max(r.now, due+[]float64{-0.001, 0, 0.001}[variant%3])
+		if due := r.core.NextTimer(); !math.IsInf(float64(due), 1) {
+			r.now = max(r.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
 		r.send()
 		r.observe(1)
@@ -200,7 +201,7 @@
 		r.send()
 		r.observe(1)
 		if len(r.sent) > 0 {
-			r.answerLate(due+[]float64{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
+			r.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
 		open, placed := r.core.ClientRequests(99)
 		r.number(uint64(open))
@@ -212,7 +213,7 @@
 }
 
 // answerLate answers the first attempt at the given time, after its connection was lost if broken is set, and lists its task for adoption.
-func (r *recorder) answerLate(at float64, broken bool) {
+func (r *recorder) answerLate(at placer.Seconds, broken bool) {
 	attempt := r.sent[0]
 	r.now = max(r.now, at)
 	if broken {
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -25,7 +25,7 @@
 	random     *rand.Rand
 	digest     hash.Hash
 	shape      int
-	now        float64
+	now        placer.Seconds
 	eventNo    int
 	lastConn   dispatch.ConnID
 	conns      []dispatch.ConnID
@@ -65,13 +65,13 @@
 // placerEvent digests all values of an event in a fixed order.
 func (r *recorder) placerEvent(event *placer.Event) {
 	r.number(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
-	r.float(float64(event.Elapsed))
+	r.seconds(event.Elapsed)
 	r.flag(event.Final)
 	task := &event.Task
 	r.number(uint64(task.ID), uint64(task.Class), uint64(task.Tenant), uint64(task.Service))
 	r.float(task.Cores)
 	r.float(task.Memory)
-	r.float(float64(task.Deadline))
+	r.seconds(task.Deadline)
 	r.flag(task.IsRetry)
 	if r.flag(event.Report != nil); event.Report != nil {
 		for _, v := range []float64{event.Report.FreeCores, event.Report.FreeMemory, event.Report.Utilization, event.Report.QueueLength} {
@@ -86,7 +86,7 @@
 		r.number(uint64(node.ID), uint64(node.Zone), uint64(node.Rack), uint64(node.NodeType), uint64(node.State))
 		r.float(node.FreeCores)
 		r.float(node.FreeMemory)
-		r.float(float64(node.StartedAt))
+		r.seconds(node.StartedAt)
 	}
 	r.number(uint64(event.Usage), event.Token)
 	r.float(event.Value)
@@ -108,6 +108,8 @@
 
 func (r *recorder) float(v float64) { r.number(math.Float64bits(v)) }
 
+func (r *recorder) seconds(v placer.Seconds) { r.float(float64(v)) }
+
 func (r *recorder) text(s string) {
 	r.number(uint64(len(s)))
 	r.digest.Write([]byte(s))
@@ -168,7 +170,7 @@
 }
 
 func (r *recorder) state() {
-	r.float(r.core.NextTimer())
+	r.seconds(r.core.NextTimer())
 	r.number(countValues(&r.core.Counts)...)
 	r.number(uint64(r.core.OpenRequests()), uint64(r.core.RunningTasks()), r.core.LastDiscoveryEvent())
 	for _, id := range r.conns {
@@ -183,15 +185,15 @@
 			r.text(node.UID)
 			r.text(node.Addr)
 			r.number(uint64(node.ID), uint64(node.State), uint64(node.RunningTasks()))
-			r.float(float64(node.StartedAt))
-			r.float(node.TerminatedFor(r.now))
+			r.seconds(node.StartedAt)
+			r.seconds(node.TerminatedFor(r.now))
 		}
 	}
 	for _, attempt := range r.sent {
 		r.flag(attempt.Live())
 		r.flag(attempt.Unanswered())
 		r.flag(attempt.Pending())
-		r.float(attempt.Age(r.now))
+		r.seconds(attempt.Age(r.now))
 	}
 	nodeCount := 0
 	r.core.Nodes(func(*dispatch.Node) { nodeCount++ })
@@ -227,7 +229,7 @@
 
 func (p *arbitraryPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
 	r := p.recorder
-	r.float(float64(now))
+	r.seconds(now)
 	r.placerEvent(&event)
 	switch {
 	case event.Kind == placer.Arrived:
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -146,7 +146,7 @@
 	case 27:
 		r.core.SetDiscoveryConnected(r.now, r.random.IntN(2) == 0)
 	default:
-		r.advance(pick(r, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
+		r.advance(pick[placer.Seconds](r, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
 	}
 }
 
@@ -387,7 +387,7 @@
 }
 
 // advance lets time pass, timer by timer or, at times, with all timers late.
-func (r *recorder) advance(by float64) {
+func (r *recorder) advance(by placer.Seconds) {
 	to := r.now + by
 	if r.random.IntN(5) == 0 {
 		r.now = to
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"heathshed/internal/platform/protocol"
+	"heathshed/placer"
 )
 
 // ConnID identifies a client connection. 0 is none.
@@ -14,9 +15,9 @@
 type clientConn struct {
 	id            ConnID
 	openRequests  map[*request]struct{}
-	lastPlacedAt  float64     // when a task of a request on it last began to run or was adopted, 0 if none has
-	lastValidAt   float64     // when it last sent a valid message, 0 if it has not
-	notifications deliveryLog // what was sent on it; the notifier's
+	lastPlacedAt  placer.Seconds // when a task of a request on it last began to run or was adopted, 0 if none has
+	lastValidAt   placer.Seconds // when it last sent a valid message, 0 if it has not
+	notifications deliveryLog    // what was sent on it; the notifier's
 }
 
 // identified reports whether the connection has sent a valid message.
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -4,7 +4,7 @@
 //
 // It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller is to
 // carry out. The package is pure: it has no I/O, clock, goroutine or global state. It makes no placement decisions: each event goes to the
-// placer, and each action comes from it. All times are clock times in seconds, all durations are in seconds.
+// placer, and each action comes from it. Times on the clock and durations are placer.Seconds.
 package dispatch
 
 import (
@@ -40,7 +40,7 @@
 
 // New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
 // platform's configuration, or empty. The error says which part of it is invalid.
-func New(now float64, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
+func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
 	c := &Core{}
 	c.environment = &environment{settings: settings, counts: &c.Counts, now: now}
 	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
@@ -86,17 +86,17 @@
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns when Advance is to be called next, infinity if never.
-func (c *Core) NextTimer() float64 { return c.timers.NextOr(math.Inf(1)) }
+func (c *Core) NextTimer() placer.Seconds { return c.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Advance runs the timers that are due.
-func (c *Core) Advance(now float64) { c.advance(now) }
+func (c *Core) Advance(now placer.Seconds) { c.advance(now) }
 
 // execute executes an action of the placer. An action on an unknown task has no effect.
 func (c *Core) execute(action *placer.Action) {
 	switch action.Kind {
 	case placer.SetTimer:
 		token := action.Token
-		c.timers.Add(c.now+float64(eventqueue.Delay(action.After)), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
+		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
 		c.nodes.requestList()
 	default:
@@ -112,7 +112,7 @@
 		c.attempts.start(req, action)
 	case placer.Reject:
 		c.Counts.Rejected++
-		c.requests.answer(req, c.rejection(req, float64(action.After)))
+		c.requests.answer(req, c.rejection(req, action.After))
 	case placer.Fail:
 		c.Counts.Failed++
 		c.requests.answer(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
@@ -125,14 +125,14 @@
 var ErrClientNotConnected = errors.New("client connection is not open")
 
 // ClientConnected adds a client connection.
-func (c *Core) ClientConnected(now float64, conn ConnID) {
+func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
 	c.setTime(now)
 	c.clients.connect(conn)
 }
 
 // ClientDisconnected removes a client connection. Its open requests are withdrawn, since their answers could not be sent. Notifications that
 // the client may not have received are sent again on another connection.
-func (c *Core) ClientDisconnected(now float64, conn ConnID) {
+func (c *Core) ClientDisconnected(now placer.Seconds, conn ConnID) {
 	c.setTime(now)
 	client := c.clients.disconnect(conn)
 	if client == nil {
@@ -162,7 +162,7 @@
 
 // ReceiveFromClient handles one message of a client. The error is an *InvalidMessageError if the message is invalid, in which case its sender
 // has been answered, or wraps ErrClientNotConnected.
-func (c *Core) ReceiveFromClient(now float64, conn ConnID, msg *protocol.Message) error {
+func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
 	c.setTime(now)
 	client := c.clients.get(conn)
 	if client == nil {
@@ -175,7 +175,7 @@
 
 // PrepareSend checks an attempt again before its first byte goes out, and sets the time that the node may take. If it returns false, the
 // attempt must not be sent, and has ended.
-func (c *Core) PrepareSend(now float64, attempt *Attempt) bool {
+func (c *Core) PrepareSend(now placer.Seconds, attempt *Attempt) bool {
 	c.setTime(now)
 	ok := c.attempts.prepareSend(attempt)
 	c.runEvents()
@@ -183,14 +183,14 @@
 }
 
 // ConnectFailed reports that no connection came up for an attempt, so that it was not sent.
-func (c *Core) ConnectFailed(now float64, attempt *Attempt) {
+func (c *Core) ConnectFailed(now placer.Seconds, attempt *Attempt) {
 	c.setTime(now)
 	c.attempts.connectFailed(attempt)
 	c.runEvents()
 }
 
 // ConnectionLost reports that the connection ended that an attempt was sent on. The outcome of the attempt is unknown.
-func (c *Core) ConnectionLost(now float64, attempt *Attempt) {
+func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setTime(now)
 	c.attempts.connectionLost(attempt)
 	c.runEvents()
@@ -198,14 +198,14 @@
 
 // ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes nothing but the counts, and
 // that an early termination is recorded.
-func (c *Core) ReceiveFromNode(now float64, node placer.NodeID, msg *protocol.Message) {
+func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setTime(now)
 	c.nodeMessages.receive(node, msg)
 	c.runEvents()
 }
 
 // NodeDead ends all tasks that run on a node whose process has ended, or that has terminated.
-func (c *Core) NodeDead(now float64, id placer.NodeID) {
+func (c *Core) NodeDead(now placer.Seconds, id placer.NodeID) {
 	c.setTime(now)
 	c.nodes.endTasksOf(id)
 	c.runEvents()
@@ -215,7 +215,7 @@
 // tasks may run on if the node is only cut off, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
 // confirms that, or for notificationRetention. Otherwise the placer would take capacity of a service for free that a node about to come back
 // has in use, and would exceed the limit on how many tasks of a service run in one place.
-func (c *Core) NodeUnresponsive(now float64, id placer.NodeID) (tasks int) {
+func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (tasks int) {
 	c.setTime(now)
 	if node := c.nodes.get(id); node != nil {
 		tasks = c.tasks.stopOn(node)
@@ -235,7 +235,7 @@
 
 // ReceiveDiscoveryEvent applies one event of the discovery stream. ok is false if events are missing before it or it is invalid: it was not
 // applied then, and the stream is to be opened again after LastDiscoveryEvent. An event that was applied already is ignored.
-func (c *Core) ReceiveDiscoveryEvent(now float64, data []byte) (ok bool, err error) {
+func (c *Core) ReceiveDiscoveryEvent(now placer.Seconds, data []byte) (ok bool, err error) {
 	c.setTime(now)
 	ok, err = c.nodes.receive(data)
 	c.runEvents()
@@ -245,17 +245,17 @@
 // SetDiscoveryConnected reports whether the discovery stream is connected. The placer's requests for the node list are answered from the
 // stream, whose events are passed on as they come: a request is answered at once while the stream is connected, and fails when an attempt to
 // connect it has failed.
-func (c *Core) SetDiscoveryConnected(now float64, connected bool) {
+func (c *Core) SetDiscoveryConnected(now placer.Seconds, connected bool) {
 	c.setTime(now)
 	c.nodes.setDiscoveryConnected(connected)
 	c.runEvents()
 }
 
 // rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
-func (c *Core) rejection(req *request, retryAfter float64) protocol.Message {
+func (c *Core) rejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
-		milliseconds := math.Ceil(min(retryAfter, float64(c.settings.Placer.Retry.MaxRetryAfter)) * 1000)
+		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * 1000)
 		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
 	}
 	return answer
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -1,6 +1,10 @@
 package dispatch
 
-import "slices"
+import (
+	"slices"
+
+	"heathshed/placer"
+)
 
 // maxEarlyTerminations is the highest number of early terminations that are kept.
 const maxEarlyTerminations = maxTasks
@@ -8,7 +12,7 @@
 // earlyTermination records that a node reported the end of a task that is not known here. Its client may yet list it for adoption.
 type earlyTermination struct {
 	cause     int
-	expiresAt float64
+	expiresAt placer.Seconds
 }
 
 // earlyTerminationLog keeps the ends of unknown tasks for as long as their clients may yet list the tasks for adoption. After a start, a node
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -11,14 +11,14 @@
 type environment struct {
 	settings *simconfig.Settings
 	counts   *Counts
-	now      float64
-	timers   timerqueue.Queue[float64]
+	now      placer.Seconds
+	timers   timerqueue.Queue[placer.Seconds]
 	effects  []Effect // since the last call of takeEffects
 	events   eventqueue.Queue
 }
 
 // setTime sets the clock. It never goes back.
-func (env *environment) setTime(now float64) { env.now = max(env.now, now) }
+func (env *environment) setTime(now placer.Seconds) { env.now = max(env.now, now) }
 
 // emit adds an effect for the caller.
 func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
@@ -34,10 +34,10 @@
 func (env *environment) post(event placer.Event) { env.events.Post(event) }
 
 // runEvents passes all queued events to the placer and executes its actions.
-func (env *environment) runEvents() { env.events.Run(placer.Seconds(env.now)) }
+func (env *environment) runEvents() { env.events.Run(env.now) }
 
 // advance runs the timers that are due.
-func (env *environment) advance(now float64) {
+func (env *environment) advance(now placer.Seconds) {
 	env.setTime(now)
 	for timer := env.timers.Pop(env.now); timer != nil; timer = env.timers.Pop(env.now) {
 		timer.Run()
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -39,7 +39,7 @@
 type harness struct {
 	t         rapid.TB
 	core      *Core
-	now       float64
+	now       placer.Seconds
 	lastEvent int
 	lastConn  ConnID
 	conns     []ConnID
@@ -54,7 +54,7 @@
 type clientRecord struct {
 	notifiedOn             ConnID // the connection of the last notification, 0 once it was acknowledged
 	conn                   ConnID
-	deadline               float64
+	deadline               placer.Seconds
 	withdrawn, adopted     bool
 	answers, notifications int
 	running                bool
@@ -97,7 +97,7 @@
 	msg.Set(protocol.TimeLeft, fmt.Sprint(leftMS))
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	adopted := extras != ""
-	h.records[msg.ID] = &clientRecord{conn: conn, deadline: h.now + leftMS/1000, adopted: adopted, running: adopted}
+	h.records[msg.ID] = &clientRecord{conn: conn, deadline: h.now + placer.Seconds(leftMS/1000), adopted: adopted, running: adopted}
 	if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
 		h.t.Fatalf("launch: %v", err)
 	}
@@ -208,7 +208,7 @@
 	h.carryOutEffects()
 }
 
-func (h *harness) advance(by float64) {
+func (h *harness) advance(by placer.Seconds) {
 	to := h.now + by
 	for h.core.NextTimer() <= to {
 		h.now = max(h.now, h.core.NextTimer())
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -15,12 +15,12 @@
 	UID       string
 	Addr      string
 	State     placer.NodeState
-	StartedAt float64 // Unix seconds, 0 for long ago
+	StartedAt placer.Seconds // Unix time, 0 for long ago
 
 	placerNode         placer.Node
 	running            map[*Attempt]struct{} // the attempts that run on it
-	stateChangedAt     float64               // when its state last changed
-	expiryScheduledFor float64               // the stateChangedAt for which a timer of scheduleTaskExpiry runs, 0 if none does
+	stateChangedAt     placer.Seconds        // when its state last changed
+	expiryScheduledFor placer.Seconds        // the stateChangedAt for which a timer of scheduleTaskExpiry runs, 0 if none does
 	removalScheduled   bool                  // a timer of scheduleRemoval runs
 }
 
@@ -43,8 +43,8 @@
 	return attempts
 }
 
-// TerminatedFor returns for how many seconds the node has been terminated, 0 if it is not.
-func (n *Node) TerminatedFor(now float64) float64 {
+// TerminatedFor returns for how long the node has been terminated, 0 if it is not.
+func (n *Node) TerminatedFor(now placer.Seconds) placer.Seconds {
 	if n.State != placer.Terminated {
 		return 0
 	}
@@ -52,14 +52,14 @@
 }
 
 // update enters what a valid entry of a discovery event says about the node. zone and nodeType are the placer's numbers of the entry's.
-func (n *Node) update(entry *nodeEntry, zone, nodeType int, now float64) {
+func (n *Node) update(entry *nodeEntry, zone, nodeType int, now placer.Seconds) {
 	state, _ := parseNodeState(entry.State) // valid
 	if n.State != state {
 		n.State = state
 		n.stateChangedAt = now
 	}
 	n.Addr = entry.Endpoint
-	n.StartedAt = entry.StartedAtMS / 1000
+	n.StartedAt = placer.Seconds(entry.StartedAtMS / 1000)
 	n.placerNode = placer.Node{
 		ID:         n.ID,
 		Zone:       zone,
@@ -68,12 +68,12 @@
 		State:      n.State,
 		FreeCores:  entry.Free[0],
 		FreeMemory: entry.Free[1],
-		StartedAt:  placer.Seconds(n.StartedAt),
+		StartedAt:  n.StartedAt,
 	}
 }
 
 // terminate marks a node that is missing from a complete list as terminated.
-func (n *Node) terminate(now float64) {
+func (n *Node) terminate(now placer.Seconds) {
 	n.State = placer.Terminated
 	n.placerNode.State = placer.Terminated
 	n.stateChangedAt = now
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -83,7 +83,7 @@
 
 // handleRunning handles a node's acceptance of an attempt.
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
-	latest := attempt.request.deadline + float64(h.settings.Placer.Attempts.AnswerGrace)
+	latest := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
 	if attempt.state == attemptSent && h.now > latest {
 		h.attempts.abandon(attempt, placer.TimedOut, false) // its timer is late, and the client no longer waits
 	}
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// TerminationGrace is the time in seconds from the discovery event that reports a node as terminated until its running tasks are assumed
+	// TerminationGrace is the time from the discovery event that reports a node as terminated until its running tasks are assumed
 	// to be lost.
-	TerminationGrace = 1.0
-	// terminatedNodeRetention is the time in seconds after which a terminated node is removed from the registry.
-	terminatedNodeRetention = 60.0
-	// incarnationTolerance is by how many seconds the start time of a node must be later than that of a task for the task to be of an earlier
+	TerminationGrace placer.Seconds = 1.0
+	// terminatedNodeRetention is the time after which a terminated node is removed from the registry.
+	terminatedNodeRetention placer.Seconds = 60.0
+	// incarnationTolerance is by how much the start time of a node must be later than that of a task for the task to be of an earlier
 	// incarnation: clocks and start times are not exact.
-	incarnationTolerance = 1.0
+	incarnationTolerance placer.Seconds = 1.0
 )
 
 // nodeRegistry keeps the nodes that discovery events list and the attempts that run on them, and answers the placer's requests for the node
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -4,27 +4,28 @@
 	"slices"
 
 	"heathshed/internal/platform/protocol"
+	"heathshed/placer"
 )
 
 const (
 	// notificationRetention is for how long a notification is kept until a client has received it. It is also the longest wait for a node to
 	// confirm that it stopped a running task, and for how long an earlyTermination is kept.
-	notificationRetention = 8.0
+	notificationRetention placer.Seconds = 8.0
 	// unacknowledgedWindow bounds the time between a notification and the end of its connection within which the notification is assumed not
 	// to have been received, where the client does not acknowledge notifications.
-	unacknowledgedWindow = 1.0
+	unacknowledgedWindow placer.Seconds = 1.0
 )
 
 // notification is a message that notifies a client that its running task has ended or is to migrate. Unlike the answer to a request it may be
 // sent on any connection, and is sent again if the client may not have received it.
 type notification struct {
 	message   protocol.Message
-	expiresAt float64
+	expiresAt placer.Seconds
 	migration bool // it was sent as a request to migrate, which clients never acknowledge
 }
 
 // needsRedelivery reports whether the client may not have received the notification before its connection ended at the given time.
-func (n *notification) needsRedelivery(now float64, acknowledges bool) bool {
+func (n *notification) needsRedelivery(now placer.Seconds, acknowledges bool) bool {
 	if n.expiresAt <= now {
 		return false
 	}
@@ -42,7 +43,7 @@
 }
 
 // add keeps a notification until it expires or is acknowledged.
-func (l *deliveryLog) add(now float64, notice notification) {
+func (l *deliveryLog) add(now placer.Seconds, notice notification) {
 	if notice.message.Kind == protocol.Migrate {
 		// A redelivery notifies of the end that follows from the migration: a client that received the request to migrate ignores it.
 		notice.message = replyTo(&notice.message, protocol.Stop, protocol.CauseCancelled)
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -54,7 +54,7 @@
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for name, tc := range map[string]struct {
 		acknowledges, acknowledged, migration, otherOpen bool
-		after                                            float64
+		after                                            placer.Seconds
 		want                                             int
 	}{
 		"at once":                                {after: 0.01, want: 1},
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -65,7 +65,7 @@
 	case 14:
 		p.adoptTerminated()
 	default:
-		p.advance(float64(p.draw(2000, "ms")) / 1000)
+		p.advance(placer.Seconds(p.draw(2000, "ms")) / 1000)
 	}
 }
 
@@ -235,7 +235,7 @@
 				}
 				h.carryOutEffects()
 			default:
-				h.advance(float64(draw(300, "ms")) / 1000)
+				h.advance(placer.Seconds(draw(300, "ms")) / 1000)
 			}
 			h.requireInvariants()
 		}
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -11,7 +11,7 @@
 	message  protocol.Message // as the client sent it
 	conn     ConnID
 	class    int
-	deadline float64
+	deadline placer.Seconds
 	state    requestState
 	attempts []*Attempt
 }
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -27,7 +27,7 @@
 }
 
 // parse validates a launch message that came at the given time. The error is an *InvalidMessageError.
-func (p *requestParser) parse(now float64, msg *protocol.Message) (parsed parsedRequest, err error) {
+func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsed parsedRequest, err error) {
 	if msg.Body == "" {
 		return parsed, invalidMessage(InvalidBody, "launch %s: no body", msg.UID)
 	}
@@ -122,7 +122,7 @@
 
 // parseDeadline returns the clock time until which the client waits. It may be at most twice the class's deadline away. For an adoption there
 // is no upper limit: no answer is due, and clients give any time there, such as the remaining time of a task without an end.
-func (p *requestParser) parseDeadline(now float64, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
+func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
 	limitMS := 2000 * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
@@ -130,7 +130,7 @@
 	if !valid {
 		return 0, invalidMessage(InvalidTimeLeft, "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", msg.UID, text, limitMS)
 	}
-	return placer.Seconds(now + leftMS/1000), nil
+	return now + placer.Seconds(leftMS/1000), nil
 }
 
 // inRange reports whether a value is a number from 0 to limit. NaN is not.
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -60,7 +60,7 @@
 		message:  *msg,
 		conn:     conn,
 		class:    task.Class,
-		deadline: float64(task.Deadline),
+		deadline: task.Deadline,
 		state:    state,
 	}
 	t.byTask[req.taskID] = req
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -7,7 +7,7 @@
 
 // migrationConfirmTimeout is the time in which a node confirms that it stopped a task for a migration. A node that does not had ended the task
 // before.
-const migrationConfirmTimeout = 0.4
+const migrationConfirmTimeout placer.Seconds = 0.4
 
 // causeLost is the cause given to clients of tasks that ended with their node.
 const causeLost = protocol.CauseReset
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -76,7 +76,7 @@
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: now, lastMessageAt: now}
 	s.clients[client.id] = client
-	s.core.ClientConnected(now, client.id)
+	s.core.ClientConnected(s.coreTime(), client.id)
 	if len(s.clients) >= s.maxClients-clientSlotReserve {
 		s.evictClient()
 	}
@@ -119,7 +119,7 @@
 	}
 	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
 	adoptedBefore := s.core.Counts.Adopted
-	if err := s.core.ReceiveFromClient(s.loop.Now(), c.id, &c.message); err != nil {
+	if err := s.core.ReceiveFromClient(s.coreTime(), c.id, &c.message); err != nil {
 		s.stats.InvalidFromClients.add(err)
 		s.warn("client message rejected", c.conn.Peer(), err)
 	} else {
@@ -156,7 +156,7 @@
 	s.log.Trace().Uint64("conn", uint64(c.id)).Err(err).Msg("client connection ended")
 	c.setState(clientClosed)
 	delete(s.clients, c.id)
-	s.core.ClientDisconnected(s.loop.Now(), c.id)
+	s.core.ClientDisconnected(s.coreTime(), c.id)
 	s.processReady()
 }
 
@@ -167,7 +167,7 @@
 		return
 	}
 	c.setState(clientClosing)
-	c.server.core.ClientDisconnected(c.server.loop.Now(), c.id)
+	c.server.core.ClientDisconnected(c.server.coreTime(), c.id)
 	c.server.processReady()
 	c.conn.CloseAfterFlush()
 }
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -105,7 +105,7 @@
 		s.loop.After(0, call.Cancel) // not at once: this may run inside one of the call's own handlers
 	}
 	s.warn("discovery watch failed", w.addr, err)
-	s.core.SetDiscoveryConnected(s.loop.Now(), false)
+	s.core.SetDiscoveryConnected(s.coreTime(), false)
 	s.processReady()
 	w.retryTimer.Stop()
 	w.retryTimer = s.loop.After(w.backoff.Next(s.rng.Float64()), w.open)
@@ -127,7 +127,7 @@
 	}
 	s := stream.watch.server
 	stream.watch.resetIdleTimer()
-	s.core.SetDiscoveryConnected(s.loop.Now(), true)
+	s.core.SetDiscoveryConnected(s.coreTime(), true)
 	s.processReady()
 }
 
@@ -156,7 +156,7 @@
 	s := stream.watch.server
 	s.stats.WatchEvents++
 	s.log.Trace().Str("id", event.ID).Str("data", event.Data).Msg("discovery event")
-	inSequence, err := s.core.ReceiveDiscoveryEvent(s.loop.Now(), []byte(event.Data))
+	inSequence, err := s.core.ReceiveDiscoveryEvent(s.coreTime(), []byte(event.Data))
 	if err == nil && !inSequence {
 		err = errEventGap
 	}
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -65,7 +65,7 @@
 // sendAttempt sends an attempt unless the core has ended it meanwhile.
 func (nc *nodeConn) sendAttempt(attempt *dispatch.Attempt) {
 	s := nc.link.server
-	if !s.core.PrepareSend(s.loop.Now(), attempt) {
+	if !s.core.PrepareSend(s.coreTime(), attempt) {
 		return
 	}
 	attempt.Conn = nc.id
@@ -132,7 +132,7 @@
 		nc.keepAlive.HealthCheckSent = 0
 		return lineCounts, nil
 	}
-	s.core.ReceiveFromNode(s.loop.Now(), nc.link.id, &nc.message)
+	s.core.ReceiveFromNode(s.coreTime(), nc.link.id, &nc.message)
 	return lineCounts, nil
 }
 
@@ -181,7 +181,7 @@
 	}
 	nc.attempts = nil
 	for _, attempt := range unanswered {
-		s.core.ConnectionLost(s.loop.Now(), attempt)
+		s.core.ConnectionLost(s.coreTime(), attempt)
 	}
 	s.processReady()
 }
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -230,7 +230,7 @@
 	queued := link.queued
 	link.queued = nil
 	for _, attempt := range queued {
-		s.core.ConnectFailed(s.loop.Now(), attempt)
+		s.core.ConnectFailed(s.coreTime(), attempt)
 	}
 	s.processReady()
 }
@@ -255,7 +255,7 @@
 	node := s.core.Node(link.id)
 	hasTasks := node != nil && node.RunningTasks() > 0
 	// A full list may omit a node that the next one has again: for TerminationGrace its connections stay.
-	if !hasTasks && (node == nil || node.TerminatedFor(now) > dispatch.TerminationGrace) {
+	if !hasTasks && (node == nil || node.TerminatedFor(s.coreTime()) > dispatch.TerminationGrace) {
 		link.closeConns()
 		delete(s.links, link.id)
 		return
@@ -303,11 +303,11 @@
 	case connpool.ProcessEnded:
 		s.stats.NodesUnreachable++
 		s.log.Warn().Str("node", node.UID).Int("tasks", node.RunningTasks()).Msg("node declared dead: it refuses connections")
-		s.core.NodeDead(now, link.id)
+		s.core.NodeDead(s.coreTime(), link.id)
 		link.pendingMessages = nil
 		return false
 	case connpool.Unresponsive:
-		if tasks := s.core.NodeUnresponsive(now, link.id); tasks > 0 {
+		if tasks := s.core.NodeUnresponsive(s.coreTime(), link.id); tasks > 0 {
 			s.stats.NodesUnreachable++
 			s.log.Warn().Str("node", node.UID).Int("tasks", tasks).Msg("node unresponsive: its tasks are given up")
 		}
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -81,7 +81,7 @@
 // New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
 // configuration cannot be used or that its address cannot be listened on.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
-	core, err := dispatch.New(loop.Now(), config.Settings, policy, config.InitialEvents)
+	core, err := dispatch.New(placer.Seconds(loop.Now()), config.Settings, policy, config.InitialEvents)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -142,7 +142,7 @@
 			s.applyEffect(&effects[i])
 		}
 	}
-	due := s.core.NextTimer()
+	due := float64(s.core.NextTimer())
 	if s.coreTimer != nil && s.coreTimer.Due() == due {
 		return
 	}
@@ -153,10 +153,13 @@
 	}
 }
 
+// coreTime returns the time as the core counts it.
+func (s *Server) coreTime() placer.Seconds { return placer.Seconds(s.loop.Now()) }
+
 // advanceCore runs the timers of the core that are due.
 func (s *Server) advanceCore() {
 	s.coreTimer = nil
-	s.core.Advance(s.loop.Now())
+	s.core.Advance(s.coreTime())
 	s.processReady()
 }
 
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -48,7 +48,7 @@
 	adapter        *adapter
 	core           *dispatch.Core
 	recorder       *recorder
-	now            float64
+	now            placer.Seconds
 	adapterEvents  []string // translated by the adapter
 	adapterActions []placer.Action
 	attempts       map[uint64]*dispatch.Attempt // by task
@@ -68,7 +68,7 @@
 		}
 	}
 	b.adapter.actions = b.adapter.actions[:0]
-	if err := b.adapter.handleEvent(b.now, &ev); err != nil {
+	if err := b.adapter.handleEvent(float64(b.now), &ev); err != nil {
 		b.t.Fatal(err)
 	}
 	b.adapterActions = append(b.adapterActions, b.adapter.actions...)
@@ -100,7 +100,7 @@
 }
 
 // advance lets time pass and fires the timers of both.
-func (b *twoDrivers) advance(to float64) {
+func (b *twoDrivers) advance(to placer.Seconds) {
 	b.t.Helper()
 	for b.core.NextTimer() <= to {
 		b.now = b.core.NextTimer()
@@ -110,9 +110,9 @@
 			b.sendToAdapter(simproto.Event{Code: simproto.EventTimerFired, Token: token})
 		}
 		for id, a := range b.outstanding { // attempts that time out
-			if float64(a.Until) <= b.now && b.attempts[id] != nil && !b.attempts[id].Live() {
+			if a.Until <= b.now && b.attempts[id] != nil && !b.attempts[id].Live() {
 				b.sendToAdapter(simproto.Event{Code: simproto.EventAttemptEnded, ID: id, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Status: 253,
-					Elapsed: b.attempts[id].Age(b.now)})
+					Elapsed: float64(b.attempts[id].Age(b.now))})
 				delete(b.outstanding, id)
 			}
 		}
@@ -182,14 +182,14 @@
 		}
 		launch(class, "cores:1.5;memory:2;service:00000000000000"+strconv.Itoa(10+i%5))
 		service, _ := strconv.ParseUint(strconv.Itoa(10+i%5), 16, 64)
-		b.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, ID: ids, Class: lane, Tenant: 1, Service: service, Cores: 1.5, Memory: 2, Deadline: b.now + 4})
+		b.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, ID: ids, Class: lane, Tenant: 1, Service: service, Cores: 1.5, Memory: 2, Deadline: float64(b.now + 4)})
 		b.compare("launch")
 		a, ok := b.outstanding[ids]
 		b.advance(b.now + 0.07)
 		if o := b.attempts[ids]; !ok || o == nil || !o.Unanswered() {
 			continue
 		}
-		back := simproto.Event{ID: ids, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Elapsed: b.attempts[ids].Age(b.now), Code: simproto.EventAttemptEnded}
+		back := simproto.Event{ID: ids, Attempt: uint8(a.Attempt), Node: simproto.NodeAddress(a.Node), Elapsed: float64(b.attempts[ids].Age(b.now)), Code: simproto.EventAttemptEnded}
 		switch i % 8 {
 		case 0, 1, 2:
 			node(ids, protocol.Message{Kind: protocol.Running, Body: `"y"`})
