--- a/placer/units.go
+++ b/placer/units.go
@@ -1,6 +1,9 @@
 package placer
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 // Seconds is a duration, or a time on the clock that the caller keeps, in seconds.
 //
@@ -9,10 +12,12 @@
 // change which of two nodes is drawn. It is a type of its own so that a number without a unit is not taken for a time.
 type Seconds float64
 
-// Duration returns s in whole nanoseconds. Fractions of a nanosecond are dropped, and values beyond the range of a
-// Duration, or that are not numbers, have no defined result.
-func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
+// Duration returns s to the nearest nanosecond. Values beyond the range of a Duration, or that are not numbers, have no
+// defined result.
+func (s Seconds) Duration() time.Duration {
+	return time.Duration(math.Round(float64(s) * float64(time.Second)))
+}
 
-// SecondsOf returns d in seconds. The result is the floating point number next to d: it is exact for whole seconds, and
-// otherwise Duration may give back a value that is one nanosecond less.
-func SecondsOf(d time.Duration) Seconds { return Seconds(d.Seconds()) }
+// SecondsOf returns d in seconds: the floating point number next to d, for durations of up to a hundred days. Duration
+// then gives d back.
+func SecondsOf(d time.Duration) Seconds { return Seconds(float64(d) / float64(time.Second)) }
--- a/placer/units_test.go
+++ b/placer/units_test.go
@@ -13,6 +13,8 @@
 		"zero":         {0, 0},
 		"whole":        {90, 90 * time.Second},
 		"milliseconds": {0.25, 250 * time.Millisecond},
+		"not binary":   {1.118, 1118 * time.Millisecond},
+		"truncated":    {1.001, 1001 * time.Millisecond},
 		"negative":     {-1.5, -1500 * time.Millisecond},
 		"nanosecond":   {1e-9, time.Nanosecond},
 	} {
@@ -27,8 +29,20 @@
 	}
 }
 
-func TestDurationDropsFractionsOfANanosecond(t *testing.T) {
-	if got := Seconds(2.9e-9).Duration(); got != 2*time.Nanosecond {
-		t.Errorf("got %v, want 2ns", got)
+func TestDurationIsTheNearestNanosecond(t *testing.T) {
+	for seconds, want := range map[Seconds]time.Duration{2.4e-9: 2, 2.9e-9: 3, -2.9e-9: -3} {
+		if got := seconds.Duration(); got != want {
+			t.Errorf("%v s are %v, want %v", float64(seconds), got, want)
+		}
+	}
+}
+
+func TestMillisecondsSurviveBothWays(t *testing.T) {
+	for milliseconds := range 100_000 {
+		duration := time.Duration(milliseconds) * time.Millisecond
+		seconds := SecondsOf(duration)
+		if want := Seconds(float64(milliseconds) / 1000); seconds != want || seconds.Duration() != duration {
+			t.Fatalf("%v is %v s, want %v, and back %v", duration, float64(seconds), float64(want), seconds.Duration())
+		}
 	}
 }
