--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
-			p, err := New(Config{
+			placer, err := New(Config{
 				Peers:        Peers{Total: 1},
 				Classes:      []Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
 				NodeTypes:    []NodeType{{Cores: 32, Memory: 64}},
@@ -25,7 +25,7 @@
 			for i := range n {
 				list = append(list, Node{ID: NodeID(i + 1), State: Ready, FreeCores: 32, FreeMemory: 64})
 			}
-			acts := p.Handle(1, Event{Kind: NodesListed, List: FullList, Nodes: list}, nil)
+			actions := placer.Handle(1, Event{Kind: NodesListed, List: FullList, Nodes: list}, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			now := Seconds(10)
@@ -33,11 +33,11 @@
 				now += 0.01
 				id := TaskID(i + 1)
 				task := Task{ID: id, Service: ServiceID(i % 50), Cores: 0.1, Memory: 0.1, Deadline: now + 8}
-				acts = p.Handle(now, Event{Kind: Arrived, Task: task}, acts[:0])
-				for _, a := range acts {
-					if a.Kind == StartAttempt {
-						p.Handle(now, Event{Kind: Bound, TaskID: id, Attempt: a.Attempt, Node: a.Node, Elapsed: 0.005}, nil)
-						p.Handle(now+0.005, Event{Kind: Ended, TaskID: id, Attempt: a.Attempt, Node: a.Node, Result: Finished, Final: true}, nil)
+				actions = placer.Handle(now, Event{Kind: Arrived, Task: task}, actions[:0])
+				for _, action := range actions {
+					if action.Kind == StartAttempt {
+						placer.Handle(now, Event{Kind: Bound, TaskID: id, Attempt: action.Attempt, Node: action.Node, Elapsed: 0.005}, nil)
+						placer.Handle(now+0.005, Event{Kind: Ended, TaskID: id, Attempt: action.Attempt, Node: action.Node, Result: Finished, Final: true}, nil)
 					}
 				}
 			}
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -6,8 +6,8 @@
 )
 
 // sizedNode returns a ready node of 16 cores and 32 of memory that the list shows with half of both free.
-func sizedNode(id NodeID) *trackedNode {
-	node := newTrackedNode(id)
+func sizedNode() *trackedNode {
+	node := newTrackedNode(1)
 	node.State, node.listed = Ready, true
 	node.cores, node.memory = 16, 32
 	node.FreeCores, node.FreeMemory = 8, 16
@@ -37,7 +37,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
-			node := sizedNode(1)
+			node := sizedNode()
 			node.load = test.load
 			node.load.recentChanges = test.changes
 			if got := model.free(now, node); got != test.want {
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := &Config{NodeBehavior: test.behavior, Overcommit: Overcommit{Cores: 2, Memory: 2}}
 			class := &Class{SaturationThreshold: 1, DegradationRange: 1}
-			node := sizedNode(1)
+			node := sizedNode()
 			node.load = test.load
 			if got := newCapacityModel(cfg).project(now, class, &test.task, node); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
@@ -101,7 +101,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
-			node := sizedNode(1)
+			node := sizedNode()
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			model.observeReport(now, node, &test.report)
 			if got := model.coresUsage.mean; got != test.cores {
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -88,17 +88,20 @@
 
 func classes(apart ...placer.TopologyDomain) []placer.Class {
 	all := []placer.Class{
-		{Idempotency: placer.Idempotent, DedupDomain: placer.ClusterDomain, LatencyObjective: 1, Deadline: 6, Weight: 1, StartBonus: 5, NodeType: -1,
-			SaturationThreshold: 1, DegradationRange: 1},
-		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.RackDomain, DedupWindow: 3, LatencyObjective: 0.5, Deadline: 5, Weight: 2, LateWeight: 0.5, NodeType: -1,
-			SaturationThreshold: 0.8, DegradationRange: 0.4},
-		{Idempotency: placer.NonIdempotent, LatencyObjective: 1.5, Deadline: 8, Weight: 4, Priority: 2, NodeType: 1, SaturationThreshold: 0.9, DegradationRange: 0.2},
-		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ClusterDomain, DedupWindow: 2, LatencyObjective: 2, Deadline: 4, Weight: 1, NodeType: 0,
-			SaturationThreshold: 0.7, DegradationRange: 0.5},
-		{Idempotency: placer.Idempotent, DedupDomain: placer.ZoneDomain, LatencyObjective: 0.8, Deadline: 3, Weight: 1, NodeType: -1, SaturationThreshold: 0.95},
-		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.NodeDomain, DedupWindow: 6, LatencyObjective: 0.7, Deadline: 7, Weight: 1, NodeType: -1,
-			SaturationThreshold: 1, DegradationRange: 0.1},
-		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ZoneDomain, DedupWindow: 1, LatencyObjective: 1, Deadline: 6, Weight: 1, NodeType: -1, SaturationThreshold: 1},
+		{Idempotency: placer.Idempotent, DedupDomain: placer.ClusterDomain, LatencyObjective: 1, Deadline: 6, Weight: 1, StartBonus: 5,
+			NodeType: -1, SaturationThreshold: 1, DegradationRange: 1},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.RackDomain, DedupWindow: 3, LatencyObjective: 0.5, Deadline: 5,
+			Weight: 2, LateWeight: 0.5, NodeType: -1, SaturationThreshold: 0.8, DegradationRange: 0.4},
+		{Idempotency: placer.NonIdempotent, LatencyObjective: 1.5, Deadline: 8, Weight: 4, Priority: 2, NodeType: 1,
+			SaturationThreshold: 0.9, DegradationRange: 0.2},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ClusterDomain, DedupWindow: 2, LatencyObjective: 2, Deadline: 4,
+			Weight: 1, NodeType: 0, SaturationThreshold: 0.7, DegradationRange: 0.5},
+		{Idempotency: placer.Idempotent, DedupDomain: placer.ZoneDomain, LatencyObjective: 0.8, Deadline: 3, Weight: 1, NodeType: -1,
+			SaturationThreshold: 0.95},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.NodeDomain, DedupWindow: 6, LatencyObjective: 0.7, Deadline: 7,
+			Weight: 1, NodeType: -1, SaturationThreshold: 1, DegradationRange: 0.1},
+		{Idempotency: placer.IdempotentByKey, DedupDomain: placer.ZoneDomain, DedupWindow: 1, LatencyObjective: 1, Deadline: 6,
+			Weight: 1, NodeType: -1, SaturationThreshold: 1},
 	}
 	for i := range all {
 		all[i].SpreadDomain, all[i].MaxPerDomain = apart[i%len(apart)], 2+i%3
@@ -188,8 +191,8 @@
 
 func TestCharacterizationOfScripts(t *testing.T) {
 	var text strings.Builder
-	for _, s := range scripts() {
-		runScript(t, s, &text)
+	for _, script := range scripts() {
+		runScript(t, script, &text)
 	}
 	compareGolden(t, "characterization.golden", text.String())
 }
@@ -197,10 +200,10 @@
 // TestCharacterizationRunsAreEqual shows that two Placers in one process do the same for the same script.
 func TestCharacterizationRunsAreEqual(t *testing.T) {
 	var first, second strings.Builder
-	s := scripts()[1]
-	s.events = 2000
-	runScript(t, s, &first)
-	runScript(t, s, &second)
+	fleet := scripts()[1]
+	fleet.events = 2000
+	runScript(t, fleet, &first)
+	runScript(t, fleet, &second)
 	if first.String() != second.String() {
 		t.Fatalf("two runs of one script differ:\n%s\n%s", first.String(), second.String())
 	}
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -4,24 +4,24 @@
 
 // The last tasks of an unneeded node keep it in use until the longest ends.
 func TestStandbyNodesGetNoAttemptsAndAreDrained(t *testing.T) {
-	c := testConfig()
-	c.Costs.Node, c.Costs.Migration = 0.2, 0.05
+	config := testConfig()
+	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	nodes := testNodes(6)
-	p := newTestPlacer(t, c, 1, nodes)
-	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	placer := newTestPlacer(t, config, 1, nodes)
+	placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
 	for i := range 20 {
-		if o := startedAttempt(t, arrive(p, 100.1+Seconds(i)/100, newTask(i+1, 0))); p.nodes.byID[o.Node].standby.active {
-			t.Fatalf("attempt on standby node %d", o.Node)
+		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.active {
+			t.Fatalf("attempt on standby node %d", sent.Node)
 		} else {
-			bindAttempt(p, 100.1+Seconds(i)/100, o)
+			bindAttempt(placer, 100.1+Seconds(i)/100, sent)
 		}
 	}
 	moved := false
 	for i := range 40 {
-		p.consolidator.drain(101 + Seconds(i)/10)
-		for _, a := range actionsOfKind(p.actions.take(), Migrate) {
-			if a.Task != 900 || moved {
-				t.Fatalf("moved %+v", a)
+		placer.consolidator.drain(101 + Seconds(i)/10)
+		for _, action := range actionsOfKind(placer.actions.take(), Migrate) {
+			if action.Task != 900 || moved {
+				t.Fatalf("moved %+v", action)
 			}
 			moved = true
 		}
@@ -33,25 +33,25 @@
 
 // Where Bound is sent at the start some task is always starting; that must not keep the last tasks on a standby node.
 func TestStandbyIsDrainedWhileTasksStart(t *testing.T) {
-	c := testConfig()
-	c.Costs.Node, c.Costs.Migration = 0.2, 0.05
-	p := newTestPlacer(t, c, 1, testNodes(6))
-	p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
-	k := newTask(1, 0)
-	k.Deadline = 110
-	startedAttempt(t, arrive(p, 100.1, k))
+	config := testConfig()
+	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
+	placer := newTestPlacer(t, config, 1, testNodes(6))
+	placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	task := newTask(1, 0)
+	task.Deadline = 110
+	startedAttempt(t, arrive(placer, 100.1, task))
 	for _, at := range []Seconds{101, 103.5, 104} {
-		p.consolidator.drain(at)
+		placer.consolidator.drain(at)
 	}
-	if len(actionsOfKind(p.actions.take(), Migrate)) == 0 && !p.requests.byID[900].migrated {
+	if len(actionsOfKind(placer.actions.take(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
 		t.Fatal("no migration while a task starts")
 	}
 }
 
 // Warming nodes take few tasks: counting on them would put warm nodes on standby.
 func TestWarmingNodesDoNotPutWarmNodesOnStandby(t *testing.T) {
-	c := testConfig()
-	c.Costs.Node = 0.2
+	config := testConfig()
+	config.Costs.Node = 0.2
 	nodes := testNodes(12)
 	for i := range nodes {
 		nodes[i].FreeCores *= 0.5
@@ -60,11 +60,11 @@
 			nodes[i].StartedAt = 99.5
 		}
 	}
-	p := newTestPlacer(t, c, 1, nodes)
-	arrive(p, 100.1, newTask(1, 0))
-	for _, m := range p.nodes.list {
-		if m.standby.active && m.StartedAt == 0 {
-			t.Fatalf("warm node %d is on standby while half of the nodes warm up", m.ID)
+	placer := newTestPlacer(t, config, 1, nodes)
+	arrive(placer, 100.1, newTask(1, 0))
+	for _, node := range placer.nodes.list {
+		if node.standby.active && node.StartedAt == 0 {
+			t.Fatalf("warm node %d is on standby while half of the nodes warm up", node.ID)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			part := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
-			node := sizedNode(1)
+			node := sizedNode()
 			node.standby = test.standby
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			for range test.ownTasks {
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -6,47 +6,47 @@
 )
 
 func TestReplacedNodesAreEvicted(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 2000 {
 		now := 100 + Seconds(i)
 		was, next := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
 		next.ID = NodeID(i + 5)
-		p.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{was, next}}, nil)
-		for token, w := range p.timers.pending {
-			if w.kind == timerConsolidate {
-				p.Handle(now, Event{Kind: TimerFired, Token: token}, nil)
+		placer.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{was, next}}, nil)
+		for token, timer := range placer.timers.pending {
+			if timer.kind == timerConsolidate {
+				placer.Handle(now, Event{Kind: TimerFired, Token: token}, nil)
 				break
 			}
 		}
 	}
-	if n := len(p.nodes.list); Seconds(n) > 4+nodeRetention+2 || len(p.nodes.byID) != n {
-		t.Fatalf("%d nodes and %d IDs are known after 2000 replacements", n, len(p.nodes.byID))
+	if known := len(placer.nodes.list); Seconds(known) > 4+nodeRetention+2 || len(placer.nodes.byID) != known {
+		t.Fatalf("%d nodes and %d IDs are known after 2000 replacements", known, len(placer.nodes.byID))
 	}
 }
 
 func TestNodeListIsPolledAgainAfterFailure(t *testing.T) {
-	c := testConfig()
-	c.Discovery.MustPoll = true
-	p, err := New(c, 1)
+	config := testConfig()
+	config.Discovery.MustPoll = true
+	placer, err := New(config, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	acts := p.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: testNodes(2)}, nil)
-	if len(actionsOfKind(acts, WatchNodes)) != 1 {
+	actions := placer.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: testNodes(2)}, nil)
+	if len(actionsOfKind(actions, WatchNodes)) != 1 {
 		t.Fatal("the node list was not requested")
 	}
 	now := Seconds(100)
 	for range 5 { // each failure leads to another poll within the poll interval
-		acts = p.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
+		actions = placer.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
 		asked := now
-		for len(actionsOfKind(acts, WatchNodes)) == 0 {
-			w := actionsOfKind(acts, SetTimer)
-			if len(w) != 1 {
-				t.Fatalf("no timer for the next poll: %+v", acts)
+		for len(actionsOfKind(actions, WatchNodes)) == 0 {
+			timers := actionsOfKind(actions, SetTimer)
+			if len(timers) != 1 {
+				t.Fatalf("no timer for the next poll: %+v", actions)
 			}
-			now += w[0].After
-			acts = p.Handle(now, Event{Kind: TimerFired, Token: w[0].Token}, nil)
-			if now-asked > c.Discovery.MaxPollInterval {
+			now += timers[0].After
+			actions = placer.Handle(now, Event{Kind: TimerFired, Token: timers[0].Token}, nil)
+			if now-asked > config.Discovery.MaxPollInterval {
 				t.Fatalf("no poll for %.1f s", now-asked)
 			}
 		}
--- /dev/null
+++ b/placer/fixture_test.go
@@ -0,0 +1,92 @@
+package placer
+
+import "testing"
+
+// testConfig returns the configuration of one of two schedulers, with a class of each idempotency.
+func testConfig() Config {
+	return Config{
+		Peers: Peers{Total: 2, StickyServices: true},
+		Classes: []Class{
+			{LatencyObjective: 1, Deadline: 5, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
+			{
+				LatencyObjective: 1, Deadline: 6, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 3,
+				Idempotency: NonIdempotent, SpreadDomain: NodeDomain, MaxPerDomain: 2,
+			},
+			{
+				LatencyObjective: 1, Deadline: 6, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1, Weight: 3,
+				Idempotency: IdempotentByKey, DedupDomain: RackDomain, DedupWindow: 4, SpreadDomain: RackDomain, MaxPerDomain: 3,
+			},
+			{LatencyObjective: 1, Deadline: 5, NodeType: 1, SaturationThreshold: 1, DegradationRange: 1, Weight: 1},
+		},
+		NodeTypes:    []NodeType{{Cores: 16, Memory: 32}, {Cores: 32, Memory: 64}},
+		NodeBehavior: NodeBehavior{ListShowsCapacity: true},
+		Overcommit:   Overcommit{Cores: 1, Memory: 1},
+		SlowStart:    SlowStart{MinPace: 0.2, Duration: 10, OverloadMultiple: 2, OverloadWindow: 2, MaxAttempts: 8},
+		Attempts:     Attempts{Max: 4, ConnectTimeout: 0.25, AnswerGrace: 0.01, DrainGrace: 1},
+		Retry:        Retry{UnknownOutcomeWait: 3},
+		Discovery:    Discovery{MaxPollInterval: 10},
+	}
+}
+
+// testNodes returns ready nodes of two types and zones by turns, three to a rack, with all of their capacity free.
+func testNodes(count int) []Node {
+	var nodes []Node
+	for i := range count {
+		nodeType := i % 2
+		nodes = append(nodes, Node{ID: NodeID(i + 1), Rack: i / 3, Zone: i % 2, NodeType: nodeType, State: Ready,
+			FreeCores: float64(16 * (nodeType + 1)), FreeMemory: float64(32 * (nodeType + 1))})
+	}
+	return nodes
+}
+
+// newTestPlacer returns a Placer that got a list of nodes at time 100.
+func newTestPlacer(tb testing.TB, config Config, seed uint64, nodes []Node) *Placer {
+	tb.Helper()
+	placer, err := New(config, seed)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	placer.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
+	return placer
+}
+
+// newTask returns a task of a service of its own.
+func newTask(id, class int) Task {
+	return Task{ID: TaskID(id), Class: class, Service: ServiceID(id), Cores: 1, Memory: 1, Deadline: 105}
+}
+
+// arrive requests a task.
+func arrive(placer *Placer, now Seconds, task Task) []Action {
+	return placer.Handle(now, Event{Kind: Arrived, Task: task}, nil)
+}
+
+// actionsOfKind returns the actions of one kind.
+func actionsOfKind(actions []Action, kind ActionKind) []Action {
+	var found []Action
+	for _, action := range actions {
+		if action.Kind == kind {
+			found = append(found, action)
+		}
+	}
+	return found
+}
+
+// startedAttempt returns the one attempt that the actions start.
+func startedAttempt(tb testing.TB, actions []Action) Action {
+	tb.Helper()
+	sent := actionsOfKind(actions, StartAttempt)
+	if len(sent) != 1 {
+		tb.Fatalf("want one attempt, got %+v", actions)
+	}
+	return sent[0]
+}
+
+// endAttempt ends an attempt that has not been bound.
+func endAttempt(placer *Placer, now Seconds, sent Action, result Result, reason Reason) []Action {
+	return placer.Handle(now, Event{Kind: Ended, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Result: result, Reason: reason}, nil)
+}
+
+// bindAttempt reports that the node accepted an attempt.
+func bindAttempt(placer *Placer, now Seconds, sent Action) {
+	placer.Handle(now, Event{Kind: Bound, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Elapsed: 0.01}, nil)
+}
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -6,39 +6,39 @@
 )
 
 func TestOutlierIsEjectedAndOneCrashIsOneFailure(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for range 20 {
-		p.outliers.recordFailure(100, p.nodes.byID[2])
+		placer.outliers.recordFailure(100, placer.nodes.byID[2])
 	}
-	if p.nodes.byID[2].health.failures != 1 {
-		t.Fatalf("%d failures counted at one moment", p.nodes.byID[2].health.failures)
+	if placer.nodes.byID[2].health.failures != 1 {
+		t.Fatalf("%d failures counted at one moment", placer.nodes.byID[2].health.failures)
 	}
 	for i := range 30 {
-		if o := startedAttempt(t, arrive(p, 100.1, newTask(i+1, 0))); o.Node == 2 {
+		if sent := startedAttempt(t, arrive(placer, 100.1, newTask(i+1, 0))); sent.Node == 2 {
 			t.Fatal("attempt on a node that has just failed")
 		}
 	}
 	for id := NodeID(1); id <= 4; id++ { // a common cause: the others must not be overloaded
-		p.nodes.byID[id].health.failures, p.nodes.byID[id].health.ejectedUntil = 3, 200
+		placer.nodes.byID[id].health.failures, placer.nodes.byID[id].health.ejectedUntil = 3, 200
 	}
-	startedAttempt(t, arrive(p, 100.2, newTask(99, 0)))
+	startedAttempt(t, arrive(placer, 100.2, newTask(99, 0)))
 }
 
 func TestTaskThatFailsOnTwoNodesEjectsNeither(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 1, testNodes(6))
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	for i := range 10 {
 		at := 100 + 0.3*Seconds(i)
-		o := startedAttempt(t, arrive(p, at, newTask(i+1, 0)))
-		errs := Event{Kind: Ended, TaskID: o.Task, Node: o.Node, Attempt: o.Attempt, Result: Errored}
-		again := startedAttempt(t, p.Handle(at+0.01, errs, nil))
-		if m := p.nodes.byID[o.Node]; m.health.failures != 1 || again.Node == o.Node {
-			t.Fatalf("after one error: %d failures, next %d of %d", m.health.failures, again.Node, o.Node)
+		sent := startedAttempt(t, arrive(placer, at, newTask(i+1, 0)))
+		failed := Event{Kind: Ended, TaskID: sent.Task, Node: sent.Node, Attempt: sent.Attempt, Result: Errored}
+		again := startedAttempt(t, placer.Handle(at+0.01, failed, nil))
+		if node := placer.nodes.byID[sent.Node]; node.health.failures != 1 || again.Node == sent.Node {
+			t.Fatalf("after one error: %d failures, next %d of %d", node.health.failures, again.Node, sent.Node)
 		}
-		errs.Node, errs.Attempt = again.Node, again.Attempt
-		p.Handle(at+0.02, errs, nil)
-		for id, m := range p.nodes.byID {
-			if m.health.failures != 0 || m.health.ejectedUntil > at+0.02 {
-				t.Fatalf("node %d has %d failures for a task that fails everywhere", id, m.health.failures)
+		failed.Node, failed.Attempt = again.Node, again.Attempt
+		placer.Handle(at+0.02, failed, nil)
+		for id, node := range placer.nodes.byID {
+			if node.health.failures != 0 || node.health.ejectedUntil > at+0.02 {
+				t.Fatalf("node %d has %d failures for a task that fails everywhere", id, node.health.failures)
 			}
 		}
 	}
@@ -46,11 +46,11 @@
 
 // A node that drains before the list shows it frees capacity with each task, and would attract all attempts.
 func TestNodeThatDrainsTasksIsEjected(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	p.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
-	endAttempt(p, 100.1, Action{Task: 900}, Lost, Drained)
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
+	placer.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
-		if o := startedAttempt(t, arrive(p, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); o.Node == 2 {
+		if sent := startedAttempt(t, arrive(placer, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); sent.Node == 2 {
 			t.Fatal("attempt on a node that drains its tasks")
 		}
 	}
@@ -62,26 +62,26 @@
 	for i := range 3 {
 		nodes[i].FreeCores = 0
 	}
-	p := newTestPlacer(t, testConfig(), 1, nodes)
-	p.outliers.recordFailure(100, p.nodes.byID[4])
-	if acts := arrive(p, 100.1, newTask(1, 0)); len(actionsOfKind(acts, StartAttempt)) != 0 {
-		t.Fatalf("attempt on a node that has just failed: %+v", acts)
+	placer := newTestPlacer(t, testConfig(), 1, nodes)
+	placer.outliers.recordFailure(100, placer.nodes.byID[4])
+	if actions := arrive(placer, 100.1, newTask(1, 0)); len(actionsOfKind(actions, StartAttempt)) != 0 {
+		t.Fatalf("attempt on a node that has just failed: %+v", actions)
 	}
 }
 
 // When a rack dies, spread can leave only dead nodes to a service; its tasks wait for healthy ones.
 func TestSpreadDoesNotSendTasksToDeadNodes(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 1, testNodes(6)) // racks of three
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // racks of three
 	for i := range 3 {
-		p.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
+		placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
 	}
 	for id := NodeID(4); id <= 6; id++ {
-		p.outliers.recordFailure(100, p.nodes.byID[id])
+		placer.outliers.recordFailure(100, placer.nodes.byID[id])
 	}
-	k := newTask(1, 2)
-	k.Service = 5
-	if acts := arrive(p, 100.1, k); len(actionsOfKind(acts, StartAttempt)) != 0 {
-		t.Fatalf("attempt on a node that has just failed: %+v", acts)
+	task := newTask(1, 2)
+	task.Service = 5
+	if actions := arrive(placer, 100.1, task); len(actionsOfKind(actions, StartAttempt)) != 0 {
+		t.Fatalf("attempt on a node that has just failed: %+v", actions)
 	}
 }
 
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -5,27 +5,28 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"testing"
 )
 
 func TestDrawIsUniformAndEmptierNodeComesFirst(t *testing.T) {
 	seen, firsts := map[NodeID]int{}, map[NodeID]int{}
 	const runs = 3000
-	for s := range runs {
+	for seed := range runs {
 		nodes := testNodes(6)
 		for i := range nodes { // node 1 the fullest, node 6 the emptiest, by free share
 			share := float64(i+1) / 8
 			size := float64(16 * (nodes[i].NodeType + 1))
 			nodes[i].FreeCores, nodes[i].FreeMemory = size*share, size*2*share
 		}
-		p := newTestPlacer(t, testConfig(), uint64(s), nodes)
-		o := startedAttempt(t, arrive(p, 100.1, newTask(1, 0)))
-		second := startedAttempt(t, endAttempt(p, 100.2, o, Rejected, InsufficientCores))
-		if second.Node > o.Node {
-			t.Fatalf("seed %d: attempt on the fuller node %d before %d", s, o.Node, second.Node)
+		placer := newTestPlacer(t, testConfig(), uint64(seed), nodes)
+		sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0)))
+		second := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
+		if second.Node > sent.Node {
+			t.Fatalf("seed %d: attempt on the fuller node %d before %d", seed, sent.Node, second.Node)
 		}
-		firsts[o.Node]++
-		seen[o.Node]++
+		firsts[sent.Node]++
+		seen[sent.Node]++
 		seen[second.Node]++
 	}
 	for id := NodeID(1); id <= 6; id++ { // each node is in a third of the pairs
@@ -39,84 +40,84 @@
 }
 
 func TestNodeBeyondContenderLimitIsSkipped(t *testing.T) {
-	for s := range 200 {
-		p := newTestPlacer(t, testConfig(), uint64(s), testNodes(6))
-		node := p.nodes.byID[3]
+	for seed := range 200 {
+		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(6))
+		node := placer.nodes.byID[3]
 		node.tasks.unanswered = 9
-		if o := startedAttempt(t, arrive(p, 100.1, newTask(1, 0))); o.Node == 3 {
-			t.Fatalf("seed %d: attempt on a node beyond the contender limit", s)
+		if sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0))); sent.Node == 3 {
+			t.Fatalf("seed %d: attempt on a node beyond the contender limit", seed)
 		}
 	}
-	p := newTestPlacer(t, testConfig(), 1, testNodes(6))
-	p.nodes.byID[1].load.recentChanges = []capacityChange{{at: 100, cores: 1, memory: 1, isBind: true}}
-	if p.selector.contenders(101.9, p.nodes.byID[1]) != 1 {
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
+	placer.nodes.byID[1].load.recentChanges = []capacityChange{{at: 100, cores: 1, memory: 1, isBind: true}}
+	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
 		t.Error("a bind of the last two seconds does not count")
 	}
-	if p.selector.contenders(102.1, p.nodes.byID[1]) != 0 {
+	if placer.selector.contenders(102.1, placer.nodes.byID[1]) != 0 {
 		t.Error("a bind older than two seconds counts")
 	}
-	p.nodes.byID[1].load.dropOldChanges(102.1) // as the filter does
-	p.requests.unanswered = 12
-	if k := p.selector.contenderLimit(6); k != 4 {
-		t.Errorf("contender limit is %v for 12 pending on 6 nodes, want 4", k)
+	placer.nodes.byID[1].load.dropOldChanges(102.1) // as the filter does
+	placer.requests.unanswered = 12
+	if limit := placer.selector.contenderLimit(6); limit != 4 {
+		t.Errorf("contender limit is %v for 12 pending on 6 nodes, want 4", limit)
 	}
-	if k := p.selector.contenderLimit(60); k != 1 {
-		t.Errorf("contender limit is %v, want at least 1", k)
+	if limit := placer.selector.contenderLimit(60); limit != 1 {
+		t.Errorf("contender limit is %v, want at least 1", limit)
 	}
 }
 
 func TestRedrawsAfterBothNodesReject(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 7, testNodes(6))
-	o := startedAttempt(t, arrive(p, 100.1, newTask(1, 0)))
-	o2 := startedAttempt(t, endAttempt(p, 100.2, o, Rejected, InsufficientCores))
-	if o2.Node == o.Node {
+	placer := newTestPlacer(t, testConfig(), 7, testNodes(6))
+	sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0)))
+	resent := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
+	if resent.Node == sent.Node {
 		t.Fatal("the second attempt went to the node that rejected the first")
 	}
-	acts := endAttempt(p, 100.3, o2, Rejected, InsufficientCores)
-	w := actionsOfKind(acts, SetTimer)
-	if len(actionsOfKind(acts, StartAttempt)) != 0 || len(w) != 1 || w[0].After < 0.5 || w[0].After > 1.5 {
-		t.Fatalf("want a wait of about a second, got %+v", acts)
+	actions := endAttempt(placer, 100.3, resent, Rejected, InsufficientCores)
+	timers := actionsOfKind(actions, SetTimer)
+	if len(actionsOfKind(actions, StartAttempt)) != 0 || len(timers) != 1 || timers[0].After < 0.5 || timers[0].After > 1.5 {
+		t.Fatalf("want a wait of about a second, got %+v", actions)
 	}
-	startedAttempt(t, p.Handle(100.3+w[0].After, Event{Kind: TimerFired, Token: w[0].Token}, nil))
+	startedAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
 }
 
 // A node without the program starts a task several times slower than one that runs the service.
 func TestNodesWithCachedProgramArePreferred(t *testing.T) {
 	hits := 0
-	for s := range 100 {
-		p := newTestPlacer(t, testConfig(), uint64(s), testNodes(4))
-		p.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
-		k := newTask(1, 0)
-		k.Service = 5
-		if startedAttempt(t, arrive(p, 100.1, k)).Node == 2 {
+	for seed := range 100 {
+		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(4))
+		placer.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+		task := newTask(1, 0)
+		task.Service = 5
+		if startedAttempt(t, arrive(placer, 100.1, task)).Node == 2 {
 			hits++
 		}
 	}
 	if hits < 95 {
 		t.Fatalf("the node that runs the service was chosen %d times of 100", hits)
 	}
-	p := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	p.latency.coldStarts[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are quick here
-	if p.latency.coldStartsSlow(0) {
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
+	placer.latency.coldStarts[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are quick here
+	if placer.latency.coldStartsSlow(0) {
 		t.Fatal("quick cold starts count as slow")
 	}
 }
 
 // The tasks of a service arrive in batches: none runs yet when the second arrives. A cached program outlives its tasks.
 func TestAttemptsAndCachedProgramsCountAsWarm(t *testing.T) {
-	p := newTestPlacer(t, testConfig(), 3, testNodes(4))
-	k := newTask(1, 0)
-	o := startedAttempt(t, arrive(p, 100.1, k))
-	k.ID, k.Service = 2, 1
-	o2 := startedAttempt(t, arrive(p, 100.1, k))
-	if o2.Node != o.Node {
-		t.Fatalf("second of a batch went to node %d, the first to %d", o2.Node, o.Node)
-	}
-	for _, x := range []Action{o, o2} {
-		bindAttempt(p, 100.2, x)
-		endAttempt(p, 101, x, Finished, NoReason)
-	}
-	if !p.nodes.byID[o.Node].tasks.hasProgram(1) {
+	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
+	task := newTask(1, 0)
+	sent := startedAttempt(t, arrive(placer, 100.1, task))
+	task.ID, task.Service = 2, 1
+	resent := startedAttempt(t, arrive(placer, 100.1, task))
+	if resent.Node != sent.Node {
+		t.Fatalf("second of a batch went to node %d, the first to %d", resent.Node, sent.Node)
+	}
+	for _, sent := range []Action{sent, resent} {
+		bindAttempt(placer, 100.2, sent)
+		endAttempt(placer, 101, sent, Finished, NoReason)
+	}
+	if !placer.nodes.byID[sent.Node].tasks.hasProgram(1) {
 		t.Fatal("the program was dropped with its last task")
 	}
 }
@@ -125,18 +126,18 @@
 func TestLateTasksRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
-	p := newTestPlacer(t, testConfig(), 1, nodes)
-	wakes := actionsOfKind(arrive(p, 100.1, newTask(1, 0)), SetTimer)
-	w := wakes[len(wakes)-1] // the first is for the deadline
-	early := w.After
+	placer := newTestPlacer(t, testConfig(), 1, nodes)
+	wakes := actionsOfKind(arrive(placer, 100.1, newTask(1, 0)), SetTimer)
+	timer := wakes[len(wakes)-1] // the first is for the deadline
+	early := timer.After
 	now, late := Seconds(100.1), Seconds(0)
 	for now < 103 {
-		now += w.After
-		again := actionsOfKind(p.Handle(now, Event{Kind: TimerFired, Token: w.Token}, nil), SetTimer)
+		now += timer.After
+		again := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
 		if len(again) != 1 {
 			t.Fatalf("at %.2f: %+v", now, again)
 		}
-		w, late = again[0], again[0].After
+		timer, late = again[0], again[0].After
 	}
 	if early > 0.3 || late < 2*early {
 		t.Fatalf("waits of %.2f s in time and %.2f s late", early, late)
@@ -146,15 +147,15 @@
 // Where the tasks of a service arrive at many schedulers, each sees few of them: unless all choose the same nodes, each
 // start is a cold one.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
-	c := testConfig()
-	c.Peers.Total, c.Peers.StickyServices = 300, false
+	config := testConfig()
+	config.Peers.Total, config.Peers.StickyServices = 300, false
 	used := map[NodeID]bool{}
 	for self := range 200 {
-		c.Peers.Self = self
-		p := newTestPlacer(t, c, uint64(self), testNodes(90))
-		k := newTask(self+1, 0)
-		k.Service = 7
-		used[startedAttempt(t, arrive(p, 100.1, k)).Node] = true
+		config.Peers.Self = self
+		placer := newTestPlacer(t, config, uint64(self), testNodes(90))
+		task := newTask(self+1, 0)
+		task.Service = 7
+		used[startedAttempt(t, arrive(placer, 100.1, task)).Node] = true
 	}
 	if len(used) > preferredNodeCount {
 		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(used), preferredNodeCount)
@@ -241,3 +242,29 @@
 		t.Errorf("drew %d before %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
 	}
 }
+
+// The preferred nodes are filtered in the memory of the list of all candidates. Where some of them are saturated and the
+// others have too many contenders, the second draw is from a list in which nodes may be missing and others stand twice.
+// ROADMAP.md lists this as a fault; as a change would alter placements, this pins the nodes that 60 seeds draw.
+func TestSecondDrawSeesListThatThePreferenceReordered(t *testing.T) {
+	const want = "467564566454766576757746647565775465646644674565566656574655"
+	var got strings.Builder
+	for seed := range uint64(len(want)) {
+		config := testConfig()
+		config.Overcommit = Overcommit{Cores: 4, Memory: 4}
+		nodes := testNodes(7)
+		nodes[0].FreeCores = -16 // saturated, with capacity
+		nodes[3].FreeCores, nodes[3].FreeMemory = 1, 1
+		placer := newTestPlacer(t, config, seed, nodes)
+		for i := range 3 { // the nodes 1 to 3 have the program
+			placer.Handle(100, Event{Kind: Adopted, Node: NodeID(i + 1), Task: Task{ID: TaskID(900 + i), Service: 5, Cores: 1, Memory: 1}}, nil)
+		}
+		placer.nodes.byID[2].tasks.unanswered, placer.nodes.byID[3].tasks.unanswered = 50, 50
+		task := newTask(1, 0)
+		task.Service = 5
+		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, task)).Node))
+	}
+	if got.String() != want {
+		t.Errorf("nodes by seed\n got %s\nwant %s", got.String(), want)
+	}
+}
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -10,34 +10,34 @@
 func TestWarmingNodeGetsOnlyOwnShareOfAttempts(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].StartedAt = 98
-	p := newTestPlacer(t, testConfig(), 1, nodes)
-	if acts := arrive(p, 100.1, newTask(1, 0)); len(actionsOfKind(acts, StartAttempt)) != 0 {
+	placer := newTestPlacer(t, testConfig(), 1, nodes)
+	if actions := arrive(placer, 100.1, newTask(1, 0)); len(actionsOfKind(actions, StartAttempt)) != 0 {
 		t.Fatal("a scheduler that has just started does not know its earlier attempts, yet made one")
 	}
-	n := 0
+	count := 0
 	for i := range 20 {
-		k := newTask(i+10, 0)
-		k.Deadline = 109
-		n += len(actionsOfKind(arrive(p, 103+Seconds(i)/20, k), StartAttempt))
+		task := newTask(i+10, 0)
+		task.Deadline = 109
+		count += len(actionsOfKind(arrive(placer, 103+Seconds(i)/20, task), StartAttempt))
 	}
-	if n != 4 { // 8 for two peers
-		t.Fatalf("%d attempts in an overload window, want this scheduler's share of 4", n)
+	if count != 4 { // 8 for two peers
+		t.Fatalf("%d attempts in an overload window, want this scheduler's share of 4", count)
 	}
 }
 
 func TestPeersShareFewerWarmupAttemptsThanPeers(t *testing.T) {
-	c := testConfig()
-	c.Peers.Total = 20
+	config := testConfig()
+	config.Peers.Total = 20
 	sent := 0
-	for self := range c.Peers.Total {
-		c.Peers.Self = self
+	for self := range config.Peers.Total {
+		config.Peers.Self = self
 		nodes := testNodes(1)
 		nodes[0].StartedAt = 98
-		p := newTestPlacer(t, c, uint64(self), nodes)
+		placer := newTestPlacer(t, config, uint64(self), nodes)
 		for i := range 20 {
-			k := newTask(i+1, 0)
-			k.Deadline = 109
-			sent += len(actionsOfKind(arrive(p, 103+Seconds(i)/10, k), StartAttempt))
+			task := newTask(i+1, 0)
+			task.Deadline = 109
+			sent += len(actionsOfKind(arrive(placer, 103+Seconds(i)/10, task), StartAttempt))
 		}
 	}
 	if sent == 0 || sent > 8 {
@@ -48,54 +48,56 @@
 // A warming node must withstand the attempts of all schedulers: hundreds of them, with most nodes warming up at once,
 // uneven traffic, rejected attempts, and schedulers that restart.
 func TestAllSchedulersRespectWarmupAttempts(t *testing.T) {
-	c := testConfig()
-	c.Peers.Total, c.SlowStart.MaxAttempts, c.SlowStart.Duration, c.Peers.StickyServices, c.Overcommit.Cores, c.Overcommit.Memory = 300, 7, 20, false, 9, 9
+	config := testConfig()
+	config.Peers = Peers{Total: 300}
+	config.SlowStart.MaxAttempts, config.SlowStart.Duration = 7, 20
+	config.Overcommit = Overcommit{Cores: 9, Memory: 9}
 	nodes := testNodes(30)
 	for i := range nodes {
 		if i%3 > 0 {
 			nodes[i].StartedAt = 99
 		}
 	}
-	r := rand.New(rand.NewPCG(4, 4))
+	random := rand.New(rand.NewPCG(4, 4))
 	sent, most, warming := map[NodeID][]Seconds{}, 0, 0
-	peers := make([]*Placer, c.Peers.Total)
+	peers := make([]*Placer, config.Peers.Total)
 	for now, id := Seconds(100), 0; now < 112; now += 0.05 {
 		for self := range peers {
-			if peers[self] == nil || r.IntN(2000) == 0 {
-				c.Peers.Self = self
-				p, err := New(c, uint64(self+id))
+			if peers[self] == nil || random.IntN(2000) == 0 {
+				config.Peers.Self = self
+				placer, err := New(config, uint64(self+id))
 				if err != nil {
 					t.Fatal(err)
 				}
-				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
-				peers[self] = p
+				placer.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
+				peers[self] = placer
 			}
-			if r.IntN(1+self/20) > 0 {
+			if random.IntN(1+self/20) > 0 {
 				continue
 			}
 			id++
-			k := newTask(id, 0)
-			k.Deadline = now + 1.1
-			acts := arrive(peers[self], now, k)
-			for o := actionsOfKind(acts, StartAttempt); len(o) > 0; o = actionsOfKind(acts, StartAttempt) {
-				n := o[0].Node
-				if nodes[n-1].StartedAt > 0 {
+			task := newTask(id, 0)
+			task.Deadline = now + 1.1
+			actions := arrive(peers[self], now, task)
+			for attempts := actionsOfKind(actions, StartAttempt); len(attempts) > 0; attempts = actionsOfKind(actions, StartAttempt) {
+				id := attempts[0].Node
+				if nodes[id-1].StartedAt > 0 {
 					warming++
-					list := append(sent[n], now)
-					for now-list[0] > c.SlowStart.OverloadWindow {
-						list = list[1:]
+					recent := append(sent[id], now)
+					for now-recent[0] > config.SlowStart.OverloadWindow {
+						recent = recent[1:]
 					}
-					sent[n] = list
-					most = max(most, len(list))
+					sent[id] = recent
+					most = max(most, len(recent))
 				}
-				acts = endAttempt(peers[self], now, o[0], Rejected, []Reason{InsufficientCores, QueueFull}[r.IntN(2)])
+				actions = endAttempt(peers[self], now, attempts[0], Rejected, []Reason{InsufficientCores, QueueFull}[random.IntN(2)])
 			}
 		}
 	}
-	if float64(most) > c.SlowStart.MaxAttempts {
-		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, c.SlowStart.MaxAttempts)
+	if float64(most) > config.SlowStart.MaxAttempts {
+		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, config.SlowStart.MaxAttempts)
 	}
-	if least := 20 * 12 / float64(c.SlowStart.OverloadWindow) * c.SlowStart.MaxAttempts / 4; float64(warming) < least {
+	if least := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(warming) < least {
 		t.Errorf("%d attempts on warming nodes in all, want at least %v: the allowance is not used", warming, least)
 	}
 }
@@ -106,22 +108,24 @@
 func TestThirtySchedulersOverOneWarmingNode(t *testing.T) {
 	for _, always := range []float64{4, 12, 42, 100} {
 		for _, dials := range []bool{false, true} {
-			c := testConfig()
-			c.Peers.Total, c.SlowStart.MaxAttempts, c.SlowStart.Duration, c.SlowStart.OverloadWindow, c.Peers.StickyServices, c.Overcommit.Cores, c.Overcommit.Memory = 30, always, 30, 1, false, 99, 99
+			config := testConfig()
+			config.Peers = Peers{Total: 30}
+			config.SlowStart.MaxAttempts, config.SlowStart.Duration, config.SlowStart.OverloadWindow = always, 30, 1
+			config.Overcommit = Overcommit{Cores: 99, Memory: 99}
 			nodes := testNodes(1)
 			nodes[0].StartedAt = 99
-			r := rand.New(rand.NewPCG(7, 7))
+			random := rand.New(rand.NewPCG(7, 7))
 			var arrivals []Seconds
-			peers := make([]*Placer, c.Peers.Total)
-			connected := make([]Seconds, c.Peers.Total) // when the connection of each was established
+			peers := make([]*Placer, config.Peers.Total)
+			connected := make([]Seconds, config.Peers.Total) // when the connection of each was established
 			fresh := func(now Seconds, self, life int) {
-				c.Peers.Self = self
-				p, err := New(c, uint64(self+100*life))
+				config.Peers.Self = self
+				placer, err := New(config, uint64(self+100*life))
 				if err != nil {
 					t.Fatal(err)
 				}
-				p.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
-				peers[self], connected[self] = p, 0
+				placer.Handle(now, Event{Kind: NodesListed, List: CachedList, Nodes: nodes}, nil)
+				peers[self], connected[self] = placer, 0
 			}
 			for self := range peers {
 				fresh(99, self, 1) // before the node has started
@@ -130,31 +134,31 @@
 			for step := range 800 {
 				now := 100 + Seconds(step)/50
 				if step == 300 {
-					for self := 0; self < c.Peers.Total; self += 2 {
+					for self := 0; self < config.Peers.Total; self += 2 {
 						fresh(now, self, 2)
 					}
 				}
-				for self, p := range peers {
-					if self >= 2 && r.IntN(28) > 1 {
+				for self, placer := range peers {
+					if self >= 2 && random.IntN(28) > 1 {
 						continue
 					}
 					id++
-					k := newTask(id, 0)
-					k.Deadline = now + 1.1
-					for _, o := range actionsOfKind(arrive(p, now, k), StartAttempt) {
+					task := newTask(id, 0)
+					task.Deadline = now + 1.1
+					for _, sent := range actionsOfKind(arrive(placer, now, task), StartAttempt) {
 						if dials && connected[self] == 0 {
-							connected[self] = now + Seconds(r.Float64())*c.Attempts.ConnectTimeout
+							connected[self] = now + Seconds(random.Float64())*config.Attempts.ConnectTimeout
 						}
 						at := max(now, connected[self])
 						arrivals = append(arrivals, at)
-						p.Handle(at, Event{Kind: Bound, TaskID: o.Task, Attempt: o.Attempt, Node: o.Node, Elapsed: at - now}, nil)
+						placer.Handle(at, Event{Kind: Bound, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Elapsed: at - now}, nil)
 					}
 				}
 			}
 			slices.Sort(arrivals)
 			most, first := 0, 0
 			for i, at := range arrivals {
-				for at-arrivals[first] > c.SlowStart.OverloadWindow {
+				for at-arrivals[first] > config.SlowStart.OverloadWindow {
 					first++
 				}
 				most = max(most, i-first+1)
