--- a/internal/testsupport/structure/groups_test.go
+++ b/internal/testsupport/structure/groups_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"os"
+	"path"
 	"regexp"
 	"slices"
 	"strings"
@@ -47,16 +48,48 @@
 	}
 }
 
+// TestLayersNameEveryPackage compares the packages with the table that says what each is for.
+func TestLayersNameEveryPackage(t *testing.T) {
+	page, err := os.ReadFile(architecturePage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, finding := range packagesNotNamed(string(page), load(t)) {
+		t.Error(finding)
+	}
+}
+
+func TestPackageNotNamedIsFound(t *testing.T) {
+	source := &module{packages: []*sourcePackage{{path: "heathshed/placer"}, {path: "heathshed/internal/control/retry"}}}
+	page := "# Page\n\n`retry`\n\n## Layers\n\n| `placer` | decides |\n\n## Other\n\n`retry`\n"
+	want := []string{"package internal/control/retry is not named in the section Layers"}
+	if got := packagesNotNamed(page, source); !slices.Equal(got, want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
+
+func packagesNotNamed(page string, source *module) []string {
+	_, layers, _ := strings.Cut(page, "\n## Layers\n")
+	layers, _, _ = strings.Cut(layers, "\n## ")
+	var findings []string
+	for _, pkg := range source.packages {
+		if !strings.Contains(layers, "`"+path.Base(pkg.path)+"`") {
+			findings = append(findings, "package "+strings.TrimPrefix(pkg.path, modulePath+"/")+" is not named in the section Layers")
+		}
+	}
+	return findings
+}
+
 func TestGroupOf(t *testing.T) {
-	for path, want := range map[string]string{
+	for packagePath, want := range map[string]string{
 		"heathshed/placer":                      "placer",
 		"heathshed/cmd/heathshed":               "cmd",
 		"heathshed/internal/config":             "config",
 		"heathshed/internal/kube/engine":        "kube",
 		"heathshed/internal/lab/emulator/fault": "lab",
 	} {
-		if got := groupOf(path); got != want {
-			t.Errorf("%s: got %s, want %s", path, got, want)
+		if got := groupOf(packagePath); got != want {
+			t.Errorf("%s: got %s, want %s", packagePath, got, want)
 		}
 	}
 }
@@ -124,8 +157,8 @@
 }
 
 // groupOf returns the group of a package of the module: its first folder, or the one below internal.
-func groupOf(path string) string {
-	folders := strings.Split(strings.TrimPrefix(path, modulePath+"/"), "/")
+func groupOf(packagePath string) string {
+	folders := strings.Split(strings.TrimPrefix(packagePath, modulePath+"/"), "/")
 	if folders[0] == "internal" && len(folders) > 1 {
 		return folders[1]
 	}
@@ -138,8 +171,8 @@
 	for _, pkg := range source.packages {
 		from := groupOf(pkg.path)
 		graph.groups[from] = true
-		for _, path := range pkg.imports {
-			if to := groupOf(path); strings.HasPrefix(path, modulePath+"/") && to != from {
+		for _, imported := range pkg.imports {
+			if to := groupOf(imported); strings.HasPrefix(imported, modulePath+"/") && to != from {
 				graph.add(groupImport{from, to})
 			}
 		}
