--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -5,7 +5,7 @@
 // TestSelectClient: which connection gets a notification whose own connection is closed, and which one is the only one left.
 func TestSelectClient(t *testing.T) {
 	unidentified := clientConn{}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name      string
 		conns     []clientConn // their IDs are 1, 2, ...
 		preferred ConnID
@@ -17,26 +17,26 @@
 		{"the preferred one, though unidentified", []clientConn{unidentified, {lastValidAt: 5}}, 1, 1, 2},
 		{"the one identified", []clientConn{unidentified, {lastValidAt: 5}, unidentified}, 9, 2, 2},
 		{"the last that had a task placed", []clientConn{{lastValidAt: 5, lastPlacedAt: 4}, {lastValidAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
-		{"then the last that was heard", []clientConn{{lastValidAt: 6, lastPlacedAt: 3}, {lastValidAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
+		{"then the last that sent a valid message", []clientConn{{lastValidAt: 6, lastPlacedAt: 3}, {lastValidAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
 		{"then the newest", []clientConn{{lastValidAt: 6}, {lastValidAt: 6}}, 9, 2, 0},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			registry := newClientRegistry(&environment{})
-			for i := range tc.conns {
-				tc.conns[i].id = ConnID(i + 1)
-				registry.conns[ConnID(i+1)] = &tc.conns[i]
+			for i := range test.conns {
+				test.conns[i].id = ConnID(i + 1)
+				registry.conns[ConnID(i+1)] = &test.conns[i]
 			}
 
 			var selected ConnID
-			if conn := registry.selectFor(tc.preferred); conn != nil {
+			if conn := registry.selectFor(test.preferred); conn != nil {
 				selected = conn.id
 			}
 
-			if selected != tc.want {
-				t.Errorf("selected %d, want %d", selected, tc.want)
+			if selected != test.want {
+				t.Errorf("selected %d, want %d", selected, test.want)
 			}
-			for id := ConnID(0); id <= ConnID(len(tc.conns)); id++ {
-				if only := registry.onlyIdentified(id); only != (id == tc.only && id != 0) {
+			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
+				if only := registry.onlyIdentified(id); only != (id == test.only && id != 0) {
 					t.Errorf("connection %d is the only one identified: %v", id, only)
 				}
 			}
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -11,7 +11,7 @@
 // TestInvariants plants one contradiction at a time in a core with an open request, a running task and an early termination, and requires that
 // CheckInvariants names it.
 func TestInvariants(t *testing.T) {
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name, want string
 		plant      func(core *Core, open, running *request)
 	}{
@@ -40,7 +40,7 @@
 				node.running[running.lastAttempt()] = struct{}{}
 			}
 		}},
-		{"node under another ID", "stands under", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.getByUID("s-00000003") }},
+		{"node under another ID", "stands under", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
 		{"early termination out of order", "0 records, 1 in order", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
@@ -49,17 +49,17 @@
 			core.nodeMessages.earlyTerminations.record(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			harness, _, sent := sentAttempt(t, "seats")
-			adopted := harness.launch(harness.lastConn, "seats", 1000, ";at:s-00000002")
+			adopted := harness.launch(harness.lastConn, "seats", 1000, adoptedFrom(2))
 			end := newMessage(protocol.Stop, 77, protocol.CauseEnd)
 			harness.core.ReceiveFromNode(harness.now, placer.NodeID(5), &end)
 			harness.requireInvariants()
 
-			tc.plant(harness.core, sent.request, harness.core.requests.getByID(adopted))
+			test.plant(harness.core, sent.request, harness.core.requests.getByID(adopted))
 
-			if err := harness.core.CheckInvariants(); err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("error %v, want %q in it", err, tc.want)
+			if err := harness.core.CheckInvariants(); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want %q in it", err, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -10,41 +10,39 @@
 // TestUnresponsiveNode: a running task of an unresponsive node is over for its client at once, and for the placer once the node confirms that, or
 // after notificationRetention.
 func TestUnresponsiveNode(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for _, test := range []struct {
+		name   string
 		cause  int
 		result placer.Result
 	}{
-		"confirms":                  {protocol.CauseCancelled, placer.Cancelled},
-		"reports that it had ended": {protocol.CauseEnd, placer.Finished},
-		"stays unresponsive":        {noCause, placer.Cancelled},
+		{"confirms", protocol.CauseCancelled, placer.Cancelled},
+		{"reports that it had ended", protocol.CauseEnd, placer.Finished},
+		{"stays unresponsive", noCause, placer.Cancelled},
 	} {
-		t.Run(name, func(t *testing.T) {
-			h, policy, attempt := sentAttempt(t, "seats")
-			accept(h, attempt)
-			record := h.records[attempt.Message.ID]
-			events := len(policy.events)
-			if n := h.core.NodeUnresponsive(h.now, attempt.Node); n != 1 {
-				t.Fatalf("%d tasks", n)
-			}
-			stopped := false
-			out := h.core.Ready()
-			for _, e := range out {
-				stopped = stopped || e.Kind == SendToNode && e.Message.Kind == protocol.Stop
+		t.Run(test.name, func(t *testing.T) {
+			harness, policy, attempt := runningAttempt(t, "seats")
+			record := harness.records[attempt.Message.ID]
+			eventsBefore := len(policy.events)
+
+			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 1 {
+				t.Fatalf("%d tasks", tasks)
 			}
-			h.core.effects = out
-			h.carryOutEffects()
-			if record.notifications != 1 || !stopped || len(policy.events) != events || h.core.RunningTasks() != 1 {
-				t.Errorf("%+v, node told to stop %v, %d events, %d running", record, stopped, len(policy.events)-events, h.core.RunningTasks())
+			stopped := stopsNode(harness.carryOutEffects())
+			events, running := len(policy.events)-eventsBefore, harness.core.RunningTasks()
+			if record.notifications != 1 || !stopped || events != 0 || running != 1 {
+				t.Errorf("%+v, node asked to stop %v, %d events, %d running", record, stopped, events, running)
 			}
-			if n := h.core.NodeUnresponsive(h.now, attempt.Node); n != 0 {
-				t.Errorf("%d tasks at the second time", n)
+			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 0 {
+				t.Errorf("%d tasks at the second time", tasks)
 			}
-			if tc.cause >= 0 {
-				h.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, tc.cause))
+
+			if test.cause >= 0 {
+				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, test.cause))
 			} else {
-				h.advance(notificationRetention + 0.01)
+				harness.advance(notificationRetention + 0.01)
 			}
-			if record.notifications != 1 || policy.last().Kind != placer.Ended || policy.last().Result != tc.result || h.core.RunningTasks() != 0 {
+			ended := policy.last().Kind == placer.Ended && policy.last().Result == test.result
+			if record.notifications != 1 || !ended || harness.core.RunningTasks() != 0 {
 				t.Errorf("%+v, last event %+v", record, policy.last())
 			}
 		})
@@ -59,15 +57,16 @@
 		"a new start": discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, policy, attempt := sentAttempt(t, "query")
-			accept(h, attempt)
-			record := h.records[attempt.Message.ID]
-			h.now += 3
-			if _, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(event)); err != nil {
+			harness, policy, attempt := runningAttempt(t, "query")
+			record := harness.records[attempt.Message.ID]
+			harness.now += 3
+
+			if _, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(event)); err != nil {
 				t.Fatal(err)
 			}
-			h.carryOutEffects()
-			h.advance(TerminationGrace + 0.01)
+			harness.carryOutEffects()
+			harness.advance(TerminationGrace + 0.01)
+
 			if record.notifications != 1 || policy.last().Result != placer.Lost {
 				t.Errorf("%+v, last event %+v", record, policy.last())
 			}
@@ -77,8 +76,8 @@
 
 // TestDiscoveryEvents delivers events one after another to the same core.
 func TestDiscoveryEvents(t *testing.T) {
-	h := newHarness(t, nil)
-	for _, tc := range []struct {
+	harness := newHarness(t, nil)
+	for _, test := range []struct {
 		name, event string
 		ok, invalid bool
 		last        uint64
@@ -91,25 +90,25 @@
 		{"another kind", `{"no":3,"other":{}}`, true, false, 3},
 		{"the next after it", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
-		ok, err := h.core.ReceiveDiscoveryEvent(h.now, []byte(tc.event))
-		if last := h.core.LastDiscoveryEvent(); ok != tc.ok || (err != nil) != tc.invalid || last != tc.last {
-			t.Errorf("%s: ok %v, error %v, last event %d", tc.name, ok, err, last)
+		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
+		if last := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || last != test.last {
+			t.Errorf("%s: ok %v, error %v, last event %d", test.name, ok, err, last)
 		}
 	}
-	if node := h.core.Node(NodeIDOf("s-00000004")); node.State != placer.Draining {
+	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
 		t.Errorf("state %d", node.State)
 	}
 }
 
 // TestNodeIDCollision: two nodes whose UIDs have the same hash get different IDs, and each keeps its own.
 func TestNodeIDCollision(t *testing.T) {
-	h := newHarness(t, nil)
-	id := NodeIDOf("s-00000004")
-	h.core.nodes.nodes[id] = &Node{ID: id, UID: "another"}
+	harness := newHarness(t, nil)
+	id := nodeID(4)
+	harness.core.nodes.nodes[id] = &Node{ID: id, UID: "another"}
 	for range 2 {
-		h.deliver(false, nodeJSON(4, "in_service", 0))
-		node := h.core.Node(id + 1)
-		if node == nil || node.UID != "s-00000004" || h.core.Node(id).UID != "another" {
+		harness.deliver(false, nodeJSON(4, "in_service", 0))
+		node := harness.core.Node(id + 1)
+		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
 			t.Fatalf("node %+v", node)
 		}
 	}
@@ -119,8 +118,10 @@
 func TestTaskOfRemovedNode(t *testing.T) {
 	registry := newNodeRegistry(&environment{})
 	attempt := &Attempt{Node: 7}
+
 	registry.taskStarted(attempt)
 	registry.taskEnded(attempt)
+
 	if registry.runningTasks() != 0 || len(registry.nodes) != 0 || registry.timers.Len() != 0 {
 		t.Errorf("%d tasks, %d nodes, %d timers", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
 	}
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -1,50 +1,48 @@
 package dispatch
 
 import (
+	"slices"
 	"testing"
 
 	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
-// TestNotificationFindsAClient: a notification goes out on its request's connection, else on the first one that sends a valid message, once.
-func TestNotificationFindsAClient(t *testing.T) {
-	notifiedOn := func(h *harness) (conns []ConnID) {
-		for _, e := range h.core.Ready() {
-			if e.Kind == SendToClient && e.Message.Kind == protocol.Stop {
-				conns = append(conns, e.Conn)
-			}
+// notifiedOn returns the connections on which ends of tasks were notified since the last call.
+func notifiedOn(harness *coreHarness) (conns []ConnID) {
+	for _, effect := range messagesToClients(harness.core.Ready()) {
+		if effect.Message.Kind == protocol.Stop {
+			conns = append(conns, effect.Conn)
 		}
-		return conns
 	}
-	finish := func(h *harness, attempt *Attempt) {
-		msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd)
-		h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
-	}
-	h, _, attempt := sentAttempt(t, "seats")
-	accept(h, attempt)
-	h.connect()
-	finish(h, attempt)
-	if got := notifiedOn(h); len(got) != 1 || got[0] != 1 {
+	return conns
+}
+
+// TestNotificationFindsAClient: a notification goes out on its request's connection, else on the first one that sends a valid message, once.
+func TestNotificationFindsAClient(t *testing.T) {
+	harness, _, attempt := runningAttempt(t, "seats")
+	harness.connect()
+	harness.finish(attempt)
+	if got := notifiedOn(harness); !slices.Equal(got, []ConnID{1}) {
 		t.Fatalf("the request's connection is open, notified on %v", got)
 	}
-	h, _, attempt = sentAttempt(t, "seats")
-	accept(h, attempt)
-	unidentified := h.connect() // sends nothing
-	h.core.ClientDisconnected(h.now, 1)
-	finish(h, attempt)
-	if got := notifiedOn(h); len(got) != 0 || h.core.Counts.PendingNotifications != 1 {
+
+	harness, _, attempt = runningAttempt(t, "seats")
+	unidentified := harness.connect() // sends nothing
+	harness.core.ClientDisconnected(harness.now, 1)
+	harness.finish(attempt)
+	if got := notifiedOn(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
 		t.Fatalf("notified on %v, connection %d is unidentified", got, unidentified)
 	}
-	next := h.connect()
-	msg := newMessage(protocol.Check, 77, 0)
-	if err := h.core.ReceiveFromClient(h.now+7, next, &msg); err != nil {
-		t.Fatal(err)
-	}
-	if got := notifiedOn(h); len(got) != 1 || got[0] != next {
+
+	next := harness.connect()
+	harness.now += 7
+	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
+	if got := notifiedOn(harness); !slices.Equal(got, []ConnID{next}) {
 		t.Fatalf("notified on %v", got)
 	}
-	if err := h.core.ReceiveFromClient(h.now+7, next, &msg); err != nil || len(notifiedOn(h)) != 0 {
+	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
+	if len(notifiedOn(harness)) != 0 {
 		t.Fatal("notified twice")
 	}
 }
@@ -52,64 +50,62 @@
 // TestRedeliveryAfterDisconnect: a notification that is sent while its client closes the connection is sent again. One that was acknowledged, or
 // that was sent long before to a client that does not acknowledge notifications, is not.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for _, test := range []struct {
+		name                                             string
 		acknowledges, acknowledged, migration, otherOpen bool
 		after                                            placer.Seconds
 		want                                             int
 	}{
-		"at once":                                {after: 0.01, want: 1},
-		"at once, another is open":               {after: 0.01, want: 1, otherOpen: true},
-		"long ago":                               {after: 1.5, want: 0},
-		"long ago, from one that acknowledges":   {acknowledges: true, after: 1.5, want: 1},
-		"acknowledged":                           {acknowledges: true, acknowledged: true, after: 0.01, want: 0},
-		"a migration":                            {migration: true, after: 0.01, want: 1},
-		"a migration long ago":                   {acknowledges: true, migration: true, after: 1.5, want: 0},
-		"longer ago than notifications are kept": {acknowledges: true, after: 9, want: 0},
+		{name: "at once", after: 0.01, want: 1},
+		{name: "at once, another is open", after: 0.01, want: 1, otherOpen: true},
+		{name: "long ago", after: 1.5, want: 0},
+		{name: "long ago, from one that acknowledges", acknowledges: true, after: 1.5, want: 1},
+		{name: "acknowledged", acknowledges: true, acknowledged: true, after: 0.01, want: 0},
+		{name: "a migration", migration: true, after: 0.01, want: 1},
+		{name: "a migration long ago", acknowledges: true, migration: true, after: 1.5, want: 0},
+		{name: "longer ago than notifications are kept", acknowledges: true, after: 9, want: 0},
 	} {
-		t.Run(name, func(t *testing.T) {
-			h, _, attempt := sentAttempt(t, "seats")
-			accept(h, attempt)
-			send := func(conn ConnID, msg protocol.Message) {
-				if err := h.core.ReceiveFromClient(h.now, conn, &msg); err != nil {
-					t.Fatal(err)
-				}
+		t.Run(test.name, func(t *testing.T) {
+			harness, _, attempt := runningAttempt(t, "seats")
+			id := attempt.Message.ID
+			identify := func(conn ConnID) { harness.receiveFromClient(conn, newMessage(protocol.Check, 77, 0)) }
+			if test.acknowledges {
+				harness.receiveFromClient(1, newMessage(protocol.Stopped, 99, noCause))
 			}
-			if tc.acknowledges {
-				send(1, newMessage(protocol.Stopped, 99, -1))
+			cause := protocol.CauseEnd
+			if test.migration {
+				harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+				cause = protocol.CauseCancelled
 			}
-			if tc.migration {
-				h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
-				msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseCancelled)
-				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
-			} else {
-				msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd)
-				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
+			end := newMessage(protocol.Stop, id, cause)
+			harness.core.ReceiveFromNode(harness.now, attempt.Node, &end)
+			if test.acknowledged {
+				harness.receiveFromClient(1, newMessage(protocol.Stopped, id, noCause))
 			}
-			if tc.acknowledged {
-				send(1, newMessage(protocol.Stopped, attempt.Message.ID, -1))
-			}
-			h.core.Ready()
-			h.core.Advance(h.now + tc.after)
-			h.now += tc.after
+			harness.core.Ready()
+			harness.now += test.after
+			harness.core.Advance(harness.now)
+
 			other := ConnID(0)
-			if tc.otherOpen {
-				other = h.connect()
-				send(other, newMessage(protocol.Check, 77, 0))
-				h.core.Ready()
+			if test.otherOpen {
+				other = harness.connect()
+				identify(other)
+				harness.core.Ready()
 			}
-			h.core.ClientDisconnected(h.now, 1)
-			if !tc.otherOpen {
-				other = h.connect()
-				send(other, newMessage(protocol.Check, 77, 0))
+			harness.core.ClientDisconnected(harness.now, 1)
+			if !test.otherOpen {
+				other = harness.connect()
+				identify(other)
 			}
+
 			got := 0
-			for _, e := range h.core.Ready() {
-				if e.Kind == SendToClient && e.Message.Kind == protocol.Stop && e.Message.ID == attempt.Message.ID && e.Conn == other {
+			for _, effect := range messagesToClients(harness.core.Ready()) {
+				if effect.Message.Kind == protocol.Stop && effect.Message.ID == id && effect.Conn == other {
 					got++
 				}
 			}
-			if got != tc.want {
-				t.Errorf("notified %d times, want %d", got, tc.want)
+			if got != test.want {
+				t.Errorf("notified %d times, want %d", got, test.want)
 			}
 		})
 	}
@@ -118,33 +114,34 @@
 // TestMigrationCrossesTermination: the client of a migrating task is notified of its end too, unless the node confirms that it stopped the task
 // for the migration.
 func TestMigrationCrossesTermination(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for _, test := range []struct {
+		name        string
 		cause, want int
 	}{
-		"confirmed":       {protocol.CauseCancelled, noCause},
-		"ended by itself": {protocol.CauseEnd, protocol.CauseEnd},
-		"no message":      {noCause, protocol.CauseCancelled},
+		{"confirmed", protocol.CauseCancelled, noCause},
+		{"ended by itself", protocol.CauseEnd, protocol.CauseEnd},
+		{"no message", noCause, protocol.CauseCancelled},
 	} {
-		t.Run(name, func(t *testing.T) {
-			h, _, attempt := sentAttempt(t, "seats")
-			accept(h, attempt)
-			h.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
-			if out := h.core.Ready(); len(out) != 2 || out[0].Message.Kind != protocol.Migrate || out[1].Kind != SendToNode {
-				t.Fatalf("effects %+v", out)
+		t.Run(test.name, func(t *testing.T) {
+			harness, _, attempt := runningAttempt(t, "seats")
+			harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+			effects := harness.core.Ready()
+			if len(effects) != 2 || effects[0].Message.Kind != protocol.Migrate || effects[1].Kind != SendToNode {
+				t.Fatalf("effects %+v", effects)
 			}
-			if tc.cause >= 0 {
-				msg := newMessage(protocol.Stop, attempt.Message.ID, tc.cause)
-				h.core.ReceiveFromNode(h.now, attempt.Node, &msg)
+
+			if test.cause >= 0 {
+				end := newMessage(protocol.Stop, attempt.Message.ID, test.cause)
+				harness.core.ReceiveFromNode(harness.now, attempt.Node, &end)
 			}
-			h.core.Advance(h.now + 1)
+			harness.core.Advance(harness.now + 1)
+
 			got := noCause
-			for _, e := range h.core.Ready() {
-				if e.Kind == SendToClient {
-					got = e.Message.Cause
-				}
+			for _, effect := range messagesToClients(harness.core.Ready()) {
+				got = effect.Message.Cause
 			}
-			if got != tc.want {
-				t.Errorf("client notified with cause %d, want %d", got, tc.want)
+			if got != test.want {
+				t.Errorf("client notified with cause %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -6,44 +6,47 @@
 	"testing"
 )
 
-// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
-func TestRequestTransitions(t *testing.T) {
-	if len(requestTransitions) != int(requestTerminated)+1 {
-		t.Fatalf("transitions for %d states", len(requestTransitions))
+// requireTransitions checks a table of transitions for each pair of states up to the last: a legal transition is one that may be legal, and a
+// transition happens in any case but is counted if it is illegal.
+func requireTransitions[State ~uint8](
+	t *testing.T, table [][]State, last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
+) {
+	t.Helper()
+	if len(table) != int(last)+1 {
+		t.Fatalf("transitions for %d states, want %d", len(table), last+1)
 	}
-	for from := requestOpen; from <= requestTerminated; from++ {
-		for to := requestOpen; to <= requestTerminated; to++ {
-			legal := slices.Contains(requestTransitions[from], to)
-			if legal && from.closed() && !to.closed() {
-				t.Errorf("state %v is closed and leads to %v", from, to)
+	for from := State(0); from <= last; from++ {
+		for to := State(0); to <= last; to++ {
+			legal := slices.Contains(table[from], to)
+			if legal && !mayBeLegal(from, to) {
+				t.Errorf("state %v leads to %v", from, to)
 			}
-			table, req := &requestTable{}, &request{state: from}
-			table.transition(req, to)
-			if counted := table.illegalTransitions == 1; req.state != to || counted == legal {
-				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, req.state, counted)
+			after, illegal := transition(from, to)
+			if counted := illegal == 1; after != to || counted == legal {
+				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, after, counted)
 			}
 		}
 	}
 }
 
+// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
+func TestRequestTransitions(t *testing.T) {
+	staysClosed := func(from, to requestState) bool { return !from.closed() || to.closed() }
+	requireTransitions(t, requestTransitions[:], requestTerminated, staysClosed, func(from, to requestState) (requestState, int) {
+		table, req := &requestTable{}, &request{state: from}
+		table.transition(req, to)
+		return req.state, table.illegalTransitions
+	})
+}
+
 // TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
 func TestAttemptTransitions(t *testing.T) {
-	if len(attemptTransitions) != int(attemptTerminated)+1 {
-		t.Fatalf("transitions for %d states", len(attemptTransitions))
-	}
-	for from := attemptPending; from <= attemptTerminated; from++ {
-		for to := attemptPending; to <= attemptTerminated; to++ {
-			legal := slices.Contains(attemptTransitions[from], to)
-			if legal && to <= from {
-				t.Errorf("state %v leads back to %v", from, to)
-			}
-			table, attempt := &attemptTable{}, &Attempt{state: from}
-			table.transition(attempt, to)
-			if counted := table.illegalTransitions == 1; attempt.state != to || counted == legal {
-				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, attempt.state, counted)
-			}
-		}
-	}
+	goesOn := func(from, to attemptState) bool { return to > from }
+	requireTransitions(t, attemptTransitions[:], attemptTerminated, goesOn, func(from, to attemptState) (attemptState, int) {
+		table, attempt := &attemptTable{}, &Attempt{state: from}
+		table.transition(attempt, to)
+		return attempt.state, table.illegalTransitions
+	})
 }
 
 // TestStateNames: each state has a name of its own, and a number that is no state is shown as such.
