--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -110,7 +110,7 @@
 		MaxInFlight:  c.MaxInFlight,
 		Start:        c.InitialInFlight,
 		Decrease:     c.DecreaseFactor,
-		Window:       c.DecreaseInterval,
+		Window:       float64(c.DecreaseInterval),
 		LateFraction: c.LateFraction,
 		MaxWaiting:   c.MaxQueued,
 		RetryRatio:   c.RetryRatio,
@@ -124,10 +124,10 @@
 
 func newRetryJSON(p *retry.Policy) retryJSON {
 	return retryJSON{
-		Delay:                 p.Delay,
-		ShortDelay:            p.ShortDelay,
+		Delay:                 float64(p.Delay),
+		ShortDelay:            float64(p.ShortDelay),
 		Multiplier:            p.Multiplier,
-		MaxDelay:              p.MaxDelay,
-		UnknownOutcomeTimeout: p.UnknownOutcomeTimeout,
+		MaxDelay:              float64(p.MaxDelay),
+		UnknownOutcomeTimeout: float64(p.UnknownOutcomeTimeout),
 	}
 }
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -115,8 +115,8 @@
 	r.Bytes(lifetimes)
 	engineConfig := s.Engine(7, 11)
 	controller, retryPolicy, policy := engineConfig.Admission, engineConfig.Retry, engineConfig.Placer
-	r.Floats(controller.MinInFlight, controller.MaxInFlight, controller.InitialInFlight, controller.DecreaseFactor, controller.DecreaseInterval, controller.LateFraction, controller.RetryRatio, controller.RetryRate, controller.RetryBurst,
-		retryPolicy.Delay, retryPolicy.ShortDelay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.UnknownOutcomeTimeout, engineConfig.FinishedTTL, engineConfig.NodeLossTimeout, policy.Overcommit.Cores, policy.Overcommit.Memory, float64(policy.Attempts.ConnectTimeout), float64(policy.Attempts.AnswerGrace),
+	r.Floats(controller.MinInFlight, controller.MaxInFlight, controller.InitialInFlight, controller.DecreaseFactor, float64(controller.DecreaseInterval), controller.LateFraction, controller.RetryRatio, controller.RetryRate, controller.RetryBurst,
+		float64(retryPolicy.Delay), float64(retryPolicy.ShortDelay), retryPolicy.Multiplier, float64(retryPolicy.MaxDelay), float64(retryPolicy.UnknownOutcomeTimeout), float64(engineConfig.FinishedTTL), float64(engineConfig.NodeLossTimeout), policy.Overcommit.Cores, policy.Overcommit.Memory, float64(policy.Attempts.ConnectTimeout), float64(policy.Attempts.AnswerGrace),
 		float64(policy.Attempts.DrainGrace), policy.SlowStart.MinPace, float64(policy.SlowStart.Duration), policy.SlowStart.OverloadMultiple, float64(policy.SlowStart.OverloadWindow), policy.SlowStart.MaxAttempts, float64(policy.Retry.UnknownOutcomeWait), policy.Costs.Node, policy.Costs.CrossZone,
 		policy.Costs.Migration, policy.OverQuotaWeight)
 	r.Integers(int64(controller.MaxQueued), engineConfig.MaxHistory, engineConfig.MaxObjects, int64(engineConfig.History), int64(engineConfig.MaxPods), int64(engineConfig.DefaultClass), int64(engineConfig.Seed), engineConfig.BaseRevision,
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -52,7 +52,7 @@
 			MaxPods:         engine.DefaultMaxPods,
 			History:         engine.DefaultHistory,
 			FinishedTTL:     DurationOf(time.Hour),
-			NodeLossTimeout: engine.DefaultNodeLossTimeout,
+			NodeLossTimeout: Duration(engine.DefaultNodeLossTimeout),
 		},
 		Emulator: defaultEmulator(),
 	}
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -25,8 +25,8 @@
 		BaseRevision:    baseRev,
 		History:         s.Limits.History,
 		MaxPods:         s.Limits.MaxPods,
-		FinishedTTL:     s.Limits.FinishedTTL.Seconds(),
-		NodeLossTimeout: s.Limits.NodeLossTimeout.Seconds(),
+		FinishedTTL:     placer.Seconds(s.Limits.FinishedTTL),
+		NodeLossTimeout: placer.Seconds(s.Limits.NodeLossTimeout),
 		Admission:       s.Admission.controllerConfig(),
 		Retry:           s.Retry.policy(),
 		Placer:          s.placerConfig(),
@@ -52,7 +52,7 @@
 		MaxInFlight:      a.MaxInFlight,
 		InitialInFlight:  a.InitialInFlight,
 		DecreaseFactor:   a.DecreaseFactor,
-		DecreaseInterval: a.DecreaseInterval.Seconds(),
+		DecreaseInterval: placer.Seconds(a.DecreaseInterval),
 		LateFraction:     a.LateFraction,
 		MaxQueued:        a.MaxQueued,
 		RetryRatio:       a.RetryRatio,
@@ -64,11 +64,11 @@
 
 func (r *Retry) policy() retry.Policy {
 	return retry.Policy{
-		Delay:                 r.Delay.Seconds(),
-		ShortDelay:            r.ShortDelay.Seconds(),
+		Delay:                 placer.Seconds(r.Delay),
+		ShortDelay:            placer.Seconds(r.ShortDelay),
 		Multiplier:            r.Multiplier,
-		MaxDelay:              r.MaxDelay.Seconds(),
-		UnknownOutcomeTimeout: r.UnknownOutcomeTimeout.Seconds(),
+		MaxDelay:              placer.Seconds(r.MaxDelay),
+		UnknownOutcomeTimeout: placer.Seconds(r.UnknownOutcomeTimeout),
 	}
 }
 
--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -6,7 +6,7 @@
 // use.
 package admission
 
-import "math"
+import "heathshed/placer"
 
 // Decision is what becomes of a submitted request.
 type Decision uint8
@@ -63,7 +63,7 @@
 func (c *Controller) QueueLength() int { return c.queue.len() }
 
 // Submit decides about a new request. A request that is queued comes out of a later Poll; one that is shed comes with a ShedRequest.
-func (c *Controller) Submit(now float64, request Request) (Decision, ShedRequest) {
+func (c *Controller) Submit(now placer.Seconds, request Request) (Decision, ShedRequest) {
 	if c.cfg.Disabled {
 		c.admit(now, &request, false) // no use of a budget that bounds nothing
 		return Admit, ShedRequest{}
@@ -94,14 +94,14 @@
 }
 
 // admissible says whether an arriving request may be admitted at once.
-func (c *Controller) admissible(now float64, request *Request) bool {
+func (c *Controller) admissible(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
 	}
 	return !request.IsRetry || c.budget.allows()
 }
 
-func (c *Controller) enqueue(now float64, request Request, tenant *tenantQueue) {
+func (c *Controller) enqueue(now placer.Seconds, request Request, tenant *tenantQueue) {
 	deadline := request.Deadline
 	if !c.cfg.ShedUsesRetryBudget && request.class() != classFirst {
 		deadline = request.FinalDeadline
@@ -113,7 +113,7 @@
 	c.Queued++
 }
 
-func (c *Controller) admit(now float64, request *Request, usesRetryBudget bool) {
+func (c *Controller) admit(now placer.Seconds, request *Request, usesRetryBudget bool) {
 	if usesRetryBudget {
 		c.budget.take()
 	}
@@ -128,7 +128,7 @@
 
 // Complete takes the outcome of an admitted request: whether its task was placed. The concurrency limit and the retry budget learn from it.
 // An unknown request is ignored.
-func (c *Controller) Complete(now float64, id uint64, placed bool) {
+func (c *Controller) Complete(now placer.Seconds, id uint64, placed bool) {
 	request, ok := c.limiter.inFlight[id]
 	if !ok {
 		return
@@ -151,7 +151,7 @@
 
 // Poll returns the queued requests that are admitted now, in order, and those that are shed because they could no longer start before their
 // client gives up.
-func (c *Controller) Poll(now float64) (admitted []uint64, shed []ShedRequest) {
+func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
 	shed = c.expire(now)
 	for c.queue.len() > 0 && c.limiter.hasCapacity(now) {
@@ -169,7 +169,7 @@
 }
 
 // expire demotes or sheds the queued requests whose time is up.
-func (c *Controller) expire(now float64) []ShedRequest {
+func (c *Controller) expire(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.first(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.first() {
 		if c.demote(now, entry) {
@@ -184,7 +184,7 @@
 
 // demote moves a request that can no longer start in time, but whose client still waits, behind those that can. It returns false
 // if the client no longer wants it.
-func (c *Controller) demote(now float64, entry *queuedRequest) bool {
+func (c *Controller) demote(now placer.Seconds, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
 	wanted := latest > now
 	if !wanted || c.cfg.ShedUsesRetryBudget {
@@ -209,8 +209,8 @@
 }
 
 // NextDeadline is when Poll should be called at the latest although no request completes: infinity if nothing is queued.
-func (c *Controller) NextDeadline() float64 {
-	next := math.Inf(1)
+func (c *Controller) NextDeadline() placer.Seconds {
+	next := never
 	if c.queue.len() > 0 {
 		next = min(c.limiter.nextUncountedAt(), c.budget.nextTokenAt())
 	}
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -7,10 +7,16 @@
 	"pgregory.net/rapid"
 
 	"heathshed/internal/testsupport/proptest"
+	"heathshed/placer"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
+// drawSeconds draws a time.
+func drawSeconds(t *rapid.T, least, most float64, label string) placer.Seconds {
+	return placer.Seconds(rapid.Float64Range(least, most).Draw(t, label))
+}
+
 // TestRequestsAreNeverLost plays random arrivals and completions: no request is lost or admitted twice, no more are in flight than the
 // limit, retries that are not placed stay within their budget, no retry holds up a first attempt, and what is queued is shed by its deadline.
 func TestRequestsAreNeverLost(t *testing.T) {
@@ -26,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := 0.0
+		now := placer.Seconds(0)
 		id := uint64(0)
 		placed, retries, placedRetries := 0, 0, 0
 		requests := map[uint64]Request{}
@@ -45,7 +51,7 @@
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
-			now += rapid.Float64Range(0, 0.3).Draw(t, "dt")
+			now += drawSeconds(t, 0, 0.3, "dt")
 			if rapid.Bool().Draw(t, "arrive") || len(inFlight) == 0 {
 				id++
 				request := Request{
@@ -53,12 +59,12 @@
 					Tenant:           rapid.IntRange(0, 2).Draw(t, "tenant"),
 					Priority:         rapid.IntRange(0, 2).Draw(t, "priority"),
 					Cost:             1,
-					Deadline:         now + rapid.Float64Range(0.1, 5).Draw(t, "deadline"),
+					Deadline:         now + drawSeconds(t, 0.1, 5, "deadline"),
 					LatencyObjective: 0.5,
 					IsRetry:          rapid.IntRange(0, 3).Draw(t, "again") == 0,
 					ShedBefore:       rapid.IntRange(0, 2).Draw(t, "shed") == 0,
 				}
-				request.FinalDeadline = request.Deadline + rapid.Float64Range(0, 2).Draw(t, "until")
+				request.FinalDeadline = request.Deadline + drawSeconds(t, 0, 2, "until")
 				requests[id] = request
 				decision, _ := controller.Submit(now, request)
 				move(id, [...]string{"pass", "wait", "shed"}[decision])
@@ -85,7 +91,7 @@
 			for _, x := range shed {
 				move(x.ID, "shed")
 			}
-			granted := config.RetryBurst + config.RetryRatio*float64(placed) + config.RetryRate*now
+			granted := config.RetryBurst + config.RetryRatio*float64(placed) + config.RetryRate*float64(now)
 			if float64(retries-placedRetries) > granted+1e-6 || controller.RetryBudget() < -1e-9 {
 				t.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", retries-placedRetries, placed, now)
 			}
@@ -163,7 +169,7 @@
 	tenantOf := map[uint64]int{}
 	id := uint64(0)
 	for turn := range 1000 {
-		now := float64(turn) * 0.01
+		now := placer.Seconds(turn) * 0.01
 		for completed := range controller.limiter.inFlight {
 			controller.Complete(now, completed, true)
 		}
@@ -191,8 +197,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, id := 0.0, uint64(0)
-	play := func(seconds, duration float64) {
+	now, id := placer.Seconds(0), uint64(0)
+	play := func(seconds, duration placer.Seconds) {
 		for end := now + seconds; now < end; now += duration {
 			n := int(controller.Limit())
 			ids := make([]uint64, 0, n)
@@ -218,16 +224,16 @@
 
 // play submits a backlog of retries, each of which completes after the same time and, if it was shed or not placed, comes again, until
 // seconds have passed. It returns how many were placed.
-func play(controller *Controller, from, seconds float64, backlog int, placed func(now float64) bool) (n int) {
+func play(controller *Controller, from, seconds placer.Seconds, backlog int, placed func(now placer.Seconds) bool) (n int) {
 	type end struct {
-		at float64
+		at placer.Seconds
 		id uint64
 	}
 	var ends []end
 	id := uint64(from * 1e6)
 	waiting, returning := backlog, map[int]int{} // those shed, by the tick at which they are submitted again
 	for tick := range int(seconds * 100) {
-		now := from + float64(tick)*0.01
+		now := from + placer.Seconds(tick)*0.01
 		for len(ends) > 0 && ends[0].at <= now {
 			wasPlaced := placed(now)
 			controller.Complete(now, ends[0].id, wasPlaced)
@@ -264,13 +270,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	play(controller, 1, 60, 20000, func(float64) bool { return false })
+	play(controller, 1, 60, 20000, func(placer.Seconds) bool { return false })
 	if most := controller.cfg.RetryBurst + 60*controller.cfg.RetryRate + 1; float64(controller.Admitted) > most {
 		t.Errorf("%d retries admitted in a minute without success, want at most %v", controller.Admitted, most)
 	}
 	controller, _ = New(DefaultConfig())
 	const faultSeconds = 30.0
-	n := play(controller, 1, faultSeconds+30, 20000, func(now float64) bool { return now > 1+faultSeconds })
+	n := play(controller, 1, faultSeconds+30, 20000, func(now placer.Seconds) bool { return now > 1+faultSeconds })
 	if n < 19000 {
 		t.Errorf("%d of 20000 placed within 30 s after a fault of half a minute", n)
 	}
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -8,6 +8,7 @@
 
 	"heathshed/internal/control/admission"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // TestCharacterizeAdmission pins the decisions of a controller, their delays by bits, and its figures after each call, under seeded load
@@ -48,11 +49,11 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(11, uint64(len(name))))
-	now, next := 100.0, uint64(0)
+	now, next := placer.Seconds(100), uint64(0)
 	var inFlight []uint64
 	var decisions [3]int
 	for step := range 2500 {
-		now += rng.ExpFloat64() * gap
+		now += placer.Seconds(rng.ExpFloat64() * gap)
 		switch event := rng.IntN(20); {
 		case event < 11:
 			next++
@@ -60,7 +61,7 @@
 			decision, shedRequest := controller.Submit(now, request)
 			decisions[decision]++
 			record.Integers(int64(decision), int64(shedRequest.ID))
-			record.Floats(shedRequest.RetryAfter)
+			record.Floats(float64(shedRequest.RetryAfter))
 			record.Texts(shedRequest.Reason)
 			if decision == admission.Admit {
 				inFlight = append(inFlight, next)
@@ -79,10 +80,10 @@
 		}
 		for _, s := range shed {
 			record.Integers(int64(s.ID))
-			record.Floats(s.RetryAfter)
+			record.Floats(float64(s.RetryAfter))
 			record.Texts(s.Reason)
 		}
-		record.Floats(controller.Limit(), controller.RetryBudget(), controller.NextDeadline())
+		record.Floats(controller.Limit(), controller.RetryBudget(), float64(controller.NextDeadline()))
 		record.Integers(int64(controller.InFlight()), int64(controller.QueueLength()))
 		if step%250 == 249 {
 			record.Checkpoint(fmt.Sprintf("%s, step %d", name, step+1))
@@ -92,10 +93,10 @@
 		[]uint64{controller.Admitted, controller.Queued, controller.Overdue, controller.ShedLate, controller.ShedFull, controller.ShedRetry})
 }
 
-func randomRequest(rng *rand.Rand, now float64, id uint64, tenants int) admission.Request {
+func randomRequest(rng *rand.Rand, now placer.Seconds, id uint64, tenants int) admission.Request {
 	request := admission.Request{ID: id, Tenant: rng.IntN(tenants), Priority: rng.IntN(3), Cost: []float64{0, 0.02, 0.1, 0.5}[rng.IntN(4)],
-		Deadline: now + 0.1 + 6*rng.Float64(), LatencyObjective: []float64{0.5, 1, 4}[rng.IntN(3)], IsRetry: rng.IntN(4) == 0, ShedBefore: rng.IntN(5) == 0}
-	request.FinalDeadline = request.Deadline + 4*rng.Float64()
+		Deadline: now + 0.1 + placer.Seconds(6*rng.Float64()), LatencyObjective: []placer.Seconds{0.5, 1, 4}[rng.IntN(3)], IsRetry: rng.IntN(4) == 0, ShedBefore: rng.IntN(5) == 0}
+	request.FinalDeadline = request.Deadline + placer.Seconds(4*rng.Float64())
 	return request
 }
 
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -1,8 +1,12 @@
 package admission
 
-import "fmt"
+import (
+	"fmt"
 
-// Config holds the settings of a Controller. Times are in seconds.
+	"heathshed/placer"
+)
+
+// Config holds the settings of a Controller.
 type Config struct {
 	// Shares are the quota weights of the tenants, by tenant number. A share that is not positive counts as the smallest positive one; no
 	// shares at all mean a single tenant.
@@ -11,7 +15,8 @@
 	MinInFlight, MaxInFlight, InitialInFlight float64
 	// DecreaseFactor is what the limit is multiplied by while more than LateFraction of the requests complete late or are not placed, at
 	// most once in a DecreaseInterval. LateFraction is above zero because some requests fit no node whatever the load.
-	DecreaseFactor, DecreaseInterval, LateFraction float64
+	DecreaseFactor, LateFraction float64
+	DecreaseInterval             placer.Seconds
 	// MaxQueued bounds the requests that wait in the queue, over all tenants.
 	MaxQueued int
 	// A retry takes one token from a budget of at most RetryBurst. The token is returned, with RetryRatio more, when the retry is placed; a
@@ -61,7 +66,7 @@
 		{"max in flight", c.MaxInFlight, 1, 1e9},
 		{"start", c.InitialInFlight, 1, 1e9},
 		{"decrease", c.DecreaseFactor, 0.01, 0.99},
-		{"window", c.DecreaseInterval, 0, 60},
+		{"window", float64(c.DecreaseInterval), 0, 60},
 		{"late part", c.LateFraction, 0, 1},
 		{"max waiting", float64(c.MaxQueued), 1, 1e9},
 		{"retry ratio", c.RetryRatio, 0, 100},
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -1,10 +1,14 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"heathshed/placer"
+)
 
 const (
-	// minLatencyObjective is the shortest latency objective that is used, in seconds.
-	minLatencyObjective = 0.001
+	// minLatencyObjective is the shortest latency objective that is used.
+	minLatencyObjective placer.Seconds = 0.001
 	// lateSmoothing is the weight of one completed request in limiter.lateFraction.
 	lateSmoothing = 0.05
 	// promptDivisor says what part of its latency objective a request may take for slow start to go on: one sixteenth. What takes longer waits
@@ -12,30 +16,35 @@
 	promptDivisor = 16.0
 	// slowStartIntervals is for how many decrease intervals no request may be late until slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval is the least decrease interval used in that product, in seconds.
-	minSlowStartInterval = 0.05
+	// minSlowStartInterval is the least decrease interval used in that product.
+	minSlowStartInterval placer.Seconds = 0.05
 )
 
+// never is later than any clock time.
+var never = placer.Seconds(math.Inf(1))
+
 // inFlightRequest is an admitted request that has not completed.
 type inFlightRequest struct {
-	admittedAt       float64
-	latencyObjective float64
+	admittedAt       placer.Seconds
+	latencyObjective placer.Seconds
 	// counted says that it counts against the limit. Past its latency objective it does not: it waits for a node that may take the task and
 	// keeps none busy.
 	counted         bool
 	usedRetryBudget bool
 }
 
-func (r *inFlightRequest) objective() float64 { return max(r.latencyObjective, minLatencyObjective) }
+func (r *inFlightRequest) objective() placer.Seconds {
+	return max(r.latencyObjective, minLatencyObjective)
+}
 
 // limiter learns how many requests may be in flight: additive increase, multiplicative decrease, and slow start.
 type limiter struct {
 	cfg            *Config
 	limit          float64
-	lastDecreaseAt float64
-	lateFraction   float64 // of the completed requests, smoothed
-	lastLateAt     float64 // when a request completed late
-	slowStart      bool    // the limit grows by one for each prompt request
+	lastDecreaseAt placer.Seconds
+	lateFraction   float64        // of the completed requests, smoothed
+	lastLateAt     placer.Seconds // when a request completed late
+	slowStart      bool           // the limit grows by one for each prompt request
 
 	inFlight map[uint64]*inFlightRequest
 	byAge    []*inFlightRequest // oldest first; completed ones are skipped at the front
@@ -52,7 +61,7 @@
 }
 
 // hasCapacity says whether one more request may be in flight. It stops counting those that are past their latency objective.
-func (l *limiter) hasCapacity(now float64) bool {
+func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.byAge) > 0 {
 		oldest := l.byAge[0]
 		if oldest.counted && now-oldest.admittedAt < oldest.objective() {
@@ -66,9 +75,9 @@
 }
 
 // nextUncountedAt is when the oldest request in flight reaches its latency objective: infinity if there is none.
-func (l *limiter) nextUncountedAt() float64 {
+func (l *limiter) nextUncountedAt() placer.Seconds {
 	if len(l.byAge) == 0 {
-		return math.Inf(1)
+		return never
 	}
 	return l.byAge[0].admittedAt + l.byAge[0].objective()
 }
@@ -95,7 +104,7 @@
 }
 
 // complete takes a request out of flight and adapts the limit to how it went.
-func (l *limiter) complete(now float64, id uint64, request *inFlightRequest, placed bool) {
+func (l *limiter) complete(now placer.Seconds, id uint64, request *inFlightRequest, placed bool) {
 	countedBefore := float64(l.counted)
 	l.remove(id, request)
 	latency := now - request.admittedAt
@@ -113,7 +122,7 @@
 }
 
 // recordLate updates the smoothed part of late requests.
-func (l *limiter) recordLate(now float64, late bool) {
+func (l *limiter) recordLate(now placer.Seconds, late bool) {
 	observed := 0.0
 	if late {
 		observed = 1
@@ -123,14 +132,14 @@
 }
 
 // mayDecrease says whether too many requests are late and the last decrease is long enough ago.
-func (l *limiter) mayDecrease(now float64) bool {
+func (l *limiter) mayDecrease(now placer.Seconds) bool {
 	return l.lateFraction > l.cfg.LateFraction && now-l.lastDecreaseAt >= l.cfg.DecreaseInterval
 }
 
 // increase raises the limit: by one in each round of completed requests or, in slow start, by one for each prompt request, which doubles it
 // in each round. Slow start applies from the beginning and again once nothing has been late for a while, so that a limit that fell during
 // a fault does not stay low for long after it.
-func (l *limiter) increase(now float64, prompt bool) {
+func (l *limiter) increase(now placer.Seconds, prompt bool) {
 	soundFor := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
 	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= soundFor {
 		l.slowStart = true
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -3,13 +3,15 @@
 import (
 	"container/heap"
 	"slices"
+
+	"heathshed/placer"
 )
 
 // queuedRequest is a request that waits for admission.
 type queuedRequest struct {
 	Request
-	arrivedAt float64
-	expiresAt float64 // when it becomes overdue or, if it is demoted already or a retry, is shed
+	arrivedAt placer.Seconds
+	expiresAt placer.Seconds // when it becomes overdue or, if it is demoted already or a retry, is shed
 	tenant    *tenantQueue
 	removed   bool // it left the queue; the slices and heaps that still hold it skip it
 }
@@ -52,7 +54,7 @@
 }
 
 // next returns the request to admit next, or nil: by class, then by priority, then as selectEntry says.
-func (t *tenantQueue) next(now float64) *queuedRequest {
+func (t *tenantQueue) next(now placer.Seconds) *queuedRequest {
 	for _, queues := range t.byClass {
 		for _, queue := range queues {
 			if entry := queue.selectEntry(now); entry != nil {
@@ -78,7 +80,7 @@
 
 // selectEntry returns the oldest request while the queue is short, which is to say while the oldest has waited for less than fifoFraction of
 // its latency objective, and the newest after that: under overload, admission in order of arrival would make every start late.
-func (q *priorityQueue) selectEntry(now float64) *queuedRequest {
+func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
 		return nil
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -1,17 +1,19 @@
 package admission
 
-// Request is a placement request that asks for admission. Times are in seconds on the clock of the caller.
+import "heathshed/placer"
+
+// Request is a placement request that asks for admission. Times are on the clock of the caller.
 type Request struct {
 	ID       uint64
 	Tenant   int     // index into Config.Shares; one out of range counts as tenant 0
 	Priority int     // a higher priority is admitted first within its tenant
 	Cost     float64 // part of a node's capacity that the task needs; at least minCost is charged
 	// Deadline is when this request is of no more use; the client may submit another until FinalDeadline.
-	Deadline float64
+	Deadline placer.Seconds
 	// FinalDeadline is when the client stops waiting for good. It is no earlier than Deadline.
-	FinalDeadline float64
+	FinalDeadline placer.Seconds
 	// LatencyObjective is how soon after its arrival the task should start.
-	LatencyObjective float64
+	LatencyObjective placer.Seconds
 	// IsRetry says that nodes were asked before and none kept the task. A request that was only ever shed by the controller is a first
 	// attempt.
 	IsRetry bool
@@ -40,6 +42,6 @@
 }
 
 // latestStart is the latest useful admission of a request that must be placed by a deadline: half of the latency objective before it.
-func (r *Request) latestStart(deadline float64) float64 {
+func (r *Request) latestStart(deadline placer.Seconds) placer.Seconds {
 	return deadline - r.LatencyObjective/2
 }
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -1,15 +1,15 @@
 package admission
 
-import "math"
+import "heathshed/placer"
 
 // retryBudget is a token bucket for retries: a retry takes one token, time and placed requests bring tokens, up to a burst. So retries stay a
 // bounded part of the load while nodes fail, and grow with what succeeds once they recover.
 type retryBudget struct {
 	tokens     float64
-	refilledAt float64 // time of the last refill
-	ratio      float64 // tokens for each placed request
-	rate       float64 // tokens a second
-	burst      float64 // most tokens
+	refilledAt placer.Seconds // time of the last refill
+	ratio      float64        // tokens for each placed request
+	rate       float64        // tokens a second
+	burst      float64        // most tokens
 }
 
 func newRetryBudget(cfg *Config) retryBudget {
@@ -17,8 +17,8 @@
 }
 
 // refill adds the tokens for the time since the last refill.
-func (b *retryBudget) refill(now float64) {
-	b.tokens = min(b.tokens+max(now-b.refilledAt, 0)*b.rate, b.burst)
+func (b *retryBudget) refill(now placer.Seconds) {
+	b.tokens = min(b.tokens+float64(max(now-b.refilledAt, 0))*b.rate, b.burst)
 	b.refilledAt = max(b.refilledAt, now)
 }
 
@@ -39,9 +39,9 @@
 }
 
 // nextTokenAt is when time alone will have brought a whole token: infinity if a retry may be admitted already or time brings none.
-func (b *retryBudget) nextTokenAt() float64 {
+func (b *retryBudget) nextTokenAt() placer.Seconds {
 	if b.allows() || b.rate <= 0 {
-		return math.Inf(1)
+		return never
 	}
-	return b.refilledAt + (1-b.tokens)/b.rate
+	return b.refilledAt + placer.Seconds((1-b.tokens)/b.rate)
 }
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -1,12 +1,16 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"heathshed/placer"
+)
 
 // ShedRequest is a request that was shed: it did no harm, and its client may submit another.
 type ShedRequest struct {
 	ID         uint64
-	RetryAfter float64 // seconds before which the client should not submit again
-	Reason     string  // one of the Reason constants
+	RetryAfter placer.Seconds // how long the client should not submit again
+	Reason     string         // one of the Reason constants
 }
 
 // The reasons for which requests are shed, as users read them.
@@ -16,21 +20,21 @@
 	ReasonRetryBudget = "too much is asked again"
 )
 
-// maxRetryAfter bounds the advice to clients of shed requests, in seconds. The rate during a fault does not predict the
+// maxRetryAfter bounds the advice to clients of shed requests. The rate during a fault does not predict the
 // rate after it, and a client with a long delay would return long after capacity does.
-const maxRetryAfter = 15.0
+const maxRetryAfter placer.Seconds = 15
 
 // retryAfterSteps is over how many steps the advice is spread, so that clients do not come back as a wave.
 const retryAfterSteps = 16
 
 // shed returns the notice for a request that was shed. Its RetryAfter is about as long as the queue takes.
 func (c *Controller) shed(id uint64, reason string) ShedRequest {
-	wait := 1 + float64(c.queue.len())/max(c.rate.perSecond, 1)
+	wait := 1 + placer.Seconds(float64(c.queue.len())/max(c.rate.perSecond, 1))
 	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
 	spread := float64(step) / retryAfterSteps
 	return ShedRequest{
 		ID:         id,
-		RetryAfter: min(wait, maxRetryAfter) * (0.75 + 0.5*spread),
+		RetryAfter: min(wait, maxRetryAfter) * placer.Seconds(0.75+0.5*spread),
 		Reason:     reason,
 	}
 }
@@ -38,11 +42,11 @@
 // admissionRate is the number of admissions a second, smoothed over about a second.
 type admissionRate struct {
 	perSecond float64
-	updatedAt float64
+	updatedAt placer.Seconds
 }
 
-func (r *admissionRate) record(now float64) {
+func (r *admissionRate) record(now placer.Seconds) {
 	elapsed := max(now-r.updatedAt, 0)
-	r.perSecond = r.perSecond*math.Exp(-elapsed) + 1
+	r.perSecond = r.perSecond*math.Exp(float64(-elapsed)) + 1
 	r.updatedAt = now
 }
--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -1,22 +1,24 @@
 package retry
 
+import "heathshed/placer"
+
 // backoffSpread is the part of its length over which a delay is spread by jitter, half of it to each side.
 const backoffSpread = 0.5
 
-// Backoff doubles a delay from Min to Max seconds with each failure. The zero value does not delay at all.
+// Backoff doubles a delay from Min to Max with each failure. The zero value does not delay at all.
 type Backoff struct {
-	Min, Max float64
+	Min, Max placer.Seconds
 	failures int
 }
 
-// Next records a failure and returns the delay after it, in seconds. jitter is a random number from 0 to 1.
-func (b *Backoff) Next(jitter float64) float64 {
+// Next records a failure and returns the delay after it. jitter is a random number from 0 to 1.
+func (b *Backoff) Next(jitter float64) placer.Seconds {
 	delay := b.Min
 	for i := 0; i < b.failures && delay < b.Max; i++ {
 		delay *= 2
 	}
 	b.failures++
-	return min(delay, b.Max) * (1 - backoffSpread/2 + backoffSpread*jitter)
+	return min(delay, b.Max) * placer.Seconds(1-backoffSpread/2+backoffSpread*jitter)
 }
 
 // Reset begins again at Min, as after a success.
--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -7,13 +7,14 @@
 
 	"heathshed/internal/control/retry"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // TestCharacterizeBackoff pins delays by bits for a grid of bounds and jitters, before and after a reset. Regenerate the golden file with
 // HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 func TestCharacterizeBackoff(t *testing.T) {
 	record := goldentest.NewRecorder()
-	for _, bounds := range [][2]float64{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
+	for _, bounds := range [][2]placer.Seconds{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
 		for _, jitter := range []float64{0, 0.25, 0.5, 1} {
 			record.Line("%s", delays(bounds, jitter))
 		}
@@ -21,14 +22,14 @@
 	record.Check(t, "backoff")
 }
 
-func delays(bounds [2]float64, jitter float64) string {
+func delays(bounds [2]placer.Seconds, jitter float64) string {
 	backoff := retry.Backoff{Min: bounds[0], Max: bounds[1]}
 	line := fmt.Sprintf("%g %g %g:", bounds[0], bounds[1], jitter)
 	for i := range 20 {
 		if i == 14 {
 			backoff.Reset()
 		}
-		line += fmt.Sprintf(" %x", math.Float64bits(backoff.Next(jitter)))
+		line += fmt.Sprintf(" %x", math.Float64bits(float64(backoff.Next(jitter))))
 	}
 	return line
 }
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -42,14 +42,19 @@
 	}
 }
 
+// drawSeconds draws a time.
+func drawSeconds(t *rapid.T, least, most float64, label string) placer.Seconds {
+	return placer.Seconds(rapid.Float64Range(least, most).Draw(t, label))
+}
+
 // TestNextRespectsDelays checks for any state: no delay under a second after a rejection, none past the deadline, and no retry of a task that
 // is not idempotent while an attempt may have run.
 func TestNextRespectsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		policy := Policy{Delay: rapid.Float64Range(0, 5).Draw(t, "again"), ShortDelay: rapid.Float64Range(0, 2).Draw(t, "soon"),
-			Multiplier: rapid.Float64Range(0, 3).Draw(t, "growth"), MaxDelay: rapid.Float64Range(0, 30).Draw(t, "most"), UnknownOutcomeTimeout: 3}
+		policy := Policy{Delay: drawSeconds(t, 0, 5, "again"), ShortDelay: drawSeconds(t, 0, 2, "soon"),
+			Multiplier: rapid.Float64Range(0, 3).Draw(t, "growth"), MaxDelay: drawSeconds(t, 0, 30, "most"), UnknownOutcomeTimeout: 3}
 		state := State{Idempotency: placer.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Cause: Cause(rapid.IntRange(0, 4).Draw(t, "cause")), Now: 100,
-			Deadline: 100 + rapid.Float64Range(-1, 50).Draw(t, "left"), Attempts: rapid.IntRange(1, 30).Draw(t, "asked"),
+			Deadline: 100 + drawSeconds(t, -1, 50, "left"), Attempts: rapid.IntRange(1, 30).Draw(t, "asked"),
 			RetriesLeft: rapid.IntRange(-1, 5).Draw(t, "budget"), OutcomeUnknown: rapid.Bool().Draw(t, "doubt"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
 			Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}
 		decision, at := policy.Next(state)
@@ -74,7 +79,7 @@
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
 	policy := DefaultPolicy()
 	for budget := range 40 {
-		at := 8.0
+		at := placer.Seconds(8)
 		for i := range budget {
 			_, next := policy.Next(State{Cause: Rejected, Now: at, Deadline: 1e9, Attempts: i + 1, RetriesLeft: 1, Jitter: 1})
 			at = next + 8
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -10,6 +10,7 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
+	"heathshed/placer"
 )
 
 // schedulerName is the scheduler of a Job that names none.
@@ -46,7 +47,7 @@
 	if err != nil {
 		return http1.Response{}, err
 	}
-	created, err := s.Engine.CreateJob(s.now, job, dryRun)
+	created, err := s.Engine.CreateJob(placer.Seconds(s.now), job, dryRun)
 	if err != nil {
 		return http1.Response{}, r.statusError(err, job.Name)
 	}
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -15,6 +15,7 @@
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // sessionStart is the time of a session's first request, in Unix seconds.
@@ -54,9 +55,9 @@
 	for i, nodeType := range []string{"standard", "large", "standard"} {
 		nodes = append(nodes, listedNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
 	}
-	core.NodesListed(session.now, engine.FullList, nodes, nil)
+	core.NodesListed(placer.Seconds(session.now), engine.FullList, nodes, nil)
 	for _, node := range nodes {
-		core.NodePods(session.now, node.Name, node.Status.NodeInfo.BootID, 1, nil)
+		core.NodePods(placer.Seconds(session.now), node.Name, node.Status.NodeInfo.BootID, 1, nil)
 	}
 	return session
 }
@@ -76,14 +77,14 @@
 // advance runs timers for some seconds; nodes accept every attempt and report that the task runs.
 func (session *apiSession) advance(seconds float64) {
 	for until := session.now + seconds; session.now < until; {
-		session.now = min(max(session.engine.NextWake(), session.now+0.01), until)
-		session.engine.Tick(session.now)
+		session.now = min(max(float64(session.engine.NextWake()), session.now+0.01), until)
+		session.engine.Tick(placer.Seconds(session.now))
 		for _, effect := range session.engine.Ready(nil) {
 			switch effect.Kind {
 			case engine.SendAttempt:
 				pod := effect.Pod.DeepCopy()
 				pod.Status.Phase = corev1.PodRunning
-				session.engine.AttemptDone(session.now, engine.AttemptAnswer{
+				session.engine.AttemptDone(placer.Seconds(session.now), engine.AttemptAnswer{
 					UID:         effect.UID,
 					Attempt:     effect.Attempt,
 					Node:        effect.Node,
@@ -93,7 +94,7 @@
 					Pod:         pod,
 				})
 			case engine.StopTask:
-				session.engine.StopDone(session.now, engine.StopAnswer{
+				session.engine.StopDone(placer.Seconds(session.now), engine.StopAnswer{
 					UID:         effect.UID,
 					Node:        effect.Node,
 					Attempt:     effect.Attempt,
--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -103,7 +103,7 @@
 
 // adoptedPod returns the Pod of an adopted task as it is stored.
 func (a *adopter) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
-	now := wellknown.APITime(a.now)
+	now := a.apiNow()
 	pod := found.DeepCopy()
 	pod.Labels[wellknown.Scheduler] = a.cfg.Name
 	delete(pod.Annotations, wellknown.JobManifest)
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -18,7 +18,7 @@
 	requestSequence int // number within the request, as the placer counts
 	number          int // number within the task, as nodes know it
 
-	sentAt              float64
+	sentAt              placer.Seconds
 	timeoutTimer        *timer
 	sentIncarnation     string       // of the node, as known when the attempt was sent
 	observed            *observedPod // what the node's watch showed while the attempt was in flight; nil if nothing
@@ -77,7 +77,7 @@
 	task.attempts.begin(started)
 	t.tasks.setState(task, taskAttempting)
 	t.stats.Attempts++
-	started.timeoutTimer = t.runAt(float64(action.Until), func() { t.timedOut(started) })
+	started.timeoutTimer = t.runAt(action.Until, func() { t.timedOut(started) })
 	t.emit(Effect{
 		Kind:                SendAttempt,
 		Node:                node.name,
@@ -87,7 +87,7 @@
 		Namespace:           task.namespace,
 		Name:                task.name,
 		Attempt:             started.number,
-		Deadline:            float64(action.Until),
+		Deadline:            action.Until,
 		AvoidUnknownOutcome: t.idempotencyOf(task) != placer.Idempotent,
 	})
 }
@@ -193,7 +193,7 @@
 		TaskID:  accepted.request.id,
 		Attempt: accepted.requestSequence,
 		Node:    accepted.node.id,
-		Elapsed: placer.Seconds(t.now - accepted.sentAt),
+		Elapsed: t.now - accepted.sentAt,
 	})
 	t.requests.complete(accepted.request, true)
 	t.lifecycle.bind(task, accepted)
@@ -241,7 +241,7 @@
 		Node:    failed.node.id,
 		Result:  result,
 		Reason:  reason,
-		Elapsed: placer.Seconds(t.now - failed.sentAt),
+		Elapsed: t.now - failed.sentAt,
 		Final:   failed.request.closed,
 		Report:  report,
 	})
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -5,10 +5,12 @@
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/placer"
 )
 
 // AttemptDone takes the answer to SendAttempt. It may be called after AbandonAttempt.
-func (e *Engine) AttemptDone(now float64, answer AttemptAnswer) {
+func (e *Engine) AttemptDone(now placer.Seconds, answer AttemptAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.attempts.done(answer)
@@ -16,7 +18,7 @@
 
 // DeletePod stops a Pod's task and removes the Pod once the task has ended. It returns the Pod as it is stored then. An empty uid or
 // resourceVersion is not checked. Errors: ErrNotFound, ErrConflict.
-func (e *Engine) DeletePod(now float64, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
+func (e *Engine) DeletePod(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.podController.deleteByName(namespace, name, uid, resourceVersion)
@@ -24,7 +26,7 @@
 
 // EvictPod stops a running Pod, which its Job starts again soon. A Pod that does not run is deleted. An empty uid is not checked.
 // Errors: ErrNotFound, ErrConflict.
-func (e *Engine) EvictPod(now float64, namespace, name string, uid types.UID) error {
+func (e *Engine) EvictPod(now placer.Seconds, namespace, name string, uid types.UID) error {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.podController.evict(namespace, name, uid)
@@ -32,7 +34,7 @@
 
 // CreateJob stores a Job that the API server has validated and defaulted, and starts its tasks. It returns the Job as stored. A dry run
 // only returns what would be stored. Errors: ErrExists, ErrStopping, ErrTooMany, *InvalidError.
-func (e *Engine) CreateJob(now float64, object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
+func (e *Engine) CreateJob(now placer.Seconds, object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.jobController.create(object, dryRun)
@@ -41,7 +43,7 @@
 // UpdateJob replaces the parts of a Job that may change: labels, annotations, suspend, parallelism, ttlSecondsAfterFinished and
 // activeDeadlineSeconds. The update's UID and resource version are not checked if they are empty. It returns the Job as stored; a dry run
 // only returns what would be stored. Errors: ErrNotFound, ErrConflict, *InvalidError.
-func (e *Engine) UpdateJob(now float64, update *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
+func (e *Engine) UpdateJob(now placer.Seconds, update *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.jobController.update(update, dryRun)
@@ -49,7 +51,7 @@
 
 // DeleteJob deletes a Job, and its Pods as the policy says; an empty policy means Background. It returns the Job as it was last stored.
 // An empty uid or resourceVersion is not checked. Errors: ErrNotFound, ErrConflict.
-func (e *Engine) DeleteJob(now float64, namespace, name string, uid types.UID, resourceVersion string,
+func (e *Engine) DeleteJob(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string,
 	propagation metav1.DeletionPropagation) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -57,7 +59,7 @@
 }
 
 // NodesListed takes nodes from the inventory. removed names nodes that Changes takes away; a full list removes all that are not in it.
-func (e *Engine) NodesListed(now float64, kind Listing, nodes []*corev1.Node, removed []string) {
+func (e *Engine) NodesListed(now placer.Seconds, kind Listing, nodes []*corev1.Node, removed []string) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.nodes.listed(kind, nodes, removed)
@@ -70,21 +72,21 @@
 
 // NodePods takes the complete list of this scheduler's Pods at a node, with the revision of the list and the node's incarnation. Running
 // tasks that are not in it have ended.
-func (e *Engine) NodePods(now float64, name, incarnation string, revision int64, pods []*corev1.Pod) {
+func (e *Engine) NodePods(now placer.Seconds, name, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.observer.observeAll(name, incarnation, revision, pods)
 }
 
 // NodePod takes a change of one of this scheduler's Pods at a node.
-func (e *Engine) NodePod(now float64, name string, pod *corev1.Pod, deleted bool) {
+func (e *Engine) NodePod(now placer.Seconds, name string, pod *corev1.Pod, deleted bool) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.observer.observeOne(name, pod, deleted)
 }
 
 // NodeUnresponsive records that a node's Pods can no longer be watched.
-func (e *Engine) NodeUnresponsive(now float64, name string) {
+func (e *Engine) NodeUnresponsive(now placer.Seconds, name string) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.nodes.unresponsive(name)
@@ -94,14 +96,14 @@
 // inventory drains shows as unschedulable without an order. The placer is notified of an order at once. The update's UID and resource version
 // are not checked if they are empty. It returns the Node as stored; a dry run only returns what would be stored. Errors: ErrNotFound,
 // ErrConflict, *InvalidError.
-func (e *Engine) UpdateNode(now float64, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
+func (e *Engine) UpdateNode(now placer.Seconds, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.nodes.updateObject(update, drain, dryRun)
 }
 
 // StopDone takes the answer to StopTask.
-func (e *Engine) StopDone(now float64, answer StopAnswer) {
+func (e *Engine) StopDone(now placer.Seconds, answer StopAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.outcomes.stopDone(answer)
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -71,7 +71,7 @@
 			s := newScript(t, run.seed, run.change)
 			for i := range run.steps {
 				s.step()
-				s.advance(s.now + 0.3*s.rng.Float64())
+				s.advance(s.now + s.delay(0, 0.3))
 				if run.restarts && i%60 == 59 {
 					s.restart()
 				}
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -30,10 +30,10 @@
 	MaxPods      int   // Pods stored or pending at a time; further Jobs are rejected
 	MaxObjects   int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
 
-	// FinishedTTL is how many seconds a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
-	FinishedTTL float64
-	// NodeLossTimeout is how many seconds a node may be absent from the inventory and unresponsive before its tasks count as lost.
-	NodeLossTimeout float64
+	// FinishedTTL is how long a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
+	FinishedTTL placer.Seconds
+	// NodeLossTimeout is how long a node may be absent from the inventory and unresponsive before its tasks count as lost.
+	NodeLossTimeout placer.Seconds
 	// MaxStartsPerCall limits the tasks that one call starts. The rest are started by the next calls.
 	MaxStartsPerCall int
 }
@@ -42,8 +42,8 @@
 const (
 	DefaultHistory          = 20000
 	DefaultMaxPods          = 200000
-	DefaultNodeLossTimeout  = 8.0  // seconds
-	DefaultMaxPollInterval  = 10.0 // seconds
+	DefaultNodeLossTimeout  = placer.Seconds(8)
+	DefaultMaxPollInterval  = placer.Seconds(10)
 	DefaultMaxStartsPerCall = 256
 )
 
@@ -82,7 +82,7 @@
 	}
 }
 
-func setIfUnset[T int | float64 | placer.Seconds](setting *T, value T) {
+func setIfUnset[T int | placer.Seconds](setting *T, value T) {
 	if *setting <= 0 {
 		*setting = value
 	}
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -3,6 +3,8 @@
 import (
 	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
+
+	"heathshed/placer"
 )
 
 // EffectKind selects what an Effect asks its caller to do.
@@ -28,13 +30,13 @@
 type Effect struct {
 	Kind      EffectKind
 	Node      string
-	Address   string      // host:port of the node
-	Pod       *corev1.Pod // SendAttempt: the Pod to post
-	UID       types.UID   // of the task's Pod
-	Namespace string      // of the task's Pod
-	Name      string      // of the task's Pod
-	Attempt   int         // number of the attempt within its task
-	Deadline  float64     // SendAttempt: Unix seconds after which the answer is of no use
+	Address   string         // host:port of the node
+	Pod       *corev1.Pod    // SendAttempt: the Pod to post
+	UID       types.UID      // of the task's Pod
+	Namespace string         // of the task's Pod
+	Name      string         // of the task's Pod
+	Attempt   int            // number of the attempt within its task
+	Deadline  placer.Seconds // SendAttempt: the time after which the answer is of no use
 	// AvoidUnknownOutcome asks SendAttempt for a connection on which it will be known whether the node read the request:
 	// the task must not run twice.
 	AvoidUnknownOutcome bool
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -91,10 +91,10 @@
 func (e *Engine) OpenTasks() int { return e.tasks.open }
 
 // NextWake returns the time at which Tick is to be called, infinity if no timer is pending.
-func (e *Engine) NextWake() float64 { return e.timers.NextOr(math.Inf(1)) }
+func (e *Engine) NextWake() placer.Seconds { return e.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
-func (e *Engine) Tick(now float64) {
+func (e *Engine) Tick(now placer.Seconds) {
 	e.beginCall(now)
 	// A timer that another one adds for the same time runs in the next call.
 	for count := e.timers.Len(); count > 0; count-- {
@@ -109,14 +109,14 @@
 
 // Stop rejects new Jobs from now on and gives every task that waits to be requested its final outcome. Requests that the placer has are
 // decided as usual, but not retried.
-func (e *Engine) Stop(now float64) {
+func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
 	e.endCall()
 }
 
 // beginCall must be the first step of every call, endCall the last.
-func (e *Engine) beginCall(now float64) { e.advanceClock(now) }
+func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
 func (e *Engine) endCall() {
 	e.drainEvents()
@@ -131,12 +131,12 @@
 	case placer.StartAttempt:
 		e.attempts.start(action)
 	case placer.Reject:
-		e.requests.ended(action.Task, retry.Rejected, float64(action.After))
+		e.requests.ended(action.Task, retry.Rejected, action.After)
 	case placer.Fail:
 		e.requests.ended(action.Task, retry.Failed, 0)
 	case placer.SetTimer:
 		token := action.Token
-		e.runAfter(float64(eventqueue.Delay(action.After)), func() {
+		e.runAfter(eventqueue.Delay(action.After), func() {
 			e.post(placer.Event{Kind: placer.TimerFired, Token: token})
 			e.drainEvents()
 		})
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -15,13 +15,13 @@
 )
 
 // listedNode returns a ready node as the inventory lists it. A start time of 0 is not stated.
-func listedNode(incarnation string, started float64) *corev1.Node {
+func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = "n"
 	node.Labels = map[string]string{wellknown.Kind: "k"}
 	node.Annotations = map[string]string{}
 	if started > 0 {
-		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
+		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(started))
 	}
 	node.Status.NodeInfo.BootID = incarnation
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
@@ -68,7 +68,7 @@
 	for _, test := range []struct {
 		name          string
 		first, second *corev1.Node // as listed at 1000 and at 1100
-		want          float64
+		want          placer.Seconds
 	}{
 		{"long up", listedNode("a", 0), listedNode("a", 0), 0},
 		{"restarted, clock behind", listedNode("a", 0), listedNode("b", 1050), 1100},
@@ -121,7 +121,7 @@
 				t.Fatal(err)
 			}
 			createJobOnOneNode(t, e, 1)
-			attempts, now := 0, 1001.0
+			attempts, now := 0, placer.Seconds(1001)
 			for now < 1060 {
 				for _, effect := range e.Ready(nil) {
 					switch effect.Kind {
@@ -146,7 +146,7 @@
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	e := newEngine(t)
 	e.cfg.MaxPods, e.cfg.MaxObjects = 100, 1<<30
-	create := func(now float64, name string, tasks int) error {
+	create := func(now placer.Seconds, name string, tasks int) error {
 		job := &batchv1.Job{}
 		job.Name, job.Namespace = name, "default"
 		completions, zero := int32(tasks), int32(0)
@@ -157,7 +157,7 @@
 		}
 		return err
 	}
-	now := 1000.0
+	now := placer.Seconds(1000)
 	if err := create(now, "a", 60); err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 		}
 		return sent
 	}
-	now := 1001.0
+	now := placer.Seconds(1001)
 	sent := attempts()
 	for ; len(sent) == 0 && now < 1010; sent = attempts() {
 		now = e.NextWake()
@@ -287,7 +287,7 @@
 		return false
 	}
 	// No attempt and no stop is ever answered.
-	now := 1001.0
+	now := placer.Seconds(1001)
 	for !queued() {
 		if now = e.NextWake(); now > 1030 {
 			t.Fatal("no retry was queued while an outcome was unknown")
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -4,10 +4,12 @@
 	"fmt"
 	"math/rand/v2"
 
+	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/control/eventqueue"
 	"heathshed/internal/control/timerqueue"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
@@ -15,11 +17,11 @@
 // the queue of events to the placer, and the effects that the caller has not taken yet.
 type environment struct {
 	cfg      Config
-	now      float64 // Unix seconds of the present call
+	now      placer.Seconds // Unix seconds of the present call
 	rng      *rand.Rand
 	events   eventqueue.Queue // to the placer
 	effects  []Effect         // not handed out yet
-	timers   timerqueue.Queue[float64]
+	timers   timerqueue.Queue[placer.Seconds]
 	stats    *Stats
 	stopping bool // Stop was called
 
@@ -27,20 +29,23 @@
 }
 
 // advanceClock takes the time of a new call. The clock never goes back.
-func (env *environment) advanceClock(now float64) { env.now = max(env.now, now) }
+func (env *environment) advanceClock(now placer.Seconds) { env.now = max(env.now, now) }
+
+// apiNow returns the time of the present call as objects of the API state it.
+func (env *environment) apiNow() metav1.Time { return wellknown.APITime(float64(env.now)) }
 
 // post queues an event for the placer.
 func (env *environment) post(event placer.Event) { env.events.Post(event) }
 
 // drainEvents has the placer handle the queued events and executes its actions. It does nothing while an action is executed.
-func (env *environment) drainEvents() { env.events.Run(placer.Seconds(env.now)) }
+func (env *environment) drainEvents() { env.events.Run(env.now) }
 
 // timer is a function that runs in a later Tick.
-type timer = timerqueue.Timer[float64]
+type timer = timerqueue.Timer[placer.Seconds]
 
-func (env *environment) runAt(when float64, fn func()) *timer { return env.timers.Add(when, fn) }
+func (env *environment) runAt(when placer.Seconds, fn func()) *timer { return env.timers.Add(when, fn) }
 
-func (env *environment) runAfter(delay float64, fn func()) *timer {
+func (env *environment) runAfter(delay placer.Seconds, fn func()) *timer {
 	return env.runAt(env.now+max(delay, 0), fn)
 }
 
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -31,7 +31,7 @@
 	progress       jobProgress
 	failureReason  string // why the Job fails as a whole; "" if it does not
 	failureMessage string
-	finishedAt     float64
+	finishedAt     placer.Seconds
 	deletion       jobDeletion
 	suspended      bool // as spec.suspend was last applied: an update of a finished Job suspends nothing
 
@@ -110,7 +110,7 @@
 }
 
 // finish records that no task is left and none is started.
-func (j *job) finish(now float64) {
+func (j *job) finish(now placer.Seconds) {
 	j.setProgress(j.progress.afterLastTask())
 	j.finishedAt = now
 }
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -4,6 +4,7 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
 	"heathshed/internal/control/retry"
+	"heathshed/placer"
 )
 
 // jobController creates, updates, finishes and deletes Jobs, and takes the outcomes and the ends of their tasks.
@@ -64,7 +65,7 @@
 	c.jobStatus.markDirty(job)
 	retention := c.cfg.FinishedTTL
 	if ttlSeconds := job.object.Spec.TTLSecondsAfterFinished; ttlSeconds != nil {
-		retention = float64(*ttlSeconds)
+		retention = placer.Seconds(*ttlSeconds)
 	} else if retention <= 0 {
 		return
 	}
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -9,6 +9,7 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
 )
 
 // classFromLabels returns the index of the class that a pod template names.
@@ -121,7 +122,7 @@
 // initialize sets what the API server's registry sets in a new Job: identity, status, selector and labels of its Pods.
 func (c *jobController) initialize(object *batchv1.Job) {
 	object.UID = c.newUID()
-	object.CreationTimestamp = wellknown.APITime(c.now)
+	object.CreationTimestamp = c.apiNow()
 	object.Generation = 1
 	object.Status = batchv1.JobStatus{}
 	uid := string(object.UID)
@@ -147,8 +148,8 @@
 	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
 }
 
-// minFinishedRetention is how many seconds a finished Job is kept at least, so that its outcome can be read.
-const minFinishedRetention = 30.0
+// minFinishedRetention is how long a finished Job is kept at least, so that its outcome can be read.
+const minFinishedRetention placer.Seconds = 30
 
 // evictFinished removes the Job that finished first, and reports whether it did. A dry run removes nothing.
 func (c *jobController) evictFinished(dryRun bool) bool {
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -9,7 +9,6 @@
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/kube/store"
-	"heathshed/internal/kube/wellknown"
 )
 
 // deleteByName implements Engine.DeleteJob.
@@ -81,7 +80,7 @@
 func (c *jobController) startForegroundDeletion(job *job) {
 	job.setDeletion(jobDeletingForeground)
 	marked := job.object.DeepCopy()
-	now := wellknown.APITime(c.now)
+	now := c.apiNow()
 	marked.DeletionTimestamp = &now
 	marked.Finalizers = append(marked.Finalizers, metav1.FinalizerDeleteDependents)
 	c.publisher.putJob(marked)
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -5,9 +5,9 @@
 	"heathshed/placer"
 )
 
-// rerunWindow is how many seconds from now package retry may choose for the start of a task whose predecessor has ended: no deadline
+// rerunWindow is how far ahead package retry may choose the start of a task whose predecessor has ended: no deadline
 // applies, since the outcome of the index is known.
-const rerunWindow = 3600
+const rerunWindow placer.Seconds = 3600
 
 // scheduleRerun sets a timer that starts an index again after its task ended without success. It returns false if the index is not started
 // again.
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -9,6 +9,7 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
 	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
 )
 
 // jobStarter starts the tasks of Jobs by turns, and starts indexes again whose tasks ended without success.
@@ -29,7 +30,7 @@
 func (s *jobStarter) start(job *job) {
 	if seconds := job.object.Spec.ActiveDeadlineSeconds; seconds != nil && !job.suspended {
 		s.stopTimer(job.deadlineTimer)
-		job.deadlineTimer = s.runAfter(float64(*seconds), func() {
+		job.deadlineTimer = s.runAfter(placer.Seconds(*seconds), func() {
 			s.jobController.fail(job, "DeadlineExceeded", "Job was active longer than specified deadline")
 		})
 	}
@@ -132,7 +133,7 @@
 		retryBudget: job.indexes.at(index).retryBudget,
 	}
 	created.name = fmt.Sprintf("%.*s-%d-%s", maxPodNamePrefix, job.object.Name, index, s.randomSuffix())
-	created.deadline = s.now + s.cfg.Retry.MaxWait(float64(s.cfg.Placer.Classes[job.class].Deadline), created.retryBudget)
+	created.deadline = s.now + s.cfg.Retry.MaxWait(s.cfg.Placer.Classes[job.class].Deadline, created.retryBudget)
 	if job.deadlineTimer.Pending() {
 		created.deadline = min(created.deadline, job.deadlineTimer.At)
 	}
@@ -148,13 +149,13 @@
 	pod.Namespace = task.namespace
 	pod.UID = task.uid
 	pod.GenerateName = fmt.Sprintf("%s-%d-", object.Name, task.index)
-	pod.CreationTimestamp = wellknown.APITime(s.now)
+	pod.CreationTimestamp = s.apiNow()
 	pod.OwnerReferences = []metav1.OwnerReference{jobOwnerReference(task.job)}
 	pod.Labels = cloneOrMake(object.Spec.Template.Labels)
 	pod.Labels[wellknown.Index] = index
 	pod.Annotations = cloneOrMake(object.Spec.Template.Annotations)
 	pod.Annotations[wellknown.Index] = index
-	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(task.deadline)
+	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(float64(task.deadline))
 	pod.Status.Phase = corev1.PodPending
 	pod.Status.QOSClass = corev1.PodQOSBurstable
 	return pod
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -50,7 +50,7 @@
 	updated := *job.object // the Spec is shared: it is not changed
 	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
 	job.object.Status.DeepCopyInto(&updated.Status)
-	job.showStatus(&updated.Status, wellknown.APITime(w.now))
+	job.showStatus(&updated.Status, w.apiNow())
 	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -18,11 +18,11 @@
 	address string // host:port; "" if unknown or no longer watched
 	state   placer.NodeState
 
-	inventory         *corev1.Node // as last listed; nil once the node is removed
-	reportedToPlacer  bool         // state is that of an earlier report to the placer
-	absentSince       float64      // when the node became absent from the inventory or, absent, unresponsive
-	listedIncarnation string       // as the inventory states
-	listedStartedAt   float64      // when that began by this scheduler's clock; 0 is long ago
+	inventory         *corev1.Node   // as last listed; nil once the node is removed
+	reportedToPlacer  bool           // state is that of an earlier report to the placer
+	absentSince       placer.Seconds // when the node became absent from the inventory or, absent, unresponsive
+	listedIncarnation string         // as the inventory states
+	listedStartedAt   placer.Seconds // when that began by this scheduler's clock; 0 is long ago
 
 	podsWatched      bool     // the node's Pods were listed and are watched
 	incarnation      string   // as the node itself states
@@ -34,7 +34,7 @@
 	drainOrdered         bool              // unschedulable by an API update
 	labelOverride        map[string]string // labels by an API update; nil while those of the inventory show
 	publishPending       bool              // the API update is not published yet
-	publishedAt          float64           // last change of the stored Node
+	publishedAt          placer.Seconds    // last change of the stored Node
 	publishedFingerprint uint64            // of the inventory's Node that was published
 }
 
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -9,10 +9,11 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
 )
 
-// minPublishInterval is how many seconds pass between changes of a stored Node of which only the free capacity differs.
-const minPublishInterval = 5
+// minPublishInterval is the least time between changes of a stored Node of which only the free capacity differs.
+const minPublishInterval placer.Seconds = 5
 
 // inventoryLabels are the labels that only the inventory sets.
 var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.Kind}
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -150,7 +150,7 @@
 		reported.Zone = intern(r.zones, object.Labels[wellknown.Zone])
 		reported.Rack = intern(r.racks, object.Labels[wellknown.Rack])
 		reported.NodeType = slices.Index(r.cfg.NodeTypes, object.Labels[wellknown.Kind])
-		reported.StartedAt = placer.Seconds(r.incarnationStart(node))
+		reported.StartedAt = r.incarnationStart(node)
 		reported.FreeCores, reported.FreeMemory = freeCapacity(object)
 		switch {
 		case node.drainOrdered || object.Spec.Unschedulable:
@@ -171,12 +171,12 @@
 // nodes are not comparable with it: with one that is behind, a node that has just started would not count as warming up. An incarnation
 // that is new to this scheduler began when it was first listed. That is later than its true start by at most the delay of the list, which
 // only makes the node warm up for longer.
-func (r *nodeRegistry) incarnationStart(node *node) float64 {
+func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
 	incarnation := node.inventory.Status.NodeInfo.BootID
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
 		return node.listedStartedAt
 	}
-	stated := wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.Started])
+	stated := placer.Seconds(wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.Started]))
 	switch {
 	case stated == 0:
 		node.listedStartedAt = 0
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -67,7 +67,7 @@
 
 // showPlaced writes the outcome of a task that a node has accepted into its Pod.
 func (p *publisher) showPlaced(pod *corev1.Pod, node, message string) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	p.showSettled(pod, wellknown.Placed, message)
 	pod.Spec.NodeName = node
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
@@ -75,7 +75,7 @@
 
 // showUnplaced writes the outcome of a task that no node has accepted into its Pod.
 func (p *publisher) showUnplaced(pod *corev1.Pod, reason, message string) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	p.showSettled(pod, reason, message)
 	pod.Status.Phase = corev1.PodFailed
 	pod.Status.Reason = reason
@@ -90,7 +90,7 @@
 }
 
 func (p *publisher) showSettled(pod *corev1.Pod, reason, message string) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
 		Status:             corev1.ConditionTrue,
@@ -103,7 +103,7 @@
 
 // showStarted writes into a Pod that its containers run.
 func (p *publisher) showStarted(pod *corev1.Pod) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	pod.Status.Phase = corev1.PodRunning
 	pod.Status.StartTime = &now
 	pod.Status.ContainerStatuses = nil
@@ -125,7 +125,7 @@
 
 // showEnded writes into a Pod how its task ended.
 func (p *publisher) showEnded(pod *corev1.Pod, end *taskEnd) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
 		pod.Status.Phase = corev1.PodSucceeded
@@ -148,7 +148,7 @@
 
 // showDeleted writes into a Pod that it was deleted and waits for the end of its task.
 func (p *publisher) showDeleted(pod *corev1.Pod) {
-	now := wellknown.APITime(p.now)
+	now := p.apiNow()
 	gracePeriod := int64(deletionGracePeriod)
 	pod.DeletionTimestamp = &now
 	pod.DeletionGracePeriodSeconds = &gracePeriod
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -125,7 +125,7 @@
 	r.stopCopy(unresolved.node, task.uid, task.namespace, task.name, unresolved.number)
 }
 
-func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay float64) {
+func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay placer.Seconds) {
 	unresolved.fenceTimer = r.runAfter(delay, func() {
 		unresolved.fenceTimer = nil
 		r.fence(unresolved)
@@ -142,15 +142,15 @@
 	}
 }
 
-// Seconds between stop orders for one attempt: they double from the first to the last delay.
+// Delays between stop orders for one attempt: they double from the first to the last delay.
 const (
-	firstStopDelay   = 0.25
-	lastStopDelay    = 5
-	maxStopDoublings = 5
+	firstStopDelay   placer.Seconds = 0.25
+	lastStopDelay    placer.Seconds = 5
+	maxStopDoublings                = 5
 )
 
-func stopBackoff(sent int) float64 {
-	return min(firstStopDelay*float64(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
+func stopBackoff(sent int) placer.Seconds {
+	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
 }
 
 // StopAnswer is a node's answer to StopTask.
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -84,15 +84,15 @@
 		Cost:             max(task.cores/nodeType.Cores, task.memory/nodeType.Memory),
 		Deadline:         r.deadline(task),
 		FinalDeadline:    task.deadline,
-		LatencyObjective: float64(class.LatencyObjective),
+		LatencyObjective: class.LatencyObjective,
 		IsRetry:          request.isRetry,
 		ShedBefore:       task.wasShed,
 	}
 }
 
 // deadline returns the deadline of a request that is made now.
-func (r *requestTable) deadline(task *task) float64 {
-	return min(task.deadline, r.now+float64(r.cfg.Placer.Classes[task.class].Deadline))
+func (r *requestTable) deadline(task *task) placer.Seconds {
+	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
 
 // submit hands an admitted request to the placer. Its deadline counts from now.
@@ -106,7 +106,7 @@
 }
 
 // placerTask describes the task of a request to the placer.
-func (r *requestTable) placerTask(request *placementRequest, deadline float64) placer.Task {
+func (r *requestTable) placerTask(request *placementRequest, deadline placer.Seconds) placer.Task {
 	task := request.task
 	return placer.Task{
 		ID:       request.id,
@@ -115,7 +115,7 @@
 		Service:  task.service,
 		Cores:    task.cores,
 		Memory:   task.memory,
-		Deadline: placer.Seconds(deadline),
+		Deadline: deadline,
 	}
 }
 
@@ -148,17 +148,17 @@
 	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionDelay))
 }
 
-// minAdmissionDelay is the least time in seconds between two polls of the admission controller by timer.
-const minAdmissionDelay = 0.001
+// minAdmissionDelay is the least time between two polls of the admission controller by timer.
+const minAdmissionDelay placer.Seconds = 0.001
 
 // schedulePoll makes sure that a call ends at the given time or before: every call ends with a poll of the admission controller.
-func (r *requestTable) schedulePoll(at float64) {
+func (r *requestTable) schedulePoll(at placer.Seconds) {
 	if r.pollTimer.Pending() && at >= r.pollTimer.At {
 		return
 	}
 	r.stopTimer(r.pollTimer)
 	r.pollTimer = nil
-	if !math.IsInf(at, 1) {
+	if !math.IsInf(float64(at), 1) {
 		r.pollTimer = r.runAt(at, func() {})
 	}
 }
@@ -179,7 +179,7 @@
 
 // ended takes the placer's final answer to a request that it did not place. An attempt in flight has not been answered by the
 // request's deadline.
-func (r *requestTable) ended(id placer.TaskID, cause retry.Cause, retryAfter float64) {
+func (r *requestTable) ended(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
 	if request == nil || request.closed {
 		return
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -35,7 +35,7 @@
 func (s *script) answerAttempt(effect engine.Effect) {
 	node := s.node(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
-	delay := 0.005 + 0.05*s.rng.Float64()
+	delay := s.delay(0.005, 0.05)
 	accept := node.ready && !node.removed && effect.Attempt > node.floor[effect.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
@@ -53,7 +53,7 @@
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
 	case draw < 46: // accepted, but the answer comes too late
-		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), 3+8*s.rng.Float64()
+		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.delay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
 		if draw > 90 {
@@ -87,8 +87,8 @@
 	}
 	reason := reasons[s.rng.IntN(len(reasons))]
 	vanishes := s.rng.IntN(12) == 0
-	start := 0.02 + 0.3*s.rng.Float64()
-	end := start + 1 + 15*s.rng.Float64()
+	start := s.delay(0.02, 0.3)
+	end := start + 1 + placer.Seconds(15*s.rng.Float64())
 	s.onNode(start, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
 		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(0.5, 1.25)
@@ -105,8 +105,8 @@
 }
 
 // onNode schedules a change of a Pod at a node, which the scheduler that runs then is notified of.
-func (s *script) onNode(seconds float64, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
-	s.after(seconds, func() {
+func (s *script) onNode(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
+	s.after(delay, func() {
 		i := node.find(uid)
 		if node.incarnation != incarnation || i < 0 {
 			return
@@ -135,7 +135,7 @@
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
 	}
-	s.after(0.005+0.2*s.rng.Float64(), func() { s.engine.StopDone(s.now, answer) })
+	s.after(s.delay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
 }
 
 // listPods notifies the engine of all Pods of a node.
@@ -153,7 +153,7 @@
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(s.now - 1))
 	}
 	object.Spec.Unschedulable = node.draining
 	object.Status.NodeInfo.BootID = node.incarnationID()
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -17,13 +17,14 @@
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
-const scriptStart = 1.8e9 // Unix seconds
+const scriptStart placer.Seconds = 1.8e9
 
 // delayed is a call of the engine that is due later.
 type delayed struct {
-	at          float64
+	at          placer.Seconds
 	sequence    int
 	incarnation int
 	call        func()
@@ -36,7 +37,7 @@
 	config      engine.Config
 	engine      *engine.Engine
 	incarnation int
-	now         float64
+	now         placer.Seconds
 	nodes       []*fakeNode
 	queue       []delayed
 	sequence    int
@@ -81,10 +82,15 @@
 	s.after(0.05, s.fullList)
 }
 
+// delay draws a delay from least up to least and spread.
+func (s *script) delay(least, spread float64) placer.Seconds {
+	return placer.Seconds(least + spread*s.rng.Float64())
+}
+
 // after schedules a call of the present engine. It is not made if that engine is replaced before.
-func (s *script) after(seconds float64, call func()) {
+func (s *script) after(delay placer.Seconds, call func()) {
 	s.sequence++
-	s.queue = append(s.queue, delayed{s.now + seconds, s.sequence, s.incarnation, call})
+	s.queue = append(s.queue, delayed{s.now + delay, s.sequence, s.incarnation, call})
 }
 
 // observe records effects and changes, checks the engine's invariants, and lets the nodes react to effects.
@@ -97,7 +103,7 @@
 		s.carryOut(effect)
 	}
 	s.recordChanges()
-	s.record.Floats(s.engine.NextWake(), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
+	s.record.Floats(float64(s.engine.NextWake()), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
 	listed, watched := s.engine.NodeCounts()
 	s.record.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
 }
@@ -106,7 +112,7 @@
 	s.kinds[effect.Kind]++
 	s.record.Integers(int64(effect.Kind), int64(effect.Attempt))
 	s.record.Texts(effect.Node, effect.Address, string(effect.UID), effect.Namespace, effect.Name)
-	s.record.Floats(effect.Deadline)
+	s.record.Floats(float64(effect.Deadline))
 	s.record.Booleans(effect.AvoidUnknownOutcome, effect.Pod != nil)
 	if effect.Pod != nil {
 		s.recordObject(effect.Pod)
@@ -181,7 +187,7 @@
 	case engine.StopTask:
 		s.answerStop(effect)
 	case engine.WatchNode:
-		s.after(0.02+0.1*s.rng.Float64(), func() { s.listPods(s.node(effect.Node)) })
+		s.after(s.delay(0.02, 0.1), func() { s.listPods(s.node(effect.Node)) })
 	case engine.RelistNodes:
 		s.after(0.05, s.fullList)
 	}
@@ -209,7 +215,7 @@
 }
 
 // advance goes on to a time, with all timers and delayed calls up to it in order.
-func (s *script) advance(until float64) {
+func (s *script) advance(until placer.Seconds) {
 	for {
 		next := s.engine.NextWake()
 		slices.SortStableFunc(s.queue, func(left, right delayed) int {
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -20,8 +20,8 @@
 	index           int    // completion index within the Job
 	class, tenant   int
 	service         placer.ServiceID
-	cores, memory   float64 // memory in GiB
-	deadline        float64 // when the client stops waiting for the outcome
+	cores, memory   float64        // memory in GiB
+	deadline        placer.Seconds // when the client stops waiting for the outcome
 
 	state   taskState
 	settled bool // the final outcome is stored in the Pod's status
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -19,8 +19,8 @@
 	publisher     *publisher
 }
 
-// retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice in seconds, 0 if it gave none.
-func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter float64) {
+// retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice, 0 if it gave none.
+func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter placer.Seconds) {
 	l.tasks.setState(task, taskWaiting)
 	l.requests.release(task)
 	task.retryTimer = nil
@@ -113,7 +113,7 @@
 		Attempt: running.requestSequence,
 		Node:    running.node.id,
 		Usage:   placer.Started,
-		Value:   l.now - running.sentAt,
+		Value:   float64(l.now - running.sentAt),
 	})
 	l.publisher.updatePod(task, l.publisher.showStarted)
 }
@@ -147,7 +147,7 @@
 		Node:    ended.node.id,
 		Result:  end.result,
 		Reason:  end.reason,
-		Elapsed: placer.Seconds(l.now - ended.sentAt),
+		Elapsed: l.now - ended.sentAt,
 		Final:   true,
 	})
 	l.requests.discard(ended.request)
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -131,7 +131,7 @@
 	if r.stopped {
 		return
 	}
-	r.retryTimer = r.Loop.After(r.Retry.Next(r.Rand.Float64()), func() {
+	r.retryTimer = r.Loop.After(float64(r.Retry.Next(r.Rand.Float64())), func() {
 		if r.resourceVersion == "" {
 			r.list()
 			return
--- a/internal/kube/scheduler/attempt.go
+++ b/internal/kube/scheduler/attempt.go
@@ -66,7 +66,7 @@
 }
 
 func (s *Scheduler) finishAttempt(answer engine.AttemptAnswer) {
-	s.engine.AttemptDone(s.loop.Now(), answer)
+	s.engine.AttemptDone(placer.Seconds(s.loop.Now()), answer)
 	s.processEffects()
 }
 
@@ -176,7 +176,7 @@
 }
 
 func (s *Scheduler) finishStop(answer engine.StopAnswer) {
-	s.engine.StopDone(s.loop.Now(), answer)
+	s.engine.StopDone(placer.Seconds(s.loop.Now()), answer)
 	s.processEffects()
 }
 
--- a/internal/kube/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -12,6 +12,7 @@
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpc"
+	"heathshed/placer"
 )
 
 const (
@@ -70,7 +71,7 @@
 		pods = append(pods, pod)
 	}
 	incarnation := head.Header.Get(wellknown.IncarnationHeader)
-	s.engine.NodePods(s.loop.Now(), n.name, incarnation, parseRevision(resourceVersion), pods)
+	s.engine.NodePods(placer.Seconds(s.loop.Now()), n.name, incarnation, parseRevision(resourceVersion), pods)
 	s.processEffects()
 }
 
@@ -81,14 +82,14 @@
 		s.options.Log.Warn().Str("node", n.name).Err(err).Msg("pod event cannot be decoded")
 		return
 	}
-	s.engine.NodePod(s.loop.Now(), n.name, pod, kind == eventDeleted)
+	s.engine.NodePod(placer.Seconds(s.loop.Now()), n.name, pod, kind == eventDeleted)
 	s.processEffects()
 }
 
 func (n *nodeClient) handlePodsError(err error) {
 	s := n.scheduler
 	s.options.Log.Debug().Str("node", n.name).Err(err).Msg("node unreachable")
-	s.engine.NodeUnresponsive(s.loop.Now(), n.name)
+	s.engine.NodeUnresponsive(placer.Seconds(s.loop.Now()), n.name)
 	s.processEffects()
 }
 
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -19,6 +19,7 @@
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/httpc"
 	"heathshed/internal/netio/httpd"
+	"heathshed/placer"
 )
 
 const (
@@ -194,12 +195,12 @@
 // scheduleWake has the engine's timers run when the next is due.
 func (s *Scheduler) scheduleWake() {
 	s.wakeTimer.Stop()
-	at := s.engine.NextWake()
+	at := float64(s.engine.NextWake())
 	if math.IsInf(at, 1) {
 		return
 	}
 	s.wakeTimer = s.loop.At(at, func() {
-		s.engine.Tick(s.loop.Now())
+		s.engine.Tick(placer.Seconds(s.loop.Now()))
 		s.processEffects()
 	})
 }
--- a/internal/kube/scheduler/shutdown.go
+++ b/internal/kube/scheduler/shutdown.go
@@ -2,7 +2,11 @@
 
 package scheduler
 
-import "sync"
+import (
+	"sync"
+
+	"heathshed/placer"
+)
 
 const (
 	openTasksPollSeconds = 0.02
@@ -16,7 +20,7 @@
 		return
 	}
 	s.setPhase(phaseStopping)
-	s.engine.Stop(s.loop.Now())
+	s.engine.Stop(placer.Seconds(s.loop.Now()))
 	s.processEffects()
 	s.options.Log.Info().Int("open", s.engine.OpenTasks()).Msg("stopping: waiting for final answers")
 	s.awaitFinalAnswers(s.loop.Now()+timeoutSeconds, done)
--- a/internal/lab/metastability/trial.go
+++ b/internal/lab/metastability/trial.go
@@ -7,6 +7,7 @@
 	"heathshed/internal/control/admission"
 	"heathshed/internal/control/retry"
 	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
 // randomStream is the second word of the seed that a trial is drawn from.
@@ -62,7 +63,7 @@
 	a.InitialInFlight = logUniform(4, 512)
 	a.MaxInFlight = logUniform(64, 8192)
 	a.DecreaseFactor = uniform(0.5, 0.95)
-	a.DecreaseInterval = logUniform(0.05, 2)
+	a.DecreaseInterval = placer.Seconds(logUniform(0.05, 2))
 	a.LateFraction = uniform(0.05, 0.6)
 	a.MaxQueued = int(logUniform(100, 100000))
 	a.RetryRatio = uniform(0.05, 1)
@@ -70,9 +71,9 @@
 	a.RetryBurst = logUniform(5, 500)
 
 	r := &trial.Retry
-	r.Delay = uniform(1, 4)
+	r.Delay = placer.Seconds(uniform(1, 4))
 	r.Multiplier = uniform(1, 2)
-	r.MaxDelay = uniform(5, 30)
-	r.ShortDelay = uniform(0.1, 1)
+	r.MaxDelay = placer.Seconds(uniform(5, 30))
+	r.ShortDelay = placer.Seconds(uniform(0.1, 1))
 	return trial
 }
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -77,7 +77,7 @@
 		r.t.Fatal(err)
 	}
 	r.record.Integers(int64(scheduler), int64(engine.OpenTasks()))
-	r.record.Floats(w.Now(), engine.NextWake())
+	r.record.Floats(w.Now(), float64(engine.NextWake()))
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		from := r.revisions[scheduler]
 		changes, err := engine.Store().Since(table, from, math.MaxInt32)
--- a/internal/lab/simulation/inventory.go
+++ b/internal/lab/simulation/inventory.go
@@ -6,6 +6,7 @@
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
+	"heathshed/placer"
 )
 
 // inventoryCheckInterval is the time between checks for unresponsive nodes, in seconds.
@@ -100,7 +101,7 @@
 		alive := s.aliveCheck()
 		w.after(w.cfg.LatencyMax, func() {
 			if alive() && v.reachable() {
-				s.engine.NodesListed(w.now, engine.Changes, []*corev1.Node{object}, nil)
+				s.engine.NodesListed(placer.Seconds(w.now), engine.Changes, []*corev1.Node{object}, nil)
 				s.process()
 			}
 		})
@@ -138,7 +139,7 @@
 	})
 	for _, s := range w.schedulers {
 		if s.engine != nil {
-			s.engine.NodesListed(w.now, engine.ListUnavailable, nil, nil)
+			s.engine.NodesListed(placer.Seconds(w.now), engine.ListUnavailable, nil, nil)
 			s.process()
 		}
 	}
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -172,7 +172,7 @@
 			answer.Result = placer.Lost
 		}
 		delete(s.attempts, a.key)
-		s.engine.AttemptDone(s.world.now, answer)
+		s.engine.AttemptDone(placer.Seconds(s.world.now), answer)
 		s.process()
 	})
 }
@@ -194,7 +194,7 @@
 	reply := func(delay float64) {
 		w.after(delay, func() {
 			if alive() {
-				s.engine.StopDone(w.now, answer)
+				s.engine.StopDone(placer.Seconds(w.now), answer)
 				s.process()
 			}
 		})
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -13,6 +13,7 @@
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
 // How a simulated client submits a job again.
@@ -52,7 +53,7 @@
 		retryAfter(downRetryDelay)
 		return
 	}
-	_, err := s.engine.CreateJob(w.now, NewJob(job), false)
+	_, err := s.engine.CreateJob(placer.Seconds(w.now), NewJob(job), false)
 	if errors.Is(err, engine.ErrTooMany) {
 		retryAfter(fullRetryDelay)
 	}
@@ -65,7 +66,7 @@
 		return
 	}
 	// A job that has finished and expired cannot be deleted any more.
-	_, _ = s.engine.DeleteJob(w.now, job.Namespace, job.Name, "", "", "")
+	_, _ = s.engine.DeleteJob(placer.Seconds(w.now), job.Namespace, job.Name, "", "", "")
 	s.process()
 }
 
@@ -84,7 +85,7 @@
 			continue
 		}
 		order := unschedulable
-		if _, err := s.engine.UpdateNode(w.now, object.DeepCopy(), &order, false); err == nil {
+		if _, err := s.engine.UpdateNode(placer.Seconds(w.now), object.DeepCopy(), &order, false); err == nil {
 			w.record(audit.Event{Kind: kind, Scheduler: s.cfg.Name, Node: name})
 		}
 		s.process()
--- a/internal/lab/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -6,6 +6,7 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
 )
 
 const (
@@ -57,7 +58,7 @@
 		n.watches = append(n.watches, p)
 		pods := n.podsOf(s.cfg.Name)
 		bootID, rev := n.bootID, n.rev
-		p.send(func() { s.engine.NodePods(w.now, n.cfg.Name, bootID, rev, pods) })
+		p.send(func() { s.engine.NodePods(placer.Seconds(w.now), n.cfg.Name, bootID, rev, pods) })
 	})
 }
 
@@ -97,7 +98,7 @@
 	w := s.world
 	p.established = false
 	p.send(func() {
-		s.engine.NodeUnresponsive(w.now, p.node.cfg.Name)
+		s.engine.NodeUnresponsive(placer.Seconds(w.now), p.node.cfg.Name)
 		w.after(reconnectDelay, p.connect)
 	})
 }
@@ -107,7 +108,7 @@
 	for _, watch := range n.watches {
 		s := watch.scheduler
 		if watch.established && !watch.cancelled && s.cfg.Name == pod.Labels[wellknown.Scheduler] {
-			watch.send(func() { s.engine.NodePod(n.world.now, n.cfg.Name, pod, deleted) })
+			watch.send(func() { s.engine.NodePod(placer.Seconds(n.world.now), n.cfg.Name, pod, deleted) })
 		}
 	}
 }
--- a/internal/lab/simulation/scheduler.go
+++ b/internal/lab/simulation/scheduler.go
@@ -8,6 +8,7 @@
 
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/lab/audit"
+	"heathshed/placer"
 )
 
 const (
@@ -111,7 +112,7 @@
 			s.synced = true
 			s.syncedAt = w.now
 		}
-		s.engine.NodesListed(w.now, engine.FullList, w.inventory.list(), nil)
+		s.engine.NodesListed(placer.Seconds(w.now), engine.FullList, w.inventory.list(), nil)
 		s.process()
 	})
 }
@@ -139,7 +140,7 @@
 }
 
 func (s *scheduler) scheduleWake() {
-	at := s.engine.NextWake()
+	at := float64(s.engine.NextWake())
 	if at >= s.wakeAt {
 		return
 	}
@@ -149,7 +150,7 @@
 	w.at(at, func() {
 		if alive() && s.wakeAt <= w.now {
 			s.wakeAt = math.Inf(1)
-			s.engine.Tick(w.now)
+			s.engine.Tick(placer.Seconds(w.now))
 			s.process()
 		}
 	})
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -108,7 +108,7 @@
 	s.core.SetDiscoveryConnected(s.coreTime(), false)
 	s.processReady()
 	w.retryTimer.Stop()
-	w.retryTimer = s.loop.After(w.backoff.Next(s.rng.Float64()), w.open)
+	w.retryTimer = s.loop.After(float64(w.backoff.Next(s.rng.Float64())), w.open)
 }
 
 // discoveryStream is one response of the discovery server. It ignores what arrives once the watch has dropped it.
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -223,7 +223,7 @@
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
-	link.retryAt = s.loop.Now() + link.backoff.Next(s.rng.Float64())
+	link.retryAt = s.loop.Now() + float64(link.backoff.Next(s.rng.Float64()))
 	if !errors.Is(err, errNoConnectionSlot) { // which says nothing about the node
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
