--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -62,14 +62,26 @@
 // NeverRan is the reason of an end that proves that the task never ran.
 const NeverRan = "NeverStarted"
 
+// Domain is a part of the cluster that a rule refers to.
+type Domain string
+
+// The domains.
+const (
+	NoDomain      Domain = ""
+	NodeDomain    Domain = "node"
+	RackDomain    Domain = "rack"
+	ZoneDomain    Domain = "zone"
+	ClusterDomain Domain = "cluster"
+)
+
 // Class holds what the rules say of a class of tasks.
 type Class struct {
 	AtMostOnce   bool
 	Idempotent   bool
-	KeyScope     string  // of Idempotent: machine, rack, zone or all
-	KeyTTL       float64 // of Idempotent: seconds for which nodes remember the idempotency key
-	SpreadBy     string  // machine, rack or zone; "" for none
-	MaxPerDomain int     // of SpreadBy: tasks of one service of one scheduler in one domain
+	DedupDomain  Domain  // of Idempotent: the nodes that drop repeats
+	DedupWindow  float64 // of Idempotent: seconds for which nodes remember the idempotency key
+	SpreadDomain Domain  // or NoDomain
+	MaxPerDomain int     // tasks of one service of one scheduler in one SpreadDomain
 }
 
 // Config holds what events are checked by. Times are in seconds.
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -11,8 +11,8 @@
 	Classes: map[string]Class{
 		"web":    {},
 		"once":   {AtMostOnce: true},
-		"keyed":  {Idempotent: true, KeyScope: "rack", KeyTTL: 5},
-		"spread": {SpreadBy: "rack", MaxPerDomain: 2},
+		"keyed":  {Idempotent: true, DedupDomain: RackDomain, DedupWindow: 5},
+		"spread": {SpreadDomain: RackDomain, MaxPerDomain: 2},
 	},
 }
 
--- a/internal/lab/audit/characterization_test.go
+++ b/internal/lab/audit/characterization_test.go
@@ -17,15 +17,15 @@
 		DrainGrace: 0.5,
 		Slack:      0.1,
 		Classes: map[string]Class{
-			"once":           {AtMostOnce: true},
-			"web":            {},
-			"keyed-machine":  {Idempotent: true, KeyScope: "machine", KeyTTL: 5},
-			"keyed-rack":     {Idempotent: true, KeyScope: "rack", KeyTTL: 3},
-			"keyed-zone":     {Idempotent: true, KeyScope: "zone", KeyTTL: 2},
-			"keyed-all":      {Idempotent: true, KeyScope: "all", KeyTTL: 1},
-			"spread-machine": {SpreadBy: "machine", MaxPerDomain: 1},
-			"spread-rack":    {SpreadBy: "rack", MaxPerDomain: 2},
-			"spread-zone":    {SpreadBy: "zone", MaxPerDomain: 2},
+			"once":          {AtMostOnce: true},
+			"web":           {},
+			"keyed-node":    {Idempotent: true, DedupDomain: NodeDomain, DedupWindow: 5},
+			"keyed-rack":    {Idempotent: true, DedupDomain: RackDomain, DedupWindow: 3},
+			"keyed-zone":    {Idempotent: true, DedupDomain: ZoneDomain, DedupWindow: 2},
+			"keyed-cluster": {Idempotent: true, DedupDomain: ClusterDomain, DedupWindow: 1},
+			"spread-node":   {SpreadDomain: NodeDomain, MaxPerDomain: 1},
+			"spread-rack":   {SpreadDomain: RackDomain, MaxPerDomain: 2},
+			"spread-zone":   {SpreadDomain: ZoneDomain, MaxPerDomain: 2},
 		},
 	}
 	for seed := range uint64(60) {
@@ -58,7 +58,7 @@
 var commonKinds = []string{"offer", "offer", "offer", "accept", "accept", "refuse", "hangup", "start", "end", "asked", "settled"}
 
 func randomEvents(rng *rand.Rand) []Event {
-	classes := []string{"once", "web", "keyed-machine", "keyed-rack", "keyed-zone", "keyed-all", "spread-machine", "spread-rack", "spread-zone"}
+	classes := []string{"once", "web", "keyed-node", "keyed-rack", "keyed-zone", "keyed-cluster", "spread-node", "spread-rack", "spread-zone"}
 	var events []Event
 	at := 100.0
 	for range 300 {
--- a/internal/lab/audit/rules.go
+++ b/internal/lab/audit/rules.go
@@ -41,7 +41,7 @@
 		a.checkRetry(task, class, earlier, attempt)
 	}
 	task.attempts = append(task.attempts, attempt)
-	if class.SpreadBy != "" {
+	if class.SpreadDomain != NoDomain {
 		a.checkSpread(task, attempt, class)
 	}
 }
@@ -77,7 +77,7 @@
 		a.violation(ruleRetry, at, "task %s must not run twice: attempted at %s while attempt %d at %s may have run", task.uid, attempt.node,
 			earlier.number, earlier.node)
 	case class.Idempotent:
-		if !sameDomain(class.KeyScope, earlier, attempt) || at > earlier.receivedAt+class.KeyTTL+a.config.Slack {
+		if !sameDomain(class.DedupDomain, earlier, attempt) || at > earlier.receivedAt+class.DedupWindow+a.config.Slack {
 			a.violation(ruleRetry, at,
 				"task %s: attempted at %s %.3f s after an attempt with an unknown outcome at %s, outside the scope of its idempotency key",
 				task.uid, attempt.node, at-earlier.receivedAt, earlier.node)
@@ -85,14 +85,14 @@
 	}
 }
 
-// sameDomain reports whether two attempts are at the same node, rack or zone, as the scope says.
-func sameDomain(scope string, a, b *attemptRecord) bool {
-	switch scope {
-	case "all":
+// sameDomain reports whether two attempts are in the same domain of the given kind; NoDomain counts as the node.
+func sameDomain(domain Domain, a, b *attemptRecord) bool {
+	switch domain {
+	case ClusterDomain:
 		return true
-	case "zone":
+	case ZoneDomain:
 		return a.zone == b.zone
-	case "rack":
+	case RackDomain:
 		return a.rack == b.rack
 	}
 	return a.node == b.node
@@ -107,14 +107,14 @@
 	count := 0
 	for _, other := range a.spreadTasks[key] {
 		for _, placed := range other.attempts {
-			if placed.occupies() && sameDomain(class.SpreadBy, placed, attempt) {
+			if placed.occupies() && sameDomain(class.SpreadDomain, placed, attempt) {
 				count++
 			}
 		}
 	}
 	if count > class.MaxPerDomain {
 		a.violation(ruleSpread, attempt.receivedAt, "service %s of %s has %d tasks in one %s (%s), %d are allowed", task.service, task.scheduler,
-			count, class.SpreadBy, attempt.rack, class.MaxPerDomain)
+			count, class.SpreadDomain, attempt.rack, class.MaxPerDomain)
 	}
 }
 
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -135,7 +135,7 @@
 	r.recordReport("rules as they are", world.Audit())
 	broken := audit.Config{Classes: map[string]audit.Class{}, DrainGrace: -1, Slack: -1}
 	for _, name := range slices.Sorted(maps.Keys(r.config.Classes)) {
-		broken.Classes[name] = audit.Class{AtMostOnce: true, SpreadBy: "machine", MaxPerDomain: 1}
+		broken.Classes[name] = audit.Class{AtMostOnce: true, SpreadDomain: audit.NodeDomain, MaxPerDomain: 1}
 	}
 	r.recordReport("rules broken on purpose", audit.Check(broken, world.Events))
 	for i := range r.script.Schedulers {
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -74,28 +74,22 @@
 	classes := map[string]audit.Class{}
 	for i := range settings.Classes {
 		class := &settings.Classes[i]
-		rules := audit.Class{
+		classes[class.Name] = audit.Class{
 			AtMostOnce:   class.Idempotency == "at_most_once",
 			Idempotent:   class.Idempotency == "deduplicated",
-			KeyScope:     auditDomain(class.DedupDomain),
-			KeyTTL:       class.DedupWindow.Seconds(),
+			DedupDomain:  auditDomain(class.DedupDomain),
+			DedupWindow:  class.DedupWindow.Seconds(),
+			SpreadDomain: auditDomain(class.SpreadDomain),
 			MaxPerDomain: class.MaxPerDomain,
 		}
-		if class.SpreadDomain != config.NoDomain {
-			rules.SpreadBy = auditDomain(class.SpreadDomain)
-		}
-		classes[class.Name] = rules
 	}
 	return classes
 }
 
-// auditDomain returns the auditor's word for a domain of the settings.
-func auditDomain(domain string) string {
-	switch domain {
-	case config.NodeDomain:
-		return "machine"
-	case config.ClusterDomain:
-		return "all"
+// auditDomain returns a domain of the settings as the auditor has it: they have the same words but for none.
+func auditDomain(domain string) audit.Domain {
+	if domain == config.NoDomain {
+		return audit.NoDomain
 	}
-	return domain
+	return audit.Domain(domain)
 }
