--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -105,7 +105,7 @@
 		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, RefusedAfter: refusedTimeout},
 		onStopped:    onStopped,
 	}
-	s.keepAlive.MaxIdle = config.Settings.IdleTimeout * idleShare
+	s.keepAlive.MaxIdle = float64(config.Settings.IdleTimeout) * idleShare
 	loop.SetMaxConns(s.maxClients)
 	if s.listener, err = loop.Listen(config.Listen, s.acceptClient); err != nil {
 		return nil, err
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -48,13 +48,13 @@
 
 // handleBatch handles all events of a batch; the reply is then in the writer.
 func (a *adapter) handleBatch(reader *simproto.Reader, batch simproto.Batch) error {
-	var ev simproto.Event
+	var record simproto.Event
 	a.writer.Start(batch.Number)
 	for i := range batch.Count {
-		if err := reader.Read(&ev); err != nil {
+		if err := reader.Read(&record); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 		}
-		if err := a.handleEvent(batch.Now, &ev); err != nil {
+		if err := a.handleEvent(batch.Now, &record); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 		}
 	}
@@ -64,68 +64,71 @@
 	return nil
 }
 
-func (a *adapter) handleEvent(now float64, ev *simproto.Event) error {
-	switch ev.Code {
+// handleEvent handles one event of a batch at the time of the batch.
+func (a *adapter) handleEvent(now placer.Seconds, record *simproto.Event) error {
+	switch record.Code {
 	case simproto.EventDefineList:
-		a.defineList(ev)
+		a.defineList(record)
 		return nil
 	case simproto.EventInstanceStart:
-		started, err := newInstance(ev)
+		started, err := newInstance(record)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", ev.Instance, err)
+			return fmt.Errorf("instance %d: %w", record.Instance, err)
 		}
-		a.instances[ev.Instance] = started
+		a.instances[record.Instance] = started
 		return nil
 	case simproto.EventInstanceStop:
-		delete(a.instances, ev.Instance)
+		delete(a.instances, record.Instance)
 		return nil
 	}
-	target := a.instances[ev.Instance]
+	target := a.instances[record.Instance]
 	if target == nil {
 		// The run goes on also if the warning cannot be written.
-		_, _ = fmt.Fprintf(a.warnings, "event %d for instance %d, which has not begun: skipped\n", ev.Code, ev.Instance)
+		_, _ = fmt.Fprintf(a.warnings, "event %d for instance %d, which has not begun: skipped\n", record.Code, record.Instance)
 		return nil
 	}
-	event, used, err := target.translate(ev, &a.lists)
+	event, used, err := target.translate(record, &a.lists)
 	if err != nil || !used {
 		return err
 	}
-	a.decide(now, ev.Instance, target, event)
+	a.decide(now, record.Instance, target, event)
 	return nil
 }
 
-func (a *adapter) defineList(ev *simproto.Event) {
-	list := a.lists[ev.ListNumber][:0]
-	for i := range ev.Entries {
-		list = append(list, translateNode(&ev.Entries[i]))
+// defineList replaces the node list of a number.
+func (a *adapter) defineList(record *simproto.Event) {
+	list := a.lists[record.ListNumber][:0]
+	for i := range record.Entries {
+		list = append(list, translateNode(&record.Entries[i]))
 	}
-	a.lists[ev.ListNumber] = list
+	a.lists[record.ListNumber] = list
 }
 
 // decide hands one event to a placer and writes its actions. A panic of the placer is reported for the instance.
-func (a *adapter) decide(now float64, id uint32, target *instance, event placer.Event) {
+func (a *adapter) decide(now placer.Seconds, id uint32, target *instance, event placer.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			a.writer.ReportPanic(id, fmt.Sprintf("panic: %v", cause))
 		}
 	}()
-	a.actions = target.placer.Handle(placer.Seconds(now), event, a.actions[:0])
+	a.actions = target.placer.Handle(now, event, a.actions[:0])
 	for i := range a.actions {
 		a.writeAction(id, &a.actions[i])
 	}
 }
 
+// writeAction adds an action of a placer to the reply.
 func (a *adapter) writeAction(id uint32, action *placer.Action) {
 	task := uint64(action.Task)
 	switch action.Kind {
 	case placer.StartAttempt:
-		a.writer.StartAttempt(id, task, float64(action.Until), simproto.NodeAddress(action.Node))
+		a.writer.StartAttempt(id, task, action.Until, simproto.NodeAddress(action.Node))
 	case placer.Reject:
-		a.writer.Reject(id, task, float64(action.After))
+		a.writer.Reject(id, task, action.After)
 	case placer.Fail:
 		a.writer.Fail(id, task)
 	case placer.SetTimer:
-		a.writer.SetTimer(id, action.Token, float64(action.After))
+		a.writer.SetTimer(id, action.Token, action.After)
 	case placer.WatchNodes:
 		a.writer.WatchNodes(id)
 	case placer.Migrate:
@@ -142,14 +145,15 @@
 	report       placer.Report // reused for each event
 }
 
-func newInstance(ev *simproto.Event) (*instance, error) {
-	settings, err := simconfig.Parse(ev.Settings)
+// newInstance starts an instance with the settings and the seed of the record.
+func newInstance(record *simproto.Event) (*instance, error) {
+	settings, err := simconfig.Parse(record.Settings)
 	if err != nil {
 		return nil, err
 	}
-	p, err := placer.New(settings.Placer, ev.Seed)
+	started, err := placer.New(settings.Placer, record.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &instance{placer: p, reportFields: settings.ReportFields}, nil
+	return &instance{placer: started, reportFields: settings.ReportFields}, nil
 }
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"math"
 	"strings"
 	"testing"
 
@@ -25,14 +26,16 @@
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
 
+// batch is a batch of records in the simulator's protocol.
 type batch struct {
-	buf   bytes.Buffer
-	count uint32
+	records bytes.Buffer
+	count   uint32
 }
 
+// add adds one record.
 func (b *batch) add(values ...any) *batch {
-	for _, v := range values {
-		if err := binary.Write(&b.buf, binary.LittleEndian, v); err != nil {
+	for _, value := range values {
+		if err := binary.Write(&b.records, binary.LittleEndian, value); err != nil {
 			panic(err)
 		}
 	}
@@ -43,12 +46,12 @@
 // bytes returns the batch, which is number 1 at time 10.
 func (b *batch) bytes() []byte {
 	var out bytes.Buffer
-	for _, v := range []any{uint32(1), uint32(12 + b.buf.Len()), b.count, 10.0} {
-		if err := binary.Write(&out, binary.LittleEndian, v); err != nil {
+	for _, value := range []any{uint32(1), uint32(12 + b.records.Len()), b.count, 10.0} {
+		if err := binary.Write(&out, binary.LittleEndian, value); err != nil {
 			panic(err)
 		}
 	}
-	return append(out.Bytes(), b.buf.Bytes()...)
+	return append(out.Bytes(), b.records.Bytes()...)
 }
 
 var node = [6]byte{10, 0, 0, 1, 1, 2}
@@ -64,13 +67,15 @@
 		add(uint8(26), testInstance, uint8(1), uint32(1), uint8(0))
 }
 
-func arrives(b *batch, who uint32, id uint64) *batch {
-	return b.add(uint8(18), who, id, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
+// arrives adds the request of a task to a batch.
+func arrives(b *batch, instance uint32, id uint64) *batch {
+	return b.add(uint8(18), instance, id, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
 }
 
-func run(in ...[]byte) (string, string, error) {
+// run returns the replies to batches and the warnings.
+func run(batches ...[]byte) (replies, warnings string, err error) {
 	var out, problems bytes.Buffer
-	err := Run(bytes.NewReader(bytes.Join(in, nil)), &out, &problems)
+	err = Run(bytes.NewReader(bytes.Join(batches, nil)), &out, &problems)
 	return out.String(), problems.String(), err
 }
 
@@ -80,8 +85,8 @@
 		t.Fatal(err)
 	}
 	var want bytes.Buffer
-	for _, v := range []any{uint8(86), uint32(4), uint64(77)} {
-		if err := binary.Write(&want, binary.LittleEndian, v); err != nil {
+	for _, value := range []any{uint8(86), uint32(4), uint64(77)} {
+		if err := binary.Write(&want, binary.LittleEndian, value); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -95,19 +100,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := beginInstance(testSettings)
-	arrives(b, 8, 5)                                            // an instance that has not begun
-	b.add(uint8(22), uint32(4), uint64(12345))                  // an unknown task
-	b.add(uint8(21), uint32(4), uint64(99999))                  // an unknown timer
-	b.add(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node) // an unknown attempt
-	out, problems, err := run(arrives(b, 4, 77).bytes())
+	records := beginInstance(testSettings)
+	arrives(records, 8, 5)                                            // an instance that has not begun
+	records.add(uint8(22), uint32(4), uint64(12345))                  // an unknown task
+	records.add(uint8(21), uint32(4), uint64(99999))                  // an unknown timer
+	records.add(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node) // an unknown attempt
+	out, problems, err := run(arrives(records, 4, 77).bytes())
 	if err != nil || out != plain || !strings.Contains(problems, "has not begun") {
 		t.Fatalf("err %v, same %v, warnings %q", err, out == plain, problems)
 	}
 }
 
 func TestInvalidInputEndsWithoutReply(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
@@ -117,10 +122,10 @@
 		"kinds":      {beginInstance(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(), "kindMemory"},
 		"attempts":   {beginInstance(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)).bytes(), "attempts 0"},
 		"list kind":  {beginInstance(testSettings).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(), "list kind 9"},
-		"bytes left": {func() []byte { b := beginInstance(testSettings); b.count--; return b.bytes() }(), "follow the last"},
+		"bytes left": {func() []byte { short := beginInstance(testSettings); short.count--; return short.bytes() }(), "follow the last"},
 	} {
-		out, _, err := run(c.in)
-		if err == nil || !strings.Contains(err.Error(), c.want) || out != "" {
+		out, _, err := run(test.in)
+		if err == nil || !strings.Contains(err.Error(), test.want) || out != "" {
 			t.Errorf("%s: error %v, %d bytes out", name, err, len(out))
 		}
 	}
@@ -130,29 +135,37 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := simconfig.Parse([]byte(testSettings))
+	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, fields := s.Placer, s.ReportFields
-	class := c.Classes[1]
-	if c.Peers.Self != 1 || c.Peers.Total != 2 || c.Attempts.Max != 3 || !c.NodeBehavior.AcknowledgesOnStart || !c.NodeBehavior.ReportsUsage || len(fields) != 2 ||
-		class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
-		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 ||
-		c.Classes[0].SpreadDomain != placer.NoDomain || c.NodeTypes[1].Memory != 32 {
-		t.Fatalf("%+v", c)
+	config, fields := settings.Placer, settings.ReportFields
+	if config.Peers != (placer.Peers{Self: 1, Total: 2}) || config.Attempts.Max != 3 {
+		t.Errorf("peers %+v, attempts %+v", config.Peers, config.Attempts)
 	}
-	in := instance{reportFields: fields}
-	if r := in.parseReport([]float32{3, 0.5}); r.FreeMemory != 3 || r.Utilization != 0.5 || r.FreeCores == r.FreeCores {
-		t.Fatalf("%+v", r)
+	if !config.NodeBehavior.AcknowledgesOnStart || !config.NodeBehavior.ReportsUsage {
+		t.Errorf("behavior of nodes %+v", config.NodeBehavior)
+	}
+	class := config.Classes[1]
+	if class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
+		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 {
+		t.Errorf("second class %+v", class)
+	}
+	if config.Classes[0].SpreadDomain != placer.NoDomain || config.NodeTypes[1].Memory != 32 || len(fields) != 2 {
+		t.Errorf("settings %+v", settings)
+	}
+	target := instance{reportFields: fields}
+	report := target.parseReport([]float32{3, 0.5})
+	if report.FreeMemory != 3 || report.Utilization != 0.5 || !math.IsNaN(report.FreeCores) {
+		t.Errorf("report %+v", report)
 	}
 }
 
 func TestPanicIsReportedForTheInstance(t *testing.T) {
-	a := &adapter{instances: map[uint32]*instance{}}
-	a.writer.Start(1)
-	a.decide(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
-	out := string(a.writer.Finish())
+	broken := &adapter{instances: map[uint32]*instance{}}
+	broken.writer.Start(1)
+	broken.decide(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
+	out := string(broken.writer.Finish())
 	if out[12] != 90 || !strings.Contains(out, "panic") {
 		t.Fatalf("%x", out)
 	}
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -10,30 +10,30 @@
 
 // translate returns the event for the placer. It returns false for events that the placer does not use, which are the
 // results of health checks and messages of peers.
-func (in *instance) translate(ev *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.Event, bool, error) {
-	event := placer.Event{TaskID: placer.TaskID(ev.ID), Node: placer.NodeID(ev.Node), Attempt: int(ev.Attempt)}
+func (in *instance) translate(record *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.Event, bool, error) {
+	event := placer.Event{TaskID: placer.TaskID(record.ID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
 	var err error
-	switch ev.Code {
+	switch record.Code {
 	case simproto.EventNodesListed:
 		event.Kind = placer.NodesListed
-		event.List, event.Nodes, err = findList(ev, lists)
+		event.List, event.Nodes, err = findList(record, lists)
 	case simproto.EventTaskArrived:
-		event.Kind, event.Task = placer.Arrived, translateTask(ev)
+		event.Kind, event.Task = placer.Arrived, translateTask(record)
 	case simproto.EventTaskAdopted:
-		event.Kind, event.Task = placer.Adopted, translateTask(ev)
+		event.Kind, event.Task = placer.Adopted, translateTask(record)
 	case simproto.EventAttemptBound:
-		event.Kind, event.Elapsed = placer.Bound, placer.Seconds(ev.Elapsed)
+		event.Kind, event.Elapsed = placer.Bound, record.Elapsed
 	case simproto.EventUsageReported:
-		event.Kind, event.Usage, event.Value = placer.UsageReported, placer.UsageKind(ev.UsageKind), float64(ev.Value)
+		event.Kind, event.Usage, event.Value = placer.UsageReported, placer.UsageKind(record.UsageKind), float64(record.Value)
 	case simproto.EventAttemptEnded:
-		event.Kind, event.Elapsed, event.Final = placer.Ended, placer.Seconds(ev.Elapsed), ev.Final != 0
-		event.Reason = placer.Reason(ev.Reason)
-		event.Result, err = translateStatus(ev.Status)
-		event.Report = in.parseReport(ev.Load)
+		event.Kind, event.Elapsed, event.Final = placer.Ended, record.Elapsed, record.Final != 0
+		event.Reason = placer.Reason(record.Reason)
+		event.Result, err = translateStatus(record.Status)
+		event.Report = in.parseReport(record.Load)
 	case simproto.EventTaskWithdrawn:
 		event.Kind = placer.Withdrawn
 	case simproto.EventTimerFired:
-		event.Kind, event.Token = placer.TimerFired, ev.Token
+		event.Kind, event.Token = placer.TimerFired, record.Token
 	default:
 		return event, false, nil
 	}
@@ -41,9 +41,9 @@
 }
 
 // findList returns the kind of a node list and its nodes, nil if the request for the list failed.
-func findList(ev *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
+func findList(record *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
 	var kind placer.ListKind
-	switch ev.ListKind {
+	switch record.ListKind {
 	case simproto.ListFull:
 		kind = placer.FullList
 	case simproto.ListCached:
@@ -53,14 +53,15 @@
 	case simproto.ListChanges:
 		kind = placer.Changes
 	default:
-		return kind, nil, fmt.Errorf("list kind %d is not known", ev.ListKind)
+		return kind, nil, fmt.Errorf("list kind %d is not known", record.ListKind)
 	}
-	if int(ev.ListNumber) >= len(lists) {
-		return kind, nil, fmt.Errorf("list number %d is over %d", ev.ListNumber, len(lists)-1)
+	if int(record.ListNumber) >= len(lists) {
+		return kind, nil, fmt.Errorf("list number %d is over %d", record.ListNumber, len(lists)-1)
 	}
-	return kind, lists[ev.ListNumber], nil
+	return kind, lists[record.ListNumber], nil
 }
 
+// translateNode returns an entry of a node list for the placer.
 func translateNode(entry *simproto.NodeEntry) placer.Node {
 	node := placer.Node{
 		ID:         placer.NodeID(entry.Node),
@@ -70,7 +71,7 @@
 		State:      placer.Terminated,
 		FreeCores:  float64(entry.FreeCores),
 		FreeMemory: float64(entry.FreeMemory),
-		StartedAt:  placer.Seconds(entry.StartedAt),
+		StartedAt:  entry.StartedAt,
 	}
 	switch entry.State {
 	case simproto.NodeReady:
@@ -81,20 +82,22 @@
 	return node
 }
 
-func translateTask(ev *simproto.Event) placer.Task {
+// translateTask returns the task of an event for the placer.
+func translateTask(record *simproto.Event) placer.Task {
 	return placer.Task{
-		ID:       placer.TaskID(ev.ID),
-		Class:    int(ev.Class),
-		Tenant:   int(ev.Tenant),
-		Service:  placer.ServiceID(ev.Service),
-		Cores:    float64(ev.Cores),
-		Memory:   float64(ev.Memory),
-		Deadline: placer.Seconds(ev.Deadline),
-		IsRetry:  ev.Flags&simproto.RetryFlags != 0,
+		ID:       placer.TaskID(record.ID),
+		Class:    int(record.Class),
+		Tenant:   int(record.Tenant),
+		Service:  placer.ServiceID(record.Service),
+		Cores:    float64(record.Cores),
+		Memory:   float64(record.Memory),
+		Deadline: record.Deadline,
+		IsRetry:  record.Flags.IsRetry(),
 	}
 }
 
-func translateStatus(status uint16) (placer.Result, error) {
+// translateStatus returns the result of an attempt for the placer.
+func translateStatus(status simproto.Status) (placer.Result, error) {
 	switch status {
 	case simproto.StatusFinished:
 		return placer.Finished, nil
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -6,7 +6,7 @@
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
 //
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simconfig -run Characterization
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simbridge/simconfig -run Characterization
 
 import (
 	"fmt"
@@ -87,7 +87,7 @@
 	}
 	fmt.Fprintf(&b, "7: %q %q %q %q %q\n", s.Classes, s.Tenants, s.Zones, s.NodeTypes, s.ReportFields)
 	b.WriteString("8:")
-	floats(s.IdleTimeout, s.BatchInterval)
+	floats(float64(s.IdleTimeout), float64(s.BatchInterval))
 	return b.String()
 }
 
--- a/internal/simbridge/simconfig/report.go
+++ b/internal/simbridge/simconfig/report.go
@@ -13,15 +13,15 @@
 }
 
 // SetReportField sets the value of the named field of a load report. Unknown names are skipped.
-func SetReportField(r *placer.Report, field string, value float64) {
+func SetReportField(report *placer.Report, field string, value float64) {
 	switch field {
 	case "x0":
-		r.FreeCores = value
+		report.FreeCores = value
 	case "x1":
-		r.FreeMemory = value
+		report.FreeMemory = value
 	case "utilization":
-		r.Utilization = value
+		report.Utilization = value
 	case "backlog":
-		r.QueueLength = value
+		report.QueueLength = value
 	}
 }
--- a/internal/simbridge/simconfig/settings.go
+++ b/internal/simbridge/simconfig/settings.go
@@ -27,9 +27,9 @@
 		YoungLimit  float64          `json:"youngLimit"`
 		CheckAfterS placer.Seconds   `json:"checkAfterS"`
 	} `json:"extra"`
-	Flavors []string `json:"flavors"`
-	RoundS  float64  `json:"roundS"`
-	Zones   []string `json:"zones"`
+	Flavors []string       `json:"flavors"`
+	RoundS  placer.Seconds `json:"roundS"`
+	Zones   []string       `json:"zones"`
 	Lanes   []struct {
 		Effect     string         `json:"effect"`
 		HardLimitS placer.Seconds `json:"hardLimitS"`
@@ -52,7 +52,7 @@
 	OverShareWorth float64 `json:"overShareWorth"`
 	PeersTotal     int     `json:"peersTotal"`
 	Permissions    struct {
-		ConnIdleS       float64        `json:"connIdleS"`
+		ConnIdleS       placer.Seconds `json:"connIdleS"`
 		ConnectTimeoutS placer.Seconds `json:"connectTimeoutS"`
 		MaxRetryAfterS  placer.Seconds `json:"maxRetryAfterS"`
 		MayDuplicate    bool           `json:"mayDuplicate"`
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -18,12 +18,19 @@
 	Classes, Tenants, Zones, NodeTypes []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
-	// IdleTimeout is the time, in seconds, after which a node closes an idle connection, or 0 if it is not known.
-	IdleTimeout float64
-	// BatchInterval is the least time, in seconds, between two batches of events.
-	BatchInterval float64
+	// IdleTimeout is the time after which a node closes an idle connection, or 0 if it is not known.
+	IdleTimeout placer.Seconds
+	// BatchInterval is the least time between two batches of events.
+	BatchInterval placer.Seconds
 }
 
+// Values of settings that select one of two ways.
+const (
+	discoveryByPolling  = "ask"     // discovery: node lists are sent only on request
+	acknowledgedOnStart = "running" // extra.saysYes: nodes accept a task when it runs
+	reportsCountUsage   = "used"    // extra.counts: load reports count what is used
+)
+
 // Parse reads the JSON text of the settings. An error names the key that cannot be used.
 func Parse(text []byte) (*Settings, error) {
 	var parsed settings
@@ -66,9 +73,9 @@
 		Peers:           placer.Peers{Self: s.Me, Total: s.PeersTotal, StickyServices: extra.Bound},
 		OverQuotaWeight: s.OverShareWorth,
 		NodeBehavior: placer.NodeBehavior{
-			AcknowledgesOnStart: extra.SaysYes == "running",
+			AcknowledgesOnStart: extra.SaysYes == acknowledgedOnStart,
 			ListShowsCapacity:   extra.FreeInList,
-			ReportsUsage:        extra.Counts == "used",
+			ReportsUsage:        extra.Counts == reportsCountUsage,
 			Preempts:            extra.PushesOut,
 		},
 		Overcommit: placer.Overcommit{Cores: extra.CPUBooking, Memory: extra.AdmitMemory},
@@ -91,7 +98,7 @@
 			MaxRetryAfter:      permissions.MaxRetryAfterS,
 			UnknownOutcomeWait: extra.CheckAfterS,
 		},
-		Discovery: placer.Discovery{MustPoll: s.Discovery == "ask", MaxPollInterval: rules.AskWithinS},
+		Discovery: placer.Discovery{MustPoll: s.Discovery == discoveryByPolling, MaxPollInterval: rules.AskWithinS},
 		Costs:     placer.Costs{Node: s.Tariffs.Fleet, CrossZone: s.Tariffs.Cross, Migration: s.Tariffs.Moves},
 	}
 }
@@ -126,6 +133,7 @@
 	return class, nil
 }
 
+// nodeTypes returns the node types, whose cores and memory stand in two lists.
 func (s *settings) nodeTypes() ([]placer.NodeType, error) {
 	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
 	if len(memory) != len(cores) {
@@ -147,6 +155,7 @@
 	return values[min(i, len(values)-1)]
 }
 
+// parseIdempotency returns the idempotency that a class states as its effect.
 func parseIdempotency(name string) (placer.Idempotency, error) {
 	switch name {
 	case "idempotent":
@@ -159,6 +168,7 @@
 	return placer.Idempotent, fmt.Errorf("%q is not known", name)
 }
 
+// parseDomain returns the failure domain that the settings call a place.
 func parseDomain(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -6,7 +6,7 @@
 // The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
 // fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
 //
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simproto -run Characterization
+//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simbridge/simproto -run Characterization
 
 import (
 	"bytes"
@@ -18,6 +18,7 @@
 
 	"heathshed/internal/simbridge/simproto"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // record encodes one record from values of fixed width, little endian.
@@ -70,41 +71,45 @@
 }
 
 // describe writes all fields of an event as numbers in a fixed order; floats as bits, bytes in hex.
-func describe(ev *simproto.Event) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%d %d %d %d %d %d %d %d", ev.Code, ev.Instance, ev.ID, ev.IdempotencyKey, ev.Service, uint64(ev.Node), ev.Class, ev.Tenant)
-	fmt.Fprintf(&b, " %x %x %x %x", math.Float64bits(ev.Deadline), math.Float64bits(ev.Lifetime), math.Float32bits(ev.Cores),
-		math.Float32bits(ev.Memory))
-	fmt.Fprintf(&b, " %d %d %x %d %d %d", ev.Flags, ev.Attempt, math.Float64bits(ev.Elapsed), ev.Reason, ev.Final, ev.Status)
-	fmt.Fprintf(&b, " load%d", len(ev.Load))
-	for _, v := range ev.Load {
-		fmt.Fprintf(&b, " %x", math.Float32bits(v))
+func describe(event *simproto.Event) string {
+	var text strings.Builder
+	bits := func(value placer.Seconds) uint64 { return math.Float64bits(float64(value)) }
+	fmt.Fprintf(&text, "%d %d %d %d %d %d %d %d", event.Code, event.Instance, event.ID, event.IdempotencyKey, event.Service,
+		uint64(event.Node), event.Class, event.Tenant)
+	fmt.Fprintf(&text, " %x %x %x %x", bits(event.Deadline), bits(event.Lifetime), math.Float32bits(event.Cores),
+		math.Float32bits(event.Memory))
+	fmt.Fprintf(&text, " %d %d %x %d %d %d", event.Flags, event.Attempt, bits(event.Elapsed), event.Reason, event.Final, event.Status)
+	fmt.Fprintf(&text, " load%d", len(event.Load))
+	for _, value := range event.Load {
+		fmt.Fprintf(&text, " %x", math.Float32bits(value))
 	}
-	fmt.Fprintf(&b, " %d %x %d %d %d %d", ev.UsageKind, math.Float32bits(ev.Value), ev.Token, ev.ListKind, ev.ListNumber, ev.ListVersion)
-	fmt.Fprintf(&b, " %d [%x] %d [%x] list%d", ev.Seed, ev.Settings, ev.From, ev.Body, len(ev.Entries))
-	for _, e := range ev.Entries {
-		fmt.Fprintf(&b, " (%d %d %d %x %d %x %d %x %x)", uint64(e.Node), e.Zone, e.NodeType, math.Float32bits(e.FreeCores), e.Rack,
-			math.Float32bits(e.FreeMemory), e.State, math.Float32bits(e.Units), math.Float64bits(e.StartedAt))
+	fmt.Fprintf(&text, " %d %x %d %d %d %d", event.UsageKind, math.Float32bits(event.Value), event.Token, event.ListKind,
+		event.ListNumber, event.ListVersion)
+	fmt.Fprintf(&text, " %d [%x] %d [%x] list%d", event.Seed, event.Settings, event.From, event.Body, len(event.Entries))
+	for _, entry := range event.Entries {
+		fmt.Fprintf(&text, " (%d %d %d %x %d %x %d %x %x)", uint64(entry.Node), entry.Zone, entry.NodeType,
+			math.Float32bits(entry.FreeCores), entry.Rack, math.Float32bits(entry.FreeMemory), entry.State,
+			math.Float32bits(entry.Units), bits(entry.StartedAt))
 	}
-	return b.String()
+	return text.String()
 }
 
 func TestCharacterizationOfEvents(t *testing.T) {
 	all := records()
-	r := simproto.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
+	reader := simproto.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
 	var text strings.Builder
 	for range 2 {
-		batch, err := r.Next()
+		batch, err := reader.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(batch.Now), r.Remaining())
+		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(float64(batch.Now)), reader.Remaining())
 		for range batch.Count {
-			var ev simproto.Event
-			if err := r.Read(&ev); err != nil {
+			var event simproto.Event
+			if err := reader.Read(&event); err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&text, "%s rest %d\n", describe(&ev), r.Remaining())
+			fmt.Fprintf(&text, "%s rest %d\n", describe(&event), reader.Remaining())
 		}
 	}
 	goldentest.CheckText(t, "events", text.String())
@@ -112,14 +117,14 @@
 
 // countReadable returns how many records of an input are read before an error; -1 if the batch itself is rejected.
 func countReadable(in []byte) (count int, failed bool) {
-	r := simproto.NewReader(bytes.NewReader(in))
-	batch, err := r.Next()
+	reader := simproto.NewReader(bytes.NewReader(in))
+	batch, err := reader.Next()
 	if err != nil {
 		return -1, true
 	}
 	for range batch.Count {
-		var ev simproto.Event
-		if r.Read(&ev) != nil {
+		var event simproto.Event
+		if reader.Read(&event) != nil {
 			return count, true
 		}
 		count++
@@ -162,29 +167,31 @@
 	node := simproto.NodeAddress(binary.LittleEndian.Uint32(address[:])) | simproto.NodeAddress(binary.LittleEndian.Uint16(address[4:]))<<32
 	long := strings.Repeat("x", 70000)
 	var text strings.Builder
-	var w simproto.Writer
+	var writer simproto.Writer
 	write := func(number uint32, actions ...func()) {
-		w.Start(number)
+		writer.Start(number)
 		for _, action := range actions {
 			action()
 		}
-		reply := w.Finish()
+		reply := writer.Finish()
 		fmt.Fprintf(&text, "%d %x\n", len(reply), reply[:min(len(reply), 300)])
 	}
 	all := []func(){
-		func() { w.StartAttempt(5, 1001, 12.5, node) },
-		func() { w.StartAttempt(math.MaxUint32, math.MaxUint64, math.Inf(1), simproto.NodeAddress(1<<48-1)) },
-		func() { w.Reject(5, 1001, 0.1) },
-		func() { w.Fail(5, 1001) },
-		func() { w.SetTimer(5, 33, 0.5) },
-		func() { w.WatchNodes(5) },
-		func() { w.ListNodes(5) },
-		func() { w.Migrate(5, 1001) },
-		func() { w.Abort(5, 1001, 2) },
-		func() { w.Log(5, "ab") },
-		func() { w.ReportPanic(5, "cd") },
-		func() { w.ReportPanic(5, "") },
-		func() { w.Log(5, long) },
+		func() { writer.StartAttempt(5, 1001, 12.5, node) },
+		func() {
+			writer.StartAttempt(math.MaxUint32, math.MaxUint64, placer.Seconds(math.Inf(1)), simproto.NodeAddress(1<<48-1))
+		},
+		func() { writer.Reject(5, 1001, 0.1) },
+		func() { writer.Fail(5, 1001) },
+		func() { writer.SetTimer(5, 33, 0.5) },
+		func() { writer.WatchNodes(5) },
+		func() { writer.ListNodes(5) },
+		func() { writer.Migrate(5, 1001) },
+		func() { writer.Abort(5, 1001, 2) },
+		func() { writer.Log(5, "ab") },
+		func() { writer.ReportPanic(5, "cd") },
+		func() { writer.ReportPanic(5, "") },
+		func() { writer.Log(5, long) },
 	}
 	write(0)
 	for i, action := range all {
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"io"
 	"math"
+
+	"heathshed/placer"
 )
 
 const (
@@ -21,8 +23,8 @@
 type Reader struct {
 	input   io.Reader
 	header  [headerBytes]byte
-	buf     []byte // the records of the present batch
-	offset  int    // of the next byte to read in buf
+	body    []byte // the records of the present batch
+	offset  int    // of the next byte to read in body
 	code    EventCode
 	err     error // the first error in the present batch
 	load    []float32
@@ -43,13 +45,13 @@
 	batch := Batch{
 		Number: binary.LittleEndian.Uint32(r.header[0:]),
 		Count:  binary.LittleEndian.Uint32(r.header[8:]),
-		Now:    math.Float64frombits(binary.LittleEndian.Uint64(r.header[12:])),
+		Now:    placer.Seconds(math.Float64frombits(binary.LittleEndian.Uint64(r.header[12:]))),
 	}
 	length := binary.LittleEndian.Uint32(r.header[4:])
 	if length < headerBytes-uncountedBytes {
 		return batch, fmt.Errorf("simproto: batch %d: length %d is under its own header's", batch.Number, length)
 	}
-	if math.IsNaN(batch.Now) || math.IsInf(batch.Now, 0) {
+	if now := float64(batch.Now); math.IsNaN(now) || math.IsInf(now, 0) {
 		return batch, fmt.Errorf("simproto: batch %d: clock %v", batch.Number, batch.Now)
 	}
 	size := int(length) - (headerBytes - uncountedBytes)
@@ -62,19 +64,20 @@
 	return batch, nil
 }
 
+// readBody reads the records of a batch.
 func (r *Reader) readBody(size int) error {
-	r.buf = r.buf[:0]
+	r.body = r.body[:0]
 	r.offset = 0
 	r.err = nil
-	for len(r.buf) < size {
-		filled := len(r.buf)
+	for len(r.body) < size {
+		filled := len(r.body)
 		step := min(maxReadChunkBytes, size-filled)
-		if cap(r.buf) < filled+step {
-			r.buf = append(r.buf, make([]byte, step)...)
+		if cap(r.body) < filled+step {
+			r.body = append(r.body, make([]byte, step)...)
 		} else {
-			r.buf = r.buf[:filled+step]
+			r.body = r.body[:filled+step]
 		}
-		if _, err := io.ReadFull(r.input, r.buf[filled:]); err != nil {
+		if _, err := io.ReadFull(r.input, r.body[filled:]); err != nil {
 			return err
 		}
 	}
@@ -82,51 +85,51 @@
 }
 
 // Remaining returns the number of bytes of the batch that are unread.
-func (r *Reader) Remaining() int { return len(r.buf) - r.offset }
+func (r *Reader) Remaining() int { return len(r.body) - r.offset }
 
-// Read reads the next record of the batch into ev. After an error the batch cannot be read further.
-func (r *Reader) Read(ev *Event) error {
+// Read reads the next record of the batch into event. After an error the batch cannot be read further.
+func (r *Reader) Read(event *Event) error {
 	r.code = 0
 	start := r.offset
-	*ev = Event{Code: EventCode(r.u8())}
-	r.code = ev.Code
-	if ev.Code == EventDefineList {
-		ev.ListNumber = r.u8()
-		ev.Entries = r.list()
-		if r.err == nil && ev.ListNumber >= MaxLists {
-			r.err = fmt.Errorf("simproto: list number %d at byte %d is over %d", ev.ListNumber, start, MaxLists-1)
+	*event = Event{Code: EventCode(r.u8())}
+	r.code = event.Code
+	if event.Code == EventDefineList {
+		event.ListNumber = r.u8()
+		event.Entries = r.list()
+		if r.err == nil && event.ListNumber >= MaxLists {
+			r.err = fmt.Errorf("simproto: list number %d at byte %d is over %d", event.ListNumber, start, MaxLists-1)
 		}
 		return r.err
 	}
-	ev.Instance = r.u32()
-	if known := r.readTaskEvent(ev) || r.readOtherEvent(ev); !known && r.err == nil {
-		r.err = fmt.Errorf("simproto: unknown event code %d at byte %d", ev.Code, start)
+	event.Instance = r.u32()
+	if known := r.readTaskEvent(event) || r.readOtherEvent(event); !known && r.err == nil {
+		r.err = fmt.Errorf("simproto: unknown event code %d at byte %d", event.Code, start)
 	}
 	return r.err
 }
 
 // readTaskEvent reads the fields of an event that concerns a task or its attempts; false if it is another event.
 // The fields of each record are read in the order in which they are written here.
-func (r *Reader) readTaskEvent(ev *Event) bool {
-	switch ev.Code {
+func (r *Reader) readTaskEvent(event *Event) bool {
+	switch event.Code {
 	case EventTaskArrived:
-		ev.ID, ev.Class, ev.Tenant, ev.IdempotencyKey = r.u64(), r.u16(), r.u16(), r.u64()
-		ev.Deadline, ev.Lifetime, ev.Service = r.f64(), r.f64(), r.u64()
-		ev.Cores, ev.Memory, ev.Flags = r.f32(), r.f32(), r.u8()
+		event.ID, event.Class, event.Tenant, event.IdempotencyKey = r.u64(), r.u16(), r.u16(), r.u64()
+		event.Deadline, event.Lifetime, event.Service = r.seconds(), r.seconds(), r.u64()
+		event.Cores, event.Memory, event.Flags = r.f32(), r.f32(), TaskFlags(r.u8())
 	case EventTaskAdopted:
-		ev.ID, ev.Node, ev.Lifetime, ev.Deadline = r.u64(), r.node(), r.f64(), r.f64()
-		ev.Class, ev.IdempotencyKey, ev.Flags = r.u16(), r.u64(), r.u8()
-		ev.Cores, ev.Memory, ev.Service, ev.Tenant = r.f32(), r.f32(), r.u64(), r.u16()
+		event.ID, event.Node, event.Lifetime, event.Deadline = r.u64(), r.node(), r.seconds(), r.seconds()
+		event.Class, event.IdempotencyKey, event.Flags = r.u16(), r.u64(), TaskFlags(r.u8())
+		event.Cores, event.Memory, event.Service, event.Tenant = r.f32(), r.f32(), r.u64(), r.u16()
 	case EventAttemptBound:
-		ev.ID, ev.Attempt, ev.Elapsed, ev.Node = r.u64(), r.u8(), r.f64(), r.node()
+		event.ID, event.Attempt, event.Elapsed, event.Node = r.u64(), r.u8(), r.seconds(), r.node()
 	case EventUsageReported:
-		ev.ID, ev.Attempt, ev.Node, ev.UsageKind, ev.Value = r.u64(), r.u8(), r.node(), r.u8(), r.f32()
+		event.ID, event.Attempt, event.Node, event.UsageKind, event.Value = r.u64(), r.u8(), r.node(), r.u8(), r.f32()
 	case EventAttemptEnded:
-		ev.ID, ev.Node, ev.Elapsed = r.u64(), r.node(), r.f64()
-		ev.Reason, ev.Attempt, ev.Final, ev.Status = r.u8(), r.u8(), r.u8(), r.u16()
-		ev.Load = r.report()
+		event.ID, event.Node, event.Elapsed = r.u64(), r.node(), r.seconds()
+		event.Reason, event.Attempt, event.Final, event.Status = r.u8(), r.u8(), r.u8(), Status(r.u16())
+		event.Load = r.report()
 	case EventTaskWithdrawn:
-		ev.ID = r.u64()
+		event.ID = r.u64()
 	default:
 		return false
 	}
@@ -134,36 +137,37 @@
 }
 
 // readOtherEvent reads the fields of an event that concerns no task; false if the code is unknown.
-func (r *Reader) readOtherEvent(ev *Event) bool {
-	switch ev.Code {
+func (r *Reader) readOtherEvent(event *Event) bool {
+	switch event.Code {
 	case EventInstanceStart:
-		ev.Seed = r.u64()
-		ev.Settings = r.bytes(int(r.u32()))
+		event.Seed = r.u64()
+		event.Settings = r.bytes(int(r.u32()))
 	case EventInstanceStop: // has no fields
 	case EventNodesListed:
-		ev.ListKind, ev.ListVersion, ev.ListNumber = r.u8(), r.u32(), r.u8()
+		event.ListKind, event.ListVersion, event.ListNumber = ListKind(r.u8()), r.u32(), r.u8()
 	case EventTimerFired:
-		ev.Token = r.u64()
+		event.Token = r.u64()
 	case EventHealthCheckResult:
-		ev.Status, ev.Node, ev.Elapsed = r.u16(), r.node(), r.f64()
-		ev.Load = r.report()
+		event.Status, event.Node, event.Elapsed = Status(r.u16()), r.node(), r.seconds()
+		event.Load = r.report()
 	case EventPeerMessage:
-		ev.From = r.u32()
-		ev.Body = r.bytes(int(r.u16()))
+		event.From = r.u32()
+		event.Body = r.bytes(int(r.u16()))
 	default:
 		return false
 	}
 	return true
 }
 
+// list reads a node list, which is valid until the next call.
 func (r *Reader) list() []NodeEntry {
-	n := r.u32()
-	if r.err == nil && uint64(n)*nodeEntryBytes > uint64(r.Remaining()) {
-		r.err = fmt.Errorf("simproto: list of %d entries does not fit in %d bytes", n, r.Remaining())
+	count := r.u32()
+	if r.err == nil && uint64(count)*nodeEntryBytes > uint64(r.Remaining()) {
+		r.err = fmt.Errorf("simproto: list of %d entries does not fit in %d bytes", count, r.Remaining())
 		return nil
 	}
 	r.entries = r.entries[:0]
-	for i := uint32(0); i < n && r.err == nil; i++ {
+	for i := uint32(0); i < count && r.err == nil; i++ {
 		// The fields are read in this order.
 		r.entries = append(r.entries, NodeEntry{
 			Node:       r.node(),
@@ -172,35 +176,36 @@
 			NodeType:   r.u8(),
 			Rack:       r.u16(),
 			FreeMemory: r.f32(),
-			State:      r.u8(),
+			State:      NodeState(r.u8()),
 			Units:      r.f32(),
-			StartedAt:  r.f64(),
+			StartedAt:  r.seconds(),
 		})
 	}
 	return r.entries
 }
 
+// report reads the values of a load report, which are valid until the next call.
 func (r *Reader) report() []float32 {
-	n := int(r.u8())
+	count := int(r.u8())
 	r.load = r.load[:0]
-	for i := 0; i < n && r.err == nil; i++ {
+	for i := 0; i < count && r.err == nil; i++ {
 		r.load = append(r.load, r.f32())
 	}
 	return r.load
 }
 
-// bytes returns the next n bytes, or nil after an error.
-func (r *Reader) bytes(n int) []byte {
+// bytes returns the next bytes, or nil after an error.
+func (r *Reader) bytes(count int) []byte {
 	if r.err != nil {
 		return nil
 	}
-	if n < 0 || n > r.Remaining() {
-		r.err = fmt.Errorf("simproto: record of code %d: wants %d bytes at %d, %d are left", r.code, n, r.offset, r.Remaining())
+	if count < 0 || count > r.Remaining() {
+		r.err = fmt.Errorf("simproto: record of code %d: wants %d bytes at %d, %d are left", r.code, count, r.offset, r.Remaining())
 		return nil
 	}
-	b := r.buf[r.offset : r.offset+n]
-	r.offset += n
-	return b
+	start := r.offset
+	r.offset += count
+	return r.body[start:r.offset]
 }
 
 func (r *Reader) u8() uint8 {
@@ -232,7 +237,9 @@
 }
 
 func (r *Reader) f32() float32 { return math.Float32frombits(r.u32()) }
-func (r *Reader) f64() float64 { return math.Float64frombits(r.u64()) }
+
+// seconds reads a time or duration.
+func (r *Reader) seconds() placer.Seconds { return placer.Seconds(math.Float64frombits(r.u64())) }
 
 func (r *Reader) node() NodeAddress {
 	if b := r.bytes(nodeAddressBytes); b != nil {
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -1,5 +1,5 @@
 // Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All numbers are
-// little endian, all times are in seconds. It encodes and decodes only: what events and actions mean is left to package
+// little endian, all times are floating point numbers of seconds. It encodes and decodes only: what events and actions mean is left to package
 // simadapter.
 //
 // A batch is a header, which is the batch number, the length of the rest in bytes, the number of records (each 4 bytes)
@@ -8,6 +8,8 @@
 // EventDefineList, the number of the scheduler instance that it concerns.
 package simproto
 
+import "heathshed/placer"
+
 // EventCode is the kind of an event record.
 type EventCode uint8
 
@@ -45,34 +47,49 @@
 	ActionSetTimer     ActionCode = 92
 )
 
-// The values of Event.ListKind.
+// ListKind is the kind of a node list.
+type ListKind uint8
+
+// The kinds of list.
 const (
-	ListFull    = 0
-	ListCached  = 1
-	ListFailed  = 2
-	ListChanges = 4
+	ListFull    ListKind = 0
+	ListCached  ListKind = 1
+	ListFailed  ListKind = 2
+	ListChanges ListKind = 4
 )
 
-// The values of Event.Status.
+// Status is the outcome of an attempt.
+type Status uint16
+
+// The outcomes.
 const (
-	StatusFinished    = 0
-	StatusExpired     = 249
-	StatusCancelled   = 250
-	StatusLost        = 251
-	StatusUnreachable = 252
-	StatusTimedOut    = 253
-	StatusRejected    = 254
-	StatusErrored     = 255
+	StatusFinished    Status = 0
+	StatusExpired     Status = 249
+	StatusCancelled   Status = 250
+	StatusLost        Status = 251
+	StatusUnreachable Status = 252
+	StatusTimedOut    Status = 253
+	StatusRejected    Status = 254
+	StatusErrored     Status = 255
 )
 
-// The values of NodeEntry.State that have a meaning here; nodes in other states have terminated.
+// NodeState is the state of a node.
+type NodeState uint8
+
+// The states that have a meaning here; nodes in other states have terminated.
 const (
-	NodeReady    = 1
-	NodeDraining = 2
+	NodeReady    NodeState = 1
+	NodeDraining NodeState = 2
 )
 
-// RetryFlags are the bits of Event.Flags of which any says that the client requested the task before.
-const RetryFlags = 2 | 16
+// TaskFlags are bits that say more about a task.
+type TaskFlags uint8
+
+// retryFlags are the bits of which any says that the client requested the task before.
+const retryFlags TaskFlags = 2 | 16
+
+// IsRetry reports whether the client requested the task before.
+func (f TaskFlags) IsRetry() bool { return f&retryFlags != 0 }
 
 // MaxLists is the number of node lists that may be defined, numbered from 0.
 const MaxLists = 16
@@ -87,9 +104,9 @@
 	FreeCores      float32
 	Rack           uint16
 	FreeMemory     float32
-	State          uint8
+	State          NodeState
 	Units          float32
-	StartedAt      float64
+	StartedAt      placer.Seconds
 }
 
 // Event is one event record. Which fields are set depends on Code. Slices are valid until the next Read.
@@ -99,18 +116,19 @@
 	ID, IdempotencyKey, Service uint64
 	Node                        NodeAddress
 	Class, Tenant               uint16
-	Deadline, Lifetime          float64
+	Deadline, Lifetime          placer.Seconds
 	Cores, Memory               float32
-	Flags                       uint8
+	Flags                       TaskFlags
 	Attempt                     uint8
-	Elapsed                     float64
+	Elapsed                     placer.Seconds
 	Reason, Final               uint8
-	Status                      uint16
+	Status                      Status
 	Load                        []float32
 	UsageKind                   uint8
 	Value                       float32
 	Token                       uint64
-	ListKind, ListNumber        uint8
+	ListKind                    ListKind
+	ListNumber                  uint8
 	ListVersion                 uint32
 	Seed                        uint64
 	Settings                    []byte
@@ -122,6 +140,6 @@
 // Batch is the header of a batch of events.
 type Batch struct {
 	Number uint32
-	Count  uint32 // records that follow
-	Now    float64
+	Count  uint32         // records that follow
+	Now    placer.Seconds // the time of all events of the batch
 }
