--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -41,14 +41,15 @@
 	return actions
 }
 
+// playQueue plays random events and returns the order in which events were passed and actions executed.
 func playQueue(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 4))
-	var b strings.Builder
-	queue := eventqueue.Queue{Placer: &echoPlacer{random, &b}}
-	queue.Execute = func(a *placer.Action) {
-		fmt.Fprintf(&b, "a%d ", a.Token)
-		if a.Token < 100000 && random.IntN(2) == 0 {
-			queue.Post(placer.Event{Kind: placer.TimerFired, Token: a.Token})
+	var order strings.Builder
+	queue := eventqueue.Queue{Placer: &echoPlacer{random, &order}}
+	queue.Execute = func(action *placer.Action) {
+		fmt.Fprintf(&order, "a%d ", action.Token)
+		if action.Token < 100000 && random.IntN(2) == 0 {
+			queue.Post(placer.Event{Kind: placer.TimerFired, Token: action.Token})
 			queue.Run(-1) // does nothing within an action
 		}
 	}
@@ -57,7 +58,7 @@
 			queue.Post(placer.Event{Kind: placer.TimerFired, Token: uint64(step + 1)})
 		}
 		queue.Run(placer.Seconds(step))
-		b.WriteString("| ")
+		order.WriteString("| ")
 	}
-	return b.String()
+	return order.String()
 }
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -8,7 +8,7 @@
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	nodes := testNodes(6)
 	placer := newTestPlacer(t, config, 1, nodes)
-	placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
 		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.active {
 			t.Fatalf("attempt on standby node %d", sent.Node)
@@ -36,7 +36,7 @@
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	placer := newTestPlacer(t, config, 1, testNodes(6))
-	placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	adoptTask(placer, 900, 1, 0)
 	task := newTask(1, 0)
 	task.Deadline = 110
 	startedAttempt(t, arrive(placer, 100.1, task))
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -19,7 +19,7 @@
 
 func TestSpreadCountsAttemptsAndRunningTasks(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(1))
-	placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: 900, Class: 1, Service: 5, Cores: 1, Memory: 1}}, nil)
+	adoptTask(placer, 900, 1, 1)
 	task := newTask(1, 1)
 	task.Service = 5
 	sent := startedAttempt(t, arrive(placer, 100.1, task))
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -55,6 +55,12 @@
 	return Task{ID: TaskID(id), Class: class, Service: ServiceID(id), Cores: 1, Memory: 1, Deadline: 105}
 }
 
+// adoptTask reports at time 100 that a task of service 5 runs on a node.
+func adoptTask(placer *Placer, id TaskID, node NodeID, class int) {
+	task := Task{ID: id, Class: class, Service: 5, Cores: 1, Memory: 1}
+	placer.Handle(100, Event{Kind: Adopted, Node: node, Task: task}, nil)
+}
+
 // arrive requests a task.
 func arrive(placer *Placer, now Seconds, task Task) []Action {
 	return placer.Handle(now, Event{Kind: Arrived, Task: task}, nil)
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -47,7 +47,7 @@
 // A node that drains before the list shows it frees capacity with each task, and would attract all attempts.
 func TestNodeThatDrainsTasksIsEjected(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	placer.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+	adoptTask(placer, 900, 2, 0)
 	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
 		if sent := startedAttempt(t, arrive(placer, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); sent.Node == 2 {
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -39,18 +39,23 @@
 	return script.log
 }
 
+// checkScript fails if the log of a script shows too few attempts to test anything.
+func checkScript(t *testing.T, seed uint64, log []string) {
+	t.Helper()
+	attempts := 0
+	for _, line := range log {
+		if strings.Contains(line, "{Kind:1 ") {
+			attempts++
+		}
+	}
+	if attempts < 300 {
+		t.Fatalf("seed %d: only %d attempts, the script tests nothing", seed, attempts)
+	}
+}
+
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
-		log := playScript(t, seed, 8000)
-		attempts := 0
-		for _, line := range log {
-			if strings.Contains(line, "{Kind:1 ") {
-				attempts++
-			}
-		}
-		if attempts < 300 {
-			t.Fatalf("seed %d: only %d attempts, the script tests nothing", seed, attempts)
-		}
+		checkScript(t, seed, playScript(t, seed, 8000))
 	}
 }
 
@@ -59,15 +64,7 @@
 	for seed := range uint64(6) {
 		config := testConfig()
 		config.Peers.Total, config.SlowStart.MaxAttempts, config.Peers.StickyServices = 200, 60, seed%2 > 0
-		attempts := 0
-		for _, line := range playScriptOnNodes(t, seed, 8000, config, 60, true) {
-			if strings.Contains(line, "{Kind:1 ") {
-				attempts++
-			}
-		}
-		if attempts < 300 {
-			t.Fatalf("seed %d: only %d attempts, the script tests nothing", seed, attempts)
-		}
+		checkScript(t, seed, playScriptOnNodes(t, seed, 8000, config, 60, true))
 	}
 }
 
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -86,7 +86,7 @@
 	hits := 0
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(4))
-		placer.Handle(100, Event{Kind: Adopted, Node: 2, Task: Task{ID: 900, Service: 5, Cores: 1, Memory: 1}}, nil)
+		adoptTask(placer, 900, 2, 0)
 		task := newTask(1, 0)
 		task.Service = 5
 		if startedAttempt(t, arrive(placer, 100.1, task)).Node == 2 {
@@ -257,7 +257,7 @@
 		nodes[3].FreeCores, nodes[3].FreeMemory = 1, 1
 		placer := newTestPlacer(t, config, seed, nodes)
 		for i := range 3 { // the nodes 1 to 3 have the program
-			placer.Handle(100, Event{Kind: Adopted, Node: NodeID(i + 1), Task: Task{ID: TaskID(900 + i), Service: 5, Cores: 1, Memory: 1}}, nil)
+			adoptTask(placer, TaskID(900+i), NodeID(i+1), 0)
 		}
 		placer.nodes.byID[2].tasks.unanswered, placer.nodes.byID[3].tasks.unanswered = 50, 50
 		task := newTask(1, 0)
