--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -16,28 +16,28 @@
 	t.Helper()
 	var lines []string
 	for shape := range settingsShapes {
-		r := newRecorder(t, shape, 50, "", false)
-		r.labelStart = fmt.Sprintf("directed shape %d", shape)
-		r.unordered = true
-		r.openConnection()
-		r.core.SetDiscoveryConnected(r.now, true)
-		r.listAll("in_service", 0)
-		r.adoptTasks(24, 1)
-		r.checkpoint(1)
-		r.listAll("in_service", 1010_000) // a new incarnation ends the running tasks
-		r.checkpoint(2)
-		r.adoptTasks(24, 101)
-		r.listAll("terminated", 0)
-		r.checkpoint(3)
-		r.now += 1.5
-		r.core.Advance(r.now)
-		r.observe(0)
-		r.checkpoint(4)
-		r.now += 61
-		r.core.Advance(r.now)
-		r.observe(0)
-		r.checkpoint(5)
-		lines = append(lines, r.lines...)
+		recorder := newRecorder(t, shape, 50, "", false)
+		recorder.label = fmt.Sprintf("directed shape %d", shape)
+		recorder.unordered = true
+		recorder.openConnection()
+		recorder.core.SetDiscoveryConnected(recorder.now, true)
+		recorder.listAll("in_service", 0)
+		recorder.adoptTasks(24, 1)
+		recorder.checkpoint(1)
+		recorder.listAll("in_service", 1010_000) // a new incarnation ends the running tasks
+		recorder.checkpoint(2)
+		recorder.adoptTasks(24, 101)
+		recorder.listAll("terminated", 0)
+		recorder.checkpoint(3)
+		recorder.now += 1.5
+		recorder.core.Advance(recorder.now)
+		recorder.observe(0)
+		recorder.checkpoint(4)
+		recorder.now += 61
+		recorder.core.Advance(recorder.now)
+		recorder.observe(0)
+		recorder.checkpoint(5)
+		lines = append(lines, recorder.lines...)
 	}
 	lines = append(lines, playRedelivery(t)...)
 	lines = append(lines, playAdoptionWait(t)...)
@@ -47,24 +47,55 @@
 	return append(lines, playEarlyTerminations(t)...)
 }
 
-func (r *recorder) listAll(state string, bootMS int64) {
-	r.eventNo = int(r.core.LastDiscoveryEvent()) + 1
+// directedScript is how a short script begins: with which settings and seed, and how many client connections.
+type directedScript struct {
+	shape       int
+	seed        uint64
+	label       string
+	connections int
+	arbitrary   bool // with an arbitraryPlacer
+}
+
+// begin returns a recorder whose core has the connections and lists all nodes as in service.
+func (script directedScript) begin(t *testing.T) *scriptRecorder {
+	t.Helper()
+	recorder := newRecorder(t, script.shape, script.seed, "", script.arbitrary)
+	recorder.label = script.label
+	for range script.connections {
+		recorder.openConnection()
+	}
+	recorder.listAll("in_service", 0)
+	return recorder
+}
+
+// beginWithRequest is like begin, with an arbitraryPlacer and a first request.
+func (script directedScript) beginWithRequest(t *testing.T) *scriptRecorder {
+	t.Helper()
+	script.arbitrary = true
+	recorder := script.begin(t)
+	recorder.launch("")
+	recorder.observe(0)
+	return recorder
+}
+
+func (recorder *scriptRecorder) listAll(state string, bootMS int64) {
+	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
 	var all []string
 	for i := 1; i <= scriptNodes; i++ {
-		all = append(all, r.nodeJSON(i, state, bootMS))
+		all = append(all, recorder.nodeJSON(i, state, bootMS))
 	}
-	ok, err := r.core.ReceiveDiscoveryEvent(r.now, []byte(discoveryEventJSON(r.eventNo, false, all...)))
-	r.flag(ok)
-	r.verdict(err)
-	r.observe(0)
+	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
+	recorder.flag(ok)
+	recorder.verdict(err)
+	recorder.observe(0)
 }
 
 // adoptTasks lists running tasks for adoption, spread over the nodes.
-func (r *recorder) adoptTasks(count int, first uint64) {
+func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		msg := r.validLaunch(first+uint64(i), ";at:"+nodeName(1+i%scriptNodes))
-		r.verdict(r.core.ReceiveFromClient(r.now, r.conns[0], &msg))
-		r.observe(0)
+		msg := recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes))
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, recorder.conns[0], &msg))
+		recorder.observe(0)
 	}
 }
 
@@ -72,93 +103,91 @@
 // intervals around each time limit, and with no client left to be notified.
 func playRedelivery(t *testing.T) []string {
 	t.Helper()
-	var lines []string
-	for variant := range 24 {
-		r := newRecorder(t, 0, uint64(100+variant), "", false)
-		r.labelStart = fmt.Sprintf("redelivery %d", variant)
-		r.openConnection()
-		r.openConnection()
-		r.listAll("in_service", 0)
-		r.adoptTasks(6, 1)
+	begin := func(variant int) *scriptRecorder {
+		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.begin(t)
+	}
+	return playVariants(24, begin, func(recorder *scriptRecorder, variant int) {
+		recorder.adoptTasks(6, 1)
 		if variant%2 == 1 {
 			confirm := wireMessage(protocol.Stopped, 77)
-			r.verdict(r.core.ReceiveFromClient(r.now, 1, &confirm))
+			recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &confirm))
 		}
-		r.endTasks(1, 4)
-		r.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
+		recorder.endTasks(1, 4)
+		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
 		acknowledgement := wireMessage(protocol.Stopped, 2)
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &acknowledgement))
-		r.core.ClientDisconnected(r.now, 1)
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &acknowledgement))
+		recorder.core.ClientDisconnected(recorder.now, 1)
 		if variant >= 12 {
-			r.core.ClientDisconnected(r.now, 2)
+			recorder.core.ClientDisconnected(recorder.now, 2)
 		}
-		r.conns = nil
-		r.endTasks(5, 6)
-		r.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
-		r.openConnection()
+		recorder.conns = nil
+		recorder.endTasks(5, 6)
+		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
+		recorder.openConnection()
 		check := wireMessage(protocol.Check, 78)
-		r.verdict(r.core.ReceiveFromClient(r.now, r.lastConn, &check))
-		r.observe(0)
-		r.checkpoint(1)
-		lines = append(lines, r.lines...)
-	}
-	return lines
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, recorder.lastConn, &check))
+		recorder.observe(0)
+	})
 }
 
 // endTasks has nodes report the end of tasks that adoptTasks listed.
-func (r *recorder) endTasks(first, last uint64) {
+func (recorder *scriptRecorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []int{16, 41}[id%2], true
-		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1+int(id-1)%scriptNodes)), &msg)
-		r.observe(0)
+		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodes), &msg)
+		recorder.observe(0)
 	}
 }
 
 // playAdoptionWait has requests arrive while running tasks are still being adopted, up to and beyond the longest time for which requests wait.
 func playAdoptionWait(t *testing.T) []string {
 	t.Helper()
-	r := newRecorder(t, 0, 300, "", false)
-	r.labelStart = "handover"
-	r.openConnection()
-	r.openConnection()
-	r.listAll("in_service", 0)
+	recorder := directedScript{seed: 300, label: "handover", connections: 2}.begin(t)
 	check := wireMessage(protocol.Check, 78)
-	r.verdict(r.core.ReceiveFromClient(r.now, 1, &check))
+	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &check))
 	for i := range uint64(40) {
-		r.now += 0.03
-		r.core.Advance(r.now)
-		r.observe(int(i))
-		r.adoptTasks(1, 1000+i)
-		msg := r.validLaunch(2000+i, "")
-		r.verdict(r.core.ReceiveFromClient(r.now, 2, &msg))
-		r.observe(int(i))
+		recorder.now += 0.03
+		recorder.core.Advance(recorder.now)
+		recorder.observe(int(i))
+		recorder.adoptTasks(1, 1000+i)
+		msg := recorder.validLaunch(2000+i, "")
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 2, &msg))
+		recorder.observe(int(i))
 		if i%5 == 4 {
-			r.checkpoint(int(i))
+			recorder.checkpoint(int(i))
 		}
 	}
 	for range 30 {
-		r.now = max(r.now, min(r.core.NextTimer(), r.now+10))
-		r.core.Advance(r.now)
-		r.observe(0)
+		recorder.now = max(recorder.now, min(recorder.core.NextTimer(), recorder.now+10))
+		recorder.core.Advance(recorder.now)
+		recorder.observe(0)
 	}
-	r.checkpoint(40)
-	return r.lines
+	recorder.checkpoint(40)
+	return recorder.lines
 }
 
 // playNewIncarnation lets a node begin a new incarnation at times around the tolerance, with one task that runs on it.
 func playNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	var lines []string
-	for _, after := range []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100} {
-		r := newRecorder(t, 0, 400, "", false)
-		r.labelStart = fmt.Sprintf("new life after %d", after)
-		r.openConnection()
-		r.listAll("in_service", 0)
-		r.adoptTasks(1, 1)
-		r.listAll("in_service", 1000_000+after)
-		r.checkpoint(1)
-		lines = append(lines, r.lines...)
+	startedAfterMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
+	begin := func(variant int) *scriptRecorder {
+		label := fmt.Sprintf("new life after %d", startedAfterMS[variant]) // as in the golden file
+		return directedScript{seed: 400, label: label, connections: 1}.begin(t)
+	}
+	return playVariants(len(startedAfterMS), begin, func(recorder *scriptRecorder, variant int) {
+		recorder.adoptTasks(1, 1)
+		recorder.listAll("in_service", 1000_000+startedAfterMS[variant])
+	})
+}
+
+// playVariants plays one directed script in several variants.
+func playVariants(count int, begin func(variant int) *scriptRecorder, play func(recorder *scriptRecorder, variant int)) (lines []string) {
+	for variant := range count {
+		recorder := begin(variant)
+		play(recorder, variant)
+		recorder.checkpoint(1)
+		lines = append(lines, recorder.lines...)
 	}
 	return lines
 }
@@ -166,74 +195,62 @@
 // playLateStart sends attempts just before, at and just after the time at which they expire, with the timer of that time not yet run.
 func playLateStart(t *testing.T) []string {
 	t.Helper()
-	var lines []string
-	for variant := range 30 {
-		r := newRecorder(t, variant/10, uint64(500+variant), "", true)
-		r.labelStart = fmt.Sprintf("late start %d", variant)
-		r.openConnection()
-		r.listAll("in_service", 0)
-		r.launch("")
-		r.observe(0)
-		if due := r.core.NextTimer(); !math.IsInf(float64(due), 1) {
-			r.now = max(r.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
-		}
-		r.send()
-		r.observe(1)
-		r.checkpoint(1)
-		lines = append(lines, r.lines...)
+	begin := func(variant int) *scriptRecorder {
+		label := fmt.Sprintf("late start %d", variant)
+		return directedScript{shape: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.beginWithRequest(t)
 	}
-	return lines
+	return playVariants(30, begin, func(recorder *scriptRecorder, variant int) {
+		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
+			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
+		}
+		recorder.send()
+		recorder.observe(1)
+	})
 }
 
 // playLateAnswer has a node answer around the time at which the attempt expires, with the timer of that time not yet run, or after its connection
 // was lost; then the client lists the task for adoption from that node.
 func playLateAnswer(t *testing.T) []string {
 	t.Helper()
-	var lines []string
-	for variant := range 48 {
-		r := newRecorder(t, variant/16, uint64(600+variant), "", true)
-		r.labelStart = fmt.Sprintf("late answer %d", variant)
-		r.openConnection()
-		r.listAll("in_service", 0)
-		r.launch("")
-		r.observe(0)
-		due := r.core.NextTimer()
-		r.send()
-		r.observe(1)
-		if len(r.sent) > 0 {
-			r.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
-		}
-		open, placed := r.core.ClientRequests(99)
-		r.number(uint64(open))
-		r.flag(placed)
-		r.checkpoint(1)
-		lines = append(lines, r.lines...)
+	begin := func(variant int) *scriptRecorder {
+		label := fmt.Sprintf("late answer %d", variant)
+		return directedScript{shape: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.beginWithRequest(t)
 	}
-	return lines
+	return playVariants(48, begin, func(recorder *scriptRecorder, variant int) {
+		due := recorder.core.NextTimer()
+		recorder.send()
+		recorder.observe(1)
+		if len(recorder.sent) > 0 {
+			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
+		}
+		open, placed := recorder.core.ClientRequests(99)
+		recorder.number(uint64(open))
+		recorder.flag(placed)
+	})
 }
 
 // answerLate answers the first attempt at the given time, after its connection was lost if broken is set, and lists its task for adoption.
-func (r *recorder) answerLate(at placer.Seconds, broken bool) {
-	attempt := r.sent[0]
-	r.now = max(r.now, at)
+func (recorder *scriptRecorder) answerLate(at placer.Seconds, broken bool) {
+	attempt := recorder.sent[0]
+	recorder.now = max(recorder.now, at)
 	if broken {
-		r.core.ConnectionLost(r.now, attempt)
-		r.observe(2)
+		recorder.core.ConnectionLost(recorder.now, attempt)
+		recorder.observe(2)
 	}
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = `"out"`
-	r.fromNode(attempt, &msg)
-	r.observe(3)
+	recorder.fromNode(attempt, &msg)
+	recorder.observe(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(r.pending) > 0 { // the next attempt: its client withdraws the request
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &stop))
-		r.observe(4)
+	if len(recorder.pending) > 0 { // the next attempt: its client withdraws the request
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &stop))
+		recorder.observe(4)
 	}
 	for i := 1; i <= 4; i++ {
-		if dispatch.NodeIDOf(nodeName(i)) == attempt.Node {
-			adoption := r.validLaunch(uint64(attempt.Message.ID), ";at:"+nodeName(i))
-			r.verdict(r.core.ReceiveFromClient(r.now, 1, &adoption))
-			r.observe(5)
+		if nodeID(i) == attempt.Node {
+			adoption := recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i))
+			recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &adoption))
+			recorder.observe(5)
 		}
 	}
 }
@@ -242,26 +259,23 @@
 func playEarlyTerminations(t *testing.T) []string {
 	t.Helper()
 	const beyond = 20010
-	r := newRecorder(t, 0, 200, "", false)
-	r.labelStart = "bounds"
-	r.openConnection()
-	r.listAll("in_service", 0)
+	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.begin(t)
 	for id := uint64(1); id <= beyond; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
-		r.core.ReceiveFromNode(r.now, dispatch.NodeIDOf(nodeName(1)), &msg)
+		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
-		msg := r.validLaunch(id, ";at:"+nodeName(1))
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &msg))
-		r.observe(0)
+		msg := recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1))
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &msg))
+		recorder.observe(0)
 	}
-	r.checkpoint(1)
+	recorder.checkpoint(1)
 	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
-		msg := r.validLaunch(id, ";at:"+nodeName(2))
-		r.verdict(r.core.ReceiveFromClient(r.now, 1, &msg))
+		msg := recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2))
+		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &msg))
 	}
-	r.observe(0)
-	r.checkpoint(2)
-	return r.lines
+	recorder.observe(0)
+	recorder.checkpoint(2)
+	return recorder.lines
 }
--- /dev/null
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -0,0 +1,344 @@
+package dispatch_test
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"heathshed/internal/platform/dispatch"
+	"heathshed/internal/platform/protocol"
+	"heathshed/placer"
+)
+
+const (
+	scriptSteps     = 600
+	checkpointEvery = 50
+	scriptNodes     = 6
+)
+
+func (recorder *scriptRecorder) nodeJSON(i int, state string, bootMS int64) string {
+	recorder.states[i] = state
+	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
+		dispatch.NodeUID(i), i, 1+recorder.eventNumber%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
+}
+
+func pick[T any](recorder *scriptRecorder, of ...T) T { return of[recorder.random.IntN(len(of))] }
+
+func wireMessage(kind protocol.Kind, id uint64) protocol.Message {
+	return protocol.Message{Kind: kind, ID: protocol.ID(id), UID: fmt.Sprintf("%016x", id)}
+}
+
+// playScript plays one random script to its end.
+func playScript(t *testing.T, shape int, seed uint64, arbitrary bool) []string {
+	t.Helper()
+	setup := &scriptRecorder{states: map[int]string{}}
+	known := `{"no":1,"items":[` + dispatch.DiscoveryEventJSON(1, true, setup.nodeJSON(1, "in_service", 0), setup.nodeJSON(2, "in_service", 0),
+		setup.nodeJSON(3, "in_service", 0)) + `]}`
+	recorder := newRecorder(t, shape, seed, known, arbitrary)
+	for i := 1; i <= 3; i++ {
+		recorder.states[i] = "in_service"
+	}
+	if seed%2 == 0 {
+		recorder.core.SetDiscoveryConnected(recorder.now, true)
+		recorder.observe(0)
+	}
+	recorder.openConnection()
+	for step := 1; step <= scriptSteps; step++ {
+		recorder.step()
+		recorder.observe(step)
+		if step%checkpointEvery == 0 {
+			recorder.checkpoint(step)
+		}
+	}
+	recorder.advance(70)
+	recorder.checkpoint(scriptSteps + 1)
+	return recorder.lines
+}
+
+// step makes one random call.
+func (recorder *scriptRecorder) step() {
+	switch recorder.random.IntN(30) {
+	case 0, 1, 2, 3, 4, 5:
+		recorder.launch("")
+	case 6, 7, 8, 9, 10:
+		recorder.send()
+	case 11, 12, 13, 14:
+		recorder.accept()
+	case 15, 16, 17:
+		recorder.nodeMessage()
+	case 18:
+		recorder.invalidLaunch()
+	case 19:
+		recorder.launch(";at:" + pick(recorder, dispatch.NodeUID(1), dispatch.NodeUID(2), dispatch.NodeUID(3), dispatch.NodeUID(4)))
+	case 20, 21:
+		recorder.clientMessage()
+	case 22:
+		recorder.connectionEvent()
+	case 23, 24:
+		recorder.discoveryEvent()
+	case 25:
+		recorder.attemptFailure()
+	case 26:
+		recorder.nodeFailure()
+	case 27:
+		recorder.core.SetDiscoveryConnected(recorder.now, recorder.random.IntN(2) == 0)
+	default:
+		recorder.advance(pick[placer.Seconds](recorder, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
+	}
+}
+
+func (recorder *scriptRecorder) openConnection() {
+	recorder.lastConn++
+	recorder.core.ClientConnected(recorder.now, recorder.lastConn)
+	recorder.conns = append(recorder.conns, recorder.lastConn)
+	recorder.observe(0)
+}
+
+func (recorder *scriptRecorder) connectionEvent() {
+	if len(recorder.conns) < 2 || len(recorder.conns) < 5 && recorder.random.IntN(2) == 0 {
+		recorder.openConnection()
+		return
+	}
+	i := recorder.random.IntN(len(recorder.conns))
+	id := recorder.conns[i]
+	recorder.conns = slices.Delete(recorder.conns, i, i+1)
+	recorder.core.ClientDisconnected(recorder.now, id)
+	if recorder.random.IntN(4) == 0 {
+		recorder.core.ClientDisconnected(recorder.now, id) // once more
+	}
+}
+
+func (recorder *scriptRecorder) validLaunch(id uint64, extras string) protocol.Message {
+	msg := wireMessage(protocol.Launch, id)
+	msg.Body = pick(recorder, `"in"`, `"\u00e9\n"`, `""`)
+	msg.Set(protocol.Class, pick(recorder, "query", "seats"))
+	if tenant := pick(recorder, scriptTenants[recorder.shape]...); tenant != "" {
+		msg.Set(protocol.Tenant, tenant)
+	}
+	msg.Set(protocol.Key, fmt.Sprintf("%016x", recorder.random.IntN(9)))
+	if recorder.random.IntN(3) == 0 {
+		msg.Set(protocol.IdempotencyKey, pick(recorder, "", "copy", `odd "name"`))
+	}
+	msg.Set(protocol.TimeLeft, pick(recorder, "0", "120", "900", "1000", "2e3"))
+	if extras != "" {
+		msg.Set(protocol.TimeLeft, pick(recorder, "4294967", "1000"))
+	}
+	msg.Set(protocol.Extras, pick(recorder, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+		pick(recorder, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
+	return msg
+}
+
+func (recorder *scriptRecorder) fromClient(msg *protocol.Message) {
+	conn := dispatch.ConnID(99) // never opened
+	if len(recorder.conns) > 0 && recorder.random.IntN(40) > 0 {
+		conn = pick(recorder, recorder.conns...)
+	}
+	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, conn, msg))
+}
+
+func (recorder *scriptRecorder) launch(extras string) {
+	recorder.lastID++
+	id := recorder.lastID
+	if recorder.random.IntN(12) == 0 {
+		id = recorder.someID() // perhaps in use
+	}
+	msg := recorder.validLaunch(id, extras)
+	recorder.fromClient(&msg)
+}
+
+func (recorder *scriptRecorder) someID() uint64 {
+	return 1 + recorder.random.Uint64N(recorder.lastID+1)
+}
+
+// launchFaults spoil a valid launch message.
+var launchFaults = []func(*protocol.Message){
+	func(msg *protocol.Message) { msg.Body = "" },
+	func(msg *protocol.Message) { msg.Set(protocol.Class, "none") },
+	func(msg *protocol.Message) { msg.Set(protocol.Tenant, "nobody") },
+	func(msg *protocol.Message) { msg.Set(protocol.Key, "12") },
+	func(msg *protocol.Message) { msg.Set(protocol.Key, "000000000000000g") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "-1") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "NaN") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "16000") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "16001") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "6000") },
+	func(msg *protocol.Message) { msg.Set(protocol.TimeLeft, "4000.5") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1;cores:1") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:-1;memory:1") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1e9") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1000000001") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:NaN") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:;memory:1") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1;service:9") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1;at:") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;memory:1;at:s-77777777") },
+	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;;memory:1;at:s-00000001;") },
+}
+
+func (recorder *scriptRecorder) invalidLaunch() {
+	recorder.lastID++
+	id := pick(recorder, recorder.lastID, recorder.someID())
+	msg := recorder.validLaunch(id, "")
+	pick(recorder, launchFaults...)(&msg)
+	recorder.fromClient(&msg)
+}
+
+func (recorder *scriptRecorder) clientMessage() {
+	kind := pick(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
+		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
+		protocol.Kind(0))
+	msg := wireMessage(kind, recorder.someID())
+	msg.Cause, msg.HasCause = pick(recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
+	recorder.fromClient(&msg)
+}
+
+// send sends an attempt, possibly one that has ended meanwhile.
+func (recorder *scriptRecorder) send() {
+	if len(recorder.pending) == 0 {
+		return
+	}
+	i := recorder.random.IntN(len(recorder.pending))
+	attempt := recorder.pending[i]
+	recorder.pending = slices.Delete(recorder.pending, i, i+1)
+	may := recorder.core.PrepareSend(recorder.now, attempt)
+	recorder.flag(may)
+	recorder.text(string(attempt.Message.Append(nil)))
+	if may {
+		recorder.sent = append(recorder.sent, attempt)
+	}
+}
+
+func (recorder *scriptRecorder) fromNode(attempt *dispatch.Attempt, msg *protocol.Message) {
+	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
+}
+
+// accept has the node of an attempt accept it.
+func (recorder *scriptRecorder) accept() {
+	open := recorder.sent
+	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
+	if len(live) > 0 && recorder.random.IntN(6) > 0 {
+		open = live
+	}
+	if len(open) == 0 {
+		return
+	}
+	attempt := pick(recorder, open...)
+	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
+	msg.Body = pick(recorder, `"out"`, `"out"`, `"out"`, `"\t"`, "")
+	recorder.fromNode(attempt, &msg)
+}
+
+// nodeMessage has a node send any message about any task.
+func (recorder *scriptRecorder) nodeMessage() {
+	kind := pick(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
+		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
+		protocol.Checked, protocol.Migrate)
+	msg := wireMessage(kind, recorder.someID())
+	msg.Cause, msg.HasCause = pick(recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
+	msg.Set(protocol.Note, pick(recorder, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	msg.Set(protocol.LoadReport, pick(recorder, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	if kind == protocol.Update {
+		msg.Set(protocol.Note, pick(recorder, "up", "cpu", "mem", "share", "tight", "", "other"))
+		msg.Set(protocol.Value, pick(recorder, "0.5", "1", "3.75", "x", ""))
+	}
+	if len(recorder.sent) == 0 || recorder.random.IntN(8) == 0 {
+		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+recorder.random.IntN(4)), &msg)
+		return
+	}
+	among := recorder.sent[max(0, len(recorder.sent)-12):]
+	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Live() })
+	if len(live) > 0 && recorder.random.IntN(4) > 0 {
+		among = live
+	}
+	attempt := pick(recorder, among...)
+	msg.UID, msg.ID = attempt.Message.UID, attempt.Message.ID
+	recorder.fromNode(attempt, &msg)
+}
+
+func (recorder *scriptRecorder) attemptFailure() {
+	if len(recorder.pending) > 0 && recorder.random.IntN(2) == 0 {
+		recorder.core.ConnectFailed(recorder.now, pick(recorder, recorder.pending...))
+	} else if len(recorder.sent) > 0 {
+		recorder.core.ConnectionLost(recorder.now, pick(recorder, recorder.sent...))
+	}
+}
+
+func (recorder *scriptRecorder) nodeFailure() {
+	id := nodeID(1 + recorder.random.IntN(scriptNodes))
+	if recorder.random.IntN(2) == 0 {
+		recorder.core.NodeDead(recorder.now, id)
+	} else {
+		recorder.number(uint64(recorder.core.NodeUnresponsive(recorder.now, id)))
+	}
+}
+
+// discoveryEvent delivers one discovery event, valid or not. At most one node changes with an event, since the core promises no order among
+// nodes that terminate at one time; a node begins a new incarnation only if it runs at most one task, for the same reason.
+func (recorder *scriptRecorder) discoveryEvent() {
+	recorder.eventNumber++
+	i := 1 + recorder.random.IntN(scriptNodes)
+	state := pick(recorder, "in_service", "in_service", "terminating", "terminated")
+	var event string
+	switch recorder.random.IntN(12) {
+	case 0, 1, 2:
+		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, true, recorder.completeList(i, state)...)
+	case 3:
+		event = fmt.Sprintf(`{"no":%d}`, recorder.eventNumber)
+	case 4:
+		recorder.eventNumber--
+		event = pick(recorder, "", "{", `{"no":-1}`, `{"no":"x"}`,
+			dispatch.DiscoveryEventJSON(recorder.eventNumber, true),
+			dispatch.DiscoveryEventJSON(recorder.eventNumber+2, true),
+			dispatch.DiscoveryEventJSON(recorder.eventNumber+1, false, `{"uid":"","state":"in_service"}`),
+			dispatch.DiscoveryEventJSON(recorder.eventNumber+1, false, `{"uid":"s-00000001","state":"asleep"}`))
+	default:
+		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, false, recorder.nodeJSON(i, state, recorder.startTimeOf(i)))
+	}
+	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(event))
+	recorder.flag(ok)
+	recorder.verdict(err)
+}
+
+// startTimeOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
+// later list, in no order.
+func (recorder *scriptRecorder) startTimeOf(i int) int64 {
+	node := recorder.core.Node(nodeID(i))
+	if node == nil || node.RunningTasks() > 1 {
+		return 0
+	}
+	return pick(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
+}
+
+// completeList is the last known list with one node changed or left out.
+func (recorder *scriptRecorder) completeList(changed int, state string) (list []string) {
+	for i := 1; i <= scriptNodes; i++ {
+		switch {
+		case i == changed && state == "terminated":
+			delete(recorder.states, i)
+		case i == changed:
+			list = append(list, recorder.nodeJSON(i, state, 0))
+		case recorder.states[i] != "":
+			list = append(list, recorder.nodeJSON(i, recorder.states[i], 0))
+		}
+	}
+	return list
+}
+
+// advance lets time pass, timer by timer or, at times, with all timers late.
+func (recorder *scriptRecorder) advance(by placer.Seconds) {
+	to := recorder.now + by
+	if recorder.random.IntN(5) == 0 {
+		recorder.now = to
+		recorder.core.Advance(recorder.now)
+		return
+	}
+	for recorder.core.NextTimer() <= to {
+		recorder.now = max(recorder.now, recorder.core.NextTimer())
+		recorder.core.Advance(recorder.now)
+		recorder.observe(0)
+	}
+	recorder.now = to
+}
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -9,12 +9,18 @@
 
 // FuzzMessages: whatever lines clients and nodes send, nothing panics, and all tables are empty after all retention times.
 func FuzzMessages(f *testing.F) {
-	f.Add("{\"kind\":\"launch\",\"uid\":\"0000000000000001\",\"meta\":{\"class\":\"query\",\"left\":900,\"tenant\":\"south\",\"key\":\"0000000000000001\"," +
-		"\"extras\":\"cores:1;memory:1;at:s-00000001\"},\"body\":\"x\"}\n" +
-		"{\"kind\":\"running\",\"uid\":\"0000000000000001\",\"body\":\"y\"}\n{\"kind\":\"stop\",\"uid\":\"0000000000000001\",\"meta\":{\"load\":\"x0:1e999;:;x1\"},\"reason\":9}")
-	f.Add("{\"kind\":\"launch\",\"uid\":\"0000000000000002\",\"meta\":{\"class\":\"seats\",\"left\":1e3,\"tenant\":\"south\",\"key\":\"0000000000000001\"," +
-		"\"extras\":\"cores:0;memory:0;;x\"},\"body\":\"\"}\n{\"kind\":\"update\",\"uid\":\"0000000000000002\",\"meta\":{\"note\":\"cpu\",\"value\":\"NaN\"}}\n" +
-		"{\"kind\":\"migrate\",\"uid\":\"0000000000000002\"}")
+	f.Add(strings.Join([]string{
+		`{"kind":"launch","uid":"0000000000000001","meta":{"class":"query","left":900,"tenant":"south","key":"0000000000000001",` +
+			`"extras":"cores:1;memory:1;at:s-00000001"},"body":"x"}`,
+		`{"kind":"running","uid":"0000000000000001","body":"y"}`,
+		`{"kind":"stop","uid":"0000000000000001","meta":{"load":"x0:1e999;:;x1"},"reason":9}`,
+	}, "\n"))
+	f.Add(strings.Join([]string{
+		`{"kind":"launch","uid":"0000000000000002","meta":{"class":"seats","left":1e3,"tenant":"south","key":"0000000000000001",` +
+			`"extras":"cores:0;memory:0;;x"},"body":""}`,
+		`{"kind":"update","uid":"0000000000000002","meta":{"note":"cpu","value":"NaN"}}`,
+		`{"kind":"migrate","uid":"0000000000000002"}`,
+	}, "\n"))
 	f.Fuzz(func(t *testing.T, text string) {
 		harness := newHarness(t, nil)
 		conn := harness.connect()
