--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -23,7 +23,7 @@
 	createdAt    placer.Seconds // when the placer asked for it
 	runningSince placer.Seconds // when the node's answer came, or when the task was adopted
 	timer        *timerqueue.Timer[placer.Seconds]
-	stopSent     bool // the node was told to stop the task
+	stopSent     bool // the node was asked to stop the task
 }
 
 // Live reports whether the attempt waits for its answer or runs the task.
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -12,7 +12,7 @@
 	attemptPending    attemptState = iota // not sent
 	attemptSent                           // sent, without an answer
 	attemptRunning                        // accepted by the node in time, or adopted
-	attemptAbandoned                      // given up; what the node still sends about it is late
+	attemptAbandoned                      // without an answer that counts; what the node still sends about it is late
 	attemptTerminated                     // nothing more is expected of the node
 )
 
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -116,7 +116,7 @@
 		return
 	}
 	t.counts.ConnectionsLost++
-	t.transition(attempt, attemptAbandoned) // the node needs no Stop: the end of the connection tells it
+	t.transition(attempt, attemptAbandoned) // the node needs no Stop: it sees that the connection has ended
 	t.retain(attempt)
 	t.postEnded(attempt, outcome{result: placer.Lost})
 }
@@ -162,7 +162,7 @@
 }
 
 // sendStop asks the node of an attempt to stop the task, or not to start it.
-func (t *attemptTable) sendStop(attempt *Attempt, cause int, timedOut bool) {
+func (t *attemptTable) sendStop(attempt *Attempt, cause protocol.Cause, timedOut bool) {
 	attempt.stopSent = true
 	t.emit(Effect{
 		Kind:     SendToNode,
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -41,7 +41,7 @@
 func TestTerminationBeforeTheAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		cause int
+		cause protocol.Cause
 		note  string
 		over  bool
 	}{
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -134,7 +134,7 @@
 func (recorder *scriptRecorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
 		msg := wireMessage(protocol.Stop, id)
-		msg.Cause, msg.HasCause = []int{16, 41}[id%2], true
+		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodes), &msg)
 		recorder.observe(0)
 	}
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -191,7 +191,7 @@
 		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
 		protocol.Kind(0))
 	msg := wireMessage(kind, recorder.someID())
-	msg.Cause, msg.HasCause = pick(recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
+	msg.Cause, msg.HasCause = pick[protocol.Cause](recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
 	recorder.fromClient(&msg)
 }
 
@@ -237,7 +237,7 @@
 		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
 		protocol.Checked, protocol.Migrate)
 	msg := wireMessage(kind, recorder.someID())
-	msg.Cause, msg.HasCause = pick(recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
+	msg.Cause, msg.HasCause = pick[protocol.Cause](recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
 	msg.Set(protocol.Note, pick(recorder, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
 	msg.Set(protocol.LoadReport, pick(recorder, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
 	if kind == protocol.Update {
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -41,7 +41,7 @@
 }
 
 // healthCheckPassed is the cause of a Checked message that says that the scheduler is healthy.
-const healthCheckPassed = 1
+const healthCheckPassed protocol.Cause = 1
 
 func (h *clientMessageHandler) handleHealthCheck(client *clientConn, msg *protocol.Message) {
 	h.adoption.healthCheckReceived()
@@ -102,7 +102,7 @@
 }
 
 // clientStopCause is the cause with which a node is asked to stop a task for its client.
-func clientStopCause(msg *protocol.Message) int {
+func clientStopCause(msg *protocol.Message) protocol.Cause {
 	if msg.HasCause {
 		return msg.Cause
 	}
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -19,7 +19,7 @@
 	"heathshed/placer"
 )
 
-// maxTasks is the highest number of open placement requests and running tasks that are held at a time. Each takes about 2 KB.
+// maxTasks is the highest number of open placement requests and running tasks that are kept at a time. Each takes about 2 KB.
 const maxTasks = 20000
 
 // Core is the state of the scheduler on the platform. It is to be used by one goroutine at a time.
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -8,7 +8,7 @@
 	Adopted uint64
 	// Accepted are valid new requests that were passed to the placer.
 	Accepted uint64
-	// Placed are accepted requests whose client was told that the task runs.
+	// Placed are accepted requests whose client was sent the answer that the task runs.
 	Placed uint64
 	// Rejected are rejections for want of capacity that the placer decided on.
 	Rejected uint64
@@ -33,7 +33,7 @@
 	ConnectionsLost uint64
 	// TimedOut are attempts that were sent and not answered until they expired.
 	TimedOut uint64
-	// Expired are attempts that were given up before they were sent, or that the node says it received too late.
+	// Expired are attempts that ended before they were sent, or that the node says it received too late.
 	Expired uint64
 	// LateAnswers are acceptances of attempts that had been abandoned.
 	LateAnswers uint64
@@ -44,8 +44,8 @@
 	TasksEnded uint64
 	// Migrations are running tasks that the placer had stopped so that their clients place them anew.
 	Migrations uint64
-	// TasksLost are running tasks that ended without their client's or the placer's request and not by themselves, those given up at
-	// unresponsive nodes included.
+	// TasksLost are running tasks that ended without their client's or the placer's request and not by themselves, those at unresponsive nodes
+	// included.
 	TasksLost uint64
 	// PendingNotifications are notifications that found no connection to be sent on.
 	PendingNotifications uint64
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -55,7 +55,7 @@
 	for i := range e.NodeList.Nodes {
 		entry := &e.NodeList.Nodes[i]
 		if _, valid := parseNodeState(entry.State); !valid || entry.UID == "" {
-			return fmt.Errorf("discovery event %d: target %d: uid %q, state %q", e.Number, i, entry.UID, entry.State)
+			return fmt.Errorf("discovery event %d: target %d: uid %q, state %q: want a uid and a known state", e.Number, i, entry.UID, entry.State)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"heathshed/internal/platform/protocol"
 	"heathshed/placer"
 )
 
@@ -11,7 +12,7 @@
 
 // earlyTermination records that a node reported the end of a task that is not known here. Its client may yet list it for adoption.
 type earlyTermination struct {
-	cause     int
+	cause     protocol.Cause
 	expiresAt placer.Seconds
 }
 
@@ -35,7 +36,7 @@
 }
 
 // record keeps the end of an unknown task. A second end of the same task changes nothing.
-func (l *earlyTerminationLog) record(key attemptKey, cause int) {
+func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
 	if _, known := l.records[key]; known {
 		return
 	}
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -10,7 +10,7 @@
 func TestEarlyTerminationLog(t *testing.T) {
 	env := &environment{now: 100}
 	log := newEarlyTerminationLog(env)
-	requireRecord := func(id protocol.ID, cause int, want bool) {
+	requireRecord := func(id protocol.ID, cause protocol.Cause, want bool) {
 		t.Helper()
 		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
 			t.Errorf("at %v: record of task %d %+v, found %v, want %v", env.now, id, record, found, want)
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, number, number, complete, strings.Join(nodes, ","))
 }
 
-func newMessage(kind protocol.Kind, id protocol.ID, cause int) protocol.Message {
+func newMessage(kind protocol.Kind, id protocol.ID, cause protocol.Cause) protocol.Message {
 	return protocol.Message{Kind: kind, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Cause: max(cause, 0), HasCause: cause >= 0}
 }
 
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -122,7 +122,7 @@
 }
 
 // taskResult is the result of a running task that a node stopped with the given cause.
-func taskResult(cause int) placer.Result {
+func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
 		return placer.Finished
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -12,7 +12,7 @@
 func TestUnresponsiveNode(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		cause  int
+		cause  protocol.Cause
 		result placer.Result
 	}{
 		{"confirms", protocol.CauseCancelled, placer.Cancelled},
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -116,7 +116,7 @@
 func TestMigrationCrossesTermination(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		cause, want int
+		cause, want protocol.Cause
 	}{
 		{"confirmed", protocol.CauseCancelled, noCause},
 		{"ended by itself", protocol.CauseEnd, protocol.CauseEnd},
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -104,7 +104,7 @@
 	if len(play.sent) > 0 {
 		attempt := play.sent[play.draw(len(play.sent), "out")]
 		id := play.sent[play.draw(len(play.sent), "of")].Message.ID
-		cause := []int{16, 31, 34, 41, 47, 102, 5}[play.draw(7, "cause")]
+		cause := []protocol.Cause{16, 31, 34, 41, 47, 102, 5}[play.draw(7, "cause")]
 		play.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
 	}
 }
@@ -230,7 +230,7 @@
 		play.list(id)
 	case 2, 3:
 		play.terminated[id] = true
-		play.endTask(id, []int{protocol.CauseEnd, protocol.CauseReset}[play.draw(2, "cause")])
+		play.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseReset}[play.draw(2, "cause")])
 	case 4:
 		play.core.ClientDisconnected(play.now, play.conn)
 		play.carryOutEffects()
@@ -264,7 +264,7 @@
 }
 
 // endTask has the node of a task report that it has ended.
-func (play *adoptionPlay) endTask(number, cause int) {
+func (play *adoptionPlay) endTask(number int, cause protocol.Cause) {
 	msg := newMessage(protocol.Stop, protocol.ID(number), cause)
 	play.core.ReceiveFromNode(play.now, nodeID(play.nodeOf(number)), &msg)
 	play.carryOutEffects()
--- a/internal/platform/dispatch/reply.go
+++ b/internal/platform/dispatch/reply.go
@@ -3,9 +3,9 @@
 import "heathshed/internal/platform/protocol"
 
 // noCause makes replyTo leave out the cause.
-const noCause = -1
+const noCause protocol.Cause = -1
 
 // replyTo returns a message about the task of msg. A negative cause is left out.
-func replyTo(msg *protocol.Message, kind protocol.Kind, cause int) protocol.Message {
+func replyTo(msg *protocol.Message, kind protocol.Kind, cause protocol.Cause) protocol.Message {
 	return protocol.Message{Kind: kind, UID: msg.UID, ID: msg.ID, Cause: max(cause, 0), HasCause: cause >= 0}
 }
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -18,6 +18,9 @@
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFrom != "" }
 
+// requiredResources is the number of resources that a request states: cores and memory.
+const requiredResources = 2
+
 // maxResourceAmount bounds the cores and the memory of a task.
 const maxResourceAmount = 1e9
 
@@ -47,7 +50,7 @@
 	if parsed.task.Deadline, err = p.parseDeadline(now, msg, &parsed); err != nil {
 		return parsed, err
 	}
-	if resourceCount != 2 {
+	if resourceCount != requiredResources {
 		return parsed, invalidMessage(InvalidExtras, "launch %s: extras %.60q: want cores and memory once each", msg.UID,
 			msg.Get(protocol.Extras))
 	}
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -33,7 +33,7 @@
 }
 
 // end ends a running task. Its client is notified, unless it asked for the end, or was asked to migrate and the node confirms that.
-func (t *taskController) end(attempt *Attempt, ended outcome, cause int) {
+func (t *taskController) end(attempt *Attempt, ended outcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
 	notify := !req.state.closed() || unconfirmedMigration
@@ -58,7 +58,7 @@
 // endUnanswered ends a request whose node had accepted it and then evicted, preempted or drained the task, while the acceptance was lost or is
 // late: a node rejects what it has not accepted for want of capacity. The task ran and is over. Its client is notified of that and may send a
 // new request; another attempt would start a task anew under an ID that is over.
-func (t *taskController) endUnanswered(attempt *Attempt, ended outcome, cause int) {
+func (t *taskController) endUnanswered(attempt *Attempt, ended outcome, cause protocol.Cause) {
 	req := attempt.request
 	t.counts.TasksLost++
 	t.requests.close(req, requestTerminated)
@@ -92,7 +92,7 @@
 }
 
 // stopForClient stops a running task that its client asked to stop.
-func (t *taskController) stopForClient(attempt *Attempt, cause int) {
+func (t *taskController) stopForClient(attempt *Attempt, cause protocol.Cause) {
 	if attempt.request.state.closed() {
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // stop asks the node of a running task to stop it. The task ends when the node confirms that, or after notificationRetention.
-func (t *taskController) stop(attempt *Attempt, cause int) {
+func (t *taskController) stop(attempt *Attempt, cause protocol.Cause) {
 	if !attempt.stopSent {
 		t.awaitStop(attempt)
 	}
--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -125,7 +125,7 @@
 	var b strings.Builder
 	for k := range 12 {
 		for f := protocol.Class; f <= protocol.LoadReport; f++ {
-			msg := protocol.Message{Kind: protocol.Kind(k), UID: "00000000000000ff", ID: 255, Cause: k * 17, HasCause: k%2 == 0}
+			msg := protocol.Message{Kind: protocol.Kind(k), UID: "00000000000000ff", ID: 255, Cause: protocol.Cause(k * 17), HasCause: k%2 == 0}
 			msg.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
 			msg.Set(protocol.Value, "")
 			if k%3 == 0 {
--- a/internal/platform/protocol/parser.go
+++ b/internal/platform/protocol/json.go
@@ -150,7 +150,7 @@
 				return r, nil
 			}
 		}
-		return 0, p.syntaxError("a whole surrogate pair")
+		return 0, p.syntaxError("both halves of a surrogate pair")
 	default:
 		return 0, p.syntaxError("an escape")
 	}
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -6,21 +6,10 @@
 package protocol
 
 import (
-	"errors"
 	"fmt"
 	"strconv"
-	"unicode/utf8"
 )
 
-// MaxLine is the longest line in bytes, its line feed included.
-const MaxLine = 16 << 10
-
-// maxSkippedDepth bounds the nesting of values under unknown keys.
-const maxSkippedDepth = 8
-
-// ErrTooLong is the error of a line that does not end within MaxLine.
-var ErrTooLong = errors.New("line longer than 16 KiB")
-
 // Kind is the type of a message.
 type Kind uint8
 
@@ -48,15 +37,18 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
+// Cause is the cause of a Stop, or the result of a health check. Nodes and clients may send values that have no name here.
+type Cause int
+
 // The causes of a Stop.
 const (
-	CauseEnd       = 16  // given up by the scheduler or the client; of a running task: it ended by itself
-	CauseCancelled = 31  // migrated, or stopped by its client
-	CauseFull      = 34  // rejected for want of capacity; it never ran
-	CauseReset     = 41  // the connection, the node or the task failed
-	CauseBusy      = 42  // rejected because too much is open; it may be tried again
-	CauseError     = 47  // failed
-	CauseExpired   = 102 // the time for it was over before it was sent
+	CauseEnd       Cause = 16  // abandoned by the scheduler or the client; of a running task: it ended by itself
+	CauseCancelled Cause = 31  // migrated, or stopped by its client
+	CauseFull      Cause = 34  // rejected for want of capacity; it never ran
+	CauseReset     Cause = 41  // the connection, the node or the task failed
+	CauseBusy      Cause = 42  // rejected because too much is open; it may be retried
+	CauseError     Cause = 47  // failed
+	CauseExpired   Cause = 102 // the time for it was over before it was sent
 )
 
 // ID identifies a task between two parties.
@@ -120,8 +112,8 @@
 	Kind Kind
 	UID  string // the ID as it was written
 	ID   ID
-	// Cause is the cause of a Stop, or the result of a health check. HasCause reports whether there is one.
-	Cause    int
+	// Cause is valid if HasCause is set.
+	Cause    Cause
 	HasCause bool
 	// Body describes the task or its answer: the JSON string as it was written, quotes included, "" if there is none. Passing it on unchanged
 	// needs no decoding.
@@ -141,195 +133,3 @@
 	m.meta[field] = text
 	m.has[field] = true
 }
-
-// keySet is a set of the keys of a message's object. Unknown keys are not part of it.
-type keySet uint8
-
-const (
-	keyKind keySet = 1 << iota
-	keyUID
-	keyMeta
-	keyReason
-	keyBody
-
-	requiredKeys = keyKind | keyUID
-)
-
-// keyOf returns the set of one key, empty if the key is unknown.
-func keyOf(key string) keySet {
-	switch key {
-	case "kind":
-		return keyKind
-	case "uid":
-		return keyUID
-	case "meta":
-		return keyMeta
-	case "reason":
-		return keyReason
-	case "body":
-		return keyBody
-	}
-	return 0
-}
-
-// Parse parses one line without its line feed. The error is ErrTooLong, or says what is invalid and where.
-func Parse(line []byte, msg *Message) error {
-	*msg = Message{}
-	if len(line) >= MaxLine {
-		return ErrTooLong
-	}
-	if !utf8.Valid(line) {
-		return errors.New("line is not UTF-8")
-	}
-	p := parser{line: line}
-	var seen keySet
-	p.skipSpace()
-	err := p.parseObject(func(key string) error {
-		known := keyOf(key)
-		if err := p.parseMember(msg, known); err != nil {
-			return fmt.Errorf("%.20q: %w", key, err)
-		}
-		if seen&known != 0 {
-			return fmt.Errorf("duplicate key %q", key)
-		}
-		seen |= known
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	p.skipSpace()
-	if p.position < len(p.line) {
-		return p.syntaxError("the end of the line")
-	}
-	if seen&requiredKeys != requiredKeys {
-		return errors.New(`message without "kind" or "uid"`)
-	}
-	return nil
-}
-
-// parseMember parses the value of one key of a message's object. The value of an unknown key is skipped.
-func (p *parser) parseMember(msg *Message, key keySet) (err error) {
-	switch key {
-	case keyKind:
-		return p.parseKind(msg)
-	case keyUID:
-		if msg.UID, err = p.parseString(); err != nil {
-			return err
-		}
-		msg.ID, err = ParseID(msg.UID)
-		return err
-	case keyMeta:
-		return p.parseObject(func(name string) error { return p.parseMetaField(msg, name) })
-	case keyReason:
-		return p.parseCause(msg)
-	case keyBody:
-		return p.parseBody(msg)
-	}
-	return p.skipValue(0)
-}
-
-func (p *parser) parseKind(msg *Message) error {
-	word, err := p.parseString()
-	if err != nil {
-		return err
-	}
-	for kind, name := range kindNames {
-		if name != "" && name == word {
-			msg.Kind = Kind(kind)
-			return nil
-		}
-	}
-	return fmt.Errorf("unknown kind %.20q", word)
-}
-
-func (p *parser) parseCause(msg *Message) error {
-	text, err := p.parseNumber()
-	if err != nil {
-		return err
-	}
-	msg.HasCause = true
-	msg.Cause, err = strconv.Atoi(text)
-	return err
-}
-
-// parseBody checks a JSON string and keeps it as it was written.
-func (p *parser) parseBody(msg *Message) error {
-	start := p.position
-	if _, err := p.parseString(); err != nil {
-		return err
-	}
-	msg.Body = string(p.line[start:p.position])
-	return nil
-}
-
-// parseMetaField parses the value of one key of the meta object: a string or a number. The value of an unknown key is skipped.
-func (p *parser) parseMetaField(msg *Message, name string) (err error) {
-	field, known := fieldOf(name)
-	if !known {
-		return p.skipValue(0)
-	}
-	if msg.has[field] {
-		return fmt.Errorf("duplicate key %q", name)
-	}
-	if p.peek() == '"' {
-		msg.meta[field], err = p.parseString()
-	} else {
-		msg.meta[field], err = p.parseNumber()
-	}
-	msg.has[field] = true
-	if err != nil {
-		return fmt.Errorf("%q: %w", name, err)
-	}
-	return nil
-}
-
-// Append appends the message as one line with its line feed.
-func (m *Message) Append(buffer []byte) []byte {
-	buffer = append(buffer, `{"kind":"`...)
-	buffer = append(buffer, m.Kind.String()...)
-	buffer = append(buffer, `","uid":"`...)
-	buffer = append(buffer, m.UID...)
-	buffer = append(buffer, `","meta":{`...)
-	first := true
-	for f, name := range fieldNames {
-		if !m.has[f] {
-			continue
-		}
-		if !first {
-			buffer = append(buffer, ',')
-		}
-		first = false
-		buffer = append(buffer, '"')
-		buffer = append(buffer, name...)
-		buffer = append(buffer, `":`...)
-		buffer = appendString(buffer, m.meta[f])
-	}
-	buffer = append(buffer, '}')
-	if m.HasCause {
-		buffer = append(buffer, `,"reason":`...)
-		buffer = strconv.AppendInt(buffer, int64(m.Cause), 10)
-	}
-	if m.Body != "" {
-		buffer = append(buffer, `,"body":`...)
-		buffer = append(buffer, m.Body...)
-	}
-	return append(buffer, '}', '\n')
-}
-
-// appendString appends a JSON string.
-func appendString(buffer []byte, text string) []byte {
-	const hex = "0123456789abcdef"
-	buffer = append(buffer, '"')
-	for i := range len(text) {
-		switch c := text[i]; {
-		case c == '"' || c == '\\':
-			buffer = append(buffer, '\\', c)
-		case c < 0x20:
-			buffer = append(buffer, '\\', 'u', '0', '0', hex[c>>4], hex[c&15])
-		default:
-			buffer = append(buffer, c)
-		}
-	}
-	return append(buffer, '"')
-}
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -44,7 +44,7 @@
 		Uint64("conn", conn).
 		Str("peer", peer)
 	if message.HasCause {
-		event.Int("reason", message.Cause)
+		event.Int("reason", int(message.Cause))
 	}
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
 		if message.Has(field) {
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -57,7 +57,7 @@
 	return message
 }
 
-func stop(cause int) protocol.Message {
+func stop(cause protocol.Cause) protocol.Message {
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
