--- a/cmd/heathshed/emulate.go
+++ b/cmd/heathshed/emulate.go
@@ -8,6 +8,7 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
+	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator"
 	"heathshed/internal/lab/labconfig"
@@ -118,9 +119,9 @@
 // inventoryOptions returns the options of an inventory without its address.
 func inventoryOptions(settings *config.Settings) emulator.InventoryOptions {
 	return emulator.InventoryOptions{
-		PublishDelay:      settings.Emulator.ReportDelay.Seconds(),
-		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter.Seconds(),
-		RemoveAfter:       settings.Emulator.RemoveAfter.Seconds(),
+		PublishDelay:      clock.Duration(settings.Emulator.ReportDelay),
+		UnresponsiveAfter: clock.Duration(settings.Emulator.UnresponsiveAfter),
+		RemoveAfter:       clock.Duration(settings.Emulator.RemoveAfter),
 	}
 }
 
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -4,11 +4,13 @@
 	"crypto/rand"
 	"encoding/binary"
 	"runtime/debug"
+	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/kube/scheduler"
 	"heathshed/internal/lab/emulator"
@@ -16,12 +18,8 @@
 	"heathshed/internal/netio/httpd"
 )
 
-const (
-	// watchIdleTimeout is how long a watch on the inventory may be silent, in seconds.
-	watchIdleTimeout = 90
-	// revisionsPerSecond lets the revisions of a scheduler continue to grow over its restarts.
-	revisionsPerSecond = 1e6
-)
+// watchIdleTimeout is how long a watch on the inventory may be silent.
+const watchIdleTimeout = 90 * time.Second
 
 func serveCommand() *cobra.Command {
 	var flags commonFlags
@@ -62,7 +60,7 @@
 	}
 	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", settings.Inventory).Str("name", settings.Name).Msg("scheduler listens")
 	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
-	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout.Seconds(), loop.Stop) })
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(clock.Duration(settings.ShutdownTimeout), loop.Stop) })
 	return loop.Run()
 }
 
@@ -81,16 +79,17 @@
 	http.Limits.Body = settings.Limits.MaxBodyBytes
 	http.MemoryBytes = memquota.Divide(memory).Connections
 	return scheduler.Options{
-		Engine:                  settings.Engine(seed, int64(loop.Now()*revisionsPerSecond)),
-		ListenAddress:           settings.Listen,
-		InventoryAddress:        settings.Inventory,
-		Version:                 version,
-		HTTP:                    http,
-		ConnectTimeoutSeconds:   settings.ConnectTimeout.Seconds(),
-		NodeSyncTimeoutSeconds:  settings.NodeSyncTimeout.Seconds(),
-		MaxListItems:            settings.Limits.MaxPage,
-		WatchIdleTimeoutSeconds: watchIdleTimeout,
-		Log:                     log,
+		// Revisions begin at the time in microseconds, so that they continue to grow over restarts.
+		Engine:           settings.Engine(seed, loop.Now().UnixMicro()),
+		ListenAddress:    settings.Listen,
+		InventoryAddress: settings.Inventory,
+		Version:          version,
+		HTTP:             http,
+		ConnectTimeout:   clock.Duration(settings.ConnectTimeout),
+		NodeSyncTimeout:  clock.Duration(settings.NodeSyncTimeout),
+		MaxListItems:     settings.Limits.MaxPage,
+		WatchIdleTimeout: watchIdleTimeout,
+		Log:              log,
 	}
 }
 
@@ -151,7 +150,7 @@
 	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
 	emulatorDone := make(chan error, 1)
 	go func() { emulatorDone <- emulatorLoop.Run() }()
-	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(settings.ShutdownTimeout.Seconds(), loop.Stop) })
+	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(clock.Duration(settings.ShutdownTimeout), loop.Stop) })
 	err = loop.Run()
 	emulatorLoop.Stop()
 	if emulatorErr := <-emulatorDone; emulatorErr != nil {
--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -16,6 +16,9 @@
 // maxInstant is the last point in time that can be told, in the year 2262.
 const maxInstant Instant = math.MaxInt64
 
+// seconds are the types in which the pure cores count them, placer.Seconds first of all.
+type seconds interface{ ~float64 }
+
 // FromTime returns the instant of a time.Time.
 func FromTime(t time.Time) Instant { return Instant(t.UnixNano()) }
 
@@ -52,22 +55,22 @@
 
 // FromUnixSeconds returns the first instant that UnixSeconds does not put before the given clock reading of a pure core, so that a timer of
 // the core is due at it. Readings that an Instant cannot tell, infinity and NaN among them, are the last or the first that it can.
-func FromUnixSeconds(seconds float64) Instant {
-	return Instant(nanoseconds(seconds, math.Ceil))
+func FromUnixSeconds[S seconds](s S) Instant {
+	return Instant(nanoseconds(float64(s), math.Ceil))
 }
 
 // Duration returns a number of seconds as a duration. One that a Duration cannot tell, infinity and NaN among them, is the longest, or the
 // shortest, that it can.
-func Duration(seconds float64) time.Duration {
-	return time.Duration(nanoseconds(seconds, math.Round))
+func Duration[S seconds](s S) time.Duration {
+	return time.Duration(nanoseconds(float64(s), math.Round))
 }
 
 // nanoseconds converts whole and fractional seconds apart: their product with 1e9 would be off by up to 128 at the present Unix time.
-func nanoseconds(seconds float64, round func(float64) float64) int64 {
+func nanoseconds(s float64, round func(float64) float64) int64 {
 	const secondsLimit = math.MaxInt64 / int64(time.Second)
-	whole, fraction := math.Modf(seconds)
+	whole, fraction := math.Modf(s)
 	switch {
-	case math.IsNaN(seconds) || whole >= float64(secondsLimit):
+	case math.IsNaN(s) || whole >= float64(secondsLimit):
 		return math.MaxInt64
 	case whole <= -float64(secondsLimit):
 		return math.MinInt64
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -6,7 +6,9 @@
 	"math/rand/v2"
 	"strings"
 	"testing"
+	"time"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/testsupport/goldentest"
 )
@@ -15,7 +17,7 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", defaults())
-	shortPolicy := connpool.SharedPolicy{MaxIdle: 2, HealthCheckAfter: 0.5, HealthCheckTimeout: 0.25}
+	shortPolicy := connpool.SharedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
 	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
 	for i, grid := range grids {
 		record.Line("grid %d %d %x", i, len(grid), sha256.Sum256([]byte(grid)))
@@ -28,20 +30,22 @@
 
 func defaults() string {
 	p, s := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
-	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle, p.MaxIdleNonIdempotent, s.MaxIdle, s.HealthCheckAfter, s.HealthCheckTimeout)
+	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle.Seconds(), p.MaxIdleNonIdempotent.Seconds(),
+		s.MaxIdle.Seconds(), s.HealthCheckAfter.Seconds(), s.HealthCheckTimeout.Seconds())
 }
 
 func connectionChoices() string {
 	var b strings.Builder
-	ages := []float64{0, 0.5, 1, 1.001, 59, 60, 60.001}
-	lists := [][]float64{nil}
+	const second = time.Second
+	ages := []time.Duration{0, second / 2, second, 1001 * time.Millisecond, 59 * second, 60 * second, 60*second + time.Millisecond}
+	lists := [][]time.Duration{nil}
 	for _, x := range ages {
-		lists = append(lists, []float64{x})
+		lists = append(lists, []time.Duration{x})
 		for _, y := range ages {
-			lists = append(lists, []float64{x, y}, []float64{x, y, 0.7}, []float64{61, x, y})
+			lists = append(lists, []time.Duration{x, y}, []time.Duration{x, y, 700 * time.Millisecond}, []time.Duration{61 * second, x, y})
 		}
 	}
-	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: 1, MaxIdleNonIdempotent: 0.5}, {}} {
+	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: second, MaxIdleNonIdempotent: second / 2}, {}} {
 		for _, idle := range lists {
 			for open := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
@@ -57,7 +61,11 @@
 
 func keepAliveActions(p connpool.SharedPolicy) string {
 	var b strings.Builder
-	moments := []float64{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10}
+	now := clock.FromUnixSeconds(10.0)
+	var moments []clock.Instant
+	for _, seconds := range []float64{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
+		moments = append(moments, clock.FromUnixSeconds(seconds))
+	}
 	for _, sent := range moments {
 		for _, received := range moments {
 			for _, checked := range moments {
@@ -72,7 +80,7 @@
 							HealthCheckSent: checked,
 							IncompleteSince: incomplete,
 						}
-						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(10, s)), uint8(p.KeepAlive(10.5, s)))
+						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(now, s)), uint8(p.KeepAlive(now.Add(500*time.Millisecond), s)))
 					}
 				}
 			}
@@ -83,8 +91,9 @@
 
 func usableStates() string {
 	var b strings.Builder
-	for _, checked := range []float64{0, 0.1} {
-		for _, incomplete := range []float64{0, 0.1} {
+	moments := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
+	for _, checked := range moments {
+		for _, incomplete := range moments {
 			for requests := range 3 {
 				fmt.Fprintln(&b, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
 			}
@@ -97,10 +106,10 @@
 func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var b strings.Builder
-	now := 0.0
-	r := connpool.Reachability{UnresponsiveAfter: 6, RefusedAfter: 1}
+	var now clock.Instant
+	r := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
 	for range 200 {
-		now += []float64{0, 0.5, 1, 1.5, 3}[random.IntN(5)]
+		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[random.IntN(5)])
 		switch random.IntN(8) {
 		case 0:
 			r.Received(now)
@@ -109,8 +118,8 @@
 		case 3, 4, 5:
 			r.DialFailed(now, random.IntN(4) == 0)
 		}
-		fmt.Fprint(&b, uint8(r.Status(now)), uint8(r.Status(now+1)), uint8(r.Status(now+1.001)), uint8(r.Status(now+6)),
-			uint8(r.Status(now+6.5)), " ")
+		later := func(d time.Duration) uint8 { return uint8(r.Status(now.Add(d))) }
+		fmt.Fprint(&b, later(0), later(time.Second), later(1001*time.Millisecond), later(6*time.Second), later(6500*time.Millisecond), " ")
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(b.String())))
 }
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -2,20 +2,22 @@
 // and when a node counts as unreachable. It opens no connection itself and reads no clock.
 package connpool
 
-// Policy chooses connections that carry one request at a time. Times are in seconds.
+import "time"
+
+// Policy chooses connections that carry one request at a time.
 //
 // The other end may close an idle connection at the moment at which a request goes out on it. Whether that request was received is then
 // unknown. An idempotent request is simply sent again. For another one the outcome has to be found out, which takes seconds, so it only
 // uses a connection that was in use a moment ago; otherwise a new one is dialed, whose failure proves that nothing was sent.
 type Policy struct {
-	MaxConns             int     // open at a time
-	MaxIdle              float64 // a connection that was idle for longer is not used again
-	MaxIdleNonIdempotent float64 // as MaxIdle, for requests that are not idempotent
+	MaxConns             int           // open at a time
+	MaxIdle              time.Duration // a connection that was idle for longer is not used again
+	MaxIdleNonIdempotent time.Duration // as MaxIdle, for requests that are not idempotent
 }
 
 // DefaultPolicy returns limits well under those that servers commonly have.
 func DefaultPolicy() Policy {
-	return Policy{MaxConns: 32, MaxIdle: 60, MaxIdleNonIdempotent: 1}
+	return Policy{MaxConns: 32, MaxIdle: time.Minute, MaxIdleNonIdempotent: time.Second}
 }
 
 // Action is what to do with a request.
@@ -39,7 +41,7 @@
 
 // Choose decides for one request. idle holds for how long each idle connection has been unused; open counts all connections, the idle ones
 // and those being dialed included. The most recently used connection is preferred, so that surplus ones become stale.
-func (p Policy) Choose(idle []float64, open int, nonIdempotent bool) Decision {
+func (p Policy) Choose(idle []time.Duration, open int, nonIdempotent bool) Decision {
 	var decision Decision
 	freshest, oldest := -1, -1
 	for i, age := range idle {
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -1,34 +1,40 @@
 package connpool
 
-// SharedPolicy keeps connections to one node that carry many requests at a time. Times are in seconds.
+import (
+	"time"
+
+	"heathshed/internal/control/clock"
+)
+
+// SharedPolicy keeps connections to one node that carry many requests at a time.
 //
 // A health check is a message that the other end answers at once, however busy it is. It tells a slow node, which has to be waited for, from
 // a connection that is open but dead, on which waiting is in vain.
 type SharedPolicy struct {
-	MaxIdle            float64 // closed after so long without a request if nothing is expected on it; 0 for never
-	HealthCheckAfter   float64 // checked after so long without traffic while something is expected
-	HealthCheckTimeout float64 // unresponsive if a health check or the rest of a message takes longer
+	MaxIdle            time.Duration // closed after so long without a request if nothing is expected on it; 0 for never
+	HealthCheckAfter   time.Duration // checked after so long without traffic while something is expected
+	HealthCheckTimeout time.Duration // unresponsive if a health check or the rest of a message takes longer
 }
 
 // DefaultSharedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
 // idle connections.
 func DefaultSharedPolicy() SharedPolicy {
-	return SharedPolicy{HealthCheckAfter: 1, HealthCheckTimeout: 0.5}
+	return SharedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 }
 
-// ConnState is the state of one such connection. Times are points on the clock of KeepAlive's now.
+// ConnState is the state of one such connection.
 type ConnState struct {
-	PendingRequests int     // unanswered
-	RunsTasks       bool    // the node runs tasks whose end it will report
-	HasAlternative  bool    // there is another connection to the node
-	LastSent        float64 // when a request last went out
-	LastReceived    float64 // when anything last arrived
-	HealthCheckSent float64 // when the unanswered health check went out; 0 if there is none
-	IncompleteSince float64 // since when the last message has been incomplete; 0 if it is not
+	PendingRequests int           // unanswered
+	RunsTasks       bool          // the node runs tasks whose end it will report
+	HasAlternative  bool          // there is another connection to the node
+	LastSent        clock.Instant // when a request last went out
+	LastReceived    clock.Instant // when anything last arrived
+	HealthCheckSent clock.Instant // when the unanswered health check went out; zero if there is none
+	IncompleteSince clock.Instant // since when the last message has been incomplete; zero if it is not
 }
 
 // Usable reports whether requests may go out on the connection: not while a health check or the rest of a message is awaited.
-func (s ConnState) Usable() bool { return s.HealthCheckSent == 0 && s.IncompleteSince == 0 }
+func (s ConnState) Usable() bool { return s.HealthCheckSent.IsZero() && s.IncompleteSince.IsZero() }
 
 // expectsMessage reports whether the node owes an answer or the end of a task.
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
@@ -50,53 +56,53 @@
 )
 
 // KeepAlive decides for one connection.
-func (p SharedPolicy) KeepAlive(now float64, s ConnState) KeepAliveAction {
-	if s.IncompleteSince > 0 && now-s.IncompleteSince > p.HealthCheckTimeout {
+func (p SharedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
+	if !s.IncompleteSince.IsZero() && now.Sub(s.IncompleteSince) > p.HealthCheckTimeout {
 		return CloseUnresponsive
 	}
-	if s.HealthCheckSent > 0 {
-		if now-s.HealthCheckSent > p.HealthCheckTimeout {
+	if !s.HealthCheckSent.IsZero() {
+		if now.Sub(s.HealthCheckSent) > p.HealthCheckTimeout {
 			return CloseUnresponsive
 		}
 		return NoAction
 	}
-	if s.expectsMessage() && now-max(s.LastReceived, s.LastSent) > p.HealthCheckAfter {
+	if s.expectsMessage() && now.Sub(max(s.LastReceived, s.LastSent)) > p.HealthCheckAfter {
 		return SendHealthCheck
 	}
-	if p.MaxIdle > 0 && now-s.LastSent > p.MaxIdle && s.closable() {
+	if p.MaxIdle > 0 && now.Sub(s.LastSent) > p.MaxIdle && s.closable() {
 		return CloseIdle
 	}
 	return NoAction
 }
 
 // Reachability judges from messages and failed dials whether a node that runs tasks can be reached. A node that has vanished or is cut off
-// gives no sign: open connections fall silent and dials time out. One whose process has ended refuses connections. Times are in seconds.
+// gives no sign: open connections fall silent and dials time out. One whose process has ended refuses connections.
 type Reachability struct {
-	UnresponsiveAfter float64 // without any message while dials fail
-	RefusedAfter      float64 // of refused connections
+	UnresponsiveAfter time.Duration // without any message while dials fail
+	RefusedAfter      time.Duration // of refused connections
 
-	lastReceived  float64
-	refusedSince  float64 // 0 if the last dial was not refused
-	hasFailedDial bool    // since lastReceived
+	lastReceived  clock.Instant
+	refusedSince  clock.Instant // zero if the last dial was not refused
+	hasFailedDial bool          // since lastReceived
 }
 
 // Received records that a message arrived or that a connection was established.
-func (r *Reachability) Received(now float64) {
+func (r *Reachability) Received(now clock.Instant) {
 	r.lastReceived = now
 	r.refusedSince = 0
 	r.hasFailedDial = false
 }
 
 // DialFailed records that a dial failed, and whether it was refused rather than left unanswered.
-func (r *Reachability) DialFailed(now float64, refused bool) {
-	if r.lastReceived == 0 {
+func (r *Reachability) DialFailed(now clock.Instant, refused bool) {
+	if r.lastReceived.IsZero() {
 		r.lastReceived = now
 	}
 	r.hasFailedDial = true
 	switch {
 	case !refused:
 		r.refusedSince = 0
-	case r.refusedSince == 0:
+	case r.refusedSince.IsZero():
 		r.refusedSince = now
 	}
 }
@@ -113,11 +119,11 @@
 
 // Status returns the verdict on the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
 // nothing to report.
-func (r *Reachability) Status(now float64) NodeStatus {
+func (r *Reachability) Status(now clock.Instant) NodeStatus {
 	switch {
-	case r.refusedSince > 0 && now-r.refusedSince > r.RefusedAfter:
+	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.RefusedAfter:
 		return ProcessEnded
-	case r.hasFailedDial && r.refusedSince == 0 && now-r.lastReceived > r.UnresponsiveAfter:
+	case r.hasFailedDial && r.refusedSince.IsZero() && now.Sub(r.lastReceived) > r.UnresponsiveAfter:
 		return Unresponsive
 	}
 	return Reachable
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -1,26 +1,34 @@
 package connpool
 
-import "testing"
+import (
+	"testing"
+	"time"
+
+	"heathshed/internal/control/clock"
+)
+
+// at returns the instant that a test counts so many seconds.
+func at(seconds float64) clock.Instant { return clock.FromUnixSeconds(seconds) }
 
 func TestKeepAlive(t *testing.T) {
-	policy := SharedPolicy{MaxIdle: 9, HealthCheckAfter: 1, HealthCheckTimeout: 0.5}
+	policy := SharedPolicy{MaxIdle: 9 * time.Second, HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 	for _, test := range []struct {
 		name  string
 		state ConnState
 		want  KeepAliveAction
 	}{
-		{"in use", ConnState{PendingRequests: 1, LastSent: 99.5, LastReceived: 99}, NoAction},
-		{"silent with a pending request", ConnState{PendingRequests: 1, LastSent: 98.9, LastReceived: 98}, SendHealthCheck},
-		{"silent while tasks run", ConnState{RunsTasks: true, LastSent: 50, LastReceived: 98}, SendHealthCheck},
-		{"health check just sent", ConnState{RunsTasks: true, LastSent: 50, LastReceived: 98, HealthCheckSent: 99.6}, NoAction},
-		{"health check unanswered", ConnState{PendingRequests: 3, LastSent: 99, LastReceived: 98, HealthCheckSent: 99.4}, CloseUnresponsive},
-		{"incomplete message", ConnState{PendingRequests: 1, LastSent: 99.9, LastReceived: 99.9, IncompleteSince: 99.4}, CloseUnresponsive},
-		{"idle", ConnState{LastSent: 90, LastReceived: 99}, CloseIdle},
-		{"idle while tasks run", ConnState{LastSent: 90, LastReceived: 99.5, RunsTasks: true}, NoAction},
-		{"idle while tasks run, with an alternative", ConnState{LastSent: 90, LastReceived: 99.5, RunsTasks: true, HasAlternative: true}, CloseIdle},
+		{"in use", ConnState{PendingRequests: 1, LastSent: at(99.5), LastReceived: at(99)}, NoAction},
+		{"silent with a pending request", ConnState{PendingRequests: 1, LastSent: at(98.9), LastReceived: at(98)}, SendHealthCheck},
+		{"silent while tasks run", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98)}, SendHealthCheck},
+		{"health check just sent", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98), HealthCheckSent: at(99.6)}, NoAction},
+		{"health check unanswered", ConnState{PendingRequests: 3, LastSent: at(99), LastReceived: at(98), HealthCheckSent: at(99.4)}, CloseUnresponsive},
+		{"incomplete message", ConnState{PendingRequests: 1, LastSent: at(99.9), LastReceived: at(99.9), IncompleteSince: at(99.4)}, CloseUnresponsive},
+		{"idle", ConnState{LastSent: at(90), LastReceived: at(99)}, CloseIdle},
+		{"idle while tasks run", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true}, NoAction},
+		{"idle while tasks run, with an alternative", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true, HasAlternative: true}, CloseIdle},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := policy.KeepAlive(100, test.state); got != test.want {
+			if got := policy.KeepAlive(at(100), test.state); got != test.want {
 				t.Errorf("got %d, want %d", got, test.want)
 			}
 		})
@@ -28,28 +36,28 @@
 }
 
 func TestReachability(t *testing.T) {
-	r := Reachability{UnresponsiveAfter: 6, RefusedAfter: 1}
-	r.Received(100)
-	r.DialFailed(101, false)
-	if r.Status(105.9) != Reachable || r.Status(106.1) != Unresponsive {
+	r := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	r.Received(at(100))
+	r.DialFailed(at(101), false)
+	if r.Status(at(105.9)) != Reachable || r.Status(at(106.1)) != Unresponsive {
 		t.Error("dials time out: want unresponsive 6 s after the last message")
 	}
-	r.Received(107)
-	r.DialFailed(108, true)
-	if r.Status(108.9) != Reachable || r.Status(109.1) != ProcessEnded {
+	r.Received(at(107))
+	r.DialFailed(at(108), true)
+	if r.Status(at(108.9)) != Reachable || r.Status(at(109.1)) != ProcessEnded {
 		t.Error("dials are refused: want the process ended after 1 s")
 	}
-	r.DialFailed(109, false) // a timeout says nothing about the process
-	if r.Status(110) != Reachable {
+	r.DialFailed(at(109), false) // a timeout says nothing about the process
+	if r.Status(at(110)) != Reachable {
 		t.Error("want a timeout to end the refusals")
 	}
-	r.Received(200)
-	if r.Status(300) != Reachable {
+	r.Received(at(200))
+	if r.Status(at(300)) != Reachable {
 		t.Error("want a node that was not dialed to be reachable")
 	}
-	neverReached := Reachability{UnresponsiveAfter: 6, RefusedAfter: 1}
-	neverReached.DialFailed(50, false)
-	if neverReached.Status(55) != Reachable || neverReached.Status(57) != Unresponsive {
+	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	neverReached.DialFailed(at(50), false)
+	if neverReached.Status(at(55)) != Reachable || neverReached.Status(at(57)) != Unresponsive {
 		t.Error("no message ever: want unresponsive 6 s after the first failed dial")
 	}
 }
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -11,9 +11,11 @@
 	"math/rand/v2"
 	"net/url"
 	"strings"
+	"time"
 
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/retry"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
@@ -56,10 +58,10 @@
 	Labels string // label selector
 	Rand   *rand.Rand
 	Retry  retry.Backoff
-	// ListTimeoutSeconds bounds a list; 0 is no bound.
-	ListTimeoutSeconds float64
-	// WatchIdleTimeoutSeconds is how long a watch may bring no byte before it counts as broken; 0 is no bound.
-	WatchIdleTimeoutSeconds float64
+	// ListTimeout bounds a list; 0 is no bound.
+	ListTimeout time.Duration
+	// WatchIdleTimeout is how long a watch may bring no byte before it counts as broken; 0 is no bound.
+	WatchIdleTimeout time.Duration
 
 	// OnList gets a complete list. head is that of the response.
 	OnList func(head *http1.Head, resourceVersion string, items []Object)
@@ -131,7 +133,7 @@
 	if r.stopped {
 		return
 	}
-	r.retryTimer = r.Loop.After(float64(r.Retry.Next(r.Rand.Float64())), func() {
+	r.retryTimer = r.Loop.After(clock.Duration(r.Retry.Next(r.Rand.Float64())), func() {
 		if r.resourceVersion == "" {
 			r.list()
 			return
@@ -152,7 +154,7 @@
 	}
 	r.call = call
 	accept := []http1.Field{{Name: "Accept", Value: jsonMediaType}}
-	r.Client.Do("GET", r.requestTarget(url.Values{}), accept, nil, r.ListTimeoutSeconds, call)
+	r.Client.Do("GET", r.requestTarget(url.Values{}), accept, nil, r.ListTimeout, call)
 }
 
 func (r *Reflector) handleList(head *http1.Head, body []byte, err error) {
@@ -228,8 +230,8 @@
 // restartIdleTimer cancels the watch if it brings nothing from now on for too long.
 func (r *Reflector) restartIdleTimer(call *httpc.Call) {
 	r.idleTimer.Stop()
-	if r.WatchIdleTimeoutSeconds > 0 {
-		r.idleTimer = r.Loop.After(r.WatchIdleTimeoutSeconds, func() { call.Cancel() })
+	if r.WatchIdleTimeout > 0 {
+		r.idleTimer = r.Loop.After(r.WatchIdleTimeout, func() { call.Cancel() })
 	}
 }
 
--- a/internal/kube/scheduler/attempt.go
+++ b/internal/kube/scheduler/attempt.go
@@ -8,6 +8,7 @@
 	"math"
 	"net/url"
 	"strconv"
+	"time"
 
 	corev1 "k8s.io/api/core/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
@@ -20,8 +21,8 @@
 )
 
 const (
-	stopTimeoutSeconds = 5
-	defaultNamespace   = "default"
+	stopTimeout      = 5 * time.Second
+	defaultNamespace = "default"
 )
 
 // podPath is the path of a Pod, or of the Pods of a namespace.
@@ -66,7 +67,7 @@
 }
 
 func (s *Scheduler) finishAttempt(answer engine.AttemptAnswer) {
-	s.engine.AttemptDone(placer.Seconds(s.loop.Now()), answer)
+	s.engine.AttemptDone(s.engineNow(), answer)
 	s.processEffects()
 }
 
@@ -172,11 +173,11 @@
 		}
 		s.finishStop(answer)
 	}}
-	node.client.Do("DELETE", podPath(namespace, name), attemptHeader(effect.Attempt), stopBody(effect), stopTimeoutSeconds, call)
+	node.client.Do("DELETE", podPath(namespace, name), attemptHeader(effect.Attempt), stopBody(effect), stopTimeout, call)
 }
 
 func (s *Scheduler) finishStop(answer engine.StopAnswer) {
-	s.engine.StopDone(placer.Seconds(s.loop.Now()), answer)
+	s.engine.StopDone(s.engineNow(), answer)
 	s.processEffects()
 }
 
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -18,6 +18,7 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/config"
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
@@ -85,8 +86,8 @@
 	c.emulatorLoop = loop
 	c.inventory, err = emulator.StartInventory(loop, emulator.InventoryOptions{
 		Listen:            "127.0.0.1:0",
-		PublishDelay:      c.settings.Emulator.ReportDelay.Seconds(),
-		UnresponsiveAfter: 1,
+		PublishDelay:      clock.Duration(c.settings.Emulator.ReportDelay),
+		UnresponsiveAfter: time.Second,
 		OnEvent:           c.recordEvent,
 	})
 	if err != nil {
@@ -110,9 +111,9 @@
 func (c *cluster) startNode(i int) *emulator.Node {
 	c.t.Helper()
 	emulated := labconfig.NodeAt(&c.settings, i)
-	heartbeatSeconds := 0.1
+	heartbeat := 100 * time.Millisecond
 	if c.settings.Emulator.Nodes >= 100 {
-		heartbeatSeconds = 0.5 // as heathshed up has it; more would measure the inventory
+		heartbeat = 500 * time.Millisecond // as heathshed up has it; more would measure the inventory
 	}
 	node, err := emulator.StartNode(c.emulatorLoop, emulator.NodeOptions{
 		Name:           simulation.NodeName(i),
@@ -121,7 +122,7 @@
 		Kind:           emulated.NodeType,
 		Listen:         "127.0.0.1:0",
 		Inventory:      c.inventory.Addr(),
-		ReportInterval: heartbeatSeconds,
+		ReportInterval: heartbeat,
 		Sim:            emulated.Sim,
 		Priorities:     labconfig.Priorities(&c.settings),
 		OnEvent:        c.recordEvent,
@@ -156,14 +157,14 @@
 	httpOptions.Limits.Body = c.settings.Limits.MaxBodyBytes
 	httpOptions.MemoryBytes = memquota.Divide(int64(c.settings.Limits.MemoryMiB) << 20).Connections
 	c.scheduler, err = New(loop, Options{
-		Engine:                 c.settings.Engine(7, int64(loop.Now()*1e6)),
-		ListenAddress:          c.settings.Listen,
-		InventoryAddress:       c.settings.Inventory,
-		Version:                "test",
-		HTTP:                   httpOptions,
-		ConnectTimeoutSeconds:  c.settings.ConnectTimeout.Seconds(),
-		NodeSyncTimeoutSeconds: c.settings.NodeSyncTimeout.Seconds(),
-		Log:                    zerolog.Nop(),
+		Engine:           c.settings.Engine(7, loop.Now().UnixMicro()),
+		ListenAddress:    c.settings.Listen,
+		InventoryAddress: c.settings.Inventory,
+		Version:          "test",
+		HTTP:             httpOptions,
+		ConnectTimeout:   clock.Duration(c.settings.ConnectTimeout),
+		NodeSyncTimeout:  clock.Duration(c.settings.NodeSyncTimeout),
+		Log:              zerolog.Nop(),
 	})
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/kube/scheduler/inventory.go
+++ b/internal/kube/scheduler/inventory.go
@@ -8,7 +8,6 @@
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/kube/reflector"
 	"heathshed/internal/netio/http1"
-	"heathshed/placer"
 )
 
 // eventDeleted is the type of the watch event of an object that is no more.
@@ -31,7 +30,7 @@
 	if s.phase == phaseAwaitingInventory {
 		s.setPhase(phaseSyncingNodes)
 	}
-	s.engine.NodesListed(placer.Seconds(s.loop.Now()), engine.FullList, nodes, nil)
+	s.engine.NodesListed(s.engineNow(), engine.FullList, nodes, nil)
 	s.processEffects()
 }
 
@@ -42,9 +41,9 @@
 		return
 	}
 	if kind == eventDeleted {
-		s.engine.NodesListed(placer.Seconds(s.loop.Now()), engine.Changes, nil, []string{node.Name})
+		s.engine.NodesListed(s.engineNow(), engine.Changes, nil, []string{node.Name})
 	} else {
-		s.engine.NodesListed(placer.Seconds(s.loop.Now()), engine.Changes, []*corev1.Node{node}, nil)
+		s.engine.NodesListed(s.engineNow(), engine.Changes, []*corev1.Node{node}, nil)
 	}
 	s.processEffects()
 }
@@ -54,6 +53,6 @@
 		s.inventoryReachable = false
 		s.options.Log.Warn().Err(err).Msg("inventory unreachable")
 	}
-	s.engine.NodesListed(placer.Seconds(s.loop.Now()), engine.ListUnavailable, nil, nil)
+	s.engine.NodesListed(s.engineNow(), engine.ListUnavailable, nil, nil)
 	s.processEffects()
 }
--- a/internal/kube/scheduler/lifecycle_test.go
+++ b/internal/kube/scheduler/lifecycle_test.go
@@ -66,7 +66,7 @@
 	c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
 	c.eventually("attempts are in flight", func() bool { return c.countEvents(audit.AttemptReceived) > 0 })
 	stopped := make(chan struct{})
-	c.loop.Post(func() { c.scheduler.Stop(20, func() { close(stopped); c.loop.Stop() }) })
+	c.loop.Post(func() { c.scheduler.Stop(20*time.Second, func() { close(stopped); c.loop.Stop() }) })
 	// The watch ends with a complete chunked body, after an outcome for each task.
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/internal/kube/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -4,6 +4,7 @@
 
 import (
 	"strconv"
+	"time"
 
 	corev1 "k8s.io/api/core/v1"
 
@@ -12,13 +13,14 @@
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpc"
-	"heathshed/placer"
 )
 
 const (
-	podListTimeoutSeconds   = 5
-	podWatchRetryMinSeconds = 0.1
-	podWatchRetryMaxSeconds = 1
+	podListTimeout = 5 * time.Second
+
+	// Bounds of the backoff between attempts to watch a node, in seconds.
+	podWatchMinBackoff = 0.1
+	podWatchMaxBackoff = 1
 )
 
 // nodeClient is the connections to one node: for attempts and stops, and the watch of the Pods that it runs.
@@ -33,19 +35,19 @@
 func (s *Scheduler) watchNode(name, address string) {
 	s.unwatchNode(name)
 	node := &nodeClient{scheduler: s, name: name, client: httpc.New(s.loop, address)}
-	node.client.ConnectTimeoutSeconds = s.options.ConnectTimeoutSeconds
+	node.client.ConnectTimeout = s.options.ConnectTimeout
 	node.pods = &reflector.Reflector{
-		Loop:                    s.loop,
-		Client:                  node.client,
-		Path:                    "/api/v1/pods",
-		Rand:                    s.random,
-		Labels:                  wellknown.Scheduler + "=" + s.options.Engine.Name,
-		Retry:                   retry.Backoff{Min: podWatchRetryMinSeconds, Max: podWatchRetryMaxSeconds},
-		ListTimeoutSeconds:      podListTimeoutSeconds,
-		WatchIdleTimeoutSeconds: s.options.WatchIdleTimeoutSeconds,
-		OnList:                  node.handlePodList,
-		OnEvent:                 node.handlePodEvent,
-		OnError:                 node.handlePodsError,
+		Loop:             s.loop,
+		Client:           node.client,
+		Path:             "/api/v1/pods",
+		Rand:             s.random,
+		Labels:           wellknown.Scheduler + "=" + s.options.Engine.Name,
+		Retry:            retry.Backoff{Min: podWatchMinBackoff, Max: podWatchMaxBackoff},
+		ListTimeout:      podListTimeout,
+		WatchIdleTimeout: s.options.WatchIdleTimeout,
+		OnList:           node.handlePodList,
+		OnEvent:          node.handlePodEvent,
+		OnError:          node.handlePodsError,
 	}
 	s.nodes[name] = node
 	node.pods.Start()
@@ -71,7 +73,7 @@
 		pods = append(pods, pod)
 	}
 	incarnation := head.Header.Get(wellknown.IncarnationHeader)
-	s.engine.NodePods(placer.Seconds(s.loop.Now()), n.name, incarnation, parseRevision(resourceVersion), pods)
+	s.engine.NodePods(s.engineNow(), n.name, incarnation, parseRevision(resourceVersion), pods)
 	s.processEffects()
 }
 
@@ -82,14 +84,14 @@
 		s.options.Log.Warn().Str("node", n.name).Err(err).Msg("pod event cannot be decoded")
 		return
 	}
-	s.engine.NodePod(placer.Seconds(s.loop.Now()), n.name, pod, kind == eventDeleted)
+	s.engine.NodePod(s.engineNow(), n.name, pod, kind == eventDeleted)
 	s.processEffects()
 }
 
 func (n *nodeClient) handlePodsError(err error) {
 	s := n.scheduler
 	s.options.Log.Debug().Str("node", n.name).Err(err).Msg("node unreachable")
-	s.engine.NodeUnresponsive(placer.Seconds(s.loop.Now()), n.name)
+	s.engine.NodeUnresponsive(s.engineNow(), n.name)
 	s.processEffects()
 }
 
--- a/internal/kube/scheduler/phase.go
+++ b/internal/kube/scheduler/phase.go
@@ -62,7 +62,7 @@
 	if listed == 0 {
 		return errInventoryHasNoNode
 	}
-	if watched < listed && s.loop.Now()-s.startedAt < s.options.NodeSyncTimeoutSeconds {
+	if watched < listed && s.loop.Now().Sub(s.startedAt) < s.options.NodeSyncTimeout {
 		return &nodesSyncingError{listed: listed, watched: watched}
 	}
 	s.setPhase(phaseReady)
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -5,12 +5,13 @@
 package scheduler
 
 import (
-	"math"
 	"math/rand/v2"
+	"time"
 
 	"github.com/rs/zerolog"
 	"k8s.io/apimachinery/pkg/types"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/retry"
 	"heathshed/internal/kube/api"
 	"heathshed/internal/kube/engine"
@@ -19,31 +20,32 @@
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/httpc"
 	"heathshed/internal/netio/httpd"
-	"heathshed/placer"
 )
 
 const (
-	streamPullSeconds = 1 // at least so often streams are pulled, for their time-outs and bookmarks
+	streamPullInterval = time.Second // at least so often streams are pulled, for their time-outs and bookmarks
 
-	inventoryListTimeoutSeconds = 10
-	inventoryRetryMinSeconds    = 0.1
-	inventoryRetryMaxSeconds    = 2
+	inventoryListTimeout = 10 * time.Second
+
+	// Bounds of the backoff between attempts to reach the inventory, in seconds.
+	inventoryMinBackoff = 0.1
+	inventoryMaxBackoff = 2
 
 	randomStream = 0x736f636b // of the seed; the engine draws from others
 )
 
 // Options are what a scheduler is run with.
 type Options struct {
-	Engine                  engine.Config
-	ListenAddress           string // of the API
-	InventoryAddress        string
-	Version                 string
-	HTTP                    httpd.Options
-	ConnectTimeoutSeconds   float64 // of connections to nodes
-	WatchIdleTimeoutSeconds float64 // after which a watch that brings nothing is replaced by a new one; 0 never
-	NodeSyncTimeoutSeconds  float64 // that the nodes found at the start have to list their tasks before others are accepted
-	MaxListItems            int     // of a page of a list whose request gives no limit
-	Log                     zerolog.Logger
+	Engine           engine.Config
+	ListenAddress    string // of the API
+	InventoryAddress string
+	Version          string
+	HTTP             httpd.Options
+	ConnectTimeout   time.Duration // of connections to nodes
+	WatchIdleTimeout time.Duration // after which a watch that brings nothing is replaced by a new one; 0 never
+	NodeSyncTimeout  time.Duration // that the nodes found at the start have to list their tasks before others are accepted
+	MaxListItems     int           // of a page of a list whose request gives no limit
+	Log              zerolog.Logger
 }
 
 // Scheduler is one running scheduler. All its methods are for the loop's goroutine.
@@ -57,7 +59,7 @@
 	random     *rand.Rand
 
 	phase     phase
-	startedAt float64 // Unix seconds
+	startedAt clock.Instant
 
 	inventory          *reflector.Reflector
 	inventoryReachable bool
@@ -105,23 +107,23 @@
 	}
 	s.inventory = s.newInventoryReflector()
 	s.inventory.Start()
-	loop.After(streamPullSeconds, s.pullStreamsPeriodically)
+	loop.After(streamPullInterval, s.pullStreamsPeriodically)
 	s.processEffects()
 	return s, nil
 }
 
 func (s *Scheduler) newInventoryReflector() *reflector.Reflector {
 	return &reflector.Reflector{
-		Loop:                    s.loop,
-		Client:                  httpc.New(s.loop, s.options.InventoryAddress),
-		Path:                    "/api/v1/nodes",
-		Rand:                    s.random,
-		Retry:                   retry.Backoff{Min: inventoryRetryMinSeconds, Max: inventoryRetryMaxSeconds},
-		ListTimeoutSeconds:      inventoryListTimeoutSeconds,
-		WatchIdleTimeoutSeconds: s.options.WatchIdleTimeoutSeconds,
-		OnList:                  s.handleNodeList,
-		OnEvent:                 s.handleNodeEvent,
-		OnError:                 s.handleInventoryError,
+		Loop:             s.loop,
+		Client:           httpc.New(s.loop, s.options.InventoryAddress),
+		Path:             "/api/v1/nodes",
+		Rand:             s.random,
+		Retry:            retry.Backoff{Min: inventoryMinBackoff, Max: inventoryMaxBackoff},
+		ListTimeout:      inventoryListTimeout,
+		WatchIdleTimeout: s.options.WatchIdleTimeout,
+		OnList:           s.handleNodeList,
+		OnEvent:          s.handleNodeEvent,
+		OnError:          s.handleInventoryError,
 	}
 }
 
@@ -138,7 +140,7 @@
 func (s *Scheduler) ObjectCount(resource store.Resource) int { return s.engine.Store().Len(resource) }
 
 func (s *Scheduler) serveRequest(exchange *httpd.Exchange) {
-	response := s.apiServer.Serve(s.loop.Now(), &exchange.Request)
+	response := s.apiServer.Serve(s.apiNow(), &exchange.Request)
 	s.metrics.countRequest(exchange.Head.Method, response.Status)
 	if s.options.Log.GetLevel() <= zerolog.DebugLevel {
 		s.options.Log.Debug().
@@ -192,26 +194,13 @@
 	}
 }
 
-// scheduleWake has the engine's timers run when the next is due.
-func (s *Scheduler) scheduleWake() {
-	s.wakeTimer.Stop()
-	at := float64(s.engine.NextWake())
-	if math.IsInf(at, 1) {
-		return
-	}
-	s.wakeTimer = s.loop.At(at, func() {
-		s.engine.Tick(placer.Seconds(s.loop.Now()))
-		s.processEffects()
-	})
-}
-
 // schedulePublish has watchers sent what has changed, after a delay that gathers changes when watchers are many.
 func (s *Scheduler) schedulePublish() {
 	if s.engine.Store().Rev() == s.publishedRevision || s.publishScheduled {
 		return
 	}
 	s.publishScheduled = true
-	s.loop.After(api.WatchBatchDelay(s.httpServer.Streams()), func() {
+	s.loop.After(s.publishDelay(), func() {
 		s.publishScheduled = false
 		s.publishedRevision = s.engine.Store().Rev()
 		s.pullStreams()
@@ -219,11 +208,11 @@
 }
 
 func (s *Scheduler) pullStreams() {
-	s.apiServer.SetTime(s.loop.Now())
+	s.apiServer.SetTime(s.apiNow())
 	s.httpServer.PullStreams()
 }
 
 func (s *Scheduler) pullStreamsPeriodically() {
 	s.pullStreams()
-	s.loop.After(streamPullSeconds, s.pullStreamsPeriodically)
+	s.loop.After(streamPullInterval, s.pullStreamsPeriodically)
 }
--- a/internal/kube/scheduler/shutdown.go
+++ b/internal/kube/scheduler/shutdown.go
@@ -4,32 +4,33 @@
 
 import (
 	"sync"
+	"time"
 
-	"heathshed/placer"
+	"heathshed/internal/control/clock"
 )
 
 const (
-	openTasksPollSeconds = 0.02
-	drainTimeoutSeconds  = 2 // that API connections have to end in order
+	openTasksPollInterval = 20 * time.Millisecond
+	drainTimeout          = 2 * time.Second // that API connections have to end in order
 )
 
-// Stop accepts no new tasks, waits until every task that was accepted has its final answer, at most so many seconds, ends
+// Stop accepts no new tasks, waits until every task that was accepted has its final answer, at most for the timeout, ends
 // watches and connections in order, and calls done.
-func (s *Scheduler) Stop(timeoutSeconds float64, done func()) {
+func (s *Scheduler) Stop(timeout time.Duration, done func()) {
 	if s.phase == phaseStopping {
 		return
 	}
 	s.setPhase(phaseStopping)
-	s.engine.Stop(placer.Seconds(s.loop.Now()))
+	s.engine.Stop(s.engineNow())
 	s.processEffects()
 	s.options.Log.Info().Int("open", s.engine.OpenTasks()).Msg("stopping: waiting for final answers")
-	s.awaitFinalAnswers(s.loop.Now()+timeoutSeconds, done)
+	s.awaitFinalAnswers(s.loop.Now().Add(timeout), done)
 }
 
-func (s *Scheduler) awaitFinalAnswers(deadline float64, done func()) {
+func (s *Scheduler) awaitFinalAnswers(deadline clock.Instant, done func()) {
 	open := s.engine.OpenTasks()
 	if open > 0 && s.loop.Now() < deadline {
-		s.loop.After(openTasksPollSeconds, func() { s.awaitFinalAnswers(deadline, done) })
+		s.loop.After(openTasksPollInterval, func() { s.awaitFinalAnswers(deadline, done) })
 		return
 	}
 	if open > 0 {
@@ -48,7 +49,7 @@
 	s.apiServer.CloseWatches()
 	s.httpServer.PullStreams()
 	s.httpServer.Drain(finish)
-	s.loop.After(drainTimeoutSeconds, func() {
+	s.loop.After(drainTimeout, func() {
 		s.httpServer.Close()
 		finish()
 	})
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -33,7 +33,7 @@
 	sim := nodesim.DefaultConfig()
 	sim.LifetimeMean = 1000
 	node, err := StartNode(loop, NodeOptions{Name: "node-1", Zone: "zone-1", Rack: "rack-1", Listen: "127.0.0.1:0", Inventory: inventory.Addr(),
-		ReportInterval: 0.1, Sim: sim})
+		ReportInterval: 100 * time.Millisecond, Sim: sim})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -7,9 +7,11 @@
 	"fmt"
 	"net/http"
 	"strings"
+	"time"
 
 	corev1 "k8s.io/api/core/v1"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/kube/api"
 	"heathshed/internal/kube/store"
 	"heathshed/internal/lab/audit"
@@ -20,17 +22,17 @@
 )
 
 const (
-	defaultUnresponsiveAfter = 2    // seconds
-	checkInterval            = 0.25 // seconds between checks for nodes that do not report
+	defaultUnresponsiveAfter = 2 * time.Second
+	checkInterval            = 250 * time.Millisecond // between checks for nodes that do not report
 )
 
-// InventoryOptions describe an emulated inventory. Times are in seconds.
+// InventoryOptions describe an emulated inventory.
 type InventoryOptions struct {
 	Listen            string
-	PublishDelay      float64 // from a node's report until it is shown
-	UnresponsiveAfter float64 // without a report, until a node is shown as not ready; 0 is the default
-	RemoveAfter       float64 // without a report, until a node is removed; 0 is never
-	History           int     // changes that a watch can resume from; 0 is the default
+	PublishDelay      time.Duration // from a node's report until it is shown
+	UnresponsiveAfter time.Duration // without a report, until a node is shown as not ready; 0 is the default
+	RemoveAfter       time.Duration // without a report, until a node is removed; 0 is never
+	History           int           // changes that a watch can resume from; 0 is the default
 	// OnEvent, if set, receives how each node is shown, and when the inventory cannot be reached.
 	OnEvent func(audit.Event)
 }
@@ -43,13 +45,13 @@
 	api           *api.Server
 	store         *store.Store
 	addr          string
-	reportedAt    map[string]float64      // by node: time of the last report
-	reported      map[string]*corev1.Node // by node: the last report
-	shownRevision int64                   // of the store, that watches have been given
+	reportedAt    map[string]clock.Instant // by node: time of the last report
+	reported      map[string]*corev1.Node  // by node: the last report
+	shownRevision int64                    // of the store, that watches have been given
 
 	hidden           map[string]bool // nodes that are not shown, by an injected fault
-	emptyUntil       float64
-	unreachableUntil float64
+	emptyUntil       clock.Instant
+	unreachableUntil clock.Instant
 }
 
 // StartInventory puts an inventory on a socket.
@@ -64,8 +66,8 @@
 		options:    options,
 		loop:       loop,
 		addr:       options.Listen,
-		store:      store.New(int64(loop.Now()*1e6), options.History),
-		reportedAt: map[string]float64{},
+		store:      store.New(loop.Now().UnixMicro(), options.History),
+		reportedAt: map[string]clock.Instant{},
 		reported:   map[string]*corev1.Node{},
 		hidden:     map[string]bool{},
 	}
@@ -107,7 +109,7 @@
 	case exchange.Head.Method == http.MethodPut && path == faultsPath:
 		inv.serveFault(exchange)
 	default:
-		exchange.Respond(inv.api.Serve(inv.loop.Now(), &exchange.Request))
+		exchange.Respond(inv.api.Serve(inv.simNow(), &exchange.Request))
 	}
 }
 
@@ -141,7 +143,7 @@
 
 func (inv *Inventory) record(kind, node string) {
 	if inv.options.OnEvent != nil {
-		inv.options.OnEvent(audit.Event{At: inv.loop.Now(), Kind: kind, Node: node})
+		inv.options.OnEvent(audit.Event{At: inv.simNow(), Kind: kind, Node: node})
 	}
 }
 
@@ -189,7 +191,7 @@
 func (inv *Inventory) notifyWatchers() {
 	if revision := inv.store.Rev(); revision != inv.shownRevision {
 		inv.shownRevision = revision
-		inv.api.SetTime(inv.loop.Now())
+		inv.api.SetTime(inv.simNow())
 		inv.server.PullStreams()
 	}
 }
@@ -200,16 +202,16 @@
 	for name, reportedAt := range inv.reportedAt {
 		shown, _ := inv.store.Get(store.Nodes, "", name).(*corev1.Node)
 		switch {
-		case inv.options.RemoveAfter > 0 && now-reportedAt > inv.options.RemoveAfter:
+		case inv.options.RemoveAfter > 0 && now.Sub(reportedAt) > inv.options.RemoveAfter:
 			delete(inv.reportedAt, name)
 			delete(inv.reported, name)
 			inv.store.Delete(store.Nodes, "", name)
 			inv.record(audit.ListedUnavailable, name)
-		case now-reportedAt > inv.options.UnresponsiveAfter && shown != nil && shownReady(shown):
+		case now.Sub(reportedAt) > inv.options.UnresponsiveAfter && shown != nil && shownReady(shown):
 			inv.publish(inv.reported[name], false)
 		}
 	}
-	inv.api.SetTime(now)
+	inv.api.SetTime(inv.simNow())
 	inv.server.PullStreams()
 	inv.notifyWatchers()
 }
@@ -217,10 +219,10 @@
 // Fault injects faults into the inventory.
 func (inv *Inventory) Fault(injected fault.Inventory) {
 	if injected.Unreachable > 0 {
-		inv.makeUnreachable(injected.Unreachable)
+		inv.makeUnreachable(clock.Duration(injected.Unreachable))
 	}
 	if injected.Empty > 0 {
-		inv.emptyUntil = inv.loop.Now() + injected.Empty
+		inv.emptyUntil = inv.loop.Now().Add(clock.Duration(injected.Empty))
 	}
 	if injected.Hide != nil || injected.Empty > 0 {
 		inv.hide(injected.Hide)
@@ -239,14 +241,14 @@
 	inv.notifyWatchers()
 }
 
-// makeUnreachable closes the inventory's socket for so many seconds.
-func (inv *Inventory) makeUnreachable(seconds float64) {
-	inv.unreachableUntil = inv.loop.Now() + seconds
+// makeUnreachable closes the inventory's socket for some time.
+func (inv *Inventory) makeUnreachable(duration time.Duration) {
+	inv.unreachableUntil = inv.loop.Now().Add(duration)
 	inv.record(audit.DiscoveryLost, "")
 	inv.server.Close()
 	var listenAgain func()
 	listenAgain = func() {
-		if inv.loop.Now() < inv.unreachableUntil-timerTolerance {
+		if inv.loop.Now() < inv.unreachableUntil.Add(-timerTolerance) {
 			return
 		}
 		if err := inv.listen(); err != nil {
@@ -256,5 +258,5 @@
 		}
 		inv.record(audit.DiscoveryRestored, "")
 	}
-	inv.loop.After(seconds, listenAgain)
+	inv.loop.After(duration, listenAgain)
 }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -7,10 +7,11 @@
 
 import (
 	"fmt"
-	"math"
+	"time"
 
 	corev1 "k8s.io/api/core/v1"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/kube/api"
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
@@ -23,20 +24,20 @@
 )
 
 const (
-	defaultReportInterval = 0.5  // seconds
-	idleTimeoutSeconds    = 600  // of connections to an emulator
-	historyRevisions      = 5000 // changes that a watch can resume from
-	listenRetryInterval   = 0.1  // seconds
-	timerTolerance        = 0.001
+	defaultReportInterval = 500 * time.Millisecond
+	idleTimeout           = 10 * time.Minute // of connections to an emulator
+	historyRevisions      = 5000             // changes that a watch can resume from
+	listenRetryInterval   = 100 * time.Millisecond
+	timerTolerance        = time.Millisecond
 	apiVersion            = "standin" // in what the API states of its server
 )
 
 // NodeOptions describe an emulated node.
 type NodeOptions struct {
 	Name, Zone, Rack, Kind string
-	Listen                 string  // 127.0.0.1:0 chooses a port, which is kept over crashes
-	Inventory              string  // address; "" reports nowhere
-	ReportInterval         float64 // seconds between reports to the inventory; 0 is the default
+	Listen                 string        // 127.0.0.1:0 chooses a port, which is kept over crashes
+	Inventory              string        // address; "" reports nowhere
+	ReportInterval         time.Duration // between reports to the inventory; 0 is the default
 	Sim                    nodesim.Config
 	Priorities             map[string]int     // by class
 	Lifetimes              map[string]float64 // by class: mean lifetime in seconds of tasks that state none
@@ -60,15 +61,15 @@
 	store         *store.Store
 	starts        int
 	incarnation   string
-	startedAt     float64 // Unix seconds; 0 if the node came up warm
+	startedAt     float64 // on the clock of sim; 0 if the node came up warm
 	wakeTimer     *eventloop.Timer
 	pending       map[string][]*httpd.Exchange // unanswered requests, by UID and attempt
 	loadReport    string                       // value of the load header
 	shownRevision int64                        // of the store, that watches have been given
 
 	faults           fault.NodeState
-	unreachableUntil float64 // Unix seconds
-	trickling        bool    // the timer that continues trickling bodies is set
+	unreachableUntil clock.Instant
+	trickling        bool // the timer that continues trickling bodies is set
 }
 
 // StartNode puts a node on a socket and begins to report it to the inventory.
@@ -99,11 +100,11 @@
 
 // start begins an incarnation.
 func (n *Node) start(cold bool) error {
-	now := n.loop.Now()
+	now := n.simNow()
 	n.starts++
 	n.sim = nodesim.New(n.options.Sim.ForIncarnation(n.starts, cold), now)
 	n.sim.RejectHook = n.injectRejection
-	n.incarnation = fmt.Sprintf("%s-%d-%d", n.options.Name, int64(now*1e3), n.starts)
+	n.incarnation = fmt.Sprintf("%s-%d-%d", n.options.Name, n.loop.Now().UnixMicro()/1000, n.starts)
 	n.startedAt = 0
 	startKind := "warm"
 	if cold {
@@ -111,7 +112,7 @@
 		startKind = "cold"
 	}
 	n.pending = map[string][]*httpd.Exchange{}
-	n.store = store.New(int64(now*1e6), historyRevisions)
+	n.store = store.New(n.loop.Now().UnixMicro(), historyRevisions)
 	n.api = &api.Server{Store: n.store, Version: apiVersion}
 	if err := n.listen(); err != nil {
 		return err
@@ -134,12 +135,12 @@
 // listen starts the HTTP server of an emulator.
 func listen(loop *eventloop.Loop, addr string, serve func(*httpd.Exchange)) (*httpd.Server, error) {
 	options := httpd.DefaultOptions()
-	options.IdleTimeoutSeconds = idleTimeoutSeconds
+	options.IdleTimeout = idleTimeout
 	return httpd.Listen(loop, addr, options, serve)
 }
 
-// crash ends the incarnation; a cold one begins after the downtime, in seconds.
-func (n *Node) crash(downtime float64) {
+// crash ends the incarnation; a cold one begins after the downtime.
+func (n *Node) crash(downtime time.Duration) {
 	if n.sim == nil {
 		return
 	}
@@ -176,7 +177,7 @@
 	if n.options.OnEvent == nil {
 		return
 	}
-	event.At = n.loop.Now()
+	event.At = n.simNow()
 	event.Node = n.options.Name
 	event.Rack = n.options.Rack
 	event.Zone = n.options.Zone
@@ -186,7 +187,7 @@
 // tick runs the simulated node up to now.
 func (n *Node) tick() {
 	if n.sim != nil {
-		n.sim.Tick(n.loop.Now())
+		n.sim.Tick(n.simNow())
 		n.processEffects()
 	}
 }
@@ -196,13 +197,10 @@
 	if n.sim == nil || !n.sim.DispatchEffects(n.handleEffect) {
 		return
 	}
-	n.wakeTimer.Stop()
-	if at := n.sim.NextWake(); !math.IsInf(at, 1) {
-		n.wakeTimer = n.loop.At(at, n.tick)
-	}
+	n.scheduleWake()
 	if revision := n.store.Rev(); revision != n.shownRevision {
 		n.shownRevision = revision
-		n.api.SetTime(n.loop.Now())
+		n.api.SetTime(n.simNow())
 		n.server.PullStreams()
 	}
 }
@@ -224,7 +222,7 @@
 		n.store.Delete(store.Pods, pod.Namespace, pod.Name)
 	case nodesim.Overloaded:
 		n.record(audit.Event{Kind: audit.Overloaded})
-		n.crash(nodesim.OverloadDowntime)
+		n.crash(clock.Duration(float64(nodesim.OverloadDowntime)))
 	}
 	return n.sim != nil
 }
--- a/internal/lab/emulator/node_fault.go
+++ b/internal/lab/emulator/node_fault.go
@@ -3,6 +3,9 @@
 package emulator
 
 import (
+	"time"
+
+	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
 	"heathshed/internal/lab/nodesim"
@@ -12,21 +15,21 @@
 )
 
 const (
-	trickleDelay    = 0.05 // seconds from a request to the header of a trickling answer
-	trickleInterval = 0.05 // seconds
-	trickleBytes    = 64   // in each interval
-	trickleLinger   = 5    // seconds after the fault in which its last answers are still completed
+	trickleDelay    = 50 * time.Millisecond // from a request to the header of a trickling answer
+	trickleInterval = 50 * time.Millisecond
+	trickleBytes    = 64              // in each interval
+	trickleLinger   = 5 * time.Second // after the fault, in which its last answers are still completed
 )
 
 // Fault injects faults into the node, or ends those that have a state.
 func (n *Node) Fault(injected fault.Node) {
-	now := n.loop.Now()
+	now := n.simNow()
 	n.faults.Apply(now, injected)
 	if n.sim != nil && injected.Stall != 0 {
 		n.sim.StallUntil(now + injected.Stall)
 	}
 	if injected.Unreachable > 0 {
-		n.makeUnreachable(injected.Unreachable)
+		n.makeUnreachable(clock.Duration(injected.Unreachable))
 	}
 	if injected.Drain != nil && n.sim != nil {
 		n.sim.SetDraining(now, *injected.Drain)
@@ -34,24 +37,24 @@
 	}
 	if injected.Crash > 0 {
 		n.record(audit.Event{Kind: audit.Crashed})
-		n.crash(injected.Crash)
+		n.crash(clock.Duration(injected.Crash))
 	}
 }
 
 // injectRejection rejects a request while that fault lasts.
 func (n *Node) injectRejection(*nodesim.Request) nodesim.Reason {
-	if n.loop.Now() < n.faults.RejectUntil {
+	if n.simNow() < n.faults.RejectUntil {
 		return nodesim.InsufficientCores
 	}
 	return nodesim.None
 }
 
-// makeUnreachable closes the node's socket for so many seconds. Its tasks run on.
-func (n *Node) makeUnreachable(seconds float64) {
-	n.unreachableUntil = n.loop.Now() + seconds
+// makeUnreachable closes the node's socket for some time. Its tasks run on.
+func (n *Node) makeUnreachable(duration time.Duration) {
+	n.unreachableUntil = n.loop.Now().Add(duration)
 	n.server.Close()
-	n.loop.After(seconds, func() {
-		if n.sim != nil && n.loop.Now() >= n.unreachableUntil-timerTolerance {
+	n.loop.After(duration, func() {
+		if n.sim != nil && n.loop.Now() >= n.unreachableUntil.Add(-timerTolerance) {
 			n.listenAgain()
 		}
 	})
@@ -88,7 +91,7 @@
 		return
 	}
 	n.server.PullStreams()
-	n.trickling = n.loop.Now() < n.faults.TrickleUntil+trickleLinger
+	n.trickling = n.simNow() < n.faults.TrickleUntil+trickleLinger.Seconds()
 	if n.trickling {
 		n.loop.After(trickleInterval, n.continueTrickling)
 	}
@@ -98,12 +101,12 @@
 type trickleBody struct {
 	loop      *eventloop.Loop
 	rest      []byte
-	lastWrite float64
+	lastWrite clock.Instant
 }
 
 // Pull implements http1.Stream.
 func (s *trickleBody) Pull(buffer []byte, _ int) ([]byte, bool) {
-	if now := s.loop.Now(); now >= s.lastWrite+trickleInterval*0.9 {
+	if now := s.loop.Now(); now >= s.lastWrite.Add(trickleInterval*9/10) {
 		n := min(len(s.rest), trickleBytes)
 		buffer = append(buffer, s.rest[:n]...)
 		s.rest = s.rest[n:]
--- a/internal/lab/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -28,8 +28,7 @@
 
 // serve answers a request of a scheduler, or one that injects faults.
 func (n *Node) serve(exchange *httpd.Exchange) {
-	now := n.loop.Now()
-	if n.sim == nil || now < n.unreachableUntil {
+	if n.sim == nil || n.loop.Now() < n.unreachableUntil {
 		exchange.Reset()
 		return
 	}
@@ -45,7 +44,7 @@
 		n.stopTask(exchange)
 	default:
 		n.tick()
-		response := n.api.Serve(now, &exchange.Request)
+		response := n.api.Serve(n.simNow(), &exchange.Request)
 		response.Header = append(response.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation},
 			http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport})
 		exchange.Respond(response)
@@ -86,7 +85,7 @@
 
 // startTask takes an attempt to start a task. The answer follows when the simulated node has decided.
 func (n *Node) startTask(exchange *httpd.Exchange) {
-	now := n.loop.Now()
+	now := n.simNow()
 	pod, attempt, ok := parsePod(exchange)
 	if !ok {
 		n.respond(exchange, statusResponse(http.StatusBadRequest, "BadRequest",
@@ -138,7 +137,7 @@
 		return
 	}
 	uid := string(*options.Preconditions.UID)
-	had, ran := n.sim.Stop(n.loop.Now(), uid, attempt)
+	had, ran := n.sim.Stop(n.simNow(), uid, attempt)
 	if !had {
 		n.record(audit.Event{Kind: audit.Fenced, UID: uid, Attempt: attempt})
 	}
@@ -164,7 +163,7 @@
 		n.respond(exchange, rejection(effect.Reason))
 		return
 	}
-	if n.loop.Now() < n.faults.LoseAnswerUntil {
+	if n.simNow() < n.faults.LoseAnswerUntil {
 		exchange.Reset()
 		return
 	}
@@ -194,7 +193,7 @@
 func (n *Node) respond(exchange *httpd.Exchange, response http1.Response) {
 	response.Header = append(response.Header, http1.Field{Name: "Content-Type", Value: "application/json"},
 		http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport}, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation})
-	if n.loop.Now() < n.faults.TrickleUntil {
+	if n.simNow() < n.faults.TrickleUntil {
 		n.respondSlowly(exchange, response)
 		return
 	}
--- a/internal/lab/emulator/node_report.go
+++ b/internal/lab/emulator/node_report.go
@@ -7,6 +7,7 @@
 	"net/url"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	corev1 "k8s.io/api/core/v1"
@@ -19,7 +20,7 @@
 	"heathshed/internal/netio/httpc"
 )
 
-const reportTimeout = 2 // seconds
+const reportTimeout = 2 * time.Second
 
 // reportPeriodically updates what the node states of its load and reports it to the inventory, now and each ReportInterval.
 func (n *Node) reportPeriodically() {
@@ -30,13 +31,13 @@
 	if !n.reported {
 		// Spread the reports of nodes that start together over the interval.
 		n.reported = true
-		next *= float64(xxhash.Sum64String(n.options.Name)%1000) / 1000
+		next = next * time.Duration(xxhash.Sum64String(n.options.Name)%1000) / 1000
 	}
 	n.loop.After(next, n.reportPeriodically)
 	if n.sim == nil {
 		return
 	}
-	n.sim.Tick(n.loop.Now())
+	n.sim.Tick(n.simNow())
 	n.updateLoadReport()
 	n.processEffects()
 	if n.sim != nil {
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"net/netip"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
@@ -23,9 +24,9 @@
 	// DefaultMaxInput is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInput.
 	DefaultMaxInput = 4 << 20
 
-	// lingerSeconds is how long a connection waits for the peer's end after its own, so that a response sent before the end of
+	// lingerTimeout is how long a connection waits for the peer's end after its own, so that a response sent before the end of
 	// a request's body is not lost to a reset.
-	lingerSeconds = 0.5
+	lingerTimeout = 500 * time.Millisecond
 )
 
 // Handler gets what happens to one connection, on the loop's goroutine.
@@ -67,9 +68,9 @@
 	redeliverQueued bool // in Loop.redeliverQueue
 }
 
-// Dial connects to a literal address. If that fails later, or takes longer than the given number of seconds, the
-// handler's Closed gets the error.
-func (l *Loop) Dial(addr string, timeoutSeconds float64, h Handler) (*Conn, error) {
+// Dial connects to a literal address. If that fails later, or takes longer than the timeout, the handler's Closed
+// gets the error.
+func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) (*Conn, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
@@ -89,7 +90,7 @@
 	}
 	c.handler = h
 	c.peer = address
-	c.timer = l.After(timeoutSeconds, func() { c.closeWithError(ErrConnectTimeout) })
+	c.timer = l.After(timeout, func() { c.closeWithError(ErrConnectTimeout) })
 	return c, nil
 }
 
@@ -188,7 +189,7 @@
 	c.setState(stateLingering)
 	c.readPaused = false
 	c.updateInterest()
-	c.timer = c.loop.After(lingerSeconds, func() { c.closeWithError(ErrClosedLocally) })
+	c.timer = c.loop.After(lingerTimeout, func() { c.closeWithError(ErrClosedLocally) })
 }
 
 func (c *Conn) closeWithError(err error) {
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -3,7 +3,7 @@
 // Package eventloop is a single-threaded event loop for Linux: epoll readiness, non-blocking TCP sockets, timers and
 // posted functions, all run on the goroutine that calls Run.
 //
-// It moves bytes and knows nothing of protocols. Of the project it imports only the timer queue.
+// It moves bytes and knows nothing of protocols. Of the project it imports only the clock and the timer queue.
 package eventloop
 
 import (
@@ -14,6 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/timerqueue"
 )
 
@@ -25,7 +26,7 @@
 	readBufferSize     = 64 << 10 // bytes, of one read
 	maxSpareBufferSize = 64 << 10 // bytes, of an output buffer that is kept for reuse
 	maxSpareBuffers    = 256
-	maxWaitSeconds     = 60 // of one call of epoll_wait
+	maxWait            = time.Minute // of one call of epoll_wait
 )
 
 // Loop runs handlers, timers and posted functions one after another. Only Post and Stop may be called from other
@@ -40,10 +41,9 @@
 	accepted       int
 	maxConns       int
 
-	startTime    time.Time
-	startSeconds float64 // Unix time of startTime
-	now          float64 // Unix time of this iteration
-	timers       timerqueue.Queue[float64]
+	startTime time.Time // with the reading of the monotonic clock
+	now       clock.Instant
+	timers    timerqueue.Queue[clock.Instant]
 
 	flushQueue        []*Conn  // connections with output to send at the end of this iteration
 	redeliverQueue    []*Conn  // connections whose unconsumed input is delivered again
@@ -77,27 +77,28 @@
 		return nil, fmt.Errorf("epoll add: %w", err)
 	}
 	start := time.Now()
-	startSeconds := float64(start.UnixNano()) / 1e9
 	return &Loop{
-		epollFD:      epollFD,
-		eventFD:      eventFD,
-		reserveFD:    openReserveFD(),
-		listeners:    map[int]*Listener{},
-		maxConns:     DefaultMaxConns,
-		startTime:    start,
-		startSeconds: startSeconds,
-		now:          startSeconds,
-		readBuffer:   make([]byte, readBufferSize),
+		epollFD:    epollFD,
+		eventFD:    eventFD,
+		reserveFD:  openReserveFD(),
+		listeners:  map[int]*Listener{},
+		maxConns:   DefaultMaxConns,
+		startTime:  start,
+		now:        clock.FromTime(start),
+		readBuffer: make([]byte, readBufferSize),
 	}, nil
 }
 
 // SetMaxConns limits the accepted connections that are open at a time. Connections beyond it are closed at once.
 func (l *Loop) SetMaxConns(n int) { l.maxConns = n }
 
-// Now is the time of this iteration in Unix seconds. It never goes back, even if the system's clock is set.
-func (l *Loop) Now() float64 { return l.now }
+// Now is the time of this iteration. It never goes back, even if the system's clock is set.
+func (l *Loop) Now() clock.Instant { return l.now }
 
-func (l *Loop) readClock() float64 { return l.startSeconds + time.Since(l.startTime).Seconds() }
+// readClock returns the start plus what the monotonic clock has counted since.
+func (l *Loop) readClock() clock.Instant {
+	return clock.FromTime(l.startTime).Add(time.Since(l.startTime))
+}
 
 // Accepted is the number of accepted connections open now.
 func (l *Loop) Accepted() int { return l.accepted }
@@ -177,14 +178,14 @@
 	if l.timers.Len() == 0 {
 		return -1
 	}
-	seconds := l.timers.NextOr(l.now) - l.readClock()
+	wait := l.timers.NextOr(l.now).Sub(l.readClock())
 	switch {
-	case seconds <= 0:
+	case wait <= 0:
 		return 0
-	case seconds > maxWaitSeconds:
-		return maxWaitSeconds * 1000
+	case wait > maxWait:
+		return int(maxWait.Milliseconds())
 	}
-	return int(seconds*1000) + 1
+	return int(wait.Milliseconds()) + 1 // epoll_wait counts whole milliseconds: rather late than early
 }
 
 // runIteration handles ready descriptors, then what else is due, in a fixed order.
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -90,10 +90,10 @@
 	order := make(chan int, 10)
 	var ran atomic.Int32
 	loop.Post(func() {
-		loop.After(0.02, func() { order <- 2 })
-		loop.After(0.01, func() { order <- 1 })
-		loop.After(0.015, func() { ran.Add(1) }).Stop()
-		loop.After(0.03, func() { order <- 3 })
+		loop.After(20*time.Millisecond, func() { order <- 2 })
+		loop.After(10*time.Millisecond, func() { order <- 1 })
+		loop.After(15*time.Millisecond, func() { ran.Add(1) }).Stop()
+		loop.After(30*time.Millisecond, func() { order <- 3 })
 	})
 	for want := 1; want <= 3; want++ {
 		if n := <-order; n != want {
@@ -115,10 +115,10 @@
 		t.Fatal(err)
 	}
 	failed := make(chan error, 2)
-	if _, err := loop.Dial(unusedAddress(t), 1, &echoHandler{func(err error) { failed <- err }}); err != nil {
+	if _, err := loop.Dial(unusedAddress(t), time.Second, &echoHandler{func(err error) { failed <- err }}); err != nil {
 		failed <- err
 	}
-	if _, err := loop.Dial("host:1", 1, &echoHandler{}); err == nil {
+	if _, err := loop.Dial("host:1", time.Second, &echoHandler{}); err == nil {
 		t.Error("a name was dialed")
 	}
 	stop := runLoop(t, loop)
--- a/internal/netio/eventloop/timer.go
+++ b/internal/netio/eventloop/timer.go
@@ -2,19 +2,24 @@
 
 package eventloop
 
-import "heathshed/internal/control/timerqueue"
+import (
+	"time"
+
+	"heathshed/internal/control/clock"
+	"heathshed/internal/control/timerqueue"
+)
 
 // Timer is a function that runs later on the loop.
 type Timer struct {
-	timer *timerqueue.Timer[float64]
+	timer *timerqueue.Timer[clock.Instant]
 	loop  *Loop
 }
 
-// At has f run on the loop at the given time in Unix seconds, or soon after.
-func (l *Loop) At(at float64, f func()) *Timer { return &Timer{l.timers.Add(at, f), l} }
+// At has f run on the loop at the given time, or soon after.
+func (l *Loop) At(at clock.Instant, f func()) *Timer { return &Timer{l.timers.Add(at, f), l} }
 
-// After has f run once the given number of seconds has passed since the start of this iteration.
-func (l *Loop) After(seconds float64, f func()) *Timer { return l.At(l.now+seconds, f) }
+// After has f run once the given time has passed since the start of this iteration.
+func (l *Loop) After(d time.Duration, f func()) *Timer { return l.At(l.now.Add(d), f) }
 
 // Stop cancels the timer. It may be called on a nil timer or one that has run.
 func (t *Timer) Stop() {
@@ -23,5 +28,5 @@
 	}
 }
 
-// Due is when the timer runs, in Unix seconds.
-func (t *Timer) Due() float64 { return t.timer.At }
+// Due is when the timer runs.
+func (t *Timer) Due() clock.Instant { return t.timer.At }
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -7,6 +7,7 @@
 import (
 	"errors"
 	"slices"
+	"time"
 
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/netio/eventloop"
@@ -14,9 +15,9 @@
 )
 
 const (
-	defaultConnectTimeoutSeconds = 1
-	defaultMaxBody               = 64 << 20 // bytes of a response
-	requestHeadSize              = 256      // bytes for which there is space in a request at first, beside its body
+	defaultConnectTimeout = time.Second
+	defaultMaxBody        = 64 << 20 // bytes of a response
+	requestHeadSize       = 256      // bytes for which there is space in a request at first, beside its body
 )
 
 var (
@@ -36,16 +37,16 @@
 
 // Client calls one server. Its methods are for the loop's goroutine.
 type Client struct {
-	ConnectTimeoutSeconds float64
-	Pool                  connpool.Policy
-	Limits                http1.Limits // of a response
+	ConnectTimeout time.Duration
+	Pool           connpool.Policy
+	Limits         http1.Limits // of a response
 
 	loop      *eventloop.Loop
 	addr      string
 	idle      []*conn
-	idleAges  []float64 // seconds; scratch space of chooseConn
-	openConns int       // without those of streams
-	waiting   []*Call   // for a connection
+	idleAges  []time.Duration // scratch space of chooseConn
+	openConns int             // without those of streams
+	waiting   []*Call         // for a connection
 }
 
 // New returns a client for the server at a literal address.
@@ -53,24 +54,24 @@
 	limits := http1.DefaultLimits()
 	limits.Body = defaultMaxBody
 	return &Client{
-		loop:                  loop,
-		addr:                  addr,
-		ConnectTimeoutSeconds: defaultConnectTimeoutSeconds,
-		Pool:                  connpool.DefaultPolicy(),
-		Limits:                limits,
+		loop:           loop,
+		addr:           addr,
+		ConnectTimeout: defaultConnectTimeout,
+		Pool:           connpool.DefaultPolicy(),
+		Limits:         limits,
 	}
 }
 
 // Addr is the server's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends a request. If timeoutSeconds is not zero it bounds the whole call. The call is returned.
-func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeoutSeconds float64, call *Call) *Call {
+// Do sends a request. If timeout is not zero it bounds the whole call. The call is returned.
+func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeout time.Duration, call *Call) *Call {
 	call.client = c
 	call.request = c.appendRequest(make([]byte, 0, requestHeadSize+len(body)), method, target, header, body)
 	call.headRequest = method == "HEAD"
-	if timeoutSeconds > 0 {
-		call.timer = c.loop.After(timeoutSeconds, func() { call.abort(ErrTimeout) })
+	if timeout > 0 {
+		call.timer = c.loop.After(timeout, func() { call.abort(ErrTimeout) })
 	}
 	c.start(call)
 	return call
@@ -117,7 +118,7 @@
 func (c *Client) chooseConn(call *Call) (connpool.Action, *conn) {
 	c.idleAges = c.idleAges[:0]
 	for _, connection := range c.idle {
-		c.idleAges = append(c.idleAges, c.loop.Now()-connection.idleSince)
+		c.idleAges = append(c.idleAges, c.loop.Now().Sub(connection.idleSince))
 	}
 	decision := c.Pool.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
 	var chosen *conn
@@ -149,7 +150,7 @@
 		c.openConns++
 	}
 	call.conn = connection
-	transport, err := c.loop.Dial(c.addr, c.ConnectTimeoutSeconds, connection)
+	transport, err := c.loop.Dial(c.addr, c.ConnectTimeout, connection)
 	if err != nil {
 		if !connection.streaming {
 			c.openConns--
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 )
@@ -16,8 +17,8 @@
 	decoder   http1.Decoder
 	call      *Call // nil if it is idle
 	connected bool
-	streaming bool    // it is the connection of a stream and carries no other call
-	idleSince float64 // Unix seconds
+	streaming bool // it is the connection of a stream and carries no other call
+	idleSince clock.Instant
 }
 
 // send sends a call's request on an established connection.
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -81,7 +81,7 @@
 }
 
 // do makes a call on the loop and returns what its Done gets.
-func do(t *testing.T, loop *eventloop.Loop, addr, method string, timeoutSeconds float64, prepare func(*Call)) result {
+func do(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) result {
 	t.Helper()
 	results := make(chan result, 2)
 	call := &Call{Done: func(head *http1.Head, body []byte, err error) {
@@ -92,7 +92,7 @@
 		results <- r
 	}}
 	loop.Post(func() {
-		New(loop, addr).Do(method, "/", nil, nil, timeoutSeconds, call)
+		New(loop, addr).Do(method, "/", nil, nil, timeout, call)
 		if prepare != nil {
 			prepare(call)
 		}
@@ -125,7 +125,7 @@
 		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: "malformed status"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := do(t, loop, startRaw(t, c.response, c.staysOpen), c.method, 5, nil)
+			got := do(t, loop, startRaw(t, c.response, c.staysOpen), c.method, 5*time.Second, nil)
 			if c.wantErr != "" {
 				var connectError *ConnectError
 				if got.err == nil || !strings.Contains(got.err.Error(), c.wantErr) || errors.As(got.err, &connectError) {
@@ -173,24 +173,24 @@
 		t.Fatal(err)
 	}
 	silent := startRaw(t, "", true)
-	cancelAfter := func(seconds float64) func(*Call) {
-		return func(call *Call) { loop.After(seconds, call.Cancel) }
+	cancelAfter := func(d time.Duration) func(*Call) {
+		return func(call *Call) { loop.After(d, call.Cancel) }
 	}
 	for _, c := range []struct {
-		name, addr     string
-		timeoutSeconds float64
-		prepare        func(*Call)
-		want           error // nil: any
-		neverSent      bool
+		name, addr string
+		timeout    time.Duration
+		prepare    func(*Call)
+		want       error // nil: any
+		neverSent  bool
 	}{
-		{name: "nothing listens", addr: unused, timeoutSeconds: 5, neverSent: true},
-		{name: "no address", addr: "host:1", timeoutSeconds: 5, neverSent: true},
+		{name: "nothing listens", addr: unused, timeout: 5 * time.Second, neverSent: true},
+		{name: "no address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
 		{name: "cancelled at once", addr: silent, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
-		{name: "cancelled after it was sent", addr: silent, prepare: cancelAfter(0.2), want: ErrCancelled},
-		{name: "timeout", addr: silent, timeoutSeconds: 0.2, want: ErrTimeout},
+		{name: "cancelled after it was sent", addr: silent, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
+		{name: "timeout", addr: silent, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := do(t, loop, c.addr, "GET", c.timeoutSeconds, c.prepare)
+			got := do(t, loop, c.addr, "GET", c.timeout, c.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != c.neverSent {
 				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, c.neverSent)
@@ -212,7 +212,7 @@
 		client := New(loop, addr)
 		client.Pool.MaxConns = 1
 		for i := range calls {
-			client.Do("GET", fmt.Sprint("/", i), nil, nil, 0.3, &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }})
+			client.Do("GET", fmt.Sprint("/", i), nil, nil, 300*time.Millisecond, &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }})
 		}
 		client.Close()
 	})
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -4,15 +4,17 @@
 
 import (
 	"errors"
+	"time"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 )
 
 const (
-	minTimerSeconds = 0.05     // between two looks at a connection's time limits
-	inputSlack      = 64 << 10 // bytes that may wait unread beyond a head
-	maxKeptBody     = 4 << 10  // bytes of a body's buffer that is kept for the next request
+	minTimer    = 50 * time.Millisecond // between two looks at a connection's time limits
+	inputSlack  = 64 << 10              // bytes that may wait unread beyond a head
+	maxKeptBody = 4 << 10               // bytes of a body's buffer that is kept for the next request
 )
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
@@ -27,8 +29,8 @@
 	exchange  Exchange // the present request and its response; reused for the next
 	timer     *eventloop.Timer
 
-	requestStartedAt   float64 // Unix seconds of the first byte of the request that is being read
-	lastProgressAt     float64 // Unix seconds at which the peer last took or sent something
+	requestStartedAt   clock.Instant // at which the first byte of the request that is being read came
+	lastProgressAt     clock.Instant // at which the peer last took or sent something
 	closeAfterResponse bool
 }
 
@@ -42,7 +44,7 @@
 	s.lastConnID++
 	c.id = s.lastConnID
 	s.connsByID[c.id] = c
-	s.memory.Add(c.lastProgressAt, c.id)
+	s.memory.Add(c.lastProgressAt.UnixSeconds(), c.id)
 	c.armTimer()
 }
 
@@ -106,7 +108,7 @@
 			return len(input)
 		}
 		if kind == http1.NeedMore {
-			c.shortenTimer(c.server.options.RequestTimeoutSeconds)
+			c.shortenTimer(c.server.options.RequestTimeout)
 			return consumed
 		}
 		c.handleDecoded(kind)
@@ -190,14 +192,14 @@
 	}
 	s := c.server
 	held := c.transport.BufferMemory() + cap(c.exchange.body)
-	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
+	s.memory.SetUsed(s.loop.Now().UnixSeconds(), c.id, int64(held))
 	s.evictOverQuota()
 }
 
 // armTimer sets the connection's one timer for the time limit that now holds. It is set anew when it fires.
 func (c *conn) armTimer() {
 	loop := c.server.loop
-	c.timer = loop.At(max(c.deadline(), loop.Now()+minTimerSeconds), func() {
+	c.timer = loop.At(max(c.deadline(), loop.Now().Add(minTimer)), func() {
 		c.checkDeadline()
 		if !c.transport.Closed() {
 			c.armTimer()
@@ -205,27 +207,27 @@
 	})
 }
 
-// shortenTimer sets the timer anew if it would fire later than in so many seconds.
-func (c *conn) shortenTimer(seconds float64) {
-	if c.timer.Due() > c.server.loop.Now()+seconds {
+// shortenTimer sets the timer anew if it would fire later than after the limit.
+func (c *conn) shortenTimer(limit time.Duration) {
+	if c.timer.Due() > c.server.loop.Now().Add(limit) {
 		c.timer.Stop()
 		c.armTimer()
 	}
 }
 
-// deadline is when the time limit that now holds is over, in Unix seconds.
-func (c *conn) deadline() float64 {
+// deadline is when the time limit that now holds is over.
+func (c *conn) deadline() clock.Instant {
 	options := &c.server.options
 	switch {
 	case c.state.inRequest():
-		return c.requestStartedAt + options.RequestTimeoutSeconds
+		return c.requestStartedAt.Add(options.RequestTimeout)
 	case c.transport.Buffered() > 0:
-		return c.lastProgressAt + options.WriteTimeoutSeconds
+		return c.lastProgressAt.Add(options.WriteTimeout)
 	case c.state.awaitsResponse():
 		// No limit holds; look again by the time that output may have come to wait.
-		return c.server.loop.Now() + options.WriteTimeoutSeconds
+		return c.server.loop.Now().Add(options.WriteTimeout)
 	}
-	return c.lastProgressAt + options.IdleTimeoutSeconds
+	return c.lastProgressAt.Add(options.IdleTimeout)
 }
 
 // checkDeadline ends a connection whose time limit is over.
@@ -234,11 +236,11 @@
 	options := &c.server.options
 	buffered := c.transport.Buffered()
 	switch {
-	case c.state.inRequest() && now >= c.requestStartedAt+options.RequestTimeoutSeconds:
+	case c.state.inRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
 		c.rejectRequest(&http1.Error{Status: http1.StatusRequestTimeout, Reason: "request took too long"})
-	case buffered > 0 && now >= c.lastProgressAt+options.WriteTimeoutSeconds:
+	case buffered > 0 && now >= c.lastProgressAt.Add(options.WriteTimeout):
 		c.transport.Close()
-	case c.isIdle() && now >= c.lastProgressAt+options.IdleTimeoutSeconds:
+	case c.isIdle() && now >= c.lastProgressAt.Add(options.IdleTimeout):
 		c.transport.CloseAfterFlush()
 	}
 }
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -76,7 +76,7 @@
 		out = append(out, response.Body...)
 	}
 	c.transport.CommitOutput(out)
-	c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+	c.shortenTimer(c.server.options.WriteTimeout)
 	c.updateMemory()
 	if !c.transport.Closed() {
 		c.nextRequest()
@@ -101,6 +101,6 @@
 	}
 	e.stream = response.Stream
 	c.server.streams[c] = struct{}{}
-	c.shortenTimer(c.server.options.WriteTimeoutSeconds)
+	c.shortenTimer(c.server.options.WriteTimeout)
 	c.pullStream()
 }
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -32,7 +32,7 @@
 		target := e.Head.Target
 		switch target {
 		case "/later":
-			loop.After(0.01, func() { e.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
+			loop.After(10*time.Millisecond, func() { e.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
 		case "/never":
 			e.OnDisconnect = func() { disconnects <- target }
 		case "/stream":
@@ -154,7 +154,7 @@
 // A peer that begins a request and does not end it gets a 408.
 func TestRequestTimeout(t *testing.T) {
 	o := DefaultOptions()
-	o.RequestTimeoutSeconds = 0.1
+	o.RequestTimeout = 100 * time.Millisecond
 	_, server, _ := startServer(t, o)
 	conn := openConn(t, server, "GET / HT")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -5,14 +5,16 @@
 package httpd
 
 import (
+	"time"
+
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 )
 
 const (
-	pullRetrySeconds = 0.01 // until streams without memory to write to are pulled again
-	drainPollSeconds = 0.02 // between looks at whether all connections have ended
+	pullRetryDelay    = 10 * time.Millisecond // until streams without memory to write to are pulled again
+	drainPollInterval = 20 * time.Millisecond // between looks at whether all connections have ended
 )
 
 // Handler responds to a request, at once or later, by Exchange.Respond. The request's Body is valid until then.
@@ -20,23 +22,23 @@
 
 // Options bound what a peer may do.
 type Options struct {
-	Limits                http1.Limits
-	RequestTimeoutSeconds float64 // from the first byte of a request to its last
-	IdleTimeoutSeconds    float64 // between requests
-	WriteTimeoutSeconds   float64 // that a peer may take nothing of what waits for it
-	HighWaterMark         int     // bytes that may wait to be sent before a stream is no longer pulled, or the next request read
-	MemoryBytes           int64   // that all connections together may hold: see package memquota
+	Limits         http1.Limits
+	RequestTimeout time.Duration // from the first byte of a request to its last
+	IdleTimeout    time.Duration // between requests
+	WriteTimeout   time.Duration // that a peer may take nothing of what waits for it
+	HighWaterMark  int           // bytes that may wait to be sent before a stream is no longer pulled, or the next request read
+	MemoryBytes    int64         // that all connections together may hold: see package memquota
 }
 
 // DefaultOptions are those of the API server.
 func DefaultOptions() Options {
 	return Options{
-		Limits:                http1.DefaultLimits(),
-		RequestTimeoutSeconds: 15,
-		IdleTimeoutSeconds:    300,
-		WriteTimeoutSeconds:   30,
-		HighWaterMark:         256 << 10,
-		MemoryBytes:           128 << 20,
+		Limits:         http1.DefaultLimits(),
+		RequestTimeout: 15 * time.Second,
+		IdleTimeout:    5 * time.Minute,
+		WriteTimeout:   30 * time.Second,
+		HighWaterMark:  256 << 10,
+		MemoryBytes:    128 << 20,
 	}
 }
 
@@ -113,7 +115,7 @@
 		return
 	}
 	s.pullScheduled = true
-	s.loop.After(pullRetrySeconds, func() {
+	s.loop.After(pullRetryDelay, func() {
 		s.pullScheduled = false
 		s.PullStreams()
 	})
@@ -136,7 +138,7 @@
 		done()
 		return
 	}
-	s.loop.After(drainPollSeconds, func() { s.awaitDrained(done) })
+	s.loop.After(drainPollInterval, func() { s.awaitDrained(done) })
 }
 
 // Close stops accepting and closes every connection at once.
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -4,20 +4,22 @@
 
 import (
 	"errors"
+	"time"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/dispatch"
 	"heathshed/internal/platform/protocol"
 )
 
-// Timeouts of client connections, in seconds.
+// Timeouts of client connections.
 const (
 	// idleClientTimeout is after how long a connection is closed that has no open request and never had a task placed. The platform
 	// allows 3 s.
-	idleClientTimeout = 2.0
+	idleClientTimeout = 2 * time.Second
 	// incompleteMessageTimeout is how long such a connection is left open from the moment at which a message began to arrive on it.
-	incompleteMessageTimeout = 0.7
+	incompleteMessageTimeout = 700 * time.Millisecond
 )
 
 // maxUnsentToClient is how many bytes may wait for a client to read them before its connection is closed.
@@ -62,9 +64,9 @@
 	conn            *eventloop.Conn
 	id              dispatch.ConnID
 	state           clientConnState
-	openedAt        float64
-	lastMessageAt   float64 // when the last valid message arrived; openedAt if none did
-	incompleteSince float64 // since when the last message has been incomplete; 0 if it is not
+	openedAt        clock.Instant
+	lastMessageAt   clock.Instant // when the last valid message arrived; openedAt if none did
+	incompleteSince clock.Instant // since when the last message has been incomplete; zero if it is not
 	message         protocol.Message
 }
 
@@ -76,7 +78,7 @@
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: now, lastMessageAt: now}
 	s.clients[client.id] = client
-	s.core.ClientConnected(s.coreTime(), client.id)
+	s.core.ClientConnected(s.coreNow(), client.id)
 	if len(s.clients) >= s.maxClients-clientSlotReserve {
 		s.evictClient()
 	}
@@ -119,7 +121,7 @@
 	}
 	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
 	adoptedBefore := s.core.Counts.Adopted
-	if err := s.core.ReceiveFromClient(s.coreTime(), c.id, &c.message); err != nil {
+	if err := s.core.ReceiveFromClient(s.coreNow(), c.id, &c.message); err != nil {
 		s.stats.InvalidFromClients.add(err)
 		s.warn("client message rejected", c.conn.Peer(), err)
 	} else {
@@ -156,7 +158,7 @@
 	s.log.Trace().Uint64("conn", uint64(c.id)).Err(err).Msg("client connection ended")
 	c.setState(clientClosed)
 	delete(s.clients, c.id)
-	s.core.ClientDisconnected(s.coreTime(), c.id)
+	s.core.ClientDisconnected(s.coreNow(), c.id)
 	s.processReady()
 }
 
@@ -167,7 +169,7 @@
 		return
 	}
 	c.setState(clientClosing)
-	c.server.core.ClientDisconnected(c.server.coreTime(), c.id)
+	c.server.core.ClientDisconnected(c.server.coreNow(), c.id)
 	c.server.processReady()
 	c.conn.CloseAfterFlush()
 }
@@ -187,16 +189,16 @@
 // isIdle reports whether the connection may be closed: it has no open request, never had a task placed and was silent for long enough. The
 // last connection to a client while tasks run is kept. A client need not open a new connection before its next request, but must be
 // notified of the end of its task within a second.
-func (c *clientConn) isIdle(now float64) bool {
+func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	open, placed := core.ClientRequests(c.id)
 	return c.state != clientClosing && open == 0 && !placed && c.timedOut(now) && !core.IsLastClient(c.id)
 }
 
 // timedOut reports whether no message arrived for idleClientTimeout, nor the beginning of one for incompleteMessageTimeout.
-func (c *clientConn) timedOut(now float64) bool {
-	receiving := c.incompleteSince > 0 && now-c.incompleteSince < incompleteMessageTimeout
-	return now-c.lastMessageAt > idleClientTimeout && !receiving
+func (c *clientConn) timedOut(now clock.Instant) bool {
+	receiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
+	return now.Sub(c.lastMessageAt) > idleClientTimeout && !receiving
 }
 
 // closeIdleClients closes the idle connections. Each is read once more first: a request that the system has received already would be lost
@@ -249,7 +251,7 @@
 		s.evictionCandidates = append(s.evictionCandidates, memquota.Candidate{
 			Busy:        open > 0 || client.openedAt == now,
 			Established: placed,
-			IdleSeconds: now - max(client.lastMessageAt, client.incompleteSince),
+			IdleSeconds: now.Sub(max(client.lastMessageAt, client.incompleteSince)).Seconds(),
 		})
 		s.evictionConns = append(s.evictionConns, client)
 	}
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -6,6 +6,7 @@
 	"errors"
 	"net/http"
 	"strconv"
+	"time"
 
 	"heathshed/internal/control/retry"
 	"heathshed/internal/netio/eventloop"
@@ -17,12 +18,16 @@
 // discoveryPath is the resource of the discovery server that streams the events of the node registry.
 const discoveryPath = "/bulletins"
 
-// Times of the discovery watch, in seconds.
+// Times of the discovery watch.
 const (
-	watchConnectTimeout = 0.5
-	watchIdleTimeout    = 2.2 // without a byte; the server sends a comment every second
-	minWatchBackoff     = 0.05
-	maxWatchBackoff     = 1
+	watchConnectTimeout = 500 * time.Millisecond
+	watchIdleTimeout    = 2200 * time.Millisecond // without a byte; the server sends a comment every second
+)
+
+// Bounds of the backoff between two streams, in seconds.
+const (
+	minWatchBackoff = 0.05
+	maxWatchBackoff = 1
 )
 
 // maxEventBytes bounds one discovery event.
@@ -58,7 +63,7 @@
 
 func (w *discoveryWatch) newClient() *httpc.Client {
 	client := httpc.New(w.server.loop, w.addr)
-	client.ConnectTimeoutSeconds = watchConnectTimeout
+	client.ConnectTimeout = watchConnectTimeout
 	return client
 }
 
@@ -105,10 +110,10 @@
 		s.loop.After(0, call.Cancel) // not at once: this may run inside one of the call's own handlers
 	}
 	s.warn("discovery watch failed", w.addr, err)
-	s.core.SetDiscoveryConnected(s.coreTime(), false)
+	s.core.SetDiscoveryConnected(s.coreNow(), false)
 	s.processReady()
 	w.retryTimer.Stop()
-	w.retryTimer = s.loop.After(float64(w.backoff.Next(s.rng.Float64())), w.open)
+	w.retryTimer = s.loop.After(s.nextDelay(&w.backoff), w.open)
 }
 
 // discoveryStream is one response of the discovery server. It ignores what arrives once the watch has dropped it.
@@ -127,7 +132,7 @@
 	}
 	s := stream.watch.server
 	stream.watch.resetIdleTimer()
-	s.core.SetDiscoveryConnected(s.coreTime(), true)
+	s.core.SetDiscoveryConnected(s.coreNow(), true)
 	s.processReady()
 }
 
@@ -156,7 +161,7 @@
 	s := stream.watch.server
 	s.stats.WatchEvents++
 	s.log.Trace().Str("id", event.ID).Str("data", event.Data).Msg("discovery event")
-	inSequence, err := s.core.ReceiveDiscoveryEvent(s.coreTime(), []byte(event.Data))
+	inSequence, err := s.core.ReceiveDiscoveryEvent(s.coreNow(), []byte(event.Data))
 	if err == nil && !inSequence {
 		err = errEventGap
 	}
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -205,7 +205,7 @@
 			close(done)
 			return
 		}
-		server.loop.After(0.001, poll)
+		server.loop.After(time.Millisecond, poll)
 	}
 	server.loop.Post(poll)
 	waitFor(server.t, what, done)
@@ -221,7 +221,7 @@
 func (server *testServer) incompleteClients() int {
 	n := 0
 	for _, client := range server.clients {
-		if client.incompleteSince > 0 {
+		if !client.incompleteSince.IsZero() {
 			n++
 		}
 	}
@@ -231,15 +231,15 @@
 // ageClients has all connections appear idle for 10 s more. It is called on the loop.
 func (server *testServer) ageClients() {
 	for _, client := range server.clients {
-		client.openedAt -= 10
-		client.lastMessageAt -= 10
+		client.openedAt = client.openedAt.Add(-10 * time.Second)
+		client.lastMessageAt = client.lastMessageAt.Add(-10 * time.Second)
 	}
 }
 
 // finishStopNow goes to the end of a stop whose signal came a second ago. It is called on the loop.
 func (server *testServer) finishStopNow() {
 	server.stopping = true
-	server.stopRequestedAt = server.loop.Now() - 1
+	server.stopRequestedAt = server.loop.Now().Add(-time.Second)
 	server.finishStop()
 }
 
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/protocol"
 )
@@ -69,13 +70,13 @@
 	}
 }
 
-// nextIncompleteSince returns since when the last message on a connection has been incomplete, 0 if it is not, after consumed of the given
+// nextIncompleteSince returns since when the last message on a connection has been incomplete, zero if it is not, after consumed of the given
 // number of unread bytes were consumed. previous is the value before.
-func nextIncompleteSince(previous, now float64, consumed, unread int) float64 {
+func nextIncompleteSince(previous, now clock.Instant, consumed, unread int) clock.Instant {
 	switch {
 	case consumed == unread:
 		return 0
-	case consumed > 0 || previous == 0:
+	case consumed > 0 || previous.IsZero():
 		return now
 	}
 	return previous
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -3,8 +3,11 @@
 package server
 
 import (
+	"time"
+
 	"github.com/rs/zerolog"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/platform/protocol"
 )
 
@@ -13,13 +16,13 @@
 
 // warningLimit counts the warnings of the present second.
 type warningLimit struct {
-	windowStart float64
+	windowStart clock.Instant
 	count       int
 }
 
 // allow reports whether one more warning may be logged.
-func (limit *warningLimit) allow(now float64) bool {
-	if now > limit.windowStart+1 {
+func (limit *warningLimit) allow(now clock.Instant) bool {
+	if now > limit.windowStart.Add(time.Second) {
 		*limit = warningLimit{windowStart: now}
 	}
 	limit.count++
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -5,6 +5,7 @@
 import (
 	"errors"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/dispatch"
@@ -47,7 +48,7 @@
 	id            dispatch.NodeConnID
 	conn          *eventloop.Conn
 	state         nodeConnState
-	establishedAt float64
+	establishedAt clock.Instant
 	attempts      map[*dispatch.Attempt]struct{} // sent here and unanswered
 	keepAlive     connpool.ConnState
 	message       protocol.Message
@@ -65,7 +66,7 @@
 // sendAttempt sends an attempt unless the core has ended it meanwhile.
 func (nc *nodeConn) sendAttempt(attempt *dispatch.Attempt) {
 	s := nc.link.server
-	if !s.core.PrepareSend(s.coreTime(), attempt) {
+	if !s.core.PrepareSend(s.coreNow(), attempt) {
 		return
 	}
 	attempt.Conn = nc.id
@@ -82,7 +83,7 @@
 
 // sendHealthCheck sends a health check unless one is unanswered.
 func (nc *nodeConn) sendHealthCheck() {
-	if nc.keepAlive.HealthCheckSent == 0 {
+	if nc.keepAlive.HealthCheckSent.IsZero() {
 		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
 		nc.conn.CommitOutput(healthCheck.Append(nc.conn.OutputBuffer()))
 	}
@@ -132,7 +133,7 @@
 		nc.keepAlive.HealthCheckSent = 0
 		return lineCounts, nil
 	}
-	s.core.ReceiveFromNode(s.coreTime(), nc.link.id, &nc.message)
+	s.core.ReceiveFromNode(s.coreNow(), nc.link.id, &nc.message)
 	return lineCounts, nil
 }
 
@@ -181,7 +182,7 @@
 	}
 	nc.attempts = nil
 	for _, attempt := range unanswered {
-		s.core.ConnectionLost(s.coreTime(), attempt)
+		s.core.ConnectionLost(s.coreNow(), attempt)
 	}
 	s.processReady()
 }
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -6,9 +6,11 @@
 	"cmp"
 	"errors"
 	"slices"
+	"time"
 
 	"golang.org/x/sys/unix"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/control/retry"
@@ -18,19 +20,16 @@
 	"heathshed/placer"
 )
 
-// Times in seconds after which a node that runs tasks is declared unreachable. Clients must be notified within 8 s of the end of a task. A
+// Times after which a node that runs tasks is declared unreachable. Clients must be notified within 8 s of the end of a task. A
 // node that refuses connections may be a process that is being restarted.
 const (
-	unresponsiveTimeout = 6.0
-	refusedTimeout      = 1.0
+	unresponsiveTimeout = 6 * time.Second
+	refusedTimeout      = time.Second
 )
 
-// slotHoldTime is how long, in seconds, a connection to a node that runs tasks keeps its slot where there are more such nodes than slots.
+// slotHoldTime is how long a connection to a node that runs tasks keeps its slot where there are more such nodes than slots.
 // They take turns then, so that each can report within 8 s how its tasks end.
-const slotHoldTime = 2.0
-
-// defaultConnectTimeout is how long a dial may take, in seconds, where the settings do not say.
-const defaultConnectTimeout = 0.25
+const slotHoldTime = 2 * time.Second
 
 // Bounds of the backoff between dials of one node, in seconds.
 const (
@@ -55,8 +54,8 @@
 	queued          []*dispatch.Attempt // wait for dialing
 	pendingMessages []byte              // encoded, for a node without a connection
 	backoff         retry.Backoff
-	retryAt         float64 // when the node may be dialed again
-	disconnectedAt  float64 // when its last connection ended; 0 if none did
+	retryAt         clock.Instant // when the node may be dialed again
+	disconnectedAt  clock.Instant // when its last connection ended; zero if none did
 	reachability    connpool.Reachability
 	hasTasks        bool // at the last housekeeping
 	needsConn       bool // at the last housekeeping: without a connection, while tasks run or messages are pending
@@ -182,12 +181,8 @@
 	}
 	s.lastNodeConnID++
 	nc := &nodeConn{link: link, id: s.lastNodeConnID, attempts: map[*dispatch.Attempt]struct{}{}}
-	timeout := float64(s.config.Settings.Placer.Attempts.ConnectTimeout)
-	if timeout <= 0 {
-		timeout = defaultConnectTimeout
-	}
 	s.stats.NodeDials++
-	conn, err := s.loop.Dial(link.addr, timeout, nc)
+	conn, err := s.loop.Dial(link.addr, s.config.connectTimeout(), nc)
 	if err != nil {
 		s.loop.After(0, func() { link.dialFailed(err) })
 		return
@@ -223,14 +218,14 @@
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
-	link.retryAt = s.loop.Now() + float64(link.backoff.Next(s.rng.Float64()))
+	link.retryAt = s.loop.Now().Add(s.nextDelay(&link.backoff))
 	if !errors.Is(err, errNoConnectionSlot) { // which says nothing about the node
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
 	queued := link.queued
 	link.queued = nil
 	for _, attempt := range queued {
-		s.core.ConnectFailed(s.coreTime(), attempt)
+		s.core.ConnectFailed(s.coreNow(), attempt)
 	}
 	s.processReady()
 }
@@ -255,7 +250,7 @@
 	node := s.core.Node(link.id)
 	hasTasks := node != nil && node.RunningTasks() > 0
 	// A full list may omit a node that the next one has again: for TerminationGrace its connections stay.
-	if !hasTasks && (node == nil || node.TerminatedFor(s.coreTime()) > dispatch.TerminationGrace) {
+	if !hasTasks && (node == nil || node.TerminatedFor(s.coreNow()) > dispatch.TerminationGrace) {
 		link.closeConns()
 		delete(s.links, link.id)
 		return
@@ -269,7 +264,7 @@
 }
 
 // maintainConns carries out the keep-alive policy on each connection.
-func (link *nodeLink) maintainConns(now float64) {
+func (link *nodeLink) maintainConns(now clock.Instant) {
 	s := link.server
 	for _, nc := range slices.Clone(link.conns) {
 		nc.keepAlive.PendingRequests = len(nc.attempts)
@@ -294,7 +289,7 @@
 
 // checkReachability reports a node that cannot be reached to the core, and returns whether it is to be dialed. A terminated node is not:
 // another one may have come up at its address, whose messages would be taken for those of the terminated one.
-func (link *nodeLink) checkReachability(now float64, node *dispatch.Node) bool {
+func (link *nodeLink) checkReachability(now clock.Instant, node *dispatch.Node) bool {
 	s := link.server
 	if !link.hasTasks {
 		return node.State != placer.Terminated
@@ -303,11 +298,11 @@
 	case connpool.ProcessEnded:
 		s.stats.NodesUnreachable++
 		s.log.Warn().Str("node", node.UID).Int("tasks", node.RunningTasks()).Msg("node declared dead: it refuses connections")
-		s.core.NodeDead(s.coreTime(), link.id)
+		s.core.NodeDead(s.coreNow(), link.id)
 		link.pendingMessages = nil
 		return false
 	case connpool.Unresponsive:
-		if tasks := s.core.NodeUnresponsive(s.coreTime(), link.id); tasks > 0 {
+		if tasks := s.core.NodeUnresponsive(s.coreNow(), link.id); tasks > 0 {
 			s.stats.NodesUnreachable++
 			s.log.Warn().Str("node", node.UID).Int("tasks", tasks).Msg("node unresponsive: its tasks are given up")
 		}
@@ -337,7 +332,7 @@
 }
 
 // isDialDue reports whether the node needs a connection, none is being dialed and its backoff has passed.
-func (link *nodeLink) isDialDue(now float64) bool {
+func (link *nodeLink) isDialDue(now clock.Instant) bool {
 	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
 }
 
@@ -353,11 +348,11 @@
 	var conns []*nodeConn
 	for _, link := range s.links {
 		for _, nc := range link.conns {
-			holdsSlot := link.hasTasks && now-nc.establishedAt < s.slotHoldTime
+			holdsSlot := link.hasTasks && now.Sub(nc.establishedAt) < s.slotHoldTime
 			candidates = append(candidates, memquota.Candidate{
 				Busy:        len(nc.attempts) > 0 || holdsSlot,
 				Established: link.hasTasks,
-				IdleSeconds: now - nc.keepAlive.LastSent,
+				IdleSeconds: now.Sub(nc.keepAlive.LastSent).Seconds(),
 			})
 			conns = append(conns, nc)
 		}
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -54,7 +54,7 @@
 			t.Parallel()
 			node := startNode(t, acceptTask) // which leaves health checks unanswered
 			server := startServer(t, 256, node.addr)
-			server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 2 })
+			server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 2 * time.Second })
 			client := server.connect()
 			client.launch(1, "seats")
 			client.expect(`"running"`)
@@ -80,7 +80,7 @@
 	t.Parallel()
 	node := startNode(t, acceptTask) // which leaves health checks unanswered
 	server := startServer(t, 256, node.addr)
-	server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 0.5 })
+	server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 500 * time.Millisecond })
 	client := server.connect()
 	client.launch(1, "seats")
 	client.expect(`"running"`)
@@ -182,7 +182,7 @@
 	}
 	server := startServer(t, 64, addrs...)
 	client := server.connect()
-	server.runOnLoop(func() { server.slotHoldTime = 0.1 })
+	server.runOnLoop(func() { server.slotHoldTime = 100 * time.Millisecond })
 	for i := range nodeCount {
 		client.send(adoptMessage(i+1, i+1))
 	}
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -4,16 +4,18 @@
 // stream, all on one event loop.
 //
 // The package moves bytes and keeps connections. It parses what arrives, hands it to a dispatch.Core and carries out the effects that the
-// core returns; it makes no placement decisions. Everything but New runs on the loop's goroutine, so nothing is locked. Points in time are
-// the loop's clock in Unix seconds, durations are seconds.
+// core returns; it makes no placement decisions. Everything but New runs on the loop's goroutine, so nothing is locked. The
+// core's clock and its conversion stand in core_clock.go.
 package server
 
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
 
 	"github.com/rs/zerolog"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/control/eventqueue"
 	"heathshed/internal/control/memquota"
@@ -22,11 +24,8 @@
 	"heathshed/placer"
 )
 
-// housekeepingInterval is the time between two passes over all connections, in seconds.
-const housekeepingInterval = 0.1
-
-// farFuture is how far ahead, in seconds, a timer of the core still gets a timer of the loop. The core answers infinity for "never".
-const farFuture = 1e6
+// housekeepingInterval is the time between two passes over all connections.
+const housekeepingInterval = 100 * time.Millisecond
 
 // Limits on file descriptors.
 const (
@@ -35,10 +34,6 @@
 	reservedSockets = 16 // for files, the loop itself and the discovery watch
 )
 
-// idleShare is the part of the idle timeout that the platform gives, after which an idle node connection is closed from this side. A node
-// that closed it first could do so while an attempt is on its way.
-const idleShare = 0.6
-
 // seedStream separates the server's random numbers from others that are drawn from the configuration's seed.
 const seedStream = 0x6a09e667f3bcc908
 
@@ -52,8 +47,9 @@
 	warnings warningLimit
 	stats    Stats
 
-	coreTimer *eventloop.Timer // runs the core when its next timer is due; nil if none is set
-	discovery *discoveryWatch
+	coreTimer    *eventloop.Timer // runs the core when its next timer is due; nil if none is set
+	coreTimerDue placer.Seconds   // on the clock of the core
+	discovery    *discoveryWatch
 
 	listener           *eventloop.Listener
 	clients            map[dispatch.ConnID]*clientConn
@@ -67,21 +63,21 @@
 	openNodeConns   int // connections to nodes, those being dialed included
 	maxNodeConns    int
 	lastNodeConnID  dispatch.NodeConnID
-	slotHoldTime    float64               // seconds, see the constant
+	slotHoldTime    time.Duration         // see the constant
 	keepAlive       connpool.SharedPolicy // of connections to nodes
 	reachability    connpool.Reachability // the initial state of each link
 	disconnected    []*nodeLink           // reused by reconnectNodes
 	pendingAttempts []*dispatch.Attempt   // to be sent at the end of this iteration of the loop
 
 	stopping        bool
-	stopRequestedAt float64 // Unix seconds
+	stopRequestedAt clock.Instant
 	onStopped       func()
 }
 
 // New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
 // configuration cannot be used or that its address cannot be listened on.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
-	core, err := dispatch.New(placer.Seconds(loop.Now()), config.Settings, policy, config.InitialEvents)
+	core, err := dispatch.New(placer.Seconds(loop.Now().UnixSeconds()), config.Settings, policy, config.InitialEvents)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -105,7 +101,7 @@
 		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, RefusedAfter: refusedTimeout},
 		onStopped:    onStopped,
 	}
-	s.keepAlive.MaxIdle = float64(config.Settings.IdleTimeout) * idleShare
+	s.keepAlive.MaxIdle = config.maxIdle()
 	loop.SetMaxConns(s.maxClients)
 	if s.listener, err = loop.Listen(config.Listen, s.acceptClient); err != nil {
 		return nil, err
@@ -135,32 +131,14 @@
 }
 
 // processReady carries out the effects that the core has ready, then sets the loop's timer to the core's next one. It follows each call
-// that tells the core of an event.
+// that notifies the core of an event.
 func (s *Server) processReady() {
 	for effects := s.core.Ready(); len(effects) > 0; effects = s.core.Ready() {
 		for i := range effects {
 			s.applyEffect(&effects[i])
 		}
 	}
-	due := float64(s.core.NextTimer())
-	if s.coreTimer != nil && s.coreTimer.Due() == due {
-		return
-	}
-	s.coreTimer.Stop()
-	s.coreTimer = nil
-	if due < s.loop.Now()+farFuture {
-		s.coreTimer = s.loop.At(due, s.advanceCore)
-	}
-}
-
-// coreTime returns the time as the core counts it.
-func (s *Server) coreTime() placer.Seconds { return placer.Seconds(s.loop.Now()) }
-
-// advanceCore runs the timers of the core that are due.
-func (s *Server) advanceCore() {
-	s.coreTimer = nil
-	s.core.Advance(s.coreTime())
-	s.processReady()
+	s.scheduleCore()
 }
 
 // applyEffect carries out one effect of the core.
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -2,20 +2,26 @@
 
 package server
 
-// Times of a graceful stop, in seconds. From the signal to stop, the platform sends clients and requests for 0.7 s at most.
+import (
+	"time"
+
+	"heathshed/internal/control/clock"
+)
+
+// Times of a graceful stop. From the signal to stop, the platform sends clients and requests for 0.7 s at most.
 const (
-	acceptGrace   = 0.85 // from the signal until the listener closes
-	pollInterval  = 0.01 // between two looks at what is still open
-	closeGrace    = 0.5  // for clients to close their side of their connections, at the end
-	minCloseGrace = 0.1  // the least of that, when time is short; stopReserve covers it
+	acceptGrace   = 850 * time.Millisecond // from the signal until the listener closes
+	pollInterval  = 10 * time.Millisecond  // between two looks at what is still open
+	closeGrace    = 500 * time.Millisecond // for clients to close their side of their connections, at the end
+	minCloseGrace = 100 * time.Millisecond // the least of that, when time is short; stopReserve covers it
 )
 
 // The platform kills a scheduler some time after its signal to stop: the longest deadline of a class, at most maxStopDeadline, and
-// stopMargin. stopReserve is kept of that for a busy processor. All in seconds.
+// stopMargin. stopReserve is kept of that for a busy processor.
 const (
-	maxStopDeadline = 3.0
-	stopMargin      = 0.7
-	stopReserve     = 0.15
+	maxStopDeadline = 3 * time.Second
+	stopMargin      = 700 * time.Millisecond
+	stopReserve     = 150 * time.Millisecond
 )
 
 // Stop begins a graceful stop: the server goes on accepting clients for acceptGrace, answers every request that it has accepted and then
@@ -42,7 +48,7 @@
 		s.listener.Close()
 	}
 	unread := s.readClients()
-	inTime := s.loop.Now() < s.stopRequestedAt+s.stopTimeout()
+	inTime := s.loop.Now() < s.stopRequestedAt.Add(s.stopTimeout())
 	if s.core.OpenRequests() > 0 || inTime && (unread || s.canNotifyClients()) {
 		s.loop.After(pollInterval, s.finishStop)
 		return
@@ -51,8 +57,8 @@
 		client.closeGracefully()
 	}
 	now := s.loop.Now()
-	deadline := min(now+closeGrace, s.stopRequestedAt+s.stopTimeout()+minCloseGrace)
-	s.awaitClientsClosed(max(now+minCloseGrace, deadline))
+	deadline := min(now.Add(closeGrace), s.stopRequestedAt.Add(s.stopTimeout()+minCloseGrace))
+	s.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
 // readClients reads every client connection and reports whether one has more to come: the rest of a message, or lines that wait for the
@@ -60,7 +66,7 @@
 func (s *Server) readClients() (unread bool) {
 	for _, client := range s.clients {
 		client.conn.ReadNow()
-		unread = unread || client.incompleteSince > 0 || client.conn.Paused()
+		unread = unread || !client.incompleteSince.IsZero() || client.conn.Paused()
 	}
 	return unread
 }
@@ -70,10 +76,10 @@
 	return s.core.RunningTasks() > 0 && len(s.clients) > 0
 }
 
-// awaitClientsClosed ends the server when the clients have closed their connections too, at the deadline in Unix seconds at the latest. If
+// awaitClientsClosed ends the server when the clients have closed their connections too, at the deadline at the latest. If
 // the process ended while a byte of a client was unread, the system would reset that connection and destroy answers that the client has not
 // read yet.
-func (s *Server) awaitClientsClosed(deadline float64) {
+func (s *Server) awaitClientsClosed(deadline clock.Instant) {
 	if len(s.clients) > 0 && s.loop.Now() < deadline {
 		s.loop.After(pollInterval, func() { s.awaitClientsClosed(deadline) })
 		return
@@ -83,11 +89,7 @@
 	s.onStopped()
 }
 
-// stopTimeout is how long after its signal to stop the platform surely leaves a scheduler running, in seconds.
-func (s *Server) stopTimeout() float64 {
-	longest := 0.0
-	for i := range s.config.Settings.Placer.Classes {
-		longest = max(longest, float64(s.config.Settings.Placer.Classes[i].Deadline))
-	}
-	return min(longest, maxStopDeadline) + stopMargin - stopReserve
+// stopTimeout is how long after its signal to stop the platform surely leaves a scheduler running.
+func (s *Server) stopTimeout() time.Duration {
+	return min(s.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -5,13 +5,14 @@
 import (
 	"errors"
 	"fmt"
+	"time"
 
 	"heathshed/internal/platform/dispatch"
 	"heathshed/internal/platform/protocol"
 )
 
-// statsInterval is the time between two log lines with the counters, in seconds.
-const statsInterval = 10.0
+// statsInterval is the time between two log lines with the counters.
+const statsInterval = 10 * time.Second
 
 // Stats counts events on connections since the start. It is logged as JSON under its fields' names.
 type Stats struct {
