--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"heathshed/internal/control/clock"
-	"heathshed/internal/control/memquota"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/dispatch"
 	"heathshed/internal/platform/protocol"
@@ -25,9 +24,6 @@
 // maxUnsentToClient is how many bytes may wait for a client to read them before its connection is closed.
 const maxUnsentToClient = 256 << 10
 
-// clientSlotReserve is how many connection slots of clients are kept free by evicting connections.
-const clientSlotReserve = 2
-
 // errClientNotReading ends the connection of a client that lets its answers pile up.
 var errClientNotReading = errors.New("client does not read its messages")
 
@@ -70,21 +66,6 @@
 	message         protocol.Message
 }
 
-// acceptClient returns the handler of a connection that has just been accepted.
-func (s *Server) acceptClient(conn *eventloop.Conn) eventloop.Handler {
-	s.lastClientID++
-	s.stats.ClientsAccepted++
-	conn.MaxInput = 2 * protocol.MaxLine
-	now := s.loop.Now()
-	client := &clientConn{server: s, conn: conn, id: s.lastClientID, openedAt: now, lastMessageAt: now}
-	s.clients[client.id] = client
-	s.core.ClientConnected(s.coreNow(), client.id)
-	if len(s.clients) >= s.maxClients-clientSlotReserve {
-		s.evictClient()
-	}
-	return client
-}
-
 // setState makes a transition. One that is not legal is a fault of the program: it is counted and the state stays.
 func (c *clientConn) setState(next clientConnState) {
 	if !c.state.canBecome(next) {
@@ -100,7 +81,7 @@
 // Data implements eventloop.Handler: it handles the complete lines of data.
 func (c *clientConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := c.server
-	consumed, err := s.readLines(conn, data, c.handleLine)
+	consumed, err := s.reader.readLines(conn, data, c.handleLine)
 	c.incompleteSince = nextIncompleteSince(c.incompleteSince, s.loop.Now(), consumed, len(data))
 	s.processReady()
 	if err != nil && !conn.Closed() {
@@ -157,7 +138,7 @@
 	s := c.server
 	s.log.Trace().Uint64("conn", uint64(c.id)).Err(err).Msg("client connection ended")
 	c.setState(clientClosed)
-	delete(s.clients, c.id)
+	s.clients.remove(c)
 	s.core.ClientDisconnected(s.coreNow(), c.id)
 	s.processReady()
 }
@@ -200,59 +181,3 @@
 	receiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
 	return now.Sub(c.lastMessageAt) > idleClientTimeout && !receiving
 }
-
-// closeIdleClients closes the idle connections. Each is read once more first: a request that the system has received already would be lost
-// with its connection.
-func (s *Server) closeIdleClients() {
-	now := s.loop.Now()
-	for _, client := range s.clients {
-		if !client.isIdle(now) {
-			continue
-		}
-		client.conn.ReadNow()
-		if client.isIdle(now) && !client.conn.Closed() && !client.conn.Paused() {
-			s.stats.IdleClientsClosed++
-			client.closeGracefully()
-		}
-	}
-}
-
-// evictClient closes the connection that is least likely to be needed, to free its slot. Each candidate is read once more first; one on
-// which a request has arrived is kept and the next one is tried.
-func (s *Server) evictClient() {
-	s.collectEvictionCandidates()
-	for {
-		i := memquota.SelectEviction(s.evictionCandidates)
-		if i < 0 {
-			return
-		}
-		client := s.evictionConns[i]
-		client.conn.ReadNow()
-		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.Paused() {
-			s.stats.ClientsEvicted++
-			client.conn.Close()
-			return
-		}
-		s.evictionCandidates[i].Busy = true
-	}
-}
-
-// collectEvictionCandidates fills evictionCandidates and evictionConns. Connections that are closing are none: their slots become free
-// soon, and their last answers may still be on their way.
-func (s *Server) collectEvictionCandidates() {
-	now := s.loop.Now()
-	s.evictionCandidates = s.evictionCandidates[:0]
-	s.evictionConns = s.evictionConns[:0]
-	for _, client := range s.clients {
-		if client.state == clientClosing {
-			continue
-		}
-		open, placed := s.core.ClientRequests(client.id)
-		s.evictionCandidates = append(s.evictionCandidates, memquota.Candidate{
-			Busy:        open > 0 || client.openedAt == now,
-			Established: placed,
-			IdleSeconds: now.Sub(max(client.lastMessageAt, client.incompleteSince)).Seconds(),
-		})
-		s.evictionConns = append(s.evictionConns, client)
-	}
-}
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -88,8 +88,8 @@
 		c.expect(`"running"`)
 	}
 	server.runOnLoop(func() {
-		if len(server.clients) > server.maxClients || server.maxClients+server.maxNodeConns+reservedSockets > 64 {
-			t.Errorf("%d client connections, %d allowed", len(server.clients), server.maxClients)
+		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedSockets > 64 {
+			t.Errorf("%d client connections, %d allowed", len(server.clients.byID), server.clients.maxConns)
 		}
 	})
 	good.launch(2, "query")
@@ -112,8 +112,8 @@
 		t.Fatal("never disconnected")
 	}
 	server.runOnLoop(func() {
-		if len(server.clients) != 0 {
-			t.Errorf("%d connections", len(server.clients))
+		if len(server.clients.byID) != 0 {
+			t.Errorf("%d connections", len(server.clients.byID))
 		}
 	})
 }
@@ -121,13 +121,13 @@
 // TestReadBeforeClosingClient: a request that the system has received on a connection about to be closed, as idle or for its slot, is served.
 func TestReadBeforeClosingClient(t *testing.T) {
 	for name, closing := range map[string]func(server *testServer){
-		"idle":         func(server *testServer) { server.closeIdleClients() },
-		"for its slot": func(server *testServer) { server.evictClient() },
+		"idle":         func(server *testServer) { server.clients.closeIdle() },
+		"for its slot": func(server *testServer) { server.clients.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, 256, startNode(t, acceptTask).addr)
 			client := server.connect()
-			server.waitUntil("client", func() bool { return len(server.clients) == 1 })
+			server.waitUntil("client", func() bool { return len(server.clients.byID) == 1 })
 			server.holdLoop(func() { client.launch(1, "query") }, func() {
 				server.ageClients()
 				closing(server)
@@ -147,7 +147,7 @@
 	server.waitUntil("half a line", func() bool { return server.incompleteClients() == 2 })
 	server.runOnLoop(func() {
 		server.ageClients() // silent for long, and then half a line
-		server.closeIdleClients()
+		server.clients.closeIdle()
 	})
 	slow.send(text[40:])
 	slow.expect(`"running"`)
@@ -191,7 +191,7 @@
 		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
 		a.close()
 	}, nil)
-	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 && len(server.clients) == 0 })
+	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
 	b := server.connect()
 	b.send(checkMessage)
 	b.expect(`"stop"`, "0000000000000001", `"reason":16`)
@@ -210,18 +210,18 @@
 	b.expect(`"checked"`)
 	adopter.send(adoptMessage(2, 1))
 	nodeConn := waitFor(t, "task", conns)
-	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients) == 3 && server.core.RunningTasks() == 2 })
+	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
 	closeIdle := func() {
 		server.runOnLoop(func() {
 			server.ageClients()
-			server.closeIdleClients()
+			server.clients.closeIdle()
 		})
 	}
 	closeIdle()
 	b.expectClosed() // not the only one, and no task was placed on it
 	b.close()
 	a.close()
-	server.waitUntil("one client", func() bool { return len(server.clients) == 1 })
+	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(1, 16))
 	adopter.expect(`"stop"`, "0000000000000001")
@@ -230,7 +230,7 @@
 	d.send(checkMessage)
 	d.expect(`"checked"`)
 	adopter.close()
-	server.waitUntil("one client", func() bool { return len(server.clients) == 1 })
+	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(2, 16))
 	d.expect(`"stop"`, "0000000000000002")
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -89,8 +89,8 @@
 		"in the middle of its end":  {sseResponseHead + second[:len(second)-1], "1", nil},
 		"after an event":            {sseResponseHead + second, "2", nil},
 		"while the server stops": {sseResponseHead + second, "2", func(server *testServer, _ *rawDiscovery) {
-			server.stopping = true
-			server.stopRequestedAt = server.loop.Now()
+			server.shutdown.requested = true
+			server.shutdown.requestedAt = server.loop.Now()
 		}},
 		"after a reload to the same": {sseResponseHead + second, "2", func(server *testServer, discovery *rawDiscovery) {
 			server.Reload(server.configWithDiscovery(discovery.addr()))
@@ -141,8 +141,8 @@
 	sendTo(t, call, sseResponseHead+sseEvent(3, nodeEntry(8, "127.0.0.1:1", "in_service")))
 	server.waitForEvent(3)
 	server.runOnLoop(func() {
-		if server.stats.WatchesOpened != 3 || len(server.links) != 0 {
-			t.Errorf("%d calls, %d links", server.stats.WatchesOpened, len(server.links))
+		if server.stats.WatchesOpened != 3 || len(server.nodes.byID) != 0 {
+			t.Errorf("%d calls, %d links", server.stats.WatchesOpened, len(server.nodes.byID))
 		}
 	})
 }
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -220,7 +220,7 @@
 // incompleteClients returns on how many connections a message has arrived in part. It is called on the loop.
 func (server *testServer) incompleteClients() int {
 	n := 0
-	for _, client := range server.clients {
+	for _, client := range server.clients.byID {
 		if !client.incompleteSince.IsZero() {
 			n++
 		}
@@ -230,7 +230,7 @@
 
 // ageClients has all connections appear idle for 10 s more. It is called on the loop.
 func (server *testServer) ageClients() {
-	for _, client := range server.clients {
+	for _, client := range server.clients.byID {
 		client.openedAt = client.openedAt.Add(-10 * time.Second)
 		client.lastMessageAt = client.lastMessageAt.Add(-10 * time.Second)
 	}
@@ -238,9 +238,9 @@
 
 // finishStopNow goes to the end of a stop whose signal came a second ago. It is called on the loop.
 func (server *testServer) finishStopNow() {
-	server.stopping = true
-	server.stopRequestedAt = server.loop.Now().Add(-time.Second)
-	server.finishStop()
+	server.shutdown.requested = true
+	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
+	server.shutdown.finish()
 }
 
 // testClient is a client's connection.
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -21,10 +21,19 @@
 	lineFree
 )
 
+// lineHandler handles one line, without its newline. An error ends the connection.
+type lineHandler func(line []byte) (lineCost, error)
+
+// lineReader shares the loop among connections that send many lines.
+type lineReader struct {
+	loop     *eventloop.Loop
+	deferred []*eventloop.Conn // reading is paused until the next iteration of the loop
+}
+
 // readLines calls handle for each complete line of data, without its newline, until maxLinesPerTurn of them have counted; the rest is
 // deferred to the next iteration of the loop. It returns how many bytes were consumed. The error is that of handle, or
 // protocol.ErrTooLong for a line that is longer than the protocol allows.
-func (s *Server) readLines(conn *eventloop.Conn, data []byte, handle func(line []byte) (lineCost, error)) (int, error) {
+func (reader *lineReader) readLines(conn *eventloop.Conn, data []byte, handle lineHandler) (int, error) {
 	consumed := 0
 	for handled := 0; handled < maxLinesPerTurn; {
 		end := bytes.IndexByte(data[consumed:], '\n')
@@ -47,24 +56,24 @@
 		}
 	}
 	if consumed < len(data) {
-		s.deferReading(conn)
+		reader.deferReading(conn)
 	}
 	return consumed, nil
 }
 
 // deferReading pauses a connection until the next iteration of the loop.
-func (s *Server) deferReading(conn *eventloop.Conn) {
+func (reader *lineReader) deferReading(conn *eventloop.Conn) {
 	conn.PauseRead(true)
-	s.deferredConns = append(s.deferredConns, conn)
-	if len(s.deferredConns) == 1 {
-		s.loop.After(0, s.resumeReading)
+	reader.deferred = append(reader.deferred, conn)
+	if len(reader.deferred) == 1 {
+		reader.loop.After(0, reader.resumeReading)
 	}
 }
 
 // resumeReading resumes the connections that were deferred.
-func (s *Server) resumeReading() {
-	deferred := s.deferredConns
-	s.deferredConns = nil
+func (reader *lineReader) resumeReading() {
+	deferred := reader.deferred
+	reader.deferred = nil
 	for _, conn := range deferred {
 		conn.PauseRead(false)
 	}
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -105,7 +105,7 @@
 	now := s.loop.Now()
 	nc.keepAlive.LastReceived = now
 	nc.link.reachability.Received(now)
-	consumed, err := s.readLines(conn, data, nc.handleLine)
+	consumed, err := s.reader.readLines(conn, data, nc.handleLine)
 	nc.removeAnswered()
 	nc.keepAlive.IncompleteSince = nextIncompleteSince(nc.keepAlive.IncompleteSince, now, consumed, len(data))
 	s.processReady()
@@ -153,7 +153,7 @@
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
-	s.openNodeConns--
+	s.nodes.slotFreed()
 	s.log.Trace().
 		Uint64("conn", uint64(nc.id)).
 		Str("addr", link.addr).
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -3,16 +3,13 @@
 package server
 
 import (
-	"cmp"
 	"errors"
 	"slices"
-	"time"
 
 	"golang.org/x/sys/unix"
 
 	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
-	"heathshed/internal/control/memquota"
 	"heathshed/internal/control/retry"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/dispatch"
@@ -20,29 +17,9 @@
 	"heathshed/placer"
 )
 
-// Times after which a node that runs tasks is declared unreachable. Clients must be notified within 8 s of the end of a task. A
-// node that refuses connections may be a process that is being restarted.
-const (
-	unresponsiveTimeout = 6 * time.Second
-	refusedTimeout      = time.Second
-)
-
-// slotHoldTime is how long a connection to a node that runs tasks keeps its slot where there are more such nodes than slots.
-// They take turns then, so that each can report within 8 s how its tasks end.
-const slotHoldTime = 2 * time.Second
-
-// Bounds of the backoff between dials of one node, in seconds.
-const (
-	minDialBackoff = 0.2
-	maxDialBackoff = 1
-)
-
 // maxPendingBytes bounds the messages that wait for a connection to one node.
 const maxPendingBytes = 64 << 10
 
-// errNoConnectionSlot fails a dial for which every connection slot of nodes is in use.
-var errNoConnectionSlot = errors.New("no connection slot for a node is free")
-
 // nodeLink holds the connections to one node and what waits for them. A node is identified by its uid: another one may come up at the same
 // address.
 type nodeLink struct {
@@ -61,36 +38,6 @@
 	needsConn       bool // at the last housekeeping: without a connection, while tasks run or messages are pending
 }
 
-// linkTo returns the link to a node, a new one if there is none.
-func (s *Server) linkTo(id placer.NodeID) *nodeLink {
-	link := s.links[id]
-	if link != nil {
-		return link
-	}
-	link = &nodeLink{
-		server:       s,
-		id:           id,
-		backoff:      retry.Backoff{Min: minDialBackoff, Max: maxDialBackoff},
-		reachability: s.reachability,
-	}
-	if node := s.core.Node(id); node != nil {
-		link.addr = node.Addr
-	}
-	s.links[id] = link
-	return link
-}
-
-// updateNodeAddresses closes the connections to nodes whose address has changed; the next ones go to the new address.
-func (s *Server) updateNodeAddresses() {
-	s.core.Nodes(func(node *dispatch.Node) {
-		link := s.links[node.ID]
-		if link != nil && link.addr != node.Addr {
-			link.addr = node.Addr
-			link.closeConns()
-		}
-	})
-}
-
 // closeConns closes all connections, the one being dialed included.
 func (link *nodeLink) closeConns() {
 	for _, nc := range slices.Clone(link.conns) {
@@ -175,12 +122,11 @@
 		return
 	}
 	s := link.server
-	if !s.ensureNodeSlot() {
+	if !s.nodes.ensureSlot() {
 		s.loop.After(0, func() { link.dialFailed(errNoConnectionSlot) })
 		return
 	}
-	s.lastNodeConnID++
-	nc := &nodeConn{link: link, id: s.lastNodeConnID, attempts: map[*dispatch.Attempt]struct{}{}}
+	nc := &nodeConn{link: link, id: s.nodes.nextConnID(), attempts: map[*dispatch.Attempt]struct{}{}}
 	s.stats.NodeDials++
 	conn, err := s.loop.Dial(link.addr, s.config.connectTimeout(), nc)
 	if err != nil {
@@ -190,7 +136,7 @@
 	conn.MaxInput = 2 * protocol.MaxLine
 	nc.conn = conn
 	link.dialing = nc
-	s.openNodeConns++
+	s.nodes.slotTaken()
 }
 
 // established takes over a connection that has come up and sends what waited for it.
@@ -209,7 +155,7 @@
 	queued := link.queued
 	link.queued = nil
 	for _, attempt := range queued {
-		s.scheduleAttempt(attempt)
+		s.attempts.schedule(attempt)
 	}
 	s.processReady()
 }
@@ -252,7 +198,7 @@
 	// A full list may omit a node that the next one has again: for TerminationGrace its connections stay.
 	if !hasTasks && (node == nil || node.TerminatedFor(s.coreNow()) > dispatch.TerminationGrace) {
 		link.closeConns()
-		delete(s.links, link.id)
+		s.nodes.remove(link)
 		return
 	}
 	if hasTasks && !link.hasTasks {
@@ -270,7 +216,7 @@
 		nc.keepAlive.PendingRequests = len(nc.attempts)
 		nc.keepAlive.RunsTasks = link.hasTasks
 		nc.keepAlive.HasAlternative = len(link.conns) > 1
-		switch s.keepAlive.KeepAlive(now, nc.keepAlive) {
+		switch s.nodes.keepAlive.KeepAlive(now, nc.keepAlive) {
 		case connpool.SendHealthCheck:
 			nc.sendHealthCheck()
 		case connpool.CloseIdle:
@@ -310,57 +256,7 @@
 	return node.State != placer.Terminated
 }
 
-// reconnectNodes dials the nodes that need a connection, those first that have been without one for longest. Where there are more of them
-// than slots they take turns, and each has its turn before the end of a task there is overdue.
-func (s *Server) reconnectNodes() {
-	now := s.loop.Now()
-	s.disconnected = s.disconnected[:0]
-	for _, link := range s.links {
-		if link.isDialDue(now) {
-			s.disconnected = append(s.disconnected, link)
-		}
-	}
-	slices.SortFunc(s.disconnected, func(a, b *nodeLink) int {
-		return cmp.Or(cmp.Compare(a.disconnectedAt, b.disconnectedAt), cmp.Compare(a.id, b.id))
-	})
-	for _, link := range s.disconnected {
-		if !s.ensureNodeSlot() {
-			return
-		}
-		link.dial()
-	}
-}
-
 // isDialDue reports whether the node needs a connection, none is being dialed and its backoff has passed.
 func (link *nodeLink) isDialDue(now clock.Instant) bool {
 	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
 }
-
-// ensureNodeSlot reports whether one more connection to a node may be opened. If all slots are in use, it tries to free one.
-func (s *Server) ensureNodeSlot() bool {
-	return s.openNodeConns < s.maxNodeConns || s.evictNodeConn()
-}
-
-// evictNodeConn closes the connection to a node that is least likely to be needed, and reports whether there was one to close.
-func (s *Server) evictNodeConn() bool {
-	now := s.loop.Now()
-	var candidates []memquota.Candidate
-	var conns []*nodeConn
-	for _, link := range s.links {
-		for _, nc := range link.conns {
-			holdsSlot := link.hasTasks && now.Sub(nc.establishedAt) < s.slotHoldTime
-			candidates = append(candidates, memquota.Candidate{
-				Busy:        len(nc.attempts) > 0 || holdsSlot,
-				Established: link.hasTasks,
-				IdleSeconds: now.Sub(nc.keepAlive.LastSent).Seconds(),
-			})
-			conns = append(conns, nc)
-		}
-	}
-	i := memquota.SelectEviction(candidates)
-	if i < 0 {
-		return false
-	}
-	conns[i].conn.Close()
-	return true
-}
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -54,7 +54,7 @@
 			t.Parallel()
 			node := startNode(t, acceptTask) // which leaves health checks unanswered
 			server := startServer(t, 256, node.addr)
-			server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 2 * time.Second })
+			server.runOnLoop(func() { server.nodes.reachability.UnresponsiveAfter = 2 * time.Second })
 			client := server.connect()
 			client.launch(1, "seats")
 			client.expect(`"running"`)
@@ -80,7 +80,7 @@
 	t.Parallel()
 	node := startNode(t, acceptTask) // which leaves health checks unanswered
 	server := startServer(t, 256, node.addr)
-	server.runOnLoop(func() { server.reachability.UnresponsiveAfter = 500 * time.Millisecond })
+	server.runOnLoop(func() { server.nodes.reachability.UnresponsiveAfter = 500 * time.Millisecond })
 	client := server.connect()
 	client.launch(1, "seats")
 	client.expect(`"running"`)
@@ -154,8 +154,8 @@
 		client.expect(fmt.Sprintf("%016x", i+1))
 	}
 	server.runOnLoop(func() {
-		if server.openNodeConns > server.maxNodeConns || server.stats.NodesUnreachable > 0 {
-			t.Errorf("%d connections to nodes, %d allowed; %d nodes unreachable", server.openNodeConns, server.maxNodeConns,
+		if server.nodes.openConns > server.nodes.maxConns || server.stats.NodesUnreachable > 0 {
+			t.Errorf("%d connections to nodes, %d allowed; %d nodes unreachable", server.nodes.openConns, server.nodes.maxConns,
 				server.stats.NodesUnreachable)
 		}
 	})
@@ -182,7 +182,7 @@
 	}
 	server := startServer(t, 64, addrs...)
 	client := server.connect()
-	server.runOnLoop(func() { server.slotHoldTime = 100 * time.Millisecond })
+	server.runOnLoop(func() { server.nodes.slotHoldTime = 100 * time.Millisecond })
 	for i := range nodeCount {
 		client.send(adoptMessage(i+1, i+1))
 	}
@@ -207,9 +207,9 @@
 		}
 	}
 	server.runOnLoop(func() {
-		slotsSuffice := server.maxNodeConns >= nodeCount/2+5
-		if server.core.RunningTasks() != nodeCount || server.openNodeConns > server.maxNodeConns || slotsSuffice {
-			t.Errorf("%d tasks run, %d connections of %d", server.core.RunningTasks(), server.openNodeConns, server.maxNodeConns)
+		slotsSuffice := server.nodes.maxConns >= nodeCount/2+5
+		if server.core.RunningTasks() != nodeCount || server.nodes.openConns > server.nodes.maxConns || slotsSuffice {
+			t.Errorf("%d tasks run, %d connections of %d", server.core.RunningTasks(), server.nodes.openConns, server.nodes.maxConns)
 		}
 	})
 }
@@ -226,7 +226,7 @@
 		call.text <- sseEvent(2+i, nodeEntry(1+i, node.addr, "terminated"), nodeEntry(2+i, node.addr, "in_service"))
 		client.expect(`"stop"`, `"reason":41`) // a second later
 	}
-	server.waitUntil("end of the links", func() bool { return len(server.links) == 0 })
+	server.waitUntil("end of the links", func() bool { return len(server.nodes.byID) == 0 })
 }
 
 // TestDialTimeout: a dial that is never answered keeps neither its descriptor nor its queue, and its requests are answered.
@@ -240,12 +240,12 @@
 		client.expect(`"stop"`, `"reason":34`)
 	}
 	server.waitUntil("end of the dials", func() bool {
-		for _, link := range server.links {
+		for _, link := range server.nodes.byID {
 			if len(link.queued) > 0 || link.dialing != nil {
 				return false
 			}
 		}
-		return server.openNodeConns == 0
+		return server.nodes.openConns == 0
 	})
 }
 
@@ -279,7 +279,7 @@
 			call.text <- sseFullList(2, nodeEntry(9, "127.0.0.1:1", "in_service"))
 			server.waitForEvent(2)
 			server.runOnLoop(func() {
-				for _, link := range server.links {
+				for _, link := range server.nodes.byID {
 					link.maintain()
 				}
 			})
@@ -320,10 +320,10 @@
 	client.launch(2, "query")
 	client.expect(`"running"`, "0000000000000002")
 	client.expect(`"stop"`, "0000000000000001", `"reason":41`)
-	server.waitUntil("one link", func() bool { return len(server.links) == 1 })
+	server.waitUntil("one link", func() bool { return len(server.nodes.byID) == 1 })
 	server.runOnLoop(func() {
-		if server.core.RunningTasks() != 1 || server.openNodeConns != 1 {
-			t.Errorf("%d tasks run, %d connections", server.core.RunningTasks(), server.openNodeConns)
+		if server.core.RunningTasks() != 1 || server.nodes.openConns != 1 {
+			t.Errorf("%d tasks run, %d connections", server.core.RunningTasks(), server.nodes.openConns)
 		}
 	})
 }
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -15,10 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"heathshed/internal/control/clock"
-	"heathshed/internal/control/connpool"
 	"heathshed/internal/control/eventqueue"
-	"heathshed/internal/control/memquota"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/platform/dispatch"
 	"heathshed/placer"
@@ -49,29 +46,14 @@
 
 	coreTimer    *eventloop.Timer // runs the core when its next timer is due; nil if none is set
 	coreTimerDue placer.Seconds   // on the clock of the core
-	discovery    *discoveryWatch
-
-	listener           *eventloop.Listener
-	clients            map[dispatch.ConnID]*clientConn
-	lastClientID       dispatch.ConnID
-	maxClients         int
-	evictionCandidates []memquota.Candidate // reused by evictClient
-	evictionConns      []*clientConn        // the connections of evictionCandidates, by index
-	deferredConns      []*eventloop.Conn    // reading is paused until the next iteration of the loop
-
-	links           map[placer.NodeID]*nodeLink
-	openNodeConns   int // connections to nodes, those being dialed included
-	maxNodeConns    int
-	lastNodeConnID  dispatch.NodeConnID
-	slotHoldTime    time.Duration         // see the constant
-	keepAlive       connpool.SharedPolicy // of connections to nodes
-	reachability    connpool.Reachability // the initial state of each link
-	disconnected    []*nodeLink           // reused by reconnectNodes
-	pendingAttempts []*dispatch.Attempt   // to be sent at the end of this iteration of the loop
-
-	stopping        bool
-	stopRequestedAt clock.Instant
-	onStopped       func()
+
+	listener  *eventloop.Listener
+	clients   *clientTable
+	nodes     *nodeLinks
+	discovery *discoveryWatch
+	reader    lineReader
+	attempts  attemptSender
+	shutdown  shutdown
 }
 
 // New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
@@ -87,23 +69,19 @@
 	}
 	maxNodeConns := (sockets - reservedSockets) / 2 // clients use a third at most; the rest of their half is for unidentified ones
 	s := &Server{
-		loop:         loop,
-		core:         core,
-		config:       config,
-		rng:          rand.New(rand.NewPCG(config.Seed, seedStream)),
-		log:          log,
-		clients:      map[dispatch.ConnID]*clientConn{},
-		maxClients:   sockets - reservedSockets - maxNodeConns,
-		links:        map[placer.NodeID]*nodeLink{},
-		maxNodeConns: maxNodeConns,
-		slotHoldTime: slotHoldTime,
-		keepAlive:    connpool.DefaultSharedPolicy(),
-		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, RefusedAfter: refusedTimeout},
-		onStopped:    onStopped,
+		loop:   loop,
+		core:   core,
+		config: config,
+		rng:    rand.New(rand.NewPCG(config.Seed, seedStream)),
+		log:    log,
+		reader: lineReader{loop: loop},
 	}
-	s.keepAlive.MaxIdle = config.maxIdle()
-	loop.SetMaxConns(s.maxClients)
-	if s.listener, err = loop.Listen(config.Listen, s.acceptClient); err != nil {
+	s.clients = newClientTable(s, sockets-reservedSockets-maxNodeConns)
+	s.nodes = newNodeLinks(s, maxNodeConns, config.maxIdle())
+	s.attempts.server = s
+	s.shutdown = shutdown{server: s, onStopped: onStopped}
+	loop.SetMaxConns(s.clients.maxConns)
+	if s.listener, err = loop.Listen(config.Listen, s.clients.accept); err != nil {
 		return nil, err
 	}
 	s.discovery = newDiscoveryWatch(s, config.Discovery)
@@ -145,62 +123,22 @@
 func (s *Server) applyEffect(effect *dispatch.Effect) {
 	switch effect.Kind {
 	case dispatch.SendToClient:
-		if client := s.clients[effect.Conn]; client != nil {
-			client.send(&effect.Message)
-		}
+		s.clients.send(effect.Conn, &effect.Message)
 	case dispatch.SendAttempt:
-		s.scheduleAttempt(effect.Attempt)
+		s.attempts.schedule(effect.Attempt)
 	case dispatch.SendToNode:
-		s.linkTo(effect.Attempt.Node).sendMessage(effect)
+		s.nodes.linkTo(effect.Attempt.Node).sendMessage(effect)
 	case dispatch.ConnectNode:
-		s.linkTo(effect.Attempt.Node)
+		s.nodes.linkTo(effect.Attempt.Node)
 	case dispatch.NodesChanged:
-		s.updateNodeAddresses()
-	}
-}
-
-// scheduleAttempt sends an attempt at the end of this iteration of the loop.
-func (s *Server) scheduleAttempt(attempt *dispatch.Attempt) {
-	s.pendingAttempts = append(s.pendingAttempts, attempt)
-	if len(s.pendingAttempts) == 1 {
-		s.loop.AtIterationEnd(s.sendPendingAttempts)
-	}
-}
-
-// sendPendingAttempts sends the scheduled attempts. No attempt may go out for a client that has canceled its request or closed its
-// connection. Either may have reached the system already without having been read: in this iteration, in any order with the event that
-// scheduled the attempt, or since. So the client's connection is read once more first, which ends the attempt before its first byte.
-func (s *Server) sendPendingAttempts() {
-	pending := s.pendingAttempts
-	s.pendingAttempts = nil
-	for _, attempt := range pending {
-		if s.clientHasUnreadLines(attempt.Client()) { // a cancellation may be among them
-			s.scheduleAttempt(attempt)
-			continue
-		}
-		if attempt.Pending() {
-			s.linkTo(attempt.Node).send(attempt)
-		}
+		s.nodes.updateAddresses()
 	}
 }
 
-// clientHasUnreadLines reads a client's connection and reports whether lines are left that wait for the next iteration of the loop.
-func (s *Server) clientHasUnreadLines(id dispatch.ConnID) bool {
-	client := s.clients[id]
-	if client == nil {
-		return false
-	}
-	client.conn.ReadNow()
-	return client.conn.Paused() && !client.conn.Closed()
-}
-
 // housekeep closes connections that are of no further use and dials the nodes that need one, then schedules the next pass.
 func (s *Server) housekeep() {
-	s.closeIdleClients()
-	for _, link := range s.links {
-		link.maintain()
-	}
-	s.reconnectNodes()
+	s.clients.closeIdle()
+	s.nodes.maintain()
 	s.processReady()
 	s.loop.After(housekeepingInterval, s.housekeep)
 }
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -156,8 +156,8 @@
 	dialing, left := make(chan struct{}), make(chan struct{})
 	var poll func()
 	poll = func() {
-		server.sendPendingAttempts() // which would run at the end of this iteration
-		for _, link := range server.links {
+		server.attempts.sendPending() // which would run at the end of this iteration
+		for _, link := range server.nodes.byID {
 			if link.dialing != nil {
 				close(dialing)
 				<-left
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -24,72 +24,74 @@
 	stopReserve     = 150 * time.Millisecond
 )
 
+// shutdown is the sequence of a graceful stop.
+type shutdown struct {
+	server      *Server
+	requested   bool
+	requestedAt clock.Instant
+	onStopped   func()
+}
+
 // Stop begins a graceful stop: the server goes on accepting clients for acceptGrace, answers every request that it has accepted and then
 // stops. Further calls have no effect.
-func (s *Server) Stop() {
-	if s.stopping {
+func (s *Server) Stop() { s.shutdown.begin() }
+
+func (stop *shutdown) begin() {
+	if stop.requested {
 		return
 	}
-	s.stopping = true
-	s.stopRequestedAt = s.loop.Now()
+	s := stop.server
+	stop.requested = true
+	stop.requestedAt = s.loop.Now()
 	s.log.Info().
 		Int("open_requests", s.core.OpenRequests()).
 		Int("running_tasks", s.core.RunningTasks()).
 		Msg("stopping")
-	s.loop.After(acceptGrace, s.finishStop)
+	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finishStop closes the listener, and the clients' connections once no accepted request is open. While tasks run, the server stays for as
+// finish closes the listener, and the clients' connections once no accepted request is open. While tasks run, the server stays for as
 // long as the platform surely lets it, to notify clients of tasks that end: the end of a task of which no scheduler learns is reported late
 // or never.
-func (s *Server) finishStop() {
+func (stop *shutdown) finish() {
+	s := stop.server
 	if !s.listener.Closed() {
 		s.listener.Drain()
 		s.listener.Close()
 	}
-	unread := s.readClients()
-	inTime := s.loop.Now() < s.stopRequestedAt.Add(s.stopTimeout())
-	if s.core.OpenRequests() > 0 || inTime && (unread || s.canNotifyClients()) {
-		s.loop.After(pollInterval, s.finishStop)
+	unread := s.clients.readAll()
+	inTime := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
+	if s.core.OpenRequests() > 0 || inTime && (unread || stop.canNotifyClients()) {
+		s.loop.After(pollInterval, stop.finish)
 		return
 	}
-	for _, client := range s.clients {
-		client.closeGracefully()
-	}
+	s.clients.closeGracefully()
 	now := s.loop.Now()
-	deadline := min(now.Add(closeGrace), s.stopRequestedAt.Add(s.stopTimeout()+minCloseGrace))
-	s.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
-}
-
-// readClients reads every client connection and reports whether one has more to come: the rest of a message, or lines that wait for the
-// next iteration of the loop.
-func (s *Server) readClients() (unread bool) {
-	for _, client := range s.clients {
-		client.conn.ReadNow()
-		unread = unread || !client.incompleteSince.IsZero() || client.conn.Paused()
-	}
-	return unread
+	deadline := min(now.Add(closeGrace), stop.requestedAt.Add(stop.timeout()+minCloseGrace))
+	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
 // canNotifyClients reports whether a task may still end and a client is connected to be notified.
-func (s *Server) canNotifyClients() bool {
-	return s.core.RunningTasks() > 0 && len(s.clients) > 0
+func (stop *shutdown) canNotifyClients() bool {
+	s := stop.server
+	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
 // awaitClientsClosed ends the server when the clients have closed their connections too, at the deadline at the latest. If
 // the process ended while a byte of a client was unread, the system would reset that connection and destroy answers that the client has not
 // read yet.
-func (s *Server) awaitClientsClosed(deadline clock.Instant) {
-	if len(s.clients) > 0 && s.loop.Now() < deadline {
-		s.loop.After(pollInterval, func() { s.awaitClientsClosed(deadline) })
+func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
+	s := stop.server
+	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
+		s.loop.After(pollInterval, func() { stop.awaitClientsClosed(deadline) })
 		return
 	}
 	s.logStats()
 	s.log.Info().Msg("stopped")
-	s.onStopped()
+	stop.onStopped()
 }
 
-// stopTimeout is how long after its signal to stop the platform surely leaves a scheduler running.
-func (s *Server) stopTimeout() time.Duration {
-	return min(s.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
+// timeout is how long after its signal to stop the platform surely leaves a scheduler running.
+func (stop *shutdown) timeout() time.Duration {
+	return min(stop.server.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -99,16 +99,16 @@
 // logStats logs the counters of the core and of the connections, and schedules the next time unless the server stops.
 func (s *Server) logStats() {
 	s.log.Info().
-		Int("clients", len(s.clients)).
-		Int("node_conns", s.openNodeConns).
-		Int("node_links", len(s.links)).
+		Int("clients", len(s.clients.byID)).
+		Int("node_conns", s.nodes.openConns).
+		Int("node_links", len(s.nodes.byID)).
 		Int("open_requests", s.core.OpenRequests()).
 		Int("running_tasks", s.core.RunningTasks()).
 		Uint64("last_event", s.core.LastDiscoveryEvent()).
 		Interface("core", &s.core.Counts).
 		Interface("sockets", &s.stats).
 		Msg("counts")
-	if !s.stopping {
+	if !s.shutdown.requested {
 		s.loop.After(statsInterval, s.logStats)
 	}
 }
