--- a/internal/kube/scheduler/phase.go
+++ b/internal/kube/scheduler/phase.go
@@ -36,15 +36,15 @@
 // Reasons why no tasks are accepted. Their texts are in responses of the API.
 var (
 	errStopping           = errors.New("the scheduler stops")
-	errAwaitingInventory  = errors.New("the inventory has not been heard of")
-	errInventoryHasNoNode = errors.New("the inventory lists no machine that is ready")
+	errAwaitingInventory  = errors.New("the inventory has not been listed yet")
+	errInventoryHasNoNode = errors.New("the inventory lists no node that is ready")
 )
 
 // nodesSyncingError says that not all nodes have listed their tasks yet.
 type nodesSyncingError struct{ listed, watched int }
 
 func (e *nodesSyncingError) Error() string {
-	return fmt.Sprintf("%d of %d machines have shown what they hold", e.watched, e.listed)
+	return fmt.Sprintf("%d of %d nodes have listed their tasks", e.watched, e.listed)
 }
 
 // readinessError returns why no tasks are accepted, or nil. A scheduler that has just started first learns what runs on the
--- a/internal/lab/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -104,7 +104,7 @@
 	}
 	if n.faults.FailsClass(now, class) {
 		recordAbandoned()
-		n.respond(exchange, statusResponse(http.StatusInternalServerError, "InternalError", "the machine fails"))
+		n.respond(exchange, statusResponse(http.StatusInternalServerError, "InternalError", "the node fails"))
 		return
 	}
 	request := nodesim.PodRequest(pod, attempt, n.options.Priorities[class])
@@ -143,7 +143,7 @@
 	}
 	n.processEffects()
 	if !had {
-		n.respond(exchange, statusResponse(http.StatusNotFound, "NotFound", "no such Pod; this attempt will not be taken any more"))
+		n.respond(exchange, statusResponse(http.StatusNotFound, "NotFound", "no such Pod; a later request of this attempt is rejected"))
 		return
 	}
 	pod := &corev1.Pod{}
@@ -184,9 +184,9 @@
 	case nodesim.InsufficientMemory:
 		return statusResponse(http.StatusConflict, wellknown.OutOfMemory, "Node didn't have enough resource: memory")
 	case nodesim.QueueFull:
-		return statusResponse(http.StatusTooManyRequests, wellknown.QueueFull, "too many offers wait")
+		return statusResponse(http.StatusTooManyRequests, wellknown.QueueFull, "too many attempts are queued")
 	}
-	return statusResponse(http.StatusConflict, wellknown.WrongNode, "the machine drains, or this attempt was given up")
+	return statusResponse(http.StatusConflict, wellknown.WrongNode, "the node is draining, or this attempt was stopped")
 }
 
 // respond answers with the header fields of the node, slowly if that fault is injected.
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -54,7 +54,7 @@
 		n, kind, err := c.decoder.Next(input[consumed:])
 		consumed += n
 		if err != nil {
-			call.finish(nil, nil, fmt.Errorf("%s: %w", c.client.addr, err))
+			call.finish(nil, nil, fmt.Errorf("response from %s: %w", c.client.addr, err))
 			transport.Close()
 			return len(input)
 		}
@@ -137,5 +137,5 @@
 		call.finish(&c.decoder.Head, call.body, nil)
 		return
 	}
-	call.finish(nil, nil, fmt.Errorf("%s: connection broke: %w", c.client.addr, err))
+	call.finish(nil, nil, fmt.Errorf("response from %s: connection broke: %w", c.client.addr, err))
 }
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -120,9 +120,9 @@
 		{name: "no body to HEAD", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", staysOpen: true, status: 200},
 		{name: "after an interim response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", staysOpen: true, status: 201, body: "x"},
 		{name: "error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", staysOpen: true, status: 503, body: "busy"},
-		{name: "cut short", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: "connection broke"},
-		{name: "nothing", method: "GET", wantErr: "connection broke"},
-		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: "malformed status"},
+		{name: "cut short", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
+		{name: "nothing", method: "GET", wantErr: ": connection broke: EOF"},
+		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: ": http: malformed status"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := do(t, loop, startRaw(t, c.response, c.staysOpen), c.method, 5*time.Second, nil)
