--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -49,29 +49,29 @@
 
 // ConfigError reports a field of a Config that is out of range.
 type ConfigError struct {
-	Field    string // in the words of the settings
+	Field    string // as the settings name it
 	Value    float64
 	Min, Max float64
 }
 
 // Error implements error.
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("gate: %s %v: want %v to %v", e.Field, e.Value, e.Min, e.Max)
+	return fmt.Sprintf("admission: %s %v: want %v to %v", e.Field, e.Value, e.Min, e.Max)
 }
 
 // Validate returns a *ConfigError for the first field that is out of range.
 func (c *Config) Validate() error {
 	ranges := []ConfigError{
-		{"min in flight", c.MinInFlight, 1, c.MaxInFlight},
-		{"max in flight", c.MaxInFlight, 1, 1e9},
-		{"start", c.InitialInFlight, 1, 1e9},
-		{"decrease", c.DecreaseFactor, 0.01, 0.99},
-		{"window", float64(c.DecreaseInterval), 0, 60},
-		{"late part", c.LateFraction, 0, 1},
-		{"max waiting", float64(c.MaxQueued), 1, 1e9},
-		{"retry ratio", c.RetryRatio, 0, 100},
-		{"retry rate", c.RetryRate, 0, 1e9},
-		{"retry burst", c.RetryBurst, 0, 1e9},
+		{"minInFlight", c.MinInFlight, 1, c.MaxInFlight},
+		{"maxInFlight", c.MaxInFlight, 1, 1e9},
+		{"initialInFlight", c.InitialInFlight, 1, 1e9},
+		{"decreaseFactor", c.DecreaseFactor, 0.01, 0.99},
+		{"decreaseInterval", float64(c.DecreaseInterval), 0, 60},
+		{"lateFraction", c.LateFraction, 0, 1},
+		{"maxQueued", float64(c.MaxQueued), 1, 1e9},
+		{"retryRatio", c.RetryRatio, 0, 100},
+		{"retryRate", c.RetryRate, 0, 1e9},
+		{"retryBurst", c.RetryBurst, 0, 1e9},
 	}
 	for i := range ranges {
 		field := &ranges[i]
--- a/internal/control/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -61,5 +61,5 @@
 	config := admission.DefaultConfig()
 	config.LateFraction = 2
 	fmt.Println(config.Validate())
-	// Output: gate: late part 2: want 0 to 1
+	// Output: admission: lateFraction 2: want 0 to 1
 }
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -16,8 +16,8 @@
 // The reasons for which requests are shed, as users read them.
 const (
 	ReasonLate        = "it waited until it could no longer start in time"
-	ReasonQueueFull   = "too many asks wait"
-	ReasonRetryBudget = "too much is asked again"
+	ReasonQueueFull   = "too many placement requests are queued"
+	ReasonRetryBudget = "the retry budget is used up"
 )
 
 // maxRetryAfter bounds the advice to clients of shed requests. The rate during a fault does not predict the
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -122,7 +122,7 @@
 	case placer.Errored:
 		return a.Node + ": answered with an error"
 	}
-	return a.Node + ": refused"
+	return a.Node + ": rejected"
 }
 
 const noAnswerInTime = ": no answer in time"
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -17,7 +17,7 @@
 	// ErrConflict means that the UID or the resource version that the caller requires is not that of the stored object.
 	ErrConflict = errors.New("the object has been modified; read it again")
 	// ErrTooMany means that a Job does not fit beside the objects that are stored now. It may fit later.
-	ErrTooMany = errors.New("too many tasks are held; try again later")
+	ErrTooMany = errors.New("too many tasks are stored; try again later")
 	// ErrStopping means that Stop was called.
 	ErrStopping = errors.New("the scheduler stops and takes no new tasks")
 )
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -88,7 +88,7 @@
 	case rejected == total && !j.indexes.unplacedMayHaveRun:
 		reason = wellknown.Rejected
 	}
-	message := fmt.Sprintf("%d placed, %d refused, %d failed", placed, rejected, failed)
+	message := fmt.Sprintf("%d placed, %d rejected, %d failed", placed, rejected, failed)
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -41,7 +41,7 @@
 		if update.Labels[key] != stored.Labels[key] {
 			return &InvalidError{
 				Field:  "metadata.labels[" + key + "]",
-				Detail: "the inventory says where a machine stands; it cannot be changed here",
+				Detail: "the inventory sets the zone, the rack and the type of a node; they cannot be changed here",
 				Value:  update.Labels[key],
 			}
 		}
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -153,6 +153,6 @@
 		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
 		return
 	}
-	message := task.attempts.running.node.name + " does not hold it any more"
+	message := task.attempts.running.node.name + " no longer reports it"
 	o.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
 }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -125,7 +125,7 @@
 	request.close()
 	request.task.wasShed = true
 	r.discard(request)
-	request.task.attempts.fail("not asked for: " + shed.Reason)
+	request.task.attempts.fail("shed: " + shed.Reason)
 	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -53,7 +53,7 @@
 			l.drainEvents()
 		})
 	case retry.Reject:
-		l.settleUnplaced(task, wellknown.Rejected, task.unplacedMessage("no machine took it"))
+		l.settleUnplaced(task, wellknown.Rejected, task.unplacedMessage("no node accepted it"))
 	case retry.Fail:
 		l.settleUnplaced(task, wellknown.Failed, task.unplacedMessage("it could not be placed"))
 	}
