--- a/internal/kube/scheduler/bench_test.go
+++ b/internal/kube/scheduler/bench_test.go
@@ -27,35 +27,37 @@
 // BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the responses, and reports the time from the moment
 // each was due to be posted until a watch showed it settled.
 func BenchmarkPostToSettled(b *testing.B) {
-	for _, machines := range []int{10, 100, 500} {
+	for _, nodes := range []int{10, 100, 500} {
 		for _, rate := range []int{50, 200, 800} {
-			b.Run(fmt.Sprintf("machines=%d/rate=%d", machines, rate), func(b *testing.B) {
-				c := startCluster(b, func(s *config.Settings) { s.Emulator.Nodes, s.Emulator.Racks, s.NodeSyncTimeout = machines, 10, 20 })
-				hist := hdrhistogram.New(1, 60_000_000, 3)
+			b.Run(fmt.Sprintf("nodes=%d/rate=%d", nodes, rate), func(b *testing.B) {
+				cluster := startCluster(b, func(settings *config.Settings) {
+					settings.Emulator.Nodes, settings.Emulator.Racks, settings.NodeSyncTimeout = nodes, 10, 20
+				})
+				latencies := hdrhistogram.New(1, 60_000_000, 3)
 				due := sync.Map{}
 				settled := make(chan struct{}, 1<<16)
-				resp, err := http.Get(c.baseURL + "/api/v1/pods?watch=1")
+				resp, err := http.Get(cluster.baseURL + "/api/v1/pods?watch=1")
 				if err != nil {
 					b.Fatal(err)
 				}
 				go readSettled(resp.Body, func(name string) {
 					if at, ok := due.Load(name); ok {
 						// A time beyond the histogram's range is beyond the time that the benchmark waits, too.
-						_ = hist.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
+						_ = latencies.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
 					}
 					settled <- struct{}{}
 				})
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-				n := rate * 4 // four seconds, whatever b.N
+				jobs := rate * 4 // four seconds, whatever b.N
 				b.ResetTimer()
 				begin := time.Now()
-				for i := range n {
+				for i := range jobs {
 					at := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
 					time.Sleep(time.Until(at))
 					name := fmt.Sprint("b", i)
 					due.Store(name, at)
 					go func() {
-						resp, err := client.Post(c.baseURL+jobsPath, jsonType, strings.NewReader(jobJSON(name, 1)))
+						resp, err := client.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(jobJSON(name, 1)))
 						if err == nil {
 							err = resp.Body.Close()
 						}
@@ -64,7 +66,7 @@
 						}
 					}()
 				}
-				for range n {
+				for range jobs {
 					select {
 					case <-settled:
 					case <-time.After(20 * time.Second):
@@ -74,8 +76,8 @@
 				if err := resp.Body.Close(); err != nil {
 					b.Error(err)
 				}
-				for _, q := range []float64{50, 99, 99.9} {
-					b.ReportMetric(float64(hist.ValueAtQuantile(q))/1000, fmt.Sprintf("ms-p%v", q))
+				for _, percentile := range []float64{50, 99, 99.9} {
+					b.ReportMetric(float64(latencies.ValueAtQuantile(percentile))/1000, fmt.Sprintf("ms-p%v", percentile))
 				}
 				b.ReportMetric(0, "ns/op")
 			})
@@ -86,10 +88,10 @@
 // readSettled reads a watch of Pods until its end and calls settled with the name of each Job when its first Pod is shown
 // settled.
 func readSettled(watch io.Reader, settled func(name string)) {
-	r := bufio.NewReaderSize(watch, 1<<20)
+	reader := bufio.NewReaderSize(watch, 1<<20)
 	seen := map[string]bool{}
 	for {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return
 		}
@@ -109,12 +111,12 @@
 func BenchmarkFanOut(b *testing.B) {
 	for _, watchers := range []int{1, 100, 5000} {
 		b.Run(fmt.Sprint("watchers=", watchers), func(b *testing.B) {
-			c := startCluster(b, nil)
+			cluster := startCluster(b, nil)
 			var wg sync.WaitGroup
 			var total atomic.Int64
 			tasks := max(20, min(2000, 200000/watchers))
 			for range watchers {
-				conn, err := net.Dial("tcp", c.scheduler.Addr())
+				conn, err := net.Dial("tcp", cluster.scheduler.Addr())
 				if err != nil {
 					b.Skip(err)
 				}
@@ -124,17 +126,17 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					n := countEvents(conn, tasks)
+					events := countEvents(conn, tasks)
 					if err := conn.Close(); err != nil {
 						b.Error(err)
 					}
-					total.Add(n)
+					total.Add(events)
 				}()
 			}
-			c.eventually("all watch", func() bool { return c.watchers() == watchers })
+			cluster.eventually("all watch", func() bool { return cluster.watchers() == watchers })
 			b.ResetTimer()
 			begin := time.Now()
-			c.requireStatus(201, "POST", jobsPath, jsonType, jobJSON("fan", tasks))
+			cluster.requireStatus(201, "POST", jobsPath, jsonType, jobJSON("fan", tasks))
 			wg.Wait()
 			b.ReportMetric(float64(total.Load())/time.Since(begin).Seconds(), "events/s")
 			b.ReportMetric(0, "ns/op")
@@ -144,9 +146,9 @@
 
 // countEvents reads a watch until it has shown so many Pods placed, and returns the number of its events.
 func countEvents(watch io.Reader, tasks int) (events int64) {
-	r := bufio.NewReaderSize(watch, 16<<10)
+	reader := bufio.NewReaderSize(watch, 16<<10)
 	for placed := 0; placed < tasks; {
-		line, err := r.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			break
 		}
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -3,11 +3,11 @@
 package scheduler
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
 
+	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 	policyv1 "k8s.io/api/policy/v1"
 	apierrors "k8s.io/apimachinery/pkg/api/errors"
@@ -16,125 +16,174 @@
 	"k8s.io/apimachinery/pkg/watch"
 	"k8s.io/client-go/informers"
 	"k8s.io/client-go/kubernetes"
+	typedbatchv1 "k8s.io/client-go/kubernetes/typed/batch/v1"
 	"k8s.io/client-go/rest"
 	"k8s.io/client-go/tools/cache"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/kube/wellknown"
+	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
 )
 
-func clientset(t *testing.T, c *cluster) *kubernetes.Clientset {
+// newClientset returns the public clientset for a cluster. accept is what it asks for; "" is its default.
+func newClientset(t *testing.T, cluster *testCluster, accept string) *kubernetes.Clientset {
 	t.Helper()
-	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.baseURL, QPS: 1000, Burst: 1000})
+	restConfig := &rest.Config{Host: cluster.baseURL, QPS: 1000, Burst: 1000}
+	if accept != "" {
+		restConfig.ContentConfig = rest.ContentConfig{AcceptContentTypes: accept, ContentType: jsonType}
+	}
+	client, err := kubernetes.NewForConfig(restConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return client
 }
 
 // The public clientset, unchanged: discovery, create, dry run, conflict, paging, patch, delete.
 func TestClientset(t *testing.T) {
-	c := startCluster(t, nil)
-	k, ctx := clientset(t, c), context.Background()
-	if v, err := k.Discovery().ServerVersion(); err != nil || v.Major != "1" {
-		t.Fatalf("version: %v, %v", v, err)
+	cluster := startCluster(t, nil)
+	client := newClientset(t, cluster, "")
+	jobs := client.BatchV1().Jobs("default")
+	job := simulation.NewJob(&scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Lifetime: 0.3, BackoffLimit: 2})
+
+	checkDiscovery(t, client)
+	created := createWithDryRunAndConflict(t, jobs, job)
+	watchUntilComplete(t, cluster, jobs, created)
+	checkPagesOfDeletedJob(t, client, jobs)
+	cluster.eventually("the Pods are deleted with their Job", func() bool { return len(cluster.pods("")) == 0 })
+
+	patched := createSuspendedAndPatch(t, jobs, job)
+	checkRejectedChanges(t, jobs, job, patched)
+	cluster.eventually("the resumed Job completes", func() bool { return hasCondition(cluster.job(patched.Name), "Complete") })
+	if err := jobs.DeleteCollection(t.Context(), metav1.DeleteOptions{}, metav1.ListOptions{}); err != nil {
+		t.Fatal(err)
+	}
+	cluster.checkAudit()
+}
+
+func checkDiscovery(t *testing.T, client *kubernetes.Clientset) {
+	t.Helper()
+	if version, err := client.Discovery().ServerVersion(); err != nil || version.Major != "1" {
+		t.Fatalf("version: %v, %v", version, err)
 	}
-	_, lists, err := k.Discovery().ServerGroupsAndResources()
+	_, lists, err := client.Discovery().ServerGroupsAndResources()
 	if err != nil || len(lists) != 2 {
 		t.Fatalf("discovery: %v, %v", lists, err)
 	}
-	jobs := k.BatchV1().Jobs("default")
-	j := simulation.NewJob(&scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 7, Cores: 0.5, Memory: 0.5, Lifetime: 0.3, BackoffLimit: 2})
-	if _, err := jobs.Create(ctx, j, metav1.CreateOptions{DryRun: []string{metav1.DryRunAll}}); err != nil {
+}
+
+// createWithDryRunAndConflict checks that a dry run creates nothing, and creates a Job, which can be done only once.
+func createWithDryRunAndConflict(t *testing.T, jobs typedbatchv1.JobInterface, job *batchv1.Job) *batchv1.Job {
+	t.Helper()
+	if _, err := jobs.Create(t.Context(), job, metav1.CreateOptions{DryRun: []string{metav1.DryRunAll}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := jobs.Get(ctx, "a", metav1.GetOptions{}); !apierrors.IsNotFound(err) {
+	if _, err := jobs.Get(t.Context(), job.Name, metav1.GetOptions{}); !apierrors.IsNotFound(err) {
 		t.Fatalf("after a dry run: %v", err)
 	}
-	made, err := jobs.Create(ctx, j, metav1.CreateOptions{FieldValidation: "Strict"})
-	if err != nil || made.UID == "" {
+	created, err := jobs.Create(t.Context(), job, metav1.CreateOptions{FieldValidation: "Strict"})
+	if err != nil || created.UID == "" {
 		t.Fatal(err)
 	}
-	if _, err := jobs.Create(ctx, j, metav1.CreateOptions{}); !apierrors.IsAlreadyExists(err) {
+	if _, err := jobs.Create(t.Context(), job, metav1.CreateOptions{}); !apierrors.IsAlreadyExists(err) {
 		t.Fatalf("again: %v", err)
 	}
-	w, err := jobs.Watch(ctx, metav1.ListOptions{ResourceVersion: made.ResourceVersion, FieldSelector: "metadata.name=a"})
+	return created
+}
+
+// watchUntilComplete watches a Job until it is complete, and checks that its tasks settled as placed.
+func watchUntilComplete(t *testing.T, cluster *testCluster, jobs typedbatchv1.JobInterface, job *batchv1.Job) {
+	t.Helper()
+	options := metav1.ListOptions{ResourceVersion: job.ResourceVersion, FieldSelector: "metadata.name=" + job.Name}
+	watcher, err := jobs.Watch(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for ev := range w.ResultChan() {
-		if ev.Type == watch.Error {
-			t.Fatal(ev.Object)
+	for event := range watcher.ResultChan() {
+		if event.Type == watch.Error {
+			t.Fatal(event.Object)
 		}
-		if hasCondition(c.job("a"), "Complete") {
-			w.Stop()
+		if hasCondition(cluster.job(job.Name), "Complete") {
+			watcher.Stop()
 		}
 	}
-	if r := settledReason(c.job("a")); r != wellknown.Placed {
-		t.Fatalf("settled as %q", r)
+	if reason := settledReason(cluster.job(job.Name)); reason != wellknown.Placed {
+		t.Fatalf("settled as %q", reason)
 	}
-	// Pages come from one snapshot, though Pods are deleted between them.
+}
+
+// checkPagesOfDeletedJob checks that pages come from one snapshot, though Pods are deleted between them.
+func checkPagesOfDeletedJob(t *testing.T, client *kubernetes.Clientset, jobs typedbatchv1.JobInterface) {
+	t.Helper()
 	names := map[string]bool{}
-	opt := metav1.ListOptions{Limit: 3, LabelSelector: "job-name=a"}
+	options := metav1.ListOptions{Limit: 3, LabelSelector: "job-name=a"}
 	for {
-		l, err := k.CoreV1().Pods("default").List(ctx, opt)
+		page, err := client.CoreV1().Pods("default").List(t.Context(), options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, p := range l.Items {
-			names[p.Name] = true
+		for _, pod := range page.Items {
+			names[pod.Name] = true
 		}
 		if len(names) == 3 {
-			if err := jobs.Delete(ctx, "a", metav1.DeleteOptions{}); err != nil {
+			if err := jobs.Delete(t.Context(), "a", metav1.DeleteOptions{}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if opt.Continue = l.Continue; opt.Continue == "" {
+		if options.Continue = page.Continue; options.Continue == "" {
 			break
 		}
 	}
 	if len(names) != 7 {
 		t.Fatalf("%d Pods over all pages, want 7", len(names))
 	}
-	c.eventually("the Pods are deleted with their Job", func() bool { return len(c.pods("")) == 0 })
+}
 
-	g := j.DeepCopy()
-	g.Name, g.GenerateName = "", "gen-"
+// createSuspendedAndPatch creates a suspended Job with a generated name and resumes it, by patches of each type.
+func createSuspendedAndPatch(t *testing.T, jobs typedbatchv1.JobInterface, job *batchv1.Job) *batchv1.Job {
+	t.Helper()
+	generated := job.DeepCopy()
+	generated.Name, generated.GenerateName = "", "gen-"
 	suspend := true
-	g.Spec.Suspend = &suspend
-	made, err = jobs.Create(ctx, g, metav1.CreateOptions{})
-	if err != nil || len(made.Name) != 9 {
-		t.Fatalf("%v, %v", made, err)
+	generated.Spec.Suspend = &suspend
+	patched, err := jobs.Create(t.Context(), generated, metav1.CreateOptions{})
+	if err != nil || len(patched.Name) != 9 {
+		t.Fatalf("%v, %v", patched, err)
 	}
-	for _, p := range []struct {
+	for _, patch := range []struct {
 		kind types.PatchType
 		body string
-	}{{types.MergePatchType, `{"metadata":{"labels":{"x":"1"}}}`}, {types.StrategicMergePatchType, `{"metadata":{"annotations":{"y":"2"}}}`},
-		{types.JSONPatchType, `[{"op":"replace","path":"/spec/suspend","value":false}]`}} {
-		if made, err = jobs.Patch(ctx, made.Name, p.kind, []byte(p.body), metav1.PatchOptions{}); err != nil {
-			t.Fatalf("%s: %v", p.kind, err)
+	}{
+		{types.MergePatchType, `{"metadata":{"labels":{"x":"1"}}}`},
+		{types.StrategicMergePatchType, `{"metadata":{"annotations":{"y":"2"}}}`},
+		{types.JSONPatchType, `[{"op":"replace","path":"/spec/suspend","value":false}]`},
+	} {
+		if patched, err = jobs.Patch(t.Context(), patched.Name, patch.kind, []byte(patch.body), metav1.PatchOptions{}); err != nil {
+			t.Fatalf("%s: %v", patch.kind, err)
 		}
 	}
-	if made.Labels["x"] != "1" || made.Annotations["y"] != "2" || *made.Spec.Suspend {
-		t.Fatalf("patched: %v", made.ObjectMeta)
+	if patched.Labels["x"] != "1" || patched.Annotations["y"] != "2" || *patched.Spec.Suspend {
+		t.Fatalf("patched: %v", patched.ObjectMeta)
 	}
-	stale := made.DeepCopy()
+	return patched
+}
+
+// checkRejectedChanges checks an update from a former state, and a Job of a class that there is none of.
+func checkRejectedChanges(t *testing.T, jobs typedbatchv1.JobInterface, job, patched *batchv1.Job) {
+	t.Helper()
+	stale := patched.DeepCopy()
 	stale.ResourceVersion = "1"
-	if _, err := jobs.Update(ctx, stale, metav1.UpdateOptions{}); !apierrors.IsConflict(err) {
+	if _, err := jobs.Update(t.Context(), stale, metav1.UpdateOptions{}); !apierrors.IsConflict(err) {
 		t.Fatalf("stale update: %v", err)
 	}
-	bad := j.DeepCopy()
-	bad.Spec.Template.Labels[wellknown.Class] = "none"
-	if _, err := jobs.Create(ctx, bad, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
+	invalid := job.DeepCopy()
+	invalid.Spec.Template.Labels[wellknown.Class] = "none"
+	if _, err := jobs.Create(t.Context(), invalid, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
 		t.Fatalf("unknown class: %v", err)
 	}
-	c.eventually("the resumed Job completes", func() bool { return hasCondition(c.job(made.Name), "Complete") })
-	if err := jobs.DeleteCollection(ctx, metav1.DeleteOptions{}, metav1.ListOptions{}); err != nil {
-		t.Fatal(err)
-	}
-	c.checkAudit()
 }
 
 // An informer sees every Pod settle once although its connections are closed again and again, in JSON and in the binary
@@ -147,94 +196,102 @@
 
 func informerAcrossDrops(t *testing.T, accept string) {
 	t.Helper()
-	c := startCluster(t, nil)
-	k, err := kubernetes.NewForConfig(&rest.Config{Host: c.baseURL, QPS: 1000, Burst: 1000, ContentConfig: rest.ContentConfig{
-		AcceptContentTypes: accept, ContentType: "application/json"}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	f := informers.NewSharedInformerFactoryWithOptions(k, 0, informers.WithNamespace("default"))
-	inf := f.Core().V1().Pods().Informer()
-	outcomes := make(chan string, 1000)
-	see := func(old, now any) {
-		p := now.(*corev1.Pod)
-		was := ""
-		if old != nil {
-			was = wellknown.SettledReason(old.(*corev1.Pod))
-		}
-		if r := wellknown.SettledReason(p); r != was {
-			if was != "" {
-				outcomes <- "changed"
-			}
-			outcomes <- r
-		}
-	}
-	if _, err := inf.AddEventHandler(cache.ResourceEventHandlerFuncs{AddFunc: func(o any) { see(nil, o) }, UpdateFunc: see}); err != nil {
-		t.Fatal(err)
-	}
-	f.Start(ctx.Done())
-	if !cache.WaitForCacheSync(ctx.Done(), inf.HasSynced) {
-		t.Fatal("informer did not sync")
-	}
+	cluster := startCluster(t, nil)
+	outcomes := followOutcomes(t, newClientset(t, cluster, accept))
 	const each, rounds = 20, 5
-	for i := range rounds {
-		c.submitJob(scenario.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Lifetime: 30, BackoffLimit: 3})
+	for round := range rounds {
+		job := scenario.Job{Name: fmt.Sprint("r", round), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Lifetime: 30, BackoffLimit: 3}
+		cluster.submitJob(job)
 		// Break every open connection, in the middle of what it carries.
-		c.runOnLoop(func() { c.scheduler.httpServer.CloseConns() })
+		cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	}
-	for n := range each * rounds {
+	for count := range each * rounds {
 		select {
-		case r := <-outcomes:
-			if r != wellknown.Placed {
-				t.Fatalf("outcome %d is %s", n, r)
+		case outcome := <-outcomes:
+			if outcome != wellknown.Placed {
+				t.Fatalf("outcome %d is %s", count, outcome)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("only %d outcomes", n)
+			t.Fatalf("only %d outcomes", count)
 		}
 	}
 	select {
-	case r := <-outcomes:
-		t.Fatalf("one more outcome: %s", r)
+	case outcome := <-outcomes:
+		t.Fatalf("one more outcome: %s", outcome)
 	case <-time.After(100 * time.Millisecond):
 	}
-	c.checkAudit()
+	cluster.checkAudit()
+}
+
+// followOutcomes has an informer follow all Pods, and returns a channel that gets the reason with which each settles, and "changed" before one
+// that replaces another.
+func followOutcomes(t *testing.T, client *kubernetes.Clientset) <-chan string {
+	t.Helper()
+	factory := informers.NewSharedInformerFactoryWithOptions(client, 0, informers.WithNamespace("default"))
+	informer := factory.Core().V1().Pods().Informer()
+	outcomes := make(chan string, 1000)
+	see := func(old, now any) {
+		previous := ""
+		if old != nil {
+			previous = wellknown.SettledReason(old.(*corev1.Pod))
+		}
+		reason := wellknown.SettledReason(now.(*corev1.Pod))
+		if reason == previous {
+			return
+		}
+		if previous != "" {
+			outcomes <- "changed"
+		}
+		outcomes <- reason
+	}
+	handler := cache.ResourceEventHandlerFuncs{AddFunc: func(added any) { see(nil, added) }, UpdateFunc: see}
+	if _, err := informer.AddEventHandler(handler); err != nil {
+		t.Fatal(err)
+	}
+	factory.Start(t.Context().Done())
+	if !cache.WaitForCacheSync(t.Context().Done(), informer.HasSynced) {
+		t.Fatal("informer did not sync")
+	}
+	return outcomes
 }
 
 // A node is drained by a patch, as kubectl drain does it: no new tasks go there and running ones are migrated, also when the
 // drain comes while attempts are in flight.
 func TestDrainByPatch(t *testing.T) {
-	c := startCluster(t, nil)
-	k, ctx := clientset(t, c), context.Background()
-	c.submitJob(scenario.Job{Name: "a", Class: "web", Service: "s", Tasks: 12, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
-	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 12 })
-	c.injectFault(fault.Node{Stall: 0.4})
-	c.submitJob(scenario.Job{Name: "b", Class: "batch", Service: "t", Tasks: 12, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
-	node := c.pods("?fieldSelector=status.phase=Running")[0].Spec.NodeName
-	if _, err := k.CoreV1().Nodes().Patch(ctx, node, types.StrategicMergePatchType, []byte(`{"spec":{"unschedulable":true}}`), metav1.PatchOptions{}); err != nil {
+	cluster := startCluster(t, nil)
+	client := newClientset(t, cluster, "")
+	cluster.submitJob(longJob("a", "web", 12, 3))
+	cluster.waitUntilRunning(12)
+	cluster.injectFault(fault.Node{Stall: 0.4})
+	jobInFlight := longJob("b", "batch", 12, 3)
+	jobInFlight.Service = "t"
+	cluster.submitJob(jobInFlight)
+	node := cluster.running()[0].Spec.NodeName
+	cordon := []byte(`{"spec":{"unschedulable":true}}`)
+	if _, err := client.CoreV1().Nodes().Patch(t.Context(), node, types.StrategicMergePatchType, cordon, metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	told := time.Now()
-	c.eventually("b is settled", func() bool { return settledReason(c.job("b")) != "" })
-	for _, p := range c.pods("?fieldSelector=spec.nodeName=" + node + ",status.phase=Running") {
-		err := k.PolicyV1().Evictions("default").Evict(ctx, &policyv1.Eviction{ObjectMeta: metav1.ObjectMeta{Name: p.Name, Namespace: "default"}})
-		if err != nil {
+	cordonedAt := clock.FromTime(time.Now()).UnixSeconds()
+	cluster.waitUntilSettled("b")
+	for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node + ",status.phase=Running") {
+		eviction := &policyv1.Eviction{ObjectMeta: metav1.ObjectMeta{Name: pod.Name, Namespace: "default"}}
+		if err := client.PolicyV1().Evictions("default").Evict(t.Context(), eviction); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.eventually("nothing runs there", func() bool {
-		for _, p := range c.pods("?fieldSelector=spec.nodeName=" + node) {
-			if !wellknown.Finished(&p) {
+	cluster.eventually("nothing runs there", func() bool {
+		for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node) {
+			if !wellknown.Finished(&pod) {
 				return false
 			}
 		}
-		return len(c.pods("?fieldSelector=status.phase=Running")) == 24
+		return len(cluster.running()) == 24
 	})
-	for _, ev := range c.recordedEvents() {
-		if ev.Kind == "offer" && ev.Node == node && ev.At > float64(told.UnixNano())/1e9+c.settings.Timing.DrainGrace.Seconds() {
-			t.Errorf("attempt sent to %s %.3f s after the order", node, ev.At-float64(told.UnixNano())/1e9)
+	for _, event := range cluster.recordedEvents() {
+		late := event.At > cordonedAt+cluster.settings.Timing.DrainGrace.Seconds()
+		if event.Kind == audit.AttemptReceived && event.Node == node && late {
+			t.Errorf("attempt sent to %s %.3f s after the order", node, event.At-cordonedAt)
 		}
 	}
-	c.checkAudit()
+	cluster.checkAudit()
 }
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -39,8 +39,8 @@
 	auditSlackSeconds = 0.5
 )
 
-// cluster is a scheduler with an emulated inventory and emulated nodes, in this process.
-type cluster struct {
+// testCluster is a scheduler with an emulated inventory and emulated nodes, in this process.
+type testCluster struct {
 	t            testing.TB
 	settings     config.Settings
 	baseURL      string
@@ -56,10 +56,10 @@
 }
 
 // startCluster starts a cluster with the default settings as changed.
-func startCluster(tb testing.TB, change func(*config.Settings)) *cluster {
+func startCluster(tb testing.TB, change func(*config.Settings)) *testCluster {
 	tb.Helper()
-	c := &cluster{t: tb, settings: config.Default()}
-	s := &c.settings
+	cluster := &testCluster{t: tb, settings: config.Default()}
+	s := &cluster.settings
 	s.Listen = "127.0.0.1:0"
 	s.NodeSyncTimeout = 2
 	s.Emulator.Nodes = 4
@@ -71,130 +71,130 @@
 	if err := s.Validate(); err != nil {
 		tb.Fatal(err)
 	}
-	c.startEmulators()
-	c.startScheduler()
-	return c
+	cluster.startEmulators()
+	cluster.startScheduler()
+	return cluster
 }
 
 // startEmulators starts the inventory and the nodes. The scheduler, which uses them, is stopped before them.
-func (c *cluster) startEmulators() {
-	c.t.Helper()
+func (cluster *testCluster) startEmulators() {
+	cluster.t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	c.emulatorLoop = loop
-	c.inventory, err = emulator.StartInventory(loop, emulator.InventoryOptions{
+	cluster.emulatorLoop = loop
+	cluster.inventory, err = emulator.StartInventory(loop, emulator.InventoryOptions{
 		Listen:            "127.0.0.1:0",
-		PublishDelay:      clock.Duration(c.settings.Emulator.ReportDelay),
+		PublishDelay:      clock.Duration(cluster.settings.Emulator.ReportDelay),
 		UnresponsiveAfter: time.Second,
-		OnEvent:           c.recordEvent,
+		OnEvent:           cluster.recordEvent,
 	})
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	c.settings.Inventory = c.inventory.Addr()
-	for i := range c.settings.Emulator.Nodes {
-		c.nodes = append(c.nodes, c.startNode(i))
+	cluster.settings.Inventory = cluster.inventory.Addr()
+	for i := range cluster.settings.Emulator.Nodes {
+		cluster.nodes = append(cluster.nodes, cluster.startNode(i))
 	}
 	done := make(chan error, 1)
 	go func() { done <- loop.Run() }()
-	c.t.Cleanup(func() {
-		c.killScheduler()
+	cluster.t.Cleanup(func() {
+		cluster.killScheduler()
 		loop.Stop()
 		if err := <-done; err != nil {
-			c.t.Errorf("emulators: %v", err)
+			cluster.t.Errorf("emulators: %v", err)
 		}
 	})
 }
 
-func (c *cluster) startNode(i int) *emulator.Node {
-	c.t.Helper()
-	emulated := labconfig.NodeAt(&c.settings, i)
+func (cluster *testCluster) startNode(i int) *emulator.Node {
+	cluster.t.Helper()
+	emulated := labconfig.NodeAt(&cluster.settings, i)
 	heartbeat := 100 * time.Millisecond
-	if c.settings.Emulator.Nodes >= 100 {
+	if cluster.settings.Emulator.Nodes >= 100 {
 		heartbeat = 500 * time.Millisecond // as heathshed up has it; more would measure the inventory
 	}
-	node, err := emulator.StartNode(c.emulatorLoop, emulator.NodeOptions{
+	node, err := emulator.StartNode(cluster.emulatorLoop, emulator.NodeOptions{
 		Name:           simulation.NodeName(i),
 		Zone:           emulated.Zone,
 		Rack:           emulated.Rack,
 		Kind:           emulated.NodeType,
 		Listen:         "127.0.0.1:0",
-		Inventory:      c.inventory.Addr(),
+		Inventory:      cluster.inventory.Addr(),
 		ReportInterval: heartbeat,
 		Sim:            emulated.Sim,
-		Priorities:     labconfig.Priorities(&c.settings),
-		OnEvent:        c.recordEvent,
+		Priorities:     labconfig.Priorities(&cluster.settings),
+		OnEvent:        cluster.recordEvent,
 	})
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return node
 }
 
-func (c *cluster) recordEvent(event audit.Event) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.events = append(c.events, event)
+func (cluster *testCluster) recordEvent(event audit.Event) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.events = append(cluster.events, event)
 }
 
 // recordedEvents is a copy of what the emulators have seen so far.
-func (c *cluster) recordedEvents() []audit.Event {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]audit.Event(nil), c.events...)
+func (cluster *testCluster) recordedEvents() []audit.Event {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return append([]audit.Event(nil), cluster.events...)
 }
 
 // startScheduler starts the scheduler, at the address that it had, and waits until it is ready.
-func (c *cluster) startScheduler() {
-	c.t.Helper()
+func (cluster *testCluster) startScheduler() {
+	cluster.t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	httpOptions := httpd.DefaultOptions()
-	httpOptions.Limits.Body = c.settings.Limits.MaxBodyBytes
-	httpOptions.MemoryBytes = memquota.Divide(int64(c.settings.Limits.MemoryMiB) << 20).Connections
-	c.scheduler, err = New(loop, Options{
-		Engine:           c.settings.Engine(7, loop.Now().UnixMicro()),
-		ListenAddress:    c.settings.Listen,
-		InventoryAddress: c.settings.Inventory,
+	httpOptions.Limits.Body = cluster.settings.Limits.MaxBodyBytes
+	httpOptions.MemoryBytes = memquota.Divide(int64(cluster.settings.Limits.MemoryMiB) << 20).Connections
+	cluster.scheduler, err = New(loop, Options{
+		Engine:           cluster.settings.Engine(7, loop.Now().UnixMicro()),
+		ListenAddress:    cluster.settings.Listen,
+		InventoryAddress: cluster.settings.Inventory,
 		Version:          "test",
 		HTTP:             httpOptions,
-		ConnectTimeout:   clock.Duration(c.settings.ConnectTimeout),
-		NodeSyncTimeout:  clock.Duration(c.settings.NodeSyncTimeout),
+		ConnectTimeout:   clock.Duration(cluster.settings.ConnectTimeout),
+		NodeSyncTimeout:  clock.Duration(cluster.settings.NodeSyncTimeout),
 		Log:              zerolog.Nop(),
 	})
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	done := make(chan error, 1)
 	go func() { done <- loop.Run() }()
-	c.loop = loop
-	c.loopDone = done
-	c.settings.Listen = c.scheduler.Addr()
-	c.baseURL = "http://" + c.scheduler.Addr()
-	c.eventually("the scheduler is ready", func() bool { code, _ := c.request("GET", "/readyz", "", nil); return code == 200 })
+	cluster.loop = loop
+	cluster.loopDone = done
+	cluster.settings.Listen = cluster.scheduler.Addr()
+	cluster.baseURL = "http://" + cluster.scheduler.Addr()
+	cluster.eventually("the scheduler is ready", func() bool { code, _ := cluster.request("GET", "/readyz", "", nil); return code == 200 })
 }
 
 // killScheduler ends the scheduler at once.
-func (c *cluster) killScheduler() {
-	if c.loop == nil {
+func (cluster *testCluster) killScheduler() {
+	if cluster.loop == nil {
 		return
 	}
-	c.loop.Stop()
-	if err := <-c.loopDone; err != nil {
-		c.t.Errorf("scheduler: %v", err)
+	cluster.loop.Stop()
+	if err := <-cluster.loopDone; err != nil {
+		cluster.t.Errorf("scheduler: %v", err)
 	}
-	c.loop = nil
+	cluster.loop = nil
 }
 
 // runOnLoop runs f on the scheduler's loop and waits for it.
-func (c *cluster) runOnLoop(f func()) { runOn(c.loop, f) }
+func (cluster *testCluster) runOnLoop(f func()) { runOn(cluster.loop, f) }
 
 // runOnEmulators runs f on the emulators' loop and waits for it.
-func (c *cluster) runOnEmulators(f func()) { runOn(c.emulatorLoop, f) }
+func (cluster *testCluster) runOnEmulators(f func()) { runOn(cluster.emulatorLoop, f) }
 
 func runOn(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
@@ -206,24 +206,24 @@
 }
 
 // connect opens a connection to the scheduler and sends text. It is closed at the end of the test at the latest.
-func (c *cluster) connect(text string) net.Conn {
-	c.t.Helper()
-	conn, err := net.Dial("tcp", c.scheduler.Addr())
+func (cluster *testCluster) connect(text string) net.Conn {
+	cluster.t.Helper()
+	conn, err := net.Dial("tcp", cluster.scheduler.Addr())
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	c.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor: the test may have closed it
+	cluster.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor: the test may have closed it
 	if _, err := io.WriteString(conn, text); err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return conn
 }
 
 // request returns status and body of a response; 0 if there is none.
-func (c *cluster) request(method, path, contentType string, body []byte) (int, []byte) {
-	req, err := http.NewRequest(method, c.baseURL+path, bytes.NewReader(body))
+func (cluster *testCluster) request(method, path, contentType string, body []byte) (int, []byte) {
+	req, err := http.NewRequestWithContext(cluster.t.Context(), method, cluster.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	if contentType != "" {
 		req.Header.Set("Content-Type", contentType)
@@ -233,59 +233,91 @@
 	if err != nil {
 		return 0, nil
 	}
-	b, err := io.ReadAll(resp.Body)
+	answer, err := io.ReadAll(resp.Body)
 	if closeErr := resp.Body.Close(); closeErr != nil {
-		c.t.Error(closeErr)
+		cluster.t.Error(closeErr)
 	}
 	if err != nil {
-		c.t.Logf("%s %s: body ends early: %v", method, path, err)
+		cluster.t.Logf("%s %s: body ends early: %v", method, path, err)
 	}
-	return resp.StatusCode, b
+	return resp.StatusCode, answer
 }
 
-func (c *cluster) requireStatus(code int, method, path, contentType, body string) []byte {
-	c.t.Helper()
-	got, b := c.request(method, path, contentType, []byte(body))
+// requireStatus sends a request, fails the test unless the response has the status, and returns its body.
+func (cluster *testCluster) requireStatus(code int, method, path, contentType, body string) []byte {
+	cluster.t.Helper()
+	got, answer := cluster.request(method, path, contentType, []byte(body))
 	if got != code {
-		c.t.Fatalf("%s %s: status %d, want %d: %.300s", method, path, got, code, b)
+		cluster.t.Fatalf("%s %s: status %d, want %d: %.300s", method, path, got, code, answer)
 	}
-	return b
+	return answer
 }
 
 // eventually waits for a state, not for a time: the limit only ends a test that hangs.
-func (c *cluster) eventually(what string, f func() bool) {
-	c.t.Helper()
+func (cluster *testCluster) eventually(what string, isSo func() bool) {
+	cluster.t.Helper()
 	for range 3000 {
-		if f() {
+		if isSo() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.t.Fatalf("never seen: %s", what)
+	cluster.t.Fatalf("never seen: %s", what)
 }
 
-func (c *cluster) submitJob(job scenario.Job) {
-	c.t.Helper()
+// longJob describes a Job whose tasks outlast the test unless they are stopped.
+func longJob(name, class string, tasks, backoffLimit int) scenario.Job {
+	return scenario.Job{Name: name, Class: class, Service: "s", Tasks: tasks, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: backoffLimit}
+}
+
+// sized returns the Job with tasks of other requests.
+func sized(job scenario.Job, coresAndGiB float64) scenario.Job {
+	job.Cores, job.Memory = coresAndGiB, coresAndGiB
+	return job
+}
+
+// submitJob submits a Job, to the namespace default unless it states another.
+func (cluster *testCluster) submitJob(job scenario.Job) {
+	cluster.t.Helper()
 	if job.Namespace == "" {
 		job.Namespace = "default"
 	}
-	b, err := json.Marshal(simulation.NewJob(&job))
+	body, err := json.Marshal(simulation.NewJob(&job))
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	c.requireStatus(201, "POST", "/apis/batch/v1/namespaces/"+job.Namespace+"/jobs", "application/json", string(b))
+	cluster.requireStatus(201, "POST", "/apis/batch/v1/namespaces/"+job.Namespace+"/jobs", jsonType, string(body))
 }
 
-func (c *cluster) job(name string) *batchv1.Job {
-	code, b := c.request("GET", jobsPath+"/"+name, "", nil)
+// job returns a Job, nil if there is none.
+func (cluster *testCluster) job(name string) *batchv1.Job {
+	code, answer := cluster.request("GET", jobsPath+"/"+name, "", nil)
 	if code != 200 {
 		return nil
 	}
-	j := &batchv1.Job{}
-	if err := json.Unmarshal(b, j); err != nil {
-		c.t.Fatal(err)
+	job := &batchv1.Job{}
+	if err := json.Unmarshal(answer, job); err != nil {
+		cluster.t.Fatal(err)
 	}
-	return j
+	return job
+}
+
+// waitUntilSettled waits until a Job has a Settled condition and returns its reason.
+func (cluster *testCluster) waitUntilSettled(name string) string {
+	cluster.t.Helper()
+	cluster.eventually(name+" is settled", func() bool { return settledReason(cluster.job(name)) != "" })
+	return settledReason(cluster.job(name))
+}
+
+// running returns the Pods that run.
+func (cluster *testCluster) running() []corev1.Pod {
+	return cluster.pods("?fieldSelector=status.phase=Running")
+}
+
+// waitUntilRunning waits until so many Pods run.
+func (cluster *testCluster) waitUntilRunning(pods int) {
+	cluster.t.Helper()
+	cluster.eventually(fmt.Sprint(pods, " Pods run"), func() bool { return len(cluster.running()) == pods })
 }
 
 // settledReason is the reason of a Job's Settled condition, or "" if it has none.
@@ -301,6 +333,7 @@
 	return ""
 }
 
+// hasCondition reports whether a Job has a condition that is true.
 func hasCondition(job *batchv1.Job, kind batchv1.JobConditionType) bool {
 	if job == nil {
 		return false
@@ -313,69 +346,71 @@
 	return false
 }
 
-func (c *cluster) pods(query string) []corev1.Pod {
+// pods returns the Pods of the namespace default that a query selects.
+func (cluster *testCluster) pods(query string) []corev1.Pod {
 	var list corev1.PodList
-	code, b := c.request("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
+	code, answer := cluster.request("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
 	if code == 200 {
-		if err := json.Unmarshal(b, &list); err != nil {
-			c.t.Fatal(err)
+		if err := json.Unmarshal(answer, &list); err != nil {
+			cluster.t.Fatal(err)
 		}
 	}
 	return list.Items
 }
 
 // injectFault makes all nodes faulty.
-func (c *cluster) injectFault(f fault.Node) {
-	c.runOnEmulators(func() {
-		for _, node := range c.nodes {
-			node.Fault(f)
+func (cluster *testCluster) injectFault(injected fault.Node) {
+	cluster.runOnEmulators(func() {
+		for _, node := range cluster.nodes {
+			node.Fault(injected)
 		}
 	})
 }
 
 // countEvents counts the events of a kind at the nodes.
-func (c *cluster) countEvents(kind string) int {
-	n := 0
-	for _, event := range c.recordedEvents() {
+func (cluster *testCluster) countEvents(kind string) int {
+	count := 0
+	for _, event := range cluster.recordedEvents() {
 		if event.Kind == kind {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // checkAudit checks the rules on what the nodes have seen so far.
-func (c *cluster) checkAudit() {
-	c.t.Helper()
+func (cluster *testCluster) checkAudit() {
+	cluster.t.Helper()
 	auditConfig := audit.Config{
-		Classes:    simulation.AuditClasses(&c.settings),
-		DrainGrace: c.settings.Timing.DrainGrace.Seconds(),
+		Classes:    simulation.AuditClasses(&cluster.settings),
+		DrainGrace: cluster.settings.Timing.DrainGrace.Seconds(),
 		Slack:      auditSlackSeconds,
 	}
-	for _, violation := range audit.Check(auditConfig, c.recordedEvents()).Violations {
-		c.t.Error(violation)
+	for _, violation := range audit.Check(auditConfig, cluster.recordedEvents()).Violations {
+		cluster.t.Error(violation)
 	}
 }
 
-func jobJSON(name string, n int) string {
+// jobJSON is the JSON of a Job of small tasks.
+func jobJSON(name string, tasks int) string {
 	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q},"spec":{"parallelism":%d,"completions":%d,"template":{"spec":{`+
-		`"restartPolicy":"Never","containers":[{"name":"m","image":"i","resources":{"requests":{"cpu":"10m","memory":"1Mi"}}}]}}}}`, name, n, n)
+		`"restartPolicy":"Never","containers":[{"name":"m","image":"i","resources":{"requests":{"cpu":"10m","memory":"1Mi"}}}]}}}}`, name, tasks, tasks)
 }
 
 // watchers is the number of open watches.
-func (c *cluster) watchers() (n int) {
-	c.runOnLoop(func() { n = c.scheduler.apiServer.Watchers() })
+func (cluster *testCluster) watchers() (n int) {
+	cluster.runOnLoop(func() { n = cluster.scheduler.apiServer.Watchers() })
 	return n
 }
 
 // revision is the revision of the last change.
-func (c *cluster) revision() (revision int64) {
-	c.runOnLoop(func() { revision = c.scheduler.Revision() })
+func (cluster *testCluster) revision() (revision int64) {
+	cluster.runOnLoop(func() { revision = cluster.scheduler.Revision() })
 	return revision
 }
 
 // count is the number of objects of a resource.
-func (c *cluster) count(resource store.Resource) (n int) {
-	c.runOnLoop(func() { n = c.scheduler.ObjectCount(resource) })
+func (cluster *testCluster) count(resource store.Resource) (n int) {
+	cluster.runOnLoop(func() { n = cluster.scheduler.ObjectCount(resource) })
 	return n
 }
--- a/internal/kube/scheduler/lifecycle_test.go
+++ b/internal/kube/scheduler/lifecycle_test.go
@@ -16,59 +16,60 @@
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
-	"heathshed/internal/lab/scenario"
 )
 
 // A scheduler that is killed while tasks run adopts them when it is started again, and starts none of them anew.
 func TestRestartAdoptsRunningTasks(t *testing.T) {
-	c := startCluster(t, nil)
+	cluster := startCluster(t, nil)
 	for _, class := range []string{"once", "batch"} {
-		c.submitJob(scenario.Job{Name: class, Class: class, Service: class, Tasks: 8, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
+		job := longJob(class, class, 8, 3)
+		job.Service = class
+		cluster.submitJob(job)
 	}
-	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 16 })
+	cluster.waitUntilRunning(16)
 	before := map[string]bool{}
-	for _, p := range c.pods("") {
-		before[string(p.UID)] = true
+	for _, pod := range cluster.pods("") {
+		before[string(pod.UID)] = true
 	}
-	rev := c.revision()
-	c.killScheduler()
-	c.startScheduler()
-	after := c.pods("")
-	for _, p := range after {
-		if !before[string(p.UID)] || wellknown.SettledReason(&p) != wellknown.Placed {
-			t.Errorf("%s after the restart: settled as %q", p.Name, wellknown.SettledReason(&p))
+	revision := cluster.revision()
+	cluster.killScheduler()
+	cluster.startScheduler()
+	after := cluster.pods("")
+	for _, pod := range after {
+		if !before[string(pod.UID)] || wellknown.SettledReason(&pod) != wellknown.Placed {
+			t.Errorf("%s after the restart: settled as %q", pod.Name, wellknown.SettledReason(&pod))
 		}
 	}
-	if len(after) != 16 || c.countEvents(audit.Started) != 16 {
-		t.Errorf("%d Pods after the restart, %d starts in all, want 16", len(after), c.countEvents(audit.Started))
+	if len(after) != 16 || cluster.countEvents(audit.Started) != 16 {
+		t.Errorf("%d Pods after the restart, %d starts in all, want 16", len(after), cluster.countEvents(audit.Started))
 	}
 	for _, name := range []string{"once", "batch"} {
-		if j := c.job(name); j == nil || j.Status.Active != 8 {
-			t.Errorf("Job %s after the restart: %v", name, j)
+		if job := cluster.job(name); job == nil || job.Status.Active != 8 {
+			t.Errorf("Job %s after the restart: %v", name, job)
 		}
 	}
-	if code, _ := c.request("GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", nil); code != 410 {
+	if code, _ := cluster.request("GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", revision), "", nil); code != 410 {
 		t.Errorf("watch from a revision of the earlier incarnation: status %d, want 410", code)
 	}
 	// The client posts its Job again: it is there.
-	c.requireStatus(409, "POST", jobsPath, jsonType, jobJSON("once", 8))
-	c.checkAudit()
+	cluster.requireStatus(409, "POST", jobsPath, jsonType, jobJSON("once", 8))
+	cluster.checkAudit()
 }
 
 // A graceful stop: every accepted task gets its outcome and watches end in order.
 func TestGracefulStop(t *testing.T) {
-	c := startCluster(t, nil)
-	c.injectFault(fault.Node{Stall: 0.3})
-	resp, err := http.Get(c.baseURL + "/api/v1/pods?watch=1")
+	cluster := startCluster(t, nil)
+	cluster.injectFault(fault.Node{Stall: 0.3})
+	resp, err := http.Get(cluster.baseURL + "/api/v1/pods?watch=1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.submitJob(scenario.Job{Name: "a", Class: "once", Service: "s", Tasks: 10, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: 3})
-	c.eventually("attempts are in flight", func() bool { return c.countEvents(audit.AttemptReceived) > 0 })
+	cluster.submitJob(longJob("a", "once", 10, 3))
+	cluster.eventually("attempts are in flight", func() bool { return cluster.countEvents(audit.AttemptReceived) > 0 })
 	stopped := make(chan struct{})
-	c.loop.Post(func() { c.scheduler.Stop(20*time.Second, func() { close(stopped); c.loop.Stop() }) })
+	cluster.loop.Post(func() { cluster.scheduler.Stop(20*time.Second, func() { close(stopped); cluster.loop.Stop() }) })
 	// The watch ends with a complete chunked body, after an outcome for each task.
-	b, err := io.ReadAll(resp.Body)
+	events, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Errorf("the watch broke off: %v", err)
 	}
@@ -77,15 +78,15 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("did not stop")
 	}
-	out := map[string]bool{}
-	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
-		var ev struct{ Object corev1.Pod }
-		if json.Unmarshal([]byte(line), &ev) == nil && wellknown.SettledReason(&ev.Object) != "" {
-			out[string(ev.Object.UID)] = true
+	settled := map[string]bool{}
+	for line := range strings.SplitSeq(strings.TrimSpace(string(events)), "\n") {
+		var event struct{ Object corev1.Pod }
+		if json.Unmarshal([]byte(line), &event) == nil && wellknown.SettledReason(&event.Object) != "" {
+			settled[string(event.Object.UID)] = true
 		}
 	}
-	if len(out) != 10 {
-		t.Errorf("%d outcomes of 10", len(out))
+	if len(settled) != 10 {
+		t.Errorf("%d outcomes of 10", len(settled))
 	}
-	c.checkAudit()
+	cluster.checkAudit()
 }
--- a/internal/kube/scheduler/requests_test.go
+++ b/internal/kube/scheduler/requests_test.go
@@ -17,14 +17,16 @@
 )
 
 func TestRejectedRequests(t *testing.T) {
-	c := startCluster(t, func(s *config.Settings) { s.Limits.MaxBodyBytes, s.Limits.MaxPods = 4096, 50 })
+	cluster := startCluster(t, func(settings *config.Settings) {
+		settings.Limits.MaxBodyBytes, settings.Limits.MaxPods = 4096, 50
+	})
 	body := jobJSON("fit", 1)
-	pad := func(n int) string { return body + strings.Repeat(" ", n-len(body)) }
-	c.requireStatus(201, "POST", jobsPath, jsonType, pad(4096))
-	c.requireStatus(413, "POST", jobsPath, jsonType, pad(4097))
-	for _, x := range []struct {
-		code                         int
-		method, path, ct, body, says string
+	padded := func(size int) string { return body + strings.Repeat(" ", size-len(body)) }
+	cluster.requireStatus(201, "POST", jobsPath, jsonType, padded(4096))
+	cluster.requireStatus(413, "POST", jobsPath, jsonType, padded(4097))
+	for _, test := range []struct {
+		code                                  int
+		method, path, contentType, body, says string
 	}{
 		{400, "POST", jobsPath, jsonType, "{", "unexpected end"},
 		{400, "POST", jobsPath + "?fieldValidation=Strict", "application/json", strings.Replace(jobJSON("x", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1), "spek"},
@@ -46,19 +48,28 @@
 		{400, "GET", "/api/v1/pods?continue=x", "", "", "continue"},
 		{504, "GET", "/api/v1/pods?resourceVersion=9999999999999999", "", "", "Too large"},
 	} {
-		b := c.requireStatus(x.code, x.method, x.path, x.ct, x.body)
+		answer := cluster.requireStatus(test.code, test.method, test.path, test.contentType, test.body)
 		var status struct{ Kind, Message string }
-		if json.Unmarshal(b, &status) != nil || status.Kind != "Status" || !strings.Contains(status.Message, x.says) {
-			t.Errorf("%d %s %s: %.300s, want a Status with %q", x.code, x.method, x.path, b, x.says)
+		if json.Unmarshal(answer, &status) != nil || status.Kind != "Status" || !strings.Contains(status.Message, test.says) {
+			t.Errorf("%d %s %s: %.300s, want a Status with %q", test.code, test.method, test.path, answer, test.says)
 		}
 	}
-	req, _ := http.NewRequest("GET", c.baseURL+"/api/v1/pods", nil)
+}
+
+// TestResponseHeaders checks the response to a media type that there is none of, and the warning of a field that is unknown.
+func TestResponseHeaders(t *testing.T) {
+	cluster := startCluster(t, nil)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, cluster.baseURL+"/api/v1/pods", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	req.Header.Set("Accept", "text/html")
-	if resp, err := http.DefaultClient.Do(req); err != nil || resp.StatusCode != 406 {
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil || resp.StatusCode != 406 {
 		t.Errorf("accept: %v, %v", resp, err)
 	}
 	unknown := strings.Replace(jobJSON("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
-	resp, err := http.Post(c.baseURL+jobsPath, jsonType, strings.NewReader(unknown))
+	resp, err = http.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(unknown))
 	if err != nil || resp.StatusCode != 201 || !strings.Contains(resp.Header.Get("Warning"), "spek") {
 		t.Errorf("unknown field: %v, %v", resp, err)
 	}
@@ -66,34 +77,34 @@
 
 // Ten thousand requests in one pipeline get their responses in order; half-open connections delay nobody.
 func TestPipelineAndHalfOpen(t *testing.T) {
-	c := startCluster(t, nil)
+	cluster := startCluster(t, nil)
 	var silent []net.Conn
 	for range 50 {
-		silent = append(silent, c.connect("GET /livez HT")) // and nothing more
+		silent = append(silent, cluster.connect("GET /livez HT")) // and nothing more
 	}
-	conn := c.connect("")
-	const n = 10000
+	conn := cluster.connect("")
+	const requests = 10000
 	go func() {
-		var b strings.Builder
-		for i := range n {
-			fmt.Fprintf(&b, "GET /api/v1/nodes/x%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
+		var pipeline strings.Builder
+		for i := range requests {
+			fmt.Fprintf(&pipeline, "GET /api/v1/nodes/x%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		}
-		if _, err := io.WriteString(conn, b.String()); err != nil {
+		if _, err := io.WriteString(conn, pipeline.String()); err != nil {
 			t.Errorf("sending the pipeline: %v", err)
 		}
 	}()
-	r := bufio.NewReader(conn)
-	for i := range n {
-		resp, err := http.ReadResponse(r, nil)
+	reader := bufio.NewReader(conn)
+	for i := range requests {
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
-		b, err := io.ReadAll(resp.Body)
+		answer, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
-		if resp.StatusCode != 404 || !strings.Contains(string(b), strconv.Quote(fmt.Sprint("x", i))[1:]) {
-			t.Fatalf("answer %d: %d %.200s", i, resp.StatusCode, b)
+		if resp.StatusCode != 404 || !strings.Contains(string(answer), strconv.Quote(fmt.Sprint("x", i))[1:]) {
+			t.Fatalf("answer %d: %d %.200s", i, resp.StatusCode, answer)
 		}
 	}
 	for _, half := range silent {
@@ -101,9 +112,9 @@
 			t.Error(err)
 		}
 	}
-	c.eventually("half-open connections are closed", func() bool {
-		var n int
-		c.runOnLoop(func() { n = c.scheduler.httpServer.Conns() })
-		return n <= 2
+	cluster.eventually("half-open connections are closed", func() bool {
+		var conns int
+		cluster.runOnLoop(func() { conns = cluster.scheduler.httpServer.Conns() })
+		return conns <= 2
 	})
 }
--- a/internal/kube/scheduler/watch_test.go
+++ b/internal/kube/scheduler/watch_test.go
@@ -16,23 +16,22 @@
 
 	"heathshed/internal/config"
 	"heathshed/internal/kube/store"
-	"heathshed/internal/lab/scenario"
 )
 
 // A watch that is cut in the middle of an event resumes after its last complete one; from a revision that is no longer kept
 // it is rejected.
 func TestWatchDisconnectedAndResumed(t *testing.T) {
-	c := startCluster(t, func(s *config.Settings) { s.Limits.History = 60 })
-	rev := c.revision()
-	c.submitJob(scenario.Job{Name: "a", Class: "batch", Service: "s", Tasks: 10, Cores: 0.1, Memory: 0.1, Lifetime: 60, BackoffLimit: 3})
-	c.eventually("all run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 10 })
+	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.History = 60 })
+	first := cluster.revision()
+	cluster.submitJob(sized(longJob("a", "batch", 10, 3), 0.1))
+	cluster.waitUntilRunning(10)
 	seen := map[string]bool{}
-	last := fmt.Sprint(rev)
+	last := fmt.Sprint(first)
 	for cuts := 0; len(seen) < 30; cuts++ {
 		if cuts > 200 {
 			t.Fatalf("%d events after %d cuts", len(seen), cuts)
 		}
-		for _, revision := range c.watchCut(last, int64(2500+cuts*311%4000)) {
+		for _, revision := range cluster.watchCut(last, int64(2500+cuts*311%4000)) {
 			if seen[revision] {
 				t.Fatalf("revision %s came twice", revision)
 			}
@@ -41,28 +40,28 @@
 		}
 	}
 	// Ten Pods are added, placed and seen running: thirty events. Then the history moves on.
-	c.submitJob(scenario.Job{Name: "b", Class: "batch", Service: "s", Tasks: 30, Cores: 0.1, Memory: 0.1, Lifetime: 60, BackoffLimit: 3})
-	c.eventually("more run", func() bool { return len(c.pods("?fieldSelector=status.phase=Running")) == 40 })
-	c.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", rev), "", "")
+	cluster.submitJob(sized(longJob("b", "batch", 30, 3), 0.1))
+	cluster.waitUntilRunning(40)
+	cluster.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", first), "", "")
 }
 
 // watchCut watches all Pods from a revision, cuts the connection after so many bytes, and returns the revisions of the
 // complete events.
-func (c *cluster) watchCut(from string, bytes int64) (revisions []string) {
-	c.t.Helper()
-	conn := c.connect(fmt.Sprintf("GET /api/v1/pods?watch=1&timeoutSeconds=1&resourceVersion=%s HTTP/1.1\r\nHost: a\r\n\r\n", from))
+func (cluster *testCluster) watchCut(from string, bytes int64) (revisions []string) {
+	cluster.t.Helper()
+	conn := cluster.connect(fmt.Sprintf("GET /api/v1/pods?watch=1&timeoutSeconds=1&resourceVersion=%s HTTP/1.1\r\nHost: a\r\n\r\n", from))
 	defer func() {
 		if err := conn.Close(); err != nil {
-			c.t.Error(err)
+			cluster.t.Error(err)
 		}
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, bytes)), nil)
 	if err != nil {
 		return nil // cut within the head
 	}
-	r := bufio.NewReader(resp.Body)
+	reader := bufio.NewReader(resp.Body)
 	for {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return revisions // an event cut short does not count
 		}
@@ -71,7 +70,7 @@
 			Object corev1.Pod
 		}
 		if err := json.Unmarshal(line, &event); err != nil {
-			c.t.Fatal(err)
+			cluster.t.Fatal(err)
 		}
 		revisions = append(revisions, event.Object.ResourceVersion)
 	}
@@ -79,34 +78,35 @@
 
 // Many idle watches and a Job of ten thousand tasks side by side: all settle, and a watch sees each of its events.
 func TestManyWatchesAndTasks(t *testing.T) {
-	c := startCluster(t, func(s *config.Settings) {
-		s.Emulator.MaxQueued, s.Emulator.DecisionDelayMin, s.Emulator.DecisionDelayMax = 4096, 0, 0.0001
+	cluster := startCluster(t, func(settings *config.Settings) {
+		emulator := &settings.Emulator
+		emulator.MaxQueued, emulator.DecisionDelayMin, emulator.DecisionDelayMax = 4096, 0, 0.0001
 	})
 	const watches, tasks = 5000, 10000
 	for i := range watches {
-		if err := c.openWatch("GET /api/v1/namespaces/none/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+		if err := cluster.openWatch("GET /api/v1/namespaces/none/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Skipf("only %d connections: %v", i, err)
 		}
 	}
-	c.eventually("all watch", func() bool { return c.watchers() == watches })
-	c.requireStatus(201, "POST", jobsPath, jsonType,
+	cluster.eventually("all watch", func() bool { return cluster.watchers() == watches })
+	cluster.requireStatus(201, "POST", jobsPath, jsonType,
 		strings.Replace(jobJSON("big", tasks), `"template":{`, `"template":{"metadata":{"annotations":{"heathshed.io/lifetime":"0.5"}},`, 1))
-	c.eventually("all settle", func() bool { return settledReason(c.job("big")) != "" })
-	if j := c.job("big"); settledReason(j) == "" || c.count(store.Pods) < tasks {
-		t.Errorf("%v with %d Pods", j.Status, c.count(store.Pods))
+	cluster.waitUntilSettled("big")
+	if job := cluster.job("big"); settledReason(job) == "" || cluster.count(store.Pods) < tasks {
+		t.Errorf("%v with %d Pods", job.Status, cluster.count(store.Pods))
 	}
 }
 
 // openWatch opens a connection that sends a request and is not read. It returns an error if it cannot be opened.
-func (c *cluster) openWatch(request string) error {
-	c.t.Helper()
-	conn, err := net.Dial("tcp", c.scheduler.Addr())
+func (cluster *testCluster) openWatch(request string) error {
+	cluster.t.Helper()
+	conn, err := net.Dial("tcp", cluster.scheduler.Addr())
 	if err != nil {
 		return err
 	}
-	c.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor
+	cluster.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor
 	if _, err := io.WriteString(conn, request); err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return nil
 }
