--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -47,7 +47,7 @@
 // adoptPod adopts a task that a process before this one has placed. Its Job is rebuilt from what the node kept with the Pod. A Pod that
 // cannot be adopted is stopped.
 func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
-	class, invalid := a.jobController.classFromLabels(found.Labels)
+	class, invalid := a.cfg.classFromLabels(found.Labels)
 	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
 		a.stopCopy(node, found.UID, found.Namespace, found.Name, allAttempts)
 		return
@@ -80,7 +80,7 @@
 
 // taskOfPod returns the task of a Pod that was found running. Its outcome was settled by the process that placed it.
 func (a *adopter) taskOfPod(found *corev1.Pod, class int) *task {
-	tenant, _ := a.jobController.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
+	tenant, _ := a.cfg.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
 	service := found.Labels[wellknown.Service]
 	if service == "" {
 		service = found.Labels[wellknown.JobName]
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"heathshed/internal/control/admission"
 	"heathshed/internal/control/retry"
+	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
@@ -87,3 +89,29 @@
 		*setting = value
 	}
 }
+
+// classFromLabels returns the index of the class that a pod template names.
+func (c *Config) classFromLabels(labels map[string]string) (int, *InvalidError) {
+	name, ok := labels[wellknown.Class]
+	if !ok {
+		return c.DefaultClass, nil
+	}
+	if i := slices.Index(c.Classes, name); i >= 0 {
+		return i, nil
+	}
+	return 0, &InvalidError{
+		Field:  "spec.template.metadata.labels[" + wellknown.Class + "]",
+		Detail: fmt.Sprintf("no such class; there are %v", c.Classes),
+		Value:  name,
+	}
+}
+
+// tenantOf returns the index of a namespace's tenant, and whether the namespace is accepted.
+func (c *Config) tenantOf(namespace string) (int, bool) {
+	for i, name := range c.Tenants {
+		if name == namespace {
+			return i, true
+		}
+	}
+	return 0, len(c.Tenants) == 0 || namespace == defaultNamespace
+}
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	batchv1 "k8s.io/api/batch/v1"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
@@ -12,30 +11,14 @@
 	"heathshed/placer"
 )
 
-// classFromLabels returns the index of the class that a pod template names.
-func (c *jobController) classFromLabels(labels map[string]string) (int, *InvalidError) {
-	name, ok := labels[wellknown.Class]
-	if !ok {
-		return c.cfg.DefaultClass, nil
-	}
-	if i := slices.Index(c.cfg.Classes, name); i >= 0 {
-		return i, nil
-	}
-	return 0, &InvalidError{
-		Field:  "spec.template.metadata.labels[" + wellknown.Class + "]",
-		Detail: fmt.Sprintf("no such class; there are %v", c.cfg.Classes),
-		Value:  name,
-	}
-}
-
 // newJob returns the state of a Job of which nothing was started. The error is an *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
-	class, invalid := c.classFromLabels(labels)
+	class, invalid := c.cfg.classFromLabels(labels)
 	if invalid != nil {
 		return nil, invalid
 	}
-	tenant, ok := c.tenantOf(object.Namespace)
+	tenant, ok := c.cfg.tenantOf(object.Namespace)
 	if !ok {
 		return nil, &InvalidError{Field: "metadata.namespace", Detail: "no such tenant", Value: object.Namespace}
 	}
@@ -161,13 +144,3 @@
 	c.jobs.dropOldestFinished()
 	return true
 }
-
-// tenantOf returns the index of a namespace's tenant, and whether the namespace is accepted.
-func (c *jobController) tenantOf(namespace string) (int, bool) {
-	for i, name := range c.cfg.Tenants {
-		if name == namespace {
-			return i, true
-		}
-	}
-	return 0, len(c.cfg.Tenants) == 0 || namespace == defaultNamespace
-}
--- /dev/null
+++ b/internal/kube/engine/job_table_test.go
@@ -0,0 +1,70 @@
+package engine
+
+import "testing"
+
+// finishedJob returns a Job that is held and has finished.
+func finishedJob(table *jobTable, key string) *job {
+	finished := &job{key: key, progress: jobEnded, transitions: &transitionCheck{}}
+	table.add(finished)
+	table.addFinished(finished)
+	return finished
+}
+
+func TestOldestFinishedJob(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		prepare func(table *jobTable, first, second *job)
+		want    string // its key, "" if there is none
+	}{
+		{"in order of the end", func(*jobTable, *job, *job) {}, "first"},
+		{"a deleted one is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
+		{"one that is not held is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
+		{"one whose name another Job has is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
+		{"dropped ones are gone", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
+		{"none is left", func(table *jobTable, first, second *job) {
+			table.remove(first)
+			table.remove(second)
+		}, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			table := &jobTable{byKey: map[string]*job{}}
+			first, second := finishedJob(table, "first"), finishedJob(table, "second")
+
+			test.prepare(table, first, second)
+
+			got := ""
+			if oldest := table.oldestFinished(); oldest != nil {
+				got = oldest.key
+			}
+			if got != test.want {
+				t.Errorf("%q is the oldest, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+// TestDeletedJobsDoNotPileUp checks that the list of finished Jobs is bounded by the Jobs that are held.
+func TestDeletedJobsDoNotPileUp(t *testing.T) {
+	table := &jobTable{byKey: map[string]*job{}}
+	for range 100 {
+		finished := finishedJob(table, "default/j")
+		finished.setDeletion(jobDeleted)
+		table.remove(finished)
+	}
+	if got, most := len(table.finished), minFinishedSlack+3; got > most {
+		t.Errorf("%d finished Jobs are listed with none held, want at most %d", got, most)
+	}
+}
+
+func TestRemovedJobIsNotHeld(t *testing.T) {
+	table := &jobTable{byKey: map[string]*job{}}
+	first, second := &job{key: "default/j"}, &job{key: "default/j"}
+	table.add(first)
+	table.add(second)
+	if table.remove(first) {
+		t.Error("a Job was removed whose name another one has")
+	}
+	if !table.holds(second) || !table.remove(second) || table.get("default/j") != nil {
+		t.Error("the Job that is held was not removed")
+	}
+}
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -66,17 +66,15 @@
 const deletionGracePeriod = 30
 
 // showPlaced writes the outcome of a task that a node has accepted into its Pod.
-func (p *publisher) showPlaced(pod *corev1.Pod, node, message string) {
-	now := p.apiNow()
-	p.showSettled(pod, wellknown.Placed, message)
+func showPlaced(pod *corev1.Pod, now metav1.Time, node, message string) {
+	showSettled(pod, now, wellknown.Placed, message)
 	pod.Spec.NodeName = node
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
 // showUnplaced writes the outcome of a task that no node has accepted into its Pod.
-func (p *publisher) showUnplaced(pod *corev1.Pod, reason, message string) {
-	now := p.apiNow()
-	p.showSettled(pod, reason, message)
+func showUnplaced(pod *corev1.Pod, now metav1.Time, reason, message string) {
+	showSettled(pod, now, reason, message)
 	pod.Status.Phase = corev1.PodFailed
 	pod.Status.Reason = reason
 	pod.Status.Message = message
@@ -89,8 +87,7 @@
 	})
 }
 
-func (p *publisher) showSettled(pod *corev1.Pod, reason, message string) {
-	now := p.apiNow()
+func showSettled(pod *corev1.Pod, now metav1.Time, reason, message string) {
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
 		Status:             corev1.ConditionTrue,
@@ -102,8 +99,7 @@
 }
 
 // showStarted writes into a Pod that its containers run.
-func (p *publisher) showStarted(pod *corev1.Pod) {
-	now := p.apiNow()
+func showStarted(pod *corev1.Pod, now metav1.Time) {
 	pod.Status.Phase = corev1.PodRunning
 	pod.Status.StartTime = &now
 	pod.Status.ContainerStatuses = nil
@@ -124,8 +120,7 @@
 }
 
 // showEnded writes into a Pod how its task ended.
-func (p *publisher) showEnded(pod *corev1.Pod, end *taskEnd) {
-	now := p.apiNow()
+func showEnded(pod *corev1.Pod, now metav1.Time, end *taskEnd) {
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
 		pod.Status.Phase = corev1.PodSucceeded
@@ -147,8 +142,7 @@
 }
 
 // showDeleted writes into a Pod that it was deleted and waits for the end of its task.
-func (p *publisher) showDeleted(pod *corev1.Pod) {
-	now := p.apiNow()
+func showDeleted(pod *corev1.Pod, now metav1.Time) {
 	gracePeriod := int64(deletionGracePeriod)
 	pod.DeletionTimestamp = &now
 	pod.DeletionGracePeriodSeconds = &gracePeriod
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -66,7 +66,7 @@
 		return
 	}
 	task.deleted = true
-	c.publisher.updatePod(task, c.publisher.showDeleted)
+	c.publisher.publishDeleted(task)
 	c.lifecycle.stop(task, reason)
 }
 
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -81,3 +81,34 @@
 
 // objectCost returns what the stored objects cost, as store.Cost counts.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
+
+// publishPlaced shows the outcome of a task that a node has accepted.
+func (p *publisher) publishPlaced(task *task, message string) {
+	node := task.attempts.running.node.name
+	p.updatePod(task, func(pod *corev1.Pod) { showPlaced(pod, p.apiNow(), node, message) })
+}
+
+// publishUnplaced shows the outcome of a task that no node has accepted.
+func (p *publisher) publishUnplaced(task *task, reason, message string) {
+	p.updatePod(task, func(pod *corev1.Pod) { showUnplaced(pod, p.apiNow(), reason, message) })
+}
+
+// publishNodeName shows the node of a task whose outcome was published before.
+func (p *publisher) publishNodeName(task *task, node string) {
+	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = node })
+}
+
+// publishStarted shows that the containers of a task run.
+func (p *publisher) publishStarted(task *task) {
+	p.updatePod(task, func(pod *corev1.Pod) { showStarted(pod, p.apiNow()) })
+}
+
+// publishEnded shows how a task ended.
+func (p *publisher) publishEnded(task *task, end *taskEnd) {
+	p.updatePod(task, func(pod *corev1.Pod) { showEnded(pod, p.apiNow(), end) })
+}
+
+// publishDeleted shows that a Pod was deleted and waits for the end of its task.
+func (p *publisher) publishDeleted(task *task) {
+	p.updatePod(task, func(pod *corev1.Pod) { showDeleted(pod, p.apiNow()) })
+}
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -1,8 +1,6 @@
 package engine
 
 import (
-	corev1 "k8s.io/api/core/v1"
-
 	"heathshed/internal/control/retry"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
@@ -62,7 +60,9 @@
 // settlePlaced stores the final outcome of a task that a node has accepted.
 func (l *taskLifecycle) settlePlaced(task *task, message string) {
 	l.stats.Placed++
-	l.settle(task, wellknown.Placed, func(pod *corev1.Pod) { l.publisher.showPlaced(pod, task.attempts.running.node.name, message) })
+	l.tasks.settle(task)
+	l.publisher.publishPlaced(task, message)
+	l.reportSettled(task, wellknown.Placed)
 }
 
 // settleUnplaced stores the final outcome of a task that waits and is not requested again, and ends the task.
@@ -72,15 +72,16 @@
 	} else {
 		l.stats.Failed++
 	}
-	l.settle(task, reason, func(pod *corev1.Pod) { l.publisher.showUnplaced(pod, reason, message) })
+	l.tasks.settle(task)
+	l.publisher.publishUnplaced(task, reason, message)
+	l.reportSettled(task, reason)
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	l.terminate(task, false, retry.Rejected)
 }
 
-func (l *taskLifecycle) settle(task *task, reason string, show func(pod *corev1.Pod)) {
-	l.tasks.settle(task)
-	l.publisher.updatePod(task, show)
+// reportSettled notifies the Job of a task, if it has one, of the task's final outcome.
+func (l *taskLifecycle) reportSettled(task *task, reason string) {
 	if task.job != nil {
 		l.jobController.recordSettled(task, reason)
 	}
@@ -94,7 +95,7 @@
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	if task.settled {
-		l.publisher.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = accepted.node.name })
+		l.publisher.publishNodeName(task, accepted.node.name)
 		return
 	}
 	l.settlePlaced(task, "accepted by "+accepted.node.name)
@@ -115,7 +116,7 @@
 		Usage:   placer.Started,
 		Value:   float64(l.now - running.sentAt),
 	})
-	l.publisher.updatePod(task, l.publisher.showStarted)
+	l.publisher.publishStarted(task)
 }
 
 // taskEnd describes how a task ended that a node had accepted.
@@ -152,7 +153,7 @@
 	})
 	l.requests.discard(ended.request)
 	cause := l.countEnd(&end)
-	l.publisher.updatePod(task, func(pod *corev1.Pod) { l.publisher.showEnded(pod, &end) })
+	l.publisher.publishEnded(task, &end)
 	l.terminate(task, end.succeeded(), cause)
 }
 
