--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -16,33 +16,42 @@
 
 // TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
 func TestCharacterizeMoves(t *testing.T) {
-	s := newScript(t, 6, func(c *engine.Config) {
-		c.Placer.Costs.Node, c.Placer.Costs.Migration, c.Placer.Costs.CrossZone = 5, 0.01, 0
+	played := newScript(t, 6, func(config *engine.Config) {
+		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
 	})
-	s.advance(s.now + 5)
-	for i, n := range s.nodes {
-		pod := &corev1.Pod{}
-		pod.Name, pod.Namespace, pod.UID = fmt.Sprintf("found-%d", i), "default", types.UID(fmt.Sprintf("found-uid-%d", i))
-		pod.Labels = map[string]string{wellknown.Scheduler: s.config.Name, wellknown.Class: "batch", wellknown.Service: "service"}
-		pod.Annotations = map[string]string{wellknown.AttemptAnnotation: "2"}
-		pod.ResourceVersion, pod.Status.Phase = "9", corev1.PodRunning
-		n.pods = append(n.pods, pod)
-		s.engine.NodePod(s.now, n.name, pod, false)
-		s.observe()
+	played.advance(played.now + 5)
+	for i, node := range played.nodes {
+		pod := foundPod(played.config.Name, i)
+		node.pods = append(node.pods, pod)
+		played.engine.NodePod(played.now, node.name, pod, false)
+		played.observe()
 	}
 	for i := range 20 {
-		s.create(false)
-		s.observe()
-		s.advance(s.now + 2)
+		played.create(false)
+		played.observe()
+		played.advance(played.now + 2)
 		if i%5 == 4 {
-			s.checkpoint(fmt.Sprintf("step %d", i+1))
+			played.checkpoint(fmt.Sprintf("step %d", i+1))
 		}
 	}
-	if s.engine.Stats.MigratedTasks == 0 {
+	if played.engine.Stats.MigratedTasks == 0 {
 		t.Error("nothing was moved")
 	}
-	s.finish()
-	s.record.Check(t, "script-moves")
+	played.finish()
+	played.record.Check(t, "script-moves")
+}
+
+// foundPod returns a Pod that a scheduler before this one has placed.
+func foundPod(scheduler string, number int) *corev1.Pod {
+	pod := &corev1.Pod{}
+	pod.Name = fmt.Sprintf("found-%d", number)
+	pod.Namespace = "default"
+	pod.UID = types.UID(fmt.Sprintf("found-uid-%d", number))
+	pod.Labels = map[string]string{wellknown.Scheduler: scheduler, wellknown.Class: "batch", wellknown.Service: "service"}
+	pod.Annotations = map[string]string{wellknown.AttemptAnnotation: "2"}
+	pod.ResourceVersion = "9"
+	pod.Status.Phase = corev1.PodRunning
+	return pod
 }
 
 // TestCharacterizeEngineUnderScripts pins what an engine does, byte for byte, under seeded calls with faults: lost and late answers,
@@ -53,34 +62,37 @@
 		seed     uint64
 		steps    int
 		restarts bool
-		change   func(*engine.Config)
+		change   func(config *engine.Config)
 	}{
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
-		{"small-limits", 3, 300, false, func(c *engine.Config) {
-			c.MaxPods, c.MaxObjects, c.History, c.MaxStartsPerCall, c.NodeLossTimeout = 90, 600000, 5000, 3, 2
+		{"small-limits", 3, 300, false, func(config *engine.Config) {
+			config.MaxPods, config.MaxObjects, config.History = 90, 600000, 5000
+			config.MaxStartsPerCall, config.NodeLossTimeout = 3, 2
 		}},
-		{"narrow-gate", 4, 300, true, func(c *engine.Config) {
-			c.Admission.MinInFlight, c.Admission.MaxInFlight, c.Admission.InitialInFlight, c.Admission.MaxQueued, c.FinishedTTL = 1, 3, 2, 12, 0
+		{"narrow-gate", 4, 300, true, func(config *engine.Config) {
+			limits := &config.Admission
+			limits.MinInFlight, limits.MaxInFlight, limits.InitialInFlight, limits.MaxQueued = 1, 3, 2, 12
+			config.FinishedTTL = 0
 		}},
-		{"pull-list", 5, 200, true, func(c *engine.Config) {
-			c.Placer.Discovery.MustPoll, c.Placer.NodeBehavior.AcknowledgesOnStart = true, true
+		{"pull-list", 5, 200, true, func(config *engine.Config) {
+			config.Placer.Discovery.MustPoll, config.Placer.NodeBehavior.AcknowledgesOnStart = true, true
 		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			s := newScript(t, run.seed, run.change)
+			played := newScript(t, run.seed, run.change)
 			for i := range run.steps {
-				s.step()
-				s.advance(s.now + s.delay(0, 0.3))
+				played.step()
+				played.advance(played.now + played.delay(0, 0.3))
 				if run.restarts && i%60 == 59 {
-					s.restart()
+					played.restart()
 				}
 				if i%25 == 24 {
-					s.checkpoint(fmt.Sprintf("step %d", i+1))
+					played.checkpoint(fmt.Sprintf("step %d", i+1))
 				}
 			}
-			s.finish()
-			s.record.Check(t, "script-"+run.name)
+			played.finish()
+			played.record.Check(t, "script-"+run.name)
 		})
 	}
 }
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// CheckInvariants returns an error if a task, a Job or an index has made an illegal transition, if a task's state does not agree with its attempts, its
-// request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and simulations,
-// between calls.
+// CheckInvariants returns an error if a task, a Job or an index has made an illegal transition, if a task's state does not agree with its
+// attempts, its request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and
+// simulations, between calls.
 func (e *Engine) CheckInvariants() error {
 	if err := e.transitions.first; err != nil {
 		return err
--- /dev/null
+++ b/internal/kube/engine/fixture_test.go
@@ -0,0 +1,116 @@
+package engine
+
+import (
+	"testing"
+
+	batchv1 "k8s.io/api/batch/v1"
+	corev1 "k8s.io/api/core/v1"
+
+	"heathshed/internal/kube/wellknown"
+	"heathshed/placer"
+)
+
+// The tests of this package use one node, one class and one Job, with these names.
+const (
+	nodeName  = "n"
+	jobName   = "j"
+	className = "c"
+	typeName  = "k"
+)
+
+// Times of the tests. The node is listed first, and the Job is created after that.
+const (
+	listedAt  placer.Seconds = 1000
+	createdAt placer.Seconds = 1001
+)
+
+// testConfig returns the settings of an engine with one class of idempotent tasks and one type of nodes.
+func testConfig() Config {
+	return Config{
+		Name:      "s",
+		Classes:   []string{className},
+		NodeTypes: []string{typeName},
+		Placer: placer.Config{
+			Peers:        placer.Peers{Total: 1},
+			Classes:      []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
+			NodeTypes:    []placer.NodeType{{Cores: 8, Memory: 8}},
+			NodeBehavior: placer.NodeBehavior{ListShowsCapacity: true},
+			Overcommit:   placer.Overcommit{Cores: 1, Memory: 1},
+			SlowStart:    placer.SlowStart{Duration: 15},
+			Attempts:     placer.Attempts{Max: 3, AnswerGrace: 0.1},
+		},
+	}
+}
+
+// newEngine returns an engine with the settings of testConfig, which the functions may change.
+func newEngine(t *testing.T, changes ...func(config *Config)) *Engine {
+	t.Helper()
+	config := testConfig()
+	for _, change := range changes {
+		change(&config)
+	}
+	engine, err := New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return engine
+}
+
+// listedNode returns a ready node as the inventory lists it. A start time of 0 is not stated.
+func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
+	node := &corev1.Node{}
+	node.Name = nodeName
+	node.Labels = map[string]string{wellknown.Kind: typeName}
+	node.Annotations = map[string]string{}
+	if started > 0 {
+		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(started))
+	}
+	node.Status.NodeInfo.BootID = incarnation
+	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
+	node.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: "127.0.0.1"}}
+	node.Status.DaemonEndpoints.KubeletEndpoint.Port = 1
+	return node
+}
+
+// newJob returns a Job of so many tasks that may all run at once.
+func newJob(name string, tasks int32) *batchv1.Job {
+	created := &batchv1.Job{}
+	created.Name = name
+	created.Namespace = defaultNamespace
+	created.Spec.Completions = &tasks
+	created.Spec.Parallelism = &tasks
+	return created
+}
+
+// createJobOnOneNode lists a node with free capacity, which runs nothing, and creates a Job of so many tasks.
+func createJobOnOneNode(t *testing.T, engine *Engine, tasks int32) {
+	t.Helper()
+	node := listedNode("a", 0)
+	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
+	engine.NodesListed(listedAt, FullList, []*corev1.Node{node}, nil)
+	engine.NodePods(listedAt, nodeName, "a", 1, nil)
+	if _, err := engine.CreateJob(createdAt, newJob(jobName, tasks), false); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// takeAttempts takes the effects that are due and returns the attempts among them.
+func takeAttempts(engine *Engine) []Effect {
+	var attempts []Effect
+	for _, effect := range engine.Ready(nil) {
+		if effect.Kind == SendAttempt {
+			attempts = append(attempts, effect)
+		}
+	}
+	return attempts
+}
+
+// tickUntil runs the engine's timers until a condition holds, at most until the end. It returns the time of the last call.
+func tickUntil(engine *Engine, from, end placer.Seconds, holds func() bool) placer.Seconds {
+	now := from
+	for now < end && !holds() {
+		now = min(engine.NextWake(), end)
+		engine.Tick(now)
+	}
+	return now
+}
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -73,11 +74,11 @@
 	config := s.config
 	config.Seed += uint64(s.incarnation) * 7919
 	config.BaseRevision = s.revision + 1000
-	e, err := engine.New(config)
+	created, err := engine.New(config)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.engine, s.revision = e, config.BaseRevision
+	s.engine, s.revision = created, config.BaseRevision
 	s.observe()
 	s.after(0.05, s.fullList)
 }
@@ -134,26 +135,26 @@
 
 // recordChanges records the changes of all tables since the last call, in order of revision.
 func (s *script) recordChanges() {
-	type entry struct {
+	type tableChange struct {
 		table  store.Resource
 		change *store.Change
 	}
-	var entries []entry
+	var entries []tableChange
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		changes, err := s.engine.Store().Since(table, s.revision, math.MaxInt32)
 		s.record.Error(err)
 		for _, change := range changes {
-			entries = append(entries, entry{table, change})
+			entries = append(entries, tableChange{table, change})
 		}
 	}
-	slices.SortFunc(entries, func(left, right entry) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
-	for _, e := range entries {
-		s.changes[e.table][e.change.Op]++
-		s.record.Integers(int64(e.table), int64(e.change.Op), e.change.Rev)
-		s.recordObject(e.change.Object.(interface{ Marshal() ([]byte, error) }))
-		s.record.Booleans(e.change.Prev != nil)
-		if e.change.Prev != nil {
-			s.record.Texts(e.change.Prev.GetResourceVersion())
+	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
+	for _, entry := range entries {
+		s.changes[entry.table][entry.change.Op]++
+		s.record.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Rev)
+		s.recordObject(entry.change.Object.(interface{ Marshal() ([]byte, error) }))
+		s.record.Booleans(entry.change.Prev != nil)
+		if entry.change.Prev != nil {
+			s.record.Texts(entry.change.Prev.GetResourceVersion())
 		}
 	}
 	s.revision = s.engine.Store().Rev()
@@ -282,13 +283,7 @@
 		return true
 	})
 	s.checkpoint("final tasks")
-	for _, text := range slices.Sorted(func(yield func(string) bool) {
-		for text := range s.failures {
-			if !yield(text) {
-				return
-			}
-		}
-	}) {
+	for _, text := range slices.Sorted(maps.Keys(s.failures)) {
 		s.record.Line("error %d times: %s", s.failures[text], text)
 	}
 }
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -4,29 +4,26 @@
 	"strings"
 	"testing"
 
-	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
 )
 
 // engineWithTask returns an engine with one node and one task, which is queued, submitted or attempting.
 func engineWithTask(t *testing.T) (*Engine, *task) {
 	t.Helper()
-	e := newEngine(t)
-	e.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
-	job := &batchv1.Job{}
-	job.Name, job.Namespace = "j", defaultNamespace
-	if _, err := e.CreateJob(1001, job, false); err != nil {
+	engine := newEngine(t)
+	engine.NodesListed(listedAt, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
+	if _, err := engine.CreateJob(createdAt, newJob(jobName, 1), false); err != nil {
 		t.Fatal(err)
 	}
-	e.Tick(1001)
-	if err := e.CheckInvariants(); err != nil {
+	engine.Tick(createdAt)
+	if err := engine.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
-	for _, created := range e.tasks.byUID {
-		return e, created
+	tasks := engine.tasks.inOrder()
+	if len(tasks) != 1 {
+		t.Fatalf("%d tasks were started, want 1", len(tasks))
 	}
-	t.Fatal("no task was started")
-	return nil, nil
+	return engine, tasks[0]
 }
 
 func TestTaskTransitions(t *testing.T) {
@@ -52,12 +49,12 @@
 		{"leaves the removed state", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "goes from removed to created"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e := newEngine(t)
+			engine := newEngine(t)
 			walked := &task{uid: "u"}
 			for _, next := range test.path {
-				e.tasks.setState(walked, next)
+				engine.tasks.setState(walked, next)
 			}
-			err := e.CheckInvariants()
+			err := engine.CheckInvariants()
 			if test.bad == "" && err != nil {
 				t.Error(err)
 			}
@@ -71,7 +68,7 @@
 func TestInvariantsAreChecked(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		corrupt func(e *Engine, corrupted *task)
+		corrupt func(engine *Engine, corrupted *task)
 		want    string
 	}{
 		{"no request", func(_ *Engine, corrupted *task) { corrupted.request = nil }, "a request is open only before it is placed"},
@@ -81,12 +78,14 @@
 		{"settled early", func(_ *Engine, corrupted *task) { corrupted.settled = true }, "its outcome is final once"},
 		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
 		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.deleted = true }, "a deleted task is to stop"},
-		{"unknown to its node", func(e *Engine, corrupted *task) {
-			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: e.nodes.get("n")})
+		{"unknown to its node", func(engine *Engine, corrupted *task) {
+			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
 		}, "its unknown outcomes are known by their nodes"},
-		{"two attempts", func(e *Engine, corrupted *task) { corrupted.attempts.running = &attempt{node: e.nodes.get("n")} },
+		{"two attempts", func(engine *Engine, corrupted *task) {
+			corrupted.attempts.running = &attempt{node: engine.nodes.get(nodeName)}
+		},
 			"an attempt runs only on a node"},
-		{"retry while requested", func(e *Engine, corrupted *task) { corrupted.retryTimer = e.runAfter(1, func() {}) },
+		{"retry while requested", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
 			"a retry is pending only while it waits"},
 		{"no task of its index", func(_ *Engine, corrupted *task) { corrupted.job.indexes.all[0].task = nil },
 			"index 0 has a task only while it is active"},
@@ -98,12 +97,12 @@
 		{"deletion that waits for nothing", func(_ *Engine, corrupted *task) {
 			corrupted.job.deletion, corrupted.job.pods = jobDeletingForeground, nil
 		}, "held only for its Pods"},
-		{"miscounted", func(e *Engine, _ *task) { e.tasks.open++ }, "1 tasks have no final outcome, 2 are counted"},
+		{"miscounted", func(engine *Engine, _ *task) { engine.tasks.open++ }, "1 tasks have no final outcome, 2 are counted"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e, corrupted := engineWithTask(t)
-			test.corrupt(e, corrupted)
-			err := e.CheckInvariants()
+			engine, corrupted := engineWithTask(t)
+			test.corrupt(engine, corrupted)
+			err := engine.CheckInvariants()
 			if err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("%v, want %q", err, test.want)
 			}
