--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -12,6 +12,7 @@
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
+	"heathshed/placer"
 )
 
 // Server answers API requests about the objects of a store. It may be used by the goroutine of the store only.
@@ -27,13 +28,13 @@
 	// DefaultListLimit bounds the objects on one page of a list whose request names no limit; 0 is no bound.
 	DefaultListLimit int
 
-	now      float64 // Unix time of the present request, in seconds
+	now      placer.Seconds // Unix time of the present request
 	watchers map[*watcher]struct{}
 	closing  bool // watches end, and none begins
 }
 
-// Serve answers one request at a time in Unix seconds.
-func (s *Server) Serve(now float64, r *http1.Request) http1.Response {
+// Serve answers one request at a Unix time.
+func (s *Server) Serve(now placer.Seconds, r *http1.Request) http1.Response {
 	s.now = now
 	parsed := &request{Request: r}
 	response, err := s.serve(parsed)
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -9,7 +9,6 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/config"
-	"heathshed/placer"
 )
 
 // TestCharacterizeWrites pins creations, updates, patches, evictions, deletions and their errors.
@@ -20,7 +19,7 @@
 	session.patchObjects()
 	session.replaceObjects()
 	session.removeObjects()
-	session.engine.Stop(placer.Seconds(session.now))
+	session.engine.Stop(session.now)
 	session.post(jobsPath, jobText("too-late", "", 1))
 	session.server.Engine = nil
 	session.post(jobsPath, jobText("read-only", "", 1))
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -10,7 +10,6 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
-	"heathshed/placer"
 )
 
 // schedulerName is the scheduler of a Job that names none.
@@ -47,7 +46,7 @@
 	if err != nil {
 		return http1.Response{}, err
 	}
-	created, err := s.Engine.CreateJob(placer.Seconds(s.now), job, dryRun)
+	created, err := s.Engine.CreateJob(s.now, job, dryRun)
 	if err != nil {
 		return http1.Response{}, r.statusError(err, job.Name)
 	}
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -13,7 +13,6 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
-	"heathshed/placer"
 )
 
 // deleteObjects serves DELETE of one object, or of all that a list would show.
@@ -128,13 +127,13 @@
 		}
 	}
 	if r.resourceType.resource == store.Pods {
-		return s.Engine.DeletePod(placer.Seconds(s.now), o.GetNamespace(), o.GetName(), uid, revision)
+		return s.Engine.DeletePod(s.now, o.GetNamespace(), o.GetName(), uid, revision)
 	}
 	propagation := metav1.DeletePropagationBackground
 	if options.PropagationPolicy != nil {
 		propagation = *options.PropagationPolicy
 	}
-	return s.Engine.DeleteJob(placer.Seconds(s.now), o.GetNamespace(), o.GetName(), uid, revision, propagation)
+	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, revision, propagation)
 }
 
 // evictPod serves POST of an Eviction.
@@ -146,7 +145,7 @@
 	if eviction.Name != "" && eviction.Name != r.name {
 		return http1.Response{}, apierrors.NewBadRequest("name in URL does not match name in Eviction object")
 	}
-	if err := s.Engine.EvictPod(placer.Seconds(s.now), r.namespace, r.name, evictionUID(&eviction)); err != nil {
+	if err := s.Engine.EvictPod(s.now, r.namespace, r.name, evictionUID(&eviction)); err != nil {
 		return http1.Response{}, r.statusError(err, r.name)
 	}
 	return jsonResponse(http.StatusCreated, &metav1.Status{
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -27,7 +27,7 @@
 type apiSession struct {
 	server *Server
 	engine *engine.Engine
-	now    float64
+	now    placer.Seconds
 	record *goldentest.Recorder
 }
 
@@ -55,9 +55,9 @@
 	for i, nodeType := range []string{"standard", "large", "standard"} {
 		nodes = append(nodes, listedNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
 	}
-	core.NodesListed(placer.Seconds(session.now), engine.FullList, nodes, nil)
+	core.NodesListed(session.now, engine.FullList, nodes, nil)
 	for _, node := range nodes {
-		core.NodePods(placer.Seconds(session.now), node.Name, node.Status.NodeInfo.BootID, 1, nil)
+		core.NodePods(session.now, node.Name, node.Status.NodeInfo.BootID, 1, nil)
 	}
 	return session
 }
@@ -75,16 +75,16 @@
 }
 
 // advance runs timers for some seconds; nodes accept every attempt and report that the task runs.
-func (session *apiSession) advance(seconds float64) {
+func (session *apiSession) advance(seconds placer.Seconds) {
 	for until := session.now + seconds; session.now < until; {
-		session.now = min(max(float64(session.engine.NextWake()), session.now+0.01), until)
-		session.engine.Tick(placer.Seconds(session.now))
+		session.now = min(max(session.engine.NextWake(), session.now+0.01), until)
+		session.engine.Tick(session.now)
 		for _, effect := range session.engine.Ready(nil) {
 			switch effect.Kind {
 			case engine.SendAttempt:
 				pod := effect.Pod.DeepCopy()
 				pod.Status.Phase = corev1.PodRunning
-				session.engine.AttemptDone(placer.Seconds(session.now), engine.AttemptAnswer{
+				session.engine.AttemptDone(session.now, engine.AttemptAnswer{
 					UID:         effect.UID,
 					Attempt:     effect.Attempt,
 					Node:        effect.Node,
@@ -94,7 +94,7 @@
 					Pod:         pod,
 				})
 			case engine.StopTask:
-				session.engine.StopDone(placer.Seconds(session.now), engine.StopAnswer{
+				session.engine.StopDone(session.now, engine.StopAnswer{
 					UID:         effect.UID,
 					Node:        effect.Node,
 					Attempt:     effect.Attempt,
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -6,7 +6,6 @@
 	"mime"
 	"net/http"
 	"strings"
-	"time"
 
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
@@ -17,6 +16,7 @@
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
+	"heathshed/placer"
 )
 
 // wantsTable says whether a client prefers rows to print to plain objects, as kubectl get does.
@@ -69,16 +69,16 @@
 }
 
 // age returns how long ago an object was created, as kubectl prints it.
-func age(o store.Object, now float64) string {
+func age(o store.Object, now placer.Seconds) string {
 	created := o.GetCreationTimestamp()
 	if created.IsZero() {
 		return "<unknown>"
 	}
-	return duration.HumanDuration(time.Duration((now - float64(created.Unix())) * 1e9))
+	return duration.HumanDuration((now - placer.Seconds(created.Unix())).Duration())
 }
 
 // tableCells returns the row of an object, by tableColumns.
-func tableCells(o store.Object, now float64) []any {
+func tableCells(o store.Object, now placer.Seconds) []any {
 	switch typed := o.(type) {
 	case *batchv1.Job:
 		return jobCells(typed, now)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func jobCells(job *batchv1.Job, now float64) []any {
+func jobCells(job *batchv1.Job, now placer.Seconds) []any {
 	state := "Running"
 	outcome := ""
 	for _, condition := range job.Status.Conditions {
@@ -121,7 +121,7 @@
 	return defaultCompletions
 }
 
-func podCells(pod *corev1.Pod, now float64) []any {
+func podCells(pod *corev1.Pod, now placer.Seconds) []any {
 	state := string(pod.Status.Phase)
 	if pod.Status.Reason != "" {
 		state = pod.Status.Reason
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -19,7 +19,6 @@
 	"heathshed/internal/control/decodelimit"
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
-	"heathshed/placer"
 )
 
 const (
@@ -73,10 +72,10 @@
 func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
 	if job, ok := updated.(*batchv1.Job); ok {
 		setJobDefaults(job)
-		return s.Engine.UpdateJob(placer.Seconds(s.now), job, dryRun)
+		return s.Engine.UpdateJob(s.now, job, dryRun)
 	}
 	node := updated.(*corev1.Node)
-	return s.Engine.UpdateNode(placer.Seconds(s.now), node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
+	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
 }
 
 // requestedUnschedulable returns what a request says about spec.unschedulable, nil if it says nothing. A patch says something by naming the
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -12,40 +12,41 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
+	"heathshed/placer"
 )
 
 const (
-	bookmarkInterval    = 60.0   // seconds
-	defaultWatchTimeout = 1800.0 // seconds
+	bookmarkInterval    = placer.Seconds(60)
+	defaultWatchTimeout = placer.Seconds(1800)
 	maxChangesPerRead   = 512
 
-	// fewWatches is up to how many watches changes are sent at once; batchDelayPerWatch and maxBatchDelay, in seconds, bound the delay above.
+	// fewWatches is up to how many watches changes are sent at once; batchDelayPerWatch and maxBatchDelay bound the delay above.
 	fewWatches         = 50
-	batchDelayPerWatch = 4e-6
-	maxBatchDelay      = 0.05
+	batchDelayPerWatch = placer.Seconds(4e-6)
+	maxBatchDelay      = placer.Seconds(0.05)
 )
 
-// WatchBatchDelay is how long changes may gather before they are sent to watches, in seconds: nothing while watches are few, and a few
+// WatchBatchDelay is how long changes may gather before they are sent to watches: nothing while watches are few, and a few
 // microseconds for each when they are many, so that sending takes a bounded part of the time whatever the rate of changes.
-func WatchBatchDelay(watches int) float64 {
+func WatchBatchDelay(watches int) placer.Seconds {
 	if watches <= fewWatches {
 		return 0
 	}
-	return min(float64(watches)*batchDelayPerWatch, maxBatchDelay)
+	return min(placer.Seconds(watches)*batchDelayPerWatch, maxBatchDelay)
 }
 
 // Watchers is the number of open watches.
 func (s *Server) Watchers() int { return len(s.watchers) }
 
-// SetTime sets the time, in Unix seconds, for timeouts and bookmarks of watches. Pull the streams after it.
-func (s *Server) SetTime(now float64) { s.now = now }
+// SetTime sets the Unix time for timeouts and bookmarks of watches. Pull the streams after it.
+func (s *Server) SetTime(now placer.Seconds) { s.now = now }
 
 // CloseWatches ends every watch at its next pull and lets none begin.
 func (s *Server) CloseWatches() { s.closing = true }
 
 // watchOptions are the parameters of a watch.
 type watchOptions struct {
-	timeout         float64 // seconds
+	timeout         placer.Seconds
 	bookmarks       bool
 	initialEvents   bool // begin with the present objects as events
 	markInitialEnd  bool // a bookmark ends the initial events
@@ -67,7 +68,7 @@
 			return options, apierrors.NewBadRequest("timeoutSeconds: want a number of 0 or more")
 		}
 		if seconds > 0 {
-			options.timeout = float64(seconds)
+			options.timeout = placer.Seconds(seconds)
 		}
 	}
 	match := r.query.Get("resourceVersionMatch")
@@ -161,9 +162,9 @@
 	server          *Server
 	selector        objectSelector
 	revision        int64 // changes up to here have been sent
-	deadline        float64
+	deadline        placer.Seconds
 	bookmarks       bool
-	nextBookmarkAt  float64
+	nextBookmarkAt  placer.Seconds
 	initialSnapshot *store.Snapshot // whose objects are sent first; nil once they are
 	after           string          // key of the last object of the initial snapshot that was sent or skipped
 	markInitialEnd  bool            // a bookmark ends the initial events
--- a/internal/kube/scheduler/engine_clock.go
+++ b/internal/kube/scheduler/engine_clock.go
@@ -14,12 +14,9 @@
 // The scheduler keeps durations and instants in Go's types; the engine, its API and the store count seconds in floating point. One becomes
 // the other in this file only.
 
-// engineNow returns the time of this iteration of the loop on the clock of the engine.
+// engineNow returns the time of this iteration of the loop on the clock of the engine and its API.
 func (s *Scheduler) engineNow() placer.Seconds { return placer.Seconds(s.loop.Now().UnixSeconds()) }
 
-// apiNow returns the same time on the clock of the API.
-func (s *Scheduler) apiNow() float64 { return s.loop.Now().UnixSeconds() }
-
 // scheduleWake has the engine's timers run when the next is due. The engine answers infinity if it has none.
 func (s *Scheduler) scheduleWake() {
 	s.wakeTimer.Stop()
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -140,7 +140,7 @@
 func (s *Scheduler) ObjectCount(resource store.Resource) int { return s.engine.Store().Len(resource) }
 
 func (s *Scheduler) serveRequest(exchange *httpd.Exchange) {
-	response := s.apiServer.Serve(s.apiNow(), &exchange.Request)
+	response := s.apiServer.Serve(s.engineNow(), &exchange.Request)
 	s.metrics.countRequest(exchange.Head.Method, response.Status)
 	if s.options.Log.GetLevel() <= zerolog.DebugLevel {
 		s.options.Log.Debug().
@@ -208,7 +208,7 @@
 }
 
 func (s *Scheduler) pullStreams() {
-	s.apiServer.SetTime(s.apiNow())
+	s.apiServer.SetTime(s.engineNow())
 	s.httpServer.PullStreams()
 }
 
--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -11,6 +11,7 @@
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
@@ -31,9 +32,9 @@
 	objects, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
 		objects.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
-		objects.KeepSnapshot(float64(i), objects.Snapshot(store.Pods))
+		objects.KeepSnapshot(placer.Seconds(i), objects.Snapshot(store.Pods))
 	}
-	for _, now := range []float64{80, 310, 318.5, 345, 378, 380.5, 400} {
+	for _, now := range []placer.Seconds{80, 310, 318.5, 345, 378, 380.5, 400} {
 		found := []int64{}
 		for revision := range objects.Rev() + 2 {
 			if snapshot, err := objects.FindSnapshot(now, store.Pods, revision); err == nil {
@@ -46,9 +47,9 @@
 
 func changeStore(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
-	base, now := objects.Rev(), 0.0
+	base, now := objects.Rev(), placer.Seconds(0)
 	for step := range 3000 {
-		now += rng.Float64()
+		now += placer.Seconds(rng.Float64())
 		table := tables[rng.IntN(len(tables))]
 		namespace, name := []string{"a", "ab", "b"}[rng.IntN(3)], fmt.Sprintf("object-%02d", rng.IntN(25))
 		if rng.IntN(3) == 0 {
@@ -114,7 +115,7 @@
 }
 
 // readSnapshot keeps a snapshot and reads parts of it, and of one that was kept before.
-func readSnapshot(record *goldentest.Recorder, objects *store.Store, now float64, table store.Resource, rng *rand.Rand) {
+func readSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
 	objects.KeepSnapshot(now, objects.Snapshot(table))
 	snapshot, err := objects.FindSnapshot(now, table, objects.Rev()-int64(rng.IntN(3)*10))
 	record.Error(err)
--- a/internal/kube/store/snapshot.go
+++ b/internal/kube/store/snapshot.go
@@ -5,6 +5,8 @@
 	"strings"
 
 	"github.com/tidwall/btree"
+
+	"heathshed/placer"
 )
 
 // Snapshot is a table as it was at one revision.
@@ -12,7 +14,7 @@
 	Resource Resource
 	Rev      int64
 	objects  *btree.Map[string, *Change]
-	keptAt   float64 // Unix seconds of the last KeepSnapshot
+	keptAt   placer.Seconds // Unix time of the last KeepSnapshot
 }
 
 // Snapshot returns a table as it is now. The cost does not depend on the number of objects.
@@ -23,11 +25,11 @@
 // Limits of kept snapshots.
 const (
 	maxSnapshots      = 64
-	snapshotRetention = 300.0 // seconds
+	snapshotRetention = placer.Seconds(300)
 )
 
 // KeepSnapshot keeps a snapshot for the next pages of a list. The one kept longest ago is dropped if there are too many.
-func (s *Store) KeepSnapshot(now float64, snapshot Snapshot) {
+func (s *Store) KeepSnapshot(now placer.Seconds, snapshot Snapshot) {
 	s.expireSnapshots(now)
 	for i := range s.snapshots {
 		kept := &s.snapshots[i]
@@ -44,7 +46,7 @@
 }
 
 // expireSnapshots drops the snapshots that are too old.
-func (s *Store) expireSnapshots(now float64) {
+func (s *Store) expireSnapshots(now placer.Seconds) {
 	remaining := 0
 	for _, snapshot := range s.snapshots {
 		if now-snapshot.keptAt <= snapshotRetention && !s.Outdated(snapshot) {
@@ -63,7 +65,7 @@
 }
 
 // FindSnapshot returns a kept snapshot, or a new one if the revision is the present one. The error is ErrExpired.
-func (s *Store) FindSnapshot(now float64, r Resource, revision int64) (Snapshot, error) {
+func (s *Store) FindSnapshot(now placer.Seconds, r Resource, revision int64) (Snapshot, error) {
 	s.expireSnapshots(now)
 	for _, snapshot := range s.snapshots {
 		if snapshot.Rev == revision && snapshot.Resource == r {
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -200,7 +200,7 @@
 	n.scheduleWake()
 	if revision := n.store.Rev(); revision != n.shownRevision {
 		n.shownRevision = revision
-		n.api.SetTime(n.simNow())
+		n.api.SetTime(n.apiNow())
 		n.server.PullStreams()
 	}
 }
--- a/internal/lab/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -44,7 +44,7 @@
 		n.stopTask(exchange)
 	default:
 		n.tick()
-		response := n.api.Serve(n.simNow(), &exchange.Request)
+		response := n.api.Serve(n.apiNow(), &exchange.Request)
 		response.Header = append(response.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation},
 			http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport})
 		exchange.Respond(response)
