--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
 	"heathshed/placer"
 )
 
@@ -71,3 +72,47 @@
 		})
 	}
 }
+
+// TestAttemptStart: an attempt that could not be answered in time, that is one too many, or whose node is gone, expires without being sent.
+func TestAttemptStart(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		node      int
+		until     placer.Seconds
+		change    func(req *request)
+		expiresAt placer.Seconds // 0 if it is not sent
+	}{
+		{"no time given", 1, 0, func(*request) {}, 110},
+		{"a time before the deadline", 1, 105, func(*request) {}, 105},
+		{"a time after the deadline", 1, 150, func(*request) {}, 110},
+		{"a time that is over", 1, 100, func(*request) {}, 0},
+		{"a node that is not in the registry", 7, 105, func(*request) {}, 0},
+		{"a closed request", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
+		{"the last attempt allowed", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
+		{"one attempt too many", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			env := &environment{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
+			env.settings.Placer.Attempts.Max = 4
+			nodes := newNodeRegistry(env)
+			nodes.update(&nodeEntry{UID: nodeUID(1), State: "in_service"})
+			table := newAttemptTable(env, nodes)
+			req := &request{deadline: 110}
+			test.change(req)
+
+			table.start(req, &placer.Action{Node: nodeID(test.node), Until: test.until})
+
+			attempt := req.lastAttempt()
+			if test.expiresAt == 0 {
+				if attempt.state != attemptAbandoned || len(env.effects) != 0 || len(table.byKey) != 0 {
+					t.Errorf("state %v, effects %+v", attempt.state, env.effects)
+				}
+				return
+			}
+			sent := len(env.effects) == 1 && env.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
+			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || env.timers.NextOr(0) != test.expiresAt {
+				t.Errorf("state %v, expires at %v, effects %+v", attempt.state, attempt.expiresAt, env.effects)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -0,0 +1,53 @@
+package dispatch
+
+import (
+	"testing"
+
+	"heathshed/internal/platform/protocol"
+	"heathshed/internal/simbridge/simconfig"
+	"heathshed/placer"
+)
+
+// TestParseRequest: what valid launch messages ask for. TestInvalidRequests has the invalid ones.
+func TestParseRequest(t *testing.T) {
+	settings, err := simconfig.Parse([]byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	parser := requestParser{settings: settings}
+	plain := parsedRequest{task: placer.Task{Cores: 1, Memory: 1, Deadline: 101}}
+	for _, test := range []struct {
+		name   string
+		change func(*protocol.Message)
+		want   func(*parsedRequest)
+	}{
+		{"a plain request", func(*protocol.Message) {}, func(*parsedRequest) {}},
+		{"the second class", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
+		{"no time left", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
+		{"twice the class's deadline", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
+		{"a retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
+			want.task.Cores, want.task.Memory, want.task.IsRetry = 0, 0.5, true
+		}},
+		{"a service and unknown extras", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
+			want.task.Service = 0xaf
+		}},
+		{"an adoption without an end", func(msg *protocol.Message) {
+			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptedFrom(2))
+			msg.Set(protocol.TimeLeft, "4294967000")
+		}, func(want *parsedRequest) {
+			want.adoptedFrom, want.task.Deadline = nodeUID(2), 100+4294967
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			msg, want := launchMessage(1), plain
+			test.change(&msg)
+			test.want(&want)
+
+			got, err := parser.parse(100, &msg)
+
+			if err != nil || got != want {
+				t.Errorf("got %+v, error %v, want %+v", got, err, want)
+			}
+		})
+	}
+}
--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -30,7 +30,7 @@
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
-// describe parses one line and gives the verdict and every value as numbers and wire bytes.
+// describe parses one line and gives the verdict and every value as numbers and wire bytes. Its words are part of the digests.
 func describe(line string) string {
 	var msg protocol.Message
 	if err := protocol.Parse([]byte(line), &msg); err != nil {
@@ -39,13 +39,13 @@
 		}
 		return "refused\n"
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "taken %d %q %d %d %t %q", uint8(msg.Kind), msg.UID, uint64(msg.ID), msg.Cause, msg.HasCause, msg.Body)
-	for f := protocol.Class; f <= protocol.LoadReport; f++ {
-		fmt.Fprintf(&b, " %d %t %q", uint8(f), msg.Has(f), msg.Get(f))
+	var text strings.Builder
+	fmt.Fprintf(&text, "taken %d %q %d %d %t %q", uint8(msg.Kind), msg.UID, uint64(msg.ID), msg.Cause, msg.HasCause, msg.Body)
+	for field := protocol.Class; field <= protocol.LoadReport; field++ {
+		fmt.Fprintf(&text, " %d %t %q", uint8(field), msg.Has(field), msg.Get(field))
 	}
-	fmt.Fprintf(&b, "\n%s", msg.Append([]byte("before")))
-	return b.String()
+	fmt.Fprintf(&text, "\n%s", msg.Append([]byte("before")))
+	return text.String()
 }
 
 var kindWords = []string{"launch", "staging", "running", "stop", "stopped", "check", "checked", "update", "migrate"}
@@ -53,40 +53,48 @@
 var fieldWords = []string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
 // stringLiterals are JSON strings, well formed and not, quotes included.
-var stringLiterals = []string{`""`, `"x"`, `"a\"b\\c\/d\b\f\n\r\t"`, `"\u0000\u001f\u0041\u00e9\u20AC"`, `"\ud83d\ude00"`, `"\uD83D\uDE00x"`, `"é€😀"`,
-	`"\ud83d"`, `"\ude00"`, `"\ud83dx"`, `"\ud83d\u0041"`, `"\ud83d\n"`, `"\ude00\ud83d"`, `"\u12"`, `"\u12g4"`, `"\x"`, `"\`, `"open`, "\"tab\t\"", "\"nul\x00\"",
-	"\"del\x7f\"", "\"\xff\"", "\"\xc3\"", "\"\xed\xa0\x80\"", "\"\xc0\x80\"", `"\ufffd"`, `"\uffff"`}
+var stringLiterals = []string{
+	`""`, `"x"`, `"a\"b\\c\/d\b\f\n\r\t"`, `"\u0000\u001f\u0041\u00e9\u20AC"`, `"\ud83d\ude00"`, `"\uD83D\uDE00x"`,
+	`"é€😀"`,
+	`"\ud83d"`, `"\ude00"`, `"\ud83dx"`, `"\ud83d\u0041"`, `"\ud83d\n"`, `"\ude00\ud83d"`, `"\u12"`, `"\u12g4"`, `"\x"`, `"\`,
+	`"open`, "\"tab\t\"", "\"nul\x00\"",
+	"\"del\x7f\"", "\"\xff\"", "\"\xc3\"", "\"\xed\xa0\x80\"", "\"\xc0\x80\"", `"\ufffd"`, `"\uffff"`,
+}
 
 // otherValues are JSON values other than strings, well formed and not.
-var otherValues = []string{"0", "-0", "1", "-1", "12.5", "1e3", "1E+3", "1e-3", "01", "+1", ".5", "1.", "1e", "-", "1e+", "0x1", "99999999999999999999", "2147483648",
-	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ","}
+var otherValues = []string{
+	"0", "-0", "1", "-1", "12.5", "1e3", "1E+3", "1e-3", "01", "+1", ".5", "1.", "1e", "-", "1e+", "0x1",
+	"99999999999999999999", "2147483648",
+	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ",",
+}
 
 // corpus is every kind of message, every field, and each value in each place.
 func corpus() []string {
 	const uid = `"uid":"00000000000000aF"`
 	var lines []string
-	for _, k := range append([]string{"", "Launch", "launchx"}, kindWords...) {
-		lines = append(lines, `{"kind":"`+k+`",`+uid+`}`, `{"meta":{},`+uid+`,"kind":"`+k+`"}`)
+	for _, word := range append([]string{"", "Launch", "launchx"}, kindWords...) {
+		lines = append(lines, `{"kind":"`+word+`",`+uid+`}`, `{"meta":{},`+uid+`,"kind":"`+word+`"}`)
 	}
-	for _, v := range append(append([]string{}, stringLiterals...), otherValues...) {
-		for _, f := range fieldWords {
-			lines = append(lines, `{"kind":"update",`+uid+`,"meta":{"`+f+`":`+v+`}}`)
+	for _, value := range append(append([]string{}, stringLiterals...), otherValues...) {
+		for _, field := range fieldWords {
+			lines = append(lines, `{"kind":"update",`+uid+`,"meta":{"`+field+`":`+value+`}}`)
 		}
-		for _, k := range []string{"kind", "reason", "body", "meta", "unknown"} {
-			lines = append(lines, `{"kind":"stop",`+uid+`,"`+k+`":`+v+`}`)
+		for _, key := range []string{"kind", "reason", "body", "meta", "unknown"} {
+			lines = append(lines, `{"kind":"stop",`+uid+`,"`+key+`":`+value+`}`)
 		}
-		lines = append(lines, `{"kind":"stop","uid":`+v+`}`, `{"kind":"stop",`+uid+`,"meta":{"unknown":`+v+`}}`, v)
+		lines = append(lines, `{"kind":"stop","uid":`+value+`}`, `{"kind":"stop",`+uid+`,"meta":{"unknown":`+value+`}}`, value)
 	}
-	for _, k := range []string{`"kind":"stop"`, uid, `"meta":{}`, `"reason":3`, `"body":"x"`, `"other":1`} {
-		lines = append(lines, `{"kind":"stop",`+uid+`,`+k+`,`+k+`}`, `{`+k+`}`)
+	for _, key := range []string{`"kind":"stop"`, uid, `"meta":{}`, `"reason":3`, `"body":"x"`, `"other":1`} {
+		lines = append(lines, `{"kind":"stop",`+uid+`,`+key+`,`+key+`}`, `{`+key+`}`)
 	}
-	for _, f := range fieldWords {
-		lines = append(lines, `{"kind":"stop",`+uid+`,"meta":{"`+f+`":"a","`+f+`":"b"}}`)
+	for _, field := range fieldWords {
+		lines = append(lines, `{"kind":"stop",`+uid+`,"meta":{"`+field+`":"a","`+field+`":"b"}}`)
 	}
 	for depth := range 14 {
 		nested := strings.Repeat("[", depth) + strings.Repeat("]", depth)
 		objects := strings.Repeat(`{"a":`, depth) + "1" + strings.Repeat("}", depth)
-		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`, `{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
+		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`,
+			`{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
 	}
 	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
 	for _, size := range []int{100, protocol.MaxLine - 2, protocol.MaxLine - 1, protocol.MaxLine, protocol.MaxLine + 1, 16383, 16384} {
@@ -99,7 +107,7 @@
 // mutations describes the corpus with bytes changed, taken out or doubled at random.
 func mutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var b strings.Builder
+	var text strings.Builder
 	for _, line := range corpus() {
 		if len(line) == 0 || len(line) > 400 {
 			continue
@@ -115,41 +123,43 @@
 		case 3:
 			line = line[:i]
 		}
-		b.WriteString(describe(line))
+		text.WriteString(describe(line))
 	}
-	return b.String()
+	return text.String()
 }
 
 // encodings are messages made by hand, fields set to texts that need escapes included, as they are encoded.
 func encodings() string {
-	var b strings.Builder
-	for k := range 12 {
-		for f := protocol.Class; f <= protocol.LoadReport; f++ {
-			msg := protocol.Message{Kind: protocol.Kind(k), UID: "00000000000000ff", ID: 255, Cause: protocol.Cause(k * 17), HasCause: k%2 == 0}
-			msg.Set(f, "a\"\\\n\x00\x1f\x7f/é\xff")
+	var text strings.Builder
+	for kind := range 12 {
+		for field := protocol.Class; field <= protocol.LoadReport; field++ {
+			msg := protocol.Message{Kind: protocol.Kind(kind), UID: "00000000000000ff", ID: 255, Cause: protocol.Cause(kind * 17), HasCause: kind%2 == 0}
+			msg.Set(field, "a\"\\\n\x00\x1f\x7f/é\xff")
 			msg.Set(protocol.Value, "")
-			if k%3 == 0 {
+			if kind%3 == 0 {
 				msg.Body = `"raw \u0041"`
 			}
-			b.Write(msg.Append(nil))
+			text.Write(msg.Append(nil))
 		}
 	}
 	msg := protocol.Message{Kind: protocol.Stop, Cause: -5, HasCause: true}
-	b.Write(msg.Append(nil))
-	return b.String()
+	text.Write(msg.Append(nil))
+	return text.String()
 }
 
 func identifiers() string {
-	var b strings.Builder
-	for _, s := range []string{"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
-		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é"} {
-		id, err := protocol.ParseID(s)
-		fmt.Fprintf(&b, "%d %t\n", uint64(id), err != nil)
+	var text strings.Builder
+	for _, identifier := range []string{
+		"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
+		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é",
+	} {
+		id, err := protocol.ParseID(identifier)
+		fmt.Fprintf(&text, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&b, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseFull, protocol.CauseReset,
+	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseFull, protocol.CauseReset,
 		protocol.CauseBusy, protocol.CauseError, protocol.CauseExpired)
-	for f := protocol.Class; f <= protocol.LoadReport; f++ {
-		fmt.Fprintln(&b, f.String()) // the word on the wire
+	for field := protocol.Class; field <= protocol.LoadReport; field++ {
+		fmt.Fprintln(&text, field.String()) // the word on the wire
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -11,21 +11,24 @@
 const launchLine = `{"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch","left":1500},"body":"9d\u0034\r\nc=IN \/ \ud83d\ude00 é"}`
 
 func TestMessagesRoundTrip(t *testing.T) {
-	var m, again Message
-	if err := Parse([]byte(launchLine), &m); err != nil {
+	var msg, reparsed Message
+	if err := Parse([]byte(launchLine), &msg); err != nil {
 		t.Fatal(err)
 	}
-	if m.Kind != Launch || m.ID != 0x9b1f03aa5c7e2d41 || m.Get(TimeLeft) != "1500" || m.Get(Class) != "batch" || m.Has(RetryAfter) || m.HasCause {
-		t.Fatalf("%+v", m)
+	if msg.Kind != Launch || msg.ID != 0x9b1f03aa5c7e2d41 || msg.HasCause {
+		t.Fatalf("%+v", msg)
 	}
-	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; m.Body != want {
-		t.Fatalf("body %s, want it as it was written: %s", m.Body, want)
+	if msg.Get(TimeLeft) != "1500" || msg.Get(Class) != "batch" || msg.Has(RetryAfter) {
+		t.Fatalf("%+v", msg)
 	}
-	m.Set(Extras, "a\"b\\c\x01")
-	m.Cause, m.HasCause = 34, true
-	line := m.Append(nil)
-	if err := Parse(line[:len(line)-1], &again); err != nil || again != m {
-		t.Fatalf("%v\n%+v\n%+v", err, m, again)
+	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; msg.Body != want {
+		t.Fatalf("body %s, want it as it was written: %s", msg.Body, want)
+	}
+	msg.Set(Extras, "a\"b\\c\x01")
+	msg.Cause, msg.HasCause = 34, true
+	line := msg.Append(nil)
+	if err := Parse(line[:len(line)-1], &reparsed); err != nil || reparsed != msg {
+		t.Fatalf("%v\n%+v\n%+v", err, msg, reparsed)
 	}
 	if !json.Valid(line) {
 		t.Fatalf("%s", line)
@@ -64,16 +67,19 @@
 		"comma without more": `{"kind":"stop",` + id + `,}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var m Message
-			if err := Parse([]byte(line), &m); err == nil {
-				t.Errorf("accepted as %+v", m)
+			var msg Message
+			if err := Parse([]byte(line), &msg); err == nil {
+				t.Errorf("accepted as %+v", msg)
 			} else if name == "more than a line" && !errors.Is(err, ErrTooLong) {
 				t.Error(err)
 			}
 		})
 	}
-	var m Message
-	if err := Parse([]byte(`{"kind":"stop",`+id+`,"more":{"a":[1,null,true,{"b":"c"}]},"meta":{"other":[]}}`), &m); err != nil {
+}
+
+func TestUnknownKeysAreSkipped(t *testing.T) {
+	var msg Message
+	if err := Parse([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","more":{"a":[1,null,true,{"b":"c"}]},"meta":{"other":[]}}`), &msg); err != nil {
 		t.Errorf("unknown keys are to be skipped: %v", err)
 	}
 }
@@ -85,10 +91,10 @@
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
 	f.Add([]byte(`{"kind":"check","uid":"0000000000000001","z":[[[{}]]]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var m, again Message
+		var msg, reparsed Message
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		err := Parse(in, &m)
+		err := Parse(in, &msg)
 		runtime.ReadMemStats(&after)
 		if spent := after.TotalAlloc - before.TotalAlloc; spent > uint64(16*len(in)+64<<10) {
 			t.Fatalf("%d bytes for a line of %d", spent, len(in))
@@ -99,8 +105,8 @@
 		if !json.Valid(in) {
 			t.Fatalf("accepted, but no JSON: %q", in)
 		}
-		line := m.Append(nil)
-		if err := Parse(line[:len(line)-1], &again); (err != nil || again != m) && len(line) < MaxLine {
+		line := msg.Append(nil)
+		if err := Parse(line[:len(line)-1], &reparsed); (err != nil || reparsed != msg) && len(line) < MaxLine {
 			t.Fatalf("%v: written as %s", err, line)
 		}
 	})
