--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -5,10 +5,18 @@
 // It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller is to
 // carry out. The package is pure: it has no I/O, clock, goroutine or global state. It makes no placement decisions: each event goes to the
 // placer, and each action comes from it. Times on the clock and durations are placer.Seconds.
+//
+// Core composes parts, each of which alone writes its fields. All of them share an environment: the clock, the timers, the effects for the
+// caller and the events for the placer. From the outside to the inside:
+//
+//   - clientMessageHandler and nodeMessageHandler handle the messages of clients and of nodes;
+//   - taskController takes a task from its start to its end, adoption takes over tasks that run already;
+//   - requestTable and attemptTable keep requests and attempts and move them from state to state;
+//   - notifier delivers notifications, earlyTerminationLog keeps the ends of tasks that are not known yet;
+//   - clientRegistry keeps the client connections, nodeRegistry the nodes and what runs on them.
 package dispatch
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -121,9 +129,6 @@
 	}
 }
 
-// ErrClientNotConnected is the error of a message on a client connection that is not open.
-var ErrClientNotConnected = errors.New("client connection is not open")
-
 // ClientConnected adds a client connection.
 func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
 	c.setTime(now)
--- a/internal/platform/dispatch/invalid_message.go
+++ b/internal/platform/dispatch/errors.go
@@ -1,6 +1,12 @@
 package dispatch
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrClientNotConnected is the error of a message on a client connection that is not open.
+var ErrClientNotConnected = errors.New("client connection is not open")
 
 // InvalidReason is what is wrong with an invalid message. Its values are the words that logs and counters show.
 type InvalidReason string
