--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -1,6 +1,6 @@
 package memquota
 
-import "math"
+import "heathshed/internal/control/clock"
 
 // MinAllowance is what a user that holds nothing may always allocate, in bytes, so that one small event or response never waits for other
 // users.
@@ -17,7 +17,7 @@
 
 type user struct {
 	used         int64
-	lastShrunkAt float64 // when it last came to hold less than before, or was added
+	lastShrunkAt clock.Instant // when it last came to hold less than before, or was added
 }
 
 // New returns a budget of a number of bytes without users. Less than MinAllowance counts as MinAllowance.
@@ -35,7 +35,7 @@
 func (b *Budget) Users() int { return len(b.users) }
 
 // Add adds a user that holds nothing. The identity must not be in use.
-func (b *Budget) Add(now float64, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
+func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
 
 // Remove removes a user with all that it holds. An unknown user is ignored.
 func (b *Budget) Remove(id uint64) {
@@ -59,7 +59,7 @@
 }
 
 // SetUsed records how many bytes a user holds now. An unknown user is ignored.
-func (b *Budget) SetUsed(now float64, id uint64, used int64) {
+func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
 	holder := b.users[id]
 	if holder == nil {
 		return
@@ -77,14 +77,14 @@
 		return 0, false
 	}
 	largest := b.largestUse()
-	oldest := math.Inf(1)
+	var oldest clock.Instant
 	for candidate, holder := range b.users {
 		if holder.used <= largest/2 {
 			continue
 		}
 		// The order does not depend on that of the map: users that shrank at the same time go by identity.
-		before := holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id
-		if before {
+		shrankEarlier := holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id
+		if !over || shrankEarlier {
 			id = candidate
 			oldest = holder.lastShrunkAt
 			over = true
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -6,7 +6,9 @@
 	"math/rand/v2"
 	"strings"
 	"testing"
+	"time"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/control/memquota"
 	"heathshed/internal/testsupport/goldentest"
 )
@@ -35,10 +37,10 @@
 	random := rand.New(rand.NewPCG(seed, uint64(total)))
 	budget := memquota.New(total)
 	var text strings.Builder
-	now := 0.0
+	now := clock.Instant(0)
 	for range 300 {
 		id := uint64(random.IntN(12))
-		now += float64(random.IntN(2))
+		now += clock.Instant(random.IntN(2))
 		switch random.IntN(8) {
 		case 0, 1:
 			budget.Remove(id) // a user is added once
@@ -68,7 +70,7 @@
 			candidates = append(candidates, memquota.Candidate{
 				Busy:        random.IntN(3) == 0,
 				Established: random.IntN(2) == 0,
-				IdleSeconds: float64(random.IntN(4)),
+				Idle:        time.Duration(random.IntN(4)),
 			})
 		}
 		fmt.Fprint(&text, memquota.SelectEviction(candidates), " ")
--- a/internal/control/memquota/eviction.go
+++ b/internal/control/memquota/eviction.go
@@ -1,10 +1,12 @@
 package memquota
 
+import "time"
+
 // Candidate is a connection that may be evicted to free a connection slot.
 type Candidate struct {
-	Busy        bool    // something is in flight on it
-	Established bool    // something on it has completed successfully
-	IdleSeconds float64 // since its last valid message
+	Busy        bool          // something is in flight on it
+	Established bool          // something on it has completed successfully
+	Idle        time.Duration // since its last valid message
 }
 
 // SelectEviction returns the index of the candidate to evict when a connection slot is needed: never a busy one, candidates that are not
@@ -27,5 +29,5 @@
 	if c.Established != other.Established {
 		return other.Established
 	}
-	return c.IdleSeconds > other.IdleSeconds
+	return c.Idle > other.Idle
 }
--- a/internal/control/memquota/eviction_test.go
+++ b/internal/control/memquota/eviction_test.go
@@ -1,6 +1,9 @@
 package memquota
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 func TestSelectEviction(t *testing.T) {
 	for _, test := range []struct {
@@ -9,12 +12,12 @@
 		want       int
 	}{
 		{"no candidates", nil, -1},
-		{"all busy", []Candidate{{Busy: true, IdleSeconds: 9}, {Busy: true}}, -1},
-		{"longest idle of those not established", []Candidate{{IdleSeconds: 1}, {IdleSeconds: 3}, {IdleSeconds: 2}}, 1},
-		{"not established before established", []Candidate{{Established: true, IdleSeconds: 90}, {IdleSeconds: 1}}, 1},
+		{"all busy", []Candidate{{Busy: true, Idle: 9 * time.Second}, {Busy: true}}, -1},
+		{"longest idle of those not established", []Candidate{{Idle: 1 * time.Second}, {Idle: 3 * time.Second}, {Idle: 2 * time.Second}}, 1},
+		{"not established before established", []Candidate{{Established: true, Idle: 90 * time.Second}, {Idle: 1 * time.Second}}, 1},
 		{
 			"established where all others are busy",
-			[]Candidate{{Established: true, IdleSeconds: 1}, {Busy: true, IdleSeconds: 9}, {Established: true, IdleSeconds: 2}},
+			[]Candidate{{Established: true, Idle: 1 * time.Second}, {Busy: true, Idle: 9 * time.Second}, {Established: true, Idle: 2 * time.Second}},
 			2,
 		},
 	} {
--- a/internal/control/memquota/memquota.go
+++ b/internal/control/memquota/memquota.go
@@ -1,7 +1,7 @@
 // Package memquota divides memory: among the parts of the program, and among the users of one part, such as connections, none of which is
 // trusted to be modest. It decides how much more each user may allocate, and which user is evicted when they hold too much all the same.
 //
-// It is pure and imports nothing of the project: time is passed in, and there is no randomness.
+// It is pure: time is passed in, and there is no randomness.
 //
 // A user whose allocations can be deferred, such as a watch that sends changes, may hold as much as is still free, and no more (the dynamic
 // threshold of Choudhury and Hahne, "Dynamic queue length thresholds for shared-memory packet switches", 1998). However many users do so,
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/testsupport/proptest"
 )
 
@@ -35,7 +37,7 @@
 	*rapid.T
 	budget *Budget
 	total  int64
-	now    float64
+	now    clock.Instant
 	lastID uint64
 	used   map[uint64]int64
 }
@@ -47,7 +49,7 @@
 
 // step adds a user, or has one that was added do something.
 func (play *budgetPlay) step() {
-	play.now += rapid.Float64Range(0, 1).Draw(play.T, "dt")
+	play.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(play.T, "dt"))
 	if len(play.used) == 0 || rapid.IntRange(0, 3).Draw(play.T, "join") == 0 {
 		play.lastID++
 		play.budget.Add(play.now, play.lastID)
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -44,7 +44,7 @@
 	s.lastConnID++
 	c.id = s.lastConnID
 	s.connsByID[c.id] = c
-	s.memory.Add(c.lastProgressAt.UnixSeconds(), c.id)
+	s.memory.Add(c.lastProgressAt, c.id)
 	c.armTimer()
 }
 
@@ -192,7 +192,7 @@
 	}
 	s := c.server
 	held := c.transport.BufferMemory() + cap(c.exchange.body)
-	s.memory.SetUsed(s.loop.Now().UnixSeconds(), c.id, int64(held))
+	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
 	s.evictOverQuota()
 }
 
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -133,7 +133,7 @@
 		table.candidates = append(table.candidates, memquota.Candidate{
 			Busy:        open > 0 || client.openedAt == now,
 			Established: placed,
-			IdleSeconds: now.Sub(max(client.lastMessageAt, client.incompleteSince)).Seconds(),
+			Idle:        now.Sub(max(client.lastMessageAt, client.incompleteSince)),
 		})
 		table.candidateConns = append(table.candidateConns, client)
 	}
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -151,7 +151,7 @@
 			candidates = append(candidates, memquota.Candidate{
 				Busy:        len(nc.attempts) > 0 || holdsSlot,
 				Established: link.hasTasks,
-				IdleSeconds: now.Sub(nc.keepAlive.LastSent).Seconds(),
+				Idle:        now.Sub(nc.keepAlive.LastSent),
 			})
 			conns = append(conns, nc)
 		}
