--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -76,14 +76,14 @@
 	verdict := verdictJSON{
 		BaselineGoodput:   v.BaselineGoodput,
 		WorstGoodput:      v.WorstGoodput,
-		RecoveryTime:      v.RecoveryTime,
-		AllowedTime:       v.AllowedTime,
+		RecoveryTime:      float64(v.RecoveryTime),
+		AllowedTime:       float64(v.AllowedTime),
 		PeakOpenTasks:     v.PeakOpenTasks,
 		FinalOpenTasks:    v.FinalOpenTasks,
 		PlacementRequests: v.PlacementRequests,
 		Attempts:          v.Attempts,
 	}
-	if math.IsInf(v.RecoveryTime, 1) {
+	if math.IsInf(float64(v.RecoveryTime), 1) {
 		verdict.RecoveryTime = -1
 	}
 	trial := trialJSON{Seed: t.Seed, Trigger: newFaultJSON(&t.Trigger), Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
--- a/cmd/heathshed/metastability_test.go
+++ b/cmd/heathshed/metastability_test.go
@@ -9,6 +9,7 @@
 	"heathshed/internal/control/retry"
 	"heathshed/internal/lab/metastability"
 	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
 // TestTrialJSON pins the keys and their order in what the search prints as JSON.
@@ -28,11 +29,11 @@
 		`"Owner":{"Again":19,"Soon":20,"Growth":21,"Most":22,"Settle":23}},`
 	for _, c := range []struct {
 		name string
-		back float64
+		back placer.Seconds
 		want string
 	}{
 		{"recovered", 26, wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":26,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":true}`},
-		{"never recovered", math.Inf(1), wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":-1,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":false}`},
+		{"never recovered", placer.Seconds(math.Inf(1)), wantTrial + `"verdict":{"Before":24,"Worst":25,"Back":-1,"Allowed":27,"Peak":28,"Left":29,"Asks":30,"Offers":31},"held":false}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			verdict := metastability.Verdict{BaselineGoodput: 24, WorstGoodput: 25, RecoveryTime: c.back, AllowedTime: 27, PeakOpenTasks: 28, FinalOpenTasks: 29, PlacementRequests: 30, Attempts: 31}
--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -15,10 +15,12 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
+	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/faultinjection"
 	"heathshed/internal/lab/labconfig"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
+	"heathshed/placer"
 )
 
 // progressInterval is the least time between two lines of progress.
@@ -133,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	world.Run(script.Plan(cfg.ScenarioNodes()), script.Seconds)
+	world.Run(script.Plan(cfg.ScenarioNodes()), placer.Seconds(script.Seconds))
 	result := &faultinjection.Result{Seconds: script.Seconds, Schedulers: script.Schedulers, Nodes: script.Nodes, Audit: world.Audit()}
 	figures := &result.Figures
 	figures.Tasks = result.Audit.Tasks
@@ -143,9 +145,9 @@
 	latencies := world.PlacementLatency
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
-		figures.P50 = latencies[n/2]
-		figures.P99 = latencies[n*99/100]
-		figures.Max = latencies[n-1]
+		figures.P50 = float64(latencies[n/2])
+		figures.P99 = float64(latencies[n*99/100])
+		figures.Max = float64(latencies[n-1])
 	}
 	return result, nil
 }
@@ -173,9 +175,9 @@
 		Dir:               dir,
 		Script:            *script,
 		Settings:          *settings,
-		WatchDropInterval: flags.dropWatch,
+		WatchDropInterval: clock.Duration(flags.dropWatch),
 		Hostile:           flags.hostile,
-		Progress: func(elapsed float64, figures faultinjection.Figures) {
+		Progress: func(elapsed time.Duration, figures faultinjection.Figures) {
 			if time.Since(lastProgress) > progressInterval {
 				lastProgress = time.Now()
 				printProgress(c.ErrOrStderr(), elapsed, &figures)
--- a/cmd/heathshed/scenario_result.go
+++ b/cmd/heathshed/scenario_result.go
@@ -4,6 +4,7 @@
 	"io"
 	"maps"
 	"slices"
+	"time"
 
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/faultinjection"
@@ -12,9 +13,9 @@
 // maxPrintedViolations bounds the violations that are printed one by one.
 const maxPrintedViolations = 20
 
-func printProgress(w io.Writer, elapsed float64, f *faultinjection.Figures) {
+func printProgress(w io.Writer, elapsed time.Duration, f *faultinjection.Figures) {
 	printf(w, "%5.0f s  jobs %d  tasks %d  settled %d  watches broken %d  schedulers killed %d  p50 %.3f s  p99 %.3f s\n",
-		elapsed, f.Jobs, f.Tasks, f.Settled, f.WatchesDropped, f.SchedulerKills, f.P50, f.P99)
+		elapsed.Seconds(), f.Jobs, f.Tasks, f.Settled, f.WatchesDropped, f.SchedulerKills, f.P50, f.P99)
 }
 
 // printResult prints the result of a scenario as text.
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -104,9 +104,12 @@
 		emulated := labconfig.NodeAt(s, i)
 		node := emulated.Sim
 		r.Texts(emulated.NodeType, emulated.Rack, emulated.Zone)
-		r.Floats(node.Cores, node.Memory, node.OvercommitCores, node.OvercommitMemory, node.DecisionDelayMin, node.DecisionDelayMax, node.StartSeconds, node.UncachedStartFactor, node.InitialPace, node.WarmUpSeconds,
-			node.OverloadFactor, node.OverloadWindow, node.OverloadMinRequests, node.LifetimeMean, node.UsageMin, node.UsageMax, node.DrainGrace, node.TerminatedRetention)
-		r.Integers(int64(node.MaxQueued), int64(node.MaxConcurrentStarts), int64(node.ProgramCacheSize), int64(node.Seed))
+		r.Floats(node.Cores, node.Memory, node.Overcommit.Cores, node.Overcommit.Memory)
+		r.Floats(float64(node.Decisions.DelayMin), float64(node.Decisions.DelayMax), float64(node.Starts.Duration), node.Starts.UncachedFactor)
+		r.Floats(node.WarmUp.InitialPace, float64(node.WarmUp.Duration))
+		r.Floats(node.Overload.Factor, float64(node.Overload.Window), node.Overload.MinRequests)
+		r.Floats(float64(node.LifetimeMean), node.Usage.Min, node.Usage.Max, float64(node.DrainGrace), float64(node.TerminatedRetention))
+		r.Integers(int64(node.Decisions.MaxQueued), int64(node.Starts.MaxConcurrent), int64(node.Starts.ProgramCacheSize), int64(node.Seed))
 		r.Booleans(node.AnswerWhenRunning, node.Preempts, node.Cold)
 	}
 	priorities, _ := json.Marshal(labconfig.Priorities(s))
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -26,6 +26,7 @@
 	"heathshed/internal/lab/emulator/fault"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
+	"heathshed/placer"
 )
 
 // newClientset returns the public clientset for a cluster. accept is what it asks for; "" is its default.
@@ -271,7 +272,7 @@
 	if _, err := client.CoreV1().Nodes().Patch(t.Context(), node, types.StrategicMergePatchType, cordon, metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	cordonedAt := clock.FromTime(time.Now()).UnixSeconds()
+	cordonedAt := placer.Seconds(clock.FromTime(time.Now()).UnixSeconds())
 	cluster.waitUntilSettled("b")
 	for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node + ",status.phase=Running") {
 		eviction := &policyv1.Eviction{ObjectMeta: metav1.ObjectMeta{Name: pod.Name, Namespace: "default"}}
@@ -288,7 +289,7 @@
 		return len(cluster.running()) == 24
 	})
 	for _, event := range cluster.recordedEvents() {
-		late := event.At > cordonedAt+cluster.settings.Timing.DrainGrace.Seconds()
+		late := event.At > cordonedAt+placer.Seconds(cluster.settings.Timing.DrainGrace)
 		if event.Kind == audit.AttemptReceived && event.Node == node && late {
 			t.Errorf("attempt sent to %s %.3f s after the order", node, event.At-cordonedAt)
 		}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -30,6 +30,7 @@
 	"heathshed/internal/lab/simulation"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/httpd"
+	"heathshed/placer"
 )
 
 const (
@@ -383,7 +384,7 @@
 	cluster.t.Helper()
 	auditConfig := audit.Config{
 		Classes:    simulation.AuditClasses(&cluster.settings),
-		DrainGrace: cluster.settings.Timing.DrainGrace.Seconds(),
+		DrainGrace: placer.Seconds(cluster.settings.Timing.DrainGrace),
 		Slack:      auditSlackSeconds,
 	}
 	for _, violation := range audit.Check(auditConfig, cluster.recordedEvents()).Violations {
--- a/internal/lab/audit/attempt_state_test.go
+++ b/internal/lab/audit/attempt_state_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"heathshed/placer"
 )
 
 // TestAttemptStates leads one attempt through the events of its node, and checks its state and what follows from it for the rules.
@@ -43,7 +45,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			events := []Event{received(1, node, uid, 1, "web")}
 			for i, event := range test.events {
-				event.At = float64(2 + i)
+				event.At = placer.Seconds(2 + i)
 				events = append(events, event)
 			}
 			auditor := auditEvents(rules, events)
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -8,22 +8,24 @@
 	"cmp"
 	"fmt"
 	"slices"
+
+	"heathshed/placer"
 )
 
 // Event is one thing that happened between the parties.
 type Event struct {
-	At        float64 `json:"at"` // Unix seconds
-	Kind      string  `json:"what"`
-	Node      string  `json:"node,omitempty"`
-	Scheduler string  `json:"scheduler,omitempty"`
-	UID       string  `json:"uid,omitempty"`
-	Attempt   int     `json:"attempt,omitempty"`
-	Class     string  `json:"class,omitempty"`
-	Service   string  `json:"service,omitempty"`
-	Rack      string  `json:"rack,omitempty"`
-	Zone      string  `json:"zone,omitempty"`
-	Reason    string  `json:"reason,omitempty"`
-	Deadline  float64 `json:"giveUp,omitempty"` // Unix seconds
+	At        placer.Seconds `json:"at"` // Unix time
+	Kind      string         `json:"what"`
+	Node      string         `json:"node,omitempty"`
+	Scheduler string         `json:"scheduler,omitempty"`
+	UID       string         `json:"uid,omitempty"`
+	Attempt   int            `json:"attempt,omitempty"`
+	Class     string         `json:"class,omitempty"`
+	Service   string         `json:"service,omitempty"`
+	Rack      string         `json:"rack,omitempty"`
+	Zone      string         `json:"zone,omitempty"`
+	Reason    string         `json:"reason,omitempty"`
+	Deadline  placer.Seconds `json:"giveUp,omitempty"` // Unix time
 }
 
 // The kinds of events at nodes.
@@ -78,20 +80,20 @@
 type Class struct {
 	AtMostOnce   bool
 	Idempotent   bool
-	DedupDomain  Domain  // of Idempotent: the nodes that drop repeats
-	DedupWindow  float64 // of Idempotent: seconds for which nodes remember the idempotency key
-	SpreadDomain Domain  // or NoDomain
-	MaxPerDomain int     // tasks of one service of one scheduler in one SpreadDomain
+	DedupDomain  Domain         // of Idempotent: the nodes that drop repeats
+	DedupWindow  placer.Seconds // of Idempotent: how long nodes remember the idempotency key
+	SpreadDomain Domain         // or NoDomain
+	MaxPerDomain int            // tasks of one service of one scheduler in one SpreadDomain
 }
 
-// Config holds what events are checked by. Times are in seconds.
+// Config holds what events are checked by.
 type Config struct {
 	Classes    map[string]Class
-	DrainGrace float64 // from a drain until a scheduler must respect it
-	Slack      float64 // allowed for clocks and for the way between the parties; 0 or less is the default
+	DrainGrace placer.Seconds // from a drain until a scheduler must respect it
+	Slack      placer.Seconds // allowed for clocks and for the way between the parties; 0 or less is the default
 }
 
-const defaultSlack = 0.1 // seconds
+const defaultSlack placer.Seconds = 0.1
 
 // The rules.
 const (
@@ -104,9 +106,9 @@
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule int     `json:"Rule"` // 1 to 5
-	At   float64 `json:"At"`   // Unix seconds
-	Text string  `json:"Text"`
+	Rule int            `json:"Rule"` // 1 to 5
+	At   placer.Seconds `json:"At"`   // Unix time
+	Text string         `json:"Text"`
 }
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d at %.3f: %s", v.Rule, v.At, v.Text) }
@@ -135,7 +137,7 @@
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	auditor := newAuditor(config)
-	lastEvent := 0.0
+	lastEvent := placer.Seconds(0)
 	for i := range events {
 		auditor.handle(&events[i])
 		lastEvent = max(lastEvent, events[i].At)
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"heathshed/placer"
 )
 
 var rules = Config{
@@ -16,12 +18,12 @@
 	},
 }
 
-func received(at float64, node, uid string, attempt int, class string) Event {
+func received(at placer.Seconds, node, uid string, attempt int, class string) Event {
 	return Event{At: at, Kind: AttemptReceived, Node: node, Rack: "rack-" + node[:1], UID: uid, Attempt: attempt, Class: class,
 		Service: "s", Scheduler: "a"}
 }
 
-func nodeEvent(at float64, kind, node, uid string, attempt int) Event {
+func nodeEvent(at placer.Seconds, kind, node, uid string, attempt int) Event {
 	return Event{At: at, Kind: kind, Node: node, UID: uid, Attempt: attempt}
 }
 
--- a/internal/lab/audit/auditor.go
+++ b/internal/lab/audit/auditor.go
@@ -1,13 +1,17 @@
 package audit
 
-import "fmt"
+import (
+	"fmt"
+
+	"heathshed/placer"
+)
 
 // attemptRecord is what is known of one attempt at one node.
 type attemptRecord struct {
 	number           int
 	node, rack, zone string
-	receivedAt       float64
-	closedAt         float64 // when it was answered or abandoned; 0 while it is in flight
+	receivedAt       placer.Seconds
+	closedAt         placer.Seconds // when it was answered or abandoned; 0 while it is in flight
 	state            attemptState
 	answerLost       bool // the scheduler never got the answer: to it the attempt is over
 }
@@ -16,7 +20,7 @@
 func (attempt *attemptRecord) occupies() bool { return attempt.state.open() && !attempt.answerLost }
 
 // close notes that the attempt is no longer in flight.
-func (attempt *attemptRecord) close(at float64) {
+func (attempt *attemptRecord) close(at placer.Seconds) {
 	if attempt.closedAt == 0 {
 		attempt.closedAt = at
 	}
@@ -26,9 +30,9 @@
 type taskRecord struct {
 	uid, class, service, scheduler string
 	submitted                      bool
-	deadline                       float64 // for the outcome
-	outcome                        string  // "" while there is none
-	excused                        bool    // no outcome is due: the scheduler was killed, or the client withdrew the task
+	deadline                       placer.Seconds // for the outcome
+	outcome                        string         // "" while there is none
+	excused                        bool           // no outcome is due: the scheduler was killed, or the client withdrew the task
 	attempts                       []*attemptRecord
 	starts                         int
 }
@@ -58,10 +62,10 @@
 	uids        []string                     // keys of tasks, in order of their first event
 	spreadTasks map[serviceKey][]*taskRecord // of classes that are spread
 
-	unavailableSince    map[string]float64 // by node: since when the inventory shows it as draining or unavailable
-	drainOrderedAt      map[drainOrder]float64
+	unavailableSince    map[string]placer.Seconds // by node: since when the inventory shows it as draining or unavailable
+	drainOrderedAt      map[drainOrder]placer.Seconds
 	discoveryLost       bool
-	discoveryRestoredAt float64
+	discoveryRestoredAt placer.Seconds
 
 	badTransition error // the first illegal change of an attempt's state
 }
@@ -72,12 +76,12 @@
 		report:           Report{Outcomes: map[string]int{}, Ends: map[string]int{}},
 		tasks:            map[string]*taskRecord{},
 		spreadTasks:      map[serviceKey][]*taskRecord{},
-		unavailableSince: map[string]float64{},
-		drainOrderedAt:   map[drainOrder]float64{},
+		unavailableSince: map[string]placer.Seconds{},
+		drainOrderedAt:   map[drainOrder]placer.Seconds{},
 	}
 }
 
-func (a *auditor) violation(rule int, at float64, format string, args ...any) {
+func (a *auditor) violation(rule int, at placer.Seconds, format string, args ...any) {
 	a.report.Violations = append(a.report.Violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
--- a/internal/lab/audit/characterization_test.go
+++ b/internal/lab/audit/characterization_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // TestCharacterizeVerdicts pins the auditor's violations and counts over seeded events, most of which break rules. Regenerate the golden
@@ -35,7 +36,7 @@
 		report := checked(t, config, randomEvents(rand.New(rand.NewPCG(41, seed))))
 		for _, violation := range report.Violations {
 			recorder.Integers(int64(violation.Rule))
-			recorder.Floats(violation.At)
+			recorder.Floats(float64(violation.At))
 			recorder.Texts(violation.Text)
 		}
 		var byRule [6]int
@@ -60,9 +61,9 @@
 func randomEvents(rng *rand.Rand) []Event {
 	classes := []string{"once", "web", "keyed-node", "keyed-rack", "keyed-zone", "keyed-cluster", "spread-node", "spread-rack", "spread-zone"}
 	var events []Event
-	at := 100.0
+	at := placer.Seconds(100)
 	for range 300 {
-		at += rng.ExpFloat64() * 0.2
+		at += placer.Seconds(rng.ExpFloat64() * 0.2)
 		node, task, scheduler := rng.IntN(6), rng.IntN(25), rng.IntN(2)
 		event := Event{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprintf("node-%d", node), Rack: fmt.Sprintf("rack-%d", node%3),
 			Zone: fmt.Sprintf("zone-%d", node%2), UID: fmt.Sprintf("task-%d", task), Class: classes[task%len(classes)],
@@ -72,7 +73,7 @@
 		}
 		switch event.Kind {
 		case "asked":
-			event.Deadline = at + 8*rng.Float64()
+			event.Deadline = at + placer.Seconds(8*rng.Float64())
 		case "settled":
 			event.Reason = []string{"Placed", "Refused", "Failed"}[rng.IntN(3)]
 		case "end":
--- a/internal/lab/audit/rules.go
+++ b/internal/lab/audit/rules.go
@@ -1,7 +1,9 @@
 package audit
 
-// discoveryRecovery is the time in seconds, after the inventory can be reached again, in which schedulers must have read it.
-const discoveryRecovery = 1
+import "heathshed/placer"
+
+// discoveryRecovery is the time, after the inventory can be reached again, in which schedulers must have read it.
+const discoveryRecovery placer.Seconds = 1
 
 // taskSettled takes the outcome of a task: there is one, and it is in time.
 func (a *auditor) taskSettled(event *Event, task *taskRecord) {
@@ -49,7 +51,7 @@
 // checkDrain checks an attempt against the nodes that drain or are unavailable, by the inventory and by order.
 func (a *auditor) checkDrain(event *Event, task *taskRecord) {
 	// respectedFrom is when a scheduler that learned of a drain at the given time must respect it.
-	respectedFrom := func(at float64) float64 { return at + a.config.DrainGrace + a.config.Slack }
+	respectedFrom := func(at placer.Seconds) placer.Seconds { return at + a.config.DrainGrace + a.config.Slack }
 	since, unavailable := a.unavailableSince[event.Node]
 	// Without the inventory a scheduler cannot know.
 	if unavailable && !a.discoveryLost && event.At > respectedFrom(max(since, a.discoveryRestoredAt+discoveryRecovery)) {
@@ -119,7 +121,7 @@
 }
 
 // finish checks what can be said only when all events are in.
-func (a *auditor) finish(end float64) {
+func (a *auditor) finish(end placer.Seconds) {
 	for _, uid := range a.uids {
 		task := a.tasks[uid]
 		if task.submitted {
@@ -131,7 +133,7 @@
 }
 
 // checkOutcome checks that a task has an outcome if one is due.
-func (a *auditor) checkOutcome(task *taskRecord, end float64) {
+func (a *auditor) checkOutcome(task *taskRecord, end placer.Seconds) {
 	switch {
 	case task.outcome != "":
 	case task.excused:
@@ -142,7 +144,7 @@
 }
 
 // checkConcurrentAttempts checks that no attempt of a task was made while an earlier one was in flight.
-func (a *auditor) checkConcurrentAttempts(task *taskRecord, end float64) {
+func (a *auditor) checkConcurrentAttempts(task *taskRecord, end placer.Seconds) {
 	for i, attempt := range task.attempts {
 		closedAt := attempt.closedAt
 		if closedAt == 0 {
--- a/internal/lab/emulator/fault/fault.go
+++ b/internal/lab/emulator/fault/fault.go
@@ -2,6 +2,8 @@
 // who order faults and those who carry them out.
 package fault
 
+import "heathshed/placer"
+
 // Node orders faults of a node. Unless stated otherwise each field is the time in seconds, from the order, that a fault lasts; 0 leaves the
 // fault as it is.
 type Node struct {
@@ -25,21 +27,21 @@
 	Hide        []string `json:"hide,omitempty"`  // nodes that are not shown until the next order
 }
 
-// NodeState holds the faults that a node has now: until when, in Unix seconds, and how far its clock is ahead. Stall, Crash, Unreachable and
+// NodeState holds the faults that a node has now: until when, in Unix time, and how far its clock is ahead. Stall, Crash, Unreachable and
 // Drain act on the node itself and are not kept here.
 type NodeState struct {
-	RejectUntil, LoseAnswerUntil, ResetUntil, TrickleUntil float64
-	ClockSkew                                              float64 // seconds
+	RejectUntil, LoseAnswerUntil, ResetUntil, TrickleUntil placer.Seconds
+	ClockSkew                                              placer.Seconds
 
-	errorUntil float64
+	errorUntil placer.Seconds
 	errorClass string // "" is every class
 }
 
 // Apply takes an order at the given time.
-func (s *NodeState) Apply(now float64, fault Node) {
-	extend := func(until *float64, seconds float64) {
+func (s *NodeState) Apply(now placer.Seconds, fault Node) {
+	extend := func(until *placer.Seconds, seconds float64) {
 		if seconds != 0 {
-			*until = now + seconds
+			*until = now + placer.Seconds(seconds)
 		}
 	}
 	extend(&s.RejectUntil, fault.Reject)
@@ -47,15 +49,15 @@
 	extend(&s.ResetUntil, fault.Reset)
 	extend(&s.TrickleUntil, fault.Trickle)
 	if fault.ClockSkew != 0 {
-		s.ClockSkew = fault.ClockSkew
+		s.ClockSkew = placer.Seconds(fault.ClockSkew)
 	}
 	if fault.Error != 0 {
-		s.errorUntil = now + fault.Error
+		s.errorUntil = now + placer.Seconds(fault.Error)
 		s.errorClass = fault.Class
 	}
 }
 
 // FailsClass reports whether requests of a class are answered with an error.
-func (s *NodeState) FailsClass(now float64, class string) bool {
+func (s *NodeState) FailsClass(now placer.Seconds, class string) bool {
 	return now < s.errorUntil && (s.errorClass == "" || s.errorClass == class)
 }
--- a/internal/lab/emulator/fault/fault_test.go
+++ b/internal/lab/emulator/fault/fault_test.go
@@ -1,6 +1,10 @@
 package fault
 
-import "testing"
+import (
+	"testing"
+
+	"heathshed/placer"
+)
 
 // TestApply checks that an order extends only the faults that it names, from its own time on.
 func TestApply(t *testing.T) {
@@ -21,7 +25,7 @@
 	for _, test := range []struct {
 		name  string
 		order Node
-		at    float64
+		at    placer.Seconds
 		class string
 		want  bool
 	}{
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -109,7 +109,7 @@
 	case exchange.Head.Method == http.MethodPut && path == faultsPath:
 		inv.serveFault(exchange)
 	default:
-		exchange.Respond(inv.api.Serve(inv.apiNow(), &exchange.Request))
+		exchange.Respond(inv.api.Serve(inv.simNow(), &exchange.Request))
 	}
 }
 
@@ -191,7 +191,7 @@
 func (inv *Inventory) notifyWatchers() {
 	if revision := inv.store.Rev(); revision != inv.shownRevision {
 		inv.shownRevision = revision
-		inv.api.SetTime(inv.apiNow())
+		inv.api.SetTime(inv.simNow())
 		inv.server.PullStreams()
 	}
 }
@@ -211,7 +211,7 @@
 			inv.publish(inv.reported[name], false)
 		}
 	}
-	inv.api.SetTime(inv.apiNow())
+	inv.api.SetTime(inv.simNow())
 	inv.server.PullStreams()
 	inv.notifyWatchers()
 }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -21,6 +21,7 @@
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/httpc"
 	"heathshed/internal/netio/httpd"
+	"heathshed/placer"
 )
 
 const (
@@ -61,7 +62,7 @@
 	store         *store.Store
 	starts        int
 	incarnation   string
-	startedAt     float64 // on the clock of sim; 0 if the node came up warm
+	startedAt     placer.Seconds // on the clock of sim; 0 if the node came up warm
 	wakeTimer     *eventloop.Timer
 	pending       map[string][]*httpd.Exchange // unanswered requests, by UID and attempt
 	loadReport    string                       // value of the load header
@@ -200,7 +201,7 @@
 	n.scheduleWake()
 	if revision := n.store.Rev(); revision != n.shownRevision {
 		n.shownRevision = revision
-		n.api.SetTime(n.apiNow())
+		n.api.SetTime(n.simNow())
 		n.server.PullStreams()
 	}
 }
@@ -222,7 +223,7 @@
 		n.store.Delete(store.Pods, pod.Namespace, pod.Name)
 	case nodesim.Overloaded:
 		n.record(audit.Event{Kind: audit.Overloaded})
-		n.crash(clock.Duration(float64(nodesim.OverloadDowntime)))
+		n.crash(clock.Duration(nodesim.OverloadDowntime))
 	}
 	return n.sim != nil
 }
--- a/internal/lab/emulator/node_fault.go
+++ b/internal/lab/emulator/node_fault.go
@@ -12,6 +12,7 @@
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpd"
+	"heathshed/placer"
 )
 
 const (
@@ -26,7 +27,7 @@
 	now := n.simNow()
 	n.faults.Apply(now, injected)
 	if n.sim != nil && injected.Stall != 0 {
-		n.sim.StallUntil(now + injected.Stall)
+		n.sim.StallUntil(now + placer.Seconds(injected.Stall))
 	}
 	if injected.Unreachable > 0 {
 		n.makeUnreachable(clock.Duration(injected.Unreachable))
@@ -91,7 +92,7 @@
 		return
 	}
 	n.server.PullStreams()
-	n.trickling = n.simNow() < n.faults.TrickleUntil+trickleLinger.Seconds()
+	n.trickling = n.simNow() < n.faults.TrickleUntil+placer.SecondsOf(trickleLinger)
 	if n.trickling {
 		n.loop.After(trickleInterval, n.continueTrickling)
 	}
--- a/internal/lab/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -19,6 +19,7 @@
 	"heathshed/internal/lab/nodesim"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpd"
+	"heathshed/placer"
 )
 
 const (
@@ -44,7 +45,7 @@
 		n.stopTask(exchange)
 	default:
 		n.tick()
-		response := n.api.Serve(n.apiNow(), &exchange.Request)
+		response := n.api.Serve(n.simNow(), &exchange.Request)
 		response.Header = append(response.Header, http1.Field{Name: wellknown.IncarnationHeader, Value: n.incarnation},
 			http1.Field{Name: wellknown.LoadHeader, Value: n.loadReport})
 		exchange.Respond(response)
@@ -108,7 +109,7 @@
 		return
 	}
 	request := nodesim.PodRequest(pod, attempt, n.options.Priorities[class])
-	request.Lifetime = n.lifetime(pod, class)
+	request.Lifetime = placer.Seconds(n.lifetime(pod, class))
 	key := nodesim.AttemptKey(uid, attempt)
 	exchange.OnDisconnect = recordAbandoned
 	n.pending[key] = append(n.pending[key], exchange)
--- a/internal/lab/faultinjection/action.go
+++ b/internal/lab/faultinjection/action.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"time"
 
+	"heathshed/internal/control/clock"
 	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
@@ -21,7 +22,7 @@
 
 	submitAttempts = 400
 	retryInterval  = 250 * time.Millisecond
-	lateSubmission = 0.05 // seconds after its time at which a job counts as late
+	lateSubmission = 50 * time.Millisecond // after its time, at which a job counts as late
 )
 
 // apiOf returns a client of the API of a process.
@@ -61,7 +62,7 @@
 	case scenario.CutInventory:
 		r.injectFault(ctx, inventoryName, &fault.Inventory{Unreachable: action.OutageSeconds})
 	case scenario.KillScheduler:
-		r.restartScheduler(ctx, simulation.SchedulerName(action.Scheduler), action.DowntimeSeconds)
+		r.restartScheduler(ctx, simulation.SchedulerName(action.Scheduler), clock.Duration(action.DowntimeSeconds))
 	case scenario.DrainNode:
 		r.setDraining(ctx, action.Node, true)
 	case scenario.UndrainNode:
@@ -71,7 +72,7 @@
 
 // submitJob submits a job until a scheduler has it.
 func (r *runner) submitJob(ctx context.Context, action *scenario.Action) {
-	late := time.Since(r.startedAt).Seconds()-action.At > lateSubmission
+	late := time.Since(r.startedAt)-clock.Duration(action.At) > lateSubmission
 	body, err := json.Marshal(simulation.NewJob(action.Job))
 	if err == nil {
 		err = r.retry(ctx, simulation.SchedulerName(action.Job.Scheduler), submitAttempts, func(api *apiclient.Client) error {
--- a/internal/lab/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -20,17 +20,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"heathshed/internal/config"
+	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/labconfig"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
+	"heathshed/placer"
 )
 
 const (
 	progressInterval = 2 * time.Second
 	settleTime       = 500 * time.Millisecond // at the end, for outcomes that are on their way
-	auditSlack       = 0.15                   // seconds
-	maxLatencyMicros = 600_000_000
+	maxLatency       = 10 * time.Minute       // that the histogram of latencies holds
+
+	auditSlack placer.Seconds = 0.15
 )
 
 // Options are what a scenario is run with.
@@ -40,9 +43,9 @@
 	Script     scenario.Script
 	Settings   config.Settings
 	// Progress, if set, is called every two seconds.
-	Progress func(elapsedSeconds float64, figures Figures)
-	// WatchDropInterval is the time in seconds between deliberate breaks of the client's own watches; 0 is none.
-	WatchDropInterval float64
+	Progress func(elapsed time.Duration, figures Figures)
+	// WatchDropInterval is the time between deliberate breaks of the client's own watches; 0 is none.
+	WatchDropInterval time.Duration
 	// Hostile adds clients that attack the schedulers to the ordinary one.
 	Hostile bool
 }
@@ -83,7 +86,7 @@
 	events      []audit.Event // recorded by the client
 	figures     Figures
 	latency     *hdrhistogram.Histogram // from submission to outcome, in microseconds
-	submittedAt map[string]float64      // by UID of a task: when the client first saw it, in Unix seconds
+	submittedAt map[string]time.Time    // by UID of a task: when the client first saw it
 	settled     map[string]bool         // by UID of a task
 }
 
@@ -93,8 +96,8 @@
 		options:     options,
 		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		processes:   map[string]*process{},
-		latency:     hdrhistogram.New(1, maxLatencyMicros, 3),
-		submittedAt: map[string]float64{},
+		latency:     hdrhistogram.New(1, maxLatency.Microseconds(), 3),
+		submittedAt: map[string]time.Time{},
 		settled:     map[string]bool{},
 	}
 	defer r.stopAll()
@@ -140,20 +143,20 @@
 // play performs the actions of a plan at their times, and returns at the end of the script.
 func (r *runner) play(ctx context.Context, plan []scenario.Action) error {
 	r.startedAt = time.Now()
-	end := r.startedAt.Add(seconds(r.options.Script.Seconds))
+	end := r.startedAt.Add(clock.Duration(r.options.Script.Seconds))
 	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	for len(plan) > 0 || time.Now().Before(end) {
 		next := end
 		if len(plan) > 0 {
-			next = r.startedAt.Add(seconds(plan[0].At))
+			next = r.startedAt.Add(clock.Duration(plan[0].At))
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-progress.C:
 			if r.options.Progress != nil {
-				r.options.Progress(time.Since(r.startedAt).Seconds(), r.snapshot())
+				r.options.Progress(time.Since(r.startedAt), r.snapshot())
 			}
 		case <-time.After(time.Until(next)):
 			if len(plan) > 0 {
@@ -165,8 +168,6 @@
 	return nil
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // sleep waits, and returns the context's error if it ends before.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
@@ -177,12 +178,12 @@
 	}
 }
 
-// unixNow returns the time as events state it.
-func unixNow() float64 { return float64(time.Now().UnixNano()) / 1e9 }
+// eventTime returns a time as events state it.
+func eventTime(at time.Time) placer.Seconds { return placer.Seconds(clock.FromTime(at).UnixSeconds()) }
 
 // record records an event that the client caused or saw now.
 func (r *runner) record(event audit.Event) {
-	event.At = unixNow()
+	event.At = eventTime(time.Now())
 	r.mu.Lock()
 	r.events = append(r.events, event)
 	r.mu.Unlock()
@@ -222,7 +223,7 @@
 		}
 	}
 	script := &r.options.Script
-	rules := audit.Config{Classes: simulation.AuditClasses(&r.options.Settings), DrainGrace: r.options.Settings.Timing.DrainGrace.Seconds(), Slack: auditSlack}
+	rules := audit.Config{Classes: simulation.AuditClasses(&r.options.Settings), DrainGrace: placer.Seconds(r.options.Settings.Timing.DrainGrace), Slack: auditSlack}
 	return &Result{
 		Seconds:    script.Seconds,
 		Schedulers: script.Schedulers,
--- a/internal/lab/faultinjection/faultinjection_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -3,10 +3,10 @@
 package faultinjection
 
 import (
-	"context"
 	"os/exec"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"heathshed/internal/config"
 	"heathshed/internal/lab/scenario"
@@ -23,7 +23,7 @@
 	script.Seconds, script.Cooldown, script.Nodes, script.Schedulers, script.Load.TasksPerSecond, script.Load.Services = 12, 6, 6, 2, 12, 8
 	script.Faults = []scenario.Fault{{Kind: "crash", At: 1, Duration: 2, Fraction: 0.3}, {Kind: "discovery_down", At: 1.5, Duration: 2},
 		{Kind: "balancer_roll", At: 2, Duration: 2, Fraction: 1}, {Kind: "lose_answers", At: 3, Duration: 1, Fraction: 0.5}, {Kind: "flush", At: 4, Duration: 1, Fraction: 0.3}}
-	result, err := Run(context.Background(), Options{Executable: executable, Dir: t.TempDir(), Script: script, Settings: config.Default(), WatchDropInterval: 1, Hostile: true})
+	result, err := Run(t.Context(), Options{Executable: executable, Dir: t.TempDir(), Script: script, Settings: config.Default(), WatchDropInterval: time.Second, Hostile: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -220,8 +220,8 @@
 	return fmt.Errorf("%s did not become ready", name)
 }
 
-// restartScheduler kills a scheduler and starts it again at its address, after the downtime in seconds.
-func (r *runner) restartScheduler(ctx context.Context, name string, downtime float64) {
+// restartScheduler kills a scheduler and starts it again at its address, after the downtime.
+func (r *runner) restartScheduler(ctx context.Context, name string, downtime time.Duration) {
 	r.mu.Lock()
 	process := r.processes[name]
 	r.mu.Unlock()
@@ -232,7 +232,7 @@
 	process.wait()
 	r.record(audit.Event{Kind: audit.Killed, Scheduler: name})
 	r.update(func(f *Figures) { f.SchedulerKills++ })
-	if sleep(ctx, seconds(downtime)) != nil {
+	if sleep(ctx, downtime) != nil {
 		return
 	}
 	args := append(slices.Clone(process.args), "--listen", process.addr)
--- a/internal/lab/faultinjection/watch.go
+++ b/internal/lab/faultinjection/watch.go
@@ -15,6 +15,7 @@
 	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
+	"heathshed/placer"
 )
 
 const watchRetryInterval = 100 * time.Millisecond
@@ -32,7 +33,7 @@
 		List:                func(ctx context.Context) (string, error) { return r.list(ctx, api, scheduler) },
 		RetryStep:           watchRetryInterval,
 		RetryMax:            watchRetryInterval,
-		ConnectionTimeout:   seconds(r.options.WatchDropInterval),
+		ConnectionTimeout:   r.options.WatchDropInterval,
 		OnConnectionTimeout: func() { r.update(func(f *Figures) { f.WatchesDropped++ }) },
 	}, func(event apiclient.Event) error {
 		var pod corev1.Pod
@@ -66,9 +67,9 @@
 	outcome := wellknown.SettledReason(pod)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := unixNow()
+	now := time.Now()
 	record := func(event audit.Event) {
-		event.At = now
+		event.At = eventTime(now)
 		event.UID = uid
 		event.Scheduler = scheduler
 		event.Class = pod.Labels[wellknown.Class]
@@ -82,8 +83,9 @@
 		r.submittedAt[uid] = now
 		// A Pod with an outcome that is new to the client was adopted after a restart, or settled before the watch began.
 		if outcome == "" {
+			deadline := wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])
 			r.figures.Tasks++
-			record(audit.Event{Kind: audit.Submitted, Deadline: wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])})
+			record(audit.Event{Kind: audit.Submitted, Deadline: placer.Seconds(deadline)})
 		}
 	}
 	if outcome != "" && !r.settled[uid] {
@@ -91,7 +93,7 @@
 		r.figures.Settled++
 		record(audit.Event{Kind: audit.Settled, Reason: outcome})
 		if known && eventType != eventListed {
-			r.recordLatency(now - submittedAt)
+			r.recordLatency(now.Sub(submittedAt))
 		}
 	}
 	if eventType == watch.Deleted && !r.settled[uid] {
@@ -99,7 +101,7 @@
 	}
 }
 
-// recordLatency records a time from submission to outcome, in seconds. One that is longer than the histogram holds is left out.
-func (r *runner) recordLatency(latency float64) {
-	_ = r.latency.RecordValue(max(1, int64(latency*1e6)))
+// recordLatency records a time from submission to outcome. One that is longer than the histogram holds is left out.
+func (r *runner) recordLatency(latency time.Duration) {
+	_ = r.latency.RecordValue(max(1, latency.Microseconds()))
 }
--- a/internal/lab/labconfig/node.go
+++ b/internal/lab/labconfig/node.go
@@ -5,11 +5,12 @@
 
 	"heathshed/internal/config"
 	"heathshed/internal/lab/nodesim"
+	"heathshed/placer"
 )
 
 const (
-	// terminatedRetention is how long emulated nodes list terminated tasks, in seconds.
-	terminatedRetention = 60
+	// terminatedRetention is how long emulated nodes list terminated tasks.
+	terminatedRetention placer.Seconds = 60
 	// nodeSeedStride separates the seeds of emulated nodes.
 	nodeSeedStride = 104729
 )
@@ -42,28 +43,31 @@
 func simulatedNode(s *config.Settings, nodeType *config.NodeType, i int) nodesim.Config {
 	e := &s.Emulator
 	return nodesim.Config{
-		Cores:               nodeType.Cores,
-		Memory:              nodeType.Memory,
-		OvercommitCores:     s.NodePolicy.OvercommitCores,
-		OvercommitMemory:    s.NodePolicy.OvercommitMemory,
-		DecisionDelayMin:    e.DecisionDelayMin.Seconds(),
-		DecisionDelayMax:    e.DecisionDelayMax.Seconds(),
-		MaxQueued:           e.MaxQueued,
-		MaxConcurrentStarts: e.MaxConcurrentStarts,
-		StartSeconds:        e.StartDuration.Seconds(),
-		UncachedStartFactor: e.UncachedStartFactor,
-		ProgramCacheSize:    e.ProgramCacheSize,
-		InitialPace:         s.Timing.WarmupMinPace,
-		WarmUpSeconds:       s.Timing.WarmupDuration.Seconds(),
-		OverloadFactor:      s.Timing.OverloadMultiple,
-		OverloadWindow:      s.Timing.OverloadWindow.Seconds(),
-		OverloadMinRequests: s.Timing.WarmupAttempts,
+		Cores:      nodeType.Cores,
+		Memory:     nodeType.Memory,
+		Overcommit: nodesim.Overcommit{Cores: s.NodePolicy.OvercommitCores, Memory: s.NodePolicy.OvercommitMemory},
+		Decisions: nodesim.Decisions{
+			DelayMin:  placer.Seconds(e.DecisionDelayMin),
+			DelayMax:  placer.Seconds(e.DecisionDelayMax),
+			MaxQueued: e.MaxQueued,
+		},
+		Starts: nodesim.Starts{
+			MaxConcurrent:    e.MaxConcurrentStarts,
+			Duration:         placer.Seconds(e.StartDuration),
+			UncachedFactor:   e.UncachedStartFactor,
+			ProgramCacheSize: e.ProgramCacheSize,
+		},
+		WarmUp: nodesim.WarmUp{InitialPace: s.Timing.WarmupMinPace, Duration: placer.Seconds(s.Timing.WarmupDuration)},
+		Overload: nodesim.Overload{
+			Factor:      s.Timing.OverloadMultiple,
+			Window:      placer.Seconds(s.Timing.OverloadWindow),
+			MinRequests: s.Timing.WarmupAttempts,
+		},
+		Usage:               nodesim.Usage{Min: e.UsageMin, Max: e.UsageMax},
 		AnswerWhenRunning:   s.NodePolicy.AcknowledgesOnStart,
 		Preempts:            s.NodePolicy.Preempts,
-		LifetimeMean:        e.MeanLifetime.Seconds(),
-		UsageMin:            e.UsageMin,
-		UsageMax:            e.UsageMax,
-		DrainGrace:          e.DrainGrace.Seconds(),
+		LifetimeMean:        placer.Seconds(e.MeanLifetime),
+		DrainGrace:          placer.Seconds(e.DrainGrace),
 		TerminatedRetention: terminatedRetention,
 		Seed:                e.Seed + uint64(i)*nodeSeedStride,
 	}
--- a/internal/lab/metastability/metastability.go
+++ b/internal/lab/metastability/metastability.go
@@ -11,6 +11,7 @@
 	"heathshed/internal/config"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
+	"heathshed/placer"
 )
 
 // The load of all trials. Times are in seconds.
@@ -115,7 +116,7 @@
 }
 
 // goodput returns, for each second, the fraction placed in time of the tasks created in the window that ends then; 1 if there were none.
-func goodput(world *simulation.World, start float64) []float64 {
+func goodput(world *simulation.World, start placer.Seconds) []float64 {
 	created := make([]int, horizon+2)
 	for _, at := range world.CreatedAt {
 		created[int(at-start)]++
--- a/internal/lab/metastability/verdict.go
+++ b/internal/lab/metastability/verdict.go
@@ -1,25 +1,30 @@
 package metastability
 
-import "math"
+import (
+	"math"
+
+	"heathshed/placer"
+)
 
 // When a run counts as recovered.
 const (
 	recoveredFraction = 0.95 // of the baseline's goodput
 	openTasksFactor   = 1.05 // on the open tasks of the baseline
 	openTasksMargin   = 20   // open tasks beyond that
-	// The system must recover within recoveryGrace seconds and drainFactor times what an ideal one needs for the open tasks.
-	recoveryGrace = 30.0
-	drainFactor   = 2
+	// The system must recover within recoveryGrace and drainFactor times what an ideal one needs for the open tasks.
+	drainFactor = 2
+
+	recoveryGrace placer.Seconds = 30
 )
 
 // Verdict is the result of a trial. Times are in seconds.
 type Verdict struct {
-	BaselineGoodput   float64 // least fraction of tasks placed in time in a window without the trigger
-	WorstGoodput      float64 // the same with the trigger
-	RecoveryTime      float64 // from the end of the trigger until goodput and open tasks were normal for good; infinity if they never were
-	AllowedTime       float64 // for the recovery
-	PeakOpenTasks     int     // most tasks without an outcome
-	FinalOpenTasks    int     // tasks without an outcome in the end
+	BaselineGoodput   float64        // least fraction of tasks placed in time in a window without the trigger
+	WorstGoodput      float64        // the same with the trigger
+	RecoveryTime      placer.Seconds // from the end of the trigger until goodput and open tasks were normal for good; infinity if they never were
+	AllowedTime       placer.Seconds // for the recovery
+	PeakOpenTasks     int            // most tasks without an outcome
+	FinalOpenTasks    int            // tasks without an outcome in the end
 	PlacementRequests uint64
 	Attempts          uint64
 }
@@ -41,12 +46,12 @@
 		baselineOpen = max(baselineOpen, baseline.openTasks[i])
 	}
 	normalOpen := openTasksFactor*float64(baselineOpen) + openTasksMargin
-	triggerEnd := trial.Trigger.At + trial.Trigger.Duration
+	triggerEnd := placer.Seconds(trial.Trigger.At + trial.Trigger.Duration)
 	lastDegraded := triggerEnd
 	for i := int(trial.Trigger.At); i < len(triggered.goodput); i++ {
 		verdict.WorstGoodput = min(verdict.WorstGoodput, triggered.goodput[i])
 		verdict.PeakOpenTasks = max(verdict.PeakOpenTasks, triggered.openTasks[i])
-		at := float64(i + 1)
+		at := placer.Seconds(i + 1)
 		goodputLow := triggered.goodput[i] < recoveredFraction*verdict.BaselineGoodput
 		backlogged := at > triggerEnd && float64(triggered.openTasks[i]) > normalOpen
 		if goodputLow || backlogged {
@@ -55,8 +60,8 @@
 	}
 	verdict.RecoveryTime = lastDegraded - triggerEnd
 	if lastDegraded >= horizon-1 {
-		verdict.RecoveryTime = math.Inf(1)
+		verdict.RecoveryTime = placer.Seconds(math.Inf(1))
 	}
-	verdict.AllowedTime = recoveryGrace + drainFactor*float64(verdict.PeakOpenTasks)/(fleetCapacity*(1-trial.Load))
+	verdict.AllowedTime = recoveryGrace + placer.Seconds(drainFactor*float64(verdict.PeakOpenTasks)/(fleetCapacity*(1-trial.Load)))
 	return verdict
 }
--- a/internal/lab/nodesim/lifecycle.go
+++ b/internal/lab/nodesim/lifecycle.go
@@ -1,13 +1,17 @@
 package nodesim
 
-import "slices"
+import (
+	"slices"
+
+	"heathshed/placer"
+)
 
 // maxFenced bounds the fences that are kept; the oldest are dropped first.
 const maxFenced = 100000
 
 // startQueued begins as many starts as may be under way at a time.
 func (n *Node) startQueued() {
-	for n.starting < n.cfg.MaxConcurrentStarts && len(n.startQueue) > 0 {
+	for n.starting < n.cfg.Starts.MaxConcurrent && len(n.startQueue) > 0 {
 		task := n.startQueue[0]
 		n.startQueue = n.startQueue[1:]
 		if task.Phase != Accepted {
@@ -19,11 +23,11 @@
 			n.DuplicateStarts++
 		}
 		n.started[task.UID] = true
-		work := n.cfg.StartSeconds
+		work := n.cfg.Starts.Duration
 		if !n.programCached(task) {
-			work *= max(n.cfg.UncachedStartFactor, 1)
+			work *= placer.Seconds(max(n.cfg.Starts.UncachedFactor, 1))
 		}
-		n.schedule(max(n.now, n.stalledUntil)+work/n.pace(), func() {
+		n.schedule(max(n.now, n.stalledUntil)+work/placer.Seconds(n.pace()), func() {
 			n.starting--
 			n.taskStarted(task)
 			n.startQueued()
@@ -42,7 +46,7 @@
 		n.cachedPrograms = slices.Delete(n.cachedPrograms, i, i+1)
 	}
 	n.cachedPrograms = append(n.cachedPrograms, service)
-	if len(n.cachedPrograms) > n.cfg.ProgramCacheSize {
+	if len(n.cachedPrograms) > n.cfg.Starts.ProgramCacheSize {
 		n.cachedPrograms = n.cachedPrograms[1:]
 	}
 }
@@ -61,7 +65,7 @@
 	n.answer(task)
 	lifetime := task.Lifetime
 	if lifetime <= 0 {
-		lifetime = n.cfg.LifetimeMean * (0.3 + n.rng.ExpFloat64()*0.7)
+		lifetime = n.cfg.LifetimeMean * placer.Seconds(0.3+n.rng.ExpFloat64()*0.7)
 	}
 	n.schedule(n.now+lifetime, func() {
 		if task.Phase == Running {
@@ -124,7 +128,7 @@
 
 // Stop terminates a task if the node has it, and fences its attempts up to the given number in any case. had reports whether the node has
 // or recently had the task, ran whether the task ran; without had, ran reports whether a start of it ever began.
-func (n *Node) Stop(now float64, uid string, attempt int) (had, ran bool) {
+func (n *Node) Stop(now placer.Seconds, uid string, attempt int) (had, ran bool) {
 	n.Tick(now)
 	n.fence(uid, attempt)
 	i := slices.IndexFunc(n.queue, func(request Request) bool { return request.UID == uid && request.Attempt <= attempt })
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -12,6 +12,7 @@
 	"slices"
 
 	"heathshed/internal/control/timerqueue"
+	"heathshed/placer"
 )
 
 // amount is a quantity of both resources: cores, and memory in GiB.
@@ -21,9 +22,9 @@
 type Node struct {
 	cfg         Config
 	rng         *rand.Rand
-	now         float64 // seconds, Unix time or simulated
-	warmUpStart float64
-	timers      timerqueue.Queue[float64]
+	now         placer.Seconds // Unix time or simulated
+	warmUpStart placer.Seconds
+	timers      timerqueue.Queue[placer.Seconds]
 	effects     []Effect
 
 	queue          []Request // waiting for a decision
@@ -45,7 +46,7 @@
 	used         amount // sum over the running tasks
 	draining     bool
 	overloaded   bool // the node has failed
-	stalledUntil float64
+	stalledUntil placer.Seconds
 
 	// RejectHook, if set, is asked about each request and rejects it by a reason other than None. It serves fault injection.
 	RejectHook func(*Request) Reason
@@ -54,7 +55,7 @@
 }
 
 // New returns a node that comes up at the given time.
-func New(cfg Config, now float64) *Node {
+func New(cfg Config, now placer.Seconds) *Node {
 	n := &Node{
 		cfg:         cfg,
 		rng:         rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)),
@@ -66,7 +67,7 @@
 		started:     map[string]bool{},
 	}
 	if !cfg.Cold {
-		n.warmUpStart = now - cfg.WarmUpSeconds
+		n.warmUpStart = now - cfg.WarmUp.Duration
 	}
 	n.schedule(now+usageInterval, n.updateUsage)
 	return n
@@ -96,10 +97,10 @@
 }
 
 // NextWake returns the time at which Tick is to be called next.
-func (n *Node) NextWake() float64 { return n.timers.NextOr(math.Inf(1)) }
+func (n *Node) NextWake() placer.Seconds { return n.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
-func (n *Node) Tick(now float64) {
+func (n *Node) Tick(now placer.Seconds) {
 	for !n.overloaded {
 		timer := n.timers.Pop(now)
 		if timer == nil {
@@ -111,7 +112,7 @@
 	n.now = max(n.now, now)
 }
 
-func (n *Node) schedule(at float64, run func()) { n.timers.Add(at, run) }
+func (n *Node) schedule(at placer.Seconds, run func()) { n.timers.Add(at, run) }
 
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
@@ -152,13 +153,13 @@
 }
 
 // StallUntil delays every decision and start that begins before the given time until then. It serves fault injection.
-func (n *Node) StallUntil(until float64) { n.stalledUntil = until }
+func (n *Node) StallUntil(until placer.Seconds) { n.stalledUntil = until }
 
 // Draining reports whether the node drains.
 func (n *Node) Draining() bool { return n.draining }
 
 // SetDraining begins or cancels a drain.
-func (n *Node) SetDraining(now float64, draining bool) {
+func (n *Node) SetDraining(now placer.Seconds, draining bool) {
 	if draining {
 		n.Drain(now)
 	} else {
@@ -167,7 +168,7 @@
 }
 
 // Drain rejects all requests from now on, and terminates the active tasks after DrainGrace.
-func (n *Node) Drain(now float64) {
+func (n *Node) Drain(now placer.Seconds) {
 	n.Tick(now)
 	if n.draining {
 		return
@@ -187,7 +188,7 @@
 }
 
 // Undrain cancels a drain. Tasks that it terminated stay so.
-func (n *Node) Undrain(now float64) {
+func (n *Node) Undrain(now placer.Seconds) {
 	n.Tick(now)
 	n.draining = false
 }
--- a/internal/lab/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -8,6 +8,7 @@
 
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
+	"heathshed/placer"
 )
 
 var apiReasons = map[Reason]string{
@@ -78,7 +79,7 @@
 type Identity struct {
 	Name, Zone, Rack, Kind string
 	Incarnation            string
-	StartedAt              float64 // seconds, by the node's own clock; 0 if it was up before
+	StartedAt              placer.Seconds // by the node's own clock; 0 if it was up before
 	Host                   string
 	Port                   int32
 }
@@ -92,7 +93,7 @@
 	cores, memory := n.Free()
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(cores, memory)}
 	if identity.StartedAt != 0 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(identity.StartedAt)
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(identity.StartedAt))
 	}
 	object.Spec.Unschedulable = n.draining
 	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/lab/nodesim/object_test.go
+++ b/internal/lab/nodesim/object_test.go
@@ -70,7 +70,7 @@
 // TestEffectsEndWithTheNode checks that no effect is passed on after the one that took the node down.
 func TestEffectsEndWithTheNode(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.MaxQueued = 0
+	cfg.Decisions.MaxQueued = 0
 	n := New(cfg, 0)
 	for _, uid := range []string{"a", "b", "c"} {
 		n.Submit(0, Request{UID: uid, Attempt: 1})
--- a/internal/lab/nodesim/request.go
+++ b/internal/lab/nodesim/request.go
@@ -1,25 +1,35 @@
 package nodesim
 
-import "sort"
+import (
+	"sort"
+
+	"heathshed/placer"
+)
+
+// minStartDuration bounds the duration of a start from below where the starts of a window are counted.
+const minStartDuration placer.Seconds = 1e-6
 
 // recentRequest counts towards the overload of a node that warms up.
-type recentRequest struct{ at, weight float64 }
+type recentRequest struct {
+	at     placer.Seconds
+	weight float64
+}
 
 // pace returns the fraction of its full pace at which the node starts tasks now.
 func (n *Node) pace() float64 {
 	if n.warm() {
 		return 1
 	}
-	return n.cfg.InitialPace + (1-n.cfg.InitialPace)*(n.now-n.warmUpStart)/n.cfg.WarmUpSeconds
+	return n.cfg.WarmUp.InitialPace + float64(placer.Seconds(1-n.cfg.WarmUp.InitialPace)*(n.now-n.warmUpStart)/n.cfg.WarmUp.Duration)
 }
 
 // warm reports whether the warm-up is over.
 func (n *Node) warm() bool {
-	return n.cfg.WarmUpSeconds <= 0 || n.now >= n.warmUpStart+n.cfg.WarmUpSeconds
+	return n.cfg.WarmUp.Duration <= 0 || n.now >= n.warmUpStart+n.cfg.WarmUp.Duration
 }
 
 // Submit takes a request. The answer comes as an effect: at once for a repeat or if the queue is full, else after the decision.
-func (n *Node) Submit(now float64, request Request) {
+func (n *Node) Submit(now placer.Seconds, request Request) {
 	n.Tick(now)
 	if n.overloaded {
 		return
@@ -32,7 +42,7 @@
 		n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Task: task})
 		return
 	}
-	if len(n.queue) >= n.cfg.MaxQueued {
+	if len(n.queue) >= n.cfg.Decisions.MaxQueued {
 		n.reject(&request, QueueFull)
 		return
 	}
@@ -42,11 +52,11 @@
 
 // recordRequest counts a request, and fails the node if it is overloaded while it warms up.
 func (n *Node) recordRequest() {
-	if n.warm() || n.cfg.OverloadWindow <= 0 {
+	if n.warm() || n.cfg.Overload.Window <= 0 {
 		n.recentRequests = nil
 		return
 	}
-	for len(n.recentRequests) > 0 && n.recentRequests[0].at < n.now-n.cfg.OverloadWindow {
+	for len(n.recentRequests) > 0 && n.recentRequests[0].at < n.now-n.cfg.Overload.Window {
 		n.recentRequests = n.recentRequests[1:]
 	}
 	n.recentRequests = append(n.recentRequests, recentRequest{at: n.now, weight: 1})
@@ -54,8 +64,9 @@
 	for _, entry := range n.recentRequests {
 		total += entry.weight
 	}
-	startable := n.pace() * float64(n.cfg.MaxConcurrentStarts) / max(n.cfg.StartSeconds, 1e-6) * n.cfg.OverloadWindow
-	if total > n.cfg.OverloadMinRequests && total > n.cfg.OverloadFactor*startable {
+	startsAtOnce := n.pace() * float64(n.cfg.Starts.MaxConcurrent)
+	startable := float64(placer.Seconds(startsAtOnce) / max(n.cfg.Starts.Duration, minStartDuration) * n.cfg.Overload.Window)
+	if total > n.cfg.Overload.MinRequests && total > n.cfg.Overload.Factor*startable {
 		n.overloaded = true
 		n.emit(Effect{Kind: Overloaded})
 	}
@@ -71,7 +82,7 @@
 		return
 	}
 	n.deciding = true
-	delay := n.cfg.DecisionDelayMin + (n.cfg.DecisionDelayMax-n.cfg.DecisionDelayMin)*n.rng.Float64()
+	delay := n.cfg.Decisions.DelayMin + (n.cfg.Decisions.DelayMax-n.cfg.Decisions.DelayMin)*placer.Seconds(n.rng.Float64())
 	n.schedule(max(n.now, n.stalledUntil)+delay, func() {
 		n.deciding = false
 		if n.now < n.stalledUntil {
@@ -114,9 +125,9 @@
 func (n *Node) accept(request *Request) {
 	n.sequence++
 	task := &Task{Request: *request, sequence: n.sequence}
-	usageSpan := n.cfg.UsageMax - n.cfg.UsageMin
-	task.coresFactor = n.cfg.UsageMin + usageSpan*n.rng.Float64()
-	task.memoryFactor = n.cfg.UsageMin + usageSpan*n.rng.Float64()
+	usageSpan := n.cfg.Usage.Max - n.cfg.Usage.Min
+	task.coresFactor = n.cfg.Usage.Min + usageSpan*n.rng.Float64()
+	task.memoryFactor = n.cfg.Usage.Min + usageSpan*n.rng.Float64()
 	n.tasks[request.UID] = task
 	n.active = append(n.active, task)
 	n.requested.cores += request.Cores
@@ -141,9 +152,9 @@
 func (n *Node) shortage(request *Request) Reason {
 	const tolerance = 1e-9 // of rounding in the running sums
 	switch {
-	case n.requested.cores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores+tolerance:
+	case n.requested.cores+request.Cores > n.cfg.Cores*n.cfg.Overcommit.Cores+tolerance:
 		return InsufficientCores
-	case n.requested.memory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory+tolerance:
+	case n.requested.memory+request.Memory > n.cfg.Memory*n.cfg.Overcommit.Memory+tolerance:
 		return InsufficientMemory
 	}
 	return None
@@ -161,8 +172,8 @@
 			preemptable.memory += task.Memory
 		}
 	}
-	if n.requested.cores-preemptable.cores+request.Cores > n.cfg.Cores*n.cfg.OvercommitCores ||
-		n.requested.memory-preemptable.memory+request.Memory > n.cfg.Memory*n.cfg.OvercommitMemory {
+	if n.requested.cores-preemptable.cores+request.Cores > n.cfg.Cores*n.cfg.Overcommit.Cores ||
+		n.requested.memory-preemptable.memory+request.Memory > n.cfg.Memory*n.cfg.Overcommit.Memory {
 		return false
 	}
 	sort.SliceStable(candidates, func(i, j int) bool {
--- a/internal/lab/nodesim/task.go
+++ b/internal/lab/nodesim/task.go
@@ -1,6 +1,10 @@
 package nodesim
 
-import "strconv"
+import (
+	"strconv"
+
+	"heathshed/placer"
+)
 
 // Reason says why a request was rejected or a task was terminated.
 type Reason uint8
@@ -37,8 +41,8 @@
 	Service       string // tasks of one service share a program
 	Cores, Memory float64
 	Priority      int
-	Lifetime      float64 // seconds; 0 draws one
-	Payload       any     // kept with the task, not looked at
+	Lifetime      placer.Seconds // 0 draws one
+	Payload       any            // kept with the task, not looked at
 }
 
 // AttemptKey returns a map key for one attempt of a task.
@@ -51,7 +55,7 @@
 	Reason                    Reason
 	UsedCores, UsedMemory     float64
 	coresFactor, memoryFactor float64 // fractions of the requested cores and memory that the task uses
-	startedAt                 float64
+	startedAt                 placer.Seconds
 	sequence                  int // in order of acceptance
 	ran                       bool
 	answered                  bool
--- a/internal/lab/nodesim/usage.go
+++ b/internal/lab/nodesim/usage.go
@@ -1,13 +1,15 @@
 package nodesim
 
-// usageInterval is the time between updates of what tasks use, in seconds.
-const usageInterval = 1
+import "heathshed/placer"
+
+// usageInterval is the time between updates of what tasks use.
+const usageInterval placer.Seconds = 1
 
 // updateUsage lets the usage of cores drift at random, and evicts tasks while memory is short.
 func (n *Node) updateUsage() {
 	for _, task := range n.activeTasks() {
 		if task.Phase == Running {
-			task.coresFactor = min(max(task.coresFactor+0.04*(n.rng.Float64()-0.5), n.cfg.UsageMin), n.cfg.UsageMax)
+			task.coresFactor = min(max(task.coresFactor+0.04*(n.rng.Float64()-0.5), n.cfg.Usage.Min), n.cfg.Usage.Max)
 		}
 	}
 	n.sumUsage()
@@ -55,7 +57,7 @@
 	n.used.cores -= task.UsedCores
 	n.used.memory -= task.UsedMemory
 	task.UsedCores = task.Cores * task.coresFactor
-	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*(n.now-task.startedAt))
+	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*float64(n.now-task.startedAt))
 	n.used.cores += task.UsedCores
 	n.used.memory += task.UsedMemory
 }
--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -6,11 +6,12 @@
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
+	"heathshed/placer"
 )
 
 const (
-	// auditSlack is the tolerance of the auditor for times, in seconds.
-	auditSlack = 0.1
+	// auditSlack is the tolerance of the auditor for times.
+	auditSlack placer.Seconds = 0.1
 	// watchBatch is the number of changes that the client reads at a time.
 	watchBatch = 1000
 )
@@ -76,7 +77,7 @@
 	}
 	submitted := s.taskEvent(audit.Submitted, pod)
 	submitted.Class = pod.Labels[wellknown.Class]
-	submitted.Deadline = wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])
+	submitted.Deadline = placer.Seconds(wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline]))
 	w.record(submitted)
 }
 
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -14,6 +14,7 @@
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/lab/simulation"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // TestCharacterizeScenarios pins simulated scenarios with every kind of fault: plans, audit events, the stored changes of every
@@ -77,7 +78,7 @@
 		r.t.Fatal(err)
 	}
 	r.record.Integers(int64(scheduler), int64(engine.OpenTasks()))
-	r.record.Floats(w.Now(), float64(engine.NextWake()))
+	r.recordTimes(w.Now(), engine.NextWake())
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		from := r.revisions[scheduler]
 		changes, err := engine.Store().Since(table, from, math.MaxInt32)
@@ -91,7 +92,13 @@
 	}
 	r.revisions[scheduler] = engine.Store().Rev()
 	if r.calls%2000 == 0 {
-		r.record.Checkpoint(fmt.Sprintf("call %d at %016x", r.calls, math.Float64bits(w.Now())))
+		r.record.Checkpoint(fmt.Sprintf("call %d at %016x", r.calls, math.Float64bits(float64(w.Now()))))
+	}
+}
+
+func (r *scenarioRun) recordTimes(times ...placer.Seconds) {
+	for _, at := range times {
+		r.record.Floats(float64(at))
 	}
 }
 
@@ -116,7 +123,7 @@
 		}
 	}
 	r.record.Checkpoint(fmt.Sprintf("plan of %d actions", len(plan)))
-	r.world.Run(plan, r.script.Seconds)
+	r.world.Run(plan, placer.Seconds(r.script.Seconds))
 }
 
 func (r *scenarioRun) recordWorld() {
@@ -128,9 +135,9 @@
 			r.record.Checkpoint(fmt.Sprintf("event %d", i+1))
 		}
 	}
-	r.record.Floats(world.PlacementLatency...)
-	r.record.Floats(world.PlacedCreatedAt...)
-	r.record.Floats(world.CreatedAt...)
+	r.recordTimes(world.PlacementLatency...)
+	r.recordTimes(world.PlacedCreatedAt...)
+	r.recordTimes(world.CreatedAt...)
 	r.record.Checkpoint(fmt.Sprintf("%d events, %d placed, %d created", len(world.Events), len(world.PlacementLatency), len(world.CreatedAt)))
 	r.recordReport("rules as they are", world.Audit())
 	broken := audit.Config{Classes: map[string]audit.Class{}, DrainGrace: -1, Slack: -1}
@@ -152,7 +159,7 @@
 func (r *scenarioRun) recordReport(label string, report audit.Report) {
 	for _, v := range report.Violations {
 		r.record.Integers(int64(v.Rule))
-		r.record.Floats(v.At)
+		r.recordTimes(v.At)
 		r.record.Texts(v.Text)
 	}
 	r.record.Line("%s: %d violations, %d events, %d tasks, outcomes %s, %d forgotten, %d offers, %d refusals, %d starts, ends %s, %d crashes", label,
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -3,6 +3,7 @@
 import (
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
+	"heathshed/placer"
 )
 
 // injectFault makes the node faulty. A fault that acts on a running node does nothing to one that is down.
@@ -10,10 +11,10 @@
 	now := n.world.now
 	n.faults.Apply(now, order)
 	if order.Stall != 0 && n.sim != nil {
-		n.sim.StallUntil(now + order.Stall)
+		n.sim.StallUntil(now + placer.Seconds(order.Stall))
 	}
 	if order.Unreachable > 0 {
-		n.unreachableUntil = now + order.Unreachable
+		n.unreachableUntil = now + placer.Seconds(order.Unreachable)
 		n.breakWatches()
 	}
 	if order.Drain != nil && n.sim != nil {
@@ -22,6 +23,6 @@
 	}
 	if order.Crash > 0 && n.sim != nil {
 		n.world.record(audit.Event{Kind: audit.Crashed, Node: n.cfg.Name})
-		n.crash(order.Crash)
+		n.crash(placer.Seconds(order.Crash))
 	}
 }
--- a/internal/lab/simulation/inventory.go
+++ b/internal/lab/simulation/inventory.go
@@ -9,21 +9,21 @@
 	"heathshed/placer"
 )
 
-// inventoryCheckInterval is the time between checks for unresponsive nodes, in seconds.
-const inventoryCheckInterval = 0.25
+// inventoryCheckInterval is the time between checks for unresponsive nodes.
+const inventoryCheckInterval placer.Seconds = 0.25
 
 // inventory lists the nodes that report to it, and notifies the schedulers of changes.
 type inventory struct {
 	world            *World
 	entries          map[string]*inventoryEntry // by name of the node
-	unreachableUntil float64
+	unreachableUntil placer.Seconds
 }
 
 // inventoryEntry is a node as the inventory has it.
 type inventoryEntry struct {
 	object     *corev1.Node
 	ready      bool
-	lastReport float64
+	lastReport placer.Seconds
 }
 
 // visible is the node as schedulers see it.
@@ -57,7 +57,7 @@
 }
 
 // update takes a node's report, which was sent at reportedAt.
-func (v *inventory) update(object *corev1.Node, reportedAt float64) {
+func (v *inventory) update(object *corev1.Node, reportedAt placer.Seconds) {
 	entry := v.entries[object.Name]
 	if entry == nil {
 		entry = &inventoryEntry{}
@@ -101,7 +101,7 @@
 		alive := s.aliveCheck()
 		w.after(w.cfg.LatencyMax, func() {
 			if alive() && v.reachable() {
-				s.engine.NodesListed(placer.Seconds(w.now), engine.Changes, []*corev1.Node{object}, nil)
+				s.engine.NodesListed(w.now, engine.Changes, []*corev1.Node{object}, nil)
 				s.process()
 			}
 		})
@@ -123,12 +123,12 @@
 	}
 }
 
-// cut makes the inventory unreachable for a number of seconds.
-func (v *inventory) cut(seconds float64) {
+// cut makes the inventory unreachable for a time.
+func (v *inventory) cut(outage placer.Seconds) {
 	w := v.world
-	v.unreachableUntil = w.now + seconds
+	v.unreachableUntil = w.now + outage
 	w.record(audit.Event{Kind: audit.DiscoveryLost})
-	w.after(seconds, func() {
+	w.after(outage, func() {
 		if !v.reachable() {
 			return // another outage has begun
 		}
@@ -139,7 +139,7 @@
 	})
 	for _, s := range w.schedulers {
 		if s.engine != nil {
-			s.engine.NodesListed(placer.Seconds(w.now), engine.ListUnavailable, nil, nil)
+			s.engine.NodesListed(w.now, engine.ListUnavailable, nil, nil)
 			s.process()
 		}
 	}
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -13,12 +13,12 @@
 	"heathshed/placer"
 )
 
-// trickleDelay is how much longer an answer takes that trickles, in seconds.
-const trickleDelay = 1
+// trickleDelay is how much longer an answer takes that trickles.
+const trickleDelay placer.Seconds = 1
 
 // latency draws the time that a message takes over a link.
-func (w *World) latency() float64 {
-	return w.cfg.LatencyMin + (w.cfg.LatencyMax-w.cfg.LatencyMin)*w.rng.Float64()
+func (w *World) latency() placer.Seconds {
+	return w.cfg.LatencyMin + (w.cfg.LatencyMax-w.cfg.LatencyMin)*placer.Seconds(w.rng.Float64())
 }
 
 // attemptState is what a scheduler makes of an attempt that it has sent.
@@ -103,7 +103,8 @@
 	priority := a.scheduler.world.cfg.Priorities[a.pod.Labels[wellknown.Class]]
 	request := nodesim.PodRequest(a.pod, a.answer.Attempt, priority)
 	// A Pod that gives no lifetime, or an invalid one, has that of the node's configuration.
-	request.Lifetime, _ = strconv.ParseFloat(a.pod.Annotations[wellknown.Lifetime], 64)
+	lifetime, _ := strconv.ParseFloat(a.pod.Annotations[wellknown.Lifetime], 64)
+	request.Lifetime = placer.Seconds(lifetime)
 	return request
 }
 
@@ -154,14 +155,14 @@
 }
 
 // fail lets the scheduler find, after a delay, that the attempt has failed.
-func (a *attempt) fail(result placer.Result, delay float64) {
+func (a *attempt) fail(result placer.Result, delay placer.Seconds) {
 	answer := a.answer
 	answer.Result = result
 	a.deliver(answer, delay)
 }
 
 // deliver brings an answer to the scheduler after a delay, if it still runs.
-func (a *attempt) deliver(answer engine.AttemptAnswer, delay float64) {
+func (a *attempt) deliver(answer engine.AttemptAnswer, delay placer.Seconds) {
 	s := a.scheduler
 	s.world.after(delay, func() {
 		if !a.alive() {
@@ -172,7 +173,7 @@
 			answer.Result = placer.Lost
 		}
 		delete(s.attempts, a.key)
-		s.engine.AttemptDone(placer.Seconds(s.world.now), answer)
+		s.engine.AttemptDone(s.world.now, answer)
 		s.process()
 	})
 }
@@ -191,10 +192,10 @@
 	uid := string(effect.UID)
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
 	alive := s.aliveCheck()
-	reply := func(delay float64) {
+	reply := func(delay placer.Seconds) {
 		w.after(delay, func() {
 			if alive() {
-				s.engine.StopDone(placer.Seconds(w.now), answer)
+				s.engine.StopDone(w.now, answer)
 				s.process()
 			}
 		})
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"sort"
 	"strconv"
 
@@ -11,6 +10,7 @@
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/emulator/fault"
 	"heathshed/internal/lab/nodesim"
+	"heathshed/placer"
 )
 
 // kubeletPort is the port that simulated nodes show: any, as nobody connects to it.
@@ -23,15 +23,15 @@
 	sim         *nodesim.Node
 	incarnation int
 	bootID      string
-	startedAt   float64 // of a cold incarnation, 0 of a warm one
-	rev         int64   // of the Pods
-	wakeAt      float64 // of the earliest timer that wakes sim, infinity if none is set
+	startedAt   placer.Seconds // of a cold incarnation, 0 of a warm one
+	rev         int64          // of the Pods
+	wakeAt      placer.Seconds // of the earliest timer that wakes sim, infinity if none is set
 	pods        map[string]*corev1.Pod
 	watches     []*podWatch
 	pending     map[string]func(outcome *nodesim.Effect) // requests without an answer, by attemptKey
 
 	faults           fault.NodeState
-	unreachableUntil float64
+	unreachableUntil placer.Seconds
 }
 
 // reachable reports whether schedulers can connect to the node.
@@ -49,7 +49,7 @@
 		n.startedAt = w.now
 	}
 	n.rev = int64(w.now * revisionsPerSecond)
-	n.wakeAt = math.Inf(1)
+	n.wakeAt = never
 	n.pods = map[string]*corev1.Pod{}
 	n.pending = map[string]func(*nodesim.Effect){}
 	w.record(audit.Event{Kind: audit.NodeUp, Node: n.cfg.Name})
@@ -64,8 +64,8 @@
 	return nodesim.None
 }
 
-// crash ends the incarnation; the next, cold one begins after a number of seconds.
-func (n *node) crash(downtime float64) {
+// crash ends the incarnation; the next, cold one begins after the downtime.
+func (n *node) crash(downtime placer.Seconds) {
 	if n.sim == nil {
 		return
 	}
@@ -101,7 +101,7 @@
 	n.wakeAt = at
 	w.at(at, func() {
 		if n.sim != nil && n.incarnation == incarnation && n.wakeAt <= w.now {
-			n.wakeAt = math.Inf(1)
+			n.wakeAt = never
 			n.sim.Tick(w.now)
 			n.process()
 		}
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -19,8 +19,9 @@
 // How a simulated client submits a job again.
 const (
 	maxSubmitRetries = 100
-	downRetryDelay   = 0.5 // while the scheduler is down or not ready, in seconds
-	fullRetryDelay   = 1   // while the scheduler has too many Pods, in seconds
+
+	downRetryDelay placer.Seconds = 0.5 // while the scheduler is down or not ready
+	fullRetryDelay placer.Seconds = 1   // while the scheduler has too many Pods
 )
 
 // perform carries out an action of a plan.
@@ -33,9 +34,9 @@
 	case scenario.InjectNodeFault:
 		w.nodesByName[action.Node].injectFault(action.NodeFault)
 	case scenario.CutInventory:
-		w.inventory.cut(action.OutageSeconds)
+		w.inventory.cut(placer.Seconds(action.OutageSeconds))
 	case scenario.KillScheduler:
-		w.schedulers[action.Scheduler].restart(action.DowntimeSeconds)
+		w.schedulers[action.Scheduler].restart(placer.Seconds(action.DowntimeSeconds))
 	case scenario.DrainNode, scenario.UndrainNode:
 		w.orderDrain(action.Node, action.Kind == scenario.DrainNode)
 	}
@@ -43,7 +44,7 @@
 
 // submit creates a Job. The client retries while its scheduler is down, not ready or full.
 func (w *World) submit(job *scenario.Job, retries int) {
-	retryAfter := func(delay float64) {
+	retryAfter := func(delay placer.Seconds) {
 		if retries < maxSubmitRetries {
 			w.after(delay, func() { w.submit(job, retries+1) })
 		}
@@ -53,7 +54,7 @@
 		retryAfter(downRetryDelay)
 		return
 	}
-	_, err := s.engine.CreateJob(placer.Seconds(w.now), NewJob(job), false)
+	_, err := s.engine.CreateJob(w.now, NewJob(job), false)
 	if errors.Is(err, engine.ErrTooMany) {
 		retryAfter(fullRetryDelay)
 	}
@@ -66,7 +67,7 @@
 		return
 	}
 	// A job that has finished and expired cannot be deleted any more.
-	_, _ = s.engine.DeleteJob(placer.Seconds(w.now), job.Namespace, job.Name, "", "", "")
+	_, _ = s.engine.DeleteJob(w.now, job.Namespace, job.Name, "", "", "")
 	s.process()
 }
 
@@ -85,7 +86,7 @@
 			continue
 		}
 		order := unschedulable
-		if _, err := s.engine.UpdateNode(placer.Seconds(w.now), object.DeepCopy(), &order, false); err == nil {
+		if _, err := s.engine.UpdateNode(w.now, object.DeepCopy(), &order, false); err == nil {
 			w.record(audit.Event{Kind: kind, Scheduler: s.cfg.Name, Node: name})
 		}
 		s.process()
--- a/internal/lab/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// reconnectDelay is how long after the loss of a watch the scheduler connects again, in seconds.
-	reconnectDelay = 0.1
-	// A connection to a node that is unreachable is tried again after a random time of this range, in seconds.
-	connectRetryMin    = 0.1
-	connectRetrySpread = 0.9
+	// reconnectDelay is how long after the loss of a watch the scheduler connects again.
+	reconnectDelay placer.Seconds = 0.1
+	// A connection to a node that is unreachable is tried again after a random time of this range.
+	connectRetryMin    placer.Seconds = 0.1
+	connectRetrySpread placer.Seconds = 0.9
 )
 
 // podWatch is a scheduler's watch on the Pods of a node.
 type podWatch struct {
 	scheduler   *scheduler
 	node        *node
-	lastArrival float64 // of an event: events arrive in the order in which they were sent
+	lastArrival placer.Seconds // of an event: events arrive in the order in which they were sent
 	established bool
 	cancelled   bool
 }
@@ -51,14 +51,14 @@
 			return
 		}
 		if !n.reachable() {
-			w.after(connectRetryMin+connectRetrySpread*w.rng.Float64(), p.connect)
+			w.after(connectRetryMin+connectRetrySpread*placer.Seconds(w.rng.Float64()), p.connect)
 			return
 		}
 		p.established = true
 		n.watches = append(n.watches, p)
 		pods := n.podsOf(s.cfg.Name)
 		bootID, rev := n.bootID, n.rev
-		p.send(func() { s.engine.NodePods(placer.Seconds(w.now), n.cfg.Name, bootID, rev, pods) })
+		p.send(func() { s.engine.NodePods(w.now, n.cfg.Name, bootID, rev, pods) })
 	})
 }
 
@@ -98,7 +98,7 @@
 	w := s.world
 	p.established = false
 	p.send(func() {
-		s.engine.NodeUnresponsive(placer.Seconds(w.now), p.node.cfg.Name)
+		s.engine.NodeUnresponsive(w.now, p.node.cfg.Name)
 		w.after(reconnectDelay, p.connect)
 	})
 }
@@ -108,7 +108,7 @@
 	for _, watch := range n.watches {
 		s := watch.scheduler
 		if watch.established && !watch.cancelled && s.cfg.Name == pod.Labels[wellknown.Scheduler] {
-			watch.send(func() { s.engine.NodePod(placer.Seconds(n.world.now), n.cfg.Name, pod, deleted) })
+			watch.send(func() { s.engine.NodePod(n.world.now, n.cfg.Name, pod, deleted) })
 		}
 	}
 }
--- a/internal/lab/simulation/scheduler.go
+++ b/internal/lab/simulation/scheduler.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 
 	"k8s.io/apimachinery/pkg/types"
 
@@ -12,8 +11,8 @@
 )
 
 const (
-	// nodeSyncTimeout is how long after its first list a scheduler waits for the tasks of all listed nodes, in seconds.
-	nodeSyncTimeout = 5
+	// nodeSyncTimeout is how long after its first list a scheduler waits for the tasks of all listed nodes.
+	nodeSyncTimeout placer.Seconds = 5
 	// schedulerSeedStride separates the seeds of a scheduler's incarnations.
 	schedulerSeedStride = 1000003
 	// revisionsPerSecond lets the revisions of a later incarnation begin above those of an earlier one.
@@ -27,16 +26,16 @@
 	cfg         engine.Config
 	engine      *engine.Engine
 	incarnation int
-	wakeAt      float64 // of the earliest timer that wakes the engine, infinity if none is set
-	synced      bool    // it has the list of nodes
-	syncedAt    float64 // when it first had it
+	wakeAt      placer.Seconds // of the earliest timer that wakes the engine, infinity if none is set
+	synced      bool           // it has the list of nodes
+	syncedAt    placer.Seconds // when it first had it
 	watches     map[string]*podWatch
 	attempts    map[string]attemptState // in flight, by attemptKey
 
 	// What a client of this scheduler sees by watching Pods.
 	watchedRev int64
-	created    map[types.UID]float64 // when the client first saw a task
-	settled    map[types.UID]bool    // the client has seen its outcome
+	created    map[types.UID]placer.Seconds // when the client first saw a task
+	settled    map[types.UID]bool           // the client has seen its outcome
 }
 
 // start begins an incarnation.
@@ -50,12 +49,12 @@
 		return fmt.Errorf("scheduler %s: %w", cfg.Name, err)
 	}
 	s.engine = started
-	s.wakeAt = math.Inf(1)
+	s.wakeAt = never
 	s.synced = false
 	s.watches = map[string]*podWatch{}
 	s.attempts = map[string]attemptState{}
 	s.watchedRev = cfg.BaseRevision
-	s.created = map[types.UID]float64{}
+	s.created = map[types.UID]placer.Seconds{}
 	s.settled = map[types.UID]bool{}
 	s.process()
 	s.relist()
@@ -74,8 +73,8 @@
 	}
 }
 
-// restart kills the scheduler and starts it again after a number of seconds.
-func (s *scheduler) restart(downtime float64) {
+// restart kills the scheduler and starts it again after the downtime.
+func (s *scheduler) restart(downtime placer.Seconds) {
 	s.kill()
 	s.world.after(downtime, func() {
 		if s.engine != nil {
@@ -112,7 +111,7 @@
 			s.synced = true
 			s.syncedAt = w.now
 		}
-		s.engine.NodesListed(placer.Seconds(w.now), engine.FullList, w.inventory.list(), nil)
+		s.engine.NodesListed(w.now, engine.FullList, w.inventory.list(), nil)
 		s.process()
 	})
 }
@@ -140,7 +139,7 @@
 }
 
 func (s *scheduler) scheduleWake() {
-	at := float64(s.engine.NextWake())
+	at := s.engine.NextWake()
 	if at >= s.wakeAt {
 		return
 	}
@@ -149,8 +148,8 @@
 	alive := s.aliveCheck()
 	w.at(at, func() {
 		if alive() && s.wakeAt <= w.now {
-			s.wakeAt = math.Inf(1)
-			s.engine.Tick(placer.Seconds(w.now))
+			s.wakeAt = never
+			s.engine.Tick(w.now)
 			s.process()
 		}
 	})
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -7,19 +7,20 @@
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/labconfig"
 	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
-// Latencies of links on loopback, one way, in seconds.
+// Latencies of links on loopback, one way.
 const (
-	loopbackLatencyMin = 0.0001
-	loopbackLatencyMax = 0.0006
+	loopbackLatencyMin placer.Seconds = 0.0001
+	loopbackLatencyMax placer.Seconds = 0.0006
 )
 
 const (
-	// scenarioStartTime is when simulated scenarios begin, in Unix seconds.
-	scenarioStartTime = 1.8e9
-	// scenarioReportInterval is that of the emulator's nodes, in seconds.
-	scenarioReportInterval = 0.5
+	// scenarioStartTime is when simulated scenarios begin, in Unix time.
+	scenarioStartTime placer.Seconds = 1.8e9
+	// scenarioReportInterval is that of the emulator's nodes.
+	scenarioReportInterval placer.Seconds = 0.5
 	// schedulerSeedFactor separates the seeds of schedulers.
 	schedulerSeedFactor = 31
 )
@@ -31,13 +32,13 @@
 		Priorities:        labconfig.Priorities(settings),
 		LatencyMin:        loopbackLatencyMin,
 		LatencyMax:        loopbackLatencyMax,
-		ConnectTimeout:    settings.ConnectTimeout.Seconds(),
+		ConnectTimeout:    placer.Seconds(settings.ConnectTimeout),
 		ReportInterval:    scenarioReportInterval,
-		ReportDelay:       settings.Emulator.ReportDelay.Seconds(),
-		UnresponsiveAfter: settings.Emulator.UnresponsiveAfter.Seconds(),
+		ReportDelay:       placer.Seconds(settings.Emulator.ReportDelay),
+		UnresponsiveAfter: placer.Seconds(settings.Emulator.UnresponsiveAfter),
 		StartTime:         scenarioStartTime,
 		Classes:           AuditClasses(settings),
-		DrainGrace:        settings.Timing.DrainGrace.Seconds(),
+		DrainGrace:        placer.Seconds(settings.Timing.DrainGrace),
 	}
 	for i := range script.Nodes {
 		emulated := labconfig.NodeAt(settings, i)
@@ -78,7 +79,7 @@
 			AtMostOnce:   class.Idempotency == "at_most_once",
 			Idempotent:   class.Idempotency == "deduplicated",
 			DedupDomain:  auditDomain(class.DedupDomain),
-			DedupWindow:  class.DedupWindow.Seconds(),
+			DedupWindow:  placer.Seconds(class.DedupWindow),
 			SpreadDomain: auditDomain(class.SpreadDomain),
 			MaxPerDomain: class.MaxPerDomain,
 		}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -12,6 +12,7 @@
 	"heathshed/internal/kube/store"
 	"heathshed/internal/lab/scenario"
 	"heathshed/internal/testsupport/proptest"
+	"heathshed/placer"
 )
 
 func TestMain(m *testing.M) { proptest.Main(m, "60") }
@@ -27,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	world.Run(script.Plan(cfg.ScenarioNodes()), script.Seconds)
+	world.Run(script.Plan(cfg.ScenarioNodes()), placer.Seconds(script.Seconds))
 	return world
 }
 
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -5,6 +5,7 @@
 package simulation
 
 import (
+	"math"
 	"math/rand/v2"
 
 	"heathshed/internal/control/timerqueue"
@@ -12,6 +13,7 @@
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/nodesim"
 	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
 // NodeConfig configures one simulated node.
@@ -20,32 +22,35 @@
 	Sim nodesim.Config
 }
 
-// Config configures a World. Times are in seconds.
+// Config configures a World.
 type Config struct {
 	Seed                            uint64
 	Schedulers                      []engine.Config
 	Nodes                           []NodeConfig
 	Priorities                      map[string]int // of classes
-	LatencyMin, LatencyMax          float64        // of a link, one way
-	ConnectTimeout                  float64        // until a connection to an unreachable node fails
-	ReportInterval                  float64        // between reports of a node to the inventory
-	ReportDelay                     float64        // until the inventory shows a report
-	UnresponsiveAfter               float64        // without a report, a node is shown as not ready
+	LatencyMin, LatencyMax          placer.Seconds // of a link, one way
+	ConnectTimeout                  placer.Seconds // until a connection to an unreachable node fails
+	ReportInterval                  placer.Seconds // between reports of a node to the inventory
+	ReportDelay                     placer.Seconds // until the inventory shows a report
+	UnresponsiveAfter               placer.Seconds // without a report, a node is shown as not ready
 	AnswerLossRate, AttemptLossRate float64        // probabilities that a connection breaks after or before the node reads an attempt
-	StartTime                       float64        // Unix seconds
+	StartTime                       placer.Seconds // Unix time
 	KeepEvents                      bool           // record events for the auditor
 	Classes                         map[string]audit.Class
-	DrainGrace                      float64
+	DrainGrace                      placer.Seconds
 	AfterEngineCall                 func(w *World, scheduler int) // called after every call of an engine, to check invariants
 }
 
-// Defaults of a Config, in seconds.
+// Defaults of a Config.
 const (
-	defaultConnectTimeout    = 1
-	defaultReportInterval    = 0.5
-	defaultUnresponsiveAfter = 2
+	defaultConnectTimeout    placer.Seconds = 1
+	defaultReportInterval    placer.Seconds = 0.5
+	defaultUnresponsiveAfter placer.Seconds = 2
 )
 
+// never is the time of a timer that is not set.
+var never = placer.Seconds(math.Inf(1))
+
 // randomStream is the second word of the seed of a world's random source.
 const randomStream = 0x6d6f64656c
 
@@ -53,18 +58,18 @@
 type World struct {
 	cfg         Config
 	rng         *rand.Rand
-	now         float64 // Unix seconds
-	timers      timerqueue.Queue[float64]
+	now         placer.Seconds // Unix time
+	timers      timerqueue.Queue[placer.Seconds]
 	steps       int
 	schedulers  []*scheduler
 	nodes       []*node
 	nodesByName map[string]*node
 	inventory   inventory
 
-	Events           []audit.Event // if Config.KeepEvents is set
-	PlacementLatency []float64     // from a task's creation to its placement, in seconds, for each placed task
-	PlacedCreatedAt  []float64     // when the task of each PlacementLatency was created
-	CreatedAt        []float64     // when each task was created
+	Events           []audit.Event    // if Config.KeepEvents is set
+	PlacementLatency []placer.Seconds // from a task's creation to its placement, for each placed task
+	PlacedCreatedAt  []placer.Seconds // when the task of each PlacementLatency was created
+	CreatedAt        []placer.Seconds // when each task was created
 }
 
 // New returns a world at its start: the nodes run and are listed, and the schedulers begin.
@@ -91,7 +96,7 @@
 		w.nodesByName[n.cfg.Name] = n
 		n.start(n.cfg.Sim.Cold)
 		w.inventory.add(n.object())
-		w.after(cfg.ReportInterval*w.rng.Float64(), n.report)
+		w.after(cfg.ReportInterval*placer.Seconds(w.rng.Float64()), n.report)
 	}
 	for i := range cfg.Schedulers {
 		s := &scheduler{world: w, index: i, cfg: cfg.Schedulers[i]}
@@ -104,8 +109,8 @@
 	return w, nil
 }
 
-// Now is the simulated time in Unix seconds.
-func (w *World) Now() float64 { return w.now }
+// Now is the simulated time, in Unix time.
+func (w *World) Now() placer.Seconds { return w.now }
 
 // Steps is the number of timers that have run so far.
 func (w *World) Steps() int { return w.steps }
@@ -114,19 +119,19 @@
 func (w *World) Engine(i int) *engine.Engine { return w.schedulers[i].engine }
 
 // after schedules a function to run after a delay, at once if it is negative.
-func (w *World) after(delay float64, run func()) { w.at(w.now+max(delay, 0), run) }
+func (w *World) after(delay placer.Seconds, run func()) { w.at(w.now+max(delay, 0), run) }
 
 // at schedules a function to run at a time, at once if that is past. Functions of equal time run in the order in which they were scheduled.
-func (w *World) at(at float64, run func()) { w.timers.Add(max(at, w.now), run) }
+func (w *World) at(at placer.Seconds, run func()) { w.timers.Add(max(at, w.now), run) }
 
-// Run carries out a plan whose times count from now, and lets a number of seconds pass.
-func (w *World) Run(plan []scenario.Action, seconds float64) {
+// Run carries out a plan whose times count from now, and lets a time pass.
+func (w *World) Run(plan []scenario.Action, duration placer.Seconds) {
 	start := w.now
 	for i := range plan {
 		action := &plan[i]
-		w.at(start+action.At, func() { w.perform(action) })
+		w.at(start+placer.Seconds(action.At), func() { w.perform(action) })
 	}
-	end := start + seconds
+	end := start + duration
 	for next := w.timers.Pop(end); next != nil; next = w.timers.Pop(end) {
 		w.now = next.At
 		w.steps++
