--- a/internal/kube/reflector/reflector_test.go
+++ b/internal/kube/reflector/reflector_test.go
@@ -19,9 +19,9 @@
 	corev1 "k8s.io/api/core/v1"
 
 	"heathshed/internal/control/retry"
-	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpc"
+	"heathshed/internal/testsupport/looptest"
 )
 
 const testTimeout = 10 * time.Second
@@ -38,8 +38,10 @@
 // script is a server that sends given responses in turn, and holds every request after them.
 type script struct {
 	mu        sync.Mutex
+	scripted  int // responses at the start
 	responses []response
-	requests  []string // what each request asked for: "list", or the revision that it watches from
+	requests  []string      // what each request asked for: "list", or the revision that it watches from
+	exhausted chan struct{} // closed at the first request that there is no response for
 	hold      chan struct{}
 }
 
@@ -51,6 +53,9 @@
 	}
 	s.requests = append(s.requests, asked)
 	if len(s.responses) == 0 {
+		if len(s.requests) == s.scripted+1 {
+			close(s.exhausted)
+		}
 		s.mu.Unlock()
 		<-s.hold
 		return
@@ -72,64 +77,49 @@
 // run has a reflector follow the scripted responses until it makes a request beyond them, and returns what it has done.
 func run(t *testing.T, responses []response) (requests []string, got recorder) {
 	t.Helper()
-	s := &script{responses: responses, hold: make(chan struct{})}
-	server := httptest.NewServer(s)
-	loop, err := eventloop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
+	played := &script{responses: responses, scripted: len(responses), hold: make(chan struct{}), exhausted: make(chan struct{})}
+	server := httptest.NewServer(played)
+	loop := looptest.New(t)
+	stop := looptest.Run(t, loop)
 	loop.Post(func() {
-		r := &Reflector{
+		reflector := &Reflector{
 			Loop:   loop,
 			Client: httpc.New(loop, strings.TrimPrefix(server.URL, "http://")),
 			Path:   "/api/v1/nodes",
 			Rand:   rand.New(rand.NewPCG(1, 2)),
 			Retry:  retry.Backoff{Min: 0.001, Max: 0.01},
 		}
-		got.follow(r)
-		r.Start()
+		got.follow(reflector)
+		reflector.Start()
 	})
-	deadline := time.Now().Add(testTimeout)
-	for {
-		s.mu.Lock()
-		n := len(s.requests)
-		s.mu.Unlock()
-		if n > len(responses) {
-			break
-		}
-		if time.Now().After(deadline) {
-			t.Fatalf("%d of %d requests", n, len(responses)+1)
-		}
-		time.Sleep(time.Millisecond)
-	}
-	loop.Stop()
-	if err := <-done; err != nil {
-		t.Error(err)
+	select {
+	case <-played.exhausted:
+	case <-time.After(testTimeout):
+		t.Fatalf("fewer than %d requests", len(responses)+1)
 	}
-	close(s.hold)
+	stop()
+	close(played.hold)
 	server.Close()
-	return s.requests, got
+	return played.requests, got
 }
 
-func (rec *recorder) follow(r *Reflector) {
-	nameOf := func(o Object) string {
+func (recorded *recorder) follow(reflector *Reflector) {
+	nameOf := func(object Object) string {
 		node := &corev1.Node{}
-		if err := o.Decode(node); err != nil {
+		if err := object.Decode(node); err != nil {
 			return err.Error()
 		}
 		return node.Name
 	}
-	r.OnList = func(_ *http1.Head, resourceVersion string, items []Object) {
+	reflector.OnList = func(_ *http1.Head, resourceVersion string, items []Object) {
 		call := "list " + resourceVersion
 		for _, item := range items {
 			call += " " + nameOf(item)
 		}
-		rec.calls = append(rec.calls, call)
+		recorded.calls = append(recorded.calls, call)
 	}
-	r.OnEvent = func(kind string, o Object) { rec.calls = append(rec.calls, kind+" "+nameOf(o)) }
-	r.OnError = func(err error) { rec.errors = append(rec.errors, err) }
+	reflector.OnEvent = func(kind string, object Object) { recorded.calls = append(recorded.calls, kind+" "+nameOf(object)) }
+	reflector.OnError = func(err error) { recorded.errors = append(recorded.errors, err) }
 }
 
 // jsonEvent is one event of a watch in JSON.
@@ -164,7 +154,7 @@
 	frames := func(events ...string) response {
 		return response{200, protobufMediaType + ";stream=watch", strings.Join(events, "")}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		responses    []response
 		wantRequests []string
@@ -231,18 +221,18 @@
 			wantErrors:   []string{"event: ", `"RENAMED" is not known`, "frame of a watch cannot be read", "ADDED without resourceVersion", "frame over the limit"},
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			requests, got := run(t, c.responses)
-			if !slices.Equal(requests, c.wantRequests) {
-				t.Errorf("requests %q, want %q", requests, c.wantRequests)
+		t.Run(test.name, func(t *testing.T) {
+			requests, got := run(t, test.responses)
+			if !slices.Equal(requests, test.wantRequests) {
+				t.Errorf("requests %q, want %q", requests, test.wantRequests)
 			}
-			if !slices.Equal(got.calls, c.wantCalls) {
-				t.Errorf("callbacks %q, want %q", got.calls, c.wantCalls)
+			if !slices.Equal(got.calls, test.wantCalls) {
+				t.Errorf("callbacks %q, want %q", got.calls, test.wantCalls)
 			}
-			if len(got.errors) != len(c.wantErrors) {
-				t.Fatalf("errors %q, want %q", got.errors, c.wantErrors)
+			if len(got.errors) != len(test.wantErrors) {
+				t.Fatalf("errors %q, want %q", got.errors, test.wantErrors)
 			}
-			for i, want := range c.wantErrors {
+			for i, want := range test.wantErrors {
 				if !strings.Contains(got.errors[i].Error(), want) {
 					t.Errorf("error %q, want %q", got.errors[i], want)
 				}
@@ -265,19 +255,19 @@
 	stream := frame(t, "ADDED", "a", "6") + frame(t, "MODIFIED", "b", "7") + frame(t, "DELETED", "c", "8")
 	lines := jsonEvent("ADDED", "a", "6") + jsonEvent("MODIFIED", "b", "7") + jsonEvent("DELETED", "c", "8")
 	want := []string{"ADDED a", "MODIFIED b", "DELETED c"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, stream string
 		protobuf     bool
 	}{{"frames", stream, true}, {"lines", lines, false}} {
-		for size := 1; size <= len(c.stream); size++ {
+		for size := 1; size <= len(test.stream); size++ {
 			var got recorder
-			r := &Reflector{protobuf: c.protobuf}
-			got.follow(r)
-			for piece := range slices.Chunk([]byte(c.stream), size) {
-				r.decodeStream(slices.Clone(piece))
+			reflector := &Reflector{protobuf: test.protobuf}
+			got.follow(reflector)
+			for piece := range slices.Chunk([]byte(test.stream), size) {
+				reflector.decodeStream(slices.Clone(piece))
 			}
-			if !slices.Equal(got.calls, want) || r.resourceVersion != "8" {
-				t.Fatalf("%s in pieces of %d: %q, at %s", c.name, size, got.calls, r.resourceVersion)
+			if !slices.Equal(got.calls, want) || reflector.resourceVersion != "8" {
+				t.Fatalf("%s in pieces of %d: %q, at %s", test.name, size, got.calls, reflector.resourceVersion)
 			}
 		}
 	}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -30,6 +30,7 @@
 	"heathshed/internal/lab/simulation"
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/httpd"
+	"heathshed/internal/testsupport/looptest"
 	"heathshed/placer"
 )
 
@@ -47,7 +48,7 @@
 	baseURL      string
 	loop         *eventloop.Loop // of the scheduler; nil while it is not running
 	scheduler    *Scheduler
-	loopDone     chan error
+	stopLoop     func()
 	emulatorLoop *eventloop.Loop
 	inventory    *emulator.Inventory
 	nodes        []*emulator.Node
@@ -80,11 +81,9 @@
 // startEmulators starts the inventory and the nodes. The scheduler, which uses them, is stopped before them.
 func (cluster *testCluster) startEmulators() {
 	cluster.t.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		cluster.t.Fatal(err)
-	}
+	loop := looptest.New(cluster.t)
 	cluster.emulatorLoop = loop
+	var err error
 	cluster.inventory, err = emulator.StartInventory(loop, emulator.InventoryOptions{
 		Listen:            "127.0.0.1:0",
 		PublishDelay:      clock.Duration(cluster.settings.Emulator.ReportDelay),
@@ -98,14 +97,10 @@
 	for i := range cluster.settings.Emulator.Nodes {
 		cluster.nodes = append(cluster.nodes, cluster.startNode(i))
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
+	stop := looptest.Run(cluster.t, loop)
 	cluster.t.Cleanup(func() {
 		cluster.killScheduler()
-		loop.Stop()
-		if err := <-done; err != nil {
-			cluster.t.Errorf("emulators: %v", err)
-		}
+		stop()
 	})
 }
 
@@ -150,13 +145,11 @@
 // startScheduler starts the scheduler, at the address that it had, and waits until it is ready.
 func (cluster *testCluster) startScheduler() {
 	cluster.t.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		cluster.t.Fatal(err)
-	}
+	loop := looptest.New(cluster.t)
 	httpOptions := httpd.DefaultOptions()
 	httpOptions.Limits.Body = cluster.settings.Limits.MaxBodyBytes
 	httpOptions.MemoryBytes = memquota.Divide(int64(cluster.settings.Limits.MemoryMiB) << 20).Connections
+	var err error
 	cluster.scheduler, err = New(loop, Options{
 		Engine:           cluster.settings.Engine(7, loop.Now().UnixMicro()),
 		ListenAddress:    cluster.settings.Listen,
@@ -170,10 +163,8 @@
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
 	cluster.loop = loop
-	cluster.loopDone = done
+	cluster.stopLoop = looptest.Run(cluster.t, loop)
 	cluster.settings.Listen = cluster.scheduler.Addr()
 	cluster.baseURL = "http://" + cluster.scheduler.Addr()
 	cluster.eventually("the scheduler is ready", func() bool { code, _ := cluster.request("GET", "/readyz", "", nil); return code == 200 })
@@ -184,10 +175,7 @@
 	if cluster.loop == nil {
 		return
 	}
-	cluster.loop.Stop()
-	if err := <-cluster.loopDone; err != nil {
-		cluster.t.Errorf("scheduler: %v", err)
-	}
+	cluster.stopLoop()
 	cluster.loop = nil
 }
 
--- a/internal/kube/scheduler/phase_test.go
+++ b/internal/kube/scheduler/phase_test.go
@@ -11,21 +11,13 @@
 	"heathshed/internal/config"
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/kube/wellknown"
-	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/testsupport/looptest"
 )
 
 // TestReadinessError checks why a scheduler that is not ready says that it accepts no tasks, and that it waits no longer than it may.
 func TestReadinessError(t *testing.T) {
-	loop, err := eventloop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { // closes its descriptors
-		loop.Stop()
-		if err := loop.Run(); err != nil {
-			t.Error(err)
-		}
-	})
+	loop := looptest.New(t)
+	t.Cleanup(func() { looptest.Run(t, loop)() }) // closes its descriptors; the test uses only its clock
 	settings := config.Default()
 	listedNode := &corev1.Node{}
 	listedNode.Name = "node-01"
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -14,7 +14,7 @@
 
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/nodesim"
-	"heathshed/internal/netio/eventloop"
+	"heathshed/internal/testsupport/looptest"
 )
 
 const testTimeout = 20 * time.Second
@@ -22,31 +22,27 @@
 // startEmulators starts an inventory and a node that reports to it, and returns their URLs.
 func startEmulators(t *testing.T) (inventoryURL, nodeURL string) {
 	t.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
+	loop := looptest.New(t)
 	inventory, err := StartInventory(loop, InventoryOptions{Listen: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	sim := nodesim.DefaultConfig()
 	sim.LifetimeMean = 1000
-	node, err := StartNode(loop, NodeOptions{Name: "node-1", Zone: "zone-1", Rack: "rack-1", Listen: "127.0.0.1:0", Inventory: inventory.Addr(),
-		ReportInterval: 100 * time.Millisecond, Sim: sim})
+	node, err := StartNode(loop, NodeOptions{
+		Name:           "node-1",
+		Zone:           "zone-1",
+		Rack:           "rack-1",
+		Listen:         "127.0.0.1:0",
+		Inventory:      inventory.Addr(),
+		ReportInterval: 100 * time.Millisecond,
+		Sim:            sim,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	inventoryURL, nodeURL = "http://"+inventory.Addr(), "http://"+node.Addr()
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		if err := <-done; err != nil {
-			t.Errorf("loop: %v", err)
-		}
-	})
-	return inventoryURL, nodeURL
+	looptest.Run(t, loop)
+	return "http://" + inventory.Addr(), "http://" + node.Addr()
 }
 
 // call sends a request and returns the status and the body of the answer.
@@ -142,9 +138,11 @@
 		{"more faults", http.MethodPut, faultsPath, "", `{"error":100,"trickle":100}`, http.StatusNoContent, ""},
 		{"error, a few bytes at a time", http.MethodPost, pods, "1", strings.ReplaceAll(pod, "uid-1", "uid-4"), http.StatusInternalServerError, "InternalError"},
 	} {
-		code, body := call(t, step.method, nodeURL+step.path, step.attempt, step.body)
-		if code != step.code || !strings.Contains(string(body), step.contains) {
-			t.Errorf("%s: status %d, want %d with %q: %.400s", step.name, code, step.code, step.contains, body)
-		}
+		t.Run(step.name, func(t *testing.T) {
+			code, body := call(t, step.method, nodeURL+step.path, step.attempt, step.body)
+			if code != step.code || !strings.Contains(string(body), step.contains) {
+				t.Errorf("status %d, want %d with %q: %.400s", code, step.code, step.contains, body)
+			}
+		})
 	}
 }
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -96,8 +96,8 @@
 		loop.After(30*time.Millisecond, func() { order <- 3 })
 	})
 	for want := 1; want <= 3; want++ {
-		if n := <-order; n != want {
-			t.Errorf("timer %d ran when %d was due", n, want)
+		if got := <-order; got != want {
+			t.Errorf("timer %d ran when %d was due", got, want)
 		}
 	}
 	if ran.Load() != 0 {
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -12,25 +12,23 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// checkLines compares lines with the golden file.
-func checkLines(t *testing.T, lines []string) {
-	t.Helper()
-	goldentest.CheckText(t, "characterization", strings.Join(lines, "\n")+"\n")
-}
-
 // TestCharacterization compares what the decoder makes of fixed messages, whole, in pieces and under small limits, and of seeded mutations, and
-// what the writer appends, with the golden file. The reason of a refusal is sent to clients, so it is part of it. See
+// what the writer appends, with the golden file. The reason of a rejection is sent to clients, so it is part of it. See
 // package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	l := http1.DefaultLimits()
-	lines := []string{fmt.Sprint("limits ", l.Line, " ", l.Head, " ", l.Fields, " ", l.Body, " ", l.Trailer)}
-	for i, m := range corpus() {
-		lines = append(lines, fmt.Sprintf("message %d %.200q %s", i, decode(m, l, 1<<30), digestOf(variants(m, l))))
+	record := goldentest.NewRecorder()
+	limits := http1.DefaultLimits()
+	record.Line("limits %d %d %d %d %d", limits.Line, limits.Head, limits.Fields, limits.Body, limits.Trailer)
+	for i, sample := range corpus() {
+		record.Line("message %d %.200q %s", i, decode(sample, limits, 1<<30), digestOf(variants(sample, limits)))
 	}
 	for seed := uint64(1); seed <= 30; seed++ {
-		lines = append(lines, fmt.Sprintf("mutations %d %s", seed, digestOf(mutations(seed))))
+		record.Line("mutations %d %s", seed, digestOf(mutations(seed)))
+	}
+	for _, line := range written() {
+		record.Line("%s", line)
 	}
-	checkLines(t, append(lines, written()...))
+	record.Check(t, "characterization")
 }
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
@@ -44,78 +42,80 @@
 var smallLimits = []http1.Limits{{Line: 20, Head: 80, Fields: 2, Body: 4, Trailer: 8}, {Line: 14, Head: 60, Fields: 1, Body: 3, Trailer: 5}, {Line: 100, Head: 100, Fields: 10}, {}}
 
 // variants decodes a message split at every position, byte by byte, and under small limits.
-func variants(m message, l http1.Limits) string {
-	var b strings.Builder
-	if len(m.text) <= 300 {
-		for size := 1; size <= len(m.text); size++ {
-			b.WriteString(decode(m, l, size))
+func variants(sample message, limits http1.Limits) string {
+	var steps strings.Builder
+	if len(sample.text) <= 300 {
+		for size := 1; size <= len(sample.text); size++ {
+			steps.WriteString(decode(sample, limits, size))
 		}
 	} else {
-		b.WriteString(decode(m, l, 1000))
+		steps.WriteString(decode(sample, limits, 1000))
 	}
 	for _, small := range smallLimits {
-		b.WriteString(decode(m, small, 1<<30) + decode(m, small, 7))
+		steps.WriteString(decode(sample, small, 1<<30) + decode(sample, small, 7))
 	}
-	return b.String()
+	return steps.String()
 }
 
 // decode feeds a stream in pieces of one size and gives each step: bytes taken, what was found, its values and the verdict.
-func decode(m message, l http1.Limits, size int) string {
-	d := http1.Decoder{Limits: l, Responses: m.responses, NoBody: m.noBody}
-	var b strings.Builder
+func decode(sample message, limits http1.Limits, size int) string {
+	decoder := http1.Decoder{Limits: limits, Responses: sample.responses, NoBody: sample.noBody}
+	var steps strings.Builder
 	pending := ""
-	for rest := m.text; rest != ""; {
-		n := min(size, len(rest))
-		pending, rest = pending+rest[:n], rest[n:]
+	for rest := sample.text; rest != ""; {
+		piece := min(size, len(rest))
+		pending, rest = pending+rest[:piece], rest[piece:]
 		var err error
-		if pending, err = drain(&d, pending, &b); err != nil {
-			_, _, again := d.Next([]byte("x"))
-			fmt.Fprintf(&b, "%t ", same(again, err))
+		if pending, err = drain(&decoder, pending, &steps); err != nil {
+			_, _, again := decoder.Next([]byte("x"))
+			fmt.Fprintf(&steps, "%t ", same(again, err))
 			break
 		}
 	}
-	complete, err := d.EOF(len(pending))
-	fmt.Fprintf(&b, "eof %t %s\n", complete, verdict(err))
-	return b.String()
+	complete, err := decoder.EOF(len(pending))
+	fmt.Fprintf(&steps, "eof %t %s\n", complete, verdict(err))
+	return steps.String()
 }
 
 // same reports whether two errors are one, and neither wraps the other.
 func same(a, b error) bool { return errors.Is(a, b) && errors.Is(b, a) }
 
-func drain(d *http1.Decoder, pending string, b *strings.Builder) (string, error) {
+// drain decodes what is pending, writes down each step, and returns what is left.
+func drain(decoder *http1.Decoder, pending string, steps *strings.Builder) (string, error) {
 	for {
-		n, kind, err := d.Next([]byte(pending))
-		fmt.Fprintf(b, "%d %d ", n, uint8(kind))
+		consumed, kind, err := decoder.Next([]byte(pending))
+		fmt.Fprintf(steps, "%d %d ", consumed, uint8(kind))
 		if err != nil {
-			fmt.Fprintf(b, "%s ", verdict(err))
+			fmt.Fprintf(steps, "%s ", verdict(err))
 			return pending, err
 		}
 		switch kind {
 		case http1.HeadComplete:
-			describeHead(b, &d.Head)
+			describeHead(steps, &decoder.Head)
 		case http1.BodyData:
-			fmt.Fprintf(b, "%.100q ", d.Body)
+			fmt.Fprintf(steps, "%.100q ", decoder.Body)
 		}
-		pending = pending[n:]
+		pending = pending[consumed:]
 		if kind == http1.NeedMore {
 			return pending, nil
 		}
 	}
 }
 
-func describeHead(b *strings.Builder, h *http1.Head) {
-	fmt.Fprintf(b, "%q %q %d %q %d %d %t %t %t ", h.Method, h.Target, h.Status, h.Reason, h.Minor, h.Length, h.Chunked, h.Close, h.Expect)
-	for i := range h.Header {
-		f := &h.Header[i]
-		fmt.Fprintf(b, "%.80q %.80q %t ", f.Name, f.Value, f.Is("HOST"))
+func describeHead(steps *strings.Builder, head *http1.Head) {
+	fmt.Fprintf(steps, "%q %q %d %q %d ", head.Method, head.Target, head.Status, head.Reason, head.Minor)
+	fmt.Fprintf(steps, "%d %t %t %t ", head.Length, head.Chunked, head.Close, head.Expect)
+	for i := range head.Header {
+		field := &head.Header[i]
+		fmt.Fprintf(steps, "%.80q %.80q %t ", field.Name, field.Value, field.Is("HOST"))
 	}
-	fmt.Fprintf(b, "%q %t %q ", h.Header.Get("x-a"), h.Header.Has("Connection"), h.Header.Get("none"))
+	fmt.Fprintf(steps, "%q %t %q ", head.Header.Get("x-a"), head.Header.Has("Connection"), head.Header.Get("none"))
 }
 
 func verdict(err error) string {
-	var refused *http1.Error
-	if errors.As(err, &refused) {
-		return fmt.Sprintf("%d %s %s", refused.Status, refused.Reason, refused.Error())
+	var rejection *http1.Error
+	if errors.As(err, &rejection) {
+		return fmt.Sprintf("%d %s %s", rejection.Status, rejection.Reason, rejection.Error())
 	}
 	return fmt.Sprint(err == nil)
 }
@@ -170,35 +170,40 @@
 func mutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 8))
 	const alphabet = "\r\n :;,0179aAfFxZ/\t\x00\x7f\xff"
-	var b strings.Builder
-	for _, m := range corpus() {
-		if len(m.text) == 0 || len(m.text) > 300 {
+	var steps strings.Builder
+	for _, sample := range corpus() {
+		if len(sample.text) == 0 || len(sample.text) > 300 {
 			continue
 		}
-		changed := []byte(m.text)
+		changed := []byte(sample.text)
 		for range 2 {
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
 		}
-		m.text = string(changed)
-		b.WriteString(decode(m, http1.DefaultLimits(), 1+random.IntN(40)))
+		sample.text = string(changed)
+		steps.WriteString(decode(sample, http1.DefaultLimits(), 1+random.IntN(40)))
 	}
-	return b.String()
+	return steps.String()
 }
 
 // written is what the functions for output append.
 func written() []string {
 	var lines []string
 	for status := 0; status < 600; status++ {
-		if s := http1.StatusText(status); s != "Status" {
-			lines = append(lines, fmt.Sprintf("status %d %q %q", status, s, http1.AppendStatus([]byte("before"), status)))
+		if text := http1.StatusText(status); text != "Status" {
+			lines = append(lines, fmt.Sprintf("status %d %q %q", status, text, http1.AppendStatus([]byte("before"), status)))
 		}
 	}
-	for _, v := range []string{"", "v", "a\r\nb: c", "\x00\n\r", "\xff\t"} {
-		lines = append(lines, fmt.Sprintf("field %q", http1.AppendField([]byte("before"), "Name", v)), fmt.Sprintf("request %q", http1.AppendRequestLine(nil, "GET", "/"+v)),
-			fmt.Sprintf("chunk %q", http1.AppendChunk([]byte("before"), []byte(v))))
+	for _, value := range []string{"", "v", "a\r\nb: c", "\x00\n\r", "\xff\t"} {
+		lines = append(lines,
+			fmt.Sprintf("field %q", http1.AppendField([]byte("before"), "Name", value)),
+			fmt.Sprintf("request %q", http1.AppendRequestLine(nil, "GET", "/"+value)),
+			fmt.Sprintf("chunk %q", http1.AppendChunk([]byte("before"), []byte(value))))
 	}
-	for _, n := range []int{0, 1, 255, 1 << 20} {
-		lines = append(lines, fmt.Sprintf("length %q", http1.AppendLength(nil, n)))
+	for _, length := range []int{0, 1, 255, 1 << 20} {
+		lines = append(lines, fmt.Sprintf("length %q", http1.AppendLength(nil, length)))
 	}
-	return append(lines, fmt.Sprintf("unknown status %q", http1.AppendStatus(nil, 299)), fmt.Sprintf("chunk of 300 %q", http1.AppendChunk(nil, make([]byte, 300))[:8]), fmt.Sprintf("last chunk %q", http1.LastChunk))
+	return append(lines,
+		fmt.Sprintf("unknown status %q", http1.AppendStatus(nil, 299)),
+		fmt.Sprintf("chunk of 300 %q", http1.AppendChunk(nil, make([]byte, 300))[:8]),
+		fmt.Sprintf("last chunk %q", http1.LastChunk))
 }
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -18,35 +18,34 @@
 }
 
 // decodeAll feeds a stream in pieces of the given size and returns the complete messages and the error that ended it.
-func decodeAll(d *Decoder, stream []byte, piece int) (messages []message, err error) {
-	var pending []byte
-	var body []byte
+func decodeAll(decoder *Decoder, stream []byte, piece int) (messages []message, err error) {
+	var pending, body []byte
 	for len(stream) > 0 || len(pending) > 0 {
-		n := min(piece, len(stream))
-		pending = append(pending, stream[:n]...)
-		stream = stream[n:]
+		added := min(piece, len(stream))
+		pending = append(pending, stream[:added]...)
+		stream = stream[added:]
 		for kind := BodyData; kind != NeedMore; {
 			var consumed int
-			consumed, kind, err = d.Next(pending)
+			consumed, kind, err = decoder.Next(pending)
 			if err != nil {
 				return messages, err
 			}
 			pending = pending[consumed:]
 			switch kind {
 			case BodyData:
-				body = append(body, d.Body...)
+				body = append(body, decoder.Body...)
 			case MessageComplete:
-				messages = append(messages, message{d.Head, body})
+				messages = append(messages, message{decoder.Head, body})
 				body = nil
 			}
 		}
-		if n == 0 {
+		if added == 0 {
 			break
 		}
 	}
-	complete, err := d.EOF(len(pending))
+	complete, err := decoder.EOF(len(pending))
 	if complete {
-		messages = append(messages, message{d.Head, body})
+		messages = append(messages, message{decoder.Head, body})
 	}
 	return messages, err
 }
@@ -96,18 +95,18 @@
 var smallLimits = Limits{Line: 200, Head: 500, Fields: 10, Body: 1024, Trailer: 100}
 
 func TestRequests(t *testing.T) {
-	for _, c := range requestCases {
+	for _, test := range requestCases {
 		for _, piece := range []int{1, 3, 1 << 20} {
-			t.Run(fmt.Sprintf("%s in pieces of %d", c.name, piece), func(t *testing.T) {
-				messages, err := decodeAll(&Decoder{Limits: smallLimits}, []byte(c.in), piece)
-				if c.status != 0 {
+			t.Run(fmt.Sprintf("%s in pieces of %d", test.name, piece), func(t *testing.T) {
+				messages, err := decodeAll(&Decoder{Limits: smallLimits}, []byte(test.in), piece)
+				if test.status != 0 {
 					var rejection *Error
-					if !errors.As(err, &rejection) || rejection.Status != c.status {
-						t.Errorf("%v, want status %d", err, c.status)
+					if !errors.As(err, &rejection) || rejection.Status != test.status {
+						t.Errorf("%v, want status %d", err, test.status)
 					}
 					return
 				}
-				if err != nil || len(messages) != 1 || string(messages[0].body) != c.body {
+				if err != nil || len(messages) != 1 || string(messages[0].body) != test.body {
 					t.Errorf("%d messages, %v", len(messages), err)
 				}
 			})
@@ -116,7 +115,7 @@
 }
 
 func TestResponses(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in, body string
 		noBody, bad    bool
 	}{
@@ -129,13 +128,13 @@
 		{"cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, true},
 		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			d := &Decoder{Limits: smallLimits, Responses: true, NoBody: c.noBody}
-			messages, err := decodeAll(d, []byte(c.in), 1)
-			if rejected := err != nil; rejected != c.bad {
-				t.Fatalf("rejected with %v, want rejection: %t", err, c.bad)
+		t.Run(test.name, func(t *testing.T) {
+			decoder := &Decoder{Limits: smallLimits, Responses: true, NoBody: test.noBody}
+			messages, err := decodeAll(decoder, []byte(test.in), 1)
+			if rejected := err != nil; rejected != test.bad {
+				t.Fatalf("rejected with %v, want rejection: %t", err, test.bad)
 			}
-			if !c.bad && (len(messages) != 1 || string(messages[0].body) != c.body) {
+			if !test.bad && (len(messages) != 1 || string(messages[0].body) != test.body) {
 				t.Errorf("%d messages, %v", len(messages), err)
 			}
 		})
@@ -154,26 +153,26 @@
 // net/http accepts bare line feeds, equal lengths given twice, a space before the first header's colon in no case but trims
 // others, targets that are no path, and has other limits.
 func rejectedOnlyHere(in []byte) bool {
-	s := string(in)
-	for i := 0; i < len(s); i++ {
-		if s[i] == '\n' && (i == 0 || s[i-1] != '\r') {
+	text := string(in)
+	for i := range len(text) {
+		if text[i] == '\n' && (i == 0 || text[i-1] != '\r') {
 			return true
 		}
-		if s[i] == '\r' && (i+1 == len(s) || s[i+1] != '\n') {
+		if text[i] == '\r' && (i+1 == len(text) || text[i+1] != '\n') {
 			return true
 		}
 	}
-	low := strings.ToLower(s)
+	low := strings.ToLower(text)
 	return strings.Count(low, "content-length") > 1 || strings.Count(low, "transfer-encoding") > 1 || strings.Contains(low, "expect:") ||
-		strings.Contains(low, "transfer-encoding") && strings.Contains(low, "content-length") || strings.HasPrefix(s, "\r\n") ||
+		strings.Contains(low, "transfer-encoding") && strings.Contains(low, "content-length") || strings.HasPrefix(text, "\r\n") ||
 		strings.Contains(low, "http/1.0") || strings.Contains(low, "http/1.2") || strings.Contains(low, "connect ") || strings.Contains(low, "host:") && strings.Count(low, "host:") > 1
 }
 
 // FuzzRequest checks that pieces do not matter, that nothing panics, and that what net/http rejects is rejected here, with the same
 // body where both accept it.
 func FuzzRequest(f *testing.F) {
-	for _, c := range requestCases {
-		f.Add([]byte(c.in))
+	for _, test := range requestCases {
+		f.Add([]byte(test.in))
 	}
 	limits := DefaultLimits()
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -215,8 +214,8 @@
 	for line == "" && rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 	}
-	p := strings.Split(line, " ")
-	return len(p) == 3 && (strings.ContainsAny(p[1], "%[]:*#?\\^`{|}\"<>") || p[2] != "HTTP/1.1") || strings.Contains(strings.ToLower(rest), "host:") ||
+	parts := strings.Split(line, " ")
+	return len(parts) == 3 && (strings.ContainsAny(parts[1], "%[]:*#?\\^`{|}\"<>") || parts[2] != "HTTP/1.1") || strings.Contains(strings.ToLower(rest), "host:") ||
 		strings.Contains(strings.ToLower(rest), "chunked")
 }
 
@@ -238,17 +237,17 @@
 
 // The table's rejections are those of net/http too, or are listed in rejectedOnlyHere.
 func TestAgainstNetHTTP(t *testing.T) {
-	for _, c := range requestCases {
-		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(c.in)))
+	for _, test := range requestCases {
+		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(test.in)))
 		if err == nil {
 			_, err = io.ReadAll(req.Body)
 		}
-		limit := c.status == 413 || c.status == 414 || c.status == 431 || c.status == 417
+		limit := test.status == 413 || test.status == 414 || test.status == 431 || test.status == 417
 		switch {
-		case c.status == 0 && err != nil && !strings.HasPrefix(c.in, "\r\n"):
-			t.Errorf("%s: accepted here, net/http says %v", c.name, err)
-		case c.status != 0 && err == nil && !limit && !rejectedOnlyHere([]byte(c.in)) && !acceptedByNetHTTP[c.name]:
-			t.Errorf("%s: rejected here, accepted by net/http, and not among the differences", c.name)
+		case test.status == 0 && err != nil && !strings.HasPrefix(test.in, "\r\n"):
+			t.Errorf("%s: accepted here, net/http says %v", test.name, err)
+		case test.status != 0 && err == nil && !limit && !rejectedOnlyHere([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
+			t.Errorf("%s: rejected here, accepted by net/http, and not among the differences", test.name)
 		}
 	}
 }
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -13,6 +13,7 @@
 
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/looptest"
 )
 
 const testTimeout = 10 * time.Second
@@ -24,22 +25,17 @@
 	err    error
 }
 
-// startLoop runs an event loop until the end of the test.
-func startLoop(t *testing.T) *eventloop.Loop {
+// unusedAddress is an address at which nothing listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
-	loop, err := eventloop.New()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-	})
-	return loop
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
 }
 
 // startRaw starts a server that sends each connection the same bytes after a request, and then ends it unless it is to stay
@@ -85,11 +81,11 @@
 	t.Helper()
 	results := make(chan result, 2)
 	call := &Call{Done: func(head *http1.Head, body []byte, err error) {
-		r := result{body: string(body), err: err}
+		got := result{body: string(body), err: err}
 		if head != nil {
-			r.status = head.Status
+			got.status = head.Status
 		}
-		results <- r
+		results <- got
 	}}
 	loop.Post(func() {
 		New(loop, addr).Do(method, "/", nil, nil, timeout, call)
@@ -98,8 +94,8 @@
 		}
 	})
 	select {
-	case r := <-results:
-		return r
+	case got := <-results:
+		return got
 	case <-time.After(testTimeout):
 		t.Fatal("no result")
 		return result{}
@@ -107,8 +103,8 @@
 }
 
 func TestResponses(t *testing.T) {
-	loop := startLoop(t)
-	for _, c := range []struct {
+	loop := looptest.Start(t)
+	for _, test := range []struct {
 		name, method, response string
 		staysOpen              bool
 		status                 int
@@ -124,16 +120,16 @@
 		{name: "nothing", method: "GET", wantErr: ": connection broke: EOF"},
 		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: ": http: malformed status"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			got := do(t, loop, startRaw(t, c.response, c.staysOpen), c.method, 5*time.Second, nil)
-			if c.wantErr != "" {
+		t.Run(test.name, func(t *testing.T) {
+			got := do(t, loop, startRaw(t, test.response, test.staysOpen), test.method, 5*time.Second, nil)
+			if test.wantErr != "" {
 				var connectError *ConnectError
-				if got.err == nil || !strings.Contains(got.err.Error(), c.wantErr) || errors.As(got.err, &connectError) {
-					t.Fatalf("error %v, want %q", got.err, c.wantErr)
+				if got.err == nil || !strings.Contains(got.err.Error(), test.wantErr) || errors.As(got.err, &connectError) {
+					t.Fatalf("error %v, want %q", got.err, test.wantErr)
 				}
 				return
 			}
-			if got.err != nil || got.status != c.status || got.body != c.body {
+			if got.err != nil || got.status != test.status || got.body != test.body {
 				t.Fatalf("got %d %q, %v", got.status, got.body, got.err)
 			}
 		})
@@ -142,7 +138,7 @@
 
 // A stream's pieces go to Data as they come, and its end to Done.
 func TestStream(t *testing.T) {
-	loop := startLoop(t)
+	loop := looptest.Start(t)
 	var pieces strings.Builder
 	started := 0
 	addr := startRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", true)
@@ -163,20 +159,13 @@
 
 // The error tells whether the request may have been read.
 func TestErrors(t *testing.T) {
-	loop := startLoop(t)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	unused := listener.Addr().String()
-	if err := listener.Close(); err != nil {
-		t.Fatal(err)
-	}
+	loop := looptest.Start(t)
+	unused := unusedAddress(t)
 	silent := startRaw(t, "", true)
 	cancelAfter := func(d time.Duration) func(*Call) {
 		return func(call *Call) { loop.After(d, call.Cancel) }
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, addr string
 		timeout    time.Duration
 		prepare    func(*Call)
@@ -189,14 +178,14 @@
 		{name: "cancelled after it was sent", addr: silent, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
 		{name: "timeout", addr: silent, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			got := do(t, loop, c.addr, "GET", c.timeout, c.prepare)
+		t.Run(test.name, func(t *testing.T) {
+			got := do(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
-			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != c.neverSent {
-				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, c.neverSent)
+			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
+				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, test.neverSent)
 			}
-			if c.want != nil && !errors.Is(got.err, c.want) {
-				t.Errorf("error %v, want %v", got.err, c.want)
+			if test.want != nil && !errors.Is(got.err, test.want) {
+				t.Errorf("error %v, want %v", got.err, test.want)
 			}
 		})
 	}
@@ -204,7 +193,7 @@
 
 // Calls beyond the pool's limit wait for a connection, and Close fails those that still wait.
 func TestCloseFailsWaitingCalls(t *testing.T) {
-	loop := startLoop(t)
+	loop := looptest.Start(t)
 	addr := startRaw(t, "", true)
 	const calls = 40
 	results := make(chan error, calls)
@@ -212,7 +201,8 @@
 		client := New(loop, addr)
 		client.Pool.MaxConns = 1
 		for i := range calls {
-			client.Do("GET", fmt.Sprint("/", i), nil, nil, 300*time.Millisecond, &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }})
+			call := &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }}
+			client.Do("GET", fmt.Sprint("/", i), nil, nil, 300*time.Millisecond, call)
 		}
 		client.Close()
 	})
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -14,8 +14,8 @@
 	"sync"
 	"testing"
 
-	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/looptest"
 )
 
 var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
@@ -23,25 +23,14 @@
 // startHeathshed starts this package's server; it and startNetHTTP send the same response.
 func startHeathshed(tb testing.TB) (addr string, stop func()) {
 	tb.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		tb.Fatal(err)
-	}
+	loop := looptest.New(tb)
 	server, err := Listen(loop, "127.0.0.1:0", DefaultOptions(), func(e *Exchange) {
 		e.Respond(http1.Response{Status: 200, Header: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: responseBody})
 	})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
-	stop = sync.OnceFunc(func() {
-		loop.Stop()
-		if err := <-done; err != nil {
-			tb.Error(err)
-		}
-	})
-	return server.Addr(), stop
+	return server.Addr(), looptest.Run(tb, loop)
 }
 
 // startNetHTTP starts the server of the standard library.
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -17,24 +17,23 @@
 
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
+	"heathshed/internal/testsupport/looptest"
 )
 
 // startServer runs a server whose responses repeat the request; the path says what else it does. disconnects gets the path
-// of each request whose peer went away before the response.
-func startServer(t *testing.T, o Options) (loop *eventloop.Loop, server *Server, disconnects chan string) {
+// of each request whose peer went away before the response, and "handled" with the path when such a request has come.
+func startServer(t *testing.T, options Options) (loop *eventloop.Loop, server *Server, disconnects chan string) {
 	t.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
+	loop = looptest.New(t)
 	disconnects = make(chan string, 10)
-	server, err = Listen(loop, "127.0.0.1:0", o, func(e *Exchange) {
+	server, err := Listen(loop, "127.0.0.1:0", options, func(e *Exchange) {
 		target := e.Head.Target
 		switch target {
 		case "/later":
 			loop.After(10*time.Millisecond, func() { e.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
 		case "/never":
 			e.OnDisconnect = func() { disconnects <- target }
+			disconnects <- "handled " + target
 		case "/stream":
 			e.Respond(http1.Response{Status: 200, Stream: &numberStream{end: 1000}})
 		default:
@@ -44,13 +43,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
+	stop := looptest.Run(t, loop)
 	t.Cleanup(func() {
-		loop.Stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
+		stop()
 		if illegal := server.IllegalTransitions; illegal != 0 {
 			t.Errorf("%d illegal transitions of connections' states, want none", illegal)
 		}
@@ -85,23 +80,23 @@
 
 func readBody(t *testing.T, resp *http.Response) []byte {
 	t.Helper()
-	b, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Error(err)
 	}
 	if err := resp.Body.Close(); err != nil {
 		t.Error(err)
 	}
-	return b
+	return body
 }
 
 func TestAgainstNetHTTPClient(t *testing.T) {
-	o := DefaultOptions()
-	o.Limits.Body = 100
-	_, server, _ := startServer(t, o)
+	options := DefaultOptions()
+	options.Limits.Body = 100
+	_, server, _ := startServer(t, options)
 	base := "http://" + server.Addr()
 	fits := strings.Repeat("x", 100)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, method, path, body string
 		expect, chunked          bool
 		code                     int
@@ -117,28 +112,28 @@
 		{name: "body over the limit", method: "POST", path: "/a", body: fits + "x", code: 413},
 		{name: "chunks over the limit", method: "POST", path: "/a", body: fits + "x", chunked: true, code: 413},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var body io.Reader
-			if c.body != "" {
-				body = strings.NewReader(c.body)
+			if test.body != "" {
+				body = strings.NewReader(test.body)
 			}
-			if c.chunked {
+			if test.chunked {
 				body = io.MultiReader(body) // of a length that the client does not know
 			}
-			req, err := http.NewRequest(c.method, base+c.path, body)
+			req, err := http.NewRequestWithContext(t.Context(), test.method, base+test.path, body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.expect {
+			if test.expect {
 				req.Header.Set("Expect", "100-continue")
 			}
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := readBody(t, resp)
-			if resp.StatusCode != c.code || c.want != "" && string(b) != c.want {
-				t.Errorf("%d bytes: %d %.200q", len(c.body), resp.StatusCode, b)
+			answer := readBody(t, resp)
+			if resp.StatusCode != test.code || test.want != "" && string(answer) != test.want {
+				t.Errorf("%d bytes: %d %.200q", len(test.body), resp.StatusCode, answer)
 			}
 		})
 	}
@@ -153,9 +148,9 @@
 
 // A peer that begins a request and does not end it gets a 408.
 func TestRequestTimeout(t *testing.T) {
-	o := DefaultOptions()
-	o.RequestTimeout = 100 * time.Millisecond
-	_, server, _ := startServer(t, o)
+	options := DefaultOptions()
+	options.RequestTimeout = 100 * time.Millisecond
+	_, server, _ := startServer(t, options)
 	conn := openConn(t, server, "GET / HT")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 408 {
@@ -167,7 +162,9 @@
 func TestDisconnectBeforeResponse(t *testing.T) {
 	_, server, disconnects := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
-	time.Sleep(10 * time.Millisecond)
+	if got := <-disconnects; got != "handled /never" {
+		t.Fatalf("got %s, want the request handled", got)
+	}
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -180,13 +177,13 @@
 func TestStreamToHTTP10(t *testing.T) {
 	_, server, _ := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /stream HTTP/1.0\r\n\r\n")
-	b, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, body, ok := strings.Cut(string(b), "\r\n\r\n")
+	head, body, ok := strings.Cut(string(response), "\r\n\r\n")
 	if !ok || strings.Count(body, "\n") != 1000 || strings.Contains(head+body, "chunked") {
-		t.Errorf("%d bytes, %d lines, head %q", len(b), strings.Count(body, "\n"), head)
+		t.Errorf("%d bytes, %d lines, head %q", len(response), strings.Count(body, "\n"), head)
 	}
 }
 
@@ -194,12 +191,12 @@
 func TestNoDescriptorsLeft(t *testing.T) {
 	loop, server, _ := startServer(t, DefaultOptions())
 	open := openConn(t, server, "")
-	r := bufio.NewReader(open)
+	reader := bufio.NewReader(open)
 	get := func() error {
 		if _, err := io.WriteString(open, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			return err
 		}
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
 		}
@@ -208,19 +205,19 @@
 	if err := get(); err != nil {
 		t.Fatal(err)
 	}
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	var former unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &former); err != nil {
 		t.Skip(err)
 	}
 	// The client's sockets are made first: the limit then hits the accepting side.
 	fds := openSockets(t, 8)
 	restore := sync.OnceFunc(func() {
-		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &former); err != nil {
 			t.Error(err)
 		}
 	})
 	defer restore()
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(fds[len(fds)-1]) + 1, Max: was.Max}); err != nil {
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(fds[len(fds)-1]) + 1, Max: former.Max}); err != nil {
 		t.Skip(err)
 	}
 	var port int
@@ -242,16 +239,16 @@
 	restore()
 	iterations := make(chan uint64, 1)
 	loop.Post(func() { iterations <- loop.Iterations })
-	if n := <-iterations; n > 10000 {
-		t.Errorf("%d iterations of the loop: it spins", n)
+	if count := <-iterations; count > 10000 {
+		t.Errorf("%d iterations of the loop: it spins", count)
 	}
 }
 
 // openSockets makes sockets that are not connected.
-func openSockets(t *testing.T, n int) []int {
+func openSockets(t *testing.T, count int) []int {
 	t.Helper()
-	fds := make([]int, 0, n)
-	for range n {
+	fds := make([]int, 0, count)
+	for range count {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/netio/sse/characterization_test.go
+++ b/internal/netio/sse/characterization_test.go
@@ -12,16 +12,10 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// checkLines compares lines with the golden file.
-func checkLines(t *testing.T, lines []string) {
-	t.Helper()
-	goldentest.CheckText(t, "characterization", strings.Join(lines, "\n")+"\n")
-}
-
 // TestCharacterization compares the events of fixed streams, split at every position, and of seeded streams with the golden file. See
 // package goldentest for how the file is written anew.
 func TestCharacterization(t *testing.T) {
-	var lines []string
+	record := goldentest.NewRecorder()
 	for i, stream := range streams {
 		whole := decode(0, stream)
 		for at := range len(stream) + 1 {
@@ -32,16 +26,17 @@
 		if got := decode(0, singleBytes(stream)...); got != whole {
 			t.Errorf("stream %d in single bytes: got %q, want %q", i, got, whole)
 		}
-		lines = append(lines, fmt.Sprintf("stream %d %q", i, whole))
+		record.Line("stream %d %q", i, whole)
 		for limit := 1; limit < 40; limit++ {
-			lines = append(lines, fmt.Sprintf("stream %d limit %d %x", i, limit, sha256.Sum256([]byte(decode(limit, stream)+decode(limit, stream[:len(stream)/2], stream[len(stream)/2:])))))
+			limited := decode(limit, stream) + decode(limit, stream[:len(stream)/2], stream[len(stream)/2:])
+			record.Line("stream %d limit %d %x", i, limit, sha256.Sum256([]byte(limited)))
 		}
 	}
 	for seed := uint64(1); seed <= 40; seed++ {
-		lines = append(lines, fmt.Sprintf("seed %d %x", seed, sha256.Sum256([]byte(decodeRandom(seed)))))
+		record.Line("seed %d %x", seed, sha256.Sum256([]byte(decodeRandom(seed))))
 	}
-	lines = append(lines, defaultLimit())
-	checkLines(t, lines)
+	record.Line("%s", defaultLimit())
+	record.Check(t, "characterization")
 }
 
 func singleBytes(stream string) (pieces []string) {
@@ -58,19 +53,19 @@
 
 // decode gives the events, the verdict of each write and the number of comments.
 func decode(limit int, pieces ...string) string {
-	d := sse.Decoder{MaxEvent: limit}
-	var b strings.Builder
+	decoder := sse.Decoder{MaxEvent: limit}
+	var found strings.Builder
 	failed := false
 	for _, piece := range pieces {
-		err := d.Write([]byte(piece), func(e sse.Event) { fmt.Fprintf(&b, "%q %q %q\n", e.ID, e.Type, e.Data) })
+		err := decoder.Write([]byte(piece), func(event sse.Event) { fmt.Fprintf(&found, "%q %q %q\n", event.ID, event.Type, event.Data) })
 		failed = failed || err != nil
 		// ErrTooLarge itself, not an error that wraps it.
 		if err != nil && (!errors.Is(err, sse.ErrTooLarge) || errors.Unwrap(err) != nil) {
-			b.WriteString("another error\n")
+			found.WriteString("another error\n")
 		}
 	}
-	fmt.Fprintf(&b, "%t %d", failed, d.Comments)
-	return b.String()
+	fmt.Fprintf(&found, "%t %d", failed, decoder.Comments)
+	return found.String()
 }
 
 func decodeRandom(seed uint64) string {
--- a/internal/netio/sse/sse_test.go
+++ b/internal/netio/sse/sse_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-func decode(d *Decoder, in string, piece int) (events []Event, err error) {
-	for len(in) > 0 && err == nil {
-		n := min(piece, len(in))
-		err = d.Write([]byte(in[:n]), func(e Event) { events = append(events, e) })
-		in = in[n:]
+// decode feeds a stream in pieces of the given size and returns the events, and the error that ended it.
+func decode(decoder *Decoder, stream string, piece int) (events []Event, err error) {
+	for len(stream) > 0 && err == nil {
+		size := min(piece, len(stream))
+		err = decoder.Write([]byte(stream[:size]), func(event Event) { events = append(events, event) })
+		stream = stream[size:]
 	}
 	return events, err
 }
 
 func TestStreams(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     []Event
 	}{
@@ -36,29 +37,36 @@
 		{"broken in the middle", "data: a\n\nid: 2\ndata: {\"no\":", []Event{{"", "message", "a"}}},
 		{"without the empty line", "data: a\n", nil},
 	} {
-		for piece := 1; piece <= len(c.in); piece++ {
-			got, err := decode(&Decoder{}, c.in, piece)
-			if err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%s in pieces of %d: %v, got %q, want %q", c.name, piece, err, got, c.want)
-				break
+		t.Run(test.name, func(t *testing.T) {
+			for piece := 1; piece <= len(test.in); piece++ {
+				got, err := decode(&Decoder{}, test.in, piece)
+				if err != nil || !reflect.DeepEqual(got, test.want) {
+					t.Fatalf("in pieces of %d: %v, got %q, want %q", piece, err, got, test.want)
+				}
 			}
-		}
+		})
 	}
 }
 
 func TestLimit(t *testing.T) {
-	d := &Decoder{MaxEvent: 100}
-	if got, err := decode(d, strings.Repeat(": a comment of some length\n", 50)+"data: a\n\n", 7); err != nil || len(got) != 1 {
+	comments := strings.Repeat(": a comment of some length\n", 50) + "data: a\n\n"
+	if got, err := decode(&Decoder{MaxEvent: 100}, comments, 7); err != nil || len(got) != 1 {
 		t.Fatalf("comments are no large event: %v, %d events", err, len(got))
 	}
-	for _, in := range []string{"data: " + strings.Repeat("x", 200), strings.Repeat("data: abc\n", 20)} {
-		d := &Decoder{MaxEvent: 100}
-		if _, err := decode(d, in, 9); !errors.Is(err, ErrTooLarge) {
-			t.Fatalf("%v", err)
-		}
-		if err := d.Write([]byte("data: a\n\n"), func(Event) { t.Fatal("event after the end") }); !errors.Is(err, ErrTooLarge) {
-			t.Fatalf("%v", err)
-		}
+	for name, stream := range map[string]string{
+		"one long line": "data: " + strings.Repeat("x", 200),
+		"many lines":    strings.Repeat("data: abc\n", 20),
+	} {
+		t.Run(name, func(t *testing.T) {
+			decoder := &Decoder{MaxEvent: 100}
+			if _, err := decode(decoder, stream, 9); !errors.Is(err, ErrTooLarge) {
+				t.Fatalf("got %v, want %v", err, ErrTooLarge)
+			}
+			err := decoder.Write([]byte("data: a\n\n"), func(Event) { t.Fatal("event after the end") })
+			if !errors.Is(err, ErrTooLarge) {
+				t.Fatalf("after the end: got %v, want %v", err, ErrTooLarge)
+			}
+		})
 	}
 }
 
@@ -67,13 +75,13 @@
 	f.Add("id: 1\ndata: {}\r\n\r\n: c\n\ndata: x\rdata: y\r\r", 3)
 	f.Fuzz(func(t *testing.T, in string, piece int) {
 		piece = max(1, piece%16)
-		a, b := &Decoder{MaxEvent: 256}, &Decoder{MaxEvent: 256}
-		whole, errWhole := decode(a, in, max(len(in), 1))
-		pieces, errPieces := decode(b, in, piece)
+		inPieces := &Decoder{MaxEvent: 256}
+		whole, errWhole := decode(&Decoder{MaxEvent: 256}, in, max(len(in), 1))
+		pieces, errPieces := decode(inPieces, in, piece)
 		if !errors.Is(errPieces, errWhole) || !reflect.DeepEqual(whole, pieces) {
 			t.Fatalf("whole %q, %v; pieces %q, %v", whole, errWhole, pieces, errPieces)
 		}
-		if held := len(b.line) + b.data.Len(); held > 2*256 {
+		if held := len(inPieces.line) + inPieces.data.Len(); held > 2*256 {
 			t.Fatalf("holds %d bytes", held)
 		}
 	})
