--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -95,7 +95,7 @@
 		t.endUnsent(attempt, placer.Expired)
 		return false
 	}
-	leftMS := int((attempt.expiresAt - t.now) * 1000)
+	leftMS := int((attempt.expiresAt - t.now) * millisecondsPerSecond)
 	attempt.Message.Set(protocol.TimeLeft, strconv.Itoa(max(leftMS, 1)))
 	t.transition(attempt, attemptSent)
 	return true
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -260,7 +260,7 @@
 func (c *Core) rejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
-		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * 1000)
+		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * millisecondsPerSecond)
 		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
 	}
 	return answer
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -37,7 +37,7 @@
 	Expired uint64
 	// LateAnswers are acceptances of attempts that had been abandoned.
 	LateAnswers uint64
-	// UnknownTasks are messages of nodes about tasks that were never sent to them, or are no longer remembered.
+	// UnknownTasks are messages of nodes about tasks that were never sent to them, or are no longer kept.
 	UnknownTasks uint64
 
 	// TasksEnded are running tasks that ended, for whatever reason.
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -59,7 +59,7 @@
 		n.stateChangedAt = now
 	}
 	n.Addr = entry.Endpoint
-	n.StartedAt = placer.Seconds(entry.StartedAtMS / 1000)
+	n.StartedAt = placer.Seconds(entry.StartedAtMS / millisecondsPerSecond)
 	n.placerNode = placer.Node{
 		ID:         n.ID,
 		Zone:       zone,
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -21,6 +21,12 @@
 // requiredResources is the number of resources that a request states: cores and memory.
 const requiredResources = 2
 
+// maxDeadlineMultiple is how many times the deadline of its class a request may be valid for.
+const maxDeadlineMultiple = 2
+
+// millisecondsPerSecond converts times of the platform's messages, which are in milliseconds.
+const millisecondsPerSecond = 1000
+
 // maxResourceAmount bounds the cores and the memory of a task.
 const maxResourceAmount = 1e9
 
@@ -128,12 +134,12 @@
 func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
-	limitMS := 2000 * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
+	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
 	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
 	if !valid {
 		return 0, invalidMessage(InvalidTimeLeft, "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", msg.UID, text, limitMS)
 	}
-	return now + placer.Seconds(leftMS/1000), nil
+	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
 
 // inRange reports whether a value is a number from 0 to limit. NaN is not.
