--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -22,16 +22,18 @@
 		placed float64 // part of the requests that are placed
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
-		{"overload", func(c *admission.Config) { c.InitialInFlight, c.MaxInFlight, c.MaxQueued = 4, 12, 60 }, 0.01, 0.9},
-		{"failing", func(c *admission.Config) { c.InitialInFlight, c.MaxInFlight = 30, 64 }, 0.02, 0.3},
-		{"shed-draws", func(c *admission.Config) {
-			c.InitialInFlight, c.MaxInFlight, c.ShedUsesRetryBudget, c.RetryBurst = 4, 12, true, 5
+		{"overload", func(config *admission.Config) {
+			config.InitialInFlight, config.MaxInFlight, config.MaxQueued = 4, 12, 60
+		}, 0.01, 0.9},
+		{"failing", func(config *admission.Config) { config.InitialInFlight, config.MaxInFlight = 30, 64 }, 0.02, 0.3},
+		{"shed-draws", func(config *admission.Config) {
+			config.InitialInFlight, config.MaxInFlight, config.ShedUsesRetryBudget, config.RetryBurst = 4, 12, true, 5
 		}, 0.02, 0.8},
-		{"additive", func(c *admission.Config) {
-			c.InitialInFlight, c.MaxInFlight, c.AdditiveOnly, c.RetryBurst, c.RetryRate = 4, 100, true, 3, 0.5
+		{"additive", func(config *admission.Config) {
+			config.InitialInFlight, config.MaxInFlight, config.AdditiveOnly, config.RetryBurst, config.RetryRate = 4, 100, true, 3, 0.5
 		}, 0.01, 0.95},
-		{"off", func(c *admission.Config) { c.Disabled = true }, 0.02, 0.7},
-		{"one-tenant", func(c *admission.Config) { c.Shares, c.InitialInFlight, c.MaxInFlight = nil, 3, 6 }, 0.02, 0.9},
+		{"off", func(config *admission.Config) { config.Disabled = true }, 0.02, 0.7},
+		{"one-tenant", func(config *admission.Config) { config.Shares, config.InitialInFlight, config.MaxInFlight = nil, 3, 6 }, 0.02, 0.9},
 	} {
 		recordAdmissions(t, record, run.name, run.change, run.gap, run.placed)
 	}
@@ -78,10 +80,10 @@
 			record.Integers(int64(id))
 			inFlight = append(inFlight, id)
 		}
-		for _, s := range shed {
-			record.Integers(int64(s.ID))
-			record.Floats(float64(s.RetryAfter))
-			record.Texts(s.Reason)
+		for _, request := range shed {
+			record.Integers(int64(request.ID))
+			record.Floats(float64(request.RetryAfter))
+			record.Texts(request.Reason)
 		}
 		record.Floats(controller.Limit(), controller.RetryBudget(), float64(controller.NextDeadline()))
 		record.Integers(int64(controller.InFlight()), int64(controller.QueueLength()))
@@ -94,8 +96,16 @@
 }
 
 func randomRequest(rng *rand.Rand, now placer.Seconds, id uint64, tenants int) admission.Request {
-	request := admission.Request{ID: id, Tenant: rng.IntN(tenants), Priority: rng.IntN(3), Cost: []float64{0, 0.02, 0.1, 0.5}[rng.IntN(4)],
-		Deadline: now + 0.1 + placer.Seconds(6*rng.Float64()), LatencyObjective: []placer.Seconds{0.5, 1, 4}[rng.IntN(3)], IsRetry: rng.IntN(4) == 0, ShedBefore: rng.IntN(5) == 0}
+	request := admission.Request{
+		ID:               id,
+		Tenant:           rng.IntN(tenants),
+		Priority:         rng.IntN(3),
+		Cost:             []float64{0, 0.02, 0.1, 0.5}[rng.IntN(4)],
+		Deadline:         now + 0.1 + placer.Seconds(6*rng.Float64()),
+		LatencyObjective: []placer.Seconds{0.5, 1, 4}[rng.IntN(3)],
+		IsRetry:          rng.IntN(4) == 0,
+		ShedBefore:       rng.IntN(5) == 0,
+	}
 	request.FinalDeadline = request.Deadline + placer.Seconds(4*rng.Float64())
 	return request
 }
@@ -103,17 +113,17 @@
 // recordInvalidConfigs pins the error texts of invalid configurations.
 func recordInvalidConfigs(record *goldentest.Recorder) {
 	for i, change := range []func(*admission.Config){
-		func(c *admission.Config) { c.MinInFlight = 0 },
-		func(c *admission.Config) { c.MaxInFlight = 0 },
-		func(c *admission.Config) { c.InitialInFlight = 0 },
-		func(c *admission.Config) { c.DecreaseFactor = 1 },
-		func(c *admission.Config) { c.DecreaseInterval = -1 },
-		func(c *admission.Config) { c.LateFraction = 2 },
-		func(c *admission.Config) { c.MaxQueued = 0 },
-		func(c *admission.Config) { c.RetryRatio = -1 },
-		func(c *admission.Config) { c.RetryRate = -1 },
-		func(c *admission.Config) { c.RetryBurst = -1 },
-		func(c *admission.Config) { c.Shares = []float64{-1} },
+		func(config *admission.Config) { config.MinInFlight = 0 },
+		func(config *admission.Config) { config.MaxInFlight = 0 },
+		func(config *admission.Config) { config.InitialInFlight = 0 },
+		func(config *admission.Config) { config.DecreaseFactor = 1 },
+		func(config *admission.Config) { config.DecreaseInterval = -1 },
+		func(config *admission.Config) { config.LateFraction = 2 },
+		func(config *admission.Config) { config.MaxQueued = 0 },
+		func(config *admission.Config) { config.RetryRatio = -1 },
+		func(config *admission.Config) { config.RetryRate = -1 },
+		func(config *admission.Config) { config.RetryBurst = -1 },
+		func(config *admission.Config) { config.Shares = []float64{-1} },
 	} {
 		config := admission.DefaultConfig()
 		change(&config)
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -23,9 +23,17 @@
 		rng := rand.New(rand.NewPCG(5, uint64(i)))
 		var decisions [4]int
 		for step := range 4000 {
-			state := retry.State{Idempotency: placer.Idempotency(step % 3), Cause: retry.Cause(rng.IntN(6)), Now: 1000 + placer.Seconds(rng.Float64()),
-				Attempts: rng.IntN(12), RetriesLeft: rng.IntN(4), OutcomeUnknown: rng.IntN(4) == 0, MayHaveRun: rng.IntN(5) == 0,
-				RetryAfter: placer.Seconds(float64(rng.IntN(3)) * 3 * rng.Float64()), Jitter: rng.Float64()}
+			state := retry.State{
+				Idempotency:    placer.Idempotency(step % 3),
+				Cause:          retry.Cause(rng.IntN(6)),
+				Now:            1000 + placer.Seconds(rng.Float64()),
+				Attempts:       rng.IntN(12),
+				RetriesLeft:    rng.IntN(4),
+				OutcomeUnknown: rng.IntN(4) == 0,
+				MayHaveRun:     rng.IntN(5) == 0,
+				RetryAfter:     placer.Seconds(float64(rng.IntN(3)) * 3 * rng.Float64()),
+				Jitter:         rng.Float64(),
+			}
 			state.Deadline = state.Now - 2 + placer.Seconds(40*rng.Float64())
 			decision, at := policy.Next(state)
 			decisions[decision]++
