--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -49,7 +49,7 @@
 func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
 	class, invalid := a.cfg.classFromLabels(found.Labels)
 	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
-		a.stopCopy(node, found.UID, found.Namespace, found.Name, allAttempts)
+		a.stopCopy(node, identityOf(found), allAttempts)
 		return
 	}
 	a.stats.Recovered++
@@ -85,20 +85,14 @@
 	if service == "" {
 		service = found.Labels[wellknown.JobName]
 	}
-	adopted := &task{
-		uid:               found.UID,
-		namespace:         found.Namespace,
-		name:              found.Name,
-		class:             class,
-		tenant:            tenant,
-		service:           serviceID(found.Namespace, service),
+	return &task{
+		podIdentity:       identityOf(found),
+		placementSpec:     newPlacementSpec(class, tenant, serviceID(found.Namespace, service), &found.Spec),
 		deadline:          a.now,
 		settled:           true,
 		requestsSubmitted: 1,
 		attempts:          attemptHistory{evidence: possiblyAccepted},
 	}
-	adopted.cores, adopted.memory = wellknown.Requests(&found.Spec)
-	return adopted
 }
 
 // adoptedPod returns the Pod of an adopted task as it is stored.
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -148,7 +148,7 @@
 	}
 	node, running := t.nodes.get(answer.Node), task.attempts.running
 	if node != nil && (running == nil || running.node != node) {
-		t.stopCopy(node, task.uid, task.namespace, task.name, answer.Attempt)
+		t.stopCopy(node, task.podIdentity, answer.Attempt)
 	}
 }
 
@@ -164,7 +164,7 @@
 		return
 	}
 	t.stats.LateAnswers++
-	t.stopCopy(node, answer.UID, "", "", answer.Attempt)
+	t.stopCopy(node, podIdentity{uid: answer.UID}, answer.Attempt)
 }
 
 // answered takes the answer to the attempt in flight.
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -42,6 +42,7 @@
 	AvoidUnknownOutcome bool
 }
 
+// emit queues an effect for the caller.
 func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
 
 // Ready appends the effects that are due to dst and returns it. Each effect is handed out once.
@@ -53,15 +54,15 @@
 }
 
 // stopCopy orders a node to stop a task, and not to accept attempts up to a number.
-func (env *environment) stopCopy(node *node, uid types.UID, namespace, name string, number int) {
+func (env *environment) stopCopy(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
 		Kind:      StopTask,
 		Node:      node.name,
 		Address:   node.address,
-		UID:       uid,
-		Namespace: namespace,
-		Name:      name,
+		UID:       pod.uid,
+		Namespace: pod.namespace,
+		Name:      pod.name,
 		Attempt:   number,
 	})
 }
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -118,6 +118,7 @@
 // beginCall must be the first step of every call, endCall the last.
 func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
+// endCall lets the placer and the admission controller react to the call, and stores the statuses of Jobs that changed.
 func (e *Engine) endCall() {
 	e.drainEvents()
 	e.requests.admitQueued()
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -43,8 +43,10 @@
 // timer is a function that runs in a later Tick.
 type timer = timerqueue.Timer[placer.Seconds]
 
+// runAt has a function run in the call of Tick at a time, or in the first after it.
 func (env *environment) runAt(when placer.Seconds, fn func()) *timer { return env.timers.Add(when, fn) }
 
+// runAfter has a function run after a delay, as runAt does.
 func (env *environment) runAfter(delay placer.Seconds, fn func()) *timer {
 	return env.runAt(env.now+max(delay, 0), fn)
 }
@@ -52,6 +54,7 @@
 // stopTimer stops a timer. A nil timer and one that has run are ignored.
 func (env *environment) stopTimer(stopped *timer) { env.timers.Stop(stopped) }
 
+// idempotencyOf returns what the class of a task says about running it twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
 	return env.cfg.Placer.Classes[task.class].Idempotency
 }
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -12,14 +12,12 @@
 
 // job is a Job with its tasks, one for each completion index.
 type job struct {
+	placementSpec        // of each task
 	key           string // store.Key of the Job
 	uid           types.UID
 	object        *batchv1.Job // as stored; never changed
-	class, tenant int
-	service       placer.ServiceID
-	cores, memory float64 // of each task; memory in GiB
-	podCost       int64   // of each Pod, as store.Cost counts
-	manifestText  string  // cache of manifest; "" if it must be made
+	podCost       int64        // of each Pod, as store.Cost counts
+	manifestText  string       // cache of manifest; "" if it must be made
 
 	indexes indexTable
 	pods    map[string]struct{} // names of the stored Pods
@@ -39,6 +37,7 @@
 	ttlTimer      *timer // ttlSecondsAfterFinished
 }
 
+// valueOr returns what a pointer points to, or another value if it is nil.
 func valueOr[T any](pointer *T, otherwise T) T {
 	if pointer == nil {
 		return otherwise
@@ -49,6 +48,7 @@
 // defaultBackoffLimit is the backoffLimit of Jobs that set none, as in Kubernetes.
 const defaultBackoffLimit = 6
 
+// taskCount returns how many completion indexes a Job has.
 func taskCount(object *batchv1.Job) int {
 	return int(valueOr(object.Spec.Completions, valueOr(object.Spec.Parallelism, 1)))
 }
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -76,6 +76,7 @@
 	})
 }
 
+// finish records the end of a Job that has no task left and starts none.
 func (c *jobController) finish(finished *job) {
 	finished.finish(c.now)
 	c.stats.JobsFinished++
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -34,14 +34,11 @@
 		key:         jobKey(object),
 		uid:         object.UID,
 		object:      object,
-		class:       class,
-		tenant:      tenant,
-		service:     serviceID(object.Namespace, service),
 		suspended:   valueOr(object.Spec.Suspend, false),
 		transitions: &c.transitions,
 		pods:        map[string]struct{}{},
 	}
-	created.cores, created.memory = wellknown.Requests(&object.Spec.Template.Spec)
+	created.placementSpec = newPlacementSpec(class, tenant, serviceID(object.Namespace, service), &object.Spec.Template.Spec)
 	created.indexes = newIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
 	return created, nil
 }
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -25,6 +25,7 @@
 	return job.object, nil
 }
 
+// remove deletes a Job, and its Pods as the policy says. It does nothing if the Job is deleted already.
 func (c *jobController) remove(job *job, propagation metav1.DeletionPropagation) {
 	if job.isDeleted() {
 		return
@@ -68,6 +69,7 @@
 	job.releasePods()
 }
 
+// deletePodsOf deletes the Pods of a Job that are stored.
 func (c *jobController) deletePodsOf(job *job, names []string) {
 	for _, name := range names {
 		if pod := c.publisher.storedPod(job.object.Namespace, name); pod != nil {
@@ -95,6 +97,7 @@
 	}
 }
 
+// deleteObject gives up a Job and removes it from the store.
 func (c *jobController) deleteObject(job *job) {
 	if c.jobs.remove(job) {
 		c.publisher.deleteJob(job.object)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -60,6 +60,7 @@
 	unplacedMayHaveRun bool           // a task without placement may have run
 }
 
+// newIndexTable returns a table of pending indexes, whose first tasks may be retried as often as the budget says.
 func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
 	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[string]int{}}
 	for i := range table.all {
@@ -106,6 +107,7 @@
 	t.activate(i, adopted)
 }
 
+// activate gives an index a task.
 func (t *indexTable) activate(i int, active *task) {
 	t.setState(i, indexActive)
 	t.all[i].task = active
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -47,6 +47,7 @@
 	s.scheduleStarts()
 }
 
+// scheduleStarts has the tasks of the backlog started by a timer that is due at once.
 func (s *jobStarter) scheduleStarts() {
 	if len(s.backlog) > 0 && !s.scheduled {
 		s.scheduled = true
@@ -121,16 +122,11 @@
 // newTask returns the next task of a Job's index.
 func (s *jobStarter) newTask(job *job, index int) *task {
 	created := &task{
-		uid:         s.newUID(),
-		namespace:   job.object.Namespace,
-		job:         job,
-		index:       index,
-		class:       job.class,
-		tenant:      job.tenant,
-		service:     job.service,
-		cores:       job.cores,
-		memory:      job.memory,
-		retryBudget: job.indexes.at(index).retryBudget,
+		podIdentity:   podIdentity{uid: s.newUID(), namespace: job.object.Namespace},
+		placementSpec: job.placementSpec,
+		job:           job,
+		index:         index,
+		retryBudget:   job.indexes.at(index).retryBudget,
 	}
 	created.name = fmt.Sprintf("%.*s-%d-%s", maxPodNamePrefix, job.object.Name, index, s.randomSuffix())
 	created.deadline = s.now + s.cfg.Retry.MaxWait(s.cfg.Placer.Classes[job.class].Deadline, created.retryBudget)
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -58,6 +58,7 @@
 	w.publisher.putJob(&updated)
 }
 
+// showStatus brings the status of a Job up to date.
 func (j *job) showStatus(status *batchv1.JobStatus, now metav1.Time) {
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
@@ -92,6 +93,7 @@
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
+// showSuspended sets the Suspended condition, or ends it after the Job was resumed.
 func (j *job) showSuspended(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
 		setJobSuspended(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
@@ -108,6 +110,7 @@
 	}
 }
 
+// showFinished sets the final condition of a Job, Complete or Failed.
 func (j *job) showFinished(status *batchv1.JobStatus, now metav1.Time) {
 	switch {
 	case j.progress == jobFailed:
@@ -124,6 +127,7 @@
 	}
 }
 
+// newJobCondition returns a condition that is true from now on.
 func newJobCondition(kind batchv1.JobConditionType, reason, message string, now metav1.Time) batchv1.JobCondition {
 	return batchv1.JobCondition{
 		Type:               kind,
--- a/internal/kube/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -23,6 +23,7 @@
 	return index
 }
 
+// jobKey returns the key of a Job in jobTable.
 func jobKey(object *batchv1.Job) string { return store.Key(object.Namespace, object.Name) }
 
 const defaultNamespace = "default"
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -44,6 +44,7 @@
 	p.store.Put(store.Nodes, published)
 }
 
+// sameFreeCapacity reports whether two Nodes state the same free capacity.
 func sameFreeCapacity(left, right *corev1.Node) bool {
 	return left.Annotations[wellknown.FreeCapacity] == right.Annotations[wellknown.FreeCapacity]
 }
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -36,6 +36,7 @@
 	return r.publisher.storedNode(update.Name), nil
 }
 
+// checkNodeUpdate returns an error if an update changes a label that only the inventory sets.
 func checkNodeUpdate(stored, update *corev1.Node) *InvalidError {
 	for _, key := range inventoryLabels {
 		if update.Labels[key] != stored.Labels[key] {
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -23,6 +23,7 @@
 	exitKilled  = 137 // 128 + SIGKILL
 )
 
+// exitCode returns the exit code that the containers of an ended task show.
 func (end *taskEnd) exitCode() int32 {
 	switch {
 	case end.succeeded():
@@ -87,6 +88,7 @@
 	})
 }
 
+// showSettled writes the final outcome of a task into its Pod.
 func showSettled(pod *corev1.Pod, now metav1.Time, reason, message string) {
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -71,10 +71,11 @@
 		}
 	}
 	if !over {
-		o.stopCopy(node, task.uid, task.namespace, task.name, task.attempts.count)
+		o.stopCopy(node, task.podIdentity, task.attempts.count)
 	}
 }
 
+// observedAt returns what a node shows of a Pod in its present incarnation.
 func observedAt(node *node, pod *corev1.Pod, deleted bool) *observedPod {
 	return &observedPod{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -46,6 +46,7 @@
 	r.scheduleFence(unresolved, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
+// untrack gives up an attempt whose outcome is known, and its stop orders.
 func (r *outcomeReconciler) untrack(resolved *attempt) {
 	if resolved.task.attempts.removeUnknown(resolved) {
 		resolved.node.removeUnknown(resolved)
@@ -122,9 +123,10 @@
 	unresolved.stopInFlight = true
 	unresolved.stopsSent++
 	task := unresolved.task
-	r.stopCopy(unresolved.node, task.uid, task.namespace, task.name, unresolved.number)
+	r.stopCopy(unresolved.node, task.podIdentity, unresolved.number)
 }
 
+// scheduleFence has an attempt fenced after a delay.
 func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay placer.Seconds) {
 	unresolved.fenceTimer = r.runAfter(delay, func() {
 		unresolved.fenceTimer = nil
@@ -149,6 +151,7 @@
 	maxStopDoublings                = 5
 )
 
+// stopBackoff returns the delay until the next stop order after a number of them.
 func stopBackoff(sent int) placer.Seconds {
 	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
 }
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -5,23 +5,34 @@
 	"maps"
 	"slices"
 
+	corev1 "k8s.io/api/core/v1"
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
+// podIdentity names the Pod of a task. Without a name it is known by its UID only.
+type podIdentity struct {
+	uid             types.UID
+	namespace, name string
+}
+
+// placementSpec is what the placement of a task depends on. It is the same for all tasks of a Job.
+type placementSpec struct {
+	class, tenant int
+	service       placer.ServiceID
+	cores, memory float64 // memory in GiB
+}
+
 // task is one Pod. It is requested until it is placed, rejected or failed, and then followed until it ends.
 type task struct {
-	sequence        int // in order of creation
-	uid             types.UID
-	namespace, name string // of the Pod
-	job             *job   // nil if the Job is unknown or was deleted without its Pods
-	index           int    // completion index within the Job
-	class, tenant   int
-	service         placer.ServiceID
-	cores, memory   float64        // memory in GiB
-	deadline        placer.Seconds // when the client stops waiting for the outcome
+	sequence int // in order of creation
+	podIdentity
+	placementSpec
+	job      *job           // nil if the Job is unknown or was deleted without its Pods
+	index    int            // completion index within the Job
+	deadline placer.Seconds // when the client stops waiting for the outcome
 
 	state   taskState
 	settled bool // the final outcome is stored in the Pod's status
@@ -71,3 +82,14 @@
 	}
 	return summary
 }
+
+// newPlacementSpec returns what the placement of a task depends on that has containers as specified.
+func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
+	cores, memory := wellknown.Requests(containers)
+	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
+}
+
+// identityOf returns the identity of a Pod.
+func identityOf(pod *corev1.Pod) podIdentity {
+	return podIdentity{uid: pod.UID, namespace: pod.Namespace, name: pod.Name}
+}
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -127,8 +127,10 @@
 	message string // the message in the Pod's status
 }
 
+// succeeded reports whether the task ended by itself with success.
 func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.status == "" }
 
+// migrated reports whether the engine stopped the task to have it started elsewhere.
 func (end *taskEnd) migrated() bool {
 	return end.status == stopMigrated || end.status == stopEvicted && end.result == placer.Cancelled
 }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -84,6 +84,7 @@
 	return ""
 }
 
+// unknownOutcomesAreIndexed reports whether the nodes of all unknown outcomes know of them.
 func (t *task) unknownOutcomesAreIndexed() bool {
 	for _, attempt := range t.attempts.unknown {
 		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -50,7 +50,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t)
-			walked := &task{uid: "u"}
+			walked := &task{podIdentity: podIdentity{uid: "u"}}
 			for _, next := range test.path {
 				engine.tasks.setState(walked, next)
 			}
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -67,7 +67,7 @@
 // stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
 func (l *taskLifecycle) stopRunning(task *task) {
 	if running := task.attempts.running; running != nil {
-		l.stopCopy(running.node, task.uid, task.namespace, task.name, running.number)
+		l.stopCopy(running.node, task.podIdentity, running.number)
 	}
 }
 
