--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -15,30 +15,31 @@
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
 	good := server.connect()
-	good.launch(1, "query")
-	good.expect(`"running"`)
+	good.runTask(1, "query")
 	const id = 1000
 	stopTaken := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 1002
 	var all sync.WaitGroup
-	for name, send := range map[string]func(c *testClient){
+	for name, send := range map[string]func(client *testClient){
 		"sends nothing": func(*testClient) {},
-		"noise":         func(c *testClient) { c.send("\xff\xfe\x00\n") },
-		"half a line":   func(c *testClient) { c.send(`{"kind":"lau`) },
-		"60 MB":         func(c *testClient) { go c.flood(60 << 20) },
-		"unknown class": func(c *testClient) { c.launch(id, "gold") },
-		"no id":         func(c *testClient) { c.send(`{"kind":"launch","meta":{}}` + "\n") },
-		"unknown id":    func(c *testClient) { c.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
-		"one id twice":  func(c *testClient) { c.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`)) },
-		"an id in use":  func(c *testClient) { c.send(launchMessage(1, "query", `"other"`)) },
-		"cancels":       func(c *testClient) { c.send(launchMessage(id+2, "gold", `"x"`) + stopTaken) },
+		"noise":         func(client *testClient) { client.send("\xff\xfe\x00\n") },
+		"half a line":   func(client *testClient) { client.send(`{"kind":"lau`) },
+		"60 MB":         func(client *testClient) { go client.flood(60 << 20) },
+		"unknown class": func(client *testClient) { client.launch(id, "gold") },
+		"no id":         func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
+		"unknown id":    func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
+		"one id twice": func(client *testClient) {
+			client.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`))
+		},
+		"an id in use": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
+		"cancels":      func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + stopTaken) },
 	} {
-		c := server.connect()
+		client := server.connect()
 		start := time.Now()
-		send(c)
+		send(client)
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			line, err := c.reader.ReadString('\n')
+			line, err := client.reader.ReadString('\n')
 			unexpected := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
 			if took := time.Since(start); took > 3*time.Second || unexpected {
 				t.Errorf("%s: after %v %q, %v", name, took, line, err)
@@ -61,11 +62,11 @@
 }
 
 // flood sends zeros until the server closes the connection.
-func (c *testClient) flood(bytes int) {
+func (client *testClient) flood(bytes int) {
 	block := make([]byte, 32<<10)
 	for sent := 0; sent < bytes; {
-		n, err := c.Write(block)
-		sent += n
+		written, err := client.Write(block)
+		sent += written
 		if err != nil {
 			return
 		}
@@ -77,15 +78,13 @@
 	node := startNode(t, acceptTask)
 	server := startServer(t, 64, node.addr)
 	good := server.connect()
-	good.launch(1, "query")
-	good.expect(`"running"`)
+	good.runTask(1, "query")
 	for range 300 {
 		server.connect()
 	}
 	for i := range 20 {
-		c := server.connect()
-		c.launch(10+i, "query")
-		c.expect(`"running"`)
+		client := server.connect()
+		client.runTask(10+i, "query")
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedSockets > 64 {
@@ -103,8 +102,8 @@
 	lines := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
 	var sent int64
 	for sent < 1<<30 {
-		n, err := client.Write(lines)
-		if sent += int64(n); err != nil {
+		written, err := client.Write(lines)
+		if sent += int64(written); err != nil {
 			break
 		}
 	}
@@ -161,21 +160,20 @@
 	node := startNode(t, acceptTaskAndReport(conns))
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
-	client.launch(1, "query")
-	client.expect(`"running"`)
+	client.runTask(1, "query")
 	return server, client, waitFor(t, "task", conns)
 }
 
 // TestNoNotificationOnClosingConnection: the end of a task while the connection of its client is closing is reported on the next connection.
 func TestNoNotificationOnClosingConnection(t *testing.T) {
-	server, a, nodeConn := startServerWithTask(t)
-	a.send("noise\n") // ends the connection, which stays open for reading until the client closes it too
+	server, closing, nodeConn := startServerWithTask(t)
+	closing.send("noise\n") // ends the connection, which stays open for reading until the client closes it too
 	server.waitUntil("closing", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
 	sendTo(t, nodeConn, stopMessage(1, 16))
 	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 })
-	b := server.connect()
-	b.send(checkMessage)
-	b.expect(`"stop"`, "0000000000000001", `"reason":16`)
+	next := server.connect()
+	next.send(checkMessage)
+	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
 	server.runOnLoop(func() {
 		if server.core.Counts.Redeliveries > 0 {
 			t.Error("the end was sent on the closing connection first")
@@ -186,15 +184,15 @@
 // TestNotificationRedeliveredWhenClientCloses: a notification sent at the moment at which its client closes the connection is sent once more, on the
 // next one.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
-	server, a, nodeConn := startServerWithTask(t)
+	server, closed, nodeConn := startServerWithTask(t)
 	server.holdLoop(func() {
 		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
-		a.close()
+		closed.close()
 	}, nil)
 	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
-	b := server.connect()
-	b.send(checkMessage)
-	b.expect(`"stop"`, "0000000000000001", `"reason":16`)
+	next := server.connect()
+	next.send(checkMessage)
+	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
 }
 
 // TestLastClientConnectionIsKept: a connection on which only adoptions or rejected requests arrived is not closed as idle while it is the only one: the
@@ -203,11 +201,10 @@
 	conns := make(chan net.Conn, 1)
 	node := startNode(t, acceptTaskAndReport(conns))
 	server := startServer(t, 256, node.addr)
-	a, b, adopter := server.connect(), server.connect(), server.connect()
-	a.launch(1, "query")
-	a.expect(`"running"`)
-	b.send(checkMessage)
-	b.expect(`"checked"`)
+	placed, idle, adopter := server.connect(), server.connect(), server.connect()
+	placed.runTask(1, "query")
+	idle.send(checkMessage)
+	idle.expect(`"checked"`)
 	adopter.send(adoptMessage(2, 1))
 	nodeConn := waitFor(t, "task", conns)
 	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
@@ -218,20 +215,20 @@
 		})
 	}
 	closeIdle()
-	b.expectClosed() // not the only one, and no task was placed on it
-	b.close()
-	a.close()
+	idle.expectClosed() // not the only one, and no task was placed on it
+	idle.close()
+	placed.close()
 	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(1, 16))
 	adopter.expect(`"stop"`, "0000000000000001")
 
-	d := server.connect()
-	d.send(checkMessage)
-	d.expect(`"checked"`)
+	next := server.connect()
+	next.send(checkMessage)
+	next.expect(`"checked"`)
 	adopter.close()
 	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(2, 16))
-	d.expect(`"stop"`, "0000000000000002")
+	next.expect(`"stop"`, "0000000000000002")
 }
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -2,20 +2,35 @@
 
 package server
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// checkTransition fails the test unless a transition was made if it is legal, and otherwise counted and not made.
-func checkTransition(t *testing.T, server *Server, legal, made bool) {
+// checkTransitions makes every transition between states with setState, which returns the counts of the server and the state after. A legal
+// transition must be made, any other one counted and not made.
+func checkTransitions[State interface {
+	comparable
+	fmt.Stringer
+}](t *testing.T, states []State, legal map[[2]State]bool, setState func(server *Server, from, to State) State) {
 	t.Helper()
-	if made != legal {
-		t.Errorf("transition made: %t, want %t", made, legal)
-	}
-	want := uint64(1)
-	if legal {
-		want = 0
-	}
-	if counted := server.stats.IllegalTransitions; counted != want {
-		t.Errorf("%d illegal transitions counted, want %d", counted, want)
+	for _, from := range states {
+		for _, to := range states {
+			t.Run(from.String()+" to "+to.String(), func(t *testing.T) {
+				server := &Server{}
+				after := setState(server, from, to)
+				want, wantCounted := from, uint64(1)
+				if legal[[2]State{from, to}] {
+					want, wantCounted = to, 0
+				}
+				if after != want {
+					t.Errorf("in state %s, want %s", after, want)
+				}
+				if counted := server.stats.IllegalTransitions; counted != wantCounted {
+					t.Errorf("%d illegal transitions counted, want %d", counted, wantCounted)
+				}
+			})
+		}
 	}
 }
 
@@ -30,16 +45,11 @@
 		{clientAdopting, clientClosed}:  true,
 		{clientClosing, clientClosed}:   true,
 	}
-	for _, from := range states {
-		for _, to := range states {
-			t.Run(from.String()+" to "+to.String(), func(t *testing.T) {
-				server := &Server{}
-				conn := &clientConn{server: server, state: from}
-				conn.setState(to)
-				checkTransition(t, server, legal[[2]clientConnState{from, to}], conn.state == to && from != to)
-			})
-		}
-	}
+	checkTransitions(t, states, legal, func(server *Server, from, to clientConnState) clientConnState {
+		conn := &clientConn{server: server, state: from}
+		conn.setState(to)
+		return conn.state
+	})
 }
 
 func TestNodeConnTransitions(t *testing.T) {
@@ -49,14 +59,9 @@
 		{nodeDialing, nodeClosed}:      true,
 		{nodeEstablished, nodeClosed}:  true,
 	}
-	for _, from := range states {
-		for _, to := range states {
-			t.Run(from.String()+" to "+to.String(), func(t *testing.T) {
-				server := &Server{}
-				conn := &nodeConn{link: &nodeLink{server: server}, state: from}
-				conn.setState(to)
-				checkTransition(t, server, legal[[2]nodeConnState{from, to}], conn.state == to && from != to)
-			})
-		}
-	}
+	checkTransitions(t, states, legal, func(server *Server, from, to nodeConnState) nodeConnState {
+		conn := &nodeConn{link: &nodeLink{server: server}, state: from}
+		conn.setState(to)
+		return conn.state
+	})
 }
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -125,15 +125,15 @@
 // address.
 func TestOldDiscoveryWatchIgnoredAfterMove(t *testing.T) {
 	server := startServer(t, 256)
-	a, b := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.moveDiscovery(a.addr())
-	old := waitFor(t, "call", a.calls)
+	former, moved := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+	server.moveDiscovery(former.addr())
+	old := waitFor(t, "call", former.calls)
 	sendTo(t, old, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
 	server.waitForEvent(2)
-	next := server.configWithDiscovery(b.addr())
+	next := server.configWithDiscovery(moved.addr())
 	late := discoveryEvent(3, nodeEntry(7, "127.0.0.1:1", "in_service")) + "\n\n"
 	server.holdLoop(func() { sendTo(t, old, late) }, func() { server.Reload(next) })
-	call := waitFor(t, "call", b.calls)
+	call := waitFor(t, "call", moved.calls)
 	if call.lastEventID != "2" {
 		t.Errorf("called from event %s", call.lastEventID)
 	}
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -60,8 +60,8 @@
 func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
-	case v := <-ch:
-		return v
+	case received := <-ch:
+		return received
 	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("not reached")
@@ -219,13 +219,13 @@
 
 // incompleteClients returns on how many connections a message has arrived in part. It is called on the loop.
 func (server *testServer) incompleteClients() int {
-	n := 0
+	count := 0
 	for _, client := range server.clients.byID {
 		if !client.incompleteSince.IsZero() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // ageClients has all connections appear idle for 10 s more. It is called on the loop.
@@ -264,36 +264,43 @@
 	return &testClient{conn, server.t, bufio.NewReader(conn)}
 }
 
-func (c *testClient) send(text string) {
-	c.t.Helper()
-	sendTo(c.t, c.Conn, text)
+func (client *testClient) send(text string) {
+	client.t.Helper()
+	sendTo(client.t, client.Conn, text)
+}
+
+// runTask requests a task and waits until the client is notified that it runs.
+func (client *testClient) runTask(id int, class string) {
+	client.t.Helper()
+	client.launch(id, class)
+	client.expect(`"running"`)
 }
 
 // launch sends a placement request.
-func (c *testClient) launch(id int, class string) {
-	c.t.Helper()
-	c.send(launchMessage(id, class, `"x"`))
+func (client *testClient) launch(id int, class string) {
+	client.t.Helper()
+	client.send(launchMessage(id, class, `"x"`))
 }
 
-func (c *testClient) close() {
-	c.t.Helper()
-	closeNow(c.t, c.Conn)
+func (client *testClient) close() {
+	client.t.Helper()
+	closeNow(client.t, client.Conn)
 }
 
-func (c *testClient) readLine() string {
-	c.t.Helper()
-	line, err := c.reader.ReadString('\n')
+func (client *testClient) readLine() string {
+	client.t.Helper()
+	line, err := client.reader.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("client: %v", err)
+		client.t.Fatalf("client: %v", err)
 	}
 	return line
 }
 
 // expect reads lines until one has all the texts.
-func (c *testClient) expect(texts ...string) string {
-	c.t.Helper()
+func (client *testClient) expect(texts ...string) string {
+	client.t.Helper()
 	for {
-		line := c.readLine()
+		line := client.readLine()
 		if containsAll(line, texts...) {
 			return line
 		}
@@ -301,18 +308,18 @@
 }
 
 // expectNext fails the test unless the next line has all the texts.
-func (c *testClient) expectNext(texts ...string) {
-	c.t.Helper()
-	if line := c.readLine(); !containsAll(line, texts...) {
-		c.t.Fatalf("got %s, want all of %q", line, texts)
+func (client *testClient) expectNext(texts ...string) {
+	client.t.Helper()
+	if line := client.readLine(); !containsAll(line, texts...) {
+		client.t.Fatalf("got %s, want all of %q", line, texts)
 	}
 }
 
 // expectClosed fails the test unless the server has closed the connection without another line.
-func (c *testClient) expectClosed() {
-	c.t.Helper()
-	if line, err := c.reader.ReadString('\n'); err != io.EOF {
-		c.t.Fatalf("%q, %v, want the end of the connection", line, err)
+func (client *testClient) expectClosed() {
+	client.t.Helper()
+	if line, err := client.reader.ReadString('\n'); err != io.EOF {
+		client.t.Fatalf("%q, %v, want the end of the connection", line, err)
 	}
 }
 
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -41,23 +41,29 @@
 	})
 	server := startServer(t, 256, listener.Addr().String())
 	client := server.connect()
-	client.launch(1, "seats")
-	client.expect(`"running"`)
+	client.runTask(1, "seats")
 	sendTo(t, waitFor(t, "task", conns), "{corrupt\n")
 	client.expect(`"stop"`, `"reason":16`)
 }
 
+// startWithUnresponsiveTimeout returns a node that leaves health checks unanswered, a server that declares it unresponsive after the given time,
+// and a client whose task 1 runs there.
+func startWithUnresponsiveTimeout(t *testing.T, after time.Duration) (*testNode, *testServer, *testClient) {
+	t.Helper()
+	node := startNode(t, acceptTask)
+	server := startServer(t, 256, node.addr)
+	server.runOnLoop(func() { server.nodes.reachability.UnresponsiveAfter = after })
+	client := server.connect()
+	client.runTask(1, "seats")
+	return node, server, client
+}
+
 // TestVanishedNodes: the tasks of a node that can no longer be reached are reported as lost, whether connections to it are refused or time out.
 func TestVanishedNodes(t *testing.T) {
 	for _, mode := range []string{"refuses", "silent"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			node := startNode(t, acceptTask) // which leaves health checks unanswered
-			server := startServer(t, 256, node.addr)
-			server.runOnLoop(func() { server.nodes.reachability.UnresponsiveAfter = 2 * time.Second })
-			client := server.connect()
-			client.launch(1, "seats")
-			client.expect(`"running"`)
+			node, server, client := startWithUnresponsiveTimeout(t, 2*time.Second)
 			closeNow(t, node.listener)
 			running := 0 // the tasks of a node that refuses connections have ended with it
 			if mode == "silent" {
@@ -78,12 +84,7 @@
 // end the task, and until it reports so the task counts as running there.
 func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
-	node := startNode(t, acceptTask) // which leaves health checks unanswered
-	server := startServer(t, 256, node.addr)
-	server.runOnLoop(func() { server.nodes.reachability.UnresponsiveAfter = 500 * time.Millisecond })
-	client := server.connect()
-	client.launch(1, "seats")
-	client.expect(`"running"`)
+	node, server, client := startWithUnresponsiveTimeout(t, 500*time.Millisecond)
 	waitFor(t, "launch", node.received)
 	closeNow(t, node.listener)
 	_, stopListening := listenUnresponsive(t, node.port())
@@ -221,8 +222,7 @@
 	client := server.connect()
 	call := waitFor(t, "call", server.discovery.calls)
 	for i := range 2 {
-		client.launch(i+1, "query")
-		client.expect(`"running"`)
+		client.runTask(i+1, "query")
 		call.text <- sseEvent(2+i, nodeEntry(1+i, node.addr, "terminated"), nodeEntry(2+i, node.addr, "in_service"))
 		client.expect(`"stop"`, `"reason":41`) // a second later
 	}
@@ -313,8 +313,7 @@
 	server := startServer(t, 256, node.addr)
 	call := waitFor(t, "call", server.discovery.calls)
 	client := server.connect()
-	client.launch(1, "query")
-	client.expect(`"running"`)
+	client.runTask(1, "query")
 	call.text <- sseEvent(2, nodeEntry(1, node.addr, "terminated"), nodeEntry(2, node.addr, "in_service"))
 	server.waitForEvent(2)
 	client.launch(2, "query")
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -69,8 +69,8 @@
 				client.expect(`"running"`, fmt.Sprintf("%016x", i+1))
 			}
 			server.runOnLoop(func() {
-				if c := server.core.Counts; c.Bound != 6 || c.Attempts <= 6 {
-					t.Errorf("%+v", c)
+				if counts := server.core.Counts; counts.Bound != 6 || counts.Attempts <= 6 {
+					t.Errorf("%+v", counts)
 				}
 			})
 		})
@@ -86,8 +86,8 @@
 	client.launch(1, "seats")
 	client.expect(`"stop"`, `"reason":34`) // refused: nothing ran
 	server.runOnLoop(func() {
-		if c := server.core.Counts; c.ConnectFailures == 0 || c.ConnectionsLost+c.TimedOut > 0 {
-			t.Errorf("%+v", c)
+		if counts := server.core.Counts; counts.ConnectFailures == 0 || counts.ConnectionsLost+counts.TimedOut > 0 {
+			t.Errorf("%+v", counts)
 		}
 	})
 }
@@ -103,8 +103,7 @@
 	})
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
-	client.launch(1, "query")
-	client.expect(`"running"`)
+	client.runTask(1, "query")
 	waitFor(t, "launch", node.received)
 	return server, node, client
 }
@@ -114,28 +113,28 @@
 func TestDisconnectPrecedesAttempt(t *testing.T) {
 	many := strings.Repeat(checkMessage, maxLinesPerTurn+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
-	for name, leave := range map[string]func(c *testClient){
-		"closes behind its request":   func(c *testClient) { c.send(launch); c.close() },
-		"cancels in the same segment": func(c *testClient) { c.send(launch + stop) },
-		"cancels many lines later":    func(c *testClient) { c.send(launch + many + stop) },
-		"closes behind many lines":    func(c *testClient) { c.send(many + launch + many); c.close() },
-		"resets": func(c *testClient) {
-			c.send(launch)
-			if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
-				c.t.Fatal(err)
+	for name, leave := range map[string]func(client *testClient){
+		"closes behind its request":   func(client *testClient) { client.send(launch); client.close() },
+		"cancels in the same segment": func(client *testClient) { client.send(launch + stop) },
+		"cancels many lines later":    func(client *testClient) { client.send(launch + many + stop) },
+		"closes behind many lines":    func(client *testClient) { client.send(many + launch + many); client.close() },
+		"resets": func(client *testClient) {
+			client.send(launch)
+			if err := client.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+				client.t.Fatal(err)
 			}
-			c.close()
+			client.close()
 		},
-		"sends single bytes, then cancels": func(c *testClient) {
-			for _, b := range []byte(launch + stop) {
-				c.send(string([]byte{b}))
+		"sends single bytes, then cancels": func(client *testClient) {
+			for _, letter := range []byte(launch + stop) {
+				client.send(string([]byte{letter}))
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, node, client := startConnectedServer(t)
-			c := server.connect()
-			server.holdLoop(func() { leave(c) }, nil)
+			leaving := server.connect()
+			server.holdLoop(func() { leave(leaving) }, nil)
 			node.expectNoLaunch(client)
 		})
 	}
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -32,22 +32,22 @@
 		return nil
 	})
 	server := startServer(t, 256, node.addr)
-	a := server.connect()
-	a.launch(1, "seats")
+	before := server.connect()
+	before.launch(1, "seats")
 	first := waitFor(t, "launch", launches)
 	server.runOnLoop(func() { server.Stop(); server.Stop() })
-	b := server.connect() // accepted for some time yet
-	b.launch(2, "seats")
+	after := server.connect() // accepted for some time yet
+	after.launch(2, "seats")
 	second := waitFor(t, "launch after the signal", launches)
 	first.accept(t)
 	second.accept(t)
-	a.expect(`"running"`)
-	b.expect(`"running"`)
+	before.expect(`"running"`)
+	after.expect(`"running"`)
 	// While a task runs, and nothing else is open, its end is still reported.
 	server.waitUntil("end of listening", func() bool { return server.listener.Closed() })
 	uid := taskUID(first.line)
 	sendTo(t, first.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
-	a.expect(`"stop"`, uid, `"reason":16`)
+	before.expect(`"stop"`, uid, `"reason":16`)
 	waitFor(t, "end", server.stopped)
 }
 
@@ -57,26 +57,26 @@
 	var all []*testClient
 	server.holdLoop(func() {
 		for i := range 150 { // more than are accepted in one iteration of the loop
-			c := server.connect()
-			c.launch(i+1, "query")
-			all = append(all, c)
+			client := server.connect()
+			client.launch(i+1, "query")
+			all = append(all, client)
 		}
 	}, server.finishStopNow)
-	for i, c := range all {
-		c.expect(fmt.Sprintf("%016x", i+1)) // many are rejected, since there is one node
+	for i, client := range all {
+		client.expect(fmt.Sprintf("%016x", i+1)) // many are rejected, since there is one node
 	}
 }
 
 // TestStopServesIncompleteRequest: a request that has arrived in part when the server is stopped is answered once the rest arrives.
 func TestStopServesIncompleteRequest(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
-	c := server.connect()
+	client := server.connect()
 	text := launchMessage(1, "query", `"x"`)
-	c.send(text[:40])
+	client.send(text[:40])
 	server.waitUntil("half a line", func() bool { return server.incompleteClients() == 1 })
 	server.runOnLoop(server.finishStopNow)
-	c.send(text[40:])
-	c.expect(`"running"`)
+	client.send(text[40:])
+	client.expect(`"running"`)
 }
 
 // TestStopFlushesAnswers: bytes of a client that arrive at the very end would have the end of the process reset its connection, and destroy the
@@ -89,8 +89,8 @@
 		return respond(conn, `{"kind":"stop","uid":%q,"reason":47}`+"\n", taskUID(line))
 	})
 	server := startServer(t, 256, node.addr)
-	c := server.connect()
-	c.launch(1, "seats")
+	client := server.connect()
+	client.launch(1, "seats")
 	server.waitUntil("answer", func() bool { return server.core.Counts.Failed+server.core.Counts.Rejected == 1 })
 	decided, sent := make(chan struct{}), make(chan struct{})
 	server.loop.Post(func() {
@@ -99,10 +99,10 @@
 		<-sent
 	})
 	waitFor(t, "end", decided)
-	c.send(`{"kind":"stopped","uid":"0000000000000001","meta":{}}` + "\n")
+	client.send(`{"kind":"stopped","uid":"0000000000000001","meta":{}}` + "\n")
 	close(sent)
-	c.expect(`"stop"`, "0000000000000001")
-	c.expectClosed()
-	c.close()
+	client.expect(`"stop"`, "0000000000000001")
+	client.expectClosed()
+	client.close()
 	waitFor(t, "end", server.stopped)
 }
