--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -20,12 +20,12 @@
 }
 
 // recordSettled counts the final outcome of the first task of an index.
-func (c *jobController) recordSettled(task *task, reason string) {
+func (c *jobController) recordSettled(task *task, outcome taskOutcome) {
 	job := task.job
 	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
 		return
 	}
-	if job.indexes.settleTask(task, reason) {
+	if job.indexes.settleTask(task, outcome) {
 		c.jobStatus.markDirty(job)
 	}
 }
@@ -93,7 +93,7 @@
 		index := job.indexes.at(i)
 		c.stopTimer(index.retryTimer)
 		if index.task != nil {
-			c.lifecycle.stop(index.task, reason)
+			c.lifecycle.stop(index.task, stopReason(reason))
 		}
 	}
 	c.drainEvents()
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"slices"
-
-	"heathshed/internal/kube/wellknown"
 )
 
 // indexState is the state of a completion index.
@@ -56,13 +54,13 @@
 	failed    int // tasks that ended without success
 	exhausted int // indexes that are not started again
 
-	settled            map[string]int // indexes by the final outcome of their first task
-	unplacedMayHaveRun bool           // a task without placement may have run
+	settled            map[taskOutcome]int // indexes by the final outcome of their first task
+	unplacedMayHaveRun bool                // a task without placement may have run
 }
 
 // newIndexTable returns a table of pending indexes, whose first tasks may be retried as often as the budget says.
 func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
-	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[string]int{}}
+	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[taskOutcome]int{}}
 	for i := range table.all {
 		table.all[i].retryBudget = retryBudget
 	}
@@ -103,7 +101,7 @@
 	if t.all[i].state == indexFinished {
 		t.exhausted--
 	}
-	t.settle(i, wellknown.Placed)
+	t.settle(i, outcomePlaced)
 	t.activate(i, adopted)
 }
 
@@ -115,7 +113,7 @@
 }
 
 // settle counts the final outcome of the first task of an index, and reports whether it was that of the first.
-func (t *indexTable) settle(i int, outcome string) bool {
+func (t *indexTable) settle(i int, outcome taskOutcome) bool {
 	index := &t.all[i]
 	if index.settled {
 		return false
@@ -126,7 +124,7 @@
 }
 
 // settleTask counts the final outcome of a task if it is the first of its index, and reports whether it is.
-func (t *indexTable) settleTask(settled *task, outcome string) bool {
+func (t *indexTable) settleTask(settled *task, outcome taskOutcome) bool {
 	if !t.settle(settled.index, outcome) {
 		return false
 	}
@@ -159,7 +157,7 @@
 // failUnseen fails an index of a rebuilt Job whose task may have run.
 func (t *indexTable) failUnseen(i int) {
 	t.fail(i, false)
-	if t.settle(i, wellknown.Failed) {
+	if t.settle(i, outcomeFailed) {
 		t.unplacedMayHaveRun = true
 	}
 }
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -17,7 +17,7 @@
 		return false
 	}
 	budget := task.retryBudget
-	if cause == retry.Migrated || task.stopReason != "" {
+	if cause == retry.Migrated || task.isStopping() {
 		budget = max(budget, 1) // a stop that this scheduler ordered costs nothing
 	}
 	// The end of the task is known: only the time of its start is left to choose.
@@ -55,7 +55,7 @@
 	switch {
 	case job.progress.failsAsWhole() || s.stopping:
 		return false
-	case cause == retry.Rejected && task.stopReason == "":
+	case cause == retry.Rejected && !task.isStopping():
 		return false // its requests were retried as often as allowed
 	case idempotency == placer.NonIdempotent:
 		return cause != retry.Failed && task.attempts.evidence != possiblyRan // it neither ran to its end nor may have a copy
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -109,7 +109,7 @@
 	if s.stopping {
 		// Never requested: the placer would handle the request and make an attempt before it handled a withdrawal of it.
 		s.tasks.setState(started, taskWaiting)
-		s.lifecycle.settleUnplaced(started, wellknown.Rejected, stoppingMessage)
+		s.lifecycle.settleUnplaced(started, outcomeRejected, stoppingMessage)
 	} else {
 		s.requests.place(started)
 	}
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -122,7 +122,7 @@
 	if table.failed != 3 || table.exhausted != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
 		t.Errorf("after the last failures: %+v", table)
 	}
-	if table.adopt(2, &task{index: 2}); table.exhausted != 1 || table.active != 1 || table.settled["Failed"] != 2 {
+	if table.adopt(2, &task{index: 2}); table.exhausted != 1 || table.active != 1 || table.settled[outcomeFailed] != 2 {
 		t.Errorf("after a copy was adopted: %+v", table)
 	}
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -77,7 +77,7 @@
 // showSettled sets the Settled condition once the first task of each index has its final outcome.
 func (j *job) showSettled(status *batchv1.JobStatus, now metav1.Time) {
 	settled := j.indexes.settled
-	placed, rejected, failed := settled[wellknown.Placed], settled[wellknown.Rejected], settled[wellknown.Failed]
+	placed, rejected, failed := settled[outcomePlaced], settled[outcomeRejected], settled[outcomeFailed]
 	total := placed + rejected + failed
 	if total != j.indexes.len() {
 		return
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -68,16 +68,16 @@
 
 // showPlaced writes the outcome of a task that a node has accepted into its Pod.
 func showPlaced(pod *corev1.Pod, now metav1.Time, node, message string) {
-	showSettled(pod, now, wellknown.Placed, message)
+	showSettled(pod, now, outcomePlaced, message)
 	pod.Spec.NodeName = node
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
 // showUnplaced writes the outcome of a task that no node has accepted into its Pod.
-func showUnplaced(pod *corev1.Pod, now metav1.Time, reason, message string) {
-	showSettled(pod, now, reason, message)
+func showUnplaced(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
+	showSettled(pod, now, outcome, message)
 	pod.Status.Phase = corev1.PodFailed
-	pod.Status.Reason = reason
+	pod.Status.Reason = string(outcome)
 	pod.Status.Message = message
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               corev1.PodScheduled,
@@ -89,11 +89,11 @@
 }
 
 // showSettled writes the final outcome of a task into its Pod.
-func showSettled(pod *corev1.Pod, now metav1.Time, reason, message string) {
+func showSettled(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
 		Status:             corev1.ConditionTrue,
-		Reason:             reason,
+		Reason:             string(outcome),
 		Message:            message,
 		LastTransitionTime: now,
 		LastProbeTime:      now,
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -52,7 +52,7 @@
 }
 
 // delete stops a Pod's task, if it has one that has not ended, and removes the Pod.
-func (c *podController) delete(pod *corev1.Pod, reason string) {
+func (c *podController) delete(pod *corev1.Pod, reason stopReason) {
 	task := c.tasks.get(pod.UID)
 	if task == nil {
 		c.publisher.deletePod(pod.Namespace, pod.Name)
@@ -71,7 +71,7 @@
 }
 
 // deleteOfTask deletes the Pod of a task, if it is stored.
-func (c *podController) deleteOfTask(task *task, reason string) {
+func (c *podController) deleteOfTask(task *task, reason stopReason) {
 	if pod := c.publisher.podOf(task); pod != nil {
 		c.delete(pod, reason)
 	}
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -139,8 +139,8 @@
 		end.reason = placer.Drained
 	case wellknown.Stopped, wellknown.NeverStarted:
 		end.result = placer.Cancelled
-		if task.stopReason != "" {
-			end.status = task.stopReason
+		if task.isStopping() {
+			end.status = string(task.stopReason)
 		}
 	case reasonError:
 		end.result = placer.Finished
@@ -150,8 +150,8 @@
 
 // runningMissing ends a task that its node does not have any more.
 func (o *podObserver) runningMissing(task *task) {
-	if task.stopReason != "" {
-		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
+	if task.isStopping() {
+		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
 		return
 	}
 	message := task.attempts.running.node.name + " no longer reports it"
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -89,8 +89,8 @@
 }
 
 // publishUnplaced shows the outcome of a task that no node has accepted.
-func (p *publisher) publishUnplaced(task *task, reason, message string) {
-	p.updatePod(task, func(pod *corev1.Pod) { showUnplaced(pod, p.apiNow(), reason, message) })
+func (p *publisher) publishUnplaced(task *task, outcome taskOutcome, message string) {
+	p.updatePod(task, func(pod *corev1.Pod) { showUnplaced(pod, p.apiNow(), outcome, message) })
 }
 
 // publishNodeName shows the node of a task whose outcome was published before.
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -31,7 +31,7 @@
 	r.stats.UnknownOutcomes++
 	task.attempts.addUnknown(unresolved)
 	node.addUnknown(unresolved)
-	if r.idempotencyOf(task) == placer.Idempotent || task.stopReason != "" {
+	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
 		r.fence(unresolved)
 		return
 	}
@@ -180,7 +180,7 @@
 		r.fenceAnswered(unresolved, &answer)
 		return
 	}
-	if running := task.attempts.running; running.is(answer.Node, answer.Attempt) && task.stopReason != "" {
+	if running := task.attempts.running; running.is(answer.Node, answer.Attempt) && task.isStopping() {
 		r.stopAnswered(running, &answer)
 	}
 }
@@ -206,7 +206,7 @@
 func (r *outcomeReconciler) stopAnswered(stopped *attempt, answer *StopAnswer) {
 	task := stopped.task
 	if answer.Answered {
-		r.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: task.stopReason})
+		r.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
 		return
 	}
 	stopped.stopsSent++
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -45,8 +45,8 @@
 
 	attempts attemptHistory
 
-	stopReason string // why the task is to stop; "" if it is not
-	deleted    bool   // the Pod is removed as soon as the task has ended
+	stopReason stopReason
+	deleted    bool // the Pod is removed as soon as the task has ended
 }
 
 // joinJob makes a task that was found running that of an index of its Job.
@@ -64,12 +64,12 @@
 	return slices.SortedFunc(maps.Values(tasks), func(left, right *task) int { return cmp.Compare(left.sequence, right.sequence) })
 }
 
-// unplacedReason returns the outcome of a task that is given up: Rejected only if it certainly never ran.
-func (t *task) unplacedReason() string {
+// unplacedOutcome returns the outcome of a task that is given up: Rejected only if it certainly never ran.
+func (t *task) unplacedOutcome() taskOutcome {
 	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknown() {
-		return wellknown.Failed
+		return outcomeFailed
 	}
-	return wellknown.Rejected
+	return outcomeRejected
 }
 
 // unplacedMessage appends what is known of the task's attempts to a summary.
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -2,7 +2,6 @@
 
 import (
 	"heathshed/internal/control/retry"
-	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
@@ -51,9 +50,9 @@
 			l.drainEvents()
 		})
 	case retry.Reject:
-		l.settleUnplaced(task, wellknown.Rejected, task.unplacedMessage("no node accepted it"))
+		l.settleUnplaced(task, outcomeRejected, task.unplacedMessage("no node accepted it"))
 	case retry.Fail:
-		l.settleUnplaced(task, wellknown.Failed, task.unplacedMessage("it could not be placed"))
+		l.settleUnplaced(task, outcomeFailed, task.unplacedMessage("it could not be placed"))
 	}
 }
 
@@ -62,28 +61,28 @@
 	l.stats.Placed++
 	l.tasks.settle(task)
 	l.publisher.publishPlaced(task, message)
-	l.reportSettled(task, wellknown.Placed)
+	l.reportSettled(task, outcomePlaced)
 }
 
 // settleUnplaced stores the final outcome of a task that waits and is not requested again, and ends the task.
-func (l *taskLifecycle) settleUnplaced(task *task, reason, message string) {
-	if reason == wellknown.Rejected {
+func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
+	if outcome == outcomeRejected {
 		l.stats.Rejected++
 	} else {
 		l.stats.Failed++
 	}
 	l.tasks.settle(task)
-	l.publisher.publishUnplaced(task, reason, message)
-	l.reportSettled(task, reason)
+	l.publisher.publishUnplaced(task, outcome, message)
+	l.reportSettled(task, outcome)
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	l.terminate(task, false, retry.Rejected)
 }
 
 // reportSettled notifies the Job of a task, if it has one, of the task's final outcome.
-func (l *taskLifecycle) reportSettled(task *task, reason string) {
+func (l *taskLifecycle) reportSettled(task *task, outcome taskOutcome) {
 	if task.job != nil {
-		l.jobController.recordSettled(task, reason)
+		l.jobController.recordSettled(task, outcome)
 	}
 }
 
@@ -132,7 +131,8 @@
 
 // migrated reports whether the engine stopped the task to have it started elsewhere.
 func (end *taskEnd) migrated() bool {
-	return end.status == stopMigrated || end.status == stopEvicted && end.result == placer.Cancelled
+	reason := stopReason(end.status)
+	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
 }
 
 // ended ends a task that a node had accepted. It does nothing if no attempt of the task runs.
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -73,8 +73,8 @@
 		{"a retry is pending only while it waits", !t.retryTimer.Pending() || t.state == taskWaiting},
 		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
 		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknown()},
-		{"a task that is to stop has ended or is being stopped at its node", t.stopReason == "" || t.state.onNode() || ended},
-		{"a deleted task is to stop", !t.deleted || t.stopReason != ""},
+		{"a task that is to stop has ended or is being stopped at its node", !t.isStopping() || t.state.onNode() || ended},
+		{"a deleted task is to stop", !t.deleted || t.isStopping()},
 		{"its unknown outcomes are known by their nodes", t.unknownOutcomesAreIndexed()},
 	} {
 		if !invariant.holds {
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -2,18 +2,9 @@
 
 import (
 	"heathshed/internal/control/retry"
-	"heathshed/internal/kube/wellknown"
 	"heathshed/placer"
 )
 
-// Reasons for which the engine stops a running task. They become the reason in its Pod's status.
-const (
-	stopDeleted   = "Deleted"
-	stopEvicted   = "Evicted"
-	stopMigrated  = "Moved"
-	stopSuspended = "Suspended"
-)
-
 // stoppingMessage is why tasks are not placed once Stop was called.
 const stoppingMessage = "the scheduler stops"
 
@@ -25,7 +16,7 @@
 			l.withdrawQueuedRequest(task)
 		}
 		if task.state == taskWaiting && !task.attempts.hasUnknown() {
-			l.settleUnplaced(task, task.unplacedReason(), stoppingMessage)
+			l.settleUnplaced(task, task.unplacedOutcome(), stoppingMessage)
 		}
 	}
 }
@@ -42,8 +33,8 @@
 }
 
 // stop ends a task, whatever its state. A running task ends when its node has answered.
-func (l *taskLifecycle) stop(task *task, reason string) {
-	if task.stopReason == "" {
+func (l *taskLifecycle) stop(task *task, reason stopReason) {
+	if !task.isStopping() {
 		task.stopReason = reason
 	}
 	switch {
@@ -61,7 +52,7 @@
 		l.attempts.abandon(pending, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
-	l.settleUnplaced(task, wellknown.Failed, "deleted before it was placed")
+	l.settleUnplaced(task, outcomeFailed, "deleted before it was placed")
 }
 
 // stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
@@ -86,8 +77,8 @@
 }
 
 // stopForRestart stops a running task, which its Job starts again. It does nothing if the task is to stop already.
-func (l *taskLifecycle) stopForRestart(task *task, reason string) {
-	if task.stopReason == "" {
+func (l *taskLifecycle) stopForRestart(task *task, reason stopReason) {
+	if !task.isStopping() {
 		task.stopReason = reason
 		l.stopRunning(task)
 	}
