--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -32,7 +32,7 @@
 func (env *environment) advanceClock(now placer.Seconds) { env.now = max(env.now, now) }
 
 // apiNow returns the time of the present call as objects of the API state it.
-func (env *environment) apiNow() metav1.Time { return wellknown.APITime(float64(env.now)) }
+func (env *environment) apiNow() metav1.Time { return wellknown.APITime(env.now) }
 
 // post queues an event for the placer.
 func (env *environment) post(event placer.Event) { env.events.Post(event) }
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -63,7 +63,7 @@
 	node.Labels = map[string]string{wellknown.Kind: typeName}
 	node.Annotations = map[string]string{}
 	if started > 0 {
-		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(started))
+		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
 	}
 	node.Status.NodeInfo.BootID = incarnation
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -151,7 +151,7 @@
 	pod.Labels[wellknown.Index] = index
 	pod.Annotations = cloneOrMake(object.Spec.Template.Annotations)
 	pod.Annotations[wellknown.Index] = index
-	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(float64(task.deadline))
+	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(task.deadline)
 	pod.Status.Phase = corev1.PodPending
 	pod.Status.QOSClass = corev1.PodQOSBurstable
 	return pod
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -176,7 +176,7 @@
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
 		return node.listedStartedAt
 	}
-	stated := placer.Seconds(wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.Started]))
+	stated := wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.Started])
 	switch {
 	case stated == 0:
 		node.listedStartedAt = 0
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -153,7 +153,7 @@
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(s.now - 1))
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
 	}
 	object.Spec.Unschedulable = node.draining
 	object.Status.NodeInfo.BootID = node.incarnationID()
--- a/internal/lab/faultinjection/watch.go
+++ b/internal/lab/faultinjection/watch.go
@@ -15,7 +15,6 @@
 	"heathshed/internal/kube/apiclient"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
-	"heathshed/placer"
 )
 
 const watchRetryInterval = 100 * time.Millisecond
@@ -85,7 +84,7 @@
 		if outcome == "" {
 			deadline := wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])
 			r.figures.Tasks++
-			record(audit.Event{Kind: audit.Submitted, Deadline: placer.Seconds(deadline)})
+			record(audit.Event{Kind: audit.Submitted, Deadline: deadline})
 		}
 	}
 	if outcome != "" && !r.settled[uid] {
--- a/internal/lab/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -93,7 +93,7 @@
 	cores, memory := n.Free()
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(cores, memory)}
 	if identity.StartedAt != 0 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(float64(identity.StartedAt))
+		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(identity.StartedAt)
 	}
 	object.Spec.Unschedulable = n.draining
 	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -77,7 +77,7 @@
 	}
 	submitted := s.taskEvent(audit.Submitted, pod)
 	submitted.Class = pod.Labels[wellknown.Class]
-	submitted.Deadline = placer.Seconds(wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline]))
+	submitted.Deadline = wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])
 	w.record(submitted)
 }
 
