--- a/cmd/heathshed/apiclient.go
+++ b/cmd/heathshed/apiclient.go
@@ -22,12 +22,12 @@
 // apiServer is the API as the operators' commands use it: the server is given by a flag.
 type apiServer struct{ address string }
 
-func (s *apiServer) register(c *cobra.Command) {
+func (s *apiServer) register(command *cobra.Command) {
 	address := os.Getenv("HEATHSHED_SERVER")
 	if address == "" {
 		address = "http://127.0.0.1:8480"
 	}
-	c.PersistentFlags().StringVarP(&s.address, "server", "s", address, "address of the API (or HEATHSHED_SERVER)")
+	command.PersistentFlags().StringVarP(&s.address, "server", "s", address, "address of the API (or HEATHSHED_SERVER)")
 }
 
 func (s *apiServer) client() *apiclient.Client { return apiclient.New(s.address, http.DefaultClient) }
--- a/cmd/heathshed/drain.go
+++ b/cmd/heathshed/drain.go
@@ -18,50 +18,50 @@
 func drainCommand() *cobra.Command {
 	var server apiServer
 	var evict bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "drain NODE",
 		Short: "Drain a node: place nothing more on it",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			node, err := setUnschedulable(c, server.client(), args[0], true)
+		RunE: func(command *cobra.Command, args []string) error {
+			node, err := setUnschedulable(command, server.client(), args[0], true)
 			if err != nil || !evict {
 				return err
 			}
-			evicted, err := evictAll(c.Context(), server.client(), node)
+			evicted, err := evictAll(command.Context(), server.client(), node)
 			if err != nil {
 				return err
 			}
-			printf(c.OutOrStdout(), "%d tasks evicted\n", evicted)
+			printf(command.OutOrStdout(), "%d tasks evicted\n", evicted)
 			return nil
 		},
 	}
-	server.register(c)
-	c.Flags().BoolVar(&evict, "evict", false, "also evict the tasks that run there")
-	return c
+	server.register(command)
+	command.Flags().BoolVar(&evict, "evict", false, "also evict the tasks that run there")
+	return command
 }
 
 func undrainCommand() *cobra.Command {
 	var server apiServer
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "undrain NODE",
 		Short: "Cancel the drain of a node",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			_, err := setUnschedulable(c, server.client(), args[0], false)
+		RunE: func(command *cobra.Command, args []string) error {
+			_, err := setUnschedulable(command, server.client(), args[0], false)
 			return err
 		},
 	}
-	server.register(c)
-	return c
+	server.register(command)
+	return command
 }
 
 // setUnschedulable drains a node or cancels its drain, and prints its new state. It returns the node's name as the server has it.
-func setUnschedulable(c *cobra.Command, client *apiclient.Client, name string, unschedulable bool) (string, error) {
+func setUnschedulable(command *cobra.Command, client *apiclient.Client, name string, unschedulable bool) (string, error) {
 	var node corev1.Node
-	if err := client.SetUnschedulable(c.Context(), name, unschedulable, &node); err != nil {
+	if err := client.SetUnschedulable(command.Context(), name, unschedulable, &node); err != nil {
 		return "", err
 	}
-	printf(c.OutOrStdout(), "node %s: unschedulable=%v\n", node.Name, node.Spec.Unschedulable)
+	printf(command.OutOrStdout(), "node %s: unschedulable=%v\n", node.Name, node.Spec.Unschedulable)
 	return node.Name, nil
 }
 
--- a/cmd/heathshed/get.go
+++ b/cmd/heathshed/get.go
@@ -25,9 +25,9 @@
 	namespace, labels, output string
 }
 
-func (f *selectionFlags) register(c *cobra.Command) {
-	f.server.register(c)
-	flags := c.Flags()
+func (f *selectionFlags) register(command *cobra.Command) {
+	f.server.register(command)
+	flags := command.Flags()
 	flags.StringVarP(&f.namespace, "namespace", "n", "", "namespace; all if none")
 	flags.StringVarP(&f.labels, "selector", "l", "", "label selector")
 	flags.StringVarP(&f.output, "output", "o", "table", "table or json (a line each)")
@@ -43,11 +43,11 @@
 
 func getCommand() *cobra.Command {
 	var flags selectionFlags
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "get jobs|pods|nodes [NAME]",
 		Short: "Show jobs, tasks or nodes",
 		Args:  cobra.RangeArgs(1, 2),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			path, err := collectionPath(args[0], flags.namespace)
 			if err != nil {
 				return err
@@ -56,7 +56,7 @@
 			if len(args) > 1 {
 				query.Set("fieldSelector", "metadata.name="+args[1])
 			}
-			objects, err := flags.list(c.Context(), c.OutOrStdout(), path, query)
+			objects, err := flags.list(command.Context(), command.OutOrStdout(), path, query)
 			if err != nil {
 				return err
 			}
@@ -66,8 +66,8 @@
 			return nil
 		},
 	}
-	flags.register(c)
-	return c
+	flags.register(command)
+	return command
 }
 
 // list prints the objects of a collection, page by page, and returns how many there were.
@@ -95,25 +95,25 @@
 
 func watchCommand() *cobra.Command {
 	var flags selectionFlags
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "watch jobs|pods|nodes",
 		Short: "Show changes as they come, over broken connections",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			path, err := collectionPath(args[0], flags.namespace)
 			if err != nil {
 				return err
 			}
-			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
+			ctx, cancel := signal.NotifyContext(command.Context(), os.Interrupt)
 			defer cancel()
 			return flags.server.watch(ctx, path, flags.query(), func(event apiclient.Event) error {
-				flags.printEvent(c.OutOrStdout(), event)
+				flags.printEvent(command.OutOrStdout(), event)
 				return nil
 			})
 		},
 	}
-	flags.register(c)
-	return c
+	flags.register(command)
+	return command
 }
 
 func (f *selectionFlags) printEvent(w io.Writer, event apiclient.Event) {
--- a/cmd/heathshed/inspect.go
+++ b/cmd/heathshed/inspect.go
@@ -21,30 +21,30 @@
 )
 
 func loadCommand() *cobra.Command {
-	c := &cobra.Command{Use: "load", Short: "Work with recorded load"}
-	c.AddCommand(inspectCommand())
-	return c
+	command := &cobra.Command{Use: "load", Short: "Work with recorded load"}
+	command.AddCommand(inspectCommand())
+	return command
 }
 
 func inspectCommand() *cobra.Command {
 	var source sourceFlags
 	var report string
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "inspect FILE...",
 		Short: "Show what recorded files contain, and which entries cannot be read",
 		Long: "Read access logs, JSON lines or HAR files (gzip and zstd too) and show counts, the arrival curve and what was skipped.\n" +
 			"Exit status 4 means that entries were skipped.",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			i := newInspector(&source, asJSON, c.ErrOrStderr())
-			return i.run(c.OutOrStdout(), args, report)
+		RunE: func(command *cobra.Command, args []string) error {
+			i := newInspector(&source, asJSON, command.ErrOrStderr())
+			return i.run(command.OutOrStdout(), args, report)
 		},
 	}
-	source.register(c)
-	c.Flags().StringVar(&report, "report", "", "file that gets a JSON line for each entry that was skipped")
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	return c
+	source.register(command)
+	command.Flags().StringVar(&report, "report", "", "file that gets a JSON line for each entry that was skipped")
+	command.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	return command
 }
 
 // inspector reads files and collects their inspection.
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -26,25 +26,25 @@
 
 func metastabilityCommand() *cobra.Command {
 	var flags metastabilityFlags
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "metastability",
 		Short: "Search, in simulated time, for faults whose effects persist",
 		Long: "Run trials of a steady load with a trigger that is removed again, over random settings of admission and retries, and print which\n" +
 			"ones did not recover their goodput in time. Exit status 3 means that there were some. The same seed gives the same trials.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return searchMetastability(c, &flags) },
+		RunE: func(command *cobra.Command, _ []string) error { return searchMetastability(command, &flags) },
 	}
-	f := c.Flags()
+	f := command.Flags()
 	f.IntVar(&flags.trials, "trials", 50, "number of trials")
 	f.IntVar(&flags.workers, "workers", runtime.NumCPU(), "trials run at a time")
 	f.Uint64Var(&flags.seed, "seed", 1, "seed of the first trial; the others follow")
 	f.BoolVar(&flags.plant, "plant", false, "plant a mistake: an admission controller that counts requests which it shed itself as retries")
 	f.BoolVar(&flags.all, "all", false, "print every trial, not only those that failed")
 	f.BoolVar(&flags.asJSON, "json", false, "print trials as JSON lines")
-	return c
+	return command
 }
 
-func searchMetastability(c *cobra.Command, flags *metastabilityFlags) error {
+func searchMetastability(command *cobra.Command, flags *metastabilityFlags) error {
 	if flags.trials < 1 || flags.trials > maxTrials || flags.workers < 1 || flags.workers > maxWorkers {
 		return fmt.Errorf("trials %d, workers %d: want 1 to %d and 1 to %d", flags.trials, flags.workers, maxTrials, maxWorkers)
 	}
@@ -60,11 +60,11 @@
 		if recovered && !flags.all {
 			continue
 		}
-		if err := printTrial(c.OutOrStdout(), &played, flags.asJSON); err != nil {
+		if err := printTrial(command.OutOrStdout(), &played, flags.asJSON); err != nil {
 			return err
 		}
 	}
-	printf(c.ErrOrStderr(), "%d trials, %d did not recover in time\n", flags.trials, failed)
+	printf(command.ErrOrStderr(), "%d trials, %d did not recover in time\n", flags.trials, failed)
 	if failed > 0 {
 		return &exitError{exitNotRecovered, fmt.Errorf("%d of %d trials did not recover in time", failed, flags.trials)}
 	}
@@ -84,16 +84,14 @@
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range flags.workers {
-		workers.Add(1)
-		go func() {
-			defer workers.Done()
+		workers.Go(func() {
 			for i := range next {
 				trial := metastability.Draw(flags.seed + uint64(i))
 				trial.Admission.ShedUsesRetryBudget = flags.plant
 				verdict, err := metastability.Play(trial)
 				played[i] = playedTrial{trial, verdict, err}
 			}
-		}()
+		})
 	}
 	for i := range flags.trials {
 		next <- i
@@ -104,12 +102,12 @@
 }
 
 func printTrial(w io.Writer, played *playedTrial, asJSON bool) error {
-	t, v := &played.trial, &played.verdict
+	trial, verdict := &played.trial, &played.verdict
 	if asJSON {
-		return json.NewEncoder(w).Encode(newTrialJSON(t, v))
+		return json.NewEncoder(w).Encode(newTrialJSON(trial, verdict))
 	}
 	printf(w, "seed %d  recovered %v  %s for %.1f s  load %.2f  backoff %d  goodput %.2f, lowest %.2f  recovery after %.0f s of %.0f  "+
-		"open tasks %d at most, %d at the end\n", t.Seed, v.Recovered(), t.Trigger.Kind, t.Trigger.Duration, t.Load, t.Backoff,
-		v.BaselineGoodput, v.WorstGoodput, v.RecoveryTime, v.AllowedTime, v.PeakOpenTasks, v.FinalOpenTasks)
+		"open tasks %d at most, %d at the end\n", trial.Seed, verdict.Recovered(), trial.Trigger.Kind, trial.Trigger.Duration, trial.Load, trial.Backoff,
+		verdict.BaselineGoodput, verdict.WorstGoodput, verdict.RecoveryTime, verdict.AllowedTime, verdict.PeakOpenTasks, verdict.FinalOpenTasks)
 	return nil
 }
--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -72,23 +72,36 @@
 	Attempts          uint64  `json:"Offers"`
 }
 
-func newTrialJSON(t *metastability.Trial, v *metastability.Verdict) trialResultJSON {
-	verdict := verdictJSON{
-		BaselineGoodput:   v.BaselineGoodput,
-		WorstGoodput:      v.WorstGoodput,
-		RecoveryTime:      float64(v.RecoveryTime),
-		AllowedTime:       float64(v.AllowedTime),
-		PeakOpenTasks:     v.PeakOpenTasks,
-		FinalOpenTasks:    v.FinalOpenTasks,
-		PlacementRequests: v.PlacementRequests,
-		Attempts:          v.Attempts,
+func newTrialJSON(trial *metastability.Trial, verdict *metastability.Verdict) trialResultJSON {
+	return trialResultJSON{
+		Trial: trialJSON{
+			Seed:      trial.Seed,
+			Trigger:   newFaultJSON(&trial.Trigger),
+			Load:      trial.Load,
+			Backoff:   trial.Backoff,
+			Admission: newAdmissionJSON(&trial.Admission),
+			Retry:     newRetryJSON(&trial.Retry),
+		},
+		Verdict: newVerdictJSON(verdict),
+		Held:    verdict.Recovered(),
 	}
-	if math.IsInf(float64(v.RecoveryTime), 1) {
-		verdict.RecoveryTime = -1
+}
+
+func newVerdictJSON(verdict *metastability.Verdict) verdictJSON {
+	recoveryTime := float64(verdict.RecoveryTime)
+	if math.IsInf(recoveryTime, 1) {
+		recoveryTime = -1
+	}
+	return verdictJSON{
+		BaselineGoodput:   verdict.BaselineGoodput,
+		WorstGoodput:      verdict.WorstGoodput,
+		RecoveryTime:      recoveryTime,
+		AllowedTime:       float64(verdict.AllowedTime),
+		PeakOpenTasks:     verdict.PeakOpenTasks,
+		FinalOpenTasks:    verdict.FinalOpenTasks,
+		PlacementRequests: verdict.PlacementRequests,
+		Attempts:          verdict.Attempts,
 	}
-	trial := trialJSON{Seed: t.Seed, Trigger: newFaultJSON(&t.Trigger), Load: t.Load, Backoff: t.Backoff, Admission: newAdmissionJSON(&t.Admission),
-		Retry: newRetryJSON(&t.Retry)}
-	return trialResultJSON{Trial: trial, Verdict: verdict, Held: v.Recovered()}
 }
 
 func newFaultJSON(fault *scenario.Fault) faultJSON {
--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -42,22 +42,22 @@
 
 func scenarioCommand() *cobra.Command {
 	var flags scenarioFlags
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "scenario",
 		Short: "Run a fault scenario over sockets and check the placement rules from the audit events",
 		Long: "Start schedulers, emulated nodes and an inventory as processes on loopback, generate load and inject faults by a script, and\n" +
 			"check the five placement rules from what passed over the sockets. Exit status 3 means that a rule was violated.\n\nKinds of faults:\n" +
 			faultKindsText(),
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return runScenario(c, &flags) },
+		RunE: func(command *cobra.Command, _ []string) error { return runScenario(command, &flags) },
 	}
-	flags.register(c)
-	return c
+	flags.register(command)
+	return command
 }
 
-func (f *scenarioFlags) register(c *cobra.Command) {
-	f.common.register(c)
-	flags := c.Flags()
+func (f *scenarioFlags) register(command *cobra.Command) {
+	f.common.register(command)
+	flags := command.Flags()
 	flags.StringVarP(&f.script, "script", "f", "", "script of the scenario; the built-in one if none")
 	flags.StringVar(&f.dir, "dir", "", "directory that keeps settings, audit events and logs; a temporary one that is removed if none")
 	flags.Float64Var(&f.seconds, "seconds", 0, "length of the scenario; the script's times are stretched to it")
@@ -77,7 +77,7 @@
 	return text.String()
 }
 
-func runScenario(c *cobra.Command, flags *scenarioFlags) error {
+func runScenario(command *cobra.Command, flags *scenarioFlags) error {
 	settings, err := flags.common.settings()
 	if err != nil {
 		return err
@@ -87,23 +87,23 @@
 		return err
 	}
 	if flags.printScript {
-		return json.NewEncoder(c.OutOrStdout()).Encode(&script)
+		return json.NewEncoder(command.OutOrStdout()).Encode(&script)
 	}
 	var result *faultinjection.Result
 	if flags.simulated {
 		result, err = runSimulated(&settings, &script)
 	} else {
-		result, err = runOverSockets(c, flags, &settings, &script)
+		result, err = runOverSockets(command, flags, &settings, &script)
 	}
 	if err != nil {
 		return err
 	}
 	if flags.asJSON {
-		if err := json.NewEncoder(c.OutOrStdout()).Encode(result); err != nil {
+		if err := json.NewEncoder(command.OutOrStdout()).Encode(result); err != nil {
 			return err
 		}
 	} else {
-		printResult(c.OutOrStdout(), result)
+		printResult(command.OutOrStdout(), result)
 	}
 	if violations := len(result.Audit.Violations); violations > 0 {
 		return &exitError{exitRulesViolated, fmt.Errorf("%d violations of the rules", violations)}
@@ -152,7 +152,7 @@
 	return result, nil
 }
 
-func runOverSockets(c *cobra.Command, flags *scenarioFlags, settings *config.Settings, script *scenario.Script) (*faultinjection.Result, error) {
+func runOverSockets(command *cobra.Command, flags *scenarioFlags, settings *config.Settings, script *scenario.Script) (*faultinjection.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 		Progress: func(elapsed time.Duration, figures faultinjection.Figures) {
 			if time.Since(lastProgress) > progressInterval {
 				lastProgress = time.Now()
-				printProgress(c.ErrOrStderr(), elapsed, &figures)
+				printProgress(command.ErrOrStderr(), elapsed, &figures)
 			}
 		},
 	})
--- a/cmd/heathshed/scenario_result.go
+++ b/cmd/heathshed/scenario_result.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/lab/audit"
 	"heathshed/internal/lab/faultinjection"
 )
@@ -23,7 +24,8 @@
 	report, figures := &result.Audit, &result.Figures
 	printf(w, "scenario of %.0f s: %d schedulers, %d nodes\n", result.Seconds, result.Schedulers, result.Nodes)
 	printf(w, "tasks submitted %d, placed %d, rejected %d, failed %d, without outcome as their scheduler was killed or their client deleted them %d\n",
-		report.Tasks, report.Outcomes["Placed"], report.Outcomes["Refused"], report.Outcomes["Failed"], report.WithoutOutcome)
+		report.Tasks, report.Outcomes[wellknown.Placed], report.Outcomes[wellknown.Rejected], report.Outcomes[wellknown.Failed],
+		report.WithoutOutcome)
 	printf(w, "attempts %d, rejected %d, starts %d, node crashes %d, schedulers killed %d\n",
 		report.Attempts, report.Rejections, report.Starts, report.Crashes, figures.SchedulerKills)
 	printf(w, "client watches broken %d, relists %d, request retries %d\n", figures.WatchesDropped, figures.Relists, figures.Retries)
--- a/cmd/heathshed/source.go
+++ b/cmd/heathshed/source.go
@@ -19,8 +19,8 @@
 	strict bool
 }
 
-func (s *sourceFlags) register(c *cobra.Command) {
-	flags := c.Flags()
+func (s *sourceFlags) register(command *cobra.Command) {
+	flags := command.Flags()
 	flags.StringVar(&s.format, "format", "auto",
 		"har, jsonl, common, combined, or an Apache LogFormat or nginx log_format; auto looks at the first bytes")
 	flags.Float64Var(&s.window, "window", 5, "seconds within which entries that are out of order are put in order")
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -38,19 +38,19 @@
 
 func submitCommand() *cobra.Command {
 	var flags submitFlags
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "submit [-f FILE]",
 		Short: "Submit a job from a file or from flags; with --wait see it settle",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return submit(c, &flags) },
+		RunE:  func(command *cobra.Command, _ []string) error { return submit(command, &flags) },
 	}
-	flags.register(c)
-	return c
+	flags.register(command)
+	return command
 }
 
-func (f *submitFlags) register(c *cobra.Command) {
-	f.server.register(c)
-	flags := c.Flags()
+func (f *submitFlags) register(command *cobra.Command) {
+	f.server.register(command)
+	flags := command.Flags()
 	flags.StringVarP(&f.file, "file", "f", "", "file with a Job as JSON; - is standard input")
 	flags.StringVarP(&f.namespace, "namespace", "n", "default", "namespace")
 	flags.StringVar(&f.name, "name", "", "name; one is generated if none")
@@ -63,7 +63,7 @@
 	flags.BoolVar(&f.wait, "wait", false, "wait until the job has settled; exit status 2 if it was not placed")
 }
 
-func submit(c *cobra.Command, flags *submitFlags) error {
+func submit(command *cobra.Command, flags *submitFlags) error {
 	body, err := flags.job()
 	if err != nil {
 		return err
@@ -73,20 +73,20 @@
 		return err
 	}
 	var job batchv1.Job
-	if err := flags.server.client().Create(c.Context(), path+"?fieldValidation=Strict", body, &job); err != nil {
+	if err := flags.server.client().Create(command.Context(), path+"?fieldValidation=Strict", body, &job); err != nil {
 		return err
 	}
-	printf(c.OutOrStdout(), "job %s/%s created\n", job.Namespace, job.Name)
+	printf(command.OutOrStdout(), "job %s/%s created\n", job.Namespace, job.Name)
 	if !flags.wait {
 		return nil
 	}
-	ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt)
+	ctx, cancel := signal.NotifyContext(command.Context(), os.Interrupt)
 	defer cancel()
 	outcome, err := flags.awaitOutcome(ctx, path, &job)
 	if err != nil {
 		return err
 	}
-	printf(c.OutOrStdout(), "%s\n", outcome)
+	printf(command.OutOrStdout(), "%s\n", outcome)
 	if !strings.HasPrefix(outcome, wellknown.Placed) {
 		return &exitError{exitNotPlaced, fmt.Errorf("job %s was not placed", job.Name)}
 	}
--- a/internal/lab/metastability/metastability_test.go
+++ b/internal/lab/metastability/metastability_test.go
@@ -8,46 +8,51 @@
 	"heathshed/internal/lab/scenario"
 )
 
-// playAll plays trials on four goroutines; each is a world of its own.
+// playAll plays trials, four at a time; each is a world of its own.
 func playAll(t *testing.T, trials []Trial) []Verdict {
 	t.Helper()
-	out := make([]Verdict, len(trials))
-	var wg sync.WaitGroup
+	verdicts := make([]Verdict, len(trials))
+	var group sync.WaitGroup
 	slots := make(chan struct{}, 4)
 	for i := range trials {
-		wg.Add(1)
 		slots <- struct{}{}
-		go func() {
-			defer func() { <-slots; wg.Done() }()
-			v, err := Play(trials[i])
+		group.Go(func() {
+			defer func() { <-slots }()
+			verdict, err := Play(trials[i])
 			if err != nil {
 				t.Error(err)
 			}
-			out[i] = v
-		}()
+			verdicts[i] = verdict
+		})
 	}
-	wg.Wait()
-	return out
+	group.Wait()
+	return verdicts
 }
 
-// Whatever the trigger and the settings, goodput recovers in time once the trigger is over.
+// TestNoMetastableFailure checks that whatever the trigger and the settings, goodput recovers in time once the trigger is over.
 func TestNoMetastableFailure(t *testing.T) {
 	var trials []Trial
 	for seed := range uint64(8) {
 		trials = append(trials, Draw(seed+1))
 	}
-	for i, v := range playAll(t, trials) {
-		if !v.Recovered() {
-			t.Errorf("%+v: %+v", trials[i], v)
+	for i, verdict := range playAll(t, trials) {
+		if !verdict.Recovered() {
+			t.Errorf("%+v: %+v", trials[i], verdict)
 		}
 	}
 }
 
-// An admission controller that counts requests which it shed itself as retries never recovers: the search finds it, and finds nothing in
-// the same trial without the mistake.
+// TestPlantedFailureIsFound checks that the search finds that an admission controller which counts requests that it shed itself as retries
+// never recovers, and finds nothing in the same trial without the mistake.
 func TestPlantedFailureIsFound(t *testing.T) {
-	sound := Trial{Seed: 3, Load: 0.4, Backoff: 100000, Admission: admission.DefaultConfig(), Retry: Draw(1).Retry,
-		Trigger: scenario.Fault{Kind: "burst", At: triggerAt, Duration: 8, Scale: 10}}
+	sound := Trial{
+		Seed:      3,
+		Load:      0.4,
+		Backoff:   100000,
+		Admission: admission.DefaultConfig(),
+		Retry:     Draw(1).Retry,
+		Trigger:   scenario.Fault{Kind: "burst", At: triggerAt, Duration: 8, Scale: 10},
+	}
 	faulty := sound
 	faulty.Admission.ShedUsesRetryBudget = true
 	verdicts := playAll(t, []Trial{sound, faulty})
