--- a/internal/lab/nodesim/lifecycle.go
+++ b/internal/lab/nodesim/lifecycle.go
@@ -60,8 +60,7 @@
 	if task.ended() {
 		return
 	}
-	n.used.cores -= task.UsedCores
-	n.used.memory -= task.UsedMemory
+	n.used.subtract(task.UsedCores, task.UsedMemory)
 	switch {
 	case task.Phase == Running:
 		n.programs.taskEnded(task.Service)
@@ -70,8 +69,7 @@
 	}
 	task.Phase = phase
 	task.Reason = reason
-	n.requested.cores -= task.Cores
-	n.requested.memory -= task.Memory
+	n.requested.subtract(task.Cores, task.Memory)
 	if !task.answered {
 		task.answered = true
 		n.emit(Effect{Kind: Answered, UID: task.UID, Attempt: task.Attempt, Reason: WrongNode})
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -18,6 +18,16 @@
 // amount is a quantity of both resources: cores, and memory in GiB.
 type amount struct{ cores, memory float64 }
 
+func (a *amount) add(cores, memory float64) {
+	a.cores += cores
+	a.memory += memory
+}
+
+func (a *amount) subtract(cores, memory float64) {
+	a.cores -= cores
+	a.memory -= memory
+}
+
 // Node is one incarnation of a node: a node that crashed is replaced by a new one. It is not safe for concurrent use.
 type Node struct {
 	cfg     Config
--- a/internal/lab/nodesim/request.go
+++ b/internal/lab/nodesim/request.go
@@ -99,8 +99,7 @@
 	task.memoryFactor = n.cfg.Usage.Min + usageSpan*n.rng.Float64()
 	n.tasks[request.UID] = task
 	n.active = append(n.active, task)
-	n.requested.cores += request.Cores
-	n.requested.memory += request.Memory
+	n.requested.add(request.Cores, request.Memory)
 	n.emit(Effect{Kind: Changed, Task: task})
 	if !n.cfg.AnswerWhenRunning {
 		n.answer(task)
@@ -137,8 +136,7 @@
 	for _, task := range n.activeTasks() {
 		if task.Priority < request.Priority {
 			candidates = append(candidates, task)
-			preemptable.cores += task.Cores
-			preemptable.memory += task.Memory
+			preemptable.add(task.Cores, task.Memory)
 		}
 	}
 	if n.requested.cores-preemptable.cores+request.Cores > n.cfg.Cores*n.cfg.Overcommit.Cores ||
--- a/internal/lab/nodesim/usage.go
+++ b/internal/lab/nodesim/usage.go
@@ -54,10 +54,8 @@
 
 // measureTask updates what a task uses, and the sum. Memory grows over three seconds after the start.
 func (n *Node) measureTask(task *Task) {
-	n.used.cores -= task.UsedCores
-	n.used.memory -= task.UsedMemory
+	n.used.subtract(task.UsedCores, task.UsedMemory)
 	task.UsedCores = task.Cores * task.coresFactor
 	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*float64(n.now-task.startedAt))
-	n.used.cores += task.UsedCores
-	n.used.memory += task.UsedMemory
+	n.used.add(task.UsedCores, task.UsedMemory)
 }
--- a/internal/testsupport/structure/writers_test.go
+++ b/internal/testsupport/structure/writers_test.go
@@ -26,7 +26,7 @@
 
 var widelyWrittenLimits = []widelyWrittenLimit{
 	{name: "the cores", packages: []string{"placer", "platform/dispatch", "kube/engine"}, allowed: 8},
-	{name: "all packages", allowed: 8, ceiling: 9},
+	{name: "all packages", allowed: 8},
 }
 
 func TestFewFieldsAreWidelyWritten(t *testing.T) {
