--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -5,6 +5,8 @@
 import (
 	"math"
 	"time"
+
+	"heathshed/placer"
 )
 
 // Instant is a point in time in nanoseconds since the Unix epoch. The zero value stands for "never".
@@ -16,7 +18,7 @@
 // maxInstant is the last point in time that can be told, in the year 2262.
 const maxInstant Instant = math.MaxInt64
 
-// seconds are the types in which the pure cores count them, placer.Seconds first of all.
+// seconds are the types that count them in floating point: placer.Seconds and those of settings.
 type seconds interface{ ~float64 }
 
 // FromTime returns the instant of a time.Time.
@@ -47,15 +49,15 @@
 func (i Instant) UnixMicro() int64 { return int64(i) / int64(time.Microsecond) }
 
 // UnixSeconds returns the instant on the clock of the pure cores: Unix seconds in floating point, which tell it to some 240 nanoseconds.
-func (i Instant) UnixSeconds() float64 {
+func (i Instant) UnixSeconds() placer.Seconds {
 	whole := i / Instant(time.Second)
 	rest := i % Instant(time.Second)
-	return float64(whole) + float64(rest)/float64(time.Second)
+	return placer.Seconds(float64(whole) + float64(rest)/float64(time.Second))
 }
 
 // FromUnixSeconds returns the first instant that UnixSeconds does not put before the given clock reading of a pure core, so that a timer of
 // the core is due at it. Readings that an Instant cannot tell, infinity and NaN among them, are the last or the first that it can.
-func FromUnixSeconds[S seconds](s S) Instant {
+func FromUnixSeconds(s placer.Seconds) Instant {
 	return Instant(nanoseconds(float64(s), math.Ceil))
 }
 
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"heathshed/internal/control/clock"
+	"heathshed/placer"
 )
 
 // TestDuration checks that seconds become the nearest duration, and that what is out of range is clamped rather than undefined.
@@ -38,11 +39,11 @@
 
 // TestFromUnixSecondsIsClamped checks that a core's "never" is an instant that does not come, also after arithmetic with it.
 func TestFromUnixSecondsIsClamped(t *testing.T) {
-	never := clock.FromUnixSeconds(math.Inf(1))
+	never := clock.FromUnixSeconds(placer.Seconds(math.Inf(1)))
 	if never != math.MaxInt64 || never.Add(time.Hour) != never {
 		t.Errorf("infinity is %d, an hour later %d", never, never.Add(time.Hour))
 	}
-	if first := clock.FromUnixSeconds(math.Inf(-1)); first != math.MinInt64 || first.Add(-time.Hour) != first {
+	if first := clock.FromUnixSeconds(placer.Seconds(math.Inf(-1))); first != math.MinInt64 || first.Add(-time.Hour) != first {
 		t.Errorf("minus infinity is %d, an hour earlier %d", first, first.Add(-time.Hour))
 	}
 	now := clock.FromTime(time.Now())
@@ -56,7 +57,7 @@
 func TestUnixSecondsRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 100_000 {
-		seconds := 1.8e9 + random.Float64()*1e8
+		seconds := placer.Seconds(1.8e9 + random.Float64()*1e8)
 		instant := clock.FromUnixSeconds(seconds)
 		if got := instant.UnixSeconds(); got != seconds {
 			t.Fatalf("%v comes back as %v", seconds, got)
@@ -72,7 +73,7 @@
 func TestFromUnixSecondsIsNotEarly(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 100_000 {
-		seconds := random.Float64() * 1000
+		seconds := placer.Seconds(random.Float64() * 1000)
 		if got := clock.FromUnixSeconds(seconds).UnixSeconds(); got < seconds || got > seconds+2e-9 {
 			t.Fatalf("%v comes back as %v", seconds, got)
 		}
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -11,6 +11,7 @@
 	"heathshed/internal/control/clock"
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/placer"
 )
 
 // TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package goldentest.
@@ -61,9 +62,9 @@
 
 func keepAliveActions(p connpool.SharedPolicy) string {
 	var b strings.Builder
-	now := clock.FromUnixSeconds(10.0)
+	now := clock.FromUnixSeconds(10)
 	var moments []clock.Instant
-	for _, seconds := range []float64{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
+	for _, seconds := range []placer.Seconds{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
 		moments = append(moments, clock.FromUnixSeconds(seconds))
 	}
 	for _, sent := range moments {
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -5,10 +5,11 @@
 	"time"
 
 	"heathshed/internal/control/clock"
+	"heathshed/placer"
 )
 
 // at returns the instant that a test counts so many seconds.
-func at(seconds float64) clock.Instant { return clock.FromUnixSeconds(seconds) }
+func at(seconds float64) clock.Instant { return clock.FromUnixSeconds(placer.Seconds(seconds)) }
 
 func TestKeepAlive(t *testing.T) {
 	policy := SharedPolicy{MaxIdle: 9 * time.Second, HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -20,6 +20,7 @@
 	"heathshed/internal/netio/eventloop"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpc"
+	"heathshed/placer"
 )
 
 const (
@@ -57,7 +58,8 @@
 	Path   string // such as /api/v1/nodes
 	Labels string // label selector
 	Rand   *rand.Rand
-	Retry  retry.Backoff
+	// MinBackoff and MaxBackoff bound the delay before a list or watch that has failed is made again. It doubles with each failure.
+	MinBackoff, MaxBackoff time.Duration
 	// ListTimeout bounds a list; 0 is no bound.
 	ListTimeout time.Duration
 	// WatchIdleTimeout is how long a watch may bring no byte before it counts as broken; 0 is no bound.
@@ -72,6 +74,7 @@
 	// ListCount and ResumeCount count for metrics.
 	ListCount, ResumeCount uint64
 
+	backoff         retry.Backoff
 	resourceVersion string // to watch from; "" if a list is needed
 	call            *httpc.Call
 	retryTimer      *eventloop.Timer
@@ -85,7 +88,10 @@
 }
 
 // Start begins with a list.
-func (r *Reflector) Start() { r.list() }
+func (r *Reflector) Start() {
+	r.backoff = retry.Backoff{Min: placer.SecondsOf(r.MinBackoff), Max: placer.SecondsOf(r.MaxBackoff)}
+	r.list()
+}
 
 // Stop ends the reflector; no callback follows.
 func (r *Reflector) Stop() {
@@ -133,7 +139,7 @@
 	if r.stopped {
 		return
 	}
-	r.retryTimer = r.Loop.After(clock.Duration(r.Retry.Next(r.Rand.Float64())), func() {
+	r.retryTimer = r.Loop.After(clock.Duration(r.backoff.Next(r.Rand.Float64())), func() {
 		if r.resourceVersion == "" {
 			r.list()
 			return
@@ -207,7 +213,7 @@
 			return
 		}
 		r.restartIdleTimer(call)
-		r.Retry.Reset()
+		r.backoff.Reset()
 		r.decodeStream(b)
 	}
 	call.Done = func(head *http1.Head, body []byte, err error) {
--- a/internal/kube/reflector/reflector_test.go
+++ b/internal/kube/reflector/reflector_test.go
@@ -18,7 +18,6 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/control/retry"
 	"heathshed/internal/netio/http1"
 	"heathshed/internal/netio/httpc"
 	"heathshed/internal/testsupport/looptest"
@@ -83,11 +82,12 @@
 	stop := looptest.Run(t, loop)
 	loop.Post(func() {
 		reflector := &Reflector{
-			Loop:   loop,
-			Client: httpc.New(loop, strings.TrimPrefix(server.URL, "http://")),
-			Path:   "/api/v1/nodes",
-			Rand:   rand.New(rand.NewPCG(1, 2)),
-			Retry:  retry.Backoff{Min: 0.001, Max: 0.01},
+			Loop:       loop,
+			Client:     httpc.New(loop, strings.TrimPrefix(server.URL, "http://")),
+			Path:       "/api/v1/nodes",
+			Rand:       rand.New(rand.NewPCG(1, 2)),
+			MinBackoff: time.Millisecond,
+			MaxBackoff: 10 * time.Millisecond,
 		}
 		got.follow(reflector)
 		reflector.Start()
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -272,7 +272,7 @@
 	if _, err := client.CoreV1().Nodes().Patch(t.Context(), node, types.StrategicMergePatchType, cordon, metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	cordonedAt := placer.Seconds(clock.FromTime(time.Now()).UnixSeconds())
+	cordonedAt := clock.FromTime(time.Now()).UnixSeconds()
 	cluster.waitUntilSettled("b")
 	for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node + ",status.phase=Running") {
 		eviction := &policyv1.Eviction{ObjectMeta: metav1.ObjectMeta{Name: pod.Name, Namespace: "default"}}
--- a/internal/kube/scheduler/engine_clock.go
+++ b/internal/kube/scheduler/engine_clock.go
@@ -15,7 +15,7 @@
 // the other in this file only.
 
 // engineNow returns the time of this iteration of the loop on the clock of the engine and its API.
-func (s *Scheduler) engineNow() placer.Seconds { return placer.Seconds(s.loop.Now().UnixSeconds()) }
+func (s *Scheduler) engineNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
 // scheduleWake has the engine's timers run when the next is due. The engine answers infinity if it has none.
 func (s *Scheduler) scheduleWake() {
--- a/internal/kube/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -8,7 +8,6 @@
 
 	corev1 "k8s.io/api/core/v1"
 
-	"heathshed/internal/control/retry"
 	"heathshed/internal/kube/reflector"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
@@ -18,9 +17,9 @@
 const (
 	podListTimeout = 5 * time.Second
 
-	// Bounds of the backoff between attempts to watch a node, in seconds.
-	podWatchMinBackoff = 0.1
-	podWatchMaxBackoff = 1
+	// Bounds of the backoff between attempts to watch a node.
+	podWatchMinBackoff = 100 * time.Millisecond
+	podWatchMaxBackoff = time.Second
 )
 
 // nodeClient is the connections to one node: for attempts and stops, and the watch of the Pods that it runs.
@@ -42,7 +41,8 @@
 		Path:             "/api/v1/pods",
 		Rand:             s.random,
 		Labels:           wellknown.Scheduler + "=" + s.options.Engine.Name,
-		Retry:            retry.Backoff{Min: podWatchMinBackoff, Max: podWatchMaxBackoff},
+		MinBackoff:       podWatchMinBackoff,
+		MaxBackoff:       podWatchMaxBackoff,
 		ListTimeout:      podListTimeout,
 		WatchIdleTimeout: s.options.WatchIdleTimeout,
 		OnList:           node.handlePodList,
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -12,7 +12,6 @@
 	"k8s.io/apimachinery/pkg/types"
 
 	"heathshed/internal/control/clock"
-	"heathshed/internal/control/retry"
 	"heathshed/internal/kube/api"
 	"heathshed/internal/kube/engine"
 	"heathshed/internal/kube/reflector"
@@ -27,9 +26,9 @@
 
 	inventoryListTimeout = 10 * time.Second
 
-	// Bounds of the backoff between attempts to reach the inventory, in seconds.
-	inventoryMinBackoff = 0.1
-	inventoryMaxBackoff = 2
+	// Bounds of the backoff between attempts to reach the inventory.
+	inventoryMinBackoff = 100 * time.Millisecond
+	inventoryMaxBackoff = 2 * time.Second
 
 	randomStream = 0x736f636b // of the seed; the engine draws from others
 )
@@ -118,7 +117,8 @@
 		Client:           httpc.New(s.loop, s.options.InventoryAddress),
 		Path:             "/api/v1/nodes",
 		Rand:             s.random,
-		Retry:            retry.Backoff{Min: inventoryMinBackoff, Max: inventoryMaxBackoff},
+		MinBackoff:       inventoryMinBackoff,
+		MaxBackoff:       inventoryMaxBackoff,
 		ListTimeout:      inventoryListTimeout,
 		WatchIdleTimeout: s.options.WatchIdleTimeout,
 		OnList:           s.handleNodeList,
--- a/internal/lab/emulator/sim_clock.go
+++ b/internal/lab/emulator/sim_clock.go
@@ -13,10 +13,10 @@
 // floating point. One becomes the other in this file only, and where an order of faults is taken.
 
 // simNow returns the time of this iteration of the loop on the clock of the simulated node.
-func (n *Node) simNow() placer.Seconds { return placer.Seconds(n.loop.Now().UnixSeconds()) }
+func (n *Node) simNow() placer.Seconds { return n.loop.Now().UnixSeconds() }
 
 // simNow returns the time of this iteration of the loop on the clock of the API and the audit.
-func (inv *Inventory) simNow() placer.Seconds { return placer.Seconds(inv.loop.Now().UnixSeconds()) }
+func (inv *Inventory) simNow() placer.Seconds { return inv.loop.Now().UnixSeconds() }
 
 // scheduleWake has the simulated node run when its next timer is due. It answers infinity if it has none.
 func (n *Node) scheduleWake() {
--- a/internal/lab/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -179,7 +179,7 @@
 }
 
 // eventTime returns a time as events state it.
-func eventTime(at time.Time) placer.Seconds { return placer.Seconds(clock.FromTime(at).UnixSeconds()) }
+func eventTime(at time.Time) placer.Seconds { return clock.FromTime(at).UnixSeconds() }
 
 // record records an event that the client caused or saw now.
 func (r *runner) record(event audit.Event) {
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -17,6 +17,11 @@
 // defaultConnectTimeout is how long a dial may take where the settings do not say.
 const defaultConnectTimeout = 250 * time.Millisecond
 
+// newBackoff returns a backoff that doubles the delay between the bounds.
+func newBackoff(minDelay, maxDelay time.Duration) retry.Backoff {
+	return retry.Backoff{Min: placer.SecondsOf(minDelay), Max: placer.SecondsOf(maxDelay)}
+}
+
 // nextDelay records a failure and returns how long to wait after it.
 func (s *Server) nextDelay(backoff *retry.Backoff) time.Duration {
 	return clock.Duration(backoff.Next(s.rng.Float64()))
@@ -27,7 +32,7 @@
 const idleShare = 0.6
 
 // coreNow returns the time of this iteration of the loop on the clock of the core.
-func (s *Server) coreNow() placer.Seconds { return placer.Seconds(s.loop.Now().UnixSeconds()) }
+func (s *Server) coreNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
 // scheduleCore sets the loop's timer to the core's next one. The core answers infinity if it has none.
 func (s *Server) scheduleCore() {
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -24,10 +24,10 @@
 	watchIdleTimeout    = 2200 * time.Millisecond // without a byte; the server sends a comment every second
 )
 
-// Bounds of the backoff between two streams, in seconds.
+// Bounds of the backoff between two streams.
 const (
-	minWatchBackoff = 0.05
-	maxWatchBackoff = 1
+	minWatchBackoff = 50 * time.Millisecond
+	maxWatchBackoff = time.Second
 )
 
 // maxEventBytes bounds one discovery event.
@@ -56,7 +56,7 @@
 
 // newDiscoveryWatch returns a watch that is not open yet.
 func newDiscoveryWatch(server *Server, addr string) *discoveryWatch {
-	w := &discoveryWatch{server: server, addr: addr, backoff: retry.Backoff{Min: minWatchBackoff, Max: maxWatchBackoff}}
+	w := &discoveryWatch{server: server, addr: addr, backoff: newBackoff(minWatchBackoff, maxWatchBackoff)}
 	w.client = w.newClient()
 	return w
 }
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -10,7 +10,6 @@
 
 	"heathshed/internal/control/connpool"
 	"heathshed/internal/control/memquota"
-	"heathshed/internal/control/retry"
 	"heathshed/internal/platform/dispatch"
 	"heathshed/placer"
 )
@@ -26,10 +25,10 @@
 // They take turns then, so that each can report within 8 s how its tasks end.
 const slotHoldTime = 2 * time.Second
 
-// Bounds of the backoff between dials of one node, in seconds.
+// Bounds of the backoff between dials of one node.
 const (
-	minDialBackoff = 0.2
-	maxDialBackoff = 1
+	minDialBackoff = 200 * time.Millisecond
+	maxDialBackoff = time.Second
 )
 
 // errNoConnectionSlot fails a dial for which every connection slot of nodes is in use.
@@ -71,7 +70,7 @@
 	link = &nodeLink{
 		server:       links.server,
 		id:           id,
-		backoff:      retry.Backoff{Min: minDialBackoff, Max: maxDialBackoff},
+		backoff:      newBackoff(minDialBackoff, maxDialBackoff),
 		reachability: links.reachability,
 	}
 	if node := links.server.core.Node(id); node != nil {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -59,7 +59,7 @@
 // New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
 // configuration cannot be used or that its address cannot be listened on.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
-	core, err := dispatch.New(placer.Seconds(loop.Now().UnixSeconds()), config.Settings, policy, config.InitialEvents)
+	core, err := dispatch.New(loop.Now().UnixSeconds(), config.Settings, policy, config.InitialEvents)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
