--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -30,34 +30,37 @@
 }
 
 func defaults() string {
-	p, s := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
-	return fmt.Sprint("defaults ", p.MaxConns, p.MaxIdle.Seconds(), p.MaxIdleNonIdempotent.Seconds(),
-		s.MaxIdle.Seconds(), s.HealthCheckAfter.Seconds(), s.HealthCheckTimeout.Seconds())
+	policy, shared := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
+	return fmt.Sprint("defaults ", policy.MaxConns, policy.MaxIdle.Seconds(), policy.MaxIdleNonIdempotent.Seconds(),
+		shared.MaxIdle.Seconds(), shared.HealthCheckAfter.Seconds(), shared.HealthCheckTimeout.Seconds())
 }
 
 func connectionChoices() string {
-	var b strings.Builder
+	var decisions strings.Builder
 	const second = time.Second
 	ages := []time.Duration{0, second / 2, second, 1001 * time.Millisecond, 59 * second, 60 * second, 60*second + time.Millisecond}
 	lists := [][]time.Duration{nil}
-	for _, x := range ages {
-		lists = append(lists, []time.Duration{x})
-		for _, y := range ages {
-			lists = append(lists, []time.Duration{x, y}, []time.Duration{x, y, 700 * time.Millisecond}, []time.Duration{61 * second, x, y})
+	for _, age := range ages {
+		lists = append(lists, []time.Duration{age})
+		for _, other := range ages {
+			lists = append(lists,
+				[]time.Duration{age, other},
+				[]time.Duration{age, other, 700 * time.Millisecond},
+				[]time.Duration{61 * second, age, other})
 		}
 	}
-	for _, p := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: second, MaxIdleNonIdempotent: second / 2}, {}} {
+	for _, policy := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: second, MaxIdleNonIdempotent: second / 2}, {}} {
 		for _, idle := range lists {
 			for open := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
-					d := p.Choose(idle, open+len(idle)-1, nonIdempotent)
-					d32 := p.Choose(idle, 30+open, nonIdempotent)
-					fmt.Fprintln(&b, uint8(d.Action), d.Index, d.Stale, uint8(d32.Action), d32.Index, d32.Stale)
+					few := policy.Choose(idle, open+len(idle)-1, nonIdempotent)
+					many := policy.Choose(idle, 30+open, nonIdempotent)
+					fmt.Fprintln(&decisions, uint8(few.Action), few.Index, few.Stale, uint8(many.Action), many.Index, many.Stale)
 				}
 			}
 		}
 	}
-	return b.String()
+	return decisions.String()
 }
 
 func keepAliveActions(p connpool.SharedPolicy) string {
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -37,23 +37,23 @@
 }
 
 func TestReachability(t *testing.T) {
-	r := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
-	r.Received(at(100))
-	r.DialFailed(at(101), false)
-	if r.Status(at(105.9)) != Reachable || r.Status(at(106.1)) != Unresponsive {
+	node := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	node.Received(at(100))
+	node.DialFailed(at(101), false)
+	if node.Status(at(105.9)) != Reachable || node.Status(at(106.1)) != Unresponsive {
 		t.Error("dials time out: want unresponsive 6 s after the last message")
 	}
-	r.Received(at(107))
-	r.DialFailed(at(108), true)
-	if r.Status(at(108.9)) != Reachable || r.Status(at(109.1)) != ProcessEnded {
+	node.Received(at(107))
+	node.DialFailed(at(108), true)
+	if node.Status(at(108.9)) != Reachable || node.Status(at(109.1)) != ProcessEnded {
 		t.Error("dials are refused: want the process ended after 1 s")
 	}
-	r.DialFailed(at(109), false) // a timeout says nothing about the process
-	if r.Status(at(110)) != Reachable {
+	node.DialFailed(at(109), false) // a timeout says nothing about the process
+	if node.Status(at(110)) != Reachable {
 		t.Error("want a timeout to end the refusals")
 	}
-	r.Received(at(200))
-	if r.Status(at(300)) != Reachable {
+	node.Received(at(200))
+	if node.Status(at(300)) != Reachable {
 		t.Error("want a node that was not dialed to be reachable")
 	}
 	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -61,16 +61,16 @@
 func startCluster(tb testing.TB, change func(*config.Settings)) *testCluster {
 	tb.Helper()
 	cluster := &testCluster{t: tb, settings: config.Default()}
-	s := &cluster.settings
-	s.Listen = "127.0.0.1:0"
-	s.NodeSyncTimeout = 2
-	s.Emulator.Nodes = 4
-	s.Emulator.ReportDelay = 0.05
-	s.Limits.FinishedTTL = 0
+	settings := &cluster.settings
+	settings.Listen = "127.0.0.1:0"
+	settings.NodeSyncTimeout = 2
+	settings.Emulator.Nodes = 4
+	settings.Emulator.ReportDelay = 0.05
+	settings.Limits.FinishedTTL = 0
 	if change != nil {
-		change(s)
+		change(settings)
 	}
-	if err := s.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		tb.Fatal(err)
 	}
 	cluster.startEmulators()
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -143,9 +143,9 @@
 	for _, line := range requestLines {
 		all = append(all, message{text: line + "\r\nHost: h\r\n\r\n"}, message{text: "\r\n" + line + "\r\n\r\n"}, message{text: line + "\nHost: h\n\n"})
 	}
-	for _, f := range fieldLines {
-		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\n" + f + "\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: "PUT /x HTTP/1.0\r\n" + f + "\r\n\r\nabc"},
-			message{text: "HTTP/1.1 200 OK\r\n" + f + "\r\n\r\nabc", responses: true}, message{text: "HTTP/1.1 200 OK\r\n" + f + "\r\n\r\nHTTP/1.1 204 x\r\n\r\n", responses: true, noBody: true})
+	for _, field := range fieldLines {
+		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\n" + field + "\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: "PUT /x HTTP/1.0\r\n" + field + "\r\n\r\nabc"},
+			message{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nabc", responses: true}, message{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nHTTP/1.1 204 x\r\n\r\n", responses: true, noBody: true})
 	}
 	for _, line := range statusLines {
 		all = append(all, message{text: line + "\r\n\r\nbody", responses: true}, message{text: line + "\r\nContent-Length: 2\r\n\r\nbody", responses: true})
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -75,8 +75,8 @@
 				b.ResetTimer()
 				done := make(chan error, conns)
 				for i := range conns {
-					n := (b.N/depth + conns - 1 - i) / conns
-					go func() { done <- exchangeRequests(addr, request, n, depth) }()
+					count := (b.N/depth + conns - 1 - i) / conns
+					go func() { done <- exchangeRequests(addr, request, count, depth) }()
 				}
 				for range conns {
 					if err := <-done; err != nil {
@@ -88,19 +88,19 @@
 	}
 }
 
-// exchangeRequests opens a connection, sends the request n times and reads depth responses to each.
-func exchangeRequests(addr string, request []byte, n, depth int) error {
+// exchangeRequests opens a connection, sends the request so many times and reads depth responses to each.
+func exchangeRequests(addr string, request []byte, count, depth int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	r := bufio.NewReader(conn)
-	for range n {
+	reader := bufio.NewReader(conn)
+	for range count {
 		if _, err := conn.Write(request); err != nil {
 			return errors.Join(err, conn.Close())
 		}
 		for range depth {
-			if err := skipResponse(r); err != nil {
+			if err := skipResponse(reader); err != nil {
 				return errors.Join(err, conn.Close())
 			}
 		}
@@ -109,14 +109,14 @@
 }
 
 // skipResponse reads one answer without allocating, so that the client weighs the same on both.
-func skipResponse(r *bufio.Reader) error {
+func skipResponse(reader *bufio.Reader) error {
 	for {
-		line, err := r.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return err
 		}
 		if len(line) == 2 {
-			_, err = r.Discard(len(responseBody))
+			_, err = reader.Discard(len(responseBody))
 			return err
 		}
 	}
@@ -131,30 +131,30 @@
 			const n = 2000
 			heap := func() uint64 {
 				runtime.GC()
-				var m runtime.MemStats
-				runtime.ReadMemStats(&m)
-				return m.HeapInuse + m.StackInuse
+				var stats runtime.MemStats
+				runtime.ReadMemStats(&stats)
+				return stats.HeapInuse + stats.StackInuse
 			}
 			var conns []net.Conn
 			for range n {
-				c, err := net.Dial("tcp", addr)
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					b.Fatal(err)
 				}
-				conns = append(conns, c)
+				conns = append(conns, conn)
 			}
 			buf := make([]byte, 1024)
-			for _, c := range conns {
-				if _, err := fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+			for _, conn := range conns {
+				if _, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 					b.Fatal(err)
 				}
-				if _, err := c.Read(buf); err != nil {
+				if _, err := conn.Read(buf); err != nil {
 					b.Fatal(err)
 				}
 			}
 			after := heap()
-			for _, c := range conns {
-				if err := c.Close(); err != nil {
+			for _, conn := range conns {
+				if err := conn.Close(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -150,9 +150,9 @@
 // TestDiscoveryMovesBeforeServerListens: a reload may name an address that is listened on only later, and the next reload the first one again.
 func TestDiscoveryMovesBeforeServerListens(t *testing.T) {
 	server := startServer(t, 256)
-	a := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.moveDiscovery(a.addr())
-	first := waitFor(t, "call", a.calls)
+	firstServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+	server.moveDiscovery(firstServer.addr())
+	first := waitFor(t, "call", firstServer.calls)
 	sendTo(t, first, sseResponseHead+sseEvent(2))
 	server.waitForEvent(2)
 	down := listenOn(t, "127.0.0.77:0") // an address at which no other test takes the port meanwhile
@@ -162,15 +162,15 @@
 	opened := uint64(0)
 	server.runOnLoop(func() { opened = server.stats.WatchesOpened })
 	server.waitUntil("retries", func() bool { return server.stats.WatchesOpened >= opened+2 })
-	b := startRawDiscovery(t, listenOn(t, addr))
-	call := waitFor(t, "call", b.calls)
+	secondServer := startRawDiscovery(t, listenOn(t, addr))
+	call := waitFor(t, "call", secondServer.calls)
 	if call.lastEventID != "2" {
 		t.Errorf("called from event %s", call.lastEventID)
 	}
 	sendTo(t, call, sseResponseHead+sseEvent(3))
 	server.waitForEvent(3)
-	server.moveDiscovery(a.addr())
-	call = waitFor(t, "call at the first address", a.calls)
+	server.moveDiscovery(firstServer.addr())
+	call = waitFor(t, "call at the first address", firstServer.calls)
 	if call.lastEventID != "3" {
 		t.Errorf("called from event %s", call.lastEventID)
 	}
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -188,22 +188,22 @@
 		client.send(adoptMessage(i+1, i+1))
 	}
 	turnsOf := make([]int, nodeCount)
-	turnsSince := make([][]int, nodeCount) // turnsSince[j][i] is how many turns node i had since the last one of node j
+	turnsSince := make([][]int, nodeCount) // turnsSince[other][node] is how many turns a node had since the last one of the other
 	for i := range turnsSince {
 		turnsSince[i] = make([]int, nodeCount)
 	}
 	for done := 0; done < nodeCount; {
-		i := waitFor(t, "turn", accepted)
-		if turnsOf[i]++; turnsOf[i] == turns {
+		node := waitFor(t, "turn", accepted)
+		if turnsOf[node]++; turnsOf[node] == turns {
 			done++
 		}
-		turnsSince[i] = make([]int, nodeCount)
-		for j := range turnsSince {
-			if j == i {
+		turnsSince[node] = make([]int, nodeCount)
+		for other := range turnsSince {
+			if other == node {
 				continue
 			}
-			if turnsSince[j][i]++; turnsSince[j][i] > 2 && turnsOf[j] < turns {
-				t.Fatalf("node %d had %d turns since the last one of node %d", i, turnsSince[j][i], j)
+			if turnsSince[other][node]++; turnsSince[other][node] > 2 && turnsOf[other] < turns {
+				t.Fatalf("node %d had %d turns since the last one of node %d", node, turnsSince[other][node], other)
 			}
 		}
 	}
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -46,11 +46,11 @@
 		"no reports":    {func(settings object) { delete(settings, "loadReport") }, "", true},
 		"no rules":      {func(settings object) { delete(settings, "rules") }, "", true},
 		"no lists by class": {func(settings object) {
-			x := sub(settings, "extra")
-			delete(x, "apartBy")
-			delete(x, "fullUpTo")
-			delete(x, "fadesOver")
-			delete(x, "classKind")
+			extra := sub(settings, "extra")
+			delete(extra, "apartBy")
+			delete(extra, "fullUpTo")
+			delete(extra, "fadesOver")
+			delete(extra, "classKind")
 		}, "", true},
 		"no time to connect":            {func(settings object) { delete(sub(settings, "permissions"), "connectTimeoutS") }, "", true},
 		"connections idle for no time":  {func(settings object) { sub(settings, "permissions")["connIdleS"] = 0 }, "", true},
