--- a/internal/lab/faultinjection/action.go
+++ b/internal/lab/faultinjection/action.go
@@ -27,7 +27,7 @@
 
 // apiOf returns a client of the API of a process.
 func (r *runner) apiOf(name string) *apiclient.Client {
-	return apiclient.New(r.baseURL(name), r.client)
+	return apiclient.New(r.processes.baseURL(name), r.client)
 }
 
 // retry makes a request of the API of a process. It tries again, up to maxAttempts times in all, while the process is down or rejects the
@@ -36,7 +36,7 @@
 	var err error
 	for attempt := range maxAttempts {
 		if attempt > 0 {
-			r.update(func(f *Figures) { f.Retries++ })
+			r.observer.update(func(f *Figures) { f.Retries++ })
 			if err := sleep(ctx, retryInterval); err != nil {
 				return err
 			}
@@ -82,7 +82,7 @@
 	// A conflict says that an earlier attempt succeeded whose answer was lost.
 	var status *apiclient.StatusError
 	submitted := err == nil || errors.As(err, &status) && status.Conflict()
-	r.update(func(f *Figures) {
+	r.observer.update(func(f *Figures) {
 		if late {
 			f.JobsLate++
 		}
@@ -114,10 +114,10 @@
 		name := simulation.SchedulerName(i)
 		if !draining {
 			// Recorded before the order: attempts may go to the node as soon as it is sent.
-			r.record(audit.Event{Kind: audit.DrainCancelled, Scheduler: name, Node: node})
+			r.observer.record(audit.Event{Kind: audit.DrainCancelled, Scheduler: name, Node: node})
 		}
 		if err := r.apiOf(name).SetUnschedulable(ctx, node, draining, nil); err == nil && draining {
-			r.record(audit.Event{Kind: audit.DrainOrdered, Scheduler: name, Node: node})
+			r.observer.record(audit.Event{Kind: audit.DrainOrdered, Scheduler: name, Node: node})
 		}
 	}
 }
--- a/internal/lab/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -17,8 +17,6 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"heathshed/internal/config"
 	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/audit"
@@ -31,7 +29,6 @@
 const (
 	progressInterval = 2 * time.Second
 	settleTime       = 500 * time.Millisecond // at the end, for outcomes that are on their way
-	maxLatency       = 10 * time.Minute       // that the histogram of latencies holds
 
 	auditSlack placer.Seconds = 0.15
 )
@@ -80,27 +77,19 @@
 	options   Options
 	startedAt time.Time
 	client    *http.Client
-
-	mu          sync.Mutex // of all below
-	processes   map[string]*process
-	events      []audit.Event // recorded by the client
-	figures     Figures
-	latency     *hdrhistogram.Histogram // from submission to outcome, in microseconds
-	submittedAt map[string]time.Time    // by UID of a task: when the client first saw it
-	settled     map[string]bool         // by UID of a task
+	processes *processTable
+	observer  *observer
 }
 
 // Run runs a scenario. It returns when the script's time is over and every process has ended.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	r := &runner{
-		options:     options,
-		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		processes:   map[string]*process{},
-		latency:     hdrhistogram.New(1, maxLatency.Microseconds(), 3),
-		submittedAt: map[string]time.Time{},
-		settled:     map[string]bool{},
+		options:   options,
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		processes: newProcessTable(options.Executable, options.Dir),
+		observer:  newObserver(),
 	}
-	defer r.stopAll()
+	defer r.processes.stopAll()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
@@ -115,7 +104,7 @@
 	time.Sleep(settleTime)
 	cancel()
 	background.Wait()
-	r.stopAll()
+	r.processes.stopAll()
 	return r.result()
 }
 
@@ -156,7 +145,7 @@
 			return ctx.Err()
 		case <-progress.C:
 			if r.options.Progress != nil {
-				r.options.Progress(time.Since(r.startedAt), r.snapshot())
+				r.options.Progress(time.Since(r.startedAt), r.observer.snapshot())
 			}
 		case <-time.After(time.Until(next)):
 			if len(plan) > 0 {
@@ -178,40 +167,9 @@
 	}
 }
 
-// eventTime returns a time as events state it.
-func eventTime(at time.Time) placer.Seconds { return clock.FromTime(at).UnixSeconds() }
-
-// record records an event that the client caused or saw now.
-func (r *runner) record(event audit.Event) {
-	event.At = eventTime(time.Now())
-	r.mu.Lock()
-	r.events = append(r.events, event)
-	r.mu.Unlock()
-}
-
-// update changes the figures.
-func (r *runner) update(change func(*Figures)) {
-	r.mu.Lock()
-	change(&r.figures)
-	r.mu.Unlock()
-}
-
-// snapshot returns the figures up to now.
-func (r *runner) snapshot() Figures {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	figures := r.figures
-	figures.P50 = float64(r.latency.ValueAtQuantile(50)) / 1e6
-	figures.P99 = float64(r.latency.ValueAtQuantile(99)) / 1e6
-	figures.Max = float64(r.latency.Max()) / 1e6
-	return figures
-}
-
 // result audits what the client and the emulators recorded.
 func (r *runner) result() (*Result, error) {
-	r.mu.Lock()
-	events := slices.Clone(r.events)
-	r.mu.Unlock()
+	events := r.observer.recordedEvents()
 	files, err := filepath.Glob(r.eventFile("*"))
 	if err != nil {
 		return nil, err
@@ -233,7 +191,7 @@
 		Seconds:    script.Seconds,
 		Schedulers: script.Schedulers,
 		Nodes:      script.Nodes,
-		Figures:    r.snapshot(),
+		Figures:    r.observer.snapshot(),
 		Audit:      audit.Check(rules, events),
 	}, nil
 }
--- a/internal/lab/faultinjection/hostile.go
+++ b/internal/lab/faultinjection/hostile.go
@@ -111,7 +111,7 @@
 		return
 	}
 	apiclient.Discard(response)
-	r.update(func(f *Figures) {
+	r.observer.update(func(f *Figures) {
 		f.Hostile.ExpensiveRequests++
 		switch {
 		case response.StatusCode/100 == 4:
@@ -134,7 +134,7 @@
 // openEach opens so many connections and sends the text on each. It ends early if the scheduler does not accept one.
 func (s *stalledConnections) openEach(count int, text string) {
 	for range count {
-		conn, err := net.DialTimeout("tcp", strings.TrimPrefix(s.runner.baseURL(s.scheduler), addressPrefix), dialTimeout)
+		conn, err := net.DialTimeout("tcp", strings.TrimPrefix(s.runner.processes.baseURL(s.scheduler), addressPrefix), dialTimeout)
 		if err != nil {
 			return
 		}
@@ -142,7 +142,7 @@
 		// The text may not be taken whole, as answers to its first part are not read: that is the attack.
 		_ = conn.SetWriteDeadline(time.Now().Add(hostileWriteTimeout))
 		_, _ = io.WriteString(conn, text)
-		s.runner.update(func(f *Figures) { f.Hostile.StalledConnections++ })
+		s.runner.observer.update(func(f *Figures) { f.Hostile.StalledConnections++ })
 	}
 }
 
--- a/internal/lab/faultinjection/memory.go
+++ b/internal/lab/faultinjection/memory.go
@@ -30,7 +30,7 @@
 	if count < minMemorySamples {
 		return
 	}
-	r.update(func(f *Figures) {
+	r.observer.update(func(f *Figures) {
 		f.Hostile.MemoryEarly = median(totals[count/4 : count/2])
 		f.Hostile.MemoryLate = median(totals[count-count/4:])
 	})
@@ -43,18 +43,17 @@
 
 // schedulersMemory returns the resident memory of all schedulers in MiB, and notes the highest of one.
 func (r *runner) schedulersMemory() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	total := 0
+	total, highest := 0, 0
 	for i := range r.options.Script.Schedulers {
-		process := r.processes[simulation.SchedulerName(i)]
+		process := r.processes.get(simulation.SchedulerName(i))
 		if process == nil {
 			continue
 		}
 		memory := residentMiB(process.cmd.Process.Pid)
 		total += memory
-		r.figures.Hostile.MemoryPeak = max(r.figures.Hostile.MemoryPeak, memory)
+		highest = max(highest, memory)
 	}
+	r.observer.update(func(f *Figures) { f.Hostile.MemoryPeak = max(f.Hostile.MemoryPeak, highest) })
 	return total
 }
 
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -3,17 +3,14 @@
 package faultinjection
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
 	"heathshed/internal/config"
@@ -36,19 +33,6 @@
 	settingsFileMode = 0o644
 )
 
-// process is a running child process.
-type process struct {
-	cmd  *exec.Cmd
-	addr string
-	args []string
-}
-
-// kill sends the signal that ends the process at once. It fails only if the process has ended.
-func (p *process) kill() { _ = p.cmd.Process.Kill() }
-
-// wait waits for the end of a process that was killed, whose status says nothing more.
-func (p *process) wait() { _ = p.cmd.Wait() }
-
 // startAll starts the inventory, the nodes and the schedulers, and waits until the schedulers are ready.
 func (r *runner) startAll(ctx context.Context) error {
 	settings := r.options.Settings
@@ -76,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	if err := r.spawn(inventoryName, emulatorCommand, "inventory", "-c", file, "--tap", r.eventFile(inventoryName)); err != nil {
+	if err := r.processes.spawn(inventoryName, emulatorCommand, "inventory", "-c", file, "--tap", r.eventFile(inventoryName)); err != nil {
 		return err
 	}
-	settings.Inventory = strings.TrimPrefix(r.baseURL(inventoryName), addressPrefix)
+	settings.Inventory = strings.TrimPrefix(r.processes.baseURL(inventoryName), addressPrefix)
 	return nil
 }
 
@@ -90,7 +74,7 @@
 	}
 	for i := range r.options.Script.Nodes {
 		name := simulation.NodeName(i)
-		if err := r.spawn(name, emulatorCommand, "node", "-c", file, "--name", name, "--index", strconv.Itoa(i), "--listen", anyPort,
+		if err := r.processes.spawn(name, emulatorCommand, "node", "-c", file, "--name", name, "--index", strconv.Itoa(i), "--listen", anyPort,
 			"--tap", r.eventFile(name)); err != nil {
 			return err
 		}
@@ -109,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.spawn(own.Name, "serve", "-c", file); err != nil {
+		if err := r.processes.spawn(own.Name, "serve", "-c", file); err != nil {
 			return err
 		}
 	}
@@ -132,78 +116,6 @@
 // eventFile returns the path of the file in which an emulator records events.
 func (r *runner) eventFile(name string) string { return filepath.Join(r.options.Dir, name+".tap") }
 
-// spawn starts a process and waits for the line in which it prints its address.
-func (r *runner) spawn(name string, args ...string) error {
-	cmd := exec.Command(r.options.Executable, args...)
-	// A child does not outlive the run, however that ends.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	logPath := filepath.Join(r.options.Dir, name+".log")
-	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, settingsFileMode)
-	if err != nil {
-		return fmt.Errorf("start %s: %w", name, err)
-	}
-	defer closeQuietly(logFile) // the child has its own descriptor
-	cmd.Stderr = logFile
-	stdout, err := cmd.StdoutPipe()
-	if err != nil {
-		return fmt.Errorf("start %s: %w", name, err)
-	}
-	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start %s: %w", name, err)
-	}
-	child := &process{cmd: cmd, args: args}
-	line, err := bufio.NewReader(stdout).ReadString('\n')
-	if err != nil {
-		child.kill()
-		child.wait()
-		return fmt.Errorf("start %s: no address, but %q: %w; log: %.300s", name, line, err, readLog(logPath))
-	}
-	_, addr, ok := strings.Cut(line, addressPrefix)
-	if !ok {
-		child.kill()
-		child.wait()
-		return fmt.Errorf("start %s: no address, but %q; log: %.300s", name, line, readLog(logPath))
-	}
-	child.addr = strings.TrimSpace(addr)
-	r.mu.Lock()
-	r.processes[name] = child
-	r.mu.Unlock()
-	return nil
-}
-
-// readLog returns a log for an error text; one that cannot be read says so itself.
-func readLog(path string) string {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
-}
-
-// baseURL returns the URL of a process, "" if it does not run.
-func (r *runner) baseURL(name string) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if process := r.processes[name]; process != nil {
-		return addressPrefix + process.addr
-	}
-	return ""
-}
-
-// stopAll kills all processes and waits for their end.
-func (r *runner) stopAll() {
-	r.mu.Lock()
-	processes := r.processes
-	r.processes = map[string]*process{}
-	r.mu.Unlock()
-	for _, process := range processes {
-		process.kill()
-	}
-	for _, process := range processes {
-		process.wait()
-	}
-}
-
 // waitReady polls a scheduler until it is ready.
 func (r *runner) waitReady(ctx context.Context, name string) error {
 	for range readyPolls {
@@ -222,23 +134,21 @@
 
 // restartScheduler kills a scheduler and starts it again at its address, after the downtime.
 func (r *runner) restartScheduler(ctx context.Context, name string, downtime time.Duration) {
-	r.mu.Lock()
-	process := r.processes[name]
-	r.mu.Unlock()
+	process := r.processes.get(name)
 	if process == nil {
 		return
 	}
 	process.kill()
 	process.wait()
-	r.record(audit.Event{Kind: audit.Killed, Scheduler: name})
-	r.update(func(f *Figures) { f.SchedulerKills++ })
+	r.observer.record(audit.Event{Kind: audit.Killed, Scheduler: name})
+	r.observer.update(func(f *Figures) { f.SchedulerKills++ })
 	if sleep(ctx, downtime) != nil {
 		return
 	}
 	args := append(slices.Clone(process.args), "--listen", process.addr)
 	for range restartAttempts {
 		// The port may not be free yet.
-		if r.spawn(name, args...) == nil {
+		if r.processes.spawn(name, args...) == nil {
 			return
 		}
 		time.Sleep(restartInterval)
