--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -142,7 +142,10 @@
 	for _, tasks := range result.Audit.Outcomes {
 		figures.Settled += tasks
 	}
-	latencies := world.PlacementLatency
+	var latencies []placer.Seconds
+	for _, placement := range world.Placements {
+		latencies = append(latencies, placement.Latency)
+	}
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
 		figures.P50 = float64(latencies[n/2])
--- a/internal/lab/metastability/metastability.go
+++ b/internal/lab/metastability/metastability.go
@@ -122,9 +122,9 @@
 		created[int(at-start)]++
 	}
 	inTime := make([]int, horizon+2)
-	for i, at := range world.PlacedCreatedAt {
-		if world.PlacementLatency[i] <= latencyObjective {
-			inTime[int(at-start)]++
+	for _, placement := range world.Placements {
+		if placement.Latency <= latencyObjective {
+			inTime[int(placement.CreatedAt-start)]++
 		}
 	}
 	var fractions []float64
--- a/internal/lab/nodesim/lifecycle.go
+++ b/internal/lab/nodesim/lifecycle.go
@@ -6,6 +6,12 @@
 	"heathshed/placer"
 )
 
+// A lifetime that is drawn is lifetimeBase of the mean, and an exponentially distributed part with the mean lifetimeSpread of it.
+const (
+	lifetimeBase   = 0.3
+	lifetimeSpread = 0.7
+)
+
 // startQueued begins as many starts as may be under way at a time.
 func (n *Node) startQueued() {
 	for n.starting < n.cfg.Starts.MaxConcurrent && len(n.startQueue) > 0 {
@@ -46,7 +52,7 @@
 	n.answer(task)
 	lifetime := task.Lifetime
 	if lifetime <= 0 {
-		lifetime = n.cfg.LifetimeMean * placer.Seconds(0.3+n.rng.ExpFloat64()*0.7)
+		lifetime = n.cfg.LifetimeMean * placer.Seconds(lifetimeBase+n.rng.ExpFloat64()*lifetimeSpread)
 	}
 	n.schedule(n.now+lifetime, func() {
 		if task.Phase == Running {
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -63,11 +63,14 @@
 	Starts, DuplicateStarts int
 }
 
+// randomStream is the second word of the seed of a node's random source.
+const randomStream = 0x6d616368
+
 // New returns a node that comes up at the given time.
 func New(cfg Config, now placer.Seconds) *Node {
 	n := &Node{
 		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 0x6d616368)),
+		rng:      rand.New(rand.NewPCG(cfg.Seed, randomStream)),
 		now:      now,
 		warmUp:   newWarmUpPhase(cfg.WarmUp, now, cfg.Cold),
 		overload: overloadDetector{config: cfg.Overload},
--- a/internal/lab/nodesim/usage.go
+++ b/internal/lab/nodesim/usage.go
@@ -5,11 +5,19 @@
 // usageInterval is the time between updates of what tasks use.
 const usageInterval placer.Seconds = 1
 
+const (
+	// usageDrift is the range in which the fraction of its cores that a task uses changes at random from one update to the next.
+	usageDrift = 0.04
+	// A task that starts uses initialMemory of the memory that it will use in the end, and memoryGrowth more in each second.
+	initialMemory = 0.4
+	memoryGrowth  = 0.2
+)
+
 // updateUsage lets the usage of cores drift at random, and evicts tasks while memory is short.
 func (n *Node) updateUsage() {
 	for _, task := range n.activeTasks() {
 		if task.Phase == Running {
-			task.coresFactor = min(max(task.coresFactor+0.04*(n.rng.Float64()-0.5), n.cfg.Usage.Min), n.cfg.Usage.Max)
+			task.coresFactor = min(max(task.coresFactor+usageDrift*(n.rng.Float64()-0.5), n.cfg.Usage.Min), n.cfg.Usage.Max)
 		}
 	}
 	n.sumUsage()
@@ -56,6 +64,6 @@
 func (n *Node) measureTask(task *Task) {
 	n.used.subtract(task.UsedCores, task.UsedMemory)
 	task.UsedCores = task.Cores * task.coresFactor
-	task.UsedMemory = task.Memory * task.memoryFactor * min(1, 0.4+0.2*float64(n.now-task.startedAt))
+	task.UsedMemory = task.Memory * task.memoryFactor * min(1, initialMemory+memoryGrowth*float64(n.now-task.startedAt))
 	n.used.add(task.UsedCores, task.UsedMemory)
 }
--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -26,7 +26,7 @@
 
 // Audit checks the recorded events against the placement rules.
 func (w *World) Audit() audit.Report {
-	return audit.Check(audit.Config{Classes: w.cfg.Classes, DrainGrace: w.cfg.DrainGrace, Slack: auditSlack}, w.Events)
+	return audit.Check(w.cfg.Rules, w.Events)
 }
 
 // watchPods lets a client that watches Pods see what has changed.
@@ -89,8 +89,7 @@
 	w.record(settled)
 	if reason == wellknown.Placed {
 		created := s.created[pod.UID]
-		w.PlacementLatency = append(w.PlacementLatency, w.now-created)
-		w.PlacedCreatedAt = append(w.PlacedCreatedAt, created)
+		w.Placements = append(w.Placements, Placement{CreatedAt: created, Latency: w.now - created})
 	}
 }
 
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -61,8 +61,8 @@
 	defaults := config.Default()
 	run := &scenarioRun{t: t, script: script, config: simulation.FromSettings(&defaults, &script), record: goldentest.NewRecorder()}
 	run.config.KeepEvents = true
-	run.config.AnswerLossRate = loss
-	run.config.AttemptLossRate = loss
+	run.config.Links.AnswerLossRate = loss
+	run.config.Links.AttemptLossRate = loss
 	run.config.AfterEngineCall = run.observe
 	run.revisions = make([]int64, script.Schedulers)
 	world, err := simulation.New(run.config)
@@ -138,13 +138,17 @@
 			run.record.Checkpoint(fmt.Sprintf("event %d", i+1))
 		}
 	}
-	run.recordTimes(world.PlacementLatency...)
-	run.recordTimes(world.PlacedCreatedAt...)
+	for _, placement := range world.Placements {
+		run.recordTimes(placement.Latency)
+	}
+	for _, placement := range world.Placements {
+		run.recordTimes(placement.CreatedAt)
+	}
 	run.recordTimes(world.CreatedAt...)
-	run.record.Checkpoint(fmt.Sprintf("%d events, %d placed, %d created", len(world.Events), len(world.PlacementLatency), len(world.CreatedAt)))
+	run.record.Checkpoint(fmt.Sprintf("%d events, %d placed, %d created", len(world.Events), len(world.Placements), len(world.CreatedAt)))
 	run.recordReport("rules as they are", world.Audit())
 	broken := audit.Config{Classes: map[string]audit.Class{}, DrainGrace: -1, Slack: -1}
-	for _, name := range slices.Sorted(maps.Keys(run.config.Classes)) {
+	for _, name := range slices.Sorted(maps.Keys(run.config.Rules.Classes)) {
 		broken.Classes[name] = audit.Class{AtMostOnce: true, SpreadDomain: audit.NodeDomain, MaxPerDomain: 1}
 	}
 	run.recordReport("rules broken on purpose", audit.Check(broken, world.Events))
--- a/internal/lab/simulation/inventory.go
+++ b/internal/lab/simulation/inventory.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		alive := s.aliveCheck()
-		w.after(w.cfg.LatencyMax, func() {
+		w.after(w.cfg.Links.LatencyMax, func() {
 			if alive() && v.reachable() {
 				s.engine.NodesListed(w.now, engine.Changes, []*corev1.Node{object}, nil)
 				s.process()
@@ -114,7 +114,7 @@
 	w.after(inventoryCheckInterval, v.checkUnresponsive)
 	for _, n := range w.nodes {
 		entry := v.entries[n.cfg.Name]
-		if entry == nil || !entry.ready || w.now-entry.lastReport <= w.cfg.UnresponsiveAfter+w.cfg.ReportDelay {
+		if entry == nil || !entry.ready || w.now-entry.lastReport <= w.cfg.Inventory.UnresponsiveAfter+w.cfg.Inventory.ReportDelay {
 			continue
 		}
 		entry.ready = false
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -18,7 +18,8 @@
 
 // latency draws the time that a message takes over a link.
 func (w *World) latency() placer.Seconds {
-	return w.cfg.LatencyMin + (w.cfg.LatencyMax-w.cfg.LatencyMin)*placer.Seconds(w.rng.Float64())
+	links := &w.cfg.Links
+	return links.LatencyMin + (links.LatencyMax-links.LatencyMin)*placer.Seconds(w.rng.Float64())
 }
 
 // attemptState is what a scheduler makes of an attempt that it has sent.
@@ -70,7 +71,7 @@
 		a.fail(placer.Unreachable, w.latency())
 		return
 	case !n.reachable():
-		a.fail(placer.Unreachable, w.cfg.ConnectTimeout)
+		a.fail(placer.Unreachable, w.cfg.Links.ConnectTimeout)
 		return
 	}
 	received := a.event(audit.AttemptReceived)
@@ -81,7 +82,7 @@
 	received.Scheduler = a.scheduler.cfg.Name
 	w.record(received)
 	switch {
-	case w.now < n.faults.ResetUntil || w.rng.Float64() < w.cfg.AttemptLossRate:
+	case w.now < n.faults.ResetUntil || w.rng.Float64() < w.cfg.Links.AttemptLossRate:
 		a.breakConnection(placer.Lost)
 		return
 	case n.faults.FailsClass(w.now, received.Class):
@@ -144,7 +145,7 @@
 // answerLost decides whether the connection breaks between an acceptance and its answer.
 func (a *attempt) answerLost() bool {
 	w := a.scheduler.world
-	return w.now < a.node.faults.LoseAnswerUntil || w.rng.Float64() < w.cfg.AnswerLossRate
+	return w.now < a.node.faults.LoseAnswerUntil || w.rng.Float64() < w.cfg.Links.AnswerLossRate
 }
 
 // breakConnection ends the attempt without an answer of the node.
@@ -202,7 +203,7 @@
 	}
 	w.after(w.latency(), func() {
 		if !n.reachable() {
-			reply(w.cfg.ConnectTimeout)
+			reply(w.cfg.Links.ConnectTimeout)
 			return
 		}
 		answer.Answered = true
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -144,7 +144,7 @@
 // report sends the node's state to the inventory, which shows it later. It schedules its next call.
 func (n *node) report() {
 	w := n.world
-	w.after(w.cfg.ReportInterval, n.report)
+	w.after(w.cfg.Inventory.ReportInterval, n.report)
 	if n.sim == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	object := n.object()
 	reportedAt := w.now
-	w.after(w.cfg.ReportDelay, func() { w.inventory.update(object, reportedAt) })
+	w.after(w.cfg.Inventory.ReportDelay, func() { w.inventory.update(object, reportedAt) })
 }
 
 // object is the node as it reports itself.
--- a/internal/lab/simulation/overload_test.go
+++ b/internal/lab/simulation/overload_test.go
@@ -31,8 +31,8 @@
 			config.Schedulers[i].Admission.Disabled = !admission
 		}
 	})
-	for _, latency := range world.PlacementLatency {
-		if latency <= 1 {
+	for _, placement := range world.Placements {
+		if placement.Latency <= 1 {
 			good++
 		} else {
 			late++
@@ -140,8 +140,8 @@
 	}
 	world.Run(plan, coldStartSeconds)
 	placed := make([]int, 8000)
-	for i, createdAt := range world.PlacedCreatedAt {
-		sinceSubmission := createdAt + world.PlacementLatency[i] - cfg.StartTime - coldStartSubmission
+	for _, placement := range world.Placements {
+		sinceSubmission := placement.CreatedAt + placement.Latency - cfg.StartTime - coldStartSubmission
 		placed[min(int(sinceSubmission*100), len(placed)-1)]++
 	}
 	return placed
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -28,17 +28,24 @@
 // FromSettings describes the world that the command scenario would start for a script: the same nodes, schedulers and rules.
 func FromSettings(settings *config.Settings, script *scenario.Script) Config {
 	cfg := Config{
-		Seed:              script.Seed,
-		Priorities:        labconfig.Priorities(settings),
-		LatencyMin:        loopbackLatencyMin,
-		LatencyMax:        loopbackLatencyMax,
-		ConnectTimeout:    placer.Seconds(settings.ConnectTimeout),
-		ReportInterval:    scenarioReportInterval,
-		ReportDelay:       placer.Seconds(settings.Emulator.ReportDelay),
-		UnresponsiveAfter: placer.Seconds(settings.Emulator.UnresponsiveAfter),
-		StartTime:         scenarioStartTime,
-		Classes:           AuditClasses(settings),
-		DrainGrace:        placer.Seconds(settings.Timing.DrainGrace),
+		Seed:       script.Seed,
+		StartTime:  scenarioStartTime,
+		Priorities: labconfig.Priorities(settings),
+		Links: Links{
+			LatencyMin:     loopbackLatencyMin,
+			LatencyMax:     loopbackLatencyMax,
+			ConnectTimeout: placer.Seconds(settings.ConnectTimeout),
+		},
+		Inventory: Inventory{
+			ReportInterval:    scenarioReportInterval,
+			ReportDelay:       placer.Seconds(settings.Emulator.ReportDelay),
+			UnresponsiveAfter: placer.Seconds(settings.Emulator.UnresponsiveAfter),
+		},
+		Rules: audit.Config{
+			Classes:    AuditClasses(settings),
+			DrainGrace: placer.Seconds(settings.Timing.DrainGrace),
+			Slack:      auditSlack,
+		},
 	}
 	for i := range script.Nodes {
 		emulated := labconfig.NodeAt(settings, i)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -58,8 +58,8 @@
 		}
 		last := map[int]int64{}
 		world := runScenario(t, script, func(cfg *Config) {
-			cfg.AttemptLossRate = rapid.Float64Range(0, 0.05).Draw(t, "attemptLossRate")
-			cfg.AnswerLossRate = rapid.Float64Range(0, 0.05).Draw(t, "answerLossRate")
+			cfg.Links.AttemptLossRate = rapid.Float64Range(0, 0.05).Draw(t, "attemptLossRate")
+			cfg.Links.AnswerLossRate = rapid.Float64Range(0, 0.05).Draw(t, "answerLossRate")
 			cfg.AfterEngineCall = func(world *World, i int) {
 				rev := world.Engine(i).Store().Rev()
 				if rev < last[i] {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -24,21 +24,33 @@
 
 // Config configures a World.
 type Config struct {
-	Seed                            uint64
-	Schedulers                      []engine.Config
-	Nodes                           []NodeConfig
-	Priorities                      map[string]int // of classes
-	LatencyMin, LatencyMax          placer.Seconds // of a link, one way
-	ConnectTimeout                  placer.Seconds // until a connection to an unreachable node fails
-	ReportInterval                  placer.Seconds // between reports of a node to the inventory
-	ReportDelay                     placer.Seconds // until the inventory shows a report
-	UnresponsiveAfter               placer.Seconds // without a report, a node is shown as not ready
-	AnswerLossRate, AttemptLossRate float64        // probabilities that a connection breaks after or before the node reads an attempt
-	StartTime                       placer.Seconds // Unix time
-	KeepEvents                      bool           // record events for the auditor
-	Classes                         map[string]audit.Class
-	DrainGrace                      placer.Seconds
-	AfterEngineCall                 func(w *World, scheduler int) // called after every call of an engine, to check invariants
+	Seed       uint64
+	StartTime  placer.Seconds // Unix time
+	Schedulers []engine.Config
+	Nodes      []NodeConfig
+	Priorities map[string]int // of classes
+	Links      Links
+	Inventory  Inventory
+
+	KeepEvents bool         // record events for the auditor
+	Rules      audit.Config // that the auditor checks
+	// AfterEngineCall, if set, is called after every call of an engine, to check invariants.
+	AfterEngineCall func(world *World, scheduler int)
+}
+
+// Links describes the connections between schedulers and nodes.
+type Links struct {
+	LatencyMin, LatencyMax placer.Seconds // one way
+	ConnectTimeout         placer.Seconds // until a connection to an unreachable node fails; 0 is the default
+	AttemptLossRate        float64        // probability that a connection breaks before the node reads an attempt
+	AnswerLossRate         float64        // probability that a connection breaks after the node has accepted an attempt
+}
+
+// Inventory says when the inventory shows what. 0 is the default of an interval.
+type Inventory struct {
+	ReportInterval    placer.Seconds // between reports of a node to the inventory
+	ReportDelay       placer.Seconds // until the inventory shows a report
+	UnresponsiveAfter placer.Seconds // without a report, a node is shown as not ready
 }
 
 // Defaults of a Config.
@@ -66,22 +78,27 @@
 	nodesByName map[string]*node
 	inventory   inventory
 
-	Events           []audit.Event    // if Config.KeepEvents is set
-	PlacementLatency []placer.Seconds // from a task's creation to its placement, for each placed task
-	PlacedCreatedAt  []placer.Seconds // when the task of each PlacementLatency was created
-	CreatedAt        []placer.Seconds // when each task was created
+	Events     []audit.Event    // if Config.KeepEvents is set
+	Placements []Placement      // of all placed tasks, in order of their placement
+	CreatedAt  []placer.Seconds // when each task was created
+}
+
+// Placement is a task that was placed.
+type Placement struct {
+	CreatedAt placer.Seconds
+	Latency   placer.Seconds // from the creation to the placement
 }
 
 // New returns a world at its start: the nodes run and are listed, and the schedulers begin.
 func New(cfg Config) (*World, error) {
-	if cfg.ConnectTimeout <= 0 {
-		cfg.ConnectTimeout = defaultConnectTimeout
+	if cfg.Links.ConnectTimeout <= 0 {
+		cfg.Links.ConnectTimeout = defaultConnectTimeout
 	}
-	if cfg.ReportInterval <= 0 {
-		cfg.ReportInterval = defaultReportInterval
+	if cfg.Inventory.ReportInterval <= 0 {
+		cfg.Inventory.ReportInterval = defaultReportInterval
 	}
-	if cfg.UnresponsiveAfter <= 0 {
-		cfg.UnresponsiveAfter = defaultUnresponsiveAfter
+	if cfg.Inventory.UnresponsiveAfter <= 0 {
+		cfg.Inventory.UnresponsiveAfter = defaultUnresponsiveAfter
 	}
 	w := &World{
 		cfg:         cfg,
@@ -96,7 +113,7 @@
 		w.nodesByName[n.cfg.Name] = n
 		n.start(n.cfg.Sim.Cold)
 		w.inventory.add(n.object())
-		w.after(cfg.ReportInterval*placer.Seconds(w.rng.Float64()), n.report)
+		w.after(cfg.Inventory.ReportInterval*placer.Seconds(w.rng.Float64()), n.report)
 	}
 	for i := range cfg.Schedulers {
 		s := &scheduler{world: w, index: i, cfg: cfg.Schedulers[i]}
