--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -357,7 +357,7 @@
 }
 
 // countEvents counts the events of a kind at the nodes.
-func (cluster *testCluster) countEvents(kind string) int {
+func (cluster *testCluster) countEvents(kind audit.EventKind) int {
 	count := 0
 	for _, event := range cluster.recordedEvents() {
 		if event.Kind == kind {
--- a/internal/lab/audit/attempt_state_test.go
+++ b/internal/lab/audit/attempt_state_test.go
@@ -12,7 +12,7 @@
 	const node, uid = "a1", "t"
 	killed := Event{Kind: Killed, Scheduler: "a"}
 	neverRan := Event{Kind: Ended, Node: node, UID: uid, Attempt: 1, Reason: NeverRan}
-	event := func(kind string) Event { return nodeEvent(0, kind, node, uid, 1) }
+	event := func(kind EventKind) Event { return nodeEvent(0, kind, node, uid, 1) }
 	for _, test := range []struct {
 		name         string
 		events       []Event // after the receipt
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -12,10 +12,13 @@
 	"heathshed/placer"
 )
 
+// EventKind says what happened. The kinds stand in recorded events and keep their values.
+type EventKind string
+
 // Event is one thing that happened between the parties.
 type Event struct {
 	At        placer.Seconds `json:"at"` // Unix time
-	Kind      string         `json:"what"`
+	Kind      EventKind      `json:"what"`
 	Node      string         `json:"node,omitempty"`
 	Scheduler string         `json:"scheduler,omitempty"`
 	UID       string         `json:"uid,omitempty"`
@@ -30,35 +33,35 @@
 
 // The kinds of events at nodes.
 const (
-	NodeUp          = "up"
-	AttemptReceived = "offer"
-	Accepted        = "accept"
-	Rejected        = "refuse"
-	Abandoned       = "hangup" // the connection closed before the answer was out
-	Started         = "start"
-	Ended           = "end"  // Reason says why
-	Fenced          = "seal" // an order to stop found nothing: attempts up to this one will be rejected
-	Crashed         = "crash"
-	Overloaded      = "fall" // the node failed under load while it warmed up
+	NodeUp          EventKind = "up"
+	AttemptReceived EventKind = "offer"
+	Accepted        EventKind = "accept"
+	Rejected        EventKind = "refuse"
+	Abandoned       EventKind = "hangup" // the connection closed before the answer was out
+	Started         EventKind = "start"
+	Ended           EventKind = "end"  // Reason says why
+	Fenced          EventKind = "seal" // an order to stop found nothing: attempts up to this one will be rejected
+	Crashed         EventKind = "crash"
+	Overloaded      EventKind = "fall" // the node failed under load while it warmed up
 )
 
 // The kinds of events at the inventory.
 const (
-	ListedReady       = "listed-ready"
-	ListedDraining    = "listed-draining"
-	ListedUnavailable = "listed-gone" // not ready, or removed
-	DiscoveryLost     = "cut-off"     // schedulers cannot reach the inventory
-	DiscoveryRestored = "cut-over"
+	ListedReady       EventKind = "listed-ready"
+	ListedDraining    EventKind = "listed-draining"
+	ListedUnavailable EventKind = "listed-gone" // not ready, or removed
+	DiscoveryLost     EventKind = "cut-off"     // schedulers cannot reach the inventory
+	DiscoveryRestored EventKind = "cut-over"
 )
 
 // The kinds of events at clients and operators.
 const (
-	Submitted      = "asked"     // a task was accepted by a scheduler, with a Deadline for its outcome
-	Settled        = "settled"   // Reason is the outcome of a task
-	Withdrawn      = "withdrawn" // the client deleted a task without an outcome
-	DrainOrdered   = "told"      // a scheduler acknowledged the order to drain a node
-	DrainCancelled = "undrained"
-	Killed         = "killed" // a scheduler process
+	Submitted      EventKind = "asked"     // a task was accepted by a scheduler, with a Deadline for its outcome
+	Settled        EventKind = "settled"   // Reason is the outcome of a task
+	Withdrawn      EventKind = "withdrawn" // the client deleted a task without an outcome
+	DrainOrdered   EventKind = "told"      // a scheduler acknowledged the order to drain a node
+	DrainCancelled EventKind = "undrained"
+	Killed         EventKind = "killed" // a scheduler process
 )
 
 // NeverRan is the reason of an end that proves that the task never ran.
@@ -95,19 +98,22 @@
 
 const defaultSlack placer.Seconds = 0.1
 
+// Rule is the number of a placement rule, 1 to 5.
+type Rule int
+
 // The rules.
 const (
-	ruleOutcome = 1 // each task gets one outcome, by its deadline
-	ruleRetry   = 2 // a task is retried only where that is safe, and has one attempt at a time
-	ruleDrain   = 3 // a draining or unavailable node receives no attempts
-	ruleWarmUp  = 4 // a node that warms up is not overloaded
-	ruleSpread  = 5 // tasks of a service are spread over domains
+	ruleOutcome Rule = 1 // each task gets one outcome, by its deadline
+	ruleRetry   Rule = 2 // a task is retried only where that is safe, and has one attempt at a time
+	ruleDrain   Rule = 3 // a draining or unavailable node receives no attempts
+	ruleWarmUp  Rule = 4 // a node that warms up is not overloaded
+	ruleSpread  Rule = 5 // tasks of a service are spread over domains
 )
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule int            `json:"Rule"` // 1 to 5
-	At   placer.Seconds `json:"At"`   // Unix time
+	Rule Rule           `json:"Rule"`
+	At   placer.Seconds `json:"At"` // Unix time
 	Text string         `json:"Text"`
 }
 
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -23,7 +23,7 @@
 		Service: "s", Scheduler: "a"}
 }
 
-func nodeEvent(at placer.Seconds, kind, node, uid string, attempt int) Event {
+func nodeEvent(at placer.Seconds, kind EventKind, node, uid string, attempt int) Event {
 	return Event{At: at, Kind: kind, Node: node, UID: uid, Attempt: attempt}
 }
 
@@ -42,7 +42,7 @@
 	for _, test := range []struct {
 		name   string
 		events []Event
-		rule   int    // 0 if there is no violation
+		rule   Rule   // 0 if there is no violation
 		words  string // in the text of the violation
 	}{
 		{
--- a/internal/lab/audit/auditor.go
+++ b/internal/lab/audit/auditor.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (a *auditor) violation(rule int, at placer.Seconds, format string, args ...any) {
+func (a *auditor) violation(rule Rule, at placer.Seconds, format string, args ...any) {
 	a.report.Violations = append(a.report.Violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
--- a/internal/lab/audit/characterization_test.go
+++ b/internal/lab/audit/characterization_test.go
@@ -52,11 +52,11 @@
 	recorder.Check(t, "verdicts")
 }
 
-var kinds = []string{"up", "offer", "accept", "refuse", "hangup", "start", "end", "seal", "crash", "fall", "listed-ready", "listed-draining",
+var kinds = []EventKind{"up", "offer", "accept", "refuse", "hangup", "start", "end", "seal", "crash", "fall", "listed-ready", "listed-draining",
 	"listed-gone", "cut-off", "cut-over", "told", "undrained", "asked", "settled", "withdrawn", "killed"}
 
 // commonKinds are the kinds that are drawn more often.
-var commonKinds = []string{"offer", "offer", "offer", "accept", "accept", "refuse", "hangup", "start", "end", "asked", "settled"}
+var commonKinds = []EventKind{"offer", "offer", "offer", "accept", "accept", "refuse", "hangup", "start", "end", "asked", "settled"}
 
 func randomEvents(rng *rand.Rand) []Event {
 	classes := []string{"once", "web", "keyed-node", "keyed-rack", "keyed-zone", "keyed-cluster", "spread-node", "spread-rack", "spread-zone"}
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -141,7 +141,7 @@
 	inv.notifyWatchers()
 }
 
-func (inv *Inventory) record(kind, node string) {
+func (inv *Inventory) record(kind audit.EventKind, node string) {
 	if inv.options.OnEvent != nil {
 		inv.options.OnEvent(audit.Event{At: inv.simNow(), Kind: kind, Node: node})
 	}
--- a/internal/lab/faultinjection/observer_test.go
+++ b/internal/lab/faultinjection/observer_test.go
@@ -36,7 +36,7 @@
 	for _, test := range []struct {
 		name         string
 		observations []observation
-		wantKinds    []string
+		wantKinds    []audit.EventKind
 		wantTasks    int
 		wantSettled  int
 		wantLatency  bool // of one second
@@ -44,15 +44,15 @@
 		{
 			"submitted and placed",
 			[]observation{{watch.Added, ""}, {watch.Modified, wellknown.Placed}, {watch.Modified, wellknown.Placed}, {watch.Deleted, wellknown.Placed}},
-			[]string{audit.Submitted, audit.Settled}, 1, 1, true,
+			[]audit.EventKind{audit.Submitted, audit.Settled}, 1, 1, true,
 		},
-		{"submitted and withdrawn", []observation{{watch.Added, ""}, {watch.Deleted, ""}}, []string{audit.Submitted, audit.Withdrawn}, 1, 0, false},
+		{"submitted and withdrawn", []observation{{watch.Added, ""}, {watch.Deleted, ""}}, []audit.EventKind{audit.Submitted, audit.Withdrawn}, 1, 0, false},
 		{
 			"placed, as a list shows",
 			[]observation{{watch.Added, ""}, {eventListed, wellknown.Placed}},
-			[]string{audit.Submitted, audit.Settled}, 1, 1, false,
+			[]audit.EventKind{audit.Submitted, audit.Settled}, 1, 1, false,
 		},
-		{"known again after a restart", []observation{{watch.Added, wellknown.Placed}}, []string{audit.Settled}, 0, 1, false},
+		{"known again after a restart", []observation{{watch.Added, wellknown.Placed}}, []audit.EventKind{audit.Settled}, 0, 1, false},
 		{"first seen when it is deleted", []observation{{watch.Deleted, ""}}, nil, 0, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 					observer.observePod("scheduler-1", observedPod(observed.outcome), observed.eventType)
 					time.Sleep(time.Second)
 				}
-				var kinds []string
+				var kinds []audit.EventKind
 				for _, event := range observer.recordedEvents() {
 					kinds = append(kinds, event.Kind)
 					if event.UID != "uid" || event.Scheduler != "scheduler-1" || event.Class != "web" {
--- a/internal/lab/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -34,7 +34,7 @@
 }
 
 // EventKind returns the kind of the audit event by which a task enters the phase.
-func (phase Phase) EventKind() string {
+func (phase Phase) EventKind() audit.EventKind {
 	switch phase {
 	case Accepted:
 		return audit.Accepted
--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -94,6 +94,6 @@
 }
 
 // taskEvent returns an audit event of the scheduler's client about a task.
-func (s *scheduler) taskEvent(kind string, pod *corev1.Pod) audit.Event {
+func (s *scheduler) taskEvent(kind audit.EventKind, pod *corev1.Pod) audit.Event {
 	return audit.Event{Kind: kind, UID: string(pod.UID), Scheduler: s.cfg.Name}
 }
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -95,7 +95,7 @@
 }
 
 // event returns an audit event of the node about the attempt.
-func (a *attempt) event(kind string) audit.Event {
+func (a *attempt) event(kind audit.EventKind) audit.Event {
 	return audit.Event{Kind: kind, Node: a.node.cfg.Name, UID: string(a.answer.UID), Attempt: a.answer.Attempt}
 }
 
