--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -4,6 +4,8 @@
 
 // Constants of the node list.
 const (
+	// nodeRetention is the time for which a terminated node without own tasks is remembered.
+	nodeRetention Seconds = 60
 	// maxPollBackoffDoublings bounds the backoff after failed polls, which is doubled for each failure.
 	maxPollBackoffDoublings = 6
 	// pollIntervalDivisor divides MaxPollInterval into the time after which an unanswered poll is repeated,
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -2,9 +2,6 @@
 
 import "slices"
 
-// nodeRetention is the time for which a terminated node without own tasks is remembered.
-const nodeRetention Seconds = 60
-
 // nodeTable holds the nodes that are known, and applies the node lists to them.
 type nodeTable struct {
 	types []NodeType
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -2,9 +2,6 @@
 
 import "slices"
 
-// maxCachedPrograms is the number of own programs that a node is taken to keep after their last task.
-const maxCachedPrograms = 8
-
 // nodeTasks are the own tasks and attempts on one node.
 type nodeTasks struct {
 	unanswered     int               // attempts without an answer
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -14,6 +14,8 @@
 	// preferredNodeCount is the number of nodes chosen by hash for a service whose tasks arrive at many
 	// schedulers.
 	preferredNodeCount = 2
+	// maxCachedPrograms is the number of own programs that a node is taken to keep after their last task.
+	maxCachedPrograms = 8
 	// seedStream is the stream of the random number generator.
 	seedStream = 0x9e3779b97f4a7c15
 )
