--- a/internal/lab/audit/attempt_state_test.go
+++ b/internal/lab/audit/attempt_state_test.go
@@ -79,3 +79,16 @@
 		}
 	}
 }
+
+// TestAnsweredAttemptInFlight checks that an attempt that is answered but not closed is reported.
+func TestAnsweredAttemptInFlight(t *testing.T) {
+	for state := range attemptStates {
+		auditor := newAuditor(rules)
+		task := auditor.taskOf(&Event{UID: "t"})
+		task.attempts = []*attemptRecord{{state: state}}
+		answered := state == attemptAccepted || state == attemptRejected || state == attemptEnded
+		if err := auditor.checkInvariants(); answered != (err != nil) {
+			t.Errorf("%s without a time of its answer: %v, want an error: %v", state, err, answered)
+		}
+	}
+}
