--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -125,6 +125,7 @@
 	return a.Node + ": rejected"
 }
 
+// noAnswerInTime ends the message of an attempt that the engine gave up (timedOut), or whose sender did (failure).
 const noAnswerInTime = ": no answer in time"
 
 // done implements Engine.AttemptDone.
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -72,7 +72,8 @@
 	return outcomeRejected
 }
 
-// unplacedMessage appends what is known of the task's attempts to a summary.
+// unplacedMessage appends what is known of the task's attempts to a summary: why the last one failed, by AttemptAnswer.failure,
+// attemptTracker.timedOut or requestTable.shed, and which node may have accepted one.
 func (t *task) unplacedMessage(summary string) string {
 	if t.attempts.lastFailure != "" {
 		summary += "; last: " + t.attempts.lastFailure
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -5,7 +5,8 @@
 	"heathshed/placer"
 )
 
-// stoppingMessage is why tasks are not placed once Stop was called.
+// stoppingMessage is why tasks are not placed once Stop was called: those that wait then (stopAll), and those that a Job starts later
+// (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
 // stopAll begins to stop the engine: every task that waits to be requested gets its final outcome, and none is requested again.
--- a/internal/kube/scheduler/metric_names.go
+++ b/internal/kube/scheduler/metric_names.go
@@ -2,7 +2,8 @@
 
 package scheduler
 
-// formerMetricNames are the names that metrics had in release 0.1, by their present names. Both are exported.
+// formerMetricNames are the names that metrics had in release 0.1, by their present names. Both are exported,
+// with the prefix heathshed_; newMetrics registers them.
 var formerMetricNames = map[string]string{
 	"placement_requests_total":                   "asks_total",
 	"placement_retries_total":                    "asked_again_total",
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// metricsNamespace begins the name of every metric: heathshed_attempts_total is "attempts_total" in this file.
 	metricsNamespace = "heathshed"
 	attemptOutcomes  = "attempt_outcomes_total" // with the label outcome
 )
@@ -88,13 +89,15 @@
 	return fmt.Sprintf("Deprecated: use %s_%s. %s", metricsNamespace, series, help)
 }
 
+// registerEngineCounters registers the counters that the engine keeps: each metric beside the field of engine.Stats that it exports. The
+// functions that count are found by a search for the field.
 func (m *metrics) registerEngineCounters(stats *engine.Stats) {
 	for _, c := range []struct {
 		name, help string
 		value      *uint64
 	}{
 		{"placement_requests_total", "Placement requests submitted to the placer.", &stats.PlacementRequests},
-		{"placement_retries_total", "Placement requests after the first of a task.", &stats.Retries},
+		{"placement_retries_total", "Placement requests of a task after its first one.", &stats.Retries},
 		{"placement_requests_shed_total", "Placement requests shed by admission control.", &stats.Shed},
 		{"attempts_total", "Attempts sent to nodes.", &stats.Attempts},
 		{"attempts_adopted_total", "Attempts with an unknown outcome that were found running.", &stats.Adopted},
@@ -107,7 +110,7 @@
 		{"tasks_evicted_total", "Placed tasks evicted for memory.", &stats.EvictedTasks},
 		{"tasks_migrated_total", "Placed tasks migrated or evicted by order.", &stats.MigratedTasks},
 		{"jobs_created_total", "Jobs accepted.", &stats.JobsCreated},
-		{"jobs_finished_total", "Jobs finished.", &stats.JobsFinished},
+		{"jobs_finished_total", "Jobs finished, as Complete or as Failed.", &stats.JobsFinished},
 		{"jobs_rejected_total", "Jobs rejected because too many tasks are stored.", &stats.JobsRejected},
 	} {
 		m.counter(c.name, c.help, func() uint64 { return *c.value })
@@ -134,7 +137,7 @@
 	m.gauge("pods", "Pods stored.", func() float64 { return float64(core.Store().Len(store.Pods)) })
 	m.gauge("objects_bytes", "Memory of the objects stored, counted high.", func() float64 { return float64(core.Store().ObjectCost()) })
 	m.gauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(core.Store().HistoryCost()) })
-	m.gauge("revision", "Revision of the last change.", func() float64 { return float64(core.Store().Rev()) })
+	m.gauge("revision", "Revision of the store after its last change.", func() float64 { return float64(core.Store().Rev()) })
 }
 
 // registerServerMetrics reads the servers through s: the HTTP server listens only after the metrics are registered.
@@ -144,9 +147,9 @@
 	m.gauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
 		return float64(s.httpServer.Memory().Used())
 	})
-	m.gauge("connections_bytes_limit", "Memory that they may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
+	m.gauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
 	m.counter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.Memory().Evicted })
-	m.counter("bad_requests_total", "Requests that could not be read.", func() uint64 { return s.httpServer.BadRequests })
+	m.counter("bad_requests_total", "API requests that could not be parsed.", func() uint64 { return s.httpServer.BadRequests })
 	m.counter("event_loop_iterations_total", "Iterations of the event loop.", func() uint64 { return s.loop.Iterations })
 }
 
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -148,7 +148,7 @@
 			Str("method", exchange.Head.Method).
 			Str("target", exchange.Head.Target).
 			Int("status", response.Status).
-			Msg("request")
+			Msg("API request")
 	}
 	exchange.Respond(response)
 	s.processEffects()
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -15,7 +15,7 @@
 // Errors that Handler.Closed gets when this side ends a connection.
 var (
 	// ErrConnectTimeout: a dialed connection was not established in time.
-	ErrConnectTimeout = errors.New("connect: no answer in time")
+	ErrConnectTimeout = errors.New("connect: timed out")
 	// ErrClosedLocally: Close or CloseAfterFlush was called.
 	ErrClosedLocally = errors.New("closed on this side")
 )
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -22,7 +22,7 @@
 
 var (
 	// ErrTimeout ends a call that was not answered in time.
-	ErrTimeout = errors.New("no answer in time")
+	ErrTimeout = errors.New("call timed out")
 	// ErrCancelled ends a call by Call.Cancel or Client.Close.
 	ErrCancelled = errors.New("cancelled")
 )
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -87,7 +87,7 @@
 	if err != nil && !conn.Closed() {
 		// A line that cannot be parsed cannot be answered, and the lines after it cannot be trusted.
 		s.stats.InvalidFromClients.add(err)
-		s.warn("client connection closed", conn.Peer(), err)
+		s.warn("client connection closed: message cannot be read", conn.Peer(), err)
 		c.closeGracefully()
 		return len(data)
 	}
@@ -159,7 +159,7 @@
 func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
 	if c.conn.Buffered() > maxUnsentToClient {
-		s.warn("client connection closed", c.conn.Peer(), errClientNotReading)
+		s.warn("client connection closed: output not read", c.conn.Peer(), errClientNotReading)
 		s.loop.After(0, c.conn.Close) // not at once: the caller may be in the middle of handling this connection
 		return
 	}
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -85,7 +85,7 @@
 func (nc *nodeConn) sendHealthCheck() {
 	if nc.keepAlive.HealthCheckSent.IsZero() {
 		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
-		nc.conn.CommitOutput(healthCheck.Append(nc.conn.OutputBuffer()))
+		nc.write(&healthCheck)
 	}
 }
 
--- a/internal/testsupport/structure/doc.go
+++ b/internal/testsupport/structure/doc.go
@@ -1,5 +1,6 @@
 // Package structure holds checks of the program's own source, all in its test files: the groups of packages and their imports against
-// the graph in docs/architecture.md, the number of methods of a type, and the number of files that write a field.
+// the graph in docs/architecture.md, the number of methods of a type, the number of files that write a field, and the messages
+// of log lines, each of which one place writes.
 //
 // The checks read the source with the go command and type information; what a test file declares or writes does not count.
 package structure
