--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -96,3 +96,30 @@
 		t.Errorf("usage is taken as %.2f of the cores and %.2f of the memory requested, want 0.5 and 0.25", cores, memory)
 	}
 }
+
+// The rules permit no attempt after the end of a request, none beside another one, and no more than configured.
+func TestAttemptAllowed(t *testing.T) {
+	filter := &nodeFilter{cfg: &Config{Attempts: Attempts{Max: 3}}}
+	const now, later = Seconds(100), Seconds(101)
+	ended, pending, running := &attempt{state: attemptEnded}, &attempt{state: attemptPending}, &attempt{state: attemptRunning}
+	for name, test := range map[string]struct {
+		request placementRequest
+		want    bool
+	}{
+		"first attempt":            {placementRequest{Task: Task{Deadline: later}}, true},
+		"after ended ones":         {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended}}, true},
+		"as many as permitted":     {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended, ended}}, false},
+		"beside an unanswered one": {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{pending}}, false},
+		"beside a running one":     {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{running, ended}}, false},
+		"answered":                 {placementRequest{Task: Task{Deadline: later}, done: true}, false},
+		"at its deadline":          {placementRequest{Task: Task{Deadline: now}}, false},
+		"long after its deadline":  {placementRequest{Task: Task{Deadline: now - 50}}, false},
+		"just before its deadline": {placementRequest{Task: Task{Deadline: now + 0.001}}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := filter.attemptAllowed(now, &test.request); got != test.want {
+				t.Errorf("allowed: %v, want %v", got, test.want)
+			}
+		})
+	}
+}
