--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -96,7 +96,7 @@
 		name, help string
 		value      *uint64
 	}{
-		{"placement_requests_total", "Placement requests submitted to the placer.", &stats.PlacementRequests},
+		{"placement_requests_total", "Placement requests submitted to admission control, those that it sheds included.", &stats.PlacementRequests},
 		{"placement_retries_total", "Placement requests of a task after its first one.", &stats.Retries},
 		{"placement_requests_shed_total", "Placement requests shed by admission control.", &stats.Shed},
 		{"attempts_total", "Attempts sent to nodes.", &stats.Attempts},
