--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -2,6 +2,9 @@
 // many requests may be in flight (a learned concurrency limit), whose request is next (tenant shares, then priority), which requests are
 // shed because they could no longer start in time, and how many may be retries (a retry budget).
 //
+// The engine of the Kubernetes front owns the Controller. Begin with Controller.Submit and Controller.Poll, which take a request through the
+// fairQueue, the limiter and the retryBudget.
+//
 // It is pure: time is passed in, and there is no randomness. It does not decide where a task runs. A Controller is not safe for concurrent
 // use.
 package admission
@@ -14,8 +17,8 @@
 // The decisions.
 const (
 	Admit Decision = iota // send it to the placer now
-	Queue                 // it waits; a later Poll admits or sheds it
-	Shed                  // rejected; the client may submit another after ShedRequest.RetryAfter
+	Queue                 // it is queued; a later Poll admits or sheds it
+	Shed                  // it is rejected; the client may submit another one after ShedRequest.RetryAfter
 )
 
 // Controller is an admission controller. The zero value is not usable; see New.
@@ -50,22 +53,22 @@
 	return controller, nil
 }
 
-// RetryBudget is how many retries may be admitted at once.
+// RetryBudget returns how many retries may be admitted at once.
 func (c *Controller) RetryBudget() float64 { return c.budget.tokens }
 
-// Limit is the present limit on requests in flight.
+// Limit returns the current limit on requests in flight.
 func (c *Controller) Limit() float64 { return c.limiter.limit }
 
-// InFlight is the number of admitted requests that have not completed.
+// InFlight returns the number of admitted requests that have not completed.
 func (c *Controller) InFlight() int { return len(c.limiter.inFlight) }
 
-// QueueLength is the number of requests that wait for admission.
+// QueueLength returns the number of requests that wait for admission.
 func (c *Controller) QueueLength() int { return c.queue.len() }
 
-// Submit decides about a new request. A request that is queued comes out of a later Poll; one that is shed comes with a ShedRequest.
+// Submit decides about a new request. If it is queued, a later Poll returns it; if it is shed, the ShedRequest says why.
 func (c *Controller) Submit(now placer.Seconds, request Request) (Decision, ShedRequest) {
 	if c.cfg.Disabled {
-		c.admit(now, &request, false) // no use of a budget that bounds nothing
+		c.admit(now, &request, false) // the retry budget does not apply
 		return Admit, ShedRequest{}
 	}
 	c.budget.refill(now)
@@ -93,7 +96,7 @@
 	return Queue, ShedRequest{}
 }
 
-// admissible says whether an arriving request may be admitted at once.
+// admissible reports whether an arriving request may be admitted at once.
 func (c *Controller) admissible(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
@@ -126,7 +129,7 @@
 	c.Admitted++
 }
 
-// Complete takes the outcome of an admitted request: whether its task was placed. The concurrency limit and the retry budget learn from it.
+// Complete records the outcome of an admitted request: whether its task was placed. The concurrency limit and the retry budget adapt to it.
 // An unknown request is ignored.
 func (c *Controller) Complete(now placer.Seconds, id uint64, placed bool) {
 	request, ok := c.limiter.inFlight[id]
@@ -139,7 +142,7 @@
 	c.limiter.complete(now, id, request, placed)
 }
 
-// Cancel drops a request, queued or in flight, without learning from it. An unknown request is ignored.
+// Cancel removes a request, queued or in flight. The concurrency limit and the retry budget do not adapt to it. An unknown request is ignored.
 func (c *Controller) Cancel(id uint64) {
 	if request := c.limiter.inFlight[id]; request != nil {
 		c.limiter.remove(id, request)
@@ -168,7 +171,7 @@
 	return admitted, shed
 }
 
-// expire demotes or sheds the queued requests whose time is up.
+// expire demotes or sheds the queued requests that have expired.
 func (c *Controller) expire(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.first(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.first() {
@@ -182,12 +185,12 @@
 	return shed
 }
 
-// demote moves a request that can no longer start in time, but whose client still waits, behind those that can. It returns false
-// if the client no longer wants it.
+// demote queues a request that can no longer start in time, but whose client still waits, behind those that can. It returns false if the
+// client no longer waits.
 func (c *Controller) demote(now placer.Seconds, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
-	wanted := latest > now
-	if !wanted || c.cfg.ShedUsesRetryBudget {
+	clientWaits := latest > now
+	if !clientWaits || c.cfg.ShedUsesRetryBudget {
 		return false
 	}
 	c.queue.remove(entry)
@@ -208,7 +211,7 @@
 	return ReasonLate
 }
 
-// NextDeadline is when Poll should be called at the latest although no request completes: infinity if nothing is queued.
+// NextDeadline returns the time by which Poll should be called even if no request completes: infinity if nothing is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -11,23 +11,23 @@
 	// Shares are the quota weights of the tenants, by tenant number. A share that is not positive counts as the smallest positive one; no
 	// shares at all mean a single tenant.
 	Shares []float64
-	// MinInFlight and MaxInFlight bound the learned limit on concurrent placement requests; InitialInFlight is where it begins.
+	// MinInFlight and MaxInFlight bound the learned limit on concurrent placement requests; InitialInFlight is its initial value.
 	MinInFlight, MaxInFlight, InitialInFlight float64
-	// DecreaseFactor is what the limit is multiplied by while more than LateFraction of the requests complete late or are not placed, at
-	// most once in a DecreaseInterval. LateFraction is above zero because some requests fit no node whatever the load.
+	// DecreaseFactor is the factor by which the limit decreases while more than LateFraction of the requests complete late or are not placed, at
+	// most once in a DecreaseInterval. LateFraction is above zero because some requests fit no node at any load.
 	DecreaseFactor, LateFraction float64
 	DecreaseInterval             placer.Seconds
 	// MaxQueued bounds the requests that wait in the queue, over all tenants.
 	MaxQueued int
 	// A retry takes one token from a budget of at most RetryBurst. The token is returned, with RetryRatio more, when the retry is placed; a
-	// first attempt that is placed brings RetryRatio; time brings RetryRate tokens a second.
+	// first attempt that is placed adds RetryRatio; RetryRate tokens are added per second.
 	RetryRatio, RetryRate, RetryBurst float64
 	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments: a request is shed at its Deadline, counts as a retry when it
 	// is submitted again, and is shed at once if the budget is used up.
 	ShedUsesRetryBudget bool
 	// AdditiveOnly switches slow start off: the limit grows by at most one for each round of completed requests.
 	AdditiveOnly bool
-	// Disabled admits every request and still counts.
+	// Disabled admits every request at once. The counters still count.
 	Disabled bool
 }
 
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -11,12 +11,12 @@
 	minLatencyObjective placer.Seconds = 0.001
 	// lateSmoothing is the weight of one completed request in limiter.lateFraction.
 	lateSmoothing = 0.05
-	// promptDivisor says what part of its latency objective a request may take for slow start to go on: one sixteenth. What takes longer waits
-	// in a queue somewhere already, and a limit that doubles would only make that queue longer.
+	// promptDivisor divides a request's latency objective into the latency up to which slow start continues: one sixteenth. A request that
+	// takes longer already waits in a queue somewhere, and a limit that doubles would only make that queue longer.
 	promptDivisor = 16.0
-	// slowStartIntervals is for how many decrease intervals no request may be late until slow start begins again.
+	// slowStartIntervals is the number of decrease intervals without a late request after which slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval is the least decrease interval used in that product.
+	// minSlowStartInterval is the shortest decrease interval that slowStartIntervals multiplies.
 	minSlowStartInterval placer.Seconds = 0.05
 )
 
@@ -27,8 +27,8 @@
 type inFlightRequest struct {
 	admittedAt       placer.Seconds
 	latencyObjective placer.Seconds
-	// counted says that it counts against the limit. Past its latency objective it does not: it waits for a node that may take the task and
-	// keeps none busy.
+	// counted is whether it counts against the limit. Past its latency objective it does not: it waits for a node that can run the task and
+	// does not occupy one.
 	counted         bool
 	usedRetryBudget bool
 }
@@ -42,8 +42,8 @@
 	cfg            *Config
 	limit          float64
 	lastDecreaseAt placer.Seconds
-	lateFraction   float64        // of the completed requests, smoothed
-	lastLateAt     placer.Seconds // when a request completed late
+	lateFraction   float64        // fraction of completed requests that were late, smoothed
+	lastLateAt     placer.Seconds // when a request last completed late
 	slowStart      bool           // the limit grows by one for each prompt request
 
 	inFlight map[uint64]*inFlightRequest
@@ -60,7 +60,7 @@
 	}
 }
 
-// hasCapacity says whether one more request may be in flight. It stops counting those that are past their latency objective.
+// hasCapacity reports whether one more request may be in flight. It stops counting those that are past their latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.byAge) > 0 {
 		oldest := l.byAge[0]
@@ -74,7 +74,7 @@
 	return float64(l.counted) < math.Floor(l.limit)
 }
 
-// nextUncountedAt is when the oldest request in flight reaches its latency objective: infinity if there is none.
+// nextUncountedAt returns when the oldest request in flight reaches its latency objective: infinity if there is none.
 func (l *limiter) nextUncountedAt() placer.Seconds {
 	if len(l.byAge) == 0 {
 		return never
@@ -90,7 +90,7 @@
 	l.counted++
 }
 
-// remove takes a request out of flight.
+// remove removes a request from those in flight.
 func (l *limiter) remove(id uint64, request *inFlightRequest) {
 	delete(l.inFlight, id)
 	l.stopCounting(request)
@@ -103,7 +103,7 @@
 	}
 }
 
-// complete takes a request out of flight and adapts the limit to how it went.
+// complete removes a request from those in flight and adapts the limit to its outcome.
 func (l *limiter) complete(now placer.Seconds, id uint64, request *inFlightRequest, placed bool) {
 	countedBefore := float64(l.counted)
 	l.remove(id, request)
@@ -112,7 +112,7 @@
 	l.recordLate(now, late)
 	switch {
 	case late && l.mayDecrease(now):
-		// What was in flight when requests became late is the measure, not a limit that was never reached.
+		// The limit decreases from the number in flight when requests became late, not from a limit that was never reached.
 		l.limit = max(min(l.limit, countedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
 		l.lastDecreaseAt = now
 		l.slowStart = false
@@ -121,7 +121,7 @@
 	}
 }
 
-// recordLate updates the smoothed part of late requests.
+// recordLate updates the smoothed fraction of late requests.
 func (l *limiter) recordLate(now placer.Seconds, late bool) {
 	observed := 0.0
 	if late {
@@ -131,7 +131,7 @@
 	l.lateFraction += (observed - l.lateFraction) * lateSmoothing
 }
 
-// mayDecrease says whether too many requests are late and the last decrease is long enough ago.
+// mayDecrease reports whether too many requests are late and the last decrease is long enough ago.
 func (l *limiter) mayDecrease(now placer.Seconds) bool {
 	return l.lateFraction > l.cfg.LateFraction && now-l.lastDecreaseAt >= l.cfg.DecreaseInterval
 }
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -13,7 +13,7 @@
 	arrivedAt placer.Seconds
 	expiresAt placer.Seconds // when it becomes overdue or, if it is demoted already or a retry, is shed
 	tenant    *tenantQueue
-	removed   bool // it left the queue; the slices and heaps that still hold it skip it
+	removed   bool // it has left the queue; the slices and heaps that still contain it skip it
 }
 
 // tenantQueue holds the queued requests of one tenant.
@@ -41,7 +41,7 @@
 	t.queued[class]++
 }
 
-// remove marks an entry as removed; trimRemoved drops it from its slice later.
+// remove marks an entry as removed; trimRemoved removes it from its slice later.
 func (t *tenantQueue) remove(entry *queuedRequest) {
 	class := entry.class()
 	entry.removed = true
@@ -75,11 +75,11 @@
 // compareDescending orders queues by descending priority.
 func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
 
-// fifoFraction is the part of its latency objective that the oldest request may have waited before the newest is admitted first.
+// fifoFraction is the fraction of its latency objective that the oldest request may have waited before the newest is admitted first.
 const fifoFraction = 0.4
 
-// selectEntry returns the oldest request while the queue is short, which is to say while the oldest has waited for less than fifoFraction of
-// its latency objective, and the newest after that: under overload, admission in order of arrival would make every start late.
+// selectEntry returns the oldest request while it has waited for less than fifoFraction of its latency objective, and the newest after
+// that: under overload, admission in order of arrival would make every start late.
 func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
@@ -92,7 +92,7 @@
 	return q.entries[len(q.entries)-1]
 }
 
-// trimRemoved drops removed entries from both ends of the slice.
+// trimRemoved deletes removed entries from both ends of the slice.
 func (q *priorityQueue) trimRemoved() {
 	for len(q.entries) > 0 && q.entries[0].removed {
 		q.entries[0] = nil
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -2,20 +2,20 @@
 
 import "heathshed/placer"
 
-// Request is a placement request that asks for admission. Times are on the clock of the caller.
+// Request is a placement request submitted for admission. Times are on the clock of the caller.
 type Request struct {
 	ID       uint64
 	Tenant   int     // index into Config.Shares; one out of range counts as tenant 0
 	Priority int     // a higher priority is admitted first within its tenant
-	Cost     float64 // part of a node's capacity that the task needs; at least minCost is charged
-	// Deadline is when this request is of no more use; the client may submit another until FinalDeadline.
+	Cost     float64 // fraction of a node's capacity that the task needs; at least minCost is charged
+	// Deadline is when this request expires; the client may submit another one until FinalDeadline.
 	Deadline placer.Seconds
 	// FinalDeadline is when the client stops waiting for good. It is no earlier than Deadline.
 	FinalDeadline placer.Seconds
 	// LatencyObjective is how soon after its arrival the task should start.
 	LatencyObjective placer.Seconds
-	// IsRetry says that nodes were asked before and none kept the task. A request that was only ever shed by the controller is a first
-	// attempt.
+	// IsRetry says that earlier attempts on nodes did not place the task. A request whose predecessors were all shed by the controller is a
+	// first attempt.
 	IsRetry bool
 	// ShedBefore says that the controller shed an earlier request for the same task.
 	ShedBefore bool
@@ -41,7 +41,7 @@
 	return classFirst
 }
 
-// latestStart is the latest useful admission of a request that must be placed by a deadline: half of the latency objective before it.
+// latestStart returns the latest useful time of admission for a request that must be placed by a deadline: half of the latency objective before it.
 func (r *Request) latestStart(deadline placer.Seconds) placer.Seconds {
 	return deadline - r.LatencyObjective/2
 }
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -2,14 +2,14 @@
 
 import "heathshed/placer"
 
-// retryBudget is a token bucket for retries: a retry takes one token, time and placed requests bring tokens, up to a burst. So retries stay a
-// bounded part of the load while nodes fail, and grow with what succeeds once they recover.
+// retryBudget is a token bucket for retries: a retry takes one token; tokens are added over time and by placed requests, up to a burst. So
+// retries stay a bounded fraction of the load while nodes fail, and grow with the number of placed requests once nodes recover.
 type retryBudget struct {
 	tokens     float64
 	refilledAt placer.Seconds // time of the last refill
 	ratio      float64        // tokens for each placed request
 	rate       float64        // tokens a second
-	burst      float64        // most tokens
+	burst      float64        // maximum number of tokens
 }
 
 func newRetryBudget(cfg *Config) retryBudget {
@@ -22,14 +22,14 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// allows says whether a retry may be admitted.
+// allows reports whether a retry may be admitted.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
 func (b *retryBudget) take() { b.tokens-- }
 
 func (b *retryBudget) add(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
 
-// placed accounts for a placed request. A retry gets its token back as well: only a retry that failed stays paid for.
+// placed accounts for a placed request. A retry gets its token back as well: only a failed retry costs one.
 func (b *retryBudget) placed(usedToken bool) {
 	refund := b.ratio
 	if usedToken {
@@ -38,7 +38,7 @@
 	b.add(refund)
 }
 
-// nextTokenAt is when time alone will have brought a whole token: infinity if a retry may be admitted already or time brings none.
+// nextTokenAt returns when refilling alone makes a whole token available: infinity if one is available already or the rate is zero.
 func (b *retryBudget) nextTokenAt() placer.Seconds {
 	if b.allows() || b.rate <= 0 {
 		return never
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// minCost is the least that a request is charged, so that requests without a cost are divided by shares as well.
+// minCost is the minimum cost that a request is charged, so that requests without a cost are divided by shares as well.
 const minCost = 0.01
 
 // fairQueue holds all queued requests and divides admissions among tenants by their shares: weighted fair queueing over virtual time, which
@@ -68,7 +68,7 @@
 	entry.tenant.remove(entry)
 }
 
-// queuedAhead returns how many queued requests an arrival of a class may not overtake. A class is held up by itself and by earlier ones only.
+// queuedAhead returns how many queued requests an arriving request of a class may not overtake: those of its own and of earlier classes.
 func (q *fairQueue) queuedAhead(arriving requestClass) int {
 	ahead := 0
 	for _, tenant := range q.tenants {
@@ -79,8 +79,8 @@
 	return ahead
 }
 
-// nextTenant returns the tenant to admit from: the one with the least virtual time among those with requests that may be admitted, so that
-// what one tenant does not use is divided among the others. It returns nil if there is none.
+// nextTenant returns the tenant to admit from: the one with the lowest virtual time among those with requests that may be admitted, so that
+// the unused share of one tenant is divided among the others. It returns nil if there is none.
 func (q *fairQueue) nextTenant(retriesAllowed bool) *tenantQueue {
 	var selected *tenantQueue
 	for _, candidate := range q.tenants {
@@ -95,7 +95,7 @@
 	return selected
 }
 
-// catchUp advances a tenant to the present virtual time: one that was idle has no claim to what it did not use.
+// catchUp advances a tenant to the current virtual time: an idle tenant does not save up its unused share.
 func (q *fairQueue) catchUp(tenant *tenantQueue) {
 	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
 }
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -6,10 +6,10 @@
 	"heathshed/placer"
 )
 
-// ShedRequest is a request that was shed: it did no harm, and its client may submit another.
+// ShedRequest is a request that was shed. It was never sent to a node, so its client may submit another one.
 type ShedRequest struct {
 	ID         uint64
-	RetryAfter placer.Seconds // how long the client should not submit again
+	RetryAfter placer.Seconds // time after which the client should submit again
 	Reason     string         // one of the Reason constants
 }
 
@@ -20,14 +20,14 @@
 	ReasonRetryBudget = "the retry budget is used up"
 )
 
-// maxRetryAfter bounds the advice to clients of shed requests. The rate during a fault does not predict the
-// rate after it, and a client with a long delay would return long after capacity does.
+// maxRetryAfter bounds ShedRequest.RetryAfter. The admission rate during a fault does not predict the rate after it, and a client with a long
+// delay would return long after capacity does.
 const maxRetryAfter placer.Seconds = 15
 
-// retryAfterSteps is over how many steps the advice is spread, so that clients do not come back as a wave.
+// retryAfterSteps is the number of steps over which RetryAfter is spread, so that clients do not retry in synchronized waves.
 const retryAfterSteps = 16
 
-// shed returns the notice for a request that was shed. Its RetryAfter is about as long as the queue takes.
+// shed returns the ShedRequest for a request. Its RetryAfter is about the time that the queue takes to empty.
 func (c *Controller) shed(id uint64, reason string) ShedRequest {
 	wait := 1 + placer.Seconds(float64(c.queue.len())/max(c.rate.perSecond, 1))
 	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -1,17 +1,20 @@
-// Package connpool holds the policies of connection reuse: which connection a request goes out on, when a connection is checked or closed,
-// and when a node counts as unreachable. It opens no connection itself and reads no clock.
+// Package connpool holds the policies of connection reuse: which connection a request is sent on, when a connection is checked or closed,
+// and when a node is considered unreachable. It opens no connection itself and reads no clock.
+//
+// Package httpc, the HTTP client, chooses among connections that carry one request at a time by Policy.Choose. The platform's package server,
+// whose connections to nodes carry many requests, calls SharedPolicy.KeepAlive and Reachability.
 package connpool
 
 import "time"
 
 // Policy chooses connections that carry one request at a time.
 //
-// The other end may close an idle connection at the moment at which a request goes out on it. Whether that request was received is then
-// unknown. An idempotent request is simply sent again. For another one the outcome has to be found out, which takes seconds, so it only
-// uses a connection that was in use a moment ago; otherwise a new one is dialed, whose failure proves that nothing was sent.
+// The peer may close an idle connection at the moment at which a request is sent on it. Whether that request was received is then
+// unknown. An idempotent request is simply sent again. For another one the outcome has to be determined, which takes seconds, so it only
+// uses a connection that was in use a moment ago; otherwise a new one is dialed, and if that fails, nothing was sent.
 type Policy struct {
 	MaxConns             int           // open at a time
-	MaxIdle              time.Duration // a connection that was idle for longer is not used again
+	MaxIdle              time.Duration // a connection that has been idle for longer is not used again
 	MaxIdleNonIdempotent time.Duration // as MaxIdle, for requests that are not idempotent
 }
 
@@ -28,11 +31,11 @@
 	Use     Action = iota // send it on the idle connection Index
 	Dial                  // open a connection for it
 	Replace               // close the idle connection Index, the longest idle, and open one
-	Wait                  // hold it until a connection is free
+	Wait                  // queue it until a connection is free
 )
 
-// Decision is an action, with the idle connections to close first since no request may use them any more. Indexes are those of the list
-// given to Choose.
+// Decision is an action, and the idle connections to close first because they are too old to be used. Indexes refer to the list passed to
+// Choose.
 type Decision struct {
 	Action Action
 	Index  int
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,14 +6,14 @@
 	"heathshed/internal/control/clock"
 )
 
-// SharedPolicy keeps connections to one node that carry many requests at a time.
+// SharedPolicy decides when connections to one node that carry many requests at a time are checked and closed.
 //
-// A health check is a message that the other end answers at once, however busy it is. It tells a slow node, which has to be waited for, from
-// a connection that is open but dead, on which waiting is in vain.
+// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow node, whose answer will still come,
+// from a connection that is open but dead.
 type SharedPolicy struct {
-	MaxIdle            time.Duration // closed after so long without a request if nothing is expected on it; 0 for never
-	HealthCheckAfter   time.Duration // checked after so long without traffic while something is expected
-	HealthCheckTimeout time.Duration // unresponsive if a health check or the rest of a message takes longer
+	MaxIdle            time.Duration // a connection without a request for longer is closed if nothing is expected on it; 0 for never
+	HealthCheckAfter   time.Duration // a connection without traffic for longer is checked if something is expected on it
+	HealthCheckTimeout time.Duration // a connection is unresponsive if a health check or the rest of a message takes longer
 }
 
 // DefaultSharedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
@@ -27,16 +27,16 @@
 	PendingRequests int           // unanswered
 	RunsTasks       bool          // the node runs tasks whose end it will report
 	HasAlternative  bool          // there is another connection to the node
-	LastSent        clock.Instant // when a request last went out
+	LastSent        clock.Instant // when a request was last sent
 	LastReceived    clock.Instant // when anything last arrived
-	HealthCheckSent clock.Instant // when the unanswered health check went out; zero if there is none
+	HealthCheckSent clock.Instant // when the unanswered health check was sent; zero if there is none
 	IncompleteSince clock.Instant // since when the last message has been incomplete; zero if it is not
 }
 
-// Usable reports whether requests may go out on the connection: not while a health check or the rest of a message is awaited.
+// Usable reports whether requests may be sent on the connection: not while a health check or the rest of a message is awaited.
 func (s ConnState) Usable() bool { return s.HealthCheckSent.IsZero() && s.IncompleteSince.IsZero() }
 
-// expectsMessage reports whether the node owes an answer or the end of a task.
+// expectsMessage reports whether an answer or the end of a task is still to come.
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
 
 // closable reports whether closing the connection loses nothing.
@@ -75,8 +75,8 @@
 	return NoAction
 }
 
-// Reachability judges from messages and failed dials whether a node that runs tasks can be reached. A node that has vanished or is cut off
-// gives no sign: open connections fall silent and dials time out. One whose process has ended refuses connections.
+// Reachability determines from messages and failed dials whether a node that runs tasks can be reached. If a node has crashed or is
+// partitioned, open connections fall silent and dials time out. If only its process has ended, it refuses connections.
 type Reachability struct {
 	UnresponsiveAfter time.Duration // without any message while dials fail
 	RefusedAfter      time.Duration // of refused connections
@@ -107,17 +107,17 @@
 	}
 }
 
-// NodeStatus is the verdict on a node.
+// NodeStatus reports whether a node can be reached.
 type NodeStatus uint8
 
-// The verdicts.
+// The statuses.
 const (
 	Reachable    NodeStatus = iota
 	ProcessEnded            // it refuses connections: its process has ended, and all tasks with it
 	Unresponsive            // it does not answer; its tasks may still run
 )
 
-// Status returns the verdict on the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
+// Status returns the status of the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
 // nothing to report.
 func (r *Reachability) Status(now clock.Instant) NodeStatus {
 	switch {
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -18,8 +18,8 @@
 	"values":       true,
 }
 
-// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not say whether the text is JSON, which is
-// for a decoder to find: a text without an error is safe to decode.
+// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not validate the text, which the decoder
+// does: a text without an error is safe to decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	s.wantName = false
 }
 
-// separate goes on to the next member or element. The elements of a named array keep its name.
+// separate moves on to the next member or element. The elements of a named array keep its name.
 func (s *jsonScanner) separate() {
 	s.wantName = s.inObject[s.depth]
 	if s.wantName {
@@ -117,7 +117,7 @@
 	}
 }
 
-// scanString takes the string that begins at a quote, a name or a value, and returns the offset after it.
+// scanString scans the string, a name or a value, that begins at a quote, and returns the offset after it.
 func (s *jsonScanner) scanString(at int) (next int, err *Error) {
 	text := s.text
 	end := at + 1
@@ -142,7 +142,7 @@
 	return end + 1, err
 }
 
-// scanNumber takes the number that begins at an offset and returns the offset after it.
+// scanNumber scans the number that begins at an offset and returns the offset after it.
 func (s *jsonScanner) scanNumber(at int) (next int, err *Error) {
 	text := s.text
 	end := at + 1
@@ -166,7 +166,7 @@
 	return false
 }
 
-// scanLiteral takes true, false or null, or any other run of lower-case letters, and returns the offset after it.
+// scanLiteral scans true, false or null, or any other run of lower-case letters, and returns the offset after it.
 func (s *jsonScanner) scanLiteral(at int) (next int, err *Error) {
 	if err := s.limits.countValue(&s.values, at); err != nil {
 		return 0, err
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -1,12 +1,14 @@
 // Package decodelimit checks, before a text is decoded, whether decoding it may cost more than a stated bound: nesting depth, number of
 // values, length of numbers, and quantities whose exponents are short to write and expensive to compute with.
 //
-// It is pure, imports nothing of the project, and allocates nothing that grows with its input.
+// The API server calls CheckJSON and CheckProto on request bodies, and package reflector on what it receives, before decoding.
+//
+// It is pure, imports nothing of the project, and allocates no memory that grows with its input.
 package decodelimit
 
 import "fmt"
 
-// Limits bound one text. A field of 0 is no bound.
+// Limits bound one text. A field of 0 means no limit.
 type Limits struct {
 	Bytes        int // of the whole text
 	Depth        int // of nested objects and arrays, or messages
@@ -54,7 +56,7 @@
 	return fmt.Sprintf("%s at byte %d: at most %d", e.Bound, e.Offset, e.Limit)
 }
 
-// TooLarge says whether the text exceeds a limit of size rather than of form.
+// TooLarge reports whether the text exceeds a limit of size rather than of form.
 func (e *Error) TooLarge() bool { return e.Bound == TooManyBytes || e.Bound == TooManyValues }
 
 // checkBytes checks the length of a whole text.
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -5,8 +5,8 @@
 // anyFieldNumber is passed as the number of a field where only its wire type matters.
 const anyFieldNumber = 1
 
-// CheckProto checks a message in the protobuf encoding and returns an *Error if it exceeds a limit. Without a schema, a string cannot be told
-// from a nested message, so a field is checked as both: as a quantity, and as a message if it is well formed as one.
+// CheckProto checks a message in the protobuf encoding and returns an *Error if it exceeds a limit. Without a schema, a string cannot be
+// distinguished from a nested message, so a field is checked as both: as a quantity, and as a message if it is well formed as one.
 func CheckProto(message []byte, limits Limits) error {
 	if err := limits.checkBytes(message); err != nil {
 		return err
@@ -24,7 +24,7 @@
 	values int
 }
 
-// scan walks one message, at an offset in the whole text. wellFormed says that it is a message to its end; there is an error only if it is.
+// scan scans one message, at an offset in the whole text. wellFormed reports whether the text is a message to its end; err is nil if it is not.
 func (s *messageScanner) scan(message []byte, depth, offset int) (wellFormed bool, err *Error) {
 	if s.limits.Depth > 0 && depth > s.limits.Depth {
 		return true, &Error{MessagesTooDeep, s.limits.Depth, offset}
@@ -46,7 +46,7 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		if err == nil { // after an error only whether the message is well formed remains to be seen
+		if err == nil { // after an error it remains to check whether the message is well formed
 			err = s.checkField(value, depth, at)
 		}
 	}
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -12,8 +12,8 @@
 	maxEscaped = 256
 )
 
-// CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. A text that is no number is
-// harmless and passes. A number with a backslash in it is checked with its escapes undone.
+// CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. A text that is not a number
+// passes. A number with a backslash in it is checked with its escapes undone.
 func CheckQuantity(text []byte, limits Limits) *Error { return checkQuantity(text, &limits) }
 
 // checkQuantityAt checks a quantity at an offset in a larger text.
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -1,16 +1,18 @@
 // Package eventqueue is the queue between a scheduler's core and its placer: events are passed to the placer one after another, and the
-// actions that it returns for one event are executed, in order, before the next event is passed. It is pure: the time is passed in.
+// actions that it returns for one event are executed, in order, before the next event is passed. It is pure: the time is passed in. The cores
+// of both fronts, packages dispatch and engine, own one Queue each.
 package eventqueue
 
 import "heathshed/placer"
 
 // MinDelay is the shortest delay of a timer. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
-// adding less to it may give the same time again, and a placer that waits for a deadline so near would be woken at that time forever.
+// adding less to it may give the same time again, and a placer that waits for a deadline so close would have its timer fire at that time
+// forever.
 const MinDelay placer.Seconds = 1e-6
 
 // Placer makes the placement decisions: a *placer.Placer, or a substitute in tests.
 type Placer interface {
-	// Handle handles one event at the given clock time, and returns actions with those that it asks for appended.
+	// Handle handles one event at the given clock time, and returns actions with its own appended.
 	Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action
 }
 
@@ -46,5 +48,5 @@
 	q.running = false
 }
 
-// Delay returns the delay for a timer that the placer asked to be set after the given time.
+// Delay returns the delay of a timer that the placer requested with the given one: no less than MinDelay.
 func Delay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,7 +2,7 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is what a user that holds nothing may always allocate, in bytes, so that one small event or response never waits for other
+// MinAllowance is what a user without any memory may always allocate, in bytes, so that one small event or response never waits for other
 // users.
 const MinAllowance = 4 << 10
 
@@ -17,7 +17,7 @@
 
 type user struct {
 	used         int64
-	lastShrunkAt clock.Instant // when it last came to hold less than before, or was added
+	lastShrunkAt clock.Instant // when its use last decreased, or when it was added
 }
 
 // New returns a budget of a number of bytes without users. Less than MinAllowance counts as MinAllowance.
@@ -25,19 +25,19 @@
 	return &Budget{total: max(total, MinAllowance), users: map[uint64]*user{}}
 }
 
-// Used is the number of bytes that all users hold.
+// Used is the number of bytes that all users together use.
 func (b *Budget) Used() int64 { return b.used }
 
-// Total is the number of bytes that all users together may hold.
+// Total is the number of bytes that all users together may use.
 func (b *Budget) Total() int64 { return b.total }
 
 // Users is the number of users.
 func (b *Budget) Users() int { return len(b.users) }
 
-// Add adds a user that holds nothing. The identity must not be in use.
+// Add adds a user that uses no memory yet. The id must not be in use.
 func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
 
-// Remove removes a user with all that it holds. An unknown user is ignored.
+// Remove removes a user and frees what it uses. An unknown user is ignored.
 func (b *Budget) Remove(id uint64) {
 	if holder := b.users[id]; holder != nil {
 		b.used -= holder.used
@@ -58,7 +58,7 @@
 	return max(available, 0)
 }
 
-// SetUsed records how many bytes a user holds now. An unknown user is ignored.
+// SetUsed records how many bytes a user uses now. An unknown user is ignored.
 func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
 	holder := b.users[id]
 	if holder == nil {
@@ -82,7 +82,7 @@
 		if holder.used <= largest/2 {
 			continue
 		}
-		// The order does not depend on that of the map: users that shrank at the same time go by identity.
+		// The choice does not depend on the order of the map: among users that shrank at the same time the lowest id is chosen.
 		shrankEarlier := holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id
 		if !over || shrankEarlier {
 			id = candidate
--- a/internal/control/memquota/eviction.go
+++ b/internal/control/memquota/eviction.go
@@ -4,8 +4,8 @@
 
 // Candidate is a connection that may be evicted to free a connection slot.
 type Candidate struct {
-	Busy        bool          // something is in flight on it
-	Established bool          // something on it has completed successfully
+	Busy        bool          // a request is in flight on it
+	Established bool          // a request on it has completed successfully
 	Idle        time.Duration // since its last valid message
 }
 
@@ -17,15 +17,15 @@
 		if candidate.Busy {
 			continue
 		}
-		if selected < 0 || candidate.goesBefore(candidates[selected]) {
+		if selected < 0 || candidate.evictedBefore(candidates[selected]) {
 			selected = i
 		}
 	}
 	return selected
 }
 
-// goesBefore says whether a candidate is evicted rather than another. Neither is busy.
-func (c Candidate) goesBefore(other Candidate) bool {
+// evictedBefore reports whether c is to be evicted rather than other. Neither is busy.
+func (c Candidate) evictedBefore(other Candidate) bool {
 	if c.Established != other.Established {
 		return other.Established
 	}
--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -2,7 +2,7 @@
 
 import "heathshed/placer"
 
-// backoffSpread is the part of its length over which a delay is spread by jitter, half of it to each side.
+// backoffSpread is the width of the jitter around a delay, as a fraction of it.
 const backoffSpread = 0.5
 
 // Backoff doubles a delay from Min to Max with each failure. The zero value does not delay at all.
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -1,5 +1,6 @@
 // Package timerqueue is a queue of functions to be run at given times: the earliest first, those of equal time in the order in which they were
-// added. It is pure: whoever holds the queue knows the time, and chooses the type of its clock.
+// added. It is pure: its owner passes the time in, and chooses the type of the clock. The cores keep their timers in placer.Seconds, the event
+// loop in clock.Instant.
 package timerqueue
 
 import (
@@ -54,7 +55,7 @@
 	return q.timers[0].At
 }
 
-// Pop removes and returns the earliest timer that is due, nil if none is. The caller runs it.
+// Pop removes and returns the earliest timer that is due, or nil. The caller runs it.
 func (q *Queue[Time]) Pop(now Time) *Timer[Time] {
 	if len(q.timers) == 0 || q.timers[0].At > now {
 		return nil
