--- a/placer/api.go
+++ b/placer/api.go
@@ -5,6 +5,10 @@
 // one clock. Equal configurations, seeds and events give equal actions. A Placer does no I/O, reads no clock, starts no
 // goroutine, and must not be used by several goroutines at once.
 //
+// The fronts of the scheduler, packages internal/platform/dispatch and internal/kube/engine, and the simulator's adapter
+// each run a Placer. Begin reading at Placer.Handle in placer.go; Placer.place in placement.go is the way of one request.
+// This file has the events, the actions and the types that they consist of.
+//
 // The algorithm and the origin of its constants are described in docs/design.md.
 package placer
 
@@ -49,7 +53,7 @@
 // Report is a node's report of its load. A value that is not reported is NaN.
 type Report struct {
 	FreeCores, FreeMemory float64 // not in use where Config.ReportsUsage, otherwise not requested
-	Utilization           float64 // part of the cores in use; 1 is all
+	Utilization           float64 // fraction of the cores in use
 	QueueLength           float64 // tasks that wait on the node
 }
 
@@ -84,7 +88,7 @@
 	return r == Rejected || r == Unreachable || r == Expired
 }
 
-// Reason says more about a result.
+// Reason is the reason that a node gives for a result.
 type Reason uint8
 
 // The reasons that a node gives.
@@ -107,7 +111,7 @@
 	Started        UsageKind = iota + 1 // the task has started
 	CoresUsed                           // cores in use by the task
 	MemoryUsed                          // memory in use by the task
-	ServedFraction                      // part of full service that it gives
+	ServedFraction                      // fraction of full service that the task gives
 	NodeMemory                          // memory in use on its node
 )
 
@@ -123,7 +127,7 @@
 	Ended                              // an attempt ended: as Bound, and Result, Reason, Final, Report
 	UsageReported                      // a running task was measured: TaskID, Attempt, Node, Usage, Value
 	Withdrawn                          // the client gave up a request: TaskID
-	TimerFired                         // a timer that was set has fired: Token
+	TimerFired                         // the timer of a SetTimer action has fired: Token
 )
 
 // Event is something that happened to the scheduler.
@@ -136,7 +140,7 @@
 	Result  Result
 	Reason  Reason
 	Elapsed Seconds // since the attempt was sent
-	Final   bool    // no further attempt is permitted
+	Final   bool    // no further attempt may be made
 	Report  *Report // nil if none came
 	List    ListKind
 	Nodes   []Node // read during Handle only
@@ -153,7 +157,7 @@
 	StartAttempt ActionKind = iota + 1 // send the task to a node: Task, Node, Attempt, Until
 	Reject                             // answer the client that the task was not placed: Task, After
 	Fail                               // answer the client that the outcome is not known: Task
-	SetTimer                           // hand in TimerFired later: Token, After
+	SetTimer                           // report TimerFired later: Token, After
 	WatchNodes                         // request the node list and later changes
 	ListNodes                          // request the node list once
 	Migrate                            // stop a bound task, which the client then requests again: Task
--- a/placer/average.go
+++ b/placer/average.go
@@ -1,7 +1,8 @@
 package placer
 
-// runningAverage is an exponentially weighted mean and deviation. Until the first sample estimates may be added; the
-// initial mean counts as one of them. With estimates, early samples weigh more, by their number.
+// runningAverage is an exponentially weighted mean and deviation. Estimates may be added until the first sample; the
+// initial mean counts as one of them. If there are any, a sample weighs at least 1 over the number of samples and
+// estimates.
 type runningAverage struct {
 	mean, deviation    float64
 	samples, estimates int
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -2,24 +2,26 @@
 
 import "math"
 
-// Constants of what is learned of capacity.
+// Constants of the capacity model.
 const (
 	// reportMaxAge is the time after which a node's report of free capacity is ignored.
 	reportMaxAge = 2.0 * contenderWindow
-	// minRequestedShare is the part of a node that must be requested before its usage is learned from.
+	// minRequestedShare is the fraction of a node's capacity that must be requested for its usage to be
+	// learned from.
 	minRequestedShare = 0.2
 	// usageLearningRate is the weight of a new usage ratio in the running averages.
 	usageLearningRate = learningRate / 2
-	// memoryLimit is the part of a node's memory that may be in use. Beyond it nodes slow down; at 1 they
+	// memoryLimit is the fraction of a node's memory that may be in use. Beyond it nodes slow down; at 1 they
 	// evict tasks.
 	memoryLimit = 0.92
-	// degradationTolerance is the part of a class's degradation range that is tolerated before the cores of a
-	// node count as saturated.
+	// degradationTolerance is the fraction of a class's degradation range that is tolerated before the cores
+	// of a node count as saturated.
 	degradationTolerance = 0.25
 )
 
-// capacityModel estimates the free capacity and the load of nodes: by the node list, by their reports, by own
-// changes that neither shows yet, and by what part of the requested capacity is in use on all nodes together.
+// capacityModel estimates the free capacity and the load of nodes from the node list, from their reports,
+// from own changes that neither shows yet, and from the learned ratio of used to requested capacity on all
+// nodes.
 type capacityModel struct {
 	behavior    NodeBehavior
 	overcommit  Overcommit
@@ -36,10 +38,10 @@
 	}
 }
 
-// freeCapacity is what no task has requested of a node.
+// freeCapacity is the capacity of a node that no task has requested.
 type freeCapacity struct {
 	cores, memory float64
-	known         bool // or else half of the node
+	known         bool // if not, the amounts are half of the node
 }
 
 // free returns the free capacity of a node, less own changes that the node list does not show yet.
@@ -63,8 +65,8 @@
 	return free
 }
 
-// usage returns the cores and memory in use on a node: by a recent report and what was requested since,
-// or by what is requested and the learned usage ratios.
+// usage returns the cores and memory in use on a node, estimated from a recent report and what was requested
+// since, or from what is requested and the learned usage ratios.
 func (m *capacityModel) usage(now Seconds, node *trackedNode, free freeCapacity) (cores, memory float64) {
 	cores = (node.cores - free.cores) * m.coresUsage.mean
 	memory = (node.memory - free.memory) * m.memoryUsage.mean
@@ -93,7 +95,7 @@
 	return cores, memory
 }
 
-// projection is the load of a node with one more task, as far as it is known.
+// projection is the expected load of a node with one more task.
 type projection struct {
 	fits             bool
 	saturationExcess float64 // utilization of the cores beyond what the task's class tolerates
@@ -122,8 +124,8 @@
 	}
 }
 
-// observeUsage learns from the usage of an own task. A scheduler with few tasks waits long for the first
-// report of a node; until then the usage of its own tasks is an estimate for all.
+// observeUsage learns from the usage of an own task. A scheduler with few tasks may get the first report of a
+// node late; until then the usage of its own tasks is an estimate for all tasks.
 func (m *capacityModel) observeUsage(task *Task, kind UsageKind, value float64) {
 	switch kind {
 	case CoresUsed:
@@ -139,8 +141,8 @@
 	}
 }
 
-// observeReport notes a node's report and learns from it which part of the requested cores and memory is in
-// use.
+// observeReport records a node's report and learns from it which fraction of the requested cores and memory
+// is in use.
 func (m *capacityModel) observeReport(now Seconds, node *trackedNode, report *Report) {
 	node.load.setReport(now, report)
 	node.load.dropOldChanges(now)
--- a/placer/config.go
+++ b/placer/config.go
@@ -6,12 +6,12 @@
 	"math"
 )
 
-// Idempotency is the effect of starting a task twice.
+// Idempotency says whether a task may be started twice.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // a second copy does no harm
+	Idempotent      Idempotency = iota // a second start is safe
 	IdempotentByKey                    // nodes of one domain drop a repeat for a while, by its key
 	NonIdempotent                      // the task must never start twice
 )
@@ -36,14 +36,14 @@
 	LatencyObjective    Seconds        // time from arrival within which a first start has its full weight
 	Deadline            Seconds        // time for which a client waits for the answer
 	Weight              float64        // value of a second of full service
-	LateWeight          float64        // part of the start's value between LatencyObjective and Deadline
+	LateWeight          float64        // fraction of the start's value between LatencyObjective and Deadline
 	StartBonus          Seconds        // value of a start in time, as so much time of full service
 	Priority            int            // where nodes preempt: a higher priority evicts a lower one
 	NodeType            int            // index of the node type that is required, or -1 for any
 	SpreadDomain        TopologyDomain // the domain in which MaxPerDomain holds, or NoDomain
 	MaxPerDomain        int            // tasks of one service that may run in one such domain
 	SaturationThreshold float64        // utilization of the cores up to which tasks get full service
-	DegradationRange    float64        // utilization beyond it over which the service falls to nothing
+	DegradationRange    float64        // utilization beyond SaturationThreshold at which tasks get no service
 }
 
 // NodeType is the size of nodes of one type.
@@ -54,7 +54,7 @@
 
 // Tenant is one of the users that share the nodes.
 type Tenant struct {
-	Share float64 // its part of the service, between 0 and 1
+	Share float64 // its fraction of the service, between 0 and 1
 	Cores float64 // cores that it may request, at all schedulers together
 }
 
@@ -98,10 +98,10 @@
 
 // SlowStart limits the load on a node that has just started and is warming up.
 type SlowStart struct {
-	MinPace          float64 // part of its full pace at which a node starts tasks when it has just started
+	MinPace          float64 // fraction of its full pace at which a node starts tasks when it has just started
 	Duration         Seconds // time after which a started node has its full pace
 	OverloadMultiple float64 // multiple of its pace at which a warming node becomes overloaded
-	OverloadWindow   Seconds // time for which this must last
+	OverloadWindow   Seconds // time for which the multiple must be exceeded
 	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that a warming node withstands
 }
 
@@ -127,7 +127,7 @@
 	MaxPollInterval Seconds // longest time between two requests for the list
 }
 
-// Costs are parts of the total value of all service.
+// Costs are given as fractions of the total value of all service.
 type Costs struct {
 	Node      float64 // cost of nodes in use beyond those needed
 	CrossZone float64 // cost of tasks outside the scheduler's zone
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -9,23 +9,26 @@
 
 // Constants of consolidation: where nodes in use have a cost, unneeded nodes are kept on standby.
 const (
-	// consolidationTarget is the part of the open nodes' limits that is used before another node is opened.
+	// consolidationTarget is the fraction of the open nodes' limits that is used before another node is
+	// opened.
 	consolidationTarget = 0.8
-	// consolidationHysteresis is the part of consolidationTarget below which an open node becomes a standby.
+	// consolidationHysteresis is the fraction of consolidationTarget below which an open node is put on
+	// standby.
 	consolidationHysteresis = 0.95
 	// minOpenNodes is the number of nodes that are never on standby.
 	minOpenNodes = 2
-	// standbyUpdateInterval is the least time between two choices of the standby nodes.
+	// standbyUpdateInterval is the shortest time between two choices of the standby nodes.
 	standbyUpdateInterval = contenderWindow / 20
 	// consolidationInterval is the mean time between two migrations by one scheduler.
 	consolidationInterval = 0.1 * contenderWindow
 	// minStandbyTime is the time after which the last tasks of a standby node are migrated.
 	minStandbyTime = contenderWindow
-	// nearlyEmptyShare is the part of a standby node that may be requested when its last tasks are migrated.
+	// nearlyEmptyShare is the fraction of a standby node that may be requested when its last tasks are
+	// migrated.
 	nearlyEmptyShare = 0.3
 )
 
-// consolidator puts nodes on standby where nodes in use have a cost and fewer are enough.
+// consolidator puts nodes on standby where nodes in use have a cost and fewer nodes are sufficient.
 type consolidator struct {
 	cfg                 *Config
 	nodes               *nodeTable
@@ -40,7 +43,7 @@
 	updatedAt Seconds
 }
 
-// standbyRecord is what the consolidator knows of a node.
+// standbyRecord is the part of a node's record that the consolidator owns.
 type standbyRecord struct {
 	active bool
 	since  Seconds
@@ -92,13 +95,14 @@
 	s.active = active
 }
 
-// capacityDemand is what all tasks on the listed nodes need.
+// capacityDemand is the capacity that all tasks on the listed nodes request and use.
 type capacityDemand struct {
 	requestedCores, requestedMemory float64
 	usedCores, usedMemory           float64
 }
 
-// collectDemand sums up what is requested on the listed nodes, and collects the ready ones in order.
+// collectDemand returns the demand on the listed nodes, and collects the ready nodes in c.order, in the order
+// of the node list.
 func (c *consolidator) collectDemand(now Seconds) capacityDemand {
 	var demand capacityDemand
 	c.order = c.order[:0]
@@ -119,7 +123,7 @@
 	return demand
 }
 
-// demandFits reports whether the demand fits in the part fill of all limits of the open nodes.
+// demandFits reports whether the demand fits in the fraction fill of each limit of the open nodes.
 func (c *consolidator) demandFits(demand capacityDemand, openCores, openMemory, fill float64) bool {
 	return demand.usedCores <= openCores*c.saturationThreshold*fill &&
 		demand.usedMemory <= openMemory*memoryLimit*fill &&
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -4,7 +4,7 @@
 
 // Constants of the node list.
 const (
-	// nodeRetention is the time for which a terminated node without own tasks is remembered.
+	// nodeRetention is the time for which a terminated node without own tasks is kept.
 	nodeRetention Seconds = 60
 	// maxPollBackoffDoublings bounds the backoff after failed polls, which is doubled for each failure.
 	maxPollBackoffDoublings = 6
@@ -14,8 +14,8 @@
 	watchCheckDivisor   = 3
 )
 
-// nodeListPoller requests the node list with its changes, where lists are sent only on request, and again
-// when no answer comes.
+// nodeListPoller requests the node list and its changes where they are sent only on request, and repeats the
+// request if no answer comes.
 type nodeListPoller struct {
 	maxInterval Seconds // longest time between two requests
 	objective   Seconds // shortest latency objective of all classes
@@ -30,14 +30,14 @@
 	timerToken uint64 // of the latest timer; others have no effect
 }
 
-// poll requests the list with later changes, and sets a timer in case that no answer comes.
+// poll requests the list with later changes, and sets a timer in case no answer comes.
 func (l *nodeListPoller) poll(now Seconds) {
 	l.lastPollAt = now
 	l.actions.add(Action{Kind: WatchNodes})
 	l.startTimer(l.maxInterval / pollIntervalDivisor)
 }
 
-// listArrived notes that a list or changes of it came from the source, not from a cache.
+// listArrived records that a list or changes of it came from the source, not from a cache.
 func (l *nodeListPoller) listArrived(now Seconds) {
 	l.watching = true
 	l.failures = 0
@@ -52,7 +52,7 @@
 	l.startTimer(min(l.maxInterval/pollIntervalDivisor, l.objective*Seconds(math.Exp2(doublings))))
 }
 
-// timerFired polls again after a failure, or when the watch has been quiet for long.
+// timerFired polls again after a failure, or if nothing has been received for an interval.
 func (l *nodeListPoller) timerFired(now Seconds, token uint64) {
 	if token != l.timerToken {
 		return
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -14,15 +14,15 @@
 	buffer []candidate // reused for each request
 }
 
-// candidate is a node that passed the filter, with what holds of it for the request at hand only.
+// candidate is a node that passed the filter, with the values that are computed for the current request only.
 type candidate struct {
 	node             *trackedNode
 	saturationExcess float64 // projected utilization of the cores beyond what the request's class tolerates
 	affinity         float64 // hash of node and service, set by the selector if it is needed
 }
 
-// belowSaturation reports whether the cores stay within what the request's class tolerates. Beyond it the
-// service of all tasks on the node degrades.
+// belowSaturation reports whether the utilization of the cores stays within what the request's class
+// tolerates. Beyond it the service of all tasks on the node degrades.
 func (c *candidate) belowSaturation() bool { return c.saturationExcess <= 0 }
 
 // isOpen reports whether the node is not on standby.
@@ -61,8 +61,7 @@
 	}
 }
 
-// recheck evaluates a node again that was drawn before, and reports whether the request may still be
-// attempted on it.
+// recheck reports whether the request may still be attempted on a node that was drawn for it before.
 func (f *nodeFilter) recheck(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !f.attemptAllowed(now, request) || !f.nodeAllowed(now, request, node) {
 		return false
@@ -71,8 +70,8 @@
 	return fits
 }
 
-// evaluate returns a node that the rules allow as a candidate, or false if it lacks capacity as far as known.
-// It brings the record of the node's load up to date.
+// evaluate returns a node that the rules allow as a candidate, or false if it is known to lack capacity. It
+// updates the record of the node's load.
 func (f *nodeFilter) evaluate(now Seconds, request *placementRequest, node *trackedNode) (candidate, bool) {
 	if node.load.rejects(now) {
 		return candidate{}, false
@@ -84,15 +83,18 @@
 }
 
 // attemptAllowed reports whether the rules permit an attempt on any node. Every attempt passes this check and
-// the next one. Rules 1 and 2: no attempt after the end, none beside another, and no more than permitted.
+// nodeAllowed. Rules 1 and 2: no attempt after the request is done or its deadline has passed, none while
+// another is outstanding, and no more than the maximum.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	exhausted := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !exhausted && request.outstandingAttempt() == nil
 }
 
-// nodeAllowed reports whether the rules permit an attempt that is allowed as such on the node.
+// nodeAllowed reports whether the rules permit an attempt on this node. It assumes that attemptAllowed is
+// true.
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
-	// Rule 3: the list decides at once; the drain grace is not used, so late lists cannot break the rule.
+	// Rule 3: a listed state takes effect at once; the drain grace is not used, so late lists cannot break
+	// the rule.
 	if !node.listed || node.State != Ready || node.cores <= 0 {
 		return false
 	}
@@ -107,8 +109,8 @@
 	return f.slowStart.allows(now, node) && f.spread.allows(class, request.Service, node)
 }
 
-// prefer keeps the wanted candidates, or all if none is wanted. It works in place: the caller's slice has
-// other contents afterwards, unless all or none are wanted.
+// prefer returns the wanted candidates, or all if none is wanted. It filters in place: unless all or none are
+// wanted, the contents of the caller's slice change.
 func prefer(candidates []candidate, wanted func(*candidate) bool) []candidate {
 	kept := 0
 	for i := range candidates {
--- a/placer/jitter.go
+++ b/placer/jitter.go
@@ -2,10 +2,11 @@
 
 import "math/rand/v2"
 
-// jitterFraction is the random part of each delay, so that requests do not retry in synchronized waves.
+// jitterFraction is the width of the jitter of a delay, as a fraction of it, so that requests do not retry in
+// synchronized waves.
 const jitterFraction = 0.4
 
-// jitter makes delays random. It draws one random number for each.
+// jitter randomizes delays. It draws one random number for each.
 type jitter struct {
 	rng *rand.Rand
 }
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -1,13 +1,13 @@
 package placer
 
-// Constants of what is learned of times.
+// Constants of the latency model.
 const (
-	// learningRate is the weight of a new time in the running averages.
+	// learningRate is the weight of a new sample in the running averages.
 	learningRate = 0.1
 	// initialDeviationDivisor divides the first sample into the first deviation.
 	initialDeviationDivisor = 2
-	// startTimeoutFraction is the part of the deadline for which an attempt may stay unanswered where the
-	// answer comes at the start: an attempt that was given up still holds its capacity.
+	// startTimeoutFraction is the fraction of the deadline for which an attempt may stay unanswered where
+	// nodes answer when the task starts: an abandoned attempt still occupies its capacity.
 	startTimeoutFraction = 0.7
 	// unknownTimeoutDivisor divides the deadline into the timeout of attempts before the first answer.
 	unknownTimeoutDivisor = 4
@@ -15,7 +15,7 @@
 	timeoutDeviations = 4
 )
 
-// latencyModel is what is learned of the times, in seconds, in which nodes answer and start tasks.
+// latencyModel learns the times, in seconds, in which nodes answer attempts and start tasks.
 type latencyModel struct {
 	classes             []Class
 	acknowledgesOnStart bool
@@ -48,7 +48,7 @@
 	}
 }
 
-// attemptTimeout is the time for which an attempt for a task of the class may stay unanswered.
+// attemptTimeout returns the time for which an attempt for a task of the class may stay unanswered.
 func (m *latencyModel) attemptTimeout(class int) Seconds {
 	limits, answers := &m.classes[class], &m.answers[class]
 	if m.acknowledgesOnStart {
--- a/placer/node.go
+++ b/placer/node.go
@@ -1,7 +1,7 @@
 package placer
 
-// trackedNode is what is known of one node. Each part of the Placer that learns something of nodes has a record here,
-// which only its own file changes. What the filter reads comes first, close together.
+// trackedNode is what is known about one node. Each part of the Placer that learns something about nodes owns one of
+// the records, which only its own file writes. The fields that the filter reads come first, close together.
 type trackedNode struct {
 	Node                  // the latest list entry
 	cores, memory float64 // the size of the node, 0 if its type is not known
@@ -12,15 +12,15 @@
 	load    nodeLoad      // by the capacity model
 	tasks   nodeTasks     // own tasks and attempts
 
-	warmupAttempts []Seconds // by slow start: times of own attempts while the node warmed up
-	unusedSince    Seconds   // time since which it is terminated and not in use, or 0
+	warmupAttempts []Seconds // by slow start: times of own attempts while the node was warming up
+	unusedSince    Seconds   // by the node table: time since which it has been terminated and not in use, or 0
 }
 
 func newTrackedNode(id NodeID) *trackedNode {
 	return &trackedNode{Node: Node{ID: id, NodeType: -1, Rack: -1, Zone: -1}, tasks: newNodeTasks()}
 }
 
-// resetAfterRestart drops what was known of the load and health of a node that has restarted.
+// resetAfterRestart resets what was known about the load and health of a node that has restarted.
 func (n *trackedNode) resetAfterRestart() {
 	n.health.reset()
 	n.load.reset()
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// nodeLoad is what is known of the load of one node, beside its entry in the node list.
+// nodeLoad is the part of a node's record that the capacity model owns: what is known about the node's load
+// beside its entry in the node list.
 type nodeLoad struct {
 	recentChanges    []capacityChange // by time
-	rejectsUntil     Seconds          // a rejection for capacity counts until then
-	saturationExcess float64          // projected last, for whichever task
+	rejectsUntil     Seconds          // time until which the last rejection for lack of capacity counts
+	saturationExcess float64          // the latest projection, for any task
 	reportedAt       Seconds
 	hasReport        bool
 	report           Report
@@ -19,7 +20,7 @@
 	isBind        bool
 }
 
-// reset drops what a restart of the node makes obsolete.
+// reset clears what a restart of the node makes obsolete.
 func (l *nodeLoad) reset() {
 	l.rejectsUntil = 0
 	l.recentChanges = l.recentChanges[:0]
@@ -33,28 +34,28 @@
 // rejects reports whether the node has just rejected a request for lack of capacity.
 func (l *nodeLoad) rejects(now Seconds) bool { return l.rejectsUntil > now }
 
-// rejected notes a rejection for lack of capacity.
+// rejected records a rejection for lack of capacity.
 func (l *nodeLoad) rejected(now Seconds) { l.rejectsUntil = now + redrawWait }
 
-// setSaturation notes the latest projection of the node's cores.
+// setSaturation records the latest projection of the node's cores.
 func (l *nodeLoad) setSaturation(excess float64) { l.saturationExcess = excess }
 
-// attemptSent notes that an attempt may take up capacity.
+// attemptSent records that an attempt may occupy capacity.
 func (l *nodeLoad) attemptSent(now Seconds, task *Task) {
 	l.addChange(capacityChange{at: now, cores: task.Cores, memory: task.Memory})
 }
 
-// attemptBound notes that the task of an attempt was accepted.
+// attemptBound records that the task of an attempt was accepted.
 func (l *nodeLoad) attemptBound(now Seconds, accepted *attempt) {
 	l.removePendingChange(accepted)
 	task := &accepted.request.Task
 	l.addChange(capacityChange{at: now, cores: task.Cores, memory: task.Memory, isBind: true})
 }
 
-// attemptFailed notes that an attempt takes up no capacity.
+// attemptFailed records that an attempt occupies no capacity any more.
 func (l *nodeLoad) attemptFailed(failed *attempt) { l.removePendingChange(failed) }
 
-// taskEnded notes that a task frees its capacity.
+// taskEnded records that a task frees its capacity.
 func (l *nodeLoad) taskEnded(now Seconds, task *Task) {
 	l.addChange(capacityChange{at: now, cores: -task.Cores, memory: -task.Memory})
 }
@@ -63,7 +64,7 @@
 	l.recentChanges = append(l.recentChanges, change)
 }
 
-// removePendingChange removes the change that stands for an attempt without an answer.
+// removePendingChange removes the change that was recorded when an attempt was sent.
 func (l *nodeLoad) removePendingChange(pending *attempt) {
 	task := &pending.request.Task
 	for i, change := range l.recentChanges {
@@ -75,8 +76,8 @@
 	}
 }
 
-// dropOldChanges drops the changes that the node list is taken to show. Estimates of capacity ignore these
-// changes anyway; heldBinds counts them until they are dropped.
+// dropOldChanges removes the changes that the node list is assumed to show. Estimates of capacity ignore
+// these changes anyway; retainedBinds counts them until they are removed.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
 	old := 0
 	for old < len(l.recentChanges) && l.recentChanges[old].at < now-contenderWindow {
@@ -98,8 +99,8 @@
 	return count
 }
 
-// heldBinds counts the binds that have not been dropped.
-func (l *nodeLoad) heldBinds() int {
+// retainedBinds counts the binds that dropOldChanges has not removed.
+func (l *nodeLoad) retainedBinds() int {
 	count := 0
 	for i := range l.recentChanges {
 		if l.recentChanges[i].isBind {
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// nodeTable holds the nodes that are known, and applies the node lists to them.
+// nodeTable owns the records of all known nodes and applies node lists to them.
 type nodeTable struct {
 	types []NodeType
 	list  []*trackedNode // in the order in which they became known
@@ -13,7 +13,7 @@
 	return &nodeTable{types: types, byID: map[NodeID]*trackedNode{}}
 }
 
-// ensure finds or creates the record of a node.
+// ensure returns the record of a node, which it creates if there is none.
 func (t *nodeTable) ensure(id NodeID) *trackedNode {
 	node := t.byID[id]
 	if node == nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-// update applies one entry of a list. A node with a new start time has restarted: what was known of its load
-// and health is dropped.
+// update applies one entry of a list. A node with a new start time has restarted, which resets its load and
+// health.
 func (t *nodeTable) update(entry Node) {
 	node := t.ensure(entry.ID)
 	if node.listed && entry.StartedAt != node.StartedAt {
@@ -51,8 +51,8 @@
 	}
 }
 
-// evictTerminated removes nodes that terminated long ago and hold no own task, so that memory does not grow
-// as nodes are replaced.
+// evictTerminated removes nodes that terminated long ago and run no own task, so that memory does not grow as
+// nodes are replaced.
 func (t *nodeTable) evictTerminated(now Seconds) {
 	t.list = slices.DeleteFunc(t.list, func(node *trackedNode) bool {
 		if node.State != Terminated || !node.listed || node.tasks.inUse() {
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -7,12 +7,12 @@
 	unanswered     int               // attempts without an answer
 	byService      map[ServiceID]int // tasks that run or are attempted
 	bound          []*attempt        // those that run
-	cachedPrograms []ServiceID       // services whose last own task left, the latest last
+	cachedPrograms []ServiceID       // services whose last own task has ended, the most recent last
 }
 
 func newNodeTasks() nodeTasks { return nodeTasks{byService: map[ServiceID]int{}} }
 
-// inUse reports whether the node holds own tasks or attempts.
+// inUse reports whether there are own tasks or attempts on the node.
 func (n *nodeTasks) inUse() bool {
 	return n.unanswered > 0 || len(n.bound) > 0 || len(n.byService) > 0
 }
@@ -29,7 +29,7 @@
 	n.byService[sent.request.Service]++
 }
 
-// attemptBound notes that the node accepted an attempt.
+// attemptBound records that the node accepted an attempt.
 func (n *nodeTasks) attemptBound(accepted *attempt) {
 	n.unanswered--
 	n.addBound(accepted)
@@ -47,8 +47,8 @@
 	n.unanswered--
 }
 
-// taskEnded removes a bound task. Its program stays on the node for a while after the service's last own
-// task.
+// taskEnded removes a bound task. Its program is assumed to stay on the node for a while after the service's
+// last own task.
 func (n *nodeTasks) taskEnded(ended *attempt) {
 	service := ended.request.Service
 	n.removeFromService(service)
@@ -72,7 +72,7 @@
 	n.bound = append(n.bound, bound)
 }
 
-// removeBound removes an attempt from those bound to the node. The last one takes its place.
+// removeBound removes an attempt from those bound to the node. The last one in the slice moves to its index.
 func (n *nodeTasks) removeBound(bound *attempt) {
 	last := n.bound[len(n.bound)-1]
 	n.bound[bound.boundIndex] = last
@@ -80,8 +80,8 @@
 	n.bound = n.bound[:len(n.bound)-1]
 }
 
-// cacheProgram notes a program as the latest cached one. Of more than maxCachedPrograms the oldest is
-// dropped.
+// cacheProgram records a program as the most recent cached one. If there are more than maxCachedPrograms, the
+// oldest is removed.
 func (n *nodeTasks) cacheProgram(service ServiceID) {
 	if i := slices.Index(n.cachedPrograms, service); i >= 0 {
 		n.cachedPrograms = slices.Delete(n.cachedPrograms, i, i+1)
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -3,8 +3,8 @@
 // maxRejections is the number of rejections of one pair after which a request waits and redraws.
 const maxRejections = 2
 
-// handleAdopted takes over a task that was found running. It counts for the spread rule, and its loss is a
-// failure of its node.
+// handleAdopted adds a task that was found running. It counts for the spread rule, and its loss is a failure
+// of its node.
 func (p *Placer) handleAdopted(ev Event) {
 	if p.requests.known(ev.Task.ID) {
 		return
@@ -77,7 +77,7 @@
 	p.retryAfterOutcome(request, ev)
 }
 
-// observeOutcome updates what is known of a node by the outcome of an attempt.
+// observeOutcome updates what is known about a node by the outcome of an attempt.
 func (p *Placer) observeOutcome(ev Event, ended *attempt) {
 	node := ended.node
 	switch ev.Result {
@@ -85,7 +85,7 @@
 		if ev.Reason != WrongNode {
 			node.load.rejected(p.now)
 		} else if p.cfg.class(ended.request).Idempotency != IdempotentByKey {
-			// The node drains before the list shows it. With a key, it may instead hold an earlier copy.
+			// The node drains before the list shows it. With a key, it may instead run an earlier copy.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -9,8 +9,8 @@
 	baseEjection = 1.0
 	// maxFailures bounds the failure count, and so the number of times that the ejection is doubled.
 	maxFailures = 5
-	// failureStepDivisor divides the latency objective into the time within which failures count once, and
-	// after which one success takes back a failure.
+	// failureStepDivisor divides the latency objective into the time within which several failures count as
+	// one, and the time between two successes that each cancel a failure.
 	failureStepDivisor = 4
 	// minHealthyDivisor bounds outlier detection: ejected nodes are used as well when fewer than one in this
 	// many ready nodes are healthy.
@@ -23,9 +23,9 @@
 	jitter    jitter
 }
 
-// nodeHealth is what the outlier detector knows of a node.
+// nodeHealth is the part of a node's record that the outlier detector owns.
 type nodeHealth struct {
-	failures      int // that count
+	failures      int // that have not been cancelled
 	lastFailureAt Seconds
 	ejectedUntil  Seconds
 }
@@ -37,8 +37,8 @@
 }
 
 // recordError counts an error as a failure of the node, unless the task has failed on another node as well:
-// the task is then more likely at fault than both nodes, and the failure of the other is taken back.
-// Otherwise clients with tasks that no node can run would have all nodes ejected.
+// the task is then more likely at fault than both nodes, and the failure of the other is cancelled.
+// Otherwise a client whose tasks no node can run would cause all nodes to be ejected.
 func (d *outlierDetector) recordError(now Seconds, failed *attempt) {
 	failed.errored = true
 	elsewhere := false
@@ -56,8 +56,8 @@
 	failed.countedFailure = !elsewhere && d.recordFailure(now, failed.node)
 }
 
-// recordFailure ejects a node, twice as long for each failure. It reports whether the failure counted:
-// several at one moment, such as the tasks lost in a crash, are one failure.
+// recordFailure ejects a node, for twice as long after each failure. It reports whether the failure counted:
+// several within a short time, such as the tasks lost in a crash, count as one.
 func (d *outlierDetector) recordFailure(now Seconds, node *trackedNode) bool {
 	health := &node.health
 	if health.failures > 0 && now-health.lastFailureAt < d.objective/failureStepDivisor {
@@ -70,7 +70,7 @@
 	return true
 }
 
-// recordSuccess takes back one failure at a time: a node that fails only some attempts would otherwise be
+// recordSuccess cancels one failure at a time: a node that fails only some attempts would otherwise be
 // readmitted after each success.
 func (d *outlierDetector) recordSuccess(now Seconds, node *trackedNode) {
 	health := &node.health
@@ -91,8 +91,8 @@
 
 // tooFewHealthy reports whether so few of the ready nodes are healthy for the class that ejected nodes must
 // be used as well: a fault common to many nodes is no outlier. Neither capacity nor spread counts here. A
-// dead node shows the capacity of the tasks it lost, and all nodes that the spread rule leaves to a service
-// may be dead; they would attract all attempts.
+// dead node appears to have the capacity of the tasks that it lost, and all nodes that the spread rule leaves
+// to a service may be dead; they would attract all attempts.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
 	ready, healthy := 0, 0
 	for _, node := range nodes {
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -1,11 +1,11 @@
 package placer
 
-// Times of waits. The design's figures are explained in docs/design.md.
+// Waiting times. The design's figures are explained in docs/design.md.
 const (
 	// redrawWait is the mean wait before a request that both nodes of a pair rejected redraws.
 	redrawWait Seconds = 1
 	// inTimeRedrawWait and lateRedrawWait are the mean waits when no node passes the filter: before the
-	// latency objective, and after it, when a request leaves free capacity to those in time.
+	// latency objective, and after it, when a request leaves free capacity to requests that are in time.
 	inTimeRedrawWait = 0.15 * redrawWait
 	lateRedrawWait   = 0.6 * redrawWait
 )
@@ -48,7 +48,7 @@
 	})
 }
 
-// waitForCapacity is the mean wait of a request for which no node passed the filter.
+// waitForCapacity returns the mean wait of a request for which no node passed the filter.
 func (p *Placer) waitForCapacity(request *placementRequest) Seconds {
 	if p.now < request.arrivedAt+p.cfg.class(request).LatencyObjective {
 		return inTimeRedrawWait
@@ -66,8 +66,8 @@
 	request.waitForRedraw(p.timers.start(pendingTimer{request: request, kind: timerRedraw}, after))
 }
 
-// answerUnplaced gives the final answer to a request that is not placed: Reject where a later request can do
-// no harm, otherwise Fail.
+// answerUnplaced gives the final answer to a request that is not placed: Reject if another request for the
+// task is safe, otherwise Fail.
 func (p *Placer) answerUnplaced(request *placementRequest) {
 	kind := Fail
 	if p.retries.safeToReject(request) {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 )
 
-// Placer decides for one scheduler. It passes the events to the parts that hold its state and make its
-// decisions; each part alone changes its own fields. The files that the deploy file names as the policy hold
-// decisions and tuned values.
+// Placer decides for one scheduler. It passes the events to the parts that own its state and make its
+// decisions; only a part itself writes its fields. Decisions and tuned values are in the files that the
+// deploy file names as the policy.
 //
 // A request is placed as in the k-COLLISION protocol: filter the nodes, draw two uniformly, skip those with
 // too many contenders, attempt the emptier node, then the other, then wait and redraw. See docs/design.md.
@@ -47,7 +47,7 @@
 	return p, nil
 }
 
-// newTables creates the parts that hold what the events tell.
+// newTables creates the parts that record what the events report: actions, timers, nodes and requests.
 func (p *Placer) newTables(rng *rand.Rand) {
 	p.jitter = jitter{rng: rng}
 	p.actions = &actionList{}
@@ -63,7 +63,7 @@
 	}
 }
 
-// newModels creates the parts that learn, and the rules.
+// newModels creates the parts that learn from events, and the rules.
 func (p *Placer) newModels() {
 	p.capacity = newCapacityModel(&p.cfg)
 	p.latency = newLatencyModel(&p.cfg)
@@ -73,7 +73,7 @@
 	p.retries = &retryRule{cfg: &p.cfg}
 }
 
-// newStages creates the parts that choose nodes.
+// newStages creates the parts that choose nodes: standby nodes, filter and selection.
 func (p *Placer) newStages(rng *rand.Rand) {
 	p.consolidator = &consolidator{
 		cfg:                 &p.cfg,
@@ -199,7 +199,7 @@
 	p.place(request)
 }
 
-// handleWithdrawn ends a request that the client gave up.
+// handleWithdrawn closes a request that the client withdrew.
 func (p *Placer) handleWithdrawn(id TaskID) {
 	if request := p.requests.byID[id]; request != nil {
 		p.requests.close(request)
--- a/placer/request.go
+++ b/placer/request.go
@@ -8,7 +8,7 @@
 	arrivedAt      Seconds
 	attempts       []*attempt
 	alternative    *trackedNode // the second node of the pair that was drawn, until it is used
-	rejections     int          // by nodes of the present pair
+	rejections     int          // by nodes of the current pair
 	ignoresCache   bool         // the pair was drawn without regard to cached programs
 	redrawToken    uint64       // of the latest timer for a redraw
 	unknownOutcome *attempt     // the first attempt that may have started the task unnoticed
@@ -16,7 +16,7 @@
 	migrated       bool         // a migration was requested
 }
 
-// newAdoptedRequest returns a request whose task was found running on a node, with the attempt that stands for it.
+// newAdoptedRequest returns a request whose task was found running on a node, with an attempt that represents the task.
 func newAdoptedRequest(task Task, node *trackedNode, now Seconds) (*placementRequest, *attempt) {
 	request := &placementRequest{Task: task, done: true, arrivedAt: now}
 	adopted := &attempt{node: node, request: request, sentAt: now, state: attemptRunning}
@@ -42,7 +42,7 @@
 	return started
 }
 
-// setPair notes the pair of nodes that was drawn, of which the first is attempted now.
+// setPair records the pair of nodes that was drawn. The first is attempted now.
 func (r *placementRequest) setPair(drawn pair) {
 	r.alternative = drawn.second
 	r.ignoresCache = drawn.ignoresCache
@@ -56,29 +56,29 @@
 	return node
 }
 
-// noteRejection counts a rejection by a node of the present pair.
+// noteRejection counts a rejection by a node of the current pair.
 func (r *placementRequest) noteRejection() { r.rejections++ }
 
-// waitForRedraw notes that the pair is given up and that the timer with the token is the one for the redraw.
+// waitForRedraw drops the current pair and records the token of the timer for the redraw.
 func (r *placementRequest) waitForRedraw(token uint64) {
 	r.alternative = nil
 	r.redrawToken = token
 }
 
-// noteUnknownOutcome notes that the attempt may have started the task. Only the first such attempt counts.
+// noteUnknownOutcome records that the attempt may have started the task. Only the first such attempt is kept.
 func (r *placementRequest) noteUnknownOutcome(ended *attempt) {
 	if r.unknownOutcome == nil {
 		r.unknownOutcome = ended
 	}
 }
 
-// finish notes that no further attempt is made.
+// finish marks the request as done: no further attempt is made.
 func (r *placementRequest) finish() {
 	r.done = true
 	r.alternative = nil
 }
 
-// markMigrated notes that a migration of the task was requested.
+// markMigrated records that a migration of the task was requested.
 func (r *placementRequest) markMigrated() { r.migrated = true }
 
 // attempt is one attempt to start a task on a node, or a task that was found running.
@@ -115,8 +115,8 @@
 	return fmt.Sprintf("attemptState(%d)", uint8(s))
 }
 
-// setState moves the attempt to a later state. Callers check the state first: an event that does not fit it is not an
-// error, as events may be repeated.
+// setState moves the attempt to a later state; any other transition is a programming error. Callers check the state
+// first and ignore events that do not apply to it, since events may be repeated.
 func (a *attempt) setState(next attemptState) {
 	if next <= a.state {
 		panic(fmt.Sprintf("placer: attempt for task %d: state goes from %v to %v", a.request.ID, a.state, next))
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -1,6 +1,6 @@
 package placer
 
-// requestTable holds the requests that have no answer or whose task runs.
+// requestTable owns the requests that have no answer or whose task runs.
 type requestTable struct {
 	byID       map[TaskID]*placementRequest
 	unanswered int // requests without an answer
@@ -8,7 +8,7 @@
 
 func newRequestTable() *requestTable { return &requestTable{byID: map[TaskID]*placementRequest{}} }
 
-// known reports whether a request for the task is held.
+// known reports whether there is a request for the task.
 func (t *requestTable) known(id TaskID) bool { return t.byID[id] != nil }
 
 // open adds a request for a task that is not known yet.
@@ -19,7 +19,8 @@
 	return request
 }
 
-// adopt adds a task that was found running on a node and is not known yet, with the attempt that stands for it.
+// adopt adds a task that was found running on a node and is not known yet. It returns the attempt that represents
+// the task.
 func (t *requestTable) adopt(task Task, node *trackedNode, now Seconds) *attempt {
 	request, adopted := newAdoptedRequest(task, node, now)
 	t.byID[task.ID] = request
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -1,9 +1,10 @@
 package placer
 
-// dedupMargin is the part of a class's deduplication window that is relied on.
+// dedupMargin is the fraction of a class's deduplication window that is relied on.
 const dedupMargin = 0.9
 
-// retryRule decides what is permitted after an attempt whose outcome is unknown: the task may run (rule 2).
+// retryRule decides what is permitted after an attempt whose outcome is unknown, since the task may be
+// running (rule 2).
 type retryRule struct {
 	cfg *Config
 }
@@ -22,8 +23,8 @@
 	return false
 }
 
-// allowsOn reports whether a request with an unknown outcome may be retried on the node. With a key the node
-// must be one of those that drop repeats of the earlier attempt.
+// allowsOn reports whether a request with an unknown outcome may be retried on the node. With an
+// idempotency key the node must be one of those that drop repeats of the earlier attempt.
 func (r *retryRule) allowsOn(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !r.allows(now, request) {
 		return false
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -4,17 +4,17 @@
 
 // Constants of the draw. The design's figures are explained in docs/design.md.
 const (
-	// contenderFactor is c of the design: a node may have c times its part of the pending requests.
+	// contenderFactor is c of the design: a node may have c times its share of the pending requests.
 	contenderFactor = 2.0
-	// contenderWindow is the time for which a bind counts as a contender. The node list is taken to show a
-	// change after this time.
+	// contenderWindow is the time for which a bind counts as a contender. The node list is assumed to show
+	// a change after this time.
 	contenderWindow Seconds = 2
 	// maxDraws is the number of immediate draws when both nodes of a pair have too many contenders.
 	maxDraws = 8
 	// preferredNodeCount is the number of nodes chosen by hash for a service whose tasks arrive at many
 	// schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the number of own programs that a node is taken to keep after their last task.
+	// maxCachedPrograms is the number of own programs that a node is assumed to keep after their last task.
 	maxCachedPrograms = 8
 	// seedStream is the stream of the random number generator.
 	seedStream = 0x9e3779b97f4a7c15
@@ -37,12 +37,12 @@
 	ignoresCache  bool // it was drawn without regard to cached programs
 }
 
-// draw draws two nodes. Where cold starts are slow it first draws among the nodes that are likely to have the
+// draw draws two nodes. If cold starts are slow, it first draws among the nodes that are likely to have the
 // service's program. It changes the order of the candidates.
 //
 // Both preferences work in place, so the second draw sees what the first one left of the candidates: where
-// some preferred nodes are saturated, the others stand twice and the saturated ones are missing. That alters
-// placements and is kept; ROADMAP.md lists it among the known faults.
+// some preferred nodes are saturated, the others appear twice and the saturated ones are missing. That
+// affects placements and is kept for now; ROADMAP.md lists it among the known faults.
 func (s *selector) draw(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if s.latency.coldStartsSlow(request.Class) {
 		preferred := prefer(s.withProgram(request.Service, candidates), (*candidate).belowSaturation)
@@ -58,8 +58,8 @@
 	return drawn
 }
 
-// drawPair draws two nodes uniformly, again while both exceed the contender limit. If all draws do, the last
-// pair stays, that with fewer contenders first: delaying the request would help nobody.
+// drawPair draws two nodes uniformly, and again while both exceed the contender limit. If they do in all
+// draws, it returns the last pair, the node with fewer contenders first: delaying the request would not help.
 func (s *selector) drawPair(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if len(candidates) == 0 {
 		return pair{}
@@ -98,14 +98,14 @@
 	return candidates[i].node, candidates[j].node
 }
 
-// contenderLimit is k of the design: c times the pending requests per candidate, at least 1. Pending are
-// unanswered requests and the binds that still count as contenders.
+// contenderLimit returns k of the design: c times the pending requests per candidate, at least 1. Unanswered
+// requests and the binds that still count as contenders are pending.
 func (s *selector) contenderLimit(candidates int) float64 {
 	pending := s.requests.unanswered
 	for _, node := range s.nodes.list {
-		// Binds older than the window count until they are dropped, which happens when the node's capacity is
-		// looked at. On nodes that do not pass the filter they count for longer.
-		pending += node.load.heldBinds()
+		// Binds older than the window count until they are removed, which happens when the node's capacity is
+		// evaluated. On nodes that do not pass the filter they count for longer.
+		pending += node.load.retainedBinds()
 	}
 	return max(1, contenderFactor*float64(pending)/float64(candidates))
 }
@@ -115,7 +115,8 @@
 	return float64(node.tasks.unanswered + node.load.recentBinds(now))
 }
 
-// emptierFirst returns the pair of two nodes in the order in which they are attempted, a random one if equal.
+// emptierFirst returns two nodes as a pair, the emptier one first. If both are equally empty, the order is
+// random.
 func (s *selector) emptierFirst(now Seconds, task *Task, a, b *trackedNode) pair {
 	freeA, freeB := s.freeShareAfter(now, task, a), s.freeShareAfter(now, task, b)
 	if freeA == freeB && s.rng.IntN(2) == 0 || freeB > freeA {
@@ -124,7 +125,7 @@
 	return pair{first: a, second: b}
 }
 
-// freeShareAfter is the smaller of the free shares of cores and memory once the task runs on the node.
+// freeShareAfter returns the smaller of the free shares of cores and memory once the task runs on the node.
 func (s *selector) freeShareAfter(now Seconds, task *Task, node *trackedNode) float64 {
 	free := s.capacity.free(now, node)
 	cores := (free.cores - task.Cores) / max(node.cores, 1e-9)
@@ -132,15 +133,16 @@
 	return min(cores, memory)
 }
 
-// placesByAffinity reports whether it is known where a service runs: its tasks arrive at one scheduler, or at
-// so many that its nodes are chosen by hash. A cached program then takes precedence over unsaturated cores.
+// placesByAffinity reports whether this scheduler knows on which nodes a service runs: all its tasks arrive
+// here, or there are so many schedulers that its nodes are chosen by hash. A cached program then takes
+// precedence over unsaturated cores.
 func (p *Peers) placesByAffinity() bool {
 	return p.StickyServices || p.Total > 2*preferredNodeCount
 }
 
 // withProgram moves the candidates that are likely to have the service's program to the front and returns
-// them: those with own tasks of the service, and where each of many schedulers sees few of these tasks, those
-// with the highest hash for the service, which are the same for all schedulers.
+// them: those with own tasks of the service, and if there are so many schedulers that each sees few of these
+// tasks, those with the highest hash for the service, which are the same for all schedulers.
 func (s *selector) withProgram(service ServiceID, candidates []candidate) []candidate {
 	count := 0
 	for i := range candidates {
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -6,15 +6,15 @@
 // connections delay attempts unevenly.
 const warmupWindowMargin = 1.1
 
-// slowStart keeps this scheduler within its share of the attempts that a warming node always withstands (rule
-// 4).
+// slowStart keeps this scheduler within its share of the attempts that a warming node can handle without
+// becoming overloaded (rule 4).
 type slowStart struct {
 	limits    SlowStart
 	peers     Peers
 	startedAt Seconds // of this scheduler
 }
 
-// schedulerStarted notes when this scheduler started. It does not know its earlier attempts.
+// schedulerStarted records when this scheduler started. Attempts before a restart are not known.
 func (s *slowStart) schedulerStarted(now Seconds) { s.startedAt = now }
 
 // warmingUp reports whether a node started so recently that it is limited.
@@ -22,7 +22,7 @@
 	return node.StartedAt > 0 && now-node.StartedAt < s.limits.Duration
 }
 
-// attemptSent notes an attempt, if the node is warming up.
+// attemptSent records an attempt if the node is warming up.
 func (s *slowStart) attemptSent(now Seconds, node *trackedNode) {
 	if !s.warmingUp(now, node) {
 		return
@@ -45,7 +45,7 @@
 	return float64(s.recentAttempts(now, node)) < s.share(node)
 }
 
-// window is the time over which attempts are counted.
+// window returns the time over which attempts are counted.
 func (s *slowStart) window() Seconds { return warmupWindowMargin * s.limits.OverloadWindow }
 
 // recentAttempts counts own attempts on the node within the window.
@@ -57,10 +57,10 @@
 	return len(node.warmupAttempts) - old
 }
 
-// share is the number of attempts that this scheduler may make on a warming node within the overload window.
-// The shares of all schedulers add up to exactly what the node withstands, however uneven the traffic. The
-// remainder of the division goes to other schedulers at each node, so that each of many schedulers can use
-// some warming nodes.
+// share returns the number of attempts that this scheduler may make on a warming node within the overload
+// window. The shares of all schedulers add up to exactly what the node can handle, however uneven the
+// traffic. Which schedulers get the remainder of the division depends on the node, so that each of many
+// schedulers can use some warming nodes.
 func (s *slowStart) share(node *trackedNode) float64 {
 	total, peers := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
 	share := math.Floor(total / peers)
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -3,20 +3,20 @@
 import "slices"
 
 // spreadRule limits how many tasks of a service run in one failure domain (rule 5). It counts all own
-// attempts and running tasks of the service without an outcome.
+// attempts of the service without an outcome, running tasks included.
 type spreadRule struct {
 	attempts map[ServiceID][]*attempt // those without an outcome
 }
 
 func newSpreadRule() *spreadRule { return &spreadRule{attempts: map[ServiceID][]*attempt{}} }
 
-// add counts an attempt from now on.
+// add adds an attempt to those that count.
 func (r *spreadRule) add(started *attempt) {
 	service := started.request.Service
 	r.attempts[service] = append(r.attempts[service], started)
 }
 
-// remove counts an attempt no longer. The service's last attempt takes its place.
+// remove removes an attempt from those that count. The service's last attempt moves to its index.
 func (r *spreadRule) remove(ended *attempt) {
 	service := ended.request.Service
 	attempts := r.attempts[service]
@@ -34,7 +34,7 @@
 }
 
 // allows reports whether one more task of a service of the class may run in the node's domain. A node that no
-// list has named could be in any domain, so its tasks count in each.
+// list has named could be in any domain, so its tasks count in every domain.
 func (r *spreadRule) allows(class *Class, service ServiceID, node *trackedNode) bool {
 	if class.SpreadDomain == NoDomain {
 		return true
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -16,7 +16,7 @@
 	kind    timerKind
 }
 
-// timerTable holds the timers that were requested and have not fired.
+// timerTable owns the timers that were requested and have not fired.
 type timerTable struct {
 	actions   *actionList
 	pending   map[uint64]pendingTimer // by token
@@ -27,8 +27,8 @@
 	return &timerTable{actions: actions, pending: map[uint64]pendingTimer{}}
 }
 
-// start requests a timer that fires after the given time, and returns its token. Timers cannot be stopped: who starts
-// one notes its token if only the latest one counts.
+// start requests a timer that fires after the given time, and returns its token. Timers cannot be stopped: a
+// caller for which only the latest timer counts keeps its token.
 func (t *timerTable) start(timer pendingTimer, after Seconds) uint64 {
 	t.lastToken++
 	t.pending[t.lastToken] = timer
