--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -17,7 +17,7 @@
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
-	illegalTransitions int // see transition
+	illegalTransitions int // see stateTable.transition
 }
 
 func newAttemptTable(env *environment, nodes *nodeRegistry) *attemptTable {
@@ -194,12 +194,9 @@
 	t.transition(attempt, attemptTerminated)
 }
 
-// transition moves an attempt to its next state. Like that of a request it goes on after an illegal one, and counts it.
+// transition moves an attempt to its next state.
 func (t *attemptTable) transition(attempt *Attempt, next attemptState) {
-	if !attempt.state.canBecome(next) {
-		t.illegalTransitions++
-	}
-	attempt.state = next
+	attemptStates.transition(&attempt.state, next, &t.illegalTransitions)
 }
 
 // postEnded reports to the placer how an attempt ended.
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -1,10 +1,5 @@
 package dispatch
 
-import (
-	"slices"
-	"strconv"
-)
-
 // requestState is the state of a placement request. The states from requestMigrating on are closed: the client has been notified of the end or
 // asked for it, and is not notified again, unless a node does not confirm a migration.
 type requestState uint8
@@ -19,39 +14,19 @@
 	requestTerminated                     // the task ran and has ended
 )
 
-// requestTransitions are the legal next states of each state.
-var requestTransitions = [...][]requestState{
-	requestOpen:       {requestRunning, requestAnswered, requestWithdrawn, requestTerminated},
-	requestRunning:    {requestMigrating, requestStopping, requestTerminated},
-	requestMigrating:  {requestStopping, requestTerminated},
-	requestStopping:   {requestTerminated},
-	requestAnswered:   {},
-	requestWithdrawn:  {},
-	requestTerminated: {},
-}
-
-var requestStateNames = [...]string{
-	requestOpen:       "open",
-	requestRunning:    "running",
-	requestMigrating:  "migrating",
-	requestStopping:   "stopping",
-	requestAnswered:   "answered",
-	requestWithdrawn:  "withdrawn",
-	requestTerminated: "terminated",
+// requestStates describes the states of a request. Only requestTable.transition and the functions that open a request set them.
+var requestStates = stateTable[requestState]{
+	requestOpen:       {"open", []requestState{requestRunning, requestAnswered, requestWithdrawn, requestTerminated}},
+	requestRunning:    {"running", []requestState{requestMigrating, requestStopping, requestTerminated}},
+	requestMigrating:  {"migrating", []requestState{requestStopping, requestTerminated}},
+	requestStopping:   {"stopping", []requestState{requestTerminated}},
+	requestAnswered:   {"answered", nil},
+	requestWithdrawn:  {"withdrawn", nil},
+	requestTerminated: {"terminated", nil},
 }
 
 // String returns the state's name.
-func (s requestState) String() string {
-	if int(s) < len(requestStateNames) {
-		return requestStateNames[s]
-	}
-	return "request state " + strconv.Itoa(int(s))
-}
+func (s requestState) String() string { return requestStates.nameOf("request", s) }
 
 // closed reports whether no answer and no notification of the task's end is due any more.
 func (s requestState) closed() bool { return s >= requestMigrating }
-
-// canBecome reports whether a transition is legal.
-func (s requestState) canBecome(next requestState) bool {
-	return slices.Contains(requestTransitions[s], next)
-}
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -15,7 +15,7 @@
 	byID               map[protocol.ID]*request
 	openCount          int // requests in state requestOpen
 	lastTaskID         placer.TaskID
-	illegalTransitions int // see transition
+	illegalTransitions int // see stateTable.transition
 }
 
 func newRequestTable(env *environment, clients *clientRegistry, attempts *attemptTable) *requestTable {
@@ -105,13 +105,9 @@
 	t.clients.requestClosed(req)
 }
 
-// transition moves a request to its next state. A scheduler in service goes on after an illegal transition; it is counted, and tests require
-// that there is none.
+// transition moves a request to its next state.
 func (t *requestTable) transition(req *request, next requestState) {
-	if !req.state.canBecome(next) {
-		t.illegalTransitions++
-	}
-	req.state = next
+	requestStates.transition(&req.state, next, &t.illegalTransitions)
 }
 
 // remove removes a request that has ended. Its attempts stay for as long as nodes may send messages about them.
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -9,15 +9,15 @@
 // requireTransitions checks a table of transitions for each pair of states up to the last: a legal transition is one that may be legal, and a
 // transition happens in any case but is counted if it is illegal.
 func requireTransitions[State ~uint8](
-	t *testing.T, table [][]State, last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
+	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
 ) {
 	t.Helper()
 	if len(table) != int(last)+1 {
-		t.Fatalf("transitions for %d states, want %d", len(table), last+1)
+		t.Fatalf("the table has %d states, want %d", len(table), last+1)
 	}
 	for from := State(0); from <= last; from++ {
 		for to := State(0); to <= last; to++ {
-			legal := slices.Contains(table[from], to)
+			legal := slices.Contains(table[from].next, to)
 			if legal && !mayBeLegal(from, to) {
 				t.Errorf("state %v leads to %v", from, to)
 			}
@@ -32,7 +32,7 @@
 // TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
 func TestRequestTransitions(t *testing.T) {
 	staysClosed := func(from, to requestState) bool { return !from.closed() || to.closed() }
-	requireTransitions(t, requestTransitions[:], requestTerminated, staysClosed, func(from, to requestState) (requestState, int) {
+	requireTransitions(t, requestStates, requestTerminated, staysClosed, func(from, to requestState) (requestState, int) {
 		table, req := &requestTable{}, &request{state: from}
 		table.transition(req, to)
 		return req.state, table.illegalTransitions
@@ -42,7 +42,7 @@
 // TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
 func TestAttemptTransitions(t *testing.T) {
 	goesOn := func(from, to attemptState) bool { return to > from }
-	requireTransitions(t, attemptTransitions[:], attemptTerminated, goesOn, func(from, to attemptState) (attemptState, int) {
+	requireTransitions(t, attemptStates, attemptTerminated, goesOn, func(from, to attemptState) (attemptState, int) {
 		table, attempt := &attemptTable{}, &Attempt{state: from}
 		table.transition(attempt, to)
 		return attempt.state, table.illegalTransitions
--- a/internal/platform/dispatch/states_diagram_test.go
+++ b/internal/platform/dispatch/states_diagram_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestStateDiagrams(t *testing.T) {
-	requests := statediagram.New(len(requestTransitions), []requestState{requestOpen, requestRunning}, requestState.canBecome)
+	requests := statediagram.New(len(requestStates), []requestState{requestOpen, requestRunning}, requestStates.allows)
 	statediagram.Check(t, "Placement request on the platform", requests)
 
-	attempts := statediagram.New(len(attemptTransitions), []attemptState{attemptPending, attemptRunning}, attemptState.canBecome)
+	attempts := statediagram.New(len(attemptStates), []attemptState{attemptPending, attemptRunning}, attemptStates.allows)
 	statediagram.Check(t, "Attempt on the platform", attempts)
 }
