--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -12,7 +12,8 @@
 	"heathshed/placer"
 )
 
-// adopter takes over tasks that were found running at nodes, and rebuilds their Jobs.
+// adopter takes over tasks that an earlier scheduler process placed and that nodes report as running, and rebuilds their Jobs. It is stateless:
+// what it finds becomes part of the tables of tasks, requests and Jobs.
 type adopter struct {
 	*environment
 	tasks         *taskTable
@@ -26,7 +27,7 @@
 	publisher     *publisher
 }
 
-// adoptTask hands a task that was found running to the placer, by a new request that is closed from the start.
+// adoptTask reports a task that was found running to the placer, under a new request that is closed from the start.
 func (a *adopter) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
 	request := &placementRequest{task: task, closed: true}
 	a.requests.add(request)
@@ -44,7 +45,7 @@
 	a.lifecycle.bind(task, adopted)
 }
 
-// adoptPod adopts a task that a process before this one has placed. Its Job is rebuilt from what the node kept with the Pod. A Pod that
+// adoptPod adopts a Pod that an earlier process placed. Its Job is rebuilt from the manifest that the node stores with the Pod. A Pod that
 // cannot be adopted is stopped.
 func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
 	class, invalid := a.cfg.classFromLabels(found.Labels)
@@ -80,7 +81,7 @@
 
 // taskOfPod returns the task of a Pod that was found running. Its outcome was settled by the process that placed it.
 func (a *adopter) taskOfPod(found *corev1.Pod, class int) *task {
-	tenant, _ := a.cfg.tenantOf(found.Namespace) // a namespace that is no tenant's any more counts for the first
+	tenant, _ := a.cfg.tenantOf(found.Namespace) // a namespace that no longer belongs to a tenant counts towards the first one
 	service := found.Labels[wellknown.Service]
 	if service == "" {
 		service = found.Labels[wellknown.JobName]
@@ -115,7 +116,7 @@
 	return pod
 }
 
-// adoptJob joins an adopted task to its Job, which it rebuilds if it is not stored. A Pod that names no usable Job has a task without one.
+// adoptJob attaches an adopted task to its Job, which it rebuilds if it is not stored. If the Pod has no usable manifest, the task has no Job.
 func (a *adopter) adoptJob(adopted *task, found *corev1.Pod) {
 	var object batchv1.Job
 	err := json.Unmarshal([]byte(found.Annotations[wellknown.JobManifest]), &object)
@@ -135,8 +136,8 @@
 	a.adoptIndex(job, index, adopted)
 }
 
-// rebuildJob stores a Job that a node kept with a Pod. No task of it is started before the other nodes could show theirs. It returns nil if
-// the Job is not valid any more.
+// rebuildJob stores a Job that a node stores with a Pod. No task of it is started until the other nodes have had time to report theirs. It
+// returns nil if the Job is no longer valid.
 func (a *adopter) rebuildJob(object *batchv1.Job) *job {
 	object.Generation = 1
 	rebuilt, err := a.jobController.newJob(object)
@@ -150,17 +151,17 @@
 	return rebuilt
 }
 
-// adoptIndex makes an adopted task that of an index without one.
+// adoptIndex assigns an adopted task to an index that has none.
 func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
 	job.indexes.adopt(index, adopted)
 	adopted.joinJob(job, index, job.indexes.at(index).retryBudget)
 	a.jobStatus.markDirty(job)
 }
 
-// finishJobAdoption decides on the indexes of a rebuilt Job that no node has shown: their tasks may have ended, or never been started. Those
-// that may run twice are started, the others fail.
+// finishJobAdoption decides what happens to the indexes of a rebuilt Job that no node has reported: their tasks may have ended, or may never
+// have started. Those that may run twice are started, the others fail.
 func (a *adopter) finishJobAdoption(job *job) {
-	if job.isDeleted() || !a.jobs.holds(job) {
+	if job.isDeleted() || !a.jobs.contains(job) {
 		return
 	}
 	idempotent := a.cfg.Placer.Classes[job.class].Idempotency == placer.Idempotent
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// attempt is one sending of a task to a node, or the adoption of a task that was found running there.
+// attempt is one request to a node to run a task, or the adoption of a task that was found running there.
 type attempt struct {
 	request         *placementRequest
 	task            *task
@@ -21,7 +21,7 @@
 	sentAt              placer.Seconds
 	timeoutTimer        *timer
 	sentIncarnation     string       // of the node, as known when the attempt was sent
-	observed            *observedPod // what the node's watch showed while the attempt was in flight; nil if nothing
+	observed            *observedPod // what the node's watch reported while the attempt was in flight; nil if nothing
 	acceptedIncarnation string       // of the node, when it accepted
 	revision            int64        // of the Pod at the node, when it accepted
 
@@ -30,7 +30,7 @@
 	stopsSent    int    // stop orders, for the backoff between them
 }
 
-// observedPod is a Pod as a node's watch showed it.
+// observedPod is a Pod as a node's watch reported it.
 type observedPod struct {
 	pod         *corev1.Pod
 	deleted     bool
@@ -43,7 +43,7 @@
 	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
 }
 
-// attemptTracker sends attempts to nodes and takes their answers.
+// attemptTracker sends attempts to nodes and handles their answers. The attempts themselves are in attemptHistory and node.
 type attemptTracker struct {
 	*environment
 	tasks     *taskTable
@@ -99,12 +99,12 @@
 	Node        string
 	Accepted    bool
 	Result      placer.Result // unless accepted
-	Reason      placer.Reason // where the node stated one
+	Reason      placer.Reason // if the node stated one
 	Message     string        // the node's own text
 	Report      *placer.Report
 	Incarnation string      // of the node; "" if it did not state one
 	Revision    int64       // of the Pod at the node
-	Pod         *corev1.Pod // as the node shows it, where it was accepted; may be nil
+	Pod         *corev1.Pod // as the node reports it, if accepted; may be nil
 }
 
 // failure describes why an attempt was not accepted.
@@ -158,7 +158,7 @@
 	return a != nil && a.number == number && a.node.name == node
 }
 
-// stopLateAcceptance stops the Pod of a task that the engine no longer keeps.
+// stopLateAcceptance stops the Pod of a task that was removed before the node accepted it.
 func (t *attemptTracker) stopLateAcceptance(answer *AttemptAnswer) {
 	node := t.nodes.get(answer.Node)
 	if !answer.Accepted || node == nil {
@@ -168,7 +168,7 @@
 	t.stopCopy(node, podIdentity{uid: answer.UID}, answer.Attempt)
 }
 
-// answered takes the answer to the attempt in flight.
+// answered handles the answer to the attempt in flight.
 func (t *attemptTracker) answered(pending *attempt, answer *AttemptAnswer) {
 	t.nodes.observeIncarnation(pending.node, answer.Incarnation)
 	if answer.Accepted {
@@ -198,7 +198,7 @@
 	})
 	t.requests.complete(accepted.request, true)
 	t.lifecycle.bind(task, accepted)
-	// The node's watch may have been faster than its answer.
+	// The node's watch may have reported a newer state before the answer arrived.
 	if observed := accepted.observed; observed.newerThan(answer) {
 		t.observer.observeRunning(task, observed.pod, observed.deleted)
 	} else if answer.Pod != nil {
@@ -224,8 +224,8 @@
 	t.failed(pending, result, placer.NoReason, nil)
 }
 
-// failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not take the task
-// the attempt's outcome is unknown.
+// failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not accept the task, the
+// attempt's outcome is unknown.
 func (t *attemptTracker) failed(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
 	failed.task.attempts.endWait()
 	t.tasks.setState(failed.task, taskSubmitted)
@@ -249,7 +249,7 @@
 	t.requests.discard(failed.request)
 }
 
-// podForNode returns a task's Pod as nodes get it, with what a restarted scheduler needs to adopt it.
+// podForNode returns a task's Pod as it is sent to nodes, with what a restarted scheduler needs to adopt it.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
 	stored := t.publisher.podOf(task)
 	if stored == nil {
@@ -270,5 +270,5 @@
 // outcomeUnknown reports whether the attempt may have been accepted, and it is not known yet whether it was.
 func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isUnknown(a) }
 
-// observe keeps what the node's watch shows while the attempt is in flight.
+// observe records what the node's watch reports while the attempt is in flight.
 func (a *attempt) observe(observed *observedPod) { a.observed = observed }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -4,15 +4,15 @@
 	"slices"
 )
 
-// runEvidence is what is known of whether a task may have run by one of its attempts. It only grows.
+// runEvidence is the strongest evidence so far that an attempt of a task may have run it. It never decreases.
 type runEvidence uint8
 
 const (
-	// neverAccepted: each attempt that is over was certainly not accepted.
+	// neverAccepted: every attempt that has ended was certainly not accepted.
 	neverAccepted runEvidence = iota
 	// possiblyAccepted: an attempt was accepted, or its outcome was unknown when the wait for its answer ended.
 	possiblyAccepted
-	// possiblyRan: an attempt with unknown outcome is over, and the task may have run by it.
+	// possiblyRan: an attempt with unknown outcome has ended, and it may have run the task.
 	possiblyRan
 
 	runEvidences
@@ -22,7 +22,7 @@
 
 func (e runEvidence) String() string { return runEvidenceNames[e] }
 
-// attemptHistory holds the attempts of one task and what is known of them. Only its methods change them.
+// attemptHistory is the record of the attempts of one task. Only its methods change it.
 type attemptHistory struct {
 	count       int        // over all requests
 	inFlight    *attempt   // the attempt that waits for its answer
@@ -32,14 +32,14 @@
 	lastFailure string // why the last attempt or request failed
 }
 
-// begin assigns the next number to an attempt, which is in flight from now on.
+// begin assigns the next number to an attempt and records that it is in flight.
 func (h *attemptHistory) begin(started *attempt) {
 	h.count++
 	started.number = h.count
 	h.inFlight = started
 }
 
-// endWait records that the attempt in flight is answered or given up.
+// endWait records that the attempt in flight was answered or abandoned.
 func (h *attemptHistory) endWait() { h.inFlight = nil }
 
 // bind records that an attempt was accepted.
@@ -56,11 +56,11 @@
 	return ended
 }
 
-// fail keeps why the last attempt or request failed.
+// fail records why the last attempt or request failed.
 func (h *attemptHistory) fail(reason string) { h.lastFailure = reason }
 
-// holds reports whether an attempt is in flight or runs.
-func (h *attemptHistory) holds(attempt *attempt) bool {
+// isOpen reports whether an attempt is in flight or running.
+func (h *attemptHistory) isOpen(attempt *attempt) bool {
 	return h.inFlight == attempt || h.running == attempt
 }
 
@@ -80,7 +80,7 @@
 	return true
 }
 
-// recordRun records that the task may have run by an attempt that is over.
+// recordRun records that an attempt that has ended may have run the task.
 func (h *attemptHistory) recordRun() { h.grow(possiblyRan) }
 
 func (h *attemptHistory) grow(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -1,5 +1,8 @@
 package engine
 
+// This file has the calls of an Engine that handle requests and answers. Each sets the time, has one part of the engine do the work, and
+// ends with endCall.
+
 import (
 	batchv1 "k8s.io/api/batch/v1"
 	corev1 "k8s.io/api/core/v1"
@@ -9,14 +12,14 @@
 	"heathshed/placer"
 )
 
-// AttemptDone takes the answer to SendAttempt. It may be called after AbandonAttempt.
+// AttemptDone handles the answer to SendAttempt. It may be called after AbandonAttempt.
 func (e *Engine) AttemptDone(now placer.Seconds, answer AttemptAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.attempts.done(answer)
 }
 
-// DeletePod stops a Pod's task and removes the Pod once the task has ended. It returns the Pod as it is stored then. An empty uid or
+// DeletePod stops a Pod's task and removes the Pod once the task has ended. It returns the Pod as stored at the end of the call. An empty uid or
 // resourceVersion is not checked. Errors: ErrNotFound, ErrConflict.
 func (e *Engine) DeletePod(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	e.beginCall(now)
@@ -58,7 +61,8 @@
 	return e.jobController.deleteByName(namespace, name, uid, resourceVersion, propagation)
 }
 
-// NodesListed takes nodes from the inventory. removed names nodes that Changes takes away; a full list removes all that are not in it.
+// NodesListed applies a list of nodes, or changes of one, from the inventory. removed names the nodes that Changes removes; a full list removes
+// all nodes that it does not contain.
 func (e *Engine) NodesListed(now placer.Seconds, kind Listing, nodes []*corev1.Node, removed []string) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -70,7 +74,7 @@
 	return e.nodes.counts()
 }
 
-// NodePods takes the complete list of this scheduler's Pods at a node, with the revision of the list and the node's incarnation. Running
+// NodePods handles the complete list of this scheduler's Pods at a node, with the revision of the list and the node's incarnation. Running
 // tasks that are not in it have ended.
 func (e *Engine) NodePods(now placer.Seconds, name, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
@@ -78,7 +82,7 @@
 	e.observer.observeAll(name, incarnation, revision, pods)
 }
 
-// NodePod takes a change of one of this scheduler's Pods at a node.
+// NodePod handles a change of one of this scheduler's Pods at a node.
 func (e *Engine) NodePod(now placer.Seconds, name string, pod *corev1.Pod, deleted bool) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -92,17 +96,17 @@
 	e.nodes.unresponsive(name)
 }
 
-// UpdateNode takes the labels of a Node and an order to drain it or to end its drain, nil if the update gives none: a node that the
-// inventory drains shows as unschedulable without an order. The placer is notified of an order at once. The update's UID and resource version
-// are not checked if they are empty. It returns the Node as stored; a dry run only returns what would be stored. Errors: ErrNotFound,
-// ErrConflict, *InvalidError.
+// UpdateNode replaces the labels of a Node and, if drain is not nil, orders its drain or ends the ordered drain. Nil is not false: a
+// node that the inventory drains is shown as unschedulable without an order. The placer is notified of an order at once. The update's UID and
+// resource version are not checked if they are empty. It returns the Node as stored; a dry run only returns what would be stored. Errors:
+// ErrNotFound, ErrConflict, *InvalidError.
 func (e *Engine) UpdateNode(now placer.Seconds, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.nodes.updateObject(update, drain, dryRun)
 }
 
-// StopDone takes the answer to StopTask.
+// StopDone handles the answer to StopTask.
 func (e *Engine) StopDone(now placer.Seconds, answer StopAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -12,7 +12,7 @@
 
 // Config holds the settings of an Engine.
 type Config struct {
-	// Name identifies this scheduler. Nodes keep it with each Pod.
+	// Name identifies this scheduler. Nodes store it with each Pod.
 	Name string
 
 	Placer       placer.Config
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -1,14 +1,16 @@
 // Package engine is the core of the scheduler behind the Kubernetes API: Jobs, their tasks, the attempts to place them, and the nodes.
+// Packages scheduler and simulation call it, with sockets and in simulated time; package api calls it for requests that change objects.
 //
-// It is pure: no I/O, no clock, no goroutines, no globals. Callers pass the time in Unix seconds, which must not decrease, and take the
-// effects of a call with Ready, to carry them out in order. The same calls at the same times give the same effects and the same stored
-// objects, whether the caller uses sockets or a simulation.
+// It is pure: no I/O, no clock, no goroutines, no globals. Callers pass the time in Unix seconds, which must not decrease. After each call they
+// get its effects from Ready and carry them out in order. The same calls at the same times give the same effects and the same stored objects.
 //
-// The engine does not decide where tasks are placed, which package placer does, nor when a placement request is retried, which package
-// retry does.
+// The engine does not decide where tasks are placed (package placer does), nor when a placement request is retried (package retry does).
 //
 // Errors of calls are ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping and *InvalidError. The other methods cannot fail: they ignore
 // unknown nodes, tasks and attempts.
+//
+// Begin reading at Engine and its calls (engine.go, calls.go) and at Effect (effect.go). wiring.go shows which part calls which; task_state.go
+// and job_state.go have the state machines.
 package engine
 
 import (
@@ -23,7 +25,8 @@
 	"heathshed/placer"
 )
 
-// Engine is the state of one scheduler. It must be used by one goroutine at a time.
+// Engine is the state of one scheduler. It passes each call to one of its parts, which own the state, and executes the actions of the placer. It
+// must be used by one goroutine at a time.
 type Engine struct {
 	*environment
 	publisher     *publisher
@@ -53,7 +56,7 @@
 	JobsCreated, JobsFinished, PodsCreated, JobsRejected, LateAnswers                  uint64
 }
 
-// rngStream selects the engine's stream among those of one seed.
+// rngStream selects the engine's random sequence among those of one seed.
 const rngStream = 0x6865617468
 
 // New returns an Engine without Jobs and nodes. It fails if the configuration cannot be used.
@@ -90,13 +93,13 @@
 // OpenTasks returns the number of tasks without a final outcome.
 func (e *Engine) OpenTasks() int { return e.tasks.open }
 
-// NextWake returns the time at which Tick is to be called, infinity if no timer is pending.
+// NextWake returns the time at which Tick must be called, infinity if no timer is pending.
 func (e *Engine) NextWake() placer.Seconds { return e.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
 func (e *Engine) Tick(now placer.Seconds) {
 	e.beginCall(now)
-	// A timer that another one adds for the same time runs in the next call.
+	// A timer that is added by another one for the same time runs in the next call.
 	for count := e.timers.Len(); count > 0; count-- {
 		due := e.timers.Pop(e.now)
 		if due == nil {
@@ -107,8 +110,8 @@
 	e.endCall()
 }
 
-// Stop rejects new Jobs from now on and gives every task that waits to be requested its final outcome. Requests that the placer has are
-// decided as usual, but not retried.
+// Stop rejects new Jobs from now on and settles every task that the placer does not know yet. The placer decides on open requests as usual,
+// but they are not retried.
 func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -14,13 +14,13 @@
 )
 
 // environment is what all parts of an Engine share: the settings, the time of the present call, the source of random numbers, the timers,
-// the queue of events to the placer, and the effects that the caller has not taken yet.
+// the queue of events to the placer, and the pending effects.
 type environment struct {
 	cfg      Config
 	now      placer.Seconds // Unix seconds of the present call
 	rng      *rand.Rand
 	events   eventqueue.Queue // to the placer
-	effects  []Effect         // not handed out yet
+	effects  []Effect         // not yet returned by Ready
 	timers   timerqueue.Queue[placer.Seconds]
 	stats    *Stats
 	stopping bool // Stop was called
@@ -28,10 +28,10 @@
 	transitions transitionCheck
 }
 
-// advanceClock takes the time of a new call. The clock never goes back.
+// advanceClock sets the time of a new call. The clock never goes back.
 func (env *environment) advanceClock(now placer.Seconds) { env.now = max(env.now, now) }
 
-// apiNow returns the time of the present call as objects of the API state it.
+// apiNow returns the time of the present call in the form of the API's objects.
 func (env *environment) apiNow() metav1.Time { return wellknown.APITime(env.now) }
 
 // post queues an event for the placer.
@@ -43,10 +43,10 @@
 // timer is a function that runs in a later Tick.
 type timer = timerqueue.Timer[placer.Seconds]
 
-// runAt has a function run in the call of Tick at a time, or in the first after it.
+// runAt schedules a function for the first call of Tick at or after a time.
 func (env *environment) runAt(when placer.Seconds, fn func()) *timer { return env.timers.Add(when, fn) }
 
-// runAfter has a function run after a delay, as runAt does.
+// runAfter schedules a function for the first call of Tick after a delay.
 func (env *environment) runAfter(delay placer.Seconds, fn func()) *timer {
 	return env.runAt(env.now+max(delay, 0), fn)
 }
@@ -54,7 +54,7 @@
 // stopTimer stops a timer. A nil timer and one that has run are ignored.
 func (env *environment) stopTimer(stopped *timer) { env.timers.Stop(stopped) }
 
-// idempotencyOf returns what the class of a task says about running it twice.
+// idempotencyOf returns whether the class of a task permits running it twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
 	return env.cfg.Placer.Classes[task.class].Idempotency
 }
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -10,7 +10,7 @@
 
 // Errors of calls. The API server turns them into statuses, with their texts as messages.
 var (
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("not found")
 	// ErrExists means that an object of this name exists.
 	ErrExists = errors.New("already exists")
@@ -30,7 +30,7 @@
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Field, e.Value, e.Detail) }
 
-// checkPreconditions returns ErrConflict if an object has another UID or resource version than required. Empty values require nothing.
+// checkPreconditions returns ErrConflict if the UID or the resource version of an object is not the required one. Empty values are not checked.
 func checkPreconditions(object metav1.Object, uid types.UID, resourceVersion string) error {
 	if uid != "" && uid != object.GetUID() {
 		return ErrConflict
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -22,8 +22,8 @@
 	indexes indexTable
 	pods    map[string]struct{} // names of the stored Pods
 
-	dirty  bool // in jobStatusWriter.dirty
-	queued bool // in jobStarter.backlog
+	dirty  bool // listed in jobStatusWriter.dirty
+	queued bool // listed in jobStarter.backlog
 
 	transitions    *transitionCheck
 	progress       jobProgress
@@ -31,7 +31,7 @@
 	failureMessage string
 	finishedAt     placer.Seconds
 	deletion       jobDeletion
-	suspended      bool // as spec.suspend was last applied: an update of a finished Job suspends nothing
+	suspended      bool // spec.suspend as last applied; an update does not suspend a finished Job
 
 	deadlineTimer *timer // activeDeadlineSeconds
 	ttlTimer      *timer // ttlSecondsAfterFinished
@@ -62,8 +62,8 @@
 // cost returns what the Job and all its Pods cost, as store.Cost counts.
 func (j *job) cost() int64 { return j.podCost * int64(1+j.indexes.len()) }
 
-// manifest returns the Job in the form that nodes keep with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if
-// the Job cannot be encoded: the task is then adopted without its Job.
+// manifest returns the Job in the form that nodes store with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if the
+// Job cannot be encoded: its tasks are then adopted without it.
 func (j *job) manifest() string {
 	if j.manifestText != "" {
 		return j.manifestText
@@ -99,17 +99,17 @@
 
 func (j *job) removePod(name string) { delete(j.pods, name) }
 
-// releasePods gives up the Pods of a Job that is deleted without them.
+// releasePods detaches the Pods of a Job that is deleted without them.
 func (j *job) releasePods() { j.pods = nil }
 
-// startFailing has the Job fail as a whole.
+// startFailing records that the Job fails as a whole.
 func (j *job) startFailing(reason, message string) {
 	j.setProgress(jobFailing)
 	j.failureReason = reason
 	j.failureMessage = message
 }
 
-// finish records that no task is left and none is started.
+// finish records that the Job has no task left and starts none.
 func (j *job) finish(now placer.Seconds) {
 	j.setProgress(j.progress.afterLastTask())
 	j.finishedAt = now
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -7,7 +7,7 @@
 	"heathshed/placer"
 )
 
-// jobController creates, updates, finishes and deletes Jobs, and takes the outcomes and the ends of their tasks.
+// jobController creates, updates, finishes and deletes Jobs, and records the outcomes and the ends of their tasks.
 type jobController struct {
 	*environment
 	jobs          *jobTable
@@ -30,7 +30,7 @@
 	}
 }
 
-// taskEnded counts the end of a task, and has its index started again where the Job asks for that.
+// taskEnded counts the end of a task, and schedules another start of its index if the Job permits it.
 func (c *jobController) taskEnded(task *task, succeeded bool, cause retry.Cause) {
 	job := task.job
 	if job.indexes.at(task.index).task != task {
@@ -70,7 +70,7 @@
 		return
 	}
 	job.ttlTimer = c.runAfter(retention, func() {
-		if c.jobs.holds(job) {
+		if c.jobs.contains(job) {
 			c.remove(job, metav1.DeletePropagationBackground)
 		}
 	})
@@ -83,7 +83,7 @@
 	c.jobs.addFinished(finished)
 }
 
-// fail ends a Job as a whole: its active tasks are stopped.
+// fail makes a Job fail as a whole: its active tasks are stopped.
 func (c *jobController) fail(job *job, reason, message string) {
 	if job.progress != jobRunning || job.isDeleted() {
 		return
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -11,7 +11,7 @@
 	"heathshed/placer"
 )
 
-// newJob returns the state of a Job of which nothing was started. The error is an *InvalidError.
+// newJob returns the state of a Job none of whose tasks was started. The error is an *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
 	class, invalid := c.cfg.classFromLabels(labels)
@@ -83,10 +83,10 @@
 // Limits of generated names.
 const (
 	maxGeneratedPrefix = 248 // characters of generateName that are used
-	maxNameDraws       = 8   // names that are drawn if they are taken, as by the Kubernetes API server
+	maxNameDraws       = 8   // names drawn until one is free, as by the Kubernetes API server
 )
 
-// generateName names a Job that has only a generateName.
+// generateName sets the name of a Job that has only a generateName.
 func (c *jobController) generateName(object *batchv1.Job) {
 	if object.Name != "" || object.GenerateName == "" {
 		return
@@ -119,7 +119,7 @@
 	labels["job-name"] = object.Name // the older form of the label
 }
 
-// exceedsLimits reports whether a new Job is too much beside the stored objects and the Pods that are still to be created.
+// exceedsLimits reports whether a new Job exceeds MaxPods or MaxObjects together with the stored objects and the Pods still to be created.
 func (c *jobController) exceedsLimits(created *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
 	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
@@ -128,7 +128,7 @@
 	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
 }
 
-// minFinishedRetention is how long a finished Job is kept at least, so that its outcome can be read.
+// minFinishedRetention is the shortest time for which a finished Job is kept, so that its outcome can be read.
 const minFinishedRetention placer.Seconds = 30
 
 // evictFinished removes the Job that finished first, and reports whether it did. A dry run removes nothing.
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// deleteObject gives up a Job and removes it from the store.
+// deleteObject removes a Job from the job table and from the store.
 func (c *jobController) deleteObject(job *job) {
 	if c.jobs.remove(job) {
 		c.publisher.deleteJob(job.object)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -42,7 +42,7 @@
 	retryTimer  *timer
 }
 
-// indexTable holds the completion indexes of a Job and what is counted of them. Only its methods change them.
+// indexTable owns the completion indexes of a Job and their counts. Only its methods change them.
 type indexTable struct {
 	job         string // store.Key of the Job
 	transitions *transitionCheck
@@ -58,7 +58,7 @@
 	unplacedMayHaveRun bool                // a task without placement may have run
 }
 
-// newIndexTable returns a table of pending indexes, whose first tasks may be retried as often as the budget says.
+// newIndexTable returns a table of pending indexes, whose first tasks have the given retry budget.
 func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
 	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[taskOutcome]int{}}
 	for i := range table.all {
@@ -75,10 +75,10 @@
 // allEnded reports whether no index has a task that is still to succeed.
 func (t *indexTable) allEnded() bool { return t.succeeded+t.exhausted >= len(t.all) }
 
-// unstarted returns how many indexes are left to look at for a start.
+// unstarted returns the number of indexes that takeNext has yet to return.
 func (t *indexTable) unstarted() int { return len(t.all) - t.next }
 
-// takeNext returns the next index to look at for a start, unless as many are active as the parallelism allows.
+// takeNext returns the next index to consider for a start, unless the parallelism is reached.
 func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
@@ -87,16 +87,16 @@
 	return t.next - 1, true
 }
 
-// skipAll has no index started until restart is called for it.
+// skipAll keeps every index from being started until restart is called for it.
 func (t *indexTable) skipAll() { t.next = len(t.all) }
 
-// start makes a new task that of an index.
+// start assigns a new task to an index.
 func (t *indexTable) start(i int, started *task) {
 	t.activate(i, started)
 	t.all[i].retryTimer = nil
 }
 
-// adopt makes a task that was found running that of an index without one.
+// adopt assigns a task that was found running to an index that has none.
 func (t *indexTable) adopt(i int, adopted *task) {
 	if t.all[i].state == indexFinished {
 		t.exhausted--
@@ -105,14 +105,14 @@
 	t.activate(i, adopted)
 }
 
-// activate gives an index a task.
+// activate assigns a task to an index.
 func (t *indexTable) activate(i int, active *task) {
 	t.setState(i, indexActive)
 	t.all[i].task = active
 	t.active++
 }
 
-// settle counts the final outcome of the first task of an index, and reports whether it was that of the first.
+// settle counts an outcome if it is the first final one of an index, and reports whether it is.
 func (t *indexTable) settle(i int, outcome taskOutcome) bool {
 	index := &t.all[i]
 	if index.settled {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// settleTask counts the final outcome of a task if it is the first of its index, and reports whether it is.
+// settleTask counts the final outcome of a task if it is the first one of its index, and reports whether it is.
 func (t *indexTable) settleTask(settled *task, outcome taskOutcome) bool {
 	if !t.settle(settled.index, outcome) {
 		return false
@@ -132,7 +132,7 @@
 	return true
 }
 
-// end takes the end of an index's task. One of succeed, fail and restart follows unless the Job is deleted.
+// end records that an index's task has ended. One of succeed, fail and restart follows unless the Job is deleted.
 func (t *indexTable) end(i int) {
 	t.all[i].task = nil
 	t.setState(i, indexRetrying)
@@ -145,7 +145,7 @@
 	t.setState(i, indexFinished)
 }
 
-// fail counts a task that ended without success, and finishes its index unless that is started again.
+// fail counts a task that ended without success, and finishes its index unless the index is started again.
 func (t *indexTable) fail(i int, startedAgain bool) {
 	t.failed++
 	if !startedAgain {
@@ -162,19 +162,19 @@
 	}
 }
 
-// restart has an index started anew when the Job's turn comes.
+// restart makes an index pending again, so that it is started when the Job is next served from the backlog.
 func (t *indexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.next = min(t.next, i)
 }
 
-// retryLater sets the timer that starts an index again, and the retries that its next task has.
+// retryLater sets the timer that starts an index again, and the retry budget of its next task.
 func (t *indexTable) retryLater(i, retryBudget int, retryTimer *timer) {
 	t.all[i].retryBudget = retryBudget
 	t.all[i].retryTimer = retryTimer
 }
 
-// setState is the only place where an index changes its state. It goes on after an illegal transition, which CheckInvariants reports.
+// setState is the only place where an index changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *indexTable) setState(i int, next indexState) {
 	index := &t.all[i]
 	if !slices.Contains(indexTransitions[index.state], next) {
@@ -183,7 +183,7 @@
 	index.state = next
 }
 
-// violatedInvariant describes what does not agree between a Job's indexes and their tasks, "" if all does.
+// violatedInvariant describes the first inconsistency between a Job's indexes and their tasks, "" if there is none.
 func (t *indexTable) violatedInvariant(owner *job) string {
 	active := 0
 	for i := range t.all {
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -18,7 +18,7 @@
 	}
 	budget := task.retryBudget
 	if cause == retry.Migrated || task.isStopping() {
-		budget = max(budget, 1) // a stop that this scheduler ordered costs nothing
+		budget = max(budget, 1) // a stop that this scheduler ordered does not use up the budget
 	}
 	// The end of the task is known: only the time of its start is left to choose.
 	decision, at := s.cfg.Retry.Next(retry.State{
@@ -58,7 +58,7 @@
 	case cause == retry.Rejected && !task.isStopping():
 		return false // its requests were retried as often as allowed
 	case idempotency == placer.NonIdempotent:
-		return cause != retry.Failed && task.attempts.evidence != possiblyRan // it neither ran to its end nor may have a copy
+		return cause != retry.Failed && task.attempts.evidence != possiblyRan // it neither ran to its end nor may run elsewhere
 	}
 	return true
 }
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -12,7 +12,7 @@
 	"heathshed/placer"
 )
 
-// jobStarter starts the tasks of Jobs by turns, and starts indexes again whose tasks ended without success.
+// jobStarter starts the tasks of Jobs round-robin, and restarts indexes whose tasks ended without success.
 type jobStarter struct {
 	*environment
 	jobController *jobController
@@ -47,7 +47,7 @@
 	s.scheduleStarts()
 }
 
-// scheduleStarts has the tasks of the backlog started by a timer that is due at once.
+// scheduleStarts sets a timer, due at once, that starts tasks of the backlog.
 func (s *jobStarter) scheduleStarts() {
 	if len(s.backlog) > 0 && !s.scheduled {
 		s.scheduled = true
@@ -55,10 +55,10 @@
 	}
 }
 
-// startsPerTurn is how many tasks a Job may start before the next Job's turn.
-const startsPerTurn = 32
+// startsPerRound is the number of tasks that a Job may start before the next Job is served.
+const startsPerRound = 32
 
-// startTasks starts tasks of the Jobs in the backlog by turns, up to MaxStartsPerCall, so that a large Job delays no other.
+// startTasks starts tasks of the Jobs in the backlog round-robin, up to MaxStartsPerCall, so that a large Job does not delay others.
 func (s *jobStarter) startTasks() {
 	s.scheduled = false
 	left := s.cfg.MaxStartsPerCall
@@ -69,7 +69,7 @@
 		if !job.canStart() {
 			continue
 		}
-		left -= s.startTurn(job, left)
+		left -= s.startRound(job, left)
 		s.drainEvents()
 		if job.indexes.unstarted() > 0 && job.indexes.active < job.parallelism() {
 			s.enqueue(job)
@@ -78,11 +78,11 @@
 	s.scheduleStarts()
 }
 
-// startTurn looks at the next indexes of a Job, and starts those that are pending, up to a limit. It returns how many it started.
-func (s *jobStarter) startTurn(job *job, limit int) int {
+// startRound starts the next pending indexes of a Job, up to a limit, and returns how many it started.
+func (s *jobStarter) startRound(job *job, limit int) int {
 	parallelism := job.parallelism()
 	started := 0
-	for range startsPerTurn {
+	for range startsPerRound {
 		if started >= limit {
 			break
 		}
@@ -116,7 +116,7 @@
 	s.jobStatus.markDirty(job)
 }
 
-// maxPodNamePrefix is how many characters of a Job's name begin the names of its Pods.
+// maxPodNamePrefix is the number of characters of a Job's name with which the names of its Pods begin.
 const maxPodNamePrefix = 52
 
 // newTask returns the next task of a Job's index.
@@ -136,7 +136,7 @@
 	return created
 }
 
-// newPod returns the Pod of a new task. It shares the Spec with the Job's template: what is stored is never changed.
+// newPod returns the Pod of a new task. It shares the Spec with the Job's template, since stored objects are never changed.
 func (s *jobStarter) newPod(task *task) *corev1.Pod {
 	object := task.job.object
 	index := strconv.Itoa(task.index)
@@ -165,7 +165,7 @@
 	return maps.Clone(original)
 }
 
-// pendingPods returns how many Pods the Jobs in the backlog still create, and what they will cost.
+// pendingPods returns the number of Pods that the Jobs in the backlog have yet to create, and their cost.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
 		pending := job.indexes.unstarted()
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// jobProgress is how far a Job has come towards its end. A Job may be suspended whatever its progress: see job.suspended.
+// jobProgress is the state of a Job on the way to its final condition. A Job may be suspended in any state: see job.suspended.
 type jobProgress uint8
 
 const (
@@ -35,7 +35,7 @@
 // finished reports whether the Job has its final condition.
 func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
 
-// failsAsWhole reports whether the Job fails, or has failed, for a reason of its own and not for its indexes.
+// failsAsWhole reports whether the Job fails, or has failed, for a reason of its own and not because of its indexes.
 func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
 
 // afterLastTask returns the progress of a Job that has no task left and starts none.
@@ -46,7 +46,7 @@
 	return jobEnded
 }
 
-// jobDeletion is how far the deletion of a Job by the API has come.
+// jobDeletion is the state of the deletion of a Job by the API.
 type jobDeletion uint8
 
 const (
@@ -71,7 +71,7 @@
 	jobDeleted:            {},
 }
 
-// setProgress is the only place where a Job's progress changes. It goes on after an illegal transition, which CheckInvariants reports.
+// setProgress is the only place where a Job's progress changes. It makes an illegal transition too, which CheckInvariants reports.
 func (j *job) setProgress(next jobProgress) {
 	if !slices.Contains(jobProgressTransitions[j.progress], next) {
 		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.progress, next)
@@ -79,7 +79,7 @@
 	j.progress = next
 }
 
-// setDeletion is the only place where the deletion of a Job advances. It goes on after an illegal transition, as setProgress does.
+// setDeletion is the only place where the deletion of a Job advances. It makes an illegal transition too, as setProgress does.
 func (j *job) setDeletion(next jobDeletion) {
 	if !slices.Contains(jobDeletionTransitions[j.deletion], next) {
 		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.deletion, next)
@@ -87,21 +87,21 @@
 	j.deletion = next
 }
 
-// isDeleted reports whether the API has deleted the Job. Its Pods may be left.
+// isDeleted reports whether the API has deleted the Job. Its Pods may still exist.
 func (j *job) isDeleted() bool { return j.deletion != jobKept }
 
 // canStart reports whether tasks of the Job may be started.
 func (j *job) canStart() bool { return !j.isDeleted() && !j.suspended && !j.progress.failsAsWhole() }
 
-// violatedInvariant describes what does not agree between a Job that is held, its states and its tasks, "" if all does.
+// violatedInvariant describes the first inconsistency between a Job in the job table, its states and its tasks, "" if there is none.
 func (j *job) violatedInvariant() string {
 	switch {
 	case j.deletion == jobDeleted:
-		return "violated: a deleted Job is not held"
+		return "violated: a deleted Job is not in the job table"
 	case j.progress.failsAsWhole() != (j.failureReason != ""):
 		return "violated: a Job has a reason to fail only if it fails as a whole"
 	case j.deletion == jobDeletingForeground && len(j.pods) == 0:
-		return "violated: a Job that is deleted in the foreground is held only for its Pods"
+		return "violated: a Job that is deleted in the foreground is kept only for its Pods"
 	}
 	return j.indexes.violatedInvariant(j)
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -11,7 +11,7 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// jobStatusWriter stores the statuses of Jobs that have changed, at the end of each call.
+// jobStatusWriter stores the changed statuses of Jobs at the end of each call.
 type jobStatusWriter struct {
 	*environment
 	jobs          *jobTable
@@ -31,7 +31,7 @@
 	}
 }
 
-// markDirty has the status of a Job written at the end of the call.
+// markDirty schedules the status of a Job to be written at the end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
 	if !job.dirty {
 		job.dirty = true
@@ -41,7 +41,7 @@
 
 // write stores a Job's status if it has changed.
 func (w *jobStatusWriter) write(job *job) {
-	if job.isDeleted() || !w.jobs.holds(job) {
+	if job.isDeleted() || !w.jobs.contains(job) {
 		return
 	}
 	if job.indexes.len() == 0 && !job.progress.finished() && !job.suspended {
@@ -58,7 +58,7 @@
 	w.publisher.putJob(&updated)
 }
 
-// showStatus brings the status of a Job up to date.
+// showStatus sets the status of a Job from its state.
 func (j *job) showStatus(status *batchv1.JobStatus, now metav1.Time) {
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -9,7 +9,7 @@
 	"heathshed/internal/kube/store"
 )
 
-// jobTable holds the Jobs of an Engine.
+// jobTable owns the set of Jobs of an Engine, with the order in which they finished.
 type jobTable struct {
 	byKey    map[string]*job // by store.Key
 	finished []*job          // in order of their end; deleted ones are skipped
@@ -18,14 +18,14 @@
 // get returns the Job of a key, nil if there is none.
 func (t *jobTable) get(key string) *job { return t.byKey[key] }
 
-// holds reports whether a Job has not been removed.
-func (t *jobTable) holds(job *job) bool { return t.byKey[job.key] == job }
+// contains reports whether a Job has not been removed. Another Job of the same name is not the same.
+func (t *jobTable) contains(job *job) bool { return t.byKey[job.key] == job }
 
 func (t *jobTable) add(added *job) { t.byKey[added.key] = added }
 
-// remove gives up a Job, and reports whether it was held.
+// remove removes a Job, and reports whether the table contained it.
 func (t *jobTable) remove(removed *job) bool {
-	if !t.holds(removed) {
+	if !t.contains(removed) {
 		return false
 	}
 	delete(t.byKey, removed.key)
@@ -46,10 +46,10 @@
 	return nil
 }
 
-// minFinishedSlack bounds the entries of deleted Jobs among the finished, together with the number of Jobs.
+// minFinishedSlack, together with the number of Jobs, bounds the entries of deleted Jobs in jobTable.finished.
 const minFinishedSlack = 16
 
-// addFinished appends a Job to those that have finished.
+// addFinished appends a Job to the list of finished ones.
 func (t *jobTable) addFinished(finished *job) {
 	if len(t.finished) > 2*len(t.byKey)+minFinishedSlack {
 		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.isDeleted() })
@@ -57,11 +57,11 @@
 	t.finished = append(t.finished, finished)
 }
 
-// oldestFinished returns the Job that finished first, nil if none is held.
+// oldestFinished returns the Job that finished first, nil if the table contains no finished one.
 func (t *jobTable) oldestFinished() *job {
 	for len(t.finished) > 0 {
 		oldest := t.finished[0]
-		if !oldest.isDeleted() && t.holds(oldest) {
+		if !oldest.isDeleted() && t.contains(oldest) {
 			return oldest
 		}
 		t.finished = t.finished[1:]
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// dropOldestFinished takes the Job that finished first from those that have finished.
+// dropOldestFinished removes the Job that finished first from the list of finished ones.
 func (t *jobTable) dropOldestFinished() { t.finished = t.finished[1:] }
 
-// checkInvariants returns an error if a Job does not agree with its tasks.
+// checkInvariants returns an error if the state of a Job is inconsistent with that of its tasks.
 func (t *jobTable) checkInvariants() error {
 	for key, job := range t.byKey {
 		if violated := job.violatedInvariant(); violated != "" {
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// finishedJob returns a Job that is held and has finished.
+// finishedJob adds a finished Job to a table and returns it.
 func finishedJob(table *jobTable, key string) *job {
 	finished := &job{key: key, progress: jobEnded, transitions: &transitionCheck{}}
 	table.add(finished)
@@ -18,7 +18,7 @@
 	}{
 		{"in order of the end", func(*jobTable, *job, *job) {}, "first"},
 		{"a deleted one is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
-		{"one that is not held is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
+		{"one that was removed is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
 		{"one whose name another Job has is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
 		{"dropped ones are gone", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
 		{"none is left", func(table *jobTable, first, second *job) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestDeletedJobsDoNotPileUp checks that the list of finished Jobs is bounded by the Jobs that are held.
+// TestDeletedJobsDoNotPileUp checks that the list of finished Jobs is bounded by the number of Jobs in the table.
 func TestDeletedJobsDoNotPileUp(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
@@ -52,7 +52,7 @@
 		table.remove(finished)
 	}
 	if got, most := len(table.finished), minFinishedSlack+3; got > most {
-		t.Errorf("%d finished Jobs are listed with none held, want at most %d", got, most)
+		t.Errorf("%d finished Jobs are listed with none in the table, want at most %d", got, most)
 	}
 }
 
@@ -64,7 +64,7 @@
 	if table.remove(first) {
 		t.Error("a Job was removed whose name another one has")
 	}
-	if !table.holds(second) || !table.remove(second) || table.get("default/j") != nil {
-		t.Error("the Job that is held was not removed")
+	if !table.contains(second) || !table.remove(second) || table.get("default/j") != nil {
+		t.Error("the Job in the table was not removed")
 	}
 }
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -36,7 +36,7 @@
 	return c.jobs.get(job.key).object, nil
 }
 
-// updatedJob returns a copy of a Job with the changeable parts of an update.
+// updatedJob returns a copy of a Job with the mutable fields of an update.
 func updatedJob(current, update *batchv1.Job) *batchv1.Job {
 	next := current.DeepCopy()
 	next.Labels = maps.Clone(update.Labels)
@@ -48,7 +48,7 @@
 	return next
 }
 
-// checkJobUpdate returns an error if an update changes what must not change, or sets what is not valid.
+// checkJobUpdate returns an error if an update changes an immutable field or sets an invalid value.
 func checkJobUpdate(current, update *batchv1.Job) *InvalidError {
 	for _, field := range []struct {
 		path string
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// applySuspend suspends, resumes or goes on with a Job after an update.
+// applySuspend suspends or resumes a Job after an update, or starts tasks that the update permits.
 func (c *jobController) applySuspend(job *job, suspend bool) {
 	switch {
 	case suspend && !job.suspended && !job.progress.finished():
--- a/internal/kube/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -8,12 +8,12 @@
 	"heathshed/placer"
 )
 
-// serviceID returns the placer's identity of a service. Every scheduler computes the same.
+// serviceID returns the placer's identity of a service. Every scheduler computes the same one.
 func serviceID(namespace, service string) placer.ServiceID {
 	return placer.ServiceID(xxhash.Sum64String(namespace + "/" + service))
 }
 
-// intern returns the index of a name, which it adds to the indexes if it is new.
+// intern returns the index of a name, to which it assigns the next index if it is new.
 func intern(indexes map[string]int, name string) int {
 	index, ok := indexes[name]
 	if !ok {
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -19,38 +19,38 @@
 	state   placer.NodeState
 
 	inventory         *corev1.Node   // as last listed; nil once the node is removed
-	reportedToPlacer  bool           // state is that of an earlier report to the placer
+	reportedToPlacer  bool           // state was reported to the placer
 	absentSince       placer.Seconds // when the node became absent from the inventory or, absent, unresponsive
-	listedIncarnation string         // as the inventory states
-	listedStartedAt   placer.Seconds // when that began by this scheduler's clock; 0 is long ago
+	listedIncarnation string         // according to the inventory
+	listedStartedAt   placer.Seconds // its start by this scheduler's clock; 0 is long ago
 
 	podsWatched      bool     // the node's Pods were listed and are watched
 	incarnation      string   // as the node itself states
-	pastIncarnations []string // a late message of one of them means nothing
+	pastIncarnations []string // late messages from them are ignored
 
 	running         map[types.UID]*task
 	unknownOutcomes map[*attempt]struct{} // attempts that the node may have accepted
 
 	drainOrdered         bool              // unschedulable by an API update
-	labelOverride        map[string]string // labels by an API update; nil while those of the inventory show
-	publishPending       bool              // the API update is not published yet
+	labelOverride        map[string]string // labels set by an API update; nil while those of the inventory are shown
+	publishPending       bool              // an API update is not published yet
 	publishedAt          placer.Seconds    // last change of the stored Node
 	publishedFingerprint uint64            // of the inventory's Node that was published
 }
 
-// overrideLabels has the API show the labels of an update, but for those that only the inventory sets.
+// overrideLabels makes the API show the labels of an update, except for those that only the inventory sets.
 func (n *node) overrideLabels(labels map[string]string) {
 	n.labelOverride = cloneOrMake(labels)
 	n.publishPending = true
 }
 
-// orderDrain has the node drained, or ends its drain, by an API update.
+// orderDrain records that an API update drains the node, or ends its drain.
 func (n *node) orderDrain(drain bool) {
 	n.drainOrdered = drain
 	n.publishPending = true
 }
 
-// startPublish records what the inventory states of a node that is about to be published with all API updates.
+// startPublish records the inventory's fingerprint of a node that is about to be published with all API updates.
 func (n *node) startPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
 	n.publishPending = false
@@ -85,10 +85,10 @@
 	return unresolved
 }
 
-// maxPastIncarnations is how many past incarnations of a node are remembered.
+// maxPastIncarnations bounds the past incarnations of a node that are remembered.
 const maxPastIncarnations = 16
 
-// startsIncarnation takes the identity that a node states, and reports whether a known incarnation has ended by it.
+// startsIncarnation records the incarnation that a node states, and reports whether it ends a known one.
 func (n *node) startsIncarnation(incarnation string) bool {
 	if incarnation == "" || incarnation == n.incarnation || slices.Contains(n.pastIncarnations, incarnation) {
 		return false
@@ -102,7 +102,7 @@
 	return previous != ""
 }
 
-// freeCapacity returns the cores and the memory in GiB of a node that are not requested, 0 where the inventory does not state them.
+// freeCapacity returns the unrequested cores and memory (GiB) of a node, 0 where the inventory does not state them.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
 	free, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -12,14 +12,14 @@
 	"heathshed/placer"
 )
 
-// minPublishInterval is the least time between changes of a stored Node of which only the free capacity differs.
+// minPublishInterval is the shortest time between two changes of a stored Node in which only the free capacity differs.
 const minPublishInterval placer.Seconds = 5
 
 // inventoryLabels are the labels that only the inventory sets.
 var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.Kind}
 
-// publishNode stores a node as the API shows it: as the inventory states, with the labels and the drain order that were given by the API.
-// Changes of the free capacity alone come often, and are stored at most once in minPublishInterval.
+// publishNode stores a node as the API shows it: that of the inventory, with the labels and the drain order set through the API. Changes of the
+// free capacity alone are frequent, and are stored at most once in minPublishInterval.
 func (p *publisher) publishNode(node *node) {
 	if node.inventory == nil {
 		p.store.Delete(store.Nodes, "", node.name)
@@ -52,7 +52,7 @@
 // onlyFreeCapacityDiffers reports whether a node differs from the stored one in nothing but the free capacity.
 func onlyFreeCapacityDiffers(stored, published *corev1.Node) bool {
 	if published.Annotations == nil {
-		return false // it states no free capacity that could differ
+		return false // there is no free capacity that could differ
 	}
 	free := published.Annotations[wellknown.FreeCapacity]
 	published.Annotations[wellknown.FreeCapacity] = stored.Annotations[wellknown.FreeCapacity]
@@ -93,8 +93,7 @@
 	return false
 }
 
-// nodeFingerprint returns a hash of what the inventory states of a node, without its free capacity and resource version, and whether it
-// could be computed.
+// nodeFingerprint returns a hash of a Node of the inventory without its free capacity and resource version, and whether it could be computed.
 func nodeFingerprint(object *corev1.Node) (hash uint64, ok bool) {
 	stripped := *object
 	stripped.ResourceVersion = ""
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -19,11 +19,11 @@
 	FullList Listing = iota
 	// Changes contains nodes that were added, changed or removed.
 	Changes
-	// ListUnavailable contains nothing: the inventory cannot be reached, and what is known stays.
+	// ListUnavailable contains nothing: the inventory cannot be reached, and the last list remains in force.
 	ListUnavailable
 )
 
-// nodeRegistry holds the nodes that the inventory lists, or that run tasks.
+// nodeRegistry owns the nodes that the inventory lists, or that run tasks.
 type nodeRegistry struct {
 	*environment
 	lifecycle *taskLifecycle
@@ -32,21 +32,21 @@
 
 	byName          map[string]*node
 	byID            map[placer.NodeID]*node
-	zones           map[string]int // the placer's numbers of the zones
-	racks           map[string]int // the placer's numbers of the racks
+	zones           map[string]int // the placer's numbers of zones
+	racks           map[string]int // the placer's numbers of racks
 	inventoryListed bool           // the inventory was listed at least once
 }
 
-// get returns the node of a name, nil if it is unknown.
+// get returns the node with a name, nil if it is unknown.
 func (r *nodeRegistry) get(name string) *node { return r.byName[name] }
 
-// withID returns the node of a number at the placer, nil if it is unknown.
+// withID returns the node with an ID at the placer, nil if it is unknown.
 func (r *nodeRegistry) withID(id placer.NodeID) *node { return r.byID[id] }
 
 // listed implements Engine.NodesListed.
 func (r *nodeRegistry) listed(kind Listing, nodes []*corev1.Node, removed []string) {
 	if kind == ListUnavailable {
-		// The placer did not request a list that is pushed: the caller watches again by itself.
+		// The caller resumes its watch by itself: only a list that the placer requested needs an answer.
 		if r.cfg.Placer.Discovery.MustPoll {
 			r.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
@@ -69,7 +69,7 @@
 	r.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: reported})
 }
 
-// update takes listed nodes and returns them, without those whose number at the placer is that of another node.
+// update applies listed nodes and returns them, except for those whose ID at the placer is that of another node.
 func (r *nodeRegistry) update(listed []*corev1.Node) []*node {
 	var updated []*node
 	for _, object := range listed {
@@ -78,14 +78,14 @@
 			continue
 		}
 		r.setAddress(node, wellknown.NodeAddress(object))
-		// The list may be late and state an earlier incarnation: the present one is only known from the node itself.
+		// The list may be late and state an earlier incarnation: only the node itself knows the present one.
 		node.inventory = object
 		updated = append(updated, node)
 	}
 	return updated
 }
 
-// getOrAdd returns the node of a name, which it adds if it is new. It returns nil if another node has the same number at the placer.
+// getOrAdd returns the node with a name, which it adds if it is new. It returns nil if another node has the same ID at the placer.
 func (r *nodeRegistry) getOrAdd(name string) *node {
 	if known := r.byName[name]; known != nil {
 		return known
@@ -99,7 +99,7 @@
 	return added
 }
 
-// setAddress has the Pods of a node watched at its present address.
+// setAddress starts to watch the Pods of a node at its present address.
 func (r *nodeRegistry) setAddress(node *node, address string) {
 	if address == node.address {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// unlisted returns the names of the nodes in the inventory that a full list lacks, in no order.
+// unlisted returns the names of the nodes in the inventory that are not in a full list, in no order.
 func (r *nodeRegistry) unlisted(listed []*corev1.Node) []string {
 	names := make(map[string]bool, len(listed))
 	for _, object := range listed {
@@ -129,7 +129,7 @@
 	return unlisted
 }
 
-// remove takes nodes out of the inventory and returns those that were in it.
+// remove records that nodes have left the inventory and returns those that were in it.
 func (r *nodeRegistry) remove(names []string) []*node {
 	var removed []*node
 	for _, name := range names {
@@ -189,14 +189,14 @@
 	return node.listedStartedAt
 }
 
-// absent records that a node is absent from the inventory, and checks later whether its tasks are lost.
+// absent records that a node is absent from the inventory, and schedules the check whether its tasks are lost.
 func (r *nodeRegistry) absent(node *node) {
 	node.absentSince = r.now
 	r.runAfter(r.cfg.NodeLossTimeout, func() { r.checkLoss(node) })
 }
 
 // checkLoss ends the tasks of a node that has been absent and unresponsive for long enough. A task that must not run twice does not
-// end: the node may only be unreachable, and only the node itself, or a new incarnation of it, can tell that the task has ended.
+// end: the node may only be unreachable, and only the node itself, or a new incarnation of it, can report that the task has ended.
 func (r *nodeRegistry) checkLoss(node *node) {
 	absentFor := r.now - node.absentSince
 	if node.state != placer.Terminated || node.podsWatched || absentFor < r.cfg.NodeLossTimeout {
@@ -235,13 +235,13 @@
 	return listed, watched
 }
 
-// podsListed records that a node has listed its Pods, which are watched from now on.
+// podsListed records that a node has listed its Pods and that they are watched.
 func (r *nodeRegistry) podsListed(node *node, incarnation string) {
 	node.podsWatched = true
 	r.observeIncarnation(node, incarnation)
 }
 
-// observeIncarnation takes the identity of a node's incarnation. Nothing that ran in an earlier incarnation runs in a new one.
+// observeIncarnation records the incarnation that a node states. Nothing that ran in an earlier incarnation runs in a new one.
 func (r *nodeRegistry) observeIncarnation(node *node, incarnation string) {
 	if !node.startsIncarnation(incarnation) {
 		return
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// previewUpdate returns what an update would store.
+// previewUpdate returns the Node that an update would store.
 func (n *node) previewUpdate(stored, update *corev1.Node, drain *bool) *corev1.Node {
 	preview := stored.DeepCopy()
 	preview.Labels = update.Labels
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -23,7 +23,7 @@
 	exitKilled  = 137 // 128 + SIGKILL
 )
 
-// exitCode returns the exit code that the containers of an ended task show.
+// exitCode returns the exit code that is stored for the containers of an ended task.
 func (end *taskEnd) exitCode() int32 {
 	switch {
 	case end.succeeded():
@@ -100,7 +100,7 @@
 	})
 }
 
-// showStarted writes into a Pod that its containers run.
+// showStarted marks the containers of a Pod as running.
 func showStarted(pod *corev1.Pod, now metav1.Time) {
 	pod.Status.Phase = corev1.PodRunning
 	pod.Status.StartTime = &now
@@ -121,7 +121,7 @@
 	}
 }
 
-// showEnded writes into a Pod how its task ended.
+// showEnded writes the end of a task into its Pod.
 func showEnded(pod *corev1.Pod, now metav1.Time, end *taskEnd) {
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
@@ -143,7 +143,7 @@
 	}
 }
 
-// showDeleted writes into a Pod that it was deleted and waits for the end of its task.
+// showDeleted marks a Pod as deleted: it is removed once its task has ended.
 func showDeleted(pod *corev1.Pod, now metav1.Time) {
 	gracePeriod := int64(deletionGracePeriod)
 	pod.DeletionTimestamp = &now
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// podObserver takes what nodes show of the Pods that they run.
+// podObserver applies what nodes report of the Pods that they run to the tasks. It is stateless.
 type podObserver struct {
 	*environment
 	tasks     *taskTable
@@ -31,7 +31,7 @@
 		o.observe(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.running) {
-		// A task that was accepted after the list was made is not in it.
+		// The list does not contain tasks that were accepted after it was made.
 		if !seen[task.uid] && task.attempts.running.revision <= revision {
 			o.runningMissing(task)
 		}
@@ -45,7 +45,7 @@
 	}
 }
 
-// observe brings a task in line with what a node shows of it.
+// observe applies a node's report of a Pod to its task.
 func (o *podObserver) observe(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
 	over := deleted || wellknown.Finished(pod)
@@ -56,7 +56,7 @@
 		return
 	}
 	if pending := task.attempts.inFlight; pending != nil && pending.node == node {
-		// The answer is on its way, or will be lost: what the watch shows meanwhile is used once that is known.
+		// The answer may still arrive: the observation is used once it has arrived or is known to be lost.
 		pending.observe(observedAt(node, pod, deleted))
 		return
 	}
@@ -75,12 +75,12 @@
 	}
 }
 
-// observedAt returns what a node shows of a Pod in its present incarnation.
+// observedAt returns the observation of a Pod at a node in its present incarnation.
 func observedAt(node *node, pod *corev1.Pod, deleted bool) *observedPod {
 	return &observedPod{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
 }
 
-// observeRunning takes what a node shows of a task that it has accepted.
+// observeRunning applies a node's report of a task that it has accepted.
 func (o *podObserver) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
 	case pod.Status.Phase == corev1.PodSucceeded:
@@ -98,8 +98,7 @@
 	}
 }
 
-// reportUsage forwards the resource usage that a node states of a task to the placer. A usage that cannot be parsed is ignored, as is one
-// that is not stated.
+// reportUsage forwards the resource usage that a node states for a task to the placer. A usage that is absent or cannot be parsed is ignored.
 func (o *podObserver) reportUsage(running *attempt, pod *corev1.Pod) {
 	used, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
 	if err != nil {
@@ -124,10 +123,10 @@
 	}
 }
 
-// reasonError is the reason that a node states for a task that ended by itself without success.
+// reasonError is the reason that a node states for a task that failed by itself.
 const reasonError = "Error"
 
-// failedEnd describes the end of a task whose Pod the node shows as failed.
+// failedEnd describes the end of a task whose Pod the node reports as failed.
 func failedEnd(task *task, pod *corev1.Pod) taskEnd {
 	end := taskEnd{result: placer.Lost, status: pod.Status.Reason, message: pod.Status.Message}
 	switch pod.Status.Reason {
@@ -148,7 +147,7 @@
 	return end
 }
 
-// runningMissing ends a task that its node does not have any more.
+// runningMissing ends a task that its node no longer has.
 func (o *podObserver) runningMissing(task *task) {
 	if task.isStopping() {
 		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -7,7 +7,7 @@
 	"heathshed/internal/kube/store"
 )
 
-// publisher writes what the API shows of Jobs, Pods, Nodes and Namespaces into the store. No other part writes to the store.
+// publisher owns the store and writes the Jobs, Pods, Nodes and Namespaces that the API shows into it. No other part writes to the store.
 type publisher struct {
 	*environment
 	store *store.Store
@@ -49,7 +49,8 @@
 	return object.(*corev1.Pod)
 }
 
-// updatePod stores a changed copy of a task's Pod, if it is stored. Of the Spec only the node's name may be changed: the rest is shared.
+// updatePod stores a changed copy of a task's Pod, if it is stored. The change may set no field of the Spec but the node's name: the rest is
+// shared.
 func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
 	stored := p.podOf(task)
 	if stored == nil {
@@ -79,7 +80,7 @@
 
 func (p *publisher) podCount() int { return p.store.Len(store.Pods) }
 
-// objectCost returns what the stored objects cost, as store.Cost counts.
+// objectCost returns the cost of the stored objects, as store.Cost counts.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
 
 // publishPlaced shows the outcome of a task that a node has accepted.
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -10,10 +10,9 @@
 	"heathshed/placer"
 )
 
-// An attempt whose outcome is unknown may have been accepted by its node. Its outcome becomes known by a late answer, by what the node's
-// watch shows, by the answer to a stop order, or by a new incarnation of the node.
-
-// outcomeReconciler finds out what became of attempts whose outcome is unknown, and stops copies of tasks.
+// outcomeReconciler determines the outcomes of attempts that may have been accepted by their nodes, and stops copies of tasks. An outcome
+// becomes known by a late answer, by a report of the node's watch, by the answer to a stop order, or by a new incarnation of the node. The
+// attempts with an unknown outcome are listed in attemptHistory and in node.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -24,8 +23,8 @@
 	adopter   *adopter
 }
 
-// track keeps an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is stopped at
-// once. Otherwise the engine first waits for it to be found running.
+// track records an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is fenced at once. Otherwise the
+// engine first waits until it is found running, or until UnknownOutcomeTimeout has passed.
 func (r *outcomeReconciler) track(unresolved *attempt) {
 	task, node := unresolved.task, unresolved.node
 	r.stats.UnknownOutcomes++
@@ -46,7 +45,7 @@
 	r.scheduleFence(unresolved, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
-// untrack gives up an attempt whose outcome is known, and its stop orders.
+// untrack removes an attempt whose outcome is known, and cancels its next stop order.
 func (r *outcomeReconciler) untrack(resolved *attempt) {
 	if resolved.task.attempts.removeUnknown(resolved) {
 		resolved.node.removeUnknown(resolved)
@@ -55,7 +54,7 @@
 	resolved.fenceTimer = nil
 }
 
-// resolve records that an attempt with unknown outcome is over: it never ran, or may have run.
+// resolve records that an attempt with unknown outcome has ended: it never ran, or may have run.
 func (r *outcomeReconciler) resolve(resolved *attempt, mayHaveRun bool) {
 	task := resolved.task
 	r.untrack(resolved)
@@ -76,7 +75,7 @@
 	return task.state == taskWaiting && task.retryTimer != nil && r.idempotencyOf(task) != placer.Idempotent
 }
 
-// answeredLate takes the answer to an attempt that was given up.
+// answeredLate handles the answer to an attempt that was abandoned.
 func (r *outcomeReconciler) answeredLate(unresolved *attempt, answer *AttemptAnswer) {
 	switch {
 	case answer.Accepted:
@@ -86,7 +85,7 @@
 	}
 }
 
-// observe takes what a node shows of an attempt with unknown outcome.
+// observe applies a node's report of an attempt with unknown outcome.
 func (r *outcomeReconciler) observe(unresolved *attempt, observed *observedPod) {
 	if observed.deleted || wellknown.Finished(observed.pod) {
 		r.resolve(unresolved, observed.pod.Status.Reason != wellknown.NeverStarted)
@@ -99,23 +98,22 @@
 	}
 }
 
-// foundRunning binds the task by an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy
-// is stopped.
+// foundRunning binds the task to an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy is stopped.
 func (r *outcomeReconciler) foundRunning(found *attempt, incarnation string, revision int64) {
 	task := found.task
 	if !task.state.canBind() || found.stopInFlight {
 		r.fence(found)
 		return
 	}
-	// The placer must not send the task to another node: the request is withdrawn, and the task handed over as adopted.
+	// The placer must not send the task to another node: the request is withdrawn, and the task is reported as adopted.
 	r.untrack(found)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
 	r.adopter.adoptTask(task, found.node, found.number, incarnation, revision)
 }
 
-// fence orders the node of an attempt with unknown outcome to stop the task if it has it, and never to accept the attempt if not.
-// The order is repeated until the node answers or has a new incarnation.
+// fence orders the node of an attempt with unknown outcome to stop the task, or to reject the attempt if it still arrives. The order is repeated
+// until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(unresolved *attempt) {
 	if !unresolved.outcomeUnknown() || unresolved.stopInFlight {
 		return
@@ -126,7 +124,7 @@
 	r.stopCopy(unresolved.node, task.podIdentity, unresolved.number)
 }
 
-// scheduleFence has an attempt fenced after a delay.
+// scheduleFence fences an attempt after a delay.
 func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay placer.Seconds) {
 	unresolved.fenceTimer = r.runAfter(delay, func() {
 		unresolved.fenceTimer = nil
@@ -144,14 +142,14 @@
 	}
 }
 
-// Delays between stop orders for one attempt: they double from the first to the last delay.
+// Delays between stop orders for one attempt: each is twice the one before, from the first to the last delay.
 const (
 	firstStopDelay   placer.Seconds = 0.25
 	lastStopDelay    placer.Seconds = 5
 	maxStopDoublings                = 5
 )
 
-// stopBackoff returns the delay until the next stop order after a number of them.
+// stopBackoff returns the delay before the next stop order after the given number of them.
 func stopBackoff(sent int) placer.Seconds {
 	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
 }
@@ -185,8 +183,8 @@
 	}
 }
 
-// fenceAnswered takes the answer to a stop order for an attempt with unknown outcome. A node that does not have the task says so of its
-// present incarnation only.
+// fenceAnswered handles the answer to a stop order for an attempt with unknown outcome. A node that does not have the task answers for its
+// present incarnation only: the task may have run in an earlier one.
 func (r *outcomeReconciler) fenceAnswered(fenced *attempt, answer *StopAnswer) {
 	fenced.stopInFlight = false
 	if !answer.Answered {
@@ -202,7 +200,7 @@
 	r.resolve(fenced, mayHaveRun)
 }
 
-// stopAnswered takes the answer to a stop order for a running attempt.
+// stopAnswered handles the answer to a stop order for a running attempt.
 func (r *outcomeReconciler) stopAnswered(stopped *attempt, answer *StopAnswer) {
 	task := stopped.task
 	if answer.Answered {
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -9,7 +9,7 @@
 	"heathshed/placer"
 )
 
-// placementRequest is one request to the placer to place a task. It has a number of its own: a retry is another request.
+// placementRequest is one request to the placer to place a task. A retry is another request with a number of its own.
 type placementRequest struct {
 	id       placer.TaskID
 	task     *task
@@ -18,18 +18,18 @@
 	isRetry  bool // the placer had an earlier request for the task
 }
 
-// close records that the request is over.
+// close records that the request was decided or withdrawn.
 func (r *placementRequest) close() { r.closed = true }
 
 func (r *placementRequest) addAttempt(started *attempt) { r.attempts = append(r.attempts, started) }
 
-// hasAttempt reports whether an attempt of the request is in flight or runs.
+// hasAttempt reports whether an attempt of the request is in flight or running.
 func (r *placementRequest) hasAttempt() bool {
-	return slices.ContainsFunc(r.attempts, r.task.attempts.holds)
+	return slices.ContainsFunc(r.attempts, r.task.attempts.isOpen)
 }
 
-// requestTable holds the requests that are open, or whose attempts are in flight or run, and passes them through the admission controller to
-// the placer.
+// requestTable owns the requests that are open, or that have an attempt in flight or running, and passes them through the admission controller
+// to the placer.
 type requestTable struct {
 	*environment
 	tasks     *taskTable
@@ -42,10 +42,10 @@
 	pollTimer *timer // the next poll of the admission controller
 }
 
-// get returns the request of a number at the placer, nil if it is not held.
+// get returns the request with a number at the placer, nil if it is unknown.
 func (r *requestTable) get(id placer.TaskID) *placementRequest { return r.byID[id] }
 
-// add assigns the next number to a request, holds it and makes it the last one of its task.
+// add assigns the next number to a request, adds it to the table and makes it the last one of its task.
 func (r *requestTable) add(added *placementRequest) {
 	r.lastID++
 	added.id = r.lastID
@@ -90,12 +90,12 @@
 	}
 }
 
-// deadline returns the deadline of a request that is made now.
+// deadline returns the deadline of a request that is submitted now.
 func (r *requestTable) deadline(task *task) placer.Seconds {
 	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
 
-// submit hands an admitted request to the placer. Its deadline counts from now.
+// submit passes an admitted request to the placer. Its deadline counts from now.
 func (r *requestTable) submit(request *placementRequest) {
 	task := request.task
 	r.tasks.setState(task, taskSubmitted)
@@ -119,7 +119,7 @@
 	}
 }
 
-// shed ends a request that the admission controller sheds. Nothing of it ran.
+// shed ends a request that the admission controller sheds. No attempt of it was made.
 func (r *requestTable) shed(request *placementRequest, shed admission.ShedRequest) {
 	r.stats.Shed++
 	request.close()
@@ -129,8 +129,8 @@
 	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
-// admitQueued submits the queued requests that may go on now, ends those that are shed, and sets a timer for the next time at which
-// the admission controller must be polled.
+// admitQueued submits the queued requests that are admitted now, ends those that are shed, and sets a timer for the next poll of the admission
+// controller.
 func (r *requestTable) admitQueued() {
 	for {
 		admitted, shed := r.admission.Poll(r.now)
@@ -148,7 +148,7 @@
 	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionDelay))
 }
 
-// minAdmissionDelay is the least time between two polls of the admission controller by timer.
+// minAdmissionDelay is the shortest time between two polls of the admission controller by timer.
 const minAdmissionDelay placer.Seconds = 0.001
 
 // schedulePoll makes sure that a call ends at the given time or before: every call ends with a poll of the admission controller.
@@ -163,7 +163,7 @@
 	}
 }
 
-// withdraw takes the open request of a task, if it has one, back from the admission controller and the placer.
+// withdraw cancels the open request of a task, if it has one, at the admission controller and the placer.
 func (r *requestTable) withdraw(task *task) {
 	request := task.request
 	if request == nil || request.closed {
@@ -177,7 +177,7 @@
 	r.discard(request)
 }
 
-// ended takes the placer's final answer to a request that it did not place. An attempt in flight has not been answered by the
+// ended handles the placer's final answer to a request that it did not place. If an attempt is still in flight, it was not answered by the
 // request's deadline.
 func (r *requestTable) ended(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
@@ -192,7 +192,7 @@
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
-// complete closes a request that the placer has decided, and lets the admission controller learn from it.
+// complete closes a request that the placer has decided, and reports its result to the admission controller.
 func (r *requestTable) complete(request *placementRequest, accepted bool) {
 	request.close()
 	r.admission.Complete(r.now, uint64(request.id), accepted)
@@ -201,7 +201,7 @@
 // release detaches a task from its last request, which has ended without a placement.
 func (r *requestTable) release(task *task) { task.request = nil }
 
-// discard forgets a closed request, unless one of its attempts is in flight or runs: the placer knows that by the request's number.
+// discard removes a closed request, unless one of its attempts is in flight or running: the placer identifies that by the request's number.
 func (r *requestTable) discard(request *placementRequest) {
 	if request.closed && !request.hasAttempt() {
 		delete(r.byID, request.id)
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -18,28 +18,28 @@
 	namespace, name string
 }
 
-// placementSpec is what the placement of a task depends on. It is the same for all tasks of a Job.
+// placementSpec has the properties that the placement of a task depends on. They are the same for all tasks of a Job.
 type placementSpec struct {
 	class, tenant int
 	service       placer.ServiceID
 	cores, memory float64 // memory in GiB
 }
 
-// task is one Pod. It is requested until it is placed, rejected or failed, and then followed until it ends.
+// task is the state of one Pod. Its placement is requested until it is placed, rejected or failed; a placed task is tracked until it ends.
 type task struct {
 	sequence int // in order of creation
 	podIdentity
 	placementSpec
 	job      *job           // nil if the Job is unknown or was deleted without its Pods
 	index    int            // completion index within the Job
-	deadline placer.Seconds // when the client stops waiting for the outcome
+	deadline placer.Seconds // time at which the client stops waiting for the outcome
 
 	state   taskState
 	settled bool // the final outcome is stored in the Pod's status
 
 	request           *placementRequest // the last one; nil while there is none
-	requestsSubmitted int               // requests that the placer got
-	retryBudget       int               // retries that are left
+	requestsSubmitted int               // requests that were submitted to the placer
+	retryBudget       int               // remaining retries
 	retryTimer        *timer            // the next retry, or the end of the wait for an unknown outcome
 	wasShed           bool              // a request was shed by the admission controller
 
@@ -49,7 +49,7 @@
 	deleted    bool // the Pod is removed as soon as the task has ended
 }
 
-// joinJob makes a task that was found running that of an index of its Job.
+// joinJob attaches a task that was found running to an index of its Job.
 func (t *task) joinJob(job *job, index, retryBudget int) {
 	t.job = job
 	t.index = index
@@ -59,12 +59,12 @@
 // leaveJob detaches a task from its Job, which is deleted without it.
 func (t *task) leaveJob() { t.job = nil }
 
-// inCreationOrder returns the tasks in the order of their creation, which does not depend on the order of the map.
+// inCreationOrder returns the tasks of a map in the order of their creation, whatever the order of the map.
 func inCreationOrder(tasks map[types.UID]*task) []*task {
 	return slices.SortedFunc(maps.Values(tasks), func(left, right *task) int { return cmp.Compare(left.sequence, right.sequence) })
 }
 
-// unplacedOutcome returns the outcome of a task that is given up: Rejected only if it certainly never ran.
+// unplacedOutcome returns the outcome of a task that is not requested again: Rejected only if it certainly never ran.
 func (t *task) unplacedOutcome() taskOutcome {
 	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknown() {
 		return outcomeFailed
@@ -72,8 +72,8 @@
 	return outcomeRejected
 }
 
-// unplacedMessage appends what is known of the task's attempts to a summary: why the last one failed, by AttemptAnswer.failure,
-// attemptTracker.timedOut or requestTable.shed, and which node may have accepted one.
+// unplacedMessage appends to a summary why the last attempt failed, by AttemptAnswer.failure, attemptTracker.timedOut or requestTable.shed, and
+// which node may have accepted one.
 func (t *task) unplacedMessage(summary string) string {
 	if t.attempts.lastFailure != "" {
 		summary += "; last: " + t.attempts.lastFailure
@@ -84,7 +84,7 @@
 	return summary
 }
 
-// newPlacementSpec returns what the placement of a task depends on that has containers as specified.
+// newPlacementSpec returns the placementSpec of a task with the resources of a Pod's containers.
 func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
 	cores, memory := wellknown.Requests(containers)
 	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -5,7 +5,8 @@
 	"heathshed/placer"
 )
 
-// taskLifecycle decides what follows when a task's request ends, a node accepts it, it ends, or it is to stop.
+// taskLifecycle moves tasks between their states when a request ends, a node accepts a task, a task ends, or a task is to stop. It is stateless:
+// it changes tasks through taskTable, and Pods through publisher.
 type taskLifecycle struct {
 	*environment
 	tasks         *taskTable
@@ -64,7 +65,7 @@
 	l.reportSettled(task, outcomePlaced)
 }
 
-// settleUnplaced stores the final outcome of a task that waits and is not requested again, and ends the task.
+// settleUnplaced stores the final outcome of a waiting task that is not requested again, and ends the task.
 func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
 	if outcome == outcomeRejected {
 		l.stats.Rejected++
@@ -118,7 +119,7 @@
 	l.publisher.publishStarted(task)
 }
 
-// taskEnd describes how a task ended that a node had accepted.
+// taskEnd describes the end of a task that a node had accepted.
 type taskEnd struct {
 	result  placer.Result
 	reason  placer.Reason
@@ -129,13 +130,13 @@
 // succeeded reports whether the task ended by itself with success.
 func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.status == "" }
 
-// migrated reports whether the engine stopped the task to have it started elsewhere.
+// migrated reports whether the engine stopped the task to start it elsewhere.
 func (end *taskEnd) migrated() bool {
 	reason := stopReason(end.status)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
 }
 
-// ended ends a task that a node had accepted. It does nothing if no attempt of the task runs.
+// ended ends a task that a node had accepted. It does nothing if no attempt of the task is running.
 func (l *taskLifecycle) ended(task *task, end taskEnd) {
 	ended := task.attempts.unbind()
 	if ended == nil {
@@ -159,7 +160,7 @@
 	l.terminate(task, end.succeeded(), cause)
 }
 
-// countEnd counts the end of a task in Stats and returns why the task would be started again.
+// countEnd counts the end of a task in Stats and returns the cause of its next start, if it is started again.
 func (l *taskLifecycle) countEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
@@ -176,8 +177,7 @@
 	return retry.Lost
 }
 
-// terminate ends a task that neither runs nor will be requested again. It stops the attempts whose outcome is unknown, and tells the
-// Job.
+// terminate ends a task that neither runs nor will be requested again. It fences the attempts whose outcome is unknown, and notifies the Job.
 func (l *taskLifecycle) terminate(task *task, succeeded bool, cause retry.Cause) {
 	l.tasks.setState(task, taskTerminating)
 	l.outcomes.fenceAll(task)
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -4,15 +4,15 @@
 type taskState uint8
 
 const (
-	// taskCreated: the Pod is stored, and no request was made yet. No task is left in this state at the end of a call.
+	// taskCreated: the Pod is stored, and no request was made yet. No task is in this state at the end of a call.
 	taskCreated taskState = iota
-	// taskQueued: a placement request waits at the admission controller, and the placer does not know it.
+	// taskQueued: a placement request waits at the admission controller; it was not submitted to the placer.
 	taskQueued
 	// taskSubmitted: the placer has a request, and no attempt is in flight.
 	taskSubmitted
 	// taskAttempting: an attempt is in flight.
 	taskAttempting
-	// taskWaiting: no request is open. A retry is due later, or an attempt's outcome is unknown and awaited.
+	// taskWaiting: no request is open. A retry is scheduled, or an attempt's unknown outcome is awaited.
 	taskWaiting
 	// taskBound: a node accepted the task and has not reported it as running yet.
 	taskBound
@@ -20,7 +20,7 @@
 	taskRunning
 	// taskTerminating: the task has ended. Attempts with an unknown outcome are still being stopped.
 	taskTerminating
-	// taskRemoved: the engine no longer keeps the task.
+	// taskRemoved: the task was removed from the task table.
 	taskRemoved
 
 	taskStates
@@ -34,7 +34,7 @@
 
 // taskTransitions lists the states that may follow each state.
 //
-// An attempt whose outcome was unknown may be found running while the task is queued, submitted or waiting: the task is then bound by it.
+// An attempt whose outcome was unknown may be found running while the task is queued, submitted or waiting: the task is then bound to it.
 var taskTransitions = [taskStates][]taskState{
 	taskCreated:     {taskQueued, taskSubmitted, taskWaiting, taskBound},
 	taskQueued:      {taskSubmitted, taskWaiting, taskBound},
@@ -58,7 +58,7 @@
 // canBind reports whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
-// violatedInvariant describes what does not agree with the task's state, "" if all does.
+// violatedInvariant describes the first inconsistency with the task's state, "" if there is none.
 func (t *task) violatedInvariant() string {
 	ended := t.state == taskTerminating
 	for _, invariant := range []struct {
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -91,12 +91,12 @@
 			"index 0 has a task only while it is active"},
 		{"another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 }, "the task of index 0 knows its Job and its index"},
 		{"active miscounted", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 }, "1 indexes are active, 0 are counted"},
-		{"deleted and held", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted }, "a deleted Job is not held"},
+		{"deleted and held", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted }, "a deleted Job is not in the job table"},
 		{"fails for no reason", func(_ *Engine, corrupted *task) { corrupted.job.progress = jobFailing },
 			"a Job has a reason to fail only if it fails as a whole"},
 		{"deletion that waits for nothing", func(_ *Engine, corrupted *task) {
 			corrupted.job.deletion, corrupted.job.pods = jobDeletingForeground, nil
-		}, "held only for its Pods"},
+		}, "kept only for its Pods"},
 		{"miscounted", func(engine *Engine, _ *task) { engine.tasks.open++ }, "1 tasks have no final outcome, 2 are counted"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -5,11 +5,11 @@
 	"heathshed/placer"
 )
 
-// stoppingMessage is why tasks are not placed once Stop was called: those that wait then (stopAll), and those that a Job starts later
-// (jobStarter.startTask).
+// stoppingMessage is the reason why tasks are not placed once Stop was called: those that wait then (stopAll), and those that a Job starts
+// later (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
-// stopAll begins to stop the engine: every task that waits to be requested gets its final outcome, and none is requested again.
+// stopAll implements Engine.Stop: every task that the placer does not know yet gets its final outcome, and no request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.inOrder() {
@@ -22,8 +22,8 @@
 	}
 }
 
-// withdrawQueuedRequest takes back a request that waits for admission while the engine stops. No timer of the task is pending then, so where
-// the outcome of an earlier attempt is unknown, what follows is decided here.
+// withdrawQueuedRequest cancels a request that waits for admission while the engine stops. No timer of the task is pending then, so if the
+// outcome of an earlier attempt is unknown, the next step must be decided here.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
 	if task.attempts.hasUnknown() {
@@ -49,7 +49,7 @@
 	}
 	l.requests.withdraw(task)
 	if pending := task.attempts.inFlight; pending != nil {
-		// The attempt cannot be called back: its outcome becomes unknown, and it is fenced at once.
+		// The attempt cannot be cancelled at the node: its outcome becomes unknown, and it is fenced at once.
 		l.attempts.abandon(pending, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -7,20 +7,20 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// taskTable holds the tasks of an Engine, and is the only place where a task changes its state.
+// taskTable owns the tasks of an Engine and their count. Only it changes the state of a task.
 type taskTable struct {
 	*environment
 	byUID map[types.UID]*task
 	open  int // tasks without a final outcome
 }
 
-// get returns the task of a Pod's UID, nil if there is none.
+// get returns the task with a Pod's UID, nil if there is none.
 func (t *taskTable) get(uid types.UID) *task { return t.byUID[uid] }
 
 // inOrder returns the tasks in the order of their creation.
 func (t *taskTable) inOrder() []*task { return inCreationOrder(t.byUID) }
 
-// add assigns the next sequence number to a task and holds the task.
+// add assigns the next sequence number to a task and adds it to the table.
 func (t *taskTable) add(added *task) {
 	added.sequence = int(t.stats.PodsCreated)
 	t.stats.PodsCreated++
@@ -36,13 +36,13 @@
 	t.open--
 }
 
-// remove gives up a task that has ended.
+// remove removes a task that has ended.
 func (t *taskTable) remove(removed *task) {
 	t.setState(removed, taskRemoved)
 	delete(t.byUID, removed.uid)
 }
 
-// setState is the only place where a task changes its state. It goes on after an illegal transition, which CheckInvariants reports.
+// setState is the only place where a task changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !slices.Contains(taskTransitions[task.state], next) {
 		t.transitions.illegal("task %s goes from %s to %s", task.uid, task.state, next)
@@ -50,7 +50,7 @@
 	task.state = next
 }
 
-// checkInvariants returns an error if a task's state does not agree with the rest of it.
+// checkInvariants returns an error if a task's state is inconsistent with its other fields.
 func (t *taskTable) checkInvariants() error {
 	open := 0
 	for _, task := range t.inOrder() {
--- a/internal/kube/engine/transition_check.go
+++ b/internal/kube/engine/transition_check.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// transitionCheck keeps the first illegal transition of a task, a Job or an index, for CheckInvariants. The engine goes on after it.
+// transitionCheck records the first illegal transition of a task, a Job or an index, for CheckInvariants. The transition is made nevertheless.
 type transitionCheck struct{ first error }
 
 // illegal records an illegal transition.
--- a/internal/kube/engine/wiring.go
+++ b/internal/kube/engine/wiring.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// wire makes the parts of an engine and gives each the parts that it calls.
+// wire creates the parts of an engine and gives each the parts that it calls. All parts are allocated first, since some call each other.
 func (e *Engine) wire(controller *admission.Controller) {
 	e.publisher = new(publisher)
 	e.nodes = new(nodeRegistry)
