--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -43,6 +43,28 @@
 	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
 }
 
+// event returns an event of the attempt for the placer, with its kind and the identity of the attempt.
+func (a *attempt) event(kind placer.EventKind) placer.Event {
+	return placer.Event{Kind: kind, TaskID: a.request.id, Attempt: a.requestSequence, Node: a.node.id}
+}
+
+// endedEvent returns the event that the attempt has ended.
+func (a *attempt) endedEvent(now placer.Seconds, result placer.Result, reason placer.Reason) placer.Event {
+	ended := a.event(placer.Ended)
+	ended.Result = result
+	ended.Reason = reason
+	ended.Elapsed = now - a.sentAt
+	return ended
+}
+
+// usageEvent returns the event that a node has reported a value of the attempt's resource usage.
+func (a *attempt) usageEvent(kind placer.UsageKind, value float64) placer.Event {
+	usage := a.event(placer.UsageReported)
+	usage.Usage = kind
+	usage.Value = value
+	return usage
+}
+
 // attemptTracker sends attempts to nodes and handles their answers. The attempts themselves are in attemptHistory and node.
 type attemptTracker struct {
 	*environment
@@ -189,13 +211,9 @@
 	task.attempts.endWait()
 	t.stopTimer(accepted.timeoutTimer)
 	accepted.acceptedIncarnation = answer.Incarnation
-	t.post(placer.Event{
-		Kind:    placer.Bound,
-		TaskID:  accepted.request.id,
-		Attempt: accepted.requestSequence,
-		Node:    accepted.node.id,
-		Elapsed: t.now - accepted.sentAt,
-	})
+	bound := accepted.event(placer.Bound)
+	bound.Elapsed = t.now - accepted.sentAt
+	t.post(bound)
 	t.requests.complete(accepted.request, true)
 	t.lifecycle.bind(task, accepted)
 	// The node's watch may have reported a newer state before the answer arrived.
@@ -235,17 +253,10 @@
 	default:
 		t.outcomes.track(failed)
 	}
-	t.post(placer.Event{
-		Kind:    placer.Ended,
-		TaskID:  failed.request.id,
-		Attempt: failed.requestSequence,
-		Node:    failed.node.id,
-		Result:  result,
-		Reason:  reason,
-		Elapsed: t.now - failed.sentAt,
-		Final:   failed.request.closed,
-		Report:  report,
-	})
+	ended := failed.endedEvent(t.now, result, reason)
+	ended.Final = failed.request.closed
+	ended.Report = report
+	t.post(ended)
 	t.requests.discard(failed.request)
 }
 
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -108,18 +108,9 @@
 		name string
 		kind placer.UsageKind
 	}{{wellknown.DictCores, placer.CoresUsed}, {wellknown.DictMemory, placer.MemoryUsed}} {
-		value, ok := used[usage.name]
-		if !ok {
-			continue
+		if value, ok := used[usage.name]; ok {
+			o.post(running.usageEvent(usage.kind, value))
 		}
-		o.post(placer.Event{
-			Kind:    placer.UsageReported,
-			TaskID:  running.request.id,
-			Attempt: running.requestSequence,
-			Node:    running.node.id,
-			Usage:   usage.kind,
-			Value:   value,
-		})
 	}
 }
 
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -108,14 +108,7 @@
 	}
 	l.tasks.setState(task, taskRunning)
 	running := task.attempts.running
-	l.post(placer.Event{
-		Kind:    placer.UsageReported,
-		TaskID:  running.request.id,
-		Attempt: running.requestSequence,
-		Node:    running.node.id,
-		Usage:   placer.Started,
-		Value:   float64(l.now - running.sentAt),
-	})
+	l.post(running.usageEvent(placer.Started, float64(l.now-running.sentAt)))
 	l.publisher.publishStarted(task)
 }
 
@@ -144,16 +137,9 @@
 	}
 	l.stopTimer(ended.fenceTimer)
 	ended.node.removeTask(task)
-	l.post(placer.Event{
-		Kind:    placer.Ended,
-		TaskID:  ended.request.id,
-		Attempt: ended.requestSequence,
-		Node:    ended.node.id,
-		Result:  end.result,
-		Reason:  end.reason,
-		Elapsed: l.now - ended.sentAt,
-		Final:   true,
-	})
+	event := ended.endedEvent(l.now, end.result, end.reason)
+	event.Final = true
+	l.post(event)
 	l.requests.discard(ended.request)
 	cause := l.countEnd(&end)
 	l.publisher.publishEnded(task, &end)
