--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -12,6 +12,7 @@
 	apierrors "k8s.io/apimachinery/pkg/api/errors"
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 	"k8s.io/apimachinery/pkg/runtime"
+	"k8s.io/apimachinery/pkg/runtime/schema"
 
 	"heathshed/internal/kube/store"
 	"heathshed/internal/netio/http1"
@@ -19,31 +20,32 @@
 
 const jsonType = "application/json"
 
-// encode returns an object as JSON, with its kind and API version. The object itself, which others may be reading, stays as it is.
+// encode returns an object as JSON, with its kind and API version.
 func encode(o runtime.Object) ([]byte, error) {
-	version, kind := typeOf(o)
-	meta := metav1.TypeMeta{Kind: kind, APIVersion: version}
 	switch typed := o.(type) {
 	case *batchv1.Job:
-		job := *typed
-		job.TypeMeta = meta
-		return json.Marshal(&job)
+		return encodeWithType(typed)
 	case *corev1.Pod:
-		pod := *typed
-		pod.TypeMeta = meta
-		return json.Marshal(&pod)
+		return encodeWithType(typed)
 	case *corev1.Node:
-		node := *typed
-		node.TypeMeta = meta
-		return json.Marshal(&node)
+		return encodeWithType(typed)
 	case *corev1.Namespace:
-		namespace := *typed
-		namespace.TypeMeta = meta
-		return json.Marshal(&namespace)
+		return encodeWithType(typed)
 	}
 	return json.Marshal(o)
 }
 
+// encodeWithType encodes a shallow copy of an object with its kind and API version: other goroutines may be reading the object itself.
+func encodeWithType[T any, P interface {
+	*T
+	runtime.Object
+}](object P) ([]byte, error) {
+	typed := *object
+	version, kind := typeOf(object)
+	P(&typed).GetObjectKind().SetGroupVersionKind(schema.FromAPIVersionAndKind(version, kind))
+	return json.Marshal(&typed)
+}
+
 // typeOf returns the API version and the kind of an object that is served: a Status if it is none of the resources.
 func typeOf(o runtime.Object) (version, kind string) {
 	switch o.(type) {
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -36,36 +36,26 @@
 	return false
 }
 
-// tableColumns are the columns of each resource. Those of priority 1 are printed with -o wide only.
+// tableColumns are the columns of each resource.
 var tableColumns = map[store.Resource][]metav1.TableColumnDefinition{
-	store.Jobs: {
-		{Name: "Name", Type: "string", Format: "name"},
-		{Name: "Status", Type: "string"},
-		{Name: "Completions", Type: "string"},
-		{Name: "Settled", Type: "string"},
-		{Name: "Age", Type: "string"},
-	},
-	store.Pods: {
-		{Name: "Name", Type: "string", Format: "name"},
-		{Name: "Status", Type: "string"},
-		{Name: "Settled", Type: "string"},
-		{Name: "Age", Type: "string"},
-		{Name: "Node", Type: "string"},
-		{Name: "Message", Type: "string", Priority: 1},
-	},
-	store.Nodes: {
-		{Name: "Name", Type: "string", Format: "name"},
-		{Name: "Status", Type: "string"},
-		{Name: "Kind", Type: "string"},
-		{Name: "Zone", Type: "string"},
-		{Name: "Rack", Type: "string"},
-		{Name: "Free", Type: "string", Priority: 1},
-	},
-	store.Namespaces: {
-		{Name: "Name", Type: "string", Format: "name"},
-		{Name: "Status", Type: "string"},
-		{Name: "Age", Type: "string"},
-	},
+	store.Jobs:       textColumns("Status", "Completions", "Settled", "Age"),
+	store.Pods:       append(textColumns("Status", "Settled", "Age", "Node"), wideColumn("Message")),
+	store.Nodes:      append(textColumns("Status", "Kind", "Zone", "Rack"), wideColumn("Free")),
+	store.Namespaces: textColumns("Status", "Age"),
+}
+
+// textColumns returns the column of an object's name followed by columns of text.
+func textColumns(names ...string) []metav1.TableColumnDefinition {
+	columns := []metav1.TableColumnDefinition{{Name: "Name", Type: "string", Format: "name"}}
+	for _, name := range names {
+		columns = append(columns, metav1.TableColumnDefinition{Name: name, Type: "string"})
+	}
+	return columns
+}
+
+// wideColumn returns a column of text that is printed with -o wide only.
+func wideColumn(name string) metav1.TableColumnDefinition {
+	return metav1.TableColumnDefinition{Name: name, Type: "string", Priority: 1}
 }
 
 // age returns how long ago an object was created, as kubectl prints it.
