--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -1,8 +1,11 @@
-// Package api serves the Kubernetes API, by its public specification and with its own types, over an engine: requests in, responses out,
-// watches as streams.
+// Package api serves the Kubernetes API over an engine, by the public specification and with the types of k8s.io/api. A request gives a
+// response; a watch gives a response with a stream.
 //
-// It is a codec above the engine: it knows no socket and no clock (the time comes with each request) and decides nothing about placement.
-// Parts of the specification that are left out are listed in docs/api.md.
+// It is a codec above the engine, without sockets and without a clock: the time comes with each request. It decides nothing about placement.
+// Package scheduler serves it over HTTP; the emulated inventory serves it read-only, without an engine. Parts of the specification that are
+// left out are listed in docs/api.md.
+//
+// Begin reading at Server.Serve (api.go), which passes a request to serveRead (get, list and watch) or serveWrite (create, update, delete).
 package api
 
 import (
@@ -15,10 +18,10 @@
 	"heathshed/placer"
 )
 
-// Server answers API requests about the objects of a store. It may be used by the goroutine of the store only.
+// Server answers API requests about the objects of a store. Only the goroutine that owns the store may use it.
 type Server struct {
 	Store *store.Store
-	// Engine takes the requests that change objects. Without one the server is read-only.
+	// Engine executes the requests that change objects. If it is nil, the server is read-only.
 	Engine  *engine.Engine
 	Version string
 	// Ready returns why the scheduler takes no tasks, nil if it does.
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -12,8 +12,8 @@
 	"heathshed/internal/kube/store"
 )
 
-// The protobuf encoding of the Kubernetes API: an object is "k8s\x00" and a runtime.Unknown that holds it; a watch is frames of a length
-// in four bytes, high byte first, and a metav1.WatchEvent.
+// The protobuf encoding of the Kubernetes API: an object is "k8s\x00" followed by a runtime.Unknown that contains it. A watch is a sequence of
+// frames: a length of four bytes, high byte first, and a metav1.WatchEvent.
 // See https://kubernetes.io/docs/reference/using-api/api-concepts/#protobuf-encoding.
 const (
 	binaryType  = "application/vnd.kubernetes.protobuf"
@@ -23,10 +23,10 @@
 // protoMagic is what an object in the protobuf encoding begins with.
 var protoMagic = []byte("k8s\x00")
 
-// wantsBinary says whether a client prefers the protobuf encoding to JSON: the one that it names first counts.
+// wantsBinary reports whether a client prefers the protobuf encoding to JSON: whether it names that first.
 func wantsBinary(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
-		mediaType, _, _ := mime.ParseMediaType(part) // an invalid parameter leaves the media type, an invalid type is ""
+		mediaType, _, _ := mime.ParseMediaType(part) // without its invalid parameters; "" if it is invalid itself
 		switch mediaType {
 		case binaryType:
 			return true
@@ -37,7 +37,7 @@
 	return false
 }
 
-// encodeBinary returns an object in the protobuf encoding, with its kind and API version. One that cannot be encoded comes without content.
+// encodeBinary returns an object in the protobuf encoding, with its kind and API version. If it cannot be encoded, it has no content.
 func encodeBinary(o runtime.Object) []byte {
 	version, kind := typeOf(o)
 	var content []byte
@@ -46,7 +46,7 @@
 			content = encoded
 		}
 	}
-	const tagsAndLengths = 24 // at most, with protoMagic
+	const tagsAndLengths = 24 // upper bound, with protoMagic
 	b := make([]byte, 0, len(content)+len(version)+len(kind)+tagsAndLengths)
 	b = append(b, protoMagic...)
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // runtime.Unknown.TypeMeta
@@ -59,7 +59,7 @@
 	return protowire.AppendBytes(b, content)
 }
 
-// encodedBinary returns the object of a change in the protobuf encoding, encoded once for all that read it.
+// encodedBinary returns the object of a change in the protobuf encoding. It is encoded once for all readers.
 func encodedBinary(change *store.Change) []byte {
 	if change.Binary == nil {
 		change.Binary = encodeBinary(change.Object)
@@ -67,7 +67,7 @@
 	return change.Binary
 }
 
-// appendBinaryEvent appends one frame: an event with an object that is encoded already.
+// appendBinaryEvent appends one frame: an event with an encoded object.
 func appendBinaryEvent(b []byte, event watch.EventType, object []byte) []byte {
 	const tagSize = 1
 	inner := tagSize + protowire.SizeBytes(len(object))
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -12,7 +12,7 @@
 	"heathshed/internal/netio/http1"
 )
 
-// schedulerName is the scheduler of a Job that names none.
+// schedulerName is the default of spec.schedulerName.
 const schedulerName = "heathshed"
 
 // The defaults of a Job and its Pods, by the specification.
@@ -71,21 +71,21 @@
 	return job, nil
 }
 
-// setDefault fills in a field that is not given.
+// setDefault sets a field that is nil.
 func setDefault[T any](field **T, value T) {
 	if *field == nil {
 		*field = &value
 	}
 }
 
-// setDefaultText fills in a text that is not given.
+// setDefaultText sets a text that is empty.
 func setDefaultText[T ~string](field *T, value T) {
 	if *field == "" {
 		*field = value
 	}
 }
 
-// setJobDefaults fills in what the specification says where nothing is given.
+// setJobDefaults sets the defaults of the specification in the fields that are not set.
 func setJobDefaults(job *batchv1.Job) {
 	spec := &job.Spec
 	if spec.Parallelism == nil {
--- a/internal/kube/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// decodeJSON reads a text strictly: fields that are unknown or given twice are rejected or warned of, as fieldValidation says.
+// decodeJSON decodes a text strictly: unknown and duplicate fields are rejected or reported as warnings, according to fieldValidation.
 func (r *request) decodeJSON(text []byte, into any, wantKind string) error {
 	if err := decodelimit.CheckJSON(text, decodelimit.ObjectLimits()); err != nil {
 		return newDecodeLimitError("body", err)
@@ -88,7 +88,7 @@
 	return r.reportStrictErrors(strictErrors)
 }
 
-// reportStrictErrors rejects, ignores or warns of fields that are unknown or given twice.
+// reportStrictErrors rejects, ignores or reports unknown and duplicate fields.
 func (r *request) reportStrictErrors(strictErrors []error) error {
 	var warnings []string
 	for i, strictError := range strictErrors {
@@ -110,7 +110,7 @@
 	return apierrors.NewBadRequest("fieldValidation: want Ignore, Warn or Strict")
 }
 
-// checkKind checks the kind of an object in a body. It may be left out.
+// checkKind checks the kind of an object in a body, which may be absent.
 func checkKind(got, want string) error {
 	if got != "" && got != want {
 		return apierrors.NewBadRequest(fmt.Sprintf("the object in the body is a %s, want a %s", got, want))
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -15,7 +15,7 @@
 	"heathshed/internal/netio/http1"
 )
 
-// deleteObjects serves DELETE of one object, or of all that a list would show.
+// deleteObjects serves DELETE of one object or of a collection.
 func (s *Server) deleteObjects(r *request) (http1.Response, error) {
 	options, err := r.deleteOptions()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return objectResponse(http.StatusOK, deleted)
 }
 
-// deleteCollection deletes all objects that a list would show. The answer is that list.
+// deleteCollection deletes all objects that the selectors of the request match. The answer is their list.
 func (s *Server) deleteCollection(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	selector, err := r.parseSelector()
 	if err != nil {
@@ -87,13 +87,13 @@
 	if err != nil || dryRun {
 		return response, err
 	}
-	options.Preconditions = nil // they are about one object
+	options.Preconditions = nil // they apply to a single object
 	for _, selected := range s.selected(&selector) {
 		_, err := s.deleteObject(r, selected, options)
 		if err == nil {
 			continue
 		}
-		// An object that was deleted with another, such as a Pod with its Job, is no error.
+		// An object may have been deleted together with another one, such as a Pod with its Job.
 		if s.Store.Get(r.resourceType.resource, selected.GetNamespace(), selected.GetName()) != nil {
 			return http1.Response{}, r.statusError(err, selected.GetName())
 		}
@@ -114,7 +114,7 @@
 	return objects
 }
 
-// deleteObject has the engine delete a Job or a Pod.
+// deleteObject deletes a Job or a Pod through the engine.
 func (s *Server) deleteObject(r *request, o store.Object, options *metav1.DeleteOptions) (store.Object, error) {
 	var uid types.UID
 	revision := ""
@@ -155,7 +155,7 @@
 	})
 }
 
-// evictionUID returns the UID that the Pod must have, "" for any.
+// evictionUID returns the required UID of the Pod, "" for any.
 func evictionUID(eviction *policyv1.Eviction) types.UID {
 	options := eviction.DeleteOptions
 	if options == nil || options.Preconditions == nil || options.Preconditions.UID == nil {
--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// tooManyRetrySeconds and unavailableRetrySeconds are what Retry-After says.
+	// tooManyRetrySeconds and unavailableRetrySeconds are values of Retry-After.
 	tooManyRetrySeconds     = 5
 	unavailableRetrySeconds = 1
 )
@@ -29,7 +29,7 @@
 	}}
 }
 
-// newInvalidSegment rejects a path segment that is no valid name: an escaped slash must not become part of one.
+// newInvalidSegment rejects a path segment that is not a valid name: an escaped slash must not become part of one.
 func newInvalidSegment(what, got string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
 		"with a letter or digit", what, got))
@@ -45,12 +45,12 @@
 	return err
 }
 
-// newRevisionExpired is the answer to a resource version that the history no longer reaches.
+// newRevisionExpired is the answer to a resource version that is no longer in the history.
 func newRevisionExpired(message string) *apierrors.StatusError {
 	return apierrors.NewResourceExpired(message)
 }
 
-// newRevisionTooLarge is the answer to a resource version that is yet to come.
+// newRevisionTooLarge is the answer to a resource version that does not exist yet.
 func newRevisionTooLarge(revision, current int64) error {
 	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", revision, current), 1)
 	err.ErrStatus.Details.Causes = []metav1.StatusCause{{
@@ -60,7 +60,7 @@
 	return err
 }
 
-// newDecodeLimitError is the answer to a text that would cost too much to decode.
+// newDecodeLimitError is the answer to a text whose decoding would take too much memory.
 func newDecodeLimitError(what string, err error) error {
 	message := what + ": " + err.Error()
 	var limit *decodelimit.Error
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// maxInlineListBytes is the size up to which a list is sent as a whole; a larger one is encoded as its reader takes it.
+	// maxInlineListBytes is the size up to which a list is encoded at once; a larger one is encoded while it is sent.
 	maxInlineListBytes = 64 << 10
-	// maxTableRows bounds a page of a table, which is encoded as a whole; the continue token leads to the rest.
+	// maxTableRows bounds a page of a table, which is encoded at once; the continue token leads to the next page.
 	maxTableRows = 1000
-	// maxRemainingItems is up to where the items after a page are counted.
+	// maxRemainingItems is the largest number of items after a page that are counted.
 	maxRemainingItems = 1 << 16
 )
 
@@ -62,7 +62,7 @@
 	return s.listPage(r, selector, snapshot, after, limit)
 }
 
-// listLimit returns the most objects on a page, 0 for no bound.
+// listLimit returns the largest number of objects on a page, 0 for no bound.
 func (s *Server) listLimit(r *request) (int, error) {
 	limit := 0
 	if text := r.query.Get("limit"); text != "" {
@@ -121,7 +121,7 @@
 	return s.Store.Snapshot(r.resourceType.resource), "", nil
 }
 
-// continueToken says where a page of a list ended. Clients hold it as JSON in base64.
+// continueToken is the position after a page of a list. It is sent to clients as JSON in base64.
 type continueToken struct {
 	Revision int64  `json:"rv"`
 	After    string `json:"after"` // key of the last object
@@ -165,11 +165,11 @@
 	count     int
 	lastKey   string
 	more      bool  // objects follow
-	remaining int64 // how many, as far as they were counted
+	remaining int64 // number of them, if counted
 }
 
-// scanPage finds what is on a page and, if collect is set, collects its objects. What follows is counted only where that costs nothing, which
-// is where all objects match.
+// scanPage determines the objects of a page and, if collect is set, collects them. The objects after the page are counted only if the selector
+// matches all objects.
 func scanPage(selector *objectSelector, snapshot store.Snapshot, after string, limit int, collect bool) page {
 	var found page
 	snapshot.Scan(selector.namespace, after, func(key string, change *store.Change) bool {
@@ -191,7 +191,7 @@
 	return found
 }
 
-// listPage answers one page of a list. Its objects are encoded once for all lists and watches.
+// listPage returns one page of a list as a response. Its objects are encoded once for all lists and watches.
 func (s *Server) listPage(r *request, selector objectSelector, snapshot store.Snapshot, after string, limit int) (http1.Response, error) {
 	asTable := r.Head.Method == http.MethodGet && wantsTable(r.Head.Header.Get("Accept"))
 	if asTable && (limit == 0 || limit > maxTableRows) {
@@ -220,8 +220,8 @@
 	return stream.response(r.resourceType, &meta)
 }
 
-// listStream is a list that is encoded as its reader takes it, from one snapshot. It holds no text but the beginning. The snapshot keeps alive
-// all objects that have changed since, so a reader must be done while the history still reaches back to it.
+// listStream is a list that is encoded while it is sent, from one snapshot. It keeps no encoded items. The snapshot keeps all objects in memory
+// that have changed since, so the list must end before the snapshot's revision leaves the history.
 type listStream struct {
 	server    *Server
 	selector  objectSelector
@@ -230,11 +230,11 @@
 	remaining int    // items that may still follow, unless unlimited
 	unlimited bool
 	written   int
-	head      []byte // what is to be sent before the next item
+	head      []byte // text to be sent before the next item
 	broken    bool
 }
 
-// response returns a list as a whole if it is small, and as a stream if it is not.
+// response returns a small list as a body, and a large one as a stream.
 func (l *listStream) response(listed *resourceType, meta *metav1.ListMeta) (http1.Response, error) {
 	metaText, err := json.Marshal(meta)
 	if err != nil {
@@ -288,5 +288,5 @@
 // Close implements http1.Stream.
 func (l *listStream) Close() {}
 
-// Broken says that the list ended before it was complete, because the history no longer reaches back to its snapshot.
+// Broken reports that the list ended before it was complete, because the revision of its snapshot has left the history.
 func (l *listStream) Broken() bool { return l.broken }
--- a/internal/kube/api/request.go
+++ b/internal/kube/api/request.go
@@ -33,7 +33,7 @@
 	warnings     []string // to be sent with the response
 }
 
-// isRead says whether the method changes nothing.
+// isRead reports whether the method is read-only.
 func (r *request) isRead() bool {
 	return r.Head.Method == http.MethodGet || r.Head.Method == http.MethodHead
 }
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// discoveryPaths are the paths that describe the API.
+// discoveryPaths are the paths of API discovery.
 var discoveryPaths = [][]string{
 	{"api"},
 	{"api", "v1"},
@@ -85,7 +85,7 @@
 	{"version"},
 }
 
-// route finds the resource that the path names. A path of discovery names none.
+// route finds the resource that the path names, nil for a path of discovery.
 func (r *request) route() error {
 	isPath := func(path []string) bool { return slices.Equal(path, r.path) }
 	if slices.ContainsFunc(discoveryPaths, isPath) {
@@ -121,7 +121,7 @@
 	return nil, false
 }
 
-// routeObject takes the segments after the resource: the name of an object and a subresource, if any.
+// routeObject parses the segments after the resource: the name of an object and a subresource, if any.
 func (r *request) routeObject(segments []string) error {
 	if len(segments) == 0 {
 		return nil
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// acceptsJSON says whether JSON is among the media types that a client accepts. A client that accepts the protobuf encoding counts: watches
-// are served in it, and any other response is JSON, as its content type says.
+// acceptsJSON reports whether a client accepts JSON or the protobuf encoding. Only watches are served in the latter: any other response is JSON,
+// as its content type says.
 func acceptsJSON(accept string) bool {
 	if accept == "" {
 		return true
@@ -178,7 +178,7 @@
 	return false
 }
 
-// dryRun says whether the request changes nothing, by its query and the options in its body.
+// dryRun reports whether the query or the options in the body ask for a dry run.
 func (r *request) dryRun(options []string) (bool, error) {
 	values := slices.Concat(r.query["dryRun"], options)
 	for _, value := range values {
--- a/internal/kube/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -12,7 +12,7 @@
 	"heathshed/internal/kube/store"
 )
 
-// resourceType describes a resource as the API names it.
+// resourceType describes a resource of the API.
 type resourceType struct {
 	resource     store.Resource
 	groupVersion schema.GroupVersion
@@ -88,10 +88,10 @@
 	},
 }
 
-// supports says whether a verb of the API applies to the resource.
+// supports reports whether a verb of the API applies to the resource.
 func (t *resourceType) supports(verb string) bool { return slices.Contains(t.verbs, verb) }
 
-// findResourceType returns the resource of a name in the core group or the other one, nil if there is none.
+// findResourceType returns the resource with a name in the core group or in the batch group, nil if there is none.
 func findResourceType(name string, core bool) *resourceType {
 	for _, candidate := range resourceTypes {
 		isCore := candidate.groupVersion.Group == ""
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -46,7 +46,7 @@
 	return json.Marshal(&typed)
 }
 
-// typeOf returns the API version and the kind of an object that is served: a Status if it is none of the resources.
+// typeOf returns the API version and the kind of a served object, which is one of the resources or a Status.
 func typeOf(o runtime.Object) (version, kind string) {
 	switch o.(type) {
 	case *batchv1.Job:
@@ -70,7 +70,7 @@
 	return text
 }
 
-// encoded returns the object of a change as JSON, encoded once for all that read it.
+// encoded returns the object of a change as JSON. It is encoded once for all readers.
 func encoded(change *store.Change) []byte {
 	if change.JSON == nil {
 		change.JSON = encodeOrNull(change.Object)
@@ -82,12 +82,12 @@
 	return []http1.Field{{Name: "Content-Type", Value: mediaType}}
 }
 
-// textResponse returns a response that is no API object.
+// textResponse returns a response with a body that is not an API object.
 func textResponse(status int, mediaType string, body []byte) http1.Response {
 	return http1.Response{Status: status, Header: contentType(mediaType), Body: body}
 }
 
-// encodedResponse returns a response with a body that is JSON already.
+// encodedResponse returns a response with an encoded JSON body.
 func encodedResponse(status int, body []byte) http1.Response {
 	return http1.Response{Status: status, Header: contentType(jsonType), Body: body}
 }
@@ -110,7 +110,7 @@
 	return encodedResponse(status, body), nil
 }
 
-// errorResponse returns an error as the API's Status object. An error that has no status is an internal one.
+// errorResponse returns an error as the API's Status object. An error without a status is an internal error.
 func errorResponse(err error) http1.Response {
 	status := metav1.Status{
 		Status:  metav1.StatusFailure,
--- a/internal/kube/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -70,8 +70,8 @@
 	return selector, nil
 }
 
-// checkSelectorTerms bounds a selector before it is parsed. A comma separates two requirements, or two values of one, and each object of a
-// list is matched against all of them.
+// checkSelectorTerms bounds a selector before it is parsed, since each object of a list is matched against all of its terms. A comma separates
+// two requirements, or two values of one.
 func checkSelectorTerms(name, text string) error {
 	if commas := strings.Count(text, ","); commas >= maxSelectorTerms {
 		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, commas+1, maxSelectorTerms))
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// isSelectable says whether a field selector may name a field.
+// isSelectable reports whether a field selector may name a field.
 func (t *resourceType) isSelectable(name string) bool {
 	return name == "metadata.name" || name == "metadata.namespace" || slices.Contains(t.selectableFields, name)
 }
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -19,7 +19,7 @@
 	"heathshed/placer"
 )
 
-// wantsTable says whether a client prefers rows to print to plain objects, as kubectl get does.
+// wantsTable reports whether a client prefers a Table to plain objects, as kubectl get does.
 func wantsTable(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
 		mediaType, parameters, err := mime.ParseMediaType(part)
@@ -67,7 +67,7 @@
 	return duration.HumanDuration((now - placer.Seconds(created.Unix())).Duration())
 }
 
-// tableCells returns the row of an object, by tableColumns.
+// tableCells returns the cells of an object's row, in the order of tableColumns.
 func tableCells(o store.Object, now placer.Seconds) []any {
 	switch typed := o.(type) {
 	case *batchv1.Job:
@@ -149,7 +149,7 @@
 	includeNone   = "None"
 )
 
-// tableResponse answers a get or a page of a list as rows, each with the metadata of its object unless the request says otherwise.
+// tableResponse returns an object or a page of a list as a Table. Each row has the metadata of its object unless includeObject says otherwise.
 func (s *Server) tableResponse(r *request, meta metav1.ListMeta, objects []store.Object) (http1.Response, error) {
 	table := metav1.Table{
 		TypeMeta:          metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"},
@@ -168,7 +168,7 @@
 	return jsonResponse(http.StatusOK, &table)
 }
 
-// encodeRowObject returns what a row holds of its object besides the cells: the whole object, nothing, or its metadata.
+// encodeRowObject returns the object of a row besides its cells: the complete object, nothing, or its metadata.
 func encodeRowObject(o store.Object, include string) ([]byte, error) {
 	switch include {
 	case includeObject:
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -25,7 +25,7 @@
 	maxPatchOps = 1000
 	// maxPatchedBytes bounds an object that results from a patch, in bytes of JSON.
 	maxPatchedBytes = 1 << 20
-	// maxPatchExcerpt is how many characters of a patch an error quotes.
+	// maxPatchExcerpt is the number of characters of a patch that an error quotes.
 	maxPatchExcerpt = 1000
 )
 
@@ -56,7 +56,7 @@
 	return objectResponse(http.StatusOK, stored)
 }
 
-// decodeUpdate reads the object of a PUT, or that which results from a PATCH of the current one.
+// decodeUpdate returns the object of a PUT, or the result of a PATCH of the current object.
 func (r *request) decodeUpdate(current, into store.Object) error {
 	if r.Head.Method == http.MethodPut {
 		return r.decode(into, r.resourceType.kind)
@@ -68,7 +68,7 @@
 	return r.decodeJSON(patched, into, r.resourceType.kind)
 }
 
-// applyUpdate has the engine update an object.
+// applyUpdate updates an object through the engine.
 func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
 	if job, ok := updated.(*batchv1.Job); ok {
 		setJobDefaults(job)
@@ -78,8 +78,8 @@
 	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
 }
 
-// requestedUnschedulable returns what a request says about spec.unschedulable, nil if it says nothing. A patch says something by naming the
-// field, and any request by changing its value.
+// requestedUnschedulable returns the value that a request orders for spec.unschedulable, nil if it orders none. A patch orders a value by naming
+// the field, and any request by changing its value.
 func (r *request) requestedUnschedulable(updated, current *corev1.Node) *bool {
 	changed := updated.Spec.Unschedulable != current.Spec.Unschedulable
 	named := r.Head.Method == http.MethodPatch && patchNamesUnschedulable(r.Body)
@@ -89,7 +89,7 @@
 	return new(updated.Spec.Unschedulable)
 }
 
-// patchNamesUnschedulable says whether a merge patch or a JSON patch names spec.unschedulable.
+// patchNamesUnschedulable reports whether a merge patch or a JSON patch names spec.unschedulable.
 func patchNamesUnschedulable(patch []byte) bool {
 	var merge struct {
 		Spec map[string]json.RawMessage `json:"spec"`
--- a/internal/kube/api/validate.go
+++ b/internal/kube/api/validate.go
@@ -20,7 +20,7 @@
 	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), at.Child("annotations"))...)
 }
 
-// validateJob checks a Job after its defaults are filled in.
+// validateJob checks a Job whose defaults are set.
 func validateJob(job *batchv1.Job) field.ErrorList {
 	metaPath := field.NewPath("metadata")
 	errs := validateName(job, metaPath)
@@ -28,7 +28,7 @@
 	return append(errs, validateJobSpec(&job.Spec, field.NewPath("spec"))...)
 }
 
-// validateName checks a name or the beginning of a generated one.
+// validateName checks a name or the prefix of a generated one.
 func validateName(o metav1.Object, at *field.Path) field.ErrorList {
 	name := o.GetName()
 	prefix := o.GetGenerateName()
@@ -42,7 +42,7 @@
 	return field.ErrorList{field.Required(at.Child("name"), "name or generateName is required")}
 }
 
-// invalidEach returns an error for each reason for which a value is invalid.
+// invalidEach returns an error for each reason why a value is invalid.
 func invalidEach(at *field.Path, value string, reasons []string) field.ErrorList {
 	var errs field.ErrorList
 	for _, reason := range reasons {
@@ -70,7 +70,7 @@
 	return append(errs, validatePodSpec(&spec.Template.Spec, template.Child("spec"))...)
 }
 
-// validateNotNegative checks a number that may be left out.
+// validateNotNegative checks a number, which may be absent.
 func validateNotNegative[T int32 | int64](value *T, at *field.Path) field.ErrorList {
 	if value == nil || *value >= 0 {
 		return nil
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -20,14 +20,14 @@
 	defaultWatchTimeout = placer.Seconds(1800)
 	maxChangesPerRead   = 512
 
-	// fewWatches is up to how many watches changes are sent at once; batchDelayPerWatch and maxBatchDelay bound the delay above.
+	// fewWatches is the number of watches up to which changes are sent at once; batchDelayPerWatch and maxBatchDelay bound the delay above it.
 	fewWatches         = 50
 	batchDelayPerWatch = placer.Seconds(4e-6)
 	maxBatchDelay      = placer.Seconds(0.05)
 )
 
-// WatchBatchDelay is how long changes may gather before they are sent to watches: nothing while watches are few, and a few
-// microseconds for each when they are many, so that sending takes a bounded part of the time whatever the rate of changes.
+// WatchBatchDelay is the time for which changes are batched before they are sent to watches: none while there are few watches, and a few
+// microseconds for each of many, so that sending takes a bounded part of the time whatever the rate of changes.
 func WatchBatchDelay(watches int) placer.Seconds {
 	if watches <= fewWatches {
 		return 0
@@ -41,7 +41,7 @@
 // SetTime sets the Unix time for timeouts and bookmarks of watches. Pull the streams after it.
 func (s *Server) SetTime(now placer.Seconds) { s.now = now }
 
-// CloseWatches ends every watch at its next pull and lets none begin.
+// CloseWatches ends every watch at its next pull and rejects new ones.
 func (s *Server) CloseWatches() { s.closing = true }
 
 // watchOptions are the parameters of a watch.
@@ -120,7 +120,7 @@
 	return http1.Response{Status: http.StatusOK, Header: contentType(mediaType), Stream: w}, nil
 }
 
-// newWatcher returns a watcher at its place in the history, or an error if that is not yet or no longer there.
+// newWatcher returns a watcher at its position in the history, or an error if that position does not exist yet or no longer.
 func (s *Server) newWatcher(selector objectSelector, options watchOptions) (*watcher, error) {
 	w := &watcher{
 		server:         s,
@@ -151,13 +151,13 @@
 	return w, nil
 }
 
-// newWatchExpired is the answer to a watch whose place is no longer in the history.
+// newWatchExpired is the answer to a watch whose position is no longer in the history.
 func newWatchExpired(revision, current int64) *apierrors.StatusError {
 	return newRevisionExpired(fmt.Sprintf("too old resource version: %d (%d)", revision, current))
 }
 
-// watcher is one watch: a place in the history of a resource. It holds no queue: what its reader has not taken stays in the history, and a
-// watch that falls behind the history gets an error event and ends.
+// watcher is one watch: a position in the history of a resource. It has no queue: changes that were not sent yet remain in the history, and a
+// watch whose position has left the history gets an error event and ends.
 type watcher struct {
 	server          *Server
 	selector        objectSelector
@@ -165,7 +165,7 @@
 	deadline        placer.Seconds
 	bookmarks       bool
 	nextBookmarkAt  placer.Seconds
-	initialSnapshot *store.Snapshot // whose objects are sent first; nil once they are
+	initialSnapshot *store.Snapshot // whose objects are sent first; nil once they were sent
 	after           string          // key of the last object of the initial snapshot that was sent or skipped
 	markInitialEnd  bool            // a bookmark ends the initial events
 	binary          bool            // in the protobuf encoding
@@ -212,7 +212,8 @@
 	return b
 }
 
-// appendChanges appends the changes after the watch's place in the history, up to a length. It returns false if the history no longer reaches back to it.
+// appendChanges appends the changes after the watch's position in the history, up to a length. It returns false if the position has left the
+// history.
 func (w *watcher) appendChanges(b []byte, limit int) (out []byte, inHistory bool) {
 	history := w.server.Store
 	for w.initialSnapshot == nil && len(b) < limit && w.revision < history.Rev() {
@@ -235,7 +236,7 @@
 	return b, true
 }
 
-// appendTimed appends a bookmark if one is due, and says whether the watch ends.
+// appendTimed appends a bookmark if one is due, and reports whether the watch ends.
 func (w *watcher) appendTimed(b []byte) ([]byte, bool) {
 	if w.server.closing {
 		return b, true
@@ -248,8 +249,8 @@
 	return b, timedOut
 }
 
-// appendVisibleChange appends a change as the watch's selector shows it: an object that begins to match is added, and one that no longer does
-// is deleted.
+// appendVisibleChange appends a change as seen through the watch's selector: an object that begins to match is added, and one that no longer
+// matches is deleted.
 func (w *watcher) appendVisibleChange(b []byte, change *store.Change) []byte {
 	matches := change.Op != store.Deleted && w.selector.matches(change.Object)
 	matched := change.Prev != nil && w.selector.matches(change.Prev)
@@ -261,7 +262,7 @@
 	case matched && change.Op == store.Deleted:
 		return w.appendChange(b, watch.Deleted, change)
 	case matched:
-		// The last state that matched, with the revision at which it ceased to.
+		// The last state that matched, with the revision at which it no longer did.
 		last := change.Prev.DeepCopyObject().(store.Object)
 		last.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
 		return w.appendObject(b, watch.Deleted, last)
@@ -269,7 +270,7 @@
 	return b
 }
 
-// appendExpired appends the event that ends a watch whose place is no longer in the history.
+// appendExpired appends the event that ends a watch whose position is no longer in the history.
 func (w *watcher) appendExpired(b []byte, revision int64) []byte {
 	status := newWatchExpired(revision, w.server.Store.Rev()).Status()
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
@@ -294,7 +295,7 @@
 	return appendEvent(b, event, encoded(change))
 }
 
-// appendObject appends an event with an object of this watch alone.
+// appendObject appends an event with an object that is encoded for this watch only.
 func (w *watcher) appendObject(b []byte, event watch.EventType, o runtime.Object) []byte {
 	if w.binary {
 		return appendBinaryEvent(b, event, encodeBinary(o))
@@ -302,7 +303,7 @@
 	return appendEvent(b, event, encodeOrNull(o))
 }
 
-// appendEvent appends an event with an object that is JSON already.
+// appendEvent appends an event with an object that is encoded as JSON.
 func appendEvent(b []byte, event watch.EventType, object []byte) []byte {
 	b = append(b, `{"type":"`...)
 	b = append(b, event...)
