--- a/internal/kube/apiclient/client.go
+++ b/internal/kube/apiclient/client.go
@@ -1,5 +1,8 @@
 // Package apiclient is a client of the scheduler's Kubernetes API over HTTP, with JSON objects: it sends requests, reads lists page by page,
-// and keeps watches going over broken connections. An answer that is not a success is a StatusError.
+// and resumes watches after their connections break. An answer that is not a success is a StatusError. The commands use it, and package
+// faultinjection; a scheduler reads its inventory with package reflector instead.
+//
+// Begin reading at Client.Do (client.go), Client.Pages (list.go) and Client.Watch (watch.go).
 package apiclient
 
 import (
@@ -16,7 +19,7 @@
 
 const (
 	maxStatusBytes  = 1 << 20 // of an answer that reports an error
-	maxDiscardBytes = 1 << 20 // of an answer that is not looked at
+	maxDiscardBytes = 1 << 20 // of an answer that is discarded
 )
 
 // The content types of bodies.
@@ -46,7 +49,7 @@
 	Body        []byte
 }
 
-// Send sends a request and returns the answer, whatever its status. The caller closes its body.
+// Send sends a request and returns the answer, whatever its status. The caller must close its body.
 func (c *Client) Send(ctx context.Context, request *Request) (*http.Response, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, c.baseURL+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -58,7 +61,7 @@
 	return c.http.Do(httpRequest)
 }
 
-// Do sends a request and decodes the answer into out, or ignores it if out is nil. The error is a *StatusError if the server answered that
+// Do sends a request and decodes the answer into out, or discards it if out is nil. The error is a *StatusError if the server answered that
 // the request did not succeed.
 func (c *Client) Do(ctx context.Context, request *Request, out any) error {
 	response, err := c.open(ctx, request)
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// open sends a request and returns a successful answer for reading.
+// open sends a request and returns a successful answer, whose body the caller must close.
 func (c *Client) open(ctx context.Context, request *Request) (*http.Response, error) {
 	response, err := c.Send(ctx, request)
 	if err != nil {
@@ -94,12 +97,12 @@
 	return c.Do(ctx, &Request{Method: http.MethodGet, Path: path}, out)
 }
 
-// Create posts an object, as JSON, to a collection. out gets the object as the server has it; it may be nil.
+// Create posts an object, as JSON, to a collection. The created object is decoded into out, which may be nil.
 func (c *Client) Create(ctx context.Context, path string, object []byte, out any) error {
 	return c.Do(ctx, &Request{Method: http.MethodPost, Path: path, ContentType: JSON, Body: object}, out)
 }
 
-// Patch changes an object by a JSON merge patch. out gets the object as the server has it; it may be nil.
+// Patch changes an object by a JSON merge patch. The changed object is decoded into out, which may be nil.
 func (c *Client) Patch(ctx context.Context, path string, patch []byte, out any) error {
 	return c.Do(ctx, &Request{Method: http.MethodPatch, Path: path, ContentType: MergePatch, Body: patch}, out)
 }
@@ -109,16 +112,16 @@
 	return c.Do(ctx, &Request{Method: http.MethodDelete, Path: path, ContentType: JSON}, nil)
 }
 
-// SetUnschedulable drains a node, or cancels its drain. out gets the Node as the server has it; it may be nil.
+// SetUnschedulable drains a node, or cancels its drain. The changed Node is decoded into out, which may be nil.
 func (c *Client) SetUnschedulable(ctx context.Context, node string, unschedulable bool, out any) error {
 	return c.Patch(ctx, NodePath(node), fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, unschedulable), out)
 }
 
-// Discard reads and closes an answer that is not looked at, so that its connection can be used again. If that fails it is not.
+// Discard reads an answer to its end and closes it, so that its connection can be reused. Errors are ignored: the connection is closed then.
 func Discard(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
 	closeBody(response)
 }
 
-// closeBody closes the body of an answer, of which nothing more is needed.
+// closeBody closes the body of an answer. Its error is ignored, since nothing more is read.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
--- a/internal/kube/apiclient/errors.go
+++ b/internal/kube/apiclient/errors.go
@@ -18,7 +18,7 @@
 
 func newStatusError(request *Request, response *http.Response) *StatusError {
 	err := &StatusError{Method: request.Method, Path: request.Path, Code: response.StatusCode}
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes)) // what was read may suffice
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes)) // a partial text is tried, too
 	var status metav1.Status
 	if json.Unmarshal(text, &status) == nil {
 		err.Message = status.Message
@@ -33,12 +33,12 @@
 	return fmt.Sprintf("%s %s: status %d", err.Method, err.Path, err.Code)
 }
 
-// Temporary reports whether the server asks to try again.
+// Temporary reports whether the request may succeed if it is retried later.
 func (err *StatusError) Temporary() bool {
 	return err.Code == http.StatusTooManyRequests || err.Code == http.StatusServiceUnavailable
 }
 
-// Conflict reports whether the object exists, or has changed since it was read.
+// Conflict reports whether the object to be created exists already, or the object to be changed has changed since it was read.
 func (err *StatusError) Conflict() bool { return err.Code == http.StatusConflict }
 
 // WatchError is an error that the server reports inside a watch.
--- a/internal/kube/apiclient/list.go
+++ b/internal/kube/apiclient/list.go
@@ -11,14 +11,14 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 )
 
-// Page is a part of a list.
+// Page is one page of a list.
 type Page struct {
 	Kind     string            `json:"kind"` // of the list
 	Metadata metav1.ListMeta   `json:"metadata"`
 	Items    []json.RawMessage `json:"items"`
 }
 
-// Pages yields the pages of a collection, with up to limit objects each. It ends after the first error.
+// Pages returns an iterator over the pages of a collection, with up to limit objects each. It ends after the first error.
 func (c *Client) Pages(ctx context.Context, path string, query url.Values, limit int) iter.Seq2[*Page, error] {
 	return func(yield func(*Page, error) bool) {
 		pageQuery := url.Values{}
--- a/internal/kube/apiclient/watch.go
+++ b/internal/kube/apiclient/watch.go
@@ -23,19 +23,21 @@
 	Object json.RawMessage
 }
 
-// EventHandler takes an event of a watch. ErrStopWatch ends the watch; at another error the watch connects again, and the event comes anew.
+// EventHandler handles an event of a watch. If it returns ErrStopWatch, the watch ends; after another error the watch reconnects and receives the
+// event again.
 type EventHandler func(Event) error
 
 // ErrStopWatch is returned by an EventHandler to end the watch.
 var ErrStopWatch = errors.New("the watch is to end")
 
-// errDisconnected reports that the connection of a watch was broken.
+// errDisconnected reports that the connection of a watch broke.
 var errDisconnected = errors.New("the connection has ended")
 
-// errTimeout reports that a connection has lasted for ConnectionTimeout.
+// errTimeout reports that a connection was ended after ConnectionTimeout.
 var errTimeout = errors.New("the connection timeout has passed")
 
-// WatchOptions say what is watched, and how the watch goes on after a connection has ended. It resumes from the last revision that it got.
+// WatchOptions configure what is watched, and how the watch resumes after a connection has ended. It resumes from the last revision that it
+// received.
 type WatchOptions struct {
 	Path  string     // of the collection
 	Query url.Values // selectors of objects
@@ -43,23 +45,23 @@
 	// List, if set, reads the collection and returns its revision, from which the watch starts. It is called at the beginning, and again when
 	// the server reports an error inside the watch, or that it does not have the revision (status 410 or 504).
 	//
-	// Without List the watch begins with the objects that exist. It begins anew if the server reports inside the watch that the revision has
+	// Without List the watch begins with the objects that exist. It starts over if the server reports inside the watch that the revision has
 	// expired, and ends with a *WatchError if the server reports another error there.
 	List func(context.Context) (revision string, err error)
 
-	// MaxAttempts is the number of connections in a row without an event at which the watch fails. 0 is no limit.
+	// MaxAttempts is the largest number of consecutive connections without an event. The watch fails with one more. 0 is no limit.
 	MaxAttempts int
-	// RetryStep is the pause after the first failed connection, which grows by as much with each further one, to RetryMax.
+	// RetryStep is the delay after the first failed connection. The delay grows by RetryStep with each further one, up to RetryMax.
 	RetryStep, RetryMax time.Duration
 
-	// ConnectionTimeout, if above 0, ends each connection after that time. The next one follows without a pause.
+	// ConnectionTimeout, if above 0, ends each connection after that time. The next one follows without a delay.
 	ConnectionTimeout time.Duration
 	// OnConnectionTimeout, if set, is called when ConnectionTimeout has ended a connection.
 	OnConnectionTimeout func()
 }
 
-// Watch watches a collection, over broken connections, until handle ends it or the context is done, and then returns nil. Bookmarks do not
-// reach handle.
+// Watch watches a collection until handle ends the watch or the context is done, and then returns nil. It reconnects after broken connections.
+// Bookmarks are not passed to handle.
 func (c *Client) Watch(ctx context.Context, options WatchOptions, handle EventHandler) error {
 	w := watcher{client: c, options: options, handle: handle}
 	for attempts := 0; ; {
@@ -88,16 +90,16 @@
 	}
 }
 
-// watcher reads the connections of one watch, one after another.
+// watcher is the state of one watch over its consecutive connections.
 type watcher struct {
 	client   *Client
 	options  WatchOptions
 	handle   EventHandler
-	revision string // to resume from; "" to begin anew
-	received bool   // the present connection has brought an event
+	revision string // to resume from; "" to start over
+	received bool   // an event was received on the present connection
 }
 
-// expired reports whether the error says that the watch cannot be resumed from its revision.
+// expired reports whether an error means that the watch cannot be resumed from its revision.
 func (w *watcher) expired(err error) bool {
 	var failed *WatchError
 	if errors.As(err, &failed) {
@@ -108,7 +110,7 @@
 		(status.Code == http.StatusGone || status.Code == http.StatusGatewayTimeout)
 }
 
-// connect makes one connection, after a list if that is due, and reads it to its end. It always returns an error.
+// connect reads one connection to its end, after a list if there is no revision to resume from. It always returns an error.
 func (w *watcher) connect(ctx context.Context) error {
 	w.received = false
 	if w.revision == "" && w.options.List != nil {
@@ -156,15 +158,15 @@
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, maxWatchEventBytes)
 	for lines.Scan() {
-		if err := w.take(lines.Bytes()); err != nil {
+		if err := w.handleLine(lines.Bytes()); err != nil {
 			return err
 		}
 	}
 	return errDisconnected
 }
 
-// take takes one line of a connection. A line that the break of the connection has cut short ends the connection: its event comes again.
-func (w *watcher) take(line []byte) error {
+// handleLine handles one line of a connection, which is an event. A truncated line ends the connection: its event is received again on the next.
+func (w *watcher) handleLine(line []byte) error {
 	var event struct {
 		Type   watch.EventType `json:"type"`
 		Object json.RawMessage `json:"object"`
--- a/internal/kube/store/snapshot.go
+++ b/internal/kube/store/snapshot.go
@@ -9,7 +9,7 @@
 	"heathshed/placer"
 )
 
-// Snapshot is a table as it was at one revision.
+// Snapshot is the state of a table at one revision. It is not affected by later changes.
 type Snapshot struct {
 	Resource Resource
 	Rev      int64
@@ -17,7 +17,7 @@
 	keptAt   placer.Seconds // Unix time of the last KeepSnapshot
 }
 
-// Snapshot returns a table as it is now. The cost does not depend on the number of objects.
+// Snapshot returns the present state of a table. Its cost does not depend on the number of objects, since trees are copied on write.
 func (s *Store) Snapshot(r Resource) Snapshot {
 	return Snapshot{Resource: r, Rev: s.revision, objects: s.tables[r].objects.Copy()}
 }
@@ -28,7 +28,7 @@
 	snapshotRetention = placer.Seconds(300)
 )
 
-// KeepSnapshot keeps a snapshot for the next pages of a list. The one kept longest ago is dropped if there are too many.
+// KeepSnapshot keeps a snapshot for the next pages of a list. If there are too many, the first of the kept ones is dropped.
 func (s *Store) KeepSnapshot(now placer.Seconds, snapshot Snapshot) {
 	s.expireSnapshots(now)
 	for i := range s.snapshots {
@@ -45,7 +45,7 @@
 	s.snapshots = append(s.snapshots, snapshot)
 }
 
-// expireSnapshots drops the snapshots that are too old.
+// expireSnapshots drops the kept snapshots that are too old or outdated.
 func (s *Store) expireSnapshots(now placer.Seconds) {
 	remaining := 0
 	for _, snapshot := range s.snapshots {
@@ -58,8 +58,8 @@
 	s.snapshots = s.snapshots[:remaining]
 }
 
-// Outdated reports whether the history no longer reaches back to a snapshot. A reader that still uses it keeps objects in memory that are
-// needed for nothing else.
+// Outdated reports whether the revision of a snapshot has left the history. A reader that still uses the snapshot keeps objects in memory that
+// are needed for nothing else.
 func (s *Store) Outdated(snapshot Snapshot) bool {
 	return snapshot.Rev < s.tables[snapshot.Resource].lastDropped
 }
@@ -81,8 +81,8 @@
 // Len returns the number of objects.
 func (sn Snapshot) Len() int { return sn.objects.Len() }
 
-// Scan visits the objects of a namespace, "" for all, whose key is above after, in order of key. Each is passed as its last change. It ends
-// when visit returns false.
+// Scan visits the objects of a namespace, "" for all, whose key is above after, in order of key. Each object is passed as its last change. Scan
+// ends when visit returns false.
 func (sn Snapshot) Scan(namespace, after string, visit func(key string, change *Change) bool) {
 	prefix := ""
 	if namespace != "" {
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -1,8 +1,11 @@
 // Package store keeps API objects with a revision for every change, consistent snapshots for lists, and a bounded history of changes for
-// watches.
+// watches, as etcd does for the Kubernetes API server. Package engine writes to it, package api reads it; an emulated inventory has a store of
+// its own.
 //
 // It is pure: no I/O, no clock, no goroutines. A Store must be used by one goroutine at a time; a Snapshot may be read by any. Stored
 // objects must not be changed.
+//
+// Begin reading at Store.Put, which records a Change, Store.Since, which watches read from, and Snapshot (snapshot.go), which lists read from.
 package store
 
 import (
@@ -15,7 +18,7 @@
 	"k8s.io/apimachinery/pkg/runtime"
 )
 
-// Object is an API object that can be stored.
+// Object is an API object with its metadata.
 type Object interface {
 	metav1.Object
 	runtime.Object
@@ -52,10 +55,10 @@
 type Change struct {
 	Rev    int64
 	Op     Op
-	Object Object // for Deleted: the last state, with the revision of the deletion
-	Prev   Object // the state before; nil for Added
+	Object Object // the new state; for Deleted the last state, with the revision of the deletion
+	Prev   Object // the previous state; nil for Added
 
-	// JSON and Binary are encodings of Object that its readers may set, so that it is encoded once for all watchers.
+	// JSON and Binary are cached encodings of Object. The reader that needs one first sets it, so that Object is encoded once for all watches.
 	JSON   []byte
 	Binary []byte
 
@@ -64,13 +67,13 @@
 
 // Errors of reads. The API server turns them into statuses, with their texts as messages.
 var (
-	// ErrExpired means that the history does not reach back to the revision any more. The caller must list anew.
+	// ErrExpired means that the revision is no longer in the history. The caller must list again.
 	ErrExpired = errors.New("the revision is older than the history that is kept")
-	// ErrFuture means that no change has the revision yet.
+	// ErrFuture means that the revision does not exist yet.
 	ErrFuture = errors.New("the revision lies in the future")
 )
 
-// Store is a set of tables that share one sequence of revisions.
+// Store is a set of tables that share one sequence of revisions. It owns the objects, the histories and the kept snapshots.
 type Store struct {
 	revision       int64
 	tables         [resourceCount]table
@@ -83,8 +86,8 @@
 // with time, revisions grow over restarts.
 func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
-// NewBounded returns a Store like New. The histories of all tables together cost at most maxHistoryCost, in bytes as Cost counts: fewer
-// changes are kept if they are large. 0 means no limit.
+// NewBounded returns a Store like New that also bounds the cost of the histories of all tables together, in bytes as Cost counts: fewer changes
+// are kept if they are large. A maxHistoryCost of 0 means no limit.
 func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
 	s := &Store{revision: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
@@ -107,7 +110,7 @@
 	return nil
 }
 
-// Last returns the change that made a stored object what it is, nil if there is no such object.
+// Last returns the last change of a stored object, nil if there is no such object.
 func (s *Store) Last(r Resource, namespace, name string) *Change {
 	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // nil if there is none
 	return change
@@ -116,13 +119,13 @@
 // Len returns the number of objects in a table.
 func (s *Store) Len(r Resource) int { return s.tables[r].objects.Len() }
 
-// What Cost counts, on the high side.
+// Factors of Cost, chosen to overestimate.
 const (
 	costPerObject = 2048 // bytes beside the fields
 	costPerByte   = 5    // bytes per byte of the binary encoding, for the fields and the cached encodings
 )
 
-// Cost returns an upper estimate of the memory in bytes that an object and its encodings take while it is kept.
+// Cost returns an upper estimate of the memory in bytes that a stored object and its cached encodings take.
 func Cost(object Object) int64 {
 	size := 0
 	if sized, ok := object.(interface{ Size() int }); ok {
@@ -147,7 +150,7 @@
 	return total
 }
 
-// Put adds or replaces an object, sets its resource version, and returns that. The caller must not change the object afterwards.
+// Put adds or replaces an object, sets its resource version, and returns the revision. The caller must not change the object afterwards.
 func (s *Store) Put(r Resource, object Object) int64 {
 	table := &s.tables[r]
 	s.revision++
@@ -181,8 +184,8 @@
 	return true
 }
 
-// trimHistories drops the oldest changes of the table whose history costs most until all histories are within their limit. The last change
-// of each table is kept, so that a watch that has seen all changes never expires.
+// trimHistories drops the oldest changes of the table with the costliest history until the limit on all histories is met. The last change of
+// each table is kept, so that a watch that has read all changes never expires.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
 		costliest := s.costliestHistory()
@@ -221,7 +224,7 @@
 	return table.changesAfter(revision, limit), nil
 }
 
-// table holds the objects of one resource, and the history of their changes.
+// table has the objects of one resource and the history of their changes.
 type table struct {
 	objects    btree.Map[string, *Change] // the last change of each object, by Key
 	objectCost int64
@@ -234,17 +237,17 @@
 
 func (t *table) historyLength() int { return len(t.history) - t.head }
 
-// appendChange appends a change to the history and trims that to a length.
+// appendChange appends a change to the history and trims the history to a length.
 func (t *table) appendChange(change *Change, length int) {
 	t.history = append(t.history, change)
 	t.historyCost += change.cost
 	t.trimHistory(length)
 }
 
-// minCompaction is the number of dropped entries at the front of a history from which on it is copied to free their memory.
+// minCompaction is the number of dropped entries at the front of a history above which the history is copied to free their memory.
 const minCompaction = 1024
 
-// trimHistory drops the oldest changes until at most the given number is left.
+// trimHistory drops the oldest changes until the history has at most the given length.
 func (t *table) trimHistory(length int) {
 	for t.historyLength() > length {
 		dropped := t.history[t.head]
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -1,7 +1,8 @@
-// Package wellknown names what the project adds to the Kubernetes API: labels, annotations, conditions, reasons and header fields, with
-// the text forms of their values, and reads the parts of API objects that decisions depend on.
+// Package wellknown defines the project's additions to the Kubernetes API: labels, annotations, conditions, reasons and header fields, with the
+// text forms of their values (dict.go, timestamp.go). It also reads the parts of API objects that decisions depend on (objects.go).
 //
-// The texts are part of the wire protocol between schedulers, nodes and clients: they must not change. The package is pure.
+// All packages that handle API objects use it. The texts are part of the wire protocol between schedulers, nodes and clients: they must not
+// change. The package is pure.
 package wellknown
 
 import corev1 "k8s.io/api/core/v1"
