--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,11 @@
-// Package config reads the program's settings: JSON with comments, in which every field is checked and errors name file, line and column.
-// It also derives from them the configuration of the engine. What the emulators and the simulation need is derived by package labconfig.
+// Package config reads the settings of heathshed serve: JSON with comments, in which every field is checked and errors name file, line and
+// column. It also derives the configuration of the engine from them; package labconfig derives that of emulated nodes. The commands call it, and
+// the packages of experiments.
 //
-// The package is pure but for Load, which reads a file.
+// The package is pure except for Load and LoadDocument, which read a file.
+//
+// Begin reading at Settings and Load (config.go). decode.go decodes the text, renames.go translates the names of release 0.1 (former.go),
+// validate.go checks the values, and derive.go has Settings.Engine.
 package config
 
 import (
@@ -30,7 +34,7 @@
 	Admission       Admission  `json:"admission"`
 	Limits          Limits     `json:"limits"`
 	Emulator        Emulator   `json:"emulator"`
-	NodeSyncTimeout Duration   `json:"nodeSyncTimeout"` // how long the nodes found at the start have to list their tasks
+	NodeSyncTimeout Duration   `json:"nodeSyncTimeout"` // after the start, for the listed nodes to report their tasks
 	ConnectTimeout  Duration   `json:"connectTimeout"`
 	ShutdownTimeout Duration   `json:"shutdownTimeout"` // for a graceful shutdown
 }
@@ -47,12 +51,12 @@
 	Name                string   `json:"name"`
 	Idempotency         string   `json:"idempotency"`      // idempotent, deduplicated or at_most_once
 	DedupDomain         string   `json:"dedupDomain"`      // node, rack, zone or cluster: where nodes deduplicate a task by its key
-	DedupWindow         Duration `json:"dedupWindow"`      // how long they do
+	DedupWindow         Duration `json:"dedupWindow"`      // for which nodes remember a key
 	LatencyObjective    Duration `json:"latencyObjective"` // for the placement of a task
 	Deadline            Duration `json:"deadline"`
 	Priority            int      `json:"priority"`
 	Weight              float64  `json:"weight"`     // of a task that is placed within the objective
-	LateWeight          float64  `json:"lateWeight"` // of one that is placed later
+	LateWeight          float64  `json:"lateWeight"` // of a task that is placed later
 	StartBonus          float64  `json:"startBonus"`
 	NodeType            string   `json:"nodeType"`            // that the tasks need; "" for any
 	SpreadDomain        string   `json:"spreadDomain"`        // none, node, rack or zone
@@ -69,17 +73,17 @@
 	Memory float64 `json:"memory"`
 }
 
-// NodePolicy configures what holds for all nodes.
+// NodePolicy configures the behavior and the use of all nodes.
 type NodePolicy struct {
 	OvercommitCores     float64 `json:"overcommitCores"`     // factor on a node's cores
 	OvercommitMemory    float64 `json:"overcommitMemory"`    // factor on a node's memory
-	AcknowledgesOnStart bool    `json:"acknowledgesOnStart"` // a node answers when the task runs, not when it is accepted
+	AcknowledgesOnStart bool    `json:"acknowledgesOnStart"` // a node answers once the task runs, not once it is accepted
 	ListShowsCapacity   bool    `json:"listShowsCapacity"`   // the inventory shows the free capacity of nodes
 	Preempts            bool    `json:"preempts"`            // a node preempts tasks of lower priority
 	MaxAttempts         int     `json:"maxAttempts"`         // of one placement request
 }
 
-// Timing holds grace periods and the slow start of nodes.
+// Timing configures grace periods and the slow start of nodes.
 type Timing struct {
 	AnswerGrace      Duration `json:"answerGrace"`      // beyond a deadline, until an attempt counts as unanswered
 	DrainGrace       Duration `json:"drainGrace"`       // after a drain was published, in which attempts may still arrive
@@ -87,10 +91,10 @@
 	WarmupDuration   Duration `json:"warmupDuration"`   // until a node has its full pace
 	OverloadMultiple float64  `json:"overloadMultiple"` // of its pace at which a warming node is overloaded
 	OverloadWindow   Duration `json:"overloadWindow"`   // over which requests to a warming node are counted
-	WarmupAttempts   float64  `json:"warmupAttempts"`   // that a warming node may always get in the window
+	WarmupAttempts   float64  `json:"warmupAttempts"`   // permitted for any warming node in the window
 }
 
-// Costs weigh nodes in use, crossings between zones and migrations in the choice of a node.
+// Costs are the weights of nodes in use, of placements in other zones and of migrations in the choice of a node.
 type Costs struct {
 	Node      float64 `json:"node"`
 	CrossZone float64 `json:"crossZone"`
@@ -121,7 +125,7 @@
 	RetryBurst       float64  `json:"retryBurst"`
 }
 
-// Limits bound what the program stores and serves.
+// Limits bound the memory, the connections and the objects of the program.
 type Limits struct {
 	MemoryMiB       int      `json:"memoryMiB"` // divided by package memquota
 	Connections     int      `json:"connections"`
@@ -133,11 +137,11 @@
 	NodeLossTimeout Duration `json:"nodeLossTimeout"`
 }
 
-// Document is a settings file that was read.
+// Document is a decoded settings file.
 type Document struct {
 	Settings Settings
-	Former   []FormerName // what the file gives under former names, in the order of the file
-	Migrated []byte       // the file in present names, with its comments
+	Former   []FormerName // the former names in the file, in the order of the file
+	Migrated []byte       // the file with present names in place of former ones; comments are kept
 }
 
 // Load reads a settings file over the defaults and checks the result.
@@ -146,7 +150,7 @@
 	return document.Settings, err
 }
 
-// LoadDocument reads a settings file over the defaults, checks the result, and lists what the file gives under former names.
+// LoadDocument reads a settings file over the defaults, checks the result, and lists the former names in the file.
 func LoadDocument(file string) (Document, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -170,9 +174,9 @@
 	return Document{Settings: s, Former: dec.former, Migrated: dec.document.Pack()}, nil
 }
 
-// Decode reads JSON with comments from text into target, a pointer to a struct with json tags, and calls validate afterwards. Fields that the
-// text does not give keep their values; a field that the struct does not have is an error. The text may give former names. file is only named
-// in errors, which are of type *Error where they have a position: a *FieldError of validate gets that of its field.
+// Decode decodes JSON with comments from text into target, a pointer to a struct with json tags, and calls validate afterwards. Fields that are
+// absent from the text keep their values; an unknown field is an error. The text may use the former names of renames. file is only named in
+// errors. Errors with a position are of type *Error; a *FieldError of validate gets the position of its field.
 func Decode(file string, text []byte, target any, renames *Renames, validate func() error) error {
 	dec := decoder{file: file, text: text, renames: renames}
 	return dec.decode(target, validate)
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -15,19 +15,19 @@
 	file      string
 	text      []byte
 	renames   *Renames
-	document  hujson.Value // the text in present names
+	document  hujson.Value // the parsed text, in which former names are replaced while it is decoded
 	positions map[string]position
 	former    []FormerName
 }
 
-// position says where a text gives a field.
+// position is the place of a field in a text.
 type position struct {
 	offset  int    // of the value
-	written string // path as the text gives it, with former names
+	written string // path as written in the text, with former names
 }
 
-// decode reads JSON with comments and trailing commas into a struct with json tags and calls validate. A field that the struct does not have,
-// or that is given twice, is an error; a field that is not given keeps its value. Paths are in present names.
+// decode decodes JSON with comments and trailing commas into a struct with json tags and calls validate. An unknown or duplicate field is an
+// error; an absent field keeps its value. Paths are in present names.
 func (d *decoder) decode(target any, validate func() error) error {
 	var err error
 	if d.document, err = hujson.Parse(d.text); err != nil {
@@ -91,13 +91,13 @@
 	return nil
 }
 
-// givenMember is a member of an object as the text gives it.
+// givenMember is a member of an object as written in the text.
 type givenMember struct {
 	written string
 	offset  int // of the name
 }
 
-// errorGivenTwice returns an error about a field that a text gives twice, which may be under two names.
+// errorGivenTwice returns an error about a duplicate field, which may have been given under two names.
 func (d *decoder) errorGivenTwice(path string, first, second givenMember) error {
 	if first.written == second.written {
 		return d.errorAt(second.offset, path, "given twice")
@@ -176,7 +176,7 @@
 	return false
 }
 
-// setNumber sets a floating point number and reports whether the literal is one that fits.
+// setNumber sets a floating point number and reports whether the literal is a number in its range.
 func setNumber(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
 		return false
@@ -185,7 +185,7 @@
 	return true
 }
 
-// setInteger sets an integer from a number and reports whether the number is one that fits.
+// setInteger sets an integer and reports whether the literal is a whole number in its range.
 func setInteger(literal hujson.Literal, target reflect.Value) bool {
 	var number int64
 	if err := json.Unmarshal([]byte(literal), &number); err != nil {
@@ -213,7 +213,7 @@
 	return path + "." + name
 }
 
-// fieldNamed returns the field of a struct with a json name.
+// fieldNamed returns the field of a struct with the given json name.
 func fieldNamed(v reflect.Value, name string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if jsonName(v.Type().Field(i)) == name {
@@ -239,7 +239,7 @@
 	return name
 }
 
-// typeName names a type as errors do.
+// typeName returns the name of a type for errors.
 func typeName(v reflect.Value) string {
 	if v.Type() == durationType {
 		return `a duration such as "250ms", or a number of seconds`
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -8,7 +8,7 @@
 	"heathshed/internal/kube/engine"
 )
 
-// Default returns the settings of a program that is given none.
+// Default returns the default settings, over which a settings file is read.
 func Default() Settings {
 	return Settings{
 		Name:         "heathshed",
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -13,23 +13,23 @@
 
 // Duration is a length of time in settings. In a file it is a string with a unit, such as "250ms", or a number of seconds.
 //
-// It holds floating point seconds, as the engine does, and no time.Duration: a number of seconds that a file gives reaches the engine without
-// any rounding, also where it is no whole number of nanoseconds or too large for a time.Duration.
+// It is a floating point number of seconds, as in the engine, and not a time.Duration: a number of seconds in a file reaches the engine without
+// rounding, even if it is not a whole number of nanoseconds or too large for a time.Duration.
 type Duration float64
 
-// DurationOf returns a duration that is given in nanoseconds. Up to 104 days it is the floating point number nearest to it.
+// DurationOf converts a time.Duration. Up to 104 days the result is the floating point number nearest to it.
 func DurationOf(d time.Duration) Duration {
 	if seconds := d / time.Second; seconds*time.Second == d {
 		return Duration(seconds)
 	}
-	// One division of two exact numbers rounds once. Duration.Seconds adds two rounded parts, which may give a neighbouring number.
+	// One division of two exact numbers rounds once. time.Duration.Seconds adds two rounded parts, which may give an adjacent number.
 	return Duration(float64(d) / float64(time.Second))
 }
 
 // Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return float64(d) }
 
-// Duration returns the duration rounded to nanoseconds, or the nearest that time.Duration can hold.
+// Duration returns the duration rounded to nanoseconds, or the nearest value of time.Duration if it is out of range.
 func (d Duration) Duration() time.Duration {
 	switch nanoseconds := float64(d) * float64(time.Second); {
 	case nanoseconds >= math.MaxInt64:
@@ -41,7 +41,7 @@
 	return time.Duration(seconds)*time.Second + time.Duration(math.Round(fraction*float64(time.Second)))
 }
 
-// isExact reports whether the duration is a whole number of nanoseconds, so that its text form gives it back.
+// isExact reports whether the duration is a whole number of nanoseconds, so that parsing its text form gives the same duration.
 func (d Duration) isExact() bool { return DurationOf(d.Duration()) == d }
 
 // String returns the duration with a unit, such as 250ms or 1h30m.
@@ -59,7 +59,7 @@
 	return text
 }
 
-// MarshalJSON writes a string with a unit, or a number of seconds if the string would not give back the same duration.
+// MarshalJSON encodes a string with a unit, or a number of seconds if parsing the string would not give the same duration.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	if !d.isExact() {
 		return json.Marshal(float64(d))
@@ -69,7 +69,7 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// setDuration sets a Duration from a string with a unit or a number of seconds and reports whether the literal is one of them.
+// setDuration sets a Duration from a string with a unit or a number of seconds and reports whether the literal is valid.
 func setDuration(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '"' {
 		return setNumber(literal, target)
--- a/internal/config/emulator.go
+++ b/internal/config/emulator.go
@@ -20,13 +20,13 @@
 	ProgramCacheSize    int      `json:"programCacheSize"`    // programs cached on a node
 	UsageMin            float64  `json:"usageMin"`            // fraction of its request that a task uses
 	UsageMax            float64  `json:"usageMax"`
-	MeanLifetime        Duration `json:"meanLifetime"` // of tasks whose class gives none
+	MeanLifetime        Duration `json:"meanLifetime"` // of tasks whose class has no mean lifetime
 	DrainGrace          Duration `json:"drainGrace"`   // after which a draining node terminates its tasks; below 0 for never
 	Seed                uint64   `json:"seed"`
 }
 
-// defaultEmulator returns the emulated cluster of the commands up and emulate. Its nodes are those of nodesim.DefaultConfig, which this package
-// does not import; a test of package labconfig compares them.
+// defaultEmulator returns the emulated cluster of the commands up and emulate. Its nodes equal nodesim.DefaultConfig, which this package must not
+// import; a test of package labconfig compares them.
 func defaultEmulator() Emulator {
 	return Emulator{
 		Nodes:               8,
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// FieldError is a setting whose value cannot be used.
+// FieldError reports a setting with an invalid value.
 type FieldError struct {
 	Path   string // of the setting, such as classes[1].idempotency
 	Reason string
@@ -24,7 +24,7 @@
 	File         string
 	Line, Column int
 	Path         string // of the setting, such as classes[1].idempotency; "" if the text is not valid JSON
-	GivenAs      string // the path with the former names that the file gives, such as classes[1].effect; "" if it gives none
+	GivenAs      string // the path with the former names used in the file, such as classes[1].effect; "" if there are none
 	Message      string
 }
 
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, message)
 }
 
-// errorAt returns an *Error at an offset of the text.
+// errorAt returns an *Error about the text at an offset.
 func (d *decoder) errorAt(offset int, path, format string, args ...any) error {
 	line, column := d.lineAndColumn(offset)
 	e := &Error{File: d.file, Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)}
@@ -56,8 +56,8 @@
 	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
-// locate adds the position in the decoded text to a *FieldError: that of the setting, or of the innermost enclosing one that the text
-// contains. Other errors are returned as they are.
+// locate turns a *FieldError into an *Error with the position of the setting in the text, or of the innermost enclosing setting that the text
+// contains. Other errors are returned unchanged.
 func (d *decoder) locate(err error) error {
 	var field *FieldError
 	if !errors.As(err, &field) {
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -1,6 +1,6 @@
 package config
 
-// formerNames are the names that settings had in release 0.1.
+// formerNames are the names of settings in release 0.1.
 var formerNames = Renames{
 	Keys: []RenamedKey{
 		{"", "kinds", "nodeTypes"},
--- a/internal/config/renames.go
+++ b/internal/config/renames.go
@@ -7,34 +7,34 @@
 	"github.com/tailscale/hujson"
 )
 
-// Renames are the settings of a file format that had other names, and the values that were other words. Files may still give the former ones.
+// Renames are the renamed settings of a file format, and the renamed values. Files may still use the former names.
 type Renames struct {
 	Keys   []RenamedKey
 	Values []RenamedValue
 }
 
-// RenamedKey is a setting that had another name.
+// RenamedKey is a renamed setting.
 type RenamedKey struct {
 	Section string // path of the enclosing object in present names, such as classes; "" at the top
 	Former  string
 	Name    string
 }
 
-// RenamedValue is a text that was another word.
+// RenamedValue is a renamed value of a setting.
 type RenamedValue struct {
 	Path   string // of the setting in present names, such as classes.dedupDomain
 	Former string
 	Value  string
 }
 
-// FormerName is a setting that a file gives under its former name, or with the former word for its value.
+// FormerName is the use of a former name in a file, for a setting or for its value.
 type FormerName struct {
 	Line, Column int
-	Former       string // path as the file gives it, or path and value
+	Former       string // path as written in the file, or path and value
 	Present      string // the same in present names
 }
 
-// String says what is to be written in place of what.
+// String describes the replacement of the former name, with its line and column.
 func (f FormerName) String() string {
 	return fmt.Sprintf("%d:%d: %s is now %s", f.Line, f.Column, f.Former, f.Present)
 }
@@ -49,7 +49,7 @@
 	return name
 }
 
-// value returns the present word for a value.
+// value returns the present name of a value.
 func (r *Renames) value(path, text string) string {
 	for i := range r.Values {
 		if value := &r.Values[i]; value.Path == path && value.Former == text {
@@ -62,10 +62,10 @@
 // listIndex matches the index of an element in a path.
 var listIndex = regexp.MustCompile(`\[[0-9]+\]`)
 
-// withoutIndexes returns a path that is the same for all elements of a list.
+// withoutIndexes returns a path without the indexes of list elements.
 func withoutIndexes(path string) string { return listIndex.ReplaceAllString(path, "") }
 
-// presentName returns the present name of a member of an object, writes it into the document, and notes a former one.
+// presentName returns the present name of a member of an object. A former name is replaced in the document and recorded.
 func (d *decoder) presentName(member *hujson.ObjectMember, path string) string {
 	written := memberName(member)
 	name := d.renames.keyName(withoutIndexes(path), written)
@@ -79,7 +79,7 @@
 	return name
 }
 
-// presentValue writes the present word for a string into the document and notes a former one.
+// presentValue replaces a former name of a value in the document and records it.
 func (d *decoder) presentValue(value *hujson.Value, path string) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -43,7 +43,7 @@
 // maxClassDeadline bounds Class.Deadline.
 const maxClassDeadline Duration = 3600
 
-// Validate reports whether settings made in code or by flags can be used. The error wraps a *FieldError.
+// Validate checks settings that were set in code or by flags. The error wraps a *FieldError.
 func (s *Settings) Validate() error {
 	if err := s.validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// validate returns a *FieldError for the first setting that cannot be used.
+// validate returns a *FieldError for the first invalid setting.
 func (s *Settings) validate() error {
 	if err := s.validateScheduler(); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// isLabelValue reports whether a text is a Kubernetes label value other than the empty one.
+// isLabelValue reports whether a text is a non-empty Kubernetes label value.
 func isLabelValue(s string) bool { return s != "" && len(validation.IsValidLabelValue(s)) == 0 }
 
 func (s *Settings) validateTenants() error {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// validateNodeTypes also returns the names that Class.NodeType may have, among them "" for any type.
+// validateNodeTypes also returns the permitted values of Class.NodeType, among them "" for any type.
 func (s *Settings) validateNodeTypes() (names map[string]bool, err error) {
 	if len(s.NodeTypes) == 0 {
 		return nil, invalid("nodeTypes", "want one at least")
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// validateRequests checks how tasks of the class are requested.
+// validateRequests checks the settings of a class for placement requests.
 func (c *Class) validateRequests(path string) error {
 	if _, known := idempotencies[c.Idempotency]; !known {
 		return invalid(path+".idempotency", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// validatePlacement checks where tasks of the class may run.
+// validatePlacement checks the settings of a class for the choice of a node.
 func (c *Class) validatePlacement(path string, nodeTypes map[string]bool) error {
 	if !nodeTypes[c.NodeType] {
 		return invalid(path+".nodeType", "%q is not among nodeTypes", c.NodeType)
@@ -207,24 +207,24 @@
 
 func isNoDomain(domain string) bool { return domain == "" || domain == NoDomain }
 
-// bounds are the least and the greatest value of a setting.
+// bounds are a value with the smallest and the largest permitted one.
 type bounds struct {
 	path            string
 	value, min, max float64
 	isDuration      bool // in seconds
 }
 
-// number bounds a number.
+// number returns the bounds of a number.
 func number(path string, value, least, greatest float64) bounds {
 	return bounds{path: path, value: value, min: least, max: greatest}
 }
 
-// duration bounds a duration. Constants are in seconds.
+// duration returns the bounds of a duration. Untyped constants are in seconds.
 func duration(path string, value, least, greatest Duration) bounds {
 	return bounds{path: path, value: value.Seconds(), min: least.Seconds(), max: greatest.Seconds(), isDuration: true}
 }
 
-// hold reports whether the value is within the bounds. NaN is within none.
+// hold reports whether the value is within the bounds. NaN never is.
 func (b *bounds) hold() bool { return b.value >= b.min && b.value <= b.max }
 
 // error returns the *FieldError of a value out of bounds.
--- a/internal/lab/labconfig/node.go
+++ b/internal/lab/labconfig/node.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// terminatedRetention is how long emulated nodes list terminated tasks.
+	// terminatedRetention is the time for which emulated nodes list terminated tasks.
 	terminatedRetention placer.Seconds = 60
-	// nodeSeedStride separates the seeds of emulated nodes.
+	// nodeSeedStride is the difference between the seeds of consecutive emulated nodes.
 	nodeSeedStride = 104729
 )
 
@@ -23,7 +23,8 @@
 	Zone     string
 }
 
-// NodeAt returns the i-th emulated node. Node types take turns, then racks; racks are assigned to zones in turn.
+// NodeAt returns the i-th emulated node. Node types are assigned round-robin; each sequence of all types gets the next rack, and each rack the
+// next zone.
 func NodeAt(s *config.Settings, i int) EmulatedNode {
 	nodeType := &s.NodeTypes[i%len(s.NodeTypes)]
 	rack := (i / len(s.NodeTypes)) % max(s.Emulator.Racks, 1)
@@ -82,7 +83,7 @@
 	return priorities
 }
 
-// Lifetimes returns the mean lifetime in seconds of emulated tasks, for each class that gives one.
+// Lifetimes returns the mean lifetime in seconds of emulated tasks, for each class that has one.
 func Lifetimes(s *config.Settings) map[string]float64 {
 	lifetimes := map[string]float64{}
 	for i := range s.Classes {
--- a/internal/lab/labconfig/script.go
+++ b/internal/lab/labconfig/script.go
@@ -9,7 +9,7 @@
 	"heathshed/internal/lab/scenario"
 )
 
-// formerScriptNames are the names that fields of a script had in release 0.1.
+// formerScriptNames are the names of a script's fields in release 0.1.
 var formerScriptNames = config.Renames{Keys: []config.RenamedKey{
 	{Section: "", Former: "trouble", Name: "faults"},
 	{Section: "", Former: "calm", Name: "cooldown"},
@@ -19,8 +19,8 @@
 	{Section: "faults", Former: "part", Name: "fraction"},
 }}
 
-// LoadScript reads the script of a fault scenario. What the file does not give is that of the built-in script, but for its faults.
-// The file may give fields under their former names.
+// LoadScript reads the script of a fault scenario. Fields that are absent from the file have the values of the built-in script, except for its
+// faults, of which there are none. The file may use the former names of fields.
 func LoadScript(file string) (scenario.Script, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -15,7 +15,7 @@
 	cores, memory, lifetime float64
 }
 
-// addLoad draws services and their jobs, and what flushes delete and submit again.
+// addLoad draws services and their jobs, and the jobs that flushes delete and submit again.
 func (p *planner) addLoad() {
 	services := p.drawServices()
 	if p.script.Load.TasksPerSecond <= 0 {
@@ -51,10 +51,10 @@
 	return services
 }
 
-// roundSize rounds a quantity of a resource to a twentieth, and to one twentieth at least.
+// roundSize rounds a quantity of a resource to a multiple of 0.05, at least 0.05.
 func roundSize(size float64) float64 { return max(0.05, math.Round(size*20)/20) }
 
-// drawWeighted draws a key by its weight, the fallback if there is none.
+// drawWeighted draws a key with a probability proportional to its weight. It returns the fallback if there are no weights.
 func drawWeighted(rng *rand.Rand, weights map[string]float64, fallback string) string {
 	total := 0.0
 	names := slices.Sorted(maps.Keys(weights))
@@ -70,8 +70,8 @@
 	return fallback
 }
 
-// drawJobs draws jobs as a Poisson process whose rate follows the script, by thinning: candidates come at the highest rate and are kept in
-// proportion to the rate at their time.
+// drawJobs draws jobs as a Poisson process whose rate follows the script, by thinning: candidates are drawn at the highest rate and kept with a
+// probability proportional to the rate at their time.
 func (p *planner) drawJobs(services []service) []Action {
 	load := &p.script.Load
 	peakFactor := p.peakLoadFactor()
@@ -104,7 +104,7 @@
 
 func jobName(number int) string { return fmt.Sprintf("job-%05d", number) }
 
-// loadFactor returns the load of a tenant at a time, as a multiple of the usual load.
+// loadFactor returns the load of a tenant at a time, as a multiple of the load without faults.
 func (p *planner) loadFactor(at float64, tenant string) float64 {
 	factor := 1.0
 	for i := range p.script.Faults {
@@ -121,7 +121,7 @@
 	return fault.Kind == burst || fault.Kind == tenantBurst && (fault.Name == tenant || fault.Name == "")
 }
 
-// peakLoadFactor returns a bound of loadFactor over all times and tenants.
+// peakLoadFactor returns an upper bound of loadFactor over all times and tenants.
 func (p *planner) peakLoadFactor() float64 {
 	factor := 1.0
 	for i := range p.script.Faults {
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -9,16 +9,16 @@
 	"heathshed/internal/lab/emulator/fault"
 )
 
-// The seeds of the two random sequences of a plan, beside the script's own. The load is the same with any faults.
+// Seeds of the two random sequences of a plan, combined with the script's seed. The load does not depend on the random numbers of faults.
 const (
 	faultSeed = 0x626164646179
 	loadSeed  = 0x6c6f6164
 )
 
-// Node is a node that a plan may name.
+// Node is a node of the cluster to which a plan applies.
 type Node struct{ Name, Zone, Rack, Kind string }
 
-// ActionKind selects what an action does.
+// ActionKind selects the operation of an action.
 type ActionKind uint8
 
 // The actions, with the fields that they read.
@@ -35,7 +35,7 @@
 // Job is a job to submit or delete.
 type Job struct {
 	Name, Namespace, Class, Service string
-	Scheduler                       int // index of the scheduler that gets it
+	Scheduler                       int // index of the scheduler to which it is submitted
 	Tasks                           int
 	Cores, Memory, Lifetime         float64 // of a task; memory in GiB, lifetime in seconds
 	BackoffLimit                    int
@@ -53,7 +53,7 @@
 	DowntimeSeconds float64
 }
 
-// Plan turns a script into actions in order of time.
+// Plan returns the actions of a script in order of time.
 func (s *Script) Plan(nodes []Node) []Action {
 	p := &planner{script: s, nodes: nodes, rng: rand.New(rand.NewPCG(s.Seed, faultSeed))}
 	for i := range s.Faults {
@@ -98,7 +98,7 @@
 	rollingKill:   (*planner).killSchedulers,
 }
 
-// downtime returns the time for which a node that crashes stays down: a crash of 0 s would be none.
+// downtime returns the time for which a crashed node stays down. It is above 0, since a crash of 0 s is no fault.
 func downtime(seconds float64) float64 { return max(seconds, 0.1) }
 
 func (p *planner) add(action Action) { p.actions = append(p.actions, action) }
@@ -114,7 +114,7 @@
 	}
 }
 
-// pickNodes draws a fraction of the nodes that are eligible (all if the function is nil), at least one if there is any. A fraction of 0 is
+// pickNodes draws a fraction of the eligible nodes, at least one if there is any. A nil function makes all nodes eligible. A fraction of 0 means
 // all of them.
 func (p *planner) pickNodes(fraction float64, isEligible func(Node) bool) []Node {
 	var eligible []Node
@@ -184,7 +184,7 @@
 	return fault.Node{Drain: &draining}
 }
 
-// growCluster takes nodes down from the start on, until the time of the fault.
+// growCluster keeps nodes down from the start until the time of the fault.
 func (p *planner) growCluster(spec *Fault) {
 	for _, node := range p.pickNodes(spec.Fraction, nil) {
 		p.inject(0, node, fault.Node{Crash: downtime(spec.At) + 3*p.rng.Float64()})
--- a/internal/lab/scenario/script.go
+++ b/internal/lab/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario plans the load and the faults of a fault-injection run. A script states how much is submitted and which faults occur
-// when; a seed turns it into a list of timed actions. Package faultinjection carries a plan out over sockets, package simulation in
-// simulated time.
+// Package scenario plans the load and the faults of a fault-injection run. A Script (script.go) states the submitted load and the times of
+// faults; Script.Plan (plan.go) draws a list of timed actions from it and its seed. Package faultinjection executes a plan over sockets, package
+// simulation in simulated time.
 //
 // The package is pure: the same script gives the same plan.
 package scenario
@@ -20,7 +20,7 @@
 	Nodes      int     `json:"nodes"`
 	Load       Load    `json:"load"`
 	Faults     []Fault `json:"faults"`
-	// Cooldown is the time at the end in which nothing new is submitted, so that all outcomes are in.
+	// Cooldown is the time at the end in which nothing is submitted, so that all outcomes arrive before the end.
 	Cooldown float64 `json:"cooldown"`
 }
 
@@ -79,11 +79,11 @@
 
 const (
 	defaultTenant      = "default"
-	minFaultDuration   = 2.0 // seconds that a fault lasts at least in a script that is shortened, if it did before
+	minFaultDuration   = 2.0 // seconds; a shortened script does not shorten faults below this
 	minCooldownDivisor = 5   // a shortened script keeps at least one part in so many as cooldown
 )
 
-// FaultKinds describes each kind of fault by the fields of a script that it reads.
+// FaultKinds describes the effect of each kind of fault in terms of the fields of Fault.
 var FaultKinds = map[string]string{
 	burst:         "load times scale",
 	tenantBurst:   "load of tenant name times scale",
@@ -107,7 +107,7 @@
 	rollingKill:   "fraction of the schedulers is killed and started again, one after another, within duration",
 }
 
-// Default returns the scenario of the documentation: every kind of fault at least once, some at the same time.
+// Default returns the built-in script, which has every kind of fault at least once, some at the same time.
 func Default() Script {
 	script := Script{Seed: 1, Seconds: 600, Schedulers: 3, Nodes: 24, Cooldown: 60,
 		Load: Load{TasksPerSecond: 20, TasksPerJob: 5, Services: 40, Cores: 1, Memory: 2, Lifetime: 12, BackoffLimit: 3,
@@ -147,8 +147,8 @@
 	return script
 }
 
-// Stretch gives a script another length. All of its faults stay within the part in which tasks are submitted; the cooldown does not shrink
-// as fast as the rest.
+// Stretch changes the length of a script. All of its faults stay within the time in which tasks are submitted; a cooldown shrinks less than that
+// time.
 func (s *Script) Stretch(seconds float64) {
 	cooldown := min(s.Cooldown*max(seconds/s.Seconds, 1), max(s.Cooldown*seconds/s.Seconds, seconds/minCooldownDivisor))
 	factor := (seconds - cooldown) / max(s.Seconds-s.Cooldown, 1e-9)
@@ -162,7 +162,7 @@
 	s.Cooldown = cooldown
 }
 
-// FieldError is a field of a Script that cannot be used.
+// FieldError reports a field of a Script with an invalid value.
 type FieldError struct {
 	Path   string // of the field in the script's JSON form, such as load.cores
 	Reason string
@@ -170,7 +170,7 @@
 
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// Validate returns a *FieldError for the first field that cannot be used, nil if there is none.
+// Validate returns a *FieldError for the first invalid field, nil if there is none.
 func (s *Script) Validate() error {
 	load := &s.Load
 	for _, field := range []struct {
@@ -204,13 +204,13 @@
 	return nil
 }
 
-// within reports whether a value is in a closed range. NaN is in none.
+// within reports whether a value is in a closed range. NaN never is.
 func within(value, low, top float64) bool { return value >= low && value <= top }
 
-// nonNegative reports whether a value is 0 or more. NaN is not.
+// nonNegative reports whether a value is at least 0. NaN is not.
 func nonNegative(value float64) bool { return value >= 0 }
 
-// validate returns the first field of the fault at a path that cannot be used, nil if there is none.
+// validate returns a *FieldError for the first invalid field of the fault at a path, nil if there is none.
 func (fault *Fault) validate(path string) *FieldError {
 	switch {
 	case FaultKinds[fault.Kind] == "":
