--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -8,11 +8,12 @@
 const (
 	// adoptionMaxWait bounds the time after the first health check for which new requests wait for adoptions.
 	adoptionMaxWait placer.Seconds = 1.0
-	// adoptionIdleGap is the time without an adoption after which no more are expected.
+	// adoptionIdleGap is the time without an adoption after which no further ones are expected.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption takes responsibility for tasks that run already: after a start of this scheduler, clients list their running tasks.
+// adoption adds tasks that run already: after a start of this scheduler, clients list their running tasks. It owns the times at which adoptions
+// are expected.
 type adoption struct {
 	*environment
 	nodes             *nodeRegistry
@@ -25,15 +26,15 @@
 	lastAdoptionAt     placer.Seconds // when a running task was last adopted, or firstHealthCheckAt
 }
 
-// healthCheckReceived notes a health check. After the first one, clients are expected to list their running tasks.
+// healthCheckReceived records a health check. After the first one, clients are expected to list their running tasks.
 func (a *adoption) healthCheckReceived() {
 	if a.firstHealthCheckAt == 0 {
 		a.firstHealthCheckAt = a.now
-		a.lastAdoptionAt = a.now // the first adoption may be on its way
+		a.lastAdoptionAt = a.now // the first adoption may be in transit
 	}
 }
 
-// adopt enters a task that runs on a node already. The error is an *InvalidMessageError.
+// adopt adds a task that runs on a node already. The error is an *InvalidMessageError.
 func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
 	a.counts.Adopted++
 	a.lastAdoptionAt = a.now
@@ -43,7 +44,7 @@
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if earlier := a.attempts.get(key); earlier != nil {
-		a.attempts.remove(earlier) // it was abandoned here, and accepted by the node after all
+		a.attempts.remove(earlier) // it was abandoned here, but the node accepted it
 	}
 	if early, terminated := a.earlyTerminations.get(key); terminated {
 		// The client listed the task before it could learn of its end, which the node reports only once.
@@ -59,14 +60,15 @@
 	return nil
 }
 
-// expectedUntil returns until when adoptions are expected: until none came for a while, for a short time at most.
+// expectedUntil returns the time until which adoptions are expected: adoptionIdleGap after the last one, but no later than adoptionMaxWait
+// after the first health check.
 func (a *adoption) expectedUntil() placer.Seconds {
 	return min(a.lastAdoptionAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
 }
 
 // postArrival passes a new request to the placer. After a start, clients list hundreds of running tasks on one connection while new requests
-// come on others, and a request that is placed before all of them were adopted is placed without regard to where its service runs. So new
-// requests wait until no more adoptions are expected, but never beyond their deadline.
+// arrive on others, and a request that is placed before all tasks are adopted is placed without regard to where its service runs. So new
+// requests wait until no further adoptions are expected, but never beyond their deadline.
 func (a *adoption) postArrival(req *request, task placer.Task) {
 	waitUntil := min(a.expectedUntil(), req.deadline)
 	if a.now >= waitUntil {
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -6,13 +6,14 @@
 	"heathshed/placer"
 )
 
-// NodeConnID is the caller's number of a connection to a node; 0 is none.
+// NodeConnID is the caller's number of a connection to a node, or 0 for none.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node.
+// Attempt is one attempt to start a task on a node, or the run of an adopted task. The attemptTable owns it; of its fields the caller writes only
+// Conn.
 type Attempt struct {
 	Node    placer.NodeID
-	Message protocol.Message // the request as it goes to the node
+	Message protocol.Message // the request as it is sent to the node
 	// Conn is set by the caller: the connection that the attempt was sent on, 0 until then.
 	Conn NodeConnID
 
@@ -20,8 +21,8 @@
 	number       int // among the attempts of its request, from 0
 	state        attemptState
 	expiresAt    placer.Seconds // it is abandoned if it has no answer by then
-	createdAt    placer.Seconds // when the placer asked for it
-	runningSince placer.Seconds // when the node's answer came, or when the task was adopted
+	createdAt    placer.Seconds // when the placer requested it
+	runningSince placer.Seconds // when the node's answer arrived, or when the task was adopted
 	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // the node was asked to stop the task
 }
@@ -29,13 +30,13 @@
 // Live reports whether the attempt waits for its answer or runs the task.
 func (a *Attempt) Live() bool { return a.state.live() }
 
-// Client returns the connection that the request came on.
+// Client returns the connection on which the request arrived.
 func (a *Attempt) Client() ConnID { return a.request.conn }
 
 // Pending reports whether the attempt is still to be sent.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
-// Age returns the time since the placer asked for the attempt.
+// Age returns the time since the placer requested the attempt.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
 // Unanswered reports whether the attempt waits for its connection or its answer.
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -7,11 +7,11 @@
 	"heathshed/placer"
 )
 
-// lateAnswerRetention is for how long an abandoned attempt is kept beyond the time in which clients look for tasks with an unknown outcome.
+// lateAnswerRetention is the time for which an abandoned attempt is kept after clients have stopped looking for tasks with an unknown outcome.
 const lateAnswerRetention placer.Seconds = 5.0
 
-// attemptTable keeps the attempts that nodes may still send messages about, moves them from state to state, and reports to the placer what
-// becomes of them.
+// attemptTable owns the attempts about which nodes may still send messages, moves them from state to state, and reports their outcomes to the
+// placer.
 type attemptTable struct {
 	*environment
 	nodes *nodeRegistry
@@ -24,10 +24,10 @@
 	return &attemptTable{environment: env, nodes: nodes, byKey: map[attemptKey]*Attempt{}}
 }
 
-// get returns an attempt, nil if there is none.
+// get returns an attempt, or nil if there is none.
 func (t *attemptTable) get(key attemptKey) *Attempt { return t.byKey[key] }
 
-// start begins an attempt, or reports it as expired if it cannot be sent any more.
+// start starts an attempt, or reports it as expired if it can no longer be sent.
 func (t *attemptTable) start(req *request, action *placer.Action) {
 	attempt := &Attempt{
 		Node:      action.Node,
@@ -60,7 +60,7 @@
 	return len(req.attempts) <= t.settings.Placer.Attempts.Max && t.nodes.get(attempt.Node) != nil
 }
 
-// adopt enters the attempt of a task that runs on a node already.
+// adopt adds the attempt of a task that runs on a node already.
 func (t *attemptTable) adopt(req *request, node placer.NodeID) *Attempt {
 	attempt := &Attempt{
 		Node:         node,
@@ -76,16 +76,16 @@
 	return attempt
 }
 
-// expire ends an attempt that has no answer in time.
+// expire ends an attempt that was not answered in time.
 func (t *attemptTable) expire(attempt *Attempt) {
-	if attempt.state == attemptPending { // its connection did not come up in time
+	if attempt.state == attemptPending { // its connection was not established in time
 		t.endUnsent(attempt, placer.Unreachable)
 		return
 	}
 	t.abandon(attempt, placer.TimedOut, true)
 }
 
-// prepareSend moves an attempt to attemptSent, or ends it, see Core.PrepareSend.
+// prepareSend moves an attempt to attemptSent, or ends it; see Core.PrepareSend.
 func (t *attemptTable) prepareSend(attempt *Attempt) bool {
 	if attempt.state != attemptPending {
 		return false
@@ -101,7 +101,7 @@
 	return true
 }
 
-// connectFailed ends an attempt that was not sent because no connection came up.
+// connectFailed ends an attempt that was not sent because no connection could be established.
 func (t *attemptTable) connectFailed(attempt *Attempt) {
 	if attempt.state != attemptPending {
 		return
@@ -110,7 +110,7 @@
 	t.endUnsent(attempt, placer.Unreachable)
 }
 
-// connectionLost abandons an attempt whose connection ended before its answer came.
+// connectionLost abandons an attempt whose connection ended before its answer arrived.
 func (t *attemptTable) connectionLost(attempt *Attempt) {
 	if attempt.state != attemptSent {
 		return
@@ -146,7 +146,7 @@
 	}
 }
 
-// abandon ends an attempt without an answer. If the attempt was sent, its node is sent a Stop, and an answer is late from now on.
+// abandon ends an attempt without an answer. If the attempt was sent, its node is sent a Stop, and an answer that still arrives is late.
 func (t *attemptTable) abandon(attempt *Attempt, result placer.Result, timedOut bool) {
 	if attempt.state == attemptPending {
 		t.endUnsent(attempt, placer.Expired)
@@ -172,7 +172,7 @@
 	})
 }
 
-// retain keeps an abandoned attempt for as long as its node may send messages about it.
+// retain keeps an abandoned attempt until its node is no longer expected to send messages about it.
 func (t *attemptTable) retain(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	retention := t.settings.Placer.Retry.UnknownOutcomeWait + lateAnswerRetention
@@ -184,7 +184,7 @@
 	attempt.timer = t.timers.Add(at, run)
 }
 
-// remove removes an attempt about which no more messages are expected.
+// remove removes an attempt about which no further messages are expected.
 func (t *attemptTable) remove(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	if key := attempt.key(); t.byKey[key] == attempt {
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// handle handles a message by its kind. Kinds that only nodes send have no effect.
+// handle handles a message by its kind. Kinds that only nodes send are ignored.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -76,7 +76,7 @@
 }
 
 // rejectDuplicate handles a launch message whose ID is in use. Two requests with one ID could not both be answered, so an open one on the same
-// connection ends with this one.
+// connection is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
@@ -84,11 +84,11 @@
 	return invalidMessage(InvalidIDInUse, "launch: id %s is in use", msg.UID)
 }
 
-// handleStop handles a client's wish to withdraw an open request or to stop a running task.
+// handleStop handles a client's message to withdraw an open request or to stop a running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
-		return nil // it crossed our answer
+		return nil // the client sent it before it received the answer
 	}
 	if attempt := req.runningAttempt(); attempt != nil {
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// clientStopCause is the cause with which a node is asked to stop a task for its client.
+// clientStopCause returns the cause with which a node is asked to stop a task for its client.
 func clientStopCause(msg *protocol.Message) protocol.Cause {
 	if msg.HasCause {
 		return msg.Cause
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -8,22 +8,23 @@
 	"heathshed/placer"
 )
 
-// ConnID identifies a client connection. 0 is none.
+// ConnID identifies a client connection; 0 is none.
 type ConnID uint64
 
-// clientConn is the state of one client connection. Until it has sent a valid message it may belong to anything that found the port.
+// clientConn is the state of one client connection, owned by clientRegistry. Until a valid message has arrived on it, the peer may be any
+// program that connected to the port.
 type clientConn struct {
 	id            ConnID
 	openRequests  map[*request]struct{}
-	lastPlacedAt  placer.Seconds // when a task of a request on it last began to run or was adopted, 0 if none has
-	lastValidAt   placer.Seconds // when it last sent a valid message, 0 if it has not
-	notifications deliveryLog    // what was sent on it; the notifier's
+	lastPlacedAt  placer.Seconds // when a task of a request on it last began to run or was adopted, or 0
+	lastValidAt   placer.Seconds // when it last sent a valid message, or 0
+	notifications deliveryLog    // what was sent on it; written by the notifier
 }
 
 // identified reports whether the connection has sent a valid message.
 func (conn *clientConn) identified() bool { return conn.lastValidAt > 0 }
 
-// hasOpen reports whether a request is entered as open.
+// hasOpen reports whether a request is among the open ones of the connection.
 func (conn *clientConn) hasOpen(req *request) bool {
 	_, open := conn.openRequests[req]
 	return open
@@ -40,7 +41,7 @@
 	return conn.id > other.id
 }
 
-// requestsInOrder returns the open requests in the order in which they came.
+// requestsInOrder returns the open requests in the order in which they arrived.
 func (conn *clientConn) requestsInOrder() []*request {
 	requests := make([]*request, 0, len(conn.openRequests))
 	for req := range conn.openRequests {
@@ -50,7 +51,7 @@
 	return requests
 }
 
-// clientRegistry keeps the client connections and sends messages on them.
+// clientRegistry owns the client connections and sends messages on them.
 type clientRegistry struct {
 	*environment
 	conns map[ConnID]*clientConn
@@ -65,14 +66,14 @@
 	r.conns[id] = &clientConn{id: id, openRequests: map[*request]struct{}{}}
 }
 
-// disconnect removes a connection and returns it, nil if it is not open.
+// disconnect removes a connection and returns it, or nil if it is not open.
 func (r *clientRegistry) disconnect(id ConnID) *clientConn {
 	conn := r.conns[id]
 	delete(r.conns, id)
 	return conn
 }
 
-// get returns a connection, nil if it is not open.
+// get returns a connection, or nil if it is not open.
 func (r *clientRegistry) get(id ConnID) *clientConn { return r.conns[id] }
 
 // openRequests returns the number of open requests on all connections.
@@ -84,10 +85,10 @@
 	return count
 }
 
-// messageValid notes that a connection has sent a valid message.
+// messageValid records that a connection has sent a valid message.
 func (r *clientRegistry) messageValid(conn *clientConn) { conn.lastValidAt = r.now }
 
-// requestOpened enters an open request that came on a connection.
+// requestOpened adds a request to the open ones of its connection.
 func (r *clientRegistry) requestOpened(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.openRequests[req] = struct{}{}
@@ -101,7 +102,7 @@
 	}
 }
 
-// taskPlaced notes that the task of a request began to run or was adopted.
+// taskPlaced records that the task of a request began to run or was adopted.
 func (r *clientRegistry) taskPlaced(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.lastPlacedAt = r.now
@@ -113,15 +114,15 @@
 	r.emit(Effect{Kind: SendToClient, Conn: id, Message: msg})
 }
 
-// answer sends the answer to a request on the connection that the request came on, if that is still open.
+// answer sends the answer to a request on the connection on which the request arrived, if that is still open.
 func (r *clientRegistry) answer(req *request, answer protocol.Message) {
 	if r.conns[req.conn] != nil {
 		r.send(req.conn, answer)
 	}
 }
 
-// selectFor returns the preferred connection if it is open, else the one that is most likely that of a client with running tasks, nil if none
-// has sent a valid message.
+// selectFor returns the preferred connection if it is open, otherwise the one that most likely belongs to a client with running tasks, or nil if
+// none has sent a valid message.
 func (r *clientRegistry) selectFor(preferred ConnID) *clientConn {
 	if conn := r.conns[preferred]; conn != nil {
 		return conn
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -1,18 +1,19 @@
 // Package dispatch is the core of the scheduler's front on the shared platform. It keeps placement requests of clients, attempts to start
-// their tasks on nodes, running tasks, notifications that clients are still to receive, and the node registry, and it translates between the
-// platform's messages and the events and actions of package placer.
+// their tasks on nodes, running tasks, notifications that clients have yet to receive, and the node registry, and it translates between the
+// platform's messages and the events and actions of package placer. Package server runs a Core on sockets.
 //
-// It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller is to
+// It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller has to
 // carry out. The package is pure: it has no I/O, clock, goroutine or global state. It makes no placement decisions: each event goes to the
 // placer, and each action comes from it. Times on the clock and durations are placer.Seconds.
 //
-// Core composes parts, each of which alone writes its fields. All of them share an environment: the clock, the timers, the effects for the
-// caller and the events for the placer. From the outside to the inside:
+// Begin reading at Core.ReceiveFromClient and Core.execute; the way of a placement request is described in docs/architecture.md. Core composes
+// parts; only a part itself writes its fields. All of them share an environment: the clock, the timers, the effects for the caller and the
+// events for the placer. From the outside to the inside:
 //
 //   - clientMessageHandler and nodeMessageHandler handle the messages of clients and of nodes;
-//   - taskController takes a task from its start to its end, adoption takes over tasks that run already;
+//   - taskController takes a task from its start to its end, adoption adds tasks that run already;
 //   - requestTable and attemptTable keep requests and attempts and move them from state to state;
-//   - notifier delivers notifications, earlyTerminationLog keeps the ends of tasks that are not known yet;
+//   - notifier delivers notifications, earlyTerminationLog records the ends of tasks that are not known yet;
 //   - clientRegistry keeps the client connections, nodeRegistry the nodes and what runs on them.
 package dispatch
 
@@ -27,12 +28,12 @@
 	"heathshed/placer"
 )
 
-// maxTasks is the highest number of open placement requests and running tasks that are kept at a time. Each takes about 2 KB.
+// maxTasks is the maximum number of open placement requests and running tasks together. Each takes about 2 KB.
 const maxTasks = 20000
 
-// Core is the state of the scheduler on the platform. It is to be used by one goroutine at a time.
+// Core is the state of the scheduler on the platform. It must not be used by several goroutines at once.
 type Core struct {
-	// Counts are to be read only.
+	// Counts may be read by the caller, but not written.
 	Counts Counts
 
 	*environment
@@ -47,7 +48,7 @@
 }
 
 // New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
-// platform's configuration, or empty. The error says which part of it is invalid.
+// platform's configuration, or empty. The error names the invalid part of it.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
 	c := &Core{}
 	c.environment = &environment{settings: settings, counts: &c.Counts, now: now}
@@ -93,7 +94,7 @@
 // Ready returns the effects since the last call. The caller owns the slice.
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
-// NextTimer returns when Advance is to be called next, infinity if never.
+// NextTimer returns when Advance has to be called next, or infinity if there is no timer.
 func (c *Core) NextTimer() placer.Seconds { return c.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Advance runs the timers that are due.
@@ -178,7 +179,7 @@
 	return err
 }
 
-// PrepareSend checks an attempt again before its first byte goes out, and sets the time that the node may take. If it returns false, the
+// PrepareSend checks an attempt again before its first byte is written, and sets the time that the node may take. If it returns false, the
 // attempt must not be sent, and has ended.
 func (c *Core) PrepareSend(now placer.Seconds, attempt *Attempt) bool {
 	c.setTime(now)
@@ -187,22 +188,22 @@
 	return ok
 }
 
-// ConnectFailed reports that no connection came up for an attempt, so that it was not sent.
+// ConnectFailed reports that no connection could be established for an attempt, so that it was not sent.
 func (c *Core) ConnectFailed(now placer.Seconds, attempt *Attempt) {
 	c.setTime(now)
 	c.attempts.connectFailed(attempt)
 	c.runEvents()
 }
 
-// ConnectionLost reports that the connection ended that an attempt was sent on. The outcome of the attempt is unknown.
+// ConnectionLost reports that the connection on which an attempt was sent has ended. The outcome of the attempt is unknown.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setTime(now)
 	c.attempts.connectionLost(attempt)
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes nothing but the counts, and
-// that an early termination is recorded.
+// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes only the counts
+// and, if it reports the end of the task, the log of early terminations.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setTime(now)
 	c.nodeMessages.receive(node, msg)
@@ -218,8 +219,8 @@
 
 // NodeUnresponsive stops all tasks that run on an unresponsive node and returns how many they are. Their clients are notified at once. But the
 // tasks may run on if the node is only cut off, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
-// confirms that, or for notificationRetention. Otherwise the placer would take capacity of a service for free that a node about to come back
-// has in use, and would exceed the limit on how many tasks of a service run in one place.
+// confirms that, or for notificationRetention. Otherwise the placer would consider capacity free that is in use on a node about to come back,
+// and would exceed the limit on how many tasks of a service run in one domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (tasks int) {
 	c.setTime(now)
 	if node := c.nodes.get(id); node != nil {
@@ -229,7 +230,7 @@
 	return tasks
 }
 
-// Node returns a node of the registry, nil if there is none with the ID.
+// Node returns a node of the registry, or nil if there is none with the ID.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
 // Nodes calls f for each node of the registry, in no particular order.
@@ -238,8 +239,8 @@
 // LastDiscoveryEvent returns the number of the last discovery event that was applied.
 func (c *Core) LastDiscoveryEvent() uint64 { return c.nodes.lastDiscoveryEvent }
 
-// ReceiveDiscoveryEvent applies one event of the discovery stream. ok is false if events are missing before it or it is invalid: it was not
-// applied then, and the stream is to be opened again after LastDiscoveryEvent. An event that was applied already is ignored.
+// ReceiveDiscoveryEvent applies one event of the discovery stream. ok is false if events are missing before it or if it is invalid: it is not
+// applied then, and the caller has to reopen the stream after LastDiscoveryEvent. An event that was applied already is ignored.
 func (c *Core) ReceiveDiscoveryEvent(now placer.Seconds, data []byte) (ok bool, err error) {
 	c.setTime(now)
 	ok, err = c.nodes.receive(data)
@@ -248,15 +249,16 @@
 }
 
 // SetDiscoveryConnected reports whether the discovery stream is connected. The placer's requests for the node list are answered from the
-// stream, whose events are passed on as they come: a request is answered at once while the stream is connected, and fails when an attempt to
-// connect it has failed.
+// stream, whose events are passed on as they arrive: while the stream is connected, a request is answered at once; otherwise it is answered
+// when the stream is connected, or fails with the next failed attempt to connect it.
 func (c *Core) SetDiscoveryConnected(now placer.Seconds, connected bool) {
 	c.setTime(now)
 	c.nodes.setDiscoveryConnected(connected)
 	c.runEvents()
 }
 
-// rejection is the answer to a request for which no node has capacity. retryAfter is the wait that the client is advised, 0 for no advice.
+// rejection returns the answer to a request for which no node has capacity. retryAfter is the delay that the client is advised to wait before a
+// new request, or 0 for no advice.
 func (c *Core) rejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Counts are the numbers of things that have happened since the start.
+// Counts count what has happened since the start.
 type Counts struct {
 	// PlacementRequests are launch messages of clients: new requests, adoptions and invalid ones.
 	PlacementRequests uint64
@@ -10,7 +10,7 @@
 	Accepted uint64
 	// Placed are accepted requests whose client was sent the answer that the task runs.
 	Placed uint64
-	// Rejected are rejections for want of capacity that the placer decided on.
+	// Rejected are rejections for lack of capacity that the placer decided on.
 	Rejected uint64
 	// Failed are failures that the placer decided on.
 	Failed uint64
@@ -18,15 +18,15 @@
 	// ended.
 	Withdrawn uint64
 
-	// Attempts are attempts that the placer asked for, whether or not they were sent.
+	// Attempts are attempts that the placer requested, whether or not they were sent.
 	Attempts uint64
 	// Bound are attempts that a node accepted in time.
 	Bound uint64
-	// CapacityRejections are attempts that a node rejected with CauseFull: for want of capacity, or as the wrong node while it drains.
+	// CapacityRejections are attempts that a node rejected with CauseFull: for lack of capacity, or as the wrong node while it drains.
 	CapacityRejections uint64
 	// NodeErrors are attempts that failed at the node.
 	NodeErrors uint64
-	// ConnectFailures are attempts that were not sent because no connection to the node came up.
+	// ConnectFailures are attempts that were not sent because no connection to the node could be established.
 	ConnectFailures uint64
 	// ConnectionsLost are attempts without an answer whose connection ended, or that the node ended with a cause other than those counted
 	// elsewhere.
@@ -42,14 +42,14 @@
 
 	// TasksEnded are running tasks that ended, for whatever reason.
 	TasksEnded uint64
-	// Migrations are running tasks that the placer had stopped so that their clients place them anew.
+	// Migrations are running tasks that the placer requested to migrate.
 	Migrations uint64
 	// TasksLost are running tasks that ended without their client's or the placer's request and not by themselves, those at unresponsive nodes
 	// included.
 	TasksLost uint64
-	// PendingNotifications are notifications that found no connection to be sent on.
+	// PendingNotifications are notifications for which no connection was open.
 	PendingNotifications uint64
-	// ExpiredNotifications are pending notifications that were discarded because no connection came up in time.
+	// ExpiredNotifications are pending notifications that were discarded because no connection was opened in time.
 	ExpiredNotifications uint64
 	// Redeliveries are notifications that were sent once more because their connection ended without an acknowledgement.
 	Redeliveries uint64
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -13,7 +13,7 @@
 	NodeList *nodeList `json:"roster"` // nil in events of other kinds
 }
 
-// nodeList is a list of nodes: all of them if Complete, else those that changed.
+// nodeList is a list of nodes: all of them if Complete, otherwise those that have changed.
 type nodeList struct {
 	Revision uint64      `json:"rev"`
 	Complete bool        `json:"all"`
@@ -32,7 +32,7 @@
 	Free        [2]float64 `json:"open"` // cores and memory
 }
 
-// knownEventList is the configuration's list of discovery events from before the start.
+// knownEventList is the list of earlier discovery events in the platform's configuration.
 type knownEventList struct {
 	Number uint64           `json:"no"` // of the last event
 	Events []discoveryEvent `json:"items"`
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -7,18 +7,18 @@
 	"heathshed/placer"
 )
 
-// maxEarlyTerminations is the highest number of early terminations that are kept.
+// maxEarlyTerminations is the maximum number of early terminations that are kept.
 const maxEarlyTerminations = maxTasks
 
-// earlyTermination records that a node reported the end of a task that is not known here. Its client may yet list it for adoption.
+// earlyTermination records that a node reported the end of a task that is not known here. Its client may still list it for adoption.
 type earlyTermination struct {
 	cause     protocol.Cause
 	expiresAt placer.Seconds
 }
 
-// earlyTerminationLog keeps the ends of unknown tasks for as long as their clients may yet list the tasks for adoption. After a start, a node
-// reports on its first connection what ended while it had none, and may be faster than clients that list thousands of tasks. The number of
-// records is bounded: the oldest go first.
+// earlyTerminationLog owns the records of ends of unknown tasks, for as long as their clients may still list the tasks for adoption. After a
+// start, a node reports on its first connection which tasks ended while it had none, and may be faster than clients that list thousands of
+// tasks. The number of records is bounded: the oldest are removed first.
 type earlyTerminationLog struct {
 	*environment
 	records map[attemptKey]earlyTermination
@@ -35,7 +35,7 @@
 	return record, found
 }
 
-// record keeps the end of an unknown task. A second end of the same task changes nothing.
+// record records the end of an unknown task. A second report of the same end is ignored.
 func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
 	if _, known := l.records[key]; known {
 		return
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -7,7 +7,8 @@
 	"heathshed/placer"
 )
 
-// environment is what all parts of a core share: the settings, the clock, the timers, the effects for the caller, and the events for the placer.
+// environment is what all parts of a core share: the settings, the clock, the timers, the effects for the caller, and the events for the
+// placer. The parts change it by its methods only.
 type environment struct {
 	settings *simconfig.Settings
 	counts   *Counts
--- a/internal/platform/dispatch/errors.go
+++ b/internal/platform/dispatch/errors.go
@@ -8,7 +8,7 @@
 // ErrClientNotConnected is the error of a message on a client connection that is not open.
 var ErrClientNotConnected = errors.New("client connection is not open")
 
-// InvalidReason is what is wrong with an invalid message. Its values are the words that logs and counters show.
+// InvalidReason is the reason why a message is invalid. Its values appear in logs and as labels of metrics.
 type InvalidReason string
 
 // The reasons why a message is invalid.
@@ -18,7 +18,7 @@
 	InvalidTenant   InvalidReason = "tenant"    // an unknown tenant
 	InvalidKey      InvalidReason = "key"       // a key that is not an ID
 	InvalidExtras   InvalidReason = "extras"    // missing or malformed extras
-	InvalidTimeLeft InvalidReason = "left"      // a time left that is no number or out of range
+	InvalidTimeLeft InvalidReason = "left"      // a time left that is not a number or is out of range
 	InvalidNode     InvalidReason = "at"        // an adoption from a node that is not in the registry
 	InvalidIDInUse  InvalidReason = "id in use" // a launch with the ID of another task
 	InvalidStop     InvalidReason = "stop"      // a stop for another connection's request
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// CheckInvariants returns an error that says which relations between the parts do not hold. It visits all requests, attempts and nodes, and is
-// meant for tests.
+// CheckInvariants returns an error that names the relations between the parts that do not hold. It visits all requests, attempts and nodes, and
+// is meant for tests.
 func (c *Core) CheckInvariants() error {
 	return errors.Join(
 		c.requests.checkInvariants(),
@@ -16,8 +16,8 @@
 	)
 }
 
-// checkInvariants checks that the table's two maps hold the same requests, and that open ones and only they are counted and entered at their
-// connection.
+// checkInvariants checks that the table's two maps contain the same requests, and that the count and the connections have exactly the open
+// ones.
 func (t *requestTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("requests: %d illegal transitions", t.illegalTransitions)
@@ -37,8 +37,8 @@
 			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
 		}
 	}
-	if entered := t.clients.openRequests(); open != t.openCount || open != entered {
-		return fmt.Errorf("requests: %d are open, %d are counted, %d are entered at connections", open, t.openCount, entered)
+	if listed := t.clients.openRequests(); open != t.openCount || open != listed {
+		return fmt.Errorf("requests: %d are open, %d are counted, %d are listed by connections", open, t.openCount, listed)
 	}
 	return nil
 }
@@ -51,7 +51,7 @@
 			return errors.New("an attempt runs the task")
 		}
 		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpen(req) {
-			return fmt.Errorf("not entered at connection %d", req.conn)
+			return fmt.Errorf("not listed by connection %d", req.conn)
 		}
 	case requestRunning, requestMigrating, requestStopping:
 		if !runs {
@@ -63,38 +63,38 @@
 	return nil
 }
 
-// checkInvariants checks that attempts stand under their keys until they terminate, and that running ones are entered at their node.
+// checkInvariants checks that attempts are stored under their keys until they terminate, and that running ones are listed by their node.
 func (t *attemptTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("attempts: %d illegal transitions", t.illegalTransitions)
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
-			return fmt.Errorf("attempt %s at node %x: state %v, stands under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+			return fmt.Errorf("attempt %s at node %x: state %v, stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x: state %v, entered as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x: state %v, listed as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that nodes stand under their IDs and that what is entered as running at a node runs there.
+// checkInvariants checks that nodes are stored under their IDs and that the attempts that they list as running do run there.
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
-			return fmt.Errorf("node %s in state %d: stands under %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
+			return fmt.Errorf("node %s in state %d: stored under %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
 		}
 		for attempt := range node.running {
 			if attempt.Node != id || attempt.state != attemptRunning {
-				return fmt.Errorf("node %s: attempt %s in state %v is entered as running", node.UID, attempt.Message.UID, attempt.state)
+				return fmt.Errorf("node %s: attempt %s in state %v is listed as running", node.UID, attempt.Message.UID, attempt.state)
 			}
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that each record has its place in the order, and that the oldest expires first.
+// checkInvariants checks that the order has each record, and that the oldest expires first.
 func (l *earlyTerminationLog) checkInvariants() error {
 	if len(l.records) != len(l.order) || len(l.order) > maxEarlyTerminations {
 		return fmt.Errorf("early terminations: %d records, %d in order", len(l.records), len(l.order))
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -24,23 +24,23 @@
 			core.requests.byID[running.message.ID] = open
 		}},
 		{"miscounted open requests", "1 are open, 2 are counted", func(core *Core, _, _ *request) { core.requests.openCount++ }},
-		{"open request of no connection", "not entered at connection", func(core *Core, open, _ *request) { core.clients.requestClosed(open) }},
+		{"open request of no connection", "not listed by connection", func(core *Core, open, _ *request) { core.clients.requestClosed(open) }},
 		{"open request that runs", "an attempt runs the task", func(core *Core, open, _ *request) { core.attempts.accepted(open.lastAttempt()) }},
 		{"running request without an attempt", "no attempt runs the task", func(_ *Core, _, running *request) { running.attempts = nil }},
 		{"ended request", "ended and not removed", func(_ *Core, _, running *request) { running.state = requestTerminated }},
 		{"terminated attempt", "state terminated", func(_ *Core, open, _ *request) { open.lastAttempt().state = attemptTerminated }},
-		{"running attempt that its node does not know", "entered as running: false", func(core *Core, _, running *request) {
+		{"running attempt that its node does not know", "listed as running: false", func(core *Core, _, running *request) {
 			core.nodes.taskEnded(running.lastAttempt())
 		}},
-		{"sent attempt that its node runs", "entered as running: true", func(core *Core, open, _ *request) {
+		{"sent attempt that its node runs", "listed as running: true", func(core *Core, open, _ *request) {
 			core.nodes.taskStarted(open.lastAttempt())
 		}},
-		{"attempt at two nodes", "entered as running", func(core *Core, _, running *request) {
+		{"attempt at two nodes", "listed as running", func(core *Core, _, running *request) {
 			for _, node := range core.nodes.nodes {
 				node.running[running.lastAttempt()] = struct{}{}
 			}
 		}},
-		{"node under another ID", "stands under", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
+		{"node under another ID", "stored under", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
 		{"early termination out of order", "0 records, 1 in order", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport reads the load report of a message, nil if it has none of the configured fields.
+// parseLoadReport returns the load report of a message, or nil if it has none of the configured fields.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -9,19 +9,19 @@
 	"heathshed/placer"
 )
 
-// Node is one node of the registry, as discovery events described it.
+// Node is one node of the registry, as discovery events describe it. The nodeRegistry owns it.
 type Node struct {
 	ID        placer.NodeID
 	UID       string
 	Addr      string
 	State     placer.NodeState
-	StartedAt placer.Seconds // Unix time, 0 for long ago
+	StartedAt placer.Seconds // Unix time; 0 means long ago
 
 	placerNode         placer.Node
 	running            map[*Attempt]struct{} // the attempts that run on it
 	stateChangedAt     placer.Seconds        // when its state last changed
-	expiryScheduledFor placer.Seconds        // the stateChangedAt for which a timer of scheduleTaskExpiry runs, 0 if none does
-	removalScheduled   bool                  // a timer of scheduleRemoval runs
+	expiryScheduledFor placer.Seconds        // the stateChangedAt for which a timer of scheduleTaskExpiry is set, or 0
+	removalScheduled   bool                  // a timer of scheduleRemoval is set
 }
 
 // RunningTasks returns the number of tasks that run on the node.
@@ -43,7 +43,7 @@
 	return attempts
 }
 
-// TerminatedFor returns for how long the node has been terminated, 0 if it is not.
+// TerminatedFor returns for how long the node has been terminated, or 0 if it is not.
 func (n *Node) TerminatedFor(now placer.Seconds) placer.Seconds {
 	if n.State != placer.Terminated {
 		return 0
@@ -51,7 +51,7 @@
 	return now - n.stateChangedAt
 }
 
-// update enters what a valid entry of a discovery event says about the node. zone and nodeType are the placer's numbers of the entry's.
+// update applies a valid entry of a discovery event to the node. zone and nodeType are the placer's numbers for the entry's zone and node type.
 func (n *Node) update(entry *nodeEntry, zone, nodeType int, now placer.Seconds) {
 	state, _ := parseNodeState(entry.State) // valid
 	if n.State != state {
@@ -79,7 +79,7 @@
 	n.stateChangedAt = now
 }
 
-// restartedAfter reports whether the node began its present incarnation after an attempt began to run on it.
+// restartedAfter reports whether the node's current incarnation started after an attempt began to run on it.
 func (n *Node) restartedAfter(attempt *Attempt) bool {
 	return n.StartedAt > attempt.runningSince+incarnationTolerance
 }
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -7,7 +7,7 @@
 	"heathshed/placer"
 )
 
-// usageKinds are the notes of update messages.
+// usageKinds are the kinds of usage by the note of an Update message.
 var usageKinds = map[string]placer.UsageKind{
 	"up":    placer.Started,
 	"cpu":   placer.CoresUsed,
@@ -16,7 +16,7 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasons are the notes of stop messages. Others stand for no reason.
+// stopReasons are the reasons by the note of a Stop message. Any other note means no reason.
 var stopReasons = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
@@ -35,7 +35,7 @@
 	earlyTerminations *earlyTerminationLog
 }
 
-// receive handles a message, see Core.ReceiveFromNode.
+// receive handles a message; see Core.ReceiveFromNode.
 func (h *nodeMessageHandler) receive(node placer.NodeID, msg *protocol.Message) {
 	key := attemptKey{node, msg.ID}
 	attempt := h.attempts.get(key)
@@ -70,7 +70,7 @@
 	if !known || attempt.state != attemptRunning || attempt.request.state.closed() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // 0 for a value that is no number
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // 0 for a value that is not a number
 	h.post(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
@@ -89,7 +89,7 @@
 	}
 	switch attempt.state {
 	case attemptSent:
-		if msg.Body != "" { // without a body there is no answer to pass on
+		if msg.Body != "" { // without a body there is no answer to forward
 			h.tasks.start(attempt, msg.Body)
 		}
 	case attemptAbandoned:
@@ -97,9 +97,9 @@
 	}
 }
 
-// handleLateAnswer handles the acceptance of an attempt that was abandoned. A task that may run twice, or whose client withdrew it, takes
-// capacity for nobody and is stopped at once. For the others the client asks the nodes after a while, and lists the task for adoption by a
-// scheduler: to stop it meanwhile would undo a start that must not be repeated.
+// handleLateAnswer handles the acceptance of an attempt that was abandoned. A task that may run twice, or whose client withdrew it, uses
+// capacity without benefit and is stopped at once. For any other task, the client queries the nodes after a while and lists the task for adoption
+// by a scheduler: stopping it meanwhile would undo a start that must not be repeated.
 func (h *nodeMessageHandler) handleLateAnswer(attempt *Attempt) {
 	h.counts.LateAnswers++
 	idempotent := h.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
@@ -121,7 +121,7 @@
 	}
 }
 
-// taskResult is the result of a running task that a node stopped with the given cause.
+// taskResult returns the result of a running task that a node stopped with the given cause.
 func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
@@ -156,7 +156,7 @@
 	h.attempts.postEnded(attempt, ended)
 }
 
-// impliesAcceptance reports whether a node gives the reason only for tasks that it had accepted.
+// impliesAcceptance reports whether a node gives this reason only for tasks that it has accepted.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -15,21 +15,21 @@
 	TerminationGrace placer.Seconds = 1.0
 	// terminatedNodeRetention is the time after which a terminated node is removed from the registry.
 	terminatedNodeRetention placer.Seconds = 60.0
-	// incarnationTolerance is by how much the start time of a node must be later than that of a task for the task to be of an earlier
-	// incarnation: clocks and start times are not exact.
+	// incarnationTolerance is how much later than a task its node must have started for the task to belong to an earlier incarnation of the
+	// node: clocks and start times are not exact.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
-// nodeRegistry keeps the nodes that discovery events list and the attempts that run on them, and answers the placer's requests for the node
+// nodeRegistry owns the nodes that discovery events list, with the attempts that run on them, and answers the placer's requests for the node
 // list.
 type nodeRegistry struct {
 	*environment
-	endLostTask func(*Attempt) // ends a task that ended with its node
+	endLostTask func(*Attempt) // ends a task that was lost with its node
 
 	nodes              map[placer.NodeID]*Node
 	lastDiscoveryEvent uint64
 	discoveryConnected bool
-	listRequested      bool // the placer asked for the node list while discovery was not connected, and waits for an answer
+	listRequested      bool // the placer requested the node list while discovery was not connected, and waits for an answer
 }
 
 func newNodeRegistry(env *environment) *nodeRegistry {
@@ -56,10 +56,10 @@
 	return nil
 }
 
-// get returns a node, nil if there is none with the ID.
+// get returns a node, or nil if there is none with the ID.
 func (r *nodeRegistry) get(id placer.NodeID) *Node { return r.nodes[id] }
 
-// getByUID returns a node, nil if there is none with the UID.
+// getByUID returns a node, or nil if there is none with the UID.
 func (r *nodeRegistry) getByUID(uid string) *Node { return r.nodes[r.idOf(uid)] }
 
 // each calls f for each node, in no particular order.
@@ -69,7 +69,7 @@
 	}
 }
 
-// idOf returns the placer's ID of a node in the registry, or the one that a new node with this UID gets.
+// idOf returns the placer's ID of the node with the UID, or the ID that a new node with this UID gets.
 func (r *nodeRegistry) idOf(uid string) placer.NodeID {
 	id := NodeIDOf(uid)
 	for r.nodes[id] != nil && r.nodes[id].UID != uid {
@@ -78,7 +78,7 @@
 	return id
 }
 
-// placerNodes returns the registry for the placer, in order of IDs.
+// placerNodes returns all nodes as the placer's entries, in order of IDs.
 func (r *nodeRegistry) placerNodes() []placer.Node {
 	var nodes []placer.Node
 	for _, node := range r.nodes {
@@ -97,7 +97,8 @@
 	return count
 }
 
-// taskStarted enters an attempt as running on its node. If the node has terminated, no further discovery event will come to end the task.
+// taskStarted adds an attempt to those that run on its node. If the node has terminated, no further discovery event will end the task, so a
+// timer does.
 func (r *nodeRegistry) taskStarted(attempt *Attempt) {
 	node := r.nodes[attempt.Node]
 	if node == nil {
@@ -116,7 +117,7 @@
 	}
 }
 
-// receive applies one event of the discovery stream, see Core.ReceiveDiscoveryEvent.
+// receive applies one event of the discovery stream; see Core.ReceiveDiscoveryEvent.
 func (r *nodeRegistry) receive(data []byte) (ok bool, err error) {
 	event, err := parseDiscoveryEvent(data)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return true, nil
 }
 
-// apply enters the nodes that a discovery event lists and returns them. An invalid event changes nothing.
+// apply adds or updates the nodes that a discovery event lists and returns them. An invalid event changes nothing.
 func (r *nodeRegistry) apply(event *discoveryEvent) (changed []placer.Node, err error) {
 	if err := event.validate(); err != nil || event.NodeList == nil {
 		return nil, err
@@ -156,7 +157,7 @@
 	return changed, nil
 }
 
-// update enters a valid entry of a discovery event.
+// update adds or updates the node of a valid entry of a discovery event.
 func (r *nodeRegistry) update(entry *nodeEntry) *Node {
 	id := r.idOf(entry.UID)
 	node := r.nodes[id]
@@ -168,7 +169,7 @@
 	return node
 }
 
-// terminateUnlisted marks the nodes that a complete list leaves out as terminated.
+// terminateUnlisted marks the nodes that are not in a complete list as terminated.
 func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listed[id] && node.State != placer.Terminated {
@@ -200,8 +201,8 @@
 	r.emit(Effect{Kind: NodesChanged})
 }
 
-// scheduleTaskExpiry sets a timer that ends the running tasks of a terminated node as lost, unless its state changes meanwhile. The wait is for
-// the reports that the node itself sends about its tasks, which say more than the discovery event does.
+// scheduleTaskExpiry sets a timer that ends the running tasks of a terminated node as lost, unless its state changes meanwhile. The delay gives
+// the node time to report itself how its tasks ended, in more detail than the discovery event does.
 func (r *nodeRegistry) scheduleTaskExpiry(node *Node) {
 	if len(node.running) == 0 {
 		return
@@ -246,7 +247,7 @@
 	})
 }
 
-// setDiscoveryConnected notes whether the discovery stream is connected, and answers a request of the placer that waits for it.
+// setDiscoveryConnected records whether the discovery stream is connected, and answers a request of the placer that waits for it.
 func (r *nodeRegistry) setDiscoveryConnected(connected bool) {
 	r.discoveryConnected = connected
 	if !r.listRequested {
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// notificationRetention is for how long a notification is kept until a client has received it. It is also the longest wait for a node to
-	// confirm that it stopped a running task, and for how long an earlyTermination is kept.
+	// notificationRetention is the time for which a notification is kept for redelivery. It is also the longest wait for a node to confirm that
+	// it stopped a running task, and the time for which an earlyTermination is kept.
 	notificationRetention placer.Seconds = 8.0
-	// unacknowledgedWindow bounds the time between a notification and the end of its connection within which the notification is assumed not
-	// to have been received, where the client does not acknowledge notifications.
+	// unacknowledgedWindow is for clients that do not acknowledge notifications: a notification that was sent no longer than this before its
+	// connection ended is assumed to be lost.
 	unacknowledgedWindow placer.Seconds = 1.0
 )
 
-// notification is a message that notifies a client that its running task has ended or is to migrate. Unlike the answer to a request it may be
+// notification is a message that notifies a client that its running task has ended or has to migrate. Unlike the answer to a request it may be
 // sent on any connection, and is sent again if the client may not have received it.
 type notification struct {
 	message   protocol.Message
@@ -39,7 +39,7 @@
 // deliveryLog holds the notifications that were sent on one connection.
 type deliveryLog struct {
 	unacknowledged []notification // sent and not acknowledged yet
-	acknowledges   bool           // the client has acknowledged a notification: the protocol leaves it to clients whether they do
+	acknowledges   bool           // the client has acknowledged a notification, which is optional in the protocol
 }
 
 // add keeps a notification until it expires or is acknowledged.
@@ -53,7 +53,7 @@
 	l.unacknowledged = append(l.unacknowledged, notice)
 }
 
-// acknowledge removes the notifications of a task's end that the client says it has received.
+// acknowledge removes the notifications of a task's end, which the client has acknowledged.
 func (l *deliveryLog) acknowledge(id protocol.ID) {
 	l.acknowledges = true
 	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool {
@@ -61,11 +61,12 @@
 	})
 }
 
-// notifier notifies clients of the ends and migrations of their running tasks.
+// notifier notifies clients of the ends and migrations of their running tasks. It owns the pending notifications, and writes the deliveryLog of
+// each connection.
 type notifier struct {
 	*environment
 	clients *clientRegistry
-	pending []notification // those that found no connection, in the order in which they came up
+	pending []notification // those for which no connection was open, oldest first
 }
 
 // newNotification returns a notification that is kept from now on.
@@ -73,8 +74,8 @@
 	return notification{message: msg, expiresAt: n.now + notificationRetention}
 }
 
-// notify notifies the client of a request whose task runs or ran: on the request's own connection, else on another one of a client, else on the
-// first one that sends a valid message from now on.
+// notify notifies the client of a request whose task runs or ran: on the request's own connection, otherwise on another client connection,
+// otherwise on the next one on which a valid message arrives.
 func (n *notifier) notify(req *request, msg protocol.Message) {
 	n.sendOnAny(req.conn, n.newNotification(msg))
 }
@@ -84,7 +85,7 @@
 	n.send(conn, n.newNotification(msg))
 }
 
-// sendOnAny sends a notification on the preferred connection if that is open, else on another one. Without any it stays pending.
+// sendOnAny sends a notification on the preferred connection if that is open, otherwise on another one. If there is none, it becomes pending.
 func (n *notifier) sendOnAny(preferred ConnID, notice notification) {
 	if conn := n.clients.selectFor(preferred); conn != nil {
 		n.send(conn, notice)
@@ -103,7 +104,7 @@
 // acknowledge handles a client's message that it has received the notification of a task's end.
 func (n *notifier) acknowledge(conn *clientConn, id protocol.ID) { conn.notifications.acknowledge(id) }
 
-// sendPending sends all pending notifications on a connection that has just sent a valid message.
+// sendPending sends all pending notifications on a connection on which a valid message has just arrived.
 func (n *notifier) sendPending(conn *clientConn) {
 	for _, notice := range n.pending {
 		if notice.expiresAt < n.now {
@@ -115,8 +116,8 @@
 	n.pending = nil
 }
 
-// redeliver sends again what the client of a connection that has ended may not have received. Clients accept a second notification of a task
-// that they no longer know.
+// redeliver sends again the notifications that the client of an ended connection may not have received. Clients accept a second notification of
+// a task that they no longer know.
 func (n *notifier) redeliver(disconnected *clientConn) {
 	log := &disconnected.notifications
 	for _, notice := range log.unacknowledged {
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -5,7 +5,8 @@
 	"heathshed/placer"
 )
 
-// request is one placement request of a client, and after it was answered the running task.
+// request is one placement request of a client and, after the answer, the running task. The requestTable owns it; only the attemptTable adds
+// attempts.
 type request struct {
 	taskID   placer.TaskID
 	message  protocol.Message // as the client sent it
@@ -16,7 +17,7 @@
 	attempts []*Attempt
 }
 
-// runningAttempt returns the attempt that runs the task, nil if the task does not run.
+// runningAttempt returns the attempt that runs the task, or nil if the task does not run.
 func (r *request) runningAttempt() *Attempt {
 	if last := r.lastAttempt(); last != nil && last.state == attemptRunning {
 		return last
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// lastAttempt returns the latest attempt, nil if there is none.
+// lastAttempt returns the latest attempt, or nil if there is none.
 func (r *request) lastAttempt() *Attempt {
 	if len(r.attempts) == 0 {
 		return nil
@@ -38,7 +39,7 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
-// launchMessage returns the request as a node receives it: ID, class, key, description and, if it has one, the idempotency key.
+// launchMessage returns the request as it is sent to a node: ID, class, key, description and, if it has one, the idempotency key.
 func (r *request) launchMessage() protocol.Message {
 	msg := protocol.Message{Kind: protocol.Launch, UID: r.message.UID, ID: r.message.ID, Body: r.message.Body}
 	msg.Set(protocol.Class, r.message.Get(protocol.Class))
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -10,18 +10,18 @@
 	"heathshed/placer"
 )
 
-// parsedRequest is what a valid launch message asks for.
+// parsedRequest is the content of a valid launch message.
 type parsedRequest struct {
 	task        placer.Task
-	adoptedFrom string // UID of the node that already runs the task, "" for a new request
+	adoptedFrom string // UID of the node that already runs the task, or "" for a new request
 }
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFrom != "" }
 
-// requiredResources is the number of resources that a request states: cores and memory.
+// requiredResources is the number of resources that a request must give: cores and memory.
 const requiredResources = 2
 
-// maxDeadlineMultiple is how many times the deadline of its class a request may be valid for.
+// maxDeadlineMultiple bounds the time left of a request, as a multiple of the deadline of its class.
 const maxDeadlineMultiple = 2
 
 // millisecondsPerSecond converts times of the platform's messages, which are in milliseconds.
@@ -129,8 +129,8 @@
 	return placer.ServiceID(id), nil
 }
 
-// parseDeadline returns the clock time until which the client waits. It may be at most twice the class's deadline away. For an adoption there
-// is no upper limit: no answer is due, and clients give any time there, such as the remaining time of a task without an end.
+// parseDeadline returns the clock time until which the client waits: at most maxDeadlineMultiple times the class's deadline from now. For an
+// adoption there is no upper limit: no answer is due, and clients send any time, such as the remaining run time of the task.
 func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -5,7 +5,7 @@
 	"heathshed/placer"
 )
 
-// requestTable keeps the placement requests that are open or whose task runs, and moves them from state to state.
+// requestTable owns the placement requests that are open or whose task runs, and moves them from state to state.
 type requestTable struct {
 	*environment
 	clients  *clientRegistry
@@ -28,16 +28,16 @@
 	}
 }
 
-// get returns the request with the placer's number, nil if there is none.
+// get returns the request of a task by the placer's ID, or nil if there is none.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
-// getByID returns the request with the clients' ID, nil if there is none.
+// getByID returns the request with the client's ID, or nil if there is none.
 func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
 
-// full reports whether no further request can be entered.
+// full reports whether no further request can be added.
 func (t *requestTable) full() bool { return len(t.byID) >= maxTasks }
 
-// open enters a new request and gives its task a number.
+// open adds a new request and assigns its task an ID.
 func (t *requestTable) open(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestOpen)
 	t.openCount++
@@ -45,7 +45,7 @@
 	return req
 }
 
-// adopt enters a request whose task runs already and gives the task a number.
+// adopt adds a request whose task runs already and assigns the task an ID.
 func (t *requestTable) adopt(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestRunning)
 	t.clients.taskPlaced(req)
@@ -68,7 +68,7 @@
 	return req
 }
 
-// answer gives an open request its final answer, other than that its task runs.
+// answer sends the final answer to an open request whose task does not run.
 func (t *requestTable) answer(req *request, answer protocol.Message) {
 	if req.state.closed() {
 		return
@@ -110,7 +110,7 @@
 	requestStates.transition(&req.state, next, &t.illegalTransitions)
 }
 
-// remove removes a request that has ended. Its attempts stay for as long as nodes may send messages about them.
+// remove removes a request that has ended. Its attempts are kept until nodes are no longer expected to send messages about them.
 func (t *requestTable) remove(req *request) {
 	if t.byID[req.message.ID] == req {
 		delete(t.byID, req.message.ID)
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -5,14 +5,15 @@
 	"heathshed/placer"
 )
 
-// migrationConfirmTimeout is the time in which a node confirms that it stopped a task for a migration. A node that does not had ended the task
-// before.
+// migrationConfirmTimeout is the time within which a node confirms that it stopped a task for a migration. If it does not, the task has already
+// ended by itself.
 const migrationConfirmTimeout placer.Seconds = 0.4
 
-// causeLost is the cause given to clients of tasks that ended with their node.
+// causeLost is the cause in notifications of tasks that ended with their node.
 const causeLost = protocol.CauseReset
 
-// taskController takes tasks from their start to their end: it moves a request and its attempt together, and notifies the client.
+// taskController takes tasks from their start to their end: it moves a request and its attempt together, and notifies the client. It has no state
+// of its own.
 type taskController struct {
 	*environment
 	clients  *clientRegistry
@@ -21,7 +22,7 @@
 	notifier *notifier
 }
 
-// start enters a task that a node has accepted as running, and answers its client.
+// start records that a node has accepted a task, and answers the client.
 func (t *taskController) start(attempt *Attempt, body string) {
 	req := attempt.request
 	t.attempts.accepted(attempt)
@@ -32,7 +33,7 @@
 	t.attempts.postBound(attempt)
 }
 
-// end ends a running task. Its client is notified, unless it asked for the end, or was asked to migrate and the node confirms that.
+// end ends a running task. Its client is notified, unless it stopped the task itself, or was asked to migrate it and the node confirms that.
 func (t *taskController) end(attempt *Attempt, ended outcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
@@ -50,14 +51,14 @@
 	t.requests.remove(req)
 }
 
-// endLost ends a running task that ended with its node.
+// endLost ends a running task that was lost with its node.
 func (t *taskController) endLost(attempt *Attempt) {
 	t.end(attempt, outcome{result: placer.Lost}, causeLost)
 }
 
-// endUnanswered ends a request whose node had accepted it and then evicted, preempted or drained the task, while the acceptance was lost or is
-// late: a node rejects what it has not accepted for want of capacity. The task ran and is over. Its client is notified of that and may send a
-// new request; another attempt would start a task anew under an ID that is over.
+// endUnanswered ends a request whose node accepted it and then evicted, preempted or drained the task, while the acceptance was lost or is late.
+// (A node rejects for lack of capacity a task that it has not accepted.) The task ran and has ended. Its client is notified of that and may send a
+// new request; another attempt would start the task again under an ID that has ended.
 func (t *taskController) endUnanswered(attempt *Attempt, ended outcome, cause protocol.Cause) {
 	req := attempt.request
 	t.counts.TasksLost++
@@ -68,7 +69,7 @@
 	t.requests.remove(req)
 }
 
-// migrate asks the client of a running task to place it anew, and its node to stop it.
+// migrate asks the client of a running task to request its placement again, and the node to stop it.
 func (t *taskController) migrate(req *request) {
 	attempt := req.runningAttempt()
 	if attempt == nil || req.state.closed() {
@@ -81,7 +82,7 @@
 }
 
 // notifyUnconfirmedMigration notifies the client of a migrating task that it has ended, if the node has not confirmed that it stopped it for
-// the migration. A task may end by itself while it is asked to migrate, and its client then ignores the request.
+// the migration. A task may end by itself while the request to migrate is in transit, and its client then ignores that request.
 func (t *taskController) notifyUnconfirmedMigration(attempt *Attempt) {
 	req := attempt.request
 	if attempt.state != attemptRunning || req.state != requestMigrating {
@@ -91,7 +92,7 @@
 	t.notifier.notify(req, replyTo(&req.message, protocol.Stop, protocol.CauseCancelled))
 }
 
-// stopForClient stops a running task that its client asked to stop.
+// stopForClient stops a running task at the request of its client.
 func (t *taskController) stopForClient(attempt *Attempt, cause protocol.Cause) {
 	if attempt.request.state.closed() {
 		return
@@ -100,7 +101,7 @@
 	t.stop(attempt, cause)
 }
 
-// stopOn stops all tasks that run on an unresponsive node, see Core.NodeUnresponsive.
+// stopOn stops all tasks that run on an unresponsive node; see Core.NodeUnresponsive.
 func (t *taskController) stopOn(node *Node) (stopped int) {
 	for _, attempt := range node.runningAttempts() {
 		if attempt.stopSent {
@@ -126,7 +127,7 @@
 	t.attempts.sendStop(attempt, cause, false)
 }
 
-// awaitStop sets the timers for a running task that its node is asked to stop.
+// awaitStop sets the timers for the node's confirmation that it stopped a running task.
 func (t *taskController) awaitStop(attempt *Attempt) {
 	if attempt.request.state == requestMigrating {
 		t.timers.Add(t.now+migrationConfirmTimeout, func() { t.notifyUnconfirmedMigration(attempt) })
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -44,7 +44,7 @@
 const (
 	CauseEnd       Cause = 16  // abandoned by the scheduler or the client; of a running task: it ended by itself
 	CauseCancelled Cause = 31  // migrated, or stopped by its client
-	CauseFull      Cause = 34  // rejected for want of capacity, or as Note says; it never ran
+	CauseFull      Cause = 34  // rejected for lack of capacity, or as Note says; it never ran
 	CauseReset     Cause = 41  // the connection, the node or the task failed
 	CauseBusy      Cause = 42  // rejected because too much is open; it may be retried
 	CauseError     Cause = 47  // failed
