--- a/internal/platform/protocol/decode.go
+++ b/internal/platform/protocol/decode.go
@@ -29,7 +29,7 @@
 	requiredKeys = keyKind | keyUID
 )
 
-// keyOf returns the set of one key, empty if the key is unknown.
+// keyOf returns the set of one key, or the empty set if the key is unknown.
 func keyOf(key string) keySet {
 	switch key {
 	case "kind":
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -6,13 +6,13 @@
 	"unicode/utf8"
 )
 
-// parser parses JSON values (RFC 8259) in a line that is valid UTF-8. It never goes back.
+// parser parses JSON values (RFC 8259) in a line that is valid UTF-8, in one pass.
 type parser struct {
 	line     []byte
 	position int
 }
 
-// syntaxError says what was expected at the current position.
+// syntaxError returns an error that says what was expected at the current position.
 func (p *parser) syntaxError(want string) error {
 	if p.position >= len(p.line) {
 		return fmt.Errorf("line ends at byte %d, want %s", p.position, want)
@@ -28,7 +28,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// peek returns the next byte, 0 at the end of the line.
+// peek returns the next byte, or 0 at the end of the line.
 func (p *parser) peek() byte {
 	if p.position < len(p.line) {
 		return p.line[p.position]
@@ -115,7 +115,7 @@
 	return "", p.syntaxError("the end of a string")
 }
 
-// isPlain reports whether a byte stands for itself in a string.
+// isPlain reports whether a byte in a string represents itself.
 func isPlain(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
 
 // parseEscape parses an escape sequence.
@@ -139,7 +139,7 @@
 		if err != nil || !utf16.IsSurrogate(r) {
 			return r, err
 		}
-		// Readers differ on half of a surrogate pair, which stands for no character.
+		// Readers differ on half of a surrogate pair, which encodes no character.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
 			low, err := p.parseHex4()
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -1,8 +1,9 @@
-// Package protocol is the codec of the shared platform's protocol: JSON lines that each hold one message about one task.
+// Package protocol is the codec of the shared platform's protocol: JSON lines that each contain one message about one task. Package server reads
+// lines by Parse and writes them by Message.Append; package dispatch handles the messages.
 //
 // It is pure: it has no I/O and no clock, and imports no other package of the project. What it accepts is stricter than JSON: a line that
 // another reader might reject or read differently (text that is not UTF-8, half of a surrogate pair, a duplicate key) is an error here,
-// because a message that is passed on and rejected there ends everything else that is open on the same connection.
+// because a message that is forwarded and rejected by the receiver ends everything else that is open on the same connection.
 package protocol
 
 import (
@@ -23,13 +24,13 @@
 	Check                   // a health check
 	Checked                 // the answer to a health check
 	Update                  // a measurement of a running task
-	Migrate                 // asks a client to place a running task anew
+	Migrate                 // asks a client to request the placement of a running task again
 )
 
 var kindNames = [...]string{Launch: "launch", Staging: "staging", Running: "running", Stop: "stop", Stopped: "stopped", Check: "check",
 	Checked: "checked", Update: "update", Migrate: "migrate"}
 
-// String returns the kind's word on the wire.
+// String returns the kind's name on the wire.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && k > 0 {
 		return kindNames[k]
@@ -48,7 +49,7 @@
 	CauseReset     Cause = 41  // the connection, the node or the task failed
 	CauseBusy      Cause = 42  // rejected because too much is open; it may be retried
 	CauseError     Cause = 47  // failed
-	CauseExpired   Cause = 102 // the time for it was over before it was sent
+	CauseExpired   Cause = 102 // its deadline passed before it was sent
 )
 
 // ID identifies a task between two parties.
@@ -83,11 +84,11 @@
 	Class          Field = iota // the class of a request
 	TimeLeft                    // milliseconds until the sender no longer waits for an answer
 	Tenant                      // the tenant that a request belongs to
-	Key                         // 16 hexadecimal digits that are passed on to the node
+	Key                         // 16 hexadecimal digits that are forwarded to the node
 	IdempotencyKey              // in classes that nodes deduplicate: the name under which they recognise a repeated request
 	Extras                      // name:value pairs, separated by semicolons
 	RetryAfter                  // milliseconds for which a rejected client is advised to wait
-	Note                        // a word: what an Update measures, or the reason of a Stop
+	Note                        // an identifier: what an Update measures, or the reason for a Stop
 	Value                       // the measured value of an Update
 	LoadReport                  // the load of a node: name:value pairs, separated by semicolons
 	fieldCount
@@ -107,7 +108,7 @@
 	return 0, false
 }
 
-// Message is one line. It holds no reference to the buffer that it was parsed from.
+// Message is one line. It does not reference the buffer that it was parsed from.
 type Message struct {
 	Kind Kind
 	UID  string // the ID as it was written
@@ -115,14 +116,14 @@
 	// Cause is valid if HasCause is set.
 	Cause    Cause
 	HasCause bool
-	// Body describes the task or its answer: the JSON string as it was written, quotes included, "" if there is none. Passing it on unchanged
-	// needs no decoding.
+	// Body describes the task or its answer: the JSON string as it was written, quotes included, or "" if there is none. It is forwarded
+	// unchanged, without decoding.
 	Body string
 	meta [fieldCount]string
 	has  [fieldCount]bool
 }
 
-// Get returns a field's text, "" if the field is absent. A number is returned as it was written.
+// Get returns a field's text, or "" if the field is absent. A number is returned as it was written.
 func (m *Message) Get(field Field) string { return m.meta[field] }
 
 // Has reports whether a field is present.
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -1,5 +1,6 @@
 // Package simadapter runs placers under the simulator: it translates the simulator's events for a placer and the
-// placer's actions for the simulator. Each scheduler instance has a Placer of its own; instances share nothing.
+// placer's actions for the simulator. Each scheduler instance has a Placer of its own; instances share nothing. The
+// command cmd/simadapter calls Run, which is where to begin reading.
 package simadapter
 
 import (
@@ -15,7 +16,7 @@
 
 const inputBufferBytes = 1 << 16
 
-// adapter holds the instances of a run.
+// adapter owns the scheduler instances of a run and the node lists that the simulator has defined.
 type adapter struct {
 	instances map[uint32]*instance
 	lists     [simproto.MaxLists][]placer.Node
@@ -24,8 +25,9 @@
 	warnings  io.Writer
 }
 
-// Run answers the batches of events from in on out until the input ends, and writes a line on warnings for each event
-// of an unknown instance. A batch that cannot be read to its end is not answered and ends the run with an error.
+// Run reads batches of events from in and writes the replies to out until the input ends. For each event of an unknown
+// instance it writes a line to warnings. A batch that cannot be read to its end is not answered and ends the run with an
+// error.
 func Run(in io.Reader, out io.Writer, warnings io.Writer) error {
 	reader := simproto.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	a := &adapter{instances: map[uint32]*instance{}, warnings: warnings}
@@ -46,7 +48,7 @@
 	}
 }
 
-// handleBatch handles all events of a batch; the reply is then in the writer.
+// handleBatch handles all events of a batch and leaves the reply in the writer.
 func (a *adapter) handleBatch(reader *simproto.Reader, batch simproto.Batch) error {
 	var record simproto.Event
 	a.writer.Start(batch.Number)
@@ -83,7 +85,7 @@
 	}
 	target := a.instances[record.Instance]
 	if target == nil {
-		// The run goes on also if the warning cannot be written.
+		// The run continues even if the warning cannot be written.
 		_, _ = fmt.Fprintf(a.warnings, "event %d for instance %d, which has not begun: skipped\n", record.Code, record.Instance)
 		return nil
 	}
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// defineList replaces the node list of a number.
+// defineList replaces the node list with the record's number.
 func (a *adapter) defineList(record *simproto.Event) {
 	list := a.lists[record.ListNumber][:0]
 	for i := range record.Entries {
@@ -104,7 +106,7 @@
 	a.lists[record.ListNumber] = list
 }
 
-// decide hands one event to a placer and writes its actions. A panic of the placer is reported for the instance.
+// decide passes one event to a placer and writes its actions. A panic of the placer is reported for the instance.
 func (a *adapter) decide(now placer.Seconds, id uint32, target *instance, event placer.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -40,7 +40,7 @@
 	return event, err == nil, err
 }
 
-// findList returns the kind of a node list and its nodes, nil if the request for the list failed.
+// findList returns the kind of a node list and its nodes, or no nodes if the request for the list failed.
 func findList(record *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
 	var kind placer.ListKind
 	switch record.ListKind {
@@ -119,8 +119,8 @@
 	return 0, fmt.Errorf("outcome %d is not known", status)
 }
 
-// parseReport returns the values of a load report by the names of the settings, or nil if there are none. The result is
-// valid until the next call.
+// parseReport returns a load report, whose values are in the order of the settings' names, or nil if it has no values. The
+// result is valid until the next call.
 func (in *instance) parseReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
--- a/internal/simbridge/simconfig/settings.go
+++ b/internal/simbridge/simconfig/settings.go
@@ -2,8 +2,8 @@
 
 import "heathshed/placer"
 
-// settings holds the keys of the settings that are used; others are skipped. Its names are those of the keys, and names
-// that end in S are in seconds.
+// settings has a field for each key that is used; other keys are skipped. The fields are named as the keys; those whose
+// names end in S are in seconds.
 type settings struct {
 	Discovery string `json:"discovery"`
 	Extra     struct {
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -1,6 +1,6 @@
-// Package simconfig reads the settings of a scheduler, which the simulator sends in its first message and a scheduler in
-// production has in its configuration file. Both use this one reader, so that the placer gets the same configuration in
-// both. The package does no I/O and has no state.
+// Package simconfig parses the settings of a scheduler, which the simulator sends in its first message and a scheduler on
+// the platform has in its configuration file. Package simadapter and the platform's dispatch and server all call Parse,
+// so that the placer gets the same configuration from both. The package does no I/O and has no state.
 package simconfig
 
 import (
@@ -10,21 +10,21 @@
 	"heathshed/placer"
 )
 
-// Settings is the configuration of the placer and what else a scheduler needs of the settings.
+// Settings is the configuration of the placer, with the other settings that a scheduler needs.
 type Settings struct {
 	Placer placer.Config
-	// Names in the order of their numbers. Unlike the values of classes, the last does not stand for the rest: other names
-	// are unknown.
+	// Names in the order of their numbers. Unlike with lists of values by class, the last one does not apply to further
+	// numbers: any other name is unknown.
 	Classes, Tenants, Zones, NodeTypes []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
 	// IdleTimeout is the time after which a node closes an idle connection, or 0 if it is not known.
 	IdleTimeout placer.Seconds
-	// BatchInterval is the least time between two batches of events.
+	// BatchInterval is the shortest time between two batches of events.
 	BatchInterval placer.Seconds
 }
 
-// Values of settings that select one of two ways.
+// Values of settings that select one of two modes.
 const (
 	discoveryByPolling  = "ask"     // discovery: node lists are sent only on request
 	acknowledgedOnStart = "running" // extra.saysYes: nodes accept a task when it runs
@@ -133,7 +133,7 @@
 	return class, nil
 }
 
-// nodeTypes returns the node types, whose cores and memory stand in two lists.
+// nodeTypes returns the node types, whose cores and memory the settings give as two lists.
 func (s *settings) nodeTypes() ([]placer.NodeType, error) {
 	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
 	if len(memory) != len(cores) {
@@ -146,8 +146,8 @@
 	return types, nil
 }
 
-// valueOrLast returns the i-th value of a list by class, or the last where the list is shorter. An empty list stands
-// for the fallback.
+// valueOrLast returns the i-th value of a list by class, or the last one if the list is shorter, or the fallback if it is
+// empty.
 func valueOrLast[T any](values []T, i int, fallback T) T {
 	if len(values) == 0 {
 		return fallback
@@ -155,7 +155,7 @@
 	return values[min(i, len(values)-1)]
 }
 
-// parseIdempotency returns the idempotency that a class states as its effect.
+// parseIdempotency returns the idempotency of a class, which the settings call its effect.
 func parseIdempotency(name string) (placer.Idempotency, error) {
 	switch name {
 	case "idempotent":
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -12,21 +12,21 @@
 
 const (
 	headerBytes       = 20
-	uncountedBytes    = 8 // of the header, which the length in it does not count
+	uncountedBytes    = 8 // bytes of the header that its length field does not include
 	minRecordBytes    = 5
 	nodeEntryBytes    = 31
 	nodeAddressBytes  = 6
-	maxReadChunkBytes = 1 << 20 // a batch is read in such parts, so that a wrong length allocates little
+	maxReadChunkBytes = 1 << 20 // a batch is read in chunks of this size, so that a wrong length allocates little memory
 )
 
 // Reader reads batches of events.
 type Reader struct {
 	input   io.Reader
 	header  [headerBytes]byte
-	body    []byte // the records of the present batch
+	body    []byte // the records of the current batch
 	offset  int    // of the next byte to read in body
 	code    EventCode
-	err     error // the first error in the present batch
+	err     error // the first error in the current batch
 	load    []float32
 	entries []NodeEntry
 }
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Remaining returns the number of bytes of the batch that are unread.
+// Remaining returns the number of unread bytes of the batch.
 func (r *Reader) Remaining() int { return len(r.body) - r.offset }
 
 // Read reads the next record of the batch into event. After an error the batch cannot be read further.
@@ -108,7 +108,7 @@
 	return r.err
 }
 
-// readTaskEvent reads the fields of an event that concerns a task or its attempts; false if it is another event.
+// readTaskEvent reads the fields of an event about a task or its attempts. It returns false if the event is another one.
 // The fields of each record are read in the order in which they are written here.
 func (r *Reader) readTaskEvent(event *Event) bool {
 	switch event.Code {
@@ -136,7 +136,7 @@
 	return true
 }
 
-// readOtherEvent reads the fields of an event that concerns no task; false if the code is unknown.
+// readOtherEvent reads the fields of an event that is not about a task. It returns false if the code is unknown.
 func (r *Reader) readOtherEvent(event *Event) bool {
 	switch event.Code {
 	case EventInstanceStart:
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -1,6 +1,6 @@
 // Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All numbers are
-// little endian, all times are floating point numbers of seconds. It encodes and decodes only: what events and actions mean is left to package
-// simadapter.
+// little endian, all times are floating point numbers of seconds. It only encodes and decodes: package simadapter, which
+// calls it, knows what events and actions mean. Begin reading at Reader.Next and Writer.Start.
 //
 // A batch is a header, which is the batch number, the length of the rest in bytes, the number of records (each 4 bytes)
 // and the clock time (8 bytes), followed by the records. A reply is the batch number, the number of records and the
@@ -76,7 +76,7 @@
 // NodeState is the state of a node.
 type NodeState uint8
 
-// The states that have a meaning here; nodes in other states have terminated.
+// The states that are distinguished; nodes in any other state have terminated.
 const (
 	NodeReady    NodeState = 1
 	NodeDraining NodeState = 2
@@ -94,7 +94,7 @@
 // MaxLists is the number of node lists that may be defined, numbered from 0.
 const MaxLists = 16
 
-// NodeAddress is a node's address of six bytes, packed. It is written as it was read.
+// NodeAddress is a node's address of six bytes, packed into an integer. It is written as it was read.
 type NodeAddress uint64
 
 // NodeEntry is one entry of a node list.
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -9,10 +9,10 @@
 
 const replyHeaderBytes = 12
 
-// watchWithChanges asks for the later changes beside the list.
+// watchWithChanges requests later changes in addition to the list.
 const watchWithChanges = 1
 
-// Writer builds one reply at a time: Start, any number of actions, Finish. The zero value is ready for use.
+// Writer builds one reply at a time: Start, any number of actions, Finish. The zero value is ready to use.
 type Writer struct {
 	reply []byte
 	count uint32
@@ -47,7 +47,7 @@
 	w.seconds(after)
 }
 
-// Fail answers that the outcome of a task is not known.
+// Fail answers that the outcome of a request is not known.
 func (w *Writer) Fail(instance uint32, id uint64) {
 	w.action(ActionFail, instance)
 	w.u64(id)
--- a/internal/testsupport/goldentest/goldentest.go
+++ b/internal/testsupport/goldentest/goldentest.go
@@ -1,8 +1,8 @@
-// Package goldentest supports characterization tests: a test records what it observes, and the record is compared byte for byte with a file
-// in the testdata directory of its package.
+// Package goldentest supports characterization tests: a test records what it observes in a Recorder, and Recorder.Check compares the record byte
+// for byte with a file in the testdata directory of the test's package. It is for tests only.
 //
-// Records hold only numbers, wire words, encoded bytes and the bits of floating point values, never names of Go identifiers, so that
-// renaming types, functions and fields leaves them as they are. A missing golden file fails the test. Golden files are written only
+// Records contain only numbers, names from the wire, encoded bytes and the bits of floating point values, never names of Go identifiers, so that
+// renaming types, functions and fields does not change them. A missing golden file fails the test. Golden files are written only
 // if the environment variable HEATHSHED_UPDATE_GOLDEN is 1:
 //
 //	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/...
@@ -24,8 +24,8 @@
 // UpdateVariable is the environment variable that makes Check write golden files.
 const UpdateVariable = "HEATHSHED_UPDATE_GOLDEN"
 
-// Recorder collects the lines of a golden file. Values go into a running SHA-256 digest; Checkpoint writes the digest so far as a line,
-// so that the first line that differs shows where behaviour begins to differ. The digest is cumulative.
+// Recorder collects the lines of a golden file. Values are added to a cumulative SHA-256 digest; Checkpoint writes the digest so far as a line,
+// so that the first line that differs shows where behaviour begins to differ.
 type Recorder struct {
 	digest hash.Hash
 	lines  []string
@@ -70,7 +70,7 @@
 // Bytes adds encoded bytes to the digest, with their length.
 func (r *Recorder) Bytes(value []byte) { r.Texts(string(value)) }
 
-// Error adds the text of an error to the digest, and whether there is one.
+// Error adds to the digest whether there is an error, and its text.
 func (r *Recorder) Error(err error) {
 	r.Booleans(err != nil)
 	if err != nil {
--- a/internal/testsupport/looptest/looptest.go
+++ b/internal/testsupport/looptest/looptest.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-// Package looptest runs event loops beside a test. It is for tests only.
+// Package looptest runs event loops in the background of a test. It is for tests only; most call Start.
 package looptest
 
 import (
@@ -10,7 +10,7 @@
 	"heathshed/internal/netio/eventloop"
 )
 
-// New returns a loop that does not run yet.
+// New returns a loop that is not running yet.
 func New(tb testing.TB) *eventloop.Loop {
 	tb.Helper()
 	loop, err := eventloop.New()
@@ -20,7 +20,7 @@
 	return loop
 }
 
-// Run runs a loop until stop is called, or else the test ends. An error of the loop fails the test. stop returns when the loop has ended;
+// Run runs a loop until stop is called or the test ends. An error of the loop fails the test. stop returns when the loop has ended;
 // further calls have no effect.
 func Run(tb testing.TB, loop *eventloop.Loop) (stop func()) {
 	tb.Helper()
--- a/internal/testsupport/proptest/proptest.go
+++ b/internal/testsupport/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest runs the property tests of a package from a fixed seed, so that they give the same verdict every time. It is for
-// tests only.
+// Package proptest runs the property tests of a package from a fixed seed, so that they give the same result every time. A package with such
+// tests calls Main from its TestMain. It is for tests only.
 package proptest
 
 import (
@@ -12,7 +12,7 @@
 )
 
 // Main is a TestMain. It sets the seed to 1 and the number of checks to the given one, unless the command line sets them, and exits with
-// status 2 if the library does not know one of the flags or takes no such value.
+// status 2 if the library rejects one of these flags or its value.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": checks, "rapid.nofailfile": "true"} {
--- a/internal/testsupport/statediagram/statediagram.go
+++ b/internal/testsupport/statediagram/statediagram.go
@@ -7,7 +7,8 @@
 //	idle --> reading_head : what happens
 //	ended --> [*]
 //
-// The first gives a state whose name is not one word an identifier. [*] stands for the beginning and the end.
+// The first line defines an identifier for a state whose name is not a single word. [*] means the beginning and the end. The tests of packages with
+// a state machine build it by New and call Check.
 package statediagram
 
 import (
@@ -21,10 +22,10 @@
 	"testing"
 )
 
-// page is where the diagrams are, seen from the root of the module.
+// page is the path of the page with the diagrams, relative to the root of the module.
 const page = "docs/states.md"
 
-// outside is the beginning and the end of every machine in a diagram.
+// outside is the symbol for the beginning and the end of a machine in a diagram.
 const outside = "[*]"
 
 // Machine is the set of a machine's transitions, each as "from --> to".
@@ -36,8 +37,8 @@
 	fmt.Stringer
 }
 
-// New returns the machine of the first states of a type, with those in which it may begin and its legal transitions. It ends in each
-// state that has no legal next state.
+// New returns the machine with the given number of states, the states in which it may begin, and its legal transitions. It ends in each state
+// that has no legal next state.
 func New[S State](states int, initial []S, legal func(from, to S) bool) Machine {
 	machine := Machine{}
 	for _, state := range initial {
--- a/internal/testsupport/structure/doc.go
+++ b/internal/testsupport/structure/doc.go
@@ -2,5 +2,5 @@
 // the graph in docs/architecture.md, the number of methods of a type, the number of files that write a field, and the messages
 // of log lines, each of which one place writes.
 //
-// The checks read the source with the go command and type information; what a test file declares or writes does not count.
+// The checks read the source with the go command and type information, without test files. Begin reading at load in load_test.go.
 package structure
