--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -23,6 +23,7 @@
 
 	"heathshed/internal/simbridge/simadapter"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/internal/testsupport/simwire"
 )
 
 // With pushSettings node lists are pushed and carry the free capacity; with consolidatingSettings nodes in use have a cost
@@ -73,17 +74,6 @@
 	problem error
 }
 
-// record encodes one record from values of fixed width, little endian.
-func record(values ...any) []byte {
-	var encoded bytes.Buffer
-	for _, value := range values {
-		if err := binary.Write(&encoded, binary.LittleEndian, value); err != nil {
-			panic(err)
-		}
-	}
-	return encoded.Bytes()
-}
-
 func (sim *peer) Read(into []byte) (int, error) {
 	if len(sim.rest) == 0 {
 		if sim.number == batches {
@@ -103,7 +93,7 @@
 	var records [][]byte
 	if sim.number == 1 {
 		for instance, settings := range []string{pushSettings, consolidatingSettings} {
-			records = append(records, record(uint8(19), uint32(instance), uint64(9+instance), uint32(len(settings)), []byte(settings)))
+			records = append(records, simwire.Record(uint8(19), uint32(instance), uint64(9+instance), uint32(len(settings)), []byte(settings)))
 		}
 	}
 	if sim.number%10 == 1 {
@@ -124,8 +114,7 @@
 	if sim.number%40 == 7 {
 		records = append(records, sim.unmatchedRecords()...)
 	}
-	body := bytes.Join(records, nil)
-	return append(record(sim.number, uint32(12+len(body)), uint32(len(records)), sim.now), body...)
+	return simwire.Batch(sim.number, sim.now, records...)
 }
 
 func nodeAddress(i int) [6]byte { return [6]byte{10, 0, byte(i / 5), byte(i), 1, 2} }
@@ -143,15 +132,15 @@
 			since = sim.now - 0.5
 		}
 		kind, free := i%2, 0.75+0.01*float32(i)
-		entries = append(entries, record(nodeAddress(i), uint8(i%3), float32(8*(kind+1))*free, uint8(kind), uint16(i%6),
+		entries = append(entries, simwire.Record(nodeAddress(i), uint8(i%3), float32(8*(kind+1))*free, uint8(kind), uint16(i%6),
 			float32(16*(kind+1))*free, health, float32(1), since)...)
 	}
-	return append(record(uint8(16), uint8(2), uint32(count)), entries...)
+	return append(simwire.Record(uint8(16), uint8(2), uint32(count)), entries...)
 }
 
 func (sim *peer) nodesListed(instance uint32) []byte {
 	kinds := []uint8{0, 1, 2, 4, 4, 4}
-	return record(uint8(26), instance, kinds[sim.rng.IntN(len(kinds))], sim.number, uint8(2))
+	return simwire.Record(uint8(26), instance, kinds[sim.rng.IntN(len(kinds))], sim.number, uint8(2))
 }
 
 func (sim *peer) task(instance uint32) []byte {
@@ -160,13 +149,13 @@
 	service, cores, memory := uint64(1+sim.rng.IntN(8)), 0.2+sim.rng.Float32(), 0.5+sim.rng.Float32()
 	if sim.rng.IntN(12) == 0 {
 		node := nodeAddress(sim.rng.IntN(20))
-		sim.later(4, record(uint8(17), instance, sim.nextID, node, 4.0, uint8(0), uint8(0), uint8(1), uint16(0), uint8(0)))
-		return record(uint8(24), instance, sim.nextID, node, 30.0, sim.now+30, class, uint64(3), uint8(16), cores, memory, service, uint16(0))
+		sim.later(4, simwire.Record(uint8(17), instance, sim.nextID, node, 4.0, uint8(0), uint8(0), uint8(1), uint16(0), uint8(0)))
+		return simwire.Record(uint8(24), instance, sim.nextID, node, 30.0, sim.now+30, class, uint64(3), uint8(16), cores, memory, service, uint16(0))
 	}
 	if sim.rng.IntN(15) == 0 {
-		sim.later(0.5, record(uint8(22), instance, sim.nextID))
+		sim.later(0.5, simwire.Record(uint8(22), instance, sim.nextID))
 	}
-	return record(uint8(18), instance, sim.nextID, class, uint16(sim.rng.IntN(2)), uint64(3), sim.now+4, 30.0, service, cores, memory,
+	return simwire.Record(uint8(18), instance, sim.nextID, class, uint16(sim.rng.IntN(2)), uint64(3), sim.now+4, 30.0, service, cores, memory,
 		uint8(sim.rng.IntN(32)))
 }
 
@@ -174,13 +163,13 @@
 func (sim *peer) unmatchedRecords() [][]byte {
 	address := nodeAddress(3)
 	return [][]byte{
-		record(uint8(22), uint32(77), uint64(1)),
-		record(uint8(21), uint32(0), uint64(1)<<50),
-		record(uint8(25), uint32(1), uint64(1)<<50, uint8(9), 0.1, address),
-		record(uint8(20), uint32(0), uint16(253), address, 0.5, uint8(1), float32(2)),
-		record(uint8(28), uint32(1), uint32(0), uint16(3), []byte("abc")),
-		record(uint8(19), uint32(5), uint64(sim.number), uint32(len(pushSettings)), []byte(pushSettings)),
-		record(uint8(23), uint32(5)),
+		simwire.Record(uint8(22), uint32(77), uint64(1)),
+		simwire.Record(uint8(21), uint32(0), uint64(1)<<50),
+		simwire.Record(uint8(25), uint32(1), uint64(1)<<50, uint8(9), 0.1, address),
+		simwire.Record(uint8(20), uint32(0), uint16(253), address, 0.5, uint8(1), float32(2)),
+		simwire.Record(uint8(28), uint32(1), uint32(0), uint16(3), []byte("abc")),
+		simwire.Record(uint8(19), uint32(5), uint64(sim.number), uint32(len(pushSettings)), []byte(pushSettings)),
+		simwire.Record(uint8(23), uint32(5)),
 	}
 }
 
@@ -212,11 +201,11 @@
 			actions = fields[22:]
 		case 92:
 			after := math.Float64frombits(binary.LittleEndian.Uint64(fields[8:]))
-			sim.later(after, record(uint8(21), instance, binary.LittleEndian.Uint64(fields)))
+			sim.later(after, simwire.Record(uint8(21), instance, binary.LittleEndian.Uint64(fields)))
 			actions = fields[16:]
 		case 87:
 			id := binary.LittleEndian.Uint64(fields)
-			sim.later(0.2, record(uint8(17), instance, id, [6]byte{}, 1.0, uint8(7), uint8(0), uint8(1), uint16(250), uint8(0)))
+			sim.later(0.2, simwire.Record(uint8(17), instance, id, [6]byte{}, 1.0, uint8(7), uint8(0), uint8(1), uint16(250), uint8(0)))
 			actions = fields[8:]
 		case 85:
 			actions = fields[16:]
@@ -237,14 +226,14 @@
 	status := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
 	ends := func(after float64, attempt int) {
 		load := sim.load(instance, node)
-		ended := record(uint8(17), instance, id, node, 0.1, uint8(sim.rng.IntN(8)), uint8(attempt), uint8(sim.rng.IntN(2)),
+		ended := simwire.Record(uint8(17), instance, id, node, 0.1, uint8(sim.rng.IntN(8)), uint8(attempt), uint8(sim.rng.IntN(2)),
 			status[sim.rng.IntN(len(status))], uint8(len(load)), load)
 		sim.later(after, ended)
 	}
 	if sim.rng.IntN(3) > 0 {
-		sim.later(0.1, record(uint8(25), instance, id, uint8(0), 0.1, node))
+		sim.later(0.1, simwire.Record(uint8(25), instance, id, uint8(0), 0.1, node))
 		for sort := range 5 {
-			sim.later(0.3, record(uint8(27), instance, id, uint8(0), node, uint8(sort+1), sim.rng.Float32()))
+			sim.later(0.3, simwire.Record(uint8(27), instance, id, uint8(0), node, uint8(sort+1), sim.rng.Float32()))
 		}
 		ends(1+6*sim.rng.Float64(), 0)
 		return
@@ -282,25 +271,23 @@
 func TestCharacterizationOfRefusedInput(t *testing.T) {
 	var text strings.Builder
 	rejected := func(last []byte) {
-		begin := record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
-		body := append(begin, last...)
-		in := append(record(uint32(1), uint32(12+len(body)), uint32(2), 50.0), body...)
-		if simadapter.Run(bytes.NewReader(in), io.Discard, io.Discard) != nil {
+		begin := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
+		if simadapter.Run(bytes.NewReader(simwire.Batch(1, 50, begin, last)), io.Discard, io.Discard) != nil {
 			text.WriteByte('1')
 		} else {
 			text.WriteByte('0')
 		}
 	}
 	for kind := range 16 {
-		rejected(record(uint8(26), uint32(0), uint8(kind), uint32(1), uint8(0)))
+		rejected(simwire.Record(uint8(26), uint32(0), uint8(kind), uint32(1), uint8(0)))
 	}
 	text.WriteByte('\n')
 	for sheet := range 20 {
-		rejected(record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(sheet)))
+		rejected(simwire.Record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(sheet)))
 	}
 	text.WriteByte('\n')
 	for status := range 260 {
-		rejected(record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
+		rejected(simwire.Record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
 	}
 	text.WriteByte('\n')
 	goldentest.CheckText(t, "refused", text.String())
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"math"
 	"strings"
 	"testing"
 
 	"heathshed/internal/simbridge/simconfig"
+	"heathshed/internal/testsupport/simwire"
 	"heathshed/placer"
 )
 
@@ -26,110 +26,85 @@
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
 
-// batch is a batch of records in the simulator's protocol.
-type batch struct {
-	records bytes.Buffer
-	count   uint32
-}
-
-// add adds one record.
-func (b *batch) add(values ...any) *batch {
-	for _, value := range values {
-		if err := binary.Write(&b.records, binary.LittleEndian, value); err != nil {
-			panic(err)
-		}
-	}
-	b.count++
-	return b
-}
-
-// bytes returns the batch, which is number 1 at time 10.
-func (b *batch) bytes() []byte {
-	var out bytes.Buffer
-	for _, value := range []any{uint32(1), uint32(12 + b.records.Len()), b.count, 10.0} {
-		if err := binary.Write(&out, binary.LittleEndian, value); err != nil {
-			panic(err)
-		}
-	}
-	return append(out.Bytes(), b.records.Bytes()...)
-}
-
 var node = [6]byte{10, 0, 0, 1, 1, 2}
 
 // testInstance is the instance that the tests start.
 const testInstance = uint32(4)
 
-// beginInstance starts an instance and gives it a list of one node.
-func beginInstance(settings string) *batch {
-	return (&batch{}).add(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)).
-		add(uint8(16), uint8(0), uint32(1), node, uint8(0), float32(8), uint8(0), uint16(1), float32(16), uint8(1),
-			float32(1), 0.0).
-		add(uint8(26), testInstance, uint8(1), uint32(1), uint8(0))
+// beginInstance returns records that start an instance and give it a list of one node, and the given ones.
+func beginInstance(settings string, more ...[]byte) [][]byte {
+	return append([][]byte{
+		simwire.Record(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)),
+		simwire.Record(uint8(16), uint8(0), uint32(1), node, uint8(0), float32(8), uint8(0), uint16(1), float32(16), uint8(1), float32(1), 0.0),
+		simwire.Record(uint8(26), testInstance, uint8(1), uint32(1), uint8(0)),
+	}, more...)
+}
+
+// arrival is the record of a request for a task.
+func arrival(instance uint32, id uint64) []byte {
+	return simwire.Record(uint8(18), instance, id, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
 }
 
-// arrives adds the request of a task to a batch.
-func arrives(b *batch, instance uint32, id uint64) *batch {
-	return b.add(uint8(18), instance, id, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
+// run returns the reply to one batch of records and the warnings.
+func run(records ...[]byte) (reply, warnings string, err error) {
+	return runInput(simwire.Batch(1, 10, records...))
 }
 
-// run returns the replies to batches and the warnings.
-func run(batches ...[]byte) (replies, warnings string, err error) {
+func runInput(in []byte) (replies, warnings string, err error) {
 	var out, problems bytes.Buffer
-	err = Run(bytes.NewReader(bytes.Join(batches, nil)), &out, &problems)
+	err = Run(bytes.NewReader(in), &out, &problems)
 	return out.String(), problems.String(), err
 }
 
 func TestTaskArrivalStartsAnAttempt(t *testing.T) {
-	out, _, err := run(arrives(beginInstance(testSettings), 4, 77).bytes())
+	out, _, err := run(beginInstance(testSettings, arrival(4, 77))...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want bytes.Buffer
-	for _, value := range []any{uint8(86), uint32(4), uint64(77)} {
-		if err := binary.Write(&want, binary.LittleEndian, value); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if !strings.Contains(out, want.String()) || !strings.HasSuffix(out, string(node[:])) {
+	want := string(simwire.Record(uint8(86), uint32(4), uint64(77)))
+	if !strings.Contains(out, want) || !strings.HasSuffix(out, string(node[:])) {
 		t.Fatalf("no attempt on the node in %x", out)
 	}
 }
 
 func TestUnmatchedEventsAreIgnored(t *testing.T) {
-	plain, _, err := run(arrives(beginInstance(testSettings), 4, 77).bytes())
+	plain, _, err := run(beginInstance(testSettings, arrival(4, 77))...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	records := beginInstance(testSettings)
-	arrives(records, 8, 5)                                            // an instance that has not begun
-	records.add(uint8(22), uint32(4), uint64(12345))                  // an unknown task
-	records.add(uint8(21), uint32(4), uint64(99999))                  // an unknown timer
-	records.add(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node) // an unknown attempt
-	out, problems, err := run(arrives(records, 4, 77).bytes())
+	out, problems, err := run(beginInstance(testSettings,
+		arrival(8, 5), // an instance that has not begun
+		simwire.Record(uint8(22), uint32(4), uint64(12345)),                  // an unknown task
+		simwire.Record(uint8(21), uint32(4), uint64(99999)),                  // an unknown timer
+		simwire.Record(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node), // an unknown attempt
+		arrival(4, 77))...)
 	if err != nil || out != plain || !strings.Contains(problems, "has not begun") {
 		t.Fatalf("err %v, same %v, warnings %q", err, out == plain, problems)
 	}
 }
 
 func TestInvalidInputEndsWithoutReply(t *testing.T) {
+	begin := func(settings string, more ...[]byte) []byte {
+		return simwire.Batch(1, 10, beginInstance(settings, more...)...)
+	}
 	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"no json":    {beginInstance("{").bytes(), "settings"},
-		"effect":     {beginInstance(strings.Replace(testSettings, "idempotent", "maybe", 1)).bytes(), "lanes[0].effect"},
-		"place":      {beginInstance(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)).bytes(), "apartBy[0]"},
-		"kinds":      {beginInstance(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)).bytes(), "kindMemory"},
-		"attempts":   {beginInstance(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)).bytes(), "attempts 0"},
-		"list kind":  {beginInstance(testSettings).add(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0)).bytes(), "list kind 9"},
-		"bytes left": {func() []byte { short := beginInstance(testSettings); short.count--; return short.bytes() }(), "follow the last"},
+		"no json":    {begin("{"), "settings"},
+		"effect":     {begin(strings.Replace(testSettings, "idempotent", "maybe", 1)), "lanes[0].effect"},
+		"place":      {begin(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)), "apartBy[0]"},
+		"kinds":      {begin(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)), "kindMemory"},
+		"attempts":   {begin(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)), "attempts 0"},
+		"list kind":  {begin(testSettings, simwire.Record(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0))), "list kind 9"},
+		"bytes left": {simwire.BatchOfCount(1, 10, 2, beginInstance(testSettings)...), "follow the last"},
 	} {
-		out, _, err := run(test.in)
+		out, _, err := runInput(test.in)
 		if err == nil || !strings.Contains(err.Error(), test.want) || out != "" {
 			t.Errorf("%s: error %v, %d bytes out", name, err, len(out))
 		}
 	}
-	if out, _, err := run(); err != nil || out != "" {
+	if out, _, err := runInput(nil); err != nil || out != "" {
 		t.Errorf("end of input: %v", err)
 	}
 }
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -18,25 +18,10 @@
 
 	"heathshed/internal/simbridge/simproto"
 	"heathshed/internal/testsupport/goldentest"
+	"heathshed/internal/testsupport/simwire"
 	"heathshed/placer"
 )
 
-// record encodes one record from values of fixed width, little endian.
-func record(values ...any) []byte {
-	var b bytes.Buffer
-	for _, v := range values {
-		if err := binary.Write(&b, binary.LittleEndian, v); err != nil {
-			panic(err)
-		}
-	}
-	return b.Bytes()
-}
-
-func frameOf(number uint32, now float64, records ...[]byte) []byte {
-	body := bytes.Join(records, nil)
-	return append(record(number, uint32(12+len(body)), uint32(len(records)), now), body...)
-}
-
 var (
 	address   = [6]byte{192, 168, 3, 4, 0x39, 0x30}
 	otherNode = [6]byte{255, 254, 253, 252, 251, 250}
@@ -50,23 +35,23 @@
 	u64 := func(v uint64) uint64 { return v }
 	nan := float32(math.NaN())
 	return [][]byte{
-		record(u8(16), u8(3), u32(2), address, u8(1), float32(2.5), u8(0), u16(9), float32(-4), u8(2), float32(1), 77.5,
+		simwire.Record(u8(16), u8(3), u32(2), address, u8(1), float32(2.5), u8(0), u16(9), float32(-4), u8(2), float32(1), 77.5,
 			otherNode, u8(255), nan, u8(254), u16(65535), float32(0.1), u8(0), float32(-0.5), math.Inf(1)),
-		record(u8(16), u8(15), u32(0)),
-		record(u8(17), u32(5), u64(1001), address, 0.125, u8(5), u8(2), u8(1), u16(251), u8(3), float32(3), nan, float32(0.1)),
-		record(u8(17), u32(5), u64(math.MaxUint64), otherNode, math.NaN(), u8(255), u8(254), u8(0), u16(65535), u8(0)),
-		record(u8(18), u32(5), u64(1001), u16(1), u16(2), u64(8), 12.5, 3.25, u64(6), float32(0.1), float32(1.5), u8(17)),
-		record(u8(19), u32(5), u64(99), u32(2), []byte("{}")),
-		record(u8(19), u32(math.MaxUint32), u64(0), u32(0)),
-		record(u8(20), u32(5), u16(253), address, 0.5, u8(1), float32(7)),
-		record(u8(21), u32(5), u64(33)),
-		record(u8(22), u32(5), u64(1001)),
-		record(u8(23), u32(5)),
-		record(u8(24), u32(5), u64(1002), address, 3.25, 12.5, u16(1), u64(8), u8(16), float32(0.5), float32(1.1), u64(6), u16(2)),
-		record(u8(25), u32(5), u64(1001), u8(2), 0.125, address),
-		record(u8(26), u32(5), u8(4), u32(41), u8(3)),
-		record(u8(27), u32(5), u64(1001), u8(2), address, u8(3), float32(0.7)),
-		record(u8(28), u32(5), u32(2), u16(3), []byte("abc")),
+		simwire.Record(u8(16), u8(15), u32(0)),
+		simwire.Record(u8(17), u32(5), u64(1001), address, 0.125, u8(5), u8(2), u8(1), u16(251), u8(3), float32(3), nan, float32(0.1)),
+		simwire.Record(u8(17), u32(5), u64(math.MaxUint64), otherNode, math.NaN(), u8(255), u8(254), u8(0), u16(65535), u8(0)),
+		simwire.Record(u8(18), u32(5), u64(1001), u16(1), u16(2), u64(8), 12.5, 3.25, u64(6), float32(0.1), float32(1.5), u8(17)),
+		simwire.Record(u8(19), u32(5), u64(99), u32(2), []byte("{}")),
+		simwire.Record(u8(19), u32(math.MaxUint32), u64(0), u32(0)),
+		simwire.Record(u8(20), u32(5), u16(253), address, 0.5, u8(1), float32(7)),
+		simwire.Record(u8(21), u32(5), u64(33)),
+		simwire.Record(u8(22), u32(5), u64(1001)),
+		simwire.Record(u8(23), u32(5)),
+		simwire.Record(u8(24), u32(5), u64(1002), address, 3.25, 12.5, u16(1), u64(8), u8(16), float32(0.5), float32(1.1), u64(6), u16(2)),
+		simwire.Record(u8(25), u32(5), u64(1001), u8(2), 0.125, address),
+		simwire.Record(u8(26), u32(5), u8(4), u32(41), u8(3)),
+		simwire.Record(u8(27), u32(5), u64(1001), u8(2), address, u8(3), float32(0.7)),
+		simwire.Record(u8(28), u32(5), u32(2), u16(3), []byte("abc")),
 	}
 }
 
@@ -96,7 +81,7 @@
 
 func TestCharacterizationOfEvents(t *testing.T) {
 	all := records()
-	reader := simproto.NewReader(bytes.NewReader(append(frameOf(7, 100.5, all...), frameOf(8, -3)...)))
+	reader := simproto.NewReader(bytes.NewReader(append(simwire.Batch(7, 100.5, all...), simwire.Batch(8, -3)...)))
 	var text strings.Builder
 	for range 2 {
 		batch, err := reader.Next()
@@ -139,22 +124,22 @@
 	for _, one := range records() {
 		fmt.Fprintf(&text, "%d ", one[0])
 		for length := range len(one) + 1 {
-			count, failed := countReadable(frameOf(1, 1, one[:length]))
+			count, failed := countReadable(simwire.Batch(1, 1, one[:length]))
 			fmt.Fprintf(&text, "%d%c", count+1, digit[failed])
 		}
 		text.WriteByte('\n')
 	}
 	for code := range 256 {
-		_, failed := countReadable(frameOf(1, 1, append([]byte{byte(code)}, make([]byte, 80)...)))
+		_, failed := countReadable(simwire.Batch(1, 1, append([]byte{byte(code)}, make([]byte, 80)...)))
 		text.WriteByte(digit[failed])
 	}
 	text.WriteByte('\n')
 	for listNumber := range 256 {
-		_, failed := countReadable(frameOf(1, 1, record(uint8(16), uint8(listNumber), uint32(0))))
+		_, failed := countReadable(simwire.Batch(1, 1, simwire.Record(uint8(16), uint8(listNumber), uint32(0))))
 		text.WriteByte(digit[failed])
 	}
 	text.WriteByte('\n')
-	whole := frameOf(1, 1, records()...)
+	whole := simwire.Batch(1, 1, records()...)
 	for length := range len(whole) + 1 {
 		count, _ := countReadable(whole[:length])
 		fmt.Fprintf(&text, "%d,", count)
--- a/internal/simbridge/simproto/simproto_test.go
+++ b/internal/simbridge/simproto/simproto_test.go
@@ -9,37 +9,9 @@
 	"reflect"
 	"strings"
 	"testing"
-)
-
-// frame builds a batch as the wire's page lays it out, with code that the package does not use.
-type frame struct {
-	body  []byte
-	count uint32
-}
-
-// add adds one record.
-func (f *frame) add(values ...any) *frame {
-	var record bytes.Buffer
-	for _, value := range values {
-		if err := binary.Write(&record, binary.LittleEndian, value); err != nil {
-			panic(err)
-		}
-	}
-	f.body = append(f.body, record.Bytes()...)
-	f.count++
-	return f
-}
 
-// bytes returns the batch, which is number 7.
-func (f *frame) bytes(now float64) []byte {
-	var header bytes.Buffer
-	for _, value := range []any{uint32(7), uint32(12 + len(f.body)), f.count, now} {
-		if err := binary.Write(&header, binary.LittleEndian, value); err != nil {
-			panic(err)
-		}
-	}
-	return append(header.Bytes(), f.body...)
-}
+	"heathshed/internal/testsupport/simwire"
+)
 
 var addr = [6]byte{192, 168, 3, 4, 0x39, 0x30}
 
@@ -50,19 +22,22 @@
 func TestEveryEventIsRead(t *testing.T) {
 	u8, u16, u32, u64 := func(v int) uint8 { return uint8(v) }, func(v int) uint16 { return uint16(v) },
 		func(v int) uint32 { return uint32(v) }, func(v int) uint64 { return uint64(v) }
-	records := (&frame{}).
-		add(u8(16), u8(3), u32(1), addr, u8(1), float32(2.5), u8(0), u16(9), float32(-4), u8(2), float32(1), 77.5).
-		add(u8(26), u32(5), u8(4), u32(41), u8(3)).
-		add(u8(19), u32(5), u64(99), u32(2), []byte("{}")).
-		add(u8(18), u32(5), u64(1001), u16(1), u16(2), u64(8), 12.5, 3.25, u64(6), float32(0.5), float32(1.5), u8(17)).
-		add(u8(24), u32(5), u64(1002), addr, 3.25, 12.5, u16(1), u64(8), u8(16), float32(0.5), float32(1.5), u64(6), u16(2)).
-		add(u8(25), u32(5), u64(1001), u8(2), 0.125, addr).
-		add(u8(27), u32(5), u64(1001), u8(2), addr, u8(3), float32(0.75)).
-		add(u8(17), u32(5), u64(1001), addr, 0.125, u8(5), u8(2), u8(1), u16(251), u8(2), float32(3), float32(4)).
-		add(u8(22), u32(5), u64(1001)).add(u8(21), u32(5), u64(33)).add(u8(23), u32(5)).
-		add(u8(20), u32(5), u16(253), addr, 0.5, u8(0)).
-		add(u8(28), u32(5), u32(2), u16(3), []byte("abc"))
-	reader := NewReader(bytes.NewReader(records.bytes(100.5)))
+	records := [][]byte{
+		simwire.Record(u8(16), u8(3), u32(1), addr, u8(1), float32(2.5), u8(0), u16(9), float32(-4), u8(2), float32(1), 77.5),
+		simwire.Record(u8(26), u32(5), u8(4), u32(41), u8(3)),
+		simwire.Record(u8(19), u32(5), u64(99), u32(2), []byte("{}")),
+		simwire.Record(u8(18), u32(5), u64(1001), u16(1), u16(2), u64(8), 12.5, 3.25, u64(6), float32(0.5), float32(1.5), u8(17)),
+		simwire.Record(u8(24), u32(5), u64(1002), addr, 3.25, 12.5, u16(1), u64(8), u8(16), float32(0.5), float32(1.5), u64(6), u16(2)),
+		simwire.Record(u8(25), u32(5), u64(1001), u8(2), 0.125, addr),
+		simwire.Record(u8(27), u32(5), u64(1001), u8(2), addr, u8(3), float32(0.75)),
+		simwire.Record(u8(17), u32(5), u64(1001), addr, 0.125, u8(5), u8(2), u8(1), u16(251), u8(2), float32(3), float32(4)),
+		simwire.Record(u8(22), u32(5), u64(1001)),
+		simwire.Record(u8(21), u32(5), u64(33)),
+		simwire.Record(u8(23), u32(5)),
+		simwire.Record(u8(20), u32(5), u16(253), addr, 0.5, u8(0)),
+		simwire.Record(u8(28), u32(5), u32(2), u16(3), []byte("abc")),
+	}
+	reader := NewReader(bytes.NewReader(simwire.Batch(7, 100.5, records...)))
 	batch, err := reader.Next()
 	if err != nil || batch.Number != 7 || batch.Now != 100.5 || batch.Count != 13 {
 		t.Fatalf("batch %+v, %v", batch, err)
@@ -114,25 +89,27 @@
 	writer.Abort(5, 1001, 2)
 	writer.Log(5, "ab")
 	writer.ReportPanic(5, "cd")
-	actions := (&frame{}).add(uint8(86), uint32(5), uint64(1001), 12.5, addr).add(uint8(85), uint32(5), uint64(1001), 0.25).
-		add(uint8(83), uint32(5), uint64(1001)).add(uint8(92), uint32(5), uint64(33), 0.5).
-		add(uint8(91), uint32(5), uint8(1)).add(uint8(89), uint32(5)).add(uint8(87), uint32(5), uint64(1001)).
-		add(uint8(80), uint32(5), uint64(1001), uint8(2)).add(uint8(82), uint32(5), uint16(2), []byte("ab")).
-		add(uint8(90), uint32(5), uint16(2), []byte("cd"))
-	var want bytes.Buffer
-	for _, value := range []uint32{7, actions.count, uint32(len(actions.body))} {
-		if err := binary.Write(&want, binary.LittleEndian, value); err != nil {
-			t.Fatal(err)
-		}
+	actions := [][]byte{
+		simwire.Record(uint8(86), uint32(5), uint64(1001), 12.5, addr),
+		simwire.Record(uint8(85), uint32(5), uint64(1001), 0.25),
+		simwire.Record(uint8(83), uint32(5), uint64(1001)),
+		simwire.Record(uint8(92), uint32(5), uint64(33), 0.5),
+		simwire.Record(uint8(91), uint32(5), uint8(1)),
+		simwire.Record(uint8(89), uint32(5)),
+		simwire.Record(uint8(87), uint32(5), uint64(1001)),
+		simwire.Record(uint8(80), uint32(5), uint64(1001), uint8(2)),
+		simwire.Record(uint8(82), uint32(5), uint16(2), []byte("ab")),
+		simwire.Record(uint8(90), uint32(5), uint16(2), []byte("cd")),
 	}
-	want.Write(actions.body)
-	if got := writer.Finish(); !bytes.Equal(got, want.Bytes()) {
-		t.Errorf("got  %x\nwant %x", got, want.Bytes())
+	body := bytes.Join(actions, nil)
+	want := append(simwire.Record(uint32(7), uint32(len(actions)), uint32(len(body))), body...)
+	if got := writer.Finish(); !bytes.Equal(got, want) {
+		t.Errorf("got  %x\nwant %x", got, want)
 	}
 }
 
 func TestMalformed(t *testing.T) {
-	good := (&frame{}).add(uint8(22), uint32(5), uint64(1)).bytes(1)
+	good := simwire.Batch(7, 1, simwire.Record(uint8(22), uint32(5), uint64(1)))
 	change := func(at int, value uint32) []byte {
 		changed := bytes.Clone(good)
 		binary.LittleEndian.PutUint32(changed[at:], value)
@@ -147,12 +124,12 @@
 		"short length":    {change(4, 3), "under its own"},
 		"too many":        {change(8, 1e9), "do not fit"},
 		"huge length":     {change(4, math.MaxUint32), "ends early"},
-		"unknown code":    {(&frame{}).add(uint8(99), uint32(5)).bytes(1), "unknown event code 99"},
-		"list too long":   {(&frame{}).add(uint8(16), uint8(1), uint32(1<<30)).bytes(1), "does not fit"},
-		"list number":     {(&frame{}).add(uint8(16), uint8(16), uint32(0)).bytes(1), "over 15"},
-		"record cut":      {(&frame{}).add(uint8(22), uint32(5), uint8(1)).bytes(1), "wants 8 bytes"},
-		"settings length": {(&frame{}).add(uint8(19), uint32(5), uint64(1), uint32(1<<31)).bytes(1), "wants"},
-		"clock":           {(&frame{}).bytes(math.NaN()), "clock"},
+		"unknown code":    {simwire.Batch(7, 1, simwire.Record(uint8(99), uint32(5))), "unknown event code 99"},
+		"list too long":   {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(1), uint32(1<<30))), "does not fit"},
+		"list number":     {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(16), uint32(0))), "over 15"},
+		"record cut":      {simwire.Batch(7, 1, simwire.Record(uint8(22), uint32(5), uint8(1))), "wants 8 bytes"},
+		"settings length": {simwire.Batch(7, 1, simwire.Record(uint8(19), uint32(5), uint64(1), uint32(1<<31))), "wants"},
+		"clock":           {simwire.Batch(7, math.NaN()), "clock"},
 	} {
 		reader := NewReader(bytes.NewReader(test.in))
 		batch, err := reader.Next()
