--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 )
 
 // indexState is the state of a completion index.
@@ -26,7 +25,7 @@
 func (s indexState) String() string { return indexStateNames[s] }
 
 // indexTransitions lists the states that may follow each state. A finished index is active again if a copy of its task is adopted.
-var indexTransitions = [indexStates][]indexState{
+var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
 	indexRetrying: {indexPending, indexActive, indexFinished},
@@ -177,7 +176,7 @@
 // setState is the only place where an index changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *indexTable) setState(i int, next indexState) {
 	index := &t.all[i]
-	if !slices.Contains(indexTransitions[index.state], next) {
+	if !indexTransitions.permits(index.state, next) {
 		t.transitions.illegal("index %d of Job %s goes from %s to %s", i, t.job, index.state, next)
 	}
 	index.state = next
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -1,9 +1,5 @@
 package engine
 
-import (
-	"slices"
-)
-
 // jobProgress is the state of a Job on the way to its final condition. A Job may be suspended in any state: see job.suspended.
 type jobProgress uint8
 
@@ -25,7 +21,7 @@
 func (p jobProgress) String() string { return jobProgressNames[p] }
 
 // jobProgressTransitions lists the states that may follow each state.
-var jobProgressTransitions = [jobProgresses][]jobProgress{
+var jobProgressTransitions = transitionTable[jobProgress]{
 	jobRunning: {jobFailing, jobEnded},
 	jobFailing: {jobFailed},
 	jobFailed:  {},
@@ -65,7 +61,7 @@
 func (d jobDeletion) String() string { return jobDeletionNames[d] }
 
 // jobDeletionTransitions lists the states that may follow each state.
-var jobDeletionTransitions = [jobDeletions][]jobDeletion{
+var jobDeletionTransitions = transitionTable[jobDeletion]{
 	jobKept:               {jobDeletingForeground, jobDeleted},
 	jobDeletingForeground: {jobDeleted},
 	jobDeleted:            {},
@@ -73,7 +69,7 @@
 
 // setProgress is the only place where a Job's progress changes. It makes an illegal transition too, which CheckInvariants reports.
 func (j *job) setProgress(next jobProgress) {
-	if !slices.Contains(jobProgressTransitions[j.progress], next) {
+	if !jobProgressTransitions.permits(j.progress, next) {
 		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.progress, next)
 	}
 	j.progress = next
@@ -81,7 +77,7 @@
 
 // setDeletion is the only place where the deletion of a Job advances. It makes an illegal transition too, as setProgress does.
 func (j *job) setDeletion(next jobDeletion) {
-	if !slices.Contains(jobDeletionTransitions[j.deletion], next) {
+	if !jobDeletionTransitions.permits(j.deletion, next) {
 		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.deletion, next)
 	}
 	j.deletion = next
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -5,70 +5,75 @@
 	"testing"
 )
 
-// checkTransition compares the first illegal transition that was recorded with the one that is expected, "" if all are legal.
-func checkTransition(t *testing.T, check *transitionCheck, want string) {
+// statePath is a path of states from the initial state of a machine on.
+type statePath[S any] struct {
+	name    string
+	path    []S
+	illegal string // end of the text about the first illegal transition; "" if all are legal
+}
+
+// machine is a state machine in its initial state, with the first illegal transition that it has recorded.
+type machine[S any] struct {
+	setState     func(next S)
+	firstIllegal func() error
+}
+
+// checkPaths takes a new machine along each path, and compares the first illegal transition.
+func checkPaths[S any](t *testing.T, newMachine func(t *testing.T) machine[S], paths []statePath[S]) {
 	t.Helper()
-	switch {
-	case want == "" && check.first != nil:
-		t.Error(check.first)
-	case want != "" && (check.first == nil || !strings.HasSuffix(check.first.Error(), want)):
-		t.Errorf("%v, want an error that ends in %q", check.first, want)
+	for _, test := range paths {
+		t.Run(test.name, func(t *testing.T) {
+			walked := newMachine(t)
+			for _, next := range test.path {
+				walked.setState(next)
+			}
+			err := walked.firstIllegal()
+			switch {
+			case test.illegal == "" && err != nil:
+				t.Error(err)
+			case test.illegal != "" && (err == nil || !strings.HasSuffix(err.Error(), test.illegal)):
+				t.Errorf("%v, want an error that ends in %q", err, test.illegal)
+			}
+		})
 	}
 }
 
 func TestJobProgressTransitions(t *testing.T) {
-	for _, test := range []struct {
-		name string
-		path []jobProgress // from jobRunning on
-		bad  string        // "" if the path is legal
-	}{
+	newMachine := func(*testing.T) machine[jobProgress] {
+		check := &transitionCheck{}
+		return machine[jobProgress]{(&job{key: "default/j", transitions: check}).setProgress, func() error { return check.first }}
+	}
+	checkPaths(t, newMachine, []statePath[jobProgress]{
 		{"all indexes end", []jobProgress{jobEnded}, ""},
 		{"fails as a whole", []jobProgress{jobFailing, jobFailed}, ""},
 		{"fails without stopping its tasks", []jobProgress{jobFailed}, "goes from running to failed"},
 		{"ends while it fails", []jobProgress{jobFailing, jobEnded}, "goes from failing to ended"},
 		{"fails after its end", []jobProgress{jobEnded, jobFailing}, "goes from ended to failing"},
 		{"runs again", []jobProgress{jobFailing, jobFailed, jobRunning}, "goes from failed to running"},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			check := &transitionCheck{}
-			walked := &job{key: "default/j", transitions: check}
-			for _, next := range test.path {
-				walked.setProgress(next)
-			}
-			checkTransition(t, check, test.bad)
-		})
-	}
+	})
 }
 
 func TestJobDeletionTransitions(t *testing.T) {
-	for _, test := range []struct {
-		name string
-		path []jobDeletion // from jobKept on
-		bad  string        // "" if the path is legal
-	}{
+	newMachine := func(*testing.T) machine[jobDeletion] {
+		check := &transitionCheck{}
+		return machine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.first }}
+	}
+	checkPaths(t, newMachine, []statePath[jobDeletion]{
 		{"in the background", []jobDeletion{jobDeleted}, ""},
 		{"in the foreground", []jobDeletion{jobDeletingForeground, jobDeleted}, ""},
 		{"twice", []jobDeletion{jobDeleted, jobDeleted}, "goes from deleted to deleted"},
 		{"in the foreground after its deletion", []jobDeletion{jobDeleted, jobDeletingForeground}, "goes from deleted to deleting foreground"},
 		{"taken back", []jobDeletion{jobDeletingForeground, jobKept}, "goes from deleting foreground to kept"},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			check := &transitionCheck{}
-			walked := &job{key: "default/j", transitions: check}
-			for _, next := range test.path {
-				walked.setDeletion(next)
-			}
-			checkTransition(t, check, test.bad)
-		})
-	}
+	})
 }
 
 func TestIndexTransitions(t *testing.T) {
-	for _, test := range []struct {
-		name string
-		path []indexState // from indexPending on
-		bad  string       // "" if the path is legal
-	}{
+	newMachine := func(*testing.T) machine[indexState] {
+		check := &transitionCheck{}
+		table := newIndexTable("default/j", check, 1, 0)
+		return machine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.first }}
+	}
+	checkPaths(t, newMachine, []statePath[indexState]{
 		{"succeeds", []indexState{indexActive, indexRetrying, indexFinished}, ""},
 		{"is retried", []indexState{indexActive, indexRetrying, indexActive}, ""},
 		{"starts anew after a suspension", []indexState{indexActive, indexRetrying, indexPending, indexActive}, ""},
@@ -78,16 +83,7 @@
 		{"has two tasks", []indexState{indexActive, indexActive}, "goes from active to active"},
 		{"retries without a task", []indexState{indexRetrying}, "goes from pending to retrying"},
 		{"starts after its end", []indexState{indexFinished, indexPending}, "goes from finished to pending"},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			check := &transitionCheck{}
-			walked := newIndexTable("default/j", check, 1, 0)
-			for _, next := range test.path {
-				walked.setState(0, next)
-			}
-			checkTransition(t, check, test.bad)
-		})
-	}
+	})
 }
 
 // TestIndexCounts follows three indexes from their starts to their ends.
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -68,12 +68,8 @@
 func (s *script) create(dry bool) {
 	job := s.job()
 	created, err := s.engine.CreateJob(s.now, job, dry)
-	if err != nil {
-		s.result(nil, err)
-		return
-	}
-	s.result(created, nil)
-	if !dry {
+	s.result(created, err)
+	if err == nil && !dry {
 		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
 	}
 }
@@ -121,12 +117,7 @@
 	case 13:
 		update.Name += "-missing"
 	}
-	updated, err := s.engine.UpdateJob(s.now, update, dry)
-	if err != nil {
-		s.result(nil, err)
-		return
-	}
-	s.result(updated, nil)
+	s.result(s.engine.UpdateJob(s.now, update, dry))
 }
 
 func (s *script) deleteJob() {
@@ -147,12 +138,7 @@
 	case 3, 4, 5, 6:
 		uid, revision = "", ""
 	}
-	deleted, err := s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how)
-	if err != nil {
-		s.result(nil, err)
-		return
-	}
-	s.result(deleted, nil)
+	s.result(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how))
 }
 
 func (s *script) stopPod(evict bool) {
@@ -171,12 +157,7 @@
 		s.result(nil, s.engine.EvictPod(s.now, object.GetNamespace(), name, uid))
 		return
 	}
-	deleted, err := s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, "")
-	if err != nil {
-		s.result(nil, err)
-		return
-	}
-	s.result(deleted, nil)
+	s.result(s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, ""))
 }
 
 func (s *script) updateNode() {
@@ -201,10 +182,5 @@
 	case 9:
 		update.Name = "missing"
 	}
-	updated, err := s.engine.UpdateNode(s.now, update, order, dry)
-	if err != nil {
-		s.result(nil, err)
-		return
-	}
-	s.result(updated, nil)
+	s.result(s.engine.UpdateNode(s.now, update, order, dry))
 }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -35,7 +35,7 @@
 // taskTransitions lists the states that may follow each state.
 //
 // An attempt whose outcome was unknown may be found running while the task is queued, submitted or waiting: the task is then bound to it.
-var taskTransitions = [taskStates][]taskState{
+var taskTransitions = transitionTable[taskState]{
 	taskCreated:     {taskQueued, taskSubmitted, taskWaiting, taskBound},
 	taskQueued:      {taskSubmitted, taskWaiting, taskBound},
 	taskSubmitted:   {taskAttempting, taskWaiting, taskBound},
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -27,11 +27,11 @@
 }
 
 func TestTaskTransitions(t *testing.T) {
-	for _, test := range []struct {
-		name string
-		path []taskState // from taskCreated on
-		bad  string      // "" if the path is legal
-	}{
+	newMachine := func(t *testing.T) machine[taskState] {
+		engine, walked := newEngine(t), &task{podIdentity: podIdentity{uid: "u"}}
+		return machine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
+	}
+	checkPaths(t, newMachine, []statePath[taskState]{
 		{"placed at once", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
 		{"queued, rejected by a node, retried", []taskState{taskQueued, taskSubmitted, taskAttempting, taskSubmitted, taskWaiting,
 			taskSubmitted, taskAttempting, taskBound}, ""},
@@ -47,22 +47,7 @@
 		{"lives again", []taskState{taskWaiting, taskTerminating, taskWaiting}, "goes from terminating to waiting"},
 		{"removed while it waits", []taskState{taskWaiting, taskRemoved}, "goes from waiting to removed"},
 		{"leaves the removed state", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "goes from removed to created"},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			engine := newEngine(t)
-			walked := &task{podIdentity: podIdentity{uid: "u"}}
-			for _, next := range test.path {
-				engine.tasks.setState(walked, next)
-			}
-			err := engine.CheckInvariants()
-			if test.bad == "" && err != nil {
-				t.Error(err)
-			}
-			if test.bad != "" && (err == nil || !strings.HasSuffix(err.Error(), test.bad)) {
-				t.Errorf("%v, want an error that the task %s", err, test.bad)
-			}
-		})
-	}
+	})
 }
 
 func TestInvariantsAreChecked(t *testing.T) {
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"k8s.io/apimachinery/pkg/types"
 )
@@ -44,7 +43,7 @@
 
 // setState is the only place where a task changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *taskTable) setState(task *task, next taskState) {
-	if !slices.Contains(taskTransitions[task.state], next) {
+	if !taskTransitions.permits(task.state, next) {
 		t.transitions.illegal("task %s goes from %s to %s", task.uid, task.state, next)
 	}
 	task.state = next
--- a/internal/kube/engine/transition_check.go
+++ b/internal/kube/engine/transition_check.go
@@ -2,8 +2,15 @@
 
 import (
 	"fmt"
+	"slices"
 )
 
+// transitionTable lists, for each state of a state machine, the states that may follow it.
+type transitionTable[S ~uint8] [][]S
+
+// permits reports whether a state may follow another.
+func (t transitionTable[S]) permits(from, next S) bool { return slices.Contains(t[from], next) }
+
 // transitionCheck records the first illegal transition of a task, a Job or an index, for CheckInvariants. The transition is made nevertheless.
 type transitionCheck struct{ first error }
 
