--- a/internal/kube/apiclient/client_test.go
+++ b/internal/kube/apiclient/client_test.go
@@ -1,7 +1,6 @@
 package apiclient_test
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"io"
@@ -88,74 +87,50 @@
 	}
 }
 
+// sent is what a request puts on the wire.
+type sent struct{ method, uri, contentType, body string }
+
 // TestRequests checks what each call puts on the wire, and that the answer is decoded.
 func TestRequests(t *testing.T) {
-	const answer = `{"metadata":{"name":"n"}}`
+	var got sent
+	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
+		text, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		got = sent{r.Method, r.RequestURI, r.Header.Get("Content-Type"), string(text)}
+		reply(t, w, http.StatusOK, `{"metadata":{"name":"n"}}`)
+	})
+	ctx := t.Context()
 	for _, test := range []struct {
-		name                           string
-		call                           func(context.Context, *apiclient.Client, *corev1.Node) error
-		method, uri, contentType, body string
-		decoded                        bool
+		name    string
+		call    func(out *corev1.Node) error
+		want    sent
+		decoded bool
 	}{
-		{
-			"get",
-			func(ctx context.Context, client *apiclient.Client, out *corev1.Node) error {
-				return client.Get(ctx, apiclient.NodePath("a b"), out)
-			},
-			http.MethodGet, "/api/v1/nodes/a%20b", "", "", true,
-		},
-		{
-			"create",
-			func(ctx context.Context, client *apiclient.Client, out *corev1.Node) error {
-				return client.Create(ctx, apiclient.JobsPath("ns"), []byte("{}"), out)
-			},
-			http.MethodPost, "/apis/batch/v1/namespaces/ns/jobs", "application/json", "{}", true,
-		},
-		{
-			"create an eviction",
-			func(ctx context.Context, client *apiclient.Client, out *corev1.Node) error {
-				return client.Create(ctx, apiclient.EvictionPath("ns", "p"), []byte("{}"), out)
-			},
-			http.MethodPost, "/api/v1/namespaces/ns/pods/p/eviction", "application/json", "{}", true,
-		},
-		{
-			"patch",
-			func(ctx context.Context, client *apiclient.Client, out *corev1.Node) error {
-				return client.Patch(ctx, apiclient.PodsPath(""), []byte(`{"a":1}`), out)
-			},
-			http.MethodPatch, "/api/v1/pods", "application/merge-patch+json", `{"a":1}`, true,
-		},
-		{
-			"set unschedulable",
-			func(ctx context.Context, client *apiclient.Client, out *corev1.Node) error {
-				return client.SetUnschedulable(ctx, "n", true, out)
-			},
-			http.MethodPatch, "/api/v1/nodes/n", "application/merge-patch+json", `{"spec":{"unschedulable":true}}`, true,
-		},
-		{
-			"delete",
-			func(ctx context.Context, client *apiclient.Client, _ *corev1.Node) error {
-				return client.Delete(ctx, apiclient.ObjectPath(apiclient.JobsPath(""), "j"))
-			},
-			http.MethodDelete, "/apis/batch/v1/jobs/j", "application/json", "", false,
+		{"get", func(out *corev1.Node) error { return client.Get(ctx, apiclient.NodePath("a b"), out) },
+			sent{http.MethodGet, "/api/v1/nodes/a%20b", "", ""}, true},
+		{"create", func(out *corev1.Node) error { return client.Create(ctx, apiclient.JobsPath("ns"), []byte("{}"), out) },
+			sent{http.MethodPost, "/apis/batch/v1/namespaces/ns/jobs", "application/json", "{}"}, true},
+		{"create an eviction", func(out *corev1.Node) error {
+			return client.Create(ctx, apiclient.EvictionPath("ns", "p"), []byte("{}"), out)
 		},
+			sent{http.MethodPost, "/api/v1/namespaces/ns/pods/p/eviction", "application/json", "{}"}, true},
+		{"patch", func(out *corev1.Node) error { return client.Patch(ctx, apiclient.PodsPath(""), []byte(`{"a":1}`), out) },
+			sent{http.MethodPatch, "/api/v1/pods", "application/merge-patch+json", `{"a":1}`}, true},
+		{"set unschedulable", func(out *corev1.Node) error { return client.SetUnschedulable(ctx, "n", true, out) },
+			sent{http.MethodPatch, "/api/v1/nodes/n", "application/merge-patch+json", `{"spec":{"unschedulable":true}}`}, true},
+		{"delete", func(*corev1.Node) error { return client.Delete(ctx, apiclient.ObjectPath(apiclient.JobsPath(""), "j")) },
+			sent{http.MethodDelete, "/apis/batch/v1/jobs/j", "application/json", ""}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var method, uri, contentType, body string
-			client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
-				text, err := io.ReadAll(r.Body)
-				if err != nil {
-					t.Error(err)
-				}
-				method, uri, contentType, body = r.Method, r.RequestURI, r.Header.Get("Content-Type"), string(text)
-				reply(t, w, http.StatusOK, answer)
-			})
+			got = sent{}
 			var out corev1.Node
-			if err := test.call(t.Context(), client, &out); err != nil {
+			if err := test.call(&out); err != nil {
 				t.Fatal(err)
 			}
-			if method != test.method || uri != test.uri || contentType != test.contentType || body != test.body {
-				t.Errorf("sent %s %s %q %q, want %s %s %q %q", method, uri, contentType, body, test.method, test.uri, test.contentType, test.body)
+			if got != test.want {
+				t.Errorf("sent %q, want %q", got, test.want)
 			}
 			if decoded := out.Name == "n"; decoded != test.decoded {
 				t.Errorf("answer decoded: %v, want %v", decoded, test.decoded)
--- a/internal/kube/apiclient/watch_test.go
+++ b/internal/kube/apiclient/watch_test.go
@@ -48,6 +48,11 @@
 	return connections
 }
 
+// afterStatus returns a connection with a status that is no success, and one that brings the given lines.
+func afterStatus(status int, body string) []connection {
+	return []connection{{status, ""}, {http.StatusOK, body}}
+}
+
 func (s *watchServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("watch") != "true" || query.Get("allowWatchBookmarks") != "true" || query.Get("labelSelector") != "x=y" {
@@ -81,48 +86,55 @@
 	}
 }
 
+// checkRevisions checks the revisions from which the connections of a watch have resumed.
+func checkRevisions(t *testing.T, got []string, want ...string) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("resumed from %q, want %q", got, want)
+	}
+}
+
+// watchUntilDeleted watches until an object is deleted, and returns the types of the events.
+func watchUntilDeleted(t *testing.T, client *apiclient.Client, options apiclient.WatchOptions) (events []watch.EventType, err error) {
+	t.Helper()
+	err = client.Watch(t.Context(), options, func(event apiclient.Event) error {
+		events = append(events, event.Type)
+		if event.Type == watch.Deleted {
+			return apiclient.ErrStopWatch
+		}
+		return nil
+	})
+	return events, err
+}
+
 // TestWatch checks that a watch resumes from the last revision over broken connections and truncated events, starts anew when its revision
 // has expired, passes no bookmarks on, and ends with an error of the server, after too many failures, or when its handler ends it.
 func TestWatch(t *testing.T) {
+	added, both := []watch.EventType{watch.Added}, []watch.EventType{watch.Added, watch.Deleted}
 	for _, test := range []struct {
 		name          string
 		connections   []connection
 		wantRevisions []string // from which each connection resumes
-		wantEvents    []string
+		wantEvents    []watch.EventType
 		wantErr       string
 	}{
-		{"one connection", texts(first + last), []string{""}, []string{"ADDED", "DELETED"}, ""},
-		{"broken connection", texts(first, last), []string{"", "5"}, []string{"ADDED", "DELETED"}, ""},
-		{"truncated event", texts(first+last[:30], last), []string{"", "5"}, []string{"ADDED", "DELETED"}, ""},
-		{"object that is none", texts(first+`{"type":"ADDED","object":1}`+"\n", last), []string{"", "5"}, []string{"ADDED", "DELETED"}, ""},
-		{"bookmark", texts(first+bookmark, last), []string{"", "8"}, []string{"ADDED", "DELETED"}, ""},
-		{"expired revision", texts(first+gone, last), []string{"", ""}, []string{"ADDED", "DELETED"}, ""},
-		{"error of the server", texts(first + denied), []string{""}, []string{"ADDED"}, "denied"},
-		{
-			"status, then an event",
-			[]connection{{http.StatusServiceUnavailable, ""}, {http.StatusOK, first + last}},
-			[]string{"", ""}, []string{"ADDED", "DELETED"}, "",
-		},
-		{"too many connections without an event", texts(first, "", "", ""), []string{"", "5", "5", "5"}, []string{"ADDED"},
+		{"one connection", texts(first + last), []string{""}, both, ""},
+		{"broken connection", texts(first, last), []string{"", "5"}, both, ""},
+		{"truncated event", texts(first+last[:30], last), []string{"", "5"}, both, ""},
+		{"object that is none", texts(first+`{"type":"ADDED","object":1}`+"\n", last), []string{"", "5"}, both, ""},
+		{"bookmark", texts(first+bookmark, last), []string{"", "8"}, both, ""},
+		{"expired revision", texts(first+gone, last), []string{"", ""}, both, ""},
+		{"error of the server", texts(first + denied), []string{""}, added, "denied"},
+		{"status, then an event", afterStatus(http.StatusServiceUnavailable, first+last), []string{"", ""}, both, ""},
+		{"too many connections without an event", texts(first, "", "", ""), []string{"", "5", "5", "5"}, added,
 			"watch: too many connections without an event: the connection has ended"},
-		{"failures are counted from the last event", texts("", "", first, "", "", last), []string{"", "", "", "5", "5", "5"},
-			[]string{"ADDED", "DELETED"}, ""},
+		{"failures are counted from the last event", texts("", "", first, "", "", last), []string{"", "", "", "5", "5", "5"}, both, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := &watchServer{t: t, connections: test.connections}
-			client := newClient(t, server.ServeHTTP)
-			var events []string
-			err := client.Watch(t.Context(), options(), func(event apiclient.Event) error {
-				events = append(events, string(event.Type))
-				if event.Type == watch.Deleted {
-					return apiclient.ErrStopWatch
-				}
-				return nil
-			})
+			events, err := watchUntilDeleted(t, newClient(t, server.ServeHTTP), options())
 			checkWatch(t, err, test.wantErr)
-			if !slices.Equal(server.revisions, test.wantRevisions) {
-				t.Errorf("resumed from %q, want %q", server.revisions, test.wantRevisions)
-			}
+			checkRevisions(t, server.revisions, test.wantRevisions...)
 			if !slices.Equal(events, test.wantEvents) {
 				t.Errorf("events %v, want %v", events, test.wantEvents)
 			}
@@ -143,29 +155,20 @@
 		{"broken connection without an event", texts("", last), []string{"100", "100"}},
 		{"expired revision", texts(first+gone, last), []string{"100", "200"}},
 		{"error of the server", texts(first+denied, last), []string{"100", "200"}},
-		{"status gone", []connection{{http.StatusGone, ""}, {http.StatusOK, last}}, []string{"100", "200"}},
-		{"status of a revision that is yet to come", []connection{{http.StatusGatewayTimeout, ""}, {http.StatusOK, last}}, []string{"100", "200"}},
-		{"other status", []connection{{http.StatusServiceUnavailable, ""}, {http.StatusOK, last}}, []string{"100", "100"}},
+		{"status gone", afterStatus(http.StatusGone, last), []string{"100", "200"}},
+		{"status of a revision that is yet to come", afterStatus(http.StatusGatewayTimeout, last), []string{"100", "200"}},
+		{"other status", afterStatus(http.StatusServiceUnavailable, last), []string{"100", "100"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := &watchServer{t: t, connections: test.connections}
-			client := newClient(t, server.ServeHTTP)
-			options := options()
-			lists := 0
+			options, lists := options(), 0
 			options.List = func(context.Context) (string, error) {
 				lists++
 				return fmt.Sprint(100 * lists), nil
 			}
-			err := client.Watch(t.Context(), options, func(event apiclient.Event) error {
-				if event.Type == watch.Deleted {
-					return apiclient.ErrStopWatch
-				}
-				return nil
-			})
+			_, err := watchUntilDeleted(t, newClient(t, server.ServeHTTP), options)
 			checkWatch(t, err, "")
-			if !slices.Equal(server.revisions, test.wantRevisions) {
-				t.Errorf("resumed from %q, want %q", server.revisions, test.wantRevisions)
-			}
+			checkRevisions(t, server.revisions, test.wantRevisions...)
 		})
 	}
 }
@@ -173,8 +176,7 @@
 // TestWatchListFails checks that a list that fails is tried again, and counts as a failed connection.
 func TestWatchListFails(t *testing.T) {
 	client := newClient(t, (&watchServer{t: t}).ServeHTTP)
-	options := options()
-	lists := 0
+	options, lists := options(), 0
 	options.List = func(context.Context) (string, error) {
 		lists++
 		return "", errors.New("no list")
@@ -201,8 +203,9 @@
 		return apiclient.ErrStopWatch
 	})
 	checkWatch(t, err, "")
-	if want := []string{"", "5"}; !slices.Equal(server.revisions, want) || deletions != 2 {
-		t.Errorf("resumed from %q with %d deletions, want %q with 2", server.revisions, deletions, want)
+	checkRevisions(t, server.revisions, "", "5")
+	if deletions != 2 {
+		t.Errorf("%d deletions, want 2", deletions)
 	}
 }
 
@@ -256,9 +259,7 @@
 		}
 		err := client.Watch(ctx, options, func(apiclient.Event) error { return nil })
 		checkWatch(t, err, "")
-		if want := []string{"", "5", "5"}; !slices.Equal(revisions, want) {
-			t.Errorf("resumed from %q, want %q", revisions, want)
-		}
+		checkRevisions(t, revisions, "", "5", "5")
 		if want := []time.Duration{0, time.Second, 2 * time.Second}; !slices.Equal(times, want) {
 			t.Errorf("connected at %v, want %v", times, want)
 		}
