--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -56,111 +56,111 @@
 }
 
 // drawSeconds draws a time.
-func (p *play) drawSeconds(least, most float64, label string) placer.Seconds {
-	return placer.Seconds(rapid.Float64Range(least, most).Draw(p.T, label))
+func (played *play) drawSeconds(least, most float64, label string) placer.Seconds {
+	return placer.Seconds(rapid.Float64Range(least, most).Draw(played.T, label))
 }
 
 // move takes a new request or a queued one to its next state.
-func (p *play) move(id uint64, next requestState) {
-	if from := p.states[id]; from != 0 && from != stateQueued {
-		p.Fatalf("request %d goes from %s to %s", id, from, next)
+func (played *play) move(id uint64, next requestState) {
+	if from := played.states[id]; from != 0 && from != stateQueued {
+		played.Fatalf("request %d goes from %s to %s", id, from, next)
 	}
-	p.states[id] = next
+	played.states[id] = next
 	if next != stateInFlight {
 		return
 	}
-	p.inFlight = append(p.inFlight, id)
-	if p.requests[id].IsRetry {
-		p.retries++
+	played.inFlight = append(played.inFlight, id)
+	if played.requests[id].IsRetry {
+		played.retries++
 	}
 }
 
 // submit draws a request.
-func (p *play) submit() {
+func (played *play) submit() {
 	request := Request{
-		ID:               uint64(len(p.requests) + 1),
-		Tenant:           rapid.IntRange(0, 2).Draw(p.T, "tenant"),
-		Priority:         rapid.IntRange(0, 2).Draw(p.T, "priority"),
+		ID:               uint64(len(played.requests) + 1),
+		Tenant:           rapid.IntRange(0, 2).Draw(played.T, "tenant"),
+		Priority:         rapid.IntRange(0, 2).Draw(played.T, "priority"),
 		Cost:             1,
-		Deadline:         p.now + p.drawSeconds(0.1, 5, "deadline"),
+		Deadline:         played.now + played.drawSeconds(0.1, 5, "deadline"),
 		LatencyObjective: 0.5,
-		IsRetry:          rapid.IntRange(0, 3).Draw(p.T, "retry") == 0,
-		ShedBefore:       rapid.IntRange(0, 2).Draw(p.T, "shed before") == 0,
+		IsRetry:          rapid.IntRange(0, 3).Draw(played.T, "retry") == 0,
+		ShedBefore:       rapid.IntRange(0, 2).Draw(played.T, "shed before") == 0,
 	}
-	request.FinalDeadline = request.Deadline + p.drawSeconds(0, 2, "final deadline")
-	p.requests[request.ID] = request
-	decision, _ := p.controller.Submit(p.now, request)
-	p.move(request.ID, stateAfter[decision])
+	request.FinalDeadline = request.Deadline + played.drawSeconds(0, 2, "final deadline")
+	played.requests[request.ID] = request
+	decision, _ := played.controller.Submit(played.now, request)
+	played.move(request.ID, stateAfter[decision])
 }
 
 // complete draws a request in flight and its outcome.
-func (p *play) complete() {
-	index := rapid.IntRange(0, len(p.inFlight)-1).Draw(p.T, "completed")
-	placed := rapid.Bool().Draw(p.T, "placed")
-	id := p.inFlight[index]
-	p.inFlight = append(p.inFlight[:index], p.inFlight[index+1:]...)
-	p.states[id] = stateCompleted
-	p.controller.Complete(p.now, id, placed)
+func (played *play) complete() {
+	index := rapid.IntRange(0, len(played.inFlight)-1).Draw(played.T, "completed")
+	placed := rapid.Bool().Draw(played.T, "placed")
+	id := played.inFlight[index]
+	played.inFlight = append(played.inFlight[:index], played.inFlight[index+1:]...)
+	played.states[id] = stateCompleted
+	played.controller.Complete(played.now, id, placed)
 	if !placed {
 		return
 	}
-	p.placed++
-	if p.requests[id].IsRetry {
-		p.placedRetries++
+	played.placed++
+	if played.requests[id].IsRetry {
+		played.placedRetries++
 	}
 }
 
-func (p *play) poll() {
-	admitted, shed := p.controller.Poll(p.now)
+func (played *play) poll() {
+	admitted, shed := played.controller.Poll(played.now)
 	for _, id := range admitted {
-		if p.now > p.requests[id].FinalDeadline {
-			p.Fatal("admitted after its client gave up")
+		if played.now > played.requests[id].FinalDeadline {
+			played.Fatal("admitted after its client gave up")
 		}
-		p.move(id, stateInFlight)
+		played.move(id, stateInFlight)
 	}
 	for _, request := range shed {
-		p.move(request.ID, stateShed)
+		played.move(request.ID, stateShed)
 	}
 }
 
 // check compares the controller with the model.
-func (p *play) check() {
-	p.checkRetryBudget()
-	p.checkLimit()
-	p.checkQueue()
+func (played *play) check() {
+	played.checkRetryBudget()
+	played.checkLimit()
+	played.checkQueue()
 }
 
-func (p *play) checkRetryBudget() {
-	failed := p.retries - p.placedRetries
-	granted := p.config.RetryBurst + p.config.RetryRatio*float64(p.placed) + p.config.RetryRate*float64(p.now)
-	if float64(failed) > granted+1e-6 || p.controller.RetryBudget() < -1e-9 {
-		p.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", failed, p.placed, p.now)
+func (played *play) checkRetryBudget() {
+	failed := played.retries - played.placedRetries
+	granted := played.config.RetryBurst + played.config.RetryRatio*float64(played.placed) + played.config.RetryRate*float64(played.now)
+	if float64(failed) > granted+1e-6 || played.controller.RetryBudget() < -1e-9 {
+		played.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", failed, played.placed, played.now)
 	}
 }
 
-func (p *play) checkLimit() {
-	counted := p.controller.limiter.counted
-	if p.controller.InFlight() != len(p.inFlight) || counted > len(p.inFlight) || counted < 0 {
-		p.Fatalf("%d in flight, controller says %d and counts %d", len(p.inFlight), p.controller.InFlight(), counted)
+func (played *play) checkLimit() {
+	counted := played.controller.limiter.counted
+	if played.controller.InFlight() != len(played.inFlight) || counted > len(played.inFlight) || counted < 0 {
+		played.Fatalf("%d in flight, controller says %d and counts %d", len(played.inFlight), played.controller.InFlight(), counted)
 	}
-	if limit := p.controller.Limit(); limit < p.config.MinInFlight || limit > p.config.MaxInFlight {
-		p.Fatalf("limit %v", limit)
+	if limit := played.controller.Limit(); limit < played.config.MinInFlight || limit > played.config.MaxInFlight {
+		played.Fatalf("limit %v", limit)
 	}
 }
 
-func (p *play) checkQueue() {
+func (played *play) checkQueue() {
 	queued := 0
-	for id, state := range p.states {
+	for id, state := range played.states {
 		if state != stateQueued {
 			continue
 		}
 		queued++
-		if !p.requests[id].IsRetry && p.controller.limiter.hasCapacity(p.now) {
-			p.Fatalf("first attempt %d is queued though there is capacity", id)
+		if !played.requests[id].IsRetry && played.controller.limiter.hasCapacity(played.now) {
+			played.Fatalf("first attempt %d is queued though there is capacity", id)
 		}
 	}
-	if queued != p.controller.QueueLength() || queued > p.config.MaxQueued {
-		p.Fatalf("%d queued, controller says %d", queued, p.controller.QueueLength())
+	if queued != played.controller.QueueLength() || queued > played.config.MaxQueued {
+		played.Fatalf("%d queued, controller says %d", queued, played.controller.QueueLength())
 	}
 }
 
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -31,62 +31,62 @@
 )
 
 // play plays a backlog for a time and returns how many of it were placed.
-func (b *backlog) play(from, duration placer.Seconds) int {
-	b.lastID = uint64(from * 1e6)
-	b.returning = map[int]int{}
+func (retries *backlog) play(from, duration placer.Seconds) int {
+	retries.lastID = uint64(from * 1e6)
+	retries.returning = map[int]int{}
 	for tick := range int(duration * ticksPerSecond) {
 		now := from + placer.Seconds(tick)*tickSeconds
-		b.complete(now, tick)
-		b.waiting += b.returning[tick]
-		delete(b.returning, tick)
-		b.submit(now)
-		b.poll(now, tick)
+		retries.complete(now, tick)
+		retries.waiting += retries.returning[tick]
+		delete(retries.returning, tick)
+		retries.submit(now)
+		retries.poll(now, tick)
 	}
-	return b.placedCount
+	return retries.placedCount
 }
 
-func (b *backlog) complete(now placer.Seconds, tick int) {
-	for len(b.completions) > 0 && b.completions[0].at <= now {
-		placed := b.placed(now)
-		b.controller.Complete(now, b.completions[0].id, placed)
-		b.completions = b.completions[1:]
+func (retries *backlog) complete(now placer.Seconds, tick int) {
+	for len(retries.completions) > 0 && retries.completions[0].at <= now {
+		placed := retries.placed(now)
+		retries.controller.Complete(now, retries.completions[0].id, placed)
+		retries.completions = retries.completions[1:]
 		if placed {
-			b.placedCount++
+			retries.placedCount++
 		} else {
-			b.returning[tick+ticksPerSecond]++
+			retries.returning[tick+ticksPerSecond]++
 		}
 	}
 }
 
-func (b *backlog) submit(now placer.Seconds) {
-	for ; b.waiting > 0; b.waiting-- {
-		b.lastID++
+func (retries *backlog) submit(now placer.Seconds) {
+	for ; retries.waiting > 0; retries.waiting-- {
+		retries.lastID++
 		request := Request{
-			ID:               b.lastID,
+			ID:               retries.lastID,
 			Deadline:         now + 10,
 			FinalDeadline:    now + 10,
 			LatencyObjective: 1,
 			IsRetry:          true,
 			ShedBefore:       true,
 		}
-		if decision, _ := b.controller.Submit(now, request); decision == Admit {
-			b.admit(now, b.lastID)
+		if decision, _ := retries.controller.Submit(now, request); decision == Admit {
+			retries.admit(now, retries.lastID)
 		}
 	}
 }
 
-func (b *backlog) poll(now placer.Seconds, tick int) {
-	admitted, shed := b.controller.Poll(now)
+func (retries *backlog) poll(now placer.Seconds, tick int) {
+	admitted, shed := retries.controller.Poll(now)
 	for _, id := range admitted {
-		b.admit(now, id)
+		retries.admit(now, id)
 	}
 	for _, request := range shed {
-		b.returning[tick+1+int(request.RetryAfter*ticksPerSecond)]++
+		retries.returning[tick+1+int(request.RetryAfter*ticksPerSecond)]++
 	}
 }
 
-func (b *backlog) admit(now placer.Seconds, id uint64) {
-	b.completions = append(b.completions, backlogCompletion{now + serviceSeconds, id})
+func (retries *backlog) admit(now placer.Seconds, id uint64) {
+	retries.completions = append(retries.completions, backlogCompletion{now + serviceSeconds, id})
 }
 
 // TestRetryBudgetBoundsFailingRetries checks that a backlog of retries costs no more than the budget while no node accepts.
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -1,7 +1,6 @@
 package connpool_test
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -21,7 +20,7 @@
 	shortPolicy := connpool.SharedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
 	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
 	for i, grid := range grids {
-		record.Line("grid %d %d %x", i, len(grid), sha256.Sum256([]byte(grid)))
+		record.Line("grid %d %d %s", i, len(grid), goldentest.Digest(grid))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		record.Line("reach %d %s", seed, reachability(seed))
@@ -63,8 +62,8 @@
 	return decisions.String()
 }
 
-func keepAliveActions(p connpool.SharedPolicy) string {
-	var b strings.Builder
+func keepAliveActions(policy connpool.SharedPolicy) string {
+	var actions strings.Builder
 	now := clock.FromUnixSeconds(10)
 	var moments []clock.Instant
 	for _, seconds := range []placer.Seconds{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
@@ -75,7 +74,7 @@
 			for _, checked := range moments {
 				for _, incomplete := range moments {
 					for bits := range 8 {
-						s := connpool.ConnState{
+						state := connpool.ConnState{
 							PendingRequests: bits & 1,
 							RunsTasks:       bits&2 > 0,
 							HasAlternative:  bits&4 > 0,
@@ -84,46 +83,46 @@
 							HealthCheckSent: checked,
 							IncompleteSince: incomplete,
 						}
-						fmt.Fprintf(&b, "%d%d", uint8(p.KeepAlive(now, s)), uint8(p.KeepAlive(now.Add(500*time.Millisecond), s)))
+						fmt.Fprintf(&actions, "%d%d", uint8(policy.KeepAlive(now, state)), uint8(policy.KeepAlive(now.Add(500*time.Millisecond), state)))
 					}
 				}
 			}
 		}
 	}
-	return b.String()
+	return actions.String()
 }
 
 func usableStates() string {
-	var b strings.Builder
+	var usable strings.Builder
 	moments := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
 	for _, checked := range moments {
 		for _, incomplete := range moments {
 			for requests := range 3 {
-				fmt.Fprintln(&b, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
+				fmt.Fprintln(&usable, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
 			}
 		}
 	}
-	return b.String()
+	return usable.String()
 }
 
-// reachability returns a digest of the verdicts on a node through random messages and failed dials.
+// reachability returns a digest of the statuses of a node through random messages and failed dials.
 func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
-	var b strings.Builder
+	var statuses strings.Builder
 	var now clock.Instant
-	r := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
 	for range 200 {
 		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[random.IntN(5)])
 		switch random.IntN(8) {
 		case 0:
-			r.Received(now)
+			node.Received(now)
 		case 1, 2:
-			r.DialFailed(now, true)
+			node.DialFailed(now, true)
 		case 3, 4, 5:
-			r.DialFailed(now, random.IntN(4) == 0)
+			node.DialFailed(now, random.IntN(4) == 0)
 		}
-		later := func(d time.Duration) uint8 { return uint8(r.Status(now.Add(d))) }
-		fmt.Fprint(&b, later(0), later(time.Second), later(1001*time.Millisecond), later(6*time.Second), later(6500*time.Millisecond), " ")
+		later := func(d time.Duration) uint8 { return uint8(node.Status(now.Add(d))) }
+		fmt.Fprint(&statuses, later(0), later(time.Second), later(1001*time.Millisecond), later(6*time.Second), later(6500*time.Millisecond), " ")
 	}
-	return fmt.Sprintf("%x", sha256.Sum256([]byte(b.String())))
+	return goldentest.Digest(statuses.String())
 }
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -32,7 +31,7 @@
 		for j, message := range messages() {
 			record.Line("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits)))
 		}
-		record.Line("limits %d mutations %x", i, sha256.Sum256([]byte(mutations(limits, uint64(i)))))
+		record.Line("limits %d mutations %s", i, goldentest.Digest(mutations(limits, uint64(i))))
 	}
 	record.Check(t, "characterization")
 }
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -1,7 +1,6 @@
 package eventqueue_test
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -19,7 +18,7 @@
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
 		order := playQueue(seed)
-		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
+		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	for _, after := range []placer.Seconds{placer.Seconds(math.Inf(-1)), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, placer.Seconds(math.Inf(1))} {
 		record.Line("wait %x %x", math.Float64bits(float64(after)), math.Float64bits(float64(eventqueue.Delay(after))))
@@ -33,9 +32,9 @@
 	log    *strings.Builder
 }
 
-func (p *echoPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
-	fmt.Fprintf(p.log, "e%d@%g/%d ", event.Token, now, len(actions))
-	for i := range p.random.IntN(4) {
+func (echo *echoPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+	fmt.Fprintf(echo.log, "e%d@%g/%d ", event.Token, now, len(actions))
+	for i := range echo.random.IntN(4) {
 		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: event.Token*10 + uint64(i)})
 	}
 	return actions
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -1,7 +1,6 @@
 package memquota_test
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -58,7 +57,7 @@
 		}
 		fmt.Fprint(&text, budget.Used(), budget.Total(), budget.Users(), budget.Evicted, budget.Available(id), budget.Available(id+1), " ")
 	}
-	return fmt.Sprintf("%x", sha256.Sum256([]byte(text.String())))
+	return goldentest.Digest(text.String())
 }
 
 func evictions(seed uint64) string {
@@ -75,5 +74,5 @@
 		}
 		fmt.Fprint(&text, memquota.SelectEviction(candidates), " ")
 	}
-	return fmt.Sprintf("%x", sha256.Sum256([]byte(text.String())))
+	return goldentest.Digest(text.String())
 }
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -1,7 +1,6 @@
 package timerqueue_test
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -18,7 +17,7 @@
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
 		order := playQueue(seed)
-		record.Line("seed %d %x %.120s", seed, sha256.Sum256([]byte(order)), order)
+		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	record.Check(t, "characterization")
 }
@@ -26,11 +25,11 @@
 func playQueue(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var queue timerqueue.Queue[float64]
-	var b strings.Builder
+	var order strings.Builder
 	var added []*timerqueue.Timer[float64]
 	add := func(at float64) {
 		number := len(added)
-		added = append(added, queue.Add(at, func() { fmt.Fprintf(&b, "r%d ", number) }))
+		added = append(added, queue.Add(at, func() { fmt.Fprintf(&order, "r%d ", number) }))
 	}
 	now := 0.0
 	for range 600 {
@@ -40,22 +39,22 @@
 		case 3:
 			if len(added) > 0 {
 				i := random.IntN(len(added))
-				fmt.Fprintf(&b, "p%t ", added[i].Pending())
+				fmt.Fprintf(&order, "p%t ", added[i].Pending())
 				queue.Stop(added[i])
-				fmt.Fprintf(&b, "p%t ", added[i].Pending())
+				fmt.Fprintf(&order, "p%t ", added[i].Pending())
 			}
 		default:
 			now += float64(random.IntN(2))
 			for timer := queue.Pop(now); timer != nil; timer = queue.Pop(now) {
-				fmt.Fprintf(&b, "p%t %x ", timer.Pending(), math.Float64bits(timer.At))
+				fmt.Fprintf(&order, "p%t %x ", timer.Pending(), math.Float64bits(timer.At))
 				timer.Run()
 				if random.IntN(4) == 0 {
 					add(now + float64(random.IntN(3)))
 				}
 			}
 		}
-		fmt.Fprintf(&b, "%d %x ", queue.Len(), math.Float64bits(queue.NextOr(math.Inf(1))))
+		fmt.Fprintf(&order, "%d %x ", queue.Len(), math.Float64bits(queue.NextOr(math.Inf(1))))
 	}
 	queue.Stop(nil)
-	return b.String()
+	return order.String()
 }
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -29,13 +29,9 @@
 		recorder.adoptTasks(24, 101)
 		recorder.listAll("terminated", 0)
 		recorder.checkpoint(3)
-		recorder.now += 1.5
-		recorder.core.Advance(recorder.now)
-		recorder.observe(0)
+		recorder.advanceAtOnce(1.5, 0)
 		recorder.checkpoint(4)
-		recorder.now += 61
-		recorder.core.Advance(recorder.now)
-		recorder.observe(0)
+		recorder.advanceAtOnce(61, 0)
 		recorder.checkpoint(5)
 		lines = append(lines, recorder.lines...)
 	}
@@ -90,11 +86,17 @@
 	recorder.observe(0)
 }
 
+// advanceAtOnce runs the timers that are due after some time, all at that time.
+func (recorder *scriptRecorder) advanceAtOnce(by placer.Seconds, step int) {
+	recorder.now += by
+	recorder.core.Advance(recorder.now)
+	recorder.observe(step)
+}
+
 // adoptTasks lists running tasks for adoption, spread over the nodes.
 func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		msg := recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes))
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, recorder.conns[0], &msg))
+		recorder.receive(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
 		recorder.observe(0)
 	}
 }
@@ -109,13 +111,11 @@
 	return playVariants(24, begin, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(6, 1)
 		if variant%2 == 1 {
-			confirm := wireMessage(protocol.Stopped, 77)
-			recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &confirm))
+			recorder.receive(1, wireMessage(protocol.Stopped, 77))
 		}
 		recorder.endTasks(1, 4)
 		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		acknowledgement := wireMessage(protocol.Stopped, 2)
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &acknowledgement))
+		recorder.receive(1, wireMessage(protocol.Stopped, 2))
 		recorder.core.ClientDisconnected(recorder.now, 1)
 		if variant >= 12 {
 			recorder.core.ClientDisconnected(recorder.now, 2)
@@ -124,8 +124,7 @@
 		recorder.endTasks(5, 6)
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
-		check := wireMessage(protocol.Check, 78)
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, recorder.lastConn, &check))
+		recorder.receive(recorder.lastConn, wireMessage(protocol.Check, 78))
 		recorder.observe(0)
 	})
 }
@@ -144,15 +143,11 @@
 func playAdoptionWait(t *testing.T) []string {
 	t.Helper()
 	recorder := directedScript{seed: 300, label: "handover", connections: 2}.begin(t)
-	check := wireMessage(protocol.Check, 78)
-	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &check))
+	recorder.receive(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
-		recorder.now += 0.03
-		recorder.core.Advance(recorder.now)
-		recorder.observe(int(i))
+		recorder.advanceAtOnce(0.03, int(i))
 		recorder.adoptTasks(1, 1000+i)
-		msg := recorder.validLaunch(2000+i, "")
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 2, &msg))
+		recorder.receive(2, recorder.validLaunch(2000+i, ""))
 		recorder.observe(int(i))
 		if i%5 == 4 {
 			recorder.checkpoint(int(i))
@@ -243,13 +238,12 @@
 	recorder.observe(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
 	if len(recorder.pending) > 0 { // the next attempt: its client withdraws the request
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &stop))
+		recorder.receive(1, stop)
 		recorder.observe(4)
 	}
 	for i := 1; i <= 4; i++ {
 		if nodeID(i) == attempt.Node {
-			adoption := recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i))
-			recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &adoption))
+			recorder.receive(1, recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
 			recorder.observe(5)
 		}
 	}
@@ -266,14 +260,12 @@
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
-		msg := recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1))
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &msg))
+		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
 		recorder.observe(0)
 	}
 	recorder.checkpoint(1)
 	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
-		msg := recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2))
-		recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, 1, &msg))
+		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
 	}
 	recorder.observe(0)
 	recorder.checkpoint(2)
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -128,12 +128,17 @@
 	return msg
 }
 
-func (recorder *scriptRecorder) fromClient(msg *protocol.Message) {
+func (recorder *scriptRecorder) fromClient(msg protocol.Message) {
 	conn := dispatch.ConnID(99) // never opened
 	if len(recorder.conns) > 0 && recorder.random.IntN(40) > 0 {
 		conn = pick(recorder, recorder.conns...)
 	}
-	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, conn, msg))
+	recorder.receive(conn, msg)
+}
+
+// receive has the core receive a message of a client, and digests the result.
+func (recorder *scriptRecorder) receive(conn dispatch.ConnID, msg protocol.Message) {
+	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
 }
 
 func (recorder *scriptRecorder) launch(extras string) {
@@ -142,8 +147,7 @@
 	if recorder.random.IntN(12) == 0 {
 		id = recorder.someID() // perhaps in use
 	}
-	msg := recorder.validLaunch(id, extras)
-	recorder.fromClient(&msg)
+	recorder.fromClient(recorder.validLaunch(id, extras))
 }
 
 func (recorder *scriptRecorder) someID() uint64 {
@@ -183,7 +187,7 @@
 	id := pick(recorder, recorder.lastID, recorder.someID())
 	msg := recorder.validLaunch(id, "")
 	pick(recorder, launchFaults...)(&msg)
-	recorder.fromClient(&msg)
+	recorder.fromClient(msg)
 }
 
 func (recorder *scriptRecorder) clientMessage() {
@@ -192,7 +196,7 @@
 		protocol.Kind(0))
 	msg := wireMessage(kind, recorder.someID())
 	msg.Cause, msg.HasCause = pick[protocol.Cause](recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
-	recorder.fromClient(&msg)
+	recorder.fromClient(msg)
 }
 
 // send sends an attempt, possibly one that has ended meanwhile.
--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -1,7 +1,6 @@
 package protocol_test
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -18,18 +17,16 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, line := range corpus() {
-		record.Line("line %d %s", i, digestOf(describe(line)))
+		record.Line("line %d %s", i, goldentest.Digest(describe(line)))
 	}
 	for seed := uint64(1); seed <= 20; seed++ {
-		record.Line("mutations %d %s", seed, digestOf(mutations(seed)))
+		record.Line("mutations %d %s", seed, goldentest.Digest(mutations(seed)))
 	}
-	record.Line("encoding %s", digestOf(encodings()))
-	record.Line("identifiers %s", digestOf(identifiers()))
+	record.Line("encoding %s", goldentest.Digest(encodings()))
+	record.Line("identifiers %s", goldentest.Digest(identifiers()))
 	record.Check(t, "characterization")
 }
 
-func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
-
 // describe parses one line and gives the verdict and every value as numbers and wire bytes. Its words are part of the digests.
 func describe(line string) string {
 	var msg protocol.Message
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -53,52 +53,53 @@
  "rules":{"answerSlackS":0.41,"askWithinS":42.1,"coldFrom":0.43,"drainGraceS":4.4,"fallS":4.5,"overloadFactor":4.6,"warmWithinS":4.7}}`
 
 // describe writes all results in a fixed order: integers in decimal, floats as bits, texts quoted.
-func describe(s *simconfig.Settings) string {
-	var b strings.Builder
+func describe(settings *simconfig.Settings) string {
+	var text strings.Builder
 	floats := func(values ...float64) {
 		for _, v := range values {
-			fmt.Fprintf(&b, " %x", math.Float64bits(v))
+			fmt.Fprintf(&text, " %x", math.Float64bits(v))
 		}
-		b.WriteByte('\n')
+		text.WriteByte('\n')
 	}
-	c := &s.Placer
-	fmt.Fprintf(&b, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", c.Peers.Self, c.Peers.Total, c.Zone, c.Attempts.Max,
-		c.NodeBehavior.AcknowledgesOnStart, c.NodeBehavior.ListShowsCapacity, c.NodeBehavior.ReportsUsage, c.Peers.StickyServices,
-		c.NodeBehavior.Preempts, c.Attempts.AllowsHedging, c.Discovery.MustPoll, c.Retry.SendsRetryAfter)
-	b.WriteString("2:")
-	floats(c.Overcommit.Cores, c.Overcommit.Memory, float64(c.Attempts.ConnectTimeout), float64(c.Attempts.AnswerGrace),
-		float64(c.Attempts.DrainGrace), c.SlowStart.MinPace, float64(c.SlowStart.Duration), c.SlowStart.OverloadMultiple)
-	b.WriteString("3:")
-	floats(float64(c.SlowStart.OverloadWindow), c.SlowStart.MaxAttempts, float64(c.Discovery.MaxPollInterval),
-		float64(c.Retry.MaxRetryAfter), float64(c.Retry.UnknownOutcomeWait), c.Costs.Node, c.Costs.CrossZone, c.Costs.Migration,
-		c.OverQuotaWeight)
-	for _, k := range c.Classes {
-		fmt.Fprintf(&b, "4: %d %d %d %d %d %d", uint8(k.Idempotency), uint8(k.DedupDomain), k.Priority, k.NodeType, uint8(k.SpreadDomain), k.MaxPerDomain)
-		floats(float64(k.DedupWindow), float64(k.LatencyObjective), float64(k.Deadline), k.Weight, k.LateWeight, float64(k.StartBonus),
-			k.SaturationThreshold, k.DegradationRange)
+	config := &settings.Placer
+	fmt.Fprintf(&text, "1: %d %d %d %d %t %t %t %t %t %t %t %t\n", config.Peers.Self, config.Peers.Total, config.Zone, config.Attempts.Max,
+		config.NodeBehavior.AcknowledgesOnStart, config.NodeBehavior.ListShowsCapacity, config.NodeBehavior.ReportsUsage, config.Peers.StickyServices,
+		config.NodeBehavior.Preempts, config.Attempts.AllowsHedging, config.Discovery.MustPoll, config.Retry.SendsRetryAfter)
+	text.WriteString("2:")
+	floats(config.Overcommit.Cores, config.Overcommit.Memory, float64(config.Attempts.ConnectTimeout), float64(config.Attempts.AnswerGrace),
+		float64(config.Attempts.DrainGrace), config.SlowStart.MinPace, float64(config.SlowStart.Duration), config.SlowStart.OverloadMultiple)
+	text.WriteString("3:")
+	floats(float64(config.SlowStart.OverloadWindow), config.SlowStart.MaxAttempts, float64(config.Discovery.MaxPollInterval),
+		float64(config.Retry.MaxRetryAfter), float64(config.Retry.UnknownOutcomeWait), config.Costs.Node, config.Costs.CrossZone, config.Costs.Migration,
+		config.OverQuotaWeight)
+	for _, class := range config.Classes {
+		fmt.Fprintf(&text, "4: %d %d %d %d %d %d", uint8(class.Idempotency), uint8(class.DedupDomain), class.Priority, class.NodeType,
+			uint8(class.SpreadDomain), class.MaxPerDomain)
+		floats(float64(class.DedupWindow), float64(class.LatencyObjective), float64(class.Deadline), class.Weight,
+			class.LateWeight, float64(class.StartBonus), class.SaturationThreshold, class.DegradationRange)
 	}
-	for _, k := range c.NodeTypes {
-		b.WriteString("5:")
-		floats(k.Cores, k.Memory)
+	for _, nodeType := range config.NodeTypes {
+		text.WriteString("5:")
+		floats(nodeType.Cores, nodeType.Memory)
 	}
-	for _, tenant := range c.Tenants {
-		b.WriteString("6:")
+	for _, tenant := range config.Tenants {
+		text.WriteString("6:")
 		floats(tenant.Share, tenant.Cores)
 	}
-	fmt.Fprintf(&b, "7: %q %q %q %q %q\n", s.Classes, s.Tenants, s.Zones, s.NodeTypes, s.ReportFields)
-	b.WriteString("8:")
-	floats(float64(s.IdleTimeout), float64(s.BatchInterval))
-	return b.String()
+	fmt.Fprintf(&text, "7: %q %q %q %q %q\n", settings.Classes, settings.Tenants, settings.Zones, settings.NodeTypes, settings.ReportFields)
+	text.WriteString("8:")
+	floats(float64(settings.IdleTimeout), float64(settings.BatchInterval))
+	return text.String()
 }
 
 func TestCharacterizationOfParse(t *testing.T) {
 	var text strings.Builder
 	for i, settings := range []string{minimal, short, full} {
-		s, err := simconfig.Parse([]byte(settings))
+		parsed, err := simconfig.Parse([]byte(settings))
 		if err != nil {
 			t.Fatalf("shape %d: %v", i, err)
 		}
-		fmt.Fprintf(&text, "shape %d\n%s", i, describe(s))
+		fmt.Fprintf(&text, "shape %d\n%s", i, describe(parsed))
 	}
 	goldentest.CheckText(t, "settings", text.String())
 }
@@ -127,26 +128,26 @@
 // TestCharacterizationOfSetReportField pins which field of a report each name sets; the others stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
 	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
-		r := simconfig.NoReport()
-		simconfig.SetReportField(&r, word, 2.5)
-		if got := describeReport(r); got != want {
+		report := simconfig.NoReport()
+		simconfig.SetReportField(&report, word, 2.5)
+		if got := describeReport(report); got != want {
 			t.Errorf("%s sets %s, want %s", word, got, want)
 		}
 	}
 }
 
 // describeReport returns one digit for each value of a report: 0 if it is NaN, 1 if it is 2.5.
-func describeReport(r placer.Report) string {
-	var b strings.Builder
-	for _, v := range []float64{r.FreeCores, r.FreeMemory, r.Utilization, r.QueueLength} {
+func describeReport(report placer.Report) string {
+	var text strings.Builder
+	for _, v := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
 		switch {
 		case math.IsNaN(v):
-			b.WriteByte('0')
+			text.WriteByte('0')
 		case v == 2.5:
-			b.WriteByte('1')
+			text.WriteByte('1')
 		default:
-			b.WriteByte('?')
+			text.WriteByte('?')
 		}
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/testsupport/goldentest/goldentest.go
+++ b/internal/testsupport/goldentest/goldentest.go
@@ -24,6 +24,9 @@
 // UpdateVariable is the environment variable that makes Check write golden files.
 const UpdateVariable = "HEATHSHED_UPDATE_GOLDEN"
 
+// Digest returns the SHA-256 digest of a text in hexadecimal, for a text that is too long for a golden file.
+func Digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+
 // Recorder collects the lines of a golden file. Values are added to a cumulative SHA-256 digest; Checkpoint writes the digest so far as a line,
 // so that the first line that differs shows where behaviour begins to differ.
 type Recorder struct {
