--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -153,7 +153,7 @@
 }
 
 // Poll returns the queued requests that are admitted now, in order, and those that are shed because they could no longer start before their
-// client gives up.
+// final deadline.
 func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
 	shed = c.expire(now)
--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// Instant is a point in time in nanoseconds since the Unix epoch. The zero value stands for "never".
+// Instant is a point in time in nanoseconds since the Unix epoch. The zero value means "never".
 //
 // Unlike a time.Time it is compared with < and ==, and takes 8 bytes instead of 24: a server keeps several for each of thousands of idle
 // connections.
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestFromUnixSecondsIsNotEarly checks the same for small clock readings, which floating point tells more exactly than nanoseconds.
+// TestFromUnixSecondsIsNotEarly checks the same for small clock readings, which floating point represents more exactly than nanoseconds.
 func TestFromUnixSecondsIsNotEarly(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 100_000 {
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -43,7 +43,7 @@
 	depth         int
 	values        int
 	freeTextDepth int    // depth of the outermost object or array of free text, 0 if none
-	name          []byte // of the value that comes next, nil in an array
+	name          []byte // of the next value, nil in an array
 	wantName      bool   // the next string is a name
 	inObject      [maxNesting + 1]bool
 }
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -59,7 +59,7 @@
 // TooLarge reports whether the text exceeds a limit of size rather than of form.
 func (e *Error) TooLarge() bool { return e.Bound == TooManyBytes || e.Bound == TooManyValues }
 
-// checkBytes checks the length of a whole text.
+// checkBytes checks the length of a text.
 func (l *Limits) checkBytes(text []byte) *Error {
 	if l.Bytes > 0 && len(text) > l.Bytes {
 		return &Error{TooManyBytes, l.Bytes, l.Bytes}
--- a/internal/control/memquota/memquota.go
+++ b/internal/control/memquota/memquota.go
@@ -18,7 +18,7 @@
 	Objects     int64 // jobs, tasks and nodes, with their encodings
 }
 
-// MinMemory is the least memory that is divided, in bytes.
+// MinMemory is the minimum memory that is divided, in bytes.
 const MinMemory = 64 << 20
 
 // Divide splits memory, in bytes, into shares whose sum never exceeds it. Less than MinMemory counts as MinMemory.
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -13,8 +13,8 @@
 func TestMain(m *testing.M) { proptest.Main(m, "300") }
 
 // TestBudget plays users that allocate what is available, and some that allocate more: what is used never exceeds the total once those over
-// quota are removed, none is removed because of one that holds less than half as much, a user that holds nothing may always allocate, and all
-// is free when all are removed.
+// quota are removed, none is removed because of one that uses less than half as much, a user without memory may always allocate, and nothing is
+// used when all are removed.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		play := newBudgetPlay(t)
@@ -32,7 +32,7 @@
 	})
 }
 
-// budgetPlay is a budget with users that do random things, beside what each of them holds.
+// budgetPlay is a budget with users that allocate at random, and a record of what each of them uses.
 type budgetPlay struct {
 	*rapid.T
 	budget *Budget
@@ -98,7 +98,7 @@
 	delete(play.used, id)
 }
 
-// evict removes the users over quota, none of which may hold less than half as much as another.
+// evict removes the users over quota, none of which may use less than half as much as another.
 func (play *budgetPlay) evict() {
 	for id, over := play.budget.OverQuota(); over; id, over = play.budget.OverQuota() {
 		for other, held := range play.used {
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -40,7 +40,7 @@
 	Shed                  // the scheduler shed the request before any attempt; State.RetryAfter is its advice
 )
 
-// State is what a client knows of a task that does not run and has no attempt in flight. Times are on the clock of the client.
+// State is what a client knows about a task that is not running and has no attempt in flight. Times are on the clock of the client.
 type State struct {
 	Idempotency    placer.Idempotency
 	Cause          Cause
--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -22,7 +22,7 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // when the first health check of a client came, 0 if none has
+	firstHealthCheckAt placer.Seconds // when the first health check of a client arrived, or 0
 	lastAdoptionAt     placer.Seconds // when a running task was last adopted, or firstHealthCheckAt
 }
 
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSelectClient: which connection gets a notification whose own connection is closed, and which one is the only one left.
+// TestSelectClient: on which connection a notification is sent whose own connection is closed, and which one is the only identified one.
 func TestSelectClient(t *testing.T) {
 	unidentified := clientConn{}
 	for _, test := range []struct {
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -218,7 +218,7 @@
 }
 
 // NodeUnresponsive stops all tasks that run on an unresponsive node and returns how many they are. Their clients are notified at once. But the
-// tasks may run on if the node is only cut off, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
+// tasks may still run if the node is only partitioned, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
 // confirms that, or for notificationRetention. Otherwise the placer would consider capacity free that is in use on a node about to come back,
 // and would exceed the limit on how many tasks of a service run in one domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (tasks int) {
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -6,7 +6,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestEarlyTerminationLog: the first end of a task is kept for its time, with one timer for all records, and a full log drops the oldest.
+// TestEarlyTerminationLog: the first end of a task is kept for notificationRetention, with one timer for all records, and a full log removes the
+// oldest.
 func TestEarlyTerminationLog(t *testing.T) {
 	env := &environment{now: 100}
 	log := newEarlyTerminationLog(env)
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -18,7 +18,7 @@
 	events   eventqueue.Queue
 }
 
-// setTime sets the clock. It never goes back.
+// setTime sets the clock, which never decreases.
 func (env *environment) setTime(now placer.Seconds) { env.now = max(env.now, now) }
 
 // emit adds an effect for the caller.
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -38,7 +38,7 @@
 	running                bool
 }
 
-// newHarness returns a core that knows the nodes 1 to 3. Without a policy it has the project's own placer.
+// newHarness returns a core with the nodes 1 to 3 in its registry. If policy is nil, it has a placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
 	parsed, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -18,7 +18,7 @@
 	return conns
 }
 
-// TestNotificationFindsAClient: a notification goes out on its request's connection, else on the first one that sends a valid message, once.
+// TestNotificationFindsAClient: a notification is sent on its request's connection, otherwise on the first one that sends a valid message, once.
 func TestNotificationFindsAClient(t *testing.T) {
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -35,7 +35,7 @@
 	settings *simconfig.Settings
 }
 
-// parse validates a launch message that came at the given time. The error is an *InvalidMessageError.
+// parse validates a launch message that arrived at the given time. The error is an *InvalidMessageError.
 func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsed parsedRequest, err error) {
 	if msg.Body == "" {
 		return parsed, invalidMessage(InvalidBody, "launch %s: no body", msg.UID)
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -1,14 +1,14 @@
 package dispatch
 
 // requestState is the state of a placement request. The states from requestMigrating on are closed: the client has been notified of the end or
-// asked for it, and is not notified again, unless a node does not confirm a migration.
+// requested it, and is not notified again, unless a node does not confirm a migration.
 type requestState uint8
 
 const (
 	requestOpen       requestState = iota // without an answer
 	requestRunning                        // the task runs
-	requestMigrating                      // the client was asked to place the task anew; the node is to confirm that it stopped it
-	requestStopping                       // the client knows of the end or asked for it; the node is to confirm that it stopped the task
+	requestMigrating                      // the client was asked to request the placement again; the node has to confirm that it stopped the task
+	requestStopping                       // the client was notified of the end or requested it; the node has to confirm that it stopped the task
 	requestAnswered                       // rejected or failed
 	requestWithdrawn                      // the client no longer waits
 	requestTerminated                     // the task ran and has ended
--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestCharacterization compares with the golden file what the codec makes of a fixed corpus of lines and of seeded mutations of it: whether a line
-// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are left out. See package goldentest for how the file
+// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are omitted. See package goldentest for how the file
 // is written anew.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
@@ -27,7 +27,7 @@
 	record.Check(t, "characterization")
 }
 
-// describe parses one line and gives the verdict and every value as numbers and wire bytes. Its words are part of the digests.
+// describe parses one line and returns the result and every value as numbers and wire bytes. Its texts are part of the digests.
 func describe(line string) string {
 	var msg protocol.Message
 	if err := protocol.Parse([]byte(line), &msg); err != nil {
@@ -101,7 +101,7 @@
 		`{"kind":"stop",`+uid+`}{}`, "\xef\xbb\xbf{}", `{"\u006bind":"st\u006fp",`+uid+`}`, `{"kind":"stop","uid":"0000000000000g00"}`)
 }
 
-// mutations describes the corpus with bytes changed, taken out or doubled at random.
+// mutations describes the corpus with bytes changed, removed or doubled at random.
 func mutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var text strings.Builder
@@ -156,7 +156,7 @@
 	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseFull, protocol.CauseReset,
 		protocol.CauseBusy, protocol.CauseError, protocol.CauseExpired)
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
-		fmt.Fprintln(&text, field.String()) // the word on the wire
+		fmt.Fprintln(&text, field.String()) // the name on the wire
 	}
 	return text.String()
 }
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -262,7 +262,7 @@
 	}
 }
 
-// expectLiteral consumes the given word.
+// expectLiteral consumes the given literal.
 func (p *parser) expectLiteral(literal string) error {
 	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
 		return p.syntaxError(literal)
--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -53,13 +53,13 @@
 	checkpointEvery = 50
 )
 
-// pendingRecord is a record that is sent once its time has come.
+// pendingRecord is a record that is sent at a later time.
 type pendingRecord struct {
 	at     float64
 	record []byte
 }
 
-// peer is the other end of the wire: Read gives the next batch, Write takes the reply to the one before.
+// peer simulates the simulator's end of the connection: Read returns the next batch, Write receives the reply to the one before.
 type peer struct {
 	rng     *rand.Rand
 	now     float64
@@ -86,7 +86,7 @@
 	return n, nil
 }
 
-// batch is all that is due by now, with new tasks, lists and some records that mean nothing to the adapter.
+// batch returns the records that are due by now, with new tasks, lists and some records that mean nothing to the adapter.
 func (sim *peer) batch() []byte {
 	sim.number++
 	sim.now += 0.1 * sim.rng.Float64()
@@ -177,7 +177,7 @@
 	sim.waiting = append(sim.waiting, pendingRecord{sim.now + seconds, planned})
 }
 
-// Write takes one reply.
+// Write receives one reply.
 func (sim *peer) Write(reply []byte) (int, error) {
 	sim.digest.Write(reply)
 	sim.replies++
@@ -189,7 +189,7 @@
 	return len(reply), nil
 }
 
-// carryOut reads the actions of a reply and plans what comes of them.
+// carryOut reads the actions of a reply and schedules their results.
 func (sim *peer) carryOut(actions []byte) {
 	for len(actions) > 0 {
 		code, instance := actions[0], binary.LittleEndian.Uint32(actions[1:])
@@ -243,7 +243,7 @@
 	}
 }
 
-// load is a report with values for all, some or more than the fields that the instance knows.
+// load is a report with values for all, some or more than the fields of the instance's settings.
 func (sim *peer) load(instance uint32, node [6]byte) []float32 {
 	size := float32(8 * (1 + node[3]%2))
 	free, freeMemory, busy := size*(0.8+0.1*sim.rng.Float32()), 2*size*(0.8+0.1*sim.rng.Float32()), 0.3*sim.rng.Float32()
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -20,7 +20,7 @@
 	firedTimers []uint64
 }
 
-// describeEvent returns an event as text, since NaN, which stands for what is not reported, equals nothing.
+// describeEvent returns an event as text, since NaN, the value of a field that is not reported, equals nothing.
 func describeEvent(event placer.Event) string {
 	report := event.Report
 	event.Report = nil
@@ -73,7 +73,7 @@
 	drivers.adapterActions = append(drivers.adapterActions, drivers.adapter.actions...)
 }
 
-// compare compares what both did in this step and notes the attempts.
+// compare compares what both did in this step and records the attempts.
 func (drivers *twoDrivers) compare(step string) {
 	drivers.t.Helper()
 	for _, effect := range drivers.core.Ready() {
@@ -98,7 +98,7 @@
 	drivers.adapterEvents, drivers.recorder.events, drivers.adapterActions, drivers.recorder.actions = nil, nil, nil, nil
 }
 
-// advance lets time pass and fires the timers of both.
+// advance advances the time and fires the timers of both.
 func (drivers *twoDrivers) advance(to placer.Seconds) {
 	drivers.t.Helper()
 	for drivers.core.NextTimer() <= to {
@@ -131,7 +131,7 @@
 	return event
 }
 
-// launch lets a client request the task of a number from both.
+// launch has a client request the task with the ID from both.
 func (drivers *twoDrivers) launch(id uint64) {
 	drivers.t.Helper()
 	class, name, service := uint16(0), "query", 10+(id-1)%5
@@ -161,7 +161,7 @@
 	}
 }
 
-// sendFromNode lets the node of the attempt for a task send a message about it to the platform.
+// sendFromNode has the node of the attempt for a task send a message about it to the dispatch core.
 func (drivers *twoDrivers) sendFromNode(id uint64, message protocol.Message) {
 	message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
 	drivers.core.ReceiveFromNode(drivers.now, drivers.attempts[id].Node, &message)
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -61,7 +61,7 @@
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
-// bind lets the node accept the attempt for a task and report its usage, and then end it if so wanted.
+// bind has the node accept the attempt for a task and report its usage, and then end it if ends is set.
 func (drivers *twoDrivers) bind(id uint64, ends bool) {
 	drivers.t.Helper()
 	drivers.sendFromNode(id, protocol.Message{Kind: protocol.Running, Body: `"y"`})
--- a/internal/testsupport/structure/doc.go
+++ b/internal/testsupport/structure/doc.go
@@ -1,4 +1,4 @@
-// Package structure holds checks of the program's own source, all in its test files: the groups of packages and their imports against
+// Package structure contains checks of the program's own source, all in its test files: the groups of packages and their imports against
 // the graph in docs/architecture.md, the number of methods of a type, the number of files that write a field, and the messages
 // of log lines, each of which one place writes.
 //
--- a/internal/testsupport/structure/load_test.go
+++ b/internal/testsupport/structure/load_test.go
@@ -23,7 +23,7 @@
 
 const (
 	modulePath = "heathshed"
-	// moduleRoot is where the module lies, seen from this package.
+	// moduleRoot is the path of the module's root, relative to this package.
 	moduleRoot = "../../.."
 )
 
@@ -42,7 +42,7 @@
 	packages []*sourcePackage
 }
 
-// listedPackage is what the go command tells about a package.
+// listedPackage is the go command's description of a package.
 type listedPackage struct {
 	ImportPath string
 	Dir        string
@@ -127,7 +127,7 @@
 	}
 }
 
-// moduleImporter gives the packages of the module as they were checked from source, and all others from what the compiler exported.
+// moduleImporter returns the packages of the module as checked from source, and all others from the compiler's export data.
 type moduleImporter struct {
 	checked  map[string]*types.Package
 	compiled types.Importer
--- a/internal/testsupport/structure/writers_test.go
+++ b/internal/testsupport/structure/writers_test.go
@@ -20,7 +20,7 @@
 	name     string
 	packages []string // nil: all
 	allowed  int
-	// ceiling stands in the place of allowed as long as it is higher. It may only fall: it must be the present number.
+	// ceiling replaces allowed while it is higher. It may only be lowered: it must be the current number.
 	ceiling int
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// check describes what is wrong with the widely written fields that there are, "" if nothing is.
+// check describes how the widely written fields exceed the limit, or returns "" if they do not.
 func (l widelyWrittenLimit) check(fields []string) string {
 	count := len(fields)
 	switch {
@@ -205,7 +205,7 @@
 	return ok && slices.Contains([]string{"delete", "clear", "copy"}, builtin.Name())
 }
 
-// record notes that the file writes the field that an expression denotes, if it denotes one or an element of one.
+// record records that the file writes the field that an expression denotes, if it denotes one or an element of one.
 func (w *fieldWriters) record(target ast.Expr) {
 	for {
 		switch expression := ast.Unparen(target).(type) {
--- a/placer/api.go
+++ b/placer/api.go
@@ -1,7 +1,7 @@
 // Package placer decides on which nodes long-lived tasks run.
 //
-// A Placer decides for one scheduler. The caller hands it events in the order in which they happened, each with the
-// time, which never goes back, and carries out the returned actions in their order. All times are Seconds on any
+// A Placer decides for one scheduler. The caller passes it events in the order in which they happened, each with the
+// time, which never decreases, and carries out the returned actions in their order. All times are Seconds on any
 // one clock. Equal configurations, seeds and events give equal actions. A Placer does no I/O, reads no clock, starts no
 // goroutine, and must not be used by several goroutines at once.
 //
@@ -76,7 +76,7 @@
 	Finished    Result = iota // the task has run to its end
 	Errored                   // the node answered with an error, or the task failed
 	Rejected                  // the node did not accept the task
-	TimedOut                  // no answer came in time
+	TimedOut                  // no answer arrived in time
 	Unreachable               // no connection to the node
 	Lost                      // the connection broke, or the node stopped the task
 	Cancelled                 // the client withdrew the task
@@ -141,7 +141,7 @@
 	Reason  Reason
 	Elapsed Seconds // since the attempt was sent
 	Final   bool    // no further attempt may be made
-	Report  *Report // nil if none came
+	Report  *Report // nil if there is none
 	List    ListKind
 	Nodes   []Node // read during Handle only
 	Usage   UsageKind
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// A change that stands for an attempt goes with its answer, and only that one.
+// The change that was recorded for an attempt is removed with its answer, and no other change is.
 func TestNodeLoadFollowsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
 	sent := &attempt{request: request, sentAt: 100}
--- a/placer/config.go
+++ b/placer/config.go
@@ -12,7 +12,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second start is safe
-	IdempotentByKey                    // nodes of one domain drop a repeat for a while, by its key
+	IdempotentByKey                    // nodes of one domain drop a repeat with the same key for a while
 	NonIdempotent                      // the task must never start twice
 )
 
@@ -28,7 +28,7 @@
 	ClusterDomain
 )
 
-// Class holds what tasks of one kind have in common.
+// Class describes the tasks of one kind.
 type Class struct {
 	Idempotency         Idempotency
 	DedupDomain         TopologyDomain // with IdempotentByKey: the nodes that drop repeats
@@ -102,7 +102,7 @@
 	Duration         Seconds // time after which a started node has its full pace
 	OverloadMultiple float64 // multiple of its pace at which a warming node becomes overloaded
 	OverloadWindow   Seconds // time for which the multiple must be exceeded
-	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that a warming node withstands
+	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that do not overload a warming node
 }
 
 // Attempts limits the attempts for one request.
@@ -121,7 +121,7 @@
 	UnknownOutcomeWait Seconds // time for which clients wait after an unknown outcome
 }
 
-// Discovery is how the scheduler gets the node list.
+// Discovery is how the scheduler receives the node list.
 type Discovery struct {
 	MustPoll        bool    // node lists are sent only on request
 	MaxPollInterval Seconds // longest time between two requests for the list
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// testNodes returns ready nodes of two types and zones by turns, three to a rack, with all of their capacity free.
+// testNodes returns ready nodes of alternating types and zones, three to a rack, with all of their capacity free.
 func testNodes(count int) []Node {
 	var nodes []Node
 	for i := range count {
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -187,7 +187,7 @@
 	script.handle(event)
 }
 
-// step lets a little time pass in which some of all things happen.
+// step advances the time a little and plays random events.
 func (script *randomScript) step(number int) {
 	script.now += 0.005
 	script.fireTimers()
@@ -323,7 +323,7 @@
 	script.handle(Event{Kind: NodesListed, List: FullList, Nodes: all})
 }
 
-// dropDoneTasks drops what is long done.
+// dropDoneTasks removes the tasks that are done and have no live attempt.
 func (script *randomScript) dropDoneTasks() {
 	keep := script.order[:0]
 	for _, id := range script.order {
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -106,7 +106,7 @@
 // chance is true in the given part of all calls.
 func (sim *simulation) chance(part float64) bool { return sim.rng.Float64() < part }
 
-// handle hands an event to the Placer, adds the actions to the digest and carries them out.
+// handle passes an event to the Placer, adds the actions to the digest and carries them out.
 func (sim *simulation) handle(event placer.Event) {
 	sim.handleAt(sim.now, event)
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// copyOfActions copies the actions of one event, for carrying them out may hand in the next event.
+// copyOfActions copies the actions of one event, since carrying them out may pass the next event.
 func copyOfActions(actions []placer.Action) []placer.Action {
 	return append([]placer.Action(nil), actions[1:]...)
 }
@@ -167,7 +167,7 @@
 	}
 }
 
-// unmatchedEvents hands in events that match nothing, at a time slightly before the last event.
+// unmatchedEvents passes events that match nothing, at a time slightly before the last event.
 func (sim *simulation) unmatchedEvents() {
 	sim.after(0.5+sim.randomTime(), sim.unmatchedEvents)
 	id := placer.TaskID(1 + sim.rng.IntN(int(sim.nextTask)))
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -39,8 +39,20 @@
 	}
 }
 
-// A warming node must withstand the attempts of all schedulers: hundreds of them, with most nodes warming up at once,
-// uneven traffic, rejected attempts, and schedulers that restart.
+// mostInWindow returns the largest number of times, which are in order, that lie within a window.
+func mostInWindow(times []Seconds, window Seconds) int {
+	most, first := 0, 0
+	for i, at := range times {
+		for at-times[first] > window {
+			first++
+		}
+		most = max(most, i-first+1)
+	}
+	return most
+}
+
+// The attempts of all schedulers together must not overload a warming node: hundreds of schedulers, with most nodes
+// warming up at once, uneven traffic, rejected attempts, and schedulers that restart.
 func TestAllSchedulersRespectWarmupAttempts(t *testing.T) {
 	config := testConfig()
 	config.Peers = Peers{Total: 300}
@@ -53,7 +65,7 @@
 		}
 	}
 	random := rand.New(rand.NewPCG(4, 4))
-	sent, most, warming := map[NodeID][]Seconds{}, 0, 0
+	sent, warming := map[NodeID][]Seconds{}, 0
 	peers := make([]*Placer, config.Peers.Total)
 	for now, id := Seconds(100), 0; now < 112; now += 0.05 {
 		for self := range peers {
@@ -70,28 +82,25 @@
 				id := attempts[0].Node
 				if nodes[id-1].StartedAt > 0 {
 					warming++
-					recent := append(sent[id], now)
-					for now-recent[0] > config.SlowStart.OverloadWindow {
-						recent = recent[1:]
-					}
-					sent[id] = recent
-					most = max(most, len(recent))
+					sent[id] = append(sent[id], now)
 				}
 				actions = endAttempt(peers[self], now, attempts[0], Rejected, []Reason{InsufficientCores, QueueFull}[random.IntN(2)])
 			}
 		}
 	}
-	if float64(most) > config.SlowStart.MaxAttempts {
-		t.Errorf("%d attempts in a window on one warming node, it withstands %v", most, config.SlowStart.MaxAttempts)
+	for id, times := range sent {
+		if most := mostInWindow(times, config.SlowStart.OverloadWindow); float64(most) > config.SlowStart.MaxAttempts {
+			t.Errorf("%d attempts in a window on warming node %d, want at most %v", most, id, config.SlowStart.MaxAttempts)
+		}
 	}
 	if least := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(warming) < least {
 		t.Errorf("%d attempts on warming nodes in all, want at least %v: the allowance is not used", warming, least)
 	}
 }
 
-// Thirty schedulers and one warming node, half of the traffic at two of them, half of them restarted in between without
-// memory. What is sent within a window is what the node withstands. Where an attempt waits for its connection, what
-// arrives within a window may be more by a random part.
+// Thirty schedulers and one warming node, half of the traffic at two of them, half of them restarted meanwhile, which
+// loses their state. No more is sent within a window than MaxAttempts. Where an attempt waits for its connection, the
+// number that arrives within a window may exceed it by a random part.
 func TestThirtySchedulersOverOneWarmingNode(t *testing.T) {
 	for _, always := range []float64{4, 12, 42, 100} {
 		for _, dials := range []bool{false, true} {
@@ -136,13 +145,7 @@
 				}
 			}
 			slices.Sort(arrivals)
-			most, first := 0, 0
-			for i, at := range arrivals {
-				for at-arrivals[first] > config.SlowStart.OverloadWindow {
-					first++
-				}
-				most = max(most, i-first+1)
-			}
+			most := mostInWindow(arrivals, config.SlowStart.OverloadWindow)
 			bound := always
 			if dials {
 				bound += 2*math.Sqrt(always) + 2
--- a/placer/units.go
+++ b/placer/units.go
@@ -9,7 +9,8 @@
 //
 // It is a floating point number and not a time.Duration so that each decision stays equal to the last bit: times are
 // multiplied by jitter, learned factors and fractions of an objective, and a rounding to whole nanoseconds on the way
-// would change which of two nodes is drawn. It is a type of its own so that a number without a unit is not taken for a time.
+// would change which of two nodes is drawn. It is a type of its own so that a number without a unit is not mistaken for a
+// time.
 type Seconds float64
 
 // Duration returns s to the nearest nanosecond. Values beyond the range of a Duration, or that are not numbers, have no
