--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -79,8 +79,7 @@
 		t.Fatal("adopted twice")
 	}
 
-	end := newMessage(protocol.Stop, id, protocol.CauseEnd)
-	harness.core.ReceiveFromNode(harness.now, nodeID(2), &end)
+	harness.reportEnd(nodeID(2), id, protocol.CauseEnd)
 	harness.carryOutEffects()
 	if record.notifications != 1 || harness.core.RunningTasks() != 0 {
 		t.Fatalf("%+v", record)
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -140,10 +140,15 @@
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
 
-// finish has a node report that a running task has ended. The effects are left to the caller.
-func (harness *coreHarness) finish(attempt *Attempt) {
-	msg := newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd)
-	harness.core.ReceiveFromNode(harness.now, attempt.Node, &msg)
+// reportEnd has a node report the end of a task. The effects are left to the caller.
+func (harness *coreHarness) reportEnd(node placer.NodeID, id protocol.ID, cause protocol.Cause) {
+	msg := newMessage(protocol.Stop, id, cause)
+	harness.core.ReceiveFromNode(harness.now, node, &msg)
+}
+
+// migrate has the placer migrate a running task. The effects are left to the caller.
+func (harness *coreHarness) migrate(attempt *Attempt) {
+	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
 // carryOutEffects carries out the effects, checks them against the rules, and returns them.
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -52,8 +52,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, sent := sentAttempt(t, "seats")
 			adopted := harness.launch(harness.lastConn, "seats", 1000, adoptedFrom(2))
-			end := newMessage(protocol.Stop, 77, protocol.CauseEnd)
-			harness.core.ReceiveFromNode(harness.now, placer.NodeID(5), &end)
+			harness.reportEnd(placer.NodeID(5), 77, protocol.CauseEnd)
 			harness.requireInvariants()
 
 			test.plant(harness.core, sent.request, harness.core.requests.getByID(adopted))
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -22,7 +22,7 @@
 func TestNotificationFindsAClient(t *testing.T) {
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
-	harness.finish(attempt)
+	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedOn(harness); !slices.Equal(got, []ConnID{1}) {
 		t.Fatalf("the request's connection is open, notified on %v", got)
 	}
@@ -30,7 +30,7 @@
 	harness, _, attempt = runningAttempt(t, "seats")
 	unidentified := harness.connect() // sends nothing
 	harness.core.ClientDisconnected(harness.now, 1)
-	harness.finish(attempt)
+	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedOn(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
 		t.Fatalf("notified on %v, connection %d is unidentified", got, unidentified)
 	}
@@ -74,11 +74,10 @@
 			}
 			cause := protocol.CauseEnd
 			if test.migration {
-				harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+				harness.migrate(attempt)
 				cause = protocol.CauseCancelled
 			}
-			end := newMessage(protocol.Stop, id, cause)
-			harness.core.ReceiveFromNode(harness.now, attempt.Node, &end)
+			harness.reportEnd(attempt.Node, id, cause)
 			if test.acknowledged {
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, id, noCause))
 			}
@@ -124,15 +123,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
-			harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+			harness.migrate(attempt)
 			effects := harness.core.Ready()
 			if len(effects) != 2 || effects[0].Message.Kind != protocol.Migrate || effects[1].Kind != SendToNode {
 				t.Fatalf("effects %+v", effects)
 			}
 
 			if test.cause >= 0 {
-				end := newMessage(protocol.Stop, attempt.Message.ID, test.cause)
-				harness.core.ReceiveFromNode(harness.now, attempt.Node, &end)
+				harness.reportEnd(attempt.Node, attempt.Message.ID, test.cause)
 			}
 			harness.core.Advance(harness.now + 1)
 
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -167,16 +167,15 @@
 	if len(play.conns) == 0 {
 		return
 	}
-	node := nodeID(1)
 	conn := play.conns[play.draw(len(play.conns), "conn")]
-	end := newMessage(protocol.Stop, protocol.ID(play.lastID+1), protocol.CauseEnd)
+	next := protocol.ID(play.lastID + 1)
 	crossed := play.draw(2, "crossed") == 0
 	if crossed {
-		play.core.ReceiveFromNode(play.now, node, &end)
+		play.reportEnd(nodeID(1), next, protocol.CauseEnd)
 	}
 	id := play.adopt(conn, 1)
 	if !crossed {
-		play.core.ReceiveFromNode(play.now, node, &end)
+		play.reportEnd(nodeID(1), next, protocol.CauseEnd)
 		play.carryOutEffects()
 	}
 	if notifications := play.records[id].notifications; notifications != 1 {
@@ -265,8 +264,7 @@
 
 // endTask has the node of a task report that it has ended.
 func (play *adoptionPlay) endTask(number int, cause protocol.Cause) {
-	msg := newMessage(protocol.Stop, protocol.ID(number), cause)
-	play.core.ReceiveFromNode(play.now, nodeID(play.nodeOf(number)), &msg)
+	play.reportEnd(nodeID(play.nodeOf(number)), protocol.ID(number), cause)
 	play.carryOutEffects()
 }
 
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -96,7 +96,7 @@
 	for name, kind := range map[string]placer.ActionKind{"reject": placer.Reject, "fail": placer.Fail, "migrate": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
-			harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
+			harness.migrate(attempt)
 			harness.core.Ready()
 
 			harness.core.execute(&placer.Action{Kind: kind, Task: attempt.request.taskID})
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -20,21 +20,12 @@
 func TestSpreadCountsAttemptsAndRunningTasks(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(1))
 	adoptTask(placer, 900, 1, 1)
-	task := newTask(1, 1)
-	task.Service = 5
-	sent := startedAttempt(t, arrive(placer, 100.1, task))
-	task.ID = 2
-	if actions := arrive(placer, 100.2, task); len(actionsOfKind(actions, StartAttempt)) != 0 {
-		t.Fatal("a third task of the service on one node")
-	}
+	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOf(5, 1, 1)))
+	requireNoAttempt(t, arrive(placer, 100.2, newTaskOf(5, 2, 1)), "two tasks of the service are on the only node")
 	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: sent.Task}, nil) // the attempt is still outstanding and counts
-	task.ID = 3
-	if actions := arrive(placer, 100.4, task); len(actionsOfKind(actions, StartAttempt)) != 0 {
-		t.Fatal("an attempt without an outcome did not count")
-	}
+	requireNoAttempt(t, arrive(placer, 100.4, newTaskOf(5, 3, 1)), "an attempt without an outcome counts")
 	endAttempt(placer, 100.5, sent, Cancelled, NoReason)
-	task.ID = 4
-	startedAttempt(t, arrive(placer, 100.6, task))
+	startedAttempt(t, arrive(placer, 100.6, newTaskOf(5, 4, 1)))
 }
 
 // A node evicts tasks when its memory in use, not the memory requested, is full.
@@ -44,9 +35,7 @@
 	nodes := testNodes(1)
 	nodes[0].FreeMemory = 2
 	placer := newTestPlacer(t, config, 1, nodes)
-	if actions := arrive(placer, 100.1, newTask(1, 0)); len(actionsOfKind(actions, StartAttempt)) != 0 {
-		t.Fatal("attempt on a node whose memory is nearly in use")
-	}
+	requireNoAttempt(t, arrive(placer, 100.1, newTask(1, 0)), "the node's memory is nearly all in use")
 	placer.capacity.memoryUsage.mean = 0.5 // tasks use half of what they request
 	startedAttempt(t, arrive(placer, 100.2, newTask(2, 0)))
 }
