--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -5,10 +5,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
 	"heathshed/internal/config"
+	"heathshed/internal/kube/engine"
 	"heathshed/internal/lab/labconfig"
 	"heathshed/internal/testsupport/goldentest"
 )
@@ -19,27 +21,26 @@
 // TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones. What is derived from the good files has a golden
 // file of its own, which holds no names of settings.
 func TestCharacterizeSettings(t *testing.T) {
-	r := goldentest.NewRecorder()
-	derived := goldentest.NewRecorder()
-	s := config.Default()
-	text, err := s.Text()
+	printed, derived := goldentest.NewRecorder(), goldentest.NewRecorder()
+	defaults := config.Default()
+	text, err := defaults.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range strings.Split(string(text), "\n") {
-		r.Line("%s", line)
+		printed.Line("%s", line)
 	}
 	for i, file := range settingsFiles(string(text)) {
 		parsed, err := config.Parse("f", []byte(file))
-		r.Line("%.90q: %v", file, err)
+		printed.Line("%.90q: %v", file, err)
 		if err == nil {
-			recordPrinted(t, r, &parsed)
+			recordPrinted(t, printed, &parsed)
 			recordDerived(derived, i, &parsed)
 		}
 	}
 	_, err = config.Load(filepath.Join(t.TempDir(), "missing"))
-	r.Line("missing file: %v", err != nil)
-	r.Check(t, "settings")
+	printed.Line("missing file: %v", err != nil)
+	printed.Check(t, "settings")
 	derived.Check(t, "derived")
 }
 
@@ -59,84 +60,120 @@
 	derived.Check(t, "derived")
 }
 
+// classFile returns the text of a file with one class, which has the given fields beside its name, and is the default.
+func classFile(fields string) string {
+	return `{"classes": [{"name": "a", ` + fields + `}], "defaultClass": "a"}`
+}
+
 // settingsFiles are valid files, and the default with one field after the other replaced by values of the wrong kind or out of range.
 func settingsFiles(text string) []string {
-	out := []string{"", "{}", "// c\n{ /* d */ \"name\": \"a\", }", `{"naem": "a"}`, "{\n\"name\": \"a\",\n\"name\": \"b\"}", `{"name": }`, "[]", "3",
+	const classTail = `, "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1`
+	const node, idempotent = `{"name": "k", "cores": 4, "memory": 8}`, `"effect": "idempotent"`
+	files := []string{
+		"", "{}", "// c\n{ /* d */ \"name\": \"a\", }", `{"naem": "a"}`, "{\n\"name\": \"a\",\n\"name\": \"b\"}", `{"name": }`, "[]", "3",
 		`{"peers": 1.5}`, `{"peers": 2, "self": 2}`, `{"classes": []}`, `{"kinds": []}`, `{"defaultClass": "x"}`, `{"logLevel": "loud"}`,
-		`{"tenants": [{"name": "a", "share": 0.6, "cores": 4}, {"name": "b", "share": 0.4}]}`, `{"tenants": [{"name": "a"}, {"name": "a"}]}`,
-		`{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`, `{"tenants": [{"name": "a", "share": -1}]}`,
-		`{"classes": [{"name": "a", "effect": "idempotent", "aim": 1}], "defaultClass": "a"}`, `{"classes": [{"name": "x", "effect": "maybe"}]}`,
-		`{"classes": [{"name": "a", "effect": "deduplicated", "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1}], "defaultClass": "a"}`,
-		`{"classes": [{"name": "a", "effect": "idempotent", "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1, "nodeKind": "x"}], "defaultClass": "a"}`,
-		`{"classes": [{"name": "a", "effect": "idempotent", "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1, "apartBy": "rack"}], "defaultClass": "a"}`,
-		`{"kinds": [{"name": "k", "cores": 4, "memory": 8}, {"name": "k", "cores": 4, "memory": 8}]}`, `{"kinds": [{"name": "k", "cores": 0, "memory": 8}]}`,
-		`{"kinds": [{"name": "k", "cores": 4, "memory": 8}], "standin": {"zones": 3, "racks": 4}, "self": 1, "peers": 3}`, `{"standin": 1}`,
-		`{"gate": {"on": false}}`, `{"gate": {"on": 1}}`, `{"rules": null}`, text}
+		`{"tenants": [{"name": "a", "share": 0.6, "cores": 4}, {"name": "b", "share": 0.4}]}`,
+		`{"tenants": [{"name": "a"}, {"name": "a"}]}`,
+		`{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`,
+		`{"tenants": [{"name": "a", "share": -1}]}`,
+		classFile(idempotent + `, "aim": 1`), `{"classes": [{"name": "x", "effect": "maybe"}]}`, classFile(`"effect": "deduplicated"` + classTail),
+		classFile(idempotent + classTail + `, "nodeKind": "x"`), classFile(idempotent + classTail + `, "apartBy": "rack"`),
+		`{"kinds": [` + node + `, ` + node + `]}`, `{"kinds": [{"name": "k", "cores": 0, "memory": 8}]}`,
+		`{"kinds": [` + node + `], "standin": {"zones": 3, "racks": 4}, "self": 1, "peers": 3}`,
+		`{"standin": 1}`, `{"gate": {"on": false}}`, `{"gate": {"on": 1}}`, `{"rules": null}`, text,
+	}
 	for _, line := range strings.Split(text, "\n") {
+		name, _, found := strings.Cut(line, ": ")
+		if !found || strings.HasSuffix(line, "{") || strings.HasSuffix(line, "[") {
+			continue
+		}
 		for _, value := range []string{"-1", "1e300", `"x"`, "true"} {
-			if name, _, found := strings.Cut(line, ": "); found && !strings.HasSuffix(line, "{") && !strings.HasSuffix(line, "[") {
-				changed := name + ": " + value
-				if strings.HasSuffix(line, ",") {
-					changed += ","
-				}
-				out = append(out, strings.Replace(text, line, changed, 1))
+			changed := name + ": " + value
+			if strings.HasSuffix(line, ",") {
+				changed += ","
 			}
+			files = append(files, strings.Replace(text, line, changed, 1))
 		}
 	}
-	return out
+	return files
 }
 
 // recordPrinted records the printed form of settings.
-func recordPrinted(t *testing.T, r *goldentest.Recorder, s *config.Settings) {
+func recordPrinted(t *testing.T, record *goldentest.Recorder, settings *config.Settings) {
 	t.Helper()
-	text, err := s.Text()
+	text, err := settings.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Bytes(text)
-	r.Checkpoint("  printed")
+	record.Bytes(text)
+	record.Checkpoint("  printed")
 }
 
 // recordDerived records what is derived from the settings of the file with an index, floats by their bits: emulated nodes, priorities,
 // lifetimes and the engine's configuration.
-func recordDerived(r *goldentest.Recorder, file int, s *config.Settings) {
+func recordDerived(record *goldentest.Recorder, file int, settings *config.Settings) {
 	for i := range 9 {
-		emulated := labconfig.NodeAt(s, i)
-		node := emulated.Sim
-		r.Texts(emulated.NodeType, emulated.Rack, emulated.Zone)
-		r.Floats(node.Cores, node.Memory, node.Overcommit.Cores, node.Overcommit.Memory)
-		r.Floats(float64(node.Decisions.DelayMin), float64(node.Decisions.DelayMax), float64(node.Starts.Duration), node.Starts.UncachedFactor)
-		r.Floats(node.WarmUp.InitialPace, float64(node.WarmUp.Duration))
-		r.Floats(node.Overload.Factor, float64(node.Overload.Window), node.Overload.MinRequests)
-		r.Floats(float64(node.LifetimeMean), node.Usage.Min, node.Usage.Max, float64(node.DrainGrace), float64(node.TerminatedRetention))
-		r.Integers(int64(node.Decisions.MaxQueued), int64(node.Starts.MaxConcurrent), int64(node.Starts.ProgramCacheSize), int64(node.Seed))
-		r.Booleans(node.AnswerWhenRunning, node.Preempts, node.Cold)
+		recordNode(record, labconfig.NodeAt(settings, i))
 	}
-	priorities, _ := json.Marshal(labconfig.Priorities(s))
-	lifetimes, _ := json.Marshal(labconfig.Lifetimes(s))
-	r.Bytes(priorities)
-	r.Bytes(lifetimes)
-	engineConfig := s.Engine(7, 11)
-	controller, retryPolicy, policy := engineConfig.Admission, engineConfig.Retry, engineConfig.Placer
-	r.Floats(controller.MinInFlight, controller.MaxInFlight, controller.InitialInFlight, controller.DecreaseFactor, float64(controller.DecreaseInterval), controller.LateFraction, controller.RetryRatio, controller.RetryRate, controller.RetryBurst,
-		float64(retryPolicy.Delay), float64(retryPolicy.ShortDelay), retryPolicy.Multiplier, float64(retryPolicy.MaxDelay), float64(retryPolicy.UnknownOutcomeTimeout), float64(engineConfig.FinishedTTL), float64(engineConfig.NodeLossTimeout), policy.Overcommit.Cores, policy.Overcommit.Memory, float64(policy.Attempts.ConnectTimeout), float64(policy.Attempts.AnswerGrace),
-		float64(policy.Attempts.DrainGrace), policy.SlowStart.MinPace, float64(policy.SlowStart.Duration), policy.SlowStart.OverloadMultiple, float64(policy.SlowStart.OverloadWindow), policy.SlowStart.MaxAttempts, float64(policy.Retry.UnknownOutcomeWait), policy.Costs.Node, policy.Costs.CrossZone,
-		policy.Costs.Migration, policy.OverQuotaWeight)
-	r.Integers(int64(controller.MaxQueued), engineConfig.MaxHistory, engineConfig.MaxObjects, int64(engineConfig.History), int64(engineConfig.MaxPods), int64(engineConfig.DefaultClass), int64(engineConfig.Seed), engineConfig.BaseRevision,
-		int64(policy.Peers.Self), int64(policy.Peers.Total), int64(policy.Attempts.Max))
-	r.Booleans(controller.Disabled, policy.NodeBehavior.AcknowledgesOnStart, policy.NodeBehavior.ListShowsCapacity, policy.NodeBehavior.ReportsUsage, policy.NodeBehavior.Preempts)
-	for i, k := range policy.Classes {
-		r.Texts(engineConfig.Classes[i])
-		r.Floats(float64(k.DedupWindow), float64(k.LatencyObjective), float64(k.Deadline), k.Weight, k.LateWeight, float64(k.StartBonus), k.SaturationThreshold, k.DegradationRange)
-		r.Integers(int64(k.Idempotency), int64(k.DedupDomain), int64(k.Priority), int64(k.NodeType), int64(k.SpreadDomain), int64(k.MaxPerDomain))
+	priorities, _ := json.Marshal(labconfig.Priorities(settings))
+	lifetimes, _ := json.Marshal(labconfig.Lifetimes(settings))
+	record.Bytes(priorities)
+	record.Bytes(lifetimes)
+	recordEngine(record, settings.Engine(7, 11))
+	record.Checkpoint(fmt.Sprintf("file %d derived", file))
+}
+
+// recordValues records values in their order, each by its kind.
+func recordValues(record *goldentest.Recorder, values ...any) {
+	for _, value := range values {
+		switch reflected := reflect.ValueOf(value); reflected.Kind() {
+		case reflect.Float64:
+			record.Floats(reflected.Float())
+		case reflect.Bool:
+			record.Booleans(reflected.Bool())
+		case reflect.String:
+			record.Texts(reflected.String())
+		case reflect.Int, reflect.Int64:
+			record.Integers(reflected.Int())
+		default:
+			record.Integers(int64(reflected.Uint())) // panics if it is of another kind
+		}
+	}
+}
+
+func recordNode(record *goldentest.Recorder, emulated labconfig.EmulatedNode) {
+	node := emulated.Sim
+	recordValues(record, emulated.NodeType, emulated.Rack, emulated.Zone, node.Cores, node.Memory, node.Overcommit.Cores, node.Overcommit.Memory)
+	recordValues(record, node.Decisions.DelayMin, node.Decisions.DelayMax, node.Starts.Duration, node.Starts.UncachedFactor)
+	recordValues(record, node.WarmUp.InitialPace, node.WarmUp.Duration, node.Overload.Factor, node.Overload.Window, node.Overload.MinRequests)
+	recordValues(record, node.LifetimeMean, node.Usage.Min, node.Usage.Max, node.DrainGrace, node.TerminatedRetention)
+	recordValues(record, node.Decisions.MaxQueued, node.Starts.MaxConcurrent, node.Starts.ProgramCacheSize, node.Seed)
+	recordValues(record, node.AnswerWhenRunning, node.Preempts, node.Cold)
+}
+
+func recordEngine(record *goldentest.Recorder, derived engine.Config) {
+	limits, retries, policy := derived.Admission, derived.Retry, derived.Placer
+	attempts, slowStart, behavior := policy.Attempts, policy.SlowStart, policy.NodeBehavior
+	recordValues(record, limits.MinInFlight, limits.MaxInFlight, limits.InitialInFlight, limits.DecreaseFactor, limits.DecreaseInterval)
+	recordValues(record, limits.LateFraction, limits.RetryRatio, limits.RetryRate, limits.RetryBurst)
+	recordValues(record, retries.Delay, retries.ShortDelay, retries.Multiplier, retries.MaxDelay, retries.UnknownOutcomeTimeout)
+	recordValues(record, derived.FinishedTTL, derived.NodeLossTimeout, policy.Overcommit.Cores, policy.Overcommit.Memory)
+	recordValues(record, attempts.ConnectTimeout, attempts.AnswerGrace, attempts.DrainGrace)
+	recordValues(record, slowStart.MinPace, slowStart.Duration, slowStart.OverloadMultiple, slowStart.OverloadWindow, slowStart.MaxAttempts)
+	recordValues(record, policy.Retry.UnknownOutcomeWait)
+	recordValues(record, policy.Costs.Node, policy.Costs.CrossZone, policy.Costs.Migration, policy.OverQuotaWeight)
+	recordValues(record, limits.MaxQueued, derived.MaxHistory, derived.MaxObjects, derived.History, derived.MaxPods)
+	recordValues(record, derived.DefaultClass, derived.Seed, derived.BaseRevision, policy.Peers.Self, policy.Peers.Total, attempts.Max)
+	recordValues(record, limits.Disabled, behavior.AcknowledgesOnStart, behavior.ListShowsCapacity, behavior.ReportsUsage, behavior.Preempts)
+	for i, class := range policy.Classes {
+		recordValues(record, derived.Classes[i], class.DedupWindow, class.LatencyObjective, class.Deadline, class.Weight, class.LateWeight)
+		recordValues(record, class.StartBonus, class.SaturationThreshold, class.DegradationRange)
+		recordValues(record, class.Idempotency, class.DedupDomain, class.Priority, class.NodeType, class.SpreadDomain, class.MaxPerDomain)
 	}
-	for i, k := range policy.NodeTypes {
-		r.Texts(engineConfig.NodeTypes[i])
-		r.Floats(k.Cores, k.Memory)
+	for i, nodeType := range policy.NodeTypes {
+		recordValues(record, derived.NodeTypes[i], nodeType.Cores, nodeType.Memory)
 	}
-	for i, k := range policy.Tenants {
-		r.Texts(engineConfig.Tenants[i])
-		r.Floats(k.Share, k.Cores)
+	for i, tenant := range policy.Tenants {
+		recordValues(record, derived.Tenants[i], tenant.Share, tenant.Cores)
 	}
-	r.Checkpoint(fmt.Sprintf("file %d derived", file))
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,8 +6,23 @@
 	"testing"
 )
 
+// parseErrorCase is a text of settings with the error of its decoding.
+type parseErrorCase struct{ name, text, want string }
+
+// checkParseErrors decodes the texts and compares the complete texts of the errors.
+func checkParseErrors(t *testing.T, cases []parseErrorCase) {
+	t.Helper()
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := Parse("f", []byte(test.text)); err == nil || err.Error() != test.want {
+				t.Errorf("%v\nwant %s", err, test.want)
+			}
+		})
+	}
+}
+
 func TestErrorsNameTheirPosition(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"nothing", `{}`, ""},
 		{"comments", "// c\n{\n  /* d */ \"name\": \"a\", // e\n}\n", ""},
 		{"unknown", "{\n  \"naem\": \"a\"\n}", "f:2:3: naem: no such setting"},
@@ -26,21 +41,22 @@
 		{"not loopback", `{"listen": "0.0.0.0:80"}`, "f:1:12: listen"},
 		{"self", `{"peers": 2, "self": 2}`, "f:1:22: self: want 0 to 1"},
 		{"default class", `{"defaultClass": "x"}`, "f:1:18: defaultClass"},
-		{"absent field of a class", `{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1}], "defaultClass": "a"}`, "classes[0].deadline"},
+		{"absent field of a class", `{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1}], "defaultClass": "a"}`,
+			"classes[0].deadline"},
 		{"broken", "{\n  \"name\": }", "f:"},
 		{"shares", `{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`, "tenants[1].share"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("f", []byte(c.text))
-			if c.want == "" {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Parse("f", []byte(test.text))
+			if test.want == "" {
 				if err != nil {
 					t.Error(err)
 				}
 				return
 			}
 			var positioned *Error
-			if !errors.As(err, &positioned) || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want an *Error with %q", err, c.want)
+			if !errors.As(err, &positioned) || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want an *Error with %q", err, test.want)
 			}
 		})
 	}
@@ -48,7 +64,7 @@
 
 // Settings that are not read from a file have no position: the error names the setting.
 func TestValidateNamesTheField(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(*Settings)
 		want   FieldError
@@ -57,15 +73,15 @@
 		{"number", func(s *Settings) { s.Retry.Delay = 0 }, FieldError{"retry.delay", "0s: want 1s to 1h"}},
 		{"element", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 1h at most"}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := Default()
-			c.change(&s)
+			test.change(&s)
 			err := s.Validate()
 			var field *FieldError
-			if !errors.As(err, &field) || *field != c.want {
-				t.Fatalf("%v, want %+v", err, c.want)
+			if !errors.As(err, &field) || *field != test.want {
+				t.Fatalf("%v, want %+v", err, test.want)
 			}
-			if want := "settings: " + c.want.Path + ": " + c.want.Reason; err.Error() != want {
+			if want := "settings: " + test.want.Path + ": " + test.want.Reason; err.Error() != want {
 				t.Errorf("%q, want %q", err, want)
 			}
 		})
--- a/internal/config/duration_test.go
+++ b/internal/config/duration_test.go
@@ -11,7 +11,7 @@
 
 // A duration is read from a string with a unit or from a number of seconds, and printed so that the same duration is read again.
 func TestDurationForms(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, text string
 		want       Duration
 		printed    string
@@ -31,17 +31,18 @@
 		{"number below a nanosecond", `1e-10`, 1e-10, `1e-10`},
 		{"number of more than 292 years", `1e+300`, 1e300, `1e+300`},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			settings, err := Parse("f", []byte(`{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1, "deadline": 1, "saturationThreshold": 1, "meanLifetime": `+c.text+`}], "defaultClass": "a"}`))
+		t.Run(test.name, func(t *testing.T) {
+			const class = `"name": "a", "idempotency": "idempotent", "latencyObjective": 1, "deadline": 1, "saturationThreshold": 1`
+			settings, err := Parse("f", []byte(`{"classes": [{`+class+`, "meanLifetime": `+test.text+`}], "defaultClass": "a"}`))
 			if err != nil {
 				t.Fatal(err)
 			}
 			got := settings.Classes[0].MeanLifetime
-			if got != c.want {
-				t.Errorf("%v seconds, want %v", float64(got), float64(c.want))
+			if got != test.want {
+				t.Errorf("%v seconds, want %v", float64(got), float64(test.want))
 			}
-			if printed, err := json.Marshal(got); err != nil || string(printed) != c.printed {
-				t.Errorf("printed as %s (%v), want %s", printed, err, c.printed)
+			if printed, err := json.Marshal(got); err != nil || string(printed) != test.printed {
+				t.Errorf("printed as %s (%v), want %s", printed, err, test.printed)
 			}
 		})
 	}
@@ -50,20 +51,13 @@
 // A string that is no duration is an error, not zero.
 func TestBadDurations(t *testing.T) {
 	const want = `, want a duration such as "250ms", or a number of seconds`
-	for _, c := range []struct{ name, text, want string }{
-		{"no unit", `"5"`, "f:1:20: nodeSyncTimeout: 5" + want},
-		{"unknown unit", `"5 parsecs"`, "f:1:20: nodeSyncTimeout: 5 parsecs" + want},
-		{"empty", `""`, "f:1:20: nodeSyncTimeout: " + want},
-		{"boolean", `true`, "f:1:20: nodeSyncTimeout: true" + want},
-		{"out of range", `"11m"`, "f:1:20: nodeSyncTimeout: 11m: want 0s to 10m"},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("f", []byte(`{"nodeSyncTimeout":`+c.text+`}`))
-			if err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
-			}
-		})
-	}
+	checkParseErrors(t, []parseErrorCase{
+		{"no unit", `{"nodeSyncTimeout":"5"}`, "f:1:20: nodeSyncTimeout: 5" + want},
+		{"unknown unit", `{"nodeSyncTimeout":"5 parsecs"}`, "f:1:20: nodeSyncTimeout: 5 parsecs" + want},
+		{"empty", `{"nodeSyncTimeout":""}`, "f:1:20: nodeSyncTimeout: " + want},
+		{"boolean", `{"nodeSyncTimeout":true}`, "f:1:20: nodeSyncTimeout: true" + want},
+		{"out of range", `{"nodeSyncTimeout":"11m"}`, "f:1:20: nodeSyncTimeout: 11m: want 0s to 10m"},
+	})
 }
 
 // A text with a unit gives the same floating point number as the same decimal number of seconds, with up to nine decimals.
@@ -88,7 +82,7 @@
 }
 
 func TestDurationLimits(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		seconds Duration
 		want    time.Duration
@@ -97,9 +91,9 @@
 		{"too long", 1e300, math.MaxInt64},
 		{"too long a time ago", -1e300, math.MinInt64},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := c.seconds.Duration(); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.seconds.Duration(); got != test.want {
+				t.Errorf("%d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -215,7 +215,7 @@
 
 // A setting that is given under both of its names is an error that names both lines.
 func TestBothNamesOfASetting(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	checkParseErrors(t, []parseErrorCase{
 		{"former name first", "{\n\"heardWithin\": 1,\n\"nodeSyncTimeout\": 1}",
 			`f:3:1: nodeSyncTimeout: given twice, as "heardWithin" in line 2 and as "nodeSyncTimeout" in line 3`},
 		{"present name first", "{\n\"nodeSyncTimeout\": 1,\n\n\"heardWithin\": 1}",
@@ -225,33 +225,26 @@
 		{"within a former section", "{\"gate\": {\n\"on\": true,\n\"enabled\": true}}",
 			`f:3:1: admission.enabled (given as gate.enabled): given twice, as "on" in line 2 and as "enabled" in line 3`},
 		{"a former name twice", "{\n\"heardWithin\": 1,\n\"heardWithin\": 1}", `f:3:1: nodeSyncTimeout (given as heardWithin): given twice`},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("f", []byte(c.text))
-			if err == nil || err.Error() != c.want {
-				t.Errorf("%v\nwant %s", err, c.want)
-			}
-		})
-	}
+	})
 }
 
 // A name that changed in one section is unknown in the others.
 func TestFormerNamesHoldInTheirSection(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"of a class at the top", `{"effect": 1}`, "f:1:2: effect: no such setting"},
 		{"of admission in retry", `{"retry": {"window": 1}}`, "f:1:12: retry.window: no such setting"},
 		{"value of another setting", `{"zone": "machine", "name": "all"}`, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			settings, err := Parse("f", []byte(c.text))
-			if c.want == "" {
+		t.Run(test.name, func(t *testing.T) {
+			settings, err := Parse("f", []byte(test.text))
+			if test.want == "" {
 				if err != nil || settings.Zone != "machine" || settings.Name != "all" {
 					t.Errorf("%q, %q, %v; want the values as they are", settings.Zone, settings.Name, err)
 				}
 				return
 			}
-			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+			if err == nil || !strings.HasPrefix(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
 			}
 		})
 	}
--- a/internal/lab/labconfig/characterization_test.go
+++ b/internal/lab/labconfig/characterization_test.go
@@ -14,7 +14,7 @@
 
 // TestCharacterizeScenarioScripts pins scripts of days and the errors of bad ones.
 func TestCharacterizeScenarioScripts(t *testing.T) {
-	r := goldentest.NewRecorder()
+	record := goldentest.NewRecorder()
 	directory := t.TempDir()
 	for i, text := range []string{`{}`, `{"seed": 4, "seconds": 50, "calm": 10}`, `{"trouble": [{"kind": "crash", "at": 5, "for": 3, "part": 0.5}]}`,
 		`{"trouble": [{"kind": "x"}]}`, `{"trouble": [{"kind": "crash", "at": -5}]}`, `{"nodes": 0}`, `{"schedulers": 0}`, `{"seconds": -1}`,
@@ -29,7 +29,7 @@
 			message = strings.ReplaceAll(err.Error(), directory, "")
 		}
 		encoded, _ := json.Marshal(script)
-		r.Line("%s: %s %s", text, message, encoded)
+		record.Line("%s: %s %s", text, message, encoded)
 	}
-	r.Check(t, "scripts")
+	record.Check(t, "scripts")
 }
