--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -24,7 +24,7 @@
 	// Engine executes the requests that change objects. If it is nil, the server is read-only.
 	Engine  *engine.Engine
 	Version string
-	// Ready returns why the scheduler takes no tasks, nil if it does.
+	// Ready returns the reason why the scheduler does not accept Jobs, nil if it accepts them.
 	Ready func() error
 	// Metrics returns the text of /metrics.
 	Metrics func() []byte
@@ -33,7 +33,7 @@
 
 	now      placer.Seconds // Unix time of the present request
 	watchers map[*watcher]struct{}
-	closing  bool // watches end, and none begins
+	closing  bool // CloseWatches was called
 }
 
 // Serve answers one request at a Unix time.
@@ -83,7 +83,7 @@
 	if !r.isWatch() {
 		return s.getObject(r)
 	}
-	// A watch of one object is one of a list that holds only that.
+	// A watch of one object is a watch of the list that contains only this object.
 	r.query.Set("fieldSelector", "metadata.name="+r.name)
 	r.name = ""
 	return s.listObjects(r)
@@ -109,7 +109,7 @@
 	return http1.Response{}, r.methodNotAllowed()
 }
 
-// servePost serves what is created: Jobs, and Evictions of Pods.
+// servePost serves the creation of Jobs and of Evictions of Pods.
 func (s *Server) servePost(r *request) (http1.Response, error) {
 	switch {
 	case r.resourceType.supports("create") && r.subresource == "" && r.name == "":
@@ -140,7 +140,7 @@
 	return http1.Response{}, false
 }
 
-// readyError returns why the scheduler takes no tasks, nil if it does.
+// readyError returns the reason why the scheduler does not accept Jobs, nil if it accepts them.
 func (s *Server) readyError() error {
 	if s.Ready == nil {
 		return nil
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -101,7 +101,7 @@
 	return response, nil
 }
 
-// selected returns the present objects that match a selector.
+// selected returns the stored objects that match a selector.
 func (s *Server) selected(selector *objectSelector) []store.Object {
 	var objects []store.Object
 	snapshot := s.Store.Snapshot(selector.resourceType.resource)
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -10,14 +10,14 @@
 	"heathshed/placer"
 )
 
-// Config holds the settings of an Engine.
+// Config configures an Engine.
 type Config struct {
 	// Name identifies this scheduler. Nodes store it with each Pod.
 	Name string
 
 	Placer       placer.Config
 	Classes      []string // names of Placer.Classes, in their order
-	DefaultClass int      // index of the class of tasks that name none
+	DefaultClass int      // index of the class of tasks without the label wellknown.Class
 	NodeTypes    []string // names of Placer.NodeTypes, in their order
 	Tenants      []string // namespaces of Placer.Tenants, in their order; if empty, every namespace is accepted
 	Zone         string   // topology zone of this scheduler
@@ -27,14 +27,14 @@
 	Seed      uint64           // of the random source
 
 	BaseRevision int64 // resource versions begin above this
-	History      int   // changes kept per table for watches
+	History      int   // changes kept per table of the store for watches
 	MaxHistory   int64 // bytes of changes kept for watches, as store.Cost counts; 0 means no limit
 	MaxPods      int   // Pods stored or pending at a time; further Jobs are rejected
 	MaxObjects   int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
 
-	// FinishedTTL is how long a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
+	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
 	FinishedTTL placer.Seconds
-	// NodeLossTimeout is how long a node may be absent from the inventory and unresponsive before its tasks count as lost.
+	// NodeLossTimeout is the time for which a node may be absent from the inventory and unresponsive before its tasks count as lost.
 	NodeLossTimeout placer.Seconds
 	// MaxStartsPerCall limits the tasks that one call starts. The rest are started by the next calls.
 	MaxStartsPerCall int
@@ -49,7 +49,7 @@
 	DefaultMaxStartsPerCall = 256
 )
 
-// validate reports the first setting that cannot be used.
+// validate returns an error about the first invalid setting.
 func (c *Config) validate() error {
 	if len(c.Classes) != len(c.Placer.Classes) {
 		return fmt.Errorf("engine: %d class names for %d classes", len(c.Classes), len(c.Placer.Classes))
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// setDefaults fills in the settings that were left at zero, and those of the admission controller that follow from others.
+// setDefaults sets the settings that are zero to their defaults, and derives the shares of the admission controller.
 func (c *Config) setDefaults() {
 	setIfUnset(&c.History, DefaultHistory)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
@@ -90,7 +90,7 @@
 	}
 }
 
-// classFromLabels returns the index of the class that a pod template names.
+// classFromLabels returns the index of the class in the labels of a pod template, or the default class.
 func (c *Config) classFromLabels(labels map[string]string) (int, *InvalidError) {
 	name, ok := labels[wellknown.Class]
 	if !ok {
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -10,14 +10,15 @@
 	"heathshed/placer"
 )
 
-// job is a Job with its tasks, one for each completion index.
+// job is the state of a Job with its tasks, one for each completion index. The parts that create, start, update and delete Jobs change it through
+// its methods.
 type job struct {
 	placementSpec        // of each task
 	key           string // store.Key of the Job
 	uid           types.UID
 	object        *batchv1.Job // as stored; never changed
 	podCost       int64        // of each Pod, as store.Cost counts
-	manifestText  string       // cache of manifest; "" if it must be made
+	manifestText  string       // cached result of manifest; "" if there is none
 
 	indexes indexTable
 	pods    map[string]struct{} // names of the stored Pods
@@ -37,7 +38,7 @@
 	ttlTimer      *timer // ttlSecondsAfterFinished
 }
 
-// valueOr returns what a pointer points to, or another value if it is nil.
+// valueOr returns the value of a pointer, or another value if the pointer is nil.
 func valueOr[T any](pointer *T, otherwise T) T {
 	if pointer == nil {
 		return otherwise
@@ -48,7 +49,7 @@
 // defaultBackoffLimit is the backoffLimit of Jobs that set none, as in Kubernetes.
 const defaultBackoffLimit = 6
 
-// taskCount returns how many completion indexes a Job has.
+// taskCount returns the number of completion indexes of a Job.
 func taskCount(object *batchv1.Job) int {
 	return int(valueOr(object.Spec.Completions, valueOr(object.Spec.Parallelism, 1)))
 }
@@ -59,7 +60,7 @@
 	return int(valueOr(j.object.Spec.BackoffLimit, defaultBackoffLimit))
 }
 
-// cost returns what the Job and all its Pods cost, as store.Cost counts.
+// cost returns the cost of the Job and all its Pods, as store.Cost counts.
 func (j *job) cost() int64 { return j.podCost * int64(1+j.indexes.len()) }
 
 // manifest returns the Job in the form that nodes store with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if the
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -5,8 +5,8 @@
 	"heathshed/placer"
 )
 
-// rerunWindow is how far ahead package retry may choose the start of a task whose predecessor has ended: no deadline
-// applies, since the outcome of the index is known.
+// rerunWindow is the time within which package retry may choose the start of a task whose predecessor has ended. No other deadline applies,
+// since the outcome of the index is known.
 const rerunWindow placer.Seconds = 3600
 
 // scheduleRerun sets a timer that starts an index again after its task ended without success. It returns false if the index is not started
@@ -20,7 +20,7 @@
 	if cause == retry.Migrated || task.isStopping() {
 		budget = max(budget, 1) // a stop that this scheduler ordered does not use up the budget
 	}
-	// The end of the task is known: only the time of its start is left to choose.
+	// The task has certainly ended, so the retry policy need only choose the time of the next start.
 	decision, at := s.cfg.Retry.Next(retry.State{
 		Idempotency: placer.Idempotent,
 		Cause:       cause,
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -11,7 +11,8 @@
 	"heathshed/placer"
 )
 
-// node is a node as this scheduler knows it.
+// node is this scheduler's record of a node: what the inventory states, what the node itself reports, the tasks that run there, and the API's
+// updates of its Node.
 type node struct {
 	name    string
 	id      placer.NodeID
@@ -20,12 +21,12 @@
 
 	inventory         *corev1.Node   // as last listed; nil once the node is removed
 	reportedToPlacer  bool           // state was reported to the placer
-	absentSince       placer.Seconds // when the node became absent from the inventory or, absent, unresponsive
+	absentSince       placer.Seconds // when its state became Terminated or, in that state, its Pods were no longer watched
 	listedIncarnation string         // according to the inventory
 	listedStartedAt   placer.Seconds // its start by this scheduler's clock; 0 is long ago
 
 	podsWatched      bool     // the node's Pods were listed and are watched
-	incarnation      string   // as the node itself states
+	incarnation      string   // according to the node itself
 	pastIncarnations []string // late messages from them are ignored
 
 	running         map[types.UID]*task
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -5,7 +5,7 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// podController deletes and evicts Pods.
+// podController deletes and evicts Pods. It is stateless.
 type podController struct {
 	tasks         *taskTable
 	lifecycle     *taskLifecycle
@@ -27,7 +27,7 @@
 	return pod, nil
 }
 
-// find returns the Pod of a name as it is stored. The error is ErrNotFound, or ErrConflict if it is not the one that the caller means.
+// find returns the stored Pod with a name. The error is ErrNotFound, or ErrConflict if its UID or resource version is not the required one.
 func (c *podController) find(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	pod := c.publisher.storedPod(namespace, name)
 	if pod == nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// delete stops a Pod's task, if it has one that has not ended, and removes the Pod.
+// delete stops the task of a Pod and marks the Pod as deleted: it is removed once the task has ended. A Pod without a task is removed at once.
 func (c *podController) delete(pod *corev1.Pod, reason stopReason) {
 	task := c.tasks.get(pod.UID)
 	if task == nil {
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -19,12 +19,12 @@
 	p.store.Delete(store.Jobs, object.Namespace, object.Name)
 }
 
-// storedJob returns a Job that is stored.
+// storedJob returns a stored Job, which must exist.
 func (p *publisher) storedJob(namespace, name string) *batchv1.Job {
 	return p.store.Get(store.Jobs, namespace, name).(*batchv1.Job)
 }
 
-// storedNode returns a Node as it is stored, nil if it is not.
+// storedNode returns the stored Node with a name, nil if there is none.
 func (p *publisher) storedNode(name string) *corev1.Node {
 	stored, _ := p.store.Get(store.Nodes, "", name).(*corev1.Node)
 	return stored
@@ -34,7 +34,7 @@
 
 func (p *publisher) deletePod(namespace, name string) { p.store.Delete(store.Pods, namespace, name) }
 
-// storedPod returns a Pod as it is stored, nil if it is not.
+// storedPod returns the stored Pod with a name, nil if there is none.
 func (p *publisher) storedPod(namespace, name string) *corev1.Pod {
 	stored, _ := p.store.Get(store.Pods, namespace, name).(*corev1.Pod)
 	return stored
@@ -83,33 +83,33 @@
 // objectCost returns the cost of the stored objects, as store.Cost counts.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
 
-// publishPlaced shows the outcome of a task that a node has accepted.
+// publishPlaced stores the outcome of a task that a node has accepted.
 func (p *publisher) publishPlaced(task *task, message string) {
 	node := task.attempts.running.node.name
 	p.updatePod(task, func(pod *corev1.Pod) { showPlaced(pod, p.apiNow(), node, message) })
 }
 
-// publishUnplaced shows the outcome of a task that no node has accepted.
+// publishUnplaced stores the outcome of a task that no node has accepted.
 func (p *publisher) publishUnplaced(task *task, outcome taskOutcome, message string) {
 	p.updatePod(task, func(pod *corev1.Pod) { showUnplaced(pod, p.apiNow(), outcome, message) })
 }
 
-// publishNodeName shows the node of a task whose outcome was published before.
+// publishNodeName stores the node of a task whose outcome was published before.
 func (p *publisher) publishNodeName(task *task, node string) {
 	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = node })
 }
 
-// publishStarted shows that the containers of a task run.
+// publishStarted stores that the containers of a task run.
 func (p *publisher) publishStarted(task *task) {
 	p.updatePod(task, func(pod *corev1.Pod) { showStarted(pod, p.apiNow()) })
 }
 
-// publishEnded shows how a task ended.
+// publishEnded stores how a task ended.
 func (p *publisher) publishEnded(task *task, end *taskEnd) {
 	p.updatePod(task, func(pod *corev1.Pod) { showEnded(pod, p.apiNow(), end) })
 }
 
-// publishDeleted shows that a Pod was deleted and waits for the end of its task.
+// publishDeleted stores that a Pod was deleted and waits for the end of its task.
 func (p *publisher) publishDeleted(task *task) {
 	p.updatePod(task, func(pod *corev1.Pod) { showDeleted(pod, p.apiNow()) })
 }
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -12,7 +12,7 @@
 	"heathshed/placer"
 )
 
-// podIdentity names the Pod of a task. Without a name it is known by its UID only.
+// podIdentity identifies the Pod of a task. The namespace and the name are empty if only the UID is known.
 type podIdentity struct {
 	uid             types.UID
 	namespace, name string
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -68,6 +68,7 @@
 	return p.actions
 }
 
+// planner collects the actions of a plan. rng is the random sequence of the faults first, then that of the load.
 type planner struct {
 	script  *Script
 	nodes   []Node
