--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -28,6 +28,7 @@
 
 func TestTaskTransitions(t *testing.T) {
 	newMachine := func(t *testing.T) machine[taskState] {
+		t.Helper()
 		engine, walked := newEngine(t), &task{podIdentity: podIdentity{uid: "u"}}
 		return machine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
 	}
