--- a/internal/lab/faultinjection/action.go
+++ b/internal/lab/faultinjection/action.go
@@ -60,9 +60,9 @@
 	case scenario.InjectNodeFault:
 		r.injectFault(ctx, action.Node, &action.NodeFault)
 	case scenario.CutInventory:
-		r.injectFault(ctx, inventoryName, &fault.Inventory{Unreachable: action.OutageSeconds})
+		r.injectFault(ctx, inventoryName, &fault.Inventory{Unreachable: float64(action.Outage)})
 	case scenario.KillScheduler:
-		r.restartScheduler(ctx, simulation.SchedulerName(action.Scheduler), clock.Duration(action.DowntimeSeconds))
+		r.restartScheduler(ctx, simulation.SchedulerName(action.Scheduler), clock.Duration(action.Downtime))
 	case scenario.DrainNode:
 		r.setDraining(ctx, action.Node, true)
 	case scenario.UndrainNode:
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -6,13 +6,16 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"heathshed/placer"
 )
 
 // service is a source of jobs of one class, size and lifetime, for one tenant and one scheduler.
 type service struct {
-	name, class, tenant     string
-	scheduler               int
-	cores, memory, lifetime float64
+	name, class, tenant string
+	scheduler           int
+	cores, memory       float64
+	lifetime            placer.Seconds
 }
 
 // addLoad draws services and their jobs, and the jobs that flushes delete and submit again.
@@ -45,7 +48,7 @@
 			scheduler: i % p.script.Schedulers,
 			cores:     roundSize(load.Cores * size),
 			memory:    roundSize(load.Memory * size),
-			lifetime:  load.Lifetime * (0.5 + p.rng.Float64()),
+			lifetime:  placer.Seconds(load.Lifetime * (0.5 + p.rng.Float64())),
 		})
 	}
 	return services
@@ -87,7 +90,7 @@
 		if !keep {
 			continue
 		}
-		jobs = append(jobs, Action{At: at, Kind: SubmitJob, Job: &Job{
+		jobs = append(jobs, Action{At: placer.Seconds(at), Kind: SubmitJob, Job: &Job{
 			Name:         jobName(len(jobs) + 1),
 			Namespace:    service.tenant,
 			Class:        service.class,
@@ -135,20 +138,21 @@
 // flushServices deletes the recent jobs of a fraction of the services and submits them again, under names that follow jobCount. It returns
 // the new count of jobs.
 func (p *planner) flushServices(spec *Fault, services []service, jobs []Action, jobCount int) int {
+	flushAt := placer.Seconds(spec.At)
 	flushed := map[string]bool{}
 	for i := range services {
 		flushed[services[i].name] = p.rng.Float64() < spec.Fraction
 	}
 	for _, action := range jobs {
-		recent := action.At <= spec.At && action.At >= spec.At-2*action.Job.Lifetime
+		recent := action.At <= flushAt && action.At >= flushAt-2*action.Job.Lifetime
 		if !recent || !flushed[action.Job.Service] {
 			continue
 		}
-		p.add(Action{At: spec.At, Kind: DeleteJob, Job: action.Job})
+		p.add(Action{At: flushAt, Kind: DeleteJob, Job: action.Job})
 		jobCount++
 		again := *action.Job
 		again.Name = jobName(jobCount)
-		p.add(Action{At: spec.At + 0.2 + spec.Duration*p.rng.Float64(), Kind: SubmitJob, Job: &again})
+		p.add(Action{At: flushAt + 0.2 + placer.Seconds(spec.Duration*p.rng.Float64()), Kind: SubmitJob, Job: &again})
 	}
 	return jobCount
 }
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"heathshed/internal/lab/emulator/fault"
+	"heathshed/placer"
 )
 
 // Seeds of the two random sequences of a plan, combined with the script's seed. The load does not depend on the random numbers of faults.
@@ -26,8 +27,8 @@
 	SubmitJob       ActionKind = iota + 1 // Job
 	DeleteJob                             // Job
 	InjectNodeFault                       // Node, NodeFault
-	CutInventory                          // OutageSeconds
-	KillScheduler                         // Scheduler, DowntimeSeconds
+	CutInventory                          // Outage
+	KillScheduler                         // Scheduler, Downtime
 	DrainNode                             // Node; ordered at every scheduler
 	UndrainNode                           // Node; ordered at every scheduler
 )
@@ -37,20 +38,21 @@
 	Name, Namespace, Class, Service string
 	Scheduler                       int // index of the scheduler to which it is submitted
 	Tasks                           int
-	Cores, Memory, Lifetime         float64 // of a task; memory in GiB, lifetime in seconds
+	Cores, Memory                   float64        // of a task; memory in GiB
+	Lifetime                        placer.Seconds // of a task
 	BackoffLimit                    int
 }
 
 // Action is one step of a plan.
 type Action struct {
-	At              float64 // seconds from the start
-	Kind            ActionKind
-	Job             *Job
-	Node            string
-	NodeFault       fault.Node
-	OutageSeconds   float64
-	Scheduler       int
-	DowntimeSeconds float64
+	At        placer.Seconds // from the start
+	Kind      ActionKind
+	Job       *Job
+	Node      string
+	NodeFault fault.Node
+	Outage    placer.Seconds
+	Scheduler int
+	Downtime  placer.Seconds
 }
 
 // Plan returns the actions of a script in order of time.
@@ -105,7 +107,7 @@
 func (p *planner) add(action Action) { p.actions = append(p.actions, action) }
 
 func (p *planner) inject(at float64, node Node, nodeFault fault.Node) {
-	p.add(Action{At: at, Kind: InjectNodeFault, Node: node.Name, NodeFault: nodeFault})
+	p.add(Action{At: placer.Seconds(at), Kind: InjectNodeFault, Node: node.Name, NodeFault: nodeFault})
 }
 
 // injectEach injects the same fault into the nodes of a spec, at its time.
@@ -150,7 +152,7 @@
 }
 
 func (p *planner) cutInventory(spec *Fault) {
-	p.add(Action{At: spec.At, Kind: CutInventory, OutageSeconds: spec.Duration})
+	p.add(Action{At: placer.Seconds(spec.At), Kind: CutInventory, Outage: placer.Seconds(spec.Duration)})
 }
 
 func (p *planner) pauseNodes(spec *Fault) {
@@ -204,8 +206,8 @@
 
 func (p *planner) drainNodes(spec *Fault) {
 	for _, node := range p.pickNodes(spec.Fraction, nil) {
-		p.add(Action{At: spec.At, Kind: DrainNode, Node: node.Name})
-		p.add(Action{At: spec.At + spec.Duration, Kind: UndrainNode, Node: node.Name})
+		p.add(Action{At: placer.Seconds(spec.At), Kind: DrainNode, Node: node.Name})
+		p.add(Action{At: placer.Seconds(spec.At + spec.Duration), Kind: UndrainNode, Node: node.Name})
 	}
 }
 
@@ -213,6 +215,7 @@
 	count := max(1, int(math.Round(max(spec.Fraction, 0.01)*float64(p.script.Schedulers))))
 	for i, scheduler := range p.rng.Perm(p.script.Schedulers)[:count] {
 		at := spec.At + spec.Duration*float64(i)/float64(count)
-		p.add(Action{At: at, Kind: KillScheduler, Scheduler: scheduler, DowntimeSeconds: 1 + p.rng.Float64()})
+		restartAfter := placer.Seconds(1 + p.rng.Float64())
+		p.add(Action{At: placer.Seconds(at), Kind: KillScheduler, Scheduler: scheduler, Downtime: restartAfter})
 	}
 }
--- a/internal/lab/scenario/script_test.go
+++ b/internal/lab/scenario/script_test.go
@@ -19,7 +19,7 @@
 			var submissions []float64
 			for _, action := range script.Plan(nodes) {
 				if action.Kind == SubmitJob {
-					submissions = append(submissions, action.At)
+					submissions = append(submissions, float64(action.At))
 				}
 			}
 			for _, fault := range script.Faults {
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -116,13 +116,13 @@
 func (run *scenarioRun) run() {
 	plan := run.script.Plan(run.config.ScenarioNodes())
 	for _, action := range plan {
-		run.record.Floats(action.At, action.OutageSeconds, action.DowntimeSeconds)
+		run.record.Floats(float64(action.At), float64(action.Outage), float64(action.Downtime))
 		run.record.Integers(int64(action.Kind), int64(action.Scheduler))
 		run.record.Texts(action.Node)
 		if job := action.Job; job != nil {
 			run.record.Texts(job.Name, job.Namespace, job.Class, job.Service)
 			run.record.Integers(int64(job.Scheduler), int64(job.Tasks), int64(job.BackoffLimit))
-			run.record.Floats(job.Cores, job.Memory, job.Lifetime)
+			run.record.Floats(job.Cores, job.Memory, float64(job.Lifetime))
 		}
 	}
 	run.record.Checkpoint(fmt.Sprintf("plan of %d actions", len(plan)))
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -34,9 +34,9 @@
 	case scenario.InjectNodeFault:
 		w.nodesByName[action.Node].injectFault(action.NodeFault)
 	case scenario.CutInventory:
-		w.inventory.cut(placer.Seconds(action.OutageSeconds))
+		w.inventory.cut(action.Outage)
 	case scenario.KillScheduler:
-		w.schedulers[action.Scheduler].restart(placer.Seconds(action.DowntimeSeconds))
+		w.schedulers[action.Scheduler].restart(action.Downtime)
 	case scenario.DrainNode, scenario.UndrainNode:
 		w.orderDrain(action.Node, action.Kind == scenario.DrainNode)
 	}
@@ -104,7 +104,7 @@
 	job.Spec.BackoffLimit = &backoffLimit
 	template := &job.Spec.Template
 	template.Labels = map[string]string{wellknown.Class: planned.Class, wellknown.Service: planned.Service}
-	template.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(planned.Lifetime, 'f', 3, 64)}
+	template.Annotations = map[string]string{wellknown.Lifetime: strconv.FormatFloat(float64(planned.Lifetime), 'f', 3, 64)}
 	template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	requests := corev1.ResourceList{
 		corev1.ResourceCPU:    *resource.NewMilliQuantity(int64(planned.Cores*1000), resource.DecimalSI),
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -146,7 +146,7 @@
 	start := w.now
 	for i := range plan {
 		action := &plan[i]
-		w.at(start+placer.Seconds(action.At), func() { w.perform(action) })
+		w.at(start+action.At, func() { w.perform(action) })
 	}
 	end := start + duration
 	for next := w.timers.Pop(end); next != nil; next = w.timers.Pop(end) {
