--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -15,7 +15,6 @@
 	"github.com/spf13/cobra"
 
 	"heathshed/internal/config"
-	"heathshed/internal/control/clock"
 	"heathshed/internal/lab/faultinjection"
 	"heathshed/internal/lab/labconfig"
 	"heathshed/internal/lab/scenario"
@@ -23,16 +22,20 @@
 	"heathshed/placer"
 )
 
-// progressInterval is the least time between two lines of progress.
-const progressInterval = 10 * time.Second
+const (
+	// progressInterval is the least time between two lines of progress.
+	progressInterval = 10 * time.Second
+	// defaultDropWatch is the default of the flag --drop-watch.
+	defaultDropWatch = 7 * time.Second
+)
 
 // scenarioFlags are the flags of the command scenario.
 type scenarioFlags struct {
 	common      commonFlags
 	script      string
 	dir         string
-	seconds     float64
-	dropWatch   float64
+	duration    time.Duration // 0 keeps the script's
+	dropWatch   time.Duration // between deliberate breaks of a watch
 	seed        uint64
 	asJSON      bool
 	simulated   bool
@@ -60,8 +63,8 @@
 	flags := command.Flags()
 	flags.StringVarP(&f.script, "script", "f", "", "script of the scenario; the built-in one if none")
 	flags.StringVar(&f.dir, "dir", "", "directory that keeps settings, audit events and logs; a temporary one that is removed if none")
-	flags.Float64Var(&f.seconds, "seconds", 0, "length of the scenario; the script's times are stretched to it")
-	flags.Float64Var(&f.dropWatch, "drop-watch", 7, "seconds between deliberate breaks of the client's watches; 0 is none")
+	flags.Var(newSecondsValue(&f.duration, 0), "seconds", "length of the scenario; the script's times are stretched to it")
+	flags.Var(newSecondsValue(&f.dropWatch, defaultDropWatch), "drop-watch", "seconds between deliberate breaks of the client's watches; 0 is none")
 	flags.BoolVar(&f.hostile, "hostile", false, "also have clients that send decompression bombs, never read, or never end their requests")
 	flags.Uint64Var(&f.seed, "seed", 0, "seed in place of the script's")
 	flags.BoolVar(&f.asJSON, "json", false, "print the result as JSON")
@@ -119,8 +122,8 @@
 			return scenario.Script{}, err
 		}
 	}
-	if f.seconds > 0 {
-		script.Stretch(f.seconds)
+	if f.duration > 0 {
+		script.Stretch(float64(placer.SecondsOf(f.duration)))
 	}
 	if f.seed > 0 {
 		script.Seed = f.seed
@@ -178,7 +181,7 @@
 		Dir:               dir,
 		Script:            *script,
 		Settings:          *settings,
-		WatchDropInterval: clock.Duration(flags.dropWatch),
+		WatchDropInterval: flags.dropWatch,
 		Hostile:           flags.hostile,
 		Progress: func(elapsed time.Duration, figures faultinjection.Figures) {
 			if time.Since(lastProgress) > progressInterval {
--- a/cmd/heathshed/source.go
+++ b/cmd/heathshed/source.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"os"
+	"time"
 
 	"github.com/spf13/cobra"
 
@@ -12,10 +13,13 @@
 	"heathshed/placer"
 )
 
+// defaultSortingWindow is the default of the flag --window.
+const defaultSortingWindow = 5 * time.Second
+
 // sourceFlags say how recorded files are read.
 type sourceFlags struct {
 	format string
-	window float64
+	window time.Duration // within which entries are put in order
 	strict bool
 }
 
@@ -23,7 +27,7 @@
 	flags := command.Flags()
 	flags.StringVar(&s.format, "format", "auto",
 		"har, jsonl, common, combined, or an Apache LogFormat or nginx log_format; auto looks at the first bytes")
-	flags.Float64Var(&s.window, "window", 5, "seconds within which entries that are out of order are put in order")
+	flags.Var(newSecondsValue(&s.window, defaultSortingWindow), "window", "seconds within which entries that are out of order are put in order")
 	flags.BoolVar(&s.strict, "strict", false, "stop at the first entry that cannot be read")
 }
 
@@ -42,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	sorter := workload.Sorter{Window: placer.Seconds(s.window)}
+	sorter := workload.Sorter{Window: placer.SecondsOf(s.window)}
 	var sorted []workload.Entry
 	emit := func() {
 		for i := range sorted {
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/signal"
 	"strings"
+	"time"
 
 	"github.com/spf13/cobra"
 	batchv1 "k8s.io/api/batch/v1"
@@ -32,7 +33,7 @@
 	cpu       string
 	memory    string
 	tasks     int
-	lifetime  float64 // seconds
+	lifetime  time.Duration // 0 leaves it to the nodes
 	wait      bool
 }
 
@@ -59,7 +60,7 @@
 	flags.StringVar(&f.cpu, "cpu", "500m", "cores of a task")
 	flags.StringVar(&f.memory, "memory", "512Mi", "memory of a task")
 	flags.IntVar(&f.tasks, "tasks", 1, "number of tasks")
-	flags.Float64Var(&f.lifetime, "lifetime", 0, "seconds that emulated nodes let each task run")
+	flags.Var(newSecondsValue(&f.lifetime, 0), "lifetime", "seconds that emulated nodes let each task run")
 	flags.BoolVar(&f.wait, "wait", false, "wait until the job has settled; exit status 2 if it was not placed")
 }
 
@@ -180,7 +181,7 @@
 	}
 	pod.Metadata.Annotations = map[string]string{}
 	if f.lifetime > 0 {
-		pod.Metadata.Annotations[wellknown.Lifetime] = fmt.Sprint(f.lifetime)
+		pod.Metadata.Annotations[wellknown.Lifetime] = formatSeconds(f.lifetime)
 	}
 	pod.Spec.RestartPolicy = "Never"
 	pod.Spec.Containers = []submittedContainer{{
--- a/cmd/heathshed/submit_test.go
+++ b/cmd/heathshed/submit_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"testing"
+	"time"
 )
 
 // TestJobFromFlags pins the bytes of the Job that is sent.
@@ -14,7 +15,7 @@
 	}{
 		{
 			name:  "all",
-			flags: submitFlags{name: "a", class: "web", service: "s", cpu: "1", memory: "1Gi", tasks: 2, lifetime: 1.5},
+			flags: submitFlags{name: "a", class: "web", service: "s", cpu: "1", memory: "1Gi", tasks: 2, lifetime: 1500 * time.Millisecond},
 			want: `{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":"a"},"spec":{"completions":2,"parallelism":2,"template":{"metadata":` +
 				`{"annotations":{"heathshed.io/lifetime":"1.5"},"labels":{"heathshed.io/class":"web","heathshed.io/service":"s"}},` +
 				`"spec":{"containers":[{"image":"stand-in","name":"main","resources":{"requests":{"cpu":"1","memory":"1Gi"}}}],"restartPolicy":"Never"}}}}`,
