--- a/cmd/heathshed/flags.go
+++ b/cmd/heathshed/flags.go
@@ -9,14 +9,15 @@
 	"heathshed/internal/config"
 )
 
-// commonFlags are the flags that the commands which run schedulers or the emulator share.
+// commonFlags are the flags shared by the commands that run schedulers or the emulator: serve, up, emulate and scenario.
 type commonFlags struct {
 	file, listen, inventory, name, logLevel, logFormat string
 	printConfig                                        bool
+	nodes                                              int // emulated nodes, a flag of up alone; 0 keeps the settings'
 }
 
-func (f *commonFlags) register(c *cobra.Command) {
-	flags := c.Flags()
+func (f *commonFlags) register(command *cobra.Command) {
+	flags := command.Flags()
 	flags.StringVarP(&f.file, "config", "c", "", "settings file (JSON with comments); built-in settings if none")
 	flags.StringVar(&f.listen, "listen", "", "address of the API, such as 127.0.0.1:8480; port 0 chooses one")
 	flags.StringVar(&f.inventory, "inventory", "", "address of the inventory")
@@ -48,9 +49,25 @@
 			*override.setting = override.flag
 		}
 	}
+	if f.nodes > 0 {
+		settings.Emulator.Nodes = f.nodes
+	}
 	return settings, settings.Validate()
 }
 
+// runOrPrint calls run with the settings, or prints them if --print-config is given.
+func (f *commonFlags) runOrPrint(command *cobra.Command, run func(*config.Settings) error) error {
+	settings, err := f.settings()
+	if err != nil {
+		return err
+	}
+	if f.printConfig {
+		return printSettings(command.OutOrStdout(), &settings)
+	}
+	return run(&settings)
+}
+
+// printSettings prints settings in the form of a settings file.
 func printSettings(w io.Writer, settings *config.Settings) error {
 	text, err := settings.Text()
 	if err != nil {
--- a/cmd/heathshed/metastability_json.go
+++ b/cmd/heathshed/metastability_json.go
@@ -4,13 +4,12 @@
 	"math"
 
 	"heathshed/internal/control/admission"
-	"heathshed/internal/control/retry"
 	"heathshed/internal/lab/metastability"
-	"heathshed/internal/lab/scenario"
+	"heathshed/placer"
 )
 
-// trialResultJSON is one trial of the search as it is printed as JSON. Its keys are part of the command's output: they stay as they are when the
-// fields that they are filled from get other names.
+// trialResultJSON is one trial of the search in the JSON form that the command prints. Its keys are part of the command's output and do not follow
+// renamed fields.
 type trialResultJSON struct {
 	Trial   trialJSON   `json:"trial"`
 	Verdict verdictJSON `json:"verdict"`
@@ -26,6 +25,7 @@
 	Retry     retryJSON     `json:"Owner"`
 }
 
+// faultJSON has the fields of scenario.Fault.
 type faultJSON struct {
 	Kind     string  `json:"kind"`
 	At       float64 `json:"at"`
@@ -37,50 +37,51 @@
 }
 
 type admissionJSON struct {
-	Shares       []float64 `json:"Shares"`
-	MinInFlight  float64   `json:"MinInFlight"`
-	MaxInFlight  float64   `json:"MaxInFlight"`
-	Start        float64   `json:"Start"`
-	Decrease     float64   `json:"Decrease"`
-	Window       float64   `json:"Window"`
-	LateFraction float64   `json:"LatePart"`
-	MaxWaiting   int       `json:"MaxWaiting"`
-	RetryRatio   float64   `json:"RetryRatio"`
-	RetryRate    float64   `json:"RetryRate"`
-	RetryBurst   float64   `json:"RetryBurst"`
-	ShedDraws    bool      `json:"ShedDraws"`
-	Additive     bool      `json:"Additive"`
-	Disabled     bool      `json:"Off"`
+	Shares       []float64      `json:"Shares"`
+	MinInFlight  float64        `json:"MinInFlight"`
+	MaxInFlight  float64        `json:"MaxInFlight"`
+	Start        float64        `json:"Start"`
+	Decrease     float64        `json:"Decrease"`
+	Window       placer.Seconds `json:"Window"`
+	LateFraction float64        `json:"LatePart"`
+	MaxWaiting   int            `json:"MaxWaiting"`
+	RetryRatio   float64        `json:"RetryRatio"`
+	RetryRate    float64        `json:"RetryRate"`
+	RetryBurst   float64        `json:"RetryBurst"`
+	ShedDraws    bool           `json:"ShedDraws"`
+	Additive     bool           `json:"Additive"`
+	Disabled     bool           `json:"Off"`
 }
 
+// retryJSON has the fields of retry.Policy.
 type retryJSON struct {
-	Delay                 float64 `json:"Again"`
-	ShortDelay            float64 `json:"Soon"`
-	Multiplier            float64 `json:"Growth"`
-	MaxDelay              float64 `json:"Most"`
-	UnknownOutcomeTimeout float64 `json:"Settle"`
+	Delay                 placer.Seconds `json:"Again"`
+	ShortDelay            placer.Seconds `json:"Soon"`
+	Multiplier            float64        `json:"Growth"`
+	MaxDelay              placer.Seconds `json:"Most"`
+	UnknownOutcomeTimeout placer.Seconds `json:"Settle"`
 }
 
 type verdictJSON struct {
-	BaselineGoodput   float64 `json:"Before"`
-	WorstGoodput      float64 `json:"Worst"`
-	RecoveryTime      float64 `json:"Back"` // -1 if the system did not recover: JSON has no infinity
-	AllowedTime       float64 `json:"Allowed"`
-	PeakOpenTasks     int     `json:"Peak"`
-	FinalOpenTasks    int     `json:"Left"`
-	PlacementRequests uint64  `json:"Asks"`
-	Attempts          uint64  `json:"Offers"`
+	BaselineGoodput   float64        `json:"Before"`
+	WorstGoodput      float64        `json:"Worst"`
+	RecoveryTime      placer.Seconds `json:"Back"` // -1 if the system did not recover: JSON has no infinity
+	AllowedTime       placer.Seconds `json:"Allowed"`
+	PeakOpenTasks     int            `json:"Peak"`
+	FinalOpenTasks    int            `json:"Left"`
+	PlacementRequests uint64         `json:"Asks"`
+	Attempts          uint64         `json:"Offers"`
 }
 
 func newTrialJSON(trial *metastability.Trial, verdict *metastability.Verdict) trialResultJSON {
 	return trialResultJSON{
 		Trial: trialJSON{
 			Seed:      trial.Seed,
-			Trigger:   newFaultJSON(&trial.Trigger),
+			Trigger:   faultJSON(trial.Trigger),
 			Load:      trial.Load,
 			Backoff:   trial.Backoff,
 			Admission: newAdmissionJSON(&trial.Admission),
-			Retry:     newRetryJSON(&trial.Retry),
+			Retry:     retryJSON(trial.Retry),
 		},
 		Verdict: newVerdictJSON(verdict),
 		Held:    verdict.Recovered(),
@@ -88,15 +89,15 @@
 }
 
 func newVerdictJSON(verdict *metastability.Verdict) verdictJSON {
-	recoveryTime := float64(verdict.RecoveryTime)
-	if math.IsInf(recoveryTime, 1) {
+	recoveryTime := verdict.RecoveryTime
+	if math.IsInf(float64(recoveryTime), 1) {
 		recoveryTime = -1
 	}
 	return verdictJSON{
 		BaselineGoodput:   verdict.BaselineGoodput,
 		WorstGoodput:      verdict.WorstGoodput,
 		RecoveryTime:      recoveryTime,
-		AllowedTime:       float64(verdict.AllowedTime),
+		AllowedTime:       verdict.AllowedTime,
 		PeakOpenTasks:     verdict.PeakOpenTasks,
 		FinalOpenTasks:    verdict.FinalOpenTasks,
 		PlacementRequests: verdict.PlacementRequests,
@@ -104,18 +105,6 @@
 	}
 }
 
-func newFaultJSON(fault *scenario.Fault) faultJSON {
-	return faultJSON{
-		Kind:     fault.Kind,
-		At:       fault.At,
-		Duration: fault.Duration,
-		Fraction: fault.Fraction,
-		Scale:    fault.Scale,
-		Class:    fault.Class,
-		Name:     fault.Name,
-	}
-}
-
 func newAdmissionJSON(c *admission.Config) admissionJSON {
 	return admissionJSON{
 		Shares:       c.Shares,
@@ -123,7 +112,7 @@
 		MaxInFlight:  c.MaxInFlight,
 		Start:        c.InitialInFlight,
 		Decrease:     c.DecreaseFactor,
-		Window:       float64(c.DecreaseInterval),
+		Window:       c.DecreaseInterval,
 		LateFraction: c.LateFraction,
 		MaxWaiting:   c.MaxQueued,
 		RetryRatio:   c.RetryRatio,
@@ -134,13 +123,3 @@
 		Disabled:     c.Disabled,
 	}
 }
-
-func newRetryJSON(p *retry.Policy) retryJSON {
-	return retryJSON{
-		Delay:                 float64(p.Delay),
-		ShortDelay:            float64(p.ShortDelay),
-		Multiplier:            p.Multiplier,
-		MaxDelay:              float64(p.MaxDelay),
-		UnknownOutcomeTimeout: float64(p.UnknownOutcomeTimeout),
-	}
-}
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -24,31 +24,26 @@
 func serveCommand() *cobra.Command {
 	var flags commonFlags
 	var seed uint64
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "serve",
 		Short: "Run one scheduler",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			settings, err := flags.settings()
-			if err != nil {
-				return err
-			}
-			if flags.printConfig {
-				return printSettings(c.OutOrStdout(), &settings)
-			}
-			if seed == 0 {
-				seed = randomSeed()
-			}
-			return serve(c, &flags, &settings, seed)
+		RunE: func(command *cobra.Command, _ []string) error {
+			return flags.runOrPrint(command, func(settings *config.Settings) error {
+				if seed == 0 {
+					seed = randomSeed()
+				}
+				return serve(command, &flags, settings, seed)
+			})
 		},
 	}
-	flags.register(c)
-	c.Flags().Uint64Var(&seed, "seed", 0, "seed of all random numbers; 0 draws one")
-	return c
+	flags.register(command)
+	command.Flags().Uint64Var(&seed, "seed", 0, "seed of all random numbers; 0 draws one")
+	return command
 }
 
 // serve runs a scheduler until it is stopped by a signal.
-func serve(c *cobra.Command, flags *commonFlags, settings *config.Settings, seed uint64) error {
+func serve(command *cobra.Command, flags *commonFlags, settings *config.Settings, seed uint64) error {
 	log := flags.logger(settings)
 	loop, err := eventloop.New()
 	if err != nil {
@@ -59,11 +54,12 @@
 		return err
 	}
 	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", settings.Inventory).Str("name", settings.Name).Msg("scheduler listens")
-	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
+	printf(command.OutOrStdout(), "api http://%s\n", server.Addr())
 	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(clock.Duration(settings.ShutdownTimeout), loop.Stop) })
 	return loop.Run()
 }
 
+// randomSeed returns a seed from the system's random source.
 func randomSeed() uint64 {
 	var seed [8]byte
 	_, _ = rand.Read(seed[:]) // never fails
@@ -73,7 +69,7 @@
 // schedulerOptions returns the options of a scheduler, and sets the limits of the process and of the loop that it runs on.
 func schedulerOptions(settings *config.Settings, loop *eventloop.Loop, seed uint64, log zerolog.Logger) scheduler.Options {
 	memory := int64(settings.Limits.MemoryMiB) << 20
-	debug.SetMemoryLimit(memory) // the garbage collector runs more often near it; the shares of package memquota bound the use
+	debug.SetMemoryLimit(memory) // makes the garbage collector run more often near the limit; memquota bounds the use
 	loop.SetMaxConns(settings.Limits.Connections)
 	http := httpd.DefaultOptions()
 	http.Limits.Body = settings.Limits.MaxBodyBytes
@@ -95,37 +91,23 @@
 
 func upCommand() *cobra.Command {
 	var flags commonFlags
-	var nodes int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "up",
 		Short: "Run a scheduler with emulated nodes and an inventory, all in one process",
 		Long: "Run a scheduler with emulated nodes and an inventory on loopback, all in this one process. It is ready when\n" +
 			"/readyz returns 200. Ctrl-C shuts it down gracefully.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			settings, err := flags.settings()
-			if err != nil {
-				return err
-			}
-			if nodes > 0 {
-				settings.Emulator.Nodes = nodes
-			}
-			if err := settings.Validate(); err != nil {
-				return err
-			}
-			if flags.printConfig {
-				return printSettings(c.OutOrStdout(), &settings)
-			}
-			return up(c, &flags, &settings)
+		RunE: func(command *cobra.Command, _ []string) error {
+			return flags.runOrPrint(command, func(settings *config.Settings) error { return up(command, &flags, settings) })
 		},
 	}
-	flags.register(c)
-	c.Flags().IntVar(&nodes, "nodes", 0, "number of emulated nodes")
-	return c
+	flags.register(command)
+	command.Flags().IntVar(&flags.nodes, "nodes", 0, "number of emulated nodes")
+	return command
 }
 
 // up runs a scheduler and the emulator until they are stopped by a signal.
-func up(c *cobra.Command, flags *commonFlags, settings *config.Settings) error {
+func up(command *cobra.Command, flags *commonFlags, settings *config.Settings) error {
 	log := flags.logger(settings)
 	loop, err := eventloop.New()
 	if err != nil {
@@ -147,7 +129,7 @@
 	}
 	log.Info().Str("api", "http://"+server.Addr()).Str("inventory", "http://"+inventory.Addr()).Int("nodes", settings.Emulator.Nodes).
 		Msg("scheduler, inventory and emulated nodes listen")
-	printf(c.OutOrStdout(), "api http://%s\n", server.Addr())
+	printf(command.OutOrStdout(), "api http://%s\n", server.Addr())
 	emulatorDone := make(chan error, 1)
 	go func() { emulatorDone <- emulatorLoop.Run() }()
 	handleSignals(loop, log, settings.LogLevel, func() { server.Stop(clock.Duration(settings.ShutdownTimeout), loop.Stop) })
