--- a/cmd/heathshed/apiclient.go
+++ b/cmd/heathshed/apiclient.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	maxWatchAttempts = 20 // in a row without an event
+	maxWatchAttempts = 20 // consecutive connections without an event
 	watchRetryStep   = 200 * time.Millisecond
 	watchRetryMax    = 2 * time.Second
 )
 
-// apiServer is the API as the operators' commands use it: the server is given by a flag.
+// apiServer is the server whose API a client command (get, watch, submit, drain, undrain) calls. The flag --server sets its address.
 type apiServer struct{ address string }
 
+// register adds the flag --server to a command.
 func (s *apiServer) register(command *cobra.Command) {
 	address := os.Getenv("HEATHSHED_SERVER")
 	if address == "" {
@@ -32,8 +33,8 @@
 
 func (s *apiServer) client() *apiclient.Client { return apiclient.New(s.address, http.DefaultClient) }
 
-// watch watches a collection, with the objects that exist first, and continues over broken connections until handle ends it or the context
-// is done.
+// watch watches a collection, beginning with the objects that exist. It reconnects after broken connections, until handle ends the watch or the
+// context is done.
 func (s *apiServer) watch(ctx context.Context, path string, query url.Values, handle apiclient.EventHandler) error {
 	return s.client().Watch(ctx, apiclient.WatchOptions{
 		Path:        path,
@@ -44,7 +45,7 @@
 	}, handle)
 }
 
-// collectionPath is the path of a resource by one of its names. An empty namespace stands for all.
+// collectionPath returns the API path of a resource, which may be given by any of its names. An empty namespace selects all namespaces.
 func collectionPath(resource, namespace string) (string, error) {
 	switch resource {
 	case "jobs", "job":
--- a/cmd/heathshed/config.go
+++ b/cmd/heathshed/config.go
@@ -7,35 +7,35 @@
 )
 
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Work with settings files"}
-	c.AddCommand(configCheckCommand())
-	return c
+	command := &cobra.Command{Use: "config", Short: "Work with settings files"}
+	command.AddCommand(configCheckCommand())
+	return command
 }
 
 func configCheckCommand() *cobra.Command {
 	var migrate bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
 		Long: "Check a settings file, and list the settings that it gives under their former names. Files with former names stay valid.\n" +
 			"With --migrate, print the file in present names instead, with its comments.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			document, err := config.LoadDocument(args[0])
 			if err != nil {
 				return err
 			}
 			if migrate {
-				printf(c.OutOrStdout(), "%s", document.Migrated)
+				printf(command.OutOrStdout(), "%s", document.Migrated)
 				return nil
 			}
 			for _, former := range document.Former {
-				printf(c.OutOrStdout(), "%s:%v\n", args[0], former)
+				printf(command.OutOrStdout(), "%s:%v\n", args[0], former)
 			}
-			printf(c.OutOrStdout(), "%s: ok\n", args[0])
+			printf(command.OutOrStdout(), "%s: ok\n", args[0])
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&migrate, "migrate", false, "print the file in present names, with its comments")
-	return c
+	command.Flags().BoolVar(&migrate, "migrate", false, "print the file in present names, with its comments")
+	return command
 }
--- a/cmd/heathshed/emulate.go
+++ b/cmd/heathshed/emulate.go
@@ -20,9 +20,9 @@
 const anyLoopbackPort = "127.0.0.1:0"
 
 func emulateCommand() *cobra.Command {
-	c := &cobra.Command{Use: "emulate", Short: "Run an emulated node or inventory"}
-	c.AddCommand(emulateNodeCommand(), emulateInventoryCommand())
-	return c
+	command := &cobra.Command{Use: "emulate", Short: "Run an emulated node or inventory"}
+	command.AddCommand(emulateNodeCommand(), emulateInventoryCommand())
+	return command
 }
 
 func emulateNodeCommand() *cobra.Command {
@@ -44,9 +44,9 @@
 		}
 		return fmt.Sprintf("node %s http://%s", node.Name(), node.Addr()), nil
 	}
-	c := newEmulatorCommand("node", "Run one emulated node that reports to an inventory", &flags, start)
-	c.Flags().IntVar(&index, "index", 0, "number of the node: decides its type, rack and seed")
-	return c
+	command := newEmulatorCommand("node", "Run one emulated node that reports to an inventory", &flags, start)
+	command.Flags().IntVar(&index, "index", 0, "number of the node: decides its type, rack and seed")
+	return command
 }
 
 func emulateInventoryCommand() *cobra.Command {
@@ -64,17 +64,18 @@
 	return newEmulatorCommand("inventory", "Run an emulated inventory", &flags, start)
 }
 
-// startEmulated starts an emulated process on a loop. It returns the line that announces its address on standard output.
+// startEmulated starts an emulated node or inventory on a loop. It returns the line by which the process announces its address on standard
+// output.
 type startEmulated func(loop *eventloop.Loop, settings *config.Settings, onEvent func(audit.Event)) (announcement string, err error)
 
-// newEmulatorCommand returns a command that runs an emulated process until it is stopped by a signal.
+// newEmulatorCommand returns a command that runs an emulated node or inventory until a signal stops it.
 func newEmulatorCommand(use, short string, flags *commonFlags, start startEmulated) *cobra.Command {
 	var tap string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			settings, err := flags.settings()
 			if err != nil {
 				return err
@@ -91,14 +92,14 @@
 			if err != nil {
 				return err
 			}
-			printf(c.OutOrStdout(), "%s\n", announcement)
+			printf(command.OutOrStdout(), "%s\n", announcement)
 			handleSignals(loop, flags.logger(&settings), settings.LogLevel, loop.Stop)
 			return loop.Run()
 		},
 	}
-	flags.register(c)
-	c.Flags().StringVar(&tap, "tap", "", "file that gets a line for each audit event")
-	return c
+	flags.register(command)
+	command.Flags().StringVar(&tap, "tap", "", "file that gets a line for each audit event")
+	return command
 }
 
 // nodeOptions returns the options of the i-th emulated node, which reports to no inventory yet.
@@ -136,6 +137,6 @@
 		return nil, fmt.Errorf("tap: %w", err)
 	}
 	enc := json.NewEncoder(w)
-	// The emulator goes on if an event cannot be written: the auditor finds the gap.
+	// A failed write does not stop the emulator: the audit detects the missing event.
 	return func(event audit.Event) { _ = enc.Encode(&event) }, nil
 }
--- a/cmd/heathshed/get.go
+++ b/cmd/heathshed/get.go
@@ -16,10 +16,10 @@
 	"heathshed/internal/kube/apiclient"
 )
 
-// pageLimit is the number of objects requested at a time.
+// pageLimit is the largest number of objects requested in one page of a list.
 const pageLimit = 500
 
-// selectionFlags say which objects are shown, and how.
+// selectionFlags are the flags of the commands get and watch. They select objects and the form in which they are printed.
 type selectionFlags struct {
 	server                    apiServer
 	namespace, labels, output string
@@ -33,6 +33,7 @@
 	flags.StringVarP(&f.output, "output", "o", "table", "table or json (a line each)")
 }
 
+// query returns the query parameters that select the objects.
 func (f *selectionFlags) query() url.Values {
 	query := url.Values{}
 	if f.labels != "" {
@@ -116,6 +117,7 @@
 	return command
 }
 
+// printEvent prints an event of a watch as one line.
 func (f *selectionFlags) printEvent(w io.Writer, event apiclient.Event) {
 	if f.output == "json" {
 		printf(w, `{"type":%q,"object":%s}`+"\n", event.Type, event.Object)
--- a/cmd/heathshed/inspect.go
+++ b/cmd/heathshed/inspect.go
@@ -17,7 +17,7 @@
 const (
 	maxShownErrors = 10  // skipped entries that are printed one by one
 	maxMethods     = 100 // different methods that are counted
-	curveParts     = 60  // of the time that the entries cover
+	curveParts     = 60  // equal intervals of the arrival curve
 )
 
 func loadCommand() *cobra.Command {
@@ -37,8 +37,8 @@
 			"Exit status 4 means that entries were skipped.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			i := newInspector(&source, asJSON, command.ErrOrStderr())
-			return i.run(command.OutOrStdout(), args, report)
+			inspector := newInspector(&source, asJSON, command.ErrOrStderr())
+			return inspector.run(command.OutOrStdout(), args, report)
 		},
 	}
 	source.register(command)
@@ -47,7 +47,7 @@
 	return command
 }
 
-// inspector reads files and collects their inspection.
+// inspector is one run of the command load inspect: it reads files and collects their inspection.
 type inspector struct {
 	source     *sourceFlags
 	asJSON     bool
@@ -62,13 +62,14 @@
 	return &inspector{source: source, asJSON: asJSON, warnings: warnings, inspection: empty}
 }
 
+// run reads the files, prints the inspection, and writes the skipped entries to reportFile unless that is empty.
 func (i *inspector) run(out io.Writer, files []string, reportFile string) error {
 	if reportFile != "" {
 		w, err := os.Create(reportFile)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = w.Close() }() // each line was written at once
+		defer func() { _ = w.Close() }() // its lines are written without a buffer
 		i.report = json.NewEncoder(w)
 	}
 	for _, file := range files {
@@ -114,12 +115,13 @@
 	Last    string                     `json:"last,omitempty"`
 	Methods map[string]int             `json:"methods"`
 	Status  map[string]int             `json:"status"`
-	Curve   []int                      `json:"curve"` // entries in each of curveParts equal parts of the time
+	Curve   []int                      `json:"curve"` // number of entries in each interval
 	first   placer.Seconds
 	last    placer.Seconds
 	times   []float32 // of all entries since the first, in seconds; four bytes suffice for the curve
 }
 
+// add counts an entry.
 func (i *inspection) add(entry *workload.Entry) {
 	if i.Entries == 0 {
 		i.first = entry.At
@@ -135,7 +137,7 @@
 	i.times = append(i.times, float32(entry.At-i.first))
 }
 
-// finish derives the times and the curve from the entries.
+// finish computes the first and last time and the arrival curve after all entries were added.
 func (i *inspection) finish() {
 	if i.Entries == 0 {
 		return
--- a/cmd/heathshed/inspect_print.go
+++ b/cmd/heathshed/inspect_print.go
@@ -22,6 +22,7 @@
 	}
 }
 
+// printCounts prints a line of counts in order of their keys, and nothing if there are none.
 func printCounts[K ~string](w io.Writer, name string, counts map[K]int) {
 	var parts []string
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
@@ -38,7 +39,7 @@
 	highest := max(slices.Max(counts), 1)
 	var line strings.Builder
 	for _, count := range counts {
-		level := (count*(len(levels)-1) + highest - 1) / highest // rounded up: any count above 0 shows
+		level := (count*(len(levels)-1) + highest - 1) / highest // rounded up, so that every count above 0 is visible
 		line.WriteRune(levels[level])
 	}
 	return line.String()
--- a/cmd/heathshed/main.go
+++ b/cmd/heathshed/main.go
@@ -1,4 +1,7 @@
-// Command heathshed is the scheduler, the emulator and their tools in one binary. It only wires packages together.
+// Command heathshed is the scheduler, the emulator of nodes, and the tools for both in one binary. It only parses flags and wires packages
+// together.
+//
+// Begin reading at newRootCommand in this file, which lists the commands. docs/architecture.md names the file of each.
 package main
 
 import (
@@ -22,7 +25,7 @@
 	exitEntriesSkipped = 4 // load inspect: entries could not be read
 )
 
-// exitError carries an exit status other than 1.
+// exitError is an error of a command that ends the program with an exit status other than 1.
 type exitError struct {
 	code int
 	err  error
@@ -44,6 +47,7 @@
 	os.Exit(1)
 }
 
+// newRootCommand returns the command line of the program.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "heathshed",
@@ -81,15 +85,16 @@
 }
 
 // deprecatedAlias gives a command and its subcommands a former name.
-func deprecatedAlias(formerName string, c *cobra.Command) *cobra.Command {
-	deprecate(c, "heathshed "+c.Name())
-	c.Use = formerName
-	return c
+func deprecatedAlias(formerName string, command *cobra.Command) *cobra.Command {
+	deprecate(command, "heathshed "+command.Name())
+	command.Use = formerName
+	return command
 }
 
-func deprecate(c *cobra.Command, replacement string) {
-	c.Deprecated = fmt.Sprintf("use %q instead", replacement)
-	for _, subcommand := range c.Commands() {
+// deprecate marks a command and its subcommands as deprecated in favour of a command path.
+func deprecate(command *cobra.Command, replacement string) {
+	command.Deprecated = fmt.Sprintf("use %q instead", replacement)
+	for _, subcommand := range command.Commands() {
 		deprecate(subcommand, replacement+" "+subcommand.Name())
 	}
 }
@@ -99,11 +104,11 @@
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
-		Run:   func(c *cobra.Command, _ []string) { printf(c.OutOrStdout(), "heathshed %s\n", version) },
+		Run:   func(command *cobra.Command, _ []string) { printf(command.OutOrStdout(), "heathshed %s\n", version) },
 	}
 }
 
-// printf writes a command's output. A failed write is no error of the command: its reader is gone.
+// printf writes output of a command. It ignores a write error: whoever read the output has closed it.
 func printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
--- a/cmd/heathshed/metastability.go
+++ b/cmd/heathshed/metastability.go
@@ -44,6 +44,7 @@
 	return command
 }
 
+// searchMetastability runs the trials and prints those that did not recover, or all of them with --all.
 func searchMetastability(command *cobra.Command, flags *metastabilityFlags) error {
 	if flags.trials < 1 || flags.trials > maxTrials || flags.workers < 1 || flags.workers > maxWorkers {
 		return fmt.Errorf("trials %d, workers %d: want 1 to %d and 1 to %d", flags.trials, flags.workers, maxTrials, maxWorkers)
@@ -101,6 +102,7 @@
 	return played
 }
 
+// printTrial prints a trial and its verdict on one line.
 func printTrial(w io.Writer, played *playedTrial, asJSON bool) error {
 	trial, verdict := &played.trial, &played.verdict
 	if asJSON {
--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return &exitError{exitInvalidConfig, err}
 	}
-	// One event loop does all the work; a second processor would only add switches between threads.
+	// A single event loop does all the work; a second processor would only add context switches.
 	runtime.GOMAXPROCS(1)
 	if config.Memory > 0 {
 		debug.SetMemoryLimit(config.Memory / 2)
@@ -99,7 +99,7 @@
 			loop.Post(frontend.Stop)
 			continue
 		}
-		// The file is read outside the loop. One that cannot be used leaves the present configuration in force.
+		// The file is read outside the event loop. If it is invalid, the present configuration stays in force.
 		next, err := readPlatformConfig()
 		loop.Post(func() {
 			if err != nil {
--- a/cmd/heathshed/process.go
+++ b/cmd/heathshed/process.go
@@ -57,6 +57,7 @@
 	}()
 }
 
+// setDebug sets the log level to debug, or back to the configured level.
 func setDebug(debug bool, configuredLevel string) {
 	if debug {
 		setLogLevel("debug")
--- a/cmd/heathshed/scenario.go
+++ b/cmd/heathshed/scenario.go
@@ -72,6 +72,7 @@
 	flags.BoolVar(&f.printScript, "print-script", false, "print the script and exit")
 }
 
+// faultKindsText returns the kinds of faults with their descriptions, one on each line, for the help text.
 func faultKindsText() string {
 	var text strings.Builder
 	for _, kind := range slices.Sorted(maps.Keys(scenario.FaultKinds)) {
@@ -80,6 +81,7 @@
 	return text.String()
 }
 
+// runScenario runs the scenario over sockets or in simulated time and prints the result.
 func runScenario(command *cobra.Command, flags *scenarioFlags) error {
 	settings, err := flags.common.settings()
 	if err != nil {
@@ -114,6 +116,7 @@
 	return nil
 }
 
+// loadScript returns the script of the file, or the built-in one, as changed by the flags.
 func (f *scenarioFlags) loadScript() (scenario.Script, error) {
 	script := scenario.Default()
 	if f.script != "" {
@@ -131,6 +134,7 @@
 	return script, nil
 }
 
+// runSimulated runs a script in simulated time.
 func runSimulated(settings *config.Settings, script *scenario.Script) (*faultinjection.Result, error) {
 	cfg := simulation.FromSettings(settings, script)
 	cfg.KeepEvents = true
@@ -158,6 +162,7 @@
 	return result, nil
 }
 
+// runOverSockets runs a script with schedulers, nodes and an inventory as processes of this program.
 func runOverSockets(command *cobra.Command, flags *scenarioFlags, settings *config.Settings, script *scenario.Script) (*faultinjection.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -168,7 +173,7 @@
 		if dir, err = os.MkdirTemp("", "heathshed-scenario-"); err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // what is left is the system's to clean up
+		defer func() { _ = os.RemoveAll(dir) }() // files that cannot be removed are left to the operating system
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/cmd/heathshed/scenario_result.go
+++ b/cmd/heathshed/scenario_result.go
@@ -14,6 +14,7 @@
 // maxPrintedViolations bounds the violations that are printed one by one.
 const maxPrintedViolations = 20
 
+// printProgress prints a line of the client's figures up to now.
 func printProgress(w io.Writer, elapsed time.Duration, f *faultinjection.Figures) {
 	printf(w, "%5.0f s  jobs %d  tasks %d  settled %d  watches broken %d  schedulers killed %d  p50 %.3f s  p99 %.3f s\n",
 		elapsed.Seconds(), f.Jobs, f.Tasks, f.Settled, f.WatchesDropped, f.SchedulerKills, f.P50, f.P99)
@@ -35,6 +36,7 @@
 	printViolations(w, report)
 }
 
+// printHostile prints the schedulers' memory, and the figures of the hostile clients if there were any.
 func printHostile(w io.Writer, clients *faultinjection.Hostile) {
 	if clients.MemoryPeak == 0 {
 		return
@@ -60,6 +62,7 @@
 	printf(w, "\n")
 }
 
+// printViolations prints the number of violations and the first maxPrintedViolations of them.
 func printViolations(w io.Writer, report *audit.Report) {
 	printf(w, "rules: %d violations in %d events\n", len(report.Violations), report.Events)
 	for i, violation := range report.Violations {
--- a/cmd/heathshed/source.go
+++ b/cmd/heathshed/source.go
@@ -16,7 +16,7 @@
 // defaultSortingWindow is the default of the flag --window.
 const defaultSortingWindow = 5 * time.Second
 
-// sourceFlags say how recorded files are read.
+// sourceFlags are the flags of the command load inspect that say how recorded files are read.
 type sourceFlags struct {
 	format string
 	window time.Duration // within which entries are put in order
@@ -31,8 +31,8 @@
 	flags.BoolVar(&s.strict, "strict", false, "stop at the first entry that cannot be read")
 }
 
-// read passes the entries of a file to handle in order of time, and those that cannot be read to skip, which may end the reading with an
-// error. - is standard input.
+// read passes the entries of a file to handle in order of time, and the entries that cannot be read to skip. An error returned by skip ends the
+// reading. The file name - stands for standard input.
 func (s *sourceFlags) read(name string, handle func(*workload.Entry), skip func(*workload.EntryError) error) error {
 	file := os.Stdin
 	if name != "-" {
--- a/cmd/heathshed/submit.go
+++ b/cmd/heathshed/submit.go
@@ -22,7 +22,7 @@
 // maxJobBytes bounds a job that is read from standard input.
 const maxJobBytes = 64 << 20
 
-// submitFlags are the flags of the command submit: a file, or a job in parts.
+// submitFlags are the flags of the command submit: a file with a job, or the properties of a job.
 type submitFlags struct {
 	server    apiServer
 	namespace string
@@ -64,6 +64,7 @@
 	flags.BoolVar(&f.wait, "wait", false, "wait until the job has settled; exit status 2 if it was not placed")
 }
 
+// submit creates the job and, with --wait, waits until it has settled.
 func submit(command *cobra.Command, flags *submitFlags) error {
 	body, err := flags.job()
 	if err != nil {
@@ -163,6 +164,7 @@
 	}
 )
 
+// jobFromFlags returns the job that the flags describe.
 func (f *submitFlags) jobFromFlags() submittedJob {
 	job := submittedJob{APIVersion: "batch/v1", Kind: "Job"}
 	job.Metadata.Name = f.name
--- a/cmd/heathshed/table.go
+++ b/cmd/heathshed/table.go
@@ -17,7 +17,7 @@
 	"Node": {"NAME", "STATE", "KIND", "ZONE", "RACK", "FREE"},
 }
 
-// tableRow is an object as a row of a table; nil for a kind that has none.
+// tableRow returns an object as a row of a table, nil if its kind has no table.
 func tableRow(kind string, object json.RawMessage) []string {
 	switch kind {
 	case "Job":
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// decodeObject decodes an object for display. One that does not have its kind's form is shown with the fields that do.
+// decodeObject decodes an object for display. If a field has the wrong type, the object is shown with the fields that could be decoded.
 func decodeObject[T any](raw json.RawMessage) *T {
 	object := new(T)
 	_ = json.Unmarshal(raw, object)
@@ -49,7 +49,7 @@
 	return []string{job.Namespace, job.Name, succeeded, fmt.Sprint(job.Status.Active), jobState(conditions), settledCondition(conditions)}
 }
 
-// jobState is the type of the last condition that is true and decides a job's state.
+// jobState returns the type of the last true condition that ends or suspends a job, "Running" if there is none.
 func jobState(conditions []batchv1.JobCondition) string {
 	state := "Running"
 	for i := range conditions {
@@ -64,7 +64,7 @@
 	return state
 }
 
-// settledCondition is the outcome of a job's placement, "" while there is none.
+// settledCondition returns the outcome of a job's placement, "" while there is none.
 func settledCondition(conditions []batchv1.JobCondition) string {
 	for i := range conditions {
 		if c := &conditions[i]; c.Type == wellknown.Settled && c.Status == corev1.ConditionTrue {
