--- a/internal/lab/audit/attempt_state.go
+++ b/internal/lab/audit/attempt_state.go
@@ -15,7 +15,7 @@
 	attemptAccepted
 	// attemptRejected: the node rejected the attempt.
 	attemptRejected
-	// attemptFenced: an order to stop came before the attempt was accepted. The node rejects it if it arrives later.
+	// attemptFenced: a request to stop arrived before the attempt was accepted. The node rejects the attempt if it arrives later.
 	attemptFenced
 	// attemptLost: the node was lost, or reported the task as ended, before it accepted the attempt. It may have run.
 	attemptLost
@@ -33,7 +33,8 @@
 
 // attemptTransitions lists the states that may follow each state.
 //
-// The answer to a lost attempt, or the fence that covers it, may be recorded after the loss: repeats of an attempt at its node end together.
+// The answer to a lost attempt, or the fence that covers it, may be recorded after the loss, since all attempts of a task at one node end
+// together.
 var attemptTransitions = [attemptStates][]attemptState{
 	attemptReceived: {attemptAccepted, attemptRejected, attemptFenced, attemptLost, attemptNeverRan},
 	attemptAccepted: {attemptEnded, attemptNeverRan},
@@ -55,7 +56,7 @@
 // unanswered reports whether the node has neither accepted nor rejected the attempt, and no fence covers it.
 func (s attemptState) unanswered() bool { return s == attemptReceived || s == attemptLost }
 
-// setState is the only place where an attempt changes its state. It goes on after an illegal transition, which checkInvariants reports.
+// setState is the only function that changes the state of an attempt. It makes an illegal transition too, and checkInvariants reports it.
 func (a *auditor) setState(attempt *attemptRecord, next attemptState) {
 	if !slices.Contains(attemptTransitions[attempt.state], next) && a.badTransition == nil {
 		a.badTransition = fmt.Errorf("audit: attempt %d at %s goes from %s to %s", attempt.number, attempt.node, attempt.state, next)
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// attemptAnswered takes the answer of a node to an attempt. An answer to one that is decided changes nothing.
+// attemptAnswered records a node's answer to an attempt. It has no effect on an attempt that is answered, fenced or ended already.
 func (a *auditor) attemptAnswered(attempt *attemptRecord, accepted bool) {
 	switch {
 	case !attempt.state.unanswered():
@@ -93,7 +94,7 @@
 	}
 }
 
-// attemptOver ends an attempt that is open.
+// attemptOver ends an attempt if it is open. neverRan says that the task is proven never to have run.
 func (a *auditor) attemptOver(attempt *attemptRecord, neverRan bool) {
 	switch {
 	case !attempt.state.open():
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -1,5 +1,10 @@
-// Package audit checks the five rules of the scheduler by events recorded at the other parties: attempts as they arrived at nodes and what
-// became of them, nodes as the inventory showed them, and outcomes as a client saw them. It uses nothing that a scheduler says of itself.
+// Package audit checks the five rules of the scheduler from events that nodes, the inventory and clients recorded: attempts as they arrived at
+// nodes and how they ended, nodes as the inventory listed them, and outcomes as a client saw them. It uses nothing that a scheduler reports of
+// itself.
+//
+// Packages simulation and faultinjection collect the events of a run and call Check. Begin reading there: it passes the events to
+// auditor.handle (auditor.go), which updates the records of tasks and attempts and calls the checks of the rules (rules.go). The states of an
+// attempt are in attempt_state.go.
 //
 // The package is pure: events in, violations out.
 package audit
@@ -12,10 +17,10 @@
 	"heathshed/placer"
 )
 
-// EventKind says what happened. The kinds stand in recorded events and keep their values.
+// EventKind says what happened. The values are part of the form in which events are recorded, and do not change.
 type EventKind string
 
-// Event is one thing that happened between the parties.
+// Event is something that a node, the inventory, a client or an operator observed. Fields that a kind does not use are empty.
 type Event struct {
 	At        placer.Seconds `json:"at"` // Unix time
 	Kind      EventKind      `json:"what"`
@@ -37,10 +42,10 @@
 	AttemptReceived EventKind = "offer"
 	Accepted        EventKind = "accept"
 	Rejected        EventKind = "refuse"
-	Abandoned       EventKind = "hangup" // the connection closed before the answer was out
+	Abandoned       EventKind = "hangup" // the connection closed before the answer was sent
 	Started         EventKind = "start"
 	Ended           EventKind = "end"  // Reason says why
-	Fenced          EventKind = "seal" // an order to stop found nothing: attempts up to this one will be rejected
+	Fenced          EventKind = "seal" // a request to stop found no task: the node will reject attempts up to this one
 	Crashed         EventKind = "crash"
 	Overloaded      EventKind = "fall" // the node failed under load while it warmed up
 )
@@ -58,8 +63,8 @@
 const (
 	Submitted      EventKind = "asked"     // a task was accepted by a scheduler, with a Deadline for its outcome
 	Settled        EventKind = "settled"   // Reason is the outcome of a task
-	Withdrawn      EventKind = "withdrawn" // the client deleted a task without an outcome
-	DrainOrdered   EventKind = "told"      // a scheduler acknowledged the order to drain a node
+	Withdrawn      EventKind = "withdrawn" // the client deleted a task that had no outcome
+	DrainOrdered   EventKind = "told"      // a scheduler acknowledged the request to drain a node
 	DrainCancelled EventKind = "undrained"
 	Killed         EventKind = "killed" // a scheduler process
 )
@@ -79,21 +84,21 @@
 	ClusterDomain Domain = "cluster"
 )
 
-// Class holds what the rules say of a class of tasks.
+// Class is what the rules require for a class of tasks.
 type Class struct {
 	AtMostOnce   bool
 	Idempotent   bool
-	DedupDomain  Domain         // of Idempotent: the nodes that drop repeats
+	DedupDomain  Domain         // of Idempotent: the nodes that drop duplicates of a task
 	DedupWindow  placer.Seconds // of Idempotent: how long nodes remember the idempotency key
 	SpreadDomain Domain         // or NoDomain
 	MaxPerDomain int            // tasks of one service of one scheduler in one SpreadDomain
 }
 
-// Config holds what events are checked by.
+// Config configures an audit.
 type Config struct {
 	Classes    map[string]Class
 	DrainGrace placer.Seconds // from a drain until a scheduler must respect it
-	Slack      placer.Seconds // allowed for clocks and for the way between the parties; 0 or less is the default
+	Slack      placer.Seconds // tolerance for clock differences and network latency; 0 or less is the default
 }
 
 const defaultSlack placer.Seconds = 0.1
@@ -125,7 +130,7 @@
 	Events         int            `json:"Events"`
 	Tasks          int            `json:"Tasks"`     // submitted
 	Outcomes       map[string]int `json:"Outcomes"`  // tasks by outcome
-	WithoutOutcome int            `json:"Forgotten"` // tasks that need none: their scheduler was killed, or their client withdrew them
+	WithoutOutcome int            `json:"Forgotten"` // tasks for which none is due: their scheduler was killed, or their client withdrew them
 	Attempts       int            `json:"Offers"`
 	Rejections     int            `json:"Refusals"`
 	Starts         int            `json:"Starts"`
@@ -136,7 +141,7 @@
 // Check audits events. It sorts them by time; events of the same time keep their order.
 func Check(config Config, events []Event) Report { return auditEvents(config, events).report }
 
-// auditEvents returns the auditor of the events after the last of them.
+// auditEvents audits events and returns the auditor in its final state, which tests inspect.
 func auditEvents(config Config, events []Event) *auditor {
 	if config.Slack <= 0 {
 		config.Slack = defaultSlack
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -27,7 +27,7 @@
 	return Event{At: at, Kind: kind, Node: node, UID: uid, Attempt: attempt}
 }
 
-// checked audits events, and fails the test if the states of attempts do not hold together.
+// checked audits events, and fails the test if the auditor's invariants are violated.
 func checked(t *testing.T, config Config, events []Event) Report {
 	t.Helper()
 	auditor := auditEvents(config, events)
--- a/internal/lab/audit/auditor.go
+++ b/internal/lab/audit/auditor.go
@@ -6,27 +6,27 @@
 	"heathshed/placer"
 )
 
-// attemptRecord is what is known of one attempt at one node.
+// attemptRecord is what is known of one attempt at one node. The auditor writes it, and its state only in setState.
 type attemptRecord struct {
 	number           int
 	node, rack, zone string
 	receivedAt       placer.Seconds
 	closedAt         placer.Seconds // when it was answered or abandoned; 0 while it is in flight
 	state            attemptState
-	answerLost       bool // the scheduler never got the answer: to it the attempt is over
+	answerLost       bool // the scheduler never received the answer and counts the attempt as ended
 }
 
 // occupies reports whether, as far as its scheduler can know, the attempt runs the task or may still do so.
 func (attempt *attemptRecord) occupies() bool { return attempt.state.open() && !attempt.answerLost }
 
-// close notes that the attempt is no longer in flight.
+// close records that the attempt is no longer in flight.
 func (attempt *attemptRecord) close(at placer.Seconds) {
 	if attempt.closedAt == 0 {
 		attempt.closedAt = at
 	}
 }
 
-// taskRecord is what is known of one task.
+// taskRecord is what is known of one task. The auditor writes it.
 type taskRecord struct {
 	uid, class, service, scheduler string
 	submitted                      bool
@@ -37,7 +37,7 @@
 	starts                         int
 }
 
-// findAttempt returns the latest attempt that an event at a node belongs to, nil if there is none.
+// findAttempt returns the latest attempt with the number and node of an event, nil if there is none.
 func (task *taskRecord) findAttempt(event *Event) *attemptRecord {
 	for i := len(task.attempts) - 1; i >= 0; i-- {
 		attempt := task.attempts[i]
@@ -48,13 +48,13 @@
 	return nil
 }
 
-// drainOrder names a node that a scheduler was ordered to drain.
+// drainOrder identifies a request to one scheduler to drain one node.
 type drainOrder struct{ scheduler, node string }
 
-// serviceKey names a service of one scheduler.
+// serviceKey identifies a service of one scheduler.
 type serviceKey struct{ scheduler, service string }
 
-// auditor takes events in order of time.
+// auditor is the state of one audit. handle applies the events to it in order of time, and finish completes the report.
 type auditor struct {
 	config      Config
 	report      Report
@@ -81,11 +81,12 @@
 	}
 }
 
+// violation adds a violation to the report.
 func (a *auditor) violation(rule Rule, at placer.Seconds, format string, args ...any) {
 	a.report.Violations = append(a.report.Violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// taskOf returns the state of an event's task, and takes what the event says of it.
+// taskOf returns the record of an event's task, which it creates if there is none, and copies the event's class, service and scheduler to it.
 func (a *auditor) taskOf(event *Event) *taskRecord {
 	task := a.tasks[event.UID]
 	if task == nil {
@@ -105,6 +106,7 @@
 	return task
 }
 
+// handle applies an event.
 func (a *auditor) handle(event *Event) {
 	switch event.Kind {
 	case Submitted, Settled, Withdrawn:
@@ -116,7 +118,7 @@
 	case AttemptReceived:
 		a.attemptReceived(event)
 	case Rejected, Abandoned, Accepted, Started, Ended, Fenced:
-		a.attemptProgressed(event)
+		a.handleAttempt(event)
 	case Crashed:
 		a.report.Crashes++
 		a.nodeLost(event)
@@ -126,6 +128,7 @@
 	}
 }
 
+// handleClient applies an event of a client about a task.
 func (a *auditor) handleClient(event *Event) {
 	task := a.taskOf(event)
 	switch event.Kind {
@@ -139,6 +142,7 @@
 	}
 }
 
+// handleScheduler applies an event about a scheduler.
 func (a *auditor) handleScheduler(event *Event) {
 	order := drainOrder{event.Scheduler, event.Node}
 	switch event.Kind {
@@ -151,7 +155,7 @@
 	}
 }
 
-// schedulerKilled forgets what a scheduler process knew: orders to drain, and its tasks without an outcome.
+// schedulerKilled drops what a scheduler process knew: the drains that it was requested to make, and its tasks without an outcome.
 func (a *auditor) schedulerKilled(scheduler string) {
 	for order := range a.drainOrderedAt {
 		if order.scheduler == scheduler {
@@ -170,6 +174,7 @@
 	}
 }
 
+// handleInventory applies an event about the inventory.
 func (a *auditor) handleInventory(event *Event) {
 	switch event.Kind {
 	case ListedReady:
@@ -186,7 +191,7 @@
 	}
 }
 
-// nodeLost ends all attempts at a node.
+// nodeLost ends all attempts at a node that has failed.
 func (a *auditor) nodeLost(event *Event) {
 	for _, uid := range a.uids {
 		for _, attempt := range a.tasks[uid].attempts {
@@ -199,8 +204,8 @@
 	}
 }
 
-// attemptProgressed takes what became of an attempt at its node.
-func (a *auditor) attemptProgressed(event *Event) {
+// handleAttempt applies an event about an attempt that its node has received.
+func (a *auditor) handleAttempt(event *Event) {
 	task := a.tasks[event.UID]
 	if task == nil {
 		return
@@ -217,11 +222,11 @@
 		a.fence(task, event)
 	}
 	if attempt := task.findAttempt(event); attempt != nil {
-		a.progress(task, attempt, event)
+		a.updateAttempt(task, attempt, event)
 	}
 }
 
-// fence takes a fence into the attempts that it covers: all up to its own at the node that were not answered.
+// fence marks the attempts that a fence covers: those at its node, up to its number, that are not answered.
 func (a *auditor) fence(task *taskRecord, event *Event) {
 	for _, attempt := range task.attempts {
 		if attempt.node == event.Node && attempt.number <= event.Attempt && attempt.state.unanswered() {
@@ -230,8 +235,8 @@
 	}
 }
 
-// progress takes an event into the state of its attempt.
-func (a *auditor) progress(task *taskRecord, attempt *attemptRecord, event *Event) {
+// updateAttempt changes the state of an attempt by an event about it.
+func (a *auditor) updateAttempt(task *taskRecord, attempt *attemptRecord, event *Event) {
 	switch event.Kind {
 	case Abandoned:
 		attempt.close(event.At)
@@ -244,7 +249,7 @@
 	}
 }
 
-// endAll ends all open attempts of a task at a node: those after the one that the node accepted were repeats of it.
+// endAll ends all open attempts of a task at a node: those after the accepted one were duplicates of it.
 func (a *auditor) endAll(task *taskRecord, event *Event) {
 	for _, attempt := range task.attempts {
 		if attempt.node == event.Node {
--- a/internal/lab/audit/rules.go
+++ b/internal/lab/audit/rules.go
@@ -2,10 +2,10 @@
 
 import "heathshed/placer"
 
-// discoveryRecovery is the time, after the inventory can be reached again, in which schedulers must have read it.
+// discoveryRecovery is how long after the end of an inventory outage schedulers may take to read the list of nodes.
 const discoveryRecovery placer.Seconds = 1
 
-// taskSettled takes the outcome of a task: there is one, and it is in time.
+// taskSettled records the outcome of a task, and checks that it is the only one and in time.
 func (a *auditor) taskSettled(event *Event, task *taskRecord) {
 	switch task.outcome {
 	case "":
@@ -24,7 +24,7 @@
 	}
 }
 
-// taskStarted counts a start: a task that must run at most once has one.
+// taskStarted counts a start, and checks that a task that must run at most once is not started again.
 func (a *auditor) taskStarted(event *Event, task *taskRecord) {
 	task.starts++
 	if task.starts > 1 && a.config.Classes[task.class].AtMostOnce {
@@ -32,7 +32,7 @@
 	}
 }
 
-// attemptReceived takes a new attempt and checks whether the scheduler might make it.
+// attemptReceived records a new attempt and checks whether the rules permit it.
 func (a *auditor) attemptReceived(event *Event) {
 	task := a.taskOf(event)
 	class := a.config.Classes[task.class]
@@ -48,12 +48,13 @@
 	}
 }
 
-// checkDrain checks an attempt against the nodes that drain or are unavailable, by the inventory and by order.
+// checkDrain checks that an attempt was not sent to a node that the inventory listed as draining or unavailable, or that its scheduler was
+// requested to drain.
 func (a *auditor) checkDrain(event *Event, task *taskRecord) {
 	// respectedFrom is when a scheduler that learned of a drain at the given time must respect it.
 	respectedFrom := func(at placer.Seconds) placer.Seconds { return at + a.config.DrainGrace + a.config.Slack }
 	since, unavailable := a.unavailableSince[event.Node]
-	// Without the inventory a scheduler cannot know.
+	// During an outage of the inventory a scheduler cannot know.
 	if unavailable && !a.discoveryLost && event.At > respectedFrom(max(since, a.discoveryRestoredAt+discoveryRecovery)) {
 		a.violation(ruleDrain, event.At, "task %s was attempted at %s, shown as draining or unavailable for %.3f s", task.uid, event.Node, event.At-since)
 	}
@@ -100,7 +101,7 @@
 	return a.node == b.node
 }
 
-// checkSpread counts the attempts of one service of a scheduler in the domain of a new one.
+// checkSpread checks that an attempt does not exceed the number of tasks of its service that may run in one domain.
 func (a *auditor) checkSpread(task *taskRecord, attempt *attemptRecord, class Class) {
 	key := serviceKey{task.scheduler, task.service}
 	if len(task.attempts) == 1 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// finish checks what can be said only when all events are in.
+// finish makes the checks that need all events, and completes the report.
 func (a *auditor) finish(end placer.Seconds) {
 	for _, uid := range a.uids {
 		task := a.tasks[uid]
