--- a/internal/testsupport/structure/groups_test.go
+++ b/internal/testsupport/structure/groups_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"maps"
-	"os"
 	"path"
 	"regexp"
 	"slices"
@@ -11,9 +10,6 @@
 	"testing"
 )
 
-// architecturePage is the page with the graph of groups, seen from this package.
-const architecturePage = moduleRoot + "/docs/architecture.md"
-
 // groupImport says that packages of one group import packages of another one.
 type groupImport struct{ from, to string }
 
@@ -35,37 +31,23 @@
 }
 
 func TestGraphOfGroupsIsTheRealOne(t *testing.T) {
-	page, err := os.ReadFile(architecturePage)
-	if err != nil {
-		t.Fatal(err)
-	}
-	drawn, err := parseGroupGraph(string(page))
+	drawn, err := parseGroupGraph(readArchitecturePage(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, finding := range compareGroupGraphs(drawn, importedGroups(load(t))) {
-		t.Error(finding)
-	}
+	reportFindings(t, compareGroupGraphs(drawn, importedGroups(load(t))))
 }
 
 // TestLayersNameEveryPackage compares the packages with the table that says what each is for.
 func TestLayersNameEveryPackage(t *testing.T) {
-	page, err := os.ReadFile(architecturePage)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, finding := range packagesNotNamed(string(page), load(t)) {
-		t.Error(finding)
-	}
+	reportFindings(t, packagesNotNamed(readArchitecturePage(t), load(t)))
 }
 
 func TestPackageNotNamedIsFound(t *testing.T) {
 	source := &module{packages: []*sourcePackage{{path: "heathshed/placer"}, {path: "heathshed/internal/control/retry"}}}
 	page := "# Page\n\n`retry`\n\n## Layers\n\n| `placer` | decides |\n\n## Other\n\n`retry`\n"
 	want := []string{"package internal/control/retry is not named in the section Layers"}
-	if got := packagesNotNamed(page, source); !slices.Equal(got, want) {
-		t.Errorf("got %q, want %q", got, want)
-	}
+	requireFindings(t, packagesNotNamed(page, source), want)
 }
 
 func packagesNotNamed(page string, source *module) []string {
@@ -132,9 +114,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := compareGroupGraphs(drawn, importedGroups(source)); !slices.Equal(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
-			}
+			requireFindings(t, compareGroupGraphs(drawn, importedGroups(source)), test.want)
 		})
 	}
 }
--- a/internal/testsupport/structure/log_messages_test.go
+++ b/internal/testsupport/structure/log_messages_test.go
@@ -16,9 +16,7 @@
 
 // A search for the message of a log line must lead to the one function that writes it.
 func TestEachLogMessageIsWrittenAtOnePlace(t *testing.T) {
-	for _, finding := range logMessageFindings(load(t)) {
-		t.Error(finding)
-	}
+	reportFindings(t, logMessageFindings(load(t)))
 }
 
 func TestLogMessagesOfTwoPlacesAreFound(t *testing.T) {
@@ -48,9 +46,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			planted := plantedModule(t, map[string]string{"run.go": declarations + "\n" + test.source + "\n"})
-			if got := logMessageFindings(planted); !slices.Equal(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
-			}
+			requireFindings(t, logMessageFindings(planted), test.want)
 		})
 	}
 }
--- a/internal/testsupport/structure/methods_test.go
+++ b/internal/testsupport/structure/methods_test.go
@@ -16,9 +16,7 @@
 var methodCeilings = map[string]int{}
 
 func TestNoTypeHasTooManyMethods(t *testing.T) {
-	for _, finding := range methodFindings(countMethods(load(t)), methodCeilings) {
-		t.Error(finding)
-	}
+	reportFindings(t, methodFindings(countMethods(load(t)), methodCeilings))
 }
 
 func TestTooManyMethodsAreFound(t *testing.T) {
@@ -49,9 +47,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := methodFindings(counts, test.ceilings); !slices.Equal(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
-			}
+			requireFindings(t, methodFindings(counts, test.ceilings), test.want)
 		})
 	}
 }
--- a/internal/testsupport/structure/names_test.go
+++ b/internal/testsupport/structure/names_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"go/types"
-	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -18,13 +17,7 @@
 var standardNames = []string{"time.Duration", "time.Time"}
 
 func TestNamesOnTheArchitecturePage(t *testing.T) {
-	page, err := os.ReadFile(architecturePage)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, finding := range unknownNames(string(page), load(t).declarations()) {
-		t.Error(finding)
-	}
+	reportFindings(t, unknownNames(readArchitecturePage(t), load(t).declarations()))
 }
 
 func TestUnknownNamesAreFound(t *testing.T) {
@@ -47,9 +40,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			page := "# Page\n\n`elsewhere`\n\n## The way of it\n\n1. " + test.text + "\n\n## Other\n\n`elsewhere`\n"
-			if got := unknownNames(page, declared); !slices.Equal(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
-			}
+			requireFindings(t, unknownNames(page, declared), test.want)
 		})
 	}
 }
--- a/internal/testsupport/structure/writers_test.go
+++ b/internal/testsupport/structure/writers_test.go
@@ -94,12 +94,8 @@
 	}
 
 	source := plantedModule(t, sources)
-	if got := widelyWritten(source, nil); !slices.Equal(got, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
-	}
-	if got := widelyWritten(source, []string{"placer"}); len(got) != 0 {
-		t.Errorf("of another package: got %q, want none", got)
-	}
+	requireFindings(t, widelyWritten(source, nil), want)
+	requireFindings(t, widelyWritten(source, []string{"placer"}), nil) // another package
 }
 
 func TestWidelyWrittenLimit(t *testing.T) {
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -42,7 +42,7 @@
 //
 // Both preferences work in place, so the second draw sees what the first one left of the candidates: where
 // some preferred nodes are saturated, the others appear twice and the saturated ones are missing. That
-// affects placements and is kept for now; ROADMAP.md lists it among the known faults.
+// affects placements and is kept for now; docs/ROADMAP.md lists it among the known faults.
 func (s *selector) draw(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if s.latency.coldStartsSlow(request.Class) {
 		preferred := prefer(s.withProgram(request.Service, candidates), (*candidate).belowSaturation)
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -239,7 +239,7 @@
 
 // The preferred nodes are filtered in the memory of the list of all candidates. Where some of them are saturated and the
 // others have too many contenders, the second draw is from a list in which nodes may be missing and others appear twice.
-// ROADMAP.md lists this as a fault; as a change would alter placements, this pins the nodes that 60 seeds draw.
+// docs/ROADMAP.md lists this as a fault; as a change would alter placements, this pins the nodes that 60 seeds draw.
 func TestSecondDrawSeesListThatThePreferenceReordered(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
