--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// requestState is where a request of a play is.
+// requestState is the state of a request in the model.
 type requestState uint8
 
 const (
@@ -22,10 +22,10 @@
 
 func (s requestState) String() string { return requestStateNames[s] }
 
-// stateAfter is where a request is after each decision.
+// stateAfter is the state of a request after each decision.
 var stateAfter = [...]requestState{Admit: stateInFlight, Queue: stateQueued, Shed: stateShed}
 
-// play is a controller with the requests that it got, as a model of it keeps them.
+// play is a controller with a model of it: the requests that were submitted, and their states.
 type play struct {
 	*rapid.T
 	config     Config
--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -3,11 +3,7 @@
 // Characterization tests: they drive the adapter through a scripted run in a closed loop. A simulated peer reads
 // each reply, carries out its actions and builds the next batch; a running SHA-256 covers all bytes of all
 // replies. The first checkpoint that differs locates a change.
-//
-// The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
-// fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
-//
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simbridge/simadapter -run Characterization
+// Package goldentest says how golden files are compared and written.
 
 import (
 	"bytes"
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -2,11 +2,7 @@
 
 // Characterization tests: they pin the result of Parse field by field for settings of three shapes, and which
 // settings are rejected.
-//
-// The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
-// fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
-//
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simbridge/simconfig -run Characterization
+// Package goldentest says how golden files are compared and written.
 
 import (
 	"fmt"
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -1,12 +1,8 @@
 package simproto_test
 
-// Characterization tests: they pin what the reader makes of each event code, what the writer emits for each
+// Characterization tests: they pin the event that is read for each event code, what the writer emits for each
 // action, and which truncated inputs are rejected.
-//
-// The golden file holds numbers, wire bytes and float bits only, never a Go identifier. A missing golden file
-// fails the test. To accept an intended change of behaviour, regenerate it and commit it with the change:
-//
-//	HEATHSHED_UPDATE_GOLDEN=1 go test ./internal/simbridge/simproto -run Characterization
+// Package goldentest says how golden files are compared and written.
 
 import (
 	"bytes"
