--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -102,8 +102,14 @@
 
 // Each entry of the table names a setting, and no former name is that of another setting of the same section.
 func TestFormerNamesDoNotClash(t *testing.T) {
+	seen := map[string]bool{}
+	listedOnce := func(kind, name string) {
+		if seen[kind+name] {
+			t.Errorf("%s %s: listed twice", kind, name)
+		}
+		seen[kind+name] = true
+	}
 	present := settingNames(reflect.TypeFor[Settings](), "")
-	seenFormer, seenName := map[string]bool{}, map[string]bool{}
 	for _, key := range formerNames.Keys {
 		former, name := joinPath(key.Section, key.Former), joinPath(key.Section, key.Name)
 		if !slices.Contains(present, name) {
@@ -112,12 +118,9 @@
 		if slices.Contains(present, former) {
 			t.Errorf("%s is the name of a setting, and the former name of %s", former, name)
 		}
-		if seenFormer[former] || seenName[name] {
-			t.Errorf("%s, formerly %s: listed twice", name, former)
-		}
-		seenFormer[former], seenName[name] = true, true
+		listedOnce("former name", former)
+		listedOnce("present name", name)
 	}
-	seenValue := map[string]bool{}
 	for _, value := range formerNames.Values {
 		if _, known := topologyDomains[value.Value]; !known || !slices.Contains(present, value.Path) {
 			t.Errorf("%s: %q, formerly %q, is no value of a setting", value.Path, value.Value, value.Former)
@@ -125,10 +128,9 @@
 		if _, known := topologyDomains[value.Former]; known {
 			t.Errorf("%s: %q is a value, and the former word for %q", value.Path, value.Former, value.Value)
 		}
-		if seenValue[value.Path+value.Former] || seenValue[value.Path+value.Value] {
-			t.Errorf("%s: %q, formerly %q: listed twice", value.Path, value.Value, value.Former)
-		}
-		seenValue[value.Path+value.Former], seenValue[value.Path+value.Value] = true, true
+		// Present and former values share one name space: a value cannot be both.
+		listedOnce("value of", value.Path+" "+value.Former)
+		listedOnce("value of", value.Path+" "+value.Value)
 	}
 }
 
