--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -26,26 +26,20 @@
 	return paths
 }
 
-// keysOf returns the paths of all settings of a decoded file, without indexes of lists.
-func keysOf(value any, prefix string) map[string]bool {
-	keys := map[string]bool{}
+// addKeys adds the paths of all settings of a decoded file, without indexes of lists.
+func addKeys(keys map[string]bool, value any, prefix string) {
 	switch typed := value.(type) {
 	case map[string]any:
 		for name, member := range typed {
 			path := joinPath(prefix, name)
 			keys[path] = true
-			for inner := range keysOf(member, path) {
-				keys[inner] = true
-			}
+			addKeys(keys, member, path)
 		}
 	case []any:
 		for _, element := range typed {
-			for inner := range keysOf(element, prefix) {
-				keys[inner] = true
-			}
+			addKeys(keys, element, prefix)
 		}
 	}
-	return keys
 }
 
 // formerPath returns the path that a setting had in release 0.1.
@@ -78,7 +72,8 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		t.Fatal(err)
 	}
-	want := keysOf(file, "")
+	want := map[string]bool{}
+	addKeys(want, file, "")
 	for _, path := range tenantKeys {
 		want[path] = true
 	}
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -57,10 +57,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := newEngineServer(t)
 			var response http1.Response
-			allocated := allocatedBytes(func() { response = server.send(test.method, test.path, test.mediaType, test.body) })
-			if limit := allocationLimit(len(test.body)); allocated > limit {
-				t.Errorf("%d bytes of body allocate %d bytes, want at most %d", len(test.body), allocated, limit)
-			}
+			checkAllocations(t, len(test.body), func() { response = server.send(test.method, test.path, test.mediaType, test.body) })
 			if response.Status != test.status {
 				t.Errorf("status %d, want %d: %.200s", response.Status, test.status, response.Body)
 			}
@@ -80,7 +77,7 @@
 	}
 }
 
-// FuzzBody checks that any body, on any path, is served within allocationLimit and without an internal error.
+// FuzzBody checks that any body, on any path, is served within the limit of checkAllocations and without an internal error.
 func FuzzBody(f *testing.F) {
 	ways := []struct{ method, path, mediaType string }{
 		{"POST", jobsPath, jsonType},
@@ -111,17 +108,14 @@
 		}
 		way := ways[int(wayIndex)%len(ways)]
 		var response http1.Response
-		allocated := allocatedBytes(func() { response = server.send(way.method, way.path+"?dryRun=All", way.mediaType, body) })
-		if limit := allocationLimit(len(body)); allocated > limit {
-			t.Fatalf("%d bytes of body allocate %d bytes, want at most %d", len(body), allocated, limit)
-		}
+		checkAllocations(t, len(body), func() { response = server.send(way.method, way.path+"?dryRun=All", way.mediaType, body) })
 		if response.Status == 500 {
 			t.Fatalf("status 500: %s", response.Body)
 		}
 	})
 }
 
-// FuzzSelector checks that any selector is parsed and matched against objects within allocationLimit.
+// FuzzSelector checks that any selector is parsed and matched against objects within the limit of checkAllocations.
 func FuzzSelector(f *testing.F) {
 	for _, selector := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(selector, selector)
@@ -137,7 +131,7 @@
 			resourceType: findResourceType("pods", true),
 			query:        url.Values{"labelSelector": {labelSelector}, "fieldSelector": {fieldSelector}},
 		}
-		allocated := allocatedBytes(func() {
+		checkAllocations(t, length, func() {
 			selector, err := request.parseSelector()
 			if err != nil {
 				return
@@ -146,9 +140,6 @@
 				selector.matches(server.Store.Get(store.Pods, "default", name))
 			}
 		})
-		if limit := allocationLimit(length); allocated > limit {
-			t.Fatalf("%d bytes allocate %d bytes, want at most %d", length, allocated, limit)
-		}
 	})
 }
 
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -15,6 +15,7 @@
 	"heathshed/internal/kube/store"
 	"heathshed/internal/kube/wellknown"
 	"heathshed/internal/netio/http1"
+	"heathshed/placer"
 )
 
 const (
@@ -49,19 +50,25 @@
 	return &Server{Store: objects}
 }
 
-// newEngineServer returns an API over an engine that knows one node.
-func newEngineServer(tb testing.TB) *Server {
+// newServer returns an API over an engine whose inventory lists some nodes.
+func newServer(tb testing.TB, cfg engine.Config, now placer.Seconds, nodes ...*corev1.Node) *Server {
 	tb.Helper()
-	settings := config.Default()
-	core, err := engine.New(settings.Engine(1, 1000))
+	core, err := engine.New(cfg)
 	if err != nil {
 		tb.Fatal(err)
 	}
+	core.NodesListed(now, engine.FullList, nodes, nil)
+	return &Server{Store: core.Store(), Engine: core}
+}
+
+// newEngineServer returns an API over an engine with the default settings that knows one node.
+func newEngineServer(tb testing.TB) *Server {
+	tb.Helper()
 	node := &corev1.Node{}
 	node.Name = "node-1"
 	node.Labels = map[string]string{wellknown.Kind: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
-	core.NodesListed(1000, engine.FullList, []*corev1.Node{node}, nil)
-	return &Server{Store: core.Store(), Engine: core}
+	settings := config.Default()
+	return newServer(tb, settings.Engine(1, 1000), 1000, node)
 }
 
 // newRequest returns a request; header holds names and values in turn.
@@ -105,14 +112,16 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// allocatedBytes returns how many bytes the process allocates while a function runs.
-func allocatedBytes(run func()) uint64 {
+// checkAllocations fails the test if serving a body of so many bytes allocates more than a number for each byte, or more than the bound for any
+// body. It counts what the process allocates meanwhile.
+func checkAllocations(tb testing.TB, body int, serve func()) {
+	tb.Helper()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	run()
+	serve()
 	runtime.ReadMemStats(&after)
-	return after.TotalAlloc - before.TotalAlloc
+	limit := min(16<<20+2048*uint64(body), 96<<20)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > limit {
+		tb.Errorf("%d bytes of body allocate %d bytes, want at most %d", body, allocated, limit)
+	}
 }
-
-// allocationLimit is how many bytes serving a request may allocate: a number for each byte of its body, and a bound for any body.
-func allocationLimit(body int) uint64 { return min(16<<20+2048*uint64(body), 96<<20) }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -40,26 +40,18 @@
 // newSessionWith returns a session with a scheduler that knows three nodes.
 func newSessionWith(t *testing.T, cfg engine.Config) *apiSession {
 	t.Helper()
-	core, err := engine.New(cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
-	session := &apiSession{
-		server: &Server{Store: core.Store(), Engine: core, Version: "test", DefaultListLimit: 50},
-		engine: core,
-		now:    sessionStart,
-		record: goldentest.NewRecorder(),
-	}
-	session.server.Metrics = func() []byte { return []byte("metric 1\n") }
 	var nodes []*corev1.Node
 	for i, nodeType := range []string{"standard", "large", "standard"} {
 		nodes = append(nodes, listedNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
 	}
-	core.NodesListed(session.now, engine.FullList, nodes, nil)
+	server := newServer(t, cfg, sessionStart, nodes...)
+	server.Version = "test"
+	server.DefaultListLimit = 50
+	server.Metrics = func() []byte { return []byte("metric 1\n") }
 	for _, node := range nodes {
-		core.NodePods(session.now, node.Name, node.Status.NodeInfo.BootID, 1, nil)
+		server.Engine.NodePods(sessionStart, node.Name, node.Status.NodeInfo.BootID, 1, nil)
 	}
-	return session
+	return &apiSession{server: server, engine: server.Engine, now: sessionStart, record: goldentest.NewRecorder()}
 }
 
 func listedNode(name, nodeType string, index int) *corev1.Node {
