--- a/internal/lab/faultinjection/action.go
+++ b/internal/lab/faultinjection/action.go
@@ -22,7 +22,7 @@
 
 	submitAttempts = 400
 	retryInterval  = 250 * time.Millisecond
-	lateSubmission = 50 * time.Millisecond // after its time, at which a job counts as late
+	lateSubmission = 50 * time.Millisecond // delay above which the submission of a job counts as late
 )
 
 // apiOf returns a client of the API of a process.
@@ -30,8 +30,8 @@
 	return apiclient.New(r.processes.baseURL(name), r.client)
 }
 
-// retry makes a request of the API of a process. It tries again, up to maxAttempts times in all, while the process is down or rejects the
-// request for now.
+// retry sends a request to the API of a process, up to maxAttempts times in all, until it succeeds or fails permanently. It retries while the
+// process is down or reports a temporary error.
 func (r *runner) retry(ctx context.Context, name string, maxAttempts int, request func(*apiclient.Client) error) error {
 	var err error
 	for attempt := range maxAttempts {
@@ -70,7 +70,7 @@
 	}
 }
 
-// submitJob submits a job until a scheduler has it.
+// submitJob submits a job. It retries while the job's scheduler is down or busy.
 func (r *runner) submitJob(ctx context.Context, action *scenario.Action) {
 	late := time.Since(r.startedAt)-clock.Duration(action.At) > lateSubmission
 	body, err := json.Marshal(simulation.NewJob(action.Job))
@@ -79,7 +79,7 @@
 			return api.Create(ctx, apiclient.JobsPath(action.Job.Namespace), body, nil)
 		})
 	}
-	// A conflict says that an earlier attempt succeeded whose answer was lost.
+	// A conflict means that an earlier attempt succeeded and its response was lost.
 	var status *apiclient.StatusError
 	submitted := err == nil || errors.As(err, &status) && status.Conflict()
 	r.observer.update(func(f *Figures) {
@@ -92,28 +92,28 @@
 	})
 }
 
-// deleteJob deletes a job. It may fail: to act on a process that a fault keeps from answering is part of a scenario.
+// deleteJob deletes a job. It ignores an error: in a scenario the scheduler may be down because of a fault.
 func (r *runner) deleteJob(ctx context.Context, job *scenario.Job) {
 	path := apiclient.ObjectPath(apiclient.JobsPath(job.Namespace), job.Name)
 	_ = r.apiOf(simulation.SchedulerName(job.Scheduler)).Delete(ctx, path)
 }
 
-// injectFault orders a fault of an emulator. A process that is down gets none.
-func (r *runner) injectFault(ctx context.Context, name string, order any) {
-	body, err := json.Marshal(order)
+// injectFault sends a fault, a fault.Node or fault.Inventory, to an emulated process. It has no effect if the process is down.
+func (r *runner) injectFault(ctx context.Context, name string, injected any) {
+	body, err := json.Marshal(injected)
 	if err != nil {
-		return // orders are plain numbers
+		return // faults are plain numbers
 	}
 	request := &apiclient.Request{Method: http.MethodPut, Path: faultsPath, ContentType: apiclient.JSON, Body: body}
 	_ = r.apiOf(name).Do(ctx, request, nil)
 }
 
-// setDraining orders a drain of a node, or its end, at every scheduler.
+// setDraining has every scheduler drain a node, or cancel the drain.
 func (r *runner) setDraining(ctx context.Context, node string, draining bool) {
 	for i := range r.options.Script.Schedulers {
 		name := simulation.SchedulerName(i)
 		if !draining {
-			// Recorded before the order: attempts may go to the node as soon as it is sent.
+			// Recorded before the request is sent, since attempts may go to the node as soon as it arrives.
 			r.observer.record(audit.Event{Kind: audit.DrainCancelled, Scheduler: name, Node: node})
 		}
 		if err := r.apiOf(name).SetUnschedulable(ctx, node, draining, nil); err == nil && draining {
--- a/internal/lab/faultinjection/faultinjection.go
+++ b/internal/lab/faultinjection/faultinjection.go
@@ -1,7 +1,10 @@
 //go:build linux
 
-// Package faultinjection carries out the plan of a scenario over sockets: it starts schedulers, emulated nodes and an inventory as processes,
-// drives them as a client, injects the faults, and audits what happened between them.
+// Package faultinjection runs a scenario over sockets: it starts schedulers, emulated nodes and an inventory as processes, submits the load as
+// their client, injects the faults, and audits the events that all of them recorded.
+//
+// The command scenario calls Run. Begin reading there: it starts the processes (process.go), watches the schedulers (watch.go, observer.go) and
+// performs the actions of the plan (action.go).
 package faultinjection
 
 import (
@@ -28,12 +31,12 @@
 
 const (
 	progressInterval = 2 * time.Second
-	settleTime       = 500 * time.Millisecond // at the end, for outcomes that are on their way
+	settleTime       = 500 * time.Millisecond // at the end, for outcomes that have not reached the client yet
 
 	auditSlack placer.Seconds = 0.15
 )
 
-// Options are what a scenario is run with.
+// Options configure a run of a scenario.
 type Options struct {
 	Executable string // path of the heathshed binary
 	Dir        string // for settings, recorded events and logs; it must exist
@@ -43,11 +46,11 @@
 	Progress func(elapsed time.Duration, figures Figures)
 	// WatchDropInterval is the time between deliberate breaks of the client's own watches; 0 is none.
 	WatchDropInterval time.Duration
-	// Hostile adds clients that attack the schedulers to the ordinary one.
+	// Hostile adds clients that try to overload the schedulers.
 	Hostile bool
 }
 
-// Figures are what the client observed. Times are in seconds.
+// Figures are counts and latencies that the client measured. Times are in seconds.
 type Figures struct {
 	Jobs           int     `json:"Jobs"`
 	JobsLate       int     `json:"JobsLate"` // submitted later than planned
@@ -63,7 +66,7 @@
 	Hostile        Hostile `json:"Hostile"`
 }
 
-// Result is the result of a run.
+// Result is the result of a run: the client's figures and the report of the audit.
 type Result struct {
 	Seconds    float64      `json:"Seconds"`
 	Schedulers int          `json:"Schedulers"`
@@ -72,7 +75,8 @@
 	Audit      audit.Report `json:"Audit"`
 }
 
-// runner is one run.
+// runner carries out one run. It owns the child processes. Its goroutines share processes and observer, which are safe for concurrent use; the
+// other fields do not change once the actions of the plan begin.
 type runner struct {
 	options   Options
 	startedAt time.Time
@@ -81,7 +85,7 @@
 	observer  *observer
 }
 
-// Run runs a scenario. It returns when the script's time is over and every process has ended.
+// Run runs a scenario. It returns when the duration of the script has passed and every process has ended.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	r := &runner{
 		options:   options,
@@ -108,7 +112,7 @@
 	return r.result()
 }
 
-// planNodes returns the nodes that a plan may name.
+// planNodes returns the nodes of the scenario, for its plan.
 func planNodes(options *Options) []scenario.Node {
 	var nodes []scenario.Node
 	for i := range options.Script.Nodes {
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// sleep waits, and returns the context's error if it ends before.
+// sleep waits for d. If the context is done before, sleep returns its error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -167,7 +171,7 @@
 	}
 }
 
-// result audits what the client and the emulators recorded.
+// result audits the events that the client and the emulators recorded.
 func (r *runner) result() (*Result, error) {
 	events := r.observer.recordedEvents()
 	files, err := filepath.Glob(r.eventFile("*"))
@@ -196,7 +200,7 @@
 	}, nil
 }
 
-// appendEvents reads the events that an emulator recorded. The last line may be cut short, as the process was killed.
+// appendEvents appends the events that an emulator recorded in a file. The last line may be truncated, since the process was killed.
 func appendEvents(events []audit.Event, path string) ([]audit.Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -217,5 +221,5 @@
 	}
 }
 
-// closeQuietly closes something that was only read, or a connection that is not used again: an error has no consequence.
+// closeQuietly closes a file that was only read, or a connection that is not used again. The error of Close does not matter for these.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/lab/faultinjection/hostile.go
+++ b/internal/lab/faultinjection/hostile.go
@@ -15,12 +15,12 @@
 	"heathshed/internal/lab/simulation"
 )
 
-// Hostile holds what hostile clients met, and the memory of the schedulers meanwhile.
+// Hostile counts the requests and connections of the hostile clients, and gives the memory of the schedulers during the run.
 type Hostile struct {
 	ExpensiveRequests  int `json:"Bombs"`    // requests that are small to send and costly to process
 	Rejected           int `json:"Refused"`  // of them, answered with a status of 400 to 499
-	Accepted           int `json:"Taken"`    // of them, answered otherwise, but not with 503: there should be none
-	StalledConnections int `json:"Silent"`   // connections opened that never read, or never end their request
+	Accepted           int `json:"Taken"`    // of them, answered with any other status except 503: there should be none
+	StalledConnections int `json:"Silent"`   // connections opened whose client never reads a response or never completes its request
 	MemoryEarly        int `json:"Early"`    // median resident memory of all schedulers in the second quarter of the run, MiB
 	MemoryLate         int `json:"Late"`     // the same in the last quarter
 	MemoryPeak         int `json:"MostHeld"` // highest resident memory of one scheduler, MiB
@@ -50,8 +50,8 @@
 	incompleteHeadRequest = "GET /api/v1/po"
 )
 
-// expensiveRequests returns requests that are small to send and would be costly to process, one for each way in. Package api has a test for
-// each.
+// expensiveRequests returns requests that are small to send and would be costly to process, one for each kind of attack. Package api has a test
+// for each.
 func expensiveRequests() []apiclient.Request {
 	node := apiclient.NodePath(simulation.NodeName(0))
 	jobs := apiclient.JobsPath(attackedNamespace)
@@ -80,31 +80,31 @@
 		`{"requests":{"cpu":"` + cpu + `"}}}]}}}}`)
 }
 
-// stalledConnections are open connections of a hostile client.
+// stalledConnections are the open connections of one hostile client, whose goroutine alone uses them.
 type stalledConnections struct {
 	runner    *runner
 	scheduler string
 	open      []net.Conn
 }
 
-// runHostileClient sends expensive requests to one scheduler, and keeps connections open that never read or never end their request, until
-// the context ends.
+// runHostileClient sends expensive requests to one scheduler, and keeps connections open on which it never reads a response or never completes a
+// request, until the context is done.
 func (r *runner) runHostileClient(ctx context.Context, scheduler string) {
 	stalled := &stalledConnections{runner: r, scheduler: scheduler}
 	defer stalled.closeAll()
 	requests := expensiveRequests()
 	for round := 0; ctx.Err() == nil; round++ {
 		if round%reopenRounds == 0 {
-			// The scheduler, or a kill of it, has closed many of them by now.
+			// The scheduler has closed many of them by now, or was killed.
 			stalled.closeAll()
 			stalled.openAll()
 		}
 		r.sendExpensive(ctx, scheduler, &requests[round%len(requests)])
-		_ = sleep(ctx, hostileInterval) // the loop looks at the context
+		_ = sleep(ctx, hostileInterval) // the loop checks the context
 	}
 }
 
-// sendExpensive sends an expensive request and counts how it was answered, if it was.
+// sendExpensive sends an expensive request and counts its response by status. A request without a response is not counted.
 func (r *runner) sendExpensive(ctx context.Context, scheduler string, request *apiclient.Request) {
 	response, err := r.apiOf(scheduler).Send(ctx, request)
 	if err != nil {
@@ -122,6 +122,7 @@
 	})
 }
 
+// openAll opens connections of each kind.
 func (s *stalledConnections) openAll() {
 	jobs := apiclient.JobsPath(attackedNamespace)
 	incompleteBody := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n{", jobs, incompleteBodyBytes)
@@ -131,7 +132,7 @@
 	s.openEach(unreadListConnections, strings.Repeat(unreadListRequest, listsPerConnection))
 }
 
-// openEach opens so many connections and sends the text on each. It ends early if the scheduler does not accept one.
+// openEach opens a number of connections and sends the text on each. It returns early if the scheduler does not accept a connection.
 func (s *stalledConnections) openEach(count int, text string) {
 	for range count {
 		conn, err := net.DialTimeout("tcp", strings.TrimPrefix(s.runner.processes.baseURL(s.scheduler), addressPrefix), dialTimeout)
@@ -139,13 +140,14 @@
 			return
 		}
 		s.open = append(s.open, conn)
-		// The text may not be taken whole, as answers to its first part are not read: that is the attack.
+		// The write may time out, since the scheduler stops reading while its responses are not read. That is the attack.
 		_ = conn.SetWriteDeadline(time.Now().Add(hostileWriteTimeout))
 		_, _ = io.WriteString(conn, text)
 		s.runner.observer.update(func(f *Figures) { f.Hostile.StalledConnections++ })
 	}
 }
 
+// closeAll closes all connections.
 func (s *stalledConnections) closeAll() {
 	for _, conn := range s.open {
 		closeQuietly(conn)
--- a/internal/lab/faultinjection/memory.go
+++ b/internal/lab/faultinjection/memory.go
@@ -19,12 +19,12 @@
 	minMemorySamples = 8 // for the medians of quarters
 )
 
-// sampleMemory samples the schedulers' memory until the context ends, and then sets the figures of it.
+// sampleMemory samples the schedulers' memory until the context is done, and then records the medians of two quarters of the run.
 func (r *runner) sampleMemory(ctx context.Context) {
 	var totals []int
 	for ctx.Err() == nil {
 		totals = append(totals, r.schedulersMemory())
-		_ = sleep(ctx, memoryInterval) // the loop looks at the context
+		_ = sleep(ctx, memoryInterval) // the loop checks the context
 	}
 	count := len(totals)
 	if count < minMemorySamples {
@@ -36,12 +36,13 @@
 	})
 }
 
+// median returns the middle value, the higher one of two.
 func median(values []int) int {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// schedulersMemory returns the resident memory of all schedulers in MiB, and notes the highest of one.
+// schedulersMemory returns the sum of the resident memory of all schedulers in MiB, and updates the peak of a single one.
 func (r *runner) schedulersMemory() int {
 	total, highest := 0, 0
 	for i := range r.options.Script.Schedulers {
--- a/internal/lab/faultinjection/observer.go
+++ b/internal/lab/faultinjection/observer.go
@@ -20,7 +20,7 @@
 // maxLatency is the longest time that the histogram of latencies holds.
 const maxLatency = 10 * time.Minute
 
-// observer keeps what the client saw and did. It is safe for concurrent use.
+// observer records what the client observed and did. It is safe for concurrent use; only its methods access its fields.
 type observer struct {
 	mu          sync.Mutex
 	events      []audit.Event
@@ -38,10 +38,10 @@
 	}
 }
 
-// eventTime returns a time as events state it.
+// eventTime converts a time to that of an audit event.
 func eventTime(at time.Time) placer.Seconds { return clock.FromTime(at).UnixSeconds() }
 
-// record records an event that the client caused or saw now.
+// record records an event that the client caused or observed now.
 func (o *observer) record(event audit.Event) {
 	event.At = eventTime(time.Now())
 	o.mu.Lock()
@@ -56,7 +56,7 @@
 	return slices.Clone(o.events)
 }
 
-// update changes the figures.
+// update changes the figures under the lock.
 func (o *observer) update(change func(*Figures)) {
 	o.mu.Lock()
 	change(&o.figures)
@@ -74,7 +74,7 @@
 	return figures
 }
 
-// observePod records what a Pod shows that the client has not seen before: a task, its outcome, or that it was withdrawn.
+// observePod records what is new to the client in the state of a Pod: its task, the task's outcome, or that the task was withdrawn.
 func (o *observer) observePod(scheduler string, pod *corev1.Pod, eventType watch.EventType) {
 	uid := string(pod.UID)
 	outcome := wellknown.SettledReason(pod)
@@ -94,7 +94,7 @@
 			return
 		}
 		o.submittedAt[uid] = now
-		// A Pod with an outcome that is new to the client was adopted after a restart, or settled before the watch began.
+		// An unknown Pod that has an outcome was adopted after a restart, or settled before the watch began.
 		if outcome == "" {
 			deadline := wellknown.ParseTimestamp(pod.Annotations[wellknown.OutcomeDeadline])
 			o.figures.Tasks++
@@ -114,7 +114,7 @@
 	}
 }
 
-// recordLatency records a time from submission to outcome. One that is longer than the histogram holds is left out.
+// recordLatency records a time from submission to outcome. A time above maxLatency is dropped.
 func (o *observer) recordLatency(latency time.Duration) {
 	_ = o.latency.RecordValue(max(1, latency.Microseconds()))
 }
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// startNodes starts the emulated nodes.
 func (r *runner) startNodes(settings *config.Settings) error {
 	file, err := r.writeSettings("nodes", settings)
 	if err != nil {
@@ -82,6 +83,7 @@
 	return nil
 }
 
+// startSchedulers starts the schedulers, each with a settings file of its own.
 func (r *runner) startSchedulers(settings *config.Settings) error {
 	for i := range r.options.Script.Schedulers {
 		own := *settings
@@ -147,7 +149,7 @@
 	}
 	args := append(slices.Clone(process.args), "--listen", process.addr)
 	for range restartAttempts {
-		// The port may not be free yet.
+		// The former process may not have released the port yet.
 		if r.processes.spawn(name, args...) == nil {
 			return
 		}
--- a/internal/lab/faultinjection/process_table.go
+++ b/internal/lab/faultinjection/process_table.go
@@ -13,17 +13,17 @@
 	"syscall"
 )
 
-// process is a running child process.
+// process is a child process. Its fields do not change after its start.
 type process struct {
 	cmd  *exec.Cmd
 	addr string
 	args []string
 }
 
-// kill sends the signal that ends the process at once. It fails only if the process has ended.
+// kill sends SIGKILL to the process. An error means that the process has ended already.
 func (p *process) kill() { _ = p.cmd.Process.Kill() }
 
-// wait waits for the end of a process that was killed, whose status says nothing more.
+// wait waits for the end of a process that was killed, and ignores its exit status.
 func (p *process) wait() { _ = p.cmd.Wait() }
 
 // processTable holds the child processes that run, by name. It is safe for concurrent use.
@@ -46,7 +46,7 @@
 	return p.running[name]
 }
 
-// spawn starts a process and waits for the line in which it prints its address.
+// spawn starts a process, waits for the line in which it prints its address, and adds it to the table.
 func (p *processTable) spawn(name string, args ...string) error {
 	cmd := exec.Command(p.executable, args...)
 	// A child does not outlive the run, however that ends.
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// readLog returns a log for an error text; one that cannot be read says so itself.
+// readLog returns the text of a log for an error message, or why it cannot be read.
 func readLog(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/faultinjection/watch.go
+++ b/internal/lab/faultinjection/watch.go
@@ -17,14 +17,14 @@
 
 const watchRetryInterval = 100 * time.Millisecond
 
-// eventListed is the type of the event of a Pod that came with a list. The API has no such type.
+// eventListed is the event type of a Pod that was read by a list. The API has no such type.
 const eventListed watch.EventType = "LISTED"
 
-// watch follows the Pods of a scheduler until the context ends. It resumes from the last revision that it saw, and lists all Pods if that is
-// not possible. Its connections are broken after WatchDropInterval.
+// watch watches the Pods of a scheduler until the context is done. It resumes from the last revision that it received, and lists all Pods if
+// that is not possible. Each connection is closed after WatchDropInterval.
 func (r *runner) watch(ctx context.Context, scheduler string) {
 	api := r.apiOf(scheduler)
-	// Without a limit of attempts, and as the server's errors lead to a list, the watch ends only with the context.
+	// There is no limit of attempts, and errors of the server lead to a list, so the watch ends only with the context.
 	_ = api.Watch(ctx, apiclient.WatchOptions{
 		Path:                apiclient.PodsPath(""),
 		List:                func(ctx context.Context) (string, error) { return r.list(ctx, api, scheduler) },
