--- a/internal/lab/metastability/metastability.go
+++ b/internal/lab/metastability/metastability.go
@@ -1,6 +1,9 @@
-// Package metastability searches for metastable failures: faults that are over while their effects persist, because what was meant to
-// protect the system sustains them. It runs a steady load in simulated time, applies a trigger, removes it, and determines when the goodput
-// recovered for good.
+// Package metastability searches for metastable failures: the effects of a fault persist after the fault is over, because retries or overload
+// protection sustain them. It runs a steady load in simulated time, applies a trigger, removes it, and determines when the goodput recovered
+// for good.
+//
+// The command metastability draws trials (Draw, in trial.go) and plays each one. Begin reading at Play: it runs a trial with and without its
+// trigger and compares the two runs (judge, in verdict.go).
 //
 // The package is pure: the same trial gives the same verdict.
 package metastability
@@ -30,7 +33,7 @@
 // 1.33 cores on average.
 const fleetCapacity = nodeCount * 48 * 2 / (1.33 * meanLifetime)
 
-// timeline is the course of a run, with one element for each second.
+// timeline is what was measured in a run, with one element of each slice for each second.
 type timeline struct {
 	goodput           []float64 // fraction placed in time of the tasks created in the window that ends then
 	openTasks         []int     // tasks without an outcome
@@ -51,6 +54,7 @@
 	return judge(trial, baseline, triggered), nil
 }
 
+// run runs a trial, with its trigger or without, and measures it.
 func run(trial Trial, withTrigger bool) (timeline, error) {
 	script := newScript(trial, withTrigger)
 	settings := config.Default()
@@ -73,7 +77,7 @@
 		world.Run(nil, 1)
 		result.openTasks = append(result.openTasks, openTasks(world))
 	}
-	world.Run(nil, latencyObjective) // so that tasks of the last window had as long as the others
+	world.Run(nil, latencyObjective) // gives tasks of the last window as much time as the others
 	for i := range schedulerCount {
 		if engine := world.Engine(i); engine != nil {
 			result.placementRequests += engine.Stats.PlacementRequests
@@ -84,6 +88,7 @@
 	return result, nil
 }
 
+// newScript returns the script of a trial: a steady load, and the trigger as its only fault.
 func newScript(trial Trial, withTrigger bool) scenario.Script {
 	script := scenario.Default()
 	script.Seed = trial.Seed
@@ -104,7 +109,7 @@
 	return script
 }
 
-// openTasks is the number of tasks without an outcome at all running schedulers.
+// openTasks returns the number of tasks without an outcome at all running schedulers.
 func openTasks(world *simulation.World) int {
 	open := 0
 	for i := range schedulerCount {
--- a/internal/lab/metastability/trial.go
+++ b/internal/lab/metastability/trial.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// randomStream is the second word of the seed that a trial is drawn from.
+// randomStream is the second word of the seed from which a trial is drawn.
 const randomStream = 0x7265636f76657279
 
 // Trial is one run of the search. Times are in seconds.
@@ -23,7 +23,7 @@
 	Retry     retry.Policy
 }
 
-// Triggers are the kinds of faults that are tried.
+// Triggers are the kinds of faults from which Draw chooses the trigger of a trial.
 var Triggers = []string{
 	"burst",
 	"mass_restart",
@@ -40,9 +40,9 @@
 	"flush",
 }
 
-// Draw returns the trial of a seed: any trigger with any settings that an operator might choose.
+// Draw returns the trial of a seed. The trigger and the settings of admission control and retries are drawn from what an operator might choose.
 func Draw(seed uint64) Trial {
-	// The order of the draws decides what a seed stands for.
+	// The trial of a seed depends on the order of the draws.
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	uniform := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
 	logUniform := func(low, high float64) float64 { return low * math.Pow(high/low, random.Float64()) }
--- a/internal/lab/metastability/verdict.go
+++ b/internal/lab/metastability/verdict.go
@@ -17,7 +17,7 @@
 	recoveryGrace placer.Seconds = 30
 )
 
-// Verdict is the result of a trial. Times are in seconds.
+// Verdict is the result of a trial.
 type Verdict struct {
 	BaselineGoodput   float64        // least fraction of tasks placed in time in a window without the trigger
 	WorstGoodput      float64        // the same with the trigger
@@ -32,6 +32,7 @@
 // Recovered reports whether the system recovered in time.
 func (v *Verdict) Recovered() bool { return v.RecoveryTime <= v.AllowedTime }
 
+// judge compares the run of a trial with its baseline, which is the same trial without the trigger.
 func judge(trial Trial, baseline, triggered timeline) Verdict {
 	verdict := Verdict{
 		BaselineGoodput:   1,
--- a/internal/lab/nodesim/config.go
+++ b/internal/lab/nodesim/config.go
@@ -12,12 +12,12 @@
 	Overload      Overload
 	Usage         Usage
 
-	AnswerWhenRunning   bool           // a request is answered when its task runs, not when it is accepted
+	AnswerWhenRunning   bool           // a request is answered when its task starts to run instead of when it is accepted
 	Preempts            bool           // tasks of lower priority are terminated for a request that would not fit
 	LifetimeMean        placer.Seconds // of tasks whose request states no lifetime
 	DrainGrace          placer.Seconds // from the start of a drain to the end of the tasks; below 0 they run on
 	TerminatedRetention placer.Seconds // how long a task is still reported after its end
-	Cold                bool           // the node comes up cold
+	Cold                bool           // the node starts cold, and warms up
 	Seed                uint64
 }
 
@@ -26,7 +26,7 @@
 
 // Decisions says how a node decides on requests.
 type Decisions struct {
-	DelayMin, DelayMax placer.Seconds // bounds of the time that the decision on one request takes
+	DelayMin, DelayMax placer.Seconds // bounds of the time that one decision takes
 	MaxQueued          int            // requests that may wait for a decision
 }
 
@@ -35,11 +35,11 @@
 	MaxConcurrent    int
 	Duration         placer.Seconds // of one start on a warm node with the program cached
 	UncachedFactor   float64        // multiplies Duration if the program is not cached
-	ProgramCacheSize int            // programs cached beside those that run
+	ProgramCacheSize int            // cached programs in addition to those that run
 }
 
-// WarmUp says how a node that came up cold warms up: it starts tasks at InitialPace, a fraction of the full pace, and at full pace after
-// Duration.
+// WarmUp says how a node that started cold warms up: it starts tasks at InitialPace, a fraction of the full pace, and reaches the full pace
+// after Duration.
 type WarmUp struct {
 	InitialPace float64
 	Duration    placer.Seconds
--- a/internal/lab/nodesim/fence.go
+++ b/internal/lab/nodesim/fence.go
@@ -3,13 +3,13 @@
 // maxFences bounds the fences that are kept; the oldest are dropped first.
 const maxFences = 100000
 
-// fenceTable holds up to which attempt a node rejects the attempts of a task.
+// fenceTable holds the fences of a node: for each fenced task, the number up to which its attempts are rejected.
 type fenceTable struct {
 	attempts map[string]int // by UID
 	order    []string       // UIDs, oldest first
 }
 
-// add forbids the attempts of a task up to the given number.
+// add fences the attempts of a task up to the given number. It never lowers a fence.
 func (f *fenceTable) add(uid string, attempt int) {
 	if _, ok := f.attempts[uid]; !ok {
 		f.order = append(f.order, uid)
--- a/internal/lab/nodesim/lifecycle.go
+++ b/internal/lab/nodesim/lifecycle.go
@@ -6,13 +6,13 @@
 	"heathshed/placer"
 )
 
-// A lifetime that is drawn is lifetimeBase of the mean, and an exponentially distributed part with the mean lifetimeSpread of it.
+// A random lifetime is the mean times the sum of lifetimeBase and an exponentially distributed number whose mean is lifetimeSpread.
 const (
 	lifetimeBase   = 0.3
 	lifetimeSpread = 0.7
 )
 
-// startQueued begins as many starts as may be under way at a time.
+// startQueued starts queued tasks, up to the number of concurrent starts.
 func (n *Node) startQueued() {
 	for n.starting < n.cfg.Starts.MaxConcurrent && len(n.startQueue) > 0 {
 		task := n.startQueue[0]
@@ -38,7 +38,7 @@
 	}
 }
 
-// taskStarted takes a task from Accepted to Running and schedules its end.
+// taskStarted moves a task from Accepted to Running and schedules its end. It does nothing if the task has ended during its start.
 func (n *Node) taskStarted(task *Task) {
 	if task.Phase != Accepted {
 		return
@@ -61,7 +61,7 @@
 	})
 }
 
-// terminate takes an active task to the given final phase. It does nothing if the task has ended.
+// terminate moves an active task to the given final phase. It does nothing if the task has ended.
 func (n *Node) terminate(task *Task, phase Phase, reason Reason) {
 	if task.ended() {
 		return
@@ -90,7 +90,7 @@
 	})
 }
 
-// endsBeforeStart reports whether a termination by this reason can meet a task that has not started.
+// endsBeforeStart reports whether a termination for this reason may happen before the task has started.
 func endsBeforeStart(reason Reason) bool {
 	return reason == Stopped || reason == Drained || reason == Preempted
 }
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -1,9 +1,11 @@
-// Package nodesim simulates one node of a cluster as a scheduler meets it. The node decides on one request at a time and accepts within
+// Package nodesim simulates one node of a cluster as a scheduler sees it. The node decides on one request at a time and accepts within
 // limits, starts a few tasks at a time (more slowly while it warms up or if the program is not cached), evicts a task when memory runs out,
 // preempts tasks of lower priority, terminates its tasks when it drains, and fails if it is overloaded while it warms up.
 //
-// The package is pure: time is passed in, randomness comes from a seed, and what happens comes out as effects. Package emulator puts a
-// node on a socket, package simulation runs it in simulated time.
+// Begin reading at Node in this file. Requests arrive by Submit (request.go), accepted ones become tasks (lifecycle.go), and callers fetch the
+// effects by Ready or DispatchEffects. Package emulator serves a node on a socket, package simulation runs it in simulated time.
+//
+// The package is pure: time is passed in, random numbers come from a seed, and results are returned as effects.
 package nodesim
 
 import (
@@ -28,7 +30,8 @@
 	a.memory -= memory
 }
 
-// Node is one incarnation of a node: a node that crashed is replaced by a new one. It is not safe for concurrent use.
+// Node is one incarnation of a node: after a crash the caller replaces it by a new one. It owns its tasks and its queue; callers only read the
+// tasks. It is not safe for concurrent use.
 type Node struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -42,9 +45,9 @@
 	fences   fenceTable
 
 	queue      []Request // waiting for a decision
-	deciding   bool      // a decision on the first of queue is under way
+	deciding   bool      // a decision on the first request of queue is in progress
 	startQueue []*Task
-	starting   int // starts under way
+	starting   int // starts in progress
 
 	tasks    map[string]*Task // by UID, until TerminatedRetention after their end
 	active   []*Task          // in order of acceptance; tasks that have ended are removed by activeTasks
@@ -57,16 +60,16 @@
 	overloaded   bool // the node has failed
 	stalledUntil placer.Seconds
 
-	// RejectHook, if set, is asked about each request and rejects it by a reason other than None. It serves fault injection.
+	// RejectHook, if set, is called for each request, and rejects it by returning a reason other than None. It is for fault injection.
 	RejectHook func(*Request) Reason
-	// Starts counts starts that have begun. DuplicateStarts counts those of a UID that had begun before; it is 0 unless the node is wrong.
+	// Starts counts starts that have begun. DuplicateStarts counts those of a UID that had begun before; it is 0 unless the simulation has a fault.
 	Starts, DuplicateStarts int
 }
 
 // randomStream is the second word of the seed of a node's random source.
 const randomStream = 0x6d616368
 
-// New returns a node that comes up at the given time.
+// New returns a node that starts at the given time.
 func New(cfg Config, now placer.Seconds) *Node {
 	n := &Node{
 		cfg:      cfg,
@@ -90,8 +93,8 @@
 	return effects
 }
 
-// DispatchEffects passes effects to handle in order, also those that come up meanwhile, until there are no more. It ends early, and reports
-// false, when handle does.
+// DispatchEffects passes effects to handle in order, including those that occur meanwhile, until there are none left. If handle returns false,
+// DispatchEffects stops and returns false.
 func (n *Node) DispatchEffects(handle func(*Effect) bool) bool {
 	for {
 		effects := n.Ready()
@@ -106,7 +109,7 @@
 	}
 }
 
-// NextWake returns the time at which Tick is to be called next.
+// NextWake returns the time at which Tick must be called next.
 func (n *Node) NextWake() placer.Seconds { return n.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
@@ -122,11 +125,13 @@
 	n.now = max(n.now, now)
 }
 
+// schedule sets a timer, whose function Tick runs at the given time.
 func (n *Node) schedule(at placer.Seconds, run func()) { n.timers.Add(at, run) }
 
+// emit adds an effect, which Ready returns.
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
-// Config returns what the node was made with.
+// Config returns the configuration that New was called with.
 func (n *Node) Config() Config { return n.cfg }
 
 // Free returns the resources that no active task requested. They are negative on an overcommitted node.
@@ -156,13 +161,13 @@
 	return count
 }
 
-// activeTasks returns the tasks that were accepted and have not ended, oldest first, in a slice of the caller's own.
+// activeTasks returns the tasks that were accepted and have not ended, oldest first, in a slice that the caller may keep.
 func (n *Node) activeTasks() []*Task {
 	n.active = slices.DeleteFunc(n.active, (*Task).ended)
 	return slices.Clone(n.active)
 }
 
-// StallUntil delays every decision and start that begins before the given time until then. It serves fault injection.
+// StallUntil delays every decision and start that begins before the given time until then. It is for fault injection.
 func (n *Node) StallUntil(until placer.Seconds) { n.stalledUntil = until }
 
 // Draining reports whether the node drains.
@@ -197,7 +202,7 @@
 	})
 }
 
-// Undrain cancels a drain. Tasks that it terminated stay so.
+// Undrain cancels a drain. Tasks that the drain terminated are not started again.
 func (n *Node) Undrain(now placer.Seconds) {
 	n.Tick(now)
 	n.draining = false
--- a/internal/lab/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -44,7 +44,7 @@
 	return audit.Ended
 }
 
-// PodRequest returns the request that an attempt makes with a Pod, without a lifetime. The Pod becomes the payload.
+// PodRequest returns the request of an attempt to run a Pod, without a lifetime. The Pod becomes the payload.
 func PodRequest(pod *corev1.Pod, attempt, priority int) Request {
 	cores, memory := wellknown.Requests(&pod.Spec)
 	return Request{UID: string(pod.UID), Attempt: attempt, Service: PodService(pod), Cores: cores, Memory: memory, Priority: priority, Payload: pod}
@@ -75,11 +75,11 @@
 	return pod
 }
 
-// Identity is what a node reports of itself beside its resources.
+// Identity is what a node reports of itself in addition to its resources.
 type Identity struct {
 	Name, Zone, Rack, Kind string
 	Incarnation            string
-	StartedAt              placer.Seconds // by the node's own clock; 0 if it was up before
+	StartedAt              placer.Seconds // by the node's own clock; 0 for a node that started warm
 	Host                   string
 	Port                   int32
 }
--- a/internal/lab/nodesim/program_cache.go
+++ b/internal/lab/nodesim/program_cache.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// programCache holds the programs of services that a node can start without loading them: those that run, and some that ran lately.
+// programCache holds the programs that a node can start without loading them: those of running tasks, and the most recently used others.
 type programCache struct {
-	size    int            // programs kept beside those that run
+	size    int            // programs kept in addition to those that run
 	running map[string]int // running tasks by service
 	recent  []string       // services, least recently used first
 }
@@ -14,10 +14,11 @@
 	return c.running[service] > 0 || slices.Contains(c.recent, service)
 }
 
+// taskStarted records the start of a task.
 func (c *programCache) taskStarted(service string) { c.running[service]++ }
 
-// taskEnded takes the end of a running task. Its program is the one used last, and the least recently used one is dropped if there are too
-// many.
+// taskEnded records the end of a running task. Its program becomes the most recently used one, and the least recently used one is evicted if
+// there are too many.
 func (c *programCache) taskEnded(service string) {
 	c.running[service]--
 	if c.running[service] <= 0 {
--- a/internal/lab/nodesim/request.go
+++ b/internal/lab/nodesim/request.go
@@ -6,7 +6,7 @@
 	"heathshed/placer"
 )
 
-// Submit takes a request. The answer comes as an effect: at once for a repeat or if the queue is full, else after the decision.
+// Submit handles a request. The answer is an effect: at once for a duplicate request or if the queue is full, otherwise after the decision.
 func (n *Node) Submit(now placer.Seconds, request Request) {
 	n.Tick(now)
 	if n.overloaded {
@@ -41,6 +41,7 @@
 	}
 }
 
+// reject answers a request with a rejection.
 func (n *Node) reject(request *Request, reason Reason) {
 	n.emit(Effect{Kind: Answered, UID: request.UID, Attempt: request.Attempt, Reason: reason})
 }
@@ -90,7 +91,7 @@
 	n.accept(request)
 }
 
-// accept makes a task of a request and queues its start.
+// accept creates the task of a request and queues its start.
 func (n *Node) accept(request *Request) {
 	n.sequence++
 	task := &Task{Request: *request, sequence: n.sequence}
@@ -108,7 +109,7 @@
 	n.startQueued()
 }
 
-// answer says that a task was accepted, once.
+// answer answers the request of an accepted task, unless it was answered before.
 func (n *Node) answer(task *Task) {
 	if !task.answered {
 		task.answered = true
--- a/internal/lab/nodesim/task.go
+++ b/internal/lab/nodesim/task.go
@@ -19,11 +19,11 @@
 	Evicted   // memory ran out
 	Preempted // a request of higher priority needed the resources
 	Drained
-	Stopped  // by a client's order
+	Stopped  // at a client's request
 	NeverRan // stopped, drained or preempted before it ran
 )
 
-// Phase of a task.
+// Phase is the state of a task.
 type Phase uint8
 
 // The phases, in the order in which a task passes them; Succeeded and Terminated are final.
@@ -34,21 +34,21 @@
 	Terminated // Task.Reason says why
 )
 
-// Request asks a node to run a task: one attempt of a scheduler.
+// Request is a request to run a task: one attempt of a scheduler.
 type Request struct {
 	UID           string
 	Attempt       int
 	Service       string // tasks of one service share a program
 	Cores, Memory float64
 	Priority      int
-	Lifetime      placer.Seconds // 0 draws one
-	Payload       any            // kept with the task, not looked at
+	Lifetime      placer.Seconds // 0 for a random one
+	Payload       any            // kept with the task; the node does not use it
 }
 
 // AttemptKey returns a map key for one attempt of a task.
 func AttemptKey(uid string, attempt int) string { return uid + "/" + strconv.Itoa(attempt) }
 
-// Task is an accepted request.
+// Task is an accepted request. Only its Node writes it.
 type Task struct {
 	Request
 	Phase                     Phase
@@ -67,8 +67,8 @@
 // ended reports whether the task is in a final phase.
 func (task *Task) ended() bool { return task.Phase > Running }
 
-// isRepeatedBy reports whether a request repeats the one that was accepted. A later attempt of a task that has ended here does not: it may
-// start the task again.
+// isRepeatedBy reports whether a request is a duplicate of the accepted one. A later attempt of a task that has ended here is not: it may start
+// the task again.
 func (task *Task) isRepeatedBy(request *Request) bool {
 	return task != nil && (!task.ended() || request.Attempt <= task.Attempt)
 }
@@ -81,10 +81,10 @@
 	Answered   EffectKind = iota + 1 // a request: UID, Attempt, and Task if it was accepted, Reason if not
 	Changed                          // Task has a new phase
 	Removed                          // Task is no longer reported
-	Overloaded                       // the node failed under load while it warmed up; nothing follows
+	Overloaded                       // the node failed under load while it warmed up; there are no further effects
 )
 
-// Effect is something that others see of a node.
+// Effect is a result of a call that others can see.
 type Effect struct {
 	Kind    EffectKind
 	UID     string
--- a/internal/lab/nodesim/usage.go
+++ b/internal/lab/nodesim/usage.go
@@ -2,13 +2,13 @@
 
 import "heathshed/placer"
 
-// usageInterval is the time between updates of what tasks use.
+// usageInterval is the time between updates of the resources that tasks use.
 const usageInterval placer.Seconds = 1
 
 const (
 	// usageDrift is the range in which the fraction of its cores that a task uses changes at random from one update to the next.
 	usageDrift = 0.04
-	// A task that starts uses initialMemory of the memory that it will use in the end, and memoryGrowth more in each second.
+	// A task starts with the fraction initialMemory of its final memory usage, and gains the fraction memoryGrowth per second.
 	initialMemory = 0.4
 	memoryGrowth  = 0.2
 )
@@ -31,7 +31,8 @@
 	n.schedule(n.now+usageInterval, n.updateUsage)
 }
 
-// evictionCandidate returns the running task of the lowest priority, among equals the one that exceeds its request by most, nil if none runs.
+// evictionCandidate returns the running task of the lowest priority, and of several the one that exceeds its memory request by most. It returns nil
+// if no task runs.
 func (n *Node) evictionCandidate() *Task {
 	var candidate *Task
 	for _, task := range n.activeTasks() {
@@ -42,6 +43,7 @@
 	return candidate
 }
 
+// evictedBefore reports whether task a is evicted before task b.
 func evictedBefore(a, b *Task) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -60,7 +62,7 @@
 	}
 }
 
-// measureTask updates what a task uses, and the sum. Memory grows over three seconds after the start.
+// measureTask updates the usage of a task and the node's sum. Memory usage grows for three seconds after the start.
 func (n *Node) measureTask(task *Task) {
 	n.used.subtract(task.UsedCores, task.UsedMemory)
 	task.UsedCores = task.Cores * task.coresFactor
--- a/internal/lab/nodesim/warmup.go
+++ b/internal/lab/nodesim/warmup.go
@@ -2,7 +2,7 @@
 
 import "heathshed/placer"
 
-// minStartDuration bounds the duration of a start from below where the starts of a window are counted.
+// minStartDuration is the shortest duration of a start from which the number of starts in a window is computed.
 const minStartDuration placer.Seconds = 1e-6
 
 // warmUpPhase is the time after a cold start in which a node starts tasks more slowly.
@@ -11,7 +11,7 @@
 	start  placer.Seconds
 }
 
-// newWarmUpPhase returns the phase of a node that comes up now: it begins if the node is cold, and is over otherwise.
+// newWarmUpPhase returns the phase of a node that starts now. It is over at once if the node is warm.
 func newWarmUpPhase(config WarmUp, now placer.Seconds, cold bool) warmUpPhase {
 	if cold {
 		return warmUpPhase{config: config, start: now}
@@ -33,14 +33,14 @@
 	return p.config.InitialPace + float64(gained)
 }
 
-// overloadDetector decides whether a node that warms up receives more requests than it can bear.
+// overloadDetector decides whether a node that warms up receives more requests than it can handle.
 type overloadDetector struct {
 	config   Overload
 	received []placer.Seconds // times of the requests within the window
 }
 
-// requestReceived counts a request at a node that warms up, and reports whether the node fails. startsAtOnce is the number of starts under
-// way at the node's pace, each of which takes startDuration.
+// requestReceived counts a request at a node that warms up, and reports whether the node fails. startsAtOnce is the number of
+// concurrent starts at the node's pace, each of which takes startDuration.
 func (d *overloadDetector) requestReceived(now placer.Seconds, startsAtOnce float64, startDuration placer.Seconds) bool {
 	for len(d.received) > 0 && d.received[0] < now-d.config.Window {
 		d.received = d.received[1:]
@@ -51,5 +51,5 @@
 	return requests > d.config.MinRequests && requests > d.config.Factor*float64(startable)
 }
 
-// reset forgets the requests.
+// reset drops the recorded requests.
 func (d *overloadDetector) reset() { d.received = nil }
