--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -12,11 +12,11 @@
 const (
 	// auditSlack is the tolerance of the auditor for times.
 	auditSlack placer.Seconds = 0.1
-	// watchBatch is the number of changes that the client reads at a time.
+	// watchBatch is the largest number of changes that the client reads in one call.
 	watchBatch = 1000
 )
 
-// record keeps an event for the auditor.
+// record records an event for the auditor, at the present time.
 func (w *World) record(event audit.Event) {
 	if w.cfg.KeepEvents {
 		event.At = w.now
@@ -29,7 +29,7 @@
 	return audit.Check(w.cfg.Rules, w.Events)
 }
 
-// watchPods lets a client that watches Pods see what has changed.
+// watchPods passes the changes of Pods since the last call to the scheduler's client.
 func (s *scheduler) watchPods() {
 	pods := s.engine.Store()
 	for s.watchedRev < pods.Rev() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// observe records what a client sees of a changed Pod: the submission of its task, the outcome, and the withdrawal of a task without one.
+// observe records what a change of a Pod shows to the client: the submission of its task, the outcome, or the withdrawal of a task without one.
 func (s *scheduler) observe(op store.Op, pod *corev1.Pod) {
 	uid := pod.UID
 	if _, known := s.created[uid]; !known && op == store.Added {
@@ -66,12 +66,13 @@
 	}
 }
 
+// observeCreated records that the client has received a new Pod.
 func (s *scheduler) observeCreated(pod *corev1.Pod) {
 	w := s.world
 	s.created[pod.UID] = w.now
 	w.CreatedAt = append(w.CreatedAt, w.now)
 	if wellknown.SettledReason(pod) != "" {
-		// Found running after a restart: its outcome was recorded before.
+		// The Pod was adopted after a restart. Its outcome was recorded before.
 		s.settled[pod.UID] = true
 		return
 	}
@@ -81,6 +82,7 @@
 	w.record(submitted)
 }
 
+// observeSettled records the outcome of a task, and the latency of a placement.
 func (s *scheduler) observeSettled(pod *corev1.Pod, reason string) {
 	w := s.world
 	s.settled[pod.UID] = true
--- a/internal/lab/simulation/fault.go
+++ b/internal/lab/simulation/fault.go
@@ -6,23 +6,23 @@
 	"heathshed/placer"
 )
 
-// injectFault makes the node faulty. A fault that acts on a running node does nothing to one that is down.
-func (n *node) injectFault(order fault.Node) {
+// injectFault applies a fault to the node. A fault of a running node has no effect while the node is down.
+func (n *node) injectFault(injected fault.Node) {
 	now := n.world.now
-	n.faults.Apply(now, order)
-	if order.Stall != 0 && n.sim != nil {
-		n.sim.StallUntil(now + placer.Seconds(order.Stall))
+	n.faults.Apply(now, injected)
+	if injected.Stall != 0 && n.sim != nil {
+		n.sim.StallUntil(now + placer.Seconds(injected.Stall))
 	}
-	if order.Unreachable > 0 {
-		n.unreachableUntil = now + placer.Seconds(order.Unreachable)
+	if injected.Unreachable > 0 {
+		n.unreachableUntil = now + placer.Seconds(injected.Unreachable)
 		n.breakWatches()
 	}
-	if order.Drain != nil && n.sim != nil {
-		n.sim.SetDraining(now, *order.Drain)
+	if injected.Drain != nil && n.sim != nil {
+		n.sim.SetDraining(now, *injected.Drain)
 		n.process()
 	}
-	if order.Crash > 0 && n.sim != nil {
+	if injected.Crash > 0 && n.sim != nil {
 		n.world.record(audit.Event{Kind: audit.Crashed, Node: n.cfg.Name})
-		n.crash(placer.Seconds(order.Crash))
+		n.crash(placer.Seconds(injected.Crash))
 	}
 }
--- a/internal/lab/simulation/inventory.go
+++ b/internal/lab/simulation/inventory.go
@@ -12,21 +12,21 @@
 // inventoryCheckInterval is the time between checks for unresponsive nodes.
 const inventoryCheckInterval placer.Seconds = 0.25
 
-// inventory lists the nodes that report to it, and notifies the schedulers of changes.
+// inventory lists the nodes that report to it, and notifies the schedulers of changes. It owns its entries.
 type inventory struct {
 	world            *World
 	entries          map[string]*inventoryEntry // by name of the node
 	unreachableUntil placer.Seconds
 }
 
-// inventoryEntry is a node as the inventory has it.
+// inventoryEntry is a node in the list of the inventory.
 type inventoryEntry struct {
 	object     *corev1.Node
 	ready      bool
 	lastReport placer.Seconds
 }
 
-// visible is the node as schedulers see it.
+// visible returns the node as the inventory shows it to schedulers.
 func (e *inventoryEntry) visible() *corev1.Node {
 	if e.ready {
 		return e.object
@@ -39,13 +39,13 @@
 // reachable reports whether schedulers can reach the inventory.
 func (v *inventory) reachable() bool { return v.world.now >= v.unreachableUntil }
 
-// add lists a node from the start.
+// add lists a node at the start of the simulation.
 func (v *inventory) add(object *corev1.Node) {
 	v.entries[object.Name] = &inventoryEntry{object: object, ready: true, lastReport: v.world.now}
 	v.world.record(audit.Event{Kind: audit.ListedReady, Node: object.Name})
 }
 
-// list returns all nodes as schedulers see them, in the order of the configuration.
+// list returns all nodes as shown to schedulers, in the order of the configuration.
 func (v *inventory) list() []*corev1.Node {
 	var nodes []*corev1.Node
 	for _, n := range v.world.nodes {
@@ -56,7 +56,7 @@
 	return nodes
 }
 
-// update takes a node's report, which was sent at reportedAt.
+// update handles a report that a node sent at reportedAt.
 func (v *inventory) update(object *corev1.Node, reportedAt placer.Seconds) {
 	entry := v.entries[object.Name]
 	if entry == nil {
@@ -80,14 +80,14 @@
 	v.notify(entry)
 }
 
-// looksEqual reports whether two reports of a node show the same to schedulers.
+// looksEqual reports whether two reports of a node differ in nothing that schedulers use.
 func looksEqual(a, b *corev1.Node) bool {
 	return a.Annotations[wellknown.FreeCapacity] == b.Annotations[wellknown.FreeCapacity] &&
 		a.Status.NodeInfo.BootID == b.Status.NodeInfo.BootID &&
 		a.Spec.Unschedulable == b.Spec.Unschedulable
 }
 
-// notify sends a change to every scheduler that has the list.
+// notify sends a changed node to every scheduler that has received the list.
 func (v *inventory) notify(entry *inventoryEntry) {
 	w := v.world
 	if !v.reachable() {
@@ -108,7 +108,7 @@
 	}
 }
 
-// checkUnresponsive shows the nodes that have not reported as not ready. It schedules its next call.
+// checkUnresponsive marks nodes that have not reported for a while as not ready. It schedules its next call.
 func (v *inventory) checkUnresponsive() {
 	w := v.world
 	w.after(inventoryCheckInterval, v.checkUnresponsive)
--- a/internal/lab/simulation/link.go
+++ b/internal/lab/simulation/link.go
@@ -13,16 +13,16 @@
 	"heathshed/placer"
 )
 
-// trickleDelay is how much longer an answer takes that trickles.
+// trickleDelay is the additional delay of answers during the fault "trickle".
 const trickleDelay placer.Seconds = 1
 
-// latency draws the time that a message takes over a link.
+// latency returns a random one-way latency of a link.
 func (w *World) latency() placer.Seconds {
 	links := &w.cfg.Links
 	return links.LatencyMin + (links.LatencyMax-links.LatencyMin)*placer.Seconds(w.rng.Float64())
 }
 
-// attemptState is what a scheduler makes of an attempt that it has sent.
+// attemptState says whether a scheduler still waits for the answer to an attempt that it has sent.
 type attemptState uint8
 
 const (
@@ -30,17 +30,17 @@
 	attemptInFlight
 )
 
-// attempt is an attempt on its way from a scheduler to a node and back.
+// attempt is an attempt in flight, from when a scheduler sends it until the scheduler receives the answer.
 type attempt struct {
 	scheduler *scheduler
-	alive     func() bool // the scheduler's incarnation that made it still runs
+	alive     func() bool // reports whether the incarnation of the scheduler that sent it still runs
 	node      *node
 	key       string
 	pod       *corev1.Pod
-	answer    engine.AttemptAnswer // without an outcome
+	answer    engine.AttemptAnswer // only the fields that identify the attempt
 }
 
-// sendAttempt sends an attempt over a link to a node.
+// sendAttempt sends an attempt to a node.
 func (s *scheduler) sendAttempt(effect *engine.Effect) {
 	a := &attempt{
 		scheduler: s,
@@ -54,7 +54,7 @@
 	s.world.after(s.world.latency(), a.arrive)
 }
 
-// abandonAttempt closes the connection of an attempt: its answer is not awaited any more.
+// abandonAttempt closes the connection of an attempt, whose answer is no longer expected.
 func (s *scheduler) abandonAttempt(effect *engine.Effect) {
 	key := nodesim.AttemptKey(string(effect.UID), effect.Attempt)
 	if _, ok := s.attempts[key]; ok {
@@ -63,7 +63,7 @@
 	}
 }
 
-// arrive brings the attempt to the node.
+// arrive delivers the attempt to its node.
 func (a *attempt) arrive() {
 	n, w := a.node, a.scheduler.world
 	switch {
@@ -99,17 +99,17 @@
 	return audit.Event{Kind: kind, Node: a.node.cfg.Name, UID: string(a.answer.UID), Attempt: a.answer.Attempt}
 }
 
-// request is the attempt as the node takes it.
+// request returns the attempt as a request to the simulated node.
 func (a *attempt) request() nodesim.Request {
 	priority := a.scheduler.world.cfg.Priorities[a.pod.Labels[wellknown.Class]]
 	request := nodesim.PodRequest(a.pod, a.answer.Attempt, priority)
-	// A Pod that gives no lifetime, or an invalid one, has that of the node's configuration.
+	// Without a valid lifetime it is 0, for which the node draws one.
 	lifetime, _ := strconv.ParseFloat(a.pod.Annotations[wellknown.Lifetime], 64)
 	request.Lifetime = placer.Seconds(lifetime)
 	return request
 }
 
-// answered sends the node's answer back. outcome is nil if the node went down before it had one.
+// answered sends the node's answer to the scheduler. outcome is nil if the node crashed before it answered.
 func (a *attempt) answered(outcome *nodesim.Effect) {
 	n, w := a.node, a.scheduler.world
 	delay := w.latency()
@@ -142,27 +142,27 @@
 	a.deliver(answer, delay)
 }
 
-// answerLost decides whether the connection breaks between an acceptance and its answer.
+// answerLost decides whether the connection breaks after an acceptance and before its answer arrives.
 func (a *attempt) answerLost() bool {
 	w := a.scheduler.world
 	return w.now < a.node.faults.LoseAnswerUntil || w.rng.Float64() < w.cfg.Links.AnswerLossRate
 }
 
-// breakConnection ends the attempt without an answer of the node.
+// breakConnection ends the attempt without an answer from the node.
 func (a *attempt) breakConnection(result placer.Result) {
 	w := a.scheduler.world
 	w.record(a.event(audit.Abandoned))
 	a.fail(result, w.latency())
 }
 
-// fail lets the scheduler find, after a delay, that the attempt has failed.
+// fail reports the failure of the attempt to the scheduler after a delay.
 func (a *attempt) fail(result placer.Result, delay placer.Seconds) {
 	answer := a.answer
 	answer.Result = result
 	a.deliver(answer, delay)
 }
 
-// deliver brings an answer to the scheduler after a delay, if it still runs.
+// deliver passes an answer to the scheduler after a delay, if its incarnation still runs then.
 func (a *attempt) deliver(answer engine.AttemptAnswer, delay placer.Seconds) {
 	s := a.scheduler
 	s.world.after(delay, func() {
@@ -179,6 +179,7 @@
 	})
 }
 
+// rejectReasons are the node's reasons for a rejection as the placer knows them.
 var rejectReasons = map[nodesim.Reason]placer.Reason{
 	nodesim.InsufficientCores:  placer.InsufficientCores,
 	nodesim.InsufficientMemory: placer.InsufficientMemory,
@@ -186,7 +187,7 @@
 	nodesim.WrongNode:          placer.WrongNode,
 }
 
-// stopTask sends the order to stop a task to a node, and the answer back.
+// stopTask sends a request to stop a task to a node, and the answer back to the scheduler.
 func (s *scheduler) stopTask(effect *engine.Effect) {
 	w := s.world
 	n := w.nodesByName[effect.Node]
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -13,10 +13,10 @@
 	"heathshed/placer"
 )
 
-// kubeletPort is the port that simulated nodes show: any, as nobody connects to it.
+// kubeletPort is the port that simulated nodes report. Nothing connects to it.
 const kubeletPort = 1
 
-// node runs the incarnations of one node: sim is nil while it is down.
+// node runs the incarnations of one node. It owns sim, the present incarnation, which is nil while the node is down.
 type node struct {
 	world       *World
 	cfg         NodeConfig
@@ -25,10 +25,10 @@
 	bootID      string
 	startedAt   placer.Seconds // of a cold incarnation, 0 of a warm one
 	rev         int64          // of the Pods
-	wakeAt      placer.Seconds // of the earliest timer that wakes sim, infinity if none is set
+	wakeAt      placer.Seconds // time of the earliest timer set for sim, infinity if none is set
 	pods        map[string]*corev1.Pod
 	watches     []*podWatch
-	pending     map[string]func(outcome *nodesim.Effect) // requests without an answer, by attemptKey
+	pending     map[string]func(outcome *nodesim.Effect) // callbacks of requests without an answer, by nodesim.AttemptKey
 
 	faults           fault.NodeState
 	unreachableUntil placer.Seconds
@@ -37,7 +37,7 @@
 // reachable reports whether schedulers can connect to the node.
 func (n *node) reachable() bool { return n.sim != nil && n.world.now >= n.unreachableUntil }
 
-// start begins an incarnation.
+// start starts a new incarnation.
 func (n *node) start(cold bool) {
 	w := n.world
 	n.incarnation++
@@ -56,7 +56,7 @@
 	n.process()
 }
 
-// rejectReason is why a fault makes the node reject every request now.
+// rejectReason returns why a fault makes the node reject every request now, None if there is no such fault.
 func (n *node) rejectReason(*nodesim.Request) nodesim.Reason {
 	if n.world.now < n.faults.RejectUntil {
 		return nodesim.InsufficientCores
@@ -64,7 +64,7 @@
 	return nodesim.None
 }
 
-// crash ends the incarnation; the next, cold one begins after the downtime.
+// crash ends the incarnation. The next one starts cold after the downtime.
 func (n *node) crash(downtime placer.Seconds) {
 	if n.sim == nil {
 		return
@@ -88,7 +88,7 @@
 	})
 }
 
-// process carries out the node's effects and schedules its next wake-up.
+// process applies the effects of the simulated node and sets a timer for its next wake-up.
 func (n *node) process() {
 	if n.sim == nil || !n.sim.DispatchEffects(n.apply) {
 		return
@@ -108,7 +108,7 @@
 	})
 }
 
-// apply carries out one effect of the node and reports whether the node is still up.
+// apply applies one effect of the simulated node and reports whether the node is still up.
 func (n *node) apply(effect *nodesim.Effect) bool {
 	switch effect.Kind {
 	case nodesim.Answered:
@@ -131,7 +131,7 @@
 	return n.sim != nil
 }
 
-// updatePod shows a task that has changed.
+// updatePod updates the Pod of a task that has changed, and sends it to the watches.
 func (n *node) updatePod(task *nodesim.Task) {
 	pod := nodesim.Pod(task, n.cfg.Name)
 	n.rev++
@@ -141,7 +141,7 @@
 	n.notifyWatches(pod, false)
 }
 
-// report sends the node's state to the inventory, which shows it later. It schedules its next call.
+// report sends the node's state to the inventory, which receives it after ReportDelay. It schedules its next call.
 func (n *node) report() {
 	w := n.world
 	w.after(w.cfg.Inventory.ReportInterval, n.report)
@@ -158,7 +158,7 @@
 	w.after(w.cfg.Inventory.ReportDelay, func() { w.inventory.update(object, reportedAt) })
 }
 
-// object is the node as it reports itself.
+// object returns the node as it reports itself.
 func (n *node) object() *corev1.Node {
 	identity := nodesim.Identity{
 		Name:        n.cfg.Name,
--- a/internal/lab/simulation/plan.go
+++ b/internal/lab/simulation/plan.go
@@ -16,7 +16,7 @@
 	"heathshed/placer"
 )
 
-// How a simulated client submits a job again.
+// How the simulated client retries the submission of a job.
 const (
 	maxSubmitRetries = 100
 
@@ -24,7 +24,7 @@
 	fullRetryDelay placer.Seconds = 1   // while the scheduler has too many Pods
 )
 
-// perform carries out an action of a plan.
+// perform performs an action of a plan.
 func (w *World) perform(action *scenario.Action) {
 	switch action.Kind {
 	case scenario.SubmitJob:
@@ -38,11 +38,11 @@
 	case scenario.KillScheduler:
 		w.schedulers[action.Scheduler].restart(action.Downtime)
 	case scenario.DrainNode, scenario.UndrainNode:
-		w.orderDrain(action.Node, action.Kind == scenario.DrainNode)
+		w.setUnschedulable(action.Node, action.Kind == scenario.DrainNode)
 	}
 }
 
-// submit creates a Job. The client retries while its scheduler is down, not ready or full.
+// submit creates a Job. The client retries while the scheduler is down, not ready or has too many Pods.
 func (w *World) submit(job *scenario.Job, retries int) {
 	retryAfter := func(delay placer.Seconds) {
 		if retries < maxSubmitRetries {
@@ -61,18 +61,19 @@
 	s.process()
 }
 
+// deleteJob deletes a Job if its scheduler runs.
 func (w *World) deleteJob(job *scenario.Job) {
 	s := w.schedulers[job.Scheduler]
 	if s.engine == nil {
 		return
 	}
-	// A job that has finished and expired cannot be deleted any more.
+	// The error means that the Job has finished and was removed.
 	_, _ = s.engine.DeleteJob(w.now, job.Namespace, job.Name, "", "", "")
 	s.process()
 }
 
-// orderDrain marks a node as unschedulable, or schedulable again, at every scheduler.
-func (w *World) orderDrain(name string, unschedulable bool) {
+// setUnschedulable marks a node as unschedulable or schedulable at every scheduler.
+func (w *World) setUnschedulable(name string, unschedulable bool) {
 	kind := audit.DrainCancelled
 	if unschedulable {
 		kind = audit.DrainOrdered
@@ -85,8 +86,8 @@
 		if !ok {
 			continue
 		}
-		order := unschedulable
-		if _, err := s.engine.UpdateNode(w.now, object.DeepCopy(), &order, false); err == nil {
+		requested := unschedulable
+		if _, err := s.engine.UpdateNode(w.now, object.DeepCopy(), &requested, false); err == nil {
 			w.record(audit.Event{Kind: kind, Scheduler: s.cfg.Name, Node: name})
 		}
 		s.process()
--- a/internal/lab/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// reconnectDelay is how long after the loss of a watch the scheduler connects again.
+	// reconnectDelay is the time from the loss of a watch until the scheduler reconnects.
 	reconnectDelay placer.Seconds = 0.1
-	// A connection to a node that is unreachable is tried again after a random time of this range.
+	// A scheduler reconnects to an unreachable node after connectRetryMin and a random part of connectRetrySpread.
 	connectRetryMin    placer.Seconds = 0.1
 	connectRetrySpread placer.Seconds = 0.9
 )
@@ -21,12 +21,12 @@
 type podWatch struct {
 	scheduler   *scheduler
 	node        *node
-	lastArrival placer.Seconds // of an event: events arrive in the order in which they were sent
+	lastArrival placer.Seconds // arrival time of the last event; events arrive in the order in which they were sent
 	established bool
 	cancelled   bool
 }
 
-// watchNode begins a watch on a node.
+// watchNode starts a watch on a node.
 func (s *scheduler) watchNode(name string) {
 	watch := &podWatch{scheduler: s, node: s.world.nodesByName[name]}
 	s.watches[name] = watch
@@ -41,7 +41,7 @@
 	}
 }
 
-// connect establishes the watch after a round trip, and sends the scheduler its Pods on the node. It tries again while the node is down.
+// connect establishes the watch after a round trip, and sends the scheduler its Pods on the node. It retries while the node is unreachable.
 func (p *podWatch) connect() {
 	s, n := p.scheduler, p.node
 	w := s.world
@@ -62,7 +62,7 @@
 	})
 }
 
-// podsOf returns the Pods of a scheduler on the node by uid.
+// podsOf returns the Pods of a scheduler on the node, ordered by UID.
 func (n *node) podsOf(schedulerName string) []*corev1.Pod {
 	uids := make([]string, 0, len(n.pods))
 	for uid, pod := range n.pods {
@@ -78,7 +78,7 @@
 	return pods
 }
 
-// send brings an event to the scheduler, behind those that were sent before.
+// send delivers an event to the scheduler, after the events that were sent before.
 func (p *podWatch) send(receive func()) {
 	s := p.scheduler
 	w := s.world
@@ -92,7 +92,7 @@
 	})
 }
 
-// lost ends the watch from the node's side; the scheduler connects again.
+// lost handles the loss of the connection. The scheduler marks the node as unresponsive and reconnects.
 func (p *podWatch) lost() {
 	s := p.scheduler
 	w := s.world
@@ -103,7 +103,7 @@
 	})
 }
 
-// notifyWatches sends a change of a Pod to the scheduler that it belongs to.
+// notifyWatches sends a change of a Pod to the scheduler that owns it.
 func (n *node) notifyWatches(pod *corev1.Pod, deleted bool) {
 	for _, watch := range n.watches {
 		s := watch.scheduler
--- a/internal/lab/simulation/scheduler.go
+++ b/internal/lab/simulation/scheduler.go
@@ -15,30 +15,31 @@
 	nodeSyncTimeout placer.Seconds = 5
 	// schedulerSeedStride separates the seeds of a scheduler's incarnations.
 	schedulerSeedStride = 1000003
-	// revisionsPerSecond lets the revisions of a later incarnation begin above those of an earlier one.
+	// revisionsPerSecond is the number of revisions by which each second raises the first revision of an incarnation, so that revisions grow
+	// across restarts.
 	revisionsPerSecond = 1e6
 )
 
-// scheduler runs the incarnations of one scheduler: engine is nil while it is down.
+// scheduler runs the incarnations of one scheduler. It owns engine, the present incarnation, which is nil while the scheduler is down.
 type scheduler struct {
 	world       *World
 	index       int
 	cfg         engine.Config
 	engine      *engine.Engine
 	incarnation int
-	wakeAt      placer.Seconds // of the earliest timer that wakes the engine, infinity if none is set
-	synced      bool           // it has the list of nodes
-	syncedAt    placer.Seconds // when it first had it
+	wakeAt      placer.Seconds // time of the earliest timer set for the engine, infinity if none is set
+	synced      bool           // it has received the list of nodes
+	syncedAt    placer.Seconds // when it first received the list
 	watches     map[string]*podWatch
-	attempts    map[string]attemptState // in flight, by attemptKey
+	attempts    map[string]attemptState // attempts in flight, by nodesim.AttemptKey
 
-	// What a client of this scheduler sees by watching Pods.
+	// The state of the scheduler's client, which watches Pods; see audit.go.
 	watchedRev int64
-	created    map[types.UID]placer.Seconds // when the client first saw a task
-	settled    map[types.UID]bool           // the client has seen its outcome
+	created    map[types.UID]placer.Seconds // when the client first received a task
+	settled    map[types.UID]bool           // tasks whose outcome the client has received
 }
 
-// start begins an incarnation.
+// start starts a new incarnation.
 func (s *scheduler) start() error {
 	s.incarnation++
 	cfg := s.cfg
@@ -92,7 +93,8 @@
 	return func() bool { return s.engine != nil && s.incarnation == incarnation }
 }
 
-// ready reports whether a running scheduler takes jobs: it has the list, and the tasks of all listed nodes or has waited for them.
+// ready reports whether a running scheduler accepts Jobs: it has received the list of nodes, and the tasks of all listed nodes or has waited
+// nodeSyncTimeout for them.
 func (s *scheduler) ready() bool {
 	listed, synced := s.engine.NodeCounts()
 	waited := s.world.now > s.syncedAt+nodeSyncTimeout
@@ -105,7 +107,7 @@
 	alive := s.aliveCheck()
 	w.after(w.latency()*2, func() {
 		if !alive() || !w.inventory.reachable() {
-			return // after an outage of the inventory it is requested again
+			return // the end of an inventory outage triggers another list
 		}
 		if !s.synced {
 			s.synced = true
@@ -116,7 +118,7 @@
 	})
 }
 
-// process carries out the engine's effects, shows the client what has changed, and schedules the engine's next wake-up.
+// process applies the engine's effects, passes changes to the client, and sets a timer for the engine's next wake-up.
 func (s *scheduler) process() {
 	w := s.world
 	for s.engine != nil {
@@ -138,6 +140,7 @@
 	s.scheduleWake()
 }
 
+// scheduleWake sets a timer for the engine's next wake-up, unless one is set for an earlier time.
 func (s *scheduler) scheduleWake() {
 	at := s.engine.NextWake()
 	if at >= s.wakeAt {
@@ -155,7 +158,7 @@
 	})
 }
 
-// apply carries out one effect of the engine.
+// apply applies one effect of the engine.
 func (s *scheduler) apply(effect *engine.Effect) {
 	switch effect.Kind {
 	case engine.SendAttempt:
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// scenarioStartTime is when simulated scenarios begin, in Unix time.
+	// scenarioStartTime is the Unix time at which simulated scenarios begin.
 	scenarioStartTime placer.Seconds = 1.8e9
-	// scenarioReportInterval is that of the emulator's nodes.
+	// scenarioReportInterval is the report interval of the emulator's nodes.
 	scenarioReportInterval placer.Seconds = 0.5
 	// schedulerSeedFactor separates the seeds of schedulers.
 	schedulerSeedFactor = 31
 )
 
-// FromSettings describes the world that the command scenario would start for a script: the same nodes, schedulers and rules.
+// FromSettings returns the configuration of a world with the nodes, schedulers and rules that a run of a script over sockets has.
 func FromSettings(settings *config.Settings, script *scenario.Script) Config {
 	cfg := Config{
 		Seed:       script.Seed,
@@ -62,10 +62,10 @@
 	return cfg
 }
 
-// NodeName is the name of the i-th node of a scenario.
+// NodeName returns the name of the i-th node of a scenario.
 func NodeName(i int) string { return fmt.Sprintf("node-%02d", i+1) }
 
-// SchedulerName is the name of the i-th scheduler of a scenario.
+// SchedulerName returns the name of the i-th scheduler of a scenario.
 func SchedulerName(i int) string { return fmt.Sprintf("scheduler-%d", i+1) }
 
 // ScenarioNodes returns the nodes as plans refer to them.
@@ -77,7 +77,7 @@
 	return nodes
 }
 
-// AuditClasses returns the rules of the classes as the auditor needs them.
+// AuditClasses returns the classes of the settings in the auditor's form.
 func AuditClasses(settings *config.Settings) map[string]audit.Class {
 	classes := map[string]audit.Class{}
 	for i := range settings.Classes {
@@ -94,7 +94,7 @@
 	return classes
 }
 
-// auditDomain returns a domain of the settings as the auditor has it: they have the same words but for none.
+// auditDomain converts a domain of the settings. The names are the same, except that of no domain.
 func auditDomain(domain string) audit.Domain {
 	if domain == config.NoDomain {
 		return audit.NoDomain
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,5 +1,9 @@
-// Package simulation runs schedulers, nodes and an inventory in simulated time: the engine and placer that run on sockets, the nodes that
-// the emulator runs, links with latency and loss between them, and the same plans of load and faults.
+// Package simulation runs schedulers, nodes and an inventory in simulated time: the engine and placer that also run on sockets, the nodes that
+// the emulator also runs, links with latency and loss between them, and the plans of load and faults of package scenario.
+//
+// The command scenario and package metastability call it; package faultinjection uses its names of nodes and schedulers, its Jobs and its audit
+// classes. Begin reading at World in this file: New starts everything, and Run performs a plan (plan.go) and runs timers in order of time. All
+// code of a World runs in the goroutine that calls it.
 //
 // The package is pure: the same configuration and plan give the same events on any machine.
 package simulation
@@ -46,7 +50,7 @@
 	AnswerLossRate         float64        // probability that a connection breaks after the node has accepted an attempt
 }
 
-// Inventory says when the inventory shows what. 0 is the default of an interval.
+// Inventory configures the inventory. 0 selects the defaults of ReportInterval and UnresponsiveAfter.
 type Inventory struct {
 	ReportInterval    placer.Seconds // between reports of a node to the inventory
 	ReportDelay       placer.Seconds // until the inventory shows a report
@@ -66,7 +70,8 @@
 // randomStream is the second word of the seed of a world's random source.
 const randomStream = 0x6d6f64656c
 
-// World is one run of a simulation.
+// World is one run of a simulation. It owns the schedulers, the nodes, the inventory and the timers of all of them. It is not safe for concurrent
+// use.
 type World struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -89,7 +94,7 @@
 	Latency   placer.Seconds // from the creation to the placement
 }
 
-// New returns a world at its start: the nodes run and are listed, and the schedulers begin.
+// New returns a world at its start: the nodes run and are listed, and the schedulers have just started.
 func New(cfg Config) (*World, error) {
 	if cfg.Links.ConnectTimeout <= 0 {
 		cfg.Links.ConnectTimeout = defaultConnectTimeout
@@ -126,22 +131,22 @@
 	return w, nil
 }
 
-// Now is the simulated time, in Unix time.
+// Now returns the simulated time as Unix time.
 func (w *World) Now() placer.Seconds { return w.now }
 
-// Steps is the number of timers that have run so far.
+// Steps returns the number of timers that have run so far.
 func (w *World) Steps() int { return w.steps }
 
-// Engine is the engine of a scheduler, nil while the scheduler is down.
+// Engine returns the engine of a scheduler, nil while the scheduler is down.
 func (w *World) Engine(i int) *engine.Engine { return w.schedulers[i].engine }
 
-// after schedules a function to run after a delay, at once if it is negative.
+// after schedules a function to run after a delay. A negative delay counts as 0.
 func (w *World) after(delay placer.Seconds, run func()) { w.at(w.now+max(delay, 0), run) }
 
-// at schedules a function to run at a time, at once if that is past. Functions of equal time run in the order in which they were scheduled.
+// at schedules a function to run at a time, or now if that is in the past. Functions of equal time run in the order in which they were scheduled.
 func (w *World) at(at placer.Seconds, run func()) { w.timers.Add(max(at, w.now), run) }
 
-// Run carries out a plan whose times count from now, and lets a time pass.
+// Run performs a plan, whose times are relative to now, and advances the simulated time by a duration.
 func (w *World) Run(plan []scenario.Action, duration placer.Seconds) {
 	start := w.now
 	for i := range plan {
--- a/internal/lab/workload/accesslog.go
+++ b/internal/lab/workload/accesslog.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
+// logReader reads the lines of an access log.
 type logReader struct {
 	lines  lineReader
 	format *Format
 }
 
-// NewLog reads an access log of the given format. Empty lines and lines that begin with # are passed over. file is named in entries and
-// errors.
+// NewLog reads an access log of the given format. Empty lines and lines that begin with # are skipped. Entries and errors name
+// file as their source.
 func NewLog(r io.Reader, file string, format *Format) Reader {
 	return &logReader{lines: newLineReader(r, file), format: format}
 }
@@ -40,12 +41,13 @@
 	}
 }
 
-// lineError says what is wrong with a line, without its place.
+// lineError says what is wrong with a line, without the file and line number.
 type lineError struct {
 	kind   ErrorKind
 	reason string
 }
 
+// malformed returns an error of kind Malformed.
 func malformed(format string, args ...any) *lineError {
 	return &lineError{Malformed, fmt.Sprintf(format, args...)}
 }
@@ -167,7 +169,7 @@
 	return err
 }
 
-// quotedLength is the length of a quoted value up to its closing quote. A backslash escapes the byte behind it.
+// quotedLength returns the length of a quoted value up to its closing quote. A backslash escapes the next byte.
 func quotedLength(s string) int {
 	for i := 0; i < len(s); i++ {
 		switch s[i] {
@@ -180,7 +182,7 @@
 	return len(s)
 }
 
-// unescape replaces the escapes of a quoted value; one with escapes that are not Go's is left as it is.
+// unescape replaces the escapes of a quoted value. A value with escapes that Go does not have is returned unchanged.
 func unescape(s string) string {
 	if !strings.Contains(s, `\`) {
 		return s
--- a/internal/lab/workload/entry.go
+++ b/internal/lab/workload/entry.go
@@ -1,7 +1,11 @@
 // Package workload reads recorded load: access logs described by a format string, JSON lines and HAR files, each as a stream of entries
-// in order of time. An entry that cannot be read is reported as an *EntryError and skipped; reading goes on behind it.
+// in the order of the source, which a Sorter puts in order of time. An entry that cannot be read is reported as an *EntryError and skipped;
+// reading continues after it.
 //
-// The package is a codec: it reads from the io.Readers it is given, opens no file and knows nothing of tasks.
+// The command load inspect uses it. Begin reading at Reader in this file; NewLog, NewJSONLines and NewHAR return the readers of the three formats,
+// Decompress and DetectFormat open a source.
+//
+// The package is a codec: it reads from the io.Readers that it is given, opens no file and does not know about tasks.
 package workload
 
 import (
@@ -28,14 +32,14 @@
 	order        int64 // order of arrival at a Sorter
 }
 
-// Reader yields entries in the order of the source. Next returns an *EntryError for an entry that is skipped, io.EOF at the end, and any
+// Reader reads entries in the order of the source. Next returns an *EntryError for an entry that is skipped, io.EOF at the end, and any
 // other error when the source cannot be read further.
 type Reader interface{ Next() (Entry, error) }
 
 // ErrorKind classifies the entries that are skipped.
 type ErrorKind string
 
-// Why an entry is skipped.
+// The kinds of errors for which an entry is skipped.
 const (
 	Malformed  ErrorKind = "malformed"    // the line does not have the format
 	BadTime    ErrorKind = "bad-time"     // no time, or one that cannot be parsed
--- a/internal/lab/workload/format.go
+++ b/internal/lab/workload/format.go
@@ -76,10 +76,10 @@
 	"query_string":    fieldQuery,
 }
 
-// Format is a compiled log format: literals and fields in turn.
+// Format is a compiled log format, a sequence of literals and fields.
 type Format struct{ parts []part }
 
-// part is a literal, or a field if one is set.
+// part is a field, or a literal if field is empty.
 type part struct {
 	field   field
 	literal string
@@ -181,6 +181,7 @@
 	return nil
 }
 
+// addLiteral appends the collected literal, if there is one.
 func (c *formatCompiler) addLiteral() {
 	if c.literal != "" {
 		c.parts = append(c.parts, part{literal: c.literal})
@@ -188,6 +189,7 @@
 	}
 }
 
+// finish checks that the format has a time and a request or path, and returns it.
 func (c *formatCompiler) finish() (*Format, error) {
 	c.addLiteral()
 	if !c.seen[fieldTime] {
--- a/internal/lab/workload/har.go
+++ b/internal/lab/workload/har.go
@@ -19,7 +19,7 @@
 	done      bool
 }
 
-// harEntry is what is read of an element of log.entries. It is an alias, so that the errors of package json describe it by its fields.
+// harEntry has the fields that are read from an element of log.entries. It is an alias, so that the errors of package json describe it by its fields.
 type harEntry = struct {
 	Started string  `json:"startedDateTime"`
 	Time    float64 `json:"time"` // milliseconds, -1 if unknown
@@ -36,8 +36,8 @@
 	} `json:"response"`
 }
 
-// NewHAR reads log.entries of a HAR 1.2 file. A truncated file yields all complete entries before its end. file is named in entries and
-// errors.
+// NewHAR reads log.entries of a HAR 1.2 file. From a truncated file all complete entries are read. Entries and errors name file as
+// their source.
 func NewHAR(r io.Reader, file string) Reader { return &harReader{dec: json.NewDecoder(r), file: file} }
 
 func (h *harReader) Next() (Entry, error) {
@@ -65,13 +65,13 @@
 	return h.parse(raw)
 }
 
-// truncated ends the reading at an error of the decoder.
+// truncated ends the reading after an error of the decoder, and returns the error of kind Truncated.
 func (h *harReader) truncated(err error) error {
 	h.done = true
 	return &EntryError{Kind: Truncated, File: h.file, Line: h.entries + 1, Reason: err.Error()}
 }
 
-// enterEntries moves the decoder into the array log.entries and skips all else without storing it.
+// enterEntries advances the decoder into the array log.entries, and skips other values without storing them.
 func (h *harReader) enterEntries() error {
 	for _, key := range []string{"log", "entries"} {
 		if err := h.enterKey(key); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// enterKey moves the decoder into an object, to the value of a key.
+// enterKey advances the decoder into an object, up to the value of a key.
 func (h *harReader) enterKey(want string) error {
 	token, err := h.dec.Token()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return fmt.Errorf("no %q", want)
 }
 
-// skipValue passes over a value token by token.
+// skipValue skips a value token by token.
 func (h *harReader) skipValue() error {
 	for depth := 0; ; {
 		token, err := h.dec.Token()
@@ -131,6 +131,7 @@
 	}
 }
 
+// parse converts an element of log.entries.
 func (h *harReader) parse(raw json.RawMessage) (Entry, error) {
 	var recorded harEntry
 	if err := json.Unmarshal(raw, &recorded); err != nil {
@@ -162,7 +163,7 @@
 	return entry, nil
 }
 
-// entryError reports the entry read last as skipped.
+// entryError returns the error of the entry that was read last.
 func (h *harReader) entryError(kind ErrorKind, raw json.RawMessage, reason string) error {
 	return &EntryError{Kind: kind, File: h.file, Line: h.entries, Text: excerpt(string(raw)), Reason: reason}
 }
--- a/internal/lab/workload/jsonlines.go
+++ b/internal/lab/workload/jsonlines.go
@@ -25,12 +25,13 @@
 	}
 }
 
+// jsonReader reads JSON lines.
 type jsonReader struct {
 	lines  lineReader
 	fields JSONFields
 }
 
-// NewJSONLines reads one JSON object a line. file is named in entries and errors.
+// NewJSONLines reads one JSON object per line. Entries and errors name file as their source.
 func NewJSONLines(r io.Reader, file string, fields JSONFields) Reader {
 	return &jsonReader{lines: newLineReader(r, file), fields: fields}
 }
@@ -47,6 +48,7 @@
 	}
 }
 
+// parse converts a line.
 func (r *jsonReader) parse(line string, truncated bool) (Entry, error) {
 	var object map[string]any
 	if err := json.Unmarshal([]byte(line), &object); err != nil {
--- a/internal/lab/workload/lines.go
+++ b/internal/lab/workload/lines.go
@@ -15,7 +15,7 @@
 type lineReader struct {
 	source *bufio.Reader
 	file   string
-	number int64 // of the line read last, from 1
+	number int64 // of the line that was read last, from 1
 	buffer []byte
 }
 
@@ -51,12 +51,12 @@
 	}
 }
 
-// endsSource reports whether an error is the end of a source, also of a compressed one that is cut short.
+// endsSource reports whether an error is the end of a source, or of a truncated compressed source.
 func endsSource(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// entryError reports the line read last as skipped.
+// entryError returns the error of the line that was read last.
 func (l *lineReader) entryError(kind ErrorKind, line, reason string) *EntryError {
 	return &EntryError{Kind: kind, File: l.file, Line: l.number, Text: excerpt(line), Reason: reason}
 }
--- a/internal/lab/workload/sorter.go
+++ b/internal/lab/workload/sorter.go
@@ -15,12 +15,12 @@
 	pending     entryHeap
 	added       int64
 	newest      placer.Seconds
-	emittedUpTo placer.Seconds // entries before this time come too late
+	emittedUpTo placer.Seconds // entries before this time are too late
 	group       []Entry        // reused between calls of emit
 }
 
-// Add takes an entry and appends to out the entries that no later one can precede any more. An entry older than the window allows is
-// returned as an error of kind OutOfOrder instead of being moved to another time.
+// Add adds an entry, and appends to out the entries that are older than the window and so can no longer be preceded by another one. For an entry
+// older than the window it returns an error of kind OutOfOrder instead of moving the entry to another time.
 func (s *Sorter) Add(entry Entry, out []Entry) ([]Entry, *EntryError) {
 	if s.added > 0 && entry.At < s.emittedUpTo {
 		reason := fmt.Sprintf("%.3f s older than what was given out, the window is %v s", s.emittedUpTo-entry.At, s.Window)
@@ -46,7 +46,7 @@
 			out = append(out, s.group...)
 			continue
 		}
-		// The spread entries go back into the queue at their new times, as others may lie between them.
+		// The spread entries return to the heap at their new times, since others may lie between them.
 		for i, entry := range s.group {
 			entry.WholeSeconds = false
 			entry.At = at + placer.Seconds(float64(i)/float64(len(s.group)))
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -66,7 +66,7 @@
 	return "common", buffered, nil
 }
 
-// isJSONLine reports whether a line that begins with a brace is a whole JSON object other than a HAR file on one line.
+// isJSONLine reports whether a line that begins with a brace is a complete JSON object, and not a HAR file on one line.
 func isJSONLine(line []byte) bool {
 	isHAR := bytes.HasPrefix(bytes.TrimLeft(line[1:], " \t"), []byte(`"log"`))
 	return json.Valid(line) && !isHAR
--- a/internal/lab/workload/timestamp.go
+++ b/internal/lab/workload/timestamp.go
@@ -53,6 +53,7 @@
 	return 0, false, fmt.Errorf("time %.40q cannot be read", s)
 }
 
+// parseUnixTime converts a number of Unix seconds, milliseconds or microseconds. s is its text, for errors.
 func parseUnixTime(s string, number float64) (at placer.Seconds, wholeSeconds bool, err error) {
 	switch {
 	case !(number > 0) || number > maxNumericTime:
