--- a/cmd/heathshed/client_test.go
+++ b/cmd/heathshed/client_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -43,20 +41,8 @@
 	s.t.Helper()
 	server := httptest.NewServer(s)
 	defer server.Close()
-	var out bytes.Buffer
-	root := newRootCommand()
-	root.SetOut(&out)
-	root.SetArgs(append(args, "--server", server.URL))
-	err := root.ExecuteContext(s.t.Context())
-	var exit *exitError
-	switch {
-	case errors.As(err, &exit):
-		status = exit.code
-	case err != nil:
-		status = 1
-		fmt.Fprintf(&out, "error: %v\n", err)
-	}
-	return out.String(), status
+	output, _, status = execute(s.t, append(args, "--server", server.URL)...)
+	return output, status
 }
 
 const (
--- a/cmd/heathshed/config_test.go
+++ b/cmd/heathshed/config_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -10,7 +8,7 @@
 func TestConfigCheck(t *testing.T) {
 	const formerFile = "{\n  // Kept.\n  \"rules\": {\"answerSlack\": 0.3},\n  \"stopWithin\": 5,\n}\n"
 	const presentFile = "{\n  // Kept.\n  \"timing\": {\"answerGrace\": 0.3},\n  \"shutdownTimeout\": 5,\n}\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, text string
 		flags      []string
 		wantOut    string // FILE stands for the path of the file
@@ -31,20 +29,17 @@
 			wantErr:    "heathshed: FILE:1:16: shutdownTimeout (given as stopWithin): true, want a duration such as \"250ms\", or a number of seconds\n",
 			wantStatus: 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			file := filepath.Join(t.TempDir(), "settings.json")
-			if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			file := writeTempFile(t, "settings.json", test.text)
+			stdout, stderr, status := runProgram(t, append([]string{"config", "check", file}, test.flags...)...)
+			if got := strings.ReplaceAll(stdout, file, "FILE"); got != test.wantOut {
+				t.Errorf("standard output:\n%s\nwant\n%s", got, test.wantOut)
 			}
-			stdout, stderr, status := runProgram(t, append([]string{"config", "check", file}, c.flags...)...)
-			if got := strings.ReplaceAll(stdout, file, "FILE"); got != c.wantOut {
-				t.Errorf("standard output:\n%s\nwant\n%s", got, c.wantOut)
+			if got := strings.ReplaceAll(stderr, file, "FILE"); got != test.wantErr {
+				t.Errorf("standard error:\n%s\nwant\n%s", got, test.wantErr)
 			}
-			if got := strings.ReplaceAll(stderr, file, "FILE"); got != c.wantErr {
-				t.Errorf("standard error:\n%s\nwant\n%s", got, c.wantErr)
-			}
-			if status != c.wantStatus {
-				t.Errorf("exit status %d, want %d", status, c.wantStatus)
+			if status != test.wantStatus {
+				t.Errorf("exit status %d, want %d", status, test.wantStatus)
 			}
 		})
 	}
@@ -52,10 +47,7 @@
 
 // A file with former names starts a program without a word about them.
 func TestFormerNamesAreReadSilently(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "settings.json")
-	if err := os.WriteFile(file, []byte(`{"stopWithin": 5, "gate": {"on": false}}`), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	file := writeTempFile(t, "settings.json", `{"stopWithin": 5, "gate": {"on": false}}`)
 	stdout, stderr, status := runProgram(t, "serve", "-c", file, "--print-config")
 	if !strings.Contains(stdout, `"shutdownTimeout": "5s"`) || !strings.Contains(stdout, `"enabled": false`) {
 		t.Errorf("printed settings:\n%s\nwant those of the file under present names", stdout)
--- a/cmd/heathshed/inspect_test.go
+++ b/cmd/heathshed/inspect_test.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"bytes"
-	"errors"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -25,10 +22,7 @@
 		jsonStart = `{"entries":4,"skipped":{"malformed":1},"first":"2026-10-10T13:55:36Z","last":"2026-10-10T13:55:46Z",` +
 			`"methods":{"GET":3,"POST":1},"status":{"2xx":3,"4xx":1},"curve":[1,0,0,0,0,0,1,`
 	)
-	file := filepath.Join(t.TempDir(), "log")
-	if err := os.WriteFile(file, []byte(recordedLoad), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	file := writeTempFile(t, "log", recordedLoad)
 	for _, test := range []struct {
 		name        string
 		args        []string
@@ -39,20 +33,14 @@
 		{"JSON", []string{"--json"}, jsonStart, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var out, warnings bytes.Buffer
-			root := newRootCommand()
-			root.SetOut(&out)
-			root.SetErr(&warnings)
-			root.SetArgs(append([]string{"load", "inspect", file}, test.args...))
-			err := root.ExecuteContext(t.Context())
-			var exit *exitError
-			if !errors.As(err, &exit) || exit.code != exitEntriesSkipped {
-				t.Errorf("error %v, want exit status %d", err, exitEntriesSkipped)
+			output, warnings, status := execute(t, append([]string{"load", "inspect", file}, test.args...)...)
+			if status != exitEntriesSkipped {
+				t.Errorf("exit status %d, want %d", status, exitEntriesSkipped)
 			}
-			if !strings.HasPrefix(out.String(), test.want) {
-				t.Errorf("output\n%s\nwant\n%s", out.String(), test.want)
+			if !strings.HasPrefix(output, test.want) {
+				t.Errorf("output\n%s\nwant\n%s", output, test.want)
 			}
-			if got := strings.ReplaceAll(warnings.String(), filepath.Dir(file)+"/", ""); got != test.wantWarning {
+			if got := strings.ReplaceAll(warnings, filepath.Dir(file)+"/", ""); got != test.wantWarning {
 				t.Errorf("warnings %q, want %q", got, test.wantWarning)
 			}
 		})
--- a/cmd/heathshed/main_test.go
+++ b/cmd/heathshed/main_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"os"
 	"os/exec"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -25,81 +27,73 @@
 	return out.String(), errOut.String(), cmd.ProcessState.ExitCode()
 }
 
+// execute runs a command in this process. It returns its standard output, its standard error and its exit status. An error whose status is 1 is
+// appended to the output.
+func execute(t *testing.T, args ...string) (stdout, stderr string, status int) {
+	t.Helper()
+	var out, errOut bytes.Buffer
+	root := newRootCommand()
+	root.SetOut(&out)
+	root.SetErr(&errOut)
+	root.SetArgs(args)
+	err := root.ExecuteContext(t.Context())
+	var exit *exitError
+	switch {
+	case errors.As(err, &exit):
+		status = exit.code
+	case err != nil:
+		status = 1
+		fmt.Fprintf(&out, "error: %v\n", err)
+	}
+	return out.String(), errOut.String(), status
+}
+
+// writeTempFile writes a file of the given name to a directory of the test's own and returns its path.
+func writeTempFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	writeFile(t, path, text)
+	return path
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A command's former name does the same as the command: the same standard output and exit status. On standard error it says first what to
 // use instead.
 func TestDeprecatedNames(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
-		former, now []string
-		wantNotice  string
+		former, now string // paths of commands
+		args        string
 		wantStatus  int
 	}{
-		{
-			name:       "result",
-			former:     []string{"badday", "--simulated", "--seconds", "20", "--json"},
-			now:        []string{"scenario", "--simulated", "--seconds", "20", "--json"},
-			wantNotice: `Command "badday" is deprecated, use "heathshed scenario" instead`,
-		},
-		{
-			name:       "script",
-			former:     []string{"badday", "--print-script"},
-			now:        []string{"scenario", "--print-script"},
-			wantNotice: `Command "badday" is deprecated, use "heathshed scenario" instead`,
-		},
-		{
-			name:       "flag error",
-			former:     []string{"badday", "--nosuch"},
-			now:        []string{"scenario", "--nosuch"},
-			wantNotice: `Command "badday" is deprecated, use "heathshed scenario" instead`,
-			wantStatus: 1,
-		},
-		{
-			name:       "trials",
-			former:     []string{"recover", "--trials", "1", "--all", "--json"},
-			now:        []string{"metastability", "--trials", "1", "--all", "--json"},
-			wantNotice: `Command "recover" is deprecated, use "heathshed metastability" instead`,
-		},
-		{
-			name:       "trials out of range",
-			former:     []string{"recover", "--trials", "0"},
-			now:        []string{"metastability", "--trials", "0"},
-			wantNotice: `Command "recover" is deprecated, use "heathshed metastability" instead`,
-			wantStatus: 1,
-		},
-		{
-			name:       "node with a missing settings file",
-			former:     []string{"standin", "node", "-c", "nosuch.json"},
-			now:        []string{"emulate", "node", "-c", "nosuch.json"},
-			wantNotice: `Command "node" is deprecated, use "heathshed emulate node" instead`,
-			wantStatus: 1,
-		},
-		{
-			name:       "inventory with a missing settings file",
-			former:     []string{"standin", "inventory", "-c", "nosuch.json"},
-			now:        []string{"emulate", "inventory", "-c", "nosuch.json"},
-			wantNotice: `Command "inventory" is deprecated, use "heathshed emulate inventory" instead`,
-			wantStatus: 1,
-		},
-		{
-			name:       "group with an unknown flag",
-			former:     []string{"standin", "--nosuch"},
-			now:        []string{"emulate", "--nosuch"},
-			wantNotice: `Command "standin" is deprecated, use "heathshed emulate" instead`,
-			wantStatus: 1,
-		},
+		{"result", "badday", "scenario", "--simulated --seconds 20 --json", 0},
+		{"script", "badday", "scenario", "--print-script", 0},
+		{"flag error", "badday", "scenario", "--nosuch", 1},
+		{"trials", "recover", "metastability", "--trials 1 --all --json", 0},
+		{"trials out of range", "recover", "metastability", "--trials 0", 1},
+		{"node with a missing settings file", "standin node", "emulate node", "-c nosuch.json", 1},
+		{"inventory with a missing settings file", "standin inventory", "emulate inventory", "-c nosuch.json", 1},
+		{"group with an unknown flag", "standin", "emulate", "--nosuch", 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			formerOut, formerErr, formerStatus := runProgram(t, c.former...)
-			nowOut, nowErr, nowStatus := runProgram(t, c.now...)
-			if formerStatus != c.wantStatus || nowStatus != c.wantStatus {
-				t.Errorf("exit status %d under the former name, %d under the present one, want %d", formerStatus, nowStatus, c.wantStatus)
+		t.Run(test.name, func(t *testing.T) {
+			formerOut, formerErr, formerStatus := runProgram(t, strings.Fields(test.former+" "+test.args)...)
+			nowOut, nowErr, nowStatus := runProgram(t, strings.Fields(test.now+" "+test.args)...)
+			if formerStatus != test.wantStatus || nowStatus != test.wantStatus {
+				t.Errorf("exit status %d under the former name, %d under the present one, want %d", formerStatus, nowStatus, test.wantStatus)
 			}
 			if formerOut != nowOut {
 				t.Errorf("standard output differs:\n%.300s\n%.300s", formerOut, nowOut)
 			}
-			notice, rest, _ := strings.Cut(formerErr, "\n")
-			if notice != c.wantNotice || rest != nowErr {
-				t.Errorf("standard error %q, want the notice %q and then %q", formerErr, c.wantNotice, nowErr)
+			names := strings.Fields(test.former)
+			wantNotice := fmt.Sprintf(`Command "%s" is deprecated, use "heathshed %s" instead`, names[len(names)-1], test.now)
+			if notice, rest, _ := strings.Cut(formerErr, "\n"); notice != wantNotice || rest != nowErr {
+				t.Errorf("standard error %q, want the notice %q and then %q", formerErr, wantNotice, nowErr)
 			}
 		})
 	}
@@ -107,17 +101,17 @@
 
 // The former names have the flags of the present ones.
 func TestDeprecatedNamesHaveTheSameHelp(t *testing.T) {
-	for _, c := range []struct{ former, now string }{
+	for _, test := range []struct{ former, now string }{
 		{"badday", "scenario"},
 		{"recover", "metastability"},
 		{"standin node", "emulate node"},
 		{"standin inventory", "emulate inventory"},
 	} {
-		t.Run(c.former, func(t *testing.T) {
-			formerHelp, _, formerStatus := runProgram(t, append(strings.Fields(c.former), "--help")...)
-			nowHelp, _, nowStatus := runProgram(t, append(strings.Fields(c.now), "--help")...)
-			want := strings.ReplaceAll(nowHelp, "heathshed "+c.now, "heathshed "+c.former)
-			want = strings.ReplaceAll(want, "help for "+c.now, "help for "+c.former)
+		t.Run(test.former, func(t *testing.T) {
+			formerHelp, _, formerStatus := runProgram(t, append(strings.Fields(test.former), "--help")...)
+			nowHelp, _, nowStatus := runProgram(t, append(strings.Fields(test.now), "--help")...)
+			want := strings.ReplaceAll(nowHelp, "heathshed "+test.now, "heathshed "+test.former)
+			want = strings.ReplaceAll(want, "help for "+test.now, "help for "+test.former)
 			if formerHelp != want || !strings.Contains(formerHelp, "Flags:") {
 				t.Errorf("%s\nwant\n%s", formerHelp, want)
 			}
--- a/cmd/heathshed/platform_test.go
+++ b/cmd/heathshed/platform_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
@@ -63,8 +62,7 @@
 // startProgram runs "heathshed platform" on a configuration. It returns the process, its log and the path of the configuration file.
 func startProgram(t *testing.T, config string, env ...string) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, config)
+	path := writeTempFile(t, "config.json", config)
 	cmd := exec.Command(os.Args[0], "platform")
 	cmd.Env = append(append(os.Environ(), "HEATHSHED_TEST_MAIN=1", "LB_CONFIG="+path), env...)
 	pipe, err := cmd.StderrPipe()
@@ -108,13 +106,6 @@
 	}
 }
 
-func writeConfig(t *testing.T, path, text string) {
-	t.Helper()
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // awaitLog reads the log until a line has the text.
 func awaitLog(t *testing.T, log *bufio.Scanner, text string) {
 	t.Helper()
@@ -201,10 +192,10 @@
 	if resident > 28<<10 {
 		t.Errorf("resident memory at the start: %d KB", resident)
 	}
-	writeConfig(t, path, "{")
+	writeFile(t, path, "{")
 	sendSignal(t, cmd, syscall.SIGHUP)
 	awaitLog(t, log, "configuration reload failed")
-	writeConfig(t, path, platformConfigText(moved))
+	writeFile(t, path, platformConfigText(moved))
 	for range 3 {
 		sendSignal(t, cmd, syscall.SIGHUP)
 	}
@@ -327,7 +318,7 @@
 		t.Errorf("node: %v", err)
 	}
 	openIdleClients()
-	writeConfig(t, path, platformConfigText(second))
+	writeFile(t, path, platformConfigText(second))
 	sendSignal(t, cmd, syscall.SIGHUP)
 	serveDiscovery(t, moved, "")
 }
