--- a/cmd/heathshed/config_test.go
+++ b/cmd/heathshed/config_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestConfigCheck checks what the command config check prints for files with present and former names, and its exit status.
 func TestConfigCheck(t *testing.T) {
 	const formerFile = "{\n  // Kept.\n  \"rules\": {\"answerSlack\": 0.3},\n  \"stopWithin\": 5,\n}\n"
 	const presentFile = "{\n  // Kept.\n  \"timing\": {\"answerGrace\": 0.3},\n  \"shutdownTimeout\": 5,\n}\n"
@@ -45,7 +46,7 @@
 	}
 }
 
-// A file with former names starts a program without a word about them.
+// TestFormerNamesAreReadSilently checks that a file with former names is read, and that no notice of them is printed.
 func TestFormerNamesAreReadSilently(t *testing.T) {
 	file := writeTempFile(t, "settings.json", `{"stopWithin": 5, "gate": {"on": false}}`)
 	stdout, stderr, status := runProgram(t, "serve", "-c", file, "--print-config")
--- a/cmd/heathshed/main_test.go
+++ b/cmd/heathshed/main_test.go
@@ -63,8 +63,7 @@
 	}
 }
 
-// A command's former name does the same as the command: the same standard output and exit status. On standard error it says first what to
-// use instead.
+// TestDeprecatedNames checks that a command under its former name has the same output and exit status, and first prints a notice on standard error.
 func TestDeprecatedNames(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -99,7 +98,7 @@
 	}
 }
 
-// The former names have the flags of the present ones.
+// TestDeprecatedNamesHaveTheSameHelp checks that commands have the same help under their former names.
 func TestDeprecatedNamesHaveTheSameHelp(t *testing.T) {
 	for _, test := range []struct{ former, now string }{
 		{"badday", "scenario"},
--- a/cmd/heathshed/platform_test.go
+++ b/cmd/heathshed/platform_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// programTimeout is longer than anything here takes: the tests wait for events.
+// programTimeout is longer than any of these tests, which wait for events.
 const programTimeout = 20 * time.Second
 
 const platformSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
@@ -117,6 +117,7 @@
 	t.Fatalf("the log ends without %q", text)
 }
 
+// TestPlatformRejectsInvalidConfig checks the exit status and the one line of log of a program with an invalid configuration.
 func TestPlatformRejectsInvalidConfig(t *testing.T) {
 	_, discovery := listenLocal(t)
 	good := platformConfigText(discovery)
@@ -267,7 +268,7 @@
 // connection to a node, a client and the file of a reload still find one. The limit of the process is the configuration's.
 func TestDescriptorsReserved(t *testing.T) {
 	const sockets = 64
-	down, err := net.Listen("tcp", "127.0.0.78:0") // an address at which no other test takes the port meanwhile
+	down, err := net.Listen("tcp", "127.0.0.78:0") // no other test listens at this address
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/simulation/overload_test.go
+++ b/internal/lab/simulation/overload_test.go
@@ -13,12 +13,7 @@
 // those placed later.
 func runOverload(tb testing.TB, admission bool, multiple, seconds float64) (good, late int, report audit.Report) {
 	tb.Helper()
-	script := scenario.Default()
-	script.Nodes = 6
-	script.Schedulers = 2
-	script.Faults = nil
-	script.Seconds = seconds + 10
-	script.Cooldown = 10
+	script := newScript(6, 2, seconds+10, 10)
 	script.Load.Classes = map[string]float64{"web": 1}
 	script.Load.Cores = 1
 	script.Load.Memory = 1
@@ -109,12 +104,7 @@
 // are placed later.
 func runColdStart(b *testing.B, nodes int, additive bool) []int {
 	b.Helper()
-	script := scenario.Default()
-	script.Nodes = nodes
-	script.Schedulers = 1
-	script.Faults = nil
-	script.Seconds = coldStartSeconds
-	script.Cooldown = coldStartSeconds
+	script := newScript(nodes, 1, coldStartSeconds, coldStartSeconds)
 	script.Load.TasksPerSecond = 0
 	settings := config.Default()
 	cfg := FromSettings(&settings, &script)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -17,6 +17,15 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "60") }
 
+// newScript returns a script without faults.
+func newScript(nodes, schedulers int, seconds, cooldown float64) scenario.Script {
+	script := scenario.Default()
+	script.Nodes, script.Schedulers = nodes, schedulers
+	script.Seconds, script.Cooldown = seconds, cooldown
+	script.Faults = nil
+	return script
+}
+
 // runScenario runs a script in a world that configure, if set, has changed.
 func runScenario(t interface{ Fatal(...any) }, script scenario.Script, configure func(*Config)) *World {
 	settings := config.Default()
@@ -38,15 +47,12 @@
 func TestRulesHoldInRandomScenarios(t *testing.T) {
 	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
 	rapid.Check(t, func(t *rapid.T) {
-		script := scenario.Default()
-		script.Seed = rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
-		script.Seconds = 100
-		script.Cooldown = 65
-		script.Nodes = rapid.IntRange(4, 14).Draw(t, "nodes")
-		script.Schedulers = rapid.IntRange(1, 4).Draw(t, "schedulers")
+		seed := rapid.Uint64Range(1, 1<<40).Draw(t, "seed")
+		nodes := rapid.IntRange(4, 14).Draw(t, "nodes")
+		script := newScript(nodes, rapid.IntRange(1, 4).Draw(t, "schedulers"), 100, 65)
+		script.Seed = seed
 		script.Load.TasksPerSecond = rapid.Float64Range(2, 25).Draw(t, "load")
 		script.Load.Services = 12
-		script.Faults = nil
 		for i := range rapid.IntRange(1, 5).Draw(t, "faults") {
 			script.Faults = append(script.Faults, scenario.Fault{
 				Kind:     rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind", i)),
@@ -91,10 +97,7 @@
 
 // TestListAndWatchEqualState checks that a list and the changes after it give the state, at any point of a run.
 func TestListAndWatchEqualState(t *testing.T) {
-	script := scenario.Default()
-	script.Seconds = 60
-	script.Cooldown = 20
-	script.Schedulers = 1
+	script := newScript(24, 1, 60, 20)
 	script.Faults = []scenario.Fault{
 		{Kind: "crash", At: 5, Duration: 5, Fraction: 0.4},
 		{Kind: "flush", At: 15, Duration: 3, Fraction: 0.5},
