--- a/internal/lab/nodesim/fence.go
+++ b/internal/lab/nodesim/fence.go
@@ -4,6 +4,7 @@
 const maxFences = 100000
 
 // fenceTable holds the fences of a node: for each fenced task, the number up to which its attempts are rejected.
+// Only add changes it.
 type fenceTable struct {
 	attempts map[string]int // by UID
 	order    []string       // UIDs, oldest first
--- a/internal/lab/nodesim/program_cache.go
+++ b/internal/lab/nodesim/program_cache.go
@@ -3,6 +3,7 @@
 import "slices"
 
 // programCache holds the programs that a node can start without loading them: those of running tasks, and the most recently used others.
+// Only taskStarted and taskEnded change it.
 type programCache struct {
 	size    int            // programs kept in addition to those that run
 	running map[string]int // running tasks by service
--- a/internal/lab/nodesim/warmup.go
+++ b/internal/lab/nodesim/warmup.go
@@ -33,7 +33,8 @@
 	return p.config.InitialPace + float64(gained)
 }
 
-// overloadDetector decides whether a node that warms up receives more requests than it can handle.
+// overloadDetector decides whether a node that warms up receives more requests than it can handle. It owns the times of
+// the requests; only requestReceived and reset change them.
 type overloadDetector struct {
 	config   Overload
 	received []placer.Seconds // times of the requests within the window
--- a/internal/lab/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -17,7 +17,8 @@
 	connectRetrySpread placer.Seconds = 0.9
 )
 
-// podWatch is a scheduler's watch on the Pods of a node.
+// podWatch is a scheduler's watch on the Pods of a node, over all its connections. The scheduler keeps it in watches, and the node as well while
+// it is established; kill and unwatchNode cancel it.
 type podWatch struct {
 	scheduler   *scheduler
 	node        *node
--- a/internal/lab/workload/sorter.go
+++ b/internal/lab/workload/sorter.go
@@ -8,8 +8,10 @@
 	"heathshed/placer"
 )
 
-// Sorter puts entries in order of time within a window. Entries of equal time keep the order in which they were added. Entries of the same
-// whole second, where the source gave no fractions, are spread evenly over that second.
+// Sorter puts entries in order of time within a window. It owns the entries that it has not yet emitted. It is not safe for concurrent use.
+//
+// Entries of equal time keep the order in which they were added. Entries of the same second whose times have no fractions are spread evenly over
+// that second.
 type Sorter struct {
 	Window      placer.Seconds
 	pending     entryHeap
