--- a/cmd/heathshed/main_test.go
+++ b/cmd/heathshed/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -63,6 +64,18 @@
 	}
 }
 
+// checkJSON checks the bytes of a value as JSON.
+func checkJSON(t *testing.T, value any, want string) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != want {
+		t.Errorf("got  %s\nwant %s", got, want)
+	}
+}
+
 // TestDeprecatedNames checks that a command under its former name has the same output and exit status, and first prints a notice on standard error.
 func TestDeprecatedNames(t *testing.T) {
 	for _, test := range []struct {
--- a/cmd/heathshed/metastability_test.go
+++ b/cmd/heathshed/metastability_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"math"
 	"testing"
@@ -62,13 +61,7 @@
 				PlacementRequests: 30,
 				Attempts:          31,
 			}
-			got, err := json.Marshal(newTrialJSON(&trial, &verdict))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if string(got) != test.want {
-				t.Errorf("got  %s\nwant %s", got, test.want)
-			}
+			checkJSON(t, newTrialJSON(&trial, &verdict), test.want)
 		})
 	}
 }
--- a/cmd/heathshed/seconds_flag_test.go
+++ b/cmd/heathshed/seconds_flag_test.go
@@ -13,21 +13,20 @@
 	const outOfRange = `invalid argument "1e999" for "--seconds" flag: strconv.ParseFloat: parsing "1e999": value out of range`
 	const invalid = `invalid argument "1s" for "--seconds" flag: strconv.ParseFloat: parsing "1s": invalid syntax`
 	for _, test := range []struct {
-		argument string
-		want     time.Duration
-		wantText string
-		wantErr  string
+		argument          string
+		want              time.Duration
+		wantText, wantErr string
 	}{
-		{argument: "0", want: 0, wantText: "0"},
-		{argument: "7", want: 7 * time.Second, wantText: "7"},
-		{argument: "20.1", want: 20100 * time.Millisecond, wantText: "20.1"},
-		{argument: "1e-3", want: time.Millisecond, wantText: "0.001"},
-		{argument: "-2.5", want: -2500 * time.Millisecond, wantText: "-2.5"},
-		{argument: "86400.25", want: 24*time.Hour + 250*time.Millisecond, wantText: "86400.25"},
-		{argument: "inf", want: 1<<63 - 1, wantText: "9.223372036854776e+09"},
-		{argument: "nan", want: 0, wantText: "0"},
-		{argument: "1e999", wantErr: outOfRange},
-		{argument: "1s", wantErr: invalid},
+		{"0", 0, "0", ""},
+		{"7", 7 * time.Second, "7", ""},
+		{"20.1", 20100 * time.Millisecond, "20.1", ""},
+		{"1e-3", time.Millisecond, "0.001", ""},
+		{"-2.5", -2500 * time.Millisecond, "-2.5", ""},
+		{"86400.25", 24*time.Hour + 250*time.Millisecond, "86400.25", ""},
+		{"inf", 1<<63 - 1, "9.223372036854776e+09", ""},
+		{"nan", 0, "0", ""},
+		{"1e999", 0, "", outOfRange},
+		{"1s", 0, "", invalid},
 	} {
 		t.Run(test.argument, func(t *testing.T) {
 			var got time.Duration
--- a/cmd/heathshed/submit_test.go
+++ b/cmd/heathshed/submit_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"testing"
 	"time"
 )
@@ -29,13 +28,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got, err := json.Marshal(test.flags.jobFromFlags())
-			if err != nil {
-				t.Fatal(err)
-			}
-			if string(got) != test.want {
-				t.Errorf("got  %s\nwant %s", got, test.want)
-			}
+			checkJSON(t, test.flags.jobFromFlags(), test.want)
 		})
 	}
 }
