--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -56,11 +56,10 @@
 	default:
 		return freeCapacity{cores: node.cores / 2, memory: node.memory / 2}
 	}
-	for i := range load.recentChanges {
-		if change := &load.recentChanges[i]; change.at >= now-contenderWindow {
-			free.cores -= change.cores
-			free.memory -= change.memory
-		}
+	recent := load.changesSince(now - contenderWindow)
+	for i := range recent {
+		free.cores -= recent[i].cores
+		free.memory -= recent[i].memory
 	}
 	return free
 }
@@ -76,9 +75,9 @@
 		return cores, memory
 	}
 	recentCores, recentMemory := 0.0, 0.0
-	for i := range load.recentChanges {
-		change := &load.recentChanges[i]
-		if change.at >= now-contenderWindow && change.at > load.reportedAt-contenderWindow/2 {
+	recent := load.changesSince(now - contenderWindow)
+	for i := range recent {
+		if change := &recent[i]; change.at > load.reportedAt-contenderWindow/2 {
 			recentCores += change.cores * m.coresUsage.mean
 			recentMemory += change.memory * m.memoryUsage.mean
 		}
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -132,11 +132,11 @@
 	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBind {
 		t.Fatalf("after the end: %+v", last)
 	}
-	if load.recentBinds(103.1) != 0 || load.retainedBinds() != 1 {
+	if load.recentBinds(103.1) != 0 || load.retainedBinds != 1 {
 		t.Error("an old bind is recent, or is gone before it is dropped")
 	}
 	load.dropOldChanges(103.1)
-	if load.retainedBinds() != 0 || len(load.recentChanges) != 1 {
+	if load.retainedBinds != 0 || len(load.recentChanges) != 1 {
 		t.Errorf("after the drop: %+v", load.recentChanges)
 	}
 }
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -6,6 +6,7 @@
 // beside its entry in the node list.
 type nodeLoad struct {
 	recentChanges    []capacityChange // by time
+	retainedBinds    int              // binds among recentChanges
 	rejectsUntil     Seconds          // time until which the last rejection for lack of capacity counts
 	saturationExcess float64          // the latest projection, for any task
 	reportedAt       Seconds
@@ -24,6 +25,7 @@
 func (l *nodeLoad) reset() {
 	l.rejectsUntil = 0
 	l.recentChanges = l.recentChanges[:0]
+	l.retainedBinds = 0
 	l.hasReport = false
 }
 
@@ -62,6 +64,9 @@
 
 func (l *nodeLoad) addChange(change capacityChange) {
 	l.recentChanges = append(l.recentChanges, change)
+	if change.isBind {
+		l.retainedBinds++
+	}
 }
 
 // removePendingChange removes the change that was recorded when an attempt was sent.
@@ -79,31 +84,31 @@
 // dropOldChanges removes the changes that the node list is assumed to show. Estimates of capacity ignore
 // these changes anyway; retainedBinds counts them until they are removed.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
-	old := 0
-	for old < len(l.recentChanges) && l.recentChanges[old].at < now-contenderWindow {
-		old++
+	recent := l.changesSince(now - contenderWindow)
+	if len(recent) < len(l.recentChanges) {
+		l.recentChanges = l.recentChanges[:copy(l.recentChanges, recent)]
+		l.retainedBinds = countBinds(l.recentChanges)
 	}
-	if old > 0 {
-		l.recentChanges = l.recentChanges[:copy(l.recentChanges, l.recentChanges[old:])]
+}
+
+// changesSince returns the changes at or after a time. They are in the order of their times.
+func (l *nodeLoad) changesSince(at Seconds) []capacityChange {
+	first := 0
+	for first < len(l.recentChanges) && l.recentChanges[first].at < at {
+		first++
 	}
+	return l.recentChanges[first:]
 }
 
 // recentBinds counts the binds that the node list may not show yet.
 func (l *nodeLoad) recentBinds(now Seconds) int {
-	count := 0
-	for i := range l.recentChanges {
-		if change := &l.recentChanges[i]; change.isBind && change.at >= now-contenderWindow {
-			count++
-		}
-	}
-	return count
+	return countBinds(l.changesSince(now - contenderWindow))
 }
 
-// retainedBinds counts the binds that dropOldChanges has not removed.
-func (l *nodeLoad) retainedBinds() int {
+func countBinds(changes []capacityChange) int {
 	count := 0
-	for i := range l.recentChanges {
-		if l.recentChanges[i].isBind {
+	for i := range changes {
+		if changes[i].isBind {
 			count++
 		}
 	}
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -105,7 +105,7 @@
 	for _, node := range s.nodes.list {
 		// Binds older than the window count until they are removed, which happens when the node's capacity is
 		// evaluated. On nodes that do not pass the filter they count for longer.
-		pending += node.load.retainedBinds()
+		pending += node.load.retainedBinds
 	}
 	return max(1, contenderFactor*float64(pending)/float64(candidates))
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
-	placer.nodes.byID[1].load.recentChanges = []capacityChange{{at: 100, cores: 1, memory: 1, isBind: true}}
+	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBind: true})
 	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
 		t.Error("a bind of the last two seconds does not count")
 	}
