--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
-	"math"
 	"reflect"
 	"strconv"
 	"strings"
 	"time"
 
+	"heathshed/internal/control/clock"
+
 	"github.com/tailscale/hujson"
 )
 
@@ -29,17 +30,8 @@
 // Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return float64(d) }
 
-// Duration returns the duration rounded to nanoseconds, or the nearest value of time.Duration if it is out of range.
-func (d Duration) Duration() time.Duration {
-	switch nanoseconds := float64(d) * float64(time.Second); {
-	case nanoseconds >= math.MaxInt64:
-		return math.MaxInt64
-	case nanoseconds <= math.MinInt64:
-		return math.MinInt64
-	}
-	seconds, fraction := math.Modf(float64(d))
-	return time.Duration(seconds)*time.Second + time.Duration(math.Round(fraction*float64(time.Second)))
-}
+// Duration returns the duration rounded to nanoseconds, or the longest or shortest time.Duration if it is out of range.
+func (d Duration) Duration() time.Duration { return clock.Duration(d) }
 
 // isExact reports whether the duration is a whole number of nanoseconds, so that parsing its text form gives the same duration.
 func (d Duration) isExact() bool { return DurationOf(d.Duration()) == d }
