--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -74,34 +74,34 @@
 	c.budget.refill(now)
 	if c.cfg.ShedUsesRetryBudget {
 		request.IsRetry = request.IsRetry || request.ShedBefore
-		if request.IsRetry && !c.budget.allows() {
+		if request.IsRetry && !c.budget.hasToken() {
 			c.ShedRetry++
-			return Shed, c.shed(request.ID, ReasonRetryBudget)
+			return Shed, c.newShedRequest(request.ID, ReasonRetryBudget)
 		}
 		if !request.IsRetry {
-			c.budget.add(c.cfg.RetryRatio)
+			c.budget.addTokens(c.cfg.RetryRatio)
 		}
 	}
-	tenant := c.queue.tenant(request.Tenant)
-	if c.admissible(now, &request) {
-		c.queue.charge(tenant, request.Cost)
+	tenant := c.queue.tenantByNumber(request.Tenant)
+	if c.canAdmitNow(now, &request) {
+		c.queue.chargeTenant(tenant, request.Cost)
 		c.admit(now, &request, request.IsRetry)
 		return Admit, ShedRequest{}
 	}
 	if c.queue.len() >= c.cfg.MaxQueued {
 		c.ShedFull++
-		return Shed, c.shed(request.ID, ReasonQueueFull)
+		return Shed, c.newShedRequest(request.ID, ReasonQueueFull)
 	}
 	c.enqueue(now, request, tenant)
 	return Queue, ShedRequest{}
 }
 
 // admissible reports whether an arriving request may be admitted at once.
-func (c *Controller) admissible(now placer.Seconds, request *Request) bool {
+func (c *Controller) canAdmitNow(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
 	}
-	return !request.IsRetry || c.budget.allows()
+	return !request.IsRetry || c.budget.hasToken()
 }
 
 func (c *Controller) enqueue(now placer.Seconds, request Request, tenant *tenantQueue) {
@@ -110,7 +110,7 @@
 		deadline = request.FinalDeadline
 	}
 	if tenant.totalQueued() == 0 {
-		c.queue.catchUp(tenant)
+		c.queue.advanceVirtualTime(tenant)
 	}
 	c.queue.enqueue(&queuedRequest{Request: request, arrivedAt: now, expiresAt: request.latestStart(deadline), tenant: tenant})
 	c.Queued++
@@ -118,7 +118,7 @@
 
 func (c *Controller) admit(now placer.Seconds, request *Request, usesRetryBudget bool) {
 	if usesRetryBudget {
-		c.budget.take()
+		c.budget.takeToken()
 	}
 	c.limiter.add(request.ID, &inFlightRequest{
 		admittedAt:       now,
@@ -137,7 +137,7 @@
 		return
 	}
 	if placed && !c.cfg.ShedUsesRetryBudget {
-		c.budget.placed(request.usedRetryBudget)
+		c.budget.recordPlaced(request.usedRetryBudget)
 	}
 	c.limiter.complete(now, id, request, placed)
 }
@@ -156,15 +156,15 @@
 // final deadline.
 func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
-	shed = c.expire(now)
+	shed = c.processExpired(now)
 	for c.queue.len() > 0 && c.limiter.hasCapacity(now) {
-		tenant := c.queue.nextTenant(c.budget.allows())
+		tenant := c.queue.nextTenant(c.budget.hasToken())
 		if tenant == nil {
 			break // only retries are queued, and the budget is used up
 		}
 		entry := tenant.next(now)
 		c.queue.remove(entry)
-		c.queue.charge(tenant, entry.Cost)
+		c.queue.chargeTenant(tenant, entry.Cost)
 		c.admit(now, &entry.Request, entry.IsRetry)
 		admitted = append(admitted, entry.ID)
 	}
@@ -172,22 +172,22 @@
 }
 
 // expire demotes or sheds the queued requests that have expired.
-func (c *Controller) expire(now placer.Seconds) []ShedRequest {
+func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
-	for entry := c.queue.expiry.first(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.first() {
-		if c.demote(now, entry) {
+	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
+		if c.demoteExpired(now, entry) {
 			continue
 		}
-		reason := c.countExpired(entry)
+		reason := c.recordExpired(entry)
 		c.queue.remove(entry)
-		shed = append(shed, c.shed(entry.ID, reason))
+		shed = append(shed, c.newShedRequest(entry.ID, reason))
 	}
 	return shed
 }
 
 // demote queues a request that can no longer start in time, but whose client still waits, behind those that can. It returns false if the
 // client no longer waits.
-func (c *Controller) demote(now placer.Seconds, entry *queuedRequest) bool {
+func (c *Controller) demoteExpired(now placer.Seconds, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
 	clientWaits := latest > now
 	if !clientWaits || c.cfg.ShedUsesRetryBudget {
@@ -202,8 +202,8 @@
 }
 
 // countExpired counts a request that is about to be shed and returns the reason.
-func (c *Controller) countExpired(entry *queuedRequest) string {
-	if entry.IsRetry && !c.budget.allows() {
+func (c *Controller) recordExpired(entry *queuedRequest) string {
+	if entry.IsRetry && !c.budget.hasToken() {
 		c.ShedRetry++
 		return ReasonRetryBudget
 	}
@@ -215,9 +215,9 @@
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
-		next = min(c.limiter.nextUncountedAt(), c.budget.nextTokenAt())
+		next = min(c.limiter.nextSlotExpiry(), c.budget.nextTokenAt())
 	}
-	if entry := c.queue.expiry.first(); entry != nil {
+	if entry := c.queue.expiry.earliest(); entry != nil {
 		next = min(next, entry.expiresAt)
 	}
 	return next
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -10,10 +10,10 @@
 	// minLatencyObjective is the shortest latency objective that is used.
 	minLatencyObjective placer.Seconds = 0.001
 	// lateSmoothing is the weight of one completed request in limiter.lateFraction.
-	lateSmoothing = 0.05
+	lateFractionWeight = 0.05
 	// promptDivisor divides a request's latency objective into the latency up to which slow start continues: one sixteenth. A request that
 	// takes longer already waits in a queue somewhere, and a limit that doubles would only make that queue longer.
-	promptDivisor = 16.0
+	fastCompletionDivisor = 16.0
 	// slowStartIntervals is the number of decrease intervals without a late request after which slow start begins again.
 	slowStartIntervals = 4.0
 	// minSlowStartInterval is the shortest decrease interval that slowStartIntervals multiplies.
@@ -29,7 +29,7 @@
 	latencyObjective placer.Seconds
 	// counted is whether it counts against the limit. Past its latency objective it does not: it waits for a node that can run the task and
 	// does not occupy one.
-	counted         bool
+	occupiesSlot    bool
 	usedRetryBudget bool
 }
 
@@ -46,9 +46,9 @@
 	lastLateAt     placer.Seconds // when a request last completed late
 	slowStart      bool           // the limit grows by one for each prompt request
 
-	inFlight map[uint64]*inFlightRequest
-	byAge    []*inFlightRequest // oldest first; completed ones are skipped at the front
-	counted  int                // requests that count against the limit
+	inFlight      map[uint64]*inFlightRequest
+	byAdmission   []*inFlightRequest // oldest first; completed ones are skipped at the front
+	occupiedSlots int                // requests that count against the limit
 }
 
 func newLimiter(cfg *Config) limiter {
@@ -62,50 +62,50 @@
 
 // hasCapacity reports whether one more request may be in flight. It stops counting those that are past their latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
-	for len(l.byAge) > 0 {
-		oldest := l.byAge[0]
-		if oldest.counted && now-oldest.admittedAt < oldest.objective() {
+	for len(l.byAdmission) > 0 {
+		oldest := l.byAdmission[0]
+		if oldest.occupiesSlot && now-oldest.admittedAt < oldest.objective() {
 			break
 		}
-		l.stopCounting(oldest)
-		l.byAge[0] = nil
-		l.byAge = l.byAge[1:]
+		l.releaseSlot(oldest)
+		l.byAdmission[0] = nil
+		l.byAdmission = l.byAdmission[1:]
 	}
-	return float64(l.counted) < math.Floor(l.limit)
+	return float64(l.occupiedSlots) < math.Floor(l.limit)
 }
 
 // nextUncountedAt returns when the oldest request in flight reaches its latency objective: infinity if there is none.
-func (l *limiter) nextUncountedAt() placer.Seconds {
-	if len(l.byAge) == 0 {
+func (l *limiter) nextSlotExpiry() placer.Seconds {
+	if len(l.byAdmission) == 0 {
 		return never
 	}
-	return l.byAge[0].admittedAt + l.byAge[0].objective()
+	return l.byAdmission[0].admittedAt + l.byAdmission[0].objective()
 }
 
 // add counts an admitted request.
 func (l *limiter) add(id uint64, request *inFlightRequest) {
-	request.counted = true
+	request.occupiesSlot = true
 	l.inFlight[id] = request
-	l.byAge = append(l.byAge, request)
-	l.counted++
+	l.byAdmission = append(l.byAdmission, request)
+	l.occupiedSlots++
 }
 
 // remove removes a request from those in flight.
 func (l *limiter) remove(id uint64, request *inFlightRequest) {
 	delete(l.inFlight, id)
-	l.stopCounting(request)
+	l.releaseSlot(request)
 }
 
-func (l *limiter) stopCounting(request *inFlightRequest) {
-	if request.counted {
-		request.counted = false
-		l.counted--
+func (l *limiter) releaseSlot(request *inFlightRequest) {
+	if request.occupiesSlot {
+		request.occupiesSlot = false
+		l.occupiedSlots--
 	}
 }
 
 // complete removes a request from those in flight and adapts the limit to its outcome.
 func (l *limiter) complete(now placer.Seconds, id uint64, request *inFlightRequest, placed bool) {
-	countedBefore := float64(l.counted)
+	occupiedBefore := float64(l.occupiedSlots)
 	l.remove(id, request)
 	latency := now - request.admittedAt
 	late := !placed || latency > request.objective()/2
@@ -113,11 +113,11 @@
 	switch {
 	case late && l.mayDecrease(now):
 		// The limit decreases from the number in flight when requests became late, not from a limit that was never reached.
-		l.limit = max(min(l.limit, countedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
+		l.limit = max(min(l.limit, occupiedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
 		l.lastDecreaseAt = now
 		l.slowStart = false
-	case !late && countedBefore >= math.Floor(l.limit)/2:
-		l.increase(now, latency <= request.objective()/promptDivisor)
+	case !late && occupiedBefore >= math.Floor(l.limit)/2:
+		l.increase(now, latency <= request.objective()/fastCompletionDivisor)
 	}
 }
 
@@ -128,7 +128,7 @@
 		observed = 1
 		l.lastLateAt = now
 	}
-	l.lateFraction += (observed - l.lateFraction) * lateSmoothing
+	l.lateFraction += (observed - l.lateFraction) * lateFractionWeight
 }
 
 // mayDecrease reports whether too many requests are late and the last decrease is long enough ago.
@@ -139,13 +139,13 @@
 // increase raises the limit: by one in each round of completed requests or, in slow start, by one for each prompt request, which doubles it
 // in each round. Slow start applies from the beginning and again once nothing has been late for a while, so that a limit that fell during
 // a fault does not stay low for long after it.
-func (l *limiter) increase(now placer.Seconds, prompt bool) {
-	soundFor := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
-	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= soundFor {
+func (l *limiter) increase(now placer.Seconds, fast bool) {
+	recoveryPeriod := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
+	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= recoveryPeriod {
 		l.slowStart = true
 	}
 	step := 1 / max(l.limit, 1)
-	if l.slowStart && prompt {
+	if l.slowStart && fast {
 		step = 1
 	}
 	l.limit = min(l.limit+step, l.cfg.MaxInFlight)
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -76,7 +76,7 @@
 func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
 
 // fifoFraction is the fraction of its latency objective that the oldest request may have waited before the newest is admitted first.
-const fifoFraction = 0.4
+const fifoWaitFraction = 0.4
 
 // selectEntry returns the oldest request while it has waited for less than fifoFraction of its latency objective, and the newest after
 // that: under overload, admission in order of arrival would make every start late.
@@ -86,7 +86,7 @@
 		return nil
 	}
 	oldest := q.entries[0]
-	if now-oldest.arrivedAt < oldest.LatencyObjective*fifoFraction {
+	if now-oldest.arrivedAt < oldest.LatencyObjective*fifoWaitFraction {
 		return oldest
 	}
 	return q.entries[len(q.entries)-1]
@@ -125,7 +125,7 @@
 }
 
 // first returns the request that expires first, or nil.
-func (h *expiryHeap) first() *queuedRequest {
+func (h *expiryHeap) earliest() *queuedRequest {
 	for len(*h) > 0 && (*h)[0].removed {
 		heap.Pop(h)
 	}
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -26,7 +26,7 @@
 var stateAfter = [...]requestState{Admit: stateInFlight, Queue: stateQueued, Shed: stateShed}
 
 // play is a controller with a model of it: the requests that were submitted, and their states.
-type play struct {
+type controllerModel struct {
 	*rapid.T
 	config     Config
 	controller *Controller
@@ -40,7 +40,7 @@
 	placedRetries int // retries that were placed
 }
 
-func newPlay(t *rapid.T) *play {
+func newControllerModel(t *rapid.T) *controllerModel {
 	config := DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1}
 	config.InitialInFlight = float64(rapid.IntRange(1, 30).Draw(t, "initial in flight"))
@@ -52,115 +52,115 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &play{T: t, config: config, controller: controller, requests: map[uint64]Request{}, states: map[uint64]requestState{}}
+	return &controllerModel{T: t, config: config, controller: controller, requests: map[uint64]Request{}, states: map[uint64]requestState{}}
 }
 
 // drawSeconds draws a time.
-func (played *play) drawSeconds(least, most float64, label string) placer.Seconds {
-	return placer.Seconds(rapid.Float64Range(least, most).Draw(played.T, label))
+func (model *controllerModel) drawSeconds(minSeconds, maxSeconds float64, label string) placer.Seconds {
+	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(model.T, label))
 }
 
 // move takes a new request or a queued one to its next state.
-func (played *play) move(id uint64, next requestState) {
-	if from := played.states[id]; from != 0 && from != stateQueued {
-		played.Fatalf("request %d goes from %s to %s", id, from, next)
+func (model *controllerModel) setState(id uint64, nextState requestState) {
+	if previous := model.states[id]; previous != 0 && previous != stateQueued {
+		model.Fatalf("request %d goes from %s to %s", id, previous, nextState)
 	}
-	played.states[id] = next
-	if next != stateInFlight {
+	model.states[id] = nextState
+	if nextState != stateInFlight {
 		return
 	}
-	played.inFlight = append(played.inFlight, id)
-	if played.requests[id].IsRetry {
-		played.retries++
+	model.inFlight = append(model.inFlight, id)
+	if model.requests[id].IsRetry {
+		model.retries++
 	}
 }
 
 // submit draws a request.
-func (played *play) submit() {
+func (model *controllerModel) submit() {
 	request := Request{
-		ID:               uint64(len(played.requests) + 1),
-		Tenant:           rapid.IntRange(0, 2).Draw(played.T, "tenant"),
-		Priority:         rapid.IntRange(0, 2).Draw(played.T, "priority"),
+		ID:               uint64(len(model.requests) + 1),
+		Tenant:           rapid.IntRange(0, 2).Draw(model.T, "tenant"),
+		Priority:         rapid.IntRange(0, 2).Draw(model.T, "priority"),
 		Cost:             1,
-		Deadline:         played.now + played.drawSeconds(0.1, 5, "deadline"),
+		Deadline:         model.now + model.drawSeconds(0.1, 5, "deadline"),
 		LatencyObjective: 0.5,
-		IsRetry:          rapid.IntRange(0, 3).Draw(played.T, "retry") == 0,
-		ShedBefore:       rapid.IntRange(0, 2).Draw(played.T, "shed before") == 0,
+		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "retry") == 0,
+		ShedBefore:       rapid.IntRange(0, 2).Draw(model.T, "shed before") == 0,
 	}
-	request.FinalDeadline = request.Deadline + played.drawSeconds(0, 2, "final deadline")
-	played.requests[request.ID] = request
-	decision, _ := played.controller.Submit(played.now, request)
-	played.move(request.ID, stateAfter[decision])
+	request.FinalDeadline = request.Deadline + model.drawSeconds(0, 2, "final deadline")
+	model.requests[request.ID] = request
+	decision, _ := model.controller.Submit(model.now, request)
+	model.setState(request.ID, stateAfter[decision])
 }
 
 // complete draws a request in flight and its outcome.
-func (played *play) complete() {
-	index := rapid.IntRange(0, len(played.inFlight)-1).Draw(played.T, "completed")
-	placed := rapid.Bool().Draw(played.T, "placed")
-	id := played.inFlight[index]
-	played.inFlight = append(played.inFlight[:index], played.inFlight[index+1:]...)
-	played.states[id] = stateCompleted
-	played.controller.Complete(played.now, id, placed)
+func (model *controllerModel) complete() {
+	index := rapid.IntRange(0, len(model.inFlight)-1).Draw(model.T, "completed")
+	placed := rapid.Bool().Draw(model.T, "placed")
+	id := model.inFlight[index]
+	model.inFlight = append(model.inFlight[:index], model.inFlight[index+1:]...)
+	model.states[id] = stateCompleted
+	model.controller.Complete(model.now, id, placed)
 	if !placed {
 		return
 	}
-	played.placed++
-	if played.requests[id].IsRetry {
-		played.placedRetries++
+	model.placed++
+	if model.requests[id].IsRetry {
+		model.placedRetries++
 	}
 }
 
-func (played *play) poll() {
-	admitted, shed := played.controller.Poll(played.now)
+func (model *controllerModel) poll() {
+	admitted, shed := model.controller.Poll(model.now)
 	for _, id := range admitted {
-		if played.now > played.requests[id].FinalDeadline {
-			played.Fatal("admitted after its client gave up")
+		if model.now > model.requests[id].FinalDeadline {
+			model.Fatal("admitted after its client gave up")
 		}
-		played.move(id, stateInFlight)
+		model.setState(id, stateInFlight)
 	}
 	for _, request := range shed {
-		played.move(request.ID, stateShed)
+		model.setState(request.ID, stateShed)
 	}
 }
 
 // check compares the controller with the model.
-func (played *play) check() {
-	played.checkRetryBudget()
-	played.checkLimit()
-	played.checkQueue()
+func (model *controllerModel) check() {
+	model.checkRetryBudget()
+	model.checkLimit()
+	model.checkQueue()
 }
 
-func (played *play) checkRetryBudget() {
-	failed := played.retries - played.placedRetries
-	granted := played.config.RetryBurst + played.config.RetryRatio*float64(played.placed) + played.config.RetryRate*float64(played.now)
-	if float64(failed) > granted+1e-6 || played.controller.RetryBudget() < -1e-9 {
-		played.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", failed, played.placed, played.now)
+func (model *controllerModel) checkRetryBudget() {
+	failed := model.retries - model.placedRetries
+	granted := model.config.RetryBurst + model.config.RetryRatio*float64(model.placed) + model.config.RetryRate*float64(model.now)
+	if float64(failed) > granted+1e-6 || model.controller.RetryBudget() < -1e-9 {
+		model.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", failed, model.placed, model.now)
 	}
 }
 
-func (played *play) checkLimit() {
-	counted := played.controller.limiter.counted
-	if played.controller.InFlight() != len(played.inFlight) || counted > len(played.inFlight) || counted < 0 {
-		played.Fatalf("%d in flight, controller says %d and counts %d", len(played.inFlight), played.controller.InFlight(), counted)
+func (model *controllerModel) checkLimit() {
+	counted := model.controller.limiter.occupiedSlots
+	if model.controller.InFlight() != len(model.inFlight) || counted > len(model.inFlight) || counted < 0 {
+		model.Fatalf("%d in flight, controller says %d and counts %d", len(model.inFlight), model.controller.InFlight(), counted)
 	}
-	if limit := played.controller.Limit(); limit < played.config.MinInFlight || limit > played.config.MaxInFlight {
-		played.Fatalf("limit %v", limit)
+	if limit := model.controller.Limit(); limit < model.config.MinInFlight || limit > model.config.MaxInFlight {
+		model.Fatalf("limit %v", limit)
 	}
 }
 
-func (played *play) checkQueue() {
+func (model *controllerModel) checkQueue() {
 	queued := 0
-	for id, state := range played.states {
+	for id, state := range model.states {
 		if state != stateQueued {
 			continue
 		}
 		queued++
-		if !played.requests[id].IsRetry && played.controller.limiter.hasCapacity(played.now) {
-			played.Fatalf("first attempt %d is queued though there is capacity", id)
+		if !model.requests[id].IsRetry && model.controller.limiter.hasCapacity(model.now) {
+			model.Fatalf("first attempt %d is queued though there is capacity", id)
 		}
 	}
-	if queued != played.controller.QueueLength() || queued > played.config.MaxQueued {
-		played.Fatalf("%d queued, controller says %d", queued, played.controller.QueueLength())
+	if queued != model.controller.QueueLength() || queued > model.config.MaxQueued {
+		model.Fatalf("%d queued, controller says %d", queued, model.controller.QueueLength())
 	}
 }
 
@@ -168,19 +168,19 @@
 // limit, retries that are not placed stay within their budget, no retry holds up a first attempt, and what is queued is shed by its deadline.
 func TestRequestsAreNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		played := newPlay(t)
+		model := newControllerModel(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			played.now += played.drawSeconds(0, 0.3, "elapsed")
-			if rapid.Bool().Draw(t, "submit") || len(played.inFlight) == 0 {
-				played.submit()
+			model.now += model.drawSeconds(0, 0.3, "elapsed")
+			if rapid.Bool().Draw(t, "submit") || len(model.inFlight) == 0 {
+				model.submit()
 			} else {
-				played.complete()
+				model.complete()
 			}
-			played.poll()
-			played.check()
+			model.poll()
+			model.check()
 		}
 		// In the end all that is queued is shed.
-		if _, shed := played.controller.Poll(played.now + 100); len(shed) != played.controller.QueueLength()+len(shed) {
+		if _, shed := model.controller.Poll(model.now + 100); len(shed) != model.controller.QueueLength()+len(shed) {
 			t.Fatal("some requests stay queued for ever")
 		}
 	})
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -23,24 +23,24 @@
 }
 
 // allows reports whether a retry may be admitted.
-func (b *retryBudget) allows() bool { return b.tokens >= 1 }
+func (b *retryBudget) hasToken() bool { return b.tokens >= 1 }
 
-func (b *retryBudget) take() { b.tokens-- }
+func (b *retryBudget) takeToken() { b.tokens-- }
 
-func (b *retryBudget) add(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
+func (b *retryBudget) addTokens(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
 
 // placed accounts for a placed request. A retry gets its token back as well: only a failed retry costs one.
-func (b *retryBudget) placed(usedToken bool) {
+func (b *retryBudget) recordPlaced(usedToken bool) {
 	refund := b.ratio
 	if usedToken {
 		refund++
 	}
-	b.add(refund)
+	b.addTokens(refund)
 }
 
 // nextTokenAt returns when refilling alone makes a whole token available: infinity if one is available already or the rate is zero.
 func (b *retryBudget) nextTokenAt() placer.Seconds {
-	if b.allows() || b.rate <= 0 {
+	if b.hasToken() || b.rate <= 0 {
 		return never
 	}
 	return b.refilledAt + placer.Seconds((1-b.tokens)/b.rate)
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -49,7 +49,7 @@
 func (q *fairQueue) len() int { return len(q.byID) }
 
 // tenant returns a tenant by number; an unknown one is tenant 0.
-func (q *fairQueue) tenant(number int) *tenantQueue {
+func (q *fairQueue) tenantByNumber(number int) *tenantQueue {
 	if number < 0 || number >= len(q.tenants) {
 		number = 0
 	}
@@ -96,13 +96,13 @@
 }
 
 // catchUp advances a tenant to the current virtual time: an idle tenant does not save up its unused share.
-func (q *fairQueue) catchUp(tenant *tenantQueue) {
+func (q *fairQueue) advanceVirtualTime(tenant *tenantQueue) {
 	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
 }
 
 // charge accounts for an admitted request.
-func (q *fairQueue) charge(tenant *tenantQueue, cost float64) {
-	q.catchUp(tenant)
+func (q *fairQueue) chargeTenant(tenant *tenantQueue, cost float64) {
+	q.advanceVirtualTime(tenant)
 	q.virtualTime = tenant.virtualTime
 	tenant.virtualTime += max(cost, minCost) / tenant.share
 }
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -28,7 +28,7 @@
 const retryAfterSteps = 16
 
 // shed returns the ShedRequest for a request. Its RetryAfter is about the time that the queue takes to empty.
-func (c *Controller) shed(id uint64, reason string) ShedRequest {
+func (c *Controller) newShedRequest(id uint64, reason string) ShedRequest {
 	wait := 1 + placer.Seconds(float64(c.queue.len())/max(c.rate.perSecond, 1))
 	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
 	spread := float64(step) / retryAfterSteps
--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -71,12 +71,12 @@
 // nanoseconds converts whole and fractional seconds separately: multiplying s by 1e9 would be off by up to 128 at the present Unix time. NaN
 // is treated as positive infinity.
 func nanoseconds(s float64, round func(float64) float64) int64 {
-	const secondsLimit = math.MaxInt64 / int64(time.Second)
+	const maxSeconds = math.MaxInt64 / int64(time.Second)
 	whole, fraction := math.Modf(s)
 	switch {
-	case math.IsNaN(s) || whole >= float64(secondsLimit):
+	case math.IsNaN(s) || whole >= float64(maxSeconds):
 		return math.MaxInt64
-	case whole <= -float64(secondsLimit):
+	case whole <= -float64(maxSeconds):
 		return math.MinInt64
 	}
 	return int64(whole)*int64(time.Second) + int64(round(fraction*float64(time.Second)))
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -52,9 +52,9 @@
 		for _, idle := range lists {
 			for open := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
-					few := policy.Choose(idle, open+len(idle)-1, nonIdempotent)
-					many := policy.Choose(idle, 30+open, nonIdempotent)
-					fmt.Fprintln(&decisions, uint8(few.Action), few.Index, few.Stale, uint8(many.Action), many.Index, many.Stale)
+					fewOpen := policy.Choose(idle, open+len(idle)-1, nonIdempotent)
+					manyOpen := policy.Choose(idle, 30+open, nonIdempotent)
+					fmt.Fprintln(&decisions, uint8(fewOpen.Action), fewOpen.Index, fewOpen.Stale, uint8(manyOpen.Action), manyOpen.Index, manyOpen.Stale)
 				}
 			}
 		}
@@ -65,14 +65,14 @@
 func keepAliveActions(policy connpool.SharedPolicy) string {
 	var actions strings.Builder
 	now := clock.FromUnixSeconds(10)
-	var moments []clock.Instant
+	var instants []clock.Instant
 	for _, seconds := range []placer.Seconds{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
-		moments = append(moments, clock.FromUnixSeconds(seconds))
+		instants = append(instants, clock.FromUnixSeconds(seconds))
 	}
-	for _, sent := range moments {
-		for _, received := range moments {
-			for _, checked := range moments {
-				for _, incomplete := range moments {
+	for _, sent := range instants {
+		for _, received := range instants {
+			for _, checked := range instants {
+				for _, incomplete := range instants {
 					for bits := range 8 {
 						state := connpool.ConnState{
 							PendingRequests: bits & 1,
@@ -94,9 +94,9 @@
 
 func usableStates() string {
 	var usable strings.Builder
-	moments := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
-	for _, checked := range moments {
-		for _, incomplete := range moments {
+	instants := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
+	for _, checked := range instants {
+		for _, incomplete := range instants {
 			for requests := range 3 {
 				fmt.Fprintln(&usable, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
 			}
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -46,29 +46,29 @@
 // and those being dialed included. The most recently used connection is preferred, so that surplus ones become stale.
 func (p Policy) Choose(idle []time.Duration, open int, nonIdempotent bool) Decision {
 	var decision Decision
-	freshest, oldest := -1, -1
-	for i, age := range idle {
-		if age > p.MaxIdle {
+	shortestIdle, longestIdle := -1, -1
+	for i, idleTime := range idle {
+		if idleTime > p.MaxIdle {
 			decision.Stale = append(decision.Stale, i)
 			open--
 			continue
 		}
-		if freshest < 0 || age < idle[freshest] {
-			freshest = i
+		if shortestIdle < 0 || idleTime < idle[shortestIdle] {
+			shortestIdle = i
 		}
-		if oldest < 0 || age > idle[oldest] {
-			oldest = i
+		if longestIdle < 0 || idleTime > idle[longestIdle] {
+			longestIdle = i
 		}
 	}
 	switch {
-	case freshest >= 0 && (!nonIdempotent || idle[freshest] <= p.MaxIdleNonIdempotent):
+	case shortestIdle >= 0 && (!nonIdempotent || idle[shortestIdle] <= p.MaxIdleNonIdempotent):
 		decision.Action = Use
-		decision.Index = freshest
+		decision.Index = shortestIdle
 	case open < max(p.MaxConns, 1):
 		decision.Action = Dial
-	case oldest >= 0:
+	case longestIdle >= 0:
 		decision.Action = Replace
-		decision.Index = oldest
+		decision.Index = longestIdle
 	default:
 		decision.Action = Wait
 	}
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -40,7 +40,7 @@
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
 
 // closable reports whether closing the connection loses nothing.
-func (s ConnState) closable() bool {
+func (s ConnState) closableWithoutLoss() bool {
 	return s.PendingRequests == 0 && (!s.RunsTasks || s.HasAlternative)
 }
 
@@ -69,7 +69,7 @@
 	if s.expectsMessage() && now.Sub(max(s.LastReceived, s.LastSent)) > p.HealthCheckAfter {
 		return SendHealthCheck
 	}
-	if p.MaxIdle > 0 && now.Sub(s.LastSent) > p.MaxIdle && s.closable() {
+	if p.MaxIdle > 0 && now.Sub(s.LastSent) > p.MaxIdle && s.closableWithoutLoss() {
 		return CloseIdle
 	}
 	return NoAction
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -22,16 +22,16 @@
 	record := goldentest.NewRecorder()
 	record.Line("object %d %d %d %d %d %d", object.Bytes, object.Depth, object.Values, object.NumberLength, object.Exponent, object.Digits)
 	for i, limits := range limitSets {
-		for j, text := range corpus() {
+		for j, text := range jsonTexts() {
 			record.Line("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits)))
 		}
 		for j, text := range quantities {
 			record.Line("limits %d quantity %d %s", i, j, describeQuantity(text, limits))
 		}
-		for j, message := range messages() {
+		for j, message := range protoMessages() {
 			record.Line("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits)))
 		}
-		record.Line("limits %d mutations %s", i, goldentest.Digest(mutations(limits, uint64(i))))
+		record.Line("limits %d mutations %s", i, goldentest.Digest(checkMutations(limits, uint64(i))))
 	}
 	record.Check(t, "characterization")
 }
@@ -46,16 +46,16 @@
 }
 
 func describe(err error) string {
-	var over *decodelimit.Error
-	if !errors.As(err, &over) {
+	var limitErr *decodelimit.Error
+	if !errors.As(err, &limitErr) {
 		return fmt.Sprint(err == nil)
 	}
-	return fmt.Sprintf("%s %t", over.Error(), over.TooLarge())
+	return fmt.Sprintf("%s %t", limitErr.Error(), limitErr.TooLarge())
 }
 
 func describeQuantity(text string, limits decodelimit.Limits) string {
-	if over := decodelimit.CheckQuantity([]byte(text), limits); over != nil {
-		return describe(over)
+	if limitErr := decodelimit.CheckQuantity([]byte(text), limits); limitErr != nil {
+		return describe(limitErr)
 	}
 	return "true"
 }
@@ -69,7 +69,7 @@
 	`1\n` + strings.Repeat("2", 300), "1" + strings.Repeat(`\u0030`, 70),
 }
 
-func corpus() []string {
+func jsonTexts() []string {
 	var texts []string
 	for _, quantity := range quantities {
 		inQuotes := `"` + quantity + `"`
@@ -98,7 +98,7 @@
 }
 
 // messages are binary messages: flat, nested, cut short, with quantities and with numbers of each encoding.
-func messages() [][]byte {
+func protoMessages() [][]byte {
 	var encoded [][]byte
 	for _, quantity := range quantities {
 		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), quantity)
@@ -116,10 +116,10 @@
 	return append(encoded, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
-func mutations(limits decodelimit.Limits, seed uint64) string {
+func checkMutations(limits decodelimit.Limits, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var results strings.Builder
-	for _, text := range corpus() {
+	for _, text := range jsonTexts() {
 		if len(text) == 0 || len(text) > 300 {
 			continue
 		}
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -43,8 +43,8 @@
 	depth         int
 	values        int
 	freeTextDepth int    // depth of the outermost object or array of free text, 0 if none
-	name          []byte // of the next value, nil in an array
-	wantName      bool   // the next string is a name
+	memberName    []byte // of the next value, nil in an array
+	expectsName   bool   // the next string is a name
 	inObject      [maxNesting + 1]bool
 }
 
@@ -60,7 +60,7 @@
 			s.close()
 			i++
 		case ',':
-			s.separate()
+			s.nextMember()
 			i++
 		case '"':
 			i, err = s.scanString(i)
@@ -79,21 +79,21 @@
 }
 
 // open enters an object or an array.
-func (s *jsonScanner) open(at int) *Error {
-	if err := s.limits.countValue(&s.values, at); err != nil {
+func (s *jsonScanner) open(offset int) *Error {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return err
 	}
 	s.depth++
 	if s.depth > s.maxDepth {
-		return &Error{ObjectsTooDeep, s.maxDepth, at}
+		return &Error{ObjectsTooDeep, s.maxDepth, offset}
 	}
-	if s.freeTextDepth == 0 && freeTextFields[string(s.name)] {
+	if s.freeTextDepth == 0 && freeTextFields[string(s.memberName)] {
 		s.freeTextDepth = s.depth
 	}
-	isObject := s.text[at] == '{'
+	isObject := s.text[offset] == '{'
 	s.inObject[s.depth] = isObject
-	s.wantName = isObject
-	s.name = nil
+	s.expectsName = isObject
+	s.memberName = nil
 	return nil
 }
 
@@ -105,57 +105,57 @@
 		}
 		s.depth--
 	}
-	s.name = nil
-	s.wantName = false
+	s.memberName = nil
+	s.expectsName = false
 }
 
 // separate moves on to the next member or element. The elements of a named array keep its name.
-func (s *jsonScanner) separate() {
-	s.wantName = s.inObject[s.depth]
-	if s.wantName {
-		s.name = nil
+func (s *jsonScanner) nextMember() {
+	s.expectsName = s.inObject[s.depth]
+	if s.expectsName {
+		s.memberName = nil
 	}
 }
 
 // scanString scans the string, a name or a value, that begins at a quote, and returns the offset after it.
-func (s *jsonScanner) scanString(at int) (next int, err *Error) {
+func (s *jsonScanner) scanString(offset int) (next int, err *Error) {
 	text := s.text
-	end := at + 1
+	end := offset + 1
 	for end < len(text) && text[end] != '"' {
 		if text[end] == '\\' {
 			end++
 		}
 		end++
 	}
-	content := text[at+1 : min(end, len(text))]
-	if s.wantName {
-		s.name = content
-		s.wantName = false
+	content := text[offset+1 : min(end, len(text))]
+	if s.expectsName {
+		s.memberName = content
+		s.expectsName = false
 		return end + 1, nil
 	}
-	if err := s.limits.countValue(&s.values, at); err != nil {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	if s.freeTextDepth == 0 && !freeTextFields[string(s.name)] {
-		err = checkQuantityAt(content, &s.limits, at)
+	if s.freeTextDepth == 0 && !freeTextFields[string(s.memberName)] {
+		err = checkQuantityAt(content, &s.limits, offset)
 	}
 	return end + 1, err
 }
 
 // scanNumber scans the number that begins at an offset and returns the offset after it.
-func (s *jsonScanner) scanNumber(at int) (next int, err *Error) {
+func (s *jsonScanner) scanNumber(offset int) (next int, err *Error) {
 	text := s.text
-	end := at + 1
+	end := offset + 1
 	for end < len(text) && isNumberByte(text[end]) {
 		end++
 	}
-	if err := s.limits.countValue(&s.values, at); err != nil {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	if s.limits.NumberLength > 0 && end-at > s.limits.NumberLength {
-		return 0, &Error{NumberTooLong, s.limits.NumberLength, at}
+	if s.limits.NumberLength > 0 && end-offset > s.limits.NumberLength {
+		return 0, &Error{NumberTooLong, s.limits.NumberLength, offset}
 	}
-	return end, checkQuantityAt(text[at:end], &s.limits, at)
+	return end, checkQuantityAt(text[offset:end], &s.limits, offset)
 }
 
 func isNumberByte(c byte) bool {
@@ -167,11 +167,11 @@
 }
 
 // scanLiteral scans true, false or null, or any other run of lower-case letters, and returns the offset after it.
-func (s *jsonScanner) scanLiteral(at int) (next int, err *Error) {
-	if err := s.limits.countValue(&s.values, at); err != nil {
+func (s *jsonScanner) scanLiteral(offset int) (next int, err *Error) {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	end := at + 1
+	end := offset + 1
 	for end < len(s.text) && s.text[end] >= 'a' && s.text[end] <= 'z' {
 		end++
 	}
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -30,7 +30,7 @@
 		return true, &Error{MessagesTooDeep, s.limits.Depth, offset}
 	}
 	for rest := message; len(rest) > 0; {
-		at := offset + len(message) - len(rest)
+		fieldOffset := offset + len(message) - len(rest)
 		_, wireType, n := protowire.ConsumeTag(rest)
 		if n < 0 {
 			return false, nil
@@ -47,7 +47,7 @@
 		}
 		rest = rest[n:]
 		if err == nil { // after an error it remains to check whether the message is well formed
-			err = s.checkField(value, depth, at)
+			err = s.checkField(value, depth, fieldOffset)
 		}
 	}
 	return true, err
@@ -64,10 +64,10 @@
 	if err := checkQuantityAt(value, &s.limits, offset); err != nil || len(value) == 1 {
 		return err
 	}
-	before := s.values
+	valuesBefore := s.values
 	wellFormed, err := s.scan(value, depth+1, offset)
 	if !wellFormed {
-		s.values = before // it is a string, not a message
+		s.values = valuesBefore // it is a string, not a message
 	}
 	return err
 }
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -7,9 +7,9 @@
 	// that begins with digits.
 	maxUnitLength = 3
 	// exponentCap keeps the parsed exponent from overflowing.
-	exponentCap = 1 << 30
+	maxParsedExponent = 1 << 30
 	// maxEscaped is the longest text whose escapes are undone to be checked. A longer one is rejected.
-	maxEscaped = 256
+	maxEscapedLength = 256
 )
 
 // CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. A text that is not a number
@@ -58,7 +58,7 @@
 	exponent := 0
 	end := signLength(rest)
 	for ; end < len(rest) && isDigit(rest[end]); end++ {
-		exponent = min(exponent*10+int(rest[end]-'0'), exponentCap)
+		exponent = min(exponent*10+int(rest[end]-'0'), maxParsedExponent)
 	}
 	if end == len(rest) {
 		if limits.Exponent > 0 && exponent > limits.Exponent {
@@ -94,7 +94,7 @@
 
 // checkEscapedQuantity checks a quantity with its JSON escapes undone. One that is too long for that is rejected.
 func checkEscapedQuantity(text []byte, limits *Limits) *Error {
-	var plain [maxEscaped]byte
+	var plain [maxEscapedLength]byte
 	n, ok := unescape(&plain, text)
 	if !ok {
 		return &Error{TooManyDigits, limits.Digits, 0}
@@ -104,7 +104,7 @@
 
 // unescape copies a text with its JSON escapes undone and returns the length, or false if it is too long. Only ASCII digits, signs and
 // letters matter: anything else becomes a character that occurs in no number, and never a backslash.
-func unescape(out *[maxEscaped]byte, text []byte) (n int, ok bool) {
+func unescape(out *[maxEscapedLength]byte, text []byte) (n int, ok bool) {
 	for i := 0; i < len(text); n++ {
 		if n == len(out) {
 			return 0, false
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -17,7 +17,7 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
-		order := playQueue(seed)
+		order := runRandomEvents(seed)
 		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	for _, after := range []placer.Seconds{placer.Seconds(math.Inf(-1)), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, placer.Seconds(math.Inf(1))} {
@@ -27,24 +27,24 @@
 }
 
 // echoPlacer answers each event with up to three actions that carry its token.
-type echoPlacer struct {
+type fakePlacer struct {
 	random *rand.Rand
 	log    *strings.Builder
 }
 
-func (echo *echoPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
-	fmt.Fprintf(echo.log, "e%d@%g/%d ", event.Token, now, len(actions))
-	for i := range echo.random.IntN(4) {
+func (fake *fakePlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+	fmt.Fprintf(fake.log, "e%d@%g/%d ", event.Token, now, len(actions))
+	for i := range fake.random.IntN(4) {
 		actions = append(actions, placer.Action{Kind: placer.SetTimer, Token: event.Token*10 + uint64(i)})
 	}
 	return actions
 }
 
 // playQueue plays random events and returns the order in which events were passed and actions executed.
-func playQueue(seed uint64) string {
+func runRandomEvents(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var order strings.Builder
-	queue := eventqueue.Queue{Placer: &echoPlacer{random, &order}}
+	queue := eventqueue.Queue{Placer: &fakePlacer{random, &order}}
 	queue.Execute = func(action *placer.Action) {
 		fmt.Fprintf(&order, "a%d ", action.Token)
 		if action.Token < 100000 && random.IntN(2) == 0 {
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -9,20 +9,20 @@
 // Budget is memory shared by users, in bytes. The zero value is not usable; see New.
 type Budget struct {
 	total, used int64
-	users       map[uint64]*user
+	users       map[uint64]*userState
 
 	// Evicted counts the users that OverQuota has returned.
 	Evicted uint64
 }
 
-type user struct {
+type userState struct {
 	used         int64
 	lastShrunkAt clock.Instant // when its use last decreased, or when it was added
 }
 
 // New returns a budget of a number of bytes without users. Less than MinAllowance counts as MinAllowance.
 func New(total int64) *Budget {
-	return &Budget{total: max(total, MinAllowance), users: map[uint64]*user{}}
+	return &Budget{total: max(total, MinAllowance), users: map[uint64]*userState{}}
 }
 
 // Used is the number of bytes that all users together use.
@@ -35,24 +35,24 @@
 func (b *Budget) Users() int { return len(b.users) }
 
 // Add adds a user that uses no memory yet. The id must not be in use.
-func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
+func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &userState{lastShrunkAt: now} }
 
 // Remove removes a user and frees what it uses. An unknown user is ignored.
 func (b *Budget) Remove(id uint64) {
-	if holder := b.users[id]; holder != nil {
-		b.used -= holder.used
+	if user := b.users[id]; user != nil {
+		b.used -= user.used
 		delete(b.users, id)
 	}
 }
 
 // Available is how many more bytes a user may allocate if it can defer the allocation: 0 for an unknown user.
 func (b *Budget) Available(id uint64) int64 {
-	holder := b.users[id]
-	if holder == nil {
+	user := b.users[id]
+	if user == nil {
 		return 0
 	}
-	available := b.total - b.used - holder.used
-	if holder.used == 0 {
+	available := b.total - b.used - user.used
+	if user.used == 0 {
 		available = max(available, min(MinAllowance, b.total))
 	}
 	return max(available, 0)
@@ -60,15 +60,15 @@
 
 // SetUsed records how many bytes a user uses now. An unknown user is ignored.
 func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
-	holder := b.users[id]
-	if holder == nil {
+	user := b.users[id]
+	if user == nil {
 		return
 	}
-	if used < holder.used {
-		holder.lastShrunkAt = now
+	if used < user.used {
+		user.lastShrunkAt = now
 	}
-	b.used += used - holder.used
-	holder.used = used
+	b.used += used - user.used
+	user.used = used
 }
 
 // OverQuota returns a user to evict because more is used than there is, and false if all fits. The caller removes the user and calls again.
@@ -76,17 +76,17 @@
 	if b.used <= b.total {
 		return 0, false
 	}
-	largest := b.largestUse()
+	largest := b.largestUsage()
 	var oldest clock.Instant
-	for candidate, holder := range b.users {
-		if holder.used <= largest/2 {
+	for candidate, user := range b.users {
+		if user.used <= largest/2 {
 			continue
 		}
 		// The choice does not depend on the order of the map: among users that shrank at the same time the lowest id is chosen.
-		shrankEarlier := holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id
+		shrankEarlier := user.lastShrunkAt < oldest || user.lastShrunkAt == oldest && candidate < id
 		if !over || shrankEarlier {
 			id = candidate
-			oldest = holder.lastShrunkAt
+			oldest = user.lastShrunkAt
 			over = true
 		}
 	}
@@ -96,10 +96,10 @@
 	return id, over
 }
 
-func (b *Budget) largestUse() int64 {
+func (b *Budget) largestUsage() int64 {
 	var largest int64
-	for _, holder := range b.users {
-		largest = max(largest, holder.used)
+	for _, user := range b.users {
+		largest = max(largest, user.used)
 	}
 	return largest
 }
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -23,16 +23,16 @@
 	}
 	for _, total := range []int64{0, 1, 4095, 4096, 4097, 100_000, 1 << 20} {
 		for seed := uint64(1); seed <= 5; seed++ {
-			record.Line("budget %d seed %d %s", total, seed, playBudget(total, seed))
+			record.Line("budget %d seed %d %s", total, seed, runRandomBudget(total, seed))
 		}
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
-		record.Line("seats %d %s", seed, evictions(seed))
+		record.Line("seats %d %s", seed, selectRandomEvictions(seed))
 	}
 	record.Check(t, "characterization")
 }
 
-func playBudget(total int64, seed uint64) string {
+func runRandomBudget(total int64, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, uint64(total)))
 	budget := memquota.New(total)
 	var text strings.Builder
@@ -60,7 +60,7 @@
 	return goldentest.Digest(text.String())
 }
 
-func evictions(seed uint64) string {
+func selectRandomEvictions(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
--- a/internal/control/memquota/memquota.go
+++ b/internal/control/memquota/memquota.go
@@ -25,7 +25,7 @@
 func Divide(memory int64) Shares {
 	memory = max(memory, MinMemory)
 	shares := Shares{Connections: memory / 16, History: memory / 8}
-	unshared := memory / 4 // for everything that has no share
-	shares.Objects = memory - shares.Connections - shares.History - unshared
+	reserve := memory / 4 // for everything that has no share
+	shares.Objects = memory - shares.Connections - shares.History - reserve
 	return shares
 }
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -17,23 +17,23 @@
 // used when all are removed.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		play := newBudgetPlay(t)
+		model := newBudgetModel(t)
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
-			play.step()
-			play.evict()
-			play.checkSums()
+			model.step()
+			model.evict()
+			model.checkSums()
 		}
-		for id := range play.used {
-			play.budget.Remove(id)
+		for id := range model.used {
+			model.budget.Remove(id)
 		}
-		if play.budget.Used() != 0 {
-			t.Fatalf("%d used without users", play.budget.Used())
+		if model.budget.Used() != 0 {
+			t.Fatalf("%d used without users", model.budget.Used())
 		}
 	})
 }
 
 // budgetPlay is a budget with users that allocate at random, and a record of what each of them uses.
-type budgetPlay struct {
+type budgetModel struct {
 	*rapid.T
 	budget *Budget
 	total  int64
@@ -42,81 +42,81 @@
 	used   map[uint64]int64
 }
 
-func newBudgetPlay(t *rapid.T) *budgetPlay {
+func newBudgetModel(t *rapid.T) *budgetModel {
 	total := rapid.Int64Range(MinAllowance, 1<<20).Draw(t, "total")
-	return &budgetPlay{T: t, budget: New(total), total: total, used: map[uint64]int64{}}
+	return &budgetModel{T: t, budget: New(total), total: total, used: map[uint64]int64{}}
 }
 
 // step adds a user, or has one that was added do something.
-func (play *budgetPlay) step() {
-	play.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(play.T, "dt"))
-	if len(play.used) == 0 || rapid.IntRange(0, 3).Draw(play.T, "join") == 0 {
-		play.lastID++
-		play.budget.Add(play.now, play.lastID)
-		play.used[play.lastID] = 0
+func (model *budgetModel) step() {
+	model.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(model.T, "dt"))
+	if len(model.used) == 0 || rapid.IntRange(0, 3).Draw(model.T, "join") == 0 {
+		model.lastID++
+		model.budget.Add(model.now, model.lastID)
+		model.used[model.lastID] = 0
 		return
 	}
-	id := uint64(rapid.IntRange(1, int(play.lastID)).Draw(play.T, "who"))
-	held, ok := play.used[id]
+	id := uint64(rapid.IntRange(1, int(model.lastID)).Draw(model.T, "who"))
+	used, ok := model.used[id]
 	if !ok {
-		if play.budget.Available(id) != 0 {
-			play.Fatal("memory available to a user that was removed")
+		if model.budget.Available(id) != 0 {
+			model.Fatal("memory available to a user that was removed")
 		}
 		return
 	}
-	switch rapid.IntRange(0, 3).Draw(play.T, "what") {
+	switch rapid.IntRange(0, 3).Draw(model.T, "what") {
 	case 0:
-		play.allocateAvailable(id, held)
+		model.allocateAvailable(id, used)
 	case 1: // it allocates more
-		play.setUsed(id, held+rapid.Int64Range(0, play.total).Draw(play.T, "bytes"))
+		model.setUsed(id, used+rapid.Int64Range(0, model.total).Draw(model.T, "bytes"))
 	case 2: // half of it is read
-		play.setUsed(id, held/2)
+		model.setUsed(id, used/2)
 	case 3:
-		play.remove(id)
+		model.remove(id)
 	}
 }
 
-func (play *budgetPlay) allocateAvailable(id uint64, held int64) {
-	available := play.budget.Available(id)
-	if held == 0 && available < min(MinAllowance, play.total) {
-		play.Fatalf("only %d bytes available to a user that holds nothing", available)
+func (model *budgetModel) allocateAvailable(id uint64, used int64) {
+	available := model.budget.Available(id)
+	if used == 0 && available < min(MinAllowance, model.total) {
+		model.Fatalf("only %d bytes available to a user that holds nothing", available)
 	}
-	before := play.budget.Used()
-	play.setUsed(id, held+available)
-	if held > 0 && before <= play.total && play.budget.Used() > play.total {
-		play.Fatalf("granted %d of %d", play.budget.Used(), play.total)
+	before := model.budget.Used()
+	model.setUsed(id, used+available)
+	if used > 0 && before <= model.total && model.budget.Used() > model.total {
+		model.Fatalf("granted %d of %d", model.budget.Used(), model.total)
 	}
 }
 
-func (play *budgetPlay) setUsed(id uint64, bytes int64) {
-	play.used[id] = bytes
-	play.budget.SetUsed(play.now, id, bytes)
+func (model *budgetModel) setUsed(id uint64, bytes int64) {
+	model.used[id] = bytes
+	model.budget.SetUsed(model.now, id, bytes)
 }
 
-func (play *budgetPlay) remove(id uint64) {
-	play.budget.Remove(id)
-	delete(play.used, id)
+func (model *budgetModel) remove(id uint64) {
+	model.budget.Remove(id)
+	delete(model.used, id)
 }
 
 // evict removes the users over quota, none of which may use less than half as much as another.
-func (play *budgetPlay) evict() {
-	for id, over := play.budget.OverQuota(); over; id, over = play.budget.OverQuota() {
-		for other, held := range play.used {
-			if held > 2*play.used[id]+1 {
-				play.Fatalf("user %d is evicted with %d bytes while user %d holds %d", id, play.used[id], other, held)
+func (model *budgetModel) evict() {
+	for id, over := model.budget.OverQuota(); over; id, over = model.budget.OverQuota() {
+		for other, used := range model.used {
+			if used > 2*model.used[id]+1 {
+				model.Fatalf("user %d is evicted with %d bytes while user %d holds %d", id, model.used[id], other, used)
 			}
 		}
-		play.remove(id)
+		model.remove(id)
 	}
 }
 
-func (play *budgetPlay) checkSums() {
+func (model *budgetModel) checkSums() {
 	sum := int64(0)
-	for _, held := range play.used {
-		sum += held
+	for _, used := range model.used {
+		sum += used
 	}
-	if sum != play.budget.Used() || sum > play.total || len(play.used) != play.budget.Users() {
-		play.Fatalf("%d used, budget says %d of %d", sum, play.budget.Used(), play.total)
+	if sum != model.budget.Used() || sum > model.total || len(model.used) != model.budget.Users() {
+		model.Fatalf("%d used, budget says %d of %d", sum, model.budget.Used(), model.total)
 	}
 }
 
--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -3,7 +3,7 @@
 import "heathshed/placer"
 
 // backoffSpread is the width of the jitter around a delay, as a fraction of it.
-const backoffSpread = 0.5
+const backoffJitterRange = 0.5
 
 // Backoff doubles a delay from Min to Max with each failure. The zero value does not delay at all.
 type Backoff struct {
@@ -18,7 +18,7 @@
 		delay *= 2
 	}
 	b.failures++
-	return min(delay, b.Max) * placer.Seconds(1-backoffSpread/2+backoffSpread*jitter)
+	return min(delay, b.Max) * placer.Seconds(1-backoffJitterRange/2+backoffJitterRange*jitter)
 }
 
 // Reset begins again at Min, as after a success.
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -43,8 +43,8 @@
 				record.Checkpoint(fmt.Sprintf("policy %d, step %d", i, step+1))
 			}
 		}
-		for budget := range 20 {
-			record.Floats(float64(policy.MaxWait(0.5*placer.Seconds(budget+1), budget)))
+		for maxRetries := range 20 {
+			record.Floats(float64(policy.MaxWait(0.5*placer.Seconds(maxRetries+1), maxRetries)))
 		}
 		record.Line("policy %d: verdicts %v", i, decisions)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -6,11 +6,11 @@
 	minDelay placer.Seconds = 1 // the shortest delay after an attempt that reached a node
 
 	// Jitter multiplies a delay by minSpread to minSpread+jitterSpread, so that clients do not retry in synchronized waves.
-	minSpread    = 0.7
-	jitterSpread = 0.6
+	minJitterFactor   = 0.7
+	jitterFactorRange = 0.6
 
 	// shedSpread is by how much jitter lengthens the delay of a request that was shed. Jitter never shortens it: the scheduler advised it.
-	shedSpread = 0.5
+	maxShedJitter = 0.5
 )
 
 // Policy holds the delays of a client.
@@ -67,8 +67,8 @@
 
 // Next returns what to do, and when. A task that is not idempotent is never retried while an attempt may have run.
 func (p *Policy) Next(state State) (decision Decision, at placer.Seconds) {
-	if state.Idempotency != placer.Idempotent && state.mayRunTwice() {
-		return state.resolveOutcome()
+	if state.Idempotency != placer.Idempotent && state.retryMayDuplicate() {
+		return state.awaitOutcomeOrFail()
 	}
 	if state.RetriesLeft <= 0 {
 		return state.giveUp()
@@ -81,10 +81,10 @@
 }
 
 // mayRunTwice reports whether a retry might start the task a second time.
-func (s *State) mayRunTwice() bool { return s.MayHaveRun || s.OutcomeUnknown }
+func (s *State) retryMayDuplicate() bool { return s.MayHaveRun || s.OutcomeUnknown }
 
 // resolveOutcome waits for an unknown outcome while it may still be learned, and fails the task otherwise.
-func (s *State) resolveOutcome() (Decision, placer.Seconds) {
+func (s *State) awaitOutcomeOrFail() (Decision, placer.Seconds) {
 	if !s.MayHaveRun && s.Now < s.Deadline {
 		return AwaitOutcome, s.Deadline
 	}
@@ -94,7 +94,7 @@
 // giveUp ends the task: as rejected only if it is certain that it did not run.
 func (s *State) giveUp() (Decision, placer.Seconds) {
 	safeToRequestAgain := s.Cause == Rejected || s.Cause == Shed
-	if safeToRequestAgain && !s.mayRunTwice() {
+	if safeToRequestAgain && !s.retryMayDuplicate() {
 		return Reject, s.Now
 	}
 	return Fail, s.Now
@@ -102,19 +102,19 @@
 
 // delay is how long to wait before the next request.
 func (p *Policy) delay(state State) placer.Seconds {
-	factor := placer.Seconds(minSpread + jitterSpread*state.Jitter)
+	factor := placer.Seconds(minJitterFactor + jitterFactorRange*state.Jitter)
 	switch state.Cause {
 	case Migrated, Lost:
 		return p.ShortDelay * factor
 	case Shed:
 		// No attempt was made, so the delay does not grow with the attempts: it follows from the length of the queue.
-		return max(p.Delay, minDelay, state.RetryAfter) * placer.Seconds(1+shedSpread*state.Jitter)
+		return max(p.Delay, minDelay, state.RetryAfter) * placer.Seconds(1+maxShedJitter*state.Jitter)
 	}
-	return max(p.grownDelay(state.Attempts)*factor, minDelay, state.RetryAfter)
+	return max(p.meanDelay(state.Attempts)*factor, minDelay, state.RetryAfter)
 }
 
 // grownDelay is the mean delay after a number of attempts.
-func (p *Policy) grownDelay(attempts int) placer.Seconds {
+func (p *Policy) meanDelay(attempts int) placer.Seconds {
 	delay := max(p.Delay, minDelay)
 	for range attempts - 1 {
 		delay *= placer.Seconds(max(p.Multiplier, 1))
@@ -130,12 +130,12 @@
 func (p *Policy) MaxWait(deadline placer.Seconds, retries int) placer.Seconds {
 	total := deadline
 	for i := range retries {
-		longest := p.delay(State{Attempts: i + 1, Jitter: 1, Cause: Rejected})
-		if longest >= p.MaxDelay {
+		longestDelay := p.delay(State{Attempts: i + 1, Jitter: 1, Cause: Rejected})
+		if longestDelay >= p.MaxDelay {
 			// The delay does not grow any more, so the remaining terms are equal.
-			return total + placer.Seconds(retries-i)*((minSpread+jitterSpread)*p.MaxDelay+deadline)
+			return total + placer.Seconds(retries-i)*((minJitterFactor+jitterFactorRange)*p.MaxDelay+deadline)
 		}
-		total += longest + deadline
+		total += longestDelay + deadline
 	}
 	return total
 }
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -47,8 +47,8 @@
 }
 
 // drawSeconds draws a time.
-func drawSeconds(t *rapid.T, least, most float64, label string) placer.Seconds {
-	return placer.Seconds(rapid.Float64Range(least, most).Draw(t, label))
+func drawSeconds(t *rapid.T, minSeconds, maxSeconds float64, label string) placer.Seconds {
+	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(t, label))
 }
 
 func drawPolicy(t *rapid.T) Policy {
@@ -108,14 +108,14 @@
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
 	const deadline placer.Seconds = 8 // of each request, from when it is made
 	policy := DefaultPolicy()
-	for budget := range 40 {
-		at := deadline // of the first request
-		for retry := range budget {
-			_, next := policy.Next(State{Cause: Rejected, Now: at, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
-			at = next + deadline
+	for maxRetries := range 40 {
+		attemptEnd := deadline // of the first request
+		for retry := range maxRetries {
+			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
+			attemptEnd = retryAt + deadline
 		}
-		if most := policy.MaxWait(deadline, budget); at > most+1e-6 {
-			t.Errorf("%d retries: the last attempt ends at %v, want at most %v", budget, at, most)
+		if maxWait := policy.MaxWait(deadline, maxRetries); attemptEnd > maxWait+1e-6 {
+			t.Errorf("%d retries: the last attempt ends at %v, want at most %v", maxRetries, attemptEnd, maxWait)
 		}
 	}
 }
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -16,13 +16,13 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
-		order := playQueue(seed)
+		order := runRandomTimers(seed)
 		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	record.Check(t, "characterization")
 }
 
-func playQueue(seed uint64) string {
+func runRandomTimers(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var queue timerqueue.Queue[float64]
 	var order strings.Builder
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -48,9 +48,9 @@
 func (q *Queue[Time]) Len() int { return len(q.timers) }
 
 // NextOr returns the earliest time of a timer, or the given one if there is no timer.
-func (q *Queue[Time]) NextOr(none Time) Time {
+func (q *Queue[Time]) NextOr(fallback Time) Time {
 	if len(q.timers) == 0 {
-		return none
+		return fallback
 	}
 	return q.timers[0].At
 }
