--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -33,8 +33,8 @@
 	Admitted uint64
 	// Queued counts requests that were queued when they were submitted.
 	Queued uint64
-	// Overdue counts queued requests that were demoted at their Deadline.
-	Overdue uint64
+	// Demoted counts queued requests that were demoted at their Deadline.
+	Demoted uint64
 	// ShedLate counts requests that were shed because they could no longer start in time.
 	ShedLate uint64
 	// ShedFull counts requests that were shed because the queue was full.
@@ -197,7 +197,7 @@
 	demoted := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latest, tenant: entry.tenant}
 	demoted.ShedBefore = true
 	c.queue.enqueue(demoted)
-	c.Overdue++
+	c.Demoted++
 	return true
 }
 
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -24,9 +24,9 @@
 	return controller
 }
 
-// TestShares checks that under steady overload tenants are admitted by their shares, however much they request, and that what one does not
+// TestAdmissionFollowsShares checks that under steady overload tenants are admitted by their shares, however much they request, and that what one does not
 // use is divided among the others.
-func TestShares(t *testing.T) {
+func TestAdmissionFollowsShares(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		rate []int // requests of each tenant per turn
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	record.Line("%s: verdicts %v, counters %v", name, decisions,
-		[]uint64{controller.Admitted, controller.Queued, controller.Overdue, controller.ShedLate, controller.ShedFull, controller.ShedRetry})
+		[]uint64{controller.Admitted, controller.Queued, controller.Demoted, controller.ShedLate, controller.ShedFull, controller.ShedRetry})
 }
 
 func randomRequest(rng *rand.Rand, now placer.Seconds, id uint64, tenants int) admission.Request {
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -17,8 +17,8 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", defaults())
-	shortPolicy := connpool.SharedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
-	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
+	shortPolicy := connpool.MultiplexedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
+	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultMultiplexedPolicy()), keepAliveActions(shortPolicy), usableStates()}
 	for i, grid := range grids {
 		record.Line("grid %d %d %s", i, len(grid), goldentest.Digest(grid))
 	}
@@ -29,7 +29,7 @@
 }
 
 func defaults() string {
-	policy, shared := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
+	policy, shared := connpool.DefaultPolicy(), connpool.DefaultMultiplexedPolicy()
 	return fmt.Sprint("defaults ", policy.MaxConns, policy.MaxIdle.Seconds(), policy.MaxIdleNonIdempotent.Seconds(),
 		shared.MaxIdle.Seconds(), shared.HealthCheckAfter.Seconds(), shared.HealthCheckTimeout.Seconds())
 }
@@ -62,7 +62,7 @@
 	return decisions.String()
 }
 
-func keepAliveActions(policy connpool.SharedPolicy) string {
+func keepAliveActions(policy connpool.MultiplexedPolicy) string {
 	var actions strings.Builder
 	now := clock.FromUnixSeconds(10)
 	var instants []clock.Instant
@@ -110,7 +110,7 @@
 	random := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
 	var now clock.Instant
-	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	for range 200 {
 		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[random.IntN(5)])
 		switch random.IntN(8) {
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -2,7 +2,7 @@
 // and when a node is considered unreachable. It opens no connection itself and reads no clock.
 //
 // Package httpc, the HTTP client, chooses among connections that carry one request at a time by Policy.Choose. The platform's package server,
-// whose connections to nodes carry many requests, calls SharedPolicy.KeepAlive and Reachability.
+// whose connections to nodes carry many requests, calls MultiplexedPolicy.KeepAlive and Reachability.
 package connpool
 
 import "time"
@@ -28,10 +28,10 @@
 
 // The actions.
 const (
-	Use     Action = iota // send it on the idle connection Index
-	Dial                  // open a connection for it
-	Replace               // close the idle connection Index, the longest idle, and open one
-	Wait                  // queue it until a connection is free
+	UseIdle     Action = iota // send it on the idle connection Index
+	Dial                      // open a connection for it
+	ReplaceIdle               // close the idle connection Index, the longest idle, and open one
+	Wait                      // queue it until a connection is free
 )
 
 // Decision is an action, and the idle connections to close first because they are too old to be used. Indexes refer to the list passed to
@@ -62,12 +62,12 @@
 	}
 	switch {
 	case shortestIdle >= 0 && (!nonIdempotent || idle[shortestIdle] <= p.MaxIdleNonIdempotent):
-		decision.Action = Use
+		decision.Action = UseIdle
 		decision.Index = shortestIdle
 	case open < max(p.MaxConns, 1):
 		decision.Action = Dial
 	case longestIdle >= 0:
-		decision.Action = Replace
+		decision.Action = ReplaceIdle
 		decision.Index = longestIdle
 	default:
 		decision.Action = Wait
--- a/internal/control/connpool/connpool_test.go
+++ b/internal/control/connpool/connpool_test.go
@@ -27,12 +27,12 @@
 		stale         []int
 	}{
 		{"no connection yet", nil, 0, false, Dial, 0, nil},
-		{"most recently used", seconds(5, 2, 9), 3, false, Use, 1, nil},
-		{"not idempotent, one fresh", []time.Duration{5 * time.Second, 500 * time.Millisecond}, 2, true, Use, 1, nil},
+		{"most recently used", seconds(5, 2, 9), 3, false, UseIdle, 1, nil},
+		{"not idempotent, one fresh", []time.Duration{5 * time.Second, 500 * time.Millisecond}, 2, true, UseIdle, 1, nil},
 		{"not idempotent, none fresh", seconds(5, 2), 2, true, Dial, 0, nil},
-		{"not idempotent, none fresh, all open", seconds(5, 2), 3, true, Replace, 0, nil},
+		{"not idempotent, none fresh, all open", seconds(5, 2), 3, true, ReplaceIdle, 0, nil},
 		{"all busy", nil, 3, false, Wait, 0, nil},
-		{"some stale", seconds(70, 3, 61), 3, false, Use, 1, []int{0, 2}},
+		{"some stale", seconds(70, 3, 61), 3, false, UseIdle, 1, []int{0, 2}},
 		{"all stale", seconds(70, 80, 90), 3, true, Dial, 0, []int{0, 1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,20 +6,20 @@
 	"heathshed/internal/control/clock"
 )
 
-// SharedPolicy decides when connections to one node that carry many requests at a time are checked and closed.
+// MultiplexedPolicy decides when connections to one node that carry many requests at a time are checked and closed.
 //
 // A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow node, whose answer will still come,
 // from a connection that is open but dead.
-type SharedPolicy struct {
+type MultiplexedPolicy struct {
 	MaxIdle            time.Duration // a connection without a request for longer is closed if nothing is expected on it; 0 for never
 	HealthCheckAfter   time.Duration // a connection without traffic for longer is checked if something is expected on it
 	HealthCheckTimeout time.Duration // a connection is unresponsive if a health check or the rest of a message takes longer
 }
 
-// DefaultSharedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
+// DefaultMultiplexedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
 // idle connections.
-func DefaultSharedPolicy() SharedPolicy {
-	return SharedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
+func DefaultMultiplexedPolicy() MultiplexedPolicy {
+	return MultiplexedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 }
 
 // ConnState is the state of one such connection.
@@ -56,7 +56,7 @@
 )
 
 // KeepAlive decides for one connection.
-func (p SharedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
+func (p MultiplexedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
 	if !s.IncompleteSince.IsZero() && now.Sub(s.IncompleteSince) > p.HealthCheckTimeout {
 		return CloseUnresponsive
 	}
@@ -79,7 +79,7 @@
 // partitioned, open connections fall silent and dials time out. If only its process has ended, it refuses connections.
 type Reachability struct {
 	UnresponsiveAfter time.Duration // without any message while dials fail
-	RefusedAfter      time.Duration // of refused connections
+	ProcessEndedAfter time.Duration // of refused connections
 
 	lastReceived  clock.Instant
 	refusedSince  clock.Instant // zero if the last dial was not refused
@@ -121,7 +121,7 @@
 // nothing to report.
 func (r *Reachability) Status(now clock.Instant) NodeStatus {
 	switch {
-	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.RefusedAfter:
+	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.ProcessEndedAfter:
 		return ProcessEnded
 	case r.hasFailedDial && r.refusedSince.IsZero() && now.Sub(r.lastReceived) > r.UnresponsiveAfter:
 		return Unresponsive
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -12,7 +12,7 @@
 func at(seconds float64) clock.Instant { return clock.FromUnixSeconds(placer.Seconds(seconds)) }
 
 func TestKeepAlive(t *testing.T) {
-	policy := SharedPolicy{MaxIdle: 9 * time.Second, HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
+	policy := MultiplexedPolicy{MaxIdle: 9 * time.Second, HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 	for _, test := range []struct {
 		name  string
 		state ConnState
@@ -37,7 +37,7 @@
 }
 
 func TestReachability(t *testing.T) {
-	node := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	node := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	node.Received(at(100))
 	node.DialFailed(at(101), false)
 	if node.Status(at(105.9)) != Reachable || node.Status(at(106.1)) != Unresponsive {
@@ -56,7 +56,7 @@
 	if node.Status(at(300)) != Reachable {
 		t.Error("want a node that was not dialed to be reachable")
 	}
-	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	neverReached.DialFailed(at(50), false)
 	if neverReached.Status(at(55)) != Reachable || neverReached.Status(at(57)) != Unresponsive {
 		t.Error("no message ever: want unresponsive 6 s after the first failed dial")
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -8,9 +8,9 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// TestQuantities checks that only a text that is a number to its end is rejected as a quantity: a UID that begins like one must pass in both
+// TestCheckQuantity checks that only a text that is a number to its end is rejected as a quantity: a UID that begins like one must pass in both
 // encodings, or a running task would not be seen.
-func TestQuantities(t *testing.T) {
+func TestCheckQuantity(t *testing.T) {
 	limits := ObjectLimits()
 	for _, test := range []struct {
 		name, text string
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestIdentitiesPass checks that UIDs that begin like numbers pass in both encodings.
-func TestIdentitiesPass(t *testing.T) {
+// TestUIDsAreAccepted checks that UIDs that begin like numbers pass in both encodings.
+func TestUIDsAreAccepted(t *testing.T) {
 	for _, uid := range []string{
 		"144e1135-fce3-47cd-83ea-3cf99f69d193",
 		"3e338350-4f55-4600-ad83-2c224c2f507e",
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -21,7 +21,7 @@
 		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	for _, after := range []placer.Seconds{placer.Seconds(math.Inf(-1)), -1, 0, 1e-7, 9.9e-7, 1e-6, 1.1e-6, 1, 1e9, placer.Seconds(math.Inf(1))} {
-		record.Line("wait %x %x", math.Float64bits(float64(after)), math.Float64bits(float64(eventqueue.Delay(after))))
+		record.Line("wait %x %x", math.Float64bits(float64(after)), math.Float64bits(float64(eventqueue.TimerDelay(after))))
 	}
 	record.Check(t, "characterization")
 }
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -48,5 +48,5 @@
 	q.running = false
 }
 
-// Delay returns the delay of a timer that the placer requested with the given one: no less than MinDelay.
-func Delay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
+// TimerDelay returns the delay of a timer that the placer requested with the given one: no less than MinDelay.
+func TimerDelay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -11,7 +11,7 @@
 	total, used int64
 	users       map[uint64]*userState
 
-	// Evicted counts the users that OverQuota has returned.
+	// Evicted counts the users that UserToEvict has returned.
 	Evicted uint64
 }
 
@@ -71,8 +71,8 @@
 	user.used = used
 }
 
-// OverQuota returns a user to evict because more is used than there is, and false if all fits. The caller removes the user and calls again.
-func (b *Budget) OverQuota() (id uint64, over bool) {
+// UserToEvict returns a user to evict because more is used than there is, and false if all fits. The caller removes the user and calls again.
+func (b *Budget) UserToEvict() (id uint64, over bool) {
 	if b.used <= b.total {
 		return 0, false
 	}
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -47,7 +47,7 @@
 		case 2:
 			budget.Remove(id)
 		case 3:
-			evicted, over := budget.OverQuota()
+			evicted, over := budget.UserToEvict()
 			fmt.Fprint(&text, evicted, over, " ")
 			if over {
 				budget.Remove(evicted)
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -100,7 +100,7 @@
 
 // evict removes the users over quota, none of which may use less than half as much as another.
 func (model *budgetModel) evict() {
-	for id, over := model.budget.OverQuota(); over; id, over = model.budget.OverQuota() {
+	for id, over := model.budget.UserToEvict(); over; id, over = model.budget.UserToEvict() {
 		for other, used := range model.used {
 			if used > 2*model.used[id]+1 {
 				model.Fatalf("user %d is evicted with %d bytes while user %d holds %d", id, model.used[id], other, used)
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestLargeUsersShare checks that however many users allocate all that is available, none has to be evicted.
-func TestLargeUsersShare(t *testing.T) {
+// TestDynamicThresholdAvoidsEvictions checks that however many users allocate all that is available, none has to be evicted.
+func TestDynamicThresholdAvoidsEvictions(t *testing.T) {
 	const users = uint64(4000)
 	budget := New(128 << 20)
 	for id := range users {
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if _, over := budget.OverQuota(); over || budget.Used() < 100<<20 {
+	if _, over := budget.UserToEvict(); over || budget.Used() < 100<<20 {
 		t.Errorf("%d used of %d, over %v", budget.Used(), budget.Total(), over)
 	}
 }
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -53,7 +53,7 @@
 				}
 			}
 		}
-		fmt.Fprintf(&order, "%d %x ", queue.Len(), math.Float64bits(queue.NextOr(math.Inf(1))))
+		fmt.Fprintf(&order, "%d %x ", queue.Len(), math.Float64bits(queue.NextTimeOr(math.Inf(1))))
 	}
 	queue.Stop(nil)
 	return order.String()
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -47,8 +47,8 @@
 // Len returns the number of timers.
 func (q *Queue[Time]) Len() int { return len(q.timers) }
 
-// NextOr returns the earliest time of a timer, or the given one if there is no timer.
-func (q *Queue[Time]) NextOr(fallback Time) Time {
+// NextTimeOr returns the earliest time of a timer, or the given one if there is no timer.
+func (q *Queue[Time]) NextTimeOr(fallback Time) Time {
 	if len(q.timers) == 0 {
 		return fallback
 	}
--- a/internal/lab/nodesim/node.go
+++ b/internal/lab/nodesim/node.go
@@ -110,7 +110,7 @@
 }
 
 // NextWake returns the time at which Tick must be called next.
-func (n *Node) NextWake() placer.Seconds { return n.timers.NextOr(placer.Seconds(math.Inf(1))) }
+func (n *Node) NextWake() placer.Seconds { return n.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
 func (n *Node) Tick(now placer.Seconds) {
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -178,7 +178,7 @@
 	if l.timers.Len() == 0 {
 		return -1
 	}
-	wait := l.timers.NextOr(l.now).Sub(l.readClock())
+	wait := l.timers.NextTimeOr(l.now).Sub(l.readClock())
 	switch {
 	case wait <= 0:
 		return 0
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -101,12 +101,12 @@
 		return
 	}
 	switch decision, chosen := c.chooseConn(call); decision {
-	case connpool.Use:
+	case connpool.UseIdle:
 		c.removeIdle(chosen)
 		chosen.send(call)
 	case connpool.Wait:
 		c.waiting = append(c.waiting, call)
-	case connpool.Replace:
+	case connpool.ReplaceIdle:
 		chosen.transport.Close()
 		c.dial(call)
 	default:
@@ -122,7 +122,7 @@
 	}
 	decision := c.Pool.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
 	var chosen *conn
-	if decision.Action == connpool.Use || decision.Action == connpool.Replace {
+	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idle[decision.Index]
 	}
 	// Closing one changes c.idle, to which the indices refer.
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -161,7 +161,7 @@
 		return
 	}
 	s.evicting = true
-	for id, over := s.memory.OverQuota(); over; id, over = s.memory.OverQuota() {
+	for id, over := s.memory.UserToEvict(); over; id, over = s.memory.UserToEvict() {
 		s.connsByID[id].transport.Close()
 	}
 	s.evicting = false
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -110,7 +110,7 @@
 				return
 			}
 			sent := len(env.effects) == 1 && env.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
-			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || env.timers.NextOr(0) != test.expiresAt {
+			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || env.timers.NextTimeOr(0) != test.expiresAt {
 				t.Errorf("state %v, expires at %v, effects %+v", attempt.state, attempt.expiresAt, env.effects)
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -95,7 +95,7 @@
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns when Advance has to be called next, or infinity if there is no timer.
-func (c *Core) NextTimer() placer.Seconds { return c.timers.NextOr(placer.Seconds(math.Inf(1))) }
+func (c *Core) NextTimer() placer.Seconds { return c.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
 // Advance runs the timers that are due.
 func (c *Core) Advance(now placer.Seconds) { c.advance(now) }
@@ -105,7 +105,7 @@
 	switch action.Kind {
 	case placer.SetTimer:
 		token := action.Token
-		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
+		c.timers.Add(c.now+eventqueue.TimerDelay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
 		c.nodes.requestList()
 	default:
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -24,8 +24,8 @@
 	log.record(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
-	if env.timers.Len() != 1 || env.timers.NextOr(0) != 100+notificationRetention {
-		t.Errorf("%d timers, the next at %v", env.timers.Len(), env.timers.NextOr(0))
+	if env.timers.Len() != 1 || env.timers.NextTimeOr(0) != 100+notificationRetention {
+		t.Errorf("%d timers, the next at %v", env.timers.Len(), env.timers.NextTimeOr(0))
 	}
 	env.advance(100 + notificationRetention)
 	requireRecord(1, 0, false)
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -41,10 +41,10 @@
 	lastConnID   dispatch.NodeConnID
 	openConns    int // those being dialed included
 	maxConns     int
-	slotHoldTime time.Duration         // see the constant
-	keepAlive    connpool.SharedPolicy // of the connections
-	reachability connpool.Reachability // the initial state of each link
-	disconnected []*nodeLink           // reused by reconnect
+	slotHoldTime time.Duration              // see the constant
+	keepAlive    connpool.MultiplexedPolicy // of the connections
+	reachability connpool.Reachability      // the initial state of each link
+	disconnected []*nodeLink                // reused by reconnect
 }
 
 // newNodeLinks returns the links of a server. maxIdle is after how long without a request a connection is closed; 0 for never.
@@ -54,8 +54,8 @@
 		byID:         map[placer.NodeID]*nodeLink{},
 		maxConns:     maxConns,
 		slotHoldTime: slotHoldTime,
-		keepAlive:    connpool.DefaultSharedPolicy(),
-		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, RefusedAfter: refusedTimeout},
+		keepAlive:    connpool.DefaultMultiplexedPolicy(),
+		reachability: connpool.Reachability{UnresponsiveAfter: unresponsiveTimeout, ProcessEndedAfter: refusedTimeout},
 	}
 	links.keepAlive.MaxIdle = maxIdle
 	return links
