--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -10,8 +10,11 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeBackoff pins delays by bits for a grid of bounds and jitters, before and after a reset. Regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterizeBackoff compares delays, bit for bit, with a golden file. It covers several bounds and
+// jitters, with a Reset in the middle of each series.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterizeBackoff(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for _, bounds := range [][2]placer.Seconds{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -10,8 +10,11 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizePolicy pins decisions and their times by bits, for seeded states of every idempotency and cause. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterizePolicy compares the decisions of several policies and their times, bit for bit, with a
+// golden file. The states are drawn from a seeded random generator and cover every idempotency and cause.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterizePolicy(t *testing.T) {
 	record := goldentest.NewRecorder()
 	policies := []retry.Policy{
--- a/internal/control/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -7,7 +7,7 @@
 	"heathshed/placer"
 )
 
-// A rejected request is retried after a delay, and given up when no retries are left.
+// A client retries a rejected request after a delay and gives it up when no retries are left.
 func ExamplePolicy_Next() {
 	policy := retry.DefaultPolicy()
 	state := retry.State{Cause: retry.Rejected, Now: 100, Deadline: 130, Attempts: 1, RetriesLeft: 1, Jitter: 0.5}
@@ -22,7 +22,7 @@
 	// true 100
 }
 
-// A task that must not run twice is not retried while the outcome of an attempt is unknown.
+// A client does not retry a task that must not run twice while the outcome of an attempt is unknown.
 func ExamplePolicy_Next_unknownOutcome() {
 	policy := retry.DefaultPolicy()
 	decision, until := policy.Next(retry.State{
@@ -38,7 +38,7 @@
 	// Output: true 130
 }
 
-// A backoff doubles its delay with each failure, up to a bound, and begins again after a success.
+// A Backoff doubles its delay with each failure up to an upper bound and starts again after a success.
 func ExampleBackoff() {
 	backoff := retry.Backoff{Min: 0.5, Max: 2}
 	for range 4 {
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -40,13 +40,13 @@
 			state := base
 			test.change(&state)
 			if decision, _ := policy.Next(state); decision != test.want {
-				t.Errorf("decision %d, want %d", decision, test.want)
+				t.Errorf("Next returned decision %d, want %d", decision, test.want)
 			}
 		})
 	}
 }
 
-// drawSeconds draws a time.
+// drawSeconds draws a duration between the two bounds.
 func drawSeconds(t *rapid.T, minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(t, label))
 }
@@ -76,8 +76,9 @@
 	}
 }
 
-// TestNextRespectsDelays checks for any state: no delay under a second after a rejection, none past the deadline, and no retry of a task that
-// is not idempotent while an attempt may have run.
+// TestNextRespectsDelays checks three properties of Policy.Next for arbitrary states: a retry after a
+// rejection, a failure or an eviction is at least one second away, no retry is scheduled past the deadline,
+// and a task that is not idempotent is not retried while an attempt may have run.
 func TestNextRespectsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy, state := drawPolicy(t), drawState(t)
@@ -88,17 +89,17 @@
 		switch decision {
 		case RetryAt:
 			if state.Idempotency != placer.Idempotent && mayRun {
-				t.Fatal("retry though an attempt may have run")
+				t.Fatal("a task that is not idempotent is retried although an attempt may have run")
 			}
 			if state.RetriesLeft <= 0 || at >= state.Deadline || at < state.Now {
-				t.Fatalf("retry at %v with %d retries left, client gives up at %v", at, state.RetriesLeft, state.Deadline)
+				t.Fatalf("retry at %v with %d retries left, although the client stops waiting at %v", at, state.RetriesLeft, state.Deadline)
 			}
 			if state.Cause < Migrated && at < state.Now+1 {
-				t.Fatalf("retry after %v s", at-state.Now)
+				t.Fatalf("retry after %v s, want a delay of at least 1 s", at-state.Now)
 			}
 		case Reject:
 			if mayRun {
-				t.Fatal("reported as rejected though an attempt may have run")
+				t.Fatal("a task is reported as rejected although an attempt may have run")
 			}
 		}
 	})
@@ -106,16 +107,17 @@
 
 // TestMaxWaitCoversAllAttempts checks that every attempt that a policy allows ends within MaxWait.
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
-	const deadline placer.Seconds = 8 // of each request, from when it is made
+	const deadline placer.Seconds = 8 // Each request expires this many seconds after it is made.
 	policy := DefaultPolicy()
 	for maxRetries := range 40 {
-		attemptEnd := deadline // of the first request
+		// attemptEnd starts as the time at which the first request expires.
+		attemptEnd := deadline
 		for retry := range maxRetries {
 			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
 			attemptEnd = retryAt + deadline
 		}
 		if maxWait := policy.MaxWait(deadline, maxRetries); attemptEnd > maxWait+1e-6 {
-			t.Errorf("%d retries: the last attempt ends at %v, want at most %v", maxRetries, attemptEnd, maxWait)
+			t.Errorf("with %d retries the last attempt ends at %v, want it to end by MaxWait, which is %v", maxRetries, attemptEnd, maxWait)
 		}
 	}
 }
