--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock defines Instant, the type of points in time below the pure cores, and converts between Go's time types and the floating point
-// seconds of the cores. The event loop and the servers and clients on it use it; each front calls the conversions in one file, named in
-// docs/architecture.md.
+// Package clock defines Instant, the type for points in time in the event loop and in the servers and clients
+// that run on it. It converts between Go's time types, Instant and the floating-point seconds with which the
+// schedulers compute. Each scheduler calls these conversions in a single file, which docs/architecture.md
+// names.
 package clock
 
 import (
@@ -10,28 +11,29 @@
 	"heathshed/placer"
 )
 
-// Instant is a point in time in nanoseconds since the Unix epoch. The zero value means "never".
+// Instant is a point in time, in nanoseconds since the Unix epoch. The zero value means "never".
 //
-// Unlike a time.Time it is compared with < and ==, and takes 8 bytes instead of 24: a server keeps several for each of thousands of idle
-// connections.
+// An Instant takes 8 bytes, whereas a time.Time takes 24, and a server keeps several of them for each of
+// thousands of idle connections. Instants can be compared with < and ==.
 type Instant int64
 
-// maxInstant is the latest instant that the type can represent, in the year 2262.
+// maxInstant is the latest instant that the type can represent. It lies in the year 2262.
 const maxInstant Instant = math.MaxInt64
 
-// seconds is the constraint of types that count seconds in floating point: placer.Seconds and those of settings.
+// seconds is a type constraint for types that count seconds in floating point, such as placer.Seconds and the
+// duration type of the settings.
 type seconds interface{ ~float64 }
 
-// FromTime returns the instant of a time.Time.
+// FromTime converts a time.Time to an Instant.
 func FromTime(t time.Time) Instant { return Instant(t.UnixNano()) }
 
-// Time returns the instant as a time.Time.
+// Time converts the instant to a time.Time.
 func (i Instant) Time() time.Time { return time.Unix(0, int64(i)) }
 
-// IsZero reports whether the instant is the zero value.
+// IsZero reports whether the instant is the zero value, which means "never".
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Add returns the instant i+d. On overflow it returns the latest or the earliest instant.
+// Add returns the instant that is d later. On overflow it returns the latest or the earliest instant.
 func (i Instant) Add(d time.Duration) Instant {
 	later := i + Instant(d)
 	switch {
@@ -43,33 +45,37 @@
 	return later
 }
 
-// Sub returns the duration from the other instant, no earlier than the epoch, to this one.
+// Sub returns the duration from the other instant to this one. The other instant must not be earlier than the
+// Unix epoch.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// UnixMicro returns the microseconds since the Unix epoch.
+// UnixMicro returns the number of microseconds since the Unix epoch.
 func (i Instant) UnixMicro() int64 { return int64(i) / int64(time.Microsecond) }
 
-// UnixSeconds returns the instant on the clock of the pure cores: Unix seconds in floating point, with a precision of about 240 nanoseconds.
+// UnixSeconds returns the number of seconds since the Unix epoch in floating point, as the schedulers use it.
+// The result has a precision of about 240 nanoseconds.
 func (i Instant) UnixSeconds() placer.Seconds {
 	whole := i / Instant(time.Second)
 	rest := i % Instant(time.Second)
 	return placer.Seconds(float64(whole) + float64(rest)/float64(time.Second))
 }
 
-// FromUnixSeconds returns the earliest instant whose UnixSeconds is not before s, so that a timer that a pure core set for s is due at it. A
-// time beyond the range of an Instant gives the latest or the earliest instant; infinity and NaN are converted likewise.
+// FromUnixSeconds returns the earliest instant whose UnixSeconds is not before s, so that a timer that is set
+// for s seconds is due when it fires at this instant. A time outside the range of an Instant, including
+// infinity, yields the latest or the earliest instant. NaN yields the latest instant.
 func FromUnixSeconds(s placer.Seconds) Instant {
 	return Instant(nanoseconds(float64(s), math.Ceil))
 }
 
-// Duration returns a number of seconds as a duration. A value beyond the range of a Duration gives the longest or the shortest duration;
-// infinity and NaN are converted likewise.
+// Duration converts a number of seconds to the nearest time.Duration. A value outside the range of a
+// Duration, including infinity, yields the longest or the shortest duration. NaN yields the longest duration.
 func Duration[S seconds](s S) time.Duration {
 	return time.Duration(nanoseconds(float64(s), math.Round))
 }
 
-// nanoseconds converts whole and fractional seconds separately: multiplying s by 1e9 would be off by up to 128 at the present Unix time. NaN
-// is treated as positive infinity.
+// nanoseconds converts seconds to nanoseconds with the given rounding function. It converts the whole and the
+// fractional part separately, because the product of s and 1e9 would be off by up to 128 nanoseconds for
+// present-day Unix times. NaN is treated as positive infinity.
 func nanoseconds(s float64, round func(float64) float64) int64 {
 	const maxSeconds = math.MaxInt64 / int64(time.Second)
 	whole, fraction := math.Modf(s)
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -12,8 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares with the golden file the order of events and actions, where actions post further events and start a nested run,
-// and the delays for a range of values. See package goldentest for how the file is written anew.
+// TestCharacterization compares the order of events and actions, and the timer delays for a range of values,
+// with a golden file. Some actions post further events and call Run again. Package goldentest describes how
+// the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
@@ -26,7 +27,8 @@
 	record.Check(t, "characterization")
 }
 
-// echoPlacer answers each event with up to three actions that carry its token.
+// fakePlacer answers each event with up to three actions whose tokens are derived from the token of the
+// event.
 type fakePlacer struct {
 	random *rand.Rand
 	log    *strings.Builder
@@ -40,7 +42,8 @@
 	return actions
 }
 
-// playQueue plays random events and returns the order in which events were passed and actions executed.
+// runRandomEvents posts random events and returns the order in which the queue passed events and executed
+// actions.
 func runRandomEvents(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var order strings.Builder
@@ -49,7 +52,7 @@
 		fmt.Fprintf(&order, "a%d ", action.Token)
 		if action.Token < 100000 && random.IntN(2) == 0 {
 			queue.Post(placer.Event{Kind: placer.TimerFired, Token: action.Token})
-			queue.Run(-1) // does nothing within an action
+			queue.Run(-1) // A call of Run within an action does nothing.
 		}
 	}
 	for step := range 40 {
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -1,36 +1,43 @@
-// Package eventqueue is the queue between a scheduler's core and its placer: events are passed to the placer one after another, and the
-// actions that it returns for one event are executed, in order, before the next event is passed. It is pure: the time is passed in. The cores
-// of both fronts, packages dispatch and engine, own one Queue each.
+// Package eventqueue passes events to a placer one after another. It executes the actions that the placer
+// returns for one event, in order, before it passes the next event.
+//
+// The package reads no clock: callers pass in the time. Packages dispatch and engine, the schedulers of the
+// platform protocol and of the Kubernetes API, own one Queue each.
 package eventqueue
 
 import "heathshed/placer"
 
-// MinDelay is the shortest delay of a timer. A clock that counts Unix seconds in floating point has steps of 2.4e-7 s, so that
-// adding less to it may give the same time again, and a placer that waits for a deadline so close would have its timer fire at that time
+// MinDelay is the shortest delay of a timer. A floating-point number that counts seconds since the Unix epoch
+// has steps of 2.4e-7 s today, so adding less than a step can yield the same time again. Without a minimum
+// delay, a placer that waits for a deadline less than a step away would have its timer fire at the same time
 // forever.
 const MinDelay placer.Seconds = 1e-6
 
-// Placer makes the placement decisions: a *placer.Placer, or a substitute in tests.
+// Placer makes the placement decisions. It is a *placer.Placer, or a substitute for it in tests.
 type Placer interface {
-	// Handle handles one event at the given clock time, and returns actions with its own appended.
+	// Handle processes one event at the given clock time. It appends the resulting actions to the slice that
+	// it receives and returns the extended slice.
 	Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action
 }
 
-// Queue passes events to one placer and executes its actions. It is to be used by one goroutine at a time.
+// Queue passes events to one placer and executes the actions that the placer returns. It is not safe for
+// concurrent use.
 type Queue struct {
 	Placer Placer
-	// Execute executes one action. Events that it posts are passed after all actions of the current event.
+	// Execute carries out one action. Events that it posts are passed to the placer after all actions of the
+	// current event.
 	Execute func(*placer.Action)
 
 	events  []placer.Event
-	actions []placer.Action // the buffer for Handle
+	actions []placer.Action // The actions of each event are collected in this buffer, which is reused.
 	running bool
 }
 
-// Post queues an event.
+// Post appends an event to the queue.
 func (q *Queue) Post(event placer.Event) { q.events = append(q.events, event) }
 
-// Run passes all queued events to the placer. It does nothing if it is called within Execute.
+// Run passes all queued events to the placer. A nested call from Execute does nothing, because the outer call
+// continues with the new events.
 func (q *Queue) Run(now placer.Seconds) {
 	if q.running {
 		return
@@ -48,5 +55,6 @@
 	q.running = false
 }
 
-// TimerDelay returns the delay of a timer that the placer requested with the given one: no less than MinDelay.
+// TimerDelay returns the delay with which a timer is set when the placer requests the given delay. It is
+// never less than MinDelay.
 func TimerDelay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -11,8 +11,9 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares with the golden file the order in which a queue returns timers, many of equal time. Some are stopped, some are
-// added while others run. See package goldentest for how the file is written anew.
+// TestCharacterization compares the order in which a queue returns timers with a golden file. Many timers
+// have equal times, some are stopped, and some are added while others run. Package goldentest describes how
+// the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -1,6 +1,9 @@
-// Package timerqueue is a queue of functions to be run at given times: the earliest first, those of equal time in the order in which they were
-// added. It is pure: its owner passes the time in, and chooses the type of the clock. The cores keep their timers in placer.Seconds, the event
-// loop in clock.Instant.
+// Package timerqueue holds functions that are to be run at given times. The function with the earliest time
+// comes first, and functions with equal times keep the order in which they were added.
+//
+// The package reads no clock: the owner of a queue passes in the time and chooses its type. Package dispatch,
+// package engine and the simulated nodes use placer.Seconds, and the event loop of the network code uses
+// clock.Instant.
 package timerqueue
 
 import (
@@ -8,28 +11,28 @@
 	"container/heap"
 )
 
-// notQueued is the index of a timer that is in no queue.
+// notQueued is the heap index of a timer that is not in a queue.
 const notQueued = -1
 
-// Queue is a set of timers on a clock whose readings are of type Time. The zero value is empty and ready to use. It is to be used by one
-// goroutine at a time.
+// Queue is a set of timers on a clock whose readings have type Time. The zero value is empty and ready to
+// use. A Queue is not safe for concurrent use.
 type Queue[Time cmp.Ordered] struct {
 	timers       timerHeap[Time]
 	lastSequence uint64
 }
 
-// Timer is one function in a queue.
+// Timer is a function that a Queue holds until its time.
 type Timer[Time cmp.Ordered] struct {
 	At       Time
 	Run      func()
-	sequence uint64 // orders timers of equal time
-	index    int    // in the heap, or notQueued
+	sequence uint64 // The sequence number orders timers of equal time.
+	index    int    // The index is the timer's position in the heap, or notQueued.
 }
 
-// Pending reports whether the timer is still in its queue. A nil timer is not.
+// Pending reports whether the timer is still in its queue. It returns false for a nil timer.
 func (t *Timer[Time]) Pending() bool { return t != nil && t.index != notQueued }
 
-// Add adds a function to be run at the given clock time.
+// Add schedules a function for the given clock time and returns its timer.
 func (q *Queue[Time]) Add(at Time, run func()) *Timer[Time] {
 	q.lastSequence++
 	timer := &Timer[Time]{At: at, Run: run, sequence: q.lastSequence}
@@ -37,17 +40,17 @@
 	return timer
 }
 
-// Stop removes a timer. It does nothing if the timer is nil or no longer in the queue.
+// Stop removes a timer from the queue. It does nothing if the timer is nil or no longer in the queue.
 func (q *Queue[Time]) Stop(timer *Timer[Time]) {
 	if timer.Pending() {
 		heap.Remove(&q.timers, timer.index)
 	}
 }
 
-// Len returns the number of timers.
+// Len returns the number of timers in the queue.
 func (q *Queue[Time]) Len() int { return len(q.timers) }
 
-// NextTimeOr returns the earliest time of a timer, or the given one if there is no timer.
+// NextTimeOr returns the time of the earliest timer, or fallback if the queue is empty.
 func (q *Queue[Time]) NextTimeOr(fallback Time) Time {
 	if len(q.timers) == 0 {
 		return fallback
@@ -55,7 +58,8 @@
 	return q.timers[0].At
 }
 
-// Pop removes and returns the earliest timer that is due, or nil. The caller runs it.
+// Pop removes the earliest timer if it is due at the given time and returns it, or returns nil otherwise. The
+// caller runs the function of the timer.
 func (q *Queue[Time]) Pop(now Time) *Timer[Time] {
 	if len(q.timers) == 0 || q.timers[0].At > now {
 		return nil
@@ -63,7 +67,7 @@
 	return heap.Pop(&q.timers).(*Timer[Time])
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap orders timers by time and then by sequence number. It implements heap.Interface.
 type timerHeap[Time cmp.Ordered] []*Timer[Time]
 
 func (h timerHeap[Time]) Len() int { return len(h) }
