--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,7 +13,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package goldentest.
+// TestCharacterization compares the decisions of all policies with a golden file. The inputs form grids of
+// connection states, and each decision is recorded as a number. Package goldentest describes how the golden
+// file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", defaults())
@@ -105,7 +107,8 @@
 	return usable.String()
 }
 
-// reachability returns a digest of the statuses of a node through random messages and failed dials.
+// reachability records the status of a node after random messages and failed dials and returns a digest of
+// the record.
 func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -1,49 +1,53 @@
-// Package connpool holds the policies of connection reuse: which connection a request is sent on, when a connection is checked or closed,
-// and when a node is considered unreachable. It opens no connection itself and reads no clock.
+// Package connpool holds the policies for reusing connections. They decide on which connection a request is
+// sent, when a connection is checked or closed, and when a node is considered unreachable. The package opens
+// no connections and reads no clock.
 //
-// Package httpc, the HTTP client, chooses among connections that carry one request at a time by Policy.Choose. The platform's package server,
-// whose connections to nodes carry many requests, calls MultiplexedPolicy.KeepAlive and Reachability.
+// The HTTP client in package httpc calls Policy.Choose to select among connections that carry one request at
+// a time. Package server of the platform protocol, whose connections to nodes carry many requests at a time,
+// calls MultiplexedPolicy.KeepAlive and Reachability.
 package connpool
 
 import "time"
 
-// Policy chooses connections that carry one request at a time.
+// Policy selects among connections that carry one request at a time.
 //
-// The peer may close an idle connection at the moment at which a request is sent on it. Whether that request was received is then
-// unknown. An idempotent request is simply sent again. For another one the outcome has to be determined, which takes seconds, so it only
-// uses a connection that was in use a moment ago; otherwise a new one is dialed, and if that fails, nothing was sent.
+// The peer may close an idle connection at the moment at which a request is sent on it. It is then unknown
+// whether the peer received the request. An idempotent request is sent again. For any other request the
+// client has to determine the outcome, which takes seconds. Such a request is therefore sent only on a
+// connection that was in use very recently, or else on a new connection: if dialing fails, nothing was sent.
 type Policy struct {
-	MaxConns             int           // open at a time
-	MaxIdle              time.Duration // a connection that has been idle for longer is not used again
-	MaxIdleNonIdempotent time.Duration // as MaxIdle, for requests that are not idempotent
+	MaxConns             int           // MaxConns is the largest number of open connections.
+	MaxIdle              time.Duration // A connection that has been idle for longer is not used again.
+	MaxIdleNonIdempotent time.Duration // This limit replaces MaxIdle for requests that are not idempotent.
 }
 
-// DefaultPolicy returns limits well under those that servers commonly have.
+// DefaultPolicy returns a policy whose limits are well below those that servers commonly have.
 func DefaultPolicy() Policy {
 	return Policy{MaxConns: 32, MaxIdle: time.Minute, MaxIdleNonIdempotent: time.Second}
 }
 
-// Action is what to do with a request.
+// Action tells the HTTP client how to obtain a connection for a request.
 type Action uint8
 
-// The actions.
+// These are the actions that Policy.Choose returns.
 const (
-	UseIdle     Action = iota // send it on the idle connection Index
-	Dial                      // open a connection for it
-	ReplaceIdle               // close the idle connection Index, the longest idle, and open one
-	Wait                      // queue it until a connection is free
+	UseIdle     Action = iota // The request is sent on the idle connection Decision.Index.
+	Dial                      // A new connection is opened for the request.
+	ReplaceIdle               // The idle connection Decision.Index, the longest idle one, is closed and a new one is opened.
+	Wait                      // The request is queued until a connection is free.
 )
 
-// Decision is an action, and the idle connections to close first because they are too old to be used. Indexes refer to the list passed to
-// Choose.
+// Decision is an action together with the idle connections that are to be closed first, because they have
+// been idle for longer than MaxIdle. Index and Stale are indexes into the list that was passed to Choose.
 type Decision struct {
 	Action Action
 	Index  int
 	Stale  []int
 }
 
-// Choose decides for one request. idle holds for how long each idle connection has been unused; open counts all connections, the idle ones
-// and those being dialed included. The most recently used connection is preferred, so that surplus ones become stale.
+// Choose decides how one request obtains a connection. The list idle contains the time for which each idle
+// connection has been unused. The number open counts all connections, including idle ones and those that are
+// being dialed. Choose prefers the most recently used connection, so that surplus connections become stale.
 func (p Policy) Choose(idle []time.Duration, open int, nonIdempotent bool) Decision {
 	var decision Decision
 	shortestIdle, longestIdle := -1, -1
--- a/internal/control/connpool/connpool_test.go
+++ b/internal/control/connpool/connpool_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// seconds returns durations of whole seconds.
+// seconds converts whole numbers of seconds to durations.
 func seconds(counts ...int) []time.Duration {
 	durations := make([]time.Duration, 0, len(counts))
 	for _, count := range counts {
@@ -38,7 +38,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			decision := policy.Choose(test.idle, test.open, test.nonIdempotent)
 			if decision.Action != test.action || decision.Index != test.index || !slices.Equal(decision.Stale, test.stale) {
-				t.Errorf("got %+v, want action %d, index %d, stale %v", decision, test.action, test.index, test.stale)
+				t.Errorf("Choose returned %+v, want action %d, index %d, stale connections %v", decision, test.action, test.index, test.stale)
 			}
 		})
 	}
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,56 +6,59 @@
 	"heathshed/internal/control/clock"
 )
 
-// MultiplexedPolicy decides when connections to one node that carry many requests at a time are checked and closed.
+// MultiplexedPolicy decides when connections that carry many requests at a time to one node are checked or
+// closed.
 //
-// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow node, whose answer will still come,
-// from a connection that is open but dead.
+// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow
+// node, whose answer will still arrive, from a connection that is open but no longer works.
 type MultiplexedPolicy struct {
-	MaxIdle            time.Duration // a connection without a request for longer is closed if nothing is expected on it; 0 for never
-	HealthCheckAfter   time.Duration // a connection without traffic for longer is checked if something is expected on it
-	HealthCheckTimeout time.Duration // a connection is unresponsive if a health check or the rest of a message takes longer
+	MaxIdle            time.Duration // A connection is closed after this time without a request if that loses no message; 0 means never.
+	HealthCheckAfter   time.Duration // A connection that expects a message is checked after this time without traffic.
+	HealthCheckTimeout time.Duration // A connection is unresponsive if a health check or the rest of a message takes longer.
 }
 
-// DefaultMultiplexedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
-// idle connections.
+// DefaultMultiplexedPolicy returns a policy for nodes that answer health checks at once, over a network with
+// a latency of a few milliseconds. The policy does not close idle connections.
 func DefaultMultiplexedPolicy() MultiplexedPolicy {
 	return MultiplexedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 }
 
-// ConnState is the state of one such connection.
+// ConnState is the state of one connection to which a MultiplexedPolicy applies.
 type ConnState struct {
-	PendingRequests int           // unanswered
-	RunsTasks       bool          // the node runs tasks whose end it will report
-	HasAlternative  bool          // there is another connection to the node
-	LastSent        clock.Instant // when a request was last sent
-	LastReceived    clock.Instant // when anything last arrived
-	HealthCheckSent clock.Instant // when the unanswered health check was sent; zero if there is none
-	IncompleteSince clock.Instant // since when the last message has been incomplete; zero if it is not
+	PendingRequests int           // PendingRequests is the number of unanswered requests.
+	RunsTasks       bool          // The node runs tasks and will report when they end.
+	HasAlternative  bool          // There is another connection to the same node.
+	LastSent        clock.Instant // LastSent is when a request was last sent.
+	LastReceived    clock.Instant // LastReceived is when any data last arrived.
+	HealthCheckSent clock.Instant // HealthCheckSent is when the unanswered health check was sent, or zero if there is none.
+	IncompleteSince clock.Instant // IncompleteSince is when a message began that is still incomplete, or zero if there is none.
 }
 
-// Usable reports whether requests may be sent on the connection: not while a health check or the rest of a message is awaited.
+// Usable reports whether requests may be sent on the connection. A connection that awaits the answer to a
+// health check or the rest of a message is not usable.
 func (s ConnState) Usable() bool { return s.HealthCheckSent.IsZero() && s.IncompleteSince.IsZero() }
 
-// expectsMessage reports whether an answer or the end of a task is still to come.
+// expectsMessage reports whether the node still has to send an answer or report the end of a task.
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
 
-// closable reports whether closing the connection loses nothing.
+// closableWithoutLoss reports whether the connection can be closed without losing an answer or the report of
+// a task's end.
 func (s ConnState) closableWithoutLoss() bool {
 	return s.PendingRequests == 0 && (!s.RunsTasks || s.HasAlternative)
 }
 
-// KeepAliveAction is what to do with a connection.
+// KeepAliveAction is an action on a multiplexed connection.
 type KeepAliveAction uint8
 
-// The actions.
+// These are the actions that MultiplexedPolicy.KeepAlive returns.
 const (
 	NoAction          KeepAliveAction = iota
-	SendHealthCheck                   // send a health check
-	CloseIdle                         // close it: nothing is lost
-	CloseUnresponsive                 // close it: it is dead, and the outcome of its pending requests is unknown
+	SendHealthCheck                   // A health check is sent on the connection.
+	CloseIdle                         // The connection is closed, and no message is lost by that.
+	CloseUnresponsive                 // The connection does not work and is closed; the outcome of its pending requests is unknown.
 )
 
-// KeepAlive decides for one connection.
+// KeepAlive returns the action that is due on a connection at the given time.
 func (p MultiplexedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
 	if !s.IncompleteSince.IsZero() && now.Sub(s.IncompleteSince) > p.HealthCheckTimeout {
 		return CloseUnresponsive
@@ -75,15 +78,16 @@
 	return NoAction
 }
 
-// Reachability determines from messages and failed dials whether a node that runs tasks can be reached. If a node has crashed or is
-// partitioned, open connections fall silent and dials time out. If only its process has ended, it refuses connections.
+// Reachability determines whether a node that runs tasks can be reached, based on received messages and
+// failed dials. If a node has crashed or is cut off by a network partition, nothing arrives on open
+// connections and dials time out. If only the node's process has ended, the host refuses connections.
 type Reachability struct {
-	UnresponsiveAfter time.Duration // without any message while dials fail
-	ProcessEndedAfter time.Duration // of refused connections
+	UnresponsiveAfter time.Duration // A node is unresponsive after this time without a message while dials fail.
+	ProcessEndedAfter time.Duration // The process has ended if connections are refused for this time.
 
 	lastReceived  clock.Instant
-	refusedSince  clock.Instant // zero if the last dial was not refused
-	hasFailedDial bool          // since lastReceived
+	refusedSince  clock.Instant // The value is zero if the last dial was not refused.
+	hasFailedDial bool          // A dial has failed since lastReceived.
 }
 
 // Received records that a message arrived or that a connection was established.
@@ -93,7 +97,8 @@
 	r.hasFailedDial = false
 }
 
-// DialFailed records that a dial failed, and whether it was refused rather than left unanswered.
+// DialFailed records that a dial failed. The argument refused is true if the host refused the connection, and
+// false if the dial was not answered.
 func (r *Reachability) DialFailed(now clock.Instant, refused bool) {
 	if r.lastReceived.IsZero() {
 		r.lastReceived = now
@@ -107,18 +112,18 @@
 	}
 }
 
-// NodeStatus reports whether a node can be reached.
+// NodeStatus describes whether a node can be reached.
 type NodeStatus uint8
 
-// The statuses.
+// These are the statuses that Reachability.Status returns.
 const (
 	Reachable    NodeStatus = iota
-	ProcessEnded            // it refuses connections: its process has ended, and all tasks with it
-	Unresponsive            // it does not answer; its tasks may still run
+	ProcessEnded            // The host refuses connections, so the node's process and all its tasks have ended.
+	Unresponsive            // The node does not answer, but its tasks may still run.
 )
 
-// Status returns the status of the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
-// nothing to report.
+// Status returns the status of the node at the given time. A node is unresponsive only if a dial has failed,
+// because a node that was not dialed may simply have had nothing to report.
 func (r *Reachability) Status(now clock.Instant) NodeStatus {
 	switch {
 	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.ProcessEndedAfter:
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// at returns the instant that a test counts so many seconds.
+// at returns the instant that lies the given number of seconds after the Unix epoch.
 func at(seconds float64) clock.Instant { return clock.FromUnixSeconds(placer.Seconds(seconds)) }
 
 func TestKeepAlive(t *testing.T) {
@@ -30,7 +30,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := policy.KeepAlive(at(100), test.state); got != test.want {
-				t.Errorf("got %d, want %d", got, test.want)
+				t.Errorf("KeepAlive returned action %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -41,24 +41,24 @@
 	node.Received(at(100))
 	node.DialFailed(at(101), false)
 	if node.Status(at(105.9)) != Reachable || node.Status(at(106.1)) != Unresponsive {
-		t.Error("dials time out: want unresponsive 6 s after the last message")
+		t.Error("while dials time out, the node must become unresponsive 6 s after its last message")
 	}
 	node.Received(at(107))
 	node.DialFailed(at(108), true)
 	if node.Status(at(108.9)) != Reachable || node.Status(at(109.1)) != ProcessEnded {
-		t.Error("dials are refused: want the process ended after 1 s")
+		t.Error("while dials are refused, the process must count as ended after 1 s")
 	}
-	node.DialFailed(at(109), false) // a timeout says nothing about the process
+	node.DialFailed(at(109), false) // A timeout does not show that the process has ended.
 	if node.Status(at(110)) != Reachable {
-		t.Error("want a timeout to end the refusals")
+		t.Error("a dial that times out must end the period of refused dials")
 	}
 	node.Received(at(200))
 	if node.Status(at(300)) != Reachable {
-		t.Error("want a node that was not dialed to be reachable")
+		t.Error("a node that was not dialed must count as reachable")
 	}
 	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	neverReached.DialFailed(at(50), false)
 	if neverReached.Status(at(55)) != Reachable || neverReached.Status(at(57)) != Unresponsive {
-		t.Error("no message ever: want unresponsive 6 s after the first failed dial")
+		t.Error("a node that never sent a message must become unresponsive 6 s after the first failed dial")
 	}
 }
