--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,42 +2,44 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is what a user without any memory may always allocate, in bytes, so that one small event or response never waits for other
-// users.
+// MinAllowance is the number of bytes that a user without memory may always allocate, so that one small event
+// or response never waits for other users.
 const MinAllowance = 4 << 10
 
-// Budget is memory shared by users, in bytes. The zero value is not usable; see New.
+// Budget is an amount of memory, in bytes, that several users share. The zero value is not usable; New
+// creates a Budget.
 type Budget struct {
 	total, used int64
 	users       map[uint64]*userState
 
-	// Evicted counts the users that UserToEvict has returned.
+	// Evicted is the number of users that UserToEvict has returned.
 	Evicted uint64
 }
 
 type userState struct {
 	used         int64
-	lastShrunkAt clock.Instant // when its use last decreased, or when it was added
+	lastShrunkAt clock.Instant // The memory of the user last decreased, or the user was added, at this time.
 }
 
-// New returns a budget of a number of bytes without users. Less than MinAllowance counts as MinAllowance.
+// New returns a budget with the given number of bytes and without users. A value below MinAllowance counts as
+// MinAllowance.
 func New(total int64) *Budget {
 	return &Budget{total: max(total, MinAllowance), users: map[uint64]*userState{}}
 }
 
-// Used is the number of bytes that all users together use.
+// Used returns the number of bytes that all users together use.
 func (b *Budget) Used() int64 { return b.used }
 
-// Total is the number of bytes that all users together may use.
+// Total returns the number of bytes that all users together may use.
 func (b *Budget) Total() int64 { return b.total }
 
-// Users is the number of users.
+// Users returns the number of users.
 func (b *Budget) Users() int { return len(b.users) }
 
 // Add adds a user that uses no memory yet. The id must not be in use.
 func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &userState{lastShrunkAt: now} }
 
-// Remove removes a user and frees what it uses. An unknown user is ignored.
+// Remove removes a user and frees its memory. It ignores an unknown user.
 func (b *Budget) Remove(id uint64) {
 	if user := b.users[id]; user != nil {
 		b.used -= user.used
@@ -45,7 +47,8 @@
 	}
 }
 
-// Available is how many more bytes a user may allocate if it can defer the allocation: 0 for an unknown user.
+// Available returns how many more bytes a user may allocate, if it can defer the allocation. It returns 0 for
+// an unknown user.
 func (b *Budget) Available(id uint64) int64 {
 	user := b.users[id]
 	if user == nil {
@@ -58,7 +61,7 @@
 	return max(available, 0)
 }
 
-// SetUsed records how many bytes a user uses now. An unknown user is ignored.
+// SetUsed records how many bytes a user currently uses. It ignores an unknown user.
 func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
 	user := b.users[id]
 	if user == nil {
@@ -71,7 +74,8 @@
 	user.used = used
 }
 
-// UserToEvict returns a user to evict because more is used than there is, and false if all fits. The caller removes the user and calls again.
+// UserToEvict selects a user to evict if more memory is used than the total, and returns false otherwise. The
+// caller removes the selected user and calls UserToEvict again.
 func (b *Budget) UserToEvict() (id uint64, over bool) {
 	if b.used <= b.total {
 		return 0, false
@@ -82,7 +86,8 @@
 		if user.used <= largest/2 {
 			continue
 		}
-		// The choice does not depend on the order of the map: among users that shrank at the same time the lowest id is chosen.
+		// Among users whose memory last decreased at the same time, the one with the lowest id is selected,
+		// so that the selection does not depend on the iteration order of the map.
 		shrankEarlier := user.lastShrunkAt < oldest || user.lastShrunkAt == oldest && candidate < id
 		if !over || shrankEarlier {
 			id = candidate
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -12,8 +12,11 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization pins shares, allowances and evictions over seeded inputs. Regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterization compares shares, available memory and evictions for seeded random inputs with a golden
+// file.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
@@ -42,7 +45,7 @@
 		now += clock.Instant(random.IntN(2))
 		switch random.IntN(8) {
 		case 0, 1:
-			budget.Remove(id) // a user is added once
+			budget.Remove(id) // The user is removed first, because an id must not be added twice.
 			budget.Add(now, id)
 		case 2:
 			budget.Remove(id)
--- a/internal/control/memquota/eviction.go
+++ b/internal/control/memquota/eviction.go
@@ -4,13 +4,15 @@
 
 // Candidate is a connection that may be evicted to free a connection slot.
 type Candidate struct {
-	Busy        bool          // a request is in flight on it
-	Established bool          // a request on it has completed successfully
-	Idle        time.Duration // since its last valid message
+	Busy        bool          // A request is in flight on the connection.
+	Established bool          // A request on the connection has completed successfully.
+	Idle        time.Duration // Idle is the time since the last valid message on the connection.
 }
 
-// SelectEviction returns the index of the candidate to evict when a connection slot is needed: never a busy one, candidates that are not
-// established before those that are, and among these the longest idle, the first of equals. It returns -1 if all are busy.
+// SelectEviction returns the index of the candidate to evict when a connection slot is needed, or -1 if all
+// candidates are busy. It never selects a busy candidate, and it selects candidates that are not established
+// before those that are. Among the remaining ones it selects the candidate with the longest idle time, and
+// the first of several with equal idle times.
 func SelectEviction(candidates []Candidate) int {
 	selected := -1
 	for i, candidate := range candidates {
@@ -24,7 +26,7 @@
 	return selected
 }
 
-// evictedBefore reports whether c is to be evicted rather than other. Neither is busy.
+// evictedBefore reports whether c is to be evicted rather than other. Both candidates must not be busy.
 func (c Candidate) evictedBefore(other Candidate) bool {
 	if c.Established != other.Established {
 		return other.Established
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -12,13 +12,14 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "300") }
 
-// TestBudget plays users that allocate what is available, and some that allocate more: what is used never exceeds the total once those over
-// quota are removed, none is removed because of one that uses less than half as much, a user without memory may always allocate, and nothing is
-// used when all are removed.
+// TestBudget simulates users that allocate the memory available to them and users that allocate more. It
+// checks four properties: the users fit into the total after UserToEvict has selected no further user, no
+// user is evicted because of a user with less than half its memory, a user without memory can always
+// allocate, and no memory counts as used after all users are removed.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newBudgetModel(t)
-		for range rapid.IntRange(1, 200).Draw(t, "n") {
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			model.step()
 			model.evict()
 			model.checkSums()
@@ -27,12 +28,13 @@
 			model.budget.Remove(id)
 		}
 		if model.budget.Used() != 0 {
-			t.Fatalf("%d used without users", model.budget.Used())
+			t.Fatalf("%d bytes count as used although there are no users", model.budget.Used())
 		}
 	})
 }
 
-// budgetPlay is a budget with users that allocate at random, and a record of what each of them uses.
+// budgetModel is a budget with users that allocate at random, together with a record of the memory of each
+// user.
 type budgetModel struct {
 	*rapid.T
 	budget *Budget
@@ -47,29 +49,29 @@
 	return &budgetModel{T: t, budget: New(total), total: total, used: map[uint64]int64{}}
 }
 
-// step adds a user, or has one that was added do something.
+// step adds a user, or lets an existing user change its memory or leave.
 func (model *budgetModel) step() {
-	model.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(model.T, "dt"))
-	if len(model.used) == 0 || rapid.IntRange(0, 3).Draw(model.T, "join") == 0 {
+	model.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(model.T, "elapsed"))
+	if len(model.used) == 0 || rapid.IntRange(0, 3).Draw(model.T, "add user") == 0 {
 		model.lastID++
 		model.budget.Add(model.now, model.lastID)
 		model.used[model.lastID] = 0
 		return
 	}
-	id := uint64(rapid.IntRange(1, int(model.lastID)).Draw(model.T, "who"))
+	id := uint64(rapid.IntRange(1, int(model.lastID)).Draw(model.T, "user"))
 	used, ok := model.used[id]
 	if !ok {
 		if model.budget.Available(id) != 0 {
-			model.Fatal("memory available to a user that was removed")
+			model.Fatal("memory is available to a user that was removed")
 		}
 		return
 	}
-	switch rapid.IntRange(0, 3).Draw(model.T, "what") {
+	switch rapid.IntRange(0, 3).Draw(model.T, "operation") {
 	case 0:
 		model.allocateAvailable(id, used)
-	case 1: // it allocates more
+	case 1: // The user allocates more than is available.
 		model.setUsed(id, used+rapid.Int64Range(0, model.total).Draw(model.T, "bytes"))
-	case 2: // half of it is read
+	case 2: // Half of the user's memory is freed.
 		model.setUsed(id, used/2)
 	case 3:
 		model.remove(id)
@@ -79,12 +81,12 @@
 func (model *budgetModel) allocateAvailable(id uint64, used int64) {
 	available := model.budget.Available(id)
 	if used == 0 && available < min(MinAllowance, model.total) {
-		model.Fatalf("only %d bytes available to a user that holds nothing", available)
+		model.Fatalf("only %d bytes are available to a user without memory", available)
 	}
 	before := model.budget.Used()
 	model.setUsed(id, used+available)
 	if used > 0 && before <= model.total && model.budget.Used() > model.total {
-		model.Fatalf("granted %d of %d", model.budget.Used(), model.total)
+		model.Fatalf("users with deferrable allocations use %d bytes of a total of %d", model.budget.Used(), model.total)
 	}
 }
 
@@ -98,12 +100,13 @@
 	delete(model.used, id)
 }
 
-// evict removes the users over quota, none of which may use less than half as much as another.
+// evict removes the users that the budget selects. It checks that no other user has more than twice the
+// memory of a selected user.
 func (model *budgetModel) evict() {
 	for id, over := model.budget.UserToEvict(); over; id, over = model.budget.UserToEvict() {
 		for other, used := range model.used {
 			if used > 2*model.used[id]+1 {
-				model.Fatalf("user %d is evicted with %d bytes while user %d holds %d", id, model.used[id], other, used)
+				model.Fatalf("user %d is evicted with %d bytes while user %d uses %d bytes", id, model.used[id], other, used)
 			}
 		}
 		model.remove(id)
@@ -116,11 +119,12 @@
 		sum += used
 	}
 	if sum != model.budget.Used() || sum > model.total || len(model.used) != model.budget.Users() {
-		model.Fatalf("%d used, budget says %d of %d", sum, model.budget.Used(), model.total)
+		model.Fatalf("users use %d bytes, but the budget reports %d of a total of %d", sum, model.budget.Used(), model.total)
 	}
 }
 
-// TestDynamicThresholdAvoidsEvictions checks that however many users allocate all that is available, none has to be evicted.
+// TestDynamicThresholdAvoidsEvictions checks that no user has to be evicted, however many users allocate all
+// the memory available to them.
 func TestDynamicThresholdAvoidsEvictions(t *testing.T) {
 	const users = uint64(4000)
 	budget := New(128 << 20)
@@ -135,7 +139,7 @@
 		}
 	}
 	if _, over := budget.UserToEvict(); over || budget.Used() < 100<<20 {
-		t.Errorf("%d used of %d, over %v", budget.Used(), budget.Total(), over)
+		t.Errorf("%d bytes used of a total of %d, user to evict: %v", budget.Used(), budget.Total(), over)
 	}
 }
 
@@ -145,7 +149,7 @@
 		shares := Divide(memory)
 		isPositive := shares.Connections > 0 && shares.History > 0 && shares.Objects > 0
 		if sum := shares.Connections + shares.History + shares.Objects; !isPositive || sum > memory {
-			t.Fatalf("%+v of %d", shares, memory)
+			t.Fatalf("shares %+v must be positive and fit into %d bytes", shares, memory)
 		}
 	})
 }
