--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -15,8 +15,11 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
-// part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterization compares the results for inputs around each limit, and for seeded random mutations of
+// them, with a golden file. The results include the error texts, because clients receive them.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	object := decodelimit.ObjectLimits()
 	record := goldentest.NewRecorder()
@@ -97,7 +100,8 @@
 		`{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
 }
 
-// messages are binary messages: flat, nested, cut short, with quantities and with numbers of each encoding.
+// protoMessages returns protobuf messages that are flat, nested or truncated, with quantities and with
+// numbers of each wire type.
 func protoMessages() [][]byte {
 	var encoded [][]byte
 	for _, quantity := range quantities {
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -1,9 +1,10 @@
 package decodelimit
 
-// maxNesting is the deepest nesting that a jsonScanner can follow; Limits.Depth is no more than that.
+// maxNesting is the greatest nesting depth that a jsonScanner can track. A greater value of Limits.Depth
+// counts as maxNesting.
 const maxNesting = 1023
 
-// freeTextFields are names under which a string is free text and never a quantity.
+// freeTextFields contains the names of object members whose strings are free text and never quantities.
 var freeTextFields = map[string]bool{
 	"annotations":  true,
 	"args":         true,
@@ -18,8 +19,8 @@
 	"values":       true,
 }
 
-// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not validate the text, which the decoder
-// does: a text without an error is safe to decode.
+// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not
+// validate the JSON syntax, which the decoder does. A text that passes the check is safe to decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// jsonScanner walks the tokens of a text once. It tolerates what is not JSON.
+// jsonScanner scans the tokens of a text in a single pass. It tolerates text that is not valid JSON.
 type jsonScanner struct {
 	text     []byte
 	limits   Limits
@@ -42,9 +43,9 @@
 
 	depth         int
 	values        int
-	freeTextDepth int    // depth of the outermost object or array of free text, 0 if none
-	memberName    []byte // of the next value, nil in an array
-	expectsName   bool   // the next string is a name
+	freeTextDepth int    // This is the depth of the outermost object or array of free text, or 0 if there is none.
+	memberName    []byte // This is the name of the object member that the next value belongs to, or nil.
+	expectsName   bool   // The next string is the name of an object member.
 	inObject      [maxNesting + 1]bool
 }
 
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// open enters an object or an array.
+// open processes the beginning of an object or an array at the given offset.
 func (s *jsonScanner) open(offset int) *Error {
 	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return err
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// close leaves an object or an array.
+// close processes the end of an object or an array.
 func (s *jsonScanner) close() {
 	if s.depth > 0 {
 		if s.freeTextDepth == s.depth {
@@ -109,7 +110,7 @@
 	s.expectsName = false
 }
 
-// separate moves on to the next member or element. The elements of a named array keep its name.
+// nextMember processes a comma. Inside an object, the next string is then expected to be a member name.
 func (s *jsonScanner) nextMember() {
 	s.expectsName = s.inObject[s.depth]
 	if s.expectsName {
@@ -117,7 +118,8 @@
 	}
 }
 
-// scanString scans the string, a name or a value, that begins at a quote, and returns the offset after it.
+// scanString scans a string, which is a member name or a value. The string begins with the quote at the given
+// offset. The result next is the offset after the string.
 func (s *jsonScanner) scanString(offset int) (next int, err *Error) {
 	text := s.text
 	end := offset + 1
@@ -142,7 +144,8 @@
 	return end + 1, err
 }
 
-// scanNumber scans the number that begins at an offset and returns the offset after it.
+// scanNumber scans the number that begins at the given offset. The result next is the offset after the
+// number.
 func (s *jsonScanner) scanNumber(offset int) (next int, err *Error) {
 	text := s.text
 	end := offset + 1
@@ -166,7 +169,8 @@
 	return false
 }
 
-// scanLiteral scans true, false or null, or any other run of lower-case letters, and returns the offset after it.
+// scanLiteral scans true, false, null or any other run of lower-case letters. The result next is the offset
+// after it.
 func (s *jsonScanner) scanLiteral(offset int) (next int, err *Error) {
 	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -1,24 +1,27 @@
-// Package decodelimit checks, before a text is decoded, whether decoding it may cost more than a stated bound: nesting depth, number of
-// values, length of numbers, and quantities whose exponents are short to write and expensive to compute with.
+// Package decodelimit checks encoded input before it is decoded, and rejects input whose decoding may exceed
+// a cost limit. The limits cover the nesting depth, the number of values, the length of numbers, and
+// quantities with large exponents, which are short to write and expensive to compute with.
 //
-// The API server calls CheckJSON and CheckProto on request bodies, and package reflector on what it receives, before decoding.
+// The API server calls CheckJSON and CheckProto on request bodies before it decodes them. Package reflector
+// does the same with the data that it receives.
 //
-// It is pure, imports nothing of the project, and allocates no memory that grows with its input.
+// The package has no side effects, imports no other package of this module, and allocates no memory that
+// grows with its input.
 package decodelimit
 
 import "fmt"
 
-// Limits bound one text. A field of 0 means no limit.
+// Limits are upper bounds for one input. A field with the value 0 means that there is no limit.
 type Limits struct {
-	Bytes        int // of the whole text
-	Depth        int // of nested objects and arrays, or messages
-	Values       int // objects, arrays, strings, numbers and literals; names do not count
-	NumberLength int // characters of a number
-	Exponent     int // largest magnitude of a decimal exponent in a number or a quantity
-	Digits       int // digits of a quantity written as a string
+	Bytes        int // Bytes limits the length of the whole input.
+	Depth        int // Depth limits how deep objects and arrays, or protobuf messages, are nested.
+	Values       int // Values limits the number of objects, arrays, strings, numbers and literals; names do not count.
+	NumberLength int // NumberLength limits the number of characters of a number.
+	Exponent     int // Exponent limits the magnitude of a decimal exponent in a number or a quantity.
+	Digits       int // Digits limits the number of digits of a quantity that is written as a string.
 }
 
-// ObjectLimits returns the limits of one object of the Kubernetes API.
+// ObjectLimits returns the limits for one object of the Kubernetes API.
 func ObjectLimits() Limits {
 	return Limits{
 		Bytes:        3 << 20,
@@ -30,10 +33,11 @@
 	}
 }
 
-// Bound names a limit that a text exceeds, as clients read it.
+// Bound is the kind of limit that an input exceeds. Its text is part of the error message that clients
+// receive.
 type Bound string
 
-// The bounds.
+// These are the kinds of limits that an Error can report.
 const (
 	TooManyBytes     Bound = "too many bytes"
 	TooManyValues    Bound = "too many values"
@@ -44,22 +48,23 @@
 	ExponentTooLarge Bound = "exponent too large in a quantity"
 )
 
-// Error reports a text that exceeds a limit.
+// Error reports an input that exceeds a limit.
 type Error struct {
 	Bound  Bound
-	Limit  int // the limit that it exceeds
-	Offset int // byte at which it does
+	Limit  int // Limit is the value of the exceeded limit.
+	Offset int // Offset is the position, in bytes, at which the input exceeds the limit.
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s at byte %d: at most %d", e.Bound, e.Offset, e.Limit)
 }
 
-// TooLarge reports whether the text exceeds a limit of size rather than of form.
+// TooLarge reports whether the input exceeds a limit on its size, rather than on its structure or its
+// numbers.
 func (e *Error) TooLarge() bool { return e.Bound == TooManyBytes || e.Bound == TooManyValues }
 
-// checkBytes checks the length of a text.
+// checkBytes checks the length of an input.
 func (l *Limits) checkBytes(text []byte) *Error {
 	if l.Bytes > 0 && len(text) > l.Bytes {
 		return &Error{TooManyBytes, l.Bytes, l.Bytes}
@@ -67,7 +72,7 @@
 	return nil
 }
 
-// countValue counts one more value, at an offset in the text.
+// countValue counts one more value and returns an error for the given offset if there are too many.
 func (l *Limits) countValue(values *int, offset int) *Error {
 	*values++
 	if l.Values > 0 && *values > l.Values {
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -2,11 +2,12 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// anyFieldNumber is passed as the number of a field where only its wire type matters.
+// anyFieldNumber is a placeholder for the number of a field when only the field's wire type matters.
 const anyFieldNumber = 1
 
-// CheckProto checks a message in the protobuf encoding and returns an *Error if it exceeds a limit. Without a schema, a string cannot be
-// distinguished from a nested message, so a field is checked as both: as a quantity, and as a message if it is well formed as one.
+// CheckProto checks a protobuf message and returns an *Error if it exceeds a limit. Without a schema, a
+// string cannot be distinguished from a nested message. A length-delimited field is therefore checked as a
+// quantity, and also as a message if it is well-formed as one.
 func CheckProto(message []byte, limits Limits) error {
 	if err := limits.checkBytes(message); err != nil {
 		return err
@@ -18,13 +19,14 @@
 	return nil
 }
 
-// messageScanner walks a message and those nested in it.
+// messageScanner scans a message and the messages nested in it.
 type messageScanner struct {
 	limits Limits
 	values int
 }
 
-// scan scans one message, at an offset in the whole text. wellFormed reports whether the text is a message to its end; err is nil if it is not.
+// scan scans one message that begins at the given offset in the whole input. The result wellFormed reports
+// whether all of the bytes form a message; err is nil if they do not.
 func (s *messageScanner) scan(message []byte, depth, offset int) (wellFormed bool, err *Error) {
 	if s.limits.Depth > 0 && depth > s.limits.Depth {
 		return true, &Error{MessagesTooDeep, s.limits.Depth, offset}
@@ -36,7 +38,7 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		var value []byte // stays empty for a field that is not length-delimited
+		var value []byte // The value stays empty for a field that is not length-delimited.
 		if wireType == protowire.BytesType {
 			value, n = protowire.ConsumeBytes(rest)
 		} else {
@@ -46,7 +48,7 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		if err == nil { // after an error it remains to check whether the message is well formed
+		if err == nil { // After an error, the scan only has to determine whether the message is well-formed.
 			err = s.checkField(value, depth, fieldOffset)
 		}
 	}
@@ -67,7 +69,7 @@
 	valuesBefore := s.values
 	wellFormed, err := s.scan(value, depth+1, offset)
 	if !wellFormed {
-		s.values = valuesBefore // it is a string, not a message
+		s.values = valuesBefore // The field is a string rather than a message, so the values counted in it are discarded.
 	}
 	return err
 }
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -3,20 +3,21 @@
 import "bytes"
 
 const (
-	// maxUnitLength is the length of the longest unit of a quantity. A number with more after it is no quantity but, for instance, a UID
-	// that begins with digits.
+	// maxUnitLength is the length of the longest unit of a quantity. Digits that are followed by a longer
+	// text are not a quantity but, for example, the beginning of a UID.
 	maxUnitLength = 3
-	// exponentCap keeps the parsed exponent from overflowing.
+	// maxParsedExponent limits the exponent during parsing, so that it does not overflow.
 	maxParsedExponent = 1 << 30
-	// maxEscaped is the longest text whose escapes are undone to be checked. A longer one is rejected.
+	// maxEscapedLength is the greatest length that a text may have after its JSON escapes are decoded. A
+	// longer text with escapes is rejected.
 	maxEscapedLength = 256
 )
 
-// CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. A text that is not a number
-// passes. A number with a backslash in it is checked with its escapes undone.
+// CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. It
+// accepts a text that is not a number. It decodes JSON escapes in a number before it checks the number.
 func CheckQuantity(text []byte, limits Limits) *Error { return checkQuantity(text, &limits) }
 
-// checkQuantityAt checks a quantity at an offset in a larger text.
+// checkQuantityAt checks a quantity that begins at the given offset of the whole input.
 func checkQuantityAt(text []byte, limits *Limits, offset int) *Error {
 	err := checkQuantity(text, limits)
 	if err != nil {
@@ -27,9 +28,9 @@
 
 func checkQuantity(text []byte, limits *Limits) *Error {
 	if len(text) > 0 && isLetter(text[0]) {
-		return nil // most strings are names
+		return nil // Most strings are names, which begin with a letter.
 	}
-	text = bytes.TrimSpace(text) // as the decoder of quantities does
+	text = bytes.TrimSpace(text) // The decoder of quantities trims white space as well.
 	start := signLength(text)
 	digits := mantissaLength(text[start:])
 	end := start + digits
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// checkExponent checks the rest of a quantity after its "e".
+// checkExponent checks the exponent of a quantity. The argument rest is the part of the text after the letter
+// "e".
 func checkExponent(text, rest []byte, limits *Limits) *Error {
 	exponent := 0
 	end := signLength(rest)
@@ -69,7 +71,7 @@
 	if rest[end] == '\\' {
 		return checkEscapedQuantity(text, limits)
 	}
-	return nil // no number to its end: 144e1135-fce3 is the beginning of a UID
+	return nil // The text is not a number: for example, 144e1135-fce3 is the beginning of a UID.
 }
 
 func signLength(text []byte) int {
@@ -79,7 +81,7 @@
 	return 0
 }
 
-// mantissaLength is the length of the digits and points that a text begins with.
+// mantissaLength returns the length of the leading digits and decimal points of a text.
 func mantissaLength(text []byte) int {
 	length := 0
 	for length < len(text) && (isDigit(text[length]) || text[length] == '.') {
@@ -92,7 +94,8 @@
 
 func isLetter(c byte) bool { return c|32 >= 'a' && c|32 <= 'z' }
 
-// checkEscapedQuantity checks a quantity with its JSON escapes undone. One that is too long for that is rejected.
+// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the result. It rejects a text whose
+// decoded form is longer than maxEscapedLength.
 func checkEscapedQuantity(text []byte, limits *Limits) *Error {
 	var plain [maxEscapedLength]byte
 	n, ok := unescape(&plain, text)
@@ -102,8 +105,9 @@
 	return checkQuantity(plain[:n], limits)
 }
 
-// unescape copies a text with its JSON escapes undone and returns the length, or false if it is too long. Only ASCII digits, signs and
-// letters matter: anything else becomes a character that occurs in no number, and never a backslash.
+// unescape decodes the JSON escapes of a text into out. It returns the decoded length, or false if the result
+// does not fit. Only ASCII digits, signs and letters matter to the caller. Any other escape becomes a
+// character that occurs in no number, and never a backslash.
 func unescape(out *[maxEscapedLength]byte, text []byte) (n int, ok bool) {
 	for i := 0; i < len(text); n++ {
 		if n == len(out) {
@@ -124,7 +128,8 @@
 	return n, true
 }
 
-// unescapeHex returns the character of four hexadecimal digits, by the rules of unescape.
+// unescapeHex returns the character for the four hexadecimal digits of a \u escape. It returns a question
+// mark for a backslash, and the character 0x7f for a value outside ASCII.
 func unescapeHex(digits []byte) byte {
 	value := 0
 	for _, c := range digits {
