--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,27 +1,29 @@
-// Package admission decides which placement requests are passed on to the placer when clients request more than the fleet can start: how
-// many requests may be in flight (a learned concurrency limit), whose request is next (tenant shares, then priority), which requests are
-// shed because they could no longer start in time, and how many may be retries (a retry budget).
+// Package admission decides which placement requests are passed on to the placer when clients request more
+// tasks than the cluster can start. It decides four things: how many requests may be in flight (an adaptive
+// concurrency limit), which request is admitted next (by tenant shares, then by priority), which requests are
+// shed because they could no longer start in time, and how many of the admitted requests may be retries (a
+// retry budget).
 //
-// The engine of the Kubernetes front owns the Controller. Begin with Controller.Submit and Controller.Poll, which take a request through the
-// fairQueue, the limiter and the retryBudget.
+// Package engine, which schedules for the Kubernetes API, owns a Controller. Controller.Submit and
+// Controller.Poll take a request through the fairQueue, the limiter and the retryBudget.
 //
-// It is pure: time is passed in, and there is no randomness. It does not decide where a task runs. A Controller is not safe for concurrent
-// use.
+// The package reads no clock and draws no random numbers: callers pass in the time. It does not decide on
+// which node a task runs. A Controller is not safe for concurrent use.
 package admission
 
 import "heathshed/placer"
 
-// Decision is what becomes of a submitted request.
+// Decision is the result of the submission of a request.
 type Decision uint8
 
-// The decisions.
+// These are the decisions that Controller.Submit returns.
 const (
-	Admit Decision = iota // send it to the placer now
-	Queue                 // it is queued; a later Poll admits or sheds it
-	Shed                  // it is rejected; the client may submit another one after ShedRequest.RetryAfter
+	Admit Decision = iota // The request is to be sent to the placer now.
+	Queue                 // The request is queued, and a later call of Poll admits or sheds it.
+	Shed                  // The request is rejected, and the client may submit a new one after ShedRequest.RetryAfter.
 )
 
-// Controller is an admission controller. The zero value is not usable; see New.
+// Controller is an admission controller. The zero value is not usable; New creates a Controller.
 type Controller struct {
 	cfg     Config
 	limiter limiter
@@ -29,21 +31,22 @@
 	budget  retryBudget
 	rate    admissionRate
 
-	// Admitted counts requests that were admitted, at once or from the queue.
+	// Admitted is the number of requests that were admitted, either at submission or from the queue.
 	Admitted uint64
-	// Queued counts requests that were queued when they were submitted.
+	// Queued is the number of requests that were queued at submission.
 	Queued uint64
-	// Demoted counts queued requests that were demoted at their Deadline.
+	// Demoted is the number of queued requests that were demoted because they could no longer start before
+	// their Deadline.
 	Demoted uint64
-	// ShedLate counts requests that were shed because they could no longer start in time.
+	// ShedLate is the number of requests that were shed because they could no longer start in time.
 	ShedLate uint64
-	// ShedFull counts requests that were shed because the queue was full.
+	// ShedFull is the number of requests that were shed because the queue was full.
 	ShedFull uint64
-	// ShedRetry counts retries that were shed because the retry budget was used up.
+	// ShedRetry is the number of retries that were shed because the retry budget was used up.
 	ShedRetry uint64
 }
 
-// New returns a controller, or a *ConfigError.
+// New returns a Controller with the given settings, or a *ConfigError if a setting is out of range.
 func New(cfg Config) (*Controller, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -53,10 +56,10 @@
 	return controller, nil
 }
 
-// RetryBudget returns how many retries may be admitted at once.
+// RetryBudget returns the number of retries that may currently be admitted.
 func (c *Controller) RetryBudget() float64 { return c.budget.tokens }
 
-// Limit returns the current limit on requests in flight.
+// Limit returns the current limit on the number of requests in flight.
 func (c *Controller) Limit() float64 { return c.limiter.limit }
 
 // InFlight returns the number of admitted requests that have not completed.
@@ -65,10 +68,11 @@
 // QueueLength returns the number of requests that wait for admission.
 func (c *Controller) QueueLength() int { return c.queue.len() }
 
-// Submit decides about a new request. If it is queued, a later Poll returns it; if it is shed, the ShedRequest says why.
+// Submit decides whether a new request is admitted, queued or shed. A later call of Poll returns a queued
+// request. For a shed request, the returned ShedRequest states the reason.
 func (c *Controller) Submit(now placer.Seconds, request Request) (Decision, ShedRequest) {
 	if c.cfg.Disabled {
-		c.admit(now, &request, false) // the retry budget does not apply
+		c.admit(now, &request, false) // The retry budget does not apply while admission control is disabled.
 		return Admit, ShedRequest{}
 	}
 	c.budget.refill(now)
@@ -96,7 +100,7 @@
 	return Queue, ShedRequest{}
 }
 
-// admissible reports whether an arriving request may be admitted at once.
+// canAdmitNow reports whether a new request may be admitted without waiting in the queue.
 func (c *Controller) canAdmitNow(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
@@ -129,8 +133,8 @@
 	c.Admitted++
 }
 
-// Complete records the outcome of an admitted request: whether its task was placed. The concurrency limit and the retry budget adapt to it.
-// An unknown request is ignored.
+// Complete records the outcome of an admitted request; placed reports whether its task was placed. The
+// concurrency limit and the retry budget adapt to the outcome. Complete ignores an unknown request.
 func (c *Controller) Complete(now placer.Seconds, id uint64, placed bool) {
 	request, ok := c.limiter.inFlight[id]
 	if !ok {
@@ -142,7 +146,8 @@
 	c.limiter.complete(now, id, request, placed)
 }
 
-// Cancel removes a request, queued or in flight. The concurrency limit and the retry budget do not adapt to it. An unknown request is ignored.
+// Cancel removes a request that is queued or in flight. The concurrency limit and the retry budget do not
+// adapt to it. Cancel ignores an unknown request.
 func (c *Controller) Cancel(id uint64) {
 	if request := c.limiter.inFlight[id]; request != nil {
 		c.limiter.remove(id, request)
@@ -152,15 +157,15 @@
 	}
 }
 
-// Poll returns the queued requests that are admitted now, in order, and those that are shed because they could no longer start before their
-// final deadline.
+// Poll returns the queued requests that are admitted now, in order of admission. It also returns the queued
+// requests that are shed because they could no longer start before their final deadline.
 func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
 	shed = c.processExpired(now)
 	for c.queue.len() > 0 && c.limiter.hasCapacity(now) {
 		tenant := c.queue.nextTenant(c.budget.hasToken())
 		if tenant == nil {
-			break // only retries are queued, and the budget is used up
+			break // Only retries are queued, and the retry budget is used up.
 		}
 		entry := tenant.next(now)
 		c.queue.remove(entry)
@@ -171,7 +176,8 @@
 	return admitted, shed
 }
 
-// expire demotes or sheds the queued requests that have expired.
+// processExpired demotes or sheds the queued requests whose expiry time has passed, and returns those that it
+// shed.
 func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
@@ -185,8 +191,9 @@
 	return shed
 }
 
-// demote queues a request that can no longer start in time, but whose client still waits, behind those that can. It returns false if the
-// client no longer waits.
+// demoteExpired handles a queued request that can no longer start before its deadline. If the client still
+// waits, it moves the request behind the requests that can start in time and returns true. Otherwise it
+// returns false.
 func (c *Controller) demoteExpired(now placer.Seconds, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
 	clientWaits := latest > now
@@ -201,7 +208,7 @@
 	return true
 }
 
-// countExpired counts a request that is about to be shed and returns the reason.
+// recordExpired counts an expired request that is about to be shed and returns the reason for shedding it.
 func (c *Controller) recordExpired(entry *queuedRequest) string {
 	if entry.IsRetry && !c.budget.hasToken() {
 		c.ShedRetry++
@@ -211,7 +218,8 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the time by which Poll should be called even if no request completes: infinity if nothing is queued.
+// NextDeadline returns the time by which Poll has to be called even if no request completes. It returns
+// infinity if nothing is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, "200") }
 
-// newController returns a controller with the default settings, which the functions may change.
+// newController returns a controller with the default settings, to which it first applies the given changes.
 func newController(t *testing.T, changes ...func(config *Config)) *Controller {
 	t.Helper()
 	config := DefaultConfig()
@@ -24,18 +24,19 @@
 	return controller
 }
 
-// TestAdmissionFollowsShares checks that under steady overload tenants are admitted by their shares, however much they request, and that what one does not
-// use is divided among the others.
+// TestAdmissionFollowsShares checks that under steady overload the admissions of each tenant are in
+// proportion to its share, however many requests it submits. It also checks that the unused share of a tenant
+// is divided among the others.
 func TestAdmissionFollowsShares(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		rate []int // requests of each tenant per turn
+		rate []int // Each tenant submits this number of requests per round.
 		want []float64
 	}{
-		{"all exceed their shares", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
-		{"one bursts", []int{7, 4, 90}, []float64{0.6, 0.3, 0.1}},
-		{"one is idle", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
-		{"one uses less than its share", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
+		{"all tenants exceed their shares", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
+		{"one tenant submits a burst", []int{7, 4, 90}, []float64{0.6, 0.3, 0.1}},
+		{"one tenant is idle", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
+		{"one tenant uses less than its share", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			admitted := admittedByTenant(t, test.rate)
@@ -52,8 +53,8 @@
 	}
 }
 
-// admittedByTenant submits requests at rates per turn for 1000 turns, each of which completes in the next turn, and returns how many were
-// admitted of each tenant.
+// admittedByTenant returns how many requests of each tenant are admitted in 1000 rounds. In each round every
+// tenant submits requests at its rate, and each admitted request completes in the next round.
 func admittedByTenant(t *testing.T, rate []int) []float64 {
 	t.Helper()
 	controller := newController(t, func(config *Config) {
@@ -88,7 +89,8 @@
 	return admitted
 }
 
-// TestLimitAdapts checks that the limit falls while requests complete late and grows again when they do not.
+// TestLimitAdapts checks that the concurrency limit falls while requests complete late and grows again when
+// they complete in time.
 func TestLimitAdapts(t *testing.T) {
 	controller := newController(t)
 	start := controller.Limit()
@@ -98,11 +100,12 @@
 	completeRounds(controller, 20, 20, 0.01)
 
 	if low >= start/2 || controller.Limit() <= 2*low {
-		t.Errorf("limit %v, %v after late requests, %v after prompt ones", start, low, controller.Limit())
+		t.Errorf("the limit was %v at first, %v after late requests and %v after fast requests", start, low, controller.Limit())
 	}
 }
 
-// completeRounds submits as many requests as the limit allows, again and again for a time. All of a round are placed after the same latency.
+// completeRounds repeatedly submits as many requests as the limit allows until the given duration is over.
+// All requests of a round are placed after the same latency.
 func completeRounds(controller *Controller, from, duration, latency placer.Seconds) {
 	id := uint64(from * 1e6)
 	for now := from; now < from+duration; now += latency {
@@ -120,16 +123,17 @@
 	}
 }
 
-// TestDisabledUsesNoRetryBudget checks that a disabled controller admits everything and leaves the retry budget as it is.
+// TestDisabledUsesNoRetryBudget checks that a disabled controller admits every request and does not change
+// the retry budget.
 func TestDisabledUsesNoRetryBudget(t *testing.T) {
 	controller := newController(t, func(config *Config) { config.Disabled = true })
 	for id := range uint64(1000) {
 		request := Request{ID: id, IsRetry: true, Deadline: 2, FinalDeadline: 2, LatencyObjective: 1}
 		if decision, _ := controller.Submit(1, request); decision != Admit {
-			t.Fatal("not admitted by a disabled controller")
+			t.Fatal("a disabled controller did not admit a request")
 		}
 	}
 	if got, want := controller.RetryBudget(), controller.cfg.RetryBurst; got != want {
-		t.Errorf("budget %v, want %v", got, want)
+		t.Errorf("retry budget is %v, want it unchanged at %v", got, want)
 	}
 }
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -11,15 +11,19 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeAdmission pins the decisions of a controller, their delays by bits, and its figures after each call, under seeded load
-// with several tenants. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterizeAdmission compares the decisions of a controller, the delays bit for bit, and the state of
+// the controller after each call with a golden file. The load of several tenants is drawn from a seeded
+// random generator.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterizeAdmission(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for _, run := range []struct {
 		name   string
 		change func(*admission.Config)
-		gap    float64 // mean seconds between calls
-		placed float64 // part of the requests that are placed
+		gap    float64 // This is the mean time between calls in seconds.
+		placed float64 // This fraction of the requests is placed.
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
 		{"overload", func(config *admission.Config) {
@@ -110,7 +114,7 @@
 	return request
 }
 
-// recordInvalidConfigs pins the error texts of invalid configurations.
+// recordInvalidConfigs records the error texts for invalid settings.
 func recordInvalidConfigs(record *goldentest.Recorder) {
 	for i, change := range []func(*admission.Config){
 		func(config *admission.Config) { config.MinInFlight = 0 },
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -8,30 +8,36 @@
 
 // Config holds the settings of a Controller.
 type Config struct {
-	// Shares are the quota weights of the tenants, by tenant number. A share that is not positive counts as the smallest positive one; no
-	// shares at all mean a single tenant.
+	// Shares contains the weight of each tenant, by tenant number. A weight that is not positive counts as
+	// the smallest positive weight. If Shares is empty, there is a single tenant.
 	Shares []float64
-	// MinInFlight and MaxInFlight bound the learned limit on concurrent placement requests; InitialInFlight is its initial value.
+	// MinInFlight and MaxInFlight are the bounds of the adaptive limit on concurrent placement requests.
+	// InitialInFlight is the initial value of that limit.
 	MinInFlight, MaxInFlight, InitialInFlight float64
-	// DecreaseFactor is the factor by which the limit decreases while more than LateFraction of the requests complete late or are not placed, at
-	// most once in a DecreaseInterval. LateFraction is above zero because some requests fit no node at any load.
+	// The limit is multiplied by DecreaseFactor when the fraction of requests that complete late or are not
+	// placed exceeds LateFraction, at most once per DecreaseInterval. LateFraction is above zero because some
+	// requests fit no node at any load.
 	DecreaseFactor, LateFraction float64
 	DecreaseInterval             placer.Seconds
-	// MaxQueued bounds the requests that wait in the queue, over all tenants.
+	// MaxQueued is the largest number of requests that may be queued, over all tenants.
 	MaxQueued int
-	// A retry takes one token from a budget of at most RetryBurst. The token is returned, with RetryRatio more, when the retry is placed; a
-	// first attempt that is placed adds RetryRatio; RetryRate tokens are added per second.
+	// A retry takes one token from a budget that holds at most RetryBurst tokens. When a retry is placed, its
+	// token is returned together with RetryRatio more. A placed first attempt adds RetryRatio tokens.
+	// RetryRate tokens are added per second.
 	RetryRatio, RetryRate, RetryBurst float64
-	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments: a request is shed at its Deadline, counts as a retry when it
-	// is submitted again, and is shed at once if the budget is used up.
+	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments. A request is then shed at its
+	// Deadline, it counts as a retry when it is submitted again, and it is shed at once if the retry budget
+	// is used up.
 	ShedUsesRetryBudget bool
-	// AdditiveOnly switches slow start off: the limit grows by at most one for each round of completed requests.
+	// AdditiveOnly disables slow start, so the limit grows by at most one for each round of completed
+	// requests.
 	AdditiveOnly bool
-	// Disabled admits every request at once. The counters still count.
+	// Disabled makes the Controller admit every request at once. The counters of the Controller are still
+	// updated.
 	Disabled bool
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the documented default settings.
 func DefaultConfig() Config {
 	return Config{
 		MinInFlight:      4,
@@ -49,17 +55,17 @@
 
 // ConfigError reports a field of a Config that is out of range.
 type ConfigError struct {
-	Field    string // as the settings name it
+	Field    string // Field is the name of the field in the configuration file.
 	Value    float64
 	Min, Max float64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("admission: %s %v: want %v to %v", e.Field, e.Value, e.Min, e.Max)
 }
 
-// Validate returns a *ConfigError for the first field that is out of range.
+// Validate returns a *ConfigError for the first field that is out of range, or nil.
 func (c *Config) Validate() error {
 	ranges := []ConfigError{
 		{"minInFlight", c.MinInFlight, 1, c.MaxInFlight},
@@ -75,7 +81,7 @@
 	}
 	for i := range ranges {
 		field := &ranges[i]
-		inRange := field.Value >= field.Min && field.Value <= field.Max // false for NaN
+		inRange := field.Value >= field.Min && field.Value <= field.Max // The comparison is false for NaN.
 		if !inRange {
 			return field
 		}
--- a/internal/control/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -6,7 +6,8 @@
 	"heathshed/internal/control/admission"
 )
 
-// A controller with one slot admits a request, queues the next, and admits that once the first completes.
+// A controller that allows one request in flight admits the first request and queues the second. It admits
+// the second request when the first one completes.
 func Example() {
 	config := admission.DefaultConfig()
 	config.MinInFlight = 1
@@ -33,7 +34,8 @@
 	// admitted: [2] shed: 0
 }
 
-// A request that is still queued when it could no longer start in time is shed, with a delay before the next attempt.
+// A queued request is shed when it can no longer start in time. The client receives a delay before its next
+// attempt.
 func ExampleController_Poll() {
 	config := admission.DefaultConfig()
 	config.MinInFlight = 1
@@ -56,7 +58,7 @@
 	// request 2: it waited until it could no longer start in time; retry after 0.78 s
 }
 
-// An invalid field of the settings is reported by name.
+// Validate reports the name of an invalid setting.
 func ExampleConfig_Validate() {
 	config := admission.DefaultConfig()
 	config.LateFraction = 2
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -7,28 +7,31 @@
 )
 
 const (
-	// minLatencyObjective is the shortest latency objective that is used.
+	// minLatencyObjective is the smallest effective latency objective. Smaller objectives are raised to it.
 	minLatencyObjective placer.Seconds = 0.001
-	// lateSmoothing is the weight of one completed request in limiter.lateFraction.
+	// lateFractionWeight is the weight of one completed request in the moving average limiter.lateFraction.
 	lateFractionWeight = 0.05
-	// promptDivisor divides a request's latency objective into the latency up to which slow start continues: one sixteenth. A request that
-	// takes longer already waits in a queue somewhere, and a limit that doubles would only make that queue longer.
+	// fastCompletionDivisor defines which requests count as fast: those with a latency of at most the latency
+	// objective divided by this number. Only fast requests let the limit grow during slow start. A slower
+	// request already waits in some queue, and doubling the limit would only make that queue longer.
 	fastCompletionDivisor = 16.0
-	// slowStartIntervals is the number of decrease intervals without a late request after which slow start begins again.
+	// slowStartIntervals is the number of decrease intervals without a late request after which slow start
+	// begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval is the shortest decrease interval that slowStartIntervals multiplies.
+	// minSlowStartInterval is the smallest decrease interval that is multiplied by slowStartIntervals.
 	minSlowStartInterval placer.Seconds = 0.05
 )
 
-// never is later than any clock time.
+// never is a time that is later than every clock reading.
 var never = placer.Seconds(math.Inf(1))
 
 // inFlightRequest is an admitted request that has not completed.
 type inFlightRequest struct {
 	admittedAt       placer.Seconds
 	latencyObjective placer.Seconds
-	// counted is whether it counts against the limit. Past its latency objective it does not: it waits for a node that can run the task and
-	// does not occupy one.
+	// occupiesSlot reports whether the request counts against the limit. A request that exceeds its latency
+	// objective no longer counts, because it waits for a node that can run the task and does not occupy a
+	// node.
 	occupiesSlot    bool
 	usedRetryBudget bool
 }
@@ -37,18 +40,19 @@
 	return max(r.latencyObjective, minLatencyObjective)
 }
 
-// limiter learns how many requests may be in flight: additive increase, multiplicative decrease, and slow start.
+// limiter adapts the number of requests that may be in flight, by additive increase, multiplicative decrease
+// and slow start.
 type limiter struct {
 	cfg            *Config
 	limit          float64
 	lastDecreaseAt placer.Seconds
-	lateFraction   float64        // fraction of completed requests that were late, smoothed
-	lastLateAt     placer.Seconds // when a request last completed late
-	slowStart      bool           // the limit grows by one for each prompt request
+	lateFraction   float64        // The fraction of late requests is a moving average over completed requests.
+	lastLateAt     placer.Seconds // A late request last completed at this time.
+	slowStart      bool           // During slow start, the limit grows by one for each fast request.
 
 	inFlight      map[uint64]*inFlightRequest
-	byAdmission   []*inFlightRequest // oldest first; completed ones are skipped at the front
-	occupiedSlots int                // requests that count against the limit
+	byAdmission   []*inFlightRequest // The oldest request is first; completed requests are skipped when they reach the front.
+	occupiedSlots int                // This is the number of requests that count against the limit.
 }
 
 func newLimiter(cfg *Config) limiter {
@@ -60,7 +64,8 @@
 	}
 }
 
-// hasCapacity reports whether one more request may be in flight. It stops counting those that are past their latency objective.
+// hasCapacity reports whether one more request may be in flight. It first releases the slots of requests that
+// exceed their latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.byAdmission) > 0 {
 		oldest := l.byAdmission[0]
@@ -74,7 +79,8 @@
 	return float64(l.occupiedSlots) < math.Floor(l.limit)
 }
 
-// nextUncountedAt returns when the oldest request in flight reaches its latency objective: infinity if there is none.
+// nextSlotExpiry returns the time at which the oldest request in flight reaches its latency objective and so
+// releases its slot. It returns infinity if no request is in flight.
 func (l *limiter) nextSlotExpiry() placer.Seconds {
 	if len(l.byAdmission) == 0 {
 		return never
@@ -82,7 +88,7 @@
 	return l.byAdmission[0].admittedAt + l.byAdmission[0].objective()
 }
 
-// add counts an admitted request.
+// add adds an admitted request and counts it against the limit.
 func (l *limiter) add(id uint64, request *inFlightRequest) {
 	request.occupiesSlot = true
 	l.inFlight[id] = request
@@ -90,7 +96,7 @@
 	l.occupiedSlots++
 }
 
-// remove removes a request from those in flight.
+// remove removes a request from those in flight and releases its slot.
 func (l *limiter) remove(id uint64, request *inFlightRequest) {
 	delete(l.inFlight, id)
 	l.releaseSlot(request)
@@ -112,7 +118,8 @@
 	l.recordLate(now, late)
 	switch {
 	case late && l.mayDecrease(now):
-		// The limit decreases from the number in flight when requests became late, not from a limit that was never reached.
+		// The decrease starts from the number of requests that were in flight when requests became late,
+		// because the limit itself may never have been reached.
 		l.limit = max(min(l.limit, occupiedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
 		l.lastDecreaseAt = now
 		l.slowStart = false
@@ -121,7 +128,7 @@
 	}
 }
 
-// recordLate updates the smoothed fraction of late requests.
+// recordLate updates the moving average of the fraction of late requests.
 func (l *limiter) recordLate(now placer.Seconds, late bool) {
 	observed := 0.0
 	if late {
@@ -131,14 +138,16 @@
 	l.lateFraction += (observed - l.lateFraction) * lateFractionWeight
 }
 
-// mayDecrease reports whether too many requests are late and the last decrease is long enough ago.
+// mayDecrease reports whether the fraction of late requests is too high and the last decrease was at least
+// one decrease interval ago.
 func (l *limiter) mayDecrease(now placer.Seconds) bool {
 	return l.lateFraction > l.cfg.LateFraction && now-l.lastDecreaseAt >= l.cfg.DecreaseInterval
 }
 
-// increase raises the limit: by one in each round of completed requests or, in slow start, by one for each prompt request, which doubles it
-// in each round. Slow start applies from the beginning and again once nothing has been late for a while, so that a limit that fell during
-// a fault does not stay low for long after it.
+// increase raises the limit by one for each round of completed requests. During slow start it raises the
+// limit by one for each fast request, which doubles the limit in each round. Slow start applies at the
+// beginning, and again after a period without late requests, so that a limit that was lowered during a fault
+// recovers soon after the fault.
 func (l *limiter) increase(now placer.Seconds, fast bool) {
 	recoveryPeriod := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
 	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= recoveryPeriod {
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -11,16 +11,16 @@
 type queuedRequest struct {
 	Request
 	arrivedAt placer.Seconds
-	expiresAt placer.Seconds // when it becomes overdue or, if it is demoted already or a retry, is shed
+	expiresAt placer.Seconds // A first attempt is demoted at this time; a demoted request or a retry is shed.
 	tenant    *tenantQueue
-	removed   bool // it has left the queue; the slices and heaps that still contain it skip it
+	removed   bool // The request has left the queue, and slices and heaps that still contain it skip it.
 }
 
 // tenantQueue holds the queued requests of one tenant.
 type tenantQueue struct {
 	share       float64
-	virtualTime float64                      // cost admitted so far over share
-	byClass     [numClasses][]*priorityQueue // by descending priority
+	virtualTime float64                      // The virtual time is the total admitted cost of the tenant divided by its share.
+	byClass     [numClasses][]*priorityQueue // The queues of each class are sorted by descending priority.
 	queued      [numClasses]int
 }
 
@@ -41,7 +41,7 @@
 	t.queued[class]++
 }
 
-// remove marks an entry as removed; trimRemoved removes it from its slice later.
+// remove marks an entry as removed. A later call of trimRemoved deletes the entry from its slice.
 func (t *tenantQueue) remove(entry *queuedRequest) {
 	class := entry.class()
 	entry.removed = true
@@ -53,7 +53,8 @@
 	}
 }
 
-// next returns the request to admit next, or nil: by class, then by priority, then as selectEntry says.
+// next returns the request to admit next, or nil if none is queued. Earlier classes come first, and higher
+// priorities within a class; selectEntry selects among requests of equal class and priority.
 func (t *tenantQueue) next(now placer.Seconds) *queuedRequest {
 	for _, queues := range t.byClass {
 		for _, queue := range queues {
@@ -68,18 +69,20 @@
 // priorityQueue holds the requests of one tenant, class and priority in order of arrival.
 type priorityQueue struct {
 	priority int
-	entries  []*queuedRequest // removed ones stay until they reach an end of the slice
-	length   int              // entries that are not removed
+	entries  []*queuedRequest // Removed entries stay until they reach an end of the slice.
+	length   int              // This is the number of entries that are not removed.
 }
 
-// compareDescending orders queues by descending priority.
+// compareDescending compares queues such that they are sorted by descending priority.
 func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
 
-// fifoFraction is the fraction of its latency objective that the oldest request may have waited before the newest is admitted first.
+// fifoWaitFraction is the fraction of its latency objective that the oldest request may wait before the
+// newest request is admitted instead of it.
 const fifoWaitFraction = 0.4
 
-// selectEntry returns the oldest request while it has waited for less than fifoFraction of its latency objective, and the newest after
-// that: under overload, admission in order of arrival would make every start late.
+// selectEntry returns the oldest request while that request has waited for less than fifoWaitFraction of its
+// latency objective, and the newest request otherwise. Under overload, admission in order of arrival would
+// make every request start late.
 func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
@@ -104,18 +107,18 @@
 	}
 }
 
-// expiryHeap orders the queued requests of all tenants by expiry. Removed ones are skipped when they reach the top. It implements
-// heap.Interface.
+// expiryHeap orders the queued requests of all tenants by expiry time. Removed requests are skipped when they
+// reach the top. It implements heap.Interface.
 type expiryHeap []*queuedRequest
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push implements heap.Interface.
+// Push implements heap.Interface by appending an element.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*queuedRequest)) }
 
-// Pop implements heap.Interface.
+// Pop implements heap.Interface by removing the last element.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -124,7 +127,7 @@
 	return last
 }
 
-// first returns the request that expires first, or nil.
+// earliest returns the request with the earliest expiry time, or nil if there is none.
 func (h *expiryHeap) earliest() *queuedRequest {
 	for len(*h) > 0 && (*h)[0].removed {
 		heap.Pop(h)
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -2,32 +2,36 @@
 
 import "heathshed/placer"
 
-// Request is a placement request submitted for admission. Times are on the clock of the caller.
+// Request is a placement request that a client submits for admission. All times are readings of the caller's
+// clock.
 type Request struct {
 	ID       uint64
-	Tenant   int     // index into Config.Shares; one out of range counts as tenant 0
-	Priority int     // a higher priority is admitted first within its tenant
-	Cost     float64 // fraction of a node's capacity that the task needs; at least minCost is charged
-	// Deadline is when this request expires; the client may submit another one until FinalDeadline.
+	Tenant   int     // Tenant is an index into Config.Shares; a value out of range counts as tenant 0.
+	Priority int     // Requests of a higher priority are admitted first within their tenant.
+	Cost     float64 // Cost is the fraction of a node that the task needs; at least minCost is charged.
+	// Deadline is the time at which this request expires. The client may submit another request for the task
+	// until FinalDeadline.
 	Deadline placer.Seconds
-	// FinalDeadline is when the client stops waiting for good. It is no earlier than Deadline.
+	// FinalDeadline is the time at which the client stops waiting for the task to be placed. It is not
+	// earlier than Deadline.
 	FinalDeadline placer.Seconds
-	// LatencyObjective is how soon after its arrival the task should start.
+	// LatencyObjective is the time after the arrival of the request within which the task should start.
 	LatencyObjective placer.Seconds
-	// IsRetry says that earlier attempts on nodes did not place the task. A request whose predecessors were all shed by the controller is a
-	// first attempt.
+	// IsRetry reports that earlier attempts on nodes did not place the task. If all earlier requests for the
+	// task were shed by the Controller, the request is a first attempt.
 	IsRetry bool
-	// ShedBefore says that the controller shed an earlier request for the same task.
+	// ShedBefore reports that the Controller shed an earlier request for the same task.
 	ShedBefore bool
 }
 
-// requestClass is the order in which a tenant's queued requests are admitted: all of one class go before any of the next.
+// requestClass is the first criterion for the order in which a tenant's queued requests are admitted. All
+// requests of one class are admitted before those of the next class.
 type requestClass int
 
 const (
-	classFirst   requestClass = iota // first attempts that may still start in time
-	classDemoted                     // first attempts that are late already: shed before, or overdue in the queue
-	classRetry                       // requests that use the retry budget
+	classFirst   requestClass = iota // A first attempt may still start in time.
+	classDemoted                     // A first attempt is already late, because it was shed before or demoted in the queue.
+	classRetry                       // A retry takes a token from the retry budget.
 	numClasses
 )
 
@@ -41,7 +45,8 @@
 	return classFirst
 }
 
-// latestStart returns the latest useful time of admission for a request that must be placed by a deadline: half of the latency objective before it.
+// latestStart returns the latest useful admission time of a request that must be placed by the given
+// deadline. It lies half a latency objective before the deadline.
 func (r *Request) latestStart(deadline placer.Seconds) placer.Seconds {
 	return deadline - r.LatencyObjective/2
 }
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// requestState is the state of a request in the model.
+// requestState is the state of a request in the model of a controller.
 type requestState uint8
 
 const (
@@ -22,10 +22,11 @@
 
 func (s requestState) String() string { return requestStateNames[s] }
 
-// stateAfter is the state of a request after each decision.
+// stateAfter maps each decision of a controller to the state of the request after it.
 var stateAfter = [...]requestState{Admit: stateInFlight, Queue: stateQueued, Shed: stateShed}
 
-// play is a controller with a model of it: the requests that were submitted, and their states.
+// controllerModel is a controller together with a simple model of it, which tracks the state of every
+// request.
 type controllerModel struct {
 	*rapid.T
 	config     Config
@@ -35,9 +36,9 @@
 	states     map[uint64]requestState
 	inFlight   []uint64
 
-	placed        int // requests that were placed
-	retries       int // retries that were admitted
-	placedRetries int // retries that were placed
+	placed        int // placed is the number of requests that were placed.
+	retries       int // retries is the number of retries that were admitted.
+	placedRetries int // placedRetries is the number of retries that were placed.
 }
 
 func newControllerModel(t *rapid.T) *controllerModel {
@@ -55,15 +56,15 @@
 	return &controllerModel{T: t, config: config, controller: controller, requests: map[uint64]Request{}, states: map[uint64]requestState{}}
 }
 
-// drawSeconds draws a time.
+// drawSeconds draws a duration between the two bounds.
 func (model *controllerModel) drawSeconds(minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(model.T, label))
 }
 
-// move takes a new request or a queued one to its next state.
+// setState changes the state of a request and fails the test unless the request is new or queued.
 func (model *controllerModel) setState(id uint64, nextState requestState) {
 	if previous := model.states[id]; previous != 0 && previous != stateQueued {
-		model.Fatalf("request %d goes from %s to %s", id, previous, nextState)
+		model.Fatalf("request %d changes its state from %s to %s", id, previous, nextState)
 	}
 	model.states[id] = nextState
 	if nextState != stateInFlight {
@@ -75,7 +76,7 @@
 	}
 }
 
-// submit draws a request.
+// submit draws a random request and submits it to the controller.
 func (model *controllerModel) submit() {
 	request := Request{
 		ID:               uint64(len(model.requests) + 1),
@@ -93,7 +94,7 @@
 	model.setState(request.ID, stateAfter[decision])
 }
 
-// complete draws a request in flight and its outcome.
+// complete selects a random request in flight and draws its outcome.
 func (model *controllerModel) complete() {
 	index := rapid.IntRange(0, len(model.inFlight)-1).Draw(model.T, "completed")
 	placed := rapid.Bool().Draw(model.T, "placed")
@@ -114,7 +115,7 @@
 	admitted, shed := model.controller.Poll(model.now)
 	for _, id := range admitted {
 		if model.now > model.requests[id].FinalDeadline {
-			model.Fatal("admitted after its client gave up")
+			model.Fatal("a request is admitted after its client stopped waiting")
 		}
 		model.setState(id, stateInFlight)
 	}
@@ -123,7 +124,7 @@
 	}
 }
 
-// check compares the controller with the model.
+// check compares the state of the controller with the model.
 func (model *controllerModel) check() {
 	model.checkRetryBudget()
 	model.checkLimit()
@@ -134,17 +135,17 @@
 	failed := model.retries - model.placedRetries
 	granted := model.config.RetryBurst + model.config.RetryRatio*float64(model.placed) + model.config.RetryRate*float64(model.now)
 	if float64(failed) > granted+1e-6 || model.controller.RetryBudget() < -1e-9 {
-		model.Fatalf("%d retries that were not placed beside %d placed requests in %.1f s", failed, model.placed, model.now)
+		model.Fatalf("%d unplaced retries exceed the budget for %d placed requests in %.1f s, or the budget is negative", failed, model.placed, model.now)
 	}
 }
 
 func (model *controllerModel) checkLimit() {
 	counted := model.controller.limiter.occupiedSlots
 	if model.controller.InFlight() != len(model.inFlight) || counted > len(model.inFlight) || counted < 0 {
-		model.Fatalf("%d in flight, controller says %d and counts %d", len(model.inFlight), model.controller.InFlight(), counted)
+		model.Fatalf("the model has %d requests in flight, the controller has %d with %d occupied slots", len(model.inFlight), model.controller.InFlight(), counted)
 	}
 	if limit := model.controller.Limit(); limit < model.config.MinInFlight || limit > model.config.MaxInFlight {
-		model.Fatalf("limit %v", limit)
+		model.Fatalf("concurrency limit %v is out of range", limit)
 	}
 }
 
@@ -156,16 +157,18 @@
 		}
 		queued++
 		if !model.requests[id].IsRetry && model.controller.limiter.hasCapacity(model.now) {
-			model.Fatalf("first attempt %d is queued though there is capacity", id)
+			model.Fatalf("first attempt %d is queued although there is capacity", id)
 		}
 	}
 	if queued != model.controller.QueueLength() || queued > model.config.MaxQueued {
-		model.Fatalf("%d queued, controller says %d", queued, model.controller.QueueLength())
+		model.Fatalf("the model has %d queued requests, the controller has %d", queued, model.controller.QueueLength())
 	}
 }
 
-// TestRequestsAreNeverLost plays random arrivals and completions: no request is lost or admitted twice, no more are in flight than the
-// limit, retries that are not placed stay within their budget, no retry holds up a first attempt, and what is queued is shed by its deadline.
+// TestRequestsAreNeverLost simulates random arrivals and completions. It checks that no request is lost or
+// admitted twice, that the number of requests in flight respects the limit, that unplaced retries stay within
+// the retry budget, that no retry delays a first attempt, and that every queued request is admitted or shed
+// by its final deadline.
 func TestRequestsAreNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newControllerModel(t)
@@ -179,9 +182,9 @@
 			model.poll()
 			model.check()
 		}
-		// In the end all that is queued is shed.
+		// After all deadlines have passed, every queued request must be shed.
 		if _, shed := model.controller.Poll(model.now + 100); len(shed) != model.controller.QueueLength()+len(shed) {
-			t.Fatal("some requests stay queued for ever")
+			t.Fatal("some requests remain queued after all deadlines")
 		}
 	})
 }
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -2,14 +2,15 @@
 
 import "heathshed/placer"
 
-// retryBudget is a token bucket for retries: a retry takes one token; tokens are added over time and by placed requests, up to a burst. So
-// retries stay a bounded fraction of the load while nodes fail, and grow with the number of placed requests once nodes recover.
+// retryBudget is a token bucket for retries. A retry takes one token. Tokens are added at a constant rate and
+// for each placed request, up to the size of the bucket. Retries therefore remain a bounded fraction of the
+// load while nodes fail, and they increase with the number of placed requests once nodes recover.
 type retryBudget struct {
 	tokens     float64
-	refilledAt placer.Seconds // time of the last refill
-	ratio      float64        // tokens for each placed request
-	rate       float64        // tokens a second
-	burst      float64        // maximum number of tokens
+	refilledAt placer.Seconds // The bucket was last refilled at this time.
+	ratio      float64        // This number of tokens is added for each placed request.
+	rate       float64        // This number of tokens is added per second.
+	burst      float64        // The bucket holds at most this number of tokens.
 }
 
 func newRetryBudget(cfg *Config) retryBudget {
@@ -22,14 +23,15 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// allows reports whether a retry may be admitted.
+// hasToken reports whether the bucket holds a token, so that a retry may be admitted.
 func (b *retryBudget) hasToken() bool { return b.tokens >= 1 }
 
 func (b *retryBudget) takeToken() { b.tokens-- }
 
 func (b *retryBudget) addTokens(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
 
-// placed accounts for a placed request. A retry gets its token back as well: only a failed retry costs one.
+// recordPlaced adds the tokens for a placed request. A placed retry also gets its own token back, so only a
+// failed retry uses up a token.
 func (b *retryBudget) recordPlaced(usedToken bool) {
 	refund := b.ratio
 	if usedToken {
@@ -38,7 +40,8 @@
 	b.addTokens(refund)
 }
 
-// nextTokenAt returns when refilling alone makes a whole token available: infinity if one is available already or the rate is zero.
+// nextTokenAt returns the time at which the constant rate alone has refilled a whole token. It returns
+// infinity if a token is available already or if the rate is zero.
 func (b *retryBudget) nextTokenAt() placer.Seconds {
 	if b.hasToken() || b.rate <= 0 {
 		return never
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -6,15 +6,16 @@
 	"heathshed/placer"
 )
 
-// backlog is a number of retries, each of which completes after the same time and, if it was shed or not placed, is submitted again.
+// retryBacklog simulates clients that retry requests through a controller. Each admitted request completes
+// after a constant time. A request that is shed or not placed is submitted again later.
 type retryBacklog struct {
 	controller *Controller
-	placed     func(now placer.Seconds) bool // the outcome of a request that completes now
+	placed     func(now placer.Seconds) bool // This function decides the outcome of a request that completes at the given time.
 
 	lastID        uint64
-	unsubmitted   int               // to be submitted
-	resubmissions map[int]int       // to be submitted again, by tick
-	completions   []retryCompletion // of the requests in flight, in order of time
+	unsubmitted   int               // This is the number of requests that are to be submitted now.
+	resubmissions map[int]int       // For each tick, this is the number of requests that are submitted again.
+	completions   []retryCompletion // The completions of requests in flight are sorted by time.
 	placedCount   int
 }
 
@@ -23,14 +24,14 @@
 	id uint64
 }
 
-// Times of a backlog.
+// The simulation advances in ticks, and each admitted request completes after serviceSeconds.
 const (
 	tickSeconds    placer.Seconds = 0.01
 	ticksPerSecond                = 100
 	serviceSeconds placer.Seconds = 0.02
 )
 
-// play plays a backlog for a time and returns how many of it were placed.
+// run simulates the backlog for the given duration and returns the number of requests that were placed.
 func (backlog *retryBacklog) run(from, duration placer.Seconds) int {
 	backlog.lastID = uint64(from * 1e6)
 	backlog.resubmissions = map[int]int{}
@@ -89,7 +90,8 @@
 	backlog.completions = append(backlog.completions, retryCompletion{now + serviceSeconds, id})
 }
 
-// TestRetryBudgetBoundsFailingRetries checks that a backlog of retries costs no more than the budget while no node accepts.
+// TestRetryBudgetBoundsFailingRetries checks that the number of admitted retries does not exceed the retry
+// budget while no node accepts a task.
 func TestRetryBudgetBoundsFailingRetries(t *testing.T) {
 	controller := newController(t)
 	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, placed: func(placer.Seconds) bool { return false }}
@@ -98,12 +100,12 @@
 
 	maxAdmitted := controller.cfg.RetryBurst + 60*controller.cfg.RetryRate + 1
 	if float64(controller.Admitted) > maxAdmitted {
-		t.Errorf("%d retries admitted in a minute without success, want at most %v", controller.Admitted, maxAdmitted)
+		t.Errorf("%d retries were admitted in a minute without success, want at most %v", controller.Admitted, maxAdmitted)
 	}
 }
 
-// TestRetryBudgetRecovers checks that a backlog of retries is worked off soon after nodes recover although there are no first attempts: the
-// budget grows with what succeeds.
+// TestRetryBudgetRecovers checks that a backlog of retries is placed soon after nodes recover, even without
+// first attempts. The retry budget has to grow with the number of placed retries for that.
 func TestRetryBudgetRecovers(t *testing.T) {
 	const start, faultDuration placer.Seconds = 1, 30
 	controller := newController(t)
@@ -112,9 +114,9 @@
 	placed := backlog.run(start, faultDuration+30)
 
 	if placed < 19000 {
-		t.Errorf("%d of 20000 placed within 30 s after a fault of half a minute", placed)
+		t.Errorf("only %d of 20000 requests were placed within 30 s after a fault of 30 s", placed)
 	}
 	if got, full := controller.RetryBudget(), controller.cfg.RetryBurst; got < full-1 {
-		t.Errorf("budget %v in the end, want it full", got)
+		t.Errorf("retry budget is %v at the end, want it to be full", got)
 	}
 }
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -5,16 +5,18 @@
 	"math"
 )
 
-// minCost is the minimum cost that a request is charged, so that requests without a cost are divided by shares as well.
+// minCost is the smallest cost that a request is charged, so that requests without a cost are also divided by
+// shares.
 const minCost = 0.01
 
-// fairQueue holds all queued requests and divides admissions among tenants by their shares: weighted fair queueing over virtual time, which
-// is admitted cost over share.
+// fairQueue holds all queued requests and divides admissions among tenants in proportion to their shares. It
+// implements weighted fair queueing, in which the virtual time of a tenant is its admitted cost divided by
+// its share.
 type fairQueue struct {
 	byID        map[uint64]*queuedRequest
 	expiry      expiryHeap
 	tenants     []*tenantQueue
-	virtualTime float64 // of the tenant that was admitted last, before its charge
+	virtualTime float64 // This is the virtual time of the last admitted tenant before that tenant was charged.
 }
 
 func newFairQueue(shares []float64) fairQueue {
@@ -32,7 +34,7 @@
 	return queue
 }
 
-// smallestShare returns the smallest positive share, or 1 if there is none.
+// smallestShare returns the smallest positive share, or 1 if no share is positive.
 func smallestShare(shares []float64) float64 {
 	smallest := math.Inf(1)
 	for _, share := range shares {
@@ -48,7 +50,7 @@
 
 func (q *fairQueue) len() int { return len(q.byID) }
 
-// tenant returns a tenant by number; an unknown one is tenant 0.
+// tenantByNumber returns the queue of the tenant with the given number. An unknown number counts as tenant 0.
 func (q *fairQueue) tenantByNumber(number int) *tenantQueue {
 	if number < 0 || number >= len(q.tenants) {
 		number = 0
@@ -68,7 +70,8 @@
 	entry.tenant.remove(entry)
 }
 
-// queuedAhead returns how many queued requests an arriving request of a class may not overtake: those of its own and of earlier classes.
+// queuedAhead returns the number of queued requests that a new request of the given class must not overtake.
+// These are the requests of the same class and of earlier classes.
 func (q *fairQueue) queuedAhead(arriving requestClass) int {
 	ahead := 0
 	for _, tenant := range q.tenants {
@@ -79,8 +82,9 @@
 	return ahead
 }
 
-// nextTenant returns the tenant to admit from: the one with the lowest virtual time among those with requests that may be admitted, so that
-// the unused share of one tenant is divided among the others. It returns nil if there is none.
+// nextTenant returns the tenant from which the next request is admitted, or nil if there is none. It selects
+// the tenant with the lowest virtual time among those with requests that may be admitted, so that the unused
+// share of one tenant is divided among the others.
 func (q *fairQueue) nextTenant(retriesAllowed bool) *tenantQueue {
 	var selected *tenantQueue
 	for _, candidate := range q.tenants {
@@ -95,12 +99,13 @@
 	return selected
 }
 
-// catchUp advances a tenant to the current virtual time: an idle tenant does not save up its unused share.
+// advanceVirtualTime advances a tenant to the current virtual time, so that an idle tenant does not
+// accumulate unused shares.
 func (q *fairQueue) advanceVirtualTime(tenant *tenantQueue) {
 	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
 }
 
-// charge accounts for an admitted request.
+// chargeTenant adds the cost of an admitted request to the virtual time of its tenant.
 func (q *fairQueue) chargeTenant(tenant *tenantQueue, cost float64) {
 	q.advanceVirtualTime(tenant)
 	q.virtualTime = tenant.virtualTime
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -6,28 +6,32 @@
 	"heathshed/placer"
 )
 
-// ShedRequest is a request that was shed. It was never sent to a node, so its client may submit another one.
+// ShedRequest describes a request that was shed. The request was never sent to a node, so its client may
+// submit a new one.
 type ShedRequest struct {
 	ID         uint64
-	RetryAfter placer.Seconds // time after which the client should submit again
-	Reason     string         // one of the Reason constants
+	RetryAfter placer.Seconds // RetryAfter is the time after which the client should submit a new request.
+	Reason     string         // Reason is one of the constants whose names begin with Reason.
 }
 
-// The reasons for which requests are shed, as users read them.
+// These texts state why a request was shed. Users read them in status messages.
 const (
 	ReasonLate        = "it waited until it could no longer start in time"
 	ReasonQueueFull   = "too many placement requests are queued"
 	ReasonRetryBudget = "the retry budget is used up"
 )
 
-// maxRetryAfter bounds ShedRequest.RetryAfter. The admission rate during a fault does not predict the rate after it, and a client with a long
-// delay would return long after capacity does.
+// maxRetryAfter is the upper bound of ShedRequest.RetryAfter, before the spread is applied. The admission
+// rate during a fault does not predict the rate after it, and a client with a longer delay would return long
+// after capacity is available again.
 const maxRetryAfter placer.Seconds = 15
 
-// retryAfterSteps is the number of steps over which RetryAfter is spread, so that clients do not retry in synchronized waves.
+// retryAfterSteps is the number of steps through which successive values of ShedRequest.RetryAfter cycle, so
+// that clients do not retry in synchronized waves.
 const retryAfterSteps = 16
 
-// shed returns the ShedRequest for a request. Its RetryAfter is about the time that the queue takes to empty.
+// newShedRequest returns the ShedRequest for a request. Its RetryAfter is about the time in which the queue
+// empties at the current admission rate.
 func (c *Controller) newShedRequest(id uint64, reason string) ShedRequest {
 	wait := 1 + placer.Seconds(float64(c.queue.len())/max(c.rate.perSecond, 1))
 	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
@@ -39,7 +43,8 @@
 	}
 }
 
-// admissionRate is the number of admissions a second, smoothed over about a second.
+// admissionRate is the number of admissions per second, as an exponential moving average with a time constant
+// of one second.
 type admissionRate struct {
 	perSecond float64
 	updatedAt placer.Seconds
