--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -16,11 +16,11 @@
 // Decision is the result of the submission of a request.
 type Decision uint8
 
-// These are the decisions that Controller.Submit returns.
+// The constants of type Decision are the results of Controller.Submit.
 const (
-	Admit Decision = iota // The request is to be sent to the placer now.
-	Queue                 // The request is queued, and a later call of Poll admits or sheds it.
-	Shed                  // The request is rejected, and the client may submit a new one after ShedRequest.RetryAfter.
+	Admit Decision = iota // Admit means that the request is to be sent to the placer now.
+	Queue                 // Queue means that the request is queued and a later call of Poll admits or sheds it.
+	Shed                  // Shed means that the request is rejected; the client may submit another one after ShedRequest.RetryAfter.
 )
 
 // Controller is an admission controller. The zero value is not usable; New creates a Controller.
@@ -129,7 +129,7 @@
 		latencyObjective: request.LatencyObjective,
 		usedRetryBudget:  usesRetryBudget,
 	})
-	c.rate.record(now)
+	c.rate.recordAdmission(now)
 	c.Admitted++
 }
 
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -30,7 +30,7 @@
 func TestAdmissionFollowsShares(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		rate []int // Each tenant submits this number of requests per round.
+		rate []int // rate is the number of requests that each tenant submits per round.
 		want []float64
 	}{
 		{"all tenants exceed their shares", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -22,8 +22,8 @@
 	for _, run := range []struct {
 		name   string
 		change func(*admission.Config)
-		gap    float64 // This is the mean time between calls in seconds.
-		placed float64 // This fraction of the requests is placed.
+		gap    float64 // gap is the mean time between calls, in seconds.
+		placed float64 // placed is the fraction of requests that are placed.
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
 		{"overload", func(config *admission.Config) {
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -12,7 +12,7 @@
 	// lateFractionWeight is the weight of one completed request in the moving average limiter.lateFraction.
 	lateFractionWeight = 0.05
 	// fastCompletionDivisor defines which requests count as fast: those with a latency of at most the latency
-	// objective divided by this number. Only fast requests let the limit grow during slow start. A slower
+	// objective divided by this number. During slow start only fast requests raise the limit by one. A slower
 	// request already waits in some queue, and doubling the limit would only make that queue longer.
 	fastCompletionDivisor = 16.0
 	// slowStartIntervals is the number of decrease intervals without a late request after which slow start
@@ -36,7 +36,7 @@
 	usedRetryBudget bool
 }
 
-func (r *inFlightRequest) objective() placer.Seconds {
+func (r *inFlightRequest) effectiveObjective() placer.Seconds {
 	return max(r.latencyObjective, minLatencyObjective)
 }
 
@@ -46,13 +46,13 @@
 	cfg            *Config
 	limit          float64
 	lastDecreaseAt placer.Seconds
-	lateFraction   float64        // The fraction of late requests is a moving average over completed requests.
-	lastLateAt     placer.Seconds // A late request last completed at this time.
-	slowStart      bool           // During slow start, the limit grows by one for each fast request.
+	lateFraction   float64        // lateFraction is a moving average of the fraction of completed requests that were late.
+	lastLateAt     placer.Seconds // lastLateAt is when a late request last completed.
+	slowStart      bool           // slowStart means that the limit grows by one for each fast request.
 
 	inFlight      map[uint64]*inFlightRequest
-	byAdmission   []*inFlightRequest // The oldest request is first; completed requests are skipped when they reach the front.
-	occupiedSlots int                // This is the number of requests that count against the limit.
+	byAdmission   []*inFlightRequest // byAdmission lists the oldest request first; completed requests are skipped at the front.
+	occupiedSlots int                // occupiedSlots is the number of requests that count against the limit.
 }
 
 func newLimiter(cfg *Config) limiter {
@@ -69,7 +69,7 @@
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.byAdmission) > 0 {
 		oldest := l.byAdmission[0]
-		if oldest.occupiesSlot && now-oldest.admittedAt < oldest.objective() {
+		if oldest.occupiesSlot && now-oldest.admittedAt < oldest.effectiveObjective() {
 			break
 		}
 		l.releaseSlot(oldest)
@@ -85,7 +85,7 @@
 	if len(l.byAdmission) == 0 {
 		return never
 	}
-	return l.byAdmission[0].admittedAt + l.byAdmission[0].objective()
+	return l.byAdmission[0].admittedAt + l.byAdmission[0].effectiveObjective()
 }
 
 // add adds an admitted request and counts it against the limit.
@@ -114,7 +114,7 @@
 	occupiedBefore := float64(l.occupiedSlots)
 	l.remove(id, request)
 	latency := now - request.admittedAt
-	late := !placed || latency > request.objective()/2
+	late := !placed || latency > request.effectiveObjective()/2
 	l.recordLate(now, late)
 	switch {
 	case late && l.mayDecrease(now):
@@ -124,7 +124,7 @@
 		l.lastDecreaseAt = now
 		l.slowStart = false
 	case !late && occupiedBefore >= math.Floor(l.limit)/2:
-		l.increase(now, latency <= request.objective()/fastCompletionDivisor)
+		l.increase(now, latency <= request.effectiveObjective()/fastCompletionDivisor)
 	}
 }
 
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -11,16 +11,16 @@
 type queuedRequest struct {
 	Request
 	arrivedAt placer.Seconds
-	expiresAt placer.Seconds // A first attempt is demoted at this time; a demoted request or a retry is shed.
+	expiresAt placer.Seconds // expiresAt is when a first attempt is demoted, or when a demoted request or a retry is shed.
 	tenant    *tenantQueue
-	removed   bool // The request has left the queue, and slices and heaps that still contain it skip it.
+	removed   bool // removed means that the request has left the queue; slices and heaps that still contain it skip it.
 }
 
 // tenantQueue holds the queued requests of one tenant.
 type tenantQueue struct {
 	share       float64
-	virtualTime float64                      // The virtual time is the total admitted cost of the tenant divided by its share.
-	byClass     [numClasses][]*priorityQueue // The queues of each class are sorted by descending priority.
+	virtualTime float64                      // virtualTime is the total admitted cost of the tenant divided by its share.
+	byClass     [numClasses][]*priorityQueue // byClass holds the queues of each class, sorted by descending priority.
 	queued      [numClasses]int
 }
 
@@ -69,8 +69,8 @@
 // priorityQueue holds the requests of one tenant, class and priority in order of arrival.
 type priorityQueue struct {
 	priority int
-	entries  []*queuedRequest // Removed entries stay until they reach an end of the slice.
-	length   int              // This is the number of entries that are not removed.
+	entries  []*queuedRequest // entries contains removed entries until they reach an end of the slice.
+	length   int              // length is the number of entries that are not removed.
 }
 
 // compareDescending compares queues such that they are sorted by descending priority.
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -7,7 +7,7 @@
 type Request struct {
 	ID       uint64
 	Tenant   int     // Tenant is an index into Config.Shares; a value out of range counts as tenant 0.
-	Priority int     // Requests of a higher priority are admitted first within their tenant.
+	Priority int     // Priority orders requests within a tenant; a higher priority is admitted first.
 	Cost     float64 // Cost is the fraction of a node that the task needs; at least minCost is charged.
 	// Deadline is the time at which this request expires. The client may submit another request for the task
 	// until FinalDeadline.
@@ -29,9 +29,9 @@
 type requestClass int
 
 const (
-	classFirst   requestClass = iota // A first attempt may still start in time.
-	classDemoted                     // A first attempt is already late, because it was shed before or demoted in the queue.
-	classRetry                       // A retry takes a token from the retry budget.
+	classFirst   requestClass = iota // classFirst contains first attempts that may still start in time.
+	classDemoted                     // classDemoted contains first attempts that are late, because they were shed before or demoted in the queue.
+	classRetry                       // classRetry contains retries, which use the retry budget.
 	numClasses
 )
 
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -7,10 +7,10 @@
 // load while nodes fail, and they increase with the number of placed requests once nodes recover.
 type retryBudget struct {
 	tokens     float64
-	refilledAt placer.Seconds // The bucket was last refilled at this time.
-	ratio      float64        // This number of tokens is added for each placed request.
-	rate       float64        // This number of tokens is added per second.
-	burst      float64        // The bucket holds at most this number of tokens.
+	refilledAt placer.Seconds // refilledAt is when the bucket was last refilled.
+	ratio      float64        // ratio is the number of tokens added for each placed request.
+	rate       float64        // rate is the number of tokens added per second.
+	burst      float64        // burst is the largest number of tokens that the bucket holds.
 }
 
 func newRetryBudget(cfg *Config) retryBudget {
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -10,12 +10,12 @@
 // after a constant time. A request that is shed or not placed is submitted again later.
 type retryBacklog struct {
 	controller *Controller
-	placed     func(now placer.Seconds) bool // This function decides the outcome of a request that completes at the given time.
+	placed     func(now placer.Seconds) bool // placed reports the outcome of a request that completes at the given time.
 
 	lastID        uint64
-	unsubmitted   int               // This is the number of requests that are to be submitted now.
-	resubmissions map[int]int       // For each tick, this is the number of requests that are submitted again.
-	completions   []retryCompletion // The completions of requests in flight are sorted by time.
+	unsubmitted   int               // unsubmitted is the number of requests that wait to be submitted.
+	resubmissions map[int]int       // resubmissions maps a tick to the number of requests that are submitted again at that tick.
+	completions   []retryCompletion // completions contains the completions of requests in flight, sorted by time.
 	placedCount   int
 }
 
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -16,7 +16,7 @@
 	byID        map[uint64]*queuedRequest
 	expiry      expiryHeap
 	tenants     []*tenantQueue
-	virtualTime float64 // This is the virtual time of the last admitted tenant before that tenant was charged.
+	virtualTime float64 // virtualTime is the virtual time of the last admitted tenant before the tenant was charged.
 }
 
 func newFairQueue(shares []float64) fairQueue {
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -14,7 +14,7 @@
 	Reason     string         // Reason is one of the constants whose names begin with Reason.
 }
 
-// These texts state why a request was shed. Users read them in status messages.
+// The constants whose names begin with Reason state why a request was shed. Their texts are shown to users.
 const (
 	ReasonLate        = "it waited until it could no longer start in time"
 	ReasonQueueFull   = "too many placement requests are queued"
@@ -50,7 +50,7 @@
 	updatedAt placer.Seconds
 }
 
-func (r *admissionRate) record(now placer.Seconds) {
+func (r *admissionRate) recordAdmission(now placer.Seconds) {
 	elapsed := max(now-r.updatedAt, 0)
 	r.perSecond = r.perSecond*math.Exp(float64(-elapsed)) + 1
 	r.updatedAt = now
--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -20,9 +20,9 @@
 // maxInstant is the latest instant that the type can represent. It lies in the year 2262.
 const maxInstant Instant = math.MaxInt64
 
-// seconds is a type constraint for types that count seconds in floating point, such as placer.Seconds and the
-// duration type of the settings.
-type seconds interface{ ~float64 }
+// floatSeconds is a type constraint for types that count seconds in floating point, such as placer.Seconds
+// and the duration type of the settings.
+type floatSeconds interface{ ~float64 }
 
 // FromTime converts a time.Time to an Instant.
 func FromTime(t time.Time) Instant { return Instant(t.UnixNano()) }
@@ -69,7 +69,7 @@
 
 // Duration converts a number of seconds to the nearest time.Duration. A value outside the range of a
 // Duration, including infinity, yields the longest or the shortest duration. NaN yields the longest duration.
-func Duration[S seconds](s S) time.Duration {
+func Duration[S floatSeconds](s S) time.Duration {
 	return time.Duration(nanoseconds(float64(s), math.Round))
 }
 
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -18,7 +18,7 @@
 // file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
-	record.Line("%s", defaults())
+	record.Line("%s", describeDefaults())
 	shortPolicy := connpool.MultiplexedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
 	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultMultiplexedPolicy()), keepAliveActions(shortPolicy), usableStates()}
 	for i, grid := range grids {
@@ -30,7 +30,7 @@
 	record.Check(t, "characterization")
 }
 
-func defaults() string {
+func describeDefaults() string {
 	policy, shared := connpool.DefaultPolicy(), connpool.DefaultMultiplexedPolicy()
 	return fmt.Sprint("defaults ", policy.MaxConns, policy.MaxIdle.Seconds(), policy.MaxIdleNonIdempotent.Seconds(),
 		shared.MaxIdle.Seconds(), shared.HealthCheckAfter.Seconds(), shared.HealthCheckTimeout.Seconds())
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -17,8 +17,8 @@
 // connection that was in use very recently, or else on a new connection: if dialing fails, nothing was sent.
 type Policy struct {
 	MaxConns             int           // MaxConns is the largest number of open connections.
-	MaxIdle              time.Duration // A connection that has been idle for longer is not used again.
-	MaxIdleNonIdempotent time.Duration // This limit replaces MaxIdle for requests that are not idempotent.
+	MaxIdle              time.Duration // MaxIdle is the idle time after which a connection is not used again.
+	MaxIdleNonIdempotent time.Duration // MaxIdleNonIdempotent replaces MaxIdle for requests that are not idempotent.
 }
 
 // DefaultPolicy returns a policy whose limits are well below those that servers commonly have.
@@ -29,7 +29,7 @@
 // Action tells the HTTP client how to obtain a connection for a request.
 type Action uint8
 
-// These are the actions that Policy.Choose returns.
+// The constants of type Action are the results of Policy.Choose.
 const (
 	UseIdle     Action = iota // The request is sent on the idle connection Decision.Index.
 	Dial                      // A new connection is opened for the request.
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -12,9 +12,9 @@
 // A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow
 // node, whose answer will still arrive, from a connection that is open but no longer works.
 type MultiplexedPolicy struct {
-	MaxIdle            time.Duration // A connection is closed after this time without a request if that loses no message; 0 means never.
-	HealthCheckAfter   time.Duration // A connection that expects a message is checked after this time without traffic.
-	HealthCheckTimeout time.Duration // A connection is unresponsive if a health check or the rest of a message takes longer.
+	MaxIdle            time.Duration // MaxIdle is the idle time after which a connection is closed if that loses no message; 0 means never.
+	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a connection that expects a message is checked.
+	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check or for the rest of a message.
 }
 
 // DefaultMultiplexedPolicy returns a policy for nodes that answer health checks at once, over a network with
@@ -26,8 +26,8 @@
 // ConnState is the state of one connection to which a MultiplexedPolicy applies.
 type ConnState struct {
 	PendingRequests int           // PendingRequests is the number of unanswered requests.
-	RunsTasks       bool          // The node runs tasks and will report when they end.
-	HasAlternative  bool          // There is another connection to the same node.
+	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report when they end.
+	HasAlternative  bool          // HasAlternative means that there is another connection to the same node.
 	LastSent        clock.Instant // LastSent is when a request was last sent.
 	LastReceived    clock.Instant // LastReceived is when any data last arrived.
 	HealthCheckSent clock.Instant // HealthCheckSent is when the unanswered health check was sent, or zero if there is none.
@@ -50,12 +50,12 @@
 // KeepAliveAction is an action on a multiplexed connection.
 type KeepAliveAction uint8
 
-// These are the actions that MultiplexedPolicy.KeepAlive returns.
+// The constants of type KeepAliveAction are the results of MultiplexedPolicy.KeepAlive.
 const (
 	NoAction          KeepAliveAction = iota
-	SendHealthCheck                   // A health check is sent on the connection.
-	CloseIdle                         // The connection is closed, and no message is lost by that.
-	CloseUnresponsive                 // The connection does not work and is closed; the outcome of its pending requests is unknown.
+	SendHealthCheck                   // SendHealthCheck means that a health check is sent on the connection.
+	CloseIdle                         // CloseIdle means that the connection is closed, which loses no message.
+	CloseUnresponsive                 // CloseUnresponsive means that the connection is closed and the outcome of its requests is unknown.
 )
 
 // KeepAlive returns the action that is due on a connection at the given time.
@@ -82,12 +82,12 @@
 // failed dials. If a node has crashed or is cut off by a network partition, nothing arrives on open
 // connections and dials time out. If only the node's process has ended, the host refuses connections.
 type Reachability struct {
-	UnresponsiveAfter time.Duration // A node is unresponsive after this time without a message while dials fail.
-	ProcessEndedAfter time.Duration // The process has ended if connections are refused for this time.
+	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node with failed dials is unresponsive.
+	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long connections must be refused before the process counts as ended.
 
 	lastReceived  clock.Instant
-	refusedSince  clock.Instant // The value is zero if the last dial was not refused.
-	hasFailedDial bool          // A dial has failed since lastReceived.
+	refusedSince  clock.Instant // refusedSince is when dials began to be refused, or zero if the last dial was not refused.
+	hasFailedDial bool          // hasFailedDial means that a dial has failed since lastReceived.
 }
 
 // Received records that a message arrived or that a connection was established.
@@ -115,7 +115,7 @@
 // NodeStatus describes whether a node can be reached.
 type NodeStatus uint8
 
-// These are the statuses that Reachability.Status returns.
+// The constants of type NodeStatus are the results of Reachability.Status.
 const (
 	Reachable    NodeStatus = iota
 	ProcessEnded            // The host refuses connections, so the node's process and all its tasks have ended.
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -26,15 +26,15 @@
 	record.Line("object %d %d %d %d %d %d", object.Bytes, object.Depth, object.Values, object.NumberLength, object.Exponent, object.Digits)
 	for i, limits := range limitSets {
 		for j, text := range jsonTexts() {
-			record.Line("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits)))
+			record.Line("limits %d json %d %s", i, j, describeError(decodelimit.CheckJSON([]byte(text), limits)))
 		}
 		for j, text := range quantities {
 			record.Line("limits %d quantity %d %s", i, j, describeQuantity(text, limits))
 		}
 		for j, message := range protoMessages() {
-			record.Line("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits)))
+			record.Line("limits %d message %d %s", i, j, describeError(decodelimit.CheckProto(message, limits)))
 		}
-		record.Line("limits %d mutations %s", i, goldentest.Digest(checkMutations(limits, uint64(i))))
+		record.Line("limits %d mutations %s", i, goldentest.Digest(checkMutatedTexts(limits, uint64(i))))
 	}
 	record.Check(t, "characterization")
 }
@@ -48,7 +48,7 @@
 	{Digits: 2, Exponent: 1},
 }
 
-func describe(err error) string {
+func describeError(err error) string {
 	var limitErr *decodelimit.Error
 	if !errors.As(err, &limitErr) {
 		return fmt.Sprint(err == nil)
@@ -58,7 +58,7 @@
 
 func describeQuantity(text string, limits decodelimit.Limits) string {
 	if limitErr := decodelimit.CheckQuantity([]byte(text), limits); limitErr != nil {
-		return describe(limitErr)
+		return describeError(limitErr)
 	}
 	return "true"
 }
@@ -120,7 +120,7 @@
 	return append(encoded, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
-func checkMutations(limits decodelimit.Limits, seed uint64) string {
+func checkMutatedTexts(limits decodelimit.Limits, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var results strings.Builder
 	for _, text := range jsonTexts() {
@@ -131,7 +131,7 @@
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			results.WriteString(describe(decodelimit.CheckJSON(changed, limits)) + describe(decodelimit.CheckProto(changed, limits)) + "\n")
+			results.WriteString(describeError(decodelimit.CheckJSON(changed, limits)) + describeError(decodelimit.CheckProto(changed, limits)) + "\n")
 		}
 	}
 	return results.String()
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -43,9 +43,9 @@
 
 	depth         int
 	values        int
-	freeTextDepth int    // This is the depth of the outermost object or array of free text, or 0 if there is none.
-	memberName    []byte // This is the name of the object member that the next value belongs to, or nil.
-	expectsName   bool   // The next string is the name of an object member.
+	freeTextDepth int    // freeTextDepth is the depth of the outermost object or array of free text, or 0 if there is none.
+	memberName    []byte // memberName is the name of the next value in an object, and nil in an array.
+	expectsName   bool   // expectsName means that the next string is the name of an object member.
 	inObject      [maxNesting + 1]bool
 }
 
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -37,7 +37,7 @@
 // receive.
 type Bound string
 
-// These are the kinds of limits that an Error can report.
+// The constants of type Bound are the kinds of limits that an Error reports.
 const (
 	TooManyBytes     Bound = "too many bytes"
 	TooManyValues    Bound = "too many values"
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -29,7 +29,7 @@
 	Execute func(*placer.Action)
 
 	events  []placer.Event
-	actions []placer.Action // The actions of each event are collected in this buffer, which is reused.
+	actions []placer.Action // actions is a buffer that is reused for the actions of each event.
 	running bool
 }
 
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -18,7 +18,7 @@
 
 type userState struct {
 	used         int64
-	lastShrunkAt clock.Instant // The memory of the user last decreased, or the user was added, at this time.
+	lastShrunkAt clock.Instant // lastShrunkAt is when the user's memory last decreased, or when the user was added.
 }
 
 // New returns a budget with the given number of bytes and without users. A value below MinAllowance counts as
--- a/internal/control/memquota/eviction.go
+++ b/internal/control/memquota/eviction.go
@@ -4,8 +4,8 @@
 
 // Candidate is a connection that may be evicted to free a connection slot.
 type Candidate struct {
-	Busy        bool          // A request is in flight on the connection.
-	Established bool          // A request on the connection has completed successfully.
+	Busy        bool          // Busy means that a request is in flight on the connection.
+	Established bool          // Established means that a request on the connection has completed successfully.
 	Idle        time.Duration // Idle is the time since the last valid message on the connection.
 }
 
--- a/internal/control/memquota/memquota.go
+++ b/internal/control/memquota/memquota.go
@@ -33,7 +33,7 @@
 func Divide(memory int64) Shares {
 	memory = max(memory, MinMemory)
 	shares := Shares{Connections: memory / 16, History: memory / 8}
-	reserve := memory / 4 // This memory is left for everything that has no share of its own.
+	reserve := memory / 4 // reserve is the memory for everything that has no share of its own.
 	shares.Objects = memory - shares.Connections - shares.History - reserve
 	return shares
 }
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -13,8 +13,8 @@
 func TestMain(m *testing.M) { proptest.Main(m, "300") }
 
 // TestBudget simulates users that allocate the memory available to them and users that allocate more. It
-// checks four properties: the users fit into the total after UserToEvict has selected no further user, no
-// user is evicted because of a user with less than half its memory, a user without memory can always
+// checks four properties: the memory of all users fits into the total once the selected users are evicted, no
+// user is evicted while another user has more than twice its memory, a user without memory can always
 // allocate, and no memory counts as used after all users are removed.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -19,13 +19,13 @@
 	record := goldentest.NewRecorder()
 	for _, bounds := range [][2]placer.Seconds{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
 		for _, jitter := range []float64{0, 0.25, 0.5, 1} {
-			record.Line("%s", delays(bounds, jitter))
+			record.Line("%s", describeDelays(bounds, jitter))
 		}
 	}
 	record.Check(t, "backoff")
 }
 
-func delays(bounds [2]placer.Seconds, jitter float64) string {
+func describeDelays(bounds [2]placer.Seconds, jitter float64) string {
 	backoff := retry.Backoff{Min: bounds[0], Max: bounds[1]}
 	line := fmt.Sprintf("%g %g %g:", bounds[0], bounds[1], jitter)
 	for i := range 20 {
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -21,7 +21,7 @@
 	ShortDelay            placer.Seconds // ShortDelay is the mean delay after a migration or the loss of a node.
 	Multiplier            float64        // Multiplier is the growth factor of the mean delay for each further attempt.
 	MaxDelay              placer.Seconds // MaxDelay is the upper bound of the mean delay.
-	UnknownOutcomeTimeout placer.Seconds // After this time without an outcome, the client asks the node to drop the task.
+	UnknownOutcomeTimeout placer.Seconds // UnknownOutcomeTimeout is how long a client waits for an outcome before it asks the node to drop the task.
 }
 
 // DefaultPolicy returns the policy with the documented default delays.
@@ -32,7 +32,7 @@
 // Cause is the reason why a task does not run.
 type Cause uint8
 
-// These are the causes that a Policy distinguishes.
+// The constants of type Cause are the reasons that a Policy distinguishes.
 const (
 	Rejected Cause = iota // The scheduler rejected the request, so a new request is safe.
 	Failed                // The request failed, and the scheduler does not say whether the task ran.
@@ -51,8 +51,8 @@
 	Deadline       placer.Seconds // Deadline is the time at which the client stops waiting for the task to be placed.
 	Attempts       int            // Attempts is the number of attempts made so far.
 	RetriesLeft    int
-	OutcomeUnknown bool           // A node may have accepted an attempt and has not answered yet.
-	MayHaveRun     bool           // An attempt may have run, and its outcome can no longer be learned.
+	OutcomeUnknown bool           // OutcomeUnknown means that a node may have accepted an attempt and has not answered yet.
+	MayHaveRun     bool           // MayHaveRun means that an attempt may have run and its outcome can no longer be learned.
 	RetryAfter     placer.Seconds // RetryAfter is the delay, counted from Now, that the scheduler advised.
 	Jitter         float64        // Jitter is a random number from 0 to 1 that the caller draws.
 }
@@ -60,7 +60,7 @@
 // Decision is the next step of a client for one task.
 type Decision uint8
 
-// These are the decisions that Policy.Next returns.
+// The constants of type Decision are the steps that Policy.Next returns.
 const (
 	RetryAt      Decision = iota // The client requests placement again at the returned time.
 	AwaitOutcome                 // The client waits until the outcome is known, at most until the returned time.
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -107,7 +107,7 @@
 
 // TestMaxWaitCoversAllAttempts checks that every attempt that a policy allows ends within MaxWait.
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
-	const deadline placer.Seconds = 8 // Each request expires this many seconds after it is made.
+	const deadline placer.Seconds = 8 // deadline is the time after which each request expires.
 	policy := DefaultPolicy()
 	for maxRetries := range 40 {
 		// attemptEnd starts as the time at which the first request expires.
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -25,8 +25,8 @@
 type Timer[Time cmp.Ordered] struct {
 	At       Time
 	Run      func()
-	sequence uint64 // The sequence number orders timers of equal time.
-	index    int    // The index is the timer's position in the heap, or notQueued.
+	sequence uint64 // sequence orders timers of equal time.
+	index    int    // index is the position of the timer in the heap, or notQueued.
 }
 
 // Pending reports whether the timer is still in its queue. It returns false for a nil timer.
