--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,27 +1,29 @@
-// Package admission decides which placement requests are passed on to the placer when clients request more than the fleet can start: how
-// many requests may be in flight (a learned concurrency limit), whose request is next (tenant shares, then priority), which requests are
-// shed because they could no longer start in time, and how many may be retries (a retry budget).
+// Package admission decides which placement requests are passed on to the placer when clients request more
+// tasks than the cluster can start. It decides four things: how many requests may be in flight (an adaptive
+// concurrency limit), which request is admitted next (by tenant shares, then by priority), which requests are
+// shed because they could no longer start in time, and how many of the admitted requests may be retries (a
+// retry budget).
 //
-// The engine of the Kubernetes front owns the Controller. Begin with Controller.Submit and Controller.Poll, which take a request through the
-// fairQueue, the limiter and the retryBudget.
+// Package engine, which schedules for the Kubernetes API, owns a Controller. Controller.Submit and
+// Controller.Poll take a request through the fairQueue, the limiter and the retryBudget.
 //
-// It is pure: time is passed in, and there is no randomness. It does not decide where a task runs. A Controller is not safe for concurrent
-// use.
+// The package reads no clock and draws no random numbers: callers pass in the time. It does not decide on
+// which node a task runs. A Controller is not safe for concurrent use.
 package admission
 
 import "heathshed/placer"
 
-// Decision is what becomes of a submitted request.
+// Decision is the result of the submission of a request.
 type Decision uint8
 
-// The decisions.
+// The constants of type Decision are the results of Controller.Submit.
 const (
-	Admit Decision = iota // send it to the placer now
-	Queue                 // it is queued; a later Poll admits or sheds it
-	Shed                  // it is rejected; the client may submit another one after ShedRequest.RetryAfter
+	Admit Decision = iota // Admit means that the request is to be sent to the placer now.
+	Queue                 // Queue means that the request is queued and a later call of Poll admits or sheds it.
+	Shed                  // Shed means that the request is rejected; the client may submit another one after ShedRequest.RetryAfter.
 )
 
-// Controller is an admission controller. The zero value is not usable; see New.
+// Controller is an admission controller. The zero value is not usable; New creates a Controller.
 type Controller struct {
 	cfg     Config
 	limiter limiter
@@ -29,21 +31,22 @@
 	budget  retryBudget
 	rate    admissionRate
 
-	// Admitted counts requests that were admitted, at once or from the queue.
+	// Admitted is the number of requests that were admitted, either at submission or from the queue.
 	Admitted uint64
-	// Queued counts requests that were queued when they were submitted.
+	// Queued is the number of requests that were queued at submission.
 	Queued uint64
-	// Overdue counts queued requests that were demoted at their Deadline.
-	Overdue uint64
-	// ShedLate counts requests that were shed because they could no longer start in time.
+	// Demoted is the number of queued requests that were demoted because they could no longer start before
+	// their Deadline.
+	Demoted uint64
+	// ShedLate is the number of requests that were shed because they could no longer start in time.
 	ShedLate uint64
-	// ShedFull counts requests that were shed because the queue was full.
+	// ShedFull is the number of requests that were shed because the queue was full.
 	ShedFull uint64
-	// ShedRetry counts retries that were shed because the retry budget was used up.
+	// ShedRetry is the number of retries that were shed because the retry budget was used up.
 	ShedRetry uint64
 }
 
-// New returns a controller, or a *ConfigError.
+// New returns a Controller with the given settings, or a *ConfigError if a setting is out of range.
 func New(cfg Config) (*Controller, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -53,10 +56,10 @@
 	return controller, nil
 }
 
-// RetryBudget returns how many retries may be admitted at once.
+// RetryBudget returns the number of retries that may currently be admitted.
 func (c *Controller) RetryBudget() float64 { return c.budget.tokens }
 
-// Limit returns the current limit on requests in flight.
+// Limit returns the current limit on the number of requests in flight.
 func (c *Controller) Limit() float64 { return c.limiter.limit }
 
 // InFlight returns the number of admitted requests that have not completed.
@@ -65,43 +68,44 @@
 // QueueLength returns the number of requests that wait for admission.
 func (c *Controller) QueueLength() int { return c.queue.len() }
 
-// Submit decides about a new request. If it is queued, a later Poll returns it; if it is shed, the ShedRequest says why.
+// Submit decides whether a new request is admitted, queued or shed. A later call of Poll returns a queued
+// request. For a shed request, the returned ShedRequest states the reason.
 func (c *Controller) Submit(now placer.Seconds, request Request) (Decision, ShedRequest) {
 	if c.cfg.Disabled {
-		c.admit(now, &request, false) // the retry budget does not apply
+		c.admit(now, &request, false) // The retry budget does not apply while admission control is disabled.
 		return Admit, ShedRequest{}
 	}
 	c.budget.refill(now)
 	if c.cfg.ShedUsesRetryBudget {
 		request.IsRetry = request.IsRetry || request.ShedBefore
-		if request.IsRetry && !c.budget.allows() {
+		if request.IsRetry && !c.budget.hasToken() {
 			c.ShedRetry++
-			return Shed, c.shed(request.ID, ReasonRetryBudget)
+			return Shed, c.newShedRequest(request.ID, ReasonRetryBudget)
 		}
 		if !request.IsRetry {
-			c.budget.add(c.cfg.RetryRatio)
+			c.budget.addTokens(c.cfg.RetryRatio)
 		}
 	}
-	tenant := c.queue.tenant(request.Tenant)
-	if c.admissible(now, &request) {
-		c.queue.charge(tenant, request.Cost)
+	tenant := c.queue.tenantByNumber(request.Tenant)
+	if c.canAdmitNow(now, &request) {
+		c.queue.chargeTenant(tenant, request.Cost)
 		c.admit(now, &request, request.IsRetry)
 		return Admit, ShedRequest{}
 	}
 	if c.queue.len() >= c.cfg.MaxQueued {
 		c.ShedFull++
-		return Shed, c.shed(request.ID, ReasonQueueFull)
+		return Shed, c.newShedRequest(request.ID, ReasonQueueFull)
 	}
 	c.enqueue(now, request, tenant)
 	return Queue, ShedRequest{}
 }
 
-// admissible reports whether an arriving request may be admitted at once.
-func (c *Controller) admissible(now placer.Seconds, request *Request) bool {
+// canAdmitNow reports whether a new request may be admitted without waiting in the queue.
+func (c *Controller) canAdmitNow(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
 	}
-	return !request.IsRetry || c.budget.allows()
+	return !request.IsRetry || c.budget.hasToken()
 }
 
 func (c *Controller) enqueue(now placer.Seconds, request Request, tenant *tenantQueue) {
@@ -110,7 +114,7 @@
 		deadline = request.FinalDeadline
 	}
 	if tenant.totalQueued() == 0 {
-		c.queue.catchUp(tenant)
+		c.queue.advanceVirtualTime(tenant)
 	}
 	c.queue.enqueue(&queuedRequest{Request: request, arrivedAt: now, expiresAt: request.latestStart(deadline), tenant: tenant})
 	c.Queued++
@@ -118,31 +122,32 @@
 
 func (c *Controller) admit(now placer.Seconds, request *Request, usesRetryBudget bool) {
 	if usesRetryBudget {
-		c.budget.take()
+		c.budget.takeToken()
 	}
 	c.limiter.add(request.ID, &inFlightRequest{
 		admittedAt:       now,
 		latencyObjective: request.LatencyObjective,
 		usedRetryBudget:  usesRetryBudget,
 	})
-	c.rate.record(now)
+	c.rate.recordAdmission(now)
 	c.Admitted++
 }
 
-// Complete records the outcome of an admitted request: whether its task was placed. The concurrency limit and the retry budget adapt to it.
-// An unknown request is ignored.
+// Complete records the outcome of an admitted request; placed reports whether its task was placed. The
+// concurrency limit and the retry budget adapt to the outcome. Complete ignores an unknown request.
 func (c *Controller) Complete(now placer.Seconds, id uint64, placed bool) {
 	request, ok := c.limiter.inFlight[id]
 	if !ok {
 		return
 	}
 	if placed && !c.cfg.ShedUsesRetryBudget {
-		c.budget.placed(request.usedRetryBudget)
+		c.budget.recordPlaced(request.usedRetryBudget)
 	}
 	c.limiter.complete(now, id, request, placed)
 }
 
-// Cancel removes a request, queued or in flight. The concurrency limit and the retry budget do not adapt to it. An unknown request is ignored.
+// Cancel removes a request that is queued or in flight. The concurrency limit and the retry budget do not
+// adapt to it. Cancel ignores an unknown request.
 func (c *Controller) Cancel(id uint64) {
 	if request := c.limiter.inFlight[id]; request != nil {
 		c.limiter.remove(id, request)
@@ -152,42 +157,44 @@
 	}
 }
 
-// Poll returns the queued requests that are admitted now, in order, and those that are shed because they could no longer start before their
-// final deadline.
+// Poll returns the queued requests that are admitted now, in order of admission. It also returns the queued
+// requests that are shed because they could no longer start before their final deadline.
 func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
-	shed = c.expire(now)
+	shed = c.processExpired(now)
 	for c.queue.len() > 0 && c.limiter.hasCapacity(now) {
-		tenant := c.queue.nextTenant(c.budget.allows())
+		tenant := c.queue.nextTenant(c.budget.hasToken())
 		if tenant == nil {
-			break // only retries are queued, and the budget is used up
+			break // Only retries are queued, and the retry budget is used up.
 		}
 		entry := tenant.next(now)
 		c.queue.remove(entry)
-		c.queue.charge(tenant, entry.Cost)
+		c.queue.chargeTenant(tenant, entry.Cost)
 		c.admit(now, &entry.Request, entry.IsRetry)
 		admitted = append(admitted, entry.ID)
 	}
 	return admitted, shed
 }
 
-// expire demotes or sheds the queued requests that have expired.
-func (c *Controller) expire(now placer.Seconds) []ShedRequest {
+// processExpired demotes or sheds the queued requests whose expiry time has passed, and returns those that it
+// shed.
+func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
-	for entry := c.queue.expiry.first(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.first() {
-		if c.demote(now, entry) {
+	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
+		if c.demoteExpired(now, entry) {
 			continue
 		}
-		reason := c.countExpired(entry)
+		reason := c.recordExpired(entry)
 		c.queue.remove(entry)
-		shed = append(shed, c.shed(entry.ID, reason))
+		shed = append(shed, c.newShedRequest(entry.ID, reason))
 	}
 	return shed
 }
 
-// demote queues a request that can no longer start in time, but whose client still waits, behind those that can. It returns false if the
-// client no longer waits.
-func (c *Controller) demote(now placer.Seconds, entry *queuedRequest) bool {
+// demoteExpired handles a queued request that can no longer start before its deadline. If the client still
+// waits, it moves the request behind the requests that can start in time and returns true. Otherwise it
+// returns false.
+func (c *Controller) demoteExpired(now placer.Seconds, entry *queuedRequest) bool {
 	latest := entry.latestStart(entry.FinalDeadline)
 	clientWaits := latest > now
 	if !clientWaits || c.cfg.ShedUsesRetryBudget {
@@ -197,13 +204,13 @@
 	demoted := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latest, tenant: entry.tenant}
 	demoted.ShedBefore = true
 	c.queue.enqueue(demoted)
-	c.Overdue++
+	c.Demoted++
 	return true
 }
 
-// countExpired counts a request that is about to be shed and returns the reason.
-func (c *Controller) countExpired(entry *queuedRequest) string {
-	if entry.IsRetry && !c.budget.allows() {
+// recordExpired counts an expired request that is about to be shed and returns the reason for shedding it.
+func (c *Controller) recordExpired(entry *queuedRequest) string {
+	if entry.IsRetry && !c.budget.hasToken() {
 		c.ShedRetry++
 		return ReasonRetryBudget
 	}
@@ -211,13 +218,14 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the time by which Poll should be called even if no request completes: infinity if nothing is queued.
+// NextDeadline returns the time by which Poll has to be called even if no request completes. It returns
+// infinity if nothing is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
-		next = min(c.limiter.nextUncountedAt(), c.budget.nextTokenAt())
+		next = min(c.limiter.nextSlotExpiry(), c.budget.nextTokenAt())
 	}
-	if entry := c.queue.expiry.first(); entry != nil {
+	if entry := c.queue.expiry.earliest(); entry != nil {
 		next = min(next, entry.expiresAt)
 	}
 	return next
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,12 +13,14 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares decisions over grids of inputs, as numbers, with the golden file; see package goldentest.
+// TestCharacterization compares the decisions of all policies with a golden file. The inputs form grids of
+// connection states, and each decision is recorded as a number. Package goldentest describes how the golden
+// file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
-	record.Line("%s", defaults())
-	shortPolicy := connpool.SharedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
-	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultSharedPolicy()), keepAliveActions(shortPolicy), usableStates()}
+	record.Line("%s", describeDefaults())
+	shortPolicy := connpool.MultiplexedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
+	grids := []string{connectionChoices(), keepAliveActions(connpool.DefaultMultiplexedPolicy()), keepAliveActions(shortPolicy), usableStates()}
 	for i, grid := range grids {
 		record.Line("grid %d %d %s", i, len(grid), goldentest.Digest(grid))
 	}
@@ -28,8 +30,8 @@
 	record.Check(t, "characterization")
 }
 
-func defaults() string {
-	policy, shared := connpool.DefaultPolicy(), connpool.DefaultSharedPolicy()
+func describeDefaults() string {
+	policy, shared := connpool.DefaultPolicy(), connpool.DefaultMultiplexedPolicy()
 	return fmt.Sprint("defaults ", policy.MaxConns, policy.MaxIdle.Seconds(), policy.MaxIdleNonIdempotent.Seconds(),
 		shared.MaxIdle.Seconds(), shared.HealthCheckAfter.Seconds(), shared.HealthCheckTimeout.Seconds())
 }
@@ -52,9 +54,9 @@
 		for _, idle := range lists {
 			for open := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
-					few := policy.Choose(idle, open+len(idle)-1, nonIdempotent)
-					many := policy.Choose(idle, 30+open, nonIdempotent)
-					fmt.Fprintln(&decisions, uint8(few.Action), few.Index, few.Stale, uint8(many.Action), many.Index, many.Stale)
+					fewOpen := policy.Choose(idle, open+len(idle)-1, nonIdempotent)
+					manyOpen := policy.Choose(idle, 30+open, nonIdempotent)
+					fmt.Fprintln(&decisions, uint8(fewOpen.Action), fewOpen.Index, fewOpen.Stale, uint8(manyOpen.Action), manyOpen.Index, manyOpen.Stale)
 				}
 			}
 		}
@@ -62,17 +64,17 @@
 	return decisions.String()
 }
 
-func keepAliveActions(policy connpool.SharedPolicy) string {
+func keepAliveActions(policy connpool.MultiplexedPolicy) string {
 	var actions strings.Builder
 	now := clock.FromUnixSeconds(10)
-	var moments []clock.Instant
+	var instants []clock.Instant
 	for _, seconds := range []placer.Seconds{0, 8, 9, 9.25, 9.5, 9.75, 9.999, 10} {
-		moments = append(moments, clock.FromUnixSeconds(seconds))
+		instants = append(instants, clock.FromUnixSeconds(seconds))
 	}
-	for _, sent := range moments {
-		for _, received := range moments {
-			for _, checked := range moments {
-				for _, incomplete := range moments {
+	for _, sent := range instants {
+		for _, received := range instants {
+			for _, checked := range instants {
+				for _, incomplete := range instants {
 					for bits := range 8 {
 						state := connpool.ConnState{
 							PendingRequests: bits & 1,
@@ -94,9 +96,9 @@
 
 func usableStates() string {
 	var usable strings.Builder
-	moments := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
-	for _, checked := range moments {
-		for _, incomplete := range moments {
+	instants := []clock.Instant{0, clock.FromUnixSeconds(0.1)}
+	for _, checked := range instants {
+		for _, incomplete := range instants {
 			for requests := range 3 {
 				fmt.Fprintln(&usable, connpool.ConnState{HealthCheckSent: checked, IncompleteSince: incomplete, PendingRequests: requests}.Usable())
 			}
@@ -105,12 +107,13 @@
 	return usable.String()
 }
 
-// reachability returns a digest of the statuses of a node through random messages and failed dials.
+// reachability records the status of a node after random messages and failed dials and returns a digest of
+// the record.
 func reachability(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
 	var now clock.Instant
-	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, RefusedAfter: time.Second}
+	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	for range 200 {
 		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[random.IntN(5)])
 		switch random.IntN(8) {
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,57 +6,60 @@
 	"heathshed/internal/control/clock"
 )
 
-// SharedPolicy decides when connections to one node that carry many requests at a time are checked and closed.
+// MultiplexedPolicy decides when connections that carry many requests at a time to one node are checked or
+// closed.
 //
-// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow node, whose answer will still come,
-// from a connection that is open but dead.
-type SharedPolicy struct {
-	MaxIdle            time.Duration // a connection without a request for longer is closed if nothing is expected on it; 0 for never
-	HealthCheckAfter   time.Duration // a connection without traffic for longer is checked if something is expected on it
-	HealthCheckTimeout time.Duration // a connection is unresponsive if a health check or the rest of a message takes longer
+// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow
+// node, whose answer will still arrive, from a connection that is open but no longer works.
+type MultiplexedPolicy struct {
+	MaxIdle            time.Duration // MaxIdle is the idle time after which a connection is closed if that loses no message; 0 means never.
+	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a connection that expects a message is checked.
+	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check or for the rest of a message.
 }
 
-// DefaultSharedPolicy suits nodes that answer health checks at once over a network with a latency of a few milliseconds. It does not close
-// idle connections.
-func DefaultSharedPolicy() SharedPolicy {
-	return SharedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
+// DefaultMultiplexedPolicy returns a policy for nodes that answer health checks at once, over a network with
+// a latency of a few milliseconds. The policy does not close idle connections.
+func DefaultMultiplexedPolicy() MultiplexedPolicy {
+	return MultiplexedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 }
 
-// ConnState is the state of one such connection.
+// ConnState is the state of one connection to which a MultiplexedPolicy applies.
 type ConnState struct {
-	PendingRequests int           // unanswered
-	RunsTasks       bool          // the node runs tasks whose end it will report
-	HasAlternative  bool          // there is another connection to the node
-	LastSent        clock.Instant // when a request was last sent
-	LastReceived    clock.Instant // when anything last arrived
-	HealthCheckSent clock.Instant // when the unanswered health check was sent; zero if there is none
-	IncompleteSince clock.Instant // since when the last message has been incomplete; zero if it is not
+	PendingRequests int           // PendingRequests is the number of unanswered requests.
+	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report when they end.
+	HasAlternative  bool          // HasAlternative means that there is another connection to the same node.
+	LastSent        clock.Instant // LastSent is when a request was last sent.
+	LastReceived    clock.Instant // LastReceived is when any data last arrived.
+	HealthCheckSent clock.Instant // HealthCheckSent is when the unanswered health check was sent, or zero if there is none.
+	IncompleteSince clock.Instant // IncompleteSince is when a message began that is still incomplete, or zero if there is none.
 }
 
-// Usable reports whether requests may be sent on the connection: not while a health check or the rest of a message is awaited.
+// Usable reports whether requests may be sent on the connection. A connection that awaits the answer to a
+// health check or the rest of a message is not usable.
 func (s ConnState) Usable() bool { return s.HealthCheckSent.IsZero() && s.IncompleteSince.IsZero() }
 
-// expectsMessage reports whether an answer or the end of a task is still to come.
+// expectsMessage reports whether the node still has to send an answer or report the end of a task.
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
 
-// closable reports whether closing the connection loses nothing.
-func (s ConnState) closable() bool {
+// closableWithoutLoss reports whether the connection can be closed without losing an answer or the report of
+// a task's end.
+func (s ConnState) closableWithoutLoss() bool {
 	return s.PendingRequests == 0 && (!s.RunsTasks || s.HasAlternative)
 }
 
-// KeepAliveAction is what to do with a connection.
+// KeepAliveAction is an action on a multiplexed connection.
 type KeepAliveAction uint8
 
-// The actions.
+// The constants of type KeepAliveAction are the results of MultiplexedPolicy.KeepAlive.
 const (
 	NoAction          KeepAliveAction = iota
-	SendHealthCheck                   // send a health check
-	CloseIdle                         // close it: nothing is lost
-	CloseUnresponsive                 // close it: it is dead, and the outcome of its pending requests is unknown
+	SendHealthCheck                   // SendHealthCheck means that a health check is sent on the connection.
+	CloseIdle                         // CloseIdle means that the connection is closed, which loses no message.
+	CloseUnresponsive                 // CloseUnresponsive means that the connection is closed and the outcome of its requests is unknown.
 )
 
-// KeepAlive decides for one connection.
-func (p SharedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
+// KeepAlive returns the action that is due on a connection at the given time.
+func (p MultiplexedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
 	if !s.IncompleteSince.IsZero() && now.Sub(s.IncompleteSince) > p.HealthCheckTimeout {
 		return CloseUnresponsive
 	}
@@ -69,21 +72,22 @@
 	if s.expectsMessage() && now.Sub(max(s.LastReceived, s.LastSent)) > p.HealthCheckAfter {
 		return SendHealthCheck
 	}
-	if p.MaxIdle > 0 && now.Sub(s.LastSent) > p.MaxIdle && s.closable() {
+	if p.MaxIdle > 0 && now.Sub(s.LastSent) > p.MaxIdle && s.closableWithoutLoss() {
 		return CloseIdle
 	}
 	return NoAction
 }
 
-// Reachability determines from messages and failed dials whether a node that runs tasks can be reached. If a node has crashed or is
-// partitioned, open connections fall silent and dials time out. If only its process has ended, it refuses connections.
+// Reachability determines whether a node that runs tasks can be reached, based on received messages and
+// failed dials. If a node has crashed or is cut off by a network partition, nothing arrives on open
+// connections and dials time out. If only the node's process has ended, the host refuses connections.
 type Reachability struct {
-	UnresponsiveAfter time.Duration // without any message while dials fail
-	RefusedAfter      time.Duration // of refused connections
+	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node with failed dials is unresponsive.
+	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long connections must be refused before the process counts as ended.
 
 	lastReceived  clock.Instant
-	refusedSince  clock.Instant // zero if the last dial was not refused
-	hasFailedDial bool          // since lastReceived
+	refusedSince  clock.Instant // refusedSince is when dials began to be refused, or zero if the last dial was not refused.
+	hasFailedDial bool          // hasFailedDial means that a dial has failed since lastReceived.
 }
 
 // Received records that a message arrived or that a connection was established.
@@ -93,7 +97,8 @@
 	r.hasFailedDial = false
 }
 
-// DialFailed records that a dial failed, and whether it was refused rather than left unanswered.
+// DialFailed records that a dial failed. The argument refused is true if the host refused the connection, and
+// false if the dial was not answered.
 func (r *Reachability) DialFailed(now clock.Instant, refused bool) {
 	if r.lastReceived.IsZero() {
 		r.lastReceived = now
@@ -107,21 +112,21 @@
 	}
 }
 
-// NodeStatus reports whether a node can be reached.
+// NodeStatus describes whether a node can be reached.
 type NodeStatus uint8
 
-// The statuses.
+// The constants of type NodeStatus are the results of Reachability.Status.
 const (
 	Reachable    NodeStatus = iota
-	ProcessEnded            // it refuses connections: its process has ended, and all tasks with it
-	Unresponsive            // it does not answer; its tasks may still run
+	ProcessEnded            // The host refuses connections, so the node's process and all its tasks have ended.
+	Unresponsive            // The node does not answer, but its tasks may still run.
 )
 
-// Status returns the status of the node. A node is unresponsive only if a dial has failed: one that was not dialed may simply have had
-// nothing to report.
+// Status returns the status of the node at the given time. A node is unresponsive only if a dial has failed,
+// because a node that was not dialed may simply have had nothing to report.
 func (r *Reachability) Status(now clock.Instant) NodeStatus {
 	switch {
-	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.RefusedAfter:
+	case !r.refusedSince.IsZero() && now.Sub(r.refusedSince) > r.ProcessEndedAfter:
 		return ProcessEnded
 	case r.hasFailedDial && r.refusedSince.IsZero() && now.Sub(r.lastReceived) > r.UnresponsiveAfter:
 		return Unresponsive
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -15,23 +15,26 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization pins the results for texts around each limit and for seeded mutations. Error texts are sent to clients, so they are
-// part of it. Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterization compares the results for inputs around each limit, and for seeded random mutations of
+// them, with a golden file. The results include the error texts, because clients receive them.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	object := decodelimit.ObjectLimits()
 	record := goldentest.NewRecorder()
 	record.Line("object %d %d %d %d %d %d", object.Bytes, object.Depth, object.Values, object.NumberLength, object.Exponent, object.Digits)
 	for i, limits := range limitSets {
-		for j, text := range corpus() {
-			record.Line("limits %d json %d %s", i, j, describe(decodelimit.CheckJSON([]byte(text), limits)))
+		for j, text := range jsonTexts() {
+			record.Line("limits %d json %d %s", i, j, describeError(decodelimit.CheckJSON([]byte(text), limits)))
 		}
 		for j, text := range quantities {
 			record.Line("limits %d quantity %d %s", i, j, describeQuantity(text, limits))
 		}
-		for j, message := range messages() {
-			record.Line("limits %d message %d %s", i, j, describe(decodelimit.CheckProto(message, limits)))
+		for j, message := range protoMessages() {
+			record.Line("limits %d message %d %s", i, j, describeError(decodelimit.CheckProto(message, limits)))
 		}
-		record.Line("limits %d mutations %s", i, goldentest.Digest(mutations(limits, uint64(i))))
+		record.Line("limits %d mutations %s", i, goldentest.Digest(checkMutatedTexts(limits, uint64(i))))
 	}
 	record.Check(t, "characterization")
 }
@@ -45,17 +48,17 @@
 	{Digits: 2, Exponent: 1},
 }
 
-func describe(err error) string {
-	var over *decodelimit.Error
-	if !errors.As(err, &over) {
+func describeError(err error) string {
+	var limitErr *decodelimit.Error
+	if !errors.As(err, &limitErr) {
 		return fmt.Sprint(err == nil)
 	}
-	return fmt.Sprintf("%s %t", over.Error(), over.TooLarge())
+	return fmt.Sprintf("%s %t", limitErr.Error(), limitErr.TooLarge())
 }
 
 func describeQuantity(text string, limits decodelimit.Limits) string {
-	if over := decodelimit.CheckQuantity([]byte(text), limits); over != nil {
-		return describe(over)
+	if limitErr := decodelimit.CheckQuantity([]byte(text), limits); limitErr != nil {
+		return describeError(limitErr)
 	}
 	return "true"
 }
@@ -69,7 +72,7 @@
 	`1\n` + strings.Repeat("2", 300), "1" + strings.Repeat(`\u0030`, 70),
 }
 
-func corpus() []string {
+func jsonTexts() []string {
 	var texts []string
 	for _, quantity := range quantities {
 		inQuotes := `"` + quantity + `"`
@@ -97,8 +100,9 @@
 		`{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
 }
 
-// messages are binary messages: flat, nested, cut short, with quantities and with numbers of each encoding.
-func messages() [][]byte {
+// protoMessages returns protobuf messages that are flat, nested or truncated, with quantities and with
+// numbers of each wire type.
+func protoMessages() [][]byte {
 	var encoded [][]byte
 	for _, quantity := range quantities {
 		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), quantity)
@@ -116,10 +120,10 @@
 	return append(encoded, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
-func mutations(limits decodelimit.Limits, seed uint64) string {
+func checkMutatedTexts(limits decodelimit.Limits, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var results strings.Builder
-	for _, text := range corpus() {
+	for _, text := range jsonTexts() {
 		if len(text) == 0 || len(text) > 300 {
 			continue
 		}
@@ -127,7 +131,7 @@
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
 			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			results.WriteString(describe(decodelimit.CheckJSON(changed, limits)) + describe(decodelimit.CheckProto(changed, limits)) + "\n")
+			results.WriteString(describeError(decodelimit.CheckJSON(changed, limits)) + describeError(decodelimit.CheckProto(changed, limits)) + "\n")
 		}
 	}
 	return results.String()
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -1,9 +1,10 @@
 package decodelimit
 
-// maxNesting is the deepest nesting that a jsonScanner can follow; Limits.Depth is no more than that.
+// maxNesting is the greatest nesting depth that a jsonScanner can track. A greater value of Limits.Depth
+// counts as maxNesting.
 const maxNesting = 1023
 
-// freeTextFields are names under which a string is free text and never a quantity.
+// freeTextFields contains the names of object members whose strings are free text and never quantities.
 var freeTextFields = map[string]bool{
 	"annotations":  true,
 	"args":         true,
@@ -18,8 +19,8 @@
 	"values":       true,
 }
 
-// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not validate the text, which the decoder
-// does: a text without an error is safe to decode.
+// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not
+// validate the JSON syntax, which the decoder does. A text that passes the check is safe to decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// jsonScanner walks the tokens of a text once. It tolerates what is not JSON.
+// jsonScanner scans the tokens of a text in a single pass. It tolerates text that is not valid JSON.
 type jsonScanner struct {
 	text     []byte
 	limits   Limits
@@ -42,9 +43,9 @@
 
 	depth         int
 	values        int
-	freeTextDepth int    // depth of the outermost object or array of free text, 0 if none
-	name          []byte // of the next value, nil in an array
-	wantName      bool   // the next string is a name
+	freeTextDepth int    // freeTextDepth is the depth of the outermost object or array of free text, or 0 if there is none.
+	memberName    []byte // memberName is the name of the next value in an object, and nil in an array.
+	expectsName   bool   // expectsName means that the next string is the name of an object member.
 	inObject      [maxNesting + 1]bool
 }
 
@@ -60,7 +61,7 @@
 			s.close()
 			i++
 		case ',':
-			s.separate()
+			s.nextMember()
 			i++
 		case '"':
 			i, err = s.scanString(i)
@@ -78,26 +79,26 @@
 	return nil
 }
 
-// open enters an object or an array.
-func (s *jsonScanner) open(at int) *Error {
-	if err := s.limits.countValue(&s.values, at); err != nil {
+// open processes the beginning of an object or an array at the given offset.
+func (s *jsonScanner) open(offset int) *Error {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return err
 	}
 	s.depth++
 	if s.depth > s.maxDepth {
-		return &Error{ObjectsTooDeep, s.maxDepth, at}
+		return &Error{ObjectsTooDeep, s.maxDepth, offset}
 	}
-	if s.freeTextDepth == 0 && freeTextFields[string(s.name)] {
+	if s.freeTextDepth == 0 && freeTextFields[string(s.memberName)] {
 		s.freeTextDepth = s.depth
 	}
-	isObject := s.text[at] == '{'
+	isObject := s.text[offset] == '{'
 	s.inObject[s.depth] = isObject
-	s.wantName = isObject
-	s.name = nil
+	s.expectsName = isObject
+	s.memberName = nil
 	return nil
 }
 
-// close leaves an object or an array.
+// close processes the end of an object or an array.
 func (s *jsonScanner) close() {
 	if s.depth > 0 {
 		if s.freeTextDepth == s.depth {
@@ -105,57 +106,59 @@
 		}
 		s.depth--
 	}
-	s.name = nil
-	s.wantName = false
+	s.memberName = nil
+	s.expectsName = false
 }
 
-// separate moves on to the next member or element. The elements of a named array keep its name.
-func (s *jsonScanner) separate() {
-	s.wantName = s.inObject[s.depth]
-	if s.wantName {
-		s.name = nil
+// nextMember processes a comma. Inside an object, the next string is then expected to be a member name.
+func (s *jsonScanner) nextMember() {
+	s.expectsName = s.inObject[s.depth]
+	if s.expectsName {
+		s.memberName = nil
 	}
 }
 
-// scanString scans the string, a name or a value, that begins at a quote, and returns the offset after it.
-func (s *jsonScanner) scanString(at int) (next int, err *Error) {
+// scanString scans a string, which is a member name or a value. The string begins with the quote at the given
+// offset. The result next is the offset after the string.
+func (s *jsonScanner) scanString(offset int) (next int, err *Error) {
 	text := s.text
-	end := at + 1
+	end := offset + 1
 	for end < len(text) && text[end] != '"' {
 		if text[end] == '\\' {
 			end++
 		}
 		end++
 	}
-	content := text[at+1 : min(end, len(text))]
-	if s.wantName {
-		s.name = content
-		s.wantName = false
+	content := text[offset+1 : min(end, len(text))]
+	if s.expectsName {
+		s.memberName = content
+		s.expectsName = false
 		return end + 1, nil
 	}
-	if err := s.limits.countValue(&s.values, at); err != nil {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	if s.freeTextDepth == 0 && !freeTextFields[string(s.name)] {
-		err = checkQuantityAt(content, &s.limits, at)
+	if s.freeTextDepth == 0 && !freeTextFields[string(s.memberName)] {
+		err = checkQuantityAt(content, &s.limits, offset)
 	}
 	return end + 1, err
 }
 
-// scanNumber scans the number that begins at an offset and returns the offset after it.
-func (s *jsonScanner) scanNumber(at int) (next int, err *Error) {
+// scanNumber scans the number that begins at the given offset. The result next is the offset after the
+// number.
+func (s *jsonScanner) scanNumber(offset int) (next int, err *Error) {
 	text := s.text
-	end := at + 1
+	end := offset + 1
 	for end < len(text) && isNumberByte(text[end]) {
 		end++
 	}
-	if err := s.limits.countValue(&s.values, at); err != nil {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	if s.limits.NumberLength > 0 && end-at > s.limits.NumberLength {
-		return 0, &Error{NumberTooLong, s.limits.NumberLength, at}
+	if s.limits.NumberLength > 0 && end-offset > s.limits.NumberLength {
+		return 0, &Error{NumberTooLong, s.limits.NumberLength, offset}
 	}
-	return end, checkQuantityAt(text[at:end], &s.limits, at)
+	return end, checkQuantityAt(text[offset:end], &s.limits, offset)
 }
 
 func isNumberByte(c byte) bool {
@@ -166,12 +169,13 @@
 	return false
 }
 
-// scanLiteral scans true, false or null, or any other run of lower-case letters, and returns the offset after it.
-func (s *jsonScanner) scanLiteral(at int) (next int, err *Error) {
-	if err := s.limits.countValue(&s.values, at); err != nil {
+// scanLiteral scans true, false, null or any other run of lower-case letters. The result next is the offset
+// after it.
+func (s *jsonScanner) scanLiteral(offset int) (next int, err *Error) {
+	if err := s.limits.countValue(&s.values, offset); err != nil {
 		return 0, err
 	}
-	end := at + 1
+	end := offset + 1
 	for end < len(s.text) && s.text[end] >= 'a' && s.text[end] <= 'z' {
 		end++
 	}
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,91 +2,96 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is what a user without any memory may always allocate, in bytes, so that one small event or response never waits for other
-// users.
+// MinAllowance is the number of bytes that a user without memory may always allocate, so that one small event
+// or response never waits for other users.
 const MinAllowance = 4 << 10
 
-// Budget is memory shared by users, in bytes. The zero value is not usable; see New.
+// Budget is an amount of memory, in bytes, that several users share. The zero value is not usable; New
+// creates a Budget.
 type Budget struct {
 	total, used int64
-	users       map[uint64]*user
+	users       map[uint64]*userState
 
-	// Evicted counts the users that OverQuota has returned.
+	// Evicted is the number of users that UserToEvict has returned.
 	Evicted uint64
 }
 
-type user struct {
+type userState struct {
 	used         int64
-	lastShrunkAt clock.Instant // when its use last decreased, or when it was added
+	lastShrunkAt clock.Instant // lastShrunkAt is when the user's memory last decreased, or when the user was added.
 }
 
-// New returns a budget of a number of bytes without users. Less than MinAllowance counts as MinAllowance.
+// New returns a budget with the given number of bytes and without users. A value below MinAllowance counts as
+// MinAllowance.
 func New(total int64) *Budget {
-	return &Budget{total: max(total, MinAllowance), users: map[uint64]*user{}}
+	return &Budget{total: max(total, MinAllowance), users: map[uint64]*userState{}}
 }
 
-// Used is the number of bytes that all users together use.
+// Used returns the number of bytes that all users together use.
 func (b *Budget) Used() int64 { return b.used }
 
-// Total is the number of bytes that all users together may use.
+// Total returns the number of bytes that all users together may use.
 func (b *Budget) Total() int64 { return b.total }
 
-// Users is the number of users.
+// Users returns the number of users.
 func (b *Budget) Users() int { return len(b.users) }
 
 // Add adds a user that uses no memory yet. The id must not be in use.
-func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &user{lastShrunkAt: now} }
+func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &userState{lastShrunkAt: now} }
 
-// Remove removes a user and frees what it uses. An unknown user is ignored.
+// Remove removes a user and frees its memory. It ignores an unknown user.
 func (b *Budget) Remove(id uint64) {
-	if holder := b.users[id]; holder != nil {
-		b.used -= holder.used
+	if user := b.users[id]; user != nil {
+		b.used -= user.used
 		delete(b.users, id)
 	}
 }
 
-// Available is how many more bytes a user may allocate if it can defer the allocation: 0 for an unknown user.
+// Available returns how many more bytes a user may allocate, if it can defer the allocation. It returns 0 for
+// an unknown user.
 func (b *Budget) Available(id uint64) int64 {
-	holder := b.users[id]
-	if holder == nil {
+	user := b.users[id]
+	if user == nil {
 		return 0
 	}
-	available := b.total - b.used - holder.used
-	if holder.used == 0 {
+	available := b.total - b.used - user.used
+	if user.used == 0 {
 		available = max(available, min(MinAllowance, b.total))
 	}
 	return max(available, 0)
 }
 
-// SetUsed records how many bytes a user uses now. An unknown user is ignored.
+// SetUsed records how many bytes a user currently uses. It ignores an unknown user.
 func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
-	holder := b.users[id]
-	if holder == nil {
+	user := b.users[id]
+	if user == nil {
 		return
 	}
-	if used < holder.used {
-		holder.lastShrunkAt = now
+	if used < user.used {
+		user.lastShrunkAt = now
 	}
-	b.used += used - holder.used
-	holder.used = used
+	b.used += used - user.used
+	user.used = used
 }
 
-// OverQuota returns a user to evict because more is used than there is, and false if all fits. The caller removes the user and calls again.
-func (b *Budget) OverQuota() (id uint64, over bool) {
+// UserToEvict selects a user to evict if more memory is used than the total, and returns false otherwise. The
+// caller removes the selected user and calls UserToEvict again.
+func (b *Budget) UserToEvict() (id uint64, over bool) {
 	if b.used <= b.total {
 		return 0, false
 	}
-	largest := b.largestUse()
+	largest := b.largestUsage()
 	var oldest clock.Instant
-	for candidate, holder := range b.users {
-		if holder.used <= largest/2 {
+	for candidate, user := range b.users {
+		if user.used <= largest/2 {
 			continue
 		}
-		// The choice does not depend on the order of the map: among users that shrank at the same time the lowest id is chosen.
-		shrankEarlier := holder.lastShrunkAt < oldest || holder.lastShrunkAt == oldest && candidate < id
+		// Among users whose memory last decreased at the same time, the one with the lowest id is selected,
+		// so that the selection does not depend on the iteration order of the map.
+		shrankEarlier := user.lastShrunkAt < oldest || user.lastShrunkAt == oldest && candidate < id
 		if !over || shrankEarlier {
 			id = candidate
-			oldest = holder.lastShrunkAt
+			oldest = user.lastShrunkAt
 			over = true
 		}
 	}
@@ -96,10 +101,10 @@
 	return id, over
 }
 
-func (b *Budget) largestUse() int64 {
+func (b *Budget) largestUsage() int64 {
 	var largest int64
-	for _, holder := range b.users {
-		largest = max(largest, holder.used)
+	for _, user := range b.users {
+		largest = max(largest, user.used)
 	}
 	return largest
 }
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -12,8 +12,11 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization pins shares, allowances and evictions over seeded inputs. Regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterization compares shares, available memory and evictions for seeded random inputs with a golden
+// file.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
@@ -23,16 +26,16 @@
 	}
 	for _, total := range []int64{0, 1, 4095, 4096, 4097, 100_000, 1 << 20} {
 		for seed := uint64(1); seed <= 5; seed++ {
-			record.Line("budget %d seed %d %s", total, seed, playBudget(total, seed))
+			record.Line("budget %d seed %d %s", total, seed, runRandomBudget(total, seed))
 		}
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
-		record.Line("seats %d %s", seed, evictions(seed))
+		record.Line("seats %d %s", seed, selectRandomEvictions(seed))
 	}
 	record.Check(t, "characterization")
 }
 
-func playBudget(total int64, seed uint64) string {
+func runRandomBudget(total int64, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, uint64(total)))
 	budget := memquota.New(total)
 	var text strings.Builder
@@ -42,12 +45,12 @@
 		now += clock.Instant(random.IntN(2))
 		switch random.IntN(8) {
 		case 0, 1:
-			budget.Remove(id) // a user is added once
+			budget.Remove(id) // The user is removed first, because an id must not be added twice.
 			budget.Add(now, id)
 		case 2:
 			budget.Remove(id)
 		case 3:
-			evicted, over := budget.OverQuota()
+			evicted, over := budget.UserToEvict()
 			fmt.Fprint(&text, evicted, over, " ")
 			if over {
 				budget.Remove(evicted)
@@ -60,7 +63,7 @@
 	return goldentest.Digest(text.String())
 }
 
-func evictions(seed uint64) string {
+func selectRandomEvictions(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -10,8 +10,11 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizePolicy pins decisions and their times by bits, for seeded states of every idempotency and cause. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterizePolicy compares the decisions of several policies and their times, bit for bit, with a
+// golden file. The states are drawn from a seeded random generator and cover every idempotency and cause.
+//
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
+// goldentest describes how.
 func TestCharacterizePolicy(t *testing.T) {
 	record := goldentest.NewRecorder()
 	policies := []retry.Policy{
@@ -43,8 +46,8 @@
 				record.Checkpoint(fmt.Sprintf("policy %d, step %d", i, step+1))
 			}
 		}
-		for budget := range 20 {
-			record.Floats(float64(policy.MaxWait(0.5*placer.Seconds(budget+1), budget)))
+		for maxRetries := range 20 {
+			record.Floats(float64(policy.MaxWait(0.5*placer.Seconds(maxRetries+1), maxRetries)))
 		}
 		record.Line("policy %d: verdicts %v", i, decisions)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -11,18 +11,19 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares with the golden file the order in which a queue returns timers, many of equal time. Some are stopped, some are
-// added while others run. See package goldentest for how the file is written anew.
+// TestCharacterization compares the order in which a queue returns timers with a golden file. Many timers
+// have equal times, some are stopped, and some are added while others run. Package goldentest describes how
+// the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
-		order := playQueue(seed)
+		order := runRandomTimers(seed)
 		record.Line("seed %d %s %.120s", seed, goldentest.Digest(order), order)
 	}
 	record.Check(t, "characterization")
 }
 
-func playQueue(seed uint64) string {
+func runRandomTimers(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var queue timerqueue.Queue[float64]
 	var order strings.Builder
@@ -53,7 +54,7 @@
 				}
 			}
 		}
-		fmt.Fprintf(&order, "%d %x ", queue.Len(), math.Float64bits(queue.NextOr(math.Inf(1))))
+		fmt.Fprintf(&order, "%d %x ", queue.Len(), math.Float64bits(queue.NextTimeOr(math.Inf(1))))
 	}
 	queue.Stop(nil)
 	return order.String()
