--- a/placer/actions.go
+++ b/placer/actions.go
@@ -1,16 +1,17 @@
 package placer
 
-// actionList collects the actions of the event that is being handled.
+// actionList collects the actions that result from the current event.
 type actionList struct {
 	actions []Action
 }
 
-// begin starts with the actions that the caller of Handle passed in. New ones are appended to them.
+// begin sets the slice to which the actions of the next event are appended. The caller of Handle provides the
+// slice.
 func (l *actionList) begin(actions []Action) { l.actions = actions }
 
 func (l *actionList) add(action Action) { l.actions = append(l.actions, action) }
 
-// take returns all actions and drops the reference to them: the slice belongs to the caller.
+// take returns the collected actions and clears the list, because the slice belongs to the caller of Handle.
 func (l *actionList) take() []Action {
 	taken := l.actions
 	l.actions = nil
--- a/placer/api.go
+++ b/placer/api.go
@@ -1,18 +1,21 @@
 // Package placer decides on which nodes long-lived tasks run.
 //
-// A Placer decides for one scheduler. The caller passes it events in the order in which they happened, each with the
-// time, which never decreases, and carries out the returned actions in their order. All times are Seconds on any
-// one clock. Equal configurations, seeds and events give equal actions. A Placer does no I/O, reads no clock, starts no
-// goroutine, and must not be used by several goroutines at once.
+// A Placer makes the placement decisions of one scheduler. The caller passes events to the Placer in
+// chronological order, each with its time, and carries out the returned actions in order. The times must not
+// decrease. All times are Seconds on one clock, which the caller chooses. A Placer is deterministic: equal
+// configurations, seeds and events give equal actions. It performs no I/O, reads no clock and starts no
+// goroutines. It is not safe for concurrent use.
 //
-// The fronts of the scheduler, packages internal/platform/dispatch and internal/kube/engine, and the simulator's adapter
-// each run a Placer. Begin reading at Placer.Handle in placer.go; Placer.place in placement.go is the way of one request.
-// This file has the events, the actions and the types that they consist of.
+// The front ends of the scheduler (packages internal/platform/dispatch and internal/kube/engine) and the
+// adapter for the simulator each run a Placer. The entry point is Placer.Handle in placer.go. Placer.place in
+// placement.go shows how one request is placed. The file api.go defines the events, the actions and their
+// types.
 //
-// The algorithm and the origin of its constants are described in docs/design.md.
+// The file docs/design.md describes the algorithm and the origin of its constants.
 package placer
 
-// TaskID identifies one placement request and the task that it places. A task that is requested again has a new ID.
+// TaskID identifies one placement request and the task that it places. A client that requests a task again
+// uses a new TaskID.
 type TaskID uint64
 
 // ServiceID identifies the service that a task belongs to. Tasks of one service run the same program.
@@ -24,48 +27,48 @@
 // Task is a request to place a task.
 type Task struct {
 	ID            TaskID
-	Class, Tenant int // indexes in Config
+	Class, Tenant int // indexes into Config.Classes and Config.Tenants
 	Service       ServiceID
 	Cores, Memory float64 // requested capacity
 	Deadline      Seconds // time by which the final answer is due
-	IsRetry       bool    // the client requested the task before
+	IsRetry       bool    // the client has requested the task before, under another TaskID
 }
 
-// NodeState is the state of a node as the node list shows it.
+// NodeState is the state of a node according to the node list.
 type NodeState uint8
 
 // The states of a node.
 const (
 	Terminated NodeState = iota
 	Ready
-	Draining // runs its tasks but accepts no others
+	Draining // the node keeps running its tasks but accepts no new tasks
 )
 
 // Node is an entry of the node list.
 type Node struct {
 	ID                    NodeID
-	Zone, Rack, NodeType  int // NodeType is an index in Config
+	Zone, Rack, NodeType  int // NodeType is an index into Config.NodeTypes
 	State                 NodeState
-	FreeCores, FreeMemory float64 // capacity that is not requested; negative on an overcommitted node
-	StartedAt             Seconds // time of the last start; 0 is long ago
+	FreeCores, FreeMemory float64 // capacity that no task has requested; negative on an overcommitted node
+	StartedAt             Seconds // time of the latest start of the node; 0 means long ago
 }
 
-// Report is a node's report of its load. A value that is not reported is NaN.
+// Report is the load that a node reports. A value is NaN if the node does not report it.
 type Report struct {
-	FreeCores, FreeMemory float64 // not in use where Config.ReportsUsage, otherwise not requested
-	Utilization           float64 // fraction of the cores in use
-	QueueLength           float64 // tasks that wait on the node
+	FreeCores, FreeMemory float64 // capacity not in use if NodeBehavior.ReportsUsage, else not requested
+	Utilization           float64 // fraction of the cores that are in use
+	QueueLength           float64 // number of tasks that wait on the node
 }
 
 // ListKind is the kind of a node list.
 type ListKind uint8
 
-// The kinds of list.
+// The kinds of node list.
 const (
-	FullList   ListKind = iota // all nodes; others have terminated
-	CachedList                 // a full list that may be out of date
-	Changes                    // only the nodes that have changed
-	ListFailed                 // the request for the list failed
+	FullList   ListKind = iota // the list names all nodes; a node that it does not name has terminated
+	CachedList                 // the list names all nodes but may be out of date
+	Changes                    // the list names only the nodes that have changed
+	ListFailed                 // the request for the node list failed
 )
 
 // Result is the outcome of an attempt.
@@ -73,18 +76,18 @@
 
 // The results of an attempt. Rejected, Unreachable and Expired prove that the task did not start.
 const (
-	Finished    Result = iota // the task has run to its end
+	Finished    Result = iota // the task ran to completion
 	Errored                   // the node answered with an error, or the task failed
 	Rejected                  // the node did not accept the task
-	TimedOut                  // no answer arrived in time
-	Unreachable               // no connection to the node
-	Lost                      // the connection broke, or the node stopped the task
+	TimedOut                  // the node did not answer before the attempt timed out
+	Unreachable               // no connection to the node could be established
+	Lost                      // the connection to the node broke, or the node stopped the task
 	Cancelled                 // the client withdrew the task
-	Expired                   // the attempt was not sent before its deadline
+	Expired                   // the deadline passed before the attempt was sent
 )
 
-// neverRan reports whether the result proves that the attempt did not start the task.
-func (r Result) neverRan() bool {
+// provesNotStarted reports whether the result proves that the attempt did not start the task.
+func (r Result) provesNotStarted() bool {
 	return r == Rejected || r == Unreachable || r == Expired
 }
 
@@ -97,79 +100,79 @@
 	InsufficientCores
 	InsufficientMemory
 	QueueFull
-	WrongNode // the node does not take this task, for example since it is draining
-	Evicted   // the node ran out of memory
-	Preempted // a task of a higher priority took its place
-	Drained   // the node stopped the task as it drains
+	WrongNode // the node does not accept this task, for example because the node is draining
+	Evicted   // the node stopped the task because the node ran out of memory
+	Preempted // the node stopped the task in favor of a task of higher priority
+	Drained   // the node stopped the task because the node is draining
 )
 
-// UsageKind is what a usage report on a running task measures.
+// UsageKind selects the quantity that a usage report on a running task contains.
 type UsageKind uint8
 
 // The kinds of usage report.
 const (
-	Started        UsageKind = iota + 1 // the task has started
-	CoresUsed                           // cores in use by the task
-	MemoryUsed                          // memory in use by the task
-	ServedFraction                      // fraction of full service that the task gives
-	NodeMemory                          // memory in use on its node
+	Started        UsageKind = iota + 1 // the task has started; the report has no value
+	CoresUsed                           // number of cores that the task uses
+	MemoryUsed                          // amount of memory that the task uses
+	ServedFraction                      // fraction of full service that the task provides
+	NodeMemory                          // amount of memory in use on the node of the task
 )
 
-// EventKind selects the meaning of an Event.
+// EventKind selects the meaning of an Event and determines which of its fields are used.
 type EventKind uint8
 
-// The kinds of event, with the fields that they use.
+// The kinds of event. Each comment names, after the colon, the fields of Event that the kind uses.
 const (
 	NodesListed   EventKind = iota + 1 // a node list arrived: List, Nodes
 	Arrived                            // a placement request arrived: Task
-	Adopted                            // a task was found running, as attempt 0: Task, Node
+	Adopted                            // a task was found running, which becomes its attempt 0: Task, Node
 	Bound                              // a node accepted an attempt: TaskID, Attempt, Node, Elapsed
-	Ended                              // an attempt ended: as Bound, and Result, Reason, Final, Report
+	Ended                              // an attempt ended: the fields of Bound, Result, Reason, Final, Report
 	UsageReported                      // a running task was measured: TaskID, Attempt, Node, Usage, Value
-	Withdrawn                          // the client gave up a request: TaskID
-	TimerFired                         // the timer of a SetTimer action has fired: Token
+	Withdrawn                          // the client withdrew a request: TaskID
+	TimerFired                         // the timer of a SetTimer action fired: Token
 )
 
-// Event is something that happened to the scheduler.
+// Event is an input to the Placer, such as a placement request, a node list or the outcome of an attempt.
 type Event struct {
 	Kind    EventKind
 	TaskID  TaskID
 	Task    Task
 	Node    NodeID
-	Attempt int // number of the attempt for its request, from 0
+	Attempt int // index of the attempt among the attempts for its request, from 0
 	Result  Result
 	Reason  Reason
-	Elapsed Seconds // since the attempt was sent
-	Final   bool    // no further attempt may be made
-	Report  *Report // nil if there is none
+	Elapsed Seconds // time since the attempt was sent
+	Final   bool    // no further attempt may be made for the request
+	Report  *Report // load report of the node; nil if the event carries none
 	List    ListKind
-	Nodes   []Node // read during Handle only
+	Nodes   []Node // the Placer does not keep the slice after Handle returns
 	Usage   UsageKind
-	Value   float64 // in the unit of Usage
+	Value   float64 // measured value, in the unit that Usage implies
 	Token   uint64
 }
 
-// ActionKind selects the meaning of an Action.
+// ActionKind selects the meaning of an Action and determines which of its fields are used.
 type ActionKind uint8
 
-// The kinds of action, with the fields that they use.
+// The kinds of action. Each comment names, after the colon, the fields of Action that the kind uses.
 const (
 	StartAttempt ActionKind = iota + 1 // send the task to a node: Task, Node, Attempt, Until
 	Reject                             // answer the client that the task was not placed: Task, After
-	Fail                               // answer the client that the outcome is not known: Task
-	SetTimer                           // report TimerFired later: Token, After
-	WatchNodes                         // request the node list and later changes
+	Fail                               // answer the client that the outcome is unknown: Task
+	SetTimer                           // deliver a TimerFired event when the time has elapsed: Token, After
+	WatchNodes                         // request the node list and its later changes
 	ListNodes                          // request the node list once
 	Migrate                            // stop a bound task, which the client then requests again: Task
 )
 
-// Action is something that the scheduler must do now.
+// Action is an instruction that the scheduler must carry out immediately.
 type Action struct {
 	Kind    ActionKind
 	Task    TaskID
 	Node    NodeID
 	Attempt int
 	Until   Seconds // time at which the attempt times out
-	After   Seconds // for Reject the Retry-After, or 0 for none
+	After   Seconds // for SetTimer the delay; for Reject the Retry-After value, or 0 for none
 	Token   uint64
 }
--- a/placer/average.go
+++ b/placer/average.go
@@ -1,14 +1,14 @@
 package placer
 
-// runningAverage is an exponentially weighted mean and deviation. Estimates may be added until the first sample; the
-// initial mean counts as one of them. If there are any, a sample weighs at least 1 over the number of samples and
-// estimates.
+// runningAverage is an exponentially weighted mean and mean absolute deviation. Estimates may be added before
+// the first sample, and the initial mean then counts as one more estimate. Once an estimate was added, the
+// weight of a sample is at least 1 divided by the total number of samples and estimates.
 type runningAverage struct {
 	mean, deviation    float64
 	samples, estimates int
 }
 
-// add adds a sample.
+// add adds a sample with the given weight. The first sample sets the mean if no estimate was added before.
 func (a *runningAverage) add(value, weight float64) {
 	a.samples++
 	if a.samples+a.estimates == 1 {
@@ -23,7 +23,7 @@
 	a.deviation += (max(difference, -difference) - a.deviation) * weight
 }
 
-// addEstimate adds an estimate. It has no effect after the first sample.
+// addEstimate adds an estimate of the mean. It has no effect after the first sample.
 func (a *runningAverage) addEstimate(value, minWeight float64) {
 	if a.samples > 0 {
 		return
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -4,48 +4,49 @@
 
 // Constants of the capacity model.
 const (
-	// reportMaxAge is the time after which a node's report of free capacity is ignored.
+	// reportMaxAge is the age in seconds from which a node's report of free capacity is ignored.
 	reportMaxAge = 2.0 * contenderWindow
-	// minRequestedShare is the fraction of a node's capacity that must be requested for its usage to be
-	// learned from.
-	minRequestedShare = 0.2
-	// usageLearningRate is the weight of a new usage ratio in the running averages.
+	// minRequestedFraction is the fraction of a node's cores and memory that tasks must request before the
+	// usage ratios are learned from the node's reports.
+	minRequestedFraction = 0.2
+	// usageLearningRate is the weight of a new sample in the running averages of the usage ratios.
 	usageLearningRate = learningRate / 2
-	// memoryLimit is the fraction of a node's memory that may be in use. Beyond it nodes slow down; at 1 they
-	// evict tasks.
-	memoryLimit = 0.92
-	// degradationTolerance is the fraction of a class's degradation range that is tolerated before the cores
-	// of a node count as saturated.
+	// maxMemoryUtilization is the fraction of a node's memory that may be in use. Nodes slow down beyond this
+	// fraction, and evict tasks when all memory is in use.
+	maxMemoryUtilization = 0.92
+	// degradationTolerance is the fraction of a class's DegradationRange by which the utilization may exceed
+	// SaturationThreshold before the cores of a node count as saturated.
 	degradationTolerance = 0.25
 )
 
-// capacityModel estimates the free capacity and the load of nodes from the node list, from their reports,
-// from own changes that neither shows yet, and from the learned ratio of used to requested capacity on all
-// nodes.
+// capacityModel estimates the free capacity and the load of nodes. It uses the node list, the load reports of
+// the nodes, the recent changes by this scheduler that neither of them shows yet, and the learned ratio of
+// used to requested capacity, which is averaged over all nodes.
 type capacityModel struct {
-	behavior    NodeBehavior
-	overcommit  Overcommit
-	coresUsage  runningAverage // cores in use per core requested, on all nodes
-	memoryUsage runningAverage
+	behavior         NodeBehavior
+	overcommit       Overcommit
+	coresUsageRatio  runningAverage // cores in use per requested core, on all nodes
+	memoryUsageRatio runningAverage
 }
 
 func newCapacityModel(cfg *Config) *capacityModel {
 	return &capacityModel{
-		behavior:    cfg.NodeBehavior,
-		overcommit:  cfg.Overcommit,
-		coresUsage:  runningAverage{mean: 1},
-		memoryUsage: runningAverage{mean: 1},
+		behavior:         cfg.NodeBehavior,
+		overcommit:       cfg.Overcommit,
+		coresUsageRatio:  runningAverage{mean: 1},
+		memoryUsageRatio: runningAverage{mean: 1},
 	}
 }
 
 // freeCapacity is the capacity of a node that no task has requested.
 type freeCapacity struct {
 	cores, memory float64
-	known         bool // if not, the amounts are half of the node
+	known         bool // if false, the amounts are assumed to be half of the size of the node
 }
 
-// free returns the free capacity of a node, less own changes that the node list does not show yet.
-func (m *capacityModel) free(now Seconds, node *trackedNode) freeCapacity {
+// estimateFree returns the free capacity of a node. It subtracts the recent changes by this scheduler, which
+// the node list or the node's report may not show yet.
+func (m *capacityModel) estimateFree(now Seconds, node *trackedNode) freeCapacity {
 	load := &node.load
 	free := freeCapacity{known: true}
 	switch {
@@ -64,11 +65,12 @@
 	return free
 }
 
-// usage returns the cores and memory in use on a node, estimated from a recent report and what was requested
-// since, or from what is requested and the learned usage ratios.
+// usage returns the cores and memory in use on a node. If the node has sent a recent report, the
+// estimate is the reported usage and the expected usage of the tasks placed since. Otherwise it is the
+// requested capacity multiplied by the learned usage ratios.
 func (m *capacityModel) usage(now Seconds, node *trackedNode, free freeCapacity) (cores, memory float64) {
-	cores = (node.cores - free.cores) * m.coresUsage.mean
-	memory = (node.memory - free.memory) * m.memoryUsage.mean
+	cores = (node.cores - free.cores) * m.coresUsageRatio.mean
+	memory = (node.memory - free.memory) * m.memoryUsageRatio.mean
 	load := &node.load
 	hasRecentReport := load.hasReport && now-load.reportedAt < contenderWindow
 	if !hasRecentReport {
@@ -78,8 +80,8 @@
 	recent := load.changesSince(now - contenderWindow)
 	for i := range recent {
 		if change := &recent[i]; change.at > load.reportedAt-contenderWindow/2 {
-			recentCores += change.cores * m.coresUsage.mean
-			recentMemory += change.memory * m.memoryUsage.mean
+			recentCores += change.cores * m.coresUsageRatio.mean
+			recentMemory += change.memory * m.memoryUsageRatio.mean
 		}
 	}
 	if !math.IsNaN(load.report.Utilization) {
@@ -88,7 +90,7 @@
 		cores = node.cores - load.report.FreeCores + recentCores
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(load.report.FreeMemory) {
-		// Recently started tasks still grow.
+		// The memory use of recently started tasks still grows, so the higher of both estimates applies.
 		memory = max(memory, node.memory-load.report.FreeMemory+recentMemory)
 	}
 	return cores, memory
@@ -97,14 +99,15 @@
 // projection is the expected load of a node with one more task.
 type projection struct {
 	fits             bool
-	saturationExcess float64 // utilization of the cores beyond what the task's class tolerates
+	saturationExcess float64 // utilization of the cores minus the utilization that the task's class tolerates
 }
 
-// project returns the load of a node with one more task of a class. Where too little is known to project the
-// cores, the saturation is that of the last task for which it was projected.
+// project returns the expected load of a node with one more task of a class. If the free capacity is unknown
+// or insufficient, the saturation is not computed, and the latest value recorded for the node is returned
+// instead.
 func (m *capacityModel) project(now Seconds, class *Class, task *Task, node *trackedNode) projection {
 	last := node.load.saturationExcess
-	free := m.free(now, node)
+	free := m.estimateFree(now, node)
 	if !free.known {
 		return projection{fits: true, saturationExcess: last}
 	}
@@ -112,25 +115,27 @@
 		free.memory+(m.overcommit.Memory-1)*node.memory < task.Memory {
 		return projection{fits: false, saturationExcess: last}
 	}
-	// A node may accept more than it can run well: close to full memory it slows down or evicts tasks, which
-	// are then placed again and evict others.
+	// A node may accept more tasks than it can run well. When its memory is almost full, the node slows down
+	// or evicts tasks, and the evicted tasks are then placed on other nodes, where they cause further
+	// evictions.
 	usedCores, usedMemory := m.usage(now, node, free)
 	threshold := class.SaturationThreshold + class.DegradationRange*degradationTolerance
-	memoryFits := usedMemory+task.Memory*m.memoryUsage.mean <= memoryLimit*node.memory
+	memoryFits := usedMemory+task.Memory*m.memoryUsageRatio.mean <= maxMemoryUtilization*node.memory
 	return projection{
 		fits:             memoryFits || !m.behavior.ReportsUsage,
-		saturationExcess: (usedCores+task.Cores*m.coresUsage.mean)/node.cores - threshold,
+		saturationExcess: (usedCores+task.Cores*m.coresUsageRatio.mean)/node.cores - threshold,
 	}
 }
 
-// observeUsage learns from the usage of an own task. A scheduler with few tasks may get the first report of a
-// node late; until then the usage of its own tasks is an estimate for all tasks.
+// observeUsage updates the usage ratios from the usage of one task of this scheduler. A scheduler with few
+// tasks may receive its first load report of a node late. Until then, the usage of its own tasks is the
+// estimate for all tasks.
 func (m *capacityModel) observeUsage(task *Task, kind UsageKind, value float64) {
 	switch kind {
 	case CoresUsed:
-		addUsageEstimate(&m.coresUsage, value, task.Cores)
+		addUsageEstimate(&m.coresUsageRatio, value, task.Cores)
 	case MemoryUsed:
-		addUsageEstimate(&m.memoryUsage, value, task.Memory)
+		addUsageEstimate(&m.memoryUsageRatio, value, task.Memory)
 	}
 }
 
@@ -140,23 +145,22 @@
 	}
 }
 
-// observeReport records a node's report and learns from it which fraction of the requested cores and memory
-// is in use.
+// observeReport records the load report of a node and updates the usage ratios of cores and memory from it.
 func (m *capacityModel) observeReport(now Seconds, node *trackedNode, report *Report) {
 	node.load.setReport(now, report)
 	node.load.dropOldChanges(now)
-	free := m.free(now, node)
+	free := m.estimateFree(now, node)
 	requestedCores, requestedMemory := node.cores-free.cores, node.memory-free.memory
-	if !free.known || requestedCores < node.cores*minRequestedShare ||
-		requestedMemory < node.memory*minRequestedShare {
+	if !free.known || requestedCores < node.cores*minRequestedFraction ||
+		requestedMemory < node.memory*minRequestedFraction {
 		return
 	}
 	if !math.IsNaN(report.Utilization) {
-		m.coresUsage.add(report.Utilization*node.cores/requestedCores, usageLearningRate)
+		m.coresUsageRatio.add(report.Utilization*node.cores/requestedCores, usageLearningRate)
 	} else if m.behavior.ReportsUsage && !math.IsNaN(report.FreeCores) {
-		m.coresUsage.add((node.cores-report.FreeCores)/requestedCores, usageLearningRate)
+		m.coresUsageRatio.add((node.cores-report.FreeCores)/requestedCores, usageLearningRate)
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(report.FreeMemory) {
-		m.memoryUsage.add((node.memory-report.FreeMemory)/requestedMemory, usageLearningRate)
+		m.memoryUsageRatio.add((node.memory-report.FreeMemory)/requestedMemory, usageLearningRate)
 	}
 }
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -40,7 +40,7 @@
 			node := sizedNode()
 			node.load = test.load
 			node.load.recentChanges = test.changes
-			if got := model.free(now, node); got != test.want {
+			if got := model.estimateFree(now, node); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 			if len(node.load.recentChanges) != len(test.changes) {
@@ -104,10 +104,10 @@
 			node := sizedNode()
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			model.observeReport(now, node, &test.report)
-			if got := model.coresUsage.mean; got != test.cores {
+			if got := model.coresUsageRatio.mean; got != test.cores {
 				t.Errorf("usage of cores: got %v, want %v", got, test.cores)
 			}
-			if got := model.memoryUsage.mean; got != test.memory {
+			if got := model.memoryUsageRatio.mean; got != test.memory {
 				t.Errorf("usage of memory: got %v, want %v", got, test.memory)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
--- a/placer/config.go
+++ b/placer/config.go
@@ -6,20 +6,21 @@
 	"math"
 )
 
-// Idempotency says whether a task may be started twice.
+// Idempotency specifies whether it is safe to start a task twice.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // a second start is safe
-	IdempotentByKey                    // nodes of one domain drop a repeat with the same key for a while
+	Idempotent      Idempotency = iota // a second start of the task is safe
+	IdempotentByKey                    // during DedupWindow, nodes in DedupDomain ignore a repeated key
 	NonIdempotent                      // the task must never start twice
 )
 
-// TopologyDomain is a kind of failure domain that a rule refers to.
+// TopologyDomain is a level of the topology, such as a rack or a zone, within which a rule for placement
+// applies.
 type TopologyDomain uint8
 
-// The kinds of domain, from none at all to all nodes together.
+// The levels of the topology, from no domain to the whole cluster.
 const (
 	NoDomain TopologyDomain = iota
 	NodeDomain
@@ -28,25 +29,25 @@
 	ClusterDomain
 )
 
-// Class describes the tasks of one kind.
+// Class holds the properties that all tasks of a class share.
 type Class struct {
 	Idempotency         Idempotency
-	DedupDomain         TopologyDomain // with IdempotentByKey: the nodes that drop repeats
-	DedupWindow         Seconds        // with IdempotentByKey: the time for which they do, from the first attempt
-	LatencyObjective    Seconds        // time from arrival within which a first start has its full weight
-	Deadline            Seconds        // time for which a client waits for the answer
-	Weight              float64        // value of a second of full service
-	LateWeight          float64        // fraction of the start's value between LatencyObjective and Deadline
-	StartBonus          Seconds        // value of a start in time, as so much time of full service
-	Priority            int            // where nodes preempt: a higher priority evicts a lower one
-	NodeType            int            // index of the node type that is required, or -1 for any
-	SpreadDomain        TopologyDomain // the domain in which MaxPerDomain holds, or NoDomain
-	MaxPerDomain        int            // tasks of one service that may run in one such domain
+	DedupDomain         TopologyDomain // with IdempotentByKey: the domain whose nodes ignore a repeated key
+	DedupWindow         Seconds        // with IdempotentByKey: how long nodes remember a key
+	LatencyObjective    Seconds        // time from arrival within which a first start has its full value
+	Deadline            Seconds        // time for which a client waits for the final answer
+	Weight              float64        // value of one second of full service
+	LateWeight          float64        // fraction of the full value that a start after LatencyObjective has
+	StartBonus          Seconds        // value of a start in time, expressed as a duration of full service
+	Priority            int            // if nodes preempt tasks, a task evicts tasks of lower priority
+	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
+	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
+	MaxPerDomain        int            // maximum number of tasks of one service in one SpreadDomain
 	SaturationThreshold float64        // utilization of the cores up to which tasks get full service
 	DegradationRange    float64        // utilization beyond SaturationThreshold at which tasks get no service
 }
 
-// NodeType is the size of nodes of one type.
+// NodeType is the capacity of the nodes of one type.
 type NodeType struct {
 	Cores  float64
 	Memory float64 // in the unit of Task.Memory
@@ -54,18 +55,18 @@
 
 // Tenant is one of the users that share the nodes.
 type Tenant struct {
-	Share float64 // its fraction of the service, between 0 and 1
-	Cores float64 // cores that it may request, at all schedulers together
+	Share float64 // fraction of the service that the tenant is entitled to, between 0 and 1
+	Cores float64 // cores that the tenant may request in total from all schedulers
 }
 
 // Config is the configuration of one scheduler.
 type Config struct {
-	Zone            int // the zone of this scheduler
+	Zone            int // zone in which this scheduler runs
 	Peers           Peers
 	Classes         []Class
 	NodeTypes       []NodeType
 	Tenants         []Tenant
-	OverQuotaWeight float64 // weight of a task beyond its tenant's share
+	OverQuotaWeight float64 // weight of a task that exceeds the share of its tenant
 
 	NodeBehavior NodeBehavior
 	Overcommit   Overcommit
@@ -76,84 +77,85 @@
 	Costs        Costs
 }
 
-// Peers says which of the schedulers this one is. All schedulers place tasks on the same nodes.
+// Peers describes the group of schedulers to which this scheduler belongs. All of them place tasks on the
+// same nodes.
 type Peers struct {
-	Self           int  // the number of this scheduler, from 0
-	Total          int  // the number of all schedulers, this one included
-	StickyServices bool // all tasks of a service arrive at one scheduler while it is up
+	Self           int  // index of this scheduler among its peers, from 0
+	Total          int  // number of schedulers, including this one
+	StickyServices bool // all tasks of a service arrive at the same scheduler while that scheduler is up
 }
 
-// NodeBehavior is what nodes do and what they report.
+// NodeBehavior describes how nodes behave and what they report.
 type NodeBehavior struct {
-	AcknowledgesOnStart bool // Bound is sent when the task starts, not when it is accepted
-	ListShowsCapacity   bool // node lists carry the free capacity
-	ReportsUsage        bool // reports count what is used, not what is requested
-	Preempts            bool // nodes evict tasks of a lower priority
+	AcknowledgesOnStart bool // a node acknowledges a task when the task starts, not when the node accepts it
+	ListShowsCapacity   bool // node lists contain the free capacity of each node
+	ReportsUsage        bool // load reports contain the capacity in use, not the requested capacity
+	Preempts            bool // nodes evict tasks of lower priority in favor of tasks of higher priority
 }
 
-// Overcommit is how far nodes accept requests beyond their size, as multiples of it.
+// Overcommit is the total capacity that tasks may request on a node, as a multiple of the size of the node.
 type Overcommit struct {
 	Cores, Memory float64
 }
 
 // SlowStart limits the load on a node that has just started and is warming up.
 type SlowStart struct {
-	MinPace          float64 // fraction of its full pace at which a node starts tasks when it has just started
-	Duration         Seconds // time after which a started node has its full pace
-	OverloadMultiple float64 // multiple of its pace at which a warming node becomes overloaded
-	OverloadWindow   Seconds // time for which the multiple must be exceeded
-	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that do not overload a warming node
+	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
+	Duration         Seconds // time after its start at which a node reaches its full rate
+	OverloadMultiple float64 // multiple of its current rate beyond which a warming node becomes overloaded
+	OverloadWindow   Seconds // time above OverloadMultiple after which a warming node is overloaded
+	MaxAttempts      float64 // attempts by all schedulers per OverloadWindow that a warming node can handle
 }
 
 // Attempts limits the attempts for one request.
 type Attempts struct {
-	Max            int     // number of attempts for one request
-	AllowsHedging  bool    // two attempts for a request may be outstanding at once
-	ConnectTimeout Seconds // time after which a connection attempt fails
-	AnswerGrace    Seconds // time after the deadline at which a final answer still counts
-	DrainGrace     Seconds // time after a node starts to drain in which attempts are still permitted
+	Max            int     // maximum number of attempts for one request
+	AllowsHedging  bool    // two attempts for a request may be outstanding at the same time
+	ConnectTimeout Seconds // time after which opening a connection to a node fails
+	AnswerGrace    Seconds // time after the deadline within which a final answer still counts as in time
+	DrainGrace     Seconds // time after a node starts to drain during which attempts are still permitted
 }
 
-// Retry is how clients request a task again that was not placed.
+// Retry describes how clients request a task again that was not placed.
 type Retry struct {
-	SendsRetryAfter    bool    // rejections carry a Retry-After for the client
-	MaxRetryAfter      Seconds // longest Retry-After that clients follow
-	UnknownOutcomeWait Seconds // time for which clients wait after an unknown outcome
+	SendsRetryAfter    bool    // a rejection tells the client in Retry-After when to try again
+	MaxRetryAfter      Seconds // longest Retry-After value that clients respect
+	UnknownOutcomeWait Seconds // time that clients wait after an unknown outcome before they retry
 }
 
-// Discovery is how the scheduler receives the node list.
+// Discovery describes how the scheduler receives the node list.
 type Discovery struct {
-	MustPoll        bool    // node lists are sent only on request
-	MaxPollInterval Seconds // longest time between two requests for the list
+	MustPoll        bool    // the scheduler receives node lists only on request
+	MaxPollInterval Seconds // longest time between two requests for the node list
 }
 
-// Costs are given as fractions of the total value of all service.
+// Costs holds costs as fractions of the total value of all service.
 type Costs struct {
-	Node      float64 // cost of nodes in use beyond those needed
-	CrossZone float64 // cost of tasks outside the scheduler's zone
-	Migration float64 // cost of one migration of each task
+	Node      float64 // cost of the nodes in use that exceed the number needed
+	CrossZone float64 // cost of running tasks outside the zone of the scheduler
+	Migration float64 // cost of migrating every task once
 }
 
-// check returns an error that names the first field that cannot be used.
-func (c *Config) check() error {
+// validate returns an error that names the first invalid field.
+func (c *Config) validate() error {
 	switch {
 	case len(c.Classes) == 0:
-		return errors.New("config has no classes")
+		return errors.New("the configuration has no task classes")
 	case len(c.NodeTypes) == 0:
-		return errors.New("config has no node types")
+		return errors.New("the configuration has no node types")
 	case c.Peers.Total < 1:
-		return fmt.Errorf("peers %d: want at least 1", c.Peers.Total)
+		return fmt.Errorf("number of peers %d must be at least 1", c.Peers.Total)
 	case c.Peers.Self < 0 || c.Peers.Self >= c.Peers.Total:
-		return fmt.Errorf("self %d: want 0 to %d, one of the peers", c.Peers.Self, c.Peers.Total-1)
+		return fmt.Errorf("index of this scheduler (self) %d must be between 0 and %d", c.Peers.Self, c.Peers.Total-1)
 	case c.Attempts.Max < 1:
-		return fmt.Errorf("max attempts %d: want at least 1", c.Attempts.Max)
+		return fmt.Errorf("maximum number of attempts %d must be at least 1", c.Attempts.Max)
 	}
-	if err := c.checkNotNegative(); err != nil {
+	if err := c.validateNotNegative(); err != nil {
 		return err
 	}
 	for i, class := range c.Classes {
 		if !(class.LatencyObjective > 0) || !(class.Deadline > 0) {
-			return fmt.Errorf("class %d: latency objective %v and deadline %v must be positive",
+			return fmt.Errorf("task class %d: latency objective %v and deadline %v must be positive",
 				i, class.LatencyObjective, class.Deadline)
 		}
 	}
@@ -165,30 +167,30 @@
 	return nil
 }
 
-// checkNotNegative returns an error that names the first amount or duration that is negative or not a number.
-func (c *Config) checkNotNegative() error {
+// validateNotNegative returns an error that names the first amount or duration that is negative or NaN.
+func (c *Config) validateNotNegative() error {
 	for _, field := range []struct {
 		name  string
 		value float64
 	}{
 		{"warmup duration", float64(c.SlowStart.Duration)},
 		{"overload window", float64(c.SlowStart.OverloadWindow)},
-		{"warmup attempts", c.SlowStart.MaxAttempts},
+		{"maximum number of warmup attempts", c.SlowStart.MaxAttempts},
 		{"answer grace", float64(c.Attempts.AnswerGrace)},
 		{"drain grace", float64(c.Attempts.DrainGrace)},
-		{"max poll interval", float64(c.Discovery.MaxPollInterval)},
+		{"maximum poll interval", float64(c.Discovery.MaxPollInterval)},
 		{"node cost", c.Costs.Node},
 		{"cross-zone cost", c.Costs.CrossZone},
 		{"migration cost", c.Costs.Migration},
 	} {
 		if !(field.value >= 0) {
-			return fmt.Errorf("%s %v: want 0 or more", field.name, field.value)
+			return fmt.Errorf("%s %v must not be negative or NaN", field.name, field.value)
 		}
 	}
 	return nil
 }
 
-// class returns the class of a request that was accepted.
+// class returns the class of a request whose task is valid.
 func (c *Config) class(request *placementRequest) *Class { return &c.Classes[request.Class] }
 
 // shortestObjective returns the shortest latency objective of all classes.
@@ -200,11 +202,12 @@
 	return shortest
 }
 
-// accepts reports whether a task names a class, requests finite amounts and has a deadline after now.
-func (c *Config) accepts(task *Task, now Seconds) bool {
+// isValidTask reports whether a task has a configured class, requests finite amounts and has a deadline after
+// now.
+func (c *Config) isValidTask(task *Task, now Seconds) bool {
 	hasClass := task.Class >= 0 && task.Class < len(c.Classes)
 	return hasClass && isFiniteAmount(task.Cores) && isFiniteAmount(task.Memory) && task.Deadline > now
 }
 
-// isFiniteAmount reports whether x is a number, not negative and not infinite.
+// isFiniteAmount reports whether x is neither negative nor infinite nor NaN.
 func isFiniteAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -7,28 +7,31 @@
 	"slices"
 )
 
-// Constants of consolidation: where nodes in use have a cost, unneeded nodes are kept on standby.
+// Constants of consolidation. If nodes in use have a cost, unneeded nodes are put on standby. The other nodes
+// are active. A standby node gets a task only if no active node can take it.
 const (
-	// consolidationTarget is the fraction of the open nodes' limits that is used before another node is
-	// opened.
+	// consolidationTarget is the fraction of the active nodes' capacity limits that must be in use before
+	// another node is made active.
 	consolidationTarget = 0.8
-	// consolidationHysteresis is the fraction of consolidationTarget below which an open node is put on
-	// standby.
-	consolidationHysteresis = 0.95
-	// minOpenNodes is the number of nodes that are never on standby.
-	minOpenNodes = 2
-	// standbyUpdateInterval is the shortest time between two choices of the standby nodes.
+	// consolidationHysteresisFactor is the fraction of consolidationTarget below which an active node is put
+	// on standby.
+	consolidationHysteresisFactor = 0.95
+	// minActiveNodes is the number of nodes that are always active, that is, never put on standby.
+	minActiveNodes = 2
+	// standbyUpdateInterval is the shortest time between two updates of the set of standby nodes.
 	standbyUpdateInterval = contenderWindow / 20
-	// consolidationInterval is the mean time between two migrations by one scheduler.
-	consolidationInterval = 0.1 * contenderWindow
-	// minStandbyTime is the time after which the last tasks of a standby node are migrated.
+	// migrationInterval is the mean time between two checks by a scheduler. Each check migrates at most one
+	// task.
+	migrationInterval = 0.1 * contenderWindow
+	// minStandbyTime is the time that a node must have been on standby before its last tasks are migrated.
 	minStandbyTime = contenderWindow
-	// nearlyEmptyShare is the fraction of a standby node that may be requested when its last tasks are
-	// migrated.
-	nearlyEmptyShare = 0.3
+	// nearlyEmptyFraction is the largest requested fraction of a standby node's capacity at which its last
+	// tasks are migrated.
+	nearlyEmptyFraction = 0.3
 )
 
-// consolidator puts nodes on standby where nodes in use have a cost and fewer nodes are sufficient.
+// consolidator puts nodes on standby if nodes in use have a cost and fewer nodes are sufficient for the
+// tasks.
 type consolidator struct {
 	cfg                 *Config
 	nodes               *nodeTable
@@ -36,111 +39,118 @@
 	slowStart           *slowStart
 	actions             *actionList
 	rng                 *rand.Rand
-	saturationThreshold float64 // the lowest of all classes
+	saturationThreshold float64 // lowest SaturationThreshold of all classes
 
-	order     []*trackedNode // ready nodes, those that stay open first
-	updated   bool           // the standby nodes were chosen at least once
-	updatedAt Seconds
+	readyNodes []*trackedNode // ready nodes, in the order in which they are preferred as active nodes
+	hasUpdated bool           // the set of standby nodes has been computed at least once
+	updatedAt  Seconds
 }
 
-// standbyRecord is the part of a node's record that the consolidator owns.
+// standbyRecord is the part of a node's record that only the consolidator changes.
 type standbyRecord struct {
-	active bool
-	since  Seconds
+	onStandby bool
+	since     Seconds
 }
 
-// enabled reports whether unneeded nodes are put on standby at all.
+// enabled reports whether consolidation is enabled. It requires a node cost and node lists that show the free
+// capacity.
 func (c *consolidator) enabled() bool {
 	return c.cfg.Costs.Node > 0 && c.cfg.NodeBehavior.ListShowsCapacity
 }
 
-// update chooses the standby nodes anew if they were chosen long enough ago. All schedulers see the same list
-// and so choose the same nodes: large nodes stay open first, as each node costs the same, then those with low
-// IDs. What is requested, at the learned usage, must fit on the open nodes with a margin.
-func (c *consolidator) update(now Seconds) {
-	tooSoon := c.updated && now-c.updatedAt < standbyUpdateInterval
+// updateStandby recomputes the set of standby nodes, unless the last update was less than
+// standbyUpdateInterval ago. All schedulers see the same node list and therefore choose the same nodes. Large
+// nodes stay active first, because each node costs the same. Among nodes of equal size, those with low IDs
+// stay active first. The demand of all tasks must fit on the active nodes with a margin.
+func (c *consolidator) updateStandby(now Seconds) {
+	tooSoon := c.hasUpdated && now-c.updatedAt < standbyUpdateInterval
 	if !c.enabled() || tooSoon {
 		return
 	}
-	c.updated = true
+	c.hasUpdated = true
 	c.updatedAt = now
 	demand := c.collectDemand(now)
-	slices.SortFunc(c.order, func(a, b *trackedNode) int {
+	slices.SortFunc(c.readyNodes, func(a, b *trackedNode) int {
 		if a.cores != b.cores {
 			return cmp.Compare(b.cores, a.cores)
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
-	var openCores, openMemory float64
-	for i, node := range c.order {
+	var activeCores, activeMemory float64
+	for i, node := range c.readyNodes {
 		fill := consolidationTarget
-		if !node.standby.active {
-			// An open node stays open for a while: each change leaves tasks behind.
-			fill *= consolidationHysteresis
+		if !node.standby.onStandby {
+			// Hysteresis keeps an active node active for longer, because each node that is put on standby
+			// still runs tasks.
+			fill *= consolidationHysteresisFactor
 		}
-		node.standby.set(now, i >= minOpenNodes && c.demandFits(demand, openCores, openMemory, fill))
-		// A warming node takes few tasks: counting it would put warm nodes on standby.
+		node.standby.update(now, i >= minActiveNodes && c.demandFits(demand, activeCores, activeMemory, fill))
+		// A node that is warming up can take few tasks. If its capacity counted, nodes that have finished
+		// warming up would be put on standby.
 		if node.health.failures == 0 && !c.slowStart.warmingUp(now, node) {
-			openCores += node.cores
-			openMemory += node.memory
+			activeCores += node.cores
+			activeMemory += node.memory
 		}
 	}
 }
 
-// set opens the node or puts it on standby, from now on if it was open.
-func (s *standbyRecord) set(now Seconds, active bool) {
-	if active && !s.active {
+// update makes the node active or puts it on standby. It records the time at which an active node goes
+// on standby.
+func (s *standbyRecord) update(now Seconds, onStandby bool) {
+	if onStandby && !s.onStandby {
 		s.since = now
 	}
-	s.active = active
+	s.onStandby = onStandby
 }
 
-// capacityDemand is the capacity that all tasks on the listed nodes request and use.
+// capacityDemand is the total capacity that all tasks on the listed nodes request and use.
 type capacityDemand struct {
 	requestedCores, requestedMemory float64
 	usedCores, usedMemory           float64
 }
 
-// collectDemand returns the demand on the listed nodes, and collects the ready nodes in c.order, in the order
-// of the node list.
+// collectDemand returns the demand of all tasks on the listed nodes. It also stores the ready nodes in
+// c.readyNodes, in the order of the node list.
 func (c *consolidator) collectDemand(now Seconds) capacityDemand {
 	var demand capacityDemand
-	c.order = c.order[:0]
+	c.readyNodes = c.readyNodes[:0]
 	for _, node := range c.nodes.list {
 		if !node.listed || node.State == Terminated || !(node.cores > 0) {
 			continue
 		}
 		node.load.dropOldChanges(now)
-		free := c.capacity.free(now, node)
+		free := c.capacity.estimateFree(now, node)
 		demand.requestedCores += node.cores - free.cores
 		demand.requestedMemory += node.memory - free.memory
 		if node.State == Ready {
-			c.order = append(c.order, node)
+			c.readyNodes = append(c.readyNodes, node)
 		}
 	}
-	demand.usedCores = demand.requestedCores * c.capacity.coresUsage.mean
-	demand.usedMemory = demand.requestedMemory * c.capacity.memoryUsage.mean
+	demand.usedCores = demand.requestedCores * c.capacity.coresUsageRatio.mean
+	demand.usedMemory = demand.requestedMemory * c.capacity.memoryUsageRatio.mean
 	return demand
 }
 
-// demandFits reports whether the demand fits in the fraction fill of each limit of the open nodes.
-func (c *consolidator) demandFits(demand capacityDemand, openCores, openMemory, fill float64) bool {
-	return demand.usedCores <= openCores*c.saturationThreshold*fill &&
-		demand.usedMemory <= openMemory*memoryLimit*fill &&
-		demand.requestedCores <= openCores*c.cfg.Overcommit.Cores*fill &&
-		demand.requestedMemory <= openMemory*c.cfg.Overcommit.Memory*fill
+// demandFits reports whether the demand is at most the given fraction of each capacity limit of the active
+// nodes.
+func (c *consolidator) demandFits(demand capacityDemand, activeCores, activeMemory, fraction float64) bool {
+	return demand.usedCores <= activeCores*c.saturationThreshold*fraction &&
+		demand.usedMemory <= activeMemory*maxMemoryUtilization*fraction &&
+		demand.requestedCores <= activeCores*c.cfg.Overcommit.Cores*fraction &&
+		demand.requestedMemory <= activeMemory*c.cfg.Overcommit.Memory*fraction
 }
 
-// drain migrates one own task off a node that has been on standby for long: its last tasks would keep the
-// node in use until the longest of them ends.
-func (c *consolidator) drain(now Seconds) {
-	c.update(now)
+// migrateFromStandby migrates one task of this scheduler off a node that has been on standby for at least
+// minStandbyTime. Without migration, the last tasks would keep the node in use until the longest of them
+// ends.
+func (c *consolidator) migrateFromStandby(now Seconds) {
+	c.updateStandby(now)
 	if c.cfg.Costs.Node <= c.cfg.Costs.Migration {
 		return
 	}
-	for _, node := range c.order {
+	for _, node := range c.readyNodes {
 		node.load.dropOldChanges(now)
-		if !c.mayDrain(now, node) {
+		if !c.mayMigrateFrom(now, node) {
 			continue
 		}
 		bound := node.tasks.bound
@@ -154,14 +164,14 @@
 	}
 }
 
-// mayDrain reports whether own tasks may be migrated off the node. It must be nearly empty, so that
-// schedulers that do the same at once migrate few tasks.
-func (c *consolidator) mayDrain(now Seconds, node *trackedNode) bool {
-	free := c.capacity.free(now, node)
+// mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be
+// nearly empty, so that few tasks are migrated when several schedulers migrate tasks off it at the same time.
+func (c *consolidator) mayMigrateFrom(now Seconds, node *trackedNode) bool {
+	free := c.capacity.estimateFree(now, node)
 	requested := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
-	tooFull := requested > nearlyEmptyShare
+	tooFull := requested > nearlyEmptyFraction
 	tooRecent := now-node.standby.since < minStandbyTime
-	return node.standby.active && len(node.tasks.bound) > 0 && !tooRecent && !tooFull
+	return node.standby.onStandby && len(node.tasks.bound) > 0 && !tooRecent && !tooFull
 }
 
 // lowestSaturationThreshold returns the lowest saturation threshold of all classes.
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -10,7 +10,7 @@
 	placer := newTestPlacer(t, config, 1, nodes)
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
-		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.active {
+		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.onStandby {
 			t.Fatalf("attempt on standby node %d", sent.Node)
 		} else {
 			bindAttempt(placer, 100.1+Seconds(i)/100, sent)
@@ -18,7 +18,7 @@
 	}
 	moved := false
 	for i := range 40 {
-		placer.consolidator.drain(101 + Seconds(i)/10)
+		placer.consolidator.migrateFromStandby(101 + Seconds(i)/10)
 		for _, action := range actionsOfKind(placer.actions.take(), Migrate) {
 			if action.Task != 900 || moved {
 				t.Fatalf("moved %+v", action)
@@ -39,7 +39,7 @@
 	adoptTask(placer, 900, 1, 0)
 	startedAttempt(t, arrive(placer, 100.1, newTaskUntil(1, 0, 110)))
 	for _, at := range []Seconds{101, 103.5, 104} {
-		placer.consolidator.drain(at)
+		placer.consolidator.migrateFromStandby(at)
 	}
 	if len(actionsOfKind(placer.actions.take(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
 		t.Fatal("no migration while a task starts")
@@ -61,7 +61,7 @@
 	placer := newTestPlacer(t, config, 1, nodes)
 	arrive(placer, 100.1, newTask(1, 0))
 	for _, node := range placer.nodes.list {
-		if node.standby.active && node.StartedAt == 0 {
+		if node.standby.onStandby && node.StartedAt == 0 {
 			t.Fatalf("warm node %d is on standby while half of the nodes warm up", node.ID)
 		}
 	}
@@ -75,11 +75,11 @@
 		ownTasks int
 		want     bool
 	}{
-		"nearly empty standby":     {standbyRecord{active: true, since: 98}, 12, 1, true},
-		"more than nearly empty":   {standbyRecord{active: true, since: 98}, 11, 1, false},
-		"on standby for too short": {standbyRecord{active: true, since: 98.1}, 12, 1, false},
+		"nearly empty standby":     {standbyRecord{onStandby: true, since: 98}, 12, 1, true},
+		"more than nearly empty":   {standbyRecord{onStandby: true, since: 98}, 11, 1, false},
+		"on standby for too short": {standbyRecord{onStandby: true, since: 98.1}, 12, 1, false},
 		"open":                     {standbyRecord{since: 98}, 12, 1, false},
-		"no own task":              {standbyRecord{active: true, since: 98}, 12, 0, false},
+		"no own task":              {standbyRecord{onStandby: true, since: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			part := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
@@ -87,9 +87,9 @@
 			node.standby = test.standby
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			for range test.ownTasks {
-				node.tasks.adopted(&attempt{request: &placementRequest{}})
+				node.tasks.addAdopted(&attempt{request: &placementRequest{}})
 			}
-			if got := part.mayDrain(now, node); got != test.want {
+			if got := part.mayMigrateFrom(now, node); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -2,22 +2,25 @@
 
 import "math"
 
-// Constants of the node list.
+// Constants of node discovery.
 const (
-	// nodeRetention is the time for which a terminated node without own tasks is kept.
+	// nodeRetention is the time for which a terminated node is kept after its last task of this scheduler has
+	// ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings bounds the backoff after failed polls, which is doubled for each failure.
+	// maxPollBackoffDoublings limits the exponential backoff after failed polls.
 	maxPollBackoffDoublings = 6
-	// pollIntervalDivisor divides MaxPollInterval into the time after which an unanswered poll is repeated,
-	// and the longest backoff; watchCheckDivisor divides it into the time that a watch may be quiet.
+	// pollIntervalDivisor gives the longest wait before a poll is repeated: MaxPollInterval divided by this
+	// number. The wait applies after a poll that was not answered, and limits the backoff after failed polls.
+	// watchCheckDivisor gives the longest time without a node list before the scheduler polls again:
+	// MaxPollInterval divided by this number.
 	pollIntervalDivisor = 2
 	watchCheckDivisor   = 3
 )
 
-// nodeListPoller requests the node list and its changes where they are sent only on request, and repeats the
-// request if no answer comes.
+// nodeListPoller requests the node list and its changes if the scheduler receives them only on request. It
+// repeats the request if no answer arrives.
 type nodeListPoller struct {
-	maxInterval Seconds // longest time between two requests
+	maxInterval Seconds // longest time between two requests for the node list
 	objective   Seconds // shortest latency objective of all classes
 	actions     *actionList
 	timers      *timerTable
@@ -25,26 +28,26 @@
 
 	lastPollAt Seconds
 	lastListAt Seconds
-	failures   int    // since the last list
+	failures   int    // failed polls since the last node list
 	watching   bool   // the last poll was answered
-	timerToken uint64 // of the latest timer; others have no effect
+	timerToken uint64 // token of the latest timer; earlier timers have no effect
 }
 
-// poll requests the list with later changes, and sets a timer in case no answer comes.
+// poll requests the node list and its later changes, and sets a timer in case no answer arrives.
 func (l *nodeListPoller) poll(now Seconds) {
 	l.lastPollAt = now
 	l.actions.add(Action{Kind: WatchNodes})
 	l.startTimer(l.maxInterval / pollIntervalDivisor)
 }
 
-// listArrived records that a list or changes of it came from the source, not from a cache.
+// listArrived records that a node list or changes of it arrived from the source, not from a cache.
 func (l *nodeListPoller) listArrived(now Seconds) {
 	l.watching = true
 	l.failures = 0
 	l.lastListAt = now
 }
 
-// pollFailed schedules the next poll after a failed one, with exponential backoff.
+// pollFailed schedules the next poll after a failed poll, with exponential backoff.
 func (l *nodeListPoller) pollFailed() {
 	l.watching = false
 	l.failures++
@@ -52,15 +55,16 @@
 	l.startTimer(min(l.maxInterval/pollIntervalDivisor, l.objective*Seconds(math.Exp2(doublings))))
 }
 
-// timerFired polls again after a failure, or if nothing has been received for an interval.
+// timerFired polls again if the last poll failed or was not answered, or if no node list has arrived for an
+// interval.
 func (l *nodeListPoller) timerFired(now Seconds, token uint64) {
 	if token != l.timerToken {
 		return
 	}
 	interval := l.maxInterval / watchCheckDivisor
 	failed := !l.watching && now-l.lastPollAt > l.objective
-	quiet := now-max(l.lastListAt, l.lastPollAt) > interval
-	if failed || quiet {
+	silent := now-max(l.lastListAt, l.lastPollAt) > interval
+	if failed || silent {
 		l.poll(now)
 		return
 	}
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -164,7 +164,7 @@
 	table.apply(FullList, []Node{{ID: 1, StartedAt: 50}})
 	node := table.byID[1]
 	node.health = nodeHealth{failures: 2, ejectedUntil: 200}
-	node.load.rejected(100)
+	node.load.recordRejection(100)
 	node.load.setReport(100, &Report{})
 	node.load.taskEnded(100, &Task{})
 	node.tasks.cacheProgram(7)
@@ -173,7 +173,7 @@
 		t.Error("records were dropped without a restart")
 	}
 	table.apply(Changes, []Node{{ID: 1, StartedAt: 60}})
-	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejects(100) ||
+	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejectedRecently(100) ||
 		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
 		t.Errorf("records after a restart: %+v %+v", node.health, node.load)
 	}
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -1,42 +1,43 @@
 package placer
 
-// nodeFilter finds the nodes on which a request may be attempted.
+// nodeFilter selects the nodes on which a request may be attempted.
 type nodeFilter struct {
-	cfg       *Config
-	nodes     *nodeTable
-	capacity  *capacityModel
-	outliers  *outlierDetector
-	slowStart *slowStart
-	spread    *spreadRule
-	retries   *retryRule
-	standby   *consolidator
+	cfg          *Config
+	nodes        *nodeTable
+	capacity     *capacityModel
+	outliers     *outlierDetector
+	slowStart    *slowStart
+	spread       *spreadRule
+	retries      *retryRule
+	consolidator *consolidator
 
-	buffer []candidate // reused for each request
+	buffer []candidate // reused for each request to avoid allocations
 }
 
-// candidate is a node that passed the filter, with the values that are computed for the current request only.
+// candidate is a node that passed the filter, together with values that are valid for the current request
+// only.
 type candidate struct {
 	node             *trackedNode
-	saturationExcess float64 // projected utilization of the cores beyond what the request's class tolerates
-	affinity         float64 // hash of node and service, set by the selector if it is needed
+	saturationExcess float64 // projected utilization of the cores minus the limit of the class
+	affinityHash     float64 // hash of node and service, which the selector computes when needed
 }
 
-// belowSaturation reports whether the utilization of the cores stays within what the request's class
-// tolerates. Beyond it the service of all tasks on the node degrades.
+// belowSaturation reports whether the projected utilization of the cores is within the limit that the class
+// of the request tolerates. Beyond this limit, the service of all tasks on the node degrades.
 func (c *candidate) belowSaturation() bool { return c.saturationExcess <= 0 }
 
-// isOpen reports whether the node is not on standby.
-func (c *candidate) isOpen() bool { return !c.node.standby.active }
+// isActive reports whether the node is active, that is, not on standby.
+func (c *candidate) isActive() bool { return !c.node.standby.onStandby }
 
-// candidates returns the nodes that a request may be attempted on now, in the order of the node list. They
-// are valid until the next call.
+// candidates returns the nodes on which a request may be attempted now, in the order of the node list. The
+// result is valid until the next call.
 func (f *nodeFilter) candidates(now Seconds, request *placementRequest) []candidate {
 	f.buffer = f.buffer[:0]
 	if f.attemptAllowed(now, request) {
-		f.collect(now, request)
+		f.collectCandidates(now, request)
 	}
-	f.standby.update(now)
-	candidates := prefer(f.buffer, (*candidate).isOpen)
+	f.consolidator.updateStandby(now)
+	candidates := prefer(f.buffer, (*candidate).isActive)
 	if !f.cfg.Peers.placesByAffinity() {
 		candidates = prefer(candidates, (*candidate).belowSaturation)
 	}
@@ -46,22 +47,22 @@
 	return prefer(candidates, func(c *candidate) bool { return c.node.Zone == f.cfg.Zone })
 }
 
-// collect fills the buffer with the nodes that pass the filter.
-func (f *nodeFilter) collect(now Seconds, request *placementRequest) {
+// collectCandidates appends the nodes that pass the filter to the buffer.
+func (f *nodeFilter) collectCandidates(now Seconds, request *placementRequest) {
 	class := f.cfg.class(request)
-	usesEjected := f.outliers.tooFewHealthy(now, class, f.nodes.list)
+	includesEjected := f.outliers.tooFewHealthy(now, class, f.nodes.list)
 	for _, node := range f.nodes.list {
-		healthy := node.State == Ready && (usesEjected || f.outliers.permits(now, class, node))
+		healthy := node.State == Ready && (includesEjected || f.outliers.permits(now, class, node))
 		if !healthy || !f.nodeAllowed(now, request, node) {
 			continue
 		}
-		if passed, fits := f.evaluate(now, request, node); fits {
-			f.buffer = append(f.buffer, passed)
+		if accepted, fits := f.evaluate(now, request, node); fits {
+			f.buffer = append(f.buffer, accepted)
 		}
 	}
 }
 
-// recheck reports whether the request may still be attempted on a node that was drawn for it before.
+// recheck reports whether a request may still be attempted on a node that was drawn for it earlier.
 func (f *nodeFilter) recheck(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !f.attemptAllowed(now, request) || !f.nodeAllowed(now, request, node) {
 		return false
@@ -70,10 +71,10 @@
 	return fits
 }
 
-// evaluate returns a node that the rules allow as a candidate, or false if it is known to lack capacity. It
-// updates the record of the node's load.
+// evaluate returns a candidate for a node on which the rules permit an attempt. It returns false if the node
+// is known to lack capacity. It also updates the load record of the node.
 func (f *nodeFilter) evaluate(now Seconds, request *placementRequest, node *trackedNode) (candidate, bool) {
-	if node.load.rejects(now) {
+	if node.load.rejectedRecently(now) {
 		return candidate{}, false
 	}
 	node.load.dropOldChanges(now)
@@ -82,19 +83,21 @@
 	return candidate{node: node, saturationExcess: load.saturationExcess}, load.fits
 }
 
-// attemptAllowed reports whether the rules permit an attempt on any node. Every attempt passes this check and
-// nodeAllowed. Rules 1 and 2: no attempt after the request is done or its deadline has passed, none while
-// another is outstanding, and no more than the maximum.
+// attemptAllowed reports whether the rules permit another attempt for the request on any node. Each attempt
+// must also pass nodeAllowed. The rules on final answers and retries (rules 1 and 2) permit no attempt after
+// the request is done or its deadline has passed, while another attempt is outstanding, or when Attempts.Max
+// attempts were made.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	exhausted := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !exhausted && request.outstandingAttempt() == nil
 }
 
-// nodeAllowed reports whether the rules permit an attempt on this node. It assumes that attemptAllowed is
-// true.
+// nodeAllowed reports whether the rules permit an attempt on this node. The caller must have checked
+// attemptAllowed.
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
-	// Rule 3: a listed state takes effect at once; the drain grace is not used, so late lists cannot break
-	// the rule.
+	// The rule on node states (rule 3) permits attempts during DrainGrace after a node starts to drain. The
+	// filter does not use this time, so that a node list that arrives late cannot cause a violation of the
+	// rule.
 	if !node.listed || node.State != Ready || node.cores <= 0 {
 		return false
 	}
@@ -105,16 +108,16 @@
 	if request.unknownOutcome != nil && !f.retries.allowsOn(now, request, node) {
 		return false
 	}
-	// Rules 4 and 5.
+	// The last two checks are the slow-start rule (rule 4) and the spread rule (rule 5).
 	return f.slowStart.allows(now, node) && f.spread.allows(class, request.Service, node)
 }
 
-// prefer returns the wanted candidates, or all if none is wanted. It filters in place: unless all or none are
-// wanted, the contents of the caller's slice change.
-func prefer(candidates []candidate, wanted func(*candidate) bool) []candidate {
+// prefer returns the preferred candidates, or all candidates if none is preferred. It filters in place, so
+// the contents of the caller's slice change if only some of the candidates are preferred.
+func prefer(candidates []candidate, isPreferred func(*candidate) bool) []candidate {
 	kept := 0
 	for i := range candidates {
-		if wanted(&candidates[i]) {
+		if isPreferred(&candidates[i]) {
 			candidates[kept] = candidates[i]
 			kept++
 		}
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -36,7 +36,7 @@
 	nodes[0].FreeMemory = 2
 	placer := newTestPlacer(t, config, 1, nodes)
 	requireNoAttempt(t, arrive(placer, 100.1, newTask(1, 0)), "the node's memory is nearly all in use")
-	placer.capacity.memoryUsage.mean = 0.5 // tasks use half of what they request
+	placer.capacity.memoryUsageRatio.mean = 0.5 // tasks use half of what they request
 	startedAttempt(t, arrive(placer, 100.2, newTask(2, 0)))
 }
 
@@ -80,7 +80,7 @@
 		placer.Handle(100, Event{Kind: UsageReported, TaskID: id, Usage: CoresUsed, Value: 1}, nil)
 		placer.Handle(100, Event{Kind: UsageReported, TaskID: id, Usage: MemoryUsed, Value: 1}, nil)
 	}
-	cores, memory := placer.capacity.coresUsage.mean, placer.capacity.memoryUsage.mean
+	cores, memory := placer.capacity.coresUsageRatio.mean, placer.capacity.memoryUsageRatio.mean
 	if cores > 0.55 || cores < 0.5 || memory > 0.3 || memory < 0.25 {
 		t.Errorf("usage is taken as %.2f of the cores and %.2f of the memory requested, want 0.5 and 0.25", cores, memory)
 	}
--- a/placer/jitter.go
+++ b/placer/jitter.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// jitterFraction is the width of the jitter of a delay, as a fraction of it, so that requests do not retry in
-// synchronized waves.
-const jitterFraction = 0.4
+// jitterWidthFraction is the width of the interval from which a delay is drawn, as a fraction of its mean.
+// Jitter prevents many requests from retrying at the same time.
+const jitterWidthFraction = 0.4
 
-// jitter randomizes delays. It draws one random number for each.
+// jitter randomizes delays. It draws one random number for each delay.
 type jitter struct {
 	rng *rand.Rand
 }
 
-// apply returns a random duration whose mean is the given one.
+// apply returns a random duration whose mean is the given duration.
 func (j jitter) apply(duration Seconds) Seconds {
-	return duration * Seconds(1-jitterFraction/2+jitterFraction*j.rng.Float64())
+	return duration * Seconds(1-jitterWidthFraction/2+jitterWidthFraction*j.rng.Float64())
 }
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -22,7 +22,7 @@
 				Classes:      []Class{{Idempotency: test.idempotency, LatencyObjective: 2, Deadline: 8}},
 				NodeBehavior: NodeBehavior{AcknowledgesOnStart: test.acknowledgesOnStart},
 			})
-			model.answers[0] = test.answers
+			model.answerTimes[0] = test.answers
 			if got := model.attemptTimeout(0); got != test.want {
 				t.Errorf("got %v s, want %v s", got, test.want)
 			}
@@ -49,7 +49,7 @@
 			})
 			answered := &attempt{request: &placementRequest{}, coldStart: test.coldStart}
 			model.observeAnswer(answered, test.elapsed)
-			if got := model.coldStartsSlow(0); got != test.want {
+			if got := model.coldStartsAreSlow(0); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/placer/node.go
+++ b/placer/node.go
@@ -1,26 +1,27 @@
 package placer
 
-// trackedNode is what is known about one node. Each part of the Placer that learns something about nodes owns one of
-// the records, which only its own file writes. The fields that the filter reads come first, close together.
+// trackedNode is the state of one node as the Placer knows it. Each component that learns about nodes owns
+// one of the records, and only the file of that component changes the record. The fields that the filter
+// reads come first, so that they are close together in memory.
 type trackedNode struct {
-	Node                  // the latest list entry
-	cores, memory float64 // the size of the node, 0 if its type is not known
-	listed        bool    // a list has named the node
+	Node                  // latest entry of the node in a node list
+	cores, memory float64 // size of the node; 0 if its type is unknown
+	listed        bool    // a node list has named the node
 
-	health  nodeHealth    // by the outlier detector
-	standby standbyRecord // by the consolidator
-	load    nodeLoad      // by the capacity model
-	tasks   nodeTasks     // own tasks and attempts
+	health  nodeHealth    // owned by the outlier detector
+	standby standbyRecord // owned by the consolidator
+	load    nodeLoad      // owned by the capacity model
+	tasks   nodeTasks     // tasks and attempts of this scheduler on the node
 
-	warmupAttempts []Seconds // by slow start: times of own attempts while the node was warming up
-	unusedSince    Seconds   // by the node table: time since which it has been terminated and not in use, or 0
+	warmupAttempts []Seconds // owned by slowStart: times of own attempts while the node was warming up
+	unusedSince    Seconds   // owned by nodeTable: time since which the node is terminated and unused, or 0
 }
 
 func newTrackedNode(id NodeID) *trackedNode {
 	return &trackedNode{Node: Node{ID: id, NodeType: -1, Rack: -1, Zone: -1}, tasks: newNodeTasks()}
 }
 
-// resetAfterRestart resets what was known about the load and health of a node that has restarted.
+// resetAfterRestart clears the recorded health, load and cached programs of a node that has restarted.
 func (n *trackedNode) resetAfterRestart() {
 	n.health.reset()
 	n.load.reset()
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -5,7 +5,7 @@
 // nodeTable owns the records of all known nodes and applies node lists to them.
 type nodeTable struct {
 	types []NodeType
-	list  []*trackedNode // in the order in which they became known
+	list  []*trackedNode // in the order in which the nodes became known
 	byID  map[NodeID]*trackedNode
 }
 
@@ -13,8 +13,8 @@
 	return &nodeTable{types: types, byID: map[NodeID]*trackedNode{}}
 }
 
-// ensure returns the record of a node, which it creates if there is none.
-func (t *nodeTable) ensure(id NodeID) *trackedNode {
+// getOrCreate returns the record of a node. It creates the record if there is none.
+func (t *nodeTable) getOrCreate(id NodeID) *trackedNode {
 	node := t.byID[id]
 	if node == nil {
 		node = newTrackedNode(id)
@@ -24,7 +24,7 @@
 	return node
 }
 
-// apply applies a node list. Nodes that a full list leaves out have terminated.
+// apply updates the records from a node list. A node that a full or cached list does not name has terminated.
 func (t *nodeTable) apply(kind ListKind, entries []Node) {
 	if kind != Changes {
 		for _, node := range t.list {
@@ -36,10 +36,10 @@
 	}
 }
 
-// update applies one entry of a list. A node with a new start time has restarted, which resets its load and
-// health.
+// update applies one entry of a node list. If the start time of the node has changed, the node has restarted,
+// and its recorded load and health are reset.
 func (t *nodeTable) update(entry Node) {
-	node := t.ensure(entry.ID)
+	node := t.getOrCreate(entry.ID)
 	if node.listed && entry.StartedAt != node.StartedAt {
 		node.resetAfterRestart()
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// evictTerminated removes nodes that terminated long ago and run no own task, so that memory does not grow as
-// nodes are replaced.
+// evictTerminated removes the records of nodes that have been terminated and without tasks of this scheduler
+// for nodeRetention. This bounds the memory use when nodes are replaced.
 func (t *nodeTable) evictTerminated(now Seconds) {
 	t.list = slices.DeleteFunc(t.list, func(node *trackedNode) bool {
 		if node.State != Terminated || !node.listed || node.tasks.inUse() {
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// nodeTasks are the own tasks and attempts on one node.
+// nodeTasks holds the tasks and attempts of this scheduler on one node.
 type nodeTasks struct {
-	unanswered     int               // attempts without an answer
-	byService      map[ServiceID]int // tasks that run or are attempted
-	bound          []*attempt        // those that run
-	cachedPrograms []ServiceID       // services whose last own task has ended, the most recent last
+	unanswered     int               // number of attempts without an answer
+	byService      map[ServiceID]int // number of running tasks and unanswered attempts by service
+	bound          []*attempt        // attempts whose tasks run on the node
+	cachedPrograms []ServiceID       // services whose program is probably cached, the most recent last
 }
 
 func newNodeTasks() nodeTasks { return nodeTasks{byService: map[ServiceID]int{}} }
 
-// inUse reports whether there are own tasks or attempts on the node.
+// inUse reports whether this scheduler has tasks or attempts on the node.
 func (n *nodeTasks) inUse() bool {
 	return n.unanswered > 0 || len(n.bound) > 0 || len(n.byService) > 0
 }
 
-// hasProgram reports whether the program of a service is likely to be on the node: an own task of it runs
-// there, is attempted, or has run last.
+// hasProgram reports whether the node probably has the program of a service: a task of the service runs or is
+// attempted on the node, or ran there recently. Only the tasks of this scheduler are known.
 func (n *nodeTasks) hasProgram(service ServiceID) bool {
 	return n.byService[service] > 0 || slices.Contains(n.cachedPrograms, service)
 }
 
-// attemptSent adds an attempt without an answer.
+// attemptSent adds an unanswered attempt.
 func (n *nodeTasks) attemptSent(sent *attempt) {
 	n.unanswered++
 	n.byService[sent.request.Service]++
@@ -35,20 +35,20 @@
 	n.addBound(accepted)
 }
 
-// adopted adds a task that was found running.
-func (n *nodeTasks) adopted(found *attempt) {
+// addAdopted adds a task that was found running on the node.
+func (n *nodeTasks) addAdopted(found *attempt) {
 	n.addBound(found)
 	n.byService[found.request.Service]++
 }
 
-// attemptFailed removes an attempt that ended before it was bound.
+// attemptFailed removes an attempt that ended before the node accepted it.
 func (n *nodeTasks) attemptFailed(failed *attempt) {
 	n.removeFromService(failed.request.Service)
 	n.unanswered--
 }
 
-// taskEnded removes a bound task. Its program is assumed to stay on the node for a while after the service's
-// last own task.
+// taskEnded removes a bound task. After the last task of its service, the node is assumed to keep the program
+// cached.
 func (n *nodeTasks) taskEnded(ended *attempt) {
 	service := ended.request.Service
 	n.removeFromService(service)
@@ -72,7 +72,7 @@
 	n.bound = append(n.bound, bound)
 }
 
-// removeBound removes an attempt from those bound to the node. The last one in the slice moves to its index.
+// removeBound removes an attempt from the bound attempts. The last attempt of the slice takes its index.
 func (n *nodeTasks) removeBound(bound *attempt) {
 	last := n.bound[len(n.bound)-1]
 	n.bound[bound.boundIndex] = last
@@ -80,8 +80,8 @@
 	n.bound = n.bound[:len(n.bound)-1]
 }
 
-// cacheProgram records a program as the most recent cached one. If there are more than maxCachedPrograms, the
-// oldest is removed.
+// cacheProgram records the program of a service as the most recently cached program. It removes the oldest
+// program if there are more than maxCachedPrograms.
 func (n *nodeTasks) cacheProgram(service ServiceID) {
 	if i := slices.Index(n.cachedPrograms, service); i >= 0 {
 		n.cachedPrograms = slices.Delete(n.cachedPrograms, i, i+1)
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -1,21 +1,22 @@
 package placer
 
-// maxRejections is the number of rejections of one pair after which a request waits and redraws.
+// maxRejections is the number of rejections by the nodes of one pair after which a request waits before it
+// draws a new pair.
 const maxRejections = 2
 
-// handleAdopted adds a task that was found running. It counts for the spread rule, and its loss is a failure
-// of its node.
+// handleAdopted adds a task that was found running. The task counts for the spread rule, and its loss counts
+// as a failure of its node.
 func (p *Placer) handleAdopted(ev Event) {
-	if p.requests.known(ev.Task.ID) {
+	if p.requests.contains(ev.Task.ID) {
 		return
 	}
-	node := p.nodes.ensure(ev.Node)
+	node := p.nodes.getOrCreate(ev.Node)
 	adopted := p.requests.adopt(ev.Task, node, p.now)
-	node.tasks.adopted(adopted)
+	node.tasks.addAdopted(adopted)
 	p.spread.add(adopted)
 }
 
-// handleBound processes the acceptance of an attempt.
+// handleBound processes the acceptance of an attempt by its node.
 func (p *Placer) handleBound(ev Event) {
 	accepted := p.requests.attempt(ev.TaskID, ev.Attempt)
 	if accepted == nil || accepted.state != attemptPending {
@@ -30,8 +31,8 @@
 	p.requests.close(accepted.request)
 }
 
-// handleUsage learns from the usage of an own task.
-func (p *Placer) handleUsage(ev Event) {
+// handleUsageReported updates the models from a usage report on a task of this scheduler.
+func (p *Placer) handleUsageReported(ev Event) {
 	measured := p.requests.attempt(ev.TaskID, ev.Attempt)
 	if measured == nil {
 		return
@@ -43,7 +44,7 @@
 	p.capacity.observeUsage(&measured.request.Task, ev.Usage, ev.Value)
 }
 
-// handleEnded processes the end of an attempt, before or after it was accepted.
+// handleEnded processes the end of an attempt, whether or not the node had accepted it.
 func (p *Placer) handleEnded(ev Event) {
 	ended := p.requests.attempt(ev.TaskID, ev.Attempt)
 	if ended == nil || !ended.outstanding() {
@@ -64,8 +65,8 @@
 		node.load.attemptFailed(ended)
 	}
 	p.observeOutcome(ev, ended)
-	if !wasRunning && !ev.Result.neverRan() {
-		request.noteUnknownOutcome(ended)
+	if !wasRunning && !ev.Result.provesNotStarted() {
+		request.recordUnknownOutcome(ended)
 	}
 	if ev.Final || wasRunning {
 		p.requests.close(request)
@@ -77,15 +78,17 @@
 	p.retryAfterOutcome(request, ev)
 }
 
-// observeOutcome updates what is known about a node by the outcome of an attempt.
+// observeOutcome updates the recorded load and health of a node from the outcome of an attempt.
 func (p *Placer) observeOutcome(ev Event, ended *attempt) {
 	node := ended.node
 	switch ev.Result {
 	case Rejected:
 		if ev.Reason != WrongNode {
-			node.load.rejected(p.now)
+			node.load.recordRejection(p.now)
 		} else if p.cfg.class(ended.request).Idempotency != IdempotentByKey {
-			// The node drains before the list shows it. With a key, it may instead run an earlier copy.
+			// The node probably drains although the node list does not show it yet. For a class that is
+			// idempotent by key, the node may also have rejected the task because it already runs a copy with
+			// the same key.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
@@ -99,12 +102,12 @@
 	}
 }
 
-// retryAfterOutcome decides what follows an attempt that did not place the task.
+// retryAfterOutcome takes the next step for a request after an attempt that did not place the task.
 func (p *Placer) retryAfterOutcome(request *placementRequest, ev Event) {
 	if ev.Result == Rejected && ev.Reason != WrongNode {
-		request.noteRejection()
+		request.recordRejection()
 		if request.alternative == nil && request.rejections >= maxRejections {
-			p.redrawLater(request, redrawWait)
+			p.scheduleRedraw(request, redrawWait)
 			return
 		}
 	}
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// Constants of outlier detection. Its times are in latency objectives, the shortest of all classes.
+// Constants of outlier detection. Its times are multiples of the shortest latency objective of all classes.
 const (
-	// baseEjection is the time for which a node is ejected after its first failure, in latency objectives.
-	// Each further failure doubles it.
+	// baseEjection is the time for which a node is ejected after its first failure, as a multiple of the
+	// latency objective. Each further failure doubles the time.
 	baseEjection = 1.0
-	// maxFailures bounds the failure count, and so the number of times that the ejection is doubled.
+	// maxFailures limits the failure count of a node, and thereby its ejection time.
 	maxFailures = 5
-	// failureStepDivisor divides the latency objective into the time within which several failures count as
-	// one, and the time between two successes that each cancel a failure.
-	failureStepDivisor = 4
-	// minHealthyDivisor bounds outlier detection: ejected nodes are used as well when fewer than one in this
-	// many ready nodes are healthy.
+	// failureWindowDivisor sets a time window: the latency objective divided by this number. Several failures
+	// within one window count as one failure, and at most one failure is canceled by successes within one
+	// window.
+	failureWindowDivisor = 4
+	// minHealthyDivisor limits outlier detection. Attempts also use ejected nodes if the number of healthy
+	// nodes is less than the number of ready nodes divided by this number.
 	minHealthyDivisor = 4
 )
 
-// outlierDetector ejects nodes on which attempts fail.
+// outlierDetector ejects nodes on which attempts fail, that is, it excludes them from placement for a time.
 type outlierDetector struct {
 	objective Seconds // shortest latency objective of all classes
 	jitter    jitter
@@ -25,42 +26,44 @@
 
 // nodeHealth is the part of a node's record that the outlier detector owns.
 type nodeHealth struct {
-	failures      int // that have not been cancelled
+	failures      int // failures that no success has canceled
 	lastFailureAt Seconds
 	ejectedUntil  Seconds
 }
 
-// reset readmits a node that has restarted.
+// reset clears the failures of a node that has restarted and ends its ejection.
 func (h *nodeHealth) reset() {
 	h.failures = 0
 	h.ejectedUntil = 0
 }
 
-// recordError counts an error as a failure of the node, unless the task has failed on another node as well:
-// the task is then more likely at fault than both nodes, and the failure of the other is cancelled.
-// Otherwise a client whose tasks no node can run would cause all nodes to be ejected.
+// recordError records that an attempt ended with an error, which counts as a failure of its node. If the task
+// has also failed on another node, the task is more likely to be the cause. Then the error does not count,
+// and the failure of the other node is canceled. Otherwise, a client whose tasks fail on every node would
+// cause all nodes to be ejected.
 func (d *outlierDetector) recordError(now Seconds, failed *attempt) {
 	failed.errored = true
-	elsewhere := false
+	failedElsewhere := false
 	for _, other := range failed.request.attempts {
 		if !other.errored || other.node == failed.node {
 			continue
 		}
-		elsewhere = true
+		failedElsewhere = true
 		if health := &other.node.health; other.countedFailure && health.failures > 0 {
 			health.failures--
 			health.ejectedUntil = min(health.ejectedUntil, now)
 		}
 		other.countedFailure = false
 	}
-	failed.countedFailure = !elsewhere && d.recordFailure(now, failed.node)
+	failed.countedFailure = !failedElsewhere && d.recordFailure(now, failed.node)
 }
 
-// recordFailure ejects a node, for twice as long after each failure. It reports whether the failure counted:
-// several within a short time, such as the tasks lost in a crash, count as one.
+// recordFailure records a failure of a node and ejects the node. Each failure doubles the ejection time. The
+// result reports whether the failure was counted. Several failures within a short time, such as the loss of
+// all tasks in a crash, count as one failure.
 func (d *outlierDetector) recordFailure(now Seconds, node *trackedNode) bool {
 	health := &node.health
-	if health.failures > 0 && now-health.lastFailureAt < d.objective/failureStepDivisor {
+	if health.failures > 0 && now-health.lastFailureAt < d.objective/failureWindowDivisor {
 		return false
 	}
 	health.failures = min(health.failures+1, maxFailures)
@@ -70,18 +73,18 @@
 	return true
 }
 
-// recordSuccess cancels one failure at a time: a node that fails only some attempts would otherwise be
-// readmitted after each success.
+// recordSuccess cancels one failure of a node whose ejection has ended. It does not cancel all failures at
+// once, because a node on which only some attempts fail would then count as healthy after each success.
 func (d *outlierDetector) recordSuccess(now Seconds, node *trackedNode) {
 	health := &node.health
 	if health.failures > 0 && now >= health.ejectedUntil {
 		health.failures--
-		health.ejectedUntil = now + d.objective/failureStepDivisor
+		health.ejectedUntil = now + d.objective/failureWindowDivisor
 	}
 }
 
-// permits reports whether a task of the class may be attempted on the node. A node that was ejected is probed
-// with one attempt at a time, and not with tasks that must never start twice.
+// permits reports whether a task of the class may be attempted on the node. After its ejection, a node with
+// failures is probed with one attempt at a time, and never with a task that must not start twice.
 func (d *outlierDetector) permits(now Seconds, class *Class, node *trackedNode) bool {
 	if node.health.failures == 0 {
 		return true
@@ -89,10 +92,11 @@
 	return now >= node.health.ejectedUntil && node.tasks.unanswered == 0 && class.Idempotency != NonIdempotent
 }
 
-// tooFewHealthy reports whether so few of the ready nodes are healthy for the class that ejected nodes must
-// be used as well: a fault common to many nodes is no outlier. Neither capacity nor spread counts here. A
-// dead node appears to have the capacity of the tasks that it lost, and all nodes that the spread rule leaves
-// to a service may be dead; they would attract all attempts.
+// tooFewHealthy reports whether so few ready nodes are healthy for the class that ejected nodes must be used
+// as well. A fault that affects many nodes does not make them outliers. The count ignores free capacity and
+// the spread rule. A dead node appears to have free capacity because its tasks are lost, and the spread rule
+// may leave only dead nodes to a service. If the count considered either, dead nodes would receive all
+// attempts.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
 	ready, healthy := 0, 0
 	for _, node := range nodes {
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -1,22 +1,25 @@
 package placer
 
-// Waiting times. The design's figures are explained in docs/design.md.
+// Waiting times before a request draws a new pair of nodes. The file docs/design.md explains the values.
 const (
-	// redrawWait is the mean wait before a request that both nodes of a pair rejected redraws.
+	// redrawWait is the mean wait before a request draws a new pair after both nodes of a pair have rejected
+	// it.
 	redrawWait Seconds = 1
-	// inTimeRedrawWait and lateRedrawWait are the mean waits when no node passes the filter: before the
-	// latency objective, and after it, when a request leaves free capacity to requests that are in time.
+	// inTimeRedrawWait and lateRedrawWait are the mean waits if no node passes the filter. The first applies
+	// to a request within its latency objective. The second applies to a request that has missed it, and is
+	// longer so that requests that are still in time get free capacity first.
 	inTimeRedrawWait = 0.15 * redrawWait
 	lateRedrawWait   = 0.6 * redrawWait
 )
 
-// place takes the next step for a request without an outstanding attempt: an attempt at the alternative node,
-// a new draw, a wait, or the final answer.
+// place takes the next step for a request that has no outstanding attempt. The step is an attempt on the
+// second node of the current pair, an attempt on a newly drawn node, a wait before the next draw, or the
+// final answer.
 func (p *Placer) place(request *placementRequest) {
 	exhausted := len(request.attempts) >= p.cfg.Attempts.Max
 	tooLate := request.Deadline-p.now <= p.cfg.Attempts.AnswerGrace
 	if exhausted || tooLate || !p.retries.allows(p.now, request) {
-		p.answerUnplaced(request)
+		p.rejectOrFail(request)
 		return
 	}
 	if node := request.takeAlternative(); node != nil && p.filter.recheck(p.now, request, node) {
@@ -25,14 +28,14 @@
 	}
 	drawn := p.selector.draw(p.now, request, p.filter.candidates(p.now, request))
 	if drawn.first == nil {
-		p.redrawLater(request, p.waitForCapacity(request))
+		p.scheduleRedraw(request, p.waitForCapacity(request))
 		return
 	}
 	request.setPair(drawn)
 	p.startAttempt(request, drawn.first)
 }
 
-// startAttempt sends the task to a node that the filter has accepted.
+// startAttempt starts an attempt on a node that has passed the filter.
 func (p *Placer) startAttempt(request *placementRequest, node *trackedNode) {
 	started := request.startAttempt(node, p.now)
 	node.tasks.attemptSent(started)
@@ -48,7 +51,8 @@
 	})
 }
 
-// waitForCapacity returns the mean wait of a request for which no node passed the filter.
+// waitForCapacity returns the mean wait before the next draw for a request for which no node passed the
+// filter.
 func (p *Placer) waitForCapacity(request *placementRequest) Seconds {
 	if p.now < request.arrivedAt+p.cfg.class(request).LatencyObjective {
 		return inTimeRedrawWait
@@ -56,19 +60,20 @@
 	return lateRedrawWait
 }
 
-// redrawLater redraws after a jittered delay. Too close to the deadline it answers instead.
-func (p *Placer) redrawLater(request *placementRequest, delay Seconds) {
+// scheduleRedraw sets a timer with a jittered delay, after which the request draws a new pair of nodes. If
+// too little time remains until the deadline, it sends the final answer instead.
+func (p *Placer) scheduleRedraw(request *placementRequest, delay Seconds) {
 	after := min(p.jitter.apply(delay), request.Deadline-p.cfg.Attempts.AnswerGrace-p.now)
 	if after <= 0 {
-		p.answerUnplaced(request)
+		p.rejectOrFail(request)
 		return
 	}
 	request.waitForRedraw(p.timers.start(pendingTimer{request: request, kind: timerRedraw}, after))
 }
 
-// answerUnplaced gives the final answer to a request that is not placed: Reject if another request for the
-// task is safe, otherwise Fail.
-func (p *Placer) answerUnplaced(request *placementRequest) {
+// rejectOrFail sends the final answer for a request that was not placed. The answer is Reject if the client
+// may safely request the task again, and Fail otherwise.
+func (p *Placer) rejectOrFail(request *placementRequest) {
 	kind := Fail
 	if p.retries.safeToReject(request) {
 		kind = Reject
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -5,16 +5,19 @@
 	"math/rand/v2"
 )
 
-// Placer decides for one scheduler. It passes the events to the parts that own its state and make its
-// decisions; only a part itself writes its fields. Decisions and tuned values are in the files that the
-// deploy file names as the policy.
+// Placer makes the placement decisions of one scheduler. It passes each event to the components that own the
+// state and make the decisions. Only the component itself changes its fields. The files that
+// deploy/balancer.toml lists as the policy contain all decisions and tunable constants.
 //
-// A request is placed as in the k-COLLISION protocol: filter the nodes, draw two uniformly, skip those with
-// too many contenders, attempt the emptier node, then the other, then wait and redraw. See docs/design.md.
+// A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
+// uniformly at random. It skips nodes with too many contenders, that is, with too many unanswered attempts
+// and recent binds of this scheduler. It attempts the request on the emptier node and then on the other node.
+// If both reject the request, the request waits before the next draw. The file docs/design.md describes the
+// algorithm.
 type Placer struct {
 	cfg     Config
-	now     Seconds // the latest time of an event
-	started bool    // an event has been handled
+	now     Seconds // time of the latest event
+	started bool    // the first event has been handled
 	actions *actionList
 	timers  *timerTable
 	jitter  jitter
@@ -34,21 +37,22 @@
 	selector     *selector
 }
 
-// New returns a Placer, or an error that names the invalid part of the configuration.
+// New returns a Placer, or an error that names the invalid part of the configuration. The seed initializes
+// the random number generator.
 func New(cfg Config, seed uint64) (*Placer, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, fmt.Errorf("placer: %w", err)
 	}
 	p := &Placer{cfg: cfg}
-	rng := rand.New(rand.NewPCG(seed, seedStream))
-	p.newTables(rng)
+	rng := rand.New(rand.NewPCG(seed, randomStream))
+	p.newStateTables(rng)
 	p.newModels()
-	p.newStages(rng)
+	p.newNodeSelection(rng)
 	return p, nil
 }
 
-// newTables creates the parts that record what the events report: actions, timers, nodes and requests.
-func (p *Placer) newTables(rng *rand.Rand) {
+// newStateTables creates the components that hold the state from events: actions, timers, nodes and requests.
+func (p *Placer) newStateTables(rng *rand.Rand) {
 	p.jitter = jitter{rng: rng}
 	p.actions = &actionList{}
 	p.timers = newTimerTable(p.actions)
@@ -63,7 +67,7 @@
 	}
 }
 
-// newModels creates the parts that learn from events, and the rules.
+// newModels creates the components that learn from events and those that implement the placement rules.
 func (p *Placer) newModels() {
 	p.capacity = newCapacityModel(&p.cfg)
 	p.latency = newLatencyModel(&p.cfg)
@@ -73,8 +77,8 @@
 	p.retries = &retryRule{cfg: &p.cfg}
 }
 
-// newStages creates the parts that choose nodes: standby nodes, filter and selection.
-func (p *Placer) newStages(rng *rand.Rand) {
+// newNodeSelection creates the components that choose nodes: the consolidator, the filter and the selector.
+func (p *Placer) newNodeSelection(rng *rand.Rand) {
 	p.consolidator = &consolidator{
 		cfg:                 &p.cfg,
 		nodes:               p.nodes,
@@ -85,14 +89,14 @@
 		saturationThreshold: lowestSaturationThreshold(p.cfg.Classes),
 	}
 	p.filter = &nodeFilter{
-		cfg:       &p.cfg,
-		nodes:     p.nodes,
-		capacity:  p.capacity,
-		outliers:  p.outliers,
-		slowStart: p.slowStart,
-		spread:    p.spread,
-		retries:   p.retries,
-		standby:   p.consolidator,
+		cfg:          &p.cfg,
+		nodes:        p.nodes,
+		capacity:     p.capacity,
+		outliers:     p.outliers,
+		slowStart:    p.slowStart,
+		spread:       p.spread,
+		retries:      p.retries,
+		consolidator: p.consolidator,
 	}
 	p.selector = &selector{
 		peers:    p.cfg.Peers,
@@ -104,7 +108,8 @@
 	}
 }
 
-// Handle processes one event at the time now, and appends the resulting actions to actions.
+// Handle processes one event that happens at the time now. It appends the resulting actions to the given
+// slice and returns the extended slice.
 func (p *Placer) Handle(now Seconds, ev Event, actions []Action) []Action {
 	p.actions.begin(actions)
 	if !p.started {
@@ -123,7 +128,7 @@
 	case Ended:
 		p.handleEnded(ev)
 	case UsageReported:
-		p.handleUsage(ev)
+		p.handleUsageReported(ev)
 	case Withdrawn:
 		p.handleWithdrawn(ev.TaskID)
 	case TimerFired:
@@ -132,7 +137,8 @@
 	return p.actions.take()
 }
 
-// start prepares for the first event. The poller's first request counts as made at p.now, which is still 0.
+// start prepares for the first event. The poller records the time 0 for its first poll, because p.now is not
+// yet set.
 func (p *Placer) start(now Seconds) {
 	p.started = true
 	p.slowStart.schedulerStarted(now)
@@ -143,11 +149,11 @@
 }
 
 func (p *Placer) startConsolidationTimer() {
-	p.timers.start(pendingTimer{kind: timerConsolidate}, p.jitter.apply(consolidationInterval))
+	p.timers.start(pendingTimer{kind: timerConsolidate}, p.jitter.apply(migrationInterval))
 }
 
 func (p *Placer) handleTimer(token uint64) {
-	timer, known := p.timers.take(token)
+	timer, known := p.timers.remove(token)
 	if !known {
 		return
 	}
@@ -156,14 +162,14 @@
 	case timerPollNodes:
 		p.poller.timerFired(p.now, token)
 	case timerConsolidate:
-		p.consolidator.drain(p.now)
+		p.consolidator.migrateFromStandby(p.now)
 		p.nodes.evictTerminated(p.now)
 		p.startConsolidationTimer()
 	case timerDeadline:
-		// An attempt times out at the deadline at the latest. This timer is for attempts whose outcome does
-		// not arrive and for requests that wait for a redraw.
+		// Each attempt times out at the deadline at the latest. The deadline timer answers requests that wait
+		// for the next draw, and requests with an attempt whose outcome does not arrive.
 		if !request.done {
-			p.answerUnplaced(request)
+			p.rejectOrFail(request)
 		}
 	case timerRedraw:
 		if request.redrawToken == token && !request.done && request.outstandingAttempt() == nil {
@@ -172,7 +178,7 @@
 	}
 }
 
-// handleNodesListed applies a node list, or polls again after a failure.
+// handleNodesListed applies a node list, or schedules another poll if the request for the list failed.
 func (p *Placer) handleNodesListed(ev Event) {
 	if ev.List == ListFailed {
 		p.poller.pollFailed()
@@ -184,14 +190,14 @@
 	p.nodes.apply(ev.List, ev.Nodes)
 }
 
-// handleArrived places a task, or answers at once if it cannot be placed.
+// handleArrived starts to place a task, or sends the final answer immediately if the task is not valid.
 func (p *Placer) handleArrived(task Task) {
-	if p.requests.known(task.ID) {
+	if p.requests.contains(task.ID) {
 		return
 	}
 	request := p.requests.open(task, p.now)
-	if !p.cfg.accepts(&task, p.now) {
-		p.answerUnplaced(request)
+	if !p.cfg.isValidTask(&task, p.now) {
+		p.rejectOrFail(request)
 		return
 	}
 	untilDeadline := task.Deadline + p.cfg.Attempts.AnswerGrace/2 - p.now
@@ -199,7 +205,7 @@
 	p.place(request)
 }
 
-// handleWithdrawn closes a request that the client withdrew.
+// handleWithdrawn closes a request that its client withdrew.
 func (p *Placer) handleWithdrawn(id TaskID) {
 	if request := p.requests.byID[id]; request != nil {
 		p.requests.close(request)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -81,7 +81,7 @@
 	config.NodeBehavior.AcknowledgesOnStart = true
 	placer := newTestPlacer(t, config, 1, testNodes(4))
 	for range 50 {
-		placer.latency.answers[0].add(0.05, learningRate)
+		placer.latency.answerTimes[0].add(0.05, learningRate)
 	}
 	if sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0))); sent.Until < 100.1+0.69*5 {
 		t.Fatalf("attempt times out after %.2f s", sent.Until-100.1)
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -1,17 +1,17 @@
 package placer
 
-// requestTable owns the requests that have no answer or whose task runs.
+// requestTable owns the requests that have no final answer yet and those whose task runs.
 type requestTable struct {
 	byID       map[TaskID]*placementRequest
-	unanswered int // requests without an answer
+	unanswered int // number of requests that are not done
 }
 
 func newRequestTable() *requestTable { return &requestTable{byID: map[TaskID]*placementRequest{}} }
 
-// known reports whether there is a request for the task.
-func (t *requestTable) known(id TaskID) bool { return t.byID[id] != nil }
+// contains reports whether the table has a request for the task.
+func (t *requestTable) contains(id TaskID) bool { return t.byID[id] != nil }
 
-// open adds a request for a task that is not known yet.
+// open adds a request for a task. The table must not contain the task yet.
 func (t *requestTable) open(task Task, now Seconds) *placementRequest {
 	request := &placementRequest{Task: task, arrivedAt: now}
 	t.byID[task.ID] = request
@@ -19,15 +19,15 @@
 	return request
 }
 
-// adopt adds a task that was found running on a node and is not known yet. It returns the attempt that represents
-// the task.
+// adopt adds a task that was found running on a node, and returns the attempt that represents the task. The
+// table must not contain the task yet.
 func (t *requestTable) adopt(task Task, node *trackedNode, now Seconds) *attempt {
 	request, adopted := newAdoptedRequest(task, node, now)
 	t.byID[task.ID] = request
 	return adopted
 }
 
-// attempt returns the attempt with the given number for a task, or nil if it is not known.
+// attempt returns the attempt with the given number for a task, or nil if there is no such attempt.
 func (t *requestTable) attempt(task TaskID, number int) *attempt {
 	request := t.byID[task]
 	if request == nil || number < 0 || number >= len(request.attempts) {
@@ -36,7 +36,8 @@
 	return request.attempts[number]
 }
 
-// close ends a request: no further attempt is made.
+// close marks a request as done, so that no further attempt is made, and removes it if no attempt is
+// outstanding.
 func (t *requestTable) close(request *placementRequest) {
 	if !request.done {
 		t.unanswered--
@@ -45,7 +46,7 @@
 	t.removeIfDone(request)
 }
 
-// removeIfDone removes a request that is done and has no outstanding attempt.
+// removeIfDone removes a request from the table if it is done and has no outstanding attempt.
 func (t *requestTable) removeIfDone(request *placementRequest) {
 	if request.done && request.outstandingAttempt() == nil {
 		delete(t.byID, request.ID)
--- a/placer/request_test.go
+++ b/placer/request_test.go
@@ -33,8 +33,8 @@
 	table := newRequestTable()
 	placed, withdrawn := table.open(Task{ID: 1}, 100), table.open(Task{ID: 2}, 100)
 	adopted := table.adopt(Task{ID: 3}, node, 100)
-	if table.unanswered != 2 || !table.known(1) || table.known(4) {
-		t.Fatalf("%d unanswered; known: %v and %v", table.unanswered, table.known(1), table.known(4))
+	if table.unanswered != 2 || !table.contains(1) || table.contains(4) {
+		t.Fatalf("%d unanswered; known: %v and %v", table.unanswered, table.contains(1), table.contains(4))
 	}
 	sent := placed.startAttempt(node, 100)
 	for name, test := range map[string]struct {
@@ -56,12 +56,12 @@
 	table.close(withdrawn)
 	table.close(placed)
 	table.close(placed) // repeated
-	if table.unanswered != 0 || table.known(2) || !table.known(1) {
-		t.Errorf("%d unanswered; a request without an attempt is kept: %v", table.unanswered, table.known(2))
+	if table.unanswered != 0 || table.contains(2) || !table.contains(1) {
+		t.Errorf("%d unanswered; a request without an attempt is kept: %v", table.unanswered, table.contains(2))
 	}
 	sent.setState(attemptEnded)
 	table.removeIfDone(placed)
-	if table.known(1) {
+	if table.contains(1) {
 		t.Error("a request is kept after its last attempt")
 	}
 }
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -1,15 +1,15 @@
 package placer
 
-// dedupMargin is the fraction of a class's deduplication window that is relied on.
+// dedupMargin is the fraction of a class's DedupWindow within which another attempt is permitted.
 const dedupMargin = 0.9
 
-// retryRule decides what is permitted after an attempt whose outcome is unknown, since the task may be
-// running (rule 2).
+// retryRule implements the rule on retries (rule 2). It decides which attempts and answers are permitted
+// after an attempt with an unknown outcome, since the task of that attempt may be running.
 type retryRule struct {
 	cfg *Config
 }
 
-// allows reports whether earlier attempts permit another one.
+// allows reports whether the outcomes of the earlier attempts permit another attempt.
 func (r *retryRule) allows(now Seconds, request *placementRequest) bool {
 	if request.unknownOutcome == nil {
 		return true
@@ -23,8 +23,8 @@
 	return false
 }
 
-// allowsOn reports whether a request with an unknown outcome may be retried on the node. With an
-// idempotency key the node must be one of those that drop repeats of the earlier attempt.
+// allowsOn reports whether a request with an unknown outcome may be retried on the node. For a class that is
+// idempotent by key, the node must be in the same DedupDomain as the node of the earlier attempt.
 func (r *retryRule) allowsOn(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !r.allows(now, request) {
 		return false
@@ -33,7 +33,7 @@
 	return class.Idempotency == Idempotent || sharesDomain(class.DedupDomain, earlier, node)
 }
 
-// safeToReject reports whether the client may request the task again without a risk of two running copies.
+// safeToReject reports whether the client may request the task again without the risk that two copies run.
 func (r *retryRule) safeToReject(request *placementRequest) bool {
 	if request.outstandingAttempt() != nil {
 		return false
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -34,7 +34,7 @@
 			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
 			request := &placementRequest{}
 			if !test.knownOutcome {
-				request.noteUnknownOutcome(&attempt{node: earlier, sentAt: sentAt})
+				request.recordUnknownOutcome(&attempt{node: earlier, sentAt: sentAt})
 			}
 			if got := rule.allows(test.now, request); got != test.allows {
 				t.Errorf("another attempt: got %v, want %v", got, test.allows)
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -2,25 +2,28 @@
 
 import "math/rand/v2"
 
-// Constants of the draw. The design's figures are explained in docs/design.md.
+// Constants of node selection. The file docs/design.md explains the values.
 const (
-	// contenderFactor is c of the design: a node may have c times its share of the pending requests.
+	// contenderFactor is the constant c of the k-COLLISION protocol. A node may have up to c times as many
+	// contenders as there are pending requests per candidate.
 	contenderFactor = 2.0
-	// contenderWindow is the time for which a bind counts as a contender. The node list is assumed to show
-	// a change after this time.
+	// contenderWindow is the time for which a bind counts as a contender. After this time, the node list is
+	// assumed to show the bind.
 	contenderWindow Seconds = 2
-	// maxDraws is the number of immediate draws when both nodes of a pair have too many contenders.
+	// maxDraws is the number of pairs that are drawn without a wait if both nodes of each pair have too many
+	// contenders.
 	maxDraws = 8
-	// preferredNodeCount is the number of nodes chosen by hash for a service whose tasks arrive at many
-	// schedulers.
+	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
+	// many schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the number of own programs that a node is assumed to keep after their last task.
+	// maxCachedPrograms is the number of programs that a node is assumed to keep cached after their last
+	// tasks.
 	maxCachedPrograms = 8
-	// seedStream is the stream of the random number generator.
-	seedStream = 0x9e3779b97f4a7c15
+	// randomStream is the second half of the seed of the random number generator, which selects its stream.
+	randomStream = 0x9e3779b97f4a7c15
 )
 
-// selector draws the nodes on which a request is attempted among the candidates that passed the filter.
+// selector draws the nodes for the attempts of a request from the candidates that passed the filter.
 type selector struct {
 	peers    Peers
 	nodes    *nodeTable
@@ -30,22 +33,23 @@
 	rng      *rand.Rand
 }
 
-// pair is two nodes that were drawn for a request, the emptier first. One or both are nil if too few nodes
-// passed the filter.
+// pair holds the two nodes that were drawn for a request. The emptier node comes first. One or both nodes are
+// nil if too few nodes are available.
 type pair struct {
 	first, second *trackedNode
-	ignoresCache  bool // it was drawn without regard to cached programs
+	ignoresCache  bool // the pair was drawn without regard to cached programs
 }
 
-// draw draws two nodes. If cold starts are slow, it first draws among the nodes that are likely to have the
-// service's program. It changes the order of the candidates.
+// draw draws two nodes. If cold starts are slow, it first draws from the nodes that probably have the program
+// of the service. It changes the order of the candidates.
 //
-// Both preferences work in place, so the second draw sees what the first one left of the candidates: where
-// some preferred nodes are saturated, the others appear twice and the saturated ones are missing. That
-// affects placements and is kept for now; docs/ROADMAP.md lists it among the known faults.
+// The first draw filters the candidates in place, so the second draw uses a modified slice. If some of the
+// nodes with the program are saturated, the other such nodes may appear twice in this slice, and saturated
+// nodes may be missing. This is a known fault, which docs/ROADMAP.md lists. It is kept for now because a
+// correction would change placements.
 func (s *selector) draw(now Seconds, request *placementRequest, candidates []candidate) pair {
-	if s.latency.coldStartsSlow(request.Class) {
-		preferred := prefer(s.withProgram(request.Service, candidates), (*candidate).belowSaturation)
+	if s.latency.coldStartsAreSlow(request.Class) {
+		preferred := prefer(s.programNodesFirst(request.Service, candidates), (*candidate).belowSaturation)
 		if len(preferred) > 0 {
 			drawn := s.drawPair(now, request, preferred)
 			if s.contenders(now, drawn.first) <= s.contenderLimit(len(preferred)) {
@@ -58,8 +62,9 @@
 	return drawn
 }
 
-// drawPair draws two nodes uniformly, and again while both exceed the contender limit. If they do in all
-// draws, it returns the last pair, the node with fewer contenders first: delaying the request would not help.
+// drawPair draws two nodes uniformly at random, and repeats the draw while both nodes exceed the contender
+// limit. If both nodes exceed the limit in all draws, it returns the last pair, with the node that has fewer
+// contenders first, because a delay of the request would not help.
 func (s *selector) drawPair(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if len(candidates) == 0 {
 		return pair{}
@@ -85,7 +90,8 @@
 	return pair{first: a, second: b}
 }
 
-// drawTwo draws two different candidates uniformly; the second is nil if there is only one.
+// drawTwo draws two different candidates uniformly at random. The second is nil if there is only one
+// candidate.
 func (s *selector) drawTwo(candidates []candidate) (a, b *trackedNode) {
 	i := s.rng.IntN(len(candidates))
 	if len(candidates) == 1 {
@@ -98,25 +104,26 @@
 	return candidates[i].node, candidates[j].node
 }
 
-// contenderLimit returns k of the design: c times the pending requests per candidate, at least 1. Unanswered
-// requests and the binds that still count as contenders are pending.
+// contenderLimit returns the limit k of the k-COLLISION protocol, which is contenderFactor times the number
+// of pending requests per candidate, but at least 1. Unanswered requests and recent binds count as pending
+// requests.
 func (s *selector) contenderLimit(candidates int) float64 {
 	pending := s.requests.unanswered
 	for _, node := range s.nodes.list {
-		// Binds older than the window count until they are removed, which happens when the node's capacity is
-		// evaluated. On nodes that do not pass the filter they count for longer.
+		// A bind older than contenderWindow counts until it is removed, which happens when the capacity of
+		// its node is evaluated. On nodes that do not pass the filter, old binds therefore count for longer.
 		pending += node.load.retainedBinds
 	}
 	return max(1, contenderFactor*float64(pending)/float64(candidates))
 }
 
-// contenders counts own unanswered attempts and recent binds on the node.
+// contenders returns the number of unanswered attempts and recent binds of this scheduler on the node.
 func (s *selector) contenders(now Seconds, node *trackedNode) float64 {
 	return float64(node.tasks.unanswered + node.load.recentBinds(now))
 }
 
-// emptierFirst returns two nodes as a pair, the emptier one first. If both are equally empty, the order is
-// random.
+// emptierFirst returns two nodes as a pair with the emptier node first. If both are equally empty, the order
+// is random.
 func (s *selector) emptierFirst(now Seconds, task *Task, a, b *trackedNode) pair {
 	freeA, freeB := s.freeShareAfter(now, task, a), s.freeShareAfter(now, task, b)
 	if freeA == freeB && s.rng.IntN(2) == 0 || freeB > freeA {
@@ -125,25 +132,28 @@
 	return pair{first: a, second: b}
 }
 
-// freeShareAfter returns the smaller of the free shares of cores and memory once the task runs on the node.
+// freeShareAfter returns the free fraction of the node's cores or memory, whichever is smaller, if the task
+// ran on the node.
 func (s *selector) freeShareAfter(now Seconds, task *Task, node *trackedNode) float64 {
-	free := s.capacity.free(now, node)
+	free := s.capacity.estimateFree(now, node)
 	cores := (free.cores - task.Cores) / max(node.cores, 1e-9)
 	memory := (free.memory - task.Memory) / max(node.memory, 1e-9)
 	return min(cores, memory)
 }
 
-// placesByAffinity reports whether this scheduler knows on which nodes a service runs: all its tasks arrive
-// here, or there are so many schedulers that its nodes are chosen by hash. A cached program then takes
-// precedence over unsaturated cores.
+// placesByAffinity reports whether this scheduler knows on which nodes the tasks of a service run. It does if
+// all tasks of the service arrive at this scheduler, or if there are so many schedulers that the nodes of a
+// service are chosen by hash. In both cases, nodes with the cached program take precedence over nodes below
+// saturation.
 func (p *Peers) placesByAffinity() bool {
 	return p.StickyServices || p.Total > 2*preferredNodeCount
 }
 
-// withProgram moves the candidates that are likely to have the service's program to the front and returns
-// them: those with own tasks of the service, and if there are so many schedulers that each sees few of these
-// tasks, those with the highest hash for the service, which are the same for all schedulers.
-func (s *selector) withProgram(service ServiceID, candidates []candidate) []candidate {
+// programNodesFirst moves the candidates that probably have the program of the service to the front of
+// the slice and returns them. These are the nodes with tasks of the service from this scheduler. If there are
+// so many schedulers that each of them receives few tasks of a service, they also include the nodes with the
+// highest hash for the service. All schedulers compute the same hash and therefore prefer the same nodes.
+func (s *selector) programNodesFirst(service ServiceID, candidates []candidate) []candidate {
 	count := 0
 	for i := range candidates {
 		if candidates[i].node.tasks.hasProgram(service) {
@@ -155,12 +165,12 @@
 		return candidates[:count]
 	}
 	for i := range candidates {
-		candidates[i].affinity = hashUnit(uint64(service), uint64(candidates[i].node.ID))
+		candidates[i].affinityHash = hashToUnitInterval(uint64(service), uint64(candidates[i].node.ID))
 	}
 	for range min(preferredNodeCount, len(candidates)-count) {
 		best := count
 		for i := count + 1; i < len(candidates); i++ {
-			if candidates[i].affinity > candidates[best].affinity {
+			if candidates[i].affinityHash > candidates[best].affinityHash {
 				best = i
 			}
 		}
@@ -170,8 +180,9 @@
 	return candidates[:count]
 }
 
-// hashUnit is a hash of two numbers, between 0 and 1 exclusive. It mixes like SplitMix64.
-func hashUnit(a, b uint64) float64 {
+// hashToUnitInterval returns a hash of two numbers, greater than 0 and less than 1. It uses the mixing
+// function of SplitMix64.
+func hashToUnitInterval(a, b uint64) float64 {
 	x := a*0x9e3779b97f4a7c15 + b
 	for range 2 {
 		x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -95,8 +95,8 @@
 		t.Fatalf("the node that runs the service was chosen %d times of 100", hits)
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	placer.latency.coldStarts[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are quick here
-	if placer.latency.coldStartsSlow(0) {
+	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are quick here
+	if placer.latency.coldStartsAreSlow(0) {
 		t.Fatal("quick cold starts count as slow")
 	}
 }
@@ -200,7 +200,9 @@
 
 func TestNodesWithProgram(t *testing.T) {
 	const service = 7
-	byHash := func(a, b NodeID) int { return cmp.Compare(hashUnit(service, uint64(b)), hashUnit(service, uint64(a))) }
+	byHash := func(a, b NodeID) int {
+		return cmp.Compare(hashToUnitInterval(service, uint64(b)), hashToUnitInterval(service, uint64(a)))
+	}
 	hashed := slices.SortedFunc(slices.Values([]NodeID{1, 3, 4, 6}), byHash)
 	for name, test := range map[string]struct {
 		peers Peers
@@ -215,7 +217,7 @@
 			candidates[1].node.tasks.cacheProgram(service)
 			candidates[4].node.tasks.attemptSent(&attempt{request: &placementRequest{Task: Task{Service: service}}})
 			part := &selector{peers: test.peers}
-			if got := candidateIDs(part.withProgram(service, candidates)); !slices.Equal(got, test.want) {
+			if got := candidateIDs(part.programNodesFirst(service, candidates)); !slices.Equal(got, test.want) {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 			all := candidateIDs(candidates)
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -2,21 +2,23 @@
 
 import "slices"
 
-// spreadRule limits how many tasks of a service run in one failure domain (rule 5). It counts all own
-// attempts of the service without an outcome, running tasks included.
+// spreadRule implements the spread rule (rule 5), which limits the number of tasks of a service in one
+// failure domain. It counts the outstanding attempts of this scheduler for the service, including those whose
+// tasks run.
 type spreadRule struct {
-	attempts map[ServiceID][]*attempt // those without an outcome
+	attempts map[ServiceID][]*attempt // outstanding attempts by service
 }
 
 func newSpreadRule() *spreadRule { return &spreadRule{attempts: map[ServiceID][]*attempt{}} }
 
-// add adds an attempt to those that count.
+// add adds an attempt to the attempts that count for its service.
 func (r *spreadRule) add(started *attempt) {
 	service := started.request.Service
 	r.attempts[service] = append(r.attempts[service], started)
 }
 
-// remove removes an attempt from those that count. The service's last attempt moves to its index.
+// remove removes an attempt from the attempts that count for its service. The last attempt in the slice of
+// the service takes its index.
 func (r *spreadRule) remove(ended *attempt) {
 	service := ended.request.Service
 	attempts := r.attempts[service]
@@ -34,7 +36,7 @@
 }
 
 // allows reports whether one more task of a service of the class may run in the node's domain. A node that no
-// list has named could be in any domain, so its tasks count in every domain.
+// node list has named could be in any rack or zone, so its tasks count in every rack and zone.
 func (r *spreadRule) allows(class *Class, service ServiceID, node *trackedNode) bool {
 	if class.SpreadDomain == NoDomain {
 		return true
@@ -48,7 +50,7 @@
 	return count <= class.MaxPerDomain
 }
 
-// sharesDomain reports whether two nodes are known to be in the same domain.
+// sharesDomain reports whether two nodes are known to be in the same domain of the given kind.
 func sharesDomain(domain TopologyDomain, a, b *trackedNode) bool {
 	switch domain {
 	case ClusterDomain:
@@ -61,7 +63,7 @@
 	return a == b
 }
 
-// mayShareDomain reports whether a different node is or could be in the same rack, zone or cluster.
+// mayShareDomain reports whether two different nodes are, or could be, in the same rack, zone or cluster.
 func mayShareDomain(domain TopologyDomain, other, node *trackedNode) bool {
 	return domain != NodeDomain && (!other.listed || sharesDomain(domain, other, node))
 }
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -1,6 +1,6 @@
 package placer
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
@@ -10,13 +10,13 @@
 	timerConsolidate
 )
 
-// pendingTimer is a timer that has not fired. Only redraws and deadlines have a request.
+// pendingTimer is a timer that has not fired. Only the kinds timerRedraw and timerDeadline have a request.
 type pendingTimer struct {
 	request *placementRequest
 	kind    timerKind
 }
 
-// timerTable owns the timers that were requested and have not fired.
+// timerTable owns the timers that were started and have not fired.
 type timerTable struct {
 	actions   *actionList
 	pending   map[uint64]pendingTimer // by token
@@ -27,8 +27,8 @@
 	return &timerTable{actions: actions, pending: map[uint64]pendingTimer{}}
 }
 
-// start requests a timer that fires after the given time, and returns its token. Timers cannot be stopped: a
-// caller for which only the latest timer counts keeps its token.
+// start starts a timer that fires after the given time, and returns its token. A timer cannot be stopped. A
+// caller that acts only on its latest timer must keep the token and ignore other tokens.
 func (t *timerTable) start(timer pendingTimer, after Seconds) uint64 {
 	t.lastToken++
 	t.pending[t.lastToken] = timer
@@ -36,8 +36,8 @@
 	return t.lastToken
 }
 
-// take removes and returns the timer that fired, or returns false if the token is not known.
-func (t *timerTable) take(token uint64) (pendingTimer, bool) {
+// remove removes and returns the timer that fired. It returns false if the token is unknown.
+func (t *timerTable) remove(token uint64) (pendingTimer, bool) {
 	timer, known := t.pending[token]
 	delete(t.pending, token)
 	return timer, known
