--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// sizedNode returns a ready node of 16 cores and 32 of memory that the list shows with half of both free.
-func sizedNode() *trackedNode {
+// newHalfFreeNode returns a ready node with 16 cores and 32 units of memory. The node list shows half of both
+// as free.
+func newHalfFreeNode() *trackedNode {
 	node := newTrackedNode(1)
 	node.State, node.listed = Ready, true
 	node.cores, node.memory = 16, 32
@@ -26,25 +27,25 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"list":                      {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"list and recent change":    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"list and old change":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"report":                    {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"report and change":         {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"report that is too old":    {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"report of what is used":    {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither list nor a report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"list":                    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"list and recent change":  {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"list and old change":     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"report":                  {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"report and change":       {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated report":         {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"report of usage":         {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither list nor report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
-			node := sizedNode()
+			node := newHalfFreeNode()
 			node.load = test.load
 			node.load.recentChanges = test.changes
 			if got := model.estimateFree(now, node); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 			if len(node.load.recentChanges) != len(test.changes) {
-				t.Error("the estimate changed the node's record")
+				t.Error("estimateFree changed the load record of the node")
 			}
 		})
 	}
@@ -61,25 +62,26 @@
 		task     Task
 		want     projection
 	}{
-		// 8 of 16 cores are requested. The threshold is 1 and a quarter of the range of 1.
-		"by what is requested":      {lists, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
-		"more than overcommitment":  {lists, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
-		"memory overcommitted":      {lists, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"reported utilization":      {lists, reported(Report{unknown, unknown, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"reported cores in use":     {usage, reported(Report{2, unknown, unknown, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"memory in use nearly full": {usage, reported(Report{unknown, 2, unknown, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
-		"unknown capacity":          {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
+		// On the node, 8 of 16 cores are requested. The tolerated utilization is SaturationThreshold (1) plus
+		// degradationTolerance (0.25) times DegradationRange (1), that is, 1.25.
+		"requested cores":                {lists, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
+		"cores beyond overcommit limit":  {lists, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
+		"memory beyond overcommit limit": {lists, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
+		"reported utilization":           {lists, reported(Report{unknown, unknown, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"reported cores in use":          {usage, reported(Report{2, unknown, unknown, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"almost all memory in use":       {usage, reported(Report{unknown, 2, unknown, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"unknown capacity":               {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := &Config{NodeBehavior: test.behavior, Overcommit: Overcommit{Cores: 2, Memory: 2}}
 			class := &Class{SaturationThreshold: 1, DegradationRange: 1}
-			node := sizedNode()
+			node := newHalfFreeNode()
 			node.load = test.load
 			if got := newCapacityModel(cfg).project(now, class, &test.task, node); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 			if node.load.saturationExcess != test.load.saturationExcess {
-				t.Error("the projection changed the node's record")
+				t.Error("the projection changed the load record of the node")
 			}
 		})
 	}
@@ -88,36 +90,37 @@
 func TestUsageIsLearnedFromReports(t *testing.T) {
 	const now = 100
 	for name, test := range map[string]struct {
-		free          float64 // cores and half of the memory that nobody has requested
+		free          float64 // free cores of the node; its free memory is twice this amount
 		report        Report
-		cores, memory float64 // usage learned
+		cores, memory float64 // usage ratios that the model must learn
 	}{
-		"utilization":           {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
-		"cores and memory":      {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
-		"too little requested":  {15, Report{16, 32, 0, 0}, 1, 1},
-		"nothing reported":      {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
-		"more than requested":   {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
-		"all cores and no load": {8, Report{16, 32, 0, 0}, 0, 0},
+		"utilization":                   {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"cores and memory":              {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
+		"too little capacity requested": {15, Report{16, 32, 0, 0}, 1, 1},
+		"nothing reported":              {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
+		"more than requested":           {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
+		"nothing in use":                {8, Report{16, 32, 0, 0}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
-			node := sizedNode()
+			node := newHalfFreeNode()
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			model.observeReport(now, node, &test.report)
 			if got := model.coresUsageRatio.mean; got != test.cores {
-				t.Errorf("usage of cores: got %v, want %v", got, test.cores)
+				t.Errorf("usage ratio of cores: got %v, want %v", got, test.cores)
 			}
 			if got := model.memoryUsageRatio.mean; got != test.memory {
-				t.Errorf("usage of memory: got %v, want %v", got, test.memory)
+				t.Errorf("usage ratio of memory: got %v, want %v", got, test.memory)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
-				t.Error("the report was not noted")
+				t.Error("the report was not recorded with its time")
 			}
 		})
 	}
 }
 
-// The change that was recorded for an attempt is removed with its answer, and no other change is.
+// When an attempt is answered, only the capacity change that was recorded for this attempt must be removed.
+// Another change may have the same time.
 func TestNodeLoadFollowsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
 	sent := &attempt{request: request, sentAt: 100}
@@ -126,17 +129,17 @@
 	load.attemptSent(100, &request.Task)
 	load.attemptBound(101, sent)
 	if load.recentBinds(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
-		t.Fatalf("after the bind: %+v", load.recentChanges)
+		t.Fatalf("recorded capacity changes after the bind: %+v", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
 	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBind {
-		t.Fatalf("after the end: %+v", last)
+		t.Fatalf("last capacity change after the end of the task: %+v", last)
 	}
 	if load.recentBinds(103.1) != 0 || load.retainedBinds != 1 {
-		t.Error("an old bind is recent, or is gone before it is dropped")
+		t.Error("a bind older than the contender window counts as recent, or was removed before dropOldChanges")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBinds != 0 || len(load.recentChanges) != 1 {
-		t.Errorf("after the drop: %+v", load.recentChanges)
+		t.Errorf("capacity changes after dropOldChanges: %+v", load.recentChanges)
 	}
 }
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -1,17 +1,18 @@
 package placer_test
 
-// Characterization tests: they pin what a Placer does, to the last bit, so that a refactoring can be shown to
-// change nothing. Each script drives one Placer through a seeded discrete-event simulation of nodes and
-// writes a running SHA-256 of all actions at fixed checkpoints. The first checkpoint that differs locates a
-// change to within checkpointEvents events.
+// The characterization tests in this file fix the behavior of a Placer to the last bit, so that a refactoring
+// can be shown to change no behavior. Each script drives one Placer through a seeded discrete-event
+// simulation of nodes, and records a running SHA-256 digest of all actions every checkpointEvents events. The
+// first checkpoint that differs from the golden file shows within which interval the behavior changed.
 //
-// The golden file holds numbers and digests only, never a Go identifier. A missing golden file fails the test.
-// To accept an intended change of behaviour, regenerate it and commit it with the change:
+// The golden file contains script names, numbers and digests, and no Go identifiers. The test fails if the
+// golden file is missing. To accept an intended change of behavior, regenerate the golden file and commit it
+// with the change:
 //
 //	HEATHSHED_UPDATE_GOLDEN=1 go test ./placer -run Characterization
 //
-// The digests cover floating-point bits. They were recorded on amd64; a compiler that fuses multiply and add
-// on another architecture may round differently.
+// The digests depend on the exact bits of floating-point numbers. The golden file was recorded on amd64. On
+// other architectures, a compiler that fuses multiplication and addition may round differently.
 
 import (
 	"math"
@@ -26,7 +27,8 @@
 // checkpointEvents is the number of events between two digests of a script.
 const checkpointEvents = 500
 
-// compareGolden compares text with a file in testdata line by line, or rewrites the file if asked to.
+// compareGolden compares a text with a golden file in testdata line by line. It rewrites the file instead if
+// the environment variable HEATHSHED_UPDATE_GOLDEN is 1.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -41,52 +43,52 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatalf("golden file: %v", err)
+		t.Fatalf("cannot read the golden file: %v", err)
 	}
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("%s differs first at line %d of %d (now %d lines):\n got %q\nwant %q", name, i+1,
-				len(wantLines), len(gotLines), lineAt(gotLines, i), lineAt(wantLines, i))
+			t.Fatalf("%s: first difference is at line %d of %d (the new text has %d lines):\n got %q\nwant %q", name, i+1,
+				len(wantLines), len(gotLines), lineOrPlaceholder(gotLines, i), lineOrPlaceholder(wantLines, i))
 		}
 	}
 }
 
-func lineAt(lines []string, i int) string {
+func lineOrPlaceholder(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
-	return "(no line)"
+	return "(line missing)"
 }
 
-// script is a scheduler configuration with nodes and a load.
+// script describes a simulation: the configuration of the scheduler, the nodes and the load.
 type script struct {
 	name   string
 	seed   uint64
 	events int
 	config placer.Config
 
-	nodes          int            // at the start
-	zones, racks   int            // over which they are spread
-	services       int            // that tasks belong to
-	arrivalsPerSec float64        // mean rate of new tasks
-	lifetime       placer.Seconds // mean time for which a bound task runs
-	task           float64        // cores of a typical task
-	taskMemory     float64        // memory of a typical task
-	churnEvery     placer.Seconds // mean time between changes of the nodes, 0 for none
-	listEvery      placer.Seconds // time between pushed lists
-	listFails      float64        // part of the list answers that are failures
-	failing        float64        // part of the attempts that end before they are bound
-	brokenNodes    int            // nodes that never start a task
-	lateOutcomes   float64        // part of the attempts whose outcome comes after the deadline
-	lowLoadAfter   int            // events after which few tasks arrive, 0 for never
-	withdrawn      float64        // part of the tasks that their clients withdraw early
-	returnsAfter   placer.Seconds // time after which a removed node is listed again, 0 for never
-	minUsageRatio  float64        // part of the requested capacity that is used at least
-	firstSince     placer.Seconds // time of the nodes' last start, 0 for long ago
+	nodes                  int            // number of nodes at the start
+	zones, racks           int            // number of zones and racks over which the nodes are spread
+	services               int            // number of services to which the tasks belong
+	arrivalsPerSecond      float64        // mean rate of new tasks
+	lifetime               placer.Seconds // mean time for which a bound task runs
+	taskCores              float64        // mean number of cores that a task requests
+	taskMemory             float64        // mean amount of memory that a task requests
+	churnInterval          placer.Seconds // mean time between changes of nodes; 0 means no changes
+	listInterval           placer.Seconds // time between two node lists that are sent without request
+	listFailureProbability float64        // probability that a request for the node list fails
+	failureProbability     float64        // probability that an attempt fails before it is bound
+	brokenNodes            int            // number of nodes that never start a task
+	lateOutcomeProbability float64        // probability that the outcome of an attempt arrives after the deadline
+	lowLoadAfterEvents     int            // number of events after which few tasks arrive; 0 means never
+	withdrawalProbability  float64        // additional probability that the client withdraws a task early
+	relistDelay            placer.Seconds // time after which a removed node is listed again; 0 means never
+	extraMinUsageRatio     float64        // amount by which the lowest usage ratio of the nodes exceeds 0.5
+	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
 }
 
-func classes(apart ...placer.TopologyDomain) []placer.Class {
+func classesWithSpread(domains ...placer.TopologyDomain) []placer.Class {
 	all := []placer.Class{
 		{Idempotency: placer.Idempotent, DedupDomain: placer.ClusterDomain, LatencyObjective: 1, Deadline: 6, Weight: 1, StartBonus: 5,
 			NodeType: -1, SaturationThreshold: 1, DegradationRange: 1},
@@ -104,7 +106,7 @@
 			Weight: 1, NodeType: -1, SaturationThreshold: 1},
 	}
 	for i := range all {
-		all[i].SpreadDomain, all[i].MaxPerDomain = apart[i%len(apart)], 2+i%3
+		all[i].SpreadDomain, all[i].MaxPerDomain = domains[i%len(domains)], 2+i%3
 		if all[i].SpreadDomain == placer.ClusterDomain {
 			all[i].MaxPerDomain = 12
 		}
@@ -115,7 +117,7 @@
 func baseConfig() placer.Config {
 	return placer.Config{
 		Peers:           placer.Peers{Total: 1},
-		Classes:         classes(placer.NoDomain, placer.NodeDomain, placer.RackDomain, placer.ZoneDomain, placer.ClusterDomain),
+		Classes:         classesWithSpread(placer.NoDomain, placer.NodeDomain, placer.RackDomain, placer.ZoneDomain, placer.ClusterDomain),
 		NodeTypes:       []placer.NodeType{{Cores: 8, Memory: 16}, {Cores: 16, Memory: 32}, {Cores: 4, Memory: 64}},
 		Tenants:         []placer.Tenant{{Share: 0.6, Cores: 100}, {Share: 0.4, Cores: 60}},
 		OverQuotaWeight: 0.2,
@@ -128,64 +130,64 @@
 }
 
 func scripts() []script {
-	stay := baseConfig()
-	stay.Peers.StickyServices, stay.NodeBehavior.AcknowledgesOnStart, stay.NodeBehavior.Preempts = true, true, true
-
-	fleet := baseConfig()
-	fleet.Peers.Self, fleet.Peers.Total, fleet.NodeBehavior.ListShowsCapacity, fleet.NodeBehavior.ReportsUsage = 1, 3, true, true
-	fleet.Costs.Node, fleet.Costs.Migration, fleet.Retry.SendsRetryAfter = 0.3, 0.02, true
-	fleet.Classes = classes(placer.NoDomain, placer.RackDomain)
-
-	zones := baseConfig()
-	zones.Peers.Self, zones.Peers.Total, zones.Zone, zones.Costs.CrossZone, zones.Discovery.MustPoll = 2, 8, 1, 0.2, true
-	zones.NodeBehavior.ListShowsCapacity, zones.SlowStart.MaxAttempts, zones.Attempts.AllowsHedging = true, 20, true
-	zones.Classes = classes(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
-
-	tight := baseConfig()
-	tight.Peers.Self, tight.Peers.Total, tight.NodeBehavior.ReportsUsage, tight.Attempts.Max = 0, 2, true, 6
-	tight.Discovery.MustPoll, tight.Discovery.MaxPollInterval, tight.Overcommit.Cores, tight.Overcommit.Memory = true, 3, 1, 1
-
-	crowd := baseConfig()
-	crowd.Peers.Total, crowd.NodeBehavior.ListShowsCapacity, crowd.Overcommit.Cores, crowd.Overcommit.Memory = 2, true, 20, 20
-	crowd.Classes = classes(placer.NoDomain)
-	for i := range crowd.Classes {
-		crowd.Classes[i].Deadline += 8
-		crowd.Classes[i].NodeType = -1
+	stickyServices := baseConfig()
+	stickyServices.Peers.StickyServices, stickyServices.NodeBehavior.AcknowledgesOnStart, stickyServices.NodeBehavior.Preempts = true, true, true
+
+	consolidating := baseConfig()
+	consolidating.Peers.Self, consolidating.Peers.Total, consolidating.NodeBehavior.ListShowsCapacity, consolidating.NodeBehavior.ReportsUsage = 1, 3, true, true
+	consolidating.Costs.Node, consolidating.Costs.Migration, consolidating.Retry.SendsRetryAfter = 0.3, 0.02, true
+	consolidating.Classes = classesWithSpread(placer.NoDomain, placer.RackDomain)
+
+	multipleZones := baseConfig()
+	multipleZones.Peers.Self, multipleZones.Peers.Total, multipleZones.Zone, multipleZones.Costs.CrossZone, multipleZones.Discovery.MustPoll = 2, 8, 1, 0.2, true
+	multipleZones.NodeBehavior.ListShowsCapacity, multipleZones.SlowStart.MaxAttempts, multipleZones.Attempts.AllowsHedging = true, 20, true
+	multipleZones.Classes = classesWithSpread(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
+
+	scarceCapacity := baseConfig()
+	scarceCapacity.Peers.Self, scarceCapacity.Peers.Total, scarceCapacity.NodeBehavior.ReportsUsage, scarceCapacity.Attempts.Max = 0, 2, true, 6
+	scarceCapacity.Discovery.MustPoll, scarceCapacity.Discovery.MaxPollInterval, scarceCapacity.Overcommit.Cores, scarceCapacity.Overcommit.Memory = true, 3, 1, 1
+
+	manyTasks := baseConfig()
+	manyTasks.Peers.Total, manyTasks.NodeBehavior.ListShowsCapacity, manyTasks.Overcommit.Cores, manyTasks.Overcommit.Memory = 2, true, 20, 20
+	manyTasks.Classes = classesWithSpread(placer.NoDomain)
+	for i := range manyTasks.Classes {
+		manyTasks.Classes[i].Deadline += 8
+		manyTasks.Classes[i].NodeType = -1
 	}
 
-	memory := baseConfig()
-	memory.NodeBehavior.ListShowsCapacity, memory.NodeBehavior.ReportsUsage, memory.Overcommit.Cores, memory.Overcommit.Memory = true, true, 2, 2
+	scarceMemory := baseConfig()
+	scarceMemory.NodeBehavior.ListShowsCapacity, scarceMemory.NodeBehavior.ReportsUsage, scarceMemory.Overcommit.Cores, scarceMemory.Overcommit.Memory = true, true, 2, 2
 
-	dear := fleet // migrations cost more than the nodes that they free
-	dear.Costs.Node, dear.Costs.Migration, dear.SlowStart.MaxAttempts = 0.1, 0.2, 30
+	expensiveMigration := consolidating // a migration costs more than the node that it frees
+	expensiveMigration.Costs.Node, expensiveMigration.Costs.Migration, expensiveMigration.SlowStart.MaxAttempts = 0.1, 0.2, 30
 
-	deaf := zones // lists hardly ever arrive
-	deaf.Discovery.MaxPollInterval, deaf.Peers.Total = 400, 3
+	rareLists := multipleZones // node lists rarely arrive
+	rareLists.Discovery.MaxPollInterval, rareLists.Peers.Total = 400, 3
 
 	return []script{
-		{name: "stay", seed: 1, events: 12000, config: stay, nodes: 24, zones: 2, racks: 6, services: 9, arrivalsPerSec: 14,
-			lifetime: 5, task: 0.9, taskMemory: 1.5, churnEvery: 1.5, listEvery: 0.7, listFails: 0.1, failing: 0.15, brokenNodes: 2,
-			lateOutcomes: 0.03},
-		{name: "fleet", seed: 2, events: 12000, config: fleet, nodes: 30, zones: 1, racks: 5, services: 30, arrivalsPerSec: 10,
-			lifetime: 8, task: 0.7, taskMemory: 1.2, churnEvery: 6, listEvery: 0.5, failing: 0.05, brokenNodes: 1, lateOutcomes: 0.01,
-			lowLoadAfter: 6000},
-		{name: "zones", seed: 3, events: 12000, config: zones, nodes: 40, zones: 3, racks: 8, services: 40, arrivalsPerSec: 12,
-			lifetime: 6, task: 1, taskMemory: 2, churnEvery: 0.3, listEvery: 0.6, listFails: 0.25, failing: 0.2, brokenNodes: 3,
-			lateOutcomes: 0.02},
-		{name: "tight", seed: 4, events: 12000, config: tight, nodes: 6, zones: 2, racks: 2, services: 5, arrivalsPerSec: 9,
-			lifetime: 9, task: 2, taskMemory: 5, churnEvery: 5, listEvery: 1, listFails: 0.3, failing: 0.35, brokenNodes: 1, lateOutcomes: 0.05},
-		{name: "slow", seed: 5, events: 6000, config: stay, nodes: 12, zones: 2, racks: 3, services: 4, arrivalsPerSec: 0.4,
-			lifetime: 20, task: 1, taskMemory: 2, churnEvery: 8, listEvery: 3, listFails: 0.05, failing: 0.1, lateOutcomes: 0.01},
-		{name: "crowd", seed: 6, events: 8000, config: crowd, nodes: 4, zones: 1, racks: 2, services: 200, arrivalsPerSec: 3,
-			lifetime: 1, task: 0.05, taskMemory: 0.05, churnEvery: 4, listEvery: 0.5, failing: 0.02, lateOutcomes: 0.5, withdrawn: 0.6},
-		{name: "memory", seed: 7, events: 6000, config: memory, nodes: 10, zones: 2, racks: 4, services: 40, arrivalsPerSec: 8,
-			lifetime: 8, task: 0.3, taskMemory: 4, listEvery: 0.3, failing: 0.02, minUsageRatio: 0.35},
-		{name: "return", seed: 8, events: 8000, config: fleet, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 3,
-			lifetime: 2, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 0.5, failing: 0.05, returnsAfter: 59.5},
-		{name: "dear", seed: 9, events: 4000, config: dear, nodes: 20, zones: 1, racks: 4, services: 15, arrivalsPerSec: 6,
-			lifetime: 6, task: 1, taskMemory: 1, listEvery: 0.5, failing: 0.05, lowLoadAfter: 2000, firstSince: 998},
-		{name: "deaf", seed: 10, events: 4000, config: deaf, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSec: 2,
-			lifetime: 6, task: 1, taskMemory: 1, churnEvery: 5, listEvery: 4, listFails: 0.85, failing: 0.05},
+		{name: "stay", seed: 1, events: 12000, config: stickyServices, nodes: 24, zones: 2, racks: 6, services: 9, arrivalsPerSecond: 14,
+			lifetime: 5, taskCores: 0.9, taskMemory: 1.5, churnInterval: 1.5, listInterval: 0.7, listFailureProbability: 0.1, failureProbability: 0.15, brokenNodes: 2,
+			lateOutcomeProbability: 0.03},
+		{name: "fleet", seed: 2, events: 12000, config: consolidating, nodes: 30, zones: 1, racks: 5, services: 30, arrivalsPerSecond: 10,
+			lifetime: 8, taskCores: 0.7, taskMemory: 1.2, churnInterval: 6, listInterval: 0.5, failureProbability: 0.05, brokenNodes: 1, lateOutcomeProbability: 0.01,
+			lowLoadAfterEvents: 6000},
+		{name: "zones", seed: 3, events: 12000, config: multipleZones, nodes: 40, zones: 3, racks: 8, services: 40, arrivalsPerSecond: 12,
+			lifetime: 6, taskCores: 1, taskMemory: 2, churnInterval: 0.3, listInterval: 0.6, listFailureProbability: 0.25, failureProbability: 0.2, brokenNodes: 3,
+			lateOutcomeProbability: 0.02},
+		{name: "tight", seed: 4, events: 12000, config: scarceCapacity, nodes: 6, zones: 2, racks: 2, services: 5, arrivalsPerSecond: 9,
+			lifetime: 9, taskCores: 2, taskMemory: 5, churnInterval: 5, listInterval: 1, listFailureProbability: 0.3, failureProbability: 0.35, brokenNodes: 1, lateOutcomeProbability: 0.05},
+		{name: "slow", seed: 5, events: 6000, config: stickyServices, nodes: 12, zones: 2, racks: 3, services: 4, arrivalsPerSecond: 0.4,
+			lifetime: 20, taskCores: 1, taskMemory: 2, churnInterval: 8, listInterval: 3, listFailureProbability: 0.05, failureProbability: 0.1, lateOutcomeProbability: 0.01},
+		{name: "crowd", seed: 6, events: 8000, config: manyTasks, nodes: 4, zones: 1, racks: 2, services: 200, arrivalsPerSecond: 3,
+			lifetime: 1, taskCores: 0.05, taskMemory: 0.05, churnInterval: 4, listInterval: 0.5, failureProbability: 0.02, lateOutcomeProbability: 0.5, withdrawalProbability: 0.6},
+		{name: "memory", seed: 7, events: 6000, config: scarceMemory, nodes: 10, zones: 2, racks: 4, services: 40, arrivalsPerSecond: 8,
+			lifetime: 8, taskCores: 0.3, taskMemory: 4, listInterval: 0.3, failureProbability: 0.02, extraMinUsageRatio: 0.35},
+		{name: "return", seed: 8, events: 8000, config: consolidating, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSecond: 3,
+			lifetime: 2, taskCores: 1, taskMemory: 1, churnInterval: 5, listInterval: 0.5, failureProbability: 0.05, relistDelay: 59.5},
+		{name: "dear", seed: 9, events: 4000, config: expensiveMigration, nodes: 20, zones: 1, racks: 4, services: 15, arrivalsPerSecond: 6,
+			lifetime: 6, taskCores: 1, taskMemory: 1, listInterval: 0.5, failureProbability: 0.05, lowLoadAfterEvents: 2000, nodesStartedAt: 998},
+		{name: "deaf", seed: 10, events: 4000, config: rareLists, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSecond: 2,
+			lifetime: 6, taskCores: 1, taskMemory: 1, churnInterval: 5, listInterval: 4, listFailureProbability: 0.85, failureProbability: 0.05},
 	}
 }
 
@@ -197,19 +199,21 @@
 	compareGolden(t, "characterization.golden", text.String())
 }
 
-// TestCharacterizationRunsAreEqual shows that two Placers in one process do the same for the same script.
+// TestCharacterizationRunsAreEqual verifies that two Placers in one process return the same actions for the
+// same script.
 func TestCharacterizationRunsAreEqual(t *testing.T) {
 	var first, second strings.Builder
-	fleet := scripts()[1]
-	fleet.events = 2000
-	runScript(t, fleet, &first)
-	runScript(t, fleet, &second)
+	consolidating := scripts()[1]
+	consolidating.events = 2000
+	runScript(t, consolidating, &first)
+	runScript(t, consolidating, &second)
 	if first.String() != second.String() {
-		t.Fatalf("two runs of one script differ:\n%s\n%s", first.String(), second.String())
+		t.Fatalf("two runs of the same script differ:\nfirst run:\n%s\nsecond run:\n%s", first.String(), second.String())
 	}
 }
 
-// TestCharacterizationOfConfigChecks pins which configurations New accepts; one digit each, 1 for accepted.
+// TestCharacterizationOfConfigChecks fixes which configurations New accepts. The expected text has one digit
+// for each configuration: 1 if New must accept it, 0 if New must reject it.
 func TestCharacterizationOfConfigChecks(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	changes := []func(*placer.Config){
@@ -249,6 +253,6 @@
 		}
 	}
 	if got.String() != want {
-		t.Fatalf("accepted configurations\n got %s\nwant %s", got.String(), want)
+		t.Fatalf("accepted configurations, one digit each:\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The last tasks of an unneeded node keep it in use until the longest ends.
+// The last tasks on an unneeded node would keep the node in use until the longest of them ends. Standby nodes
+// must get no attempts, and their last task must be migrated once.
 func TestStandbyNodesGetNoAttemptsAndAreDrained(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -10,43 +11,45 @@
 	placer := newTestPlacer(t, config, 1, nodes)
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
-		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.onStandby {
+		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.onStandby {
 			t.Fatalf("attempt on standby node %d", sent.Node)
 		} else {
 			bindAttempt(placer, 100.1+Seconds(i)/100, sent)
 		}
 	}
-	moved := false
+	migrated := false
 	for i := range 40 {
 		placer.consolidator.migrateFromStandby(101 + Seconds(i)/10)
 		for _, action := range actionsOfKind(placer.actions.take(), Migrate) {
-			if action.Task != 900 || moved {
-				t.Fatalf("moved %+v", action)
+			if action.Task != 900 || migrated {
+				t.Fatalf("unexpected migration: %+v", action)
 			}
-			moved = true
+			migrated = true
 		}
 	}
-	if !moved {
-		t.Fatal("the last task stayed on a standby node")
+	if !migrated {
+		t.Fatal("the last task on a standby node was not migrated")
 	}
 }
 
-// Where Bound is sent at the start some task is always starting; that must not keep the last tasks on a standby node.
+// If nodes acknowledge a task only when it starts, some task is always starting. An unanswered attempt must
+// not prevent the migration of the last tasks off a standby node.
 func TestStandbyIsDrainedWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	placer := newTestPlacer(t, config, 1, testNodes(6))
 	adoptTask(placer, 900, 1, 0)
-	startedAttempt(t, arrive(placer, 100.1, newTaskUntil(1, 0, 110)))
+	startedAttempt(t, arrive(placer, 100.1, newTaskWithDeadline(1, 0, 110)))
 	for _, at := range []Seconds{101, 103.5, 104} {
 		placer.consolidator.migrateFromStandby(at)
 	}
 	if len(actionsOfKind(placer.actions.take(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
-		t.Fatal("no migration while a task starts")
+		t.Fatal("no task was migrated off the standby node while another task was starting")
 	}
 }
 
-// Warming nodes take few tasks: counting on them would put warm nodes on standby.
+// A node that is warming up can take few tasks. If its full capacity counted, nodes that have finished
+// warming up would be put on standby.
 func TestWarmingNodesDoNotPutWarmNodesOnStandby(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
@@ -59,10 +62,10 @@
 		}
 	}
 	placer := newTestPlacer(t, config, 1, nodes)
-	arrive(placer, 100.1, newTask(1, 0))
+	arrive(placer, 100.1, newTestTask(1, 0))
 	for _, node := range placer.nodes.list {
 		if node.standby.onStandby && node.StartedAt == 0 {
-			t.Fatalf("warm node %d is on standby while half of the nodes warm up", node.ID)
+			t.Fatalf("node %d has finished warming up but is on standby, while half of the nodes are warming up", node.ID)
 		}
 	}
 }
@@ -71,25 +74,25 @@
 	const now = 100
 	for name, test := range map[string]struct {
 		standby  standbyRecord
-		free     float64 // cores of 16, and half of the memory of 32
+		free     float64 // free cores of the node, which has 16; its free memory is twice this amount
 		ownTasks int
 		want     bool
 	}{
-		"nearly empty standby":     {standbyRecord{onStandby: true, since: 98}, 12, 1, true},
-		"more than nearly empty":   {standbyRecord{onStandby: true, since: 98}, 11, 1, false},
-		"on standby for too short": {standbyRecord{onStandby: true, since: 98.1}, 12, 1, false},
-		"open":                     {standbyRecord{since: 98}, 12, 1, false},
-		"no own task":              {standbyRecord{onStandby: true, since: 98}, 12, 0, false},
+		"nearly empty":                    {standbyRecord{onStandby: true, since: 98}, 12, 1, true},
+		"not nearly empty":                {standbyRecord{onStandby: true, since: 98}, 11, 1, false},
+		"on standby for too short a time": {standbyRecord{onStandby: true, since: 98.1}, 12, 1, false},
+		"active":                          {standbyRecord{since: 98}, 12, 1, false},
+		"no task of this scheduler":       {standbyRecord{onStandby: true, since: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
-			node := sizedNode()
+			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
+			node := newHalfFreeNode()
 			node.standby = test.standby
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			for range test.ownTasks {
 				node.tasks.addAdopted(&attempt{request: &placementRequest{}})
 			}
-			if got := part.mayMigrateFrom(now, node); got != test.want {
+			if got := consolidation.mayMigrateFrom(now, node); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
@@ -97,19 +100,19 @@
 }
 
 func TestDemandFits(t *testing.T) {
-	part := &consolidator{cfg: &Config{Overcommit: Overcommit{Cores: 2, Memory: 1.5}}, saturationThreshold: 0.9}
+	consolidation := &consolidator{cfg: &Config{Overcommit: Overcommit{Cores: 2, Memory: 1.5}}, saturationThreshold: 0.9}
 	for name, test := range map[string]struct {
 		demand capacityDemand
 		want   bool
 	}{
-		"within all limits":          {capacityDemand{160, 120, 72, 73.6}, true},
-		"too many cores requested":   {capacityDemand{161, 120, 72, 73.6}, false},
-		"too much memory requested":  {capacityDemand{160, 121, 72, 73.6}, false},
-		"cores would be saturated":   {capacityDemand{160, 120, 73, 73.6}, false},
-		"memory would be close full": {capacityDemand{160, 120, 72, 73.7}, false},
+		"within all limits":         {capacityDemand{160, 120, 72, 73.6}, true},
+		"too many cores requested":  {capacityDemand{161, 120, 72, 73.6}, false},
+		"too much memory requested": {capacityDemand{160, 121, 72, 73.6}, false},
+		"cores saturated":           {capacityDemand{160, 120, 73, 73.6}, false},
+		"memory in use too high":    {capacityDemand{160, 120, 72, 73.7}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := part.demandFits(test.demand, 100, 100, 0.8); got != test.want {
+			if got := consolidation.demandFits(test.demand, 100, 100, 0.8); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -9,9 +9,9 @@
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 2000 {
 		now := 100 + Seconds(i)
-		was, next := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
-		next.ID = NodeID(i + 5)
-		placer.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{was, next}}, nil)
+		old, replacement := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
+		replacement.ID = NodeID(i + 5)
+		placer.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{old, replacement}}, nil)
 		for token, timer := range placer.timers.pending {
 			if timer.kind == timerConsolidate {
 				placer.Handle(now, Event{Kind: TimerFired, Token: token}, nil)
@@ -20,7 +20,7 @@
 		}
 	}
 	if known := len(placer.nodes.list); Seconds(known) > 4+nodeRetention+2 || len(placer.nodes.byID) != known {
-		t.Fatalf("%d nodes and %d IDs are known after 2000 replacements", known, len(placer.nodes.byID))
+		t.Fatalf("%d nodes and %d IDs are kept after 2000 replacements", known, len(placer.nodes.byID))
 	}
 }
 
@@ -33,28 +33,28 @@
 	}
 	actions := placer.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: testNodes(2)}, nil)
 	if len(actionsOfKind(actions, WatchNodes)) != 1 {
-		t.Fatal("the node list was not requested")
+		t.Fatal("the scheduler did not request the node list at its start")
 	}
 	now := Seconds(100)
-	for range 5 { // each failure leads to another poll within the poll interval
+	for range 5 { // each failure must lead to another poll within MaxPollInterval
 		actions = placer.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
-		asked := now
+		failedAt := now
 		for len(actionsOfKind(actions, WatchNodes)) == 0 {
 			timers := actionsOfKind(actions, SetTimer)
 			if len(timers) != 1 {
-				t.Fatalf("no timer for the next poll: %+v", actions)
+				t.Fatalf("want one timer for the next poll, got %+v", actions)
 			}
 			now += timers[0].After
 			actions = placer.Handle(now, Event{Kind: TimerFired, Token: timers[0].Token}, nil)
-			if now-asked > config.Discovery.MaxPollInterval {
-				t.Fatalf("no poll for %.1f s", now-asked)
+			if now-failedAt > config.Discovery.MaxPollInterval {
+				t.Fatalf("no poll within %.1f s after a failure", now-failedAt)
 			}
 		}
 	}
 }
 
-// newTestPoller returns a poller with an interval of 12 s between polls, and a function that returns the delay of the
-// timer that it has started, after checking whether it has polled.
+// newTestPoller returns a poller with a maximum interval of 12 s. The returned function checks whether the
+// poller has polled, and returns the delay of the timer that the poller has started.
 func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
 	actions := &actionList{}
 	poller := &nodeListPoller{
@@ -72,7 +72,7 @@
 		}
 		timers := actionsOfKind(taken, SetTimer)
 		if len(timers) != 1 || timers[0].Token != poller.timerToken {
-			t.Fatalf("want one timer, got %+v", taken)
+			t.Fatalf("want one timer with the latest token, got actions %+v", taken)
 		}
 		return timers[0].After
 	}
@@ -80,16 +80,16 @@
 
 func TestPollBackoffDoubles(t *testing.T) {
 	poller, next := newTestPoller()
-	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // at most half of the interval
+	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the backoff is at most half of the interval of 12 s
 		poller.pollFailed()
 		if after := next(t, false); after < 0.8*mean || after > 1.2*mean {
-			t.Errorf("wait of %v s after failure %d, want about %v s", after, failure+1, mean)
+			t.Errorf("backoff is %v s after failure %d, want about %v s", after, failure+1, mean)
 		}
 	}
 	poller.listArrived(100)
 	poller.pollFailed()
 	if after := next(t, false); after > 2.4 {
-		t.Errorf("wait of %v s after the first failure since a list", after)
+		t.Errorf("backoff is %v s after the first failure since a node list, want at most 2.4 s", after)
 	}
 }
 
@@ -100,14 +100,14 @@
 		at       Seconds
 		want     bool
 	}{
-		"a list came":                     {101, false, 104.9, false},
-		"quiet for a third of interval":   {101, false, 105.1, true},
-		"no answer yet":                   {0, false, 100.9, false},
-		"no answer":                       {0, false, 101.1, true},
-		"the poll failed, too soon":       {0, true, 100.9, false},
-		"the poll failed":                 {0, true, 101.1, true},
-		"the poll failed after a list":    {100.5, true, 101.1, true},
-		"a list came after a failed poll": {100.5, false, 101.1, false},
+		"list arrived":                        {101, false, 104.9, false},
+		"no list for a third of the interval": {101, false, 105.1, true},
+		"no answer, too soon":                 {0, false, 100.9, false},
+		"no answer":                           {0, false, 101.1, true},
+		"poll failed, too soon":               {0, true, 100.9, false},
+		"poll failed":                         {0, true, 101.1, true},
+		"poll failed after a list":            {100.5, true, 101.1, true},
+		"list arrived after a failed poll":    {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			poller, next := newTestPoller()
@@ -120,9 +120,9 @@
 				poller.pollFailed()
 				next(t, false)
 			}
-			poller.timerFired(test.at, poller.timerToken-1) // an old timer has no effect
+			poller.timerFired(test.at, poller.timerToken-1) // an outdated timer must have no effect
 			if taken := poller.actions.take(); len(taken) != 0 {
-				t.Fatalf("an old timer led to %+v", taken)
+				t.Fatalf("an outdated timer led to the actions %+v", taken)
 			}
 			poller.timerFired(test.at, poller.timerToken)
 			next(t, test.want)
@@ -135,7 +135,7 @@
 	for name, test := range map[string]struct {
 		kind    ListKind
 		entries []Node
-		want    []NodeState // of the nodes 1, 2 and so on
+		want    []NodeState // states of the nodes with the IDs 1, 2 and so on
 	}{
 		"full list":     {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
 		"cached list":   {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
@@ -149,11 +149,11 @@
 			table.apply(test.kind, test.entries)
 			for i, want := range test.want {
 				if got := table.byID[NodeID(i+1)].State; got != want {
-					t.Errorf("node %d is %v, want %v", i+1, got, want)
+					t.Errorf("node %d has state %v, want %v", i+1, got, want)
 				}
 			}
 			if len(table.list) != len(test.want) || len(table.byID) != len(test.want) {
-				t.Errorf("%d nodes and %d IDs, want %d", len(table.list), len(table.byID), len(test.want))
+				t.Errorf("the table has %d nodes and %d IDs, want %d of each", len(table.list), len(table.byID), len(test.want))
 			}
 		})
 	}
@@ -170,11 +170,11 @@
 	node.tasks.cacheProgram(7)
 	table.apply(Changes, []Node{{ID: 1, StartedAt: 50}})
 	if node.health.failures != 2 || !node.load.hasReport || !node.tasks.hasProgram(7) {
-		t.Error("records were dropped without a restart")
+		t.Error("the records of a node were reset although the node did not restart")
 	}
 	table.apply(Changes, []Node{{ID: 1, StartedAt: 60}})
 	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejectedRecently(100) ||
 		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
-		t.Errorf("records after a restart: %+v %+v", node.health, node.load)
+		t.Errorf("the records of a restarted node were not reset: health %+v, load %+v", node.health, node.load)
 	}
 }
--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -6,7 +6,8 @@
 	"heathshed/placer"
 )
 
-// A task arrives and is attempted on one of two nodes. The node rejects it, and it is attempted on the other.
+// In this example, a task arrives and is attempted on the emptier of two nodes. The node rejects the task,
+// and the Placer then attempts it on the other node.
 func Example() {
 	p, err := placer.New(placer.Config{
 		Peers: placer.Peers{Total: 1},
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// testConfig returns the configuration of one of two schedulers, with a class of each idempotency.
+// testConfig returns the configuration of one of two schedulers. It has a class for each kind of idempotency
+// and a class that requires a node type.
 func testConfig() Config {
 	return Config{
 		Peers: Peers{Total: 2, StickyServices: true},
@@ -28,7 +29,8 @@
 	}
 }
 
-// testNodes returns ready nodes of alternating types and zones, three to a rack, with all of their capacity free.
+// testNodes returns ready nodes of alternating types and zones. Each rack has three nodes, and all capacity
+// is free.
 func testNodes(count int) []Node {
 	var nodes []Node
 	for i := range count {
@@ -39,13 +41,13 @@
 	return nodes
 }
 
-// newTestPlacer returns a Placer that received a list of nodes at time 100.
+// newTestPlacer returns a Placer that received a node list at the time 100.
 func newTestPlacer(tb testing.TB, config Config, seed uint64, nodes []Node) *Placer {
 	tb.Helper()
 	return startPlacer(tb, 100, config, seed, nodes)
 }
 
-// startPlacer returns a Placer that received a list of nodes at the given time.
+// startPlacer returns a Placer that received a node list at the given time.
 func startPlacer(tb testing.TB, now Seconds, config Config, seed uint64, nodes []Node) *Placer {
 	tb.Helper()
 	placer, err := New(config, seed)
@@ -56,32 +58,32 @@
 	return placer
 }
 
-// newTask returns a task whose service has the same number, with a deadline of 105.
-func newTask(id, class int) Task { return newTaskUntil(id, class, 105) }
+// newTestTask returns a task with the deadline 105. The task and its service have the same number.
+func newTestTask(id, class int) Task { return newTaskWithDeadline(id, class, 105) }
 
-func newTaskUntil(id, class int, deadline Seconds) Task {
+func newTaskWithDeadline(id, class int, deadline Seconds) Task {
 	return Task{ID: TaskID(id), Class: class, Service: ServiceID(id), Cores: 1, Memory: 1, Deadline: deadline}
 }
 
-// newTaskOf returns a task of a service.
-func newTaskOf(service ServiceID, id, class int) Task {
-	task := newTask(id, class)
+// newTaskOfService returns a task of the given service with the deadline 105.
+func newTaskOfService(service ServiceID, id, class int) Task {
+	task := newTestTask(id, class)
 	task.Service = service
 	return task
 }
 
-// adoptTask reports at time 100 that a task of service 5 runs on a node.
+// adoptTask reports at the time 100 that a task of service 5 was found running on a node.
 func adoptTask(placer *Placer, id TaskID, node NodeID, class int) {
 	task := Task{ID: id, Class: class, Service: 5, Cores: 1, Memory: 1}
 	placer.Handle(100, Event{Kind: Adopted, Node: node, Task: task}, nil)
 }
 
-// arrive requests a task.
+// arrive sends a placement request for a task and returns the resulting actions.
 func arrive(placer *Placer, now Seconds, task Task) []Action {
 	return placer.Handle(now, Event{Kind: Arrived, Task: task}, nil)
 }
 
-// actionsOfKind returns the actions of one kind.
+// actionsOfKind returns the actions of the given kind.
 func actionsOfKind(actions []Action, kind ActionKind) []Action {
 	var found []Action
 	for _, action := range actions {
@@ -92,12 +94,12 @@
 	return found
 }
 
-// startedAttempt returns the one attempt that the actions start.
+// startedAttempt returns the only StartAttempt action. It fails the test if there is not exactly one.
 func startedAttempt(tb testing.TB, actions []Action) Action {
 	tb.Helper()
 	sent := actionsOfKind(actions, StartAttempt)
 	if len(sent) != 1 {
-		tb.Fatalf("want one attempt, got %+v", actions)
+		tb.Fatalf("want exactly one attempt, got actions %+v", actions)
 	}
 	return sent[0]
 }
@@ -106,26 +108,27 @@
 func requireNoAttempt(tb testing.TB, actions []Action, why string) {
 	tb.Helper()
 	if len(actionsOfKind(actions, StartAttempt)) != 0 {
-		tb.Fatalf("%s, yet an attempt was made: %+v", why, actions)
+		tb.Fatalf("an attempt was made although %s: %+v", why, actions)
 	}
 }
 
-// requireAvoided requests 30 tasks of services of their own and fails the test if one is attempted on the node.
-func requireAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, why string) {
+// requireNodeAvoided requests 30 tasks of different services. It fails the test if a task is attempted on the
+// node.
+func requireNodeAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, why string) {
 	tb.Helper()
 	for i := range 30 {
-		if sent := startedAttempt(tb, arrive(placer, now, newTask(i+1, 0))); sent.Node == node {
-			tb.Fatalf("attempt %d is on a node that %s", i, why)
+		if sent := startedAttempt(tb, arrive(placer, now, newTestTask(i+1, 0))); sent.Node == node {
+			tb.Fatalf("attempt %d was made on a node that %s", i, why)
 		}
 	}
 }
 
-// endAttempt ends an attempt that has not been bound.
+// endAttempt reports the outcome of an attempt and returns the resulting actions.
 func endAttempt(placer *Placer, now Seconds, sent Action, result Result, reason Reason) []Action {
 	return placer.Handle(now, Event{Kind: Ended, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Result: result, Reason: reason}, nil)
 }
 
-// bindAttempt reports that the node accepted an attempt.
+// bindAttempt reports that a node accepted an attempt.
 func bindAttempt(placer *Placer, now Seconds, sent Action) {
 	placer.Handle(now, Event{Kind: Bound, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Elapsed: 0.01}, nil)
 }
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -9,13 +9,13 @@
 		answers             runningAverage
 		want                Seconds
 	}{
-		"before the first answer":              {Idempotent, false, runningAverage{}, 2},
-		"not idempotent, before the first":     {NonIdempotent, false, runningAverage{}, 4},
-		"quick answers":                        {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 1},
-		"not idempotent, quick answers":        {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 4},
-		"slow answers":                         {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 4},
-		"answers at the start":                 {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 5.6},
-		"not idempotent, answers at the start": {NonIdempotent, true, runningAverage{}, 5.6},
+		"before the first answer":                 {Idempotent, false, runningAverage{}, 2},
+		"not idempotent, before the first answer": {NonIdempotent, false, runningAverage{}, 4},
+		"quick answers":                           {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 1},
+		"not idempotent, quick answers":           {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 4},
+		"slow answers":                            {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 4},
+		"acknowledged on start":                   {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 5.6},
+		"not idempotent, acknowledged on start":   {NonIdempotent, true, runningAverage{}, 5.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
@@ -37,10 +37,10 @@
 		elapsed             Seconds
 		want                bool
 	}{
-		"slow":                          {true, true, 0.9, true},
-		"quick":                         {true, true, 0.1, false},
-		"quick, but the program cached": {true, false, 0.1, true}, // nothing was learned
-		"quick, but only accepted":      {false, true, 0.1, true}, // nothing was learned
+		"slow":                  {true, true, 0.9, true},
+		"quick":                 {true, true, 0.1, false},
+		"quick, program cached": {true, false, 0.1, true}, // the model learns only from cold starts
+		"quick, accepted only":  {false, true, 0.1, true}, // acceptance before the start says nothing about the start
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -11,48 +11,50 @@
 		placer.outliers.recordFailure(100, placer.nodes.byID[2])
 	}
 	if placer.nodes.byID[2].health.failures != 1 {
-		t.Fatalf("%d failures counted at one moment", placer.nodes.byID[2].health.failures)
+		t.Fatalf("20 failures at the same time count as %d failures, want 1", placer.nodes.byID[2].health.failures)
 	}
-	requireAvoided(t, placer, 100.1, 2, "has just failed")
-	for id := NodeID(1); id <= 4; id++ { // a common cause: the others must not be overloaded
+	requireNodeAvoided(t, placer, 100.1, 2, "has just failed")
+	for id := NodeID(1); id <= 4; id++ { // if all nodes have failures, they are no outliers and must be used
 		placer.nodes.byID[id].health.failures, placer.nodes.byID[id].health.ejectedUntil = 3, 200
 	}
-	startedAttempt(t, arrive(placer, 100.2, newTask(99, 0)))
+	startedAttempt(t, arrive(placer, 100.2, newTestTask(99, 0)))
 }
 
 func TestTaskThatFailsOnTwoNodesEjectsNeither(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	for i := range 10 {
 		at := 100 + 0.3*Seconds(i)
-		sent := startedAttempt(t, arrive(placer, at, newTask(i+1, 0)))
+		sent := startedAttempt(t, arrive(placer, at, newTestTask(i+1, 0)))
 		failed := Event{Kind: Ended, TaskID: sent.Task, Node: sent.Node, Attempt: sent.Attempt, Result: Errored}
-		again := startedAttempt(t, placer.Handle(at+0.01, failed, nil))
-		if node := placer.nodes.byID[sent.Node]; node.health.failures != 1 || again.Node == sent.Node {
-			t.Fatalf("after one error: %d failures, next %d of %d", node.health.failures, again.Node, sent.Node)
+		retried := startedAttempt(t, placer.Handle(at+0.01, failed, nil))
+		if node := placer.nodes.byID[sent.Node]; node.health.failures != 1 || retried.Node == sent.Node {
+			t.Fatalf("after one error the node has %d failures, want 1; the next attempt is on node %d, the first was on node %d", node.health.failures, retried.Node, sent.Node)
 		}
-		failed.Node, failed.Attempt = again.Node, again.Attempt
+		failed.Node, failed.Attempt = retried.Node, retried.Attempt
 		placer.Handle(at+0.02, failed, nil)
 		for id, node := range placer.nodes.byID {
 			if node.health.failures != 0 || node.health.ejectedUntil > at+0.02 {
-				t.Fatalf("node %d has %d failures for a task that fails everywhere", id, node.health.failures)
+				t.Fatalf("node %d has %d failures, or is ejected, because of a task that fails on every node", id, node.health.failures)
 			}
 		}
 	}
 }
 
-// A node that starts to drain before the list shows it frees capacity with each task, and would attract all attempts.
+// A node may start to drain before the node list shows it. Such a node frees capacity with each task that it
+// stops, and would receive all attempts if it were not ejected.
 func TestNodeThatDrainsTasksIsEjected(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	adoptTask(placer, 900, 2, 0)
 	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
 		if sent := startedAttempt(t, arrive(placer, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); sent.Node == 2 {
-			t.Fatal("attempt on a node that drains its tasks")
+			t.Fatal("an attempt was made on a node that drains its tasks")
 		}
 	}
 }
 
-// A dead node appears to have free capacity: when the healthy ones are full it would use up all attempts of all requests.
+// A dead node appears to have free capacity. If ejected nodes were used whenever the healthy nodes are full,
+// dead nodes would use up the attempts of all requests.
 func TestFullHealthyNodesDoNotSendTasksToDeadNodes(t *testing.T) {
 	nodes := testNodes(4)
 	for i := range 3 {
@@ -60,22 +62,23 @@
 	}
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	placer.outliers.recordFailure(100, placer.nodes.byID[4])
-	requireNoAttempt(t, arrive(placer, 100.1, newTask(1, 0)), "all nodes are full or have just failed")
+	requireNoAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)), "all nodes are full or ejected")
 }
 
-// When a rack dies, spread can leave only dead nodes to a service; its tasks wait for healthy ones.
+// When a rack fails, the spread rule may leave only dead nodes to a service. The tasks of the service must
+// then wait for healthy nodes.
 func TestSpreadDoesNotSendTasksToDeadNodes(t *testing.T) {
-	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // racks of three
+	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // each rack has three nodes
 	for i := range 3 {
 		placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
 	}
 	for id := NodeID(4); id <= 6; id++ {
 		placer.outliers.recordFailure(100, placer.nodes.byID[id])
 	}
-	requireNoAttempt(t, arrive(placer, 100.1, newTaskOf(5, 1, 2)), "all nodes that the spread rule allows have just failed")
+	requireNoAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 2)), "all nodes that the spread rule allows are ejected")
 }
 
-// newTestDetector returns a detector whose latency objective is a second.
+// newTestDetector returns an outlier detector with a latency objective of 1 s.
 func newTestDetector() *outlierDetector {
 	return &outlierDetector{objective: 1, jitter: jitter{rng: rand.New(rand.NewPCG(1, 1))}}
 }
@@ -85,7 +88,7 @@
 	now, mean := Seconds(100), Seconds(1)
 	for failure := 1; failure <= maxFailures+2; failure++ {
 		if !detector.recordFailure(now, node) {
-			t.Fatalf("failure %d did not count", failure)
+			t.Fatalf("failure %d was not counted", failure)
 		}
 		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
 			t.Errorf("failure %d ejects the node for %v s, want about %v s", failure, ejected, mean)
@@ -96,7 +99,7 @@
 		now += 0.25
 	}
 	if node.health.failures != maxFailures {
-		t.Errorf("%d failures are counted, want at most %d", node.health.failures, maxFailures)
+		t.Errorf("%d failures were counted, want %d", node.health.failures, maxFailures)
 	}
 }
 
@@ -109,7 +112,7 @@
 	}{{99.9, 3}, {100, 2}, {100.2, 2}, {100.25, 1}, {101, 0}, {102, 0}} {
 		detector.recordSuccess(step.now, node)
 		if node.health.failures != step.failures {
-			t.Fatalf("at %v: %d failures, want %d", step.now, node.health.failures, step.failures)
+			t.Fatalf("at the time %v the node has %d failures, want %d", step.now, node.health.failures, step.failures)
 		}
 	}
 }
@@ -121,11 +124,11 @@
 		idempotency Idempotency
 		want        bool
 	}{
-		"healthy":                         {nodeHealth{}, 5, NonIdempotent, true},
-		"ejected":                         {nodeHealth{failures: 1, ejectedUntil: 100.1}, 0, Idempotent, false},
-		"probed":                          {nodeHealth{failures: 1, ejectedUntil: 100}, 0, Idempotent, true},
-		"one probe at a time":             {nodeHealth{failures: 1, ejectedUntil: 100}, 1, Idempotent, false},
-		"no probe with what runs at most": {nodeHealth{failures: 1, ejectedUntil: 100}, 0, NonIdempotent, false},
+		"healthy":                      {nodeHealth{}, 5, NonIdempotent, true},
+		"still ejected":                {nodeHealth{failures: 1, ejectedUntil: 100.1}, 0, Idempotent, false},
+		"probed after ejection":        {nodeHealth{failures: 1, ejectedUntil: 100}, 0, Idempotent, true},
+		"one probe at a time":          {nodeHealth{failures: 1, ejectedUntil: 100}, 1, Idempotent, false},
+		"no probe with non-idempotent": {nodeHealth{failures: 1, ejectedUntil: 100}, 0, NonIdempotent, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node := newTrackedNode(1)
@@ -142,12 +145,12 @@
 		ready, ejected, draining int // numbers of nodes
 		want                     bool
 	}{
-		"all healthy":                     {4, 0, 0, false},
-		"a quarter is healthy":            {1, 3, 0, false},
-		"less than a quarter":             {1, 4, 0, true},
-		"draining nodes are not counted":  {1, 3, 9, false},
-		"no node at all":                  {0, 0, 0, false},
-		"ejected nodes only, so all used": {0, 1, 0, true},
+		"all healthy":                    {4, 0, 0, false},
+		"a quarter of them healthy":      {1, 3, 0, false},
+		"fewer than a quarter healthy":   {1, 4, 0, true},
+		"draining nodes are not counted": {1, 3, 9, false},
+		"no nodes":                       {0, 0, 0, false},
+		"ejected nodes only":             {0, 1, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var nodes []*trackedNode
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -21,7 +21,7 @@
 			config := testConfig()
 			invalidate(&config)
 			if _, err := New(config, 1); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("error %v, want one that names %s", err, want)
+				t.Errorf("got error %v, want an error that contains %q", err, want)
 			}
 		})
 	}
@@ -30,17 +30,17 @@
 func TestNonIdempotentTaskIsNotRetriedAfterUnknownOutcome(t *testing.T) {
 	for _, result := range []Result{Errored, TimedOut, Lost, Cancelled} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 1)))
+		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
 		actions := endAttempt(placer, 100.5, sent, result, NoReason)
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Errorf("result %d: %+v", result, actions)
+			t.Errorf("after result %d: got actions %+v, want only Fail and no attempt", result, actions)
 		}
 	}
 	for _, result := range []Result{Rejected, Unreachable, Expired} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 1)))
+		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
 		if actions := endAttempt(placer, 100.5, sent, result, WrongNode); len(actionsOfKind(actions, StartAttempt)) != 1 {
-			t.Errorf("result %d proves that nothing ran, got %+v", result, actions)
+			t.Errorf("after result %d, which proves that the task did not start: got actions %+v, want another attempt", result, actions)
 		}
 	}
 }
@@ -48,14 +48,14 @@
 func TestIdempotentByKeyRetryStaysInDedupDomainAndWindow(t *testing.T) {
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(9))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 2)))
-		resent := startedAttempt(t, endAttempt(placer, 101, sent, TimedOut, NoReason))
-		if (resent.Node-1)/3 != (sent.Node-1)/3 {
-			t.Fatalf("seed %d: repeat left the rack", seed)
+		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 2)))
+		retried := startedAttempt(t, endAttempt(placer, 101, sent, TimedOut, NoReason))
+		if (retried.Node-1)/3 != (sent.Node-1)/3 {
+			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt", seed)
 		}
-		actions := endAttempt(placer, 104.2, resent, Rejected, InsufficientCores) // past what the rack remembers
+		actions := endAttempt(placer, 104.2, retried, Rejected, InsufficientCores) // the deduplication window of 4 s has ended
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Fatalf("seed %d: after the window: %+v", seed, actions)
+			t.Fatalf("seed %d: after the deduplication window: got actions %+v, want only Fail and no attempt", seed, actions)
 		}
 	}
 }
@@ -66,16 +66,17 @@
 		func(task *Task) { task.Cores = math.NaN() }, func(task *Task) { task.Memory = -1 }, func(task *Task) { task.Class = 99 },
 		func(task *Task) { task.Cores = math.Inf(1) }, func(task *Task) { task.Deadline = 99 }, func(task *Task) { task.Deadline = Seconds(math.NaN()) },
 	} {
-		task := newTask(i+1, 0)
+		task := newTestTask(i+1, 0)
 		invalidate(&task)
 		actions := arrive(placer, 100.1, task)
 		if len(actionsOfKind(actions, StartAttempt)) != 0 || len(actionsOfKind(actions, Reject)) != 1 {
-			t.Errorf("case %d: %+v", i, actions)
+			t.Errorf("invalid task %d: got actions %+v, want only Reject and no attempt", i, actions)
 		}
 	}
 }
 
-// A slow start is not an unresponsive node.
+// If nodes answer only when a task starts, a slow start must not be taken for an unresponsive node. The
+// timeout must not depend on the learned answer times.
 func TestAttemptTimeoutWhereAcknowledgedOnStart(t *testing.T) {
 	config := testConfig()
 	config.NodeBehavior.AcknowledgesOnStart = true
@@ -83,7 +84,7 @@
 	for range 50 {
 		placer.latency.answerTimes[0].add(0.05, learningRate)
 	}
-	if sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0))); sent.Until < 100.1+0.69*5 {
-		t.Fatalf("attempt times out after %.2f s", sent.Until-100.1)
+	if sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0))); sent.Until < 100.1+0.69*5 {
+		t.Fatalf("the attempt times out after %.2f s, want at least 69 percent of the deadline", sent.Until-100.1)
 	}
 }
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-// maxPolicyLineWidth is the number of characters that a line of a policy file may have, a tab counting four.
+// maxPolicyLineWidth is the maximum number of characters in a line of a policy file, where a tab counts as
+// four.
 const maxPolicyLineWidth = 110
 
-// policyFiles returns the paths of the files that the deploy file names as the policy.
+// policyFiles returns the paths of the files that deploy/balancer.toml lists as the policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -23,7 +24,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("the deploy file has no policy line")
+		t.Fatal("deploy/balancer.toml has no policy line")
 	}
 	var files []string
 	for _, name := range strings.Split(string(line[1]), ",") {
@@ -40,42 +41,42 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if len(strings.ReplaceAll(line, "\t", "    ")) > maxPolicyLineWidth {
-				t.Errorf("%s:%d is over %d characters", file, i+1, maxPolicyLineWidth)
+				t.Errorf("%s:%d: the line has more than %d characters", file, i+1, maxPolicyLineWidth)
 			}
 		}
 	}
 }
 
-// TestOnlyPolicyFilesHoldTunedValues checks that the other files of the package contain no number but 0 and 1, and
-// no constant but enumerations.
+// TestOnlyPolicyFilesHoldTunedValues checks that only the policy files contain tunable values. In all other
+// files of the package, the only numbers are 0 and 1, and the only constants are enumerations.
 func TestOnlyPolicyFilesHoldTunedValues(t *testing.T) {
 	isPolicy := map[string]bool{}
 	for _, file := range policyFiles(t) {
 		isPolicy[filepath.Base(file)] = true
 		if filepath.Dir(file) != filepath.Join("..", "placer") {
-			t.Errorf("%s is not in this package", file)
+			t.Errorf("policy file %s is not in package placer", file)
 		}
 	}
-	all, err := filepath.Glob("*.go")
+	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, file := range all {
+	for _, file := range files {
 		if isPolicy[file] || strings.HasSuffix(file, "_test.go") {
 			continue
 		}
-		for _, position := range tunedValues(t, file) {
-			t.Errorf("%s: a tuned value belongs in a policy file", position)
+		for _, position := range findTunedValues(t, file) {
+			t.Errorf("%s: a tunable value must be in a policy file", position)
 		}
 	}
 }
 
-// tunedValues returns the positions of number literals other than 0 and 1, and of constants with a value that does
-// not count up from iota.
-func tunedValues(t *testing.T, file string) []token.Position {
+// findTunedValues returns the positions of number literals other than 0 and 1, and of constant declarations
+// with a value that does not use iota.
+func findTunedValues(t *testing.T, file string) []token.Position {
 	t.Helper()
-	set := token.NewFileSet()
-	parsed, err := parser.ParseFile(set, file, nil, 0)
+	fileSet := token.NewFileSet()
+	parsed, err := parser.ParseFile(fileSet, file, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +86,11 @@
 		case *ast.BasicLit:
 			isNumber := node.Kind == token.INT || node.Kind == token.FLOAT || node.Kind == token.IMAG
 			if isNumber && node.Value != "0" && node.Value != "1" {
-				found = append(found, set.Position(node.Pos()))
+				found = append(found, fileSet.Position(node.Pos()))
 			}
 		case *ast.GenDecl:
-			if node.Tok == token.CONST && !countsFromIota(node) {
-				found = append(found, set.Position(node.Pos()))
+			if node.Tok == token.CONST && !usesIota(node) {
+				found = append(found, fileSet.Position(node.Pos()))
 			}
 		}
 		return true
@@ -97,8 +98,8 @@
 	return found
 }
 
-// countsFromIota reports whether each value of a constant declaration contains iota.
-func countsFromIota(declaration *ast.GenDecl) bool {
+// usesIota reports whether each value of a constant declaration contains iota.
+func usesIota(declaration *ast.GenDecl) bool {
 	for _, spec := range declaration.Specs {
 		for _, value := range spec.(*ast.ValueSpec).Values {
 			hasIota := false
@@ -115,7 +116,8 @@
 	return true
 }
 
-// TestTunedValuesAreFound shows that the check above finds what it looks for.
+// TestTunedValuesAreFound verifies that findTunedValues finds numbers and constants, and ignores
+// enumerations.
 func TestTunedValuesAreFound(t *testing.T) {
 	for name, test := range map[string]struct {
 		source string
@@ -133,8 +135,8 @@
 			if err := os.WriteFile(file, []byte("package p\n\n"+test.source+"\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if found := tunedValues(t, file); len(found) != test.want {
-				t.Errorf("found %v, want %d", found, test.want)
+			if found := findTunedValues(t, file); len(found) != test.want {
+				t.Errorf("found values at %v, want %d values", found, test.want)
 			}
 		})
 	}
--- a/placer/request_test.go
+++ b/placer/request_test.go
@@ -6,7 +6,7 @@
 	all := []attemptState{attemptPending, attemptRunning, attemptEnded, attemptState(9)}
 	for i, name := range []string{"pending", "running", "ended", "attemptState(9)"} {
 		if got := all[i].String(); got != name {
-			t.Errorf("state %d is called %q, want %q", i, got, name)
+			t.Errorf("state %d has the name %q, want %q", i, got, name)
 		}
 	}
 	for _, from := range all {
@@ -16,13 +16,13 @@
 			func() {
 				defer func() {
 					if panicked := recover() != nil; panicked == legal {
-						t.Errorf("%v to %v: legal is %v, panicked is %v", from, to, legal, panicked)
+						t.Errorf("transition from %v to %v: allowed is %v, but panicked is %v", from, to, legal, panicked)
 					}
 				}()
 				started.setState(to)
 			}()
 			if want := max(from, to); started.state != want {
-				t.Errorf("%v to %v: now %v", from, to, started.state)
+				t.Errorf("after the transition from %v to %v the state is %v", from, to, started.state)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 	placed, withdrawn := table.open(Task{ID: 1}, 100), table.open(Task{ID: 2}, 100)
 	adopted := table.adopt(Task{ID: 3}, node, 100)
 	if table.unanswered != 2 || !table.contains(1) || table.contains(4) {
-		t.Fatalf("%d unanswered; known: %v and %v", table.unanswered, table.contains(1), table.contains(4))
+		t.Fatalf("%d unanswered requests, want 2; table contains task 1: %v, want true; table contains task 4: %v, want false", table.unanswered, table.contains(1), table.contains(4))
 	}
 	sent := placed.startAttempt(node, 100)
 	for name, test := range map[string]struct {
@@ -42,12 +42,12 @@
 		number int
 		want   *attempt
 	}{
-		"own":        {1, 0, sent},
-		"adopted":    {3, 0, adopted},
-		"no attempt": {2, 0, nil},
-		"number":     {1, 1, nil},
-		"negative":   {1, -1, nil},
-		"task":       {4, 0, nil},
+		"requested task":  {1, 0, sent},
+		"adopted task":    {3, 0, adopted},
+		"no attempt":      {2, 0, nil},
+		"number too high": {1, 1, nil},
+		"negative number": {1, -1, nil},
+		"unknown task":    {4, 0, nil},
 	} {
 		if got := table.attempt(test.task, test.number); got != test.want {
 			t.Errorf("%s: got %p, want %p", name, got, test.want)
@@ -55,13 +55,13 @@
 	}
 	table.close(withdrawn)
 	table.close(placed)
-	table.close(placed) // repeated
+	table.close(placed) // a second call must have no effect
 	if table.unanswered != 0 || table.contains(2) || !table.contains(1) {
-		t.Errorf("%d unanswered; a request without an attempt is kept: %v", table.unanswered, table.contains(2))
+		t.Errorf("%d unanswered requests, want 0; request without an attempt was kept: %v, want false", table.unanswered, table.contains(2))
 	}
 	sent.setState(attemptEnded)
 	table.removeIfDone(placed)
 	if table.contains(1) {
-		t.Error("a request is kept after its last attempt")
+		t.Error("a finished request was kept after its last attempt ended")
 	}
 }
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -22,13 +22,13 @@
 		onElsewhere  bool
 		safeToReject bool
 	}{
-		"known outcome":                {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
-		"not idempotent":               {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
-		"idempotent":                   {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
-		"by key, in the rack":          {byKey(RackDomain), false, 108.9, true, true, false, false},
-		"by key, in the cluster":       {byKey(ClusterDomain), false, 108.9, true, true, true, true},
-		"by key, on the node":          {byKey(NodeDomain), false, 108.9, true, false, false, false},
-		"by key, the window has ended": {byKey(ClusterDomain), false, 109, false, false, false, true},
+		"known outcome":            {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
+		"not idempotent":           {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
+		"idempotent":               {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
+		"by key, rack domain":      {byKey(RackDomain), false, 108.9, true, true, false, false},
+		"by key, cluster domain":   {byKey(ClusterDomain), false, 108.9, true, true, true, true},
+		"by key, node domain":      {byKey(NodeDomain), false, 108.9, true, false, false, false},
+		"by key, window has ended": {byKey(ClusterDomain), false, 109, false, false, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
@@ -37,19 +37,19 @@
 				request.recordUnknownOutcome(&attempt{node: earlier, sentAt: sentAt})
 			}
 			if got := rule.allows(test.now, request); got != test.allows {
-				t.Errorf("another attempt: got %v, want %v", got, test.allows)
+				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allows)
 			}
 			if got := rule.safeToReject(request); got != test.safeToReject {
 				t.Errorf("safe to reject: got %v, want %v", got, test.safeToReject)
 			}
 			if test.knownOutcome {
-				return // any node is allowed
+				return // after a known outcome, allowsOn is not called
 			}
 			if got := rule.allowsOn(test.now, request, rackNeighbor); got != test.onNeighbor {
-				t.Errorf("on a node of the rack: got %v, want %v", got, test.onNeighbor)
+				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.onNeighbor)
 			}
 			if got := rule.allowsOn(test.now, request, elsewhere); got != test.onElsewhere {
-				t.Errorf("on a node elsewhere: got %v, want %v", got, test.onElsewhere)
+				t.Errorf("retry on a node in another rack is allowed: got %v, want %v", got, test.onElsewhere)
 			}
 		})
 	}
@@ -59,10 +59,10 @@
 	rule := &retryRule{cfg: &Config{Classes: []Class{{}}}}
 	request := &placementRequest{attempts: []*attempt{{state: attemptPending}}}
 	if rule.safeToReject(request) {
-		t.Error("safe to reject while an attempt is outstanding")
+		t.Error("safeToReject is true while an attempt is outstanding")
 	}
 	request.attempts[0].setState(attemptEnded)
 	if !rule.safeToReject(request) {
-		t.Error("not safe to reject after all attempts have ended")
+		t.Error("safeToReject is false after all attempts have ended")
 	}
 }
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -7,7 +7,9 @@
 	"testing"
 )
 
-// randomScript plays seeded random events that may happen and checks the five rules on each action.
+// randomScript sends a seeded sequence of random but possible events to a Placer. It checks each action
+// against the five placement rules: final answers (1), retries (2), node states (3), slow start (4) and
+// spread (5).
 type randomScript struct {
 	t                *testing.T
 	config           Config
@@ -15,23 +17,23 @@
 	rng              *rand.Rand
 	now              Seconds
 	nodes            map[NodeID]Node
-	ids              []NodeID
+	nodeIDs          []NodeID
 	tasks            map[TaskID]*taskState
-	order            []TaskID
+	taskOrder        []TaskID
 	timers           []scheduledTimer
 	warmupAttempts   map[NodeID][]Seconds
-	log              []string
+	actionLog        []string
 	correlatedFaults bool
 }
 
 type scheduledTimer struct {
-	at    Seconds
-	token uint64
+	firesAt Seconds
+	token   uint64
 }
 
 type sentAttempt struct {
 	node               Node
-	sent, until        Seconds
+	sentAt, timesOutAt Seconds
 	outstanding, bound bool
 	mayHaveRun         bool
 }
@@ -40,24 +42,24 @@
 	Task
 	attempts []*sentAttempt
 	done     bool
-	answers  int // final answers
+	answers  int // number of final answers for the request
 }
 
-func (script *randomScript) handle(event Event) {
+func (script *randomScript) handleEvent(event Event) {
 	for _, action := range script.placer.Handle(script.now, event, nil) {
 		script.check(action)
 	}
 }
 
-// fail ends the test and names the action that broke a rule.
+// fail ends the test with a message that contains the action that violated a rule.
 func (script *randomScript) fail(action Action, format string, args ...any) {
 	script.t.Helper()
-	script.t.Fatalf("at %.3f, %+v: %s", script.now, action, fmt.Sprintf(format, args...))
+	script.t.Fatalf("at the time %.3f, action %+v: %s", script.now, action, fmt.Sprintf(format, args...))
 }
 
-// check checks the rules on one action and carries it out.
+// check checks an action against the rules and carries it out.
 func (script *randomScript) check(action Action) {
-	script.log = append(script.log, fmt.Sprintf("%.3f %+v", script.now, action))
+	script.actionLog = append(script.actionLog, fmt.Sprintf("%.3f %+v", script.now, action))
 	switch action.Kind {
 	case SetTimer:
 		script.timers = append(script.timers, scheduledTimer{script.now + action.After, action.Token})
@@ -67,20 +69,20 @@
 	}
 	task := script.tasks[action.Task]
 	if task == nil {
-		script.fail(action, "no such task")
+		script.fail(action, "the task of the action does not exist")
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
-			script.fail(action, "migrates a task that is not bound")
+			script.fail(action, "migration of a task that is not bound")
 		}
 		return
 	}
 	if task.done || task.answers > 0 {
-		script.fail(action, "rule 1: the request is done")
+		script.fail(action, "rule 1 (final answer): the request is already done")
 	}
 	for _, attempt := range task.attempts {
 		if attempt.outstanding && action.Kind != Fail {
-			script.fail(action, "rule 2: an attempt is outstanding")
+			script.fail(action, "rule 2 (retries): another attempt is outstanding")
 		}
 	}
 	if action.Kind == Reject || action.Kind == Fail {
@@ -90,7 +92,7 @@
 	}
 }
 
-// unknownOutcome returns the first attempt that may have run unnoticed, or nil.
+// unknownOutcome returns the first failed attempt that may have started the task, or nil if there is none.
 func (task *taskState) unknownOutcome() *sentAttempt {
 	for _, attempt := range task.attempts {
 		if attempt.mayHaveRun {
@@ -100,33 +102,33 @@
 	return nil
 }
 
-// checkAnswer checks the rules on a final answer.
+// checkAnswer checks a final answer against the rules on final answers and retries.
 func (script *randomScript) checkAnswer(action Action, task *taskState) {
 	task.answers++
 	task.done = true
 	if script.now > task.Deadline+script.config.Attempts.AnswerGrace {
-		script.fail(action, "rule 1: %.3f s late", script.now-task.Deadline)
+		script.fail(action, "rule 1 (final answer): the answer is %.3f s after the deadline", script.now-task.Deadline)
 	}
 	class := script.config.Classes[task.Class]
-	dedupEverywhere := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
-	mustNotRepeat := class.Idempotency != Idempotent && !dedupEverywhere
-	if action.Kind == Reject && task.unknownOutcome() != nil && mustNotRepeat {
-		script.fail(action, "rule 2: rejected after an unknown outcome")
+	dedupInCluster := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
+	repeatIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
+	if action.Kind == Reject && task.unknownOutcome() != nil && repeatIsUnsafe {
+		script.fail(action, "rule 2 (retries): Reject after an unknown outcome")
 	}
 }
 
-// checkAttempt checks the rules on an attempt and adds it to the task.
+// checkAttempt checks an attempt against all rules and adds it to its task.
 func (script *randomScript) checkAttempt(action Action, task *taskState) {
 	class, node := script.config.Classes[task.Class], script.nodes[action.Node]
 	if unknown := task.unknownOutcome(); unknown != nil {
-		outsideDedup := node.Rack != unknown.node.Rack || script.now > unknown.sent+class.DedupWindow
+		outsideDedup := node.Rack != unknown.node.Rack || script.now > unknown.sentAt+class.DedupWindow
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && outsideDedup {
-			script.fail(action, "rule 2: attempt after an unknown outcome")
+			script.fail(action, "rule 2 (retries): attempt after an unknown outcome")
 		}
 	}
 	wrongType := class.NodeType >= 0 && class.NodeType != node.NodeType
 	if node.State != Ready || len(task.attempts) >= script.config.Attempts.Max || wrongType {
-		script.fail(action, "rule 3, attempts or node type: node %+v", node)
+		script.fail(action, "rule 3 (node state), maximum number of attempts or node type violated on node %+v", node)
 	}
 	if node.StartedAt > 0 && script.now-node.StartedAt < script.config.SlowStart.Duration {
 		script.checkSlowStart(action, node)
@@ -134,10 +136,10 @@
 	if class.SpreadDomain != NoDomain {
 		script.checkSpread(action, task, node)
 	}
-	task.attempts = append(task.attempts, &sentAttempt{node: node, sent: script.now, until: action.Until, outstanding: true})
+	task.attempts = append(task.attempts, &sentAttempt{node: node, sentAt: script.now, timesOutAt: action.Until, outstanding: true})
 }
 
-// checkSlowStart checks rule 4 on an attempt on a warming node.
+// checkSlowStart checks an attempt on a warming node against the slow-start rule (rule 4).
 func (script *randomScript) checkSlowStart(action Action, node Node) {
 	count := 1
 	for _, at := range script.warmupAttempts[node.ID] {
@@ -146,62 +148,62 @@
 		}
 	}
 	if float64(count) > math.Ceil(script.config.SlowStart.MaxAttempts/float64(script.config.Peers.Total)) {
-		script.fail(action, "rule 4: %d in a window", count)
+		script.fail(action, "rule 4 (slow start): %d attempts on the node within the overload window", count)
 	}
 	script.warmupAttempts[node.ID] = append(script.warmupAttempts[node.ID], script.now)
 }
 
-// checkSpread checks rule 5 on an attempt.
+// checkSpread checks an attempt against the spread rule (rule 5).
 func (script *randomScript) checkSpread(action Action, task *taskState, node Node) {
 	class := script.config.Classes[task.Class]
 	count := 1
 	for _, other := range script.tasks {
 		for _, attempt := range other.attempts {
 			active := other.Service == task.Service && (attempt.outstanding || attempt.bound)
-			together := attempt.node.ID == node.ID || class.SpreadDomain == RackDomain && attempt.node.Rack == node.Rack
-			if active && together {
+			inSameDomain := attempt.node.ID == node.ID || class.SpreadDomain == RackDomain && attempt.node.Rack == node.Rack
+			if active && inSameDomain {
 				count++
 			}
 		}
 	}
 	if count > class.MaxPerDomain {
-		script.fail(action, "rule 5: %d of the service together", count)
+		script.fail(action, "rule 5 (spread): %d tasks of the service in one domain", count)
 	}
 }
 
-func (script *randomScript) ended(task *taskState, i int, result Result, reason Reason) {
+func (script *randomScript) endAttempt(task *taskState, i int, result Result, reason Reason) {
 	attempt := task.attempts[i]
-	over := task.done || attempt.bound
+	final := task.done || attempt.bound
 	if !attempt.bound && result != Rejected && result != Unreachable && result != Expired {
 		attempt.mayHaveRun = true
 	}
 	attempt.outstanding, attempt.bound = false, false
-	if over {
+	if final {
 		task.done = true
 	}
-	event := Event{Kind: Ended, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Result: result, Reason: reason, Final: over,
-		Elapsed: script.now - attempt.sent}
+	event := Event{Kind: Ended, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Result: result, Reason: reason, Final: final,
+		Elapsed: script.now - attempt.sentAt}
 	if script.rng.IntN(2) == 0 {
 		event.Report = &Report{script.rng.Float64() * 16, script.rng.Float64() * 32, script.rng.Float64(), math.NaN()}
 	}
-	script.handle(event)
+	script.handleEvent(event)
 }
 
-// step advances the time a little and plays random events.
+// step advances the time by 5 ms and sends random events to the Placer.
 func (script *randomScript) step(number int) {
 	script.now += 0.005
 	script.fireTimers()
-	for _, id := range script.order {
+	for _, id := range script.taskOrder {
 		state := script.tasks[id]
 		for i := range state.attempts {
-			script.playAttempt(state, i)
+			script.advanceAttempt(state, i)
 		}
 		if !state.done && script.rng.IntN(2000) == 0 {
 			state.done = true
-			script.handle(Event{Kind: Withdrawn, TaskID: id})
+			script.handleEvent(Event{Kind: Withdrawn, TaskID: id})
 		}
 		if !state.done && script.now > state.Deadline+script.config.Attempts.AnswerGrace {
-			script.t.Fatalf("rule 1: task %d has no answer", id)
+			script.t.Fatalf("rule 1 (final answer): task %d has no final answer after its deadline", id)
 		}
 	}
 	if script.rng.IntN(8) == 0 {
@@ -211,62 +213,63 @@
 		script.changeNode()
 	}
 	if script.correlatedFaults && script.rng.IntN(300) == 0 {
-		script.correlatedFault()
+		script.injectCorrelatedFault()
 	}
 	if script.rng.IntN(900) == 0 {
 		script.listAllNodes()
 	}
 	if script.rng.IntN(500) == 0 {
-		script.handle(Event{Kind: NodesListed, List: ListFailed})
+		script.handleEvent(Event{Kind: NodesListed, List: ListFailed})
 	}
 	if number%400 == 0 {
-		script.dropDoneTasks()
+		script.removeDoneTasks()
 	}
 }
 
 func (script *randomScript) fireTimers() {
 	for i := 0; i < len(script.timers); {
 		timer := script.timers[i]
-		if timer.at > script.now {
+		if timer.firesAt > script.now {
 			i++
 			continue
 		}
 		script.timers = append(script.timers[:i], script.timers[i+1:]...)
-		script.handle(Event{Kind: TimerFired, Token: timer.token})
+		script.handleEvent(Event{Kind: TimerFired, Token: timer.token})
 	}
 }
 
-// playAttempt gives an outstanding attempt an outcome, or ends a running task, at random.
-func (script *randomScript) playAttempt(task *taskState, i int) {
+// advanceAttempt randomly decides whether an outstanding attempt gets an answer or a running task ends.
+func (script *randomScript) advanceAttempt(task *taskState, i int) {
 	attempt := task.attempts[i]
 	switch {
-	case attempt.outstanding && script.now >= attempt.until:
-		script.ended(task, i, TimedOut, NoReason)
+	case attempt.outstanding && script.now >= attempt.timesOutAt:
+		script.endAttempt(task, i, TimedOut, NoReason)
 	case attempt.outstanding && script.rng.IntN(12) == 0:
-		script.answerAttempt(task, i)
+		script.drawAttemptAnswer(task, i)
 	case attempt.bound && script.rng.IntN(400) == 0:
-		script.ended(task, i, []Result{Finished, Lost, Cancelled}[script.rng.IntN(3)], Reason(script.rng.IntN(8)))
+		script.endAttempt(task, i, []Result{Finished, Lost, Cancelled}[script.rng.IntN(3)], Reason(script.rng.IntN(8)))
 	}
 }
 
-func (script *randomScript) answerAttempt(task *taskState, i int) {
+func (script *randomScript) drawAttemptAnswer(task *taskState, i int) {
 	attempt := task.attempts[i]
 	switch draw := script.rng.IntN(12); {
 	case draw < 5 && !task.done:
 		attempt.outstanding, attempt.bound, task.done = false, true, true
-		script.handle(Event{Kind: Bound, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Elapsed: script.now - attempt.sent})
+		script.handleEvent(Event{Kind: Bound, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Elapsed: script.now - attempt.sentAt})
 	case draw < 8:
-		script.ended(task, i, Rejected, Reason(1+script.rng.IntN(4)))
+		script.endAttempt(task, i, Rejected, Reason(1+script.rng.IntN(4)))
 	case draw < 9:
-		script.ended(task, i, Unreachable, NoReason)
+		script.endAttempt(task, i, Unreachable, NoReason)
 	case draw < 10:
-		script.ended(task, i, Errored, NoReason)
+		script.endAttempt(task, i, Errored, NoReason)
 	case draw < 11:
-		script.ended(task, i, Lost, NoReason)
+		script.endAttempt(task, i, Lost, NoReason)
 	}
 }
 
-// addTask requests a task, or in some cases reports that it runs already.
+// addTask requests a random task. In one of ten cases, it instead reports that the task was found running on
+// a node.
 func (script *randomScript) addTask(id TaskID) {
 	task := Task{ID: id, Class: script.rng.IntN(len(script.config.Classes)), Service: ServiceID(script.rng.IntN(9)),
 		Cores: script.rng.Float64() * 3, Memory: script.rng.Float64() * 6,
@@ -274,22 +277,22 @@
 	task.Service = ServiceID(uint64(task.Class)*100 + uint64(task.Service))
 	state := &taskState{Task: task}
 	script.tasks[id] = state
-	script.order = append(script.order, id)
+	script.taskOrder = append(script.taskOrder, id)
 	if script.rng.IntN(10) != 0 {
-		script.handle(Event{Kind: Arrived, Task: task})
+		script.handleEvent(Event{Kind: Arrived, Task: task})
 		return
 	}
 	node := script.randomNode()
 	state.done = true
-	state.attempts = []*sentAttempt{{node: node, sent: script.now, bound: true}}
-	script.handle(Event{Kind: Adopted, Task: task, Node: node.ID})
+	state.attempts = []*sentAttempt{{node: node, sentAt: script.now, bound: true}}
+	script.handleEvent(Event{Kind: Adopted, Task: task, Node: node.ID})
 }
 
 func (script *randomScript) randomNode() Node {
-	return script.nodes[script.ids[script.rng.IntN(len(script.ids))]]
+	return script.nodes[script.nodeIDs[script.rng.IntN(len(script.nodeIDs))]]
 }
 
-// changeNode changes one node and lists the change.
+// changeNode changes a random node and sends the change to the Placer.
 func (script *randomScript) changeNode() {
 	node := script.randomNode()
 	switch script.rng.IntN(4) {
@@ -304,13 +307,13 @@
 		node.FreeCores = script.rng.Float64() * 32
 	}
 	script.nodes[node.ID] = node
-	script.handle(Event{Kind: NodesListed, List: Changes, Nodes: []Node{node}})
+	script.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: []Node{node}})
 }
 
-// listAllNodes sends a full list, from which some nodes have gone.
+// listAllNodes terminates some nodes and sends a full node list without the terminated nodes.
 func (script *randomScript) listAllNodes() {
 	var all []Node
-	for _, id := range script.ids {
+	for _, id := range script.nodeIDs {
 		node := script.nodes[id]
 		if script.rng.IntN(9) == 0 {
 			node.State = Terminated
@@ -320,13 +323,13 @@
 			all = append(all, node)
 		}
 	}
-	script.handle(Event{Kind: NodesListed, List: FullList, Nodes: all})
+	script.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: all})
 }
 
-// dropDoneTasks removes the tasks that are done and have no live attempt.
-func (script *randomScript) dropDoneTasks() {
-	keep := script.order[:0]
-	for _, id := range script.order {
+// removeDoneTasks removes the tasks that are done and have neither an outstanding nor a bound attempt.
+func (script *randomScript) removeDoneTasks() {
+	kept := script.taskOrder[:0]
+	for _, id := range script.taskOrder {
 		state, live := script.tasks[id], false
 		for _, attempt := range state.attempts {
 			live = live || attempt.outstanding || attempt.bound
@@ -334,31 +337,32 @@
 		if !live && state.done {
 			delete(script.tasks, id)
 		} else {
-			keep = append(keep, id)
+			kept = append(kept, id)
 		}
 	}
-	script.order = keep
+	script.taskOrder = kept
 }
 
-// correlatedFault hits many nodes at once: those of one type restart, or a third drains, terminates, and is replaced by
-// nodes that warm up.
-func (script *randomScript) correlatedFault() {
+// injectCorrelatedFault injects a fault that affects many nodes at once. Either all nodes of one type
+// restart, or the state of a third of the nodes advances: ready nodes drain, and draining nodes terminate and
+// are replaced by new nodes that warm up.
+func (script *randomScript) injectCorrelatedFault() {
 	var affected []Node
-	kind, first := script.rng.IntN(2), script.rng.IntN(3)
+	nodeType, firstIndex := script.rng.IntN(2), script.rng.IntN(3)
 	restart := script.rng.IntN(2) == 0
-	for i, id := range script.ids {
+	for i, id := range script.nodeIDs {
 		node := script.nodes[id]
 		switch {
-		case restart && node.NodeType == kind:
+		case restart && node.NodeType == nodeType:
 			node.State, node.StartedAt = Ready, script.now-Seconds(script.rng.Float64()/2)
-		case !restart && i%3 == first && node.State == Ready:
+		case !restart && i%3 == firstIndex && node.State == Ready:
 			node.State = Draining
-		case !restart && i%3 == first && node.State == Draining:
+		case !restart && i%3 == firstIndex && node.State == Draining:
 			node.State = Terminated
 			replacement := node
 			replacement.ID, replacement.State, replacement.StartedAt = NodeID(len(script.nodes)+1), Ready, script.now
 			script.nodes[replacement.ID] = replacement
-			script.ids[i] = replacement.ID
+			script.nodeIDs[i] = replacement.ID
 			affected = append(affected, replacement)
 		default:
 			continue
@@ -366,5 +370,5 @@
 		script.nodes[id] = node
 		affected = append(affected, node)
 	}
-	script.handle(Event{Kind: NodesListed, List: Changes, Nodes: affected})
+	script.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: affected})
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -14,27 +14,27 @@
 	const runs = 3000
 	for seed := range runs {
 		nodes := testNodes(6)
-		for i := range nodes { // node 1 the fullest, node 6 the emptiest, by free share
+		for i := range nodes { // the free share increases from node 1 to node 6
 			share := float64(i+1) / 8
 			size := float64(16 * (nodes[i].NodeType + 1))
 			nodes[i].FreeCores, nodes[i].FreeMemory = size*share, size*2*share
 		}
 		placer := newTestPlacer(t, testConfig(), uint64(seed), nodes)
-		sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0)))
+		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
 		second := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
 		if second.Node > sent.Node {
-			t.Fatalf("seed %d: attempt on the fuller node %d before %d", seed, sent.Node, second.Node)
+			t.Fatalf("seed %d: the first attempt was made on node %d, the second on the emptier node %d", seed, sent.Node, second.Node)
 		}
 		firsts[sent.Node]++
 		seen[sent.Node]++
 		seen[second.Node]++
 	}
-	for id := NodeID(1); id <= 6; id++ { // each node is in a third of the pairs
+	for id := NodeID(1); id <= 6; id++ { // each node must be in a third of the pairs
 		if got := float64(seen[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
-			t.Errorf("node %d in %.3f of the pairs, want 0.333", id, got)
+			t.Errorf("node %d is in a fraction of %.3f of the pairs, want about 0.333", id, got)
 		}
 		if want := float64(id-1) / 15 * runs; math.Abs(float64(firsts[id])-want) > 0.04*runs {
-			t.Errorf("node %d first %d times, want about %.0f", id, firsts[id], want)
+			t.Errorf("node %d was attempted first %d times, want about %.0f", id, firsts[id], want)
 		}
 	}
 }
@@ -44,104 +44,108 @@
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(6))
 		node := placer.nodes.byID[3]
 		node.tasks.unanswered = 9
-		if sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0))); sent.Node == 3 {
-			t.Fatalf("seed %d: attempt on a node beyond the contender limit", seed)
+		if sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0))); sent.Node == 3 {
+			t.Fatalf("seed %d: an attempt was made on a node beyond the contender limit", seed)
 		}
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBind: true})
 	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
-		t.Error("a bind of the last two seconds does not count")
+		t.Error("a bind within the contender window of 2 s does not count as a contender")
 	}
 	if placer.selector.contenders(102.1, placer.nodes.byID[1]) != 0 {
-		t.Error("a bind older than two seconds counts")
+		t.Error("a bind older than the contender window of 2 s counts as a contender")
 	}
-	placer.nodes.byID[1].load.dropOldChanges(102.1) // as the filter does
+	placer.nodes.byID[1].load.dropOldChanges(102.1) // the filter does the same when it evaluates a node
 	placer.requests.unanswered = 12
 	if limit := placer.selector.contenderLimit(6); limit != 4 {
-		t.Errorf("contender limit is %v for 12 pending on 6 nodes, want 4", limit)
+		t.Errorf("contender limit is %v for 12 pending requests on 6 nodes, want 4", limit)
 	}
 	if limit := placer.selector.contenderLimit(60); limit != 1 {
-		t.Errorf("contender limit is %v, want at least 1", limit)
+		t.Errorf("contender limit is %v for 12 pending requests on 60 nodes, want the minimum of 1", limit)
 	}
 }
 
 func TestRedrawsAfterBothNodesReject(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 7, testNodes(6))
-	sent := startedAttempt(t, arrive(placer, 100.1, newTask(1, 0)))
-	resent := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
-	if resent.Node == sent.Node {
-		t.Fatal("the second attempt went to the node that rejected the first")
+	sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
+	retried := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
+	if retried.Node == sent.Node {
+		t.Fatal("the second attempt was made on the node that rejected the first")
 	}
-	actions := endAttempt(placer, 100.3, resent, Rejected, InsufficientCores)
+	actions := endAttempt(placer, 100.3, retried, Rejected, InsufficientCores)
 	timers := actionsOfKind(actions, SetTimer)
 	if len(actionsOfKind(actions, StartAttempt)) != 0 || len(timers) != 1 || timers[0].After < 0.5 || timers[0].After > 1.5 {
-		t.Fatalf("want a wait of about a second, got %+v", actions)
+		t.Fatalf("want only a timer of about 1 s and no attempt, got actions %+v", actions)
 	}
 	startedAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
 }
 
-// A node without the program starts a task several times slower than one that runs the service.
+// A cold start takes several times as long as a start on a node that runs the service. The selector must
+// therefore prefer nodes with the cached program, unless cold starts are known to be fast.
 func TestNodesWithCachedProgramArePreferred(t *testing.T) {
 	hits := 0
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(4))
 		adoptTask(placer, 900, 2, 0)
-		if startedAttempt(t, arrive(placer, 100.1, newTaskOf(5, 1, 0))).Node == 2 {
+		if startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node == 2 {
 			hits++
 		}
 	}
 	if hits < 95 {
-		t.Fatalf("the node that runs the service was chosen %d times of 100", hits)
+		t.Fatalf("the node that runs the service was chosen in %d of 100 runs, want at least 95", hits)
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are quick here
+	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are far faster than the latency objective
 	if placer.latency.coldStartsAreSlow(0) {
-		t.Fatal("quick cold starts count as slow")
+		t.Fatal("cold starts of 0.1 s count as slow for a latency objective of 1 s")
 	}
 }
 
-// The tasks of a service arrive in batches: none runs yet when the second arrives. A cached program outlives its tasks.
+// The tasks of a service arrive in batches, so no task of the service runs yet when the second one arrives.
+// Unanswered attempts must count as a sign of the cached program, and the program must count as cached after
+// its last task.
 func TestAttemptsAndCachedProgramsCountAsWarm(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
-	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOf(1, 1, 0)))
-	resent := startedAttempt(t, arrive(placer, 100.1, newTaskOf(1, 2, 0)))
-	if resent.Node != sent.Node {
-		t.Fatalf("second of a batch went to node %d, the first to %d", resent.Node, sent.Node)
+	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 1, 0)))
+	secondSent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 2, 0)))
+	if secondSent.Node != sent.Node {
+		t.Fatalf("the second task of a batch was attempted on node %d, the first on node %d", secondSent.Node, sent.Node)
 	}
-	for _, sent := range []Action{sent, resent} {
+	for _, sent := range []Action{sent, secondSent} {
 		bindAttempt(placer, 100.2, sent)
 		endAttempt(placer, 101, sent, Finished, NoReason)
 	}
 	if !placer.nodes.byID[sent.Node].tasks.hasProgram(1) {
-		t.Fatal("the program was dropped with its last task")
+		t.Fatal("the program does not count as cached after its last task")
 	}
 }
 
-// Capacity that becomes free while many wait should go to requests within their latency objective.
+// If many requests wait, capacity that becomes free should go to requests that are within their latency
+// objective. Late requests must therefore draw new nodes less often.
 func TestLateTasksRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
-	wakes := actionsOfKind(arrive(placer, 100.1, newTask(1, 0)), SetTimer)
-	timer := wakes[len(wakes)-1] // the first is for the deadline
-	early := timer.After
-	now, late := Seconds(100.1), Seconds(0)
+	timers := actionsOfKind(arrive(placer, 100.1, newTestTask(1, 0)), SetTimer)
+	timer := timers[len(timers)-1] // the first timer is for the deadline
+	inTimeWait := timer.After
+	now, lateWait := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += timer.After
 		again := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
 		if len(again) != 1 {
-			t.Fatalf("at %.2f: %+v", now, again)
+			t.Fatalf("at the time %.2f: want one timer, got %+v", now, again)
 		}
-		timer, late = again[0], again[0].After
+		timer, lateWait = again[0], again[0].After
 	}
-	if early > 0.3 || late < 2*early {
-		t.Fatalf("waits of %.2f s in time and %.2f s late", early, late)
+	if inTimeWait > 0.3 || lateWait < 2*inTimeWait {
+		t.Fatalf("wait is %.2f s before and %.2f s after the latency objective, want at most 0.30 s before and at least twice as much after", inTimeWait, lateWait)
 	}
 }
 
-// Where the tasks of a service arrive at many schedulers, each sees few of them: unless all choose the same nodes, each
-// start is a cold one.
+// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. All schedulers
+// must prefer the same nodes, because otherwise every start would be a cold start.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total, config.Peers.StickyServices = 300, false
@@ -149,7 +153,7 @@
 	for self := range 200 {
 		config.Peers.Self = self
 		placer := newTestPlacer(t, config, uint64(self), testNodes(90))
-		used[startedAttempt(t, arrive(placer, 100.1, newTaskOf(7, self+1, 0))).Node] = true
+		used[startedAttempt(t, arrive(placer, 100.1, newTaskOfService(7, self+1, 0))).Node] = true
 	}
 	if len(used) > preferredNodeCount {
 		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(used), preferredNodeCount)
@@ -173,15 +177,16 @@
 	return ids
 }
 
-// The callers' slice is filtered in place: a second preference of the same slice sees what the first one left.
+// prefer filters the slice of its caller in place. A second call on the same slice therefore uses the
+// contents that the first call left.
 func TestPrefer(t *testing.T) {
 	for name, test := range map[string]struct {
 		saturated  []NodeID
 		want, left []NodeID
 	}{
-		"all are wanted":  {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
-		"none is wanted":  {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
-		"some are wanted": {[]NodeID{1, 3}, []NodeID{2, 4}, []NodeID{2, 4, 3, 4}},
+		"all preferred":  {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"none preferred": {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"some preferred": {[]NodeID{1, 3}, []NodeID{2, 4}, []NodeID{2, 4, 3, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidates := newCandidates(4)
@@ -192,7 +197,7 @@
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 			if got := candidateIDs(candidates); !slices.Equal(got, test.left) {
-				t.Errorf("the slice is left as %v, want %v", got, test.left)
+				t.Errorf("the slice contains %v after the call, want %v", got, test.left)
 			}
 		})
 	}
@@ -216,32 +221,33 @@
 			candidates := newCandidates(6)
 			candidates[1].node.tasks.cacheProgram(service)
 			candidates[4].node.tasks.attemptSent(&attempt{request: &placementRequest{Task: Task{Service: service}}})
-			part := &selector{peers: test.peers}
-			if got := candidateIDs(part.programNodesFirst(service, candidates)); !slices.Equal(got, test.want) {
+			testSelector := &selector{peers: test.peers}
+			if got := candidateIDs(testSelector.programNodesFirst(service, candidates)); !slices.Equal(got, test.want) {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 			all := candidateIDs(candidates)
 			slices.Sort(all)
 			if !slices.Equal(all, []NodeID{1, 2, 3, 4, 5, 6}) {
-				t.Errorf("the candidates are now %v", all)
+				t.Errorf("the slice of candidates contains the nodes %v after the call, want each of the nodes 1 to 6 once", all)
 			}
 		})
 	}
 }
 
 func TestLastPairStaysWhereAllHaveTooManyContenders(t *testing.T) {
-	part := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
+	testSelector := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
 	candidates := newCandidates(2)
 	candidates[0].node.tasks.unanswered, candidates[1].node.tasks.unanswered = 9, 8
-	drawn := part.drawPair(100, &placementRequest{}, candidates)
+	drawn := testSelector.drawPair(100, &placementRequest{}, candidates)
 	if drawn.first.ID != 2 || drawn.second.ID != 1 {
-		t.Errorf("drew %d before %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
+		t.Errorf("the pair is node %d before node %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
 	}
 }
 
-// The preferred nodes are filtered in the memory of the list of all candidates. Where some of them are saturated and the
-// others have too many contenders, the second draw is from a list in which nodes may be missing and others appear twice.
-// docs/ROADMAP.md lists this as a fault; as a change would alter placements, this pins the nodes that 60 seeds draw.
+// The selector filters the preferred nodes in the slice that holds all candidates. If some preferred nodes
+// are saturated and the others have too many contenders, some nodes may be missing from this slice and others
+// may appear twice in the second draw. docs/ROADMAP.md lists this as a known fault. A correction would change
+// placements, so the test fixes the nodes that are drawn with 60 seeds.
 func TestSecondDrawSeesListThatThePreferenceReordered(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
@@ -249,16 +255,16 @@
 		config := testConfig()
 		config.Overcommit = Overcommit{Cores: 4, Memory: 4}
 		nodes := testNodes(7)
-		nodes[0].FreeCores = -16 // saturated, with capacity
+		nodes[0].FreeCores = -16 // the cores are saturated, but overcommit leaves capacity
 		nodes[3].FreeCores, nodes[3].FreeMemory = 1, 1
 		placer := newTestPlacer(t, config, seed, nodes)
-		for i := range 3 { // the nodes 1 to 3 have the program
+		for i := range 3 { // the nodes 1 to 3 have the cached program
 			adoptTask(placer, TaskID(900+i), NodeID(i+1), 0)
 		}
 		placer.nodes.byID[2].tasks.unanswered, placer.nodes.byID[3].tasks.unanswered = 50, 50
-		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, newTaskOf(5, 1, 0))).Node))
+		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
 	}
 	if got.String() != want {
-		t.Errorf("nodes by seed\n got %s\nwant %s", got.String(), want)
+		t.Errorf("drawn nodes, one digit for each seed:\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -6,7 +6,8 @@
 	"heathshed/placer"
 )
 
-// simNode is the true state of a node, which the Placer sees through lists and reports only.
+// simNode is the actual state of a simulated node. The Placer learns about it only from node lists and load
+// reports.
 type simNode struct {
 	placer.Node
 	requestedCores, requestedMemory float64
@@ -18,14 +19,14 @@
 	sim.nextNode += 7
 	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.script.zones), Rack: sim.rng.IntN(sim.script.racks),
 		NodeType: sim.rng.IntN(len(sim.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
-	if sim.chance(0.03) {
-		node.NodeType = 9 // a node type that the configuration does not have
+	if sim.withProbability(0.03) {
+		node.NodeType = 9 // the configuration has no such node type
 	}
 	sim.nodes = append(sim.nodes, node)
 }
 
-// entry returns the list entry of a node.
-func (sim *simulation) entry(node *simNode) placer.Node {
+// listEntry returns the entry of a node in a node list.
+func (sim *simulation) listEntry(node *simNode) placer.Node {
 	entry := node.Node
 	size := sim.size(node)
 	entry.FreeCores, entry.FreeMemory = size.Cores-node.requestedCores, size.Memory-node.requestedMemory
@@ -39,54 +40,55 @@
 	return placer.NodeType{Cores: 8, Memory: 16}
 }
 
-func (sim *simulation) sendNodes(kind placer.ListKind) {
+func (sim *simulation) sendNodeList(kind placer.ListKind) {
 	event := placer.Event{Kind: placer.NodesListed, List: kind}
 	for _, node := range sim.nodes {
-		if node.removed || kind == placer.ListFailed || kind == placer.Changes && sim.chance(0.6) {
+		if node.removed || kind == placer.ListFailed || kind == placer.Changes && sim.withProbability(0.6) {
 			continue
 		}
-		event.Nodes = append(event.Nodes, sim.entry(node))
+		event.Nodes = append(event.Nodes, sim.listEntry(node))
 	}
 	sim.handle(event)
 }
 
-func (sim *simulation) pushNodes() {
-	sim.after(sim.script.listEvery, sim.pushNodes)
+func (sim *simulation) pushNodeList() {
+	sim.schedule(sim.script.listInterval, sim.pushNodeList)
 	if !sim.subscribed {
 		return
 	}
 	switch {
-	case sim.chance(sim.script.listFails):
+	case sim.withProbability(sim.script.listFailureProbability):
 		sim.subscribed = !sim.script.config.Discovery.MustPoll
-		sim.sendNodes(placer.ListFailed)
-	case sim.chance(0.2):
-		sim.sendNodes(placer.FullList)
-	case sim.chance(0.2):
-		sim.sendNodes(placer.CachedList)
+		sim.sendNodeList(placer.ListFailed)
+	case sim.withProbability(0.2):
+		sim.sendNodeList(placer.FullList)
+	case sim.withProbability(0.2):
+		sim.sendNodeList(placer.CachedList)
 	default:
-		sim.sendNodes(placer.Changes)
+		sim.sendNodeList(placer.Changes)
 	}
 }
 
-// answerPoll answers a request for the list in most cases.
+// answerPoll answers a request for the node list. With a probability of about 0.1 it does not answer.
 func (sim *simulation) answerPoll() {
 	switch {
-	case sim.chance(sim.script.listFails):
-		sim.sendNodes(placer.ListFailed)
-	case sim.chance(0.1): // no answer
+	case sim.withProbability(sim.script.listFailureProbability):
+		sim.sendNodeList(placer.ListFailed)
+	case sim.withProbability(0.1): // the request gets no answer
 	default:
-		sim.subscribed = sim.chance(0.8)
-		sim.sendNodes(placer.FullList)
+		sim.subscribed = sim.withProbability(0.8)
+		sim.sendNodeList(placer.FullList)
 	}
 }
 
-// churn changes one node: it drains, terminates, restarts or is replaced.
-func (sim *simulation) churn() {
-	sim.after(sim.script.churnEvery*(0.5+sim.randomTime()), sim.churn)
+// changeRandomNode changes one node, which then drains, terminates, restarts, breaks, recovers or is
+// replaced.
+func (sim *simulation) changeRandomNode() {
+	sim.schedule(sim.script.churnInterval*(0.5+sim.randomSecond()), sim.changeRandomNode)
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	switch draw := sim.rng.Float64(); {
-	case sim.script.returnsAfter > 0:
-		sim.removeForAWhile(node)
+	case sim.script.relistDelay > 0:
+		sim.removeTemporarily(node)
 	case node.removed:
 		if len(sim.nodes) < 4*sim.script.nodes {
 			sim.addNode(sim.now)
@@ -101,32 +103,33 @@
 	case draw < 0.55:
 		node.broken = !node.broken
 	default:
-		node.State, node.StartedAt = placer.Ready, sim.now-0.5*sim.randomTime()
+		node.State, node.StartedAt = placer.Ready, sim.now-0.5*sim.randomSecond()
 	}
 }
 
-// removeForAWhile takes a node off the list and lists it again, unchanged, about when the Placer evicts it.
-func (sim *simulation) removeForAWhile(node *simNode) {
+// removeTemporarily removes a node from the node list. It lists the node again, unchanged, at about the time
+// at which the Placer evicts the record of the node.
+func (sim *simulation) removeTemporarily(node *simNode) {
 	if node.removed || node.State != placer.Ready {
 		return
 	}
 	node.removed = true
-	sim.after(sim.script.returnsAfter+2*sim.randomTime(), func() { node.removed = false })
+	sim.schedule(sim.script.relistDelay+2*sim.randomSecond(), func() { node.removed = false })
 }
 
-// report returns a node's load report; parts of it are missing at random.
+// report returns the load report of a node. The whole report or some of its values are missing at random.
 func (sim *simulation) report(node *simNode) *placer.Report {
-	if sim.chance(0.3) {
+	if sim.withProbability(0.3) {
 		return nil
 	}
-	size, use := sim.size(node), 0.5+sim.script.minUsageRatio+(0.4-sim.script.minUsageRatio)*sim.rng.Float64()
-	if sim.chance(0.05) {
-		use = 1.3
+	size, usedFraction := sim.size(node), 0.5+sim.script.extraMinUsageRatio+(0.4-sim.script.extraMinUsageRatio)*sim.rng.Float64()
+	if sim.withProbability(0.05) {
+		usedFraction = 1.3
 	}
-	report := &placer.Report{FreeCores: size.Cores - node.requestedCores*use, FreeMemory: size.Memory - node.requestedMemory*use,
-		Utilization: node.requestedCores * use / size.Cores, QueueLength: float64(sim.rng.IntN(4))}
+	report := &placer.Report{FreeCores: size.Cores - node.requestedCores*usedFraction, FreeMemory: size.Memory - node.requestedMemory*usedFraction,
+		Utilization: node.requestedCores * usedFraction / size.Cores, QueueLength: float64(sim.rng.IntN(4))}
 	for _, field := range []*float64{&report.FreeCores, &report.FreeMemory, &report.Utilization, &report.QueueLength} {
-		if sim.chance(0.25) {
+		if sim.withProbability(0.25) {
 			*field = math.NaN()
 		}
 	}
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -6,11 +6,11 @@
 	"heathshed/placer"
 )
 
-// simTask is a task of the simulation.
+// simTask is a simulated task with its attempts.
 type simTask struct {
 	task     placer.Task
-	nodes    []*simNode // by attempt
-	ended    []bool     // by attempt
+	nodes    []*simNode // node of each attempt
+	ended    []bool     // whether each attempt has ended
 	bound    bool
 	lifetime placer.Seconds
 }
@@ -19,31 +19,31 @@
 	class := sim.rng.IntN(len(sim.script.config.Classes))
 	task := placer.Task{ID: sim.nextTask, Class: class, Tenant: sim.rng.IntN(2),
 		Service: placer.ServiceID(1 + sim.rng.IntN(sim.script.services)),
-		Cores:   sim.script.task * (0.5 + sim.rng.Float64()), Memory: sim.script.taskMemory * (0.5 + sim.rng.Float64()),
-		Deadline: sim.now + sim.script.config.Classes[class].Deadline, IsRetry: sim.chance(0.1)}
+		Cores:   sim.script.taskCores * (0.5 + sim.rng.Float64()), Memory: sim.script.taskMemory * (0.5 + sim.rng.Float64()),
+		Deadline: sim.now + sim.script.config.Classes[class].Deadline, IsRetry: sim.withProbability(0.1)}
 	sim.nextTask++
 	return task
 }
 
-func (sim *simulation) arrivals() {
-	rate := sim.script.arrivalsPerSec
-	if sim.script.lowLoadAfter > 0 && sim.events > sim.script.lowLoadAfter {
+func (sim *simulation) generateArrivals() {
+	rate := sim.script.arrivalsPerSecond
+	if sim.script.lowLoadAfterEvents > 0 && sim.events > sim.script.lowLoadAfterEvents {
 		rate /= 8
 	}
-	sim.after(placer.Seconds(-math.Log(1-sim.rng.Float64())/rate), sim.arrivals)
+	sim.schedule(placer.Seconds(-math.Log(1-sim.rng.Float64())/rate), sim.generateArrivals)
 	task := sim.newTask()
-	if sim.chance(0.02) {
+	if sim.withProbability(0.02) {
 		sim.invalidate(&task)
 	}
 	sim.arrive(task)
-	if sim.chance(0.01) { // a burst
+	if sim.withProbability(0.01) { // a burst of tasks arrives
 		for range 15 {
 			sim.arrive(sim.newTask())
 		}
 	}
 }
 
-// invalidate changes a task to one that can never be placed.
+// invalidate makes a task invalid, or sets its requested capacity to zero.
 func (sim *simulation) invalidate(task *placer.Task) {
 	switch sim.rng.IntN(9) {
 	case 0:
@@ -68,47 +68,48 @@
 }
 
 func (sim *simulation) arrive(task placer.Task) {
-	state := &simTask{task: task, lifetime: sim.script.lifetime * 2 * sim.randomTime()}
+	state := &simTask{task: task, lifetime: sim.script.lifetime * 2 * sim.randomSecond()}
 	sim.tasks = append(sim.tasks, state)
 	sim.byID[task.ID] = state
 	sim.handle(placer.Event{Kind: placer.Arrived, Task: task})
-	if sim.chance(0.02) {
-		sim.handle(placer.Event{Kind: placer.Arrived, Task: task}) // repeated
+	if sim.withProbability(0.02) {
+		sim.handle(placer.Event{Kind: placer.Arrived, Task: task}) // the request is repeated
 	}
-	if sim.chance(0.05 + sim.script.withdrawn) {
-		sim.after(placer.Seconds(2*sim.rng.Float64()*(1-sim.script.withdrawn)), func() { sim.withdraw(state) })
+	if sim.withProbability(0.05 + sim.script.withdrawalProbability) {
+		sim.schedule(placer.Seconds(2*sim.rng.Float64()*(1-sim.script.withdrawalProbability)), func() { sim.withdraw(state) })
 	}
 }
 
 func (sim *simulation) withdraw(task *simTask) {
 	sim.handle(placer.Event{Kind: placer.Withdrawn, TaskID: task.task.ID})
 	attempt := len(task.ended) - 1
-	if attempt >= 0 && !task.ended[attempt] && sim.chance(0.8-sim.script.withdrawn) {
-		sim.end(task, attempt, placer.Cancelled, placer.NoReason, true)
+	if attempt >= 0 && !task.ended[attempt] && sim.withProbability(0.8-sim.script.withdrawalProbability) {
+		sim.endAttempt(task, attempt, placer.Cancelled, placer.NoReason, true)
 	}
 }
 
-// resubmit requests a rejected task again.
+// resubmit requests a task again under a new task ID.
 func (sim *simulation) resubmit(task *simTask) {
-	again := task.task
-	again.ID, again.IsRetry = sim.nextTask, true
-	again.Deadline = sim.now + 4
+	resubmitted := task.task
+	resubmitted.ID, resubmitted.IsRetry = sim.nextTask, true
+	resubmitted.Deadline = sim.now + 4
 	sim.nextTask++
-	sim.arrive(again)
+	sim.arrive(resubmitted)
 }
 
-// migrate stops a task as the scheduler requested.
+// migrate stops a running task and requests it again, as the Migrate action specifies.
 func (sim *simulation) migrate(task *simTask) {
 	attempt := len(task.ended) - 1
 	if attempt < 0 || task.ended[attempt] {
 		return
 	}
-	sim.end(task, attempt, placer.Lost, placer.Drained, true)
+	sim.endAttempt(task, attempt, placer.Lost, placer.Drained, true)
 	sim.resubmit(task)
 }
 
-// adopt reports a task that runs already, for some on a node that no list has named.
-func (sim *simulation) adopt(i int) {
+// adoptTask reports a task that was found running. In one of four cases, no node list has named the node of
+// the task.
+func (sim *simulation) adoptTask(i int) {
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	if i%4 == 3 {
 		node = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + i)}}
@@ -118,14 +119,14 @@
 	sim.byID[task.task.ID] = task
 	node.requestedCores += task.task.Cores
 	node.requestedMemory += task.task.Memory
-	for range 1 + i%2 { // some are repeated
+	for range 1 + i%2 { // the report of every second task is repeated
 		sim.handle(placer.Event{Kind: placer.Adopted, Task: task.task, Node: node.ID})
 	}
-	sim.after(3+20*sim.randomTime(), func() { sim.finish(task, 0) })
+	sim.schedule(3+20*sim.randomSecond(), func() { sim.finishTask(task, 0) })
 }
 
-// attemptStarted draws the outcome of an attempt.
-func (sim *simulation) attemptStarted(action placer.Action) {
+// handleStartAttempt draws the outcome of an attempt and schedules the event that reports it.
+func (sim *simulation) handleStartAttempt(action placer.Action) {
 	task := sim.byID[action.Task]
 	var node *simNode
 	for _, candidate := range sim.nodes {
@@ -135,31 +136,31 @@
 	}
 	task.nodes, task.ended = append(task.nodes, node), append(task.ended, false)
 	attempt, sent := action.Attempt, sim.now
-	latency := 0.01 + 0.2*sim.randomTime()
-	later := func(delay placer.Seconds, result placer.Result, reason placer.Reason) {
-		sim.after(delay, func() { sim.end(task, attempt, result, reason, sim.chance(0.03)) })
+	latency := 0.01 + 0.2*sim.randomSecond()
+	endAfter := func(delay placer.Seconds, result placer.Result, reason placer.Reason) {
+		sim.schedule(delay, func() { sim.endAttempt(task, attempt, result, reason, sim.withProbability(0.03)) })
 	}
 	size := sim.size(node)
 	switch {
-	case sim.chance(sim.script.lateOutcomes): // the outcome comes too late
-		later(task.task.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
+	case sim.withProbability(sim.script.lateOutcomeProbability): // the outcome arrives after the deadline
+		endAfter(task.task.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
 	case node.removed || node.State == placer.Terminated:
-		later(latency, placer.Unreachable, placer.NoReason)
+		endAfter(latency, placer.Unreachable, placer.NoReason)
 	case node.State == placer.Draining:
-		later(latency, placer.Rejected, placer.WrongNode)
-	case node.broken && sim.chance(0.5):
-		later(action.Until-sim.now, placer.TimedOut, placer.NoReason)
+		endAfter(latency, placer.Rejected, placer.WrongNode)
+	case node.broken && sim.withProbability(0.5):
+		endAfter(action.Until-sim.now, placer.TimedOut, placer.NoReason)
 	case node.broken:
-		later(latency, placer.Errored, placer.NoReason)
+		endAfter(latency, placer.Errored, placer.NoReason)
 	case node.requestedCores+task.task.Cores > size.Cores*sim.script.config.Overcommit.Cores:
-		later(latency, placer.Rejected, placer.InsufficientCores)
+		endAfter(latency, placer.Rejected, placer.InsufficientCores)
 	case node.requestedMemory+task.task.Memory > size.Memory*sim.script.config.Overcommit.Memory:
-		later(latency, placer.Rejected, placer.InsufficientMemory)
-	case sim.chance(sim.script.failing):
+		endAfter(latency, placer.Rejected, placer.InsufficientMemory)
+	case sim.withProbability(sim.script.failureProbability):
 		outcome := sim.drawFailure()
-		later(latency, outcome.result, outcome.reason)
+		endAfter(latency, outcome.result, outcome.reason)
 	default:
-		sim.after(latency+0.4*sim.randomTime(), func() { sim.bind(task, attempt, sim.now-sent) })
+		sim.schedule(latency+0.4*sim.randomSecond(), func() { sim.bindAttempt(task, attempt, sim.now-sent) })
 	}
 }
 
@@ -168,9 +169,9 @@
 	reason placer.Reason
 }
 
-// drawFailure draws how an attempt may end before it is bound.
+// drawFailure draws the result and the reason of an attempt that ends before it is bound.
 func (sim *simulation) drawFailure() outcome {
-	all := []outcome{
+	outcomes := []outcome{
 		{placer.Rejected, placer.InsufficientCores}, {placer.Rejected, placer.InsufficientMemory}, {placer.Rejected, placer.QueueFull},
 		{placer.Rejected, placer.WrongNode}, {placer.Rejected, placer.NoReason}, {placer.Rejected, placer.QueueFull},
 		{placer.Errored, placer.NoReason}, {placer.Errored, placer.NoReason}, {placer.TimedOut, placer.NoReason},
@@ -178,10 +179,10 @@
 		{placer.Lost, placer.Preempted}, {placer.Lost, placer.Drained}, {placer.Cancelled, placer.NoReason},
 		{placer.Expired, placer.NoReason}, {placer.Finished, placer.NoReason},
 	}
-	return all[sim.rng.IntN(len(all))]
+	return outcomes[sim.rng.IntN(len(outcomes))]
 }
 
-func (sim *simulation) bind(task *simTask, attempt int, elapsed placer.Seconds) {
+func (sim *simulation) bindAttempt(task *simTask, attempt int, elapsed placer.Seconds) {
 	if task.ended[attempt] {
 		return
 	}
@@ -191,32 +192,32 @@
 	node.requestedMemory += task.task.Memory
 	event := placer.Event{Kind: placer.Bound, TaskID: task.task.ID, Attempt: attempt, Node: node.ID, Elapsed: elapsed}
 	sim.handle(event)
-	if sim.chance(0.02) {
+	if sim.withProbability(0.02) {
 		sim.handle(event) // repeated
 	}
-	for use := placer.Started; use <= placer.NodeMemory; use++ {
-		if sim.chance(0.5) {
-			sim.after(0.2+sim.randomTime(), func() { sim.reportUsage(task, attempt, use) })
+	for kind := placer.Started; kind <= placer.NodeMemory; kind++ {
+		if sim.withProbability(0.5) {
+			sim.schedule(0.2+sim.randomSecond(), func() { sim.reportUsage(task, attempt, kind) })
 		}
 	}
-	sim.after(task.lifetime, func() { sim.finish(task, attempt) })
+	sim.schedule(task.lifetime, func() { sim.finishTask(task, attempt) })
 }
 
-func (sim *simulation) reportUsage(task *simTask, attempt int, use placer.UsageKind) {
+func (sim *simulation) reportUsage(task *simTask, attempt int, kind placer.UsageKind) {
 	value := 2 * sim.rng.Float64() * task.task.Cores
-	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.task.ID, Attempt: attempt, Node: task.nodes[attempt].ID, Usage: use, Value: value})
+	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.task.ID, Attempt: attempt, Node: task.nodes[attempt].ID, Usage: kind, Value: value})
 }
 
-// finish ends a bound task, in most cases with success.
-func (sim *simulation) finish(task *simTask, attempt int) {
+// finishTask ends a bound task, in three of four cases with success.
+func (sim *simulation) finishTask(task *simTask, attempt int) {
 	result := outcome{placer.Finished, placer.NoReason}
-	if sim.chance(0.25) {
+	if sim.withProbability(0.25) {
 		result = sim.drawFailure()
 	}
-	sim.end(task, attempt, result.result, result.reason, sim.chance(0.9))
+	sim.endAttempt(task, attempt, result.result, result.reason, sim.withProbability(0.9))
 }
 
-func (sim *simulation) end(task *simTask, attempt int, result placer.Result, reason placer.Reason, over bool) {
+func (sim *simulation) endAttempt(task *simTask, attempt int, result placer.Result, reason placer.Reason, final bool) {
 	if task.ended[attempt] {
 		return
 	}
@@ -227,9 +228,9 @@
 		node.requestedMemory -= task.task.Memory
 	}
 	event := placer.Event{Kind: placer.Ended, TaskID: task.task.ID, Attempt: attempt, Node: node.ID, Result: result, Reason: reason,
-		Elapsed: 0.1, Final: over, Report: sim.report(node)}
+		Elapsed: 0.1, Final: final, Report: sim.report(node)}
 	sim.handle(event)
-	if sim.chance(0.02) {
+	if sim.withProbability(0.02) {
 		sim.handle(event) // repeated
 	}
 }
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -15,14 +15,14 @@
 	"heathshed/placer"
 )
 
-// pendingEvent is something that the simulation does at a later time.
-type pendingEvent struct {
+// scheduledEvent is a function that the simulation runs at a later time.
+type scheduledEvent struct {
 	at       placer.Seconds
 	sequence int
-	do       func()
+	run      func()
 }
 
-type eventQueue []pendingEvent
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 
@@ -32,7 +32,7 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(pendingEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
@@ -40,25 +40,25 @@
 	return last
 }
 
-// simulation runs one script.
+// simulation is a discrete-event simulation that runs one script.
 type simulation struct {
-	script     script
-	placer     *placer.Placer
-	rng        *rand.Rand
-	now        placer.Seconds
-	queue      eventQueue
-	sequence   int
-	nodes      []*simNode
-	tasks      []*simTask
-	byID       map[placer.TaskID]*simTask
-	nextNode   placer.NodeID
-	nextTask   placer.TaskID
-	subscribed bool
-	digest     hash.Hash
-	events     int
-	actions    [8]int // by the number of their kind
-	out        *strings.Builder
-	buffer     []placer.Action
+	script      script
+	placer      *placer.Placer
+	rng         *rand.Rand
+	now         placer.Seconds
+	queue       eventQueue
+	sequence    int
+	nodes       []*simNode
+	tasks       []*simTask
+	byID        map[placer.TaskID]*simTask
+	nextNode    placer.NodeID
+	nextTask    placer.TaskID
+	subscribed  bool
+	digest      hash.Hash
+	events      int
+	actions     [8]int // number of actions by kind
+	checkpoints *strings.Builder
+	buffer      []placer.Action
 }
 
 func runScript(t *testing.T, input script, out *strings.Builder) {
@@ -68,64 +68,67 @@
 		t.Fatal(err)
 	}
 	sim := &simulation{script: input, placer: target, rng: rand.New(rand.NewPCG(input.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, out: out, subscribed: !input.config.Discovery.MustPoll}
+		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, checkpoints: out, subscribed: !input.config.Discovery.MustPoll}
 	sim.start()
 	for sim.events < input.events {
-		next := heap.Pop(&sim.queue).(pendingEvent)
+		next := heap.Pop(&sim.queue).(scheduledEvent)
 		sim.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
 func (sim *simulation) start() {
 	for range sim.script.nodes {
-		sim.addNode(sim.script.firstSince)
+		sim.addNode(sim.script.nodesStartedAt)
 	}
 	for i := range sim.script.brokenNodes {
 		sim.nodes[i*3%len(sim.nodes)].broken = true
 	}
 	for i := range 8 {
-		sim.adopt(i)
+		sim.adoptTask(i)
 	}
-	sim.pushNodes()
-	sim.arrivals()
-	sim.unmatchedEvents()
-	if sim.script.churnEvery > 0 {
-		sim.after(sim.script.churnEvery, sim.churn)
+	sim.pushNodeList()
+	sim.generateArrivals()
+	sim.sendUnmatchedEvents()
+	if sim.script.churnInterval > 0 {
+		sim.schedule(sim.script.churnInterval, sim.changeRandomNode)
 	}
 }
 
-func (sim *simulation) after(delay placer.Seconds, do func()) {
+func (sim *simulation) schedule(delay placer.Seconds, run func()) {
 	sim.sequence++
-	heap.Push(&sim.queue, pendingEvent{sim.now + delay, sim.sequence, do})
+	heap.Push(&sim.queue, scheduledEvent{sim.now + delay, sim.sequence, run})
 }
 
-// randomTime draws a time between 0 and 1 second.
-func (sim *simulation) randomTime() placer.Seconds { return placer.Seconds(sim.rng.Float64()) }
+// randomSecond draws a duration between 0 and 1 s.
+func (sim *simulation) randomSecond() placer.Seconds { return placer.Seconds(sim.rng.Float64()) }
 
-// chance is true in the given part of all calls.
-func (sim *simulation) chance(part float64) bool { return sim.rng.Float64() < part }
+// withProbability returns true with the given probability.
+func (sim *simulation) withProbability(probability float64) bool {
+	return sim.rng.Float64() < probability
+}
 
-// handle passes an event to the Placer, adds the actions to the digest and carries them out.
+// handle passes an event to the Placer, adds the resulting actions to the digest and performs them.
 func (sim *simulation) handle(event placer.Event) {
 	sim.handleAt(sim.now, event)
 }
 
 func (sim *simulation) handleAt(now placer.Seconds, event placer.Event) {
-	prefix := placer.Action{Kind: 99, Token: uint64(sim.events)} // the buffer must keep its content
+	prefix := placer.Action{Kind: 99, Token: uint64(sim.events)} // Handle must not change this first action
 	sim.buffer = sim.placer.Handle(now, event, append(sim.buffer[:0], prefix))
 	sim.digestActions()
 	sim.events++
 	if sim.events%checkpointEvents == 0 && sim.events <= sim.script.events {
-		fmt.Fprintf(sim.out, "%s %d %v %x\n", sim.script.name, sim.events, sim.actions[1:], sim.digest.Sum(nil))
+		fmt.Fprintf(sim.checkpoints, "%s %d %v %x\n", sim.script.name, sim.events, sim.actions[1:], sim.digest.Sum(nil))
 	}
-	for _, action := range copyOfActions(sim.buffer) {
-		sim.carryOut(action)
+	for _, action := range copyActions(sim.buffer) {
+		sim.perform(action)
 	}
 }
 
-// copyOfActions copies the actions of one event, since carrying them out may pass the next event.
-func copyOfActions(actions []placer.Action) []placer.Action {
+// copyActions returns a copy of the actions of one event, because performing an action may reuse the buffer
+// for the next event.
+func copyActions(actions []placer.Action) []placer.Action {
 	return append([]placer.Action(nil), actions[1:]...)
 }
 
@@ -148,31 +151,32 @@
 	sim.digest.Write(words.Bytes())
 }
 
-func (sim *simulation) carryOut(action placer.Action) {
+func (sim *simulation) perform(action placer.Action) {
 	switch action.Kind {
 	case placer.StartAttempt:
-		sim.attemptStarted(action)
+		sim.handleStartAttempt(action)
 	case placer.SetTimer:
-		sim.after(action.After, func() { sim.handle(placer.Event{Kind: placer.TimerFired, Token: action.Token}) })
+		sim.schedule(action.After, func() { sim.handle(placer.Event{Kind: placer.TimerFired, Token: action.Token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		sim.after(0.05+0.1*sim.randomTime(), sim.answerPoll)
+		sim.schedule(0.05+0.1*sim.randomSecond(), sim.answerPoll)
 	case placer.Migrate:
 		if task := sim.byID[action.Task]; task != nil {
-			sim.after(0.3, func() { sim.migrate(task) })
+			sim.schedule(0.3, func() { sim.migrate(task) })
 		}
 	case placer.Reject, placer.Fail:
-		if task := sim.byID[action.Task]; task != nil && sim.chance(0.3) {
-			sim.after(0.5+sim.randomTime(), func() { sim.resubmit(task) })
+		if task := sim.byID[action.Task]; task != nil && sim.withProbability(0.3) {
+			sim.schedule(0.5+sim.randomSecond(), func() { sim.resubmit(task) })
 		}
 	}
 }
 
-// unmatchedEvents passes events that match nothing, at a time slightly before the last event.
-func (sim *simulation) unmatchedEvents() {
-	sim.after(0.5+sim.randomTime(), sim.unmatchedEvents)
+// sendUnmatchedEvents sends events that refer to unknown tasks, attempts or timers. Their time is slightly
+// before that of the last event.
+func (sim *simulation) sendUnmatchedEvents() {
+	sim.schedule(0.5+sim.randomSecond(), sim.sendUnmatchedEvents)
 	id := placer.TaskID(1 + sim.rng.IntN(int(sim.nextTask)))
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))].ID
-	kinds := []placer.Event{
+	events := []placer.Event{
 		{Kind: placer.Bound, TaskID: id, Attempt: 50, Node: node},
 		{Kind: placer.Bound, TaskID: 1 << 40, Node: node},
 		{Kind: placer.Bound, TaskID: id, Attempt: -1, Node: node},
@@ -184,5 +188,5 @@
 		{Kind: placer.TimerFired, Token: 1 << 40},
 		{Kind: placer.EventKind(200), TaskID: id},
 	}
-	sim.handleAt(sim.now-0.05, kinds[sim.rng.IntN(len(kinds))])
+	sim.handleAt(sim.now-0.05, events[sim.rng.IntN(len(events))])
 }
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -11,11 +11,11 @@
 	running, rackNeighbor, zoneNeighbor, elsewhere := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
 	for name, test := range map[string]struct {
 		domain TopologyDomain
-		on     *trackedNode // where two tasks of the service run
+		on     *trackedNode // node on which two tasks of the service run
 		node   *trackedNode
 		want   bool
 	}{
-		"no rule":                    {NoDomain, running, running, true},
+		"no spread domain":           {NoDomain, running, running, true},
 		"same node":                  {NodeDomain, running, running, false},
 		"another node":               {NodeDomain, running, rackNeighbor, true},
 		"same rack":                  {RackDomain, running, rackNeighbor, false},
@@ -23,8 +23,8 @@
 		"same zone":                  {ZoneDomain, running, zoneNeighbor, false},
 		"another zone":               {ZoneDomain, running, elsewhere, true},
 		"cluster":                    {ClusterDomain, running, elsewhere, false},
-		"on a node that is unlisted": {RackDomain, newTrackedNode(5), elsewhere, false},
-		"unlisted, but another node": {NodeDomain, newTrackedNode(5), elsewhere, true},
+		"tasks on an unlisted node":  {RackDomain, newTrackedNode(5), elsewhere, false},
+		"unlisted node, node domain": {NodeDomain, newTrackedNode(5), elsewhere, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const service = 7
@@ -35,18 +35,18 @@
 			rule.add(first)
 			rule.add(second)
 			if got := rule.allows(class, service, test.node); got != test.want {
-				t.Errorf("with two tasks: got %v, want %v", got, test.want)
+				t.Errorf("another task is allowed beside two tasks: got %v, want %v", got, test.want)
 			}
 			if !rule.allows(class, service+1, test.node) {
-				t.Error("tasks of another service count")
+				t.Error("tasks of another service count for the spread rule")
 			}
 			rule.remove(first)
 			if !rule.allows(class, service, test.node) {
-				t.Error("a task counts after its end")
+				t.Error("a task still counts for the spread rule after its end")
 			}
 			rule.remove(second)
 			if len(rule.attempts) != 0 {
-				t.Error("a service without tasks is kept")
+				t.Error("the spread rule keeps a service that has no tasks")
 			}
 		})
 	}
