--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestUsageIsLearnedFromReports(t *testing.T) {
+func TestUsageRatiosAreLearnedFromReports(t *testing.T) {
 	const now = 100
 	for name, test := range map[string]struct {
 		free          float64 // free cores of the node; its free memory is twice this amount
@@ -121,7 +121,7 @@
 
 // When an attempt is answered, only the capacity change that was recorded for this attempt must be removed.
 // Another change may have the same time.
-func TestNodeLoadFollowsAttempts(t *testing.T) {
+func TestNodeLoadRecordsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
 	sent := &attempt{request: request, sentAt: 100}
 	var load nodeLoad
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestCharacterizationOfConfigChecks fixes which configurations New accepts. The expected text has one digit
-// for each configuration: 1 if New must accept it, 0 if New must reject it.
-func TestCharacterizationOfConfigChecks(t *testing.T) {
+// TestCharacterizationOfConfigValidation fixes which configurations New accepts. The expected text has one
+// digit for each configuration: 1 if New must accept it, 0 if New must reject it.
+func TestCharacterizationOfConfigValidation(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	changes := []func(*placer.Config){
 		func(*placer.Config) {},
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -4,7 +4,7 @@
 
 // The last tasks on an unneeded node would keep the node in use until the longest of them ends. Standby nodes
 // must get no attempts, and their last task must be migrated once.
-func TestStandbyNodesGetNoAttemptsAndAreDrained(t *testing.T) {
+func TestStandbyNodesGetNoAttemptsAndLoseLastTask(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	nodes := testNodes(6)
@@ -34,7 +34,7 @@
 
 // If nodes acknowledge a task only when it starts, some task is always starting. An unanswered attempt must
 // not prevent the migration of the last tasks off a standby node.
-func TestStandbyIsDrainedWhileTasksStart(t *testing.T) {
+func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	placer := newTestPlacer(t, config, 1, testNodes(6))
@@ -50,7 +50,7 @@
 
 // A node that is warming up can take few tasks. If its full capacity counted, nodes that have finished
 // warming up would be put on standby.
-func TestWarmingNodesDoNotPutWarmNodesOnStandby(t *testing.T) {
+func TestWarmingNodesDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
 	nodes := testNodes(12)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestMayDrain(t *testing.T) {
+func TestMayMigrateFrom(t *testing.T) {
 	const now = 100
 	for name, test := range map[string]struct {
 		standby  standbyRecord
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestRestartDropsLoadAndHealth(t *testing.T) {
+func TestRestartResetsLoadAndHealth(t *testing.T) {
 	table := newNodeTable(nil)
 	table.apply(FullList, []Node{{ID: 1, StartedAt: 50}})
 	node := table.byID[1]
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -43,14 +43,14 @@
 
 // If load reports do not contain usage, the filter must not limit the memory in use. The nodes limit it
 // themselves.
-func TestMemoryLimitNeedsReportsOfUse(t *testing.T) {
+func TestMemoryUsageIsNotLimitedWithoutUsageReports(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeMemory = 2
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
 }
 
-func TestOwnZoneFirstWhereCrossingHasAPrice(t *testing.T) {
+func TestOwnZoneIsPreferredIfCrossZoneHasCost(t *testing.T) {
 	config := testConfig()
 	for _, cost := range []float64{0, 0.1} {
 		config.Costs.CrossZone = cost
@@ -75,7 +75,7 @@
 // A scheduler with few tasks may wait long for its first load report. Until then, it must estimate usage
 // ratios from its own tasks. Otherwise, it would overestimate the number of nodes needed by a factor of two,
 // and keep nodes active that other schedulers put on standby.
-func TestTaskUsageIsUsedUntilFirstReport(t *testing.T) {
+func TestTaskUsageIsEstimateUntilFirstReport(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 20 {
 		id := TaskID(900 + i)
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestColdStartsSlow(t *testing.T) {
+func TestColdStartsAreSlow(t *testing.T) {
 	for name, test := range map[string]struct {
 		acknowledgesOnStart bool
 		coldStart           bool
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestOutlierIsEjectedAndOneCrashIsOneFailure(t *testing.T) {
+func TestSimultaneousFailuresCountAsOne(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for range 20 {
 		placer.outliers.recordFailure(100, placer.nodes.byID[2])
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestSuccessTakesBackOneFailureAtATime(t *testing.T) {
+func TestSuccessCancelsOneFailureAtATime(t *testing.T) {
 	detector, node := newTestDetector(), newTrackedNode(1)
 	node.health = nodeHealth{failures: 3, ejectedUntil: 100}
 	for _, step := range []struct {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -77,7 +77,7 @@
 
 // If nodes answer only when a task starts, a slow start must not be taken for an unresponsive node. The
 // timeout must not depend on the learned answer times.
-func TestAttemptTimeoutWhereAcknowledgedOnStart(t *testing.T) {
+func TestAttemptTimeoutIfAcknowledgedOnStart(t *testing.T) {
 	config := testConfig()
 	config.NodeBehavior.AcknowledgesOnStart = true
 	placer := newTestPlacer(t, config, 1, testNodes(4))
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -33,7 +33,7 @@
 	return files
 }
 
-func TestPolicyFilesKeepTheirLineWidth(t *testing.T) {
+func TestPolicyFilesRespectLineWidth(t *testing.T) {
 	for _, file := range policyFiles(t) {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestOnlyPolicyFilesHoldTunedValues checks that only the policy files contain tunable values. In all other
-// files of the package, the only numbers are 0 and 1, and the only constants are enumerations.
-func TestOnlyPolicyFilesHoldTunedValues(t *testing.T) {
+// TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. In all
+// other files of the package, the only numbers are 0 and 1, and the only constants are enumerations.
+func TestOnlyPolicyFilesContainTunableValues(t *testing.T) {
 	isPolicy := map[string]bool{}
 	for _, file := range policyFiles(t) {
 		isPolicy[filepath.Base(file)] = true
@@ -65,15 +65,15 @@
 		if isPolicy[file] || strings.HasSuffix(file, "_test.go") {
 			continue
 		}
-		for _, position := range findTunedValues(t, file) {
+		for _, position := range findTunableValues(t, file) {
 			t.Errorf("%s: a tunable value must be in a policy file", position)
 		}
 	}
 }
 
-// findTunedValues returns the positions of number literals other than 0 and 1, and of constant declarations
+// findTunableValues returns the positions of number literals other than 0 and 1, and of constant declarations
 // with a value that does not use iota.
-func findTunedValues(t *testing.T, file string) []token.Position {
+func findTunableValues(t *testing.T, file string) []token.Position {
 	t.Helper()
 	fileSet := token.NewFileSet()
 	parsed, err := parser.ParseFile(fileSet, file, nil, 0)
@@ -116,9 +116,9 @@
 	return true
 }
 
-// TestTunedValuesAreFound verifies that findTunedValues finds numbers and constants, and ignores
+// TestFindTunableValues verifies that findTunableValues finds numbers and constants, and ignores
 // enumerations.
-func TestTunedValuesAreFound(t *testing.T) {
+func TestFindTunableValues(t *testing.T) {
 	for name, test := range map[string]struct {
 		source string
 		want   int
@@ -135,7 +135,7 @@
 			if err := os.WriteFile(file, []byte("package p\n\n"+test.source+"\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if found := findTunedValues(t, file); len(found) != test.want {
+			if found := findTunableValues(t, file); len(found) != test.want {
 				t.Errorf("found values at %v, want %d values", found, test.want)
 			}
 		})
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestOutstandingAttemptMustNotBeRejected(t *testing.T) {
+func TestRequestWithOutstandingAttemptIsNotRejected(t *testing.T) {
 	rule := &retryRule{cfg: &Config{Classes: []Class{{}}}}
 	request := &placementRequest{attempts: []*attempt{{state: attemptPending}}}
 	if rule.safeToReject(request) {
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -105,7 +105,7 @@
 // The tasks of a service arrive in batches, so no task of the service runs yet when the second one arrives.
 // Unanswered attempts must count as a sign of the cached program, and the program must count as cached after
 // its last task.
-func TestAttemptsAndCachedProgramsCountAsWarm(t *testing.T) {
+func TestUnansweredAttemptsAndEndedTasksImplyCachedProgram(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
 	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 1, 0)))
 	secondSent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 2, 0)))
@@ -123,7 +123,7 @@
 
 // If many requests wait, capacity that becomes free should go to requests that are within their latency
 // objective. Late requests must therefore draw new nodes less often.
-func TestLateTasksRedrawLessOften(t *testing.T) {
+func TestLateRequestsRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestNodesWithProgram(t *testing.T) {
+func TestProgramNodesFirst(t *testing.T) {
 	const service = 7
 	byHash := func(a, b NodeID) int {
 		return cmp.Compare(hashToUnitInterval(service, uint64(b)), hashToUnitInterval(service, uint64(a)))
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestLastPairStaysWhereAllHaveTooManyContenders(t *testing.T) {
+func TestLastPairIsUsedIfAllNodesExceedContenderLimit(t *testing.T) {
 	testSelector := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
 	candidates := newCandidates(2)
 	candidates[0].node.tasks.unanswered, candidates[1].node.tasks.unanswered = 9, 8
@@ -248,7 +248,7 @@
 // are saturated and the others have too many contenders, some nodes may be missing from this slice and others
 // may appear twice in the second draw. docs/ROADMAP.md lists this as a known fault. A correction would change
 // placements, so the test fixes the nodes that are drawn with 60 seeds.
-func TestSecondDrawSeesListThatThePreferenceReordered(t *testing.T) {
+func TestSecondDrawUsesReorderedCandidates(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
 	for seed := range uint64(len(want)) {
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestPeersShareFewerWarmupAttemptsThanPeers(t *testing.T) {
+func TestFewerWarmupAttemptsThanPeersAreShared(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total = 20
 	sent := 0
@@ -55,7 +55,7 @@
 // The attempts of all schedulers together must not overload a warming node. The test has 300 schedulers with
 // uneven traffic, and two thirds of the nodes warm up at the same time. Nodes reject all attempts, and
 // schedulers restart.
-func TestAllSchedulersRespectWarmupAttempts(t *testing.T) {
+func TestAllSchedulersTogetherRespectMaxAttempts(t *testing.T) {
 	config := testConfig()
 	config.Peers = Peers{Total: 300}
 	config.SlowStart.MaxAttempts, config.SlowStart.Duration = 7, 20
@@ -104,7 +104,7 @@
 // every second scheduler restarts and loses its state. Within an overload window, they must not send more
 // than MaxAttempts attempts. If connection setup delays attempts, the number that arrives within a window may
 // exceed MaxAttempts by a random amount.
-func TestThirtySchedulersOverOneWarmingNode(t *testing.T) {
+func TestThirtySchedulersOnOneWarmingNode(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
 			config := testConfig()
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestSharesAddUpToWhatNodeWithstands(t *testing.T) {
+func TestSharesAddUpToMaxAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts float64
 		peers    int
--- a/placer/units_test.go
+++ b/placer/units_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestDurationIsTheNearestNanosecond(t *testing.T) {
+func TestDurationRoundsToNearestNanosecond(t *testing.T) {
 	for seconds, want := range map[Seconds]time.Duration{2.4e-9: 2, 2.9e-9: 3, -2.9e-9: -3} {
 		if got := seconds.Duration(); got != want {
 			t.Errorf("Duration of %v s: got %v, want %v", float64(seconds), got, want)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestMillisecondsSurviveBothWays(t *testing.T) {
+func TestMillisecondsRoundTrip(t *testing.T) {
 	for milliseconds := range 100_000 {
 		duration := time.Duration(milliseconds) * time.Millisecond
 		seconds := SecondsOf(duration)
