--- a/placer/api.go
+++ b/placer/api.go
@@ -111,7 +111,7 @@
 
 // The kinds of usage report.
 const (
-	Started        UsageKind = iota + 1 // the task has started; the report has no value
+	Started        UsageKind = iota + 1 // the task has started
 	CoresUsed                           // number of cores that the task uses
 	MemoryUsed                          // amount of memory that the task uses
 	ServedFraction                      // fraction of full service that the task provides
--- a/placer/config.go
+++ b/placer/config.go
@@ -33,12 +33,12 @@
 type Class struct {
 	Idempotency         Idempotency
 	DedupDomain         TopologyDomain // with IdempotentByKey: the domain whose nodes ignore a repeated key
-	DedupWindow         Seconds        // with IdempotentByKey: how long nodes remember a key
+	DedupWindow         Seconds        // time after the first attempt in which a repeated key is ignored
 	LatencyObjective    Seconds        // time from arrival within which a first start has its full value
 	Deadline            Seconds        // time for which a client waits for the final answer
 	Weight              float64        // value of one second of full service
-	LateWeight          float64        // fraction of the full value that a start after LatencyObjective has
-	StartBonus          Seconds        // value of a start in time, expressed as a duration of full service
+	LateWeight          float64        // value of a start from LatencyObjective to Deadline, as a fraction
+	StartBonus          Seconds        // value of a start in time, as an equivalent time of full service
 	Priority            int            // if nodes preempt tasks, a task evicts tasks of lower priority
 	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
 	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -7,7 +7,7 @@
 	// nodeRetention is the time for which a terminated node is kept after its last task of this scheduler has
 	// ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings limits the exponential backoff after failed polls.
+	// maxPollBackoffDoublings is the maximum number of times that the wait after failed polls is doubled.
 	maxPollBackoffDoublings = 6
 	// pollIntervalDivisor gives the longest wait before a poll is repeated: MaxPollInterval divided by this
 	// number. The wait applies after a poll that was not answered, and limits the backoff after failed polls.
--- a/placer/node.go
+++ b/placer/node.go
@@ -13,7 +13,7 @@
 	load    nodeLoad      // owned by the capacity model
 	tasks   nodeTasks     // tasks and attempts of this scheduler on the node
 
-	warmupAttempts []Seconds // owned by slowStart: times of own attempts while the node was warming up
+	warmupAttempts []Seconds // owned by slowStart: times of the scheduler's attempts during warmup
 	unusedSince    Seconds   // owned by nodeTable: time since which the node is terminated and unused, or 0
 }
 
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -149,8 +149,8 @@
 	return p.StickyServices || p.Total > 2*preferredNodeCount
 }
 
-// programNodesFirst moves the candidates that probably have the program of the service to the front of
-// the slice and returns them. These are the nodes with tasks of the service from this scheduler. If there are
+// programNodesFirst moves the candidates that probably have the program of the service to the front of the
+// slice and returns them. These are the nodes with tasks of the service from this scheduler. If there are
 // so many schedulers that each of them receives few tasks of a service, they also include the nodes with the
 // highest hash for the service. All schedulers compute the same hash and therefore prefer the same nodes.
 func (s *selector) programNodesFirst(service ServiceID, candidates []candidate) []candidate {
