--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -10,12 +10,12 @@
 type NodeConnID uint64
 
 // Attempt is one attempt to start a task on a node, or the run of an adopted task. The attemptTable owns it; of its fields the caller writes only
-// Conn.
+// NodeConn.
 type Attempt struct {
 	Node    placer.NodeID
 	Message protocol.Message // the request as it is sent to the node
-	// Conn is set by the caller: the connection that the attempt was sent on, 0 until then.
-	Conn NodeConnID
+	// NodeConn is set by the caller: the connection that the attempt was sent on, 0 until then.
+	NodeConn NodeConnID
 
 	request      *request
 	number       int // among the attempts of its request, from 0
@@ -30,8 +30,8 @@
 // Live reports whether the attempt waits for its answer or runs the task.
 func (a *Attempt) Live() bool { return a.state.live() }
 
-// Client returns the connection on which the request arrived.
-func (a *Attempt) Client() ConnID { return a.request.conn }
+// ClientConn returns the connection on which the request arrived.
+func (a *Attempt) ClientConn() ConnID { return a.request.conn }
 
 // Pending reports whether the attempt is still to be sent.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// TestTerminationBeforeTheAnswer: a node that drains, evicts or preempts a task had accepted it, though its answer is late: the task ran and is
+// TestTerminationBeforeAnswer: a node that drains, evicts or preempts a task had accepted it, though its answer is late: the task ran and is
 // over. Its client is notified at once, no other attempt is made, and the late answer changes nothing. What failed on its way, or was rejected
 // for lack of capacity, is attempted at other nodes.
-func TestTerminationBeforeTheAnswer(t *testing.T) {
+func TestTerminationBeforeAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		cause protocol.Cause
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -149,7 +149,7 @@
 	}
 	if attempt := effect.Attempt; attempt != nil {
 		encoded = binary.BigEndian.AppendUint64(encoded, uint64(attempt.Node))
-		encoded = binary.BigEndian.AppendUint64(encoded, uint64(attempt.Client()))
+		encoded = binary.BigEndian.AppendUint64(encoded, uint64(attempt.ClientConn()))
 		encoded = attempt.Message.Append(encoded)
 	}
 	return encoded
@@ -189,7 +189,7 @@
 		open, placed := recorder.core.ClientRequests(id)
 		recorder.number(uint64(open))
 		recorder.flag(placed)
-		recorder.flag(recorder.core.IsLastClient(id))
+		recorder.flag(recorder.core.IsOnlyClient(id))
 	}
 	for i := range scriptNodes + 1 {
 		node := recorder.core.Node(nodeID(i))
@@ -208,7 +208,7 @@
 		recorder.seconds(attempt.Age(recorder.now))
 	}
 	nodeCount := 0
-	recorder.core.Nodes(func(*dispatch.Node) { nodeCount++ })
+	recorder.core.EachNode(func(*dispatch.Node) { nodeCount++ })
 	recorder.number(uint64(nodeCount))
 }
 
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -96,7 +96,7 @@
 				return
 			}
 			nodes := 0
-			core.Nodes(func(*dispatch.Node) { nodes++ })
+			core.EachNode(func(*dispatch.Node) { nodes++ })
 			if core.LastDiscoveryEvent() != test.last || nodes != test.nodes {
 				t.Errorf("known %s: last event %d and %d nodes, want %d and %d", test.known, core.LastDiscoveryEvent(), nodes, test.last, test.nodes)
 			}
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -160,9 +160,9 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsLastClient reports whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
+// IsOnlyClient reports whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
 // be sent on any other.
-func (c *Core) IsLastClient(conn ConnID) bool {
+func (c *Core) IsOnlyClient(conn ConnID) bool {
 	return c.RunningTasks() > 0 && c.clients.onlyIdentified(conn)
 }
 
@@ -233,8 +233,8 @@
 // Node returns a node of the registry, or nil if there is none with the ID.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
-// Nodes calls f for each node of the registry, in no particular order.
-func (c *Core) Nodes(f func(*Node)) { c.nodes.each(f) }
+// EachNode calls f for each node of the registry, in no particular order.
+func (c *Core) EachNode(f func(*Node)) { c.nodes.each(f) }
 
 // LastDiscoveryEvent returns the number of the last discovery event that was applied.
 func (c *Core) LastDiscoveryEvent() uint64 { return c.nodes.lastDiscoveryEvent }
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -18,8 +18,8 @@
 	return conns
 }
 
-// TestNotificationFindsAClient: a notification is sent on its request's connection, otherwise on the first one that sends a valid message, once.
-func TestNotificationFindsAClient(t *testing.T) {
+// TestNotificationConnection: a notification is sent on its request's connection, otherwise on the first one that sends a valid message, once.
+func TestNotificationConnection(t *testing.T) {
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestMigrationCrossesTermination: the client of a migrating task is notified of its end too, unless the node confirms that it stopped the task
+// TestTerminationDuringMigration: the client of a migrating task is notified of its end too, unless the node confirms that it stopped the task
 // for the migration.
-func TestMigrationCrossesTermination(t *testing.T) {
+func TestTerminationDuringMigration(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		cause, want protocol.Cause
--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -26,7 +26,7 @@
 	pending := sender.pending
 	sender.pending = nil
 	for _, attempt := range pending {
-		if s.clients.hasUnreadLines(attempt.Client()) { // a cancellation may be among them
+		if s.clients.hasUnreadLines(attempt.ClientConn()) { // a cancellation may be among them
 			sender.schedule(attempt)
 			continue
 		}
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -173,7 +173,7 @@
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	open, placed := core.ClientRequests(c.id)
-	return c.state != clientClosing && open == 0 && !placed && c.timedOut(now) && !core.IsLastClient(c.id)
+	return c.state != clientClosing && open == 0 && !placed && c.timedOut(now) && !core.IsOnlyClient(c.id)
 }
 
 // timedOut reports whether no message arrived for idleClientTimeout, nor the beginning of one for incompleteMessageTimeout.
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -61,7 +61,7 @@
 // sendMessage sends a message about an attempt: on the connection that the attempt went out on if that is open, else on any other, else on
 // the next one that is established.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
-	nc := link.connByID(effect.Attempt.Conn)
+	nc := link.connByID(effect.Attempt.NodeConn)
 	if nc != nil {
 		delete(nc.attempts, effect.Attempt)
 	}
