--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -6,77 +6,81 @@
 )
 
 const (
-	// adoptionMaxWait bounds the time after the first health check for which new requests wait for adoptions.
+	// adoptionMaxWait limits how long after the first health check new requests wait for adoptions.
 	adoptionMaxWait placer.Seconds = 1.0
-	// adoptionIdleGap is the time without an adoption after which no further ones are expected.
+	// adoptionIdleGap is the time without an adoption after which no more adoptions are expected.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption adds tasks that run already: after a start of this scheduler, clients list their running tasks. It owns the times at which adoptions
-// are expected.
+// adoption adds tasks that run already. After this scheduler has started, clients list their running tasks,
+// and adoption tracks until when such messages are expected.
 type adoption struct {
-	*environment
+	*sharedState
 	nodes             *nodeRegistry
 	requests          *requestTable
 	attempts          *attemptTable
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // when the first health check of a client arrived, or 0
-	lastAdoptionAt     placer.Seconds // when a running task was last adopted, or firstHealthCheckAt
+	firstHealthCheckAt placer.Seconds // when a client's first health check arrived, or 0
+	lastAdoptionAt     placer.Seconds // when an adoption was last received; initially firstHealthCheckAt
 }
 
-// healthCheckReceived records a health check. After the first one, clients are expected to list their running tasks.
+// healthCheckReceived records a health check of a client. After the first health check, clients are expected
+// to list their running tasks.
 func (a *adoption) healthCheckReceived() {
 	if a.firstHealthCheckAt == 0 {
 		a.firstHealthCheckAt = a.now
-		a.lastAdoptionAt = a.now // the first adoption may be in transit
+		a.lastAdoptionAt = a.now // the first adoption may already be in transit
 	}
 }
 
-// adopt adds a task that runs on a node already. The error is an *InvalidMessageError.
+// adopt adds a task that already runs on a node. The returned error is an *InvalidMessageError.
 func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
 	a.counts.Adopted++
 	a.lastAdoptionAt = a.now
-	node := a.nodes.getByUID(parsed.adoptedFrom)
+	node := a.nodes.getByUID(parsed.adoptedFromUID)
 	if node == nil {
-		return invalidMessage(InvalidNode, "launch %s: extras: at: node %.40q is not in the registry", msg.UID, parsed.adoptedFrom)
+		return invalidMessage(InvalidNode, "launch message %s: extras: at: node %.40q is not in the node registry", msg.UID, parsed.adoptedFromUID)
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if earlier := a.attempts.get(key); earlier != nil {
-		a.attempts.remove(earlier) // it was abandoned here, but the node accepted it
+		a.attempts.remove(earlier) // this scheduler abandoned the attempt, but the node accepted it
 	}
-	if early, terminated := a.earlyTerminations.get(key); terminated {
-		// The client listed the task before it could learn of its end, which the node reports only once.
+	if termination, terminated := a.earlyTerminations.get(key); terminated {
+		// The node reports the end of a task only once. The client listed the task before it could be
+		// notified.
 		a.counts.TasksEnded++
-		a.notifier.notifyOn(client, replyTo(msg, protocol.Stop, early.cause))
+		a.notifier.notifyOnConn(client, replyTo(msg, protocol.Stop, termination.cause))
 		return nil
 	}
 	task := parsed.task
 	req := a.requests.adopt(client.id, msg, &task)
 	attempt := a.attempts.adopt(req, node.ID)
-	a.post(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
-	a.emit(Effect{Kind: ConnectNode, Attempt: attempt})
+	a.postEvent(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
+	a.addEffect(Effect{Kind: ConnectNode, Attempt: attempt})
 	return nil
 }
 
-// expectedUntil returns the time until which adoptions are expected: adoptionIdleGap after the last one, but no later than adoptionMaxWait
-// after the first health check.
-func (a *adoption) expectedUntil() placer.Seconds {
+// adoptionsExpectedUntil returns the time until which adoptions are expected: adoptionIdleGap after the last
+// adoption, but at most adoptionMaxWait after the first health check.
+func (a *adoption) adoptionsExpectedUntil() placer.Seconds {
 	return min(a.lastAdoptionAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
 }
 
-// postArrival passes a new request to the placer. After a start, clients list hundreds of running tasks on one connection while new requests
-// arrive on others, and a request that is placed before all tasks are adopted is placed without regard to where its service runs. So new
-// requests wait until no further adoptions are expected, but never beyond their deadline.
+// postArrival passes a new request to the placer, at once or when no more adoptions are expected. After a
+// scheduler start, clients list hundreds of running tasks on one connection while new requests arrive on
+// other connections. If the placer received a request before all tasks are adopted, it would place the task
+// without regard to the nodes on which its service already runs. New requests therefore wait until no more
+// adoptions are expected, but never beyond their deadlines.
 func (a *adoption) postArrival(req *request, task placer.Task) {
-	waitUntil := min(a.expectedUntil(), req.deadline)
+	waitUntil := min(a.adoptionsExpectedUntil(), req.deadline)
 	if a.now >= waitUntil {
-		a.post(placer.Event{Kind: placer.Arrived, TaskID: req.taskID, Task: task})
+		a.postEvent(placer.Event{Kind: placer.Arrived, TaskID: req.taskID, Task: task})
 		return
 	}
 	a.timers.Add(waitUntil, func() {
-		if !req.state.closed() {
+		if !req.state.isFinal() {
 			a.postArrival(req, task)
 		}
 	})
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -9,7 +9,7 @@
 )
 
 // arrivals returns the order in which the placer received adopted tasks (r) and new requests (A) since the last call.
-func arrivals(policy *scriptedPlacer) (order string) {
+func arrivalOrder(policy *scriptedPlacer) (order string) {
 	for _, event := range policy.events {
 		switch event.Kind {
 		case placer.Adopted:
@@ -38,17 +38,17 @@
 	harness.withdraw(harness.launch(conn, "query", 2000, "")) // and one that is withdrawn meanwhile
 	harness.launch(conn, "query", 2000, "")
 	harness.advance(adoptionIdleGap)
-	if got := arrivals(policy); got != "rrrrrAA" {
+	if got := arrivalOrder(policy); got != "rrrrrAA" {
 		t.Errorf("order of events %s", got)
 	}
 
 	harness.launch(conn, "query", 2000, "")
-	if got := arrivals(policy); got != "A" {
+	if got := arrivalOrder(policy); got != "A" {
 		t.Errorf("order of events %q of a request alone", got)
 	}
 
 	harness.launch(conn, "query", 3000, "")
-	arrivals(policy)
+	arrivalOrder(policy)
 	for i := range int(2 * adoptionMaxWait / adoptionIdleGap) {
 		harness.adopt(conn, 1)
 		if i == 0 {
@@ -57,7 +57,7 @@
 		harness.launch(conn, "query", 3000, "")
 		harness.advance(adoptionIdleGap / 2)
 	}
-	if got := arrivals(policy); !strings.HasSuffix(got, "rArA") || strings.Index(got, "A") > 6 {
+	if got := arrivalOrder(policy); !strings.HasSuffix(got, "rArA") || strings.Index(got, "A") > 6 {
 		t.Errorf("order of events long after the first health check %s", got)
 	}
 }
@@ -71,10 +71,10 @@
 		t.Fatal("not adopted")
 	}
 
-	record := harness.records[id]
+	record := harness.clientRecords[id]
 	harness.lastID--
 	harness.adopt(conn, 2) // listed twice
-	harness.records[id] = record
+	harness.clientRecords[id] = record
 	if harness.core.RunningTasks() != 1 {
 		t.Fatal("adopted twice")
 	}
@@ -102,20 +102,20 @@
 		{"an adoption before any health check", nil, 170, adoptionMaxWait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{counts: &Counts{}}
-			part := &adoption{environment: env, nodes: newNodeRegistry(env)}
+			shared := &sharedState{counts: &Counts{}}
+			tested := &adoption{sharedState: shared, nodes: newNodeRegistry(shared)}
 			for _, at := range test.healthChecksAt {
-				env.setTime(at)
-				part.healthCheckReceived()
+				shared.setClock(at)
+				tested.healthCheckReceived()
 			}
 			if test.adoptedAt > 0 {
-				env.setTime(test.adoptedAt)
-				if err := part.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFrom: "unlisted"}); err == nil {
+				shared.setClock(test.adoptedAt)
+				if err := tested.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFromUID: "unlisted"}); err == nil {
 					t.Fatal("adopted from a node that is not in the registry")
 				}
 			}
 
-			if got := part.expectedUntil(); got != test.want {
+			if got := tested.adoptionsExpectedUntil(); got != test.want {
 				t.Errorf("expected until %v, want %v", got, test.want)
 			}
 		})
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -6,53 +6,53 @@
 	"heathshed/placer"
 )
 
-// NodeConnID is the caller's number of a connection to a node, or 0 for none.
+// NodeConnID identifies a connection to a node; the caller assigns it. The value 0 means no connection.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node, or the run of an adopted task. The attemptTable owns it; of its fields the caller writes only
-// NodeConn.
+// Attempt is one attempt to start a task on a node, or represents an adopted task. The attemptTable owns it;
+// NodeConn is the only field that the caller may write.
 type Attempt struct {
 	Node    placer.NodeID
-	Message protocol.Message // the request as it is sent to the node
-	// NodeConn is set by the caller: the connection that the attempt was sent on, 0 until then.
+	Message protocol.Message // the launch message that is sent to the node
+	// NodeConn is set by the caller to the connection on which the attempt was sent. It is 0 before that.
 	NodeConn NodeConnID
 
 	request      *request
-	number       int // among the attempts of its request, from 0
+	number       int // index among the attempts of its request
 	state        attemptState
-	expiresAt    placer.Seconds // it is abandoned if it has no answer by then
+	expiresAt    placer.Seconds // an unanswered attempt is abandoned at this time
 	createdAt    placer.Seconds // when the placer requested it
-	runningSince placer.Seconds // when the node's answer arrived, or when the task was adopted
+	runningSince placer.Seconds // when the node's acceptance arrived or the task was adopted
 	timer        *timerqueue.Timer[placer.Seconds]
-	stopSent     bool // the node was asked to stop the task
+	stopSent     bool // whether the node was asked to stop the task
 }
 
-// Live reports whether the attempt waits for its answer or runs the task.
-func (a *Attempt) Live() bool { return a.state.live() }
+// Live reports whether the attempt is waiting for its answer or runs the task.
+func (a *Attempt) Live() bool { return a.state.isLive() }
 
-// ClientConn returns the connection on which the request arrived.
+// ClientConn returns the client connection on which the attempt's request arrived.
 func (a *Attempt) ClientConn() ConnID { return a.request.conn }
 
-// Pending reports whether the attempt is still to be sent.
+// Pending reports whether the attempt has not been sent yet.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
 // Age returns the time since the placer requested the attempt.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
-// Unanswered reports whether the attempt waits for its connection or its answer.
-func (a *Attempt) Unanswered() bool { return a.state.unanswered() }
+// Unanswered reports whether the attempt is waiting for its connection or for its answer.
+func (a *Attempt) Unanswered() bool { return a.state.isUnanswered() }
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
 
-// attemptKey identifies an attempt in messages of nodes.
+// attemptKey identifies the attempt that a message of a node refers to.
 type attemptKey struct {
 	node placer.NodeID
 	id   protocol.ID
 }
 
-// outcome is how an attempt ended, with the reason and the load report that the node gave.
-type outcome struct {
+// attemptOutcome describes how an attempt ended, with the reason and the load report that the node sent.
+type attemptOutcome struct {
 	result placer.Result
 	reason placer.Reason
-	report *placer.Report // nil if the node sent none
+	report *placer.Report // nil if the node sent no load report
 }
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -1,17 +1,18 @@
 package dispatch
 
-// attemptState is the state of an attempt. States up to attemptRunning are live.
+// attemptState is the state of an attempt. The states up to attemptRunning are live.
 type attemptState uint8
 
 const (
-	attemptPending    attemptState = iota // not sent
-	attemptSent                           // sent, without an answer
-	attemptRunning                        // accepted by the node in time, or adopted
-	attemptAbandoned                      // ended for the placer without an answer; whatever the node still sends about it is late
-	attemptTerminated                     // nothing more is expected from the node
+	attemptPending    attemptState = iota // the attempt has not been sent
+	attemptSent                           // the attempt was sent and has no answer
+	attemptRunning                        // the node accepted the attempt in time, or the task was adopted
+	attemptAbandoned                      // ended unanswered for the placer; later node messages are late
+	attemptTerminated                     // no further message of the node is expected
 )
 
-// attemptStates describes the states of an attempt. Only attemptTable.transition and the functions that create an attempt set them.
+// attemptStates describes the states of an attempt. Only attemptTable.transition and the functions that
+// create an attempt set the state.
 var attemptStates = stateTable[attemptState]{
 	attemptPending:    {"pending", []attemptState{attemptSent, attemptAbandoned, attemptTerminated}},
 	attemptSent:       {"sent", []attemptState{attemptRunning, attemptAbandoned, attemptTerminated}},
@@ -20,11 +21,11 @@
 	attemptTerminated: {"terminated", nil},
 }
 
-// String returns the state's name.
-func (s attemptState) String() string { return attemptStates.nameOf("attempt", s) }
+// String returns the name of the state.
+func (s attemptState) String() string { return attemptStates.stateName("attempt", s) }
 
-// live reports whether an attempt in this state waits for its answer or runs the task.
-func (s attemptState) live() bool { return s <= attemptRunning }
+// isLive reports whether an attempt in this state is waiting for its answer or runs the task.
+func (s attemptState) isLive() bool { return s <= attemptRunning }
 
-// unanswered reports whether an attempt in this state waits for its connection or its answer.
-func (s attemptState) unanswered() bool { return s <= attemptSent }
+// isUnanswered reports whether an attempt in this state is waiting for its connection or for its answer.
+func (s attemptState) isUnanswered() bool { return s <= attemptSent }
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -7,27 +7,29 @@
 	"heathshed/placer"
 )
 
-// lateAnswerRetention is the time for which an abandoned attempt is kept after clients have stopped looking for tasks with an unknown outcome.
+// lateAnswerRetention is how long an abandoned attempt is kept after clients have stopped querying nodes for
+// tasks with an unknown outcome.
 const lateAnswerRetention placer.Seconds = 5.0
 
-// attemptTable owns the attempts about which nodes may still send messages, moves them from state to state, and reports their outcomes to the
-// placer.
+// attemptTable owns the attempts about which nodes may still send messages. It changes their states and
+// reports their outcomes to the placer.
 type attemptTable struct {
-	*environment
+	*sharedState
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
 	illegalTransitions int // see stateTable.transition
 }
 
-func newAttemptTable(env *environment, nodes *nodeRegistry) *attemptTable {
-	return &attemptTable{environment: env, nodes: nodes, byKey: map[attemptKey]*Attempt{}}
+func newAttemptTable(shared *sharedState, nodes *nodeRegistry) *attemptTable {
+	return &attemptTable{sharedState: shared, nodes: nodes, byKey: map[attemptKey]*Attempt{}}
 }
 
-// get returns an attempt, or nil if there is none.
+// get returns the attempt with the key, or nil if the table does not contain it.
 func (t *attemptTable) get(key attemptKey) *Attempt { return t.byKey[key] }
 
-// start starts an attempt, or reports it as expired if it can no longer be sent.
+// start creates an attempt and requests that it be sent. If the attempt can no longer be sent, start reports
+// it to the placer as expired.
 func (t *attemptTable) start(req *request, action *placer.Action) {
 	attempt := &Attempt{
 		Node:      action.Node,
@@ -43,24 +45,24 @@
 	t.counts.Attempts++
 	if !t.canStart(attempt) {
 		t.transition(attempt, attemptAbandoned)
-		t.postEnded(attempt, outcome{result: placer.Expired})
+		t.postEnded(attempt, attemptOutcome{result: placer.Expired})
 		return
 	}
 	t.byKey[attempt.key()] = attempt
 	t.setTimer(attempt, attempt.expiresAt, func() { t.expire(attempt) })
-	t.emit(Effect{Kind: SendAttempt, Attempt: attempt})
+	t.addEffect(Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
-// canStart reports whether a new attempt, the last of its request, may be sent.
+// canStart reports whether a new attempt, which is the latest of its request, may be sent.
 func (t *attemptTable) canStart(attempt *Attempt) bool {
 	req := attempt.request
-	if req.state.closed() || attempt.expiresAt <= t.now {
+	if req.state.isFinal() || attempt.expiresAt <= t.now {
 		return false
 	}
 	return len(req.attempts) <= t.settings.Placer.Attempts.Max && t.nodes.get(attempt.Node) != nil
 }
 
-// adopt adds the attempt of a task that runs on a node already.
+// adopt adds an attempt for a task that already runs on a node.
 func (t *attemptTable) adopt(req *request, node placer.NodeID) *Attempt {
 	attempt := &Attempt{
 		Node:         node,
@@ -72,20 +74,21 @@
 	}
 	req.addAttempt(attempt)
 	t.byKey[attempt.key()] = attempt
-	t.nodes.taskStarted(attempt)
+	t.nodes.addRunningAttempt(attempt)
 	return attempt
 }
 
 // expire ends an attempt that was not answered in time.
 func (t *attemptTable) expire(attempt *Attempt) {
-	if attempt.state == attemptPending { // its connection was not established in time
+	if attempt.state == attemptPending { // the connection to the node was not established in time
 		t.endUnsent(attempt, placer.Unreachable)
 		return
 	}
 	t.abandon(attempt, placer.TimedOut, true)
 }
 
-// prepareSend moves an attempt to attemptSent, or ends it; see Core.PrepareSend.
+// prepareSend changes an attempt to attemptSent, or ends it if it can no longer be sent; see
+// Core.PrepareSend.
 func (t *attemptTable) prepareSend(attempt *Attempt) bool {
 	if attempt.state != attemptPending {
 		return false
@@ -101,7 +104,7 @@
 	return true
 }
 
-// connectFailed ends an attempt that was not sent because no connection could be established.
+// connectFailed ends an attempt that was not sent because no connection to its node could be established.
 func (t *attemptTable) connectFailed(attempt *Attempt) {
 	if attempt.state != attemptPending {
 		return
@@ -110,43 +113,44 @@
 	t.endUnsent(attempt, placer.Unreachable)
 }
 
-// connectionLost abandons an attempt whose connection ended before its answer arrived.
+// connectionLost abandons an attempt whose connection closed before the answer arrived.
 func (t *attemptTable) connectionLost(attempt *Attempt) {
 	if attempt.state != attemptSent {
 		return
 	}
 	t.counts.ConnectionsLost++
-	t.transition(attempt, attemptAbandoned) // the node needs no Stop: it sees that the connection has ended
-	t.retain(attempt)
-	t.postEnded(attempt, outcome{result: placer.Lost})
+	t.transition(attempt, attemptAbandoned) // no Stop is sent: the node detects the closed connection
+	t.retainAbandoned(attempt)
+	t.postEnded(attempt, attemptOutcome{result: placer.Lost})
 }
 
-// accepted moves an attempt that its node has accepted to attemptRunning.
-func (t *attemptTable) accepted(attempt *Attempt) {
+// markRunning changes an attempt that its node has accepted to attemptRunning.
+func (t *attemptTable) markRunning(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	t.transition(attempt, attemptRunning)
 	attempt.runningSince = t.now
 	t.counts.Bound++
-	t.nodes.taskStarted(attempt)
+	t.nodes.addRunningAttempt(attempt)
 }
 
-// endUnsent ends an attempt that was not sent.
+// endUnsent ends an attempt that was never sent.
 func (t *attemptTable) endUnsent(attempt *Attempt, result placer.Result) {
 	t.remove(attempt)
 	if result == placer.Expired {
 		t.counts.Expired++
 	}
-	t.postEnded(attempt, outcome{result: result})
+	t.postEnded(attempt, attemptOutcome{result: result})
 }
 
-// abandonLast abandons the latest attempt of a request if it waits for its answer.
-func (t *attemptTable) abandonLast(req *request, result placer.Result) {
+// abandonLastAttempt abandons the latest attempt of a request if that attempt is unanswered.
+func (t *attemptTable) abandonLastAttempt(req *request, result placer.Result) {
 	if last := req.lastAttempt(); last != nil && last.Unanswered() {
 		t.abandon(last, result, false)
 	}
 }
 
-// abandon ends an attempt without an answer. If the attempt was sent, its node is sent a Stop, and an answer that still arrives is late.
+// abandon ends an unanswered attempt. If the attempt was sent, its node is sent a Stop message, and an answer
+// that arrives afterwards is treated as late.
 func (t *attemptTable) abandon(attempt *Attempt, result placer.Result, timedOut bool) {
 	if attempt.state == attemptPending {
 		t.endUnsent(attempt, placer.Expired)
@@ -156,15 +160,15 @@
 		t.counts.TimedOut++
 	}
 	t.transition(attempt, attemptAbandoned)
-	t.retain(attempt)
+	t.retainAbandoned(attempt)
 	t.sendStop(attempt, protocol.CauseEnd, timedOut)
-	t.postEnded(attempt, outcome{result: result})
+	t.postEnded(attempt, attemptOutcome{result: result})
 }
 
 // sendStop asks the node of an attempt to stop the task, or not to start it.
 func (t *attemptTable) sendStop(attempt *Attempt, cause protocol.Cause, timedOut bool) {
 	attempt.stopSent = true
-	t.emit(Effect{
+	t.addEffect(Effect{
 		Kind:     SendToNode,
 		Attempt:  attempt,
 		Message:  replyTo(&attempt.request.message, protocol.Stop, cause),
@@ -172,14 +176,14 @@
 	})
 }
 
-// retain keeps an abandoned attempt until its node is no longer expected to send messages about it.
-func (t *attemptTable) retain(attempt *Attempt) {
+// retainAbandoned keeps an abandoned attempt until its node is no longer expected to send messages about it.
+func (t *attemptTable) retainAbandoned(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	retention := t.settings.Placer.Retry.UnknownOutcomeWait + lateAnswerRetention
 	t.setTimer(attempt, t.now+retention, func() { t.remove(attempt) })
 }
 
-// setTimer sets the timer of an attempt, which remove stops.
+// setTimer sets the timer of an attempt. Removing the attempt stops the timer.
 func (t *attemptTable) setTimer(attempt *Attempt, at placer.Seconds, run func()) {
 	attempt.timer = t.timers.Add(at, run)
 }
@@ -190,33 +194,33 @@
 	if key := attempt.key(); t.byKey[key] == attempt {
 		delete(t.byKey, key)
 	}
-	t.nodes.taskEnded(attempt)
+	t.nodes.removeRunningAttempt(attempt)
 	t.transition(attempt, attemptTerminated)
 }
 
-// transition moves an attempt to its next state.
+// transition changes the state of an attempt.
 func (t *attemptTable) transition(attempt *Attempt, next attemptState) {
 	attemptStates.transition(&attempt.state, next, &t.illegalTransitions)
 }
 
 // postEnded reports to the placer how an attempt ended.
-func (t *attemptTable) postEnded(attempt *Attempt, ended outcome) {
-	t.post(placer.Event{
+func (t *attemptTable) postEnded(attempt *Attempt, outcome attemptOutcome) {
+	t.postEvent(placer.Event{
 		Kind:    placer.Ended,
 		TaskID:  attempt.request.taskID,
 		Attempt: attempt.number,
 		Node:    attempt.Node,
-		Result:  ended.result,
-		Reason:  ended.reason,
+		Result:  outcome.result,
+		Reason:  outcome.reason,
 		Elapsed: attempt.Age(t.now),
-		Final:   attempt.request.state.closed(),
-		Report:  ended.report,
+		Final:   attempt.request.state.isFinal(),
+		Report:  outcome.report,
 	})
 }
 
-// postBound reports to the placer that a node accepted an attempt.
+// postBound reports to the placer that a node has accepted an attempt.
 func (t *attemptTable) postBound(attempt *Attempt) {
-	t.post(placer.Event{
+	t.postEvent(placer.Event{
 		Kind:    placer.Bound,
 		TaskID:  attempt.request.taskID,
 		Attempt: attempt.number,
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -29,7 +29,7 @@
 
 			effects := harness.accept(attempt)
 
-			if stopped := stopsNode(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
+			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
 				t.Errorf("node asked to stop the task: %v, want %v", stopped, test.stopped)
 			}
 		})
@@ -54,7 +54,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
-			record := harness.records[attempt.Message.ID]
+			record := harness.clientRecords[attempt.Message.ID]
 			msg := newMessage(protocol.Stop, attempt.Message.ID, test.cause)
 			msg.Set(protocol.Note, test.note)
 
@@ -62,8 +62,8 @@
 
 			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
 			bound := policy.received(placer.Bound)
-			if notified != test.over || bound != test.over || policy.last().Final != test.over || record.answers != 1 {
-				t.Errorf("client notified %+v, placer notified that it ran %v, last event %+v", answers, bound, policy.last())
+			if notified != test.over || bound != test.over || policy.lastEvent().Final != test.over || record.answers != 1 {
+				t.Errorf("client notified %+v, placer notified that it ran %v, last event %+v", answers, bound, policy.lastEvent())
 			}
 			harness.accept(attempt)
 			if harness.core.RunningTasks() != 0 || record.answers != 1 {
@@ -92,11 +92,11 @@
 		{"one attempt too many", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
-			env.settings.Placer.Attempts.Max = 4
-			nodes := newNodeRegistry(env)
-			nodes.update(&nodeEntry{UID: nodeUID(1), State: "in_service"})
-			table := newAttemptTable(env, nodes)
+			shared := &sharedState{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
+			shared.settings.Placer.Attempts.Max = 4
+			nodes := newNodeRegistry(shared)
+			nodes.updateNode(&nodeEntry{UID: nodeUID(1), State: "in_service"})
+			table := newAttemptTable(shared, nodes)
 			req := &request{deadline: 110}
 			test.change(req)
 
@@ -104,14 +104,14 @@
 
 			attempt := req.lastAttempt()
 			if test.expiresAt == 0 {
-				if attempt.state != attemptAbandoned || len(env.effects) != 0 || len(table.byKey) != 0 {
-					t.Errorf("state %v, effects %+v", attempt.state, env.effects)
+				if attempt.state != attemptAbandoned || len(shared.effects) != 0 || len(table.byKey) != 0 {
+					t.Errorf("state %v, effects %+v", attempt.state, shared.effects)
 				}
 				return
 			}
-			sent := len(env.effects) == 1 && env.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
-			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || env.timers.NextOr(0) != test.expiresAt {
-				t.Errorf("state %v, expires at %v, effects %+v", attempt.state, attempt.expiresAt, env.effects)
+			sent := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
+			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextOr(0) != test.expiresAt {
+				t.Errorf("state %v, expires at %v, effects %+v", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -12,82 +12,82 @@
 
 // playDirected plays short scripts that random ones seldom meet: many nodes and tasks that end at one time (among which the core promises no
 // order, so effects are sorted), notifications and adoptions around their time limits, and the bounds on what is kept.
-func playDirected(t *testing.T) []string {
+func runDirectedScripts(t *testing.T) []string {
 	t.Helper()
 	var lines []string
-	for shape := range settingsShapes {
-		recorder := newRecorder(t, shape, 50, "", false)
-		recorder.label = fmt.Sprintf("directed shape %d", shape)
+	for settingsIndex := range settingsVariants {
+		recorder := newRecorder(t, settingsIndex, 50, "", false)
+		recorder.label = fmt.Sprintf("directed shape %d", settingsIndex)
 		recorder.unordered = true
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
-		recorder.listAll("in_service", 0)
+		recorder.listAllNodes("in_service", 0)
 		recorder.adoptTasks(24, 1)
 		recorder.checkpoint(1)
-		recorder.listAll("in_service", 1010_000) // a new incarnation ends the running tasks
+		recorder.listAllNodes("in_service", 1010_000) // a new incarnation ends the running tasks
 		recorder.checkpoint(2)
 		recorder.adoptTasks(24, 101)
-		recorder.listAll("terminated", 0)
+		recorder.listAllNodes("terminated", 0)
 		recorder.checkpoint(3)
-		recorder.advanceAtOnce(1.5, 0)
+		recorder.advanceInOneCall(1.5, 0)
 		recorder.checkpoint(4)
-		recorder.advanceAtOnce(61, 0)
+		recorder.advanceInOneCall(61, 0)
 		recorder.checkpoint(5)
 		lines = append(lines, recorder.lines...)
 	}
-	lines = append(lines, playRedelivery(t)...)
-	lines = append(lines, playAdoptionWait(t)...)
-	lines = append(lines, playNewIncarnation(t)...)
-	lines = append(lines, playLateStart(t)...)
-	lines = append(lines, playLateAnswer(t)...)
-	return append(lines, playEarlyTerminations(t)...)
+	lines = append(lines, runRedelivery(t)...)
+	lines = append(lines, runAdoptionWait(t)...)
+	lines = append(lines, runNewIncarnation(t)...)
+	lines = append(lines, runLateStart(t)...)
+	lines = append(lines, runLateAnswer(t)...)
+	return append(lines, runEarlyTerminations(t)...)
 }
 
 // directedScript is how a short script begins: with which settings and seed, and how many client connections.
 type directedScript struct {
-	shape       int
-	seed        uint64
-	label       string
-	connections int
-	arbitrary   bool // with an arbitraryPlacer
+	settingsIndex   int
+	seed            uint64
+	label           string
+	connections     int
+	useRandomPlacer bool // with an arbitraryPlacer
 }
 
 // begin returns a recorder whose core has the connections and lists all nodes as in service.
-func (script directedScript) begin(t *testing.T) *scriptRecorder {
+func (script directedScript) start(t *testing.T) *scriptRecorder {
 	t.Helper()
-	recorder := newRecorder(t, script.shape, script.seed, "", script.arbitrary)
+	recorder := newRecorder(t, script.settingsIndex, script.seed, "", script.useRandomPlacer)
 	recorder.label = script.label
 	for range script.connections {
 		recorder.openConnection()
 	}
-	recorder.listAll("in_service", 0)
+	recorder.listAllNodes("in_service", 0)
 	return recorder
 }
 
 // beginWithRequest is like begin, with an arbitraryPlacer and a first request.
-func (script directedScript) beginWithRequest(t *testing.T) *scriptRecorder {
+func (script directedScript) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
-	script.arbitrary = true
-	recorder := script.begin(t)
+	script.useRandomPlacer = true
+	recorder := script.start(t)
 	recorder.launch("")
 	recorder.observe(0)
 	return recorder
 }
 
-func (recorder *scriptRecorder) listAll(state string, bootMS int64) {
+func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
 	var all []string
 	for i := 1; i <= scriptNodes; i++ {
 		all = append(all, recorder.nodeJSON(i, state, bootMS))
 	}
 	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
-	recorder.flag(ok)
-	recorder.verdict(err)
+	recorder.digestBool(ok)
+	recorder.digestError(err)
 	recorder.observe(0)
 }
 
 // advanceAtOnce runs the timers that are due after some time, all at that time.
-func (recorder *scriptRecorder) advanceAtOnce(by placer.Seconds, step int) {
+func (recorder *scriptRecorder) advanceInOneCall(by placer.Seconds, step int) {
 	recorder.now += by
 	recorder.core.Advance(recorder.now)
 	recorder.observe(step)
@@ -96,26 +96,26 @@
 // adoptTasks lists running tasks for adoption, spread over the nodes.
 func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		recorder.receive(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
+		recorder.receiveFromClient(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
 		recorder.observe(0)
 	}
 }
 
 // playRedelivery has notifications cross the end of their connection, with clients that acknowledge notifications and clients that do not, at
 // intervals around each time limit, and with no client left to be notified.
-func playRedelivery(t *testing.T) []string {
+func runRedelivery(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
-		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.begin(t)
+	start := func(variant int) *scriptRecorder {
+		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
 	}
-	return playVariants(24, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(24, start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(6, 1)
 		if variant%2 == 1 {
-			recorder.receive(1, wireMessage(protocol.Stopped, 77))
+			recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 77))
 		}
 		recorder.endTasks(1, 4)
 		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		recorder.receive(1, wireMessage(protocol.Stopped, 2))
+		recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 2))
 		recorder.core.ClientDisconnected(recorder.now, 1)
 		if variant >= 12 {
 			recorder.core.ClientDisconnected(recorder.now, 2)
@@ -124,7 +124,7 @@
 		recorder.endTasks(5, 6)
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
-		recorder.receive(recorder.lastConn, wireMessage(protocol.Check, 78))
+		recorder.receiveFromClient(recorder.lastConn, wireMessage(protocol.Check, 78))
 		recorder.observe(0)
 	})
 }
@@ -140,14 +140,14 @@
 }
 
 // playAdoptionWait has requests arrive while running tasks are still being adopted, up to and beyond the longest time for which requests wait.
-func playAdoptionWait(t *testing.T) []string {
+func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
-	recorder := directedScript{seed: 300, label: "handover", connections: 2}.begin(t)
-	recorder.receive(1, wireMessage(protocol.Check, 78))
+	recorder := directedScript{seed: 300, label: "handover", connections: 2}.start(t)
+	recorder.receiveFromClient(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
-		recorder.advanceAtOnce(0.03, int(i))
+		recorder.advanceInOneCall(0.03, int(i))
 		recorder.adoptTasks(1, 1000+i)
-		recorder.receive(2, recorder.validLaunch(2000+i, ""))
+		recorder.receiveFromClient(2, recorder.validLaunch(2000+i, ""))
 		recorder.observe(int(i))
 		if i%5 == 4 {
 			recorder.checkpoint(int(i))
@@ -163,24 +163,24 @@
 }
 
 // playNewIncarnation lets a node begin a new incarnation at times around the tolerance, with one task that runs on it.
-func playNewIncarnation(t *testing.T) []string {
+func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
 	startedAfterMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
-	begin := func(variant int) *scriptRecorder {
+	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("new life after %d", startedAfterMS[variant]) // as in the golden file
-		return directedScript{seed: 400, label: label, connections: 1}.begin(t)
+		return directedScript{seed: 400, label: label, connections: 1}.start(t)
 	}
-	return playVariants(len(startedAfterMS), begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(len(startedAfterMS), start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(1, 1)
-		recorder.listAll("in_service", 1000_000+startedAfterMS[variant])
+		recorder.listAllNodes("in_service", 1000_000+startedAfterMS[variant])
 	})
 }
 
 // playVariants plays one directed script in several variants.
-func playVariants(count int, begin func(variant int) *scriptRecorder, play func(recorder *scriptRecorder, variant int)) (lines []string) {
+func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
-		recorder := begin(variant)
-		play(recorder, variant)
+		recorder := start(variant)
+		run(recorder, variant)
 		recorder.checkpoint(1)
 		lines = append(lines, recorder.lines...)
 	}
@@ -188,13 +188,13 @@
 }
 
 // playLateStart sends attempts just before, at and just after the time at which they expire, with the timer of that time not yet run.
-func playLateStart(t *testing.T) []string {
+func runLateStart(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
+	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late start %d", variant)
-		return directedScript{shape: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.beginWithRequest(t)
+		return directedScript{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
-	return playVariants(30, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(30, start, func(recorder *scriptRecorder, variant int) {
 		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
 			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
@@ -205,13 +205,13 @@
 
 // playLateAnswer has a node answer around the time at which the attempt expires, with the timer of that time not yet run, or after its connection
 // was lost; then the client lists the task for adoption from that node.
-func playLateAnswer(t *testing.T) []string {
+func runLateAnswer(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
+	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late answer %d", variant)
-		return directedScript{shape: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.beginWithRequest(t)
+		return directedScript{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
-	return playVariants(48, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
 		due := recorder.core.NextTimer()
 		recorder.send()
 		recorder.observe(1)
@@ -219,8 +219,8 @@
 			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
 		open, placed := recorder.core.ClientRequests(99)
-		recorder.number(uint64(open))
-		recorder.flag(placed)
+		recorder.digestNumbers(uint64(open))
+		recorder.digestBool(placed)
 	})
 }
 
@@ -234,38 +234,38 @@
 	}
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = `"out"`
-	recorder.fromNode(attempt, &msg)
+	recorder.receiveFromNode(attempt, &msg)
 	recorder.observe(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
 	if len(recorder.pending) > 0 { // the next attempt: its client withdraws the request
-		recorder.receive(1, stop)
+		recorder.receiveFromClient(1, stop)
 		recorder.observe(4)
 	}
 	for i := 1; i <= 4; i++ {
 		if nodeID(i) == attempt.Node {
-			recorder.receive(1, recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
+			recorder.receiveFromClient(1, recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
 			recorder.observe(5)
 		}
 	}
 }
 
 // playEarlyTerminations fills the records of early terminations and the table of tasks beyond their bounds.
-func playEarlyTerminations(t *testing.T) []string {
+func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
 	const beyond = 20010
-	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.begin(t)
+	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.start(t)
 	for id := uint64(1); id <= beyond; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
-		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
+		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
 		recorder.observe(0)
 	}
 	recorder.checkpoint(1)
 	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
-		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
+		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
 	}
 	recorder.observe(0)
 	recorder.checkpoint(2)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -20,27 +20,27 @@
 
 // scriptRecorder drives one core and digests what it does.
 type scriptRecorder struct {
-	t           *testing.T
-	core        *dispatch.Core
-	random      *rand.Rand
-	digest      hash.Hash
-	shape       int
-	now         placer.Seconds
-	eventNumber int
-	lastConn    dispatch.ConnID
-	conns       []dispatch.ConnID
-	lastID      uint64
-	pending     []*dispatch.Attempt // to be sent
-	sent        []*dispatch.Attempt // sent at some time
-	states      map[int]string      // of the nodes, as last listed
-	unordered   bool                // the current call may give its effects in any order
-	lines       []string
-	label       string
+	t             *testing.T
+	core          *dispatch.Core
+	random        *rand.Rand
+	digest        hash.Hash
+	settingsIndex int
+	now           placer.Seconds
+	eventNumber   int
+	lastConn      dispatch.ConnID
+	conns         []dispatch.ConnID
+	lastID        uint64
+	pending       []*dispatch.Attempt // to be sent
+	sent          []*dispatch.Attempt // sent at some time
+	nodeStates    map[int]string      // of the nodes, as last listed
+	unordered     bool                // the current call may give its effects in any order
+	lines         []string
+	label         string
 }
 
-func newRecorder(t *testing.T, shape int, seed uint64, known string, arbitrary bool) *scriptRecorder {
+func newRecorder(t *testing.T, settingsIndex int, seed uint64, known string, useRandomPlacer bool) *scriptRecorder {
 	t.Helper()
-	settings, err := simconfig.Parse([]byte(settingsShapes[shape]))
+	settings, err := simconfig.Parse([]byte(settingsVariants[settingsIndex]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	recorder := &scriptRecorder{
-		t:           t,
-		random:      rand.New(rand.NewPCG(seed, uint64(shape)+1)),
-		digest:      sha256.New(),
-		shape:       shape,
-		now:         1000,
-		eventNumber: 1,
-		states:      map[int]string{},
-		label:       fmt.Sprintf("shape %d seed %d", shape, seed),
+		t:             t,
+		random:        rand.New(rand.NewPCG(seed, uint64(settingsIndex)+1)),
+		digest:        sha256.New(),
+		settingsIndex: settingsIndex,
+		now:           1000,
+		eventNumber:   1,
+		nodeStates:    map[int]string{},
+		label:         fmt.Sprintf("shape %d seed %d", settingsIndex, seed),
 	}
-	if arbitrary {
-		recorder.core, err = dispatch.New(recorder.now, settings, &arbitraryPlacer{recorder: recorder}, []byte(known))
+	if useRandomPlacer {
+		recorder.core, err = dispatch.New(recorder.now, settings, &randomPlacer{recorder: recorder}, []byte(known))
 	} else {
 		recorder.core, err = dispatch.New(recorder.now, settings, policy, []byte(known))
 	}
@@ -71,66 +71,66 @@
 }
 
 // placerEvent digests all values of an event in a fixed order.
-func (recorder *scriptRecorder) placerEvent(event *placer.Event) {
-	recorder.number(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
-	recorder.seconds(event.Elapsed)
-	recorder.flag(event.Final)
+func (recorder *scriptRecorder) digestEvent(event *placer.Event) {
+	recorder.digestNumbers(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
+	recorder.digestSeconds(event.Elapsed)
+	recorder.digestBool(event.Final)
 	task := &event.Task
-	recorder.number(uint64(task.ID), uint64(task.Class), uint64(task.Tenant), uint64(task.Service))
-	recorder.float(task.Cores)
-	recorder.float(task.Memory)
-	recorder.seconds(task.Deadline)
-	recorder.flag(task.IsRetry)
-	if recorder.flag(event.Report != nil); event.Report != nil {
+	recorder.digestNumbers(uint64(task.ID), uint64(task.Class), uint64(task.Tenant), uint64(task.Service))
+	recorder.digestFloat(task.Cores)
+	recorder.digestFloat(task.Memory)
+	recorder.digestSeconds(task.Deadline)
+	recorder.digestBool(task.IsRetry)
+	if recorder.digestBool(event.Report != nil); event.Report != nil {
 		report := event.Report
 		for _, value := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
-			recorder.flag(math.IsNaN(value))
+			recorder.digestBool(math.IsNaN(value))
 			if !math.IsNaN(value) {
-				recorder.float(value)
+				recorder.digestFloat(value)
 			}
 		}
 	}
-	recorder.number(uint64(event.List), uint64(len(event.Nodes)))
+	recorder.digestNumbers(uint64(event.List), uint64(len(event.Nodes)))
 	for _, node := range event.Nodes {
-		recorder.number(uint64(node.ID), uint64(node.Zone), uint64(node.Rack), uint64(node.NodeType), uint64(node.State))
-		recorder.float(node.FreeCores)
-		recorder.float(node.FreeMemory)
-		recorder.seconds(node.StartedAt)
+		recorder.digestNumbers(uint64(node.ID), uint64(node.Zone), uint64(node.Rack), uint64(node.NodeType), uint64(node.State))
+		recorder.digestFloat(node.FreeCores)
+		recorder.digestFloat(node.FreeMemory)
+		recorder.digestSeconds(node.StartedAt)
 	}
-	recorder.number(uint64(event.Usage), event.Token)
-	recorder.float(event.Value)
+	recorder.digestNumbers(uint64(event.Usage), event.Token)
+	recorder.digestFloat(event.Value)
 }
 
-func (recorder *scriptRecorder) number(values ...uint64) {
+func (recorder *scriptRecorder) digestNumbers(values ...uint64) {
 	for _, v := range values {
 		recorder.digest.Write(binary.BigEndian.AppendUint64(nil, v))
 	}
 }
 
-func (recorder *scriptRecorder) flag(on bool) {
+func (recorder *scriptRecorder) digestBool(on bool) {
 	if on {
-		recorder.number(1)
+		recorder.digestNumbers(1)
 	} else {
-		recorder.number(0)
+		recorder.digestNumbers(0)
 	}
 }
 
-func (recorder *scriptRecorder) float(v float64) { recorder.number(math.Float64bits(v)) }
+func (recorder *scriptRecorder) digestFloat(v float64) { recorder.digestNumbers(math.Float64bits(v)) }
 
-func (recorder *scriptRecorder) seconds(v placer.Seconds) { recorder.float(float64(v)) }
+func (recorder *scriptRecorder) digestSeconds(v placer.Seconds) { recorder.digestFloat(float64(v)) }
 
-func (recorder *scriptRecorder) text(s string) {
-	recorder.number(uint64(len(s)))
+func (recorder *scriptRecorder) digestText(s string) {
+	recorder.digestNumbers(uint64(len(s)))
 	recorder.digest.Write([]byte(s))
 }
 
 // verdict digests whether there was an error, and the reason under which it is counted, not its text.
-func (recorder *scriptRecorder) verdict(err error) {
-	recorder.flag(err != nil)
+func (recorder *scriptRecorder) digestError(err error) {
+	recorder.digestBool(err != nil)
 	var invalid *dispatch.InvalidMessageError
 	if errors.As(err, &invalid) {
-		recorder.text(string(invalid.Reason))
-		recorder.flag(invalid.Error() == invalid.Unwrap().Error())
+		recorder.digestText(string(invalid.Reason))
+		recorder.digestBool(invalid.Error() == invalid.Unwrap().Error())
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // observe digests the effects of a call and the state that the core shows afterwards.
 func (recorder *scriptRecorder) observe(step int) {
-	recorder.number(uint64(step))
+	recorder.digestNumbers(uint64(step))
 	var encoded [][]byte
 	for _, effect := range recorder.core.Ready() {
 		encoded = append(encoded, encodeEffect(&effect))
@@ -171,45 +171,45 @@
 	if recorder.unordered {
 		slices.SortFunc(encoded, func(a, b []byte) int { return strings.Compare(string(a), string(b)) })
 	}
-	recorder.number(uint64(len(encoded)))
+	recorder.digestNumbers(uint64(len(encoded)))
 	for _, effect := range encoded {
-		recorder.text(string(effect))
+		recorder.digestText(string(effect))
 	}
-	recorder.state()
+	recorder.digestState()
 	if illegal := recorder.core.IllegalTransitions(); illegal != 0 {
 		recorder.t.Fatalf("%s, step %d: %d illegal state transitions", recorder.label, step, illegal)
 	}
 }
 
-func (recorder *scriptRecorder) state() {
-	recorder.seconds(recorder.core.NextTimer())
-	recorder.number(countValues(&recorder.core.Counts)...)
-	recorder.number(uint64(recorder.core.OpenRequests()), uint64(recorder.core.RunningTasks()), recorder.core.LastDiscoveryEvent())
+func (recorder *scriptRecorder) digestState() {
+	recorder.digestSeconds(recorder.core.NextTimer())
+	recorder.digestNumbers(countValues(&recorder.core.Counts)...)
+	recorder.digestNumbers(uint64(recorder.core.OpenRequests()), uint64(recorder.core.RunningTasks()), recorder.core.LastDiscoveryEvent())
 	for _, id := range recorder.conns {
 		open, placed := recorder.core.ClientRequests(id)
-		recorder.number(uint64(open))
-		recorder.flag(placed)
-		recorder.flag(recorder.core.IsOnlyClient(id))
+		recorder.digestNumbers(uint64(open))
+		recorder.digestBool(placed)
+		recorder.digestBool(recorder.core.IsOnlyClient(id))
 	}
 	for i := range scriptNodes + 1 {
 		node := recorder.core.Node(nodeID(i))
-		if recorder.flag(node != nil); node != nil {
-			recorder.text(node.UID)
-			recorder.text(node.Addr)
-			recorder.number(uint64(node.ID), uint64(node.State), uint64(node.RunningTasks()))
-			recorder.seconds(node.StartedAt)
-			recorder.seconds(node.TerminatedFor(recorder.now))
+		if recorder.digestBool(node != nil); node != nil {
+			recorder.digestText(node.UID)
+			recorder.digestText(node.Addr)
+			recorder.digestNumbers(uint64(node.ID), uint64(node.State), uint64(node.RunningTasks()))
+			recorder.digestSeconds(node.StartedAt)
+			recorder.digestSeconds(node.TerminatedFor(recorder.now))
 		}
 	}
 	for _, attempt := range recorder.sent {
-		recorder.flag(attempt.Live())
-		recorder.flag(attempt.Unanswered())
-		recorder.flag(attempt.Pending())
-		recorder.seconds(attempt.Age(recorder.now))
+		recorder.digestBool(attempt.Live())
+		recorder.digestBool(attempt.Unanswered())
+		recorder.digestBool(attempt.Pending())
+		recorder.digestSeconds(attempt.Age(recorder.now))
 	}
 	nodeCount := 0
 	recorder.core.EachNode(func(*dispatch.Node) { nodeCount++ })
-	recorder.number(uint64(nodeCount))
+	recorder.digestNumbers(uint64(nodeCount))
 }
 
 // countValues are the counters in a fixed order.
@@ -235,52 +235,52 @@
 
 // arbitraryPlacer replaces the placer: it digests each event in full and answers with actions drawn at random, rare and invalid ones included, so
 // that migrations, attempts beyond the limit and attempts that have expired occur.
-type arbitraryPlacer struct {
+type randomPlacer struct {
 	recorder *scriptRecorder
 	tasks    []placer.TaskID
 	token    uint64
 }
 
-func (arbitrary *arbitraryPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
-	recorder := arbitrary.recorder
-	recorder.seconds(now)
-	recorder.placerEvent(&event)
+func (random *randomPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+	recorder := random.recorder
+	recorder.digestSeconds(now)
+	recorder.digestEvent(&event)
 	switch {
 	case event.Kind == placer.Arrived:
-		arbitrary.tasks = append(arbitrary.tasks, event.TaskID)
-		return append(actions, arbitrary.decide(now, event.TaskID))
+		random.tasks = append(random.tasks, event.TaskID)
+		return append(actions, random.drawAction(now, event.TaskID))
 	case event.Kind == placer.Adopted:
-		arbitrary.tasks = append(arbitrary.tasks, event.TaskID)
+		random.tasks = append(random.tasks, event.TaskID)
 	case event.Kind == placer.Ended && !event.Final:
 		if event.Attempt > 7 {
 			return append(actions, placer.Action{Kind: placer.Reject, Task: event.TaskID})
 		}
-		return append(actions, arbitrary.decide(now, event.TaskID))
+		return append(actions, random.drawAction(now, event.TaskID))
 	case event.Kind == placer.Bound:
-		arbitrary.token++
-		return append(actions, placer.Action{Kind: placer.SetTimer, Token: arbitrary.token, After: pick[placer.Seconds](recorder, -1, 0, 0.2, 1.5)})
+		random.token++
+		return append(actions, placer.Action{Kind: placer.SetTimer, Token: random.token, After: randomChoice[placer.Seconds](recorder, -1, 0, 0.2, 1.5)})
 	case event.Kind == placer.UsageReported:
 		return append(actions, placer.Action{Kind: placer.Migrate, Task: event.TaskID})
 	case event.Kind == placer.TimerFired && recorder.random.IntN(2) == 0:
-		actions = append(actions, placer.Action{Kind: pick(recorder, placer.WatchNodes, placer.ListNodes)})
-		if len(arbitrary.tasks) > 0 {
-			recent := arbitrary.tasks[max(0, len(arbitrary.tasks)-20):]
-			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: pick(recorder, recent...)})
+		actions = append(actions, placer.Action{Kind: randomChoice(recorder, placer.WatchNodes, placer.ListNodes)})
+		if len(random.tasks) > 0 {
+			recent := random.tasks[max(0, len(random.tasks)-20):]
+			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: randomChoice(recorder, recent...)})
 		}
 	}
 	return actions
 }
 
-func (arbitrary *arbitraryPlacer) decide(now placer.Seconds, task placer.TaskID) placer.Action {
-	recorder := arbitrary.recorder
+func (random *randomPlacer) drawAction(now placer.Seconds, task placer.TaskID) placer.Action {
+	recorder := random.recorder
 	switch recorder.random.IntN(16) {
 	case 0:
-		return placer.Action{Kind: placer.Reject, Task: task, After: pick[placer.Seconds](recorder, 0, 0.0001, 0.7501, 99)}
+		return placer.Action{Kind: placer.Reject, Task: task, After: randomChoice[placer.Seconds](recorder, 0, 0.0001, 0.7501, 99)}
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
 		return placer.Action{Kind: placer.Reject, Task: task + 100000} // unknown
 	}
 	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: nodeID(1 + recorder.random.IntN(4)),
-		Until: pick(recorder, 0, 0, now+0.25, now+0.8, now+100, now-1)}
+		Until: randomChoice(recorder, 0, 0, now+0.25, now+0.8, now+100, now-1)}
 }
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	scriptSteps     = 600
-	checkpointEvery = 50
-	scriptNodes     = 6
+	scriptSteps        = 600
+	checkpointInterval = 50
+	scriptNodes        = 6
 )
 
 func (recorder *scriptRecorder) nodeJSON(i int, state string, bootMS int64) string {
-	recorder.states[i] = state
+	recorder.nodeStates[i] = state
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
 		dispatch.NodeUID(i), i, 1+recorder.eventNumber%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
 }
 
-func pick[T any](recorder *scriptRecorder, of ...T) T { return of[recorder.random.IntN(len(of))] }
+func randomChoice[T any](recorder *scriptRecorder, of ...T) T {
+	return of[recorder.random.IntN(len(of))]
+}
 
 func wireMessage(kind protocol.Kind, id uint64) protocol.Message {
 	return protocol.Message{Kind: kind, ID: protocol.ID(id), UID: fmt.Sprintf("%016x", id)}
 }
 
 // playScript plays one random script to its end.
-func playScript(t *testing.T, shape int, seed uint64, arbitrary bool) []string {
+func runRandomScript(t *testing.T, settingsIndex int, seed uint64, useRandomPlacer bool) []string {
 	t.Helper()
-	setup := &scriptRecorder{states: map[int]string{}}
+	setup := &scriptRecorder{nodeStates: map[int]string{}}
 	known := `{"no":1,"items":[` + dispatch.DiscoveryEventJSON(1, true, setup.nodeJSON(1, "in_service", 0), setup.nodeJSON(2, "in_service", 0),
 		setup.nodeJSON(3, "in_service", 0)) + `]}`
-	recorder := newRecorder(t, shape, seed, known, arbitrary)
+	recorder := newRecorder(t, settingsIndex, seed, known, useRandomPlacer)
 	for i := 1; i <= 3; i++ {
-		recorder.states[i] = "in_service"
+		recorder.nodeStates[i] = "in_service"
 	}
 	if seed%2 == 0 {
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
@@ -44,9 +46,9 @@
 	}
 	recorder.openConnection()
 	for step := 1; step <= scriptSteps; step++ {
-		recorder.step()
+		recorder.randomStep()
 		recorder.observe(step)
-		if step%checkpointEvery == 0 {
+		if step%checkpointInterval == 0 {
 			recorder.checkpoint(step)
 		}
 	}
@@ -56,7 +58,7 @@
 }
 
 // step makes one random call.
-func (recorder *scriptRecorder) step() {
+func (recorder *scriptRecorder) randomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
 		recorder.launch("")
@@ -69,7 +71,7 @@
 	case 18:
 		recorder.invalidLaunch()
 	case 19:
-		recorder.launch(";at:" + pick(recorder, dispatch.NodeUID(1), dispatch.NodeUID(2), dispatch.NodeUID(3), dispatch.NodeUID(4)))
+		recorder.launch(";at:" + randomChoice(recorder, dispatch.NodeUID(1), dispatch.NodeUID(2), dispatch.NodeUID(3), dispatch.NodeUID(4)))
 	case 20, 21:
 		recorder.clientMessage()
 	case 22:
@@ -83,7 +85,7 @@
 	case 27:
 		recorder.core.SetDiscoveryConnected(recorder.now, recorder.random.IntN(2) == 0)
 	default:
-		recorder.advance(pick[placer.Seconds](recorder, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
+		recorder.advance(randomChoice[placer.Seconds](recorder, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
 	}
 }
 
@@ -110,52 +112,52 @@
 
 func (recorder *scriptRecorder) validLaunch(id uint64, extras string) protocol.Message {
 	msg := wireMessage(protocol.Launch, id)
-	msg.Body = pick(recorder, `"in"`, `"\u00e9\n"`, `""`)
-	msg.Set(protocol.Class, pick(recorder, "query", "seats"))
-	if tenant := pick(recorder, scriptTenants[recorder.shape]...); tenant != "" {
+	msg.Body = randomChoice(recorder, `"in"`, `"\u00e9\n"`, `""`)
+	msg.Set(protocol.Class, randomChoice(recorder, "query", "seats"))
+	if tenant := randomChoice(recorder, scriptTenants[recorder.settingsIndex]...); tenant != "" {
 		msg.Set(protocol.Tenant, tenant)
 	}
 	msg.Set(protocol.Key, fmt.Sprintf("%016x", recorder.random.IntN(9)))
 	if recorder.random.IntN(3) == 0 {
-		msg.Set(protocol.IdempotencyKey, pick(recorder, "", "copy", `odd "name"`))
+		msg.Set(protocol.IdempotencyKey, randomChoice(recorder, "", "copy", `odd "name"`))
 	}
-	msg.Set(protocol.TimeLeft, pick(recorder, "0", "120", "900", "1000", "2e3"))
+	msg.Set(protocol.TimeLeft, randomChoice(recorder, "0", "120", "900", "1000", "2e3"))
 	if extras != "" {
-		msg.Set(protocol.TimeLeft, pick(recorder, "4294967", "1000"))
+		msg.Set(protocol.TimeLeft, randomChoice(recorder, "4294967", "1000"))
 	}
-	msg.Set(protocol.Extras, pick(recorder, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
-		pick(recorder, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
+	msg.Set(protocol.Extras, randomChoice(recorder, "cores:1;memory:1", "memory:0.5;cores:2;again:1", "cores:0.25;memory:3;zzz:9;again:0")+
+		randomChoice(recorder, "", ";service:0000000000000009", ";service:00000000000000AA")+extras)
 	return msg
 }
 
-func (recorder *scriptRecorder) fromClient(msg protocol.Message) {
+func (recorder *scriptRecorder) receiveFromAnyClient(msg protocol.Message) {
 	conn := dispatch.ConnID(99) // never opened
 	if len(recorder.conns) > 0 && recorder.random.IntN(40) > 0 {
-		conn = pick(recorder, recorder.conns...)
+		conn = randomChoice(recorder, recorder.conns...)
 	}
-	recorder.receive(conn, msg)
+	recorder.receiveFromClient(conn, msg)
 }
 
 // receive has the core receive a message of a client, and digests the result.
-func (recorder *scriptRecorder) receive(conn dispatch.ConnID, msg protocol.Message) {
-	recorder.verdict(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
+func (recorder *scriptRecorder) receiveFromClient(conn dispatch.ConnID, msg protocol.Message) {
+	recorder.digestError(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
 }
 
 func (recorder *scriptRecorder) launch(extras string) {
 	recorder.lastID++
 	id := recorder.lastID
 	if recorder.random.IntN(12) == 0 {
-		id = recorder.someID() // perhaps in use
+		id = recorder.anyID() // perhaps in use
 	}
-	recorder.fromClient(recorder.validLaunch(id, extras))
+	recorder.receiveFromAnyClient(recorder.validLaunch(id, extras))
 }
 
-func (recorder *scriptRecorder) someID() uint64 {
+func (recorder *scriptRecorder) anyID() uint64 {
 	return 1 + recorder.random.Uint64N(recorder.lastID+1)
 }
 
 // launchFaults spoil a valid launch message.
-var launchFaults = []func(*protocol.Message){
+var launchCorruptions = []func(*protocol.Message){
 	func(msg *protocol.Message) { msg.Body = "" },
 	func(msg *protocol.Message) { msg.Set(protocol.Class, "none") },
 	func(msg *protocol.Message) { msg.Set(protocol.Tenant, "nobody") },
@@ -184,19 +186,19 @@
 
 func (recorder *scriptRecorder) invalidLaunch() {
 	recorder.lastID++
-	id := pick(recorder, recorder.lastID, recorder.someID())
+	id := randomChoice(recorder, recorder.lastID, recorder.anyID())
 	msg := recorder.validLaunch(id, "")
-	pick(recorder, launchFaults...)(&msg)
-	recorder.fromClient(msg)
+	randomChoice(recorder, launchCorruptions...)(&msg)
+	recorder.receiveFromAnyClient(msg)
 }
 
 func (recorder *scriptRecorder) clientMessage() {
-	kind := pick(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
+	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
 		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
 		protocol.Kind(0))
-	msg := wireMessage(kind, recorder.someID())
-	msg.Cause, msg.HasCause = pick[protocol.Cause](recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
-	recorder.fromClient(msg)
+	msg := wireMessage(kind, recorder.anyID())
+	msg.Cause, msg.HasCause = randomChoice[protocol.Cause](recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
+	recorder.receiveFromAnyClient(msg)
 }
 
 // send sends an attempt, possibly one that has ended meanwhile.
@@ -208,14 +210,14 @@
 	attempt := recorder.pending[i]
 	recorder.pending = slices.Delete(recorder.pending, i, i+1)
 	may := recorder.core.PrepareSend(recorder.now, attempt)
-	recorder.flag(may)
-	recorder.text(string(attempt.Message.Append(nil)))
+	recorder.digestBool(may)
+	recorder.digestText(string(attempt.Message.Append(nil)))
 	if may {
 		recorder.sent = append(recorder.sent, attempt)
 	}
 }
 
-func (recorder *scriptRecorder) fromNode(attempt *dispatch.Attempt, msg *protocol.Message) {
+func (recorder *scriptRecorder) receiveFromNode(attempt *dispatch.Attempt, msg *protocol.Message) {
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
@@ -229,24 +231,24 @@
 	if len(open) == 0 {
 		return
 	}
-	attempt := pick(recorder, open...)
+	attempt := randomChoice(recorder, open...)
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
-	msg.Body = pick(recorder, `"out"`, `"out"`, `"out"`, `"\t"`, "")
-	recorder.fromNode(attempt, &msg)
+	msg.Body = randomChoice(recorder, `"out"`, `"out"`, `"out"`, `"\t"`, "")
+	recorder.receiveFromNode(attempt, &msg)
 }
 
 // nodeMessage has a node send any message about any task.
 func (recorder *scriptRecorder) nodeMessage() {
-	kind := pick(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
+	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
 		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
 		protocol.Checked, protocol.Migrate)
-	msg := wireMessage(kind, recorder.someID())
-	msg.Cause, msg.HasCause = pick[protocol.Cause](recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
-	msg.Set(protocol.Note, pick(recorder, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
-	msg.Set(protocol.LoadReport, pick(recorder, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
+	msg := wireMessage(kind, recorder.anyID())
+	msg.Cause, msg.HasCause = randomChoice[protocol.Cause](recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
+	msg.Set(protocol.Note, randomChoice(recorder, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
+	msg.Set(protocol.LoadReport, randomChoice(recorder, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
 	if kind == protocol.Update {
-		msg.Set(protocol.Note, pick(recorder, "up", "cpu", "mem", "share", "tight", "", "other"))
-		msg.Set(protocol.Value, pick(recorder, "0.5", "1", "3.75", "x", ""))
+		msg.Set(protocol.Note, randomChoice(recorder, "up", "cpu", "mem", "share", "tight", "", "other"))
+		msg.Set(protocol.Value, randomChoice(recorder, "0.5", "1", "3.75", "x", ""))
 	}
 	if len(recorder.sent) == 0 || recorder.random.IntN(8) == 0 {
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+recorder.random.IntN(4)), &msg)
@@ -257,16 +259,16 @@
 	if len(live) > 0 && recorder.random.IntN(4) > 0 {
 		among = live
 	}
-	attempt := pick(recorder, among...)
+	attempt := randomChoice(recorder, among...)
 	msg.UID, msg.ID = attempt.Message.UID, attempt.Message.ID
-	recorder.fromNode(attempt, &msg)
+	recorder.receiveFromNode(attempt, &msg)
 }
 
 func (recorder *scriptRecorder) attemptFailure() {
 	if len(recorder.pending) > 0 && recorder.random.IntN(2) == 0 {
-		recorder.core.ConnectFailed(recorder.now, pick(recorder, recorder.pending...))
+		recorder.core.ConnectFailed(recorder.now, randomChoice(recorder, recorder.pending...))
 	} else if len(recorder.sent) > 0 {
-		recorder.core.ConnectionLost(recorder.now, pick(recorder, recorder.sent...))
+		recorder.core.ConnectionLost(recorder.now, randomChoice(recorder, recorder.sent...))
 	}
 }
 
@@ -275,7 +277,7 @@
 	if recorder.random.IntN(2) == 0 {
 		recorder.core.NodeDead(recorder.now, id)
 	} else {
-		recorder.number(uint64(recorder.core.NodeUnresponsive(recorder.now, id)))
+		recorder.digestNumbers(uint64(recorder.core.NodeUnresponsive(recorder.now, id)))
 	}
 }
 
@@ -284,7 +286,7 @@
 func (recorder *scriptRecorder) discoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodes)
-	state := pick(recorder, "in_service", "in_service", "terminating", "terminated")
+	state := randomChoice(recorder, "in_service", "in_service", "terminating", "terminated")
 	var event string
 	switch recorder.random.IntN(12) {
 	case 0, 1, 2:
@@ -293,27 +295,27 @@
 		event = fmt.Sprintf(`{"no":%d}`, recorder.eventNumber)
 	case 4:
 		recorder.eventNumber--
-		event = pick(recorder, "", "{", `{"no":-1}`, `{"no":"x"}`,
+		event = randomChoice(recorder, "", "{", `{"no":-1}`, `{"no":"x"}`,
 			dispatch.DiscoveryEventJSON(recorder.eventNumber, true),
 			dispatch.DiscoveryEventJSON(recorder.eventNumber+2, true),
 			dispatch.DiscoveryEventJSON(recorder.eventNumber+1, false, `{"uid":"","state":"in_service"}`),
 			dispatch.DiscoveryEventJSON(recorder.eventNumber+1, false, `{"uid":"s-00000001","state":"asleep"}`))
 	default:
-		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, false, recorder.nodeJSON(i, state, recorder.startTimeOf(i)))
+		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, false, recorder.nodeJSON(i, state, recorder.drawStartTime(i)))
 	}
 	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(event))
-	recorder.flag(ok)
-	recorder.verdict(err)
+	recorder.digestBool(ok)
+	recorder.digestError(err)
 }
 
 // startTimeOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
 // later list, in no order.
-func (recorder *scriptRecorder) startTimeOf(i int) int64 {
+func (recorder *scriptRecorder) drawStartTime(i int) int64 {
 	node := recorder.core.Node(nodeID(i))
 	if node == nil || node.RunningTasks() > 1 {
 		return 0
 	}
-	return pick(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
+	return randomChoice(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
 }
 
 // completeList is the last known list with one node changed or left out.
@@ -321,11 +323,11 @@
 	for i := 1; i <= scriptNodes; i++ {
 		switch {
 		case i == changed && state == "terminated":
-			delete(recorder.states, i)
+			delete(recorder.nodeStates, i)
 		case i == changed:
 			list = append(list, recorder.nodeJSON(i, state, 0))
-		case recorder.states[i] != "":
-			list = append(list, recorder.nodeJSON(i, recorder.states[i], 0))
+		case recorder.nodeStates[i] != "":
+			list = append(list, recorder.nodeJSON(i, recorder.nodeStates[i], 0))
 		}
 	}
 	return list
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -15,15 +15,15 @@
 // does not depend on names in the source. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden file anew; a missing file is a failure.
 func TestCharacterization(t *testing.T) {
 	var lines []string
-	for shape := range settingsShapes {
+	for settingsIndex := range settingsVariants {
 		for seed := uint64(1); seed <= 6; seed++ {
-			lines = append(lines, playScript(t, shape, seed, false)...)
+			lines = append(lines, runRandomScript(t, settingsIndex, seed, false)...)
 		}
 		for seed := uint64(21); seed <= 26; seed++ {
-			lines = append(lines, playScript(t, shape, seed, true)...)
+			lines = append(lines, runRandomScript(t, settingsIndex, seed, true)...)
 		}
 	}
-	lines = append(lines, playDirected(t)...)
+	lines = append(lines, runDirectedScripts(t)...)
 	record := goldentest.NewRecorder()
 	for _, line := range lines {
 		record.Line("%s", line)
@@ -32,7 +32,7 @@
 }
 
 // settingsShapes are configurations that differ in every setting the core reads, and in those that make the placer act otherwise.
-var settingsShapes = []string{
+var settingsVariants = []string{
 	dispatch.TestSettings,
 	`{"discovery":"pushed","me":1,"myZone":1,"peersTotal":3,"flavors":["std","big"],"zones":["a","b"],
  "extra":{"admitMemory":1,"apartBy":["machine","zone"],"classKind":[-1,1],"checkAfterS":0.5,"coresByKind":[8,16],"cpuBooking":1,
@@ -59,7 +59,7 @@
 
 // TestCharacterizationKnownEvents pins which lists of earlier events a core starts with, and the state that they leave.
 func TestCharacterizationKnownEvents(t *testing.T) {
-	settings, err := simconfig.Parse([]byte(settingsShapes[0]))
+	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -2,9 +2,9 @@
 
 import "heathshed/internal/platform/protocol"
 
-// clientMessageHandler handles the messages of clients.
+// clientMessageHandler handles the messages that clients send.
 type clientMessageHandler struct {
-	*environment
+	*sharedState
 	parser   requestParser
 	clients  *clientRegistry
 	requests *requestTable
@@ -13,19 +13,19 @@
 	notifier *notifier
 }
 
-// receive handles a message. A client whose message is invalid is answered with an error.
+// receive handles one message. The sender of an invalid message is sent an error answer.
 func (h *clientMessageHandler) receive(client *clientConn, msg *protocol.Message) error {
 	if err := h.handle(client, msg); err != nil {
 		h.counts.InvalidMessages++
 		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseError))
 		return err
 	}
-	h.clients.messageValid(client)
+	h.clients.recordValidMessage(client)
 	h.notifier.sendPending(client)
 	return nil
 }
 
-// handle handles a message by its kind. Kinds that only nodes send are ignored.
+// handle calls the handler for the kind of the message. Kinds that only nodes send are ignored.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// healthCheckPassed is the cause of a Checked message that says that the scheduler is healthy.
+// healthCheckPassed is the cause in a Checked message that reports a healthy scheduler.
 const healthCheckPassed protocol.Cause = 1
 
 func (h *clientMessageHandler) handleHealthCheck(client *clientConn, msg *protocol.Message) {
@@ -48,20 +48,21 @@
 	h.clients.send(client.id, replyTo(msg, protocol.Checked, healthCheckPassed))
 }
 
-// handleLaunch handles a new placement request, or a task that runs already and is to be adopted.
+// handleLaunch handles a launch message, which is either a new placement request or lists a running task for
+// adoption.
 func (h *clientMessageHandler) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	h.counts.PlacementRequests++
 	parsed, err := h.parser.parse(h.now, msg)
 	if existing := h.requests.getByID(msg.ID); existing != nil {
 		if err == nil && parsed.isAdoption() {
-			return nil // adopted already
+			return nil // the task was already adopted
 		}
 		return h.rejectDuplicate(client, existing, msg)
 	}
 	if err != nil {
 		return err
 	}
-	if h.requests.full() {
+	if h.requests.isFull() {
 		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseBusy))
 		return nil
 	}
@@ -75,33 +76,33 @@
 	return nil
 }
 
-// rejectDuplicate handles a launch message whose ID is in use. Two requests with one ID could not both be answered, so an open one on the same
-// connection is withdrawn.
+// rejectDuplicate rejects a launch message whose ID is already in use. Two requests with the same ID cannot
+// both be answered, so an existing open request on the same connection is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
 	}
-	return invalidMessage(InvalidIDInUse, "launch: id %s is in use", msg.UID)
+	return invalidMessage(InvalidIDInUse, "launch message: ID %s is already in use", msg.UID)
 }
 
-// handleStop handles a client's message to withdraw an open request or to stop a running task.
+// handleStop handles a message with which a client withdraws an open request or stops a running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
-		return nil // the client sent it before it received the answer
+		return nil // the client sent the stop before it received the answer
 	}
 	if attempt := req.runningAttempt(); attempt != nil {
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
 		return nil
 	}
 	if req.conn != client.id {
-		return invalidMessage(InvalidStop, "stop: request %s is open on another connection", msg.UID)
+		return invalidMessage(InvalidStop, "stop message: request %s is open on another client connection", msg.UID)
 	}
 	h.requests.withdraw(req)
 	return nil
 }
 
-// clientStopCause returns the cause with which a node is asked to stop a task for its client.
+// clientStopCause returns the cause that is sent to the node when a client stops its running task.
 func clientStopCause(msg *protocol.Message) protocol.Cause {
 	if msg.HasCause {
 		return msg.Cause
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -1,20 +1,23 @@
-// Package dispatch is the core of the scheduler's front on the shared platform. It keeps placement requests of clients, attempts to start
-// their tasks on nodes, running tasks, notifications that clients have yet to receive, and the node registry, and it translates between the
-// platform's messages and the events and actions of package placer. Package server runs a Core on sockets.
+// Package dispatch implements the state machine of the scheduler's platform front end. It tracks the
+// placement requests of clients, the attempts to start their tasks on nodes, the running tasks, the
+// undelivered notifications and the node registry. It translates between the messages of the platform
+// protocol and the events and actions of package placer. Package server runs a Core on network connections.
 //
-// It has the form of the core of etcd's raft: a call reports what happened and when, and Core.Ready returns the effects that the caller has to
-// carry out. The package is pure: it has no I/O, clock, goroutine or global state. It makes no placement decisions: each event goes to the
-// placer, and each action comes from it. Times on the clock and durations are placer.Seconds.
+// The design follows the raft package of etcd: each method call reports what happened and at which time,
+// and Core.Ready returns the effects that the caller has to carry out. The package has no I/O, clock,
+// goroutines or global state. It makes no placement decisions: it passes each event to the placer and
+// executes the actions that the placer returns. Points in time and durations have the type placer.Seconds.
 //
-// Begin reading at Core.ReceiveFromClient and Core.execute; the way of a placement request is described in docs/architecture.md. Core composes
-// parts; only a part itself writes its fields. All of them share an environment: the clock, the timers, the effects for the caller and the
-// events for the placer. From the outside to the inside:
+// Core.ReceiveFromClient and Core.execute are the entry points for a first reading; docs/architecture.md
+// describes how a placement request is processed. Core consists of components, and only the component that
+// owns a field writes it. All components share a sharedState: the clock, the timers, the effects for the
+// caller and the events for the placer. The components are, from the outermost to the innermost layer:
 //
 //   - clientMessageHandler and nodeMessageHandler handle the messages of clients and of nodes;
-//   - taskController takes a task from its start to its end, adoption adds tasks that run already;
-//   - requestTable and attemptTable keep requests and attempts and move them from state to state;
-//   - notifier delivers notifications, earlyTerminationLog records the ends of tasks that are not known yet;
-//   - clientRegistry keeps the client connections, nodeRegistry the nodes and what runs on them.
+//   - taskController manages a task from its start to its end, and adoption adds tasks that run already;
+//   - requestTable and attemptTable store requests and attempts and change their states;
+//   - notifier delivers notifications, and earlyTerminationLog records the ends of unknown tasks;
+//   - clientRegistry stores the client connections, and nodeRegistry stores the nodes and what runs on them.
 package dispatch
 
 import (
@@ -28,15 +31,16 @@
 	"heathshed/placer"
 )
 
-// maxTasks is the maximum number of open placement requests and running tasks together. Each takes about 2 KB.
+// maxTasks limits the total number of open placement requests and running tasks. Each takes about 2 KB of
+// memory.
 const maxTasks = 20000
 
-// Core is the state of the scheduler on the platform. It must not be used by several goroutines at once.
+// Core is the state machine of the scheduler on the platform. It is not safe for concurrent use.
 type Core struct {
-	// Counts may be read by the caller, but not written.
+	// Counts may be read by the caller, but must not be written.
 	Counts Counts
 
-	*environment
+	*sharedState
 	clients        *clientRegistry
 	nodes          *nodeRegistry
 	requests       *requestTable
@@ -47,67 +51,68 @@
 	nodeMessages   *nodeMessageHandler
 }
 
-// New returns a core with the nodes that the discovery events in knownEvents describe: a JSON object, the value of the key "known" in the
-// platform's configuration, or empty. The error names the invalid part of it.
+// New returns a core whose node registry is built from the discovery events in knownEvents. knownEvents is
+// the JSON value of the key "known" in the platform's configuration, or empty. The returned error names the
+// invalid part of knownEvents.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
 	c := &Core{}
-	c.environment = &environment{settings: settings, counts: &c.Counts, now: now}
+	c.sharedState = &sharedState{settings: settings, counts: &c.Counts, now: now}
 	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
-	c.wire()
-	if err := c.nodes.load(knownEvents); err != nil {
+	c.createComponents()
+	if err := c.nodes.loadKnownEvents(knownEvents); err != nil {
 		return nil, err
 	}
 	c.runEvents()
 	return c, nil
 }
 
-// wire builds the parts and connects them.
-func (c *Core) wire() {
-	env := c.environment
-	early := newEarlyTerminationLog(env)
-	c.clients = newClientRegistry(env)
-	c.notifier = &notifier{environment: env, clients: c.clients}
-	c.nodes = newNodeRegistry(env)
-	c.attempts = newAttemptTable(env, c.nodes)
-	c.requests = newRequestTable(env, c.clients, c.attempts)
-	c.tasks = &taskController{environment: env, clients: c.clients, requests: c.requests, attempts: c.attempts, notifier: c.notifier}
-	c.nodes.endLostTask = c.tasks.endLost
+// createComponents creates the components and connects them to each other.
+func (c *Core) createComponents() {
+	shared := c.sharedState
+	earlyTerminations := newEarlyTerminationLog(shared)
+	c.clients = newClientRegistry(shared)
+	c.notifier = &notifier{sharedState: shared, clients: c.clients}
+	c.nodes = newNodeRegistry(shared)
+	c.attempts = newAttemptTable(shared, c.nodes)
+	c.requests = newRequestTable(shared, c.clients, c.attempts)
+	c.tasks = &taskController{sharedState: shared, clients: c.clients, requests: c.requests, attempts: c.attempts, notifier: c.notifier}
+	c.nodes.endLostTask = c.tasks.endLostTask
 	c.clientMessages = &clientMessageHandler{
-		environment: env,
-		parser:      requestParser{settings: env.settings},
+		sharedState: shared,
+		parser:      requestParser{settings: shared.settings},
 		clients:     c.clients,
 		requests:    c.requests,
 		tasks:       c.tasks,
 		notifier:    c.notifier,
 		adoption: &adoption{
-			environment:       env,
+			sharedState:       shared,
 			nodes:             c.nodes,
 			requests:          c.requests,
 			attempts:          c.attempts,
-			earlyTerminations: early,
+			earlyTerminations: earlyTerminations,
 			notifier:          c.notifier,
 		},
 	}
-	c.nodeMessages = &nodeMessageHandler{environment: env, attempts: c.attempts, tasks: c.tasks, earlyTerminations: early}
+	c.nodeMessages = &nodeMessageHandler{sharedState: shared, attempts: c.attempts, tasks: c.tasks, earlyTerminations: earlyTerminations}
 }
 
-// Ready returns the effects since the last call. The caller owns the slice.
+// Ready returns the effects that were added since the last call. The caller owns the returned slice.
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
-// NextTimer returns when Advance has to be called next, or infinity if there is no timer.
+// NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
 func (c *Core) NextTimer() placer.Seconds { return c.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
-// Advance runs the timers that are due.
-func (c *Core) Advance(now placer.Seconds) { c.advance(now) }
+// Advance sets the clock to now and runs the timers that are due.
+func (c *Core) Advance(now placer.Seconds) { c.runDueTimers(now) }
 
-// execute executes an action of the placer. An action on an unknown task has no effect.
+// execute executes an action of the placer. An action for an unknown task has no effect.
 func (c *Core) execute(action *placer.Action) {
 	switch action.Kind {
 	case placer.SetTimer:
 		token := action.Token
-		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.post(placer.Event{Kind: placer.TimerFired, Token: token}) })
+		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.postEvent(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		c.nodes.requestList()
+		c.nodes.handleListRequest()
 	default:
 		if req := c.requests.get(action.Task); req != nil {
 			c.executeForRequest(req, action)
@@ -121,7 +126,7 @@
 		c.attempts.start(req, action)
 	case placer.Reject:
 		c.Counts.Rejected++
-		c.requests.answer(req, c.rejection(req, action.After))
+		c.requests.answer(req, c.newRejection(req, action.After))
 	case placer.Fail:
 		c.Counts.Failed++
 		c.requests.answer(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
@@ -130,28 +135,30 @@
 	}
 }
 
-// ClientConnected adds a client connection.
+// ClientConnected registers a new client connection.
 func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
-	c.setTime(now)
+	c.setClock(now)
 	c.clients.connect(conn)
 }
 
-// ClientDisconnected removes a client connection. Its open requests are withdrawn, since their answers could not be sent. Notifications that
-// the client may not have received are sent again on another connection.
+// ClientDisconnected removes a client connection. The open requests of the connection are withdrawn, since
+// their answers can no longer be sent. Notifications that the client may not have received are sent again on
+// another connection.
 func (c *Core) ClientDisconnected(now placer.Seconds, conn ConnID) {
-	c.setTime(now)
+	c.setClock(now)
 	client := c.clients.disconnect(conn)
 	if client == nil {
 		return
 	}
-	for _, req := range client.requestsInOrder() {
+	for _, req := range client.openRequestsByArrival() {
 		c.requests.withdraw(req)
 	}
 	c.notifier.redeliver(client)
 	c.runEvents()
 }
 
-// ClientRequests returns the number of open requests on a connection, and whether a task of any request on it ever ran.
+// ClientRequests returns the number of open requests on a connection, and whether a task of any request on
+// the connection has ever run.
 func (c *Core) ClientRequests(conn ConnID) (open int, placed bool) {
 	client := c.clients.get(conn)
 	if client == nil {
@@ -160,106 +167,115 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsOnlyClient reports whether a connection is the only one that has sent a valid message while tasks run: notifications of their ends could not
-// be sent on any other.
+// IsOnlyClient reports whether tasks are running and the connection is the only one that has sent a valid
+// message. If such a connection is closed, no other connection is left on which clients can be notified that
+// their tasks have ended.
 func (c *Core) IsOnlyClient(conn ConnID) bool {
-	return c.RunningTasks() > 0 && c.clients.onlyIdentified(conn)
+	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
 }
 
-// ReceiveFromClient handles one message of a client. The error is an *InvalidMessageError if the message is invalid, in which case its sender
-// has been answered, or wraps ErrClientNotConnected.
+// ReceiveFromClient handles one message of a client. It returns an *InvalidMessageError if the message is
+// invalid; the sender has then been sent an error answer. It returns an error that wraps
+// ErrClientNotConnected if the connection is not open.
 func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
-	c.setTime(now)
+	c.setClock(now)
 	client := c.clients.get(conn)
 	if client == nil {
-		return fmt.Errorf("receive on connection %d: %w", conn, ErrClientNotConnected)
+		return fmt.Errorf("receive message on client connection %d: %w", conn, ErrClientNotConnected)
 	}
 	err := c.clientMessages.receive(client, msg)
 	c.runEvents()
 	return err
 }
 
-// PrepareSend checks an attempt again before its first byte is written, and sets the time that the node may take. If it returns false, the
-// attempt must not be sent, and has ended.
+// PrepareSend checks an attempt immediately before its first byte is written, and sets the time limit in the
+// message to the node. If it returns false, the attempt has ended and must not be sent.
 func (c *Core) PrepareSend(now placer.Seconds, attempt *Attempt) bool {
-	c.setTime(now)
+	c.setClock(now)
 	ok := c.attempts.prepareSend(attempt)
 	c.runEvents()
 	return ok
 }
 
-// ConnectFailed reports that no connection could be established for an attempt, so that it was not sent.
+// ConnectFailed tells the core that an attempt was not sent because no connection to its node could be
+// established.
 func (c *Core) ConnectFailed(now placer.Seconds, attempt *Attempt) {
-	c.setTime(now)
+	c.setClock(now)
 	c.attempts.connectFailed(attempt)
 	c.runEvents()
 }
 
-// ConnectionLost reports that the connection on which an attempt was sent has ended. The outcome of the attempt is unknown.
+// ConnectionLost tells the core that the connection on which an attempt was sent has closed. If the attempt
+// had no answer, its outcome is unknown.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
-	c.setTime(now)
+	c.setClock(now)
 	c.attempts.connectionLost(attempt)
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node changes only the counts
-// and, if it reports the end of the task, the log of early terminations.
+// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node only
+// changes counters and, if it reports that the task has ended, adds a record to the log of early
+// terminations.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
-	c.setTime(now)
+	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
 	c.runEvents()
 }
 
-// NodeDead ends all tasks that run on a node whose process has ended, or that has terminated.
+// NodeDead ends all tasks that run on a node whose process has exited or that has been terminated.
 func (c *Core) NodeDead(now placer.Seconds, id placer.NodeID) {
-	c.setTime(now)
+	c.setClock(now)
 	c.nodes.endTasksOf(id)
 	c.runEvents()
 }
 
-// NodeUnresponsive stops all tasks that run on an unresponsive node and returns how many they are. Their clients are notified at once. But the
-// tasks may still run if the node is only partitioned, so it is asked to stop them as soon as it can be reached, and for the placer they run until it
-// confirms that, or for notificationRetention. Otherwise the placer would consider capacity free that is in use on a node about to come back,
-// and would exceed the limit on how many tasks of a service run in one domain.
+// NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. Their clients
+// are notified immediately. The tasks may still be running if the node is only partitioned from the network,
+// so the node is asked to stop them as soon as it can be reached. For the placer, each task runs until the
+// node confirms that it stopped the task, or until notificationRetention has passed. If the placer considered
+// the tasks ended earlier, it would count capacity as free that is in use on a node that may come back, and
+// it would exceed the limit on the number of tasks of a service in one failure domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (tasks int) {
-	c.setTime(now)
+	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
-		tasks = c.tasks.stopOn(node)
+		tasks = c.tasks.stopTasksOn(node)
 	}
 	c.runEvents()
 	return tasks
 }
 
-// Node returns a node of the registry, or nil if there is none with the ID.
+// Node returns the node with the given ID, or nil if the registry does not contain it.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
 // EachNode calls f for each node of the registry, in no particular order.
 func (c *Core) EachNode(f func(*Node)) { c.nodes.each(f) }
 
-// LastDiscoveryEvent returns the number of the last discovery event that was applied.
+// LastDiscoveryEvent returns the sequence number of the last discovery event that was applied.
 func (c *Core) LastDiscoveryEvent() uint64 { return c.nodes.lastDiscoveryEvent }
 
-// ReceiveDiscoveryEvent applies one event of the discovery stream. ok is false if events are missing before it or if it is invalid: it is not
-// applied then, and the caller has to reopen the stream after LastDiscoveryEvent. An event that was applied already is ignored.
+// ReceiveDiscoveryEvent applies one event of the discovery stream. It returns false without applying the
+// event if the event is invalid or if earlier events are missing. The caller then has to reopen the stream
+// after LastDiscoveryEvent. An event that was already applied is ignored, and ok is true.
 func (c *Core) ReceiveDiscoveryEvent(now placer.Seconds, data []byte) (ok bool, err error) {
-	c.setTime(now)
-	ok, err = c.nodes.receive(data)
+	c.setClock(now)
+	ok, err = c.nodes.receiveEvent(data)
 	c.runEvents()
 	return ok, err
 }
 
-// SetDiscoveryConnected reports whether the discovery stream is connected. The placer's requests for the node list are answered from the
-// stream, whose events are passed on as they arrive: while the stream is connected, a request is answered at once; otherwise it is answered
-// when the stream is connected, or fails with the next failed attempt to connect it.
+// SetDiscoveryConnected tells the core whether the discovery stream is connected. The placer's requests for
+// the node list are answered from the stream, whose events are passed on as they arrive. While the stream is
+// connected, a request is answered immediately. Otherwise the request is answered when the stream is
+// connected, or fails when the next attempt to connect fails.
 func (c *Core) SetDiscoveryConnected(now placer.Seconds, connected bool) {
-	c.setTime(now)
+	c.setClock(now)
 	c.nodes.setDiscoveryConnected(connected)
 	c.runEvents()
 }
 
-// rejection returns the answer to a request for which no node has capacity. retryAfter is the delay that the client is advised to wait before a
-// new request, or 0 for no advice.
-func (c *Core) rejection(req *request, retryAfter placer.Seconds) protocol.Message {
+// newRejection returns the answer to a request for which no node has capacity. retryAfter is how long the
+// client is advised to wait before it sends a new request; 0 means that no advice is sent.
+func (c *Core) newRejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
 		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * millisecondsPerSecond)
@@ -268,7 +284,7 @@
 	return answer
 }
 
-// OpenRequests returns the number of placement requests without an answer.
+// OpenRequests returns the number of placement requests that have no answer yet.
 func (c *Core) OpenRequests() int { return c.requests.openCount }
 
 // RunningTasks returns the number of running tasks on all nodes.
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -1,58 +1,65 @@
 package dispatch
 
-// Counts count what has happened since the start.
+// Counts contains counters of what has happened since the core was created.
 type Counts struct {
-	// PlacementRequests are launch messages of clients: new requests, adoptions and invalid ones.
+	// PlacementRequests counts the launch messages of clients: new requests, adoptions and invalid messages.
 	PlacementRequests uint64
-	// Adopted are launch messages that name a node which already runs the task.
+	// Adopted counts the launch messages that name a node on which the task already runs.
 	Adopted uint64
-	// Accepted are valid new requests that were passed to the placer.
+	// Accepted counts the valid new requests, which are passed to the placer.
 	Accepted uint64
-	// Placed are accepted requests whose client was sent the answer that the task runs.
+	// Placed counts the accepted requests whose clients were sent the answer that the task runs.
 	Placed uint64
-	// Rejected are rejections for lack of capacity that the placer decided on.
+	// Rejected counts the requests that the placer decided to reject for lack of capacity.
 	Rejected uint64
-	// Failed are failures that the placer decided on.
+	// Failed counts the requests that the placer decided to answer with an error.
 	Failed uint64
-	// Withdrawn are open requests that the client withdrew, ended by a second request with the same ID, or left behind when its connection
-	// ended.
+	// Withdrawn counts the open requests that ended because the client withdrew them, because a second
+	// request had the same ID, or because the client connection closed.
 	Withdrawn uint64
 
-	// Attempts are attempts that the placer requested, whether or not they were sent.
+	// Attempts counts the attempts that the placer requested, whether or not they were sent.
 	Attempts uint64
-	// Bound are attempts that a node accepted in time.
+	// Bound counts the attempts that a node accepted in time.
 	Bound uint64
-	// CapacityRejections are attempts that a node rejected with CauseFull: for lack of capacity, or as the wrong node while it drains.
+	// CapacityRejections counts the attempts that a node rejected with CauseFull, because it lacks capacity,
+	// or because it is draining and accepts no new tasks.
 	CapacityRejections uint64
-	// NodeErrors are attempts that failed at the node.
+	// NodeErrors counts the attempts that a node answered with an error.
 	NodeErrors uint64
-	// ConnectFailures are attempts that were not sent because no connection to the node could be established.
+	// ConnectFailures counts the attempts that were not sent because no connection to the node could be
+	// established.
 	ConnectFailures uint64
-	// ConnectionsLost are attempts without an answer whose connection ended, or that the node ended with a cause other than those counted
-	// elsewhere.
+	// ConnectionsLost counts the unanswered attempts whose connection closed, or that the node ended with a
+	// cause that no other counter covers.
 	ConnectionsLost uint64
-	// TimedOut are attempts that were sent and not answered until they expired.
+	// TimedOut counts the attempts that were sent but not answered before they expired.
 	TimedOut uint64
-	// Expired are attempts that ended before they were sent, or that the node says it received too late.
+	// Expired counts the attempts that ended before they were sent, and those that the node reports to have
+	// received too late.
 	Expired uint64
-	// LateAnswers are acceptances of attempts that had been abandoned.
+	// LateAnswers counts the acceptances of attempts that had already been abandoned.
 	LateAnswers uint64
-	// UnknownTasks are messages of nodes about tasks that were never sent to them, or are no longer kept.
+	// UnknownTasks counts the messages of nodes about tasks that were never sent to them or whose records
+	// have been removed.
 	UnknownTasks uint64
 
-	// TasksEnded are running tasks that ended, for whatever reason.
+	// TasksEnded counts the running tasks that ended, for any reason.
 	TasksEnded uint64
-	// Migrations are running tasks that the placer requested to migrate.
+	// Migrations counts the running tasks that the placer requested to migrate.
 	Migrations uint64
-	// TasksLost are running tasks that ended without their client's or the placer's request and not by themselves, those at unresponsive nodes
-	// included.
+	// TasksLost counts the running tasks that neither completed nor were stopped at the request of the client
+	// or the placer. It includes the tasks on unresponsive nodes.
 	TasksLost uint64
-	// PendingNotifications are notifications for which no connection was open.
+	// PendingNotifications counts the notifications that could not be sent at once because no client
+	// connection was suitable.
 	PendingNotifications uint64
-	// ExpiredNotifications are pending notifications that were discarded because no connection was opened in time.
+	// ExpiredNotifications counts the pending notifications that were discarded because no client connection
+	// became available in time.
 	ExpiredNotifications uint64
-	// Redeliveries are notifications that were sent once more because their connection ended without an acknowledgement.
+	// Redeliveries counts the notifications that were sent again because their connection closed before the
+	// client acknowledged them.
 	Redeliveries uint64
-	// InvalidMessages are messages of clients for which ReceiveFromClient returned an error.
+	// InvalidMessages counts the client messages that ReceiveFromClient rejected as invalid.
 	InvalidMessages uint64
 }
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -7,13 +7,14 @@
 	"heathshed/placer"
 )
 
-// discoveryEvent is one event of the discovery stream. The JSON keys are the platform's.
+// discoveryEvent is one event of the discovery stream. The JSON keys are defined by the platform.
 type discoveryEvent struct {
 	Number   uint64    `json:"no"`
-	NodeList *nodeList `json:"roster"` // nil in events of other kinds
+	NodeList *nodeList `json:"roster"` // nil in events that contain no node list
 }
 
-// nodeList is a list of nodes: all of them if Complete, otherwise those that have changed.
+// nodeList is a list of nodes. It contains all nodes if Complete is set, otherwise only those that have
+// changed.
 type nodeList struct {
 	Revision uint64      `json:"rev"`
 	Complete bool        `json:"all"`
@@ -29,12 +30,12 @@
 	Rack        int        `json:"pod_group"`
 	State       string     `json:"state"`
 	StartedAtMS float64    `json:"boot_ms"`
-	Free        [2]float64 `json:"open"` // cores and memory
+	Free        [2]float64 `json:"open"` // free cores and free memory
 }
 
-// knownEventList is the list of earlier discovery events in the platform's configuration.
+// knownEventList is the list of earlier discovery events that the platform's configuration contains.
 type knownEventList struct {
-	Number uint64           `json:"no"` // of the last event
+	Number uint64           `json:"no"` // sequence number of the last event
 	Events []discoveryEvent `json:"items"`
 }
 
@@ -42,12 +43,12 @@
 func parseDiscoveryEvent(data []byte) (*discoveryEvent, error) {
 	var event discoveryEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		return nil, fmt.Errorf("discovery event: %w", err)
+		return nil, fmt.Errorf("parse discovery event: %w", err)
 	}
 	return &event, nil
 }
 
-// validate returns an error if an entry of the event's list cannot be applied.
+// validate returns an error if an entry of the event's node list is invalid.
 func (e *discoveryEvent) validate() error {
 	if e.NodeList == nil {
 		return nil
@@ -55,7 +56,7 @@
 	for i := range e.NodeList.Nodes {
 		entry := &e.NodeList.Nodes[i]
 		if _, valid := parseNodeState(entry.State); !valid || entry.UID == "" {
-			return fmt.Errorf("discovery event %d: target %d: uid %q, state %q: want a uid and a known state", e.Number, i, entry.UID, entry.State)
+			return fmt.Errorf("discovery event %d: target %d has UID %q and state %q, want a UID and a known state", e.Number, i, entry.UID, entry.State)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -7,35 +7,37 @@
 	"heathshed/placer"
 )
 
-// maxEarlyTerminations is the maximum number of early terminations that are kept.
+// maxEarlyTerminations limits the number of early terminations that are recorded.
 const maxEarlyTerminations = maxTasks
 
-// earlyTermination records that a node reported the end of a task that is not known here. Its client may still list it for adoption.
+// earlyTermination records that a node reported the end of a task that the scheduler does not know. The
+// client may still list that task for adoption.
 type earlyTermination struct {
 	cause     protocol.Cause
 	expiresAt placer.Seconds
 }
 
-// earlyTerminationLog owns the records of ends of unknown tasks, for as long as their clients may still list the tasks for adoption. After a
-// start, a node reports on its first connection which tasks ended while it had none, and may be faster than clients that list thousands of
-// tasks. The number of records is bounded: the oldest are removed first.
+// earlyTerminationLog records the ends of unknown tasks for as long as clients may still list those tasks for
+// adoption. After a scheduler start, a node reports on its first connection which tasks ended while it had no
+// connection. These reports can arrive before the messages of clients that list thousands of tasks. The
+// number of records is limited; the oldest record is removed first.
 type earlyTerminationLog struct {
-	*environment
+	*sharedState
 	records map[attemptKey]earlyTermination
-	order   []attemptKey // keys of records, oldest first
+	order   []attemptKey // the keys of records, oldest first
 }
 
-func newEarlyTerminationLog(env *environment) *earlyTerminationLog {
-	return &earlyTerminationLog{environment: env, records: map[attemptKey]earlyTermination{}}
+func newEarlyTerminationLog(shared *sharedState) *earlyTerminationLog {
+	return &earlyTerminationLog{sharedState: shared, records: map[attemptKey]earlyTermination{}}
 }
 
-// get returns the record of a task's end at a node.
+// get returns the record of the end of a task on a node.
 func (l *earlyTerminationLog) get(key attemptKey) (record earlyTermination, found bool) {
 	record, found = l.records[key]
 	return record, found
 }
 
-// record records the end of an unknown task. A second report of the same end is ignored.
+// record records the end of an unknown task. Repeated reports of the same end are ignored.
 func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
 	if _, known := l.records[key]; known {
 		return
@@ -52,7 +54,7 @@
 	}
 }
 
-// expire removes the records that have expired, and sets a timer for the next one.
+// expire removes the expired records and sets a timer for the next record.
 func (l *earlyTerminationLog) expire() {
 	expired := 0
 	for _, key := range l.order {
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -9,31 +9,31 @@
 // TestEarlyTerminationLog: the first end of a task is kept for notificationRetention, with one timer for all records, and a full log removes the
 // oldest.
 func TestEarlyTerminationLog(t *testing.T) {
-	env := &environment{now: 100}
-	log := newEarlyTerminationLog(env)
+	shared := &sharedState{now: 100}
+	log := newEarlyTerminationLog(shared)
 	requireRecord := func(id protocol.ID, cause protocol.Cause, want bool) {
 		t.Helper()
 		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
-			t.Errorf("at %v: record of task %d %+v, found %v, want %v", env.now, id, record, found, want)
+			t.Errorf("at %v: record of task %d %+v, found %v, want %v", shared.now, id, record, found, want)
 		}
 	}
 
 	log.record(attemptKey{1, 1}, 16)
-	env.now = 103
+	shared.now = 103
 	log.record(attemptKey{1, 1}, 41) // changes neither the cause nor the time
 	log.record(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
-	if env.timers.Len() != 1 || env.timers.NextOr(0) != 100+notificationRetention {
-		t.Errorf("%d timers, the next at %v", env.timers.Len(), env.timers.NextOr(0))
+	if shared.timers.Len() != 1 || shared.timers.NextOr(0) != 100+notificationRetention {
+		t.Errorf("%d timers, the next at %v", shared.timers.Len(), shared.timers.NextOr(0))
 	}
-	env.advance(100 + notificationRetention)
+	shared.runDueTimers(100 + notificationRetention)
 	requireRecord(1, 0, false)
 	requireRecord(2, 31, true)
-	env.advance(103 + notificationRetention)
+	shared.runDueTimers(103 + notificationRetention)
 	requireRecord(2, 0, false)
-	if env.timers.Len() != 0 {
-		t.Errorf("%d timers are left", env.timers.Len())
+	if shared.timers.Len() != 0 {
+		t.Errorf("%d timers are left", shared.timers.Len())
 	}
 
 	for id := range protocol.ID(maxEarlyTerminations + 1) {
--- a/internal/platform/dispatch/effect.go
+++ b/internal/platform/dispatch/effect.go
@@ -2,29 +2,33 @@
 
 import "heathshed/internal/platform/protocol"
 
-// EffectKind selects what the caller has to do for an Effect.
+// EffectKind specifies what the caller has to do to carry out an Effect.
 type EffectKind uint8
 
-// The kinds of effect.
+// The kinds of effects.
 const (
-	// SendToClient sends Message on the client connection Conn.
+	// SendToClient requests that Message be sent on the client connection Conn.
 	SendToClient EffectKind = iota + 1
-	// SendAttempt sends Attempt to its node. The caller calls Core.PrepareSend before the first byte is written.
+	// SendAttempt requests that Attempt be sent to its node. The caller has to call Core.PrepareSend before
+	// it writes the first byte.
 	SendAttempt
-	// SendToNode sends Message to the node of Attempt, on the connection on which Attempt was sent if that is open, otherwise on any.
+	// SendToNode requests that Message be sent to the node of Attempt. The connection on which Attempt was
+	// sent is used if it is open, otherwise any connection to the node.
 	SendToNode
-	// ConnectNode opens a connection to the node of Attempt, which runs a task that was adopted: the node needs one to report the task's end.
+	// ConnectNode requests a connection to the node of Attempt, which runs an adopted task. The node needs a
+	// connection to report the end of the task.
 	ConnectNode
-	// NodesChanged says that nodes or their addresses may have changed.
+	// NodesChanged reports that the set of nodes or their addresses may have changed.
 	NodesChanged
 )
 
-// Effect is an instruction to the caller. Effects have to be carried out in order.
+// Effect is an action that the caller has to carry out. Effects have to be carried out in order.
 type Effect struct {
 	Kind    EffectKind
 	Conn    ConnID
 	Attempt *Attempt
 	Message protocol.Message
-	// TimedOut is set, with SendToNode, if the attempt was not answered in time: the connection on which it was sent may be broken.
+	// TimedOut is set for SendToNode if the attempt was not answered in time. The connection on which the
+	// attempt was sent may then be broken.
 	TimedOut bool
 }
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -7,41 +7,41 @@
 	"heathshed/placer"
 )
 
-// environment is what all parts of a core share: the settings, the clock, the timers, the effects for the caller, and the events for the
-// placer. The parts change it by its methods only.
-type environment struct {
+// sharedState is the state that all components of a Core share: the settings, the clock, the timers, the
+// effects for the caller and the events for the placer. The components change it only through its methods.
+type sharedState struct {
 	settings *simconfig.Settings
 	counts   *Counts
 	now      placer.Seconds
 	timers   timerqueue.Queue[placer.Seconds]
-	effects  []Effect // since the last call of takeEffects
+	effects  []Effect // effects that were added since the last call of takeEffects
 	events   eventqueue.Queue
 }
 
-// setTime sets the clock, which never decreases.
-func (env *environment) setTime(now placer.Seconds) { env.now = max(env.now, now) }
+// setClock sets the clock to now, unless that would move it backwards.
+func (shared *sharedState) setClock(now placer.Seconds) { shared.now = max(shared.now, now) }
 
-// emit adds an effect for the caller.
-func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
+// addEffect adds an effect for the caller to carry out.
+func (shared *sharedState) addEffect(effect Effect) { shared.effects = append(shared.effects, effect) }
 
-// takeEffects returns the effects since the last call.
-func (env *environment) takeEffects() []Effect {
-	effects := env.effects
-	env.effects = nil
+// takeEffects returns the effects that were added since the last call, and clears them.
+func (shared *sharedState) takeEffects() []Effect {
+	effects := shared.effects
+	shared.effects = nil
 	return effects
 }
 
-// post queues an event for the placer.
-func (env *environment) post(event placer.Event) { env.events.Post(event) }
+// postEvent queues an event for the placer.
+func (shared *sharedState) postEvent(event placer.Event) { shared.events.Post(event) }
 
-// runEvents passes all queued events to the placer and executes its actions.
-func (env *environment) runEvents() { env.events.Run(env.now) }
+// runEvents passes all queued events to the placer and executes the actions that the placer returns.
+func (shared *sharedState) runEvents() { shared.events.Run(shared.now) }
 
-// advance runs the timers that are due.
-func (env *environment) advance(now placer.Seconds) {
-	env.setTime(now)
-	for timer := env.timers.Pop(env.now); timer != nil; timer = env.timers.Pop(env.now) {
+// runDueTimers sets the clock to now and runs the timers that are due.
+func (shared *sharedState) runDueTimers(now placer.Seconds) {
+	shared.setClock(now)
+	for timer := shared.timers.Pop(shared.now); timer != nil; timer = shared.timers.Pop(shared.now) {
 		timer.Run()
-		env.runEvents()
+		shared.runEvents()
 	}
 }
--- a/internal/platform/dispatch/errors.go
+++ b/internal/platform/dispatch/errors.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// ErrClientNotConnected is the error of a message on a client connection that is not open.
+// ErrClientNotConnected is returned for a message on a client connection that is not open.
 var ErrClientNotConnected = errors.New("client connection is not open")
 
-// InvalidReason is the reason why a message is invalid. Its values appear in logs and as labels of metrics.
+// InvalidReason is the reason why a message is invalid. Its values appear in logs and as metric labels.
 type InvalidReason string
 
-// The reasons why a message is invalid.
+// The reasons for which a message is invalid.
 const (
-	InvalidBody     InvalidReason = "body"      // a launch without a description of the task
-	InvalidClass    InvalidReason = "class"     // an unknown class
-	InvalidTenant   InvalidReason = "tenant"    // an unknown tenant
-	InvalidKey      InvalidReason = "key"       // a key that is not an ID
-	InvalidExtras   InvalidReason = "extras"    // missing or malformed extras
-	InvalidTimeLeft InvalidReason = "left"      // a time left that is not a number or is out of range
-	InvalidNode     InvalidReason = "at"        // an adoption from a node that is not in the registry
-	InvalidIDInUse  InvalidReason = "id in use" // a launch with the ID of another task
-	InvalidStop     InvalidReason = "stop"      // a stop for another connection's request
+	InvalidBody     InvalidReason = "body"      // the launch message does not describe the task
+	InvalidClass    InvalidReason = "class"     // the class is unknown
+	InvalidTenant   InvalidReason = "tenant"    // the tenant is unknown
+	InvalidKey      InvalidReason = "key"       // the key is not an ID
+	InvalidExtras   InvalidReason = "extras"    // the extras are missing or malformed
+	InvalidTimeLeft InvalidReason = "left"      // the time left is not a number or is out of range
+	InvalidNode     InvalidReason = "at"        // the node that runs the task to adopt is not in the registry
+	InvalidIDInUse  InvalidReason = "id in use" // the launch message has the ID of another task
+	InvalidStop     InvalidReason = "stop"      // the request to stop belongs to another connection
 )
 
-// InvalidMessageError is the error of an invalid message.
+// InvalidMessageError is returned for an invalid message.
 type InvalidMessageError struct {
 	Reason InvalidReason
 	Err    error
@@ -32,7 +32,7 @@
 
 func (e *InvalidMessageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error that describes what is invalid.
+// Unwrap returns the error that describes the invalid part of the message.
 func (e *InvalidMessageError) Unwrap() error { return e.Err }
 
 func invalidMessage(reason InvalidReason, format string, args ...any) error {
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -27,10 +27,10 @@
 func nodeID(number int) placer.NodeID { return NodeIDOf(nodeUID(number)) }
 
 // adoptedFrom is the part of a launch message's extras that makes it an adoption.
-func adoptedFrom(node int) string { return ";at:" + nodeUID(node) }
+func adoptionExtras(node int) string { return ";at:" + nodeUID(node) }
 
 // longRunning is the time left, in milliseconds, that clients give for a running task without an end.
-const longRunning = 4294967
+const longRunningMS = 4294967
 
 func nodeJSON(number int, state string, startedAtMS int64) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:1","az":"a","model":"std","pod_group":1,"state":%q,"boot_ms":%d,"open":[16,24]}`,
@@ -81,7 +81,9 @@
 	return actions
 }
 
-func (scripted *scriptedPlacer) last() placer.Event { return scripted.events[len(scripted.events)-1] }
+func (scripted *scriptedPlacer) lastEvent() placer.Event {
+	return scripted.events[len(scripted.events)-1]
+}
 
 // received reports whether there was an event of the kind.
 func (scripted *scriptedPlacer) received(kind placer.EventKind) bool {
@@ -104,7 +106,7 @@
 }
 
 // stopsNode reports whether effects ask a node to stop a task.
-func stopsNode(effects []Effect) bool {
+func asksNodeToStop(effects []Effect) bool {
 	for i := range effects {
 		if effects[i].Kind == SendToNode && effects[i].Message.Kind == protocol.Stop {
 			return true
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -15,17 +15,17 @@
 
 // coreHarness drives a core, records what clients and nodes sent and received, and checks the rules on that.
 type coreHarness struct {
-	t         rapid.TB
-	core      *Core
-	now       placer.Seconds
-	lastEvent int
-	lastConn  ConnID
-	conns     []ConnID
-	lastID    uint64
-	records   map[protocol.ID]*clientRecord
-	pending   []*Attempt // wait for their connection
-	sent      []*Attempt
-	running   []*Attempt
+	t               rapid.TB
+	core            *Core
+	now             placer.Seconds
+	lastEventNumber int
+	lastConn        ConnID
+	conns           []ConnID
+	lastID          uint64
+	clientRecords   map[protocol.ID]*clientRecord
+	pending         []*Attempt // wait for their connection
+	sent            []*Attempt
+	running         []*Attempt
 }
 
 // clientRecord is what the client of one task sent and received.
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 	}
-	harness := &coreHarness{t: t, now: 1000, lastEvent: 1, records: map[protocol.ID]*clientRecord{}}
+	harness := &coreHarness{t: t, now: 1000, lastEventNumber: 1, clientRecords: map[protocol.ID]*clientRecord{}}
 	list := discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0))
 	knownEvents := `{"no":1,"items":[` + list + `]}`
 	if harness.core, err = New(harness.now, parsed, policy, []byte(knownEvents)); err != nil {
@@ -95,7 +95,7 @@
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	adopted := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.records[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, running: adopted}
+	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, running: adopted}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
@@ -103,12 +103,12 @@
 
 // adopt lists a task that runs on a node for adoption, and returns its ID.
 func (harness *coreHarness) adopt(conn ConnID, node int) protocol.ID {
-	return harness.launch(conn, "seats", longRunning, adoptedFrom(node))
+	return harness.launch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
 
 // withdraw has a client withdraw an open request.
 func (harness *coreHarness) withdraw(id protocol.ID) {
-	record := harness.records[id]
+	record := harness.clientRecords[id]
 	record.withdrawn = true
 	harness.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	harness.carryOutEffects()
@@ -117,7 +117,7 @@
 // checkHealth has a client send a health check, whose ID it returns.
 func (harness *coreHarness) checkHealth(conn ConnID) protocol.ID {
 	check := newMessage(protocol.Check, 1<<60, 0)
-	harness.records[check.ID] = &clientRecord{running: true}
+	harness.clientRecords[check.ID] = &clientRecord{running: true}
 	harness.receiveFromClient(conn, check)
 	harness.carryOutEffects()
 	return check.ID
@@ -162,7 +162,7 @@
 		case SendAttempt:
 			harness.pending = append(harness.pending, effect.Attempt)
 		case SendToClient:
-			harness.receiveFromCore(effect.Conn, effect.Message)
+			harness.receiveAsClient(effect.Conn, effect.Message)
 		}
 	}
 	return effects
@@ -170,8 +170,8 @@
 
 // receiveFromCore has the client of a task receive a message and checks it against the rules: one answer in time to a request that was not
 // withdrawn, and one notification of the end of a running task.
-func (harness *coreHarness) receiveFromCore(conn ConnID, msg protocol.Message) {
-	record := harness.records[msg.ID]
+func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
+	record := harness.clientRecords[msg.ID]
 	if record == nil {
 		harness.t.Fatalf("sent %v about a request that no client made", msg)
 	}
@@ -203,7 +203,7 @@
 
 // acknowledge has a client acknowledge its last notification.
 func (harness *coreHarness) acknowledge(id protocol.ID) {
-	record := harness.records[id]
+	record := harness.clientRecords[id]
 	if record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) == nil {
 		return
 	}
@@ -243,23 +243,23 @@
 }
 
 // deliver delivers the next discovery event.
-func (harness *coreHarness) deliver(complete bool, nodes ...string) {
-	harness.lastEvent++
-	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEvent, complete, nodes...)))
+func (harness *coreHarness) deliverDiscoveryEvent(complete bool, nodes ...string) {
+	harness.lastEventNumber++
+	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
 	if !ok || err != nil {
-		harness.t.Fatalf("discovery event %d: ok %v, error %v", harness.lastEvent, ok, err)
+		harness.t.Fatalf("discovery event %d: ok %v, error %v", harness.lastEventNumber, ok, err)
 	}
 }
 
 // settle ends all running tasks, waits until all retention times are over, and checks that nothing is left.
-func (harness *coreHarness) settle() {
+func (harness *coreHarness) endAllTasks() {
 	harness.advance(10)
 	for _, attempt := range slices.Clone(harness.running) {
 		harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 	}
 	check := harness.checkHealth(harness.connect())
 	harness.advance(30)
-	for id, record := range harness.records {
+	for id, record := range harness.clientRecords {
 		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check {
 			harness.t.Fatalf("request %x was never answered: %+v", uint64(id), record)
 		}
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// CheckInvariants returns an error that names the relations between the parts that do not hold. It visits all requests, attempts and nodes, and
-// is meant for tests.
+// CheckInvariants returns an error that names the invariants that do not hold. It visits all requests,
+// attempts and nodes, and is intended for tests.
 func (c *Core) CheckInvariants() error {
 	return errors.Join(
 		c.requests.checkInvariants(),
@@ -16,19 +16,19 @@
 	)
 }
 
-// checkInvariants checks that the table's two maps contain the same requests, and that the count and the connections have exactly the open
-// ones.
+// checkInvariants checks that both maps of the table contain the same requests, and that the count and the
+// connections cover exactly the open requests.
 func (t *requestTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("requests: %d illegal transitions", t.illegalTransitions)
 	}
 	if len(t.byTask) != len(t.byID) {
-		return fmt.Errorf("requests: %d by task and %d by ID", len(t.byTask), len(t.byID))
+		return fmt.Errorf("requests: %d are indexed by task and %d by ID", len(t.byTask), len(t.byID))
 	}
 	open := 0
 	for task, req := range t.byTask {
 		if req.taskID != task || t.byID[req.message.ID] != req {
-			return fmt.Errorf("request %s: task %d and ID lead to different requests", req.message.UID, task)
+			return fmt.Errorf("request %s: the indexes by task %d and by ID contain different requests", req.message.UID, task)
 		}
 		if req.state == requestOpen {
 			open++
@@ -37,8 +37,8 @@
 			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
 		}
 	}
-	if listed := t.clients.openRequests(); open != t.openCount || open != listed {
-		return fmt.Errorf("requests: %d are open, %d are counted, %d are listed by connections", open, t.openCount, listed)
+	if listed := t.clients.openRequestCount(); open != t.openCount || open != listed {
+		return fmt.Errorf("requests: %d are open, openCount is %d, connections list %d", open, t.openCount, listed)
 	}
 	return nil
 }
@@ -48,42 +48,44 @@
 	switch req.state {
 	case requestOpen:
 		if runs {
-			return errors.New("an attempt runs the task")
+			return errors.New("an attempt runs the task of the open request")
 		}
-		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpen(req) {
-			return fmt.Errorf("not listed by connection %d", req.conn)
+		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpenRequest(req) {
+			return fmt.Errorf("connection %d does not list the open request", req.conn)
 		}
 	case requestRunning, requestMigrating, requestStopping:
 		if !runs {
 			return errors.New("no attempt runs the task")
 		}
 	default:
-		return errors.New("ended and not removed")
+		return errors.New("the request has ended but was not removed")
 	}
 	return nil
 }
 
-// checkInvariants checks that attempts are stored under their keys until they terminate, and that running ones are listed by their node.
+// checkInvariants checks that attempts are stored under their keys until they terminate, and that each node
+// lists exactly its running attempts.
 func (t *attemptTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("attempts: %d illegal transitions", t.illegalTransitions)
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
-			return fmt.Errorf("attempt %s at node %x: state %v, stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x: state %v, listed as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x has state %v, listed as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that nodes are stored under their IDs and that the attempts that they list as running do run there.
+// checkInvariants checks that nodes are stored under their IDs, and that the attempts that a node lists as
+// running do run on that node.
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
-			return fmt.Errorf("node %s in state %d: stored under %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
+			return fmt.Errorf("node %s in state %d is stored under ID %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
 		}
 		for attempt := range node.running {
 			if attempt.Node != id || attempt.state != attemptRunning {
@@ -94,15 +96,15 @@
 	return nil
 }
 
-// checkInvariants checks that the order has each record, and that the oldest expires first.
+// checkInvariants checks that the order contains each record, and that the records expire in that order.
 func (l *earlyTerminationLog) checkInvariants() error {
 	if len(l.records) != len(l.order) || len(l.order) > maxEarlyTerminations {
-		return fmt.Errorf("early terminations: %d records, %d in order", len(l.records), len(l.order))
+		return fmt.Errorf("early terminations: %d records, %d keys in order", len(l.records), len(l.order))
 	}
 	for i, key := range l.order {
 		record, found := l.records[key]
 		if !found || i > 0 && record.expiresAt < l.records[l.order[i-1]].expiresAt {
-			return fmt.Errorf("early termination %d of %d: found %v, expires at %v", i, len(l.order), found, record.expiresAt)
+			return fmt.Errorf("early termination %d of %d: record found: %v, expires at %v", i, len(l.order), found, record.expiresAt)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,7 +10,8 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport returns the load report of a message, or nil if it has none of the configured fields.
+// parseLoadReport returns the load report in a message, or nil if the message contains none of the configured
+// fields.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -9,19 +9,19 @@
 	"heathshed/placer"
 )
 
-// Node is one node of the registry, as discovery events describe it. The nodeRegistry owns it.
+// Node is one node of the registry, as described by discovery events. It is owned by nodeRegistry.
 type Node struct {
 	ID        placer.NodeID
 	UID       string
 	Addr      string
 	State     placer.NodeState
-	StartedAt placer.Seconds // Unix time; 0 means long ago
+	StartedAt placer.Seconds // Unix time; 0 means that the node started long ago
 
-	placerNode         placer.Node
-	running            map[*Attempt]struct{} // the attempts that run on it
-	stateChangedAt     placer.Seconds        // when its state last changed
-	expiryScheduledFor placer.Seconds        // the stateChangedAt for which a timer of scheduleTaskExpiry is set, or 0
-	removalScheduled   bool                  // a timer of scheduleRemoval is set
+	placerNode           placer.Node
+	running              map[*Attempt]struct{} // the attempts that run on the node
+	stateChangedAt       placer.Seconds        // when the state last changed
+	taskLossScheduledFor placer.Seconds        // stateChangedAt when scheduleTaskLoss set its timer, or 0
+	removalScheduled     bool                  // whether a timer of scheduleRemoval is set
 }
 
 // RunningTasks returns the number of tasks that run on the node.
@@ -33,7 +33,7 @@
 	return running
 }
 
-// runningAttempts returns the attempts that run on the node, in the order of their requests.
+// runningAttempts returns the attempts that run on the node, in the order of their task IDs.
 func (n *Node) runningAttempts() []*Attempt {
 	attempts := make([]*Attempt, 0, len(n.running))
 	for attempt := range n.running {
@@ -43,7 +43,7 @@
 	return attempts
 }
 
-// TerminatedFor returns for how long the node has been terminated, or 0 if it is not.
+// TerminatedFor returns how long the node has been terminated, or 0 if the node is not terminated.
 func (n *Node) TerminatedFor(now placer.Seconds) placer.Seconds {
 	if n.State != placer.Terminated {
 		return 0
@@ -51,9 +51,10 @@
 	return now - n.stateChangedAt
 }
 
-// update applies a valid entry of a discovery event to the node. zone and nodeType are the placer's numbers for the entry's zone and node type.
+// update updates the node from a valid entry of a discovery event. zone and nodeType are the indexes that the
+// placer uses for the zone and the node type of the entry.
 func (n *Node) update(entry *nodeEntry, zone, nodeType int, now placer.Seconds) {
-	state, _ := parseNodeState(entry.State) // valid
+	state, _ := parseNodeState(entry.State) // the entry was validated
 	if n.State != state {
 		n.State = state
 		n.stateChangedAt = now
@@ -72,20 +73,22 @@
 	}
 }
 
-// terminate marks a node that is missing from a complete list as terminated.
-func (n *Node) terminate(now placer.Seconds) {
+// markTerminated marks a node as terminated because a complete node list does not contain it.
+func (n *Node) markTerminated(now placer.Seconds) {
 	n.State = placer.Terminated
 	n.placerNode.State = placer.Terminated
 	n.stateChangedAt = now
 }
 
-// restartedAfter reports whether the node's current incarnation started after an attempt began to run on it.
+// restartedAfter reports whether the current incarnation of the node started after an attempt began to run on
+// the node.
 func (n *Node) restartedAfter(attempt *Attempt) bool {
 	return n.StartedAt > attempt.runningSince+incarnationTolerance
 }
 
-// NodeIDOf returns the placer's ID for the node with the given UID. It is the same in every scheduler, since all of them sort and draw nodes by
-// it. It has 48 bits, as many as an address in the simulator's protocol.
+// NodeIDOf returns the placer's ID for the node with the given UID. Every scheduler computes the same ID,
+// since all schedulers sort and randomly select nodes by ID. The ID has 48 bits, like an address in the
+// simulator's protocol.
 func NodeIDOf(uid string) placer.NodeID {
 	return placer.NodeID(xxhash.Sum64String(uid) & (1<<48 - 1))
 }
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -7,7 +7,7 @@
 	"heathshed/placer"
 )
 
-// usageKinds are the kinds of usage by the note of an Update message.
+// usageKinds maps the note of an Update message to the kind of usage that the message reports.
 var usageKinds = map[string]placer.UsageKind{
 	"up":    placer.Started,
 	"cpu":   placer.CoresUsed,
@@ -16,7 +16,7 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasons are the reasons by the note of a Stop message. Any other note means no reason.
+// stopReasons maps the note of a Stop message to the reason. Any other note means that no reason is given.
 var stopReasons = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
@@ -27,15 +27,15 @@
 	"drained":    placer.Drained,
 }
 
-// nodeMessageHandler handles the messages of nodes.
+// nodeMessageHandler handles the messages that nodes send.
 type nodeMessageHandler struct {
-	*environment
+	*sharedState
 	attempts          *attemptTable
 	tasks             *taskController
 	earlyTerminations *earlyTerminationLog
 }
 
-// receive handles a message; see Core.ReceiveFromNode.
+// receive handles one message; see Core.ReceiveFromNode.
 func (h *nodeMessageHandler) receive(node placer.NodeID, msg *protocol.Message) {
 	key := attemptKey{node, msg.ID}
 	attempt := h.attempts.get(key)
@@ -53,8 +53,8 @@
 	}
 }
 
-// handleUnknownTask handles a message about a task that the node was not sent, or that is no longer known. pending is the attempt that is yet
-// to be sent to it, if there is one.
+// handleUnknownTask handles a message about a task that was not sent to the node or that is no longer known.
+// pending is the attempt that has yet to be sent to the node, or nil.
 func (h *nodeMessageHandler) handleUnknownTask(key attemptKey, pending *Attempt, msg *protocol.Message) {
 	if msg.Kind == protocol.Running || msg.Kind == protocol.Stop {
 		h.counts.UnknownTasks++
@@ -67,11 +67,11 @@
 // handleUpdate passes a measurement of a running task to the placer.
 func (h *nodeMessageHandler) handleUpdate(attempt *Attempt, msg *protocol.Message) {
 	kind, known := usageKinds[msg.Get(protocol.Note)]
-	if !known || attempt.state != attemptRunning || attempt.request.state.closed() {
+	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // 0 for a value that is not a number
-	h.post(placer.Event{
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // the value is 0 if it cannot be parsed
+	h.postEvent(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
 		Attempt: attempt.number,
@@ -81,15 +81,15 @@
 	})
 }
 
-// handleRunning handles a node's acceptance of an attempt.
+// handleRunning handles a message with which a node accepts an attempt.
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
 	latest := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
 	if attempt.state == attemptSent && h.now > latest {
-		h.attempts.abandon(attempt, placer.TimedOut, false) // its timer is late, and the client no longer waits
+		h.attempts.abandon(attempt, placer.TimedOut, false) // the timer is late; the client no longer waits
 	}
 	switch attempt.state {
 	case attemptSent:
-		if msg.Body != "" { // without a body there is no answer to forward
+		if msg.Body != "" { // without a body, there is no answer to forward to the client
 			h.tasks.start(attempt, msg.Body)
 		}
 	case attemptAbandoned:
@@ -97,9 +97,10 @@
 	}
 }
 
-// handleLateAnswer handles the acceptance of an attempt that was abandoned. A task that may run twice, or whose client withdrew it, uses
-// capacity without benefit and is stopped at once. For any other task, the client queries the nodes after a while and lists the task for adoption
-// by a scheduler: stopping it meanwhile would undo a start that must not be repeated.
+// handleLateAnswer handles the acceptance of an attempt that was already abandoned. A task that may run a
+// second time elsewhere, or that its client withdrew, uses capacity without benefit and is stopped at once.
+// For any other task, the client later queries the nodes and lists the task for adoption by a scheduler.
+// Stopping such a task would undo a start that must not be repeated.
 func (h *nodeMessageHandler) handleLateAnswer(attempt *Attempt) {
 	h.counts.LateAnswers++
 	idempotent := h.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
@@ -108,11 +109,11 @@
 	}
 }
 
-// handleStop handles a node's rejection of an attempt or its report that a task has ended.
+// handleStop handles a Stop message, with which a node rejects an attempt or reports that a task has ended.
 func (h *nodeMessageHandler) handleStop(attempt *Attempt, msg *protocol.Message) {
 	switch attempt.state {
 	case attemptSent:
-		h.handleStopOfSent(attempt, msg)
+		h.handleStopBeforeAnswer(attempt, msg)
 	case attemptRunning:
 		h.tasks.end(attempt, h.stopOutcome(msg, taskResult(msg.Cause)), msg.Cause)
 	case attemptAbandoned:
@@ -121,7 +122,7 @@
 	}
 }
 
-// taskResult returns the result of a running task that a node stopped with the given cause.
+// taskResult returns the result of a running task for the cause with which its node reported the end.
 func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
@@ -132,38 +133,39 @@
 	return placer.Lost
 }
 
-// handleStopOfSent ends an attempt that its node did not accept, or whose acceptance was lost or is late.
-func (h *nodeMessageHandler) handleStopOfSent(attempt *Attempt, msg *protocol.Message) {
+// handleStopBeforeAnswer ends an attempt that its node did not accept, or whose acceptance was lost or has
+// not arrived yet.
+func (h *nodeMessageHandler) handleStopBeforeAnswer(attempt *Attempt, msg *protocol.Message) {
 	h.attempts.remove(attempt)
-	ended := h.stopOutcome(msg, placer.Lost)
+	outcome := h.stopOutcome(msg, placer.Lost)
 	switch msg.Cause {
 	case protocol.CauseFull:
 		h.counts.CapacityRejections++
-		ended.result = placer.Rejected
+		outcome.result = placer.Rejected
 	case protocol.CauseError:
 		h.counts.NodeErrors++
-		ended.result = placer.Errored
+		outcome.result = placer.Errored
 	case protocol.CauseExpired:
 		h.counts.Expired++
-		ended.result = placer.Expired
+		outcome.result = placer.Expired
 	default:
 		h.counts.ConnectionsLost++
-		if impliesAcceptance(ended.reason) {
-			h.tasks.endUnanswered(attempt, ended, msg.Cause)
+		if impliesAcceptance(outcome.reason) {
+			h.tasks.endUnansweredRequest(attempt, outcome, msg.Cause)
 			return
 		}
 	}
-	h.attempts.postEnded(attempt, ended)
+	h.attempts.postEnded(attempt, outcome)
 }
 
-// impliesAcceptance reports whether a node gives this reason only for tasks that it has accepted.
+// impliesAcceptance reports whether nodes give this reason only for tasks that they had accepted.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
 
-// stopOutcome returns the given result with the reason and the load report of a stop message.
-func (h *nodeMessageHandler) stopOutcome(msg *protocol.Message, result placer.Result) outcome {
-	return outcome{
+// stopOutcome combines a result with the reason and the load report of a Stop message.
+func (h *nodeMessageHandler) stopOutcome(msg *protocol.Message, result placer.Result) attemptOutcome {
+	return attemptOutcome{
 		result: result,
 		reason: stopReasons[msg.Get(protocol.Note)],
 		report: parseLoadReport(h.settings.ReportFields, msg),
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// TerminationGrace is the time from the discovery event that reports a node as terminated until its running tasks are assumed
-	// to be lost.
+	// TerminationGrace is the time between the discovery event that reports a node as terminated and the time
+	// at which its running tasks are assumed to be lost.
 	TerminationGrace placer.Seconds = 1.0
-	// terminatedNodeRetention is the time after which a terminated node is removed from the registry.
+	// terminatedNodeRetention is how long a terminated node is kept in the registry.
 	terminatedNodeRetention placer.Seconds = 60.0
-	// incarnationTolerance is how much later than a task its node must have started for the task to belong to an earlier incarnation of the
-	// node: clocks and start times are not exact.
+	// incarnationTolerance is how much later than a task its node must have started for the task to belong to
+	// an earlier incarnation of the node. Clocks and reported start times are not exact.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
-// nodeRegistry owns the nodes that discovery events list, with the attempts that run on them, and answers the placer's requests for the node
-// list.
+// nodeRegistry owns the nodes that discovery events list and the sets of attempts that run on them. It
+// answers the placer's requests for the node list.
 type nodeRegistry struct {
-	*environment
-	endLostTask func(*Attempt) // ends a task that was lost with its node
+	*sharedState
+	endLostTask func(*Attempt) // ends a task that was lost together with its node
 
 	nodes              map[placer.NodeID]*Node
 	lastDiscoveryEvent uint64
 	discoveryConnected bool
-	listRequested      bool // the placer requested the node list while discovery was not connected, and waits for an answer
+	listRequested      bool // whether the placer is waiting for the node list until discovery connects
 }
 
-func newNodeRegistry(env *environment) *nodeRegistry {
-	return &nodeRegistry{environment: env, nodes: map[placer.NodeID]*Node{}}
+func newNodeRegistry(shared *sharedState) *nodeRegistry {
+	return &nodeRegistry{sharedState: shared, nodes: map[placer.NodeID]*Node{}}
 }
 
-// load applies the discovery events from before the start: a JSON object, or nothing.
-func (r *nodeRegistry) load(knownEvents []byte) error {
+// loadKnownEvents applies the discovery events from before the scheduler start. knownEvents is a JSON object
+// or empty.
+func (r *nodeRegistry) loadKnownEvents(knownEvents []byte) error {
 	var list knownEventList
 	if len(knownEvents) > 0 {
 		if err := json.Unmarshal(knownEvents, &list); err != nil {
@@ -46,20 +47,20 @@
 	}
 	for i := range list.Events {
 		event := &list.Events[i]
-		if _, err := r.apply(event); err != nil {
+		if _, err := r.applyEvent(event); err != nil {
 			return fmt.Errorf("known: items[%d]: %w", i, err)
 		}
 		r.lastDiscoveryEvent = max(r.lastDiscoveryEvent, event.Number)
 	}
 	r.lastDiscoveryEvent = max(r.lastDiscoveryEvent, list.Number)
-	r.post(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: r.placerNodes()})
+	r.postEvent(placer.Event{Kind: placer.NodesListed, List: placer.CachedList, Nodes: r.placerNodes()})
 	return nil
 }
 
-// get returns a node, or nil if there is none with the ID.
+// get returns the node with the given ID, or nil if the registry does not contain it.
 func (r *nodeRegistry) get(id placer.NodeID) *Node { return r.nodes[id] }
 
-// getByUID returns a node, or nil if there is none with the UID.
+// getByUID returns the node with the given UID, or nil if the registry does not contain it.
 func (r *nodeRegistry) getByUID(uid string) *Node { return r.nodes[r.idOf(uid)] }
 
 // each calls f for each node, in no particular order.
@@ -69,16 +70,17 @@
 	}
 }
 
-// idOf returns the placer's ID of the node with the UID, or the ID that a new node with this UID gets.
+// idOf returns the placer's ID of the node with the given UID, or the ID that a new node with this UID would
+// get.
 func (r *nodeRegistry) idOf(uid string) placer.NodeID {
 	id := NodeIDOf(uid)
 	for r.nodes[id] != nil && r.nodes[id].UID != uid {
-		id++ // the IDs of two UIDs collide
+		id++ // the hash-based IDs of two UIDs collide
 	}
 	return id
 }
 
-// placerNodes returns all nodes as the placer's entries, in order of IDs.
+// placerNodes returns all nodes in the placer's representation, sorted by ID.
 func (r *nodeRegistry) placerNodes() []placer.Node {
 	var nodes []placer.Node
 	for _, node := range r.nodes {
@@ -97,28 +99,28 @@
 	return count
 }
 
-// taskStarted adds an attempt to those that run on its node. If the node has terminated, no further discovery event will end the task, so a
-// timer does.
-func (r *nodeRegistry) taskStarted(attempt *Attempt) {
+// addRunningAttempt adds an attempt to the running attempts of its node. If the node has terminated, no later
+// discovery event will end the task, so a timer is set to end it.
+func (r *nodeRegistry) addRunningAttempt(attempt *Attempt) {
 	node := r.nodes[attempt.Node]
 	if node == nil {
 		return
 	}
 	node.running[attempt] = struct{}{}
 	if node.State == placer.Terminated {
-		r.scheduleTaskExpiry(node)
+		r.scheduleTaskLoss(node)
 	}
 }
 
-// taskEnded removes an attempt from those that run on its node, if it does.
-func (r *nodeRegistry) taskEnded(attempt *Attempt) {
+// removeRunningAttempt removes an attempt from the running attempts of its node, if it is one of them.
+func (r *nodeRegistry) removeRunningAttempt(attempt *Attempt) {
 	if node := r.nodes[attempt.Node]; node != nil {
 		delete(node.running, attempt)
 	}
 }
 
-// receive applies one event of the discovery stream; see Core.ReceiveDiscoveryEvent.
-func (r *nodeRegistry) receive(data []byte) (ok bool, err error) {
+// receiveEvent applies one event of the discovery stream; see Core.ReceiveDiscoveryEvent.
+func (r *nodeRegistry) receiveEvent(data []byte) (ok bool, err error) {
 	event, err := parseDiscoveryEvent(data)
 	if err != nil {
 		return false, err
@@ -129,25 +131,26 @@
 	if event.Number > r.lastDiscoveryEvent+1 {
 		return false, nil
 	}
-	changed, err := r.apply(event)
+	changed, err := r.applyEvent(event)
 	if err != nil {
 		return false, err
 	}
 	r.lastDiscoveryEvent = event.Number
 	if event.NodeList != nil {
-		r.handleNodesListed(event.NodeList, changed)
+		r.handleNodeList(event.NodeList, changed)
 	}
 	return true, nil
 }
 
-// apply adds or updates the nodes that a discovery event lists and returns them. An invalid event changes nothing.
-func (r *nodeRegistry) apply(event *discoveryEvent) (changed []placer.Node, err error) {
+// applyEvent adds or updates the nodes that a discovery event lists, and returns them. An invalid event
+// changes nothing.
+func (r *nodeRegistry) applyEvent(event *discoveryEvent) (changed []placer.Node, err error) {
 	if err := event.validate(); err != nil || event.NodeList == nil {
 		return nil, err
 	}
 	listed := map[placer.NodeID]bool{}
 	for i := range event.NodeList.Nodes {
-		node := r.update(&event.NodeList.Nodes[i])
+		node := r.updateNode(&event.NodeList.Nodes[i])
 		listed[node.ID] = true
 		changed = append(changed, node.placerNode)
 	}
@@ -157,8 +160,8 @@
 	return changed, nil
 }
 
-// update adds or updates the node of a valid entry of a discovery event.
-func (r *nodeRegistry) update(entry *nodeEntry) *Node {
+// updateNode adds or updates the node that a valid entry of a discovery event describes.
+func (r *nodeRegistry) updateNode(entry *nodeEntry) *Node {
 	id := r.idOf(entry.UID)
 	node := r.nodes[id]
 	if node == nil {
@@ -169,26 +172,27 @@
 	return node
 }
 
-// terminateUnlisted marks the nodes that are not in a complete list as terminated.
+// terminateUnlisted marks the nodes that are missing from a complete list as terminated.
 func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listed[id] && node.State != placer.Terminated {
-			node.terminate(r.now)
+			node.markTerminated(r.now)
 		}
 	}
 }
 
-// handleNodesListed reports listed nodes to the placer, and ends the tasks of nodes that have terminated or restarted.
-func (r *nodeRegistry) handleNodesListed(list *nodeList, changed []placer.Node) {
+// handleNodeList reports the changed nodes to the placer, and ends the tasks of nodes that have terminated or
+// restarted.
+func (r *nodeRegistry) handleNodeList(list *nodeList, changed []placer.Node) {
 	kind := placer.Changes
 	if list.Complete {
 		kind = placer.FullList
 	}
 	r.listRequested = false
-	r.post(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changed})
+	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changed})
 	for _, node := range r.nodes {
 		if node.State == placer.Terminated {
-			r.scheduleTaskExpiry(node)
+			r.scheduleTaskLoss(node)
 			r.scheduleRemoval(node)
 			continue
 		}
@@ -198,22 +202,23 @@
 			}
 		}
 	}
-	r.emit(Effect{Kind: NodesChanged})
+	r.addEffect(Effect{Kind: NodesChanged})
 }
 
-// scheduleTaskExpiry sets a timer that ends the running tasks of a terminated node as lost, unless its state changes meanwhile. The delay gives
-// the node time to report itself how its tasks ended, in more detail than the discovery event does.
-func (r *nodeRegistry) scheduleTaskExpiry(node *Node) {
+// scheduleTaskLoss sets a timer that ends the running tasks of a terminated node as lost, unless the state of
+// the node changes in the meantime. The delay gives the node time to report how its tasks ended, in more
+// detail than the discovery event provides.
+func (r *nodeRegistry) scheduleTaskLoss(node *Node) {
 	if len(node.running) == 0 {
 		return
 	}
 	terminatedAt := node.stateChangedAt
-	if node.expiryScheduledFor == terminatedAt {
+	if node.taskLossScheduledFor == terminatedAt {
 		return
 	}
-	node.expiryScheduledFor = terminatedAt
+	node.taskLossScheduledFor = terminatedAt
 	r.timers.Add(max(r.now, terminatedAt+TerminationGrace), func() {
-		node.expiryScheduledFor = 0
+		node.taskLossScheduledFor = 0
 		if node.State == placer.Terminated && node.stateChangedAt == terminatedAt {
 			r.endTasksOf(node.ID)
 		}
@@ -229,7 +234,8 @@
 	}
 }
 
-// scheduleRemoval sets a timer that removes a terminated node, unless it is listed again or has running tasks.
+// scheduleRemoval sets a timer that removes a terminated node. The node is kept if it is no longer terminated
+// by then, and kept longer if it still has running tasks.
 func (r *nodeRegistry) scheduleRemoval(node *Node) {
 	if node.removalScheduled {
 		return
@@ -247,7 +253,8 @@
 	})
 }
 
-// setDiscoveryConnected records whether the discovery stream is connected, and answers a request of the placer that waits for it.
+// setDiscoveryConnected records whether the discovery stream is connected, and answers a request of the
+// placer that waits for the connection.
 func (r *nodeRegistry) setDiscoveryConnected(connected bool) {
 	r.discoveryConnected = connected
 	if !r.listRequested {
@@ -258,13 +265,14 @@
 	if connected {
 		kind = placer.Changes
 	}
-	r.post(placer.Event{Kind: placer.NodesListed, List: kind})
+	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind})
 }
 
-// requestList answers the placer's request for the node list, or leaves the answer to setDiscoveryConnected.
-func (r *nodeRegistry) requestList() {
+// handleListRequest answers the placer's request for the node list. If discovery is not connected,
+// setDiscoveryConnected answers it later.
+func (r *nodeRegistry) handleListRequest() {
 	r.listRequested = !r.discoveryConnected
 	if r.discoveryConnected {
-		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
+		r.postEvent(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
 	}
 }
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -21,13 +21,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "seats")
-			record := harness.records[attempt.Message.ID]
+			record := harness.clientRecords[attempt.Message.ID]
 			eventsBefore := len(policy.events)
 
 			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 1 {
 				t.Fatalf("%d tasks", tasks)
 			}
-			stopped := stopsNode(harness.carryOutEffects())
+			stopped := asksNodeToStop(harness.carryOutEffects())
 			events, running := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notifications != 1 || !stopped || events != 0 || running != 1 {
 				t.Errorf("%+v, node asked to stop %v, %d events, %d running", record, stopped, events, running)
@@ -41,9 +41,9 @@
 			} else {
 				harness.advance(notificationRetention + 0.01)
 			}
-			ended := policy.last().Kind == placer.Ended && policy.last().Result == test.result
+			ended := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notifications != 1 || !ended || harness.core.RunningTasks() != 0 {
-				t.Errorf("%+v, last event %+v", record, policy.last())
+				t.Errorf("%+v, last event %+v", record, policy.lastEvent())
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "query")
-			record := harness.records[attempt.Message.ID]
+			record := harness.clientRecords[attempt.Message.ID]
 			harness.now += 3
 
 			if _, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(event)); err != nil {
@@ -67,8 +67,8 @@
 			harness.carryOutEffects()
 			harness.advance(TerminationGrace + 0.01)
 
-			if record.notifications != 1 || policy.last().Result != placer.Lost {
-				t.Errorf("%+v, last event %+v", record, policy.last())
+			if record.notifications != 1 || policy.lastEvent().Result != placer.Lost {
+				t.Errorf("%+v, last event %+v", record, policy.lastEvent())
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 	id := nodeID(4)
 	harness.core.nodes.nodes[id] = &Node{ID: id, UID: "another"}
 	for range 2 {
-		harness.deliver(false, nodeJSON(4, "in_service", 0))
+		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
 			t.Fatalf("node %+v", node)
@@ -116,11 +116,11 @@
 
 // TestTaskOfRemovedNode: the start and the end of a task whose node is no longer in the registry change nothing.
 func TestTaskOfRemovedNode(t *testing.T) {
-	registry := newNodeRegistry(&environment{})
+	registry := newNodeRegistry(&sharedState{})
 	attempt := &Attempt{Node: 7}
 
-	registry.taskStarted(attempt)
-	registry.taskEnded(attempt)
+	registry.addRunningAttempt(attempt)
+	registry.removeRunningAttempt(attempt)
 
 	if registry.runningTasks() != 0 || len(registry.nodes) != 0 || registry.timers.Len() != 0 {
 		t.Errorf("%d tasks, %d nodes, %d timers", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -9,7 +9,7 @@
 )
 
 // notifiedOn returns the connections on which ends of tasks were notified since the last call.
-func notifiedOn(harness *coreHarness) (conns []ConnID) {
+func notifiedConns(harness *coreHarness) (conns []ConnID) {
 	for _, effect := range messagesToClients(harness.core.Ready()) {
 		if effect.Message.Kind == protocol.Stop {
 			conns = append(conns, effect.Conn)
@@ -23,7 +23,7 @@
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
-	if got := notifiedOn(harness); !slices.Equal(got, []ConnID{1}) {
+	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{1}) {
 		t.Fatalf("the request's connection is open, notified on %v", got)
 	}
 
@@ -31,18 +31,18 @@
 	unidentified := harness.connect() // sends nothing
 	harness.core.ClientDisconnected(harness.now, 1)
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
-	if got := notifiedOn(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
+	if got := notifiedConns(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
 		t.Fatalf("notified on %v, connection %d is unidentified", got, unidentified)
 	}
 
 	next := harness.connect()
 	harness.now += 7
 	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
-	if got := notifiedOn(harness); !slices.Equal(got, []ConnID{next}) {
+	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{next}) {
 		t.Fatalf("notified on %v", got)
 	}
 	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
-	if len(notifiedOn(harness)) != 0 {
+	if len(notifiedConns(harness)) != 0 {
 		t.Fatal("notified twice")
 	}
 }
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -15,171 +15,171 @@
 // no two attempts of a request are live at once, the end of a running task is notified once, and in the end nothing is left.
 func TestRandomEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		play := &randomPlay{newHarness(t, nil), t}
-		play.connect()
+		driver := &randomDriver{newHarness(t, nil), t}
+		driver.connect()
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			play.step()
-			play.requireInvariants()
+			driver.step()
+			driver.requireInvariants()
 		}
-		play.settle()
+		driver.endAllTasks()
 	})
 }
 
 // randomPlay makes calls of a core in random order.
-type randomPlay struct {
+type randomDriver struct {
 	*coreHarness
 	t *rapid.T
 }
 
 // draw returns a number below n.
-func (play *randomPlay) draw(n int, what string) int {
-	return rapid.IntRange(0, n-1).Draw(play.t, what)
+func (driver *randomDriver) draw(n int, what string) int {
+	return rapid.IntRange(0, n-1).Draw(driver.t, what)
 }
 
-func (play *randomPlay) step() {
-	switch play.draw(16, "step") {
+func (driver *randomDriver) step() {
+	switch driver.draw(16, "step") {
 	case 0, 1, 2:
-		play.launchAny()
+		driver.launchAny()
 	case 3, 4, 5:
-		if len(play.pending) > 0 {
-			play.send(play.draw(len(play.pending), "send"))
+		if len(driver.pending) > 0 {
+			driver.send(driver.draw(len(driver.pending), "send"))
 		}
 	case 6:
-		play.failToConnect()
+		driver.failToConnect()
 	case 7, 8:
-		play.acceptAny()
+		driver.acceptAny()
 	case 9:
-		play.stopAny()
+		driver.stopAny()
 	case 10:
-		if len(play.sent) > 0 {
-			play.core.ConnectionLost(play.now, play.sent[play.draw(len(play.sent), "out")])
-			play.carryOutEffects()
+		if len(driver.sent) > 0 {
+			driver.core.ConnectionLost(driver.now, driver.sent[driver.draw(len(driver.sent), "out")])
+			driver.carryOutEffects()
 		}
 	case 11:
-		play.withdrawAny()
+		driver.withdrawAny()
 	case 12:
-		play.connectionOrDiscoveryEvent()
+		driver.connectionOrDiscoveryEvent()
 	case 13:
-		if play.lastID > 0 {
-			play.acknowledge(protocol.ID(1 + play.draw(int(play.lastID), "id")))
+		if driver.lastID > 0 {
+			driver.acknowledge(protocol.ID(1 + driver.draw(int(driver.lastID), "id")))
 		}
 	case 14:
-		play.adoptTerminated()
+		driver.adoptTaskThatEnds()
 	default:
-		play.advance(placer.Seconds(play.draw(2000, "ms")) / 1000)
+		driver.advance(placer.Seconds(driver.draw(2000, "ms")) / 1000)
 	}
 }
 
-func (play *randomPlay) launchAny() {
-	if len(play.conns) > 0 {
-		class := []string{"query", "seats"}[play.draw(2, "class")]
-		play.launch(play.conns[play.draw(len(play.conns), "conn")], class, float64(play.draw(4000, "left")), "")
+func (driver *randomDriver) launchAny() {
+	if len(driver.conns) > 0 {
+		class := []string{"query", "seats"}[driver.draw(2, "class")]
+		driver.launch(driver.conns[driver.draw(len(driver.conns), "conn")], class, float64(driver.draw(4000, "left")), "")
 	}
 }
 
-func (play *randomPlay) failToConnect() {
-	if len(play.pending) > 0 {
-		i := play.draw(len(play.pending), "send")
-		play.core.ConnectFailed(play.now, play.pending[i])
-		play.pending = slices.Delete(play.pending, i, i+1)
-		play.carryOutEffects()
+func (driver *randomDriver) failToConnect() {
+	if len(driver.pending) > 0 {
+		i := driver.draw(len(driver.pending), "send")
+		driver.core.ConnectFailed(driver.now, driver.pending[i])
+		driver.pending = slices.Delete(driver.pending, i, i+1)
+		driver.carryOutEffects()
 	}
 }
 
-func (play *randomPlay) acceptAny() {
-	if len(play.sent) == 0 {
+func (driver *randomDriver) acceptAny() {
+	if len(driver.sent) == 0 {
 		return
 	}
-	play.accept(play.sent[play.draw(len(play.sent), "out")])
+	driver.accept(driver.sent[driver.draw(len(driver.sent), "out")])
 	// This may answer a later attempt at the same node.
-	for _, attempt := range play.sent {
-		if attempt.state == attemptRunning && !slices.Contains(play.running, attempt) {
-			play.running = append(play.running, attempt)
+	for _, attempt := range driver.sent {
+		if attempt.state == attemptRunning && !slices.Contains(driver.running, attempt) {
+			driver.running = append(driver.running, attempt)
 		}
 	}
 }
 
 // stopAny has a node stop any task, which may run elsewhere, with any cause.
-func (play *randomPlay) stopAny() {
-	if len(play.sent) > 0 {
-		attempt := play.sent[play.draw(len(play.sent), "out")]
-		id := play.sent[play.draw(len(play.sent), "of")].Message.ID
-		cause := []protocol.Cause{16, 31, 34, 41, 47, 102, 5}[play.draw(7, "cause")]
-		play.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
+func (driver *randomDriver) stopAny() {
+	if len(driver.sent) > 0 {
+		attempt := driver.sent[driver.draw(len(driver.sent), "out")]
+		id := driver.sent[driver.draw(len(driver.sent), "of")].Message.ID
+		cause := []protocol.Cause{16, 31, 34, 41, 47, 102, 5}[driver.draw(7, "cause")]
+		driver.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
 	}
 }
 
-func (play *randomPlay) withdrawAny() {
-	if play.lastID == 0 {
+func (driver *randomDriver) withdrawAny() {
+	if driver.lastID == 0 {
 		return
 	}
-	id := protocol.ID(1 + play.draw(int(play.lastID), "id"))
-	record := play.records[id]
-	if play.core.clients.get(record.conn) == nil {
+	id := protocol.ID(1 + driver.draw(int(driver.lastID), "id"))
+	record := driver.clientRecords[id]
+	if driver.core.clients.get(record.conn) == nil {
 		return
 	}
 	record.withdrawn = record.withdrawn || record.answers == 0
-	play.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
-	play.carryOutEffects()
+	driver.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
+	driver.carryOutEffects()
 }
 
-func (play *randomPlay) connectionOrDiscoveryEvent() {
-	switch play.draw(4, "event") {
+func (driver *randomDriver) connectionOrDiscoveryEvent() {
+	switch driver.draw(4, "event") {
 	case 0:
-		if len(play.conns) < 5 {
-			play.connect()
+		if len(driver.conns) < 5 {
+			driver.connect()
 		}
 	case 1:
-		play.disconnectAny()
+		driver.disconnectAny()
 	case 2: // a complete list, which may leave nodes out
 		var nodes []string
 		for i := range 5 {
-			if play.draw(3, "listed") > 0 {
-				nodes = append(nodes, nodeJSON(1+i, []string{"in_service", "terminating"}[play.draw(2, "state")], 0))
+			if driver.draw(3, "listed") > 0 {
+				nodes = append(nodes, nodeJSON(1+i, []string{"in_service", "terminating"}[driver.draw(2, "state")], 0))
 			}
 		}
-		play.deliver(true, nodes...)
-		play.carryOutEffects()
+		driver.deliverDiscoveryEvent(true, nodes...)
+		driver.carryOutEffects()
 	default:
-		node := 1 + play.draw(5, "node")
-		state := []string{"in_service", "terminating", "terminated"}[play.draw(3, "state")]
-		startedAtMS := int64(play.draw(3, "boot")) * int64(play.now*1000)
-		play.deliver(false, nodeJSON(node, state, startedAtMS))
-		play.carryOutEffects()
+		node := 1 + driver.draw(5, "node")
+		state := []string{"in_service", "terminating", "terminated"}[driver.draw(3, "state")]
+		startedAtMS := int64(driver.draw(3, "boot")) * int64(driver.now*1000)
+		driver.deliverDiscoveryEvent(false, nodeJSON(node, state, startedAtMS))
+		driver.carryOutEffects()
 	}
 }
 
-func (play *randomPlay) disconnectAny() {
-	if len(play.conns) == 0 {
+func (driver *randomDriver) disconnectAny() {
+	if len(driver.conns) == 0 {
 		return
 	}
-	i := play.draw(len(play.conns), "conn")
-	for _, record := range play.records {
-		record.withdrawn = record.withdrawn || record.conn == play.conns[i] && record.answers == 0
+	i := driver.draw(len(driver.conns), "conn")
+	for _, record := range driver.clientRecords {
+		record.withdrawn = record.withdrawn || record.conn == driver.conns[i] && record.answers == 0
 	}
-	play.core.ClientDisconnected(play.now, play.conns[i])
-	play.conns = slices.Delete(play.conns, i, i+1)
-	play.carryOutEffects()
+	driver.core.ClientDisconnected(driver.now, driver.conns[i])
+	driver.conns = slices.Delete(driver.conns, i, i+1)
+	driver.carryOutEffects()
 }
 
 // adoptTerminated lists a task for adoption and has it end at its node, in either order.
-func (play *randomPlay) adoptTerminated() {
-	if len(play.conns) == 0 {
+func (driver *randomDriver) adoptTaskThatEnds() {
+	if len(driver.conns) == 0 {
 		return
 	}
-	conn := play.conns[play.draw(len(play.conns), "conn")]
-	next := protocol.ID(play.lastID + 1)
-	crossed := play.draw(2, "crossed") == 0
+	conn := driver.conns[driver.draw(len(driver.conns), "conn")]
+	next := protocol.ID(driver.lastID + 1)
+	crossed := driver.draw(2, "crossed") == 0
 	if crossed {
-		play.reportEnd(nodeID(1), next, protocol.CauseEnd)
+		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
 	}
-	id := play.adopt(conn, 1)
+	id := driver.adopt(conn, 1)
 	if !crossed {
-		play.reportEnd(nodeID(1), next, protocol.CauseEnd)
-		play.carryOutEffects()
+		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
+		driver.carryOutEffects()
 	}
-	if notifications := play.records[id].notifications; notifications != 1 {
-		play.t.Fatalf("%d notifications of the end of a task", notifications)
+	if notifications := driver.clientRecords[id].notifications; notifications != 1 {
+		driver.t.Fatalf("%d notifications of the end of a task", notifications)
 	}
 }
 
@@ -187,24 +187,24 @@
 // connections of clients that come and go: each end is notified once, and no task that has ended is left running.
 func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		play := &adoptionPlay{randomPlay: randomPlay{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
-		play.conn = play.connect()
+		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
+		driver.conn = driver.connect()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			play.step()
-			play.requireInvariants()
+			driver.step()
+			driver.requireInvariants()
 		}
-		for id := range play.adopted {
-			if record := play.records[protocol.ID(id)]; play.terminated[id] && record.notifications == 0 {
+		for id := range driver.adopted {
+			if record := driver.clientRecords[protocol.ID(id)]; driver.terminated[id] && record.notifications == 0 {
 				t.Fatalf("task %d ended and was adopted, and its client was not notified", id)
 			}
 		}
 		for id := 1; id <= adoptableTasks; id++ {
-			play.endTask(id, protocol.CauseEnd)
+			driver.endTask(id, protocol.CauseEnd)
 		}
-		play.settle()
-		early := play.core.nodeMessages.earlyTerminations
-		if len(early.records) != 0 || len(early.order) != 0 {
-			t.Fatalf("%d early terminations are left", len(early.records))
+		driver.endAllTasks()
+		earlyTerminations := driver.core.nodeMessages.earlyTerminations
+		if len(earlyTerminations.records) != 0 || len(earlyTerminations.order) != 0 {
+			t.Fatalf("%d earlyTerminations terminations are left", len(earlyTerminations.records))
 		}
 	})
 }
@@ -213,59 +213,59 @@
 const adoptableTasks = 12
 
 // adoptionPlay lists tasks for adoption and ends them, in random order.
-type adoptionPlay struct {
-	randomPlay
+type adoptionDriver struct {
+	randomDriver
 	conn                ConnID
 	adopted, terminated map[int]bool
 }
 
 // nodeOf returns the number of the node that runs a task.
-func (play *adoptionPlay) nodeOf(id int) int { return 1 + id%3 }
+func (driver *adoptionDriver) nodeOf(id int) int { return 1 + id%3 }
 
-func (play *adoptionPlay) step() {
-	id := 1 + play.draw(adoptableTasks, "id")
-	switch play.draw(6, "step") {
+func (driver *adoptionDriver) step() {
+	id := 1 + driver.draw(adoptableTasks, "id")
+	switch driver.draw(6, "step") {
 	case 0, 1:
-		play.list(id)
+		driver.listForAdoption(id)
 	case 2, 3:
-		play.terminated[id] = true
-		play.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseReset}[play.draw(2, "cause")])
+		driver.terminated[id] = true
+		driver.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseReset}[driver.draw(2, "cause")])
 	case 4:
-		play.core.ClientDisconnected(play.now, play.conn)
-		play.carryOutEffects()
-		play.conn = play.connect()
-		play.checkHealth(play.conn)
+		driver.core.ClientDisconnected(driver.now, driver.conn)
+		driver.carryOutEffects()
+		driver.conn = driver.connect()
+		driver.checkHealth(driver.conn)
 	default:
-		play.advance(placer.Seconds(play.draw(300, "ms")) / 1000)
+		driver.advance(placer.Seconds(driver.draw(300, "ms")) / 1000)
 	}
 }
 
 // list lists a task for adoption on the present connection, unless its client was notified of its end.
-func (play *adoptionPlay) list(number int) {
+func (driver *adoptionDriver) listForAdoption(number int) {
 	id := protocol.ID(number)
-	record := play.records[id]
+	record := driver.clientRecords[id]
 	if record == nil {
-		record = &clientRecord{conn: play.conn, adopted: true, running: true}
-		play.records[id] = record
+		record = &clientRecord{conn: driver.conn, adopted: true, running: true}
+		driver.clientRecords[id] = record
 	}
-	if play.adopted[number] {
-		record.conn = play.conn
+	if driver.adopted[number] {
+		record.conn = driver.conn
 	}
 	if record.notifications > 0 {
 		return
 	}
 	msg := launchMessage(id)
-	msg.Set(protocol.Extras, "cores:1;memory:1"+adoptedFrom(play.nodeOf(number)))
-	msg.Set(protocol.TimeLeft, fmt.Sprint(longRunning))
-	play.receiveFromClient(play.conn, msg)
-	play.adopted[number] = true
-	play.carryOutEffects()
+	msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(driver.nodeOf(number)))
+	msg.Set(protocol.TimeLeft, fmt.Sprint(longRunningMS))
+	driver.receiveFromClient(driver.conn, msg)
+	driver.adopted[number] = true
+	driver.carryOutEffects()
 }
 
 // endTask has the node of a task report that it has ended.
-func (play *adoptionPlay) endTask(number int, cause protocol.Cause) {
-	play.reportEnd(nodeID(play.nodeOf(number)), protocol.ID(number), cause)
-	play.carryOutEffects()
+func (driver *adoptionDriver) endTask(number int, cause protocol.Cause) {
+	driver.reportEnd(nodeID(driver.nodeOf(number)), protocol.ID(number), cause)
+	driver.carryOutEffects()
 }
 
 // TestChurn: thousands of nodes, connections and tasks come and go, and all tables return to their size.
@@ -284,13 +284,13 @@
 			}
 		}
 		harness.sent, harness.running = nil, harness.sent // the nodes of earlier ones have terminated
-		harness.deliver(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
+		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advance(0.2)
 		harness.core.ClientDisconnected(harness.now, conn)
 		harness.carryOutEffects()
 	}
 	harness.conns = nil
-	harness.settle()
+	harness.endAllTasks()
 	harness.advance(terminatedNodeRetention)
 	if nodes := len(harness.core.nodes.nodes); nodes > 4 {
 		t.Errorf("%d nodes are left", nodes)
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -5,8 +5,8 @@
 	"heathshed/placer"
 )
 
-// request is one placement request of a client and, after the answer, the running task. The requestTable owns it; only the attemptTable adds
-// attempts.
+// request is a placement request of a client and, once it was answered with success, the running task. The
+// requestTable owns it; only the attemptTable adds attempts.
 type request struct {
 	taskID   placer.TaskID
 	message  protocol.Message // as the client sent it
@@ -17,7 +17,7 @@
 	attempts []*Attempt
 }
 
-// runningAttempt returns the attempt that runs the task, or nil if the task does not run.
+// runningAttempt returns the attempt that runs the task, or nil if the task is not running.
 func (r *request) runningAttempt() *Attempt {
 	if last := r.lastAttempt(); last != nil && last.state == attemptRunning {
 		return last
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// lastAttempt returns the latest attempt, or nil if there is none.
+// lastAttempt returns the latest attempt, or nil if no attempt was made.
 func (r *request) lastAttempt() *Attempt {
 	if len(r.attempts) == 0 {
 		return nil
@@ -33,13 +33,14 @@
 	return r.attempts[len(r.attempts)-1]
 }
 
-// addAttempt adds the latest attempt and numbers it.
+// addAttempt appends an attempt and sets its number.
 func (r *request) addAttempt(attempt *Attempt) {
 	attempt.number = len(r.attempts)
 	r.attempts = append(r.attempts, attempt)
 }
 
-// launchMessage returns the request as it is sent to a node: ID, class, key, description and, if it has one, the idempotency key.
+// launchMessage returns the launch message that is sent to a node. It contains the ID, class, key and
+// description of the task, and the idempotency key if the request has one.
 func (r *request) launchMessage() protocol.Message {
 	msg := protocol.Message{Kind: protocol.Launch, UID: r.message.UID, ID: r.message.ID, Body: r.message.Body}
 	msg.Set(protocol.Class, r.message.Get(protocol.Class))
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -10,24 +10,24 @@
 	"heathshed/placer"
 )
 
-// parsedRequest is the content of a valid launch message.
+// parsedRequest contains the fields of a valid launch message.
 type parsedRequest struct {
-	task        placer.Task
-	adoptedFrom string // UID of the node that already runs the task, or "" for a new request
+	task           placer.Task
+	adoptedFromUID string // UID of the node on which the task already runs, or "" for a new request
 }
 
-func (p *parsedRequest) isAdoption() bool { return p.adoptedFrom != "" }
+func (p *parsedRequest) isAdoption() bool { return p.adoptedFromUID != "" }
 
-// requiredResources is the number of resources that a request must give: cores and memory.
+// requiredResources is the number of resources that a request must specify: cores and memory.
 const requiredResources = 2
 
-// maxDeadlineMultiple bounds the time left of a request, as a multiple of the deadline of its class.
+// maxDeadlineMultiple limits the remaining time of a request to this multiple of the deadline of its class.
 const maxDeadlineMultiple = 2
 
-// millisecondsPerSecond converts times of the platform's messages, which are in milliseconds.
+// millisecondsPerSecond converts the times in platform messages, which are given in milliseconds.
 const millisecondsPerSecond = 1000
 
-// maxResourceAmount bounds the cores and the memory of a task.
+// maxResourceAmount limits the cores and the memory of a task.
 const maxResourceAmount = 1e9
 
 // requestParser validates launch messages against the settings.
@@ -35,10 +35,11 @@
 	settings *simconfig.Settings
 }
 
-// parse validates a launch message that arrived at the given time. The error is an *InvalidMessageError.
+// parse validates a launch message that arrived at the time now. The returned error is an
+// *InvalidMessageError.
 func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsed parsedRequest, err error) {
 	if msg.Body == "" {
-		return parsed, invalidMessage(InvalidBody, "launch %s: no body", msg.UID)
+		return parsed, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
 	}
 	if parsed.task.Class, err = p.parseClass(msg); err != nil {
 		return parsed, err
@@ -47,7 +48,7 @@
 		return parsed, err
 	}
 	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
-		return parsed, invalidMessage(InvalidKey, "launch %s: key: %w", msg.UID, err)
+		return parsed, invalidMessage(InvalidKey, "launch message %s: invalid key: %w", msg.UID, err)
 	}
 	resourceCount, err := parsed.parseExtras(msg)
 	if err != nil {
@@ -57,7 +58,7 @@
 		return parsed, err
 	}
 	if resourceCount != requiredResources {
-		return parsed, invalidMessage(InvalidExtras, "launch %s: extras %.60q: want cores and memory once each", msg.UID,
+		return parsed, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
 			msg.Get(protocol.Extras))
 	}
 	return parsed, nil
@@ -67,12 +68,13 @@
 	name := msg.Get(protocol.Class)
 	class := slices.Index(p.settings.Classes, name)
 	if class < 0 {
-		return 0, invalidMessage(InvalidClass, "launch %s: class %.40q is not known", msg.UID, name)
+		return 0, invalidMessage(InvalidClass, "launch message %s: unknown class %.40q", msg.UID, name)
 	}
 	return class, nil
 }
 
-// parseTenant returns the tenant's index. A message without a tenant is valid where no tenants are configured.
+// parseTenant returns the index of the tenant. A message without a tenant is valid only if no tenants are
+// configured.
 func (p *requestParser) parseTenant(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Tenant)
 	if name == "" && len(p.settings.Tenants) == 0 {
@@ -80,12 +82,13 @@
 	}
 	tenant := slices.Index(p.settings.Tenants, name)
 	if tenant < 0 {
-		return 0, invalidMessage(InvalidTenant, "launch %s: tenant %.40q is not known", msg.UID, name)
+		return 0, invalidMessage(InvalidTenant, "launch message %s: unknown tenant %.40q", msg.UID, name)
 	}
 	return tenant, nil
 }
 
-// parseExtras reads the list of name:value pairs and returns how many of them were resources. Unknown names are skipped.
+// parseExtras parses the list of name:value pairs and returns how many of them specify resources. Unknown
+// names are skipped.
 func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
 	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -101,9 +104,9 @@
 		case "service":
 			p.task.Service, err = parseService(msg, value)
 		case "at":
-			p.adoptedFrom = value
+			p.adoptedFromUID = value
 			if value == "" {
-				err = invalidMessage(InvalidExtras, "launch %s: extras: at: no node", msg.UID)
+				err = invalidMessage(InvalidExtras, "launch message %s: extras: the field \"at\" names no node", msg.UID)
 			}
 		}
 		if err != nil {
@@ -116,7 +119,7 @@
 func parseResource(msg *protocol.Message, name, value string) (float64, error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	if err != nil || !inRange(amount, maxResourceAmount) {
-		return 0, invalidMessage(InvalidExtras, "launch %s: extras: %s %.40q: want a number from 0 to 1e9", msg.UID, name, value)
+		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: %s is %.40q, want a number from 0 to 1e9", msg.UID, name, value)
 	}
 	return amount, nil
 }
@@ -124,23 +127,24 @@
 func parseService(msg *protocol.Message, value string) (placer.ServiceID, error) {
 	id, err := protocol.ParseID(value)
 	if err != nil {
-		return 0, invalidMessage(InvalidExtras, "launch %s: extras: service: %w", msg.UID, err)
+		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: invalid service: %w", msg.UID, err)
 	}
 	return placer.ServiceID(id), nil
 }
 
-// parseDeadline returns the clock time until which the client waits: at most maxDeadlineMultiple times the class's deadline from now. For an
-// adoption there is no upper limit: no answer is due, and clients send any time, such as the remaining run time of the task.
+// parseDeadline returns the time until which the client waits for an answer, which is at most
+// maxDeadlineMultiple times the deadline of the class from now. An adoption has no upper limit: it needs no
+// answer, and clients send arbitrary values such as the remaining run time of the task.
 func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
 	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
 	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
 	if !valid {
-		return 0, invalidMessage(InvalidTimeLeft, "launch %s: left %.40q: want 0 to %g ms, twice what the class gives", msg.UID, text, limitMS)
+		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms (twice the class deadline)", msg.UID, text, limitMS)
 	}
 	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
 
-// inRange reports whether a value is a number from 0 to limit. NaN is not.
+// inRange reports whether a value is a number from 0 to limit. It returns false for NaN.
 func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -32,10 +32,10 @@
 			want.task.Service = 0xaf
 		}},
 		{"an adoption without an end", func(msg *protocol.Message) {
-			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptedFrom(2))
+			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(2))
 			msg.Set(protocol.TimeLeft, "4294967000")
 		}, func(want *parsedRequest) {
-			want.adoptedFrom, want.task.Deadline = nodeUID(2), 100+4294967
+			want.adoptedFromUID, want.task.Deadline = nodeUID(2), 100+4294967
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -1,20 +1,22 @@
 package dispatch
 
-// requestState is the state of a placement request. The states from requestMigrating on are closed: the client has been notified of the end or
-// requested it, and is not notified again, unless a node does not confirm a migration.
+// requestState is the state of a placement request. The states from requestMigrating on are final for the
+// client: the client requested the end of the task or was notified of it, and is not notified again unless a
+// node fails to confirm a migration.
 type requestState uint8
 
 const (
-	requestOpen       requestState = iota // without an answer
-	requestRunning                        // the task runs
-	requestMigrating                      // the client was asked to request the placement again; the node has to confirm that it stopped the task
-	requestStopping                       // the client was notified of the end or requested it; the node has to confirm that it stopped the task
-	requestAnswered                       // rejected or failed
-	requestWithdrawn                      // the client no longer waits
+	requestOpen       requestState = iota // the request has no answer
+	requestRunning                        // the task is running
+	requestMigrating                      // the client was asked to migrate; the node has to confirm the stop
+	requestStopping                       // the client knows of the stop; the node has to confirm it
+	requestAnswered                       // the request was rejected or failed
+	requestWithdrawn                      // the client no longer waits for an answer
 	requestTerminated                     // the task ran and has ended
 )
 
-// requestStates describes the states of a request. Only requestTable.transition and the functions that open a request set them.
+// requestStates describes the states of a request. Only requestTable.transition and the functions that open a
+// request set the state.
 var requestStates = stateTable[requestState]{
 	requestOpen:       {"open", []requestState{requestRunning, requestAnswered, requestWithdrawn, requestTerminated}},
 	requestRunning:    {"running", []requestState{requestMigrating, requestStopping, requestTerminated}},
@@ -25,8 +27,8 @@
 	requestTerminated: {"terminated", nil},
 }
 
-// String returns the state's name.
-func (s requestState) String() string { return requestStates.nameOf("request", s) }
+// String returns the name of the state.
+func (s requestState) String() string { return requestStates.stateName("request", s) }
 
-// closed reports whether no answer and no notification of the task's end is due any more.
-func (s requestState) closed() bool { return s >= requestMigrating }
+// isFinal reports whether the client needs no further answer and no notification that the task has ended.
+func (s requestState) isFinal() bool { return s >= requestMigrating }
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -5,22 +5,22 @@
 	"heathshed/placer"
 )
 
-// requestTable owns the placement requests that are open or whose task runs, and moves them from state to state.
+// requestTable owns the placement requests that are open or whose tasks run, and changes their states.
 type requestTable struct {
-	*environment
+	*sharedState
 	clients  *clientRegistry
 	attempts *attemptTable
 
 	byTask             map[placer.TaskID]*request
 	byID               map[protocol.ID]*request
-	openCount          int // requests in state requestOpen
+	openCount          int // number of requests in state requestOpen
 	lastTaskID         placer.TaskID
 	illegalTransitions int // see stateTable.transition
 }
 
-func newRequestTable(env *environment, clients *clientRegistry, attempts *attemptTable) *requestTable {
+func newRequestTable(shared *sharedState, clients *clientRegistry, attempts *attemptTable) *requestTable {
 	return &requestTable{
-		environment: env,
+		sharedState: shared,
 		clients:     clients,
 		attempts:    attempts,
 		byTask:      map[placer.TaskID]*request{},
@@ -28,27 +28,27 @@
 	}
 }
 
-// get returns the request of a task by the placer's ID, or nil if there is none.
+// get returns the request of the task with the placer's task ID, or nil if there is no such request.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
-// getByID returns the request with the client's ID, or nil if there is none.
+// getByID returns the request with the ID that the client assigned, or nil if there is no such request.
 func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
 
-// full reports whether no further request can be added.
-func (t *requestTable) full() bool { return len(t.byID) >= maxTasks }
+// isFull reports whether the limit on the number of requests has been reached.
+func (t *requestTable) isFull() bool { return len(t.byID) >= maxTasks }
 
-// open adds a new request and assigns its task an ID.
+// open adds a new request and assigns an ID to its task.
 func (t *requestTable) open(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestOpen)
 	t.openCount++
-	t.clients.requestOpened(req)
+	t.clients.addOpenRequest(req)
 	return req
 }
 
-// adopt adds a request whose task runs already and assigns the task an ID.
+// adopt adds a request whose task already runs, and assigns an ID to the task.
 func (t *requestTable) adopt(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestRunning)
-	t.clients.taskPlaced(req)
+	t.clients.recordPlacedTask(req)
 	return req
 }
 
@@ -68,49 +68,51 @@
 	return req
 }
 
-// answer sends the final answer to an open request whose task does not run.
+// answer sends the final answer to an open request whose task is not running, and removes the request.
 func (t *requestTable) answer(req *request, answer protocol.Message) {
-	if req.state.closed() {
+	if req.state.isFinal() {
 		return
 	}
 	t.close(req, requestAnswered)
-	t.clients.answer(req, answer)
-	t.attempts.abandonLast(req, placer.TimedOut)
+	t.clients.sendAnswer(req, answer)
+	t.attempts.abandonLastAttempt(req, placer.TimedOut)
 	t.remove(req)
 }
 
-// withdraw ends an open request whose client no longer waits.
+// withdraw ends an open request whose client no longer waits for the answer.
 func (t *requestTable) withdraw(req *request) {
-	if req.state.closed() {
+	if req.state.isFinal() {
 		return
 	}
 	t.counts.Withdrawn++
 	t.close(req, requestWithdrawn)
-	t.post(placer.Event{Kind: placer.Withdrawn, TaskID: req.taskID})
-	t.attempts.abandonLast(req, placer.Cancelled)
+	t.postEvent(placer.Event{Kind: placer.Withdrawn, TaskID: req.taskID})
+	t.attempts.abandonLastAttempt(req, placer.Cancelled)
 	t.remove(req)
 }
 
-// taskStarted moves an open request to requestRunning.
-func (t *requestTable) taskStarted(req *request) {
+// markRunning changes an open request to requestRunning.
+func (t *requestTable) markRunning(req *request) {
 	t.counts.Placed++
 	t.close(req, requestRunning)
-	t.clients.taskPlaced(req)
+	t.clients.recordPlacedTask(req)
 }
 
-// close moves an open request to its next state.
+// close changes a request from requestOpen to another state, and removes it from the open requests of its
+// connection.
 func (t *requestTable) close(req *request, next requestState) {
 	t.transition(req, next)
 	t.openCount--
-	t.clients.requestClosed(req)
+	t.clients.removeOpenRequest(req)
 }
 
-// transition moves a request to its next state.
+// transition changes the state of a request.
 func (t *requestTable) transition(req *request, next requestState) {
 	requestStates.transition(&req.state, next, &t.illegalTransitions)
 }
 
-// remove removes a request that has ended. Its attempts are kept until nodes are no longer expected to send messages about them.
+// remove removes a request that has ended. Its attempts are kept until nodes are no longer expected to send
+// messages about them.
 func (t *requestTable) remove(req *request) {
 	if t.byID[req.message.ID] == req {
 		delete(t.byID, req.message.ID)
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -18,9 +18,9 @@
 	harness := newHarness(t, nil)
 	idInUse := harness.launch(harness.connect(), "query", 1000, "")
 	for _, test := range []struct {
-		name   string
-		reason InvalidReason
-		spoil  func(*protocol.Message)
+		name    string
+		reason  InvalidReason
+		corrupt func(*protocol.Message)
 	}{
 		{"class", InvalidClass, setField(protocol.Class, "gold")},
 		{"tenant", InvalidTenant, setField(protocol.Tenant, "north")},
@@ -39,7 +39,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			msg := launchMessage(99)
-			test.spoil(&msg)
+			test.corrupt(&msg)
 			conn := harness.connect()
 
 			err := harness.core.ReceiveFromClient(harness.now, conn, &msg)
@@ -64,7 +64,7 @@
 	harness := newHarness(t, &scriptedPlacer{})
 	conn := harness.connect()
 	for range maxTasks {
-		harness.launch(conn, "query", 1000, adoptedFrom(1))
+		harness.launch(conn, "query", 1000, adoptionExtras(1))
 	}
 	rejected := func() bool {
 		harness.receiveFromClient(conn, launchMessage(1e6))
@@ -113,15 +113,15 @@
 func TestEndOfClosedRequest(t *testing.T) {
 	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
 		t.Run(state.String(), func(t *testing.T) {
-			env := &environment{counts: &Counts{}}
-			table := newRequestTable(env, newClientRegistry(env), newAttemptTable(env, newNodeRegistry(env)))
+			shared := &sharedState{counts: &Counts{}}
+			table := newRequestTable(shared, newClientRegistry(shared), newAttemptTable(shared, newNodeRegistry(shared)))
 			req := &request{state: state}
 
 			table.withdraw(req)
 			table.answer(req, protocol.Message{})
 
-			if req.state != state || *env.counts != (Counts{}) || table.openCount != 0 || len(env.effects) != 0 {
-				t.Errorf("state %v, counts %+v, %d open, effects %+v", req.state, *env.counts, table.openCount, env.effects)
+			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
+				t.Errorf("state %v, counts %+v, %d open, effects %+v", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_table.go
+++ b/internal/platform/dispatch/state_table.go
@@ -5,32 +5,33 @@
 	"strconv"
 )
 
-// stateTable describes the states of a state machine, in the order of their values.
+// stateTable describes the states of a state machine. The index of an entry is the value of its state.
 type stateTable[State ~uint8] []stateDescription[State]
 
-// stateDescription is the name of a state, and the states that it may legally change to.
+// stateDescription contains the name of a state and the states to which a transition is legal.
 type stateDescription[State ~uint8] struct {
-	name string
-	next []State
+	name      string
+	legalNext []State
 }
 
-// nameOf returns the name of a state, or the kind of state with its number if the table does not have it.
-func (t stateTable[State]) nameOf(kind string, state State) string {
+// stateName returns the name of a state. For a state that is not in the table, it returns the kind and the
+// number.
+func (t stateTable[State]) stateName(kind string, state State) string {
 	if int(state) < len(t) {
 		return t[state].name
 	}
 	return kind + " state " + strconv.Itoa(int(state))
 }
 
-// allows reports whether a transition is legal.
-func (t stateTable[State]) allows(from, to State) bool {
-	return slices.Contains(t[from].next, to)
+// isLegal reports whether a transition is legal.
+func (t stateTable[State]) isLegal(from, to State) bool {
+	return slices.Contains(t[from].legalNext, to)
 }
 
-// transition changes a state. A scheduler in service goes on after an illegal transition, which is made as well: it is counted, and tests
-// require that there is none.
+// transition changes a state. An illegal transition is counted but still carried out, so that a scheduler in
+// production continues; tests require that the count is zero.
 func (t stateTable[State]) transition(state *State, next State, illegalTransitions *int) {
-	if !t.allows(*state, next) {
+	if !t.isLegal(*state, next) {
 		*illegalTransitions++
 	}
 	*state = next
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -17,7 +17,7 @@
 	}
 	for from := State(0); from <= last; from++ {
 		for to := State(0); to <= last; to++ {
-			legal := slices.Contains(table[from].next, to)
+			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
 				t.Errorf("state %v leads to %v", from, to)
 			}
@@ -31,7 +31,7 @@
 
 // TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
 func TestRequestTransitions(t *testing.T) {
-	staysClosed := func(from, to requestState) bool { return !from.closed() || to.closed() }
+	staysClosed := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
 	requireTransitions(t, requestStates, requestTerminated, staysClosed, func(from, to requestState) (requestState, int) {
 		table, req := &requestTable{}, &request{state: from}
 		table.transition(req, to)
