--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -21,7 +21,7 @@
 	number       int // index among the attempts of its request
 	state        attemptState
 	expiresAt    placer.Seconds // an unanswered attempt is abandoned at this time
-	createdAt    placer.Seconds // when the placer requested it
+	createdAt    placer.Seconds // when the placer requested the attempt
 	runningSince placer.Seconds // when the node's acceptance arrived or the task was adopted
 	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // whether the node was asked to stop the task
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -18,7 +18,7 @@
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
-	illegalTransitions int // see stateTable.transition
+	illegalTransitions int // number of illegal transitions, which stateTable.transition counts
 }
 
 func newAttemptTable(shared *sharedState, nodes *nodeRegistry) *attemptTable {
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -8,16 +8,17 @@
 	"heathshed/placer"
 )
 
-// TestLateAnswers: what becomes of a task whose node accepts it after the attempt was abandoned.
+// TestLateAnswers checks whether a node is asked to stop a task that it accepts after the attempt was
+// abandoned.
 func TestLateAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name, class string
 		withdrawn   bool
 		stopped     bool
 	}{
-		{"an idempotent task is stopped", "query", false, true},
-		{"another runs on until its client lists it for adoption", "seats", false, false},
-		{"one whose client withdrew it is stopped", "seats", true, true},
+		{"idempotent task is stopped", "query", false, true},
+		{"other task runs until its client lists it for adoption", "seats", false, false},
+		{"withdrawn task is stopped", "seats", true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := sentAttempt(t, test.class)
@@ -30,26 +31,27 @@
 			effects := harness.accept(attempt)
 
 			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
-				t.Errorf("node asked to stop the task: %v, want %v", stopped, test.stopped)
+				t.Errorf("node was asked to stop the task: %v, want %v and no running task", stopped, test.stopped)
 			}
 		})
 	}
 }
 
-// TestTerminationBeforeAnswer: a node that drains, evicts or preempts a task had accepted it, though its answer is late: the task ran and is
-// over. Its client is notified at once, no other attempt is made, and the late answer changes nothing. What failed on its way, or was rejected
-// for lack of capacity, is attempted at other nodes.
+// TestTerminationBeforeAnswer checks that a task that was drained, evicted or preempted counts as ended even
+// though its acceptance has not arrived. The client must be notified at once, no other attempt may be made,
+// and the late acceptance must change nothing. An attempt that failed in transit or was rejected for lack of
+// capacity is repeated on another node.
 func TestTerminationBeforeAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		cause protocol.Cause
 		note  string
-		over  bool
+		ended bool
 	}{
 		{"drained", protocol.CauseReset, "drained", true},
 		{"evicted", protocol.CauseReset, "oom", true},
 		{"preempted", protocol.CauseReset, "preempted", true},
-		{"failed on its way", protocol.CauseReset, "", false},
+		{"failed in transit", protocol.CauseReset, "", false},
 		{"full", protocol.CauseFull, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -62,34 +64,35 @@
 
 			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
 			bound := policy.received(placer.Bound)
-			if notified != test.over || bound != test.over || policy.lastEvent().Final != test.over || record.answers != 1 {
-				t.Errorf("client notified %+v, placer notified that it ran %v, last event %+v", answers, bound, policy.lastEvent())
+			if notified != test.ended || bound != test.ended || policy.lastEvent().Final != test.ended || record.answers != 1 {
+				t.Errorf("messages to clients %+v, placer was told that the task ran: %v, last event %+v", answers, bound, policy.lastEvent())
 			}
 			harness.accept(attempt)
 			if harness.core.RunningTasks() != 0 || record.answers != 1 {
-				t.Error("runs after a late answer")
+				t.Error("the task runs or was answered again after a late acceptance")
 			}
 		})
 	}
 }
 
-// TestAttemptStart: an attempt that could not be answered in time, that is one too many, or whose node is gone, expires without being sent.
+// TestAttemptStart checks that an attempt expires without being sent if it could not be answered in time, if
+// it exceeds the maximum number of attempts, or if its node is not in the registry.
 func TestAttemptStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		node      int
 		until     placer.Seconds
 		change    func(req *request)
-		expiresAt placer.Seconds // 0 if it is not sent
+		expiresAt placer.Seconds // 0 if the attempt must not be sent
 	}{
-		{"no time given", 1, 0, func(*request) {}, 110},
-		{"a time before the deadline", 1, 105, func(*request) {}, 105},
-		{"a time after the deadline", 1, 150, func(*request) {}, 110},
-		{"a time that is over", 1, 100, func(*request) {}, 0},
-		{"a node that is not in the registry", 7, 105, func(*request) {}, 0},
-		{"a closed request", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
-		{"the last attempt allowed", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
-		{"one attempt too many", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
+		{"no expiry time given", 1, 0, func(*request) {}, 110},
+		{"expiry before the deadline", 1, 105, func(*request) {}, 105},
+		{"expiry after the deadline", 1, 150, func(*request) {}, 110},
+		{"expiry time has passed", 1, 100, func(*request) {}, 0},
+		{"node is not in the registry", 7, 105, func(*request) {}, 0},
+		{"request is final", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
+		{"last allowed attempt", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
+		{"one attempt more than allowed", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
@@ -105,13 +108,13 @@
 			attempt := req.lastAttempt()
 			if test.expiresAt == 0 {
 				if attempt.state != attemptAbandoned || len(shared.effects) != 0 || len(table.byKey) != 0 {
-					t.Errorf("state %v, effects %+v", attempt.state, shared.effects)
+					t.Errorf("attempt in state %v with effects %+v, want an abandoned attempt without effects", attempt.state, shared.effects)
 				}
 				return
 			}
 			sent := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
 			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextOr(0) != test.expiresAt {
-				t.Errorf("state %v, expires at %v, effects %+v", attempt.state, attempt.expiresAt, shared.effects)
+				t.Errorf("attempt in state %v expires at %v with effects %+v, want one pending attempt to be sent", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -10,8 +10,9 @@
 	"heathshed/placer"
 )
 
-// playDirected plays short scripts that random ones seldom meet: many nodes and tasks that end at one time (among which the core promises no
-// order, so effects are sorted), notifications and adoptions around their time limits, and the bounds on what is kept.
+// runDirectedScripts runs short scripts for situations that random scripts rarely reach. In some, many nodes
+// and tasks end at the same time; the core promises no order among them, so the recorder sorts the effects.
+// Others cover notifications and adoptions close to their time limits, and the limits on stored records.
 func runDirectedScripts(t *testing.T) []string {
 	t.Helper()
 	var lines []string
@@ -24,7 +25,7 @@
 		recorder.listAllNodes("in_service", 0)
 		recorder.adoptTasks(24, 1)
 		recorder.checkpoint(1)
-		recorder.listAllNodes("in_service", 1010_000) // a new incarnation ends the running tasks
+		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
 		recorder.checkpoint(2)
 		recorder.adoptTasks(24, 101)
 		recorder.listAllNodes("terminated", 0)
@@ -43,16 +44,17 @@
 	return append(lines, runEarlyTerminations(t)...)
 }
 
-// directedScript is how a short script begins: with which settings and seed, and how many client connections.
+// directedScript specifies how a directed script starts: its settings, its seed and its number of client
+// connections.
 type directedScript struct {
 	settingsIndex   int
 	seed            uint64
 	label           string
 	connections     int
-	useRandomPlacer bool // with an arbitraryPlacer
+	useRandomPlacer bool // whether a randomPlacer makes the decisions
 }
 
-// begin returns a recorder whose core has the connections and lists all nodes as in service.
+// start returns a recorder whose core has the connections and whose nodes are all in service.
 func (script directedScript) start(t *testing.T) *scriptRecorder {
 	t.Helper()
 	recorder := newRecorder(t, script.settingsIndex, script.seed, "", script.useRandomPlacer)
@@ -64,7 +66,7 @@
 	return recorder
 }
 
-// beginWithRequest is like begin, with an arbitraryPlacer and a first request.
+// startWithRequest is like start, but uses a randomPlacer and sends a first request.
 func (script directedScript) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
 	script.useRandomPlacer = true
@@ -86,14 +88,14 @@
 	recorder.observe(0)
 }
 
-// advanceAtOnce runs the timers that are due after some time, all at that time.
+// advanceInOneCall advances the clock and runs all timers that are due in one call at the new time.
 func (recorder *scriptRecorder) advanceInOneCall(by placer.Seconds, step int) {
 	recorder.now += by
 	recorder.core.Advance(recorder.now)
 	recorder.observe(step)
 }
 
-// adoptTasks lists running tasks for adoption, spread over the nodes.
+// adoptTasks lists running tasks for adoption, distributed over the nodes.
 func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
 		recorder.receiveFromClient(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
@@ -101,8 +103,8 @@
 	}
 }
 
-// playRedelivery has notifications cross the end of their connection, with clients that acknowledge notifications and clients that do not, at
-// intervals around each time limit, and with no client left to be notified.
+// runRedelivery closes connections on which notifications were sent. The variants cover clients that do and
+// do not acknowledge notifications, intervals around each time limit, and the case that no client is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -129,7 +131,7 @@
 	})
 }
 
-// endTasks has nodes report the end of tasks that adoptTasks listed.
+// endTasks makes nodes report the ends of tasks that adoptTasks listed.
 func (recorder *scriptRecorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
 		msg := wireMessage(protocol.Stop, id)
@@ -139,7 +141,8 @@
 	}
 }
 
-// playAdoptionWait has requests arrive while running tasks are still being adopted, up to and beyond the longest time for which requests wait.
+// runAdoptionWait sends requests while running tasks are still being adopted, until after the longest time
+// for which requests wait.
 func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
 	recorder := directedScript{seed: 300, label: "handover", connections: 2}.start(t)
@@ -162,21 +165,21 @@
 	return recorder.lines
 }
 
-// playNewIncarnation lets a node begin a new incarnation at times around the tolerance, with one task that runs on it.
+// runNewIncarnation starts a new incarnation of a node on which one task runs, at times around the tolerance.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	startedAfterMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
+	incarnationDelayMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		label := fmt.Sprintf("new life after %d", startedAfterMS[variant]) // as in the golden file
+		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant]) // as in the golden file
 		return directedScript{seed: 400, label: label, connections: 1}.start(t)
 	}
-	return runVariants(len(startedAfterMS), start, func(recorder *scriptRecorder, variant int) {
+	return runVariants(len(incarnationDelayMS), start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(1, 1)
-		recorder.listAllNodes("in_service", 1000_000+startedAfterMS[variant])
+		recorder.listAllNodes("in_service", 1000_000+incarnationDelayMS[variant])
 	})
 }
 
-// playVariants plays one directed script in several variants.
+// runVariants runs a directed script once for each variant and returns the recorded lines.
 func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
 		recorder := start(variant)
@@ -187,7 +190,8 @@
 	return lines
 }
 
-// playLateStart sends attempts just before, at and just after the time at which they expire, with the timer of that time not yet run.
+// runLateStart sends attempts just before, at and just after their expiry time, before the expiry timer has
+// run.
 func runLateStart(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -203,8 +207,8 @@
 	})
 }
 
-// playLateAnswer has a node answer around the time at which the attempt expires, with the timer of that time not yet run, or after its connection
-// was lost; then the client lists the task for adoption from that node.
+// runLateAnswer makes a node answer an attempt around its expiry time, either before the expiry timer has run
+// or after the connection was lost. The client then lists the task for adoption from that node.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -224,7 +228,8 @@
 	})
 }
 
-// answerLate answers the first attempt at the given time, after its connection was lost if broken is set, and lists its task for adoption.
+// answerLate makes a node accept the first attempt at the given time, after its connection was lost if broken
+// is set. The client then lists the task for adoption.
 func (recorder *scriptRecorder) answerLate(at placer.Seconds, broken bool) {
 	attempt := recorder.sent[0]
 	recorder.now = max(recorder.now, at)
@@ -237,7 +242,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.observe(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pending) > 0 { // the next attempt: its client withdraws the request
+	if len(recorder.pending) > 0 { // another attempt was started, and the client withdraws the request
 		recorder.receiveFromClient(1, stop)
 		recorder.observe(4)
 	}
@@ -249,22 +254,22 @@
 	}
 }
 
-// playEarlyTerminations fills the records of early terminations and the table of tasks beyond their bounds.
+// runEarlyTerminations exceeds the maximum numbers of early terminations and of tasks.
 func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
-	const beyond = 20010
+	const aboveLimit = 20010
 	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.start(t)
-	for id := uint64(1); id <= beyond; id++ {
+	for id := uint64(1); id <= aboveLimit; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
-	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
+	for _, id := range []uint64{1, 9, 10, 11, 12, aboveLimit} {
 		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
 		recorder.observe(0)
 	}
 	recorder.checkpoint(1)
-	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
+	for id := uint64(aboveLimit + 1); id <= 2*aboveLimit; id++ {
 		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
 	}
 	recorder.observe(0)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -18,7 +18,7 @@
 	"heathshed/placer"
 )
 
-// scriptRecorder drives one core and digests what it does.
+// scriptRecorder drives one core and computes a digest of its observable behavior.
 type scriptRecorder struct {
 	t             *testing.T
 	core          *dispatch.Core
@@ -30,10 +30,10 @@
 	lastConn      dispatch.ConnID
 	conns         []dispatch.ConnID
 	lastID        uint64
-	pending       []*dispatch.Attempt // to be sent
-	sent          []*dispatch.Attempt // sent at some time
-	nodeStates    map[int]string      // of the nodes, as last listed
-	unordered     bool                // the current call may give its effects in any order
+	pending       []*dispatch.Attempt // attempts that are yet to be sent
+	sent          []*dispatch.Attempt // attempts that were sent, also those that have ended
+	nodeStates    map[int]string      // last listed state of each node by its number
+	unordered     bool                // whether effects are sorted, since calls may return them in any order
 	lines         []string
 	label         string
 }
@@ -70,7 +70,7 @@
 	return recorder
 }
 
-// placerEvent digests all values of an event in a fixed order.
+// digestEvent adds all fields of an event to the digest in a fixed order.
 func (recorder *scriptRecorder) digestEvent(event *placer.Event) {
 	recorder.digestNumbers(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
 	recorder.digestSeconds(event.Elapsed)
@@ -124,7 +124,8 @@
 	recorder.digest.Write([]byte(s))
 }
 
-// verdict digests whether there was an error, and the reason under which it is counted, not its text.
+// digestError adds to the digest whether there was an error and the reason by which it is counted, but not
+// its text.
 func (recorder *scriptRecorder) digestError(err error) {
 	recorder.digestBool(err != nil)
 	var invalid *dispatch.InvalidMessageError
@@ -134,10 +135,10 @@
 	}
 }
 
-// nodeID returns the ID of a script's node by its number.
+// nodeID returns the ID of the node with the given number.
 func nodeID(number int) placer.NodeID { return dispatch.NodeIDOf(dispatch.NodeUID(number)) }
 
-// encodeEffect is an effect as bytes, in the encoding of its message on the wire.
+// encodeEffect returns an effect as bytes. Messages have their wire encoding.
 func encodeEffect(effect *dispatch.Effect) []byte {
 	encoded := []byte{byte(effect.Kind)}
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(effect.Conn))
@@ -155,7 +156,7 @@
 	return encoded
 }
 
-// observe digests the effects of a call and the state that the core shows afterwards.
+// observe adds the effects of a call and the observable state of the core to the digest.
 func (recorder *scriptRecorder) observe(step int) {
 	recorder.digestNumbers(uint64(step))
 	var encoded [][]byte
@@ -177,7 +178,7 @@
 	}
 	recorder.digestState()
 	if illegal := recorder.core.IllegalTransitions(); illegal != 0 {
-		recorder.t.Fatalf("%s, step %d: %d illegal state transitions", recorder.label, step, illegal)
+		recorder.t.Fatalf("%s, step %d: the core made %d illegal state transitions", recorder.label, step, illegal)
 	}
 }
 
@@ -212,7 +213,7 @@
 	recorder.digestNumbers(uint64(nodeCount))
 }
 
-// countValues are the counters in a fixed order.
+// countValues returns the counters in a fixed order.
 func countValues(counts *dispatch.Counts) []uint64 {
 	return []uint64{counts.PlacementRequests, counts.Adopted, counts.Accepted, counts.Placed, counts.Rejected, counts.Failed, counts.Withdrawn,
 		counts.Attempts, counts.Bound, counts.CapacityRejections, counts.NodeErrors, counts.ConnectFailures, counts.ConnectionsLost, counts.TimedOut,
@@ -223,7 +224,7 @@
 
 func (recorder *scriptRecorder) checkpoint(step int) {
 	if err := recorder.core.CheckInvariants(); err != nil {
-		recorder.t.Fatalf("%s, step %d: %v", recorder.label, step, err)
+		recorder.t.Fatalf("%s, step %d: invariant violated: %v", recorder.label, step, err)
 	}
 	var counts []string
 	for _, count := range countValues(&recorder.core.Counts) {
@@ -233,8 +234,8 @@
 	recorder.lines = append(recorder.lines, line)
 }
 
-// arbitraryPlacer replaces the placer: it digests each event in full and answers with actions drawn at random, rare and invalid ones included, so
-// that migrations, attempts beyond the limit and attempts that have expired occur.
+// randomPlacer replaces the placer. It adds each event to the digest and returns random actions, including
+// rare and invalid ones. This produces migrations, expired attempts and attempts beyond the limit.
 type randomPlacer struct {
 	recorder *scriptRecorder
 	tasks    []placer.TaskID
@@ -279,7 +280,7 @@
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
-		return placer.Action{Kind: placer.Reject, Task: task + 100000} // unknown
+		return placer.Action{Kind: placer.Reject, Task: task + 100000} // the task is unknown
 	}
 	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: nodeID(1 + recorder.random.IntN(4)),
 		Until: randomChoice(recorder, 0, 0, now+0.25, now+0.8, now+100, now-1)}
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -30,7 +30,7 @@
 	return protocol.Message{Kind: kind, ID: protocol.ID(id), UID: fmt.Sprintf("%016x", id)}
 }
 
-// playScript plays one random script to its end.
+// runRandomScript runs one random script to its end and returns the recorded lines.
 func runRandomScript(t *testing.T, settingsIndex int, seed uint64, useRandomPlacer bool) []string {
 	t.Helper()
 	setup := &scriptRecorder{nodeStates: map[int]string{}}
@@ -57,7 +57,7 @@
 	return recorder.lines
 }
 
-// step makes one random call.
+// randomStep makes one random call.
 func (recorder *scriptRecorder) randomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
@@ -106,7 +106,7 @@
 	recorder.conns = slices.Delete(recorder.conns, i, i+1)
 	recorder.core.ClientDisconnected(recorder.now, id)
 	if recorder.random.IntN(4) == 0 {
-		recorder.core.ClientDisconnected(recorder.now, id) // once more
+		recorder.core.ClientDisconnected(recorder.now, id) // a repeated call must have no effect
 	}
 }
 
@@ -131,14 +131,14 @@
 }
 
 func (recorder *scriptRecorder) receiveFromAnyClient(msg protocol.Message) {
-	conn := dispatch.ConnID(99) // never opened
+	conn := dispatch.ConnID(99) // this connection was never opened
 	if len(recorder.conns) > 0 && recorder.random.IntN(40) > 0 {
 		conn = randomChoice(recorder, recorder.conns...)
 	}
 	recorder.receiveFromClient(conn, msg)
 }
 
-// receive has the core receive a message of a client, and digests the result.
+// receiveFromClient passes a client message to the core and adds the resulting error to the digest.
 func (recorder *scriptRecorder) receiveFromClient(conn dispatch.ConnID, msg protocol.Message) {
 	recorder.digestError(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
 }
@@ -147,7 +147,7 @@
 	recorder.lastID++
 	id := recorder.lastID
 	if recorder.random.IntN(12) == 0 {
-		id = recorder.anyID() // perhaps in use
+		id = recorder.anyID() // the ID may be in use
 	}
 	recorder.receiveFromAnyClient(recorder.validLaunch(id, extras))
 }
@@ -156,7 +156,7 @@
 	return 1 + recorder.random.Uint64N(recorder.lastID+1)
 }
 
-// launchFaults spoil a valid launch message.
+// launchCorruptions are changes of a valid launch message, most of which make it invalid.
 var launchCorruptions = []func(*protocol.Message){
 	func(msg *protocol.Message) { msg.Body = "" },
 	func(msg *protocol.Message) { msg.Set(protocol.Class, "none") },
@@ -201,7 +201,7 @@
 	recorder.receiveFromAnyClient(msg)
 }
 
-// send sends an attempt, possibly one that has ended meanwhile.
+// send sends a pending attempt, which may have ended in the meantime.
 func (recorder *scriptRecorder) send() {
 	if len(recorder.pending) == 0 {
 		return
@@ -209,10 +209,10 @@
 	i := recorder.random.IntN(len(recorder.pending))
 	attempt := recorder.pending[i]
 	recorder.pending = slices.Delete(recorder.pending, i, i+1)
-	may := recorder.core.PrepareSend(recorder.now, attempt)
-	recorder.digestBool(may)
+	allowed := recorder.core.PrepareSend(recorder.now, attempt)
+	recorder.digestBool(allowed)
 	recorder.digestText(string(attempt.Message.Append(nil)))
-	if may {
+	if allowed {
 		recorder.sent = append(recorder.sent, attempt)
 	}
 }
@@ -221,7 +221,7 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// accept has the node of an attempt accept it.
+// accept makes the node of a random sent attempt accept it.
 func (recorder *scriptRecorder) accept() {
 	open := recorder.sent
 	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
@@ -237,7 +237,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 }
 
-// nodeMessage has a node send any message about any task.
+// nodeMessage makes a node send a random message about a random task.
 func (recorder *scriptRecorder) nodeMessage() {
 	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
 		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
@@ -254,12 +254,12 @@
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+recorder.random.IntN(4)), &msg)
 		return
 	}
-	among := recorder.sent[max(0, len(recorder.sent)-12):]
+	choices := recorder.sent[max(0, len(recorder.sent)-12):]
 	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Live() })
 	if len(live) > 0 && recorder.random.IntN(4) > 0 {
-		among = live
+		choices = live
 	}
-	attempt := randomChoice(recorder, among...)
+	attempt := randomChoice(recorder, choices...)
 	msg.UID, msg.ID = attempt.Message.UID, attempt.Message.ID
 	recorder.receiveFromNode(attempt, &msg)
 }
@@ -281,8 +281,9 @@
 	}
 }
 
-// discoveryEvent delivers one discovery event, valid or not. At most one node changes with an event, since the core promises no order among
-// nodes that terminate at one time; a node begins a new incarnation only if it runs at most one task, for the same reason.
+// discoveryEvent delivers one discovery event, which may be invalid. Each event changes at most one node,
+// since the core promises no order among nodes that terminate at the same time. For the same reason, a node
+// starts a new incarnation only if it runs at most one task.
 func (recorder *scriptRecorder) discoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodes)
@@ -308,8 +309,8 @@
 	recorder.digestError(err)
 }
 
-// startTimeOf draws a start time that ends no task of later steps: one further in the future than the core's tolerance would end several with a
-// later list, in no order.
+// drawStartTime draws a start time of a node that ends no task in later steps. A start time further in the
+// future than the tolerance of the core would end several tasks with a later node list, in no defined order.
 func (recorder *scriptRecorder) drawStartTime(i int) int64 {
 	node := recorder.core.Node(nodeID(i))
 	if node == nil || node.RunningTasks() > 1 {
@@ -318,7 +319,7 @@
 	return randomChoice(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
 }
 
-// completeList is the last known list with one node changed or left out.
+// completeList returns the last known node list with one node changed or left out.
 func (recorder *scriptRecorder) completeList(changed int, state string) (list []string) {
 	for i := 1; i <= scriptNodes; i++ {
 		switch {
@@ -333,7 +334,8 @@
 	return list
 }
 
-// advance lets time pass, timer by timer or, at times, with all timers late.
+// advance moves the clock forward. It usually runs each timer at its time, and sometimes runs all timers
+// late.
 func (recorder *scriptRecorder) advance(by placer.Seconds) {
 	to := recorder.now + by
 	if recorder.random.IntN(5) == 0 {
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -10,9 +10,11 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization plays seeded scripts against the core and compares a digest of everything observable with the golden file. A digest is
-// rolling: the first checkpoint that differs locates the first step that differs. It holds numbers, wire bytes and float bits only, so that it
-// does not depend on names in the source. Run with HEATHSHED_UPDATE_GOLDEN=1 to write the golden file anew; a missing file is a failure.
+// TestCharacterization runs seeded scripts against the core and compares digests of the observable behavior
+// with the golden file. Each digest covers all steps up to its checkpoint, so the first checkpoint that
+// differs locates the first step that differs. The digests cover only numbers, wire bytes and float bits, so
+// that they do not depend on names in the source. Run the test with HEATHSHED_UPDATE_GOLDEN=1 to rewrite the
+// golden file. A missing golden file fails the test.
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for settingsIndex := range settingsVariants {
@@ -31,7 +33,8 @@
 	record.Check(t, "characterization")
 }
 
-// settingsShapes are configurations that differ in every setting the core reads, and in those that make the placer act otherwise.
+// settingsVariants are configurations that differ in every setting that the core reads, and in the settings
+// that change the decisions of the placer.
 var settingsVariants = []string{
 	dispatch.TestSettings,
 	`{"discovery":"pushed","me":1,"myZone":1,"peersTotal":3,"flavors":["std","big"],"zones":["a","b"],
@@ -54,10 +57,11 @@
  "rules":{"answerSlackS":0,"askWithinS":2,"drainGraceS":10,"fallS":1,"warmWithinS":8}}`,
 }
 
-// scriptTenants are the tenant names that are valid in each of the settings shapes.
+// scriptTenants contains the valid tenant names for each of the settingsVariants.
 var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
 
-// TestCharacterizationKnownEvents pins which lists of earlier events a core starts with, and the state that they leave.
+// TestCharacterizationKnownEvents checks which lists of known events New accepts, and the resulting state of
+// the core.
 func TestCharacterizationKnownEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
@@ -72,14 +76,14 @@
 		nodes       int
 		invalid     bool
 	}{
-		{name: "nothing", known: ""},
-		{name: "an empty object", known: "{}"},
-		{name: "a number only", known: `{"no":5}`, last: 5},
-		{name: "an event after the number", known: items(2, dispatch.DiscoveryEventJSON(7, false, first)), last: 7, nodes: 1},
-		{name: "an event without a list", known: items(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, first, second)), last: 9, nodes: 2},
-		{name: "a node without a UID", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
-		{name: "an unknown state", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
-		{name: "truncated", known: `{"no":`, invalid: true},
+		{name: "no known events", known: ""},
+		{name: "empty object", known: "{}"},
+		{name: "number without events", known: `{"no":5}`, last: 5},
+		{name: "event with a higher number", known: items(2, dispatch.DiscoveryEventJSON(7, false, first)), last: 7, nodes: 1},
+		{name: "event without a node list", known: items(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, first, second)), last: 9, nodes: 2},
+		{name: "node without a UID", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
+		{name: "unknown node state", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
+		{name: "truncated JSON", known: `{"no":`, invalid: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			policy, err := placer.New(settings.Placer, 1)
@@ -90,7 +94,7 @@
 			core, err := dispatch.New(5, settings, policy, []byte(test.known))
 
 			if (err != nil) != test.invalid {
-				t.Fatalf("known %s: error %v", test.known, err)
+				t.Fatalf("known events %s: unexpected result of New: error %v", test.known, err)
 			}
 			if test.invalid {
 				return
@@ -98,7 +102,7 @@
 			nodes := 0
 			core.EachNode(func(*dispatch.Node) { nodes++ })
 			if core.LastDiscoveryEvent() != test.last || nodes != test.nodes {
-				t.Errorf("known %s: last event %d and %d nodes, want %d and %d", test.known, core.LastDiscoveryEvent(), nodes, test.last, test.nodes)
+				t.Errorf("known events %s: last event is %d with %d nodes, want %d with %d", test.known, core.LastDiscoveryEvent(), nodes, test.last, test.nodes)
 			}
 		})
 	}
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -18,7 +18,7 @@
 	openRequests       map[*request]struct{}
 	lastPlacedAt       placer.Seconds // when a task on this connection last started or was adopted, or 0
 	lastValidMessageAt placer.Seconds // when the last valid message arrived, or 0
-	notifications      deliveryLog    // notifications that were sent on it; written by the notifier
+	notifications      deliveryLog    // notifications sent on the connection, written by notifier
 }
 
 // hasSentValidMessage reports whether a valid message has arrived on the connection.
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -2,23 +2,24 @@
 
 import "testing"
 
-// TestSelectClient: on which connection a notification is sent whose own connection is closed, and which one is the only identified one.
+// TestSelectClient checks on which connection a notification is sent if its own connection is closed, and
+// which connection counts as the only one that has sent a valid message.
 func TestSelectClient(t *testing.T) {
-	unidentified := clientConn{}
+	silent := clientConn{}
 	for _, test := range []struct {
 		name      string
-		conns     []clientConn // their IDs are 1, 2, ...
+		conns     []clientConn // the IDs are 1, 2, ...
 		preferred ConnID
-		want      ConnID // 0 for none
-		only      ConnID // the one that is the only one identified, 0 for none
+		want      ConnID // 0 means that no connection is selected
+		only      ConnID // the only connection that has sent a valid message, 0 for none
 	}{
 		{"no connection", nil, 1, 0, 0},
-		{"none has sent a valid message", []clientConn{unidentified, unidentified}, 9, 0, 0},
-		{"the preferred one, though unidentified", []clientConn{unidentified, {lastValidMessageAt: 5}}, 1, 1, 2},
-		{"the one identified", []clientConn{unidentified, {lastValidMessageAt: 5}, unidentified}, 9, 2, 2},
-		{"the last that had a task placed", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
-		{"then the last that sent a valid message", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
-		{"then the newest", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
+		{"no connection has sent a valid message", []clientConn{silent, silent}, 9, 0, 0},
+		{"preferred connection, although silent", []clientConn{silent, {lastValidMessageAt: 5}}, 1, 1, 2},
+		{"the only connection with a valid message", []clientConn{silent, {lastValidMessageAt: 5}, silent}, 9, 2, 2},
+		{"connection with the most recently placed task", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
+		{"same placement time, most recent valid message", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
+		{"same times, newest connection", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newClientRegistry(&sharedState{})
@@ -33,11 +34,11 @@
 			}
 
 			if selected != test.want {
-				t.Errorf("selected %d, want %d", selected, test.want)
+				t.Errorf("selected connection %d, want %d", selected, test.want)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if only := registry.isOnlyClient(id); only != (id == test.only && id != 0) {
-					t.Errorf("connection %d is the only one identified: %v", id, only)
+					t.Errorf("connection %d is reported as the only one with a valid message: %v", id, only)
 				}
 			}
 		})
--- a/internal/platform/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -8,15 +8,16 @@
 	"heathshed/placer"
 )
 
-// TestDelaysBelowClockResolution: a delay too short for the clock's resolution must not wake the placer at the same time forever.
+// TestDelaysBelowClockResolution checks that a delay below the resolution of the clock does not wake the
+// placer at the same time in an endless loop.
 func TestDelaysBelowClockResolution(t *testing.T) {
-	const now = 1.8e9 // Unix seconds: the resolution is 2.4e-7
+	const now = 1.8e9 // Unix seconds; a float64 of this size has a resolution of 2.4e-7 s
 	for _, after := range []placer.Seconds{0, 1e-9} {
 		wakeups := 0
 		core := &Core{sharedState: &sharedState{settings: &simconfig.Settings{}, now: now}}
 		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(placer.Event) []placer.Action {
 			if wakeups++; wakeups > 1000 {
-				t.Fatalf("woken %d times at one time, delays of %g s", wakeups, after)
+				t.Fatalf("placer was woken %d times at the same time by delays of %g s", wakeups, after)
 			}
 			return []placer.Action{{Kind: placer.SetTimer, After: after}}
 		})}
--- a/internal/platform/dispatch/export_test.go
+++ b/internal/platform/dispatch/export_test.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Fixtures that this package's tests share with those of package dispatch_test.
+// TestSettings is shared with the tests in package dispatch_test.
 const TestSettings = testSettings
 
 var (
@@ -8,7 +8,7 @@
 	DiscoveryEventJSON = discoveryEventJSON
 )
 
-// IllegalTransitions returns how many transitions were not in the tables of legal ones.
+// IllegalTransitions returns the number of state transitions that the state tables do not allow.
 func (c *Core) IllegalTransitions() int {
 	return c.requests.illegalTransitions + c.attempts.illegalTransitions
 }
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -21,15 +21,15 @@
  "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
 
-// nodeUID returns the UID of a test's node by its number.
+// nodeUID returns the UID of the test node with the given number.
 func nodeUID(number int) string { return fmt.Sprintf("s-%08x", number) }
 
 func nodeID(number int) placer.NodeID { return NodeIDOf(nodeUID(number)) }
 
-// adoptedFrom is the part of a launch message's extras that makes it an adoption.
+// adoptionExtras returns the suffix of the extras that makes a launch message an adoption from a node.
 func adoptionExtras(node int) string { return ";at:" + nodeUID(node) }
 
-// longRunning is the time left, in milliseconds, that clients give for a running task without an end.
+// longRunningMS is the time left, in milliseconds, that clients send for a running task without an end.
 const longRunningMS = 4294967
 
 func nodeJSON(number int, state string, startedAtMS int64) string {
@@ -45,7 +45,7 @@
 	return protocol.Message{Kind: kind, ID: id, UID: fmt.Sprintf("%016x", uint64(id)), Cause: max(cause, 0), HasCause: cause >= 0}
 }
 
-// runningMessage is a node's acceptance of an attempt.
+// runningMessage returns the message with which a node accepts an attempt.
 func runningMessage(id protocol.ID) protocol.Message {
 	msg := newMessage(protocol.Running, id, noCause)
 	msg.Body = `"out"`
@@ -64,7 +64,8 @@
 	return msg
 }
 
-// scriptedPlacer attempts each request at one node, rejects it if that fails, and does nothing else.
+// scriptedPlacer makes one attempt on a fixed node for each request, and rejects the request if the attempt
+// fails.
 type scriptedPlacer struct {
 	node   placer.NodeID
 	events []placer.Event
@@ -85,7 +86,7 @@
 	return scripted.events[len(scripted.events)-1]
 }
 
-// received reports whether there was an event of the kind.
+// received reports whether the placer received an event of the given kind.
 func (scripted *scriptedPlacer) received(kind placer.EventKind) bool {
 	for i := range scripted.events {
 		if scripted.events[i].Kind == kind {
@@ -105,7 +106,7 @@
 	return sent
 }
 
-// stopsNode reports whether effects ask a node to stop a task.
+// asksNodeToStop reports whether one of the effects asks a node to stop a task.
 func asksNodeToStop(effects []Effect) bool {
 	for i := range effects {
 		if effects[i].Kind == SendToNode && effects[i].Message.Kind == protocol.Stop {
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -13,7 +13,8 @@
 	"heathshed/placer"
 )
 
-// coreHarness drives a core, records what clients and nodes sent and received, and checks the rules on that.
+// coreHarness drives a core, records the messages of clients and nodes, and checks them against the rules of
+// the protocol.
 type coreHarness struct {
 	t               rapid.TB
 	core            *Core
@@ -23,14 +24,14 @@
 	conns           []ConnID
 	lastID          uint64
 	clientRecords   map[protocol.ID]*clientRecord
-	pending         []*Attempt // wait for their connection
+	pending         []*Attempt // attempts that wait for their connection
 	sent            []*Attempt
 	running         []*Attempt
 }
 
-// clientRecord is what the client of one task sent and received.
+// clientRecord records what the client of one task sent and received.
 type clientRecord struct {
-	notifiedOn             ConnID // the connection of the last notification, 0 once it was acknowledged
+	notifiedOn             ConnID // connection of the last notification, 0 after it was acknowledged
 	conn                   ConnID
 	deadline               placer.Seconds
 	withdrawn, adopted     bool
@@ -38,7 +39,8 @@
 	running                bool
 }
 
-// newHarness returns a core with the nodes 1 to 3 in its registry. If policy is nil, it has a placer.Placer.
+// newHarness returns a core with the nodes 1 to 3 in its registry. If policy is nil, the core uses a
+// placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
 	parsed, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
@@ -60,7 +62,8 @@
 	return harness
 }
 
-// sentAttempt returns a core with a scripted placer, and the attempt of a request of a class that was sent to node 1 and has no answer yet.
+// sentAttempt returns a core with a scripted placer, the placer, and an unanswered attempt that was sent to
+// node 1.
 func sentAttempt(t *testing.T, class string) (*coreHarness, *scriptedPlacer, *Attempt) {
 	t.Helper()
 	policy := &scriptedPlacer{node: nodeID(1)}
@@ -70,7 +73,7 @@
 	return harness, policy, harness.sent[0]
 }
 
-// runningAttempt is like sentAttempt, and the node has accepted the attempt.
+// runningAttempt is like sentAttempt, but the node has accepted the attempt.
 func runningAttempt(t *testing.T, class string) (*coreHarness, *scriptedPlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
@@ -86,7 +89,8 @@
 	return harness.lastConn
 }
 
-// launch sends a launch message for a new task and returns the task's ID. With extras it is an adoption.
+// launch sends a launch message for a new task and returns the ID of the task. If extras is not empty, the
+// message is an adoption.
 func (harness *coreHarness) launch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	harness.lastID++
 	msg := launchMessage(protocol.ID(harness.lastID))
@@ -101,12 +105,12 @@
 	return msg.ID
 }
 
-// adopt lists a task that runs on a node for adoption, and returns its ID.
+// adopt lists a task that runs on a node for adoption, and returns the ID of the task.
 func (harness *coreHarness) adopt(conn ConnID, node int) protocol.ID {
 	return harness.launch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
 
-// withdraw has a client withdraw an open request.
+// withdraw makes a client withdraw an open request.
 func (harness *coreHarness) withdraw(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
@@ -114,7 +118,7 @@
 	harness.carryOutEffects()
 }
 
-// checkHealth has a client send a health check, whose ID it returns.
+// checkHealth makes a client send a health check, and returns the ID of that message.
 func (harness *coreHarness) checkHealth(conn ConnID) protocol.ID {
 	check := newMessage(protocol.Check, 1<<60, 0)
 	harness.clientRecords[check.ID] = &clientRecord{running: true}
@@ -123,7 +127,7 @@
 	return check.ID
 }
 
-// receiveFromClient has the core receive a message that is valid. The effects are left to the caller.
+// receiveFromClient passes a valid client message to the core. The caller has to carry out the effects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
 		harness.t.Fatalf("message %v on connection %d: %v", msg, conn, err)
@@ -135,26 +139,27 @@
 	return harness.carryOutEffects()
 }
 
-// accept has the node of an attempt accept it.
+// accept makes the node of an attempt accept it.
 func (harness *coreHarness) accept(attempt *Attempt) []Effect {
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
 
-// reportEnd has a node report the end of a task. The effects are left to the caller.
+// reportEnd makes a node report the end of a task. The caller has to carry out the effects.
 func (harness *coreHarness) reportEnd(node placer.NodeID, id protocol.ID, cause protocol.Cause) {
 	msg := newMessage(protocol.Stop, id, cause)
 	harness.core.ReceiveFromNode(harness.now, node, &msg)
 }
 
-// migrate has the placer migrate a running task. The effects are left to the caller.
+// migrate makes the placer migrate a running task. The caller has to carry out the effects.
 func (harness *coreHarness) migrate(attempt *Attempt) {
 	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
-// carryOutEffects carries out the effects, checks them against the rules, and returns them.
+// carryOutEffects carries out the effects of the core, checks the messages to clients, and returns the
+// effects.
 func (harness *coreHarness) carryOutEffects() []Effect {
 	if illegal := harness.core.IllegalTransitions(); illegal != 0 {
-		harness.t.Fatalf("%d illegal state transitions", illegal)
+		harness.t.Fatalf("the core made %d illegal state transitions", illegal)
 	}
 	effects := harness.core.Ready()
 	for _, effect := range effects {
@@ -168,40 +173,41 @@
 	return effects
 }
 
-// receiveFromCore has the client of a task receive a message and checks it against the rules: one answer in time to a request that was not
-// withdrawn, and one notification of the end of a running task.
+// receiveAsClient passes a message of the core to the client of its task and checks it. A request that was
+// not withdrawn gets exactly one answer in time, and the end of a running task is notified once.
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("sent %v about a request that no client made", msg)
+		harness.t.Fatalf("core sent %v about a request that no client made", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answers++
 		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
 		if unexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("answer %v at %v to %+v on %d", msg, harness.now, record, conn)
+			harness.t.Fatalf("invalid or late answer %v at time %v, client record %+v, connection %d", msg, harness.now, record, conn)
 		}
 		record.running = true
 	case record.running:
 		record.notifications++
-		// A second one only if the connection of the first has ended without an acknowledgement.
+		// A second notification is allowed only if the connection of the first closed without an
+		// acknowledgement.
 		if record.notifications > 1 && (record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) != nil) {
-			harness.t.Fatalf("second notification %v", msg)
+			harness.t.Fatalf("client was notified a second time: %v", msg)
 		}
 		record.notifiedOn = conn
 	default:
 		record.answers++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("rejection %v at %v to %+v", msg, harness.now, record)
+			harness.t.Fatalf("unexpected or late rejection %v at time %v, client record %+v", msg, harness.now, record)
 		}
 	}
 	if record.answers > 1 {
-		harness.t.Fatalf("second answer %v", msg)
+		harness.t.Fatalf("client received a second answer: %v", msg)
 	}
 }
 
-// acknowledge has a client acknowledge its last notification.
+// acknowledge makes a client acknowledge its last notification.
 func (harness *coreHarness) acknowledge(id protocol.ID) {
 	record := harness.clientRecords[id]
 	if record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) == nil {
@@ -212,7 +218,7 @@
 	harness.carryOutEffects()
 }
 
-// send sends a pending attempt. Its request may have no other live attempt that was sent.
+// send sends a pending attempt. It fails the test if another attempt of the same request is live.
 func (harness *coreHarness) send(i int) {
 	attempt := harness.pending[i]
 	harness.pending = slices.Delete(harness.pending, i, i+1)
@@ -222,11 +228,11 @@
 	}
 	for _, other := range slices.Concat(harness.sent, harness.running) {
 		if other != attempt && other.request == attempt.request && other.Live() {
-			harness.t.Fatalf("two attempts of %s are live", attempt.Message.UID)
+			harness.t.Fatalf("two attempts of request %s are live at the same time", attempt.Message.UID)
 		}
 	}
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
-		harness.t.Fatalf("attempt at a node in state %d at %v, expires at %v", node.State, harness.now, attempt.expiresAt)
+		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, expires at %v", node.State, harness.now, attempt.expiresAt)
 	}
 	harness.sent = append(harness.sent, attempt)
 	harness.carryOutEffects()
@@ -242,7 +248,7 @@
 	harness.now = to
 }
 
-// deliver delivers the next discovery event.
+// deliverDiscoveryEvent delivers the next discovery event.
 func (harness *coreHarness) deliverDiscoveryEvent(complete bool, nodes ...string) {
 	harness.lastEventNumber++
 	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
@@ -251,7 +257,8 @@
 	}
 }
 
-// settle ends all running tasks, waits until all retention times are over, and checks that nothing is left.
+// endAllTasks ends all running tasks, waits until all retention times have passed, and checks that the core
+// is empty.
 func (harness *coreHarness) endAllTasks() {
 	harness.advance(10)
 	for _, attempt := range slices.Clone(harness.running) {
@@ -261,28 +268,28 @@
 	harness.advance(30)
 	for id, record := range harness.clientRecords {
 		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check {
-			harness.t.Fatalf("request %x was never answered: %+v", uint64(id), record)
+			harness.t.Fatalf("request %x was never answered, client record %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
 	if pending := len(harness.core.notifier.pending); pending != 0 {
-		harness.t.Fatalf("left: %d pending notifications", pending)
+		harness.t.Fatalf("%d pending notifications are left", pending)
 	}
 }
 
-// requireInvariants fails the test if the parts of the core contradict each other.
+// requireInvariants fails the test if an invariant of the core does not hold.
 func (harness *coreHarness) requireInvariants() {
 	if err := harness.core.CheckInvariants(); err != nil {
 		harness.t.Fatal(err)
 	}
 }
 
-// requireEmpty fails the test if requests or attempts are left.
+// requireEmpty fails the test if the core still contains requests or attempts.
 func (harness *coreHarness) requireEmpty() {
 	core := harness.core
 	left := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
 	if slices.ContainsFunc(left, func(count int) bool { return count != 0 }) {
-		harness.t.Fatalf("left: open requests, running tasks, requests, requests by ID, attempts: %v", left)
+		harness.t.Fatalf("counts of open requests, running tasks, requests, requests by ID, attempts are %v, want all 0", left)
 	}
 }
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -7,17 +7,17 @@
 	"heathshed/placer"
 )
 
-// TestUnresponsiveNode: a running task of an unresponsive node is over for its client at once, and for the placer once the node confirms that, or
-// after notificationRetention.
+// TestUnresponsiveNode checks that a running task of an unresponsive node ends for its client at once. For
+// the placer the task ends when the node confirms the stop, or after notificationRetention.
 func TestUnresponsiveNode(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		cause  protocol.Cause
 		result placer.Result
 	}{
-		{"confirms", protocol.CauseCancelled, placer.Cancelled},
-		{"reports that it had ended", protocol.CauseEnd, placer.Finished},
-		{"stays unresponsive", noCause, placer.Cancelled},
+		{"node confirms the stop", protocol.CauseCancelled, placer.Cancelled},
+		{"node reports that the task had already ended", protocol.CauseEnd, placer.Finished},
+		{"node stays unresponsive", noCause, placer.Cancelled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "seats")
@@ -25,15 +25,15 @@
 			eventsBefore := len(policy.events)
 
 			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 1 {
-				t.Fatalf("%d tasks", tasks)
+				t.Fatalf("NodeUnresponsive stopped %d tasks, want 1", tasks)
 			}
 			stopped := asksNodeToStop(harness.carryOutEffects())
 			events, running := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notifications != 1 || !stopped || events != 0 || running != 1 {
-				t.Errorf("%+v, node asked to stop %v, %d events, %d running", record, stopped, events, running)
+				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks", record, stopped, events, running)
 			}
 			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 0 {
-				t.Errorf("%d tasks at the second time", tasks)
+				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", tasks)
 			}
 
 			if test.cause >= 0 {
@@ -43,18 +43,19 @@
 			}
 			ended := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notifications != 1 || !ended || harness.core.RunningTasks() != 0 {
-				t.Errorf("%+v, last event %+v", record, policy.lastEvent())
+				t.Errorf("client record %+v, last event to the placer %+v", record, policy.lastEvent())
 			}
 		})
 	}
 }
 
-// TestNodesThatTerminateOrRestart: the tasks of a node that terminates or begins a new incarnation are lost.
+// TestNodesThatTerminateOrRestart checks that the tasks of a node are lost when the node terminates or starts
+// a new incarnation.
 func TestNodesThatTerminateOrRestart(t *testing.T) {
 	for name, event := range map[string]string{
-		"terminated":  discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
-		"left out":    discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
-		"a new start": discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
+		"terminated":                   discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
+		"missing from a complete list": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
+		"new incarnation":              discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "query")
@@ -68,13 +69,14 @@
 			harness.advance(TerminationGrace + 0.01)
 
 			if record.notifications != 1 || policy.lastEvent().Result != placer.Lost {
-				t.Errorf("%+v, last event %+v", record, policy.lastEvent())
+				t.Errorf("client record %+v, last event to the placer %+v", record, policy.lastEvent())
 			}
 		})
 	}
 }
 
-// TestDiscoveryEvents delivers events one after another to the same core.
+// TestDiscoveryEvents delivers discovery events one after another to the same core, and checks which of them
+// are applied.
 func TestDiscoveryEvents(t *testing.T) {
 	harness := newHarness(t, nil)
 	for _, test := range []struct {
@@ -82,13 +84,13 @@
 		ok, invalid bool
 		last        uint64
 	}{
-		{"the next", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
-		{"applied already", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
-		{"a gap", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
-		{"truncated", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
-		{"unknown state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
-		{"another kind", `{"no":3,"other":{}}`, true, false, 3},
-		{"the next after it", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
+		{"next event", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
+		{"already applied event", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
+		{"gap in the event numbers", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
+		{"truncated event", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
+		{"unknown node state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
+		{"event without a node list", `{"no":3,"other":{}}`, true, false, 3},
+		{"next event after an event without a node list", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
 		if last := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || last != test.last {
@@ -96,11 +98,12 @@
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
-		t.Errorf("state %d", node.State)
+		t.Errorf("node is in state %d, want draining", node.State)
 	}
 }
 
-// TestNodeIDCollision: two nodes whose UIDs have the same hash get different IDs, and each keeps its own.
+// TestNodeIDCollision checks that two nodes whose UIDs have the same hash get different IDs, and that each
+// node keeps its ID.
 func TestNodeIDCollision(t *testing.T) {
 	harness := newHarness(t, nil)
 	id := nodeID(4)
@@ -109,12 +112,13 @@
 		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
-			t.Fatalf("node %+v", node)
+			t.Fatalf("node with the colliding UID is %+v, want it under the next ID", node)
 		}
 	}
 }
 
-// TestTaskOfRemovedNode: the start and the end of a task whose node is no longer in the registry change nothing.
+// TestTaskOfRemovedNode checks that the start and the end of a task change nothing if the node of the task is
+// no longer in the registry.
 func TestTaskOfRemovedNode(t *testing.T) {
 	registry := newNodeRegistry(&sharedState{})
 	attempt := &Attempt{Node: 7}
@@ -123,6 +127,6 @@
 	registry.removeRunningAttempt(attempt)
 
 	if registry.runningTasks() != 0 || len(registry.nodes) != 0 || registry.timers.Len() != 0 {
-		t.Errorf("%d tasks, %d nodes, %d timers", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
+		t.Errorf("registry has %d running tasks, %d nodes and %d timers, want none", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
 	}
 }
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -11,8 +11,9 @@
 	"heathshed/placer"
 )
 
-// TestRandomEventOrders plays clients, nodes and connections in any order: each request gets one answer in time unless its client withdrew it,
-// no two attempts of a request are live at once, the end of a running task is notified once, and in the end nothing is left.
+// TestRandomEventOrders generates messages of clients and nodes and connection events in random order. Each
+// request must get one answer in time unless its client withdrew it, at most one attempt of a request may be
+// live, the end of a running task must be notified once, and the core must be empty at the end.
 func TestRandomEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &randomDriver{newHarness(t, nil), t}
@@ -25,13 +26,13 @@
 	})
 }
 
-// randomPlay makes calls of a core in random order.
+// randomDriver makes calls to a core in random order.
 type randomDriver struct {
 	*coreHarness
 	t *rapid.T
 }
 
-// draw returns a number below n.
+// draw returns a random number from 0 to n-1.
 func (driver *randomDriver) draw(n int, what string) int {
 	return rapid.IntRange(0, n-1).Draw(driver.t, what)
 }
@@ -91,7 +92,7 @@
 		return
 	}
 	driver.accept(driver.sent[driver.draw(len(driver.sent), "out")])
-	// This may answer a later attempt at the same node.
+	// The message may have accepted a later attempt at the same node.
 	for _, attempt := range driver.sent {
 		if attempt.state == attemptRunning && !slices.Contains(driver.running, attempt) {
 			driver.running = append(driver.running, attempt)
@@ -99,7 +100,7 @@
 	}
 }
 
-// stopAny has a node stop any task, which may run elsewhere, with any cause.
+// stopAny makes a node stop a random task, which may run on another node, with a random cause.
 func (driver *randomDriver) stopAny() {
 	if len(driver.sent) > 0 {
 		attempt := driver.sent[driver.draw(len(driver.sent), "out")]
@@ -131,7 +132,7 @@
 		}
 	case 1:
 		driver.disconnectAny()
-	case 2: // a complete list, which may leave nodes out
+	case 2: // a complete list, from which nodes may be missing
 		var nodes []string
 		for i := range 5 {
 			if driver.draw(3, "listed") > 0 {
@@ -162,29 +163,30 @@
 	driver.carryOutEffects()
 }
 
-// adoptTerminated lists a task for adoption and has it end at its node, in either order.
+// adoptTaskThatEnds lists a task for adoption and makes its node report the end, in either order.
 func (driver *randomDriver) adoptTaskThatEnds() {
 	if len(driver.conns) == 0 {
 		return
 	}
 	conn := driver.conns[driver.draw(len(driver.conns), "conn")]
 	next := protocol.ID(driver.lastID + 1)
-	crossed := driver.draw(2, "crossed") == 0
-	if crossed {
+	endReportedFirst := driver.draw(2, "endReportedFirst") == 0
+	if endReportedFirst {
 		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
 	}
 	id := driver.adopt(conn, 1)
-	if !crossed {
+	if !endReportedFirst {
 		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
 		driver.carryOutEffects()
 	}
 	if notifications := driver.clientRecords[id].notifications; notifications != 1 {
-		driver.t.Fatalf("%d notifications of the end of a task", notifications)
+		driver.t.Fatalf("client got %d notifications of the end of its task, want 1", notifications)
 	}
 }
 
-// TestAdoptionInRandomOrder plays a start in which running tasks are listed for adoption, in any order with their ends at their nodes and with
-// connections of clients that come and go: each end is notified once, and no task that has ended is left running.
+// TestAdoptionInRandomOrder simulates a scheduler start in which clients list running tasks for adoption. The
+// adoptions, the ends of the tasks and the changes of client connections occur in random order. Each end must
+// be notified once, and no task that has ended may be left running.
 func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
@@ -195,7 +197,7 @@
 		}
 		for id := range driver.adopted {
 			if record := driver.clientRecords[protocol.ID(id)]; driver.terminated[id] && record.notifications == 0 {
-				t.Fatalf("task %d ended and was adopted, and its client was not notified", id)
+				t.Fatalf("client of task %d was not notified, although the task was adopted and ended", id)
 			}
 		}
 		for id := 1; id <= adoptableTasks; id++ {
@@ -204,15 +206,15 @@
 		driver.endAllTasks()
 		earlyTerminations := driver.core.nodeMessages.earlyTerminations
 		if len(earlyTerminations.records) != 0 || len(earlyTerminations.order) != 0 {
-			t.Fatalf("%d earlyTerminations terminations are left", len(earlyTerminations.records))
+			t.Fatalf("%d early terminations are left after their retention time", len(earlyTerminations.records))
 		}
 	})
 }
 
-// adoptableTasks is the number of tasks that an adoptionPlay lists, with IDs from 1.
+// adoptableTasks is the number of tasks that an adoptionDriver lists. Their IDs start at 1.
 const adoptableTasks = 12
 
-// adoptionPlay lists tasks for adoption and ends them, in random order.
+// adoptionDriver lists tasks for adoption and ends them in random order.
 type adoptionDriver struct {
 	randomDriver
 	conn                ConnID
@@ -240,7 +242,8 @@
 	}
 }
 
-// list lists a task for adoption on the present connection, unless its client was notified of its end.
+// listForAdoption lists a task for adoption on the current connection, unless its client was notified of the
+// end.
 func (driver *adoptionDriver) listForAdoption(number int) {
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
@@ -262,13 +265,14 @@
 	driver.carryOutEffects()
 }
 
-// endTask has the node of a task report that it has ended.
+// endTask makes the node of a task report that the task has ended.
 func (driver *adoptionDriver) endTask(number int, cause protocol.Cause) {
 	driver.reportEnd(nodeID(driver.nodeOf(number)), protocol.ID(number), cause)
 	driver.carryOutEffects()
 }
 
-// TestChurn: thousands of nodes, connections and tasks come and go, and all tables return to their size.
+// TestChurn checks that all tables shrink to their initial size after thousands of nodes, connections and
+// tasks were added and removed.
 func TestChurn(t *testing.T) {
 	harness := newHarness(t, nil)
 	for i := range 3000 {
@@ -283,7 +287,7 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		harness.sent, harness.running = nil, harness.sent // the nodes of earlier ones have terminated
+		harness.sent, harness.running = nil, harness.sent // the nodes of earlier attempts have terminated
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advance(0.2)
 		harness.core.ClientDisconnected(harness.now, conn)
@@ -293,9 +297,9 @@
 	harness.endAllTasks()
 	harness.advance(terminatedNodeRetention)
 	if nodes := len(harness.core.nodes.nodes); nodes > 4 {
-		t.Errorf("%d nodes are left", nodes)
+		t.Errorf("%d nodes are left in the registry, want at most 4", nodes)
 	}
 	if timers := harness.core.timers.Len(); timers > 20 {
-		t.Errorf("%d timers", timers)
+		t.Errorf("%d timers are left, want at most 20", timers)
 	}
 }
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -9,7 +9,7 @@
 // requestTable owns it; only the attemptTable adds attempts.
 type request struct {
 	taskID   placer.TaskID
-	message  protocol.Message // as the client sent it
+	message  protocol.Message // the launch message of the client
 	conn     ConnID
 	class    int
 	deadline placer.Seconds
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -8,7 +8,8 @@
 	"heathshed/placer"
 )
 
-// TestParseRequest: what valid launch messages ask for. TestInvalidRequests has the invalid ones.
+// TestParseRequest checks the result of parsing valid launch messages. TestInvalidRequests covers the invalid
+// ones.
 func TestParseRequest(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
@@ -21,17 +22,17 @@
 		change func(*protocol.Message)
 		want   func(*parsedRequest)
 	}{
-		{"a plain request", func(*protocol.Message) {}, func(*parsedRequest) {}},
-		{"the second class", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
+		{"request without optional fields", func(*protocol.Message) {}, func(*parsedRequest) {}},
+		{"second class", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
 		{"no time left", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
-		{"twice the class's deadline", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
-		{"a retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
+		{"maximum time left", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
+		{"retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
 			want.task.Cores, want.task.Memory, want.task.IsRetry = 0, 0.5, true
 		}},
-		{"a service and unknown extras", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
+		{"service and unknown extras", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
 			want.task.Service = 0xaf
 		}},
-		{"an adoption without an end", func(msg *protocol.Message) {
+		{"adoption of a task without an end", func(msg *protocol.Message) {
 			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(2))
 			msg.Set(protocol.TimeLeft, "4294967000")
 		}, func(want *parsedRequest) {
@@ -46,7 +47,7 @@
 			got, err := parser.parse(100, &msg)
 
 			if err != nil || got != want {
-				t.Errorf("got %+v, error %v, want %+v", got, err, want)
+				t.Errorf("parsed request is %+v, error %v, want %+v", got, err, want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -8,12 +8,13 @@
 	"heathshed/placer"
 )
 
-// setField returns a change of a message.
+// setField returns a function that sets a field of a message.
 func setField(field protocol.Field, text string) func(*protocol.Message) {
 	return func(msg *protocol.Message) { msg.Set(field, text) }
 }
 
-// TestInvalidRequests: an invalid request is answered on its own connection with an error and counted by its reason; no other request ends.
+// TestInvalidRequests checks that an invalid request is answered with an error on its own connection, that
+// the error has the right reason, and that no other request ends.
 func TestInvalidRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	idInUse := harness.launch(harness.connect(), "query", 1000, "")
@@ -22,20 +23,20 @@
 		reason  InvalidReason
 		corrupt func(*protocol.Message)
 	}{
-		{"class", InvalidClass, setField(protocol.Class, "gold")},
-		{"tenant", InvalidTenant, setField(protocol.Tenant, "north")},
-		{"key", InvalidKey, setField(protocol.Key, "x")},
-		{"body", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
-		{"left", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
-		{"left long", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
-		{"left huge", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
-		{"left NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
-		{"cores", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
-		{"cores Inf", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
-		{"no memory", InvalidExtras, setField(protocol.Extras, "cores:1")},
-		{"service", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
-		{"at", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
-		{"an id in use", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
+		{"unknown class", InvalidClass, setField(protocol.Class, "gold")},
+		{"unknown tenant", InvalidTenant, setField(protocol.Tenant, "north")},
+		{"invalid key", InvalidKey, setField(protocol.Key, "x")},
+		{"missing body", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
+		{"negative time left", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
+		{"time left above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
+		{"huge time left", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
+		{"time left is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
+		{"negative cores", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
+		{"infinite cores", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
+		{"missing memory", InvalidExtras, setField(protocol.Extras, "cores:1")},
+		{"invalid service", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
+		{"unknown node", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
+		{"ID in use", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			msg := launchMessage(99)
@@ -46,20 +47,21 @@
 
 			var invalid *InvalidMessageError
 			if !errors.As(err, &invalid) || invalid.Reason != test.reason {
-				t.Errorf("error %v, want reason %q", err, test.reason)
+				t.Errorf("ReceiveFromClient returned error %v, want reason %q", err, test.reason)
 			}
 			effects := harness.core.Ready()
 			if len(effects) != 1 || effects[0].Kind != SendToClient || effects[0].Conn != conn || effects[0].Message.Cause != protocol.CauseError {
-				t.Errorf("effects %+v", effects)
+				t.Errorf("effects are %+v, want one error answer on the connection of the request", effects)
 			}
 		})
 	}
 	if open := harness.core.OpenRequests(); open != 1 {
-		t.Errorf("%d open", open)
+		t.Errorf("%d requests are open, want only the valid one", open)
 	}
 }
 
-// TestTooManyTasks: the number of tasks is bounded, and requests are accepted again once tasks have ended.
+// TestTooManyTasks checks that the number of tasks is limited, and that requests are accepted again after
+// tasks have ended.
 func TestTooManyTasks(t *testing.T) {
 	harness := newHarness(t, &scriptedPlacer{})
 	conn := harness.connect()
@@ -72,14 +74,14 @@
 		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseBusy
 	}
 	if !rejected() {
-		t.Fatal("one too many was accepted")
+		t.Fatal("a request above the limit was accepted")
 	}
 
 	harness.core.NodeDead(harness.now, nodeID(1))
 	harness.carryOutEffects()
 
 	if rejected() {
-		t.Fatal("rejected after all have ended")
+		t.Fatal("a request was rejected after all tasks had ended")
 	}
 }
 
@@ -87,11 +89,12 @@
 	harness := newHarness(t, nil)
 	msg := launchMessage(1)
 	if err := harness.core.ReceiveFromClient(harness.now, 42, &msg); !errors.Is(err, ErrClientNotConnected) {
-		t.Errorf("error %v", err)
+		t.Errorf("ReceiveFromClient returned %v, want ErrClientNotConnected", err)
 	}
 }
 
-// TestActionsOnClosedRequest: actions of the placer on a task that is migrating change nothing but the counts.
+// TestActionsOnClosedRequest checks that actions of the placer for a migrating task change nothing except
+// counters.
 func TestActionsOnClosedRequest(t *testing.T) {
 	for name, kind := range map[string]placer.ActionKind{"reject": placer.Reject, "fail": placer.Fail, "migrate": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
@@ -103,13 +106,13 @@
 
 			effects := harness.core.Ready()
 			if len(effects) != 0 || attempt.request.state != requestMigrating || harness.core.RunningTasks() != 1 {
-				t.Errorf("state %v, effects %+v", attempt.request.state, effects)
+				t.Errorf("request in state %v with effects %+v, want a migrating request without effects", attempt.request.state, effects)
 			}
 		})
 	}
 }
 
-// TestEndOfClosedRequest: a request that is closed already is neither withdrawn nor answered.
+// TestEndOfClosedRequest checks that a request in a final state is neither withdrawn nor answered.
 func TestEndOfClosedRequest(t *testing.T) {
 	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -121,7 +124,7 @@
 			table.answer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
-				t.Errorf("state %v, counts %+v, %d open, effects %+v", req.state, *shared.counts, table.openCount, shared.effects)
+				t.Errorf("request in state %v, counts %+v, %d open requests, effects %+v, want no change", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// requireTransitions checks a table of transitions for each pair of states up to the last: a legal transition is one that may be legal, and a
-// transition happens in any case but is counted if it is illegal.
+// requireTransitions checks the table of a state machine for each pair of states. Only transitions that
+// mayBeLegal allows may be legal. Every transition must be carried out, and exactly the illegal ones must be
+// counted.
 func requireTransitions[State ~uint8](
 	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
 ) {
@@ -19,37 +20,40 @@
 		for to := State(0); to <= last; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("state %v leads to %v", from, to)
+				t.Errorf("the table allows the transition from %v to %v", from, to)
 			}
 			after, illegal := transition(from, to)
 			if counted := illegal == 1; after != to || counted == legal {
-				t.Errorf("from %v to %v: state %v, counted as illegal: %v", from, to, after, counted)
+				t.Errorf("transition from %v to %v: state is %v, counted as illegal: %v", from, to, after, counted)
 			}
 		}
 	}
 }
 
-// TestRequestTransitions: a closed request stays closed, and a transition that is not in the table is counted.
+// TestRequestTransitions checks that a request stays in the final states once it has reached one, and that
+// illegal transitions are counted.
 func TestRequestTransitions(t *testing.T) {
-	staysClosed := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
-	requireTransitions(t, requestStates, requestTerminated, staysClosed, func(from, to requestState) (requestState, int) {
+	staysFinal := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
+	requireTransitions(t, requestStates, requestTerminated, staysFinal, func(from, to requestState) (requestState, int) {
 		table, req := &requestTable{}, &request{state: from}
 		table.transition(req, to)
 		return req.state, table.illegalTransitions
 	})
 }
 
-// TestAttemptTransitions: an attempt that has ended is never live again, and a transition that is not in the table is counted.
+// TestAttemptTransitions checks that the state of an attempt only advances, and that illegal transitions are
+// counted.
 func TestAttemptTransitions(t *testing.T) {
-	goesOn := func(from, to attemptState) bool { return to > from }
-	requireTransitions(t, attemptStates, attemptTerminated, goesOn, func(from, to attemptState) (attemptState, int) {
+	advances := func(from, to attemptState) bool { return to > from }
+	requireTransitions(t, attemptStates, attemptTerminated, advances, func(from, to attemptState) (attemptState, int) {
 		table, attempt := &attemptTable{}, &Attempt{state: from}
 		table.transition(attempt, to)
 		return attempt.state, table.illegalTransitions
 	})
 }
 
-// TestStateNames: each state has a name of its own, and a number that is no state is shown as such.
+// TestStateNames checks that each state has a unique name, and that an unknown state is shown with its
+// number.
 func TestStateNames(t *testing.T) {
 	var names []string
 	for state := requestOpen; state <= requestTerminated; state++ {
@@ -60,14 +64,14 @@
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, " ") || strings.Contains(name, "state") {
-			t.Errorf("a state is named %q", name)
+			t.Errorf("state has the invalid name %q", name)
 		}
 	}
 	slices.Sort(names)
 	if distinct := len(slices.Compact(slices.Clone(names))); distinct != len(names) {
-		t.Errorf("%d names for %d states: %v", distinct, len(names), names)
+		t.Errorf("%d distinct names for %d states: %v", distinct, len(names), names)
 	}
 	if got := requestState(99).String() + ", " + attemptState(98).String(); got != "request state 99, attempt state 98" {
-		t.Errorf("unknown states are named %q", got)
+		t.Errorf("names of unknown states are %q", got)
 	}
 }
