--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestActionsOnClosedRequest checks that actions of the placer for a migrating task change nothing except
+// TestActionsOnMigratingRequest checks that actions of the placer for a migrating task change nothing except
 // counters.
-func TestActionsOnClosedRequest(t *testing.T) {
+func TestActionsOnMigratingRequest(t *testing.T) {
 	for name, kind := range map[string]placer.ActionKind{"reject": placer.Reject, "fail": placer.Fail, "migrate": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestEndOfClosedRequest checks that a request in a final state is neither withdrawn nor answered.
-func TestEndOfClosedRequest(t *testing.T) {
+// TestEndOfFinalRequest checks that a request in a final state is neither withdrawn nor answered.
+func TestEndOfFinalRequest(t *testing.T) {
 	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
 		t.Run(state.String(), func(t *testing.T) {
 			shared := &sharedState{counts: &Counts{}}
