--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -12,8 +12,8 @@
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption adds tasks that run already. After this scheduler has started, clients list their running tasks,
-// and adoption tracks until when such messages are expected.
+// adoption adds tasks that run already. Clients list their running tasks after this scheduler has started,
+// and adoption tracks until when it expects them to do so.
 type adoption struct {
 	*sharedState
 	nodes             *nodeRegistry
@@ -48,8 +48,8 @@
 		a.attempts.remove(earlier) // this scheduler abandoned the attempt, but the node accepted it
 	}
 	if termination, terminated := a.earlyTerminations.get(key); terminated {
-		// The node reports the end of a task only once. The client listed the task before it could be
-		// notified.
+		// The node reports the end of a task only once, and the client listed the task before it was notified
+		// of the end.
 		a.counts.TasksEnded++
 		a.notifier.notifyOnConn(client, replyTo(msg, protocol.Stop, termination.cause))
 		return nil
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -18,7 +18,7 @@
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
-	illegalTransitions int // number of illegal transitions, which stateTable.transition counts
+	illegalTransitions int // number of transitions that attemptStates does not allow
 }
 
 func newAttemptTable(shared *sharedState, nodes *nodeRegistry) *attemptTable {
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -19,22 +19,22 @@
 	for settingsIndex := range settingsVariants {
 		recorder := newRecorder(t, settingsIndex, 50, "", false)
 		recorder.label = fmt.Sprintf("directed shape %d", settingsIndex)
-		recorder.unordered = true
+		recorder.sortEffects = true
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
 		recorder.listAllNodes("in_service", 0)
 		recorder.adoptTasks(24, 1)
-		recorder.checkpoint(1)
+		recorder.recordCheckpoint(1)
 		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
-		recorder.checkpoint(2)
+		recorder.recordCheckpoint(2)
 		recorder.adoptTasks(24, 101)
 		recorder.listAllNodes("terminated", 0)
-		recorder.checkpoint(3)
+		recorder.recordCheckpoint(3)
 		recorder.advanceInOneCall(1.5, 0)
-		recorder.checkpoint(4)
+		recorder.recordCheckpoint(4)
 		recorder.advanceInOneCall(61, 0)
-		recorder.checkpoint(5)
-		lines = append(lines, recorder.lines...)
+		recorder.recordCheckpoint(5)
+		lines = append(lines, recorder.recordedLines...)
 	}
 	lines = append(lines, runRedelivery(t)...)
 	lines = append(lines, runAdoptionWait(t)...)
@@ -71,8 +71,8 @@
 	t.Helper()
 	script.useRandomPlacer = true
 	recorder := script.start(t)
-	recorder.launch("")
-	recorder.observe(0)
+	recorder.sendLaunch("")
+	recorder.digestEffectsAndState(0)
 	return recorder
 }
 
@@ -85,21 +85,21 @@
 	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
 	recorder.digestBool(ok)
 	recorder.digestError(err)
-	recorder.observe(0)
+	recorder.digestEffectsAndState(0)
 }
 
 // advanceInOneCall advances the clock and runs all timers that are due in one call at the new time.
 func (recorder *scriptRecorder) advanceInOneCall(by placer.Seconds, step int) {
 	recorder.now += by
 	recorder.core.Advance(recorder.now)
-	recorder.observe(step)
+	recorder.digestEffectsAndState(step)
 }
 
 // adoptTasks lists running tasks for adoption, distributed over the nodes.
 func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		recorder.receiveFromClient(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
-		recorder.observe(0)
+		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
+		recorder.digestEffectsAndState(0)
 	}
 }
 
@@ -127,7 +127,7 @@
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
 		recorder.receiveFromClient(recorder.lastConn, wireMessage(protocol.Check, 78))
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	})
 }
 
@@ -137,7 +137,7 @@
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodes), &msg)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
 }
 
@@ -150,19 +150,19 @@
 	for i := range uint64(40) {
 		recorder.advanceInOneCall(0.03, int(i))
 		recorder.adoptTasks(1, 1000+i)
-		recorder.receiveFromClient(2, recorder.validLaunch(2000+i, ""))
-		recorder.observe(int(i))
+		recorder.receiveFromClient(2, recorder.newLaunchMessage(2000+i, ""))
+		recorder.digestEffectsAndState(int(i))
 		if i%5 == 4 {
-			recorder.checkpoint(int(i))
+			recorder.recordCheckpoint(int(i))
 		}
 	}
 	for range 30 {
 		recorder.now = max(recorder.now, min(recorder.core.NextTimer(), recorder.now+10))
 		recorder.core.Advance(recorder.now)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
-	recorder.checkpoint(40)
-	return recorder.lines
+	recorder.recordCheckpoint(40)
+	return recorder.recordedLines
 }
 
 // runNewIncarnation starts a new incarnation of a node on which one task runs, at times around the tolerance.
@@ -184,8 +184,8 @@
 	for variant := range count {
 		recorder := start(variant)
 		run(recorder, variant)
-		recorder.checkpoint(1)
-		lines = append(lines, recorder.lines...)
+		recorder.recordCheckpoint(1)
+		lines = append(lines, recorder.recordedLines...)
 	}
 	return lines
 }
@@ -202,8 +202,8 @@
 		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
 			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
-		recorder.send()
-		recorder.observe(1)
+		recorder.sendPendingAttempt()
+		recorder.digestEffectsAndState(1)
 	})
 }
 
@@ -217,8 +217,8 @@
 	}
 	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
 		due := recorder.core.NextTimer()
-		recorder.send()
-		recorder.observe(1)
+		recorder.sendPendingAttempt()
+		recorder.digestEffectsAndState(1)
 		if len(recorder.sent) > 0 {
 			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
@@ -235,21 +235,21 @@
 	recorder.now = max(recorder.now, at)
 	if broken {
 		recorder.core.ConnectionLost(recorder.now, attempt)
-		recorder.observe(2)
+		recorder.digestEffectsAndState(2)
 	}
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = `"out"`
 	recorder.receiveFromNode(attempt, &msg)
-	recorder.observe(3)
+	recorder.digestEffectsAndState(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
 	if len(recorder.pending) > 0 { // another attempt was started, and the client withdraws the request
 		recorder.receiveFromClient(1, stop)
-		recorder.observe(4)
+		recorder.digestEffectsAndState(4)
 	}
 	for i := 1; i <= 4; i++ {
 		if nodeID(i) == attempt.Node {
-			recorder.receiveFromClient(1, recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
-			recorder.observe(5)
+			recorder.receiveFromClient(1, recorder.newLaunchMessage(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
+			recorder.digestEffectsAndState(5)
 		}
 	}
 }
@@ -265,14 +265,14 @@
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
 	for _, id := range []uint64{1, 9, 10, 11, 12, aboveLimit} {
-		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
-		recorder.observe(0)
+		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(1)))
+		recorder.digestEffectsAndState(0)
 	}
-	recorder.checkpoint(1)
+	recorder.recordCheckpoint(1)
 	for id := uint64(aboveLimit + 1); id <= 2*aboveLimit; id++ {
-		recorder.receiveFromClient(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
+		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(2)))
 	}
-	recorder.observe(0)
-	recorder.checkpoint(2)
-	return recorder.lines
+	recorder.digestEffectsAndState(0)
+	recorder.recordCheckpoint(2)
+	return recorder.recordedLines
 }
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -33,8 +33,8 @@
 	pending       []*dispatch.Attempt // attempts that are yet to be sent
 	sent          []*dispatch.Attempt // attempts that were sent, also those that have ended
 	nodeStates    map[int]string      // last listed state of each node by its number
-	unordered     bool                // whether effects are sorted, since calls may return them in any order
-	lines         []string
+	sortEffects   bool                // whether effects are sorted, since calls may return them in any order
+	recordedLines []string
 	label         string
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder.observe(0)
+	recorder.digestEffectsAndState(0)
 	return recorder
 }
 
@@ -156,8 +156,8 @@
 	return encoded
 }
 
-// observe adds the effects of a call and the observable state of the core to the digest.
-func (recorder *scriptRecorder) observe(step int) {
+// digestEffectsAndState adds the effects of a call and the observable state of the core to the digest.
+func (recorder *scriptRecorder) digestEffectsAndState(step int) {
 	recorder.digestNumbers(uint64(step))
 	var encoded [][]byte
 	for _, effect := range recorder.core.Ready() {
@@ -169,7 +169,7 @@
 			recorder.sent = append(recorder.sent, effect.Attempt)
 		}
 	}
-	if recorder.unordered {
+	if recorder.sortEffects {
 		slices.SortFunc(encoded, func(a, b []byte) int { return strings.Compare(string(a), string(b)) })
 	}
 	recorder.digestNumbers(uint64(len(encoded)))
@@ -222,7 +222,7 @@
 		counts.InvalidMessages}
 }
 
-func (recorder *scriptRecorder) checkpoint(step int) {
+func (recorder *scriptRecorder) recordCheckpoint(step int) {
 	if err := recorder.core.CheckInvariants(); err != nil {
 		recorder.t.Fatalf("%s, step %d: invariant violated: %v", recorder.label, step, err)
 	}
@@ -231,7 +231,7 @@
 		counts = append(counts, strconv.FormatUint(count, 10))
 	}
 	line := fmt.Sprintf("%s step %d %x counts %s", recorder.label, step, recorder.digest.Sum(nil), strings.Join(counts, " "))
-	recorder.lines = append(recorder.lines, line)
+	recorder.recordedLines = append(recorder.recordedLines, line)
 }
 
 // randomPlacer replaces the placer. It adds each event to the digest and returns random actions, including
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -42,46 +42,46 @@
 	}
 	if seed%2 == 0 {
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
 	recorder.openConnection()
 	for step := 1; step <= scriptSteps; step++ {
 		recorder.randomStep()
-		recorder.observe(step)
+		recorder.digestEffectsAndState(step)
 		if step%checkpointInterval == 0 {
-			recorder.checkpoint(step)
+			recorder.recordCheckpoint(step)
 		}
 	}
 	recorder.advance(70)
-	recorder.checkpoint(scriptSteps + 1)
-	return recorder.lines
+	recorder.recordCheckpoint(scriptSteps + 1)
+	return recorder.recordedLines
 }
 
 // randomStep makes one random call.
 func (recorder *scriptRecorder) randomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
-		recorder.launch("")
+		recorder.sendLaunch("")
 	case 6, 7, 8, 9, 10:
-		recorder.send()
+		recorder.sendPendingAttempt()
 	case 11, 12, 13, 14:
-		recorder.accept()
+		recorder.acceptSentAttempt()
 	case 15, 16, 17:
-		recorder.nodeMessage()
+		recorder.sendNodeMessage()
 	case 18:
-		recorder.invalidLaunch()
+		recorder.sendInvalidLaunch()
 	case 19:
-		recorder.launch(";at:" + randomChoice(recorder, dispatch.NodeUID(1), dispatch.NodeUID(2), dispatch.NodeUID(3), dispatch.NodeUID(4)))
+		recorder.sendLaunch(";at:" + randomChoice(recorder, dispatch.NodeUID(1), dispatch.NodeUID(2), dispatch.NodeUID(3), dispatch.NodeUID(4)))
 	case 20, 21:
-		recorder.clientMessage()
+		recorder.sendClientMessage()
 	case 22:
-		recorder.connectionEvent()
+		recorder.openOrCloseConnection()
 	case 23, 24:
-		recorder.discoveryEvent()
+		recorder.deliverDiscoveryEvent()
 	case 25:
-		recorder.attemptFailure()
+		recorder.failRandomAttempt()
 	case 26:
-		recorder.nodeFailure()
+		recorder.failRandomNode()
 	case 27:
 		recorder.core.SetDiscoveryConnected(recorder.now, recorder.random.IntN(2) == 0)
 	default:
@@ -93,10 +93,10 @@
 	recorder.lastConn++
 	recorder.core.ClientConnected(recorder.now, recorder.lastConn)
 	recorder.conns = append(recorder.conns, recorder.lastConn)
-	recorder.observe(0)
+	recorder.digestEffectsAndState(0)
 }
 
-func (recorder *scriptRecorder) connectionEvent() {
+func (recorder *scriptRecorder) openOrCloseConnection() {
 	if len(recorder.conns) < 2 || len(recorder.conns) < 5 && recorder.random.IntN(2) == 0 {
 		recorder.openConnection()
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-func (recorder *scriptRecorder) validLaunch(id uint64, extras string) protocol.Message {
+func (recorder *scriptRecorder) newLaunchMessage(id uint64, extras string) protocol.Message {
 	msg := wireMessage(protocol.Launch, id)
 	msg.Body = randomChoice(recorder, `"in"`, `"\u00e9\n"`, `""`)
 	msg.Set(protocol.Class, randomChoice(recorder, "query", "seats"))
@@ -143,13 +143,13 @@
 	recorder.digestError(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
 }
 
-func (recorder *scriptRecorder) launch(extras string) {
+func (recorder *scriptRecorder) sendLaunch(extras string) {
 	recorder.lastID++
 	id := recorder.lastID
 	if recorder.random.IntN(12) == 0 {
 		id = recorder.anyID() // the ID may be in use
 	}
-	recorder.receiveFromAnyClient(recorder.validLaunch(id, extras))
+	recorder.receiveFromAnyClient(recorder.newLaunchMessage(id, extras))
 }
 
 func (recorder *scriptRecorder) anyID() uint64 {
@@ -184,15 +184,15 @@
 	func(msg *protocol.Message) { msg.Set(protocol.Extras, "cores:1;;memory:1;at:s-00000001;") },
 }
 
-func (recorder *scriptRecorder) invalidLaunch() {
+func (recorder *scriptRecorder) sendInvalidLaunch() {
 	recorder.lastID++
 	id := randomChoice(recorder, recorder.lastID, recorder.anyID())
-	msg := recorder.validLaunch(id, "")
+	msg := recorder.newLaunchMessage(id, "")
 	randomChoice(recorder, launchCorruptions...)(&msg)
 	recorder.receiveFromAnyClient(msg)
 }
 
-func (recorder *scriptRecorder) clientMessage() {
+func (recorder *scriptRecorder) sendClientMessage() {
 	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
 		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
 		protocol.Kind(0))
@@ -201,8 +201,8 @@
 	recorder.receiveFromAnyClient(msg)
 }
 
-// send sends a pending attempt, which may have ended in the meantime.
-func (recorder *scriptRecorder) send() {
+// sendPendingAttempt sends a random pending attempt, which may have ended in the meantime.
+func (recorder *scriptRecorder) sendPendingAttempt() {
 	if len(recorder.pending) == 0 {
 		return
 	}
@@ -221,8 +221,8 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// accept makes the node of a random sent attempt accept it.
-func (recorder *scriptRecorder) accept() {
+// acceptSentAttempt makes the node of a random sent attempt accept it.
+func (recorder *scriptRecorder) acceptSentAttempt() {
 	open := recorder.sent
 	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
 	if len(live) > 0 && recorder.random.IntN(6) > 0 {
@@ -237,8 +237,8 @@
 	recorder.receiveFromNode(attempt, &msg)
 }
 
-// nodeMessage makes a node send a random message about a random task.
-func (recorder *scriptRecorder) nodeMessage() {
+// sendNodeMessage makes a node send a random message about a random task.
+func (recorder *scriptRecorder) sendNodeMessage() {
 	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
 		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
 		protocol.Checked, protocol.Migrate)
@@ -264,7 +264,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 }
 
-func (recorder *scriptRecorder) attemptFailure() {
+func (recorder *scriptRecorder) failRandomAttempt() {
 	if len(recorder.pending) > 0 && recorder.random.IntN(2) == 0 {
 		recorder.core.ConnectFailed(recorder.now, randomChoice(recorder, recorder.pending...))
 	} else if len(recorder.sent) > 0 {
@@ -272,7 +272,7 @@
 	}
 }
 
-func (recorder *scriptRecorder) nodeFailure() {
+func (recorder *scriptRecorder) failRandomNode() {
 	id := nodeID(1 + recorder.random.IntN(scriptNodes))
 	if recorder.random.IntN(2) == 0 {
 		recorder.core.NodeDead(recorder.now, id)
@@ -281,10 +281,10 @@
 	}
 }
 
-// discoveryEvent delivers one discovery event, which may be invalid. Each event changes at most one node,
-// since the core promises no order among nodes that terminate at the same time. For the same reason, a node
-// starts a new incarnation only if it runs at most one task.
-func (recorder *scriptRecorder) discoveryEvent() {
+// deliverDiscoveryEvent delivers one discovery event, which may be invalid. Each event changes at most one
+// node, since the core promises no order among nodes that terminate at the same time. For the same reason, a
+// node starts a new incarnation only if it runs at most one task.
+func (recorder *scriptRecorder) deliverDiscoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodes)
 	state := randomChoice(recorder, "in_service", "in_service", "terminating", "terminated")
@@ -346,7 +346,7 @@
 	for recorder.core.NextTimer() <= to {
 		recorder.now = max(recorder.now, recorder.core.NextTimer())
 		recorder.core.Advance(recorder.now)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
 	recorder.now = to
 }
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -31,8 +31,8 @@
 }
 
 // moreRecentlyUsedThan reports whether the connection was used more recently than the other. It compares
-// first when a task was last placed, then when a valid message last arrived, then the connection IDs, of
-// which the higher is newer.
+// first when a task was last placed, then when a valid message last arrived. On a tie, the connection with
+// the higher ID is the newer one.
 func (conn *clientConn) moreRecentlyUsedThan(other *clientConn) bool {
 	if conn.lastPlacedAt != other.lastPlacedAt {
 		return conn.lastPlacedAt > other.lastPlacedAt
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	report := simconfig.NoReport()
-	known := false
+	hasField := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		amount, err := strconv.ParseFloat(value, 64)
@@ -26,9 +26,9 @@
 			continue
 		}
 		simconfig.SetReportField(&report, name, amount)
-		known = true
+		hasField = true
 	}
-	if !known {
+	if !hasField {
 		return nil
 	}
 	return &report
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// usageKinds maps the note of an Update message to the kind of usage that the message reports.
-var usageKinds = map[string]placer.UsageKind{
+// usageKindsByNote maps the note of an Update message to the kind of usage that the message reports.
+var usageKindsByNote = map[string]placer.UsageKind{
 	"up":    placer.Started,
 	"cpu":   placer.CoresUsed,
 	"mem":   placer.MemoryUsed,
@@ -16,8 +16,9 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasons maps the note of a Stop message to the reason. Any other note means that no reason is given.
-var stopReasons = map[string]placer.Reason{
+// stopReasonsByNote maps the note of a Stop message to the reason. Any other note means that no reason is
+// given.
+var stopReasonsByNote = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
 	"busy":       placer.QueueFull,
@@ -66,7 +67,7 @@
 
 // handleUpdate passes a measurement of a running task to the placer.
 func (h *nodeMessageHandler) handleUpdate(attempt *Attempt, msg *protocol.Message) {
-	kind, known := usageKinds[msg.Get(protocol.Note)]
+	kind, known := usageKindsByNote[msg.Get(protocol.Note)]
 	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
 		return
 	}
@@ -167,7 +168,7 @@
 func (h *nodeMessageHandler) stopOutcome(msg *protocol.Message, result placer.Result) attemptOutcome {
 	return attemptOutcome{
 		result: result,
-		reason: stopReasons[msg.Get(protocol.Note)],
+		reason: stopReasonsByNote[msg.Get(protocol.Note)],
 		report: parseLoadReport(h.settings.ReportFields, msg),
 	}
 }
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -15,8 +15,8 @@
 	TerminationGrace placer.Seconds = 1.0
 	// terminatedNodeRetention is how long a terminated node is kept in the registry.
 	terminatedNodeRetention placer.Seconds = 60.0
-	// incarnationTolerance is how much later than a task its node must have started for the task to belong to
-	// an earlier incarnation of the node. Clocks and reported start times are not exact.
+	// incarnationTolerance allows for inexact clocks and start times. A task belongs to an earlier
+	// incarnation of its node only if the node started later than the task by more than this time.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
@@ -29,7 +29,7 @@
 	nodes              map[placer.NodeID]*Node
 	lastDiscoveryEvent uint64
 	discoveryConnected bool
-	listRequested      bool // whether the placer is waiting for the node list until discovery connects
+	listRequested      bool // whether the placer waits for discovery to connect
 }
 
 func newNodeRegistry(shared *sharedState) *nodeRegistry {
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -23,7 +23,7 @@
 type notification struct {
 	message         protocol.Message
 	expiresAt       placer.Seconds
-	sentAsMigration bool // it was sent as a Migrate message, which clients never acknowledge
+	sentAsMigration bool // it was sent as Migrate, which clients never acknowledge
 }
 
 // needsRedelivery reports whether the client may not have received the notification before its connection
@@ -39,17 +39,18 @@
 	return now-sentAt < unacknowledgedWindow
 }
 
-// deliveryLog contains the notifications that were sent on one connection.
+// deliveryLog contains the notifications that were sent on one connection. Acknowledgements are optional in
+// the protocol.
 type deliveryLog struct {
 	unacknowledged     []notification // notifications that were sent but not acknowledged
-	clientAcknowledges bool           // the client has acknowledged one, which is optional
+	clientAcknowledges bool           // the client has acknowledged a notification
 }
 
 // add keeps a notification until it expires or is acknowledged.
 func (l *deliveryLog) add(now placer.Seconds, notice notification) {
 	if notice.message.Kind == protocol.Migrate {
-		// A redelivery reports the end of the task instead. A client that received the Migrate message
-		// ignores the report.
+		// A Migrate message is redelivered as a Stop message that reports the end of the task. A client that
+		// received the Migrate message ignores the Stop message.
 		notice.message = replyTo(&notice.message, protocol.Stop, protocol.CauseCancelled)
 		notice.sentAsMigration = true
 	}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -19,7 +19,7 @@
 		driver := &randomDriver{newHarness(t, nil), t}
 		driver.connect()
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			driver.step()
+			driver.randomStep()
 			driver.requireInvariants()
 		}
 		driver.endAllTasks()
@@ -37,27 +37,27 @@
 	return rapid.IntRange(0, n-1).Draw(driver.t, what)
 }
 
-func (driver *randomDriver) step() {
+func (driver *randomDriver) randomStep() {
 	switch driver.draw(16, "step") {
 	case 0, 1, 2:
-		driver.launchAny()
+		driver.launchRandomTask()
 	case 3, 4, 5:
 		if len(driver.pending) > 0 {
 			driver.send(driver.draw(len(driver.pending), "send"))
 		}
 	case 6:
-		driver.failToConnect()
+		driver.failRandomConnect()
 	case 7, 8:
-		driver.acceptAny()
+		driver.acceptRandomAttempt()
 	case 9:
-		driver.stopAny()
+		driver.stopRandomTask()
 	case 10:
 		if len(driver.sent) > 0 {
 			driver.core.ConnectionLost(driver.now, driver.sent[driver.draw(len(driver.sent), "out")])
 			driver.carryOutEffects()
 		}
 	case 11:
-		driver.withdrawAny()
+		driver.withdrawRandomRequest()
 	case 12:
 		driver.connectionOrDiscoveryEvent()
 	case 13:
@@ -71,14 +71,14 @@
 	}
 }
 
-func (driver *randomDriver) launchAny() {
+func (driver *randomDriver) launchRandomTask() {
 	if len(driver.conns) > 0 {
 		class := []string{"query", "seats"}[driver.draw(2, "class")]
 		driver.launch(driver.conns[driver.draw(len(driver.conns), "conn")], class, float64(driver.draw(4000, "left")), "")
 	}
 }
 
-func (driver *randomDriver) failToConnect() {
+func (driver *randomDriver) failRandomConnect() {
 	if len(driver.pending) > 0 {
 		i := driver.draw(len(driver.pending), "send")
 		driver.core.ConnectFailed(driver.now, driver.pending[i])
@@ -87,7 +87,7 @@
 	}
 }
 
-func (driver *randomDriver) acceptAny() {
+func (driver *randomDriver) acceptRandomAttempt() {
 	if len(driver.sent) == 0 {
 		return
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// stopAny makes a node stop a random task, which may run on another node, with a random cause.
-func (driver *randomDriver) stopAny() {
+// stopRandomTask makes a node stop a random task, which may run on another node, with a random cause.
+func (driver *randomDriver) stopRandomTask() {
 	if len(driver.sent) > 0 {
 		attempt := driver.sent[driver.draw(len(driver.sent), "out")]
 		id := driver.sent[driver.draw(len(driver.sent), "of")].Message.ID
@@ -110,7 +110,7 @@
 	}
 }
 
-func (driver *randomDriver) withdrawAny() {
+func (driver *randomDriver) withdrawRandomRequest() {
 	if driver.lastID == 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 			driver.connect()
 		}
 	case 1:
-		driver.disconnectAny()
+		driver.disconnectRandomClient()
 	case 2: // a complete list, from which nodes may be missing
 		var nodes []string
 		for i := range 5 {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (driver *randomDriver) disconnectAny() {
+func (driver *randomDriver) disconnectRandomClient() {
 	if len(driver.conns) == 0 {
 		return
 	}
@@ -192,7 +192,7 @@
 		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
 		driver.conn = driver.connect()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			driver.step()
+			driver.randomAdoptionStep()
 			driver.requireInvariants()
 		}
 		for id := range driver.adopted {
@@ -224,7 +224,7 @@
 // nodeOf returns the number of the node that runs a task.
 func (driver *adoptionDriver) nodeOf(id int) int { return 1 + id%3 }
 
-func (driver *adoptionDriver) step() {
+func (driver *adoptionDriver) randomAdoptionStep() {
 	id := 1 + driver.draw(adoptableTasks, "id")
 	switch driver.draw(6, "step") {
 	case 0, 1:
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -18,8 +18,8 @@
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFromUID != "" }
 
-// requiredResources is the number of resources that a request must specify: cores and memory.
-const requiredResources = 2
+// requiredResourceCount is the number of resources that a request must specify: cores and memory.
+const requiredResourceCount = 2
 
 // maxDeadlineMultiple limits the remaining time of a request to this multiple of the deadline of its class.
 const maxDeadlineMultiple = 2
@@ -57,7 +57,7 @@
 	if parsed.task.Deadline, err = p.parseDeadline(now, msg, &parsed); err != nil {
 		return parsed, err
 	}
-	if resourceCount != requiredResources {
+	if resourceCount != requiredResourceCount {
 		return parsed, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
 			msg.Get(protocol.Extras))
 	}
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -15,7 +15,7 @@
 	byID               map[protocol.ID]*request
 	openCount          int // number of requests in state requestOpen
 	lastTaskID         placer.TaskID
-	illegalTransitions int // number of illegal transitions, which stateTable.transition counts
+	illegalTransitions int // number of transitions that requestStates does not allow
 }
 
 func newRequestTable(shared *sharedState, clients *clientRegistry, attempts *attemptTable) *requestTable {
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -104,7 +104,7 @@
 	t.requestStop(attempt, cause)
 }
 
-// stopTasksOn stops all tasks that run on an unresponsive node, and returns their number; see
+// stopTasksOn stops the tasks that run on an unresponsive node, and returns how many it stopped; see
 // Core.NodeUnresponsive.
 func (t *taskController) stopTasksOn(node *Node) (stopped int) {
 	for _, attempt := range node.runningAttempts() {
