--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -71,7 +71,7 @@
 	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // the value is 0 if it cannot be parsed
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // the value is 0 if the text is not a number
 	h.postEvent(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
