--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -113,7 +113,7 @@
 				return
 			}
 			sent := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
-			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextOr(0) != test.expiresAt {
+			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
 				t.Errorf("attempt in state %v expires at %v with effects %+v, want one pending attempt to be sent", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -100,7 +100,7 @@
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
-func (c *Core) NextTimer() placer.Seconds { return c.timers.NextOr(placer.Seconds(math.Inf(1))) }
+func (c *Core) NextTimer() placer.Seconds { return c.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
 // Advance sets the clock to now and runs the timers that are due.
 func (c *Core) Advance(now placer.Seconds) { c.runDueTimers(now) }
@@ -110,7 +110,7 @@
 	switch action.Kind {
 	case placer.SetTimer:
 		token := action.Token
-		c.timers.Add(c.now+eventqueue.Delay(action.After), func() { c.postEvent(placer.Event{Kind: placer.TimerFired, Token: token}) })
+		c.timers.Add(c.now+eventqueue.TimerDelay(action.After), func() { c.postEvent(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
 		c.nodes.handleListRequest()
 	default:
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -24,8 +24,8 @@
 	log.record(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
-	if shared.timers.Len() != 1 || shared.timers.NextOr(0) != 100+notificationRetention {
-		t.Errorf("%d timers are set, the next at %v, want 1 for the oldest record", shared.timers.Len(), shared.timers.NextOr(0))
+	if shared.timers.Len() != 1 || shared.timers.NextTimeOr(0) != 100+notificationRetention {
+		t.Errorf("%d timers are set, the next at %v, want 1 for the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
 	}
 	shared.runDueTimers(100 + notificationRetention)
 	requireRecord(1, 0, false)
