--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -10,112 +10,114 @@
 	"heathshed/placer"
 )
 
-// playDirected plays short scripts that random ones seldom meet: many nodes and tasks that end at one time (among which the core promises no
-// order, so effects are sorted), notifications and adoptions around their time limits, and the bounds on what is kept.
-func playDirected(t *testing.T) []string {
+// runDirectedScripts runs short scripts for situations that random scripts rarely reach. In some, many nodes
+// and tasks end at the same time; the core promises no order among them, so the recorder sorts the effects.
+// Others cover notifications and adoptions close to their time limits, and the limits on stored records.
+func runDirectedScripts(t *testing.T) []string {
 	t.Helper()
 	var lines []string
-	for shape := range settingsShapes {
-		recorder := newRecorder(t, shape, 50, "", false)
-		recorder.label = fmt.Sprintf("directed shape %d", shape)
-		recorder.unordered = true
+	for settingsIndex := range settingsVariants {
+		recorder := newRecorder(t, settingsIndex, 50, "", false)
+		recorder.label = fmt.Sprintf("directed shape %d", settingsIndex)
+		recorder.sortEffects = true
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
-		recorder.listAll("in_service", 0)
+		recorder.listAllNodes("in_service", 0)
 		recorder.adoptTasks(24, 1)
-		recorder.checkpoint(1)
-		recorder.listAll("in_service", 1010_000) // a new incarnation ends the running tasks
-		recorder.checkpoint(2)
+		recorder.recordCheckpoint(1)
+		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
+		recorder.recordCheckpoint(2)
 		recorder.adoptTasks(24, 101)
-		recorder.listAll("terminated", 0)
-		recorder.checkpoint(3)
-		recorder.advanceAtOnce(1.5, 0)
-		recorder.checkpoint(4)
-		recorder.advanceAtOnce(61, 0)
-		recorder.checkpoint(5)
-		lines = append(lines, recorder.lines...)
+		recorder.listAllNodes("terminated", 0)
+		recorder.recordCheckpoint(3)
+		recorder.advanceInOneCall(1.5, 0)
+		recorder.recordCheckpoint(4)
+		recorder.advanceInOneCall(61, 0)
+		recorder.recordCheckpoint(5)
+		lines = append(lines, recorder.recordedLines...)
 	}
-	lines = append(lines, playRedelivery(t)...)
-	lines = append(lines, playAdoptionWait(t)...)
-	lines = append(lines, playNewIncarnation(t)...)
-	lines = append(lines, playLateStart(t)...)
-	lines = append(lines, playLateAnswer(t)...)
-	return append(lines, playEarlyTerminations(t)...)
+	lines = append(lines, runRedelivery(t)...)
+	lines = append(lines, runAdoptionWait(t)...)
+	lines = append(lines, runNewIncarnation(t)...)
+	lines = append(lines, runLateStart(t)...)
+	lines = append(lines, runLateAnswer(t)...)
+	return append(lines, runEarlyTerminations(t)...)
 }
 
-// directedScript is how a short script begins: with which settings and seed, and how many client connections.
+// directedScript specifies how a directed script starts: its settings, its seed and its number of client
+// connections.
 type directedScript struct {
-	shape       int
-	seed        uint64
-	label       string
-	connections int
-	arbitrary   bool // with an arbitraryPlacer
+	settingsIndex   int
+	seed            uint64
+	label           string
+	connections     int
+	useRandomPlacer bool // whether a randomPlacer makes the decisions
 }
 
-// begin returns a recorder whose core has the connections and lists all nodes as in service.
-func (script directedScript) begin(t *testing.T) *scriptRecorder {
+// start returns a recorder whose core has the connections and whose nodes are all in service.
+func (script directedScript) start(t *testing.T) *scriptRecorder {
 	t.Helper()
-	recorder := newRecorder(t, script.shape, script.seed, "", script.arbitrary)
+	recorder := newRecorder(t, script.settingsIndex, script.seed, "", script.useRandomPlacer)
 	recorder.label = script.label
 	for range script.connections {
 		recorder.openConnection()
 	}
-	recorder.listAll("in_service", 0)
+	recorder.listAllNodes("in_service", 0)
 	return recorder
 }
 
-// beginWithRequest is like begin, with an arbitraryPlacer and a first request.
-func (script directedScript) beginWithRequest(t *testing.T) *scriptRecorder {
+// startWithRequest is like start, but uses a randomPlacer and sends a first request.
+func (script directedScript) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
-	script.arbitrary = true
-	recorder := script.begin(t)
-	recorder.launch("")
-	recorder.observe(0)
+	script.useRandomPlacer = true
+	recorder := script.start(t)
+	recorder.sendLaunch("")
+	recorder.digestEffectsAndState(0)
 	return recorder
 }
 
-func (recorder *scriptRecorder) listAll(state string, bootMS int64) {
+func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
 	var all []string
 	for i := 1; i <= scriptNodes; i++ {
 		all = append(all, recorder.nodeJSON(i, state, bootMS))
 	}
 	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
-	recorder.flag(ok)
-	recorder.verdict(err)
-	recorder.observe(0)
+	recorder.digestBool(ok)
+	recorder.digestError(err)
+	recorder.digestEffectsAndState(0)
 }
 
-// advanceAtOnce runs the timers that are due after some time, all at that time.
-func (recorder *scriptRecorder) advanceAtOnce(by placer.Seconds, step int) {
+// advanceInOneCall advances the clock and runs all timers that are due in one call at the new time.
+func (recorder *scriptRecorder) advanceInOneCall(by placer.Seconds, step int) {
 	recorder.now += by
 	recorder.core.Advance(recorder.now)
-	recorder.observe(step)
+	recorder.digestEffectsAndState(step)
 }
 
-// adoptTasks lists running tasks for adoption, spread over the nodes.
+// adoptTasks lists running tasks for adoption, distributed over the nodes.
 func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
 	for i := range count {
-		recorder.receive(recorder.conns[0], recorder.validLaunch(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
-		recorder.observe(0)
+		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
+		recorder.digestEffectsAndState(0)
 	}
 }
 
-// playRedelivery has notifications cross the end of their connection, with clients that acknowledge notifications and clients that do not, at
-// intervals around each time limit, and with no client left to be notified.
-func playRedelivery(t *testing.T) []string {
+// runRedelivery closes connections on which notifications were sent. The variants cover clients that do and
+// do not acknowledge notifications, intervals around each time limit, and the case that no client is left.
+func runRedelivery(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
-		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.begin(t)
+	start := func(variant int) *scriptRecorder {
+		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
 	}
-	return playVariants(24, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(24, start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(6, 1)
 		if variant%2 == 1 {
-			recorder.receive(1, wireMessage(protocol.Stopped, 77))
+			recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 77))
 		}
 		recorder.endTasks(1, 4)
 		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
-		recorder.receive(1, wireMessage(protocol.Stopped, 2))
+		recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 2))
 		recorder.core.ClientDisconnected(recorder.now, 1)
 		if variant >= 12 {
 			recorder.core.ClientDisconnected(recorder.now, 2)
@@ -124,150 +126,153 @@
 		recorder.endTasks(5, 6)
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
-		recorder.receive(recorder.lastConn, wireMessage(protocol.Check, 78))
-		recorder.observe(0)
+		recorder.receiveFromClient(recorder.lastConn, wireMessage(protocol.Check, 78))
+		recorder.digestEffectsAndState(0)
 	})
 }
 
-// endTasks has nodes report the end of tasks that adoptTasks listed.
+// endTasks makes nodes report the ends of tasks that adoptTasks listed.
 func (recorder *scriptRecorder) endTasks(first, last uint64) {
 	for id := first; id <= last; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodes), &msg)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
 }
 
-// playAdoptionWait has requests arrive while running tasks are still being adopted, up to and beyond the longest time for which requests wait.
-func playAdoptionWait(t *testing.T) []string {
+// runAdoptionWait sends requests while running tasks are still being adopted, until after the longest time
+// for which requests wait.
+func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
-	recorder := directedScript{seed: 300, label: "handover", connections: 2}.begin(t)
-	recorder.receive(1, wireMessage(protocol.Check, 78))
+	recorder := directedScript{seed: 300, label: "handover", connections: 2}.start(t)
+	recorder.receiveFromClient(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
-		recorder.advanceAtOnce(0.03, int(i))
+		recorder.advanceInOneCall(0.03, int(i))
 		recorder.adoptTasks(1, 1000+i)
-		recorder.receive(2, recorder.validLaunch(2000+i, ""))
-		recorder.observe(int(i))
+		recorder.receiveFromClient(2, recorder.newLaunchMessage(2000+i, ""))
+		recorder.digestEffectsAndState(int(i))
 		if i%5 == 4 {
-			recorder.checkpoint(int(i))
+			recorder.recordCheckpoint(int(i))
 		}
 	}
 	for range 30 {
 		recorder.now = max(recorder.now, min(recorder.core.NextTimer(), recorder.now+10))
 		recorder.core.Advance(recorder.now)
-		recorder.observe(0)
+		recorder.digestEffectsAndState(0)
 	}
-	recorder.checkpoint(40)
-	return recorder.lines
+	recorder.recordCheckpoint(40)
+	return recorder.recordedLines
 }
 
-// playNewIncarnation lets a node begin a new incarnation at times around the tolerance, with one task that runs on it.
-func playNewIncarnation(t *testing.T) []string {
+// runNewIncarnation starts a new incarnation of a node on which one task runs, at times around the tolerance.
+func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	startedAfterMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
-	begin := func(variant int) *scriptRecorder {
-		label := fmt.Sprintf("new life after %d", startedAfterMS[variant]) // as in the golden file
-		return directedScript{seed: 400, label: label, connections: 1}.begin(t)
+	incarnationDelayMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
+	start := func(variant int) *scriptRecorder {
+		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant]) // as in the golden file
+		return directedScript{seed: 400, label: label, connections: 1}.start(t)
 	}
-	return playVariants(len(startedAfterMS), begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(len(incarnationDelayMS), start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(1, 1)
-		recorder.listAll("in_service", 1000_000+startedAfterMS[variant])
+		recorder.listAllNodes("in_service", 1000_000+incarnationDelayMS[variant])
 	})
 }
 
-// playVariants plays one directed script in several variants.
-func playVariants(count int, begin func(variant int) *scriptRecorder, play func(recorder *scriptRecorder, variant int)) (lines []string) {
+// runVariants runs a directed script once for each variant and returns the recorded lines.
+func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
-		recorder := begin(variant)
-		play(recorder, variant)
-		recorder.checkpoint(1)
-		lines = append(lines, recorder.lines...)
+		recorder := start(variant)
+		run(recorder, variant)
+		recorder.recordCheckpoint(1)
+		lines = append(lines, recorder.recordedLines...)
 	}
 	return lines
 }
 
-// playLateStart sends attempts just before, at and just after the time at which they expire, with the timer of that time not yet run.
-func playLateStart(t *testing.T) []string {
+// runLateStart sends attempts just before, at and just after their expiry time, before the expiry timer has
+// run.
+func runLateStart(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
+	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late start %d", variant)
-		return directedScript{shape: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.beginWithRequest(t)
+		return directedScript{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
-	return playVariants(30, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(30, start, func(recorder *scriptRecorder, variant int) {
 		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
 			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
-		recorder.send()
-		recorder.observe(1)
+		recorder.sendPendingAttempt()
+		recorder.digestEffectsAndState(1)
 	})
 }
 
-// playLateAnswer has a node answer around the time at which the attempt expires, with the timer of that time not yet run, or after its connection
-// was lost; then the client lists the task for adoption from that node.
-func playLateAnswer(t *testing.T) []string {
+// runLateAnswer makes a node answer an attempt around its expiry time, either before the expiry timer has run
+// or after the connection was lost. The client then lists the task for adoption from that node.
+func runLateAnswer(t *testing.T) []string {
 	t.Helper()
-	begin := func(variant int) *scriptRecorder {
+	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late answer %d", variant)
-		return directedScript{shape: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.beginWithRequest(t)
+		return directedScript{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
-	return playVariants(48, begin, func(recorder *scriptRecorder, variant int) {
+	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
 		due := recorder.core.NextTimer()
-		recorder.send()
-		recorder.observe(1)
+		recorder.sendPendingAttempt()
+		recorder.digestEffectsAndState(1)
 		if len(recorder.sent) > 0 {
 			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
 		open, placed := recorder.core.ClientRequests(99)
-		recorder.number(uint64(open))
-		recorder.flag(placed)
+		recorder.digestNumbers(uint64(open))
+		recorder.digestBool(placed)
 	})
 }
 
-// answerLate answers the first attempt at the given time, after its connection was lost if broken is set, and lists its task for adoption.
+// answerLate makes a node accept the first attempt at the given time, after its connection was lost if broken
+// is set. The client then lists the task for adoption.
 func (recorder *scriptRecorder) answerLate(at placer.Seconds, broken bool) {
 	attempt := recorder.sent[0]
 	recorder.now = max(recorder.now, at)
 	if broken {
 		recorder.core.ConnectionLost(recorder.now, attempt)
-		recorder.observe(2)
+		recorder.digestEffectsAndState(2)
 	}
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = `"out"`
-	recorder.fromNode(attempt, &msg)
-	recorder.observe(3)
+	recorder.receiveFromNode(attempt, &msg)
+	recorder.digestEffectsAndState(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pending) > 0 { // the next attempt: its client withdraws the request
-		recorder.receive(1, stop)
-		recorder.observe(4)
+	if len(recorder.pending) > 0 { // another attempt was started, and the client withdraws the request
+		recorder.receiveFromClient(1, stop)
+		recorder.digestEffectsAndState(4)
 	}
 	for i := 1; i <= 4; i++ {
 		if nodeID(i) == attempt.Node {
-			recorder.receive(1, recorder.validLaunch(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
-			recorder.observe(5)
+			recorder.receiveFromClient(1, recorder.newLaunchMessage(uint64(attempt.Message.ID), ";at:"+dispatch.NodeUID(i)))
+			recorder.digestEffectsAndState(5)
 		}
 	}
 }
 
-// playEarlyTerminations fills the records of early terminations and the table of tasks beyond their bounds.
-func playEarlyTerminations(t *testing.T) []string {
+// runEarlyTerminations exceeds the maximum numbers of early terminations and of tasks.
+func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
-	const beyond = 20010
-	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.begin(t)
-	for id := uint64(1); id <= beyond; id++ {
+	const aboveLimit = 20010
+	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.start(t)
+	for id := uint64(1); id <= aboveLimit; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
-	for _, id := range []uint64{1, 9, 10, 11, 12, beyond} {
-		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(1)))
-		recorder.observe(0)
+	for _, id := range []uint64{1, 9, 10, 11, 12, aboveLimit} {
+		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(1)))
+		recorder.digestEffectsAndState(0)
 	}
-	recorder.checkpoint(1)
-	for id := uint64(beyond + 1); id <= 2*beyond; id++ {
-		recorder.receive(1, recorder.validLaunch(id, ";at:"+dispatch.NodeUID(2)))
+	recorder.recordCheckpoint(1)
+	for id := uint64(aboveLimit + 1); id <= 2*aboveLimit; id++ {
+		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(2)))
 	}
-	recorder.observe(0)
-	recorder.checkpoint(2)
-	return recorder.lines
+	recorder.digestEffectsAndState(0)
+	recorder.recordCheckpoint(2)
+	return recorder.recordedLines
 }
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,14 +10,15 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport returns the load report of a message, or nil if it has none of the configured fields.
+// parseLoadReport returns the load report in a message, or nil if the message contains none of the configured
+// fields.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
 		return nil
 	}
 	report := simconfig.NoReport()
-	known := false
+	hasField := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		amount, err := strconv.ParseFloat(value, 64)
@@ -25,9 +26,9 @@
 			continue
 		}
 		simconfig.SetReportField(&report, name, amount)
-		known = true
+		hasField = true
 	}
-	if !known {
+	if !hasField {
 		return nil
 	}
 	return &report
