--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -99,7 +99,7 @@
 	task.attempts.begin(started)
 	t.tasks.setState(task, taskAttempting)
 	t.stats.Attempts++
-	started.timeoutTimer = t.runAt(action.Until, func() { t.timedOut(started) })
+	started.timeoutTimer = t.runAt(action.Until, func() { t.handleTimeout(started) })
 	t.emit(Effect{
 		Kind:                SendAttempt,
 		Node:                node.name,
@@ -138,7 +138,7 @@
 	case placer.Unreachable:
 		return a.Node + ": no connection"
 	case placer.TimedOut:
-		return a.Node + noAnswerInTime
+		return a.Node + timeoutMessageSuffix
 	case placer.Lost:
 		return a.Node + ": the answer broke off"
 	case placer.Errored:
@@ -148,22 +148,22 @@
 }
 
 // noAnswerInTime ends the message of an attempt that the engine gave up (timedOut), or whose sender did (failure).
-const noAnswerInTime = ": no answer in time"
+const timeoutMessageSuffix = ": no answer in time"
 
 // done implements Engine.AttemptDone.
-func (t *attemptTracker) done(answer AttemptAnswer) {
+func (t *attemptTracker) handleAnswer(answer AttemptAnswer) {
 	task := t.tasks.get(answer.UID)
 	if task == nil {
-		t.stopLateAcceptance(&answer)
+		t.stopRemovedTask(&answer)
 		return
 	}
-	if pending := task.attempts.inFlight; pending.is(answer.Node, answer.Attempt) {
-		t.answered(pending, &answer)
+	if pending := task.attempts.inFlight; pending.matches(answer.Node, answer.Attempt) {
+		t.handleInFlightAnswer(pending, &answer)
 		return
 	}
-	if unresolved := task.attempts.unknownAt(answer.Node, answer.Attempt); unresolved != nil {
+	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
 		t.stats.LateAnswers++
-		t.outcomes.answeredLate(unresolved, &answer)
+		t.outcomes.handleLateAnswer(unresolved, &answer)
 		return
 	}
 	if !answer.Accepted {
@@ -176,12 +176,12 @@
 }
 
 // is reports whether an attempt is the one that a node's answer names. A nil attempt is none.
-func (a *attempt) is(node string, number int) bool {
+func (a *attempt) matches(node string, number int) bool {
 	return a != nil && a.number == number && a.node.name == node
 }
 
 // stopLateAcceptance stops the Pod of a task that was removed before the node accepted it.
-func (t *attemptTracker) stopLateAcceptance(answer *AttemptAnswer) {
+func (t *attemptTracker) stopRemovedTask(answer *AttemptAnswer) {
 	node := t.nodes.get(answer.Node)
 	if !answer.Accepted || node == nil {
 		return
@@ -191,24 +191,24 @@
 }
 
 // answered handles the answer to the attempt in flight.
-func (t *attemptTracker) answered(pending *attempt, answer *AttemptAnswer) {
+func (t *attemptTracker) handleInFlightAnswer(pending *attempt, answer *AttemptAnswer) {
 	t.nodes.observeIncarnation(pending.node, answer.Incarnation)
 	if answer.Accepted {
-		t.accepted(pending, answer)
+		t.handleAcceptance(pending, answer)
 		return
 	}
-	pending.task.attempts.fail(answer.failure())
+	pending.task.attempts.recordFailure(answer.failure())
 	if answer.Result == placer.Rejected {
 		t.stats.Rejections++
 	}
-	t.failed(pending, answer.Result, answer.Reason, answer.Report)
+	t.handleFailure(pending, answer.Result, answer.Reason, answer.Report)
 }
 
 // accepted binds the task of the attempt in flight.
-func (t *attemptTracker) accepted(accepted *attempt, answer *AttemptAnswer) {
+func (t *attemptTracker) handleAcceptance(accepted *attempt, answer *AttemptAnswer) {
 	task := accepted.task
 	t.stats.Accepted++
-	task.attempts.endWait()
+	task.attempts.clearInFlight()
 	t.stopTimer(accepted.timeoutTimer)
 	accepted.acceptedIncarnation = answer.Incarnation
 	bound := accepted.event(placer.Bound)
@@ -227,11 +227,11 @@
 }
 
 // timedOut gives up an attempt if it is still in flight.
-func (t *attemptTracker) timedOut(pending *attempt) {
+func (t *attemptTracker) handleTimeout(pending *attempt) {
 	if pending.task.attempts.inFlight != pending {
 		return
 	}
-	pending.task.attempts.fail(pending.node.name + noAnswerInTime)
+	pending.task.attempts.recordFailure(pending.node.name + timeoutMessageSuffix)
 	t.abandon(pending, placer.TimedOut)
 	t.drainEvents()
 }
@@ -239,13 +239,13 @@
 // abandon ends the wait for the answer to the attempt in flight.
 func (t *attemptTracker) abandon(pending *attempt, result placer.Result) {
 	t.emit(Effect{Kind: AbandonAttempt, Node: pending.node.name, UID: pending.task.uid, Attempt: pending.number})
-	t.failed(pending, result, placer.NoReason, nil)
+	t.handleFailure(pending, result, placer.NoReason, nil)
 }
 
 // failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not accept the task, the
 // attempt's outcome is unknown.
-func (t *attemptTracker) failed(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
-	failed.task.attempts.endWait()
+func (t *attemptTracker) handleFailure(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
+	failed.task.attempts.clearInFlight()
 	t.tasks.setState(failed.task, taskSubmitted)
 	t.stopTimer(failed.timeoutTimer)
 	switch result {
@@ -257,7 +257,7 @@
 	ended.Final = failed.request.closed
 	ended.Report = report
 	t.post(ended)
-	t.requests.discard(failed.request)
+	t.requests.removeIfUnused(failed.request)
 }
 
 // podForNode returns a task's Pod as it is sent to nodes, with what a restarted scheduler needs to adopt it.
@@ -279,7 +279,7 @@
 }
 
 // outcomeUnknown reports whether the attempt may have been accepted, and it is not known yet whether it was.
-func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isUnknown(a) }
+func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isOutcomeUnknown(a) }
 
 // observe records what the node's watch reports while the attempt is in flight.
 func (a *attempt) observe(observed *observedPod) { a.observed = observed }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -40,13 +40,13 @@
 }
 
 // endWait records that the attempt in flight was answered or abandoned.
-func (h *attemptHistory) endWait() { h.inFlight = nil }
+func (h *attemptHistory) clearInFlight() { h.inFlight = nil }
 
 // bind records that an attempt was accepted.
 func (h *attemptHistory) bind(accepted *attempt) {
 	h.running = accepted
 	h.count = max(h.count, accepted.number)
-	h.grow(possiblyAccepted)
+	h.raiseEvidence(possiblyAccepted)
 }
 
 // unbind records that the running attempt has ended, and returns it. It returns nil if none runs.
@@ -57,7 +57,7 @@
 }
 
 // fail records why the last attempt or request failed.
-func (h *attemptHistory) fail(reason string) { h.lastFailure = reason }
+func (h *attemptHistory) recordFailure(reason string) { h.lastFailure = reason }
 
 // isOpen reports whether an attempt is in flight or running.
 func (h *attemptHistory) isOpen(attempt *attempt) bool {
@@ -65,13 +65,13 @@
 }
 
 // addUnknown records that the outcome of an attempt is unknown.
-func (h *attemptHistory) addUnknown(unresolved *attempt) {
+func (h *attemptHistory) addUnknownOutcome(unresolved *attempt) {
 	h.unknown = append(h.unknown, unresolved)
-	h.grow(possiblyAccepted)
+	h.raiseEvidence(possiblyAccepted)
 }
 
 // removeUnknown records that the outcome of an attempt is known, and reports whether it was unknown.
-func (h *attemptHistory) removeUnknown(resolved *attempt) bool {
+func (h *attemptHistory) removeUnknownOutcome(resolved *attempt) bool {
 	i := slices.Index(h.unknown, resolved)
 	if i < 0 {
 		return false
@@ -81,20 +81,22 @@
 }
 
 // recordRun records that an attempt that has ended may have run the task.
-func (h *attemptHistory) recordRun() { h.grow(possiblyRan) }
+func (h *attemptHistory) recordPossibleRun() { h.raiseEvidence(possiblyRan) }
 
-func (h *attemptHistory) grow(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
+func (h *attemptHistory) raiseEvidence(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
 
 // hasUnknown reports whether the outcome of an attempt is unknown.
-func (h *attemptHistory) hasUnknown() bool { return len(h.unknown) > 0 }
+func (h *attemptHistory) hasUnknownOutcome() bool { return len(h.unknown) > 0 }
 
 // isUnknown reports whether the outcome of this attempt is unknown.
-func (h *attemptHistory) isUnknown(attempt *attempt) bool { return slices.Contains(h.unknown, attempt) }
+func (h *attemptHistory) isOutcomeUnknown(attempt *attempt) bool {
+	return slices.Contains(h.unknown, attempt)
+}
 
 // unknownAt returns the attempt with unknown outcome that a node's answer names, nil if there is none.
-func (h *attemptHistory) unknownAt(node string, number int) *attempt {
+func (h *attemptHistory) unknownOutcomeAt(node string, number int) *attempt {
 	for _, unresolved := range h.unknown {
-		if unresolved.is(node, number) {
+		if unresolved.matches(node, number) {
 			return unresolved
 		}
 	}
--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -9,20 +9,20 @@
 		want runEvidence
 	}{
 		{"in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
-		{"rejected", func(history *attemptHistory, _ *attempt) { history.endWait() }, neverAccepted},
+		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
 		{"accepted", func(history *attemptHistory, made *attempt) { history.bind(made) }, possiblyAccepted},
-		{"outcome unknown", func(history *attemptHistory, made *attempt) { history.addUnknown(made) }, possiblyAccepted},
+		{"outcome unknown", func(history *attemptHistory, made *attempt) { history.addUnknownOutcome(made) }, possiblyAccepted},
 		{"unknown outcome resolved: it never ran", func(history *attemptHistory, made *attempt) {
-			history.addUnknown(made)
-			history.removeUnknown(made)
+			history.addUnknownOutcome(made)
+			history.removeUnknownOutcome(made)
 		}, possiblyAccepted},
 		{"unknown outcome resolved: it may have run", func(history *attemptHistory, made *attempt) {
-			history.addUnknown(made)
-			history.removeUnknown(made)
-			history.recordRun()
+			history.addUnknownOutcome(made)
+			history.removeUnknownOutcome(made)
+			history.recordPossibleRun()
 		}, possiblyRan},
 		{"another attempt accepted after a run", func(history *attemptHistory, made *attempt) {
-			history.recordRun()
+			history.recordPossibleRun()
 			history.bind(made)
 		}, possiblyRan},
 	} {
@@ -60,7 +60,7 @@
 func TestUnknownOutcomesAreFoundByTheirNode(t *testing.T) {
 	history := &attemptHistory{}
 	unresolved := &attempt{node: &node{name: "n"}, number: 2}
-	history.addUnknown(unresolved)
+	history.addUnknownOutcome(unresolved)
 	for _, test := range []struct {
 		name   string
 		node   string
@@ -72,15 +72,15 @@
 		{"another attempt", "n", 1, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := history.unknownAt(test.node, test.number); got != test.want {
+			if got := history.unknownOutcomeAt(test.node, test.number); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
-	if !history.removeUnknown(unresolved) || history.hasUnknown() {
+	if !history.removeUnknownOutcome(unresolved) || history.hasUnknownOutcome() {
 		t.Error("the outcome is still unknown after it was removed")
 	}
-	if history.removeUnknown(unresolved) {
+	if history.removeUnknownOutcome(unresolved) {
 		t.Error("an outcome was removed twice")
 	}
 }
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -16,7 +16,7 @@
 func (e *Engine) AttemptDone(now placer.Seconds, answer AttemptAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.attempts.done(answer)
+	e.attempts.handleAnswer(answer)
 }
 
 // DeletePod stops a Pod's task and removes the Pod once the task has ended. It returns the Pod as stored at the end of the call. An empty uid or
@@ -110,5 +110,5 @@
 func (e *Engine) StopDone(now placer.Seconds, answer StopAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.outcomes.stopDone(answer)
+	e.outcomes.handleStopAnswer(answer)
 }
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -91,7 +91,7 @@
 func (e *Engine) Admission() *admission.Controller { return e.requests.admission }
 
 // OpenTasks returns the number of tasks without a final outcome.
-func (e *Engine) OpenTasks() int { return e.tasks.open }
+func (e *Engine) OpenTasks() int { return e.tasks.openCount }
 
 // NextWake returns the time at which Tick must be called, infinity if no timer is pending.
 func (e *Engine) NextWake() placer.Seconds { return e.timers.NextOr(placer.Seconds(math.Inf(1))) }
@@ -135,9 +135,9 @@
 	case placer.StartAttempt:
 		e.attempts.start(action)
 	case placer.Reject:
-		e.requests.ended(action.Task, retry.Rejected, action.After)
+		e.requests.handleUnplaced(action.Task, retry.Rejected, action.After)
 	case placer.Fail:
-		e.requests.ended(action.Task, retry.Failed, 0)
+		e.requests.handleUnplaced(action.Task, retry.Failed, 0)
 	case placer.SetTimer:
 		token := action.Token
 		e.runAfter(eventqueue.Delay(action.After), func() {
@@ -155,7 +155,7 @@
 // attempts, its request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and
 // simulations, between calls.
 func (e *Engine) CheckInvariants() error {
-	if err := e.transitions.first; err != nil {
+	if err := e.transitions.firstError; err != nil {
 		return err
 	}
 	if err := e.tasks.checkInvariants(); err != nil {
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -249,7 +249,7 @@
 
 func hasQueuedRetryWithUnknownOutcome(engine *Engine) bool {
 	for _, task := range engine.tasks.inOrder() {
-		if task.state == taskQueued && task.attempts.hasUnknown() {
+		if task.state == taskQueued && task.attempts.hasUnknownOutcome() {
 			return true
 		}
 	}
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -67,15 +67,15 @@
 }
 
 const (
-	suffixLetters = "bcdfghjklmnpqrstvwxz2456789"
-	suffixLength  = 5
+	nameSuffixAlphabet = "bcdfghjklmnpqrstvwxz2456789"
+	nameSuffixLength   = 5
 )
 
 // randomSuffix draws the end of a generated name, in the form that the Kubernetes API uses.
-func (env *environment) randomSuffix() string {
-	letters := make([]byte, suffixLength)
+func (env *environment) randomNameSuffix() string {
+	letters := make([]byte, nameSuffixLength)
 	for i := range letters {
-		letters[i] = suffixLetters[env.rng.IntN(len(suffixLetters))]
+		letters[i] = nameSuffixAlphabet[env.rng.IntN(len(nameSuffixAlphabet))]
 	}
 	return string(letters)
 }
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -13,18 +13,18 @@
 // job is the state of a Job with its tasks, one for each completion index. The parts that create, start, update and delete Jobs change it through
 // its methods.
 type job struct {
-	placementSpec        // of each task
-	key           string // store.Key of the Job
-	uid           types.UID
-	object        *batchv1.Job // as stored; never changed
-	podCost       int64        // of each Pod, as store.Cost counts
-	manifestText  string       // cached result of manifest; "" if there is none
+	placementSpec         // of each task
+	key            string // store.Key of the Job
+	uid            types.UID
+	object         *batchv1.Job // as stored; never changed
+	podCost        int64        // of each Pod, as store.Cost counts
+	cachedManifest string       // cached result of manifest; "" if there is none
 
 	indexes indexTable
 	pods    map[string]struct{} // names of the stored Pods
 
-	dirty  bool // listed in jobStatusWriter.dirty
-	queued bool // listed in jobStarter.backlog
+	statusDirty bool // listed in jobStatusWriter.dirty
+	inBacklog   bool // listed in jobStarter.backlog
 
 	transitions    *transitionCheck
 	progress       jobProgress
@@ -66,8 +66,8 @@
 // manifest returns the Job in the form that nodes store with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if the
 // Job cannot be encoded: its tasks are then adopted without it.
 func (j *job) manifest() string {
-	if j.manifestText != "" {
-		return j.manifestText
+	if j.cachedManifest != "" {
+		return j.cachedManifest
 	}
 	kept := batchv1.Job{
 		ObjectMeta: metav1.ObjectMeta{
@@ -83,8 +83,8 @@
 	if err != nil {
 		return ""
 	}
-	j.manifestText = string(encoded)
-	return j.manifestText
+	j.cachedManifest = string(encoded)
+	return j.cachedManifest
 }
 
 // updateObject replaces the stored Job after a change of its status or its deletion, which its manifest does not contain.
@@ -93,7 +93,7 @@
 // updateSpec replaces the stored Job after an update of its metadata or spec.
 func (j *job) updateSpec(object *batchv1.Job) {
 	j.object = object
-	j.manifestText = ""
+	j.cachedManifest = ""
 }
 
 func (j *job) addPod(name string) { j.pods[name] = struct{}{} }
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -20,7 +20,7 @@
 }
 
 // recordSettled counts the final outcome of the first task of an index.
-func (c *jobController) recordSettled(task *task, outcome taskOutcome) {
+func (c *jobController) recordOutcome(task *task, outcome taskOutcome) {
 	job := task.job
 	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
 		return
@@ -31,7 +31,7 @@
 }
 
 // taskEnded counts the end of a task, and schedules another start of its index if the Job permits it.
-func (c *jobController) taskEnded(task *task, succeeded bool, cause retry.Cause) {
+func (c *jobController) recordTaskEnd(task *task, succeeded bool, cause retry.Cause) {
 	job := task.job
 	if job.indexes.at(task.index).task != task {
 		return
@@ -102,7 +102,7 @@
 }
 
 // podRemoved records that the Pod of a task was removed from the store.
-func (c *jobController) podRemoved(task *task) {
+func (c *jobController) recordPodRemoval(task *task) {
 	if task.job != nil {
 		task.job.removePod(task.name)
 		c.finishForegroundDeletion(task.job)
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -82,8 +82,8 @@
 
 // Limits of generated names.
 const (
-	maxGeneratedPrefix = 248 // characters of generateName that are used
-	maxNameDraws       = 8   // names drawn until one is free, as by the Kubernetes API server
+	maxGenerateNameLength = 248 // characters of generateName that are used
+	maxNameCandidates     = 8   // names drawn until one is free, as by the Kubernetes API server
 )
 
 // generateName sets the name of a Job that has only a generateName.
@@ -91,8 +91,8 @@
 	if object.Name != "" || object.GenerateName == "" {
 		return
 	}
-	for range maxNameDraws {
-		object.Name = fmt.Sprintf("%.*s", maxGeneratedPrefix, object.GenerateName) + c.randomSuffix()
+	for range maxNameCandidates {
+		object.Name = fmt.Sprintf("%.*s", maxGenerateNameLength, object.GenerateName) + c.randomNameSuffix()
 		if c.jobs.get(jobKey(object)) == nil {
 			return
 		}
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -43,62 +43,62 @@
 
 // indexTable owns the completion indexes of a Job and their counts. Only its methods change them.
 type indexTable struct {
-	job         string // store.Key of the Job
+	ownerKey    string // store.Key of the Job
 	transitions *transitionCheck
 
-	all       []jobIndex
-	next      int // all indexes below were started
-	active    int // indexes with a task
-	succeeded int // tasks that succeeded
-	failed    int // tasks that ended without success
-	exhausted int // indexes that are not started again
+	entries        []jobIndex
+	nextUnstarted  int // all indexes below were started
+	active         int // indexes with a task
+	succeededTasks int // tasks that succeeded
+	failedTasks    int // tasks that ended without success
+	failedIndexes  int // indexes that are not started again
 
-	settled            map[taskOutcome]int // indexes by the final outcome of their first task
+	outcomeCounts      map[taskOutcome]int // indexes by the final outcome of their first task
 	unplacedMayHaveRun bool                // a task without placement may have run
 }
 
 // newIndexTable returns a table of pending indexes, whose first tasks have the given retry budget.
 func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
-	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[taskOutcome]int{}}
-	for i := range table.all {
-		table.all[i].retryBudget = retryBudget
+	table := indexTable{ownerKey: job, transitions: transitions, entries: make([]jobIndex, count), outcomeCounts: map[taskOutcome]int{}}
+	for i := range table.entries {
+		table.entries[i].retryBudget = retryBudget
 	}
 	return table
 }
 
-func (t *indexTable) len() int { return len(t.all) }
+func (t *indexTable) len() int { return len(t.entries) }
 
 // at returns an index, which the caller must not change.
-func (t *indexTable) at(i int) *jobIndex { return &t.all[i] }
+func (t *indexTable) at(i int) *jobIndex { return &t.entries[i] }
 
 // allEnded reports whether no index has a task that is still to succeed.
-func (t *indexTable) allEnded() bool { return t.succeeded+t.exhausted >= len(t.all) }
+func (t *indexTable) allEnded() bool { return t.succeededTasks+t.failedIndexes >= len(t.entries) }
 
 // unstarted returns the number of indexes that takeNext has yet to return.
-func (t *indexTable) unstarted() int { return len(t.all) - t.next }
+func (t *indexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
 // takeNext returns the next index to consider for a start, unless the parallelism is reached.
 func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
 	}
-	t.next++
-	return t.next - 1, true
+	t.nextUnstarted++
+	return t.nextUnstarted - 1, true
 }
 
 // skipAll keeps every index from being started until restart is called for it.
-func (t *indexTable) skipAll() { t.next = len(t.all) }
+func (t *indexTable) skipAll() { t.nextUnstarted = len(t.entries) }
 
 // start assigns a new task to an index.
 func (t *indexTable) start(i int, started *task) {
 	t.activate(i, started)
-	t.all[i].retryTimer = nil
+	t.entries[i].retryTimer = nil
 }
 
 // adopt assigns a task that was found running to an index that has none.
 func (t *indexTable) adopt(i int, adopted *task) {
-	if t.all[i].state == indexFinished {
-		t.exhausted--
+	if t.entries[i].state == indexFinished {
+		t.failedIndexes--
 	}
 	t.settle(i, outcomePlaced)
 	t.activate(i, adopted)
@@ -107,18 +107,18 @@
 // activate assigns a task to an index.
 func (t *indexTable) activate(i int, active *task) {
 	t.setState(i, indexActive)
-	t.all[i].task = active
+	t.entries[i].task = active
 	t.active++
 }
 
 // settle counts an outcome if it is the first final one of an index, and reports whether it is.
 func (t *indexTable) settle(i int, outcome taskOutcome) bool {
-	index := &t.all[i]
+	index := &t.entries[i]
 	if index.settled {
 		return false
 	}
 	index.settled = true
-	t.settled[outcome]++
+	t.outcomeCounts[outcome]++
 	return true
 }
 
@@ -133,22 +133,22 @@
 
 // end records that an index's task has ended. One of succeed, fail and restart follows unless the Job is deleted.
 func (t *indexTable) end(i int) {
-	t.all[i].task = nil
+	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
 	t.active--
 }
 
 // succeed finishes an index whose task has succeeded.
 func (t *indexTable) succeed(i int) {
-	t.succeeded++
+	t.succeededTasks++
 	t.setState(i, indexFinished)
 }
 
 // fail counts a task that ended without success, and finishes its index unless the index is started again.
 func (t *indexTable) fail(i int, startedAgain bool) {
-	t.failed++
+	t.failedTasks++
 	if !startedAgain {
-		t.exhausted++
+		t.failedIndexes++
 		t.setState(i, indexFinished)
 	}
 }
@@ -164,20 +164,20 @@
 // restart makes an index pending again, so that it is started when the Job is next served from the backlog.
 func (t *indexTable) restart(i int) {
 	t.setState(i, indexPending)
-	t.next = min(t.next, i)
+	t.nextUnstarted = min(t.nextUnstarted, i)
 }
 
 // retryLater sets the timer that starts an index again, and the retry budget of its next task.
-func (t *indexTable) retryLater(i, retryBudget int, retryTimer *timer) {
-	t.all[i].retryBudget = retryBudget
-	t.all[i].retryTimer = retryTimer
+func (t *indexTable) setRetry(i, retryBudget int, retryTimer *timer) {
+	t.entries[i].retryBudget = retryBudget
+	t.entries[i].retryTimer = retryTimer
 }
 
 // setState is the only place where an index changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *indexTable) setState(i int, next indexState) {
-	index := &t.all[i]
+	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
-		t.transitions.illegal("index %d of Job %s goes from %s to %s", i, t.job, index.state, next)
+		t.transitions.recordIllegal("index %d of Job %s goes from %s to %s", i, t.ownerKey, index.state, next)
 	}
 	index.state = next
 }
@@ -185,8 +185,8 @@
 // violatedInvariant describes the first inconsistency between a Job's indexes and their tasks, "" if there is none.
 func (t *indexTable) violatedInvariant(owner *job) string {
 	active := 0
-	for i := range t.all {
-		index := &t.all[i]
+	for i := range t.entries {
+		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
 			return fmt.Sprintf("violated: index %d has a task only while it is active", i)
 		}
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -41,7 +41,7 @@
 	if budget == left {
 		left--
 	}
-	job.indexes.retryLater(index, left, s.runAt(at, func() {
+	job.indexes.setRetry(index, left, s.runAt(at, func() {
 		if job.canStart() && job.indexes.at(index).task == nil {
 			s.startTask(job, index)
 			s.drainEvents()
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -22,8 +22,8 @@
 	requests      *requestTable
 	publisher     *publisher
 
-	backlog   []*job // Jobs with tasks to start
-	scheduled bool   // a timer to start tasks of the backlog is pending
+	backlog        []*job // Jobs with tasks to start
+	startScheduled bool   // a timer to start tasks of the backlog is pending
 }
 
 // start sets the active deadline of a new or resumed Job and queues its tasks.
@@ -40,8 +40,8 @@
 
 // enqueue appends a Job with indexes to start to the backlog.
 func (s *jobStarter) enqueue(job *job) {
-	if !job.queued && job.canStart() && job.indexes.unstarted() > 0 {
-		job.queued = true
+	if !job.inBacklog && job.canStart() && job.indexes.unstarted() > 0 {
+		job.inBacklog = true
 		s.backlog = append(s.backlog, job)
 	}
 	s.scheduleStarts()
@@ -49,8 +49,8 @@
 
 // scheduleStarts sets a timer, due at once, that starts tasks of the backlog.
 func (s *jobStarter) scheduleStarts() {
-	if len(s.backlog) > 0 && !s.scheduled {
-		s.scheduled = true
+	if len(s.backlog) > 0 && !s.startScheduled {
+		s.startScheduled = true
 		s.runAfter(0, s.startTasks)
 	}
 }
@@ -60,12 +60,12 @@
 
 // startTasks starts tasks of the Jobs in the backlog round-robin, up to MaxStartsPerCall, so that a large Job does not delay others.
 func (s *jobStarter) startTasks() {
-	s.scheduled = false
+	s.startScheduled = false
 	left := s.cfg.MaxStartsPerCall
 	for left > 0 && len(s.backlog) > 0 {
 		job := s.backlog[0]
 		s.backlog = s.backlog[1:]
-		job.queued = false
+		job.inBacklog = false
 		if !job.canStart() {
 			continue
 		}
@@ -117,7 +117,7 @@
 }
 
 // maxPodNamePrefix is the number of characters of a Job's name with which the names of its Pods begin.
-const maxPodNamePrefix = 52
+const maxJobNameLengthInPodName = 52
 
 // newTask returns the next task of a Job's index.
 func (s *jobStarter) newTask(job *job, index int) *task {
@@ -128,7 +128,7 @@
 		index:         index,
 		retryBudget:   job.indexes.at(index).retryBudget,
 	}
-	created.name = fmt.Sprintf("%.*s-%d-%s", maxPodNamePrefix, job.object.Name, index, s.randomSuffix())
+	created.name = fmt.Sprintf("%.*s-%d-%s", maxJobNameLengthInPodName, job.object.Name, index, s.randomNameSuffix())
 	created.deadline = s.now + s.cfg.Retry.MaxWait(s.cfg.Placer.Classes[job.class].Deadline, created.retryBudget)
 	if job.deadlineTimer.Pending() {
 		created.deadline = min(created.deadline, job.deadlineTimer.At)
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -70,7 +70,7 @@
 // setProgress is the only place where a Job's progress changes. It makes an illegal transition too, which CheckInvariants reports.
 func (j *job) setProgress(next jobProgress) {
 	if !jobProgressTransitions.permits(j.progress, next) {
-		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.progress, next)
+		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.progress, next)
 	}
 	j.progress = next
 }
@@ -78,7 +78,7 @@
 // setDeletion is the only place where the deletion of a Job advances. It makes an illegal transition too, as setProgress does.
 func (j *job) setDeletion(next jobDeletion) {
 	if !jobDeletionTransitions.permits(j.deletion, next) {
-		j.transitions.illegal("Job %s goes from %s to %s", j.key, j.deletion, next)
+		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.deletion, next)
 	}
 	j.deletion = next
 }
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -41,7 +41,7 @@
 func TestJobProgressTransitions(t *testing.T) {
 	newMachine := func(*testing.T) machine[jobProgress] {
 		check := &transitionCheck{}
-		return machine[jobProgress]{(&job{key: "default/j", transitions: check}).setProgress, func() error { return check.first }}
+		return machine[jobProgress]{(&job{key: "default/j", transitions: check}).setProgress, func() error { return check.firstError }}
 	}
 	checkPaths(t, newMachine, []statePath[jobProgress]{
 		{"all indexes end", []jobProgress{jobEnded}, ""},
@@ -56,7 +56,7 @@
 func TestJobDeletionTransitions(t *testing.T) {
 	newMachine := func(*testing.T) machine[jobDeletion] {
 		check := &transitionCheck{}
-		return machine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.first }}
+		return machine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.firstError }}
 	}
 	checkPaths(t, newMachine, []statePath[jobDeletion]{
 		{"in the background", []jobDeletion{jobDeleted}, ""},
@@ -71,7 +71,7 @@
 	newMachine := func(*testing.T) machine[indexState] {
 		check := &transitionCheck{}
 		table := newIndexTable("default/j", check, 1, 0)
-		return machine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.first }}
+		return machine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.firstError }}
 	}
 	checkPaths(t, newMachine, []statePath[indexState]{
 		{"succeeds", []indexState{indexActive, indexRetrying, indexFinished}, ""},
@@ -105,7 +105,7 @@
 	table.succeed(0)
 	table.end(1)
 	table.fail(1, true)
-	if table.active != 0 || table.succeeded != 1 || table.failed != 1 || table.exhausted != 0 || table.allEnded() {
+	if table.active != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
 		t.Errorf("after a success and a failure that is retried: %+v", table)
 	}
 
@@ -115,10 +115,10 @@
 	}
 	table.failUnseen(1)
 	table.failUnseen(2)
-	if table.failed != 3 || table.exhausted != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
+	if table.failedTasks != 3 || table.failedIndexes != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
 		t.Errorf("after the last failures: %+v", table)
 	}
-	if table.adopt(2, &task{index: 2}); table.exhausted != 1 || table.active != 1 || table.settled[outcomeFailed] != 2 {
+	if table.adopt(2, &task{index: 2}); table.failedIndexes != 1 || table.active != 1 || table.outcomeCounts[outcomeFailed] != 2 {
 		t.Errorf("after a copy was adopted: %+v", table)
 	}
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -26,15 +26,15 @@
 	dirty := w.dirty
 	w.dirty = nil
 	for _, job := range dirty {
-		job.dirty = false
+		job.statusDirty = false
 		w.write(job)
 	}
 }
 
 // markDirty schedules the status of a Job to be written at the end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
-	if !job.dirty {
-		job.dirty = true
+	if !job.statusDirty {
+		job.statusDirty = true
 		w.dirty = append(w.dirty, job)
 	}
 }
@@ -50,7 +50,7 @@
 	updated := *job.object // the Spec is shared: it is not changed
 	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
 	job.object.Status.DeepCopyInto(&updated.Status)
-	job.showStatus(&updated.Status, w.apiNow())
+	job.setStatus(&updated.Status, w.apiNow())
 	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
@@ -59,24 +59,24 @@
 }
 
 // showStatus sets the status of a Job from its state.
-func (j *job) showStatus(status *batchv1.JobStatus, now metav1.Time) {
+func (j *job) setStatus(status *batchv1.JobStatus, now metav1.Time) {
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
 	}
 	status.Active = int32(j.indexes.active)
-	status.Succeeded = int32(j.indexes.succeeded)
-	status.Failed = int32(j.indexes.failed)
+	status.Succeeded = int32(j.indexes.succeededTasks)
+	status.Failed = int32(j.indexes.failedTasks)
 	status.CompletedIndexes = ""
-	j.showSettled(status, now)
-	j.showSuspended(status, now)
+	j.setSettledCondition(status, now)
+	j.setSuspendedCondition(status, now)
 	if j.progress.finished() {
-		j.showFinished(status, now)
+		j.setFinishedCondition(status, now)
 	}
 }
 
 // showSettled sets the Settled condition once the first task of each index has its final outcome.
-func (j *job) showSettled(status *batchv1.JobStatus, now metav1.Time) {
-	settled := j.indexes.settled
+func (j *job) setSettledCondition(status *batchv1.JobStatus, now metav1.Time) {
+	settled := j.indexes.outcomeCounts
 	placed, rejected, failed := settled[outcomePlaced], settled[outcomeRejected], settled[outcomeFailed]
 	total := placed + rejected + failed
 	if total != j.indexes.len() {
@@ -94,7 +94,7 @@
 }
 
 // showSuspended sets the Suspended condition, or ends it after the Job was resumed.
-func (j *job) showSuspended(status *batchv1.JobStatus, now metav1.Time) {
+func (j *job) setSuspendedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
 		setJobSuspended(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
 		return
@@ -111,12 +111,12 @@
 }
 
 // showFinished sets the final condition of a Job, Complete or Failed.
-func (j *job) showFinished(status *batchv1.JobStatus, now metav1.Time) {
+func (j *job) setFinishedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	switch {
 	case j.progress == jobFailed:
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, j.failureReason, j.failureMessage, now))
-	case j.indexes.exhausted > 0:
-		message := fmt.Sprintf("%d of %d tasks did not succeed", j.indexes.exhausted, j.indexes.len())
+	case j.indexes.failedIndexes > 0:
+		message := fmt.Sprintf("%d of %d tasks did not succeed", j.indexes.failedIndexes, j.indexes.len())
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, "FailedIndexes", message, now))
 	default:
 		const message = "Reached expected number of succeeded pods"
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -47,11 +47,11 @@
 }
 
 // minFinishedSlack, together with the number of Jobs, bounds the entries of deleted Jobs in jobTable.finished.
-const minFinishedSlack = 16
+const finishedListSlack = 16
 
 // addFinished appends a Job to the list of finished ones.
 func (t *jobTable) addFinished(finished *job) {
-	if len(t.finished) > 2*len(t.byKey)+minFinishedSlack {
+	if len(t.finished) > 2*len(t.byKey)+finishedListSlack {
 		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.isDeleted() })
 	}
 	t.finished = append(t.finished, finished)
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -51,7 +51,7 @@
 		finished.setDeletion(jobDeleted)
 		table.remove(finished)
 	}
-	if got, most := len(table.finished), minFinishedSlack+3; got > most {
+	if got, most := len(table.finished), finishedListSlack+3; got > most {
 		t.Errorf("%d finished Jobs are listed with none in the table, want at most %d", got, most)
 	}
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -28,7 +28,7 @@
 func (r *outcomeReconciler) track(unresolved *attempt) {
 	task, node := unresolved.task, unresolved.node
 	r.stats.UnknownOutcomes++
-	task.attempts.addUnknown(unresolved)
+	task.attempts.addUnknownOutcome(unresolved)
 	node.addUnknown(unresolved)
 	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
 		r.fence(unresolved)
@@ -47,7 +47,7 @@
 
 // untrack removes an attempt whose outcome is known, and cancels its next stop order.
 func (r *outcomeReconciler) untrack(resolved *attempt) {
-	if resolved.task.attempts.removeUnknown(resolved) {
+	if resolved.task.attempts.removeUnknownOutcome(resolved) {
 		resolved.node.removeUnknown(resolved)
 	}
 	r.stopTimer(resolved.fenceTimer)
@@ -59,15 +59,15 @@
 	task := resolved.task
 	r.untrack(resolved)
 	if mayHaveRun {
-		task.attempts.recordRun()
+		task.attempts.recordPossibleRun()
 	}
-	r.requests.discard(resolved.request)
-	if r.awaitsOutcomes(task) && !task.attempts.hasUnknown() {
+	r.requests.removeIfUnused(resolved.request)
+	if r.awaitsOutcomes(task) && !task.attempts.hasUnknownOutcome() {
 		r.stopTimer(task.retryTimer)
 		r.lifecycle.retryOrSettle(task, retry.Failed, 0)
 		return
 	}
-	r.lifecycle.discard(task)
+	r.lifecycle.removeIfResolved(task)
 }
 
 // awaitsOutcomes reports whether a task is not requested again before all outcomes are known.
@@ -76,10 +76,10 @@
 }
 
 // answeredLate handles the answer to an attempt that was abandoned.
-func (r *outcomeReconciler) answeredLate(unresolved *attempt, answer *AttemptAnswer) {
+func (r *outcomeReconciler) handleLateAnswer(unresolved *attempt, answer *AttemptAnswer) {
 	switch {
 	case answer.Accepted:
-		r.foundRunning(unresolved, answer.Incarnation, answer.Revision)
+		r.bindOrFence(unresolved, answer.Incarnation, answer.Revision)
 	case answer.Result == placer.Rejected || answer.Result == placer.Unreachable:
 		r.resolve(unresolved, false)
 	}
@@ -92,14 +92,14 @@
 		return
 	}
 	task := unresolved.task
-	r.foundRunning(unresolved, observed.incarnation, observed.revision)
+	r.bindOrFence(unresolved, observed.incarnation, observed.revision)
 	if running := task.attempts.running; running != nil && running.node == unresolved.node {
 		r.observer.observeRunning(task, observed.pod, false)
 	}
 }
 
 // foundRunning binds the task to an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy is stopped.
-func (r *outcomeReconciler) foundRunning(found *attempt, incarnation string, revision int64) {
+func (r *outcomeReconciler) bindOrFence(found *attempt, incarnation string, revision int64) {
 	task := found.task
 	if !task.state.canBind() || found.stopInFlight {
 		r.fence(found)
@@ -166,7 +166,7 @@
 }
 
 // stopDone implements Engine.StopDone.
-func (r *outcomeReconciler) stopDone(answer StopAnswer) {
+func (r *outcomeReconciler) handleStopAnswer(answer StopAnswer) {
 	if node := r.nodes.get(answer.Node); node != nil && answer.Answered {
 		r.nodes.observeIncarnation(node, answer.Incarnation)
 	}
@@ -174,18 +174,18 @@
 	if task == nil {
 		return
 	}
-	if unresolved := task.attempts.unknownAt(answer.Node, answer.Attempt); unresolved != nil {
-		r.fenceAnswered(unresolved, &answer)
+	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
+		r.handleFenceAnswer(unresolved, &answer)
 		return
 	}
-	if running := task.attempts.running; running.is(answer.Node, answer.Attempt) && task.isStopping() {
-		r.stopAnswered(running, &answer)
+	if running := task.attempts.running; running.matches(answer.Node, answer.Attempt) && task.isStopping() {
+		r.handleRunningStopAnswer(running, &answer)
 	}
 }
 
 // fenceAnswered handles the answer to a stop order for an attempt with unknown outcome. A node that does not have the task answers for its
 // present incarnation only: the task may have run in an earlier one.
-func (r *outcomeReconciler) fenceAnswered(fenced *attempt, answer *StopAnswer) {
+func (r *outcomeReconciler) handleFenceAnswer(fenced *attempt, answer *StopAnswer) {
 	fenced.stopInFlight = false
 	if !answer.Answered {
 		r.stopTimer(fenced.fenceTimer)
@@ -201,7 +201,7 @@
 }
 
 // stopAnswered handles the answer to a stop order for a running attempt.
-func (r *outcomeReconciler) stopAnswered(stopped *attempt, answer *StopAnswer) {
+func (r *outcomeReconciler) handleRunningStopAnswer(stopped *attempt, answer *StopAnswer) {
 	task := stopped.task
 	if answer.Answered {
 		r.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -124,8 +124,8 @@
 	r.stats.Shed++
 	request.close()
 	request.task.wasShed = true
-	r.discard(request)
-	request.task.attempts.fail("shed: " + shed.Reason)
+	r.removeIfUnused(request)
+	request.task.attempts.recordFailure("shed: " + shed.Reason)
 	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
@@ -174,12 +174,12 @@
 	if task.state != taskQueued {
 		r.post(placer.Event{Kind: placer.Withdrawn, TaskID: request.id})
 	}
-	r.discard(request)
+	r.removeIfUnused(request)
 }
 
 // ended handles the placer's final answer to a request that it did not place. If an attempt is still in flight, it was not answered by the
 // request's deadline.
-func (r *requestTable) ended(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
+func (r *requestTable) handleUnplaced(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
 	if request == nil || request.closed {
 		return
@@ -188,7 +188,7 @@
 	if pending := request.task.attempts.inFlight; pending != nil {
 		r.attempts.abandon(pending, placer.TimedOut)
 	}
-	r.discard(request)
+	r.removeIfUnused(request)
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
@@ -199,10 +199,10 @@
 }
 
 // release detaches a task from its last request, which has ended without a placement.
-func (r *requestTable) release(task *task) { task.request = nil }
+func (r *requestTable) clearRequest(task *task) { task.request = nil }
 
 // discard removes a closed request, unless one of its attempts is in flight or running: the placer identifies that by the request's number.
-func (r *requestTable) discard(request *placementRequest) {
+func (r *requestTable) removeIfUnused(request *placementRequest) {
 	if request.closed && !request.hasAttempt() {
 		delete(r.byID, request.id)
 	}
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -66,7 +66,7 @@
 
 // unplacedOutcome returns the outcome of a task that is not requested again: Rejected only if it certainly never ran.
 func (t *task) unplacedOutcome() taskOutcome {
-	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknown() {
+	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknownOutcome() {
 		return outcomeFailed
 	}
 	return outcomeRejected
@@ -78,7 +78,7 @@
 	if t.attempts.lastFailure != "" {
 		summary += "; last: " + t.attempts.lastFailure
 	}
-	if t.attempts.hasUnknown() {
+	if t.attempts.hasUnknownOutcome() {
 		summary += "; an attempt may have been accepted by " + t.attempts.unknown[0].node.name
 	}
 	return summary
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -20,7 +20,7 @@
 // retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice, 0 if it gave none.
 func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter placer.Seconds) {
 	l.tasks.setState(task, taskWaiting)
-	l.requests.release(task)
+	l.requests.clearRequest(task)
 	task.retryTimer = nil
 	if l.stopping {
 		task.retryBudget = 0
@@ -32,7 +32,7 @@
 		Deadline:       task.deadline,
 		Attempts:       task.requestsSubmitted,
 		RetriesLeft:    task.retryBudget,
-		OutcomeUnknown: task.attempts.hasUnknown(),
+		OutcomeUnknown: task.attempts.hasUnknownOutcome(),
 		MayHaveRun:     task.attempts.evidence == possiblyRan,
 		RetryAfter:     retryAfter,
 		Jitter:         l.rng.Float64(),
@@ -83,7 +83,7 @@
 // reportSettled notifies the Job of a task, if it has one, of the task's final outcome.
 func (l *taskLifecycle) reportSettled(task *task, outcome taskOutcome) {
 	if task.job != nil {
-		l.jobController.recordSettled(task, outcome)
+		l.jobController.recordOutcome(task, outcome)
 	}
 }
 
@@ -140,7 +140,7 @@
 	event := ended.endedEvent(l.now, end.result, end.reason)
 	event.Final = true
 	l.post(event)
-	l.requests.discard(ended.request)
+	l.requests.removeIfUnused(ended.request)
 	cause := l.countEnd(&end)
 	l.publisher.publishEnded(task, &end)
 	l.terminate(task, end.succeeded(), cause)
@@ -168,19 +168,19 @@
 	l.tasks.setState(task, taskTerminating)
 	l.outcomes.fenceAll(task)
 	if task.job != nil {
-		l.jobController.taskEnded(task, succeeded, cause)
+		l.jobController.recordTaskEnd(task, succeeded, cause)
 	}
-	l.discard(task)
+	l.removeIfResolved(task)
 }
 
 // discard removes a terminating task once no outcome is unknown, and its Pod if that was deleted.
-func (l *taskLifecycle) discard(task *task) {
-	if task.state != taskTerminating || task.attempts.hasUnknown() {
+func (l *taskLifecycle) removeIfResolved(task *task) {
+	if task.state != taskTerminating || task.attempts.hasUnknownOutcome() {
 		return
 	}
 	l.tasks.remove(task)
 	if task.deleted && l.publisher.podOf(task) != nil {
 		l.publisher.deletePod(task.namespace, task.name)
-		l.jobController.podRemoved(task)
+		l.jobController.recordPodRemoval(task)
 	}
 }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -72,10 +72,10 @@
 		{"a request is open only before it is placed", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
 		{"a retry is pending only while it waits", !t.retryTimer.Pending() || t.state == taskWaiting},
 		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
-		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknown()},
+		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknownOutcome()},
 		{"a task that is to stop has ended or is being stopped at its node", !t.isStopping() || t.state.onNode() || ended},
 		{"a deleted task is to stop", !t.deleted || t.isStopping()},
-		{"its unknown outcomes are known by their nodes", t.unknownOutcomesAreIndexed()},
+		{"its unknown outcomes are known by their nodes", t.nodesKnowUnknownOutcomes()},
 	} {
 		if !invariant.holds {
 			return "violated: " + invariant.description
@@ -85,7 +85,7 @@
 }
 
 // unknownOutcomesAreIndexed reports whether the nodes of all unknown outcomes know of them.
-func (t *task) unknownOutcomesAreIndexed() bool {
+func (t *task) nodesKnowUnknownOutcomes() bool {
 	for _, attempt := range t.attempts.unknown {
 		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
 			return false
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -73,7 +73,7 @@
 			"an attempt runs only on a node"},
 		{"retry while requested", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
 			"a retry is pending only while it waits"},
-		{"no task of its index", func(_ *Engine, corrupted *task) { corrupted.job.indexes.all[0].task = nil },
+		{"no task of its index", func(_ *Engine, corrupted *task) { corrupted.job.indexes.entries[0].task = nil },
 			"index 0 has a task only while it is active"},
 		{"another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 }, "the task of index 0 knows its Job and its index"},
 		{"active miscounted", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 }, "1 indexes are active, 0 are counted"},
@@ -83,7 +83,7 @@
 		{"deletion that waits for nothing", func(_ *Engine, corrupted *task) {
 			corrupted.job.deletion, corrupted.job.pods = jobDeletingForeground, nil
 		}, "kept only for its Pods"},
-		{"miscounted", func(engine *Engine, _ *task) { engine.tasks.open++ }, "1 tasks have no final outcome, 2 are counted"},
+		{"miscounted", func(engine *Engine, _ *task) { engine.tasks.openCount++ }, "1 tasks have no final outcome, 2 are counted"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine, corrupted := engineWithTask(t)
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -16,7 +16,7 @@
 		if task.state == taskQueued {
 			l.withdrawQueuedRequest(task)
 		}
-		if task.state == taskWaiting && !task.attempts.hasUnknown() {
+		if task.state == taskWaiting && !task.attempts.hasUnknownOutcome() {
 			l.settleUnplaced(task, task.unplacedOutcome(), stoppingMessage)
 		}
 	}
@@ -26,7 +26,7 @@
 // outcome of an earlier attempt is unknown, the next step must be decided here.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
-	if task.attempts.hasUnknown() {
+	if task.attempts.hasUnknownOutcome() {
 		l.retryOrSettle(task, retry.Shed, 0)
 		return
 	}
@@ -44,7 +44,7 @@
 		return
 	case task.state == taskTerminating:
 		l.outcomes.fenceAll(task)
-		l.discard(task)
+		l.removeIfResolved(task)
 		return
 	}
 	l.requests.withdraw(task)
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -9,8 +9,8 @@
 // taskTable owns the tasks of an Engine and their count. Only it changes the state of a task.
 type taskTable struct {
 	*environment
-	byUID map[types.UID]*task
-	open  int // tasks without a final outcome
+	byUID     map[types.UID]*task
+	openCount int // tasks without a final outcome
 }
 
 // get returns the task with a Pod's UID, nil if there is none.
@@ -25,14 +25,14 @@
 	t.stats.PodsCreated++
 	t.byUID[added.uid] = added
 	if !added.settled {
-		t.open++
+		t.openCount++
 	}
 }
 
 // settle records that the final outcome of a task is known.
 func (t *taskTable) settle(settled *task) {
 	settled.settled = true
-	t.open--
+	t.openCount--
 }
 
 // remove removes a task that has ended.
@@ -44,7 +44,7 @@
 // setState is the only place where a task changes its state. It makes an illegal transition too, which CheckInvariants reports.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !taskTransitions.permits(task.state, next) {
-		t.transitions.illegal("task %s goes from %s to %s", task.uid, task.state, next)
+		t.transitions.recordIllegal("task %s goes from %s to %s", task.uid, task.state, next)
 	}
 	task.state = next
 }
@@ -60,8 +60,8 @@
 			open++
 		}
 	}
-	if open != t.open {
-		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, t.open)
+	if open != t.openCount {
+		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, t.openCount)
 	}
 	return nil
 }
--- a/internal/kube/engine/transition_check.go
+++ b/internal/kube/engine/transition_check.go
@@ -12,11 +12,11 @@
 func (t transitionTable[S]) permits(from, next S) bool { return slices.Contains(t[from], next) }
 
 // transitionCheck records the first illegal transition of a task, a Job or an index, for CheckInvariants. The transition is made nevertheless.
-type transitionCheck struct{ first error }
+type transitionCheck struct{ firstError error }
 
 // illegal records an illegal transition.
-func (c *transitionCheck) illegal(format string, args ...any) {
-	if c.first == nil {
-		c.first = fmt.Errorf("engine: "+format, args...)
+func (c *transitionCheck) recordIllegal(format string, args ...any) {
+	if c.firstError == nil {
+		c.firstError = fmt.Errorf("engine: "+format, args...)
 	}
 }
