--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -171,7 +171,7 @@
 	}
 	node, running := t.nodes.get(answer.Node), task.attempts.running
 	if node != nil && (running == nil || running.node != node) {
-		t.stopCopy(node, task.podIdentity, answer.Attempt)
+		t.emitStopTask(node, task.podIdentity, answer.Attempt)
 	}
 }
 
@@ -187,7 +187,7 @@
 		return
 	}
 	t.stats.LateAnswers++
-	t.stopCopy(node, podIdentity{uid: answer.UID}, answer.Attempt)
+	t.emitStopTask(node, podIdentity{uid: answer.UID}, answer.Attempt)
 }
 
 // answered handles the answer to the attempt in flight.
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -24,18 +24,18 @@
 
 // attemptHistory is the record of the attempts of one task. Only its methods change it.
 type attemptHistory struct {
-	count       int        // over all requests
-	inFlight    *attempt   // the attempt that waits for its answer
-	running     *attempt   // the attempt that was accepted
-	unknown     []*attempt // attempts that may have been accepted
-	evidence    runEvidence
-	lastFailure string // why the last attempt or request failed
+	lastNumber      int        // over all requests
+	inFlight        *attempt   // the attempt that waits for its answer
+	running         *attempt   // the attempt that was accepted
+	unknownOutcomes []*attempt // attempts that may have been accepted
+	evidence        runEvidence
+	lastFailure     string // why the last attempt or request failed
 }
 
 // begin assigns the next number to an attempt and records that it is in flight.
 func (h *attemptHistory) begin(started *attempt) {
-	h.count++
-	started.number = h.count
+	h.lastNumber++
+	started.number = h.lastNumber
 	h.inFlight = started
 }
 
@@ -45,7 +45,7 @@
 // bind records that an attempt was accepted.
 func (h *attemptHistory) bind(accepted *attempt) {
 	h.running = accepted
-	h.count = max(h.count, accepted.number)
+	h.lastNumber = max(h.lastNumber, accepted.number)
 	h.raiseEvidence(possiblyAccepted)
 }
 
@@ -66,17 +66,17 @@
 
 // addUnknown records that the outcome of an attempt is unknown.
 func (h *attemptHistory) addUnknownOutcome(unresolved *attempt) {
-	h.unknown = append(h.unknown, unresolved)
+	h.unknownOutcomes = append(h.unknownOutcomes, unresolved)
 	h.raiseEvidence(possiblyAccepted)
 }
 
 // removeUnknown records that the outcome of an attempt is known, and reports whether it was unknown.
 func (h *attemptHistory) removeUnknownOutcome(resolved *attempt) bool {
-	i := slices.Index(h.unknown, resolved)
+	i := slices.Index(h.unknownOutcomes, resolved)
 	if i < 0 {
 		return false
 	}
-	h.unknown = slices.Delete(h.unknown, i, i+1)
+	h.unknownOutcomes = slices.Delete(h.unknownOutcomes, i, i+1)
 	return true
 }
 
@@ -86,16 +86,16 @@
 func (h *attemptHistory) raiseEvidence(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
 
 // hasUnknown reports whether the outcome of an attempt is unknown.
-func (h *attemptHistory) hasUnknownOutcome() bool { return len(h.unknown) > 0 }
+func (h *attemptHistory) hasUnknownOutcome() bool { return len(h.unknownOutcomes) > 0 }
 
 // isUnknown reports whether the outcome of this attempt is unknown.
 func (h *attemptHistory) isOutcomeUnknown(attempt *attempt) bool {
-	return slices.Contains(h.unknown, attempt)
+	return slices.Contains(h.unknownOutcomes, attempt)
 }
 
 // unknownAt returns the attempt with unknown outcome that a node's answer names, nil if there is none.
 func (h *attemptHistory) unknownOutcomeAt(node string, number int) *attempt {
-	for _, unresolved := range h.unknown {
+	for _, unresolved := range h.unknownOutcomes {
 		if unresolved.matches(node, number) {
 			return unresolved
 		}
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -55,7 +55,7 @@
 }
 
 // stopCopy orders a node to stop a task, and not to accept attempts up to a number.
-func (env *environment) stopCopy(node *node, pod podIdentity, number int) {
+func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
 		Kind:      StopTask,
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -87,7 +87,7 @@
 }
 
 // skipAll keeps every index from being started until restart is called for it.
-func (t *indexTable) skipAll() { t.nextUnstarted = len(t.entries) }
+func (t *indexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
 // start assigns a new task to an index.
 func (t *indexTable) start(i int, started *task) {
@@ -154,7 +154,7 @@
 }
 
 // failUnseen fails an index of a rebuilt Job whose task may have run.
-func (t *indexTable) failUnseen(i int) {
+func (t *indexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.settle(i, outcomeFailed) {
 		t.unplacedMayHaveRun = true
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -147,9 +147,9 @@
 	pod.GenerateName = fmt.Sprintf("%s-%d-", object.Name, task.index)
 	pod.CreationTimestamp = s.apiNow()
 	pod.OwnerReferences = []metav1.OwnerReference{jobOwnerReference(task.job)}
-	pod.Labels = cloneOrMake(object.Spec.Template.Labels)
+	pod.Labels = cloneOrEmpty(object.Spec.Template.Labels)
 	pod.Labels[wellknown.Index] = index
-	pod.Annotations = cloneOrMake(object.Spec.Template.Annotations)
+	pod.Annotations = cloneOrEmpty(object.Spec.Template.Annotations)
 	pod.Annotations[wellknown.Index] = index
 	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(task.deadline)
 	pod.Status.Phase = corev1.PodPending
@@ -158,7 +158,7 @@
 }
 
 // cloneOrMake returns a copy that may be written to.
-func cloneOrMake(original map[string]string) map[string]string {
+func cloneOrEmpty(original map[string]string) map[string]string {
 	if original == nil {
 		return map[string]string{}
 	}
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -113,8 +113,8 @@
 	if index, ok := table.takeNext(parallelism); !ok || index != 1 {
 		t.Errorf("index %d, %v is next, want the restarted one", index, ok)
 	}
-	table.failUnseen(1)
-	table.failUnseen(2)
+	table.failUnreported(1)
+	table.failUnreported(2)
 	if table.failedTasks != 3 || table.failedIndexes != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
 		t.Errorf("after the last failures: %+v", table)
 	}
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -41,7 +41,7 @@
 
 // overrideLabels makes the API show the labels of an update, except for those that only the inventory sets.
 func (n *node) overrideLabels(labels map[string]string) {
-	n.labelOverride = cloneOrMake(labels)
+	n.labelOverride = cloneOrEmpty(labels)
 	n.publishPending = true
 }
 
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -64,14 +64,14 @@
 		o.observeRunning(task, pod, deleted)
 		return
 	}
-	for _, unresolved := range task.attempts.unknown {
+	for _, unresolved := range task.attempts.unknownOutcomes {
 		if unresolved.node == node {
 			o.outcomes.observe(unresolved, observedAt(node, pod, deleted))
 			return
 		}
 	}
 	if !over {
-		o.stopCopy(node, task.podIdentity, task.attempts.count)
+		o.emitStopTask(node, task.podIdentity, task.attempts.lastNumber)
 	}
 }
 
@@ -84,15 +84,15 @@
 func (o *podObserver) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
 	case pod.Status.Phase == corev1.PodSucceeded:
-		o.lifecycle.started(task)
-		o.lifecycle.ended(task, taskEnd{result: placer.Finished})
+		o.lifecycle.recordStart(task)
+		o.lifecycle.recordEnd(task, taskEnd{result: placer.Finished})
 	case pod.Status.Phase == corev1.PodFailed:
-		o.lifecycle.ended(task, failedEnd(task, pod))
+		o.lifecycle.recordEnd(task, failedEnd(task, pod))
 	case deleted:
 		o.runningMissing(task)
 	default:
 		if pod.Status.Phase == corev1.PodRunning {
-			o.lifecycle.started(task)
+			o.lifecycle.recordStart(task)
 		}
 		o.reportUsage(task.attempts.running, pod)
 	}
@@ -119,7 +119,7 @@
 
 // failedEnd describes the end of a task whose Pod the node reports as failed.
 func failedEnd(task *task, pod *corev1.Pod) taskEnd {
-	end := taskEnd{result: placer.Lost, status: pod.Status.Reason, message: pod.Status.Message}
+	end := taskEnd{result: placer.Lost, podReason: pod.Status.Reason, podMessage: pod.Status.Message}
 	switch pod.Status.Reason {
 	case wellknown.Evicted:
 		end.reason = placer.Evicted
@@ -130,7 +130,7 @@
 	case wellknown.Stopped, wellknown.NeverStarted:
 		end.result = placer.Cancelled
 		if task.isStopping() {
-			end.status = string(task.stopReason)
+			end.podReason = string(task.stopReason)
 		}
 	case reasonError:
 		end.result = placer.Finished
@@ -141,9 +141,9 @@
 // runningMissing ends a task that its node no longer has.
 func (o *podObserver) runningMissing(task *task) {
 	if task.isStopping() {
-		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
+		o.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
 	message := task.attempts.running.node.name + " no longer reports it"
-	o.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
+	o.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: message})
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -121,7 +121,7 @@
 	unresolved.stopInFlight = true
 	unresolved.stopsSent++
 	task := unresolved.task
-	r.stopCopy(unresolved.node, task.podIdentity, unresolved.number)
+	r.emitStopTask(unresolved.node, task.podIdentity, unresolved.number)
 }
 
 // scheduleFence fences an attempt after a delay.
@@ -135,7 +135,7 @@
 
 // fenceAll fences all attempts of a task at once.
 func (r *outcomeReconciler) fenceAll(task *task) {
-	for _, unresolved := range slices.Clone(task.attempts.unknown) {
+	for _, unresolved := range slices.Clone(task.attempts.unknownOutcomes) {
 		r.stopTimer(unresolved.fenceTimer)
 		unresolved.fenceTimer = nil
 		r.fence(unresolved)
@@ -204,7 +204,7 @@
 func (r *outcomeReconciler) handleRunningStopAnswer(stopped *attempt, answer *StopAnswer) {
 	task := stopped.task
 	if answer.Answered {
-		r.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
+		r.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
 	stopped.stopsSent++
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -46,7 +46,7 @@
 	attempts attemptHistory
 
 	stopReason stopReason
-	deleted    bool // the Pod is removed as soon as the task has ended
+	podDeleted bool // the Pod is removed as soon as the task has ended
 }
 
 // joinJob attaches a task that was found running to an index of its Job.
@@ -79,7 +79,7 @@
 		summary += "; last: " + t.attempts.lastFailure
 	}
 	if t.attempts.hasUnknownOutcome() {
-		summary += "; an attempt may have been accepted by " + t.attempts.unknown[0].node.name
+		summary += "; an attempt may have been accepted by " + t.attempts.unknownOutcomes[0].node.name
 	}
 	return summary
 }
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -102,7 +102,7 @@
 }
 
 // started records that the node of a bound task reports it as running.
-func (l *taskLifecycle) started(task *task) {
+func (l *taskLifecycle) recordStart(task *task) {
 	if task.state == taskRunning {
 		return
 	}
@@ -114,23 +114,23 @@
 
 // taskEnd describes the end of a task that a node had accepted.
 type taskEnd struct {
-	result  placer.Result
-	reason  placer.Reason
-	status  string // the reason in the Pod's status; "" unless the task failed or was stopped
-	message string // the message in the Pod's status
+	result     placer.Result
+	reason     placer.Reason
+	podReason  string // the reason in the Pod's status; "" unless the task failed or was stopped
+	podMessage string // the message in the Pod's status
 }
 
 // succeeded reports whether the task ended by itself with success.
-func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.status == "" }
+func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.podReason == "" }
 
 // migrated reports whether the engine stopped the task to start it elsewhere.
 func (end *taskEnd) migrated() bool {
-	reason := stopReason(end.status)
+	reason := stopReason(end.podReason)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
 }
 
 // ended ends a task that a node had accepted. It does nothing if no attempt of the task is running.
-func (l *taskLifecycle) ended(task *task, end taskEnd) {
+func (l *taskLifecycle) recordEnd(task *task, end taskEnd) {
 	ended := task.attempts.unbind()
 	if ended == nil {
 		return
@@ -179,7 +179,7 @@
 		return
 	}
 	l.tasks.remove(task)
-	if task.deleted && l.publisher.podOf(task) != nil {
+	if task.podDeleted && l.publisher.podOf(task) != nil {
 		l.publisher.deletePod(task.namespace, task.name)
 		l.jobController.recordPodRemoval(task)
 	}
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -74,7 +74,7 @@
 		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
 		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknownOutcome()},
 		{"a task that is to stop has ended or is being stopped at its node", !t.isStopping() || t.state.onNode() || ended},
-		{"a deleted task is to stop", !t.deleted || t.isStopping()},
+		{"a deleted task is to stop", !t.podDeleted || t.isStopping()},
 		{"its unknown outcomes are known by their nodes", t.nodesKnowUnknownOutcomes()},
 	} {
 		if !invariant.holds {
@@ -86,7 +86,7 @@
 
 // unknownOutcomesAreIndexed reports whether the nodes of all unknown outcomes know of them.
 func (t *task) nodesKnowUnknownOutcomes() bool {
-	for _, attempt := range t.attempts.unknown {
+	for _, attempt := range t.attempts.unknownOutcomes {
 		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
 			return false
 		}
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -63,9 +63,9 @@
 		{"created", func(_ *Engine, corrupted *task) { corrupted.state = taskCreated }, "it is kept"},
 		{"settled early", func(_ *Engine, corrupted *task) { corrupted.settled = true }, "its outcome is final once"},
 		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
-		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.deleted = true }, "a deleted task is to stop"},
+		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true }, "a deleted task is to stop"},
 		{"unknown to its node", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
+			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
 		}, "its unknown outcomes are known by their nodes"},
 		{"two attempts", func(engine *Engine, corrupted *task) {
 			corrupted.attempts.running = &attempt{node: engine.nodes.get(nodeName)}
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -59,7 +59,7 @@
 // stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
 func (l *taskLifecycle) stopRunning(task *task) {
 	if running := task.attempts.running; running != nil {
-		l.stopCopy(running.node, task.podIdentity, running.number)
+		l.emitStopTask(running.node, task.podIdentity, running.number)
 	}
 }
 
