--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestRunEvidenceOnlyGrows(t *testing.T) {
+func TestRunEvidenceNeverDecreases(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		play func(history *attemptHistory, made *attempt)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestUnknownOutcomesAreFoundByTheirNode(t *testing.T) {
+func TestUnknownOutcomeLookup(t *testing.T) {
 	history := &attemptHistory{}
 	unresolved := &attempt{node: &node{name: "n"}, number: 2}
 	history.addUnknownOutcome(unresolved)
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -15,20 +15,20 @@
 // their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
 
 // TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
-func TestCharacterizeMoves(t *testing.T) {
+func TestCharacterizeMigrations(t *testing.T) {
 	played := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
 	})
 	played.advance(played.now + 5)
 	for i, node := range played.nodes {
-		pod := foundPod(played.config.Name, i)
+		pod := runningPod(played.config.Name, i)
 		node.pods = append(node.pods, pod)
 		played.engine.NodePod(played.now, node.name, pod, false)
-		played.observe()
+		played.recordState()
 	}
 	for i := range 20 {
-		played.create(false)
-		played.observe()
+		played.createJob(false)
+		played.recordState()
 		played.advance(played.now + 2)
 		if i%5 == 4 {
 			played.checkpoint(fmt.Sprintf("step %d", i+1))
@@ -38,11 +38,11 @@
 		t.Error("nothing was moved")
 	}
 	played.finish()
-	played.record.Check(t, "script-moves")
+	played.recorder.Check(t, "script-moves")
 }
 
 // foundPod returns a Pod that a scheduler before this one has placed.
-func foundPod(scheduler string, number int) *corev1.Pod {
+func runningPod(scheduler string, number int) *corev1.Pod {
 	pod := &corev1.Pod{}
 	pod.Name = fmt.Sprintf("found-%d", number)
 	pod.Namespace = "default"
@@ -82,8 +82,8 @@
 		t.Run(run.name, func(t *testing.T) {
 			played := newScript(t, run.seed, run.change)
 			for i := range run.steps {
-				played.step()
-				played.advance(played.now + played.delay(0, 0.3))
+				played.makeRandomCall()
+				played.advance(played.now + played.randomDelay(0, 0.3))
 				if run.restarts && i%60 == 59 {
 					played.restart()
 				}
@@ -92,7 +92,7 @@
 				}
 			}
 			played.finish()
-			played.record.Check(t, "script-"+run.name)
+			played.recorder.Check(t, "script-"+run.name)
 		})
 	}
 }
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -15,7 +15,7 @@
 
 // TestWarmupUsesOwnClock: the start of a node is taken by the scheduler's clock. A node whose clock is behind must warm up after a start,
 // and one whose clock is ahead must not warm up for ever.
-func TestWarmupUsesOwnClock(t *testing.T) {
+func TestWarmUpUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
 		name          string
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -12,10 +12,10 @@
 
 // The tests of this package use one node, one class and one Job, with these names.
 const (
-	nodeName  = "n"
-	jobName   = "j"
-	className = "c"
-	typeName  = "k"
+	nodeName     = "n"
+	jobName      = "j"
+	className    = "c"
+	nodeTypeName = "k"
 )
 
 // Times of the tests. The node is listed first, and the Job is created after that.
@@ -29,7 +29,7 @@
 	return Config{
 		Name:      "s",
 		Classes:   []string{className},
-		NodeTypes: []string{typeName},
+		NodeTypes: []string{nodeTypeName},
 		Placer: placer.Config{
 			Peers:        placer.Peers{Total: 1},
 			Classes:      []placer.Class{{LatencyObjective: 1, Deadline: 8, NodeType: -1, SaturationThreshold: 1, DegradationRange: 1}},
@@ -60,7 +60,7 @@
 func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
-	node.Labels = map[string]string{wellknown.Kind: typeName}
+	node.Labels = map[string]string{wellknown.Kind: nodeTypeName}
 	node.Annotations = map[string]string{}
 	if started > 0 {
 		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -13,13 +13,13 @@
 }
 
 // machine is a state machine in its initial state, with the first illegal transition that it has recorded.
-type machine[S any] struct {
+type stateMachine[S any] struct {
 	setState     func(next S)
 	firstIllegal func() error
 }
 
 // checkPaths takes a new machine along each path, and compares the first illegal transition.
-func checkPaths[S any](t *testing.T, newMachine func(t *testing.T) machine[S], paths []statePath[S]) {
+func checkStatePaths[S any](t *testing.T, newMachine func(t *testing.T) stateMachine[S], paths []statePath[S]) {
 	t.Helper()
 	for _, test := range paths {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,11 +39,11 @@
 }
 
 func TestJobProgressTransitions(t *testing.T) {
-	newMachine := func(*testing.T) machine[jobProgress] {
+	newMachine := func(*testing.T) stateMachine[jobProgress] {
 		check := &transitionCheck{}
-		return machine[jobProgress]{(&job{key: "default/j", transitions: check}).setProgress, func() error { return check.firstError }}
+		return stateMachine[jobProgress]{(&job{key: "default/j", transitions: check}).setProgress, func() error { return check.firstError }}
 	}
-	checkPaths(t, newMachine, []statePath[jobProgress]{
+	checkStatePaths(t, newMachine, []statePath[jobProgress]{
 		{"all indexes end", []jobProgress{jobEnded}, ""},
 		{"fails as a whole", []jobProgress{jobFailing, jobFailed}, ""},
 		{"fails without stopping its tasks", []jobProgress{jobFailed}, "goes from running to failed"},
@@ -54,11 +54,11 @@
 }
 
 func TestJobDeletionTransitions(t *testing.T) {
-	newMachine := func(*testing.T) machine[jobDeletion] {
+	newMachine := func(*testing.T) stateMachine[jobDeletion] {
 		check := &transitionCheck{}
-		return machine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.firstError }}
+		return stateMachine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.firstError }}
 	}
-	checkPaths(t, newMachine, []statePath[jobDeletion]{
+	checkStatePaths(t, newMachine, []statePath[jobDeletion]{
 		{"in the background", []jobDeletion{jobDeleted}, ""},
 		{"in the foreground", []jobDeletion{jobDeletingForeground, jobDeleted}, ""},
 		{"twice", []jobDeletion{jobDeleted, jobDeleted}, "goes from deleted to deleted"},
@@ -68,12 +68,12 @@
 }
 
 func TestIndexTransitions(t *testing.T) {
-	newMachine := func(*testing.T) machine[indexState] {
+	newMachine := func(*testing.T) stateMachine[indexState] {
 		check := &transitionCheck{}
 		table := newIndexTable("default/j", check, 1, 0)
-		return machine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.firstError }}
+		return stateMachine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.firstError }}
 	}
-	checkPaths(t, newMachine, []statePath[indexState]{
+	checkStatePaths(t, newMachine, []statePath[indexState]{
 		{"succeeds", []indexState{indexActive, indexRetrying, indexFinished}, ""},
 		{"is retried", []indexState{indexActive, indexRetrying, indexActive}, ""},
 		{"starts anew after a suspension", []indexState{indexActive, indexRetrying, indexPending, indexActive}, ""},
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestDeletedJobsDoNotPileUp checks that the list of finished Jobs is bounded by the number of Jobs in the table.
-func TestDeletedJobsDoNotPileUp(t *testing.T) {
+func TestFinishedListIsBounded(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
 		finished := finishedJob(table, "default/j")
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestRemovedJobIsNotHeld(t *testing.T) {
+func TestRemoveIgnoresOtherJobWithSameKey(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	first, second := &job{key: "default/j"}, &job{key: "default/j"}
 	table.add(first)
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -16,7 +16,7 @@
 func pointer[T any](value T) *T { return &value }
 
 // job draws a Job, now and then one that is not valid.
-func (s *script) job() *batchv1.Job {
+func (s *script) randomJob() *batchv1.Job {
 	drawn := &batchv1.Job{}
 	drawn.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
 	drawn.Name = fmt.Sprintf("job-%03d", len(s.jobs))
@@ -33,12 +33,12 @@
 	drawn.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
 		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
 			corev1.ResourceMemory: *resource.NewQuantity(int64(1+s.rng.IntN(4))<<30, resource.BinarySI)}}}}
-	s.vary(drawn)
+	s.varyJob(drawn)
 	return drawn
 }
 
 // vary draws settings of a Job that few Jobs have.
-func (s *script) vary(drawn *batchv1.Job) {
+func (s *script) varyJob(drawn *batchv1.Job) {
 	switch s.rng.IntN(24) {
 	case 0:
 		drawn.Name, drawn.GenerateName = "", "generated-"
@@ -65,17 +65,17 @@
 	}
 }
 
-func (s *script) create(dry bool) {
-	job := s.job()
+func (s *script) createJob(dry bool) {
+	job := s.randomJob()
 	created, err := s.engine.CreateJob(s.now, job, dry)
-	s.result(created, err)
+	s.recordResult(created, err)
 	if err == nil && !dry {
 		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
 	}
 }
 
 // pick draws a stored object of a table, the n-th in order of key.
-func (s *script) pick(table store.Resource) store.Object {
+func (s *script) randomObject(table store.Resource) store.Object {
 	snapshot := s.engine.Store().Snapshot(table)
 	if snapshot.Len() == 0 {
 		return nil
@@ -91,7 +91,7 @@
 }
 
 func (s *script) updateJob() {
-	object := s.pick(store.Jobs)
+	object := s.randomObject(store.Jobs)
 	if object == nil {
 		return
 	}
@@ -117,11 +117,11 @@
 	case 13:
 		update.Name += "-missing"
 	}
-	s.result(s.engine.UpdateJob(s.now, update, dry))
+	s.recordResult(s.engine.UpdateJob(s.now, update, dry))
 }
 
 func (s *script) deleteJob() {
-	object := s.pick(store.Jobs)
+	object := s.randomObject(store.Jobs)
 	if object == nil {
 		return
 	}
@@ -138,11 +138,11 @@
 	case 3, 4, 5, 6:
 		uid, revision = "", ""
 	}
-	s.result(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how))
+	s.recordResult(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how))
 }
 
 func (s *script) stopPod(evict bool) {
-	object := s.pick(store.Pods)
+	object := s.randomObject(store.Pods)
 	if object == nil {
 		return
 	}
@@ -154,14 +154,14 @@
 		uid = "other"
 	}
 	if evict {
-		s.result(nil, s.engine.EvictPod(s.now, object.GetNamespace(), name, uid))
+		s.recordResult(nil, s.engine.EvictPod(s.now, object.GetNamespace(), name, uid))
 		return
 	}
-	s.result(s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, ""))
+	s.recordResult(s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, ""))
 }
 
 func (s *script) updateNode() {
-	object := s.pick(store.Nodes)
+	object := s.randomObject(store.Nodes)
 	if object == nil {
 		return
 	}
@@ -182,5 +182,5 @@
 	case 9:
 		update.Name = "missing"
 	}
-	s.result(s.engine.UpdateNode(s.now, update, order, dry))
+	s.recordResult(s.engine.UpdateNode(s.now, update, order, dry))
 }
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -24,7 +24,7 @@
 const scriptStart placer.Seconds = 1.8e9
 
 // delayed is a call of the engine that is due later.
-type delayed struct {
+type delayedCall struct {
 	at          placer.Seconds
 	sequence    int
 	incarnation int
@@ -33,21 +33,21 @@
 
 // script drives one engine through seeded calls and records all that is observable after each call.
 type script struct {
-	t           *testing.T
-	rng         *rand.Rand
-	config      engine.Config
-	engine      *engine.Engine
-	incarnation int
-	now         placer.Seconds
-	nodes       []*fakeNode
-	queue       []delayed
-	sequence    int
-	revision    int64
-	jobs        []string
-	record      *goldentest.Recorder
-	kinds       [8]int64 // effects by kind
-	changes     [4][3]int64
-	failures    map[string]int64
+	t            *testing.T
+	rng          *rand.Rand
+	config       engine.Config
+	engine       *engine.Engine
+	incarnation  int
+	now          placer.Seconds
+	nodes        []*fakeNode
+	delayedCalls []delayedCall
+	sequence     int
+	revision     int64
+	jobs         []string
+	recorder     *goldentest.Recorder
+	effectCounts [8]int64 // effects by kind
+	changeCounts [4][3]int64
+	errorCounts  map[string]int64
 }
 
 func newScript(t *testing.T, seed uint64, change func(*engine.Config)) *script {
@@ -59,8 +59,8 @@
 	if change != nil {
 		change(&config)
 	}
-	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: goldentest.NewRecorder(),
-		failures: map[string]int64{}}
+	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, recorder: goldentest.NewRecorder(),
+		errorCounts: map[string]int64{}}
 	for i := range 10 {
 		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
 	}
@@ -79,42 +79,42 @@
 		s.t.Fatal(err)
 	}
 	s.engine, s.revision = created, config.BaseRevision
-	s.observe()
-	s.after(0.05, s.fullList)
+	s.recordState()
+	s.schedule(0.05, s.fullList)
 }
 
 // delay draws a delay from least up to least and spread.
-func (s *script) delay(least, spread float64) placer.Seconds {
+func (s *script) randomDelay(least, spread float64) placer.Seconds {
 	return placer.Seconds(least + spread*s.rng.Float64())
 }
 
 // after schedules a call of the present engine. It is not made if that engine is replaced before.
-func (s *script) after(delay placer.Seconds, call func()) {
+func (s *script) schedule(delay placer.Seconds, call func()) {
 	s.sequence++
-	s.queue = append(s.queue, delayed{s.now + delay, s.sequence, s.incarnation, call})
+	s.delayedCalls = append(s.delayedCalls, delayedCall{s.now + delay, s.sequence, s.incarnation, call})
 }
 
 // observe records effects and changes, checks the engine's invariants, and lets the nodes react to effects.
-func (s *script) observe() {
+func (s *script) recordState() {
 	if err := s.engine.CheckInvariants(); err != nil {
 		s.t.Fatal(err)
 	}
 	for _, effect := range s.engine.Ready(nil) {
 		s.recordEffect(&effect)
-		s.carryOut(effect)
+		s.handleEffect(effect)
 	}
 	s.recordChanges()
-	s.record.Floats(float64(s.engine.NextWake()), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
+	s.recorder.Floats(float64(s.engine.NextWake()), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
 	listed, watched := s.engine.NodeCounts()
-	s.record.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
+	s.recorder.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
 }
 
 func (s *script) recordEffect(effect *engine.Effect) {
-	s.kinds[effect.Kind]++
-	s.record.Integers(int64(effect.Kind), int64(effect.Attempt))
-	s.record.Texts(effect.Node, effect.Address, string(effect.UID), effect.Namespace, effect.Name)
-	s.record.Floats(float64(effect.Deadline))
-	s.record.Booleans(effect.AvoidUnknownOutcome, effect.Pod != nil)
+	s.effectCounts[effect.Kind]++
+	s.recorder.Integers(int64(effect.Kind), int64(effect.Attempt))
+	s.recorder.Texts(effect.Node, effect.Address, string(effect.UID), effect.Namespace, effect.Name)
+	s.recorder.Floats(float64(effect.Deadline))
+	s.recorder.Booleans(effect.AvoidUnknownOutcome, effect.Pod != nil)
 	if effect.Pod != nil {
 		s.recordObject(effect.Pod)
 	}
@@ -129,8 +129,8 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.record.Bytes(binary)
-	s.record.Bytes(text)
+	s.recorder.Bytes(binary)
+	s.recorder.Bytes(text)
 }
 
 // recordChanges records the changes of all tables since the last call, in order of revision.
@@ -142,29 +142,29 @@
 	var entries []tableChange
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		changes, err := s.engine.Store().Since(table, s.revision, math.MaxInt32)
-		s.record.Error(err)
+		s.recorder.Error(err)
 		for _, change := range changes {
 			entries = append(entries, tableChange{table, change})
 		}
 	}
 	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
 	for _, entry := range entries {
-		s.changes[entry.table][entry.change.Op]++
-		s.record.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Rev)
+		s.changeCounts[entry.table][entry.change.Op]++
+		s.recorder.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Rev)
 		s.recordObject(entry.change.Object.(interface{ Marshal() ([]byte, error) }))
-		s.record.Booleans(entry.change.Prev != nil)
+		s.recorder.Booleans(entry.change.Prev != nil)
 		if entry.change.Prev != nil {
-			s.record.Texts(entry.change.Prev.GetResourceVersion())
+			s.recorder.Texts(entry.change.Prev.GetResourceVersion())
 		}
 	}
 	s.revision = s.engine.Store().Rev()
 }
 
 // result records what a call returned.
-func (s *script) result(object interface{ Marshal() ([]byte, error) }, err error) {
-	s.record.Error(err)
+func (s *script) recordResult(object interface{ Marshal() ([]byte, error) }, err error) {
+	s.recorder.Error(err)
 	if err != nil {
-		s.failures[err.Error()]++
+		s.errorCounts[err.Error()]++
 		return
 	}
 	if object != nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *script) node(name string) *fakeNode {
+func (s *script) nodeByName(name string) *fakeNode {
 	for _, node := range s.nodes {
 		if node.name == name {
 			return node
@@ -181,24 +181,24 @@
 	return nil
 }
 
-func (s *script) carryOut(effect engine.Effect) {
+func (s *script) handleEffect(effect engine.Effect) {
 	switch effect.Kind {
 	case engine.SendAttempt:
 		s.answerAttempt(effect)
 	case engine.StopTask:
 		s.answerStop(effect)
 	case engine.WatchNode:
-		s.after(s.delay(0.02, 0.1), func() { s.listPods(s.node(effect.Node)) })
+		s.schedule(s.randomDelay(0.02, 0.1), func() { s.listPods(s.nodeByName(effect.Node)) })
 	case engine.RelistNodes:
-		s.after(0.05, s.fullList)
+		s.schedule(0.05, s.fullList)
 	}
 }
 
 // step makes one random call.
-func (s *script) step() {
+func (s *script) makeRandomCall() {
 	switch draw := s.rng.IntN(100); {
 	case draw < 50:
-		s.create(s.rng.IntN(10) == 0)
+		s.createJob(s.rng.IntN(10) == 0)
 	case draw < 58:
 		s.updateJob()
 	case draw < 63:
@@ -212,19 +212,19 @@
 	default:
 		s.nodeFault()
 	}
-	s.observe()
+	s.recordState()
 }
 
 // advance goes on to a time, with all timers and delayed calls up to it in order.
 func (s *script) advance(until placer.Seconds) {
 	for {
 		next := s.engine.NextWake()
-		slices.SortStableFunc(s.queue, func(left, right delayed) int {
+		slices.SortStableFunc(s.delayedCalls, func(left, right delayedCall) int {
 			return cmp.Or(cmp.Compare(left.at, right.at), cmp.Compare(left.sequence, right.sequence))
 		})
-		queued := len(s.queue) > 0 && s.queue[0].at < next
+		queued := len(s.delayedCalls) > 0 && s.delayedCalls[0].at < next
 		if queued {
-			next = s.queue[0].at
+			next = s.delayedCalls[0].at
 		}
 		if next > until {
 			break
@@ -232,14 +232,14 @@
 		s.now = max(s.now, next)
 		if !queued {
 			s.engine.Tick(s.now)
-			s.observe()
+			s.recordState()
 			continue
 		}
-		due := s.queue[0]
-		s.queue = s.queue[1:]
+		due := s.delayedCalls[0]
+		s.delayedCalls = s.delayedCalls[1:]
 		if due.incarnation == 0 || due.incarnation == s.incarnation {
 			due.call()
-			s.observe()
+			s.recordState()
 		}
 	}
 	s.now = until
@@ -254,11 +254,11 @@
 		stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers,
 	}
 	for _, counter := range counters {
-		s.record.Integers(int64(counter))
+		s.recorder.Integers(int64(counter))
 	}
-	s.record.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v",
-		label, s.kinds, s.changes, s.engine.OpenTasks(), s.revision, counters)
-	s.record.Checkpoint(label)
+	s.recorder.Line("%s: effects %v; changes %v; open %d; revision %d; counters %v",
+		label, s.effectCounts, s.changeCounts, s.engine.OpenTasks(), s.revision, counters)
+	s.recorder.Checkpoint(label)
 }
 
 // finish lets everything end, stops the engine while new tasks wait, and records the errors that occurred and the final state of all
@@ -267,23 +267,23 @@
 	s.advance(s.now + 90)
 	s.checkpoint("before the stop")
 	for range 12 {
-		s.create(false)
-		s.observe()
+		s.createJob(false)
+		s.recordState()
 	}
 	s.advance(s.now + 0.002)
 	s.engine.Stop(s.now)
-	s.observe()
-	s.create(false)
-	s.observe()
+	s.recordState()
+	s.createJob(false)
+	s.recordState()
 	s.advance(s.now + 60)
 	s.checkpoint("after the stop")
 	s.engine.Store().Snapshot(store.Pods).Scan("", "", func(key string, change *store.Change) bool {
 		pod := change.Object.(*corev1.Pod)
-		s.record.Texts(key, string(pod.Status.Phase), pod.Status.Reason, wellknown.SettledReason(pod))
+		s.recorder.Texts(key, string(pod.Status.Phase), pod.Status.Reason, wellknown.SettledReason(pod))
 		return true
 	})
 	s.checkpoint("final tasks")
-	for _, text := range slices.Sorted(maps.Keys(s.failures)) {
-		s.record.Line("error %d times: %s", s.failures[text], text)
+	for _, text := range slices.Sorted(maps.Keys(s.errorCounts)) {
+		s.recorder.Line("error %d times: %s", s.errorCounts[text], text)
 	}
 }
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -27,12 +27,12 @@
 }
 
 func TestTaskTransitions(t *testing.T) {
-	newMachine := func(t *testing.T) machine[taskState] {
+	newMachine := func(t *testing.T) stateMachine[taskState] {
 		t.Helper()
 		engine, walked := newEngine(t), &task{podIdentity: podIdentity{uid: "u"}}
-		return machine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
+		return stateMachine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
 	}
-	checkPaths(t, newMachine, []statePath[taskState]{
+	checkStatePaths(t, newMachine, []statePath[taskState]{
 		{"placed at once", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
 		{"queued, rejected by a node, retried", []taskState{taskQueued, taskSubmitted, taskAttempting, taskSubmitted, taskWaiting,
 			taskSubmitted, taskAttempting, taskBound}, ""},
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestInvariantsAreChecked(t *testing.T) {
+func TestCheckInvariantsReportsCorruption(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		corrupt func(engine *Engine, corrupted *task)
