--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -162,7 +162,7 @@
 	recordValues(record, slowStart.MinPace, slowStart.Duration, slowStart.OverloadMultiple, slowStart.OverloadWindow, slowStart.MaxAttempts)
 	recordValues(record, policy.Retry.UnknownOutcomeWait)
 	recordValues(record, policy.Costs.Node, policy.Costs.CrossZone, policy.Costs.Migration, policy.OverQuotaWeight)
-	recordValues(record, limits.MaxQueued, derived.MaxHistory, derived.MaxObjects, derived.History, derived.MaxPods)
+	recordValues(record, limits.MaxQueued, derived.MaxHistoryBytes, derived.MaxObjectBytes, derived.HistoryEntries, derived.MaxPods)
 	recordValues(record, derived.DefaultClass, derived.Seed, derived.BaseRevision, policy.Peers.Self, policy.Peers.Total, attempts.Max)
 	recordValues(record, limits.Disabled, behavior.AcknowledgesOnStart, behavior.ListShowsCapacity, behavior.ReportsUsage, behavior.Preempts)
 	for i, class := range policy.Classes {
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -50,7 +50,7 @@
 			Connections:     16384,
 			MaxBodyBytes:    3 << 20,
 			MaxPods:         engine.DefaultMaxPods,
-			History:         engine.DefaultHistory,
+			History:         engine.DefaultHistoryEntries,
 			FinishedTTL:     DurationOf(time.Hour),
 			NodeLossTimeout: Duration(engine.DefaultNodeLossTimeout),
 		},
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -17,13 +17,13 @@
 func (s *Settings) Engine(seed uint64, baseRev int64) engine.Config {
 	memory := memquota.Divide(int64(s.Limits.MemoryMiB) << 20)
 	cfg := engine.Config{
-		MaxHistory:      memory.History,
-		MaxObjects:      memory.Objects,
+		MaxHistoryBytes: memory.History,
+		MaxObjectBytes:  memory.Objects,
 		Name:            s.Name,
 		Zone:            s.Zone,
 		Seed:            seed,
 		BaseRevision:    baseRev,
-		History:         s.Limits.History,
+		HistoryEntries:  s.Limits.History,
 		MaxPods:         s.Limits.MaxPods,
 		FinishedTTL:     placer.Seconds(s.Limits.FinishedTTL),
 		NodeLossTimeout: placer.Seconds(s.Limits.NodeLossTimeout),
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -67,7 +67,7 @@
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
 		{"small-limits", 3, 300, false, func(config *engine.Config) {
-			config.MaxPods, config.MaxObjects, config.History = 90, 600000, 5000
+			config.MaxPods, config.MaxObjectBytes, config.HistoryEntries = 90, 600000, 5000
 			config.MaxStartsPerCall, config.NodeLossTimeout = 3, 2
 		}},
 		{"narrow-gate", 4, 300, true, func(config *engine.Config) {
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -26,11 +26,11 @@
 	Admission admission.Config // zero means that every request is admitted
 	Seed      uint64           // of the random source
 
-	BaseRevision int64 // resource versions begin above this
-	History      int   // changes kept per table of the store for watches
-	MaxHistory   int64 // bytes of changes kept for watches, as store.Cost counts; 0 means no limit
-	MaxPods      int   // Pods stored or pending at a time; further Jobs are rejected
-	MaxObjects   int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
+	BaseRevision    int64 // resource versions begin above this
+	HistoryEntries  int   // changes kept per table of the store for watches
+	MaxHistoryBytes int64 // bytes of changes kept for watches, as store.Cost counts; 0 means no limit
+	MaxPods         int   // Pods stored or pending at a time; further Jobs are rejected
+	MaxObjectBytes  int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
 
 	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
 	FinishedTTL placer.Seconds
@@ -42,7 +42,7 @@
 
 // Defaults for settings that a Config leaves at zero.
 const (
-	DefaultHistory          = 20000
+	DefaultHistoryEntries   = 20000
 	DefaultMaxPods          = 200000
 	DefaultNodeLossTimeout  = placer.Seconds(8)
 	DefaultMaxPollInterval  = placer.Seconds(10)
@@ -65,7 +65,7 @@
 
 // setDefaults sets the settings that are zero to their defaults, and derives the shares of the admission controller.
 func (c *Config) setDefaults() {
-	setIfUnset(&c.History, DefaultHistory)
+	setIfUnset(&c.HistoryEntries, DefaultHistoryEntries)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
 	setIfUnset(&c.MaxStartsPerCall, DefaultMaxStartsPerCall)
 	setIfUnset(&c.Placer.Discovery.MaxPollInterval, DefaultMaxPollInterval)
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -104,7 +104,7 @@
 
 // TestFinishedJobsAreEvictedForNewOnes: finished Jobs are removed for new ones, the oldest first, but not before their outcome could be read.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
-	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjects = 100, 1<<30 })
+	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	create := func(now placer.Seconds, name string) error {
 		job := newJob(name, 60)
 		noRetries := int32(0)
@@ -140,7 +140,7 @@
 
 // TestJobThatNeverFitsIsInvalid: a Job that takes more than all memory for objects would not fit later either.
 func TestJobThatNeverFitsIsInvalid(t *testing.T) {
-	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjects = 100, 1<<30 })
+	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	big := newJob("big", 100)
 	big.Spec.Template.Annotations = map[string]string{"x": strings.Repeat("x", 4<<20)}
 
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -59,9 +59,9 @@
 		return nil, err
 	}
 	created.podCost = store.Cost(object)
-	if need := created.cost(); c.cfg.MaxObjects > 0 && need > c.cfg.MaxObjects {
+	if need := created.cost(); c.cfg.MaxObjectBytes > 0 && need > c.cfg.MaxObjectBytes {
 		tasks := created.indexes.len()
-		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjects)
+		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjectBytes)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
 	for c.exceedsLimits(created) {
@@ -125,7 +125,7 @@
 	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
 		return true
 	}
-	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
+	return c.cfg.MaxObjectBytes > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjectBytes
 }
 
 // minFinishedRetention is the shortest time for which a finished Job is kept, so that its outcome can be read.
--- a/internal/lab/simulation/overload_test.go
+++ b/internal/lab/simulation/overload_test.go
@@ -109,7 +109,7 @@
 	settings := config.Default()
 	cfg := FromSettings(&settings, &script)
 	cfg.Schedulers[0].Admission.AdditiveOnly = additive
-	cfg.Schedulers[0].History = 1 << 20
+	cfg.Schedulers[0].HistoryEntries = 1 << 20
 	world, err := New(cfg)
 	if err != nil {
 		b.Fatal(err)
