--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -157,8 +157,8 @@
 		t.stopRemovedTask(&answer)
 		return
 	}
-	if pending := task.attempts.inFlight; pending.matches(answer.Node, answer.Attempt) {
-		t.handleInFlightAnswer(pending, &answer)
+	if inFlight := task.attempts.inFlight; inFlight.matches(answer.Node, answer.Attempt) {
+		t.handleInFlightAnswer(inFlight, &answer)
 		return
 	}
 	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
@@ -191,73 +191,73 @@
 }
 
 // answered handles the answer to the attempt in flight.
-func (t *attemptTracker) handleInFlightAnswer(pending *attempt, answer *AttemptAnswer) {
-	t.nodes.observeIncarnation(pending.node, answer.Incarnation)
+func (t *attemptTracker) handleInFlightAnswer(attempt *attempt, answer *AttemptAnswer) {
+	t.nodes.observeIncarnation(attempt.node, answer.Incarnation)
 	if answer.Accepted {
-		t.handleAcceptance(pending, answer)
+		t.handleAcceptance(attempt, answer)
 		return
 	}
-	pending.task.attempts.recordFailure(answer.failure())
+	attempt.task.attempts.recordFailure(answer.failure())
 	if answer.Result == placer.Rejected {
 		t.stats.Rejections++
 	}
-	t.handleFailure(pending, answer.Result, answer.Reason, answer.Report)
+	t.handleFailure(attempt, answer.Result, answer.Reason, answer.Report)
 }
 
 // accepted binds the task of the attempt in flight.
-func (t *attemptTracker) handleAcceptance(accepted *attempt, answer *AttemptAnswer) {
-	task := accepted.task
+func (t *attemptTracker) handleAcceptance(attempt *attempt, answer *AttemptAnswer) {
+	task := attempt.task
 	t.stats.Accepted++
 	task.attempts.clearInFlight()
-	t.stopTimer(accepted.timeoutTimer)
-	accepted.acceptedIncarnation = answer.Incarnation
-	bound := accepted.event(placer.Bound)
-	bound.Elapsed = t.now - accepted.sentAt
+	t.stopTimer(attempt.timeoutTimer)
+	attempt.acceptedIncarnation = answer.Incarnation
+	bound := attempt.event(placer.Bound)
+	bound.Elapsed = t.now - attempt.sentAt
 	t.post(bound)
-	t.requests.complete(accepted.request, true)
-	t.lifecycle.bind(task, accepted)
+	t.requests.complete(attempt.request, true)
+	t.lifecycle.bind(task, attempt)
 	// The node's watch may have reported a newer state before the answer arrived.
-	if observed := accepted.observed; observed.newerThan(answer) {
+	if observed := attempt.observed; observed.newerThan(answer) {
 		t.observer.observeRunning(task, observed.pod, observed.deleted)
 	} else if answer.Pod != nil {
 		t.observer.observeRunning(task, answer.Pod, false)
 	}
-	accepted.observed = nil
-	accepted.revision = answer.Revision
+	attempt.observed = nil
+	attempt.revision = answer.Revision
 }
 
 // timedOut gives up an attempt if it is still in flight.
-func (t *attemptTracker) handleTimeout(pending *attempt) {
-	if pending.task.attempts.inFlight != pending {
+func (t *attemptTracker) handleTimeout(attempt *attempt) {
+	if attempt.task.attempts.inFlight != attempt {
 		return
 	}
-	pending.task.attempts.recordFailure(pending.node.name + timeoutMessageSuffix)
-	t.abandon(pending, placer.TimedOut)
+	attempt.task.attempts.recordFailure(attempt.node.name + timeoutMessageSuffix)
+	t.abandon(attempt, placer.TimedOut)
 	t.drainEvents()
 }
 
 // abandon ends the wait for the answer to the attempt in flight.
-func (t *attemptTracker) abandon(pending *attempt, result placer.Result) {
-	t.emit(Effect{Kind: AbandonAttempt, Node: pending.node.name, UID: pending.task.uid, Attempt: pending.number})
-	t.handleFailure(pending, result, placer.NoReason, nil)
+func (t *attemptTracker) abandon(attempt *attempt, result placer.Result) {
+	t.emit(Effect{Kind: AbandonAttempt, Node: attempt.node.name, UID: attempt.task.uid, Attempt: attempt.number})
+	t.handleFailure(attempt, result, placer.NoReason, nil)
 }
 
 // failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not accept the task, the
 // attempt's outcome is unknown.
-func (t *attemptTracker) handleFailure(failed *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
-	failed.task.attempts.clearInFlight()
-	t.tasks.setState(failed.task, taskSubmitted)
-	t.stopTimer(failed.timeoutTimer)
+func (t *attemptTracker) handleFailure(attempt *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
+	attempt.task.attempts.clearInFlight()
+	t.tasks.setState(attempt.task, taskSubmitted)
+	t.stopTimer(attempt.timeoutTimer)
 	switch result {
 	case placer.Rejected, placer.Unreachable, placer.Expired:
 	default:
-		t.outcomes.track(failed)
+		t.outcomes.track(attempt)
 	}
-	ended := failed.endedEvent(t.now, result, reason)
-	ended.Final = failed.request.closed
+	ended := attempt.endedEvent(t.now, result, reason)
+	ended.Final = attempt.request.closed
 	ended.Report = report
 	t.post(ended)
-	t.requests.removeIfUnused(failed.request)
+	t.requests.removeIfUnused(attempt.request)
 }
 
 // podForNode returns a task's Pod as it is sent to nodes, with what a restarted scheduler needs to adopt it.
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -33,19 +33,19 @@
 }
 
 // begin assigns the next number to an attempt and records that it is in flight.
-func (h *attemptHistory) begin(started *attempt) {
+func (h *attemptHistory) begin(attempt *attempt) {
 	h.lastNumber++
-	started.number = h.lastNumber
-	h.inFlight = started
+	attempt.number = h.lastNumber
+	h.inFlight = attempt
 }
 
 // endWait records that the attempt in flight was answered or abandoned.
 func (h *attemptHistory) clearInFlight() { h.inFlight = nil }
 
 // bind records that an attempt was accepted.
-func (h *attemptHistory) bind(accepted *attempt) {
-	h.running = accepted
-	h.lastNumber = max(h.lastNumber, accepted.number)
+func (h *attemptHistory) bind(attempt *attempt) {
+	h.running = attempt
+	h.lastNumber = max(h.lastNumber, attempt.number)
 	h.raiseEvidence(possiblyAccepted)
 }
 
@@ -65,14 +65,14 @@
 }
 
 // addUnknown records that the outcome of an attempt is unknown.
-func (h *attemptHistory) addUnknownOutcome(unresolved *attempt) {
-	h.unknownOutcomes = append(h.unknownOutcomes, unresolved)
+func (h *attemptHistory) addUnknownOutcome(attempt *attempt) {
+	h.unknownOutcomes = append(h.unknownOutcomes, attempt)
 	h.raiseEvidence(possiblyAccepted)
 }
 
 // removeUnknown records that the outcome of an attempt is known, and reports whether it was unknown.
-func (h *attemptHistory) removeUnknownOutcome(resolved *attempt) bool {
-	i := slices.Index(h.unknownOutcomes, resolved)
+func (h *attemptHistory) removeUnknownOutcome(attempt *attempt) bool {
+	i := slices.Index(h.unknownOutcomes, attempt)
 	if i < 0 {
 		return false
 	}
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -16,29 +16,29 @@
 
 // TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
 func TestCharacterizeMigrations(t *testing.T) {
-	played := newScript(t, 6, func(config *engine.Config) {
+	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
 	})
-	played.advance(played.now + 5)
-	for i, node := range played.nodes {
-		pod := runningPod(played.config.Name, i)
+	script.advance(script.now + 5)
+	for i, node := range script.nodes {
+		pod := runningPod(script.config.Name, i)
 		node.pods = append(node.pods, pod)
-		played.engine.NodePod(played.now, node.name, pod, false)
-		played.recordState()
+		script.engine.NodePod(script.now, node.name, pod, false)
+		script.recordState()
 	}
 	for i := range 20 {
-		played.createJob(false)
-		played.recordState()
-		played.advance(played.now + 2)
+		script.createJob(false)
+		script.recordState()
+		script.advance(script.now + 2)
 		if i%5 == 4 {
-			played.checkpoint(fmt.Sprintf("step %d", i+1))
+			script.checkpoint(fmt.Sprintf("step %d", i+1))
 		}
 	}
-	if played.engine.Stats.MigratedTasks == 0 {
+	if script.engine.Stats.MigratedTasks == 0 {
 		t.Error("nothing was moved")
 	}
-	played.finish()
-	played.recorder.Check(t, "script-moves")
+	script.finish()
+	script.recorder.Check(t, "script-moves")
 }
 
 // foundPod returns a Pod that a scheduler before this one has placed.
@@ -80,19 +80,19 @@
 		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			played := newScript(t, run.seed, run.change)
+			script := newScript(t, run.seed, run.change)
 			for i := range run.steps {
-				played.makeRandomCall()
-				played.advance(played.now + played.randomDelay(0, 0.3))
+				script.makeRandomCall()
+				script.advance(script.now + script.randomDelay(0, 0.3))
 				if run.restarts && i%60 == 59 {
-					played.restart()
+					script.restart()
 				}
 				if i%25 == 24 {
-					played.checkpoint(fmt.Sprintf("step %d", i+1))
+					script.checkpoint(fmt.Sprintf("step %d", i+1))
 				}
 			}
-			played.finish()
-			played.recorder.Check(t, "script-"+run.name)
+			script.finish()
+			script.recorder.Check(t, "script-"+run.name)
 		})
 	}
 }
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -52,7 +52,7 @@
 }
 
 // stopTimer stops a timer. A nil timer and one that has run are ignored.
-func (env *environment) stopTimer(stopped *timer) { env.timers.Stop(stopped) }
+func (env *environment) stopTimer(timer *timer) { env.timers.Stop(timer) }
 
 // idempotencyOf returns whether the class of a task permits running it twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -39,9 +39,9 @@
 }
 
 // valueOr returns the value of a pointer, or another value if the pointer is nil.
-func valueOr[T any](pointer *T, otherwise T) T {
+func valueOr[T any](pointer *T, fallback T) T {
 	if pointer == nil {
-		return otherwise
+		return fallback
 	}
 	return *pointer
 }
@@ -69,7 +69,7 @@
 	if j.cachedManifest != "" {
 		return j.cachedManifest
 	}
-	kept := batchv1.Job{
+	manifest := batchv1.Job{
 		ObjectMeta: metav1.ObjectMeta{
 			Name:              j.object.Name,
 			Namespace:         j.object.Namespace,
@@ -79,7 +79,7 @@
 		},
 		Spec: j.object.Spec,
 	}
-	encoded, err := json.Marshal(&kept)
+	encoded, err := json.Marshal(&manifest)
 	if err != nil {
 		return ""
 	}
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -77,10 +77,10 @@
 }
 
 // finish records the end of a Job that has no task left and starts none.
-func (c *jobController) finish(finished *job) {
-	finished.finish(c.now)
+func (c *jobController) finish(job *job) {
+	job.finish(c.now)
 	c.stats.JobsFinished++
-	c.jobs.addFinished(finished)
+	c.jobs.addFinished(job)
 }
 
 // fail makes a Job fail as a whole: its active tasks are stopped.
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -59,9 +59,9 @@
 		return nil, err
 	}
 	created.podCost = store.Cost(object)
-	if need := created.cost(); c.cfg.MaxObjectBytes > 0 && need > c.cfg.MaxObjectBytes {
+	if cost := created.cost(); c.cfg.MaxObjectBytes > 0 && cost > c.cfg.MaxObjectBytes {
 		tasks := created.indexes.len()
-		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjectBytes)
+		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, cost, c.cfg.MaxObjectBytes)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
 	for c.exceedsLimits(created) {
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -90,24 +90,24 @@
 func (t *indexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
 // start assigns a new task to an index.
-func (t *indexTable) start(i int, started *task) {
-	t.activate(i, started)
+func (t *indexTable) start(i int, task *task) {
+	t.activate(i, task)
 	t.entries[i].retryTimer = nil
 }
 
 // adopt assigns a task that was found running to an index that has none.
-func (t *indexTable) adopt(i int, adopted *task) {
+func (t *indexTable) adopt(i int, task *task) {
 	if t.entries[i].state == indexFinished {
 		t.failedIndexes--
 	}
 	t.settle(i, outcomePlaced)
-	t.activate(i, adopted)
+	t.activate(i, task)
 }
 
 // activate assigns a task to an index.
-func (t *indexTable) activate(i int, active *task) {
+func (t *indexTable) activate(i int, task *task) {
 	t.setState(i, indexActive)
-	t.entries[i].task = active
+	t.entries[i].task = task
 	t.active++
 }
 
@@ -123,11 +123,11 @@
 }
 
 // settleTask counts the final outcome of a task if it is the first one of its index, and reports whether it is.
-func (t *indexTable) settleTask(settled *task, outcome taskOutcome) bool {
-	if !t.settle(settled.index, outcome) {
+func (t *indexTable) settleTask(task *task, outcome taskOutcome) bool {
+	if !t.settle(task.index, outcome) {
 		return false
 	}
-	t.unplacedMayHaveRun = t.unplacedMayHaveRun || settled.attempts.evidence != neverAccepted
+	t.unplacedMayHaveRun = t.unplacedMayHaveRun || task.attempts.evidence != neverAccepted
 	return true
 }
 
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -37,11 +37,11 @@
 		at = max(at, s.now+s.cfg.Retry.UnknownOutcomeTimeout)
 	}
 	index := task.index
-	left := task.retryBudget
-	if budget == left {
-		left--
+	nextBudget := task.retryBudget
+	if budget == nextBudget {
+		nextBudget--
 	}
-	job.indexes.setRetry(index, left, s.runAt(at, func() {
+	job.indexes.setRetry(index, nextBudget, s.runAt(at, func() {
 		if job.canStart() && job.indexes.at(index).task == nil {
 			s.startTask(job, index)
 			s.drainEvents()
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -61,15 +61,15 @@
 // startTasks starts tasks of the Jobs in the backlog round-robin, up to MaxStartsPerCall, so that a large Job does not delay others.
 func (s *jobStarter) startTasks() {
 	s.startScheduled = false
-	left := s.cfg.MaxStartsPerCall
-	for left > 0 && len(s.backlog) > 0 {
+	remaining := s.cfg.MaxStartsPerCall
+	for remaining > 0 && len(s.backlog) > 0 {
 		job := s.backlog[0]
 		s.backlog = s.backlog[1:]
 		job.inBacklog = false
 		if !job.canStart() {
 			continue
 		}
-		left -= s.startRound(job, left)
+		remaining -= s.startRound(job, remaining)
 		s.drainEvents()
 		if job.indexes.unstarted() > 0 && job.indexes.active < job.parallelism() {
 			s.enqueue(job)
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -21,14 +21,14 @@
 // contains reports whether a Job has not been removed. Another Job of the same name is not the same.
 func (t *jobTable) contains(job *job) bool { return t.byKey[job.key] == job }
 
-func (t *jobTable) add(added *job) { t.byKey[added.key] = added }
+func (t *jobTable) add(job *job) { t.byKey[job.key] = job }
 
 // remove removes a Job, and reports whether the table contained it.
-func (t *jobTable) remove(removed *job) bool {
-	if !t.contains(removed) {
+func (t *jobTable) remove(job *job) bool {
+	if !t.contains(job) {
 		return false
 	}
-	delete(t.byKey, removed.key)
+	delete(t.byKey, job.key)
 	return true
 }
 
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -25,43 +25,43 @@
 
 // track records an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is fenced at once. Otherwise the
 // engine first waits until it is found running, or until UnknownOutcomeTimeout has passed.
-func (r *outcomeReconciler) track(unresolved *attempt) {
-	task, node := unresolved.task, unresolved.node
+func (r *outcomeReconciler) track(attempt *attempt) {
+	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
-	task.attempts.addUnknownOutcome(unresolved)
-	node.addUnknown(unresolved)
+	task.attempts.addUnknownOutcome(attempt)
+	node.addUnknown(attempt)
 	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
-		r.fence(unresolved)
+		r.fence(attempt)
 		return
 	}
-	if observed := unresolved.observed; observed != nil {
+	if observed := attempt.observed; observed != nil {
 		r.runAfter(0, func() {
-			if unresolved.outcomeUnknown() {
-				r.observe(unresolved, observed)
+			if attempt.outcomeUnknown() {
+				r.observe(attempt, observed)
 				r.drainEvents()
 			}
 		})
 	}
-	r.scheduleFence(unresolved, r.cfg.Retry.UnknownOutcomeTimeout)
+	r.scheduleFence(attempt, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
 // untrack removes an attempt whose outcome is known, and cancels its next stop order.
-func (r *outcomeReconciler) untrack(resolved *attempt) {
-	if resolved.task.attempts.removeUnknownOutcome(resolved) {
-		resolved.node.removeUnknown(resolved)
+func (r *outcomeReconciler) untrack(attempt *attempt) {
+	if attempt.task.attempts.removeUnknownOutcome(attempt) {
+		attempt.node.removeUnknown(attempt)
 	}
-	r.stopTimer(resolved.fenceTimer)
-	resolved.fenceTimer = nil
+	r.stopTimer(attempt.fenceTimer)
+	attempt.fenceTimer = nil
 }
 
 // resolve records that an attempt with unknown outcome has ended: it never ran, or may have run.
-func (r *outcomeReconciler) resolve(resolved *attempt, mayHaveRun bool) {
-	task := resolved.task
-	r.untrack(resolved)
+func (r *outcomeReconciler) resolve(attempt *attempt, mayHaveRun bool) {
+	task := attempt.task
+	r.untrack(attempt)
 	if mayHaveRun {
 		task.attempts.recordPossibleRun()
 	}
-	r.requests.removeIfUnused(resolved.request)
+	r.requests.removeIfUnused(attempt.request)
 	if r.awaitsOutcomes(task) && !task.attempts.hasUnknownOutcome() {
 		r.stopTimer(task.retryTimer)
 		r.lifecycle.retryOrSettle(task, retry.Failed, 0)
@@ -76,59 +76,59 @@
 }
 
 // answeredLate handles the answer to an attempt that was abandoned.
-func (r *outcomeReconciler) handleLateAnswer(unresolved *attempt, answer *AttemptAnswer) {
+func (r *outcomeReconciler) handleLateAnswer(attempt *attempt, answer *AttemptAnswer) {
 	switch {
 	case answer.Accepted:
-		r.bindOrFence(unresolved, answer.Incarnation, answer.Revision)
+		r.bindOrFence(attempt, answer.Incarnation, answer.Revision)
 	case answer.Result == placer.Rejected || answer.Result == placer.Unreachable:
-		r.resolve(unresolved, false)
+		r.resolve(attempt, false)
 	}
 }
 
 // observe applies a node's report of an attempt with unknown outcome.
-func (r *outcomeReconciler) observe(unresolved *attempt, observed *observedPod) {
+func (r *outcomeReconciler) observe(attempt *attempt, observed *observedPod) {
 	if observed.deleted || wellknown.Finished(observed.pod) {
-		r.resolve(unresolved, observed.pod.Status.Reason != wellknown.NeverStarted)
+		r.resolve(attempt, observed.pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
-	task := unresolved.task
-	r.bindOrFence(unresolved, observed.incarnation, observed.revision)
-	if running := task.attempts.running; running != nil && running.node == unresolved.node {
+	task := attempt.task
+	r.bindOrFence(attempt, observed.incarnation, observed.revision)
+	if running := task.attempts.running; running != nil && running.node == attempt.node {
 		r.observer.observeRunning(task, observed.pod, false)
 	}
 }
 
 // foundRunning binds the task to an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy is stopped.
-func (r *outcomeReconciler) bindOrFence(found *attempt, incarnation string, revision int64) {
-	task := found.task
-	if !task.state.canBind() || found.stopInFlight {
-		r.fence(found)
+func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
+	task := attempt.task
+	if !task.state.canBind() || attempt.stopInFlight {
+		r.fence(attempt)
 		return
 	}
 	// The placer must not send the task to another node: the request is withdrawn, and the task is reported as adopted.
-	r.untrack(found)
+	r.untrack(attempt)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
-	r.adopter.adoptTask(task, found.node, found.number, incarnation, revision)
+	r.adopter.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
 }
 
 // fence orders the node of an attempt with unknown outcome to stop the task, or to reject the attempt if it still arrives. The order is repeated
 // until the node answers or has a new incarnation.
-func (r *outcomeReconciler) fence(unresolved *attempt) {
-	if !unresolved.outcomeUnknown() || unresolved.stopInFlight {
+func (r *outcomeReconciler) fence(attempt *attempt) {
+	if !attempt.outcomeUnknown() || attempt.stopInFlight {
 		return
 	}
-	unresolved.stopInFlight = true
-	unresolved.stopsSent++
-	task := unresolved.task
-	r.emitStopTask(unresolved.node, task.podIdentity, unresolved.number)
+	attempt.stopInFlight = true
+	attempt.stopsSent++
+	task := attempt.task
+	r.emitStopTask(attempt.node, task.podIdentity, attempt.number)
 }
 
 // scheduleFence fences an attempt after a delay.
-func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay placer.Seconds) {
-	unresolved.fenceTimer = r.runAfter(delay, func() {
-		unresolved.fenceTimer = nil
-		r.fence(unresolved)
+func (r *outcomeReconciler) scheduleFence(attempt *attempt, delay placer.Seconds) {
+	attempt.fenceTimer = r.runAfter(delay, func() {
+		attempt.fenceTimer = nil
+		r.fence(attempt)
 		r.drainEvents()
 	})
 }
@@ -185,31 +185,31 @@
 
 // fenceAnswered handles the answer to a stop order for an attempt with unknown outcome. A node that does not have the task answers for its
 // present incarnation only: the task may have run in an earlier one.
-func (r *outcomeReconciler) handleFenceAnswer(fenced *attempt, answer *StopAnswer) {
-	fenced.stopInFlight = false
+func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
+	attempt.stopInFlight = false
 	if !answer.Answered {
-		r.stopTimer(fenced.fenceTimer)
-		r.scheduleFence(fenced, stopBackoff(fenced.stopsSent))
+		r.stopTimer(attempt.fenceTimer)
+		r.scheduleFence(attempt, stopBackoff(attempt.stopsSent))
 		return
 	}
-	sameIncarnation := fenced.sentIncarnation != "" && fenced.sentIncarnation == answer.Incarnation
+	sameIncarnation := attempt.sentIncarnation != "" && attempt.sentIncarnation == answer.Incarnation
 	mayHaveRun := !sameIncarnation
 	if answer.HadTask {
 		mayHaveRun = answer.MayHaveRun
 	}
-	r.resolve(fenced, mayHaveRun)
+	r.resolve(attempt, mayHaveRun)
 }
 
 // stopAnswered handles the answer to a stop order for a running attempt.
-func (r *outcomeReconciler) handleRunningStopAnswer(stopped *attempt, answer *StopAnswer) {
-	task := stopped.task
+func (r *outcomeReconciler) handleRunningStopAnswer(attempt *attempt, answer *StopAnswer) {
+	task := attempt.task
 	if answer.Answered {
 		r.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
-	stopped.stopsSent++
-	stopped.fenceTimer = r.runAfter(stopBackoff(stopped.stopsSent), func() {
-		stopped.fenceTimer = nil
+	attempt.stopsSent++
+	attempt.fenceTimer = r.runAfter(stopBackoff(attempt.stopsSent), func() {
+		attempt.fenceTimer = nil
 		r.lifecycle.stopRunning(task)
 	})
 }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -21,7 +21,7 @@
 // close records that the request was decided or withdrawn.
 func (r *placementRequest) close() { r.closed = true }
 
-func (r *placementRequest) addAttempt(started *attempt) { r.attempts = append(r.attempts, started) }
+func (r *placementRequest) addAttempt(attempt *attempt) { r.attempts = append(r.attempts, attempt) }
 
 // hasAttempt reports whether an attempt of the request is in flight or running.
 func (r *placementRequest) hasAttempt() bool {
@@ -46,11 +46,11 @@
 func (r *requestTable) get(id placer.TaskID) *placementRequest { return r.byID[id] }
 
 // add assigns the next number to a request, adds it to the table and makes it the last one of its task.
-func (r *requestTable) add(added *placementRequest) {
+func (r *requestTable) add(request *placementRequest) {
 	r.lastID++
-	added.id = r.lastID
-	r.byID[added.id] = added
-	added.task.request = added
+	request.id = r.lastID
+	r.byID[request.id] = request
+	request.task.request = request
 }
 
 // place submits a new request for a task to the admission controller, and to the placer if it is admitted at once.
@@ -185,8 +185,8 @@
 		return
 	}
 	r.complete(request, false)
-	if pending := request.task.attempts.inFlight; pending != nil {
-		r.attempts.abandon(pending, placer.TimedOut)
+	if inFlight := request.task.attempts.inFlight; inFlight != nil {
+		r.attempts.abandon(inFlight, placer.TimedOut)
 	}
 	r.removeIfUnused(request)
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -17,59 +17,59 @@
 
 // job draws a Job, now and then one that is not valid.
 func (s *script) randomJob() *batchv1.Job {
-	drawn := &batchv1.Job{}
-	drawn.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
-	drawn.Name = fmt.Sprintf("job-%03d", len(s.jobs))
+	job := &batchv1.Job{}
+	job.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
+	job.Name = fmt.Sprintf("job-%03d", len(s.jobs))
 	tasks := int32(s.rng.IntN(7))
-	drawn.Spec.Completions, drawn.Spec.Parallelism = &tasks, pointer(tasks)
-	drawn.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
-	drawn.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
+	job.Spec.Completions, job.Spec.Parallelism = &tasks, pointer(tasks)
+	job.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
+	job.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
 	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
 	if class != "" {
-		drawn.Spec.Template.Labels[wellknown.Class] = class
+		job.Spec.Template.Labels[wellknown.Class] = class
 	}
-	drawn.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
-	drawn.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
-	drawn.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
+	job.Spec.Template.Annotations = map[string]string{wellknown.Lifetime: "5"}
+	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
+	job.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image", Resources: corev1.ResourceRequirements{
 		Requests: corev1.ResourceList{corev1.ResourceCPU: *resource.NewMilliQuantity(int64(500+250*s.rng.IntN(6)), resource.DecimalSI),
 			corev1.ResourceMemory: *resource.NewQuantity(int64(1+s.rng.IntN(4))<<30, resource.BinarySI)}}}}
-	s.varyJob(drawn)
-	return drawn
+	s.varyJob(job)
+	return job
 }
 
 // vary draws settings of a Job that few Jobs have.
-func (s *script) varyJob(drawn *batchv1.Job) {
+func (s *script) varyJob(job *batchv1.Job) {
 	switch s.rng.IntN(24) {
 	case 0:
-		drawn.Name, drawn.GenerateName = "", "generated-"
+		job.Name, job.GenerateName = "", "generated-"
 	case 1:
-		drawn.Spec.Suspend = pointer(true)
+		job.Spec.Suspend = pointer(true)
 	case 2:
-		drawn.Spec.ActiveDeadlineSeconds = pointer(int64(4))
+		job.Spec.ActiveDeadlineSeconds = pointer(int64(4))
 	case 3:
-		drawn.Spec.TTLSecondsAfterFinished = pointer(int32(3))
+		job.Spec.TTLSecondsAfterFinished = pointer(int32(3))
 	case 4:
-		drawn.Spec.Parallelism = pointer(int32(1))
+		job.Spec.Parallelism = pointer(int32(1))
 	case 5:
-		drawn.Namespace = "unknown"
+		job.Namespace = "unknown"
 	case 6:
-		drawn.Spec.Template.Labels[wellknown.Class] = "unknown"
+		job.Spec.Template.Labels[wellknown.Class] = "unknown"
 	case 7:
-		drawn.Spec.Completions = pointer(int32(1 << 30))
+		job.Spec.Completions = pointer(int32(1 << 30))
 	case 8:
-		drawn.Spec.Completions, drawn.Spec.Parallelism, drawn.Spec.BackoffLimit = nil, nil, nil
+		job.Spec.Completions, job.Spec.Parallelism, job.Spec.BackoffLimit = nil, nil, nil
 	case 9:
-		drawn.Spec.Template.Labels, drawn.Spec.Template.Annotations = nil, nil
+		job.Spec.Template.Labels, job.Spec.Template.Annotations = nil, nil
 	case 10:
-		drawn.Labels, drawn.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
+		job.Labels, job.Annotations = map[string]string{"team": "a"}, map[string]string{"note": "b"}
 	}
 }
 
-func (s *script) createJob(dry bool) {
+func (s *script) createJob(dryRun bool) {
 	job := s.randomJob()
-	created, err := s.engine.CreateJob(s.now, job, dry)
+	created, err := s.engine.CreateJob(s.now, job, dryRun)
 	s.recordResult(created, err)
-	if err == nil && !dry {
+	if err == nil && !dryRun {
 		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
 	}
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	update := object.DeepCopyObject().(*batchv1.Job)
-	dry := s.rng.IntN(8) == 0
+	dryRun := s.rng.IntN(8) == 0
 	switch s.rng.IntN(14) {
 	case 0, 1, 2:
 		update.Spec.Suspend = pointer(true)
@@ -117,7 +117,7 @@
 	case 13:
 		update.Name += "-missing"
 	}
-	s.recordResult(s.engine.UpdateJob(s.now, update, dry))
+	s.recordResult(s.engine.UpdateJob(s.now, update, dryRun))
 }
 
 func (s *script) deleteJob() {
@@ -125,7 +125,7 @@
 	if object == nil {
 		return
 	}
-	how := []metav1.DeletionPropagation{"", metav1.DeletePropagationBackground, metav1.DeletePropagationForeground,
+	propagation := []metav1.DeletionPropagation{"", metav1.DeletePropagationBackground, metav1.DeletePropagationForeground,
 		metav1.DeletePropagationOrphan}[s.rng.IntN(4)]
 	name, uid, revision := object.GetName(), object.GetUID(), object.GetResourceVersion()
 	switch s.rng.IntN(12) {
@@ -138,7 +138,7 @@
 	case 3, 4, 5, 6:
 		uid, revision = "", ""
 	}
-	s.recordResult(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, how))
+	s.recordResult(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, propagation))
 }
 
 func (s *script) stopPod(evict bool) {
@@ -167,7 +167,7 @@
 	}
 	update := object.DeepCopyObject().(*corev1.Node)
 	var order *bool
-	dry := s.rng.IntN(6) == 0
+	dryRun := s.rng.IntN(6) == 0
 	switch s.rng.IntN(10) {
 	case 0, 1:
 		order = pointer(true)
@@ -182,5 +182,5 @@
 	case 9:
 		update.Name = "missing"
 	}
-	s.recordResult(s.engine.UpdateNode(s.now, update, order, dry))
+	s.recordResult(s.engine.UpdateNode(s.now, update, order, dryRun))
 }
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -88,17 +88,17 @@
 }
 
 // bind records that a node has accepted a task.
-func (l *taskLifecycle) bind(task *task, accepted *attempt) {
+func (l *taskLifecycle) bind(task *task, attempt *attempt) {
 	l.tasks.setState(task, taskBound)
-	task.attempts.bind(accepted)
-	accepted.node.addTask(task)
+	task.attempts.bind(attempt)
+	attempt.node.addTask(task)
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	if task.settled {
-		l.publisher.publishNodeName(task, accepted.node.name)
+		l.publisher.publishNodeName(task, attempt.node.name)
 		return
 	}
-	l.settlePlaced(task, "accepted by "+accepted.node.name)
+	l.settlePlaced(task, "accepted by "+attempt.node.name)
 }
 
 // started records that the node of a bound task reports it as running.
@@ -131,16 +131,16 @@
 
 // ended ends a task that a node had accepted. It does nothing if no attempt of the task is running.
 func (l *taskLifecycle) recordEnd(task *task, end taskEnd) {
-	ended := task.attempts.unbind()
-	if ended == nil {
+	endedAttempt := task.attempts.unbind()
+	if endedAttempt == nil {
 		return
 	}
-	l.stopTimer(ended.fenceTimer)
-	ended.node.removeTask(task)
-	event := ended.endedEvent(l.now, end.result, end.reason)
+	l.stopTimer(endedAttempt.fenceTimer)
+	endedAttempt.node.removeTask(task)
+	event := endedAttempt.endedEvent(l.now, end.result, end.reason)
 	event.Final = true
 	l.post(event)
-	l.requests.removeIfUnused(ended.request)
+	l.requests.removeIfUnused(endedAttempt.request)
 	cause := l.countEnd(&end)
 	l.publisher.publishEnded(task, &end)
 	l.terminate(task, end.succeeded(), cause)
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -48,9 +48,9 @@
 		return
 	}
 	l.requests.withdraw(task)
-	if pending := task.attempts.inFlight; pending != nil {
+	if inFlight := task.attempts.inFlight; inFlight != nil {
 		// The attempt cannot be cancelled at the node: its outcome becomes unknown, and it is fenced at once.
-		l.attempts.abandon(pending, placer.Cancelled)
+		l.attempts.abandon(inFlight, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
 	l.settleUnplaced(task, outcomeFailed, "deleted before it was placed")
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -20,25 +20,25 @@
 func (t *taskTable) inOrder() []*task { return inCreationOrder(t.byUID) }
 
 // add assigns the next sequence number to a task and adds it to the table.
-func (t *taskTable) add(added *task) {
-	added.sequence = int(t.stats.PodsCreated)
+func (t *taskTable) add(task *task) {
+	task.sequence = int(t.stats.PodsCreated)
 	t.stats.PodsCreated++
-	t.byUID[added.uid] = added
-	if !added.settled {
+	t.byUID[task.uid] = task
+	if !task.settled {
 		t.openCount++
 	}
 }
 
 // settle records that the final outcome of a task is known.
-func (t *taskTable) settle(settled *task) {
-	settled.settled = true
+func (t *taskTable) settle(task *task) {
+	task.settled = true
 	t.openCount--
 }
 
 // remove removes a task that has ended.
-func (t *taskTable) remove(removed *task) {
-	t.setState(removed, taskRemoved)
-	delete(t.byUID, removed.uid)
+func (t *taskTable) remove(task *task) {
+	t.setState(task, taskRemoved)
+	delete(t.byUID, task.uid)
 }
 
 // setState is the only place where a task changes its state. It makes an illegal transition too, which CheckInvariants reports.
