--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -10,45 +10,46 @@
 	"heathshed/placer"
 )
 
-// attempt is one request to a node to run a task, or the adoption of a task that was found running there.
+// attempt is one request to a node to run a task, or the adoption of a task that already runs on the node.
 type attempt struct {
 	request         *placementRequest
 	task            *task
 	node            *node
-	requestSequence int // number within the request, as the placer counts
-	number          int // number within the task, as nodes know it
+	requestSequence int // number of the attempt within its placement request, as used by the placer
+	number          int // number of the attempt within its task, as used by nodes
 
 	sentAt              placer.Seconds
 	timeoutTimer        *timer
-	sentIncarnation     string       // of the node, as known when the attempt was sent
-	observed            *observedPod // what the node's watch reported while the attempt was in flight; nil if nothing
-	acceptedIncarnation string       // of the node, when it accepted
-	revision            int64        // of the Pod at the node, when it accepted
+	sentIncarnation     string       // the node's incarnation that was known when the attempt was sent
+	observed            *observedPod // latest Pod that the node's watch reported while in flight; nil if none
+	acceptedIncarnation string       // the node's incarnation when it accepted the attempt
+	revision            int64        // the Pod's revision at the node when it accepted the attempt
 
-	fenceTimer   *timer // the next stop order
-	stopInFlight bool   // a stop order for an attempt with unknown outcome is not answered yet
-	stopsSent    int    // stop orders, for the backoff between them
+	fenceTimer   *timer // fires when the next stop order is due
+	stopInFlight bool   // a stop order was sent while the outcome was unknown, and has not been answered
+	stopsSent    int    // number of stop orders sent, which determines the backoff between them
 }
 
-// observedPod is a Pod as a node's watch reported it.
+// observedPod is the state of a Pod that a node's watch reported.
 type observedPod struct {
 	pod         *corev1.Pod
 	deleted     bool
-	incarnation string // of the node
+	incarnation string // the node's incarnation at the time of the report
 	revision    int64
 }
 
-// newerThan reports whether the observation was made after the node gave an answer. Revisions count within an incarnation.
+// newerThan reports whether the node reported the Pod after it sent the given answer. Revisions are
+// comparable only within one incarnation of a node.
 func (o *observedPod) newerThan(answer *AttemptAnswer) bool {
 	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
 }
 
-// event returns an event of the attempt for the placer, with its kind and the identity of the attempt.
+// event returns a placer event of the given kind that identifies the attempt.
 func (a *attempt) event(kind placer.EventKind) placer.Event {
 	return placer.Event{Kind: kind, TaskID: a.request.id, Attempt: a.requestSequence, Node: a.node.id}
 }
 
-// endedEvent returns the event that the attempt has ended.
+// endedEvent returns the event that tells the placer that the attempt has ended.
 func (a *attempt) endedEvent(now placer.Seconds, result placer.Result, reason placer.Reason) placer.Event {
 	ended := a.event(placer.Ended)
 	ended.Result = result
@@ -57,7 +58,8 @@
 	return ended
 }
 
-// usageEvent returns the event that a node has reported a value of the attempt's resource usage.
+// usageEvent returns the event that tells the placer a resource usage value that the node reported for the
+// attempt.
 func (a *attempt) usageEvent(kind placer.UsageKind, value float64) placer.Event {
 	usage := a.event(placer.UsageReported)
 	usage.Usage = kind
@@ -65,7 +67,8 @@
 	return usage
 }
 
-// attemptTracker sends attempts to nodes and handles their answers. The attempts themselves are in attemptHistory and node.
+// attemptTracker sends attempts to nodes and handles the answers. It stores no attempts: attemptHistory and
+// node hold them.
 type attemptTracker struct {
 	*environment
 	tasks     *taskTable
@@ -77,7 +80,7 @@
 	publisher *publisher
 }
 
-// start carries out the placer's decision to send a request's task to a node.
+// start sends the task of a placement request to a node, as the placer decided.
 func (t *attemptTracker) start(action *placer.Action) {
 	request, node := t.requests.get(action.Task), t.nodes.withID(action.Node)
 	if request == nil || node == nil || request.closed {
@@ -114,22 +117,22 @@
 	})
 }
 
-// AttemptAnswer is a node's answer to SendAttempt, or the reason why there is none.
+// AttemptAnswer is a node's answer to SendAttempt, or the reason why the node did not answer.
 type AttemptAnswer struct {
 	UID         types.UID
 	Attempt     int
 	Node        string
 	Accepted    bool
-	Result      placer.Result // unless accepted
-	Reason      placer.Reason // if the node stated one
-	Message     string        // the node's own text
+	Result      placer.Result // how the attempt failed; unused if Accepted is set
+	Reason      placer.Reason // why the node rejected the attempt, if the node stated a reason
+	Message     string        // message text from the node
 	Report      *placer.Report
-	Incarnation string      // of the node; "" if it did not state one
-	Revision    int64       // of the Pod at the node
-	Pod         *corev1.Pod // as the node reports it, if accepted; may be nil
+	Incarnation string      // incarnation of the node; "" if the answer does not state it
+	Revision    int64       // the Pod's revision at the node
+	Pod         *corev1.Pod // the Pod as reported by the node that accepted it; may be nil
 }
 
-// failure describes why an attempt was not accepted.
+// failure returns a message that says why the attempt was not accepted.
 func (a *AttemptAnswer) failure() string {
 	if a.Message != "" {
 		return a.Node + ": " + a.Message
@@ -147,10 +150,11 @@
 	return a.Node + ": rejected"
 }
 
-// noAnswerInTime ends the message of an attempt that the engine gave up (timedOut), or whose sender did (failure).
+// timeoutMessageSuffix ends the message of an attempt that timed out, either in the engine (handleTimeout) or
+// in the caller that sent the attempt (AttemptAnswer.failure).
 const timeoutMessageSuffix = ": no answer in time"
 
-// done implements Engine.AttemptDone.
+// handleAnswer implements Engine.AttemptDone.
 func (t *attemptTracker) handleAnswer(answer AttemptAnswer) {
 	task := t.tasks.get(answer.UID)
 	if task == nil {
@@ -175,12 +179,12 @@
 	}
 }
 
-// is reports whether an attempt is the one that a node's answer names. A nil attempt is none.
+// matches reports whether the attempt has the given node and number. A nil attempt matches nothing.
 func (a *attempt) matches(node string, number int) bool {
 	return a != nil && a.number == number && a.node.name == node
 }
 
-// stopLateAcceptance stops the Pod of a task that was removed before the node accepted it.
+// stopRemovedTask stops the Pod of a task that was removed from the engine before a node accepted the task.
 func (t *attemptTracker) stopRemovedTask(answer *AttemptAnswer) {
 	node := t.nodes.get(answer.Node)
 	if !answer.Accepted || node == nil {
@@ -190,7 +194,7 @@
 	t.emitStopTask(node, podIdentity{uid: answer.UID}, answer.Attempt)
 }
 
-// answered handles the answer to the attempt in flight.
+// handleInFlightAnswer handles the answer to the attempt in flight.
 func (t *attemptTracker) handleInFlightAnswer(attempt *attempt, answer *AttemptAnswer) {
 	t.nodes.observeIncarnation(attempt.node, answer.Incarnation)
 	if answer.Accepted {
@@ -204,7 +208,7 @@
 	t.handleFailure(attempt, answer.Result, answer.Reason, answer.Report)
 }
 
-// accepted binds the task of the attempt in flight.
+// handleAcceptance binds the task to the attempt in flight, which the node has accepted.
 func (t *attemptTracker) handleAcceptance(attempt *attempt, answer *AttemptAnswer) {
 	task := attempt.task
 	t.stats.Accepted++
@@ -216,7 +220,7 @@
 	t.post(bound)
 	t.requests.complete(attempt.request, true)
 	t.lifecycle.bind(task, attempt)
-	// The node's watch may have reported a newer state before the answer arrived.
+	// The node's watch may have reported a newer state of the Pod before the answer arrived.
 	if observed := attempt.observed; observed.newerThan(answer) {
 		t.observer.observeRunning(task, observed.pod, observed.deleted)
 	} else if answer.Pod != nil {
@@ -226,7 +230,7 @@
 	attempt.revision = answer.Revision
 }
 
-// timedOut gives up an attempt if it is still in flight.
+// handleTimeout abandons an attempt that is still in flight at its deadline.
 func (t *attemptTracker) handleTimeout(attempt *attempt) {
 	if attempt.task.attempts.inFlight != attempt {
 		return
@@ -236,14 +240,14 @@
 	t.drainEvents()
 }
 
-// abandon ends the wait for the answer to the attempt in flight.
+// abandon stops waiting for the answer to the attempt in flight.
 func (t *attemptTracker) abandon(attempt *attempt, result placer.Result) {
 	t.emit(Effect{Kind: AbandonAttempt, Node: attempt.node.name, UID: attempt.task.uid, Attempt: attempt.number})
 	t.handleFailure(attempt, result, placer.NoReason, nil)
 }
 
-// failed reports to the placer how the attempt in flight ended without acceptance. Unless the node certainly did not accept the task, the
-// attempt's outcome is unknown.
+// handleFailure tells the placer that the attempt in flight ended without acceptance. The outcome of the
+// attempt becomes unknown unless the node is certain not to have accepted the task.
 func (t *attemptTracker) handleFailure(attempt *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
 	attempt.task.attempts.clearInFlight()
 	t.tasks.setState(attempt.task, taskSubmitted)
@@ -260,13 +264,14 @@
 	t.requests.removeIfUnused(attempt.request)
 }
 
-// podForNode returns a task's Pod as it is sent to nodes, with what a restarted scheduler needs to adopt it.
+// podForNode returns a task's Pod as it is sent to nodes. Labels and annotations hold everything that a
+// restarted scheduler needs in order to adopt the task.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
 	stored := t.publisher.podOf(task)
 	if stored == nil {
 		panic("engine: task without a Pod: " + string(task.uid))
 	}
-	pod := *stored // the Spec is shared: it is not changed
+	pod := *stored // the Spec is shared with the stored Pod and must not be modified
 	stored.ObjectMeta.DeepCopyInto(&pod.ObjectMeta)
 	pod.ResourceVersion = ""
 	pod.Labels[wellknown.Scheduler] = t.cfg.Name
@@ -278,8 +283,8 @@
 	return &pod
 }
 
-// outcomeUnknown reports whether the attempt may have been accepted, and it is not known yet whether it was.
+// outcomeUnknown reports whether the node may have accepted the attempt without the engine knowing.
 func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isOutcomeUnknown(a) }
 
-// observe records what the node's watch reports while the attempt is in flight.
+// observe stores a report of the node's watch that arrives while the attempt is in flight.
 func (a *attempt) observe(observed *observedPod) { a.observed = observed }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -4,15 +4,16 @@
 	"slices"
 )
 
-// runEvidence is the strongest evidence so far that an attempt of a task may have run it. It never decreases.
+// runEvidence says how likely it is that some attempt has run the task. The value never decreases.
 type runEvidence uint8
 
 const (
-	// neverAccepted: every attempt that has ended was certainly not accepted.
+	// neverAccepted means that every attempt that has ended was certainly not accepted.
 	neverAccepted runEvidence = iota
-	// possiblyAccepted: an attempt was accepted, or its outcome was unknown when the wait for its answer ended.
+	// possiblyAccepted means that a node accepted an attempt, or that the engine stopped waiting for an
+	// answer while the outcome of the attempt was unknown.
 	possiblyAccepted
-	// possiblyRan: an attempt with unknown outcome has ended, and it may have run the task.
+	// possiblyRan means that an attempt with an unknown outcome has ended and may have run the task.
 	possiblyRan
 
 	runEvidences
@@ -22,41 +23,42 @@
 
 func (e runEvidence) String() string { return runEvidenceNames[e] }
 
-// attemptHistory is the record of the attempts of one task. Only its methods change it.
+// attemptHistory records the attempts of one task. Only its methods modify it.
 type attemptHistory struct {
-	lastNumber      int        // over all requests
-	inFlight        *attempt   // the attempt that waits for its answer
-	running         *attempt   // the attempt that was accepted
-	unknownOutcomes []*attempt // attempts that may have been accepted
+	lastNumber      int        // number of the latest attempt, counted over all placement requests of the task
+	inFlight        *attempt   // the attempt that has not been answered yet; nil if there is none
+	running         *attempt   // the attempt that a node accepted; nil if there is none
+	unknownOutcomes []*attempt // attempts that a node may have accepted, although no answer says so
 	evidence        runEvidence
-	lastFailure     string // why the last attempt or request failed
+	lastFailure     string // message of the latest attempt or placement request that failed
 }
 
-// begin assigns the next number to an attempt and records that it is in flight.
+// begin gives an attempt the next number and makes it the attempt in flight.
 func (h *attemptHistory) begin(attempt *attempt) {
 	h.lastNumber++
 	attempt.number = h.lastNumber
 	h.inFlight = attempt
 }
 
-// endWait records that the attempt in flight was answered or abandoned.
+// clearInFlight records that the attempt in flight was answered or abandoned.
 func (h *attemptHistory) clearInFlight() { h.inFlight = nil }
 
-// bind records that an attempt was accepted.
+// bind records that a node accepted an attempt.
 func (h *attemptHistory) bind(attempt *attempt) {
 	h.running = attempt
 	h.lastNumber = max(h.lastNumber, attempt.number)
 	h.raiseEvidence(possiblyAccepted)
 }
 
-// unbind records that the running attempt has ended, and returns it. It returns nil if none runs.
+// unbind records that the running attempt has ended, and returns that attempt. It returns nil if no attempt
+// is running.
 func (h *attemptHistory) unbind() *attempt {
 	ended := h.running
 	h.running = nil
 	return ended
 }
 
-// fail records why the last attempt or request failed.
+// recordFailure stores the message of the latest attempt or placement request that failed.
 func (h *attemptHistory) recordFailure(reason string) { h.lastFailure = reason }
 
 // isOpen reports whether an attempt is in flight or running.
@@ -64,13 +66,14 @@
 	return h.inFlight == attempt || h.running == attempt
 }
 
-// addUnknown records that the outcome of an attempt is unknown.
+// addUnknownOutcome records that the outcome of an attempt is unknown.
 func (h *attemptHistory) addUnknownOutcome(attempt *attempt) {
 	h.unknownOutcomes = append(h.unknownOutcomes, attempt)
 	h.raiseEvidence(possiblyAccepted)
 }
 
-// removeUnknown records that the outcome of an attempt is known, and reports whether it was unknown.
+// removeUnknownOutcome records that the outcome of an attempt is now known. It reports whether the outcome
+// was unknown before.
 func (h *attemptHistory) removeUnknownOutcome(attempt *attempt) bool {
 	i := slices.Index(h.unknownOutcomes, attempt)
 	if i < 0 {
@@ -80,20 +83,21 @@
 	return true
 }
 
-// recordRun records that an attempt that has ended may have run the task.
+// recordPossibleRun records that an attempt that has ended may have run the task.
 func (h *attemptHistory) recordPossibleRun() { h.raiseEvidence(possiblyRan) }
 
 func (h *attemptHistory) raiseEvidence(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
 
-// hasUnknown reports whether the outcome of an attempt is unknown.
+// hasUnknownOutcome reports whether the outcome of any attempt is unknown.
 func (h *attemptHistory) hasUnknownOutcome() bool { return len(h.unknownOutcomes) > 0 }
 
-// isUnknown reports whether the outcome of this attempt is unknown.
+// isOutcomeUnknown reports whether the outcome of the given attempt is unknown.
 func (h *attemptHistory) isOutcomeUnknown(attempt *attempt) bool {
 	return slices.Contains(h.unknownOutcomes, attempt)
 }
 
-// unknownAt returns the attempt with unknown outcome that a node's answer names, nil if there is none.
+// unknownOutcomeAt returns the attempt with the given node and number if its outcome is unknown, otherwise
+// nil.
 func (h *attemptHistory) unknownOutcomeAt(node string, number int) *attempt {
 	for _, unresolved := range h.unknownOutcomes {
 		if unresolved.matches(node, number) {
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -11,10 +11,12 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// The characterization tests below pin every effect, every stored change and every error of an engine under seeded scripts. Regenerate
-// their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// The characterization tests pin every effect, every stored change and every error of an engine under seeded
+// scripts. Golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to
+// change; see package goldentest.
 
-// TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
+// TestCharacterizeMigrations pins how tasks are migrated off nearly empty nodes when nodes are expensive and
+// migrations are cheap.
 func TestCharacterizeMigrations(t *testing.T) {
 	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
@@ -41,7 +43,7 @@
 	script.recorder.Check(t, "script-moves")
 }
 
-// foundPod returns a Pod that a scheduler before this one has placed.
+// runningPod returns a running Pod that an earlier scheduler process has placed.
 func runningPod(scheduler string, number int) *corev1.Pod {
 	pod := &corev1.Pod{}
 	pod.Name = fmt.Sprintf("found-%d", number)
@@ -54,8 +56,9 @@
 	return pod
 }
 
-// TestCharacterizeEngineUnderScripts pins what an engine does, byte for byte, under seeded calls with faults: lost and late answers,
-// nodes that restart, vanish, become unresponsive and drain, and schedulers that are killed and start anew.
+// TestCharacterizeEngineUnderScripts pins the output of an engine byte for byte under seeded calls with
+// faults: lost and late answers, nodes that restart, disappear, become unresponsive or drain, and schedulers
+// that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
 		name     string
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -12,35 +12,38 @@
 
 // Config configures an Engine.
 type Config struct {
-	// Name identifies this scheduler. Nodes store it with each Pod.
+	// Name identifies this scheduler. Nodes store the name with each Pod.
 	Name string
 
 	Placer       placer.Config
-	Classes      []string // names of Placer.Classes, in their order
-	DefaultClass int      // index of the class of tasks without the label wellknown.Class
-	NodeTypes    []string // names of Placer.NodeTypes, in their order
-	Tenants      []string // namespaces of Placer.Tenants, in their order; if empty, every namespace is accepted
+	Classes      []string // names of Placer.Classes, in the same order
+	DefaultClass int      // index of the class for tasks without the label wellknown.Class
+	NodeTypes    []string // names of Placer.NodeTypes, in the same order
+	Tenants      []string // namespaces of Placer.Tenants, in the same order; if empty, all are accepted
 	Zone         string   // topology zone of this scheduler
 
-	Retry     retry.Policy     // zero means retry.DefaultPolicy
-	Admission admission.Config // zero means that every request is admitted
-	Seed      uint64           // of the random source
+	Retry     retry.Policy     // the zero value means retry.DefaultPolicy
+	Admission admission.Config // the zero value admits every placement request
+	Seed      uint64           // seed of the random number generator
 
-	BaseRevision    int64 // resource versions begin above this
-	HistoryEntries  int   // changes kept per table of the store for watches
-	MaxHistoryBytes int64 // bytes of changes kept for watches, as store.Cost counts; 0 means no limit
-	MaxPods         int   // Pods stored or pending at a time; further Jobs are rejected
-	MaxObjectBytes  int64 // bytes of stored and pending objects, as store.Cost counts; further Jobs are rejected; 0 means no limit
+	BaseRevision    int64 // resource versions start above this value
+	HistoryEntries  int   // number of changes that each table of the store keeps for watches
+	MaxHistoryBytes int64 // bytes of changes kept for watches, as measured by store.Cost; 0 means no limit
+	MaxPods         int   // limit on stored and pending Pods; Jobs beyond the limit are rejected
+	MaxObjectBytes  int64 // limit on stored and pending bytes (store.Cost); Jobs beyond it are rejected; 0: no limit
 
-	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept; 0 means until it is deleted.
+	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept. 0 keeps the
+	// Job until it is deleted.
 	FinishedTTL placer.Seconds
-	// NodeLossTimeout is the time for which a node may be absent from the inventory and unresponsive before its tasks count as lost.
+	// NodeLossTimeout is the time for which a node must be both absent from the inventory and unresponsive
+	// before its tasks count as lost.
 	NodeLossTimeout placer.Seconds
-	// MaxStartsPerCall limits the tasks that one call starts. The rest are started by the next calls.
+	// MaxStartsPerCall limits the number of tasks that are started in one call. Later calls start the
+	// remaining tasks.
 	MaxStartsPerCall int
 }
 
-// Defaults for settings that a Config leaves at zero.
+// These defaults apply to settings that are zero in a Config.
 const (
 	DefaultHistoryEntries   = 20000
 	DefaultMaxPods          = 200000
@@ -49,7 +52,7 @@
 	DefaultMaxStartsPerCall = 256
 )
 
-// validate returns an error about the first invalid setting.
+// validate returns an error for the first invalid setting.
 func (c *Config) validate() error {
 	if len(c.Classes) != len(c.Placer.Classes) {
 		return fmt.Errorf("engine: %d class names for %d classes", len(c.Classes), len(c.Placer.Classes))
@@ -63,7 +66,8 @@
 	return nil
 }
 
-// setDefaults sets the settings that are zero to their defaults, and derives the shares of the admission controller.
+// setDefaults replaces zero settings by their defaults, and sets the admission controller's shares from the
+// tenants.
 func (c *Config) setDefaults() {
 	setIfUnset(&c.HistoryEntries, DefaultHistoryEntries)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
@@ -73,7 +77,7 @@
 	if c.Retry == (retry.Policy{}) {
 		c.Retry = retry.DefaultPolicy()
 	}
-	c.Placer.Zone = 0 // this scheduler's zone is the first that is interned
+	c.Placer.Zone = 0 // interned zone numbers start with this scheduler's own zone
 	if c.Admission.MaxQueued == 0 {
 		c.Admission = admission.DefaultConfig()
 		c.Admission.Disabled = true
@@ -90,7 +94,8 @@
 	}
 }
 
-// classFromLabels returns the index of the class in the labels of a pod template, or the default class.
+// classFromLabels returns the index of the class that the labels of a Pod template name. Without a class
+// label it returns the default class.
 func (c *Config) classFromLabels(labels map[string]string) (int, *InvalidError) {
 	name, ok := labels[wellknown.Class]
 	if !ok {
@@ -106,7 +111,7 @@
 	}
 }
 
-// tenantOf returns the index of a namespace's tenant, and whether the namespace is accepted.
+// tenantOf returns the index of the tenant that owns a namespace, and whether the namespace is accepted.
 func (c *Config) tenantOf(namespace string) (int, bool) {
 	for i, name := range c.Tenants {
 		if name == namespace {
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -7,46 +7,49 @@
 	"heathshed/placer"
 )
 
-// EffectKind selects the operation that the caller must carry out.
+// EffectKind is the type of operation that the caller must carry out.
 type EffectKind uint8
 
-// The kinds of effects.
+// These are the kinds of effects.
 const (
-	// SendAttempt posts Pod to the node. The caller reports the result with AttemptDone.
+	// SendAttempt asks the caller to post Pod to the node, and to report the result with AttemptDone.
 	SendAttempt EffectKind = iota + 1
-	// AbandonAttempt ends the wait for the answer to an attempt. AttemptDone may still be called for it.
+	// AbandonAttempt tells the caller to stop waiting for the answer to an attempt. The caller may still call
+	// AttemptDone for the attempt.
 	AbandonAttempt
-	// StopTask deletes the Pod at the node and fences attempts with a number up to Attempt: the node rejects them from then on. The caller
-	// reports the result with StopDone.
+	// StopTask asks the caller to delete the Pod on the node, and to report the result with StopDone. The
+	// node is also told to reject attempts for the task whose number is at most Attempt (fencing).
 	StopTask
-	// WatchNode lists and watches the Pods of the node. The caller reports what it reads with NodePods, NodePod and NodeUnresponsive.
+	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with NodePods,
+	// NodePod and NodeUnresponsive.
 	WatchNode
-	// UnwatchNode ends WatchNode.
+	// UnwatchNode tells the caller to end the watch that WatchNode started.
 	UnwatchNode
-	// RelistNodes lists all nodes again. The caller reports the list with NodesListed.
+	// RelistNodes asks the caller to list all nodes again, and to report the list with NodesListed.
 	RelistNodes
 )
 
-// Effect is an operation outside of the engine that its caller must carry out. Ready returns the effects in their order.
+// Effect is an operation with an external system that the caller of the engine must carry out.
 type Effect struct {
 	Kind      EffectKind
 	Node      string
 	Address   string         // host:port of the node
-	Pod       *corev1.Pod    // SendAttempt: the Pod to post
-	UID       types.UID      // of the task's Pod
-	Namespace string         // of the task's Pod
-	Name      string         // of the task's Pod
+	Pod       *corev1.Pod    // the Pod to post; set for SendAttempt only
+	UID       types.UID      // UID of the task's Pod
+	Namespace string         // namespace of the task's Pod
+	Name      string         // name of the task's Pod
 	Attempt   int            // number of the attempt within its task
-	Deadline  placer.Seconds // SendAttempt: the answer is not awaited after this time
-	// AvoidUnknownOutcome requires SendAttempt to use a connection on which the caller can determine whether the node read the request, since the
-	// task must not run twice.
+	Deadline  placer.Seconds // time until which SendAttempt waits for the answer
+	// AvoidUnknownOutcome is set for SendAttempt if the task must not run twice. The caller must then use a
+	// connection on which it can determine whether the node read the request.
 	AvoidUnknownOutcome bool
 }
 
-// emit queues an effect for the caller.
+// emit appends an effect to the ones that Ready returns next.
 func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
 
-// Ready appends the pending effects to dst and returns it. Each effect is returned once.
+// Ready appends the pending effects to dst, in the order in which they must be carried out, and returns the
+// result. Each effect is returned once.
 func (e *Engine) Ready(dst []Effect) []Effect {
 	dst = append(dst, e.effects...)
 	clear(e.effects)
@@ -54,7 +57,8 @@
 	return dst
 }
 
-// stopCopy orders a node to stop a task, and not to accept attempts up to a number.
+// emitStopTask emits a StopTask effect: the node must stop the Pod and reject attempts up to the given
+// number.
 func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -1,16 +1,21 @@
-// Package engine is the core of the scheduler behind the Kubernetes API: Jobs, their tasks, the attempts to place them, and the nodes.
-// Packages scheduler and simulation call it, with sockets and in simulated time; package api calls it for requests that change objects.
+// Package engine is the core of the scheduler behind the Kubernetes API. It manages Jobs, their tasks, the
+// attempts to place these tasks, and the nodes. Packages scheduler and simulation drive the engine: scheduler
+// with sockets, simulation in simulated time. Package api calls the engine for requests that change objects.
 //
-// It is pure: no I/O, no clock, no goroutines, no globals. Callers pass the time in Unix seconds, which must not decrease. After each call they
-// get its effects from Ready and carry them out in order. The same calls at the same times give the same effects and the same stored objects.
+// The engine is deterministic. It does no I/O, reads no clock, starts no goroutines and has no global state.
+// Callers pass the time in Unix seconds, which must not decrease. After each call, the caller gets the
+// resulting effects from Ready and carries them out in order. The same calls at the same times produce the
+// same effects and the same stored objects.
 //
-// The engine does not decide where tasks are placed (package placer does), nor when a placement request is retried (package retry does).
+// The engine does not decide where tasks are placed (package placer does), nor when a placement request is
+// retried (package retry does).
 //
-// Errors of calls are ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping and *InvalidError. The other methods cannot fail: they ignore
-// unknown nodes, tasks and attempts.
+// Methods that return an error return ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping or an
+// *InvalidError. The other methods cannot fail: they ignore unknown nodes, tasks and attempts.
 //
-// Begin reading at Engine and its calls (engine.go, calls.go) and at Effect (effect.go). wiring.go shows which part calls which; task_state.go
-// and job_state.go have the state machines.
+// New readers should start with Engine and its methods (engine.go, calls.go) and with Effect (effect.go).
+// wiring.go shows which part of the engine calls which other parts. task_state.go and job_state.go define the
+// state machines.
 package engine
 
 import (
@@ -25,8 +30,8 @@
 	"heathshed/placer"
 )
 
-// Engine is the state of one scheduler. It passes each call to one of its parts, which own the state, and executes the actions of the placer. It
-// must be used by one goroutine at a time.
+// Engine holds the state of one scheduler. It passes each call to the part that owns the affected state, and
+// executes the actions of the placer. Only one goroutine at a time may use an Engine.
 type Engine struct {
 	*environment
 	publisher     *publisher
@@ -44,11 +49,11 @@
 	jobStarter    *jobStarter
 	jobStatus     *jobStatusWriter
 
-	// Stats counts events since the start.
+	// Stats counts events since the Engine was created.
 	Stats Stats
 }
 
-// Stats are counters since the start of an Engine.
+// Stats contains counters of events since an Engine was created.
 type Stats struct {
 	PlacementRequests, Attempts, Accepted, Rejections, UnknownOutcomes, Adopted, Stops uint64
 	Placed, Rejected, Failed                                                           uint64 // tasks by final outcome
@@ -56,10 +61,10 @@
 	JobsCreated, JobsFinished, PodsCreated, JobsRejected, LateAnswers                  uint64
 }
 
-// rngStream selects the engine's random sequence among those of one seed.
+// rngStream selects the random sequence of the engine; other components use other sequences of the same seed.
 const rngStream = 0x6865617468
 
-// New returns an Engine without Jobs and nodes. It fails if the configuration cannot be used.
+// New returns an Engine without Jobs and nodes. It returns an error if the configuration is invalid.
 func New(cfg Config) (*Engine, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -81,25 +86,25 @@
 	return e, nil
 }
 
-// Store returns the engine's store. It may be read between calls.
+// Store returns the engine's store, which may be read between calls.
 func (e *Engine) Store() *store.Store { return e.publisher.store }
 
-// Config returns the configuration with defaults filled in.
+// Config returns the configuration with all defaults set.
 func (e *Engine) Config() Config { return e.cfg }
 
-// Admission returns the admission controller. It may be read between calls.
+// Admission returns the admission controller, which may be read between calls.
 func (e *Engine) Admission() *admission.Controller { return e.requests.admission }
 
 // OpenTasks returns the number of tasks without a final outcome.
 func (e *Engine) OpenTasks() int { return e.tasks.openCount }
 
-// NextWake returns the time at which Tick must be called, infinity if no timer is pending.
+// NextWake returns the time at which the caller must call Tick. The time is infinite if no timer is pending.
 func (e *Engine) NextWake() placer.Seconds { return e.timers.NextOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
 func (e *Engine) Tick(now placer.Seconds) {
 	e.beginCall(now)
-	// A timer that is added by another one for the same time runs in the next call.
+	// A timer that another timer adds for the same time runs in the next call.
 	for count := e.timers.Len(); count > 0; count-- {
 		due := e.timers.Pop(e.now)
 		if due == nil {
@@ -110,18 +115,20 @@
 	e.endCall()
 }
 
-// Stop rejects new Jobs from now on and settles every task that the placer does not know yet. The placer decides on open requests as usual,
-// but they are not retried.
+// Stop makes the engine reject new Jobs, and gives every task that the placer does not know yet its final
+// outcome. The placer still decides on open placement requests, but these requests are not retried.
 func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
 	e.endCall()
 }
 
-// beginCall must be the first step of every call, endCall the last.
+// beginCall sets the time. Every exported method that changes state must call beginCall first and endCall
+// last.
 func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
-// endCall lets the placer and the admission controller react to the call, and stores the statuses of Jobs that changed.
+// endCall lets the placer and the admission controller react to the events of the current call, and stores
+// the Job statuses that changed.
 func (e *Engine) endCall() {
 	e.drainEvents()
 	e.requests.admitQueued()
@@ -151,9 +158,10 @@
 	}
 }
 
-// CheckInvariants returns an error if a task, a Job or an index has made an illegal transition, if a task's state does not agree with its
-// attempts, its request or its node, or if a Job does not agree with its tasks. It looks at every task and index: it is for tests and
-// simulations, between calls.
+// CheckInvariants returns an error if a task, a Job or a completion index has made an illegal transition, if
+// the state of a task contradicts its attempts, its placement request or its node, or if a Job contradicts
+// its tasks. It examines every task and completion index, so it is meant for tests and simulations. It must
+// be called between other calls.
 func (e *Engine) CheckInvariants() error {
 	if err := e.transitions.firstError; err != nil {
 		return err
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -13,13 +13,14 @@
 	"heathshed/placer"
 )
 
-// TestWarmupUsesOwnClock: the start of a node is taken by the scheduler's clock. A node whose clock is behind must warm up after a start,
-// and one whose clock is ahead must not warm up for ever.
+// TestWarmUpUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
+// when a node started: a node whose clock is behind must warm up after a start, and a node whose clock is
+// ahead must not warm up forever.
 func TestWarmUpUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
 		name          string
-		first, second *corev1.Node // as listed at listedAt and at relistedAt
+		first, second *corev1.Node // the node as listed at listedAt and at relistedAt
 		want          placer.Seconds
 	}{
 		{"long up", listedNode("a", 0), listedNode("a", 0), 0},
@@ -39,7 +40,9 @@
 	}
 }
 
-// TestLateListWithEarlierIncarnation: a list may be late. An incarnation that the node itself has left does not end the present one.
+// TestLateListWithEarlierIncarnation guards against a late list that reverts a node to an earlier
+// incarnation. Once the node itself has stated a new incarnation, lists with an earlier one must not replace
+// it.
 func TestLateListWithEarlierIncarnation(t *testing.T) {
 	engine := newEngine(t)
 	engine.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
@@ -54,13 +57,14 @@
 	}
 }
 
-// TestStopAnsweredByAnotherIncarnation: a node that does not have a task says so of its present incarnation only. If the attempt was sent to
-// an earlier one it may have run there, and a task that must not run twice is not requested again.
+// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a node restart. A node that
+// does not have a task can answer only for its current incarnation. If the attempt was sent to an earlier
+// incarnation, the task may have run there, and a task that must not run twice is not requested again.
 func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
 	const end = createdAt + 59
 	for _, test := range []struct {
 		name        string
-		incarnation string // of the node that answers the stop
+		incarnation string // incarnation of the node that answers the stop order
 		retried     bool
 	}{
 		{"same incarnation", "a", true},
@@ -75,7 +79,7 @@
 			})
 			createJobOnOneNode(t, engine, 1)
 
-			attempts := 0 // none is answered
+			attempts := 0 // the node answers no attempt
 			for now := createdAt; now < end; {
 				for _, effect := range engine.Ready(nil) {
 					switch effect.Kind {
@@ -102,7 +106,8 @@
 	}
 }
 
-// TestFinishedJobsAreEvictedForNewOnes: finished Jobs are removed for new ones, the oldest first, but not before their outcome could be read.
+// TestFinishedJobsAreEvictedForNewOnes checks that finished Jobs are removed to make room for new ones, the
+// oldest first, but not before clients had time to read their outcomes.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	create := func(now placer.Seconds, name string) error {
@@ -122,7 +127,7 @@
 	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
 		t.Fatalf("120 of 100 Pods: %v", err)
 	}
-	// There is no node: all are rejected at their deadline.
+	// There is no node, so all tasks are rejected at their deadlines.
 	for ; engine.OpenTasks() > 0 && now < 1100; now++ {
 		engine.Tick(now)
 	}
@@ -138,7 +143,8 @@
 	}
 }
 
-// TestJobThatNeverFitsIsInvalid: a Job that takes more than all memory for objects would not fit later either.
+// TestJobThatNeverFitsIsInvalid checks that a Job that exceeds the whole limit on object bytes is invalid
+// rather than refused for now, because it would not fit later either.
 func TestJobThatNeverFitsIsInvalid(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	big := newJob("big", 100)
@@ -152,8 +158,9 @@
 	}
 }
 
-// TestStopWhileTaskAwaitsRerun: a task that ended without success is started again by a timer. If the engine is stopped before that timer
-// fires, the new Pod gets its final outcome and nothing is sent for it.
+// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. A timer starts a task again after
+// it ended without success. If the engine is stopped before this timer fires, the new Pod must get its final
+// outcome without any attempt.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	engine := newEngine(t)
 	createJobOnOneNode(t, engine, 1)
@@ -201,8 +208,8 @@
 	}
 }
 
-// TestNodeWithoutAnnotationsChanges: a Node of the inventory may have no annotations. A change of it must not be taken for a change of its
-// free capacity.
+// TestNodeWithoutAnnotationsChanges guards against ignoring a change of a Node that has no annotations, as if
+// only its free capacity had changed.
 func TestNodeWithoutAnnotationsChanges(t *testing.T) {
 	engine := newEngine(t)
 	first := listedNode("a", 0)
@@ -219,8 +226,9 @@
 	}
 }
 
-// TestStopWhileRetryWithUnknownOutcomeIsQueued: a task may wait for admission while the outcome of an earlier attempt is unknown. Where the
-// engine is stopped then, the task still gets its final outcome.
+// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. A task
+// may wait for admission while the outcome of an earlier attempt is unknown. If the engine is stopped in this
+// state, the task must still get its final outcome.
 func TestStopWhileRetryWithUnknownOutcomeIsQueued(t *testing.T) {
 	engine := newEngine(t, func(config *Config) {
 		config.Admission = admission.DefaultConfig()
@@ -230,7 +238,7 @@
 		config.Placer.SlowStart = placer.SlowStart{}
 	})
 	createJobOnOneNode(t, engine, 3)
-	// No attempt and no stop is ever answered.
+	// The node answers neither attempts nor stop orders.
 	now := tickUntil(engine, createdAt, 1030, func() bool { return hasQueuedRetryWithUnknownOutcome(engine) })
 	if !hasQueuedRetryWithUnknownOutcome(engine) {
 		t.Fatal("no retry was queued while an outcome was unknown")
@@ -256,7 +264,8 @@
 	return false
 }
 
-// TestNodeWithoutLabelsGetsZone: a node whose labels an API update took away shows the zone that the inventory states later.
+// TestNodeWithoutLabelsGetsZone checks that a node shows the zone that the inventory states, even if an API
+// update removed all labels of the node earlier.
 func TestNodeWithoutLabelsGetsZone(t *testing.T) {
 	engine := newEngine(t)
 	unlabelled := listedNode("a", 0)
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -13,53 +13,54 @@
 	"heathshed/placer"
 )
 
-// environment is what all parts of an Engine share: the settings, the time of the present call, the source of random numbers, the timers,
-// the queue of events to the placer, and the pending effects.
+// environment holds the state that all parts of an Engine share: settings, the time of the current call, the
+// random number generator, timers, the queue of events for the placer, and pending effects.
 type environment struct {
 	cfg      Config
-	now      placer.Seconds // Unix seconds of the present call
+	now      placer.Seconds // time of the current call in Unix seconds
 	rng      *rand.Rand
-	events   eventqueue.Queue // to the placer
-	effects  []Effect         // not yet returned by Ready
+	events   eventqueue.Queue // events for the placer
+	effects  []Effect         // effects that Ready has not returned yet
 	timers   timerqueue.Queue[placer.Seconds]
 	stats    *Stats
-	stopping bool // Stop was called
+	stopping bool // set by Engine.Stop
 
 	transitions transitionCheck
 }
 
-// advanceClock sets the time of a new call. The clock never goes back.
+// advanceClock sets the time of a new call. The time never goes backwards.
 func (env *environment) advanceClock(now placer.Seconds) { env.now = max(env.now, now) }
 
-// apiNow returns the time of the present call in the form of the API's objects.
+// apiNow returns the time of the current call in the format of Kubernetes API objects.
 func (env *environment) apiNow() metav1.Time { return wellknown.APITime(env.now) }
 
 // post queues an event for the placer.
 func (env *environment) post(event placer.Event) { env.events.Post(event) }
 
-// drainEvents has the placer handle the queued events and executes its actions. It does nothing while an action is executed.
+// drainEvents makes the placer handle the queued events, and executes the actions of the placer. It does
+// nothing if it is called while an action is being executed.
 func (env *environment) drainEvents() { env.events.Run(env.now) }
 
-// timer is a function that runs in a later Tick.
+// timer is a function that a later call of Tick runs.
 type timer = timerqueue.Timer[placer.Seconds]
 
-// runAt schedules a function for the first call of Tick at or after a time.
+// runAt schedules a function for the first call of Tick at or after the given time.
 func (env *environment) runAt(when placer.Seconds, fn func()) *timer { return env.timers.Add(when, fn) }
 
-// runAfter schedules a function for the first call of Tick after a delay.
+// runAfter schedules a function for the first call of Tick after the given delay.
 func (env *environment) runAfter(delay placer.Seconds, fn func()) *timer {
 	return env.runAt(env.now+max(delay, 0), fn)
 }
 
-// stopTimer stops a timer. A nil timer and one that has run are ignored.
+// stopTimer cancels a timer. A nil timer, or one that has already run, is ignored.
 func (env *environment) stopTimer(timer *timer) { env.timers.Stop(timer) }
 
-// idempotencyOf returns whether the class of a task permits running it twice.
+// idempotencyOf returns whether tasks of the given task's class may run twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
 	return env.cfg.Placer.Classes[task.class].Idempotency
 }
 
-// newUID draws a version 4 UUID from the engine's own random source.
+// newUID generates a version 4 UUID with the engine's random number generator.
 func (env *environment) newUID() types.UID {
 	first, second := env.rng.Uint64(), env.rng.Uint64()
 	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(first), uint16(first>>32), first>>52,
@@ -71,7 +72,7 @@
 	nameSuffixLength   = 5
 )
 
-// randomSuffix draws the end of a generated name, in the form that the Kubernetes API uses.
+// randomNameSuffix generates the random end of an object name, in the format that the Kubernetes API uses.
 func (env *environment) randomNameSuffix() string {
 	letters := make([]byte, nameSuffixLength)
 	for i := range letters {
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -8,21 +8,23 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// Errors of calls. The API server turns them into statuses, with their texts as messages.
+// These errors are returned by methods of Engine. The API server translates them into statuses, whose
+// messages are the error texts.
 var (
 	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrExists means that an object of this name exists.
+	// ErrExists means that an object with the same name exists.
 	ErrExists = errors.New("already exists")
-	// ErrConflict means that the UID or the resource version that the caller requires is not that of the stored object.
+	// ErrConflict means that the stored object does not have the UID or the resource version that the caller
+	// requires.
 	ErrConflict = errors.New("the object has been modified; read it again")
-	// ErrTooMany means that a Job does not fit beside the objects that are stored now. It may fit later.
+	// ErrTooMany means that a new Job would exceed the limit on stored objects. A later attempt may succeed.
 	ErrTooMany = errors.New("too many tasks are stored; try again later")
-	// ErrStopping means that Stop was called.
+	// ErrStopping means that Engine.Stop was called.
 	ErrStopping = errors.New("the scheduler stops and takes no new tasks")
 )
 
-// InvalidError is an object that cannot be accepted, now or later. Field is the path of the first invalid field.
+// InvalidError says that an object can never be accepted. Field is the path of the first invalid field.
 type InvalidError struct {
 	Field, Detail string
 	Value         any
@@ -30,7 +32,8 @@
 
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Field, e.Value, e.Detail) }
 
-// checkPreconditions returns ErrConflict if the UID or the resource version of an object is not the required one. Empty values are not checked.
+// checkPreconditions returns ErrConflict if an object does not have the required UID or resource version.
+// Empty requirements are not checked.
 func checkPreconditions(object metav1.Object, uid types.UID, resourceVersion string) error {
 	if uid != "" && uid != object.GetUID() {
 		return ErrConflict
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// The tests of this package use one node, one class and one Job, with these names.
+// The tests in this package use one node, one class and one Job with these names.
 const (
 	nodeName     = "n"
 	jobName      = "j"
@@ -18,13 +18,13 @@
 	nodeTypeName = "k"
 )
 
-// Times of the tests. The node is listed first, and the Job is created after that.
+// The tests list the node at listedAt and create the Job at createdAt.
 const (
 	listedAt  placer.Seconds = 1000
 	createdAt placer.Seconds = 1001
 )
 
-// testConfig returns the settings of an engine with one class of idempotent tasks and one type of nodes.
+// testConfig returns the settings of an engine with one class of idempotent tasks and one node type.
 func testConfig() Config {
 	return Config{
 		Name:      "s",
@@ -42,7 +42,7 @@
 	}
 }
 
-// newEngine returns an engine with the settings of testConfig, which the functions may change.
+// newEngine returns an engine with the settings of testConfig, modified by the given functions.
 func newEngine(t *testing.T, changes ...func(config *Config)) *Engine {
 	t.Helper()
 	config := testConfig()
@@ -56,7 +56,8 @@
 	return engine
 }
 
-// listedNode returns a ready node as the inventory lists it. A start time of 0 is not stated.
+// listedNode returns a ready node as the inventory lists it. The node states its start time unless the time
+// is 0.
 func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
@@ -72,7 +73,7 @@
 	return node
 }
 
-// newJob returns a Job of so many tasks that may all run at once.
+// newJob returns a Job with the given number of tasks, all of which may run at once.
 func newJob(name string, tasks int32) *batchv1.Job {
 	created := &batchv1.Job{}
 	created.Name = name
@@ -82,7 +83,8 @@
 	return created
 }
 
-// createJobOnOneNode lists a node with free capacity, which runs nothing, and creates a Job of so many tasks.
+// createJobOnOneNode lists a node that has free capacity and runs nothing, and creates a Job with the given
+// number of tasks.
 func createJobOnOneNode(t *testing.T, engine *Engine, tasks int32) {
 	t.Helper()
 	node := listedNode("a", 0)
@@ -94,7 +96,7 @@
 	}
 }
 
-// takeAttempts takes the effects that are due and returns the attempts among them.
+// takeAttempts takes the pending effects and returns those that send an attempt.
 func takeAttempts(engine *Engine) []Effect {
 	var attempts []Effect
 	for _, effect := range engine.Ready(nil) {
@@ -105,7 +107,8 @@
 	return attempts
 }
 
-// tickUntil runs the engine's timers until a condition holds, at most until the end. It returns the time of the last call.
+// tickUntil runs the engine's timers until a condition holds or the end time is reached. It returns the time
+// of the last call.
 func tickUntil(engine *Engine, from, end placer.Seconds, holds func() bool) placer.Seconds {
 	now := from
 	for now < end && !holds() {
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -10,21 +10,21 @@
 	"heathshed/placer"
 )
 
-// job is the state of a Job with its tasks, one for each completion index. The parts that create, start, update and delete Jobs change it through
-// its methods.
+// job is the state of a Job and of its completion indexes, each of which has at most one task at a time. The
+// types that create, start, update and delete Jobs modify a job through its methods.
 type job struct {
-	placementSpec         // of each task
+	placementSpec         // properties that all tasks of the Job share
 	key            string // store.Key of the Job
 	uid            types.UID
-	object         *batchv1.Job // as stored; never changed
-	podCost        int64        // of each Pod, as store.Cost counts
-	cachedManifest string       // cached result of manifest; "" if there is none
+	object         *batchv1.Job // the stored object, which must not be modified
+	podCost        int64        // cost of one Pod, as measured by store.Cost
+	cachedManifest string       // cached result of the method manifest; "" if there is none
 
 	indexes indexTable
 	pods    map[string]struct{} // names of the stored Pods
 
-	statusDirty bool // listed in jobStatusWriter.dirty
-	inBacklog   bool // listed in jobStarter.backlog
+	statusDirty bool // set if the Job is listed in jobStatusWriter.dirty
+	inBacklog   bool // set if the Job is listed in jobStarter.backlog
 
 	transitions    *transitionCheck
 	progress       jobProgress
@@ -32,13 +32,13 @@
 	failureMessage string
 	finishedAt     placer.Seconds
 	deletion       jobDeletion
-	suspended      bool // spec.suspend as last applied; an update does not suspend a finished Job
+	suspended      bool // spec.suspend as last applied; an update cannot suspend a finished Job
 
-	deadlineTimer *timer // activeDeadlineSeconds
-	ttlTimer      *timer // ttlSecondsAfterFinished
+	deadlineTimer *timer // fires when activeDeadlineSeconds have passed
+	ttlTimer      *timer // fires when ttlSecondsAfterFinished have passed
 }
 
-// valueOr returns the value of a pointer, or another value if the pointer is nil.
+// valueOr returns the value that a pointer refers to, or a fallback if the pointer is nil.
 func valueOr[T any](pointer *T, fallback T) T {
 	if pointer == nil {
 		return fallback
@@ -46,7 +46,7 @@
 	return *pointer
 }
 
-// defaultBackoffLimit is the backoffLimit of Jobs that set none, as in Kubernetes.
+// defaultBackoffLimit is the backoffLimit of Jobs that do not set one. Kubernetes uses the same default.
 const defaultBackoffLimit = 6
 
 // taskCount returns the number of completion indexes of a Job.
@@ -60,11 +60,12 @@
 	return int(valueOr(j.object.Spec.BackoffLimit, defaultBackoffLimit))
 }
 
-// cost returns the cost of the Job and all its Pods, as store.Cost counts.
+// cost returns the cost of the Job and all of its Pods, as measured by store.Cost.
 func (j *job) cost() int64 { return j.podCost * int64(1+j.indexes.len()) }
 
-// manifest returns the Job in the form that nodes store with each of its Pods, from which a restarted scheduler rebuilds it. It is "" if the
-// Job cannot be encoded: its tasks are then adopted without it.
+// manifest returns the Job as JSON. Nodes store this text with each Pod of the Job, and a restarted scheduler
+// rebuilds the Job from it. The result is "" if the Job cannot be encoded; the tasks of such a Job are
+// adopted without it.
 func (j *job) manifest() string {
 	if j.cachedManifest != "" {
 		return j.cachedManifest
@@ -87,10 +88,11 @@
 	return j.cachedManifest
 }
 
-// updateObject replaces the stored Job after a change of its status or its deletion, which its manifest does not contain.
+// updateObject replaces the stored Job after a change of its status or deletion. These are not part of the
+// manifest.
 func (j *job) updateObject(object *batchv1.Job) { j.object = object }
 
-// updateSpec replaces the stored Job after an update of its metadata or spec.
+// updateSpec replaces the stored Job after an update of its metadata or spec, and clears the cached manifest.
 func (j *job) updateSpec(object *batchv1.Job) {
 	j.object = object
 	j.cachedManifest = ""
@@ -100,17 +102,17 @@
 
 func (j *job) removePod(name string) { delete(j.pods, name) }
 
-// releasePods detaches the Pods of a Job that is deleted without them.
+// releasePods removes all Pods from the record of a Job that is deleted without deleting its Pods.
 func (j *job) releasePods() { j.pods = nil }
 
-// startFailing records that the Job fails as a whole.
+// startFailing records that the Job fails as a whole, and why.
 func (j *job) startFailing(reason, message string) {
 	j.setProgress(jobFailing)
 	j.failureReason = reason
 	j.failureMessage = message
 }
 
-// finish records that the Job has no task left and starts none.
+// finish records the end of a Job that has no tasks left and will start no more.
 func (j *job) finish(now placer.Seconds) {
 	j.setProgress(j.progress.afterLastTask())
 	j.finishedAt = now
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -7,7 +7,8 @@
 	"heathshed/placer"
 )
 
-// jobController creates, updates, finishes and deletes Jobs, and records the outcomes and the ends of their tasks.
+// jobController creates, updates, finishes and deletes Jobs. It records the outcomes and the ends of their
+// tasks.
 type jobController struct {
 	*environment
 	jobs          *jobTable
@@ -19,7 +20,7 @@
 	publisher     *publisher
 }
 
-// recordSettled counts the final outcome of the first task of an index.
+// recordOutcome counts the final outcome of a task, if it is the first outcome of its completion index.
 func (c *jobController) recordOutcome(task *task, outcome taskOutcome) {
 	job := task.job
 	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
@@ -30,7 +31,8 @@
 	}
 }
 
-// taskEnded counts the end of a task, and schedules another start of its index if the Job permits it.
+// recordTaskEnd counts the end of a task, and schedules a new start of its completion index if the Job
+// permits it.
 func (c *jobController) recordTaskEnd(task *task, succeeded bool, cause retry.Cause) {
 	job := task.job
 	if job.indexes.at(task.index).task != task {
@@ -52,7 +54,8 @@
 	c.finishIfDone(job)
 }
 
-// finishIfDone ends a Job whose indexes have all ended, or which fails as a whole and has no active task left.
+// finishIfDone finishes a Job if all of its completion indexes have ended, or if the Job fails as a whole and
+// has no active task left.
 func (c *jobController) finishIfDone(job *job) {
 	if job.progress.finished() || job.isDeleted() || job.indexes.active > 0 {
 		return
@@ -76,14 +79,14 @@
 	})
 }
 
-// finish records the end of a Job that has no task left and starts none.
+// finish records the end of a Job that has no tasks left and will start no more.
 func (c *jobController) finish(job *job) {
 	job.finish(c.now)
 	c.stats.JobsFinished++
 	c.jobs.addFinished(job)
 }
 
-// fail makes a Job fail as a whole: its active tasks are stopped.
+// fail makes a Job fail as a whole and stops its active tasks.
 func (c *jobController) fail(job *job, reason, message string) {
 	if job.progress != jobRunning || job.isDeleted() {
 		return
@@ -101,7 +104,7 @@
 	c.jobStatus.markDirty(job)
 }
 
-// podRemoved records that the Pod of a task was removed from the store.
+// recordPodRemoval records that the Pod of a task was removed from the store.
 func (c *jobController) recordPodRemoval(task *task) {
 	if task.job != nil {
 		task.job.removePod(task.name)
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -11,7 +11,7 @@
 	"heathshed/placer"
 )
 
-// newJob returns the state of a Job none of whose tasks was started. The error is an *InvalidError.
+// newJob returns the state of a Job that has not started any tasks. The error is an *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
 	class, invalid := c.cfg.classFromLabels(labels)
@@ -80,13 +80,13 @@
 	return c.publisher.storedJob(object.Namespace, object.Name), nil
 }
 
-// Limits of generated names.
+// These constants limit the generation of object names.
 const (
-	maxGenerateNameLength = 248 // characters of generateName that are used
-	maxNameCandidates     = 8   // names drawn until one is free, as by the Kubernetes API server
+	maxGenerateNameLength = 248 // number of characters of generateName that are used
+	maxNameCandidates     = 8   // names to try, as in the Kubernetes API server
 )
 
-// generateName sets the name of a Job that has only a generateName.
+// generateName chooses a name for a Job that has only a generateName.
 func (c *jobController) generateName(object *batchv1.Job) {
 	if object.Name != "" || object.GenerateName == "" {
 		return
@@ -99,7 +99,8 @@
 	}
 }
 
-// initialize sets what the API server's registry sets in a new Job: identity, status, selector and labels of its Pods.
+// initialize sets the fields that the registry of a Kubernetes API server sets in a new Job: its identity,
+// status and selector, and the labels of its Pods.
 func (c *jobController) initialize(object *batchv1.Job) {
 	object.UID = c.newUID()
 	object.CreationTimestamp = c.apiNow()
@@ -115,11 +116,12 @@
 	labels := object.Spec.Template.Labels
 	labels[wellknown.JobUID] = uid
 	labels[wellknown.JobName] = object.Name
-	labels["controller-uid"] = uid   // the older form of the label
-	labels["job-name"] = object.Name // the older form of the label
+	labels["controller-uid"] = uid   // label in the format of older Kubernetes versions
+	labels["job-name"] = object.Name // label in the format of older Kubernetes versions
 }
 
-// exceedsLimits reports whether a new Job exceeds MaxPods or MaxObjects together with the stored objects and the Pods still to be created.
+// exceedsLimits reports whether a new Job would exceed MaxPods or MaxObjectBytes, counting both the stored
+// objects and the Pods that are still to be created.
 func (c *jobController) exceedsLimits(created *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
 	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
@@ -128,10 +130,12 @@
 	return c.cfg.MaxObjectBytes > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjectBytes
 }
 
-// minFinishedRetention is the shortest time for which a finished Job is kept, so that its outcome can be read.
+// minFinishedRetention is the shortest time for which a finished Job is kept, so that clients can read its
+// outcome.
 const minFinishedRetention placer.Seconds = 30
 
-// evictFinished removes the Job that finished first, and reports whether it did. A dry run removes nothing.
+// evictFinished removes the Job that finished first, unless it finished too recently. It reports whether it
+// removed a Job. A dry run removes nothing.
 func (c *jobController) evictFinished(dryRun bool) bool {
 	oldest := c.jobs.oldestFinished()
 	if oldest == nil || dryRun || c.now-oldest.finishedAt < minFinishedRetention {
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -25,7 +25,8 @@
 	return job.object, nil
 }
 
-// remove deletes a Job, and its Pods as the policy says. It does nothing if the Job is deleted already.
+// remove deletes a Job, and handles its Pods according to the propagation policy. It does nothing if the Job
+// is already deleted.
 func (c *jobController) remove(job *job, propagation metav1.DeletionPropagation) {
 	if job.isDeleted() {
 		return
@@ -52,7 +53,7 @@
 	c.drainEvents()
 }
 
-// orphanPods removes the owner references of a Job's Pods, and detaches their tasks from the Job.
+// orphanPods removes the owner references from the Pods of a Job, and detaches their tasks from the Job.
 func (c *jobController) orphanPods(job *job, names []string) {
 	for _, name := range names {
 		stored := c.publisher.storedPod(job.object.Namespace, name)
@@ -69,7 +70,7 @@
 	job.releasePods()
 }
 
-// deletePodsOf deletes the Pods of a Job that are stored.
+// deletePodsOf deletes those of the named Pods of a Job that are stored.
 func (c *jobController) deletePodsOf(job *job, names []string) {
 	for _, name := range names {
 		if pod := c.publisher.storedPod(job.object.Namespace, name); pod != nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// startForegroundDeletion marks the stored Job as deleted. It is removed with its last Pod.
+// startForegroundDeletion marks the stored Job as deleted. The Job is removed together with its last Pod.
 func (c *jobController) startForegroundDeletion(job *job) {
 	job.setDeletion(jobDeletingForeground)
 	marked := job.object.DeepCopy()
@@ -89,7 +90,7 @@
 	job.updateObject(marked)
 }
 
-// finishForegroundDeletion removes a Job that was deleted in the foreground if its last Pod is removed.
+// finishForegroundDeletion removes a Job that is being deleted in the foreground, once its last Pod is gone.
 func (c *jobController) finishForegroundDeletion(job *job) {
 	if job.deletion == jobDeletingForeground && len(job.pods) == 0 {
 		job.setDeletion(jobDeleted)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -4,17 +4,18 @@
 	"fmt"
 )
 
-// indexState is the state of a completion index.
+// indexState is the state of a completion index of a Job.
 type indexState uint8
 
 const (
-	// indexPending: it is to be started.
+	// indexPending means that the index waits for its start.
 	indexPending indexState = iota
-	// indexActive: it has a task.
+	// indexActive means that the index has a task.
 	indexActive
-	// indexRetrying: its task ended, and another is started later unless the Job stops.
+	// indexRetrying means that the task of the index ended. Another task is started later unless the Job
+	// stops.
 	indexRetrying
-	// indexFinished: it has succeeded, or is not started again.
+	// indexFinished means that the index has succeeded or will not be started again.
 	indexFinished
 
 	indexStates
@@ -24,7 +25,8 @@
 
 func (s indexState) String() string { return indexStateNames[s] }
 
-// indexTransitions lists the states that may follow each state. A finished index is active again if a copy of its task is adopted.
+// indexTransitions lists the states that may follow each state. A finished index becomes active again if a
+// running duplicate of its task is adopted.
 var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
@@ -35,29 +37,30 @@
 // jobIndex is a completion index of a Job.
 type jobIndex struct {
 	state       indexState
-	task        *task // while active
-	settled     bool  // the outcome of its first task is counted
-	retryBudget int   // of the next task
+	task        *task // set while the index is active
+	settled     bool  // set once the outcome of the index's first task is counted
+	retryBudget int   // retry budget of the next task
 	retryTimer  *timer
 }
 
-// indexTable owns the completion indexes of a Job and their counts. Only its methods change them.
+// indexTable holds the completion indexes of a Job and counts them by state. Only its methods modify them.
 type indexTable struct {
 	ownerKey    string // store.Key of the Job
 	transitions *transitionCheck
 
 	entries        []jobIndex
-	nextUnstarted  int // all indexes below were started
-	active         int // indexes with a task
-	succeededTasks int // tasks that succeeded
-	failedTasks    int // tasks that ended without success
-	failedIndexes  int // indexes that are not started again
+	nextUnstarted  int // lowest index that was not considered for a start yet
+	active         int // number of indexes that have a task
+	succeededTasks int // number of tasks that succeeded
+	failedTasks    int // number of tasks that ended without success
+	failedIndexes  int // number of indexes that failed and will not be started again
 
-	outcomeCounts      map[taskOutcome]int // indexes by the final outcome of their first task
-	unplacedMayHaveRun bool                // a task without placement may have run
+	outcomeCounts      map[taskOutcome]int // number of indexes by the final outcome of their first task
+	unplacedMayHaveRun bool                // set if a task that was not placed may have run
 }
 
-// newIndexTable returns a table of pending indexes, whose first tasks have the given retry budget.
+// newIndexTable returns a table of pending completion indexes. The first task of each index gets the given
+// retry budget.
 func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
 	table := indexTable{ownerKey: job, transitions: transitions, entries: make([]jobIndex, count), outcomeCounts: map[taskOutcome]int{}}
 	for i := range table.entries {
@@ -68,16 +71,17 @@
 
 func (t *indexTable) len() int { return len(t.entries) }
 
-// at returns an index, which the caller must not change.
+// at returns a completion index. The caller must not modify the index.
 func (t *indexTable) at(i int) *jobIndex { return &t.entries[i] }
 
-// allEnded reports whether no index has a task that is still to succeed.
+// allEnded reports whether every completion index has succeeded or failed.
 func (t *indexTable) allEnded() bool { return t.succeededTasks+t.failedIndexes >= len(t.entries) }
 
-// unstarted returns the number of indexes that takeNext has yet to return.
+// unstarted returns the number of completion indexes that takeNext has yet to return.
 func (t *indexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
-// takeNext returns the next index to consider for a start, unless the parallelism is reached.
+// takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
+// as many are active as the parallelism allows.
 func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
@@ -86,16 +90,16 @@
 	return t.nextUnstarted - 1, true
 }
 
-// skipAll keeps every index from being started until restart is called for it.
+// preventStarts keeps each completion index from being started until restart is called for it.
 func (t *indexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
-// start assigns a new task to an index.
+// start assigns a new task to a completion index.
 func (t *indexTable) start(i int, task *task) {
 	t.activate(i, task)
 	t.entries[i].retryTimer = nil
 }
 
-// adopt assigns a task that was found running to an index that has none.
+// adopt assigns a task that was found running to a completion index without a task.
 func (t *indexTable) adopt(i int, task *task) {
 	if t.entries[i].state == indexFinished {
 		t.failedIndexes--
@@ -104,14 +108,14 @@
 	t.activate(i, task)
 }
 
-// activate assigns a task to an index.
+// activate assigns a task to a completion index and marks the index as active.
 func (t *indexTable) activate(i int, task *task) {
 	t.setState(i, indexActive)
 	t.entries[i].task = task
 	t.active++
 }
 
-// settle counts an outcome if it is the first final one of an index, and reports whether it is.
+// settle counts a final outcome if it is the first one of the completion index, and reports whether it is.
 func (t *indexTable) settle(i int, outcome taskOutcome) bool {
 	index := &t.entries[i]
 	if index.settled {
@@ -122,7 +126,8 @@
 	return true
 }
 
-// settleTask counts the final outcome of a task if it is the first one of its index, and reports whether it is.
+// settleTask counts the final outcome of a task if it is the first one of the task's completion index, and
+// reports whether it is.
 func (t *indexTable) settleTask(task *task, outcome taskOutcome) bool {
 	if !t.settle(task.index, outcome) {
 		return false
@@ -131,20 +136,22 @@
 	return true
 }
 
-// end records that an index's task has ended. One of succeed, fail and restart follows unless the Job is deleted.
+// end records that the task of a completion index has ended. Unless the Job is deleted, the caller then calls
+// succeed, fail or restart.
 func (t *indexTable) end(i int) {
 	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
 	t.active--
 }
 
-// succeed finishes an index whose task has succeeded.
+// succeed finishes a completion index whose task has succeeded.
 func (t *indexTable) succeed(i int) {
 	t.succeededTasks++
 	t.setState(i, indexFinished)
 }
 
-// fail counts a task that ended without success, and finishes its index unless the index is started again.
+// fail counts a task that ended without success. It finishes the completion index unless the index will be
+// started again.
 func (t *indexTable) fail(i int, startedAgain bool) {
 	t.failedTasks++
 	if !startedAgain {
@@ -153,7 +160,7 @@
 	}
 }
 
-// failUnseen fails an index of a rebuilt Job whose task may have run.
+// failUnreported fails a completion index of a rebuilt Job that no node has reported. Its task may have run.
 func (t *indexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.settle(i, outcomeFailed) {
@@ -161,19 +168,21 @@
 	}
 }
 
-// restart makes an index pending again, so that it is started when the Job is next served from the backlog.
+// restart makes a completion index pending again. The index is started when the jobStarter next takes the Job
+// from its backlog.
 func (t *indexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.nextUnstarted = min(t.nextUnstarted, i)
 }
 
-// retryLater sets the timer that starts an index again, and the retry budget of its next task.
+// setRetry sets the timer that starts a completion index again, and the retry budget of the next task.
 func (t *indexTable) setRetry(i, retryBudget int, retryTimer *timer) {
 	t.entries[i].retryBudget = retryBudget
 	t.entries[i].retryTimer = retryTimer
 }
 
-// setState is the only place where an index changes its state. It makes an illegal transition too, which CheckInvariants reports.
+// setState changes the state of a completion index; no other code does. An illegal transition is made
+// nevertheless, and reported by CheckInvariants.
 func (t *indexTable) setState(i int, next indexState) {
 	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
@@ -182,7 +191,8 @@
 	index.state = next
 }
 
-// violatedInvariant describes the first inconsistency between a Job's indexes and their tasks, "" if there is none.
+// violatedInvariant describes the first contradiction between a Job's completion indexes and their tasks. It
+// returns "" if there is none.
 func (t *indexTable) violatedInvariant(owner *job) string {
 	active := 0
 	for i := range t.entries {
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -5,12 +5,12 @@
 	"heathshed/placer"
 )
 
-// rerunWindow is the time within which package retry may choose the start of a task whose predecessor has ended. No other deadline applies,
-// since the outcome of the index is known.
+// rerunWindow is the deadline that package retry gets for starting a task again after its predecessor ended.
+// No other deadline applies because the outcome of the completion index is already known.
 const rerunWindow placer.Seconds = 3600
 
-// scheduleRerun sets a timer that starts an index again after its task ended without success. It returns false if the index is not started
-// again.
+// scheduleRerun sets a timer that starts a completion index again after its task ended without success. It
+// returns false if the index will not be started again.
 func (s *jobStarter) scheduleRerun(job *job, task *task, cause retry.Cause) bool {
 	idempotency := s.cfg.Placer.Classes[job.class].Idempotency
 	if !s.mayRerun(job, task, cause, idempotency) {
@@ -18,9 +18,9 @@
 	}
 	budget := task.retryBudget
 	if cause == retry.Migrated || task.isStopping() {
-		budget = max(budget, 1) // a stop that this scheduler ordered does not use up the budget
+		budget = max(budget, 1) // a stop ordered by this scheduler does not use up the retry budget
 	}
-	// The task has certainly ended, so the retry policy need only choose the time of the next start.
+	// The task has certainly ended, so the retry policy only has to choose the time of the next start.
 	decision, at := s.cfg.Retry.Next(retry.State{
 		Idempotency: placer.Idempotent,
 		Cause:       cause,
@@ -50,15 +50,16 @@
 	return true
 }
 
-// mayRerun reports whether an index may be started again after its task ended without success.
+// mayRerun reports whether a completion index may be started again after its task ended without success.
 func (s *jobStarter) mayRerun(job *job, task *task, cause retry.Cause, idempotency placer.Idempotency) bool {
 	switch {
 	case job.progress.failsAsWhole() || s.stopping:
 		return false
 	case cause == retry.Rejected && !task.isStopping():
-		return false // its requests were retried as often as allowed
+		return false // its placement requests were already retried as often as allowed
 	case idempotency == placer.NonIdempotent:
-		return cause != retry.Failed && task.attempts.evidence != possiblyRan // it neither ran to its end nor may run elsewhere
+		// Start again only if the task neither ran to completion nor may run elsewhere.
+		return cause != retry.Failed && task.attempts.evidence != possiblyRan
 	}
 	return true
 }
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -12,7 +12,8 @@
 	"heathshed/placer"
 )
 
-// jobStarter starts the tasks of Jobs round-robin, and restarts indexes whose tasks ended without success.
+// jobStarter starts the tasks of Jobs in round-robin order. It also starts completion indexes again whose
+// tasks ended without success.
 type jobStarter struct {
 	*environment
 	jobController *jobController
@@ -22,11 +23,11 @@
 	requests      *requestTable
 	publisher     *publisher
 
-	backlog        []*job // Jobs with tasks to start
-	startScheduled bool   // a timer to start tasks of the backlog is pending
+	backlog        []*job // Jobs that have tasks to start
+	startScheduled bool   // set while a timer is pending that starts tasks of the backlog
 }
 
-// start sets the active deadline of a new or resumed Job and queues its tasks.
+// start sets the active deadline of a new or resumed Job and adds the Job to the backlog.
 func (s *jobStarter) start(job *job) {
 	if seconds := job.object.Spec.ActiveDeadlineSeconds; seconds != nil && !job.suspended {
 		s.stopTimer(job.deadlineTimer)
@@ -38,7 +39,7 @@
 	s.jobStatus.markDirty(job)
 }
 
-// enqueue appends a Job with indexes to start to the backlog.
+// enqueue appends a Job to the backlog if the Job has completion indexes to start.
 func (s *jobStarter) enqueue(job *job) {
 	if !job.inBacklog && job.canStart() && job.indexes.unstarted() > 0 {
 		job.inBacklog = true
@@ -47,7 +48,7 @@
 	s.scheduleStarts()
 }
 
-// scheduleStarts sets a timer, due at once, that starts tasks of the backlog.
+// scheduleStarts sets a timer, due immediately, that starts tasks of the backlog.
 func (s *jobStarter) scheduleStarts() {
 	if len(s.backlog) > 0 && !s.startScheduled {
 		s.startScheduled = true
@@ -55,10 +56,11 @@
 	}
 }
 
-// startsPerRound is the number of tasks that a Job may start before the next Job is served.
+// startsPerRound is the number of tasks that one Job may start before it is the next Job's turn.
 const startsPerRound = 32
 
-// startTasks starts tasks of the Jobs in the backlog round-robin, up to MaxStartsPerCall, so that a large Job does not delay others.
+// startTasks starts at most MaxStartsPerCall tasks of the Jobs in the backlog, in round-robin order, so that
+// a large Job does not delay other Jobs.
 func (s *jobStarter) startTasks() {
 	s.startScheduled = false
 	remaining := s.cfg.MaxStartsPerCall
@@ -78,7 +80,8 @@
 	s.scheduleStarts()
 }
 
-// startRound starts the next pending indexes of a Job, up to a limit, and returns how many it started.
+// startRound starts the next pending completion indexes of a Job, up to a limit, and returns the number of
+// tasks started.
 func (s *jobStarter) startRound(job *job, limit int) int {
 	parallelism := job.parallelism()
 	started := 0
@@ -98,7 +101,7 @@
 	return started
 }
 
-// startTask creates the Pod of a Job's index and requests its placement.
+// startTask creates the Pod for a completion index of a Job, and requests its placement.
 func (s *jobStarter) startTask(job *job, index int) {
 	started := s.newTask(job, index)
 	job.indexes.start(index, started)
@@ -107,7 +110,8 @@
 	s.tasks.add(started)
 	s.publisher.putPod(pod)
 	if s.stopping {
-		// Never requested: the placer would handle the request and make an attempt before it handled a withdrawal of it.
+		// After Engine.Stop no placement is requested: the placer would handle the request and start an
+		// attempt before it could handle a withdrawal.
 		s.tasks.setState(started, taskWaiting)
 		s.lifecycle.settleUnplaced(started, outcomeRejected, stoppingMessage)
 	} else {
@@ -116,10 +120,10 @@
 	s.jobStatus.markDirty(job)
 }
 
-// maxPodNamePrefix is the number of characters of a Job's name with which the names of its Pods begin.
+// maxJobNameLengthInPodName is the number of characters of a Job's name that appear in the names of its Pods.
 const maxJobNameLengthInPodName = 52
 
-// newTask returns the next task of a Job's index.
+// newTask returns the next task of a completion index of a Job.
 func (s *jobStarter) newTask(job *job, index int) *task {
 	created := &task{
 		podIdentity:   podIdentity{uid: s.newUID(), namespace: job.object.Namespace},
@@ -136,7 +140,8 @@
 	return created
 }
 
-// newPod returns the Pod of a new task. It shares the Spec with the Job's template, since stored objects are never changed.
+// newPod returns the Pod of a new task. The Pod shares its Spec with the template of the Job, which is safe
+// because stored objects are never modified.
 func (s *jobStarter) newPod(task *task) *corev1.Pod {
 	object := task.job.object
 	index := strconv.Itoa(task.index)
@@ -157,7 +162,7 @@
 	return pod
 }
 
-// cloneOrMake returns a copy that may be written to.
+// cloneOrEmpty returns a modifiable copy of a map, or an empty map if the original is nil.
 func cloneOrEmpty(original map[string]string) map[string]string {
 	if original == nil {
 		return map[string]string{}
@@ -165,7 +170,7 @@
 	return maps.Clone(original)
 }
 
-// pendingPods returns the number of Pods that the Jobs in the backlog have yet to create, and their cost.
+// pendingPods returns the number and the cost of the Pods that the Jobs in the backlog have yet to create.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
 		pending := job.indexes.unstarted()
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -1,16 +1,17 @@
 package engine
 
-// jobProgress is the state of a Job on the way to its final condition. A Job may be suspended in any state: see job.suspended.
+// jobProgress is the state of a Job before it gets its final condition and after. A Job may be suspended in
+// any state (job.suspended).
 type jobProgress uint8
 
 const (
-	// jobRunning: its indexes run or wait for their start.
+	// jobRunning means that completion indexes of the Job are active or wait for their start.
 	jobRunning jobProgress = iota
-	// jobFailing: it fails as a whole, and its tasks are being stopped.
+	// jobFailing means that the Job fails as a whole, and its tasks are being stopped.
 	jobFailing
-	// jobFailed: it has failed as a whole, and no task is left.
+	// jobFailed means that the Job has failed as a whole and has no tasks left.
 	jobFailed
-	// jobEnded: every index has ended, with or without success.
+	// jobEnded means that every completion index has ended, with or without success.
 	jobEnded
 
 	jobProgresses
@@ -28,13 +29,14 @@
 	jobEnded:   {},
 }
 
-// finished reports whether the Job has its final condition.
+// finished reports whether a Job in this state has its final condition.
 func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
 
-// failsAsWhole reports whether the Job fails, or has failed, for a reason of its own and not because of its indexes.
+// failsAsWhole reports whether the Job fails, or has failed, for a reason other than the failure of its
+// completion indexes.
 func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
 
-// afterLastTask returns the progress of a Job that has no task left and starts none.
+// afterLastTask returns the next state of a Job that has no tasks left and will start no more.
 func (p jobProgress) afterLastTask() jobProgress {
 	if p == jobFailing {
 		return jobFailed
@@ -42,15 +44,15 @@
 	return jobEnded
 }
 
-// jobDeletion is the state of the deletion of a Job by the API.
+// jobDeletion says whether the API has deleted a Job, and whether the Job is still stored.
 type jobDeletion uint8
 
 const (
-	// jobKept: it is not deleted.
+	// jobKept means that the Job is not deleted.
 	jobKept jobDeletion = iota
-	// jobDeletingForeground: it is deleted, and stored until its last Pod is removed.
+	// jobDeletingForeground means that the Job is deleted but remains stored until its last Pod is removed.
 	jobDeletingForeground
-	// jobDeleted: it is no longer stored. Pods may be left.
+	// jobDeleted means that the Job is no longer stored. Some of its Pods may still be stored.
 	jobDeleted
 
 	jobDeletions
@@ -67,7 +69,8 @@
 	jobDeleted:            {},
 }
 
-// setProgress is the only place where a Job's progress changes. It makes an illegal transition too, which CheckInvariants reports.
+// setProgress changes the progress of a Job; no other code does. An illegal transition is made nevertheless,
+// and reported by CheckInvariants.
 func (j *job) setProgress(next jobProgress) {
 	if !jobProgressTransitions.permits(j.progress, next) {
 		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.progress, next)
@@ -75,7 +78,8 @@
 	j.progress = next
 }
 
-// setDeletion is the only place where the deletion of a Job advances. It makes an illegal transition too, as setProgress does.
+// setDeletion changes the deletion state of a Job; no other code does. An illegal transition is made
+// nevertheless, and reported by CheckInvariants.
 func (j *job) setDeletion(next jobDeletion) {
 	if !jobDeletionTransitions.permits(j.deletion, next) {
 		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.deletion, next)
@@ -89,7 +93,8 @@
 // canStart reports whether tasks of the Job may be started.
 func (j *job) canStart() bool { return !j.isDeleted() && !j.suspended && !j.progress.failsAsWhole() }
 
-// violatedInvariant describes the first inconsistency between a Job in the job table, its states and its tasks, "" if there is none.
+// violatedInvariant describes the first contradiction between a Job in the job table, its states and its
+// tasks. It returns "" if there is none.
 func (j *job) violatedInvariant() string {
 	switch {
 	case j.deletion == jobDeleted:
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -5,20 +5,22 @@
 	"testing"
 )
 
-// statePath is a path of states from the initial state of a machine on.
+// statePath is a sequence of states that follows the initial state of a state machine.
 type statePath[S any] struct {
 	name    string
 	path    []S
-	illegal string // end of the text about the first illegal transition; "" if all are legal
+	illegal string // end of the error about the first illegal transition; "" if all transitions are legal
 }
 
-// machine is a state machine in its initial state, with the first illegal transition that it has recorded.
+// stateMachine is a state machine in its initial state. firstIllegal returns the first illegal transition as
+// an error.
 type stateMachine[S any] struct {
 	setState     func(next S)
 	firstIllegal func() error
 }
 
-// checkPaths takes a new machine along each path, and compares the first illegal transition.
+// checkStatePaths moves a new state machine along each path, and checks which transition is the first illegal
+// one.
 func checkStatePaths[S any](t *testing.T, newMachine func(t *testing.T) stateMachine[S], paths []statePath[S]) {
 	t.Helper()
 	for _, test := range paths {
@@ -86,7 +88,7 @@
 	})
 }
 
-// TestIndexCounts follows three indexes from their starts to their ends.
+// TestIndexCounts checks the counts of an index table while three completion indexes start and end.
 func TestIndexCounts(t *testing.T) {
 	const parallelism = 2
 	table := newIndexTable("default/j", &transitionCheck{}, 3, 1)
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -18,10 +18,10 @@
 	jobController *jobController
 	publisher     *publisher
 
-	dirty []*job // Jobs whose status is to be written
+	dirty []*job // Jobs whose status must be written
 }
 
-// writeDirty stores the statuses that have changed in this call.
+// writeDirty stores the Job statuses that changed during the current call.
 func (w *jobStatusWriter) writeDirty() {
 	dirty := w.dirty
 	w.dirty = nil
@@ -31,7 +31,7 @@
 	}
 }
 
-// markDirty schedules the status of a Job to be written at the end of the call.
+// markDirty makes writeDirty write the status of a Job at the end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
 	if !job.statusDirty {
 		job.statusDirty = true
@@ -47,7 +47,7 @@
 	if job.indexes.len() == 0 && !job.progress.finished() && !job.suspended {
 		w.jobController.finish(job)
 	}
-	updated := *job.object // the Spec is shared: it is not changed
+	updated := *job.object // the Spec is shared with the stored Job and must not be modified
 	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
 	job.object.Status.DeepCopyInto(&updated.Status)
 	job.setStatus(&updated.Status, w.apiNow())
@@ -58,7 +58,7 @@
 	w.publisher.putJob(&updated)
 }
 
-// showStatus sets the status of a Job from its state.
+// setStatus fills in the status of a Job from its state.
 func (j *job) setStatus(status *batchv1.JobStatus, now metav1.Time) {
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
@@ -74,7 +74,8 @@
 	}
 }
 
-// showSettled sets the Settled condition once the first task of each index has its final outcome.
+// setSettledCondition sets the Settled condition once the first task of each completion index has its final
+// outcome.
 func (j *job) setSettledCondition(status *batchv1.JobStatus, now metav1.Time) {
 	settled := j.indexes.outcomeCounts
 	placed, rejected, failed := settled[outcomePlaced], settled[outcomeRejected], settled[outcomeFailed]
@@ -93,7 +94,8 @@
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
-// showSuspended sets the Suspended condition, or ends it after the Job was resumed.
+// setSuspendedCondition sets the Suspended condition of a suspended Job, and sets it to false after the Job
+// was resumed.
 func (j *job) setSuspendedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
 		setJobSuspended(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
@@ -110,7 +112,7 @@
 	}
 }
 
-// showFinished sets the final condition of a Job, Complete or Failed.
+// setFinishedCondition sets the final condition of a Job: Complete or Failed.
 func (j *job) setFinishedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	switch {
 	case j.progress == jobFailed:
@@ -127,7 +129,7 @@
 	}
 }
 
-// newJobCondition returns a condition that is true from now on.
+// newJobCondition returns a condition that has been true since the given time.
 func newJobCondition(kind batchv1.JobConditionType, reason, message string, now metav1.Time) batchv1.JobCondition {
 	return batchv1.JobCondition{
 		Type:               kind,
@@ -139,7 +141,7 @@
 	}
 }
 
-// jobCondition returns the condition of a type, nil if it was never set.
+// jobCondition returns the condition of the given type, or nil if the condition was never set.
 func jobCondition(status *batchv1.JobStatus, kind batchv1.JobConditionType) *batchv1.JobCondition {
 	for i := range status.Conditions {
 		if status.Conditions[i].Type == kind {
@@ -149,14 +151,14 @@
 	return nil
 }
 
-// setFinalJobCondition adds a condition that does not change once it is set.
+// setFinalJobCondition adds a condition unless it is already set. Such a condition never changes afterwards.
 func setFinalJobCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	if jobCondition(status, condition.Type) == nil {
 		status.Conditions = append(status.Conditions, condition)
 	}
 }
 
-// setJobSuspended adds the condition that a Job is suspended, or sets it anew after the Job was resumed.
+// setJobSuspended adds the Suspended condition, or sets it to true again after the Job had been resumed.
 func setJobSuspended(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	stored := jobCondition(status, condition.Type)
 	switch {
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -9,21 +9,21 @@
 	"heathshed/internal/kube/store"
 )
 
-// jobTable owns the set of Jobs of an Engine, with the order in which they finished.
+// jobTable holds the Jobs of an Engine, and the order in which they finished.
 type jobTable struct {
-	byKey    map[string]*job // by store.Key
-	finished []*job          // in order of their end; deleted ones are skipped
+	byKey    map[string]*job // Jobs by store.Key
+	finished []*job          // finished Jobs in order of their end; deleted ones are skipped on reading
 }
 
-// get returns the Job of a key, nil if there is none.
+// get returns the Job with the given key, or nil if there is none.
 func (t *jobTable) get(key string) *job { return t.byKey[key] }
 
-// contains reports whether a Job has not been removed. Another Job of the same name is not the same.
+// contains reports whether the table contains the given Job. Another Job with the same name does not count.
 func (t *jobTable) contains(job *job) bool { return t.byKey[job.key] == job }
 
 func (t *jobTable) add(job *job) { t.byKey[job.key] = job }
 
-// remove removes a Job, and reports whether the table contained it.
+// remove removes a Job, and reports whether the table contained the Job.
 func (t *jobTable) remove(job *job) bool {
 	if !t.contains(job) {
 		return false
@@ -32,7 +32,7 @@
 	return true
 }
 
-// ofPod returns the Job that owns a Pod, nil if it is unknown.
+// ofPod returns the Job that owns a Pod, or nil if the Job is unknown.
 func (t *jobTable) ofPod(pod *corev1.Pod) *job {
 	for i := range pod.OwnerReferences {
 		reference := &pod.OwnerReferences[i]
@@ -46,10 +46,11 @@
 	return nil
 }
 
-// minFinishedSlack, together with the number of Jobs, bounds the entries of deleted Jobs in jobTable.finished.
+// finishedListSlack is the length that jobTable.finished may reach, beyond twice the number of Jobs, before
+// deleted Jobs are removed from it.
 const finishedListSlack = 16
 
-// addFinished appends a Job to the list of finished ones.
+// addFinished appends a Job to the list of finished Jobs.
 func (t *jobTable) addFinished(finished *job) {
 	if len(t.finished) > 2*len(t.byKey)+finishedListSlack {
 		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.isDeleted() })
@@ -57,7 +58,7 @@
 	t.finished = append(t.finished, finished)
 }
 
-// oldestFinished returns the Job that finished first, nil if the table contains no finished one.
+// oldestFinished returns the Job that finished first, or nil if the table contains no finished Job.
 func (t *jobTable) oldestFinished() *job {
 	for len(t.finished) > 0 {
 		oldest := t.finished[0]
@@ -69,10 +70,10 @@
 	return nil
 }
 
-// dropOldestFinished removes the Job that finished first from the list of finished ones.
+// dropOldestFinished removes the Job that finished first from the list of finished Jobs.
 func (t *jobTable) dropOldestFinished() { t.finished = t.finished[1:] }
 
-// checkInvariants returns an error if the state of a Job is inconsistent with that of its tasks.
+// checkInvariants returns an error if the state of a Job contradicts the states of its tasks.
 func (t *jobTable) checkInvariants() error {
 	for key, job := range t.byKey {
 		if violated := job.violatedInvariant(); violated != "" {
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -14,7 +14,7 @@
 	for _, test := range []struct {
 		name    string
 		prepare func(table *jobTable, first, second *job)
-		want    string // its key, "" if there is none
+		want    string // key of the oldest finished Job; "" if there is none
 	}{
 		{"in order of the end", func(*jobTable, *job, *job) {}, "first"},
 		{"a deleted one is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestDeletedJobsDoNotPileUp checks that the list of finished Jobs is bounded by the number of Jobs in the table.
+// TestFinishedListIsBounded checks that the list of finished Jobs stays short when the Jobs are deleted.
 func TestFinishedListIsBounded(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -36,7 +36,7 @@
 	return c.jobs.get(job.key).object, nil
 }
 
-// updatedJob returns a copy of a Job with the mutable fields of an update.
+// updatedJob returns a copy of a Job with the mutable fields taken from an update.
 func updatedJob(current, update *batchv1.Job) *batchv1.Job {
 	next := current.DeepCopy()
 	next.Labels = maps.Clone(update.Labels)
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// applySuspend suspends or resumes a Job after an update, or starts tasks that the update permits.
+// applySuspend suspends or resumes a Job after an update. Otherwise it adds the Job to the backlog, since the
+// update may permit more tasks to start.
 func (c *jobController) applySuspend(job *job, suspend bool) {
 	switch {
 	case suspend && !job.suspended && !job.progress.finished():
@@ -83,7 +84,8 @@
 	}
 }
 
-// suspend deletes the Pods of a Job's tasks, whose indexes are started again when the Job is resumed.
+// suspend suspends a Job by deleting the Pods of its tasks. Their completion indexes are started again when
+// the Job is resumed.
 func (c *jobController) suspend(job *job) {
 	job.suspended = true
 	c.stopTimer(job.deadlineTimer)
--- a/internal/kube/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -8,12 +8,12 @@
 	"heathshed/placer"
 )
 
-// serviceID returns the placer's identity of a service. Every scheduler computes the same one.
+// serviceID returns the placer's ID of a service. All schedulers compute the same ID.
 func serviceID(namespace, service string) placer.ServiceID {
 	return placer.ServiceID(xxhash.Sum64String(namespace + "/" + service))
 }
 
-// intern returns the index of a name, to which it assigns the next index if it is new.
+// intern returns the index of a name. A new name gets the next free index.
 func intern(indexes map[string]int, name string) int {
 	index, ok := indexes[name]
 	if !ok {
@@ -23,7 +23,7 @@
 	return index
 }
 
-// jobKey returns the key of a Job in jobTable.
+// jobKey returns the key under which jobTable stores a Job.
 func jobKey(object *batchv1.Job) string { return store.Key(object.Namespace, object.Name) }
 
 const defaultNamespace = "default"
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -10,9 +10,10 @@
 	"heathshed/placer"
 )
 
-// outcomeReconciler determines the outcomes of attempts that may have been accepted by their nodes, and stops copies of tasks. An outcome
-// becomes known by a late answer, by a report of the node's watch, by the answer to a stop order, or by a new incarnation of the node. The
-// attempts with an unknown outcome are listed in attemptHistory and in node.
+// outcomeReconciler determines the outcomes of attempts that nodes may have accepted, and stops duplicates of
+// tasks. An unknown outcome becomes known through a late answer, a report of the node's watch, the answer to
+// a stop order, or a new incarnation of the node. attemptHistory and node list the attempts with an unknown
+// outcome.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -23,8 +24,9 @@
 	adopter   *adopter
 }
 
-// track records an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is fenced at once. Otherwise the
-// engine first waits until it is found running, or until UnknownOutcomeTimeout has passed.
+// track starts to determine the outcome of an attempt that a node may have accepted. The attempt is fenced at
+// once if the task may run twice or is being stopped. Otherwise the engine waits until the task is found
+// running, for at most UnknownOutcomeTimeout.
 func (r *outcomeReconciler) track(attempt *attempt) {
 	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
@@ -45,7 +47,7 @@
 	r.scheduleFence(attempt, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
-// untrack removes an attempt whose outcome is known, and cancels its next stop order.
+// untrack removes an attempt whose outcome is known, and cancels the next stop order for it.
 func (r *outcomeReconciler) untrack(attempt *attempt) {
 	if attempt.task.attempts.removeUnknownOutcome(attempt) {
 		attempt.node.removeUnknown(attempt)
@@ -54,7 +56,8 @@
 	attempt.fenceTimer = nil
 }
 
-// resolve records that an attempt with unknown outcome has ended: it never ran, or may have run.
+// resolve records that an attempt with an unknown outcome has ended. mayHaveRun says whether the attempt may
+// have run the task.
 func (r *outcomeReconciler) resolve(attempt *attempt, mayHaveRun bool) {
 	task := attempt.task
 	r.untrack(attempt)
@@ -70,12 +73,12 @@
 	r.lifecycle.removeIfResolved(task)
 }
 
-// awaitsOutcomes reports whether a task is not requested again before all outcomes are known.
+// awaitsOutcomes reports whether the next placement request of a task must wait until all outcomes are known.
 func (r *outcomeReconciler) awaitsOutcomes(task *task) bool {
 	return task.state == taskWaiting && task.retryTimer != nil && r.idempotencyOf(task) != placer.Idempotent
 }
 
-// answeredLate handles the answer to an attempt that was abandoned.
+// handleLateAnswer handles the answer to an attempt that was abandoned.
 func (r *outcomeReconciler) handleLateAnswer(attempt *attempt, answer *AttemptAnswer) {
 	switch {
 	case answer.Accepted:
@@ -85,7 +88,7 @@
 	}
 }
 
-// observe applies a node's report of an attempt with unknown outcome.
+// observe handles a node's report about an attempt with an unknown outcome.
 func (r *outcomeReconciler) observe(attempt *attempt, observed *observedPod) {
 	if observed.deleted || wellknown.Finished(observed.pod) {
 		r.resolve(attempt, observed.pod.Status.Reason != wellknown.NeverStarted)
@@ -98,22 +101,24 @@
 	}
 }
 
-// foundRunning binds the task to an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy is stopped.
+// bindOrFence handles an attempt that turns out to have been accepted. It binds the task to the attempt, or
+// fences the attempt if the task has another attempt or has ended.
 func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
 	task := attempt.task
 	if !task.state.canBind() || attempt.stopInFlight {
 		r.fence(attempt)
 		return
 	}
-	// The placer must not send the task to another node: the request is withdrawn, and the task is reported as adopted.
+	// The placer must not send the task to another node. The placement request is therefore withdrawn, and
+	// the task is reported to the placer as adopted.
 	r.untrack(attempt)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
 	r.adopter.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
 }
 
-// fence orders the node of an attempt with unknown outcome to stop the task, or to reject the attempt if it still arrives. The order is repeated
-// until the node answers or has a new incarnation.
+// fence orders a node to stop a task that it may have accepted, or to reject the attempt if it arrives later.
+// The order is repeated until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(attempt *attempt) {
 	if !attempt.outcomeUnknown() || attempt.stopInFlight {
 		return
@@ -124,7 +129,7 @@
 	r.emitStopTask(attempt.node, task.podIdentity, attempt.number)
 }
 
-// scheduleFence fences an attempt after a delay.
+// scheduleFence fences an attempt after the given delay.
 func (r *outcomeReconciler) scheduleFence(attempt *attempt, delay placer.Seconds) {
 	attempt.fenceTimer = r.runAfter(delay, func() {
 		attempt.fenceTimer = nil
@@ -133,7 +138,7 @@
 	})
 }
 
-// fenceAll fences all attempts of a task at once.
+// fenceAll immediately fences all attempts of a task whose outcomes are unknown.
 func (r *outcomeReconciler) fenceAll(task *task) {
 	for _, unresolved := range slices.Clone(task.attempts.unknownOutcomes) {
 		r.stopTimer(unresolved.fenceTimer)
@@ -142,14 +147,15 @@
 	}
 }
 
-// Delays between stop orders for one attempt: each is twice the one before, from the first to the last delay.
+// Stop orders for the same attempt are repeated with exponential backoff, from firstStopDelay up to
+// lastStopDelay.
 const (
 	firstStopDelay   placer.Seconds = 0.25
 	lastStopDelay    placer.Seconds = 5
 	maxStopDoublings                = 5
 )
 
-// stopBackoff returns the delay before the next stop order after the given number of them.
+// stopBackoff returns the delay before the next stop order, given the number of stop orders already sent.
 func stopBackoff(sent int) placer.Seconds {
 	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
 }
@@ -159,13 +165,13 @@
 	UID         types.UID
 	Node        string
 	Attempt     int
-	Incarnation string // of the node
-	Answered    bool   // the node answered; if not, only UID, Node and Attempt are set
-	HadTask     bool   // the node had the task, by this attempt
-	MayHaveRun  bool   // the task may have run there
+	Incarnation string // incarnation of the node
+	Answered    bool   // set if the node answered; otherwise only UID, Node and Attempt are valid
+	HadTask     bool   // set if the node had accepted this attempt of the task
+	MayHaveRun  bool   // set if the task may have run on the node
 }
 
-// stopDone implements Engine.StopDone.
+// handleStopAnswer implements Engine.StopDone.
 func (r *outcomeReconciler) handleStopAnswer(answer StopAnswer) {
 	if node := r.nodes.get(answer.Node); node != nil && answer.Answered {
 		r.nodes.observeIncarnation(node, answer.Incarnation)
@@ -183,8 +189,8 @@
 	}
 }
 
-// fenceAnswered handles the answer to a stop order for an attempt with unknown outcome. A node that does not have the task answers for its
-// present incarnation only: the task may have run in an earlier one.
+// handleFenceAnswer handles the answer to a stop order for an attempt with an unknown outcome. A node without
+// the task can answer only for its current incarnation: an earlier incarnation may have run the task.
 func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
 	attempt.stopInFlight = false
 	if !answer.Answered {
@@ -200,7 +206,7 @@
 	r.resolve(attempt, mayHaveRun)
 }
 
-// stopAnswered handles the answer to a stop order for a running attempt.
+// handleRunningStopAnswer handles the answer to a stop order for a running attempt.
 func (r *outcomeReconciler) handleRunningStopAnswer(attempt *attempt, answer *StopAnswer) {
 	task := attempt.task
 	if answer.Answered {
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -9,27 +9,28 @@
 	"heathshed/placer"
 )
 
-// placementRequest is one request to the placer to place a task. A retry is another request with a number of its own.
+// placementRequest is one request to the placer to place a task. A retry is a new placement request with its
+// own number.
 type placementRequest struct {
 	id       placer.TaskID
 	task     *task
 	attempts []*attempt
-	closed   bool // withdrawn, answered by the placer, or ended by an accepted attempt
-	isRetry  bool // the placer had an earlier request for the task
+	closed   bool // set once the request is withdrawn, decided by the placer, or ended by an accepted attempt
+	isRetry  bool // set if the placer had an earlier request for the same task
 }
 
-// close records that the request was decided or withdrawn.
+// close records that the request is decided or withdrawn.
 func (r *placementRequest) close() { r.closed = true }
 
 func (r *placementRequest) addAttempt(attempt *attempt) { r.attempts = append(r.attempts, attempt) }
 
-// hasAttempt reports whether an attempt of the request is in flight or running.
+// hasAttempt reports whether any attempt of the request is in flight or running.
 func (r *placementRequest) hasAttempt() bool {
 	return slices.ContainsFunc(r.attempts, r.task.attempts.isOpen)
 }
 
-// requestTable owns the requests that are open, or that have an attempt in flight or running, and passes them through the admission controller
-// to the placer.
+// requestTable holds the placement requests that are open or that have an attempt in flight or running. It
+// passes new requests through the admission controller to the placer.
 type requestTable struct {
 	*environment
 	tasks     *taskTable
@@ -39,13 +40,14 @@
 	byID      map[placer.TaskID]*placementRequest
 	lastID    placer.TaskID
 	admission *admission.Controller
-	pollTimer *timer // the next poll of the admission controller
+	pollTimer *timer // timer of the next poll of the admission controller
 }
 
-// get returns the request with a number at the placer, nil if it is unknown.
+// get returns the placement request with the given ID, or nil if it is unknown.
 func (r *requestTable) get(id placer.TaskID) *placementRequest { return r.byID[id] }
 
-// add assigns the next number to a request, adds it to the table and makes it the last one of its task.
+// add gives a placement request the next ID, adds it to the table, and makes it the current request of its
+// task.
 func (r *requestTable) add(request *placementRequest) {
 	r.lastID++
 	request.id = r.lastID
@@ -53,7 +55,8 @@
 	request.task.request = request
 }
 
-// place submits a new request for a task to the admission controller, and to the placer if it is admitted at once.
+// place creates a placement request for a task and submits it to the admission controller. If it is admitted
+// at once, it is passed on to the placer.
 func (r *requestTable) place(task *task) {
 	request := &placementRequest{task: task, isRetry: task.requestsSubmitted > 0}
 	r.add(request)
@@ -72,7 +75,8 @@
 	}
 }
 
-// admissionRequest describes a request to the admission controller. Its cost is the larger share of a node of the first type.
+// admissionRequest describes a placement request to the admission controller. The cost is the task's share of
+// a node of the first type, in cores or in memory, whichever is larger.
 func (r *requestTable) admissionRequest(request *placementRequest) admission.Request {
 	task := request.task
 	class := &r.cfg.Placer.Classes[task.class]
@@ -90,12 +94,12 @@
 	}
 }
 
-// deadline returns the deadline of a request that is submitted now.
+// deadline returns the deadline of a placement request that is submitted now.
 func (r *requestTable) deadline(task *task) placer.Seconds {
 	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
 
-// submit passes an admitted request to the placer. Its deadline counts from now.
+// submit passes an admitted placement request to the placer. The deadline of the request counts from now.
 func (r *requestTable) submit(request *placementRequest) {
 	task := request.task
 	r.tasks.setState(task, taskSubmitted)
@@ -105,7 +109,7 @@
 	r.post(placer.Event{Kind: placer.Arrived, Task: submitted})
 }
 
-// placerTask describes the task of a request to the placer.
+// placerTask describes the task of a placement request to the placer.
 func (r *requestTable) placerTask(request *placementRequest, deadline placer.Seconds) placer.Task {
 	task := request.task
 	return placer.Task{
@@ -119,7 +123,7 @@
 	}
 }
 
-// shed ends a request that the admission controller sheds. No attempt of it was made.
+// shed ends a placement request that the admission controller has shed. No attempt was made for the request.
 func (r *requestTable) shed(request *placementRequest, shed admission.ShedRequest) {
 	r.stats.Shed++
 	request.close()
@@ -129,8 +133,8 @@
 	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
 }
 
-// admitQueued submits the queued requests that are admitted now, ends those that are shed, and sets a timer for the next poll of the admission
-// controller.
+// admitQueued polls the admission controller. It submits the queued placement requests that are now admitted,
+// ends those that are shed, and schedules the next poll.
 func (r *requestTable) admitQueued() {
 	for {
 		admitted, shed := r.admission.Poll(r.now)
@@ -148,10 +152,11 @@
 	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionDelay))
 }
 
-// minAdmissionDelay is the shortest time between two polls of the admission controller by timer.
+// minAdmissionDelay is the shortest time between two timer-driven polls of the admission controller.
 const minAdmissionDelay placer.Seconds = 0.001
 
-// schedulePoll makes sure that a call ends at the given time or before: every call ends with a poll of the admission controller.
+// schedulePoll makes sure that the engine is called at or before the given time. The timer needs no function
+// of its own because every call ends with a poll of the admission controller.
 func (r *requestTable) schedulePoll(at placer.Seconds) {
 	if r.pollTimer.Pending() && at >= r.pollTimer.At {
 		return
@@ -163,7 +168,8 @@
 	}
 }
 
-// withdraw cancels the open request of a task, if it has one, at the admission controller and the placer.
+// withdraw cancels the open placement request of a task, if there is one, at the admission controller and at
+// the placer.
 func (r *requestTable) withdraw(task *task) {
 	request := task.request
 	if request == nil || request.closed {
@@ -177,8 +183,8 @@
 	r.removeIfUnused(request)
 }
 
-// ended handles the placer's final answer to a request that it did not place. If an attempt is still in flight, it was not answered by the
-// request's deadline.
+// handleUnplaced handles the placer's final answer to a request that was not placed. An attempt that is still
+// in flight was not answered by the deadline of the request, and is abandoned.
 func (r *requestTable) handleUnplaced(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
 	if request == nil || request.closed {
@@ -192,16 +198,18 @@
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
-// complete closes a request that the placer has decided, and reports its result to the admission controller.
+// complete closes a placement request that the placer has decided, and reports the result to the admission
+// controller.
 func (r *requestTable) complete(request *placementRequest, accepted bool) {
 	request.close()
 	r.admission.Complete(r.now, uint64(request.id), accepted)
 }
 
-// release detaches a task from its last request, which has ended without a placement.
+// clearRequest detaches a task from its latest placement request, which has ended without a placement.
 func (r *requestTable) clearRequest(task *task) { task.request = nil }
 
-// discard removes a closed request, unless one of its attempts is in flight or running: the placer identifies that by the request's number.
+// removeIfUnused removes a closed placement request from the table. A request with an attempt in flight or
+// running is kept, because the placer identifies such an attempt by the ID of its request.
 func (r *requestTable) removeIfUnused(request *placementRequest) {
 	if request.closed && !request.hasAttempt() {
 		delete(r.byID, request.id)
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -15,7 +15,7 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// job draws a Job, now and then one that is not valid.
+// randomJob returns a random Job, which is sometimes invalid.
 func (s *script) randomJob() *batchv1.Job {
 	job := &batchv1.Job{}
 	job.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
@@ -37,7 +37,7 @@
 	return job
 }
 
-// vary draws settings of a Job that few Jobs have.
+// varyJob sometimes gives a Job a rare or invalid setting.
 func (s *script) varyJob(job *batchv1.Job) {
 	switch s.rng.IntN(24) {
 	case 0:
@@ -74,7 +74,7 @@
 	}
 }
 
-// pick draws a stored object of a table, the n-th in order of key.
+// randomObject returns a random object of a table, or nil if the table is empty.
 func (s *script) randomObject(table store.Resource) store.Object {
 	snapshot := s.engine.Store().Snapshot(table)
 	if snapshot.Len() == 0 {
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -23,7 +23,7 @@
 
 const scriptStart placer.Seconds = 1.8e9
 
-// delayed is a call of the engine that is due later.
+// delayedCall is a call of the engine that is due later.
 type delayedCall struct {
 	at          placer.Seconds
 	sequence    int
@@ -31,7 +31,8 @@
 	call        func()
 }
 
-// script drives one engine through seeded calls and records all that is observable after each call.
+// script drives one engine through seeded random calls, and records everything that is observable after each
+// call.
 type script struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -45,7 +46,7 @@
 	revision     int64
 	jobs         []string
 	recorder     *goldentest.Recorder
-	effectCounts [8]int64 // effects by kind
+	effectCounts [8]int64 // number of effects by kind
 	changeCounts [4][3]int64
 	errorCounts  map[string]int64
 }
@@ -83,18 +84,19 @@
 	s.schedule(0.05, s.fullList)
 }
 
-// delay draws a delay from least up to least and spread.
+// randomDelay returns a random delay of at least least and less than least + spread.
 func (s *script) randomDelay(least, spread float64) placer.Seconds {
 	return placer.Seconds(least + spread*s.rng.Float64())
 }
 
-// after schedules a call of the present engine. It is not made if that engine is replaced before.
+// schedule schedules a call of the current engine. The call is not made if the engine is replaced first.
 func (s *script) schedule(delay placer.Seconds, call func()) {
 	s.sequence++
 	s.delayedCalls = append(s.delayedCalls, delayedCall{s.now + delay, s.sequence, s.incarnation, call})
 }
 
-// observe records effects and changes, checks the engine's invariants, and lets the nodes react to effects.
+// recordState checks the invariants of the engine, records its effects and changes, and lets the nodes react
+// to the effects.
 func (s *script) recordState() {
 	if err := s.engine.CheckInvariants(); err != nil {
 		s.t.Fatal(err)
@@ -133,7 +135,7 @@
 	s.recorder.Bytes(text)
 }
 
-// recordChanges records the changes of all tables since the last call, in order of revision.
+// recordChanges records all changes of the store since the last call, in order of revision.
 func (s *script) recordChanges() {
 	type tableChange struct {
 		table  store.Resource
@@ -160,7 +162,7 @@
 	s.revision = s.engine.Store().Rev()
 }
 
-// result records what a call returned.
+// recordResult records the result of a call.
 func (s *script) recordResult(object interface{ Marshal() ([]byte, error) }, err error) {
 	s.recorder.Error(err)
 	if err != nil {
@@ -194,7 +196,7 @@
 	}
 }
 
-// step makes one random call.
+// makeRandomCall makes one random call of the engine.
 func (s *script) makeRandomCall() {
 	switch draw := s.rng.IntN(100); {
 	case draw < 50:
@@ -215,7 +217,7 @@
 	s.recordState()
 }
 
-// advance goes on to a time, with all timers and delayed calls up to it in order.
+// advance moves the time forward, running all timers and delayed calls that are due by then in order.
 func (s *script) advance(until placer.Seconds) {
 	for {
 		next := s.engine.NextWake()
@@ -245,7 +247,7 @@
 	s.now = until
 }
 
-// checkpoint writes the digest so far with the counters of the engine in a fixed order.
+// checkpoint adds the counters of the engine to the digest in a fixed order, and writes the digest so far.
 func (s *script) checkpoint(label string) {
 	stats := s.engine.Stats
 	counters := []uint64{
@@ -261,8 +263,9 @@
 	s.recorder.Checkpoint(label)
 }
 
-// finish lets everything end, stops the engine while new tasks wait, and records the errors that occurred and the final state of all
-// Pods. No task that ran waits for its next start then; TestStopWhileTaskAwaitsRerun covers that.
+// finish waits until all tasks have ended, stops the engine while new tasks are waiting, and records the
+// errors that occurred and the final state of all Pods. No task awaits a new start after it ran when the
+// engine stops; TestStopWhileTaskAwaitsRerun covers that case.
 func (s *script) finish() {
 	s.advance(s.now + 90)
 	s.checkpoint("before the stop")
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -12,59 +12,63 @@
 	"heathshed/placer"
 )
 
-// podIdentity identifies the Pod of a task. The namespace and the name are empty if only the UID is known.
+// podIdentity identifies the Pod of a task. Namespace and name are empty if only the UID is known.
 type podIdentity struct {
 	uid             types.UID
 	namespace, name string
 }
 
-// placementSpec has the properties that the placement of a task depends on. They are the same for all tasks of a Job.
+// placementSpec contains the properties of a task that determine its placement. All tasks of a Job have the
+// same placementSpec.
 type placementSpec struct {
 	class, tenant int
 	service       placer.ServiceID
 	cores, memory float64 // memory in GiB
 }
 
-// task is the state of one Pod. Its placement is requested until it is placed, rejected or failed; a placed task is tracked until it ends.
+// task is the state of one Pod. Placement is requested until the task is placed, rejected or failed. A placed
+// task is tracked until it ends.
 type task struct {
-	sequence int // in order of creation
+	sequence int // position in the order of creation
 	podIdentity
 	placementSpec
-	job      *job           // nil if the Job is unknown or was deleted without its Pods
+	job      *job           // nil if the Job is unknown, or was deleted without deleting its Pods
 	index    int            // completion index within the Job
-	deadline placer.Seconds // time at which the client stops waiting for the outcome
+	deadline placer.Seconds // time after which the client no longer waits for the outcome
 
 	state   taskState
-	settled bool // the final outcome is stored in the Pod's status
+	settled bool // set once the final outcome is stored in the Pod's status
 
-	request           *placementRequest // the last one; nil while there is none
-	requestsSubmitted int               // requests that were submitted to the placer
-	retryBudget       int               // remaining retries
-	retryTimer        *timer            // the next retry, or the end of the wait for an unknown outcome
-	wasShed           bool              // a request was shed by the admission controller
+	request           *placementRequest // latest placement request; nil if there is none
+	requestsSubmitted int               // number of requests that were submitted to the placer
+	retryBudget       int               // number of remaining retries
+	retryTimer        *timer            // fires when the next retry is due, or when the wait for an unknown outcome ends
+	wasShed           bool              // set if the admission controller has shed a request of the task
 
 	attempts attemptHistory
 
 	stopReason stopReason
-	podDeleted bool // the Pod is removed as soon as the task has ended
+	podDeleted bool // set if the Pod must be removed as soon as the task has ended
 }
 
-// joinJob attaches a task that was found running to an index of its Job.
+// joinJob attaches a task that was found running to a completion index of its Job.
 func (t *task) joinJob(job *job, index, retryBudget int) {
 	t.job = job
 	t.index = index
 	t.retryBudget = retryBudget
 }
 
-// leaveJob detaches a task from its Job, which is deleted without it.
+// leaveJob detaches a task from its Job, which is being deleted without deleting its Pods.
 func (t *task) leaveJob() { t.job = nil }
 
-// inCreationOrder returns the tasks of a map in the order of their creation, whatever the order of the map.
+// inCreationOrder returns the tasks of a map in the order of their creation, so that the iteration order of
+// the map has no effect.
 func inCreationOrder(tasks map[types.UID]*task) []*task {
 	return slices.SortedFunc(maps.Values(tasks), func(left, right *task) int { return cmp.Compare(left.sequence, right.sequence) })
 }
 
-// unplacedOutcome returns the outcome of a task that is not requested again: Rejected only if it certainly never ran.
+// unplacedOutcome returns the final outcome of a task that will not be requested again. The outcome is
+// Rejected only if the task certainly never ran.
 func (t *task) unplacedOutcome() taskOutcome {
 	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknownOutcome() {
 		return outcomeFailed
@@ -72,8 +76,8 @@
 	return outcomeRejected
 }
 
-// unplacedMessage appends to a summary why the last attempt failed, by AttemptAnswer.failure, attemptTracker.timedOut or requestTable.shed, and
-// which node may have accepted one.
+// unplacedMessage appends details to a summary: why the latest attempt or placement request failed, and which
+// node may have accepted an attempt.
 func (t *task) unplacedMessage(summary string) string {
 	if t.attempts.lastFailure != "" {
 		summary += "; last: " + t.attempts.lastFailure
@@ -84,7 +88,7 @@
 	return summary
 }
 
-// newPlacementSpec returns the placementSpec of a task with the resources of a Pod's containers.
+// newPlacementSpec returns the placementSpec of a task whose resources are those of a Pod's containers.
 func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
 	cores, memory := wellknown.Requests(containers)
 	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -5,8 +5,9 @@
 	"heathshed/placer"
 )
 
-// taskLifecycle moves tasks between their states when a request ends, a node accepts a task, a task ends, or a task is to stop. It is stateless:
-// it changes tasks through taskTable, and Pods through publisher.
+// taskLifecycle changes the states of tasks when a placement request ends, a node accepts a task, a task
+// ends, or a task must stop. It has no state of its own: it modifies tasks through taskTable, and Pods
+// through publisher.
 type taskLifecycle struct {
 	*environment
 	tasks         *taskTable
@@ -17,7 +18,8 @@
 	publisher     *publisher
 }
 
-// retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice, 0 if it gave none.
+// retryOrSettle either schedules a retry or stores the final outcome of a task whose placement request ended
+// without a placement. retryAfter is the delay that the placer suggests; 0 means no suggestion.
 func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter placer.Seconds) {
 	l.tasks.setState(task, taskWaiting)
 	l.requests.clearRequest(task)
@@ -65,7 +67,8 @@
 	l.reportSettled(task, outcomePlaced)
 }
 
-// settleUnplaced stores the final outcome of a waiting task that is not requested again, and ends the task.
+// settleUnplaced stores the final outcome of a waiting task that will not be requested again, and ends the
+// task.
 func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
 	if outcome == outcomeRejected {
 		l.stats.Rejected++
@@ -80,7 +83,7 @@
 	l.terminate(task, false, retry.Rejected)
 }
 
-// reportSettled notifies the Job of a task, if it has one, of the task's final outcome.
+// reportSettled tells the Job of a task, if there is one, the final outcome of the task.
 func (l *taskLifecycle) reportSettled(task *task, outcome taskOutcome) {
 	if task.job != nil {
 		l.jobController.recordOutcome(task, outcome)
@@ -101,7 +104,7 @@
 	l.settlePlaced(task, "accepted by "+attempt.node.name)
 }
 
-// started records that the node of a bound task reports it as running.
+// recordStart records that the node of a bound task reports the task as running.
 func (l *taskLifecycle) recordStart(task *task) {
 	if task.state == taskRunning {
 		return
@@ -116,20 +119,21 @@
 type taskEnd struct {
 	result     placer.Result
 	reason     placer.Reason
-	podReason  string // the reason in the Pod's status; "" unless the task failed or was stopped
-	podMessage string // the message in the Pod's status
+	podReason  string // reason for the Pod's status; "" unless the task failed or was stopped
+	podMessage string // message for the Pod's status
 }
 
-// succeeded reports whether the task ended by itself with success.
+// succeeded reports whether the task finished successfully.
 func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.podReason == "" }
 
-// migrated reports whether the engine stopped the task to start it elsewhere.
+// migrated reports whether the engine stopped the task in order to start it on another node.
 func (end *taskEnd) migrated() bool {
 	reason := stopReason(end.podReason)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
 }
 
-// ended ends a task that a node had accepted. It does nothing if no attempt of the task is running.
+// recordEnd records the end of a task that a node had accepted. It does nothing if no attempt of the task is
+// running.
 func (l *taskLifecycle) recordEnd(task *task, end taskEnd) {
 	endedAttempt := task.attempts.unbind()
 	if endedAttempt == nil {
@@ -146,11 +150,12 @@
 	l.terminate(task, end.succeeded(), cause)
 }
 
-// countEnd counts the end of a task in Stats and returns the cause of its next start, if it is started again.
+// countEnd updates Stats for the end of a task, and returns the cause to use if the Job starts the task
+// again.
 func (l *taskLifecycle) countEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
-		return retry.Failed // by itself
+		return retry.Failed // the task ended without being stopped
 	case end.reason == placer.Evicted:
 		l.stats.EvictedTasks++
 		return retry.Evicted
@@ -163,7 +168,8 @@
 	return retry.Lost
 }
 
-// terminate ends a task that neither runs nor will be requested again. It fences the attempts whose outcome is unknown, and notifies the Job.
+// terminate ends a task that is not running and will not be requested again. It fences the attempts whose
+// outcomes are unknown, and notifies the Job.
 func (l *taskLifecycle) terminate(task *task, succeeded bool, cause retry.Cause) {
 	l.tasks.setState(task, taskTerminating)
 	l.outcomes.fenceAll(task)
@@ -173,7 +179,8 @@
 	l.removeIfResolved(task)
 }
 
-// discard removes a terminating task once no outcome is unknown, and its Pod if that was deleted.
+// removeIfResolved removes a terminating task once none of its attempts has an unknown outcome. It also
+// removes the Pod if the Pod was deleted.
 func (l *taskLifecycle) removeIfResolved(task *task) {
 	if task.state != taskTerminating || task.attempts.hasUnknownOutcome() {
 		return
--- a/internal/kube/engine/task_outcome.go
+++ b/internal/kube/engine/task_outcome.go
@@ -4,20 +4,22 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// taskOutcome is the final outcome of a task's placement. It is the reason of the Settled condition of its Pod.
+// taskOutcome is the final outcome of the placement of a task. It is the reason of the Settled condition in
+// the Pod's status.
 type taskOutcome string
 
 const (
-	// outcomePlaced: a node has accepted the task.
+	// outcomePlaced means that a node has accepted the task.
 	outcomePlaced taskOutcome = wellknown.Placed
-	// outcomeRejected: the task certainly never ran, and is not requested again.
+	// outcomeRejected means that the task certainly never ran and will not be requested again.
 	outcomeRejected taskOutcome = wellknown.Rejected
-	// outcomeFailed: the task is not requested again, and may have run.
+	// outcomeFailed means that the task will not be requested again but may have run.
 	outcomeFailed taskOutcome = wellknown.Failed
 )
 
-// stopReason is why the engine stops a task, "" if it does not. It becomes the reason in the status of its Pod. A Job that fails as a whole
-// stops its tasks for its own reason.
+// stopReason says why the engine stops a task; "" means that the task is not being stopped. It becomes the
+// reason in the Pod's status. A Job that fails as a whole stops its tasks with the reason of the Job's
+// failure.
 type stopReason string
 
 const (
@@ -27,5 +29,5 @@
 	stopSuspended stopReason = "Suspended"
 )
 
-// isStopping reports whether the task is to stop.
+// isStopping reports whether the task must stop.
 func (t *task) isStopping() bool { return t.stopReason != "" }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -1,26 +1,30 @@
 package engine
 
-// taskState is the state of a task between the creation of its Pod and its removal from the engine.
+// taskState is the state of a task from the creation of its Pod until the task is removed from the engine.
 type taskState uint8
 
 const (
-	// taskCreated: the Pod is stored, and no request was made yet. No task is in this state at the end of a call.
+	// taskCreated means that the Pod is stored and that no placement request exists yet. No task is in this
+	// state at the end of a call.
 	taskCreated taskState = iota
-	// taskQueued: a placement request waits at the admission controller; it was not submitted to the placer.
+	// taskQueued means that a placement request waits at the admission controller and was not submitted to
+	// the placer.
 	taskQueued
-	// taskSubmitted: the placer has a request, and no attempt is in flight.
+	// taskSubmitted means that the placer has a placement request and that no attempt is in flight.
 	taskSubmitted
-	// taskAttempting: an attempt is in flight.
+	// taskAttempting means that an attempt is in flight.
 	taskAttempting
-	// taskWaiting: no request is open. A retry is scheduled, or an attempt's unknown outcome is awaited.
+	// taskWaiting means that no placement request is open. Either a retry is scheduled, or the engine waits
+	// for an unknown outcome.
 	taskWaiting
-	// taskBound: a node accepted the task and has not reported it as running yet.
+	// taskBound means that a node accepted the task but has not reported it as running yet.
 	taskBound
-	// taskRunning: its node reported it as running.
+	// taskRunning means that the node reported the task as running.
 	taskRunning
-	// taskTerminating: the task has ended. Attempts with an unknown outcome are still being stopped.
+	// taskTerminating means that the task has ended, but attempts with an unknown outcome are still being
+	// stopped.
 	taskTerminating
-	// taskRemoved: the task was removed from the task table.
+	// taskRemoved means that the task was removed from the task table.
 	taskRemoved
 
 	taskStates
@@ -34,7 +38,8 @@
 
 // taskTransitions lists the states that may follow each state.
 //
-// An attempt whose outcome was unknown may be found running while the task is queued, submitted or waiting: the task is then bound to it.
+// An attempt with an unknown outcome may be found running while its task is queued, submitted or waiting. The
+// task is then bound to this attempt.
 var taskTransitions = transitionTable[taskState]{
 	taskCreated:     {taskQueued, taskSubmitted, taskWaiting, taskBound},
 	taskQueued:      {taskSubmitted, taskWaiting, taskBound},
@@ -47,18 +52,20 @@
 	taskRemoved:     {},
 }
 
-// requestOpen reports whether a placement request of the task is queued or with the placer.
+// requestOpen reports whether a placement request of the task waits for admission or is known to the placer.
 func (s taskState) requestOpen() bool {
 	return s == taskQueued || s == taskSubmitted || s == taskAttempting
 }
 
-// onNode reports whether a node has accepted the task, which has not ended.
+// onNode reports whether a node has accepted the task and the task has not ended.
 func (s taskState) onNode() bool { return s == taskBound || s == taskRunning }
 
-// canBind reports whether an attempt that is found running becomes the task's running attempt. Otherwise it is a copy that must stop.
+// canBind reports whether an attempt that is found running may become the running attempt of the task. If
+// not, the attempt runs a duplicate of the task, which must be stopped.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
-// violatedInvariant describes the first inconsistency with the task's state, "" if there is none.
+// violatedInvariant describes the first contradiction between the state of the task and its other fields. It
+// returns "" if there is none.
 func (t *task) violatedInvariant() string {
 	ended := t.state == taskTerminating
 	for _, invariant := range []struct {
@@ -84,7 +91,8 @@
 	return ""
 }
 
-// unknownOutcomesAreIndexed reports whether the nodes of all unknown outcomes know of them.
+// nodesKnowUnknownOutcomes reports whether the node of each attempt with an unknown outcome has recorded that
+// attempt.
 func (t *task) nodesKnowUnknownOutcomes() bool {
 	for _, attempt := range t.attempts.unknownOutcomes {
 		if _, ok := attempt.node.unknownOutcomes[attempt]; !ok {
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -7,7 +7,7 @@
 	corev1 "k8s.io/api/core/v1"
 )
 
-// engineWithTask returns an engine with one node and one task, which is queued, submitted or attempting.
+// engineWithTask returns an engine with one node and one task. The task is queued, submitted or attempting.
 func engineWithTask(t *testing.T) (*Engine, *task) {
 	t.Helper()
 	engine := newEngine(t)
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -5,11 +5,12 @@
 	"heathshed/placer"
 )
 
-// stoppingMessage is the reason why tasks are not placed once Stop was called: those that wait then (stopAll), and those that a Job starts
-// later (jobStarter.startTask).
+// stoppingMessage says why a task is not placed after Engine.Stop. It applies to tasks that are waiting when
+// Stop is called (stopAll), and to tasks that a Job starts later (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
-// stopAll implements Engine.Stop: every task that the placer does not know yet gets its final outcome, and no request is retried.
+// stopAll implements Engine.Stop. Every task that the placer does not know yet gets its final outcome, and no
+// placement request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.inOrder() {
@@ -22,8 +23,9 @@
 	}
 }
 
-// withdrawQueuedRequest cancels a request that waits for admission while the engine stops. No timer of the task is pending then, so if the
-// outcome of an earlier attempt is unknown, the next step must be decided here.
+// withdrawQueuedRequest cancels a placement request that waits for admission when the engine stops. A queued
+// task has no pending timer, so withdrawQueuedRequest must also decide on the next step of a task with an
+// unknown outcome.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
 	if task.attempts.hasUnknownOutcome() {
@@ -33,7 +35,7 @@
 	l.tasks.setState(task, taskWaiting)
 }
 
-// stop ends a task, whatever its state. A running task ends when its node has answered.
+// stop ends a task in any state. A running task ends when its node has answered.
 func (l *taskLifecycle) stop(task *task, reason stopReason) {
 	if !task.isStopping() {
 		task.stopReason = reason
@@ -49,21 +51,22 @@
 	}
 	l.requests.withdraw(task)
 	if inFlight := task.attempts.inFlight; inFlight != nil {
-		// The attempt cannot be cancelled at the node: its outcome becomes unknown, and it is fenced at once.
+		// An attempt cannot be cancelled at the node. Its outcome becomes unknown, and the attempt is fenced
+		// at once.
 		l.attempts.abandon(inFlight, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
 	l.settleUnplaced(task, outcomeFailed, "deleted before it was placed")
 }
 
-// stopRunning orders the node of a running task to stop it. It does nothing if the task does not run.
+// stopRunning orders the node of a running task to stop the task. It does nothing if the task is not running.
 func (l *taskLifecycle) stopRunning(task *task) {
 	if running := task.attempts.running; running != nil {
 		l.emitStopTask(running.node, task.podIdentity, running.number)
 	}
 }
 
-// migrate carries out the placer's decision to move a running task: it is stopped, and its Job starts it again.
+// migrate stops a running task that the placer decided to move. The Job of the task starts it again.
 func (l *taskLifecycle) migrate(id placer.TaskID) {
 	request := l.requests.get(id)
 	if request == nil {
@@ -77,7 +80,8 @@
 	l.stopForRestart(task, stopMigrated)
 }
 
-// stopForRestart stops a running task, which its Job starts again. It does nothing if the task is to stop already.
+// stopForRestart stops a running task that its Job will start again. It does nothing if the task is already
+// being stopped.
 func (l *taskLifecycle) stopForRestart(task *task, reason stopReason) {
 	if !task.isStopping() {
 		task.stopReason = reason
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -6,20 +6,20 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// taskTable owns the tasks of an Engine and their count. Only it changes the state of a task.
+// taskTable holds the tasks of an Engine. Only its methods modify the state of a task.
 type taskTable struct {
 	*environment
 	byUID     map[types.UID]*task
-	openCount int // tasks without a final outcome
+	openCount int // number of tasks without a final outcome
 }
 
-// get returns the task with a Pod's UID, nil if there is none.
+// get returns the task whose Pod has the given UID, or nil if there is none.
 func (t *taskTable) get(uid types.UID) *task { return t.byUID[uid] }
 
-// inOrder returns the tasks in the order of their creation.
+// inOrder returns all tasks in the order of their creation.
 func (t *taskTable) inOrder() []*task { return inCreationOrder(t.byUID) }
 
-// add assigns the next sequence number to a task and adds it to the table.
+// add gives a task the next sequence number and adds the task to the table.
 func (t *taskTable) add(task *task) {
 	task.sequence = int(t.stats.PodsCreated)
 	t.stats.PodsCreated++
@@ -29,19 +29,20 @@
 	}
 }
 
-// settle records that the final outcome of a task is known.
+// settle records that a task has its final outcome.
 func (t *taskTable) settle(task *task) {
 	task.settled = true
 	t.openCount--
 }
 
-// remove removes a task that has ended.
+// remove removes a task that has ended from the table.
 func (t *taskTable) remove(task *task) {
 	t.setState(task, taskRemoved)
 	delete(t.byUID, task.uid)
 }
 
-// setState is the only place where a task changes its state. It makes an illegal transition too, which CheckInvariants reports.
+// setState changes the state of a task; no other code does. An illegal transition is made nevertheless, and
+// reported by CheckInvariants.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !taskTransitions.permits(task.state, next) {
 		t.transitions.recordIllegal("task %s goes from %s to %s", task.uid, task.state, next)
@@ -49,7 +50,8 @@
 	task.state = next
 }
 
-// checkInvariants returns an error if a task's state is inconsistent with its other fields.
+// checkInvariants returns an error if the state of a task contradicts its other fields, or if the number of
+// tasks without a final outcome is wrong.
 func (t *taskTable) checkInvariants() error {
 	open := 0
 	for _, task := range t.inOrder() {
--- a/internal/kube/engine/transition_check.go
+++ b/internal/kube/engine/transition_check.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// transitionTable lists, for each state of a state machine, the states that may follow it.
+// transitionTable lists the legal successors of each state of a state machine.
 type transitionTable[S ~uint8] [][]S
 
-// permits reports whether a state may follow another.
+// permits reports whether the table allows a transition between two states.
 func (t transitionTable[S]) permits(from, next S) bool { return slices.Contains(t[from], next) }
 
-// transitionCheck records the first illegal transition of a task, a Job or an index, for CheckInvariants. The transition is made nevertheless.
+// transitionCheck records the first illegal transition of a task, a Job or a completion index.
+// CheckInvariants reports it. An illegal transition is not prevented.
 type transitionCheck struct{ firstError error }
 
-// illegal records an illegal transition.
+// recordIllegal records an illegal transition, unless one is recorded already.
 func (c *transitionCheck) recordIllegal(format string, args ...any) {
 	if c.firstError == nil {
 		c.firstError = fmt.Errorf("engine: "+format, args...)
