--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -84,11 +84,11 @@
 func (t *attemptTracker) start(action *placer.Action) {
 	request, node := t.requests.get(action.Task), t.nodes.withID(action.Node)
 	if request == nil || node == nil || request.closed {
-		panic(fmt.Sprintf("engine: attempt of request %d at node %d, which are not both open", action.Task, action.Node))
+		panic(fmt.Sprintf("engine: placer started an attempt for request %d on node %d, but the request is not open or the node is unknown", action.Task, action.Node))
 	}
 	task := request.task
 	if task.attempts.inFlight != nil || task.attempts.running != nil {
-		panic(fmt.Sprintf("engine: task %s has an attempt in flight or running already", task.uid))
+		panic(fmt.Sprintf("engine: placer started a second attempt for task %s while another one is in flight or running", task.uid))
 	}
 	started := &attempt{
 		request:         request,
@@ -269,7 +269,7 @@
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
 	stored := t.publisher.podOf(task)
 	if stored == nil {
-		panic("engine: task without a Pod: " + string(task.uid))
+		panic("engine: cannot send an attempt: no Pod is stored for task " + string(task.uid))
 	}
 	pod := *stored // the Spec is shared with the stored Pod and must not be modified
 	stored.ObjectMeta.DeepCopyInto(&pod.ObjectMeta)
--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -12,16 +12,16 @@
 		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
 		{"accepted", func(history *attemptHistory, made *attempt) { history.bind(made) }, possiblyAccepted},
 		{"outcome unknown", func(history *attemptHistory, made *attempt) { history.addUnknownOutcome(made) }, possiblyAccepted},
-		{"unknown outcome resolved: it never ran", func(history *attemptHistory, made *attempt) {
+		{"unknown outcome resolved: task never ran", func(history *attemptHistory, made *attempt) {
 			history.addUnknownOutcome(made)
 			history.removeUnknownOutcome(made)
 		}, possiblyAccepted},
-		{"unknown outcome resolved: it may have run", func(history *attemptHistory, made *attempt) {
+		{"unknown outcome resolved: task may have run", func(history *attemptHistory, made *attempt) {
 			history.addUnknownOutcome(made)
 			history.removeUnknownOutcome(made)
 			history.recordPossibleRun()
 		}, possiblyRan},
-		{"another attempt accepted after a run", func(history *attemptHistory, made *attempt) {
+		{"another attempt accepted after a possible run", func(history *attemptHistory, made *attempt) {
 			history.recordPossibleRun()
 			history.bind(made)
 		}, possiblyRan},
@@ -33,7 +33,7 @@
 			test.play(history, made)
 
 			if history.evidence != test.want {
-				t.Errorf("%s, want %s", history.evidence, test.want)
+				t.Errorf("the evidence is %q, want %q", history.evidence, test.want)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	history.bind(adopted)
 	history.begin(next)
 	if next.number != 8 {
-		t.Errorf("the attempt after an adopted one with the number 7 has the number %d, want 8", next.number)
+		t.Errorf("after an adopted attempt with number 7, the next attempt has number %d, want 8", next.number)
 	}
 }
 
@@ -67,20 +67,20 @@
 		number int
 		want   *attempt
 	}{
-		{"the attempt", "n", 2, unresolved},
+		{"same node and number", "n", 2, unresolved},
 		{"another node", "m", 2, nil},
-		{"another attempt", "n", 1, nil},
+		{"another number", "n", 1, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := history.unknownOutcomeAt(test.node, test.number); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("found attempt %v, want %v", got, test.want)
 			}
 		})
 	}
 	if !history.removeUnknownOutcome(unresolved) || history.hasUnknownOutcome() {
-		t.Error("the outcome is still unknown after it was removed")
+		t.Error("an outcome is still unknown after its removal")
 	}
 	if history.removeUnknownOutcome(unresolved) {
-		t.Error("an outcome was removed twice")
+		t.Error("the same unknown outcome was removed twice")
 	}
 }
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if script.engine.Stats.MigratedTasks == 0 {
-		t.Error("nothing was moved")
+		t.Error("no task was migrated")
 	}
 	script.finish()
 	script.recorder.Check(t, "script-moves")
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -23,18 +23,18 @@
 		first, second *corev1.Node // the node as listed at listedAt and at relistedAt
 		want          placer.Seconds
 	}{
-		{"long up", listedNode("a", 0), listedNode("a", 0), 0},
-		{"restarted, clock behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
-		{"restarted, clock ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
-		{"there before us, clock ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
-		{"there before us", listedNode("a", 990), listedNode("a", 990), 990},
+		{"not restarted", listedNode("a", 0), listedNode("a", 0), 0},
+		{"restarted, node clock behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
+		{"restarted, node clock ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
+		{"started before the scheduler, node clock ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
+		{"started before the scheduler", listedNode("a", 990), listedNode("a", 990), 990},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t)
 			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.first}, nil)
 			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.second}, nil)
 			if got := engine.nodes.get(nodeName).listedStartedAt; got != test.want {
-				t.Errorf("started at %v, want %v", got, test.want)
+				t.Errorf("the node counts as started at %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	engine.nodes.observeIncarnation(engine.nodes.get(nodeName), "a")
 
 	if got := engine.nodes.get(nodeName).incarnation; got != "b" {
-		t.Errorf("the node is taken back to incarnation %q", got)
+		t.Errorf("the node has incarnation %q, want \"b\"", got)
 	}
 }
 
@@ -100,7 +100,7 @@
 			}
 
 			if (attempts > 1) != test.retried {
-				t.Errorf("%d attempts", attempts)
+				t.Errorf("the engine made %d attempts, which is wrong for the incarnation that answered the stop", attempts)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("120 of 100 Pods: %v", err)
+		t.Fatalf("creating a Job that exceeds MaxPods returned %v, want ErrTooMany", err)
 	}
 	// There is no node, so all tasks are rejected at their deadlines.
 	for ; engine.OpenTasks() > 0 && now < 1100; now++ {
@@ -133,13 +133,13 @@
 	}
 
 	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("a Job that has just ended was evicted: %v", err)
+		t.Fatalf("a Job that had just finished was evicted: CreateJob returned %v, want ErrTooMany", err)
 	}
 	if err := create(now+31, "b"); err != nil {
-		t.Fatalf("a Job that ended long ago was not evicted: %v", err)
+		t.Fatalf("a Job that finished long ago was not evicted: CreateJob returned %v", err)
 	}
 	if engine.Store().Get(store.Jobs, defaultNamespace, "a") != nil {
-		t.Error("the Job that ended is still there")
+		t.Error("the evicted Job is still stored")
 	}
 }
 
@@ -154,7 +154,7 @@
 
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Errorf("a Job of 400 MB: %v", err)
+		t.Errorf("creating a Job of 400 MB returned %v, want an *InvalidError", err)
 	}
 }
 
@@ -170,7 +170,7 @@
 		return len(sent) > 0
 	})
 	if len(sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(sent))
+		t.Fatalf("the engine made %d attempts, want 1", len(sent))
 	}
 	running := sent[0].Pod.DeepCopy()
 	running.Status.Phase = corev1.PodRunning
@@ -189,7 +189,7 @@
 	failed.Status.Phase = corev1.PodFailed
 	engine.NodePod(now, nodeName, failed, false)
 	if open := engine.OpenTasks(); open != 0 {
-		t.Fatalf("%d tasks are open before the retry, want 0", open)
+		t.Fatalf("%d tasks have no final outcome before the retry, want 0", open)
 	}
 
 	engine.Stop(now)
@@ -197,14 +197,14 @@
 	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != created })
 
 	if engine.Stats.PodsCreated != created+1 {
-		t.Fatal("the retry did not come due")
+		t.Fatal("the retry did not create exactly one Pod")
 	}
 	engine.Tick(now + 10)
 	if retries := takeAttempts(engine); len(retries) > 0 {
-		t.Errorf("%d attempts after the stop", len(retries))
+		t.Errorf("the engine made %d attempts after the stop, want 0", len(retries))
 	}
 	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome", open)
+		t.Errorf("%d tasks have no final outcome, want 0", open)
 	}
 }
 
@@ -222,7 +222,7 @@
 
 	stored, ok := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node)
 	if !ok || stored.Labels["team"] != "records" {
-		t.Errorf("the stored node is %v, want the changed one", stored)
+		t.Errorf("the stored node is %v, want one with the changed label", stored)
 	}
 }
 
@@ -248,7 +248,7 @@
 	tickUntil(engine, now, now+100, func() bool { return engine.OpenTasks() == 0 })
 
 	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome 100 s after the stop", open)
+		t.Errorf("%d tasks have no final outcome 100 s after the stop, want 0", open)
 	}
 	if err := engine.CheckInvariants(); err != nil {
 		t.Error(err)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -186,7 +186,7 @@
 func (t *indexTable) setState(i int, next indexState) {
 	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
-		t.transitions.recordIllegal("index %d of Job %s goes from %s to %s", i, t.ownerKey, index.state, next)
+		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.ownerKey, index.state, next)
 	}
 	index.state = next
 }
@@ -198,18 +198,18 @@
 	for i := range t.entries {
 		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
-			return fmt.Sprintf("violated: index %d has a task only while it is active", i)
+			return fmt.Sprintf("invariant violated: index %d has a task if and only if it is active", i)
 		}
 		if index.task == nil {
 			continue
 		}
 		active++
 		if index.task.job != owner || index.task.index != i {
-			return fmt.Sprintf("violated: the task of index %d knows its Job and its index", i)
+			return fmt.Sprintf("invariant violated: the task of index %d refers to its Job and its index", i)
 		}
 	}
 	if active != t.active {
-		return fmt.Sprintf("violated: %d indexes are active, %d are counted", active, t.active)
+		return fmt.Sprintf("invariant violated: %d indexes are active, but the count is %d", active, t.active)
 	}
 	return ""
 }
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -73,7 +73,7 @@
 // and reported by CheckInvariants.
 func (j *job) setProgress(next jobProgress) {
 	if !jobProgressTransitions.permits(j.progress, next) {
-		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.progress, next)
+		j.transitions.recordIllegal("Job %s made an illegal transition from %s to %s", j.key, j.progress, next)
 	}
 	j.progress = next
 }
@@ -82,7 +82,7 @@
 // nevertheless, and reported by CheckInvariants.
 func (j *job) setDeletion(next jobDeletion) {
 	if !jobDeletionTransitions.permits(j.deletion, next) {
-		j.transitions.recordIllegal("Job %s goes from %s to %s", j.key, j.deletion, next)
+		j.transitions.recordIllegal("Job %s made an illegal transition of its deletion state from %s to %s", j.key, j.deletion, next)
 	}
 	j.deletion = next
 }
@@ -98,11 +98,11 @@
 func (j *job) violatedInvariant() string {
 	switch {
 	case j.deletion == jobDeleted:
-		return "violated: a deleted Job is not in the job table"
+		return "invariant violated: a deleted Job is not in the job table"
 	case j.progress.failsAsWhole() != (j.failureReason != ""):
-		return "violated: a Job has a reason to fail only if it fails as a whole"
+		return "invariant violated: a Job has a failure reason if and only if it fails as a whole"
 	case j.deletion == jobDeletingForeground && len(j.pods) == 0:
-		return "violated: a Job that is deleted in the foreground is kept only for its Pods"
+		return "invariant violated: a Job that is deleted in the foreground is kept only for its Pods"
 	}
 	return j.indexes.violatedInvariant(j)
 }
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -34,7 +34,7 @@
 			case test.illegal == "" && err != nil:
 				t.Error(err)
 			case test.illegal != "" && (err == nil || !strings.HasSuffix(err.Error(), test.illegal)):
-				t.Errorf("%v, want an error that ends in %q", err, test.illegal)
+				t.Errorf("got error %v, want one that ends in %q", err, test.illegal)
 			}
 		})
 	}
@@ -48,10 +48,10 @@
 	checkStatePaths(t, newMachine, []statePath[jobProgress]{
 		{"all indexes end", []jobProgress{jobEnded}, ""},
 		{"fails as a whole", []jobProgress{jobFailing, jobFailed}, ""},
-		{"fails without stopping its tasks", []jobProgress{jobFailed}, "goes from running to failed"},
-		{"ends while it fails", []jobProgress{jobFailing, jobEnded}, "goes from failing to ended"},
-		{"fails after its end", []jobProgress{jobEnded, jobFailing}, "goes from ended to failing"},
-		{"runs again", []jobProgress{jobFailing, jobFailed, jobRunning}, "goes from failed to running"},
+		{"failed without stopping its tasks", []jobProgress{jobFailed}, "made an illegal transition from running to failed"},
+		{"ended while failing", []jobProgress{jobFailing, jobEnded}, "made an illegal transition from failing to ended"},
+		{"failing after the end", []jobProgress{jobEnded, jobFailing}, "made an illegal transition from ended to failing"},
+		{"running again after a failure", []jobProgress{jobFailing, jobFailed, jobRunning}, "made an illegal transition from failed to running"},
 	})
 }
 
@@ -61,11 +61,11 @@
 		return stateMachine[jobDeletion]{(&job{key: "default/j", transitions: check}).setDeletion, func() error { return check.firstError }}
 	}
 	checkStatePaths(t, newMachine, []statePath[jobDeletion]{
-		{"in the background", []jobDeletion{jobDeleted}, ""},
-		{"in the foreground", []jobDeletion{jobDeletingForeground, jobDeleted}, ""},
-		{"twice", []jobDeletion{jobDeleted, jobDeleted}, "goes from deleted to deleted"},
-		{"in the foreground after its deletion", []jobDeletion{jobDeleted, jobDeletingForeground}, "goes from deleted to deleting foreground"},
-		{"taken back", []jobDeletion{jobDeletingForeground, jobKept}, "goes from deleting foreground to kept"},
+		{"background deletion", []jobDeletion{jobDeleted}, ""},
+		{"foreground deletion", []jobDeletion{jobDeletingForeground, jobDeleted}, ""},
+		{"deleted twice", []jobDeletion{jobDeleted, jobDeleted}, "made an illegal transition of its deletion state from deleted to deleted"},
+		{"foreground deletion of a deleted Job", []jobDeletion{jobDeleted, jobDeletingForeground}, "made an illegal transition of its deletion state from deleted to deleting foreground"},
+		{"deletion undone", []jobDeletion{jobDeletingForeground, jobKept}, "made an illegal transition of its deletion state from deleting foreground to kept"},
 	})
 }
 
@@ -78,13 +78,13 @@
 	checkStatePaths(t, newMachine, []statePath[indexState]{
 		{"succeeds", []indexState{indexActive, indexRetrying, indexFinished}, ""},
 		{"is retried", []indexState{indexActive, indexRetrying, indexActive}, ""},
-		{"starts anew after a suspension", []indexState{indexActive, indexRetrying, indexPending, indexActive}, ""},
-		{"fails unseen", []indexState{indexFinished}, ""},
-		{"a copy is adopted after the end", []indexState{indexFinished, indexActive}, ""},
-		{"finishes with a task", []indexState{indexActive, indexFinished}, "index 0 of Job default/j goes from active to finished"},
-		{"has two tasks", []indexState{indexActive, indexActive}, "goes from active to active"},
-		{"retries without a task", []indexState{indexRetrying}, "goes from pending to retrying"},
-		{"starts after its end", []indexState{indexFinished, indexPending}, "goes from finished to pending"},
+		{"starts again after a suspension", []indexState{indexActive, indexRetrying, indexPending, indexActive}, ""},
+		{"fails because no node reported it", []indexState{indexFinished}, ""},
+		{"a duplicate task is adopted after the end", []indexState{indexFinished, indexActive}, ""},
+		{"finishes while it has a task", []indexState{indexActive, indexFinished}, "index 0 of Job default/j made an illegal transition from active to finished"},
+		{"gets a second task", []indexState{indexActive, indexActive}, "made an illegal transition from active to active"},
+		{"retries before its first task", []indexState{indexRetrying}, "made an illegal transition from pending to retrying"},
+		{"pending after the end", []indexState{indexFinished, indexPending}, "made an illegal transition from finished to pending"},
 	})
 }
 
@@ -95,12 +95,12 @@
 	for _, want := range []int{0, 1} {
 		index, ok := table.takeNext(parallelism)
 		if !ok || index != want {
-			t.Fatalf("index %d, %v is next, want %d", index, ok, want)
+			t.Fatalf("takeNext returned %d, %v, want %d, true", index, ok, want)
 		}
 		table.start(index, &task{index: index})
 	}
 	if index, ok := table.takeNext(parallelism); ok {
-		t.Errorf("index %d is next with two active, want none", index)
+		t.Errorf("takeNext returned index %d although two indexes are active, want none", index)
 	}
 
 	table.end(0)
@@ -108,19 +108,19 @@
 	table.end(1)
 	table.fail(1, true)
 	if table.active != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
-		t.Errorf("after a success and a failure that is retried: %+v", table)
+		t.Errorf("wrong counts after a success and a failure that is retried: %+v", table)
 	}
 
 	table.restart(1)
 	if index, ok := table.takeNext(parallelism); !ok || index != 1 {
-		t.Errorf("index %d, %v is next, want the restarted one", index, ok)
+		t.Errorf("takeNext returned %d, %v, want the restarted index 1, true", index, ok)
 	}
 	table.failUnreported(1)
 	table.failUnreported(2)
 	if table.failedTasks != 3 || table.failedIndexes != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
-		t.Errorf("after the last failures: %+v", table)
+		t.Errorf("wrong counts after all indexes have ended: %+v", table)
 	}
 	if table.adopt(2, &task{index: 2}); table.failedIndexes != 1 || table.active != 1 || table.outcomeCounts[outcomeFailed] != 2 {
-		t.Errorf("after a copy was adopted: %+v", table)
+		t.Errorf("wrong counts after a duplicate task was adopted: %+v", table)
 	}
 }
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -16,12 +16,12 @@
 		prepare func(table *jobTable, first, second *job)
 		want    string // key of the oldest finished Job; "" if there is none
 	}{
-		{"in order of the end", func(*jobTable, *job, *job) {}, "first"},
-		{"a deleted one is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
-		{"one that was removed is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
-		{"one whose name another Job has is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
-		{"dropped ones are gone", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
-		{"none is left", func(table *jobTable, first, second *job) {
+		{"first to finish", func(*jobTable, *job, *job) {}, "first"},
+		{"deleted Job is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
+		{"removed Job is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
+		{"replaced Job is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
+		{"dropped Job is not returned", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
+		{"no Job left", func(table *jobTable, first, second *job) {
 			table.remove(first)
 			table.remove(second)
 		}, ""},
@@ -37,7 +37,7 @@
 				got = oldest.key
 			}
 			if got != test.want {
-				t.Errorf("%q is the oldest, want %q", got, test.want)
+				t.Errorf("the oldest finished Job is %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -52,7 +52,7 @@
 		table.remove(finished)
 	}
 	if got, most := len(table.finished), finishedListSlack+3; got > most {
-		t.Errorf("%d finished Jobs are listed with none in the table, want at most %d", got, most)
+		t.Errorf("%d finished Jobs are listed although the table is empty, want at most %d", got, most)
 	}
 }
 
@@ -62,9 +62,9 @@
 	table.add(first)
 	table.add(second)
 	if table.remove(first) {
-		t.Error("a Job was removed whose name another one has")
+		t.Error("removing a replaced Job removed the Job that replaced it")
 	}
 	if !table.contains(second) || !table.remove(second) || table.get("default/j") != nil {
-		t.Error("the Job in the table was not removed")
+		t.Error("the Job in the table could not be removed")
 	}
 }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -72,20 +72,20 @@
 		description string
 		holds       bool
 	}{
-		{"it is kept", t.state != taskCreated && t.state != taskRemoved},
-		{"an attempt is in flight only while it is attempting", (t.attempts.inFlight != nil) == (t.state == taskAttempting)},
-		{"an attempt runs only on a node", (t.attempts.running != nil) == t.state.onNode()},
-		{"its node knows that it runs there", t.attempts.running == nil || t.attempts.running.node.running[t.uid] == t},
-		{"a request is open only before it is placed", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
-		{"a retry is pending only while it waits", !t.retryTimer.Pending() || t.state == taskWaiting},
-		{"its outcome is final once it is placed or has ended", t.settled == (t.state.onNode() || ended)},
-		{"it is kept after its end only for unknown outcomes", !ended || t.attempts.hasUnknownOutcome()},
-		{"a task that is to stop has ended or is being stopped at its node", !t.isStopping() || t.state.onNode() || ended},
-		{"a deleted task is to stop", !t.podDeleted || t.isStopping()},
-		{"its unknown outcomes are known by their nodes", t.nodesKnowUnknownOutcomes()},
+		{"the state of a stored task is neither created nor removed", t.state != taskCreated && t.state != taskRemoved},
+		{"an attempt is in flight if and only if the state is attempting", (t.attempts.inFlight != nil) == (t.state == taskAttempting)},
+		{"an attempt is running if and only if the task is on a node", (t.attempts.running != nil) == t.state.onNode()},
+		{"the node of the running attempt lists the task", t.attempts.running == nil || t.attempts.running.node.running[t.uid] == t},
+		{"a placement request is open if and only if the state requires one", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
+		{"a retry is scheduled only if the state is waiting", !t.retryTimer.Pending() || t.state == taskWaiting},
+		{"the outcome is final if and only if the task is on a node or has ended", t.settled == (t.state.onNode() || ended)},
+		{"an ended task is kept only while an outcome is unknown", !ended || t.attempts.hasUnknownOutcome()},
+		{"a task with a stop reason is on a node or has ended", !t.isStopping() || t.state.onNode() || ended},
+		{"a task whose Pod is deleted has a stop reason", !t.podDeleted || t.isStopping()},
+		{"the node of each attempt with an unknown outcome lists the attempt", t.nodesKnowUnknownOutcomes()},
 	} {
 		if !invariant.holds {
-			return "violated: " + invariant.description
+			return "invariant violated: " + invariant.description
 		}
 	}
 	return ""
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -21,7 +21,7 @@
 	}
 	tasks := engine.tasks.inOrder()
 	if len(tasks) != 1 {
-		t.Fatalf("%d tasks were started, want 1", len(tasks))
+		t.Fatalf("the engine started %d tasks, want 1", len(tasks))
 	}
 	return engine, tasks[0]
 }
@@ -33,21 +33,21 @@
 		return stateMachine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
 	}
 	checkStatePaths(t, newMachine, []statePath[taskState]{
-		{"placed at once", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
+		{"placed by the first attempt", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
 		{"queued, rejected by a node, retried", []taskState{taskQueued, taskSubmitted, taskAttempting, taskSubmitted, taskWaiting,
 			taskSubmitted, taskAttempting, taskBound}, ""},
-		{"shed and given up", []taskState{taskWaiting, taskTerminating, taskRemoved}, ""},
+		{"shed and not retried", []taskState{taskWaiting, taskTerminating, taskRemoved}, ""},
 		{"found running while queued", []taskState{taskWaiting, taskQueued, taskBound}, ""},
-		{"found running while it waits", []taskState{taskSubmitted, taskWaiting, taskBound, taskTerminating}, ""},
+		{"found running while waiting", []taskState{taskSubmitted, taskWaiting, taskBound, taskTerminating}, ""},
 		{"adopted", []taskState{taskBound, taskRunning}, ""},
-		{"runs without a node", []taskState{taskSubmitted, taskRunning}, "goes from submitted to running"},
-		{"attempted without the placer", []taskState{taskQueued, taskAttempting}, "goes from queued to attempting"},
-		{"waits with an attempt in flight", []taskState{taskSubmitted, taskAttempting, taskWaiting}, "goes from attempting to waiting"},
-		{"requested while it runs", []taskState{taskBound, taskSubmitted}, "goes from bound to submitted"},
-		{"runs twice", []taskState{taskBound, taskRunning, taskBound}, "goes from running to bound"},
-		{"lives again", []taskState{taskWaiting, taskTerminating, taskWaiting}, "goes from terminating to waiting"},
-		{"removed while it waits", []taskState{taskWaiting, taskRemoved}, "goes from waiting to removed"},
-		{"leaves the removed state", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "goes from removed to created"},
+		{"running without an attempt", []taskState{taskSubmitted, taskRunning}, "made an illegal transition from submitted to running"},
+		{"attempted while queued for admission", []taskState{taskQueued, taskAttempting}, "made an illegal transition from queued to attempting"},
+		{"waiting with an attempt in flight", []taskState{taskSubmitted, taskAttempting, taskWaiting}, "made an illegal transition from attempting to waiting"},
+		{"requested again while bound", []taskState{taskBound, taskSubmitted}, "made an illegal transition from bound to submitted"},
+		{"bound again while running", []taskState{taskBound, taskRunning, taskBound}, "made an illegal transition from running to bound"},
+		{"waiting after the end", []taskState{taskWaiting, taskTerminating, taskWaiting}, "made an illegal transition from terminating to waiting"},
+		{"removed while waiting", []taskState{taskWaiting, taskRemoved}, "made an illegal transition from waiting to removed"},
+		{"created again after removal", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "made an illegal transition from removed to created"},
 	})
 }
 
@@ -57,40 +57,49 @@
 		corrupt func(engine *Engine, corrupted *task)
 		want    string
 	}{
-		{"no request", func(_ *Engine, corrupted *task) { corrupted.request = nil }, "a request is open only before it is placed"},
-		{"state without a transition", func(_ *Engine, corrupted *task) { corrupted.state = taskBound },
-			"an attempt is in flight only while it is attempting"},
-		{"created", func(_ *Engine, corrupted *task) { corrupted.state = taskCreated }, "it is kept"},
-		{"settled early", func(_ *Engine, corrupted *task) { corrupted.settled = true }, "its outcome is final once"},
-		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
-		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true }, "a deleted task is to stop"},
-		{"unknown to its node", func(engine *Engine, corrupted *task) {
+		{"no placement request", func(_ *Engine, corrupted *task) { corrupted.request = nil },
+			"a placement request is open if and only if the state requires one"},
+		{"bound with an attempt in flight", func(_ *Engine, corrupted *task) { corrupted.state = taskBound },
+			"an attempt is in flight if and only if the state is attempting"},
+		{"state is still created", func(_ *Engine, corrupted *task) { corrupted.state = taskCreated },
+			"the state of a stored task is neither created nor removed"},
+		{"final outcome before placement", func(_ *Engine, corrupted *task) { corrupted.settled = true },
+			"the outcome is final if and only if the task is on a node or has ended"},
+		{"stop reason before placement", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted },
+			"a task with a stop reason is on a node or has ended"},
+		{"deleted Pod without a stop reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true },
+			"a task whose Pod is deleted has a stop reason"},
+		{"unknown outcome that the node does not list", func(engine *Engine, corrupted *task) {
 			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
-		}, "its unknown outcomes are known by their nodes"},
-		{"two attempts", func(engine *Engine, corrupted *task) {
+		}, "the node of each attempt with an unknown outcome lists the attempt"},
+		{"second attempt", func(engine *Engine, corrupted *task) {
 			corrupted.attempts.running = &attempt{node: engine.nodes.get(nodeName)}
 		},
-			"an attempt runs only on a node"},
-		{"retry while requested", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
-			"a retry is pending only while it waits"},
-		{"no task of its index", func(_ *Engine, corrupted *task) { corrupted.job.indexes.entries[0].task = nil },
-			"index 0 has a task only while it is active"},
-		{"another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 }, "the task of index 0 knows its Job and its index"},
-		{"active miscounted", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 }, "1 indexes are active, 0 are counted"},
-		{"deleted and held", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted }, "a deleted Job is not in the job table"},
-		{"fails for no reason", func(_ *Engine, corrupted *task) { corrupted.job.progress = jobFailing },
-			"a Job has a reason to fail only if it fails as a whole"},
-		{"deletion that waits for nothing", func(_ *Engine, corrupted *task) {
+			"an attempt is running if and only if the task is on a node"},
+		{"retry scheduled during a placement request", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
+			"a retry is scheduled only if the state is waiting"},
+		{"active index without a task", func(_ *Engine, corrupted *task) { corrupted.job.indexes.entries[0].task = nil },
+			"index 0 has a task if and only if it is active"},
+		{"task with another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 },
+			"the task of index 0 refers to its Job and its index"},
+		{"wrong count of active indexes", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 },
+			"1 indexes are active, but the count is 0"},
+		{"deleted Job in the job table", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted },
+			"a deleted Job is not in the job table"},
+		{"failing Job without a reason", func(_ *Engine, corrupted *task) { corrupted.job.progress = jobFailing },
+			"a Job has a failure reason if and only if it fails as a whole"},
+		{"foreground deletion without Pods", func(_ *Engine, corrupted *task) {
 			corrupted.job.deletion, corrupted.job.pods = jobDeletingForeground, nil
-		}, "kept only for its Pods"},
-		{"miscounted", func(engine *Engine, _ *task) { engine.tasks.openCount++ }, "1 tasks have no final outcome, 2 are counted"},
+		}, "a Job that is deleted in the foreground is kept only for its Pods"},
+		{"wrong count of open tasks", func(engine *Engine, _ *task) { engine.tasks.openCount++ },
+			"1 tasks have no final outcome, but the count is 2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine, corrupted := engineWithTask(t)
 			test.corrupt(engine, corrupted)
 			err := engine.CheckInvariants()
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("CheckInvariants returned %v, want an error that contains %q", err, test.want)
 			}
 		})
 	}
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -45,7 +45,7 @@
 // reported by CheckInvariants.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !taskTransitions.permits(task.state, next) {
-		t.transitions.recordIllegal("task %s goes from %s to %s", task.uid, task.state, next)
+		t.transitions.recordIllegal("task %s made an illegal transition from %s to %s", task.uid, task.state, next)
 	}
 	task.state = next
 }
@@ -63,7 +63,7 @@
 		}
 	}
 	if open != t.openCount {
-		return fmt.Errorf("engine: %d tasks have no final outcome, %d are counted", open, t.openCount)
+		return fmt.Errorf("engine: %d tasks have no final outcome, but the count is %d", open, t.openCount)
 	}
 	return nil
 }
