--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -4,9 +4,9 @@
 
 func TestRunEvidenceNeverDecreases(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		play func(history *attemptHistory, made *attempt)
-		want runEvidence
+		name  string
+		apply func(history *attemptHistory, made *attempt)
+		want  runEvidence
 	}{
 		{"in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
 		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
@@ -30,7 +30,7 @@
 			history, made := &attemptHistory{}, &attempt{}
 			history.begin(made)
 
-			test.play(history, made)
+			test.apply(history, made)
 
 			if history.evidence != test.want {
 				t.Errorf("the evidence is %q, want %q", history.evidence, test.want)
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -20,7 +20,7 @@
 	podCost        int64        // cost of one Pod, as measured by store.Cost
 	cachedManifest string       // cached result of the method manifest; "" if there is none
 
-	indexes indexTable
+	indexes completionIndexTable
 	pods    map[string]struct{} // names of the stored Pods
 
 	statusDirty bool // set if the Job is listed in jobStatusWriter.dirty
@@ -38,8 +38,8 @@
 	ttlTimer      *timer // fires when ttlSecondsAfterFinished have passed
 }
 
-// valueOr returns the value that a pointer refers to, or a fallback if the pointer is nil.
-func valueOr[T any](pointer *T, fallback T) T {
+// valueOrDefault returns the value that a pointer refers to, or a fallback if the pointer is nil.
+func valueOrDefault[T any](pointer *T, fallback T) T {
 	if pointer == nil {
 		return fallback
 	}
@@ -51,13 +51,13 @@
 
 // taskCount returns the number of completion indexes of a Job.
 func taskCount(object *batchv1.Job) int {
-	return int(valueOr(object.Spec.Completions, valueOr(object.Spec.Parallelism, 1)))
+	return int(valueOrDefault(object.Spec.Completions, valueOrDefault(object.Spec.Parallelism, 1)))
 }
 
-func (j *job) parallelism() int { return int(valueOr(j.object.Spec.Parallelism, 1)) }
+func (j *job) parallelism() int { return int(valueOrDefault(j.object.Spec.Parallelism, 1)) }
 
 func (j *job) backoffLimit() int {
-	return int(valueOr(j.object.Spec.BackoffLimit, defaultBackoffLimit))
+	return int(valueOrDefault(j.object.Spec.BackoffLimit, defaultBackoffLimit))
 }
 
 // cost returns the cost of the Job and all of its Pods, as measured by store.Cost.
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -34,12 +34,12 @@
 		key:         jobKey(object),
 		uid:         object.UID,
 		object:      object,
-		suspended:   valueOr(object.Spec.Suspend, false),
+		suspended:   valueOrDefault(object.Spec.Suspend, false),
 		transitions: &c.transitions,
 		pods:        map[string]struct{}{},
 	}
 	created.placementSpec = newPlacementSpec(class, tenant, serviceID(object.Namespace, service), &object.Spec.Template.Spec)
-	created.indexes = newIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
+	created.indexes = newCompletionIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
 	return created, nil
 }
 
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -34,8 +34,8 @@
 	indexFinished: {indexActive},
 }
 
-// jobIndex is a completion index of a Job.
-type jobIndex struct {
+// completionIndex is the state of one completion index of a Job.
+type completionIndex struct {
 	state       indexState
 	task        *task // set while the index is active
 	settled     bool  // set once the outcome of the index's first task is counted
@@ -43,12 +43,12 @@
 	retryTimer  *timer
 }
 
-// indexTable holds the completion indexes of a Job and counts them by state. Only its methods modify them.
-type indexTable struct {
+// completionIndexTable holds the completion indexes of a Job and counts them by state. Only its methods modify them.
+type completionIndexTable struct {
 	ownerKey    string // store.Key of the Job
 	transitions *transitionCheck
 
-	entries        []jobIndex
+	entries        []completionIndex
 	nextUnstarted  int // lowest index that was not considered for a start yet
 	active         int // number of indexes that have a task
 	succeededTasks int // number of tasks that succeeded
@@ -59,30 +59,32 @@
 	unplacedMayHaveRun bool                // set if a task that was not placed may have run
 }
 
-// newIndexTable returns a table of pending completion indexes. The first task of each index gets the given
+// newCompletionIndexTable returns a table of pending completion indexes. The first task of each index gets the given
 // retry budget.
-func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
-	table := indexTable{ownerKey: job, transitions: transitions, entries: make([]jobIndex, count), outcomeCounts: map[taskOutcome]int{}}
+func newCompletionIndexTable(job string, transitions *transitionCheck, count, retryBudget int) completionIndexTable {
+	table := completionIndexTable{ownerKey: job, transitions: transitions, entries: make([]completionIndex, count), outcomeCounts: map[taskOutcome]int{}}
 	for i := range table.entries {
 		table.entries[i].retryBudget = retryBudget
 	}
 	return table
 }
 
-func (t *indexTable) len() int { return len(t.entries) }
+func (t *completionIndexTable) len() int { return len(t.entries) }
 
 // at returns a completion index. The caller must not modify the index.
-func (t *indexTable) at(i int) *jobIndex { return &t.entries[i] }
+func (t *completionIndexTable) at(i int) *completionIndex { return &t.entries[i] }
 
 // allEnded reports whether every completion index has succeeded or failed.
-func (t *indexTable) allEnded() bool { return t.succeededTasks+t.failedIndexes >= len(t.entries) }
+func (t *completionIndexTable) allEnded() bool {
+	return t.succeededTasks+t.failedIndexes >= len(t.entries)
+}
 
 // unstarted returns the number of completion indexes that takeNext has yet to return.
-func (t *indexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
+func (t *completionIndexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
 // takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
 // as many are active as the parallelism allows.
-func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
+func (t *completionIndexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
 	}
@@ -91,16 +93,16 @@
 }
 
 // preventStarts keeps each completion index from being started until restart is called for it.
-func (t *indexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
+func (t *completionIndexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
 // start assigns a new task to a completion index.
-func (t *indexTable) start(i int, task *task) {
+func (t *completionIndexTable) start(i int, task *task) {
 	t.activate(i, task)
 	t.entries[i].retryTimer = nil
 }
 
 // adopt assigns a task that was found running to a completion index without a task.
-func (t *indexTable) adopt(i int, task *task) {
+func (t *completionIndexTable) adopt(i int, task *task) {
 	if t.entries[i].state == indexFinished {
 		t.failedIndexes--
 	}
@@ -109,14 +111,14 @@
 }
 
 // activate assigns a task to a completion index and marks the index as active.
-func (t *indexTable) activate(i int, task *task) {
+func (t *completionIndexTable) activate(i int, task *task) {
 	t.setState(i, indexActive)
 	t.entries[i].task = task
 	t.active++
 }
 
 // settle counts a final outcome if it is the first one of the completion index, and reports whether it is.
-func (t *indexTable) settle(i int, outcome taskOutcome) bool {
+func (t *completionIndexTable) settle(i int, outcome taskOutcome) bool {
 	index := &t.entries[i]
 	if index.settled {
 		return false
@@ -128,7 +130,7 @@
 
 // settleTask counts the final outcome of a task if it is the first one of the task's completion index, and
 // reports whether it is.
-func (t *indexTable) settleTask(task *task, outcome taskOutcome) bool {
+func (t *completionIndexTable) settleTask(task *task, outcome taskOutcome) bool {
 	if !t.settle(task.index, outcome) {
 		return false
 	}
@@ -138,21 +140,21 @@
 
 // end records that the task of a completion index has ended. Unless the Job is deleted, the caller then calls
 // succeed, fail or restart.
-func (t *indexTable) end(i int) {
+func (t *completionIndexTable) end(i int) {
 	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
 	t.active--
 }
 
 // succeed finishes a completion index whose task has succeeded.
-func (t *indexTable) succeed(i int) {
+func (t *completionIndexTable) succeed(i int) {
 	t.succeededTasks++
 	t.setState(i, indexFinished)
 }
 
 // fail counts a task that ended without success. It finishes the completion index unless the index will be
 // started again.
-func (t *indexTable) fail(i int, startedAgain bool) {
+func (t *completionIndexTable) fail(i int, startedAgain bool) {
 	t.failedTasks++
 	if !startedAgain {
 		t.failedIndexes++
@@ -161,7 +163,7 @@
 }
 
 // failUnreported fails a completion index of a rebuilt Job that no node has reported. Its task may have run.
-func (t *indexTable) failUnreported(i int) {
+func (t *completionIndexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.settle(i, outcomeFailed) {
 		t.unplacedMayHaveRun = true
@@ -170,20 +172,20 @@
 
 // restart makes a completion index pending again. The index is started when the jobStarter next takes the Job
 // from its backlog.
-func (t *indexTable) restart(i int) {
+func (t *completionIndexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.nextUnstarted = min(t.nextUnstarted, i)
 }
 
 // setRetry sets the timer that starts a completion index again, and the retry budget of the next task.
-func (t *indexTable) setRetry(i, retryBudget int, retryTimer *timer) {
+func (t *completionIndexTable) setRetry(i, retryBudget int, retryTimer *timer) {
 	t.entries[i].retryBudget = retryBudget
 	t.entries[i].retryTimer = retryTimer
 }
 
 // setState changes the state of a completion index; no other code does. An illegal transition is made
 // nevertheless, and reported by CheckInvariants.
-func (t *indexTable) setState(i int, next indexState) {
+func (t *completionIndexTable) setState(i int, next indexState) {
 	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
 		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.ownerKey, index.state, next)
@@ -193,7 +195,7 @@
 
 // violatedInvariant describes the first contradiction between a Job's completion indexes and their tasks. It
 // returns "" if there is none.
-func (t *indexTable) violatedInvariant(owner *job) string {
+func (t *completionIndexTable) violatedInvariant(owner *job) string {
 	active := 0
 	for i := range t.entries {
 		index := &t.entries[i]
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -72,7 +72,7 @@
 func TestIndexTransitions(t *testing.T) {
 	newMachine := func(*testing.T) stateMachine[indexState] {
 		check := &transitionCheck{}
-		table := newIndexTable("default/j", check, 1, 0)
+		table := newCompletionIndexTable("default/j", check, 1, 0)
 		return stateMachine[indexState]{func(next indexState) { table.setState(0, next) }, func() error { return check.firstError }}
 	}
 	checkStatePaths(t, newMachine, []statePath[indexState]{
@@ -91,7 +91,7 @@
 // TestIndexCounts checks the counts of an index table while three completion indexes start and end.
 func TestIndexCounts(t *testing.T) {
 	const parallelism = 2
-	table := newIndexTable("default/j", &transitionCheck{}, 3, 1)
+	table := newCompletionIndexTable("default/j", &transitionCheck{}, 3, 1)
 	for _, want := range []int{0, 1} {
 		index, ok := table.takeNext(parallelism)
 		if !ok || index != want {
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -31,7 +31,7 @@
 	}
 	job.updateSpec(next)
 	c.publisher.putJob(next)
-	c.applySuspend(job, valueOr(next.Spec.Suspend, false))
+	c.applySuspend(job, valueOrDefault(next.Spec.Suspend, false))
 	c.jobStatus.markDirty(job)
 	return c.jobs.get(job.key).object, nil
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -147,17 +147,16 @@
 	}
 }
 
-// Stop orders for the same attempt are repeated with exponential backoff, from firstStopDelay up to
-// lastStopDelay.
+// Stop orders for the same attempt are repeated with exponential backoff, from minStopDelay to maxStopDelay.
 const (
-	firstStopDelay   placer.Seconds = 0.25
-	lastStopDelay    placer.Seconds = 5
+	minStopDelay     placer.Seconds = 0.25
+	maxStopDelay     placer.Seconds = 5
 	maxStopDoublings                = 5
 )
 
 // stopBackoff returns the delay before the next stop order, given the number of stop orders already sent.
 func stopBackoff(sent int) placer.Seconds {
-	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
+	return min(minStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), maxStopDelay)
 }
 
 // StopAnswer is a node's answer to StopTask.
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -149,11 +149,11 @@
 			break
 		}
 	}
-	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionDelay))
+	r.schedulePoll(max(r.admission.NextDeadline(), r.now+minAdmissionPollInterval))
 }
 
-// minAdmissionDelay is the shortest time between two timer-driven polls of the admission controller.
-const minAdmissionDelay placer.Seconds = 0.001
+// minAdmissionPollInterval is the shortest time between two timer-driven polls of the admission controller.
+const minAdmissionPollInterval placer.Seconds = 0.001
 
 // schedulePoll makes sure that the engine is called at or before the given time. The timer needs no function
 // of its own because every call ends with a poll of the admission controller.
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -21,7 +21,7 @@
 	"heathshed/placer"
 )
 
-const scriptStart placer.Seconds = 1.8e9
+const scriptStartTime placer.Seconds = 1.8e9
 
 // delayedCall is a call of the engine that is due later.
 type delayedCall struct {
@@ -60,7 +60,7 @@
 	if change != nil {
 		change(&config)
 	}
-	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, recorder: goldentest.NewRecorder(),
+	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStartTime, recorder: goldentest.NewRecorder(),
 		errorCounts: map[string]int64{}}
 	for i := range 10 {
 		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -42,7 +42,7 @@
 	request           *placementRequest // latest placement request; nil if there is none
 	requestsSubmitted int               // number of requests that were submitted to the placer
 	retryBudget       int               // number of remaining retries
-	retryTimer        *timer            // fires when the next retry is due, or when the wait for an unknown outcome ends
+	retryTimer        *timer            // next retry, or end of the wait for an unknown outcome
 	wasShed           bool              // set if the admission controller has shed a request of the task
 
 	attempts attemptHistory
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -145,14 +145,14 @@
 	event.Final = true
 	l.post(event)
 	l.requests.removeIfUnused(endedAttempt.request)
-	cause := l.countEnd(&end)
+	cause := l.countTaskEnd(&end)
 	l.publisher.publishEnded(task, &end)
 	l.terminate(task, end.succeeded(), cause)
 }
 
-// countEnd updates Stats for the end of a task, and returns the cause to use if the Job starts the task
+// countTaskEnd updates Stats for the end of a task, and returns the cause to use if the Job starts the task
 // again.
-func (l *taskLifecycle) countEnd(end *taskEnd) retry.Cause {
+func (l *taskLifecycle) countTaskEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
 		return retry.Failed // the task ended without being stopped
