--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -77,7 +77,7 @@
 	if c.Retry == (retry.Policy{}) {
 		c.Retry = retry.DefaultPolicy()
 	}
-	c.Placer.Zone = 0 // interned zone numbers start with this scheduler's own zone
+	c.Placer.Zone = 0 // the first interned zone, with index 0, is this scheduler's zone
 	if c.Admission.MaxQueued == 0 {
 		c.Admission = admission.DefaultConfig()
 		c.Admission.Disabled = true
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -39,7 +39,7 @@
 	Namespace string         // namespace of the task's Pod
 	Name      string         // name of the task's Pod
 	Attempt   int            // number of the attempt within its task
-	Deadline  placer.Seconds // time until which SendAttempt waits for the answer
+	Deadline  placer.Seconds // time until which the caller waits for the answer to SendAttempt
 	// AvoidUnknownOutcome is set for SendAttempt if the task must not run twice. The caller must then use a
 	// connection on which it can determine whether the node read the request.
 	AvoidUnknownOutcome bool
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -56,7 +56,7 @@
 	case job.progress.failsAsWhole() || s.stopping:
 		return false
 	case cause == retry.Rejected && !task.isStopping():
-		return false // its placement requests were already retried as often as allowed
+		return false // the placement requests of the task were retried as often as allowed
 	case idempotency == placer.NonIdempotent:
 		// Start again only if the task neither ran to completion nor may run elsewhere.
 		return cause != retry.Failed && task.attempts.evidence != possiblyRan
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestFinishedListIsBounded checks that the list of finished Jobs stays short when the Jobs are deleted.
+// TestFinishedListIsBounded checks that the number of Jobs in the table bounds the list of finished Jobs, so
+// that deleted Jobs do not accumulate.
 func TestFinishedListIsBounded(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -84,7 +84,7 @@
 	s.schedule(0.05, s.fullList)
 }
 
-// randomDelay returns a random delay of at least least and less than least + spread.
+// randomDelay returns a random delay between least and least + spread.
 func (s *script) randomDelay(least, spread float64) placer.Seconds {
 	return placer.Seconds(least + spread*s.rng.Float64())
 }
