--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -5,32 +5,32 @@
 func TestRunEvidenceNeverDecreases(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		apply func(history *attemptHistory, made *attempt)
+		apply func(history *attemptHistory, attempt *attempt)
 		want  runEvidence
 	}{
 		{"in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
 		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
-		{"accepted", func(history *attemptHistory, made *attempt) { history.bind(made) }, possiblyAccepted},
-		{"outcome unknown", func(history *attemptHistory, made *attempt) { history.addUnknownOutcome(made) }, possiblyAccepted},
-		{"unknown outcome resolved: task never ran", func(history *attemptHistory, made *attempt) {
-			history.addUnknownOutcome(made)
-			history.removeUnknownOutcome(made)
+		{"accepted", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
+		{"outcome unknown", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
+		{"unknown outcome resolved: task never ran", func(history *attemptHistory, attempt *attempt) {
+			history.addUnknownOutcome(attempt)
+			history.removeUnknownOutcome(attempt)
 		}, possiblyAccepted},
-		{"unknown outcome resolved: task may have run", func(history *attemptHistory, made *attempt) {
-			history.addUnknownOutcome(made)
-			history.removeUnknownOutcome(made)
+		{"unknown outcome resolved: task may have run", func(history *attemptHistory, attempt *attempt) {
+			history.addUnknownOutcome(attempt)
+			history.removeUnknownOutcome(attempt)
 			history.recordPossibleRun()
 		}, possiblyRan},
-		{"another attempt accepted after a possible run", func(history *attemptHistory, made *attempt) {
+		{"another attempt accepted after a possible run", func(history *attemptHistory, attempt *attempt) {
 			history.recordPossibleRun()
-			history.bind(made)
+			history.bind(attempt)
 		}, possiblyRan},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			history, made := &attemptHistory{}, &attempt{}
-			history.begin(made)
+			history, attempt := &attemptHistory{}, &attempt{}
+			history.begin(attempt)
 
-			test.apply(history, made)
+			test.apply(history, attempt)
 
 			if history.evidence != test.want {
 				t.Errorf("the evidence is %q, want %q", history.evidence, test.want)
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -82,12 +82,12 @@
 // startForegroundDeletion marks the stored Job as deleted. The Job is removed together with its last Pod.
 func (c *jobController) startForegroundDeletion(job *job) {
 	job.setDeletion(jobDeletingForeground)
-	marked := job.object.DeepCopy()
+	updated := job.object.DeepCopy()
 	now := c.apiNow()
-	marked.DeletionTimestamp = &now
-	marked.Finalizers = append(marked.Finalizers, metav1.FinalizerDeleteDependents)
-	c.publisher.putJob(marked)
-	job.updateObject(marked)
+	updated.DeletionTimestamp = &now
+	updated.Finalizers = append(updated.Finalizers, metav1.FinalizerDeleteDependents)
+	c.publisher.putJob(updated)
+	job.updateObject(updated)
 }
 
 // finishForegroundDeletion removes a Job that is being deleted in the foreground, once its last Pod is gone.
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -25,11 +25,11 @@
 	t.Helper()
 	for _, test := range paths {
 		t.Run(test.name, func(t *testing.T) {
-			walked := newMachine(t)
+			machine := newMachine(t)
 			for _, next := range test.path {
-				walked.setState(next)
+				machine.setState(next)
 			}
-			err := walked.firstIllegal()
+			err := machine.firstIllegal()
 			switch {
 			case test.illegal == "" && err != nil:
 				t.Error(err)
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -98,7 +98,7 @@
 // was resumed.
 func (j *job) setSuspendedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
-		setJobSuspended(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
+		setJobSuspendedCondition(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
 		return
 	}
 	for i := range status.Conditions {
@@ -158,8 +158,8 @@
 	}
 }
 
-// setJobSuspended adds the Suspended condition, or sets it to true again after the Job had been resumed.
-func setJobSuspended(status *batchv1.JobStatus, condition batchv1.JobCondition) {
+// setJobSuspendedCondition adds the Suspended condition, or sets it to true again after the Job had been resumed.
+func setJobSuspendedCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	stored := jobCondition(status, condition.Type)
 	switch {
 	case stored == nil:
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -13,7 +13,7 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-func pointer[T any](value T) *T { return &value }
+func pointerTo[T any](value T) *T { return &value }
 
 // randomJob returns a random Job, which is sometimes invalid.
 func (s *script) randomJob() *batchv1.Job {
@@ -21,8 +21,8 @@
 	job.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
 	job.Name = fmt.Sprintf("job-%03d", len(s.jobs))
 	tasks := int32(s.rng.IntN(7))
-	job.Spec.Completions, job.Spec.Parallelism = &tasks, pointer(tasks)
-	job.Spec.BackoffLimit = pointer(int32(s.rng.IntN(4)))
+	job.Spec.Completions, job.Spec.Parallelism = &tasks, pointerTo(tasks)
+	job.Spec.BackoffLimit = pointerTo(int32(s.rng.IntN(4)))
 	job.Spec.Template.Labels = map[string]string{wellknown.Service: fmt.Sprintf("service-%d", s.rng.IntN(8))}
 	class := []string{"web", "batch", "once", "keyed", "spread", ""}[s.rng.IntN(6)]
 	if class != "" {
@@ -43,19 +43,19 @@
 	case 0:
 		job.Name, job.GenerateName = "", "generated-"
 	case 1:
-		job.Spec.Suspend = pointer(true)
+		job.Spec.Suspend = pointerTo(true)
 	case 2:
-		job.Spec.ActiveDeadlineSeconds = pointer(int64(4))
+		job.Spec.ActiveDeadlineSeconds = pointerTo(int64(4))
 	case 3:
-		job.Spec.TTLSecondsAfterFinished = pointer(int32(3))
+		job.Spec.TTLSecondsAfterFinished = pointerTo(int32(3))
 	case 4:
-		job.Spec.Parallelism = pointer(int32(1))
+		job.Spec.Parallelism = pointerTo(int32(1))
 	case 5:
 		job.Namespace = "unknown"
 	case 6:
 		job.Spec.Template.Labels[wellknown.Class] = "unknown"
 	case 7:
-		job.Spec.Completions = pointer(int32(1 << 30))
+		job.Spec.Completions = pointerTo(int32(1 << 30))
 	case 8:
 		job.Spec.Completions, job.Spec.Parallelism, job.Spec.BackoffLimit = nil, nil, nil
 	case 9:
@@ -99,11 +99,11 @@
 	dryRun := s.rng.IntN(8) == 0
 	switch s.rng.IntN(14) {
 	case 0, 1, 2:
-		update.Spec.Suspend = pointer(true)
+		update.Spec.Suspend = pointerTo(true)
 	case 3, 4, 5, 6:
 		update.Spec.Suspend = nil
 	case 7:
-		update.Spec.Parallelism = pointer(int32(s.rng.IntN(5)))
+		update.Spec.Parallelism = pointerTo(int32(s.rng.IntN(5)))
 	case 8:
 		update.Labels = map[string]string{"changed": strconv.Itoa(s.rng.IntN(5))}
 	case 9:
@@ -111,9 +111,9 @@
 	case 10:
 		update.Spec.Template.Spec.Containers[0].Image = "other"
 	case 11:
-		update.Spec.Completions = pointer(int32(77))
+		update.Spec.Completions = pointerTo(int32(77))
 	case 12:
-		update.Spec.Parallelism = pointer(int32(-1))
+		update.Spec.Parallelism = pointerTo(int32(-1))
 	case 13:
 		update.Name += "-missing"
 	}
@@ -170,9 +170,9 @@
 	dryRun := s.rng.IntN(6) == 0
 	switch s.rng.IntN(10) {
 	case 0, 1:
-		order = pointer(true)
+		order = pointerTo(true)
 	case 2, 3, 4, 5:
-		order = pointer(false)
+		order = pointerTo(false)
 	case 6:
 		update.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
 	case 7:
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -29,8 +29,8 @@
 func TestTaskTransitions(t *testing.T) {
 	newMachine := func(t *testing.T) stateMachine[taskState] {
 		t.Helper()
-		engine, walked := newEngine(t), &task{podIdentity: podIdentity{uid: "u"}}
-		return stateMachine[taskState]{func(next taskState) { engine.tasks.setState(walked, next) }, engine.CheckInvariants}
+		engine, task := newEngine(t), &task{podIdentity: podIdentity{uid: "u"}}
+		return stateMachine[taskState]{func(next taskState) { engine.tasks.setState(task, next) }, engine.CheckInvariants}
 	}
 	checkStatePaths(t, newMachine, []statePath[taskState]{
 		{"placed by the first attempt", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
