--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -99,7 +99,7 @@
 func (e *Engine) OpenTasks() int { return e.tasks.openCount }
 
 // NextWake returns the time at which the caller must call Tick. The time is infinite if no timer is pending.
-func (e *Engine) NextWake() placer.Seconds { return e.timers.NextOr(placer.Seconds(math.Inf(1))) }
+func (e *Engine) NextWake() placer.Seconds { return e.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
 // Tick runs the timers that are due.
 func (e *Engine) Tick(now placer.Seconds) {
@@ -147,7 +147,7 @@
 		e.requests.handleUnplaced(action.Task, retry.Failed, 0)
 	case placer.SetTimer:
 		token := action.Token
-		e.runAfter(eventqueue.Delay(action.After), func() {
+		e.runAfter(eventqueue.TimerDelay(action.After), func() {
 			e.post(placer.Event{Kind: placer.TimerFired, Token: token})
 			e.drainEvents()
 		})
