--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -2,38 +2,38 @@
 
 import "testing"
 
-func TestRunEvidenceOnlyGrows(t *testing.T) {
+func TestRunEvidenceNeverDecreases(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		play func(history *attemptHistory, made *attempt)
-		want runEvidence
+		name  string
+		apply func(history *attemptHistory, attempt *attempt)
+		want  runEvidence
 	}{
 		{"in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
-		{"rejected", func(history *attemptHistory, _ *attempt) { history.endWait() }, neverAccepted},
-		{"accepted", func(history *attemptHistory, made *attempt) { history.bind(made) }, possiblyAccepted},
-		{"outcome unknown", func(history *attemptHistory, made *attempt) { history.addUnknown(made) }, possiblyAccepted},
-		{"unknown outcome resolved: it never ran", func(history *attemptHistory, made *attempt) {
-			history.addUnknown(made)
-			history.removeUnknown(made)
+		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
+		{"accepted", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
+		{"outcome unknown", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
+		{"unknown outcome resolved: task never ran", func(history *attemptHistory, attempt *attempt) {
+			history.addUnknownOutcome(attempt)
+			history.removeUnknownOutcome(attempt)
 		}, possiblyAccepted},
-		{"unknown outcome resolved: it may have run", func(history *attemptHistory, made *attempt) {
-			history.addUnknown(made)
-			history.removeUnknown(made)
-			history.recordRun()
+		{"unknown outcome resolved: task may have run", func(history *attemptHistory, attempt *attempt) {
+			history.addUnknownOutcome(attempt)
+			history.removeUnknownOutcome(attempt)
+			history.recordPossibleRun()
 		}, possiblyRan},
-		{"another attempt accepted after a run", func(history *attemptHistory, made *attempt) {
-			history.recordRun()
-			history.bind(made)
+		{"another attempt accepted after a possible run", func(history *attemptHistory, attempt *attempt) {
+			history.recordPossibleRun()
+			history.bind(attempt)
 		}, possiblyRan},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			history, made := &attemptHistory{}, &attempt{}
-			history.begin(made)
+			history, attempt := &attemptHistory{}, &attempt{}
+			history.begin(attempt)
 
-			test.play(history, made)
+			test.apply(history, attempt)
 
 			if history.evidence != test.want {
-				t.Errorf("%s, want %s", history.evidence, test.want)
+				t.Errorf("the evidence is %q, want %q", history.evidence, test.want)
 			}
 		})
 	}
@@ -53,34 +53,34 @@
 	history.bind(adopted)
 	history.begin(next)
 	if next.number != 8 {
-		t.Errorf("the attempt after an adopted one with the number 7 has the number %d, want 8", next.number)
+		t.Errorf("after an adopted attempt with number 7, the next attempt has number %d, want 8", next.number)
 	}
 }
 
-func TestUnknownOutcomesAreFoundByTheirNode(t *testing.T) {
+func TestUnknownOutcomeLookup(t *testing.T) {
 	history := &attemptHistory{}
 	unresolved := &attempt{node: &node{name: "n"}, number: 2}
-	history.addUnknown(unresolved)
+	history.addUnknownOutcome(unresolved)
 	for _, test := range []struct {
 		name   string
 		node   string
 		number int
 		want   *attempt
 	}{
-		{"the attempt", "n", 2, unresolved},
+		{"same node and number", "n", 2, unresolved},
 		{"another node", "m", 2, nil},
-		{"another attempt", "n", 1, nil},
+		{"another number", "n", 1, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := history.unknownAt(test.node, test.number); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+			if got := history.unknownOutcomeAt(test.node, test.number); got != test.want {
+				t.Errorf("found attempt %v, want %v", got, test.want)
 			}
 		})
 	}
-	if !history.removeUnknown(unresolved) || history.hasUnknown() {
-		t.Error("the outcome is still unknown after it was removed")
+	if !history.removeUnknownOutcome(unresolved) || history.hasUnknownOutcome() {
+		t.Error("an outcome is still unknown after its removal")
 	}
-	if history.removeUnknown(unresolved) {
-		t.Error("an outcome was removed twice")
+	if history.removeUnknownOutcome(unresolved) {
+		t.Error("the same unknown outcome was removed twice")
 	}
 }
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -11,38 +11,40 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// The characterization tests below pin every effect, every stored change and every error of an engine under seeded scripts. Regenerate
-// their golden files with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// The characterization tests pin every effect, every stored change and every error of an engine under seeded
+// scripts. Golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to
+// change; see package goldentest.
 
-// TestCharacterizeMoves pins how tasks are migrated off nearly empty nodes where the cost of nodes is high and that of migrations low.
-func TestCharacterizeMoves(t *testing.T) {
-	played := newScript(t, 6, func(config *engine.Config) {
+// TestCharacterizeMigrations pins how tasks are migrated off nearly empty nodes when nodes are expensive and
+// migrations are cheap.
+func TestCharacterizeMigrations(t *testing.T) {
+	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
 	})
-	played.advance(played.now + 5)
-	for i, node := range played.nodes {
-		pod := foundPod(played.config.Name, i)
+	script.advance(script.now + 5)
+	for i, node := range script.nodes {
+		pod := runningPod(script.config.Name, i)
 		node.pods = append(node.pods, pod)
-		played.engine.NodePod(played.now, node.name, pod, false)
-		played.observe()
+		script.engine.NodePod(script.now, node.name, pod, false)
+		script.recordState()
 	}
 	for i := range 20 {
-		played.create(false)
-		played.observe()
-		played.advance(played.now + 2)
+		script.createJob(false)
+		script.recordState()
+		script.advance(script.now + 2)
 		if i%5 == 4 {
-			played.checkpoint(fmt.Sprintf("step %d", i+1))
+			script.checkpoint(fmt.Sprintf("step %d", i+1))
 		}
 	}
-	if played.engine.Stats.MigratedTasks == 0 {
-		t.Error("nothing was moved")
+	if script.engine.Stats.MigratedTasks == 0 {
+		t.Error("no task was migrated")
 	}
-	played.finish()
-	played.record.Check(t, "script-moves")
+	script.finish()
+	script.recorder.Check(t, "script-moves")
 }
 
-// foundPod returns a Pod that a scheduler before this one has placed.
-func foundPod(scheduler string, number int) *corev1.Pod {
+// runningPod returns a running Pod that an earlier scheduler process has placed.
+func runningPod(scheduler string, number int) *corev1.Pod {
 	pod := &corev1.Pod{}
 	pod.Name = fmt.Sprintf("found-%d", number)
 	pod.Namespace = "default"
@@ -54,8 +56,9 @@
 	return pod
 }
 
-// TestCharacterizeEngineUnderScripts pins what an engine does, byte for byte, under seeded calls with faults: lost and late answers,
-// nodes that restart, vanish, become unresponsive and drain, and schedulers that are killed and start anew.
+// TestCharacterizeEngineUnderScripts pins the output of an engine byte for byte under seeded calls with
+// faults: lost and late answers, nodes that restart, disappear, become unresponsive or drain, and schedulers
+// that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
 		name     string
@@ -67,7 +70,7 @@
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
 		{"small-limits", 3, 300, false, func(config *engine.Config) {
-			config.MaxPods, config.MaxObjects, config.History = 90, 600000, 5000
+			config.MaxPods, config.MaxObjectBytes, config.HistoryEntries = 90, 600000, 5000
 			config.MaxStartsPerCall, config.NodeLossTimeout = 3, 2
 		}},
 		{"narrow-gate", 4, 300, true, func(config *engine.Config) {
@@ -80,19 +83,19 @@
 		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			played := newScript(t, run.seed, run.change)
+			script := newScript(t, run.seed, run.change)
 			for i := range run.steps {
-				played.step()
-				played.advance(played.now + played.delay(0, 0.3))
+				script.makeRandomCall()
+				script.advance(script.now + script.randomDelay(0, 0.3))
 				if run.restarts && i%60 == 59 {
-					played.restart()
+					script.restart()
 				}
 				if i%25 == 24 {
-					played.checkpoint(fmt.Sprintf("step %d", i+1))
+					script.checkpoint(fmt.Sprintf("step %d", i+1))
 				}
 			}
-			played.finish()
-			played.record.Check(t, "script-"+run.name)
+			script.finish()
+			script.recorder.Check(t, "script-"+run.name)
 		})
 	}
 }
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -13,33 +13,36 @@
 	"heathshed/placer"
 )
 
-// TestWarmupUsesOwnClock: the start of a node is taken by the scheduler's clock. A node whose clock is behind must warm up after a start,
-// and one whose clock is ahead must not warm up for ever.
-func TestWarmupUsesOwnClock(t *testing.T) {
+// TestWarmUpUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
+// when a node started: a node whose clock is behind must warm up after a start, and a node whose clock is
+// ahead must not warm up forever.
+func TestWarmUpUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
 		name          string
-		first, second *corev1.Node // as listed at listedAt and at relistedAt
+		first, second *corev1.Node // the node as listed at listedAt and at relistedAt
 		want          placer.Seconds
 	}{
-		{"long up", listedNode("a", 0), listedNode("a", 0), 0},
-		{"restarted, clock behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
-		{"restarted, clock ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
-		{"there before us, clock ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
-		{"there before us", listedNode("a", 990), listedNode("a", 990), 990},
+		{"not restarted", listedNode("a", 0), listedNode("a", 0), 0},
+		{"restarted, node clock behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
+		{"restarted, node clock ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
+		{"started before the scheduler, node clock ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
+		{"started before the scheduler", listedNode("a", 990), listedNode("a", 990), 990},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t)
 			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.first}, nil)
 			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.second}, nil)
 			if got := engine.nodes.get(nodeName).listedStartedAt; got != test.want {
-				t.Errorf("started at %v, want %v", got, test.want)
+				t.Errorf("the node counts as started at %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLateListWithEarlierIncarnation: a list may be late. An incarnation that the node itself has left does not end the present one.
+// TestLateListWithEarlierIncarnation guards against a late list that reverts a node to an earlier
+// incarnation. Once the node itself has stated a new incarnation, lists with an earlier one must not replace
+// it.
 func TestLateListWithEarlierIncarnation(t *testing.T) {
 	engine := newEngine(t)
 	engine.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
@@ -50,17 +53,18 @@
 	engine.nodes.observeIncarnation(engine.nodes.get(nodeName), "a")
 
 	if got := engine.nodes.get(nodeName).incarnation; got != "b" {
-		t.Errorf("the node is taken back to incarnation %q", got)
+		t.Errorf("the node has incarnation %q, want \"b\"", got)
 	}
 }
 
-// TestStopAnsweredByAnotherIncarnation: a node that does not have a task says so of its present incarnation only. If the attempt was sent to
-// an earlier one it may have run there, and a task that must not run twice is not requested again.
+// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a node restart. A node that
+// does not have a task can answer only for its current incarnation. If the attempt was sent to an earlier
+// incarnation, the task may have run there, and a task that must not run twice is not requested again.
 func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
 	const end = createdAt + 59
 	for _, test := range []struct {
 		name        string
-		incarnation string // of the node that answers the stop
+		incarnation string // incarnation of the node that answers the stop order
 		retried     bool
 	}{
 		{"same incarnation", "a", true},
@@ -75,7 +79,7 @@
 			})
 			createJobOnOneNode(t, engine, 1)
 
-			attempts := 0 // none is answered
+			attempts := 0 // the node answers no attempt
 			for now := createdAt; now < end; {
 				for _, effect := range engine.Ready(nil) {
 					switch effect.Kind {
@@ -96,15 +100,16 @@
 			}
 
 			if (attempts > 1) != test.retried {
-				t.Errorf("%d attempts", attempts)
+				t.Errorf("the engine made %d attempts, which is wrong for the incarnation that answered the stop", attempts)
 			}
 		})
 	}
 }
 
-// TestFinishedJobsAreEvictedForNewOnes: finished Jobs are removed for new ones, the oldest first, but not before their outcome could be read.
+// TestFinishedJobsAreEvictedForNewOnes checks that finished Jobs are removed to make room for new ones, the
+// oldest first, but not before clients had time to read their outcomes.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
-	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjects = 100, 1<<30 })
+	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	create := func(now placer.Seconds, name string) error {
 		job := newJob(name, 60)
 		noRetries := int32(0)
@@ -120,27 +125,28 @@
 		t.Fatal(err)
 	}
 	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("120 of 100 Pods: %v", err)
+		t.Fatalf("creating a Job that exceeds MaxPods returned %v, want ErrTooMany", err)
 	}
-	// There is no node: all are rejected at their deadline.
+	// There is no node, so all tasks are rejected at their deadlines.
 	for ; engine.OpenTasks() > 0 && now < 1100; now++ {
 		engine.Tick(now)
 	}
 
 	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("a Job that has just ended was evicted: %v", err)
+		t.Fatalf("a Job that had just finished was evicted: CreateJob returned %v, want ErrTooMany", err)
 	}
 	if err := create(now+31, "b"); err != nil {
-		t.Fatalf("a Job that ended long ago was not evicted: %v", err)
+		t.Fatalf("a Job that finished long ago was not evicted: CreateJob returned %v", err)
 	}
 	if engine.Store().Get(store.Jobs, defaultNamespace, "a") != nil {
-		t.Error("the Job that ended is still there")
+		t.Error("the evicted Job is still stored")
 	}
 }
 
-// TestJobThatNeverFitsIsInvalid: a Job that takes more than all memory for objects would not fit later either.
+// TestJobThatNeverFitsIsInvalid checks that a Job that exceeds the whole limit on object bytes is invalid
+// rather than refused for now, because it would not fit later either.
 func TestJobThatNeverFitsIsInvalid(t *testing.T) {
-	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjects = 100, 1<<30 })
+	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	big := newJob("big", 100)
 	big.Spec.Template.Annotations = map[string]string{"x": strings.Repeat("x", 4<<20)}
 
@@ -148,12 +154,13 @@
 
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Errorf("a Job of 400 MB: %v", err)
+		t.Errorf("creating a Job of 400 MB returned %v, want an *InvalidError", err)
 	}
 }
 
-// TestStopWhileTaskAwaitsRerun: a task that ended without success is started again by a timer. If the engine is stopped before that timer
-// fires, the new Pod gets its final outcome and nothing is sent for it.
+// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. A timer starts a task again after
+// it ended without success. If the engine is stopped before this timer fires, the new Pod must get its final
+// outcome without any attempt.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	engine := newEngine(t)
 	createJobOnOneNode(t, engine, 1)
@@ -163,7 +170,7 @@
 		return len(sent) > 0
 	})
 	if len(sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(sent))
+		t.Fatalf("the engine made %d attempts, want 1", len(sent))
 	}
 	running := sent[0].Pod.DeepCopy()
 	running.Status.Phase = corev1.PodRunning
@@ -182,7 +189,7 @@
 	failed.Status.Phase = corev1.PodFailed
 	engine.NodePod(now, nodeName, failed, false)
 	if open := engine.OpenTasks(); open != 0 {
-		t.Fatalf("%d tasks are open before the retry, want 0", open)
+		t.Fatalf("%d tasks have no final outcome before the retry, want 0", open)
 	}
 
 	engine.Stop(now)
@@ -190,19 +197,19 @@
 	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != created })
 
 	if engine.Stats.PodsCreated != created+1 {
-		t.Fatal("the retry did not come due")
+		t.Fatal("the retry did not create exactly one Pod")
 	}
 	engine.Tick(now + 10)
 	if retries := takeAttempts(engine); len(retries) > 0 {
-		t.Errorf("%d attempts after the stop", len(retries))
+		t.Errorf("the engine made %d attempts after the stop, want 0", len(retries))
 	}
 	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome", open)
+		t.Errorf("%d tasks have no final outcome, want 0", open)
 	}
 }
 
-// TestNodeWithoutAnnotationsChanges: a Node of the inventory may have no annotations. A change of it must not be taken for a change of its
-// free capacity.
+// TestNodeWithoutAnnotationsChanges guards against ignoring a change of a Node that has no annotations, as if
+// only its free capacity had changed.
 func TestNodeWithoutAnnotationsChanges(t *testing.T) {
 	engine := newEngine(t)
 	first := listedNode("a", 0)
@@ -215,12 +222,13 @@
 
 	stored, ok := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node)
 	if !ok || stored.Labels["team"] != "records" {
-		t.Errorf("the stored node is %v, want the changed one", stored)
+		t.Errorf("the stored node is %v, want one with the changed label", stored)
 	}
 }
 
-// TestStopWhileRetryWithUnknownOutcomeIsQueued: a task may wait for admission while the outcome of an earlier attempt is unknown. Where the
-// engine is stopped then, the task still gets its final outcome.
+// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. A task
+// may wait for admission while the outcome of an earlier attempt is unknown. If the engine is stopped in this
+// state, the task must still get its final outcome.
 func TestStopWhileRetryWithUnknownOutcomeIsQueued(t *testing.T) {
 	engine := newEngine(t, func(config *Config) {
 		config.Admission = admission.DefaultConfig()
@@ -230,7 +238,7 @@
 		config.Placer.SlowStart = placer.SlowStart{}
 	})
 	createJobOnOneNode(t, engine, 3)
-	// No attempt and no stop is ever answered.
+	// The node answers neither attempts nor stop orders.
 	now := tickUntil(engine, createdAt, 1030, func() bool { return hasQueuedRetryWithUnknownOutcome(engine) })
 	if !hasQueuedRetryWithUnknownOutcome(engine) {
 		t.Fatal("no retry was queued while an outcome was unknown")
@@ -240,7 +248,7 @@
 	tickUntil(engine, now, now+100, func() bool { return engine.OpenTasks() == 0 })
 
 	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome 100 s after the stop", open)
+		t.Errorf("%d tasks have no final outcome 100 s after the stop, want 0", open)
 	}
 	if err := engine.CheckInvariants(); err != nil {
 		t.Error(err)
@@ -249,14 +257,15 @@
 
 func hasQueuedRetryWithUnknownOutcome(engine *Engine) bool {
 	for _, task := range engine.tasks.inOrder() {
-		if task.state == taskQueued && task.attempts.hasUnknown() {
+		if task.state == taskQueued && task.attempts.hasUnknownOutcome() {
 			return true
 		}
 	}
 	return false
 }
 
-// TestNodeWithoutLabelsGetsZone: a node whose labels an API update took away shows the zone that the inventory states later.
+// TestNodeWithoutLabelsGetsZone checks that a node shows the zone that the inventory states, even if an API
+// update removed all labels of the node earlier.
 func TestNodeWithoutLabelsGetsZone(t *testing.T) {
 	engine := newEngine(t)
 	unlabelled := listedNode("a", 0)
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -11,7 +11,7 @@
 	"heathshed/placer"
 )
 
-// newJob returns the state of a Job none of whose tasks was started. The error is an *InvalidError.
+// newJob returns the state of a Job that has not started any tasks. The error is an *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
 	class, invalid := c.cfg.classFromLabels(labels)
@@ -34,12 +34,12 @@
 		key:         jobKey(object),
 		uid:         object.UID,
 		object:      object,
-		suspended:   valueOr(object.Spec.Suspend, false),
+		suspended:   valueOrDefault(object.Spec.Suspend, false),
 		transitions: &c.transitions,
 		pods:        map[string]struct{}{},
 	}
 	created.placementSpec = newPlacementSpec(class, tenant, serviceID(object.Namespace, service), &object.Spec.Template.Spec)
-	created.indexes = newIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
+	created.indexes = newCompletionIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
 	return created, nil
 }
 
@@ -59,9 +59,9 @@
 		return nil, err
 	}
 	created.podCost = store.Cost(object)
-	if need := created.cost(); c.cfg.MaxObjects > 0 && need > c.cfg.MaxObjects {
+	if cost := created.cost(); c.cfg.MaxObjectBytes > 0 && cost > c.cfg.MaxObjectBytes {
 		tasks := created.indexes.len()
-		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, need, c.cfg.MaxObjects)
+		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, cost, c.cfg.MaxObjectBytes)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
 	for c.exceedsLimits(created) {
@@ -80,26 +80,27 @@
 	return c.publisher.storedJob(object.Namespace, object.Name), nil
 }
 
-// Limits of generated names.
+// These constants limit the generation of object names.
 const (
-	maxGeneratedPrefix = 248 // characters of generateName that are used
-	maxNameDraws       = 8   // names drawn until one is free, as by the Kubernetes API server
+	maxGenerateNameLength = 248 // number of characters of generateName that are used
+	maxNameCandidates     = 8   // names to try, as in the Kubernetes API server
 )
 
-// generateName sets the name of a Job that has only a generateName.
+// generateName chooses a name for a Job that has only a generateName.
 func (c *jobController) generateName(object *batchv1.Job) {
 	if object.Name != "" || object.GenerateName == "" {
 		return
 	}
-	for range maxNameDraws {
-		object.Name = fmt.Sprintf("%.*s", maxGeneratedPrefix, object.GenerateName) + c.randomSuffix()
+	for range maxNameCandidates {
+		object.Name = fmt.Sprintf("%.*s", maxGenerateNameLength, object.GenerateName) + c.randomNameSuffix()
 		if c.jobs.get(jobKey(object)) == nil {
 			return
 		}
 	}
 }
 
-// initialize sets what the API server's registry sets in a new Job: identity, status, selector and labels of its Pods.
+// initialize sets the fields that the registry of a Kubernetes API server sets in a new Job: its identity,
+// status and selector, and the labels of its Pods.
 func (c *jobController) initialize(object *batchv1.Job) {
 	object.UID = c.newUID()
 	object.CreationTimestamp = c.apiNow()
@@ -115,23 +116,26 @@
 	labels := object.Spec.Template.Labels
 	labels[wellknown.JobUID] = uid
 	labels[wellknown.JobName] = object.Name
-	labels["controller-uid"] = uid   // the older form of the label
-	labels["job-name"] = object.Name // the older form of the label
+	labels["controller-uid"] = uid   // label in the format of older Kubernetes versions
+	labels["job-name"] = object.Name // label in the format of older Kubernetes versions
 }
 
-// exceedsLimits reports whether a new Job exceeds MaxPods or MaxObjects together with the stored objects and the Pods still to be created.
+// exceedsLimits reports whether a new Job would exceed MaxPods or MaxObjectBytes, counting both the stored
+// objects and the Pods that are still to be created.
 func (c *jobController) exceedsLimits(created *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
 	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
 		return true
 	}
-	return c.cfg.MaxObjects > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjects
+	return c.cfg.MaxObjectBytes > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjectBytes
 }
 
-// minFinishedRetention is the shortest time for which a finished Job is kept, so that its outcome can be read.
+// minFinishedRetention is the shortest time for which a finished Job is kept, so that clients can read its
+// outcome.
 const minFinishedRetention placer.Seconds = 30
 
-// evictFinished removes the Job that finished first, and reports whether it did. A dry run removes nothing.
+// evictFinished removes the Job that finished first, unless it finished too recently. It reports whether it
+// removed a Job. A dry run removes nothing.
 func (c *jobController) evictFinished(dryRun bool) bool {
 	oldest := c.jobs.oldestFinished()
 	if oldest == nil || dryRun || c.now-oldest.finishedAt < minFinishedRetention {
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -4,17 +4,18 @@
 	"fmt"
 )
 
-// indexState is the state of a completion index.
+// indexState is the state of a completion index of a Job.
 type indexState uint8
 
 const (
-	// indexPending: it is to be started.
+	// indexPending means that the index waits for its start.
 	indexPending indexState = iota
-	// indexActive: it has a task.
+	// indexActive means that the index has a task.
 	indexActive
-	// indexRetrying: its task ended, and another is started later unless the Job stops.
+	// indexRetrying means that the task of the index ended. Another task is started later unless the Job
+	// stops.
 	indexRetrying
-	// indexFinished: it has succeeded, or is not started again.
+	// indexFinished means that the index has succeeded or will not be started again.
 	indexFinished
 
 	indexStates
@@ -24,7 +25,8 @@
 
 func (s indexState) String() string { return indexStateNames[s] }
 
-// indexTransitions lists the states that may follow each state. A finished index is active again if a copy of its task is adopted.
+// indexTransitions lists the states that may follow each state. A finished index becomes active again if a
+// running duplicate of its task is adopted.
 var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
@@ -32,174 +34,184 @@
 	indexFinished: {indexActive},
 }
 
-// jobIndex is a completion index of a Job.
-type jobIndex struct {
+// completionIndex is the state of one completion index of a Job.
+type completionIndex struct {
 	state       indexState
-	task        *task // while active
-	settled     bool  // the outcome of its first task is counted
-	retryBudget int   // of the next task
+	task        *task // set while the index is active
+	settled     bool  // set once the outcome of the index's first task is counted
+	retryBudget int   // retry budget of the next task
 	retryTimer  *timer
 }
 
-// indexTable owns the completion indexes of a Job and their counts. Only its methods change them.
-type indexTable struct {
-	job         string // store.Key of the Job
+// completionIndexTable holds the completion indexes of a Job and counts them by state. Only its methods modify them.
+type completionIndexTable struct {
+	ownerKey    string // store.Key of the Job
 	transitions *transitionCheck
 
-	all       []jobIndex
-	next      int // all indexes below were started
-	active    int // indexes with a task
-	succeeded int // tasks that succeeded
-	failed    int // tasks that ended without success
-	exhausted int // indexes that are not started again
+	entries        []completionIndex
+	nextUnstarted  int // lowest index that was not considered for a start yet
+	active         int // number of indexes that have a task
+	succeededTasks int // number of tasks that succeeded
+	failedTasks    int // number of tasks that ended without success
+	failedIndexes  int // number of indexes that failed and will not be started again
 
-	settled            map[taskOutcome]int // indexes by the final outcome of their first task
-	unplacedMayHaveRun bool                // a task without placement may have run
+	outcomeCounts      map[taskOutcome]int // number of indexes by the final outcome of their first task
+	unplacedMayHaveRun bool                // set if a task that was not placed may have run
 }
 
-// newIndexTable returns a table of pending indexes, whose first tasks have the given retry budget.
-func newIndexTable(job string, transitions *transitionCheck, count, retryBudget int) indexTable {
-	table := indexTable{job: job, transitions: transitions, all: make([]jobIndex, count), settled: map[taskOutcome]int{}}
-	for i := range table.all {
-		table.all[i].retryBudget = retryBudget
+// newCompletionIndexTable returns a table of pending completion indexes. The first task of each index gets the given
+// retry budget.
+func newCompletionIndexTable(job string, transitions *transitionCheck, count, retryBudget int) completionIndexTable {
+	table := completionIndexTable{ownerKey: job, transitions: transitions, entries: make([]completionIndex, count), outcomeCounts: map[taskOutcome]int{}}
+	for i := range table.entries {
+		table.entries[i].retryBudget = retryBudget
 	}
 	return table
 }
 
-func (t *indexTable) len() int { return len(t.all) }
+func (t *completionIndexTable) len() int { return len(t.entries) }
 
-// at returns an index, which the caller must not change.
-func (t *indexTable) at(i int) *jobIndex { return &t.all[i] }
+// at returns a completion index. The caller must not modify the index.
+func (t *completionIndexTable) at(i int) *completionIndex { return &t.entries[i] }
 
-// allEnded reports whether no index has a task that is still to succeed.
-func (t *indexTable) allEnded() bool { return t.succeeded+t.exhausted >= len(t.all) }
+// allEnded reports whether every completion index has succeeded or failed.
+func (t *completionIndexTable) allEnded() bool {
+	return t.succeededTasks+t.failedIndexes >= len(t.entries)
+}
 
-// unstarted returns the number of indexes that takeNext has yet to return.
-func (t *indexTable) unstarted() int { return len(t.all) - t.next }
+// unstarted returns the number of completion indexes that takeNext has yet to return.
+func (t *completionIndexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
-// takeNext returns the next index to consider for a start, unless the parallelism is reached.
-func (t *indexTable) takeNext(parallelism int) (index int, ok bool) {
+// takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
+// as many are active as the parallelism allows.
+func (t *completionIndexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
 	}
-	t.next++
-	return t.next - 1, true
+	t.nextUnstarted++
+	return t.nextUnstarted - 1, true
 }
 
-// skipAll keeps every index from being started until restart is called for it.
-func (t *indexTable) skipAll() { t.next = len(t.all) }
+// preventStarts keeps each completion index from being started until restart is called for it.
+func (t *completionIndexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
-// start assigns a new task to an index.
-func (t *indexTable) start(i int, started *task) {
-	t.activate(i, started)
-	t.all[i].retryTimer = nil
+// start assigns a new task to a completion index.
+func (t *completionIndexTable) start(i int, task *task) {
+	t.activate(i, task)
+	t.entries[i].retryTimer = nil
 }
 
-// adopt assigns a task that was found running to an index that has none.
-func (t *indexTable) adopt(i int, adopted *task) {
-	if t.all[i].state == indexFinished {
-		t.exhausted--
+// adopt assigns a task that was found running to a completion index without a task.
+func (t *completionIndexTable) adopt(i int, task *task) {
+	if t.entries[i].state == indexFinished {
+		t.failedIndexes--
 	}
 	t.settle(i, outcomePlaced)
-	t.activate(i, adopted)
+	t.activate(i, task)
 }
 
-// activate assigns a task to an index.
-func (t *indexTable) activate(i int, active *task) {
+// activate assigns a task to a completion index and marks the index as active.
+func (t *completionIndexTable) activate(i int, task *task) {
 	t.setState(i, indexActive)
-	t.all[i].task = active
+	t.entries[i].task = task
 	t.active++
 }
 
-// settle counts an outcome if it is the first final one of an index, and reports whether it is.
-func (t *indexTable) settle(i int, outcome taskOutcome) bool {
-	index := &t.all[i]
+// settle counts a final outcome if it is the first one of the completion index, and reports whether it is.
+func (t *completionIndexTable) settle(i int, outcome taskOutcome) bool {
+	index := &t.entries[i]
 	if index.settled {
 		return false
 	}
 	index.settled = true
-	t.settled[outcome]++
+	t.outcomeCounts[outcome]++
 	return true
 }
 
-// settleTask counts the final outcome of a task if it is the first one of its index, and reports whether it is.
-func (t *indexTable) settleTask(settled *task, outcome taskOutcome) bool {
-	if !t.settle(settled.index, outcome) {
+// settleTask counts the final outcome of a task if it is the first one of the task's completion index, and
+// reports whether it is.
+func (t *completionIndexTable) settleTask(task *task, outcome taskOutcome) bool {
+	if !t.settle(task.index, outcome) {
 		return false
 	}
-	t.unplacedMayHaveRun = t.unplacedMayHaveRun || settled.attempts.evidence != neverAccepted
+	t.unplacedMayHaveRun = t.unplacedMayHaveRun || task.attempts.evidence != neverAccepted
 	return true
 }
 
-// end records that an index's task has ended. One of succeed, fail and restart follows unless the Job is deleted.
-func (t *indexTable) end(i int) {
-	t.all[i].task = nil
+// end records that the task of a completion index has ended. Unless the Job is deleted, the caller then calls
+// succeed, fail or restart.
+func (t *completionIndexTable) end(i int) {
+	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
 	t.active--
 }
 
-// succeed finishes an index whose task has succeeded.
-func (t *indexTable) succeed(i int) {
-	t.succeeded++
+// succeed finishes a completion index whose task has succeeded.
+func (t *completionIndexTable) succeed(i int) {
+	t.succeededTasks++
 	t.setState(i, indexFinished)
 }
 
-// fail counts a task that ended without success, and finishes its index unless the index is started again.
-func (t *indexTable) fail(i int, startedAgain bool) {
-	t.failed++
+// fail counts a task that ended without success. It finishes the completion index unless the index will be
+// started again.
+func (t *completionIndexTable) fail(i int, startedAgain bool) {
+	t.failedTasks++
 	if !startedAgain {
-		t.exhausted++
+		t.failedIndexes++
 		t.setState(i, indexFinished)
 	}
 }
 
-// failUnseen fails an index of a rebuilt Job whose task may have run.
-func (t *indexTable) failUnseen(i int) {
+// failUnreported fails a completion index of a rebuilt Job that no node has reported. Its task may have run.
+func (t *completionIndexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.settle(i, outcomeFailed) {
 		t.unplacedMayHaveRun = true
 	}
 }
 
-// restart makes an index pending again, so that it is started when the Job is next served from the backlog.
-func (t *indexTable) restart(i int) {
+// restart makes a completion index pending again. The index is started when the jobStarter next takes the Job
+// from its backlog.
+func (t *completionIndexTable) restart(i int) {
 	t.setState(i, indexPending)
-	t.next = min(t.next, i)
+	t.nextUnstarted = min(t.nextUnstarted, i)
 }
 
-// retryLater sets the timer that starts an index again, and the retry budget of its next task.
-func (t *indexTable) retryLater(i, retryBudget int, retryTimer *timer) {
-	t.all[i].retryBudget = retryBudget
-	t.all[i].retryTimer = retryTimer
+// setRetry sets the timer that starts a completion index again, and the retry budget of the next task.
+func (t *completionIndexTable) setRetry(i, retryBudget int, retryTimer *timer) {
+	t.entries[i].retryBudget = retryBudget
+	t.entries[i].retryTimer = retryTimer
 }
 
-// setState is the only place where an index changes its state. It makes an illegal transition too, which CheckInvariants reports.
-func (t *indexTable) setState(i int, next indexState) {
-	index := &t.all[i]
+// setState changes the state of a completion index; no other code does. An illegal transition is made
+// nevertheless, and reported by CheckInvariants.
+func (t *completionIndexTable) setState(i int, next indexState) {
+	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
-		t.transitions.illegal("index %d of Job %s goes from %s to %s", i, t.job, index.state, next)
+		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.ownerKey, index.state, next)
 	}
 	index.state = next
 }
 
-// violatedInvariant describes the first inconsistency between a Job's indexes and their tasks, "" if there is none.
-func (t *indexTable) violatedInvariant(owner *job) string {
+// violatedInvariant describes the first contradiction between a Job's completion indexes and their tasks. It
+// returns "" if there is none.
+func (t *completionIndexTable) violatedInvariant(owner *job) string {
 	active := 0
-	for i := range t.all {
-		index := &t.all[i]
+	for i := range t.entries {
+		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
-			return fmt.Sprintf("violated: index %d has a task only while it is active", i)
+			return fmt.Sprintf("invariant violated: index %d has a task if and only if it is active", i)
 		}
 		if index.task == nil {
 			continue
 		}
 		active++
 		if index.task.job != owner || index.task.index != i {
-			return fmt.Sprintf("violated: the task of index %d knows its Job and its index", i)
+			return fmt.Sprintf("invariant violated: the task of index %d refers to its Job and its index", i)
 		}
 	}
 	if active != t.active {
-		return fmt.Sprintf("violated: %d indexes are active, %d are counted", active, t.active)
+		return fmt.Sprintf("invariant violated: %d indexes are active, but the count is %d", active, t.active)
 	}
 	return ""
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -18,23 +18,23 @@
 	jobController *jobController
 	publisher     *publisher
 
-	dirty []*job // Jobs whose status is to be written
+	dirty []*job // Jobs whose status must be written
 }
 
-// writeDirty stores the statuses that have changed in this call.
+// writeDirty stores the Job statuses that changed during the current call.
 func (w *jobStatusWriter) writeDirty() {
 	dirty := w.dirty
 	w.dirty = nil
 	for _, job := range dirty {
-		job.dirty = false
+		job.statusDirty = false
 		w.write(job)
 	}
 }
 
-// markDirty schedules the status of a Job to be written at the end of the call.
+// markDirty makes writeDirty write the status of a Job at the end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
-	if !job.dirty {
-		job.dirty = true
+	if !job.statusDirty {
+		job.statusDirty = true
 		w.dirty = append(w.dirty, job)
 	}
 }
@@ -47,10 +47,10 @@
 	if job.indexes.len() == 0 && !job.progress.finished() && !job.suspended {
 		w.jobController.finish(job)
 	}
-	updated := *job.object // the Spec is shared: it is not changed
+	updated := *job.object // the Spec is shared with the stored Job and must not be modified
 	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
 	job.object.Status.DeepCopyInto(&updated.Status)
-	job.showStatus(&updated.Status, w.apiNow())
+	job.setStatus(&updated.Status, w.apiNow())
 	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
 		return
 	}
@@ -58,25 +58,26 @@
 	w.publisher.putJob(&updated)
 }
 
-// showStatus sets the status of a Job from its state.
-func (j *job) showStatus(status *batchv1.JobStatus, now metav1.Time) {
+// setStatus fills in the status of a Job from its state.
+func (j *job) setStatus(status *batchv1.JobStatus, now metav1.Time) {
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
 	}
 	status.Active = int32(j.indexes.active)
-	status.Succeeded = int32(j.indexes.succeeded)
-	status.Failed = int32(j.indexes.failed)
+	status.Succeeded = int32(j.indexes.succeededTasks)
+	status.Failed = int32(j.indexes.failedTasks)
 	status.CompletedIndexes = ""
-	j.showSettled(status, now)
-	j.showSuspended(status, now)
+	j.setSettledCondition(status, now)
+	j.setSuspendedCondition(status, now)
 	if j.progress.finished() {
-		j.showFinished(status, now)
+		j.setFinishedCondition(status, now)
 	}
 }
 
-// showSettled sets the Settled condition once the first task of each index has its final outcome.
-func (j *job) showSettled(status *batchv1.JobStatus, now metav1.Time) {
-	settled := j.indexes.settled
+// setSettledCondition sets the Settled condition once the first task of each completion index has its final
+// outcome.
+func (j *job) setSettledCondition(status *batchv1.JobStatus, now metav1.Time) {
+	settled := j.indexes.outcomeCounts
 	placed, rejected, failed := settled[outcomePlaced], settled[outcomeRejected], settled[outcomeFailed]
 	total := placed + rejected + failed
 	if total != j.indexes.len() {
@@ -93,10 +94,11 @@
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
-// showSuspended sets the Suspended condition, or ends it after the Job was resumed.
-func (j *job) showSuspended(status *batchv1.JobStatus, now metav1.Time) {
+// setSuspendedCondition sets the Suspended condition of a suspended Job, and sets it to false after the Job
+// was resumed.
+func (j *job) setSuspendedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
-		setJobSuspended(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
+		setJobSuspendedCondition(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
 		return
 	}
 	for i := range status.Conditions {
@@ -110,13 +112,13 @@
 	}
 }
 
-// showFinished sets the final condition of a Job, Complete or Failed.
-func (j *job) showFinished(status *batchv1.JobStatus, now metav1.Time) {
+// setFinishedCondition sets the final condition of a Job: Complete or Failed.
+func (j *job) setFinishedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	switch {
 	case j.progress == jobFailed:
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, j.failureReason, j.failureMessage, now))
-	case j.indexes.exhausted > 0:
-		message := fmt.Sprintf("%d of %d tasks did not succeed", j.indexes.exhausted, j.indexes.len())
+	case j.indexes.failedIndexes > 0:
+		message := fmt.Sprintf("%d of %d tasks did not succeed", j.indexes.failedIndexes, j.indexes.len())
 		setFinalJobCondition(status, newJobCondition(batchv1.JobFailed, "FailedIndexes", message, now))
 	default:
 		const message = "Reached expected number of succeeded pods"
@@ -127,7 +129,7 @@
 	}
 }
 
-// newJobCondition returns a condition that is true from now on.
+// newJobCondition returns a condition that has been true since the given time.
 func newJobCondition(kind batchv1.JobConditionType, reason, message string, now metav1.Time) batchv1.JobCondition {
 	return batchv1.JobCondition{
 		Type:               kind,
@@ -139,7 +141,7 @@
 	}
 }
 
-// jobCondition returns the condition of a type, nil if it was never set.
+// jobCondition returns the condition of the given type, or nil if the condition was never set.
 func jobCondition(status *batchv1.JobStatus, kind batchv1.JobConditionType) *batchv1.JobCondition {
 	for i := range status.Conditions {
 		if status.Conditions[i].Type == kind {
@@ -149,15 +151,15 @@
 	return nil
 }
 
-// setFinalJobCondition adds a condition that does not change once it is set.
+// setFinalJobCondition adds a condition unless it is already set. Such a condition never changes afterwards.
 func setFinalJobCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	if jobCondition(status, condition.Type) == nil {
 		status.Conditions = append(status.Conditions, condition)
 	}
 }
 
-// setJobSuspended adds the condition that a Job is suspended, or sets it anew after the Job was resumed.
-func setJobSuspended(status *batchv1.JobStatus, condition batchv1.JobCondition) {
+// setJobSuspendedCondition adds the Suspended condition, or sets it to true again after the Job had been resumed.
+func setJobSuspendedCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	stored := jobCondition(status, condition.Type)
 	switch {
 	case stored == nil:
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -10,9 +10,10 @@
 	"heathshed/placer"
 )
 
-// outcomeReconciler determines the outcomes of attempts that may have been accepted by their nodes, and stops copies of tasks. An outcome
-// becomes known by a late answer, by a report of the node's watch, by the answer to a stop order, or by a new incarnation of the node. The
-// attempts with an unknown outcome are listed in attemptHistory and in node.
+// outcomeReconciler determines the outcomes of attempts that nodes may have accepted, and stops duplicates of
+// tasks. An unknown outcome becomes known through a late answer, a report of the node's watch, the answer to
+// a stop order, or a new incarnation of the node. attemptHistory and node list the attempts with an unknown
+// outcome.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -23,135 +24,139 @@
 	adopter   *adopter
 }
 
-// track records an attempt that may have been accepted. If the task may run twice, or is to stop, the attempt is fenced at once. Otherwise the
-// engine first waits until it is found running, or until UnknownOutcomeTimeout has passed.
-func (r *outcomeReconciler) track(unresolved *attempt) {
-	task, node := unresolved.task, unresolved.node
+// track starts to determine the outcome of an attempt that a node may have accepted. The attempt is fenced at
+// once if the task may run twice or is being stopped. Otherwise the engine waits until the task is found
+// running, for at most UnknownOutcomeTimeout.
+func (r *outcomeReconciler) track(attempt *attempt) {
+	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
-	task.attempts.addUnknown(unresolved)
-	node.addUnknown(unresolved)
+	task.attempts.addUnknownOutcome(attempt)
+	node.addUnknown(attempt)
 	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
-		r.fence(unresolved)
+		r.fence(attempt)
 		return
 	}
-	if observed := unresolved.observed; observed != nil {
+	if observed := attempt.observed; observed != nil {
 		r.runAfter(0, func() {
-			if unresolved.outcomeUnknown() {
-				r.observe(unresolved, observed)
+			if attempt.outcomeUnknown() {
+				r.observe(attempt, observed)
 				r.drainEvents()
 			}
 		})
 	}
-	r.scheduleFence(unresolved, r.cfg.Retry.UnknownOutcomeTimeout)
+	r.scheduleFence(attempt, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
-// untrack removes an attempt whose outcome is known, and cancels its next stop order.
-func (r *outcomeReconciler) untrack(resolved *attempt) {
-	if resolved.task.attempts.removeUnknown(resolved) {
-		resolved.node.removeUnknown(resolved)
+// untrack removes an attempt whose outcome is known, and cancels the next stop order for it.
+func (r *outcomeReconciler) untrack(attempt *attempt) {
+	if attempt.task.attempts.removeUnknownOutcome(attempt) {
+		attempt.node.removeUnknown(attempt)
 	}
-	r.stopTimer(resolved.fenceTimer)
-	resolved.fenceTimer = nil
+	r.stopTimer(attempt.fenceTimer)
+	attempt.fenceTimer = nil
 }
 
-// resolve records that an attempt with unknown outcome has ended: it never ran, or may have run.
-func (r *outcomeReconciler) resolve(resolved *attempt, mayHaveRun bool) {
-	task := resolved.task
-	r.untrack(resolved)
+// resolve records that an attempt with an unknown outcome has ended. mayHaveRun says whether the attempt may
+// have run the task.
+func (r *outcomeReconciler) resolve(attempt *attempt, mayHaveRun bool) {
+	task := attempt.task
+	r.untrack(attempt)
 	if mayHaveRun {
-		task.attempts.recordRun()
+		task.attempts.recordPossibleRun()
 	}
-	r.requests.discard(resolved.request)
-	if r.awaitsOutcomes(task) && !task.attempts.hasUnknown() {
+	r.requests.removeIfUnused(attempt.request)
+	if r.awaitsOutcomes(task) && !task.attempts.hasUnknownOutcome() {
 		r.stopTimer(task.retryTimer)
 		r.lifecycle.retryOrSettle(task, retry.Failed, 0)
 		return
 	}
-	r.lifecycle.discard(task)
+	r.lifecycle.removeIfResolved(task)
 }
 
-// awaitsOutcomes reports whether a task is not requested again before all outcomes are known.
+// awaitsOutcomes reports whether the next placement request of a task must wait until all outcomes are known.
 func (r *outcomeReconciler) awaitsOutcomes(task *task) bool {
 	return task.state == taskWaiting && task.retryTimer != nil && r.idempotencyOf(task) != placer.Idempotent
 }
 
-// answeredLate handles the answer to an attempt that was abandoned.
-func (r *outcomeReconciler) answeredLate(unresolved *attempt, answer *AttemptAnswer) {
+// handleLateAnswer handles the answer to an attempt that was abandoned.
+func (r *outcomeReconciler) handleLateAnswer(attempt *attempt, answer *AttemptAnswer) {
 	switch {
 	case answer.Accepted:
-		r.foundRunning(unresolved, answer.Incarnation, answer.Revision)
+		r.bindOrFence(attempt, answer.Incarnation, answer.Revision)
 	case answer.Result == placer.Rejected || answer.Result == placer.Unreachable:
-		r.resolve(unresolved, false)
+		r.resolve(attempt, false)
 	}
 }
 
-// observe applies a node's report of an attempt with unknown outcome.
-func (r *outcomeReconciler) observe(unresolved *attempt, observed *observedPod) {
+// observe handles a node's report about an attempt with an unknown outcome.
+func (r *outcomeReconciler) observe(attempt *attempt, observed *observedPod) {
 	if observed.deleted || wellknown.Finished(observed.pod) {
-		r.resolve(unresolved, observed.pod.Status.Reason != wellknown.NeverStarted)
+		r.resolve(attempt, observed.pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
-	task := unresolved.task
-	r.foundRunning(unresolved, observed.incarnation, observed.revision)
-	if running := task.attempts.running; running != nil && running.node == unresolved.node {
+	task := attempt.task
+	r.bindOrFence(attempt, observed.incarnation, observed.revision)
+	if running := task.attempts.running; running != nil && running.node == attempt.node {
 		r.observer.observeRunning(task, observed.pod, false)
 	}
 }
 
-// foundRunning binds the task to an attempt that turned out to be accepted. If the task has another attempt or has ended, the copy is stopped.
-func (r *outcomeReconciler) foundRunning(found *attempt, incarnation string, revision int64) {
-	task := found.task
-	if !task.state.canBind() || found.stopInFlight {
-		r.fence(found)
+// bindOrFence handles an attempt that turns out to have been accepted. It binds the task to the attempt, or
+// fences the attempt if the task has another attempt or has ended.
+func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
+	task := attempt.task
+	if !task.state.canBind() || attempt.stopInFlight {
+		r.fence(attempt)
 		return
 	}
-	// The placer must not send the task to another node: the request is withdrawn, and the task is reported as adopted.
-	r.untrack(found)
+	// The placer must not send the task to another node. The placement request is therefore withdrawn, and
+	// the task is reported to the placer as adopted.
+	r.untrack(attempt)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
-	r.adopter.adoptTask(task, found.node, found.number, incarnation, revision)
+	r.adopter.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
 }
 
-// fence orders the node of an attempt with unknown outcome to stop the task, or to reject the attempt if it still arrives. The order is repeated
-// until the node answers or has a new incarnation.
-func (r *outcomeReconciler) fence(unresolved *attempt) {
-	if !unresolved.outcomeUnknown() || unresolved.stopInFlight {
+// fence orders a node to stop a task that it may have accepted, or to reject the attempt if it arrives later.
+// The order is repeated until the node answers or has a new incarnation.
+func (r *outcomeReconciler) fence(attempt *attempt) {
+	if !attempt.outcomeUnknown() || attempt.stopInFlight {
 		return
 	}
-	unresolved.stopInFlight = true
-	unresolved.stopsSent++
-	task := unresolved.task
-	r.stopCopy(unresolved.node, task.podIdentity, unresolved.number)
+	attempt.stopInFlight = true
+	attempt.stopsSent++
+	task := attempt.task
+	r.emitStopTask(attempt.node, task.podIdentity, attempt.number)
 }
 
-// scheduleFence fences an attempt after a delay.
-func (r *outcomeReconciler) scheduleFence(unresolved *attempt, delay placer.Seconds) {
-	unresolved.fenceTimer = r.runAfter(delay, func() {
-		unresolved.fenceTimer = nil
-		r.fence(unresolved)
+// scheduleFence fences an attempt after the given delay.
+func (r *outcomeReconciler) scheduleFence(attempt *attempt, delay placer.Seconds) {
+	attempt.fenceTimer = r.runAfter(delay, func() {
+		attempt.fenceTimer = nil
+		r.fence(attempt)
 		r.drainEvents()
 	})
 }
 
-// fenceAll fences all attempts of a task at once.
+// fenceAll immediately fences all attempts of a task whose outcomes are unknown.
 func (r *outcomeReconciler) fenceAll(task *task) {
-	for _, unresolved := range slices.Clone(task.attempts.unknown) {
+	for _, unresolved := range slices.Clone(task.attempts.unknownOutcomes) {
 		r.stopTimer(unresolved.fenceTimer)
 		unresolved.fenceTimer = nil
 		r.fence(unresolved)
 	}
 }
 
-// Delays between stop orders for one attempt: each is twice the one before, from the first to the last delay.
+// Stop orders for the same attempt are repeated with exponential backoff, from minStopDelay to maxStopDelay.
 const (
-	firstStopDelay   placer.Seconds = 0.25
-	lastStopDelay    placer.Seconds = 5
+	minStopDelay     placer.Seconds = 0.25
+	maxStopDelay     placer.Seconds = 5
 	maxStopDoublings                = 5
 )
 
-// stopBackoff returns the delay before the next stop order after the given number of them.
+// stopBackoff returns the delay before the next stop order, given the number of stop orders already sent.
 func stopBackoff(sent int) placer.Seconds {
-	return min(firstStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), lastStopDelay)
+	return min(minStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), maxStopDelay)
 }
 
 // StopAnswer is a node's answer to StopTask.
@@ -159,14 +164,14 @@
 	UID         types.UID
 	Node        string
 	Attempt     int
-	Incarnation string // of the node
-	Answered    bool   // the node answered; if not, only UID, Node and Attempt are set
-	HadTask     bool   // the node had the task, by this attempt
-	MayHaveRun  bool   // the task may have run there
+	Incarnation string // incarnation of the node
+	Answered    bool   // set if the node answered; otherwise only UID, Node and Attempt are valid
+	HadTask     bool   // set if the node had accepted this attempt of the task
+	MayHaveRun  bool   // set if the task may have run on the node
 }
 
-// stopDone implements Engine.StopDone.
-func (r *outcomeReconciler) stopDone(answer StopAnswer) {
+// handleStopAnswer implements Engine.StopDone.
+func (r *outcomeReconciler) handleStopAnswer(answer StopAnswer) {
 	if node := r.nodes.get(answer.Node); node != nil && answer.Answered {
 		r.nodes.observeIncarnation(node, answer.Incarnation)
 	}
@@ -174,42 +179,42 @@
 	if task == nil {
 		return
 	}
-	if unresolved := task.attempts.unknownAt(answer.Node, answer.Attempt); unresolved != nil {
-		r.fenceAnswered(unresolved, &answer)
+	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
+		r.handleFenceAnswer(unresolved, &answer)
 		return
 	}
-	if running := task.attempts.running; running.is(answer.Node, answer.Attempt) && task.isStopping() {
-		r.stopAnswered(running, &answer)
+	if running := task.attempts.running; running.matches(answer.Node, answer.Attempt) && task.isStopping() {
+		r.handleRunningStopAnswer(running, &answer)
 	}
 }
 
-// fenceAnswered handles the answer to a stop order for an attempt with unknown outcome. A node that does not have the task answers for its
-// present incarnation only: the task may have run in an earlier one.
-func (r *outcomeReconciler) fenceAnswered(fenced *attempt, answer *StopAnswer) {
-	fenced.stopInFlight = false
+// handleFenceAnswer handles the answer to a stop order for an attempt with an unknown outcome. A node without
+// the task can answer only for its current incarnation: an earlier incarnation may have run the task.
+func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
+	attempt.stopInFlight = false
 	if !answer.Answered {
-		r.stopTimer(fenced.fenceTimer)
-		r.scheduleFence(fenced, stopBackoff(fenced.stopsSent))
+		r.stopTimer(attempt.fenceTimer)
+		r.scheduleFence(attempt, stopBackoff(attempt.stopsSent))
 		return
 	}
-	sameIncarnation := fenced.sentIncarnation != "" && fenced.sentIncarnation == answer.Incarnation
+	sameIncarnation := attempt.sentIncarnation != "" && attempt.sentIncarnation == answer.Incarnation
 	mayHaveRun := !sameIncarnation
 	if answer.HadTask {
 		mayHaveRun = answer.MayHaveRun
 	}
-	r.resolve(fenced, mayHaveRun)
+	r.resolve(attempt, mayHaveRun)
 }
 
-// stopAnswered handles the answer to a stop order for a running attempt.
-func (r *outcomeReconciler) stopAnswered(stopped *attempt, answer *StopAnswer) {
-	task := stopped.task
+// handleRunningStopAnswer handles the answer to a stop order for a running attempt.
+func (r *outcomeReconciler) handleRunningStopAnswer(attempt *attempt, answer *StopAnswer) {
+	task := attempt.task
 	if answer.Answered {
-		r.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
+		r.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
-	stopped.stopsSent++
-	stopped.fenceTimer = r.runAfter(stopBackoff(stopped.stopsSent), func() {
-		stopped.fenceTimer = nil
+	attempt.stopsSent++
+	attempt.fenceTimer = r.runAfter(stopBackoff(attempt.stopsSent), func() {
+		attempt.fenceTimer = nil
 		r.lifecycle.stopRunning(task)
 	})
 }
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -5,8 +5,9 @@
 	"heathshed/placer"
 )
 
-// taskLifecycle moves tasks between their states when a request ends, a node accepts a task, a task ends, or a task is to stop. It is stateless:
-// it changes tasks through taskTable, and Pods through publisher.
+// taskLifecycle changes the states of tasks when a placement request ends, a node accepts a task, a task
+// ends, or a task must stop. It has no state of its own: it modifies tasks through taskTable, and Pods
+// through publisher.
 type taskLifecycle struct {
 	*environment
 	tasks         *taskTable
@@ -17,10 +18,11 @@
 	publisher     *publisher
 }
 
-// retryOrSettle decides on a task whose request ended without a placement. retryAfter is the placer's advice, 0 if it gave none.
+// retryOrSettle either schedules a retry or stores the final outcome of a task whose placement request ended
+// without a placement. retryAfter is the delay that the placer suggests; 0 means no suggestion.
 func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter placer.Seconds) {
 	l.tasks.setState(task, taskWaiting)
-	l.requests.release(task)
+	l.requests.clearRequest(task)
 	task.retryTimer = nil
 	if l.stopping {
 		task.retryBudget = 0
@@ -32,7 +34,7 @@
 		Deadline:       task.deadline,
 		Attempts:       task.requestsSubmitted,
 		RetriesLeft:    task.retryBudget,
-		OutcomeUnknown: task.attempts.hasUnknown(),
+		OutcomeUnknown: task.attempts.hasUnknownOutcome(),
 		MayHaveRun:     task.attempts.evidence == possiblyRan,
 		RetryAfter:     retryAfter,
 		Jitter:         l.rng.Float64(),
@@ -65,7 +67,8 @@
 	l.reportSettled(task, outcomePlaced)
 }
 
-// settleUnplaced stores the final outcome of a waiting task that is not requested again, and ends the task.
+// settleUnplaced stores the final outcome of a waiting task that will not be requested again, and ends the
+// task.
 func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
 	if outcome == outcomeRejected {
 		l.stats.Rejected++
@@ -80,29 +83,29 @@
 	l.terminate(task, false, retry.Rejected)
 }
 
-// reportSettled notifies the Job of a task, if it has one, of the task's final outcome.
+// reportSettled tells the Job of a task, if there is one, the final outcome of the task.
 func (l *taskLifecycle) reportSettled(task *task, outcome taskOutcome) {
 	if task.job != nil {
-		l.jobController.recordSettled(task, outcome)
+		l.jobController.recordOutcome(task, outcome)
 	}
 }
 
 // bind records that a node has accepted a task.
-func (l *taskLifecycle) bind(task *task, accepted *attempt) {
+func (l *taskLifecycle) bind(task *task, attempt *attempt) {
 	l.tasks.setState(task, taskBound)
-	task.attempts.bind(accepted)
-	accepted.node.addTask(task)
+	task.attempts.bind(attempt)
+	attempt.node.addTask(task)
 	l.stopTimer(task.retryTimer)
 	task.retryTimer = nil
 	if task.settled {
-		l.publisher.publishNodeName(task, accepted.node.name)
+		l.publisher.publishNodeName(task, attempt.node.name)
 		return
 	}
-	l.settlePlaced(task, "accepted by "+accepted.node.name)
+	l.settlePlaced(task, "accepted by "+attempt.node.name)
 }
 
-// started records that the node of a bound task reports it as running.
-func (l *taskLifecycle) started(task *task) {
+// recordStart records that the node of a bound task reports the task as running.
+func (l *taskLifecycle) recordStart(task *task) {
 	if task.state == taskRunning {
 		return
 	}
@@ -114,43 +117,45 @@
 
 // taskEnd describes the end of a task that a node had accepted.
 type taskEnd struct {
-	result  placer.Result
-	reason  placer.Reason
-	status  string // the reason in the Pod's status; "" unless the task failed or was stopped
-	message string // the message in the Pod's status
+	result     placer.Result
+	reason     placer.Reason
+	podReason  string // reason for the Pod's status; "" unless the task failed or was stopped
+	podMessage string // message for the Pod's status
 }
 
-// succeeded reports whether the task ended by itself with success.
-func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.status == "" }
+// succeeded reports whether the task finished successfully.
+func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.podReason == "" }
 
-// migrated reports whether the engine stopped the task to start it elsewhere.
+// migrated reports whether the engine stopped the task in order to start it on another node.
 func (end *taskEnd) migrated() bool {
-	reason := stopReason(end.status)
+	reason := stopReason(end.podReason)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
 }
 
-// ended ends a task that a node had accepted. It does nothing if no attempt of the task is running.
-func (l *taskLifecycle) ended(task *task, end taskEnd) {
-	ended := task.attempts.unbind()
-	if ended == nil {
+// recordEnd records the end of a task that a node had accepted. It does nothing if no attempt of the task is
+// running.
+func (l *taskLifecycle) recordEnd(task *task, end taskEnd) {
+	endedAttempt := task.attempts.unbind()
+	if endedAttempt == nil {
 		return
 	}
-	l.stopTimer(ended.fenceTimer)
-	ended.node.removeTask(task)
-	event := ended.endedEvent(l.now, end.result, end.reason)
+	l.stopTimer(endedAttempt.fenceTimer)
+	endedAttempt.node.removeTask(task)
+	event := endedAttempt.endedEvent(l.now, end.result, end.reason)
 	event.Final = true
 	l.post(event)
-	l.requests.discard(ended.request)
-	cause := l.countEnd(&end)
+	l.requests.removeIfUnused(endedAttempt.request)
+	cause := l.countTaskEnd(&end)
 	l.publisher.publishEnded(task, &end)
 	l.terminate(task, end.succeeded(), cause)
 }
 
-// countEnd counts the end of a task in Stats and returns the cause of its next start, if it is started again.
-func (l *taskLifecycle) countEnd(end *taskEnd) retry.Cause {
+// countTaskEnd updates Stats for the end of a task, and returns the cause to use if the Job starts the task
+// again.
+func (l *taskLifecycle) countTaskEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
-		return retry.Failed // by itself
+		return retry.Failed // the task ended without being stopped
 	case end.reason == placer.Evicted:
 		l.stats.EvictedTasks++
 		return retry.Evicted
@@ -163,24 +168,26 @@
 	return retry.Lost
 }
 
-// terminate ends a task that neither runs nor will be requested again. It fences the attempts whose outcome is unknown, and notifies the Job.
+// terminate ends a task that is not running and will not be requested again. It fences the attempts whose
+// outcomes are unknown, and notifies the Job.
 func (l *taskLifecycle) terminate(task *task, succeeded bool, cause retry.Cause) {
 	l.tasks.setState(task, taskTerminating)
 	l.outcomes.fenceAll(task)
 	if task.job != nil {
-		l.jobController.taskEnded(task, succeeded, cause)
+		l.jobController.recordTaskEnd(task, succeeded, cause)
 	}
-	l.discard(task)
+	l.removeIfResolved(task)
 }
 
-// discard removes a terminating task once no outcome is unknown, and its Pod if that was deleted.
-func (l *taskLifecycle) discard(task *task) {
-	if task.state != taskTerminating || task.attempts.hasUnknown() {
+// removeIfResolved removes a terminating task once none of its attempts has an unknown outcome. It also
+// removes the Pod if the Pod was deleted.
+func (l *taskLifecycle) removeIfResolved(task *task) {
+	if task.state != taskTerminating || task.attempts.hasUnknownOutcome() {
 		return
 	}
 	l.tasks.remove(task)
-	if task.deleted && l.publisher.podOf(task) != nil {
+	if task.podDeleted && l.publisher.podOf(task) != nil {
 		l.publisher.deletePod(task.namespace, task.name)
-		l.jobController.podRemoved(task)
+		l.jobController.recordPodRemoval(task)
 	}
 }
