--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -82,7 +82,7 @@
 
 // start sends the task of a placement request to a node, as the placer decided.
 func (t *attemptTracker) start(action *placer.Action) {
-	request, node := t.requests.get(action.Task), t.nodes.withID(action.Node)
+	request, node := t.requests.get(action.Task), t.nodes.getByID(action.Node)
 	if request == nil || node == nil || request.closed {
 		panic(fmt.Sprintf("engine: placer started an attempt for request %d on node %d, but the request is not open or the node is unknown", action.Task, action.Node))
 	}
@@ -173,7 +173,7 @@
 	if !answer.Accepted {
 		return
 	}
-	node, running := t.nodes.get(answer.Node), task.attempts.running
+	node, running := t.nodes.getByName(answer.Node), task.attempts.running
 	if node != nil && (running == nil || running.node != node) {
 		t.emitStopTask(node, task.podIdentity, answer.Attempt)
 	}
@@ -186,7 +186,7 @@
 
 // stopRemovedTask stops the Pod of a task that was removed from the engine before a node accepted the task.
 func (t *attemptTracker) stopRemovedTask(answer *AttemptAnswer) {
-	node := t.nodes.get(answer.Node)
+	node := t.nodes.getByName(answer.Node)
 	if !answer.Accepted || node == nil {
 		return
 	}
@@ -267,7 +267,7 @@
 // podForNode returns a task's Pod as it is sent to nodes. Labels and annotations hold everything that a
 // restarted scheduler needs in order to adopt the task.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
-	stored := t.publisher.podOf(task)
+	stored := t.publisher.podOfTask(task)
 	if stored == nil {
 		panic("engine: cannot send an attempt: no Pod is stored for task " + string(task.uid))
 	}
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -31,7 +31,7 @@
 	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
 	task.attempts.addUnknownOutcome(attempt)
-	node.addUnknown(attempt)
+	node.addUnknownOutcome(attempt)
 	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
 		r.fence(attempt)
 		return
@@ -50,7 +50,7 @@
 // untrack removes an attempt whose outcome is known, and cancels the next stop order for it.
 func (r *outcomeReconciler) untrack(attempt *attempt) {
 	if attempt.task.attempts.removeUnknownOutcome(attempt) {
-		attempt.node.removeUnknown(attempt)
+		attempt.node.removeUnknownOutcome(attempt)
 	}
 	r.stopTimer(attempt.fenceTimer)
 	attempt.fenceTimer = nil
@@ -90,7 +90,7 @@
 
 // observe handles a node's report about an attempt with an unknown outcome.
 func (r *outcomeReconciler) observe(attempt *attempt, observed *observedPod) {
-	if observed.deleted || wellknown.Finished(observed.pod) {
+	if observed.deleted || wellknown.PodFinished(observed.pod) {
 		r.resolve(attempt, observed.pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
@@ -172,7 +172,7 @@
 
 // handleStopAnswer implements Engine.StopDone.
 func (r *outcomeReconciler) handleStopAnswer(answer StopAnswer) {
-	if node := r.nodes.get(answer.Node); node != nil && answer.Answered {
+	if node := r.nodes.getByName(answer.Node); node != nil && answer.Answered {
 		r.nodes.observeIncarnation(node, answer.Incarnation)
 	}
 	task := r.tasks.get(answer.UID)
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -63,7 +63,7 @@
 	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStartTime, recorder: goldentest.NewRecorder(),
 		errorCounts: map[string]int64{}}
 	for i := range 10 {
-		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
+		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, fencedUpTo: map[types.UID]int{}})
 	}
 	s.restart()
 	return s
@@ -81,7 +81,7 @@
 	}
 	s.engine, s.revision = created, config.BaseRevision
 	s.recordState()
-	s.schedule(0.05, s.fullList)
+	s.schedule(0.05, s.sendFullList)
 }
 
 // randomDelay returns a random delay between least and least + spread.
@@ -143,23 +143,23 @@
 	}
 	var entries []tableChange
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
-		changes, err := s.engine.Store().Since(table, s.revision, math.MaxInt32)
+		changes, err := s.engine.Store().ChangesSince(table, s.revision, math.MaxInt32)
 		s.recorder.Error(err)
 		for _, change := range changes {
 			entries = append(entries, tableChange{table, change})
 		}
 	}
-	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
+	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Revision, right.change.Revision) })
 	for _, entry := range entries {
 		s.changeCounts[entry.table][entry.change.Op]++
-		s.recorder.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Rev)
+		s.recorder.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Revision)
 		s.recordObject(entry.change.Object.(interface{ Marshal() ([]byte, error) }))
-		s.recorder.Booleans(entry.change.Prev != nil)
-		if entry.change.Prev != nil {
-			s.recorder.Texts(entry.change.Prev.GetResourceVersion())
+		s.recorder.Booleans(entry.change.Previous != nil)
+		if entry.change.Previous != nil {
+			s.recorder.Texts(entry.change.Previous.GetResourceVersion())
 		}
 	}
-	s.revision = s.engine.Store().Rev()
+	s.revision = s.engine.Store().Revision()
 }
 
 // recordResult records the result of a call.
@@ -192,7 +192,7 @@
 	case engine.WatchNode:
 		s.schedule(s.randomDelay(0.02, 0.1), func() { s.listPods(s.nodeByName(effect.Node)) })
 	case engine.RelistNodes:
-		s.schedule(0.05, s.fullList)
+		s.schedule(0.05, s.sendFullList)
 	}
 }
 
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -90,7 +90,7 @@
 
 // newPlacementSpec returns the placementSpec of a task whose resources are those of a Pod's containers.
 func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
-	cores, memory := wellknown.Requests(containers)
+	cores, memory := wellknown.ResourceRequests(containers)
 	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
 }
 
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -186,7 +186,7 @@
 		return
 	}
 	l.tasks.remove(task)
-	if task.podDeleted && l.publisher.podOf(task) != nil {
+	if task.podDeleted && l.publisher.podOfTask(task) != nil {
 		l.publisher.deletePod(task.namespace, task.name)
 		l.jobController.recordPodRemoval(task)
 	}
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -70,10 +70,10 @@
 		{"deleted Pod without a stop reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true },
 			"a task whose Pod is deleted has a stop reason"},
 		{"unknown outcome that the node does not list", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
+			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.getByName(nodeName)})
 		}, "the node of each attempt with an unknown outcome lists the attempt"},
 		{"second attempt", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.running = &attempt{node: engine.nodes.get(nodeName)}
+			corrupted.attempts.running = &attempt{node: engine.nodes.getByName(nodeName)}
 		},
 			"an attempt is running if and only if the task is on a node"},
 		{"retry scheduled during a placement request", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
