--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -79,7 +79,7 @@
 
 // start carries out the placer's decision to send a request's task to a node.
 func (t *attemptTracker) start(action *placer.Action) {
-	request, node := t.requests.get(action.Task), t.nodes.withID(action.Node)
+	request, node := t.requests.get(action.Task), t.nodes.getByID(action.Node)
 	if request == nil || node == nil || request.closed {
 		panic(fmt.Sprintf("engine: attempt of request %d at node %d, which are not both open", action.Task, action.Node))
 	}
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -66,7 +66,7 @@
 func (e *Engine) NodesListed(now placer.Seconds, kind Listing, nodes []*corev1.Node, removed []string) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.nodes.listed(kind, nodes, removed)
+	e.nodes.applyListing(kind, nodes, removed)
 }
 
 // NodeCounts returns how many nodes the inventory lists as ready or draining, and of how many of them the Pods are watched.
@@ -79,21 +79,21 @@
 func (e *Engine) NodePods(now placer.Seconds, name, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.observer.observeAll(name, incarnation, revision, pods)
+	e.observer.observePodList(name, incarnation, revision, pods)
 }
 
 // NodePod handles a change of one of this scheduler's Pods at a node.
 func (e *Engine) NodePod(now placer.Seconds, name string, pod *corev1.Pod, deleted bool) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.observer.observeOne(name, pod, deleted)
+	e.observer.observePodChange(name, pod, deleted)
 }
 
 // NodeUnresponsive records that a node's Pods can no longer be watched.
 func (e *Engine) NodeUnresponsive(now placer.Seconds, name string) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.nodes.unresponsive(name)
+	e.nodes.markUnresponsive(name)
 }
 
 // UpdateNode replaces the labels of a Node and, if drain is not nil, orders its drain or ends the ordered drain. Nil is not false: a
@@ -103,7 +103,7 @@
 func (e *Engine) UpdateNode(now placer.Seconds, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	e.beginCall(now)
 	defer e.endCall()
-	return e.nodes.updateObject(update, drain, dryRun)
+	return e.nodes.updateNode(update, drain, dryRun)
 }
 
 // StopDone handles the answer to StopTask.
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -63,16 +63,16 @@
 // removeTask records that a task has ended at the node.
 func (n *node) removeTask(ended *task) { delete(n.running, ended.uid) }
 
-// addUnknown records that the node may have accepted an attempt.
-func (n *node) addUnknown(unresolved *attempt) {
+// addUnknownOutcome records that the node may have accepted an attempt.
+func (n *node) addUnknownOutcome(unresolved *attempt) {
 	if n.unknownOutcomes == nil {
 		n.unknownOutcomes = map[*attempt]struct{}{}
 	}
 	n.unknownOutcomes[unresolved] = struct{}{}
 }
 
-// removeUnknown records that the outcome of an attempt at the node is known.
-func (n *node) removeUnknown(resolved *attempt) { delete(n.unknownOutcomes, resolved) }
+// removeUnknownOutcome records that the outcome of an attempt at the node is known.
+func (n *node) removeUnknownOutcome(resolved *attempt) { delete(n.unknownOutcomes, resolved) }
 
 // unresolvedAttempts returns the attempts at a node whose outcome is unknown, in order of their tasks' creation.
 func (n *node) unresolvedAttempts() []*attempt {
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -40,11 +40,11 @@
 // get returns the node with a name, nil if it is unknown.
 func (r *nodeRegistry) get(name string) *node { return r.byName[name] }
 
-// withID returns the node with an ID at the placer, nil if it is unknown.
-func (r *nodeRegistry) withID(id placer.NodeID) *node { return r.byID[id] }
+// getByID returns the node with an ID at the placer, nil if it is unknown.
+func (r *nodeRegistry) getByID(id placer.NodeID) *node { return r.byID[id] }
 
-// listed implements Engine.NodesListed.
-func (r *nodeRegistry) listed(kind Listing, nodes []*corev1.Node, removed []string) {
+// applyListing implements Engine.NodesListed.
+func (r *nodeRegistry) applyListing(kind Listing, nodes []*corev1.Node, removed []string) {
 	if kind == ListUnavailable {
 		// The caller resumes its watch by itself: only a list that the placer requested needs an answer.
 		if r.cfg.Placer.Discovery.MustPoll {
@@ -258,8 +258,8 @@
 	}
 }
 
-// unresponsive implements Engine.NodeUnresponsive.
-func (r *nodeRegistry) unresponsive(name string) {
+// markUnresponsive implements Engine.NodeUnresponsive.
+func (r *nodeRegistry) markUnresponsive(name string) {
 	node := r.byName[name]
 	if node == nil || !node.podsWatched {
 		return
--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -46,8 +46,8 @@
 	at := &node{}
 	for _, sequence := range []int{4, 1, 3, 0, 2} {
 		owner := &task{sequence: sequence}
-		at.addUnknown(&attempt{task: owner, number: 2})
-		at.addUnknown(&attempt{task: owner, number: 1})
+		at.addUnknownOutcome(&attempt{task: owner, number: 2})
+		at.addUnknownOutcome(&attempt{task: owner, number: 1})
 	}
 	for i, unresolved := range at.unresolvedAttempts() {
 		if unresolved.task.sequence != i/2 || unresolved.number != i%2+1 {
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// updateObject implements Engine.UpdateNode.
-func (r *nodeRegistry) updateObject(update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
+// updateNode implements Engine.UpdateNode.
+func (r *nodeRegistry) updateNode(update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	node := r.byName[update.Name]
 	stored := r.publisher.storedNode(update.Name)
 	if node == nil || stored == nil {
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -18,8 +18,8 @@
 	adopter   *adopter
 }
 
-// observeAll implements Engine.NodePods.
-func (o *podObserver) observeAll(name, incarnation string, revision int64, pods []*corev1.Pod) {
+// observePodList implements Engine.NodePods.
+func (o *podObserver) observePodList(name, incarnation string, revision int64, pods []*corev1.Pod) {
 	node := o.nodes.get(name)
 	if node == nil {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// observeOne implements Engine.NodePod.
-func (o *podObserver) observeOne(name string, pod *corev1.Pod, deleted bool) {
+// observePodChange implements Engine.NodePod.
+func (o *podObserver) observePodChange(name string, pod *corev1.Pod, deleted bool) {
 	if node := o.nodes.get(name); node != nil {
 		o.observe(node, pod, deleted)
 	}
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -29,7 +29,7 @@
 	task, node := unresolved.task, unresolved.node
 	r.stats.UnknownOutcomes++
 	task.attempts.addUnknown(unresolved)
-	node.addUnknown(unresolved)
+	node.addUnknownOutcome(unresolved)
 	if r.idempotencyOf(task) == placer.Idempotent || task.isStopping() {
 		r.fence(unresolved)
 		return
@@ -48,7 +48,7 @@
 // untrack removes an attempt whose outcome is known, and cancels its next stop order.
 func (r *outcomeReconciler) untrack(resolved *attempt) {
 	if resolved.task.attempts.removeUnknown(resolved) {
-		resolved.node.removeUnknown(resolved)
+		resolved.node.removeUnknownOutcome(resolved)
 	}
 	r.stopTimer(resolved.fenceTimer)
 	resolved.fenceTimer = nil
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -22,7 +22,7 @@
 	removed     bool
 	draining    bool
 	pods        []*corev1.Pod // in order of acceptance
-	floor       map[types.UID]int
+	fencedUpTo  map[types.UID]int
 }
 
 func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
@@ -36,7 +36,7 @@
 	node := s.node(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
 	delay := s.delay(0.005, 0.05)
-	accept := node.ready && !node.removed && effect.Attempt > node.floor[effect.UID]
+	accept := node.ready && !node.removed && effect.Attempt > node.fencedUpTo[effect.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
 		answer.Result, answer.Incarnation = placer.Unreachable, ""
@@ -129,7 +129,7 @@
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
 	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
 		answer.Answered, answer.Incarnation = true, node.incarnationID()
-		node.floor[effect.UID] = max(node.floor[effect.UID], effect.Attempt)
+		node.fencedUpTo[effect.UID] = max(node.fencedUpTo[effect.UID], effect.Attempt)
 		if i := node.find(effect.UID); i >= 0 {
 			answer.HadTask, answer.MayHaveRun = true, node.pods[i].Status.Phase == corev1.PodRunning
 			node.pods = slices.Delete(node.pods, i, i+1)
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *script) object(node *fakeNode) *corev1.Node {
+func (s *script) nodeObject(node *fakeNode) *corev1.Node {
 	index := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
 	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
@@ -167,22 +167,22 @@
 	return object
 }
 
-func (s *script) fullList() {
+func (s *script) sendFullList() {
 	var list []*corev1.Node
 	for _, node := range s.nodes {
 		if !node.removed {
-			list = append(list, s.object(node))
+			list = append(list, s.nodeObject(node))
 		}
 	}
 	s.engine.NodesListed(s.now, engine.FullList, list, nil)
 }
 
-func (s *script) changed(node *fakeNode) {
+func (s *script) sendNodeChange(node *fakeNode) {
 	if node.removed {
 		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
 		return
 	}
-	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(node)}, nil)
+	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.nodeObject(node)}, nil)
 }
 
 // nodeFault restarts, disconnects, removes or drains a node, or brings one back.
@@ -190,25 +190,25 @@
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
 	case 0, 1:
-		node.incarnation, node.pods, node.floor = node.incarnation+1, nil, map[types.UID]int{}
+		node.incarnation, node.pods, node.fencedUpTo = node.incarnation+1, nil, map[types.UID]int{}
 		s.after(0.3, func() { s.listPods(node) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 2:
 		node.ready = false
 		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 3:
 		node.removed = true
 		s.engine.NodeUnresponsive(s.now, node.name)
 		s.observe()
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 4:
 		node.draining = !node.draining
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 5:
 		s.engine.NodesListed(s.now, engine.ListUnavailable, nil, nil)
 	case 6:
-		s.fullList()
+		s.sendFullList()
 	case 7, 8:
 		s.listPods(node)
 	case 9:
@@ -216,6 +216,6 @@
 	default:
 		node.ready, node.removed, node.draining = true, false, false
 		s.after(0.1, func() { s.listPods(node) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	}
 }
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -62,7 +62,7 @@
 	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStart, record: goldentest.NewRecorder(),
 		failures: map[string]int64{}}
 	for i := range 10 {
-		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, floor: map[types.UID]int{}})
+		s.nodes = append(s.nodes, &fakeNode{name: fmt.Sprintf("node-%02d", i), incarnation: 1, ready: true, fencedUpTo: map[types.UID]int{}})
 	}
 	s.restart()
 	return s
@@ -80,7 +80,7 @@
 	}
 	s.engine, s.revision = created, config.BaseRevision
 	s.observe()
-	s.after(0.05, s.fullList)
+	s.after(0.05, s.sendFullList)
 }
 
 // delay draws a delay from least up to least and spread.
@@ -190,7 +190,7 @@
 	case engine.WatchNode:
 		s.after(s.delay(0.02, 0.1), func() { s.listPods(s.node(effect.Node)) })
 	case engine.RelistNodes:
-		s.after(0.05, s.fullList)
+		s.after(0.05, s.sendFullList)
 	}
 }
 
