--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestStartsIncarnation(t *testing.T) {
+func TestRecordIncarnation(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		known []string // incarnations that the node has stated before, in order
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestUnresolvedAttemptsAreInOrder checks that the order of a map does not become the order of effects.
-func TestUnresolvedAttemptsAreInOrder(t *testing.T) {
+// TestUnresolvedAttemptsInCreationOrder checks that the order of a map does not become the order of effects.
+func TestUnresolvedAttemptsInCreationOrder(t *testing.T) {
 	at := &node{}
 	for _, sequence := range []int{4, 1, 3, 0, 2} {
 		owner := &task{sequence: sequence}
