--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -12,8 +12,9 @@
 	"heathshed/placer"
 )
 
-// adopter takes over tasks that an earlier scheduler process placed and that nodes report as running, and rebuilds their Jobs. It is stateless:
-// what it finds becomes part of the tables of tasks, requests and Jobs.
+// adopter takes over tasks that an earlier process of this scheduler placed and that nodes report as
+// running. It rebuilds the Jobs of these tasks. It has no state of its own: adopted tasks, requests and
+// Jobs are added to the tables of the engine.
 type adopter struct {
 	*environment
 	tasks         *taskTable
@@ -27,7 +28,8 @@
 	publisher     *publisher
 }
 
-// adoptTask reports a task that was found running to the placer, under a new request that is closed from the start.
+// adoptTask reports a task that already runs on a node to the placer as adopted. It creates a placement
+// request for the task that is closed from the start.
 func (a *adopter) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
 	request := &placementRequest{task: task, closed: true}
 	a.requests.add(request)
@@ -45,16 +47,16 @@
 	a.lifecycle.bind(task, adopted)
 }
 
-// adoptPod adopts a Pod that an earlier process placed. Its Job is rebuilt from the manifest that the node stores with the Pod. A Pod that
-// cannot be adopted is stopped.
+// adoptPod adopts a Pod that an earlier process placed, and rebuilds its Job from the manifest that the
+// node stores with the Pod. If the Pod cannot be adopted, it is stopped.
 func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
 	class, invalid := a.cfg.classFromLabels(found.Labels)
 	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
-		a.stopCopy(node, identityOf(found), allAttempts)
+		a.stopCopy(node, identityOf(found), maxAttemptNumber)
 		return
 	}
 	a.stats.Recovered++
-	adopted := a.taskOfPod(found, class)
+	adopted := a.newAdoptedTask(found, class)
 	a.tasks.add(adopted)
 	a.adoptJob(adopted, found)
 	a.publisher.putPod(a.adoptedPod(node, found))
@@ -70,18 +72,22 @@
 	}
 }
 
-// allAttempts is above the number of any attempt.
-const allAttempts = 1 << 30
+// maxAttemptNumber is greater than the number of any attempt. A stop order with this number makes a node
+// reject every attempt to start the Pod.
+const maxAttemptNumber = 1 << 30
 
-// attemptNumber returns the number of the attempt by which a node accepted a Pod, at least 1.
+// attemptNumber returns the number of the attempt by which a node accepted a Pod. It returns 1 if the Pod
+// does not state a number of at least 1.
 func attemptNumber(pod *corev1.Pod) int {
-	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation]) // 0 if the Pod states no number
+	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation])
 	return max(number, 1)
 }
 
-// taskOfPod returns the task of a Pod that was found running. Its outcome was settled by the process that placed it.
-func (a *adopter) taskOfPod(found *corev1.Pod, class int) *task {
-	tenant, _ := a.cfg.tenantOf(found.Namespace) // a namespace that no longer belongs to a tenant counts towards the first one
+// newAdoptedTask returns a task for a Pod that was found running. The task counts as settled, since the
+// process that placed it reported its final outcome.
+func (a *adopter) newAdoptedTask(found *corev1.Pod, class int) *task {
+	// If the namespace no longer belongs to a tenant, the task counts towards the first tenant.
+	tenant, _ := a.cfg.tenantOf(found.Namespace)
 	service := found.Labels[wellknown.Service]
 	if service == "" {
 		service = found.Labels[wellknown.JobName]
@@ -96,7 +102,7 @@
 	}
 }
 
-// adoptedPod returns the Pod of an adopted task as it is stored.
+// adoptedPod returns the Pod of an adopted task in the form in which it is stored.
 func (a *adopter) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
 	now := a.apiNow()
 	pod := found.DeepCopy()
@@ -116,7 +122,8 @@
 	return pod
 }
 
-// adoptJob attaches an adopted task to its Job, which it rebuilds if it is not stored. If the Pod has no usable manifest, the task has no Job.
+// adoptJob attaches an adopted task to its Job and rebuilds the Job if it is not stored. A task whose Pod
+// has no usable manifest remains without a Job.
 func (a *adopter) adoptJob(adopted *task, found *corev1.Pod) {
 	var object batchv1.Job
 	err := json.Unmarshal([]byte(found.Annotations[wellknown.JobManifest]), &object)
@@ -136,8 +143,9 @@
 	a.adoptIndex(job, index, adopted)
 }
 
-// rebuildJob stores a Job that a node stores with a Pod. No task of it is started until the other nodes have had time to report theirs. It
-// returns nil if the Job is no longer valid.
+// rebuildJob stores a Job again from the manifest that a node keeps with one of its Pods. Tasks of the Job
+// are not started until the other nodes have had time to report their Pods. It returns nil if the Job is no
+// longer valid.
 func (a *adopter) rebuildJob(object *batchv1.Job) *job {
 	object.Generation = 1
 	rebuilt, err := a.jobController.newJob(object)
@@ -151,15 +159,16 @@
 	return rebuilt
 }
 
-// adoptIndex assigns an adopted task to an index that has none.
+// adoptIndex assigns an adopted task to a completion index of a Job that has no task yet.
 func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
 	job.indexes.adopt(index, adopted)
 	adopted.joinJob(job, index, job.indexes.at(index).retryBudget)
 	a.jobStatus.markDirty(job)
 }
 
-// finishJobAdoption decides what happens to the indexes of a rebuilt Job that no node has reported: their tasks may have ended, or may never
-// have started. Those that may run twice are started, the others fail.
+// finishJobAdoption decides on the indexes of a rebuilt Job for which no node has reported a task. The task
+// of such an index may have ended or may never have started. The index is started again if the Job's tasks
+// are idempotent, and fails otherwise.
 func (a *adopter) finishJobAdoption(job *job) {
 	if job.isDeleted() || !a.jobs.contains(job) {
 		return
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -11,56 +11,58 @@
 	"heathshed/placer"
 )
 
-// node is this scheduler's record of a node: what the inventory states, what the node itself reports, the tasks that run there, and the API's
-// updates of its Node.
+// node is the scheduler's record of one node. It combines the node's entry in the inventory, the node's own
+// reports, the tasks that run on the node, and the changes of its Node object that API clients requested.
 type node struct {
 	name    string
 	id      placer.NodeID
-	address string // host:port; "" if unknown or no longer watched
+	address string // host:port of the node's API; empty if it is unknown or the node is no longer watched
 	state   placer.NodeState
 
-	inventory         *corev1.Node   // as last listed; nil once the node is removed
-	reportedToPlacer  bool           // state was reported to the placer
-	absentSince       placer.Seconds // when its state became Terminated or, in that state, its Pods were no longer watched
-	listedIncarnation string         // according to the inventory
-	listedStartedAt   placer.Seconds // its start by this scheduler's clock; 0 is long ago
+	inventory         *corev1.Node   // Node that the inventory listed last; nil once the inventory has removed it
+	reportedToPlacer  bool           // the placer has been told the node's state at least once
+	lossTimerStart    placer.Seconds // when the node became Terminated or, in that state, stopped responding
+	listedIncarnation string         // incarnation according to the inventory
+	listedStartedAt   placer.Seconds // start of listedIncarnation by the scheduler's clock; 0 means long ago
 
-	podsWatched      bool     // the node's Pods were listed and are watched
-	incarnation      string   // according to the node itself
-	pastIncarnations []string // late messages from them are ignored
+	podsWatched      bool     // the node's Pods have been listed and are being watched
+	incarnation      string   // present incarnation according to the node itself
+	pastIncarnations []string // earlier incarnations; late messages from them do not change incarnation
 
 	running         map[types.UID]*task
 	unknownOutcomes map[*attempt]struct{} // attempts that the node may have accepted
 
-	drainOrdered         bool              // unschedulable by an API update
-	labelOverride        map[string]string // labels set by an API update; nil while those of the inventory are shown
-	publishPending       bool              // an API update is not published yet
-	publishedAt          placer.Seconds    // last change of the stored Node
-	publishedFingerprint uint64            // of the inventory's Node that was published
+	drainRequested       bool              // an API update has made the node unschedulable
+	labelOverride        map[string]string // labels set by an API update; nil if there was none
+	publishPending       bool              // an API update has not been published yet
+	publishedAt          placer.Seconds    // time of the last change of the stored Node
+	publishedFingerprint uint64            // fingerprint of the inventory's Node that was published last
 }
 
-// overrideLabels makes the API show the labels of an update, except for those that only the inventory sets.
+// overrideLabels replaces the labels that the API shows for the node. The labels that only the inventory
+// may set stay as they are.
 func (n *node) overrideLabels(labels map[string]string) {
 	n.labelOverride = cloneOrMake(labels)
 	n.publishPending = true
 }
 
-// orderDrain records that an API update drains the node, or ends its drain.
-func (n *node) orderDrain(drain bool) {
-	n.drainOrdered = drain
+// setDrainRequested records whether API clients want the node to be drained.
+func (n *node) setDrainRequested(requested bool) {
+	n.drainRequested = requested
 	n.publishPending = true
 }
 
-// startPublish records the inventory's fingerprint of a node that is about to be published with all API updates.
-func (n *node) startPublish(fingerprint uint64) {
+// beginPublish records the fingerprint of the inventory's Node that is about to be published, together with
+// all pending API updates.
+func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
 	n.publishPending = false
 }
 
-// addTask records that a task runs at the node.
+// addTask records that a task runs on the node.
 func (n *node) addTask(added *task) { n.running[added.uid] = added }
 
-// removeTask records that a task has ended at the node.
+// removeTask records that a task no longer runs on the node.
 func (n *node) removeTask(ended *task) { delete(n.running, ended.uid) }
 
 // addUnknownOutcome records that the node may have accepted an attempt.
@@ -71,10 +73,11 @@
 	n.unknownOutcomes[unresolved] = struct{}{}
 }
 
-// removeUnknownOutcome records that the outcome of an attempt at the node is known.
+// removeUnknownOutcome records that the outcome of an attempt at the node has become known.
 func (n *node) removeUnknownOutcome(resolved *attempt) { delete(n.unknownOutcomes, resolved) }
 
-// unresolvedAttempts returns the attempts at a node whose outcome is unknown, in order of their tasks' creation.
+// unresolvedAttempts returns the attempts at the node whose outcome is unknown, ordered by the creation of
+// their tasks and then by attempt number.
 func (n *node) unresolvedAttempts() []*attempt {
 	unresolved := make([]*attempt, 0, len(n.unknownOutcomes))
 	for attempt := range n.unknownOutcomes {
@@ -86,11 +89,12 @@
 	return unresolved
 }
 
-// maxPastIncarnations bounds the past incarnations of a node that are remembered.
+// maxPastIncarnations is the number of past incarnations that are remembered for each node.
 const maxPastIncarnations = 16
 
-// startsIncarnation records the incarnation that a node states, and reports whether it ends a known one.
-func (n *node) startsIncarnation(incarnation string) bool {
+// recordIncarnation records the incarnation that the node states in a message. It returns true if this
+// incarnation replaces one that was known before. An empty, unchanged or past incarnation changes nothing.
+func (n *node) recordIncarnation(incarnation string) bool {
 	if incarnation == "" || incarnation == n.incarnation || slices.Contains(n.pastIncarnations, incarnation) {
 		return false
 	}
@@ -103,7 +107,8 @@
 	return previous != ""
 }
 
-// freeCapacity returns the unrequested cores and memory (GiB) of a node, 0 where the inventory does not state them.
+// freeCapacity returns the cores and the memory in GiB that no Pod on a node requests. Both are 0 if the
+// Node has no valid annotation of its free capacity.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
 	free, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -12,14 +12,16 @@
 	"heathshed/placer"
 )
 
-// minPublishInterval is the shortest time between two changes of a stored Node in which only the free capacity differs.
+// minPublishInterval is the minimum time between two writes of a Node in which only the free capacity
+// changes.
 const minPublishInterval placer.Seconds = 5
 
-// inventoryLabels are the labels that only the inventory sets.
+// inventoryLabels are the labels of a Node that only the inventory may set.
 var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.Kind}
 
-// publishNode stores a node as the API shows it: that of the inventory, with the labels and the drain order set through the API. Changes of the
-// free capacity alone are frequent, and are stored at most once in minPublishInterval.
+// publishNode stores a node as the API shows it: the Node of the inventory with the labels and the drain
+// request that API clients have set. The free capacity changes often; if nothing else changes, the Node is
+// stored at most once per minPublishInterval.
 func (p *publisher) publishNode(node *node) {
 	if node.inventory == nil {
 		p.store.Delete(store.Nodes, "", node.name)
@@ -32,7 +34,7 @@
 	if stored != nil && !changed && (recent || sameFreeCapacity(stored, node.inventory)) {
 		return
 	}
-	node.startPublish(fingerprint)
+	node.beginPublish(fingerprint)
 	published := node.apiObject()
 	if stored != nil {
 		published.ResourceVersion = stored.ResourceVersion
@@ -49,10 +51,11 @@
 	return left.Annotations[wellknown.FreeCapacity] == right.Annotations[wellknown.FreeCapacity]
 }
 
-// onlyFreeCapacityDiffers reports whether a node differs from the stored one in nothing but the free capacity.
+// onlyFreeCapacityDiffers reports whether two versions of a Node differ only in their free capacity. If it
+// returns true, it has set the free capacity of published to that of stored.
 func onlyFreeCapacityDiffers(stored, published *corev1.Node) bool {
 	if published.Annotations == nil {
-		return false // there is no free capacity that could differ
+		return false // Without annotations, there is no free capacity that could differ.
 	}
 	free := published.Annotations[wellknown.FreeCapacity]
 	published.Annotations[wellknown.FreeCapacity] = stored.Annotations[wellknown.FreeCapacity]
@@ -63,7 +66,7 @@
 	return false
 }
 
-// apiObject returns a new copy of the node as the API shows it.
+// apiObject returns a new Node object for the node as the API shows it.
 func (n *node) apiObject() *corev1.Node {
 	object := n.inventory.DeepCopy()
 	if n.labelOverride != nil {
@@ -74,7 +77,7 @@
 			}
 		}
 	}
-	object.Spec.Unschedulable = object.Spec.Unschedulable || n.drainOrdered
+	object.Spec.Unschedulable = object.Spec.Unschedulable || n.drainRequested
 	if object.Spec.Unschedulable && !hasUnschedulableTaint(object) {
 		object.Spec.Taints = append(object.Spec.Taints, corev1.Taint{
 			Key:    corev1.TaintNodeUnschedulable,
@@ -93,7 +96,8 @@
 	return false
 }
 
-// nodeFingerprint returns a hash of a Node of the inventory without its free capacity and resource version, and whether it could be computed.
+// nodeFingerprint returns a hash of a Node of the inventory, without its free capacity and its resource
+// version. ok is false if the Node cannot be encoded.
 func nodeFingerprint(object *corev1.Node) (hash uint64, ok bool) {
 	stripped := *object
 	stripped.ResourceVersion = ""
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -11,19 +11,20 @@
 	"heathshed/placer"
 )
 
-// Listing selects what a call of NodesListed contains.
+// Listing states which nodes a call of NodesListed contains.
 type Listing uint8
 
 const (
-	// FullList contains all nodes of the inventory.
+	// FullList means that the call contains all nodes of the inventory.
 	FullList Listing = iota
-	// Changes contains nodes that were added, changed or removed.
+	// Changes means that the call contains only nodes that were added, changed or removed.
 	Changes
-	// ListUnavailable contains nothing: the inventory cannot be reached, and the last list remains in force.
+	// ListUnavailable means that the inventory cannot be reached and the call contains no nodes. The last
+	// list remains valid.
 	ListUnavailable
 )
 
-// nodeRegistry owns the nodes that the inventory lists, or that run tasks.
+// nodeRegistry owns the records of all nodes that are in the inventory or still run tasks.
 type nodeRegistry struct {
 	*environment
 	lifecycle *taskLifecycle
@@ -32,45 +33,47 @@
 
 	byName          map[string]*node
 	byID            map[placer.NodeID]*node
-	zones           map[string]int // the placer's numbers of zones
-	racks           map[string]int // the placer's numbers of racks
-	inventoryListed bool           // the inventory was listed at least once
+	zones           map[string]int // index in the placer by name of the zone
+	racks           map[string]int // index in the placer by name of the rack
+	inventoryListed bool           // the inventory has been listed at least once
 }
 
-// get returns the node with a name, nil if it is unknown.
+// get returns the node with the given name, or nil if the node is unknown.
 func (r *nodeRegistry) get(name string) *node { return r.byName[name] }
 
-// getByID returns the node with an ID at the placer, nil if it is unknown.
+// getByID returns the node with the given placer ID, or nil if the node is unknown.
 func (r *nodeRegistry) getByID(id placer.NodeID) *node { return r.byID[id] }
 
-// applyListing implements Engine.NodesListed.
+// applyListing handles a list of nodes, or of changes to nodes, for Engine.NodesListed.
 func (r *nodeRegistry) applyListing(kind Listing, nodes []*corev1.Node, removed []string) {
 	if kind == ListUnavailable {
-		// The caller resumes its watch by itself: only a list that the placer requested needs an answer.
+		// The caller resumes its watch on its own. Only a list that the placer has requested needs an
+		// answer.
 		if r.cfg.Placer.Discovery.MustPoll {
 			r.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 		return
 	}
-	changed := r.update(nodes)
+	changed := r.applyNodes(nodes)
 	list := placer.Changes
 	if kind == FullList {
 		list = placer.FullList
-		removed = append(removed, r.unlisted(nodes)...)
+		removed = append(removed, r.missingFromList(nodes)...)
 		slices.Sort(removed)
 	}
-	changed = append(changed, r.remove(removed)...)
+	changed = append(changed, r.removeFromInventory(removed)...)
 	reported := make([]placer.Node, 0, len(changed))
 	for _, node := range changed {
-		reported = append(reported, r.placerNode(node))
+		reported = append(reported, r.refreshPlacerNode(node))
 		r.publisher.publishNode(node)
 	}
 	r.inventoryListed = true
 	r.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: reported})
 }
 
-// update applies listed nodes and returns them, except for those whose ID at the placer is that of another node.
-func (r *nodeRegistry) update(listed []*corev1.Node) []*node {
+// applyNodes updates the records of the given nodes and returns the records. It skips a node whose placer
+// ID already belongs to another node.
+func (r *nodeRegistry) applyNodes(listed []*corev1.Node) []*node {
 	var updated []*node
 	for _, object := range listed {
 		node := r.getOrAdd(object.Name)
@@ -78,14 +81,16 @@
 			continue
 		}
 		r.setAddress(node, wellknown.NodeAddress(object))
-		// The list may be late and state an earlier incarnation: only the node itself knows the present one.
+		// The list may be out of date and state an earlier incarnation, so it does not set
+		// node.incarnation. Only the node itself knows its present incarnation.
 		node.inventory = object
 		updated = append(updated, node)
 	}
 	return updated
 }
 
-// getOrAdd returns the node with a name, which it adds if it is new. It returns nil if another node has the same ID at the placer.
+// getOrAdd returns the node with the given name and adds it if it is unknown. It returns nil if the placer
+// ID of a new node already belongs to another node.
 func (r *nodeRegistry) getOrAdd(name string) *node {
 	if known := r.byName[name]; known != nil {
 		return known
@@ -99,7 +104,8 @@
 	return added
 }
 
-// setAddress starts to watch the Pods of a node at its present address.
+// setAddress records the address of a node. If the address has changed, the Pods of the node are watched at
+// the new address instead of the old one.
 func (r *nodeRegistry) setAddress(node *node, address string) {
 	if address == node.address {
 		return
@@ -114,23 +120,25 @@
 	}
 }
 
-// unlisted returns the names of the nodes in the inventory that are not in a full list, in no order.
-func (r *nodeRegistry) unlisted(listed []*corev1.Node) []string {
+// missingFromList returns the names of the nodes that are in the inventory according to their records but
+// not in a full list. The names are in random order.
+func (r *nodeRegistry) missingFromList(listed []*corev1.Node) []string {
 	names := make(map[string]bool, len(listed))
 	for _, object := range listed {
 		names[object.Name] = true
 	}
-	var unlisted []string
+	var missing []string
 	for name, node := range r.byName {
 		if !names[name] && node.inventory != nil {
-			unlisted = append(unlisted, name)
+			missing = append(missing, name)
 		}
 	}
-	return unlisted
+	return missing
 }
 
-// remove records that nodes have left the inventory and returns those that were in it.
-func (r *nodeRegistry) remove(names []string) []*node {
+// removeFromInventory records that nodes have left the inventory. It returns the records of the nodes that
+// were in the inventory until now.
+func (r *nodeRegistry) removeFromInventory(names []string) []*node {
 	var removed []*node
 	for _, name := range names {
 		if node := r.byName[name]; node != nil && node.inventory != nil {
@@ -141,8 +149,9 @@
 	return removed
 }
 
-// placerNode determines a node's state and describes the node to the placer.
-func (r *nodeRegistry) placerNode(node *node) placer.Node {
+// refreshPlacerNode updates the state of a node from its inventory entry and the drain request, and returns
+// the node's description for the placer. If the node has become Terminated, the node loss timeout starts.
+func (r *nodeRegistry) refreshPlacerNode(node *node) placer.Node {
 	previousState := node.state
 	node.state = placer.Terminated
 	reported := placer.Node{ID: node.id, NodeType: -1}
@@ -153,7 +162,7 @@
 		reported.StartedAt = r.incarnationStart(node)
 		reported.FreeCores, reported.FreeMemory = freeCapacity(object)
 		switch {
-		case node.drainOrdered || object.Spec.Unschedulable:
+		case node.drainRequested || object.Spec.Unschedulable:
 			node.state = placer.Draining
 		case wellknown.NodeReady(object) && node.address != "":
 			node.state = placer.Ready
@@ -161,15 +170,17 @@
 	}
 	reported.State = node.state
 	if node.state == placer.Terminated && (previousState != placer.Terminated || !node.reportedToPlacer) {
-		r.absent(node)
+		r.startLossTimer(node)
 	}
 	node.reportedToPlacer = true
 	return reported
 }
 
-// incarnationStart returns when the incarnation that the inventory states began, by this scheduler's clock; 0 is long ago. The clocks of
-// nodes are not comparable with it: with one that is behind, a node that has just started would not count as warming up. An incarnation
-// that is new to this scheduler began when it was first listed. That is later than its true start by at most the delay of the list, which
+// incarnationStart returns when the incarnation that the inventory states for a node began, by this
+// scheduler's clock. 0 means long ago. An incarnation that appears after the first list counts as begun
+// when the inventory first listed it. The timestamp from the node is not used in this case, because clocks
+// differ between nodes: if the node's clock is behind, a node that has just started would not count as
+// warming up. The time of the list is later than the true start by at most the delay of the list, which
 // only makes the node warm up for longer.
 func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
 	incarnation := node.inventory.Status.NodeInfo.BootID
@@ -183,23 +194,26 @@
 	case r.inventoryListed:
 		node.listedStartedAt = r.now
 	default:
-		node.listedStartedAt = min(stated, r.now) // from before this scheduler's start: nothing else is known
+		// The node started before this scheduler did, so its own timestamp is the only information.
+		node.listedStartedAt = min(stated, r.now)
 	}
 	node.listedIncarnation = incarnation
 	return node.listedStartedAt
 }
 
-// absent records that a node is absent from the inventory, and schedules the check whether its tasks are lost.
-func (r *nodeRegistry) absent(node *node) {
-	node.absentSince = r.now
-	r.runAfter(r.cfg.NodeLossTimeout, func() { r.checkLoss(node) })
+// startLossTimer records the present time as the start of the node loss timeout, and schedules
+// checkNodeLoss for the end of the timeout.
+func (r *nodeRegistry) startLossTimer(node *node) {
+	node.lossTimerStart = r.now
+	r.runAfter(r.cfg.NodeLossTimeout, func() { r.checkNodeLoss(node) })
 }
 
-// checkLoss ends the tasks of a node that has been absent and unresponsive for long enough. A task that must not run twice does not
-// end: the node may only be unreachable, and only the node itself, or a new incarnation of it, can report that the task has ended.
-func (r *nodeRegistry) checkLoss(node *node) {
-	absentFor := r.now - node.absentSince
-	if node.state != placer.Terminated || node.podsWatched || absentFor < r.cfg.NodeLossTimeout {
+// checkNodeLoss ends the tasks of a node that has been absent from the inventory and unresponsive for the
+// whole node loss timeout. A non-idempotent task is not ended: the node may only be unreachable, and only
+// the node itself or a new incarnation of it can confirm that the task has ended.
+func (r *nodeRegistry) checkNodeLoss(node *node) {
+	waited := r.now - node.lossTimerStart
+	if node.state != placer.Terminated || node.podsWatched || waited < r.cfg.NodeLossTimeout {
 		return
 	}
 	for _, task := range inCreationOrder(node.running) {
@@ -211,7 +225,7 @@
 	r.unwatchRemoved(node)
 }
 
-// unwatchRemoved ends the watch of a node that has left the inventory and runs nothing.
+// unwatchRemoved stops watching a node that has left the inventory and runs no tasks.
 func (r *nodeRegistry) unwatchRemoved(node *node) {
 	if node.inventory != nil || len(node.running) > 0 || node.address == "" {
 		return
@@ -221,7 +235,8 @@
 	node.podsWatched = false
 }
 
-// counts implements Engine.NodeCounts.
+// counts returns the values of Engine.NodeCounts: the nodes that are ready or draining, and how many of
+// these have their Pods watched.
 func (r *nodeRegistry) counts() (listed, watched int) {
 	for _, node := range r.byName {
 		if node.state == placer.Terminated {
@@ -235,15 +250,17 @@
 	return listed, watched
 }
 
-// podsListed records that a node has listed its Pods and that they are watched.
-func (r *nodeRegistry) podsListed(node *node, incarnation string) {
+// recordPodList records that a node has listed its Pods and that its Pods are now watched.
+func (r *nodeRegistry) recordPodList(node *node, incarnation string) {
 	node.podsWatched = true
 	r.observeIncarnation(node, incarnation)
 }
 
-// observeIncarnation records the incarnation that a node states. Nothing that ran in an earlier incarnation runs in a new one.
+// observeIncarnation handles the incarnation that a node states. If the incarnation is new, every task that
+// an earlier incarnation accepted is lost, since no task survives a restart of its node. An attempt whose
+// outcome is unknown may have run in the earlier incarnation.
 func (r *nodeRegistry) observeIncarnation(node *node, incarnation string) {
-	if !node.startsIncarnation(incarnation) {
+	if !node.recordIncarnation(incarnation) {
 		return
 	}
 	for _, task := range inCreationOrder(node.running) {
@@ -258,7 +275,7 @@
 	}
 }
 
-// markUnresponsive implements Engine.NodeUnresponsive.
+// markUnresponsive records for Engine.NodeUnresponsive that the Pods of a node can no longer be watched.
 func (r *nodeRegistry) markUnresponsive(name string) {
 	node := r.byName[name]
 	if node == nil || !node.podsWatched {
@@ -266,6 +283,6 @@
 	}
 	node.podsWatched = false
 	if node.state == placer.Terminated {
-		r.absent(node)
+		r.startLossTimer(node)
 	}
 }
--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -10,48 +10,50 @@
 		name  string
 		known []string // incarnations that the node has stated before, in order
 		given string
-		want  bool // a known incarnation has ended
+		want  bool // whether the given incarnation replaces a known one
 	}{
-		{"the first", nil, "a", false},
-		{"none stated", []string{"a"}, "", false},
-		{"the present one", []string{"a"}, "a", false},
-		{"the next", []string{"a"}, "b", true},
-		{"a late message of a past one", []string{"a", "b"}, "a", false},
+		{"first incarnation", nil, "a", false},
+		{"no incarnation stated", []string{"a"}, "", false},
+		{"present incarnation", []string{"a"}, "a", false},
+		{"new incarnation", []string{"a"}, "b", true},
+		{"late message of a past incarnation", []string{"a", "b"}, "a", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			observed := &node{}
 			for _, incarnation := range test.known {
-				observed.startsIncarnation(incarnation)
+				observed.recordIncarnation(incarnation)
 			}
-			if got := observed.startsIncarnation(test.given); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+			if got := observed.recordIncarnation(test.given); got != test.want {
+				t.Errorf("recordIncarnation returned %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestPastIncarnationsAreBounded checks that a node which restarts often takes no more memory.
+// TestPastIncarnationsAreBounded checks that the memory for past incarnations does not grow without limit
+// if a node restarts often.
 func TestPastIncarnationsAreBounded(t *testing.T) {
 	observed := &node{}
 	for restart := range 10 * maxPastIncarnations {
-		observed.startsIncarnation(fmt.Sprint("incarnation-", restart))
+		observed.recordIncarnation(fmt.Sprint("incarnation-", restart))
 	}
 	if got := len(observed.pastIncarnations); got != maxPastIncarnations {
-		t.Errorf("%d past incarnations are remembered, want %d", got, maxPastIncarnations)
+		t.Errorf("node remembers %d past incarnations, want %d", got, maxPastIncarnations)
 	}
 }
 
-// TestUnresolvedAttemptsInCreationOrder checks that the order of a map does not become the order of effects.
+// TestUnresolvedAttemptsInCreationOrder checks that unresolved attempts are returned in a fixed order. The
+// random iteration order of the map that holds them must not determine the order of effects.
 func TestUnresolvedAttemptsInCreationOrder(t *testing.T) {
-	at := &node{}
+	observed := &node{}
 	for _, sequence := range []int{4, 1, 3, 0, 2} {
 		owner := &task{sequence: sequence}
-		at.addUnknownOutcome(&attempt{task: owner, number: 2})
-		at.addUnknownOutcome(&attempt{task: owner, number: 1})
+		observed.addUnknownOutcome(&attempt{task: owner, number: 2})
+		observed.addUnknownOutcome(&attempt{task: owner, number: 1})
 	}
-	for i, unresolved := range at.unresolvedAttempts() {
+	for i, unresolved := range observed.unresolvedAttempts() {
 		if unresolved.task.sequence != i/2 || unresolved.number != i%2+1 {
-			t.Errorf("place %d: attempt %d of task %d", i, unresolved.number, unresolved.task.sequence)
+			t.Errorf("attempt at position %d is out of order: number %d of task %d", i, unresolved.number, unresolved.task.sequence)
 		}
 	}
 }
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// updateNode implements Engine.UpdateNode.
+// updateNode changes the labels and the drain request of a node for Engine.UpdateNode.
 func (r *nodeRegistry) updateNode(update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	node := r.byName[update.Name]
 	stored := r.publisher.storedNode(update.Name)
@@ -18,7 +18,7 @@
 	if err := checkPreconditions(stored, update.UID, update.ResourceVersion); err != nil {
 		return nil, err
 	}
-	if invalid := checkNodeUpdate(stored, update); invalid != nil {
+	if invalid := validateNodeUpdate(stored, update); invalid != nil {
 		return nil, invalid
 	}
 	if dryRun {
@@ -27,17 +27,17 @@
 	if !maps.Equal(update.Labels, stored.Labels) {
 		node.overrideLabels(update.Labels)
 	}
-	if drain != nil && *drain != node.drainOrdered {
-		node.orderDrain(*drain)
-		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{r.placerNode(node)}})
+	if drain != nil && *drain != node.drainRequested {
+		node.setDrainRequested(*drain)
+		r.post(placer.Event{Kind: placer.NodesListed, List: placer.Changes, Nodes: []placer.Node{r.refreshPlacerNode(node)}})
 		r.drainEvents()
 	}
 	r.publisher.publishNode(node)
 	return r.publisher.storedNode(update.Name), nil
 }
 
-// checkNodeUpdate returns an error if an update changes a label that only the inventory sets.
-func checkNodeUpdate(stored, update *corev1.Node) *InvalidError {
+// validateNodeUpdate returns an error if an update changes a label that only the inventory may set.
+func validateNodeUpdate(stored, update *corev1.Node) *InvalidError {
 	for _, key := range inventoryLabels {
 		if update.Labels[key] != stored.Labels[key] {
 			return &InvalidError{
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// previewUpdate returns the Node that an update would store.
+// previewUpdate returns the Node that an update would store, for a dry run.
 func (n *node) previewUpdate(stored, update *corev1.Node, drain *bool) *corev1.Node {
 	preview := stored.DeepCopy()
 	preview.Labels = update.Labels
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -10,20 +10,22 @@
 	"heathshed/placer"
 )
 
-// podRevision returns the revision of a Pod at its node.
+// podRevision returns the resource version of a Pod at its node as a number, or 0 if the Pod does not state
+// a number.
 func podRevision(pod *corev1.Pod) int64 {
-	revision, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64) // 0 if the Pod states no number
+	revision, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64)
 	return revision
 }
 
-// Exit codes of containers, which nodes do not state.
+// Exit codes of containers. Nodes do not report exit codes, so the engine derives them from how a task
+// ended.
 const (
 	exitSuccess = 0
 	exitFailure = 1
-	exitKilled  = 137 // 128 + SIGKILL
+	exitKilled  = 137 // 128 + SIGKILL, as a container runtime reports a killed process
 )
 
-// exitCode returns the exit code that is stored for the containers of an ended task.
+// exitCode returns the exit code to store for each container of an ended task.
 func (end *taskEnd) exitCode() int32 {
 	switch {
 	case end.succeeded():
@@ -34,7 +36,8 @@
 	return exitKilled
 }
 
-// setPodCondition adds or replaces a condition. The time of its last transition stays unless its status changes.
+// setPodCondition adds a condition to a Pod or replaces the condition of the same type. The time of the
+// last transition is only updated if the status of the condition changes.
 func setPodCondition(pod *corev1.Pod, condition corev1.PodCondition) {
 	for i := range pod.Status.Conditions {
 		stored := &pod.Status.Conditions[i]
@@ -50,32 +53,33 @@
 	pod.Status.Conditions = append(pod.Status.Conditions, condition)
 }
 
-// jobOwnerReference returns the reference by which Pods name their Job.
+// jobOwnerReference returns the owner reference of a Job's Pods.
 func jobOwnerReference(job *job) metav1.OwnerReference {
-	yes := true
+	isTrue := true
 	return metav1.OwnerReference{
 		APIVersion:         "batch/v1",
 		Kind:               "Job",
 		Name:               job.object.Name,
 		UID:                job.uid,
-		Controller:         &yes,
-		BlockOwnerDeletion: &yes,
+		Controller:         &isTrue,
+		BlockOwnerDeletion: &isTrue,
 	}
 }
 
-// deletionGracePeriod is the deletionGracePeriodSeconds of deleted Pods, as the Kubernetes API sets it by default.
-const deletionGracePeriod = 30
+// deletionGracePeriodSeconds is the grace period that a deleted Pod states. It is the default of the
+// Kubernetes API.
+const deletionGracePeriodSeconds = 30
 
-// showPlaced writes the outcome of a task that a node has accepted into its Pod.
-func showPlaced(pod *corev1.Pod, now metav1.Time, node, message string) {
-	showSettled(pod, now, outcomePlaced, message)
+// setPodPlaced records in a Pod that a node has accepted its task.
+func setPodPlaced(pod *corev1.Pod, now metav1.Time, node, message string) {
+	setPodSettled(pod, now, outcomePlaced, message)
 	pod.Spec.NodeName = node
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
-// showUnplaced writes the outcome of a task that no node has accepted into its Pod.
-func showUnplaced(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
-	showSettled(pod, now, outcome, message)
+// setPodUnplaced records in a Pod that its task has ended without being placed.
+func setPodUnplaced(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
+	setPodSettled(pod, now, outcome, message)
 	pod.Status.Phase = corev1.PodFailed
 	pod.Status.Reason = string(outcome)
 	pod.Status.Message = message
@@ -88,8 +92,8 @@
 	})
 }
 
-// showSettled writes the final outcome of a task into its Pod.
-func showSettled(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
+// setPodSettled writes the final outcome of a task into the Settled condition of its Pod.
+func setPodSettled(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               wellknown.Settled,
 		Status:             corev1.ConditionTrue,
@@ -100,8 +104,8 @@
 	})
 }
 
-// showStarted marks the containers of a Pod as running.
-func showStarted(pod *corev1.Pod, now metav1.Time) {
+// setPodStarted marks a Pod and its containers as running.
+func setPodStarted(pod *corev1.Pod, now metav1.Time) {
 	pod.Status.Phase = corev1.PodRunning
 	pod.Status.StartTime = &now
 	pod.Status.ContainerStatuses = nil
@@ -121,8 +125,8 @@
 	}
 }
 
-// showEnded writes the end of a task into its Pod.
-func showEnded(pod *corev1.Pod, now metav1.Time, end *taskEnd) {
+// setPodEnded records in a Pod how its task ended.
+func setPodEnded(pod *corev1.Pod, now metav1.Time, end *taskEnd) {
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
 		pod.Status.Phase = corev1.PodSucceeded
@@ -143,9 +147,9 @@
 	}
 }
 
-// showDeleted marks a Pod as deleted: it is removed once its task has ended.
-func showDeleted(pod *corev1.Pod, now metav1.Time) {
-	gracePeriod := int64(deletionGracePeriod)
+// setPodDeleted marks a Pod as being deleted. The Pod is removed from the store once its task has ended.
+func setPodDeleted(pod *corev1.Pod, now metav1.Time) {
+	gracePeriod := int64(deletionGracePeriodSeconds)
 	pod.DeletionTimestamp = &now
 	pod.DeletionGracePeriodSeconds = &gracePeriod
 }
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -5,7 +5,8 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// podController deletes and evicts Pods. It is stateless.
+// podController deletes and evicts Pods for API clients and for the Job controller. It has no state of its
+// own.
 type podController struct {
 	tasks         *taskTable
 	lifecycle     *taskLifecycle
@@ -14,7 +15,8 @@
 	publisher     *publisher
 }
 
-// deleteByName implements Engine.DeletePod.
+// deleteByName deletes a Pod for Engine.DeletePod. It returns the Pod as it is stored afterwards, or as it
+// was last stored if it has been removed.
 func (c *podController) deleteByName(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	pod, err := c.find(namespace, name, uid, resourceVersion)
 	if err != nil {
@@ -27,7 +29,8 @@
 	return pod, nil
 }
 
-// find returns the stored Pod with a name. The error is ErrNotFound, or ErrConflict if its UID or resource version is not the required one.
+// find returns the stored Pod with the given name. It returns ErrNotFound if there is none, and ErrConflict
+// if the UID or the resource version of the Pod differs from the required one.
 func (c *podController) find(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	pod := c.publisher.storedPod(namespace, name)
 	if pod == nil {
@@ -36,7 +39,8 @@
 	return pod, checkPreconditions(pod, uid, resourceVersion)
 }
 
-// evict implements Engine.EvictPod.
+// evict stops the running task of a Pod for Engine.EvictPod, so that its Job starts it again. A Pod whose
+// task is not running is deleted.
 func (c *podController) evict(namespace, name string, uid types.UID) error {
 	pod, err := c.find(namespace, name, uid, "")
 	if err != nil {
@@ -51,7 +55,8 @@
 	return nil
 }
 
-// delete stops the task of a Pod and marks the Pod as deleted: it is removed once the task has ended. A Pod without a task is removed at once.
+// delete stops the task of a Pod and marks the Pod as deleted. The Pod is removed once the task has ended,
+// or at once if the Pod has no task.
 func (c *podController) delete(pod *corev1.Pod, reason stopReason) {
 	task := c.tasks.get(pod.UID)
 	if task == nil {
@@ -70,7 +75,7 @@
 	c.lifecycle.stop(task, reason)
 }
 
-// deleteOfTask deletes the Pod of a task, if it is stored.
+// deleteOfTask deletes the Pod of a task if the Pod is still stored.
 func (c *podController) deleteOfTask(task *task, reason stopReason) {
 	if pod := c.publisher.podOf(task); pod != nil {
 		c.delete(pod, reason)
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// podObserver applies what nodes report of the Pods that they run to the tasks. It is stateless.
+// podObserver updates tasks from the reports that nodes send about their Pods. It has no state of its own.
 type podObserver struct {
 	*environment
 	tasks     *taskTable
@@ -18,46 +18,50 @@
 	adopter   *adopter
 }
 
-// observePodList implements Engine.NodePods.
+// observePodList handles a node's complete list of Pods for Engine.NodePods. A running task that is missing
+// in the list has ended.
 func (o *podObserver) observePodList(name, incarnation string, revision int64, pods []*corev1.Pod) {
 	node := o.nodes.get(name)
 	if node == nil {
 		return
 	}
-	o.nodes.podsListed(node, incarnation)
+	o.nodes.recordPodList(node, incarnation)
 	seen := map[types.UID]bool{}
 	for _, pod := range pods {
 		seen[pod.UID] = true
 		o.observe(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.running) {
-		// The list does not contain tasks that were accepted after it was made.
+		// A task that the node accepted after it made the list has a newer revision than the list, and is
+		// not missing.
 		if !seen[task.uid] && task.attempts.running.revision <= revision {
-			o.runningMissing(task)
+			o.endMissingTask(task)
 		}
 	}
 }
 
-// observePodChange implements Engine.NodePod.
+// observePodChange handles a node's report of one Pod for Engine.NodePod.
 func (o *podObserver) observePodChange(name string, pod *corev1.Pod, deleted bool) {
 	if node := o.nodes.get(name); node != nil {
 		o.observe(node, pod, deleted)
 	}
 }
 
-// observe applies a node's report of a Pod to its task.
+// observe handles a node's report of a Pod: it updates the task that the Pod belongs to, adopts a Pod
+// without a task, or stops a surplus copy of a task.
 func (o *podObserver) observe(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
-	over := deleted || wellknown.Finished(pod)
+	finished := deleted || wellknown.Finished(pod)
 	if task == nil {
-		if !over && pod.Labels[wellknown.Scheduler] == o.cfg.Name {
+		if !finished && pod.Labels[wellknown.Scheduler] == o.cfg.Name {
 			o.adopter.adoptPod(node, pod)
 		}
 		return
 	}
 	if pending := task.attempts.inFlight; pending != nil && pending.node == node {
-		// The answer may still arrive: the observation is used once it has arrived or is known to be lost.
-		pending.observe(observedAt(node, pod, deleted))
+		// The answer to the attempt may still arrive. The report is kept until the answer has arrived or is
+		// known to be lost.
+		pending.observe(newObservedPod(node, pod, deleted))
 		return
 	}
 	if running := task.attempts.running; running != nil && running.node == node {
@@ -66,30 +70,30 @@
 	}
 	for _, unresolved := range task.attempts.unknown {
 		if unresolved.node == node {
-			o.outcomes.observe(unresolved, observedAt(node, pod, deleted))
+			o.outcomes.observe(unresolved, newObservedPod(node, pod, deleted))
 			return
 		}
 	}
-	if !over {
+	if !finished {
 		o.stopCopy(node, task.podIdentity, task.attempts.count)
 	}
 }
 
-// observedAt returns the observation of a Pod at a node in its present incarnation.
-func observedAt(node *node, pod *corev1.Pod, deleted bool) *observedPod {
+// newObservedPod returns a node's report of a Pod, with the node's present incarnation.
+func newObservedPod(node *node, pod *corev1.Pod, deleted bool) *observedPod {
 	return &observedPod{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
 }
 
-// observeRunning applies a node's report of a task that it has accepted.
+// observeRunning handles a node's report of the Pod of a task that the node has accepted.
 func (o *podObserver) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
 	case pod.Status.Phase == corev1.PodSucceeded:
 		o.lifecycle.started(task)
 		o.lifecycle.ended(task, taskEnd{result: placer.Finished})
 	case pod.Status.Phase == corev1.PodFailed:
-		o.lifecycle.ended(task, failedEnd(task, pod))
+		o.lifecycle.ended(task, endOfFailedPod(task, pod))
 	case deleted:
-		o.runningMissing(task)
+		o.endMissingTask(task)
 	default:
 		if pod.Status.Phase == corev1.PodRunning {
 			o.lifecycle.started(task)
@@ -98,7 +102,8 @@
 	}
 }
 
-// reportUsage forwards the resource usage that a node states for a task to the placer. A usage that is absent or cannot be parsed is ignored.
+// reportUsage passes the resource usage that a node reports for a task on to the placer. It ignores usage
+// that is missing or cannot be parsed.
 func (o *podObserver) reportUsage(running *attempt, pod *corev1.Pod) {
 	used, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
 	if err != nil {
@@ -114,11 +119,11 @@
 	}
 }
 
-// reasonError is the reason that a node states for a task that failed by itself.
+// reasonError is the reason that a node reports for a Pod whose task failed by itself.
 const reasonError = "Error"
 
-// failedEnd describes the end of a task whose Pod the node reports as failed.
-func failedEnd(task *task, pod *corev1.Pod) taskEnd {
+// endOfFailedPod returns how a task has ended whose Pod the node reports as failed.
+func endOfFailedPod(task *task, pod *corev1.Pod) taskEnd {
 	end := taskEnd{result: placer.Lost, status: pod.Status.Reason, message: pod.Status.Message}
 	switch pod.Status.Reason {
 	case wellknown.Evicted:
@@ -138,8 +143,9 @@
 	return end
 }
 
-// runningMissing ends a task that its node no longer has.
-func (o *podObserver) runningMissing(task *task) {
+// endMissingTask ends a task that was running on a node but that the node no longer reports. The task
+// counts as stopped if a stop was requested, and as lost otherwise.
+func (o *podObserver) endMissingTask(task *task) {
 	if task.isStopping() {
 		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
 		return
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -7,7 +7,8 @@
 	"heathshed/internal/kube/store"
 )
 
-// publisher owns the store and writes the Jobs, Pods, Nodes and Namespaces that the API shows into it. No other part writes to the store.
+// publisher owns the store and writes the Jobs, Pods, Nodes and Namespaces of the API into it. No other
+// part of the engine writes to the store.
 type publisher struct {
 	*environment
 	store *store.Store
@@ -19,12 +20,12 @@
 	p.store.Delete(store.Jobs, object.Namespace, object.Name)
 }
 
-// storedJob returns a stored Job, which must exist.
+// storedJob returns the stored Job with the given name. The Job must exist.
 func (p *publisher) storedJob(namespace, name string) *batchv1.Job {
 	return p.store.Get(store.Jobs, namespace, name).(*batchv1.Job)
 }
 
-// storedNode returns the stored Node with a name, nil if there is none.
+// storedNode returns the stored Node with the given name, or nil if there is none.
 func (p *publisher) storedNode(name string) *corev1.Node {
 	stored, _ := p.store.Get(store.Nodes, "", name).(*corev1.Node)
 	return stored
@@ -34,13 +35,13 @@
 
 func (p *publisher) deletePod(namespace, name string) { p.store.Delete(store.Pods, namespace, name) }
 
-// storedPod returns the stored Pod with a name, nil if there is none.
+// storedPod returns the stored Pod with the given name, or nil if there is none.
 func (p *publisher) storedPod(namespace, name string) *corev1.Pod {
 	stored, _ := p.store.Get(store.Pods, namespace, name).(*corev1.Pod)
 	return stored
 }
 
-// podOf returns the stored Pod of a task, nil if it was removed.
+// podOf returns the stored Pod of a task, or nil if the Pod was removed.
 func (p *publisher) podOf(task *task) *corev1.Pod {
 	object := p.store.Get(store.Pods, task.namespace, task.name)
 	if object == nil || object.GetUID() != task.uid {
@@ -49,8 +50,9 @@
 	return object.(*corev1.Pod)
 }
 
-// updatePod stores a changed copy of a task's Pod, if it is stored. The change may set no field of the Spec but the node's name: the rest is
-// shared.
+// updatePod stores a copy of a task's Pod to which mutate has been applied. It does nothing if the Pod is
+// not stored. In the Spec, mutate may set only the node's name: the old and the new Pod share the rest of
+// the Spec.
 func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
 	stored := p.podOf(task)
 	if stored == nil {
@@ -63,7 +65,7 @@
 	p.putPod(&updated)
 }
 
-// addNamespaces stores the Namespace objects of the default namespace and the tenants.
+// addNamespaces stores a Namespace for the default namespace and for each tenant.
 func (p *publisher) addNamespaces() {
 	for _, name := range append([]string{defaultNamespace}, p.cfg.Tenants...) {
 		if p.store.Get(store.Namespaces, "", name) != nil {
@@ -80,36 +82,37 @@
 
 func (p *publisher) podCount() int { return p.store.Len(store.Pods) }
 
-// objectCost returns the cost of the stored objects, as store.Cost counts.
+// objectCost returns an estimate of the memory in bytes that all stored objects take; see store.Cost.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
 
-// publishPlaced stores the outcome of a task that a node has accepted.
+// publishPlaced stores in a task's Pod that a node has accepted the task.
 func (p *publisher) publishPlaced(task *task, message string) {
 	node := task.attempts.running.node.name
-	p.updatePod(task, func(pod *corev1.Pod) { showPlaced(pod, p.apiNow(), node, message) })
+	p.updatePod(task, func(pod *corev1.Pod) { setPodPlaced(pod, p.apiNow(), node, message) })
 }
 
-// publishUnplaced stores the outcome of a task that no node has accepted.
+// publishUnplaced stores in a task's Pod that the task has ended without being placed.
 func (p *publisher) publishUnplaced(task *task, outcome taskOutcome, message string) {
-	p.updatePod(task, func(pod *corev1.Pod) { showUnplaced(pod, p.apiNow(), outcome, message) })
+	p.updatePod(task, func(pod *corev1.Pod) { setPodUnplaced(pod, p.apiNow(), outcome, message) })
 }
 
-// publishNodeName stores the node of a task whose outcome was published before.
+// publishNodeName stores the node of a task in its Pod, without changing the outcome that was published
+// before.
 func (p *publisher) publishNodeName(task *task, node string) {
 	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = node })
 }
 
-// publishStarted stores that the containers of a task run.
+// publishStarted stores in a task's Pod that its containers are running.
 func (p *publisher) publishStarted(task *task) {
-	p.updatePod(task, func(pod *corev1.Pod) { showStarted(pod, p.apiNow()) })
+	p.updatePod(task, func(pod *corev1.Pod) { setPodStarted(pod, p.apiNow()) })
 }
 
-// publishEnded stores how a task ended.
+// publishEnded stores in a task's Pod how the task ended.
 func (p *publisher) publishEnded(task *task, end *taskEnd) {
-	p.updatePod(task, func(pod *corev1.Pod) { showEnded(pod, p.apiNow(), end) })
+	p.updatePod(task, func(pod *corev1.Pod) { setPodEnded(pod, p.apiNow(), end) })
 }
 
-// publishDeleted stores that a Pod was deleted and waits for the end of its task.
+// publishDeleted stores in a task's Pod that the Pod is being deleted.
 func (p *publisher) publishDeleted(task *task) {
-	p.updatePod(task, func(pod *corev1.Pod) { showDeleted(pod, p.apiNow()) })
+	p.updatePod(task, func(pod *corev1.Pod) { setPodDeleted(pod, p.apiNow()) })
 }
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -13,7 +13,8 @@
 	"heathshed/placer"
 )
 
-// fakeNode is a node of a script: it answers attempts and stop orders at random, and runs the Pods that it accepted.
+// fakeNode is a node of a script. It answers attempts and stop orders at random and runs the Pods that it
+// has accepted.
 type fakeNode struct {
 	name        string
 	incarnation int
@@ -21,7 +22,7 @@
 	ready       bool
 	removed     bool
 	draining    bool
-	pods        []*corev1.Pod // in order of acceptance
+	pods        []*corev1.Pod // accepted Pods in order of acceptance
 	fencedUpTo  map[types.UID]int
 }
 
@@ -31,7 +32,7 @@
 	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
 }
 
-// answerAttempt lets a node accept, reject, lose or ignore an attempt.
+// answerAttempt makes a node accept, reject, lose or ignore an attempt, at random.
 func (s *script) answerAttempt(effect engine.Effect) {
 	node := s.node(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
@@ -48,11 +49,11 @@
 	case draw < 24:
 		answer.Result = placer.Lost
 	case draw < 30:
-		return // never answered
-	case draw < 38: // accepted, but the answer is lost
+		return // The node never answers.
+	case draw < 38: // The node accepts the task, but its answer is lost.
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
-	case draw < 46: // accepted, but the answer comes too late
+	case draw < 46: // The node accepts the task, but its answer arrives too late.
 		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.delay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
@@ -63,7 +64,7 @@
 	s.after(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
-// accept has a node accept a task, start it and end it later, and returns the node's revision.
+// accept makes a node accept a task and schedules the task's start and end. It returns the node's revision.
 func (s *script) accept(node *fakeNode, effect engine.Effect) int64 {
 	node.revision++
 	pod := effect.Pod.DeepCopy()
@@ -75,12 +76,13 @@
 		return node.revision
 	}
 	node.pods = append(node.pods, pod)
-	s.plan(node, pod.UID)
+	s.scheduleTaskRun(node, pod.UID)
 	return node.revision
 }
 
-// plan schedules what the node's watch shows of a task: that it runs, that it ends, and sometimes that its Pod vanishes.
-func (s *script) plan(node *fakeNode, uid types.UID) {
+// scheduleTaskRun schedules what the watch of a node's Pods reports about a task: its start, its end, and
+// sometimes that its Pod vanishes.
+func (s *script) scheduleTaskRun(node *fakeNode, uid types.UID) {
 	incarnation := node.incarnation
 	reasons := []string{
 		"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped,
@@ -89,23 +91,24 @@
 	vanishes := s.rng.IntN(12) == 0
 	start := s.delay(0.02, 0.3)
 	end := start + 1 + placer.Seconds(15*s.rng.Float64())
-	s.onNode(start, node, incarnation, uid, func(pod *corev1.Pod) {
+	s.schedulePodChange(start, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
 		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(0.5, 1.25)
 	}, false)
-	s.onNode(end, node, incarnation, uid, func(pod *corev1.Pod) {
+	s.schedulePodChange(end, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodSucceeded
 		if reason != "" {
 			pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, "stated by the node"
 		}
 	}, false)
 	if vanishes {
-		s.onNode(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
+		s.schedulePodChange(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
 	}
 }
 
-// onNode schedules a change of a Pod at a node, which the scheduler that runs then is notified of.
-func (s *script) onNode(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
+// schedulePodChange schedules a change of a Pod at a node. The node reports the change to the engine that
+// runs at that time.
+func (s *script) schedulePodChange(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
 	s.after(delay, func() {
 		i := node.find(uid)
 		if node.incarnation != incarnation || i < 0 {
@@ -121,7 +124,7 @@
 		}
 		s.engine.NodePod(s.now, node.name, pod, remove)
 	})
-	s.queue[len(s.queue)-1].incarnation = 0 // whatever the scheduler's incarnation
+	s.queue[len(s.queue)-1].incarnation = 0 // 0 keeps the call even if the scheduler restarts before it is due.
 }
 
 func (s *script) answerStop(effect engine.Effect) {
@@ -138,7 +141,7 @@
 	s.after(s.delay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
 }
 
-// listPods notifies the engine of all Pods of a node.
+// listPods reports all Pods of a node to the engine.
 func (s *script) listPods(node *fakeNode) {
 	if node.ready && !node.removed {
 		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
@@ -185,7 +188,8 @@
 	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.nodeObject(node)}, nil)
 }
 
-// nodeFault restarts, disconnects, removes or drains a node, or brings one back.
+// nodeFault restarts, disconnects, removes or drains a random node, restores it, or sends the engine an
+// unusual report.
 func (s *script) nodeFault() {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
--- a/internal/kube/engine/wiring.go
+++ b/internal/kube/engine/wiring.go
@@ -8,7 +8,8 @@
 	"heathshed/placer"
 )
 
-// wire creates the parts of an engine and gives each the parts that it calls. All parts are allocated first, since some call each other.
+// wire creates the components of an engine and connects them. All components are allocated before any of
+// them is initialized, because some refer to each other.
 func (e *Engine) wire(controller *admission.Controller) {
 	e.publisher = new(publisher)
 	e.nodes = new(nodeRegistry)
