--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -131,7 +131,7 @@
 		nextBookmarkAt: s.now + bookmarkInterval,
 		markInitialEnd: options.markInitialEnd,
 	}
-	current := s.Store.Rev()
+	current := s.Store.Revision()
 	if options.resourceVersion > current {
 		return nil, newRevisionTooLarge(options.resourceVersion, current)
 	}
@@ -139,13 +139,13 @@
 	if options.initialEvents {
 		snapshot := s.Store.Snapshot(resource)
 		w.initialSnapshot = &snapshot
-		w.revision = snapshot.Rev
+		w.revision = snapshot.Revision
 		return w, nil
 	}
 	if options.startAtPresent {
 		w.revision = current
 	}
-	if _, err := s.Store.Since(resource, w.revision, 1); err != nil {
+	if _, err := s.Store.ChangesSince(resource, w.revision, 1); err != nil {
 		return nil, newWatchExpired(options.resourceVersion, current)
 	}
 	return w, nil
@@ -175,7 +175,7 @@
 func (w *watcher) Pull(b []byte, room int) ([]byte, bool) {
 	limit := len(b) + room
 	if w.initialSnapshot != nil && w.server.Store.Outdated(*w.initialSnapshot) {
-		return w.appendExpired(b, w.initialSnapshot.Rev), true
+		return w.appendExpired(b, w.initialSnapshot.Revision), true
 	}
 	b = w.appendInitialEvents(b, limit)
 	b, inHistory := w.appendChanges(b, limit)
@@ -216,18 +216,18 @@
 // history.
 func (w *watcher) appendChanges(b []byte, limit int) (out []byte, inHistory bool) {
 	history := w.server.Store
-	for w.initialSnapshot == nil && len(b) < limit && w.revision < history.Rev() {
-		changes, err := history.Since(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
+	for w.initialSnapshot == nil && len(b) < limit && w.revision < history.Revision() {
+		changes, err := history.ChangesSince(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
 		if err != nil {
 			return b, false
 		}
 		if len(changes) == 0 {
-			w.revision = history.Rev()
+			w.revision = history.Revision()
 			break
 		}
 		for _, change := range changes {
 			b = w.appendVisibleChange(b, change)
-			w.revision = change.Rev
+			w.revision = change.Revision
 			if len(b) >= limit {
 				break
 			}
@@ -253,7 +253,7 @@
 // matches is deleted.
 func (w *watcher) appendVisibleChange(b []byte, change *store.Change) []byte {
 	matches := change.Op != store.Deleted && w.selector.matches(change.Object)
-	matched := change.Prev != nil && w.selector.matches(change.Prev)
+	matched := change.Previous != nil && w.selector.matches(change.Previous)
 	switch {
 	case matches && matched:
 		return w.appendChange(b, watch.Modified, change)
@@ -263,8 +263,8 @@
 		return w.appendChange(b, watch.Deleted, change)
 	case matched:
 		// The last state that matched, with the revision at which it no longer did.
-		last := change.Prev.DeepCopyObject().(store.Object)
-		last.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
+		last := change.Previous.DeepCopyObject().(store.Object)
+		last.SetResourceVersion(strconv.FormatInt(change.Revision, 10))
 		return w.appendObject(b, watch.Deleted, last)
 	}
 	return b
@@ -272,7 +272,7 @@
 
 // appendExpired appends the event that ends a watch whose position is no longer in the history.
 func (w *watcher) appendExpired(b []byte, revision int64) []byte {
-	status := newWatchExpired(revision, w.server.Store.Rev()).Status()
+	status := newWatchExpired(revision, w.server.Store.Revision()).Status()
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
 	return w.appendObject(b, watch.Error, &status)
 }
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -141,23 +141,23 @@
 	}
 	var entries []tableChange
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
-		changes, err := s.engine.Store().Since(table, s.revision, math.MaxInt32)
+		changes, err := s.engine.Store().ChangesSince(table, s.revision, math.MaxInt32)
 		s.record.Error(err)
 		for _, change := range changes {
 			entries = append(entries, tableChange{table, change})
 		}
 	}
-	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Rev, right.change.Rev) })
+	slices.SortFunc(entries, func(left, right tableChange) int { return cmp.Compare(left.change.Revision, right.change.Revision) })
 	for _, entry := range entries {
 		s.changes[entry.table][entry.change.Op]++
-		s.record.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Rev)
+		s.record.Integers(int64(entry.table), int64(entry.change.Op), entry.change.Revision)
 		s.recordObject(entry.change.Object.(interface{ Marshal() ([]byte, error) }))
-		s.record.Booleans(entry.change.Prev != nil)
-		if entry.change.Prev != nil {
-			s.record.Texts(entry.change.Prev.GetResourceVersion())
+		s.record.Booleans(entry.change.Previous != nil)
+		if entry.change.Previous != nil {
+			s.record.Texts(entry.change.Previous.GetResourceVersion())
 		}
 	}
-	s.revision = s.engine.Store().Rev()
+	s.revision = s.engine.Store().Revision()
 }
 
 // result records what a call returned.
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -137,7 +137,7 @@
 	m.gauge("pods", "Pods stored.", func() float64 { return float64(core.Store().Len(store.Pods)) })
 	m.gauge("objects_bytes", "Memory of the objects stored, counted high.", func() float64 { return float64(core.Store().ObjectCost()) })
 	m.gauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(core.Store().HistoryCost()) })
-	m.gauge("revision", "Revision of the store after its last change.", func() float64 { return float64(core.Store().Rev()) })
+	m.gauge("revision", "Revision of the store after its last change.", func() float64 { return float64(core.Store().Revision()) })
 }
 
 // registerServerMetrics reads the servers through s: the HTTP server listens only after the metrics are registered.
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -134,7 +134,7 @@
 func (s *Scheduler) Engine() *engine.Engine { return s.engine }
 
 // Revision is the store's revision of the last change.
-func (s *Scheduler) Revision() int64 { return s.engine.Store().Rev() }
+func (s *Scheduler) Revision() int64 { return s.engine.Store().Revision() }
 
 // ObjectCount is the number of objects of a resource.
 func (s *Scheduler) ObjectCount(resource store.Resource) int { return s.engine.Store().Len(resource) }
@@ -196,13 +196,13 @@
 
 // schedulePublish has watchers sent what has changed, after a delay that gathers changes when watchers are many.
 func (s *Scheduler) schedulePublish() {
-	if s.engine.Store().Rev() == s.publishedRevision || s.publishScheduled {
+	if s.engine.Store().Revision() == s.publishedRevision || s.publishScheduled {
 		return
 	}
 	s.publishScheduled = true
 	s.loop.After(s.publishDelay(), func() {
 		s.publishScheduled = false
-		s.publishedRevision = s.engine.Store().Rev()
+		s.publishedRevision = s.engine.Store().Revision()
 		s.pullStreams()
 	})
 }
--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, now := range []placer.Seconds{80, 310, 318.5, 345, 378, 380.5, 400} {
 		found := []int64{}
-		for revision := range objects.Rev() + 2 {
+		for revision := range objects.Revision() + 2 {
 			if snapshot, err := objects.FindSnapshot(now, store.Pods, revision); err == nil {
 				found = append(found, revision, int64(snapshot.Len()))
 			}
@@ -47,7 +47,7 @@
 
 func changeStore(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
-	base, now := objects.Rev(), placer.Seconds(0)
+	base, now := objects.Revision(), placer.Seconds(0)
 	for step := range 3000 {
 		now += placer.Seconds(rng.Float64())
 		table := tables[rng.IntN(len(tables))]
@@ -57,14 +57,14 @@
 		} else {
 			record.Integers(objects.Put(table, newObject(table, namespace, name, rng)))
 		}
-		record.Integers(objects.Rev(), objects.ObjectCost(), objects.HistoryCost(), int64(objects.Len(table)))
-		readChanges(record, objects, table, objects.Rev()-int64(rng.IntN(30)), 1+rng.IntN(10))
+		record.Integers(objects.Revision(), objects.ObjectCost(), objects.HistoryCost(), int64(objects.Len(table)))
+		readChanges(record, objects, table, objects.Revision()-int64(rng.IntN(30)), 1+rng.IntN(10))
 		if step%10 == 0 {
 			readSnapshot(record, objects, now, table, rng)
 		}
 		if step%300 == 299 {
 			readChanges(record, objects, table, base, 100000)
-			readChanges(record, objects, table, objects.Rev()+1, 1)
+			readChanges(record, objects, table, objects.Revision()+1, 1)
 			record.Checkpoint(fmt.Sprintf("%s, step %d", label, step+1))
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 func since(objects *store.Store, table store.Resource, revision int64) error {
-	_, err := objects.Since(table, revision, 1)
+	_, err := objects.ChangesSince(table, revision, 1)
 	return err
 }
 
@@ -97,16 +97,16 @@
 }
 
 func recordChange(record *goldentest.Recorder, change *store.Change) {
-	record.Integers(change.Rev, int64(change.Op), store.Cost(change.Object))
+	record.Integers(change.Revision, int64(change.Op), store.Cost(change.Object))
 	record.Texts(change.Object.GetNamespace(), change.Object.GetName(), change.Object.GetResourceVersion())
-	record.Booleans(change.Prev != nil)
-	if change.Prev != nil {
-		record.Texts(change.Prev.GetResourceVersion())
+	record.Booleans(change.Previous != nil)
+	if change.Previous != nil {
+		record.Texts(change.Previous.GetResourceVersion())
 	}
 }
 
 func readChanges(record *goldentest.Recorder, objects *store.Store, table store.Resource, revision int64, limit int) {
-	changes, err := objects.Since(table, revision, limit)
+	changes, err := objects.ChangesSince(table, revision, limit)
 	record.Error(err)
 	record.Integers(int64(len(changes)))
 	for _, change := range changes {
@@ -117,12 +117,12 @@
 // readSnapshot keeps a snapshot and reads parts of it, and of one that was kept before.
 func readSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
 	objects.KeepSnapshot(now, objects.Snapshot(table))
-	snapshot, err := objects.FindSnapshot(now, table, objects.Rev()-int64(rng.IntN(3)*10))
+	snapshot, err := objects.FindSnapshot(now, table, objects.Revision()-int64(rng.IntN(3)*10))
 	record.Error(err)
 	if err != nil {
 		return
 	}
-	record.Integers(snapshot.Rev, int64(snapshot.Len()))
+	record.Integers(snapshot.Revision, int64(snapshot.Len()))
 	record.Booleans(objects.Outdated(snapshot))
 	after := ""
 	if rng.IntN(2) == 0 {
@@ -135,7 +135,7 @@
 		left--
 		return left > 0
 	})
-	last := objects.Last(table, "a", "object-03")
+	last := objects.LastChange(table, "a", "object-03")
 	record.Booleans(last != nil, objects.Get(table, "a", "object-04") != nil)
 	if last != nil {
 		recordChange(record, last)
--- a/internal/kube/store/snapshot.go
+++ b/internal/kube/store/snapshot.go
@@ -12,14 +12,14 @@
 // Snapshot is the state of a table at one revision. It is not affected by later changes.
 type Snapshot struct {
 	Resource Resource
-	Rev      int64
+	Revision int64
 	objects  *btree.Map[string, *Change]
 	keptAt   placer.Seconds // Unix time of the last KeepSnapshot
 }
 
 // Snapshot returns the present state of a table. Its cost does not depend on the number of objects, since trees are copied on write.
 func (s *Store) Snapshot(r Resource) Snapshot {
-	return Snapshot{Resource: r, Rev: s.revision, objects: s.tables[r].objects.Copy()}
+	return Snapshot{Resource: r, Revision: s.revision, objects: s.tables[r].objects.Copy()}
 }
 
 // Limits of kept snapshots.
@@ -33,7 +33,7 @@
 	s.expireSnapshots(now)
 	for i := range s.snapshots {
 		kept := &s.snapshots[i]
-		if kept.Rev == snapshot.Rev && kept.Resource == snapshot.Resource {
+		if kept.Revision == snapshot.Revision && kept.Resource == snapshot.Resource {
 			kept.keptAt = now
 			return
 		}
@@ -61,14 +61,14 @@
 // Outdated reports whether the revision of a snapshot has left the history. A reader that still uses the snapshot keeps objects in memory that
 // are needed for nothing else.
 func (s *Store) Outdated(snapshot Snapshot) bool {
-	return snapshot.Rev < s.tables[snapshot.Resource].lastDropped
+	return snapshot.Revision < s.tables[snapshot.Resource].lastDropped
 }
 
 // FindSnapshot returns a kept snapshot, or a new one if the revision is the present one. The error is ErrExpired.
 func (s *Store) FindSnapshot(now placer.Seconds, r Resource, revision int64) (Snapshot, error) {
 	s.expireSnapshots(now)
 	for _, snapshot := range s.snapshots {
-		if snapshot.Rev == revision && snapshot.Resource == r {
+		if snapshot.Revision == revision && snapshot.Resource == r {
 			return snapshot, nil
 		}
 	}
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -5,7 +5,7 @@
 // It is pure: no I/O, no clock, no goroutines. A Store must be used by one goroutine at a time; a Snapshot may be read by any. Stored
 // objects must not be changed.
 //
-// Begin reading at Store.Put, which records a Change, Store.Since, which watches read from, and Snapshot (snapshot.go), which lists read from.
+// Begin reading at Store.Put, which records a Change, Store.ChangesSince, which watches read from, and Snapshot (snapshot.go), which lists read from.
 package store
 
 import (
@@ -53,10 +53,10 @@
 
 // Change is one entry of the history.
 type Change struct {
-	Rev    int64
-	Op     Op
-	Object Object // the new state; for Deleted the last state, with the revision of the deletion
-	Prev   Object // the previous state; nil for Added
+	Revision int64
+	Op       Op
+	Object   Object // the new state; for Deleted the last state, with the revision of the deletion
+	Previous Object // the previous state; nil for Added
 
 	// JSON and Binary are cached encodings of Object. The reader that needs one first sets it, so that Object is encoded once for all watches.
 	JSON   []byte
@@ -96,22 +96,22 @@
 	return s
 }
 
-// Rev returns the revision of the last change.
-func (s *Store) Rev() int64 { return s.revision }
+// Revision returns the revision of the last change.
+func (s *Store) Revision() int64 { return s.revision }
 
 // Key returns the key of an object in its table.
 func Key(namespace, name string) string { return namespace + "/" + name }
 
 // Get returns a stored object, nil if there is none.
 func (s *Store) Get(r Resource, namespace, name string) Object {
-	if change := s.Last(r, namespace, name); change != nil {
+	if change := s.LastChange(r, namespace, name); change != nil {
 		return change.Object
 	}
 	return nil
 }
 
-// Last returns the last change of a stored object, nil if there is no such object.
-func (s *Store) Last(r Resource, namespace, name string) *Change {
+// LastChange returns the last change of a stored object, nil if there is no such object.
+func (s *Store) LastChange(r Resource, namespace, name string) *Change {
 	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // nil if there is none
 	return change
 }
@@ -155,10 +155,10 @@
 	table := &s.tables[r]
 	s.revision++
 	object.SetResourceVersion(strconv.FormatInt(s.revision, 10))
-	change := &Change{Rev: s.revision, Op: Added, Object: object, cost: Cost(object)}
+	change := &Change{Revision: s.revision, Op: Added, Object: object, cost: Cost(object)}
 	if previous, replaced := table.objects.Set(Key(object.GetNamespace(), object.GetName()), change); replaced {
 		change.Op = Modified
-		change.Prev = previous.Object
+		change.Previous = previous.Object
 		table.objectCost -= previous.cost
 	}
 	table.objectCost += change.cost
@@ -178,7 +178,7 @@
 	last := previous.Object.DeepCopyObject().(Object)
 	last.SetResourceVersion(strconv.FormatInt(s.revision, 10))
 	table.objectCost -= previous.cost
-	change := &Change{Rev: s.revision, Op: Deleted, Object: last, Prev: previous.Object, cost: previous.cost}
+	change := &Change{Revision: s.revision, Op: Deleted, Object: last, Previous: previous.Object, cost: previous.cost}
 	table.appendChange(change, s.historyLength)
 	s.trimHistories()
 	return true
@@ -211,9 +211,9 @@
 	return costliest
 }
 
-// Since returns up to limit changes of a table after a revision, the oldest first. The slice is valid until the next change. The error is
+// ChangesSince returns up to limit changes of a table after a revision, the oldest first. The slice is valid until the next change. The error is
 // ErrExpired or ErrFuture.
-func (s *Store) Since(r Resource, revision int64, limit int) ([]*Change, error) {
+func (s *Store) ChangesSince(r Resource, revision int64, limit int) ([]*Change, error) {
 	table := &s.tables[r]
 	if revision < table.lastDropped {
 		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, revision, ErrExpired, table.lastDropped)
@@ -251,7 +251,7 @@
 func (t *table) trimHistory(length int) {
 	for t.historyLength() > length {
 		dropped := t.history[t.head]
-		t.lastDropped = dropped.Rev
+		t.lastDropped = dropped.Revision
 		t.historyCost -= dropped.cost
 		t.history[t.head] = nil
 		t.head++
@@ -265,13 +265,13 @@
 // changesAfter returns up to limit changes after a revision, by binary search.
 func (t *table) changesAfter(revision int64, limit int) []*Change {
 	history := t.history[t.head:]
-	if len(history) == 0 || history[len(history)-1].Rev <= revision {
+	if len(history) == 0 || history[len(history)-1].Revision <= revision {
 		return nil
 	}
 	low, high := 0, len(history)
 	for low < high {
 		middle := (low + high) / 2
-		if history[middle].Rev <= revision {
+		if history[middle].Revision <= revision {
 			low = middle + 1
 		} else {
 			high = middle
--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -28,22 +28,22 @@
 // change deletes a random Pod, or puts one, in the store and in what it should hold. Revisions must grow by one with each change.
 func (want objectsByKey) change(t *rapid.T, objects *Store, namespace string) {
 	name := fmt.Sprint("p", rapid.IntRange(0, 15).Draw(t, "name"))
-	key, before := Key(namespace, name), objects.Rev()
+	key, before := Key(namespace, name), objects.Revision()
 	if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
 		_, present := want[key]
 		if objects.Delete(Pods, namespace, name) != present {
 			t.Fatal("delete and state disagree")
 		}
 		delete(want, key)
-		if present != (objects.Rev() == before+1) {
-			t.Fatalf("revision %d after %d, deleted %v", objects.Rev(), before, present)
+		if present != (objects.Revision() == before+1) {
+			t.Fatalf("revision %d after %d, deleted %v", objects.Revision(), before, present)
 		}
 		return
 	}
 	pod := newPod(namespace, name)
 	want[key] = pod
-	if objects.Put(Pods, pod); objects.Rev() != before+1 || pod.ResourceVersion != fmt.Sprint(objects.Rev()) {
-		t.Fatalf("revision %d after %d, the Pod has %s", objects.Rev(), before, pod.ResourceVersion)
+	if objects.Put(Pods, pod); objects.Revision() != before+1 || pod.ResourceVersion != fmt.Sprint(objects.Revision()) {
+		t.Fatalf("revision %d after %d, the Pod has %s", objects.Revision(), before, pod.ResourceVersion)
 	}
 }
 
@@ -51,8 +51,8 @@
 func (want objectsByKey) apply(t *rapid.T, changes []*Change) {
 	for _, change := range changes {
 		key := Key(change.Object.GetNamespace(), change.Object.GetName())
-		if previous, present := want[key]; present != (change.Op != Added) || present && previous != change.Prev {
-			t.Fatalf("revision %d does not follow", change.Rev)
+		if previous, present := want[key]; present != (change.Op != Added) || present && previous != change.Previous {
+			t.Fatalf("revision %d does not follow", change.Revision)
 		}
 		if change.Op == Deleted {
 			delete(want, key)
@@ -99,9 +99,9 @@
 			return
 		}
 		wantOld.check(t, old)
-		changes, err := objects.Since(Pods, old.Rev, 1000)
+		changes, err := objects.ChangesSince(Pods, old.Revision, 1000)
 		if errors.Is(err, ErrExpired) {
-			if objects.Rev()-old.Rev <= int64(historyLength) {
+			if objects.Revision()-old.Revision <= int64(historyLength) {
 				t.Fatal("history is dropped too soon")
 			}
 			return
@@ -117,22 +117,22 @@
 	for i := range 5 {
 		objects.Put(Pods, newPod("a", fmt.Sprint(i)))
 	}
-	if _, err := objects.Since(Pods, 101, 10); !errors.Is(err, ErrExpired) {
+	if _, err := objects.ChangesSince(Pods, 101, 10); !errors.Is(err, ErrExpired) {
 		t.Errorf("101: %v, want expired", err)
 	}
-	if _, err := objects.Since(Pods, 106, 10); !errors.Is(err, ErrFuture) {
+	if _, err := objects.ChangesSince(Pods, 106, 10); !errors.Is(err, ErrFuture) {
 		t.Errorf("106: %v, want future", err)
 	}
-	if changes, err := objects.Since(Pods, 102, 2); err != nil || len(changes) != 2 || changes[0].Rev != 103 {
+	if changes, err := objects.ChangesSince(Pods, 102, 2); err != nil || len(changes) != 2 || changes[0].Revision != 103 {
 		t.Errorf("102: %v, %v", changes, err)
 	}
 	snapshot := objects.Snapshot(Pods)
 	objects.KeepSnapshot(1000, snapshot)
 	objects.Put(Pods, newPod("a", "later"))
-	if kept, err := objects.FindSnapshot(1001, Pods, snapshot.Rev); err != nil || kept.Len() != 5 {
+	if kept, err := objects.FindSnapshot(1001, Pods, snapshot.Revision); err != nil || kept.Len() != 5 {
 		t.Errorf("kept: %v", err)
 	}
-	if _, err := objects.FindSnapshot(1000+snapshotRetention+1, Pods, snapshot.Rev); !errors.Is(err, ErrExpired) {
+	if _, err := objects.FindSnapshot(1000+snapshotRetention+1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) {
 		t.Errorf("kept too long: %v", err)
 	}
 }
@@ -151,11 +151,11 @@
 		if objects.HistoryCost() > maxCost {
 			t.Fatalf("after %d changes the history costs %d", i+1, objects.HistoryCost())
 		}
-		if changes, err := objects.Since(Pods, objects.Rev()-1, 10); err != nil || len(changes) != 1 {
+		if changes, err := objects.ChangesSince(Pods, objects.Revision()-1, 10); err != nil || len(changes) != 1 {
 			t.Fatalf("the last change is not kept: %v", err)
 		}
 	}
-	if changes, err := objects.Since(Pods, objects.Rev()-90, 100); err != nil || len(changes) != 90 {
+	if changes, err := objects.ChangesSince(Pods, objects.Revision()-90, 100); err != nil || len(changes) != 90 {
 		t.Errorf("small changes are kept again: %d, %v", len(changes), err)
 	}
 	snapshot := objects.Snapshot(Pods)
@@ -169,7 +169,7 @@
 	for i := range 2000 {
 		objects.Put(Pods, newPod("default", fmt.Sprint("q", i%10)))
 	}
-	if _, err := objects.FindSnapshot(1, Pods, snapshot.Rev); !errors.Is(err, ErrExpired) || !objects.Outdated(snapshot) {
+	if _, err := objects.FindSnapshot(1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) || !objects.Outdated(snapshot) {
 		t.Errorf("a snapshot that the history has passed is kept: %v", err)
 	}
 }
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -189,7 +189,7 @@
 
 // notifyWatchers gives watches the changes since the last call.
 func (inv *Inventory) notifyWatchers() {
-	if revision := inv.store.Rev(); revision != inv.shownRevision {
+	if revision := inv.store.Revision(); revision != inv.shownRevision {
 		inv.shownRevision = revision
 		inv.api.SetTime(inv.simNow())
 		inv.server.PullStreams()
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -199,7 +199,7 @@
 		return
 	}
 	n.scheduleWake()
-	if revision := n.store.Rev(); revision != n.shownRevision {
+	if revision := n.store.Revision(); revision != n.shownRevision {
 		n.shownRevision = revision
 		n.api.SetTime(n.simNow())
 		n.server.PullStreams()
--- a/internal/lab/emulator/node_http.go
+++ b/internal/lab/emulator/node_http.go
@@ -172,7 +172,7 @@
 	if stored := n.store.Get(store.Pods, pod.Namespace, pod.Name); stored != nil {
 		pod.ResourceVersion = stored.GetResourceVersion()
 	} else {
-		pod.ResourceVersion = strconv.FormatInt(n.store.Rev(), 10)
+		pod.ResourceVersion = strconv.FormatInt(n.store.Revision(), 10)
 	}
 	n.respond(exchange, jsonResponse(http.StatusCreated, pod))
 }
--- a/internal/lab/simulation/audit.go
+++ b/internal/lab/simulation/audit.go
@@ -32,17 +32,17 @@
 // watchPods passes the changes of Pods since the last call to the scheduler's client.
 func (s *scheduler) watchPods() {
 	pods := s.engine.Store()
-	for s.watchedRev < pods.Rev() {
-		changes, err := pods.Since(store.Pods, s.watchedRev, watchBatch)
+	for s.watchedRev < pods.Revision() {
+		changes, err := pods.ChangesSince(store.Pods, s.watchedRev, watchBatch)
 		if err != nil {
 			panic("simulation: the watch fell behind: " + err.Error())
 		}
 		if len(changes) == 0 {
-			s.watchedRev = pods.Rev()
+			s.watchedRev = pods.Revision()
 			break
 		}
 		for i := range changes {
-			s.watchedRev = changes[i].Rev
+			s.watchedRev = changes[i].Revision
 			s.observe(changes[i].Op, changes[i].Object.(*corev1.Pod))
 		}
 	}
--- a/internal/lab/simulation/characterization_test.go
+++ b/internal/lab/simulation/characterization_test.go
@@ -84,16 +84,16 @@
 	run.recordTimes(world.Now(), engine.NextWake())
 	for _, table := range []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces} {
 		from := run.revisions[scheduler]
-		changes, err := engine.Store().Since(table, from, math.MaxInt32)
+		changes, err := engine.Store().ChangesSince(table, from, math.MaxInt32)
 		if err != nil { // a new incarnation of the scheduler: its revisions begin higher
-			changes, _ = engine.Store().Since(table, engine.Config().BaseRevision, math.MaxInt32)
+			changes, _ = engine.Store().ChangesSince(table, engine.Config().BaseRevision, math.MaxInt32)
 		}
 		for _, change := range changes {
-			run.record.Integers(int64(table), int64(change.Op), change.Rev)
+			run.record.Integers(int64(table), int64(change.Op), change.Revision)
 			run.record.Bytes(run.encode(change.Object))
 		}
 	}
-	run.revisions[scheduler] = engine.Store().Rev()
+	run.revisions[scheduler] = engine.Store().Revision()
 	if run.calls%2000 == 0 {
 		run.record.Checkpoint(fmt.Sprintf("call %d at %016x", run.calls, math.Float64bits(float64(world.Now()))))
 	}
@@ -160,7 +160,7 @@
 				stats.Placed, stats.Rejected, stats.Failed, stats.Shed, stats.Retries, stats.LostTasks, stats.EvictedTasks, stats.MigratedTasks,
 				stats.Recovered, stats.JobsCreated, stats.JobsFinished, stats.PodsCreated, stats.JobsRejected, stats.LateAnswers,
 			}
-			run.record.Line("scheduler %d: revision %d, counters %v", i, engine.Store().Rev(), counters)
+			run.record.Line("scheduler %d: revision %d, counters %v", i, engine.Store().Revision(), counters)
 		}
 	}
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -67,7 +67,7 @@
 			cfg.Links.AttemptLossRate = rapid.Float64Range(0, 0.05).Draw(t, "attemptLossRate")
 			cfg.Links.AnswerLossRate = rapid.Float64Range(0, 0.05).Draw(t, "answerLossRate")
 			cfg.AfterEngineCall = func(world *World, i int) {
-				rev := world.Engine(i).Store().Rev()
+				rev := world.Engine(i).Store().Revision()
 				if rev < last[i] {
 					panic(fmt.Sprintf("revision went back from %d to %d", last[i], rev))
 				}
@@ -114,8 +114,8 @@
 	podStore := world.Engine(0).Store()
 	got := map[string]store.Object{}
 	snapshot.Scan("", "", func(key string, change *store.Change) bool { got[key] = change.Object; return true })
-	for rev := snapshot.Rev; ; {
-		changes, err := podStore.Since(store.Pods, rev, 100)
+	for rev := snapshot.Revision; ; {
+		changes, err := podStore.ChangesSince(store.Pods, rev, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,11 +123,11 @@
 			break
 		}
 		for _, change := range changes {
-			rev = change.Rev
+			rev = change.Revision
 			key := store.Key(change.Object.GetNamespace(), change.Object.GetName())
 			switch _, had := got[key]; {
 			case change.Op == store.Deleted && !had, change.Op == store.Added && had, change.Op == store.Modified && !had:
-				t.Fatalf("revision %d: %v of %s, had %v", change.Rev, change.Op, key, had)
+				t.Fatalf("revision %d: %v of %s, had %v", change.Revision, change.Op, key, had)
 			case change.Op == store.Deleted:
 				delete(got, key)
 			default:
