--- a/cmd/heathshed/drain.go
+++ b/cmd/heathshed/drain.go
@@ -74,7 +74,7 @@
 	}
 	for i := range pods.Items {
 		pod := &pods.Items[i]
-		if wellknown.Finished(pod) {
+		if wellknown.PodFinished(pod) {
 			continue
 		}
 		if err := evict(ctx, client, pod); err != nil {
--- a/cmd/heathshed/table.go
+++ b/cmd/heathshed/table.go
@@ -97,5 +97,5 @@
 		state += ",Drained"
 	}
 	labels := node.Labels
-	return []string{node.Name, state, labels[wellknown.Kind], labels[wellknown.Zone], labels[wellknown.Rack], node.Annotations[wellknown.FreeCapacity]}
+	return []string{node.Name, state, labels[wellknown.NodeType], labels[wellknown.Zone], labels[wellknown.Rack], node.Annotations[wellknown.FreeCapacity]}
 }
--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -136,7 +136,7 @@
 			return
 		}
 	}
-	index, err := strconv.Atoi(found.Labels[wellknown.Index])
+	index, err := strconv.Atoi(found.Labels[wellknown.CompletionIndex])
 	if err != nil || index < 0 || index >= job.indexes.len() || job.uid != object.UID || job.indexes.at(index).task != nil {
 		return
 	}
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -60,10 +60,10 @@
 func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
-	node.Labels = map[string]string{wellknown.Kind: typeName}
+	node.Labels = map[string]string{wellknown.NodeType: typeName}
 	node.Annotations = map[string]string{}
 	if started > 0 {
-		node.Annotations[wellknown.Started] = wellknown.FormatTimestamp(started)
+		node.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(started)
 	}
 	node.Status.NodeInfo.BootID = incarnation
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -148,9 +148,9 @@
 	pod.CreationTimestamp = s.apiNow()
 	pod.OwnerReferences = []metav1.OwnerReference{jobOwnerReference(task.job)}
 	pod.Labels = cloneOrMake(object.Spec.Template.Labels)
-	pod.Labels[wellknown.Index] = index
+	pod.Labels[wellknown.CompletionIndex] = index
 	pod.Annotations = cloneOrMake(object.Spec.Template.Annotations)
-	pod.Annotations[wellknown.Index] = index
+	pod.Annotations[wellknown.CompletionIndex] = index
 	pod.Annotations[wellknown.OutcomeDeadline] = wellknown.FormatTimestamp(task.deadline)
 	pod.Status.Phase = corev1.PodPending
 	pod.Status.QOSClass = corev1.PodQOSBurstable
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -17,7 +17,7 @@
 const minPublishInterval placer.Seconds = 5
 
 // inventoryLabels are the labels of a Node that only the inventory may set.
-var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.Kind}
+var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.NodeType}
 
 // publishNode stores a node as the API shows it: the Node of the inventory with the labels and the drain
 // request that API clients have set. The free capacity changes often; if nothing else changes, the Node is
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -158,7 +158,7 @@
 	if object := node.inventory; object != nil {
 		reported.Zone = intern(r.zones, object.Labels[wellknown.Zone])
 		reported.Rack = intern(r.racks, object.Labels[wellknown.Rack])
-		reported.NodeType = slices.Index(r.cfg.NodeTypes, object.Labels[wellknown.Kind])
+		reported.NodeType = slices.Index(r.cfg.NodeTypes, object.Labels[wellknown.NodeType])
 		reported.StartedAt = r.incarnationStart(node)
 		reported.FreeCores, reported.FreeMemory = freeCapacity(object)
 		switch {
@@ -187,7 +187,7 @@
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
 		return node.listedStartedAt
 	}
-	stated := wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.Started])
+	stated := wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.StartedAt])
 	switch {
 	case stated == 0:
 		node.listedStartedAt = 0
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -51,7 +51,7 @@
 // without a task, or stops a surplus copy of a task.
 func (o *podObserver) observe(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
-	finished := deleted || wellknown.Finished(pod)
+	finished := deleted || wellknown.PodFinished(pod)
 	if task == nil {
 		if !finished && pod.Labels[wellknown.Scheduler] == o.cfg.Name {
 			o.adopter.adoptPod(node, pod)
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -87,7 +87,7 @@
 
 // observe applies a node's report of an attempt with unknown outcome.
 func (r *outcomeReconciler) observe(unresolved *attempt, observed *observedPod) {
-	if observed.deleted || wellknown.Finished(observed.pod) {
+	if observed.deleted || wellknown.PodFinished(observed.pod) {
 		r.resolve(unresolved, observed.pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -119,7 +119,7 @@
 		change(pod)
 		pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
 		node.pods[i] = pod
-		if remove || wellknown.Finished(pod) {
+		if remove || wellknown.PodFinished(pod) {
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
 		s.engine.NodePod(s.now, node.name, pod, remove)
@@ -152,11 +152,11 @@
 	index := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
 	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
-	object.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
+	object.Labels = map[string]string{wellknown.NodeType: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
+		object.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(s.now - 1)
 	}
 	object.Spec.Unschedulable = node.draining
 	object.Status.NodeInfo.BootID = node.incarnationID()
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -86,7 +86,7 @@
 
 // newPlacementSpec returns the placementSpec of a task with the resources of a Pod's containers.
 func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
-	cores, memory := wellknown.Requests(containers)
+	cores, memory := wellknown.ResourceRequests(containers)
 	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
 }
 
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -282,7 +282,7 @@
 	}
 	cluster.eventually("nothing runs there", func() bool {
 		for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node) {
-			if !wellknown.Finished(&pod) {
+			if !wellknown.PodFinished(&pod) {
 				return false
 			}
 		}
--- a/internal/kube/wellknown/objects.go
+++ b/internal/kube/wellknown/objects.go
@@ -9,9 +9,9 @@
 // Gibibyte is the number of bytes in the unit of memory that decisions count in.
 const Gibibyte = 1 << 30
 
-// Requests returns the cores and the memory in GiB that a Pod's containers request together. Init containers run one after another before
+// ResourceRequests returns the cores and the memory in GiB that a Pod's containers request together. Init containers run one after another before
 // the others: the largest of them counts.
-func Requests(spec *corev1.PodSpec) (cores, memory float64) {
+func ResourceRequests(spec *corev1.PodSpec) (cores, memory float64) {
 	for i := range spec.Containers {
 		containerCores, containerMemory := containerRequests(&spec.Containers[i])
 		cores += containerCores
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// Finished reports whether a Pod has ended.
-func Finished(pod *corev1.Pod) bool {
+// PodFinished reports whether a Pod has ended.
+func PodFinished(pod *corev1.Pod) bool {
 	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
 
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -9,15 +9,15 @@
 
 // Labels.
 const (
-	Class     = "heathshed.io/class"                       // on pod templates and Pods: the task's class
-	Service   = "heathshed.io/service"                     // on pod templates and Pods: the task's service; the Job's name if absent
-	Scheduler = "heathshed.io/scheduler"                   // on Pods at nodes: the scheduler that placed them
-	JobName   = "batch.kubernetes.io/job-name"             // on Pods: the Job's name
-	JobUID    = "batch.kubernetes.io/controller-uid"       // on Pods: the Job's UID
-	Index     = "batch.kubernetes.io/job-completion-index" // on Pods: the completion index within the Job
-	Zone      = corev1.LabelTopologyZone                   // on Nodes
-	Rack      = "heathshed.io/rack"                        // on Nodes
-	Kind      = corev1.LabelInstanceTypeStable             // on Nodes: the node type
+	Class           = "heathshed.io/class"                       // on pod templates and Pods: the task's class
+	Service         = "heathshed.io/service"                     // on pod templates and Pods: the task's service; the Job's name if absent
+	Scheduler       = "heathshed.io/scheduler"                   // on Pods at nodes: the scheduler that placed them
+	JobName         = "batch.kubernetes.io/job-name"             // on Pods: the Job's name
+	JobUID          = "batch.kubernetes.io/controller-uid"       // on Pods: the Job's UID
+	CompletionIndex = "batch.kubernetes.io/job-completion-index" // on Pods: the completion index within the Job
+	Zone            = corev1.LabelTopologyZone                   // on Nodes
+	Rack            = "heathshed.io/rack"                        // on Nodes
+	NodeType        = corev1.LabelInstanceTypeStable             // on Nodes: the node type
 )
 
 // Annotations.
@@ -28,7 +28,7 @@
 	Usage             = "heathshed.io/use"        // on Pods at nodes: a Dict; cores and memory in use
 	Lifetime          = "heathshed.io/lifetime"   // on Pods: how many seconds the emulator lets them run
 	FreeCapacity      = "heathshed.io/free"       // on Nodes: a Dict; cores and memory that no Pod requests
-	Started           = "heathshed.io/started"    // on Nodes: a timestamp; the last start
+	StartedAt         = "heathshed.io/started"    // on Nodes: a timestamp; the last start
 )
 
 // Members of the Dict of Usage and FreeCapacity. Memory is in GiB.
--- a/internal/kube/wellknown/wellknown_test.go
+++ b/internal/kube/wellknown/wellknown_test.go
@@ -16,17 +16,17 @@
 		{Scheduler, "heathshed.io/scheduler"},
 		{JobName, "batch.kubernetes.io/job-name"},
 		{JobUID, "batch.kubernetes.io/controller-uid"},
-		{Index, "batch.kubernetes.io/job-completion-index"},
+		{CompletionIndex, "batch.kubernetes.io/job-completion-index"},
 		{Zone, "topology.kubernetes.io/zone"},
 		{Rack, "heathshed.io/rack"},
-		{Kind, "node.kubernetes.io/instance-type"},
+		{NodeType, "node.kubernetes.io/instance-type"},
 		{OutcomeDeadline, "heathshed.io/give-up-at"},
 		{JobManifest, "heathshed.io/job"},
 		{AttemptAnnotation, "heathshed.io/attempt"},
 		{Usage, "heathshed.io/use"},
 		{Lifetime, "heathshed.io/lifetime"},
 		{FreeCapacity, "heathshed.io/free"},
-		{Started, "heathshed.io/started"},
+		{StartedAt, "heathshed.io/started"},
 		{Settled, "heathshed.io/Settled"},
 		{Placed, "Placed"},
 		{Rejected, "Refused"},
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestRequests(t *testing.T) {
+func TestResourceRequests(t *testing.T) {
 	container := func(requests, limits corev1.ResourceList) corev1.Container {
 		return corev1.Container{Resources: corev1.ResourceRequirements{Requests: requests, Limits: limits}}
 	}
@@ -111,7 +111,7 @@
 		}, 3, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cores, memory := Requests(&test.spec)
+			cores, memory := ResourceRequests(&test.spec)
 			if cores != test.cores || memory != test.memory {
 				t.Errorf("%v cores, %v GiB, want %v, %v", cores, memory, test.cores, test.memory)
 			}
--- a/internal/lab/nodesim/object.go
+++ b/internal/lab/nodesim/object.go
@@ -46,7 +46,7 @@
 
 // PodRequest returns the request of an attempt to run a Pod, without a lifetime. The Pod becomes the payload.
 func PodRequest(pod *corev1.Pod, attempt, priority int) Request {
-	cores, memory := wellknown.Requests(&pod.Spec)
+	cores, memory := wellknown.ResourceRequests(&pod.Spec)
 	return Request{UID: string(pod.UID), Attempt: attempt, Service: PodService(pod), Cores: cores, Memory: memory, Priority: priority, Payload: pod}
 }
 
@@ -89,11 +89,11 @@
 	object := &corev1.Node{}
 	object.Name = identity.Name
 	object.UID = types.UID("node-" + identity.Name)
-	object.Labels = map[string]string{wellknown.Zone: identity.Zone, wellknown.Rack: identity.Rack, wellknown.Kind: identity.Kind}
+	object.Labels = map[string]string{wellknown.Zone: identity.Zone, wellknown.Rack: identity.Rack, wellknown.NodeType: identity.Kind}
 	cores, memory := n.Free()
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(cores, memory)}
 	if identity.StartedAt != 0 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(identity.StartedAt)
+		object.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(identity.StartedAt)
 	}
 	object.Spec.Unschedulable = n.draining
 	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
