--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestSinceBounds reads changes and snapshots at the ends of what is kept.
-func TestSinceBounds(t *testing.T) {
+// TestChangesSinceBounds reads changes and snapshots at the ends of what is kept.
+func TestChangesSinceBounds(t *testing.T) {
 	objects := New(100, 3)
 	for i := range 5 {
 		objects.Put(Pods, newPod("a", fmt.Sprint(i)))
