--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -16,19 +16,21 @@
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
 
-// TestCharacterizeStore pins the events, snapshots, errors and trimmed histories of stores under seeded changes. Regenerate the golden
-// file with HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// TestCharacterizeStore records the events, snapshots, errors and trimmed histories of stores under seeded
+// random changes, and compares the record with a golden file. Only regenerate the golden file with
+// HEATHSHED_UPDATE_GOLDEN=1 if the behaviour is meant to change; see package goldentest.
 func TestCharacterizeStore(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, objects := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
-		changeStore(record, fmt.Sprintf("store %d", i), objects, uint64(i))
+		recordRandomChanges(record, fmt.Sprintf("store %d", i), objects, uint64(i))
 	}
-	keepSnapshots(record)
+	recordKeptSnapshots(record)
 	record.Check(t, "store")
 }
 
-// keepSnapshots keeps more snapshots than a store holds, and looks for each of them as time passes.
-func keepSnapshots(record *goldentest.Recorder) {
+// recordKeptSnapshots keeps more snapshots than a store can hold and records which of them are found as
+// time passes.
+func recordKeptSnapshots(record *goldentest.Recorder) {
 	objects, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
 		objects.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
@@ -45,7 +47,7 @@
 	}
 }
 
-func changeStore(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
+func recordRandomChanges(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	base, now := objects.Revision(), placer.Seconds(0)
 	for step := range 3000 {
@@ -58,13 +60,13 @@
 			record.Integers(objects.Put(table, newObject(table, namespace, name, rng)))
 		}
 		record.Integers(objects.Revision(), objects.ObjectCost(), objects.HistoryCost(), int64(objects.Len(table)))
-		readChanges(record, objects, table, objects.Revision()-int64(rng.IntN(30)), 1+rng.IntN(10))
+		recordChanges(record, objects, table, objects.Revision()-int64(rng.IntN(30)), 1+rng.IntN(10))
 		if step%10 == 0 {
-			readSnapshot(record, objects, now, table, rng)
+			recordSnapshot(record, objects, now, table, rng)
 		}
 		if step%300 == 299 {
-			readChanges(record, objects, table, base, 100000)
-			readChanges(record, objects, table, objects.Revision()+1, 1)
+			recordChanges(record, objects, table, base, 100000)
+			recordChanges(record, objects, table, objects.Revision()+1, 1)
 			record.Checkpoint(fmt.Sprintf("%s, step %d", label, step+1))
 		}
 	}
@@ -105,7 +107,7 @@
 	}
 }
 
-func readChanges(record *goldentest.Recorder, objects *store.Store, table store.Resource, revision int64, limit int) {
+func recordChanges(record *goldentest.Recorder, objects *store.Store, table store.Resource, revision int64, limit int) {
 	changes, err := objects.ChangesSince(table, revision, limit)
 	record.Error(err)
 	record.Integers(int64(len(changes)))
@@ -114,8 +116,8 @@
 	}
 }
 
-// readSnapshot keeps a snapshot and reads parts of it, and of one that was kept before.
-func readSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
+// recordSnapshot keeps a snapshot and records parts of a snapshot that is found at a recent revision.
+func recordSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
 	objects.KeepSnapshot(now, objects.Snapshot(table))
 	snapshot, err := objects.FindSnapshot(now, table, objects.Revision()-int64(rng.IntN(3)*10))
 	record.Error(err)
--- a/internal/kube/store/snapshot.go
+++ b/internal/kube/store/snapshot.go
@@ -9,26 +9,28 @@
 	"heathshed/placer"
 )
 
-// Snapshot is the state of a table at one revision. It is not affected by later changes.
+// Snapshot is the state of one table at one revision. Later changes of the table do not affect it.
 type Snapshot struct {
 	Resource Resource
 	Revision int64
 	objects  *btree.Map[string, *Change]
-	keptAt   placer.Seconds // Unix time of the last KeepSnapshot
+	keptAt   placer.Seconds // Unix time of the last call of KeepSnapshot for this snapshot
 }
 
-// Snapshot returns the present state of a table. Its cost does not depend on the number of objects, since trees are copied on write.
+// Snapshot returns the present state of a table. Its cost does not depend on the number of objects, because
+// the tree of a table is copied on write.
 func (s *Store) Snapshot(r Resource) Snapshot {
 	return Snapshot{Resource: r, Revision: s.revision, objects: s.tables[r].objects.Copy()}
 }
 
-// Limits of kept snapshots.
+// Limits of the snapshots that are kept for the pages of lists.
 const (
 	maxSnapshots      = 64
 	snapshotRetention = placer.Seconds(300)
 )
 
-// KeepSnapshot keeps a snapshot for the next pages of a list. If there are too many, the first of the kept ones is dropped.
+// KeepSnapshot keeps a snapshot, so that a client that reads a list in pages gets all pages from the same
+// state. If the maximum number of snapshots is reached, the one that was kept first is dropped.
 func (s *Store) KeepSnapshot(now placer.Seconds, snapshot Snapshot) {
 	s.expireSnapshots(now)
 	for i := range s.snapshots {
@@ -45,7 +47,7 @@
 	s.snapshots = append(s.snapshots, snapshot)
 }
 
-// expireSnapshots drops the kept snapshots that are too old or outdated.
+// expireSnapshots drops the kept snapshots that are older than the retention period or outdated.
 func (s *Store) expireSnapshots(now placer.Seconds) {
 	remaining := 0
 	for _, snapshot := range s.snapshots {
@@ -58,13 +60,14 @@
 	s.snapshots = s.snapshots[:remaining]
 }
 
-// Outdated reports whether the revision of a snapshot has left the history. A reader that still uses the snapshot keeps objects in memory that
-// are needed for nothing else.
+// Outdated reports whether the history no longer reaches back to the revision of a snapshot. A reader of an
+// outdated snapshot keeps objects in memory that nothing else needs.
 func (s *Store) Outdated(snapshot Snapshot) bool {
 	return snapshot.Revision < s.tables[snapshot.Resource].lastDropped
 }
 
-// FindSnapshot returns a kept snapshot, or a new one if the revision is the present one. The error is ErrExpired.
+// FindSnapshot returns the kept snapshot of a table at a revision, or a new snapshot if the revision is the
+// present one. Otherwise, it returns ErrExpired.
 func (s *Store) FindSnapshot(now placer.Seconds, r Resource, revision int64) (Snapshot, error) {
 	s.expireSnapshots(now)
 	for _, snapshot := range s.snapshots {
@@ -78,11 +81,12 @@
 	return Snapshot{}, fmt.Errorf("%s: revision %d: %w", r, revision, ErrExpired)
 }
 
-// Len returns the number of objects.
+// Len returns the number of objects in the snapshot.
 func (sn Snapshot) Len() int { return sn.objects.Len() }
 
-// Scan visits the objects of a namespace, "" for all, whose key is above after, in order of key. Each object is passed as its last change. Scan
-// ends when visit returns false.
+// Scan calls visit for each object of a namespace, or of all namespaces if namespace is empty, in the order
+// of the keys. It skips keys up to and including after. visit gets the last change of the object. Scan ends
+// when visit returns false.
 func (sn Snapshot) Scan(namespace, after string, visit func(key string, change *Change) bool) {
 	prefix := ""
 	if namespace != "" {
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -1,11 +1,12 @@
-// Package store keeps API objects with a revision for every change, consistent snapshots for lists, and a bounded history of changes for
-// watches, as etcd does for the Kubernetes API server. Package engine writes to it, package api reads it; an emulated inventory has a store of
-// its own.
+// Package store keeps API objects, as etcd does for the Kubernetes API server. Each change gets a revision,
+// lists read from consistent snapshots, and watches read from a bounded history of changes. Package engine
+// writes to its store and package api reads from it. The emulated inventory has a store of its own.
 //
-// It is pure: no I/O, no clock, no goroutines. A Store must be used by one goroutine at a time; a Snapshot may be read by any. Stored
-// objects must not be changed.
+// The package is pure: it uses no I/O, no clock and no goroutines. A Store must be used by one goroutine at
+// a time; a Snapshot may be read by several goroutines. Stored objects must not be changed.
 //
-// Begin reading at Store.Put, which records a Change, Store.ChangesSince, which watches read from, and Snapshot (snapshot.go), which lists read from.
+// Start reading at Store.Put, which records a Change, at Store.ChangesSince, from which watches read, and
+// at Snapshot in snapshot.go, from which lists read.
 package store
 
 import (
@@ -24,10 +25,10 @@
 	runtime.Object
 }
 
-// Resource selects a table.
+// Resource identifies a table of the store.
 type Resource uint8
 
-// The tables.
+// Tables of the store.
 const (
 	Jobs Resource = iota
 	Pods
@@ -38,56 +39,61 @@
 
 var resourceNames = [resourceCount]string{"jobs", "pods", "nodes", "namespaces"}
 
-// String returns the plural name of the resource in the API.
+// String returns the plural name that the API uses for the resource.
 func (r Resource) String() string { return resourceNames[r] }
 
-// Op is a kind of change.
+// Op is the kind of a change.
 type Op uint8
 
-// The kinds of changes.
+// Kinds of changes.
 const (
 	Added Op = iota
 	Modified
 	Deleted
 )
 
-// Change is one entry of the history.
+// Change is one entry in the history of a table.
 type Change struct {
 	Revision int64
 	Op       Op
-	Object   Object // the new state; for Deleted the last state, with the revision of the deletion
-	Previous Object // the previous state; nil for Added
+	Object   Object // state after the change; for Deleted, the last state with the revision of the deletion
+	Previous Object // state before the change; nil for Added
 
-	// JSON and Binary are cached encodings of Object. The reader that needs one first sets it, so that Object is encoded once for all watches.
+	// JSON and Binary are cached encodings of Object. The first reader that needs an encoding sets it, so
+	// that Object is encoded only once for all watches.
 	JSON   []byte
 	Binary []byte
 
-	cost int64 // see Cost
+	cost int64 // estimated memory in bytes, as returned by Cost
 }
 
-// Errors of reads. The API server turns them into statuses, with their texts as messages.
+// Errors of read operations. The API server returns them to clients as statuses with these texts.
 var (
-	// ErrExpired means that the revision is no longer in the history. The caller must list again.
+	// ErrExpired means that the history no longer reaches back to the requested revision. The client must
+	// list the objects again.
 	ErrExpired = errors.New("the revision is older than the history that is kept")
-	// ErrFuture means that the revision does not exist yet.
+	// ErrFuture means that the requested revision does not exist yet.
 	ErrFuture = errors.New("the revision lies in the future")
 )
 
-// Store is a set of tables that share one sequence of revisions. It owns the objects, the histories and the kept snapshots.
+// Store is a set of tables that share one sequence of revisions. It owns the objects, the histories of
+// changes and the kept snapshots.
 type Store struct {
 	revision       int64
 	tables         [resourceCount]table
-	historyLength  int   // changes per table
-	maxHistoryCost int64 // of the histories of all tables; 0 means no limit
+	historyLength  int   // maximum number of changes in the history of each table
+	maxHistoryCost int64 // maximum cost of the histories of all tables in bytes; 0 means no limit
 	snapshots      []Snapshot
 }
 
-// New returns an empty Store whose first change has a revision above base. It keeps up to historyLength changes per table. If base grows
-// with time, revisions grow over restarts.
+// New returns an empty Store. The first change has a revision greater than base, and the history of each
+// table keeps up to historyLength changes. If each process passes a base that grows with time, revisions
+// also grow across restarts.
 func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
-// NewBounded returns a Store like New that also bounds the cost of the histories of all tables together, in bytes as Cost counts: fewer changes
-// are kept if they are large. A maxHistoryCost of 0 means no limit.
+// NewBounded returns a Store like New and also limits the total cost of the histories of all tables to
+// maxHistoryCost bytes, as estimated by Cost. The histories then keep fewer changes if the objects are
+// large. A maxHistoryCost of 0 means no limit.
 func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
 	s := &Store{revision: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
@@ -96,13 +102,13 @@
 	return s
 }
 
-// Revision returns the revision of the last change.
+// Revision returns the revision of the last change in any table.
 func (s *Store) Revision() int64 { return s.revision }
 
-// Key returns the key of an object in its table.
+// Key returns the key by which a table stores an object.
 func Key(namespace, name string) string { return namespace + "/" + name }
 
-// Get returns a stored object, nil if there is none.
+// Get returns a stored object, or nil if there is none.
 func (s *Store) Get(r Resource, namespace, name string) Object {
 	if change := s.LastChange(r, namespace, name); change != nil {
 		return change.Object
@@ -110,22 +116,22 @@
 	return nil
 }
 
-// LastChange returns the last change of a stored object, nil if there is no such object.
+// LastChange returns the last change of a stored object, or nil if the object is not stored.
 func (s *Store) LastChange(r Resource, namespace, name string) *Change {
-	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // nil if there is none
+	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // Get returns nil for a key that is not stored.
 	return change
 }
 
 // Len returns the number of objects in a table.
 func (s *Store) Len(r Resource) int { return s.tables[r].objects.Len() }
 
-// Factors of Cost, chosen to overestimate.
+// Factors of Cost. They overestimate the memory use.
 const (
-	costPerObject = 2048 // bytes beside the fields
-	costPerByte   = 5    // bytes per byte of the binary encoding, for the fields and the cached encodings
+	costPerObject = 2048 // bytes per object in addition to its fields
+	costPerByte   = 5    // bytes for the fields and the cached encodings, per byte of the binary encoding
 )
 
-// Cost returns an upper estimate of the memory in bytes that a stored object and its cached encodings take.
+// Cost returns an upper estimate of the memory in bytes that a stored object and its cached encodings use.
 func Cost(object Object) int64 {
 	size := 0
 	if sized, ok := object.(interface{ Size() int }); ok {
@@ -134,7 +140,7 @@
 	return costPerObject + costPerByte*int64(size)
 }
 
-// ObjectCost returns the cost of all stored objects.
+// ObjectCost returns the total cost of all stored objects in bytes.
 func (s *Store) ObjectCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].objectCost
@@ -142,7 +148,7 @@
 	return total
 }
 
-// HistoryCost returns the cost of all changes in the histories.
+// HistoryCost returns the total cost of all changes in the histories in bytes.
 func (s *Store) HistoryCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].historyCost
@@ -150,7 +156,8 @@
 	return total
 }
 
-// Put adds or replaces an object, sets its resource version, and returns the revision. The caller must not change the object afterwards.
+// Put adds or replaces an object, sets its resource version and returns the revision of the change. The
+// caller must not modify the object afterwards.
 func (s *Store) Put(r Resource, object Object) int64 {
 	table := &s.tables[r]
 	s.revision++
@@ -167,7 +174,7 @@
 	return s.revision
 }
 
-// Delete removes an object. It returns false if there is none.
+// Delete removes an object. It returns false if the object is not stored.
 func (s *Store) Delete(r Resource, namespace, name string) bool {
 	table := &s.tables[r]
 	previous, ok := table.objects.Delete(Key(namespace, name))
@@ -184,8 +191,9 @@
 	return true
 }
 
-// trimHistories drops the oldest changes of the table with the costliest history until the limit on all histories is met. The last change of
-// each table is kept, so that a watch that has read all changes never expires.
+// trimHistories drops the oldest changes until the cost of all histories is within its limit. It always
+// takes them from the table with the most expensive history. Each table keeps its last change, so that a
+// watch that has read all changes never expires.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
 		costliest := s.costliestHistory()
@@ -196,7 +204,8 @@
 	}
 }
 
-// costliestHistory returns the table with the costliest history of more than one change, nil if there is none.
+// costliestHistory returns the table whose history has the highest cost among those with more than one
+// change. It returns nil if no history has more than one change.
 func (s *Store) costliestHistory() *table {
 	var costliest *table
 	for i := range s.tables {
@@ -211,8 +220,8 @@
 	return costliest
 }
 
-// ChangesSince returns up to limit changes of a table after a revision, the oldest first. The slice is valid until the next change. The error is
-// ErrExpired or ErrFuture.
+// ChangesSince returns up to limit changes of a table that are newer than a revision, the oldest first. The
+// slice is valid until the next change of the store. The error is ErrExpired or ErrFuture.
 func (s *Store) ChangesSince(r Resource, revision int64, limit int) ([]*Change, error) {
 	table := &s.tables[r]
 	if revision < table.lastDropped {
@@ -224,47 +233,49 @@
 	return table.changesAfter(revision, limit), nil
 }
 
-// table has the objects of one resource and the history of their changes.
+// table holds the objects of one resource and the history of their changes.
 type table struct {
-	objects    btree.Map[string, *Change] // the last change of each object, by Key
+	objects    btree.Map[string, *Change] // last change of each stored object by its Key
 	objectCost int64
 
-	history     []*Change // in order of revision, from head on
-	head        int
+	history     []*Change // changes in order of revision; those before index firstKept have been dropped
+	firstKept   int
 	historyCost int64
 	lastDropped int64 // revision of the last change that was dropped from the history
 }
 
-func (t *table) historyLength() int { return len(t.history) - t.head }
+func (t *table) historyLength() int { return len(t.history) - t.firstKept }
 
-// appendChange appends a change to the history and trims the history to a length.
+// appendChange appends a change to the history and then trims the history to at most length changes.
 func (t *table) appendChange(change *Change, length int) {
 	t.history = append(t.history, change)
 	t.historyCost += change.cost
 	t.trimHistory(length)
 }
 
-// minCompaction is the number of dropped entries at the front of a history above which the history is copied to free their memory.
+// minCompaction is the number of dropped entries that the front of a history may have before the history is
+// copied to free their memory.
 const minCompaction = 1024
 
-// trimHistory drops the oldest changes until the history has at most the given length.
+// trimHistory drops the oldest changes until the history has at most length changes.
 func (t *table) trimHistory(length int) {
 	for t.historyLength() > length {
-		dropped := t.history[t.head]
+		dropped := t.history[t.firstKept]
 		t.lastDropped = dropped.Revision
 		t.historyCost -= dropped.cost
-		t.history[t.head] = nil
-		t.head++
-		if t.head > minCompaction && t.head > len(t.history)/2 {
-			t.history = append([]*Change(nil), t.history[t.head:]...)
-			t.head = 0
+		t.history[t.firstKept] = nil
+		t.firstKept++
+		if t.firstKept > minCompaction && t.firstKept > len(t.history)/2 {
+			t.history = append([]*Change(nil), t.history[t.firstKept:]...)
+			t.firstKept = 0
 		}
 	}
 }
 
-// changesAfter returns up to limit changes after a revision, by binary search.
+// changesAfter returns up to limit changes that are newer than a revision. It finds the first of them by
+// binary search.
 func (t *table) changesAfter(revision int64, limit int) []*Change {
-	history := t.history[t.head:]
+	history := t.history[t.firstKept:]
 	if len(history) == 0 || history[len(history)-1].Revision <= revision {
 		return nil
 	}
--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -22,37 +22,39 @@
 	return pod
 }
 
-// objectsByKey is what a table should hold.
+// objectsByKey has the objects that a table is expected to hold.
 type objectsByKey map[string]Object
 
-// change deletes a random Pod, or puts one, in the store and in what it should hold. Revisions must grow by one with each change.
+// change puts or deletes a random Pod in the store and in the expected objects. It checks that the revision
+// of the store grows by one with each change.
 func (want objectsByKey) change(t *rapid.T, objects *Store, namespace string) {
 	name := fmt.Sprint("p", rapid.IntRange(0, 15).Draw(t, "name"))
 	key, before := Key(namespace, name), objects.Revision()
 	if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
 		_, present := want[key]
 		if objects.Delete(Pods, namespace, name) != present {
-			t.Fatal("delete and state disagree")
+			t.Fatal("Delete does not report whether the object was stored")
 		}
 		delete(want, key)
 		if present != (objects.Revision() == before+1) {
-			t.Fatalf("revision %d after %d, deleted %v", objects.Revision(), before, present)
+			t.Fatalf("Delete changed the revision to %d from %d; the object was stored: %v", objects.Revision(), before, present)
 		}
 		return
 	}
 	pod := newPod(namespace, name)
 	want[key] = pod
 	if objects.Put(Pods, pod); objects.Revision() != before+1 || pod.ResourceVersion != fmt.Sprint(objects.Revision()) {
-		t.Fatalf("revision %d after %d, the Pod has %s", objects.Revision(), before, pod.ResourceVersion)
+		t.Fatalf("Put changed the revision to %d from %d; the Pod has %s", objects.Revision(), before, pod.ResourceVersion)
 	}
 }
 
-// apply makes the changes of a history.
+// apply applies the changes of a history to the expected objects. It checks that each change matches the
+// object before it.
 func (want objectsByKey) apply(t *rapid.T, changes []*Change) {
 	for _, change := range changes {
 		key := Key(change.Object.GetNamespace(), change.Object.GetName())
 		if previous, present := want[key]; present != (change.Op != Added) || present && previous != change.Previous {
-			t.Fatalf("revision %d does not follow", change.Revision)
+			t.Fatalf("change of revision %d does not match the object before it", change.Revision)
 		}
 		if change.Op == Deleted {
 			delete(want, key)
@@ -62,24 +64,25 @@
 	}
 }
 
-// check compares a snapshot, whose objects must come in order.
+// check compares a snapshot with the expected objects, and checks that the snapshot returns its objects in
+// the order of their keys.
 func (want objectsByKey) check(t *rapid.T, snapshot Snapshot) {
 	count, last := 0, ""
 	snapshot.Scan("", "", func(key string, change *Change) bool {
 		if want[key] != change.Object || count > 0 && key <= last {
-			t.Fatalf("%s is not what was put, or out of order", key)
+			t.Fatalf("object %s is not the one that was put, or is out of order", key)
 		}
 		count++
 		last = key
 		return true
 	})
 	if count != len(want) {
-		t.Fatalf("%d objects, want %d", count, len(want))
+		t.Fatalf("snapshot has %d objects, want %d", count, len(want))
 	}
 }
 
-// TestStore makes random changes: revisions grow by one, a snapshot never changes, and a snapshot with the changes since gives the present
-// state.
+// TestStore makes random changes. It checks that revisions grow by one, that a snapshot never changes, and
+// that a snapshot together with all later changes gives the present state.
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Int64Range(0, 1e15).Draw(t, "base")
@@ -102,7 +105,7 @@
 		changes, err := objects.ChangesSince(Pods, old.Revision, 1000)
 		if errors.Is(err, ErrExpired) {
 			if objects.Revision()-old.Revision <= int64(historyLength) {
-				t.Fatal("history is dropped too soon")
+				t.Fatal("history has dropped a change that its length still covers")
 			}
 			return
 		}
@@ -111,34 +114,36 @@
 	})
 }
 
-// TestChangesSinceBounds reads changes and snapshots at the ends of what is kept.
+// TestChangesSinceBounds reads changes and snapshots at both ends of the range of revisions that the store
+// keeps.
 func TestChangesSinceBounds(t *testing.T) {
 	objects := New(100, 3)
 	for i := range 5 {
 		objects.Put(Pods, newPod("a", fmt.Sprint(i)))
 	}
 	if _, err := objects.ChangesSince(Pods, 101, 10); !errors.Is(err, ErrExpired) {
-		t.Errorf("101: %v, want expired", err)
+		t.Errorf("changes since 101: error %v, want ErrExpired", err)
 	}
 	if _, err := objects.ChangesSince(Pods, 106, 10); !errors.Is(err, ErrFuture) {
-		t.Errorf("106: %v, want future", err)
+		t.Errorf("changes since 106: error %v, want ErrFuture", err)
 	}
 	if changes, err := objects.ChangesSince(Pods, 102, 2); err != nil || len(changes) != 2 || changes[0].Revision != 103 {
-		t.Errorf("102: %v, %v", changes, err)
+		t.Errorf("changes since 102: %v, error %v; want two changes from 103 on", changes, err)
 	}
 	snapshot := objects.Snapshot(Pods)
 	objects.KeepSnapshot(1000, snapshot)
 	objects.Put(Pods, newPod("a", "later"))
 	if kept, err := objects.FindSnapshot(1001, Pods, snapshot.Revision); err != nil || kept.Len() != 5 {
-		t.Errorf("kept: %v", err)
+		t.Errorf("kept snapshot is not found or was changed: error %v", err)
 	}
 	if _, err := objects.FindSnapshot(1000+snapshotRetention+1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) {
-		t.Errorf("kept too long: %v", err)
+		t.Errorf("snapshot past its retention: error %v, want ErrExpired", err)
 	}
 }
 
-// TestHistoryIsBoundedInBytes puts large changes, of which fewer are kept. Small ones are then kept in full number again, and deleted objects
-// cost nothing any more.
+// TestHistoryIsBoundedInBytes checks the limit on the cost of the history. Large changes are put first, of
+// which the history keeps fewer; small changes must then be kept in full number again. Deleted objects must
+// not count towards the cost.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	const maxCost = 8 << 20
 	objects := NewBounded(1, 1000, maxCost)
@@ -149,27 +154,27 @@
 		}
 		objects.Put(Pods, pod)
 		if objects.HistoryCost() > maxCost {
-			t.Fatalf("after %d changes the history costs %d", i+1, objects.HistoryCost())
+			t.Fatalf("after %d changes, the history costs %d bytes, which is above its limit", i+1, objects.HistoryCost())
 		}
 		if changes, err := objects.ChangesSince(Pods, objects.Revision()-1, 10); err != nil || len(changes) != 1 {
-			t.Fatalf("the last change is not kept: %v", err)
+			t.Fatalf("history does not have the last change: error %v", err)
 		}
 	}
 	if changes, err := objects.ChangesSince(Pods, objects.Revision()-90, 100); err != nil || len(changes) != 90 {
-		t.Errorf("small changes are kept again: %d, %v", len(changes), err)
+		t.Errorf("history has %d of the last 90 small changes: error %v", len(changes), err)
 	}
 	snapshot := objects.Snapshot(Pods)
 	for i := range 10 {
 		objects.Delete(Pods, "default", fmt.Sprint("p", i))
 	}
 	if objects.ObjectCost() != 0 {
-		t.Errorf("%d bytes of deleted objects", objects.ObjectCost())
+		t.Errorf("object cost is %d bytes after all objects were deleted, want 0", objects.ObjectCost())
 	}
 	objects.KeepSnapshot(0, snapshot)
 	for i := range 2000 {
 		objects.Put(Pods, newPod("default", fmt.Sprint("q", i%10)))
 	}
 	if _, err := objects.FindSnapshot(1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) || !objects.Outdated(snapshot) {
-		t.Errorf("a snapshot that the history has passed is kept: %v", err)
+		t.Errorf("snapshot older than the history: error %v, want ErrExpired and an outdated snapshot", err)
 	}
 }
--- a/internal/kube/wellknown/dict.go
+++ b/internal/kube/wellknown/dict.go
@@ -8,17 +8,17 @@
 	"github.com/dunglas/httpsfv"
 )
 
-// Dict is a set of named numbers in the form of an RFC 9651 dictionary.
+// Dict is a set of named numbers that is encoded as an RFC 9651 dictionary.
 type Dict map[string]float64
 
-// Member is one named number of a dictionary.
+// Member is one named number of a Dict.
 type Member struct {
 	Name  string
 	Value float64
 }
 
-// ParseDict parses a dictionary. Members that are not numbers are left out. An empty text is an empty dictionary. The error is that of
-// the RFC 9651 parser.
+// ParseDict parses an RFC 9651 dictionary. Members that are not numbers are skipped, and an empty text
+// gives an empty Dict. If the text is not a dictionary, the error is that of the RFC 9651 parser.
 func ParseDict(text string) (Dict, error) {
 	if text == "" {
 		return nil, nil
@@ -29,7 +29,7 @@
 	}
 	numbers := Dict{}
 	for _, name := range parsed.Names() {
-		member, _ := parsed.Get(name) // it is there: the name is the dictionary's own
+		member, _ := parsed.Get(name) // Get finds the member, because the name comes from the same dictionary.
 		item, ok := member.(httpsfv.Item)
 		if !ok {
 			continue
@@ -44,10 +44,10 @@
 	return numbers, nil
 }
 
-// dictDecimals is the number of decimals of a formatted number, the most that RFC 9651 allows.
+// dictDecimals is the number of decimal places of a formatted number. RFC 9651 does not allow more.
 const dictDecimals = 3
 
-// FormatDict formats a dictionary with its members in the order given.
+// FormatDict formats members as an RFC 9651 dictionary and keeps their order.
 func FormatDict(members ...Member) string {
 	var text strings.Builder
 	for i, member := range members {
@@ -61,7 +61,7 @@
 	return text.String()
 }
 
-// FormatCapacity formats the Dict of Usage and FreeCapacity. Memory is in GiB.
+// FormatCapacity formats the value of the annotations Usage and FreeCapacity. memory is in GiB.
 func FormatCapacity(cores, memory float64) string {
 	return FormatDict(Member{DictCores, cores}, Member{DictMemory, memory})
 }
--- a/internal/kube/wellknown/objects.go
+++ b/internal/kube/wellknown/objects.go
@@ -6,11 +6,12 @@
 	corev1 "k8s.io/api/core/v1"
 )
 
-// Gibibyte is the number of bytes in the unit of memory that decisions count in.
+// Gibibyte is the number of bytes in a GiB, the unit in which the scheduler counts memory.
 const Gibibyte = 1 << 30
 
-// ResourceRequests returns the cores and the memory in GiB that a Pod's containers request together. Init containers run one after another before
-// the others: the largest of them counts.
+// ResourceRequests returns the cores and the memory in GiB that a Pod requests. The requests of its
+// containers are added up. Init containers run one after another before the other containers, so only the
+// largest of their requests counts.
 func ResourceRequests(spec *corev1.PodSpec) (cores, memory float64) {
 	for i := range spec.Containers {
 		containerCores, containerMemory := containerRequests(&spec.Containers[i])
@@ -25,7 +26,8 @@
 	return cores, memory
 }
 
-// containerRequests returns the requests of a container, in place of one that is not set its limit.
+// containerRequests returns the cores and the memory in GiB that a container requests. A request that is
+// not set defaults to the limit of the resource.
 func containerRequests(container *corev1.Container) (cores, memory float64) {
 	cpu := container.Resources.Requests[corev1.ResourceCPU]
 	if cpu.IsZero() {
@@ -38,7 +40,8 @@
 	return float64(cpu.MilliValue()) / 1000, float64(bytes.Value()) / Gibibyte
 }
 
-// SettledReason returns the reason of a Pod's Settled condition, "" if its outcome is not final.
+// SettledReason returns the reason of a Pod's Settled condition. It returns "" if the Pod does not have a
+// final outcome yet.
 func SettledReason(pod *corev1.Pod) string {
 	for i := range pod.Status.Conditions {
 		condition := &pod.Status.Conditions[i]
@@ -49,12 +52,12 @@
 	return ""
 }
 
-// PodFinished reports whether a Pod has ended.
+// PodFinished reports whether a Pod has ended, with success or failure.
 func PodFinished(pod *corev1.Pod) bool {
 	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
 
-// NodeAddress returns host:port of a node's API, "" if the Node does not state it.
+// NodeAddress returns the host:port of a node's API, or "" if the Node does not state it.
 func NodeAddress(node *corev1.Node) string {
 	port := node.Status.DaemonEndpoints.KubeletEndpoint.Port
 	for _, address := range node.Status.Addresses {
@@ -65,7 +68,7 @@
 	return ""
 }
 
-// NodeReady reports whether a Node's Ready condition is true.
+// NodeReady reports whether the Ready condition of a Node is true.
 func NodeReady(node *corev1.Node) bool {
 	for i := range node.Status.Conditions {
 		condition := &node.Status.Conditions[i]
--- a/internal/kube/wellknown/wellknown_test.go
+++ b/internal/kube/wellknown/wellknown_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 )
 
-// The texts are on the wire between programs of different versions.
+// TestTextsOnTheWire pins the texts that programs of different versions exchange.
 func TestTextsOnTheWire(t *testing.T) {
 	for _, test := range []struct{ got, want string }{
 		{Class, "heathshed.io/class"},
@@ -50,7 +50,7 @@
 		{FormatTimestamp(1.8e9 + 0.25), "2027-01-15T08:00:00.250000Z"},
 	} {
 		if test.got != test.want {
-			t.Errorf("%q, want %q", test.got, test.want)
+			t.Errorf("text is %q, want %q", test.got, test.want)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, err := ParseDict(test.text)
 			if (err != nil) != test.fails || !maps.Equal(got, test.want) {
-				t.Errorf("%v, %v, want %v", got, err, test.want)
+				t.Errorf("ParseDict returned %v, error %v; want %v", got, err, test.want)
 			}
 		})
 	}
@@ -79,13 +79,13 @@
 func TestTimestamps(t *testing.T) {
 	const seconds = 1.8e9 + 0.75
 	if got := ParseTimestamp(FormatTimestamp(seconds)); got != seconds {
-		t.Errorf("%v, want %v", got, seconds)
+		t.Errorf("formatted and parsed timestamp is %v, want %v", got, seconds)
 	}
 	if got := ParseTimestamp("yesterday"); got != 0 {
-		t.Errorf("%v, want 0", got)
+		t.Errorf("invalid timestamp was parsed as %v, want 0", got)
 	}
 	if got := APITime(seconds).Unix(); got != 1.8e9 {
-		t.Errorf("%v, want whole seconds", got)
+		t.Errorf("time of the API is %v, want it in whole seconds", got)
 	}
 }
 
@@ -113,7 +113,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			cores, memory := ResourceRequests(&test.spec)
 			if cores != test.cores || memory != test.memory {
-				t.Errorf("%v cores, %v GiB, want %v, %v", cores, memory, test.cores, test.memory)
+				t.Errorf("requests are %v cores and %v GiB, want %v and %v", cores, memory, test.cores, test.memory)
 			}
 		})
 	}
