--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -68,7 +68,7 @@
 		a.lifecycle.started(adopted)
 	}
 	if adopted.job != nil && adopted.job.isDeleted() {
-		a.podController.deleteOfTask(adopted, stopDeleted)
+		a.podController.deletePodOfTask(adopted, stopDeleted)
 	}
 }
 
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -169,7 +169,7 @@
 	if !answer.Accepted {
 		return
 	}
-	node, running := t.nodes.get(answer.Node), task.attempts.running
+	node, running := t.nodes.getByName(answer.Node), task.attempts.running
 	if node != nil && (running == nil || running.node != node) {
 		t.stopCopy(node, task.podIdentity, answer.Attempt)
 	}
@@ -182,7 +182,7 @@
 
 // stopLateAcceptance stops the Pod of a task that was removed before the node accepted it.
 func (t *attemptTracker) stopLateAcceptance(answer *AttemptAnswer) {
-	node := t.nodes.get(answer.Node)
+	node := t.nodes.getByName(answer.Node)
 	if !answer.Accepted || node == nil {
 		return
 	}
@@ -262,7 +262,7 @@
 
 // podForNode returns a task's Pod as it is sent to nodes, with what a restarted scheduler needs to adopt it.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
-	stored := t.publisher.podOf(task)
+	stored := t.publisher.podOfTask(task)
 	if stored == nil {
 		panic("engine: task without a Pod: " + string(task.uid))
 	}
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -71,7 +71,7 @@
 
 // NodeCounts returns how many nodes the inventory lists as ready or draining, and of how many of them the Pods are watched.
 func (e *Engine) NodeCounts() (listed, watched int) {
-	return e.nodes.counts()
+	return e.nodes.countNodes()
 }
 
 // NodePods handles the complete list of this scheduler's Pods at a node, with the revision of the list and the node's incarnation. Running
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -32,7 +32,7 @@
 			engine := newEngine(t)
 			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.first}, nil)
 			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.second}, nil)
-			if got := engine.nodes.get(nodeName).listedStartedAt; got != test.want {
+			if got := engine.nodes.getByName(nodeName).listedStartedAt; got != test.want {
 				t.Errorf("started at %v, want %v", got, test.want)
 			}
 		})
@@ -47,9 +47,9 @@
 	engine.NodePods(1010, nodeName, "b", 1, nil)
 
 	engine.NodesListed(1011, Changes, []*corev1.Node{listedNode("a", 0)}, nil)
-	engine.nodes.observeIncarnation(engine.nodes.get(nodeName), "a")
+	engine.nodes.observeIncarnation(engine.nodes.getByName(nodeName), "a")
 
-	if got := engine.nodes.get(nodeName).incarnation; got != "b" {
+	if got := engine.nodes.getByName(nodeName).incarnation; got != "b" {
 		t.Errorf("the node is taken back to incarnation %q", got)
 	}
 }
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -92,7 +92,7 @@
 		c.stopTimer(index.retryTimer)
 		switch index.state {
 		case indexActive:
-			c.podController.deleteOfTask(index.task, stopSuspended)
+			c.podController.deletePodOfTask(index.task, stopSuspended)
 		case indexRetrying:
 			job.indexes.restart(i)
 		}
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -38,8 +38,8 @@
 	inventoryListed bool           // the inventory has been listed at least once
 }
 
-// get returns the node with the given name, or nil if the node is unknown.
-func (r *nodeRegistry) get(name string) *node { return r.byName[name] }
+// getByName returns the node with the given name, or nil if the node is unknown.
+func (r *nodeRegistry) getByName(name string) *node { return r.byName[name] }
 
 // getByID returns the node with the given placer ID, or nil if the node is unknown.
 func (r *nodeRegistry) getByID(id placer.NodeID) *node { return r.byID[id] }
@@ -235,9 +235,9 @@
 	node.podsWatched = false
 }
 
-// counts returns the values of Engine.NodeCounts: the nodes that are ready or draining, and how many of
+// countNodes returns the values of Engine.NodeCounts: the nodes that are ready or draining, and how many of
 // these have their Pods watched.
-func (r *nodeRegistry) counts() (listed, watched int) {
+func (r *nodeRegistry) countNodes() (listed, watched int) {
 	for _, node := range r.byName {
 		if node.state == placer.Terminated {
 			continue
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -75,9 +75,9 @@
 	c.lifecycle.stop(task, reason)
 }
 
-// deleteOfTask deletes the Pod of a task if the Pod is still stored.
-func (c *podController) deleteOfTask(task *task, reason stopReason) {
-	if pod := c.publisher.podOf(task); pod != nil {
+// deletePodOfTask deletes the Pod of a task if the Pod is still stored.
+func (c *podController) deletePodOfTask(task *task, reason stopReason) {
+	if pod := c.publisher.podOfTask(task); pod != nil {
 		c.delete(pod, reason)
 	}
 }
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -21,7 +21,7 @@
 // observePodList handles a node's complete list of Pods for Engine.NodePods. A running task that is missing
 // in the list has ended.
 func (o *podObserver) observePodList(name, incarnation string, revision int64, pods []*corev1.Pod) {
-	node := o.nodes.get(name)
+	node := o.nodes.getByName(name)
 	if node == nil {
 		return
 	}
@@ -29,7 +29,7 @@
 	seen := map[types.UID]bool{}
 	for _, pod := range pods {
 		seen[pod.UID] = true
-		o.observe(node, pod, false)
+		o.observePod(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.running) {
 		// A task that the node accepted after it made the list has a newer revision than the list, and is
@@ -42,14 +42,14 @@
 
 // observePodChange handles a node's report of one Pod for Engine.NodePod.
 func (o *podObserver) observePodChange(name string, pod *corev1.Pod, deleted bool) {
-	if node := o.nodes.get(name); node != nil {
-		o.observe(node, pod, deleted)
+	if node := o.nodes.getByName(name); node != nil {
+		o.observePod(node, pod, deleted)
 	}
 }
 
-// observe handles a node's report of a Pod: it updates the task that the Pod belongs to, adopts a Pod
+// observePod handles a node's report of a Pod: it updates the task that the Pod belongs to, adopts a Pod
 // without a task, or stops a surplus copy of a task.
-func (o *podObserver) observe(node *node, pod *corev1.Pod, deleted bool) {
+func (o *podObserver) observePod(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
 	finished := deleted || wellknown.PodFinished(pod)
 	if task == nil {
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -41,8 +41,8 @@
 	return stored
 }
 
-// podOf returns the stored Pod of a task, or nil if the Pod was removed.
-func (p *publisher) podOf(task *task) *corev1.Pod {
+// podOfTask returns the stored Pod of a task, or nil if the Pod was removed.
+func (p *publisher) podOfTask(task *task) *corev1.Pod {
 	object := p.store.Get(store.Pods, task.namespace, task.name)
 	if object == nil || object.GetUID() != task.uid {
 		return nil
@@ -54,7 +54,7 @@
 // not stored. In the Spec, mutate may set only the node's name: the old and the new Pod share the rest of
 // the Spec.
 func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
-	stored := p.podOf(task)
+	stored := p.podOfTask(task)
 	if stored == nil {
 		return
 	}
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -167,7 +167,7 @@
 
 // stopDone implements Engine.StopDone.
 func (r *outcomeReconciler) stopDone(answer StopAnswer) {
-	if node := r.nodes.get(answer.Node); node != nil && answer.Answered {
+	if node := r.nodes.getByName(answer.Node); node != nil && answer.Answered {
 		r.nodes.observeIncarnation(node, answer.Incarnation)
 	}
 	task := r.tasks.get(answer.UID)
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -179,7 +179,7 @@
 		return
 	}
 	l.tasks.remove(task)
-	if task.deleted && l.publisher.podOf(task) != nil {
+	if task.deleted && l.publisher.podOfTask(task) != nil {
 		l.publisher.deletePod(task.namespace, task.name)
 		l.jobController.podRemoved(task)
 	}
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -65,10 +65,10 @@
 		{"stopped without an effect", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted }, "a task that is to stop"},
 		{"deleted without a reason", func(_ *Engine, corrupted *task) { corrupted.deleted = true }, "a deleted task is to stop"},
 		{"unknown to its node", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: engine.nodes.get(nodeName)})
+			corrupted.attempts.unknown = append(corrupted.attempts.unknown, &attempt{task: corrupted, node: engine.nodes.getByName(nodeName)})
 		}, "its unknown outcomes are known by their nodes"},
 		{"two attempts", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.running = &attempt{node: engine.nodes.get(nodeName)}
+			corrupted.attempts.running = &attempt{node: engine.nodes.getByName(nodeName)}
 		},
 			"an attempt runs only on a node"},
 		{"retry while requested", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
