--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -52,7 +52,7 @@
 func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
 	class, invalid := a.cfg.classFromLabels(found.Labels)
 	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
-		a.stopCopy(node, identityOf(found), maxAttemptNumber)
+		a.emitStopTask(node, identityOf(found), maxAttemptNumber)
 		return
 	}
 	a.stats.Recovered++
@@ -65,7 +65,7 @@
 	}
 	a.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
 	if found.Status.Phase == corev1.PodRunning {
-		a.lifecycle.started(adopted)
+		a.lifecycle.recordStart(adopted)
 	}
 	if adopted.job != nil && adopted.job.isDeleted() {
 		a.podController.deletePodOfTask(adopted, stopDeleted)
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil
 	}
-	rebuilt.indexes.skipAll()
+	rebuilt.indexes.preventStarts()
 	a.jobs.add(rebuilt)
 	a.publisher.putJob(object)
 	a.runAfter(a.cfg.NodeLossTimeout, func() { a.finishJobAdoption(rebuilt) })
@@ -180,7 +180,7 @@
 		case idempotent:
 			job.indexes.restart(i)
 		default:
-			job.indexes.failUnseen(i)
+			job.indexes.failUnreported(i)
 		}
 	}
 	a.jobStarter.enqueue(job)
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -42,7 +42,7 @@
 // overrideLabels replaces the labels that the API shows for the node. The labels that only the inventory
 // may set stay as they are.
 func (n *node) overrideLabels(labels map[string]string) {
-	n.labelOverride = cloneOrMake(labels)
+	n.labelOverride = cloneOrEmpty(labels)
 	n.publishPending = true
 }
 
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -218,7 +218,7 @@
 	}
 	for _, task := range inCreationOrder(node.running) {
 		if r.idempotencyOf(task) != placer.NonIdempotent {
-			r.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: node.name + " is gone"})
+			r.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: node.name + " is gone"})
 		}
 	}
 	r.drainEvents()
@@ -265,7 +265,7 @@
 	}
 	for _, task := range inCreationOrder(node.running) {
 		if task.attempts.running.acceptedIncarnation != incarnation {
-			r.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: node.name + " restarted"})
+			r.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: node.name + " restarted"})
 		}
 	}
 	for _, unresolved := range node.unresolvedAttempts() {
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -131,15 +131,15 @@
 	if end.succeeded() {
 		pod.Status.Phase = corev1.PodSucceeded
 	}
-	pod.Status.Reason = end.status
-	pod.Status.Message = end.message
+	pod.Status.Reason = end.podReason
+	pod.Status.Message = end.podMessage
 	setPodCondition(pod, corev1.PodCondition{
 		Type:               corev1.PodReady,
 		Status:             corev1.ConditionFalse,
 		Reason:             "PodCompleted",
 		LastTransitionTime: now,
 	})
-	terminated := corev1.ContainerStateTerminated{ExitCode: end.exitCode(), Reason: end.status, FinishedAt: now}
+	terminated := corev1.ContainerStateTerminated{ExitCode: end.exitCode(), Reason: end.podReason, FinishedAt: now}
 	for i := range pod.Status.ContainerStatuses {
 		container := &pod.Status.ContainerStatuses[i]
 		container.Ready = false
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -67,10 +67,10 @@
 		}
 		return
 	}
-	if task.deleted {
+	if task.podDeleted {
 		return
 	}
-	task.deleted = true
+	task.podDeleted = true
 	c.publisher.publishDeleted(task)
 	c.lifecycle.stop(task, reason)
 }
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -68,14 +68,14 @@
 		o.observeRunning(task, pod, deleted)
 		return
 	}
-	for _, unresolved := range task.attempts.unknown {
+	for _, unresolved := range task.attempts.unknownOutcomes {
 		if unresolved.node == node {
 			o.outcomes.observe(unresolved, newObservedPod(node, pod, deleted))
 			return
 		}
 	}
 	if !finished {
-		o.stopCopy(node, task.podIdentity, task.attempts.count)
+		o.emitStopTask(node, task.podIdentity, task.attempts.lastNumber)
 	}
 }
 
@@ -88,15 +88,15 @@
 func (o *podObserver) observeRunning(task *task, pod *corev1.Pod, deleted bool) {
 	switch {
 	case pod.Status.Phase == corev1.PodSucceeded:
-		o.lifecycle.started(task)
-		o.lifecycle.ended(task, taskEnd{result: placer.Finished})
+		o.lifecycle.recordStart(task)
+		o.lifecycle.recordEnd(task, taskEnd{result: placer.Finished})
 	case pod.Status.Phase == corev1.PodFailed:
-		o.lifecycle.ended(task, endOfFailedPod(task, pod))
+		o.lifecycle.recordEnd(task, endOfFailedPod(task, pod))
 	case deleted:
 		o.endMissingTask(task)
 	default:
 		if pod.Status.Phase == corev1.PodRunning {
-			o.lifecycle.started(task)
+			o.lifecycle.recordStart(task)
 		}
 		o.reportUsage(task.attempts.running, pod)
 	}
@@ -124,7 +124,7 @@
 
 // endOfFailedPod returns how a task has ended whose Pod the node reports as failed.
 func endOfFailedPod(task *task, pod *corev1.Pod) taskEnd {
-	end := taskEnd{result: placer.Lost, status: pod.Status.Reason, message: pod.Status.Message}
+	end := taskEnd{result: placer.Lost, podReason: pod.Status.Reason, podMessage: pod.Status.Message}
 	switch pod.Status.Reason {
 	case wellknown.Evicted:
 		end.reason = placer.Evicted
@@ -135,7 +135,7 @@
 	case wellknown.Stopped, wellknown.NeverStarted:
 		end.result = placer.Cancelled
 		if task.isStopping() {
-			end.status = string(task.stopReason)
+			end.podReason = string(task.stopReason)
 		}
 	case reasonError:
 		end.result = placer.Finished
@@ -147,9 +147,9 @@
 // counts as stopped if a stop was requested, and as lost otherwise.
 func (o *podObserver) endMissingTask(task *task) {
 	if task.isStopping() {
-		o.lifecycle.ended(task, taskEnd{result: placer.Cancelled, status: string(task.stopReason)})
+		o.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
 	message := task.attempts.running.node.name + " no longer reports it"
-	o.lifecycle.ended(task, taskEnd{result: placer.Lost, status: wellknown.NodeLost, message: message})
+	o.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: message})
 }
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -34,9 +34,9 @@
 
 // answerAttempt makes a node accept, reject, lose or ignore an attempt, at random.
 func (s *script) answerAttempt(effect engine.Effect) {
-	node := s.node(effect.Node)
+	node := s.nodeByName(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
-	delay := s.delay(0.005, 0.05)
+	delay := s.randomDelay(0.005, 0.05)
 	accept := node.ready && !node.removed && effect.Attempt > node.fencedUpTo[effect.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
@@ -54,14 +54,14 @@
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
 	case draw < 46: // The node accepts the task, but its answer arrives too late.
-		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.delay(3, 8)
+		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.randomDelay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
 		if draw > 90 {
 			answer.Pod = node.pods[node.find(effect.UID)]
 		}
 	}
-	s.after(delay, func() { s.engine.AttemptDone(s.now, answer) })
+	s.schedule(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
 // accept makes a node accept a task and schedules the task's start and end. It returns the node's revision.
@@ -89,7 +89,7 @@
 	}
 	reason := reasons[s.rng.IntN(len(reasons))]
 	vanishes := s.rng.IntN(12) == 0
-	start := s.delay(0.02, 0.3)
+	start := s.randomDelay(0.02, 0.3)
 	end := start + 1 + placer.Seconds(15*s.rng.Float64())
 	s.schedulePodChange(start, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
@@ -109,7 +109,7 @@
 // schedulePodChange schedules a change of a Pod at a node. The node reports the change to the engine that
 // runs at that time.
 func (s *script) schedulePodChange(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
-	s.after(delay, func() {
+	s.schedule(delay, func() {
 		i := node.find(uid)
 		if node.incarnation != incarnation || i < 0 {
 			return
@@ -124,11 +124,11 @@
 		}
 		s.engine.NodePod(s.now, node.name, pod, remove)
 	})
-	s.queue[len(s.queue)-1].incarnation = 0 // 0 keeps the call even if the scheduler restarts before it is due.
+	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 keeps the call even if the scheduler restarts before it is due.
 }
 
 func (s *script) answerStop(effect engine.Effect) {
-	node := s.node(effect.Node)
+	node := s.nodeByName(effect.Node)
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
 	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
 		answer.Answered, answer.Incarnation = true, node.incarnationID()
@@ -138,7 +138,7 @@
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
 	}
-	s.after(s.delay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
+	s.schedule(s.randomDelay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
 }
 
 // listPods reports all Pods of a node to the engine.
@@ -195,16 +195,16 @@
 	switch s.rng.IntN(12) {
 	case 0, 1:
 		node.incarnation, node.pods, node.fencedUpTo = node.incarnation+1, nil, map[types.UID]int{}
-		s.after(0.3, func() { s.listPods(node) })
+		s.schedule(0.3, func() { s.listPods(node) })
 		s.sendNodeChange(node)
 	case 2:
 		node.ready = false
-		s.after(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
+		s.schedule(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
 		s.sendNodeChange(node)
 	case 3:
 		node.removed = true
 		s.engine.NodeUnresponsive(s.now, node.name)
-		s.observe()
+		s.recordState()
 		s.sendNodeChange(node)
 	case 4:
 		node.draining = !node.draining
@@ -219,7 +219,7 @@
 		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
 	default:
 		node.ready, node.removed, node.draining = true, false, false
-		s.after(0.1, func() { s.listPods(node) })
+		s.schedule(0.1, func() { s.listPods(node) })
 		s.sendNodeChange(node)
 	}
 }
--- a/internal/kube/engine/wiring.go
+++ b/internal/kube/engine/wiring.go
@@ -36,7 +36,7 @@
 	cfg := &e.cfg
 	*e.publisher = publisher{
 		environment: e.environment,
-		store:       store.NewBounded(cfg.BaseRevision, cfg.History, cfg.MaxHistory),
+		store:       store.NewBounded(cfg.BaseRevision, cfg.HistoryEntries, cfg.MaxHistoryBytes),
 	}
 }
 
