--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -13,7 +13,8 @@
 	"heathshed/placer"
 )
 
-// fakeNode is a node of a script: it answers attempts and stop orders at random, and runs the Pods that it accepted.
+// fakeNode is a node of a script. It answers attempts and stop orders at random and runs the Pods that it
+// has accepted.
 type fakeNode struct {
 	name        string
 	incarnation int
@@ -21,8 +22,8 @@
 	ready       bool
 	removed     bool
 	draining    bool
-	pods        []*corev1.Pod // in order of acceptance
-	floor       map[types.UID]int
+	pods        []*corev1.Pod // accepted Pods in order of acceptance
+	fencedUpTo  map[types.UID]int
 }
 
 func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
@@ -31,12 +32,12 @@
 	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
 }
 
-// answerAttempt lets a node accept, reject, lose or ignore an attempt.
+// answerAttempt makes a node accept, reject, lose or ignore an attempt, at random.
 func (s *script) answerAttempt(effect engine.Effect) {
 	node := s.nodeByName(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
 	delay := s.randomDelay(0.005, 0.05)
-	accept := node.ready && !node.removed && effect.Attempt > node.floor[effect.UID]
+	accept := node.ready && !node.removed && effect.Attempt > node.fencedUpTo[effect.UID]
 	switch draw := s.rng.IntN(100); {
 	case !accept || draw < 6:
 		answer.Result, answer.Incarnation = placer.Unreachable, ""
@@ -48,11 +49,11 @@
 	case draw < 24:
 		answer.Result = placer.Lost
 	case draw < 30:
-		return // never answered
-	case draw < 38: // accepted, but the answer is lost
+		return // The node never answers.
+	case draw < 38: // The node accepts the task, but its answer is lost.
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
-	case draw < 46: // accepted, but the answer comes too late
+	case draw < 46: // The node accepts the task, but its answer arrives too late.
 		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.randomDelay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
@@ -63,7 +64,7 @@
 	s.schedule(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
-// accept has a node accept a task, start it and end it later, and returns the node's revision.
+// accept makes a node accept a task and schedules the task's start and end. It returns the node's revision.
 func (s *script) accept(node *fakeNode, effect engine.Effect) int64 {
 	node.revision++
 	pod := effect.Pod.DeepCopy()
@@ -75,12 +76,13 @@
 		return node.revision
 	}
 	node.pods = append(node.pods, pod)
-	s.plan(node, pod.UID)
+	s.scheduleTaskRun(node, pod.UID)
 	return node.revision
 }
 
-// plan schedules what the node's watch shows of a task: that it runs, that it ends, and sometimes that its Pod vanishes.
-func (s *script) plan(node *fakeNode, uid types.UID) {
+// scheduleTaskRun schedules what the watch of a node's Pods reports about a task: its start, its end, and
+// sometimes that its Pod vanishes.
+func (s *script) scheduleTaskRun(node *fakeNode, uid types.UID) {
 	incarnation := node.incarnation
 	reasons := []string{
 		"", "", "", "", wellknown.Evicted, wellknown.Preempted, wellknown.Drained, "Error", wellknown.NeverStarted, wellknown.Stopped,
@@ -89,23 +91,24 @@
 	vanishes := s.rng.IntN(12) == 0
 	start := s.randomDelay(0.02, 0.3)
 	end := start + 1 + placer.Seconds(15*s.rng.Float64())
-	s.onNode(start, node, incarnation, uid, func(pod *corev1.Pod) {
+	s.schedulePodChange(start, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
 		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(0.5, 1.25)
 	}, false)
-	s.onNode(end, node, incarnation, uid, func(pod *corev1.Pod) {
+	s.schedulePodChange(end, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodSucceeded
 		if reason != "" {
 			pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, "stated by the node"
 		}
 	}, false)
 	if vanishes {
-		s.onNode(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
+		s.schedulePodChange(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
 	}
 }
 
-// onNode schedules a change of a Pod at a node, which the scheduler that runs then is notified of.
-func (s *script) onNode(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
+// schedulePodChange schedules a change of a Pod at a node. The node reports the change to the engine that
+// runs at that time.
+func (s *script) schedulePodChange(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
 	s.schedule(delay, func() {
 		i := node.find(uid)
 		if node.incarnation != incarnation || i < 0 {
@@ -116,12 +119,12 @@
 		change(pod)
 		pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
 		node.pods[i] = pod
-		if remove || wellknown.Finished(pod) {
+		if remove || wellknown.PodFinished(pod) {
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
 		s.engine.NodePod(s.now, node.name, pod, remove)
 	})
-	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // whatever the scheduler's incarnation
+	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 keeps the call even if the scheduler restarts before it is due.
 }
 
 func (s *script) answerStop(effect engine.Effect) {
@@ -129,7 +132,7 @@
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
 	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
 		answer.Answered, answer.Incarnation = true, node.incarnationID()
-		node.floor[effect.UID] = max(node.floor[effect.UID], effect.Attempt)
+		node.fencedUpTo[effect.UID] = max(node.fencedUpTo[effect.UID], effect.Attempt)
 		if i := node.find(effect.UID); i >= 0 {
 			answer.HadTask, answer.MayHaveRun = true, node.pods[i].Status.Phase == corev1.PodRunning
 			node.pods = slices.Delete(node.pods, i, i+1)
@@ -138,22 +141,22 @@
 	s.schedule(s.randomDelay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
 }
 
-// listPods notifies the engine of all Pods of a node.
+// listPods reports all Pods of a node to the engine.
 func (s *script) listPods(node *fakeNode) {
 	if node.ready && !node.removed {
 		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
 	}
 }
 
-func (s *script) object(node *fakeNode) *corev1.Node {
+func (s *script) nodeObject(node *fakeNode) *corev1.Node {
 	index := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
 	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
-	object.Labels = map[string]string{wellknown.Kind: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
+	object.Labels = map[string]string{wellknown.NodeType: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
 		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
-		object.Annotations[wellknown.Started] = wellknown.FormatTimestamp(s.now - 1)
+		object.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(s.now - 1)
 	}
 	object.Spec.Unschedulable = node.draining
 	object.Status.NodeInfo.BootID = node.incarnationID()
@@ -167,48 +170,49 @@
 	return object
 }
 
-func (s *script) fullList() {
+func (s *script) sendFullList() {
 	var list []*corev1.Node
 	for _, node := range s.nodes {
 		if !node.removed {
-			list = append(list, s.object(node))
+			list = append(list, s.nodeObject(node))
 		}
 	}
 	s.engine.NodesListed(s.now, engine.FullList, list, nil)
 }
 
-func (s *script) changed(node *fakeNode) {
+func (s *script) sendNodeChange(node *fakeNode) {
 	if node.removed {
 		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
 		return
 	}
-	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.object(node)}, nil)
+	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.nodeObject(node)}, nil)
 }
 
-// nodeFault restarts, disconnects, removes or drains a node, or brings one back.
+// nodeFault restarts, disconnects, removes or drains a random node, restores it, or sends the engine an
+// unusual report.
 func (s *script) nodeFault() {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
 	case 0, 1:
-		node.incarnation, node.pods, node.floor = node.incarnation+1, nil, map[types.UID]int{}
+		node.incarnation, node.pods, node.fencedUpTo = node.incarnation+1, nil, map[types.UID]int{}
 		s.schedule(0.3, func() { s.listPods(node) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 2:
 		node.ready = false
 		s.schedule(0.5, func() { s.engine.NodeUnresponsive(s.now, node.name) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 3:
 		node.removed = true
 		s.engine.NodeUnresponsive(s.now, node.name)
 		s.recordState()
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 4:
 		node.draining = !node.draining
-		s.changed(node)
+		s.sendNodeChange(node)
 	case 5:
 		s.engine.NodesListed(s.now, engine.ListUnavailable, nil, nil)
 	case 6:
-		s.fullList()
+		s.sendFullList()
 	case 7, 8:
 		s.listPods(node)
 	case 9:
@@ -216,6 +220,6 @@
 	default:
 		node.ready, node.removed, node.draining = true, false, false
 		s.schedule(0.1, func() { s.listPods(node) })
-		s.changed(node)
+		s.sendNodeChange(node)
 	}
 }
