--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -105,7 +105,7 @@
 		t.Errorf("after its place was no longer in the history: %v, done %v", events, done)
 	}
 	response.Stream.Close()
-	if server.Watchers() != 0 {
+	if server.OpenWatches() != 0 {
 		t.Error("a watch that ended is still counted")
 	}
 }
--- a/internal/kube/api/characterization_watches_test.go
+++ b/internal/kube/api/characterization_watches_test.go
@@ -37,11 +37,11 @@
 			session.pull(labels[i], stream, []int{1, 500, 1 << 20}[round%3])
 		}
 	}
-	session.record.Line("%d watchers", session.server.Watchers())
+	session.record.Line("%d watchers", session.server.OpenWatches())
 	for _, stream := range streams {
 		stream.Close()
 	}
-	session.record.Line("%d watchers", session.server.Watchers())
+	session.record.Line("%d watchers", session.server.OpenWatches())
 	for _, query := range []string{
 		"resourceVersion=1", "resourceVersion=x", "resourceVersion=99999999", "timeoutSeconds=x", "sendInitialEvents=true",
 		"sendInitialEvents=x", "resourceVersionMatch=Exact&resourceVersion=1010", "allowWatchBookmarks=x", "limit=1",
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -35,8 +35,8 @@
 	return min(placer.Seconds(watches)*batchDelayPerWatch, maxBatchDelay)
 }
 
-// Watchers is the number of open watches.
-func (s *Server) Watchers() int { return len(s.watchers) }
+// OpenWatches returns the number of open watches.
+func (s *Server) OpenWatches() int { return len(s.watchers) }
 
 // SetTime sets the Unix time for timeouts and bookmarks of watches. Pull the streams after it.
 func (s *Server) SetTime(now placer.Seconds) { s.now = now }
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -142,7 +142,7 @@
 
 // registerServerMetrics reads the servers through s: the HTTP server listens only after the metrics are registered.
 func (m *metrics) registerServerMetrics(s *Scheduler) {
-	m.gauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.Watchers()) })
+	m.gauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.OpenWatches()) })
 	m.gauge("connections", "Open API connections.", func() float64 { return float64(s.httpServer.Conns()) })
 	m.gauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
 		return float64(s.httpServer.Memory().Used())
