--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -1,11 +1,14 @@
-// Package api serves the Kubernetes API over an engine, by the public specification and with the types of k8s.io/api. A request gives a
-// response; a watch gives a response with a stream.
+// Package api implements the Kubernetes API on top of an engine. It follows the public specification and uses
+// the types of k8s.io/api. The server turns each request into a response; the response to a watch contains a
+// stream.
 //
-// It is a codec above the engine, without sockets and without a clock: the time comes with each request. It decides nothing about placement.
-// Package scheduler serves it over HTTP; the emulated inventory serves it read-only, without an engine. Parts of the specification that are
-// left out are listed in docs/api.md.
+// The package parses requests, calls the engine and encodes responses. It opens no sockets, reads no clock
+// and makes no placement decisions: the caller passes the time with each request. Package scheduler serves
+// the API over HTTP. The emulated inventory serves it read-only, without an engine. The file docs/api.md
+// lists the parts of the specification that are not implemented.
 //
-// Begin reading at Server.Serve (api.go), which passes a request to serveRead (get, list and watch) or serveWrite (create, update, delete).
+// Start reading at Server.Serve (api.go), which passes a request to serveRead (get, list and watch) or to
+// serveWrite (create, update, delete).
 package api
 
 import (
@@ -18,25 +21,29 @@
 	"heathshed/placer"
 )
 
-// Server answers API requests about the objects of a store. Only the goroutine that owns the store may use it.
+// Server answers API requests about the objects in a store. Only the goroutine that owns the store may use a
+// Server.
 type Server struct {
 	Store *store.Store
-	// Engine executes the requests that change objects. If it is nil, the server is read-only.
+	// Engine executes the requests that change objects. The server is read-only if Engine is nil.
 	Engine  *engine.Engine
 	Version string
-	// Ready returns the reason why the scheduler does not accept Jobs, nil if it accepts them.
+	// Ready returns nil if the scheduler accepts Jobs, and otherwise an error that states why it does not.
 	Ready func() error
-	// Metrics returns the text of /metrics.
+	// Metrics returns the body of the response to GET /metrics. The path is not served if Metrics is nil.
 	Metrics func() []byte
-	// DefaultListLimit bounds the objects on one page of a list whose request names no limit; 0 is no bound.
+	// DefaultListLimit is the maximum number of objects on a list page if the request sets no limit. A value
+	// of 0 means that the page is unlimited.
 	DefaultListLimit int
 
-	now      placer.Seconds // Unix time of the present request
+	// now is the Unix time of the current request, or the time that SetTime set.
+	now      placer.Seconds
 	watchers map[*watcher]struct{}
-	closing  bool // CloseWatches was called
+	// closing is set by CloseWatches.
+	closing bool
 }
 
-// Serve answers one request at a Unix time.
+// Serve answers one request that arrived at the given Unix time.
 func (s *Server) Serve(now placer.Seconds, r *http1.Request) http1.Response {
 	s.now = now
 	parsed := &request{Request: r}
@@ -72,7 +79,7 @@
 	return s.serveWrite(r)
 }
 
-// serveRead serves GET and HEAD of a resource.
+// serveRead serves GET and HEAD requests for a resource.
 func (s *Server) serveRead(r *request) (http1.Response, error) {
 	if r.subresource != "" && r.subresource != "status" {
 		return http1.Response{}, r.methodNotAllowed()
@@ -83,13 +90,13 @@
 	if !r.isWatch() {
 		return s.getObject(r)
 	}
-	// A watch of one object is a watch of the list that contains only this object.
+	// A watch of a single object is served as a watch of a list with a field selector on the object's name.
 	r.query.Set("fieldSelector", "metadata.name="+r.name)
 	r.name = ""
 	return s.listObjects(r)
 }
 
-// serveWrite serves the methods that change objects.
+// serveWrite serves POST, PUT, PATCH and DELETE requests, which change objects.
 func (s *Server) serveWrite(r *request) (http1.Response, error) {
 	if s.Engine == nil {
 		return http1.Response{}, r.methodNotAllowed()
@@ -109,7 +116,7 @@
 	return http1.Response{}, r.methodNotAllowed()
 }
 
-// servePost serves the creation of Jobs and of Evictions of Pods.
+// servePost serves POST requests, which create Jobs or Evictions of Pods.
 func (s *Server) servePost(r *request) (http1.Response, error) {
 	switch {
 	case r.resourceType.supports("create") && r.subresource == "" && r.name == "":
@@ -120,27 +127,28 @@
 	return http1.Response{}, r.methodNotAllowed()
 }
 
-// serveNonResource answers the paths outside of the resource API: health checks and metrics. It returns false for any other.
+// serveNonResource serves health checks and metrics, whose paths lie outside the resource API. It returns
+// false for any other path.
 func (s *Server) serveNonResource(r *request) (http1.Response, bool) {
-	const plainText = "text/plain; charset=utf-8"
-	const metricsText = "text/plain; version=0.0.4; charset=utf-8"
-	switch r.path[0] {
+	const plainTextType = "text/plain; charset=utf-8"
+	const metricsTextType = "text/plain; version=0.0.4; charset=utf-8"
+	switch r.pathSegments[0] {
 	case "livez", "healthz":
-		return textResponse(http.StatusOK, plainText, []byte("ok")), true
+		return textResponse(http.StatusOK, plainTextType, []byte("ok")), true
 	case "readyz":
 		if err := s.readyError(); err != nil {
-			return textResponse(http.StatusServiceUnavailable, plainText, []byte(err.Error()+"\n")), true
+			return textResponse(http.StatusServiceUnavailable, plainTextType, []byte(err.Error()+"\n")), true
 		}
-		return textResponse(http.StatusOK, plainText, []byte("ok")), true
+		return textResponse(http.StatusOK, plainTextType, []byte("ok")), true
 	case "metrics":
 		if s.Metrics != nil {
-			return textResponse(http.StatusOK, metricsText, s.Metrics()), true
+			return textResponse(http.StatusOK, metricsTextType, s.Metrics()), true
 		}
 	}
 	return http1.Response{}, false
 }
 
-// readyError returns the reason why the scheduler does not accept Jobs, nil if it accepts them.
+// readyError returns nil if the scheduler accepts Jobs, and otherwise an error that states why it does not.
 func (s *Server) readyError() error {
 	if s.Ready == nil {
 		return nil
--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// pullEventTypes pulls one piece of a watch and returns the types of its events, each of which must be one line.
+// pullEventTypes pulls one piece of a watch and returns the types of its events, each of which must be one
+// line.
 func pullEventTypes(t *testing.T, stream http1.Stream, size int) (eventTypes []string, done bool) {
 	t.Helper()
 	piece, done := stream.Pull(nil, size)
@@ -65,8 +66,8 @@
 	return eventTypes, done
 }
 
-// TestWatchSelectorsAndExpiry checks that an object that begins or ceases to match a selector is added or deleted, that a watch whose place is
-// no longer in the history gets an error, and that an event is one line.
+// TestWatchSelectorsAndExpiry checks that an object that begins or ceases to match a selector is added or
+// deleted, that a watch whose place is no longer in the history gets an error, and that an event is one line.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
 	server := newPodServer(2)
 	put := func(name, odd string) {
--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -41,7 +41,7 @@
 
 // BenchmarkWatchPull begins a watch and pulls the initial events of 1000 Pods.
 func BenchmarkWatchPull(b *testing.B) {
-	for _, accept := range []string{jsonType, binaryType} {
+	for _, accept := range []string{jsonType, protobufType} {
 		b.Run(accept, func(b *testing.B) {
 			server := &Server{Store: benchmarkStore(1000)}
 			var buffer []byte
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -12,23 +12,25 @@
 	"heathshed/internal/kube/store"
 )
 
-// The protobuf encoding of the Kubernetes API: an object is "k8s\x00" followed by a runtime.Unknown that contains it. A watch is a sequence of
-// frames: a length of four bytes, high byte first, and a metav1.WatchEvent.
+// These constants are the media types of the Kubernetes protobuf encoding. An encoded object consists of
+// protobufMagic and a runtime.Unknown message that contains the object. A watch stream is a sequence of
+// frames, each of which consists of a length in four bytes (big endian) and a metav1.WatchEvent message.
 // See https://kubernetes.io/docs/reference/using-api/api-concepts/#protobuf-encoding.
 const (
-	binaryType  = "application/vnd.kubernetes.protobuf"
-	binaryWatch = binaryType + ";stream=watch"
+	protobufType      = "application/vnd.kubernetes.protobuf"
+	protobufWatchType = protobufType + ";stream=watch"
 )
 
-// protoMagic is what an object in the protobuf encoding begins with.
-var protoMagic = []byte("k8s\x00")
+// protobufMagic is the prefix of every object in the protobuf encoding.
+var protobufMagic = []byte("k8s\x00")
 
-// wantsBinary reports whether a client prefers the protobuf encoding to JSON: whether it names that first.
-func wantsBinary(accept string) bool {
+// prefersProtobuf reports whether an Accept header lists the protobuf encoding before JSON.
+func prefersProtobuf(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
-		mediaType, _, _ := mime.ParseMediaType(part) // without its invalid parameters; "" if it is invalid itself
+		// Parse errors are ignored: mediaType is usable if only the parameters are invalid, and empty otherwise.
+		mediaType, _, _ := mime.ParseMediaType(part)
 		switch mediaType {
-		case binaryType:
+		case protobufType:
 			return true
 		case jsonType, "*/*", "application/*":
 			return false
@@ -37,18 +39,19 @@
 	return false
 }
 
-// encodeBinary returns an object in the protobuf encoding, with its kind and API version. If it cannot be encoded, it has no content.
-func encodeBinary(o runtime.Object) []byte {
-	version, kind := typeOf(o)
+// encodeProtobuf encodes an object in the protobuf encoding, including its kind and API version. If the
+// object cannot be encoded, the content of the result is empty.
+func encodeProtobuf(o runtime.Object) []byte {
+	version, kind := apiVersionAndKind(o)
 	var content []byte
 	if message, ok := o.(interface{ Marshal() ([]byte, error) }); ok {
 		if encoded, err := message.Marshal(); err == nil {
 			content = encoded
 		}
 	}
-	const tagsAndLengths = 24 // upper bound, with protoMagic
-	b := make([]byte, 0, len(content)+len(version)+len(kind)+tagsAndLengths)
-	b = append(b, protoMagic...)
+	const maxEnvelopeBytes = 24 // upper bound for tags, lengths and protobufMagic
+	b := make([]byte, 0, len(content)+len(version)+len(kind)+maxEnvelopeBytes)
+	b = append(b, protobufMagic...)
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // runtime.Unknown.TypeMeta
 	b = protowire.AppendVarint(b, uint64(4+len(version)+len(kind)))
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // TypeMeta.APIVersion
@@ -59,24 +62,25 @@
 	return protowire.AppendBytes(b, content)
 }
 
-// encodedBinary returns the object of a change in the protobuf encoding. It is encoded once for all readers.
-func encodedBinary(change *store.Change) []byte {
+// encodedProtobuf returns the object of a change in the protobuf encoding. The encoding is cached in the
+// change for all readers.
+func encodedProtobuf(change *store.Change) []byte {
 	if change.Binary == nil {
-		change.Binary = encodeBinary(change.Object)
+		change.Binary = encodeProtobuf(change.Object)
 	}
 	return change.Binary
 }
 
-// appendBinaryEvent appends one frame: an event with an encoded object.
-func appendBinaryEvent(b []byte, event watch.EventType, object []byte) []byte {
+// appendProtobufEvent appends one frame of a watch stream, which contains an event with an encoded object.
+func appendProtobufEvent(b []byte, event watch.EventType, object []byte) []byte {
 	const tagSize = 1
-	inner := tagSize + protowire.SizeBytes(len(object))
-	size := tagSize + protowire.SizeBytes(len(event)) + tagSize + protowire.SizeBytes(inner)
-	b = binary.BigEndian.AppendUint32(b, uint32(size))
+	rawExtensionSize := tagSize + protowire.SizeBytes(len(object))
+	eventSize := tagSize + protowire.SizeBytes(len(event)) + tagSize + protowire.SizeBytes(rawExtensionSize)
+	b = binary.BigEndian.AppendUint32(b, uint32(eventSize))
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // WatchEvent.Type
 	b = protowire.AppendString(b, string(event))
 	b = protowire.AppendTag(b, 2, protowire.BytesType) // WatchEvent.Object
-	b = protowire.AppendVarint(b, uint64(inner))
+	b = protowire.AppendVarint(b, uint64(rawExtensionSize))
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // RawExtension.Raw
 	return protowire.AppendBytes(b, object)
 }
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -16,8 +16,8 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCostlyBodiesAreRejected checks that bodies that are small to send and expensive to decode are rejected before they are decoded, with a
-// status that says why.
+// TestCostlyBodiesAreRejected checks that bodies that are small to send and expensive to decode are rejected
+// before they are decoded, with a status that says why.
 func TestCostlyBodiesAreRejected(t *testing.T) {
 	deep := func(levels int) string { return strings.Repeat(`{"a":`, levels) + "1" + strings.Repeat("}", levels) }
 	nested := func(content []byte) []byte {
@@ -43,7 +43,7 @@
 		{"escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
 		{"many digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
 		{"exponent by patch", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
-		{"exponent in the binary encoding", "POST", jobsPath, binaryType, binaryQuantity, 400},
+		{"exponent in the binary encoding", "POST", jobsPath, protobufType, binaryQuantity, 400},
 		{"900,000 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
 		{"many labels", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
 		{"selector of 2,000 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
@@ -77,7 +77,8 @@
 	}
 }
 
-// FuzzBody checks that any body, on any path, is served within the limit of checkAllocations and without an internal error.
+// FuzzBody checks that any body, on any path, is served within the limit of checkAllocations and without an
+// internal error.
 func FuzzBody(f *testing.F) {
 	ways := []struct{ method, path, mediaType string }{
 		{"POST", jobsPath, jsonType},
@@ -85,7 +86,7 @@
 		{"PATCH", nodePath, mergePatchType},
 		{"PATCH", nodePath, strategicPatchType},
 		{"PUT", nodePath, jsonType},
-		{"POST", jobsPath, binaryType},
+		{"POST", jobsPath, protobufType},
 		{"DELETE", podsPath, jsonType},
 	}
 	for _, body := range []string{
@@ -115,7 +116,8 @@
 	})
 }
 
-// FuzzSelector checks that any selector is parsed and matched against objects within the limit of checkAllocations.
+// FuzzSelector checks that any selector is parsed and matched against objects within the limit of
+// checkAllocations.
 func FuzzSelector(f *testing.F) {
 	for _, selector := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(selector, selector)
--- a/internal/kube/api/characterization_reads_test.go
+++ b/internal/kube/api/characterization_reads_test.go
@@ -12,7 +12,7 @@
 	session.fill()
 	collections := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
 	for _, target := range append(collections, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
-		for _, accept := range []string{"", jsonType, tableTypes, binaryType, binaryType + "," + jsonType, "text/html", "*/*"} {
+		for _, accept := range []string{"", jsonType, tableTypes, protobufType, protobufType + "," + jsonType, "text/html", "*/*"} {
 			session.send("GET", target, "", "Accept", accept)
 		}
 		session.send("HEAD", target, "")
--- a/internal/kube/api/characterization_watches_test.go
+++ b/internal/kube/api/characterization_watches_test.go
@@ -7,7 +7,8 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCharacterizeWatches pins the bytes of watches: as JSON, in the protobuf encoding, with selectors, bookmarks and initial events.
+// TestCharacterizeWatches pins the bytes of watches: as JSON, in the protobuf encoding, with selectors,
+// bookmarks and initial events.
 func TestCharacterizeWatches(t *testing.T) {
 	session := newSession(t)
 	var streams []http1.Stream
@@ -23,7 +24,7 @@
 		jobsPath + "/job-1?watch=1", "/api/v1/pods?watch=1&timeoutSeconds=2&allowWatchBookmarks=true", "/api/v1/namespaces?watch=1",
 	} {
 		add(target)
-		add(target, "Accept", binaryType)
+		add(target, "Accept", protobufType)
 		add(target, "Accept", tableTypes)
 	}
 	for round := range 6 {
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -12,18 +12,18 @@
 	"heathshed/internal/netio/http1"
 )
 
-// schedulerName is the default of spec.schedulerName.
-const schedulerName = "heathshed"
+// defaultSchedulerName is the default of spec.schedulerName of a Pod.
+const defaultSchedulerName = "heathshed"
 
-// The defaults of a Job and its Pods, by the specification.
+// These constants are the defaults that the Kubernetes API specifies for Jobs and their Pods.
 const (
-	defaultParallelism  int32 = 1
-	defaultCompletions  int32 = 1
-	defaultBackoffLimit int32 = 6
-	defaultGracePeriod  int64 = 30 // seconds
+	defaultParallelism        int32 = 1
+	defaultCompletions        int32 = 1
+	defaultBackoffLimit       int32 = 6
+	defaultGracePeriodSeconds int64 = 30
 )
 
-// createJob serves POST of a Job.
+// createJob serves POST requests that create a Job.
 func (s *Server) createJob(r *request) (http1.Response, error) {
 	if err := s.readyError(); err != nil {
 		return http1.Response{}, newServiceUnavailable(err.Error())
@@ -48,12 +48,13 @@
 	}
 	created, err := s.Engine.CreateJob(s.now, job, dryRun)
 	if err != nil {
-		return http1.Response{}, r.statusError(err, job.Name)
+		return http1.Response{}, r.toStatusError(err, job.Name)
 	}
 	return objectResponse(http.StatusCreated, created)
 }
 
-// decodeNewJob reads the Job in the body, in the namespace of the request.
+// decodeNewJob decodes the Job in the request body. A Job without a namespace gets the namespace of the
+// request.
 func (r *request) decodeNewJob() (*batchv1.Job, error) {
 	job := &batchv1.Job{}
 	if err := r.decode(job, r.resourceType.kind); err != nil {
@@ -71,21 +72,21 @@
 	return job, nil
 }
 
-// setDefault sets a field that is nil.
+// setDefault sets a pointer field to a default value if the field is nil.
 func setDefault[T any](field **T, value T) {
 	if *field == nil {
 		*field = &value
 	}
 }
 
-// setDefaultText sets a text that is empty.
-func setDefaultText[T ~string](field *T, value T) {
+// setDefaultString sets a string field to a default value if the field is empty.
+func setDefaultString[T ~string](field *T, value T) {
 	if *field == "" {
 		*field = value
 	}
 }
 
-// setJobDefaults sets the defaults of the specification in the fields that are not set.
+// setJobDefaults sets the fields of a Job that the client left unset to the defaults of the Kubernetes API.
 func setJobDefaults(job *batchv1.Job) {
 	spec := &job.Spec
 	if spec.Parallelism == nil {
@@ -100,14 +101,14 @@
 }
 
 func setPodDefaults(pod *corev1.PodSpec) {
-	setDefaultText(&pod.DNSPolicy, corev1.DNSClusterFirst)
-	setDefault(&pod.TerminationGracePeriodSeconds, defaultGracePeriod)
-	setDefaultText(&pod.SchedulerName, schedulerName)
+	setDefaultString(&pod.DNSPolicy, corev1.DNSClusterFirst)
+	setDefault(&pod.TerminationGracePeriodSeconds, defaultGracePeriodSeconds)
+	setDefaultString(&pod.SchedulerName, defaultSchedulerName)
 	setDefault(&pod.SecurityContext, corev1.PodSecurityContext{})
 	for i := range pod.Containers {
 		container := &pod.Containers[i]
-		setDefaultText(&container.TerminationMessagePath, corev1.TerminationMessagePathDefault)
-		setDefaultText(&container.TerminationMessagePolicy, corev1.TerminationMessageReadFile)
-		setDefaultText(&container.ImagePullPolicy, corev1.PullIfNotPresent)
+		setDefaultString(&container.TerminationMessagePath, corev1.TerminationMessagePathDefault)
+		setDefaultString(&container.TerminationMessagePolicy, corev1.TerminationMessageReadFile)
+		setDefaultString(&container.ImagePullPolicy, corev1.PullIfNotPresent)
 	}
 }
--- a/internal/kube/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -21,10 +21,11 @@
 	maxWarningChars = 200
 )
 
-// protoMessage is an object that can be decoded from the protobuf encoding.
-type protoMessage interface{ Unmarshal([]byte) error }
+// protobufMessage is implemented by objects that can be decoded from the protobuf encoding.
+type protobufMessage interface{ Unmarshal([]byte) error }
 
-// decode reads the body into an object of a kind: JSON, or the protobuf encoding, which client-go prefers.
+// decode decodes the request body into an object of the expected kind. The body may be JSON or in the
+// protobuf encoding, which client-go prefers.
 func (r *request) decode(into any, wantKind string) error {
 	mediaType := jsonType
 	if header := r.Head.Header.Get("Content-Type"); header != "" {
@@ -36,21 +37,21 @@
 	switch mediaType {
 	case jsonType, "text/json":
 		return r.decodeJSON(r.Body, into, wantKind)
-	case binaryType:
-		return decodeBinary(r.Body, into, wantKind)
+	case protobufType:
+		return decodeProtobuf(r.Body, into, wantKind)
 	}
 	return newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
 		fmt.Sprintf("the body of the request was in an unknown format - "+
 			"accepted media types include: application/json, application/vnd.kubernetes.protobuf; not %s", mediaType))
 }
 
-// decodeBinary reads a body in the protobuf encoding.
-func decodeBinary(body []byte, into any, wantKind string) error {
-	content, hasMagic := bytes.CutPrefix(body, protoMagic)
+// decodeProtobuf decodes a body in the protobuf encoding into an object of the expected kind.
+func decodeProtobuf(body []byte, into any, wantKind string) error {
+	content, hasMagic := bytes.CutPrefix(body, protobufMagic)
 	if err := decodelimit.CheckProto(content, decodelimit.ObjectLimits()); err != nil {
 		return newDecodeLimitError("body", err)
 	}
-	message, ok := into.(protoMessage)
+	message, ok := into.(protobufMessage)
 	if !ok || !hasMagic {
 		return apierrors.NewBadRequest("body is not in the encoding that content-type names")
 	}
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// decodeJSON decodes a text strictly: unknown and duplicate fields are rejected or reported as warnings, according to fieldValidation.
+// decodeJSON decodes JSON into an object of the expected kind. The query parameter fieldValidation determines
+// whether unknown and duplicate fields are rejected, ignored or reported as warnings.
 func (r *request) decodeJSON(text []byte, into any, wantKind string) error {
 	if err := decodelimit.CheckJSON(text, decodelimit.ObjectLimits()); err != nil {
 		return newDecodeLimitError("body", err)
@@ -88,7 +90,8 @@
 	return r.reportStrictErrors(strictErrors)
 }
 
-// reportStrictErrors rejects, ignores or reports unknown and duplicate fields.
+// reportStrictErrors rejects or ignores unknown and duplicate fields, or reports them as warnings, as the
+// query parameter fieldValidation requests.
 func (r *request) reportStrictErrors(strictErrors []error) error {
 	var warnings []string
 	for i, strictError := range strictErrors {
@@ -110,7 +113,7 @@
 	return apierrors.NewBadRequest("fieldValidation: want Ignore, Warn or Strict")
 }
 
-// checkKind checks the kind of an object in a body, which may be absent.
+// checkKind rejects an object of an unexpected kind. A body may omit the kind.
 func checkKind(got, want string) error {
 	if got != "" && got != want {
 		return apierrors.NewBadRequest(fmt.Sprintf("the object in the body is a %s, want a %s", got, want))
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -15,7 +15,7 @@
 	"heathshed/internal/netio/http1"
 )
 
-// deleteObjects serves DELETE of one object or of a collection.
+// deleteObjects serves DELETE requests for a single object or for a collection.
 func (s *Server) deleteObjects(r *request) (http1.Response, error) {
 	options, err := r.deleteOptions()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return s.deleteCollection(r, options, dryRun)
 }
 
-// deleteOptions reads the options from the body and the query.
+// deleteOptions reads the delete options from the request body and from the query parameters.
 func (r *request) deleteOptions() (*metav1.DeleteOptions, error) {
 	options := &metav1.DeleteOptions{}
 	if len(bytes.TrimSpace(r.Body)) > 0 {
@@ -53,7 +53,8 @@
 	}
 }
 
-// deleteNamed deletes one object. The answer is the object, or a Status if it is a Job that is removed at once.
+// deleteNamed deletes a single object. The response contains the object, or a Status if the object is a Job
+// that was removed immediately.
 func (s *Server) deleteNamed(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if current == nil {
@@ -64,7 +65,7 @@
 	}
 	deleted, err := s.deleteObject(r, current, options)
 	if err != nil {
-		return http1.Response{}, r.statusError(err, r.name)
+		return http1.Response{}, r.toStatusError(err, r.name)
 	}
 	job, isJob := deleted.(*batchv1.Job)
 	if isJob && s.Store.Get(store.Jobs, job.Namespace, job.Name) == nil {
@@ -77,7 +78,8 @@
 	return objectResponse(http.StatusOK, deleted)
 }
 
-// deleteCollection deletes all objects that the selectors of the request match. The answer is their list.
+// deleteCollection deletes all objects that match the selectors of the request. The response contains the
+// list of these objects.
 func (s *Server) deleteCollection(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	selector, err := r.parseSelector()
 	if err != nil {
@@ -87,22 +89,24 @@
 	if err != nil || dryRun {
 		return response, err
 	}
-	options.Preconditions = nil // they apply to a single object
-	for _, selected := range s.selected(&selector) {
+	// Preconditions apply only to the deletion of a single object.
+	options.Preconditions = nil
+	for _, selected := range s.selectedObjects(&selector) {
 		_, err := s.deleteObject(r, selected, options)
 		if err == nil {
 			continue
 		}
-		// An object may have been deleted together with another one, such as a Pod with its Job.
+		// The error is ignored if the object no longer exists, because deleting one object may delete others.
+		// For example, deleting a Job deletes its Pods.
 		if s.Store.Get(r.resourceType.resource, selected.GetNamespace(), selected.GetName()) != nil {
-			return http1.Response{}, r.statusError(err, selected.GetName())
+			return http1.Response{}, r.toStatusError(err, selected.GetName())
 		}
 	}
 	return response, nil
 }
 
-// selected returns the stored objects that match a selector.
-func (s *Server) selected(selector *objectSelector) []store.Object {
+// selectedObjects returns the stored objects that match a selector.
+func (s *Server) selectedObjects(selector *objectSelector) []store.Object {
 	var objects []store.Object
 	snapshot := s.Store.Snapshot(selector.resourceType.resource)
 	snapshot.Scan(selector.namespace, "", func(_ string, change *store.Change) bool {
@@ -136,7 +140,7 @@
 	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, revision, propagation)
 }
 
-// evictPod serves POST of an Eviction.
+// evictPod serves POST requests that create an Eviction of a Pod.
 func (s *Server) evictPod(r *request) (http1.Response, error) {
 	var eviction policyv1.Eviction
 	if err := r.decode(&eviction, "Eviction"); err != nil {
@@ -146,7 +150,7 @@
 		return http1.Response{}, apierrors.NewBadRequest("name in URL does not match name in Eviction object")
 	}
 	if err := s.Engine.EvictPod(s.now, r.namespace, r.name, evictionUID(&eviction)); err != nil {
-		return http1.Response{}, r.statusError(err, r.name)
+		return http1.Response{}, r.toStatusError(err, r.name)
 	}
 	return jsonResponse(http.StatusCreated, &metav1.Status{
 		TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
@@ -155,7 +159,8 @@
 	})
 }
 
-// evictionUID returns the required UID of the Pod, "" for any.
+// evictionUID returns the UID that the Pod must have to be evicted. The result is empty if the Eviction
+// requires none.
 func evictionUID(eviction *policyv1.Eviction) types.UID {
 	options := eviction.DeleteOptions
 	if options == nil || options.Preconditions == nil || options.Preconditions.UID == nil {
--- a/internal/kube/api/discovery.go
+++ b/internal/kube/api/discovery.go
@@ -15,19 +15,19 @@
 	"heathshed/internal/netio/http1"
 )
 
-// The version of the Kubernetes API that is served.
+// These constants describe the version of Kubernetes whose API the server implements.
 const (
 	kubernetesMajor   = "1"
 	kubernetesMinor   = "37"
 	kubernetesVersion = "v1.37.2"
 )
 
-// serveDiscovery answers the paths that describe the API.
+// serveDiscovery serves the paths that describe the API: its version, groups and resources.
 func (s *Server) serveDiscovery(r *request) (http1.Response, error) {
 	if !r.isRead() {
-		return http1.Response{}, apierrors.NewMethodNotSupported(schema.GroupResource{Resource: r.path[0]}, r.Head.Method)
+		return http1.Response{}, apierrors.NewMethodNotSupported(schema.GroupResource{Resource: r.pathSegments[0]}, r.Head.Method)
 	}
-	switch strings.Join(r.path, "/") {
+	switch strings.Join(r.pathSegments, "/") {
 	case "version":
 		return jsonResponse(http.StatusOK, s.versionInfo())
 	case "api":
@@ -71,7 +71,7 @@
 	}
 }
 
-// resourceList describes the resources of a group and version.
+// resourceList returns the discovery document that describes the resources of a group and version.
 func resourceList(groupVersion schema.GroupVersion) *metav1.APIResourceList {
 	list := &metav1.APIResourceList{
 		TypeMeta:     metav1.TypeMeta{Kind: "APIResourceList", APIVersion: "v1"},
--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	// tooManyRetrySeconds and unavailableRetrySeconds are values of Retry-After.
-	tooManyRetrySeconds     = 5
+	// tooManyRetrySeconds is the value of Retry-After in responses with status 429 (Too Many Requests).
+	tooManyRetrySeconds = 5
+	// unavailableRetrySeconds is the value of Retry-After in responses with status 503 (Service Unavailable).
 	unavailableRetrySeconds = 1
 )
 
-// newStatusError returns an error with a status for which package apierrors has no constructor that fits.
+// newStatusError returns an error with an API status, for statuses that package apierrors has no constructor
+// for.
 func newStatusError(code int32, reason metav1.StatusReason, message string) *apierrors.StatusError {
 	return &apierrors.StatusError{ErrStatus: metav1.Status{
 		Status:  metav1.StatusFailure,
@@ -29,10 +31,11 @@
 	}}
 }
 
-// newInvalidSegment rejects a path segment that is not a valid name: an escaped slash must not become part of one.
-func newInvalidSegment(what, got string) error {
+// newInvalidSegment returns the error for a path segment that is not a valid name. For example, a name must
+// not contain an escaped slash.
+func newInvalidSegment(segmentKind, value string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
-		"with a letter or digit", what, got))
+		"with a letter or digit", segmentKind, value))
 }
 
 func newPathNotFound() error {
@@ -45,12 +48,13 @@
 	return err
 }
 
-// newRevisionExpired is the answer to a resource version that is no longer in the history.
+// newRevisionExpired returns the error for a request with a resource version that was dropped from the
+// history.
 func newRevisionExpired(message string) *apierrors.StatusError {
 	return apierrors.NewResourceExpired(message)
 }
 
-// newRevisionTooLarge is the answer to a resource version that does not exist yet.
+// newRevisionTooLarge returns the error for a request with a resource version that does not exist yet.
 func newRevisionTooLarge(revision, current int64) error {
 	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", revision, current), 1)
 	err.ErrStatus.Details.Causes = []metav1.StatusCause{{
@@ -60,18 +64,18 @@
 	return err
 }
 
-// newDecodeLimitError is the answer to a text whose decoding would take too much memory.
-func newDecodeLimitError(what string, err error) error {
-	message := what + ": " + err.Error()
-	var limit *decodelimit.Error
-	if errors.As(err, &limit) && limit.TooLarge() {
+// newDecodeLimitError returns the error for a body or patch whose decoding would take too much memory.
+func newDecodeLimitError(source string, err error) error {
+	message := source + ": " + err.Error()
+	var limitError *decodelimit.Error
+	if errors.As(err, &limitError) && limitError.TooLarge() {
 		return apierrors.NewRequestEntityTooLargeError(message)
 	}
 	return apierrors.NewBadRequest(message)
 }
 
-// statusError turns an error of the engine about an object into one of the API.
-func (r *request) statusError(err error, name string) error {
+// toStatusError converts an error that the engine returned for an object to an error with an API status.
+func (r *request) toStatusError(err error, name string) error {
 	var invalid *engine.InvalidError
 	switch {
 	case errors.Is(err, engine.ErrNotFound):
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -112,8 +112,8 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// checkAllocations fails the test if serving a body of so many bytes allocates more than a number for each byte, or more than the bound for any
-// body. It counts what the process allocates meanwhile.
+// checkAllocations fails the test if serving a body of so many bytes allocates more than a number for each
+// byte, or more than the bound for any body. It counts what the process allocates meanwhile.
 func checkAllocations(tb testing.TB, body int, serve func()) {
 	tb.Helper()
 	var before, after runtime.MemStats
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -15,34 +15,36 @@
 )
 
 const (
-	// maxInlineListBytes is the size up to which a list is encoded at once; a larger one is encoded while it is sent.
+	// maxInlineListBytes is the maximum size of a list that is encoded in one piece. A larger list is encoded
+	// while it is sent.
 	maxInlineListBytes = 64 << 10
-	// maxTableRows bounds a page of a table, which is encoded at once; the continue token leads to the next page.
+	// maxTableRows limits the rows on one page of a Table, because a Table is encoded in one piece. The
+	// response contains a continue token for the next page.
 	maxTableRows = 1000
-	// maxRemainingItems is the largest number of items after a page that are counted.
+	// maxRemainingItems limits how many of the items after a page are counted for remainingItemCount.
 	maxRemainingItems = 1 << 16
 )
 
-// The values of the resourceVersionMatch parameter.
+// These constants are the valid values of the resourceVersionMatch parameter.
 const (
 	matchExact        = "Exact"
 	matchNotOlderThan = "NotOlderThan"
 )
 
-// getObject serves GET of one object.
+// getObject serves GET and HEAD requests for a single object.
 func (s *Server) getObject(r *request) (http1.Response, error) {
 	change := s.Store.Last(r.resourceType.resource, r.namespace, r.name)
 	if change == nil {
 		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
-	if wantsTable(r.Head.Header.Get("Accept")) {
+	if prefersTable(r.Head.Header.Get("Accept")) {
 		meta := metav1.ListMeta{ResourceVersion: change.Object.GetResourceVersion()}
 		return s.tableResponse(r, meta, []store.Object{change.Object})
 	}
-	return encodedResponse(http.StatusOK, encoded(change)), nil
+	return encodedJSONResponse(http.StatusOK, encodedJSON(change)), nil
 }
 
-// listObjects serves GET of a list, and watches.
+// listObjects serves GET and HEAD requests for a list of objects, and watches of such a list.
 func (s *Server) listObjects(r *request) (http1.Response, error) {
 	selector, err := r.parseSelector()
 	if err != nil {
@@ -55,14 +57,14 @@
 	if err != nil {
 		return http1.Response{}, err
 	}
-	snapshot, after, err := s.listSnapshot(r)
+	snapshot, afterKey, err := s.listSnapshot(r)
 	if err != nil {
 		return http1.Response{}, err
 	}
-	return s.listPage(r, selector, snapshot, after, limit)
+	return s.listPage(r, selector, snapshot, afterKey, limit)
 }
 
-// listLimit returns the largest number of objects on a page, 0 for no bound.
+// listLimit returns the maximum number of objects on a page. The result is 0 if the page is unlimited.
 func (s *Server) listLimit(r *request) (int, error) {
 	limit := 0
 	if text := r.query.Get("limit"); text != "" {
@@ -77,7 +79,7 @@
 	return limit, nil
 }
 
-// parseResourceVersion reads a resource version, 0 if there is none.
+// parseResourceVersion parses a resource version. An empty text gives 0.
 func parseResourceVersion(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -89,8 +91,9 @@
 	return revision, nil
 }
 
-// listSnapshot returns the snapshot that a list is read from, and the key after which its page begins.
-func (s *Server) listSnapshot(r *request) (snapshot store.Snapshot, after string, err error) {
+// listSnapshot returns the snapshot from which a list request is answered. The requested page begins with the
+// first object whose key is greater than afterKey.
+func (s *Server) listSnapshot(r *request) (snapshot store.Snapshot, afterKey string, err error) {
 	revision, err := parseResourceVersion(r.query.Get("resourceVersion"))
 	if err != nil {
 		return snapshot, "", err
@@ -121,10 +124,12 @@
 	return s.Store.Snapshot(r.resourceType.resource), "", nil
 }
 
-// continueToken is the position after a page of a list. It is sent to clients as JSON in base64.
+// continueToken identifies the position after a page of a list. Clients receive a continueToken as
+// base64-encoded JSON.
 type continueToken struct {
-	Revision int64  `json:"rv"`
-	After    string `json:"after"` // key of the last object
+	Revision int64 `json:"rv"`
+	// After is the key of the last object on the page.
+	After string `json:"after"`
 }
 
 func (t *continueToken) encode() (string, error) {
@@ -146,8 +151,9 @@
 	return token, nil
 }
 
-// continuedSnapshot returns the snapshot that a continue token names, and the key after which the next page begins.
-func (s *Server) continuedSnapshot(r *request, text string) (snapshot store.Snapshot, after string, err error) {
+// continuedSnapshot returns the snapshot that a continue token refers to. The next page begins with the first
+// object whose key is greater than afterKey.
+func (s *Server) continuedSnapshot(r *request, text string) (snapshot store.Snapshot, afterKey string, err error) {
 	token, err := decodeContinueToken(text)
 	if err != nil {
 		return snapshot, "", apierrors.NewBadRequest("continue key is not valid")
@@ -159,124 +165,133 @@
 	return snapshot, token.After, nil
 }
 
-// page is one page of a list with a limit.
+// page is one page of a list whose request has a limit.
 type page struct {
-	objects   []store.Object
-	count     int
-	lastKey   string
-	more      bool  // objects follow
-	remaining int64 // number of them, if counted
+	objects     []store.Object
+	objectCount int
+	lastKey     string
+	// hasMore is set if matching objects follow the page.
+	hasMore bool
+	// remainingCount is the number of objects after the page, as far as scanPage counted them.
+	remainingCount int64
 }
 
-// scanPage determines the objects of a page and, if collect is set, collects them. The objects after the page are counted only if the selector
-// matches all objects.
-func scanPage(selector *objectSelector, snapshot store.Snapshot, after string, limit int, collect bool) page {
+// scanPage determines which objects belong to a page, and returns the objects themselves if collectObjects is
+// set. The function counts all objects after the page, up to maxRemainingItems, only if the selector matches
+// every object.
+func scanPage(selector *objectSelector, snapshot store.Snapshot, afterKey string, limit int, collectObjects bool) page {
 	var found page
-	snapshot.Scan(selector.namespace, after, func(key string, change *store.Change) bool {
+	snapshot.Scan(selector.namespace, afterKey, func(key string, change *store.Change) bool {
 		if !selector.matches(change.Object) {
 			return true
 		}
-		if found.count >= limit {
-			found.more = true
-			found.remaining++
-			return selector.matchesAll && found.remaining < maxRemainingItems
+		if found.objectCount >= limit {
+			found.hasMore = true
+			found.remainingCount++
+			return selector.matchesAll && found.remainingCount < maxRemainingItems
 		}
-		if collect {
+		if collectObjects {
 			found.objects = append(found.objects, change.Object)
 		}
-		found.count++
+		found.objectCount++
 		found.lastKey = key
 		return true
 	})
 	return found
 }
 
-// listPage returns one page of a list as a response. Its objects are encoded once for all lists and watches.
-func (s *Server) listPage(r *request, selector objectSelector, snapshot store.Snapshot, after string, limit int) (http1.Response, error) {
-	asTable := r.Head.Method == http.MethodGet && wantsTable(r.Head.Header.Get("Accept"))
+// listPage returns a response with one page of a list. All lists and watches share the cached encoding of an
+// object.
+func (s *Server) listPage(r *request, selector objectSelector, snapshot store.Snapshot, afterKey string, limit int) (http1.Response, error) {
+	asTable := r.Head.Method == http.MethodGet && prefersTable(r.Head.Header.Get("Accept"))
 	if asTable && (limit == 0 || limit > maxTableRows) {
 		limit = maxTableRows
 	}
 	meta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Rev, 10)}
 	var found page
 	if limit > 0 {
-		found = scanPage(&selector, snapshot, after, limit, asTable)
+		found = scanPage(&selector, snapshot, afterKey, limit, asTable)
 	}
-	if found.more {
+	if found.hasMore {
 		token := continueToken{Revision: snapshot.Rev, After: found.lastKey}
 		var err error
 		if meta.Continue, err = token.encode(); err != nil {
 			return http1.Response{}, err
 		}
 		if selector.matchesAll {
-			meta.RemainingItemCount = &found.remaining
+			meta.RemainingItemCount = &found.remainingCount
 		}
 		s.Store.KeepSnapshot(s.now, snapshot)
 	}
 	if asTable {
 		return s.tableResponse(r, meta, found.objects)
 	}
-	stream := &listStream{server: s, selector: selector, snapshot: snapshot, after: after, remaining: limit, unlimited: limit == 0}
+	stream := &listStream{server: s, selector: selector, snapshot: snapshot, lastScannedKey: afterKey, itemsLeft: limit, unlimited: limit == 0}
 	return stream.response(r.resourceType, &meta)
 }
 
-// listStream is a list that is encoded while it is sent, from one snapshot. It keeps no encoded items. The snapshot keeps all objects in memory
-// that have changed since, so the list must end before the snapshot's revision leaves the history.
+// listStream encodes the objects of one snapshot while the list is sent, so that it need not hold the encoded
+// list in memory. The snapshot keeps old states of changed objects in memory; therefore the stream ends early
+// if the snapshot's revision is dropped from the history.
 type listStream struct {
-	server    *Server
-	selector  objectSelector
-	snapshot  store.Snapshot
-	after     string // key of the last object that was written or skipped
-	remaining int    // items that may still follow, unless unlimited
-	unlimited bool
-	written   int
-	head      []byte // text to be sent before the next item
-	broken    bool
+	server   *Server
+	selector objectSelector
+	snapshot store.Snapshot
+	// lastScannedKey is the key of the last object that was written or skipped.
+	lastScannedKey string
+	// itemsLeft is the number of items that may still be written. It has no meaning if unlimited is set.
+	itemsLeft    int
+	unlimited    bool
+	itemsWritten int
+	// pendingText is sent before the next item.
+	pendingText []byte
+	broken      bool
 }
 
-// response returns a small list as a body, and a large one as a stream.
-func (l *listStream) response(listed *resourceType, meta *metav1.ListMeta) (http1.Response, error) {
+// response returns a response whose body is the complete list if the list is small, and a stream if the list
+// is large.
+func (l *listStream) response(listedType *resourceType, meta *metav1.ListMeta) (http1.Response, error) {
 	metaText, err := json.Marshal(meta)
 	if err != nil {
-		return http1.Response{}, fmt.Errorf("encode list: %w", err)
+		return http1.Response{}, fmt.Errorf("encode list metadata: %w", err)
 	}
-	l.head = fmt.Appendf(nil, `{"kind":"%sList","apiVersion":"%s","metadata":%s,"items":[`, listed.kind, listed.groupVersion, metaText)
+	l.pendingText = fmt.Appendf(nil, `{"kind":"%sList","apiVersion":"%s","metadata":%s,"items":[`, listedType.kind, listedType.groupVersion, metaText)
 	body, done := l.Pull(nil, maxInlineListBytes)
 	if done {
-		return encodedResponse(http.StatusOK, body), nil
+		return encodedJSONResponse(http.StatusOK, body), nil
 	}
-	l.head = body
+	l.pendingText = body
 	return http1.Response{Status: http.StatusOK, Header: contentType(jsonType), Stream: l}, nil
 }
 
 // Pull implements http1.Stream.
-func (l *listStream) Pull(b []byte, room int) ([]byte, bool) {
+func (l *listStream) Pull(b []byte, maxBytes int) ([]byte, bool) {
 	if l.server.Store.Outdated(l.snapshot) {
 		l.broken = true
 		return b, true
 	}
-	limit := len(b) + room
-	b = append(b, l.head...)
-	l.head = nil
+	targetLength := len(b) + maxBytes
+	b = append(b, l.pendingText...)
+	l.pendingText = nil
 	done := true
-	l.snapshot.Scan(l.selector.namespace, l.after, func(key string, change *store.Change) bool {
-		if !l.unlimited && l.remaining == 0 {
+	l.snapshot.Scan(l.selector.namespace, l.lastScannedKey, func(key string, change *store.Change) bool {
+		if !l.unlimited && l.itemsLeft == 0 {
 			return false
 		}
-		if len(b) >= limit {
+		if len(b) >= targetLength {
 			done = false
 			return false
 		}
-		l.after = key
+		l.lastScannedKey = key
 		if !l.selector.matches(change.Object) {
 			return true
 		}
-		if l.written > 0 {
+		if l.itemsWritten > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, encoded(change)...)
-		l.written++
-		l.remaining--
+		b = append(b, encodedJSON(change)...)
+		l.itemsWritten++
+		l.itemsLeft--
 		return true
 	})
 	if done {
@@ -288,5 +303,6 @@
 // Close implements http1.Stream.
 func (l *listStream) Close() {}
 
-// Broken reports that the list ended before it was complete, because the revision of its snapshot has left the history.
+// Broken reports whether the stream ended before the list was complete. A stream ends early if the revision
+// of its snapshot was dropped from the history.
 func (l *listStream) Broken() bool { return l.broken }
--- a/internal/kube/api/request.go
+++ b/internal/kube/api/request.go
@@ -20,27 +20,32 @@
 
 const evictionSubresource = "eviction"
 
-// request is an HTTP request with its target parsed.
+// request is an HTTP request together with the parsed target.
 type request struct {
 	*http1.Request
-	path  []string // the unescaped segments, at least one
-	query url.Values
-
-	resourceType *resourceType // nil for a path of discovery
-	namespace    string        // "" for all, or none
-	name         string        // "" for a list
-	subresource  string
-	warnings     []string // to be sent with the response
+	// pathSegments contains the unescaped segments of the path. It has at least one element.
+	pathSegments []string
+	query        url.Values
+
+	// resourceType is nil if the path is a discovery path.
+	resourceType *resourceType
+	// namespace is empty if the request covers all namespaces or the resource has none.
+	namespace string
+	// name is empty if the request refers to a list.
+	name        string
+	subresource string
+	// warnings are sent to the client in Warning header fields of the response.
+	warnings []string
 }
 
-// isRead reports whether the method is read-only.
+// isRead reports whether the request has the method GET or HEAD.
 func (r *request) isRead() bool {
 	return r.Head.Method == http.MethodGet || r.Head.Method == http.MethodHead
 }
 
 func (r *request) isWatch() bool { return isTrue(r.query.Get("watch")) }
 
-// isTrue reads a boolean query parameter.
+// isTrue reports whether the value of a boolean query parameter means true.
 func isTrue(parameter string) bool { return parameter == "true" || parameter == "1" }
 
 func (r *request) groupResource() schema.GroupResource {
@@ -55,7 +60,8 @@
 	return apierrors.NewMethodNotSupported(r.groupResource(), strings.ToLower(r.Head.Method))
 }
 
-// parseTarget parses the request target, in origin or absolute form.
+// parseTarget parses the request target, which may be in origin form (/path) or absolute form
+// (http://host/path).
 func (r *request) parseTarget() error {
 	path, rawQuery, _ := strings.Cut(r.Head.Target, "?")
 	if _, authority, absolute := strings.Cut(path, "://"); absolute {
@@ -70,12 +76,12 @@
 		if err != nil {
 			return apierrors.NewBadRequest("path: " + err.Error())
 		}
-		r.path = append(r.path, segment)
+		r.pathSegments = append(r.pathSegments, segment)
 	}
 	return nil
 }
 
-// discoveryPaths are the paths of API discovery.
+// discoveryPaths contains the paths of API discovery, split into segments.
 var discoveryPaths = [][]string{
 	{"api"},
 	{"api", "v1"},
@@ -85,33 +91,35 @@
 	{"version"},
 }
 
-// route finds the resource that the path names, nil for a path of discovery.
+// route determines the namespace, resource type, object name and subresource from the path. The resource type
+// remains nil if the path is a discovery path.
 func (r *request) route() error {
-	isPath := func(path []string) bool { return slices.Equal(path, r.path) }
-	if slices.ContainsFunc(discoveryPaths, isPath) {
+	isRequestPath := func(path []string) bool { return slices.Equal(path, r.pathSegments) }
+	if slices.ContainsFunc(discoveryPaths, isRequestPath) {
 		return nil
 	}
-	rest, ok := cutGroupVersion(r.path)
+	remaining, ok := cutGroupVersion(r.pathSegments)
 	if !ok {
 		return newPathNotFound()
 	}
-	core := r.path[0] == "api"
-	if len(rest) >= 3 && rest[0] == "namespaces" && (!core || rest[2] != "status") {
-		if len(utilvalidation.IsDNS1123Label(rest[1])) > 0 {
-			return newInvalidSegment("namespace", rest[1])
+	inCoreGroup := r.pathSegments[0] == "api"
+	if len(remaining) >= 3 && remaining[0] == "namespaces" && (!inCoreGroup || remaining[2] != "status") {
+		if len(utilvalidation.IsDNS1123Label(remaining[1])) > 0 {
+			return newInvalidSegment("namespace", remaining[1])
 		}
-		r.namespace = rest[1]
-		rest = rest[2:]
+		r.namespace = remaining[1]
+		remaining = remaining[2:]
 	}
-	r.resourceType = findResourceType(rest[0], core)
-	if r.resourceType == nil || r.namespace != "" && !r.resourceType.namespaced || len(rest) > 3 {
+	r.resourceType = findResourceType(remaining[0], inCoreGroup)
+	if r.resourceType == nil || r.namespace != "" && !r.resourceType.namespaced || len(remaining) > 3 {
 		return newPathNotFound()
 	}
-	return r.routeObject(rest[1:])
+	return r.routeObject(remaining[1:])
 }
 
-// cutGroupVersion returns the segments after the API group and version, at least one, or false if there are none.
-func cutGroupVersion(path []string) (rest []string, ok bool) {
+// cutGroupVersion removes the API group and version from the path segments. It returns false if the group or
+// version is not served or if no segment remains.
+func cutGroupVersion(path []string) (remaining []string, ok bool) {
 	switch {
 	case len(path) >= 3 && path[0] == "api" && path[1] == "v1":
 		return path[2:], true
@@ -121,7 +129,8 @@
 	return nil, false
 }
 
-// routeObject parses the segments after the resource: the name of an object and a subresource, if any.
+// routeObject parses the path segments after the resource, which are an optional object name and an optional
+// subresource.
 func (r *request) routeObject(segments []string) error {
 	if len(segments) == 0 {
 		return nil
@@ -145,7 +154,8 @@
 	return nil
 }
 
-// checkEncodings checks the header fields about the encodings of the body and of the response.
+// checkEncodings rejects a request with a compressed body, and a request whose client accepts no media type
+// that the server can produce.
 func (r *request) checkEncodings() error {
 	encoding := r.Head.Header.Get("Content-Encoding")
 	if encoding != "" && !strings.EqualFold(encoding, "identity") {
@@ -159,8 +169,9 @@
 	return nil
 }
 
-// acceptsJSON reports whether a client accepts JSON or the protobuf encoding. Only watches are served in the latter: any other response is JSON,
-// as its content type says.
+// acceptsJSON reports whether a client accepts JSON or the protobuf encoding. The server sends protobuf
+// only in watches. A client that accepts only protobuf still receives every other response as JSON, which the
+// Content-Type header of the response states.
 func acceptsJSON(accept string) bool {
 	if accept == "" {
 		return true
@@ -171,14 +182,14 @@
 			continue
 		}
 		switch mediaType {
-		case jsonType, binaryType, "*/*", "application/*":
+		case jsonType, protobufType, "*/*", "application/*":
 			return true
 		}
 	}
 	return false
 }
 
-// dryRun reports whether the query or the options in the body ask for a dry run.
+// dryRun reports whether the query parameter dryRun or the options in the request body request a dry run.
 func (r *request) dryRun(options []string) (bool, error) {
 	values := slices.Concat(r.query["dryRun"], options)
 	for _, value := range values {
--- a/internal/kube/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -12,7 +12,8 @@
 	"heathshed/internal/kube/store"
 )
 
-// resourceType describes a resource of the API.
+// resourceType describes a resource of the API: its names, its verbs and the fields that a field selector may
+// use.
 type resourceType struct {
 	resource     store.Resource
 	groupVersion schema.GroupVersion
@@ -21,9 +22,10 @@
 	verbs        []string
 	shortNames   []string
 	newObject    func() store.Object
-	// selectableFields are the fields that a field selector may name besides the name and the namespace; selectableValues returns their
-	// values.
+	// selectableFields are the fields that a field selector may use in addition to metadata.name and
+	// metadata.namespace.
 	selectableFields []string
+	// selectableValues returns the values of the selectable fields of an object.
 	selectableValues func(o store.Object) fields.Set
 }
 
@@ -88,14 +90,15 @@
 	},
 }
 
-// supports reports whether a verb of the API applies to the resource.
+// supports reports whether the resource supports an API verb, such as "create".
 func (t *resourceType) supports(verb string) bool { return slices.Contains(t.verbs, verb) }
 
-// findResourceType returns the resource with a name in the core group or in the batch group, nil if there is none.
-func findResourceType(name string, core bool) *resourceType {
+// findResourceType looks up a resource by its plural name in the core group or, if inCoreGroup is false, in
+// the batch group. It returns nil if the group has no such resource.
+func findResourceType(name string, inCoreGroup bool) *resourceType {
 	for _, candidate := range resourceTypes {
-		isCore := candidate.groupVersion.Group == ""
-		if candidate.resource.String() == name && isCore == core {
+		candidateInCoreGroup := candidate.groupVersion.Group == ""
+		if candidate.resource.String() == name && candidateInCoreGroup == inCoreGroup {
 			return candidate
 		}
 	}
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -20,34 +20,36 @@
 
 const jsonType = "application/json"
 
-// encode returns an object as JSON, with its kind and API version.
-func encode(o runtime.Object) ([]byte, error) {
+// encodeJSON encodes an object as JSON, including its kind and API version.
+func encodeJSON(o runtime.Object) ([]byte, error) {
 	switch typed := o.(type) {
 	case *batchv1.Job:
-		return encodeWithType(typed)
+		return encodeJSONWithType(typed)
 	case *corev1.Pod:
-		return encodeWithType(typed)
+		return encodeJSONWithType(typed)
 	case *corev1.Node:
-		return encodeWithType(typed)
+		return encodeJSONWithType(typed)
 	case *corev1.Namespace:
-		return encodeWithType(typed)
+		return encodeJSONWithType(typed)
 	}
 	return json.Marshal(o)
 }
 
-// encodeWithType encodes a shallow copy of an object with its kind and API version: other goroutines may be reading the object itself.
-func encodeWithType[T any, P interface {
+// encodeJSONWithType encodes a shallow copy of an object, with kind and API version set in the copy. The
+// object itself is not modified, because other goroutines may be reading it.
+func encodeJSONWithType[T any, P interface {
 	*T
 	runtime.Object
 }](object P) ([]byte, error) {
 	typed := *object
-	version, kind := typeOf(object)
+	version, kind := apiVersionAndKind(object)
 	P(&typed).GetObjectKind().SetGroupVersionKind(schema.FromAPIVersionAndKind(version, kind))
 	return json.Marshal(&typed)
 }
 
-// typeOf returns the API version and the kind of a served object, which is one of the resources or a Status.
-func typeOf(o runtime.Object) (version, kind string) {
+// apiVersionAndKind returns the API version and the kind of an object. The object must be of a served
+// resource type or a Status.
+func apiVersionAndKind(o runtime.Object) (version, kind string) {
 	switch o.(type) {
 	case *batchv1.Job:
 		return "batch/v1", "Job"
@@ -61,19 +63,20 @@
 	return "v1", "Status"
 }
 
-// encodeOrNull is encode for a stream, which can no longer report an error.
-func encodeOrNull(o runtime.Object) []byte {
-	text, err := encode(o)
+// encodeJSONOrNull encodes an object as JSON, and returns null if the encoding fails. Streams use it, because
+// a response whose header has been sent cannot report an error any more.
+func encodeJSONOrNull(o runtime.Object) []byte {
+	text, err := encodeJSON(o)
 	if err != nil {
 		return []byte("null")
 	}
 	return text
 }
 
-// encoded returns the object of a change as JSON. It is encoded once for all readers.
-func encoded(change *store.Change) []byte {
+// encodedJSON returns the object of a change as JSON. The encoding is cached in the change for all readers.
+func encodedJSON(change *store.Change) []byte {
 	if change.JSON == nil {
-		change.JSON = encodeOrNull(change.Object)
+		change.JSON = encodeJSONOrNull(change.Object)
 	}
 	return change.JSON
 }
@@ -82,35 +85,36 @@
 	return []http1.Field{{Name: "Content-Type", Value: mediaType}}
 }
 
-// textResponse returns a response with a body that is not an API object.
+// textResponse returns a response whose body is plain text instead of an API object.
 func textResponse(status int, mediaType string, body []byte) http1.Response {
 	return http1.Response{Status: status, Header: contentType(mediaType), Body: body}
 }
 
-// encodedResponse returns a response with an encoded JSON body.
-func encodedResponse(status int, body []byte) http1.Response {
+// encodedJSONResponse returns a response whose body is already encoded as JSON.
+func encodedJSONResponse(status int, body []byte) http1.Response {
 	return http1.Response{Status: status, Header: contentType(jsonType), Body: body}
 }
 
-// jsonResponse returns a response with a value as JSON.
+// jsonResponse encodes a value as JSON and returns a response with this body.
 func jsonResponse(status int, value any) (http1.Response, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
+		return http1.Response{}, fmt.Errorf("encode response: %w", err)
 	}
-	return encodedResponse(status, append(body, '\n')), nil
+	return encodedJSONResponse(status, append(body, '\n')), nil
 }
 
-// objectResponse returns a response with an API object.
+// objectResponse encodes an API object as JSON and returns a response with this body.
 func objectResponse(status int, o store.Object) (http1.Response, error) {
-	body, err := encode(o)
+	body, err := encodeJSON(o)
 	if err != nil {
-		return http1.Response{}, fmt.Errorf("encode answer: %w", err)
+		return http1.Response{}, fmt.Errorf("encode response: %w", err)
 	}
-	return encodedResponse(status, body), nil
+	return encodedJSONResponse(status, body), nil
 }
 
-// errorResponse returns an error as the API's Status object. An error without a status is an internal error.
+// errorResponse converts an error to a response with a Status object. An error that carries no API status is
+// reported as an internal error.
 func errorResponse(err error) http1.Response {
 	status := metav1.Status{
 		Status:  metav1.StatusFailure,
--- a/internal/kube/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -12,16 +12,18 @@
 	"heathshed/internal/kube/store"
 )
 
-// maxSelectorTerms bounds the terms of a selector.
+// maxSelectorTerms is the maximum number of comma-separated terms in a label or field selector.
 const maxSelectorTerms = 100
 
-// objectSelector selects the objects of a list or a watch: by namespace, labels and fields.
+// objectSelector selects the objects of a list or watch by namespace, labels and fields.
 type objectSelector struct {
-	namespace    string // "" for all
+	// namespace is empty if objects of all namespaces are selected.
+	namespace    string
 	labels       labels.Selector
 	fields       fields.Selector
 	resourceType *resourceType
-	matchesAll   bool // there is neither a label nor a field selector
+	// matchesAll is set if there is neither a label selector nor a field selector.
+	matchesAll bool
 }
 
 func (s *objectSelector) matches(o store.Object) bool {
@@ -43,7 +45,7 @@
 	return s.fields.Matches(values)
 }
 
-// parseSelector reads the namespace and the selectors of a request.
+// parseSelector builds a selector from the namespace, labelSelector and fieldSelector of a request.
 func (r *request) parseSelector() (objectSelector, error) {
 	selector := objectSelector{namespace: r.namespace, resourceType: r.resourceType}
 	labelText := r.query.Get("labelSelector")
@@ -70,8 +72,9 @@
 	return selector, nil
 }
 
-// checkSelectorTerms bounds a selector before it is parsed, since each object of a list is matched against all of its terms. A comma separates
-// two requirements, or two values of one.
+// checkSelectorTerms limits the number of terms in a selector, because every object of a list is compared
+// with every term. The check runs before the selector is parsed and counts commas, which separate both the
+// requirements and the values of a requirement.
 func checkSelectorTerms(name, text string) error {
 	if commas := strings.Count(text, ","); commas >= maxSelectorTerms {
 		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, commas+1, maxSelectorTerms))
@@ -79,7 +82,7 @@
 	return nil
 }
 
-// isSelectable reports whether a field selector may name a field.
+// isSelectable reports whether a field selector may use the named field.
 func (t *resourceType) isSelectable(name string) bool {
 	return name == "metadata.name" || name == "metadata.namespace" || slices.Contains(t.selectableFields, name)
 }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -21,9 +21,11 @@
 // sessionStart is the time of a session's first request, in Unix seconds.
 const sessionStart = 1.8e9
 
-// apiSession sends requests to one server at increasing times and records status, header fields and body bytes of the responses.
+// apiSession sends requests to one server at increasing times and records status, header fields and body
+// bytes of the responses.
 //
-// Golden files are written with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package goldentest.
+// Golden files are written with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package
+// goldentest.
 type apiSession struct {
 	server *Server
 	engine *engine.Engine
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -19,8 +19,9 @@
 	"heathshed/placer"
 )
 
-// wantsTable reports whether a client prefers a Table to plain objects, as kubectl get does.
-func wantsTable(accept string) bool {
+// prefersTable reports whether an Accept header lists the Table format before plain JSON, as the header of
+// kubectl get does.
+func prefersTable(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
 		mediaType, parameters, err := mime.ParseMediaType(part)
 		if err != nil {
@@ -36,7 +37,7 @@
 	return false
 }
 
-// tableColumns are the columns of each resource.
+// tableColumns contains the column definitions of the Table of each resource.
 var tableColumns = map[store.Resource][]metav1.TableColumnDefinition{
 	store.Jobs:       textColumns("Status", "Completions", "Settled", "Age"),
 	store.Pods:       append(textColumns("Status", "Settled", "Age", "Node"), wideColumn("Message")),
@@ -44,7 +45,7 @@
 	store.Namespaces: textColumns("Status", "Age"),
 }
 
-// textColumns returns the column of an object's name followed by columns of text.
+// textColumns returns a name column followed by text columns with the given headings.
 func textColumns(names ...string) []metav1.TableColumnDefinition {
 	columns := []metav1.TableColumnDefinition{{Name: "Name", Type: "string", Format: "name"}}
 	for _, name := range names {
@@ -53,12 +54,12 @@
 	return columns
 }
 
-// wideColumn returns a column of text that is printed with -o wide only.
+// wideColumn returns a text column that kubectl prints only with the option -o wide.
 func wideColumn(name string) metav1.TableColumnDefinition {
 	return metav1.TableColumnDefinition{Name: name, Type: "string", Priority: 1}
 }
 
-// age returns how long ago an object was created, as kubectl prints it.
+// age returns the time since the creation of an object in the format of kubectl.
 func age(o store.Object, now placer.Seconds) string {
 	created := o.GetCreationTimestamp()
 	if created.IsZero() {
@@ -67,7 +68,7 @@
 	return duration.HumanDuration((now - placer.Seconds(created.Unix())).Duration())
 }
 
-// tableCells returns the cells of an object's row, in the order of tableColumns.
+// tableCells returns the cells of the row for an object, in the order of the columns in tableColumns.
 func tableCells(o store.Object, now placer.Seconds) []any {
 	switch typed := o.(type) {
 	case *batchv1.Job:
@@ -96,12 +97,12 @@
 			state = string(condition.Type)
 		}
 	}
-	completions := fmt.Sprintf("%d/%d", job.Status.Succeeded, wantedCompletions(job))
+	completions := fmt.Sprintf("%d/%d", job.Status.Succeeded, desiredCompletions(job))
 	return []any{job.Name, state, completions, outcome, age(job, now)}
 }
 
-// wantedCompletions is the number of tasks that a Job is to complete.
-func wantedCompletions(job *batchv1.Job) int32 {
+// desiredCompletions returns the number of tasks that must succeed for a Job to be complete.
+func desiredCompletions(job *batchv1.Job) int32 {
 	switch {
 	case job.Spec.Completions != nil:
 		return *job.Spec.Completions
@@ -143,13 +144,14 @@
 	}
 }
 
-// The values of the includeObject parameter.
+// These constants are the values of the includeObject parameter that change the object in a table row.
 const (
 	includeObject = "Object"
 	includeNone   = "None"
 )
 
-// tableResponse returns an object or a page of a list as a Table. Each row has the metadata of its object unless includeObject says otherwise.
+// tableResponse returns an object, or one page of a list, as a Table. Each row contains the metadata of its
+// object unless the query parameter includeObject selects the complete object or none.
 func (s *Server) tableResponse(r *request, meta metav1.ListMeta, objects []store.Object) (http1.Response, error) {
 	table := metav1.Table{
 		TypeMeta:          metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"},
@@ -161,18 +163,19 @@
 	for _, o := range objects {
 		object, err := encodeRowObject(o, include)
 		if err != nil {
-			return http1.Response{}, fmt.Errorf("encode row: %w", err)
+			return http1.Response{}, fmt.Errorf("encode table row: %w", err)
 		}
 		table.Rows = append(table.Rows, metav1.TableRow{Cells: tableCells(o, s.now), Object: runtime.RawExtension{Raw: object}})
 	}
 	return jsonResponse(http.StatusOK, &table)
 }
 
-// encodeRowObject returns the object of a row besides its cells: the complete object, nothing, or its metadata.
+// encodeRowObject encodes the object that accompanies the cells of a row. Depending on the parameter
+// includeObject, the result is the complete object, nothing, or only the metadata.
 func encodeRowObject(o store.Object, include string) ([]byte, error) {
 	switch include {
 	case includeObject:
-		return encode(o)
+		return encodeJSON(o)
 	case includeNone:
 		return nil, nil
 	}
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	maxPatchOps = 1000
-	// maxPatchedBytes bounds an object that results from a patch, in bytes of JSON.
+	maxPatchOperations = 1000
+	// maxPatchedBytes is the maximum size of a patched object in JSON.
 	maxPatchedBytes = 1 << 20
-	// maxPatchExcerpt is the number of characters of a patch that an error quotes.
-	maxPatchExcerpt = 1000
+	// maxPatchExcerptChars is the maximum number of characters of a patch that an error message quotes.
+	maxPatchExcerptChars = 1000
 )
 
-// updateObject serves PUT and PATCH of Jobs and Nodes.
+// updateObject serves PUT and PATCH requests for Jobs and Nodes.
 func (s *Server) updateObject(r *request) (http1.Response, error) {
 	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if current == nil {
@@ -51,12 +51,13 @@
 	}
 	stored, err := s.applyUpdate(r, current, updated, dryRun)
 	if err != nil {
-		return http1.Response{}, r.statusError(err, r.name)
+		return http1.Response{}, r.toStatusError(err, r.name)
 	}
 	return objectResponse(http.StatusOK, stored)
 }
 
-// decodeUpdate returns the object of a PUT, or the result of a PATCH of the current object.
+// decodeUpdate decodes the updated object. A PUT request contains the object itself; a PATCH request contains
+// a patch of the current object.
 func (r *request) decodeUpdate(current, into store.Object) error {
 	if r.Head.Method == http.MethodPut {
 		return r.decode(into, r.resourceType.kind)
@@ -68,7 +69,7 @@
 	return r.decodeJSON(patched, into, r.resourceType.kind)
 }
 
-// applyUpdate updates an object through the engine.
+// applyUpdate updates a Job or a Node through the engine.
 func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
 	if job, ok := updated.(*batchv1.Job); ok {
 		setJobDefaults(job)
@@ -78,25 +79,26 @@
 	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
 }
 
-// requestedUnschedulable returns the value that a request orders for spec.unschedulable, nil if it orders none. A patch orders a value by naming
-// the field, and any request by changing its value.
+// requestedUnschedulable returns the value that a request sets for spec.unschedulable of a Node. The result
+// is nil if the request does not set the field. Every request that changes the value sets the field, and a
+// patch also sets the field by containing it with the current value.
 func (r *request) requestedUnschedulable(updated, current *corev1.Node) *bool {
 	changed := updated.Spec.Unschedulable != current.Spec.Unschedulable
-	named := r.Head.Method == http.MethodPatch && patchNamesUnschedulable(r.Body)
-	if !changed && !named {
+	setByPatch := r.Head.Method == http.MethodPatch && patchSetsUnschedulable(r.Body)
+	if !changed && !setByPatch {
 		return nil
 	}
 	return new(updated.Spec.Unschedulable)
 }
 
-// patchNamesUnschedulable reports whether a merge patch or a JSON patch names spec.unschedulable.
-func patchNamesUnschedulable(patch []byte) bool {
-	var merge struct {
+// patchSetsUnschedulable reports whether a merge patch or a JSON patch contains the field spec.unschedulable.
+func patchSetsUnschedulable(patch []byte) bool {
+	var mergePatch struct {
 		Spec map[string]json.RawMessage `json:"spec"`
 	}
-	if json.Unmarshal(patch, &merge) == nil {
-		_, named := merge.Spec["unschedulable"]
-		return named
+	if json.Unmarshal(patch, &mergePatch) == nil {
+		_, isSet := mergePatch.Spec["unschedulable"]
+		return isSet
 	}
 	var operations []struct {
 		Path string `json:"path"`
@@ -112,22 +114,24 @@
 	return false
 }
 
-// applyPatch returns the current object with the patch in the body applied, as JSON. schemaOf has the type of the object.
-func (r *request) applyPatch(current, schemaOf store.Object) ([]byte, error) {
-	original, err := encode(current)
+// applyPatch applies the patch in the request body to the current object and returns the result as JSON. The
+// strategic merge patch takes its merge rules from the Go type of schemaSource.
+func (r *request) applyPatch(current, schemaSource store.Object) ([]byte, error) {
+	original, err := encodeJSON(current)
 	if err != nil {
-		return nil, fmt.Errorf("encode present object: %w", err)
+		return nil, fmt.Errorf("encode current object: %w", err)
 	}
 	if err := decodelimit.CheckJSON(r.Body, decodelimit.ObjectLimits()); err != nil {
 		return nil, newDecodeLimitError("patch", err)
 	}
-	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type")) // an invalid type is none of these
+	// Parse errors are ignored, because an invalid media type is not equal to any of the patch types.
+	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
 	var patched []byte
 	switch types.PatchType(mediaType) {
 	case types.MergePatchType:
 		patched, err = jsonpatch.MergePatch(original, r.Body)
 	case types.StrategicMergePatchType:
-		patched, err = strategicpatch.StrategicMergePatch(original, r.Body, schemaOf)
+		patched, err = strategicpatch.StrategicMergePatch(original, r.Body, schemaSource)
 	case types.JSONPatchType:
 		patched, err = r.applyJSONPatch(original)
 	default:
@@ -147,14 +151,15 @@
 	return patched, nil
 }
 
-// applyJSONPatch applies a JSON patch, whose operations and copies are bounded.
+// applyJSONPatch applies a JSON patch. It limits the number of operations and the total size of copied
+// values, because a small patch can copy an object into itself repeatedly.
 func (r *request) applyJSONPatch(original []byte) ([]byte, error) {
 	patch, err := jsonpatch.DecodePatch(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	if len(patch) > maxPatchOps {
-		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("a JSON patch may have %d operations", maxPatchOps))
+	if len(patch) > maxPatchOperations {
+		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("a JSON patch may have %d operations", maxPatchOperations))
 	}
 	options := jsonpatch.NewApplyOptions()
 	options.AccumulatedCopySizeLimit = maxPatchedBytes
@@ -164,7 +169,7 @@
 		return nil, apierrors.NewRequestEntityTooLargeError("patch: " + err.Error())
 	}
 	if err != nil {
-		excerpt := fmt.Sprintf("%.*s", maxPatchExcerpt, r.Body)
+		excerpt := fmt.Sprintf("%.*s", maxPatchExcerptChars, r.Body)
 		return nil, apierrors.NewInvalid(r.groupKind(), r.name, field.ErrorList{field.Invalid(field.NewPath("patch"), excerpt, err.Error())})
 	}
 	return patched, nil
--- a/internal/kube/api/validate.go
+++ b/internal/kube/api/validate.go
@@ -12,15 +12,16 @@
 	"k8s.io/apimachinery/pkg/util/validation/field"
 )
 
-const notNegative = "must be greater than or equal to 0"
+const nonNegativeMessage = "must be greater than or equal to 0"
 
-// validateLabelsAndAnnotations checks labels, and annotations, which the specification limits to 256 KiB together.
-func validateLabelsAndAnnotations(o metav1.Object, at *field.Path) field.ErrorList {
-	errs := validation.ValidateLabels(o.GetLabels(), at.Child("labels"))
-	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), at.Child("annotations"))...)
+// validateLabelsAndAnnotations checks the labels and annotations of an object. The Kubernetes API limits the
+// total size of the annotations to 256 KiB.
+func validateLabelsAndAnnotations(o metav1.Object, fieldPath *field.Path) field.ErrorList {
+	errs := validation.ValidateLabels(o.GetLabels(), fieldPath.Child("labels"))
+	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), fieldPath.Child("annotations"))...)
 }
 
-// validateJob checks a Job whose defaults are set.
+// validateJob checks a Job whose unset fields have been set to their defaults.
 func validateJob(job *batchv1.Job) field.ErrorList {
 	metaPath := field.NewPath("metadata")
 	errs := validateName(job, metaPath)
@@ -28,85 +29,87 @@
 	return append(errs, validateJobSpec(&job.Spec, field.NewPath("spec"))...)
 }
 
-// validateName checks a name or the prefix of a generated one.
-func validateName(o metav1.Object, at *field.Path) field.ErrorList {
+// validateName checks the name of an object, or the prefix from which its name will be generated.
+func validateName(o metav1.Object, fieldPath *field.Path) field.ErrorList {
 	name := o.GetName()
 	prefix := o.GetGenerateName()
 	switch {
 	case name != "":
-		return invalidEach(at.Child("name"), name, utilvalidation.IsDNS1123Subdomain(name))
+		return invalidErrors(fieldPath.Child("name"), name, utilvalidation.IsDNS1123Subdomain(name))
 	case prefix != "":
-		// The generated part makes the name end with a letter or digit.
-		return invalidEach(at.Child("generateName"), prefix, utilvalidation.IsDNS1123Subdomain(prefix+"x"))
+		// The generated suffix consists of letters and digits. An "x" stands for the suffix, so that the
+		// prefix may end with a hyphen.
+		return invalidErrors(fieldPath.Child("generateName"), prefix, utilvalidation.IsDNS1123Subdomain(prefix+"x"))
 	}
-	return field.ErrorList{field.Required(at.Child("name"), "name or generateName is required")}
+	return field.ErrorList{field.Required(fieldPath.Child("name"), "name or generateName is required")}
 }
 
-// invalidEach returns an error for each reason why a value is invalid.
-func invalidEach(at *field.Path, value string, reasons []string) field.ErrorList {
+// invalidErrors returns one error for each reason why a value is invalid.
+func invalidErrors(fieldPath *field.Path, value string, reasons []string) field.ErrorList {
 	var errs field.ErrorList
 	for _, reason := range reasons {
-		errs = append(errs, field.Invalid(at, value, reason))
+		errs = append(errs, field.Invalid(fieldPath, value, reason))
 	}
 	return errs
 }
 
-func validateJobSpec(spec *batchv1.JobSpec, at *field.Path) field.ErrorList {
+func validateJobSpec(spec *batchv1.JobSpec, fieldPath *field.Path) field.ErrorList {
 	var errs field.ErrorList
-	errs = append(errs, validateNotNegative(spec.Parallelism, at.Child("parallelism"))...)
-	errs = append(errs, validateNotNegative(spec.Completions, at.Child("completions"))...)
-	errs = append(errs, validateNotNegative(spec.BackoffLimit, at.Child("backoffLimit"))...)
-	errs = append(errs, validateNotNegative(spec.TTLSecondsAfterFinished, at.Child("ttlSecondsAfterFinished"))...)
-	errs = append(errs, validateNotNegative(spec.ActiveDeadlineSeconds, at.Child("activeDeadlineSeconds"))...)
+	errs = append(errs, validateNonNegative(spec.Parallelism, fieldPath.Child("parallelism"))...)
+	errs = append(errs, validateNonNegative(spec.Completions, fieldPath.Child("completions"))...)
+	errs = append(errs, validateNonNegative(spec.BackoffLimit, fieldPath.Child("backoffLimit"))...)
+	errs = append(errs, validateNonNegative(spec.TTLSecondsAfterFinished, fieldPath.Child("ttlSecondsAfterFinished"))...)
+	errs = append(errs, validateNonNegative(spec.ActiveDeadlineSeconds, fieldPath.Child("activeDeadlineSeconds"))...)
 	if mode := *spec.CompletionMode; mode != batchv1.NonIndexedCompletion && mode != batchv1.IndexedCompletion {
-		errs = append(errs, field.NotSupported(at.Child("completionMode"), mode,
+		errs = append(errs, field.NotSupported(fieldPath.Child("completionMode"), mode,
 			[]batchv1.CompletionMode{batchv1.NonIndexedCompletion, batchv1.IndexedCompletion}))
 	}
 	if spec.ManualSelector != nil && *spec.ManualSelector || spec.Selector != nil {
-		errs = append(errs, field.Forbidden(at.Child("selector"), "selectors are generated"))
+		errs = append(errs, field.Forbidden(fieldPath.Child("selector"), "selectors are generated"))
 	}
-	template := at.Child("template")
+	template := fieldPath.Child("template")
 	errs = append(errs, validateLabelsAndAnnotations(&spec.Template, template.Child("metadata"))...)
 	return append(errs, validatePodSpec(&spec.Template.Spec, template.Child("spec"))...)
 }
 
-// validateNotNegative checks a number, which may be absent.
-func validateNotNegative[T int32 | int64](value *T, at *field.Path) field.ErrorList {
+// validateNonNegative rejects a negative number. A nil value is valid.
+func validateNonNegative[T int32 | int64](value *T, fieldPath *field.Path) field.ErrorList {
 	if value == nil || *value >= 0 {
 		return nil
 	}
-	return field.ErrorList{field.Invalid(at, *value, notNegative)}
+	return field.ErrorList{field.Invalid(fieldPath, *value, nonNegativeMessage)}
 }
 
-func validatePodSpec(pod *corev1.PodSpec, at *field.Path) field.ErrorList {
-	errs := validateRestartPolicy(pod.RestartPolicy, at.Child("restartPolicy"))
+func validatePodSpec(pod *corev1.PodSpec, fieldPath *field.Path) field.ErrorList {
+	errs := validateRestartPolicy(pod.RestartPolicy, fieldPath.Child("restartPolicy"))
 	if len(pod.Containers) == 0 {
-		errs = append(errs, field.Required(at.Child("containers"), ""))
+		errs = append(errs, field.Required(fieldPath.Child("containers"), ""))
 	}
-	names := map[string]bool{}
-	errs = append(errs, validateContainers(pod.Containers, names, at.Child("containers"))...)
-	return append(errs, validateContainers(pod.InitContainers, names, at.Child("initContainers"))...)
+	containerNames := map[string]bool{}
+	errs = append(errs, validateContainers(pod.Containers, containerNames, fieldPath.Child("containers"))...)
+	return append(errs, validateContainers(pod.InitContainers, containerNames, fieldPath.Child("initContainers"))...)
 }
 
-func validateRestartPolicy(policy corev1.RestartPolicy, at *field.Path) field.ErrorList {
+func validateRestartPolicy(policy corev1.RestartPolicy, fieldPath *field.Path) field.ErrorList {
 	switch policy {
 	case corev1.RestartPolicyNever, corev1.RestartPolicyOnFailure:
 		return nil
 	case "":
-		return field.ErrorList{field.Required(at, `valid values: "OnFailure", "Never"`)}
+		return field.ErrorList{field.Required(fieldPath, `valid values: "OnFailure", "Never"`)}
 	}
 	supported := []corev1.RestartPolicy{corev1.RestartPolicyOnFailure, corev1.RestartPolicyNever}
-	return field.ErrorList{field.NotSupported(at, policy, supported)}
+	return field.ErrorList{field.NotSupported(fieldPath, policy, supported)}
 }
 
-// validateContainers checks containers. names collects their names, which are unique in a Pod.
-func validateContainers(containers []corev1.Container, names map[string]bool, at *field.Path) field.ErrorList {
+// validateContainers checks a list of containers. It adds their names to usedNames, because container names
+// must be unique within a Pod.
+func validateContainers(containers []corev1.Container, usedNames map[string]bool, fieldPath *field.Path) field.ErrorList {
 	var errs field.ErrorList
 	for i := range containers {
 		container := &containers[i]
-		path := at.Index(i)
-		errs = append(errs, validateContainerName(container.Name, names, path.Child("name"))...)
-		names[container.Name] = true
+		path := fieldPath.Index(i)
+		errs = append(errs, validateContainerName(container.Name, usedNames, path.Child("name"))...)
+		usedNames[container.Name] = true
 		if container.Image == "" {
 			errs = append(errs, field.Required(path.Child("image"), ""))
 		}
@@ -115,35 +118,35 @@
 	return errs
 }
 
-func validateContainerName(name string, taken map[string]bool, at *field.Path) field.ErrorList {
+func validateContainerName(name string, usedNames map[string]bool, fieldPath *field.Path) field.ErrorList {
 	switch {
 	case name == "":
-		return field.ErrorList{field.Required(at, "")}
-	case taken[name]:
-		return field.ErrorList{field.Duplicate(at, name)}
+		return field.ErrorList{field.Required(fieldPath, "")}
+	case usedNames[name]:
+		return field.ErrorList{field.Duplicate(fieldPath, name)}
 	}
-	return invalidEach(at, name, utilvalidation.IsDNS1123Label(name))
+	return invalidErrors(fieldPath, name, utilvalidation.IsDNS1123Label(name))
 }
 
-// validateResources checks that no quantity is negative and no request is larger than its limit.
-func validateResources(resources *corev1.ResourceRequirements, at *field.Path) field.ErrorList {
-	errs := validateQuantities(resources.Requests, at.Child("requests"))
-	errs = append(errs, validateQuantities(resources.Limits, at.Child("limits"))...)
+// validateResources checks that no quantity is negative and that no request exceeds its limit.
+func validateResources(resources *corev1.ResourceRequirements, fieldPath *field.Path) field.ErrorList {
+	errs := validateQuantities(resources.Requests, fieldPath.Child("requests"))
+	errs = append(errs, validateQuantities(resources.Limits, fieldPath.Child("limits"))...)
 	for name, request := range resources.Requests {
 		limit, limited := resources.Limits[name]
 		if limited && request.Cmp(limit) > 0 {
 			message := fmt.Sprintf("must be less than or equal to %s limit of %s", name, limit.String())
-			errs = append(errs, field.Invalid(at.Child("requests"), request.String(), message))
+			errs = append(errs, field.Invalid(fieldPath.Child("requests"), request.String(), message))
 		}
 	}
 	return errs
 }
 
-func validateQuantities(quantities corev1.ResourceList, at *field.Path) field.ErrorList {
+func validateQuantities(quantities corev1.ResourceList, fieldPath *field.Path) field.ErrorList {
 	var errs field.ErrorList
 	for name, quantity := range quantities {
 		if quantity.Sign() < 0 {
-			errs = append(errs, field.Invalid(at.Key(string(name)), quantity.String(), notNegative))
+			errs = append(errs, field.Invalid(fieldPath.Key(string(name)), quantity.String(), nonNegativeMessage))
 		}
 	}
 	return errs
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -20,16 +20,18 @@
 	defaultWatchTimeout = placer.Seconds(1800)
 	maxChangesPerRead   = 512
 
-	// fewWatches is the number of watches up to which changes are sent at once; batchDelayPerWatch and maxBatchDelay bound the delay above it.
-	fewWatches         = 50
+	// maxUnbatchedWatches is the largest number of open watches for which changes are sent without delay.
+	maxUnbatchedWatches = 50
+	// batchDelayPerWatch and maxBatchDelay determine the batching delay if more watches are open.
 	batchDelayPerWatch = placer.Seconds(4e-6)
 	maxBatchDelay      = placer.Seconds(0.05)
 )
 
-// WatchBatchDelay is the time for which changes are batched before they are sent to watches: none while there are few watches, and a few
-// microseconds for each of many, so that sending takes a bounded part of the time whatever the rate of changes.
+// WatchBatchDelay returns how long changes are batched before they are sent to watches. The delay is 0 for a
+// small number of watches. For a larger number it grows by a few microseconds per watch, so that sending
+// takes a bounded fraction of the time at any rate of changes.
 func WatchBatchDelay(watches int) placer.Seconds {
-	if watches <= fewWatches {
+	if watches <= maxUnbatchedWatches {
 		return 0
 	}
 	return min(placer.Seconds(watches)*batchDelayPerWatch, maxBatchDelay)
@@ -38,27 +40,32 @@
 // OpenWatches returns the number of open watches.
 func (s *Server) OpenWatches() int { return len(s.watchers) }
 
-// SetTime sets the Unix time for timeouts and bookmarks of watches. Pull the streams after it.
+// SetTime sets the Unix time that determines which watches time out and which bookmarks are due. The caller
+// must call SetTime before it pulls watch streams.
 func (s *Server) SetTime(now placer.Seconds) { s.now = now }
 
-// CloseWatches ends every watch at its next pull and rejects new ones.
+// CloseWatches makes every open watch end when its stream is pulled next. New watches are rejected from then
+// on.
 func (s *Server) CloseWatches() { s.closing = true }
 
-// watchOptions are the parameters of a watch.
+// watchOptions contains the parameters of a watch request.
 type watchOptions struct {
-	timeout         placer.Seconds
-	bookmarks       bool
-	initialEvents   bool // begin with the present objects as events
-	markInitialEnd  bool // a bookmark ends the initial events
-	startAtPresent  bool // begin with the next change
+	timeout        placer.Seconds
+	allowBookmarks bool
+	// initialEvents makes the watch start with an event for each current object.
+	initialEvents bool
+	// initialEventsBookmark makes the watch send a bookmark after the initial events.
+	initialEventsBookmark bool
+	// startAtCurrent makes the watch start after the current revision, without initial events.
+	startAtCurrent  bool
 	resourceVersion int64
 }
 
-// parseWatchOptions reads the parameters of a watch that begins at a resource version.
+// parseWatchOptions parses the query parameters of a watch request that starts at a resource version.
 func (r *request) parseWatchOptions(resourceVersion int64) (watchOptions, error) {
 	options := watchOptions{
 		timeout:         defaultWatchTimeout,
-		bookmarks:       isTrue(r.query.Get("allowWatchBookmarks")),
+		allowBookmarks:  isTrue(r.query.Get("allowWatchBookmarks")),
 		initialEvents:   resourceVersion == 0,
 		resourceVersion: resourceVersion,
 	}
@@ -83,15 +90,15 @@
 		return options, apierrors.NewBadRequest("sendInitialEvents: resourceVersionMatch must be NotOlderThan")
 	}
 	options.initialEvents = isTrue(sendInitialEvents)
-	options.markInitialEnd = options.initialEvents
-	options.startAtPresent = !options.initialEvents && resourceVersion == 0
-	if options.markInitialEnd && !options.bookmarks {
+	options.initialEventsBookmark = options.initialEvents
+	options.startAtCurrent = !options.initialEvents && resourceVersion == 0
+	if options.initialEventsBookmark && !options.allowBookmarks {
 		return options, apierrors.NewBadRequest("sendInitialEvents needs allowWatchBookmarks")
 	}
 	return options, nil
 }
 
-// watchObjects serves a watch.
+// watchObjects serves a watch request.
 func (s *Server) watchObjects(r *request, selector objectSelector) (http1.Response, error) {
 	resourceVersion, err := parseResourceVersion(r.query.Get("resourceVersion"))
 	if err != nil {
@@ -109,9 +116,9 @@
 		return http1.Response{}, err
 	}
 	mediaType := jsonType
-	if wantsBinary(r.Head.Header.Get("Accept")) {
-		w.binary = true
-		mediaType = binaryWatch
+	if prefersProtobuf(r.Head.Header.Get("Accept")) {
+		w.protobuf = true
+		mediaType = protobufWatchType
 	}
 	if s.watchers == nil {
 		s.watchers = map[*watcher]struct{}{}
@@ -120,16 +127,17 @@
 	return http1.Response{Status: http.StatusOK, Header: contentType(mediaType), Stream: w}, nil
 }
 
-// newWatcher returns a watcher at its position in the history, or an error if that position does not exist yet or no longer.
+// newWatcher returns a watcher that starts at the requested position in the history. It returns an error if
+// this position does not exist yet or was dropped from the history.
 func (s *Server) newWatcher(selector objectSelector, options watchOptions) (*watcher, error) {
 	w := &watcher{
-		server:         s,
-		selector:       selector,
-		revision:       options.resourceVersion,
-		deadline:       s.now + options.timeout,
-		bookmarks:      options.bookmarks,
-		nextBookmarkAt: s.now + bookmarkInterval,
-		markInitialEnd: options.markInitialEnd,
+		server:                s,
+		selector:              selector,
+		revision:              options.resourceVersion,
+		deadline:              s.now + options.timeout,
+		allowBookmarks:        options.allowBookmarks,
+		nextBookmarkAt:        s.now + bookmarkInterval,
+		initialEventsBookmark: options.initialEventsBookmark,
 	}
 	current := s.Store.Rev()
 	if options.resourceVersion > current {
@@ -142,7 +150,7 @@
 		w.revision = snapshot.Rev
 		return w, nil
 	}
-	if options.startAtPresent {
+	if options.startAtCurrent {
 		w.revision = current
 	}
 	if _, err := s.Store.Since(resource, w.revision, 1); err != nil {
@@ -151,72 +159,78 @@
 	return w, nil
 }
 
-// newWatchExpired is the answer to a watch whose position is no longer in the history.
+// newWatchExpired returns the error for a watch whose position was dropped from the history.
 func newWatchExpired(revision, current int64) *apierrors.StatusError {
 	return newRevisionExpired(fmt.Sprintf("too old resource version: %d (%d)", revision, current))
 }
 
-// watcher is one watch: a position in the history of a resource. It has no queue: changes that were not sent yet remain in the history, and a
-// watch whose position has left the history gets an error event and ends.
+// watcher is an open watch, represented by a position in the history of a resource. A watcher has no event
+// queue: it reads unsent changes from the history. A watch whose position is dropped from the history
+// receives an error event and ends.
 type watcher struct {
-	server          *Server
-	selector        objectSelector
-	revision        int64 // changes up to here have been sent
-	deadline        placer.Seconds
-	bookmarks       bool
-	nextBookmarkAt  placer.Seconds
-	initialSnapshot *store.Snapshot // whose objects are sent first; nil once they were sent
-	after           string          // key of the last object of the initial snapshot that was sent or skipped
-	markInitialEnd  bool            // a bookmark ends the initial events
-	binary          bool            // in the protobuf encoding
+	server   *Server
+	selector objectSelector
+	// revision is the revision up to which changes have been sent.
+	revision       int64
+	deadline       placer.Seconds
+	allowBookmarks bool
+	nextBookmarkAt placer.Seconds
+	// initialSnapshot contains the objects to be sent first. It is nil once they have been sent.
+	initialSnapshot *store.Snapshot
+	// lastScannedKey is the key of the last object of the initial snapshot that was sent or skipped.
+	lastScannedKey string
+	// initialEventsBookmark requests a bookmark after the initial events.
+	initialEventsBookmark bool
+	// protobuf selects the protobuf encoding instead of JSON.
+	protobuf bool
 }
 
 // Pull implements http1.Stream.
-func (w *watcher) Pull(b []byte, room int) ([]byte, bool) {
-	limit := len(b) + room
+func (w *watcher) Pull(b []byte, maxBytes int) ([]byte, bool) {
+	targetLength := len(b) + maxBytes
 	if w.initialSnapshot != nil && w.server.Store.Outdated(*w.initialSnapshot) {
 		return w.appendExpired(b, w.initialSnapshot.Rev), true
 	}
-	b = w.appendInitialEvents(b, limit)
-	b, inHistory := w.appendChanges(b, limit)
+	b = w.appendInitialEvents(b, targetLength)
+	b, inHistory := w.appendChanges(b, targetLength)
 	if !inHistory {
 		return w.appendExpired(b, w.revision), true
 	}
-	return w.appendTimed(b)
+	return w.appendDueBookmark(b)
 }
 
 // Close implements http1.Stream.
 func (w *watcher) Close() { delete(w.server.watchers, w) }
 
-// appendInitialEvents appends the objects of the initial snapshot, up to a length.
-func (w *watcher) appendInitialEvents(b []byte, limit int) []byte {
-	for w.initialSnapshot != nil && len(b) < limit {
+// appendInitialEvents appends the objects of the initial snapshot until b has reached the target length.
+func (w *watcher) appendInitialEvents(b []byte, targetLength int) []byte {
+	for w.initialSnapshot != nil && len(b) < targetLength {
 		scanned := 0
-		w.initialSnapshot.Scan(w.selector.namespace, w.after, func(key string, change *store.Change) bool {
-			w.after = key
+		w.initialSnapshot.Scan(w.selector.namespace, w.lastScannedKey, func(key string, change *store.Change) bool {
+			w.lastScannedKey = key
 			scanned++
 			if w.selector.matches(change.Object) {
 				b = w.appendChange(b, watch.Added, change)
 			}
-			return len(b) < limit
+			return len(b) < targetLength
 		})
-		complete := len(b) < limit || scanned == 0
+		complete := len(b) < targetLength || scanned == 0
 		if !complete {
 			continue
 		}
 		w.initialSnapshot = nil
-		if w.markInitialEnd {
+		if w.initialEventsBookmark {
 			b = w.appendBookmark(b, true)
 		}
 	}
 	return b
 }
 
-// appendChanges appends the changes after the watch's position in the history, up to a length. It returns false if the position has left the
-// history.
-func (w *watcher) appendChanges(b []byte, limit int) (out []byte, inHistory bool) {
+// appendChanges appends the changes after the watch's position in the history until b has reached the target
+// length. The result inHistory is false if the position was dropped from the history.
+func (w *watcher) appendChanges(b []byte, targetLength int) (out []byte, inHistory bool) {
 	history := w.server.Store
-	for w.initialSnapshot == nil && len(b) < limit && w.revision < history.Rev() {
+	for w.initialSnapshot == nil && len(b) < targetLength && w.revision < history.Rev() {
 		changes, err := history.Since(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
 		if err != nil {
 			return b, false
@@ -226,9 +240,9 @@
 			break
 		}
 		for _, change := range changes {
-			b = w.appendVisibleChange(b, change)
+			b = w.appendFilteredChange(b, change)
 			w.revision = change.Rev
-			if len(b) >= limit {
+			if len(b) >= targetLength {
 				break
 			}
 		}
@@ -236,33 +250,36 @@
 	return b, true
 }
 
-// appendTimed appends a bookmark if one is due, and reports whether the watch ends.
-func (w *watcher) appendTimed(b []byte) ([]byte, bool) {
+// appendDueBookmark appends a bookmark if one is due. It also reports whether the watch ends, either because
+// it timed out or because all watches are being closed.
+func (w *watcher) appendDueBookmark(b []byte) ([]byte, bool) {
 	if w.server.closing {
 		return b, true
 	}
 	timedOut := w.server.now >= w.deadline
 	bookmarkDue := timedOut || w.server.now >= w.nextBookmarkAt
-	if bookmarkDue && w.bookmarks && w.initialSnapshot == nil {
+	if bookmarkDue && w.allowBookmarks && w.initialSnapshot == nil {
 		b = w.appendBookmark(b, false)
 	}
 	return b, timedOut
 }
 
-// appendVisibleChange appends a change as seen through the watch's selector: an object that begins to match is added, and one that no longer
-// matches is deleted.
-func (w *watcher) appendVisibleChange(b []byte, change *store.Change) []byte {
-	matches := change.Op != store.Deleted && w.selector.matches(change.Object)
-	matched := change.Prev != nil && w.selector.matches(change.Prev)
+// appendFilteredChange appends a change as an event from the perspective of the watch's selector. An object
+// that starts to match the selector is reported as ADDED, and an object that no longer matches is reported as
+// DELETED.
+func (w *watcher) appendFilteredChange(b []byte, change *store.Change) []byte {
+	matchesNow := change.Op != store.Deleted && w.selector.matches(change.Object)
+	matchedBefore := change.Prev != nil && w.selector.matches(change.Prev)
 	switch {
-	case matches && matched:
+	case matchesNow && matchedBefore:
 		return w.appendChange(b, watch.Modified, change)
-	case matches:
+	case matchesNow:
 		return w.appendChange(b, watch.Added, change)
-	case matched && change.Op == store.Deleted:
+	case matchedBefore && change.Op == store.Deleted:
 		return w.appendChange(b, watch.Deleted, change)
-	case matched:
-		// The last state that matched, with the revision at which it no longer did.
+	case matchedBefore:
+		// The event contains the last object state that matched, with the revision of the change that ended
+		// the match.
 		last := change.Prev.DeepCopyObject().(store.Object)
 		last.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
 		return w.appendObject(b, watch.Deleted, last)
@@ -270,13 +287,14 @@
 	return b
 }
 
-// appendExpired appends the event that ends a watch whose position is no longer in the history.
+// appendExpired appends the error event that ends a watch whose position was dropped from the history.
 func (w *watcher) appendExpired(b []byte, revision int64) []byte {
 	status := newWatchExpired(revision, w.server.Store.Rev()).Status()
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
 	return w.appendObject(b, watch.Error, &status)
 }
 
+// appendBookmark appends a bookmark event with the revision up to which the watch is complete.
 func (w *watcher) appendBookmark(b []byte, endOfInitialEvents bool) []byte {
 	w.nextBookmarkAt = w.server.now + bookmarkInterval
 	bookmark := w.selector.resourceType.newObject()
@@ -287,24 +305,25 @@
 	return w.appendObject(b, watch.Bookmark, bookmark)
 }
 
-// appendChange appends an event with the object of a change, which is encoded once for all watches.
+// appendChange appends an event with the object of a change. All watches share the cached encoding of the
+// object.
 func (w *watcher) appendChange(b []byte, event watch.EventType, change *store.Change) []byte {
-	if w.binary {
-		return appendBinaryEvent(b, event, encodedBinary(change))
+	if w.protobuf {
+		return appendProtobufEvent(b, event, encodedProtobuf(change))
 	}
-	return appendEvent(b, event, encoded(change))
+	return appendJSONEvent(b, event, encodedJSON(change))
 }
 
-// appendObject appends an event with an object that is encoded for this watch only.
+// appendObject appends an event with an object that only this watch sends, so its encoding is not cached.
 func (w *watcher) appendObject(b []byte, event watch.EventType, o runtime.Object) []byte {
-	if w.binary {
-		return appendBinaryEvent(b, event, encodeBinary(o))
+	if w.protobuf {
+		return appendProtobufEvent(b, event, encodeProtobuf(o))
 	}
-	return appendEvent(b, event, encodeOrNull(o))
+	return appendJSONEvent(b, event, encodeJSONOrNull(o))
 }
 
-// appendEvent appends an event with an object that is encoded as JSON.
-func appendEvent(b []byte, event watch.EventType, object []byte) []byte {
+// appendJSONEvent appends an event with an object that is already encoded as JSON.
+func appendJSONEvent(b []byte, event watch.EventType, object []byte) []byte {
 	b = append(b, `{"type":"`...)
 	b = append(b, event...)
 	b = append(b, `","object":`...)
