--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -9,7 +9,8 @@
 	"heathshed/internal/kube/store"
 )
 
-// benchmarkStore holds Pods whose encodings are cached already, as they are while watches are open.
+// benchmarkStore returns a store with running Pods. A benchmark's first request fills the cache of their
+// encodings, so later requests find the cache filled, as it is on a server with open watches.
 func benchmarkStore(pods int) *store.Store {
 	objects := store.New(100, 5000)
 	for i := range pods {
@@ -21,7 +22,7 @@
 	return objects
 }
 
-// BenchmarkGet serves GET of one Pod.
+// BenchmarkGet measures a GET request for a single Pod.
 func BenchmarkGet(b *testing.B) {
 	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
@@ -30,7 +31,7 @@
 	}
 }
 
-// BenchmarkList serves a list of 100 Pods with a label selector.
+// BenchmarkList measures a list request with a label selector that matches 100 Pods.
 func BenchmarkList(b *testing.B) {
 	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
@@ -39,7 +40,7 @@
 	}
 }
 
-// BenchmarkWatchPull begins a watch and pulls the initial events of 1000 Pods.
+// BenchmarkWatchPull measures a watch request and the pull of its initial events, which contain 1000 Pods.
 func BenchmarkWatchPull(b *testing.B) {
 	for _, accept := range []string{jsonType, protobufType} {
 		b.Run(accept, func(b *testing.B) {
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -27,7 +27,7 @@
 // prefersProtobuf reports whether an Accept header lists the protobuf encoding before JSON.
 func prefersProtobuf(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
-		// Parse errors are ignored: mediaType is usable if only the parameters are invalid, and empty otherwise.
+		// Parse errors are ignored: mediaType is usable if only its parameters are invalid, else it is empty.
 		mediaType, _, _ := mime.ParseMediaType(part)
 		switch mediaType {
 		case protobufType:
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -16,71 +16,74 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCostlyBodiesAreRejected checks that bodies that are small to send and expensive to decode are rejected
-// before they are decoded, with a status that says why.
+// TestCostlyBodiesAreRejected guards against small requests that would take excessive memory or time to
+// decode, such as deeply nested JSON or a quantity with a huge exponent. The server must reject such a
+// request before it decodes the body, with a status that states the reason. The test cases also cover long
+// selectors, invalid path segments and a valid request that must be accepted.
 func TestCostlyBodiesAreRejected(t *testing.T) {
-	deep := func(levels int) string { return strings.Repeat(`{"a":`, levels) + "1" + strings.Repeat("}", levels) }
-	nested := func(content []byte) []byte {
+	nestedJSON := func(levels int) string { return strings.Repeat(`{"a":`, levels) + "1" + strings.Repeat("}", levels) }
+	protobufField := func(content []byte) []byte {
 		return protowire.AppendBytes(protowire.AppendTag(nil, 1, protowire.BytesType), content)
 	}
-	binaryQuantity := binaryObject("v1", "Job", nested(nested([]byte("1e1000000000"))))
+	protobufQuantity := protobufObject("v1", "Job", protobufField(protobufField([]byte("1e1000000000"))))
 	manyContainers := `{"spec":{"template":{"spec":{"containers":[` + strings.Repeat("{},", 900000) + "{}]}}}}"
 	testOperation := `{"op":"test","path":"/kind","value":"Node"}`
 	for _, test := range []struct {
 		name, method, path, mediaType, body string
 		status                              int
 	}{
-		{"copy of metadata into itself", "PATCH", nodePath, jsonPatchType, copyOperations(40), 413},
-		{"many operations", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(testOperation+",", 1500) + testOperation + "]", 413},
-		{"deep merge patch", "PATCH", nodePath, mergePatchType, deep(9000), 400},
-		{"deep strategic patch", "PATCH", nodePath, strategicPatchType, deep(9000), 400},
-		{"deep body", "POST", jobsPath, jsonType, deep(9000), 400},
-		{"deep arrays", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
+		{"copies of metadata into its annotations", "PATCH", nodePath, jsonPatchType, copyOperations(40), 413},
+		{"1,501 operations in a JSON patch", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(testOperation+",", 1500) + testOperation + "]", 413},
+		{"deeply nested merge patch", "PATCH", nodePath, mergePatchType, nestedJSON(9000), 400},
+		{"deeply nested strategic merge patch", "PATCH", nodePath, strategicPatchType, nestedJSON(9000), 400},
+		{"deeply nested objects", "POST", jobsPath, jsonType, nestedJSON(9000), 400},
+		{"deeply nested arrays", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
 		{"huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
 		{"huge exponent as a number", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
-		{"tiny exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
+		{"huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
 		{"escaped exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
 		{"escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
-		{"many digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
-		{"exponent by patch", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
-		{"exponent in the binary encoding", "POST", jobsPath, protobufType, binaryQuantity, 400},
+		{"quantity with 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
+		{"huge exponent in a patch", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
+		{"huge exponent in the protobuf encoding", "POST", jobsPath, protobufType, protobufQuantity, 400},
 		{"900,000 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
-		{"many labels", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
-		{"selector of 2,000 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
-		{"field selector of 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
-		{"escaped slash", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
-		{"escaped dots", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
-		{"name of another form", "GET", "/api/v1/nodes/a%00b", "", "", 400},
-		{"plain number in an annotation", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
-		{"ordinary copy", "PATCH", nodePath, jsonPatchType, copyOperations(2), 400}, // a copy of an object is no annotation
+		{"label value of 1 MiB", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
+		{"label selector with 2,001 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
+		{"field selector with 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
+		{"escaped slash in a namespace", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
+		{"escaped dots as a namespace", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
+		{"escaped NUL in a name", "GET", "/api/v1/nodes/a%00b", "", "", 400},
+		{"huge exponent in an annotation, which is text", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
+		// The copy is small enough, but its result is an object where the annotation value must be a string.
+		{"two copies of metadata into its annotations", "PATCH", nodePath, jsonPatchType, copyOperations(2), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := newEngineServer(t)
 			var response http1.Response
 			checkAllocations(t, len(test.body), func() { response = server.send(test.method, test.path, test.mediaType, test.body) })
 			if response.Status != test.status {
-				t.Errorf("status %d, want %d: %.200s", response.Status, test.status, response.Body)
+				t.Errorf("response has status %d, want %d; body: %.200s", response.Status, test.status, response.Body)
 			}
 			if len(response.Body) > 64<<10 {
-				t.Errorf("a response of %d bytes", len(response.Body))
+				t.Errorf("response body has %d bytes, want at most 65536", len(response.Body))
 			}
 		})
 	}
 }
 
-// TestCompressedBodyIsRejected checks that a body with a content encoding is rejected.
+// TestCompressedBodyIsRejected checks that the server rejects a request with a compressed body.
 func TestCompressedBodyIsRejected(t *testing.T) {
 	server := newEngineServer(t)
 	response := server.Serve(1000, newRequest("POST", jobsPath, "", "Content-Type", jsonType, "Content-Encoding", "gzip"))
 	if response.Status != 415 {
-		t.Errorf("compressed body: %d", response.Status)
+		t.Errorf("response to a compressed body has status %d, want 415", response.Status)
 	}
 }
 
-// FuzzBody checks that any body, on any path, is served within the limit of checkAllocations and without an
-// internal error.
+// FuzzBody checks that the server handles an arbitrary request body without an internal error, and allocates
+// no more memory than checkAllocations allows.
 func FuzzBody(f *testing.F) {
-	ways := []struct{ method, path, mediaType string }{
+	endpoints := []struct{ method, path, mediaType string }{
 		{"POST", jobsPath, jsonType},
 		{"PATCH", nodePath, jsonPatchType},
 		{"PATCH", nodePath, mergePatchType},
@@ -98,26 +101,26 @@
 		"k8s\x00\x0a\x09\x0a\x02v1\x12\x03Job\x12\x02\x0a\x00",
 		`{"kind":"DeleteOptions","dryRun":["All"]}`,
 	} {
-		for way := range ways {
-			f.Add(byte(way), body)
+		for endpoint := range endpoints {
+			f.Add(byte(endpoint), body)
 		}
 	}
 	server := newEngineServer(f)
-	f.Fuzz(func(t *testing.T, wayIndex byte, body string) {
+	f.Fuzz(func(t *testing.T, endpointIndex byte, body string) {
 		if len(body) > 1<<16 {
 			return
 		}
-		way := ways[int(wayIndex)%len(ways)]
+		endpoint := endpoints[int(endpointIndex)%len(endpoints)]
 		var response http1.Response
-		checkAllocations(t, len(body), func() { response = server.send(way.method, way.path+"?dryRun=All", way.mediaType, body) })
+		checkAllocations(t, len(body), func() { response = server.send(endpoint.method, endpoint.path+"?dryRun=All", endpoint.mediaType, body) })
 		if response.Status == 500 {
-			t.Fatalf("status 500: %s", response.Body)
+			t.Fatalf("response has status 500: %s", response.Body)
 		}
 	})
 }
 
-// FuzzSelector checks that any selector is parsed and matched against objects within the limit of
-// checkAllocations.
+// FuzzSelector checks that the server parses an arbitrary selector and matches it against objects without
+// allocating more memory than checkAllocations allows.
 func FuzzSelector(f *testing.F) {
 	for _, selector := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(selector, selector)
@@ -145,7 +148,7 @@
 	})
 }
 
-// TestGeneratedNames checks that a generated name that is taken is drawn again.
+// TestGeneratedNames checks that the engine generates another name if the generated name is already in use.
 func TestGeneratedNames(t *testing.T) {
 	const jobs = 20000
 	server := newEngineServer(t)
@@ -157,23 +160,25 @@
 	for i := range jobs {
 		created, err := server.Engine.CreateJob(1000, job, false)
 		if err != nil {
-			t.Fatalf("%d: %v", i, err)
+			t.Fatalf("create Job %d: %v", i, err)
 		}
 		names[created.Name] = true
 	}
 	if len(names) != jobs {
-		t.Errorf("%d names of %d Jobs", len(names), jobs)
+		t.Errorf("%d different names were generated for %d Jobs", len(names), jobs)
 	}
 }
 
-// putLargePod puts a Pod of more than 1 KB; its name follows from its number.
+// putLargePod stores a Pod whose encoding is larger than 1 KB. The Pod's name is derived from the given
+// number.
 func putLargePod(objects *store.Store, number int) {
 	pod := newPod(fmt.Sprintf("p%04d", number))
 	pod.Annotations = map[string]string{"a": strings.Repeat("x", 1000)}
 	objects.Put(store.Pods, pod)
 }
 
-// TestLargeListIsStreamed checks that a large list comes in pieces that together are the list.
+// TestLargeListIsStreamed checks that a large list is streamed in chunks that add up to the complete list. A
+// stream must end early, and report this, if the revision of its snapshot was dropped from the history.
 func TestLargeListIsStreamed(t *testing.T) {
 	const pods = 400
 	objects := store.New(100, 500)
@@ -194,27 +199,27 @@
 			response := server.getAs(test.target, jsonType)
 			body := response.Body
 			if (response.Stream != nil) != test.streamed {
-				t.Fatalf("streamed %v", response.Stream != nil)
+				t.Fatalf("response is a stream: %v, want the opposite", response.Stream != nil)
 			}
 			for done := !test.streamed; !done; {
 				before := len(body)
 				if body, done = response.Stream.Pull(body, 10000); len(body)-before > 200000 {
-					t.Fatalf("a piece of %d bytes", len(body)-before)
+					t.Fatalf("one pull returned %d bytes, want at most 200000", len(body)-before)
 				}
 			}
 			var list corev1.PodList
 			if err := json.Unmarshal(body, &list); err != nil || len(list.Items) != test.items || (list.Continue != "") != (test.items < pods) {
-				t.Errorf("%d items, continue %q, %v", len(list.Items), list.Continue, err)
+				t.Errorf("list has %d items and continue token %q; decode list: %v", len(list.Items), list.Continue, err)
 			}
 		})
 	}
-	t.Run("history no longer reaches back to it", func(t *testing.T) {
+	t.Run("revision dropped from the history", func(t *testing.T) {
 		response := server.getAs("/api/v1/pods", jsonType)
 		for i := range 1000 {
 			putLargePod(objects, i%pods)
 		}
 		if _, done := response.Stream.Pull(nil, 10000); !done || !response.Stream.(*listStream).Broken() {
-			t.Error("the list goes on")
+			t.Error("list stream did not end early after its revision was dropped from the history")
 		}
 	})
 }
--- a/internal/kube/api/characterization_reads_test.go
+++ b/internal/kube/api/characterization_reads_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// TestCharacterizeReads pins lists, gets, tables, selectors, pages, discovery and their errors.
+// TestCharacterizeReads compares the responses to read requests with a golden file: lists, single objects,
+// tables, selectors, pages, API discovery and errors.
 func TestCharacterizeReads(t *testing.T) {
 	session := newSession(t)
-	session.fill()
+	session.createInitialJobs()
 	collections := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
 	for _, target := range append(collections, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
 		for _, accept := range []string{"", jsonType, tableTypes, protobufType, protobufType + "," + jsonType, "text/html", "*/*"} {
@@ -19,7 +20,7 @@
 		session.send("GET", target+"?includeObject=Object", "", "Accept", tableTypes)
 		session.send("GET", target+"?includeObject=None", "", "Accept", tableTypes)
 	}
-	session.readSelections(collections)
+	session.readWithQueries(collections)
 	for _, target := range []string{
 		"/", "/api", "/apis", "/version", "/api/v1", "/apis/batch", "/apis/batch/v1", "/livez", "/readyz", "/healthz",
 		"/metrics", "/nowhere", "/api/v2", "/apis/apps/v1/deployments", podsPath + "/missing", jobsPath + "/missing", "/api/v1/nodes/missing",
@@ -31,10 +32,11 @@
 	session.send("GET", "/api/v1/pods", "", "Content-Encoding", "gzip")
 	session.server.Ready = func() error { return errors.New("not yet") }
 	session.get("/readyz")
-	session.record.Check(t, "reads")
+	session.recorder.Check(t, "reads")
 }
 
-func (session *apiSession) readSelections(collections []string) {
+// readWithQueries requests each collection with valid and invalid query parameters.
+func (session *apiSession) readWithQueries(collections []string) {
 	for _, target := range collections {
 		for _, query := range []string{
 			"limit=2", "limit=-1", "limit=x", "resourceVersion=0", "resourceVersion=1", "resourceVersion=x",
@@ -47,12 +49,12 @@
 		} {
 			session.get(target + "?" + query)
 		}
-		session.pages(target)
+		session.readPages(target)
 	}
 }
 
-// pages follows the pages of a list.
-func (session *apiSession) pages(target string) {
+// readPages requests the pages of a list one after another, up to six.
+func (session *apiSession) readPages(target string) {
 	next := ""
 	for range 6 {
 		body := string(session.get(target + "?limit=3" + next).Body)
--- a/internal/kube/api/characterization_watches_test.go
+++ b/internal/kube/api/characterization_watches_test.go
@@ -7,13 +7,13 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCharacterizeWatches pins the bytes of watches: as JSON, in the protobuf encoding, with selectors,
-// bookmarks and initial events.
+// TestCharacterizeWatches compares the bytes that watches send with a golden file. It covers JSON and the
+// protobuf encoding, selectors, bookmarks and initial events.
 func TestCharacterizeWatches(t *testing.T) {
 	session := newSession(t)
 	var streams []http1.Stream
 	var labels []string
-	add := func(target string, header ...string) {
+	openWatch := func(target string, header ...string) {
 		streams = append(streams, session.watch(t, target, header...))
 		labels = append(labels, fmt.Sprintf("watch %d", len(labels)))
 	}
@@ -23,13 +23,13 @@
 		"/api/v1/pods?watch=1&sendInitialEvents=true&resourceVersionMatch=NotOlderThan&allowWatchBookmarks=true",
 		jobsPath + "/job-1?watch=1", "/api/v1/pods?watch=1&timeoutSeconds=2&allowWatchBookmarks=true", "/api/v1/namespaces?watch=1",
 	} {
-		add(target)
-		add(target, "Accept", protobufType)
-		add(target, "Accept", tableTypes)
+		openWatch(target)
+		openWatch(target, "Accept", protobufType)
+		openWatch(target, "Accept", tableTypes)
 	}
 	for round := range 6 {
 		if round < 3 {
-			session.post(jobsPath, jobText(fmt.Sprintf("job-%d", round), "", 3))
+			session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", round), "", 3))
 		} else {
 			session.delete(fmt.Sprintf("%s/job-%d", jobsPath, round-3))
 		}
@@ -38,11 +38,11 @@
 			session.pull(labels[i], stream, []int{1, 500, 1 << 20}[round%3])
 		}
 	}
-	session.record.Line("%d watchers", session.server.OpenWatches())
+	session.recorder.Line("%d watchers", session.server.OpenWatches())
 	for _, stream := range streams {
 		stream.Close()
 	}
-	session.record.Line("%d watchers", session.server.OpenWatches())
+	session.recorder.Line("%d watchers", session.server.OpenWatches())
 	for _, query := range []string{
 		"resourceVersion=1", "resourceVersion=x", "resourceVersion=99999999", "timeoutSeconds=x", "sendInitialEvents=true",
 		"sendInitialEvents=x", "resourceVersionMatch=Exact&resourceVersion=1010", "allowWatchBookmarks=x", "limit=1",
@@ -52,5 +52,5 @@
 			response.Stream.Close()
 		}
 	}
-	session.record.Check(t, "watches")
+	session.recorder.Check(t, "watches")
 }
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -11,80 +11,81 @@
 	"heathshed/internal/config"
 )
 
-// TestCharacterizeWrites pins creations, updates, patches, evictions, deletions and their errors.
+// TestCharacterizeWrites compares the responses to write requests with a golden file: creations, updates,
+// patches, evictions, deletions and errors.
 func TestCharacterizeWrites(t *testing.T) {
 	session := newSession(t)
-	session.fill()
+	session.createInitialJobs()
 	session.createJobs()
 	session.patchObjects()
 	session.replaceObjects()
-	session.removeObjects()
+	session.evictAndDeleteObjects()
 	session.engine.Stop(session.now)
-	session.post(jobsPath, jobText("too-late", "", 1))
+	session.post(jobsPath, jobJSON("too-late", "", 1))
 	session.server.Engine = nil
-	session.post(jobsPath, jobText("read-only", "", 1))
+	session.post(jobsPath, jobJSON("read-only", "", 1))
 	session.get("/apis/batch/v1/jobs")
-	session.record.Check(t, "writes")
+	session.recorder.Check(t, "writes")
 }
 
 func (session *apiSession) createJobs() {
-	good := jobText("new", "", 2)
-	goodWith := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
+	validJob := jobJSON("new", "", 2)
+	validJobWith := func(old, replacement string) string { return strings.Replace(validJob, old, replacement, 1) }
 	for _, body := range []string{
-		"", "{", "[]", "null", `"x"`, "{}", good, good, jobText("Bad_Name", "", 1), jobText("many", "", 1<<28),
-		goodWith(`"name":"new"`, `"generateName":"made-"`),
-		goodWith(`"Never"`, `"Always"`),
-		goodWith(`"Never"`, `"OnFailure"`),
-		goodWith("500m", "-1"),
-		goodWith("500m", "x"),
-		goodWith(`"web"`, `"unknown"`),
-		goodWith(`"spec":`, `"unknown":1,"spec":`),
-		goodWith(`"completions":2`, `"completions":-2`),
-		goodWith(`"kind":"Job"`, `"kind":"Pod"`),
-		goodWith(`"batch/v1"`, `"batch/v2"`),
-		goodWith(`"backoffLimit":1`, `"backoffLimit":-1`),
-		goodWith(`"backoffLimit":1`, `"completionMode":"Indexed"`),
-		goodWith(`"backoffLimit":1`, `"completionMode":"Other"`),
-		goodWith(`"backoffLimit":1`, `"ttlSecondsAfterFinished":-1`),
-		goodWith(`"backoffLimit":1`, `"manualSelector":true`),
-		goodWith(`"backoffLimit":1`, `"activeDeadlineSeconds":0`),
-		goodWith(`"backoffLimit":1`, `"suspend":true`),
-		goodWith(`"name":"new"`, `"name":"other","namespace":"elsewhere"`),
-		jobText("hosts", `,"nodeName":"n"`, 1),
-		jobText("chosen", `,"nodeSelector":{"a":"b"}`, 1),
-		jobText("empty", `,"initContainers":[{"name":"i","image":"j"}]`, 1),
-		goodWith(`"containers":[`, `"containers":[],"other":[`),
+		"", "{", "[]", "null", `"x"`, "{}", validJob, validJob, jobJSON("Bad_Name", "", 1), jobJSON("many", "", 1<<28),
+		validJobWith(`"name":"new"`, `"generateName":"made-"`),
+		validJobWith(`"Never"`, `"Always"`),
+		validJobWith(`"Never"`, `"OnFailure"`),
+		validJobWith("500m", "-1"),
+		validJobWith("500m", "x"),
+		validJobWith(`"web"`, `"unknown"`),
+		validJobWith(`"spec":`, `"unknown":1,"spec":`),
+		validJobWith(`"completions":2`, `"completions":-2`),
+		validJobWith(`"kind":"Job"`, `"kind":"Pod"`),
+		validJobWith(`"batch/v1"`, `"batch/v2"`),
+		validJobWith(`"backoffLimit":1`, `"backoffLimit":-1`),
+		validJobWith(`"backoffLimit":1`, `"completionMode":"Indexed"`),
+		validJobWith(`"backoffLimit":1`, `"completionMode":"Other"`),
+		validJobWith(`"backoffLimit":1`, `"ttlSecondsAfterFinished":-1`),
+		validJobWith(`"backoffLimit":1`, `"manualSelector":true`),
+		validJobWith(`"backoffLimit":1`, `"activeDeadlineSeconds":0`),
+		validJobWith(`"backoffLimit":1`, `"suspend":true`),
+		validJobWith(`"name":"new"`, `"name":"other","namespace":"elsewhere"`),
+		jobJSON("hosts", `,"nodeName":"n"`, 1),
+		jobJSON("chosen", `,"nodeSelector":{"a":"b"}`, 1),
+		jobJSON("empty", `,"initContainers":[{"name":"i","image":"j"}]`, 1),
+		validJobWith(`"containers":[`, `"containers":[],"other":[`),
 	} {
 		session.post(jobsPath, body)
 		session.advance(0.05)
 	}
 	for _, query := range []string{"dryRun=All", "dryRun=Some", "fieldValidation=Strict", "fieldValidation=Warn", "fieldValidation=Ignore",
 		"fieldValidation=Other", "fieldManager=x"} {
-		body := strings.Replace(jobText("with-query", "", 1), `"spec":`, `"unknown":1,"spec":`, 1)
+		body := strings.Replace(jobJSON("with-query", "", 1), `"spec":`, `"unknown":1,"spec":`, 1)
 		session.post(jobsPath+"?"+query, body)
 	}
-	session.send("POST", jobsPath, good, "Content-Type", "text/plain")
-	session.send("POST", jobsPath, good)
+	session.send("POST", jobsPath, validJob, "Content-Type", "text/plain")
+	session.send("POST", jobsPath, validJob)
 	session.send("POST", jobsPath, "apiVersion: batch/v1", "Content-Type", "application/yaml")
-	session.send("POST", jobsPath, binaryJob("binary"), "Content-Type", protobufType)
-	session.send("POST", jobsPath, binaryJob("binary-answer"), "Content-Type", protobufType, "Accept", protobufType)
+	session.send("POST", jobsPath, protobufJob("binary"), "Content-Type", protobufType)
+	session.send("POST", jobsPath, protobufJob("binary-answer"), "Content-Type", protobufType, "Accept", protobufType)
 	session.send("POST", jobsPath, "k8s\x00rubbish", "Content-Type", protobufType)
 	session.post("/api/v1/nodes", "{}")
 	session.post(podsPath, "{}")
 	session.post("/apis", "{}")
 }
 
-// binaryJob returns a Job in the protobuf encoding.
-func binaryJob(name string) string {
+// protobufJob returns a Job with the given name in the protobuf encoding.
+func protobufJob(name string) string {
 	job := &batchv1.Job{}
 	job.Name = name
 	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	job.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image"}}
 	encoded, _ := job.Marshal()
-	return binaryObject("batch/v1", "Job", encoded)
+	return protobufObject("batch/v1", "Job", encoded)
 }
 
-// patch is the body of a PATCH request with its media type.
+// patch contains the body of a PATCH request and its media type.
 type patch struct{ mediaType, body string }
 
 func (session *apiSession) patchObjects() {
@@ -143,9 +144,9 @@
 	node := string(session.get(nodePath).Body)
 	session.sendJSON("PUT", jobsPath+"/job-3", current)
 	session.sendJSON("PUT", jobsPath+"/job-3", strings.Replace(current, `"parallelism":1`, `"parallelism":3`, 1))
-	session.sendJSON("PUT", jobsPath+"/job-3", current) // of an older revision
-	session.sendJSON("PUT", jobsPath+"/job-2", current) // of another name
-	session.sendJSON("PUT", jobsPath+"/missing", jobText("missing", "", 1))
+	session.sendJSON("PUT", jobsPath+"/job-3", current) // The object has an outdated resource version.
+	session.sendJSON("PUT", jobsPath+"/job-2", current) // The object has a different name than the path.
+	session.sendJSON("PUT", jobsPath+"/missing", jobJSON("missing", "", 1))
 	session.sendJSON("PUT", jobsPath+"/job-3", "{}")
 	session.sendJSON("PUT", nodePath, node)
 	session.sendJSON("PUT", nodePath, strings.Replace(node, `"spec":{`, `"spec":{"unschedulable":true,`, 1))
@@ -153,7 +154,7 @@
 	session.get("/api/v1/nodes")
 }
 
-func (session *apiSession) removeObjects() {
+func (session *apiSession) evictAndDeleteObjects() {
 	names := session.podNames()
 	eviction := `{"apiVersion":"policy/v1","kind":"Eviction","metadata":{"name":%q}}`
 	session.post(podsPath+"/"+names[0]+"/eviction", fmt.Sprintf(eviction, names[0]))
@@ -195,15 +196,16 @@
 	return names
 }
 
-// TestCharacterizeFullServer pins the answer to a Job for which there is no capacity.
+// TestCharacterizeFullServer compares with a golden file how the server responds to a Job after the maximum
+// number of Pods is reached.
 func TestCharacterizeFullServer(t *testing.T) {
 	settings := config.Default()
 	cfg := settings.Engine(1, 1000)
 	cfg.MaxPods = 5
 	session := newSessionWith(t, cfg)
 	for i := range 3 {
-		session.post(jobsPath, jobText(fmt.Sprintf("job-%d", i), "", 3))
+		session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", i), "", 3))
 		session.advance(0.1)
 	}
-	session.record.Check(t, "full")
+	session.recorder.Check(t, "full")
 }
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -26,11 +26,11 @@
 	jsonPatchType      = string(types.JSONPatchType)
 	mergePatchType     = string(types.MergePatchType)
 	strategicPatchType = string(types.StrategicMergePatchType)
-	// tableTypes is what a client accepts that prefers rows to print.
+	// tableTypes is the Accept header of a client that prefers a Table to plain JSON.
 	tableTypes = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json"
 )
 
-// newPod returns a Pod in the namespace default.
+// newPod returns a Pod with the given name in the namespace "default".
 func newPod(name string) *corev1.Pod {
 	pod := &corev1.Pod{}
 	pod.Namespace = "default"
@@ -38,7 +38,8 @@
 	return pod
 }
 
-// newPodServer returns a read-only API over some Pods, whose names are pa, pb and so on.
+// newPodServer returns a read-only server with the given number of Pods, which are named pa, pb and so on.
+// The label "odd" of every second Pod has the value "1".
 func newPodServer(pods int) *Server {
 	objects := store.New(100, 50)
 	for i := range pods {
@@ -50,18 +51,18 @@
 	return &Server{Store: objects}
 }
 
-// newServer returns an API over an engine whose inventory lists some nodes.
+// newServer returns a server with a new engine whose inventory lists the given nodes.
 func newServer(tb testing.TB, cfg engine.Config, now placer.Seconds, nodes ...*corev1.Node) *Server {
 	tb.Helper()
-	core, err := engine.New(cfg)
+	jobEngine, err := engine.New(cfg)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	core.NodesListed(now, engine.FullList, nodes, nil)
-	return &Server{Store: core.Store(), Engine: core}
+	jobEngine.NodesListed(now, engine.FullList, nodes, nil)
+	return &Server{Store: jobEngine.Store(), Engine: jobEngine}
 }
 
-// newEngineServer returns an API over an engine with the default settings that knows one node.
+// newEngineServer returns a server with an engine that has the default settings and one node.
 func newEngineServer(tb testing.TB) *Server {
 	tb.Helper()
 	node := &corev1.Node{}
@@ -71,7 +72,7 @@
 	return newServer(tb, settings.Engine(1, 1000), 1000, node)
 }
 
-// newRequest returns a request; header holds names and values in turn.
+// newRequest returns a request. The header arguments are alternating names and values of header fields.
 func newRequest(method, target, body string, header ...string) *http1.Request {
 	head := &http1.Head{Method: method, Target: target, Minor: 1}
 	for i := 0; i+1 < len(header); i += 2 {
@@ -80,30 +81,33 @@
 	return &http1.Request{Head: head, Body: []byte(body), Peer: "127.0.0.1:1"}
 }
 
-// getAs sends a GET with an Accept header field.
+// getAs serves a GET request with the given Accept header.
 func (s *Server) getAs(target, accept string) http1.Response {
 	return s.Serve(1000, newRequest("GET", target, "", "Accept", accept))
 }
 
+// send serves a request with the given content type and body.
 func (s *Server) send(method, target, contentType, body string) http1.Response {
 	return s.Serve(1000, newRequest(method, target, body, "Content-Type", contentType))
 }
 
-// binaryObject returns an encoded object in the envelope of the binary encoding.
-func binaryObject(apiVersion, kind string, encoded []byte) string {
+// protobufObject wraps an encoded object in the envelope of the Kubernetes protobuf encoding.
+func protobufObject(apiVersion, kind string, encoded []byte) string {
 	typeMeta := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), apiVersion)
 	typeMeta = protowire.AppendString(protowire.AppendTag(typeMeta, 2, protowire.BytesType), kind)
 	envelope := protowire.AppendBytes(protowire.AppendTag([]byte("k8s\x00"), 1, protowire.BytesType), typeMeta)
 	return string(protowire.AppendBytes(protowire.AppendTag(envelope, 2, protowire.BytesType), encoded))
 }
 
-// jobWithCPU is a Job whose container requests a quantity of cores, given as JSON.
+// jobWithCPU returns a Job in JSON whose container requests the given CPU quantity. The quantity is itself
+// JSON, either a string or a number.
 func jobWithCPU(quantity string) string {
 	return `{"metadata":{"name":"j"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
 		`{"requests":{"cpu":` + quantity + `}}}]}}}}`
 }
 
-// copyOperations is a JSON patch that copies an object's metadata into itself, again and again.
+// copyOperations returns a JSON patch that copies an object's metadata into its own annotations repeatedly.
+// Each copy contains all previous copies, so the object's size doubles with every operation.
 func copyOperations(copies int) string {
 	operations := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
 	for i := range copies {
@@ -112,16 +116,17 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// checkAllocations fails the test if serving a body of so many bytes allocates more than a number for each
-// byte, or more than the bound for any body. It counts what the process allocates meanwhile.
-func checkAllocations(tb testing.TB, body int, serve func()) {
+// checkAllocations fails the test if serve allocates more memory than allowed for a request body of bodyBytes
+// bytes. The limit grows with the body up to a fixed maximum. The measurement includes all allocations that
+// the process makes while serve runs.
+func checkAllocations(tb testing.TB, bodyBytes int, serve func()) {
 	tb.Helper()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	serve()
 	runtime.ReadMemStats(&after)
-	limit := min(16<<20+2048*uint64(body), 96<<20)
+	limit := min(16<<20+2048*uint64(bodyBytes), 96<<20)
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > limit {
-		tb.Errorf("%d bytes of body allocate %d bytes, want at most %d", body, allocated, limit)
+		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d", bodyBytes, allocated, limit)
 	}
 }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -18,19 +18,19 @@
 	"heathshed/placer"
 )
 
-// sessionStart is the time of a session's first request, in Unix seconds.
+// sessionStart is the Unix time of the first request of a session, in seconds.
 const sessionStart = 1.8e9
 
-// apiSession sends requests to one server at increasing times and records status, header fields and body
-// bytes of the responses.
+// apiSession sends requests to one server at increasing times. It records the status, the header fields and a
+// digest of the body of each response.
 //
 // Golden files are written with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package
 // goldentest.
 type apiSession struct {
-	server *Server
-	engine *engine.Engine
-	now    placer.Seconds
-	record *goldentest.Recorder
+	server   *Server
+	engine   *engine.Engine
+	now      placer.Seconds
+	recorder *goldentest.Recorder
 }
 
 func newSession(t *testing.T) *apiSession {
@@ -39,7 +39,7 @@
 	return newSessionWith(t, settings.Engine(1, 1000))
 }
 
-// newSessionWith returns a session with a scheduler that knows three nodes.
+// newSessionWith returns a session with a server whose engine has the given configuration and three nodes.
 func newSessionWith(t *testing.T, cfg engine.Config) *apiSession {
 	t.Helper()
 	var nodes []*corev1.Node
@@ -53,7 +53,7 @@
 	for _, node := range nodes {
 		server.Engine.NodePods(sessionStart, node.Name, node.Status.NodeInfo.BootID, 1, nil)
 	}
-	return &apiSession{server: server, engine: server.Engine, now: sessionStart, record: goldentest.NewRecorder()}
+	return &apiSession{server: server, engine: server.Engine, now: sessionStart, recorder: goldentest.NewRecorder()}
 }
 
 func listedNode(name, nodeType string, index int) *corev1.Node {
@@ -68,10 +68,11 @@
 	return node
 }
 
-// advance runs timers for some seconds; nodes accept every attempt and report that the task runs.
+// advance lets the given number of seconds pass and runs the engine's timers. Simulated nodes accept every
+// attempt and report that the task runs.
 func (session *apiSession) advance(seconds placer.Seconds) {
-	for until := session.now + seconds; session.now < until; {
-		session.now = min(max(session.engine.NextWake(), session.now+0.01), until)
+	for endTime := session.now + seconds; session.now < endTime; {
+		session.now = min(max(session.engine.NextWake(), session.now+0.01), endTime)
 		session.engine.Tick(session.now)
 		for _, effect := range session.engine.Ready(nil) {
 			switch effect.Kind {
@@ -102,13 +103,14 @@
 	}
 }
 
-// send makes a request and records the response; header holds names and values in turn.
+// send serves a request and records the response. The header arguments are alternating names and values of
+// header fields.
 func (session *apiSession) send(method, target, body string, header ...string) http1.Response {
 	response := session.server.Serve(session.now, newRequest(method, target, body, header...))
-	session.record.Line("%s %s %s -> %d %q, %d bytes, %s", method, target, strings.Join(header, " "),
-		response.Status, fieldTexts(response.Header), len(response.Body), digest(response.Body))
+	session.recorder.Line("%s %s %s -> %d %q, %d bytes, %s", method, target, strings.Join(header, " "),
+		response.Status, headerLines(response.Header), len(response.Body), digest(response.Body))
 	if response.Status >= 400 {
-		session.record.Line("  %s", response.Body)
+		session.recorder.Line("  %s", response.Body)
 	}
 	return response
 }
@@ -123,7 +125,7 @@
 	session.send(method, target, body, "Content-Type", jsonType)
 }
 
-func fieldTexts(header []http1.Field) []string {
+func headerLines(header []http1.Field) []string {
 	var texts []string
 	for _, field := range header {
 		texts = append(texts, field.Name+": "+field.Value)
@@ -136,37 +138,39 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// watch begins a watch whose response must be a stream.
+// watch opens a watch and returns its stream. The test fails if the response contains no stream.
 func (session *apiSession) watch(t *testing.T, target string, header ...string) http1.Stream {
 	t.Helper()
 	response := session.send("GET", target, "", header...)
 	if response.Stream == nil {
-		t.Fatalf("%s: no stream: %d", target, response.Status)
+		t.Fatalf("watch of %s returned no stream: status %d", target, response.Status)
 	}
 	return response.Stream
 }
 
-// pull records what a watch has to send, in pieces of about the given size.
-func (session *apiSession) pull(label string, stream http1.Stream, size int) {
+// pull reads the pending events of a watch in chunks of about maxBytes bytes and records the size and digest
+// of each chunk.
+func (session *apiSession) pull(label string, stream http1.Stream, maxBytes int) {
 	for range 40 {
-		piece, done := stream.Pull(nil, size)
-		session.record.Line("%s: %d bytes, %s, done %v", label, len(piece), digest(piece), done)
-		if done || len(piece) == 0 {
+		chunk, done := stream.Pull(nil, maxBytes)
+		session.recorder.Line("%s: %d bytes, %s, done %v", label, len(chunk), digest(chunk), done)
+		if done || len(chunk) == 0 {
 			return
 		}
 	}
 }
 
-func jobText(name, extra string, tasks int) string {
+// jobJSON returns a Job in JSON. The text extraPodSpec is inserted into the specification of its Pods.
+func jobJSON(name, extraPodSpec string, tasks int) string {
 	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q,"labels":{"team":"a"}},"spec":{"completions":%d,"parallelism":%d,`+
 		`"backoffLimit":1,"template":{"metadata":{"labels":{"heathshed.io/class":"web","heathshed.io/service":"s"}},"spec":{"restartPolicy":"Never",`+
-		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, tasks, tasks, extra)
+		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, tasks, tasks, extraPodSpec)
 }
 
-// fill creates Jobs, some of which run.
-func (session *apiSession) fill() {
+// createInitialJobs creates four Jobs and lets time pass, so that some of their tasks run.
+func (session *apiSession) createInitialJobs() {
 	for i := range 4 {
-		session.post(jobsPath, jobText(fmt.Sprintf("job-%d", i), "", i+1))
+		session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", i), "", i+1))
 		session.advance(0.7)
 	}
 }
