--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -49,16 +49,17 @@
 			content = encoded
 		}
 	}
-	const maxEnvelopeBytes = 24 // upper bound for tags, lengths and protobufMagic
+	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and all tags and lengths.
+	const maxEnvelopeBytes = 24
 	b := make([]byte, 0, len(content)+len(version)+len(kind)+maxEnvelopeBytes)
 	b = append(b, protobufMagic...)
-	b = protowire.AppendTag(b, 1, protowire.BytesType) // runtime.Unknown.TypeMeta
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of runtime.Unknown is TypeMeta.
 	b = protowire.AppendVarint(b, uint64(4+len(version)+len(kind)))
-	b = protowire.AppendTag(b, 1, protowire.BytesType) // TypeMeta.APIVersion
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of TypeMeta is APIVersion.
 	b = protowire.AppendString(b, version)
-	b = protowire.AppendTag(b, 2, protowire.BytesType) // TypeMeta.Kind
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of TypeMeta is Kind.
 	b = protowire.AppendString(b, kind)
-	b = protowire.AppendTag(b, 2, protowire.BytesType) // runtime.Unknown.Raw
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of runtime.Unknown is Raw.
 	return protowire.AppendBytes(b, content)
 }
 
@@ -72,15 +73,15 @@
 }
 
 // appendProtobufEvent appends one frame of a watch stream, which contains an event with an encoded object.
-func appendProtobufEvent(b []byte, event watch.EventType, object []byte) []byte {
+func appendProtobufEvent(b []byte, eventType watch.EventType, encodedObject []byte) []byte {
 	const tagSize = 1
-	rawExtensionSize := tagSize + protowire.SizeBytes(len(object))
-	eventSize := tagSize + protowire.SizeBytes(len(event)) + tagSize + protowire.SizeBytes(rawExtensionSize)
+	rawExtensionSize := tagSize + protowire.SizeBytes(len(encodedObject))
+	eventSize := tagSize + protowire.SizeBytes(len(eventType)) + tagSize + protowire.SizeBytes(rawExtensionSize)
 	b = binary.BigEndian.AppendUint32(b, uint32(eventSize))
-	b = protowire.AppendTag(b, 1, protowire.BytesType) // WatchEvent.Type
-	b = protowire.AppendString(b, string(event))
-	b = protowire.AppendTag(b, 2, protowire.BytesType) // WatchEvent.Object
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of WatchEvent is Type.
+	b = protowire.AppendString(b, string(eventType))
+	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of WatchEvent is Object.
 	b = protowire.AppendVarint(b, uint64(rawExtensionSize))
-	b = protowire.AppendTag(b, 1, protowire.BytesType) // RawExtension.Raw
-	return protowire.AppendBytes(b, object)
+	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of RawExtension is Raw.
+	return protowire.AppendBytes(b, encodedObject)
 }
--- a/internal/kube/api/discovery.go
+++ b/internal/kube/api/discovery.go
@@ -78,17 +78,17 @@
 		GroupVersion: groupVersion.String(),
 	}
 	for _, resource := range []store.Resource{store.Jobs, store.Namespaces, store.Nodes, store.Pods} {
-		described := resourceTypes[resource]
-		if described.groupVersion != groupVersion {
+		servedType := resourceTypes[resource]
+		if servedType.groupVersion != groupVersion {
 			continue
 		}
 		list.APIResources = append(list.APIResources, metav1.APIResource{
 			Name:         resource.String(),
-			SingularName: strings.ToLower(described.kind),
-			Namespaced:   described.namespaced,
-			Kind:         described.kind,
-			Verbs:        described.verbs,
-			ShortNames:   described.shortNames,
+			SingularName: strings.ToLower(servedType.kind),
+			Namespaced:   servedType.namespaced,
+			Kind:         servedType.kind,
+			Verbs:        servedType.verbs,
+			ShortNames:   servedType.shortNames,
 		})
 		if resource == store.Pods {
 			list.APIResources = append(list.APIResources, metav1.APIResource{
--- a/internal/kube/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -29,6 +29,7 @@
 	selectableValues func(o store.Object) fields.Set
 }
 
+// resourceTypes contains the resources that the API serves.
 var resourceTypes = map[store.Resource]*resourceType{
 	store.Jobs: {
 		resource:         store.Jobs,
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -122,9 +122,9 @@
 		Reason:  metav1.StatusReasonInternalError,
 		Message: err.Error(),
 	}
-	var withStatus apierrors.APIStatus
-	if errors.As(err, &withStatus) {
-		status = withStatus.Status()
+	var apiStatus apierrors.APIStatus
+	if errors.As(err, &apiStatus) {
+		status = apiStatus.Status()
 	}
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
 	response, err := jsonResponse(int(status.Code), &status)
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -18,7 +18,8 @@
 const (
 	bookmarkInterval    = placer.Seconds(60)
 	defaultWatchTimeout = placer.Seconds(1800)
-	maxChangesPerRead   = 512
+	// maxChangesPerRead is the maximum number of changes that a watch reads from the history in one step.
+	maxChangesPerRead = 512
 
 	// maxUnbatchedWatches is the largest number of open watches for which changes are sent without delay.
 	maxUnbatchedWatches = 50
@@ -205,16 +206,16 @@
 // appendInitialEvents appends the objects of the initial snapshot until b has reached the target length.
 func (w *watcher) appendInitialEvents(b []byte, targetLength int) []byte {
 	for w.initialSnapshot != nil && len(b) < targetLength {
-		scanned := 0
+		scannedCount := 0
 		w.initialSnapshot.Scan(w.selector.namespace, w.lastScannedKey, func(key string, change *store.Change) bool {
 			w.lastScannedKey = key
-			scanned++
+			scannedCount++
 			if w.selector.matches(change.Object) {
 				b = w.appendChange(b, watch.Added, change)
 			}
 			return len(b) < targetLength
 		})
-		complete := len(b) < targetLength || scanned == 0
+		complete := len(b) < targetLength || scannedCount == 0
 		if !complete {
 			continue
 		}
@@ -280,9 +281,9 @@
 	case matchedBefore:
 		// The event contains the last object state that matched, with the revision of the change that ended
 		// the match.
-		last := change.Prev.DeepCopyObject().(store.Object)
-		last.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
-		return w.appendObject(b, watch.Deleted, last)
+		lastMatching := change.Prev.DeepCopyObject().(store.Object)
+		lastMatching.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
+		return w.appendObject(b, watch.Deleted, lastMatching)
 	}
 	return b
 }
@@ -307,26 +308,26 @@
 
 // appendChange appends an event with the object of a change. All watches share the cached encoding of the
 // object.
-func (w *watcher) appendChange(b []byte, event watch.EventType, change *store.Change) []byte {
+func (w *watcher) appendChange(b []byte, eventType watch.EventType, change *store.Change) []byte {
 	if w.protobuf {
-		return appendProtobufEvent(b, event, encodedProtobuf(change))
+		return appendProtobufEvent(b, eventType, encodedProtobuf(change))
 	}
-	return appendJSONEvent(b, event, encodedJSON(change))
+	return appendJSONEvent(b, eventType, encodedJSON(change))
 }
 
 // appendObject appends an event with an object that only this watch sends, so its encoding is not cached.
-func (w *watcher) appendObject(b []byte, event watch.EventType, o runtime.Object) []byte {
+func (w *watcher) appendObject(b []byte, eventType watch.EventType, o runtime.Object) []byte {
 	if w.protobuf {
-		return appendProtobufEvent(b, event, encodeProtobuf(o))
+		return appendProtobufEvent(b, eventType, encodeProtobuf(o))
 	}
-	return appendJSONEvent(b, event, encodeJSONOrNull(o))
+	return appendJSONEvent(b, eventType, encodeJSONOrNull(o))
 }
 
 // appendJSONEvent appends an event with an object that is already encoded as JSON.
-func appendJSONEvent(b []byte, event watch.EventType, object []byte) []byte {
+func appendJSONEvent(b []byte, eventType watch.EventType, encodedObject []byte) []byte {
 	b = append(b, `{"type":"`...)
-	b = append(b, event...)
+	b = append(b, eventType...)
 	b = append(b, `","object":`...)
-	b = append(b, object...)
+	b = append(b, encodedObject...)
 	return append(b, "}\n"...)
 }
