--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -67,7 +67,7 @@
 	tb.Helper()
 	node := &corev1.Node{}
 	node.Name = "node-1"
-	node.Labels = map[string]string{wellknown.Kind: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
+	node.Labels = map[string]string{wellknown.NodeType: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
 	settings := config.Default()
 	return newServer(tb, settings.Engine(1, 1000), 1000, node)
 }
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -33,7 +33,7 @@
 
 // getObject serves GET and HEAD requests for a single object.
 func (s *Server) getObject(r *request) (http1.Response, error) {
-	change := s.Store.Last(r.resourceType.resource, r.namespace, r.name)
+	change := s.Store.LastChange(r.resourceType.resource, r.namespace, r.name)
 	if change == nil {
 		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
@@ -112,8 +112,8 @@
 		return snapshot, "", apierrors.NewBadRequest("resourceVersionMatch is forbidden unless resourceVersion is provided")
 	case match == matchExact && revision == 0:
 		return snapshot, "", apierrors.NewBadRequest(`resourceVersionMatch "Exact" is forbidden for resourceVersion "0"`)
-	case revision > s.Store.Rev():
-		return snapshot, "", newRevisionTooLarge(revision, s.Store.Rev())
+	case revision > s.Store.Revision():
+		return snapshot, "", newRevisionTooLarge(revision, s.Store.Revision())
 	case match == matchExact:
 		snapshot, err = s.Store.FindSnapshot(s.now, r.resourceType.resource, revision)
 		if err != nil {
@@ -207,13 +207,13 @@
 	if asTable && (limit == 0 || limit > maxTableRows) {
 		limit = maxTableRows
 	}
-	meta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Rev, 10)}
+	meta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Revision, 10)}
 	var found page
 	if limit > 0 {
 		found = scanPage(&selector, snapshot, afterKey, limit, asTable)
 	}
 	if found.hasMore {
-		token := continueToken{Revision: snapshot.Rev, After: found.lastKey}
+		token := continueToken{Revision: snapshot.Revision, After: found.lastKey}
 		var err error
 		if meta.Continue, err = token.encode(); err != nil {
 			return http1.Response{}, err
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -59,7 +59,7 @@
 func listedNode(name, nodeType string, index int) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = name
-	node.Labels = map[string]string{wellknown.Kind: nodeType, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
+	node.Labels = map[string]string{wellknown.NodeType: nodeType, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
 	node.Annotations = map[string]string{wellknown.FreeCapacity: "cores=16.0, memory=32.0"}
 	node.Status.NodeInfo.BootID = "boot-" + name
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -137,7 +137,7 @@
 	return []any{
 		node.Name,
 		state,
-		node.Labels[wellknown.Kind],
+		node.Labels[wellknown.NodeType],
 		node.Labels[wellknown.Zone],
 		node.Labels[wellknown.Rack],
 		node.Annotations[wellknown.FreeCapacity],
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -140,7 +140,7 @@
 		nextBookmarkAt:        s.now + bookmarkInterval,
 		initialEventsBookmark: options.initialEventsBookmark,
 	}
-	current := s.Store.Rev()
+	current := s.Store.Revision()
 	if options.resourceVersion > current {
 		return nil, newRevisionTooLarge(options.resourceVersion, current)
 	}
@@ -148,13 +148,13 @@
 	if options.initialEvents {
 		snapshot := s.Store.Snapshot(resource)
 		w.initialSnapshot = &snapshot
-		w.revision = snapshot.Rev
+		w.revision = snapshot.Revision
 		return w, nil
 	}
 	if options.startAtCurrent {
 		w.revision = current
 	}
-	if _, err := s.Store.Since(resource, w.revision, 1); err != nil {
+	if _, err := s.Store.ChangesSince(resource, w.revision, 1); err != nil {
 		return nil, newWatchExpired(options.resourceVersion, current)
 	}
 	return w, nil
@@ -190,7 +190,7 @@
 func (w *watcher) Pull(b []byte, maxBytes int) ([]byte, bool) {
 	targetLength := len(b) + maxBytes
 	if w.initialSnapshot != nil && w.server.Store.Outdated(*w.initialSnapshot) {
-		return w.appendExpired(b, w.initialSnapshot.Rev), true
+		return w.appendExpired(b, w.initialSnapshot.Revision), true
 	}
 	b = w.appendInitialEvents(b, targetLength)
 	b, inHistory := w.appendChanges(b, targetLength)
@@ -231,18 +231,18 @@
 // length. The result inHistory is false if the position was dropped from the history.
 func (w *watcher) appendChanges(b []byte, targetLength int) (out []byte, inHistory bool) {
 	history := w.server.Store
-	for w.initialSnapshot == nil && len(b) < targetLength && w.revision < history.Rev() {
-		changes, err := history.Since(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
+	for w.initialSnapshot == nil && len(b) < targetLength && w.revision < history.Revision() {
+		changes, err := history.ChangesSince(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
 		if err != nil {
 			return b, false
 		}
 		if len(changes) == 0 {
-			w.revision = history.Rev()
+			w.revision = history.Revision()
 			break
 		}
 		for _, change := range changes {
 			b = w.appendFilteredChange(b, change)
-			w.revision = change.Rev
+			w.revision = change.Revision
 			if len(b) >= targetLength {
 				break
 			}
@@ -270,7 +270,7 @@
 // DELETED.
 func (w *watcher) appendFilteredChange(b []byte, change *store.Change) []byte {
 	matchesNow := change.Op != store.Deleted && w.selector.matches(change.Object)
-	matchedBefore := change.Prev != nil && w.selector.matches(change.Prev)
+	matchedBefore := change.Previous != nil && w.selector.matches(change.Previous)
 	switch {
 	case matchesNow && matchedBefore:
 		return w.appendChange(b, watch.Modified, change)
@@ -281,8 +281,8 @@
 	case matchedBefore:
 		// The event contains the last object state that matched, with the revision of the change that ended
 		// the match.
-		lastMatching := change.Prev.DeepCopyObject().(store.Object)
-		lastMatching.SetResourceVersion(strconv.FormatInt(change.Rev, 10))
+		lastMatching := change.Previous.DeepCopyObject().(store.Object)
+		lastMatching.SetResourceVersion(strconv.FormatInt(change.Revision, 10))
 		return w.appendObject(b, watch.Deleted, lastMatching)
 	}
 	return b
@@ -290,7 +290,7 @@
 
 // appendExpired appends the error event that ends a watch whose position was dropped from the history.
 func (w *watcher) appendExpired(b []byte, revision int64) []byte {
-	status := newWatchExpired(revision, w.server.Store.Rev()).Status()
+	status := newWatchExpired(revision, w.server.Store.Revision()).Status()
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
 	return w.appendObject(b, watch.Error, &status)
 }
