--- a/placer/api.go
+++ b/placer/api.go
@@ -50,12 +50,14 @@
 	Zone, Rack, NodeType  int // NodeType is an index into Config.NodeTypes
 	State                 NodeState
 	FreeCores, FreeMemory float64 // capacity that no task has requested; negative on an overcommitted node
-	StartedAt             Seconds // time of the latest start of the node; 0 means long ago
+	StartedAt             Seconds // time of the latest start of the node; 0 if the node started long ago
 }
 
 // Report is the load that a node reports. A value is NaN if the node does not report it.
 type Report struct {
-	FreeCores, FreeMemory float64 // capacity not in use if NodeBehavior.ReportsUsage, else not requested
+	// FreeCores and FreeMemory are the capacity that is not in use if NodeBehavior.ReportsUsage is set.
+	// Otherwise, they are the capacity that no task has requested.
+	FreeCores, FreeMemory float64
 	Utilization           float64 // fraction of the cores that are in use
 	QueueLength           float64 // number of tasks that wait on the node
 }
@@ -94,7 +96,7 @@
 // Reason is the reason that a node gives for a result.
 type Reason uint8
 
-// The reasons that a node gives.
+// The reasons that a node can give for the result of an attempt.
 const (
 	NoReason Reason = iota
 	InsufficientCores
@@ -121,16 +123,27 @@
 // EventKind selects the meaning of an Event and determines which of its fields are used.
 type EventKind uint8
 
-// The kinds of event. Each comment names, after the colon, the fields of Event that the kind uses.
+// The kinds of event.
 const (
-	NodesListed   EventKind = iota + 1 // a node list arrived: List, Nodes
-	Arrived                            // a placement request arrived: Task
-	Adopted                            // a task was found running, which becomes its attempt 0: Task, Node
-	Bound                              // a node accepted an attempt: TaskID, Attempt, Node, Elapsed
-	Ended                              // an attempt ended: the fields of Bound, Result, Reason, Final, Report
-	UsageReported                      // a running task was measured: TaskID, Attempt, Node, Usage, Value
-	Withdrawn                          // the client withdrew a request: TaskID
-	TimerFired                         // the timer of a SetTimer action fired: Token
+	// NodesListed means that a node list arrived. It uses the fields List and Nodes.
+	NodesListed EventKind = iota + 1
+	// Arrived means that a placement request arrived. It uses the field Task.
+	Arrived
+	// Adopted means that a task was found running on a node. The running task becomes attempt 0 of its
+	// request. The event uses the fields Task and Node.
+	Adopted
+	// Bound means that a node accepted an attempt. It uses the fields TaskID, Attempt, Node and Elapsed.
+	Bound
+	// Ended means that an attempt ended. It uses the fields TaskID, Attempt, Node, Elapsed, Result, Reason,
+	// Final and Report.
+	Ended
+	// UsageReported means that the usage of a running task was measured. It uses the fields TaskID, Attempt,
+	// Node, Usage and Value.
+	UsageReported
+	// Withdrawn means that the client withdrew a request. It uses the field TaskID.
+	Withdrawn
+	// TimerFired means that the timer of a SetTimer action fired. It uses the field Token.
+	TimerFired
 )
 
 // Event is an input to the Placer, such as a placement request, a node list or the outcome of an attempt.
@@ -139,7 +152,7 @@
 	TaskID  TaskID
 	Task    Task
 	Node    NodeID
-	Attempt int // index of the attempt among the attempts for its request, from 0
+	Attempt int // index of the attempt among those for its request; a task found running has attempt 0
 	Result  Result
 	Reason  Reason
 	Elapsed Seconds // time since the attempt was sent
@@ -155,15 +168,23 @@
 // ActionKind selects the meaning of an Action and determines which of its fields are used.
 type ActionKind uint8
 
-// The kinds of action. Each comment names, after the colon, the fields of Action that the kind uses.
+// The kinds of action.
 const (
-	StartAttempt ActionKind = iota + 1 // send the task to a node: Task, Node, Attempt, Until
-	Reject                             // answer the client that the task was not placed: Task, After
-	Fail                               // answer the client that the outcome is unknown: Task
-	SetTimer                           // deliver a TimerFired event when the time has elapsed: Token, After
-	WatchNodes                         // request the node list and its later changes
-	ListNodes                          // request the node list once
-	Migrate                            // stop a bound task, which the client then requests again: Task
+	// StartAttempt sends the task to a node. It uses the fields Task, Node, Attempt and Until.
+	StartAttempt ActionKind = iota + 1
+	// Reject tells the client that the task was not placed. It uses the fields Task and After.
+	Reject
+	// Fail tells the client that the outcome is unknown. It uses the field Task.
+	Fail
+	// SetTimer starts a timer that leads to a TimerFired event after a delay. It uses the fields Token and
+	// After.
+	SetTimer
+	// WatchNodes requests the node list and its later changes.
+	WatchNodes
+	// ListNodes requests the node list once.
+	ListNodes
+	// Migrate stops a bound task, which the client then requests again. It uses the field Task.
+	Migrate
 )
 
 // Action is an instruction that the scheduler must carry out immediately.
@@ -173,6 +194,6 @@
 	Node    NodeID
 	Attempt int
 	Until   Seconds // time at which the attempt times out
-	After   Seconds // for SetTimer the delay; for Reject the Retry-After value, or 0 for none
+	After   Seconds // for SetTimer, the delay; for Reject, the Retry-After value, or 0 if there is none
 	Token   uint64
 }
--- a/placer/average.go
+++ b/placer/average.go
@@ -1,8 +1,8 @@
 package placer
 
-// runningAverage is an exponentially weighted mean and mean absolute deviation. Estimates may be added before
-// the first sample, and the initial mean then counts as one more estimate. Once an estimate was added, the
-// weight of a sample is at least 1 divided by the total number of samples and estimates.
+// runningAverage holds an exponentially weighted mean and mean absolute deviation of samples. Estimates of
+// the mean may be added before the first sample. In this case, the initial mean counts as one more estimate,
+// and the weight of a sample is at least 1 divided by the total number of samples and added estimates.
 type runningAverage struct {
 	mean, deviation    float64
 	samples, estimates int
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -7,26 +7,27 @@
 	// reportMaxAge is the age in seconds from which a node's report of free capacity is ignored.
 	reportMaxAge = 2.0 * contenderWindow
 	// minRequestedFraction is the fraction of a node's cores and memory that tasks must request before the
-	// usage ratios are learned from the node's reports.
+	// ratios of used to requested capacity are learned from the node's reports.
 	minRequestedFraction = 0.2
-	// usageLearningRate is the weight of a new sample in the running averages of the usage ratios.
+	// usageLearningRate is the weight of a new sample in the running averages of the ratios of used to
+	// requested capacity.
 	usageLearningRate = learningRate / 2
 	// maxMemoryUtilization is the fraction of a node's memory that may be in use. Nodes slow down beyond this
 	// fraction, and evict tasks when all memory is in use.
 	maxMemoryUtilization = 0.92
-	// degradationTolerance is the fraction of a class's DegradationRange by which the utilization may exceed
-	// SaturationThreshold before the cores of a node count as saturated.
+	// degradationTolerance is the fraction of a task class's DegradationRange by which the utilization may
+	// exceed SaturationThreshold before the cores of a node count as saturated.
 	degradationTolerance = 0.25
 )
 
 // capacityModel estimates the free capacity and the load of nodes. It uses the node list, the load reports of
-// the nodes, the recent changes by this scheduler that neither of them shows yet, and the learned ratio of
-// used to requested capacity, which is averaged over all nodes.
+// the nodes, and the recent changes by this scheduler that the list and the reports do not show yet. It also
+// learns the ratios of used to requested capacity, which are averaged over all nodes.
 type capacityModel struct {
 	behavior         NodeBehavior
 	overcommit       Overcommit
 	coresUsageRatio  runningAverage // cores in use per requested core, on all nodes
-	memoryUsageRatio runningAverage
+	memoryUsageRatio runningAverage // memory in use per unit of requested memory, on all nodes
 }
 
 func newCapacityModel(cfg *Config) *capacityModel {
@@ -65,9 +66,9 @@
 	return free
 }
 
-// usage returns the cores and memory in use on a node. If the node has sent a recent report, the
-// estimate is the reported usage and the expected usage of the tasks placed since. Otherwise it is the
-// requested capacity multiplied by the learned usage ratios.
+// usage returns the estimated cores and memory in use on a node. If the node has sent a recent report, the
+// estimate is the reported usage plus the expected usage of the tasks placed since the report. Otherwise, it
+// is the requested capacity multiplied by the learned ratio of used to requested capacity.
 func (m *capacityModel) usage(now Seconds, node *trackedNode, free freeCapacity) (cores, memory float64) {
 	cores = (node.cores - free.cores) * m.coresUsageRatio.mean
 	memory = (node.memory - free.memory) * m.memoryUsageRatio.mean
@@ -90,7 +91,7 @@
 		cores = node.cores - load.report.FreeCores + recentCores
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(load.report.FreeMemory) {
-		// The memory use of recently started tasks still grows, so the higher of both estimates applies.
+		// The memory usage of recently started tasks still grows, so the higher of the two estimates applies.
 		memory = max(memory, node.memory-load.report.FreeMemory+recentMemory)
 	}
 	return cores, memory
@@ -99,12 +100,12 @@
 // projection is the expected load of a node with one more task.
 type projection struct {
 	fits             bool
-	saturationExcess float64 // utilization of the cores minus the utilization that the task's class tolerates
+	saturationExcess float64 // utilization of the cores minus the utilization that the task class tolerates
 }
 
-// project returns the expected load of a node with one more task of a class. If the free capacity is unknown
-// or insufficient, the saturation is not computed, and the latest value recorded for the node is returned
-// instead.
+// project returns the expected load of a node with one more task of the given class. If the free capacity of
+// the node is unknown or insufficient, the saturation excess is not computed. The result then contains the
+// latest saturation excess that was recorded for the node.
 func (m *capacityModel) project(now Seconds, class *Class, task *Task, node *trackedNode) projection {
 	last := node.load.saturationExcess
 	free := m.estimateFree(now, node)
@@ -127,9 +128,9 @@
 	}
 }
 
-// observeUsage updates the usage ratios from the usage of one task of this scheduler. A scheduler with few
-// tasks may receive its first load report of a node late. Until then, the usage of its own tasks is the
-// estimate for all tasks.
+// observeUsage updates the ratios of used to requested capacity from the usage of one task of this scheduler.
+// A scheduler with few tasks may receive its first load report of a node late. Until the first report, the
+// ratios of its own tasks are the estimates for all tasks.
 func (m *capacityModel) observeUsage(task *Task, kind UsageKind, value float64) {
 	switch kind {
 	case CoresUsed:
@@ -145,7 +146,8 @@
 	}
 }
 
-// observeReport records the load report of a node and updates the usage ratios of cores and memory from it.
+// observeReport records the load report of a node. It also uses the report to update the ratio of used to
+// requested cores and the ratio of used to requested memory.
 func (m *capacityModel) observeReport(now Seconds, node *trackedNode, report *Report) {
 	node.load.setReport(now, report)
 	node.load.dropOldChanges(now)
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -54,8 +54,8 @@
 func TestProjection(t *testing.T) {
 	const now = 100
 	reported := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
-	unknown := math.NaN()
-	lists, usage := NodeBehavior{ListShowsCapacity: true}, NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}
+	notReported := math.NaN()
+	listOnly, listAndUsage := NodeBehavior{ListShowsCapacity: true}, NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}
 	for name, test := range map[string]struct {
 		behavior NodeBehavior
 		load     nodeLoad
@@ -64,12 +64,12 @@
 	}{
 		// On the node, 8 of 16 cores are requested. The tolerated utilization is SaturationThreshold (1) plus
 		// degradationTolerance (0.25) times DegradationRange (1), that is, 1.25.
-		"requested cores":                {lists, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
-		"cores beyond overcommit limit":  {lists, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
-		"memory beyond overcommit limit": {lists, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"reported utilization":           {lists, reported(Report{unknown, unknown, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"reported cores in use":          {usage, reported(Report{2, unknown, unknown, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"almost all memory in use":       {usage, reported(Report{unknown, 2, unknown, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"requested cores":                {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
+		"cores beyond overcommit limit":  {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
+		"memory beyond overcommit limit": {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
+		"reported utilization":           {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"reported cores in use":          {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"almost all memory in use":       {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
 		"unknown capacity":               {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -128,18 +128,18 @@
 	load.attemptSent(100, &Task{Cores: 1, Memory: 1})
 	load.attemptSent(100, &request.Task)
 	load.attemptBound(101, sent)
-	if load.recentBinds(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
+	if load.recentlyBoundTasks(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
 		t.Fatalf("recorded capacity changes after the bind: %+v", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
-	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBind {
+	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
 		t.Fatalf("last capacity change after the end of the task: %+v", last)
 	}
-	if load.recentBinds(103.1) != 0 || load.retainedBinds != 1 {
+	if load.recentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
 		t.Error("a bind older than the contender window counts as recent, or was removed before dropOldChanges")
 	}
 	load.dropOldChanges(103.1)
-	if load.retainedBinds != 0 || len(load.recentChanges) != 1 {
+	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
 		t.Errorf("capacity changes after dropOldChanges: %+v", load.recentChanges)
 	}
 }
--- a/placer/config.go
+++ b/placer/config.go
@@ -12,7 +12,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second start of the task is safe
-	IdempotentByKey                    // during DedupWindow, nodes in DedupDomain ignore a repeated key
+	IdempotentByKey                    // nodes ignore an attempt with an idempotency key that they have seen
 	NonIdempotent                      // the task must never start twice
 )
 
@@ -29,22 +29,24 @@
 	ClusterDomain
 )
 
-// Class holds the properties that all tasks of a class share.
+// Class is a task class. It holds the properties that all tasks of the class share.
 type Class struct {
-	Idempotency         Idempotency
-	DedupDomain         TopologyDomain // with IdempotentByKey: the domain whose nodes ignore a repeated key
-	DedupWindow         Seconds        // time after the first attempt in which a repeated key is ignored
-	LatencyObjective    Seconds        // time from arrival within which a first start has its full value
+	Idempotency Idempotency
+	// DedupDomain and DedupWindow apply only to IdempotentByKey. For the time DedupWindow after the first
+	// attempt, the nodes in the same DedupDomain ignore further attempts with the same idempotency key.
+	DedupDomain         TopologyDomain
+	DedupWindow         Seconds
+	LatencyObjective    Seconds        // time from arrival within which a start has its full value
 	Deadline            Seconds        // time for which a client waits for the final answer
 	Weight              float64        // value of one second of full service
-	LateWeight          float64        // value of a start from LatencyObjective to Deadline, as a fraction
-	StartBonus          Seconds        // value of a start in time, as an equivalent time of full service
+	LateWeight          float64        // fraction of the full value that a start after LatencyObjective has
+	StartBonus          Seconds        // time of full service that is worth as much as a start in time
 	Priority            int            // if nodes preempt tasks, a task evicts tasks of lower priority
 	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
 	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
 	MaxPerDomain        int            // maximum number of tasks of one service in one SpreadDomain
 	SaturationThreshold float64        // utilization of the cores up to which tasks get full service
-	DegradationRange    float64        // utilization beyond SaturationThreshold at which tasks get no service
+	DegradationRange    float64        // excess over SaturationThreshold at which tasks get no service
 }
 
 // NodeType is the capacity of the nodes of one type.
@@ -98,13 +100,14 @@
 	Cores, Memory float64
 }
 
-// SlowStart limits the load on a node that has just started and is warming up.
+// SlowStart limits the attempts on a node in slow start, that is, on a node that started less than Duration
+// ago. Such a node cannot yet start tasks at its full rate.
 type SlowStart struct {
 	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
 	Duration         Seconds // time after its start at which a node reaches its full rate
-	OverloadMultiple float64 // multiple of its current rate beyond which a warming node becomes overloaded
-	OverloadWindow   Seconds // time above OverloadMultiple after which a warming node is overloaded
-	MaxAttempts      float64 // attempts by all schedulers per OverloadWindow that a warming node can handle
+	OverloadMultiple float64 // multiple of the current rate beyond which a node in slow start is overloaded
+	OverloadWindow   Seconds // time above OverloadMultiple after which a node in slow start is overloaded
+	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that the node can handle
 }
 
 // Attempts limits the attempts for one request.
@@ -116,7 +119,7 @@
 	DrainGrace     Seconds // time after a node starts to drain during which attempts are still permitted
 }
 
-// Retry describes how clients request a task again that was not placed.
+// Retry describes how clients retry a request whose task was not placed.
 type Retry struct {
 	SendsRetryAfter    bool    // a rejection tells the client in Retry-After when to try again
 	MaxRetryAfter      Seconds // longest Retry-After value that clients respect
@@ -173,9 +176,9 @@
 		name  string
 		value float64
 	}{
-		{"warmup duration", float64(c.SlowStart.Duration)},
+		{"slow-start duration", float64(c.SlowStart.Duration)},
 		{"overload window", float64(c.SlowStart.OverloadWindow)},
-		{"maximum number of warmup attempts", c.SlowStart.MaxAttempts},
+		{"maximum number of slow-start attempts", c.SlowStart.MaxAttempts},
 		{"answer grace", float64(c.Attempts.AnswerGrace)},
 		{"drain grace", float64(c.Attempts.DrainGrace)},
 		{"maximum poll interval", float64(c.Discovery.MaxPollInterval)},
@@ -190,10 +193,10 @@
 	return nil
 }
 
-// class returns the class of a request whose task is valid.
+// class returns the task class of a request. The task must be valid.
 func (c *Config) class(request *placementRequest) *Class { return &c.Classes[request.Class] }
 
-// shortestObjective returns the shortest latency objective of all classes.
+// shortestObjective returns the shortest latency objective of all task classes.
 func (c *Config) shortestObjective() Seconds {
 	shortest := Seconds(math.Inf(1))
 	for i := range c.Classes {
@@ -202,8 +205,8 @@
 	return shortest
 }
 
-// isValidTask reports whether a task has a configured class, requests finite amounts and has a deadline after
-// now.
+// isValidTask reports whether a task has a configured task class, requests finite amounts and has a deadline
+// after now.
 func (c *Config) isValidTask(task *Task, now Seconds) bool {
 	hasClass := task.Class >= 0 && task.Class < len(c.Classes)
 	return hasClass && isFiniteAmount(task.Cores) && isFiniteAmount(task.Memory) && task.Deadline > now
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -20,8 +20,8 @@
 	minActiveNodes = 2
 	// standbyUpdateInterval is the shortest time between two updates of the set of standby nodes.
 	standbyUpdateInterval = contenderWindow / 20
-	// migrationInterval is the mean time between two checks by a scheduler. Each check migrates at most one
-	// task.
+	// migrationInterval is the mean time between two checks of the standby nodes by one scheduler. Each check
+	// migrates at most one task.
 	migrationInterval = 0.1 * contenderWindow
 	// minStandbyTime is the time that a node must have been on standby before its last tasks are migrated.
 	minStandbyTime = contenderWindow
@@ -39,7 +39,7 @@
 	slowStart           *slowStart
 	actions             *actionList
 	rng                 *rand.Rand
-	saturationThreshold float64 // lowest SaturationThreshold of all classes
+	saturationThreshold float64 // lowest SaturationThreshold of all task classes
 
 	readyNodes []*trackedNode // ready nodes, in the order in which they are preferred as active nodes
 	hasUpdated bool           // the set of standby nodes has been computed at least once
@@ -48,8 +48,8 @@
 
 // standbyRecord is the part of a node's record that only the consolidator changes.
 type standbyRecord struct {
-	onStandby bool
-	since     Seconds
+	onStandby    bool
+	standbySince Seconds // time at which the node was last put on standby
 }
 
 // enabled reports whether consolidation is enabled. It requires a node cost and node lists that show the free
@@ -59,9 +59,9 @@
 }
 
 // updateStandby recomputes the set of standby nodes, unless the last update was less than
-// standbyUpdateInterval ago. All schedulers see the same node list and therefore choose the same nodes. Large
-// nodes stay active first, because each node costs the same. Among nodes of equal size, those with low IDs
-// stay active first. The demand of all tasks must fit on the active nodes with a margin.
+// standbyUpdateInterval ago. It makes nodes active until the demand of all tasks fits on the active nodes
+// with a margin. Large nodes come first, because each node costs the same. Among nodes of equal size, those
+// with low IDs come first. All schedulers choose the same nodes, because they all see the same node list.
 func (c *consolidator) updateStandby(now Seconds) {
 	tooSoon := c.hasUpdated && now-c.updatedAt < standbyUpdateInterval
 	if !c.enabled() || tooSoon {
@@ -78,27 +78,28 @@
 	})
 	var activeCores, activeMemory float64
 	for i, node := range c.readyNodes {
-		fill := consolidationTarget
+		targetFraction := consolidationTarget
 		if !node.standby.onStandby {
-			// Hysteresis keeps an active node active for longer, because each node that is put on standby
-			// still runs tasks.
-			fill *= consolidationHysteresisFactor
+			// The lower target keeps an active node active for longer. The set of standby nodes then changes
+			// less often, which matters because each node that is put on standby still runs tasks.
+			targetFraction *= consolidationHysteresisFactor
 		}
-		node.standby.update(now, i >= minActiveNodes && c.demandFits(demand, activeCores, activeMemory, fill))
-		// A node that is warming up can take few tasks. If its capacity counted, nodes that have finished
-		// warming up would be put on standby.
-		if node.health.failures == 0 && !c.slowStart.warmingUp(now, node) {
+		node.standby.update(now, i >= minActiveNodes &&
+			c.demandFits(demand, activeCores, activeMemory, targetFraction))
+		// A node in slow start can take few tasks. If its capacity counted, nodes that are no longer in slow
+		// start would be put on standby.
+		if node.health.failures == 0 && !c.slowStart.appliesTo(now, node) {
 			activeCores += node.cores
 			activeMemory += node.memory
 		}
 	}
 }
 
-// update makes the node active or puts it on standby. It records the time at which an active node goes
-// on standby.
+// update makes the node active or puts it on standby. If an active node is put on standby, update records the
+// time.
 func (s *standbyRecord) update(now Seconds, onStandby bool) {
 	if onStandby && !s.onStandby {
-		s.since = now
+		s.standbySince = now
 	}
 	s.onStandby = onStandby
 }
@@ -153,7 +154,7 @@
 		if !c.mayMigrateFrom(now, node) {
 			continue
 		}
-		bound := node.tasks.bound
+		bound := node.tasks.boundAttempts
 		request := bound[c.rng.IntN(len(bound))].request
 		if request.migrated {
 			continue
@@ -165,16 +166,17 @@
 }
 
 // mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be
-// nearly empty, so that few tasks are migrated when several schedulers migrate tasks off it at the same time.
+// nearly empty, because several schedulers may migrate tasks off the node at the same time. The number of
+// these migrations then stays small.
 func (c *consolidator) mayMigrateFrom(now Seconds, node *trackedNode) bool {
 	free := c.capacity.estimateFree(now, node)
 	requested := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
 	tooFull := requested > nearlyEmptyFraction
-	tooRecent := now-node.standby.since < minStandbyTime
-	return node.standby.onStandby && len(node.tasks.bound) > 0 && !tooRecent && !tooFull
+	tooRecent := now-node.standby.standbySince < minStandbyTime
+	return node.standby.onStandby && len(node.tasks.boundAttempts) > 0 && !tooRecent && !tooFull
 }
 
-// lowestSaturationThreshold returns the lowest saturation threshold of all classes.
+// lowestSaturationThreshold returns the lowest saturation threshold of all task classes.
 func lowestSaturationThreshold(classes []Class) float64 {
 	lowest := math.Inf(1)
 	for i := range classes {
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -78,11 +78,11 @@
 		ownTasks int
 		want     bool
 	}{
-		"nearly empty":                    {standbyRecord{onStandby: true, since: 98}, 12, 1, true},
-		"not nearly empty":                {standbyRecord{onStandby: true, since: 98}, 11, 1, false},
-		"on standby for too short a time": {standbyRecord{onStandby: true, since: 98.1}, 12, 1, false},
-		"active":                          {standbyRecord{since: 98}, 12, 1, false},
-		"no task of this scheduler":       {standbyRecord{onStandby: true, since: 98}, 12, 0, false},
+		"nearly empty":                    {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
+		"not nearly empty":                {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
+		"on standby for too short a time": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
+		"active":                          {standbyRecord{standbySince: 98}, 12, 1, false},
+		"no task of this scheduler":       {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -58,11 +58,11 @@
 func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
 	actions := &actionList{}
 	poller := &nodeListPoller{
-		maxInterval: 12,
-		objective:   1,
-		actions:     actions,
-		timers:      newTimerTable(actions),
-		jitter:      jitter{rng: rand.New(rand.NewPCG(1, 1))},
+		maxInterval:       12,
+		shortestObjective: 1,
+		actions:           actions,
+		timers:            newTimerTable(actions),
+		jitter:            jitter{rng: rand.New(rand.NewPCG(1, 1))},
 	}
 	return poller, func(t *testing.T, wantPoll bool) Seconds {
 		t.Helper()
@@ -79,16 +79,16 @@
 }
 
 func TestPollBackoffDoubles(t *testing.T) {
-	poller, next := newTestPoller()
+	poller, takeTimer := newTestPoller()
 	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the backoff is at most half of the interval of 12 s
 		poller.pollFailed()
-		if after := next(t, false); after < 0.8*mean || after > 1.2*mean {
+		if after := takeTimer(t, false); after < 0.8*mean || after > 1.2*mean {
 			t.Errorf("backoff is %v s after failure %d, want about %v s", after, failure+1, mean)
 		}
 	}
 	poller.listArrived(100)
 	poller.pollFailed()
-	if after := next(t, false); after > 2.4 {
+	if after := takeTimer(t, false); after > 2.4 {
 		t.Errorf("backoff is %v s after the first failure since a node list, want at most 2.4 s", after)
 	}
 }
@@ -110,22 +110,22 @@
 		"list arrived after a failed poll":    {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			poller, next := newTestPoller()
+			poller, takeTimer := newTestPoller()
 			poller.poll(100)
-			next(t, true)
+			takeTimer(t, true)
 			if test.listedAt > 0 {
 				poller.listArrived(test.listedAt)
 			}
 			if test.failed {
 				poller.pollFailed()
-				next(t, false)
+				takeTimer(t, false)
 			}
 			poller.timerFired(test.at, poller.timerToken-1) // an outdated timer must have no effect
 			if taken := poller.actions.take(); len(taken) != 0 {
 				t.Fatalf("an outdated timer led to the actions %+v", taken)
 			}
 			poller.timerFired(test.at, poller.timerToken)
-			next(t, test.want)
+			takeTimer(t, test.want)
 		})
 	}
 }
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -18,12 +18,12 @@
 // only.
 type candidate struct {
 	node             *trackedNode
-	saturationExcess float64 // projected utilization of the cores minus the limit of the class
+	saturationExcess float64 // projected utilization of the cores minus the limit of the task class
 	affinityHash     float64 // hash of node and service, which the selector computes when needed
 }
 
-// belowSaturation reports whether the projected utilization of the cores is within the limit that the class
-// of the request tolerates. Beyond this limit, the service of all tasks on the node degrades.
+// belowSaturation reports whether the projected utilization of the node's cores is within the limit of the
+// task class. Beyond this limit, all tasks on the node get less than full service.
 func (c *candidate) belowSaturation() bool { return c.saturationExcess <= 0 }
 
 // isActive reports whether the node is active, that is, not on standby.
@@ -71,8 +71,8 @@
 	return fits
 }
 
-// evaluate returns a candidate for a node on which the rules permit an attempt. It returns false if the node
-// is known to lack capacity. It also updates the load record of the node.
+// evaluate projects the load of a node on which the rules permit an attempt, and returns the node as a
+// candidate. It returns false if the node is known to lack capacity. It updates the load record of the node.
 func (f *nodeFilter) evaluate(now Seconds, request *placementRequest, node *trackedNode) (candidate, bool) {
 	if node.load.rejectedRecently(now) {
 		return candidate{}, false
@@ -83,10 +83,9 @@
 	return candidate{node: node, saturationExcess: load.saturationExcess}, load.fits
 }
 
-// attemptAllowed reports whether the rules permit another attempt for the request on any node. Each attempt
-// must also pass nodeAllowed. The rules on final answers and retries (rules 1 and 2) permit no attempt after
-// the request is done or its deadline has passed, while another attempt is outstanding, or when Attempts.Max
-// attempts were made.
+// attemptAllowed reports whether the rules on final answers and retries (rules 1 and 2) permit another
+// attempt for the request. They permit none if the request is done, its deadline has passed, another attempt
+// is outstanding, or Attempts.Max attempts were made. The node of the attempt must also pass nodeAllowed.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	exhausted := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !exhausted && request.outstandingAttempt() == nil
@@ -96,8 +95,8 @@
 // attemptAllowed.
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
 	// The rule on node states (rule 3) permits attempts during DrainGrace after a node starts to drain. The
-	// filter does not use this time, so that a node list that arrives late cannot cause a violation of the
-	// rule.
+	// filter permits no attempt on a node that is known to drain. DrainGrace remains as a margin for node
+	// lists that arrive late.
 	if !node.listed || node.State != Ready || node.cores <= 0 {
 		return false
 	}
@@ -112,8 +111,8 @@
 	return f.slowStart.allows(now, node) && f.spread.allows(class, request.Service, node)
 }
 
-// prefer returns the preferred candidates, or all candidates if none is preferred. It filters in place, so
-// the contents of the caller's slice change if only some of the candidates are preferred.
+// prefer returns the preferred candidates, or all candidates if none is preferred. It moves the preferred
+// candidates to the front of the caller's slice and overwrites other candidates there.
 func prefer(candidates []candidate, isPreferred func(*candidate) bool) []candidate {
 	kept := 0
 	for i := range candidates {
--- a/placer/jitter.go
+++ b/placer/jitter.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 // jitterWidthFraction is the width of the interval from which a delay is drawn, as a fraction of its mean.
-// Jitter prevents many requests from retrying at the same time.
+// Without jitter, many requests would be retried at the same time.
 const jitterWidthFraction = 0.4
 
 // jitter randomizes delays. It draws one random number for each delay.
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -4,16 +4,17 @@
 const (
 	// learningRate is the weight of a new sample in the running averages.
 	learningRate = 0.1
-	// initialDeviationDivisor sets the deviation after the first sample: the sample divided by this number.
+	// initialDeviationDivisor is the number by which the first sample is divided to get the first deviation.
 	initialDeviationDivisor = 2
-	// startTimeoutFraction sets the timeout of an attempt, as a fraction of the deadline, if nodes answer
-	// only when the task starts. The timeout is long because an abandoned attempt still occupies capacity on
+	// startTimeoutFraction is the timeout of an attempt as a fraction of the deadline, if nodes answer only
+	// when the task starts. The timeout is long because an attempt that timed out still occupies capacity on
 	// its node.
 	startTimeoutFraction = 0.7
-	// initialTimeoutDivisor sets the timeout of attempts until the first answer: the deadline divided by this
-	// number.
+	// initialTimeoutDivisor determines the timeout of attempts before any attempt was answered, which is the
+	// deadline divided by this number.
 	initialTimeoutDivisor = 4
-	// timeoutDeviationFactor is the number of deviations by which the timeout exceeds the mean answer time.
+	// timeoutDeviationFactor is the number of mean absolute deviations by which the timeout exceeds the mean
+	// answer time.
 	timeoutDeviationFactor = 4
 )
 
@@ -21,8 +22,8 @@
 type latencyModel struct {
 	classes             []Class
 	acknowledgesOnStart bool
-	answerTimes         []runningAverage // time from sending an attempt to its acceptance, by class
-	coldStartTimes      []runningAverage // time from sending an attempt to a cold start of the task, by class
+	answerTimes         []runningAverage // time from sending an attempt to its answer, by task class
+	coldStartTimes      []runningAverage // time from sending an attempt to a cold start, by task class
 }
 
 func newLatencyModel(cfg *Config) *latencyModel {
@@ -34,7 +35,7 @@
 	}
 }
 
-// observeAnswer updates the model with the time after which an attempt was accepted.
+// observeAnswer updates the model with the time that a node took to accept an attempt.
 func (m *latencyModel) observeAnswer(accepted *attempt, elapsed Seconds) {
 	class := accepted.request.Class
 	m.answerTimes[class].add(float64(elapsed), learningRate)
@@ -50,7 +51,7 @@
 	}
 }
 
-// attemptTimeout returns the time after which an unanswered attempt for a task of the class times out.
+// attemptTimeout returns the time after which an unanswered attempt for a task of the given class times out.
 func (m *latencyModel) attemptTimeout(class int) Seconds {
 	limits, answers := &m.classes[class], &m.answerTimes[class]
 	if m.acknowledgesOnStart {
@@ -66,9 +67,9 @@
 	return max(minimum, Seconds(answers.mean+timeoutDeviationFactor*answers.deviation))
 }
 
-// coldStartsAreSlow reports whether a cold start, that is, a start on a node without a cached program of the
-// service, is likely to miss the latency objective of the class. If so, nodes that probably have the program
-// are preferred.
+// coldStartsAreSlow reports whether a cold start is likely to miss the latency objective of the task class. A
+// cold start is a start on a node that does not have the program of the service in its cache. If cold starts
+// are slow, the selector prefers nodes that probably have the program.
 func (m *latencyModel) coldStartsAreSlow(class int) bool {
 	starts := &m.coldStartTimes[class]
 	likely := Seconds(starts.mean + starts.deviation)
--- a/placer/node.go
+++ b/placer/node.go
@@ -1,8 +1,8 @@
 package placer
 
-// trackedNode is the state of one node as the Placer knows it. Each component that learns about nodes owns
-// one of the records, and only the file of that component changes the record. The fields that the filter
-// reads come first, so that they are close together in memory.
+// trackedNode holds what the Placer knows about one node. Each component that learns about nodes owns one
+// record in it, and only the file of that component changes this record. The fields that the filter reads
+// come first, which keeps them close together in memory.
 type trackedNode struct {
 	Node                  // latest entry of the node in a node list
 	cores, memory float64 // size of the node; 0 if its type is unknown
@@ -13,8 +13,8 @@
 	load    nodeLoad      // owned by the capacity model
 	tasks   nodeTasks     // tasks and attempts of this scheduler on the node
 
-	warmupAttempts []Seconds // owned by slowStart: times of the scheduler's attempts during warmup
-	unusedSince    Seconds   // owned by nodeTable: time since which the node is terminated and unused, or 0
+	slowStartAttempts []Seconds // owned by slowStart: times of this scheduler's attempts during slow start
+	unusedSince       Seconds   // owned by nodeTable: time at which the node became unused, or 0
 }
 
 func newTrackedNode(id NodeID) *trackedNode {
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -1,7 +1,7 @@
 package placer
 
-// maxRejections is the number of rejections by the nodes of one pair after which a request waits before it
-// draws a new pair.
+// maxRejections is the number of rejections by nodes of the current pair after which a request waits before
+// it draws a new pair.
 const maxRejections = 2
 
 // handleAdopted adds a task that was found running. The task counts for the spread rule, and its loss counts
@@ -75,7 +75,7 @@
 		p.requests.removeIfDone(request)
 		return
 	}
-	p.retryAfterOutcome(request, ev)
+	p.continueAfterOutcome(request, ev)
 }
 
 // observeOutcome updates the recorded load and health of a node from the outcome of an attempt.
@@ -86,9 +86,9 @@
 		if ev.Reason != WrongNode {
 			node.load.recordRejection(p.now)
 		} else if p.cfg.class(ended.request).Idempotency != IdempotentByKey {
-			// The node probably drains although the node list does not show it yet. For a class that is
-			// idempotent by key, the node may also have rejected the task because it already runs a copy with
-			// the same key.
+			// The node probably drains although the node list does not show it yet. If the task class is
+			// idempotent by key, there is another possible cause: the node may already run a copy of the task
+			// with the same idempotency key.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
@@ -102,8 +102,8 @@
 	}
 }
 
-// retryAfterOutcome takes the next step for a request after an attempt that did not place the task.
-func (p *Placer) retryAfterOutcome(request *placementRequest, ev Event) {
+// continueAfterOutcome takes the next step for a request after an attempt that did not place the task.
+func (p *Placer) continueAfterOutcome(request *placementRequest, ev Event) {
 	if ev.Result == Rejected && ev.Reason != WrongNode {
 		request.recordRejection()
 		if request.alternative == nil && request.rejections >= maxRejections {
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// Constants of outlier detection. Its times are multiples of the shortest latency objective of all classes.
+// Constants of outlier detection. "Latency objective" means the shortest one of all task classes.
 const (
 	// baseEjection is the time for which a node is ejected after its first failure, as a multiple of the
 	// latency objective. Each further failure doubles the time.
 	baseEjection = 1.0
-	// maxFailures limits the failure count of a node, and thereby its ejection time.
+	// maxFailures is the maximum failure count of a node. It limits the ejection time, which doubles with
+	// each failure.
 	maxFailures = 5
-	// failureWindowDivisor sets a time window: the latency objective divided by this number. Several failures
-	// within one window count as one failure, and at most one failure is canceled by successes within one
-	// window.
+	// failureWindowDivisor determines a time window, which is the latency objective divided by this number.
+	// Several failures within one window count as one failure. Successes within one window cancel at most one
+	// failure.
 	failureWindowDivisor = 4
-	// minHealthyDivisor limits outlier detection. Attempts also use ejected nodes if the number of healthy
-	// nodes is less than the number of ready nodes divided by this number.
+	// minHealthyDivisor limits the effect of ejections. Ejected nodes also get attempts if the number of
+	// healthy nodes is less than the number of ready nodes divided by this number.
 	minHealthyDivisor = 4
 )
 
-// outlierDetector ejects nodes on which attempts fail, that is, it excludes them from placement for a time.
+// outlierDetector ejects nodes on which attempts fail. An ejected node gets no attempts for some time.
 type outlierDetector struct {
-	objective Seconds // shortest latency objective of all classes
-	jitter    jitter
+	shortestObjective Seconds // shortest latency objective of all task classes
+	jitter            jitter
 }
 
 // nodeHealth is the part of a node's record that the outlier detector owns.
@@ -38,9 +39,9 @@
 }
 
 // recordError records that an attempt ended with an error, which counts as a failure of its node. If the task
-// has also failed on another node, the task is more likely to be the cause. Then the error does not count,
-// and the failure of the other node is canceled. Otherwise, a client whose tasks fail on every node would
-// cause all nodes to be ejected.
+// has also failed on another node, the task itself is the more likely cause. In this case, the error does not
+// count, and the failure of the other node is canceled. This prevents a client whose tasks fail on every node
+// from causing the ejection of all nodes.
 func (d *outlierDetector) recordError(now Seconds, failed *attempt) {
 	failed.errored = true
 	failedElsewhere := false
@@ -58,17 +59,17 @@
 	failed.countedFailure = !failedElsewhere && d.recordFailure(now, failed.node)
 }
 
-// recordFailure records a failure of a node and ejects the node. Each failure doubles the ejection time. The
-// result reports whether the failure was counted. Several failures within a short time, such as the loss of
-// all tasks in a crash, count as one failure.
+// recordFailure records a failure of a node and ejects the node. Each failure doubles the ejection time.
+// Several failures within a short time, such as the loss of all tasks in a crash, count as one failure. The
+// result reports whether the failure was counted.
 func (d *outlierDetector) recordFailure(now Seconds, node *trackedNode) bool {
 	health := &node.health
-	if health.failures > 0 && now-health.lastFailureAt < d.objective/failureWindowDivisor {
+	if health.failures > 0 && now-health.lastFailureAt < d.shortestObjective/failureWindowDivisor {
 		return false
 	}
 	health.failures = min(health.failures+1, maxFailures)
 	health.lastFailureAt = now
-	ejection := baseEjection * d.objective * Seconds(math.Exp2(float64(health.failures-1)))
+	ejection := baseEjection * d.shortestObjective * Seconds(math.Exp2(float64(health.failures-1)))
 	health.ejectedUntil = now + d.jitter.apply(ejection)
 	return true
 }
@@ -79,24 +80,26 @@
 	health := &node.health
 	if health.failures > 0 && now >= health.ejectedUntil {
 		health.failures--
-		health.ejectedUntil = now + d.objective/failureWindowDivisor
+		health.ejectedUntil = now + d.shortestObjective/failureWindowDivisor
 	}
 }
 
-// permits reports whether a task of the class may be attempted on the node. After its ejection, a node with
-// failures is probed with one attempt at a time, and never with a task that must not start twice.
+// permits reports whether a task of the given class may be attempted on the node. After the ejection of a
+// node ends, the node gets only one attempt at a time until successes have canceled its failures. A task that
+// must not start twice is never attempted on a node with failures.
 func (d *outlierDetector) permits(now Seconds, class *Class, node *trackedNode) bool {
 	if node.health.failures == 0 {
 		return true
 	}
-	return now >= node.health.ejectedUntil && node.tasks.unanswered == 0 && class.Idempotency != NonIdempotent
+	return now >= node.health.ejectedUntil && node.tasks.unansweredAttempts == 0 &&
+		class.Idempotency != NonIdempotent
 }
 
-// tooFewHealthy reports whether so few ready nodes are healthy for the class that ejected nodes must be used
-// as well. A fault that affects many nodes does not make them outliers. The count ignores free capacity and
-// the spread rule. A dead node appears to have free capacity because its tasks are lost, and the spread rule
-// may leave only dead nodes to a service. If the count considered either, dead nodes would receive all
-// attempts.
+// tooFewHealthy reports whether so few ready nodes are healthy for the task class that ejected nodes must be
+// used as well. Nodes are no outliers if the same fault affects most of them. The count of healthy nodes
+// ignores free capacity and the spread rule. If it considered either, all attempts could go to dead nodes. A
+// dead node appears to have free capacity because its tasks are lost, and the spread rule may exclude all
+// healthy nodes for a service.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
 	ready, healthy := 0, 0
 	for _, node := range nodes {
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -80,7 +80,7 @@
 
 // newTestDetector returns an outlier detector with a latency objective of 1 s.
 func newTestDetector() *outlierDetector {
-	return &outlierDetector{objective: 1, jitter: jitter{rng: rand.New(rand.NewPCG(1, 1))}}
+	return &outlierDetector{shortestObjective: 1, jitter: jitter{rng: rand.New(rand.NewPCG(1, 1))}}
 }
 
 func TestEjectionDoublesWithEachFailure(t *testing.T) {
@@ -132,7 +132,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			node := newTrackedNode(1)
-			node.health, node.tasks.unanswered = test.health, test.unanswered
+			node.health, node.tasks.unansweredAttempts = test.health, test.unanswered
 			if got := newTestDetector().permits(100, &Class{Idempotency: test.idempotency}, node); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -5,9 +5,9 @@
 	// redrawWait is the mean wait before a request draws a new pair after both nodes of a pair have rejected
 	// it.
 	redrawWait Seconds = 1
-	// inTimeRedrawWait and lateRedrawWait are the mean waits if no node passes the filter. The first applies
-	// to a request within its latency objective. The second applies to a request that has missed it, and is
-	// longer so that requests that are still in time get free capacity first.
+	// inTimeRedrawWait and lateRedrawWait are the mean waits if no node passes the filter. inTimeRedrawWait
+	// applies to a request within its latency objective, and lateRedrawWait to a request that has missed it.
+	// lateRedrawWait is longer because free capacity should go first to requests that are still in time.
 	inTimeRedrawWait = 0.15 * redrawWait
 	lateRedrawWait   = 0.6 * redrawWait
 )
@@ -28,7 +28,7 @@
 	}
 	drawn := p.selector.draw(p.now, request, p.filter.candidates(p.now, request))
 	if drawn.first == nil {
-		p.scheduleRedraw(request, p.waitForCapacity(request))
+		p.scheduleRedraw(request, p.meanRedrawWait(request))
 		return
 	}
 	request.setPair(drawn)
@@ -51,9 +51,9 @@
 	})
 }
 
-// waitForCapacity returns the mean wait before the next draw for a request for which no node passed the
-// filter.
-func (p *Placer) waitForCapacity(request *placementRequest) Seconds {
+// meanRedrawWait returns the mean wait before the next draw of a pair if no node passed the filter for the
+// request.
+func (p *Placer) meanRedrawWait(request *placementRequest) Seconds {
 	if p.now < request.arrivedAt+p.cfg.class(request).LatencyObjective {
 		return inTimeRedrawWait
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -6,14 +6,14 @@
 )
 
 // Placer makes the placement decisions of one scheduler. It passes each event to the components that own the
-// state and make the decisions. Only the component itself changes its fields. The files that
-// deploy/balancer.toml lists as the policy contain all decisions and tunable constants.
+// state and make the decisions. Only the component itself changes its fields. All decisions and tunable
+// constants are in the policy files, which are the files in the policy list of deploy/balancer.toml.
 //
 // A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
-// uniformly at random. It skips nodes with too many contenders, that is, with too many unanswered attempts
-// and recent binds of this scheduler. It attempts the request on the emptier node and then on the other node.
-// If both reject the request, the request waits before the next draw. The file docs/design.md describes the
-// algorithm.
+// uniformly at random. It skips nodes with too many contenders. The contenders on a node are the unanswered
+// attempts and the recently accepted tasks of this scheduler. The Placer attempts the request on the emptier
+// node and then on the other node. If both nodes reject the request, it waits before the next draw. The file
+// docs/design.md describes the algorithm.
 type Placer struct {
 	cfg     Config
 	now     Seconds // time of the latest event
@@ -59,11 +59,11 @@
 	p.nodes = newNodeTable(p.cfg.NodeTypes)
 	p.requests = newRequestTable()
 	p.poller = &nodeListPoller{
-		maxInterval: p.cfg.Discovery.MaxPollInterval,
-		objective:   p.cfg.shortestObjective(),
-		actions:     p.actions,
-		timers:      p.timers,
-		jitter:      p.jitter,
+		maxInterval:       p.cfg.Discovery.MaxPollInterval,
+		shortestObjective: p.cfg.shortestObjective(),
+		actions:           p.actions,
+		timers:            p.timers,
+		jitter:            p.jitter,
 	}
 }
 
@@ -71,7 +71,7 @@
 func (p *Placer) newModels() {
 	p.capacity = newCapacityModel(&p.cfg)
 	p.latency = newLatencyModel(&p.cfg)
-	p.outliers = &outlierDetector{objective: p.cfg.shortestObjective(), jitter: p.jitter}
+	p.outliers = &outlierDetector{shortestObjective: p.cfg.shortestObjective(), jitter: p.jitter}
 	p.slowStart = &slowStart{limits: p.cfg.SlowStart, peers: p.cfg.Peers}
 	p.spread = newSpreadRule()
 	p.retries = &retryRule{cfg: &p.cfg}
@@ -137,8 +137,8 @@
 	return p.actions.take()
 }
 
-// start prepares for the first event. The poller records the time 0 for its first poll, because p.now is not
-// yet set.
+// start prepares the Placer for its first event. It runs before p.now is set, so the first poll is recorded
+// with the time 0.
 func (p *Placer) start(now Seconds) {
 	p.started = true
 	p.slowStart.schedulerStarted(now)
--- a/placer/request.go
+++ b/placer/request.go
@@ -43,8 +43,8 @@
 	return started
 }
 
-// setPair records the pair of nodes that was drawn. The caller attempts the request on the first node
-// immediately, so that only the second node is kept.
+// setPair makes the drawn pair of nodes the current pair. It stores only the second node, because the caller
+// attempts the request on the first node immediately.
 func (r *placementRequest) setPair(drawn pair) {
 	r.alternative = drawn.second
 	r.ignoresCache = drawn.ignoresCache
@@ -68,15 +68,15 @@
 	r.redrawToken = token
 }
 
-// recordUnknownOutcome records that an ended attempt may have started the task. Only the first such attempt
-// is kept.
+// recordUnknownOutcome records that an ended attempt may have started the task. It has no effect if it was
+// called before for this request.
 func (r *placementRequest) recordUnknownOutcome(ended *attempt) {
 	if r.unknownOutcome == nil {
 		r.unknownOutcome = ended
 	}
 }
 
-// finish marks the request as done, so that no further attempt is made.
+// finish marks the request as done. No further attempt is made for the request.
 func (r *placementRequest) finish() {
 	r.done = true
 	r.alternative = nil
@@ -120,8 +120,8 @@
 }
 
 // setState moves the attempt to a later state. It panics on any other transition, which is a programming
-// error. Events may be repeated, so callers must check the state first and ignore events that do not apply to
-// it.
+// error. Because events may be repeated, callers must check the state of the attempt and ignore events that
+// do not apply to this state.
 func (a *attempt) setState(next attemptState) {
 	if next <= a.state {
 		panic(fmt.Sprintf("placer: attempt for task %d: invalid state transition from %v to %v", a.request.ID, a.state, next))
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -1,9 +1,9 @@
 package placer
 
-// requestTable owns the requests that have no final answer yet and those whose task runs.
+// requestTable owns the requests that have no final answer yet and the requests whose task runs.
 type requestTable struct {
-	byID       map[TaskID]*placementRequest
-	unanswered int // number of requests that are not done
+	byID               map[TaskID]*placementRequest
+	unansweredRequests int // number of requests that are not done
 }
 
 func newRequestTable() *requestTable { return &requestTable{byID: map[TaskID]*placementRequest{}} }
@@ -15,7 +15,7 @@
 func (t *requestTable) open(task Task, now Seconds) *placementRequest {
 	request := &placementRequest{Task: task, arrivedAt: now}
 	t.byID[task.ID] = request
-	t.unanswered++
+	t.unansweredRequests++
 	return request
 }
 
@@ -27,20 +27,20 @@
 	return adopted
 }
 
-// attempt returns the attempt with the given number for a task, or nil if there is no such attempt.
-func (t *requestTable) attempt(task TaskID, number int) *attempt {
+// attempt returns the attempt with the given index for a task, or nil if there is no such attempt.
+func (t *requestTable) attempt(task TaskID, index int) *attempt {
 	request := t.byID[task]
-	if request == nil || number < 0 || number >= len(request.attempts) {
+	if request == nil || index < 0 || index >= len(request.attempts) {
 		return nil
 	}
-	return request.attempts[number]
+	return request.attempts[index]
 }
 
-// close marks a request as done, so that no further attempt is made, and removes it if no attempt is
-// outstanding.
+// close marks a request as done, which prevents further attempts. It removes the request from the table if no
+// attempt is outstanding.
 func (t *requestTable) close(request *placementRequest) {
 	if !request.done {
-		t.unanswered--
+		t.unansweredRequests--
 	}
 	request.finish()
 	t.removeIfDone(request)
--- a/placer/request_test.go
+++ b/placer/request_test.go
@@ -11,12 +11,12 @@
 	}
 	for _, from := range all {
 		for _, to := range all {
-			legal := from < to
+			allowed := from < to
 			started := &attempt{request: &placementRequest{}, state: from}
 			func() {
 				defer func() {
-					if panicked := recover() != nil; panicked == legal {
-						t.Errorf("transition from %v to %v: allowed is %v, but panicked is %v", from, to, legal, panicked)
+					if panicked := recover() != nil; panicked == allowed {
+						t.Errorf("transition from %v to %v: allowed is %v, but panicked is %v", from, to, allowed, panicked)
 					}
 				}()
 				started.setState(to)
@@ -33,14 +33,14 @@
 	table := newRequestTable()
 	placed, withdrawn := table.open(Task{ID: 1}, 100), table.open(Task{ID: 2}, 100)
 	adopted := table.adopt(Task{ID: 3}, node, 100)
-	if table.unanswered != 2 || !table.contains(1) || table.contains(4) {
-		t.Fatalf("%d unanswered requests, want 2; table contains task 1: %v, want true; table contains task 4: %v, want false", table.unanswered, table.contains(1), table.contains(4))
+	if table.unansweredRequests != 2 || !table.contains(1) || table.contains(4) {
+		t.Fatalf("%d unanswered requests, want 2; table contains task 1: %v, want true; table contains task 4: %v, want false", table.unansweredRequests, table.contains(1), table.contains(4))
 	}
 	sent := placed.startAttempt(node, 100)
 	for name, test := range map[string]struct {
-		task   TaskID
-		number int
-		want   *attempt
+		task         TaskID
+		attemptIndex int
+		want         *attempt
 	}{
 		"requested task":  {1, 0, sent},
 		"adopted task":    {3, 0, adopted},
@@ -49,15 +49,15 @@
 		"negative number": {1, -1, nil},
 		"unknown task":    {4, 0, nil},
 	} {
-		if got := table.attempt(test.task, test.number); got != test.want {
+		if got := table.attempt(test.task, test.attemptIndex); got != test.want {
 			t.Errorf("%s: got %p, want %p", name, got, test.want)
 		}
 	}
 	table.close(withdrawn)
 	table.close(placed)
 	table.close(placed) // a second call must have no effect
-	if table.unanswered != 0 || table.contains(2) || !table.contains(1) {
-		t.Errorf("%d unanswered requests, want 0; request without an attempt was kept: %v, want false", table.unanswered, table.contains(2))
+	if table.unansweredRequests != 0 || table.contains(2) || !table.contains(1) {
+		t.Errorf("%d unanswered requests, want 0; request without an attempt was kept: %v, want false", table.unansweredRequests, table.contains(2))
 	}
 	sent.setState(attemptEnded)
 	table.removeIfDone(placed)
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -1,10 +1,10 @@
 package placer
 
-// dedupMargin is the fraction of a class's DedupWindow within which another attempt is permitted.
+// dedupMargin is the fraction of a task class's DedupWindow within which another attempt is permitted.
 const dedupMargin = 0.9
 
-// retryRule implements the rule on retries (rule 2). It decides which attempts and answers are permitted
-// after an attempt with an unknown outcome, since the task of that attempt may be running.
+// retryRule implements the rule on retries (rule 2). After an attempt with an unknown outcome, the task may
+// be running. The rule decides which further attempts and which answers are then permitted.
 type retryRule struct {
 	cfg *Config
 }
@@ -23,7 +23,7 @@
 	return false
 }
 
-// allowsOn reports whether a request with an unknown outcome may be retried on the node. For a class that is
+// allowsOn reports whether a request with an unknown outcome may be retried on the node. If the task class is
 // idempotent by key, the node must be in the same DedupDomain as the node of the earlier attempt.
 func (r *retryRule) allowsOn(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !r.allows(now, request) {
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -5,36 +5,36 @@
 func TestRetryRule(t *testing.T) {
 	const sentAt, dedupWindow = 100, 10
 	node := func(id NodeID, rack int) *trackedNode {
-		listed := newTrackedNode(id)
-		listed.listed, listed.Rack = true, rack
-		return listed
+		created := newTrackedNode(id)
+		created.listed, created.Rack = true, rack
+		return created
 	}
-	earlier, rackNeighbor, elsewhere := node(1, 1), node(2, 1), node(3, 2)
-	byKey := func(domain TopologyDomain) Class {
+	earlierNode, sameRackNode, otherRackNode := node(1, 1), node(2, 1), node(3, 2)
+	idempotentByKey := func(domain TopologyDomain) Class {
 		return Class{Idempotency: IdempotentByKey, DedupDomain: domain, DedupWindow: dedupWindow}
 	}
 	for name, test := range map[string]struct {
-		class        Class
-		knownOutcome bool
-		now          Seconds
-		allows       bool
-		onNeighbor   bool
-		onElsewhere  bool
-		safeToReject bool
+		class             Class
+		knownOutcome      bool
+		now               Seconds
+		allows            bool
+		allowsOnSameRack  bool
+		allowsOnOtherRack bool
+		safeToReject      bool
 	}{
 		"known outcome":            {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
 		"not idempotent":           {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
 		"idempotent":               {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
-		"by key, rack domain":      {byKey(RackDomain), false, 108.9, true, true, false, false},
-		"by key, cluster domain":   {byKey(ClusterDomain), false, 108.9, true, true, true, true},
-		"by key, node domain":      {byKey(NodeDomain), false, 108.9, true, false, false, false},
-		"by key, window has ended": {byKey(ClusterDomain), false, 109, false, false, false, true},
+		"by key, rack domain":      {idempotentByKey(RackDomain), false, 108.9, true, true, false, false},
+		"by key, cluster domain":   {idempotentByKey(ClusterDomain), false, 108.9, true, true, true, true},
+		"by key, node domain":      {idempotentByKey(NodeDomain), false, 108.9, true, false, false, false},
+		"by key, window has ended": {idempotentByKey(ClusterDomain), false, 109, false, false, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
 			request := &placementRequest{}
 			if !test.knownOutcome {
-				request.recordUnknownOutcome(&attempt{node: earlier, sentAt: sentAt})
+				request.recordUnknownOutcome(&attempt{node: earlierNode, sentAt: sentAt})
 			}
 			if got := rule.allows(test.now, request); got != test.allows {
 				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allows)
@@ -45,11 +45,11 @@
 			if test.knownOutcome {
 				return // after a known outcome, allowsOn is not called
 			}
-			if got := rule.allowsOn(test.now, request, rackNeighbor); got != test.onNeighbor {
-				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.onNeighbor)
+			if got := rule.allowsOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
+				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.allowsOnSameRack)
 			}
-			if got := rule.allowsOn(test.now, request, elsewhere); got != test.onElsewhere {
-				t.Errorf("retry on a node in another rack is allowed: got %v, want %v", got, test.onElsewhere)
+			if got := rule.allowsOn(test.now, request, otherRackNode); got != test.allowsOnOtherRack {
+				t.Errorf("retry on a node in another rack is allowed: got %v, want %v", got, test.allowsOnOtherRack)
 			}
 		})
 	}
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -11,19 +11,19 @@
 // against the five placement rules: final answers (1), retries (2), node states (3), slow start (4) and
 // spread (5).
 type randomScript struct {
-	t                *testing.T
-	config           Config
-	placer           *Placer
-	rng              *rand.Rand
-	now              Seconds
-	nodes            map[NodeID]Node
-	nodeIDs          []NodeID
-	tasks            map[TaskID]*taskState
-	taskOrder        []TaskID
-	timers           []scheduledTimer
-	warmupAttempts   map[NodeID][]Seconds
-	actionLog        []string
-	correlatedFaults bool
+	t                 *testing.T
+	config            Config
+	placer            *Placer
+	rng               *rand.Rand
+	now               Seconds
+	nodes             map[NodeID]Node
+	nodeIDs           []NodeID
+	tasks             map[TaskID]*taskState
+	taskOrder         []TaskID
+	timers            []scheduledTimer
+	slowStartAttempts map[NodeID][]Seconds
+	actionLog         []string
+	correlatedFaults  bool
 }
 
 type scheduledTimer struct {
@@ -111,8 +111,8 @@
 	}
 	class := script.config.Classes[task.Class]
 	dedupInCluster := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
-	repeatIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
-	if action.Kind == Reject && task.unknownOutcome() != nil && repeatIsUnsafe {
+	rejectIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
+	if action.Kind == Reject && task.unknownOutcome() != nil && rejectIsUnsafe {
 		script.fail(action, "rule 2 (retries): Reject after an unknown outcome")
 	}
 }
@@ -142,7 +142,7 @@
 // checkSlowStart checks an attempt on a warming node against the slow-start rule (rule 4).
 func (script *randomScript) checkSlowStart(action Action, node Node) {
 	count := 1
-	for _, at := range script.warmupAttempts[node.ID] {
+	for _, at := range script.slowStartAttempts[node.ID] {
 		if script.now-at <= script.config.SlowStart.OverloadWindow {
 			count++
 		}
@@ -150,7 +150,7 @@
 	if float64(count) > math.Ceil(script.config.SlowStart.MaxAttempts/float64(script.config.Peers.Total)) {
 		script.fail(action, "rule 4 (slow start): %d attempts on the node within the overload window", count)
 	}
-	script.warmupAttempts[node.ID] = append(script.warmupAttempts[node.ID], script.now)
+	script.slowStartAttempts[node.ID] = append(script.slowStartAttempts[node.ID], script.now)
 }
 
 // checkSpread checks an attempt against the spread rule (rule 5).
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -20,7 +20,7 @@
 	config.Costs.Node, config.Costs.Migration = 0.1*float64(seed%2), 0.05
 	config.NodeBehavior.ReportsUsage, config.NodeBehavior.AcknowledgesOnStart = seed%2 == 0, seed%5 == 0
 	script := &randomScript{t: t, config: config, correlatedFaults: withFaults, rng: rand.New(rand.NewPCG(seed, 1)), now: 50,
-		nodes: map[NodeID]Node{}, tasks: map[TaskID]*taskState{}, warmupAttempts: map[NodeID][]Seconds{}}
+		nodes: map[NodeID]Node{}, tasks: map[TaskID]*taskState{}, slowStartAttempts: map[NodeID][]Seconds{}}
 	for _, node := range testNodes(nodeCount) {
 		script.nodes[node.ID] = node
 		script.nodeIDs = append(script.nodeIDs, node.ID)
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -7,19 +7,19 @@
 	// contenderFactor is the constant c of the k-COLLISION protocol. A node may have up to c times as many
 	// contenders as there are pending requests per candidate.
 	contenderFactor = 2.0
-	// contenderWindow is the time for which a bind counts as a contender. After this time, the node list is
-	// assumed to show the bind.
+	// contenderWindow is the time for which a task counts as a contender after its node accepted it. After
+	// this time, the node list is assumed to show the task.
 	contenderWindow Seconds = 2
-	// maxDraws is the number of pairs that are drawn without a wait if both nodes of each pair have too many
-	// contenders.
+	// maxDraws is the maximum number of pairs that are drawn for one attempt. Another pair is drawn if both
+	// nodes of a pair have too many contenders.
 	maxDraws = 8
 	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
 	// many schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the number of programs that a node is assumed to keep cached after their last
-	// tasks.
+	// maxCachedPrograms is the number of programs that a node is assumed to keep in its cache after the last
+	// tasks that run them have ended.
 	maxCachedPrograms = 8
-	// randomStream is the second half of the seed of the random number generator, which selects its stream.
+	// randomStream is the second half of the seed of the random number generator. It selects the stream.
 	randomStream = 0x9e3779b97f4a7c15
 )
 
@@ -41,12 +41,13 @@
 }
 
 // draw draws two nodes. If cold starts are slow, it first draws from the nodes that probably have the program
-// of the service. It changes the order of the candidates.
+// of the service. If these have too many contenders, it draws again from all candidates. It changes the order
+// of the candidates.
 //
-// The first draw filters the candidates in place, so the second draw uses a modified slice. If some of the
-// nodes with the program are saturated, the other such nodes may appear twice in this slice, and saturated
-// nodes may be missing. This is a known fault, which docs/ROADMAP.md lists. It is kept for now because a
-// correction would change placements.
+// Before the first draw, the saturated nodes with the program are filtered out in place, which overwrites
+// part of the slice of all candidates. In the second draw, some of these nodes may be missing, and other
+// nodes with the program may appear twice. This is a known fault, which docs/ROADMAP.md lists. It is kept for
+// now because a correction would change placements.
 func (s *selector) draw(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if s.latency.coldStartsAreSlow(request.Class) {
 		preferred := prefer(s.programNodesFirst(request.Service, candidates), (*candidate).belowSaturation)
@@ -62,9 +63,9 @@
 	return drawn
 }
 
-// drawPair draws two nodes uniformly at random, and repeats the draw while both nodes exceed the contender
-// limit. If both nodes exceed the limit in all draws, it returns the last pair, with the node that has fewer
-// contenders first, because a delay of the request would not help.
+// drawPair draws two nodes uniformly at random. It repeats the draw if both nodes exceed the contender limit.
+// If all maxDraws pairs exceed the limit, it returns the last pair, because a delay of the request would not
+// help. The node with fewer contenders then comes first.
 func (s *selector) drawPair(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if len(candidates) == 0 {
 		return pair{}
@@ -105,54 +106,56 @@
 }
 
 // contenderLimit returns the limit k of the k-COLLISION protocol, which is contenderFactor times the number
-// of pending requests per candidate, but at least 1. Unanswered requests and recent binds count as pending
-// requests.
+// of pending requests per candidate, but at least 1. Unanswered requests and requests whose task was recently
+// accepted by a node count as pending.
 func (s *selector) contenderLimit(candidates int) float64 {
-	pending := s.requests.unanswered
+	pending := s.requests.unansweredRequests
 	for _, node := range s.nodes.list {
-		// A bind older than contenderWindow counts until it is removed, which happens when the capacity of
-		// its node is evaluated. On nodes that do not pass the filter, old binds therefore count for longer.
-		pending += node.load.retainedBinds
+		// An accepted task counts until dropOldChanges removes it from the load record of its node. The
+		// filter calls dropOldChanges only for nodes that pass its other checks. A task on another node may
+		// count for longer than contenderWindow.
+		pending += node.load.retainedBoundTasks
 	}
 	return max(1, contenderFactor*float64(pending)/float64(candidates))
 }
 
-// contenders returns the number of unanswered attempts and recent binds of this scheduler on the node.
+// contenders returns the number of unanswered attempts and recently accepted tasks of this scheduler on the
+// node.
 func (s *selector) contenders(now Seconds, node *trackedNode) float64 {
-	return float64(node.tasks.unanswered + node.load.recentBinds(now))
+	return float64(node.tasks.unansweredAttempts + node.load.recentlyBoundTasks(now))
 }
 
 // emptierFirst returns two nodes as a pair with the emptier node first. If both are equally empty, the order
 // is random.
 func (s *selector) emptierFirst(now Seconds, task *Task, a, b *trackedNode) pair {
-	freeA, freeB := s.freeShareAfter(now, task, a), s.freeShareAfter(now, task, b)
+	freeA, freeB := s.freeFractionAfter(now, task, a), s.freeFractionAfter(now, task, b)
 	if freeA == freeB && s.rng.IntN(2) == 0 || freeB > freeA {
 		return pair{first: b, second: a}
 	}
 	return pair{first: a, second: b}
 }
 
-// freeShareAfter returns the free fraction of the node's cores or memory, whichever is smaller, if the task
-// ran on the node.
-func (s *selector) freeShareAfter(now Seconds, task *Task, node *trackedNode) float64 {
+// freeFractionAfter returns the fraction of the node's cores or memory, whichever is smaller, that would be
+// free if the task ran on the node.
+func (s *selector) freeFractionAfter(now Seconds, task *Task, node *trackedNode) float64 {
 	free := s.capacity.estimateFree(now, node)
 	cores := (free.cores - task.Cores) / max(node.cores, 1e-9)
 	memory := (free.memory - task.Memory) / max(node.memory, 1e-9)
 	return min(cores, memory)
 }
 
-// placesByAffinity reports whether this scheduler knows on which nodes the tasks of a service run. It does if
-// all tasks of the service arrive at this scheduler, or if there are so many schedulers that the nodes of a
-// service are chosen by hash. In both cases, nodes with the cached program take precedence over nodes below
-// saturation.
+// placesByAffinity reports whether nodes with the cached program take precedence over nodes below saturation.
+// They do if the scheduler knows the nodes that run the tasks of a service. It knows them if all tasks of the
+// service arrive at this scheduler. It also knows them if there are more than twice preferredNodeCount
+// schedulers, because all schedulers then choose the nodes of a service by the same hash.
 func (p *Peers) placesByAffinity() bool {
 	return p.StickyServices || p.Total > 2*preferredNodeCount
 }
 
 // programNodesFirst moves the candidates that probably have the program of the service to the front of the
-// slice and returns them. These are the nodes with tasks of the service from this scheduler. If there are
-// so many schedulers that each of them receives few tasks of a service, they also include the nodes with the
-// highest hash for the service. All schedulers compute the same hash and therefore prefer the same nodes.
+// slice and returns them. Nodes on which this scheduler has placed tasks of the service come first. With many
+// schedulers, each scheduler receives few tasks of a service. In this case, the preferredNodeCount nodes with
+// the highest hash for the service follow. All schedulers compute the same hash and prefer the same nodes.
 func (s *selector) programNodesFirst(service ServiceID, candidates []candidate) []candidate {
 	count := 0
 	for i := range candidates {
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDrawIsUniformAndEmptierNodeComesFirst(t *testing.T) {
-	seen, firsts := map[NodeID]int{}, map[NodeID]int{}
+	pairCounts, firstAttemptCounts := map[NodeID]int{}, map[NodeID]int{}
 	const runs = 3000
 	for seed := range runs {
 		nodes := testNodes(6)
@@ -25,16 +25,16 @@
 		if second.Node > sent.Node {
 			t.Fatalf("seed %d: the first attempt was made on node %d, the second on the emptier node %d", seed, sent.Node, second.Node)
 		}
-		firsts[sent.Node]++
-		seen[sent.Node]++
-		seen[second.Node]++
+		firstAttemptCounts[sent.Node]++
+		pairCounts[sent.Node]++
+		pairCounts[second.Node]++
 	}
 	for id := NodeID(1); id <= 6; id++ { // each node must be in a third of the pairs
-		if got := float64(seen[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
+		if got := float64(pairCounts[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
 			t.Errorf("node %d is in a fraction of %.3f of the pairs, want about 0.333", id, got)
 		}
-		if want := float64(id-1) / 15 * runs; math.Abs(float64(firsts[id])-want) > 0.04*runs {
-			t.Errorf("node %d was attempted first %d times, want about %.0f", id, firsts[id], want)
+		if want := float64(id-1) / 15 * runs; math.Abs(float64(firstAttemptCounts[id])-want) > 0.04*runs {
+			t.Errorf("node %d was attempted first %d times, want about %.0f", id, firstAttemptCounts[id], want)
 		}
 	}
 }
@@ -43,13 +43,13 @@
 	for seed := range 200 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(6))
 		node := placer.nodes.byID[3]
-		node.tasks.unanswered = 9
+		node.tasks.unansweredAttempts = 9
 		if sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0))); sent.Node == 3 {
 			t.Fatalf("seed %d: an attempt was made on a node beyond the contender limit", seed)
 		}
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
-	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBind: true})
+	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBoundTask: true})
 	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
 		t.Error("a bind within the contender window of 2 s does not count as a contender")
 	}
@@ -57,7 +57,7 @@
 		t.Error("a bind older than the contender window of 2 s counts as a contender")
 	}
 	placer.nodes.byID[1].load.dropOldChanges(102.1) // the filter does the same when it evaluates a node
-	placer.requests.unanswered = 12
+	placer.requests.unansweredRequests = 12
 	if limit := placer.selector.contenderLimit(6); limit != 4 {
 		t.Errorf("contender limit is %v for 12 pending requests on 6 nodes, want 4", limit)
 	}
@@ -84,16 +84,16 @@
 // A cold start takes several times as long as a start on a node that runs the service. The selector must
 // therefore prefer nodes with the cached program, unless cold starts are known to be fast.
 func TestNodesWithCachedProgramArePreferred(t *testing.T) {
-	hits := 0
+	runsOnProgramNode := 0
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(4))
 		adoptTask(placer, 900, 2, 0)
 		if startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node == 2 {
-			hits++
+			runsOnProgramNode++
 		}
 	}
-	if hits < 95 {
-		t.Fatalf("the node that runs the service was chosen in %d of 100 runs, want at least 95", hits)
+	if runsOnProgramNode < 95 {
+		t.Fatalf("the node that runs the service was chosen in %d of 100 runs, want at least 95", runsOnProgramNode)
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are far faster than the latency objective
@@ -133,11 +133,11 @@
 	now, lateWait := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += timer.After
-		again := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
-		if len(again) != 1 {
-			t.Fatalf("at the time %.2f: want one timer, got %+v", now, again)
+		newTimers := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
+		if len(newTimers) != 1 {
+			t.Fatalf("at the time %.2f: want one timer, got %+v", now, newTimers)
 		}
-		timer, lateWait = again[0], again[0].After
+		timer, lateWait = newTimers[0], newTimers[0].After
 	}
 	if inTimeWait > 0.3 || lateWait < 2*inTimeWait {
 		t.Fatalf("wait is %.2f s before and %.2f s after the latency objective, want at most 0.30 s before and at least twice as much after", inTimeWait, lateWait)
@@ -237,7 +237,7 @@
 func TestLastPairIsUsedIfAllNodesExceedContenderLimit(t *testing.T) {
 	testSelector := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
 	candidates := newCandidates(2)
-	candidates[0].node.tasks.unanswered, candidates[1].node.tasks.unanswered = 9, 8
+	candidates[0].node.tasks.unansweredAttempts, candidates[1].node.tasks.unansweredAttempts = 9, 8
 	drawn := testSelector.drawPair(100, &placementRequest{}, candidates)
 	if drawn.first.ID != 2 || drawn.second.ID != 1 {
 		t.Errorf("the pair is node %d before node %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
@@ -261,7 +261,7 @@
 		for i := range 3 { // the nodes 1 to 3 have the cached program
 			adoptTask(placer, TaskID(900+i), NodeID(i+1), 0)
 		}
-		placer.nodes.byID[2].tasks.unanswered, placer.nodes.byID[3].tasks.unanswered = 50, 50
+		placer.nodes.byID[2].tasks.unansweredAttempts, placer.nodes.byID[3].tasks.unansweredAttempts = 50, 50
 		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
 	}
 	if got.String() != want {
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -12,12 +12,12 @@
 	nodes[0].StartedAt = 98
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	requireNoAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)), "the scheduler has just started and its earlier attempts are unknown")
-	count := 0
+	attemptCount := 0
 	for i := range 20 {
-		count += len(actionsOfKind(arrive(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
+		attemptCount += len(actionsOfKind(arrive(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
 	}
-	if count != 4 { // two schedulers share 8 attempts
-		t.Fatalf("%d attempts were made within an overload window, want the share of this scheduler, which is 4", count)
+	if attemptCount != 4 { // two schedulers share 8 attempts
+		t.Fatalf("%d attempts were made within an overload window, want the share of this scheduler, which is 4", attemptCount)
 	}
 }
 
@@ -42,14 +42,14 @@
 // maxCountInWindow returns the maximum number of times that lie within a window. The times must be in
 // ascending order.
 func maxCountInWindow(times []Seconds, window Seconds) int {
-	most, first := 0, 0
+	maxCount, first := 0, 0
 	for i, at := range times {
 		for at-times[first] > window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // The attempts of all schedulers together must not overload a warming node. The test has 300 schedulers with
@@ -67,7 +67,7 @@
 		}
 	}
 	random := rand.New(rand.NewPCG(4, 4))
-	sentAt, warmingAttempts := map[NodeID][]Seconds{}, 0
+	sentAt, slowStartAttempts := map[NodeID][]Seconds{}, 0
 	peers := make([]*Placer, config.Peers.Total)
 	for now, id := Seconds(100), 0; now < 112; now += 0.05 {
 		for self := range peers {
@@ -83,7 +83,7 @@
 			for attempts := actionsOfKind(actions, StartAttempt); len(attempts) > 0; attempts = actionsOfKind(actions, StartAttempt) {
 				id := attempts[0].Node
 				if nodes[id-1].StartedAt > 0 {
-					warmingAttempts++
+					slowStartAttempts++
 					sentAt[id] = append(sentAt[id], now)
 				}
 				actions = endAttempt(peers[self], now, attempts[0], Rejected, []Reason{InsufficientCores, QueueFull}[random.IntN(2)])
@@ -91,12 +91,12 @@
 		}
 	}
 	for id, times := range sentAt {
-		if most := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(most) > config.SlowStart.MaxAttempts {
-			t.Errorf("%d attempts were made within an overload window on warming node %d, want at most %v", most, id, config.SlowStart.MaxAttempts)
+		if maxCount := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(maxCount) > config.SlowStart.MaxAttempts {
+			t.Errorf("%d attempts were made within an overload window on warming node %d, want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
 		}
 	}
-	if minAttempts := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(warmingAttempts) < minAttempts {
-		t.Errorf("%d attempts were made on warming nodes in total, want at least %v", warmingAttempts, minAttempts)
+	if minAttempts := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(slowStartAttempts) < minAttempts {
+		t.Errorf("%d attempts were made on warming nodes in total, want at least %v", slowStartAttempts, minAttempts)
 	}
 }
 
@@ -148,13 +148,13 @@
 				}
 			}
 			slices.Sort(arrivals)
-			most := maxCountInWindow(arrivals, config.SlowStart.OverloadWindow)
-			bound := maxAttempts
+			maxCount := maxCountInWindow(arrivals, config.SlowStart.OverloadWindow)
+			maxArrivals := maxAttempts
 			if delaysConnections {
-				bound += 2*math.Sqrt(maxAttempts) + 2
+				maxArrivals += 2*math.Sqrt(maxAttempts) + 2
 			}
-			if float64(most) > bound {
-				t.Errorf("MaxAttempts %v, delayed connections %v: %d attempts arrived within an overload window, want at most %.0f", maxAttempts, delaysConnections, most, bound)
+			if float64(maxCount) > maxArrivals {
+				t.Errorf("MaxAttempts %v, delayed connections %v: %d attempts arrived within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
 			}
 			if float64(len(arrivals)) < 16*maxAttempts/4 {
 				t.Errorf("MaxAttempts %v, delayed connections %v: only %d attempts arrived in total", maxAttempts, delaysConnections, len(arrivals))
@@ -179,7 +179,7 @@
 				sum := 0.0
 				for self := range test.peers {
 					rule := &slowStart{limits: SlowStart{MaxAttempts: test.attempts}, peers: Peers{Self: self, Total: test.peers}}
-					sum += rule.share(newTrackedNode(id))
+					sum += rule.attemptShare(newTrackedNode(id))
 				}
 				if sum != test.attempts {
 					t.Fatalf("node %d: the shares of all schedulers add up to %v, want %v", id, sum, test.attempts)
@@ -210,12 +210,12 @@
 		t.Run(name, func(t *testing.T) {
 			rule := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStarted}
 			node := newTrackedNode(1)
-			node.StartedAt, node.warmupAttempts = test.nodeStarted, test.attempts
+			node.StartedAt, node.slowStartAttempts = test.nodeStarted, test.attempts
 			if got := rule.allows(100, node); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 			rule.attemptSent(100, node)
-			if kept := node.warmupAttempts; rule.warmingUp(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
+			if kept := node.slowStartAttempts; rule.appliesTo(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
 				t.Errorf("times of recorded attempts are %v, want none before 97.8 and the last at 100", kept)
 			}
 		})
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -17,8 +17,8 @@
 	r.attempts[service] = append(r.attempts[service], started)
 }
 
-// remove removes an attempt from the attempts that count for its service. The last attempt in the slice of
-// the service takes its index.
+// remove removes an attempt from the attempts that count for its service. It moves the last attempt of the
+// service to the index of the removed attempt.
 func (r *spreadRule) remove(ended *attempt) {
 	service := ended.request.Service
 	attempts := r.attempts[service]
@@ -35,8 +35,9 @@
 	r.attempts[service] = attempts
 }
 
-// allows reports whether one more task of a service of the class may run in the node's domain. A node that no
-// node list has named could be in any rack or zone, so its tasks count in every rack and zone.
+// allows reports whether one more task of the service may run in the failure domain of the node. The task
+// class of the service determines the kind of domain and the maximum. A node that no node list has named
+// could be in any rack or zone, so its tasks count in every rack and zone.
 func (r *spreadRule) allows(class *Class, service ServiceID, node *trackedNode) bool {
 	if class.SpreadDomain == NoDomain {
 		return true
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -4,33 +4,33 @@
 
 func TestSpreadRule(t *testing.T) {
 	node := func(id NodeID, rack, zone int) *trackedNode {
-		listed := newTrackedNode(id)
-		listed.listed, listed.Rack, listed.Zone = true, rack, zone
-		return listed
+		created := newTrackedNode(id)
+		created.listed, created.Rack, created.Zone = true, rack, zone
+		return created
 	}
-	running, rackNeighbor, zoneNeighbor, elsewhere := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
+	occupiedNode, sameRackNode, sameZoneNode, otherZoneNode := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
 	for name, test := range map[string]struct {
-		domain TopologyDomain
-		on     *trackedNode // node on which two tasks of the service run
-		node   *trackedNode
-		want   bool
+		domain   TopologyDomain
+		occupied *trackedNode // node on which two tasks of the service run
+		node     *trackedNode
+		want     bool
 	}{
-		"no spread domain":           {NoDomain, running, running, true},
-		"same node":                  {NodeDomain, running, running, false},
-		"another node":               {NodeDomain, running, rackNeighbor, true},
-		"same rack":                  {RackDomain, running, rackNeighbor, false},
-		"another rack":               {RackDomain, running, zoneNeighbor, true},
-		"same zone":                  {ZoneDomain, running, zoneNeighbor, false},
-		"another zone":               {ZoneDomain, running, elsewhere, true},
-		"cluster":                    {ClusterDomain, running, elsewhere, false},
-		"tasks on an unlisted node":  {RackDomain, newTrackedNode(5), elsewhere, false},
-		"unlisted node, node domain": {NodeDomain, newTrackedNode(5), elsewhere, true},
+		"no spread domain":           {NoDomain, occupiedNode, occupiedNode, true},
+		"same node":                  {NodeDomain, occupiedNode, occupiedNode, false},
+		"another node":               {NodeDomain, occupiedNode, sameRackNode, true},
+		"same rack":                  {RackDomain, occupiedNode, sameRackNode, false},
+		"another rack":               {RackDomain, occupiedNode, sameZoneNode, true},
+		"same zone":                  {ZoneDomain, occupiedNode, sameZoneNode, false},
+		"another zone":               {ZoneDomain, occupiedNode, otherZoneNode, true},
+		"cluster":                    {ClusterDomain, occupiedNode, otherZoneNode, false},
+		"tasks on an unlisted node":  {RackDomain, newTrackedNode(5), otherZoneNode, false},
+		"unlisted node, node domain": {NodeDomain, newTrackedNode(5), otherZoneNode, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const service = 7
 			class := &Class{SpreadDomain: test.domain, MaxPerDomain: 2}
-			first := &attempt{node: test.on, request: &placementRequest{Task: Task{Service: service}}}
-			second := &attempt{node: test.on, request: &placementRequest{Task: Task{Service: service}}}
+			first := &attempt{node: test.occupied, request: &placementRequest{Task: Task{Service: service}}}
+			second := &attempt{node: test.occupied, request: &placementRequest{Task: Task{Service: service}}}
 			rule := newSpreadRule()
 			rule.add(first)
 			rule.add(second)
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -27,8 +27,8 @@
 	return &timerTable{actions: actions, pending: map[uint64]pendingTimer{}}
 }
 
-// start starts a timer that fires after the given time, and returns its token. A timer cannot be stopped. A
-// caller that acts only on its latest timer must keep the token and ignore other tokens.
+// start starts a timer that fires after the given delay, and returns the token of the timer. A timer cannot
+// be stopped. A caller that starts a new timer in place of an old one must ignore the token of the old timer.
 func (t *timerTable) start(timer pendingTimer, after Seconds) uint64 {
 	t.lastToken++
 	t.pending[t.lastToken] = timer
--- a/placer/units.go
+++ b/placer/units.go
@@ -7,10 +7,10 @@
 
 // Seconds is a duration in seconds, or a time in seconds on the clock that the caller chooses.
 //
-// Seconds is a floating-point number and not a time.Duration, so that decisions stay reproducible to the last
-// bit. Times are multiplied by jitter, learned factors and fractions of a latency objective. Rounding the
-// intermediate results to nanoseconds would change which of two nodes is drawn. Seconds is a separate type so
-// that a number without a unit is not mistaken for a time.
+// Seconds is a floating-point number and not a time.Duration because decisions must stay reproducible to the
+// last bit. Times are multiplied by jitter, learned factors and fractions of a latency objective. If the
+// intermediate results were rounded to nanoseconds, other nodes could be drawn. Seconds is a separate type
+// because a number without a unit could be mistaken for a time.
 type Seconds float64
 
 // Duration returns s rounded to the nearest nanosecond. The result is undefined if s is NaN or outside the
