--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -15,7 +15,7 @@
 	return node
 }
 
-func TestFreeCapacity(t *testing.T) {
+func TestFreeCapacityEstimate(t *testing.T) {
 	const now = 100
 	change := func(at Seconds) []capacityChange { return []capacityChange{{at: at, cores: 2, memory: 3}} }
 	report := func(at Seconds) nodeLoad {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestProjection(t *testing.T) {
+func TestProjectedLoad(t *testing.T) {
 	const now = 100
 	reported := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
 	notReported := math.NaN()
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -4,7 +4,7 @@
 
 // The last tasks on an unneeded node would keep the node in use until the longest of them ends. Standby nodes
 // must get no attempts, and their last task must be migrated once.
-func TestStandbyNodesGetNoAttemptsAndLoseLastTask(t *testing.T) {
+func TestStandbyNodesGetNoAttemptsAndLastTaskIsMigrated(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	nodes := testNodes(6)
@@ -50,7 +50,7 @@
 
 // A node that is warming up can take few tasks. If its full capacity counted, nodes that have finished
 // warming up would be put on standby.
-func TestWarmingNodesDoNotCountAsActiveCapacity(t *testing.T) {
+func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
 	nodes := testNodes(12)
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestWatchIsPolledAgain(t *testing.T) {
+func TestPollIsRepeatedAfterFailureOrMissingList(t *testing.T) {
 	for name, test := range map[string]struct {
 		listedAt Seconds // 0 for never
 		failed   bool
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestSpreadCountsAttemptsAndRunningTasks(t *testing.T) {
+func TestSpreadRuleCountsAttemptsAndRunningTasks(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(1))
 	adoptTask(placer, 900, 1, 1)
 	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 1)))
@@ -75,7 +75,7 @@
 // A scheduler with few tasks may wait long for its first load report. Until then, it must estimate usage
 // ratios from its own tasks. Otherwise, it would overestimate the number of nodes needed by a factor of two,
 // and keep nodes active that other schedulers put on standby.
-func TestTaskUsageIsEstimateUntilFirstReport(t *testing.T) {
+func TestUsageRatiosAreEstimatedFromTasksUntilFirstReport(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 20 {
 		id := TaskID(900 + i)
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -42,7 +42,7 @@
 
 // A node may start to drain before the node list shows it. Such a node frees capacity with each task that it
 // stops, and would receive all attempts if it were not ejected.
-func TestNodeThatDrainsTasksIsEjected(t *testing.T) {
+func TestNodeThatStopsTasksToDrainIsEjected(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	adoptTask(placer, 900, 2, 0)
 	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
@@ -67,7 +67,7 @@
 
 // When a rack fails, the spread rule may leave only dead nodes to a service. The tasks of the service must
 // then wait for healthy nodes.
-func TestSpreadDoesNotSendTasksToDeadNodes(t *testing.T) {
+func TestSpreadRuleDoesNotSendTasksToDeadNodes(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // each rack has three nodes
 	for i := range 3 {
 		placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestTooFewHealthy(t *testing.T) {
+func TestEjectedNodesAreUsedIfTooFewAreHealthy(t *testing.T) {
 	for name, test := range map[string]struct {
 		ready, ejected, draining int // numbers of nodes
 		want                     bool
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSameEventsGiveSameActions(t *testing.T) {
+func TestEqualEventsGiveEqualActions(t *testing.T) {
 	first, second := runRandomScript(t, 5, 5000), runRandomScript(t, 5, 5000)
 	if !reflect.DeepEqual(first, second) {
 		t.Fatal("two runs with the same seed gave different actions")
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestRedrawsAfterBothNodesReject(t *testing.T) {
+func TestPairIsRedrawnAfterBothNodesReject(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 7, testNodes(6))
 	sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
 	retried := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
@@ -179,7 +179,7 @@
 
 // prefer filters the slice of its caller in place. A second call on the same slice therefore uses the
 // contents that the first call left.
-func TestPrefer(t *testing.T) {
+func TestPreferFiltersCandidatesInPlace(t *testing.T) {
 	for name, test := range map[string]struct {
 		saturated  []NodeID
 		want, left []NodeID
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestLastPairIsUsedIfAllNodesExceedContenderLimit(t *testing.T) {
+func TestLastDrawnPairIsUsedIfAllNodesExceedContenderLimit(t *testing.T) {
 	testSelector := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
 	candidates := newCandidates(2)
 	candidates[0].node.tasks.unansweredAttempts, candidates[1].node.tasks.unansweredAttempts = 9, 8
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestWarmingNodeGetsOnlyOwnShareOfAttempts(t *testing.T) {
+func TestNodeInSlowStartGetsOnlySchedulersShareOfAttempts(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].StartedAt = 98
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFewerWarmupAttemptsThanPeersAreShared(t *testing.T) {
+func TestMaxAttemptsBelowNumberOfSchedulersIsShared(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total = 20
 	sent := 0
@@ -104,7 +104,7 @@
 // every second scheduler restarts and loses its state. Within an overload window, they must not send more
 // than MaxAttempts attempts. If connection setup delays attempts, the number that arrives within a window may
 // exceed MaxAttempts by a random amount.
-func TestThirtySchedulersOnOneWarmingNode(t *testing.T) {
+func TestThirtySchedulersOnOneNodeInSlowStart(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
 			config := testConfig()
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestSharesAddUpToMaxAttempts(t *testing.T) {
+func TestSharesOfAllSchedulersAddUpToMaxAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts float64
 		peers    int
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestSlowStartAllows(t *testing.T) {
+func TestSlowStartRuleAllowsAttempts(t *testing.T) {
 	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // the window is 2.2 s
 	for name, test := range map[string]struct {
 		nodeStarted, schedulerStarted Seconds
