--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newHalfFreeNode returns a ready node with 16 cores and 32 units of memory. The node list shows half of both
-// as free.
+// newHalfFreeNode returns a ready node with 16 cores and 32 units of memory. In the node list, half of the
+// cores and half of the memory are free.
 func newHalfFreeNode() *trackedNode {
 	node := newTrackedNode(1)
 	node.State, node.listed = Ready, true
@@ -27,14 +27,14 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"list":                    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"list and recent change":  {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"list and old change":     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"report":                  {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"report and change":       {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"outdated report":         {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"report of usage":         {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither list nor report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"node list shows capacity":          {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"node list and recent change":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"node list and old change":          {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"load report shows free capacity":   {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"load report and recent change":     {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated load report is ignored":   {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"load report shows only usage":      {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither node list nor load report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
@@ -42,7 +42,7 @@
 			node.load = test.load
 			node.load.recentChanges = test.changes
 			if got := model.estimateFree(now, node); got != test.want {
-				t.Errorf("got %+v, want %+v", got, test.want)
+				t.Errorf("estimated free capacity is %+v, want %+v", got, test.want)
 			}
 			if len(node.load.recentChanges) != len(test.changes) {
 				t.Error("estimateFree changed the load record of the node")
@@ -62,15 +62,15 @@
 		task     Task
 		want     projection
 	}{
-		// On the node, 8 of 16 cores are requested. The tolerated utilization is SaturationThreshold (1) plus
-		// degradationTolerance (0.25) times DegradationRange (1), that is, 1.25.
-		"requested cores":                {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
-		"cores beyond overcommit limit":  {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
-		"memory beyond overcommit limit": {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"reported utilization":           {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"reported cores in use":          {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"almost all memory in use":       {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
-		"unknown capacity":               {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
+		// Tasks on the node request 8 of its 16 cores. The tolerated utilization is SaturationThreshold (1)
+		// plus degradationTolerance (0.25) times DegradationRange (1), that is, 1.25.
+		"estimate from requested cores":              {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
+		"requested cores exceed overcommit limit":    {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
+		"requested memory exceeds overcommit limit":  {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
+		"load report contains utilization":           {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"load report contains cores in use":          {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"load report shows almost all memory in use": {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"free capacity of the node is unknown":       {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := &Config{NodeBehavior: test.behavior, Overcommit: Overcommit{Cores: 2, Memory: 2}}
@@ -78,7 +78,7 @@
 			node := newHalfFreeNode()
 			node.load = test.load
 			if got := newCapacityModel(cfg).project(now, class, &test.task, node); got != test.want {
-				t.Errorf("got %+v, want %+v", got, test.want)
+				t.Errorf("projected load is %+v, want %+v", got, test.want)
 			}
 			if node.load.saturationExcess != test.load.saturationExcess {
 				t.Error("the projection changed the load record of the node")
@@ -92,14 +92,14 @@
 	for name, test := range map[string]struct {
 		free          float64 // free cores of the node; its free memory is twice this amount
 		report        Report
-		cores, memory float64 // usage ratios that the model must learn
+		cores, memory float64 // ratios of used to requested cores and memory that the model must learn
 	}{
-		"utilization":                   {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
-		"cores and memory":              {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
-		"too little capacity requested": {15, Report{16, 32, 0, 0}, 1, 1},
-		"nothing reported":              {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
-		"more than requested":           {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
-		"nothing in use":                {8, Report{16, 32, 0, 0}, 0, 0},
+		"report contains only utilization":            {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"report contains free cores and memory":       {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
+		"too little capacity requested to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
+		"report contains no values":                   {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
+		"more cores in use than requested":            {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
+		"no cores or memory in use":                   {8, Report{16, 32, 0, 0}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
@@ -107,20 +107,20 @@
 			node.FreeCores, node.FreeMemory = test.free, 2*test.free
 			model.observeReport(now, node, &test.report)
 			if got := model.coresUsageRatio.mean; got != test.cores {
-				t.Errorf("usage ratio of cores: got %v, want %v", got, test.cores)
+				t.Errorf("ratio of used to requested cores is %v, want %v", got, test.cores)
 			}
 			if got := model.memoryUsageRatio.mean; got != test.memory {
-				t.Errorf("usage ratio of memory: got %v, want %v", got, test.memory)
+				t.Errorf("ratio of used to requested memory is %v, want %v", got, test.memory)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
-				t.Error("the report was not recorded with its time")
+				t.Error("the load report was not recorded with the time at which it arrived")
 			}
 		})
 	}
 }
 
-// When an attempt is answered, only the capacity change that was recorded for this attempt must be removed.
-// Another change may have the same time.
+// When a node accepts an attempt, only the capacity change that was recorded for this attempt must be
+// removed. Another attempt on the same node may have been sent at the same time.
 func TestNodeLoadRecordsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
 	sent := &attempt{request: request, sentAt: 100}
@@ -129,17 +129,17 @@
 	load.attemptSent(100, &request.Task)
 	load.attemptBound(101, sent)
 	if load.recentlyBoundTasks(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
-		t.Fatalf("recorded capacity changes after the bind: %+v", load.recentChanges)
+		t.Fatalf("recorded capacity changes after a node accepted the task are %+v, want one pending attempt and one bound task", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
 	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
-		t.Fatalf("last capacity change after the end of the task: %+v", last)
+		t.Fatalf("last capacity change after the end of the task is %+v, want -2 cores and -3 memory", last)
 	}
 	if load.recentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
-		t.Error("a bind older than the contender window counts as recent, or was removed before dropOldChanges")
+		t.Error("a bound task older than the contender window counts as recent, or was removed before dropOldChanges")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
-		t.Errorf("capacity changes after dropOldChanges: %+v", load.recentChanges)
+		t.Errorf("capacity changes after dropOldChanges are %+v, want only the end of the task", load.recentChanges)
 	}
 }
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -1,9 +1,10 @@
 package placer_test
 
-// The characterization tests in this file fix the behavior of a Placer to the last bit, so that a refactoring
-// can be shown to change no behavior. Each script drives one Placer through a seeded discrete-event
-// simulation of nodes, and records a running SHA-256 digest of all actions every checkpointEvents events. The
-// first checkpoint that differs from the golden file shows within which interval the behavior changed.
+// The characterization tests in this file compare the actions of a Placer with recorded actions, to the last
+// bit. They show whether a refactoring changes the behavior. Each script drives one Placer through a seeded
+// discrete-event simulation of nodes. Every checkpointEvents events, it records a running SHA-256 digest of
+// all actions so far. If the behavior changes, the first checkpoint that differs from the golden file shows
+// the interval of events in which it changed.
 //
 // The golden file contains script names, numbers and digests, and no Go identifiers. The test fails if the
 // golden file is missing. To accept an intended change of behavior, regenerate the golden file and commit it
@@ -24,7 +25,7 @@
 	"heathshed/placer"
 )
 
-// checkpointEvents is the number of events between two digests of a script.
+// checkpointEvents is the number of events between two recorded digests of a script.
 const checkpointEvents = 500
 
 // compareGolden compares a text with a golden file in testdata line by line. It rewrites the file instead if
@@ -61,7 +62,7 @@
 	return "(line missing)"
 }
 
-// script describes a simulation: the configuration of the scheduler, the nodes and the load.
+// script describes a simulation with the configuration of the scheduler, the nodes and the load.
 type script struct {
 	name   string
 	seed   uint64
@@ -76,15 +77,15 @@
 	taskCores              float64        // mean number of cores that a task requests
 	taskMemory             float64        // mean amount of memory that a task requests
 	churnInterval          placer.Seconds // mean time between changes of nodes; 0 means no changes
-	listInterval           placer.Seconds // time between two node lists that are sent without request
+	listInterval           placer.Seconds // time between two node lists that the Placer receives without a request
 	listFailureProbability float64        // probability that a request for the node list fails
 	failureProbability     float64        // probability that an attempt fails before it is bound
 	brokenNodes            int            // number of nodes that never start a task
-	lateOutcomeProbability float64        // probability that the outcome of an attempt arrives after the deadline
+	lateOutcomeProbability float64        // probability that an outcome arrives after the deadline
 	lowLoadAfterEvents     int            // number of events after which few tasks arrive; 0 means never
-	withdrawalProbability  float64        // additional probability that the client withdraws a task early
+	withdrawalProbability  float64        // additional probability that the client withdraws a request early
 	relistDelay            placer.Seconds // time after which a removed node is listed again; 0 means never
-	extraMinUsageRatio     float64        // amount by which the lowest usage ratio of the nodes exceeds 0.5
+	extraMinUsageRatio     float64        // amount by which the lowest ratio of used to requested capacity exceeds 0.5
 	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
 }
 
@@ -158,10 +159,10 @@
 	scarceMemory := baseConfig()
 	scarceMemory.NodeBehavior.ListShowsCapacity, scarceMemory.NodeBehavior.ReportsUsage, scarceMemory.Overcommit.Cores, scarceMemory.Overcommit.Memory = true, true, 2, 2
 
-	expensiveMigration := consolidating // a migration costs more than the node that it frees
+	expensiveMigration := consolidating // a migration costs more than a node in use
 	expensiveMigration.Costs.Node, expensiveMigration.Costs.Migration, expensiveMigration.SlowStart.MaxAttempts = 0.1, 0.2, 30
 
-	rareLists := multipleZones // node lists rarely arrive
+	rareLists := multipleZones // the Placer rarely receives a node list
 	rareLists.Discovery.MaxPollInterval, rareLists.Peers.Total = 400, 3
 
 	return []script{
@@ -212,8 +213,8 @@
 	}
 }
 
-// TestCharacterizationOfConfigValidation fixes which configurations New accepts. The expected text has one
-// digit for each configuration: 1 if New must accept it, 0 if New must reject it.
+// TestCharacterizationOfConfigValidation verifies which configurations New accepts. The expected text has one
+// digit for each configuration. The digit is 1 if New must accept the configuration, and 0 if it must not.
 func TestCharacterizationOfConfigValidation(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	changes := []func(*placer.Config){
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The last tasks on an unneeded node would keep the node in use until the longest of them ends. Standby nodes
-// must get no attempts, and their last task must be migrated once.
+// Without migration, the last tasks on an unneeded node would keep the node in use until the longest of them
+// ends. A standby node must get no attempts, and its last task must be migrated exactly once.
 func TestStandbyNodesGetNoAttemptsAndLastTaskIsMigrated(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -12,7 +12,7 @@
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
 		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.onStandby {
-			t.Fatalf("attempt on standby node %d", sent.Node)
+			t.Fatalf("an attempt was made on node %d, which is on standby", sent.Node)
 		} else {
 			bindAttempt(placer, 100.1+Seconds(i)/100, sent)
 		}
@@ -22,7 +22,7 @@
 		placer.consolidator.migrateFromStandby(101 + Seconds(i)/10)
 		for _, action := range actionsOfKind(placer.actions.take(), Migrate) {
 			if action.Task != 900 || migrated {
-				t.Fatalf("unexpected migration: %+v", action)
+				t.Fatalf("got action %+v, want only one migration, of task 900", action)
 			}
 			migrated = true
 		}
@@ -32,8 +32,8 @@
 	}
 }
 
-// If nodes acknowledge a task only when it starts, some task is always starting. An unanswered attempt must
-// not prevent the migration of the last tasks off a standby node.
+// If nodes acknowledge a task only when it starts, there is almost always an attempt without an answer. Such
+// an attempt must not prevent the migration of the last tasks off a standby node.
 func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -48,8 +48,8 @@
 	}
 }
 
-// A node that is warming up can take few tasks. If its full capacity counted, nodes that have finished
-// warming up would be put on standby.
+// A node in slow start can take few tasks. If its full capacity counted, nodes that are no longer in slow
+// start would be put on standby.
 func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
@@ -65,7 +65,7 @@
 	arrive(placer, 100.1, newTestTask(1, 0))
 	for _, node := range placer.nodes.list {
 		if node.standby.onStandby && node.StartedAt == 0 {
-			t.Fatalf("node %d has finished warming up but is on standby, while half of the nodes are warming up", node.ID)
+			t.Fatalf("node %d is not in slow start but on standby, while half of the nodes are in slow start", node.ID)
 		}
 	}
 }
@@ -78,11 +78,11 @@
 		ownTasks int
 		want     bool
 	}{
-		"nearly empty":                    {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
-		"not nearly empty":                {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
-		"on standby for too short a time": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
-		"active":                          {standbyRecord{standbySince: 98}, 12, 1, false},
-		"no task of this scheduler":       {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
+		"standby node is nearly empty":            {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
+		"standby node is not nearly empty":        {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
+		"node is on standby for too short a time": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
+		"node is active":                          {standbyRecord{standbySince: 98}, 12, 1, false},
+		"node has no task of this scheduler":      {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
@@ -93,7 +93,7 @@
 				node.tasks.addAdopted(&attempt{request: &placementRequest{}})
 			}
 			if got := consolidation.mayMigrateFrom(now, node); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("migration off the node is allowed: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -105,15 +105,15 @@
 		demand capacityDemand
 		want   bool
 	}{
-		"within all limits":         {capacityDemand{160, 120, 72, 73.6}, true},
+		"demand within all limits":  {capacityDemand{160, 120, 72, 73.6}, true},
 		"too many cores requested":  {capacityDemand{161, 120, 72, 73.6}, false},
 		"too much memory requested": {capacityDemand{160, 121, 72, 73.6}, false},
-		"cores saturated":           {capacityDemand{160, 120, 73, 73.6}, false},
-		"memory in use too high":    {capacityDemand{160, 120, 72, 73.7}, false},
+		"too many cores in use":     {capacityDemand{160, 120, 73, 73.6}, false},
+		"too much memory in use":    {capacityDemand{160, 120, 72, 73.7}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := consolidation.demandFits(test.demand, 100, 100, 0.8); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("demand fits on 100 cores and 100 units of memory: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if known := len(placer.nodes.list); Seconds(known) > 4+nodeRetention+2 || len(placer.nodes.byID) != known {
-		t.Fatalf("%d nodes and %d IDs are kept after 2000 replacements", known, len(placer.nodes.byID))
+		t.Fatalf("the node table keeps %d nodes and %d IDs after 2000 replacements, want equal numbers and only nodes that nodeRetention keeps", known, len(placer.nodes.byID))
 	}
 }
 
@@ -36,25 +36,25 @@
 		t.Fatal("the scheduler did not request the node list at its start")
 	}
 	now := Seconds(100)
-	for range 5 { // each failure must lead to another poll within MaxPollInterval
+	for range 5 { // after each failure, the Placer must poll again within MaxPollInterval
 		actions = placer.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
 		failedAt := now
 		for len(actionsOfKind(actions, WatchNodes)) == 0 {
 			timers := actionsOfKind(actions, SetTimer)
 			if len(timers) != 1 {
-				t.Fatalf("want one timer for the next poll, got %+v", actions)
+				t.Fatalf("got actions %+v, want one timer for the next poll", actions)
 			}
 			now += timers[0].After
 			actions = placer.Handle(now, Event{Kind: TimerFired, Token: timers[0].Token}, nil)
 			if now-failedAt > config.Discovery.MaxPollInterval {
-				t.Fatalf("no poll within %.1f s after a failure", now-failedAt)
+				t.Fatalf("the node list was not polled for %.1f s after a failed poll, which exceeds MaxPollInterval", now-failedAt)
 			}
 		}
 	}
 }
 
-// newTestPoller returns a poller with a maximum interval of 12 s. The returned function checks whether the
-// poller has polled, and returns the delay of the timer that the poller has started.
+// newTestPoller returns a poller with a maximum interval of 12 s. The returned function requires that the
+// poller has polled or not, as wantPoll says. It returns the delay of the timer that the poller has started.
 func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
 	actions := &actionList{}
 	poller := &nodeListPoller{
@@ -68,11 +68,11 @@
 		t.Helper()
 		taken := actions.take()
 		if polled := len(actionsOfKind(taken, WatchNodes)) == 1; polled != wantPoll {
-			t.Fatalf("polled: %v, want %v", polled, wantPoll)
+			t.Fatalf("the node list was polled: got %v, want %v", polled, wantPoll)
 		}
 		timers := actionsOfKind(taken, SetTimer)
 		if len(timers) != 1 || timers[0].Token != poller.timerToken {
-			t.Fatalf("want one timer with the latest token, got actions %+v", taken)
+			t.Fatalf("got actions %+v, want one timer with the latest token", taken)
 		}
 		return timers[0].After
 	}
@@ -80,34 +80,34 @@
 
 func TestPollBackoffDoubles(t *testing.T) {
 	poller, takeTimer := newTestPoller()
-	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the backoff is at most half of the interval of 12 s
+	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the maximum is half of the interval of 12 s
 		poller.pollFailed()
 		if after := takeTimer(t, false); after < 0.8*mean || after > 1.2*mean {
-			t.Errorf("backoff is %v s after failure %d, want about %v s", after, failure+1, mean)
+			t.Errorf("the backoff is %v s after failed poll %d, want about %v s", after, failure+1, mean)
 		}
 	}
 	poller.listArrived(100)
 	poller.pollFailed()
 	if after := takeTimer(t, false); after > 2.4 {
-		t.Errorf("backoff is %v s after the first failure since a node list, want at most 2.4 s", after)
+		t.Errorf("the backoff is %v s after the first failed poll since a node list, want at most 2.4 s", after)
 	}
 }
 
 func TestPollIsRepeatedAfterFailureOrMissingList(t *testing.T) {
 	for name, test := range map[string]struct {
-		listedAt Seconds // 0 for never
+		listedAt Seconds // time at which a node list arrives; 0 for never
 		failed   bool
 		at       Seconds
 		want     bool
 	}{
-		"list arrived":                        {101, false, 104.9, false},
-		"no list for a third of the interval": {101, false, 105.1, true},
-		"no answer, too soon":                 {0, false, 100.9, false},
-		"no answer":                           {0, false, 101.1, true},
-		"poll failed, too soon":               {0, true, 100.9, false},
-		"poll failed":                         {0, true, 101.1, true},
-		"poll failed after a list":            {100.5, true, 101.1, true},
-		"list arrived after a failed poll":    {100.5, false, 101.1, false},
+		"node list arrived recently":                       {101, false, 104.9, false},
+		"no node list for a third of the maximum interval": {101, false, 105.1, true},
+		"poll unanswered for less than 1 s":                {0, false, 100.9, false},
+		"poll unanswered for more than 1 s":                {0, false, 101.1, true},
+		"poll failed less than 1 s after it was sent":      {0, true, 100.9, false},
+		"poll failed and was sent more than 1 s ago":       {0, true, 101.1, true},
+		"poll failed after a node list arrived":            {100.5, true, 101.1, true},
+		"node list arrived within 1 s of the poll":         {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			poller, takeTimer := newTestPoller()
@@ -122,7 +122,7 @@
 			}
 			poller.timerFired(test.at, poller.timerToken-1) // an outdated timer must have no effect
 			if taken := poller.actions.take(); len(taken) != 0 {
-				t.Fatalf("an outdated timer led to the actions %+v", taken)
+				t.Fatalf("an outdated timer led to the actions %+v, want none", taken)
 			}
 			poller.timerFired(test.at, poller.timerToken)
 			takeTimer(t, test.want)
@@ -137,11 +137,11 @@
 		entries []Node
 		want    []NodeState // states of the nodes with the IDs 1, 2 and so on
 	}{
-		"full list":     {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
-		"cached list":   {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
-		"changes":       {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
-		"a new node":    {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
-		"an empty list": {FullList, nil, []NodeState{Terminated, Terminated}},
+		"full list without a node":   {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
+		"cached list without a node": {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
+		"changes of one node":        {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
+		"changes with a new node":    {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
+		"empty full list":            {FullList, nil, []NodeState{Terminated, Terminated}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newNodeTable(nil)
--- a/placer/example_test.go
+++ b/placer/example_test.go
@@ -6,8 +6,8 @@
 	"heathshed/placer"
 )
 
-// In this example, a task arrives and is attempted on the emptier of two nodes. The node rejects the task,
-// and the Placer then attempts it on the other node.
+// In this example, a task arrives, and the Placer attempts it on the emptier of two nodes. This node rejects
+// the task. The Placer then attempts the task on the other node.
 func Example() {
 	p, err := placer.New(placer.Config{
 		Peers: placer.Peers{Total: 1},
