--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -103,9 +103,9 @@
 	saturationExcess float64 // utilization of the cores minus the utilization that the task class tolerates
 }
 
-// project returns the expected load of a node with one more task of the given class. If the free capacity of
-// the node is unknown or insufficient, the saturation excess is not computed. The result then contains the
-// latest saturation excess that was recorded for the node.
+// project returns the expected load of a node with one more task of the given task class. If the free
+// capacity of the node is unknown or insufficient, the saturation excess is not computed. The result then
+// contains the latest saturation excess that was recorded for the node.
 func (m *capacityModel) project(now Seconds, class *Class, task *Task, node *trackedNode) projection {
 	last := node.load.saturationExcess
 	free := m.estimateFree(now, node)
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -21,15 +21,15 @@
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(1))
 	adoptTask(placer, 900, 1, 1)
 	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 1)))
-	requireNoAttempt(t, arrive(placer, 100.2, newTaskOfService(5, 2, 1)), "the only node already has two tasks of the service")
-	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: sent.Task}, nil) // the attempt stays outstanding and counts for the spread rule
+	requireNoAttempt(t, arrive(placer, 100.2, newTaskOfService(5, 2, 1)), "the only node already has a running task and an attempt of the service")
+	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: sent.Task}, nil) // the attempt stays outstanding
 	requireNoAttempt(t, arrive(placer, 100.4, newTaskOfService(5, 3, 1)), "the attempt for the withdrawn request has no outcome yet and counts as a task")
 	endAttempt(placer, 100.5, sent, Cancelled, NoReason)
 	startedAttempt(t, arrive(placer, 100.6, newTaskOfService(5, 4, 1)))
 }
 
-// A node evicts tasks when its memory in use is full, regardless of the memory that tasks request. The filter
-// must therefore limit the memory in use.
+// A node evicts tasks when all its memory is in use, no matter how much memory the tasks have requested. The
+// filter must therefore limit the memory in use.
 func TestMemoryUsageLimitsCapacity(t *testing.T) {
 	config := testConfig()
 	config.Overcommit.Cores, config.Overcommit.Memory, config.NodeBehavior.ReportsUsage = 4, 4, true
@@ -41,8 +41,8 @@
 	startedAttempt(t, arrive(placer, 100.2, newTestTask(2, 0)))
 }
 
-// If load reports do not contain usage, the filter must not limit the memory in use. The nodes limit it
-// themselves.
+// If load reports do not contain the capacity in use, the filter must not limit the memory in use. The nodes
+// limit it themselves.
 func TestMemoryUsageIsNotLimitedWithoutUsageReports(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeMemory = 2
@@ -69,12 +69,13 @@
 	for i := 0; i < 6; i += 2 {
 		nodes[i].FreeCores = 0
 	}
-	startedAttempt(t, arrive(newTestPlacer(t, config, 1, nodes), 100.1, newTestTask(1, 0))) // if the scheduler's zone is full, other zones are used
+	// The zone of the scheduler is full, so the task must be attempted in another zone.
+	startedAttempt(t, arrive(newTestPlacer(t, config, 1, nodes), 100.1, newTestTask(1, 0)))
 }
 
-// A scheduler with few tasks may wait long for its first load report. Until then, it must estimate usage
-// ratios from its own tasks. Otherwise, it would overestimate the number of nodes needed by a factor of two,
-// and keep nodes active that other schedulers put on standby.
+// A scheduler with few tasks may wait long for its first load report. Until then, it must estimate the ratio
+// of used to requested capacity from its own tasks. Otherwise, it would overestimate the number of nodes
+// needed by a factor of two, and keep nodes active that other schedulers put on standby.
 func TestUsageRatiosAreEstimatedFromTasksUntilFirstReport(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 20 {
@@ -85,7 +86,7 @@
 	}
 	cores, memory := placer.capacity.coresUsageRatio.mean, placer.capacity.memoryUsageRatio.mean
 	if cores > 0.55 || cores < 0.5 || memory > 0.3 || memory < 0.25 {
-		t.Errorf("usage ratios are %.2f for cores and %.2f for memory, want about 0.5 and 0.25", cores, memory)
+		t.Errorf("ratio of used to requested capacity is %.2f for cores and %.2f for memory, want about 0.5 and 0.25", cores, memory)
 	}
 }
 
@@ -99,19 +100,19 @@
 		request placementRequest
 		want    bool
 	}{
-		"first attempt":                   {placementRequest{Task: Task{Deadline: later}}, true},
-		"earlier attempts ended":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended}}, true},
-		"maximum number of attempts made": {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended, ended}}, false},
-		"another attempt pending":         {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{pending}}, false},
-		"another attempt running":         {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{running, ended}}, false},
-		"request done":                    {placementRequest{Task: Task{Deadline: later}, done: true}, false},
-		"at its deadline":                 {placementRequest{Task: Task{Deadline: now}}, false},
-		"long after its deadline":         {placementRequest{Task: Task{Deadline: now - 50}}, false},
-		"just before its deadline":        {placementRequest{Task: Task{Deadline: now + 0.001}}, true},
+		"first attempt of the request":        {placementRequest{Task: Task{Deadline: later}}, true},
+		"all earlier attempts ended":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended}}, true},
+		"maximum number of attempts was made": {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{ended, ended, ended}}, false},
+		"another attempt is pending":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{pending}}, false},
+		"another attempt is running":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{running, ended}}, false},
+		"request is done":                     {placementRequest{Task: Task{Deadline: later}, done: true}, false},
+		"request at its deadline":             {placementRequest{Task: Task{Deadline: now}}, false},
+		"request long after its deadline":     {placementRequest{Task: Task{Deadline: now - 50}}, false},
+		"request just before its deadline":    {placementRequest{Task: Task{Deadline: now + 0.001}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := filter.attemptAllowed(now, &test.request); got != test.want {
-				t.Errorf("attemptAllowed: got %v, want %v", got, test.want)
+				t.Errorf("another attempt is allowed: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// testConfig returns the configuration of one of two schedulers. It has a class for each kind of idempotency
-// and a class that requires a node type.
+// testConfig returns the configuration of one of two schedulers. It has a task class for each kind of
+// idempotency and a task class that requires a node type.
 func testConfig() Config {
 	return Config{
 		Peers: Peers{Total: 2, StickyServices: true},
@@ -58,7 +58,7 @@
 	return placer
 }
 
-// newTestTask returns a task with the deadline 105. The task and its service have the same number.
+// newTestTask returns a task with the deadline 105. The IDs of the task and of its service are equal.
 func newTestTask(id, class int) Task { return newTaskWithDeadline(id, class, 105) }
 
 func newTaskWithDeadline(id, class int, deadline Seconds) Task {
@@ -99,7 +99,7 @@
 	tb.Helper()
 	sent := actionsOfKind(actions, StartAttempt)
 	if len(sent) != 1 {
-		tb.Fatalf("want exactly one attempt, got actions %+v", actions)
+		tb.Fatalf("got actions %+v, want exactly one attempt", actions)
 	}
 	return sent[0]
 }
@@ -108,17 +108,17 @@
 func requireNoAttempt(tb testing.TB, actions []Action, why string) {
 	tb.Helper()
 	if len(actionsOfKind(actions, StartAttempt)) != 0 {
-		tb.Fatalf("an attempt was made although %s: %+v", why, actions)
+		tb.Fatalf("an attempt was made although %s; got actions %+v", why, actions)
 	}
 }
 
-// requireNodeAvoided requests 30 tasks of different services. It fails the test if a task is attempted on the
-// node.
+// requireNodeAvoided requests the placement of 30 tasks of different services. It fails the test if a task is
+// attempted on the node.
 func requireNodeAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, why string) {
 	tb.Helper()
 	for i := range 30 {
 		if sent := startedAttempt(tb, arrive(placer, now, newTestTask(i+1, 0))); sent.Node == node {
-			tb.Fatalf("attempt %d was made on a node that %s", i, why)
+			tb.Fatalf("the attempt for request %d was made on a node that %s", i, why)
 		}
 	}
 }
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// attemptTimeout returns the time after which an unanswered attempt for a task of the given class times out.
+// attemptTimeout returns the time after which an unanswered attempt for a task of the given task class times
+// out.
 func (m *latencyModel) attemptTimeout(class int) Seconds {
 	limits, answers := &m.classes[class], &m.answerTimes[class]
 	if m.acknowledgesOnStart {
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -9,13 +9,13 @@
 		answers             runningAverage
 		want                Seconds
 	}{
-		"before the first answer":                 {Idempotent, false, runningAverage{}, 2},
-		"not idempotent, before the first answer": {NonIdempotent, false, runningAverage{}, 4},
-		"quick answers":                           {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 1},
-		"not idempotent, quick answers":           {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 4},
-		"slow answers":                            {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 4},
-		"acknowledged on start":                   {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 5.6},
-		"not idempotent, acknowledged on start":   {NonIdempotent, true, runningAverage{}, 5.6},
+		"before any attempt was answered":                  {Idempotent, false, runningAverage{}, 2},
+		"not idempotent, before any attempt was answered":  {NonIdempotent, false, runningAverage{}, 4},
+		"nodes answer quickly":                             {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 1},
+		"not idempotent, nodes answer quickly":             {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 4},
+		"nodes answer slowly":                              {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 4},
+		"nodes acknowledge tasks on start":                 {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 5.6},
+		"not idempotent, nodes acknowledge tasks on start": {NonIdempotent, true, runningAverage{}, 5.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
@@ -24,7 +24,7 @@
 			})
 			model.answerTimes[0] = test.answers
 			if got := model.attemptTimeout(0); got != test.want {
-				t.Errorf("got %v s, want %v s", got, test.want)
+				t.Errorf("attempt timeout is %v s, want %v s", got, test.want)
 			}
 		})
 	}
@@ -37,10 +37,10 @@
 		elapsed             Seconds
 		want                bool
 	}{
-		"slow":                  {true, true, 0.9, true},
-		"quick":                 {true, true, 0.1, false},
-		"quick, program cached": {true, false, 0.1, true}, // the model learns only from cold starts
-		"quick, accepted only":  {false, true, 0.1, true}, // acceptance before the start says nothing about the start
+		"slow cold start":                   {true, true, 0.9, true},
+		"quick cold start":                  {true, true, 0.1, false},
+		"quick start with cached program":   {true, false, 0.1, true}, // the model learns only from cold starts
+		"quick acceptance before the start": {false, true, 0.1, true}, // the start may still take long
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
@@ -50,7 +50,7 @@
 			answered := &attempt{request: &placementRequest{}, coldStart: test.coldStart}
 			model.observeAnswer(answered, test.elapsed)
 			if got := model.coldStartsAreSlow(0); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("cold starts count as slow: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// permits reports whether a task of the given class may be attempted on the node. After the ejection of a
-// node ends, the node gets only one attempt at a time until successes have canceled its failures. A task that
-// must not start twice is never attempted on a node with failures.
+// permits reports whether a task of the given task class may be attempted on the node. After the ejection of
+// a node ends, the node gets only one attempt at a time until successes have canceled its failures. A task
+// that must not start twice is never attempted on a node with failures.
 func (d *outlierDetector) permits(now Seconds, class *Class, node *trackedNode) bool {
 	if node.health.failures == 0 {
 		return true
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -14,7 +14,7 @@
 		t.Fatalf("20 failures at the same time count as %d failures, want 1", placer.nodes.byID[2].health.failures)
 	}
 	requireNodeAvoided(t, placer, 100.1, 2, "has just failed")
-	for id := NodeID(1); id <= 4; id++ { // if all nodes have failures, they are no outliers and must be used
+	for id := NodeID(1); id <= 4; id++ { // ejected nodes must be used if all nodes are ejected
 		placer.nodes.byID[id].health.failures, placer.nodes.byID[id].health.ejectedUntil = 3, 200
 	}
 	startedAttempt(t, arrive(placer, 100.2, newTestTask(99, 0)))
@@ -28,7 +28,7 @@
 		failed := Event{Kind: Ended, TaskID: sent.Task, Node: sent.Node, Attempt: sent.Attempt, Result: Errored}
 		retried := startedAttempt(t, placer.Handle(at+0.01, failed, nil))
 		if node := placer.nodes.byID[sent.Node]; node.health.failures != 1 || retried.Node == sent.Node {
-			t.Fatalf("after one error the node has %d failures, want 1; the next attempt is on node %d, the first was on node %d", node.health.failures, retried.Node, sent.Node)
+			t.Fatalf("after one error, the node has %d failures, want 1; the next attempt is on node %d, the first was on node %d", node.health.failures, retried.Node, sent.Node)
 		}
 		failed.Node, failed.Attempt = retried.Node, retried.Attempt
 		placer.Handle(at+0.02, failed, nil)
@@ -40,21 +40,21 @@
 	}
 }
 
-// A node may start to drain before the node list shows it. Such a node frees capacity with each task that it
-// stops, and would receive all attempts if it were not ejected.
+// A node may start to drain before the node list shows it. Such a node gains free capacity with each task
+// that it stops. If it were not ejected, it would receive all attempts.
 func TestNodeThatStopsTasksToDrainIsEjected(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	adoptTask(placer, 900, 2, 0)
 	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
 		if sent := startedAttempt(t, arrive(placer, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); sent.Node == 2 {
-			t.Fatal("an attempt was made on a node that drains its tasks")
+			t.Fatal("an attempt was made on a node that has stopped a task to drain")
 		}
 	}
 }
 
 // A dead node appears to have free capacity. If ejected nodes were used whenever the healthy nodes are full,
-// dead nodes would use up the attempts of all requests.
+// the requests would use up their attempts on dead nodes.
 func TestFullHealthyNodesDoNotSendTasksToDeadNodes(t *testing.T) {
 	nodes := testNodes(4)
 	for i := range 3 {
@@ -88,7 +88,7 @@
 	now, mean := Seconds(100), Seconds(1)
 	for failure := 1; failure <= maxFailures+2; failure++ {
 		if !detector.recordFailure(now, node) {
-			t.Fatalf("failure %d was not counted", failure)
+			t.Fatalf("failure %d of the node was not counted", failure)
 		}
 		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
 			t.Errorf("failure %d ejects the node for %v s, want about %v s", failure, ejected, mean)
@@ -124,17 +124,17 @@
 		idempotency Idempotency
 		want        bool
 	}{
-		"healthy":                      {nodeHealth{}, 5, NonIdempotent, true},
-		"still ejected":                {nodeHealth{failures: 1, ejectedUntil: 100.1}, 0, Idempotent, false},
-		"probed after ejection":        {nodeHealth{failures: 1, ejectedUntil: 100}, 0, Idempotent, true},
-		"one probe at a time":          {nodeHealth{failures: 1, ejectedUntil: 100}, 1, Idempotent, false},
-		"no probe with non-idempotent": {nodeHealth{failures: 1, ejectedUntil: 100}, 0, NonIdempotent, false},
+		"healthy node":                                 {nodeHealth{}, 5, NonIdempotent, true},
+		"node is still ejected":                        {nodeHealth{failures: 1, ejectedUntil: 100.1}, 0, Idempotent, false},
+		"first attempt after the ejection":             {nodeHealth{failures: 1, ejectedUntil: 100}, 0, Idempotent, true},
+		"second attempt while the first is unanswered": {nodeHealth{failures: 1, ejectedUntil: 100}, 1, Idempotent, false},
+		"non-idempotent task after the ejection":       {nodeHealth{failures: 1, ejectedUntil: 100}, 0, NonIdempotent, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node := newTrackedNode(1)
 			node.health, node.tasks.unansweredAttempts = test.health, test.unanswered
 			if got := newTestDetector().permits(100, &Class{Idempotency: test.idempotency}, node); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("attempt on the node is permitted: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -142,15 +142,15 @@
 
 func TestEjectedNodesAreUsedIfTooFewAreHealthy(t *testing.T) {
 	for name, test := range map[string]struct {
-		ready, ejected, draining int // numbers of nodes
-		want                     bool
+		healthy, ejected, draining int // numbers of healthy, ejected and draining nodes
+		want                       bool
 	}{
-		"all healthy":                    {4, 0, 0, false},
-		"a quarter of them healthy":      {1, 3, 0, false},
-		"fewer than a quarter healthy":   {1, 4, 0, true},
-		"draining nodes are not counted": {1, 3, 9, false},
-		"no nodes":                       {0, 0, 0, false},
-		"ejected nodes only":             {0, 1, 0, true},
+		"all ready nodes are healthy":                         {4, 0, 0, false},
+		"a quarter of the ready nodes are healthy":            {1, 3, 0, false},
+		"fewer than a quarter of the ready nodes are healthy": {1, 4, 0, true},
+		"draining nodes are not counted":                      {1, 3, 9, false},
+		"there are no nodes":                                  {0, 0, 0, false},
+		"all ready nodes are ejected":                         {0, 1, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var nodes []*trackedNode
@@ -161,11 +161,11 @@
 					nodes = append(nodes, node)
 				}
 			}
-			add(test.ready, Ready, nodeHealth{})
+			add(test.healthy, Ready, nodeHealth{})
 			add(test.ejected, Ready, nodeHealth{failures: 1, ejectedUntil: 101})
 			add(test.draining, Draining, nodeHealth{})
 			if got := newTestDetector().tooFewHealthy(100, &Class{}, nodes); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("too few nodes are healthy: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -21,7 +21,7 @@
 			config := testConfig()
 			invalidate(&config)
 			if _, err := New(config, 1); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got error %v, want an error that contains %q", err, want)
+				t.Errorf("New returned error %v, want an error that contains %q", err, want)
 			}
 		})
 	}
@@ -33,14 +33,14 @@
 		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
 		actions := endAttempt(placer, 100.5, sent, result, NoReason)
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Errorf("after result %d: got actions %+v, want only Fail and no attempt", result, actions)
+			t.Errorf("after an attempt with result %d: got actions %+v, want one Fail, no Reject and no attempt", result, actions)
 		}
 	}
 	for _, result := range []Result{Rejected, Unreachable, Expired} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
 		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
 		if actions := endAttempt(placer, 100.5, sent, result, WrongNode); len(actionsOfKind(actions, StartAttempt)) != 1 {
-			t.Errorf("after result %d, which proves that the task did not start: got actions %+v, want another attempt", result, actions)
+			t.Errorf("after an attempt with result %d, which proves that the task did not start: got actions %+v, want another attempt", result, actions)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 		if (retried.Node-1)/3 != (sent.Node-1)/3 {
 			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt", seed)
 		}
-		actions := endAttempt(placer, 104.2, retried, Rejected, InsufficientCores) // the deduplication window of 4 s has ended
+		actions := endAttempt(placer, 104.2, retried, Rejected, InsufficientCores) // DedupWindow has ended
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Fatalf("seed %d: after the deduplication window: got actions %+v, want only Fail and no attempt", seed, actions)
+			t.Fatalf("seed %d: after the deduplication window: got actions %+v, want one Fail, no Reject and no attempt", seed, actions)
 		}
 	}
 }
@@ -70,13 +70,13 @@
 		invalidate(&task)
 		actions := arrive(placer, 100.1, task)
 		if len(actionsOfKind(actions, StartAttempt)) != 0 || len(actionsOfKind(actions, Reject)) != 1 {
-			t.Errorf("invalid task %d: got actions %+v, want only Reject and no attempt", i, actions)
+			t.Errorf("invalid task %d: got actions %+v, want one Reject and no attempt", i, actions)
 		}
 	}
 }
 
-// If nodes answer only when a task starts, a slow start must not be taken for an unresponsive node. The
-// timeout must not depend on the learned answer times.
+// If nodes answer only when a task starts, a late answer may mean that the task takes long to start. It must
+// not be taken as a sign of an unresponsive node. The timeout must not depend on the learned answer times.
 func TestAttemptTimeoutIfAcknowledgedOnStart(t *testing.T) {
 	config := testConfig()
 	config.NodeBehavior.AcknowledgesOnStart = true
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -11,11 +11,12 @@
 	"testing"
 )
 
-// maxPolicyLineWidth is the maximum number of characters in a line of a policy file, where a tab counts as
-// four.
+// maxPolicyLineWidth is the maximum number of characters in a line of a policy file. A tab counts as four.
+// The policy files contain all decisions and tunable constants of the package, and deploy/balancer.toml lists
+// them.
 const maxPolicyLineWidth = 110
 
-// policyFiles returns the paths of the files that deploy/balancer.toml lists as the policy.
+// policyFiles returns the paths of the policy files, which deploy/balancer.toml lists in its policy line.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -47,14 +48,14 @@
 	}
 }
 
-// TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. In all
-// other files of the package, the only numbers are 0 and 1, and the only constants are enumerations.
+// TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. Other
+// files of the package may contain only the numbers 0 and 1, and only constants that form an enumeration.
 func TestOnlyPolicyFilesContainTunableValues(t *testing.T) {
 	isPolicy := map[string]bool{}
 	for _, file := range policyFiles(t) {
 		isPolicy[filepath.Base(file)] = true
 		if filepath.Dir(file) != filepath.Join("..", "placer") {
-			t.Errorf("policy file %s is not in package placer", file)
+			t.Errorf("deploy/balancer.toml lists %s in its policy line, but the file is not in package placer", file)
 		}
 	}
 	files, err := filepath.Glob("*.go")
@@ -66,7 +67,7 @@
 			continue
 		}
 		for _, position := range findTunableValues(t, file) {
-			t.Errorf("%s: a tunable value must be in a policy file", position)
+			t.Errorf("%s: a tunable value must be in a file that the policy line of deploy/balancer.toml lists", position)
 		}
 	}
 }
@@ -123,12 +124,12 @@
 		source string
 		want   int
 	}{
-		"enumeration":    {"const (\n\ta = iota + 1\n\tb\n)", 0},
-		"zero and one":   {"var a = 0 + 1", 0},
-		"constant":       {"const a = 1", 1},
-		"float":          {"var a = 0.5", 1},
-		"large number":   {"func f() int { return 3 }", 1},
-		"typed constant": {"const a float64 = 1e3", 2},
+		"enumeration with iota":    {"const (\n\ta = iota + 1\n\tb\n)", 0},
+		"numbers zero and one":     {"var a = 0 + 1", 0},
+		"constant without iota":    {"const a = 1", 1},
+		"floating-point number":    {"var a = 0.5", 1},
+		"integer greater than one": {"func f() int { return 3 }", 1},
+		"constant with a type":     {"const a float64 = 1e3", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "source.go")
@@ -136,7 +137,7 @@
 				t.Fatal(err)
 			}
 			if found := findTunableValues(t, file); len(found) != test.want {
-				t.Errorf("found values at %v, want %d values", found, test.want)
+				t.Errorf("findTunableValues returned the positions %v, want %d positions", found, test.want)
 			}
 		})
 	}
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -22,13 +22,13 @@
 		allowsOnOtherRack bool
 		safeToReject      bool
 	}{
-		"known outcome":            {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
-		"not idempotent":           {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
-		"idempotent":               {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
-		"by key, rack domain":      {idempotentByKey(RackDomain), false, 108.9, true, true, false, false},
-		"by key, cluster domain":   {idempotentByKey(ClusterDomain), false, 108.9, true, true, true, true},
-		"by key, node domain":      {idempotentByKey(NodeDomain), false, 108.9, true, false, false, false},
-		"by key, window has ended": {idempotentByKey(ClusterDomain), false, 109, false, false, false, true},
+		"no attempt with unknown outcome":                             {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
+		"task class is not idempotent":                                {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
+		"task class is idempotent":                                    {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
+		"task class is idempotent by key, DedupDomain is the rack":    {idempotentByKey(RackDomain), false, 108.9, true, true, false, false},
+		"task class is idempotent by key, DedupDomain is the cluster": {idempotentByKey(ClusterDomain), false, 108.9, true, true, true, true},
+		"task class is idempotent by key, DedupDomain is the node":    {idempotentByKey(NodeDomain), false, 108.9, true, false, false, false},
+		"task class is idempotent by key, DedupWindow has ended":      {idempotentByKey(ClusterDomain), false, 109, false, false, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
@@ -40,10 +40,10 @@
 				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allows)
 			}
 			if got := rule.safeToReject(request); got != test.safeToReject {
-				t.Errorf("safe to reject: got %v, want %v", got, test.safeToReject)
+				t.Errorf("the request may be answered with Reject: got %v, want %v", got, test.safeToReject)
 			}
 			if test.knownOutcome {
-				return // after a known outcome, allowsOn is not called
+				return // allowsOn is called only after an unknown outcome
 			}
 			if got := rule.allowsOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
 				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.allowsOnSameRack)
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// randomScript sends a seeded sequence of random but possible events to a Placer. It checks each action
-// against the five placement rules: final answers (1), retries (2), node states (3), slow start (4) and
-// spread (5).
+// randomScript sends a seeded random sequence of events to a Placer. It sends only events that can occur in
+// practice. It checks each action against the five placement rules, which are the rules on final answers (1),
+// retries (2), node states (3), slow start (4) and spread (5).
 type randomScript struct {
 	t                 *testing.T
 	config            Config
@@ -26,23 +26,26 @@
 	correlatedFaults  bool
 }
 
+// scheduledTimer is a timer that the Placer has started and that has not fired.
 type scheduledTimer struct {
 	firesAt Seconds
 	token   uint64
 }
 
+// sentAttempt is an attempt that the Placer has started.
 type sentAttempt struct {
 	node               Node
 	sentAt, timesOutAt Seconds
 	outstanding, bound bool
-	mayHaveRun         bool
+	mayHaveRun         bool // the attempt failed, but the task may have started
 }
 
+// taskState is a task that was requested or found running, with its attempts.
 type taskState struct {
 	Task
 	attempts []*sentAttempt
 	done     bool
-	answers  int // number of final answers for the request
+	answers  int // number of final answers that the client received
 }
 
 func (script *randomScript) handleEvent(event Event) {
@@ -51,13 +54,13 @@
 	}
 }
 
-// fail ends the test with a message that contains the action that violated a rule.
+// fail ends the test. The message contains the time and the action that violated a rule.
 func (script *randomScript) fail(action Action, format string, args ...any) {
 	script.t.Helper()
 	script.t.Fatalf("at the time %.3f, action %+v: %s", script.now, action, fmt.Sprintf(format, args...))
 }
 
-// check checks an action against the rules and carries it out.
+// check checks an action against the placement rules and carries it out.
 func (script *randomScript) check(action Action) {
 	script.actionLog = append(script.actionLog, fmt.Sprintf("%.3f %+v", script.now, action))
 	switch action.Kind {
@@ -69,16 +72,16 @@
 	}
 	task := script.tasks[action.Task]
 	if task == nil {
-		script.fail(action, "the task of the action does not exist")
+		script.fail(action, "the action is for a task that was never requested")
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
-			script.fail(action, "migration of a task that is not bound")
+			script.fail(action, "the task to migrate is not bound to a node")
 		}
 		return
 	}
 	if task.done || task.answers > 0 {
-		script.fail(action, "rule 1 (final answer): the request is already done")
+		script.fail(action, "rule 1 (final answers): the request is already done")
 	}
 	for _, attempt := range task.attempts {
 		if attempt.outstanding && action.Kind != Fail {
@@ -107,13 +110,13 @@
 	task.answers++
 	task.done = true
 	if script.now > task.Deadline+script.config.Attempts.AnswerGrace {
-		script.fail(action, "rule 1 (final answer): the answer is %.3f s after the deadline", script.now-task.Deadline)
+		script.fail(action, "rule 1 (final answers): the answer is sent %.3f s after the deadline", script.now-task.Deadline)
 	}
 	class := script.config.Classes[task.Class]
 	dedupInCluster := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
 	rejectIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
 	if action.Kind == Reject && task.unknownOutcome() != nil && rejectIsUnsafe {
-		script.fail(action, "rule 2 (retries): Reject after an unknown outcome")
+		script.fail(action, "rule 2 (retries): a task that may be running is rejected, and a second copy would be unsafe")
 	}
 }
 
@@ -123,12 +126,12 @@
 	if unknown := task.unknownOutcome(); unknown != nil {
 		outsideDedup := node.Rack != unknown.node.Rack || script.now > unknown.sentAt+class.DedupWindow
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && outsideDedup {
-			script.fail(action, "rule 2 (retries): attempt after an unknown outcome")
+			script.fail(action, "rule 2 (retries): another attempt is made although the task may be running")
 		}
 	}
 	wrongType := class.NodeType >= 0 && class.NodeType != node.NodeType
 	if node.State != Ready || len(task.attempts) >= script.config.Attempts.Max || wrongType {
-		script.fail(action, "rule 3 (node state), maximum number of attempts or node type violated on node %+v", node)
+		script.fail(action, "rule 3 (node states): node not ready, too many attempts or wrong node type; the node is %+v", node)
 	}
 	if node.StartedAt > 0 && script.now-node.StartedAt < script.config.SlowStart.Duration {
 		script.checkSlowStart(action, node)
@@ -139,7 +142,7 @@
 	task.attempts = append(task.attempts, &sentAttempt{node: node, sentAt: script.now, timesOutAt: action.Until, outstanding: true})
 }
 
-// checkSlowStart checks an attempt on a warming node against the slow-start rule (rule 4).
+// checkSlowStart checks an attempt on a node in slow start against the slow-start rule (rule 4).
 func (script *randomScript) checkSlowStart(action Action, node Node) {
 	count := 1
 	for _, at := range script.slowStartAttempts[node.ID] {
@@ -148,7 +151,7 @@
 		}
 	}
 	if float64(count) > math.Ceil(script.config.SlowStart.MaxAttempts/float64(script.config.Peers.Total)) {
-		script.fail(action, "rule 4 (slow start): %d attempts on the node within the overload window", count)
+		script.fail(action, "rule 4 (slow start): this scheduler made %d attempts on the node within the overload window", count)
 	}
 	script.slowStartAttempts[node.ID] = append(script.slowStartAttempts[node.ID], script.now)
 }
@@ -167,7 +170,7 @@
 		}
 	}
 	if count > class.MaxPerDomain {
-		script.fail(action, "rule 5 (spread): %d tasks of the service in one domain", count)
+		script.fail(action, "rule 5 (spread): the domain would have %d tasks of the service", count)
 	}
 }
 
@@ -203,7 +206,7 @@
 			script.handleEvent(Event{Kind: Withdrawn, TaskID: id})
 		}
 		if !state.done && script.now > state.Deadline+script.config.Attempts.AnswerGrace {
-			script.t.Fatalf("rule 1 (final answer): task %d has no final answer after its deadline", id)
+			script.t.Fatalf("rule 1 (final answers): the request for task %d has no final answer after its deadline", id)
 		}
 	}
 	if script.rng.IntN(8) == 0 {
@@ -268,8 +271,8 @@
 	}
 }
 
-// addTask requests a random task. In one of ten cases, it instead reports that the task was found running on
-// a node.
+// addTask requests the placement of a random task. In one of ten cases, it instead reports that the task was
+// found running on a node.
 func (script *randomScript) addTask(id TaskID) {
 	task := Task{ID: id, Class: script.rng.IntN(len(script.config.Classes)), Service: ServiceID(script.rng.IntN(9)),
 		Cores: script.rng.Float64() * 3, Memory: script.rng.Float64() * 6,
@@ -343,9 +346,9 @@
 	script.taskOrder = kept
 }
 
-// injectCorrelatedFault injects a fault that affects many nodes at once. Either all nodes of one type
-// restart, or the state of a third of the nodes advances: ready nodes drain, and draining nodes terminate and
-// are replaced by new nodes that warm up.
+// injectCorrelatedFault injects a fault that affects many nodes at once. In half of the cases, all nodes of
+// one type restart. In the other half, a third of the nodes change their state: ready nodes start to drain,
+// and draining nodes terminate and are replaced by new nodes in slow start.
 func (script *randomScript) injectCorrelatedFault() {
 	var affected []Node
 	nodeType, firstIndex := script.rng.IntN(2), script.rng.IntN(3)
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// runRandomScript runs a random script on nine nodes and returns the actions.
+// runRandomScript runs a random script with nine nodes and returns a text line for each action.
 func runRandomScript(t *testing.T, seed uint64, steps int) []string {
 	t.Helper()
 	return runRandomScriptOnNodes(t, seed, steps, testConfig(), 9, false)
 }
 
-// runRandomScriptOnNodes runs a random script with the given configuration and returns the actions.
+// runRandomScriptOnNodes runs a random script with the given configuration and number of nodes. It returns a
+// text line for each action.
 func runRandomScriptOnNodes(t *testing.T, seed uint64, steps int, config Config, nodeCount int, withFaults bool) []string {
 	t.Helper()
 	config.Peers.Self, config.Discovery.MustPoll = int(seed%2), seed%3 == 0
@@ -34,22 +35,22 @@
 		script.step(i)
 	}
 	if held := len(script.placer.requests.byID); held > len(script.taskOrder)+1 {
-		t.Fatalf("the Placer keeps %d requests, but only %d tasks are still open", held, len(script.taskOrder))
+		t.Fatalf("the Placer keeps %d requests, but the script has only %d tasks", held, len(script.taskOrder))
 	}
 	return script.actionLog
 }
 
-// requireEnoughAttempts fails the test if a script led to so few attempts that the rules were hardly tested.
+// requireEnoughAttempts fails the test if a script led to too few attempts to test the rules.
 func requireEnoughAttempts(t *testing.T, seed uint64, log []string) {
 	t.Helper()
 	attempts := 0
 	for _, line := range log {
-		if strings.Contains(line, "{Kind:1 ") {
+		if strings.Contains(line, "{Kind:1 ") { // the kind StartAttempt has the value 1
 			attempts++
 		}
 	}
 	if attempts < 300 {
-		t.Fatalf("seed %d: only %d attempts were made, want at least 300 to test the rules", seed, attempts)
+		t.Fatalf("seed %d: the script led to only %d attempts, want at least 300 to test the rules", seed, attempts)
 	}
 }
 
@@ -59,7 +60,8 @@
 	}
 }
 
-// The rules must also hold with many schedulers, small shares of the warmup attempts and correlated faults.
+// The rules must also hold if many schedulers each have a small share of the attempts on nodes in slow start,
+// and if faults affect many nodes at once.
 func TestRulesHoldOnManyNodes(t *testing.T) {
 	for seed := range uint64(6) {
 		config := testConfig()
@@ -71,6 +73,6 @@
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	first, second := runRandomScript(t, 5, 5000), runRandomScript(t, 5, 5000)
 	if !reflect.DeepEqual(first, second) {
-		t.Fatal("two runs with the same seed gave different actions")
+		t.Fatal("the Placer returned different actions in two runs with the same seed")
 	}
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -14,7 +14,7 @@
 	const runs = 3000
 	for seed := range runs {
 		nodes := testNodes(6)
-		for i := range nodes { // the free share increases from node 1 to node 6
+		for i := range nodes { // the free fraction of the capacity increases from node 1 to node 6
 			share := float64(i+1) / 8
 			size := float64(16 * (nodes[i].NodeType + 1))
 			nodes[i].FreeCores, nodes[i].FreeMemory = size*share, size*2*share
@@ -23,18 +23,18 @@
 		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
 		second := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
 		if second.Node > sent.Node {
-			t.Fatalf("seed %d: the first attempt was made on node %d, the second on the emptier node %d", seed, sent.Node, second.Node)
+			t.Fatalf("seed %d: the first attempt was made on node %d, and the second on the emptier node %d", seed, sent.Node, second.Node)
 		}
 		firstAttemptCounts[sent.Node]++
 		pairCounts[sent.Node]++
 		pairCounts[second.Node]++
 	}
-	for id := NodeID(1); id <= 6; id++ { // each node must be in a third of the pairs
+	for id := NodeID(1); id <= 6; id++ { // 2 of 6 nodes are in each pair, so each node must be in a third of the pairs
 		if got := float64(pairCounts[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
-			t.Errorf("node %d is in a fraction of %.3f of the pairs, want about 0.333", id, got)
+			t.Errorf("the fraction of pairs that contain node %d is %.3f, want about 0.333", id, got)
 		}
 		if want := float64(id-1) / 15 * runs; math.Abs(float64(firstAttemptCounts[id])-want) > 0.04*runs {
-			t.Errorf("node %d was attempted first %d times, want about %.0f", id, firstAttemptCounts[id], want)
+			t.Errorf("the first attempt was made on node %d in %d runs, want about %.0f", id, firstAttemptCounts[id], want)
 		}
 	}
 }
@@ -51,18 +51,18 @@
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBoundTask: true})
 	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
-		t.Error("a bind within the contender window of 2 s does not count as a contender")
+		t.Error("a task does not count as a contender within the contender window of 2 s after it was bound")
 	}
 	if placer.selector.contenders(102.1, placer.nodes.byID[1]) != 0 {
-		t.Error("a bind older than the contender window of 2 s counts as a contender")
+		t.Error("a task still counts as a contender after the contender window of 2 s")
 	}
 	placer.nodes.byID[1].load.dropOldChanges(102.1) // the filter does the same when it evaluates a node
 	placer.requests.unansweredRequests = 12
 	if limit := placer.selector.contenderLimit(6); limit != 4 {
-		t.Errorf("contender limit is %v for 12 pending requests on 6 nodes, want 4", limit)
+		t.Errorf("contender limit is %v for 12 unanswered requests and 6 candidates, want 4", limit)
 	}
 	if limit := placer.selector.contenderLimit(60); limit != 1 {
-		t.Errorf("contender limit is %v for 12 pending requests on 60 nodes, want the minimum of 1", limit)
+		t.Errorf("contender limit is %v for 12 unanswered requests and 60 candidates, want the minimum of 1", limit)
 	}
 }
 
@@ -71,18 +71,19 @@
 	sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
 	retried := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
 	if retried.Node == sent.Node {
-		t.Fatal("the second attempt was made on the node that rejected the first")
+		t.Fatal("the second attempt was made on the node that rejected the first attempt")
 	}
 	actions := endAttempt(placer, 100.3, retried, Rejected, InsufficientCores)
 	timers := actionsOfKind(actions, SetTimer)
 	if len(actionsOfKind(actions, StartAttempt)) != 0 || len(timers) != 1 || timers[0].After < 0.5 || timers[0].After > 1.5 {
-		t.Fatalf("want only a timer of about 1 s and no attempt, got actions %+v", actions)
+		t.Fatalf("got actions %+v, want one timer of about 1 s and no attempt", actions)
 	}
 	startedAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
 }
 
-// A cold start takes several times as long as a start on a node that runs the service. The selector must
-// therefore prefer nodes with the cached program, unless cold starts are known to be fast.
+// A cold start takes several times as long as a start on a node that has the program of the service in its
+// cache. The selector must therefore prefer nodes with the cached program, unless cold starts are known to be
+// fast.
 func TestNodesWithCachedProgramArePreferred(t *testing.T) {
 	runsOnProgramNode := 0
 	for seed := range 100 {
@@ -93,18 +94,18 @@
 		}
 	}
 	if runsOnProgramNode < 95 {
-		t.Fatalf("the node that runs the service was chosen in %d of 100 runs, want at least 95", runsOnProgramNode)
+		t.Fatalf("the node with the cached program was chosen in %d of 100 runs, want at least 95", runsOnProgramNode)
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts are far faster than the latency objective
+	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts take 0.1 s
 	if placer.latency.coldStartsAreSlow(0) {
 		t.Fatal("cold starts of 0.1 s count as slow for a latency objective of 1 s")
 	}
 }
 
-// The tasks of a service arrive in batches, so no task of the service runs yet when the second one arrives.
-// Unanswered attempts must count as a sign of the cached program, and the program must count as cached after
-// its last task.
+// The tasks of a service arrive in batches. When the second task of a batch arrives, the first one does not
+// run yet, but its unanswered attempt must already count as a sign that the node has the program. The program
+// must still count as cached after the last task of the service has ended.
 func TestUnansweredAttemptsAndEndedTasksImplyCachedProgram(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
 	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 1, 0)))
@@ -117,35 +118,35 @@
 		endAttempt(placer, 101, sent, Finished, NoReason)
 	}
 	if !placer.nodes.byID[sent.Node].tasks.hasProgram(1) {
-		t.Fatal("the program does not count as cached after its last task")
+		t.Fatal("the program does not count as cached after the last task of the service has ended")
 	}
 }
 
 // If many requests wait, capacity that becomes free should go to requests that are within their latency
-// objective. Late requests must therefore draw new nodes less often.
+// objective. Requests that have missed it must therefore draw new nodes less often.
 func TestLateRequestsRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	timers := actionsOfKind(arrive(placer, 100.1, newTestTask(1, 0)), SetTimer)
-	timer := timers[len(timers)-1] // the first timer is for the deadline
+	timer := timers[len(timers)-1] // the last timer is for the next draw
 	inTimeWait := timer.After
 	now, lateWait := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += timer.After
 		newTimers := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
 		if len(newTimers) != 1 {
-			t.Fatalf("at the time %.2f: want one timer, got %+v", now, newTimers)
+			t.Fatalf("at the time %.2f: got timers %+v, want one timer for the next draw", now, newTimers)
 		}
 		timer, lateWait = newTimers[0], newTimers[0].After
 	}
 	if inTimeWait > 0.3 || lateWait < 2*inTimeWait {
-		t.Fatalf("wait is %.2f s before and %.2f s after the latency objective, want at most 0.30 s before and at least twice as much after", inTimeWait, lateWait)
+		t.Fatalf("wait before the next draw is %.2f s within and %.2f s after the latency objective, want at most 0.30 s within and at least twice as much after", inTimeWait, lateWait)
 	}
 }
 
-// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. All schedulers
-// must prefer the same nodes, because otherwise every start would be a cold start.
+// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. If the schedulers
+// did not all prefer the same nodes, almost every start would be a cold start.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total, config.Peers.StickyServices = 300, false
@@ -177,16 +178,16 @@
 	return ids
 }
 
-// prefer filters the slice of its caller in place. A second call on the same slice therefore uses the
-// contents that the first call left.
+// prefer filters the slice of its caller in place. The test verifies the result and the contents of the
+// caller's slice after the call, because the selector uses this slice again.
 func TestPreferFiltersCandidatesInPlace(t *testing.T) {
 	for name, test := range map[string]struct {
 		saturated  []NodeID
 		want, left []NodeID
 	}{
-		"all preferred":  {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
-		"none preferred": {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
-		"some preferred": {[]NodeID{1, 3}, []NodeID{2, 4}, []NodeID{2, 4, 3, 4}},
+		"all candidates are preferred":         {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"no candidate is preferred":            {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
+		"two of four candidates are preferred": {[]NodeID{1, 3}, []NodeID{2, 4}, []NodeID{2, 4, 3, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidates := newCandidates(4)
@@ -194,10 +195,10 @@
 				candidates[id-1].saturationExcess = 0.1
 			}
 			if got := candidateIDs(prefer(candidates, (*candidate).belowSaturation)); !slices.Equal(got, test.want) {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("prefer returned the nodes %v, want %v", got, test.want)
 			}
 			if got := candidateIDs(candidates); !slices.Equal(got, test.left) {
-				t.Errorf("the slice contains %v after the call, want %v", got, test.left)
+				t.Errorf("the caller's slice contains the nodes %v after the call, want %v", got, test.left)
 			}
 		})
 	}
@@ -213,9 +214,9 @@
 		peers Peers
 		want  []NodeID
 	}{
-		"few peers":       {Peers{Total: 4}, []NodeID{2, 5}},
-		"many peers":      {Peers{Total: 5}, []NodeID{2, 5, hashed[0], hashed[1]}},
-		"sticky services": {Peers{Total: 5, StickyServices: true}, []NodeID{2, 5}},
+		"4 schedulers, nodes not chosen by hash":         {Peers{Total: 4}, []NodeID{2, 5}},
+		"5 schedulers, 2 nodes chosen by hash":           {Peers{Total: 5}, []NodeID{2, 5, hashed[0], hashed[1]}},
+		"all tasks of a service arrive at one scheduler": {Peers{Total: 5, StickyServices: true}, []NodeID{2, 5}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidates := newCandidates(6)
@@ -223,7 +224,7 @@
 			candidates[4].node.tasks.attemptSent(&attempt{request: &placementRequest{Task: Task{Service: service}}})
 			testSelector := &selector{peers: test.peers}
 			if got := candidateIDs(testSelector.programNodesFirst(service, candidates)); !slices.Equal(got, test.want) {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("programNodesFirst returned the nodes %v, want %v", got, test.want)
 			}
 			all := candidateIDs(candidates)
 			slices.Sort(all)
@@ -244,10 +245,11 @@
 	}
 }
 
-// The selector filters the preferred nodes in the slice that holds all candidates. If some preferred nodes
-// are saturated and the others have too many contenders, some nodes may be missing from this slice and others
-// may appear twice in the second draw. docs/ROADMAP.md lists this as a known fault. A correction would change
-// placements, so the test fixes the nodes that are drawn with 60 seeds.
+// This test records a known fault, which docs/ROADMAP.md lists. The first draw of a request is from the nodes
+// with the cached program, and it overwrites part of the slice of all candidates if some of these nodes are
+// saturated. If the other nodes with the program have too many contenders, the selector draws again from the
+// overwritten slice, in which some nodes are missing and others appear twice. A correction of the fault would
+// change placements. The test therefore compares the drawn nodes with those recorded for 60 seeds.
 func TestSecondDrawUsesReorderedCandidates(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
@@ -255,16 +257,16 @@
 		config := testConfig()
 		config.Overcommit = Overcommit{Cores: 4, Memory: 4}
 		nodes := testNodes(7)
-		nodes[0].FreeCores = -16 // the cores are saturated, but overcommit leaves capacity
+		nodes[0].FreeCores = -16 // the cores are saturated, but overcommit allows more tasks
 		nodes[3].FreeCores, nodes[3].FreeMemory = 1, 1
 		placer := newTestPlacer(t, config, seed, nodes)
-		for i := range 3 { // the nodes 1 to 3 have the cached program
+		for i := range 3 { // nodes 1 to 3 have the cached program
 			adoptTask(placer, TaskID(900+i), NodeID(i+1), 0)
 		}
 		placer.nodes.byID[2].tasks.unansweredAttempts, placer.nodes.byID[3].tasks.unansweredAttempts = 50, 50
 		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
 	}
 	if got.String() != want {
-		t.Errorf("drawn nodes, one digit for each seed:\n got %s\nwant %s", got.String(), want)
+		t.Errorf("the nodes of the first attempts differ (one digit for each seed):\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -11,14 +11,14 @@
 type simNode struct {
 	placer.Node
 	requestedCores, requestedMemory float64
-	broken                          bool
-	removed                         bool
+	broken                          bool // the node never starts a task
+	removed                         bool // node lists do not contain the node
 }
 
-func (sim *simulation) addNode(since placer.Seconds) {
+func (sim *simulation) addNode(startedAt placer.Seconds) {
 	sim.nextNode += 7
 	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.script.zones), Rack: sim.rng.IntN(sim.script.racks),
-		NodeType: sim.rng.IntN(len(sim.script.config.NodeTypes)), State: placer.Ready, StartedAt: since}}
+		NodeType: sim.rng.IntN(len(sim.script.config.NodeTypes)), State: placer.Ready, StartedAt: startedAt}}
 	if sim.withProbability(0.03) {
 		node.NodeType = 9 // the configuration has no such node type
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// changeRandomNode changes one node, which then drains, terminates, restarts, breaks, recovers or is
-// replaced.
+// changeRandomNode changes a random node. The change may start to drain, terminate, restart, break, repair,
+// replace or temporarily remove the node.
 func (sim *simulation) changeRandomNode() {
 	sim.schedule(sim.script.churnInterval*(0.5+sim.randomSecond()), sim.changeRandomNode)
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
@@ -107,8 +107,8 @@
 	}
 }
 
-// removeTemporarily removes a node from the node list. It lists the node again, unchanged, at about the time
-// at which the Placer evicts the record of the node.
+// removeTemporarily removes a node from the node list. The node is listed again, unchanged, at about the time
+// at which the Placer evicts its record of the node.
 func (sim *simulation) removeTemporarily(node *simNode) {
 	if node.removed || node.State != placer.Ready {
 		return
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -9,8 +9,8 @@
 // simTask is a simulated task with its attempts.
 type simTask struct {
 	task     placer.Task
-	nodes    []*simNode // node of each attempt
-	ended    []bool     // whether each attempt has ended
+	nodes    []*simNode // for each attempt, its node
+	ended    []bool     // for each attempt, whether it has ended
 	bound    bool
 	lifetime placer.Seconds
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// invalidate makes a task invalid, or sets its requested capacity to zero.
+// invalidate makes a task invalid. In one of nine cases, it instead sets the requested capacity to zero.
 func (sim *simulation) invalidate(task *placer.Task) {
 	switch sim.rng.IntN(9) {
 	case 0:
@@ -193,7 +193,7 @@
 	event := placer.Event{Kind: placer.Bound, TaskID: task.task.ID, Attempt: attempt, Node: node.ID, Elapsed: elapsed}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
-		sim.handle(event) // repeated
+		sim.handle(event) // the event is repeated
 	}
 	for kind := placer.Started; kind <= placer.NodeMemory; kind++ {
 		if sim.withProbability(0.5) {
@@ -231,6 +231,6 @@
 		Elapsed: 0.1, Final: final, Report: sim.report(node)}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
-		sim.handle(event) // repeated
+		sim.handle(event) // the event is repeated
 	}
 }
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -53,7 +53,7 @@
 	byID        map[placer.TaskID]*simTask
 	nextNode    placer.NodeID
 	nextTask    placer.TaskID
-	subscribed  bool
+	subscribed  bool // the Placer receives node lists without a request
 	digest      hash.Hash
 	events      int
 	actions     [8]int // number of actions by kind
@@ -108,13 +108,13 @@
 	return sim.rng.Float64() < probability
 }
 
-// handle passes an event to the Placer, adds the resulting actions to the digest and performs them.
+// handle passes an event to the Placer. It adds the resulting actions to the digest and performs them.
 func (sim *simulation) handle(event placer.Event) {
 	sim.handleAt(sim.now, event)
 }
 
 func (sim *simulation) handleAt(now placer.Seconds, event placer.Event) {
-	prefix := placer.Action{Kind: 99, Token: uint64(sim.events)} // Handle must not change this first action
+	prefix := placer.Action{Kind: 99, Token: uint64(sim.events)} // Handle must keep this action in the slice
 	sim.buffer = sim.placer.Handle(now, event, append(sim.buffer[:0], prefix))
 	sim.digestActions()
 	sim.events++
@@ -170,8 +170,8 @@
 	}
 }
 
-// sendUnmatchedEvents sends events that refer to unknown tasks, attempts or timers. Their time is slightly
-// before that of the last event.
+// sendUnmatchedEvents regularly sends an event that refers to an unknown task, attempt or timer, or is of an
+// unknown kind. The time of the event is slightly before that of the previous event.
 func (sim *simulation) sendUnmatchedEvents() {
 	sim.schedule(0.5+sim.randomSecond(), sim.sendUnmatchedEvents)
 	id := placer.TaskID(1 + sim.rng.IntN(int(sim.nextTask)))
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -11,13 +11,13 @@
 	nodes := testNodes(1)
 	nodes[0].StartedAt = 98
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
-	requireNoAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)), "the scheduler has just started and its earlier attempts are unknown")
+	requireNoAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)), "the scheduler has just started and does not know its earlier attempts")
 	attemptCount := 0
 	for i := range 20 {
 		attemptCount += len(actionsOfKind(arrive(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
 	}
-	if attemptCount != 4 { // two schedulers share 8 attempts
-		t.Fatalf("%d attempts were made within an overload window, want the share of this scheduler, which is 4", attemptCount)
+	if attemptCount != 4 { // each of two schedulers may make half of 8 attempts
+		t.Fatalf("the scheduler made %d attempts within an overload window, want its share of 4", attemptCount)
 	}
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// maxCountInWindow returns the maximum number of times that lie within a window. The times must be in
-// ascending order.
+// maxCountInWindow returns the maximum number of the given times that lie within any window of the given
+// length. The times must be in ascending order.
 func maxCountInWindow(times []Seconds, window Seconds) int {
 	maxCount, first := 0, 0
 	for i, at := range times {
@@ -52,9 +52,9 @@
 	return maxCount
 }
 
-// The attempts of all schedulers together must not overload a warming node. The test has 300 schedulers with
-// uneven traffic, and two thirds of the nodes warm up at the same time. Nodes reject all attempts, and
-// schedulers restart.
+// The attempts of all schedulers together must not overload a node in slow start. The test has 300 schedulers
+// with uneven traffic. Two thirds of the nodes are in slow start at the same time. Nodes reject all attempts,
+// and schedulers restart at random.
 func TestAllSchedulersTogetherRespectMaxAttempts(t *testing.T) {
 	config := testConfig()
 	config.Peers = Peers{Total: 300}
@@ -92,18 +92,18 @@
 	}
 	for id, times := range sentAt {
 		if maxCount := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(maxCount) > config.SlowStart.MaxAttempts {
-			t.Errorf("%d attempts were made within an overload window on warming node %d, want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
+			t.Errorf("%d attempts were made within an overload window on node %d, which is in slow start, want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
 		}
 	}
 	if minAttempts := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(slowStartAttempts) < minAttempts {
-		t.Errorf("%d attempts were made on warming nodes in total, want at least %v", slowStartAttempts, minAttempts)
+		t.Errorf("%d attempts were made in total on nodes in slow start, want at least %v", slowStartAttempts, minAttempts)
 	}
 }
 
-// Thirty schedulers place tasks on one warming node. Two of the schedulers receive half of the traffic, and
-// every second scheduler restarts and loses its state. Within an overload window, they must not send more
-// than MaxAttempts attempts. If connection setup delays attempts, the number that arrives within a window may
-// exceed MaxAttempts by a random amount.
+// Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the traffic,
+// and every second scheduler restarts and loses its state. At most MaxAttempts attempts must arrive at the
+// node within an overload window. If connection setup delays attempts, they may arrive closer together than
+// they were sent, and the test allows a higher maximum.
 func TestThirtySchedulersOnOneNodeInSlowStart(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
@@ -116,7 +116,7 @@
 			random := rand.New(rand.NewPCG(7, 7))
 			var arrivals []Seconds
 			peers := make([]*Placer, config.Peers.Total)
-			connected := make([]Seconds, config.Peers.Total) // time at which the connection of each scheduler was established
+			connected := make([]Seconds, config.Peers.Total) // when each scheduler connected
 			restart := func(now Seconds, self, generation int) {
 				config.Peers.Self = self
 				peers[self], connected[self] = startPlacer(t, now, config, uint64(self+100*generation), nodes), 0
@@ -154,10 +154,10 @@
 				maxArrivals += 2*math.Sqrt(maxAttempts) + 2
 			}
 			if float64(maxCount) > maxArrivals {
-				t.Errorf("MaxAttempts %v, delayed connections %v: %d attempts arrived within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
+				t.Errorf("MaxAttempts is %v, connections are delayed: %v: %d attempts arrived within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
 			}
 			if float64(len(arrivals)) < 16*maxAttempts/4 {
-				t.Errorf("MaxAttempts %v, delayed connections %v: only %d attempts arrived in total", maxAttempts, delaysConnections, len(arrivals))
+				t.Errorf("MaxAttempts is %v, connections are delayed: %v: only %d attempts arrived in total, want at least 4 times MaxAttempts", maxAttempts, delaysConnections, len(arrivals))
 			}
 		}
 	}
@@ -168,11 +168,11 @@
 		attempts float64
 		peers    int
 	}{
-		"more attempts than peers":  {42, 30},
-		"fewer attempts than peers": {7, 300},
-		"one peer":                  {8, 1},
-		"divisible":                 {60, 20},
-		"no attempts":               {0, 3},
+		"more attempts than schedulers":              {42, 30},
+		"fewer attempts than schedulers":             {7, 300},
+		"only one scheduler":                         {8, 1},
+		"attempts divisible by number of schedulers": {60, 20},
+		"no attempts to share":                       {0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for id := range NodeID(20) {
@@ -190,33 +190,33 @@
 }
 
 func TestSlowStartRuleAllowsAttempts(t *testing.T) {
-	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // the window is 2.2 s
+	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // attempts are counted for 2.2 s
 	for name, test := range map[string]struct {
 		nodeStarted, schedulerStarted Seconds
 		attempts                      []Seconds
 		want                          bool
 	}{
-		"started long ago":              {0, 50, []Seconds{99, 99, 99}, true},
-		"has warmed up":                 {90, 50, []Seconds{99, 99, 99}, true},
-		"warming up":                    {95, 50, nil, true},
-		"below its share":               {95, 50, []Seconds{99}, true},
-		"share used up":                 {95, 50, []Seconds{98, 99}, false},
-		"old attempt outside window":    {95, 50, []Seconds{97, 97.7, 99}, true},
-		"scheduler has just started":    {95, 98, nil, false},
-		"scheduler started a while ago": {95, 97.7, nil, true},
-		"scheduler started first":       {98.5, 98, nil, true},
-		"both started at the same time": {98, 98, nil, true},
+		"node started long ago":                                  {0, 50, []Seconds{99, 99, 99}, true},
+		"node is no longer in slow start":                        {90, 50, []Seconds{99, 99, 99}, true},
+		"node in slow start without attempts":                    {95, 50, nil, true},
+		"fewer attempts than the share":                          {95, 50, []Seconds{99}, true},
+		"as many attempts as the share":                          {95, 50, []Seconds{98, 99}, false},
+		"one attempt older than the window":                      {95, 50, []Seconds{97, 97.7, 99}, true},
+		"scheduler started during slow start, within the window": {95, 98, nil, false},
+		"scheduler started during slow start, before the window": {95, 97.7, nil, true},
+		"scheduler started before the node":                      {98.5, 98, nil, true},
+		"scheduler and node started at the same time":            {98, 98, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rule := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStarted}
 			node := newTrackedNode(1)
 			node.StartedAt, node.slowStartAttempts = test.nodeStarted, test.attempts
 			if got := rule.allows(100, node); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("attempt on the node is allowed: got %v, want %v", got, test.want)
 			}
 			rule.attemptSent(100, node)
 			if kept := node.slowStartAttempts; rule.appliesTo(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
-				t.Errorf("times of recorded attempts are %v, want none before 97.8 and the last at 100", kept)
+				t.Errorf("attempts are recorded at the times %v, want none before 97.8 and the last at 100", kept)
 			}
 		})
 	}
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -11,20 +11,20 @@
 	occupiedNode, sameRackNode, sameZoneNode, otherZoneNode := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
 	for name, test := range map[string]struct {
 		domain   TopologyDomain
-		occupied *trackedNode // node on which two tasks of the service run
+		occupied *trackedNode // node that has two attempts for the service
 		node     *trackedNode
 		want     bool
 	}{
-		"no spread domain":           {NoDomain, occupiedNode, occupiedNode, true},
-		"same node":                  {NodeDomain, occupiedNode, occupiedNode, false},
-		"another node":               {NodeDomain, occupiedNode, sameRackNode, true},
-		"same rack":                  {RackDomain, occupiedNode, sameRackNode, false},
-		"another rack":               {RackDomain, occupiedNode, sameZoneNode, true},
-		"same zone":                  {ZoneDomain, occupiedNode, sameZoneNode, false},
-		"another zone":               {ZoneDomain, occupiedNode, otherZoneNode, true},
-		"cluster":                    {ClusterDomain, occupiedNode, otherZoneNode, false},
-		"tasks on an unlisted node":  {RackDomain, newTrackedNode(5), otherZoneNode, false},
-		"unlisted node, node domain": {NodeDomain, newTrackedNode(5), otherZoneNode, true},
+		"no limit for any domain":                      {NoDomain, occupiedNode, occupiedNode, true},
+		"limit per node, same node":                    {NodeDomain, occupiedNode, occupiedNode, false},
+		"limit per node, another node":                 {NodeDomain, occupiedNode, sameRackNode, true},
+		"limit per rack, same rack":                    {RackDomain, occupiedNode, sameRackNode, false},
+		"limit per rack, another rack":                 {RackDomain, occupiedNode, sameZoneNode, true},
+		"limit per zone, same zone":                    {ZoneDomain, occupiedNode, sameZoneNode, false},
+		"limit per zone, another zone":                 {ZoneDomain, occupiedNode, otherZoneNode, true},
+		"limit per cluster":                            {ClusterDomain, occupiedNode, otherZoneNode, false},
+		"limit per rack, rack of the tasks is unknown": {RackDomain, newTrackedNode(5), otherZoneNode, false},
+		"limit per node, rack of the tasks is unknown": {NodeDomain, newTrackedNode(5), otherZoneNode, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const service = 7
@@ -35,14 +35,14 @@
 			rule.add(first)
 			rule.add(second)
 			if got := rule.allows(class, service, test.node); got != test.want {
-				t.Errorf("another task is allowed beside two tasks: got %v, want %v", got, test.want)
+				t.Errorf("a third task of the service is allowed: got %v, want %v", got, test.want)
 			}
 			if !rule.allows(class, service+1, test.node) {
-				t.Error("tasks of another service count for the spread rule")
+				t.Error("the spread rule counts tasks of another service")
 			}
 			rule.remove(first)
 			if !rule.allows(class, service, test.node) {
-				t.Error("a task still counts for the spread rule after its end")
+				t.Error("the spread rule still counts a task after its end")
 			}
 			rule.remove(second)
 			if len(rule.attempts) != 0 {
