--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -92,7 +92,7 @@
 	for name, test := range map[string]struct {
 		free          float64 // free cores of the node; its free memory is twice this amount
 		report        Report
-		cores, memory float64 // ratios of used to requested cores and memory that the model must learn
+		cores, memory float64 // ratios of used to requested capacity that the model must learn
 	}{
 		"report contains only utilization":            {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
 		"report contains free cores and memory":       {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -96,9 +96,9 @@
 func TestPollIsRepeatedAfterFailureOrMissingList(t *testing.T) {
 	for name, test := range map[string]struct {
 		listedAt Seconds // time at which a node list arrives; 0 for never
-		failed   bool
-		at       Seconds
-		want     bool
+		failed   bool    // the poll fails
+		at       Seconds // time at which the timer fires
+		want     bool    // the poller must poll again
 	}{
 		"node list arrived recently":                       {101, false, 104.9, false},
 		"no node list for a third of the maximum interval": {101, false, 105.1, true},
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -23,7 +23,7 @@
 	timers            []scheduledTimer
 	slowStartAttempts map[NodeID][]Seconds
 	actionLog         []string
-	correlatedFaults  bool
+	correlatedFaults  bool // the script injects faults that affect many nodes at once
 }
 
 // scheduledTimer is a timer that the Placer has started and that has not fired.
