--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -4,45 +4,45 @@
 
 func TestSpreadRule(t *testing.T) {
 	node := func(id NodeID, rack, zone int) *trackedNode {
-		listed := newTrackedNode(id)
-		listed.listed, listed.Rack, listed.Zone = true, rack, zone
-		return listed
+		created := newTrackedNode(id)
+		created.listed, created.Rack, created.Zone = true, rack, zone
+		return created
 	}
-	running, rackNeighbor, zoneNeighbor, elsewhere := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
+	occupiedNode, sameRackNode, sameZoneNode, otherZoneNode := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
 	for name, test := range map[string]struct {
-		domain TopologyDomain
-		on     *trackedNode // node on which two tasks of the service run
-		node   *trackedNode
-		want   bool
+		domain   TopologyDomain
+		occupied *trackedNode // node that has two attempts for the service
+		node     *trackedNode
+		want     bool
 	}{
-		"no spread domain":           {NoDomain, running, running, true},
-		"same node":                  {NodeDomain, running, running, false},
-		"another node":               {NodeDomain, running, rackNeighbor, true},
-		"same rack":                  {RackDomain, running, rackNeighbor, false},
-		"another rack":               {RackDomain, running, zoneNeighbor, true},
-		"same zone":                  {ZoneDomain, running, zoneNeighbor, false},
-		"another zone":               {ZoneDomain, running, elsewhere, true},
-		"cluster":                    {ClusterDomain, running, elsewhere, false},
-		"tasks on an unlisted node":  {RackDomain, newTrackedNode(5), elsewhere, false},
-		"unlisted node, node domain": {NodeDomain, newTrackedNode(5), elsewhere, true},
+		"no limit for any domain":                      {NoDomain, occupiedNode, occupiedNode, true},
+		"limit per node, same node":                    {NodeDomain, occupiedNode, occupiedNode, false},
+		"limit per node, another node":                 {NodeDomain, occupiedNode, sameRackNode, true},
+		"limit per rack, same rack":                    {RackDomain, occupiedNode, sameRackNode, false},
+		"limit per rack, another rack":                 {RackDomain, occupiedNode, sameZoneNode, true},
+		"limit per zone, same zone":                    {ZoneDomain, occupiedNode, sameZoneNode, false},
+		"limit per zone, another zone":                 {ZoneDomain, occupiedNode, otherZoneNode, true},
+		"limit per cluster":                            {ClusterDomain, occupiedNode, otherZoneNode, false},
+		"limit per rack, rack of the tasks is unknown": {RackDomain, newTrackedNode(5), otherZoneNode, false},
+		"limit per node, rack of the tasks is unknown": {NodeDomain, newTrackedNode(5), otherZoneNode, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const service = 7
 			class := &Class{SpreadDomain: test.domain, MaxPerDomain: 2}
-			first := &attempt{node: test.on, request: &placementRequest{Task: Task{Service: service}}}
-			second := &attempt{node: test.on, request: &placementRequest{Task: Task{Service: service}}}
+			first := &attempt{node: test.occupied, request: &placementRequest{Task: Task{Service: service}}}
+			second := &attempt{node: test.occupied, request: &placementRequest{Task: Task{Service: service}}}
 			rule := newSpreadRule()
 			rule.add(first)
 			rule.add(second)
 			if got := rule.allows(class, service, test.node); got != test.want {
-				t.Errorf("another task is allowed beside two tasks: got %v, want %v", got, test.want)
+				t.Errorf("a third task of the service is allowed: got %v, want %v", got, test.want)
 			}
 			if !rule.allows(class, service+1, test.node) {
-				t.Error("tasks of another service count for the spread rule")
+				t.Error("the spread rule counts tasks of another service")
 			}
 			rule.remove(first)
 			if !rule.allows(class, service, test.node) {
-				t.Error("a task still counts for the spread rule after its end")
+				t.Error("the spread rule still counts a task after its end")
 			}
 			rule.remove(second)
 			if len(rule.attempts) != 0 {
