--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -48,11 +48,11 @@
 		note  string
 		ended bool
 	}{
-		{"drained", protocol.CauseReset, "drained", true},
-		{"evicted", protocol.CauseReset, "oom", true},
-		{"preempted", protocol.CauseReset, "preempted", true},
-		{"failed in transit", protocol.CauseReset, "", false},
-		{"full", protocol.CauseFull, "drained", false},
+		{"drained", protocol.CauseLost, "drained", true},
+		{"evicted", protocol.CauseLost, "oom", true},
+		{"preempted", protocol.CauseLost, "preempted", true},
+		{"failed in transit", protocol.CauseLost, "", false},
+		{"full", protocol.CauseNoCapacity, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
@@ -62,7 +62,7 @@
 
 			answers := messagesToClients(harness.receiveFromNode(attempt, msg))
 
-			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
+			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
 			bound := policy.received(placer.Bound)
 			if notified != test.ended || bound != test.ended || policy.lastEvent().Final != test.ended || record.answers != 1 {
 				t.Errorf("messages to clients %+v, placer was told that the task ran: %v, last event %+v", answers, bound, policy.lastEvent())
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -10,7 +10,7 @@
 const migrationConfirmTimeout placer.Seconds = 0.4
 
 // causeLost is the cause in notifications about tasks that were lost with their node.
-const causeLost = protocol.CauseReset
+const causeLost = protocol.CauseLost
 
 // taskController manages tasks from their start to their end. It changes the states of a request and its
 // attempt together and notifies the client. It has no state of its own.
