--- a/cmd/heathshed/platform.go
+++ b/cmd/heathshed/platform.go
@@ -71,8 +71,8 @@
 	}
 	// A single event loop does all the work; a second processor would only add context switches.
 	runtime.GOMAXPROCS(1)
-	if config.Memory > 0 {
-		debug.SetMemoryLimit(config.Memory / 2)
+	if config.MemoryLimit > 0 {
+		debug.SetMemoryLimit(config.MemoryLimit / 2)
 	}
 	policy, err := placer.New(config.Settings.Placer, config.Seed)
 	if err != nil {
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -46,11 +46,11 @@
 		note  string
 		over  bool
 	}{
-		{"drained", protocol.CauseReset, "drained", true},
-		{"evicted", protocol.CauseReset, "oom", true},
-		{"preempted", protocol.CauseReset, "preempted", true},
-		{"failed on its way", protocol.CauseReset, "", false},
-		{"full", protocol.CauseFull, "drained", false},
+		{"drained", protocol.CauseLost, "drained", true},
+		{"evicted", protocol.CauseLost, "oom", true},
+		{"preempted", protocol.CauseLost, "preempted", true},
+		{"failed on its way", protocol.CauseLost, "", false},
+		{"full", protocol.CauseNoCapacity, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
@@ -60,7 +60,7 @@
 
 			answers := messagesToClients(harness.receiveFromNode(attempt, msg))
 
-			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
+			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
 			bound := policy.received(placer.Bound)
 			if notified != test.over || bound != test.over || policy.last().Final != test.over || record.answers != 1 {
 				t.Errorf("client notified %+v, placer notified that it ran %v, last event %+v", answers, bound, policy.last())
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -260,7 +260,7 @@
 // rejection returns the answer to a request for which no node has capacity. retryAfter is the delay that the client is advised to wait before a
 // new request, or 0 for no advice.
 func (c *Core) rejection(req *request, retryAfter placer.Seconds) protocol.Message {
-	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
+	answer := replyTo(&req.message, protocol.Stop, protocol.CauseNoCapacity)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
 		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * millisecondsPerSecond)
 		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -22,7 +22,7 @@
 	Attempts uint64
 	// Bound are attempts that a node accepted in time.
 	Bound uint64
-	// CapacityRejections are attempts that a node rejected with CauseFull: for lack of capacity, or as the wrong node while it drains.
+	// CapacityRejections are attempts that a node rejected with CauseNoCapacity: for lack of capacity, or as the wrong node while it drains.
 	CapacityRejections uint64
 	// NodeErrors are attempts that failed at the node.
 	NodeErrors uint64
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -137,13 +137,13 @@
 	h.attempts.remove(attempt)
 	ended := h.stopOutcome(msg, placer.Lost)
 	switch msg.Cause {
-	case protocol.CauseFull:
+	case protocol.CauseNoCapacity:
 		h.counts.CapacityRejections++
 		ended.result = placer.Rejected
 	case protocol.CauseError:
 		h.counts.NodeErrors++
 		ended.result = placer.Errored
-	case protocol.CauseExpired:
+	case protocol.CauseDeadlineExceeded:
 		h.counts.Expired++
 		ended.result = placer.Expired
 	default:
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -229,7 +229,7 @@
 		play.list(id)
 	case 2, 3:
 		play.terminated[id] = true
-		play.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseReset}[play.draw(2, "cause")])
+		play.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseLost}[play.draw(2, "cause")])
 	case 4:
 		play.core.ClientDisconnected(play.now, play.conn)
 		play.carryOutEffects()
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -69,7 +69,7 @@
 	rejected := func() bool {
 		harness.receiveFromClient(conn, launchMessage(1e6))
 		effects := harness.core.Ready()
-		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseBusy
+		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseOverloaded
 	}
 	if !rejected() {
 		t.Fatal("one too many was accepted")
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -10,7 +10,7 @@
 const migrationConfirmTimeout placer.Seconds = 0.4
 
 // causeLost is the cause in notifications of tasks that ended with their node.
-const causeLost = protocol.CauseReset
+const causeLost = protocol.CauseLost
 
 // taskController takes tasks from their start to their end: it moves a request and its attempt together, and notifies the client. It has no state
 // of its own.
--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -153,8 +153,8 @@
 		id, err := protocol.ParseID(identifier)
 		fmt.Fprintf(&text, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseFull, protocol.CauseReset,
-		protocol.CauseBusy, protocol.CauseError, protocol.CauseExpired)
+	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseNoCapacity, protocol.CauseLost,
+		protocol.CauseOverloaded, protocol.CauseError, protocol.CauseDeadlineExceeded)
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
 		fmt.Fprintln(&text, field.String()) // the name on the wire
 	}
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -43,13 +43,13 @@
 
 // The causes of a Stop.
 const (
-	CauseEnd       Cause = 16  // abandoned by the scheduler or the client; of a running task: it ended by itself
-	CauseCancelled Cause = 31  // migrated, or stopped by its client
-	CauseFull      Cause = 34  // rejected for lack of capacity, or as Note says; it never ran
-	CauseReset     Cause = 41  // the connection, the node or the task failed
-	CauseBusy      Cause = 42  // rejected because too much is open; it may be retried
-	CauseError     Cause = 47  // failed
-	CauseExpired   Cause = 102 // its deadline passed before it was sent
+	CauseEnd              Cause = 16  // abandoned by the scheduler or the client; of a running task: it ended by itself
+	CauseCancelled        Cause = 31  // migrated, or stopped by its client
+	CauseNoCapacity       Cause = 34  // rejected for lack of capacity, or as Note says; it never ran
+	CauseLost             Cause = 41  // the connection, the node or the task failed
+	CauseOverloaded       Cause = 42  // rejected because too much is open; it may be retried
+	CauseError            Cause = 47  // failed
+	CauseDeadlineExceeded Cause = 102 // its deadline passed before it was sent
 )
 
 // ID identifies a task between two parties.
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -24,9 +24,9 @@
 	Listen        string // address for clients
 	Discovery     string // address of the discovery server
 	Seed          uint64
-	Cores         float64         // limit; 0 if none is given
-	Memory        int64           // limit in bytes; 0 if none is given
-	Sockets       int             // limit of file descriptors; 0 if none is given
+	CPULimit      float64         // limit; 0 if none is given
+	MemoryLimit   int64           // limit in bytes; 0 if none is given
+	MaxOpenFiles  int             // limit of file descriptors; 0 if none is given
 	InitialEvents json.RawMessage // discovery events that are known at the start
 	Settings      *simconfig.Settings
 }
@@ -43,9 +43,9 @@
 }
 
 type configLimits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores     float64 `json:"cores"`
+	MemoryMiB int64   `json:"memory_mb"`
+	OpenFiles int     `json:"sockets"`
 }
 
 // ReadConfig reads the configuration file at a path. An error names the field that cannot be used.
@@ -97,9 +97,9 @@
 		Listen:        file.Listen,
 		Discovery:     file.Discovery,
 		Seed:          seed,
-		Cores:         file.Limits.Cores,
-		Memory:        file.Limits.MemoryMB << 20,
-		Sockets:       file.Limits.Sockets,
+		CPULimit:      file.Limits.Cores,
+		MemoryLimit:   file.Limits.MemoryMiB << 20,
+		MaxOpenFiles:  file.Limits.OpenFiles,
 		InitialEvents: file.Known,
 		Settings:      settings,
 	}, nil
@@ -121,12 +121,12 @@
 
 // check checks the ranges of the limits.
 func (limits *configLimits) check() error {
-	validMemory := limits.MemoryMB >= 0 && limits.MemoryMB <= maxMemoryMB
-	if !(limits.Cores >= 0) || !validMemory || limits.Sockets < 0 {
-		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", limits.Cores, limits.MemoryMB, limits.Sockets)
+	validMemory := limits.MemoryMiB >= 0 && limits.MemoryMiB <= maxMemoryMB
+	if !(limits.Cores >= 0) || !validMemory || limits.OpenFiles < 0 {
+		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", limits.Cores, limits.MemoryMiB, limits.OpenFiles)
 	}
-	if limits.Sockets > 0 && limits.Sockets < minSockets {
-		return fmt.Errorf("limits: sockets %d: want at least %d", limits.Sockets, minSockets)
+	if limits.OpenFiles > 0 && limits.OpenFiles < minSockets {
+		return fmt.Errorf("limits: sockets %d: want at least %d", limits.OpenFiles, minSockets)
 	}
 	return nil
 }
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestDiscoveryBreaksRepeatsStopsAndMoves: after a break, a gap, silence and a move the discovery watch continues from the last event.
-func TestDiscoveryBreaksRepeatsStopsAndMoves(t *testing.T) {
+// TestDiscoveryWatchResumesFromLastEvent: after a break, a gap, silence and a move the discovery watch continues from the last event.
+func TestDiscoveryWatchResumesFromLastEvent(t *testing.T) {
 	server := startServer(t, 256)
 	lastEvent := func() (number uint64) {
 		server.runOnLoop(func() { number = server.core.LastDiscoveryEvent() })
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -58,8 +58,8 @@
 	return node, server, client
 }
 
-// TestVanishedNodes: the tasks of a node that can no longer be reached are reported as lost, whether connections to it are refused or time out.
-func TestVanishedNodes(t *testing.T) {
+// TestUnreachableNodes: the tasks of a node that can no longer be reached are reported as lost, whether connections to it are refused or time out.
+func TestUnreachableNodes(t *testing.T) {
 	for _, mode := range []string{"refuses", "silent"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	sockets := config.Sockets
+	sockets := config.MaxOpenFiles
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -108,9 +108,9 @@
 	return server, node, client
 }
 
-// TestDisconnectPrecedesAttempt: no attempt is sent for a request whose client has closed its connection or canceled the request before the first
+// TestNoAttemptAfterDisconnect: no attempt is sent for a request whose client has closed its connection or canceled the request before the first
 // byte of the attempt goes out.
-func TestDisconnectPrecedesAttempt(t *testing.T) {
+func TestNoAttemptAfterDisconnect(t *testing.T) {
 	many := strings.Repeat(checkMessage, maxLinesPerTurn+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
 	for name, leave := range map[string]func(client *testClient){
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestDisconnectAndDialInOneTurn: the connection that an attempt waits for is established in the iteration of the loop in which the end of its
+// TestDisconnectAndDialInSameIteration: the connection that an attempt waits for is established in the iteration of the loop in which the end of its
 // client's connection is known, and is handled first.
-func TestDisconnectAndDialInOneTurn(t *testing.T) {
+func TestDisconnectAndDialInSameIteration(t *testing.T) {
 	node := startNode(t, ignoreMessages)
 	server := startServer(t, 256)
 	client := server.connect()
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestUnfamiliarSettings: settings of no customer yet either are rejected with an error that names the key, or give a server that answers a request
+// TestUnusualSettings: settings of no customer yet either are rejected with an error that names the key, or give a server that answers a request
 // of each class.
-func TestUnfamiliarSettings(t *testing.T) {
+func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	sub := func(settings object, name string) object { return settings[name].(object) }
 	class := func(settings object, i int) object { return settings["lanes"].([]any)[i].(object) }
