--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -11,23 +11,25 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares with the golden file what the codec makes of a fixed corpus of lines and of seeded mutations of it: whether a line
-// is accepted, the values of each message and the bytes that it is encoded to. Texts of errors are omitted. See package goldentest for how the file
-// is written anew.
+// TestCharacterization compares the behavior of the codec with a golden file. The inputs are a fixed list of
+// lines and seeded mutations of them. The golden file records whether each line is accepted, the values of
+// each accepted message and the bytes to which it is encoded. It does not record error texts. Package
+// goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, line := range corpus() {
 		record.Line("line %d %s", i, goldentest.Digest(describe(line)))
 	}
 	for seed := uint64(1); seed <= 20; seed++ {
-		record.Line("mutations %d %s", seed, goldentest.Digest(mutations(seed)))
+		record.Line("mutations %d %s", seed, goldentest.Digest(describeMutations(seed)))
 	}
 	record.Line("encoding %s", goldentest.Digest(encodings()))
 	record.Line("identifiers %s", goldentest.Digest(identifiers()))
 	record.Check(t, "characterization")
 }
 
-// describe parses one line and returns the result and every value as numbers and wire bytes. Its texts are part of the digests.
+// describe parses one line and returns a text with the result and every value of the message. The digests in
+// the golden file include this text.
 func describe(line string) string {
 	var msg protocol.Message
 	if err := protocol.Parse([]byte(line), &msg); err != nil {
@@ -49,7 +51,7 @@
 
 var fieldWords = []string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
-// stringLiterals are JSON strings, well formed and not, quotes included.
+// stringLiterals contains valid and invalid JSON strings with their quotes.
 var stringLiterals = []string{
 	`""`, `"x"`, `"a\"b\\c\/d\b\f\n\r\t"`, `"\u0000\u001f\u0041\u00e9\u20AC"`, `"\ud83d\ude00"`, `"\uD83D\uDE00x"`,
 	`"é€😀"`,
@@ -58,14 +60,14 @@
 	"\"del\x7f\"", "\"\xff\"", "\"\xc3\"", "\"\xed\xa0\x80\"", "\"\xc0\x80\"", `"\ufffd"`, `"\uffff"`,
 }
 
-// otherValues are JSON values other than strings, well formed and not.
+// otherValues contains valid and invalid JSON values other than strings.
 var otherValues = []string{
 	"0", "-0", "1", "-1", "12.5", "1e3", "1E+3", "1e-3", "01", "+1", ".5", "1.", "1e", "-", "1e+", "0x1",
 	"99999999999999999999", "2147483648",
 	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ",",
 }
 
-// corpus is every kind of message, every field, and each value in each place.
+// corpus returns lines that contain every kind of message and every field, and each value in each position.
 func corpus() []string {
 	const uid = `"uid":"00000000000000aF"`
 	var lines []string
@@ -101,8 +103,9 @@
 		`{"kind":"stop",`+uid+`}{}`, "\xef\xbb\xbf{}", `{"\u006bind":"st\u006fp",`+uid+`}`, `{"kind":"stop","uid":"0000000000000g00"}`)
 }
 
-// mutations describes the corpus with bytes changed, removed or doubled at random.
-func mutations(seed uint64) string {
+// describeMutations describes the lines of the corpus after a byte of each was changed, removed or doubled,
+// or its end was cut off, at random positions.
+func describeMutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var text strings.Builder
 	for _, line := range corpus() {
@@ -125,7 +128,7 @@
 	return text.String()
 }
 
-// encodings are messages made by hand, fields set to texts that need escapes included, as they are encoded.
+// encodings returns the encoded form of messages whose fields contain characters that must be escaped.
 func encodings() string {
 	var text strings.Builder
 	for kind := range 12 {
@@ -156,7 +159,7 @@
 	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseNoCapacity, protocol.CauseLost,
 		protocol.CauseOverloaded, protocol.CauseError, protocol.CauseDeadlineExceeded)
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
-		fmt.Fprintln(&text, field.String()) // the name on the wire
+		fmt.Fprintln(&text, field.String()) // The golden file also fixes the names of the fields in encoded messages.
 	}
 	return text.String()
 }
--- a/internal/platform/protocol/decode.go
+++ b/internal/platform/protocol/decode.go
@@ -7,16 +7,16 @@
 	"unicode/utf8"
 )
 
-// MaxLine is the longest line in bytes, its line feed included.
+// MaxLine is the maximum length of a line in bytes, including its line feed.
 const MaxLine = 16 << 10
 
-// maxSkippedDepth bounds the nesting of values under unknown keys.
+// maxSkippedDepth is the maximum nesting depth of values that are skipped because their key is unknown.
 const maxSkippedDepth = 8
 
-// ErrTooLong is the error of a line that does not end within MaxLine.
-var ErrTooLong = errors.New("line longer than 16 KiB")
+// ErrTooLong is returned for a line that is longer than MaxLine.
+var ErrTooLong = errors.New("line is longer than 16 KiB")
 
-// keySet is a set of the keys of a message's object. Unknown keys are not part of it.
+// keySet is a set of top-level keys of a message. It can contain only keys that the protocol defines.
 type keySet uint8
 
 const (
@@ -29,8 +29,9 @@
 	requiredKeys = keyKind | keyUID
 )
 
-// keyOf returns the set of one key, or the empty set if the key is unknown.
-func keyOf(key string) keySet {
+// keyByName returns the set that contains only the key with the given name, or the empty set if the key is
+// unknown.
+func keyByName(key string) keySet {
 	switch key {
 	case "kind":
 		return keyKind
@@ -46,22 +47,23 @@
 	return 0
 }
 
-// Parse parses one line without its line feed. The error is ErrTooLong, or says what is invalid and where.
+// Parse decodes one line, which must not include its line feed, into msg. It returns ErrTooLong for a line
+// that is too long. Any other error states what is invalid in the line.
 func Parse(line []byte, msg *Message) error {
 	*msg = Message{}
 	if len(line) >= MaxLine {
 		return ErrTooLong
 	}
 	if !utf8.Valid(line) {
-		return errors.New("line is not UTF-8")
+		return errors.New("line is not valid UTF-8")
 	}
 	p := parser{line: line}
 	var seen keySet
 	p.skipSpace()
 	err := p.parseObject(func(key string) error {
-		known := keyOf(key)
+		known := keyByName(key)
 		if err := p.parseMember(msg, known); err != nil {
-			return fmt.Errorf("%.20q: %w", key, err)
+			return fmt.Errorf("key %.20q: %w", key, err)
 		}
 		if seen&known != 0 {
 			return fmt.Errorf("duplicate key %q", key)
@@ -77,12 +79,12 @@
 		return p.syntaxError("the end of the line")
 	}
 	if seen&requiredKeys != requiredKeys {
-		return errors.New(`message without "kind" or "uid"`)
+		return errors.New(`message lacks the key "kind" or "uid"`)
 	}
 	return nil
 }
 
-// parseMember parses the value of one key of a message's object. The value of an unknown key is skipped.
+// parseMember parses the value of one top-level key of a message. It skips the value if the key is unknown.
 func (p *parser) parseMember(msg *Message, key keySet) (err error) {
 	switch key {
 	case keyKind:
@@ -114,7 +116,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("unknown kind %.20q", word)
+	return fmt.Errorf("unknown message kind %.20q", word)
 }
 
 func (p *parser) parseCause(msg *Message) error {
@@ -127,7 +129,7 @@
 	return err
 }
 
-// parseBody checks a JSON string and keeps it as it was written.
+// parseBody checks that the body is a valid JSON string and stores it without decoding it.
 func (p *parser) parseBody(msg *Message) error {
 	start := p.position
 	if _, err := p.parseString(); err != nil {
@@ -137,14 +139,15 @@
 	return nil
 }
 
-// parseMetaField parses the value of one key of the meta object: a string or a number. The value of an unknown key is skipped.
+// parseMetaField parses the value of one key of the "meta" object, which must be a string or a number. It
+// skips the value if the key is unknown.
 func (p *parser) parseMetaField(msg *Message, name string) (err error) {
-	field, known := fieldOf(name)
+	field, known := fieldByName(name)
 	if !known {
 		return p.skipValue(0)
 	}
 	if msg.has[field] {
-		return fmt.Errorf("duplicate key %q", name)
+		return fmt.Errorf("duplicate field %q", name)
 	}
 	if p.peek() == '"' {
 		msg.meta[field], err = p.parseString()
@@ -153,7 +156,7 @@
 	}
 	msg.has[field] = true
 	if err != nil {
-		return fmt.Errorf("%q: %w", name, err)
+		return fmt.Errorf("field %q: %w", name, err)
 	}
 	return nil
 }
--- a/internal/platform/protocol/encode.go
+++ b/internal/platform/protocol/encode.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Append appends the message as one line with its line feed.
+// Append appends the encoded message and a line feed to the buffer and returns the extended buffer.
 func (m *Message) Append(buffer []byte) []byte {
 	buffer = append(buffer, `{"kind":"`...)
 	buffer = append(buffer, m.Kind.String()...)
@@ -21,7 +21,7 @@
 		buffer = append(buffer, '"')
 		buffer = append(buffer, name...)
 		buffer = append(buffer, `":`...)
-		buffer = appendString(buffer, m.meta[f])
+		buffer = appendJSONString(buffer, m.meta[f])
 	}
 	buffer = append(buffer, '}')
 	if m.HasCause {
@@ -35,8 +35,8 @@
 	return append(buffer, '}', '\n')
 }
 
-// appendString appends a JSON string.
-func appendString(buffer []byte, text string) []byte {
+// appendJSONString appends the text to the buffer as a JSON string.
+func appendJSONString(buffer []byte, text string) []byte {
 	const hex = "0123456789abcdef"
 	buffer = append(buffer, '"')
 	for i := range len(text) {
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -6,13 +6,13 @@
 	"unicode/utf8"
 )
 
-// parser parses JSON values (RFC 8259) in a line that is valid UTF-8, in one pass.
+// parser is a recursive-descent parser of JSON values (RFC 8259). It reads a line of valid UTF-8 in one pass.
 type parser struct {
 	line     []byte
 	position int
 }
 
-// syntaxError returns an error that says what was expected at the current position.
+// syntaxError returns an error that states the current byte and what was expected in its place.
 func (p *parser) syntaxError(want string) error {
 	if p.position >= len(p.line) {
 		return fmt.Errorf("line ends at byte %d, want %s", p.position, want)
@@ -28,7 +28,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// peek returns the next byte, or 0 at the end of the line.
+// peek returns the next byte without consuming it. It returns 0 at the end of the line.
 func (p *parser) peek() byte {
 	if p.position < len(p.line) {
 		return p.line[p.position]
@@ -36,7 +36,7 @@
 	return 0
 }
 
-// expect consumes the given byte.
+// expect consumes the given byte. It returns an error if the next byte is a different one.
 func (p *parser) expect(c byte) error {
 	if p.peek() != c || p.position >= len(p.line) {
 		return p.syntaxError(fmt.Sprintf("%q", c))
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// parseObject parses an object. It calls value for each key to parse the key's value.
-func (p *parser) parseObject(value func(key string) error) error {
+// parseObject parses an object. It calls parseValue for each key; parseValue must consume the value of that
+// key.
+func (p *parser) parseObject(parseValue func(key string) error) error {
 	if err := p.expect('{'); err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 			return err
 		}
 		p.skipSpace()
-		if err := value(key); err != nil {
+		if err := parseValue(key); err != nil {
 			return err
 		}
 		p.skipSpace()
@@ -78,49 +79,49 @@
 	}
 }
 
-// parseString parses a string and returns it with its escapes decoded.
+// parseString parses a string and returns its text with escape sequences decoded.
 func (p *parser) parseString() (string, error) {
 	if err := p.expect('"'); err != nil {
 		return "", err
 	}
 	start := p.position
-	for p.position < len(p.line) && isPlain(p.line[p.position]) {
+	for p.position < len(p.line) && isUnescaped(p.line[p.position]) {
 		p.position++
 	}
-	if p.peek() == '"' { // no escapes
+	if p.peek() == '"' { // The string contains no escape sequence and needs no second pass.
 		value := string(p.line[start:p.position])
 		p.position++
 		return value, nil
 	}
-	unescaped := append([]byte(nil), p.line[start:p.position]...)
+	decoded := append([]byte(nil), p.line[start:p.position]...)
 	for p.position < len(p.line) {
 		c := p.line[p.position]
 		switch {
 		case c == '"':
 			p.position++
-			return string(unescaped), nil
+			return string(decoded), nil
 		case c < 0x20:
-			return "", p.syntaxError("no control character in a string")
+			return "", p.syntaxError("a character other than a control character")
 		case c != '\\':
-			unescaped = append(unescaped, c)
+			decoded = append(decoded, c)
 			p.position++
 		default:
 			r, err := p.parseEscape()
 			if err != nil {
 				return "", err
 			}
-			unescaped = utf8.AppendRune(unescaped, r)
+			decoded = utf8.AppendRune(decoded, r)
 		}
 	}
-	return "", p.syntaxError("the end of a string")
+	return "", p.syntaxError("the closing quote of a string")
 }
 
-// isPlain reports whether a byte in a string represents itself.
-func isPlain(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
+// isUnescaped reports whether a byte in a JSON string stands for itself, so that no decoding is needed.
+func isUnescaped(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
 
-// parseEscape parses an escape sequence.
+// parseEscape parses the escape sequence at the current position and returns the character that it encodes.
 func (p *parser) parseEscape() (rune, error) {
-	p.position++ // the backslash
+	p.position++ // The backslash is consumed.
 	c := p.peek()
 	switch c {
 	case '"', '\\', '/':
@@ -135,14 +136,15 @@
 	case 't':
 		c = '\t'
 	case 'u':
-		r, err := p.parseHex4()
+		r, err := p.parseHexEscape()
 		if err != nil || !utf16.IsSurrogate(r) {
 			return r, err
 		}
-		// Readers differ on half of a surrogate pair, which encodes no character.
+		// Half of a surrogate pair encodes no character, and parsers disagree on how to treat it. It is
+		// rejected here.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
-			low, err := p.parseHex4()
+			low, err := p.parseHexEscape()
 			if err != nil {
 				return 0, err
 			}
@@ -150,16 +152,16 @@
 				return r, nil
 			}
 		}
-		return 0, p.syntaxError("both halves of a surrogate pair")
+		return 0, p.syntaxError("a complete surrogate pair")
 	default:
-		return 0, p.syntaxError("an escape")
+		return 0, p.syntaxError("an escape sequence")
 	}
 	p.position++
 	return rune(c), nil
 }
 
-// parseHex4 parses uXXXX.
-func (p *parser) parseHex4() (rune, error) {
+// parseHexEscape parses the letter u and the four hexadecimal digits of a Unicode escape sequence.
+func (p *parser) parseHexEscape() (rune, error) {
 	p.position++
 	var r rune
 	for range 4 {
@@ -179,7 +181,7 @@
 	return r, nil
 }
 
-// skipDigits consumes decimal digits and reports whether there were any.
+// skipDigits consumes all decimal digits at the current position and reports whether there was at least one.
 func (p *parser) skipDigits() bool {
 	start := p.position
 	for p.peek() >= '0' && p.peek() <= '9' {
@@ -188,7 +190,7 @@
 	return p.position > start
 }
 
-// parseNumber parses a number and returns it as written.
+// parseNumber parses a number and returns its text unchanged.
 func (p *parser) parseNumber() (string, error) {
 	start := p.position
 	if p.peek() == '-' {
@@ -217,10 +219,11 @@
 	return string(p.line[start:p.position]), nil
 }
 
-// skipValue consumes a value of any kind. It fails on values that are nested deeper than maxSkippedDepth.
+// skipValue consumes a value of any type. It returns an error if values are nested deeper than
+// maxSkippedDepth.
 func (p *parser) skipValue(depth int) error {
 	if depth > maxSkippedDepth {
-		return fmt.Errorf("byte %d: nested deeper than %d", p.position, maxSkippedDepth)
+		return fmt.Errorf("value at byte %d is nested deeper than %d levels", p.position, maxSkippedDepth)
 	}
 	switch c := p.peek(); c {
 	case '"':
@@ -241,9 +244,9 @@
 	return err
 }
 
-// skipArray consumes an array at the given depth.
+// skipArray consumes an array that is itself nested at the given depth.
 func (p *parser) skipArray(depth int) error {
-	p.position++ // the bracket
+	p.position++ // The opening bracket is consumed.
 	p.skipSpace()
 	if p.peek() == ']' {
 		p.position++
@@ -262,7 +265,7 @@
 	}
 }
 
-// expectLiteral consumes the given literal.
+// expectLiteral consumes the given literal. It returns an error if the input continues differently.
 func (p *parser) expectLiteral(literal string) error {
 	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
 		return p.syntaxError(literal)
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -1,9 +1,11 @@
-// Package protocol is the codec of the shared platform's protocol: JSON lines that each contain one message about one task. Package server reads
-// lines by Parse and writes them by Message.Append; package dispatch handles the messages.
+// Package protocol encodes and decodes the messages of the shared platform's protocol. Each message is one
+// line of JSON and concerns one task or is a health check. Package server parses lines with Parse and encodes
+// messages with Message.Append; package dispatch handles the messages.
 //
-// It is pure: it has no I/O and no clock, and imports no other package of the project. What it accepts is stricter than JSON: a line that
-// another reader might reject or read differently (text that is not UTF-8, half of a surrogate pair, a duplicate key) is an error here,
-// because a message that is forwarded and rejected by the receiver ends everything else that is open on the same connection.
+// The package performs no I/O, reads no clock and imports no other package of the project. It accepts less
+// than JSON allows: it rejects text that is not valid UTF-8, half of a surrogate pair and duplicate keys,
+// because another parser might reject such a line or read it differently. If a node or client rejected a
+// forwarded message, it would close the connection, which would abort all other requests on that connection.
 package protocol
 
 import (
@@ -14,23 +16,23 @@
 // Kind is the type of a message.
 type Kind uint8
 
-// The kinds of message.
+// The constants of type Kind are the kinds of messages.
 const (
-	Launch  Kind = iota + 1 // a placement request, or an adoption of a running task
-	Staging                 // progress of an attempt; has no effect
-	Running                 // the answer that the task runs
-	Stop                    // a rejection, withdrawal or end of a task; its cause says which
-	Stopped                 // the acknowledgement of a Stop
-	Check                   // a health check
-	Checked                 // the answer to a health check
-	Update                  // a measurement of a running task
-	Migrate                 // asks a client to request the placement of a running task again
+	Launch  Kind = iota + 1 // Launch is a placement request, or a request to adopt a task that runs already.
+	Staging                 // Staging reports the progress of an attempt; it is ignored.
+	Running                 // Running states that the task runs.
+	Stop                    // Stop rejects, withdraws or ends a task; its Cause distinguishes these cases.
+	Stopped                 // Stopped acknowledges a Stop.
+	Check                   // Check requests an answer as a health check.
+	Checked                 // Checked answers a health check.
+	Update                  // Update reports a measurement of a running task.
+	Migrate                 // Migrate asks a client to request the placement of a running task again.
 )
 
 var kindNames = [...]string{Launch: "launch", Staging: "staging", Running: "running", Stop: "stop", Stopped: "stopped", Check: "check",
 	Checked: "checked", Update: "update", Migrate: "migrate"}
 
-// String returns the kind's name on the wire.
+// String returns the name of the kind in encoded messages.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && k > 0 {
 		return kindNames[k]
@@ -38,34 +40,45 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Cause is the cause of a Stop, or the result of a health check. Nodes and clients may send values that have no name here.
+// Cause states why a Stop was sent, or the result of a health check. Nodes and clients may send values for
+// which there is no constant.
 type Cause int
 
-// The causes of a Stop.
+// The constants of type Cause are the causes of a Stop.
 const (
-	CauseEnd              Cause = 16  // abandoned by the scheduler or the client; of a running task: it ended by itself
-	CauseCancelled        Cause = 31  // migrated, or stopped by its client
-	CauseNoCapacity       Cause = 34  // rejected for lack of capacity, or as Note says; it never ran
-	CauseLost             Cause = 41  // the connection, the node or the task failed
-	CauseOverloaded       Cause = 42  // rejected because too much is open; it may be retried
-	CauseError            Cause = 47  // failed
-	CauseDeadlineExceeded Cause = 102 // its deadline passed before it was sent
+	// CauseEnd means that a running task ended by itself, or that the scheduler or the client abandoned an
+	// attempt or a request.
+	CauseEnd Cause = 16
+	// CauseCancelled means that a task was migrated or that its client stopped it.
+	CauseCancelled Cause = 31
+	// CauseNoCapacity means that a task was rejected and never ran. The reason is a lack of capacity unless
+	// Note states another one.
+	CauseNoCapacity Cause = 34
+	// CauseLost means that the connection, the node or the task failed.
+	CauseLost Cause = 41
+	// CauseOverloaded means that a request was rejected because too many requests are open. The client may
+	// retry it.
+	CauseOverloaded Cause = 42
+	// CauseError means that a request or an attempt failed.
+	CauseError Cause = 47
+	// CauseDeadlineExceeded means that the deadline passed before the attempt was sent or reached the node.
+	CauseDeadlineExceeded Cause = 102
 )
 
-// ID identifies a task between two parties.
+// ID identifies a task in the messages between two parties.
 type ID uint64
 
-// idDigits is the length of an ID on the wire.
+// idDigits is the number of hexadecimal digits of an encoded ID.
 const idDigits = 16
 
-// ParseID parses an ID: 16 hexadecimal digits of either case.
+// ParseID parses an ID. It accepts exactly 16 hexadecimal digits, in upper or lower case.
 func ParseID(text string) (ID, error) {
 	if len(text) != idDigits {
-		return 0, fmt.Errorf("id of %d characters, want 16 hexadecimal digits", len(text))
+		return 0, fmt.Errorf("id has %d characters, want 16 hexadecimal digits", len(text))
 	}
 	for i := range len(text) {
 		if !isHexDigit(text[i]) {
-			return 0, fmt.Errorf("id with a character %q, want 16 hexadecimal digits", text[i])
+			return 0, fmt.Errorf("id contains the character %q, want 16 hexadecimal digits", text[i])
 		}
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
@@ -76,30 +89,30 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// Field selects one of the fields of a message's meta object.
+// Field selects one field of the "meta" object of a message.
 type Field uint8
 
-// The fields.
+// The constants of type Field select the fields that have a meaning in the protocol.
 const (
-	Class          Field = iota // the class of a request
-	TimeLeft                    // milliseconds until the sender no longer waits for an answer
-	Tenant                      // the tenant that a request belongs to
-	Key                         // 16 hexadecimal digits that are forwarded to the node
-	IdempotencyKey              // in classes that nodes deduplicate: the name under which they recognise a repeated request
-	Extras                      // name:value pairs, separated by semicolons
-	RetryAfter                  // milliseconds for which a rejected client is advised to wait
-	Note                        // an identifier: what an Update measures, or the reason for a Stop
-	Value                       // the measured value of an Update
-	LoadReport                  // the load of a node: name:value pairs, separated by semicolons
+	Class          Field = iota // Class is the class of a placement request.
+	TimeLeft                    // TimeLeft is the time in milliseconds for which the sender still waits for an answer.
+	Tenant                      // Tenant is the tenant to which a request belongs.
+	Key                         // Key consists of 16 hexadecimal digits that are forwarded to the node.
+	IdempotencyKey              // IdempotencyKey lets a node recognize a repeated request if its class is deduplicated.
+	Extras                      // Extras consists of name:value pairs, separated by semicolons.
+	RetryAfter                  // RetryAfter is the time in milliseconds that a rejected client should wait before a retry.
+	Note                        // Note names the quantity that an Update measures, or the reason for a Stop.
+	Value                       // Value is the measured value of an Update.
+	LoadReport                  // LoadReport is the load of a node as name:value pairs, separated by semicolons.
 	fieldCount
 )
 
 var fieldNames = [fieldCount]string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
-// String returns the field's name on the wire.
+// String returns the name of the field in encoded messages.
 func (f Field) String() string { return fieldNames[f] }
 
-func fieldOf(name string) (field Field, known bool) {
+func fieldByName(name string) (field Field, known bool) {
 	for i, fieldName := range fieldNames {
 		if fieldName == name {
 			return Field(i), true
@@ -108,28 +121,29 @@
 	return 0, false
 }
 
-// Message is one line. It does not reference the buffer that it was parsed from.
+// Message is a decoded message. It does not refer to the buffer from which it was parsed.
 type Message struct {
 	Kind Kind
-	UID  string // the ID as it was written
+	UID  string // UID is the text of ID as it was received.
 	ID   ID
-	// Cause is valid if HasCause is set.
+	// Cause is meaningful only if HasCause is true.
 	Cause    Cause
 	HasCause bool
-	// Body describes the task or its answer: the JSON string as it was written, quotes included, or "" if there is none. It is forwarded
-	// unchanged, without decoding.
+	// Body describes a task, or is the node's answer about it. It is a JSON string with its quotes, exactly
+	// as it was received, or "" if the message has none. It is forwarded unchanged, without decoding.
 	Body string
 	meta [fieldCount]string
 	has  [fieldCount]bool
 }
 
-// Get returns a field's text, or "" if the field is absent. A number is returned as it was written.
+// Get returns the text of a field, or "" if the field is absent. It returns a number exactly as it was
+// received.
 func (m *Message) Get(field Field) string { return m.meta[field] }
 
-// Has reports whether a field is present.
+// Has reports whether the message contains a field.
 func (m *Message) Has(field Field) bool { return m.has[field] }
 
-// Set sets a field.
+// Set adds a field to the message or replaces its text.
 func (m *Message) Set(field Field, text string) {
 	m.meta[field] = text
 	m.has[field] = true
