--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -4,13 +4,14 @@
 
 import "heathshed/internal/platform/dispatch"
 
-// attemptSender holds the attempts that go out at the end of this iteration of the loop.
+// attemptSender collects attempts during an iteration of the event loop and sends them at the end of the
+// iteration.
 type attemptSender struct {
 	server  *Server
 	pending []*dispatch.Attempt
 }
 
-// schedule sends an attempt at the end of this iteration of the loop.
+// schedule queues an attempt, which is sent at the end of the current iteration of the event loop.
 func (sender *attemptSender) schedule(attempt *dispatch.Attempt) {
 	sender.pending = append(sender.pending, attempt)
 	if len(sender.pending) == 1 {
@@ -18,15 +19,17 @@
 	}
 }
 
-// sendPending sends the scheduled attempts. No attempt may go out for a client that has canceled its request or closed its
-// connection. Either may have reached the system already without having been read: in this iteration, in any order with the event that
-// scheduled the attempt, or since. So the client's connection is read once more first, which ends the attempt before its first byte.
+// sendPending sends the scheduled attempts. An attempt must not be sent if its client has canceled the
+// request or closed its connection. Either event may have reached the kernel by now without the event loop
+// having read it, whether it happened before or after the attempt was scheduled. Therefore sendPending first
+// reads the client's connection once more; if it finds such an event, the attempt ends before its first byte
+// is sent.
 func (sender *attemptSender) sendPending() {
 	s := sender.server
 	pending := sender.pending
 	sender.pending = nil
 	for _, attempt := range pending {
-		if s.clients.hasUnreadLines(attempt.Client()) { // a cancellation may be among them
+		if s.clients.hasUnreadLines(attempt.Client()) { // The unread lines may contain a cancellation.
 			sender.schedule(attempt)
 			continue
 		}
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -17,8 +17,8 @@
 	good := server.connect()
 	good.runTask(1, "query")
 	const id = 1000
-	stopTaken := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 1002
-	var all sync.WaitGroup
+	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 1002
+	var clientsDone sync.WaitGroup
 	for name, send := range map[string]func(client *testClient){
 		"sends nothing": func(*testClient) {},
 		"noise":         func(client *testClient) { client.send("\xff\xfe\x00\n") },
@@ -31,14 +31,14 @@
 			client.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`))
 		},
 		"an id in use": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
-		"cancels":      func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + stopTaken) },
+		"cancels":      func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + withdrawal) },
 	} {
 		client := server.connect()
 		start := time.Now()
 		send(client)
-		all.Add(1)
+		clientsDone.Add(1)
 		go func() {
-			defer all.Done()
+			defer clientsDone.Done()
 			line, err := client.reader.ReadString('\n')
 			unexpected := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
 			if took := time.Since(start); took > 3*time.Second || unexpected {
@@ -46,7 +46,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	clientsDone.Wait()
 	good.launch(2, "query")
 	good.expect(`"running"`, "0000000000000002")
 	server.runOnLoop(func() {
@@ -87,7 +87,7 @@
 		client.runTask(10+i, "query")
 	}
 	server.runOnLoop(func() {
-		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedSockets > 64 {
+		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedOpenFiles > 64 {
 			t.Errorf("%d client connections, %d allowed", len(server.clients.byID), server.clients.maxConns)
 		}
 	})
@@ -127,8 +127,8 @@
 			server := startServer(t, 256, startNode(t, acceptTask).addr)
 			client := server.connect()
 			server.waitUntil("client", func() bool { return len(server.clients.byID) == 1 })
-			server.holdLoop(func() { client.launch(1, "query") }, func() {
-				server.ageClients()
+			server.blockLoopDuring(func() { client.launch(1, "query") }, func() {
+				server.backdateClients()
 				closing(server)
 			})
 			client.expect(`"running"`)
@@ -139,18 +139,18 @@
 // TestIdleClientWithIncompleteMessage: a connection on which a message has arrived in part is not idle yet; one on which it stays incomplete is.
 func TestIdleClientWithIncompleteMessage(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
-	slow, half := server.connect(), server.connect()
+	slow, incomplete := server.connect(), server.connect()
 	text := launchMessage(1, "query", `"x"`)
 	slow.send(text[:40])
-	half.send(text[:40])
+	incomplete.send(text[:40])
 	server.waitUntil("half a line", func() bool { return server.incompleteClients() == 2 })
 	server.runOnLoop(func() {
-		server.ageClients() // silent for long, and then half a line
+		server.backdateClients() // silent for long, and then half a line
 		server.clients.closeIdle()
 	})
 	slow.send(text[40:])
 	slow.expect(`"running"`)
-	half.expectClosed()
+	incomplete.expectClosed()
 }
 
 // startServerWithTask returns a server on whose one node task 1 runs, the client of that task and the node's end of the connection to it.
@@ -185,7 +185,7 @@
 // next one.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
 	server, closed, nodeConn := startServerWithTask(t)
-	server.holdLoop(func() {
+	server.blockLoopDuring(func() {
 		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
 		closed.close()
 	}, nil)
@@ -210,7 +210,7 @@
 	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
 	closeIdle := func() {
 		server.runOnLoop(func() {
-			server.ageClients()
+			server.backdateClients()
 			server.clients.closeIdle()
 		})
 	}
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -9,25 +9,26 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// clientSlotReserve is how many connection slots of clients are kept free by evicting connections.
-const clientSlotReserve = 2
+// reservedClientSlots is the number of client connection slots that are kept free by evicting connections.
+const reservedClientSlots = 2
 
-// clientTable holds the client connections and decides which of them is closed when their slots run out.
+// clientTable contains the client connections and selects the connection to evict when connection slots run
+// out.
 type clientTable struct {
 	server   *Server
 	byID     map[dispatch.ConnID]*clientConn
 	lastID   dispatch.ConnID
 	maxConns int
 
-	candidates     []memquota.Candidate // reused by evict
-	candidateConns []*clientConn        // the connections of candidates, by index
+	candidates     []memquota.Candidate // candidates is reused by evict to avoid allocations.
+	candidateConns []*clientConn        // candidateConns contains the connection of each candidate at the same index.
 }
 
 func newClientTable(server *Server, maxConns int) *clientTable {
 	return &clientTable{server: server, byID: map[dispatch.ConnID]*clientConn{}, maxConns: maxConns}
 }
 
-// accept returns the handler of a connection that has just been accepted.
+// accept registers a connection that was just accepted and returns its handler.
 func (table *clientTable) accept(conn *eventloop.Conn) eventloop.Handler {
 	s := table.server
 	table.lastID++
@@ -37,23 +38,24 @@
 	client := &clientConn{server: s, conn: conn, id: table.lastID, openedAt: now, lastMessageAt: now}
 	table.byID[client.id] = client
 	s.core.ClientConnected(s.coreNow(), client.id)
-	if len(table.byID) >= table.maxConns-clientSlotReserve {
+	if len(table.byID) >= table.maxConns-reservedClientSlots {
 		table.evict()
 	}
 	return client
 }
 
-// remove forgets a connection that has ended.
+// remove deletes a connection that has ended from the table.
 func (table *clientTable) remove(client *clientConn) { delete(table.byID, client.id) }
 
-// send writes a message to a client; it is lost if the connection has ended.
+// send writes a message to a client. The message is lost if the connection has ended.
 func (table *clientTable) send(id dispatch.ConnID, message *protocol.Message) {
 	if client := table.byID[id]; client != nil {
 		client.send(message)
 	}
 }
 
-// hasUnreadLines reads a client's connection and reports whether lines are left that wait for the next iteration of the loop.
+// hasUnreadLines reads a client's connection and reports whether it has more lines than one iteration of the
+// event loop may handle, so that some lines wait for the next iteration.
 func (table *clientTable) hasUnreadLines(id dispatch.ConnID) bool {
 	client := table.byID[id]
 	if client == nil {
@@ -63,9 +65,9 @@
 	return client.conn.Paused() && !client.conn.Closed()
 }
 
-// readAll reads every connection and reports whether one has more to come: the rest of a message, or lines that wait for the next iteration
-// of the loop.
-func (table *clientTable) readAll() (unread bool) {
+// readAllConns reads every connection and reports whether any of them has an incomplete message or lines that
+// wait for the next iteration of the event loop.
+func (table *clientTable) readAllConns() (unread bool) {
 	for _, client := range table.byID {
 		client.conn.ReadNow()
 		unread = unread || !client.incompleteSince.IsZero() || client.conn.Paused()
@@ -80,8 +82,8 @@
 	}
 }
 
-// closeIdle closes the idle connections. Each is read once more first: a request that the system has received already would be lost
-// with its connection.
+// closeIdle closes the idle connections. It reads each of them once more first, because a request that the
+// kernel has already received would be lost with the connection.
 func (table *clientTable) closeIdle() {
 	s := table.server
 	now := s.loop.Now()
@@ -97,8 +99,9 @@
 	}
 }
 
-// evict closes the connection that is least likely to be needed, to free its slot. Each candidate is read once more first; one on
-// which a request has arrived is kept and the next one is tried.
+// evict closes the connection that is least likely to be needed, which frees its slot. It reads each
+// candidate once more first. If a request has arrived there, it keeps that connection and tries the next
+// candidate.
 func (table *clientTable) evict() {
 	s := table.server
 	table.collectCandidates()
@@ -118,8 +121,8 @@
 	}
 }
 
-// collectCandidates fills candidates and candidateConns. Connections that are closing are none: their slots become free
-// soon, and their last answers may still be on their way.
+// collectCandidates fills candidates and candidateConns. It omits connections that are closing: their slots
+// become free soon, and their last answers may still be in transit.
 func (table *clientTable) collectCandidates() {
 	s := table.server
 	now := s.loop.Now()
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -12,30 +12,30 @@
 	"heathshed/internal/simbridge/simconfig"
 )
 
-// maxConfigBytes bounds the configuration file.
+// maxConfigBytes is the maximum size of a configuration file.
 const maxConfigBytes = 16 << 20
 
-// maxMemoryMB bounds the memory limit of a configuration, in MiB.
-const maxMemoryMB = 1 << 30
+// maxMemoryMiB is the maximum memory limit that a configuration may set, in MiB.
+const maxMemoryMiB = 1 << 30
 
-// Config is what the platform gives a scheduler at its start.
+// Config is the configuration that the platform gives a scheduler when it starts.
 type Config struct {
 	Name          string
-	Listen        string // address for clients
-	Discovery     string // address of the discovery server
-	Seed          uint64
-	CPULimit      float64         // limit; 0 if none is given
-	MemoryLimit   int64           // limit in bytes; 0 if none is given
-	MaxOpenFiles  int             // limit of file descriptors; 0 if none is given
-	InitialEvents json.RawMessage // discovery events that are known at the start
+	Listen        string          // Listen is the address on which the server accepts clients.
+	Discovery     string          // Discovery is the address of the discovery server.
+	Seed          uint64          // Seed is the seed of the server's random numbers.
+	CPULimit      float64         // CPULimit is the limit on processor cores, or 0 if the configuration sets none.
+	MemoryLimit   int64           // MemoryLimit is the memory limit in bytes, or 0 if the configuration sets none.
+	MaxOpenFiles  int             // MaxOpenFiles is the limit on file descriptors, or 0 if the configuration sets none.
+	InitialEvents json.RawMessage // InitialEvents contains the discovery events known at the start.
 	Settings      *simconfig.Settings
 }
 
-// configFile is the JSON of a configuration.
+// configFile is the JSON form of a configuration.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
-	Seed      string          `json:"seed"` // hexadecimal
+	Seed      string          `json:"seed"` // Seed is a hexadecimal number.
 	Discovery string          `json:"bulletin"`
 	Known     json.RawMessage `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
@@ -48,7 +48,7 @@
 	OpenFiles int     `json:"sockets"`
 }
 
-// ReadConfig reads the configuration file at a path. An error names the field that cannot be used.
+// ReadConfig reads a configuration file. If a field is invalid, the error names it.
 func ReadConfig(path string) (*Config, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if len(text) > maxConfigBytes {
-		return nil, fmt.Errorf("configuration %s: over %d bytes", path, maxConfigBytes)
+		return nil, fmt.Errorf("configuration %s: the file is larger than %d bytes", path, maxConfigBytes)
 	}
 	config, err := ParseConfig(text)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return config, nil
 }
 
-// ParseConfig reads a configuration from its JSON text. An error names the field that cannot be used.
+// ParseConfig parses the JSON text of a configuration. If a field is invalid, the error names it.
 func ParseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	if len(file.Settings) == 0 {
-		return nil, errors.New("settings: missing")
+		return nil, errors.New("settings: the field is missing or empty")
 	}
 	settings, err := simconfig.Parse(file.Settings)
 	if err != nil {
@@ -108,7 +108,7 @@
 // checkIdentity checks the name and the addresses.
 func (file *configFile) checkIdentity() error {
 	if file.Name == "" {
-		return errors.New("name: is empty")
+		return errors.New("name: must not be empty")
 	}
 	if _, err := netip.ParseAddrPort(file.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -119,14 +119,14 @@
 	return nil
 }
 
-// check checks the ranges of the limits.
+// check checks that the limits are within their valid ranges.
 func (limits *configLimits) check() error {
-	validMemory := limits.MemoryMiB >= 0 && limits.MemoryMiB <= maxMemoryMB
+	validMemory := limits.MemoryMiB >= 0 && limits.MemoryMiB <= maxMemoryMiB
 	if !(limits.Cores >= 0) || !validMemory || limits.OpenFiles < 0 {
-		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want 0 or more", limits.Cores, limits.MemoryMiB, limits.OpenFiles)
+		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want values of at least 0, and memory_mb of at most 2^30", limits.Cores, limits.MemoryMiB, limits.OpenFiles)
 	}
-	if limits.OpenFiles > 0 && limits.OpenFiles < minSockets {
-		return fmt.Errorf("limits: sockets %d: want at least %d", limits.OpenFiles, minSockets)
+	if limits.OpenFiles > 0 && limits.OpenFiles < minMaxOpenFiles {
+		return fmt.Errorf("limits: sockets %d: must be 0 or at least %d", limits.OpenFiles, minMaxOpenFiles)
 	}
 	return nil
 }
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -11,31 +11,32 @@
 	"heathshed/placer"
 )
 
-// The server keeps durations and instants in Go's types; the core and its settings count seconds in floating point. One becomes the other
-// in this file only.
+// Package server represents times as clock.Instant and time.Duration; the dispatch core and its settings use
+// floating-point seconds. Only this file converts between the two.
 
-// defaultConnectTimeout is how long a dial may take where the settings do not say.
+// defaultConnectTimeout limits the duration of a dial if the settings contain no limit.
 const defaultConnectTimeout = 250 * time.Millisecond
 
-// newBackoff returns a backoff that doubles the delay between the bounds.
+// newBackoff returns an exponential backoff between the given delays.
 func newBackoff(minDelay, maxDelay time.Duration) retry.Backoff {
 	return retry.Backoff{Min: placer.SecondsOf(minDelay), Max: placer.SecondsOf(maxDelay)}
 }
 
-// nextDelay records a failure and returns how long to wait after it.
-func (s *Server) nextDelay(backoff *retry.Backoff) time.Duration {
+// nextRetryDelay counts one more failure and returns the delay before the next attempt.
+func (s *Server) nextRetryDelay(backoff *retry.Backoff) time.Duration {
 	return clock.Duration(backoff.Next(s.rng.Float64()))
 }
 
-// idleShare is the part of the idle timeout that the platform gives, after which an idle node connection is closed from this side. A node
-// that closed it first could do so while an attempt is on its way.
-const idleShare = 0.6
+// idleTimeoutFraction is the fraction of the platform's idle timeout after which the server closes an idle
+// node connection. If the node closed it first, an attempt that is in transit at that moment would be lost.
+const idleTimeoutFraction = 0.6
 
-// coreNow returns the time of this iteration of the loop on the clock of the core.
+// coreNow returns the time of the current iteration of the event loop as the dispatch core represents it.
 func (s *Server) coreNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
-// scheduleCore sets the loop's timer to the core's next one. The core answers infinity if it has none.
-func (s *Server) scheduleCore() {
+// resetCoreTimer sets the event-loop timer to the time of the next timer of the dispatch core. The core
+// reports infinity if it has no timer.
+func (s *Server) resetCoreTimer() {
 	due := s.core.NextTimer()
 	if s.coreTimer != nil && s.coreTimerDue == due {
 		return
@@ -48,14 +49,14 @@
 	}
 }
 
-// advanceCore runs the timers of the core that are due.
+// advanceCore runs the timers of the dispatch core that are due.
 func (s *Server) advanceCore() {
 	s.coreTimer = nil
 	s.core.Advance(s.coreNow())
-	s.processReady()
+	s.applyReadyEffects()
 }
 
-// connectTimeout returns how long a dial may take.
+// connectTimeout returns the maximum duration of a dial.
 func (c *Config) connectTimeout() time.Duration {
 	timeout := c.Settings.Placer.Attempts.ConnectTimeout
 	if timeout <= 0 {
@@ -64,10 +65,13 @@
 	return clock.Duration(timeout)
 }
 
-// maxIdle returns after how long without a request a node connection is closed from this side; 0 for never.
-func (c *Config) maxIdle() time.Duration { return clock.Duration(c.Settings.IdleTimeout * idleShare) }
+// maxIdle returns the time without a request after which the server closes a node connection, or 0 if it
+// never does.
+func (c *Config) maxIdle() time.Duration {
+	return clock.Duration(c.Settings.IdleTimeout * idleTimeoutFraction)
+}
 
-// longestDeadline returns the longest deadline of a class.
+// longestDeadline returns the longest deadline of all classes.
 func (c *Config) longestDeadline() time.Duration {
 	var longest placer.Seconds
 	for i := range c.Settings.Placer.Classes {
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -15,46 +15,49 @@
 	"heathshed/internal/netio/sse"
 )
 
-// discoveryPath is the resource of the discovery server that streams the events of the node registry.
+// discoveryPath is the path on the discovery server that streams the events of the node registry.
 const discoveryPath = "/bulletins"
 
-// Times of the discovery watch.
+// watchConnectTimeout and watchIdleTimeout are the timeouts of the discovery watch.
 const (
 	watchConnectTimeout = 500 * time.Millisecond
-	watchIdleTimeout    = 2200 * time.Millisecond // without a byte; the server sends a comment every second
+	// watchIdleTimeout is the time without data after which a stream fails. The discovery server sends a
+	// comment every second, so silence means that the stream is broken.
+	watchIdleTimeout = 2200 * time.Millisecond
 )
 
-// Bounds of the backoff between two streams.
+// minWatchBackoff and maxWatchBackoff are the bounds of the delay before the discovery stream is opened
+// again.
 const (
 	minWatchBackoff = 50 * time.Millisecond
 	maxWatchBackoff = time.Second
 )
 
-// maxEventBytes bounds one discovery event.
+// maxEventBytes is the maximum size of one discovery event.
 const maxEventBytes = 2 << 20
 
-// Errors that end a discovery stream.
+// The errors of the discovery watch are logged when they end a discovery stream.
 var (
-	errWatchIdle        = errors.New("stream is idle")
-	errWatchEnded       = errors.New("stream has ended")
-	errEventGap         = errors.New("event numbers have a gap")
-	errUnexpectedStatus = errors.New("status is not 200")
+	errWatchIdle        = errors.New("discovery server sent no data within the idle timeout")
+	errWatchEnded       = errors.New("discovery server ended the stream")
+	errEventGap         = errors.New("discovery events are missing before the received event")
+	errUnexpectedStatus = errors.New("discovery server responded with a status other than 200")
 )
 
-// discoveryWatch follows the events of the node registry: a stream of server-sent events that is opened again, from the last event that was
-// received, whenever it ends or falls silent.
+// discoveryWatch receives the events of the node registry as a stream of server-sent events. If the stream
+// ends or is idle for too long, the watch opens another one that continues after the last event received.
 type discoveryWatch struct {
 	server     *Server
 	addr       string
 	client     *httpc.Client
 	call       *httpc.Call
-	stream     *discoveryStream // the response of call; nil while waiting for a retry
+	stream     *discoveryStream // stream is the response to call, or nil while the watch waits for a retry.
 	idleTimer  *eventloop.Timer
 	backoff    retry.Backoff
 	retryTimer *eventloop.Timer
 }
 
-// newDiscoveryWatch returns a watch that is not open yet.
+// newDiscoveryWatch returns a watch that has not opened a stream yet.
 func newDiscoveryWatch(server *Server, addr string) *discoveryWatch {
 	w := &discoveryWatch{server: server, addr: addr, backoff: newBackoff(minWatchBackoff, maxWatchBackoff)}
 	w.client = w.newClient()
@@ -67,7 +70,7 @@
 	return client
 }
 
-// moveTo continues the watch at another address, from the last event that was received.
+// moveTo makes the watch continue at another address, after the last event received.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.addr = addr
 	w.client = w.newClient()
@@ -75,7 +78,8 @@
 	w.open()
 }
 
-// open requests the events after the last one that was received. A stream that is open is dropped.
+// open requests the events that follow the last one received. It cancels the stream that is open, if there is
+// one.
 func (w *discoveryWatch) open() {
 	w.retryTimer.Stop()
 	w.idleTimer.Stop()
@@ -89,55 +93,57 @@
 		{Name: "Accept", Value: "text/event-stream"},
 		{Name: "Last-Event-ID", Value: strconv.FormatUint(w.server.core.LastDiscoveryEvent(), 10)},
 	}
-	handlers := &httpc.Call{Started: stream.started, Data: stream.received, Done: stream.done}
+	handlers := &httpc.Call{Started: stream.responseStarted, Data: stream.bodyReceived, Done: stream.responseEnded}
 	w.call = w.client.Do(http.MethodGet, discoveryPath, header, nil, 0, handlers)
 	w.resetIdleTimer()
 }
 
-// resetIdleTimer restarts the time after which a silent stream is given up.
+// resetIdleTimer restarts the idle timeout of the stream.
 func (w *discoveryWatch) resetIdleTimer() {
 	w.idleTimer.Stop()
 	w.idleTimer = w.server.loop.After(watchIdleTimeout, func() { w.retryAfterFailure(errWatchIdle) })
 }
 
-// retryAfterFailure drops the stream and opens another after a backoff, which begins anew with each stream that delivered an event.
+// retryAfterFailure abandons the stream and opens another one after a delay. The delay grows with each
+// failure and is reset when an event has been received.
 func (w *discoveryWatch) retryAfterFailure(err error) {
 	s := w.server
 	w.stream = nil
 	w.idleTimer.Stop()
 	if call := w.call; call != nil {
 		w.call = nil
-		s.loop.After(0, call.Cancel) // not at once: this may run inside one of the call's own handlers
+		s.loop.After(0, call.Cancel) // Canceling is deferred because a handler of the call may be running.
 	}
 	s.warn("discovery watch failed", w.addr, err)
 	s.core.SetDiscoveryConnected(s.coreNow(), false)
-	s.processReady()
+	s.applyReadyEffects()
 	w.retryTimer.Stop()
-	w.retryTimer = s.loop.After(s.nextDelay(&w.backoff), w.open)
+	w.retryTimer = s.loop.After(s.nextRetryDelay(&w.backoff), w.open)
 }
 
-// discoveryStream is one response of the discovery server. It ignores what arrives once the watch has dropped it.
+// discoveryStream is one response of the discovery server. It ignores all data once the watch has abandoned
+// it.
 type discoveryStream struct {
 	watch   *discoveryWatch
 	decoder sse.Decoder
-	failure error // the first one; no event is handled after it
+	failure error // failure is the first error; events after it are ignored.
 }
 
 func (stream *discoveryStream) isCurrent() bool { return stream.watch.stream == stream }
 
-// started handles the head of the response.
-func (stream *discoveryStream) started(head *http1.Head) {
+// responseStarted handles the header of the response.
+func (stream *discoveryStream) responseStarted(head *http1.Head) {
 	if !stream.isCurrent() || head.Status != http.StatusOK {
 		return
 	}
 	s := stream.watch.server
 	stream.watch.resetIdleTimer()
 	s.core.SetDiscoveryConnected(s.coreNow(), true)
-	s.processReady()
+	s.applyReadyEffects()
 }
 
-// received handles a part of the body.
-func (stream *discoveryStream) received(data []byte) {
+// bodyReceived handles a part of the response body.
+func (stream *discoveryStream) bodyReceived(data []byte) {
 	if !stream.isCurrent() || stream.failure != nil {
 		return
 	}
@@ -147,13 +153,13 @@
 	if stream.failure == nil {
 		stream.failure = err
 	}
-	w.server.processReady()
+	w.server.applyReadyEffects()
 	if stream.failure != nil {
 		w.retryAfterFailure(stream.failure)
 	}
 }
 
-// handleEvent hands one event to the core.
+// handleEvent passes one event to the dispatch core.
 func (stream *discoveryStream) handleEvent(event sse.Event) {
 	if stream.failure != nil {
 		return
@@ -172,8 +178,8 @@
 	stream.watch.backoff.Reset()
 }
 
-// done handles the end of the response.
-func (stream *discoveryStream) done(head *http1.Head, _ []byte, err error) {
+// responseEnded handles the end of the response.
+func (stream *discoveryStream) responseEnded(head *http1.Head, _ []byte, err error) {
 	if !stream.isCurrent() {
 		return
 	}
--- a/internal/platform/server/discovery_fixture_test.go
+++ b/internal/platform/server/discovery_fixture_test.go
@@ -140,7 +140,7 @@
 }
 
 // moveDiscovery reloads the server with another discovery address.
-func (server *testServer) moveDiscovery(addr string) {
+func (server *testServer) switchDiscovery(addr string) {
 	server.t.Helper()
 	next := server.configWithDiscovery(addr)
 	server.runOnLoop(func() { server.Reload(next) })
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -100,22 +100,22 @@
 			t.Parallel()
 			server := startServer(t, 256)
 			discovery := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-			server.moveDiscovery(discovery.addr())
-			first := waitFor(t, "call", discovery.calls)
-			sendTo(t, first, test.text)
+			server.switchDiscovery(discovery.addr())
+			firstCall := waitFor(t, "call", discovery.calls)
+			sendTo(t, firstCall, test.text)
 			if test.meanwhile != nil {
 				server.runOnLoop(func() { test.meanwhile(server, discovery) })
 			}
 			start := time.Now()
-			again := waitFor(t, "second call", discovery.calls)
-			if again.lastEventID != test.lastEventID {
-				t.Errorf("called from event %s, want %s", again.lastEventID, test.lastEventID)
+			retryCall := waitFor(t, "second call", discovery.calls)
+			if retryCall.lastEventID != test.lastEventID {
+				t.Errorf("called from event %s, want %s", retryCall.lastEventID, test.lastEventID)
 			}
 			if took := time.Since(start); took > 4*time.Second {
 				t.Errorf("called again after %v", took)
 			}
-			waitFor(t, "end of the silent connection", first.closed)
-			sendTo(t, again, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntry(2, "127.0.0.1:1", "in_service")))
+			waitFor(t, "end of the silent connection", firstCall.closed)
+			sendTo(t, retryCall, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntry(2, "127.0.0.1:1", "in_service")))
 			server.waitForEvent(3)
 		})
 	}
@@ -125,19 +125,19 @@
 // address.
 func TestOldDiscoveryWatchIgnoredAfterMove(t *testing.T) {
 	server := startServer(t, 256)
-	former, moved := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.moveDiscovery(former.addr())
-	old := waitFor(t, "call", former.calls)
-	sendTo(t, old, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
+	oldServer, newServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
+	server.switchDiscovery(oldServer.addr())
+	oldCall := waitFor(t, "call", oldServer.calls)
+	sendTo(t, oldCall, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
 	server.waitForEvent(2)
-	next := server.configWithDiscovery(moved.addr())
+	next := server.configWithDiscovery(newServer.addr())
 	late := discoveryEvent(3, nodeEntry(7, "127.0.0.1:1", "in_service")) + "\n\n"
-	server.holdLoop(func() { sendTo(t, old, late) }, func() { server.Reload(next) })
-	call := waitFor(t, "call", moved.calls)
+	server.blockLoopDuring(func() { sendTo(t, oldCall, late) }, func() { server.Reload(next) })
+	call := waitFor(t, "call", newServer.calls)
 	if call.lastEventID != "2" {
 		t.Errorf("called from event %s", call.lastEventID)
 	}
-	waitFor(t, "end of the old connection", old.closed)
+	waitFor(t, "end of the old connection", oldCall.closed)
 	sendTo(t, call, sseResponseHead+sseEvent(3, nodeEntry(8, "127.0.0.1:1", "in_service")))
 	server.waitForEvent(3)
 	server.runOnLoop(func() {
@@ -151,14 +151,14 @@
 func TestDiscoveryMovesBeforeServerListens(t *testing.T) {
 	server := startServer(t, 256)
 	firstServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.moveDiscovery(firstServer.addr())
+	server.switchDiscovery(firstServer.addr())
 	first := waitFor(t, "call", firstServer.calls)
 	sendTo(t, first, sseResponseHead+sseEvent(2))
 	server.waitForEvent(2)
 	down := listenOn(t, "127.0.0.77:0") // an address at which no other test takes the port meanwhile
 	addr := down.Addr().String()
 	closeNow(t, down)
-	server.moveDiscovery(addr)
+	server.switchDiscovery(addr)
 	opened := uint64(0)
 	server.runOnLoop(func() { opened = server.stats.WatchesOpened })
 	server.waitUntil("retries", func() bool { return server.stats.WatchesOpened >= opened+2 })
@@ -169,7 +169,7 @@
 	}
 	sendTo(t, call, sseResponseHead+sseEvent(3))
 	server.waitForEvent(3)
-	server.moveDiscovery(firstServer.addr())
+	server.switchDiscovery(firstServer.addr())
 	call = waitFor(t, "call at the first address", firstServer.calls)
 	if call.lastEventID != "3" {
 		t.Errorf("called from event %s", call.lastEventID)
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -112,14 +112,14 @@
 }
 
 // startServer starts a server with a limit of descriptors that knows nodes at the given addresses from its configuration.
-func startServer(t *testing.T, sockets int, nodes ...string) *testServer {
+func startServer(t *testing.T, maxOpenFiles int, nodes ...string) *testServer {
 	t.Helper()
 	entries := make([]string, len(nodes))
 	for i, addr := range nodes {
 		entries[i] = nodeEntry(i+1, addr, "in_service")
 	}
 	discovery := startDiscovery(t)
-	config, err := ParseConfig(configText(discovery.addr(), sockets, discoveryEvent(1, entries...), testSettings))
+	config, err := ParseConfig(configText(discovery.addr(), maxOpenFiles, discoveryEvent(1, entries...), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,9 +133,9 @@
 }
 
 // configText is a configuration with one known event.
-func configText(discovery string, sockets int, event, settings string) []byte {
+func configText(discovery string, maxOpenFiles int, event, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
-		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, sockets, event, settings)
+		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, maxOpenFiles, event, settings)
 }
 
 // runServer runs a server until the end of the test.
@@ -178,19 +178,19 @@
 
 // holdLoop runs act while the loop is held, then afterwards on the loop, in the iteration in which it was held. So the system knows of what
 // act did, on loopback at once, and the loop does not.
-func (server *testServer) holdLoop(act, afterwards func()) {
+func (server *testServer) blockLoopDuring(whileBlocked, afterUnblocking func()) {
 	server.t.Helper()
 	held, released, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	server.loop.Post(func() {
 		close(held)
 		<-released
-		if afterwards != nil {
-			afterwards()
+		if afterUnblocking != nil {
+			afterUnblocking()
 		}
 		close(done)
 	})
 	waitFor(server.t, "iteration of the loop", held)
-	act()
+	whileBlocked()
 	close(released)
 	waitFor(server.t, "end of the iteration", done)
 }
@@ -229,7 +229,7 @@
 }
 
 // ageClients has all connections appear idle for 10 s more. It is called on the loop.
-func (server *testServer) ageClients() {
+func (server *testServer) backdateClients() {
 	for _, client := range server.clients.byID {
 		client.openedAt = client.openedAt.Add(-10 * time.Second)
 		client.lastMessageAt = client.lastMessageAt.Add(-10 * time.Second)
@@ -265,7 +265,7 @@
 }
 
 // connectChecked connects a client and passes a health check on its connection.
-func (server *testServer) connectChecked() *testClient {
+func (server *testServer) connectAndCheck() *testClient {
 	server.t.Helper()
 	client := server.connect()
 	client.send(checkMessage)
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -10,32 +10,34 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// maxLinesPerTurn is how many lines of one connection are handled in one iteration of the loop before the others have their turn.
-const maxLinesPerTurn = 64
+// maxLinesPerIteration is the maximum number of lines of one connection that are handled in one iteration of
+// the event loop. The limit keeps a connection with many lines from delaying the others.
+const maxLinesPerIteration = 64
 
-// lineCost says whether a line counts towards maxLinesPerTurn.
+// lineCost states whether a line counts towards maxLinesPerIteration.
 type lineCost uint8
 
 const (
 	lineCounts lineCost = iota
-	lineFree
+	lineExempt
 )
 
-// lineHandler handles one line, without its newline. An error ends the connection.
+// lineHandler handles one line without its line feed. If it returns an error, the connection is closed.
 type lineHandler func(line []byte) (lineCost, error)
 
-// lineReader shares the loop among connections that send many lines.
+// lineReader reads lines from connections and limits the number of lines per connection and iteration of the
+// event loop.
 type lineReader struct {
 	loop     *eventloop.Loop
-	deferred []*eventloop.Conn // reading is paused until the next iteration of the loop
+	deferred []*eventloop.Conn // deferred lists connections whose reading is paused until the next iteration of the event loop.
 }
 
-// readLines calls handle for each complete line of data, without its newline, until maxLinesPerTurn of them have counted; the rest is
-// deferred to the next iteration of the loop. It returns how many bytes were consumed. The error is that of handle, or
-// protocol.ErrTooLong for a line that is longer than the protocol allows.
+// readLines calls handle for each complete line of data, without its line feed, until maxLinesPerIteration
+// lines have counted. It defers the remaining lines to the next iteration of the event loop. It returns the
+// number of bytes consumed and either the error of handle or protocol.ErrTooLong for a line that is too long.
 func (reader *lineReader) readLines(conn *eventloop.Conn, data []byte, handle lineHandler) (int, error) {
 	consumed := 0
-	for handled := 0; handled < maxLinesPerTurn; {
+	for handled := 0; handled < maxLinesPerIteration; {
 		end := bytes.IndexByte(data[consumed:], '\n')
 		if end < 0 {
 			if len(data)-consumed >= protocol.MaxLine {
@@ -61,7 +63,7 @@
 	return consumed, nil
 }
 
-// deferReading pauses a connection until the next iteration of the loop.
+// deferReading pauses reading from a connection until the next iteration of the event loop.
 func (reader *lineReader) deferReading(conn *eventloop.Conn) {
 	conn.PauseRead(true)
 	reader.deferred = append(reader.deferred, conn)
@@ -70,7 +72,7 @@
 	}
 }
 
-// resumeReading resumes the connections that were deferred.
+// resumeReading resumes reading from the deferred connections.
 func (reader *lineReader) resumeReading() {
 	deferred := reader.deferred
 	reader.deferred = nil
@@ -79,8 +81,9 @@
 	}
 }
 
-// nextIncompleteSince returns since when the last message on a connection has been incomplete, zero if it is not, after consumed of the given
-// number of unread bytes were consumed. previous is the value before.
+// nextIncompleteSince returns when the incomplete message at the end of the unread bytes began, or zero if
+// there is none. The arguments are the previous value, the current time, and how many of the unread bytes
+// were consumed.
 func nextIncompleteSince(previous, now clock.Instant, consumed, unread int) clock.Instant {
 	switch {
 	case consumed == unread:
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -11,32 +11,33 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// maxWarningsPerSecond bounds how often bad input and failures of peers are logged.
+// maxWarningsPerSecond limits the number of logged warnings about invalid input and failures of peers.
 const maxWarningsPerSecond = 5
 
-// warningLimit counts the warnings of the present second.
-type warningLimit struct {
+// warningLimiter counts the warnings within a window of one second.
+type warningLimiter struct {
 	windowStart clock.Instant
 	count       int
 }
 
-// allow reports whether one more warning may be logged.
-func (limit *warningLimit) allow(now clock.Instant) bool {
+// allow counts a warning and reports whether it may be logged.
+func (limit *warningLimiter) allow(now clock.Instant) bool {
 	if now > limit.windowStart.Add(time.Second) {
-		*limit = warningLimit{windowStart: now}
+		*limit = warningLimiter{windowStart: now}
 	}
 	limit.count++
 	return limit.count <= maxWarningsPerSecond
 }
 
-// warn logs a failure that a peer has caused, unless there are too many.
-func (s *Server) warn(what, peer string, err error) {
+// warn logs a failure that a peer has caused, unless maxWarningsPerSecond is exceeded.
+func (s *Server) warn(message, peer string, err error) {
 	if s.warnings.allow(s.loop.Now()) {
-		s.log.Warn().Str("peer", peer).Err(err).Msg(what)
+		s.log.Warn().Str("peer", peer).Err(err).Msg(message)
 	}
 }
 
-// traceMessage logs one message at level trace. direction says where it comes from or goes to.
+// traceMessage logs a message at trace level. direction states whether the message was received or sent, and
+// whether the peer is a client or a node.
 func (s *Server) traceMessage(direction string, conn uint64, peer string, message *protocol.Message) {
 	if s.log.GetLevel() > zerolog.TraceLevel {
 		return
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -12,26 +12,27 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// errUnexpectedKind ends a connection on which a node sends a message that only clients and schedulers send.
-var errUnexpectedKind = errors.New("message kind that a node does not send")
+// errUnexpectedKind is logged when a connection is closed because the node sent a Launch or a Check.
+var errUnexpectedKind = errors.New("node sent a kind of message that only schedulers and clients may send")
 
-// healthCheck is answered by a node at once, however busy it is.
+// healthCheck is the message that checks whether a connection works. A node answers it at once, however busy
+// it is.
 var healthCheck = protocol.Message{Kind: protocol.Check, UID: "0000000000000001", ID: 1, HasCause: true}
 
 // nodeConnState is the state of a connection to a node.
 type nodeConnState uint8
 
 const (
-	nodeDialing     nodeConnState = iota // not established yet
-	nodeEstablished                      // reads and writes
-	nodeClosed                           // ended, or never established
+	nodeDialing     nodeConnState = iota // nodeDialing means that the connection is not established yet.
+	nodeEstablished                      // nodeEstablished means that messages are read and written.
+	nodeClosed                           // nodeClosed means that the connection has ended or that the dial has failed.
 )
 
 func (state nodeConnState) String() string {
 	return [...]string{"dialing", "established", "closed"}[state]
 }
 
-// canBecome reports whether a transition is legal.
+// canBecome reports whether the state machine allows a transition to the next state.
 func (state nodeConnState) canBecome(next nodeConnState) bool {
 	switch state {
 	case nodeDialing:
@@ -42,19 +43,20 @@
 	return false
 }
 
-// nodeConn is one connection to a node.
+// nodeConn is one connection to a node. It handles the events of an eventloop.Conn.
 type nodeConn struct {
 	link          *nodeLink
 	id            dispatch.NodeConnID
 	conn          *eventloop.Conn
 	state         nodeConnState
 	establishedAt clock.Instant
-	attempts      map[*dispatch.Attempt]struct{} // sent here and unanswered
+	attempts      map[*dispatch.Attempt]struct{} // attempts contains the unanswered attempts that were sent on the connection.
 	keepAlive     connpool.ConnState
 	message       protocol.Message
 }
 
-// setState makes a transition. One that is not legal is a fault of the program: it is counted and the state stays.
+// setState changes the state. An illegal transition is a programming error; it is counted and logged, and the
+// state does not change.
 func (nc *nodeConn) setState(next nodeConnState) {
 	if !nc.state.canBecome(next) {
 		nc.link.server.recordIllegalTransition("node connection", uint64(nc.id), nc.state, next)
@@ -63,7 +65,7 @@
 	nc.state = next
 }
 
-// sendAttempt sends an attempt unless the core has ended it meanwhile.
+// sendAttempt sends an attempt, unless the dispatch core has ended it in the meantime.
 func (nc *nodeConn) sendAttempt(attempt *dispatch.Attempt) {
 	s := nc.link.server
 	if !s.core.PrepareSend(s.coreNow(), attempt) {
@@ -75,13 +77,13 @@
 	nc.write(&attempt.Message)
 }
 
-// write queues a message.
+// write queues a message for sending.
 func (nc *nodeConn) write(message *protocol.Message) {
 	nc.link.server.traceMessage(">node", uint64(nc.id), nc.conn.Peer(), message)
 	nc.conn.CommitOutput(message.Append(nc.conn.OutputBuffer()))
 }
 
-// sendHealthCheck sends a health check unless one is unanswered.
+// sendHealthCheck sends a health check, unless an earlier one is still unanswered.
 func (nc *nodeConn) sendHealthCheck() {
 	if nc.keepAlive.HealthCheckSent.IsZero() {
 		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
@@ -89,26 +91,27 @@
 	}
 }
 
-// Opened implements eventloop.Handler: the dial has succeeded.
+// Opened implements eventloop.Handler. The event loop calls it when the dial has succeeded.
 func (nc *nodeConn) Opened(*eventloop.Conn) {
 	now := nc.link.server.loop.Now()
 	nc.setState(nodeEstablished)
 	nc.establishedAt = now
 	nc.keepAlive.LastReceived = now
 	nc.keepAlive.LastSent = now
-	nc.link.established(nc)
+	nc.link.connEstablished(nc)
 }
 
-// Data implements eventloop.Handler: it handles the complete lines of data.
+// Data implements eventloop.Handler. It handles the complete lines of the data and returns the number of
+// bytes consumed.
 func (nc *nodeConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := nc.link.server
 	now := s.loop.Now()
 	nc.keepAlive.LastReceived = now
 	nc.link.reachability.Received(now)
 	consumed, err := s.reader.readLines(conn, data, nc.handleLine)
-	nc.removeAnswered()
+	nc.removeAnsweredAttempts()
 	nc.keepAlive.IncompleteSince = nextIncompleteSince(nc.keepAlive.IncompleteSince, now, consumed, len(data))
-	s.processReady()
+	s.applyReadyEffects()
 	if err != nil && !conn.Closed() {
 		s.stats.InvalidFromNodes.add(err)
 		s.warn("node connection closed", conn.Peer(), err)
@@ -118,7 +121,7 @@
 	return consumed
 }
 
-// handleLine hands one message to the core. An error ends the connection.
+// handleLine passes one message to the dispatch core. If it returns an error, the connection is closed.
 func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
 	s := nc.link.server
 	if err := protocol.Parse(line, &nc.message); err != nil {
@@ -137,8 +140,8 @@
 	return lineCounts, nil
 }
 
-// removeAnswered drops the attempts that have been answered.
-func (nc *nodeConn) removeAnswered() {
+// removeAnsweredAttempts deletes the attempts that are no longer unanswered.
+func (nc *nodeConn) removeAnsweredAttempts() {
 	for attempt := range nc.attempts {
 		if !attempt.Unanswered() {
 			delete(nc.attempts, attempt)
@@ -146,10 +149,11 @@
 	}
 }
 
-// Drained implements eventloop.Handler.
+// Drained implements eventloop.Handler. It does nothing.
 func (nc *nodeConn) Drained(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler: the dial has failed or the connection has ended.
+// Closed implements eventloop.Handler. The event loop calls it when the dial has failed or the connection has
+// ended.
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
@@ -169,12 +173,13 @@
 		link.dialFailed(err)
 		return
 	}
-	link.closed(nc, err)
-	nc.loseAttempts()
+	link.connClosed(nc, err)
+	nc.reportLostAttempts()
 }
 
-// loseAttempts reports the unanswered attempts to the core: whether the node received them is unknown.
-func (nc *nodeConn) loseAttempts() {
+// reportLostAttempts reports the unanswered attempts to the dispatch core. It is unknown whether the node
+// received them.
+func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
 	unanswered := make([]*dispatch.Attempt, 0, len(nc.attempts))
 	for attempt := range nc.attempts {
@@ -184,5 +189,5 @@
 	for _, attempt := range unanswered {
 		s.core.ConnectionLost(s.coreNow(), attempt)
 	}
-	s.processReady()
+	s.applyReadyEffects()
 }
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -17,28 +17,30 @@
 	"heathshed/placer"
 )
 
-// maxPendingBytes bounds the messages that wait for a connection to one node.
+// maxPendingBytes is the maximum size of the encoded messages that wait for a connection to one node.
 const maxPendingBytes = 64 << 10
 
-// nodeLink holds the connections to one node and what waits for them. A node is identified by its uid: another one may come up at the same
-// address.
+// nodeLink manages the connections to one node and the attempts and messages that wait for a connection. The
+// link belongs to the node with one uid, because another node may later use the same address.
 type nodeLink struct {
 	server          *Server
 	id              placer.NodeID
 	addr            string
-	conns           []*nodeConn         // established
-	dialing         *nodeConn           // nil if none is
-	queued          []*dispatch.Attempt // wait for dialing
-	pendingMessages []byte              // encoded, for a node without a connection
+	conns           []*nodeConn         // conns contains the established connections.
+	dialing         *nodeConn           // dialing is the connection that is being dialed, or nil.
+	queuedAttempts  []*dispatch.Attempt // queuedAttempts contains the attempts that wait for the dial to succeed.
+	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection.
 	backoff         retry.Backoff
-	retryAt         clock.Instant // when the node may be dialed again
-	disconnectedAt  clock.Instant // when its last connection ended; zero if none did
+	retryAt         clock.Instant // retryAt is the earliest time of the next dial.
+	disconnectedAt  clock.Instant // disconnectedAt is when the last connection ended, or zero if none has ended.
 	reachability    connpool.Reachability
-	hasTasks        bool // at the last housekeeping
-	needsConn       bool // at the last housekeeping: without a connection, while tasks run or messages are pending
+	hasTasks        bool // hasTasks states whether the node ran tasks at the last call of maintain.
+	// needsConn states whether maintain last decided that the node must be dialed. This is the case if the
+	// node has no connection although it runs tasks or messages are pending, and it may be dialed.
+	needsConn bool
 }
 
-// closeConns closes all connections, the one being dialed included.
+// closeConns closes all connections, including the one that is being dialed.
 func (link *nodeLink) closeConns() {
 	for _, nc := range slices.Clone(link.conns) {
 		nc.conn.Close()
@@ -48,18 +50,18 @@
 	}
 }
 
-// send sends an attempt on an open connection, or dials one for it.
+// send sends an attempt on a usable connection, or queues it and dials a connection.
 func (link *nodeLink) send(attempt *dispatch.Attempt) {
 	if nc := link.usableConn(); nc != nil {
 		nc.sendAttempt(attempt)
 		return
 	}
-	link.queued = append(link.queued, attempt)
+	link.queuedAttempts = append(link.queuedAttempts, attempt)
 	link.dial()
 }
 
-// sendMessage sends a message about an attempt: on the connection that the attempt went out on if that is open, else on any other, else on
-// the next one that is established.
+// sendMessage sends a message about an attempt. It prefers the connection on which the attempt was sent, then
+// any other open connection. If no connection is open, the message is sent when the next one is established.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
 	nc := link.connByID(effect.Attempt.Conn)
 	if nc != nil {
@@ -77,13 +79,14 @@
 	}
 	nc.write(&effect.Message)
 	if suspected {
-		// The node is slow, or the connection is dead. A health check tells; until it is answered no attempt goes out on the connection.
+		// Either the node is slow or the connection is broken. The health check distinguishes the two cases.
+		// Until it is answered, no attempt is sent on the connection.
 		link.server.stats.NodeConnsSuspected++
 		nc.sendHealthCheck()
 	}
 }
 
-// connByID returns the open connection with a number, nil if there is none.
+// connByID returns the established connection with the given ID, or nil.
 func (link *nodeLink) connByID(id dispatch.NodeConnID) *nodeConn {
 	for _, nc := range link.conns {
 		if nc.id == id {
@@ -93,8 +96,8 @@
 	return nil
 }
 
-// usableConn returns the connection that attempts go out on, nil if there is none: of those that may be used, the one on which something
-// arrived last.
+// usableConn returns the usable connection on which data arrived most recently, or nil if no connection is
+// usable. Attempts are sent on this connection.
 func (link *nodeLink) usableConn() *nodeConn {
 	var best *nodeConn
 	for _, nc := range link.conns {
@@ -105,7 +108,8 @@
 	return best
 }
 
-// anyConn returns a connection for messages, nil if none is open: a usable one if possible.
+// anyConn returns a usable connection if there is one, otherwise any established connection, or nil if there
+// is none.
 func (link *nodeLink) anyConn() *nodeConn {
 	if nc := link.usableConn(); nc != nil {
 		return nc
@@ -116,7 +120,8 @@
 	return nil
 }
 
-// dial opens a connection unless one is being opened. Failures are reported in a later iteration of the loop.
+// dial opens a connection, unless one is being dialed already. Failures are reported in a later iteration of
+// the event loop.
 func (link *nodeLink) dial() {
 	if link.dialing != nil {
 		return
@@ -139,8 +144,8 @@
 	s.nodes.slotTaken()
 }
 
-// established takes over a connection that has come up and sends what waited for it.
-func (link *nodeLink) established(nc *nodeConn) {
+// connEstablished adds an established connection and sends the messages and attempts that waited for it.
+func (link *nodeLink) connEstablished(nc *nodeConn) {
 	s := link.server
 	link.reachability.Received(s.loop.Now())
 	if link.dialing == nc {
@@ -152,32 +157,32 @@
 		nc.conn.Write(link.pendingMessages)
 		link.pendingMessages = nil
 	}
-	queued := link.queued
-	link.queued = nil
+	queued := link.queuedAttempts
+	link.queuedAttempts = nil
 	for _, attempt := range queued {
 		s.attempts.schedule(attempt)
 	}
-	s.processReady()
+	s.applyReadyEffects()
 }
 
-// dialFailed fails the attempts that waited for a connection.
+// dialFailed records a failed dial and reports the attempts that waited for the connection as failed.
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
-	link.retryAt = s.loop.Now().Add(s.nextDelay(&link.backoff))
-	if !errors.Is(err, errNoConnectionSlot) { // which says nothing about the node
+	link.retryAt = s.loop.Now().Add(s.nextRetryDelay(&link.backoff))
+	if !errors.Is(err, errNoConnectionSlot) { // A lack of slots says nothing about the state of the node.
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
-	queued := link.queued
-	link.queued = nil
+	queued := link.queuedAttempts
+	link.queuedAttempts = nil
 	for _, attempt := range queued {
 		s.core.ConnectFailed(s.coreNow(), attempt)
 	}
-	s.processReady()
+	s.applyReadyEffects()
 }
 
-// closed takes away a connection that has ended.
-func (link *nodeLink) closed(nc *nodeConn, err error) {
+// connClosed removes a connection that has ended.
+func (link *nodeLink) connClosed(nc *nodeConn, err error) {
 	s := link.server
 	if i := slices.Index(link.conns, nc); i >= 0 {
 		link.conns = slices.Delete(link.conns, i, i+1)
@@ -188,28 +193,29 @@
 	}
 }
 
-// maintain closes connections that are idle or dead, decides whether the node is to be dialed, and removes the link of a node that has been
-// terminated.
+// maintain closes connections that are idle or unresponsive and decides whether the node must be dialed. It
+// removes the link if the node has terminated and runs no tasks.
 func (link *nodeLink) maintain() {
 	s := link.server
 	now := s.loop.Now()
 	node := s.core.Node(link.id)
 	hasTasks := node != nil && node.RunningTasks() > 0
-	// A full list may omit a node that the next one has again: for TerminationGrace its connections stay.
+	// A full list may omit a node that the next list contains again, so the connections are kept for
+	// TerminationGrace.
 	if !hasTasks && (node == nil || node.TerminatedFor(s.coreNow()) > dispatch.TerminationGrace) {
 		link.closeConns()
 		s.nodes.remove(link)
 		return
 	}
 	if hasTasks && !link.hasTasks {
-		link.reachability.Received(now) // earlier failures say nothing about these tasks
+		link.reachability.Received(now) // Failures before these tasks started say nothing about the tasks.
 	}
 	link.hasTasks = hasTasks
 	link.maintainConns(now)
-	link.needsConn = link.awaitsConn() && link.checkReachability(now, node)
+	link.needsConn = link.lacksRequiredConn() && link.checkReachability(now, node)
 }
 
-// maintainConns carries out the keep-alive policy on each connection.
+// maintainConns applies the keep-alive policy to each connection.
 func (link *nodeLink) maintainConns(now clock.Instant) {
 	s := link.server
 	for _, nc := range slices.Clone(link.conns) {
@@ -228,13 +234,15 @@
 	}
 }
 
-// awaitsConn reports whether the node has no connection but tasks that may end there, or messages to be sent.
-func (link *nodeLink) awaitsConn() bool {
+// lacksRequiredConn reports whether the node has no connection although it runs tasks or messages are
+// pending.
+func (link *nodeLink) lacksRequiredConn() bool {
 	return (link.hasTasks || len(link.pendingMessages) > 0) && len(link.conns) == 0
 }
 
-// checkReachability reports a node that cannot be reached to the core, and returns whether it is to be dialed. A terminated node is not:
-// another one may have come up at its address, whose messages would be taken for those of the terminated one.
+// checkReachability reports a node that is unreachable to the dispatch core and returns whether the node may
+// be dialed. A terminated node must not be dialed: another node may use its address, and messages from that
+// node would be attributed to the terminated one.
 func (link *nodeLink) checkReachability(now clock.Instant, node *dispatch.Node) bool {
 	s := link.server
 	if !link.hasTasks {
@@ -256,7 +264,8 @@
 	return node.State != placer.Terminated
 }
 
-// isDialDue reports whether the node needs a connection, none is being dialed and its backoff has passed.
+// isDialDue reports whether the node needs a connection, no connection is being dialed and the backoff has
+// elapsed.
 func (link *nodeLink) isDialDue(now clock.Instant) bool {
 	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
 }
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -118,14 +118,14 @@
 // answered. The node itself is well, and a new connection to it serves.
 func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	var mu sync.Mutex
-	var dead net.Conn
+	var unresponsive net.Conn
 	node := startNode(t, func(conn net.Conn, line string) error {
 		mu.Lock()
 		defer mu.Unlock()
-		if dead == nil {
-			dead = conn
+		if unresponsive == nil {
+			unresponsive = conn
 		}
-		if conn == dead {
+		if conn == unresponsive {
 			return nil
 		}
 		return acceptTask(conn, line)
@@ -241,7 +241,7 @@
 	}
 	server.waitUntil("end of the dials", func() bool {
 		for _, link := range server.nodes.byID {
-			if len(link.queued) > 0 || link.dialing != nil {
+			if len(link.queuedAttempts) > 0 || link.dialing != nil {
 				return false
 			}
 		}
@@ -255,13 +255,13 @@
 	for _, test := range []struct{ back, running bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			t.Parallel()
-			launches := make(chan heldLaunch, 1)
+			launches := make(chan unansweredLaunch, 1)
 			node := startNode(t, func(conn net.Conn, line string) error {
 				switch taskUID(line) {
 				case "0000000000000001":
 					return acceptTask(conn, line)
 				case "0000000000000002":
-					launches <- heldLaunch{conn, line}
+					launches <- unansweredLaunch{conn, line}
 				}
 				return nil
 			})
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -14,40 +14,43 @@
 	"heathshed/placer"
 )
 
-// Times after which a node that runs tasks is declared unreachable. Clients must be notified within 8 s of the end of a task. A
-// node that refuses connections may be a process that is being restarted.
+// unresponsiveTimeout and refusedTimeout are the times after which a node that runs tasks is declared
+// unreachable. They are short because clients must be notified within 8 s of the end of a task. A node that
+// refuses connections is allowed a second, because its process may be restarting.
 const (
 	unresponsiveTimeout = 6 * time.Second
 	refusedTimeout      = time.Second
 )
 
-// slotHoldTime is how long a connection to a node that runs tasks keeps its slot where there are more such nodes than slots.
-// They take turns then, so that each can report within 8 s how its tasks end.
+// slotHoldTime is how long a connection to a node that runs tasks keeps its slot if more such nodes exist
+// than slots. The nodes then use the slots in turn, so that each can report within 8 s how its tasks ended.
 const slotHoldTime = 2 * time.Second
 
-// Bounds of the backoff between dials of one node.
+// minDialBackoff and maxDialBackoff are the bounds of the delay between dials of one node.
 const (
 	minDialBackoff = 200 * time.Millisecond
 	maxDialBackoff = time.Second
 )
 
-// errNoConnectionSlot fails a dial for which every connection slot of nodes is in use.
-var errNoConnectionSlot = errors.New("no connection slot for a node is free")
+// errNoConnectionSlot is the error of a dial that was not started because all connection slots for nodes were
+// in use.
+var errNoConnectionSlot = errors.New("all connection slots for nodes are in use")
 
-// nodeLinks holds the links to all nodes and the connection slots that they share.
+// nodeLinks contains the links to all nodes and limits the number of their connections.
 type nodeLinks struct {
 	server       *Server
 	byID         map[placer.NodeID]*nodeLink
 	lastConnID   dispatch.NodeConnID
-	openConns    int // those being dialed included
+	openConns    int // openConns includes the connections that are being dialed.
 	maxConns     int
-	slotHoldTime time.Duration              // see the constant
-	keepAlive    connpool.MultiplexedPolicy // of the connections
-	reachability connpool.Reachability      // the initial state of each link
-	disconnected []*nodeLink                // reused by reconnect
+	slotHoldTime time.Duration              // slotHoldTime is the constant slotHoldTime, except in tests.
+	keepAlive    connpool.MultiplexedPolicy // keepAlive is the keep-alive policy of all connections.
+	reachability connpool.Reachability      // reachability is the initial state of each link.
+	linksToDial  []*nodeLink                // linksToDial is reused by reconnect to avoid allocations.
 }
 
-// newNodeLinks returns the links of a server. maxIdle is after how long without a request a connection is closed; 0 for never.
+// newNodeLinks returns the links of a server. maxIdle is the time without a request after which a connection
+// is closed; 0 means never.
 func newNodeLinks(server *Server, maxConns int, maxIdle time.Duration) *nodeLinks {
 	links := &nodeLinks{
 		server:       server,
@@ -61,7 +64,7 @@
 	return links
 }
 
-// linkTo returns the link to a node, a new one if there is none.
+// linkTo returns the link to a node. It creates the link if there is none.
 func (links *nodeLinks) linkTo(id placer.NodeID) *nodeLink {
 	link := links.byID[id]
 	if link != nil {
@@ -80,7 +83,8 @@
 	return link
 }
 
-// updateAddresses closes the connections to nodes whose address has changed; the next ones go to the new address.
+// updateAddresses closes the connections to nodes whose address has changed. Later connections use the new
+// address.
 func (links *nodeLinks) updateAddresses() {
 	links.server.core.Nodes(func(node *dispatch.Node) {
 		link := links.byID[node.ID]
@@ -91,21 +95,22 @@
 	})
 }
 
-// remove forgets the link to a node.
+// remove deletes the link to a node.
 func (links *nodeLinks) remove(link *nodeLink) { delete(links.byID, link.id) }
 
-// nextConnID returns the number of a new connection.
+// nextConnID returns the ID of a new connection.
 func (links *nodeLinks) nextConnID() dispatch.NodeConnID {
 	links.lastConnID++
 	return links.lastConnID
 }
 
-// slotTaken and slotFreed count the connections that hold a slot, from the dial to the end.
+// slotTaken and slotFreed count the connections that use a slot. A connection uses a slot from its dial until
+// it ends.
 func (links *nodeLinks) slotTaken() { links.openConns++ }
 
 func (links *nodeLinks) slotFreed() { links.openConns-- }
 
-// maintain closes connections that are of no further use, and dials the nodes that need one.
+// maintain maintains all links and dials the nodes that need a connection.
 func (links *nodeLinks) maintain() {
 	for _, link := range links.byID {
 		link.maintain()
@@ -113,20 +118,21 @@
 	links.reconnect()
 }
 
-// reconnect dials the nodes that need a connection, those first that have been without one for longest. Where there are more of them
-// than slots they take turns, and each has its turn before the end of a task there is overdue.
+// reconnect dials the nodes that need a connection, beginning with the one that has been without a connection
+// for the longest time. If more nodes need a connection than slots exist, this order gives each node a
+// connection before a report of a task's end is overdue.
 func (links *nodeLinks) reconnect() {
 	now := links.server.loop.Now()
-	links.disconnected = links.disconnected[:0]
+	links.linksToDial = links.linksToDial[:0]
 	for _, link := range links.byID {
 		if link.isDialDue(now) {
-			links.disconnected = append(links.disconnected, link)
+			links.linksToDial = append(links.linksToDial, link)
 		}
 	}
-	slices.SortFunc(links.disconnected, func(a, b *nodeLink) int {
+	slices.SortFunc(links.linksToDial, func(a, b *nodeLink) int {
 		return cmp.Or(cmp.Compare(a.disconnectedAt, b.disconnectedAt), cmp.Compare(a.id, b.id))
 	})
-	for _, link := range links.disconnected {
+	for _, link := range links.linksToDial {
 		if !links.ensureSlot() {
 			return
 		}
@@ -134,12 +140,14 @@
 	}
 }
 
-// ensureSlot reports whether one more connection to a node may be opened. If all slots are in use, it tries to free one.
+// ensureSlot reports whether one more connection to a node may be opened. It evicts a connection if all slots
+// are in use.
 func (links *nodeLinks) ensureSlot() bool {
 	return links.openConns < links.maxConns || links.evict()
 }
 
-// evict closes the connection to a node that is least likely to be needed, and reports whether there was one to close.
+// evict closes the connection to a node that is least likely to be needed. It reports whether there was a
+// connection that could be closed.
 func (links *nodeLinks) evict() bool {
 	now := links.server.loop.Now()
 	var candidates []memquota.Candidate
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -1,11 +1,12 @@
 //go:build linux
 
-// Package server runs one scheduler on the shared platform: it accepts clients, connects to nodes and follows the platform's discovery
-// stream, all on one event loop.
+// Package server runs one scheduler on the shared platform. It accepts clients, connects to nodes and watches
+// the platform's discovery server, all on one event loop.
 //
-// The package moves bytes and keeps connections. It parses what arrives, hands it to a dispatch.Core and carries out the effects that the
-// core returns; it makes no placement decisions. Everything but New runs on the loop's goroutine, so nothing is locked. The
-// core's clock and its conversion stand in core_clock.go.
+// The package manages connections and transfers messages. It parses messages, passes them to a dispatch.Core
+// and carries out the effects that the core returns; it makes no placement decisions. All functions except
+// New must be called on the event loop's goroutine, so the package needs no locks. File core_clock.go
+// converts between the time formats of the event loop and the dispatch core.
 package server
 
 import (
@@ -21,31 +22,35 @@
 	"heathshed/placer"
 )
 
-// housekeepingInterval is the time between two passes over all connections.
+// housekeepingInterval is the time between two housekeeping passes over all connections.
 const housekeepingInterval = 100 * time.Millisecond
 
-// Limits on file descriptors.
+// defaultMaxOpenFiles, minMaxOpenFiles and reservedOpenFiles determine how many file descriptors connections
+// may use.
 const (
-	defaultSockets  = 4096 // where the configuration sets no limit
-	minSockets      = 64
-	reservedSockets = 16 // for files, the loop itself and the discovery watch
+	defaultMaxOpenFiles = 4096 // defaultMaxOpenFiles applies if the configuration sets no limit.
+	minMaxOpenFiles     = 64   // minMaxOpenFiles is the smallest limit that a configuration may set.
+	reservedOpenFiles   = 16   // reservedOpenFiles is the number kept for files, the event loop and the discovery watch.
 )
 
-// seedStream separates the server's random numbers from others that are drawn from the configuration's seed.
+// seedStream is the second half of the seed of the server's random numbers. It separates them from other
+// random numbers that use the seed of the configuration.
 const seedStream = 0x6a09e667f3bcc908
 
-// Server is one scheduler.
+// Server is one scheduler on the shared platform.
 type Server struct {
-	loop     *eventloop.Loop
-	core     *dispatch.Core
-	config   *Config
-	rng      *rand.Rand // seeded by the configuration, so that schedulers started together do not retry in step
+	loop   *eventloop.Loop
+	core   *dispatch.Core
+	config *Config
+	// rng is seeded from the configuration, so that schedulers that start at the same time do not retry in
+	// lockstep.
+	rng      *rand.Rand
 	log      zerolog.Logger
-	warnings warningLimit
+	warnings warningLimiter
 	stats    Stats
 
-	coreTimer    *eventloop.Timer // runs the core when its next timer is due; nil if none is set
-	coreTimerDue placer.Seconds   // on the clock of the core
+	coreTimer    *eventloop.Timer // coreTimer runs the next timer of the dispatch core; it is nil if there is none.
+	coreTimerDue placer.Seconds   // coreTimerDue is the time of coreTimer as the dispatch core represents it.
 
 	listener  *eventloop.Listener
 	clients   *clientTable
@@ -56,18 +61,21 @@
 	shutdown  shutdown
 }
 
-// New returns a server that listens and runs on the loop. Once Stop has completed it calls onStopped on the loop. An error says that the
-// configuration cannot be used or that its address cannot be listened on.
+// New returns a server that accepts clients and runs on the given event loop. When a graceful stop has
+// completed, the server calls onStopped on the event loop. New returns an error if the configuration cannot
+// be used or the server cannot listen on its address.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
 	core, err := dispatch.New(loop.Now().UnixSeconds(), config.Settings, policy, config.InitialEvents)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	sockets := config.MaxOpenFiles
-	if sockets == 0 {
-		sockets = defaultSockets
+	maxOpenFiles := config.MaxOpenFiles
+	if maxOpenFiles == 0 {
+		maxOpenFiles = defaultMaxOpenFiles
 	}
-	maxNodeConns := (sockets - reservedSockets) / 2 // clients use a third at most; the rest of their half is for unidentified ones
+	// Nodes get half of the connections. Clients that have sent a valid message use at most a third of all
+	// connections. The rest of the clients' half is for connections that have not sent a valid message.
+	maxNodeConns := (maxOpenFiles - reservedOpenFiles) / 2
 	s := &Server{
 		loop:   loop,
 		core:   core,
@@ -76,7 +84,7 @@
 		log:    log,
 		reader: lineReader{loop: loop},
 	}
-	s.clients = newClientTable(s, sockets-reservedSockets-maxNodeConns)
+	s.clients = newClientTable(s, maxOpenFiles-reservedOpenFiles-maxNodeConns)
 	s.nodes = newNodeLinks(s, maxNodeConns, config.maxIdle())
 	s.attempts.server = s
 	s.shutdown = shutdown{server: s, onStopped: onStopped}
@@ -86,17 +94,17 @@
 	}
 	s.discovery = newDiscoveryWatch(s, config.Discovery)
 	s.discovery.open()
-	s.processReady()
+	s.applyReadyEffects()
 	log.Trace().Str("settings", fmt.Sprintf("%+v", *config.Settings)).RawJSON("known", config.InitialEvents).Msg("configuration")
 	loop.After(housekeepingInterval, s.housekeep)
 	loop.After(statsInterval, s.logStats)
 	return s, nil
 }
 
-// Addr returns the address that clients connect to.
+// Addr returns the address on which the server accepts clients.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Reload takes over the discovery address of a new configuration. Its other fields are ignored.
+// Reload applies the discovery address of a new configuration and ignores its other fields.
 func (s *Server) Reload(next *Config) {
 	if next.Discovery == s.discovery.addr {
 		return
@@ -108,18 +116,18 @@
 	s.discovery.moveTo(next.Discovery)
 }
 
-// processReady carries out the effects that the core has ready, then sets the loop's timer to the core's next one. It follows each call
-// that notifies the core of an event.
-func (s *Server) processReady() {
+// applyReadyEffects carries out all effects that the dispatch core returns and then resets the timer of the
+// core. It must be called after each call that notifies the core of an event.
+func (s *Server) applyReadyEffects() {
 	for effects := s.core.Ready(); len(effects) > 0; effects = s.core.Ready() {
 		for i := range effects {
 			s.applyEffect(&effects[i])
 		}
 	}
-	s.scheduleCore()
+	s.resetCoreTimer()
 }
 
-// applyEffect carries out one effect of the core.
+// applyEffect carries out one effect of the dispatch core.
 func (s *Server) applyEffect(effect *dispatch.Effect) {
 	switch effect.Kind {
 	case dispatch.SendToClient:
@@ -135,10 +143,11 @@
 	}
 }
 
-// housekeep closes connections that are of no further use and dials the nodes that need one, then schedules the next pass.
+// housekeep closes connections that are no longer needed, dials the nodes that need a connection and
+// schedules the next pass.
 func (s *Server) housekeep() {
 	s.clients.closeIdle()
 	s.nodes.maintain()
-	s.processReady()
+	s.applyReadyEffects()
 	s.loop.After(housekeepingInterval, s.housekeep)
 }
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -40,17 +40,17 @@
 
 // TestNodeFaultMovesTaskToAnotherNode: whatever a node does wrong, its tasks are placed on another one.
 func TestNodeFaultMovesTaskToAnotherNode(t *testing.T) {
-	const half = `{"kind":"running","uid":%q,"bo`
+	const incompleteAnswer = `{"kind":"running","uid":%q,"bo`
 	for name, handle := range map[string]nodeHandler{
 		"noise":   func(conn net.Conn, _ string) error { return respond(conn, "\x00\xff\x17 noise\n") },
 		"endless": func(conn net.Conn, _ string) error { return respond(conn, "%s", strings.Repeat("x", 40<<10)) },
 		"broken off": func(conn net.Conn, line string) error {
-			if err := respond(conn, half, taskUID(line)); err != nil {
+			if err := respond(conn, incompleteAnswer, taskUID(line)); err != nil {
 				return err
 			}
 			return conn.Close()
 		},
-		"stops short": func(conn net.Conn, line string) error { return respond(conn, half, taskUID(line)) },
+		"stops short": func(conn net.Conn, line string) error { return respond(conn, incompleteAnswer, taskUID(line)) },
 		"silent":      ignoreMessages,
 		"error": func(conn net.Conn, line string) error {
 			return respond(conn, `{"kind":"stop","uid":%q,"reason":47}`+"\n", taskUID(line))
@@ -111,7 +111,7 @@
 // TestNoAttemptAfterDisconnect: no attempt is sent for a request whose client has closed its connection or canceled the request before the first
 // byte of the attempt goes out.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
-	many := strings.Repeat(checkMessage, maxLinesPerTurn+10)
+	many := strings.Repeat(checkMessage, maxLinesPerIteration+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
 	for name, leave := range map[string]func(client *testClient){
 		"closes behind its request":   func(client *testClient) { client.send(launch); client.close() },
@@ -134,7 +134,7 @@
 		t.Run(name, func(t *testing.T) {
 			server, node, client := startConnectedServer(t)
 			leaving := server.connect()
-			server.holdLoop(func() { leave(leaving) }, nil)
+			server.blockLoopDuring(func() { leave(leaving) }, nil)
 			node.expectNoLaunch(client)
 		})
 	}
@@ -180,12 +180,12 @@
 	frontend, client := server.connect(), server.connect()
 	frontend.send(checkMessage)
 	frontend.expect(`"checked"`)
-	var b strings.Builder
+	var adoptions strings.Builder
 	for i := range adopted {
-		b.WriteString(adoptMessage(0x1000+i, 1))
+		adoptions.WriteString(adoptMessage(0x1000+i, 1))
 	}
-	server.holdLoop(func() {
-		frontend.send(b.String())
+	server.blockLoopDuring(func() {
+		frontend.send(adoptions.String())
 		client.launch(1, "query")
 	}, nil)
 	running := -1
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -104,14 +104,14 @@
 				t.Fatal(err)
 			}
 			server := runServer(t, config, policy)
-			client := server.connectChecked()
+			client := server.connectAndCheck()
 			for i, class := range config.Settings.Classes {
 				sentAt := time.Now()
 				client.send(launchOfClass(t, config, i))
 				answer := client.expect(fmt.Sprintf("%016x", i+1))
 				if time.Since(sentAt) > idleClientTimeout/2 {
 					// Without a placed task, a connection that has sent nothing for so long may be closed at any moment.
-					client = server.connectChecked()
+					client = server.connectAndCheck()
 				}
 				if test.placed && !strings.Contains(answer, `"running"`) {
 					t.Errorf("class %q: %s", class, answer)
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -8,23 +8,25 @@
 	"heathshed/internal/control/clock"
 )
 
-// Times of a graceful stop. From the signal to stop, the platform sends clients and requests for 0.7 s at most.
+// The durations of a graceful stop follow from the platform's behavior: for at most 0.7 s after its signal to
+// stop, the platform still opens client connections to a scheduler and sends requests.
 const (
-	acceptGrace   = 850 * time.Millisecond // from the signal until the listener closes
-	pollInterval  = 10 * time.Millisecond  // between two looks at what is still open
-	closeGrace    = 500 * time.Millisecond // for clients to close their side of their connections, at the end
-	minCloseGrace = 100 * time.Millisecond // the least of that, when time is short; stopReserve covers it
+	acceptGrace   = 850 * time.Millisecond // acceptGrace is the time from the signal until the listener closes.
+	pollInterval  = 10 * time.Millisecond  // pollInterval is the time between two checks of what is still open.
+	closeGrace    = 500 * time.Millisecond // closeGrace is the time for clients to close their connections at the end.
+	minCloseGrace = 100 * time.Millisecond // minCloseGrace is the least value of closeGrace when time is short; stopReserve covers it.
 )
 
-// The platform kills a scheduler some time after its signal to stop: the longest deadline of a class, at most maxStopDeadline, and
-// stopMargin. stopReserve is kept of that for a busy processor.
+// The platform kills a scheduler some time after it has signaled the scheduler to stop. That time is the
+// longest deadline of a class, limited to maxStopDeadline, plus stopMargin. The server stops earlier by
+// stopReserve, in case the processor is busy.
 const (
 	maxStopDeadline = 3 * time.Second
 	stopMargin      = 700 * time.Millisecond
 	stopReserve     = 150 * time.Millisecond
 )
 
-// shutdown is the sequence of a graceful stop.
+// shutdown controls a graceful stop.
 type shutdown struct {
 	server      *Server
 	requested   bool
@@ -32,8 +34,8 @@
 	onStopped   func()
 }
 
-// Stop begins a graceful stop: the server goes on accepting clients for acceptGrace, answers every request that it has accepted and then
-// stops. Further calls have no effect.
+// Stop starts a graceful stop. The server accepts clients for acceptGrace, answers every request that it has
+// accepted and then stops. Further calls have no effect.
 func (s *Server) Stop() { s.shutdown.begin() }
 
 func (stop *shutdown) begin() {
@@ -50,16 +52,16 @@
 	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finish closes the listener, and the clients' connections once no accepted request is open. While tasks run, the server stays for as
-// long as the platform surely lets it, to notify clients of tasks that end: the end of a task of which no scheduler learns is reported late
-// or never.
+// finish closes the listener, and then the connections of clients once no accepted request is open. While
+// tasks run, the server continues for as long as the platform reliably allows, so that it can notify clients
+// of tasks that end. If no scheduler learns that a task has ended, the client is notified late or never.
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
 		s.listener.Drain()
 		s.listener.Close()
 	}
-	unread := s.clients.readAll()
+	unread := s.clients.readAllConns()
 	inTime := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
 	if s.core.OpenRequests() > 0 || inTime && (unread || stop.canNotifyClients()) {
 		s.loop.After(pollInterval, stop.finish)
@@ -71,15 +73,15 @@
 	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
-// canNotifyClients reports whether a task may still end and a client is connected to be notified.
+// canNotifyClients reports whether a task may still end and a client is connected that could be notified.
 func (stop *shutdown) canNotifyClients() bool {
 	s := stop.server
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
-// awaitClientsClosed ends the server when the clients have closed their connections too, at the deadline at the latest. If
-// the process ended while a byte of a client was unread, the system would reset that connection and destroy answers that the client has not
-// read yet.
+// awaitClientsClosed completes the stop when the clients have closed their connections, or at the deadline.
+// If the process ended while data from a client was unread, the kernel would reset that connection and
+// discard answers that the client has not read yet.
 func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
 	s := stop.server
 	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
@@ -91,7 +93,7 @@
 	stop.onStopped()
 }
 
-// timeout is how long after its signal to stop the platform surely leaves a scheduler running.
+// timeout returns how long after its signal to stop the platform reliably lets a scheduler run.
 func (stop *shutdown) timeout() time.Duration {
 	return min(stop.server.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -9,12 +9,12 @@
 )
 
 // heldLaunch is a launch that a node has not answered.
-type heldLaunch struct {
+type unansweredLaunch struct {
 	conn net.Conn
 	line string
 }
 
-func (launch heldLaunch) accept(t *testing.T) {
+func (launch unansweredLaunch) accept(t *testing.T) {
 	t.Helper()
 	if err := acceptTask(launch.conn, launch.line); err != nil {
 		t.Fatal(err)
@@ -24,10 +24,10 @@
 // TestStopAnswersAcceptedRequests: requests that arrive before and shortly after the signal to stop are answered, and while the server waits
 // for running tasks their end is still reported.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
-	launches := make(chan heldLaunch, 10)
+	launches := make(chan unansweredLaunch, 10)
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if isLaunch(line) {
-			launches <- heldLaunch{conn, line}
+			launches <- unansweredLaunch{conn, line}
 		}
 		return nil
 	})
@@ -55,7 +55,7 @@
 func TestStopServesAcceptBacklog(t *testing.T) {
 	server := startServer(t, 2000, startNode(t, acceptTask).addr)
 	var all []*testClient
-	server.holdLoop(func() {
+	server.blockLoopDuring(func() {
 		for i := range 150 { // more than are accepted in one iteration of the loop
 			client := server.connect()
 			client.launch(i+1, "query")
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -14,58 +14,62 @@
 // statsInterval is the time between two log lines with the counters.
 const statsInterval = 10 * time.Second
 
-// Stats counts events on connections since the start. It is logged as JSON under its fields' names.
+// Stats contains counters of events on connections since the start. It is logged as JSON with the names of
+// its fields.
 type Stats struct {
-	ClientsAccepted       uint64 // connections of clients
-	IdleClientsClosed     uint64 // of these, closed because nothing was requested on them
-	ClientsEvicted        uint64 // of these, closed to free a connection slot
-	NodeDials             uint64
-	NodeDialsFailed       uint64
-	NodeConnsLost         uint64 // ended by the node or the network
-	NodeConnsSuspected    uint64 // checked because an attempt was not answered in time
-	NodeConnsUnresponsive uint64 // closed because a health check or the rest of a message did not arrive
-	NodesUnreachable      uint64 // whose tasks were given up
-	WatchesOpened         uint64 // requests to the discovery server
-	WatchEvents           uint64 // events received from it, repeated ones included
-	IllegalTransitions    uint64 // of connections' states: faults of the program, 0 unless there is one
+	ClientsAccepted    uint64 // ClientsAccepted counts connections of clients.
+	IdleClientsClosed  uint64 // IdleClientsClosed counts client connections that were closed because they were idle.
+	ClientsEvicted     uint64 // ClientsEvicted counts client connections that were closed to free a connection slot.
+	NodeDials          uint64
+	NodeDialsFailed    uint64
+	NodeConnsLost      uint64 // NodeConnsLost counts connections that the node or the network ended.
+	NodeConnsSuspected uint64 // NodeConnsSuspected counts connections that were checked because an attempt timed out.
+	// NodeConnsUnresponsive counts connections that were closed because the answer to a health check or the
+	// rest of a message did not arrive in time.
+	NodeConnsUnresponsive uint64
+	NodesUnreachable      uint64 // NodesUnreachable counts nodes whose tasks were given up.
+	WatchesOpened         uint64 // WatchesOpened counts requests to the discovery server.
+	WatchEvents           uint64 // WatchEvents counts events received from the discovery server, including repeated ones.
+	IllegalTransitions    uint64 // IllegalTransitions counts illegal transitions of connection states; any is a programming error.
 
 	InvalidFromClients InvalidInput
 	InvalidFromNodes   InvalidInput
 }
 
-// InvalidInput counts rejected input by what was wrong with it. In JSON the counters that are 0 are left out.
+// InvalidInput counts rejected input by the reason for the rejection. Its JSON form omits counters that are
+// 0.
 type InvalidInput struct {
-	UnknownNode     uint64 `json:"at,omitempty"`         // adopted from a node that the registry does not hold
-	Body            uint64 `json:"body,omitempty"`       // missing
-	Class           uint64 `json:"class,omitempty"`      // not in the settings
-	Extras          uint64 `json:"extras,omitempty"`     // malformed or incomplete
-	DuplicateID     uint64 `json:"id in use,omitempty"`  // of an open request or a running task
-	IdempotencyKey  uint64 `json:"key,omitempty"`        // malformed
-	TimeLeft        uint64 `json:"left,omitempty"`       // malformed or out of range
-	LineTooLong     uint64 `json:"long line,omitempty"`  // ends the connection
-	Other           uint64 `json:"other,omitempty"`      // for reasons without a counter
-	StopOfOtherConn uint64 `json:"stop,omitempty"`       // the request is open on another connection
-	Tenant          uint64 `json:"tenant,omitempty"`     // not in the settings
-	Unreadable      uint64 `json:"unreadable,omitempty"` // no message of the protocol; ends the connection
+	UnknownNode     uint64 `json:"at,omitempty"`         // UnknownNode counts adoptions from a node that is not in the node registry.
+	Body            uint64 `json:"body,omitempty"`       // Body counts requests without a body.
+	Class           uint64 `json:"class,omitempty"`      // Class counts requests of a class that the settings do not contain.
+	Extras          uint64 `json:"extras,omitempty"`     // Extras counts requests whose extras are malformed or incomplete.
+	DuplicateID     uint64 `json:"id in use,omitempty"`  // DuplicateID counts requests with the ID of an open request or running task.
+	IdempotencyKey  uint64 `json:"key,omitempty"`        // IdempotencyKey counts requests whose key is malformed.
+	TimeLeft        uint64 `json:"left,omitempty"`       // TimeLeft counts requests whose remaining time is malformed or out of range.
+	LineTooLong     uint64 `json:"long line,omitempty"`  // LineTooLong counts lines that are too long, which end the connection.
+	Other           uint64 `json:"other,omitempty"`      // Other counts rejections for all other reasons.
+	StopOfOtherConn uint64 `json:"stop,omitempty"`       // StopOfOtherConn counts stops of a request that is open on another connection.
+	Tenant          uint64 `json:"tenant,omitempty"`     // Tenant counts requests of a tenant that the settings do not contain.
+	Unreadable      uint64 `json:"unreadable,omitempty"` // Unreadable counts lines that are not valid messages, which end the connection.
 }
 
-// add counts one rejected message.
+// add increments the counter for the reason of an error.
 func (in *InvalidInput) add(err error) {
-	*in.counter(err)++
+	*in.counterForError(err)++
 }
 
-func (in *InvalidInput) counter(err error) *uint64 {
+func (in *InvalidInput) counterForError(err error) *uint64 {
 	var invalid *dispatch.InvalidMessageError
 	switch {
 	case errors.As(err, &invalid):
-		return in.messageCounter(invalid.Reason)
+		return in.counterForReason(invalid.Reason)
 	case errors.Is(err, protocol.ErrTooLong):
 		return &in.LineTooLong
 	}
 	return &in.Unreadable
 }
 
-func (in *InvalidInput) messageCounter(reason dispatch.InvalidReason) *uint64 {
+func (in *InvalidInput) counterForReason(reason dispatch.InvalidReason) *uint64 {
 	switch reason {
 	case dispatch.InvalidNode:
 		return &in.UnknownNode
@@ -89,14 +93,15 @@
 	return &in.Other
 }
 
-// recordIllegalTransition counts and logs a transition that the state machine of a connection does not have. The program goes on: ending it
-// would cut off the clients of all running tasks.
-func (s *Server) recordIllegalTransition(what string, id uint64, from, to fmt.Stringer) {
+// recordIllegalTransition counts and logs a transition that the state machine of a connection does not allow.
+// The server continues, because stopping it would disconnect the clients of all running tasks.
+func (s *Server) recordIllegalTransition(connKind string, id uint64, from, to fmt.Stringer) {
 	s.stats.IllegalTransitions++
-	s.log.Error().Str("of", what).Uint64("conn", id).Stringer("from", from).Stringer("to", to).Msg("illegal state transition")
+	s.log.Error().Str("of", connKind).Uint64("conn", id).Stringer("from", from).Stringer("to", to).Msg("illegal state transition")
 }
 
-// logStats logs the counters of the core and of the connections, and schedules the next time unless the server stops.
+// logStats logs the counters of the dispatch core and of the connections. It schedules the next log line
+// unless the server is stopping.
 func (s *Server) logStats() {
 	s.log.Info().
 		Int("clients", len(s.clients.byID)).
