--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -44,7 +44,7 @@
 	Class           uint64 `json:"class,omitempty"`      // Class counts requests of a class that the settings do not contain.
 	Extras          uint64 `json:"extras,omitempty"`     // Extras counts requests whose extras are malformed or incomplete.
 	DuplicateID     uint64 `json:"id in use,omitempty"`  // DuplicateID counts requests with the ID of an open request or running task.
-	IdempotencyKey  uint64 `json:"key,omitempty"`        // IdempotencyKey counts requests whose key is malformed.
+	Key             uint64 `json:"key,omitempty"`        // Key counts requests whose key is malformed.
 	TimeLeft        uint64 `json:"left,omitempty"`       // TimeLeft counts requests whose remaining time is malformed or out of range.
 	LineTooLong     uint64 `json:"long line,omitempty"`  // LineTooLong counts lines that are too long, which end the connection.
 	Other           uint64 `json:"other,omitempty"`      // Other counts rejections for all other reasons.
@@ -82,7 +82,7 @@
 	case dispatch.InvalidIDInUse:
 		return &in.DuplicateID
 	case dispatch.InvalidKey:
-		return &in.IdempotencyKey
+		return &in.Key
 	case dispatch.InvalidTimeLeft:
 		return &in.TimeLeft
 	case dispatch.InvalidStop:
