--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// TestMisbehavingClients: clients that send nothing, nonsense or too much are answered or disconnected, and harm no other client.
+// TestMisbehavingClients checks that clients that send nothing, invalid data or too much data are answered or
+// disconnected, and that other clients are still served.
 func TestMisbehavingClients(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
 	good := server.connect()
 	good.runTask(1, "query")
 	const id = 1000
-	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 1002
+	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 0x3ea is 1002, the ID of the canceled task.
 	var clientsDone sync.WaitGroup
 	for name, send := range map[string]func(client *testClient){
-		"sends nothing": func(*testClient) {},
-		"noise":         func(client *testClient) { client.send("\xff\xfe\x00\n") },
-		"half a line":   func(client *testClient) { client.send(`{"kind":"lau`) },
-		"60 MB":         func(client *testClient) { go client.flood(60 << 20) },
-		"unknown class": func(client *testClient) { client.launch(id, "gold") },
-		"no id":         func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
-		"unknown id":    func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
-		"one id twice": func(client *testClient) {
+		"sends nothing":             func(*testClient) {},
+		"sends invalid data":        func(client *testClient) { client.send("\xff\xfe\x00\n") },
+		"sends half a line":         func(client *testClient) { client.send(`{"kind":"lau`) },
+		"sends 60 MB":               func(client *testClient) { go client.flood(60 << 20) },
+		"requests an unknown class": func(client *testClient) { client.launch(id, "gold") },
+		"omits the id":              func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
+		"stops an unknown task":     func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
+		"uses one id twice": func(client *testClient) {
 			client.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`))
 		},
-		"an id in use": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
-		"cancels":      func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + withdrawal) },
+		"uses the id of another client": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
+		"cancels its request":           func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + withdrawal) },
 	} {
 		client := server.connect()
 		start := time.Now()
@@ -42,7 +43,7 @@
 			line, err := client.reader.ReadString('\n')
 			unexpected := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
 			if took := time.Since(start); took > 3*time.Second || unexpected {
-				t.Errorf("%s: after %v %q, %v", name, took, line, err)
+				t.Errorf("client that %s: after %v, got line %q and error %v", name, took, line, err)
 			}
 		}()
 	}
@@ -61,7 +62,7 @@
 	})
 }
 
-// flood sends zeros until the server closes the connection.
+// flood sends zero bytes until the server closes the connection or the given number of bytes has been sent.
 func (client *testClient) flood(bytes int) {
 	block := make([]byte, 32<<10)
 	for sent := 0; sent < bytes; {
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestIdleClientsLeaveConnectionSlots: hundreds of idle connections leave slots for other clients, within the limit of descriptors.
+// TestIdleClientsLeaveConnectionSlots checks that hundreds of idle connections leave slots for other clients,
+// and that all connections stay within the limit on file descriptors.
 func TestIdleClientsLeaveConnectionSlots(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 64, node.addr)
@@ -88,14 +90,15 @@
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedOpenFiles > 64 {
-			t.Errorf("%d client connections, %d allowed", len(server.clients.byID), server.clients.maxConns)
+			t.Errorf("%d client connections are open, at most %d are allowed", len(server.clients.byID), server.clients.maxConns)
 		}
 	})
 	good.launch(2, "query")
 	good.expect(`"running"`, "0000000000000002")
 }
 
-// TestClientThatDoesNotRead: a client that does not read is disconnected before its answers grow without bound.
+// TestClientThatDoesNotRead checks that a client that does not read its messages is disconnected before its
+// unsent output grows without bound.
 func TestClientThatDoesNotRead(t *testing.T) {
 	server := startServer(t, 256)
 	client := server.connect()
@@ -108,25 +111,26 @@
 		}
 	}
 	if sent >= 1<<30 {
-		t.Fatal("never disconnected")
+		t.Fatal("the server did not close the connection of a client that does not read")
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) != 0 {
-			t.Errorf("%d connections", len(server.clients.byID))
+			t.Errorf("%d client connections are open, want none", len(server.clients.byID))
 		}
 	})
 }
 
-// TestReadBeforeClosingClient: a request that the system has received on a connection about to be closed, as idle or for its slot, is served.
+// TestReadBeforeClosingClient checks that a request is served if the kernel has received it on a connection
+// that the server is about to close, either because the connection is idle or to free its slot.
 func TestReadBeforeClosingClient(t *testing.T) {
 	for name, closing := range map[string]func(server *testServer){
-		"idle":         func(server *testServer) { server.clients.closeIdle() },
-		"for its slot": func(server *testServer) { server.clients.evict() },
+		"as idle":          func(server *testServer) { server.clients.closeIdle() },
+		"to free its slot": func(server *testServer) { server.clients.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, 256, startNode(t, acceptTask).addr)
 			client := server.connect()
-			server.waitUntil("client", func() bool { return len(server.clients.byID) == 1 })
+			server.waitUntil("the client connection", func() bool { return len(server.clients.byID) == 1 })
 			server.blockLoopDuring(func() { client.launch(1, "query") }, func() {
 				server.backdateClients()
 				closing(server)
@@ -136,16 +140,17 @@
 	}
 }
 
-// TestIdleClientWithIncompleteMessage: a connection on which a message has arrived in part is not idle yet; one on which it stays incomplete is.
+// TestIdleClientWithIncompleteMessage checks that a connection on which part of a message has arrived is not
+// closed as idle at once, and that it is closed if the message stays incomplete.
 func TestIdleClientWithIncompleteMessage(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	slow, incomplete := server.connect(), server.connect()
 	text := launchMessage(1, "query", `"x"`)
 	slow.send(text[:40])
 	incomplete.send(text[:40])
-	server.waitUntil("half a line", func() bool { return server.incompleteClients() == 2 })
+	server.waitUntil("two incomplete messages", func() bool { return server.incompleteClients() == 2 })
 	server.runOnLoop(func() {
-		server.backdateClients() // silent for long, and then half a line
+		server.backdateClients() // The clients appear to have been silent for long before the incomplete message.
 		server.clients.closeIdle()
 	})
 	slow.send(text[40:])
@@ -153,7 +158,8 @@
 	incomplete.expectClosed()
 }
 
-// startServerWithTask returns a server on whose one node task 1 runs, the client of that task and the node's end of the connection to it.
+// startServerWithTask starts a server and a node on which task 1 runs. It returns the server, the client of
+// the task and the node's end of the connection.
 func startServerWithTask(t *testing.T) (*testServer, *testClient, net.Conn) {
 	t.Helper()
 	conns := make(chan net.Conn, 1)
@@ -161,42 +167,44 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.runTask(1, "query")
-	return server, client, waitFor(t, "task", conns)
+	return server, client, waitFor(t, "the connection of the task", conns)
 }
 
-// TestNoNotificationOnClosingConnection: the end of a task while the connection of its client is closing is reported on the next connection.
+// TestNoNotificationOnClosingConnection checks that the end of a task is reported on the client's next
+// connection if the connection of the client is closing when the task ends.
 func TestNoNotificationOnClosingConnection(t *testing.T) {
 	server, closing, nodeConn := startServerWithTask(t)
-	closing.send("noise\n") // ends the connection, which stays open for reading until the client closes it too
-	server.waitUntil("closing", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
+	closing.send("noise\n") // An invalid line makes the server close the connection, which ends when the client closes it too.
+	server.waitUntil("the invalid message", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
 	sendTo(t, nodeConn, stopMessage(1, 16))
-	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 })
+	server.waitUntil("the end of the task", func() bool { return server.core.RunningTasks() == 0 })
 	next := server.connect()
 	next.send(checkMessage)
 	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
 	server.runOnLoop(func() {
 		if server.core.Counts.Redeliveries > 0 {
-			t.Error("the end was sent on the closing connection first")
+			t.Error("the end of the task was sent on the closing connection first")
 		}
 	})
 }
 
-// TestNotificationRedeliveredWhenClientCloses: a notification sent at the moment at which its client closes the connection is sent once more, on the
-// next one.
+// TestNotificationRedeliveredWhenClientCloses checks that a notification is sent again on the client's next
+// connection if the client closes the connection at the moment at which the notification is sent.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
 	server, closed, nodeConn := startServerWithTask(t)
 	server.blockLoopDuring(func() {
-		sendTo(t, nodeConn, stopMessage(1, 16)) // is ready first
+		sendTo(t, nodeConn, stopMessage(1, 16)) // The event loop handles the connection to the node first, because it is ready first.
 		closed.close()
 	}, nil)
-	server.waitUntil("end", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
+	server.waitUntil("the end of the task", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
 	next := server.connect()
 	next.send(checkMessage)
 	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
 }
 
-// TestLastClientConnectionIsKept: a connection on which only adoptions or rejected requests arrived is not closed as idle while it is the only one: the
-// end of a running task is reported on it at once.
+// TestLastClientConnectionIsKept checks that the only connection with a client is not closed as idle while a
+// task runs, even if only adoptions or rejected requests arrived on it. The end of the task must be reported
+// on it at once.
 func TestLastClientConnectionIsKept(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	node := startNode(t, acceptTaskAndReport(conns))
@@ -206,8 +214,8 @@
 	idle.send(checkMessage)
 	idle.expect(`"checked"`)
 	adopter.send(adoptMessage(2, 1))
-	nodeConn := waitFor(t, "task", conns)
-	server.waitUntil("three clients and two tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
+	nodeConn := waitFor(t, "the connection of the task", conns)
+	server.waitUntil("three client connections and two running tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
 	closeIdle := func() {
 		server.runOnLoop(func() {
 			server.backdateClients()
@@ -215,10 +223,10 @@
 		})
 	}
 	closeIdle()
-	idle.expectClosed() // not the only one, and no task was placed on it
+	idle.expectClosed() // It is not the only connection, and no task was placed for it.
 	idle.close()
 	placed.close()
-	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
+	server.waitUntil("one client connection", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(1, 16))
 	adopter.expect(`"stop"`, "0000000000000001")
@@ -227,7 +235,7 @@
 	next.send(checkMessage)
 	next.expect(`"checked"`)
 	adopter.close()
-	server.waitUntil("one client", func() bool { return len(server.clients.byID) == 1 })
+	server.waitUntil("one client connection", func() bool { return len(server.clients.byID) == 1 })
 	closeIdle()
 	sendTo(t, nodeConn, stopMessage(2, 16))
 	next.expect(`"stop"`, "0000000000000002")
--- a/internal/platform/server/config_test.go
+++ b/internal/platform/server/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestConfigErrorNamesField: the error of a configuration that cannot be used names the field.
+// TestConfigErrorNamesField checks that the error for an invalid configuration names the invalid field.
 func TestConfigErrorNamesField(t *testing.T) {
 	good := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070",` +
 		`"limits":{"sockets":256},"known":{"no":0,"items":[]},"settings":` + testSettings + `}`
@@ -27,11 +27,11 @@
 		t.Run(field, func(t *testing.T) {
 			_, err := ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1)))
 			if err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("got %v, want an error that names %s", err, field)
+				t.Errorf("got error %v, want one that names the field %s", err, field)
 			}
 		})
 	}
 	if _, err := ReadConfig(os.DevNull); err == nil {
-		t.Error("an empty file was accepted")
+		t.Error("an empty configuration file was accepted")
 	}
 }
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// checkTransitions makes every transition between states with setState, which returns the counts of the server and the state after. A legal
-// transition must be made, any other one counted and not made.
+// checkTransitions attempts every transition between two states with setState, which returns the resulting
+// state. A legal transition must change the state. An illegal one must be counted and leave the state
+// unchanged.
 func checkTransitions[State interface {
 	comparable
 	fmt.Stringer
@@ -24,7 +25,7 @@
 					want, wantCounted = to, 0
 				}
 				if after != want {
-					t.Errorf("in state %s, want %s", after, want)
+					t.Errorf("the connection is in state %s, want %s", after, want)
 				}
 				if counted := server.stats.IllegalTransitions; counted != wantCounted {
 					t.Errorf("%d illegal transitions counted, want %d", counted, wantCounted)
--- a/internal/platform/server/discovery_fixture_test.go
+++ b/internal/platform/server/discovery_fixture_test.go
@@ -13,28 +13,30 @@
 	"testing"
 )
 
-// nodeEntry is a node in a discovery event. The node with number 1 is the emptiest.
+// nodeEntry returns the JSON of a node in a discovery event. Nodes with lower numbers have more free
+// resources.
 func nodeEntry(number int, addr, state string) string {
 	return fmt.Sprintf(`{"uid":"s-%08x","endpoint":%q,"az":"a","model":"std","pod_group":1,"state":%q,"boot_ms":0,"open":[%d,%d]}`,
 		number, addr, state, 16/number, 24/number)
 }
 
-// discoveryEvent is an event with a number. Event 1 is a full list, others hold changes.
+// discoveryEvent returns the JSON of the discovery event with a number. Event 1 is a full list; other events
+// contain changes.
 func discoveryEvent(number int, entries ...string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, number, number, number == 1, strings.Join(entries, ","))
 }
 
-// sseEvent is an event as it stands in the stream.
+// sseEvent returns a discovery event in the format of server-sent events.
 func sseEvent(number int, entries ...string) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, discoveryEvent(number, entries...))
 }
 
-// sseFullList is a later event that holds a full list.
+// sseFullList returns a server-sent event that contains a full list although its number is not 1.
 func sseFullList(number int, entries ...string) string {
 	return strings.Replace(sseEvent(number, entries...), `"all":false`, `"all":true`, 1)
 }
 
-// discoveryServer is a discovery server. Each call is answered with what the test sends for it.
+// discoveryServer is a discovery server for tests. The test decides what each call is answered with.
 type discoveryServer struct {
 	*httptest.Server
 	calls chan *discoveryCall
@@ -42,7 +44,7 @@
 
 type discoveryCall struct {
 	lastEventID string
-	text        chan string // closed where the stream ends
+	text        chan string // text is closed to end the stream.
 }
 
 func startDiscovery(t *testing.T) *discoveryServer {
@@ -67,7 +69,7 @@
 				return
 			}
 			if _, err := io.WriteString(w, text); err != nil {
-				return // the watch has ended the call
+				return // The server under test has ended the call.
 			}
 			flusher.Flush()
 		case <-r.Context().Done():
@@ -78,10 +80,10 @@
 
 func (server *discoveryServer) addr() string { return strings.TrimPrefix(server.URL, "http://") }
 
-// sseResponseHead is the head of a response of a rawDiscovery.
+// sseResponseHead is the header of a successful response of a rawDiscovery.
 const sseResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n"
 
-// rawDiscovery is a discovery server on whose connections the test writes the bytes itself.
+// rawDiscovery is a discovery server for tests that write the bytes of each response themselves.
 type rawDiscovery struct {
 	net.Listener
 	calls chan *rawDiscoveryCall
@@ -90,7 +92,7 @@
 type rawDiscoveryCall struct {
 	net.Conn
 	lastEventID string
-	closed      chan struct{} // closed when the server under test has ended the call
+	closed      chan struct{} // closed is closed when the server under test has ended the call.
 }
 
 func startRawDiscovery(t *testing.T, listener net.Listener) *rawDiscovery {
@@ -102,7 +104,7 @@
 			select {
 			case call := <-discovery.calls:
 				if err := call.Close(); err != nil {
-					t.Errorf("close: %v", err)
+					t.Errorf("closing the connection of a call failed: %v", err)
 				}
 			default:
 				return
@@ -114,7 +116,7 @@
 
 func (discovery *rawDiscovery) addr() string { return discovery.Addr().String() }
 
-// serve reads the head of a call, hands the call to the test and waits for its end.
+// serve reads the header of a call, passes the call to the test and waits until the call ends.
 func (discovery *rawDiscovery) serve(conn net.Conn) {
 	call := &rawDiscoveryCall{Conn: conn, closed: make(chan struct{})}
 	reader := bufio.NewReader(conn)
@@ -134,19 +136,19 @@
 	defer close(call.closed)
 	for {
 		if _, err := reader.Discard(1); err != nil {
-			return // in order or not, the call is over
+			return // The call is over, whether or not the connection was closed gracefully.
 		}
 	}
 }
 
-// moveDiscovery reloads the server with another discovery address.
+// switchDiscovery reloads the server with another discovery address.
 func (server *testServer) switchDiscovery(addr string) {
 	server.t.Helper()
 	next := server.configWithDiscovery(addr)
 	server.runOnLoop(func() { server.Reload(next) })
 }
 
-// configWithDiscovery returns the server's configuration with another discovery address.
+// configWithDiscovery returns the configuration of the server with another discovery address.
 func (server *testServer) configWithDiscovery(addr string) *Config {
 	next := *server.config
 	next.Discovery = addr
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -19,7 +19,7 @@
 	"heathshed/placer"
 )
 
-// testTimeout is longer than anything here takes: the tests wait for events.
+// testTimeout limits the wait for an event. It is longer than any test needs.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
@@ -31,16 +31,16 @@
  "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25,"connIdleS":15},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
 
-// checkMessage is a health check.
+// checkMessage is a health check that a client sends.
 const checkMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
 
-// launchMessage is a placement request. body is JSON.
+// launchMessage returns a placement request. body is a JSON value.
 func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
 }
 
-// adoptMessage is a placement request for a task that runs already, on the node with a number.
+// adoptMessage returns a placement request for a task that runs already on the node with the given number.
 func adoptMessage(id, node int) string {
 	return strings.Replace(launchMessage(id, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", node), 1)
 }
@@ -49,21 +49,21 @@
 	return fmt.Sprintf(`{"kind":"stop","uid":"%016x","meta":{},"reason":%d}`+"\n", id, reason)
 }
 
-// taskUID returns the uid of a message.
+// taskUID returns the uid of an encoded message.
 func taskUID(line string) string {
 	_, rest, _ := strings.Cut(line, `"uid":"`)
 	uid, _, _ := strings.Cut(rest, `"`)
 	return uid
 }
 
-// waitFor receives from a channel.
+// waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout.
 func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case received := <-ch:
 		return received
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("not reached")
 	}
 }
@@ -78,12 +78,13 @@
 	return listener
 }
 
-// closeOnCleanup closes a listener or connection at the end of the test unless the test has done so itself.
+// closeOnCleanup closes a listener or connection at the end of the test, unless the test has closed it
+// itself.
 func closeOnCleanup(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := closer.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			t.Errorf("close: %v", err)
+			t.Errorf("closing a connection or listener failed: %v", err)
 		}
 	})
 }
@@ -91,19 +92,19 @@
 func closeNow(t *testing.T, closer io.Closer) {
 	t.Helper()
 	if err := closer.Close(); err != nil {
-		t.Fatalf("close: %v", err)
+		t.Fatalf("closing a connection or listener failed: %v", err)
 	}
 }
 
-// sendTo writes to a connection.
+// sendTo writes text to a connection.
 func sendTo(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("write: %v", err)
+		t.Fatalf("writing to a connection failed: %v", err)
 	}
 }
 
-// testServer is a Server on a loop of its own.
+// testServer is a Server with its own event loop.
 type testServer struct {
 	*Server
 	t         *testing.T
@@ -111,7 +112,8 @@
 	stopped   chan struct{}
 }
 
-// startServer starts a server with a limit of descriptors that knows nodes at the given addresses from its configuration.
+// startServer starts a server with the given limit on file descriptors. Its configuration lists nodes at the
+// given addresses.
 func startServer(t *testing.T, maxOpenFiles int, nodes ...string) *testServer {
 	t.Helper()
 	entries := make([]string, len(nodes))
@@ -132,7 +134,7 @@
 	return server
 }
 
-// configText is a configuration with one known event.
+// configText returns a configuration that contains one discovery event.
 func configText(discovery string, maxOpenFiles int, event, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
 		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, maxOpenFiles, event, settings)
@@ -152,20 +154,20 @@
 	go func() {
 		defer close(server.stopped)
 		if err := loop.Run(); err != nil {
-			t.Errorf("loop: %v", err)
+			t.Errorf("the event loop failed: %v", err)
 		}
 	}()
 	t.Cleanup(func() {
 		loop.Stop()
-		waitFor(t, "end of the server", server.stopped)
+		waitFor(t, "the end of the server", server.stopped)
 		if illegal := server.stats.IllegalTransitions; illegal != 0 {
-			t.Errorf("%d illegal transitions of connections' states, want none", illegal)
+			t.Errorf("%d illegal transitions of connection states were counted, want none", illegal)
 		}
 	})
 	return server
 }
 
-// runOnLoop runs f on the loop.
+// runOnLoop runs f on the event loop and waits until it has returned.
 func (server *testServer) runOnLoop(f func()) {
 	server.t.Helper()
 	done := make(chan struct{})
@@ -173,11 +175,12 @@
 		f()
 		close(done)
 	})
-	waitFor(server.t, "iteration of the loop", done)
+	waitFor(server.t, "an iteration of the event loop", done)
 }
 
-// holdLoop runs act while the loop is held, then afterwards on the loop, in the iteration in which it was held. So the system knows of what
-// act did, on loopback at once, and the loop does not.
+// blockLoopDuring blocks the event loop while whileBlocked runs, and then runs afterUnblocking on the loop in
+// the same iteration. The kernel handles what whileBlocked does on the loopback interface at once, while the
+// event loop does not read it yet.
 func (server *testServer) blockLoopDuring(whileBlocked, afterUnblocking func()) {
 	server.t.Helper()
 	held, released, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -189,13 +192,13 @@
 		}
 		close(done)
 	})
-	waitFor(server.t, "iteration of the loop", held)
+	waitFor(server.t, "an iteration of the event loop", held)
 	whileBlocked()
 	close(released)
-	waitFor(server.t, "end of the iteration", done)
+	waitFor(server.t, "the end of the iteration", done)
 }
 
-// waitUntil checks a condition on the loop until it is true.
+// waitUntil evaluates a condition on the event loop repeatedly until it is true.
 func (server *testServer) waitUntil(what string, condition func() bool) {
 	server.t.Helper()
 	done := make(chan struct{})
@@ -211,13 +214,14 @@
 	waitFor(server.t, what, done)
 }
 
-// waitForEvent waits until the discovery event with a number has been received.
+// waitForEvent waits until the server has received the discovery event with the given number.
 func (server *testServer) waitForEvent(number uint64) {
 	server.t.Helper()
-	server.waitUntil("discovery event", func() bool { return server.core.LastDiscoveryEvent() == number })
+	server.waitUntil("the discovery event", func() bool { return server.core.LastDiscoveryEvent() == number })
 }
 
-// incompleteClients returns on how many connections a message has arrived in part. It is called on the loop.
+// incompleteClients returns the number of client connections on which an incomplete message has arrived. It
+// must be called on the event loop.
 func (server *testServer) incompleteClients() int {
 	count := 0
 	for _, client := range server.clients.byID {
@@ -228,7 +232,8 @@
 	return count
 }
 
-// ageClients has all connections appear idle for 10 s more. It is called on the loop.
+// backdateClients makes all client connections appear idle for 10 s longer. It must be called on the event
+// loop.
 func (server *testServer) backdateClients() {
 	for _, client := range server.clients.byID {
 		client.openedAt = client.openedAt.Add(-10 * time.Second)
@@ -236,21 +241,22 @@
 	}
 }
 
-// finishStopNow goes to the end of a stop whose signal came a second ago. It is called on the loop.
+// finishStopNow runs the final phase of a graceful stop as if it had started a second ago. It must be called
+// on the event loop.
 func (server *testServer) finishStopNow() {
 	server.shutdown.requested = true
 	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
 	server.shutdown.finish()
 }
 
-// testClient is a client's connection.
+// testClient is the connection of a client.
 type testClient struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// connect opens a client's connection.
+// connect opens a client connection.
 func (server *testServer) connect() *testClient {
 	server.t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
@@ -264,7 +270,7 @@
 	return &testClient{conn, server.t, bufio.NewReader(conn)}
 }
 
-// connectChecked connects a client and passes a health check on its connection.
+// connectAndCheck opens a client connection and waits for the answer to a health check on it.
 func (server *testServer) connectAndCheck() *testClient {
 	server.t.Helper()
 	client := server.connect()
@@ -278,7 +284,7 @@
 	sendTo(client.t, client.Conn, text)
 }
 
-// runTask requests a task and waits until the client is notified that it runs.
+// runTask requests a task and waits until the client is notified that the task runs.
 func (client *testClient) runTask(id int, class string) {
 	client.t.Helper()
 	client.launch(id, class)
@@ -300,12 +306,12 @@
 	client.t.Helper()
 	line, err := client.reader.ReadString('\n')
 	if err != nil {
-		client.t.Fatalf("client: %v", err)
+		client.t.Fatalf("reading a line from the server failed: %v", err)
 	}
 	return line
 }
 
-// expect reads lines until one has all the texts.
+// expect reads lines until one contains all texts, and returns that line.
 func (client *testClient) expect(texts ...string) string {
 	client.t.Helper()
 	for {
@@ -316,19 +322,19 @@
 	}
 }
 
-// expectNext fails the test unless the next line has all the texts.
+// expectNext fails the test unless the next line contains all texts.
 func (client *testClient) expectNext(texts ...string) {
 	client.t.Helper()
 	if line := client.readLine(); !containsAll(line, texts...) {
-		client.t.Fatalf("got %s, want all of %q", line, texts)
+		client.t.Fatalf("got line %q, want one with all of %q", line, texts)
 	}
 }
 
-// expectClosed fails the test unless the server has closed the connection without another line.
+// expectClosed fails the test unless the server closes the connection without sending another line.
 func (client *testClient) expectClosed() {
 	client.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != io.EOF {
-		client.t.Fatalf("%q, %v, want the end of the connection", line, err)
+		client.t.Fatalf("got line %q and error %v, want the end of the connection", line, err)
 	}
 }
 
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -11,7 +11,8 @@
 	"github.com/rs/zerolog"
 )
 
-// captureLog returns what the server logs from now on, at every level. It is to be read on the loop.
+// captureLog returns a buffer to which the server logs from now on, at every level. The buffer must be read
+// on the event loop.
 func (server *testServer) captureLog() *bytes.Buffer {
 	server.t.Helper()
 	var log bytes.Buffer
@@ -19,10 +20,10 @@
 	return &log
 }
 
-// expectLogged waits until one line of the log has all the parts.
+// expectLogged waits until one line of the log contains all parts.
 func (server *testServer) expectLogged(log *bytes.Buffer, parts ...string) {
 	server.t.Helper()
-	server.waitUntil("log line with "+strings.Join(parts, " and "), func() bool {
+	server.waitUntil("a log line with "+strings.Join(parts, " and "), func() bool {
 		for line := range strings.Lines(log.String()) {
 			if containsAll(line, parts...) {
 				return true
@@ -32,7 +33,7 @@
 	})
 }
 
-// TestLogOfUnreadableMessage: the warning says why the connection is closed.
+// TestLogOfUnreadableMessage checks that the warning states why the connection was closed.
 func TestLogOfUnreadableMessage(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
@@ -40,13 +41,14 @@
 	server.expectLogged(log, `"level":"warn"`, `"message":"client connection closed: message cannot be read"`)
 }
 
-// TestLogOfUnreadOutput: the warning differs from that for an unreadable message.
+// TestLogOfUnreadOutput checks that the warning for unread output differs from the one for an unreadable
+// message.
 func TestLogOfUnreadOutput(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
 	client := server.connect()
 	checks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
-	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // without the messages themselves
+	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // The log level excludes the trace of each message.
 	for sent := 0; sent < 1<<30; {
 		written, err := client.Write([]byte(checks))
 		if err != nil {
@@ -57,7 +59,7 @@
 	server.expectLogged(log, `"level":"warn"`, `"message":"client connection closed: output not read"`)
 }
 
-// TestHealthCheckIsTraced: both a health check of a node and its answer are logged.
+// TestHealthCheckIsTraced checks that a health check of a node and its answer are both logged.
 func TestHealthCheckIsTraced(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if strings.Contains(line, `"check"`) {
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -15,18 +15,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// nodeHandler handles one line that a node receives and may answer it. An error ends the connection: the server has closed it.
+// nodeHandler handles one line that a node has received, and may answer it. An error means that the server
+// has closed the connection.
 type nodeHandler func(conn net.Conn, line string) error
 
-// testNode is a node.
+// testNode is a node for tests.
 type testNode struct {
 	t        *testing.T
 	addr     string
 	listener net.Listener
-	received chan string // every line
+	received chan string // received contains every line that the node has received.
 }
 
-// startNode starts a node that hands each line to a handler.
+// startNode starts a node that passes each line to a handler.
 func startNode(t *testing.T, handle nodeHandler) *testNode {
 	t.Helper()
 	listener := listenOn(t, "127.0.0.1:0")
@@ -40,7 +41,7 @@
 	return node
 }
 
-// acceptConns serves each connection to a listener on a goroutine of its own until the listener is closed.
+// acceptConns calls serve on a new goroutine for each connection until the listener is closed.
 func acceptConns(listener net.Listener, serve func(conn net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -51,7 +52,8 @@
 	}
 }
 
-// readLinesOf hands each line of a connection to a function until either fails, and closes the connection.
+// readLinesOf passes each line of a connection to handle until reading or handle fails, and then closes the
+// connection.
 func readLinesOf(conn net.Conn, handle func(line string) error) {
 	defer conn.Close() //nolint:errcheck // the server may have closed it first
 	reader := bufio.NewReader(conn)
@@ -66,7 +68,7 @@
 	}
 }
 
-// respond writes to the server.
+// respond writes a formatted message to the server.
 func respond(conn net.Conn, format string, args ...any) error {
 	_, err := fmt.Fprintf(conn, format, args...)
 	return err
@@ -74,10 +76,11 @@
 
 func isLaunch(line string) bool { return strings.Contains(line, `"launch"`) }
 
-// taskDescription is returned by nodes for each task. A careless codec would change it.
+// taskDescription is the body of a node's answer. Its escapes would change if the server decoded and encoded
+// it.
 const taskDescription = `"a\/b\u00e9\u0041\r\n"`
 
-// acceptTask accepts every task. It leaves health checks unanswered.
+// acceptTask accepts every task. It does not answer health checks.
 func acceptTask(conn net.Conn, line string) error {
 	if !isLaunch(line) {
 		return nil
@@ -85,7 +88,7 @@
 	return respond(conn, `{"kind":"running","uid":%q,"body":%s}`+"\n", taskUID(line), taskDescription)
 }
 
-// acceptTaskAndReport accepts every task and reports the connection that it came on.
+// acceptTaskAndSendConn accepts every task and sends the connection on which the task arrived to a channel.
 func acceptTaskAndReport(conns chan<- net.Conn) nodeHandler {
 	return func(conn net.Conn, line string) error {
 		if err := acceptTask(conn, line); err != nil {
@@ -98,26 +101,27 @@
 	}
 }
 
-// ignoreMessages answers nothing.
+// ignoreMessages answers no message.
 func ignoreMessages(net.Conn, string) error { return nil }
 
-// expectNoLaunch fails the test if the node receives the launch of another task before that of a later one, which the client requests.
+// expectNoLaunch lets the client request another task and fails the test if the node receives a different
+// launch before the one of that task.
 func (node *testNode) expectNoLaunch(client *testClient) {
 	node.t.Helper()
 	const laterTask = 0xff
 	client.launch(laterTask, "query")
 	for {
-		line := waitFor(node.t, "launch of a later task", node.received)
+		line := waitFor(node.t, "the launch of a later task", node.received)
 		if taskUID(line) == fmt.Sprintf("%016x", laterTask) {
 			return
 		}
 		if isLaunch(line) {
-			node.t.Fatalf("an attempt was sent for a client that had left: %s", line)
+			node.t.Fatalf("an attempt was sent for a client that had disconnected or canceled: %s", line)
 		}
 	}
 }
 
-// port returns the port of the node.
+// port returns the port on which the node listens.
 func (node *testNode) port() int {
 	node.t.Helper()
 	_, text, err := net.SplitHostPort(node.addr)
@@ -131,7 +135,7 @@
 	return port
 }
 
-// unresponsivePort listens as listenUnresponsive until the end of the test.
+// unresponsivePort calls listenUnresponsive and stops listening at the end of the test.
 func unresponsivePort(t *testing.T, port int) string {
 	t.Helper()
 	addr, stop := listenUnresponsive(t, port)
@@ -139,8 +143,8 @@
 	return addr
 }
 
-// listenUnresponsive listens on a port of 127.0.0.1, any if 0, that neither accepts nor refuses connections, as a node that has vanished: its
-// accept queue is full.
+// listenUnresponsive listens on a port of 127.0.0.1 whose accept queue is full. The port neither accepts nor
+// refuses connections, like a node that has vanished. If port is 0, the kernel selects one.
 func listenUnresponsive(t *testing.T, port int) (addr string, stop func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -150,11 +154,11 @@
 	var conns []net.Conn
 	stop = func() {
 		if err := unix.Close(fd); err != nil {
-			t.Errorf("close: %v", err)
+			t.Errorf("closing a socket failed: %v", err)
 		}
 		for _, conn := range conns {
 			if err := conn.Close(); err != nil {
-				t.Errorf("close: %v", err)
+				t.Errorf("closing a socket failed: %v", err)
 			}
 		}
 	}
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// TestRequestEndToEnd: a request and its stop pass from a client to a node, and answers back, with all that the protocol has them carry.
+// TestRequestEndToEnd checks that a request and its stop are forwarded from a client to a node, and the
+// answers back, with all fields of the protocol.
 func TestRequestEndToEnd(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if err := acceptTask(conn, line); err != nil || !isLaunch(line) {
@@ -23,42 +24,43 @@
 	client.expect(`"checked"`, `"0000000000000001"`, `"reason":1`)
 	body := `"9d\u0034\r\nc=IN \/"`
 	text := launchMessage(7, "seats", body)
-	text = strings.Replace(text, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // nodes deduplicate by it
+	text = strings.Replace(text, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // Nodes deduplicate requests by this field.
 	for _, piece := range []string{text[:10], text[10:50], text[50:]} {
 		client.send(piece)
 	}
 	client.expect(`"running"`, `"0000000000000007"`, `"body":`+taskDescription)
-	got := waitFor(t, "launch", node.received)
+	got := waitFor(t, "the launch", node.received)
 	if !containsAll(got, `"body":`+body, `"class":"seats"`, `"key":"0000000000000007"`, `"left":"`, `"idem":"e45e5817dae4"`) {
-		t.Fatalf("the node received %s", got)
+		t.Fatalf("the node received an unexpected message: %s", got)
 	}
 	client.send(`{"kind":"stop","uid":"0000000000000007","meta":{},"reason":31}` + "\n")
-	if got := waitFor(t, "stop", node.received); !containsAll(got, `"stop"`, `"reason":31`) {
-		t.Fatalf("the node received %s", got)
+	if got := waitFor(t, "the stop", node.received); !containsAll(got, `"stop"`, `"reason":31`) {
+		t.Fatalf("the node received an unexpected message: %s", got)
 	}
 }
 
-// TestNodeFaultMovesTaskToAnotherNode: whatever a node does wrong, its tasks are placed on another one.
+// TestNodeFaultMovesTaskToAnotherNode checks that a task is placed on another node whatever a faulty node
+// does.
 func TestNodeFaultMovesTaskToAnotherNode(t *testing.T) {
 	const incompleteAnswer = `{"kind":"running","uid":%q,"bo`
 	for name, handle := range map[string]nodeHandler{
-		"noise":   func(conn net.Conn, _ string) error { return respond(conn, "\x00\xff\x17 noise\n") },
-		"endless": func(conn net.Conn, _ string) error { return respond(conn, "%s", strings.Repeat("x", 40<<10)) },
-		"broken off": func(conn net.Conn, line string) error {
+		"sends invalid data":    func(conn net.Conn, _ string) error { return respond(conn, "\x00\xff\x17 noise\n") },
+		"sends an endless line": func(conn net.Conn, _ string) error { return respond(conn, "%s", strings.Repeat("x", 40<<10)) },
+		"closes within an answer": func(conn net.Conn, line string) error {
 			if err := respond(conn, incompleteAnswer, taskUID(line)); err != nil {
 				return err
 			}
 			return conn.Close()
 		},
-		"stops short": func(conn net.Conn, line string) error { return respond(conn, incompleteAnswer, taskUID(line)) },
-		"silent":      ignoreMessages,
-		"error": func(conn net.Conn, line string) error {
+		"stalls within an answer": func(conn net.Conn, line string) error { return respond(conn, incompleteAnswer, taskUID(line)) },
+		"does not answer":         ignoreMessages,
+		"reports an error": func(conn net.Conn, line string) error {
 			return respond(conn, `{"kind":"stop","uid":%q,"reason":47}`+"\n", taskUID(line))
 		},
-		"full": func(conn net.Conn, line string) error {
+		"has no capacity": func(conn net.Conn, line string) error {
 			return respond(conn, `{"kind":"stop","uid":%q,"reason":34,"meta":{"note":"cpu_full"}}`+"\n", taskUID(line))
 		},
-		"closes": func(conn net.Conn, _ string) error { return conn.Close() },
+		"closes the connection": func(conn net.Conn, _ string) error { return conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bad, good := startNode(t, handle), startNode(t, acceptTask)
@@ -70,29 +72,30 @@
 			}
 			server.runOnLoop(func() {
 				if counts := server.core.Counts; counts.Bound != 6 || counts.Attempts <= 6 {
-					t.Errorf("%+v", counts)
+					t.Errorf("want 6 tasks bound after more than 6 attempts, got %+v", counts)
 				}
 			})
 		})
 	}
 }
 
-// TestNoReachableNode: a request is rejected if no node can be connected to.
+// TestNoReachableNode checks that a request is rejected if no node accepts connections.
 func TestNoReachableNode(t *testing.T) {
 	node := startNode(t, acceptTask)
 	closeNow(t, node.listener)
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.launch(1, "seats")
-	client.expect(`"stop"`, `"reason":34`) // refused: nothing ran
+	client.expect(`"stop"`, `"reason":34`) // Refused connections prove that the task did not start.
 	server.runOnLoop(func() {
 		if counts := server.core.Counts; counts.ConnectFailures == 0 || counts.ConnectionsLost+counts.TimedOut > 0 {
-			t.Errorf("%+v", counts)
+			t.Errorf("want only failures to connect, got %+v", counts)
 		}
 	})
 }
 
-// startConnectedServer returns a server with an open connection to its one node, which accepts only task 1, and the client of that task.
+// startConnectedServer returns a server with an open connection to its one node, the node, which accepts only
+// task 1, and the client of that task.
 func startConnectedServer(t *testing.T) (*testServer, *testNode, *testClient) {
 	t.Helper()
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -104,21 +107,21 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.runTask(1, "query")
-	waitFor(t, "launch", node.received)
+	waitFor(t, "the launch", node.received)
 	return server, node, client
 }
 
-// TestNoAttemptAfterDisconnect: no attempt is sent for a request whose client has closed its connection or canceled the request before the first
-// byte of the attempt goes out.
+// TestNoAttemptAfterDisconnect checks that no attempt is sent for a request if its client closed the
+// connection or canceled the request before the first byte of the attempt was sent.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	many := strings.Repeat(checkMessage, maxLinesPerIteration+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
 	for name, leave := range map[string]func(client *testClient){
-		"closes behind its request":   func(client *testClient) { client.send(launch); client.close() },
+		"closes after its request":    func(client *testClient) { client.send(launch); client.close() },
 		"cancels in the same segment": func(client *testClient) { client.send(launch + stop) },
 		"cancels many lines later":    func(client *testClient) { client.send(launch + many + stop) },
-		"closes behind many lines":    func(client *testClient) { client.send(many + launch + many); client.close() },
-		"resets": func(client *testClient) {
+		"closes after many lines":     func(client *testClient) { client.send(many + launch + many); client.close() },
+		"resets the connection": func(client *testClient) {
 			client.send(launch)
 			if err := client.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 				client.t.Fatal(err)
@@ -140,48 +143,52 @@
 	}
 }
 
-// TestDisconnectAndDialInSameIteration: the connection that an attempt waits for is established in the iteration of the loop in which the end of its
-// client's connection is known, and is handled first.
+// TestDisconnectAndDialInSameIteration covers the case that a dialed connection for an attempt is established
+// in the same iteration of the event loop in which the client of the attempt disconnects, and that the dialed
+// connection is handled first. The attempt must not be sent.
 func TestDisconnectAndDialInSameIteration(t *testing.T) {
 	node := startNode(t, ignoreMessages)
 	server := startServer(t, 256)
 	client := server.connect()
 	client.launch(2, "query")
-	server.waitUntil("request", func() bool { return server.core.OpenRequests() == 1 })
-	// The attempt begins long after the request was read, when the policy looks for a node again: so the client's connection becomes ready
-	// after the one that is dialed.
-	call := waitFor(t, "call", server.discovery.calls)
+	server.waitUntil("the open request", func() bool { return server.core.OpenRequests() == 1 })
+	// The attempt starts long after the request was read, when the policy tries again to find a node.
+	// Therefore the event loop handles the client's connection after the dialed one.
+	call := waitFor(t, "a call to the discovery server", server.discovery.calls)
 	call.text <- sseEvent(2, nodeEntry(1, node.addr, "in_service"))
-	dialing, left := make(chan struct{}), make(chan struct{})
+	dialing, clientClosed := make(chan struct{}), make(chan struct{})
 	var poll func()
 	poll = func() {
-		server.attempts.sendPending() // which would run at the end of this iteration
+		server.attempts.sendPending() // Otherwise sendPending would run at the end of this iteration.
 		for _, link := range server.nodes.byID {
 			if link.dialing != nil {
 				close(dialing)
-				<-left
+				<-clientClosed
 				return
 			}
 		}
 		server.loop.AtIterationEnd(poll)
 	}
 	server.loop.Post(func() { server.loop.AtIterationEnd(poll) })
-	waitFor(t, "dial", dialing)
+	waitFor(t, "the dial", dialing)
 	client.close()
-	close(left)
+	close(clientClosed)
 	node.expectNoLaunch(server.connect())
 }
 
-// TestAdoptionPrecedesPlacement: hundreds of running tasks that clients report are adopted before a request that arrives beside them is placed.
+// TestAdoptionPrecedesPlacement checks that hundreds of running tasks that clients report are adopted before
+// a request that arrives at the same time is placed.
 func TestAdoptionPrecedesPlacement(t *testing.T) {
-	const adopted = 350 // as many as the system buffers for a reader; read at maxLinesPerTurn they would take six iterations
+	// The kernel buffers about this number of reports for a reader. Limited to maxLinesPerIteration, reading
+	// them would take six iterations.
+	const adoptedTasks = 350
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
 	frontend, client := server.connect(), server.connect()
 	frontend.send(checkMessage)
 	frontend.expect(`"checked"`)
 	var adoptions strings.Builder
-	for i := range adopted {
+	for i := range adoptedTasks {
 		adoptions.WriteString(adoptMessage(0x1000+i, 1))
 	}
 	server.blockLoopDuring(func() {
@@ -189,20 +196,20 @@
 		client.launch(1, "query")
 	}, nil)
 	running := -1
-	server.waitUntil("attempt", func() bool {
+	server.waitUntil("an attempt", func() bool {
 		if server.core.Counts.Attempts > 0 && running < 0 {
 			running = server.core.RunningTasks()
 		}
 		return running >= 0
 	})
-	if running < adopted {
-		t.Errorf("an attempt was sent when %d of %d running tasks were known", running, adopted)
+	if running < adoptedTasks {
+		t.Errorf("an attempt was sent when only %d of %d running tasks were adopted", running, adoptedTasks)
 	}
 	client.expect(`"running"`, "0000000000000001")
 }
 
-// TestTaskEndPrecedesAnswer: a node reports that it drained a task before it reports that it accepted it. The task is over for its client, and no other
-// node gets it under that id.
+// TestTaskEndPrecedesAnswer covers a node that reports that it drained a task before it reports that it
+// accepted the task. The task has ended for its client, and no other node may get it under the same ID.
 func TestTaskEndPrecedesAnswer(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -219,12 +226,13 @@
 	client := server.connect()
 	client.launch(1, "query")
 	client.expectNext(`"stop"`, `"reason":41`)
-	server.waitUntil("late answer", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	server.waitUntil("the late answer", func() bool { return server.core.Counts.UnknownTasks == 1 })
 	client.send(checkMessage)
 	client.expectNext(`"checked"`)
 }
 
-// TestDuplicateAnswersIgnored: copies of answers, and answers under ids that were never sent, arrive before, with and after the good one.
+// TestDuplicateAnswersIgnored checks that duplicate answers, and answers with IDs that were never sent, are
+// ignored before, together with and after the valid answer.
 func TestDuplicateAnswersIgnored(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -249,11 +257,13 @@
 	}
 }
 
-// TestNodeReportsEndBeforeAdoption: after a restart a node reports, on its first connection, tasks that ended while nobody was connected, before the
-// client has had those tasks adopted.
+// TestNodeReportsEndBeforeAdoption covers a node that reports, on its first connection after a restart of the
+// scheduler, the end of tasks that ended meanwhile. The client requests the adoption of these tasks only
+// afterwards and must be told that they have ended.
 func TestNodeReportsEndBeforeAdoption(t *testing.T) {
 	listener := listenOn(t, "127.0.0.1:0")
-	// The node reports each end once. If it did so on every connection, an end that the scheduler forgot would reach it again.
+	// The node reports each end only once. If it reported them on every connection, the test would not notice
+	// that the scheduler forgets them.
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -267,12 +277,12 @@
 	client := server.connect()
 	client.send(checkMessage + adoptMessage(1, 1))
 	client.expect(`"stop"`, "0000000000000001", `"reason":16`)
-	server.waitUntil("both ends", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	server.waitUntil("the report of a task that is not adopted yet", func() bool { return server.core.Counts.UnknownTasks == 1 })
 	client.send(adoptMessage(2, 1))
 	client.expect(`"stop"`, "0000000000000002", `"reason":41`)
 	server.runOnLoop(func() {
 		if running := server.core.RunningTasks(); running != 0 {
-			t.Errorf("%d tasks run", running)
+			t.Errorf("%d tasks run, want none", running)
 		}
 	})
 }
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -12,16 +12,16 @@
 	"heathshed/placer"
 )
 
-// TestUnusualSettings: settings of no customer yet either are rejected with an error that names the key, or give a server that answers a request
-// of each class.
+// TestUnusualSettings checks settings that no customer uses yet. They must either be rejected with an error
+// that names the key, or result in a server that answers a request of each class.
 func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	sub := func(settings object, name string) object { return settings[name].(object) }
 	class := func(settings object, i int) object { return settings["lanes"].([]any)[i].(object) }
 	for name, test := range map[string]struct {
 		change   func(settings object)
-		rejected string // part of the error, if there is one
-		placed   bool   // requests of each class are placed
+		rejected string // rejected is a part of the expected error, or "" if the settings are valid.
+		placed   bool   // placed states whether requests of each class must be placed.
 	}{
 		"unchanged":        {func(object) {}, "", true},
 		"unknown keys":     {func(settings object) { settings["später"] = []any{1}; sub(settings, "extra")["x"] = object{"y": nil} }, "", true},
@@ -31,7 +31,7 @@
 			settings["orgs"].([]any)[0].(object)["name"] = "Straße\t1\u2028"
 			settings["zones"], settings["flavors"] = []any{"ж"}, []any{"größer als"}
 		}, "", true},
-		"an unknown class": {func(settings object) {
+		"an additional class": {func(settings object) {
 			settings["lanes"] = append(settings["lanes"].([]any), object{"name": "new", "effect": "deduplicated", "keyScope": "zone", "keyTtlS": 3.0, "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 		}, "", true},
 		"forty classes": {func(settings object) {
@@ -40,13 +40,13 @@
 				all = append(all, object{"name": fmt.Sprint("c", i), "effect": "idempotent", "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 			}
 			settings["lanes"] = all
-		}, "", false}, // there is one node
-		"no tenants":    {func(settings object) { delete(settings, "orgs") }, "", true},
-		"no zones":      {func(settings object) { delete(settings, "zones") }, "", true},
-		"no node types": {func(settings object) { delete(settings, "flavors") }, "", false},
-		"no reports":    {func(settings object) { delete(settings, "loadReport") }, "", true},
-		"no rules":      {func(settings object) { delete(settings, "rules") }, "", true},
-		"no lists by class": {func(settings object) {
+		}, "", false}, // One node cannot run a task of each class.
+		"no tenants":      {func(settings object) { delete(settings, "orgs") }, "", true},
+		"no zones":        {func(settings object) { delete(settings, "zones") }, "", true},
+		"no node types":   {func(settings object) { delete(settings, "flavors") }, "", false},
+		"no load reports": {func(settings object) { delete(settings, "loadReport") }, "", true},
+		"no rules":        {func(settings object) { delete(settings, "rules") }, "", true},
+		"no lists per class": {func(settings object) {
 			extra := sub(settings, "extra")
 			delete(extra, "apartBy")
 			delete(extra, "fullUpTo")
@@ -66,9 +66,9 @@
 		}, "", true},
 		"no attempts on nodes that warm up": {func(settings object) { sub(settings, "extra")["youngLimit"] = 0 }, "", true},
 		"three hundred peers":               {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
-		"effect":                            {func(settings object) { class(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
+		"an unknown effect":                 {func(settings object) { class(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
 		"node types without memory":         {func(settings object) { sub(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
-		"a string for a number":             {func(settings object) { sub(settings, "rules")["fallS"] = "soon" }, "fallS", false},
+		"a string instead of a number":      {func(settings object) { sub(settings, "rules")["fallS"] = "soon" }, "fallS", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -96,7 +96,7 @@
 			}
 			if test.rejected != "" {
 				if err == nil || !strings.Contains(err.Error(), test.rejected) {
-					t.Fatalf("error %v, want one that names %s", err, test.rejected)
+					t.Fatalf("got error %v, want one that names %s", err, test.rejected)
 				}
 				return
 			}
@@ -110,18 +110,19 @@
 				client.send(launchOfClass(t, config, i))
 				answer := client.expect(fmt.Sprintf("%016x", i+1))
 				if time.Since(sentAt) > idleClientTimeout/2 {
-					// Without a placed task, a connection that has sent nothing for so long may be closed at any moment.
+					// A connection without a placed task that has been silent for this long may be closed at
+					// any moment.
 					client = server.connectAndCheck()
 				}
 				if test.placed && !strings.Contains(answer, `"running"`) {
-					t.Errorf("class %q: %s", class, answer)
+					t.Errorf("the request of class %q was not placed: %s", class, answer)
 				}
 			}
 		})
 	}
 }
 
-// launchOfClass is a placement request of the class with an index.
+// launchOfClass returns a placement request of the class with the given index.
 func launchOfClass(t *testing.T, config *Config, index int) string {
 	t.Helper()
 	line := strings.Replace(launchMessage(index+1, "query", `"x"`), `"query"`, quoteJSON(t, config.Settings.Classes[index]), 1)
--- a/internal/platform/server/stats_test.go
+++ b/internal/platform/server/stats_test.go
@@ -12,7 +12,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestInvalidInputJSON: each kind of invalid input has its counter, and only counters above 0 are logged, under the words that operators know.
+// TestInvalidInputJSON checks that each kind of invalid input has its own counter, and that only counters
+// above 0 are logged, under the names that operators use.
 func TestInvalidInputJSON(t *testing.T) {
 	for _, test := range []struct {
 		err  error
@@ -42,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if string(text) != test.want {
-				t.Errorf("got %s", text)
+				t.Errorf("unexpected JSON: %s", text)
 			}
 		})
 	}
