--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -96,7 +96,7 @@
 			`{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
 	}
 	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
-	for _, size := range []int{100, protocol.MaxLine - 2, protocol.MaxLine - 1, protocol.MaxLine, protocol.MaxLine + 1, 16383, 16384} {
+	for _, size := range []int{100, protocol.MaxLineBytes - 2, protocol.MaxLineBytes - 1, protocol.MaxLineBytes, protocol.MaxLineBytes + 1, 16383, 16384} {
 		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-frame)+`"}`, strings.Repeat(" ", size))
 	}
 	return append(lines, " \t\r\n{ \"kind\" : \"stop\" , "+uid+" , \"meta\" : { \"class\" : 5 , \"left\" : \"6\" } } \r", `{"kind":"stop",`+uid+`}x`,
@@ -156,7 +156,7 @@
 		id, err := protocol.ParseID(identifier)
 		fmt.Fprintf(&text, "%d %t\n", uint64(id), err != nil)
 	}
-	fmt.Fprintln(&text, protocol.MaxLine, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseNoCapacity, protocol.CauseLost,
+	fmt.Fprintln(&text, protocol.MaxLineBytes, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseNoCapacity, protocol.CauseLost,
 		protocol.CauseOverloaded, protocol.CauseError, protocol.CauseDeadlineExceeded)
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
 		fmt.Fprintln(&text, field.String()) // The golden file also fixes the names of the fields in encoded messages.
--- a/internal/platform/protocol/decode.go
+++ b/internal/platform/protocol/decode.go
@@ -7,13 +7,13 @@
 	"unicode/utf8"
 )
 
-// MaxLine is the maximum length of a line in bytes, including its line feed.
-const MaxLine = 16 << 10
+// MaxLineBytes is the maximum length of a line in bytes, including its line feed.
+const MaxLineBytes = 16 << 10
 
 // maxSkippedDepth is the maximum nesting depth of values that are skipped because their key is unknown.
 const maxSkippedDepth = 8
 
-// ErrTooLong is returned for a line that is longer than MaxLine.
+// ErrTooLong is returned for a line that is longer than MaxLineBytes.
 var ErrTooLong = errors.New("line is longer than 16 KiB")
 
 // keySet is a set of top-level keys of a message. It can contain only keys that the protocol defines.
@@ -51,7 +51,7 @@
 // that is too long. Any other error states what is invalid in the line.
 func Parse(line []byte, msg *Message) error {
 	*msg = Message{}
-	if len(line) >= MaxLine {
+	if len(line) >= MaxLineBytes {
 		return ErrTooLong
 	}
 	if !utf8.Valid(line) {
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -63,7 +63,7 @@
 		"leading zero":            `{"kind":"stop",` + id + `,"meta":{"left":01}}`,
 		"body is not a string":    `{"kind":"launch",` + id + `,"body":{"a":1}}`,
 		"nested too deeply":       `{"kind":"stop",` + id + `,"x":` + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + `}`,
-		"line too long":           `{"kind":"stop",` + id + `,"body":"` + strings.Repeat("a", MaxLine) + `"}`,
+		"line too long":           `{"kind":"stop",` + id + `,"body":"` + strings.Repeat("a", MaxLineBytes) + `"}`,
 		"trailing comma":          `{"kind":"stop",` + id + `,}`,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 			t.Fatalf("accepted a line that is not valid JSON: %q", in)
 		}
 		line := msg.Append(nil)
-		if err := Parse(line[:len(line)-1], &reparsed); (err != nil || reparsed != msg) && len(line) < MaxLine {
+		if err := Parse(line[:len(line)-1], &reparsed); (err != nil || reparsed != msg) && len(line) < MaxLineBytes {
 			t.Fatalf("parsing the encoded message gave error %v or a different message: %s", err, line)
 		}
 	})
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -33,7 +33,7 @@
 	s := table.server
 	table.lastID++
 	s.stats.ClientsAccepted++
-	conn.MaxInput = 2 * protocol.MaxLine
+	conn.MaxInput = 2 * protocol.MaxLineBytes
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: table.lastID, openedAt: now, lastMessageAt: now}
 	table.byID[client.id] = client
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -26,7 +26,7 @@
 	Seed          uint64          // Seed is the seed of the server's random numbers.
 	CPULimit      float64         // CPULimit is the limit on processor cores, or 0 if the configuration sets none.
 	MemoryLimit   int64           // MemoryLimit is the memory limit in bytes, or 0 if the configuration sets none.
-	MaxOpenFiles  int             // MaxOpenFiles is the limit on file descriptors, or 0 if the configuration sets none.
+	OpenFileLimit int             // OpenFileLimit is the limit on file descriptors, or 0 if the configuration sets none.
 	InitialEvents json.RawMessage // InitialEvents contains the discovery events known at the start.
 	Settings      *simconfig.Settings
 }
@@ -99,7 +99,7 @@
 		Seed:          seed,
 		CPULimit:      file.Limits.Cores,
 		MemoryLimit:   file.Limits.MemoryMiB << 20,
-		MaxOpenFiles:  file.Limits.OpenFiles,
+		OpenFileLimit: file.Limits.OpenFiles,
 		InitialEvents: file.Known,
 		Settings:      settings,
 	}, nil
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -40,7 +40,7 @@
 	for handled := 0; handled < maxLinesPerIteration; {
 		end := bytes.IndexByte(data[consumed:], '\n')
 		if end < 0 {
-			if len(data)-consumed >= protocol.MaxLine {
+			if len(data)-consumed >= protocol.MaxLineBytes {
 				return consumed, protocol.ErrTooLong
 			}
 			return consumed, nil
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	maxOpenFiles := config.MaxOpenFiles
+	maxOpenFiles := config.OpenFileLimit
 	if maxOpenFiles == 0 {
 		maxOpenFiles = defaultMaxOpenFiles
 	}
