--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -89,7 +89,7 @@
 		client.runTask(10+i, "query")
 	}
 	server.runOnLoop(func() {
-		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedOpenFiles > 64 {
+		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedDescriptors > 64 {
 			t.Errorf("%d client connections are open, at most %d are allowed", len(server.clients.byID), server.clients.maxConns)
 		}
 	})
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -125,8 +125,8 @@
 	if !(limits.Cores >= 0) || !validMemory || limits.OpenFiles < 0 {
 		return fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: want values of at least 0, and memory_mb of at most 2^30", limits.Cores, limits.MemoryMiB, limits.OpenFiles)
 	}
-	if limits.OpenFiles > 0 && limits.OpenFiles < minMaxOpenFiles {
-		return fmt.Errorf("limits: sockets %d: must be 0 or at least %d", limits.OpenFiles, minMaxOpenFiles)
+	if limits.OpenFiles > 0 && limits.OpenFiles < minOpenFileLimit {
+		return fmt.Errorf("limits: sockets %d: must be 0 or at least %d", limits.OpenFiles, minOpenFileLimit)
 	}
 	return nil
 }
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -38,8 +38,8 @@
 
 // The errors of the discovery watch are logged when they end a discovery stream.
 var (
-	errWatchIdle        = errors.New("discovery server sent no data within the idle timeout")
-	errWatchEnded       = errors.New("discovery server ended the stream")
+	errStreamIdle       = errors.New("discovery server sent no data within the idle timeout")
+	errStreamEnded      = errors.New("discovery server ended the stream")
 	errEventGap         = errors.New("discovery events are missing before the received event")
 	errUnexpectedStatus = errors.New("discovery server responded with a status other than 200")
 )
@@ -101,7 +101,7 @@
 // resetIdleTimer restarts the idle timeout of the stream.
 func (w *discoveryWatch) resetIdleTimer() {
 	w.idleTimer.Stop()
-	w.idleTimer = w.server.loop.After(watchIdleTimeout, func() { w.retryAfterFailure(errWatchIdle) })
+	w.idleTimer = w.server.loop.After(watchIdleTimeout, func() { w.retryAfterFailure(errStreamIdle) })
 }
 
 // retryAfterFailure abandons the stream and opens another one after a delay. The delay grows with each
@@ -188,7 +188,7 @@
 	case head.Status != http.StatusOK:
 		err = errUnexpectedStatus
 	default:
-		err = errWatchEnded
+		err = errStreamEnded
 	}
 	stream.watch.retryAfterFailure(err)
 }
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -114,14 +114,14 @@
 
 // startServer starts a server with the given limit on file descriptors. Its configuration lists nodes at the
 // given addresses.
-func startServer(t *testing.T, maxOpenFiles int, nodes ...string) *testServer {
+func startServer(t *testing.T, openFileLimit int, nodes ...string) *testServer {
 	t.Helper()
 	entries := make([]string, len(nodes))
 	for i, addr := range nodes {
 		entries[i] = nodeEntry(i+1, addr, "in_service")
 	}
 	discovery := startDiscovery(t)
-	config, err := ParseConfig(configText(discovery.addr(), maxOpenFiles, discoveryEvent(1, entries...), testSettings))
+	config, err := ParseConfig(configText(discovery.addr(), openFileLimit, discoveryEvent(1, entries...), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,9 +135,9 @@
 }
 
 // configText returns a configuration that contains one discovery event.
-func configText(discovery string, maxOpenFiles int, event, settings string) []byte {
+func configText(discovery string, openFileLimit int, event, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
-		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, maxOpenFiles, event, settings)
+		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, openFileLimit, event, settings)
 }
 
 // runServer runs a server until the end of the test.
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -31,7 +31,7 @@
 
 // warn logs a failure that a peer has caused, unless maxWarningsPerSecond is exceeded.
 func (s *Server) warn(message, peer string, err error) {
-	if s.warnings.allow(s.loop.Now()) {
+	if s.warningLimiter.allow(s.loop.Now()) {
 		s.log.Warn().Str("peer", peer).Err(err).Msg(message)
 	}
 }
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -157,7 +157,7 @@
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
-	s.nodes.slotFreed()
+	s.nodes.releaseSlot()
 	s.log.Trace().
 		Uint64("conn", uint64(nc.id)).
 		Str("addr", link.addr).
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -20,8 +20,8 @@
 // maxPendingBytes is the maximum size of the encoded messages that wait for a connection to one node.
 const maxPendingBytes = 64 << 10
 
-// nodeLink manages the connections to one node and the attempts and messages that wait for a connection. The
-// link belongs to the node with one uid, because another node may later use the same address.
+// nodeLink manages the connections to one node, and the attempts and messages that wait for a connection. A
+// link is identified by the uid of its node, because another node may later use the same address.
 type nodeLink struct {
 	server          *Server
 	id              placer.NodeID
@@ -141,7 +141,7 @@
 	conn.MaxInput = 2 * protocol.MaxLineBytes
 	nc.conn = conn
 	link.dialing = nc
-	s.nodes.slotTaken()
+	s.nodes.takeSlot()
 }
 
 // connEstablished adds an established connection and sends the messages and attempts that waited for it.
@@ -160,7 +160,7 @@
 	queued := link.queuedAttempts
 	link.queuedAttempts = nil
 	for _, attempt := range queued {
-		s.attempts.schedule(attempt)
+		s.attemptSender.schedule(attempt)
 	}
 	s.applyReadyEffects()
 }
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -15,8 +15,8 @@
 )
 
 // unresponsiveTimeout and refusedTimeout are the times after which a node that runs tasks is declared
-// unreachable. They are short because clients must be notified within 8 s of the end of a task. A node that
-// refuses connections is allowed a second, because its process may be restarting.
+// unreachable. Clients must be notified within 8 s of the end of a task, which limits both. A node that
+// refuses connections is not declared unreachable at once, because its process may be restarting.
 const (
 	unresponsiveTimeout = 6 * time.Second
 	refusedTimeout      = time.Second
@@ -104,13 +104,13 @@
 	return links.lastConnID
 }
 
-// slotTaken and slotFreed count the connections that use a slot. A connection uses a slot from its dial until
-// it ends.
-func (links *nodeLinks) slotTaken() { links.openConns++ }
+// takeSlot and releaseSlot count the connections that use a slot. A connection uses a slot from its dial
+// until it ends.
+func (links *nodeLinks) takeSlot() { links.openConns++ }
 
-func (links *nodeLinks) slotFreed() { links.openConns-- }
+func (links *nodeLinks) releaseSlot() { links.openConns-- }
 
-// maintain maintains all links and dials the nodes that need a connection.
+// maintain updates the connections of all links and dials the nodes that need a connection.
 func (links *nodeLinks) maintain() {
 	for _, link := range links.byID {
 		link.maintain()
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -4,9 +4,9 @@
 // the platform's discovery server, all on one event loop.
 //
 // The package manages connections and transfers messages. It parses messages, passes them to a dispatch.Core
-// and carries out the effects that the core returns; it makes no placement decisions. All functions except
-// New must be called on the event loop's goroutine, so the package needs no locks. File core_clock.go
-// converts between the time formats of the event loop and the dispatch core.
+// and carries out the effects that the core returns; it makes no placement decisions. While the event loop
+// runs, all methods of Server must be called on its goroutine, so the package needs no locks. File
+// core_clock.go converts between the time formats of the event loop and the dispatch core.
 package server
 
 import (
@@ -25,12 +25,12 @@
 // housekeepingInterval is the time between two housekeeping passes over all connections.
 const housekeepingInterval = 100 * time.Millisecond
 
-// defaultMaxOpenFiles, minMaxOpenFiles and reservedOpenFiles determine how many file descriptors connections
-// may use.
+// defaultOpenFileLimit, minOpenFileLimit and reservedDescriptors determine how many file descriptors
+// connections may use.
 const (
-	defaultMaxOpenFiles = 4096 // defaultMaxOpenFiles applies if the configuration sets no limit.
-	minMaxOpenFiles     = 64   // minMaxOpenFiles is the smallest limit that a configuration may set.
-	reservedOpenFiles   = 16   // reservedOpenFiles is the number kept for files, the event loop and the discovery watch.
+	defaultOpenFileLimit = 4096 // defaultOpenFileLimit applies if the configuration sets no limit.
+	minOpenFileLimit     = 64   // minOpenFileLimit is the smallest limit that a configuration may set.
+	reservedDescriptors  = 16   // reservedDescriptors are kept free for files, the event loop and the discovery watch.
 )
 
 // seedStream is the second half of the seed of the server's random numbers. It separates them from other
@@ -44,21 +44,21 @@
 	config *Config
 	// rng is seeded from the configuration, so that schedulers that start at the same time do not retry in
 	// lockstep.
-	rng      *rand.Rand
-	log      zerolog.Logger
-	warnings warningLimiter
-	stats    Stats
+	rng            *rand.Rand
+	log            zerolog.Logger
+	warningLimiter warningLimiter
+	stats          Stats
 
 	coreTimer    *eventloop.Timer // coreTimer runs the next timer of the dispatch core; it is nil if there is none.
 	coreTimerDue placer.Seconds   // coreTimerDue is the time of coreTimer as the dispatch core represents it.
 
-	listener  *eventloop.Listener
-	clients   *clientTable
-	nodes     *nodeLinks
-	discovery *discoveryWatch
-	reader    lineReader
-	attempts  attemptSender
-	shutdown  shutdown
+	listener      *eventloop.Listener
+	clients       *clientTable
+	nodes         *nodeLinks
+	discovery     *discoveryWatch
+	reader        lineReader
+	attemptSender attemptSender
+	shutdown      shutdown
 }
 
 // New returns a server that accepts clients and runs on the given event loop. When a graceful stop has
@@ -69,13 +69,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	maxOpenFiles := config.OpenFileLimit
-	if maxOpenFiles == 0 {
-		maxOpenFiles = defaultMaxOpenFiles
+	openFileLimit := config.OpenFileLimit
+	if openFileLimit == 0 {
+		openFileLimit = defaultOpenFileLimit
 	}
 	// Nodes get half of the connections. Clients that have sent a valid message use at most a third of all
 	// connections. The rest of the clients' half is for connections that have not sent a valid message.
-	maxNodeConns := (maxOpenFiles - reservedOpenFiles) / 2
+	maxNodeConns := (openFileLimit - reservedDescriptors) / 2
 	s := &Server{
 		loop:   loop,
 		core:   core,
@@ -84,9 +84,9 @@
 		log:    log,
 		reader: lineReader{loop: loop},
 	}
-	s.clients = newClientTable(s, maxOpenFiles-reservedOpenFiles-maxNodeConns)
+	s.clients = newClientTable(s, openFileLimit-reservedDescriptors-maxNodeConns)
 	s.nodes = newNodeLinks(s, maxNodeConns, config.maxIdle())
-	s.attempts.server = s
+	s.attemptSender.server = s
 	s.shutdown = shutdown{server: s, onStopped: onStopped}
 	loop.SetMaxConns(s.clients.maxConns)
 	if s.listener, err = loop.Listen(config.Listen, s.clients.accept); err != nil {
@@ -133,7 +133,7 @@
 	case dispatch.SendToClient:
 		s.clients.send(effect.Conn, &effect.Message)
 	case dispatch.SendAttempt:
-		s.attempts.schedule(effect.Attempt)
+		s.attemptSender.schedule(effect.Attempt)
 	case dispatch.SendToNode:
 		s.nodes.linkTo(effect.Attempt.Node).sendMessage(effect)
 	case dispatch.ConnectNode:
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -159,7 +159,7 @@
 	dialing, clientClosed := make(chan struct{}), make(chan struct{})
 	var poll func()
 	poll = func() {
-		server.attempts.sendPending() // Otherwise sendPending would run at the end of this iteration.
+		server.attemptSender.sendPending() // Otherwise sendPending would run at the end of this iteration.
 		for _, link := range server.nodes.byID {
 			if link.dialing != nil {
 				close(dialing)
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -11,10 +11,12 @@
 // The durations of a graceful stop follow from the platform's behavior: for at most 0.7 s after its signal to
 // stop, the platform still opens client connections to a scheduler and sends requests.
 const (
-	acceptGrace   = 850 * time.Millisecond // acceptGrace is the time from the signal until the listener closes.
-	pollInterval  = 10 * time.Millisecond  // pollInterval is the time between two checks of what is still open.
-	closeGrace    = 500 * time.Millisecond // closeGrace is the time for clients to close their connections at the end.
-	minCloseGrace = 100 * time.Millisecond // minCloseGrace is the least value of closeGrace when time is short; stopReserve covers it.
+	acceptGrace  = 850 * time.Millisecond // acceptGrace is the time from the signal until the listener closes.
+	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks whether the stop can proceed.
+	closeGrace   = 500 * time.Millisecond // closeGrace is the time for clients to close their connections at the end.
+	// minCloseGrace is the time that clients get even if the stop is late. stopReserve is longer and covers
+	// it.
+	minCloseGrace = 100 * time.Millisecond
 )
 
 // The platform kills a scheduler some time after it has signaled the scheduler to stop. That time is the
@@ -36,9 +38,9 @@
 
 // Stop starts a graceful stop. The server accepts clients for acceptGrace, answers every request that it has
 // accepted and then stops. Further calls have no effect.
-func (s *Server) Stop() { s.shutdown.begin() }
+func (s *Server) Stop() { s.shutdown.start() }
 
-func (stop *shutdown) begin() {
+func (stop *shutdown) start() {
 	if stop.requested {
 		return
 	}
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -27,7 +27,7 @@
 	// NodeConnsUnresponsive counts connections that were closed because the answer to a health check or the
 	// rest of a message did not arrive in time.
 	NodeConnsUnresponsive uint64
-	NodesUnreachable      uint64 // NodesUnreachable counts nodes whose tasks were given up.
+	NodesUnreachable      uint64 // NodesUnreachable counts nodes that could not be reached, so that their tasks were reported as lost.
 	WatchesOpened         uint64 // WatchesOpened counts requests to the discovery server.
 	WatchEvents           uint64 // WatchEvents counts events received from the discovery server, including repeated ones.
 	IllegalTransitions    uint64 // IllegalTransitions counts illegal transitions of connection states; any is a programming error.
