--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -29,7 +29,7 @@
 	pending := sender.pending
 	sender.pending = nil
 	for _, attempt := range pending {
-		if s.clients.hasUnreadLines(attempt.Client()) { // The unread lines may contain a cancellation.
+		if s.clients.hasUnreadLines(attempt.ClientConn()) { // The unread lines may contain a cancellation.
 			sender.schedule(attempt)
 			continue
 		}
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -187,7 +187,7 @@
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	open, placed := core.ClientRequests(c.id)
-	return c.state != clientClosing && open == 0 && !placed && c.isSilent(now) && !core.IsLastClient(c.id)
+	return c.state != clientClosing && open == 0 && !placed && c.isSilent(now) && !core.IsOnlyClient(c.id)
 }
 
 // isSilent reports whether no valid message has arrived within idleClientTimeout and no message that is still
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -71,7 +71,7 @@
 	if !s.core.PrepareSend(s.coreNow(), attempt) {
 		return
 	}
-	attempt.Conn = nc.id
+	attempt.NodeConn = nc.id
 	nc.attempts[attempt] = struct{}{}
 	nc.keepAlive.LastSent = s.loop.Now()
 	nc.write(&attempt.Message)
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -63,7 +63,7 @@
 // sendMessage sends a message about an attempt. It prefers the connection on which the attempt was sent, then
 // any other open connection. If no connection is open, the message is sent when the next one is established.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
-	nc := link.connByID(effect.Attempt.Conn)
+	nc := link.connByID(effect.Attempt.NodeConn)
 	if nc != nil {
 		delete(nc.attempts, effect.Attempt)
 	}
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -86,7 +86,7 @@
 // updateAddresses closes the connections to nodes whose address has changed. Later connections use the new
 // address.
 func (links *nodeLinks) updateAddresses() {
-	links.server.core.Nodes(func(node *dispatch.Node) {
+	links.server.core.EachNode(func(node *dispatch.Node) {
 		link := links.byID[node.ID]
 		if link != nil && link.addr != node.Addr {
 			link.addr = node.Addr
