--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// adoptionMaxWait limits how long after the first health check new requests wait for adoptions.
+	// adoptionMaxWait limits how long new requests wait for adoptions. The time counts from the first health
+	// check that any client sends.
 	adoptionMaxWait placer.Seconds = 1.0
 	// adoptionIdleGap is the time without an adoption after which no more adoptions are expected.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption adds tasks that run already. Clients list their running tasks after this scheduler has started,
-// and adoption tracks until when it expects them to do so.
+// adoption adds tasks that run already. After this scheduler has started, clients list their running tasks in
+// launch messages. The type also tracks until when further messages of this kind are expected.
 type adoption struct {
 	*sharedState
 	nodes             *nodeRegistry
@@ -22,20 +23,21 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // when a client's first health check arrived, or 0
-	lastAdoptionAt     placer.Seconds // when an adoption was last received; initially firstHealthCheckAt
+	firstHealthCheckAt placer.Seconds // when the first health check of any client arrived, or 0
+	lastAdoptionAt     placer.Seconds // when the last adoption was received; initially firstHealthCheckAt
 }
 
-// healthCheckReceived records a health check of a client. After the first health check, clients are expected
-// to list their running tasks.
+// healthCheckReceived records that a client has sent a health check. After the first health check, clients
+// are expected to list their running tasks.
 func (a *adoption) healthCheckReceived() {
 	if a.firstHealthCheckAt == 0 {
 		a.firstHealthCheckAt = a.now
-		a.lastAdoptionAt = a.now // the first adoption may already be in transit
+		a.lastAdoptionAt = a.now // the first launch message for an adoption may already be in transit
 	}
 }
 
-// adopt adds a task that already runs on a node. The returned error is an *InvalidMessageError.
+// adopt adds a task that already runs on the node that the launch message names. If that node is not in the
+// registry, adopt returns an *InvalidMessageError.
 func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
 	a.counts.Adopted++
 	a.lastAdoptionAt = a.now
@@ -48,8 +50,8 @@
 		a.attempts.remove(earlier) // this scheduler abandoned the attempt, but the node accepted it
 	}
 	if termination, terminated := a.earlyTerminations.get(key); terminated {
-		// The node reports the end of a task only once, and the client listed the task before it was notified
-		// of the end.
+		// The node has already reported the end of the task and does not repeat the report. The client listed
+		// the task because it had not been notified of the end yet.
 		a.counts.TasksEnded++
 		a.notifier.notifyOnConn(client, replyTo(msg, protocol.Stop, termination.cause))
 		return nil
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -8,15 +8,15 @@
 	"heathshed/placer"
 )
 
-// arrivalOrder returns the order of adopted tasks (r) and new requests (A) that the placer received since the
-// last call.
-func arrivalOrder(policy *scriptedPlacer) (order string) {
+// arrivalOrder returns in which order the placer received adoptions and new requests since the last call. The
+// order is a text that contains an "a" for each adoption and an "R" for each new request.
+func arrivalOrder(policy *fixedNodePlacer) (order string) {
 	for _, event := range policy.events {
 		switch event.Kind {
 		case placer.Adopted:
-			order += "r"
+			order += "a"
 		case placer.Arrived:
-			order += "A"
+			order += "R"
 		}
 	}
 	policy.events = nil
@@ -24,10 +24,10 @@
 }
 
 // TestRequestsWaitForAdoptions checks that a new request that arrives while clients list their running tasks
-// reaches the placer only after the last adoption, or after adoptionMaxWait. At other times a request must
-// reach the placer immediately.
+// reaches the placer only after the last adoption, or adoptionMaxWait after the first health check. At other
+// times a request must reach the placer immediately.
 func TestRequestsWaitForAdoptions(t *testing.T) {
-	policy := &scriptedPlacer{node: nodeID(1)}
+	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
 	conn := harness.connect()
 	harness.checkHealth(conn)
@@ -40,13 +40,13 @@
 	harness.withdraw(harness.launch(conn, "query", 2000, "")) // this request is withdrawn while it waits
 	harness.launch(conn, "query", 2000, "")
 	harness.advance(adoptionIdleGap)
-	if got := arrivalOrder(policy); got != "rrrrrAA" {
-		t.Errorf("requests during adoptions: placer received %q, want all adoptions before both requests", got)
+	if got := arrivalOrder(policy); got != "aaaaaRR" {
+		t.Errorf("placer received %q, want 5 adoptions (a) before the 2 requests (R) that were not withdrawn", got)
 	}
 
 	harness.launch(conn, "query", 2000, "")
-	if got := arrivalOrder(policy); got != "A" {
-		t.Errorf("request without adoptions: placer received %q, want it immediately", got)
+	if got := arrivalOrder(policy); got != "R" {
+		t.Errorf("placer received %q, want the new request (R) immediately, since no adoptions are expected", got)
 	}
 
 	harness.launch(conn, "query", 3000, "")
@@ -54,17 +54,18 @@
 	for i := range int(2 * adoptionMaxWait / adoptionIdleGap) {
 		harness.adopt(conn, 1)
 		if i == 0 {
-			harness.launch(conn, "query", 100, "") // this request must be answered before its short deadline
+			harness.launch(conn, "query", 100, "") // this request must reach the placer before its short deadline
 		}
 		harness.launch(conn, "query", 3000, "")
 		harness.advance(adoptionIdleGap / 2)
 	}
-	if got := arrivalOrder(policy); !strings.HasSuffix(got, "rArA") || strings.Index(got, "A") > 6 {
-		t.Errorf("adoptions beyond the maximum wait: placer received %q, want requests between adoptions", got)
+	if got := arrivalOrder(policy); !strings.HasSuffix(got, "aRaR") || strings.Index(got, "R") > 6 {
+		t.Errorf("placer received %q, want a request (R) near the start for the short deadline, and requests that do not wait for adoptions (a) at the end", got)
 	}
 }
 
-// TestAdoption checks that a listed task is adopted only once, and that its client is notified of the end.
+// TestAdoption checks that a task that its client lists twice for adoption is adopted only once, and that the
+// client is notified of the end of the task.
 func TestAdoption(t *testing.T) {
 	harness := newHarness(t, nil)
 	conn := harness.connect()
@@ -78,7 +79,7 @@
 	harness.adopt(conn, 2) // the client lists the same task again
 	harness.clientRecords[id] = record
 	if harness.core.RunningTasks() != 1 {
-		t.Fatal("the task was adopted twice")
+		t.Fatal("the task was adopted again when the client listed it a second time")
 	}
 
 	harness.reportEnd(nodeID(2), id, protocol.CauseEnd)
@@ -97,28 +98,28 @@
 		adoptedAt      placer.Seconds
 		want           placer.Seconds
 	}{
-		{"no health check", nil, 0, adoptionIdleGap},
-		{"one health check", []placer.Seconds{100}, 0, 100 + adoptionIdleGap},
-		{"two health checks", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
-		{"an adoption within the maximum wait", []placer.Seconds{100}, 100.5, 100.5 + adoptionIdleGap},
-		{"an adoption after the maximum wait", []placer.Seconds{100}, 170, 100 + adoptionMaxWait},
-		{"an adoption before any health check", nil, 170, adoptionMaxWait},
+		{"no health check and no adoption", nil, 0, adoptionIdleGap},
+		{"one health check without an adoption", []placer.Seconds{100}, 0, 100 + adoptionIdleGap},
+		{"two health checks without an adoption", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
+		{"adoption within adoptionMaxWait of the health check", []placer.Seconds{100}, 100.5, 100.5 + adoptionIdleGap},
+		{"adoption later than adoptionMaxWait after the health check", []placer.Seconds{100}, 170, 100 + adoptionMaxWait},
+		{"adoption without a health check", nil, 170, adoptionMaxWait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{counts: &Counts{}}
-			tested := &adoption{sharedState: shared, nodes: newNodeRegistry(shared)}
+			adopter := &adoption{sharedState: shared, nodes: newNodeRegistry(shared)}
 			for _, at := range test.healthChecksAt {
 				shared.setClock(at)
-				tested.healthCheckReceived()
+				adopter.healthCheckReceived()
 			}
 			if test.adoptedAt > 0 {
 				shared.setClock(test.adoptedAt)
-				if err := tested.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFromUID: "unlisted"}); err == nil {
+				if err := adopter.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFromUID: "unlisted"}); err == nil {
 					t.Fatal("a task was adopted from a node that is not in the registry")
 				}
 			}
 
-			if got := tested.adoptionsExpectedUntil(); got != test.want {
+			if got := adopter.adoptionsExpectedUntil(); got != test.want {
 				t.Errorf("adoptions are expected until %v, want %v", got, test.want)
 			}
 		})
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -6,28 +6,31 @@
 	"heathshed/placer"
 )
 
-// NodeConnID identifies a connection to a node; the caller assigns it. The value 0 means no connection.
+// NodeConnID identifies a connection to a node. The caller of the core assigns the IDs. The value 0 means no
+// connection.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node, or represents an adopted task. The attemptTable owns it;
-// NodeConn is the only field that the caller may write.
+// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt, which is running
+// from the start. Attempts are owned by attemptTable. The caller of the core may write only the field
+// NodeConn.
 type Attempt struct {
 	Node    placer.NodeID
 	Message protocol.Message // the launch message that is sent to the node
-	// NodeConn is set by the caller to the connection on which the attempt was sent. It is 0 before that.
+	// NodeConn is the connection on which the attempt was sent, or 0 if it was not sent yet. The caller of
+	// the core sets it.
 	NodeConn NodeConnID
 
 	request      *request
-	number       int // index among the attempts of its request
+	number       int // the index of the attempt in request.attempts
 	state        attemptState
 	expiresAt    placer.Seconds // an unanswered attempt is abandoned at this time
-	createdAt    placer.Seconds // when the placer requested the attempt
+	createdAt    placer.Seconds // when the placer requested the attempt or the task was adopted
 	runningSince placer.Seconds // when the node's acceptance arrived or the task was adopted
 	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // whether the node was asked to stop the task
 }
 
-// Live reports whether the attempt is waiting for its answer or runs the task.
+// Live reports whether the attempt is waiting for the answer of its node or runs the task.
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
 // ClientConn returns the client connection on which the attempt's request arrived.
@@ -36,21 +39,23 @@
 // Pending reports whether the attempt has not been sent yet.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
-// Age returns the time since the placer requested the attempt.
+// Age returns the time since the placer requested the attempt or the task was adopted.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
-// Unanswered reports whether the attempt is waiting for its connection or for its answer.
+// Unanswered reports whether the attempt is waiting for a connection to its node or for the node's answer.
 func (a *Attempt) Unanswered() bool { return a.state.isUnanswered() }
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
 
-// attemptKey identifies the attempt that a message of a node refers to.
+// attemptKey identifies the attempt that a message refers to. It consists of the node that sent the message
+// and the ID in the message.
 type attemptKey struct {
 	node placer.NodeID
 	id   protocol.ID
 }
 
-// attemptOutcome describes how an attempt ended, with the reason and the load report that the node sent.
+// attemptOutcome describes how an attempt ended. It includes the reason and the load report that the node
+// sent with the end.
 type attemptOutcome struct {
 	result placer.Result
 	reason placer.Reason
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -1,18 +1,19 @@
 package dispatch
 
-// attemptState is the state of an attempt. The states up to attemptRunning are live.
+// attemptState is the state of an attempt. In the states up to attemptRunning, the attempt is live: it is
+// waiting for the answer of its node or runs the task.
 type attemptState uint8
 
 const (
 	attemptPending    attemptState = iota // the attempt has not been sent
 	attemptSent                           // the attempt was sent and has no answer
 	attemptRunning                        // the node accepted the attempt in time, or the task was adopted
-	attemptAbandoned                      // ended unanswered for the placer; later node messages are late
-	attemptTerminated                     // no further message of the node is expected
+	attemptAbandoned                      // the attempt ended without an answer; an answer that still arrives is late
+	attemptTerminated                     // the attempt ended, and its node is not expected to send messages about it
 )
 
-// attemptStates describes the states of an attempt. Only attemptTable.transition and the functions that
-// create an attempt set the state.
+// attemptStates contains the name and the legal transitions of each state of an attempt. Only
+// attemptTable.transition and the functions that create an attempt set the state.
 var attemptStates = stateTable[attemptState]{
 	attemptPending:    {"pending", []attemptState{attemptSent, attemptAbandoned, attemptTerminated}},
 	attemptSent:       {"sent", []attemptState{attemptRunning, attemptAbandoned, attemptTerminated}},
@@ -24,8 +25,9 @@
 // String returns the name of the state.
 func (s attemptState) String() string { return attemptStates.stateName("attempt", s) }
 
-// isLive reports whether an attempt in this state is waiting for its answer or runs the task.
+// isLive reports whether an attempt in this state is waiting for the answer of its node or runs the task.
 func (s attemptState) isLive() bool { return s <= attemptRunning }
 
-// isUnanswered reports whether an attempt in this state is waiting for its connection or for its answer.
+// isUnanswered reports whether an attempt in this state is waiting for a connection to its node or for the
+// node's answer.
 func (s attemptState) isUnanswered() bool { return s <= attemptSent }
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -18,7 +18,7 @@
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
-	illegalTransitions int // number of transitions that attemptStates does not allow
+	illegalTransitions int // how many transitions were made that attemptStates does not allow
 }
 
 func newAttemptTable(shared *sharedState, nodes *nodeRegistry) *attemptTable {
@@ -28,8 +28,8 @@
 // get returns the attempt with the key, or nil if the table does not contain it.
 func (t *attemptTable) get(key attemptKey) *Attempt { return t.byKey[key] }
 
-// start creates an attempt and requests that it be sent. If the attempt can no longer be sent, start reports
-// it to the placer as expired.
+// start carries out a StartAttempt action of the placer: it creates an attempt and adds the effect that sends
+// it. If the attempt must not be sent, start instead reports to the placer that it has expired.
 func (t *attemptTable) start(req *request, action *placer.Action) {
 	attempt := &Attempt{
 		Node:      action.Node,
@@ -53,7 +53,7 @@
 	t.addEffect(Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
-// canStart reports whether a new attempt, which is the latest of its request, may be sent.
+// canStart reports whether a new attempt may be sent. The attempt has to be the latest one of its request.
 func (t *attemptTable) canStart(attempt *Attempt) bool {
 	req := attempt.request
 	if req.state.isFinal() || attempt.expiresAt <= t.now {
@@ -78,7 +78,7 @@
 	return attempt
 }
 
-// expire ends an attempt that was not answered in time.
+// expire ends an attempt whose expiry time has passed without an answer.
 func (t *attemptTable) expire(attempt *Attempt) {
 	if attempt.state == attemptPending { // the connection to the node was not established in time
 		t.endUnsent(attempt, placer.Unreachable)
@@ -87,8 +87,8 @@
 	t.abandon(attempt, placer.TimedOut, true)
 }
 
-// prepareSend changes an attempt to attemptSent, or ends it if it can no longer be sent; see
-// Core.PrepareSend.
+// prepareSend implements Core.PrepareSend. It changes a pending attempt to attemptSent, or ends the attempt
+// if it can no longer be sent.
 func (t *attemptTable) prepareSend(attempt *Attempt) bool {
 	if attempt.state != attemptPending {
 		return false
@@ -119,7 +119,7 @@
 		return
 	}
 	t.counts.ConnectionsLost++
-	t.transition(attempt, attemptAbandoned) // no Stop is sent: the node detects the closed connection
+	t.transition(attempt, attemptAbandoned) // no Stop message is sent, since the node detects the closed connection
 	t.retainAbandoned(attempt)
 	t.postEnded(attempt, attemptOutcome{result: placer.Lost})
 }
@@ -150,7 +150,7 @@
 }
 
 // abandon ends an unanswered attempt. If the attempt was sent, its node is sent a Stop message, and an answer
-// that arrives afterwards is treated as late.
+// that arrives afterwards is treated as late. timedOut is set if the expiry timer of the attempt has run.
 func (t *attemptTable) abandon(attempt *Attempt, result placer.Result, timedOut bool) {
 	if attempt.state == attemptPending {
 		t.endUnsent(attempt, placer.Expired)
@@ -165,7 +165,7 @@
 	t.postEnded(attempt, attemptOutcome{result: result})
 }
 
-// sendStop asks the node of an attempt to stop the task, or not to start it.
+// sendStop adds the effect that asks the node of an attempt to stop the task, or not to start it.
 func (t *attemptTable) sendStop(attempt *Attempt, cause protocol.Cause, timedOut bool) {
 	attempt.stopSent = true
 	t.addEffect(Effect{
@@ -183,12 +183,12 @@
 	t.setTimer(attempt, t.now+retention, func() { t.remove(attempt) })
 }
 
-// setTimer sets the timer of an attempt. Removing the attempt stops the timer.
+// setTimer sets the timer of an attempt. The timer is stopped when the attempt is removed from the table.
 func (t *attemptTable) setTimer(attempt *Attempt, at placer.Seconds, run func()) {
 	attempt.timer = t.timers.Add(at, run)
 }
 
-// remove removes an attempt about which no further messages are expected.
+// remove removes an attempt about which its node is not expected to send further messages.
 func (t *attemptTable) remove(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	if key := attempt.key(); t.byKey[key] == attempt {
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -17,8 +17,8 @@
 		stopped     bool
 	}{
 		{"idempotent task is stopped", "query", false, true},
-		{"other task runs until its client lists it for adoption", "seats", false, false},
-		{"withdrawn task is stopped", "seats", true, true},
+		{"task that is not idempotent is not stopped", "seats", false, false},
+		{"task whose request was withdrawn is stopped", "seats", true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := sentAttempt(t, test.class)
@@ -31,16 +31,16 @@
 			effects := harness.accept(attempt)
 
 			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
-				t.Errorf("node was asked to stop the task: %v, want %v and no running task", stopped, test.stopped)
+				t.Errorf("late acceptance: node was asked to stop the task = %v, want %v; RunningTasks must be 0", stopped, test.stopped)
 			}
 		})
 	}
 }
 
-// TestTerminationBeforeAnswer checks that a task that was drained, evicted or preempted counts as ended even
-// though its acceptance has not arrived. The client must be notified at once, no other attempt may be made,
-// and the late acceptance must change nothing. An attempt that failed in transit or was rejected for lack of
-// capacity is repeated on another node.
+// TestTerminationBeforeAnswer checks that a task that its node drained, evicted or preempted counts as ended,
+// even though the node's acceptance has not arrived. The client must be notified at once, no other attempt
+// may be made, and the late acceptance must change nothing. If an attempt failed in transit or was rejected
+// for lack of capacity, the placer must be able to make another attempt.
 func TestTerminationBeforeAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -48,11 +48,11 @@
 		note  string
 		ended bool
 	}{
-		{"drained", protocol.CauseReset, "drained", true},
-		{"evicted", protocol.CauseReset, "oom", true},
-		{"preempted", protocol.CauseReset, "preempted", true},
-		{"failed in transit", protocol.CauseReset, "", false},
-		{"full", protocol.CauseFull, "drained", false},
+		{"node drained the task", protocol.CauseReset, "drained", true},
+		{"node evicted the task", protocol.CauseReset, "oom", true},
+		{"node preempted the task", protocol.CauseReset, "preempted", true},
+		{"attempt failed in transit", protocol.CauseReset, "", false},
+		{"node rejected the attempt for lack of capacity", protocol.CauseFull, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
@@ -65,18 +65,19 @@
 			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
 			bound := policy.received(placer.Bound)
 			if notified != test.ended || bound != test.ended || policy.lastEvent().Final != test.ended || record.answers != 1 {
-				t.Errorf("messages to clients %+v, placer was told that the task ran: %v, last event %+v", answers, bound, policy.lastEvent())
+				t.Errorf("messages to clients: %+v; placer received Bound: %v; last event: %+v; want a notification, Bound and a final event only if the task ended", answers, bound, policy.lastEvent())
 			}
 			harness.accept(attempt)
 			if harness.core.RunningTasks() != 0 || record.answers != 1 {
-				t.Error("the task runs or was answered again after a late acceptance")
+				t.Error("after a late acceptance, the task runs or the client received a second answer")
 			}
 		})
 	}
 }
 
-// TestAttemptStart checks that an attempt expires without being sent if it could not be answered in time, if
-// it exceeds the maximum number of attempts, or if its node is not in the registry.
+// TestAttemptStart checks the expiry time of an attempt. It also checks that an attempt expires without being
+// sent if no time is left, if its request is in a final state, if the request has reached the maximum number
+// of attempts, or if the node is not in the registry.
 func TestAttemptStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -85,14 +86,14 @@
 		change    func(req *request)
 		expiresAt placer.Seconds // 0 if the attempt must not be sent
 	}{
-		{"no expiry time given", 1, 0, func(*request) {}, 110},
-		{"expiry before the deadline", 1, 105, func(*request) {}, 105},
-		{"expiry after the deadline", 1, 150, func(*request) {}, 110},
+		{"placer gives no expiry time", 1, 0, func(*request) {}, 110},
+		{"expiry time before the deadline of the request", 1, 105, func(*request) {}, 105},
+		{"expiry time after the deadline of the request", 1, 150, func(*request) {}, 110},
 		{"expiry time has passed", 1, 100, func(*request) {}, 0},
 		{"node is not in the registry", 7, 105, func(*request) {}, 0},
-		{"request is final", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
-		{"last allowed attempt", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
-		{"one attempt more than allowed", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
+		{"request is in a final state", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
+		{"last attempt below the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
+		{"one attempt above the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
@@ -108,13 +109,13 @@
 			attempt := req.lastAttempt()
 			if test.expiresAt == 0 {
 				if attempt.state != attemptAbandoned || len(shared.effects) != 0 || len(table.byKey) != 0 {
-					t.Errorf("attempt in state %v with effects %+v, want an abandoned attempt without effects", attempt.state, shared.effects)
+					t.Errorf("attempt is in state %v with effects %+v, want an abandoned attempt without effects", attempt.state, shared.effects)
 				}
 				return
 			}
 			sent := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
 			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
-				t.Errorf("attempt in state %v expires at %v with effects %+v, want one pending attempt to be sent", attempt.state, attempt.expiresAt, shared.effects)
+				t.Errorf("attempt is in state %v, expires at %v and has effects %+v, want a pending attempt that is sent and a timer for its expiry", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -10,10 +10,11 @@
 	"heathshed/placer"
 )
 
-// runDirectedScripts runs short scripts for situations that random scripts rarely reach. In some, many nodes
-// and tasks end at the same time; the core promises no order among them, so the recorder sorts the effects.
-// Others cover notifications and adoptions close to their time limits, and the limits on stored records.
-func runDirectedScripts(t *testing.T) []string {
+// runScenarios runs the scenarios, which are short sequences of calls for situations that random scripts
+// rarely reach. In some scenarios many nodes and tasks end at the same time. The core does not define the
+// order of these ends, so the recorder sorts the effects. Other scenarios cover notifications and adoptions
+// close to their time limits, and the limits on the number of stored records.
+func runScenarios(t *testing.T) []string {
 	t.Helper()
 	var lines []string
 	for settingsIndex := range settingsVariants {
@@ -44,42 +45,45 @@
 	return append(lines, runEarlyTerminations(t)...)
 }
 
-// directedScript specifies how a directed script starts: its settings, its seed and its number of client
-// connections.
-type directedScript struct {
-	settingsIndex   int
+// scenarioSetup specifies how a scenario starts: its variant of the settings, its random seed and its number
+// of client connections. The label identifies the scenario in the golden file.
+type scenarioSetup struct {
+	settingsIndex   int // the index in settingsVariants
 	seed            uint64
 	label           string
 	connections     int
-	useRandomPlacer bool // whether a randomPlacer makes the decisions
+	useRandomPlacer bool // whether the core uses a randomPlacer instead of a placer.Placer
 }
 
-// start returns a recorder whose core has the connections and whose nodes are all in service.
-func (script directedScript) start(t *testing.T) *scriptRecorder {
+// start returns a recorder for a core to which the clients are connected and which lists all nodes in
+// service.
+func (setup scenarioSetup) start(t *testing.T) *scriptRecorder {
 	t.Helper()
-	recorder := newRecorder(t, script.settingsIndex, script.seed, "", script.useRandomPlacer)
-	recorder.label = script.label
-	for range script.connections {
+	recorder := newRecorder(t, setup.settingsIndex, setup.seed, "", setup.useRandomPlacer)
+	recorder.label = setup.label
+	for range setup.connections {
 		recorder.openConnection()
 	}
 	recorder.listAllNodes("in_service", 0)
 	return recorder
 }
 
-// startWithRequest is like start, but uses a randomPlacer and sends a first request.
-func (script directedScript) startWithRequest(t *testing.T) *scriptRecorder {
+// startWithRequest returns a recorder like start, but the core uses a randomPlacer and has received a first
+// request.
+func (setup scenarioSetup) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
-	script.useRandomPlacer = true
-	recorder := script.start(t)
+	setup.useRandomPlacer = true
+	recorder := setup.start(t)
 	recorder.sendLaunch("")
 	recorder.digestEffectsAndState(0)
 	return recorder
 }
 
+// listAllNodes delivers a discovery event that lists all nodes with the given state and start time.
 func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
 	var all []string
-	for i := 1; i <= scriptNodes; i++ {
+	for i := 1; i <= scriptNodeCount; i++ {
 		all = append(all, recorder.nodeJSON(i, state, bootMS))
 	}
 	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
@@ -88,27 +92,29 @@
 	recorder.digestEffectsAndState(0)
 }
 
-// advanceInOneCall advances the clock and runs all timers that are due in one call at the new time.
-func (recorder *scriptRecorder) advanceInOneCall(by placer.Seconds, step int) {
-	recorder.now += by
+// advanceInOneCall advances the clock by the given duration and then runs all due timers in one call.
+func (recorder *scriptRecorder) advanceInOneCall(duration placer.Seconds, step int) {
+	recorder.now += duration
 	recorder.core.Advance(recorder.now)
 	recorder.digestEffectsAndState(step)
 }
 
-// adoptTasks lists running tasks for adoption, distributed over the nodes.
-func (recorder *scriptRecorder) adoptTasks(count int, first uint64) {
+// adoptTasks lists running tasks for adoption. Their IDs start at firstID, and they are distributed over the
+// nodes.
+func (recorder *scriptRecorder) adoptTasks(count int, firstID uint64) {
 	for i := range count {
-		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(first+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodes)))
+		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(firstID+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodeCount)))
 		recorder.digestEffectsAndState(0)
 	}
 }
 
-// runRedelivery closes connections on which notifications were sent. The variants cover clients that do and
-// do not acknowledge notifications, intervals around each time limit, and the case that no client is left.
+// runRedelivery closes client connections on which notifications were sent. The variants cover clients that
+// do and do not acknowledge notifications, intervals close to each time limit, and the case that no
+// connection is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
-		return directedScript{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
+		return scenarioSetup{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
 	}
 	return runVariants(24, start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(6, 1)
@@ -131,21 +137,22 @@
 	})
 }
 
-// endTasks makes nodes report the ends of tasks that adoptTasks listed.
-func (recorder *scriptRecorder) endTasks(first, last uint64) {
-	for id := first; id <= last; id++ {
+// endTasks makes nodes report the ends of the tasks with the IDs from firstID to lastID, which adoptTasks
+// listed.
+func (recorder *scriptRecorder) endTasks(firstID, lastID uint64) {
+	for id := firstID; id <= lastID; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
-		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodes), &msg)
+		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+int(id-1)%scriptNodeCount), &msg)
 		recorder.digestEffectsAndState(0)
 	}
 }
 
-// runAdoptionWait sends requests while running tasks are still being adopted, until after the longest time
-// for which requests wait.
+// runAdoptionWait sends new requests while a client still lists running tasks for adoption. It continues
+// beyond adoptionMaxWait, after which new requests no longer wait for adoptions.
 func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
-	recorder := directedScript{seed: 300, label: "handover", connections: 2}.start(t)
+	recorder := scenarioSetup{seed: 300, label: "handover", connections: 2}.start(t)
 	recorder.receiveFromClient(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
 		recorder.advanceInOneCall(0.03, int(i))
@@ -165,13 +172,15 @@
 	return recorder.recordedLines
 }
 
-// runNewIncarnation starts a new incarnation of a node on which one task runs, at times around the tolerance.
+// runNewIncarnation adopts a task and then starts a new incarnation of its node. The variants cover start
+// times of the incarnation up to and beyond incarnationTolerance after the adoption.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
 	incarnationDelayMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant]) // as in the golden file
-		return directedScript{seed: 400, label: label, connections: 1}.start(t)
+		// The golden file calls an incarnation a life, and gives the delay in milliseconds without the unit.
+		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant])
+		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
 	}
 	return runVariants(len(incarnationDelayMS), start, func(recorder *scriptRecorder, variant int) {
 		recorder.adoptTasks(1, 1)
@@ -179,7 +188,7 @@
 	})
 }
 
-// runVariants runs a directed script once for each variant and returns the recorded lines.
+// runVariants runs a scenario once for each of its variants and returns the recorded lines.
 func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
 		recorder := start(variant)
@@ -190,13 +199,13 @@
 	return lines
 }
 
-// runLateStart sends attempts just before, at and just after their expiry time, before the expiry timer has
-// run.
+// runLateStart sends an attempt just before, at or just after its expiry time, while the expiry timer has not
+// run yet.
 func runLateStart(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late start %d", variant)
-		return directedScript{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
+		return scenarioSetup{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(30, start, func(recorder *scriptRecorder, variant int) {
 		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
@@ -207,13 +216,13 @@
 	})
 }
 
-// runLateAnswer makes a node answer an attempt around its expiry time, either before the expiry timer has run
-// or after the connection was lost. The client then lists the task for adoption from that node.
+// runLateAnswer makes a node answer an attempt close to its expiry time, either while the expiry timer has
+// not run yet or after the connection was lost. The client then lists the task for adoption from that node.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
 		label := fmt.Sprintf("late answer %d", variant)
-		return directedScript{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
+		return scenarioSetup{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
 		due := recorder.core.NextTimer()
@@ -228,12 +237,12 @@
 	})
 }
 
-// answerLate makes a node accept the first attempt at the given time, after its connection was lost if broken
-// is set. The client then lists the task for adoption.
-func (recorder *scriptRecorder) answerLate(at placer.Seconds, broken bool) {
+// answerLate makes a node accept the first attempt at answerTime. If connectionLost is set, the connection to
+// the node is lost before. The client then lists the task for adoption from that node.
+func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
 	attempt := recorder.sent[0]
-	recorder.now = max(recorder.now, at)
-	if broken {
+	recorder.now = max(recorder.now, answerTime)
+	if connectionLost {
 		recorder.core.ConnectionLost(recorder.now, attempt)
 		recorder.digestEffectsAndState(2)
 	}
@@ -242,7 +251,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.digestEffectsAndState(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pending) > 0 { // another attempt was started, and the client withdraws the request
+	if len(recorder.pending) > 0 { // another attempt was started, so the client withdraws the request
 		recorder.receiveFromClient(1, stop)
 		recorder.digestEffectsAndState(4)
 	}
@@ -254,22 +263,24 @@
 	}
 }
 
-// runEarlyTerminations exceeds the maximum numbers of early terminations and of tasks.
+// runEarlyTerminations makes a node report the ends of more unknown tasks than the core records. A client
+// then lists some of these tasks for adoption, and further ones until the maximum number of tasks is
+// exceeded.
 func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
-	const aboveLimit = 20010
-	recorder := directedScript{seed: 200, label: "bounds", connections: 1}.start(t)
-	for id := uint64(1); id <= aboveLimit; id++ {
+	const countAboveLimit = 20010 // exceeds maxEarlyTerminations and maxTasks, which are both 20000
+	recorder := scenarioSetup{seed: 200, label: "bounds", connections: 1}.start(t)
+	for id := uint64(1); id <= countAboveLimit; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause = 41
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1), &msg)
 	}
-	for _, id := range []uint64{1, 9, 10, 11, 12, aboveLimit} {
+	for _, id := range []uint64{1, 9, 10, 11, 12, countAboveLimit} {
 		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(1)))
 		recorder.digestEffectsAndState(0)
 	}
 	recorder.recordCheckpoint(1)
-	for id := uint64(aboveLimit + 1); id <= 2*aboveLimit; id++ {
+	for id := uint64(countAboveLimit + 1); id <= 2*countAboveLimit; id++ {
 		recorder.receiveFromClient(1, recorder.newLaunchMessage(id, ";at:"+dispatch.NodeUID(2)))
 	}
 	recorder.digestEffectsAndState(0)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -18,27 +18,28 @@
 	"heathshed/placer"
 )
 
-// scriptRecorder drives one core and computes a digest of its observable behavior.
+// scriptRecorder makes the calls of one script to a core and computes a digest of the core's observable
+// behavior.
 type scriptRecorder struct {
 	t             *testing.T
 	core          *dispatch.Core
 	random        *rand.Rand
 	digest        hash.Hash
-	settingsIndex int
+	settingsIndex int // the index in settingsVariants
 	now           placer.Seconds
-	eventNumber   int
+	eventNumber   int // the number of the last discovery event
 	lastConn      dispatch.ConnID
 	conns         []dispatch.ConnID
 	lastID        uint64
-	pending       []*dispatch.Attempt // attempts that are yet to be sent
-	sent          []*dispatch.Attempt // attempts that were sent, also those that have ended
-	nodeStates    map[int]string      // last listed state of each node by its number
-	sortEffects   bool                // whether effects are sorted, since calls may return them in any order
+	pending       []*dispatch.Attempt // attempts that were not sent yet
+	sent          []*dispatch.Attempt // attempts that were sent or adopted, including those that have ended
+	nodeStates    map[int]string      // the last listed state of each node, by the number of the node
+	sortEffects   bool                // whether effects are sorted, for scripts in which their order is not defined
 	recordedLines []string
-	label         string
+	label         string // identifies the script in the golden file, where settings are called a shape
 }
 
-func newRecorder(t *testing.T, settingsIndex int, seed uint64, known string, useRandomPlacer bool) *scriptRecorder {
+func newRecorder(t *testing.T, settingsIndex int, seed uint64, initialEvents string, useRandomPlacer bool) *scriptRecorder {
 	t.Helper()
 	settings, err := simconfig.Parse([]byte(settingsVariants[settingsIndex]))
 	if err != nil {
@@ -59,9 +60,9 @@
 		label:         fmt.Sprintf("shape %d seed %d", settingsIndex, seed),
 	}
 	if useRandomPlacer {
-		recorder.core, err = dispatch.New(recorder.now, settings, &randomPlacer{recorder: recorder}, []byte(known))
+		recorder.core, err = dispatch.New(recorder.now, settings, &randomPlacer{recorder: recorder}, []byte(initialEvents))
 	} else {
-		recorder.core, err = dispatch.New(recorder.now, settings, policy, []byte(known))
+		recorder.core, err = dispatch.New(recorder.now, settings, policy, []byte(initialEvents))
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -107,25 +108,29 @@
 	}
 }
 
-func (recorder *scriptRecorder) digestBool(on bool) {
-	if on {
+func (recorder *scriptRecorder) digestBool(value bool) {
+	if value {
 		recorder.digestNumbers(1)
 	} else {
 		recorder.digestNumbers(0)
 	}
 }
 
-func (recorder *scriptRecorder) digestFloat(v float64) { recorder.digestNumbers(math.Float64bits(v)) }
+func (recorder *scriptRecorder) digestFloat(value float64) {
+	recorder.digestNumbers(math.Float64bits(value))
+}
 
-func (recorder *scriptRecorder) digestSeconds(v placer.Seconds) { recorder.digestFloat(float64(v)) }
+func (recorder *scriptRecorder) digestSeconds(value placer.Seconds) {
+	recorder.digestFloat(float64(value))
+}
 
-func (recorder *scriptRecorder) digestText(s string) {
-	recorder.digestNumbers(uint64(len(s)))
-	recorder.digest.Write([]byte(s))
+func (recorder *scriptRecorder) digestText(text string) {
+	recorder.digestNumbers(uint64(len(text)))
+	recorder.digest.Write([]byte(text))
 }
 
-// digestError adds to the digest whether there was an error and the reason by which it is counted, but not
-// its text.
+// digestError adds to the digest whether there was an error and, for an InvalidMessageError, its reason. The
+// text of the error is not added.
 func (recorder *scriptRecorder) digestError(err error) {
 	recorder.digestBool(err != nil)
 	var invalid *dispatch.InvalidMessageError
@@ -135,10 +140,10 @@
 	}
 }
 
-// nodeID returns the ID of the node with the given number.
+// nodeID returns the ID of the test node with the given number.
 func nodeID(number int) placer.NodeID { return dispatch.NodeIDOf(dispatch.NodeUID(number)) }
 
-// encodeEffect returns an effect as bytes. Messages have their wire encoding.
+// encodeEffect returns an effect as bytes. Messages in the effect are encoded as on the wire.
 func encodeEffect(effect *dispatch.Effect) []byte {
 	encoded := []byte{byte(effect.Kind)}
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(effect.Conn))
@@ -156,7 +161,8 @@
 	return encoded
 }
 
-// digestEffectsAndState adds the effects of a call and the observable state of the core to the digest.
+// digestEffectsAndState adds the effects of the last calls and the observable state of the core to the
+// digest.
 func (recorder *scriptRecorder) digestEffectsAndState(step int) {
 	recorder.digestNumbers(uint64(step))
 	var encoded [][]byte
@@ -192,7 +198,7 @@
 		recorder.digestBool(placed)
 		recorder.digestBool(recorder.core.IsOnlyClient(id))
 	}
-	for i := range scriptNodes + 1 {
+	for i := range scriptNodeCount + 1 {
 		node := recorder.core.Node(nodeID(i))
 		if recorder.digestBool(node != nil); node != nil {
 			recorder.digestText(node.UID)
@@ -222,6 +228,7 @@
 		counts.InvalidMessages}
 }
 
+// recordCheckpoint records a line with the digest of all steps so far and the counters of the core.
 func (recorder *scriptRecorder) recordCheckpoint(step int) {
 	if err := recorder.core.CheckInvariants(); err != nil {
 		recorder.t.Fatalf("%s, step %d: invariant violated: %v", recorder.label, step, err)
@@ -234,8 +241,9 @@
 	recorder.recordedLines = append(recorder.recordedLines, line)
 }
 
-// randomPlacer replaces the placer. It adds each event to the digest and returns random actions, including
-// rare and invalid ones. This produces migrations, expired attempts and attempts beyond the limit.
+// randomPlacer replaces the placer of a core. It adds each event to the digest and returns random actions,
+// including rare and invalid ones. The actions lead to migrations, to expired attempts and to requests with
+// more than the maximum number of attempts.
 type randomPlacer struct {
 	recorder *scriptRecorder
 	tasks    []placer.TaskID
@@ -280,7 +288,7 @@
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
-		return placer.Action{Kind: placer.Reject, Task: task + 100000} // the task is unknown
+		return placer.Action{Kind: placer.Reject, Task: task + 100000} // no task has this ID
 	}
 	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: nodeID(1 + recorder.random.IntN(4)),
 		Until: randomChoice(recorder, 0, 0, now+0.25, now+0.8, now+100, now-1)}
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -12,18 +12,18 @@
 
 const (
 	scriptSteps        = 600
-	checkpointInterval = 50
-	scriptNodes        = 6
+	checkpointInterval = 50 // steps
+	scriptNodeCount    = 6
 )
 
-func (recorder *scriptRecorder) nodeJSON(i int, state string, bootMS int64) string {
-	recorder.nodeStates[i] = state
+func (recorder *scriptRecorder) nodeJSON(number int, state string, bootMS int64) string {
+	recorder.nodeStates[number] = state
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
-		dispatch.NodeUID(i), i, 1+recorder.eventNumber%3, string("ab"[i%2]), []string{"std", "big"}[i%2], i/2, state, bootMS, 4+i)
+		dispatch.NodeUID(number), number, 1+recorder.eventNumber%3, string("ab"[number%2]), []string{"std", "big"}[number%2], number/2, state, bootMS, 4+number)
 }
 
-func randomChoice[T any](recorder *scriptRecorder, of ...T) T {
-	return of[recorder.random.IntN(len(of))]
+func randomChoice[T any](recorder *scriptRecorder, choices ...T) T {
+	return choices[recorder.random.IntN(len(choices))]
 }
 
 func wireMessage(kind protocol.Kind, id uint64) protocol.Message {
@@ -33,10 +33,10 @@
 // runRandomScript runs one random script to its end and returns the recorded lines.
 func runRandomScript(t *testing.T, settingsIndex int, seed uint64, useRandomPlacer bool) []string {
 	t.Helper()
-	setup := &scriptRecorder{nodeStates: map[int]string{}}
-	known := `{"no":1,"items":[` + dispatch.DiscoveryEventJSON(1, true, setup.nodeJSON(1, "in_service", 0), setup.nodeJSON(2, "in_service", 0),
-		setup.nodeJSON(3, "in_service", 0)) + `]}`
-	recorder := newRecorder(t, settingsIndex, seed, known, useRandomPlacer)
+	nodeEncoder := &scriptRecorder{nodeStates: map[int]string{}}
+	initialEvents := `{"no":1,"items":[` + dispatch.DiscoveryEventJSON(1, true, nodeEncoder.nodeJSON(1, "in_service", 0), nodeEncoder.nodeJSON(2, "in_service", 0),
+		nodeEncoder.nodeJSON(3, "in_service", 0)) + `]}`
+	recorder := newRecorder(t, settingsIndex, seed, initialEvents, useRandomPlacer)
 	for i := 1; i <= 3; i++ {
 		recorder.nodeStates[i] = "in_service"
 	}
@@ -57,7 +57,8 @@
 	return recorder.recordedLines
 }
 
-// randomStep makes one random call.
+// randomStep makes one random step: a message, an event of a connection or of discovery, a failure, or an
+// advance of the clock.
 func (recorder *scriptRecorder) randomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
@@ -156,7 +157,7 @@
 	return 1 + recorder.random.Uint64N(recorder.lastID+1)
 }
 
-// launchCorruptions are changes of a valid launch message, most of which make it invalid.
+// launchCorruptions are changes to a valid launch message. Most of them make the message invalid.
 var launchCorruptions = []func(*protocol.Message){
 	func(msg *protocol.Message) { msg.Body = "" },
 	func(msg *protocol.Message) { msg.Set(protocol.Class, "none") },
@@ -221,17 +222,17 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// acceptSentAttempt makes the node of a random sent attempt accept it.
+// acceptSentAttempt makes a node accept a random attempt that was sent to it. The attempt may have ended.
 func (recorder *scriptRecorder) acceptSentAttempt() {
-	open := recorder.sent
+	choices := recorder.sent
 	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
 	if len(live) > 0 && recorder.random.IntN(6) > 0 {
-		open = live
+		choices = live
 	}
-	if len(open) == 0 {
+	if len(choices) == 0 {
 		return
 	}
-	attempt := randomChoice(recorder, open...)
+	attempt := randomChoice(recorder, choices...)
 	msg := wireMessage(protocol.Running, uint64(attempt.Message.ID))
 	msg.Body = randomChoice(recorder, `"out"`, `"out"`, `"out"`, `"\t"`, "")
 	recorder.receiveFromNode(attempt, &msg)
@@ -273,7 +274,7 @@
 }
 
 func (recorder *scriptRecorder) failRandomNode() {
-	id := nodeID(1 + recorder.random.IntN(scriptNodes))
+	id := nodeID(1 + recorder.random.IntN(scriptNodeCount))
 	if recorder.random.IntN(2) == 0 {
 		recorder.core.NodeDead(recorder.now, id)
 	} else {
@@ -282,11 +283,11 @@
 }
 
 // deliverDiscoveryEvent delivers one discovery event, which may be invalid. Each event changes at most one
-// node, since the core promises no order among nodes that terminate at the same time. For the same reason, a
-// node starts a new incarnation only if it runs at most one task.
+// node, since the core does not define the order in which it handles nodes that terminate at the same time.
+// For the same reason, a node starts a new incarnation only if it runs at most one task.
 func (recorder *scriptRecorder) deliverDiscoveryEvent() {
 	recorder.eventNumber++
-	i := 1 + recorder.random.IntN(scriptNodes)
+	i := 1 + recorder.random.IntN(scriptNodeCount)
 	state := randomChoice(recorder, "in_service", "in_service", "terminating", "terminated")
 	var event string
 	switch recorder.random.IntN(12) {
@@ -309,19 +310,21 @@
 	recorder.digestError(err)
 }
 
-// drawStartTime draws a start time of a node that ends no task in later steps. A start time further in the
-// future than the tolerance of the core would end several tasks with a later node list, in no defined order.
-func (recorder *scriptRecorder) drawStartTime(i int) int64 {
-	node := recorder.core.Node(nodeID(i))
+// drawStartTime returns a random start time for a node, in milliseconds. The start time is less than
+// incarnationTolerance in the future. With a later start time, a later node list could end several tasks of
+// the node at the same time, in an undefined order.
+func (recorder *scriptRecorder) drawStartTime(number int) int64 {
+	node := recorder.core.Node(nodeID(number))
 	if node == nil || node.RunningTasks() > 1 {
 		return 0
 	}
 	return randomChoice(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
 }
 
-// completeList returns the last known node list with one node changed or left out.
+// completeList returns the entries of a complete node list. The node with the number changed has the given
+// state, or is missing if that state is terminated. The other nodes have their last listed state.
 func (recorder *scriptRecorder) completeList(changed int, state string) (list []string) {
-	for i := 1; i <= scriptNodes; i++ {
+	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
 		case i == changed && state == "terminated":
 			delete(recorder.nodeStates, i)
@@ -334,19 +337,19 @@
 	return list
 }
 
-// advance moves the clock forward. It usually runs each timer at its time, and sometimes runs all timers
-// late.
-func (recorder *scriptRecorder) advance(by placer.Seconds) {
-	to := recorder.now + by
+// advance advances the clock by the given duration. It usually runs each timer at the time for which it is
+// set. Sometimes it runs all due timers at the end of the duration instead.
+func (recorder *scriptRecorder) advance(duration placer.Seconds) {
+	endTime := recorder.now + duration
 	if recorder.random.IntN(5) == 0 {
-		recorder.now = to
+		recorder.now = endTime
 		recorder.core.Advance(recorder.now)
 		return
 	}
-	for recorder.core.NextTimer() <= to {
+	for recorder.core.NextTimer() <= endTime {
 		recorder.now = max(recorder.now, recorder.core.NextTimer())
 		recorder.core.Advance(recorder.now)
 		recorder.digestEffectsAndState(0)
 	}
-	recorder.now = to
+	recorder.now = endTime
 }
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -10,11 +10,11 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization runs seeded scripts against the core and compares digests of the observable behavior
-// with the golden file. Each digest covers all steps up to its checkpoint, so the first checkpoint that
-// differs locates the first step that differs. The digests cover only numbers, wire bytes and float bits, so
-// that they do not depend on names in the source. Run the test with HEATHSHED_UPDATE_GOLDEN=1 to rewrite the
-// golden file. A missing golden file fails the test.
+// TestCharacterization runs random scripts with fixed seeds and the scenarios against the core, and compares
+// digests of the observable behavior with the golden file. Each digest covers all steps up to its checkpoint,
+// so the first step that differs lies before the first checkpoint that differs. The digests cover only
+// numbers, wire bytes and float bits, and do not depend on names in the source. Run the test with
+// HEATHSHED_UPDATE_GOLDEN=1 to rewrite the golden file. The test fails if the golden file is missing.
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for settingsIndex := range settingsVariants {
@@ -25,7 +25,7 @@
 			lines = append(lines, runRandomScript(t, settingsIndex, seed, true)...)
 		}
 	}
-	lines = append(lines, runDirectedScripts(t)...)
+	lines = append(lines, runScenarios(t)...)
 	record := goldentest.NewRecorder()
 	for _, line := range lines {
 		record.Line("%s", line)
@@ -57,33 +57,33 @@
  "rules":{"answerSlackS":0,"askWithinS":2,"drainGraceS":10,"fallS":1,"warmWithinS":8}}`,
 }
 
-// scriptTenants contains the valid tenant names for each of the settingsVariants.
+// scriptTenants contains the valid tenant names for each element of settingsVariants.
 var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
 
-// TestCharacterizationKnownEvents checks which lists of known events New accepts, and the resulting state of
-// the core.
+// TestCharacterizationKnownEvents checks which initial discovery events dispatch.New accepts. It also checks
+// how many nodes and which last event number the created core has.
 func TestCharacterizationKnownEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := `{"uid":"s-00000001","state":"in_service"}`
-	second := `{"uid":"s-00000002","state":"in_service"}`
-	items := func(last int, events string) string { return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, events) }
+	firstNode := `{"uid":"s-00000001","state":"in_service"}`
+	secondNode := `{"uid":"s-00000002","state":"in_service"}`
+	eventList := func(last int, events string) string { return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, events) }
 	for _, test := range []struct {
-		name, known string
-		last        uint64
-		nodes       int
-		invalid     bool
+		name, initialEvents string
+		lastEvent           uint64
+		nodes               int
+		invalid             bool
 	}{
-		{name: "no known events", known: ""},
-		{name: "empty object", known: "{}"},
-		{name: "number without events", known: `{"no":5}`, last: 5},
-		{name: "event with a higher number", known: items(2, dispatch.DiscoveryEventJSON(7, false, first)), last: 7, nodes: 1},
-		{name: "event without a node list", known: items(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, first, second)), last: 9, nodes: 2},
-		{name: "node without a UID", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
-		{name: "unknown node state", known: items(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
-		{name: "truncated JSON", known: `{"no":`, invalid: true},
+		{name: "no initial events", initialEvents: ""},
+		{name: "empty JSON object", initialEvents: "{}"},
+		{name: "event number without events", initialEvents: `{"no":5}`, lastEvent: 5},
+		{name: "event with a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodes: 1},
+		{name: "first event has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodes: 2},
+		{name: "node has no UID", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
+		{name: "unknown node state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
+		{name: "JSON is truncated", initialEvents: `{"no":`, invalid: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			policy, err := placer.New(settings.Placer, 1)
@@ -91,18 +91,18 @@
 				t.Fatal(err)
 			}
 
-			core, err := dispatch.New(5, settings, policy, []byte(test.known))
+			core, err := dispatch.New(5, settings, policy, []byte(test.initialEvents))
 
 			if (err != nil) != test.invalid {
-				t.Fatalf("known events %s: unexpected result of New: error %v", test.known, err)
+				t.Fatalf("initial events %s: New returned error %v, want an error only for invalid events", test.initialEvents, err)
 			}
 			if test.invalid {
 				return
 			}
 			nodes := 0
 			core.EachNode(func(*dispatch.Node) { nodes++ })
-			if core.LastDiscoveryEvent() != test.last || nodes != test.nodes {
-				t.Errorf("known events %s: last event is %d with %d nodes, want %d with %d", test.known, core.LastDiscoveryEvent(), nodes, test.last, test.nodes)
+			if core.LastDiscoveryEvent() != test.lastEvent || nodes != test.nodes {
+				t.Errorf("initial events %s: last event number is %d and the core has %d nodes, want number %d and %d nodes", test.initialEvents, core.LastDiscoveryEvent(), nodes, test.lastEvent, test.nodes)
 			}
 		})
 	}
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -13,7 +13,7 @@
 	notifier *notifier
 }
 
-// receive handles one message. The sender of an invalid message is sent an error answer.
+// receive handles one message of a client. If the message is invalid, the client is sent an error answer.
 func (h *clientMessageHandler) receive(client *clientConn, msg *protocol.Message) error {
 	if err := h.handle(client, msg); err != nil {
 		h.counts.InvalidMessages++
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID is already in use. Two requests with the same ID cannot
-// both be answered, so an existing open request on the same connection is withdrawn.
+// rejectDuplicate rejects a launch message whose ID is already used by the request existing. Two requests
+// with the same ID cannot both be answered, so existing is withdrawn if it is open on the same connection.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
@@ -85,11 +85,11 @@
 	return invalidMessage(InvalidIDInUse, "launch message: ID %s is already in use", msg.UID)
 }
 
-// handleStop handles a message with which a client withdraws an open request or stops a running task.
+// handleStop handles a Stop message, with which a client withdraws an open request or stops a running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
-		return nil // the client sent the stop before it received the answer
+		return nil // the request has ended, and the client had not learned of that when it sent the message
 	}
 	if attempt := req.runningAttempt(); attempt != nil {
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -16,7 +16,7 @@
 type clientConn struct {
 	id                 ConnID
 	openRequests       map[*request]struct{}
-	lastPlacedAt       placer.Seconds // when a task on this connection last started or was adopted, or 0
+	lastPlacedAt       placer.Seconds // when the task of a request on this connection last started or was adopted, or 0
 	lastValidMessageAt placer.Seconds // when the last valid message arrived, or 0
 	notifications      deliveryLog    // notifications sent on the connection, written by notifier
 }
@@ -30,9 +30,9 @@
 	return open
 }
 
-// moreRecentlyUsedThan reports whether the connection was used more recently than the other. It compares
-// first when a task was last placed, then when a valid message last arrived. On a tie, the connection with
-// the higher ID is the newer one.
+// moreRecentlyUsedThan reports whether the connection was used more recently than other. It compares
+// first when a task was last placed, then when a valid message last arrived. If both times are equal, the
+// connection with the higher ID counts as the more recently used one.
 func (conn *clientConn) moreRecentlyUsedThan(other *clientConn) bool {
 	if conn.lastPlacedAt != other.lastPlacedAt {
 		return conn.lastPlacedAt > other.lastPlacedAt
@@ -43,7 +43,7 @@
 	return conn.id > other.id
 }
 
-// openRequestsByArrival returns the open requests in the order of their arrival.
+// openRequestsByArrival returns the open requests of the connection in the order of their arrival.
 func (conn *clientConn) openRequestsByArrival() []*request {
 	requests := make([]*request, 0, len(conn.openRequests))
 	for req := range conn.openRequests {
@@ -104,7 +104,7 @@
 	}
 }
 
-// recordPlacedTask records that the task of a request has started or was adopted.
+// recordPlacedTask records on the connection of a request that its task has started or was adopted.
 func (r *clientRegistry) recordPlacedTask(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.lastPlacedAt = r.now
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -16,7 +16,8 @@
 //   - clientMessageHandler and nodeMessageHandler handle the messages of clients and of nodes;
 //   - taskController manages a task from its start to its end, and adoption adds tasks that run already;
 //   - requestTable and attemptTable store requests and attempts and change their states;
-//   - notifier delivers notifications, and earlyTerminationLog records the ends of unknown tasks;
+//   - notifier delivers notifications to clients, and earlyTerminationLog records the ends of tasks that the
+//     scheduler does not know;
 //   - clientRegistry stores the client connections, and nodeRegistry stores the nodes and what runs on them.
 package dispatch
 
@@ -31,8 +32,8 @@
 	"heathshed/placer"
 )
 
-// maxTasks limits the total number of open placement requests and running tasks. Each takes about 2 KB of
-// memory.
+// maxTasks limits the total number of open placement requests and running tasks. Each of them takes about 2
+// KB of memory.
 const maxTasks = 20000
 
 // Core is the state machine of the scheduler on the platform. It is not safe for concurrent use.
@@ -51,15 +52,15 @@
 	nodeMessages   *nodeMessageHandler
 }
 
-// New returns a core whose node registry is built from the discovery events in knownEvents. knownEvents is
-// the JSON value of the key "known" in the platform's configuration, or empty. The returned error names the
-// invalid part of knownEvents.
-func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, knownEvents []byte) (*Core, error) {
+// New returns a core whose node registry is built from initialEvents, the discovery events from before the
+// scheduler start. initialEvents is the JSON value of the key "known" in the platform's configuration, or
+// empty. The returned error names the invalid part of initialEvents.
+func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, initialEvents []byte) (*Core, error) {
 	c := &Core{}
 	c.sharedState = &sharedState{settings: settings, counts: &c.Counts, now: now}
 	c.events = eventqueue.Queue{Placer: policy, Execute: c.execute}
 	c.createComponents()
-	if err := c.nodes.loadKnownEvents(knownEvents); err != nil {
+	if err := c.nodes.loadInitialEvents(initialEvents); err != nil {
 		return nil, err
 	}
 	c.runEvents()
@@ -96,7 +97,7 @@
 	c.nodeMessages = &nodeMessageHandler{sharedState: shared, attempts: c.attempts, tasks: c.tasks, earlyTerminations: earlyTerminations}
 }
 
-// Ready returns the effects that were added since the last call. The caller owns the returned slice.
+// Ready returns the effects that were added since the last call of Ready. The caller owns the returned slice.
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
@@ -157,8 +158,8 @@
 	c.runEvents()
 }
 
-// ClientRequests returns the number of open requests on a connection, and whether a task of any request on
-// the connection has ever run.
+// ClientRequests returns the number of open requests on a client connection, and whether the task of any
+// request on that connection has ever started or was adopted.
 func (c *Core) ClientRequests(conn ConnID) (open int, placed bool) {
 	client := c.clients.get(conn)
 	if client == nil {
@@ -175,7 +176,7 @@
 }
 
 // ReceiveFromClient handles one message of a client. It returns an *InvalidMessageError if the message is
-// invalid; the sender has then been sent an error answer. It returns an error that wraps
+// invalid; Ready then returns the error answer to the client. ReceiveFromClient returns an error that wraps
 // ErrClientNotConnected if the connection is not open.
 func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
 	c.setClock(now)
@@ -188,8 +189,8 @@
 	return err
 }
 
-// PrepareSend checks an attempt immediately before its first byte is written, and sets the time limit in the
-// message to the node. If it returns false, the attempt has ended and must not be sent.
+// PrepareSend checks an attempt immediately before its first byte is written, and sets the remaining time in
+// the launch message. If PrepareSend returns false, the attempt has ended and must not be sent.
 func (c *Core) PrepareSend(now placer.Seconds, attempt *Attempt) bool {
 	c.setClock(now)
 	ok := c.attempts.prepareSend(attempt)
@@ -213,9 +214,9 @@
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. A message about a task that is not known at that node only
-// changes counters and, if it reports that the task has ended, adds a record to the log of early
-// terminations.
+// ReceiveFromNode handles one message of a node. If the core knows of no attempt to start the task on that
+// node, it only counts the message. If such a message reports the end of the task, the end is also recorded,
+// since a client may still list the task for adoption.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
@@ -235,13 +236,13 @@
 // node confirms that it stopped the task, or until notificationRetention has passed. If the placer considered
 // the tasks ended earlier, it would count capacity as free that is in use on a node that may come back, and
 // it would exceed the limit on the number of tasks of a service in one failure domain.
-func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (tasks int) {
+func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (stoppedTasks int) {
 	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
-		tasks = c.tasks.stopTasksOn(node)
+		stoppedTasks = c.tasks.stopTasksOn(node)
 	}
 	c.runEvents()
-	return tasks
+	return stoppedTasks
 }
 
 // Node returns the node with the given ID, or nil if the registry does not contain it.
@@ -254,8 +255,9 @@
 func (c *Core) LastDiscoveryEvent() uint64 { return c.nodes.lastDiscoveryEvent }
 
 // ReceiveDiscoveryEvent applies one event of the discovery stream. It returns false without applying the
-// event if the event is invalid or if earlier events are missing. The caller then has to reopen the stream
-// after LastDiscoveryEvent. An event that was already applied is ignored, and ok is true.
+// event if the event is invalid or if earlier events are missing. In both cases the caller has to reopen the
+// stream after the event with the number LastDiscoveryEvent. An event that was already applied is ignored,
+// and ok is true.
 func (c *Core) ReceiveDiscoveryEvent(now placer.Seconds, data []byte) (ok bool, err error) {
 	c.setClock(now)
 	ok, err = c.nodes.receiveEvent(data)
@@ -263,18 +265,19 @@
 	return ok, err
 }
 
-// SetDiscoveryConnected tells the core whether the discovery stream is connected. The placer's requests for
-// the node list are answered from the stream, whose events are passed on as they arrive. While the stream is
-// connected, a request is answered immediately. Otherwise the request is answered when the stream is
-// connected, or fails when the next attempt to connect fails.
+// SetDiscoveryConnected tells the core whether the discovery stream is connected. While it is connected, the
+// placer receives each change of the node list without a request. If the placer requests the node list during
+// that time, the core answers at once that there are no further changes. If the stream is not connected, the
+// core answers when the caller reports the result of the next attempt to connect. If that attempt failed, the
+// placer's request fails too.
 func (c *Core) SetDiscoveryConnected(now placer.Seconds, connected bool) {
 	c.setClock(now)
 	c.nodes.setDiscoveryConnected(connected)
 	c.runEvents()
 }
 
-// newRejection returns the answer to a request for which no node has capacity. retryAfter is how long the
-// client is advised to wait before it sends a new request; 0 means that no advice is sent.
+// newRejection returns the answer to a request that is rejected for lack of capacity. retryAfter is how long
+// the client is advised to wait before it sends a new request; 0 means that no advice is sent.
 func (c *Core) newRejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
--- a/internal/platform/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// TestDelaysBelowClockResolution checks that a delay below the resolution of the clock does not wake the
-// placer at the same time in an endless loop.
+// TestDelaysBelowClockResolution checks that the placer does not run in an endless loop if it repeatedly
+// requests a timer whose delay is below the resolution of the clock.
 func TestDelaysBelowClockResolution(t *testing.T) {
 	const now = 1.8e9 // Unix seconds; a float64 of this size has a resolution of 2.4e-7 s
 	for _, after := range []placer.Seconds{0, 1e-9} {
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Counts contains counters of what has happened since the core was created.
+// Counts contains the counters of the core. They start at 0 when the core is created and never decrease.
 type Counts struct {
 	// PlacementRequests counts the launch messages of clients: new requests, adoptions and invalid messages.
 	PlacementRequests uint64
@@ -22,16 +22,16 @@
 	Attempts uint64
 	// Bound counts the attempts that a node accepted in time.
 	Bound uint64
-	// CapacityRejections counts the attempts that a node rejected with CauseFull, because it lacks capacity,
-	// or because it is draining and accepts no new tasks.
+	// CapacityRejections counts the attempts that a node rejected with CauseFull. A node does so if it lacks
+	// capacity, or if it is draining and accepts no new tasks.
 	CapacityRejections uint64
 	// NodeErrors counts the attempts that a node answered with an error.
 	NodeErrors uint64
 	// ConnectFailures counts the attempts that were not sent because no connection to the node could be
 	// established.
 	ConnectFailures uint64
-	// ConnectionsLost counts the unanswered attempts whose connection closed, or that the node ended with a
-	// cause that no other counter covers.
+	// ConnectionsLost counts the unanswered attempts whose connection closed. It also counts the unanswered
+	// attempts that the node ended with a cause that no other counter covers.
 	ConnectionsLost uint64
 	// TimedOut counts the attempts that were sent but not answered before they expired.
 	TimedOut uint64
@@ -40,8 +40,8 @@
 	Expired uint64
 	// LateAnswers counts the acceptances of attempts that had already been abandoned.
 	LateAnswers uint64
-	// UnknownTasks counts the messages of nodes about tasks that were never sent to them or whose records
-	// have been removed.
+	// UnknownTasks counts the messages in which a node accepts or ends a task that was never sent to it, or
+	// whose attempt was already removed from the attempt table.
 	UnknownTasks uint64
 
 	// TasksEnded counts the running tasks that ended, for any reason.
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -13,8 +13,8 @@
 	NodeList *nodeList `json:"roster"` // nil in events that contain no node list
 }
 
-// nodeList is a list of nodes. It contains all nodes if Complete is set, otherwise only those that have
-// changed.
+// nodeList is the list of nodes in a discovery event. It contains all nodes if Complete is set, otherwise
+// only the nodes that have changed.
 type nodeList struct {
 	Revision uint64      `json:"rev"`
 	Complete bool        `json:"all"`
@@ -33,8 +33,9 @@
 	Free        [2]float64 `json:"open"` // free cores and free memory
 }
 
-// knownEventList is the list of earlier discovery events that the platform's configuration contains.
-type knownEventList struct {
+// initialEventList is the part of the platform's configuration that contains the discovery events from before
+// the scheduler start.
+type initialEventList struct {
 	Number uint64           `json:"no"` // sequence number of the last event
 	Events []discoveryEvent `json:"items"`
 }
@@ -56,7 +57,7 @@
 	for i := range e.NodeList.Nodes {
 		entry := &e.NodeList.Nodes[i]
 		if _, valid := parseNodeState(entry.State); !valid || entry.UID == "" {
-			return fmt.Errorf("discovery event %d: target %d has UID %q and state %q, want a UID and a known state", e.Number, i, entry.UID, entry.State)
+			return fmt.Errorf("discovery event %d: targets[%d] has UID %q and state %q, want a UID and a known state", e.Number, i, entry.UID, entry.State)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -7,11 +7,11 @@
 	"heathshed/placer"
 )
 
-// maxEarlyTerminations limits the number of early terminations that are recorded.
+// maxEarlyTerminations limits the number of records in an earlyTerminationLog.
 const maxEarlyTerminations = maxTasks
 
-// earlyTermination records that a node reported the end of a task that the scheduler does not know. The
-// client may still list that task for adoption.
+// earlyTermination is the record of the end of a task that a node reported before any client listed the task
+// for adoption.
 type earlyTermination struct {
 	cause     protocol.Cause
 	expiresAt placer.Seconds
@@ -23,50 +23,50 @@
 // number of records is limited; the oldest record is removed first.
 type earlyTerminationLog struct {
 	*sharedState
-	records map[attemptKey]earlyTermination
-	order   []attemptKey // the keys of records, oldest first
+	records         map[attemptKey]earlyTermination
+	keysOldestFirst []attemptKey // the keys of records, starting with the oldest record
 }
 
 func newEarlyTerminationLog(shared *sharedState) *earlyTerminationLog {
 	return &earlyTerminationLog{sharedState: shared, records: map[attemptKey]earlyTermination{}}
 }
 
-// get returns the record of the end of a task on a node.
+// get returns the record of the end of a task, if the log contains one.
 func (l *earlyTerminationLog) get(key attemptKey) (record earlyTermination, found bool) {
 	record, found = l.records[key]
 	return record, found
 }
 
-// record records the end of an unknown task. Repeated reports of the same end are ignored.
+// record adds a record of the end of an unknown task. If the end is already recorded, it changes nothing.
 func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
 	if _, known := l.records[key]; known {
 		return
 	}
-	if len(l.order) >= maxEarlyTerminations {
-		delete(l.records, l.order[0])
-		l.order = l.order[1:]
+	if len(l.keysOldestFirst) >= maxEarlyTerminations {
+		delete(l.records, l.keysOldestFirst[0])
+		l.keysOldestFirst = l.keysOldestFirst[1:]
 	}
 	record := earlyTermination{cause: cause, expiresAt: l.now + notificationRetention}
 	l.records[key] = record
-	l.order = append(l.order, key)
-	if len(l.order) == 1 {
+	l.keysOldestFirst = append(l.keysOldestFirst, key)
+	if len(l.keysOldestFirst) == 1 {
 		l.timers.Add(record.expiresAt, l.expire)
 	}
 }
 
-// expire removes the expired records and sets a timer for the next record.
+// expire removes the expired records and sets a timer for the oldest record that is left.
 func (l *earlyTerminationLog) expire() {
 	expired := 0
-	for _, key := range l.order {
+	for _, key := range l.keysOldestFirst {
 		if l.records[key].expiresAt > l.now {
 			break
 		}
 		delete(l.records, key)
 		expired++
 	}
-	l.order = slices.Delete(l.order, 0, expired)
-	if len(l.order) > 0 {
-		oldest := l.records[l.order[0]]
+	l.keysOldestFirst = slices.Delete(l.keysOldestFirst, 0, expired)
+	if len(l.keysOldestFirst) > 0 {
+		oldest := l.records[l.keysOldestFirst[0]]
 		l.timers.Add(oldest.expiresAt, l.expire)
 	}
 }
--- a/internal/platform/dispatch/effect.go
+++ b/internal/platform/dispatch/effect.go
@@ -5,7 +5,7 @@
 // EffectKind specifies what the caller has to do to carry out an Effect.
 type EffectKind uint8
 
-// The kinds of effects.
+// The kinds of effects specify what the caller of Core.Ready has to do.
 const (
 	// SendToClient requests that Message be sent on the client connection Conn.
 	SendToClient EffectKind = iota + 1
@@ -22,7 +22,8 @@
 	NodesChanged
 )
 
-// Effect is an action that the caller has to carry out. Effects have to be carried out in order.
+// Effect is an action that the caller of Core.Ready has to carry out. Effects have to be carried out in the
+// order in which Ready returns them.
 type Effect struct {
 	Kind    EffectKind
 	Conn    ConnID
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -21,7 +21,7 @@
 // setClock sets the clock to now, unless that would move it backwards.
 func (shared *sharedState) setClock(now placer.Seconds) { shared.now = max(shared.now, now) }
 
-// addEffect adds an effect for the caller to carry out.
+// addEffect adds an effect, which the caller of Core.Ready has to carry out.
 func (shared *sharedState) addEffect(effect Effect) { shared.effects = append(shared.effects, effect) }
 
 // takeEffects returns the effects that were added since the last call, and clears them.
--- a/internal/platform/dispatch/export_test.go
+++ b/internal/platform/dispatch/export_test.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// TestSettings is shared with the tests in package dispatch_test.
+// TestSettings makes testSettings available to the tests in package dispatch_test.
 const TestSettings = testSettings
 
 var (
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -26,10 +26,11 @@
 
 func nodeID(number int) placer.NodeID { return NodeIDOf(nodeUID(number)) }
 
-// adoptionExtras returns the suffix of the extras that makes a launch message an adoption from a node.
+// adoptionExtras returns the text to append to the extras of a launch message so that it lists for adoption a
+// task that runs on the node with the given number.
 func adoptionExtras(node int) string { return ";at:" + nodeUID(node) }
 
-// longRunningMS is the time left, in milliseconds, that clients send for a running task without an end.
+// longRunningMS is the remaining time, in milliseconds, that clients send for a task that runs indefinitely.
 const longRunningMS = 4294967
 
 func nodeJSON(number int, state string, startedAtMS int64) string {
@@ -52,7 +53,7 @@
 	return msg
 }
 
-// launchMessage returns a valid launch message.
+// launchMessage returns a valid launch message for a new request.
 func launchMessage(id protocol.ID) protocol.Message {
 	msg := newMessage(protocol.Launch, id, noCause)
 	msg.Body = `"in"`
@@ -64,32 +65,32 @@
 	return msg
 }
 
-// scriptedPlacer makes one attempt on a fixed node for each request, and rejects the request if the attempt
-// fails.
-type scriptedPlacer struct {
+// fixedNodePlacer starts one attempt for each request, always on the same node, and rejects the request if
+// the attempt fails. It records the events that it receives.
+type fixedNodePlacer struct {
 	node   placer.NodeID
 	events []placer.Event
 }
 
-func (scripted *scriptedPlacer) Handle(_ placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
-	scripted.events = append(scripted.events, event)
+func (policy *fixedNodePlacer) Handle(_ placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+	policy.events = append(policy.events, event)
 	switch {
 	case event.Kind == placer.Arrived:
-		return append(actions, placer.Action{Kind: placer.StartAttempt, Task: event.TaskID, Node: scripted.node, Until: event.Task.Deadline})
+		return append(actions, placer.Action{Kind: placer.StartAttempt, Task: event.TaskID, Node: policy.node, Until: event.Task.Deadline})
 	case event.Kind == placer.Ended && !event.Final:
 		return append(actions, placer.Action{Kind: placer.Reject, Task: event.TaskID, After: 1.5})
 	}
 	return actions
 }
 
-func (scripted *scriptedPlacer) lastEvent() placer.Event {
-	return scripted.events[len(scripted.events)-1]
+func (policy *fixedNodePlacer) lastEvent() placer.Event {
+	return policy.events[len(policy.events)-1]
 }
 
-// received reports whether the placer received an event of the given kind.
-func (scripted *scriptedPlacer) received(kind placer.EventKind) bool {
-	for i := range scripted.events {
-		if scripted.events[i].Kind == kind {
+// received reports whether the placer has received an event of the given kind.
+func (policy *fixedNodePlacer) received(kind placer.EventKind) bool {
+	for i := range policy.events {
+		if policy.events[i].Kind == kind {
 			return true
 		}
 	}
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -13,8 +13,8 @@
 	"heathshed/placer"
 )
 
-// coreHarness drives a core, records the messages of clients and nodes, and checks them against the rules of
-// the protocol.
+// coreHarness makes calls to a core, records what each client sent and received, and checks that the core
+// follows the rules of the protocol.
 type coreHarness struct {
 	t               rapid.TB
 	core            *Core
@@ -24,23 +24,23 @@
 	conns           []ConnID
 	lastID          uint64
 	clientRecords   map[protocol.ID]*clientRecord
-	pending         []*Attempt // attempts that wait for their connection
-	sent            []*Attempt
-	running         []*Attempt
+	pending         []*Attempt // attempts that wait for a connection to their node
+	sent            []*Attempt // attempts that were sent, including those that have ended
+	running         []*Attempt // attempts whose ends endAllTasks reports
 }
 
 // clientRecord records what the client of one task sent and received.
 type clientRecord struct {
-	notifiedOn             ConnID // connection of the last notification, 0 after it was acknowledged
+	notifiedOn             ConnID // the connection of the last notification, or 0 after its acknowledgement
 	conn                   ConnID
 	deadline               placer.Seconds
 	withdrawn, adopted     bool
 	answers, notifications int
-	running                bool
+	running                bool // whether the client knows that the task runs
 }
 
-// newHarness returns a core with the nodes 1 to 3 in its registry. If policy is nil, the core uses a
-// placer.Placer.
+// newHarness returns a harness for a core whose registry contains the nodes 1 to 3. If policy is nil, the
+// core uses a placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
 	parsed, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
@@ -53,8 +53,8 @@
 	}
 	harness := &coreHarness{t: t, now: 1000, lastEventNumber: 1, clientRecords: map[protocol.ID]*clientRecord{}}
 	list := discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0))
-	knownEvents := `{"no":1,"items":[` + list + `]}`
-	if harness.core, err = New(harness.now, parsed, policy, []byte(knownEvents)); err != nil {
+	initialEvents := `{"no":1,"items":[` + list + `]}`
+	if harness.core, err = New(harness.now, parsed, policy, []byte(initialEvents)); err != nil {
 		t.Fatal(err)
 	}
 	harness.core.SetDiscoveryConnected(harness.now, true)
@@ -62,19 +62,19 @@
 	return harness
 }
 
-// sentAttempt returns a core with a scripted placer, the placer, and an unanswered attempt that was sent to
-// node 1.
-func sentAttempt(t *testing.T, class string) (*coreHarness, *scriptedPlacer, *Attempt) {
+// sentAttempt creates a core and sends an attempt to node 1, which does not answer yet. It returns the
+// harness of the core, the placer that the core uses, and the attempt.
+func sentAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
-	policy := &scriptedPlacer{node: nodeID(1)}
+	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
 	harness.launch(harness.connect(), class, 2000, "")
 	harness.send(0)
 	return harness, policy, harness.sent[0]
 }
 
-// runningAttempt is like sentAttempt, but the node has accepted the attempt.
-func runningAttempt(t *testing.T, class string) (*coreHarness, *scriptedPlacer, *Attempt) {
+// runningAttempt does the same as sentAttempt, and then makes the node accept the attempt.
+func runningAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
 	harness.accept(attempt)
@@ -89,8 +89,8 @@
 	return harness.lastConn
 }
 
-// launch sends a launch message for a new task and returns the ID of the task. If extras is not empty, the
-// message is an adoption.
+// launch makes a client send a launch message with a new task ID, and returns that ID. extras is either
+// empty, for a new request, or the result of adoptionExtras.
 func (harness *coreHarness) launch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	harness.lastID++
 	msg := launchMessage(protocol.ID(harness.lastID))
@@ -105,7 +105,7 @@
 	return msg.ID
 }
 
-// adopt lists a task that runs on a node for adoption, and returns the ID of the task.
+// adopt makes a client list for adoption a task that runs on a node, and returns the ID of the task.
 func (harness *coreHarness) adopt(conn ConnID, node int) protocol.ID {
 	return harness.launch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
@@ -127,10 +127,10 @@
 	return check.ID
 }
 
-// receiveFromClient passes a valid client message to the core. The caller has to carry out the effects.
+// receiveFromClient passes a valid client message to the core. It does not call carryOutEffects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
-		harness.t.Fatalf("message %v on connection %d: %v", msg, conn, err)
+		harness.t.Fatalf("core rejected message %v on client connection %d: %v", msg, conn, err)
 	}
 }
 
@@ -139,24 +139,24 @@
 	return harness.carryOutEffects()
 }
 
-// accept makes the node of an attempt accept it.
+// accept makes a node accept an attempt that was sent to it, and returns the effects.
 func (harness *coreHarness) accept(attempt *Attempt) []Effect {
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
 
-// reportEnd makes a node report the end of a task. The caller has to carry out the effects.
+// reportEnd makes a node report the end of a task. It does not call carryOutEffects.
 func (harness *coreHarness) reportEnd(node placer.NodeID, id protocol.ID, cause protocol.Cause) {
 	msg := newMessage(protocol.Stop, id, cause)
 	harness.core.ReceiveFromNode(harness.now, node, &msg)
 }
 
-// migrate makes the placer migrate a running task. The caller has to carry out the effects.
+// migrate executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
 func (harness *coreHarness) migrate(attempt *Attempt) {
 	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
-// carryOutEffects carries out the effects of the core, checks the messages to clients, and returns the
-// effects.
+// carryOutEffects takes the effects from the core, passes the messages to clients to receiveAsClient, and
+// returns the effects.
 func (harness *coreHarness) carryOutEffects() []Effect {
 	if illegal := harness.core.IllegalTransitions(); illegal != 0 {
 		harness.t.Fatalf("the core made %d illegal state transitions", illegal)
@@ -173,12 +173,13 @@
 	return effects
 }
 
-// receiveAsClient passes a message of the core to the client of its task and checks it. A request that was
-// not withdrawn gets exactly one answer in time, and the end of a running task is notified once.
+// receiveAsClient records a message of the core for the client of its task and checks the message. A request
+// must not get more than one answer, must get it in time, and must not get it after a withdrawal. A client
+// must be notified only once of the end of its running task.
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent %v about a request that no client made", msg)
+		harness.t.Fatalf("core sent message %v about a request that no client made", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
@@ -218,7 +219,8 @@
 	harness.carryOutEffects()
 }
 
-// send sends a pending attempt. It fails the test if another attempt of the same request is live.
+// send sends the pending attempt with index i. It fails the test if another attempt of the same request is
+// live.
 func (harness *coreHarness) send(i int) {
 	attempt := harness.pending[i]
 	harness.pending = slices.Delete(harness.pending, i, i+1)
@@ -232,20 +234,20 @@
 		}
 	}
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
-		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, expires at %v", node.State, harness.now, attempt.expiresAt)
+		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, want a ready node and a time before the expiry at %v", node.State, harness.now, attempt.expiresAt)
 	}
 	harness.sent = append(harness.sent, attempt)
 	harness.carryOutEffects()
 }
 
-func (harness *coreHarness) advance(by placer.Seconds) {
-	to := harness.now + by
-	for harness.core.NextTimer() <= to {
+func (harness *coreHarness) advance(duration placer.Seconds) {
+	endTime := harness.now + duration
+	for harness.core.NextTimer() <= endTime {
 		harness.now = max(harness.now, harness.core.NextTimer())
 		harness.core.Advance(harness.now)
 		harness.carryOutEffects()
 	}
-	harness.now = to
+	harness.now = endTime
 }
 
 // deliverDiscoveryEvent delivers the next discovery event.
@@ -253,12 +255,12 @@
 	harness.lastEventNumber++
 	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
 	if !ok || err != nil {
-		harness.t.Fatalf("discovery event %d: ok %v, error %v", harness.lastEventNumber, ok, err)
+		harness.t.Fatalf("discovery event %d was not applied: ok is %v, error is %v", harness.lastEventNumber, ok, err)
 	}
 }
 
-// endAllTasks ends all running tasks, waits until all retention times have passed, and checks that the core
-// is empty.
+// endAllTasks ends all running tasks, advances the clock until all retention times have passed, and checks
+// that each request was answered and that the core is empty.
 func (harness *coreHarness) endAllTasks() {
 	harness.advance(10)
 	for _, attempt := range slices.Clone(harness.running) {
@@ -268,13 +270,13 @@
 	harness.advance(30)
 	for id, record := range harness.clientRecords {
 		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check {
-			harness.t.Fatalf("request %x was never answered, client record %+v", uint64(id), record)
+			harness.t.Fatalf("request %x was not answered, client record %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
 	if pending := len(harness.core.notifier.pending); pending != 0 {
-		harness.t.Fatalf("%d pending notifications are left", pending)
+		harness.t.Fatalf("%d pending notifications are left, want 0", pending)
 	}
 }
 
@@ -285,11 +287,11 @@
 	}
 }
 
-// requireEmpty fails the test if the core still contains requests or attempts.
+// requireEmpty fails the test if the core contains any request or attempt.
 func (harness *coreHarness) requireEmpty() {
 	core := harness.core
-	left := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
-	if slices.ContainsFunc(left, func(count int) bool { return count != 0 }) {
-		harness.t.Fatalf("counts of open requests, running tasks, requests, requests by ID, attempts are %v, want all 0", left)
+	remainingCounts := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
+	if slices.ContainsFunc(remainingCounts, func(count int) bool { return count != 0 }) {
+		harness.t.Fatalf("numbers of open requests, running tasks, requests by task, requests by ID and attempts are %v, want all to be 0", remainingCounts)
 	}
 }
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -16,19 +16,19 @@
 	)
 }
 
-// checkInvariants checks that both maps of the table contain the same requests, and that the count and the
-// connections cover exactly the open requests.
+// checkInvariants checks that both maps of the table contain the same requests, that openCount is the number
+// of open requests, and that each client connection lists exactly its open requests.
 func (t *requestTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
-		return fmt.Errorf("requests: %d illegal transitions", t.illegalTransitions)
+		return fmt.Errorf("request table: %d illegal state transitions", t.illegalTransitions)
 	}
 	if len(t.byTask) != len(t.byID) {
-		return fmt.Errorf("requests: %d are indexed by task and %d by ID", len(t.byTask), len(t.byID))
+		return fmt.Errorf("request table: %d requests are indexed by task and %d by ID", len(t.byTask), len(t.byID))
 	}
 	open := 0
 	for task, req := range t.byTask {
 		if req.taskID != task || t.byID[req.message.ID] != req {
-			return fmt.Errorf("request %s: the indexes by task %d and by ID contain different requests", req.message.UID, task)
+			return fmt.Errorf("request %s: the indexes by task ID %d and by request ID contain different requests", req.message.UID, task)
 		}
 		if req.state == requestOpen {
 			open++
@@ -38,7 +38,7 @@
 		}
 	}
 	if listed := t.clients.openRequestCount(); open != t.openCount || open != listed {
-		return fmt.Errorf("requests: %d are open, openCount is %d, connections list %d", open, t.openCount, listed)
+		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", open, t.openCount, listed)
 	}
 	return nil
 }
@@ -63,18 +63,18 @@
 	return nil
 }
 
-// checkInvariants checks that attempts are stored under their keys until they terminate, and that each node
-// lists exactly its running attempts.
+// checkInvariants checks that each attempt is stored under its own key and is not terminated. It also checks
+// that a node lists an attempt as running if and only if the attempt is in state attemptRunning.
 func (t *attemptTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
-		return fmt.Errorf("attempts: %d illegal transitions", t.illegalTransitions)
+		return fmt.Errorf("attempt table: %d illegal state transitions", t.illegalTransitions)
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
 			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x has state %v, listed as running: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x is in state %v, but is listed as running by the node: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
@@ -85,26 +85,27 @@
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
-			return fmt.Errorf("node %s in state %d is stored under ID %x, the placer's node is %+v", node.UID, node.State, id, node.placerNode)
+			return fmt.Errorf("node %s in state %d is stored under ID %x, and is described to the placer as %+v", node.UID, node.State, id, node.placerNode)
 		}
 		for attempt := range node.running {
 			if attempt.Node != id || attempt.state != attemptRunning {
-				return fmt.Errorf("node %s: attempt %s in state %v is listed as running", node.UID, attempt.Message.UID, attempt.state)
+				return fmt.Errorf("node %s lists attempt %s in state %v as running, but the attempt does not run there", node.UID, attempt.Message.UID, attempt.state)
 			}
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that the order contains each record, and that the records expire in that order.
+// checkInvariants checks that keysOldestFirst contains the key of each record, and that no record expires
+// before the record of the preceding key.
 func (l *earlyTerminationLog) checkInvariants() error {
-	if len(l.records) != len(l.order) || len(l.order) > maxEarlyTerminations {
-		return fmt.Errorf("early terminations: %d records, %d keys in order", len(l.records), len(l.order))
+	if len(l.records) != len(l.keysOldestFirst) || len(l.keysOldestFirst) > maxEarlyTerminations {
+		return fmt.Errorf("early termination log: %d records, but %d keys in keysOldestFirst", len(l.records), len(l.keysOldestFirst))
 	}
-	for i, key := range l.order {
+	for i, key := range l.keysOldestFirst {
 		record, found := l.records[key]
-		if !found || i > 0 && record.expiresAt < l.records[l.order[i-1]].expiresAt {
-			return fmt.Errorf("early termination %d of %d: record found: %v, expires at %v", i, len(l.order), found, record.expiresAt)
+		if !found || i > 0 && record.expiresAt < l.records[l.keysOldestFirst[i-1]].expiresAt {
+			return fmt.Errorf("early termination %d of %d: record found: %v, expires at %v, want a record that does not expire before the preceding one", i, len(l.keysOldestFirst), found, record.expiresAt)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -9,42 +9,42 @@
 )
 
 // TestInvariants checks that CheckInvariants names each violated invariant. Each case violates one invariant
-// in a core with an open request, a running task and an early termination.
+// in a core with an open request, a running task and a recorded end of an unknown task.
 func TestInvariants(t *testing.T) {
 	for _, test := range []struct {
 		name, want string
 		corrupt    func(core *Core, open, running *request)
 	}{
-		{"illegal request transition", "requests: 1 illegal", func(core *Core, open, _ *request) { core.requests.transition(open, requestOpen) }},
-		{"illegal attempt transition", "attempts: 1 illegal", func(core *Core, open, _ *request) {
+		{"illegal request transition", "request table: 1 illegal state transitions", func(core *Core, open, _ *request) { core.requests.transition(open, requestOpen) }},
+		{"illegal attempt transition", "attempt table: 1 illegal state transitions", func(core *Core, open, _ *request) {
 			core.attempts.transition(open.lastAttempt(), attemptPending)
 		}},
-		{"request missing from the index by ID", "2 are indexed by task and 1 by ID", func(core *Core, open, _ *request) { delete(core.requests.byID, open.message.ID) }},
-		{"two requests under one ID", "contain different requests", func(core *Core, open, running *request) {
+		{"request missing from the index by ID", "2 requests are indexed by task and 1 by ID", func(core *Core, open, _ *request) { delete(core.requests.byID, open.message.ID) }},
+		{"one request stored under two IDs", "contain different requests", func(core *Core, open, running *request) {
 			core.requests.byID[running.message.ID] = open
 		}},
-		{"wrong count of open requests", "1 are open, openCount is 2", func(core *Core, _, _ *request) { core.requests.openCount++ }},
+		{"wrong count of open requests", "1 requests are open, but openCount is 2", func(core *Core, _, _ *request) { core.requests.openCount++ }},
 		{"open request not listed by its connection", "does not list the open request", func(core *Core, open, _ *request) { core.clients.removeOpenRequest(open) }},
 		{"open request with a running attempt", "an attempt runs the task of the open request", func(core *Core, open, _ *request) { core.attempts.markRunning(open.lastAttempt()) }},
 		{"running request without an attempt", "no attempt runs the task", func(_ *Core, _, running *request) { running.attempts = nil }},
 		{"ended request not removed", "the request has ended but was not removed", func(_ *Core, _, running *request) { running.state = requestTerminated }},
 		{"terminated attempt not removed", "in state terminated is stored under node", func(_ *Core, open, _ *request) { open.lastAttempt().state = attemptTerminated }},
-		{"running attempt not listed by its node", "listed as running: false", func(core *Core, _, running *request) {
+		{"running attempt not listed by its node", "listed as running by the node: false", func(core *Core, _, running *request) {
 			core.nodes.removeRunningAttempt(running.lastAttempt())
 		}},
-		{"unanswered attempt listed as running", "listed as running: true", func(core *Core, open, _ *request) {
+		{"unanswered attempt listed as running", "listed as running by the node: true", func(core *Core, open, _ *request) {
 			core.nodes.addRunningAttempt(open.lastAttempt())
 		}},
-		{"attempt listed by several nodes", "listed as running", func(core *Core, _, running *request) {
+		{"attempt listed by several nodes", "as running, but the attempt does not run there", func(core *Core, _, running *request) {
 			for _, node := range core.nodes.nodes {
 				node.running[running.lastAttempt()] = struct{}{}
 			}
 		}},
 		{"node stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
-		{"early termination without a record", "0 records, 1 keys in order", func(core *Core, _, _ *request) {
+		{"key of an early termination without a record", "0 records, but 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
-		{"early termination out of expiry order", "early termination 1 of 2", func(core *Core, _, _ *request) {
+		{"early terminations that are not in the order of their expiry", "early termination 1 of 2", func(core *Core, _, _ *request) {
 			core.now = 0 // the clock of a real core never moves backwards
 			core.nodeMessages.earlyTerminations.record(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,8 +10,8 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport returns the load report in a message, or nil if the message contains none of the configured
-// fields.
+// parseLoadReport returns the load report in a message of a node, or nil if the message contains no number
+// for any of the given report fields.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -9,7 +9,7 @@
 	"heathshed/placer"
 )
 
-// Node is one node of the registry, as described by discovery events. It is owned by nodeRegistry.
+// Node is one node of the node registry, as described by discovery events. Nodes are owned by nodeRegistry.
 type Node struct {
 	ID        placer.NodeID
 	UID       string
@@ -20,8 +20,8 @@
 	placerNode           placer.Node
 	running              map[*Attempt]struct{} // the attempts that run on the node
 	stateChangedAt       placer.Seconds        // when the state last changed
-	taskLossScheduledFor placer.Seconds        // stateChangedAt when scheduleTaskLoss set its timer, or 0
-	removalScheduled     bool                  // whether a timer of scheduleRemoval is set
+	taskLossScheduledFor placer.Seconds        // the stateChangedAt for which scheduleTaskLoss has set a timer, or 0
+	removalScheduled     bool                  // whether scheduleRemoval has set a timer
 }
 
 // RunningTasks returns the number of tasks that run on the node.
@@ -86,9 +86,9 @@
 	return n.StartedAt > attempt.runningSince+incarnationTolerance
 }
 
-// NodeIDOf returns the placer's ID for the node with the given UID. Every scheduler computes the same ID,
-// since all schedulers sort and randomly select nodes by ID. The ID has 48 bits, like an address in the
-// simulator's protocol.
+// NodeIDOf returns the placer's ID for the node with the given UID. Every scheduler has to compute the same
+// ID, since schedulers sort nodes by ID and select them at random by ID. The ID has 48 bits, like an address
+// in the simulator's protocol.
 func NodeIDOf(uid string) placer.NodeID {
 	return placer.NodeID(xxhash.Sum64String(uid) & (1<<48 - 1))
 }
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -16,8 +16,8 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasonsByNote maps the note of a Stop message to the reason. Any other note means that no reason is
-// given.
+// stopReasonsByNote maps the note of a Stop message to the reason for which the node rejected or ended the
+// task. Any other note means that the node gives no reason.
 var stopReasonsByNote = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
@@ -36,7 +36,7 @@
 	earlyTerminations *earlyTerminationLog
 }
 
-// receive handles one message; see Core.ReceiveFromNode.
+// receive handles one message of a node as Core.ReceiveFromNode describes.
 func (h *nodeMessageHandler) receive(node placer.NodeID, msg *protocol.Message) {
 	key := attemptKey{node, msg.ID}
 	attempt := h.attempts.get(key)
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleUpdate passes a measurement of a running task to the placer.
+// handleUpdate passes the usage of a running task, which its node has measured, to the placer.
 func (h *nodeMessageHandler) handleUpdate(attempt *Attempt, msg *protocol.Message) {
 	kind, known := usageKindsByNote[msg.Get(protocol.Note)]
 	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
@@ -84,9 +84,9 @@
 
 // handleRunning handles a message with which a node accepts an attempt.
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
-	latest := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
-	if attempt.state == attemptSent && h.now > latest {
-		h.attempts.abandon(attempt, placer.TimedOut, false) // the timer is late; the client no longer waits
+	latestAnswerAt := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
+	if attempt.state == attemptSent && h.now > latestAnswerAt {
+		h.attempts.abandon(attempt, placer.TimedOut, false) // the expiry timer has not run yet, but the client no longer waits
 	}
 	switch attempt.state {
 	case attemptSent:
@@ -99,9 +99,9 @@
 }
 
 // handleLateAnswer handles the acceptance of an attempt that was already abandoned. A task that may run a
-// second time elsewhere, or that its client withdrew, uses capacity without benefit and is stopped at once.
-// For any other task, the client later queries the nodes and lists the task for adoption by a scheduler.
-// Stopping such a task would undo a start that must not be repeated.
+// second time on another node, or that its client withdrew, uses capacity without benefit and is stopped at
+// once. For any other task, the client later queries the nodes and lists the task for adoption by a
+// scheduler. Stopping such a task would undo a start that must not be repeated.
 func (h *nodeMessageHandler) handleLateAnswer(attempt *Attempt) {
 	h.counts.LateAnswers++
 	idempotent := h.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
@@ -123,7 +123,7 @@
 	}
 }
 
-// taskResult returns the result of a running task for the cause with which its node reported the end.
+// taskResult returns the result of a task that ran and whose end its node reported with the given cause.
 func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
@@ -134,8 +134,8 @@
 	return placer.Lost
 }
 
-// handleStopBeforeAnswer ends an attempt that its node did not accept, or whose acceptance was lost or has
-// not arrived yet.
+// handleStopBeforeAnswer handles a Stop message for an attempt without an answer. Either the node did not
+// accept the attempt, or its acceptance was lost or has not arrived yet.
 func (h *nodeMessageHandler) handleStopBeforeAnswer(attempt *Attempt, msg *protocol.Message) {
 	h.attempts.remove(attempt)
 	outcome := h.stopOutcome(msg, placer.Lost)
@@ -159,12 +159,13 @@
 	h.attempts.postEnded(attempt, outcome)
 }
 
-// impliesAcceptance reports whether nodes give this reason only for tasks that they had accepted.
+// impliesAcceptance reports whether nodes give a reason only for tasks that they had accepted.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
 
-// stopOutcome combines a result with the reason and the load report of a Stop message.
+// stopOutcome returns an outcome with the given result and with the reason and the load report of a Stop
+// message.
 func (h *nodeMessageHandler) stopOutcome(msg *protocol.Message, result placer.Result) attemptOutcome {
 	return attemptOutcome{
 		result: result,
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -27,21 +27,21 @@
 	endLostTask func(*Attempt) // ends a task that was lost together with its node
 
 	nodes              map[placer.NodeID]*Node
-	lastDiscoveryEvent uint64
+	lastDiscoveryEvent uint64 // the sequence number of the last event that was applied
 	discoveryConnected bool
-	listRequested      bool // whether the placer waits for discovery to connect
+	listRequested      bool // whether a request of the placer for the node list waits for the connection
 }
 
 func newNodeRegistry(shared *sharedState) *nodeRegistry {
 	return &nodeRegistry{sharedState: shared, nodes: map[placer.NodeID]*Node{}}
 }
 
-// loadKnownEvents applies the discovery events from before the scheduler start. knownEvents is a JSON object
-// or empty.
-func (r *nodeRegistry) loadKnownEvents(knownEvents []byte) error {
-	var list knownEventList
-	if len(knownEvents) > 0 {
-		if err := json.Unmarshal(knownEvents, &list); err != nil {
+// loadInitialEvents applies the discovery events from before the scheduler start. initialEvents is a JSON
+// object or empty.
+func (r *nodeRegistry) loadInitialEvents(initialEvents []byte) error {
+	var list initialEventList
+	if len(initialEvents) > 0 {
+		if err := json.Unmarshal(initialEvents, &list); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
@@ -63,7 +63,7 @@
 // getByUID returns the node with the given UID, or nil if the registry does not contain it.
 func (r *nodeRegistry) getByUID(uid string) *Node { return r.nodes[r.idOf(uid)] }
 
-// each calls f for each node, in no particular order.
+// each calls f for each node of the registry, in no particular order.
 func (r *nodeRegistry) each(f func(*Node)) {
 	for _, node := range r.nodes {
 		f(node)
@@ -75,7 +75,7 @@
 func (r *nodeRegistry) idOf(uid string) placer.NodeID {
 	id := NodeIDOf(uid)
 	for r.nodes[id] != nil && r.nodes[id].UID != uid {
-		id++ // the hash-based IDs of two UIDs collide
+		id++ // another node whose UID has the same hash uses this ID
 	}
 	return id
 }
@@ -99,8 +99,8 @@
 	return count
 }
 
-// addRunningAttempt adds an attempt to the running attempts of its node. If the node has terminated, no later
-// discovery event will end the task, so a timer is set to end it.
+// addRunningAttempt adds an attempt to the running attempts of its node. If the node has already terminated,
+// no later discovery event would end the task, so a timer is set that ends it.
 func (r *nodeRegistry) addRunningAttempt(attempt *Attempt) {
 	node := r.nodes[attempt.Node]
 	if node == nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// receiveEvent applies one event of the discovery stream; see Core.ReceiveDiscoveryEvent.
+// receiveEvent applies one event of the discovery stream as Core.ReceiveDiscoveryEvent describes.
 func (r *nodeRegistry) receiveEvent(data []byte) (ok bool, err error) {
 	event, err := parseDiscoveryEvent(data)
 	if err != nil {
@@ -172,7 +172,7 @@
 	return node
 }
 
-// terminateUnlisted marks the nodes that are missing from a complete list as terminated.
+// terminateUnlisted marks all nodes as terminated that are missing from the IDs of a complete node list.
 func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listed[id] && node.State != placer.Terminated {
@@ -225,7 +225,7 @@
 	})
 }
 
-// endTasksOf ends all tasks that run on a node as lost.
+// endTasksOf ends all tasks that run on a node, and reports them as lost.
 func (r *nodeRegistry) endTasksOf(id placer.NodeID) {
 	if node := r.nodes[id]; node != nil {
 		for _, attempt := range node.runningAttempts() {
@@ -234,8 +234,8 @@
 	}
 }
 
-// scheduleRemoval sets a timer that removes a terminated node. The node is kept if it is no longer terminated
-// by then, and kept longer if it still has running tasks.
+// scheduleRemoval sets a timer that removes a terminated node from the registry. When the timer runs, the
+// node is kept if it is no longer terminated. The timer is set again if the node still has running tasks.
 func (r *nodeRegistry) scheduleRemoval(node *Node) {
 	if node.removalScheduled {
 		return
@@ -268,8 +268,8 @@
 	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind})
 }
 
-// handleListRequest answers the placer's request for the node list. If discovery is not connected,
-// setDiscoveryConnected answers it later.
+// handleListRequest answers the placer's request for the node list. While the discovery stream is not
+// connected, the request waits for the next call of setDiscoveryConnected or for the next node list.
 func (r *nodeRegistry) handleListRequest() {
 	r.listRequested = !r.discoveryConnected
 	if r.discoveryConnected {
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -7,8 +7,9 @@
 	"heathshed/placer"
 )
 
-// TestUnresponsiveNode checks that a running task of an unresponsive node ends for its client at once. For
-// the placer the task ends when the node confirms the stop, or after notificationRetention.
+// TestUnresponsiveNode checks that the client is notified at once of the end of a task on an unresponsive
+// node. The placer must be told of the end only when the node confirms the stop, or after
+// notificationRetention.
 func TestUnresponsiveNode(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -24,16 +25,16 @@
 			record := harness.clientRecords[attempt.Message.ID]
 			eventsBefore := len(policy.events)
 
-			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 1 {
-				t.Fatalf("NodeUnresponsive stopped %d tasks, want 1", tasks)
+			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 1 {
+				t.Fatalf("NodeUnresponsive stopped %d tasks, want 1", stoppedTasks)
 			}
 			stopped := asksNodeToStop(harness.carryOutEffects())
 			events, running := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notifications != 1 || !stopped || events != 0 || running != 1 {
-				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks", record, stopped, events, running)
+				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks; want 1 notification, a stop, no event and 1 running task", record, stopped, events, running)
 			}
-			if tasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); tasks != 0 {
-				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", tasks)
+			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
+				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
 			}
 
 			if test.cause >= 0 {
@@ -43,7 +44,7 @@
 			}
 			ended := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notifications != 1 || !ended || harness.core.RunningTasks() != 0 {
-				t.Errorf("client record %+v, last event to the placer %+v", record, policy.lastEvent())
+				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification in total, the end of the task, and no running task", record, policy.lastEvent())
 			}
 		})
 	}
@@ -53,9 +54,9 @@
 // a new incarnation.
 func TestNodesThatTerminateOrRestart(t *testing.T) {
 	for name, event := range map[string]string{
-		"terminated":                   discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
-		"missing from a complete list": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
-		"new incarnation":              discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
+		"node is listed as terminated":         discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
+		"node is missing from a complete list": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
+		"node starts a new incarnation":        discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "query")
@@ -69,7 +70,7 @@
 			harness.advance(TerminationGrace + 0.01)
 
 			if record.notifications != 1 || policy.lastEvent().Result != placer.Lost {
-				t.Errorf("client record %+v, last event to the placer %+v", record, policy.lastEvent())
+				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification and a lost task", record, policy.lastEvent())
 			}
 		})
 	}
@@ -82,10 +83,10 @@
 	for _, test := range []struct {
 		name, event string
 		ok, invalid bool
-		last        uint64
+		lastEvent   uint64
 	}{
 		{"next event", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
-		{"already applied event", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
+		{"event that was already applied", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
 		{"gap in the event numbers", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
 		{"truncated event", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
 		{"unknown node state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
@@ -93,12 +94,12 @@
 		{"next event after an event without a node list", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
-		if last := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || last != test.last {
-			t.Errorf("%s: ok %v, error %v, last event %d", test.name, ok, err, last)
+		if lastEvent := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || lastEvent != test.lastEvent {
+			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v, the last event number is %d", test.name, ok, err, lastEvent)
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
-		t.Errorf("node is in state %d, want draining", node.State)
+		t.Errorf("node 4 is in state %d, want draining", node.State)
 	}
 }
 
@@ -112,7 +113,7 @@
 		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
-			t.Fatalf("node with the colliding UID is %+v, want it under the next ID", node)
+			t.Fatalf("the next ID refers to node %+v, want the node with the colliding UID", node)
 		}
 	}
 }
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// notificationRetention is how long a notification is kept for redelivery. It is also the longest wait
-	// for a node to confirm that it stopped a running task, and the time for which an earlyTermination is
-	// kept.
+	// notificationRetention is how long a notification is kept for redelivery. It is also how long the
+	// scheduler waits for a node to confirm that it stopped a running task, and how long an earlyTermination
+	// is kept.
 	notificationRetention placer.Seconds = 8.0
 	// unacknowledgedWindow applies to clients that do not acknowledge notifications. A notification that was
 	// sent less than this time before its connection closed is assumed to be lost.
@@ -23,30 +23,30 @@
 type notification struct {
 	message         protocol.Message
 	expiresAt       placer.Seconds
-	sentAsMigration bool // it was sent as Migrate, which clients never acknowledge
+	sentAsMigration bool // it was sent as a Migrate message, which clients never acknowledge
 }
 
-// needsRedelivery reports whether the client may not have received the notification before its connection
-// closed at the time now.
-func (n *notification) needsRedelivery(now placer.Seconds, acknowledges bool) bool {
+// needsRedelivery reports whether the client may not have received the notification before the client
+// connection closed at the time now. clientAcknowledges is set if the client acknowledges notifications.
+func (n *notification) needsRedelivery(now placer.Seconds, clientAcknowledges bool) bool {
 	if n.expiresAt <= now {
 		return false
 	}
-	if acknowledges && !n.sentAsMigration {
+	if clientAcknowledges && !n.sentAsMigration {
 		return true
 	}
 	sentAt := n.expiresAt - notificationRetention
 	return now-sentAt < unacknowledgedWindow
 }
 
-// deliveryLog contains the notifications that were sent on one connection. Acknowledgements are optional in
-// the protocol.
+// deliveryLog contains the notifications that were sent on one client connection. The protocol does not
+// require clients to acknowledge notifications.
 type deliveryLog struct {
 	unacknowledged     []notification // notifications that were sent but not acknowledged
-	clientAcknowledges bool           // the client has acknowledged a notification
+	clientAcknowledges bool           // the client has acknowledged at least one notification
 }
 
-// add keeps a notification until it expires or is acknowledged.
+// add adds a notification that was sent, and removes the expired ones.
 func (l *deliveryLog) add(now placer.Seconds, notice notification) {
 	if notice.message.Kind == protocol.Migrate {
 		// A Migrate message is redelivered as a Stop message that reports the end of the task. A client that
@@ -58,7 +58,8 @@
 	l.unacknowledged = append(l.unacknowledged, notice)
 }
 
-// acknowledge removes the notifications of the end of a task that the client has acknowledged.
+// acknowledge removes the notifications that the task with the given ID has ended, since the client has
+// acknowledged that it received one.
 func (l *deliveryLog) acknowledge(id protocol.ID) {
 	l.clientAcknowledges = true
 	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool {
@@ -71,22 +72,22 @@
 type notifier struct {
 	*sharedState
 	clients *clientRegistry
-	pending []notification // notifications without a suitable connection, oldest first
+	pending []notification // notifications without a suitable client connection, the oldest first
 }
 
-// newNotification returns a notification that expires notificationRetention from now.
+// newNotification returns a notification that expires after notificationRetention.
 func (n *notifier) newNotification(msg protocol.Message) notification {
 	return notification{message: msg, expiresAt: n.now + notificationRetention}
 }
 
-// notify notifies the client of a request whose task runs or ran. The notification is sent on the connection
-// of the request if that is open, otherwise on another client connection. If there is none, the notification
-// is sent on the next connection on which a valid message arrives.
+// notify sends a notification about the task of a request, which runs or ran. The notification is sent on the
+// connection of the request if that is open, otherwise on another client connection. If no connection is
+// suitable, the notification is sent on the next connection on which a valid message arrives.
 func (n *notifier) notify(req *request, msg protocol.Message) {
 	n.sendOnAnyConn(req.conn, n.newNotification(msg))
 }
 
-// notifyOnConn sends a notification on an open connection.
+// notifyOnConn sends a notification on the given connection, which has to be open.
 func (n *notifier) notifyOnConn(conn *clientConn, msg protocol.Message) {
 	n.send(conn, n.newNotification(msg))
 }
@@ -123,7 +124,7 @@
 	n.pending = nil
 }
 
-// redeliver sends the notifications again that the client of a closed connection may not have received.
+// redeliver sends notifications again that a client may not have received before its connection closed.
 // Clients tolerate a repeated notification about a task that they no longer know.
 func (n *notifier) redeliver(disconnected *clientConn) {
 	log := &disconnected.notifications
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -8,7 +8,8 @@
 	"heathshed/placer"
 )
 
-// notifiedConns returns the connections on which the ends of tasks were notified since the last call.
+// notifiedConns returns the connections on which the core has notified clients of the end of a task since the
+// last call.
 func notifiedConns(harness *coreHarness) (conns []ConnID) {
 	for _, effect := range messagesToClients(harness.core.Ready()) {
 		if effect.Message.Kind == protocol.Stop {
@@ -18,8 +19,9 @@
 	return conns
 }
 
-// TestNotificationConnection checks that a notification is sent exactly once: on the connection of its
-// request if that is open, otherwise on the first connection that sends a valid message.
+// TestNotificationConnection checks that a notification is sent exactly once. It must be sent on the
+// connection of the request if that is open, otherwise on the first connection on which a valid message
+// arrives.
 func TestNotificationConnection(t *testing.T) {
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
@@ -29,11 +31,11 @@
 	}
 
 	harness, _, attempt = runningAttempt(t, "seats")
-	silent := harness.connect() // no message is sent on this connection
+	silent := harness.connect() // the client sends no message on this connection
 	harness.core.ClientDisconnected(harness.now, 1)
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
-		t.Fatalf("client was notified on connections %v, although connection %d sent no valid message", got, silent)
+		t.Fatalf("client was notified on connections %v, want a pending notification, since connection %d has sent no valid message", got, silent)
 	}
 
 	next := harness.connect()
@@ -48,29 +50,30 @@
 	}
 }
 
-// TestRedeliveryAfterDisconnect checks that a notification is sent again if its connection closes shortly
-// afterwards. A notification that was acknowledged is not sent again, nor is one that was sent long before to
-// a client that does not acknowledge notifications.
+// TestRedeliveryAfterDisconnect checks that a notification is sent again if the connection on which it was
+// sent closes shortly afterwards. A notification must not be sent again if it was acknowledged. If the client
+// does not acknowledge notifications, one that was sent long before the connection closed must not be sent
+// again either.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
-		name                                             string
-		acknowledges, acknowledged, migration, otherOpen bool
-		after                                            placer.Seconds
-		want                                             int
+		name                                                 string
+		acknowledges, acknowledged, migration, otherConnOpen bool
+		closedAfter                                          placer.Seconds
+		want                                                 int
 	}{
-		{name: "closed shortly after", after: 0.01, want: 1},
-		{name: "closed shortly after, other connection open", after: 0.01, want: 1, otherOpen: true},
-		{name: "closed long after", after: 1.5, want: 0},
-		{name: "closed long after, client acknowledges", acknowledges: true, after: 1.5, want: 1},
-		{name: "notification acknowledged", acknowledges: true, acknowledged: true, after: 0.01, want: 0},
-		{name: "migration, closed shortly after", migration: true, after: 0.01, want: 1},
-		{name: "migration, closed long after", acknowledges: true, migration: true, after: 1.5, want: 0},
-		{name: "closed after the retention time", acknowledges: true, after: 9, want: 0},
+		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
+		{name: "connection closes shortly after the notification while another one is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
+		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
+		{name: "connection closes long after the notification to a client that acknowledges others", acknowledges: true, closedAfter: 1.5, want: 1},
+		{name: "notification was acknowledged", acknowledges: true, acknowledged: true, closedAfter: 0.01, want: 0},
+		{name: "connection closes shortly after a Migrate message", migration: true, closedAfter: 0.01, want: 1},
+		{name: "connection closes long after a Migrate message", acknowledges: true, migration: true, closedAfter: 1.5, want: 0},
+		{name: "connection closes after notificationRetention", acknowledges: true, closedAfter: 9, want: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			id := attempt.Message.ID
-			identify := func(conn ConnID) { harness.receiveFromClient(conn, newMessage(protocol.Check, 77, 0)) }
+			sendHealthCheck := func(conn ConnID) { harness.receiveFromClient(conn, newMessage(protocol.Check, 77, 0)) }
 			if test.acknowledges {
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, 99, noCause))
 			}
@@ -84,19 +87,19 @@
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, id, noCause))
 			}
 			harness.core.Ready()
-			harness.now += test.after
+			harness.now += test.closedAfter
 			harness.core.Advance(harness.now)
 
 			other := ConnID(0)
-			if test.otherOpen {
+			if test.otherConnOpen {
 				other = harness.connect()
-				identify(other)
+				sendHealthCheck(other)
 				harness.core.Ready()
 			}
 			harness.core.ClientDisconnected(harness.now, 1)
-			if !test.otherOpen {
+			if !test.otherConnOpen {
 				other = harness.connect()
-				identify(other)
+				sendHealthCheck(other)
 			}
 
 			got := 0
@@ -112,8 +115,8 @@
 	}
 }
 
-// TestTerminationDuringMigration checks that the client of a migrating task is also notified of the end of
-// the task, unless the node confirms that it stopped the task for the migration.
+// TestTerminationDuringMigration checks that the client of a migrating task receives a Stop message after the
+// Migrate message, unless the node confirms that it stopped the task for the migration.
 func TestTerminationDuringMigration(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -128,7 +131,7 @@
 			harness.migrate(attempt)
 			effects := harness.core.Ready()
 			if len(effects) != 2 || effects[0].Message.Kind != protocol.Migrate || effects[1].Kind != SendToNode {
-				t.Fatalf("effects of the migration are %+v, want Migrate to the client and a message to the node", effects)
+				t.Fatalf("effects of the migration are %+v, want a Migrate message to the client and a message to the node", effects)
 			}
 
 			if test.cause >= 0 {
@@ -141,7 +144,7 @@
 				got = effect.Message.Cause
 			}
 			if got != test.want {
-				t.Errorf("client was notified with cause %d, want %d", got, test.want)
+				t.Errorf("client was notified with cause %d, want %d (-1 means no notification)", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -11,9 +11,10 @@
 	"heathshed/placer"
 )
 
-// TestRandomEventOrders generates messages of clients and nodes and connection events in random order. Each
-// request must get one answer in time unless its client withdrew it, at most one attempt of a request may be
-// live, the end of a running task must be notified once, and the core must be empty at the end.
+// TestRandomEventOrders generates messages of clients and nodes, and connection events, in random order. Each
+// request must get one answer in time unless its client withdrew it, and at most one attempt of a request may
+// be live. A client must be notified once of the end of its running task, and the core must be empty at the
+// end.
 func TestRandomEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &randomDriver{newHarness(t, nil), t}
@@ -26,15 +27,15 @@
 	})
 }
 
-// randomDriver makes calls to a core in random order.
+// randomDriver makes random calls to a core.
 type randomDriver struct {
 	*coreHarness
 	t *rapid.T
 }
 
 // draw returns a random number from 0 to n-1.
-func (driver *randomDriver) draw(n int, what string) int {
-	return rapid.IntRange(0, n-1).Draw(driver.t, what)
+func (driver *randomDriver) draw(n int, label string) int {
+	return rapid.IntRange(0, n-1).Draw(driver.t, label)
 }
 
 func (driver *randomDriver) randomStep() {
@@ -43,7 +44,7 @@
 		driver.launchRandomTask()
 	case 3, 4, 5:
 		if len(driver.pending) > 0 {
-			driver.send(driver.draw(len(driver.pending), "send"))
+			driver.send(driver.draw(len(driver.pending), "pending attempt"))
 		}
 	case 6:
 		driver.failRandomConnect()
@@ -53,7 +54,7 @@
 		driver.stopRandomTask()
 	case 10:
 		if len(driver.sent) > 0 {
-			driver.core.ConnectionLost(driver.now, driver.sent[driver.draw(len(driver.sent), "out")])
+			driver.core.ConnectionLost(driver.now, driver.sent[driver.draw(len(driver.sent), "sent attempt")])
 			driver.carryOutEffects()
 		}
 	case 11:
@@ -67,7 +68,7 @@
 	case 14:
 		driver.adoptTaskThatEnds()
 	default:
-		driver.advance(placer.Seconds(driver.draw(2000, "ms")) / 1000)
+		driver.advance(placer.Seconds(driver.draw(2000, "milliseconds")) / 1000)
 	}
 }
 
@@ -80,7 +81,7 @@
 
 func (driver *randomDriver) failRandomConnect() {
 	if len(driver.pending) > 0 {
-		i := driver.draw(len(driver.pending), "send")
+		i := driver.draw(len(driver.pending), "pending attempt")
 		driver.core.ConnectFailed(driver.now, driver.pending[i])
 		driver.pending = slices.Delete(driver.pending, i, i+1)
 		driver.carryOutEffects()
@@ -91,8 +92,8 @@
 	if len(driver.sent) == 0 {
 		return
 	}
-	driver.accept(driver.sent[driver.draw(len(driver.sent), "out")])
-	// The message may have accepted a later attempt at the same node.
+	driver.accept(driver.sent[driver.draw(len(driver.sent), "sent attempt")])
+	// The node may have accepted a later attempt with the same ID, which was sent to the same node.
 	for _, attempt := range driver.sent {
 		if attempt.state == attemptRunning && !slices.Contains(driver.running, attempt) {
 			driver.running = append(driver.running, attempt)
@@ -100,11 +101,12 @@
 	}
 }
 
-// stopRandomTask makes a node stop a random task, which may run on another node, with a random cause.
+// stopRandomTask makes a node report the end of a random task with a random cause. The task may run on
+// another node.
 func (driver *randomDriver) stopRandomTask() {
 	if len(driver.sent) > 0 {
-		attempt := driver.sent[driver.draw(len(driver.sent), "out")]
-		id := driver.sent[driver.draw(len(driver.sent), "of")].Message.ID
+		attempt := driver.sent[driver.draw(len(driver.sent), "sent attempt")]
+		id := driver.sent[driver.draw(len(driver.sent), "attempt of the task")].Message.ID
 		cause := []protocol.Cause{16, 31, 34, 41, 47, 102, 5}[driver.draw(7, "cause")]
 		driver.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
 	}
@@ -163,20 +165,21 @@
 	driver.carryOutEffects()
 }
 
-// adoptTaskThatEnds lists a task for adoption and makes its node report the end, in either order.
+// adoptTaskThatEnds lists a task for adoption and makes its node report the end of the task, either before or
+// after the adoption.
 func (driver *randomDriver) adoptTaskThatEnds() {
 	if len(driver.conns) == 0 {
 		return
 	}
 	conn := driver.conns[driver.draw(len(driver.conns), "conn")]
-	next := protocol.ID(driver.lastID + 1)
+	nextID := protocol.ID(driver.lastID + 1)
 	endReportedFirst := driver.draw(2, "endReportedFirst") == 0
 	if endReportedFirst {
-		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
+		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 	}
 	id := driver.adopt(conn, 1)
 	if !endReportedFirst {
-		driver.reportEnd(nodeID(1), next, protocol.CauseEnd)
+		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 		driver.carryOutEffects()
 	}
 	if notifications := driver.clientRecords[id].notifications; notifications != 1 {
@@ -184,9 +187,9 @@
 	}
 }
 
-// TestAdoptionInRandomOrder simulates a scheduler start in which clients list running tasks for adoption. The
-// adoptions, the ends of the tasks and the changes of client connections occur in random order. Each end must
-// be notified once, and no task that has ended may be left running.
+// TestAdoptionInRandomOrder simulates a scheduler start after which clients list running tasks for adoption.
+// The adoptions, the ends of the tasks and the changes of client connections occur in random order. A client
+// must be notified of each end, and no task that has ended may count as running.
 func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
@@ -197,7 +200,7 @@
 		}
 		for id := range driver.adopted {
 			if record := driver.clientRecords[protocol.ID(id)]; driver.terminated[id] && record.notifications == 0 {
-				t.Fatalf("client of task %d was not notified, although the task was adopted and ended", id)
+				t.Fatalf("client of task %d was not notified of its end, although the task was adopted", id)
 			}
 		}
 		for id := 1; id <= adoptableTasks; id++ {
@@ -205,23 +208,23 @@
 		}
 		driver.endAllTasks()
 		earlyTerminations := driver.core.nodeMessages.earlyTerminations
-		if len(earlyTerminations.records) != 0 || len(earlyTerminations.order) != 0 {
-			t.Fatalf("%d early terminations are left after their retention time", len(earlyTerminations.records))
+		if len(earlyTerminations.records) != 0 || len(earlyTerminations.keysOldestFirst) != 0 {
+			t.Fatalf("%d ends of unknown tasks are still recorded after their retention time, want 0", len(earlyTerminations.records))
 		}
 	})
 }
 
-// adoptableTasks is the number of tasks that an adoptionDriver lists. Their IDs start at 1.
+// adoptableTasks is the number of tasks that an adoptionDriver lists for adoption. Their IDs start at 1.
 const adoptableTasks = 12
 
-// adoptionDriver lists tasks for adoption and ends them in random order.
+// adoptionDriver lists tasks for adoption and makes nodes report their ends, in random order.
 type adoptionDriver struct {
 	randomDriver
 	conn                ConnID
 	adopted, terminated map[int]bool
 }
 
-// nodeOf returns the number of the node that runs a task.
+// nodeOf returns the number of the node that runs the task with the given ID.
 func (driver *adoptionDriver) nodeOf(id int) int { return 1 + id%3 }
 
 func (driver *adoptionDriver) randomAdoptionStep() {
@@ -238,12 +241,12 @@
 		driver.conn = driver.connect()
 		driver.checkHealth(driver.conn)
 	default:
-		driver.advance(placer.Seconds(driver.draw(300, "ms")) / 1000)
+		driver.advance(placer.Seconds(driver.draw(300, "milliseconds")) / 1000)
 	}
 }
 
-// listForAdoption lists a task for adoption on the current connection, unless its client was notified of the
-// end.
+// listForAdoption lists a task for adoption on the current connection, unless the client was already notified
+// of the end of the task.
 func (driver *adoptionDriver) listForAdoption(number int) {
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
@@ -271,8 +274,8 @@
 	driver.carryOutEffects()
 }
 
-// TestChurn checks that all tables shrink to their initial size after thousands of nodes, connections and
-// tasks were added and removed.
+// TestChurn checks that the core keeps no records of thousands of nodes, connections and tasks that were
+// added and removed again.
 func TestChurn(t *testing.T) {
 	harness := newHarness(t, nil)
 	for i := range 3000 {
@@ -287,7 +290,7 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		harness.sent, harness.running = nil, harness.sent // the nodes of earlier attempts have terminated
+		harness.sent, harness.running = nil, harness.sent // the nodes of all earlier attempts have terminated
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advance(0.2)
 		harness.core.ClientDisconnected(harness.now, conn)
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -5,8 +5,8 @@
 	"heathshed/placer"
 )
 
-// request is a placement request of a client and, once it was answered with success, the running task. The
-// requestTable owns it; only the attemptTable adds attempts.
+// request is a placement request of a client. After a node has accepted the task, it also represents the
+// running task. Requests are owned by requestTable; only attemptTable adds attempts to them.
 type request struct {
 	taskID   placer.TaskID
 	message  protocol.Message // the launch message of the client
@@ -39,8 +39,8 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
-// launchMessage returns the launch message that is sent to a node. It contains the ID, class, key and
-// description of the task, and the idempotency key if the request has one.
+// launchMessage returns the launch message that is sent to a node. Its ID, its body, the fields Class and
+// Key, and the idempotency key, if there is one, are copied from the message of the client.
 func (r *request) launchMessage() protocol.Message {
 	msg := protocol.Message{Kind: protocol.Launch, UID: r.message.UID, ID: r.message.ID, Body: r.message.Body}
 	msg.Set(protocol.Class, r.message.Get(protocol.Class))
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -18,10 +18,11 @@
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFromUID != "" }
 
-// requiredResourceCount is the number of resources that a request must specify: cores and memory.
+// requiredResourceCount is the number of resources that a launch message must specify: cores and memory.
 const requiredResourceCount = 2
 
-// maxDeadlineMultiple limits the remaining time of a request to this multiple of the deadline of its class.
+// maxDeadlineMultiple limits the remaining time in a launch message to this multiple of the deadline of the
+// task class.
 const maxDeadlineMultiple = 2
 
 // millisecondsPerSecond converts the times in platform messages, which are given in milliseconds.
@@ -87,8 +88,8 @@
 	return tenant, nil
 }
 
-// parseExtras parses the list of name:value pairs and returns how many of them specify resources. Unknown
-// names are skipped.
+// parseExtras parses the field Extras, which is a list of name:value pairs. It returns how many pairs specify
+// the cores or the memory of the task. Unknown names are skipped.
 func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
 	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -132,9 +133,10 @@
 	return placer.ServiceID(id), nil
 }
 
-// parseDeadline returns the time until which the client waits for an answer, which is at most
-// maxDeadlineMultiple times the deadline of the class from now. An adoption has no upper limit: it needs no
-// answer, and clients send arbitrary values such as the remaining run time of the task.
+// parseDeadline returns the time until which the client waits for an answer. The remaining time of a new
+// request is at most maxDeadlineMultiple times the deadline of the task class. For an adoption it is not
+// limited: an adoption needs no answer, and clients send arbitrary values such as the remaining run time of
+// the task.
 func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -8,31 +8,31 @@
 	"heathshed/placer"
 )
 
-// TestParseRequest checks the result of parsing valid launch messages. TestInvalidRequests covers the invalid
-// ones.
+// TestParseRequest checks the result of parsing valid launch messages. TestInvalidRequests covers invalid
+// launch messages.
 func TestParseRequest(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	parser := requestParser{settings: settings}
-	plain := parsedRequest{task: placer.Task{Cores: 1, Memory: 1, Deadline: 101}}
+	baseRequest := parsedRequest{task: placer.Task{Cores: 1, Memory: 1, Deadline: 101}}
 	for _, test := range []struct {
 		name   string
 		change func(*protocol.Message)
 		want   func(*parsedRequest)
 	}{
 		{"request without optional fields", func(*protocol.Message) {}, func(*parsedRequest) {}},
-		{"second class", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
-		{"no time left", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
-		{"maximum time left", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
-		{"retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
+		{"second task class of the settings", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
+		{"remaining time is 0", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
+		{"remaining time is at the maximum", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
+		{"request is a retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
 			want.task.Cores, want.task.Memory, want.task.IsRetry = 0, 0.5, true
 		}},
-		{"service and unknown extras", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
+		{"extras with a service and an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
 			want.task.Service = 0xaf
 		}},
-		{"adoption of a task without an end", func(msg *protocol.Message) {
+		{"adoption of a task that runs indefinitely", func(msg *protocol.Message) {
 			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(2))
 			msg.Set(protocol.TimeLeft, "4294967000")
 		}, func(want *parsedRequest) {
@@ -40,7 +40,7 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			msg, want := launchMessage(1), plain
+			msg, want := launchMessage(1), baseRequest
 			test.change(&msg)
 			test.want(&want)
 
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -15,7 +15,7 @@
 	byID               map[protocol.ID]*request
 	openCount          int // number of requests in state requestOpen
 	lastTaskID         placer.TaskID
-	illegalTransitions int // number of transitions that requestStates does not allow
+	illegalTransitions int // how many transitions were made that requestStates does not allow
 }
 
 func newRequestTable(shared *sharedState, clients *clientRegistry, attempts *attemptTable) *requestTable {
@@ -28,13 +28,13 @@
 	}
 }
 
-// get returns the request of the task with the placer's task ID, or nil if there is no such request.
+// get returns the request whose task has the given ID for the placer, or nil if there is no such request.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
-// getByID returns the request with the ID that the client assigned, or nil if there is no such request.
+// getByID returns the request to which the client assigned the given ID, or nil if there is no such request.
 func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
 
-// isFull reports whether the limit on the number of requests has been reached.
+// isFull reports whether the table contains the maximum number of requests, maxTasks.
 func (t *requestTable) isFull() bool { return len(t.byID) >= maxTasks }
 
 // open adds a new request and assigns an ID to its task.
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -13,8 +13,8 @@
 	return func(msg *protocol.Message) { msg.Set(field, text) }
 }
 
-// TestInvalidRequests checks that an invalid request is answered with an error on its own connection, that
-// the error has the right reason, and that no other request ends.
+// TestInvalidRequests checks that an invalid request is answered with an error on the connection on which it
+// arrived, that ReceiveFromClient returns the right reason, and that no other request ends.
 func TestInvalidRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	idInUse := harness.launch(harness.connect(), "query", 1000, "")
@@ -23,20 +23,20 @@
 		reason  InvalidReason
 		corrupt func(*protocol.Message)
 	}{
-		{"unknown class", InvalidClass, setField(protocol.Class, "gold")},
-		{"unknown tenant", InvalidTenant, setField(protocol.Tenant, "north")},
-		{"invalid key", InvalidKey, setField(protocol.Key, "x")},
-		{"missing body", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
-		{"negative time left", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
-		{"time left above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
-		{"huge time left", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
-		{"time left is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
-		{"negative cores", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
-		{"infinite cores", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
-		{"missing memory", InvalidExtras, setField(protocol.Extras, "cores:1")},
-		{"invalid service", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
-		{"unknown node", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
-		{"ID in use", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
+		{"class is unknown", InvalidClass, setField(protocol.Class, "gold")},
+		{"tenant is unknown", InvalidTenant, setField(protocol.Tenant, "north")},
+		{"key is not an ID", InvalidKey, setField(protocol.Key, "x")},
+		{"body is missing", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
+		{"remaining time is negative", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
+		{"remaining time is just above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
+		{"remaining time is far above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
+		{"remaining time is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
+		{"cores are negative", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
+		{"cores are infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
+		{"memory is missing", InvalidExtras, setField(protocol.Extras, "cores:1")},
+		{"service is not an ID", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
+		{"node of the task to adopt is unknown", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
+		{"ID of another request", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			msg := launchMessage(99)
@@ -56,14 +56,14 @@
 		})
 	}
 	if open := harness.core.OpenRequests(); open != 1 {
-		t.Errorf("%d requests are open, want only the valid one", open)
+		t.Errorf("%d requests are open, want 1, the valid request", open)
 	}
 }
 
-// TestTooManyTasks checks that the number of tasks is limited, and that requests are accepted again after
-// tasks have ended.
+// TestTooManyTasks checks that a request is rejected while the number of tasks is maxTasks, and that requests
+// are accepted again after the tasks have ended.
 func TestTooManyTasks(t *testing.T) {
-	harness := newHarness(t, &scriptedPlacer{})
+	harness := newHarness(t, &fixedNodePlacer{})
 	conn := harness.connect()
 	for range maxTasks {
 		harness.launch(conn, "query", 1000, adoptionExtras(1))
@@ -74,7 +74,7 @@
 		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseBusy
 	}
 	if !rejected() {
-		t.Fatal("a request above the limit was accepted")
+		t.Fatal("a request was accepted although maxTasks tasks are running")
 	}
 
 	harness.core.NodeDead(harness.now, nodeID(1))
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestActionsOnMigratingRequest checks that actions of the placer for a migrating task change nothing except
-// counters.
+// TestActionsOnMigratingRequest checks that actions of the placer for a task that already migrates change
+// nothing except counters.
 func TestActionsOnMigratingRequest(t *testing.T) {
-	for name, kind := range map[string]placer.ActionKind{"reject": placer.Reject, "fail": placer.Fail, "migrate": placer.Migrate} {
+	for name, kind := range map[string]placer.ActionKind{"Reject action": placer.Reject, "Fail action": placer.Fail, "Migrate action": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			harness.migrate(attempt)
@@ -106,13 +106,14 @@
 
 			effects := harness.core.Ready()
 			if len(effects) != 0 || attempt.request.state != requestMigrating || harness.core.RunningTasks() != 1 {
-				t.Errorf("request in state %v with effects %+v, want a migrating request without effects", attempt.request.state, effects)
+				t.Errorf("request is in state %v with effects %+v, want a migrating request, no effects and 1 running task", attempt.request.state, effects)
 			}
 		})
 	}
 }
 
-// TestEndOfFinalRequest checks that a request in a final state is neither withdrawn nor answered.
+// TestEndOfFinalRequest checks that withdraw and answer change nothing if the request is already in a final
+// state.
 func TestEndOfFinalRequest(t *testing.T) {
 	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -124,7 +125,7 @@
 			table.answer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
-				t.Errorf("request in state %v, counts %+v, %d open requests, effects %+v, want no change", req.state, *shared.counts, table.openCount, shared.effects)
+				t.Errorf("request is in state %v, counts are %+v, %d requests are open, effects are %+v, want no change", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// requireTransitions checks the table of a state machine for each pair of states. Only transitions that
-// mayBeLegal allows may be legal. Every transition must be carried out, and exactly the illegal ones must be
-// counted.
+// requireTransitions checks the table of a state machine for each pair of states. The table may allow a
+// transition only if mayBeLegal returns true for it. Every transition must be carried out, and a transition
+// must be counted as illegal if and only if the table does not allow it.
 func requireTransitions[State ~uint8](
 	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
 ) {
 	t.Helper()
 	if len(table) != int(last)+1 {
-		t.Fatalf("the table has %d states, want %d", len(table), last+1)
+		t.Fatalf("the table describes %d states, want %d", len(table), last+1)
 	}
 	for from := State(0); from <= last; from++ {
 		for to := State(0); to <= last; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("the table allows the transition from %v to %v", from, to)
+				t.Errorf("the table allows the transition from %v to %v, want it to be illegal", from, to)
 			}
 			after, illegal := transition(from, to)
 			if counted := illegal == 1; after != to || counted == legal {
-				t.Errorf("transition from %v to %v: state is %v, counted as illegal: %v", from, to, after, counted)
+				t.Errorf("transition from %v to %v: the resulting state is %v, counted as illegal: %v, want the new state and a count only of illegal transitions", from, to, after, counted)
 			}
 		}
 	}
 }
 
-// TestRequestTransitions checks that a request stays in the final states once it has reached one, and that
-// illegal transitions are counted.
+// TestRequestTransitions checks that no transition of a request leads from a final state to one that is not
+// final, and that illegal transitions are counted.
 func TestRequestTransitions(t *testing.T) {
 	staysFinal := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
 	requireTransitions(t, requestStates, requestTerminated, staysFinal, func(from, to requestState) (requestState, int) {
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestAttemptTransitions checks that the state of an attempt only advances, and that illegal transitions are
-// counted.
+// TestAttemptTransitions checks that each transition of an attempt leads to a later state, and that illegal
+// transitions are counted.
 func TestAttemptTransitions(t *testing.T) {
 	advances := func(from, to attemptState) bool { return to > from }
 	requireTransitions(t, attemptStates, attemptTerminated, advances, func(from, to attemptState) (attemptState, int) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestStateNames checks that each state has a unique name, and that an unknown state is shown with its
+// TestStateNames checks that each state has a unique name, and that the name of an unknown state contains its
 // number.
 func TestStateNames(t *testing.T) {
 	var names []string
@@ -69,9 +69,9 @@
 	}
 	slices.Sort(names)
 	if distinct := len(slices.Compact(slices.Clone(names))); distinct != len(names) {
-		t.Errorf("%d distinct names for %d states: %v", distinct, len(names), names)
+		t.Errorf("the states have %d distinct names, want %d, one for each state: %v", distinct, len(names), names)
 	}
 	if got := requestState(99).String() + ", " + attemptState(98).String(); got != "request state 99, attempt state 98" {
-		t.Errorf("names of unknown states are %q", got)
+		t.Errorf("names of unknown states are %q, want their state machines and numbers", got)
 	}
 }
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -9,11 +9,11 @@
 // After this time, the task is assumed to have ended by itself.
 const migrationConfirmTimeout placer.Seconds = 0.4
 
-// causeLost is the cause in notifications about tasks that were lost with their node.
+// causeLost is the cause in a notification that a task was lost together with its node.
 const causeLost = protocol.CauseReset
 
-// taskController manages tasks from their start to their end. It changes the states of a request and its
-// attempt together and notifies the client. It has no state of its own.
+// taskController manages tasks from their start to their end. It changes the state of a request together with
+// the state of its attempt, and notifies the client. It has no state of its own.
 type taskController struct {
 	*sharedState
 	clients  *clientRegistry
@@ -52,7 +52,7 @@
 	t.requests.remove(req)
 }
 
-// endLostTask ends a running task that was lost with its node.
+// endLostTask ends a running task that was lost together with its node.
 func (t *taskController) endLostTask(attempt *Attempt) {
 	t.end(attempt, attemptOutcome{result: placer.Lost}, causeLost)
 }
@@ -71,7 +71,8 @@
 	t.requests.remove(req)
 }
 
-// migrate asks the client of a running task to request a new placement, and asks the node to stop the task.
+// migrate asks the client of a running task to request a new placement, and asks the task's node to stop the
+// task.
 func (t *taskController) migrate(req *request) {
 	attempt := req.runningAttempt()
 	if attempt == nil || req.state.isFinal() {
@@ -104,8 +105,8 @@
 	t.requestStop(attempt, cause)
 }
 
-// stopTasksOn stops the tasks that run on an unresponsive node, and returns how many it stopped; see
-// Core.NodeUnresponsive.
+// stopTasksOn stops the tasks that run on an unresponsive node, as Core.NodeUnresponsive describes. It
+// returns the number of tasks that had not been stopped before.
 func (t *taskController) stopTasksOn(node *Node) (stopped int) {
 	for _, attempt := range node.runningAttempts() {
 		if attempt.stopSent {
