--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -46,8 +46,8 @@
 		return invalidMessage(InvalidNode, "launch message %s: extras: at: node %.40q is not in the node registry", msg.UID, parsed.adoptedFromUID)
 	}
 	key := attemptKey{node.ID, msg.ID}
-	if earlier := a.attempts.get(key); earlier != nil {
-		a.attempts.remove(earlier) // this scheduler abandoned the attempt, but the node accepted it
+	if abandonedAttempt := a.attempts.get(key); abandonedAttempt != nil {
+		a.attempts.remove(abandonedAttempt) // this scheduler abandoned the attempt, but the node accepted it
 	}
 	if termination, terminated := a.earlyTerminations.get(key); terminated {
 		// The node has already reported the end of the task and does not repeat the report. The client listed
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -31,7 +31,7 @@
 			effects := harness.accept(attempt)
 
 			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
-				t.Errorf("late acceptance: node was asked to stop the task = %v, want %v; RunningTasks must be 0", stopped, test.stopped)
+				t.Errorf("after a late acceptance: stop requested from the node: %v, want %v; the task must not count as running", stopped, test.stopped)
 			}
 		})
 	}
@@ -92,8 +92,8 @@
 		{"expiry time has passed", 1, 100, func(*request) {}, 0},
 		{"node is not in the registry", 7, 105, func(*request) {}, 0},
 		{"request is in a final state", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
-		{"last attempt below the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
-		{"one attempt above the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
+		{"attempt that reaches the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
+		{"attempt that exceeds the maximum number", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -46,16 +46,16 @@
 }
 
 // scenarioSetup specifies how a scenario starts: its variant of the settings, its random seed and its number
-// of client connections. The label identifies the scenario in the golden file.
+// of client connections.
 type scenarioSetup struct {
 	settingsIndex   int // the index in settingsVariants
 	seed            uint64
-	label           string
+	label           string // the beginning of the scenario's lines in the golden file
 	connections     int
 	useRandomPlacer bool // whether the core uses a randomPlacer instead of a placer.Placer
 }
 
-// start returns a recorder for a core to which the clients are connected and which lists all nodes in
+// start returns a recorder whose core has the specified number of client connections and all nodes in
 // service.
 func (setup scenarioSetup) start(t *testing.T) *scriptRecorder {
 	t.Helper()
@@ -68,8 +68,8 @@
 	return recorder
 }
 
-// startWithRequest returns a recorder like start, but the core uses a randomPlacer and has received a first
-// request.
+// startWithRequest returns a recorder whose core uses a randomPlacer and has received one placement request.
+// The rest of the setup is the same as in start.
 func (setup scenarioSetup) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
 	setup.useRandomPlacer = true
@@ -188,7 +188,7 @@
 	})
 }
 
-// runVariants runs a scenario once for each of its variants and returns the recorded lines.
+// runVariants runs a scenario once for each of its variants and returns the lines recorded in all of them.
 func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
 		recorder := start(variant)
@@ -238,7 +238,7 @@
 }
 
 // answerLate makes a node accept the first attempt at answerTime. If connectionLost is set, the connection to
-// the node is lost before. The client then lists the task for adoption from that node.
+// the node is lost before the node accepts. The client then lists the task for adoption from that node.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
 	attempt := recorder.sent[0]
 	recorder.now = max(recorder.now, answerTime)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -30,13 +30,13 @@
 	eventNumber   int // the number of the last discovery event
 	lastConn      dispatch.ConnID
 	conns         []dispatch.ConnID
-	lastID        uint64
+	lastID        uint64              // the last ID that was assigned to a launch message
 	pending       []*dispatch.Attempt // attempts that were not sent yet
 	sent          []*dispatch.Attempt // attempts that were sent or adopted, including those that have ended
 	nodeStates    map[int]string      // the last listed state of each node, by the number of the node
 	sortEffects   bool                // whether effects are sorted, for scripts in which their order is not defined
 	recordedLines []string
-	label         string // identifies the script in the golden file, where settings are called a shape
+	label         string // the beginning of the script's golden lines, in which shape is the settingsIndex
 }
 
 func newRecorder(t *testing.T, settingsIndex int, seed uint64, initialEvents string, useRandomPlacer bool) *scriptRecorder {
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	scriptSteps        = 600
-	checkpointInterval = 50 // steps
+	scriptSteps        = 600 // random steps of each script
+	checkpointInterval = 50  // steps between two checkpoints
 	scriptNodeCount    = 6
 )
 
@@ -22,10 +22,12 @@
 		dispatch.NodeUID(number), number, 1+recorder.eventNumber%3, string("ab"[number%2]), []string{"std", "big"}[number%2], number/2, state, bootMS, 4+number)
 }
 
+// randomChoice returns one of the choices, selected by the recorder's random number generator.
 func randomChoice[T any](recorder *scriptRecorder, choices ...T) T {
 	return choices[recorder.random.IntN(len(choices))]
 }
 
+// wireMessage returns a message that contains only a kind and an ID.
 func wireMessage(kind protocol.Kind, id uint64) protocol.Message {
 	return protocol.Message{Kind: kind, ID: protocol.ID(id), UID: fmt.Sprintf("%016x", id)}
 }
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -32,8 +32,8 @@
 	"heathshed/placer"
 )
 
-// maxTasks limits the total number of open placement requests and running tasks. Each of them takes about 2
-// KB of memory.
+// maxTasks limits the total number of open placement requests and running tasks. Each request or task takes
+// about 2 KB of memory.
 const maxTasks = 20000
 
 // Core is the state machine of the scheduler on the platform. It is not safe for concurrent use.
@@ -160,7 +160,7 @@
 
 // ClientRequests returns the number of open requests on a client connection, and whether the task of any
 // request on that connection has ever started or was adopted.
-func (c *Core) ClientRequests(conn ConnID) (open int, placed bool) {
+func (c *Core) ClientRequests(conn ConnID) (openCount int, hasPlacedTask bool) {
 	client := c.clients.get(conn)
 	if client == nil {
 		return 0, false
@@ -214,9 +214,9 @@
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. If the core knows of no attempt to start the task on that
-// node, it only counts the message. If such a message reports the end of the task, the end is also recorded,
-// since a client may still list the task for adoption.
+// ReceiveFromNode handles one message of a node. A message about a task that was not sent to the node, or
+// that the core no longer knows, changes only counters. If such a message reports the end of a task that the
+// core does not know, the end is also recorded, since a client may still list the task for adoption.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -39,7 +39,7 @@
 
 // record adds a record of the end of an unknown task. If the end is already recorded, it changes nothing.
 func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
-	if _, known := l.records[key]; known {
+	if _, recorded := l.records[key]; recorded {
 		return
 	}
 	if len(l.keysOldestFirst) >= maxEarlyTerminations {
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -21,7 +21,7 @@
 
 	log.record(attemptKey{1, 1}, 16)
 	shared.now = 103
-	log.record(attemptKey{1, 1}, 41) // this second report must change neither the cause nor the expiry time of the record
+	log.record(attemptKey{1, 1}, 41) // this repeated report must not change the record
 	log.record(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -30,7 +30,7 @@
 			if protocol.Parse([]byte(line), &msg) != nil {
 				continue
 			}
-			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg) // the error is ignored, since most messages are invalid
+			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg) // most messages are invalid, so errors are ignored
 			for _, effect := range harness.core.Ready() {
 				if effect.Kind == SendAttempt {
 					harness.core.PrepareSend(harness.now, effect.Attempt)
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -34,7 +34,7 @@
 	notifiedOn             ConnID // the connection of the last notification, or 0 after its acknowledgement
 	conn                   ConnID
 	deadline               placer.Seconds
-	withdrawn, adopted     bool
+	withdrawn, adopted     bool // whether the client withdrew the request, or listed the task for adoption
 	answers, notifications int
 	running                bool // whether the client knows that the task runs
 }
@@ -173,7 +173,7 @@
 	return effects
 }
 
-// receiveAsClient records a message of the core for the client of its task and checks the message. A request
+// receiveAsClient records a message that the core sent to a client, and checks the message. A request
 // must not get more than one answer, must get it in time, and must not get it after a withdrawal. A client
 // must be notified only once of the end of its running task.
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -25,36 +25,36 @@
 	if len(t.byTask) != len(t.byID) {
 		return fmt.Errorf("request table: %d requests are indexed by task and %d by ID", len(t.byTask), len(t.byID))
 	}
-	open := 0
+	openRequests := 0
 	for task, req := range t.byTask {
 		if req.taskID != task || t.byID[req.message.ID] != req {
 			return fmt.Errorf("request %s: the indexes by task ID %d and by request ID contain different requests", req.message.UID, task)
 		}
 		if req.state == requestOpen {
-			open++
+			openRequests++
 		}
 		if err := t.checkRequest(req); err != nil {
 			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
 		}
 	}
-	if listed := t.clients.openRequestCount(); open != t.openCount || open != listed {
-		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", open, t.openCount, listed)
+	if listedRequests := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != listedRequests {
+		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", openRequests, t.openCount, listedRequests)
 	}
 	return nil
 }
 
 func (t *requestTable) checkRequest(req *request) error {
-	runs := req.runningAttempt() != nil
+	taskRuns := req.runningAttempt() != nil
 	switch req.state {
 	case requestOpen:
-		if runs {
+		if taskRuns {
 			return errors.New("an attempt runs the task of the open request")
 		}
 		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpenRequest(req) {
 			return fmt.Errorf("connection %d does not list the open request", req.conn)
 		}
 	case requestRunning, requestMigrating, requestStopping:
-		if !runs {
+		if !taskRuns {
 			return errors.New("no attempt runs the task")
 		}
 	default:
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -86,7 +86,7 @@
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
 	latestAnswerAt := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
 	if attempt.state == attemptSent && h.now > latestAnswerAt {
-		h.attempts.abandon(attempt, placer.TimedOut, false) // the expiry timer has not run yet, but the client no longer waits
+		h.attempts.abandon(attempt, placer.TimedOut, false) // the client no longer waits, but the timer has not run yet
 	}
 	switch attempt.state {
 	case attemptSent:
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -172,7 +172,7 @@
 	return node
 }
 
-// terminateUnlisted marks all nodes as terminated that are missing from the IDs of a complete node list.
+// terminateUnlisted marks each node as terminated whose ID is not in listed, the IDs of a complete node list.
 func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listed[id] && node.State != placer.Terminated {
@@ -235,7 +235,8 @@
 }
 
 // scheduleRemoval sets a timer that removes a terminated node from the registry. When the timer runs, the
-// node is kept if it is no longer terminated. The timer is set again if the node still has running tasks.
+// node is kept if it is no longer terminated. The timer is set again if the node still has running tasks, or
+// if it has terminated again in the meantime.
 func (r *nodeRegistry) scheduleRemoval(node *Node) {
 	if node.removalScheduled {
 		return
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -60,7 +60,7 @@
 	case 11:
 		driver.withdrawRandomRequest()
 	case 12:
-		driver.connectionOrDiscoveryEvent()
+		driver.randomConnectionOrDiscoveryEvent()
 	case 13:
 		if driver.lastID > 0 {
 			driver.acknowledge(protocol.ID(1 + driver.draw(int(driver.lastID), "id")))
@@ -126,7 +126,7 @@
 	driver.carryOutEffects()
 }
 
-func (driver *randomDriver) connectionOrDiscoveryEvent() {
+func (driver *randomDriver) randomConnectionOrDiscoveryEvent() {
 	switch driver.draw(4, "event") {
 	case 0:
 		if len(driver.conns) < 5 {
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -55,8 +55,8 @@
 			}
 		})
 	}
-	if open := harness.core.OpenRequests(); open != 1 {
-		t.Errorf("%d requests are open, want 1, the valid request", open)
+	if openRequests := harness.core.OpenRequests(); openRequests != 1 {
+		t.Errorf("%d requests are open, want 1, the valid request", openRequests)
 	}
 }
 
@@ -68,19 +68,19 @@
 	for range maxTasks {
 		harness.launch(conn, "query", 1000, adoptionExtras(1))
 	}
-	rejected := func() bool {
+	isRejected := func() bool {
 		harness.receiveFromClient(conn, launchMessage(1e6))
 		effects := harness.core.Ready()
 		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseBusy
 	}
-	if !rejected() {
+	if !isRejected() {
 		t.Fatal("a request was accepted although maxTasks tasks are running")
 	}
 
 	harness.core.NodeDead(harness.now, nodeID(1))
 	harness.carryOutEffects()
 
-	if rejected() {
+	if isRejected() {
 		t.Fatal("a request was rejected after all tasks had ended")
 	}
 }
