--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -60,9 +60,9 @@
 // scriptTenants contains the valid tenant names for each element of settingsVariants.
 var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
 
-// TestCharacterizationKnownEvents checks which initial discovery events dispatch.New accepts. It also checks
+// TestCharacterizationInitialEvents checks which initial discovery events dispatch.New accepts. It also checks
 // how many nodes and which last event number the created core has.
-func TestCharacterizationKnownEvents(t *testing.T) {
+func TestCharacterizationInitialEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestSelectClient checks which client connection is selected for a notification, in particular if the
+// TestSelectConn checks which client connection is selected for a notification, in particular if the
 // preferred connection is closed. It also checks which connection is reported as the only one with a valid
 // message.
-func TestSelectClient(t *testing.T) {
+func TestSelectConn(t *testing.T) {
 	withoutValidMessage := clientConn{}
 	for _, test := range []struct {
 		name      string
