--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -23,7 +23,7 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // when the first health check of any client arrived, or 0
+	firstHealthCheckAt placer.Seconds // when the first health check of any client arrived, or 0 if none has
 	lastAdoptionAt     placer.Seconds // when the last adoption was received; initially firstHealthCheckAt
 }
 
@@ -43,7 +43,7 @@
 	a.lastAdoptionAt = a.now
 	node := a.nodes.getByUID(parsed.adoptedFromUID)
 	if node == nil {
-		return invalidMessage(InvalidNode, "launch message %s: extras: at: node %.40q is not in the node registry", msg.UID, parsed.adoptedFromUID)
+		return invalidMessage(InvalidNode, "launch message %s: the extras field \"at\" names node %.40q, which is not in the node registry", msg.UID, parsed.adoptedFromUID)
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if abandonedAttempt := a.attempts.get(key); abandonedAttempt != nil {
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -54,8 +54,8 @@
 	id   protocol.ID
 }
 
-// attemptOutcome describes how an attempt ended. It includes the reason and the load report that the node
-// sent with the end.
+// attemptOutcome describes how an attempt ended. It includes the reason that the node gave and the load
+// report that the node sent.
 type attemptOutcome struct {
 	result placer.Result
 	reason placer.Reason
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -31,7 +31,7 @@
 			effects := harness.accept(attempt)
 
 			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
-				t.Errorf("after a late acceptance: stop requested from the node: %v, want %v; the task must not count as running", stopped, test.stopped)
+				t.Errorf("Stop message sent to the node after a late acceptance: %v, want %v; want no running task in either case", stopped, test.stopped)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -184,7 +184,7 @@
 	}
 	recorder.digestState()
 	if illegal := recorder.core.IllegalTransitions(); illegal != 0 {
-		recorder.t.Fatalf("%s, step %d: the core made %d illegal state transitions", recorder.label, step, illegal)
+		recorder.t.Fatalf("%s, step %d: the core made %d illegal state transitions, want 0", recorder.label, step, illegal)
 	}
 }
 
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -60,8 +60,8 @@
 // scriptTenants contains the valid tenant names for each element of settingsVariants.
 var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
 
-// TestCharacterizationInitialEvents checks which initial discovery events dispatch.New accepts. It also checks
-// how many nodes and which last event number the created core has.
+// TestCharacterizationInitialEvents checks which initial discovery events dispatch.New accepts. It also
+// checks how many nodes and which last event number the created core has.
 func TestCharacterizationInitialEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID is already used by the request existing. Two requests
-// with the same ID cannot both be answered, so existing is withdrawn if it is open on the same connection.
+// rejectDuplicate rejects a launch message whose ID an existing request already has. Two requests with the
+// same ID cannot both be answered, so the existing request is withdrawn if it is open on the same connection.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -16,8 +16,8 @@
 type clientConn struct {
 	id                 ConnID
 	openRequests       map[*request]struct{}
-	lastPlacedAt       placer.Seconds // when the task of a request on this connection last started or was adopted, or 0
-	lastValidMessageAt placer.Seconds // when the last valid message arrived, or 0
+	lastPlacedAt       placer.Seconds // when a task requested on this connection last started or was adopted, or 0
+	lastValidMessageAt placer.Seconds // when the last valid message arrived, or 0 if none has
 	notifications      deliveryLog    // notifications sent on the connection, written by notifier
 }
 
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -10,17 +10,17 @@
 // maxEarlyTerminations limits the number of records in an earlyTerminationLog.
 const maxEarlyTerminations = maxTasks
 
-// earlyTermination is the record of the end of a task that a node reported before any client listed the task
-// for adoption.
+// earlyTermination is the record of the end of a task that a node reported although the scheduler does not
+// know the task. A client may still list the task for adoption.
 type earlyTermination struct {
 	cause     protocol.Cause
 	expiresAt placer.Seconds
 }
 
-// earlyTerminationLog records the ends of unknown tasks for as long as clients may still list those tasks for
-// adoption. After a scheduler start, a node reports on its first connection which tasks ended while it had no
-// connection. These reports can arrive before the messages of clients that list thousands of tasks. The
-// number of records is limited; the oldest record is removed first.
+// earlyTerminationLog records the ends of tasks that the scheduler does not know, for as long as clients may
+// still list these tasks for adoption. After a scheduler start, a node reports on its first connection which
+// tasks ended while it had no connection. These reports can arrive before the messages of clients that list
+// thousands of tasks. The number of records is limited; the oldest record is removed first.
 type earlyTerminationLog struct {
 	*sharedState
 	records         map[attemptKey]earlyTermination
--- a/internal/platform/dispatch/effect.go
+++ b/internal/platform/dispatch/effect.go
@@ -5,7 +5,7 @@
 // EffectKind specifies what the caller has to do to carry out an Effect.
 type EffectKind uint8
 
-// The kinds of effects specify what the caller of Core.Ready has to do.
+// These are the kinds of effects.
 const (
 	// SendToClient requests that Message be sent on the client connection Conn.
 	SendToClient EffectKind = iota + 1
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -26,8 +26,8 @@
 
 func nodeID(number int) placer.NodeID { return NodeIDOf(nodeUID(number)) }
 
-// adoptionExtras returns the text to append to the extras of a launch message so that it lists for adoption a
-// task that runs on the node with the given number.
+// adoptionExtras returns the text that a launch message for an adoption has at the end of its extras. The
+// text names the node on which the task already runs.
 func adoptionExtras(node int) string { return ";at:" + nodeUID(node) }
 
 // longRunningMS is the remaining time, in milliseconds, that clients send for a task that runs indefinitely.
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -159,7 +159,7 @@
 // returns the effects.
 func (harness *coreHarness) carryOutEffects() []Effect {
 	if illegal := harness.core.IllegalTransitions(); illegal != 0 {
-		harness.t.Fatalf("the core made %d illegal state transitions", illegal)
+		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegal)
 	}
 	effects := harness.core.Ready()
 	for _, effect := range effects {
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -205,9 +205,9 @@
 	r.addEffect(Effect{Kind: NodesChanged})
 }
 
-// scheduleTaskLoss sets a timer that ends the running tasks of a terminated node as lost, unless the state of
-// the node changes in the meantime. The delay gives the node time to report how its tasks ended, in more
-// detail than the discovery event provides.
+// scheduleTaskLoss sets a timer that ends the running tasks of a terminated node and reports them as lost,
+// unless the state of the node changes in the meantime. The delay gives the node time to report how its tasks
+// ended, in more detail than the discovery event provides.
 func (r *nodeRegistry) scheduleTaskLoss(node *Node) {
 	if len(node.running) == 0 {
 		return
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -58,8 +58,8 @@
 	l.unacknowledged = append(l.unacknowledged, notice)
 }
 
-// acknowledge removes the notifications that the task with the given ID has ended, since the client has
-// acknowledged that it received one.
+// acknowledge removes the notifications about the end of the task with the given ID, since the client has
+// acknowledged that end.
 func (l *deliveryLog) acknowledge(id protocol.ID) {
 	l.clientAcknowledges = true
 	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool {
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -31,11 +31,11 @@
 	}
 
 	harness, _, attempt = runningAttempt(t, "seats")
-	silent := harness.connect() // the client sends no message on this connection
+	unusedConn := harness.connect() // the client sends no message on this connection
 	harness.core.ClientDisconnected(harness.now, 1)
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
-		t.Fatalf("client was notified on connections %v, want a pending notification, since connection %d has sent no valid message", got, silent)
+		t.Fatalf("client was notified on connections %v, want a pending notification, since connection %d has sent no valid message", got, unusedConn)
 	}
 
 	next := harness.connect()
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// get returns the request whose task has the given ID for the placer, or nil if there is no such request.
+// get returns the request to whose task the core assigned the given ID, or nil if there is no such request.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
 // getByID returns the request to which the client assigned the given ID, or nil if there is no such request.
--- a/internal/platform/dispatch/state_table.go
+++ b/internal/platform/dispatch/state_table.go
@@ -5,8 +5,7 @@
 	"strconv"
 )
 
-// stateTable describes all states of a state machine. The entry of a state has the value of the state as
-// index.
+// stateTable describes all states of a state machine. The value of a state is the index of its entry.
 type stateTable[State ~uint8] []stateDescription[State]
 
 // stateDescription contains the name of a state and the states to which a transition from it is legal.
@@ -15,8 +14,8 @@
 	legalNext []State
 }
 
-// stateName returns the name of a state. For a state that is not in the table, it returns a text with the
-// number of the state and with kind, which names the state machine.
+// stateName returns the name of a state. If the state is not in the table, the result consists of kind, which
+// names the state machine, and the number of the state.
 func (t stateTable[State]) stateName(kind string, state State) string {
 	if int(state) < len(t) {
 		return t[state].name
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -24,7 +24,7 @@
 			}
 			after, illegal := transition(from, to)
 			if counted := illegal == 1; after != to || counted == legal {
-				t.Errorf("transition from %v to %v: the resulting state is %v, counted as illegal: %v, want the new state and a count only of illegal transitions", from, to, after, counted)
+				t.Errorf("transition from %v to %v: the state became %v, counted as illegal: %v; want the second state, and a count only if the table forbids the transition", from, to, after, counted)
 			}
 		}
 	}
