--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -48,11 +48,11 @@
 		note  string
 		ended bool
 	}{
-		{"node drained the task", protocol.CauseReset, "drained", true},
-		{"node evicted the task", protocol.CauseReset, "oom", true},
-		{"node preempted the task", protocol.CauseReset, "preempted", true},
-		{"attempt failed in transit", protocol.CauseReset, "", false},
-		{"node rejected the attempt for lack of capacity", protocol.CauseFull, "drained", false},
+		{"node drained the task", protocol.CauseLost, "drained", true},
+		{"node evicted the task", protocol.CauseLost, "oom", true},
+		{"node preempted the task", protocol.CauseLost, "preempted", true},
+		{"attempt failed in transit", protocol.CauseLost, "", false},
+		{"node rejected the attempt for lack of capacity", protocol.CauseNoCapacity, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
@@ -62,7 +62,7 @@
 
 			answers := messagesToClients(harness.receiveFromNode(attempt, msg))
 
-			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseReset
+			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
 			bound := policy.received(placer.Bound)
 			if notified != test.ended || bound != test.ended || policy.lastEvent().Final != test.ended || record.answers != 1 {
 				t.Errorf("messages to clients: %+v; placer received Bound: %v; last event: %+v; want a notification, Bound and a final event only if the task ended", answers, bound, policy.lastEvent())
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	if h.requests.isFull() {
-		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseBusy))
+		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseOverloaded))
 		return nil
 	}
 	if parsed.isAdoption() {
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -279,7 +279,7 @@
 // newRejection returns the answer to a request that is rejected for lack of capacity. retryAfter is how long
 // the client is advised to wait before it sends a new request; 0 means that no advice is sent.
 func (c *Core) newRejection(req *request, retryAfter placer.Seconds) protocol.Message {
-	answer := replyTo(&req.message, protocol.Stop, protocol.CauseFull)
+	answer := replyTo(&req.message, protocol.Stop, protocol.CauseNoCapacity)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
 		milliseconds := math.Ceil(float64(min(retryAfter, c.settings.Placer.Retry.MaxRetryAfter)) * millisecondsPerSecond)
 		answer.Set(protocol.RetryAfter, strconv.Itoa(int(milliseconds)))
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -140,13 +140,13 @@
 	h.attempts.remove(attempt)
 	outcome := h.stopOutcome(msg, placer.Lost)
 	switch msg.Cause {
-	case protocol.CauseFull:
+	case protocol.CauseNoCapacity:
 		h.counts.CapacityRejections++
 		outcome.result = placer.Rejected
 	case protocol.CauseError:
 		h.counts.NodeErrors++
 		outcome.result = placer.Errored
-	case protocol.CauseExpired:
+	case protocol.CauseDeadlineExceeded:
 		h.counts.Expired++
 		outcome.result = placer.Expired
 	default:
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -234,7 +234,7 @@
 		driver.listForAdoption(id)
 	case 2, 3:
 		driver.terminated[id] = true
-		driver.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseReset}[driver.draw(2, "cause")])
+		driver.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseLost}[driver.draw(2, "cause")])
 	case 4:
 		driver.core.ClientDisconnected(driver.now, driver.conn)
 		driver.carryOutEffects()
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -71,7 +71,7 @@
 	isRejected := func() bool {
 		harness.receiveFromClient(conn, launchMessage(1e6))
 		effects := harness.core.Ready()
-		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseBusy
+		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseOverloaded
 	}
 	if !isRejected() {
 		t.Fatal("a request was accepted although maxTasks tasks are running")
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -10,7 +10,7 @@
 const migrationConfirmTimeout placer.Seconds = 0.4
 
 // causeLost is the cause in a notification that a task was lost together with its node.
-const causeLost = protocol.CauseReset
+const causeLost = protocol.CauseLost
 
 // taskController manages tasks from their start to their end. It changes the state of a request together with
 // the state of its attempt, and notifies the client. It has no state of its own.
