--- a/cmd/heathshed/apiclient.go
+++ b/cmd/heathshed/apiclient.go
@@ -37,11 +37,11 @@
 // context is done.
 func (s *apiServer) watch(ctx context.Context, path string, query url.Values, handle apiclient.EventHandler) error {
 	return s.client().Watch(ctx, apiclient.WatchOptions{
-		Path:        path,
-		Query:       query,
-		MaxAttempts: maxWatchAttempts,
-		RetryStep:   watchRetryStep,
-		RetryMax:    watchRetryMax,
+		Path:           path,
+		Query:          query,
+		MaxRetries:     maxWatchAttempts,
+		RetryDelayStep: watchRetryStep,
+		MaxRetryDelay:  watchRetryMax,
 	}, handle)
 }
 
--- a/cmd/heathshed/get.go
+++ b/cmd/heathshed/get.go
@@ -74,7 +74,7 @@
 // list prints the objects of a collection, page by page, and returns how many there were.
 func (f *selectionFlags) list(ctx context.Context, w io.Writer, path string, query url.Values) (objects int, err error) {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	for page, err := range f.server.client().Pages(ctx, path, query, pageLimit) {
+	for page, err := range f.server.client().ListPages(ctx, path, query, pageLimit) {
 		if err != nil {
 			return objects, err
 		}
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -83,7 +83,7 @@
 		HTTP:             http,
 		ConnectTimeout:   clock.Duration(settings.ConnectTimeout),
 		NodeSyncTimeout:  clock.Duration(settings.NodeSyncTimeout),
-		MaxListItems:     settings.Limits.MaxPage,
+		DefaultListLimit: settings.Limits.MaxPage,
 		WatchIdleTimeout: watchIdleTimeout,
 		Log:              log,
 	}
--- a/internal/kube/apiclient/client.go
+++ b/internal/kube/apiclient/client.go
@@ -2,7 +2,7 @@
 // and resumes watches after their connections break. An answer that is not a success is a StatusError. The commands use it, and package
 // faultinjection; a scheduler reads its inventory with package reflector instead.
 //
-// Begin reading at Client.Do (client.go), Client.Pages (list.go) and Client.Watch (watch.go).
+// Begin reading at Client.Do (client.go), Client.ListPages (list.go) and Client.Watch (watch.go).
 package apiclient
 
 import (
@@ -69,7 +69,7 @@
 		return err
 	}
 	if out == nil {
-		Discard(response)
+		DiscardResponse(response)
 		return nil
 	}
 	defer closeBody(response)
@@ -117,8 +117,8 @@
 	return c.Patch(ctx, NodePath(node), fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, unschedulable), out)
 }
 
-// Discard reads an answer to its end and closes it, so that its connection can be reused. Errors are ignored: the connection is closed then.
-func Discard(response *http.Response) {
+// DiscardResponse reads an answer to its end and closes it, so that its connection can be reused. Errors are ignored: the connection is closed then.
+func DiscardResponse(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
 	closeBody(response)
 }
--- a/internal/kube/apiclient/client_test.go
+++ b/internal/kube/apiclient/client_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestAPIErrors checks that an answer that reports an error is an error with the message of its Status, or with the code if it has none.
-func TestAPIErrors(t *testing.T) {
+// TestStatusErrors checks that an answer that reports an error is an error with the message of its Status, or with the code if it has none.
+func TestStatusErrors(t *testing.T) {
 	for _, test := range []struct {
 		name, body string
 		status     int
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestBadAnswer checks that a good answer whose body is no JSON is an error that is no StatusError.
-func TestBadAnswer(t *testing.T) {
+// TestInvalidJSONResponse checks that a good answer whose body is no JSON is an error that is no StatusError.
+func TestInvalidJSONResponse(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, _ *http.Request) { reply(t, w, http.StatusOK, "oops") })
 	var out map[string]any
 	err := client.Get(t.Context(), "/x", &out)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestUnreachable checks that a server that cannot be reached is an error that is no StatusError.
-func TestUnreachable(t *testing.T) {
+// TestUnreachableServer checks that a server that cannot be reached is an error that is no StatusError.
+func TestUnreachableServer(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	var status *apiclient.StatusError
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestPages checks that a list is read page by page, that the selectors are part of each request, and that an error ends it.
-func TestPages(t *testing.T) {
+// TestListPages checks that a list is read page by page, that the selectors are part of each request, and that an error ends it.
+func TestListPages(t *testing.T) {
 	selectors := url.Values{"labelSelector": {"x=y"}}
 	var queries []string
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -156,7 +156,7 @@
 	})
 	var items []string
 	var failed error
-	for page, err := range client.Pages(t.Context(), "/api/v1/pods", selectors, 2) {
+	for page, err := range client.ListPages(t.Context(), "/api/v1/pods", selectors, 2) {
 		if err != nil {
 			failed = err
 			break
--- a/internal/kube/apiclient/list.go
+++ b/internal/kube/apiclient/list.go
@@ -18,8 +18,8 @@
 	Items    []json.RawMessage `json:"items"`
 }
 
-// Pages returns an iterator over the pages of a collection, with up to limit objects each. It ends after the first error.
-func (c *Client) Pages(ctx context.Context, path string, query url.Values, limit int) iter.Seq2[*Page, error] {
+// ListPages returns an iterator over the pages of a collection, with up to limit objects each. It ends after the first error.
+func (c *Client) ListPages(ctx context.Context, path string, query url.Values, limit int) iter.Seq2[*Page, error] {
 	return func(yield func(*Page, error) bool) {
 		pageQuery := url.Values{}
 		maps.Copy(pageQuery, query)
--- a/internal/kube/apiclient/watch.go
+++ b/internal/kube/apiclient/watch.go
@@ -49,10 +49,10 @@
 	// expired, and ends with a *WatchError if the server reports another error there.
 	List func(context.Context) (revision string, err error)
 
-	// MaxAttempts is the largest number of consecutive connections without an event. The watch fails with one more. 0 is no limit.
-	MaxAttempts int
-	// RetryStep is the delay after the first failed connection. The delay grows by RetryStep with each further one, up to RetryMax.
-	RetryStep, RetryMax time.Duration
+	// MaxRetries is the largest number of consecutive connections without an event. The watch fails with one more. 0 is no limit.
+	MaxRetries int
+	// RetryDelayStep is the delay after the first failed connection. The delay grows by RetryDelayStep with each further one, up to MaxRetryDelay.
+	RetryDelayStep, MaxRetryDelay time.Duration
 
 	// ConnectionTimeout, if above 0, ends each connection after that time. The next one follows without a delay.
 	ConnectionTimeout time.Duration
@@ -79,13 +79,13 @@
 		if w.received {
 			attempts = 0
 		}
-		if attempts++; options.MaxAttempts > 0 && attempts > options.MaxAttempts {
+		if attempts++; options.MaxRetries > 0 && attempts > options.MaxRetries {
 			return fmt.Errorf("watch: too many connections without an event: %w", err)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(min(time.Duration(attempts)*options.RetryStep, options.RetryMax)):
+		case <-time.After(min(time.Duration(attempts)*options.RetryDelayStep, options.MaxRetryDelay)):
 		}
 	}
 }
--- a/internal/kube/apiclient/watch_test.go
+++ b/internal/kube/apiclient/watch_test.go
@@ -70,11 +70,11 @@
 // options are those of a watch with pauses that a test can wait for.
 func options() apiclient.WatchOptions {
 	return apiclient.WatchOptions{
-		Path:        "/api/v1/pods",
-		Query:       url.Values{"labelSelector": {"x=y"}},
-		MaxAttempts: 3,
-		RetryStep:   time.Millisecond,
-		RetryMax:    2 * time.Millisecond,
+		Path:           "/api/v1/pods",
+		Query:          url.Values{"labelSelector": {"x=y"}},
+		MaxRetries:     3,
+		RetryDelayStep: time.Millisecond,
+		MaxRetryDelay:  2 * time.Millisecond,
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	err := client.Watch(t.Context(), options, func(apiclient.Event) error { return nil })
 	checkWatch(t, err, "watch: too many connections without an event: no list")
-	if want := options.MaxAttempts + 1; lists != want {
+	if want := options.MaxRetries + 1; lists != want {
 		t.Errorf("%d lists, want %d", lists, want)
 	}
 }
@@ -236,8 +236,8 @@
 
 func (b openBody) Close() error { return nil }
 
-// TestWatchTimeouts checks that a connection is ended after its timeout and the watch resumes at once, until its context is done.
-func TestWatchTimeouts(t *testing.T) {
+// TestWatchConnectionTimeout checks that a connection is ended after its timeout and the watch resumes at once, until its context is done.
+func TestWatchConnectionTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var revisions []string
@@ -249,7 +249,7 @@
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		options := options()
-		options.MaxAttempts = 1
+		options.MaxRetries = 1
 		options.ConnectionTimeout = time.Second
 		timeouts := 0
 		options.OnConnectionTimeout = func() {
@@ -266,8 +266,8 @@
 	})
 }
 
-// TestWatchPauses checks the pauses between connections that fail: they grow by a step, up to a limit.
-func TestWatchPauses(t *testing.T) {
+// TestWatchRetryDelays checks the pauses between connections that fail: they grow by a step, up to a limit.
+func TestWatchRetryDelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		var times []time.Duration
@@ -276,7 +276,7 @@
 			return nil, errors.New("unreachable")
 		})
 		options := options()
-		options.MaxAttempts, options.RetryStep, options.RetryMax = 4, 200*time.Millisecond, 500*time.Millisecond
+		options.MaxRetries, options.RetryDelayStep, options.MaxRetryDelay = 4, 200*time.Millisecond, 500*time.Millisecond
 		err := client.Watch(t.Context(), options, func(apiclient.Event) error { return nil })
 		if err == nil || !strings.HasPrefix(err.Error(), "watch: too many connections without an event: ") {
 			t.Errorf("error %v", err)
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -53,11 +53,11 @@
 
 // Reflector follows one collection. Set the exported fields, then call Start. Callbacks run on the loop.
 type Reflector struct {
-	Loop   *eventloop.Loop
-	Client *httpc.Client
-	Path   string // such as /api/v1/nodes
-	Labels string // label selector
-	Rand   *rand.Rand
+	Loop          *eventloop.Loop
+	Client        *httpc.Client
+	Path          string // such as /api/v1/nodes
+	LabelSelector string // label selector
+	Rand          *rand.Rand
 	// MinBackoff and MaxBackoff bound the delay before a list or watch that has failed is made again. It doubles with each failure.
 	MinBackoff, MaxBackoff time.Duration
 	// ListTimeout bounds a list; 0 is no bound.
@@ -121,8 +121,8 @@
 }
 
 func (r *Reflector) requestTarget(query url.Values) string {
-	if r.Labels != "" {
-		query.Set("labelSelector", r.Labels)
+	if r.LabelSelector != "" {
+		query.Set("labelSelector", r.LabelSelector)
 	}
 	return r.Path + "?" + query.Encode()
 }
--- a/internal/kube/reflector/reflector_test.go
+++ b/internal/kube/reflector/reflector_test.go
@@ -251,7 +251,7 @@
 }
 
 // Events may come in pieces of any size.
-func TestPieces(t *testing.T) {
+func TestEventsSplitAcrossReads(t *testing.T) {
 	stream := frame(t, "ADDED", "a", "6") + frame(t, "MODIFIED", "b", "7") + frame(t, "DELETED", "c", "8")
 	lines := jsonEvent("ADDED", "a", "6") + jsonEvent("MODIFIED", "b", "7") + jsonEvent("DELETED", "c", "8")
 	want := []string{"ADDED a", "MODIFIED b", "DELETED c"}
--- a/internal/kube/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -34,7 +34,7 @@
 
 // 4,000 watches that are never read beside a Job of 1,000 tasks stay within the memory quota of connections, and the memory
 // is free again when they are closed.
-func TestUnreadWatches(t *testing.T) {
+func TestUnreadWatchesStayWithinMemoryQuota(t *testing.T) {
 	cluster := startCluster(t, nil)
 	before := heapBytes()
 	cluster.openUnreadConnections(4000, "GET /api/v1/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -94,7 +94,7 @@
 }
 
 // Unknown methods get no series of their own.
-func TestSeriesAreBounded(t *testing.T) {
+func TestUnknownMethodsShareOneSeries(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for i := range 50 {
 		conn := cluster.connect(fmt.Sprintf("X%d / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", i))
--- a/internal/kube/scheduler/fault_test.go
+++ b/internal/kube/scheduler/fault_test.go
@@ -51,7 +51,7 @@
 
 // No node responds until the deadline: every task has one final outcome, and one that must not run twice is failed rather
 // than rejected.
-func TestDeadlineOnTimeout(t *testing.T) {
+func TestDeadlineWithoutResponses(t *testing.T) {
 	for class, want := range map[string]string{"web": wellknown.Rejected, "once": wellknown.Failed} {
 		t.Run(class, func(t *testing.T) {
 			cluster := startCluster(t, func(settings *config.Settings) {
@@ -120,7 +120,7 @@
 
 // The inventory is unreachable, then empty, then complete: running tasks go on, none that must not run twice is started again,
 // and new ones are placed afterwards.
-func TestInventoryDisconnectedAndEmpty(t *testing.T) {
+func TestUnreachableAndEmptyInventory(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.NodeLossTimeout = 0.5 })
 	cluster.submitJob(longJob("a", "once", 8, 3))
 	cluster.waitUntilRunning(8)
--- a/internal/kube/scheduler/metrics_test.go
+++ b/internal/kube/scheduler/metrics_test.go
@@ -170,7 +170,7 @@
 }
 
 // Beside the metrics of release 0.1 there are only those that replace them, and no present name is deprecated.
-func TestPresentMetricsReplaceFormerOnes(t *testing.T) {
+func TestOnlyFormerAndReplacementMetricsAreExported(t *testing.T) {
 	exposed := parseExposition(t, string(newIdleScheduler(t).metrics.exposition()))
 	want := map[string]bool{}
 	for former, present := range metricsOfRelease01 {
--- a/internal/kube/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -40,7 +40,7 @@
 		Client:           node.client,
 		Path:             "/api/v1/pods",
 		Rand:             s.random,
-		Labels:           wellknown.Scheduler + "=" + s.options.Engine.Name,
+		LabelSelector:    wellknown.Scheduler + "=" + s.options.Engine.Name,
 		MinBackoff:       podWatchMinBackoff,
 		MaxBackoff:       podWatchMaxBackoff,
 		ListTimeout:      podListTimeout,
--- a/internal/kube/scheduler/requests_test.go
+++ b/internal/kube/scheduler/requests_test.go
@@ -76,7 +76,7 @@
 }
 
 // Ten thousand requests in one pipeline get their responses in order; half-open connections delay nobody.
-func TestPipelineAndHalfOpen(t *testing.T) {
+func TestPipelinedRequestsAndHalfOpenConnections(t *testing.T) {
 	cluster := startCluster(t, nil)
 	var silent []net.Conn
 	for range 50 {
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 	ConnectTimeout   time.Duration // of connections to nodes
 	WatchIdleTimeout time.Duration // after which a watch that brings nothing is replaced by a new one; 0 never
 	NodeSyncTimeout  time.Duration // that the nodes found at the start have to list their tasks before others are accepted
-	MaxListItems     int           // of a page of a list whose request gives no limit
+	DefaultListLimit int           // of a page of a list whose request gives no limit
 	Log              zerolog.Logger
 }
 
@@ -97,7 +97,7 @@
 		Engine:           core,
 		Version:          options.Version,
 		Ready:            s.readinessError,
-		DefaultListLimit: options.MaxListItems,
+		DefaultListLimit: options.DefaultListLimit,
 	}
 	s.metrics = newMetrics(s)
 	s.apiServer.Metrics = s.metrics.exposition
--- a/internal/kube/scheduler/watch_test.go
+++ b/internal/kube/scheduler/watch_test.go
@@ -20,7 +20,7 @@
 
 // A watch that is cut in the middle of an event resumes after its last complete one; from a revision that is no longer kept
 // it is rejected.
-func TestWatchDisconnectedAndResumed(t *testing.T) {
+func TestWatchResumesAfterDisconnect(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.History = 60 })
 	first := cluster.revision()
 	cluster.submitJob(sized(longJob("a", "batch", 10, 3), 0.1))
--- a/internal/lab/faultinjection/hostile.go
+++ b/internal/lab/faultinjection/hostile.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return
 	}
-	apiclient.Discard(response)
+	apiclient.DiscardResponse(response)
 	r.observer.update(func(f *Figures) {
 		f.Hostile.ExpensiveRequests++
 		switch {
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -122,7 +122,7 @@
 func (r *runner) waitReady(ctx context.Context, name string) error {
 	for range readyPolls {
 		if response, err := r.apiOf(name).Send(ctx, &apiclient.Request{Method: http.MethodGet, Path: readyPath}); err == nil {
-			apiclient.Discard(response)
+			apiclient.DiscardResponse(response)
 			if response.StatusCode == http.StatusOK {
 				return nil
 			}
--- a/internal/lab/faultinjection/watch.go
+++ b/internal/lab/faultinjection/watch.go
@@ -28,8 +28,8 @@
 	_ = api.Watch(ctx, apiclient.WatchOptions{
 		Path:                apiclient.PodsPath(""),
 		List:                func(ctx context.Context) (string, error) { return r.list(ctx, api, scheduler) },
-		RetryStep:           watchRetryInterval,
-		RetryMax:            watchRetryInterval,
+		RetryDelayStep:      watchRetryInterval,
+		MaxRetryDelay:       watchRetryInterval,
 		ConnectionTimeout:   r.options.WatchDropInterval,
 		OnConnectionTimeout: func() { r.observer.update(func(f *Figures) { f.WatchesDropped++ }) },
 	}, func(event apiclient.Event) error {
