--- a/internal/kube/apiclient/client.go
+++ b/internal/kube/apiclient/client.go
@@ -1,8 +1,9 @@
-// Package apiclient is a client of the scheduler's Kubernetes API over HTTP, with JSON objects: it sends requests, reads lists page by page,
-// and resumes watches after their connections break. An answer that is not a success is a StatusError. The commands use it, and package
-// faultinjection; a scheduler reads its inventory with package reflector instead.
+// Package apiclient is a client for the scheduler's Kubernetes API. It exchanges JSON objects over HTTP,
+// reads lists page by page, and resumes watches after their connections break. It returns a *StatusError
+// for every response whose status is not 2xx. The commands of cmd/heathshed and package faultinjection use
+// apiclient. The scheduler itself uses package reflector to read its inventory.
 //
-// Begin reading at Client.Do (client.go), Client.ListPages (list.go) and Client.Watch (watch.go).
+// The main entry points are Client.Do (client.go), Client.ListPages (list.go) and Client.Watch (watch.go).
 package apiclient
 
 import (
@@ -18,11 +19,11 @@
 )
 
 const (
-	maxStatusBytes  = 1 << 20 // of an answer that reports an error
-	maxDiscardBytes = 1 << 20 // of an answer that is discarded
+	maxStatusBytes  = 1 << 20 // largest part of an error response that is read
+	maxDiscardBytes = 1 << 20 // largest part of a discarded response that is read
 )
 
-// The content types of bodies.
+// Content types of request bodies.
 const (
 	JSON                = "application/json"
 	JSONPatch           = string(types.JSONPatchType)
@@ -30,26 +31,27 @@
 	StrategicMergePatch = string(types.StrategicMergePatchType)
 )
 
-// Client sends requests to one server. It is safe for concurrent use.
+// Client sends requests to a single server. It is safe for concurrent use.
 type Client struct {
-	baseURL string
-	http    *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// New returns a client of the server at the given URL.
+// New returns a Client that sends requests to baseURL with httpClient.
 func New(baseURL string, httpClient *http.Client) *Client {
-	return &Client{baseURL: strings.TrimSuffix(baseURL, "/"), http: httpClient}
+	return &Client{baseURL: strings.TrimSuffix(baseURL, "/"), httpClient: httpClient}
 }
 
-// Request is a request to a server.
+// Request is an HTTP request to the API.
 type Request struct {
 	Method      string
-	Path        string // with the query, if there is one
-	ContentType string // of Body; "" for none
+	Path        string // path and optional query, relative to the base URL
+	ContentType string // content type of Body; if "", no Content-Type header is sent
 	Body        []byte
 }
 
-// Send sends a request and returns the answer, whatever its status. The caller must close its body.
+// Send sends a request and returns the response regardless of its status. The caller must close the
+// response body.
 func (c *Client) Send(ctx context.Context, request *Request) (*http.Response, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, c.baseURL+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -58,13 +60,13 @@
 	if request.ContentType != "" {
 		httpRequest.Header.Set("Content-Type", request.ContentType)
 	}
-	return c.http.Do(httpRequest)
+	return c.httpClient.Do(httpRequest)
 }
 
-// Do sends a request and decodes the answer into out, or discards it if out is nil. The error is a *StatusError if the server answered that
-// the request did not succeed.
+// Do sends a request and decodes the JSON response into out. If out is nil, Do discards the response. Do
+// returns a *StatusError if the status of the response is not 2xx.
 func (c *Client) Do(ctx context.Context, request *Request, out any) error {
-	response, err := c.open(ctx, request)
+	response, err := c.sendExpectingSuccess(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -79,8 +81,9 @@
 	return nil
 }
 
-// open sends a request and returns a successful answer, whose body the caller must close.
-func (c *Client) open(ctx context.Context, request *Request) (*http.Response, error) {
+// sendExpectingSuccess sends a request and returns the response if its status is 2xx, and a *StatusError
+// otherwise. The caller must close the body of a returned response.
+func (c *Client) sendExpectingSuccess(ctx context.Context, request *Request) (*http.Response, error) {
 	response, err := c.Send(ctx, request)
 	if err != nil {
 		return nil, err
@@ -92,36 +95,40 @@
 	return nil, newStatusError(request, response)
 }
 
-// Get reads an object or a list.
+// Get reads the object or list at path and decodes it into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	return c.Do(ctx, &Request{Method: http.MethodGet, Path: path}, out)
 }
 
-// Create posts an object, as JSON, to a collection. The created object is decoded into out, which may be nil.
+// Create posts an object, encoded as JSON, to the collection at path. It decodes the created object into
+// out, which may be nil.
 func (c *Client) Create(ctx context.Context, path string, object []byte, out any) error {
 	return c.Do(ctx, &Request{Method: http.MethodPost, Path: path, ContentType: JSON, Body: object}, out)
 }
 
-// Patch changes an object by a JSON merge patch. The changed object is decoded into out, which may be nil.
+// Patch applies a JSON merge patch to the object at path. It decodes the changed object into out, which may
+// be nil.
 func (c *Client) Patch(ctx context.Context, path string, patch []byte, out any) error {
 	return c.Do(ctx, &Request{Method: http.MethodPatch, Path: path, ContentType: MergePatch, Body: patch}, out)
 }
 
-// Delete deletes an object.
+// Delete deletes the object at path.
 func (c *Client) Delete(ctx context.Context, path string) error {
 	return c.Do(ctx, &Request{Method: http.MethodDelete, Path: path, ContentType: JSON}, nil)
 }
 
-// SetUnschedulable drains a node, or cancels its drain. The changed Node is decoded into out, which may be nil.
+// SetUnschedulable sets spec.unschedulable of a Node: true drains the node, false cancels the drain. It
+// decodes the changed Node into out, which may be nil.
 func (c *Client) SetUnschedulable(ctx context.Context, node string, unschedulable bool, out any) error {
 	return c.Patch(ctx, NodePath(node), fmt.Appendf(nil, `{"spec":{"unschedulable":%v}}`, unschedulable), out)
 }
 
-// DiscardResponse reads an answer to its end and closes it, so that its connection can be reused. Errors are ignored: the connection is closed then.
+// DiscardResponse reads the rest of a response, up to maxDiscardBytes, and closes its body, so that the
+// connection can be reused. It ignores errors, because a connection that failed is closed and not reused.
 func DiscardResponse(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
 	closeBody(response)
 }
 
-// closeBody closes the body of an answer. Its error is ignored, since nothing more is read.
+// closeBody closes the body of a response. It ignores the error, because nothing more is read from the body.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
--- a/internal/kube/apiclient/errors.go
+++ b/internal/kube/apiclient/errors.go
@@ -9,18 +9,18 @@
 	metav1 "k8s.io/apimachinery/pkg/apis/meta/v1"
 )
 
-// StatusError is an answer that is not a success.
+// StatusError reports a response whose HTTP status is not 2xx.
 type StatusError struct {
-	Method, Path string
-	Code         int    // HTTP status
-	Message      string // of the Status object in the answer; "" if it has none
+	Method, Path string // method and path of the request
+	Code         int    // HTTP status code of the response
+	Message      string // message of the Status object in the response; "" if there is none
 }
 
 func newStatusError(request *Request, response *http.Response) *StatusError {
 	err := &StatusError{Method: request.Method, Path: request.Path, Code: response.StatusCode}
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes)) // a partial text is tried, too
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes)) // a truncated body is decoded, too
 	var status metav1.Status
-	if json.Unmarshal(text, &status) == nil {
+	if json.Unmarshal(body, &status) == nil {
 		err.Message = status.Message
 	}
 	return err
@@ -33,17 +33,19 @@
 	return fmt.Sprintf("%s %s: status %d", err.Method, err.Path, err.Code)
 }
 
-// Temporary reports whether the request may succeed if it is retried later.
+// Temporary reports whether the same request may succeed later: the status is 429 (Too Many Requests) or
+// 503 (Service Unavailable).
 func (err *StatusError) Temporary() bool {
 	return err.Code == http.StatusTooManyRequests || err.Code == http.StatusServiceUnavailable
 }
 
-// Conflict reports whether the object to be created exists already, or the object to be changed has changed since it was read.
+// Conflict reports whether the status is 409 (Conflict): the object to be created already exists, or the
+// object to be updated has changed since it was read.
 func (err *StatusError) Conflict() bool { return err.Code == http.StatusConflict }
 
-// WatchError is an error that the server reports inside a watch.
+// WatchError is an error that the server reports by an ERROR event of a watch.
 type WatchError struct {
-	Code    int // as an HTTP status
+	Code    int // HTTP status code of the error
 	Message string
 }
 
--- a/internal/kube/apiclient/list.go
+++ b/internal/kube/apiclient/list.go
@@ -13,12 +13,13 @@
 
 // Page is one page of a list.
 type Page struct {
-	Kind     string            `json:"kind"` // of the list
+	Kind     string            `json:"kind"` // kind of the list, such as PodList
 	Metadata metav1.ListMeta   `json:"metadata"`
 	Items    []json.RawMessage `json:"items"`
 }
 
-// ListPages returns an iterator over the pages of a collection, with up to limit objects each. It ends after the first error.
+// ListPages returns an iterator over the pages of the collection at path. The query selects objects, and
+// each page has at most limit objects. The iteration ends after the first error.
 func (c *Client) ListPages(ctx context.Context, path string, query url.Values, limit int) iter.Seq2[*Page, error] {
 	return func(yield func(*Page, error) bool) {
 		pageQuery := url.Values{}
--- a/internal/kube/apiclient/path.go
+++ b/internal/kube/apiclient/path.go
@@ -2,27 +2,30 @@
 
 import "net/url"
 
-// JobsPath is the path of the Jobs of a namespace, or of all if it is "".
-func JobsPath(namespace string) string { return "/apis/batch/v1" + inNamespace(namespace) + "/jobs" }
+// JobsPath returns the path of the Jobs in a namespace, or of all Jobs if namespace is "".
+func JobsPath(namespace string) string {
+	return "/apis/batch/v1" + namespaceSegment(namespace) + "/jobs"
+}
 
-// PodsPath is the path of the Pods of a namespace, or of all if it is "".
-func PodsPath(namespace string) string { return "/api/v1" + inNamespace(namespace) + "/pods" }
+// PodsPath returns the path of the Pods in a namespace, or of all Pods if namespace is "".
+func PodsPath(namespace string) string { return "/api/v1" + namespaceSegment(namespace) + "/pods" }
 
-// NodesPath is the path of the Nodes.
+// NodesPath is the path of the collection of Nodes.
 const NodesPath = "/api/v1/nodes"
 
-// NodePath is the path of a Node.
+// NodePath returns the path of the Node with the given name.
 func NodePath(name string) string { return ObjectPath(NodesPath, name) }
 
-// ObjectPath is the path of an object in a collection.
+// ObjectPath returns the path of the object with the given name in the collection at the given path.
 func ObjectPath(collection, name string) string { return collection + "/" + url.PathEscape(name) }
 
-// EvictionPath is the path at which the eviction of a Pod is created.
+// EvictionPath returns the path to which an Eviction of a Pod is posted.
 func EvictionPath(namespace, pod string) string {
 	return ObjectPath(PodsPath(namespace), pod) + "/eviction"
 }
 
-func inNamespace(namespace string) string {
+// namespaceSegment returns the part of a path that selects a namespace, or "" for all namespaces.
+func namespaceSegment(namespace string) string {
 	if namespace == "" {
 		return ""
 	}
--- a/internal/kube/apiclient/watch.go
+++ b/internal/kube/apiclient/watch.go
@@ -17,102 +17,112 @@
 
 const maxWatchEventBytes = 8 << 20
 
-// Event is a change of an object, or an object that existed when the watch began.
+// Event reports that an object was added, modified or deleted. A watch without WatchOptions.List begins
+// with an event for each object that already exists.
 type Event struct {
 	Type   watch.EventType
 	Object json.RawMessage
 }
 
-// EventHandler handles an event of a watch. If it returns ErrStopWatch, the watch ends; after another error the watch reconnects and receives the
-// event again.
+// EventHandler handles an event of a watch. ErrStopWatch ends the watch. After any other error, the watch
+// reconnects and receives the same event again.
 type EventHandler func(Event) error
 
 // ErrStopWatch is returned by an EventHandler to end the watch.
-var ErrStopWatch = errors.New("the watch is to end")
+var ErrStopWatch = errors.New("watch stopped by its event handler")
 
-// errDisconnected reports that the connection of a watch broke.
-var errDisconnected = errors.New("the connection has ended")
+// errDisconnected reports that a watch connection has ended, or that it delivered a truncated event.
+var errDisconnected = errors.New("watch connection ended")
 
-// errTimeout reports that a connection was ended after ConnectionTimeout.
-var errTimeout = errors.New("the connection timeout has passed")
+// errConnectionTimeout reports that a watch connection was closed after WatchOptions.ConnectionTimeout.
+var errConnectionTimeout = errors.New("watch connection timed out")
 
-// WatchOptions configure what is watched, and how the watch resumes after a connection has ended. It resumes from the last revision that it
-// received.
+// WatchOptions configures which collection is watched, and how the watch reconnects. A new connection
+// resumes from the last revision that the watch received.
 type WatchOptions struct {
-	Path  string     // of the collection
-	Query url.Values // selectors of objects
+	Path  string     // path of the collection
+	Query url.Values // label and field selectors
 
-	// List, if set, reads the collection and returns its revision, from which the watch starts. It is called at the beginning, and again when
-	// the server reports an error inside the watch, or that it does not have the revision (status 410 or 504).
+	// List, if set, reads the collection and returns its revision, from which the watch starts. Watch calls
+	// List at the start, after an ERROR event, and after a response with status 410 or 504, which means
+	// that the server does not have the revision to resume from.
 	//
-	// Without List the watch begins with the objects that exist. It starts over if the server reports inside the watch that the revision has
-	// expired, and ends with a *WatchError if the server reports another error there.
+	// Without List, the watch begins with an event for each existing object. It starts over after an ERROR
+	// event with code 410 (the revision has expired), and ends with a *WatchError after any other ERROR
+	// event.
 	List func(context.Context) (revision string, err error)
 
-	// MaxRetries is the largest number of consecutive connections without an event. The watch fails with one more. 0 is no limit.
+	// MaxRetries is the maximum number of consecutive retries, after failed connections or failed calls of
+	// List, that deliver no event. The watch returns an error if the last of these retries fails, too. 0
+	// means no limit.
 	MaxRetries int
-	// RetryDelayStep is the delay after the first failed connection. The delay grows by RetryDelayStep with each further one, up to MaxRetryDelay.
+	// RetryDelayStep is the delay after the first failed connection. The delay grows by RetryDelayStep with
+	// each further consecutive failure, up to MaxRetryDelay.
 	RetryDelayStep, MaxRetryDelay time.Duration
 
-	// ConnectionTimeout, if above 0, ends each connection after that time. The next one follows without a delay.
+	// ConnectionTimeout, if positive, limits the duration of each connection. The watch then reconnects
+	// without delay.
 	ConnectionTimeout time.Duration
-	// OnConnectionTimeout, if set, is called when ConnectionTimeout has ended a connection.
+	// OnConnectionTimeout, if set, is called each time that ConnectionTimeout ends a connection.
 	OnConnectionTimeout func()
 }
 
-// Watch watches a collection until handle ends the watch or the context is done, and then returns nil. It reconnects after broken connections.
-// Bookmarks are not passed to handle.
+// Watch watches a collection and passes each event other than a bookmark to handle. It reconnects when a
+// connection breaks. It returns nil when handle returns ErrStopWatch or when ctx is done.
 func (c *Client) Watch(ctx context.Context, options WatchOptions, handle EventHandler) error {
 	w := watcher{client: c, options: options, handle: handle}
-	for attempts := 0; ; {
-		err := w.connect(ctx)
-		var failed *WatchError
-		if errors.As(err, &failed) && !w.expired(err) {
-			return failed
+	for failures := 0; ; {
+		err := w.runConnection(ctx)
+		var watchError *WatchError
+		if errors.As(err, &watchError) && !w.cannotResume(err) {
+			return watchError
 		}
 		if errors.Is(err, ErrStopWatch) || ctx.Err() != nil {
 			return nil
 		}
-		if errors.Is(err, errTimeout) {
+		if errors.Is(err, errConnectionTimeout) {
 			continue
 		}
-		if w.received {
-			attempts = 0
+		if w.receivedEvent {
+			failures = 0
 		}
-		if attempts++; options.MaxRetries > 0 && attempts > options.MaxRetries {
+		if failures++; options.MaxRetries > 0 && failures > options.MaxRetries {
 			return fmt.Errorf("watch: too many connections without an event: %w", err)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(min(time.Duration(attempts)*options.RetryDelayStep, options.MaxRetryDelay)):
+		case <-time.After(min(time.Duration(failures)*options.RetryDelayStep, options.MaxRetryDelay)):
 		}
 	}
 }
 
-// watcher is the state of one watch over its consecutive connections.
+// watcher is the state of a watch across its consecutive connections.
 type watcher struct {
-	client   *Client
-	options  WatchOptions
-	handle   EventHandler
-	revision string // to resume from; "" to start over
-	received bool   // an event was received on the present connection
+	client        *Client
+	options       WatchOptions
+	handle        EventHandler
+	revision      string // revision to resume from; "" to start over
+	receivedEvent bool   // whether the current connection has delivered an event or a bookmark
 }
 
-// expired reports whether an error means that the watch cannot be resumed from its revision.
-func (w *watcher) expired(err error) bool {
-	var failed *WatchError
-	if errors.As(err, &failed) {
-		return w.options.List != nil || failed.Code == http.StatusGone
+// cannotResume reports whether err means that the watch cannot be resumed from its revision and must start
+// over.
+func (w *watcher) cannotResume(err error) bool {
+	var watchError *WatchError
+	if errors.As(err, &watchError) {
+		return w.options.List != nil || watchError.Code == http.StatusGone
 	}
-	var status *StatusError
-	return w.options.List != nil && errors.As(err, &status) &&
-		(status.Code == http.StatusGone || status.Code == http.StatusGatewayTimeout)
+	var statusError *StatusError
+	return w.options.List != nil && errors.As(err, &statusError) &&
+		(statusError.Code == http.StatusGone || statusError.Code == http.StatusGatewayTimeout)
 }
 
-// connect reads one connection to its end, after a list if there is no revision to resume from. It always returns an error.
-func (w *watcher) connect(ctx context.Context) error {
-	w.received = false
+// runConnection opens one connection and handles its events until the connection ends. It first lists the
+// collection if List is set and there is no revision to resume from. It always returns an error that says
+// why it ended.
+func (w *watcher) runConnection(ctx context.Context) error {
+	w.receivedEvent = false
 	if w.revision == "" && w.options.List != nil {
 		revision, err := w.options.List(ctx)
 		if err != nil {
@@ -120,37 +130,39 @@
 		}
 		w.revision = revision
 	}
-	timed, cancel := w.withTimeout(ctx)
+	connectionCtx, cancel := w.connectionContext(ctx)
 	defer cancel()
-	err := w.read(timed)
-	if w.expired(err) {
+	err := w.readEvents(connectionCtx)
+	if w.cannotResume(err) {
 		w.revision = ""
 	}
-	if errors.Is(context.Cause(timed), errTimeout) {
+	if errors.Is(context.Cause(connectionCtx), errConnectionTimeout) {
 		if w.options.OnConnectionTimeout != nil {
 			w.options.OnConnectionTimeout()
 		}
-		return errTimeout
+		return errConnectionTimeout
 	}
 	return err
 }
 
-// withTimeout returns the context of one connection.
-func (w *watcher) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+// connectionContext returns the context for one connection, which ends after ConnectionTimeout if that is
+// set.
+func (w *watcher) connectionContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if w.options.ConnectionTimeout <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeoutCause(ctx, w.options.ConnectionTimeout, errTimeout)
+	return context.WithTimeoutCause(ctx, w.options.ConnectionTimeout, errConnectionTimeout)
 }
 
-// read reads one connection to its end.
-func (w *watcher) read(ctx context.Context) error {
+// readEvents sends the request for a watch and handles the events in the response until it ends. It always
+// returns an error.
+func (w *watcher) readEvents(ctx context.Context) error {
 	query := url.Values{}
 	maps.Copy(query, w.options.Query)
 	query.Set("watch", "true")
 	query.Set("allowWatchBookmarks", "true")
 	query.Set("resourceVersion", w.revision)
-	response, err := w.client.open(ctx, &Request{Method: http.MethodGet, Path: w.options.Path + "?" + query.Encode()})
+	response, err := w.client.sendExpectingSuccess(ctx, &Request{Method: http.MethodGet, Path: w.options.Path + "?" + query.Encode()})
 	if err != nil {
 		return err
 	}
@@ -165,7 +177,8 @@
 	return errDisconnected
 }
 
-// handleLine handles one line of a connection, which is an event. A truncated line ends the connection: its event is received again on the next.
+// handleLine decodes and handles an event, which is a line of the response. If the line cannot be decoded,
+// as when it is truncated, it returns errDisconnected, and the next connection receives the event again.
 func (w *watcher) handleLine(line []byte) error {
 	var event struct {
 		Type   watch.EventType `json:"type"`
@@ -176,7 +189,7 @@
 	}
 	if event.Type == watch.Error {
 		var status metav1.Status
-		_ = json.Unmarshal(event.Object, &status) // the fields that could be decoded describe the error
+		_ = json.Unmarshal(event.Object, &status) // on an error, status has the fields decoded so far
 		return &WatchError{Code: int(status.Code), Message: status.Message}
 	}
 	var object struct {
@@ -187,7 +200,7 @@
 	if json.Unmarshal(event.Object, &object) != nil {
 		return errDisconnected
 	}
-	w.received = true
+	w.receivedEvent = true
 	if event.Type != watch.Bookmark {
 		if err := w.handle(Event{Type: event.Type, Object: event.Object}); err != nil {
 			return err
