--- a/internal/kube/reflector/event.go
+++ b/internal/kube/reflector/event.go
@@ -14,9 +14,9 @@
 	"heathshed/internal/netio/http1"
 )
 
-const maxEventSize = 8 << 20 // bytes of one event of a watch
+const maxEventSize = 8 << 20 // maximum size of a watch event, in bytes
 
-// Types of the events of a watch.
+// Types of watch events.
 const (
 	eventAdded    = "ADDED"
 	eventModified = "MODIFIED"
@@ -25,16 +25,16 @@
 	eventError    = "ERROR"
 )
 
-var errEventTooLarge = errors.New("event over the limit")
+var errEventTooLarge = errors.New("watch event exceeds the size limit")
 
-// Object is an object as it was received: JSON or, from a watch, the binary encoding. It is valid until the callback
-// returns.
+// Object is an API object in its encoded form. It is valid until the callback that receives it returns.
 type Object struct {
 	Raw      []byte
-	Protobuf bool
+	Protobuf bool // whether Raw is Protocol Buffers rather than JSON; only events of a watch can be
 }
 
-// Decode decodes the object, within the limits of package decodelimit.
+// Decode decodes the object into the given Kubernetes type. It returns an error if the object exceeds the
+// limits of package decodelimit.
 func (o Object) Decode(into interface{ Unmarshal([]byte) error }) error {
 	if o.Protobuf {
 		if err := decodelimit.CheckProto(o.Raw, decodelimit.ObjectLimits()); err != nil {
@@ -48,7 +48,8 @@
 	return json.Unmarshal(o.Raw, into)
 }
 
-// decodeStream splits what a watch brings into events: lines of JSON, or frames.
+// decodeStream splits received bytes of a watch into events and handles them. An event is a line of JSON or a
+// Protocol Buffers frame, depending on the content type of the response.
 func (r *Reflector) decodeStream(b []byte) {
 	if r.protobuf {
 		r.decodeFrames(b)
@@ -58,32 +59,33 @@
 	for len(b) > 0 && r.watchErr == nil {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			r.partial = append(r.partial, b...)
-			if len(r.partial) > maxEventSize {
+			r.incompleteEvent = append(r.incompleteEvent, b...)
+			if len(r.incompleteEvent) > maxEventSize {
 				r.abortWatch(errEventTooLarge)
 			}
 			return
 		}
 		line := b[:i]
-		if len(r.partial) > 0 {
-			line = append(r.partial, line...)
-			r.partial = nil
+		if len(r.incompleteEvent) > 0 {
+			line = append(r.incompleteEvent, line...)
+			r.incompleteEvent = nil
 		}
 		b = b[i+1:]
 		r.handleJSONEvent(line)
-		if !r.isCurrent(call) {
+		if !r.isCurrentCall(call) {
 			return
 		}
 	}
 }
 
+// handleJSONEvent decodes and handles an event that was received as a line of JSON.
 func (r *Reflector) handleJSONEvent(line []byte) {
 	var event struct {
 		Type   string          `json:"type"`
 		Object json.RawMessage `json:"object"`
 	}
 	if err := json.Unmarshal(line, &event); err != nil {
-		r.abortWatch(fmt.Errorf("event: %w", err))
+		r.abortWatch(fmt.Errorf("decode event: %w", err))
 		return
 	}
 	if event.Type == eventError {
@@ -98,29 +100,30 @@
 		} `json:"metadata"`
 	}
 	if err := json.Unmarshal(event.Object, &object); err != nil {
-		r.abortWatch(fmt.Errorf("event object: %w", err))
+		r.abortWatch(fmt.Errorf("decode event object: %w", err))
 		return
 	}
 	r.handleEvent(event.Type, object.Metadata.ResourceVersion, Object{Raw: event.Object})
 }
 
-// handleErrorEvent handles the event that ends a watch; err says that its Status could not be decoded.
+// handleErrorEvent aborts the watch after an ERROR event. If the Status of the event says that the resource
+// version has expired, the reflector lists again. A non-nil err means that the Status could not be decoded.
 func (r *Reflector) handleErrorEvent(status *metav1.Status, err error) {
 	if err == nil && (status.Code == http1.StatusGone || status.Reason == metav1.StatusReasonExpired) {
 		r.resourceVersion = ""
 	}
-	r.abortWatch(fmt.Errorf("error event: %s", status.Message))
+	r.abortWatch(fmt.Errorf("server sent an ERROR event: %s", status.Message))
 }
 
-// handleEvent handles any other event.
-func (r *Reflector) handleEvent(kind, resourceVersion string, object Object) {
-	switch kind {
+// handleEvent handles an event other than ERROR.
+func (r *Reflector) handleEvent(eventType, resourceVersion string, object Object) {
+	switch eventType {
 	case eventAdded, eventModified, eventDeleted:
 		r.resourceVersion = resourceVersion
-		r.OnEvent(kind, object)
+		r.OnEvent(eventType, object)
 	case eventBookmark:
 		r.resourceVersion = resourceVersion
 	default:
-		r.abortWatch(fmt.Errorf("event type %q is not known", kind))
+		r.abortWatch(fmt.Errorf("unknown event type %q", eventType))
 	}
 }
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -1,7 +1,9 @@
 //go:build linux
 
-// Package reflector follows a collection of a Kubernetes-style API on the event loop: it lists, watches from the list's
-// resource version, resumes a watch that ends, and lists again when the server has no history from there.
+// Package reflector keeps a client up to date with a collection of a Kubernetes-style API, on an event
+// loop. A Reflector lists the collection and watches it from the resource version of the list. When the
+// watch ends, it resumes from the last resource version, and lists again if that version has expired on the
+// server.
 package reflector
 
 import (
@@ -28,12 +30,12 @@
 	protobufMediaType = "application/vnd.kubernetes.protobuf"
 )
 
-var errNoResourceVersion = errors.New("list without resourceVersion")
+var errNoResourceVersion = errors.New("list has no resourceVersion")
 
-// StatusError is a response of the server other than success.
+// StatusError reports a response whose HTTP status is not 200.
 type StatusError struct {
-	Code    int
-	Message string // of the Status object in the body; "" if there was none
+	Code    int    // HTTP status code
+	Message string // message of the Status object in the body; "" if there is none
 }
 
 func (e *StatusError) Error() string {
@@ -46,54 +48,58 @@
 func newStatusError(code int, body []byte) *StatusError {
 	var status metav1.Status
 	if json.Unmarshal(body, &status) != nil {
-		return &StatusError{Code: code} // the body need not be a Status object
+		return &StatusError{Code: code} // not every error response has a Status object as its body
 	}
 	return &StatusError{Code: code, Message: status.Message}
 }
 
-// Reflector follows one collection. Set the exported fields, then call Start. Callbacks run on the loop.
+// Reflector lists and watches one collection. Set the exported fields, then call Start. All callbacks run
+// on Loop.
 type Reflector struct {
 	Loop          *eventloop.Loop
 	Client        *httpc.Client
-	Path          string // such as /api/v1/nodes
-	LabelSelector string // label selector
-	Rand          *rand.Rand
-	// MinBackoff and MaxBackoff bound the delay before a list or watch that has failed is made again. It doubles with each failure.
+	Path          string     // path of the collection, such as /api/v1/nodes
+	LabelSelector string     // selects the objects that are listed and watched; "" selects all
+	Rand          *rand.Rand // source of the random part of retry delays
+	// MinBackoff and MaxBackoff are the bounds of the delay before a failed list or watch is retried. The
+	// delay doubles with each consecutive failure.
 	MinBackoff, MaxBackoff time.Duration
-	// ListTimeout bounds a list; 0 is no bound.
+	// ListTimeout limits the duration of a list. 0 means no limit.
 	ListTimeout time.Duration
-	// WatchIdleTimeout is how long a watch may bring no byte before it counts as broken; 0 is no bound.
+	// WatchIdleTimeout is the time after which a watch that has received no data is considered broken and is
+	// retried. 0 means no limit.
 	WatchIdleTimeout time.Duration
 
-	// OnList gets a complete list. head is that of the response.
+	// OnList is called with each complete list. head is the head of the response.
 	OnList func(head *http1.Head, resourceVersion string, items []Object)
-	// OnEvent gets a change of one object; kind is ADDED, MODIFIED or DELETED.
-	OnEvent func(kind string, object Object)
-	// OnError is called whenever a list or watch fails. It is retried without further ado.
+	// OnEvent is called with each change of an object. The event type is ADDED, MODIFIED or DELETED.
+	OnEvent func(eventType string, object Object)
+	// OnError is called when a list or watch has failed. The Reflector retries it by itself.
 	OnError func(err error)
-	// ListCount and ResumeCount count for metrics.
+	// ListCount is the number of list requests. ResumeCount is the number of watches that were resumed
+	// without a new list.
 	ListCount, ResumeCount uint64
 
 	backoff         retry.Backoff
-	resourceVersion string // to watch from; "" if a list is needed
-	call            *httpc.Call
+	resourceVersion string      // version to watch from; "" if a list is needed first
+	call            *httpc.Call // current list or watch; nil if there is none
 	retryTimer      *eventloop.Timer
 	idleTimer       *eventloop.Timer
 	stopped         bool
 
-	// Of the present watch.
-	partial  []byte // an event that is not complete
-	watchErr error  // why the watch was aborted
-	protobuf bool   // the events are frames of the binary encoding
+	// State of the current watch.
+	incompleteEvent []byte // received bytes of an event that is not complete yet
+	watchErr        error  // reason why the reflector aborted the watch; nil if it did not
+	protobuf        bool   // whether events are Protocol Buffers frames rather than lines of JSON
 }
 
-// Start begins with a list.
+// Start sends the first list request.
 func (r *Reflector) Start() {
 	r.backoff = retry.Backoff{Min: placer.SecondsOf(r.MinBackoff), Max: placer.SecondsOf(r.MaxBackoff)}
 	r.list()
 }
 
-// Stop ends the reflector; no callback follows.
+// Stop cancels the current list or watch. No callback is called afterwards.
 func (r *Reflector) Stop() {
 	if r.stopped {
 		return
@@ -106,7 +112,7 @@
 	}
 }
 
-// Relist drops the watch and lists again.
+// Relist cancels the current list or watch, and lists the collection again.
 func (r *Reflector) Relist() {
 	if r.stopped {
 		return
@@ -120,6 +126,7 @@
 	r.list()
 }
 
+// requestTarget returns the request target for a query on the collection, with the label selector added.
 func (r *Reflector) requestTarget(query url.Values) string {
 	if r.LabelSelector != "" {
 		query.Set("labelSelector", r.LabelSelector)
@@ -127,10 +134,11 @@
 	return r.Path + "?" + query.Encode()
 }
 
-// isCurrent reports whether a call is the one that the reflector waits for, rather than one that Relist or Stop has ended.
-func (r *Reflector) isCurrent(call *httpc.Call) bool { return !r.stopped && r.call == call }
+// isCurrentCall reports whether call is the current list or watch. It is false for a call that Relist or
+// Stop has cancelled.
+func (r *Reflector) isCurrentCall(call *httpc.Call) bool { return !r.stopped && r.call == call }
 
-// retryLater reports an error and lists or watches again after a backoff.
+// retryLater passes an error to OnError, and lists or resumes the watch after a backoff.
 func (r *Reflector) retryLater(err error) {
 	if r.stopped {
 		return
@@ -153,7 +161,7 @@
 	r.ListCount++
 	call := &httpc.Call{}
 	call.Done = func(head *http1.Head, body []byte, err error) {
-		if r.isCurrent(call) {
+		if r.isCurrentCall(call) {
 			r.call = nil
 			r.handleList(head, body, err)
 		}
@@ -201,7 +209,7 @@
 }
 
 func (r *Reflector) watch() {
-	r.partial = nil
+	r.incompleteEvent = nil
 	r.watchErr = nil
 	call := &httpc.Call{}
 	call.Started = func(head *http1.Head) {
@@ -209,7 +217,7 @@
 		r.restartIdleTimer(call)
 	}
 	call.Data = func(b []byte) {
-		if !r.isCurrent(call) {
+		if !r.isCurrentCall(call) {
 			return
 		}
 		r.restartIdleTimer(call)
@@ -218,7 +226,7 @@
 	}
 	call.Done = func(head *http1.Head, body []byte, err error) {
 		r.idleTimer.Stop()
-		if r.isCurrent(call) {
+		if r.isCurrentCall(call) {
 			r.call = nil
 			r.handleWatchEnd(head, body, err)
 		}
@@ -233,7 +241,7 @@
 	r.Client.Do("GET", r.requestTarget(query), accept, nil, 0, call)
 }
 
-// restartIdleTimer cancels the watch if it brings nothing from now on for too long.
+// restartIdleTimer restarts the timer that cancels the watch after WatchIdleTimeout without data.
 func (r *Reflector) restartIdleTimer(call *httpc.Call) {
 	r.idleTimer.Stop()
 	if r.WatchIdleTimeout > 0 {
@@ -241,7 +249,7 @@
 	}
 }
 
-// handleWatchEnd resumes a watch that the server has ended in order, and retries one that has failed.
+// handleWatchEnd resumes a watch at once if the server ended it regularly, and after a backoff if it failed.
 func (r *Reflector) handleWatchEnd(head *http1.Head, body []byte, err error) {
 	switch {
 	case r.watchErr != nil:
@@ -260,7 +268,8 @@
 	r.retryLater(fmt.Errorf("watch %s%s: %w", r.Client.Addr(), r.Path, err))
 }
 
-// abortWatch ends the present watch because of what it has brought.
+// abortWatch cancels the current watch because of an error in the data received. handleWatchEnd reports the
+// error.
 func (r *Reflector) abortWatch(err error) {
 	r.watchErr = err
 	r.call.Cancel()
--- a/internal/kube/reflector/reflector_test.go
+++ b/internal/kube/reflector/reflector_test.go
@@ -25,7 +25,7 @@
 
 const testTimeout = 10 * time.Second
 
-// response is one that the scripted server sends.
+// response is an HTTP response of a scriptedServer.
 type response struct {
 	status      int
 	contentType string
@@ -34,29 +34,30 @@
 
 const emptyList = `{"kind":"NodeList","metadata":{"resourceVersion":"5"},"items":[]}`
 
-// script is a server that sends given responses in turn, and holds every request after them.
-type script struct {
-	mu        sync.Mutex
-	scripted  int // responses at the start
-	responses []response
-	requests  []string      // what each request asked for: "list", or the revision that it watches from
-	exhausted chan struct{} // closed at the first request that there is no response for
-	hold      chan struct{}
+// scriptedServer is an HTTP handler that sends the given responses in order. It does not respond to further
+// requests until release is closed.
+type scriptedServer struct {
+	mu            sync.Mutex
+	responseCount int           // number of responses at the start
+	responses     []response    // responses that have not been sent yet
+	requests      []string      // "list" for each list request, the resource version for each watch request
+	exhausted     chan struct{} // closed at the first request for which no response is left
+	release       chan struct{} // closed when the test ends
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	asked := "list"
+	requested := "list"
 	if r.URL.Query().Get("watch") == "true" {
-		asked = r.URL.Query().Get("resourceVersion")
+		requested = r.URL.Query().Get("resourceVersion")
 	}
-	s.requests = append(s.requests, asked)
+	s.requests = append(s.requests, requested)
 	if len(s.responses) == 0 {
-		if len(s.requests) == s.scripted+1 {
+		if len(s.requests) == s.responseCount+1 {
 			close(s.exhausted)
 		}
 		s.mu.Unlock()
-		<-s.hold
+		<-s.release
 		return
 	}
 	next := s.responses[0]
@@ -64,20 +65,21 @@
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", next.contentType)
 	w.WriteHeader(next.status)
-	_, _ = w.Write([]byte(next.body)) // fails only when the reflector has ended the connection
+	_, _ = w.Write([]byte(next.body)) // fails only if the reflector has closed the connection
 }
 
-// recorder is what a reflector has called back.
+// recorder records the callbacks of a Reflector.
 type recorder struct {
-	calls  []string
-	errors []error
+	calls  []string // calls of OnList and OnEvent
+	errors []error  // arguments of OnError
 }
 
-// run has a reflector follow the scripted responses until it makes a request beyond them, and returns what it has done.
-func run(t *testing.T, responses []response) (requests []string, got recorder) {
+// runReflector runs a Reflector against a server with the given responses until it sends one request more. It
+// returns the requests that the server received and the callbacks of the Reflector.
+func runReflector(t *testing.T, responses []response) (requests []string, got recorder) {
 	t.Helper()
-	played := &script{responses: responses, scripted: len(responses), hold: make(chan struct{}), exhausted: make(chan struct{})}
-	server := httptest.NewServer(played)
+	handler := &scriptedServer{responses: responses, responseCount: len(responses), release: make(chan struct{}), exhausted: make(chan struct{})}
+	server := httptest.NewServer(handler)
 	loop := looptest.New(t)
 	stop := looptest.Run(t, loop)
 	loop.Post(func() {
@@ -89,21 +91,22 @@
 			MinBackoff: time.Millisecond,
 			MaxBackoff: 10 * time.Millisecond,
 		}
-		got.follow(reflector)
+		got.recordCallbacks(reflector)
 		reflector.Start()
 	})
 	select {
-	case <-played.exhausted:
+	case <-handler.exhausted:
 	case <-time.After(testTimeout):
-		t.Fatalf("fewer than %d requests", len(responses)+1)
+		t.Fatalf("the reflector sent fewer than %d requests", len(responses)+1)
 	}
 	stop()
-	close(played.hold)
+	close(handler.release)
 	server.Close()
-	return played.requests, got
+	return handler.requests, got
 }
 
-func (recorded *recorder) follow(reflector *Reflector) {
+// recordCallbacks sets the callbacks of a Reflector to functions that record their calls.
+func (recorded *recorder) recordCallbacks(reflector *Reflector) {
 	nameOf := func(object Object) string {
 		node := &corev1.Node{}
 		if err := object.Decode(node); err != nil {
@@ -118,17 +121,19 @@
 		}
 		recorded.calls = append(recorded.calls, call)
 	}
-	reflector.OnEvent = func(kind string, object Object) { recorded.calls = append(recorded.calls, kind+" "+nameOf(object)) }
+	reflector.OnEvent = func(eventType string, object Object) {
+		recorded.calls = append(recorded.calls, eventType+" "+nameOf(object))
+	}
 	reflector.OnError = func(err error) { recorded.errors = append(recorded.errors, err) }
 }
 
-// jsonEvent is one event of a watch in JSON.
-func jsonEvent(kind, name, resourceVersion string) string {
-	return fmt.Sprintf(`{"type":%q,"object":{"kind":"Node","apiVersion":"v1","metadata":{"name":%q,"resourceVersion":%q}}}`+"\n", kind, name, resourceVersion)
+// jsonEvent returns a watch event for a Node in JSON.
+func jsonEvent(eventType, name, resourceVersion string) string {
+	return fmt.Sprintf(`{"type":%q,"object":{"kind":"Node","apiVersion":"v1","metadata":{"name":%q,"resourceVersion":%q}}}`+"\n", eventType, name, resourceVersion)
 }
 
-// frame is one event of a watch in the binary encoding.
-func frame(t *testing.T, kind, name, resourceVersion string) string {
+// frame returns a watch event for a Node as a Protocol Buffers frame.
+func frame(t *testing.T, eventType, name, resourceVersion string) string {
 	t.Helper()
 	node := &corev1.Node{}
 	node.Name = name
@@ -142,12 +147,14 @@
 	extension := protowire.AppendTag(nil, rawExtensionRaw, protowire.BytesType)
 	extension = protowire.AppendBytes(extension, unknown)
 	event := protowire.AppendTag(nil, watchEventType, protowire.BytesType)
-	event = protowire.AppendString(event, kind)
+	event = protowire.AppendString(event, eventType)
 	event = protowire.AppendTag(event, watchEventObject, protowire.BytesType)
 	event = protowire.AppendBytes(event, extension)
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(event)))) + string(event)
 }
 
+// TestListAndWatch checks which requests a Reflector sends, and which callbacks it calls, for scripted
+// responses.
 func TestListAndWatch(t *testing.T) {
 	list := response{200, jsonMediaType, emptyList}
 	watch := func(events ...string) response { return response{200, jsonMediaType, strings.Join(events, "")} }
@@ -159,7 +166,7 @@
 		responses    []response
 		wantRequests []string
 		wantCalls    []string
-		wantErrors   []string // a part of each
+		wantErrors   []string // a substring of each error
 	}{
 		{
 			name:         "list with objects",
@@ -180,77 +187,79 @@
 			wantCalls:    []string{"list 5"},
 		},
 		{
-			name:         "binary encoding",
+			name:         "protobuf frames",
 			responses:    []response{list, frames(frame(t, "ADDED", "a", "6"), frame(t, "BOOKMARK", "", "7"), frame(t, "DELETED", "a", "8"))},
 			wantRequests: []string{"list", "5", "8"},
 			wantCalls:    []string{"list 5", "ADDED a", "DELETED a"},
 		},
 		{
-			name:         "history gone at the request",
+			name:         "expired resource version, status 410",
 			responses:    []response{list, {410, jsonMediaType, `{"kind":"Status","message":"too old"}`}, list},
 			wantRequests: []string{"list", "5", "list", "5"},
 			wantCalls:    []string{"list 5", "list 5"},
 			wantErrors:   []string{"status 410: too old"},
 		},
 		{
-			name:         "history gone within the watch",
+			name:         "expired resource version, error event",
 			responses:    []response{list, watch(`{"type":"ERROR","object":{"kind":"Status","code":410,"message":"too old"}}` + "\n"), list},
 			wantRequests: []string{"list", "5", "list", "5"},
 			wantCalls:    []string{"list 5", "list 5"},
-			wantErrors:   []string{"error event: too old"},
+			wantErrors:   []string{"server sent an ERROR event: too old"},
 		},
 		{
 			name:         "other error event",
 			responses:    []response{list, watch(`{"type":"ERROR","object":{"kind":"Status","code":500,"message":"trouble"}}` + "\n")},
 			wantRequests: []string{"list", "5", "5"},
 			wantCalls:    []string{"list 5"},
-			wantErrors:   []string{"error event: trouble"},
+			wantErrors:   []string{"server sent an ERROR event: trouble"},
 		},
 		{
 			name:         "failed list",
 			responses:    []response{{503, jsonMediaType, "busy"}, {200, jsonMediaType, "{}"}, {200, jsonMediaType, "{"}, list},
 			wantRequests: []string{"list", "list", "list", "list", "5"},
 			wantCalls:    []string{"list 5"},
-			wantErrors:   []string{"status 503", "list without resourceVersion", "unexpected end"},
+			wantErrors:   []string{"status 503", "list has no resourceVersion", "unexpected end"},
 		},
 		{
 			name:         "malformed events",
 			responses:    []response{list, watch("{\n"), watch(jsonEvent("RENAMED", "a", "6")), frames("\x00\x00\x00\x02ab"), frames(frame(t, "ADDED", "a", "")), frames("\xff\xff\xff\xff")},
 			wantRequests: []string{"list", "5", "5", "5", "5", "5", "5"},
 			wantCalls:    []string{"list 5"},
-			wantErrors:   []string{"event: ", `"RENAMED" is not known`, "frame of a watch cannot be read", "ADDED without resourceVersion", "frame over the limit"},
+			wantErrors:   []string{"decode event: ", `unknown event type "RENAMED"`, "malformed watch frame", "ADDED event has no resourceVersion", "watch frame exceeds the size limit"},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			requests, got := run(t, test.responses)
+			requests, got := runReflector(t, test.responses)
 			if !slices.Equal(requests, test.wantRequests) {
-				t.Errorf("requests %q, want %q", requests, test.wantRequests)
+				t.Errorf("the reflector sent the requests %q, want %q", requests, test.wantRequests)
 			}
 			if !slices.Equal(got.calls, test.wantCalls) {
-				t.Errorf("callbacks %q, want %q", got.calls, test.wantCalls)
+				t.Errorf("the reflector called the callbacks %q, want %q", got.calls, test.wantCalls)
 			}
 			if len(got.errors) != len(test.wantErrors) {
-				t.Fatalf("errors %q, want %q", got.errors, test.wantErrors)
+				t.Fatalf("the reflector reported the errors %q, want %q", got.errors, test.wantErrors)
 			}
 			for i, want := range test.wantErrors {
 				if !strings.Contains(got.errors[i].Error(), want) {
-					t.Errorf("error %q, want %q", got.errors[i], want)
+					t.Errorf("reported error is %q, want one that contains %q", got.errors[i], want)
 				}
 			}
 		})
 	}
 }
 
-// The status of a response that is not success can be read from the error.
+// TestStatusError checks that the error of a failed request contains the status code and the message of the
+// server.
 func TestStatusError(t *testing.T) {
-	_, got := run(t, []response{{403, jsonMediaType, `{"kind":"Status","message":"no"}`}})
+	_, got := runReflector(t, []response{{403, jsonMediaType, `{"kind":"Status","message":"no"}`}})
 	var statusError *StatusError
 	if len(got.errors) != 1 || !errors.As(got.errors[0], &statusError) || statusError.Code != 403 || statusError.Message != "no" {
-		t.Errorf("errors %v", got.errors)
+		t.Errorf("the reflector reported the errors %v, want one StatusError with code 403 and the message no", got.errors)
 	}
 }
 
-// Events may come in pieces of any size.
+// TestEventsSplitAcrossReads checks that the events of a watch are decoded correctly for every size of the
+// pieces in which the bytes arrive.
 func TestEventsSplitAcrossReads(t *testing.T) {
 	stream := frame(t, "ADDED", "a", "6") + frame(t, "MODIFIED", "b", "7") + frame(t, "DELETED", "c", "8")
 	lines := jsonEvent("ADDED", "a", "6") + jsonEvent("MODIFIED", "b", "7") + jsonEvent("DELETED", "c", "8")
@@ -262,12 +271,12 @@
 		for size := 1; size <= len(test.stream); size++ {
 			var got recorder
 			reflector := &Reflector{protobuf: test.protobuf}
-			got.follow(reflector)
+			got.recordCallbacks(reflector)
 			for piece := range slices.Chunk([]byte(test.stream), size) {
 				reflector.decodeStream(slices.Clone(piece))
 			}
 			if !slices.Equal(got.calls, want) || reflector.resourceVersion != "8" {
-				t.Fatalf("%s in pieces of %d: %q, at %s", test.name, size, got.calls, reflector.resourceVersion)
+				t.Fatalf("%s in pieces of %d bytes: events %q, last resource version %s", test.name, size, got.calls, reflector.resourceVersion)
 			}
 		}
 	}
