--- a/internal/kube/scheduler/attempt.go
+++ b/internal/kube/scheduler/attempt.go
@@ -25,7 +25,7 @@
 	defaultNamespace = "default"
 )
 
-// podPath is the path of a Pod, or of the Pods of a namespace.
+// podPath returns the path of a Pod, or of all Pods in the namespace if name is "".
 func podPath(namespace, name string) string {
 	path := "/api/v1/namespaces/" + url.PathEscape(namespace) + "/pods"
 	if name != "" {
@@ -34,7 +34,7 @@
 	return path
 }
 
-// attemptHeader is the header of a request about an attempt.
+// attemptHeader returns the header fields of a request that concerns the attempt with the given number.
 func attemptHeader(attempt int) []http1.Field {
 	return []http1.Field{
 		{Name: "Content-Type", Value: "application/json"},
@@ -42,7 +42,7 @@
 	}
 }
 
-// sendAttempt sends a task to a node and gives the engine its answer.
+// sendAttempt posts the Pod of a task to a node, and passes the node's answer to the engine.
 func (s *Scheduler) sendAttempt(effect *engine.Effect) {
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node}
 	node := s.nodes[effect.Node]
@@ -56,13 +56,13 @@
 	call := &httpc.Call{
 		AvoidUnknownOutcome: effect.AvoidUnknownOutcome,
 		Done: func(head *http1.Head, body []byte, err error) {
-			delete(s.calls, key)
+			delete(s.attemptCalls, key)
 			decodeAttemptAnswer(&answer, head, body, err)
 			s.finishAttempt(answer)
 		},
 	}
-	s.calls[key] = call
-	// No time limit here: the engine abandons an attempt that takes too long.
+	s.attemptCalls[key] = call
+	// The call has no timeout, because the engine abandons an attempt that takes too long.
 	node.client.Do("POST", podPath(effect.Namespace, ""), attemptHeader(effect.Attempt), body, 0, call)
 }
 
@@ -71,7 +71,8 @@
 	s.processEffects()
 }
 
-// rejectionReasons maps the reason of a node's Status to that of a rejection. Any other is an error of the node.
+// rejectionReasons maps the reason in a Status object from a node to the reason for a rejection. A Status
+// with any other reason counts as an error of the node.
 var rejectionReasons = map[metav1.StatusReason]placer.Reason{
 	wellknown.OutOfCPU:    placer.InsufficientCores,
 	wellknown.OutOfMemory: placer.InsufficientMemory,
@@ -79,7 +80,8 @@
 	wellknown.WrongNode:   placer.WrongNode,
 }
 
-// decodeAttemptAnswer translates a node's response to an attempt, or the lack of one.
+// decodeAttemptAnswer sets the answer from the response of a node to an attempt, or from the error of the
+// request.
 func decodeAttemptAnswer(answer *engine.AttemptAnswer, head *http1.Head, body []byte, err error) {
 	var connectError *httpc.ConnectError
 	switch {
@@ -99,7 +101,8 @@
 	}
 }
 
-// decodeLoadReport returns the load report of a response, or nil if there is none that can be decoded.
+// decodeLoadReport returns the load report in the header of a response. It returns nil if the report is
+// missing or cannot be decoded. Values that the report does not contain are NaN.
 func decodeLoadReport(head *http1.Head) *placer.Report {
 	values, err := wellknown.ParseDict(head.Header.Get(wellknown.LoadHeader))
 	if err != nil || len(values) == 0 {
@@ -119,7 +122,8 @@
 	}
 }
 
-// decodeAcceptance translates a response of success: the Pod of the task, which may already have ended.
+// decodeAcceptance sets the answer from a successful response, whose body is the Pod of the task. The task
+// may have ended already.
 func decodeAcceptance(answer *engine.AttemptAnswer, body []byte) {
 	var pod corev1.Pod
 	if err := json.Unmarshal(body, &pod); err != nil || pod.UID != answer.UID {
@@ -136,10 +140,12 @@
 	answer.Revision = parseRevision(pod.ResourceVersion)
 }
 
-// decodeRejection translates any other response: a Status that says why.
+// decodeRejection sets the answer from an unsuccessful response, whose body is a Status object with the
+// reason.
 func decodeRejection(answer *engine.AttemptAnswer, body []byte) {
 	var status metav1.Status
-	// What can be decoded of the body counts. Without a reason the response is an error of the node.
+	// If the body cannot be decoded completely, status has the fields decoded so far. A Status without a
+	// known reason counts as an error of the node.
 	_ = json.Unmarshal(body, &status)
 	answer.Message = status.Message
 	reason, rejected := rejectionReasons[status.Reason]
@@ -151,7 +157,7 @@
 	answer.Reason = reason
 }
 
-// stopTask asks a node to stop a task and gives the engine its answer.
+// stopTask asks a node to stop a task, and passes the node's answer to the engine.
 func (s *Scheduler) stopTask(effect *engine.Effect) {
 	answer := engine.StopAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node}
 	node := s.nodes[effect.Node]
@@ -181,7 +187,8 @@
 	s.processEffects()
 }
 
-// stopBody is the body of a request to stop a task: only if it is the one of this UID.
+// stopBody returns the body of a request to stop a task. Its precondition restricts the request to the Pod
+// with the UID of the task.
 func stopBody(effect *engine.Effect) []byte {
 	options := &metav1.DeleteOptions{
 		TypeMeta:      metav1.TypeMeta{Kind: "DeleteOptions", APIVersion: "v1"},
@@ -189,12 +196,13 @@
 	}
 	body, err := json.Marshal(options)
 	if err != nil {
-		panic(err) // strings only: cannot fail
+		panic(err) // unreachable: the options contain only strings, which can always be encoded
 	}
 	return body
 }
 
-// decodeStopAnswer translates a node's response to a stop. One that is none leaves the outcome unknown.
+// decodeStopAnswer sets the answer from the response of a node to a request to stop a task. An unexpected
+// status or body leaves the outcome of the request unknown.
 func decodeStopAnswer(answer *engine.StopAnswer, head *http1.Head, body []byte) {
 	answer.Incarnation = head.Header.Get(wellknown.IncarnationHeader)
 	switch head.Status {
--- a/internal/kube/scheduler/bench_test.go
+++ b/internal/kube/scheduler/bench_test.go
@@ -24,8 +24,8 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// BenchmarkPostToSettled submits one-task Jobs at a steady rate, whatever the responses, and reports the time from the moment
-// each was due to be posted until a watch showed it settled.
+// BenchmarkPostToSettled submits Jobs with one task at a constant rate, independently of the responses. It
+// reports the time from when each Job was due to be posted until a watch showed its Pod as settled.
 func BenchmarkPostToSettled(b *testing.B) {
 	for _, nodes := range []int{10, 100, 500} {
 		for _, rate := range []int{50, 200, 800} {
@@ -33,36 +33,37 @@
 				cluster := startCluster(b, func(settings *config.Settings) {
 					settings.Emulator.Nodes, settings.Emulator.Racks, settings.NodeSyncTimeout = nodes, 10, 20
 				})
-				latencies := hdrhistogram.New(1, 60_000_000, 3)
-				due := sync.Map{}
+				latencyHistogram := hdrhistogram.New(1, 60_000_000, 3)
+				dueTimes := sync.Map{}
 				settled := make(chan struct{}, 1<<16)
 				resp, err := http.Get(cluster.baseURL + "/api/v1/pods?watch=1")
 				if err != nil {
 					b.Fatal(err)
 				}
-				go readSettled(resp.Body, func(name string) {
-					if at, ok := due.Load(name); ok {
-						// A time beyond the histogram's range is beyond the time that the benchmark waits, too.
-						_ = latencies.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
+				go reportSettledJobs(resp.Body, func(name string) {
+					if at, ok := dueTimes.Load(name); ok {
+						// The error is ignored: a latency beyond the histogram's range exceeds the time
+						// that the benchmark waits.
+						_ = latencyHistogram.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
 					}
 					settled <- struct{}{}
 				})
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-				jobs := rate * 4 // four seconds, whatever b.N
+				jobs := rate * 4 // number of Jobs in 4 s; does not depend on b.N
 				b.ResetTimer()
 				begin := time.Now()
 				for i := range jobs {
 					at := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
 					time.Sleep(time.Until(at))
 					name := fmt.Sprint("b", i)
-					due.Store(name, at)
+					dueTimes.Store(name, at)
 					go func() {
 						resp, err := client.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(jobJSON(name, 1)))
 						if err == nil {
 							err = resp.Body.Close()
 						}
 						if err != nil {
-							b.Log(err) // the task is missed below
+							b.Log(err) // the loop below fails the benchmark if the task does not settle
 						}
 					}()
 				}
@@ -70,14 +71,14 @@
 					select {
 					case <-settled:
 					case <-time.After(20 * time.Second):
-						b.Fatal("not all settled")
+						b.Fatal("no further task settled within 20 s")
 					}
 				}
 				if err := resp.Body.Close(); err != nil {
 					b.Error(err)
 				}
 				for _, percentile := range []float64{50, 99, 99.9} {
-					b.ReportMetric(float64(latencies.ValueAtQuantile(percentile))/1000, fmt.Sprintf("ms-p%v", percentile))
+					b.ReportMetric(float64(latencyHistogram.ValueAtQuantile(percentile))/1000, fmt.Sprintf("ms-p%v", percentile))
 				}
 				b.ReportMetric(0, "ns/op")
 			})
@@ -85,9 +86,9 @@
 	}
 }
 
-// readSettled reads a watch of Pods until its end and calls settled with the name of each Job when its first Pod is shown
-// settled.
-func readSettled(watch io.Reader, settled func(name string)) {
+// reportSettledJobs reads a watch of Pods until its end. For each Job, it calls settled when the watch
+// first shows a Pod of the Job as settled.
+func reportSettledJobs(watch io.Reader, settled func(name string)) {
 	reader := bufio.NewReaderSize(watch, 1<<20)
 	seen := map[string]bool{}
 	for {
@@ -107,7 +108,8 @@
 	}
 }
 
-// BenchmarkFanOut reports how many events a second reach so many watchers of all Pods.
+// BenchmarkFanOut reports the rate of watch events that the scheduler sends to a number of watches of all
+// Pods.
 func BenchmarkFanOut(b *testing.B) {
 	for _, watchers := range []int{1, 100, 5000} {
 		b.Run(fmt.Sprint("watchers=", watchers), func(b *testing.B) {
@@ -133,7 +135,7 @@
 					total.Add(events)
 				}()
 			}
-			cluster.eventually("all watch", func() bool { return cluster.watchers() == watchers })
+			cluster.eventually("all watches are open", func() bool { return cluster.watchers() == watchers })
 			b.ResetTimer()
 			begin := time.Now()
 			cluster.requireStatus(201, "POST", jobsPath, jsonType, jobJSON("fan", tasks))
@@ -144,7 +146,8 @@
 	}
 }
 
-// countEvents reads a watch until it has shown so many Pods placed, and returns the number of its events.
+// countEvents reads a watch until it has shown the given number of Pods as placed, and returns the number
+// of events read.
 func countEvents(watch io.Reader, tasks int) (events int64) {
 	reader := bufio.NewReaderSize(watch, 16<<10)
 	for placed := 0; placed < tasks; {
@@ -163,7 +166,7 @@
 	return events
 }
 
-// isPlacement reports whether an event shows that a Pod has been placed and does not run yet.
+// isPlacement reports whether a watch event shows a Pod that has been placed but does not run yet.
 func isPlacement(event []byte) bool {
 	return bytes.HasPrefix(event, []byte(`{"type":"MODIFIED"`)) &&
 		bytes.Contains(event, []byte(`"Placed"`)) &&
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -29,7 +29,8 @@
 	"heathshed/placer"
 )
 
-// newClientset returns the public clientset for a cluster. accept is what it asks for; "" is its default.
+// newClientset returns a client-go clientset for a cluster. accept lists the media types that the clientset
+// accepts; "" selects its default.
 func newClientset(t *testing.T, cluster *testCluster, accept string) *kubernetes.Clientset {
 	t.Helper()
 	restConfig := &rest.Config{Host: cluster.baseURL, QPS: 1000, Burst: 1000}
@@ -43,7 +44,8 @@
 	return client
 }
 
-// The public clientset, unchanged: discovery, create, dry run, conflict, paging, patch, delete.
+// TestClientset checks that an unmodified client-go clientset can use the API: discovery, create, dry run,
+// conflict, paging, patch and delete.
 func TestClientset(t *testing.T) {
 	cluster := startCluster(t, nil)
 	client := newClientset(t, cluster, "")
@@ -65,37 +67,40 @@
 	cluster.checkAudit()
 }
 
+// checkDiscovery checks that the server reports its version and two API groups with their resources.
 func checkDiscovery(t *testing.T, client *kubernetes.Clientset) {
 	t.Helper()
 	if version, err := client.Discovery().ServerVersion(); err != nil || version.Major != "1" {
-		t.Fatalf("version: %v, %v", version, err)
+		t.Fatalf("server version %v, error %v, want major version 1", version, err)
 	}
 	_, lists, err := client.Discovery().ServerGroupsAndResources()
 	if err != nil || len(lists) != 2 {
-		t.Fatalf("discovery: %v, %v", lists, err)
+		t.Fatalf("discovery returned the resource lists %v, error %v, want 2 lists", lists, err)
 	}
 }
 
-// createWithDryRunAndConflict checks that a dry run creates nothing, and creates a Job, which can be done only once.
+// createWithDryRunAndConflict checks that a dry run does not create a Job. It then creates the Job, and
+// checks that a second creation fails.
 func createWithDryRunAndConflict(t *testing.T, jobs typedbatchv1.JobInterface, job *batchv1.Job) *batchv1.Job {
 	t.Helper()
 	if _, err := jobs.Create(t.Context(), job, metav1.CreateOptions{DryRun: []string{metav1.DryRunAll}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := jobs.Get(t.Context(), job.Name, metav1.GetOptions{}); !apierrors.IsNotFound(err) {
-		t.Fatalf("after a dry run: %v", err)
+		t.Fatalf("Get after a dry run returned the error %v, want NotFound", err)
 	}
 	created, err := jobs.Create(t.Context(), job, metav1.CreateOptions{FieldValidation: "Strict"})
 	if err != nil || created.UID == "" {
 		t.Fatal(err)
 	}
 	if _, err := jobs.Create(t.Context(), job, metav1.CreateOptions{}); !apierrors.IsAlreadyExists(err) {
-		t.Fatalf("again: %v", err)
+		t.Fatalf("creating the Job again returned the error %v, want AlreadyExists", err)
 	}
 	return created
 }
 
-// watchUntilComplete watches a Job until it is complete, and checks that its tasks settled as placed.
+// watchUntilComplete watches a Job until it is complete, and checks that its Settled condition has the
+// reason Placed.
 func watchUntilComplete(t *testing.T, cluster *testCluster, jobs typedbatchv1.JobInterface, job *batchv1.Job) {
 	t.Helper()
 	options := metav1.ListOptions{ResourceVersion: job.ResourceVersion, FieldSelector: "metadata.name=" + job.Name}
@@ -112,11 +117,12 @@
 		}
 	}
 	if reason := settledReason(cluster.job(job.Name)); reason != wellknown.Placed {
-		t.Fatalf("settled as %q", reason)
+		t.Fatalf("the Settled condition of the Job has the reason %q, want Placed", reason)
 	}
 }
 
-// checkPagesOfDeletedJob checks that pages come from one snapshot, though Pods are deleted between them.
+// checkPagesOfDeletedJob checks that all pages of a list come from the same snapshot, even if the Pods are
+// deleted after the first page.
 func checkPagesOfDeletedJob(t *testing.T, client *kubernetes.Clientset, jobs typedbatchv1.JobInterface) {
 	t.Helper()
 	names := map[string]bool{}
@@ -143,7 +149,8 @@
 	}
 }
 
-// createSuspendedAndPatch creates a suspended Job with a generated name and resumes it, by patches of each type.
+// createSuspendedAndPatch creates a suspended Job with a generated name, applies a patch of each type, and
+// returns the Job. The last patch resumes the Job.
 func createSuspendedAndPatch(t *testing.T, jobs typedbatchv1.JobInterface, job *batchv1.Job) *batchv1.Job {
 	t.Helper()
 	generated := job.DeepCopy()
@@ -152,7 +159,7 @@
 	generated.Spec.Suspend = &suspend
 	patched, err := jobs.Create(t.Context(), generated, metav1.CreateOptions{})
 	if err != nil || len(patched.Name) != 9 {
-		t.Fatalf("%v, %v", patched, err)
+		t.Fatalf("creating a Job with a generated name: Job %v, error %v", patched, err)
 	}
 	for _, patch := range []struct {
 		kind types.PatchType
@@ -163,75 +170,77 @@
 		{types.JSONPatchType, `[{"op":"replace","path":"/spec/suspend","value":false}]`},
 	} {
 		if patched, err = jobs.Patch(t.Context(), patched.Name, patch.kind, []byte(patch.body), metav1.PatchOptions{}); err != nil {
-			t.Fatalf("%s: %v", patch.kind, err)
+			t.Fatalf("patch of type %s: %v", patch.kind, err)
 		}
 	}
 	if patched.Labels["x"] != "1" || patched.Annotations["y"] != "2" || *patched.Spec.Suspend {
-		t.Fatalf("patched: %v", patched.ObjectMeta)
+		t.Fatalf("the Job lacks a change of a patch: %v", patched.ObjectMeta)
 	}
 	return patched
 }
 
-// checkRejectedChanges checks an update from a former state, and a Job of a class that there is none of.
+// checkRejectedChanges checks that the API rejects an update with an outdated resource version, and a Job
+// with an unknown class.
 func checkRejectedChanges(t *testing.T, jobs typedbatchv1.JobInterface, job, patched *batchv1.Job) {
 	t.Helper()
 	stale := patched.DeepCopy()
 	stale.ResourceVersion = "1"
 	if _, err := jobs.Update(t.Context(), stale, metav1.UpdateOptions{}); !apierrors.IsConflict(err) {
-		t.Fatalf("stale update: %v", err)
+		t.Fatalf("update with an outdated resource version returned the error %v, want Conflict", err)
 	}
 	invalid := job.DeepCopy()
 	invalid.Spec.Template.Labels[wellknown.Class] = "none"
 	if _, err := jobs.Create(t.Context(), invalid, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
-		t.Fatalf("unknown class: %v", err)
+		t.Fatalf("creating a Job with an unknown class returned the error %v, want Invalid", err)
 	}
 }
 
-// An informer sees every Pod settle once although its connections are closed again and again, in JSON and in the binary
-// encoding.
+// TestInformerAcrossDroppedConnections checks that a client-go informer sees each Pod settle exactly once
+// although its connections are closed repeatedly. The informer receives JSON in one case and Protocol
+// Buffers in the other.
 func TestInformerAcrossDroppedConnections(t *testing.T) {
 	for _, accept := range []string{"", "application/vnd.kubernetes.protobuf,application/json"} {
-		t.Run(accept, func(t *testing.T) { informerAcrossDrops(t, accept) })
+		t.Run(accept, func(t *testing.T) { testInformerAcrossDroppedConnections(t, accept) })
 	}
 }
 
-func informerAcrossDrops(t *testing.T, accept string) {
+func testInformerAcrossDroppedConnections(t *testing.T, accept string) {
 	t.Helper()
 	cluster := startCluster(t, nil)
 	outcomes := followOutcomes(t, newClientset(t, cluster, accept))
-	const each, rounds = 20, 5
-	for round := range rounds {
-		job := scenario.Job{Name: fmt.Sprint("r", round), Class: "web", Service: "s", Tasks: each, Cores: 0.1, Memory: 0.1, Lifetime: 30, BackoffLimit: 3}
+	const tasksPerJob, jobCount = 20, 5
+	for i := range jobCount {
+		job := scenario.Job{Name: fmt.Sprint("r", i), Class: "web", Service: "s", Tasks: tasksPerJob, Cores: 0.1, Memory: 0.1, Lifetime: 30, BackoffLimit: 3}
 		cluster.submitJob(job)
-		// Break every open connection, in the middle of what it carries.
+		// Close all connections, even in the middle of a response.
 		cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	}
-	for count := range each * rounds {
+	for count := range tasksPerJob * jobCount {
 		select {
 		case outcome := <-outcomes:
 			if outcome != wellknown.Placed {
-				t.Fatalf("outcome %d is %s", count, outcome)
+				t.Fatalf("outcome %d is %s, want Placed", count, outcome)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("only %d outcomes", count)
+			t.Fatalf("the informer reported only %d outcomes", count)
 		}
 	}
 	select {
 	case outcome := <-outcomes:
-		t.Fatalf("one more outcome: %s", outcome)
+		t.Fatalf("the informer reported another outcome after the last one: %s", outcome)
 	case <-time.After(100 * time.Millisecond):
 	}
 	cluster.checkAudit()
 }
 
-// followOutcomes has an informer follow all Pods, and returns a channel that gets the reason with which each settles, and "changed" before one
-// that replaces another.
+// followOutcomes starts an informer for all Pods. It returns a channel that receives the settled reason of
+// each Pod. If a settled reason changes later, the channel receives "changed" and the new reason.
 func followOutcomes(t *testing.T, client *kubernetes.Clientset) <-chan string {
 	t.Helper()
 	factory := informers.NewSharedInformerFactoryWithOptions(client, 0, informers.WithNamespace("default"))
 	informer := factory.Core().V1().Pods().Informer()
 	outcomes := make(chan string, 1000)
-	see := func(old, now any) {
+	reportOutcome := func(old, now any) {
 		previous := ""
 		if old != nil {
 			previous = wellknown.SettledReason(old.(*corev1.Pod))
@@ -245,19 +254,20 @@
 		}
 		outcomes <- reason
 	}
-	handler := cache.ResourceEventHandlerFuncs{AddFunc: func(added any) { see(nil, added) }, UpdateFunc: see}
+	handler := cache.ResourceEventHandlerFuncs{AddFunc: func(added any) { reportOutcome(nil, added) }, UpdateFunc: reportOutcome}
 	if _, err := informer.AddEventHandler(handler); err != nil {
 		t.Fatal(err)
 	}
 	factory.Start(t.Context().Done())
 	if !cache.WaitForCacheSync(t.Context().Done(), informer.HasSynced) {
-		t.Fatal("informer did not sync")
+		t.Fatal("the informer did not synchronize its cache")
 	}
 	return outcomes
 }
 
-// A node is drained by a patch, as kubectl drain does it: no new tasks go there and running ones are migrated, also when the
-// drain comes while attempts are in flight.
+// TestDrainByPatch checks a drain as kubectl drain does it: a patch of the Node and an eviction of each
+// Pod. The node must get no new tasks, and its running tasks must be migrated, even if attempts are in
+// flight when the drain begins.
 func TestDrainByPatch(t *testing.T) {
 	cluster := startCluster(t, nil)
 	client := newClientset(t, cluster, "")
@@ -280,7 +290,7 @@
 			t.Fatal(err)
 		}
 	}
-	cluster.eventually("nothing runs there", func() bool {
+	cluster.eventually("the drained node has no running Pods and all 24 tasks run elsewhere", func() bool {
 		for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node) {
 			if !wellknown.Finished(&pod) {
 				return false
@@ -291,7 +301,7 @@
 	for _, event := range cluster.recordedEvents() {
 		late := event.At > cordonedAt+placer.Seconds(cluster.settings.Timing.DrainGrace)
 		if event.Kind == audit.AttemptReceived && event.Node == node && late {
-			t.Errorf("attempt sent to %s %.3f s after the order", node, event.At-cordonedAt)
+			t.Errorf("node %s received an attempt %.3f s after it was cordoned", node, event.At-cordonedAt)
 		}
 	}
 	cluster.checkAudit()
--- a/internal/kube/scheduler/engine_clock.go
+++ b/internal/kube/scheduler/engine_clock.go
@@ -11,13 +11,15 @@
 	"heathshed/placer"
 )
 
-// The scheduler keeps durations and instants in Go's types; the engine, its API and the store count seconds in floating point. One becomes
-// the other in this file only.
+// The scheduler uses time.Duration and clock.Instant. The engine, the API server and the store count
+// seconds in floating point. Only this file converts between these types.
 
-// engineNow returns the time of this iteration of the loop on the clock of the engine and its API.
+// engineNow returns the time at which the current iteration of the event loop began, in the unit of the
+// engine.
 func (s *Scheduler) engineNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
-// scheduleWake has the engine's timers run when the next is due. The engine answers infinity if it has none.
+// scheduleWake sets a timer for the time at which the engine next needs a call of Tick. NextWake returns
+// infinity if the engine has no timers.
 func (s *Scheduler) scheduleWake() {
 	s.wakeTimer.Stop()
 	at := s.engine.NextWake()
@@ -30,7 +32,7 @@
 	})
 }
 
-// publishDelay returns how long changes are gathered before they are sent to watchers.
+// publishDelay returns the time for which changes are batched before they are sent to watches.
 func (s *Scheduler) publishDelay() time.Duration {
 	return clock.Duration(api.WatchBatchDelay(s.httpServer.Streams()))
 }
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -32,15 +32,15 @@
 	jobsPath = "/apis/batch/v1/namespaces/default/jobs"
 	jsonType = "application/json"
 
-	auditSlackSeconds = 0.5
+	auditSlackSeconds = 0.5 // tolerance of the audit for clock differences and latency
 )
 
-// testCluster is a scheduler with an emulated inventory and emulated nodes, in this process.
+// testCluster is a scheduler with an emulated inventory and emulated nodes, all in the test process.
 type testCluster struct {
 	t            testing.TB
 	settings     config.Settings
 	baseURL      string
-	loop         *eventloop.Loop // of the scheduler; nil while it is not running
+	loop         *eventloop.Loop // event loop of the scheduler; nil while the scheduler is not running
 	scheduler    *Scheduler
 	stopLoop     func()
 	emulatorLoop *eventloop.Loop
@@ -48,11 +48,11 @@
 	nodes        []*emulator.Node
 
 	mu     sync.Mutex
-	events []audit.Event // what the emulators have seen
+	events []audit.Event // events that the emulators have recorded
 }
 
-// startCluster starts a cluster with the default settings as changed.
-func startCluster(tb testing.TB, change func(*config.Settings)) *testCluster {
+// startCluster starts a cluster. The function configure, if not nil, changes the default settings first.
+func startCluster(tb testing.TB, configure func(*config.Settings)) *testCluster {
 	tb.Helper()
 	cluster := &testCluster{t: tb, settings: config.Default()}
 	settings := &cluster.settings
@@ -61,8 +61,8 @@
 	settings.Emulator.Nodes = 4
 	settings.Emulator.ReportDelay = 0.05
 	settings.Limits.FinishedTTL = 0
-	if change != nil {
-		change(settings)
+	if configure != nil {
+		configure(settings)
 	}
 	if err := settings.Validate(); err != nil {
 		tb.Fatal(err)
@@ -72,7 +72,8 @@
 	return cluster
 }
 
-// startEmulators starts the inventory and the nodes. The scheduler, which uses them, is stopped before them.
+// startEmulators starts the inventory and the nodes. At the end of the test, the scheduler is stopped
+// before them.
 func (cluster *testCluster) startEmulators() {
 	cluster.t.Helper()
 	loop := looptest.New(cluster.t)
@@ -98,12 +99,13 @@
 	})
 }
 
+// startNode starts the emulated node with the given index.
 func (cluster *testCluster) startNode(i int) *emulator.Node {
 	cluster.t.Helper()
 	emulated := labconfig.NodeAt(&cluster.settings, i)
 	heartbeat := 100 * time.Millisecond
 	if cluster.settings.Emulator.Nodes >= 100 {
-		heartbeat = 500 * time.Millisecond // as heathshed up has it; more would measure the inventory
+		heartbeat = 500 * time.Millisecond // as in heathshed up; benchmarks would measure the inventory otherwise
 	}
 	node, err := emulator.StartNode(cluster.emulatorLoop, emulator.NodeOptions{
 		Name:           simulation.NodeName(i),
@@ -123,20 +125,22 @@
 	return node
 }
 
+// recordEvent records an event that an emulator observed.
 func (cluster *testCluster) recordEvent(event audit.Event) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	cluster.events = append(cluster.events, event)
 }
 
-// recordedEvents is a copy of what the emulators have seen so far.
+// recordedEvents returns a copy of the events recorded so far.
 func (cluster *testCluster) recordedEvents() []audit.Event {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return append([]audit.Event(nil), cluster.events...)
 }
 
-// startScheduler starts the scheduler, at the address that it had, and waits until it is ready.
+// startScheduler starts the scheduler and waits until it is ready. A restarted scheduler has the same
+// address as before.
 func (cluster *testCluster) startScheduler() {
 	cluster.t.Helper()
 	loop := looptest.New(cluster.t)
@@ -164,7 +168,7 @@
 	cluster.eventually("the scheduler is ready", func() bool { code, _ := cluster.request("GET", "/readyz", "", nil); return code == 200 })
 }
 
-// killScheduler ends the scheduler at once.
+// killScheduler stops the scheduler without a graceful shutdown.
 func (cluster *testCluster) killScheduler() {
 	if cluster.loop == nil {
 		return
@@ -173,12 +177,13 @@
 	cluster.loop = nil
 }
 
-// runOnLoop runs f on the scheduler's loop and waits for it.
+// runOnLoop runs f on the event loop of the scheduler and waits until f returns.
 func (cluster *testCluster) runOnLoop(f func()) { runOn(cluster.loop, f) }
 
-// runOnEmulators runs f on the emulators' loop and waits for it.
+// runOnEmulators runs f on the event loop of the emulators and waits until f returns.
 func (cluster *testCluster) runOnEmulators(f func()) { runOn(cluster.emulatorLoop, f) }
 
+// runOn runs f on an event loop and waits until f returns.
 func runOn(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() {
@@ -188,21 +193,23 @@
 	<-done
 }
 
-// connect opens a connection to the scheduler and sends text. It is closed at the end of the test at the latest.
+// connect opens a connection to the scheduler and sends text. The connection is closed at the end of the
+// test if it is still open.
 func (cluster *testCluster) connect(text string) net.Conn {
 	cluster.t.Helper()
 	conn, err := net.Dial("tcp", cluster.scheduler.Addr())
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	cluster.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor: the test may have closed it
+	cluster.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed the connection already
 	if _, err := io.WriteString(conn, text); err != nil {
 		cluster.t.Fatal(err)
 	}
 	return conn
 }
 
-// request returns status and body of a response; 0 if there is none.
+// request sends a request and returns the status and the body of the response. The status is 0 if there is
+// no response.
 func (cluster *testCluster) request(method, path, contentType string, body []byte) (int, []byte) {
 	req, err := http.NewRequestWithContext(cluster.t.Context(), method, cluster.baseURL+path, bytes.NewReader(body))
 	if err != nil {
@@ -211,44 +218,46 @@
 	if contentType != "" {
 		req.Header.Set("Content-Type", contentType)
 	}
-	req.Close = true // tests break connections; none is used twice
+	req.Close = true // no connection is reused, because tests close connections
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil
 	}
-	answer, err := io.ReadAll(resp.Body)
+	responseBody, err := io.ReadAll(resp.Body)
 	if closeErr := resp.Body.Close(); closeErr != nil {
 		cluster.t.Error(closeErr)
 	}
 	if err != nil {
-		cluster.t.Logf("%s %s: body ends early: %v", method, path, err)
+		cluster.t.Logf("%s %s: the response body is incomplete: %v", method, path, err)
 	}
-	return resp.StatusCode, answer
+	return resp.StatusCode, responseBody
 }
 
-// requireStatus sends a request, fails the test unless the response has the status, and returns its body.
+// requireStatus sends a request and returns the body of the response. It fails the test unless the response
+// has the status given by code.
 func (cluster *testCluster) requireStatus(code int, method, path, contentType, body string) []byte {
 	cluster.t.Helper()
-	got, answer := cluster.request(method, path, contentType, []byte(body))
+	got, responseBody := cluster.request(method, path, contentType, []byte(body))
 	if got != code {
-		cluster.t.Fatalf("%s %s: status %d, want %d: %.300s", method, path, got, code, answer)
+		cluster.t.Fatalf("%s %s: status %d, want %d: %.300s", method, path, got, code, responseBody)
 	}
-	return answer
+	return responseBody
 }
 
-// eventually waits for a state, not for a time: the limit only ends a test that hangs.
-func (cluster *testCluster) eventually(what string, isSo func() bool) {
+// eventually waits until the condition holds, and fails the test after more than 30 s. The limit is
+// generous, because it only has to end a test that hangs.
+func (cluster *testCluster) eventually(description string, condition func() bool) {
 	cluster.t.Helper()
 	for range 3000 {
-		if isSo() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	cluster.t.Fatalf("never seen: %s", what)
+	cluster.t.Fatalf("condition was not met in time: %s", description)
 }
 
-// injectFault makes all nodes faulty.
+// injectFault injects a fault into all nodes.
 func (cluster *testCluster) injectFault(injected fault.Node) {
 	cluster.runOnEmulators(func() {
 		for _, node := range cluster.nodes {
@@ -257,7 +266,7 @@
 	})
 }
 
-// countEvents counts the events of a kind at the nodes.
+// countEvents returns the number of recorded events of a kind.
 func (cluster *testCluster) countEvents(kind audit.EventKind) int {
 	count := 0
 	for _, event := range cluster.recordedEvents() {
@@ -268,7 +277,7 @@
 	return count
 }
 
-// checkAudit checks the rules on what the nodes have seen so far.
+// checkAudit checks the events recorded so far against the rules of package audit.
 func (cluster *testCluster) checkAudit() {
 	cluster.t.Helper()
 	auditConfig := audit.Config{
@@ -281,20 +290,20 @@
 	}
 }
 
-// watchers is the number of open watches.
+// watchers returns the number of open watches.
 func (cluster *testCluster) watchers() (n int) {
 	cluster.runOnLoop(func() { n = cluster.scheduler.apiServer.Watchers() })
 	return n
 }
 
-// revision is the revision of the last change.
+// revision returns the revision of the last change in the scheduler's store.
 func (cluster *testCluster) revision() (revision int64) {
 	cluster.runOnLoop(func() { revision = cluster.scheduler.Revision() })
 	return revision
 }
 
-// count is the number of objects of a resource.
-func (cluster *testCluster) count(resource store.Resource) (n int) {
+// objectCount returns the number of stored objects of a resource.
+func (cluster *testCluster) objectCount(resource store.Resource) (n int) {
 	cluster.runOnLoop(func() { n = cluster.scheduler.ObjectCount(resource) })
 	return n
 }
--- a/internal/kube/scheduler/inventory.go
+++ b/internal/kube/scheduler/inventory.go
@@ -10,9 +10,10 @@
 	"heathshed/internal/netio/http1"
 )
 
-// eventDeleted is the type of the watch event of an object that is no more.
+// eventDeleted is the type of a watch event for an object that was deleted.
 const eventDeleted = "DELETED"
 
+// handleNodeList passes a complete list of the inventory's nodes to the engine.
 func (s *Scheduler) handleNodeList(_ *http1.Head, _ string, items []reflector.Object) {
 	nodes := make([]*corev1.Node, 0, len(items))
 	for _, item := range items {
@@ -34,6 +35,7 @@
 	s.processEffects()
 }
 
+// handleNodeEvent passes a change of a node in the inventory to the engine.
 func (s *Scheduler) handleNodeEvent(kind string, object reflector.Object) {
 	node := &corev1.Node{}
 	if err := object.Decode(node); err != nil {
@@ -48,6 +50,8 @@
 	s.processEffects()
 }
 
+// handleInventoryError tells the engine that the inventory could not be listed or watched. The engine
+// continues with the nodes that it knows.
 func (s *Scheduler) handleInventoryError(err error) {
 	if s.inventoryReachable {
 		s.inventoryReachable = false
--- a/internal/kube/scheduler/jobs_fixture_test.go
+++ b/internal/kube/scheduler/jobs_fixture_test.go
@@ -14,18 +14,19 @@
 	"heathshed/internal/lab/simulation"
 )
 
-// longJob describes a Job whose tasks outlast the test unless they are stopped.
+// longJob returns a Job whose tasks run longer than any test unless they are stopped.
 func longJob(name, class string, tasks, backoffLimit int) scenario.Job {
 	return scenario.Job{Name: name, Class: class, Service: "s", Tasks: tasks, Cores: 0.5, Memory: 0.5, Lifetime: 60, BackoffLimit: backoffLimit}
 }
 
-// sized returns the Job with tasks of other requests.
-func sized(job scenario.Job, coresAndGiB float64) scenario.Job {
+// withResources returns a copy of the Job whose tasks each request the given number of cores and of GiB of
+// memory.
+func withResources(job scenario.Job, coresAndGiB float64) scenario.Job {
 	job.Cores, job.Memory = coresAndGiB, coresAndGiB
 	return job
 }
 
-// submitJob submits a Job, to the namespace default unless it states another.
+// submitJob posts a Job. A Job without a namespace goes to the namespace "default".
 func (cluster *testCluster) submitJob(job scenario.Job) {
 	cluster.t.Helper()
 	if job.Namespace == "" {
@@ -38,38 +39,38 @@
 	cluster.requireStatus(201, "POST", "/apis/batch/v1/namespaces/"+job.Namespace+"/jobs", jsonType, string(body))
 }
 
-// job returns a Job, nil if there is none.
+// job returns the Job with the given name, or nil if it does not exist.
 func (cluster *testCluster) job(name string) *batchv1.Job {
-	code, answer := cluster.request("GET", jobsPath+"/"+name, "", nil)
+	code, responseBody := cluster.request("GET", jobsPath+"/"+name, "", nil)
 	if code != 200 {
 		return nil
 	}
 	job := &batchv1.Job{}
-	if err := json.Unmarshal(answer, job); err != nil {
+	if err := json.Unmarshal(responseBody, job); err != nil {
 		cluster.t.Fatal(err)
 	}
 	return job
 }
 
-// waitUntilSettled waits until a Job has a Settled condition and returns its reason.
+// waitUntilSettled waits until a Job has a Settled condition, and returns the reason of the condition.
 func (cluster *testCluster) waitUntilSettled(name string) string {
 	cluster.t.Helper()
 	cluster.eventually(name+" is settled", func() bool { return settledReason(cluster.job(name)) != "" })
 	return settledReason(cluster.job(name))
 }
 
-// running returns the Pods that run.
+// running returns the running Pods.
 func (cluster *testCluster) running() []corev1.Pod {
 	return cluster.pods("?fieldSelector=status.phase=Running")
 }
 
-// waitUntilRunning waits until so many Pods run.
+// waitUntilRunning waits until the given number of Pods is running.
 func (cluster *testCluster) waitUntilRunning(pods int) {
 	cluster.t.Helper()
-	cluster.eventually(fmt.Sprint(pods, " Pods run"), func() bool { return len(cluster.running()) == pods })
+	cluster.eventually(fmt.Sprint(pods, " Pods are running"), func() bool { return len(cluster.running()) == pods })
 }
 
-// settledReason is the reason of a Job's Settled condition, or "" if it has none.
+// settledReason returns the reason of a Job's Settled condition, or "" if the Job has no such condition.
 func settledReason(job *batchv1.Job) string {
 	if job == nil {
 		return ""
@@ -82,7 +83,7 @@
 	return ""
 }
 
-// hasCondition reports whether a Job has a condition that is true.
+// hasCondition reports whether a Job has a condition of the given type with the status True.
 func hasCondition(job *batchv1.Job, kind batchv1.JobConditionType) bool {
 	if job == nil {
 		return false
@@ -95,19 +96,19 @@
 	return false
 }
 
-// pods returns the Pods of the namespace default that a query selects.
+// pods returns the Pods in the namespace "default" that a query selects. The query is "" or starts with "?".
 func (cluster *testCluster) pods(query string) []corev1.Pod {
 	var list corev1.PodList
-	code, answer := cluster.request("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
+	code, responseBody := cluster.request("GET", "/api/v1/namespaces/default/pods"+query, "", nil)
 	if code == 200 {
-		if err := json.Unmarshal(answer, &list); err != nil {
+		if err := json.Unmarshal(responseBody, &list); err != nil {
 			cluster.t.Fatal(err)
 		}
 	}
 	return list.Items
 }
 
-// jobJSON is the JSON of a Job of small tasks.
+// jobJSON returns the JSON of a Job whose tasks request few resources.
 func jobJSON(name string, tasks int) string {
 	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q},"spec":{"parallelism":%d,"completions":%d,"template":{"spec":{`+
 		`"restartPolicy":"Never","containers":[{"name":"m","image":"i","resources":{"requests":{"cpu":"10m","memory":"1Mi"}}}]}}}}`, name, tasks, tasks)
--- a/internal/kube/scheduler/lifecycle_test.go
+++ b/internal/kube/scheduler/lifecycle_test.go
@@ -18,7 +18,8 @@
 	"heathshed/internal/lab/emulator/fault"
 )
 
-// A scheduler that is killed while tasks run adopts them when it is started again, and starts none of them anew.
+// TestRestartAdoptsRunningTasks checks that a scheduler that is killed and started again adopts the tasks
+// that still run on the nodes, and does not start them a second time.
 func TestRestartAdoptsRunningTasks(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for _, class := range []string{"once", "batch"} {
@@ -37,26 +38,27 @@
 	after := cluster.pods("")
 	for _, pod := range after {
 		if !before[string(pod.UID)] || wellknown.SettledReason(&pod) != wellknown.Placed {
-			t.Errorf("%s after the restart: settled as %q", pod.Name, wellknown.SettledReason(&pod))
+			t.Errorf("Pod %s after the restart has the settled reason %q", pod.Name, wellknown.SettledReason(&pod))
 		}
 	}
 	if len(after) != 16 || cluster.countEvents(audit.Started) != 16 {
-		t.Errorf("%d Pods after the restart, %d starts in all, want 16", len(after), cluster.countEvents(audit.Started))
+		t.Errorf("%d Pods after the restart and %d task starts on the nodes, want 16 of each", len(after), cluster.countEvents(audit.Started))
 	}
 	for _, name := range []string{"once", "batch"} {
 		if job := cluster.job(name); job == nil || job.Status.Active != 8 {
-			t.Errorf("Job %s after the restart: %v", name, job)
+			t.Errorf("Job %s after the restart does not have 8 active Pods: %v", name, job)
 		}
 	}
 	if code, _ := cluster.request("GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", revision), "", nil); code != 410 {
-		t.Errorf("watch from a revision of the earlier incarnation: status %d, want 410", code)
+		t.Errorf("watch from a revision of the scheduler before the restart: status %d, want 410", code)
 	}
-	// The client posts its Job again: it is there.
+	// A client that posts the Job again learns that the Job exists.
 	cluster.requireStatus(409, "POST", jobsPath, jsonType, jobJSON("once", 8))
 	cluster.checkAudit()
 }
 
-// A graceful stop: every accepted task gets its outcome and watches end in order.
+// TestGracefulStop checks that every accepted task gets a final answer before a scheduler stops, and that
+// watches end with a complete response.
 func TestGracefulStop(t *testing.T) {
 	cluster := startCluster(t, nil)
 	cluster.injectFault(fault.Node{Stall: 0.3})
@@ -65,18 +67,18 @@
 		t.Fatal(err)
 	}
 	cluster.submitJob(longJob("a", "once", 10, 3))
-	cluster.eventually("attempts are in flight", func() bool { return cluster.countEvents(audit.AttemptReceived) > 0 })
+	cluster.eventually("a node has received an attempt", func() bool { return cluster.countEvents(audit.AttemptReceived) > 0 })
 	stopped := make(chan struct{})
 	cluster.loop.Post(func() { cluster.scheduler.Stop(20*time.Second, func() { close(stopped); cluster.loop.Stop() }) })
-	// The watch ends with a complete chunked body, after an outcome for each task.
+	// The chunked body of the watch must be complete, and contain the outcome of each task.
 	events, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Errorf("the watch broke off: %v", err)
+		t.Errorf("the response of the watch is incomplete: %v", err)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(30 * time.Second):
-		t.Fatal("did not stop")
+		t.Fatal("the scheduler did not stop within 30 s")
 	}
 	settled := map[string]bool{}
 	for line := range strings.SplitSeq(strings.TrimSpace(string(events)), "\n") {
@@ -86,7 +88,7 @@
 		}
 	}
 	if len(settled) != 10 {
-		t.Errorf("%d outcomes of 10", len(settled))
+		t.Errorf("the watch reported the outcomes of %d tasks, want 10", len(settled))
 	}
 	cluster.checkAudit()
 }
--- a/internal/kube/scheduler/metric_names.go
+++ b/internal/kube/scheduler/metric_names.go
@@ -2,8 +2,8 @@
 
 package scheduler
 
-// formerMetricNames are the names that metrics had in release 0.1, by their present names. Both are exported,
-// with the prefix heathshed_; newMetrics registers them.
+// formerMetricNames maps current names of metrics to the names that they had in release 0.1. Each metric is
+// exported under both names, which both have the prefix heathshed_.
 var formerMetricNames = map[string]string{
 	"placement_requests_total":                   "asks_total",
 	"placement_retries_total":                    "asked_again_total",
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	// metricsNamespace begins the name of every metric: heathshed_attempts_total is "attempts_total" in this file.
+	// metricsNamespace is the prefix of all metric names. For example, this file registers
+	// heathshed_attempts_total by the name attempts_total.
 	metricsNamespace = "heathshed"
-	attemptOutcomes  = "attempt_outcomes_total" // with the label outcome
+	attemptOutcomes  = "attempt_outcomes_total" // has the label outcome
 )
 
-// metrics are the scheduler's figures in Prometheus form. They are read and written on the loop.
+// metrics holds the Prometheus metrics of a scheduler. It must be used on the event loop only.
 //
-// Names are part of the API: a metric that got another name is exported under its former one as well, see formerMetricNames.
+// Metric names are part of the API. A renamed metric is also exported under its former name, which
+// formerMetricNames contains.
 type metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -44,16 +46,17 @@
 	return m
 }
 
-// counter registers a counter under its present name and its former one, if it has one.
-func (m *metrics) counter(name, help string, value func() uint64) {
+// addCounter registers a counter under its current name and under its former name, if it has one.
+func (m *metrics) addCounter(name, help string, value func() uint64) {
 	m.registerCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help}, value)
 	if former, renamed := formerMetricNames[name]; renamed {
 		m.registerCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: former, Help: deprecatedHelp(name, help)}, value)
 	}
 }
 
-// outcomeCounter registers the counter of attempts with an outcome, and the counter of this outcome alone that it replaces.
-func (m *metrics) outcomeCounter(outcome, help string, value func() uint64) {
+// addOutcomeCounter registers the counter of attempts with the given outcome, as a series with the label
+// outcome. It also registers the counter of release 0.1 that the series replaces, which had no label.
+func (m *metrics) addOutcomeCounter(outcome, help string, value func() uint64) {
 	m.registerCounter(prometheus.CounterOpts{
 		Namespace:   metricsNamespace,
 		Name:        attemptOutcomes,
@@ -68,8 +71,8 @@
 	}, value)
 }
 
-// gauge registers a gauge under its present name and its former one, if it has one.
-func (m *metrics) gauge(name, help string, value func() float64) {
+// addGauge registers a gauge under its current name and under its former name, if it has one.
+func (m *metrics) addGauge(name, help string, value func() float64) {
 	m.registerGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, value)
 	if former, renamed := formerMetricNames[name]; renamed {
 		m.registerGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: former, Help: deprecatedHelp(name, help)}, value)
@@ -84,13 +87,15 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(options, value))
 }
 
-// deprecatedHelp returns the help text of a metric under its former name.
+// deprecatedHelp returns the help text for the former name of a metric. The text names the series that
+// replaces it.
 func deprecatedHelp(series, help string) string {
 	return fmt.Sprintf("Deprecated: use %s_%s. %s", metricsNamespace, series, help)
 }
 
-// registerEngineCounters registers the counters that the engine keeps: each metric beside the field of engine.Stats that it exports. The
-// functions that count are found by a search for the field.
+// registerEngineCounters registers the counters that the engine maintains. Each entry pairs a metric with
+// the field of engine.Stats that it exports. To find the code that increments a counter, search for uses of
+// the field.
 func (m *metrics) registerEngineCounters(stats *engine.Stats) {
 	for _, c := range []struct {
 		name, help string
@@ -113,47 +118,50 @@
 		{"jobs_finished_total", "Jobs finished, as Complete or as Failed.", &stats.JobsFinished},
 		{"jobs_rejected_total", "Jobs rejected because too many tasks are stored.", &stats.JobsRejected},
 	} {
-		m.counter(c.name, c.help, func() uint64 { return *c.value })
+		m.addCounter(c.name, c.help, func() uint64 { return *c.value })
 	}
-	m.outcomeCounter("accepted", "Attempts that nodes accepted.", func() uint64 { return stats.Accepted })
-	m.outcomeCounter("rejected", "Attempts that nodes rejected.", func() uint64 { return stats.Rejections })
-	m.outcomeCounter("unknown", "Attempts with an unknown outcome.", func() uint64 { return stats.UnknownOutcomes })
+	m.addOutcomeCounter("accepted", "Attempts that nodes accepted.", func() uint64 { return stats.Accepted })
+	m.addOutcomeCounter("rejected", "Attempts that nodes rejected.", func() uint64 { return stats.Rejections })
+	m.addOutcomeCounter("unknown", "Attempts with an unknown outcome.", func() uint64 { return stats.UnknownOutcomes })
 }
 
 func (m *metrics) registerEngineGauges(s *Scheduler) {
-	core := s.engine
-	m.gauge("tasks_open", "Tasks without a final answer.", func() float64 { return float64(core.OpenTasks()) })
-	m.gauge("admission_limit", "Learned limit on concurrent placement requests.", func() float64 { return core.Admission().Limit() })
-	m.gauge("admission_queued", "Placement requests that wait for admission.", func() float64 { return float64(core.Admission().QueueLength()) })
-	m.gauge("retry_budget", "Retries that the retry budget allows at once.", func() float64 { return core.Admission().RetryBudget() })
-	m.gauge("nodes_ready", "Nodes that the inventory lists as ready or draining.", func() float64 {
-		listed, _ := core.NodeCounts()
+	eng := s.engine
+	m.addGauge("tasks_open", "Tasks without a final answer.", func() float64 { return float64(eng.OpenTasks()) })
+	m.addGauge("admission_limit", "Learned limit on concurrent placement requests.", func() float64 { return eng.Admission().Limit() })
+	m.addGauge("admission_queued", "Placement requests that wait for admission.", func() float64 { return float64(eng.Admission().QueueLength()) })
+	m.addGauge("retry_budget", "Retries that the retry budget allows at once.", func() float64 { return eng.Admission().RetryBudget() })
+	m.addGauge("nodes_ready", "Nodes that the inventory lists as ready or draining.", func() float64 {
+		listed, _ := eng.NodeCounts()
 		return float64(listed)
 	})
-	m.gauge("nodes_watched", "Nodes whose tasks are being watched.", func() float64 {
-		_, watched := core.NodeCounts()
+	m.addGauge("nodes_watched", "Nodes whose tasks are being watched.", func() float64 {
+		_, watched := eng.NodeCounts()
 		return float64(watched)
 	})
-	m.gauge("pods", "Pods stored.", func() float64 { return float64(core.Store().Len(store.Pods)) })
-	m.gauge("objects_bytes", "Memory of the objects stored, counted high.", func() float64 { return float64(core.Store().ObjectCost()) })
-	m.gauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(core.Store().HistoryCost()) })
-	m.gauge("revision", "Revision of the store after its last change.", func() float64 { return float64(core.Store().Rev()) })
+	m.addGauge("pods", "Pods stored.", func() float64 { return float64(eng.Store().Len(store.Pods)) })
+	m.addGauge("objects_bytes", "Memory of the objects stored, counted high.", func() float64 { return float64(eng.Store().ObjectCost()) })
+	m.addGauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(eng.Store().HistoryCost()) })
+	m.addGauge("revision", "Revision of the store after its last change.", func() float64 { return float64(eng.Store().Rev()) })
 }
 
-// registerServerMetrics reads the servers through s: the HTTP server listens only after the metrics are registered.
+// registerServerMetrics registers the metrics of the API server, the HTTP server and the event loop. The
+// functions access the HTTP server through s, because s.httpServer is set only after the metrics are
+// registered.
 func (m *metrics) registerServerMetrics(s *Scheduler) {
-	m.gauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.Watchers()) })
-	m.gauge("connections", "Open API connections.", func() float64 { return float64(s.httpServer.Conns()) })
-	m.gauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
+	m.addGauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.Watchers()) })
+	m.addGauge("connections", "Open API connections.", func() float64 { return float64(s.httpServer.Conns()) })
+	m.addGauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
 		return float64(s.httpServer.Memory().Used())
 	})
-	m.gauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
-	m.counter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.Memory().Evicted })
-	m.counter("bad_requests_total", "API requests that could not be parsed.", func() uint64 { return s.httpServer.BadRequests })
-	m.counter("event_loop_iterations_total", "Iterations of the event loop.", func() uint64 { return s.loop.Iterations })
+	m.addGauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
+	m.addCounter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.Memory().Evicted })
+	m.addCounter("bad_requests_total", "API requests that could not be parsed.", func() uint64 { return s.httpServer.BadRequests })
+	m.addCounter("event_loop_iterations_total", "Iterations of the event loop.", func() uint64 { return s.loop.Iterations })
 }
 
-// countRequest counts a request. Methods that the API does not know share one series, so that a peer cannot make any.
+// countRequest counts an API request. All unknown methods share one series, so that a client cannot create an
+// unlimited number of series.
 func (m *metrics) countRequest(method string, code int) {
 	switch method {
 	case "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS":
@@ -163,7 +171,8 @@
 	m.requests.WithLabelValues(method, strconv.Itoa(code)).Inc()
 }
 
-// exposition is the text that Prometheus reads. An error is a comment in it, which Prometheus ignores.
+// exposition returns all metrics in the Prometheus text format. If the metrics cannot be gathered, it
+// returns the error as a comment, which Prometheus ignores.
 func (m *metrics) exposition() []byte {
 	families, err := m.registry.Gather()
 	if err != nil {
@@ -172,7 +181,7 @@
 	var b bytes.Buffer
 	for _, family := range families {
 		if _, err := expfmt.MetricFamilyToText(&b, family); err != nil {
-			break // a buffer takes everything; a family without name or type is not registered
+			break // unreachable: writes to a buffer do not fail, and every registered family has a name and a type
 		}
 	}
 	return b.Bytes()
--- a/internal/kube/scheduler/metrics_test.go
+++ b/internal/kube/scheduler/metrics_test.go
@@ -18,8 +18,9 @@
 	"heathshed/internal/netio/httpd"
 )
 
-// metricsOfRelease01 are the names of all metrics of release 0.1, with the series that has the value now. heathshed_api_requests_total, which
-// has labels, is not among them; it has its name still, and no series before the first request.
+// metricsOfRelease01 maps the name of each metric of release 0.1 to the series that has its value now. It
+// does not contain heathshed_api_requests_total, which has labels. That metric was not renamed, and has no
+// series before the first request.
 var metricsOfRelease01 = map[string]string{
 	"heathshed_adopted_total":           "heathshed_attempts_adopted_total",
 	"heathshed_asked_again_total":       "heathshed_placement_retries_total",
@@ -59,13 +60,14 @@
 	"heathshed_watches":                 "heathshed_watches",
 }
 
-// exposedMetrics are the metrics in an exposition.
+// exposedMetrics contains the metrics of a response in the Prometheus text format.
 type exposedMetrics struct {
-	values map[string]string // by series
-	help   map[string]string // by name
-	types  map[string]string // by name
+	values map[string]string // value of each series
+	help   map[string]string // help text of each metric
+	types  map[string]string // type of each metric
 }
 
+// parseExposition parses metrics in the Prometheus text format.
 func parseExposition(t *testing.T, text string) exposedMetrics {
 	t.Helper()
 	exposed := exposedMetrics{values: map[string]string{}, help: map[string]string{}, types: map[string]string{}}
@@ -79,13 +81,14 @@
 		case len(fields) == 2:
 			exposed.values[fields[0]] = fields[1]
 		default:
-			t.Fatalf("line %q", line)
+			t.Fatalf("unexpected line in the metrics: %q", line)
 		}
 	}
 	return exposed
 }
 
-// newIdleScheduler returns a scheduler whose loop does not run. Each of its counters has a value of its own.
+// newIdleScheduler returns a scheduler whose event loop does not run. Each counter has a different value,
+// so that a metric with the value of another counter is detected.
 func newIdleScheduler(t *testing.T) *Scheduler {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -114,27 +117,29 @@
 	return s
 }
 
-// Each metric of release 0.1 is exported under its name, with the value that it has under its present one.
+// TestFormerMetricsAreExported checks that each metric of release 0.1 is still exported under its former
+// name, with the same value and type as under its current name, and that the help of a renamed metric says
+// that it is deprecated.
 func TestFormerMetricsAreExported(t *testing.T) {
 	exposed := parseExposition(t, string(newIdleScheduler(t).metrics.exposition()))
-	for former, present := range metricsOfRelease01 {
-		presentName, _, _ := strings.Cut(present, "{")
+	for former, current := range metricsOfRelease01 {
+		currentName, _, _ := strings.Cut(current, "{")
 		formerValue, formerFound := exposed.values[former]
-		presentValue, presentFound := exposed.values[present]
-		if !formerFound || !presentFound || formerValue != presentValue {
-			t.Errorf("%s is %q and %s is %q, want the same value", former, formerValue, present, presentValue)
+		currentValue, currentFound := exposed.values[current]
+		if !formerFound || !currentFound || formerValue != currentValue {
+			t.Errorf("%s has the value %q and %s has the value %q, want equal values", former, formerValue, current, currentValue)
 		}
-		if exposed.types[former] != exposed.types[presentName] {
-			t.Errorf("%s is a %s and %s a %s", former, exposed.types[former], presentName, exposed.types[presentName])
+		if exposed.types[former] != exposed.types[currentName] {
+			t.Errorf("%s has the type %s and %s has the type %s, want equal types", former, exposed.types[former], currentName, exposed.types[currentName])
 		}
-		deprecated := strings.HasPrefix(exposed.help[former], "Deprecated: use "+present+". ")
-		if renamed := former != present; deprecated != renamed {
-			t.Errorf("help of %s: %q, renamed to %s", former, exposed.help[former], present)
+		deprecated := strings.HasPrefix(exposed.help[former], "Deprecated: use "+current+". ")
+		if renamed := former != current; deprecated != renamed {
+			t.Errorf("help text of %s is %q, the current name is %s", former, exposed.help[former], current)
 		}
 	}
 }
 
-// Each counter is exported under the name that it had in release 0.1.
+// TestCountersAreExported checks that each counter is exported under its name of release 0.1, with its value.
 func TestCountersAreExported(t *testing.T) {
 	s := newIdleScheduler(t)
 	exposed := parseExposition(t, string(s.metrics.exposition()))
@@ -169,15 +174,16 @@
 	}
 }
 
-// Beside the metrics of release 0.1 there are only those that replace them, and no present name is deprecated.
+// TestOnlyFormerAndReplacementMetricsAreExported checks that every exported metric is a metric of release
+// 0.1 or replaces one, and that no current name is marked as deprecated.
 func TestOnlyFormerAndReplacementMetricsAreExported(t *testing.T) {
 	exposed := parseExposition(t, string(newIdleScheduler(t).metrics.exposition()))
 	want := map[string]bool{}
-	for former, present := range metricsOfRelease01 {
-		want[former], want[present] = true, true
-		name, _, _ := strings.Cut(present, "{")
+	for former, current := range metricsOfRelease01 {
+		want[former], want[current] = true, true
+		name, _, _ := strings.Cut(current, "{")
 		if strings.HasPrefix(exposed.help[name], "Deprecated") {
-			t.Errorf("%s is deprecated", name)
+			t.Errorf("%s is a current name, but is marked as deprecated", name)
 		}
 	}
 	for series := range exposed.values {
@@ -187,36 +193,38 @@
 	}
 }
 
-// The table of former names is complete and one to one.
+// TestFormerMetricNames checks that formerMetricNames contains every renamed metric, that no two metrics
+// have the same former name, and that no name is both a former and a current name.
 func TestFormerMetricNames(t *testing.T) {
 	want := map[string]string{}
-	for former, present := range metricsOfRelease01 {
-		if former != present {
-			want[strings.TrimPrefix(present, "heathshed_")] = strings.TrimPrefix(former, "heathshed_")
+	for former, current := range metricsOfRelease01 {
+		if former != current {
+			want[strings.TrimPrefix(current, "heathshed_")] = strings.TrimPrefix(former, "heathshed_")
 		}
 	}
 	if !maps.Equal(formerMetricNames, want) {
-		t.Errorf("%v, want %v", formerMetricNames, want)
+		t.Errorf("formerMetricNames is %v, want %v", formerMetricNames, want)
 	}
 	formerNames := slices.Sorted(maps.Values(formerMetricNames))
 	if unique := slices.Compact(slices.Clone(formerNames)); len(unique) != len(formerNames) {
-		t.Errorf("%v: a name stands twice", formerNames)
+		t.Errorf("former names %v contain a name twice", formerNames)
 	}
 	for _, former := range formerNames {
 		if _, isPresent := formerMetricNames[former]; isPresent {
-			t.Errorf("%s is a former and a present name", former)
+			t.Errorf("%s is both a former and a current name", former)
 		}
 	}
 }
 
-// The page for operators lists each former name with the present one.
+// TestFormerMetricNamesAreDocumented checks that docs/operations.md lists each former name with the current
+// name.
 func TestFormerMetricNamesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operations.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for present, former := range formerMetricNames {
-		row := "| `heathshed_" + former + "` | `heathshed_" + present + "` |"
+	for current, former := range formerMetricNames {
+		row := "| `heathshed_" + former + "` | `heathshed_" + current + "` |"
 		if !strings.Contains(string(page), row) {
 			t.Errorf("operations.md has no row %s", row)
 		}
--- a/internal/kube/scheduler/phase.go
+++ b/internal/kube/scheduler/phase.go
@@ -7,17 +7,17 @@
 	"fmt"
 )
 
-// phase is where a scheduler is between its start and its end. It only moves forward.
+// phase is the lifecycle phase of a scheduler. A scheduler never returns to an earlier phase.
 type phase uint8
 
 const (
-	// phaseAwaitingInventory: the inventory has not been listed yet.
+	// phaseAwaitingInventory lasts until the inventory has been listed for the first time.
 	phaseAwaitingInventory phase = iota
-	// phaseSyncingNodes: the nodes are being asked for the tasks that run there.
+	// phaseSyncingNodes lasts while the scheduler waits for nodes to list their running tasks.
 	phaseSyncingNodes
-	// phaseReady: new tasks are accepted.
+	// phaseReady is the phase in which the scheduler accepts new tasks.
 	phaseReady
-	// phaseStopping: no new tasks are accepted.
+	// phaseStopping begins with the call of Stop. The scheduler accepts no new tasks.
 	phaseStopping
 )
 
@@ -25,30 +25,36 @@
 
 func (p phase) String() string { return phaseNames[p] }
 
-// setPhase is the only place where the phase changes. A scheduler may stop in any phase; the others follow in order.
+// setPhase changes the phase, and panics if the transition is not allowed. Each phase may be followed by
+// the next one or by phaseStopping. No other code may write Scheduler.phase.
 func (s *Scheduler) setPhase(next phase) {
 	if next != s.phase+1 && (next != phaseStopping || s.phase == phaseStopping) {
-		panic(fmt.Sprintf("scheduler goes from %s to %s", s.phase, next))
+		panic(fmt.Sprintf("illegal transition of the scheduler from phase %q to phase %q", s.phase, next))
 	}
 	s.phase = next
 }
 
-// Reasons why no tasks are accepted. Their texts are in responses of the API.
+// Reasons why the scheduler accepts no tasks. API responses contain their texts.
 var (
-	errStopping           = errors.New("the scheduler stops")
-	errAwaitingInventory  = errors.New("the inventory has not been listed yet")
-	errInventoryHasNoNode = errors.New("the inventory lists no node that is ready")
+	errStopping          = errors.New("the scheduler stops")
+	errAwaitingInventory = errors.New("the inventory has not been listed yet")
+	errNoReadyNodes      = errors.New("the inventory lists no node that is ready")
 )
 
-// nodesSyncingError says that not all nodes have listed their tasks yet.
+// nodesSyncingError reports that some nodes have not listed their tasks yet. It is a reason why the
+// scheduler accepts no tasks.
 type nodesSyncingError struct{ listed, watched int }
 
 func (e *nodesSyncingError) Error() string {
 	return fmt.Sprintf("%d of %d nodes have listed their tasks", e.watched, e.listed)
 }
 
-// readinessError returns why no tasks are accepted, or nil. A scheduler that has just started first learns what runs on the
-// nodes, or it might start the same tasks again.
+// readinessError returns the reason why the scheduler accepts no tasks, or nil if it does. A scheduler that
+// has just started must first learn which tasks run on the nodes, because it could start them a second time
+// otherwise.
+//
+// In phaseSyncingNodes, readinessError changes the phase to phaseReady if at least one node is listed and
+// either all nodes have listed their tasks or NodeSyncTimeout has passed since the start.
 func (s *Scheduler) readinessError() error {
 	switch s.phase {
 	case phaseAwaitingInventory:
@@ -60,7 +66,7 @@
 	}
 	listed, watched := s.engine.NodeCounts()
 	if listed == 0 {
-		return errInventoryHasNoNode
+		return errNoReadyNodes
 	}
 	if watched < listed && s.loop.Now().Sub(s.startedAt) < s.options.NodeSyncTimeout {
 		return &nodesSyncingError{listed: listed, watched: watched}
--- a/internal/kube/scheduler/requests_test.go
+++ b/internal/kube/scheduler/requests_test.go
@@ -16,6 +16,7 @@
 	"heathshed/internal/config"
 )
 
+// TestRejectedRequests checks the status code and the message of responses to invalid requests.
 func TestRejectedRequests(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) {
 		settings.Limits.MaxBodyBytes, settings.Limits.MaxPods = 4096, 50
@@ -25,8 +26,8 @@
 	cluster.requireStatus(201, "POST", jobsPath, jsonType, padded(4096))
 	cluster.requireStatus(413, "POST", jobsPath, jsonType, padded(4097))
 	for _, test := range []struct {
-		code                                  int
-		method, path, contentType, body, says string
+		code                                         int
+		method, path, contentType, body, wantMessage string
 	}{
 		{400, "POST", jobsPath, jsonType, "{", "unexpected end"},
 		{400, "POST", jobsPath + "?fieldValidation=Strict", "application/json", strings.Replace(jobJSON("x", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1), "spek"},
@@ -48,15 +49,16 @@
 		{400, "GET", "/api/v1/pods?continue=x", "", "", "continue"},
 		{504, "GET", "/api/v1/pods?resourceVersion=9999999999999999", "", "", "Too large"},
 	} {
-		answer := cluster.requireStatus(test.code, test.method, test.path, test.contentType, test.body)
+		responseBody := cluster.requireStatus(test.code, test.method, test.path, test.contentType, test.body)
 		var status struct{ Kind, Message string }
-		if json.Unmarshal(answer, &status) != nil || status.Kind != "Status" || !strings.Contains(status.Message, test.says) {
-			t.Errorf("%d %s %s: %.300s, want a Status with %q", test.code, test.method, test.path, answer, test.says)
+		if json.Unmarshal(responseBody, &status) != nil || status.Kind != "Status" || !strings.Contains(status.Message, test.wantMessage) {
+			t.Errorf("response with status %d to %s %s: %.300s, want a Status whose message contains %q", test.code, test.method, test.path, responseBody, test.wantMessage)
 		}
 	}
 }
 
-// TestResponseHeaders checks the response to a media type that there is none of, and the warning of a field that is unknown.
+// TestResponseHeaders checks that an unsupported media type in Accept gives status 406, and that an unknown
+// field in a request gives a Warning header.
 func TestResponseHeaders(t *testing.T) {
 	cluster := startCluster(t, nil)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, cluster.baseURL+"/api/v1/pods", nil)
@@ -66,21 +68,23 @@
 	req.Header.Set("Accept", "text/html")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != 406 {
-		t.Errorf("accept: %v, %v", resp, err)
+		t.Errorf("GET with Accept: text/html: response %v, error %v, want status 406", resp, err)
 	}
 	unknown := strings.Replace(jobJSON("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
 	resp, err = http.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(unknown))
 	if err != nil || resp.StatusCode != 201 || !strings.Contains(resp.Header.Get("Warning"), "spek") {
-		t.Errorf("unknown field: %v, %v", resp, err)
+		t.Errorf("POST with an unknown field: response %v, error %v, want status 201 and a Warning header", resp, err)
 	}
 }
 
-// Ten thousand requests in one pipeline get their responses in order; half-open connections delay nobody.
+// TestPipelinedRequestsAndHalfOpenConnections checks that 10,000 pipelined requests on one connection are
+// answered in order while 50 other connections have sent only part of a request. The scheduler must close
+// those connections when their clients do.
 func TestPipelinedRequestsAndHalfOpenConnections(t *testing.T) {
 	cluster := startCluster(t, nil)
-	var silent []net.Conn
+	var halfOpenConns []net.Conn
 	for range 50 {
-		silent = append(silent, cluster.connect("GET /livez HT")) // and nothing more
+		halfOpenConns = append(halfOpenConns, cluster.connect("GET /livez HT")) // an incomplete request
 	}
 	conn := cluster.connect("")
 	const requests = 10000
@@ -90,25 +94,25 @@
 			fmt.Fprintf(&pipeline, "GET /api/v1/nodes/x%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		}
 		if _, err := io.WriteString(conn, pipeline.String()); err != nil {
-			t.Errorf("sending the pipeline: %v", err)
+			t.Errorf("sending the pipelined requests: %v", err)
 		}
 	}()
 	reader := bufio.NewReader(conn)
 	for i := range requests {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("reading response %d: %v", i, err)
 		}
-		answer, err := io.ReadAll(resp.Body)
+		responseBody, err := io.ReadAll(resp.Body)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("reading response %d: %v", i, err)
 		}
-		if resp.StatusCode != 404 || !strings.Contains(string(answer), strconv.Quote(fmt.Sprint("x", i))[1:]) {
-			t.Fatalf("answer %d: %d %.200s", i, resp.StatusCode, answer)
+		if resp.StatusCode != 404 || !strings.Contains(string(responseBody), strconv.Quote(fmt.Sprint("x", i))[1:]) {
+			t.Fatalf("response %d: status %d, body %.200s", i, resp.StatusCode, responseBody)
 		}
 	}
-	for _, half := range silent {
-		if err := half.Close(); err != nil {
+	for _, halfOpenConn := range halfOpenConns {
+		if err := halfOpenConn.Close(); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -1,7 +1,8 @@
 //go:build linux
 
-// Package scheduler runs an engine on sockets: the Kubernetes-style API in front of it, the inventory and the nodes behind
-// it. It translates between HTTP and the engine's calls and effects, and makes no decisions of its own.
+// Package scheduler connects a scheduling engine to the network. It serves the Kubernetes-style API to
+// clients, watches the inventory and the nodes, and sends requests to the nodes. It translates between HTTP
+// and the engine's calls and effects. The engine makes all scheduling decisions.
 package scheduler
 
 import (
@@ -22,32 +23,34 @@
 )
 
 const (
-	streamPullInterval = time.Second // at least so often streams are pulled, for their time-outs and bookmarks
+	streamPullInterval = time.Second // maximum interval between pulls, which send bookmarks and check timeouts
 
 	inventoryListTimeout = 10 * time.Second
 
-	// Bounds of the backoff between attempts to reach the inventory.
+	// Bounds of the backoff before a failed list or watch of the inventory is retried.
 	inventoryMinBackoff = 100 * time.Millisecond
 	inventoryMaxBackoff = 2 * time.Second
 
-	randomStream = 0x736f636b // of the seed; the engine draws from others
+	// rngStream selects the random sequence of this package. The engine uses other sequences of the same
+	// seed.
+	rngStream = 0x736f636b
 )
 
-// Options are what a scheduler is run with.
+// Options configures a Scheduler.
 type Options struct {
 	Engine           engine.Config
-	ListenAddress    string // of the API
-	InventoryAddress string
-	Version          string
+	ListenAddress    string // host:port on which the API is served
+	InventoryAddress string // host:port of the inventory
+	Version          string // version that the API reports
 	HTTP             httpd.Options
-	ConnectTimeout   time.Duration // of connections to nodes
-	WatchIdleTimeout time.Duration // after which a watch that brings nothing is replaced by a new one; 0 never
-	NodeSyncTimeout  time.Duration // that the nodes found at the start have to list their tasks before others are accepted
-	DefaultListLimit int           // of a page of a list whose request gives no limit
+	ConnectTimeout   time.Duration // timeout for opening a connection to a node
+	WatchIdleTimeout time.Duration // time without data after which a watch is retried; 0 means no limit
+	NodeSyncTimeout  time.Duration // time after the start to wait until nodes have listed their tasks
+	DefaultListLimit int           // maximum number of objects on a page of a list if the request has no limit
 	Log              zerolog.Logger
 }
 
-// Scheduler is one running scheduler. All its methods are for the loop's goroutine.
+// Scheduler is a running scheduler. Its methods must be called on the goroutine of the event loop.
 type Scheduler struct {
 	options    Options
 	loop       *eventloop.Loop
@@ -55,46 +58,48 @@
 	apiServer  *api.Server
 	httpServer *httpd.Server
 	metrics    *metrics
-	random     *rand.Rand
+	rng        *rand.Rand
 
 	phase     phase
 	startedAt clock.Instant
 
-	inventory          *reflector.Reflector
+	inventoryReflector *reflector.Reflector
 	inventoryReachable bool
 	nodes              map[string]*nodeClient
-	calls              map[attemptKey]*httpc.Call // attempts in flight
+	attemptCalls       map[attemptKey]*httpc.Call // attempts that wait for a response
 
-	effects           []engine.Effect // reused
+	effects           []engine.Effect // buffer that processEffects reuses
 	processingEffects bool
-	wakeTimer         *eventloop.Timer // for engine.NextWake
-	publishedRevision int64            // of the store, that watchers have been sent
+	wakeTimer         *eventloop.Timer // runs Engine.Tick at the time that Engine.NextWake returned
+	publishedRevision int64            // revision of the store up to which changes were sent to watches
 	publishScheduled  bool
 }
 
+// attemptKey identifies an attempt: the UID of the task's Pod and the number of the attempt within the task.
 type attemptKey struct {
 	uid     types.UID
 	attempt int
 }
 
-// New starts a scheduler on a loop: it listens and begins to follow the inventory.
+// New starts a scheduler on an event loop. The scheduler listens for API connections and starts to list the
+// inventory.
 func New(loop *eventloop.Loop, options Options) (*Scheduler, error) {
-	core, err := engine.New(options.Engine)
+	eng, err := engine.New(options.Engine)
 	if err != nil {
 		return nil, err
 	}
 	s := &Scheduler{
-		options:   options,
-		loop:      loop,
-		engine:    core,
-		startedAt: loop.Now(),
-		nodes:     map[string]*nodeClient{},
-		calls:     map[attemptKey]*httpc.Call{},
-		random:    rand.New(rand.NewPCG(options.Engine.Seed, randomStream)),
+		options:      options,
+		loop:         loop,
+		engine:       eng,
+		startedAt:    loop.Now(),
+		nodes:        map[string]*nodeClient{},
+		attemptCalls: map[attemptKey]*httpc.Call{},
+		rng:          rand.New(rand.NewPCG(options.Engine.Seed, rngStream)),
 	}
 	s.apiServer = &api.Server{
-		Store:            core.Store(),
-		Engine:           core,
+		Store:            eng.Store(),
+		Engine:           eng,
 		Version:          options.Version,
 		Ready:            s.readinessError,
 		DefaultListLimit: options.DefaultListLimit,
@@ -104,19 +109,20 @@
 	if s.httpServer, err = httpd.Listen(loop, options.ListenAddress, options.HTTP, s.serveRequest); err != nil {
 		return nil, err
 	}
-	s.inventory = s.newInventoryReflector()
-	s.inventory.Start()
+	s.inventoryReflector = s.newInventoryReflector()
+	s.inventoryReflector.Start()
 	loop.After(streamPullInterval, s.pullStreamsPeriodically)
 	s.processEffects()
 	return s, nil
 }
 
+// newInventoryReflector returns a reflector that lists and watches the nodes of the inventory.
 func (s *Scheduler) newInventoryReflector() *reflector.Reflector {
 	return &reflector.Reflector{
 		Loop:             s.loop,
 		Client:           httpc.New(s.loop, s.options.InventoryAddress),
 		Path:             "/api/v1/nodes",
-		Rand:             s.random,
+		Rand:             s.rng,
 		MinBackoff:       inventoryMinBackoff,
 		MaxBackoff:       inventoryMaxBackoff,
 		ListTimeout:      inventoryListTimeout,
@@ -127,18 +133,19 @@
 	}
 }
 
-// Addr is where the API listens.
+// Addr returns the address on which the API is served.
 func (s *Scheduler) Addr() string { return s.httpServer.Addr() }
 
-// Engine is the engine, to be read on the loop.
+// Engine returns the scheduling engine. It may be read on the event loop only.
 func (s *Scheduler) Engine() *engine.Engine { return s.engine }
 
-// Revision is the store's revision of the last change.
+// Revision returns the revision of the last change in the store.
 func (s *Scheduler) Revision() int64 { return s.engine.Store().Rev() }
 
-// ObjectCount is the number of objects of a resource.
+// ObjectCount returns the number of stored objects of a resource.
 func (s *Scheduler) ObjectCount(resource store.Resource) int { return s.engine.Store().Len(resource) }
 
+// serveRequest responds to an API request, and counts and logs it.
 func (s *Scheduler) serveRequest(exchange *httpd.Exchange) {
 	response := s.apiServer.Serve(s.engineNow(), &exchange.Request)
 	s.metrics.countRequest(exchange.Head.Method, response.Status)
@@ -154,8 +161,9 @@
 	s.processEffects()
 }
 
-// processEffects executes what the engine wants done, sets its next wake-up and has changes sent to watchers. It is called
-// after every call of the engine that may have effects.
+// processEffects executes the pending effects of the engine, schedules the engine's next Tick, and
+// schedules that changes are sent to watches. It must be called after each call of the engine that may have
+// effects.
 func (s *Scheduler) processEffects() {
 	if s.processingEffects {
 		return
@@ -175,12 +183,13 @@
 	s.schedulePublish()
 }
 
+// executeEffect carries out one effect of the engine.
 func (s *Scheduler) executeEffect(effect *engine.Effect) {
 	switch effect.Kind {
 	case engine.SendAttempt:
 		s.sendAttempt(effect)
 	case engine.AbandonAttempt:
-		if call := s.calls[attemptKey{effect.UID, effect.Attempt}]; call != nil {
+		if call := s.attemptCalls[attemptKey{effect.UID, effect.Attempt}]; call != nil {
 			call.Cancel()
 		}
 	case engine.StopTask:
@@ -190,11 +199,12 @@
 	case engine.UnwatchNode:
 		s.unwatchNode(effect.Node)
 	case engine.RelistNodes:
-		s.inventory.Relist()
+		s.inventoryReflector.Relist()
 	}
 }
 
-// schedulePublish has watchers sent what has changed, after a delay that gathers changes when watchers are many.
+// schedulePublish schedules that new changes are sent to watches. The delay batches changes if there are
+// many watches.
 func (s *Scheduler) schedulePublish() {
 	if s.engine.Store().Rev() == s.publishedRevision || s.publishScheduled {
 		return
@@ -207,11 +217,13 @@
 	})
 }
 
+// pullStreams sends pending data, such as watch events, on all streaming responses.
 func (s *Scheduler) pullStreams() {
 	s.apiServer.SetTime(s.engineNow())
 	s.httpServer.PullStreams()
 }
 
+// pullStreamsPeriodically calls pullStreams now and after each streamPullInterval.
 func (s *Scheduler) pullStreamsPeriodically() {
 	s.pullStreams()
 	s.loop.After(streamPullInterval, s.pullStreamsPeriodically)
--- a/internal/kube/scheduler/shutdown.go
+++ b/internal/kube/scheduler/shutdown.go
@@ -11,11 +11,12 @@
 
 const (
 	openTasksPollInterval = 20 * time.Millisecond
-	drainTimeout          = 2 * time.Second // that API connections have to end in order
+	drainTimeout          = 2 * time.Second // time after which remaining API connections are closed
 )
 
-// Stop accepts no new tasks, waits until every task that was accepted has its final answer, at most for the timeout, ends
-// watches and connections in order, and calls done.
+// Stop shuts the scheduler down gracefully. The scheduler accepts no new tasks, and waits up to timeout
+// until every accepted task has a final answer. Then it ends watches and API connections, and calls done.
+// Stop does not block.
 func (s *Scheduler) Stop(timeout time.Duration, done func()) {
 	if s.phase == phaseStopping {
 		return
@@ -27,6 +28,8 @@
 	s.awaitFinalAnswers(s.loop.Now().Add(timeout), done)
 }
 
+// awaitFinalAnswers closes all connections once no task is open or the deadline has passed. Until then it
+// polls the number of open tasks.
 func (s *Scheduler) awaitFinalAnswers(deadline clock.Instant, done func()) {
 	open := s.engine.OpenTasks()
 	if open > 0 && s.loop.Now() < deadline {
@@ -36,14 +39,15 @@
 	if open > 0 {
 		s.options.Log.Error().Int("open", open).Msg("stopped with tasks that have no final answer")
 	}
-	s.inventory.Stop()
+	s.inventoryReflector.Stop()
 	for name := range s.nodes {
 		s.unwatchNode(name)
 	}
 	s.closeConnections(done)
 }
 
-// closeConnections ends watches and connections in order, or at once when that takes too long.
+// closeConnections ends all watches, and closes each API connection after its current response. It closes the
+// remaining connections after drainTimeout. It calls done once.
 func (s *Scheduler) closeConnections(done func()) {
 	finish := sync.OnceFunc(done)
 	s.apiServer.CloseWatches()
--- a/internal/kube/scheduler/watch_test.go
+++ b/internal/kube/scheduler/watch_test.go
@@ -18,36 +18,38 @@
 	"heathshed/internal/kube/store"
 )
 
-// A watch that is cut in the middle of an event resumes after its last complete one; from a revision that is no longer kept
-// it is rejected.
+// TestWatchResumesAfterDisconnect checks that a client whose watch is disconnected in the middle of an
+// event can resume from the last complete event, and receives each event once. A watch from a revision that
+// has left the history must be rejected.
 func TestWatchResumesAfterDisconnect(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.History = 60 })
 	first := cluster.revision()
-	cluster.submitJob(sized(longJob("a", "batch", 10, 3), 0.1))
+	cluster.submitJob(withResources(longJob("a", "batch", 10, 3), 0.1))
 	cluster.waitUntilRunning(10)
 	seen := map[string]bool{}
 	last := fmt.Sprint(first)
-	for cuts := 0; len(seen) < 30; cuts++ {
-		if cuts > 200 {
-			t.Fatalf("%d events after %d cuts", len(seen), cuts)
+	for disconnects := 0; len(seen) < 30; disconnects++ {
+		if disconnects > 200 {
+			t.Fatalf("only %d events after %d disconnects", len(seen), disconnects)
 		}
-		for _, revision := range cluster.watchCut(last, int64(2500+cuts*311%4000)) {
+		for _, revision := range cluster.readPartialWatch(last, int64(2500+disconnects*311%4000)) {
 			if seen[revision] {
-				t.Fatalf("revision %s came twice", revision)
+				t.Fatalf("received the event with revision %s twice", revision)
 			}
 			seen[revision] = true
 			last = revision
 		}
 	}
-	// Ten Pods are added, placed and seen running: thirty events. Then the history moves on.
-	cluster.submitJob(sized(longJob("b", "batch", 30, 3), 0.1))
+	// Each of the ten Pods is added, placed and seen running, which makes 30 events. The second Job has
+	// enough events to push the first revision out of the history.
+	cluster.submitJob(withResources(longJob("b", "batch", 30, 3), 0.1))
 	cluster.waitUntilRunning(40)
 	cluster.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", first), "", "")
 }
 
-// watchCut watches all Pods from a revision, cuts the connection after so many bytes, and returns the revisions of the
-// complete events.
-func (cluster *testCluster) watchCut(from string, bytes int64) (revisions []string) {
+// readPartialWatch watches all Pods from a revision, closes the connection after the given number of bytes,
+// and returns the revisions of the events that were received completely.
+func (cluster *testCluster) readPartialWatch(from string, bytes int64) (revisions []string) {
 	cluster.t.Helper()
 	conn := cluster.connect(fmt.Sprintf("GET /api/v1/pods?watch=1&timeoutSeconds=1&resourceVersion=%s HTTP/1.1\r\nHost: a\r\n\r\n", from))
 	defer func() {
@@ -57,13 +59,13 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, bytes)), nil)
 	if err != nil {
-		return nil // cut within the head
+		return nil // disconnected within the head of the response
 	}
 	reader := bufio.NewReader(resp.Body)
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return revisions // an event cut short does not count
+			return revisions // ignores an incomplete event
 		}
 		var event struct {
 			Type   string
@@ -76,7 +78,8 @@
 	}
 }
 
-// Many idle watches and a Job of ten thousand tasks side by side: all settle, and a watch sees each of its events.
+// TestManyWatchesAndTasks checks that all tasks of a Job with 10,000 tasks settle while 5,000 idle watches
+// are open.
 func TestManyWatchesAndTasks(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) {
 		emulator := &settings.Emulator
@@ -85,26 +88,27 @@
 	const watches, tasks = 5000, 10000
 	for i := range watches {
 		if err := cluster.openWatch("GET /api/v1/namespaces/none/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
-			t.Skipf("only %d connections: %v", i, err)
+			t.Skipf("cannot open more than %d connections: %v", i, err)
 		}
 	}
-	cluster.eventually("all watch", func() bool { return cluster.watchers() == watches })
+	cluster.eventually("all watches are open", func() bool { return cluster.watchers() == watches })
 	cluster.requireStatus(201, "POST", jobsPath, jsonType,
 		strings.Replace(jobJSON("big", tasks), `"template":{`, `"template":{"metadata":{"annotations":{"heathshed.io/lifetime":"0.5"}},`, 1))
 	cluster.waitUntilSettled("big")
-	if job := cluster.job("big"); settledReason(job) == "" || cluster.count(store.Pods) < tasks {
-		t.Errorf("%v with %d Pods", job.Status, cluster.count(store.Pods))
+	if job := cluster.job("big"); settledReason(job) == "" || cluster.objectCount(store.Pods) < tasks {
+		t.Errorf("status of the Job: %v; number of Pods: %d", job.Status, cluster.objectCount(store.Pods))
 	}
 }
 
-// openWatch opens a connection that sends a request and is not read. It returns an error if it cannot be opened.
+// openWatch opens a connection, sends a request, and never reads the response. It returns an error if the
+// connection cannot be opened.
 func (cluster *testCluster) openWatch(request string) error {
 	cluster.t.Helper()
 	conn, err := net.Dial("tcp", cluster.scheduler.Addr())
 	if err != nil {
 		return err
 	}
-	cluster.t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor
+	cluster.t.Cleanup(func() { _ = conn.Close() }) // only releases the file descriptor
 	if _, err := io.WriteString(conn, request); err != nil {
 		cluster.t.Fatal(err)
 	}
