--- a/internal/kube/scheduler/bench_test.go
+++ b/internal/kube/scheduler/bench_test.go
@@ -41,22 +41,22 @@
 					b.Fatal(err)
 				}
 				go reportSettledJobs(resp.Body, func(name string) {
-					if at, ok := dueTimes.Load(name); ok {
+					if dueAt, ok := dueTimes.Load(name); ok {
 						// The error is ignored: a latency beyond the histogram's range exceeds the time
 						// that the benchmark waits.
-						_ = latencyHistogram.RecordValue(max(1, time.Since(at.(time.Time)).Microseconds()))
+						_ = latencyHistogram.RecordValue(max(1, time.Since(dueAt.(time.Time)).Microseconds()))
 					}
 					settled <- struct{}{}
 				})
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 				jobs := rate * 4 // number of Jobs in 4 s; does not depend on b.N
 				b.ResetTimer()
-				begin := time.Now()
+				start := time.Now()
 				for i := range jobs {
-					at := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
-					time.Sleep(time.Until(at))
+					dueAt := start.Add(time.Duration(i) * time.Second / time.Duration(rate))
+					time.Sleep(time.Until(dueAt))
 					name := fmt.Sprint("b", i)
-					dueTimes.Store(name, at)
+					dueTimes.Store(name, dueAt)
 					go func() {
 						resp, err := client.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(jobJSON(name, 1)))
 						if err == nil {
@@ -90,7 +90,7 @@
 // first shows a Pod of the Job as settled.
 func reportSettledJobs(watch io.Reader, settled func(name string)) {
 	reader := bufio.NewReaderSize(watch, 1<<20)
-	seen := map[string]bool{}
+	reported := map[string]bool{}
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
@@ -101,8 +101,8 @@
 			return
 		}
 		name := event.Object.Labels[wellknown.JobName]
-		if wellknown.SettledReason(&event.Object) != "" && !seen[name] {
-			seen[name] = true
+		if wellknown.SettledReason(&event.Object) != "" && !reported[name] {
+			reported[name] = true
 			settled(name)
 		}
 	}
@@ -115,7 +115,7 @@
 		b.Run(fmt.Sprint("watchers=", watchers), func(b *testing.B) {
 			cluster := startCluster(b, nil)
 			var wg sync.WaitGroup
-			var total atomic.Int64
+			var totalEvents atomic.Int64
 			tasks := max(20, min(2000, 200000/watchers))
 			for range watchers {
 				conn, err := net.Dial("tcp", cluster.scheduler.Addr())
@@ -132,15 +132,15 @@
 					if err := conn.Close(); err != nil {
 						b.Error(err)
 					}
-					total.Add(events)
+					totalEvents.Add(events)
 				}()
 			}
 			cluster.eventually("all watches are open", func() bool { return cluster.watchers() == watchers })
 			b.ResetTimer()
-			begin := time.Now()
+			start := time.Now()
 			cluster.requireStatus(201, "POST", jobsPath, jsonType, jobJSON("fan", tasks))
 			wg.Wait()
-			b.ReportMetric(float64(total.Load())/time.Since(begin).Seconds(), "events/s")
+			b.ReportMetric(float64(totalEvents.Load())/time.Since(start).Seconds(), "events/s")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/kube/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -39,7 +39,7 @@
 // connections are closed.
 func TestUnreadWatchesStayWithinMemoryQuota(t *testing.T) {
 	cluster := startCluster(t, nil)
-	before := heapBytes()
+	heapBefore := heapBytes()
 	cluster.openUnreadConnections(4000, "GET /api/v1/pods?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	cluster.eventually("all watches are open", func() bool { return cluster.watchers() == 4000 })
 	cluster.submitJob(withResources(longJob("a", "batch", 1000, 6), 0.01))
@@ -48,15 +48,15 @@
 		cluster.runOnLoop(func() { maxUsed = max(maxUsed, cluster.scheduler.httpServer.Memory().Used()) })
 		return settledReason(cluster.job("a")) != ""
 	})
-	var total int64
-	cluster.runOnLoop(func() { total = cluster.scheduler.httpServer.Memory().Total() })
-	if maxUsed > total {
-		t.Errorf("connections used %d bytes of memory, want at most %d", maxUsed, total)
+	var quota int64
+	cluster.runOnLoop(func() { quota = cluster.scheduler.httpServer.Memory().Total() })
+	if maxUsed > quota {
+		t.Errorf("connections used %d bytes of memory, want at most %d", maxUsed, quota)
 	}
-	if after := heapBytes(); after > before+300<<20 {
-		t.Errorf("the heap grew to %d MB from %d MB, want a growth of at most 300 MB", after>>20, before>>20)
+	if heapAfter := heapBytes(); heapAfter > heapBefore+300<<20 {
+		t.Errorf("the heap grew to %d MB from %d MB, want a growth of at most 300 MB", heapAfter>>20, heapBefore>>20)
 	}
-	t.Logf("maximum memory of connections: %d MB; heap: %d MB, %d MB before the test", maxUsed>>20, heapBytes()>>20, before>>20)
+	t.Logf("maximum memory of connections: %d MB; heap: %d MB, %d MB before the test", maxUsed>>20, heapBytes()>>20, heapBefore>>20)
 	cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	cluster.runOnLoop(func() {
 		if memory := cluster.scheduler.httpServer.Memory(); memory.Used() > 1<<20 {
@@ -72,30 +72,30 @@
 	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.MemoryMiB = 256 })
 	cluster.submitJob(withResources(longJob("a", "batch", 2000, 6), 0.01))
 	cluster.waitUntilSettled("a")
-	before := heapBytes()
+	heapBefore := heapBytes()
 	cluster.openUnreadConnections(200, strings.Repeat("GET /api/v1/pods HTTP/1.1\r\nHost: a\r\n\r\n", 2000))
 	cluster.openUnreadConnections(200, "POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 3000000\r\n\r\n"+strings.Repeat(" ", 2900000))
-	var maxUsed, total int64
+	var maxUsed, quota int64
 	var users, evicted int
 	cluster.eventually("each connection uses memory or was evicted", func() bool {
 		cluster.runOnLoop(func() {
 			memory := cluster.scheduler.httpServer.Memory()
-			maxUsed, total, users, evicted = max(maxUsed, memory.Used()), memory.Total(), memory.Users(), int(memory.Evicted)
+			maxUsed, quota, users, evicted = max(maxUsed, memory.Used()), memory.Total(), memory.Users(), int(memory.Evicted)
 		})
 		return users+evicted >= 400
 	})
 	cluster.requireStatus(201, "POST", jobsPath, jsonType, jobJSON("b", 1))
-	if maxUsed > total {
-		t.Errorf("connections used %d bytes of memory, want at most %d", maxUsed, total)
+	if maxUsed > quota {
+		t.Errorf("connections used %d bytes of memory, want at most %d", maxUsed, quota)
 	}
 	// The heap is measured on the event loop, so that the loop does not allocate during the garbage
 	// collection. Memory that is allocated during a collection would be counted as in use.
-	var after uint64
-	cluster.runOnLoop(func() { after = heapBytes() })
-	if after > before+uint64(total)+128<<20 {
-		t.Errorf("the heap grew to %d MB from %d MB, want a growth of at most the quota of %d MB plus 128 MB", after>>20, before>>20, total>>20)
+	var heapAfter uint64
+	cluster.runOnLoop(func() { heapAfter = heapBytes() })
+	if heapAfter > heapBefore+uint64(quota)+128<<20 {
+		t.Errorf("the heap grew to %d MB from %d MB, want a growth of at most the quota of %d MB plus 128 MB", heapAfter>>20, heapBefore>>20, quota>>20)
 	}
-	t.Logf("connections used %d KB of %d KB; %d connections were evicted", maxUsed>>10, total>>10, evicted)
+	t.Logf("connections used %d KB of %d KB; %d connections were evicted", maxUsed>>10, quota>>10, evicted)
 }
 
 // TestUnknownMethodsShareOneSeries checks that requests with many different unknown methods do not create a
--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -125,7 +125,7 @@
 // deleted after the first page.
 func checkPagesOfDeletedJob(t *testing.T, client *kubernetes.Clientset, jobs typedbatchv1.JobInterface) {
 	t.Helper()
-	names := map[string]bool{}
+	podNames := map[string]bool{}
 	options := metav1.ListOptions{Limit: 3, LabelSelector: "job-name=a"}
 	for {
 		page, err := client.CoreV1().Pods("default").List(t.Context(), options)
@@ -133,9 +133,9 @@
 			t.Fatal(err)
 		}
 		for _, pod := range page.Items {
-			names[pod.Name] = true
+			podNames[pod.Name] = true
 		}
-		if len(names) == 3 {
+		if len(podNames) == 3 {
 			if err := jobs.Delete(t.Context(), "a", metav1.DeleteOptions{}); err != nil {
 				t.Fatal(err)
 			}
@@ -144,8 +144,8 @@
 			break
 		}
 	}
-	if len(names) != 7 {
-		t.Fatalf("%d Pods over all pages, want 7", len(names))
+	if len(podNames) != 7 {
+		t.Fatalf("%d Pods over all pages, want 7", len(podNames))
 	}
 }
 
@@ -153,11 +153,11 @@
 // returns the Job. The last patch resumes the Job.
 func createSuspendedAndPatch(t *testing.T, jobs typedbatchv1.JobInterface, job *batchv1.Job) *batchv1.Job {
 	t.Helper()
-	generated := job.DeepCopy()
-	generated.Name, generated.GenerateName = "", "gen-"
+	suspendedJob := job.DeepCopy()
+	suspendedJob.Name, suspendedJob.GenerateName = "", "gen-"
 	suspend := true
-	generated.Spec.Suspend = &suspend
-	patched, err := jobs.Create(t.Context(), generated, metav1.CreateOptions{})
+	suspendedJob.Spec.Suspend = &suspend
+	patched, err := jobs.Create(t.Context(), suspendedJob, metav1.CreateOptions{})
 	if err != nil || len(patched.Name) != 9 {
 		t.Fatalf("creating a Job with a generated name: Job %v, error %v", patched, err)
 	}
@@ -183,14 +183,14 @@
 // with an unknown class.
 func checkRejectedChanges(t *testing.T, jobs typedbatchv1.JobInterface, job, patched *batchv1.Job) {
 	t.Helper()
-	stale := patched.DeepCopy()
-	stale.ResourceVersion = "1"
-	if _, err := jobs.Update(t.Context(), stale, metav1.UpdateOptions{}); !apierrors.IsConflict(err) {
+	outdatedJob := patched.DeepCopy()
+	outdatedJob.ResourceVersion = "1"
+	if _, err := jobs.Update(t.Context(), outdatedJob, metav1.UpdateOptions{}); !apierrors.IsConflict(err) {
 		t.Fatalf("update with an outdated resource version returned the error %v, want Conflict", err)
 	}
-	invalid := job.DeepCopy()
-	invalid.Spec.Template.Labels[wellknown.Class] = "none"
-	if _, err := jobs.Create(t.Context(), invalid, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
+	invalidJob := job.DeepCopy()
+	invalidJob.Spec.Template.Labels[wellknown.Class] = "none"
+	if _, err := jobs.Create(t.Context(), invalidJob, metav1.CreateOptions{}); !apierrors.IsInvalid(err) {
 		t.Fatalf("creating a Job with an unknown class returned the error %v, want Invalid", err)
 	}
 }
@@ -278,8 +278,8 @@
 	jobInFlight.Service = "t"
 	cluster.submitJob(jobInFlight)
 	node := cluster.running()[0].Spec.NodeName
-	cordon := []byte(`{"spec":{"unschedulable":true}}`)
-	if _, err := client.CoreV1().Nodes().Patch(t.Context(), node, types.StrategicMergePatchType, cordon, metav1.PatchOptions{}); err != nil {
+	cordonPatch := []byte(`{"spec":{"unschedulable":true}}`)
+	if _, err := client.CoreV1().Nodes().Patch(t.Context(), node, types.StrategicMergePatchType, cordonPatch, metav1.PatchOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	cordonedAt := clock.FromTime(time.Now()).UnixSeconds()
--- a/internal/kube/scheduler/jobs_fixture_test.go
+++ b/internal/kube/scheduler/jobs_fixture_test.go
@@ -84,12 +84,12 @@
 }
 
 // hasCondition reports whether a Job has a condition of the given type with the status True.
-func hasCondition(job *batchv1.Job, kind batchv1.JobConditionType) bool {
+func hasCondition(job *batchv1.Job, conditionType batchv1.JobConditionType) bool {
 	if job == nil {
 		return false
 	}
 	for _, condition := range job.Status.Conditions {
-		if condition.Type == kind && condition.Status == corev1.ConditionTrue {
+		if condition.Type == conditionType && condition.Status == corev1.ConditionTrue {
 			return true
 		}
 	}
--- a/internal/kube/scheduler/lifecycle_test.go
+++ b/internal/kube/scheduler/lifecycle_test.go
@@ -28,21 +28,21 @@
 		cluster.submitJob(job)
 	}
 	cluster.waitUntilRunning(16)
-	before := map[string]bool{}
+	uidsBefore := map[string]bool{}
 	for _, pod := range cluster.pods("") {
-		before[string(pod.UID)] = true
+		uidsBefore[string(pod.UID)] = true
 	}
 	revision := cluster.revision()
 	cluster.killScheduler()
 	cluster.startScheduler()
-	after := cluster.pods("")
-	for _, pod := range after {
-		if !before[string(pod.UID)] || wellknown.SettledReason(&pod) != wellknown.Placed {
+	podsAfter := cluster.pods("")
+	for _, pod := range podsAfter {
+		if !uidsBefore[string(pod.UID)] || wellknown.SettledReason(&pod) != wellknown.Placed {
 			t.Errorf("Pod %s after the restart has the settled reason %q", pod.Name, wellknown.SettledReason(&pod))
 		}
 	}
-	if len(after) != 16 || cluster.countEvents(audit.Started) != 16 {
-		t.Errorf("%d Pods after the restart and %d task starts on the nodes, want 16 of each", len(after), cluster.countEvents(audit.Started))
+	if len(podsAfter) != 16 || cluster.countEvents(audit.Started) != 16 {
+		t.Errorf("%d Pods after the restart and %d task starts on the nodes, want 16 of each", len(podsAfter), cluster.countEvents(audit.Started))
 	}
 	for _, name := range []string{"once", "batch"} {
 		if job := cluster.job(name); job == nil || job.Status.Active != 8 {
--- a/internal/kube/scheduler/requests_test.go
+++ b/internal/kube/scheduler/requests_test.go
@@ -22,9 +22,9 @@
 		settings.Limits.MaxBodyBytes, settings.Limits.MaxPods = 4096, 50
 	})
 	body := jobJSON("fit", 1)
-	padded := func(size int) string { return body + strings.Repeat(" ", size-len(body)) }
-	cluster.requireStatus(201, "POST", jobsPath, jsonType, padded(4096))
-	cluster.requireStatus(413, "POST", jobsPath, jsonType, padded(4097))
+	paddedBody := func(size int) string { return body + strings.Repeat(" ", size-len(body)) }
+	cluster.requireStatus(201, "POST", jobsPath, jsonType, paddedBody(4096))
+	cluster.requireStatus(413, "POST", jobsPath, jsonType, paddedBody(4097))
 	for _, test := range []struct {
 		code                                         int
 		method, path, contentType, body, wantMessage string
@@ -70,8 +70,8 @@
 	if err != nil || resp.StatusCode != 406 {
 		t.Errorf("GET with Accept: text/html: response %v, error %v, want status 406", resp, err)
 	}
-	unknown := strings.Replace(jobJSON("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
-	resp, err = http.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(unknown))
+	bodyWithUnknownField := strings.Replace(jobJSON("warned", 1), `"spec":{"par`, `"spek":1,"spec":{"par`, 1)
+	resp, err = http.Post(cluster.baseURL+jobsPath, jsonType, strings.NewReader(bodyWithUnknownField))
 	if err != nil || resp.StatusCode != 201 || !strings.Contains(resp.Header.Get("Warning"), "spek") {
 		t.Errorf("POST with an unknown field: response %v, error %v, want status 201 and a Warning header", resp, err)
 	}
--- a/internal/kube/scheduler/watch_test.go
+++ b/internal/kube/scheduler/watch_test.go
@@ -23,28 +23,28 @@
 // has left the history must be rejected.
 func TestWatchResumesAfterDisconnect(t *testing.T) {
 	cluster := startCluster(t, func(settings *config.Settings) { settings.Limits.History = 60 })
-	first := cluster.revision()
+	firstRevision := cluster.revision()
 	cluster.submitJob(withResources(longJob("a", "batch", 10, 3), 0.1))
 	cluster.waitUntilRunning(10)
-	seen := map[string]bool{}
-	last := fmt.Sprint(first)
-	for disconnects := 0; len(seen) < 30; disconnects++ {
+	seenRevisions := map[string]bool{}
+	lastRevision := fmt.Sprint(firstRevision)
+	for disconnects := 0; len(seenRevisions) < 30; disconnects++ {
 		if disconnects > 200 {
-			t.Fatalf("only %d events after %d disconnects", len(seen), disconnects)
+			t.Fatalf("only %d events after %d disconnects", len(seenRevisions), disconnects)
 		}
-		for _, revision := range cluster.readPartialWatch(last, int64(2500+disconnects*311%4000)) {
-			if seen[revision] {
+		for _, revision := range cluster.readPartialWatch(lastRevision, int64(2500+disconnects*311%4000)) {
+			if seenRevisions[revision] {
 				t.Fatalf("received the event with revision %s twice", revision)
 			}
-			seen[revision] = true
-			last = revision
+			seenRevisions[revision] = true
+			lastRevision = revision
 		}
 	}
 	// Each of the ten Pods is added, placed and seen running, which makes 30 events. The second Job has
 	// enough events to push the first revision out of the history.
 	cluster.submitJob(withResources(longJob("b", "batch", 30, 3), 0.1))
 	cluster.waitUntilRunning(40)
-	cluster.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", first), "", "")
+	cluster.requireStatus(410, "GET", fmt.Sprintf("/api/v1/pods?watch=1&resourceVersion=%d", firstRevision), "", "")
 }
 
 // readPartialWatch watches all Pods from a revision, closes the connection after the given number of bytes,
