--- a/internal/kube/scheduler/clientgo_test.go
+++ b/internal/kube/scheduler/clientgo_test.go
@@ -292,7 +292,7 @@
 	}
 	cluster.eventually("the drained node has no running Pods and all 24 tasks run elsewhere", func() bool {
 		for _, pod := range cluster.pods("?fieldSelector=spec.nodeName=" + node) {
-			if !wellknown.Finished(&pod) {
+			if !wellknown.PodFinished(&pod) {
 				return false
 			}
 		}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -292,7 +292,7 @@
 
 // watchers returns the number of open watches.
 func (cluster *testCluster) watchers() (n int) {
-	cluster.runOnLoop(func() { n = cluster.scheduler.apiServer.Watchers() })
+	cluster.runOnLoop(func() { n = cluster.scheduler.apiServer.OpenWatches() })
 	return n
 }
 
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -142,14 +142,14 @@
 	m.addGauge("pods", "Pods stored.", func() float64 { return float64(eng.Store().Len(store.Pods)) })
 	m.addGauge("objects_bytes", "Memory of the objects stored, counted high.", func() float64 { return float64(eng.Store().ObjectCost()) })
 	m.addGauge("history_bytes", "Memory of the changes kept for watches, counted high.", func() float64 { return float64(eng.Store().HistoryCost()) })
-	m.addGauge("revision", "Revision of the store after its last change.", func() float64 { return float64(eng.Store().Rev()) })
+	m.addGauge("revision", "Revision of the store after its last change.", func() float64 { return float64(eng.Store().Revision()) })
 }
 
 // registerServerMetrics registers the metrics of the API server, the HTTP server and the event loop. The
 // functions access the HTTP server through s, because s.httpServer is set only after the metrics are
 // registered.
 func (m *metrics) registerServerMetrics(s *Scheduler) {
-	m.addGauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.Watchers()) })
+	m.addGauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.OpenWatches()) })
 	m.addGauge("connections", "Open API connections.", func() float64 { return float64(s.httpServer.Conns()) })
 	m.addGauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
 		return float64(s.httpServer.Memory().Used())
--- a/internal/kube/scheduler/phase_test.go
+++ b/internal/kube/scheduler/phase_test.go
@@ -22,7 +22,7 @@
 	settings := config.Default()
 	listedNode := &corev1.Node{}
 	listedNode.Name = "node-01"
-	listedNode.Labels = map[string]string{wellknown.Kind: settings.NodeTypes[0].Name}
+	listedNode.Labels = map[string]string{wellknown.NodeType: settings.NodeTypes[0].Name}
 	listedNode.Status.NodeInfo.BootID = "node-01-1"
 	listedNode.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
 	listedNode.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
--- a/internal/kube/scheduler/scheduler.go
+++ b/internal/kube/scheduler/scheduler.go
@@ -140,7 +140,7 @@
 func (s *Scheduler) Engine() *engine.Engine { return s.engine }
 
 // Revision returns the revision of the last change in the store.
-func (s *Scheduler) Revision() int64 { return s.engine.Store().Rev() }
+func (s *Scheduler) Revision() int64 { return s.engine.Store().Revision() }
 
 // ObjectCount returns the number of stored objects of a resource.
 func (s *Scheduler) ObjectCount(resource store.Resource) int { return s.engine.Store().Len(resource) }
@@ -206,13 +206,13 @@
 // schedulePublish schedules that new changes are sent to watches. The delay batches changes if there are
 // many watches.
 func (s *Scheduler) schedulePublish() {
-	if s.engine.Store().Rev() == s.publishedRevision || s.publishScheduled {
+	if s.engine.Store().Revision() == s.publishedRevision || s.publishScheduled {
 		return
 	}
 	s.publishScheduled = true
 	s.loop.After(s.publishDelay(), func() {
 		s.publishScheduled = false
-		s.publishedRevision = s.engine.Store().Rev()
+		s.publishedRevision = s.engine.Store().Revision()
 		s.pullStreams()
 	})
 }
