--- a/placer/actions.go
+++ b/placer/actions.go
@@ -5,15 +5,16 @@
 	actions []Action
 }
 
-// begin sets the slice to which the actions of the next event are appended. The caller of Handle provides the
-// slice.
-func (l *actionList) begin(actions []Action) { l.actions = actions }
+// beginEvent sets the slice to which the actions of the next event are appended. The caller of Handle
+// provides the slice.
+func (l *actionList) beginEvent(actions []Action) { l.actions = actions }
 
-func (l *actionList) add(action Action) { l.actions = append(l.actions, action) }
+func (l *actionList) addAction(action Action) { l.actions = append(l.actions, action) }
 
-// take returns the collected actions and clears the list, because the slice belongs to the caller of Handle.
-func (l *actionList) take() []Action {
-	taken := l.actions
+// takeActions returns the collected actions and clears the list, because the slice belongs to the caller of
+// Handle.
+func (l *actionList) takeActions() []Action {
+	takenActions := l.actions
 	l.actions = nil
-	return taken
+	return takenActions
 }
--- a/placer/api.go
+++ b/placer/api.go
@@ -11,7 +11,7 @@
 // placement.go shows how one request is placed. The file api.go defines the events, the actions and their
 // types.
 //
-// The file docs/design.md describes the algorithm and the origin of its constants.
+// The file docs/design.md describes the algorithm and explains the values of its constants.
 package placer
 
 // TaskID identifies one placement request and the task that it places. A client that requests a task again
@@ -29,8 +29,8 @@
 	ID            TaskID
 	Class, Tenant int // indexes into Config.Classes and Config.Tenants
 	Service       ServiceID
-	Cores, Memory float64 // requested capacity
-	Deadline      Seconds // time by which the final answer is due
+	Cores, Memory float64 // capacity that the task requests
+	Deadline      Seconds // time by which the client must get the final answer
 	IsRetry       bool    // the client has requested the task before, under another TaskID
 }
 
@@ -105,7 +105,7 @@
 	WrongNode // the node does not accept this task, for example because the node is draining
 	Evicted   // the node stopped the task because the node ran out of memory
 	Preempted // the node stopped the task in favor of a task of higher priority
-	Drained   // the node stopped the task because the node is draining
+	Drained   // the node stopped the task in order to drain
 )
 
 // UsageKind selects the quantity that a usage report on a running task contains.
@@ -116,8 +116,8 @@
 	Started        UsageKind = iota + 1 // the task has started
 	CoresUsed                           // number of cores that the task uses
 	MemoryUsed                          // amount of memory that the task uses
-	ServedFraction                      // fraction of full service that the task provides
-	NodeMemory                          // amount of memory in use on the node of the task
+	ServedFraction                      // speed of the task as a fraction of its full speed
+	NodeMemory                          // amount of memory in use on the node that runs the task
 )
 
 // EventKind selects the meaning of an Event and determines which of its fields are used.
@@ -155,9 +155,9 @@
 	Attempt int // index of the attempt among those for its request; a task found running has attempt 0
 	Result  Result
 	Reason  Reason
-	Elapsed Seconds // time since the attempt was sent
+	Elapsed Seconds // time between the sending of the attempt and the event
 	Final   bool    // no further attempt may be made for the request
-	Report  *Report // load report of the node; nil if the event carries none
+	Report  *Report // load report of the node; nil if the event contains no load report
 	List    ListKind
 	Nodes   []Node // the Placer does not keep the slice after Handle returns
 	Usage   UsageKind
--- a/placer/average.go
+++ b/placer/average.go
@@ -1,33 +1,37 @@
 package placer
 
-// runningAverage holds an exponentially weighted mean and mean absolute deviation of samples. Estimates of
-// the mean may be added before the first sample. In this case, the initial mean counts as one more estimate,
-// and the weight of a sample is at least 1 divided by the total number of samples and added estimates.
+// runningAverage holds the exponentially weighted mean of samples and their mean absolute deviation.
+//
+// Before the first sample arrives, estimates of the mean may be added. They are averaged with the initial
+// mean, which counts as one estimate. If estimates were added, the weight of a sample is at least 1/n, where
+// n is the number of samples and estimates so far.
 type runningAverage struct {
-	mean, deviation    float64
-	samples, estimates int
+	mean, deviation            float64
+	sampleCount, estimateCount int
 }
 
-// add adds a sample with the given weight. The first sample sets the mean if no estimate was added before.
-func (a *runningAverage) add(value, weight float64) {
-	a.samples++
-	if a.samples+a.estimates == 1 {
+// addSample adds a sample with the given weight. The first sample becomes the mean if no estimate was added
+// before.
+func (a *runningAverage) addSample(value, weight float64) {
+	a.sampleCount++
+	if a.sampleCount+a.estimateCount == 1 {
 		a.mean, a.deviation = value, value/initialDeviationDivisor
 		return
 	}
-	if a.estimates > 0 {
-		weight = max(weight, 1/float64(a.samples+a.estimates))
+	if a.estimateCount > 0 {
+		weight = max(weight, 1/float64(a.sampleCount+a.estimateCount))
 	}
 	difference := value - a.mean
 	a.mean += difference * weight
 	a.deviation += (max(difference, -difference) - a.deviation) * weight
 }
 
-// addEstimate adds an estimate of the mean. It has no effect after the first sample.
+// addEstimate adds an estimate of the mean with at least the given weight. After the first sample, estimates
+// have no effect.
 func (a *runningAverage) addEstimate(value, minWeight float64) {
-	if a.samples > 0 {
+	if a.sampleCount > 0 {
 		return
 	}
-	a.estimates++
-	a.mean += (value - a.mean) * max(minWeight, 1/float64(a.estimates+1))
+	a.estimateCount++
+	a.mean += (value - a.mean) * max(minWeight, 1/float64(a.estimateCount+1))
 }
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -21,8 +21,9 @@
 )
 
 // capacityModel estimates the free capacity and the load of nodes. It uses the node list, the load reports of
-// the nodes, and the recent changes by this scheduler that the list and the reports do not show yet. It also
-// learns the ratios of used to requested capacity, which are averaged over all nodes.
+// the nodes, and recent changes of the requested capacity by this scheduler. The list and the reports do not
+// show these changes yet. The model also learns the ratios of used to requested capacity as averages over all
+// nodes.
 type capacityModel struct {
 	behavior         NodeBehavior
 	overcommit       Overcommit
@@ -42,11 +43,12 @@
 // freeCapacity is the capacity of a node that no task has requested.
 type freeCapacity struct {
 	cores, memory float64
-	known         bool // if false, the amounts are assumed to be half of the size of the node
+	known         bool // if false, the amounts are set to half of the size of the node
 }
 
-// estimateFree returns the free capacity of a node. It subtracts the recent changes by this scheduler, which
-// the node list or the node's report may not show yet.
+// estimateFree returns the estimated free capacity of a node. It starts from the node list or from the load
+// report of the node. It then subtracts the capacity of recently placed tasks and adds that of recently ended
+// tasks of this scheduler, which the list or the report may not show yet.
 func (m *capacityModel) estimateFree(now Seconds, node *trackedNode) freeCapacity {
 	load := &node.load
 	free := freeCapacity{known: true}
@@ -58,10 +60,10 @@
 	default:
 		return freeCapacity{cores: node.cores / 2, memory: node.memory / 2}
 	}
-	recent := load.changesSince(now - contenderWindow)
-	for i := range recent {
-		free.cores -= recent[i].cores
-		free.memory -= recent[i].memory
+	recentChanges := load.changesSince(now - contenderWindow)
+	for i := range recentChanges {
+		free.cores -= recentChanges[i].cores
+		free.memory -= recentChanges[i].memory
 	}
 	return free
 }
@@ -78,9 +80,9 @@
 		return cores, memory
 	}
 	recentCores, recentMemory := 0.0, 0.0
-	recent := load.changesSince(now - contenderWindow)
-	for i := range recent {
-		if change := &recent[i]; change.at > load.reportedAt-contenderWindow/2 {
+	recentChanges := load.changesSince(now - contenderWindow)
+	for i := range recentChanges {
+		if change := &recentChanges[i]; change.changedAt > load.reportedAt-contenderWindow/2 {
 			recentCores += change.cores * m.coresUsageRatio.mean
 			recentMemory += change.memory * m.memoryUsageRatio.mean
 		}
@@ -99,25 +101,25 @@
 
 // projection is the expected load of a node with one more task.
 type projection struct {
-	fits             bool
+	fits             bool    // the node is not known to lack capacity for the task
 	saturationExcess float64 // utilization of the cores minus the utilization that the task class tolerates
 }
 
-// project returns the expected load of a node with one more task of the given task class. If the free
+// projectLoad returns the expected load of a node with one more task of the given task class. If the free
 // capacity of the node is unknown or insufficient, the saturation excess is not computed. The result then
 // contains the latest saturation excess that was recorded for the node.
-func (m *capacityModel) project(now Seconds, class *Class, task *Task, node *trackedNode) projection {
-	last := node.load.saturationExcess
+func (m *capacityModel) projectLoad(now Seconds, class *Class, task *Task, node *trackedNode) projection {
+	lastExcess := node.load.saturationExcess
 	free := m.estimateFree(now, node)
 	if !free.known {
-		return projection{fits: true, saturationExcess: last}
+		return projection{fits: true, saturationExcess: lastExcess}
 	}
 	if free.cores+(m.overcommit.Cores-1)*node.cores < task.Cores ||
 		free.memory+(m.overcommit.Memory-1)*node.memory < task.Memory {
-		return projection{fits: false, saturationExcess: last}
+		return projection{fits: false, saturationExcess: lastExcess}
 	}
-	// A node may accept more tasks than it can run well. When its memory is almost full, the node slows down
-	// or evicts tasks, and the evicted tasks are then placed on other nodes, where they cause further
+	// A node may accept tasks that need more memory than it has. When its memory is almost full, the node
+	// slows down or evicts tasks. The evicted tasks are then placed on other nodes, where they cause further
 	// evictions.
 	usedCores, usedMemory := m.usage(now, node, free)
 	threshold := class.SaturationThreshold + class.DegradationRange*degradationTolerance
@@ -158,11 +160,11 @@
 		return
 	}
 	if !math.IsNaN(report.Utilization) {
-		m.coresUsageRatio.add(report.Utilization*node.cores/requestedCores, usageLearningRate)
+		m.coresUsageRatio.addSample(report.Utilization*node.cores/requestedCores, usageLearningRate)
 	} else if m.behavior.ReportsUsage && !math.IsNaN(report.FreeCores) {
-		m.coresUsageRatio.add((node.cores-report.FreeCores)/requestedCores, usageLearningRate)
+		m.coresUsageRatio.addSample((node.cores-report.FreeCores)/requestedCores, usageLearningRate)
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(report.FreeMemory) {
-		m.memoryUsageRatio.add((node.memory-report.FreeMemory)/requestedMemory, usageLearningRate)
+		m.memoryUsageRatio.addSample((node.memory-report.FreeMemory)/requestedMemory, usageLearningRate)
 	}
 }
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -17,7 +17,7 @@
 
 func TestFreeCapacityEstimate(t *testing.T) {
 	const now = 100
-	change := func(at Seconds) []capacityChange { return []capacityChange{{at: at, cores: 2, memory: 3}} }
+	change := func(at Seconds) []capacityChange { return []capacityChange{{changedAt: at, cores: 2, memory: 3}} }
 	report := func(at Seconds) nodeLoad {
 		return nodeLoad{hasReport: true, reportedAt: at, report: Report{FreeCores: 4, FreeMemory: 5}}
 	}
@@ -27,14 +27,14 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"node list shows capacity":          {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"node list and recent change":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"node list and old change":          {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"load report shows free capacity":   {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"load report and recent change":     {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"outdated load report is ignored":   {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"load report shows only usage":      {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither node list nor load report": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"node list shows free capacity":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"recent change is not in node list":   {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"old change is already in node list":  {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"load report shows free capacity":     {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"recent change is not in load report": {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated load report is ignored":     {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"load report shows capacity in use":   {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither node list nor load report":   {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
@@ -77,7 +77,7 @@
 			class := &Class{SaturationThreshold: 1, DegradationRange: 1}
 			node := newHalfFreeNode()
 			node.load = test.load
-			if got := newCapacityModel(cfg).project(now, class, &test.task, node); got != test.want {
+			if got := newCapacityModel(cfg).projectLoad(now, class, &test.task, node); got != test.want {
 				t.Errorf("projected load is %+v, want %+v", got, test.want)
 			}
 			if node.load.saturationExcess != test.load.saturationExcess {
@@ -90,27 +90,27 @@
 func TestUsageRatiosAreLearnedFromReports(t *testing.T) {
 	const now = 100
 	for name, test := range map[string]struct {
-		free          float64 // free cores of the node; its free memory is twice this amount
-		report        Report
-		cores, memory float64 // ratios of used to requested capacity that the model must learn
+		freeCores                       float64 // free cores of the node; its free memory is twice this amount
+		report                          Report
+		wantCoresRatio, wantMemoryRatio float64 // ratios of used to requested capacity that the model must learn
 	}{
 		"report contains only utilization":            {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
 		"report contains free cores and memory":       {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
 		"too little capacity requested to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
 		"report contains no values":                   {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
 		"more cores in use than requested":            {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
-		"no cores or memory in use":                   {8, Report{16, 32, 0, 0}, 0, 0},
+		"neither cores nor memory are in use":         {8, Report{16, 32, 0, 0}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
 			node := newHalfFreeNode()
-			node.FreeCores, node.FreeMemory = test.free, 2*test.free
+			node.FreeCores, node.FreeMemory = test.freeCores, 2*test.freeCores
 			model.observeReport(now, node, &test.report)
-			if got := model.coresUsageRatio.mean; got != test.cores {
-				t.Errorf("ratio of used to requested cores is %v, want %v", got, test.cores)
+			if got := model.coresUsageRatio.mean; got != test.wantCoresRatio {
+				t.Errorf("ratio of used to requested cores is %v, want %v", got, test.wantCoresRatio)
 			}
-			if got := model.memoryUsageRatio.mean; got != test.memory {
-				t.Errorf("ratio of used to requested memory is %v, want %v", got, test.memory)
+			if got := model.memoryUsageRatio.mean; got != test.wantMemoryRatio {
+				t.Errorf("ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
 				t.Error("the load report was not recorded with the time at which it arrived")
@@ -119,27 +119,28 @@
 	}
 }
 
-// When a node accepts an attempt, only the capacity change that was recorded for this attempt must be
-// removed. Another attempt on the same node may have been sent at the same time.
+// The load record of a node has an entry for each pending attempt. When the node accepts an attempt, only the
+// entry for this attempt must be removed. Another attempt on the same node may have been sent at the same
+// time.
 func TestNodeLoadRecordsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
-	sent := &attempt{request: request, sentAt: 100}
+	sentAttempt := &attempt{request: request, sentAt: 100}
 	var load nodeLoad
 	load.attemptSent(100, &Task{Cores: 1, Memory: 1})
 	load.attemptSent(100, &request.Task)
-	load.attemptBound(101, sent)
-	if load.recentlyBoundTasks(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
-		t.Fatalf("recorded capacity changes after a node accepted the task are %+v, want one pending attempt and one bound task", load.recentChanges)
+	load.attemptBound(101, sentAttempt)
+	if load.countRecentlyBoundTasks(101) != 1 || len(load.recentChanges) != 2 || load.recentChanges[0].cores != 1 {
+		t.Fatalf("after a node accepted one of two attempts, the load record contains %+v, want one entry for the pending attempt and one for the bound task", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
 	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
-		t.Fatalf("last capacity change after the end of the task is %+v, want -2 cores and -3 memory", last)
+		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want -2 cores and -3 memory", last)
 	}
-	if load.recentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
-		t.Error("a bound task older than the contender window counts as recent, or was removed before dropOldChanges")
+	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
+		t.Error("a task that was bound before the contender window counts as recent, or its entry was removed before dropOldChanges was called")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
-		t.Errorf("capacity changes after dropOldChanges are %+v, want only the end of the task", load.recentChanges)
+		t.Errorf("after dropOldChanges, the load record contains %+v, want only the entry for the end of the task", load.recentChanges)
 	}
 }
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -64,14 +64,14 @@
 
 // script describes a simulation with the configuration of the scheduler, the nodes and the load.
 type script struct {
-	name   string
-	seed   uint64
-	events int
-	config placer.Config
+	name       string
+	seed       uint64
+	eventCount int
+	config     placer.Config
 
-	nodes                  int            // number of nodes at the start
-	zones, racks           int            // number of zones and racks over which the nodes are spread
-	services               int            // number of services to which the tasks belong
+	nodeCount              int            // number of nodes at the start
+	zoneCount, rackCount   int            // number of zones and racks over which the nodes are spread
+	serviceCount           int            // number of services to which the tasks belong
 	arrivalsPerSecond      float64        // mean rate of new tasks
 	lifetime               placer.Seconds // mean time for which a bound task runs
 	taskCores              float64        // mean number of cores that a task requests
@@ -84,7 +84,7 @@
 	lateOutcomeProbability float64        // probability that an outcome arrives after the deadline
 	lowLoadAfterEvents     int            // number of events after which few tasks arrive; 0 means never
 	withdrawalProbability  float64        // additional probability that the client withdraws a request early
-	relistDelay            placer.Seconds // time after which a removed node is listed again; 0 means never
+	relistDelay            placer.Seconds // time after which node lists contain a removed node again; 0 means never
 	extraMinUsageRatio     float64        // amount by which the lowest ratio of used to requested capacity exceeds 0.5
 	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
 }
@@ -131,63 +131,63 @@
 }
 
 func scripts() []script {
-	stickyServices := baseConfig()
-	stickyServices.Peers.StickyServices, stickyServices.NodeBehavior.AcknowledgesOnStart, stickyServices.NodeBehavior.Preempts = true, true, true
+	stickyServicesConfig := baseConfig()
+	stickyServicesConfig.Peers.StickyServices, stickyServicesConfig.NodeBehavior.AcknowledgesOnStart, stickyServicesConfig.NodeBehavior.Preempts = true, true, true
 
-	consolidating := baseConfig()
-	consolidating.Peers.Self, consolidating.Peers.Total, consolidating.NodeBehavior.ListShowsCapacity, consolidating.NodeBehavior.ReportsUsage = 1, 3, true, true
-	consolidating.Costs.Node, consolidating.Costs.Migration, consolidating.Retry.SendsRetryAfter = 0.3, 0.02, true
-	consolidating.Classes = classesWithSpread(placer.NoDomain, placer.RackDomain)
+	consolidatingConfig := baseConfig()
+	consolidatingConfig.Peers.Self, consolidatingConfig.Peers.Total, consolidatingConfig.NodeBehavior.ListShowsCapacity, consolidatingConfig.NodeBehavior.ReportsUsage = 1, 3, true, true
+	consolidatingConfig.Costs.Node, consolidatingConfig.Costs.Migration, consolidatingConfig.Retry.SendsRetryAfter = 0.3, 0.02, true
+	consolidatingConfig.Classes = classesWithSpread(placer.NoDomain, placer.RackDomain)
 
-	multipleZones := baseConfig()
-	multipleZones.Peers.Self, multipleZones.Peers.Total, multipleZones.Zone, multipleZones.Costs.CrossZone, multipleZones.Discovery.MustPoll = 2, 8, 1, 0.2, true
-	multipleZones.NodeBehavior.ListShowsCapacity, multipleZones.SlowStart.MaxAttempts, multipleZones.Attempts.AllowsHedging = true, 20, true
-	multipleZones.Classes = classesWithSpread(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
+	multipleZonesConfig := baseConfig()
+	multipleZonesConfig.Peers.Self, multipleZonesConfig.Peers.Total, multipleZonesConfig.Zone, multipleZonesConfig.Costs.CrossZone, multipleZonesConfig.Discovery.MustPoll = 2, 8, 1, 0.2, true
+	multipleZonesConfig.NodeBehavior.ListShowsCapacity, multipleZonesConfig.SlowStart.MaxAttempts, multipleZonesConfig.Attempts.AllowsHedging = true, 20, true
+	multipleZonesConfig.Classes = classesWithSpread(placer.ZoneDomain, placer.NoDomain, placer.NodeDomain, placer.RackDomain)
 
-	scarceCapacity := baseConfig()
-	scarceCapacity.Peers.Self, scarceCapacity.Peers.Total, scarceCapacity.NodeBehavior.ReportsUsage, scarceCapacity.Attempts.Max = 0, 2, true, 6
-	scarceCapacity.Discovery.MustPoll, scarceCapacity.Discovery.MaxPollInterval, scarceCapacity.Overcommit.Cores, scarceCapacity.Overcommit.Memory = true, 3, 1, 1
+	scarceCapacityConfig := baseConfig()
+	scarceCapacityConfig.Peers.Self, scarceCapacityConfig.Peers.Total, scarceCapacityConfig.NodeBehavior.ReportsUsage, scarceCapacityConfig.Attempts.Max = 0, 2, true, 6
+	scarceCapacityConfig.Discovery.MustPoll, scarceCapacityConfig.Discovery.MaxPollInterval, scarceCapacityConfig.Overcommit.Cores, scarceCapacityConfig.Overcommit.Memory = true, 3, 1, 1
 
-	manyTasks := baseConfig()
-	manyTasks.Peers.Total, manyTasks.NodeBehavior.ListShowsCapacity, manyTasks.Overcommit.Cores, manyTasks.Overcommit.Memory = 2, true, 20, 20
-	manyTasks.Classes = classesWithSpread(placer.NoDomain)
-	for i := range manyTasks.Classes {
-		manyTasks.Classes[i].Deadline += 8
-		manyTasks.Classes[i].NodeType = -1
+	manyTasksConfig := baseConfig()
+	manyTasksConfig.Peers.Total, manyTasksConfig.NodeBehavior.ListShowsCapacity, manyTasksConfig.Overcommit.Cores, manyTasksConfig.Overcommit.Memory = 2, true, 20, 20
+	manyTasksConfig.Classes = classesWithSpread(placer.NoDomain)
+	for i := range manyTasksConfig.Classes {
+		manyTasksConfig.Classes[i].Deadline += 8
+		manyTasksConfig.Classes[i].NodeType = -1
 	}
 
-	scarceMemory := baseConfig()
-	scarceMemory.NodeBehavior.ListShowsCapacity, scarceMemory.NodeBehavior.ReportsUsage, scarceMemory.Overcommit.Cores, scarceMemory.Overcommit.Memory = true, true, 2, 2
+	scarceMemoryConfig := baseConfig()
+	scarceMemoryConfig.NodeBehavior.ListShowsCapacity, scarceMemoryConfig.NodeBehavior.ReportsUsage, scarceMemoryConfig.Overcommit.Cores, scarceMemoryConfig.Overcommit.Memory = true, true, 2, 2
 
-	expensiveMigration := consolidating // a migration costs more than a node in use
-	expensiveMigration.Costs.Node, expensiveMigration.Costs.Migration, expensiveMigration.SlowStart.MaxAttempts = 0.1, 0.2, 30
+	expensiveMigrationConfig := consolidatingConfig // a migration costs more than a node in use
+	expensiveMigrationConfig.Costs.Node, expensiveMigrationConfig.Costs.Migration, expensiveMigrationConfig.SlowStart.MaxAttempts = 0.1, 0.2, 30
 
-	rareLists := multipleZones // the Placer rarely receives a node list
-	rareLists.Discovery.MaxPollInterval, rareLists.Peers.Total = 400, 3
+	rareListsConfig := multipleZonesConfig // the Placer rarely receives a node list
+	rareListsConfig.Discovery.MaxPollInterval, rareListsConfig.Peers.Total = 400, 3
 
 	return []script{
-		{name: "stay", seed: 1, events: 12000, config: stickyServices, nodes: 24, zones: 2, racks: 6, services: 9, arrivalsPerSecond: 14,
+		{name: "stay", seed: 1, eventCount: 12000, config: stickyServicesConfig, nodeCount: 24, zoneCount: 2, rackCount: 6, serviceCount: 9, arrivalsPerSecond: 14,
 			lifetime: 5, taskCores: 0.9, taskMemory: 1.5, churnInterval: 1.5, listInterval: 0.7, listFailureProbability: 0.1, failureProbability: 0.15, brokenNodes: 2,
 			lateOutcomeProbability: 0.03},
-		{name: "fleet", seed: 2, events: 12000, config: consolidating, nodes: 30, zones: 1, racks: 5, services: 30, arrivalsPerSecond: 10,
+		{name: "fleet", seed: 2, eventCount: 12000, config: consolidatingConfig, nodeCount: 30, zoneCount: 1, rackCount: 5, serviceCount: 30, arrivalsPerSecond: 10,
 			lifetime: 8, taskCores: 0.7, taskMemory: 1.2, churnInterval: 6, listInterval: 0.5, failureProbability: 0.05, brokenNodes: 1, lateOutcomeProbability: 0.01,
 			lowLoadAfterEvents: 6000},
-		{name: "zones", seed: 3, events: 12000, config: multipleZones, nodes: 40, zones: 3, racks: 8, services: 40, arrivalsPerSecond: 12,
+		{name: "zones", seed: 3, eventCount: 12000, config: multipleZonesConfig, nodeCount: 40, zoneCount: 3, rackCount: 8, serviceCount: 40, arrivalsPerSecond: 12,
 			lifetime: 6, taskCores: 1, taskMemory: 2, churnInterval: 0.3, listInterval: 0.6, listFailureProbability: 0.25, failureProbability: 0.2, brokenNodes: 3,
 			lateOutcomeProbability: 0.02},
-		{name: "tight", seed: 4, events: 12000, config: scarceCapacity, nodes: 6, zones: 2, racks: 2, services: 5, arrivalsPerSecond: 9,
+		{name: "tight", seed: 4, eventCount: 12000, config: scarceCapacityConfig, nodeCount: 6, zoneCount: 2, rackCount: 2, serviceCount: 5, arrivalsPerSecond: 9,
 			lifetime: 9, taskCores: 2, taskMemory: 5, churnInterval: 5, listInterval: 1, listFailureProbability: 0.3, failureProbability: 0.35, brokenNodes: 1, lateOutcomeProbability: 0.05},
-		{name: "slow", seed: 5, events: 6000, config: stickyServices, nodes: 12, zones: 2, racks: 3, services: 4, arrivalsPerSecond: 0.4,
+		{name: "slow", seed: 5, eventCount: 6000, config: stickyServicesConfig, nodeCount: 12, zoneCount: 2, rackCount: 3, serviceCount: 4, arrivalsPerSecond: 0.4,
 			lifetime: 20, taskCores: 1, taskMemory: 2, churnInterval: 8, listInterval: 3, listFailureProbability: 0.05, failureProbability: 0.1, lateOutcomeProbability: 0.01},
-		{name: "crowd", seed: 6, events: 8000, config: manyTasks, nodes: 4, zones: 1, racks: 2, services: 200, arrivalsPerSecond: 3,
+		{name: "crowd", seed: 6, eventCount: 8000, config: manyTasksConfig, nodeCount: 4, zoneCount: 1, rackCount: 2, serviceCount: 200, arrivalsPerSecond: 3,
 			lifetime: 1, taskCores: 0.05, taskMemory: 0.05, churnInterval: 4, listInterval: 0.5, failureProbability: 0.02, lateOutcomeProbability: 0.5, withdrawalProbability: 0.6},
-		{name: "memory", seed: 7, events: 6000, config: scarceMemory, nodes: 10, zones: 2, racks: 4, services: 40, arrivalsPerSecond: 8,
+		{name: "memory", seed: 7, eventCount: 6000, config: scarceMemoryConfig, nodeCount: 10, zoneCount: 2, rackCount: 4, serviceCount: 40, arrivalsPerSecond: 8,
 			lifetime: 8, taskCores: 0.3, taskMemory: 4, listInterval: 0.3, failureProbability: 0.02, extraMinUsageRatio: 0.35},
-		{name: "return", seed: 8, events: 8000, config: consolidating, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSecond: 3,
+		{name: "return", seed: 8, eventCount: 8000, config: consolidatingConfig, nodeCount: 20, zoneCount: 2, rackCount: 4, serviceCount: 15, arrivalsPerSecond: 3,
 			lifetime: 2, taskCores: 1, taskMemory: 1, churnInterval: 5, listInterval: 0.5, failureProbability: 0.05, relistDelay: 59.5},
-		{name: "dear", seed: 9, events: 4000, config: expensiveMigration, nodes: 20, zones: 1, racks: 4, services: 15, arrivalsPerSecond: 6,
+		{name: "dear", seed: 9, eventCount: 4000, config: expensiveMigrationConfig, nodeCount: 20, zoneCount: 1, rackCount: 4, serviceCount: 15, arrivalsPerSecond: 6,
 			lifetime: 6, taskCores: 1, taskMemory: 1, listInterval: 0.5, failureProbability: 0.05, lowLoadAfterEvents: 2000, nodesStartedAt: 998},
-		{name: "deaf", seed: 10, events: 4000, config: rareLists, nodes: 20, zones: 2, racks: 4, services: 15, arrivalsPerSecond: 2,
+		{name: "deaf", seed: 10, eventCount: 4000, config: rareListsConfig, nodeCount: 20, zoneCount: 2, rackCount: 4, serviceCount: 15, arrivalsPerSecond: 2,
 			lifetime: 6, taskCores: 1, taskMemory: 1, churnInterval: 5, listInterval: 4, listFailureProbability: 0.85, failureProbability: 0.05},
 	}
 }
@@ -204,10 +204,10 @@
 // same script.
 func TestCharacterizationRunsAreEqual(t *testing.T) {
 	var first, second strings.Builder
-	consolidating := scripts()[1]
-	consolidating.events = 2000
-	runScript(t, consolidating, &first)
-	runScript(t, consolidating, &second)
+	consolidationScript := scripts()[1]
+	consolidationScript.eventCount = 2000
+	runScript(t, consolidationScript, &first)
+	runScript(t, consolidationScript, &second)
 	if first.String() != second.String() {
 		t.Fatalf("two runs of the same script differ:\nfirst run:\n%s\nsecond run:\n%s", first.String(), second.String())
 	}
@@ -254,6 +254,6 @@
 		}
 	}
 	if got.String() != want {
-		t.Fatalf("accepted configurations, one digit each:\n got %s\nwant %s", got.String(), want)
+		t.Fatalf("New accepts the configurations with the digit 1 and rejects those with the digit 0:\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/config.go
+++ b/placer/config.go
@@ -16,8 +16,8 @@
 	NonIdempotent                      // the task must never start twice
 )
 
-// TopologyDomain is a level of the topology, such as a rack or a zone, within which a rule for placement
-// applies.
+// TopologyDomain is a level of the topology, such as a rack or a zone. Some rules for placement apply to all
+// nodes within one domain.
 type TopologyDomain uint8
 
 // The levels of the topology, from no domain to the whole cluster.
@@ -36,17 +36,17 @@
 	// attempt, the nodes in the same DedupDomain ignore further attempts with the same idempotency key.
 	DedupDomain         TopologyDomain
 	DedupWindow         Seconds
-	LatencyObjective    Seconds        // time from arrival within which a start has its full value
+	LatencyObjective    Seconds        // time from the arrival of a request within which a start has full value
 	Deadline            Seconds        // time for which a client waits for the final answer
-	Weight              float64        // value of one second of full service
+	Weight              float64        // value of one second in which the task runs at full speed
 	LateWeight          float64        // fraction of the full value that a start after LatencyObjective has
-	StartBonus          Seconds        // time of full service that is worth as much as a start in time
-	Priority            int            // if nodes preempt tasks, a task evicts tasks of lower priority
+	StartBonus          Seconds        // time at full speed that is worth as much as a start in time
+	Priority            int            // nodes may preempt a task in favor of a task of higher priority
 	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
 	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
 	MaxPerDomain        int            // maximum number of tasks of one service in one SpreadDomain
-	SaturationThreshold float64        // utilization of the cores up to which tasks get full service
-	DegradationRange    float64        // excess over SaturationThreshold at which tasks get no service
+	SaturationThreshold float64        // utilization of the cores up to which tasks run at full speed
+	DegradationRange    float64        // excess over SaturationThreshold at which the speed of tasks is 0
 }
 
 // NodeType is the capacity of the nodes of one type.
@@ -107,7 +107,7 @@
 	Duration         Seconds // time after its start at which a node reaches its full rate
 	OverloadMultiple float64 // multiple of the current rate beyond which a node in slow start is overloaded
 	OverloadWindow   Seconds // time above OverloadMultiple after which a node in slow start is overloaded
-	MaxAttempts      float64 // attempts per OverloadWindow, by all schedulers, that the node can handle
+	MaxAttempts      float64 // attempts by all schedulers that the node can handle per OverloadWindow
 }
 
 // Attempts limits the attempts for one request.
@@ -132,7 +132,7 @@
 	MaxPollInterval Seconds // longest time between two requests for the node list
 }
 
-// Costs holds costs as fractions of the total value of all service.
+// Costs holds costs as fractions of the total value of all tasks.
 type Costs struct {
 	Node      float64 // cost of the nodes in use that exceed the number needed
 	CrossZone float64 // cost of running tasks outside the zone of the scheduler
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// class returns the task class of a request. The task must be valid.
-func (c *Config) class(request *placementRequest) *Class { return &c.Classes[request.Class] }
+// classOf returns the task class of a request. The task of the request must be valid.
+func (c *Config) classOf(request *placementRequest) *Class { return &c.Classes[request.Class] }
 
 // shortestObjective returns the shortest latency objective of all task classes.
 func (c *Config) shortestObjective() Seconds {
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Constants of consolidation. If nodes in use have a cost, unneeded nodes are put on standby. The other nodes
-// are active. A standby node gets a task only if no active node can take it.
+// Constants of consolidation. Consolidation puts unneeded nodes on standby if nodes in use have a cost. The
+// other nodes are active. A standby node gets a task only if no active node can take the task.
 const (
 	// consolidationTarget is the fraction of the active nodes' capacity limits that must be in use before
 	// another node is made active.
@@ -25,8 +25,9 @@
 	migrationInterval = 0.1 * contenderWindow
 	// minStandbyTime is the time that a node must have been on standby before its last tasks are migrated.
 	minStandbyTime = contenderWindow
-	// nearlyEmptyFraction is the largest requested fraction of a standby node's capacity at which its last
-	// tasks are migrated.
+	// nearlyEmptyFraction is the fraction of a standby node's capacity up to which the node counts as nearly
+	// empty. The last tasks of a nearly empty standby node are migrated. The fraction refers to the capacity
+	// that the tasks on the node request.
 	nearlyEmptyFraction = 0.3
 )
 
@@ -41,9 +42,9 @@
 	rng                 *rand.Rand
 	saturationThreshold float64 // lowest SaturationThreshold of all task classes
 
-	readyNodes []*trackedNode // ready nodes, in the order in which they are preferred as active nodes
-	hasUpdated bool           // the set of standby nodes has been computed at least once
-	updatedAt  Seconds
+	readyNodes        []*trackedNode // ready nodes, in the order in which they are preferred as active nodes
+	standbyComputed   bool           // the set of standby nodes has been computed at least once
+	standbyComputedAt Seconds
 }
 
 // standbyRecord is the part of a node's record that only the consolidator changes.
@@ -60,15 +61,16 @@
 
 // updateStandby recomputes the set of standby nodes, unless the last update was less than
 // standbyUpdateInterval ago. It makes nodes active until the demand of all tasks fits on the active nodes
-// with a margin. Large nodes come first, because each node costs the same. Among nodes of equal size, those
-// with low IDs come first. All schedulers choose the same nodes, because they all see the same node list.
+// with a margin, and puts the other nodes on standby. Large nodes are made active first, because a large node
+// costs no more than a small one. Among nodes of equal size, those with low IDs come first. All schedulers
+// choose the same nodes, because they all receive the same node list.
 func (c *consolidator) updateStandby(now Seconds) {
-	tooSoon := c.hasUpdated && now-c.updatedAt < standbyUpdateInterval
+	tooSoon := c.standbyComputed && now-c.standbyComputedAt < standbyUpdateInterval
 	if !c.enabled() || tooSoon {
 		return
 	}
-	c.hasUpdated = true
-	c.updatedAt = now
+	c.standbyComputed = true
+	c.standbyComputedAt = now
 	demand := c.collectDemand(now)
 	slices.SortFunc(c.readyNodes, func(a, b *trackedNode) int {
 		if a.cores != b.cores {
@@ -80,14 +82,15 @@
 	for i, node := range c.readyNodes {
 		targetFraction := consolidationTarget
 		if !node.standby.onStandby {
-			// The lower target keeps an active node active for longer. The set of standby nodes then changes
-			// less often, which matters because each node that is put on standby still runs tasks.
+			// The lower target keeps an active node active for longer, so the set of standby nodes changes
+			// less often. Each change has a price, because a node that is put on standby still runs tasks.
 			targetFraction *= consolidationHysteresisFactor
 		}
-		node.standby.update(now, i >= minActiveNodes &&
+		node.standby.setStandby(now, i >= minActiveNodes &&
 			c.demandFits(demand, activeCores, activeMemory, targetFraction))
-		// A node in slow start can take few tasks. If its capacity counted, nodes that are no longer in slow
-		// start would be put on standby.
+		// A node in slow start can take only a few tasks. If its capacity were added to the active capacity,
+		// the active capacity would appear sufficient too early, and nodes that can take more tasks would be
+		// put on standby.
 		if node.health.failures == 0 && !c.slowStart.appliesTo(now, node) {
 			activeCores += node.cores
 			activeMemory += node.memory
@@ -95,16 +98,17 @@
 	}
 }
 
-// update makes the node active or puts it on standby. If an active node is put on standby, update records the
-// time.
-func (s *standbyRecord) update(now Seconds, onStandby bool) {
+// setStandby puts the node on standby or makes it active. It records the time at which an active node is put
+// on standby.
+func (s *standbyRecord) setStandby(now Seconds, onStandby bool) {
 	if onStandby && !s.onStandby {
 		s.standbySince = now
 	}
 	s.onStandby = onStandby
 }
 
-// capacityDemand is the total capacity that all tasks on the listed nodes request and use.
+// capacityDemand holds the total capacity that all tasks on the listed nodes request, and the capacity that
+// they are estimated to use.
 type capacityDemand struct {
 	requestedCores, requestedMemory float64
 	usedCores, usedMemory           float64
@@ -115,7 +119,7 @@
 func (c *consolidator) collectDemand(now Seconds) capacityDemand {
 	var demand capacityDemand
 	c.readyNodes = c.readyNodes[:0]
-	for _, node := range c.nodes.list {
+	for _, node := range c.nodes.allNodes {
 		if !node.listed || node.State == Terminated || !(node.cores > 0) {
 			continue
 		}
@@ -154,26 +158,26 @@
 		if !c.mayMigrateFrom(now, node) {
 			continue
 		}
-		bound := node.tasks.boundAttempts
-		request := bound[c.rng.IntN(len(bound))].request
+		boundAttempts := node.tasks.boundAttempts
+		request := boundAttempts[c.rng.IntN(len(boundAttempts))].request
 		if request.migrated {
 			continue
 		}
 		request.markMigrated()
-		c.actions.add(Action{Kind: Migrate, Task: request.ID})
+		c.actions.addAction(Action{Kind: Migrate, Task: request.ID})
 		return
 	}
 }
 
-// mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be
-// nearly empty, because several schedulers may migrate tasks off the node at the same time. The number of
-// these migrations then stays small.
+// mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be on
+// standby and nearly empty. Several schedulers may migrate tasks off the same node at the same time, and
+// their number of migrations stays small only if few tasks remain on the node.
 func (c *consolidator) mayMigrateFrom(now Seconds, node *trackedNode) bool {
 	free := c.capacity.estimateFree(now, node)
-	requested := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
-	tooFull := requested > nearlyEmptyFraction
-	tooRecent := now-node.standby.standbySince < minStandbyTime
-	return node.standby.onStandby && len(node.tasks.boundAttempts) > 0 && !tooRecent && !tooFull
+	requestedFraction := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
+	nodeTooFull := requestedFraction > nearlyEmptyFraction
+	standbyTooRecent := now-node.standby.standbySince < minStandbyTime
+	return node.standby.onStandby && len(node.tasks.boundAttempts) > 0 && !standbyTooRecent && !nodeTooFull
 }
 
 // lowestSaturationThreshold returns the lowest saturation threshold of all task classes.
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -11,18 +11,18 @@
 	placer := newTestPlacer(t, config, 1, nodes)
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
-		if sent := startedAttempt(t, arrive(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[sent.Node].standby.onStandby {
-			t.Fatalf("an attempt was made on node %d, which is on standby", sent.Node)
+		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[attempt.Node].standby.onStandby {
+			t.Fatalf("an attempt was made on node %d, which is on standby", attempt.Node)
 		} else {
-			bindAttempt(placer, 100.1+Seconds(i)/100, sent)
+			bindAttempt(placer, 100.1+Seconds(i)/100, attempt)
 		}
 	}
 	migrated := false
 	for i := range 40 {
 		placer.consolidator.migrateFromStandby(101 + Seconds(i)/10)
-		for _, action := range actionsOfKind(placer.actions.take(), Migrate) {
+		for _, action := range actionsOfKind(placer.actions.takeActions(), Migrate) {
 			if action.Task != 900 || migrated {
-				t.Fatalf("got action %+v, want only one migration, of task 900", action)
+				t.Fatalf("got action %+v, want exactly one migration, which must be of task 900", action)
 			}
 			migrated = true
 		}
@@ -32,24 +32,25 @@
 	}
 }
 
-// If nodes acknowledge a task only when it starts, there is almost always an attempt without an answer. Such
-// an attempt must not prevent the migration of the last tasks off a standby node.
+// If nodes acknowledge a task only when it starts, some attempt is almost always unanswered. An unanswered
+// attempt must not prevent the migration of the last tasks off a standby node.
 func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
 	placer := newTestPlacer(t, config, 1, testNodes(6))
 	adoptTask(placer, 900, 1, 0)
-	startedAttempt(t, arrive(placer, 100.1, newTaskWithDeadline(1, 0, 110)))
+	requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskWithDeadline(1, 0, 110)))
 	for _, at := range []Seconds{101, 103.5, 104} {
 		placer.consolidator.migrateFromStandby(at)
 	}
-	if len(actionsOfKind(placer.actions.take(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
+	if len(actionsOfKind(placer.actions.takeActions(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
 		t.Fatal("no task was migrated off the standby node while another task was starting")
 	}
 }
 
-// A node in slow start can take few tasks. If its full capacity counted, nodes that are no longer in slow
-// start would be put on standby.
+// A node in slow start can take only a few tasks. If its capacity counted as active capacity, the active
+// nodes would appear sufficient for all tasks. Nodes that are no longer in slow start would then be put on
+// standby, although they could take more tasks.
 func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
@@ -62,10 +63,10 @@
 		}
 	}
 	placer := newTestPlacer(t, config, 1, nodes)
-	arrive(placer, 100.1, newTestTask(1, 0))
-	for _, node := range placer.nodes.list {
+	requestPlacement(placer, 100.1, newTestTask(1, 0))
+	for _, node := range placer.nodes.allNodes {
 		if node.standby.onStandby && node.StartedAt == 0 {
-			t.Fatalf("node %d is not in slow start but on standby, while half of the nodes are in slow start", node.ID)
+			t.Fatalf("node %d was put on standby, although it is not in slow start and half of the nodes are", node.ID)
 		}
 	}
 }
@@ -73,10 +74,10 @@
 func TestMayMigrateFrom(t *testing.T) {
 	const now = 100
 	for name, test := range map[string]struct {
-		standby  standbyRecord
-		free     float64 // free cores of the node, which has 16; its free memory is twice this amount
-		ownTasks int
-		want     bool
+		standby   standbyRecord
+		freeCores float64 // free cores of the node, which has 16; its free memory is twice this amount
+		ownTasks  int
+		want      bool
 	}{
 		"standby node is nearly empty":            {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
 		"standby node is not nearly empty":        {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
@@ -88,7 +89,7 @@
 			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
 			node := newHalfFreeNode()
 			node.standby = test.standby
-			node.FreeCores, node.FreeMemory = test.free, 2*test.free
+			node.FreeCores, node.FreeMemory = test.freeCores, 2*test.freeCores
 			for range test.ownTasks {
 				node.tasks.addAdopted(&attempt{request: &placementRequest{}})
 			}
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -10,8 +10,8 @@
 	// maxPollBackoffDoublings is the maximum number of times that the wait after failed polls is doubled.
 	maxPollBackoffDoublings = 6
 	// pollRetryDivisor determines the longest wait before a poll is repeated, which is MaxPollInterval
-	// divided by this number. This wait applies after an unanswered poll and is the maximum backoff after
-	// failed polls.
+	// divided by this number. An unanswered poll is repeated after this wait. The backoff after failed polls
+	// grows up to this wait.
 	pollRetryDivisor = 2
 	// listTimeoutDivisor determines the longest time without a node list before the scheduler polls again,
 	// which is MaxPollInterval divided by this number.
@@ -29,50 +29,50 @@
 
 	lastPollAt   Seconds
 	lastListAt   Seconds
-	failures     int    // failed polls since the last node list
-	listReceived bool   // a node list has arrived since the start or the last failed poll
-	timerToken   uint64 // token of the latest timer; earlier timers have no effect
+	failedPolls  int    // number of failed polls since the last node list
+	listReceived bool   // a node list has arrived since the last failed poll, or since the start
+	timerToken   uint64 // token of the latest timer; timers with other tokens have no effect
 }
 
-// poll requests the node list and its later changes, and starts a timer to repeat the poll if necessary.
-func (l *nodeListPoller) poll(now Seconds) {
+// requestNodeList polls the node list. It also starts a timer that repeats the poll if no answer arrives.
+func (l *nodeListPoller) requestNodeList(now Seconds) {
 	l.lastPollAt = now
-	l.actions.add(Action{Kind: WatchNodes})
+	l.actions.addAction(Action{Kind: WatchNodes})
 	l.startTimer(l.maxInterval / pollRetryDivisor)
 }
 
-// listArrived records that a node list, or a list of changed nodes, arrived. It is not called for cached
-// lists.
-func (l *nodeListPoller) listArrived(now Seconds) {
+// recordNodeList records that a node list, or a list of changed nodes, arrived. It is not called for cached
+// lists, because a cached list may be out of date.
+func (l *nodeListPoller) recordNodeList(now Seconds) {
 	l.listReceived = true
-	l.failures = 0
+	l.failedPolls = 0
 	l.lastListAt = now
 }
 
-// pollFailed schedules the next poll after a failed poll, with exponential backoff.
-func (l *nodeListPoller) pollFailed() {
+// handleFailedPoll schedules the next poll after a failed poll, with exponential backoff.
+func (l *nodeListPoller) handleFailedPoll() {
 	l.listReceived = false
-	l.failures++
-	doublings := float64(min(l.failures, maxPollBackoffDoublings))
+	l.failedPolls++
+	doublings := float64(min(l.failedPolls, maxPollBackoffDoublings))
 	l.startTimer(min(l.maxInterval/pollRetryDivisor, l.shortestObjective*Seconds(math.Exp2(doublings))))
 }
 
-// timerFired handles the timer with the given token. It polls again if the last poll failed or was not
-// answered, or if no node list has arrived for the time that listTimeoutDivisor determines.
-func (l *nodeListPoller) timerFired(now Seconds, token uint64) {
+// handleTimer is called when the timer with the given token fires. It polls again if the last poll failed or
+// was not answered, or if no node list has arrived for the time that listTimeoutDivisor determines.
+func (l *nodeListPoller) handleTimer(now Seconds, token uint64) {
 	if token != l.timerToken {
 		return
 	}
 	interval := l.maxInterval / listTimeoutDivisor
-	failed := !l.listReceived && now-l.lastPollAt > l.shortestObjective
+	pollUnsuccessful := !l.listReceived && now-l.lastPollAt > l.shortestObjective
 	listOverdue := now-max(l.lastListAt, l.lastPollAt) > interval
-	if failed || listOverdue {
-		l.poll(now)
+	if pollUnsuccessful || listOverdue {
+		l.requestNodeList(now)
 		return
 	}
 	l.startTimer(interval)
 }
 
 func (l *nodeListPoller) startTimer(after Seconds) {
-	l.timerToken = l.timers.start(pendingTimer{kind: timerPollNodes}, l.jitter.apply(after))
+	l.timerToken = l.timers.startTimer(pendingTimer{kind: timerPollNodes}, l.jitter.randomize(after))
 }
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -9,18 +9,18 @@
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 2000 {
 		now := 100 + Seconds(i)
-		old, replacement := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
+		terminatedNode, replacement := Node{ID: NodeID(i + 1), State: Terminated}, testNodes(1)[0]
 		replacement.ID = NodeID(i + 5)
-		placer.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{old, replacement}}, nil)
-		for token, timer := range placer.timers.pending {
+		placer.Handle(now, Event{Kind: NodesListed, List: Changes, Nodes: []Node{terminatedNode, replacement}}, nil)
+		for token, timer := range placer.timers.pendingTimers {
 			if timer.kind == timerConsolidate {
 				placer.Handle(now, Event{Kind: TimerFired, Token: token}, nil)
 				break
 			}
 		}
 	}
-	if known := len(placer.nodes.list); Seconds(known) > 4+nodeRetention+2 || len(placer.nodes.byID) != known {
-		t.Fatalf("the node table keeps %d nodes and %d IDs after 2000 replacements, want equal numbers and only nodes that nodeRetention keeps", known, len(placer.nodes.byID))
+	if nodeCount := len(placer.nodes.allNodes); Seconds(nodeCount) > 4+nodeRetention+2 || len(placer.nodes.byID) != nodeCount {
+		t.Fatalf("after 2000 replacements, the node table keeps %d nodes in its list and %d by ID, want equal numbers and only nodes replaced within nodeRetention", nodeCount, len(placer.nodes.byID))
 	}
 }
 
@@ -53,8 +53,9 @@
 	}
 }
 
-// newTestPoller returns a poller with a maximum interval of 12 s. The returned function requires that the
-// poller has polled or not, as wantPoll says. It returns the delay of the timer that the poller has started.
+// newTestPoller returns a poller with a maximum interval of 12 s, and a function that checks what the poller
+// did since the last check. The function fails the test if the poller polled and wantPoll is false, or if it
+// did not poll and wantPoll is true. It returns the delay of the timer that the poller started.
 func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
 	actions := &actionList{}
 	poller := &nodeListPoller{
@@ -66,13 +67,13 @@
 	}
 	return poller, func(t *testing.T, wantPoll bool) Seconds {
 		t.Helper()
-		taken := actions.take()
-		if polled := len(actionsOfKind(taken, WatchNodes)) == 1; polled != wantPoll {
-			t.Fatalf("the node list was polled: got %v, want %v", polled, wantPoll)
+		takenActions := actions.takeActions()
+		if hasPolled := len(actionsOfKind(takenActions, WatchNodes)) == 1; hasPolled != wantPoll {
+			t.Fatalf("the node list was polled: got %v, want %v", hasPolled, wantPoll)
 		}
-		timers := actionsOfKind(taken, SetTimer)
+		timers := actionsOfKind(takenActions, SetTimer)
 		if len(timers) != 1 || timers[0].Token != poller.timerToken {
-			t.Fatalf("got actions %+v, want one timer with the latest token", taken)
+			t.Fatalf("got actions %+v, want one timer with the latest token", takenActions)
 		}
 		return timers[0].After
 	}
@@ -81,13 +82,13 @@
 func TestPollBackoffDoubles(t *testing.T) {
 	poller, takeTimer := newTestPoller()
 	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the maximum is half of the interval of 12 s
-		poller.pollFailed()
+		poller.handleFailedPoll()
 		if after := takeTimer(t, false); after < 0.8*mean || after > 1.2*mean {
 			t.Errorf("the backoff is %v s after failed poll %d, want about %v s", after, failure+1, mean)
 		}
 	}
-	poller.listArrived(100)
-	poller.pollFailed()
+	poller.recordNodeList(100)
+	poller.handleFailedPoll()
 	if after := takeTimer(t, false); after > 2.4 {
 		t.Errorf("the backoff is %v s after the first failed poll since a node list, want at most 2.4 s", after)
 	}
@@ -95,37 +96,37 @@
 
 func TestPollIsRepeatedAfterFailureOrMissingList(t *testing.T) {
 	for name, test := range map[string]struct {
-		listedAt Seconds // time at which a node list arrives; 0 for never
-		failed   bool    // the poll fails
-		at       Seconds // time at which the timer fires
-		want     bool    // the poller must poll again
+		listArrivesAt Seconds // time at which a node list arrives; 0 if none arrives
+		pollFails     bool    // the poll fails
+		timerFiresAt  Seconds // time at which the timer fires
+		wantPoll      bool    // the poller must poll again
 	}{
 		"node list arrived recently":                       {101, false, 104.9, false},
 		"no node list for a third of the maximum interval": {101, false, 105.1, true},
 		"poll unanswered for less than 1 s":                {0, false, 100.9, false},
 		"poll unanswered for more than 1 s":                {0, false, 101.1, true},
-		"poll failed less than 1 s after it was sent":      {0, true, 100.9, false},
+		"poll failed and was sent less than 1 s ago":       {0, true, 100.9, false},
 		"poll failed and was sent more than 1 s ago":       {0, true, 101.1, true},
 		"poll failed after a node list arrived":            {100.5, true, 101.1, true},
 		"node list arrived within 1 s of the poll":         {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			poller, takeTimer := newTestPoller()
-			poller.poll(100)
+			poller.requestNodeList(100)
 			takeTimer(t, true)
-			if test.listedAt > 0 {
-				poller.listArrived(test.listedAt)
+			if test.listArrivesAt > 0 {
+				poller.recordNodeList(test.listArrivesAt)
 			}
-			if test.failed {
-				poller.pollFailed()
+			if test.pollFails {
+				poller.handleFailedPoll()
 				takeTimer(t, false)
 			}
-			poller.timerFired(test.at, poller.timerToken-1) // an outdated timer must have no effect
-			if taken := poller.actions.take(); len(taken) != 0 {
-				t.Fatalf("an outdated timer led to the actions %+v, want none", taken)
+			poller.handleTimer(test.timerFiresAt, poller.timerToken-1) // an outdated timer must have no effect
+			if actions := poller.actions.takeActions(); len(actions) != 0 {
+				t.Fatalf("an outdated timer led to the actions %+v, want none", actions)
 			}
-			poller.timerFired(test.at, poller.timerToken)
-			takeTimer(t, test.want)
+			poller.handleTimer(test.timerFiresAt, poller.timerToken)
+			takeTimer(t, test.wantPoll)
 		})
 	}
 }
@@ -133,27 +134,27 @@
 func TestNodeTableAppliesLists(t *testing.T) {
 	entry := func(id NodeID, state NodeState) Node { return Node{ID: id, State: state} }
 	for name, test := range map[string]struct {
-		kind    ListKind
-		entries []Node
-		want    []NodeState // states of the nodes with the IDs 1, 2 and so on
+		kind       ListKind
+		entries    []Node
+		wantStates []NodeState // states of the nodes with the IDs 1, 2 and so on
 	}{
-		"full list without a node":   {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
-		"cached list without a node": {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
-		"changes of one node":        {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
-		"changes with a new node":    {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
-		"empty full list":            {FullList, nil, []NodeState{Terminated, Terminated}},
+		"full list does not name node 1":    {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
+		"cached list does not name node 1":  {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
+		"list of changes names only node 2": {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
+		"list of changes names a new node":  {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
+		"list of all nodes names no node":   {FullList, nil, []NodeState{Terminated, Terminated}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newNodeTable(nil)
-			table.apply(FullList, []Node{entry(1, Ready), entry(2, Ready)})
-			table.apply(test.kind, test.entries)
-			for i, want := range test.want {
+			table.applyList(FullList, []Node{entry(1, Ready), entry(2, Ready)})
+			table.applyList(test.kind, test.entries)
+			for i, want := range test.wantStates {
 				if got := table.byID[NodeID(i+1)].State; got != want {
 					t.Errorf("node %d has state %v, want %v", i+1, got, want)
 				}
 			}
-			if len(table.list) != len(test.want) || len(table.byID) != len(test.want) {
-				t.Errorf("the table has %d nodes and %d IDs, want %d of each", len(table.list), len(table.byID), len(test.want))
+			if len(table.allNodes) != len(test.wantStates) || len(table.byID) != len(test.wantStates) {
+				t.Errorf("the table has %d nodes in its list and %d by ID, want %d of each", len(table.allNodes), len(table.byID), len(test.wantStates))
 			}
 		})
 	}
@@ -161,18 +162,18 @@
 
 func TestRestartResetsLoadAndHealth(t *testing.T) {
 	table := newNodeTable(nil)
-	table.apply(FullList, []Node{{ID: 1, StartedAt: 50}})
+	table.applyList(FullList, []Node{{ID: 1, StartedAt: 50}})
 	node := table.byID[1]
 	node.health = nodeHealth{failures: 2, ejectedUntil: 200}
 	node.load.recordRejection(100)
 	node.load.setReport(100, &Report{})
 	node.load.taskEnded(100, &Task{})
 	node.tasks.cacheProgram(7)
-	table.apply(Changes, []Node{{ID: 1, StartedAt: 50}})
+	table.applyList(Changes, []Node{{ID: 1, StartedAt: 50}})
 	if node.health.failures != 2 || !node.load.hasReport || !node.tasks.hasProgram(7) {
 		t.Error("the records of a node were reset although the node did not restart")
 	}
-	table.apply(Changes, []Node{{ID: 1, StartedAt: 60}})
+	table.applyList(Changes, []Node{{ID: 1, StartedAt: 60}})
 	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejectedRecently(100) ||
 		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
 		t.Errorf("the records of a restarted node were not reset: health %+v, load %+v", node.health, node.load)
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -72,63 +72,65 @@
 	return task
 }
 
-// adoptTask reports at the time 100 that a task of service 5 was found running on a node.
+// adoptTask tells the Placer at the time 100 that a task of service 5 was found running on a node.
 func adoptTask(placer *Placer, id TaskID, node NodeID, class int) {
 	task := Task{ID: id, Class: class, Service: 5, Cores: 1, Memory: 1}
 	placer.Handle(100, Event{Kind: Adopted, Node: node, Task: task}, nil)
 }
 
-// arrive sends a placement request for a task and returns the resulting actions.
-func arrive(placer *Placer, now Seconds, task Task) []Action {
+// requestPlacement sends a placement request for a task to the Placer and returns the resulting actions.
+func requestPlacement(placer *Placer, now Seconds, task Task) []Action {
 	return placer.Handle(now, Event{Kind: Arrived, Task: task}, nil)
 }
 
 // actionsOfKind returns the actions of the given kind.
 func actionsOfKind(actions []Action, kind ActionKind) []Action {
-	var found []Action
+	var matching []Action
 	for _, action := range actions {
 		if action.Kind == kind {
-			found = append(found, action)
+			matching = append(matching, action)
 		}
 	}
-	return found
+	return matching
 }
 
-// startedAttempt returns the only StartAttempt action. It fails the test if there is not exactly one.
-func startedAttempt(tb testing.TB, actions []Action) Action {
+// requireOneAttempt returns the only StartAttempt action among the given actions. It fails the test if there
+// is not exactly one.
+func requireOneAttempt(tb testing.TB, actions []Action) Action {
 	tb.Helper()
-	sent := actionsOfKind(actions, StartAttempt)
-	if len(sent) != 1 {
+	attempts := actionsOfKind(actions, StartAttempt)
+	if len(attempts) != 1 {
 		tb.Fatalf("got actions %+v, want exactly one attempt", actions)
 	}
-	return sent[0]
+	return attempts[0]
 }
 
-// requireNoAttempt fails the test if the actions start an attempt.
-func requireNoAttempt(tb testing.TB, actions []Action, why string) {
+// requireNoAttempt fails the test if the actions start an attempt. The situation is a clause for the failure
+// message that says why no attempt must be made.
+func requireNoAttempt(tb testing.TB, actions []Action, situation string) {
 	tb.Helper()
 	if len(actionsOfKind(actions, StartAttempt)) != 0 {
-		tb.Fatalf("an attempt was made although %s; got actions %+v", why, actions)
+		tb.Fatalf("an attempt was made although %s; got actions %+v", situation, actions)
 	}
 }
 
 // requireNodeAvoided requests the placement of 30 tasks of different services. It fails the test if a task is
-// attempted on the node.
-func requireNodeAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, why string) {
+// attempted on the node. The node description completes the words "a node that" in the failure message.
+func requireNodeAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, nodeDescription string) {
 	tb.Helper()
 	for i := range 30 {
-		if sent := startedAttempt(tb, arrive(placer, now, newTestTask(i+1, 0))); sent.Node == node {
-			tb.Fatalf("the attempt for request %d was made on a node that %s", i, why)
+		if attempt := requireOneAttempt(tb, requestPlacement(placer, now, newTestTask(i+1, 0))); attempt.Node == node {
+			tb.Fatalf("the attempt for request %d was made on a node that %s", i, nodeDescription)
 		}
 	}
 }
 
-// endAttempt reports the outcome of an attempt and returns the resulting actions.
-func endAttempt(placer *Placer, now Seconds, sent Action, result Result, reason Reason) []Action {
-	return placer.Handle(now, Event{Kind: Ended, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Result: result, Reason: reason}, nil)
+// endAttempt tells the Placer the outcome of an attempt and returns the resulting actions.
+func endAttempt(placer *Placer, now Seconds, attempt Action, result Result, reason Reason) []Action {
+	return placer.Handle(now, Event{Kind: Ended, TaskID: attempt.Task, Attempt: attempt.Attempt, Node: attempt.Node, Result: result, Reason: reason}, nil)
 }
 
-// bindAttempt reports that a node accepted an attempt.
-func bindAttempt(placer *Placer, now Seconds, sent Action) {
-	placer.Handle(now, Event{Kind: Bound, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Elapsed: 0.01}, nil)
+// bindAttempt tells the Placer that a node accepted an attempt.
+func bindAttempt(placer *Placer, now Seconds, attempt Action) {
+	placer.Handle(now, Event{Kind: Bound, TaskID: attempt.Task, Attempt: attempt.Attempt, Node: attempt.Node, Elapsed: 0.01}, nil)
 }
--- a/placer/jitter.go
+++ b/placer/jitter.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// jitterWidthFraction is the width of the interval from which a delay is drawn, as a fraction of its mean.
-// Without jitter, many requests would be retried at the same time.
+// jitterWidthFraction is the width of the interval from which a delay is drawn, as a fraction of the mean
+// delay. Without jitter, many requests would be retried at the same time.
 const jitterWidthFraction = 0.4
 
 // jitter randomizes delays. It draws one random number for each delay.
@@ -11,7 +11,7 @@
 	rng *rand.Rand
 }
 
-// apply returns a random duration whose mean is the given duration.
-func (j jitter) apply(duration Seconds) Seconds {
+// randomize returns a random duration whose mean is the given duration.
+func (j jitter) randomize(duration Seconds) Seconds {
 	return duration * Seconds(1-jitterWidthFraction/2+jitterWidthFraction*j.rng.Float64())
 }
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -2,16 +2,17 @@
 
 // Constants of the latency model.
 const (
-	// learningRate is the weight of a new sample in the running averages.
+	// learningRate is the weight of a new sample in the running averages of times.
 	learningRate = 0.1
-	// initialDeviationDivisor is the number by which the first sample is divided to get the first deviation.
+	// initialDeviationDivisor is the number by which the first sample of a running average is divided. The
+	// result is the initial value of the mean absolute deviation.
 	initialDeviationDivisor = 2
-	// startTimeoutFraction is the timeout of an attempt as a fraction of the deadline, if nodes answer only
+	// startTimeoutFraction is the timeout of an attempt as a fraction of Class.Deadline, if nodes answer only
 	// when the task starts. The timeout is long because an attempt that timed out still occupies capacity on
 	// its node.
 	startTimeoutFraction = 0.7
-	// initialTimeoutDivisor determines the timeout of attempts before any attempt was answered, which is the
-	// deadline divided by this number.
+	// initialTimeoutDivisor determines the timeout of attempts before any attempt was answered, which is
+	// Class.Deadline divided by this number.
 	initialTimeoutDivisor = 4
 	// timeoutDeviationFactor is the number of mean absolute deviations by which the timeout exceeds the mean
 	// answer time.
@@ -36,43 +37,43 @@
 }
 
 // observeAnswer updates the model with the time that a node took to accept an attempt.
-func (m *latencyModel) observeAnswer(accepted *attempt, elapsed Seconds) {
-	class := accepted.request.Class
-	m.answerTimes[class].add(float64(elapsed), learningRate)
-	if m.acknowledgesOnStart && accepted.coldStart {
-		m.coldStartTimes[class].add(float64(elapsed), learningRate)
+func (m *latencyModel) observeAnswer(acceptedAttempt *attempt, elapsed Seconds) {
+	class := acceptedAttempt.request.Class
+	m.answerTimes[class].addSample(float64(elapsed), learningRate)
+	if m.acknowledgesOnStart && acceptedAttempt.coldStart {
+		m.coldStartTimes[class].addSample(float64(elapsed), learningRate)
 	}
 }
 
-// observeStart updates the model with the time at which the task of an attempt started.
-func (m *latencyModel) observeStart(started *attempt, now Seconds) {
-	if started.coldStart {
-		m.coldStartTimes[started.request.Class].add(float64(now-started.sentAt), learningRate)
+// observeStart updates the model with the time from the sending of an attempt to the start of its task.
+func (m *latencyModel) observeStart(boundAttempt *attempt, now Seconds) {
+	if boundAttempt.coldStart {
+		m.coldStartTimes[boundAttempt.request.Class].addSample(float64(now-boundAttempt.sentAt), learningRate)
 	}
 }
 
 // attemptTimeout returns the time after which an unanswered attempt for a task of the given task class times
 // out.
-func (m *latencyModel) attemptTimeout(class int) Seconds {
-	limits, answers := &m.classes[class], &m.answerTimes[class]
+func (m *latencyModel) attemptTimeout(classIndex int) Seconds {
+	class, answerTimes := &m.classes[classIndex], &m.answerTimes[classIndex]
 	if m.acknowledgesOnStart {
-		return limits.Deadline * startTimeoutFraction
+		return class.Deadline * startTimeoutFraction
 	}
-	minimum := limits.LatencyObjective / 2
-	if limits.Idempotency == NonIdempotent {
-		minimum = 2 * limits.LatencyObjective
+	minTimeout := class.LatencyObjective / 2
+	if class.Idempotency == NonIdempotent {
+		minTimeout = 2 * class.LatencyObjective
 	}
-	if answers.samples == 0 {
-		return max(minimum, limits.Deadline/initialTimeoutDivisor)
+	if answerTimes.sampleCount == 0 {
+		return max(minTimeout, class.Deadline/initialTimeoutDivisor)
 	}
-	return max(minimum, Seconds(answers.mean+timeoutDeviationFactor*answers.deviation))
+	return max(minTimeout, Seconds(answerTimes.mean+timeoutDeviationFactor*answerTimes.deviation))
 }
 
 // coldStartsAreSlow reports whether a cold start is likely to miss the latency objective of the task class. A
 // cold start is a start on a node that does not have the program of the service in its cache. If cold starts
 // are slow, the selector prefers nodes that probably have the program.
-func (m *latencyModel) coldStartsAreSlow(class int) bool {
-	starts := &m.coldStartTimes[class]
-	likely := Seconds(starts.mean + starts.deviation)
-	return starts.samples == 0 || likely > m.classes[class].LatencyObjective/2
+func (m *latencyModel) coldStartsAreSlow(classIndex int) bool {
+	startTimes := &m.coldStartTimes[classIndex]
+	likelyTime := Seconds(startTimes.mean + startTimes.deviation)
+	return startTimes.sampleCount == 0 || likelyTime > m.classes[classIndex].LatencyObjective/2
 }
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -9,13 +9,13 @@
 		answers             runningAverage
 		want                Seconds
 	}{
-		"before any attempt was answered":                  {Idempotent, false, runningAverage{}, 2},
-		"not idempotent, before any attempt was answered":  {NonIdempotent, false, runningAverage{}, 4},
-		"nodes answer quickly":                             {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 1},
-		"not idempotent, nodes answer quickly":             {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, samples: 1}, 4},
-		"nodes answer slowly":                              {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 4},
-		"nodes acknowledge tasks on start":                 {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, samples: 1}, 5.6},
-		"not idempotent, nodes acknowledge tasks on start": {NonIdempotent, true, runningAverage{}, 5.6},
+		"before any attempt was answered":                                {Idempotent, false, runningAverage{}, 2},
+		"task class is not idempotent, before any attempt was answered":  {NonIdempotent, false, runningAverage{}, 4},
+		"nodes answer quickly":                                           {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 1},
+		"task class is not idempotent, nodes answer quickly":             {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 4},
+		"nodes answer slowly":                                            {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 4},
+		"nodes acknowledge tasks on start":                               {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 5.6},
+		"task class is not idempotent, nodes acknowledge tasks on start": {NonIdempotent, true, runningAverage{}, 5.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
@@ -37,18 +37,18 @@
 		elapsed             Seconds
 		want                bool
 	}{
-		"slow cold start":                   {true, true, 0.9, true},
-		"quick cold start":                  {true, true, 0.1, false},
-		"quick start with cached program":   {true, false, 0.1, true}, // the model learns only from cold starts
-		"quick acceptance before the start": {false, true, 0.1, true}, // the start may still take long
+		"cold start takes 0.9 s":                {true, true, 0.9, true},
+		"cold start takes 0.1 s":                {true, true, 0.1, false},
+		"start with cached program takes 0.1 s": {true, false, 0.1, true}, // the model learns only from cold starts
+		"node accepts the task after 0.1 s":     {false, true, 0.1, true}, // the start may still take long
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
 				Classes:      []Class{{LatencyObjective: 2}},
 				NodeBehavior: NodeBehavior{AcknowledgesOnStart: test.acknowledgesOnStart},
 			})
-			answered := &attempt{request: &placementRequest{}, coldStart: test.coldStart}
-			model.observeAnswer(answered, test.elapsed)
+			answeredAttempt := &attempt{request: &placementRequest{}, coldStart: test.coldStart}
+			model.observeAnswer(answeredAttempt, test.elapsed)
 			if got := model.coldStartsAreSlow(0); got != test.want {
 				t.Errorf("cold starts count as slow: got %v, want %v", got, test.want)
 			}
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -5,24 +5,24 @@
 // nodeLoad is the part of a node's record that the capacity model owns. It holds the information about the
 // load of the node that does not come from the node list.
 type nodeLoad struct {
-	recentChanges       []capacityChange // in chronological order
-	retainedBoundTasks  int              // number of accepted tasks among recentChanges
-	rejectionValidUntil Seconds          // time until which the last rejection for lack of capacity counts
-	saturationExcess    float64          // result of the latest projection, which may belong to any task
+	recentChanges       []capacityChange // changes that node lists may not show yet, in chronological order
+	retainedBoundTasks  int              // number of elements of recentChanges with isBoundTask set
+	rejectionValidUntil Seconds          // time until which the node gets no attempts after a rejection
+	saturationExcess    float64          // excess in the latest projection, which may be for any task
 	reportedAt          Seconds
 	hasReport           bool
 	report              Report
 }
 
-// capacityChange is a change of the requested capacity on a node that this scheduler caused. The node list
-// may not show the change yet.
+// capacityChange is a change of the requested capacity on a node. This scheduler caused the change, and the
+// node list may not show it yet.
 type capacityChange struct {
-	at            Seconds
+	changedAt     Seconds
 	cores, memory float64
-	isBoundTask   bool // the node accepted a task; false for a pending attempt or the end of a task
+	isBoundTask   bool // true if the node accepted a task; false for a pending attempt or the end of a task
 }
 
-// reset clears the information that a restart of the node makes obsolete.
+// reset clears the information about the load that a restart of the node makes obsolete.
 func (l *nodeLoad) reset() {
 	l.rejectionValidUntil = 0
 	l.recentChanges = l.recentChanges[:0]
@@ -45,22 +45,22 @@
 
 // attemptSent records that an attempt may occupy capacity on the node.
 func (l *nodeLoad) attemptSent(now Seconds, task *Task) {
-	l.addChange(capacityChange{at: now, cores: task.Cores, memory: task.Memory})
+	l.addChange(capacityChange{changedAt: now, cores: task.Cores, memory: task.Memory})
 }
 
 // attemptBound records that the node accepted the task of an attempt.
-func (l *nodeLoad) attemptBound(now Seconds, accepted *attempt) {
-	l.removePendingChange(accepted)
-	task := &accepted.request.Task
-	l.addChange(capacityChange{at: now, cores: task.Cores, memory: task.Memory, isBoundTask: true})
+func (l *nodeLoad) attemptBound(now Seconds, acceptedAttempt *attempt) {
+	l.removePendingChange(acceptedAttempt)
+	task := &acceptedAttempt.request.Task
+	l.addChange(capacityChange{changedAt: now, cores: task.Cores, memory: task.Memory, isBoundTask: true})
 }
 
 // attemptFailed records that an attempt no longer occupies capacity on the node.
-func (l *nodeLoad) attemptFailed(failed *attempt) { l.removePendingChange(failed) }
+func (l *nodeLoad) attemptFailed(failedAttempt *attempt) { l.removePendingChange(failedAttempt) }
 
 // taskEnded records that a task released its capacity on the node.
 func (l *nodeLoad) taskEnded(now Seconds, task *Task) {
-	l.addChange(capacityChange{at: now, cores: -task.Cores, memory: -task.Memory})
+	l.addChange(capacityChange{changedAt: now, cores: -task.Cores, memory: -task.Memory})
 }
 
 func (l *nodeLoad) addChange(change capacityChange) {
@@ -71,11 +71,11 @@
 }
 
 // removePendingChange removes the capacity change that was recorded when an attempt was sent.
-func (l *nodeLoad) removePendingChange(pending *attempt) {
-	task := &pending.request.Task
+func (l *nodeLoad) removePendingChange(pendingAttempt *attempt) {
+	task := &pendingAttempt.request.Task
 	for i, change := range l.recentChanges {
 		sameAmounts := change.cores == task.Cores && change.memory == task.Memory
-		if change.at == pending.sentAt && !change.isBoundTask && sameAmounts {
+		if change.changedAt == pendingAttempt.sentAt && !change.isBoundTask && sameAmounts {
 			l.recentChanges = slices.Delete(l.recentChanges, i, i+1)
 			return
 		}
@@ -83,7 +83,8 @@
 }
 
 // dropOldChanges removes the changes that are so old that the node list is assumed to show them. Capacity
-// estimates ignore old changes in any case, but retainedBoundTasks counts tasks until they are removed here.
+// estimates ignore old changes in any case, but retainedBoundTasks counts a task until its change is removed
+// here.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
 	recent := l.changesSince(now - contenderWindow)
 	if len(recent) < len(l.recentChanges) {
@@ -93,17 +94,17 @@
 }
 
 // changesSince returns the changes at or after the given time, in chronological order.
-func (l *nodeLoad) changesSince(at Seconds) []capacityChange {
+func (l *nodeLoad) changesSince(earliest Seconds) []capacityChange {
 	first := 0
-	for first < len(l.recentChanges) && l.recentChanges[first].at < at {
+	for first < len(l.recentChanges) && l.recentChanges[first].changedAt < earliest {
 		first++
 	}
 	return l.recentChanges[first:]
 }
 
-// recentlyBoundTasks returns the number of tasks that the node accepted so recently that the node list may
-// not show them yet.
-func (l *nodeLoad) recentlyBoundTasks(now Seconds) int {
+// countRecentlyBoundTasks returns the number of tasks that the node accepted so recently that the node list
+// may not show them yet.
+func (l *nodeLoad) countRecentlyBoundTasks(now Seconds) int {
 	return countBoundTasks(l.changesSince(now - contenderWindow))
 }
 
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -4,13 +4,13 @@
 
 // nodeTable owns the records of all known nodes and applies node lists to them.
 type nodeTable struct {
-	types []NodeType
-	list  []*trackedNode // in the order in which the nodes became known
-	byID  map[NodeID]*trackedNode
+	nodeTypes []NodeType
+	allNodes  []*trackedNode // in the order in which the nodes became known
+	byID      map[NodeID]*trackedNode
 }
 
 func newNodeTable(types []NodeType) *nodeTable {
-	return &nodeTable{types: types, byID: map[NodeID]*trackedNode{}}
+	return &nodeTable{nodeTypes: types, byID: map[NodeID]*trackedNode{}}
 }
 
 // getOrCreate returns the record of a node. It creates the record if there is none.
@@ -19,42 +19,44 @@
 	if node == nil {
 		node = newTrackedNode(id)
 		t.byID[id] = node
-		t.list = append(t.list, node)
+		t.allNodes = append(t.allNodes, node)
 	}
 	return node
 }
 
-// apply updates the records from a node list. A node that a full or cached list does not name has terminated.
-func (t *nodeTable) apply(kind ListKind, entries []Node) {
+// applyList updates the records from a node list. A node that a full or cached list does not name has
+// terminated.
+func (t *nodeTable) applyList(kind ListKind, entries []Node) {
 	if kind != Changes {
-		for _, node := range t.list {
+		for _, node := range t.allNodes {
 			node.State = Terminated
 		}
 	}
 	for _, entry := range entries {
-		t.update(entry)
+		t.applyEntry(entry)
 	}
 }
 
-// update applies one entry of a node list. If the start time of the node has changed, the node has restarted,
-// and its recorded load and health are reset.
-func (t *nodeTable) update(entry Node) {
+// applyEntry applies one entry of a node list. If the start time of the node has changed, the node has
+// restarted. Its recorded load, health and cached programs are then reset.
+func (t *nodeTable) applyEntry(entry Node) {
 	node := t.getOrCreate(entry.ID)
 	if node.listed && entry.StartedAt != node.StartedAt {
 		node.resetAfterRestart()
 	}
 	node.Node = entry
 	node.listed = true
-	if entry.NodeType >= 0 && entry.NodeType < len(t.types) {
-		size := t.types[entry.NodeType]
+	if entry.NodeType >= 0 && entry.NodeType < len(t.nodeTypes) {
+		size := t.nodeTypes[entry.NodeType]
 		node.cores, node.memory = size.Cores, size.Memory
 	}
 }
 
-// evictTerminated removes the records of nodes that have been terminated and without tasks of this scheduler
-// for nodeRetention. This bounds the memory use when nodes are replaced.
+// evictTerminated removes the records of nodes that have been unused for the time nodeRetention. A node is
+// unused if it has terminated and no task of this scheduler is on it. Without the removal, the memory use
+// would grow with each node that is replaced.
 func (t *nodeTable) evictTerminated(now Seconds) {
-	t.list = slices.DeleteFunc(t.list, func(node *trackedNode) bool {
+	t.allNodes = slices.DeleteFunc(t.allNodes, func(node *trackedNode) bool {
 		if node.State != Terminated || !node.listed || node.tasks.inUse() {
 			node.unusedSince = 0
 			return false
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -7,7 +7,7 @@
 	unansweredAttempts int               // number of attempts without an answer
 	countByService     map[ServiceID]int // number of running tasks and unanswered attempts by service
 	boundAttempts      []*attempt        // attempts whose tasks run on the node
-	cachedPrograms     []ServiceID       // services whose program is probably cached, the most recent last
+	cachedPrograms     []ServiceID       // services whose program is probably cached; the most recent is last
 }
 
 func newNodeTasks() nodeTasks { return nodeTasks{countByService: map[ServiceID]int{}} }
@@ -17,42 +17,43 @@
 	return n.unansweredAttempts > 0 || len(n.boundAttempts) > 0 || len(n.countByService) > 0
 }
 
-// hasProgram reports whether the node probably has the program of a service in its cache. It does if a task
-// of the service runs or is attempted on the node, or ran there recently. Only tasks of this scheduler count.
+// hasProgram reports whether the node probably has the program of a service in its cache. The result is true
+// if a task of the service runs or is attempted on the node, or ran there recently. Tasks of other schedulers
+// do not count.
 func (n *nodeTasks) hasProgram(service ServiceID) bool {
 	return n.countByService[service] > 0 || slices.Contains(n.cachedPrograms, service)
 }
 
 // attemptSent adds an unanswered attempt.
-func (n *nodeTasks) attemptSent(sent *attempt) {
+func (n *nodeTasks) attemptSent(sentAttempt *attempt) {
 	n.unansweredAttempts++
-	n.countByService[sent.request.Service]++
+	n.countByService[sentAttempt.request.Service]++
 }
 
 // attemptBound records that the node accepted an attempt.
-func (n *nodeTasks) attemptBound(accepted *attempt) {
+func (n *nodeTasks) attemptBound(acceptedAttempt *attempt) {
 	n.unansweredAttempts--
-	n.addBound(accepted)
+	n.addBound(acceptedAttempt)
 }
 
-// addAdopted adds a task that was found running on the node.
-func (n *nodeTasks) addAdopted(found *attempt) {
-	n.addBound(found)
-	n.countByService[found.request.Service]++
+// addAdopted adds the attempt that represents a task that was found running on the node.
+func (n *nodeTasks) addAdopted(adoptedAttempt *attempt) {
+	n.addBound(adoptedAttempt)
+	n.countByService[adoptedAttempt.request.Service]++
 }
 
 // attemptFailed removes an attempt that ended before the node accepted it.
-func (n *nodeTasks) attemptFailed(failed *attempt) {
-	n.removeFromService(failed.request.Service)
+func (n *nodeTasks) attemptFailed(failedAttempt *attempt) {
+	n.removeFromService(failedAttempt.request.Service)
 	n.unansweredAttempts--
 }
 
 // taskEnded removes a bound task. If the task was the last of its service on the node, the node is assumed to
 // keep the program cached.
-func (n *nodeTasks) taskEnded(ended *attempt) {
-	service := ended.request.Service
+func (n *nodeTasks) taskEnded(endedAttempt *attempt) {
+	service := endedAttempt.request.Service
 	n.removeFromService(service)
-	n.removeBound(ended)
+	n.removeBound(endedAttempt)
 	if n.countByService[service] == 0 {
 		n.cacheProgram(service)
 	}
@@ -67,16 +68,17 @@
 	}
 }
 
-func (n *nodeTasks) addBound(bound *attempt) {
-	bound.boundIndex = len(n.boundAttempts)
-	n.boundAttempts = append(n.boundAttempts, bound)
+func (n *nodeTasks) addBound(boundAttempt *attempt) {
+	boundAttempt.boundIndex = len(n.boundAttempts)
+	n.boundAttempts = append(n.boundAttempts, boundAttempt)
 }
 
-// removeBound removes an attempt from the bound attempts. The last attempt of the slice takes its index.
-func (n *nodeTasks) removeBound(bound *attempt) {
-	last := n.boundAttempts[len(n.boundAttempts)-1]
-	n.boundAttempts[bound.boundIndex] = last
-	last.boundIndex = bound.boundIndex
+// removeBound removes an attempt from the bound attempts. The last attempt of the slice moves to the free
+// index.
+func (n *nodeTasks) removeBound(boundAttempt *attempt) {
+	lastAttempt := n.boundAttempts[len(n.boundAttempts)-1]
+	n.boundAttempts[boundAttempt.boundIndex] = lastAttempt
+	lastAttempt.boundIndex = boundAttempt.boundIndex
 	n.boundAttempts = n.boundAttempts[:len(n.boundAttempts)-1]
 }
 
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -4,69 +4,70 @@
 // it draws a new pair.
 const maxRejections = 2
 
-// handleAdopted adds a task that was found running. The task counts for the spread rule, and its loss counts
-// as a failure of its node.
+// handleAdopted adds a task that was found running on a node. The task counts for the spread rule. If the
+// task is lost, the loss counts as a failure of its node.
 func (p *Placer) handleAdopted(ev Event) {
-	if p.requests.contains(ev.Task.ID) {
+	if p.requests.hasRequest(ev.Task.ID) {
 		return
 	}
 	node := p.nodes.getOrCreate(ev.Node)
-	adopted := p.requests.adopt(ev.Task, node, p.now)
-	node.tasks.addAdopted(adopted)
-	p.spread.add(adopted)
+	adoptedAttempt := p.requests.addAdopted(ev.Task, node, p.now)
+	node.tasks.addAdopted(adoptedAttempt)
+	p.spread.addAttempt(adoptedAttempt)
 }
 
-// handleBound processes the acceptance of an attempt by its node.
+// handleBound processes the event that a node accepted an attempt.
 func (p *Placer) handleBound(ev Event) {
-	accepted := p.requests.attempt(ev.TaskID, ev.Attempt)
-	if accepted == nil || accepted.state != attemptPending {
+	acceptedAttempt := p.requests.findAttempt(ev.TaskID, ev.Attempt)
+	if acceptedAttempt == nil || acceptedAttempt.state != attemptPending {
 		return
 	}
-	accepted.setState(attemptRunning)
-	node := accepted.node
-	node.tasks.attemptBound(accepted)
-	node.load.attemptBound(p.now, accepted)
-	p.latency.observeAnswer(accepted, ev.Elapsed)
+	acceptedAttempt.setState(attemptRunning)
+	node := acceptedAttempt.node
+	node.tasks.attemptBound(acceptedAttempt)
+	node.load.attemptBound(p.now, acceptedAttempt)
+	p.latency.observeAnswer(acceptedAttempt, ev.Elapsed)
 	p.outliers.recordSuccess(p.now, node)
-	p.requests.close(accepted.request)
+	p.requests.close(acceptedAttempt.request)
 }
 
-// handleUsageReported updates the models from a usage report on a task of this scheduler.
+// handleUsageReported updates the latency model or the capacity model from a usage report on a task of this
+// scheduler.
 func (p *Placer) handleUsageReported(ev Event) {
-	measured := p.requests.attempt(ev.TaskID, ev.Attempt)
-	if measured == nil {
+	measuredAttempt := p.requests.findAttempt(ev.TaskID, ev.Attempt)
+	if measuredAttempt == nil {
 		return
 	}
 	if ev.Usage == Started {
-		p.latency.observeStart(measured, p.now)
+		p.latency.observeStart(measuredAttempt, p.now)
 		return
 	}
-	p.capacity.observeUsage(&measured.request.Task, ev.Usage, ev.Value)
+	p.capacity.observeUsage(&measuredAttempt.request.Task, ev.Usage, ev.Value)
 }
 
-// handleEnded processes the end of an attempt, whether or not the node had accepted it.
+// handleEnded processes the end of an attempt. The node may have accepted the attempt before.
 func (p *Placer) handleEnded(ev Event) {
-	ended := p.requests.attempt(ev.TaskID, ev.Attempt)
-	if ended == nil || !ended.outstanding() {
+	endedAttempt := p.requests.findAttempt(ev.TaskID, ev.Attempt)
+	if endedAttempt == nil || !endedAttempt.isOutstanding() {
 		return
 	}
-	request, node := ended.request, ended.node
-	wasRunning := ended.state == attemptRunning
-	ended.setState(attemptEnded)
-	p.spread.remove(ended)
+	request, node := endedAttempt.request, endedAttempt.node
+	wasRunning := endedAttempt.state == attemptRunning
+	endedAttempt.setState(attemptEnded)
+	p.spread.removeAttempt(endedAttempt)
 	if ev.Report != nil {
 		p.capacity.observeReport(p.now, node, ev.Report)
 	}
 	if wasRunning {
-		node.tasks.taskEnded(ended)
+		node.tasks.taskEnded(endedAttempt)
 		node.load.taskEnded(p.now, &request.Task)
 	} else {
-		node.tasks.attemptFailed(ended)
-		node.load.attemptFailed(ended)
+		node.tasks.attemptFailed(endedAttempt)
+		node.load.attemptFailed(endedAttempt)
 	}
-	p.observeOutcome(ev, ended)
+	p.observeOutcome(ev, endedAttempt)
 	if !wasRunning && !ev.Result.provesNotStarted() {
-		request.recordUnknownOutcome(ended)
+		request.recordUnknownOutcome(endedAttempt)
 	}
 	if ev.Final || wasRunning {
 		p.requests.close(request)
@@ -79,20 +80,20 @@
 }
 
 // observeOutcome updates the recorded load and health of a node from the outcome of an attempt.
-func (p *Placer) observeOutcome(ev Event, ended *attempt) {
-	node := ended.node
+func (p *Placer) observeOutcome(ev Event, endedAttempt *attempt) {
+	node := endedAttempt.node
 	switch ev.Result {
 	case Rejected:
 		if ev.Reason != WrongNode {
 			node.load.recordRejection(p.now)
-		} else if p.cfg.class(ended.request).Idempotency != IdempotentByKey {
-			// The node probably drains although the node list does not show it yet. If the task class is
-			// idempotent by key, there is another possible cause: the node may already run a copy of the task
-			// with the same idempotency key.
+		} else if p.cfg.classOf(endedAttempt.request).Idempotency != IdempotentByKey {
+			// The node probably drains, and the node list does not show it yet. For a task class that is
+			// idempotent by key, the node may have had another reason for the rejection: it may already run a
+			// copy of the task with the same idempotency key. The node then has not failed.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
-		p.outliers.recordError(p.now, ended)
+		p.outliers.recordError(p.now, endedAttempt)
 	case Unreachable, TimedOut:
 		p.outliers.recordFailure(p.now, node)
 	case Lost:
@@ -106,7 +107,7 @@
 func (p *Placer) continueAfterOutcome(request *placementRequest, ev Event) {
 	if ev.Result == Rejected && ev.Reason != WrongNode {
 		request.recordRejection()
-		if request.alternative == nil && request.rejections >= maxRejections {
+		if request.alternativeNode == nil && request.pairRejections >= maxRejections {
 			p.scheduleRedraw(request, redrawWait)
 			return
 		}
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Constants of outlier detection. "Latency objective" means the shortest one of all task classes.
+// Constants of outlier detection. In the comments on the constants, the latency objective is the shortest
+// latency objective of all task classes.
 const (
 	// baseEjection is the time for which a node is ejected after its first failure, as a multiple of the
 	// latency objective. Each further failure doubles the time.
@@ -10,12 +11,12 @@
 	// maxFailures is the maximum failure count of a node. It limits the ejection time, which doubles with
 	// each failure.
 	maxFailures = 5
-	// failureWindowDivisor determines a time window, which is the latency objective divided by this number.
-	// Several failures within one window count as one failure. Successes within one window cancel at most one
-	// failure.
+	// failureWindowDivisor determines the length of a time window, which is the latency objective divided by
+	// this number. Several failures of a node within one window count as one failure. Successes within one
+	// window cancel at most one failure.
 	failureWindowDivisor = 4
-	// minHealthyDivisor limits the effect of ejections. Ejected nodes also get attempts if the number of
-	// healthy nodes is less than the number of ready nodes divided by this number.
+	// minHealthyDivisor determines the minimum number of healthy nodes, which is the number of ready nodes
+	// divided by this number. If fewer nodes are healthy, ejected nodes also get attempts.
 	minHealthyDivisor = 4
 )
 
@@ -27,7 +28,7 @@
 
 // nodeHealth is the part of a node's record that the outlier detector owns.
 type nodeHealth struct {
-	failures      int // failures that no success has canceled
+	failures      int // number of counted failures that were not canceled
 	lastFailureAt Seconds
 	ejectedUntil  Seconds
 }
@@ -38,25 +39,25 @@
 	h.ejectedUntil = 0
 }
 
-// recordError records that an attempt ended with an error, which counts as a failure of its node. If the task
-// has also failed on another node, the task itself is the more likely cause. In this case, the error does not
-// count, and the failure of the other node is canceled. This prevents a client whose tasks fail on every node
-// from causing the ejection of all nodes.
-func (d *outlierDetector) recordError(now Seconds, failed *attempt) {
-	failed.errored = true
+// recordError records that an attempt ended with an error. The error counts as a failure of the node, unless
+// the task has also failed on another node. If it has, the task itself is the more likely cause of both
+// errors. The new error then does not count, and the failure of the other node is canceled. Without this
+// rule, one client whose tasks fail on every node could cause the ejection of all nodes.
+func (d *outlierDetector) recordError(now Seconds, failedAttempt *attempt) {
+	failedAttempt.errored = true
 	failedElsewhere := false
-	for _, other := range failed.request.attempts {
-		if !other.errored || other.node == failed.node {
+	for _, otherAttempt := range failedAttempt.request.attempts {
+		if !otherAttempt.errored || otherAttempt.node == failedAttempt.node {
 			continue
 		}
 		failedElsewhere = true
-		if health := &other.node.health; other.countedFailure && health.failures > 0 {
+		if health := &otherAttempt.node.health; otherAttempt.countedFailure && health.failures > 0 {
 			health.failures--
 			health.ejectedUntil = min(health.ejectedUntil, now)
 		}
-		other.countedFailure = false
+		otherAttempt.countedFailure = false
 	}
-	failed.countedFailure = !failedElsewhere && d.recordFailure(now, failed.node)
+	failedAttempt.countedFailure = !failedElsewhere && d.recordFailure(now, failedAttempt.node)
 }
 
 // recordFailure records a failure of a node and ejects the node. Each failure doubles the ejection time.
@@ -69,8 +70,8 @@
 	}
 	health.failures = min(health.failures+1, maxFailures)
 	health.lastFailureAt = now
-	ejection := baseEjection * d.shortestObjective * Seconds(math.Exp2(float64(health.failures-1)))
-	health.ejectedUntil = now + d.jitter.apply(ejection)
+	ejectionTime := baseEjection * d.shortestObjective * Seconds(math.Exp2(float64(health.failures-1)))
+	health.ejectedUntil = now + d.jitter.randomize(ejectionTime)
 	return true
 }
 
@@ -84,10 +85,10 @@
 	}
 }
 
-// permits reports whether a task of the given task class may be attempted on the node. After the ejection of
-// a node ends, the node gets only one attempt at a time until successes have canceled its failures. A task
-// that must not start twice is never attempted on a node with failures.
-func (d *outlierDetector) permits(now Seconds, class *Class, node *trackedNode) bool {
+// allowsAttempt reports whether a task of the given task class may be attempted on the node. After its
+// ejection, a node gets only one attempt at a time until successes have canceled its failures. A task that
+// must not start twice is never attempted on a node with failures.
+func (d *outlierDetector) allowsAttempt(now Seconds, class *Class, node *trackedNode) bool {
 	if node.health.failures == 0 {
 		return true
 	}
@@ -96,20 +97,22 @@
 }
 
 // tooFewHealthy reports whether so few ready nodes are healthy for the task class that ejected nodes must be
-// used as well. Nodes are no outliers if the same fault affects most of them. The count of healthy nodes
-// ignores free capacity and the spread rule. If it considered either, all attempts could go to dead nodes. A
-// dead node appears to have free capacity because its tasks are lost, and the spread rule may exclude all
-// healthy nodes for a service.
+// used as well. If the same fault affects most nodes, the affected nodes are not outliers.
+//
+// A node counts as healthy even if it has no free capacity or the spread rule excludes it. Otherwise, all
+// attempts could go to dead nodes in two cases. If all healthy nodes are full, only dead nodes appear to have
+// free capacity, because their tasks are lost. The spread rule may also exclude all healthy nodes for a
+// service.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
-	ready, healthy := 0, 0
+	readyCount, healthyCount := 0, 0
 	for _, node := range nodes {
 		if node.State != Ready {
 			continue
 		}
-		ready++
-		if d.permits(now, class, node) {
-			healthy++
+		readyCount++
+		if d.allowsAttempt(now, class, node) {
+			healthyCount++
 		}
 	}
-	return healthy*minHealthyDivisor < ready
+	return healthyCount*minHealthyDivisor < readyCount
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -5,9 +5,10 @@
 	"math/rand/v2"
 )
 
-// Placer makes the placement decisions of one scheduler. It passes each event to the components that own the
-// state and make the decisions. Only the component itself changes its fields. All decisions and tunable
-// constants are in the policy files, which are the files in the policy list of deploy/balancer.toml.
+// Placer makes the placement decisions of one scheduler. It passes each event to its components, which hold
+// the state and make the decisions. The fields of a component are changed only by its own methods. All
+// decisions and tunable constants are in the policy files, which the policy list in deploy/balancer.toml
+// names.
 //
 // A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
 // uniformly at random. It skips nodes with too many contenders. The contenders on a node are the unanswered
@@ -17,7 +18,7 @@
 type Placer struct {
 	cfg     Config
 	now     Seconds // time of the latest event
-	started bool    // the first event has been handled
+	started bool    // true from the first event on
 	actions *actionList
 	timers  *timerTable
 	jitter  jitter
@@ -51,7 +52,7 @@
 	return p, nil
 }
 
-// newStateTables creates the components that hold the state from events: actions, timers, nodes and requests.
+// newStateTables creates the components that hold the current actions, timers, nodes and requests.
 func (p *Placer) newStateTables(rng *rand.Rand) {
 	p.jitter = jitter{rng: rng}
 	p.actions = &actionList{}
@@ -111,7 +112,7 @@
 // Handle processes one event that happens at the time now. It appends the resulting actions to the given
 // slice and returns the extended slice.
 func (p *Placer) Handle(now Seconds, ev Event, actions []Action) []Action {
-	p.actions.begin(actions)
+	p.actions.beginEvent(actions)
 	if !p.started {
 		p.start(now)
 	}
@@ -134,40 +135,41 @@
 	case TimerFired:
 		p.handleTimer(ev.Token)
 	}
-	return p.actions.take()
+	return p.actions.takeActions()
 }
 
-// start prepares the Placer for its first event. It runs before p.now is set, so the first poll is recorded
-// with the time 0.
+// start prepares the Placer for its first event. Handle calls it before it sets p.now for the first time, so
+// the time of the first poll is recorded as 0.
 func (p *Placer) start(now Seconds) {
 	p.started = true
 	p.slowStart.schedulerStarted(now)
 	if p.cfg.Discovery.MustPoll {
-		p.poller.poll(p.now)
+		p.poller.requestNodeList(p.now)
 	}
 	p.startConsolidationTimer()
 }
 
 func (p *Placer) startConsolidationTimer() {
-	p.timers.start(pendingTimer{kind: timerConsolidate}, p.jitter.apply(migrationInterval))
+	p.timers.startTimer(pendingTimer{kind: timerConsolidate}, p.jitter.randomize(migrationInterval))
 }
 
 func (p *Placer) handleTimer(token uint64) {
-	timer, known := p.timers.remove(token)
+	timer, known := p.timers.removeTimer(token)
 	if !known {
 		return
 	}
 	request := timer.request
 	switch timer.kind {
 	case timerPollNodes:
-		p.poller.timerFired(p.now, token)
+		p.poller.handleTimer(p.now, token)
 	case timerConsolidate:
 		p.consolidator.migrateFromStandby(p.now)
 		p.nodes.evictTerminated(p.now)
 		p.startConsolidationTimer()
 	case timerDeadline:
-		// Each attempt times out at the deadline at the latest. The deadline timer answers requests that wait
-		// for the next draw, and requests with an attempt whose outcome does not arrive.
+		// Most requests are answered before this timer fires, because each attempt times out at the deadline
+		// at the latest. The timer answers requests that still wait for the next draw, and requests with an
+		// attempt whose outcome does not arrive.
 		if !request.done {
 			p.rejectOrFail(request)
 		}
@@ -181,27 +183,27 @@
 // handleNodesListed applies a node list, or schedules another poll if the request for the list failed.
 func (p *Placer) handleNodesListed(ev Event) {
 	if ev.List == ListFailed {
-		p.poller.pollFailed()
+		p.poller.handleFailedPoll()
 		return
 	}
 	if ev.List != CachedList {
-		p.poller.listArrived(p.now)
+		p.poller.recordNodeList(p.now)
 	}
-	p.nodes.apply(ev.List, ev.Nodes)
+	p.nodes.applyList(ev.List, ev.Nodes)
 }
 
 // handleArrived starts to place a task, or sends the final answer immediately if the task is not valid.
 func (p *Placer) handleArrived(task Task) {
-	if p.requests.contains(task.ID) {
+	if p.requests.hasRequest(task.ID) {
 		return
 	}
-	request := p.requests.open(task, p.now)
+	request := p.requests.addRequest(task, p.now)
 	if !p.cfg.isValidTask(&task, p.now) {
 		p.rejectOrFail(request)
 		return
 	}
 	untilDeadline := task.Deadline + p.cfg.Attempts.AnswerGrace/2 - p.now
-	p.timers.start(pendingTimer{request: request, kind: timerDeadline}, untilDeadline)
+	p.timers.startTimer(pendingTimer{request: request, kind: timerDeadline}, untilDeadline)
 	p.place(request)
 }
 
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -30,16 +30,16 @@
 func TestNonIdempotentTaskIsNotRetriedAfterUnknownOutcome(t *testing.T) {
 	for _, result := range []Result{Errored, TimedOut, Lost, Cancelled} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
-		actions := endAttempt(placer, 100.5, sent, result, NoReason)
+		attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 1)))
+		actions := endAttempt(placer, 100.5, attempt, result, NoReason)
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
 			t.Errorf("after an attempt with result %d: got actions %+v, want one Fail, no Reject and no attempt", result, actions)
 		}
 	}
 	for _, result := range []Result{Rejected, Unreachable, Expired} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 1)))
-		if actions := endAttempt(placer, 100.5, sent, result, WrongNode); len(actionsOfKind(actions, StartAttempt)) != 1 {
+		attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 1)))
+		if actions := endAttempt(placer, 100.5, attempt, result, WrongNode); len(actionsOfKind(actions, StartAttempt)) != 1 {
 			t.Errorf("after an attempt with result %d, which proves that the task did not start: got actions %+v, want another attempt", result, actions)
 		}
 	}
@@ -48,12 +48,12 @@
 func TestIdempotentByKeyRetryStaysInDedupDomainAndWindow(t *testing.T) {
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(9))
-		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 2)))
-		retried := startedAttempt(t, endAttempt(placer, 101, sent, TimedOut, NoReason))
-		if (retried.Node-1)/3 != (sent.Node-1)/3 {
+		firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 2)))
+		retry := requireOneAttempt(t, endAttempt(placer, 101, firstAttempt, TimedOut, NoReason))
+		if (retry.Node-1)/3 != (firstAttempt.Node-1)/3 {
 			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt", seed)
 		}
-		actions := endAttempt(placer, 104.2, retried, Rejected, InsufficientCores) // DedupWindow has ended
+		actions := endAttempt(placer, 104.2, retry, Rejected, InsufficientCores) // DedupWindow has ended
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
 			t.Fatalf("seed %d: after the deduplication window: got actions %+v, want one Fail, no Reject and no attempt", seed, actions)
 		}
@@ -68,23 +68,24 @@
 	} {
 		task := newTestTask(i+1, 0)
 		invalidate(&task)
-		actions := arrive(placer, 100.1, task)
+		actions := requestPlacement(placer, 100.1, task)
 		if len(actionsOfKind(actions, StartAttempt)) != 0 || len(actionsOfKind(actions, Reject)) != 1 {
 			t.Errorf("invalid task %d: got actions %+v, want one Reject and no attempt", i, actions)
 		}
 	}
 }
 
-// If nodes answer only when a task starts, a late answer may mean that the task takes long to start. It must
-// not be taken as a sign of an unresponsive node. The timeout must not depend on the learned answer times.
+// If nodes answer only when a task starts, a late answer may just mean that the task takes long to start. The
+// Placer must not conclude that the node is unresponsive. The timeout must not depend on the answer times
+// that the Placer has learned.
 func TestAttemptTimeoutIfAcknowledgedOnStart(t *testing.T) {
 	config := testConfig()
 	config.NodeBehavior.AcknowledgesOnStart = true
 	placer := newTestPlacer(t, config, 1, testNodes(4))
 	for range 50 {
-		placer.latency.answerTimes[0].add(0.05, learningRate)
+		placer.latency.answerTimes[0].addSample(0.05, learningRate)
 	}
-	if sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0))); sent.Until < 100.1+0.69*5 {
-		t.Fatalf("the attempt times out after %.2f s, want at least 69 percent of the deadline", sent.Until-100.1)
+	if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0))); attempt.Until < 100.1+0.69*5 {
+		t.Fatalf("the attempt times out after %.2f s, want at least 69 percent of the 5 s for which the client waits", attempt.Until-100.1)
 	}
 }
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -77,26 +77,26 @@
 func findTunableValues(t *testing.T, file string) []token.Position {
 	t.Helper()
 	fileSet := token.NewFileSet()
-	parsed, err := parser.ParseFile(fileSet, file, nil, 0)
+	syntaxTree, err := parser.ParseFile(fileSet, file, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var found []token.Position
-	ast.Inspect(parsed, func(node ast.Node) bool {
+	var positions []token.Position
+	ast.Inspect(syntaxTree, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.BasicLit:
 			isNumber := node.Kind == token.INT || node.Kind == token.FLOAT || node.Kind == token.IMAG
 			if isNumber && node.Value != "0" && node.Value != "1" {
-				found = append(found, fileSet.Position(node.Pos()))
+				positions = append(positions, fileSet.Position(node.Pos()))
 			}
 		case *ast.GenDecl:
 			if node.Tok == token.CONST && !usesIota(node) {
-				found = append(found, fileSet.Position(node.Pos()))
+				positions = append(positions, fileSet.Position(node.Pos()))
 			}
 		}
 		return true
 	})
-	return found
+	return positions
 }
 
 // usesIota reports whether each value of a constant declaration contains iota.
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -1,6 +1,7 @@
 package placer
 
-// requestTable owns the requests that have no final answer yet and the requests whose task runs.
+// requestTable owns the requests that have no final answer yet, and the requests that have an outstanding
+// attempt, such as a running task.
 type requestTable struct {
 	byID               map[TaskID]*placementRequest
 	unansweredRequests int // number of requests that are not done
@@ -8,27 +9,27 @@
 
 func newRequestTable() *requestTable { return &requestTable{byID: map[TaskID]*placementRequest{}} }
 
-// contains reports whether the table has a request for the task.
-func (t *requestTable) contains(id TaskID) bool { return t.byID[id] != nil }
+// hasRequest reports whether the table has a request for the task.
+func (t *requestTable) hasRequest(id TaskID) bool { return t.byID[id] != nil }
 
-// open adds a request for a task. The table must not contain the task yet.
-func (t *requestTable) open(task Task, now Seconds) *placementRequest {
+// addRequest adds a request for a task. The table must not have a request for the task yet.
+func (t *requestTable) addRequest(task Task, now Seconds) *placementRequest {
 	request := &placementRequest{Task: task, arrivedAt: now}
 	t.byID[task.ID] = request
 	t.unansweredRequests++
 	return request
 }
 
-// adopt adds a task that was found running on a node, and returns the attempt that represents the task. The
-// table must not contain the task yet.
-func (t *requestTable) adopt(task Task, node *trackedNode, now Seconds) *attempt {
-	request, adopted := newAdoptedRequest(task, node, now)
+// addAdopted adds a request for a task that was found running on a node. It returns the attempt that
+// represents the running task. The table must not have a request for the task yet.
+func (t *requestTable) addAdopted(task Task, node *trackedNode, now Seconds) *attempt {
+	request, adoptedAttempt := newAdoptedRequest(task, node, now)
 	t.byID[task.ID] = request
-	return adopted
+	return adoptedAttempt
 }
 
-// attempt returns the attempt with the given index for a task, or nil if there is no such attempt.
-func (t *requestTable) attempt(task TaskID, index int) *attempt {
+// findAttempt returns the attempt with the given index for a task, or nil if there is no such attempt.
+func (t *requestTable) findAttempt(task TaskID, index int) *attempt {
 	request := t.byID[task]
 	if request == nil || index < 0 || index >= len(request.attempts) {
 		return nil
@@ -36,13 +37,13 @@
 	return request.attempts[index]
 }
 
-// close marks a request as done, which prevents further attempts. It removes the request from the table if no
-// attempt is outstanding.
+// close marks a request as done, which prevents further attempts. If no attempt is outstanding, it also
+// removes the request from the table.
 func (t *requestTable) close(request *placementRequest) {
 	if !request.done {
 		t.unansweredRequests--
 	}
-	request.finish()
+	request.markDone()
 	t.removeIfDone(request)
 }
 
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -5,9 +5,9 @@
 func TestRetryRule(t *testing.T) {
 	const sentAt, dedupWindow = 100, 10
 	node := func(id NodeID, rack int) *trackedNode {
-		created := newTrackedNode(id)
-		created.listed, created.Rack = true, rack
-		return created
+		newNode := newTrackedNode(id)
+		newNode.listed, newNode.Rack = true, rack
+		return newNode
 	}
 	earlierNode, sameRackNode, otherRackNode := node(1, 1), node(2, 1), node(3, 2)
 	idempotentByKey := func(domain TopologyDomain) Class {
@@ -15,14 +15,14 @@
 	}
 	for name, test := range map[string]struct {
 		class             Class
-		knownOutcome      bool
+		outcomeIsKnown    bool
 		now               Seconds
-		allows            bool
+		allowsRetry       bool
 		allowsOnSameRack  bool
 		allowsOnOtherRack bool
 		safeToReject      bool
 	}{
-		"no attempt with unknown outcome":                             {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
+		"no attempt has an unknown outcome":                           {Class{Idempotency: NonIdempotent}, true, 101, true, true, true, true},
 		"task class is not idempotent":                                {Class{Idempotency: NonIdempotent}, false, 101, false, false, false, false},
 		"task class is idempotent":                                    {Class{Idempotency: Idempotent}, false, 500, true, true, true, true},
 		"task class is idempotent by key, DedupDomain is the rack":    {idempotentByKey(RackDomain), false, 108.9, true, true, false, false},
@@ -33,22 +33,22 @@
 		t.Run(name, func(t *testing.T) {
 			rule := &retryRule{cfg: &Config{Classes: []Class{test.class}}}
 			request := &placementRequest{}
-			if !test.knownOutcome {
+			if !test.outcomeIsKnown {
 				request.recordUnknownOutcome(&attempt{node: earlierNode, sentAt: sentAt})
 			}
-			if got := rule.allows(test.now, request); got != test.allows {
-				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allows)
+			if got := rule.allowsRetry(test.now, request); got != test.allowsRetry {
+				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allowsRetry)
 			}
 			if got := rule.safeToReject(request); got != test.safeToReject {
 				t.Errorf("the request may be answered with Reject: got %v, want %v", got, test.safeToReject)
 			}
-			if test.knownOutcome {
+			if test.outcomeIsKnown {
 				return // allowsOn is called only after an unknown outcome
 			}
-			if got := rule.allowsOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
+			if got := rule.allowsRetryOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
 				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.allowsOnSameRack)
 			}
-			if got := rule.allowsOn(test.now, request, otherRackNode); got != test.allowsOnOtherRack {
+			if got := rule.allowsRetryOn(test.now, request, otherRackNode); got != test.allowsOnOtherRack {
 				t.Errorf("retry on a node in another rack is allowed: got %v, want %v", got, test.allowsOnOtherRack)
 			}
 		})
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -8,8 +8,8 @@
 )
 
 // randomScript sends a seeded random sequence of events to a Placer. It sends only events that can occur in
-// practice. It checks each action against the five placement rules, which are the rules on final answers (1),
-// retries (2), node states (3), slow start (4) and spread (5).
+// practice. The script checks each action against the five placement rules, which are the rules on final
+// answers (1), retries (2), node states (3), slow start (4) and spread (5).
 type randomScript struct {
 	t                 *testing.T
 	config            Config
@@ -32,8 +32,8 @@
 	token   uint64
 }
 
-// sentAttempt is an attempt that the Placer has started.
-type sentAttempt struct {
+// scriptAttempt is an attempt that the Placer has started, or a task that was found running.
+type scriptAttempt struct {
 	node               Node
 	sentAt, timesOutAt Seconds
 	outstanding, bound bool
@@ -43,25 +43,26 @@
 // taskState is a task that was requested or found running, with its attempts.
 type taskState struct {
 	Task
-	attempts []*sentAttempt
+	attempts []*scriptAttempt
 	done     bool
 	answers  int // number of final answers that the client received
 }
 
 func (script *randomScript) handleEvent(event Event) {
 	for _, action := range script.placer.Handle(script.now, event, nil) {
-		script.check(action)
+		script.checkAction(action)
 	}
 }
 
-// fail ends the test. The message contains the time and the action that violated a rule.
-func (script *randomScript) fail(action Action, format string, args ...any) {
+// failOnAction ends the test because of an action that violates a rule. The failure message contains the time
+// and the action.
+func (script *randomScript) failOnAction(action Action, format string, args ...any) {
 	script.t.Helper()
 	script.t.Fatalf("at the time %.3f, action %+v: %s", script.now, action, fmt.Sprintf(format, args...))
 }
 
-// check checks an action against the placement rules and carries it out.
-func (script *randomScript) check(action Action) {
+// checkAction checks an action against the placement rules and carries it out.
+func (script *randomScript) checkAction(action Action) {
 	script.actionLog = append(script.actionLog, fmt.Sprintf("%.3f %+v", script.now, action))
 	switch action.Kind {
 	case SetTimer:
@@ -72,20 +73,20 @@
 	}
 	task := script.tasks[action.Task]
 	if task == nil {
-		script.fail(action, "the action is for a task that was never requested")
+		script.failOnAction(action, "the action is for a task that was never requested")
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
-			script.fail(action, "the task to migrate is not bound to a node")
+			script.failOnAction(action, "the task to migrate is not bound to a node")
 		}
 		return
 	}
 	if task.done || task.answers > 0 {
-		script.fail(action, "rule 1 (final answers): the request is already done")
+		script.failOnAction(action, "rule 1 (final answers): the request is already done")
 	}
 	for _, attempt := range task.attempts {
 		if attempt.outstanding && action.Kind != Fail {
-			script.fail(action, "rule 2 (retries): another attempt is outstanding")
+			script.failOnAction(action, "rule 2 (retries): another attempt is outstanding")
 		}
 	}
 	if action.Kind == Reject || action.Kind == Fail {
@@ -95,8 +96,9 @@
 	}
 }
 
-// unknownOutcome returns the first failed attempt that may have started the task, or nil if there is none.
-func (task *taskState) unknownOutcome() *sentAttempt {
+// unknownOutcomeAttempt returns the first failed attempt that may have started the task, or nil if there is
+// none.
+func (task *taskState) unknownOutcomeAttempt() *scriptAttempt {
 	for _, attempt := range task.attempts {
 		if attempt.mayHaveRun {
 			return attempt
@@ -110,28 +112,28 @@
 	task.answers++
 	task.done = true
 	if script.now > task.Deadline+script.config.Attempts.AnswerGrace {
-		script.fail(action, "rule 1 (final answers): the answer is sent %.3f s after the deadline", script.now-task.Deadline)
+		script.failOnAction(action, "rule 1 (final answers): the answer is sent %.3f s after the deadline", script.now-task.Deadline)
 	}
 	class := script.config.Classes[task.Class]
 	dedupInCluster := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
 	rejectIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
-	if action.Kind == Reject && task.unknownOutcome() != nil && rejectIsUnsafe {
-		script.fail(action, "rule 2 (retries): a task that may be running is rejected, and a second copy would be unsafe")
+	if action.Kind == Reject && task.unknownOutcomeAttempt() != nil && rejectIsUnsafe {
+		script.failOnAction(action, "rule 2 (retries): the answer is Reject although the task may be running and must not start twice")
 	}
 }
 
 // checkAttempt checks an attempt against all rules and adds it to its task.
 func (script *randomScript) checkAttempt(action Action, task *taskState) {
 	class, node := script.config.Classes[task.Class], script.nodes[action.Node]
-	if unknown := task.unknownOutcome(); unknown != nil {
-		outsideDedup := node.Rack != unknown.node.Rack || script.now > unknown.sentAt+class.DedupWindow
+	if earlierAttempt := task.unknownOutcomeAttempt(); earlierAttempt != nil {
+		outsideDedup := node.Rack != earlierAttempt.node.Rack || script.now > earlierAttempt.sentAt+class.DedupWindow
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && outsideDedup {
-			script.fail(action, "rule 2 (retries): another attempt is made although the task may be running")
+			script.failOnAction(action, "rule 2 (retries): another attempt is made although the task may be running")
 		}
 	}
 	wrongType := class.NodeType >= 0 && class.NodeType != node.NodeType
 	if node.State != Ready || len(task.attempts) >= script.config.Attempts.Max || wrongType {
-		script.fail(action, "rule 3 (node states): node not ready, too many attempts or wrong node type; the node is %+v", node)
+		script.failOnAction(action, "rule 3 (node states): the node is not ready or has the wrong type, or too many attempts were made; the node is %+v", node)
 	}
 	if node.StartedAt > 0 && script.now-node.StartedAt < script.config.SlowStart.Duration {
 		script.checkSlowStart(action, node)
@@ -139,19 +141,19 @@
 	if class.SpreadDomain != NoDomain {
 		script.checkSpread(action, task, node)
 	}
-	task.attempts = append(task.attempts, &sentAttempt{node: node, sentAt: script.now, timesOutAt: action.Until, outstanding: true})
+	task.attempts = append(task.attempts, &scriptAttempt{node: node, sentAt: script.now, timesOutAt: action.Until, outstanding: true})
 }
 
 // checkSlowStart checks an attempt on a node in slow start against the slow-start rule (rule 4).
 func (script *randomScript) checkSlowStart(action Action, node Node) {
-	count := 1
+	attemptCount := 1
 	for _, at := range script.slowStartAttempts[node.ID] {
 		if script.now-at <= script.config.SlowStart.OverloadWindow {
-			count++
+			attemptCount++
 		}
 	}
-	if float64(count) > math.Ceil(script.config.SlowStart.MaxAttempts/float64(script.config.Peers.Total)) {
-		script.fail(action, "rule 4 (slow start): this scheduler made %d attempts on the node within the overload window", count)
+	if float64(attemptCount) > math.Ceil(script.config.SlowStart.MaxAttempts/float64(script.config.Peers.Total)) {
+		script.failOnAction(action, "rule 4 (slow start): this scheduler made %d attempts on the node within the overload window, which exceeds its share", attemptCount)
 	}
 	script.slowStartAttempts[node.ID] = append(script.slowStartAttempts[node.ID], script.now)
 }
@@ -159,18 +161,18 @@
 // checkSpread checks an attempt against the spread rule (rule 5).
 func (script *randomScript) checkSpread(action Action, task *taskState, node Node) {
 	class := script.config.Classes[task.Class]
-	count := 1
-	for _, other := range script.tasks {
-		for _, attempt := range other.attempts {
-			active := other.Service == task.Service && (attempt.outstanding || attempt.bound)
+	taskCount := 1
+	for _, otherTask := range script.tasks {
+		for _, attempt := range otherTask.attempts {
+			countsForService := otherTask.Service == task.Service && (attempt.outstanding || attempt.bound)
 			inSameDomain := attempt.node.ID == node.ID || class.SpreadDomain == RackDomain && attempt.node.Rack == node.Rack
-			if active && inSameDomain {
-				count++
+			if countsForService && inSameDomain {
+				taskCount++
 			}
 		}
 	}
-	if count > class.MaxPerDomain {
-		script.fail(action, "rule 5 (spread): the domain would have %d tasks of the service", count)
+	if taskCount > class.MaxPerDomain {
+		script.failOnAction(action, "rule 5 (spread): the failure domain of the node would have %d tasks of the service, which exceeds MaxPerDomain", taskCount)
 	}
 }
 
@@ -287,7 +289,7 @@
 	}
 	node := script.randomNode()
 	state.done = true
-	state.attempts = []*sentAttempt{{node: node, sentAt: script.now, bound: true}}
+	state.attempts = []*scriptAttempt{{node: node, sentAt: script.now, bound: true}}
 	script.handleEvent(Event{Kind: Adopted, Task: task, Node: node.ID})
 }
 
@@ -295,7 +297,7 @@
 	return script.nodes[script.nodeIDs[script.rng.IntN(len(script.nodeIDs))]]
 }
 
-// changeNode changes a random node and sends the change to the Placer.
+// changeNode changes the state or the free capacity of a random node and sends the change to the Placer.
 func (script *randomScript) changeNode() {
 	node := script.randomNode()
 	switch script.rng.IntN(4) {
@@ -331,19 +333,19 @@
 
 // removeDoneTasks removes the tasks that are done and have neither an outstanding nor a bound attempt.
 func (script *randomScript) removeDoneTasks() {
-	kept := script.taskOrder[:0]
+	keptTasks := script.taskOrder[:0]
 	for _, id := range script.taskOrder {
-		state, live := script.tasks[id], false
+		state, hasLiveAttempt := script.tasks[id], false
 		for _, attempt := range state.attempts {
-			live = live || attempt.outstanding || attempt.bound
+			hasLiveAttempt = hasLiveAttempt || attempt.outstanding || attempt.bound
 		}
-		if !live && state.done {
+		if !hasLiveAttempt && state.done {
 			delete(script.tasks, id)
 		} else {
-			kept = append(kept, id)
+			keptTasks = append(keptTasks, id)
 		}
 	}
-	script.taskOrder = kept
+	script.taskOrder = keptTasks
 }
 
 // injectCorrelatedFault injects a fault that affects many nodes at once. In half of the cases, all nodes of
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -34,8 +34,8 @@
 	for i := range steps {
 		script.step(i)
 	}
-	if held := len(script.placer.requests.byID); held > len(script.taskOrder)+1 {
-		t.Fatalf("the Placer keeps %d requests, but the script has only %d tasks", held, len(script.taskOrder))
+	if requestCount := len(script.placer.requests.byID); requestCount > len(script.taskOrder)+1 {
+		t.Fatalf("the Placer still keeps %d requests, but the script has only %d tasks", requestCount, len(script.taskOrder))
 	}
 	return script.actionLog
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -20,18 +20,18 @@
 			nodes[i].FreeCores, nodes[i].FreeMemory = size*share, size*2*share
 		}
 		placer := newTestPlacer(t, testConfig(), uint64(seed), nodes)
-		sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
-		second := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
-		if second.Node > sent.Node {
-			t.Fatalf("seed %d: the first attempt was made on node %d, and the second on the emptier node %d", seed, sent.Node, second.Node)
+		firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)))
+		secondAttempt := requireOneAttempt(t, endAttempt(placer, 100.2, firstAttempt, Rejected, InsufficientCores))
+		if secondAttempt.Node > firstAttempt.Node {
+			t.Fatalf("seed %d: the first attempt was made on node %d, and the second on the emptier node %d", seed, firstAttempt.Node, secondAttempt.Node)
 		}
-		firstAttemptCounts[sent.Node]++
-		pairCounts[sent.Node]++
-		pairCounts[second.Node]++
+		firstAttemptCounts[firstAttempt.Node]++
+		pairCounts[firstAttempt.Node]++
+		pairCounts[secondAttempt.Node]++
 	}
 	for id := NodeID(1); id <= 6; id++ { // 2 of 6 nodes are in each pair, so each node must be in a third of the pairs
 		if got := float64(pairCounts[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
-			t.Errorf("the fraction of pairs that contain node %d is %.3f, want about 0.333", id, got)
+			t.Errorf("the fraction of the drawn pairs that contain node %d is %.3f, want about 0.333", id, got)
 		}
 		if want := float64(id-1) / 15 * runs; math.Abs(float64(firstAttemptCounts[id])-want) > 0.04*runs {
 			t.Errorf("the first attempt was made on node %d in %d runs, want about %.0f", id, firstAttemptCounts[id], want)
@@ -44,16 +44,16 @@
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(6))
 		node := placer.nodes.byID[3]
 		node.tasks.unansweredAttempts = 9
-		if sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0))); sent.Node == 3 {
+		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0))); attempt.Node == 3 {
 			t.Fatalf("seed %d: an attempt was made on a node beyond the contender limit", seed)
 		}
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
-	placer.nodes.byID[1].load.addChange(capacityChange{at: 100, cores: 1, memory: 1, isBoundTask: true})
-	if placer.selector.contenders(101.9, placer.nodes.byID[1]) != 1 {
+	placer.nodes.byID[1].load.addChange(capacityChange{changedAt: 100, cores: 1, memory: 1, isBoundTask: true})
+	if placer.selector.countContenders(101.9, placer.nodes.byID[1]) != 1 {
 		t.Error("a task does not count as a contender within the contender window of 2 s after it was bound")
 	}
-	if placer.selector.contenders(102.1, placer.nodes.byID[1]) != 0 {
+	if placer.selector.countContenders(102.1, placer.nodes.byID[1]) != 0 {
 		t.Error("a task still counts as a contender after the contender window of 2 s")
 	}
 	placer.nodes.byID[1].load.dropOldChanges(102.1) // the filter does the same when it evaluates a node
@@ -68,17 +68,17 @@
 
 func TestPairIsRedrawnAfterBothNodesReject(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 7, testNodes(6))
-	sent := startedAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)))
-	retried := startedAttempt(t, endAttempt(placer, 100.2, sent, Rejected, InsufficientCores))
-	if retried.Node == sent.Node {
+	firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)))
+	secondAttempt := requireOneAttempt(t, endAttempt(placer, 100.2, firstAttempt, Rejected, InsufficientCores))
+	if secondAttempt.Node == firstAttempt.Node {
 		t.Fatal("the second attempt was made on the node that rejected the first attempt")
 	}
-	actions := endAttempt(placer, 100.3, retried, Rejected, InsufficientCores)
+	actions := endAttempt(placer, 100.3, secondAttempt, Rejected, InsufficientCores)
 	timers := actionsOfKind(actions, SetTimer)
 	if len(actionsOfKind(actions, StartAttempt)) != 0 || len(timers) != 1 || timers[0].After < 0.5 || timers[0].After > 1.5 {
 		t.Fatalf("got actions %+v, want one timer of about 1 s and no attempt", actions)
 	}
-	startedAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
+	requireOneAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
 }
 
 // A cold start takes several times as long as a start on a node that has the program of the service in its
@@ -89,7 +89,7 @@
 	for seed := range 100 {
 		placer := newTestPlacer(t, testConfig(), uint64(seed), testNodes(4))
 		adoptTask(placer, 900, 2, 0)
-		if startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node == 2 {
+		if requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 0))).Node == 2 {
 			runsOnProgramNode++
 		}
 	}
@@ -97,27 +97,27 @@
 		t.Fatalf("the node with the cached program was chosen in %d of 100 runs, want at least 95", runsOnProgramNode)
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
-	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, samples: 1} // cold starts take 0.1 s
+	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, sampleCount: 1} // cold starts take 0.1 s
 	if placer.latency.coldStartsAreSlow(0) {
 		t.Fatal("cold starts of 0.1 s count as slow for a latency objective of 1 s")
 	}
 }
 
 // The tasks of a service arrive in batches. When the second task of a batch arrives, the first one does not
-// run yet, but its unanswered attempt must already count as a sign that the node has the program. The program
-// must still count as cached after the last task of the service has ended.
+// run yet. The node of its unanswered attempt must already count as a node with the program. The program must
+// still count as cached after the last task of the service on the node has ended.
 func TestUnansweredAttemptsAndEndedTasksImplyCachedProgram(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
-	sent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 1, 0)))
-	secondSent := startedAttempt(t, arrive(placer, 100.1, newTaskOfService(1, 2, 0)))
-	if secondSent.Node != sent.Node {
-		t.Fatalf("the second task of a batch was attempted on node %d, the first on node %d", secondSent.Node, sent.Node)
+	firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(1, 1, 0)))
+	secondAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(1, 2, 0)))
+	if secondAttempt.Node != firstAttempt.Node {
+		t.Fatalf("the second task of a batch was attempted on node %d, the first on node %d", secondAttempt.Node, firstAttempt.Node)
 	}
-	for _, sent := range []Action{sent, secondSent} {
-		bindAttempt(placer, 100.2, sent)
-		endAttempt(placer, 101, sent, Finished, NoReason)
+	for _, attempt := range []Action{firstAttempt, secondAttempt} {
+		bindAttempt(placer, 100.2, attempt)
+		endAttempt(placer, 101, attempt, Finished, NoReason)
 	}
-	if !placer.nodes.byID[sent.Node].tasks.hasProgram(1) {
+	if !placer.nodes.byID[firstAttempt.Node].tasks.hasProgram(1) {
 		t.Fatal("the program does not count as cached after the last task of the service has ended")
 	}
 }
@@ -128,7 +128,7 @@
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
-	timers := actionsOfKind(arrive(placer, 100.1, newTestTask(1, 0)), SetTimer)
+	timers := actionsOfKind(requestPlacement(placer, 100.1, newTestTask(1, 0)), SetTimer)
 	timer := timers[len(timers)-1] // the last timer is for the next draw
 	inTimeWait := timer.After
 	now, lateWait := Seconds(100.1), Seconds(0)
@@ -141,7 +141,7 @@
 		timer, lateWait = newTimers[0], newTimers[0].After
 	}
 	if inTimeWait > 0.3 || lateWait < 2*inTimeWait {
-		t.Fatalf("wait before the next draw is %.2f s within and %.2f s after the latency objective, want at most 0.30 s within and at least twice as much after", inTimeWait, lateWait)
+		t.Fatalf("the wait before the next draw is %.2f s within the latency objective and %.2f s after it, want at most 0.30 s within it and at least twice the first wait after it", inTimeWait, lateWait)
 	}
 }
 
@@ -150,14 +150,14 @@
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total, config.Peers.StickyServices = 300, false
-	used := map[NodeID]bool{}
+	usedNodes := map[NodeID]bool{}
 	for self := range 200 {
 		config.Peers.Self = self
 		placer := newTestPlacer(t, config, uint64(self), testNodes(90))
-		used[startedAttempt(t, arrive(placer, 100.1, newTaskOfService(7, self+1, 0))).Node] = true
+		usedNodes[requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(7, self+1, 0))).Node] = true
 	}
-	if len(used) > preferredNodeCount {
-		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(used), preferredNodeCount)
+	if len(usedNodes) > preferredNodeCount {
+		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(usedNodes), preferredNodeCount)
 	}
 }
 
@@ -178,12 +178,12 @@
 	return ids
 }
 
-// prefer filters the slice of its caller in place. The test verifies the result and the contents of the
-// caller's slice after the call, because the selector uses this slice again.
+// The function keepPreferred changes the slice of its caller, and the selector uses this slice again. The
+// test checks the result and what the caller's slice contains after the call.
 func TestPreferFiltersCandidatesInPlace(t *testing.T) {
 	for name, test := range map[string]struct {
-		saturated  []NodeID
-		want, left []NodeID
+		saturated                []NodeID
+		wantPreferred, wantSlice []NodeID
 	}{
 		"all candidates are preferred":         {nil, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
 		"no candidate is preferred":            {[]NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}, []NodeID{1, 2, 3, 4}},
@@ -194,11 +194,11 @@
 			for _, id := range test.saturated {
 				candidates[id-1].saturationExcess = 0.1
 			}
-			if got := candidateIDs(prefer(candidates, (*candidate).belowSaturation)); !slices.Equal(got, test.want) {
-				t.Errorf("prefer returned the nodes %v, want %v", got, test.want)
+			if got := candidateIDs(keepPreferred(candidates, (*candidate).belowSaturation)); !slices.Equal(got, test.wantPreferred) {
+				t.Errorf("keepPreferred returned the nodes %v, want %v", got, test.wantPreferred)
 			}
-			if got := candidateIDs(candidates); !slices.Equal(got, test.left) {
-				t.Errorf("the caller's slice contains the nodes %v after the call, want %v", got, test.left)
+			if got := candidateIDs(candidates); !slices.Equal(got, test.wantSlice) {
+				t.Errorf("the caller's slice contains the nodes %v after the call, want %v", got, test.wantSlice)
 			}
 		})
 	}
@@ -209,13 +209,13 @@
 	byHash := func(a, b NodeID) int {
 		return cmp.Compare(hashToUnitInterval(service, uint64(b)), hashToUnitInterval(service, uint64(a)))
 	}
-	hashed := slices.SortedFunc(slices.Values([]NodeID{1, 3, 4, 6}), byHash)
+	nodesByHash := slices.SortedFunc(slices.Values([]NodeID{1, 3, 4, 6}), byHash)
 	for name, test := range map[string]struct {
 		peers Peers
 		want  []NodeID
 	}{
-		"4 schedulers, nodes not chosen by hash":         {Peers{Total: 4}, []NodeID{2, 5}},
-		"5 schedulers, 2 nodes chosen by hash":           {Peers{Total: 5}, []NodeID{2, 5, hashed[0], hashed[1]}},
+		"4 schedulers, no node is chosen by hash":        {Peers{Total: 4}, []NodeID{2, 5}},
+		"5 schedulers, 2 nodes are chosen by hash":       {Peers{Total: 5}, []NodeID{2, 5, nodesByHash[0], nodesByHash[1]}},
 		"all tasks of a service arrive at one scheduler": {Peers{Total: 5, StickyServices: true}, []NodeID{2, 5}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -223,8 +223,8 @@
 			candidates[1].node.tasks.cacheProgram(service)
 			candidates[4].node.tasks.attemptSent(&attempt{request: &placementRequest{Task: Task{Service: service}}})
 			testSelector := &selector{peers: test.peers}
-			if got := candidateIDs(testSelector.programNodesFirst(service, candidates)); !slices.Equal(got, test.want) {
-				t.Errorf("programNodesFirst returned the nodes %v, want %v", got, test.want)
+			if got := candidateIDs(testSelector.programNodes(service, candidates)); !slices.Equal(got, test.want) {
+				t.Errorf("programNodes returned the nodes %v, want %v", got, test.want)
 			}
 			all := candidateIDs(candidates)
 			slices.Sort(all)
@@ -239,17 +239,18 @@
 	testSelector := &selector{nodes: newNodeTable(nil), requests: newRequestTable(), rng: rand.New(rand.NewPCG(1, 1))}
 	candidates := newCandidates(2)
 	candidates[0].node.tasks.unansweredAttempts, candidates[1].node.tasks.unansweredAttempts = 9, 8
-	drawn := testSelector.drawPair(100, &placementRequest{}, candidates)
-	if drawn.first.ID != 2 || drawn.second.ID != 1 {
-		t.Errorf("the pair is node %d before node %d, want the node with fewer contenders first", drawn.first.ID, drawn.second.ID)
+	drawnPair := testSelector.drawPair(100, &placementRequest{}, candidates)
+	if drawnPair.firstNode.ID != 2 || drawnPair.secondNode.ID != 1 {
+		t.Errorf("the pair has node %d first and node %d second, want the node with fewer contenders first", drawnPair.firstNode.ID, drawnPair.secondNode.ID)
 	}
 }
 
 // This test records a known fault, which docs/ROADMAP.md lists. The first draw of a request is from the nodes
-// with the cached program, and it overwrites part of the slice of all candidates if some of these nodes are
-// saturated. If the other nodes with the program have too many contenders, the selector draws again from the
-// overwritten slice, in which some nodes are missing and others appear twice. A correction of the fault would
-// change placements. The test therefore compares the drawn nodes with those recorded for 60 seeds.
+// with the cached program. If some of these nodes are saturated, the draw overwrites part of the slice of all
+// candidates. If the other nodes with the program have too many contenders, the selector draws again from the
+// overwritten slice, in which some nodes are missing and others appear twice. The test compares the drawn
+// nodes with the nodes that were recorded for 60 seeds. It fails if a change of the selector corrects the
+// fault or changes placements in another way.
 func TestSecondDrawUsesReorderedCandidates(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
@@ -264,7 +265,7 @@
 			adoptTask(placer, TaskID(900+i), NodeID(i+1), 0)
 		}
 		placer.nodes.byID[2].tasks.unansweredAttempts, placer.nodes.byID[3].tasks.unansweredAttempts = 50, 50
-		got.WriteByte(byte('0' + startedAttempt(t, arrive(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
+		got.WriteByte(byte('0' + requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
 	}
 	if got.String() != want {
 		t.Errorf("the nodes of the first attempts differ (one digit for each seed):\n got %s\nwant %s", got.String(), want)
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -17,7 +17,7 @@
 
 func (sim *simulation) addNode(startedAt placer.Seconds) {
 	sim.nextNode += 7
-	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.script.zones), Rack: sim.rng.IntN(sim.script.racks),
+	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.script.zoneCount), Rack: sim.rng.IntN(sim.script.rackCount),
 		NodeType: sim.rng.IntN(len(sim.script.config.NodeTypes)), State: placer.Ready, StartedAt: startedAt}}
 	if sim.withProbability(0.03) {
 		node.NodeType = 9 // the configuration has no such node type
@@ -28,12 +28,12 @@
 // listEntry returns the entry of a node in a node list.
 func (sim *simulation) listEntry(node *simNode) placer.Node {
 	entry := node.Node
-	size := sim.size(node)
+	size := sim.nodeSize(node)
 	entry.FreeCores, entry.FreeMemory = size.Cores-node.requestedCores, size.Memory-node.requestedMemory
 	return entry
 }
 
-func (sim *simulation) size(node *simNode) placer.NodeType {
+func (sim *simulation) nodeSize(node *simNode) placer.NodeType {
 	if node.NodeType < len(sim.script.config.NodeTypes) {
 		return sim.script.config.NodeTypes[node.NodeType]
 	}
@@ -69,7 +69,8 @@
 	}
 }
 
-// answerPoll answers a request for the node list. With a probability of about 0.1 it does not answer.
+// answerPoll answers a request for the node list. The request fails at random, and about one in ten requests
+// gets no answer.
 func (sim *simulation) answerPoll() {
 	switch {
 	case sim.withProbability(sim.script.listFailureProbability):
@@ -90,7 +91,7 @@
 	case sim.script.relistDelay > 0:
 		sim.removeTemporarily(node)
 	case node.removed:
-		if len(sim.nodes) < 4*sim.script.nodes {
+		if len(sim.nodes) < 4*sim.script.nodeCount {
 			sim.addNode(sim.now)
 		}
 	case draw < 0.2:
@@ -107,8 +108,8 @@
 	}
 }
 
-// removeTemporarily removes a node from the node list. The node is listed again, unchanged, at about the time
-// at which the Placer evicts its record of the node.
+// removeTemporarily removes a node from the node lists. Later lists contain the node again, unchanged, from
+// about the time at which the Placer evicts its record of the node.
 func (sim *simulation) removeTemporarily(node *simNode) {
 	if node.removed || node.State != placer.Ready {
 		return
@@ -117,12 +118,13 @@
 	sim.schedule(sim.script.relistDelay+2*sim.randomSecond(), func() { node.removed = false })
 }
 
-// report returns the load report of a node. The whole report or some of its values are missing at random.
-func (sim *simulation) report(node *simNode) *placer.Report {
+// drawReport returns a load report of a node with random usage. The result may be nil, and each of its values
+// may be missing.
+func (sim *simulation) drawReport(node *simNode) *placer.Report {
 	if sim.withProbability(0.3) {
 		return nil
 	}
-	size, usedFraction := sim.size(node), 0.5+sim.script.extraMinUsageRatio+(0.4-sim.script.extraMinUsageRatio)*sim.rng.Float64()
+	size, usedFraction := sim.nodeSize(node), 0.5+sim.script.extraMinUsageRatio+(0.4-sim.script.extraMinUsageRatio)*sim.rng.Float64()
 	if sim.withProbability(0.05) {
 		usedFraction = 1.3
 	}
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -18,7 +18,7 @@
 func (sim *simulation) newTask() placer.Task {
 	class := sim.rng.IntN(len(sim.script.config.Classes))
 	task := placer.Task{ID: sim.nextTask, Class: class, Tenant: sim.rng.IntN(2),
-		Service: placer.ServiceID(1 + sim.rng.IntN(sim.script.services)),
+		Service: placer.ServiceID(1 + sim.rng.IntN(sim.script.serviceCount)),
 		Cores:   sim.script.taskCores * (0.5 + sim.rng.Float64()), Memory: sim.script.taskMemory * (0.5 + sim.rng.Float64()),
 		Deadline: sim.now + sim.script.config.Classes[class].Deadline, IsRetry: sim.withProbability(0.1)}
 	sim.nextTask++
@@ -27,7 +27,7 @@
 
 func (sim *simulation) generateArrivals() {
 	rate := sim.script.arrivalsPerSecond
-	if sim.script.lowLoadAfterEvents > 0 && sim.events > sim.script.lowLoadAfterEvents {
+	if sim.script.lowLoadAfterEvents > 0 && sim.eventCount > sim.script.lowLoadAfterEvents {
 		rate /= 8
 	}
 	sim.schedule(placer.Seconds(-math.Log(1-sim.rng.Float64())/rate), sim.generateArrivals)
@@ -35,10 +35,10 @@
 	if sim.withProbability(0.02) {
 		sim.invalidate(&task)
 	}
-	sim.arrive(task)
+	sim.sendRequest(task)
 	if sim.withProbability(0.01) { // a burst of tasks arrives
 		for range 15 {
-			sim.arrive(sim.newTask())
+			sim.sendRequest(sim.newTask())
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-func (sim *simulation) arrive(task placer.Task) {
+func (sim *simulation) sendRequest(task placer.Task) {
 	state := &simTask{task: task, lifetime: sim.script.lifetime * 2 * sim.randomSecond()}
 	sim.tasks = append(sim.tasks, state)
 	sim.byID[task.ID] = state
@@ -82,9 +82,9 @@
 
 func (sim *simulation) withdraw(task *simTask) {
 	sim.handle(placer.Event{Kind: placer.Withdrawn, TaskID: task.task.ID})
-	attempt := len(task.ended) - 1
-	if attempt >= 0 && !task.ended[attempt] && sim.withProbability(0.8-sim.script.withdrawalProbability) {
-		sim.endAttempt(task, attempt, placer.Cancelled, placer.NoReason, true)
+	attemptIndex := len(task.ended) - 1
+	if attemptIndex >= 0 && !task.ended[attemptIndex] && sim.withProbability(0.8-sim.script.withdrawalProbability) {
+		sim.endAttempt(task, attemptIndex, placer.Cancelled, placer.NoReason, true)
 	}
 }
 
@@ -94,32 +94,32 @@
 	resubmitted.ID, resubmitted.IsRetry = sim.nextTask, true
 	resubmitted.Deadline = sim.now + 4
 	sim.nextTask++
-	sim.arrive(resubmitted)
+	sim.sendRequest(resubmitted)
 }
 
 // migrate stops a running task and requests it again, as the Migrate action specifies.
 func (sim *simulation) migrate(task *simTask) {
-	attempt := len(task.ended) - 1
-	if attempt < 0 || task.ended[attempt] {
+	attemptIndex := len(task.ended) - 1
+	if attemptIndex < 0 || task.ended[attemptIndex] {
 		return
 	}
-	sim.endAttempt(task, attempt, placer.Lost, placer.Drained, true)
+	sim.endAttempt(task, attemptIndex, placer.Lost, placer.Drained, true)
 	sim.resubmit(task)
 }
 
 // adoptTask reports a task that was found running. In one of four cases, no node list has named the node of
 // the task.
-func (sim *simulation) adoptTask(i int) {
+func (sim *simulation) adoptTask(number int) {
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
-	if i%4 == 3 {
-		node = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + i)}}
+	if number%4 == 3 {
+		node = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + number)}}
 	}
 	task := &simTask{task: sim.newTask(), nodes: []*simNode{node}, ended: []bool{false}, bound: true}
 	sim.tasks = append(sim.tasks, task)
 	sim.byID[task.task.ID] = task
 	node.requestedCores += task.task.Cores
 	node.requestedMemory += task.task.Memory
-	for range 1 + i%2 { // the report of every second task is repeated
+	for range 1 + number%2 { // the report of every second task is repeated
 		sim.handle(placer.Event{Kind: placer.Adopted, Task: task.task, Node: node.ID})
 	}
 	sim.schedule(3+20*sim.randomSecond(), func() { sim.finishTask(task, 0) })
@@ -135,12 +135,12 @@
 		}
 	}
 	task.nodes, task.ended = append(task.nodes, node), append(task.ended, false)
-	attempt, sent := action.Attempt, sim.now
+	attemptIndex, sentAt := action.Attempt, sim.now
 	latency := 0.01 + 0.2*sim.randomSecond()
 	endAfter := func(delay placer.Seconds, result placer.Result, reason placer.Reason) {
-		sim.schedule(delay, func() { sim.endAttempt(task, attempt, result, reason, sim.withProbability(0.03)) })
+		sim.schedule(delay, func() { sim.endAttempt(task, attemptIndex, result, reason, sim.withProbability(0.03)) })
 	}
-	size := sim.size(node)
+	size := sim.nodeSize(node)
 	switch {
 	case sim.withProbability(sim.script.lateOutcomeProbability): // the outcome arrives after the deadline
 		endAfter(task.task.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
@@ -160,7 +160,7 @@
 		outcome := sim.drawFailure()
 		endAfter(latency, outcome.result, outcome.reason)
 	default:
-		sim.schedule(latency+0.4*sim.randomSecond(), func() { sim.bindAttempt(task, attempt, sim.now-sent) })
+		sim.schedule(latency+0.4*sim.randomSecond(), func() { sim.bindAttempt(task, attemptIndex, sim.now-sentAt) })
 	}
 }
 
@@ -169,7 +169,7 @@
 	reason placer.Reason
 }
 
-// drawFailure draws the result and the reason of an attempt that ends before it is bound.
+// drawFailure draws a random result and reason for the end of an attempt.
 func (sim *simulation) drawFailure() outcome {
 	outcomes := []outcome{
 		{placer.Rejected, placer.InsufficientCores}, {placer.Rejected, placer.InsufficientMemory}, {placer.Rejected, placer.QueueFull},
@@ -182,53 +182,53 @@
 	return outcomes[sim.rng.IntN(len(outcomes))]
 }
 
-func (sim *simulation) bindAttempt(task *simTask, attempt int, elapsed placer.Seconds) {
-	if task.ended[attempt] {
+func (sim *simulation) bindAttempt(task *simTask, attemptIndex int, elapsed placer.Seconds) {
+	if task.ended[attemptIndex] {
 		return
 	}
 	task.bound = true
-	node := task.nodes[attempt]
+	node := task.nodes[attemptIndex]
 	node.requestedCores += task.task.Cores
 	node.requestedMemory += task.task.Memory
-	event := placer.Event{Kind: placer.Bound, TaskID: task.task.ID, Attempt: attempt, Node: node.ID, Elapsed: elapsed}
+	event := placer.Event{Kind: placer.Bound, TaskID: task.task.ID, Attempt: attemptIndex, Node: node.ID, Elapsed: elapsed}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
 		sim.handle(event) // the event is repeated
 	}
 	for kind := placer.Started; kind <= placer.NodeMemory; kind++ {
 		if sim.withProbability(0.5) {
-			sim.schedule(0.2+sim.randomSecond(), func() { sim.reportUsage(task, attempt, kind) })
+			sim.schedule(0.2+sim.randomSecond(), func() { sim.reportUsage(task, attemptIndex, kind) })
 		}
 	}
-	sim.schedule(task.lifetime, func() { sim.finishTask(task, attempt) })
+	sim.schedule(task.lifetime, func() { sim.finishTask(task, attemptIndex) })
 }
 
-func (sim *simulation) reportUsage(task *simTask, attempt int, kind placer.UsageKind) {
+func (sim *simulation) reportUsage(task *simTask, attemptIndex int, kind placer.UsageKind) {
 	value := 2 * sim.rng.Float64() * task.task.Cores
-	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.task.ID, Attempt: attempt, Node: task.nodes[attempt].ID, Usage: kind, Value: value})
+	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.task.ID, Attempt: attemptIndex, Node: task.nodes[attemptIndex].ID, Usage: kind, Value: value})
 }
 
-// finishTask ends a bound task, in three of four cases with success.
-func (sim *simulation) finishTask(task *simTask, attempt int) {
+// finishTask ends a bound task. In three of four cases, the task has run to completion.
+func (sim *simulation) finishTask(task *simTask, attemptIndex int) {
 	result := outcome{placer.Finished, placer.NoReason}
 	if sim.withProbability(0.25) {
 		result = sim.drawFailure()
 	}
-	sim.endAttempt(task, attempt, result.result, result.reason, sim.withProbability(0.9))
+	sim.endAttempt(task, attemptIndex, result.result, result.reason, sim.withProbability(0.9))
 }
 
-func (sim *simulation) endAttempt(task *simTask, attempt int, result placer.Result, reason placer.Reason, final bool) {
-	if task.ended[attempt] {
+func (sim *simulation) endAttempt(task *simTask, attemptIndex int, result placer.Result, reason placer.Reason, final bool) {
+	if task.ended[attemptIndex] {
 		return
 	}
-	task.ended[attempt] = true
-	node := task.nodes[attempt]
-	if task.bound && attempt == len(task.ended)-1 {
+	task.ended[attemptIndex] = true
+	node := task.nodes[attemptIndex]
+	if task.bound && attemptIndex == len(task.ended)-1 {
 		node.requestedCores -= task.task.Cores
 		node.requestedMemory -= task.task.Memory
 	}
-	event := placer.Event{Kind: placer.Ended, TaskID: task.task.ID, Attempt: attempt, Node: node.ID, Result: result, Reason: reason,
-		Elapsed: 0.1, Final: final, Report: sim.report(node)}
+	event := placer.Event{Kind: placer.Ended, TaskID: task.task.ID, Attempt: attemptIndex, Node: node.ID, Result: result, Reason: reason,
+		Elapsed: 0.1, Final: final, Report: sim.drawReport(node)}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
 		sim.handle(event) // the event is repeated
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -42,35 +42,35 @@
 
 // simulation is a discrete-event simulation that runs one script.
 type simulation struct {
-	script      script
-	placer      *placer.Placer
-	rng         *rand.Rand
-	now         placer.Seconds
-	queue       eventQueue
-	sequence    int
-	nodes       []*simNode
-	tasks       []*simTask
-	byID        map[placer.TaskID]*simTask
-	nextNode    placer.NodeID
-	nextTask    placer.TaskID
-	subscribed  bool // the Placer receives node lists without a request
-	digest      hash.Hash
-	events      int
-	actions     [8]int // number of actions by kind
-	checkpoints *strings.Builder
-	buffer      []placer.Action
+	script       script
+	placer       *placer.Placer
+	rng          *rand.Rand
+	now          placer.Seconds
+	queue        eventQueue
+	lastSequence int
+	nodes        []*simNode
+	tasks        []*simTask
+	byID         map[placer.TaskID]*simTask
+	nextNode     placer.NodeID
+	nextTask     placer.TaskID
+	subscribed   bool // the Placer receives node lists without a request
+	digest       hash.Hash
+	eventCount   int
+	actionCounts [8]int // number of actions by kind
+	checkpoints  *strings.Builder
+	actionBuffer []placer.Action
 }
 
-func runScript(t *testing.T, input script, out *strings.Builder) {
+func runScript(t *testing.T, testScript script, out *strings.Builder) {
 	t.Helper()
-	target, err := placer.New(input.config, input.seed)
+	testPlacer, err := placer.New(testScript.config, testScript.seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim := &simulation{script: input, placer: target, rng: rand.New(rand.NewPCG(input.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, checkpoints: out, subscribed: !input.config.Discovery.MustPoll}
+	sim := &simulation{script: testScript, placer: testPlacer, rng: rand.New(rand.NewPCG(testScript.seed, 77)), now: 1000, digest: sha256.New(),
+		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, checkpoints: out, subscribed: !testScript.config.Discovery.MustPoll}
 	sim.start()
-	for sim.events < input.events {
+	for sim.eventCount < testScript.eventCount {
 		next := heap.Pop(&sim.queue).(scheduledEvent)
 		sim.now = next.at
 		next.run()
@@ -78,7 +78,7 @@
 }
 
 func (sim *simulation) start() {
-	for range sim.script.nodes {
+	for range sim.script.nodeCount {
 		sim.addNode(sim.script.nodesStartedAt)
 	}
 	for i := range sim.script.brokenNodes {
@@ -96,8 +96,8 @@
 }
 
 func (sim *simulation) schedule(delay placer.Seconds, run func()) {
-	sim.sequence++
-	heap.Push(&sim.queue, scheduledEvent{sim.now + delay, sim.sequence, run})
+	sim.lastSequence++
+	heap.Push(&sim.queue, scheduledEvent{sim.now + delay, sim.lastSequence, run})
 }
 
 // randomSecond draws a duration between 0 and 1 s.
@@ -114,15 +114,15 @@
 }
 
 func (sim *simulation) handleAt(now placer.Seconds, event placer.Event) {
-	prefix := placer.Action{Kind: 99, Token: uint64(sim.events)} // Handle must keep this action in the slice
-	sim.buffer = sim.placer.Handle(now, event, append(sim.buffer[:0], prefix))
+	prefix := placer.Action{Kind: 99, Token: uint64(sim.eventCount)} // Handle must keep this action in the slice
+	sim.actionBuffer = sim.placer.Handle(now, event, append(sim.actionBuffer[:0], prefix))
 	sim.digestActions()
-	sim.events++
-	if sim.events%checkpointEvents == 0 && sim.events <= sim.script.events {
-		fmt.Fprintf(sim.checkpoints, "%s %d %v %x\n", sim.script.name, sim.events, sim.actions[1:], sim.digest.Sum(nil))
+	sim.eventCount++
+	if sim.eventCount%checkpointEvents == 0 && sim.eventCount <= sim.script.eventCount {
+		fmt.Fprintf(sim.checkpoints, "%s %d %v %x\n", sim.script.name, sim.eventCount, sim.actionCounts[1:], sim.digest.Sum(nil))
 	}
-	for _, action := range copyActions(sim.buffer) {
-		sim.perform(action)
+	for _, action := range copyActions(sim.actionBuffer) {
+		sim.performAction(action)
 	}
 }
 
@@ -135,8 +135,8 @@
 func (sim *simulation) digestActions() {
 	var words bytes.Buffer
 	word := func(value uint64) { words.Write(binary.LittleEndian.AppendUint64(nil, value)) }
-	word(uint64(len(sim.buffer)))
-	for _, action := range sim.buffer {
+	word(uint64(len(sim.actionBuffer)))
+	for _, action := range sim.actionBuffer {
 		word(uint64(action.Kind))
 		word(uint64(action.Task))
 		word(uint64(action.Node))
@@ -144,14 +144,14 @@
 		word(math.Float64bits(float64(action.Until)))
 		word(math.Float64bits(float64(action.After)))
 		word(action.Token)
-		if int(action.Kind) < len(sim.actions) {
-			sim.actions[action.Kind]++
+		if int(action.Kind) < len(sim.actionCounts) {
+			sim.actionCounts[action.Kind]++
 		}
 	}
 	sim.digest.Write(words.Bytes())
 }
 
-func (sim *simulation) perform(action placer.Action) {
+func (sim *simulation) performAction(action placer.Action) {
 	switch action.Kind {
 	case placer.StartAttempt:
 		sim.handleStartAttempt(action)
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// slowStartWindowFactor is the length of the window in which attempts on a node in slow start are counted, as
-// a multiple of OverloadWindow. It exceeds 1 because connection setup delays some attempts more than others,
-// and attempts may then arrive closer together than they were sent.
+// slowStartWindowFactor is the length of the counting window as a multiple of OverloadWindow. Attempts on a
+// node in slow start are counted within the counting window. The factor exceeds 1 because connection setup
+// delays some attempts more than others, and attempts may then arrive closer together than they were sent.
 const slowStartWindowFactor = 1.1
 
 // slowStart implements the slow-start rule (rule 4). A node is in slow start for some time after its start
@@ -16,8 +16,8 @@
 	startedAt Seconds // time at which this scheduler started
 }
 
-// schedulerStarted records when this scheduler started. If this was a restart, the scheduler does not know
-// the attempts that it made before.
+// schedulerStarted records when this scheduler started. After a restart, the scheduler does not know the
+// attempts that it made before the restart.
 func (s *slowStart) schedulerStarted(now Seconds) { s.startedAt = now }
 
 // appliesTo reports whether a node is in slow start, which means that the rule limits the attempts on it.
@@ -30,47 +30,49 @@
 	if !s.appliesTo(now, node) {
 		return
 	}
-	old := len(node.slowStartAttempts) - s.recentAttempts(now, node)
-	kept := copy(node.slowStartAttempts, node.slowStartAttempts[old:])
-	node.slowStartAttempts = append(node.slowStartAttempts[:kept], now)
+	oldCount := len(node.slowStartAttempts) - s.countRecentAttempts(now, node)
+	keptCount := copy(node.slowStartAttempts, node.slowStartAttempts[oldCount:])
+	node.slowStartAttempts = append(node.slowStartAttempts[:keptCount], now)
 }
 
-// allows reports whether this scheduler may make one more attempt on the node within its share. A scheduler
-// that has just restarted does not know its earlier attempts. It makes no attempts on nodes that were already
-// in slow start at the restart, until the earlier attempts must be older than the window.
-func (s *slowStart) allows(now Seconds, node *trackedNode) bool {
+// allowsAttempt reports whether this scheduler may make one more attempt on the node within its share. A
+// scheduler does not know the attempts that it made before a restart. On nodes that were already in slow
+// start at the restart, it makes no attempts for the length of the counting window. The earlier attempts then
+// no longer count.
+func (s *slowStart) allowsAttempt(now Seconds, node *trackedNode) bool {
 	if !s.appliesTo(now, node) {
 		return true
 	}
 	startedDuringSlowStart := s.startedAt-node.StartedAt < s.limits.Duration && s.startedAt > node.StartedAt
-	if now-s.startedAt < s.window() && startedDuringSlowStart {
+	if now-s.startedAt < s.countingWindow() && startedDuringSlowStart {
 		return false
 	}
-	return float64(s.recentAttempts(now, node)) < s.attemptShare(node)
+	return float64(s.countRecentAttempts(now, node)) < s.attemptShare(node)
 }
 
-// window returns the length of the time window in which attempts are counted.
-func (s *slowStart) window() Seconds { return slowStartWindowFactor * s.limits.OverloadWindow }
+// countingWindow returns the length of the time window in which attempts are counted.
+func (s *slowStart) countingWindow() Seconds { return slowStartWindowFactor * s.limits.OverloadWindow }
 
-// recentAttempts returns the number of attempts by this scheduler on the node within the window.
-func (s *slowStart) recentAttempts(now Seconds, node *trackedNode) int {
-	old := 0
-	for old < len(node.slowStartAttempts) && node.slowStartAttempts[old] < now-s.window() {
-		old++
+// countRecentAttempts returns the number of attempts by this scheduler on the node within the counting
+// window.
+func (s *slowStart) countRecentAttempts(now Seconds, node *trackedNode) int {
+	oldCount := 0
+	for oldCount < len(node.slowStartAttempts) && node.slowStartAttempts[oldCount] < now-s.countingWindow() {
+		oldCount++
 	}
-	return len(node.slowStartAttempts) - old
+	return len(node.slowStartAttempts) - oldCount
 }
 
 // attemptShare returns the number of attempts that this scheduler may make on a node in slow start within the
 // overload window. The shares of all schedulers add up to MaxAttempts, so even uneven traffic cannot overload
 // the node. If MaxAttempts is not divisible by the number of schedulers, some schedulers get one attempt more
-// than others. The node ID determines which ones. If there are more schedulers than attempts, each scheduler
-// can therefore still use some of the nodes in slow start.
+// than others. Which schedulers get it depends on the node ID. If there are fewer attempts than schedulers,
+// each scheduler can still use some of the nodes in slow start.
 func (s *slowStart) attemptShare(node *trackedNode) float64 {
-	total, peers := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
-	share := math.Floor(total / peers)
-	offset := math.Floor(hashToUnitInterval(uint64(node.ID), 0) * peers)
-	if math.Mod(offset+float64(s.peers.Self), peers) < math.Floor(total-share*peers) {
+	maxAttempts, schedulerCount := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
+	share := math.Floor(maxAttempts / schedulerCount)
+	offset := math.Floor(hashToUnitInterval(uint64(node.ID), 0) * schedulerCount)
+	if math.Mod(offset+float64(s.peers.Self), schedulerCount) < math.Floor(maxAttempts-share*schedulerCount) {
 		share++
 	}
 	return share
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -11,10 +11,10 @@
 	nodes := testNodes(1)
 	nodes[0].StartedAt = 98
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
-	requireNoAttempt(t, arrive(placer, 100.1, newTestTask(1, 0)), "the scheduler has just started and does not know its earlier attempts")
+	requireNoAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)), "the scheduler has just started and does not know its earlier attempts")
 	attemptCount := 0
 	for i := range 20 {
-		attemptCount += len(actionsOfKind(arrive(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
+		attemptCount += len(actionsOfKind(requestPlacement(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
 	}
 	if attemptCount != 4 { // each of two schedulers may make half of 8 attempts
 		t.Fatalf("the scheduler made %d attempts within an overload window, want its share of 4", attemptCount)
@@ -24,18 +24,18 @@
 func TestMaxAttemptsBelowNumberOfSchedulersIsShared(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total = 20
-	sent := 0
+	attemptCount := 0
 	for self := range config.Peers.Total {
 		config.Peers.Self = self
 		nodes := testNodes(1)
 		nodes[0].StartedAt = 98
 		placer := newTestPlacer(t, config, uint64(self), nodes)
 		for i := range 20 {
-			sent += len(actionsOfKind(arrive(placer, 103+Seconds(i)/10, newTaskWithDeadline(i+1, 0, 109)), StartAttempt))
+			attemptCount += len(actionsOfKind(requestPlacement(placer, 103+Seconds(i)/10, newTaskWithDeadline(i+1, 0, 109)), StartAttempt))
 		}
 	}
-	if sent == 0 || sent > 8 {
-		t.Fatalf("20 schedulers made %d attempts within an overload window, want 1 to 8", sent)
+	if attemptCount == 0 || attemptCount > 8 {
+		t.Fatalf("20 schedulers made %d attempts within an overload window, want 1 to 8", attemptCount)
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 	}
 	random := rand.New(rand.NewPCG(4, 4))
-	sentAt, slowStartAttempts := map[NodeID][]Seconds{}, 0
+	attemptTimes, slowStartAttempts := map[NodeID][]Seconds{}, 0
 	peers := make([]*Placer, config.Peers.Total)
 	for now, id := Seconds(100), 0; now < 112; now += 0.05 {
 		for self := range peers {
@@ -79,18 +79,18 @@
 				continue
 			}
 			id++
-			actions := arrive(peers[self], now, newTaskWithDeadline(id, 0, now+1.1))
+			actions := requestPlacement(peers[self], now, newTaskWithDeadline(id, 0, now+1.1))
 			for attempts := actionsOfKind(actions, StartAttempt); len(attempts) > 0; attempts = actionsOfKind(actions, StartAttempt) {
 				id := attempts[0].Node
 				if nodes[id-1].StartedAt > 0 {
 					slowStartAttempts++
-					sentAt[id] = append(sentAt[id], now)
+					attemptTimes[id] = append(attemptTimes[id], now)
 				}
 				actions = endAttempt(peers[self], now, attempts[0], Rejected, []Reason{InsufficientCores, QueueFull}[random.IntN(2)])
 			}
 		}
 	}
-	for id, times := range sentAt {
+	for id, times := range attemptTimes {
 		if maxCount := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(maxCount) > config.SlowStart.MaxAttempts {
 			t.Errorf("%d attempts were made within an overload window on node %d, which is in slow start, want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
 		}
@@ -102,8 +102,8 @@
 
 // Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the traffic,
 // and every second scheduler restarts and loses its state. At most MaxAttempts attempts must arrive at the
-// node within an overload window. If connection setup delays attempts, they may arrive closer together than
-// they were sent, and the test allows a higher maximum.
+// node within an overload window. The test allows more if connection setup delays the attempts, because they
+// may then arrive closer together than they were sent.
 func TestThirtySchedulersOnOneNodeInSlowStart(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
@@ -116,10 +116,10 @@
 			random := rand.New(rand.NewPCG(7, 7))
 			var arrivals []Seconds
 			peers := make([]*Placer, config.Peers.Total)
-			connected := make([]Seconds, config.Peers.Total) // when each scheduler connected
+			connectedAt := make([]Seconds, config.Peers.Total) // for each scheduler, time at which its connection is open
 			restart := func(now Seconds, self, generation int) {
 				config.Peers.Self = self
-				peers[self], connected[self] = startPlacer(t, now, config, uint64(self+100*generation), nodes), 0
+				peers[self], connectedAt[self] = startPlacer(t, now, config, uint64(self+100*generation), nodes), 0
 			}
 			for self := range peers {
 				restart(99, self, 1) // the schedulers start no later than the node
@@ -137,13 +137,13 @@
 						continue
 					}
 					id++
-					for _, sent := range actionsOfKind(arrive(placer, now, newTaskWithDeadline(id, 0, now+1.1)), StartAttempt) {
-						if delaysConnections && connected[self] == 0 {
-							connected[self] = now + Seconds(random.Float64())*config.Attempts.ConnectTimeout
+					for _, attempt := range actionsOfKind(requestPlacement(placer, now, newTaskWithDeadline(id, 0, now+1.1)), StartAttempt) {
+						if delaysConnections && connectedAt[self] == 0 {
+							connectedAt[self] = now + Seconds(random.Float64())*config.Attempts.ConnectTimeout
 						}
-						at := max(now, connected[self])
+						at := max(now, connectedAt[self])
 						arrivals = append(arrivals, at)
-						placer.Handle(at, Event{Kind: Bound, TaskID: sent.Task, Attempt: sent.Attempt, Node: sent.Node, Elapsed: at - now}, nil)
+						placer.Handle(at, Event{Kind: Bound, TaskID: attempt.Task, Attempt: attempt.Attempt, Node: attempt.Node, Elapsed: at - now}, nil)
 					}
 				}
 			}
@@ -165,24 +165,24 @@
 
 func TestSharesOfAllSchedulersAddUpToMaxAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
-		attempts float64
-		peers    int
+		maxAttempts    float64
+		schedulerCount int
 	}{
-		"more attempts than schedulers":              {42, 30},
-		"fewer attempts than schedulers":             {7, 300},
-		"only one scheduler":                         {8, 1},
-		"attempts divisible by number of schedulers": {60, 20},
-		"no attempts to share":                       {0, 3},
+		"MaxAttempts exceeds number of schedulers":          {42, 30},
+		"MaxAttempts is below number of schedulers":         {7, 300},
+		"there is only one scheduler":                       {8, 1},
+		"MaxAttempts is a multiple of number of schedulers": {60, 20},
+		"MaxAttempts is 0":                                  {0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for id := range NodeID(20) {
 				sum := 0.0
-				for self := range test.peers {
-					rule := &slowStart{limits: SlowStart{MaxAttempts: test.attempts}, peers: Peers{Self: self, Total: test.peers}}
+				for self := range test.schedulerCount {
+					rule := &slowStart{limits: SlowStart{MaxAttempts: test.maxAttempts}, peers: Peers{Self: self, Total: test.schedulerCount}}
 					sum += rule.attemptShare(newTrackedNode(id))
 				}
-				if sum != test.attempts {
-					t.Fatalf("node %d: the shares of all schedulers add up to %v, want %v", id, sum, test.attempts)
+				if sum != test.maxAttempts {
+					t.Fatalf("node %d: the shares of all schedulers add up to %v, want %v", id, sum, test.maxAttempts)
 				}
 			}
 		})
@@ -192,26 +192,26 @@
 func TestSlowStartRuleAllowsAttempts(t *testing.T) {
 	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // attempts are counted for 2.2 s
 	for name, test := range map[string]struct {
-		nodeStarted, schedulerStarted Seconds
-		attempts                      []Seconds
-		want                          bool
+		nodeStartedAt, schedulerStartedAt Seconds
+		attemptTimes                      []Seconds
+		want                              bool
 	}{
-		"node started long ago":                                  {0, 50, []Seconds{99, 99, 99}, true},
-		"node is no longer in slow start":                        {90, 50, []Seconds{99, 99, 99}, true},
-		"node in slow start without attempts":                    {95, 50, nil, true},
-		"fewer attempts than the share":                          {95, 50, []Seconds{99}, true},
-		"as many attempts as the share":                          {95, 50, []Seconds{98, 99}, false},
-		"one attempt older than the window":                      {95, 50, []Seconds{97, 97.7, 99}, true},
-		"scheduler started during slow start, within the window": {95, 98, nil, false},
-		"scheduler started during slow start, before the window": {95, 97.7, nil, true},
-		"scheduler started before the node":                      {98.5, 98, nil, true},
-		"scheduler and node started at the same time":            {98, 98, nil, true},
+		"node started long ago":                                           {0, 50, []Seconds{99, 99, 99}, true},
+		"node is no longer in slow start":                                 {90, 50, []Seconds{99, 99, 99}, true},
+		"node in slow start has no attempts":                              {95, 50, nil, true},
+		"fewer attempts were made than the share":                         {95, 50, []Seconds{99}, true},
+		"as many attempts were made as the share":                         {95, 50, []Seconds{98, 99}, false},
+		"one of three attempts is older than the window":                  {95, 50, []Seconds{97, 97.7, 99}, true},
+		"scheduler started during slow start, within the window":          {95, 98, nil, false},
+		"scheduler started during slow start, longer ago than the window": {95, 97.7, nil, true},
+		"scheduler started before the node":                               {98.5, 98, nil, true},
+		"scheduler and node started at the same time":                     {98, 98, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rule := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStarted}
+			rule := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStartedAt}
 			node := newTrackedNode(1)
-			node.StartedAt, node.slowStartAttempts = test.nodeStarted, test.attempts
-			if got := rule.allows(100, node); got != test.want {
+			node.StartedAt, node.slowStartAttempts = test.nodeStartedAt, test.attemptTimes
+			if got := rule.allowsAttempt(100, node); got != test.want {
 				t.Errorf("attempt on the node is allowed: got %v, want %v", got, test.want)
 			}
 			rule.attemptSent(100, node)
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -6,49 +6,49 @@
 // failure domain. It counts the outstanding attempts of this scheduler for the service, including those whose
 // tasks run.
 type spreadRule struct {
-	attempts map[ServiceID][]*attempt // outstanding attempts by service
+	attemptsByService map[ServiceID][]*attempt // outstanding attempts by service
 }
 
-func newSpreadRule() *spreadRule { return &spreadRule{attempts: map[ServiceID][]*attempt{}} }
+func newSpreadRule() *spreadRule { return &spreadRule{attemptsByService: map[ServiceID][]*attempt{}} }
 
-// add adds an attempt to the attempts that count for its service.
-func (r *spreadRule) add(started *attempt) {
-	service := started.request.Service
-	r.attempts[service] = append(r.attempts[service], started)
+// addAttempt adds an attempt to the attempts that count for its service.
+func (r *spreadRule) addAttempt(newAttempt *attempt) {
+	service := newAttempt.request.Service
+	r.attemptsByService[service] = append(r.attemptsByService[service], newAttempt)
 }
 
-// remove removes an attempt from the attempts that count for its service. It moves the last attempt of the
-// service to the index of the removed attempt.
-func (r *spreadRule) remove(ended *attempt) {
-	service := ended.request.Service
-	attempts := r.attempts[service]
-	if i := slices.Index(attempts, ended); i >= 0 {
+// removeAttempt removes an attempt from the attempts that count for its service. It moves the last attempt of
+// the service to the index of the removed attempt.
+func (r *spreadRule) removeAttempt(endedAttempt *attempt) {
+	service := endedAttempt.request.Service
+	attempts := r.attemptsByService[service]
+	if i := slices.Index(attempts, endedAttempt); i >= 0 {
 		last := len(attempts) - 1
 		attempts[i] = attempts[last]
 		attempts[last] = nil
 		attempts = attempts[:last]
 	}
 	if len(attempts) == 0 {
-		delete(r.attempts, service)
+		delete(r.attemptsByService, service)
 		return
 	}
-	r.attempts[service] = attempts
+	r.attemptsByService[service] = attempts
 }
 
-// allows reports whether one more task of the service may run in the failure domain of the node. The task
-// class of the service determines the kind of domain and the maximum. A node that no node list has named
+// allowsTask reports whether one more task of the service may run in the failure domain of the node. The task
+// class determines the kind of domain and the maximum number of tasks. A node that no node list has named
 // could be in any rack or zone, so its tasks count in every rack and zone.
-func (r *spreadRule) allows(class *Class, service ServiceID, node *trackedNode) bool {
+func (r *spreadRule) allowsTask(class *Class, service ServiceID, node *trackedNode) bool {
 	if class.SpreadDomain == NoDomain {
 		return true
 	}
-	count := 1
-	for _, other := range r.attempts[service] {
-		if other.node == node || mayShareDomain(class.SpreadDomain, other.node, node) {
-			count++
+	taskCount := 1
+	for _, otherAttempt := range r.attemptsByService[service] {
+		if otherAttempt.node == node || mayShareDomain(class.SpreadDomain, otherAttempt.node, node) {
+			taskCount++
 		}
 	}
-	return count <= class.MaxPerDomain
+	return taskCount <= class.MaxPerDomain
 }
 
 // sharesDomain reports whether two nodes are known to be in the same domain of the given kind.
@@ -65,6 +65,6 @@
 }
 
 // mayShareDomain reports whether two different nodes are, or could be, in the same rack, zone or cluster.
-func mayShareDomain(domain TopologyDomain, other, node *trackedNode) bool {
-	return domain != NodeDomain && (!other.listed || sharesDomain(domain, other, node))
+func mayShareDomain(domain TopologyDomain, a, b *trackedNode) bool {
+	return domain != NodeDomain && (!a.listed || sharesDomain(domain, a, b))
 }
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -18,27 +18,29 @@
 
 // timerTable owns the timers that were started and have not fired.
 type timerTable struct {
-	actions   *actionList
-	pending   map[uint64]pendingTimer // by token
-	lastToken uint64
+	actions       *actionList
+	pendingTimers map[uint64]pendingTimer // by token
+	lastToken     uint64
 }
 
 func newTimerTable(actions *actionList) *timerTable {
-	return &timerTable{actions: actions, pending: map[uint64]pendingTimer{}}
+	return &timerTable{actions: actions, pendingTimers: map[uint64]pendingTimer{}}
 }
 
-// start starts a timer that fires after the given delay, and returns the token of the timer. A timer cannot
-// be stopped. A caller that starts a new timer in place of an old one must ignore the token of the old timer.
-func (t *timerTable) start(timer pendingTimer, after Seconds) uint64 {
+// startTimer starts a timer that fires after the given delay, and returns the token of the timer. A timer
+// cannot be stopped. A caller that starts a new timer in place of an old one must ignore the token of the old
+// timer.
+func (t *timerTable) startTimer(timer pendingTimer, after Seconds) uint64 {
 	t.lastToken++
-	t.pending[t.lastToken] = timer
-	t.actions.add(Action{Kind: SetTimer, Token: t.lastToken, After: max(after, 0)})
+	t.pendingTimers[t.lastToken] = timer
+	t.actions.addAction(Action{Kind: SetTimer, Token: t.lastToken, After: max(after, 0)})
 	return t.lastToken
 }
 
-// remove removes and returns the timer that fired. It returns false if the token is unknown.
-func (t *timerTable) remove(token uint64) (pendingTimer, bool) {
-	timer, known := t.pending[token]
-	delete(t.pending, token)
+// removeTimer returns the timer with the given token and removes it from the table. The second result is
+// false if the token is unknown.
+func (t *timerTable) removeTimer(token uint64) (pendingTimer, bool) {
+	timer, known := t.pendingTimers[token]
+	delete(t.pendingTimers, token)
 	return timer, known
 }
