--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -55,7 +55,7 @@
 
 // A dead node appears to have free capacity, because its tasks are lost. If ejected nodes were used whenever
 // the healthy nodes are full, requests would use up their attempts on dead nodes.
-func TestFullHealthyNodesDoNotSendTasksToDeadNodes(t *testing.T) {
+func TestEjectedNodesGetNoAttemptsIfHealthyNodesAreFull(t *testing.T) {
 	nodes := testNodes(4)
 	for i := range 3 {
 		nodes[i].FreeCores = 0
@@ -67,7 +67,7 @@
 
 // After the failure of a rack, the spread rule may exclude all healthy nodes for a service. The tasks of the
 // service must then wait, and must not be attempted on the dead nodes of the rack.
-func TestSpreadRuleDoesNotSendTasksToDeadNodes(t *testing.T) {
+func TestEjectedNodesGetNoAttemptsIfSpreadRuleExcludesOthers(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // each rack has three nodes
 	for i := range 3 {
 		placer.Handle(100, Event{Kind: Adopted, Node: 1, Task: Task{ID: TaskID(900 + i), Class: 2, Service: 5}}, nil)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestEjectedNodeIsProbed(t *testing.T) {
+func TestAttemptsOnNodeWithFailuresAreLimited(t *testing.T) {
 	for name, test := range map[string]struct {
 		health             nodeHealth
 		unansweredAttempts int
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -180,7 +180,7 @@
 
 // The function keepPreferred changes the slice of its caller, and the selector uses this slice again. The
 // test checks the result and what the caller's slice contains after the call.
-func TestPreferFiltersCandidatesInPlace(t *testing.T) {
+func TestKeepPreferredChangesSliceOfCaller(t *testing.T) {
 	for name, test := range map[string]struct {
 		saturated                []NodeID
 		wantPreferred, wantSlice []NodeID
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestProgramNodesFirst(t *testing.T) {
+func TestProgramNodes(t *testing.T) {
 	const service = 7
 	byHash := func(a, b NodeID) int {
 		return cmp.Compare(hashToUnitInterval(service, uint64(b)), hashToUnitInterval(service, uint64(a)))
@@ -251,7 +251,7 @@
 // overwritten slice, in which some nodes are missing and others appear twice. The test compares the drawn
 // nodes with the nodes that were recorded for 60 seeds. It fails if a change of the selector corrects the
 // fault or changes placements in another way.
-func TestSecondDrawUsesReorderedCandidates(t *testing.T) {
+func TestSecondDrawUsesOverwrittenCandidates(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
 	for seed := range uint64(len(want)) {
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestMaxAttemptsBelowNumberOfSchedulersIsShared(t *testing.T) {
+func TestMoreSchedulersThanSlowStartAttempts(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total = 20
 	attemptCount := 0
