--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -92,14 +92,14 @@
 	for name, test := range map[string]struct {
 		freeCores                       float64 // free cores of the node; its free memory is twice this amount
 		report                          Report
-		wantCoresRatio, wantMemoryRatio float64 // ratios of used to requested capacity that the model must learn
+		wantCoresRatio, wantMemoryRatio float64 // ratios that the model must learn
 	}{
-		"report contains only utilization":            {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
-		"report contains free cores and memory":       {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
-		"too little capacity requested to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
-		"report contains no values":                   {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
-		"more cores in use than requested":            {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
-		"neither cores nor memory are in use":         {8, Report{16, 32, 0, 0}, 0, 0},
+		"report contains only utilization":                {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"report contains free cores and memory":           {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
+		"tasks request too little capacity to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
+		"report contains no values":                       {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
+		"more cores in use than requested":                {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
+		"neither cores nor memory are in use":             {8, Report{16, 32, 0, 0}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
--- a/placer/config.go
+++ b/placer/config.go
@@ -36,10 +36,10 @@
 	// attempt, the nodes in the same DedupDomain ignore further attempts with the same idempotency key.
 	DedupDomain         TopologyDomain
 	DedupWindow         Seconds
-	LatencyObjective    Seconds        // time from the arrival of a request within which a start has full value
+	LatencyObjective    Seconds        // time after arrival within which the task of a request should start
 	Deadline            Seconds        // time for which a client waits for the final answer
 	Weight              float64        // value of one second in which the task runs at full speed
-	LateWeight          float64        // fraction of the full value that a start after LatencyObjective has
+	LateWeight          float64        // value of a start after LatencyObjective relative to an earlier start
 	StartBonus          Seconds        // time at full speed that is worth as much as a start in time
 	Priority            int            // nodes may preempt a task in favor of a task of higher priority
 	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
@@ -105,8 +105,8 @@
 type SlowStart struct {
 	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
 	Duration         Seconds // time after its start at which a node reaches its full rate
-	OverloadMultiple float64 // multiple of the current rate beyond which a node in slow start is overloaded
-	OverloadWindow   Seconds // time above OverloadMultiple after which a node in slow start is overloaded
+	OverloadMultiple float64 // multiple of its current rate that overloads a node in slow start
+	OverloadWindow   Seconds // time for which the rate must exceed OverloadMultiple to overload the node
 	MaxAttempts      float64 // attempts by all schedulers that the node can handle per OverloadWindow
 }
 
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -33,7 +33,7 @@
 	}
 	actions := placer.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: testNodes(2)}, nil)
 	if len(actionsOfKind(actions, WatchNodes)) != 1 {
-		t.Fatal("the scheduler did not request the node list at its start")
+		t.Fatal("the Placer did not poll the node list when it handled its first event")
 	}
 	now := Seconds(100)
 	for range 5 { // after each failure, the Placer must poll again within MaxPollInterval
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -14,7 +14,7 @@
 	candidateBuffer []candidate // reused for each request to avoid allocations
 }
 
-// candidate is a node that passed the filter. Its other fields are valid only for the current request.
+// candidate is a node that passed the filter, with values that were computed for the current request.
 type candidate struct {
 	node             *trackedNode
 	saturationExcess float64 // projected utilization of the cores minus the limit of the task class
@@ -46,7 +46,7 @@
 	return keepPreferred(candidates, func(c *candidate) bool { return c.node.Zone == f.cfg.Zone })
 }
 
-// collectCandidates appends the nodes that pass the filter to the buffer.
+// collectCandidates appends the nodes that pass the filter to candidateBuffer.
 func (f *nodeFilter) collectCandidates(now Seconds, request *placementRequest) {
 	class := f.cfg.classOf(request)
 	includesEjected := f.outliers.tooFewHealthy(now, class, f.nodes.allNodes)
@@ -97,8 +97,8 @@
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
 	// This check implements the rule on node states (rule 3). The rule still permits attempts on a node for
 	// the time DrainGrace after the node starts to drain. The filter is stricter and rejects every node that
-	// is known to drain. The scheduler can therefore break the rule only if the node list that shows the
-	// draining node arrives more than DrainGrace late.
+	// is known to drain. The scheduler breaks the rule only if it learns that a node drains more than
+	// DrainGrace after the node started to drain.
 	if !node.listed || node.State != Ready || node.cores <= 0 {
 		return false
 	}
@@ -109,7 +109,7 @@
 	if request.unknownOutcomeAttempt != nil && !f.retries.allowsRetryOn(now, request, node) {
 		return false
 	}
-	// The two methods implement the slow-start rule (rule 4) and the spread rule (rule 5).
+	// These calls check the slow-start rule (rule 4) and the spread rule (rule 5).
 	return f.slowStart.allowsAttempt(now, node) && f.spread.allowsTask(class, request.Service, node)
 }
 
--- a/placer/node.go
+++ b/placer/node.go
@@ -14,7 +14,7 @@
 	tasks   nodeTasks     // tasks and attempts of this scheduler on the node
 
 	slowStartAttempts []Seconds // owned by slowStart: times of this scheduler's attempts during slow start
-	unusedSince       Seconds   // owned by nodeTable: time at which the node became unused, or 0 if it is in use
+	unusedSince       Seconds   // owned by nodeTable: time at which the node became unused; 0 if it is used
 }
 
 func newTrackedNode(id NodeID) *trackedNode {
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -8,7 +8,7 @@
 	recentChanges       []capacityChange // changes that node lists may not show yet, in chronological order
 	retainedBoundTasks  int              // number of elements of recentChanges with isBoundTask set
 	rejectionValidUntil Seconds          // time until which the node gets no attempts after a rejection
-	saturationExcess    float64          // excess in the latest projection, which may be for any task
+	saturationExcess    float64          // saturation excess of the latest projection for any task
 	reportedAt          Seconds
 	hasReport           bool
 	report              Report
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -136,8 +136,8 @@
 			if err := os.WriteFile(file, []byte("package p\n\n"+test.source+"\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if found := findTunableValues(t, file); len(found) != test.want {
-				t.Errorf("findTunableValues returned the positions %v, want %d positions", found, test.want)
+			if positions := findTunableValues(t, file); len(positions) != test.want {
+				t.Errorf("findTunableValues returned the positions %v, want %d positions", positions, test.want)
 			}
 		})
 	}
--- a/placer/request_table.go
+++ b/placer/request_table.go
@@ -1,7 +1,7 @@
 package placer
 
 // requestTable owns the requests that have no final answer yet, and the requests that have an outstanding
-// attempt, such as a running task.
+// attempt, such as the attempt of a running task.
 type requestTable struct {
 	byID               map[TaskID]*placementRequest
 	unansweredRequests int // number of requests that are not done
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -1,7 +1,7 @@
 package placer
 
-// dedupMargin is the fraction of DedupWindow within which another attempt is permitted after an attempt with
-// an unknown outcome.
+// dedupMargin is the fraction of Class.DedupWindow within which another attempt is permitted after an attempt
+// with an unknown outcome.
 const dedupMargin = 0.9
 
 // retryRule implements the rule on retries (rule 2). After an attempt with an unknown outcome, the task may
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -43,7 +43,7 @@
 				t.Errorf("the request may be answered with Reject: got %v, want %v", got, test.safeToReject)
 			}
 			if test.outcomeIsKnown {
-				return // allowsOn is called only after an unknown outcome
+				return // allowsRetryOn is called only after an unknown outcome
 			}
 			if got := rule.allowsRetryOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
 				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.allowsOnSameRack)
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -176,8 +176,8 @@
 	}
 }
 
-func (script *randomScript) endAttempt(task *taskState, i int, result Result, reason Reason) {
-	attempt := task.attempts[i]
+func (script *randomScript) endAttempt(task *taskState, attemptIndex int, result Result, reason Reason) {
+	attempt := task.attempts[attemptIndex]
 	final := task.done || attempt.bound
 	if !attempt.bound && result != Rejected && result != Unreachable && result != Expired {
 		attempt.mayHaveRun = true
@@ -186,7 +186,7 @@
 	if final {
 		task.done = true
 	}
-	event := Event{Kind: Ended, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Result: result, Reason: reason, Final: final,
+	event := Event{Kind: Ended, TaskID: task.ID, Attempt: attemptIndex, Node: attempt.node.ID, Result: result, Reason: reason, Final: final,
 		Elapsed: script.now - attempt.sentAt}
 	if script.rng.IntN(2) == 0 {
 		event.Report = &Report{script.rng.Float64() * 16, script.rng.Float64() * 32, script.rng.Float64(), math.NaN()}
@@ -244,32 +244,32 @@
 }
 
 // advanceAttempt randomly decides whether an outstanding attempt gets an answer or a running task ends.
-func (script *randomScript) advanceAttempt(task *taskState, i int) {
-	attempt := task.attempts[i]
+func (script *randomScript) advanceAttempt(task *taskState, attemptIndex int) {
+	attempt := task.attempts[attemptIndex]
 	switch {
 	case attempt.outstanding && script.now >= attempt.timesOutAt:
-		script.endAttempt(task, i, TimedOut, NoReason)
+		script.endAttempt(task, attemptIndex, TimedOut, NoReason)
 	case attempt.outstanding && script.rng.IntN(12) == 0:
-		script.drawAttemptAnswer(task, i)
+		script.drawAttemptAnswer(task, attemptIndex)
 	case attempt.bound && script.rng.IntN(400) == 0:
-		script.endAttempt(task, i, []Result{Finished, Lost, Cancelled}[script.rng.IntN(3)], Reason(script.rng.IntN(8)))
+		script.endAttempt(task, attemptIndex, []Result{Finished, Lost, Cancelled}[script.rng.IntN(3)], Reason(script.rng.IntN(8)))
 	}
 }
 
-func (script *randomScript) drawAttemptAnswer(task *taskState, i int) {
-	attempt := task.attempts[i]
+func (script *randomScript) drawAttemptAnswer(task *taskState, attemptIndex int) {
+	attempt := task.attempts[attemptIndex]
 	switch draw := script.rng.IntN(12); {
 	case draw < 5 && !task.done:
 		attempt.outstanding, attempt.bound, task.done = false, true, true
-		script.handleEvent(Event{Kind: Bound, TaskID: task.ID, Attempt: i, Node: attempt.node.ID, Elapsed: script.now - attempt.sentAt})
+		script.handleEvent(Event{Kind: Bound, TaskID: task.ID, Attempt: attemptIndex, Node: attempt.node.ID, Elapsed: script.now - attempt.sentAt})
 	case draw < 8:
-		script.endAttempt(task, i, Rejected, Reason(1+script.rng.IntN(4)))
+		script.endAttempt(task, attemptIndex, Rejected, Reason(1+script.rng.IntN(4)))
 	case draw < 9:
-		script.endAttempt(task, i, Unreachable, NoReason)
+		script.endAttempt(task, attemptIndex, Unreachable, NoReason)
 	case draw < 10:
-		script.endAttempt(task, i, Errored, NoReason)
+		script.endAttempt(task, attemptIndex, Errored, NoReason)
 	case draw < 11:
-		script.endAttempt(task, i, Lost, NoReason)
+		script.endAttempt(task, attemptIndex, Lost, NoReason)
 	}
 }
 
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -116,7 +116,7 @@
 			random := rand.New(rand.NewPCG(7, 7))
 			var arrivals []Seconds
 			peers := make([]*Placer, config.Peers.Total)
-			connectedAt := make([]Seconds, config.Peers.Total) // for each scheduler, time at which its connection is open
+			connectedAt := make([]Seconds, config.Peers.Total) // for each scheduler, when its connection opens
 			restart := func(now Seconds, self, generation int) {
 				config.Peers.Self = self
 				peers[self], connectedAt[self] = startPlacer(t, now, config, uint64(self+100*generation), nodes), 0
