--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -160,7 +160,7 @@
 func (r *Reflector) list() {
 	r.ListCount++
 	call := &httpc.Call{}
-	call.Done = func(head *http1.Head, body []byte, err error) {
+	call.OnDone = func(head *http1.Head, body []byte, err error) {
 		if r.isCurrentCall(call) {
 			r.call = nil
 			r.handleList(head, body, err)
@@ -212,11 +212,11 @@
 	r.incompleteEvent = nil
 	r.watchErr = nil
 	call := &httpc.Call{}
-	call.Started = func(head *http1.Head) {
+	call.OnResponseHead = func(head *http1.Head) {
 		r.protobuf = strings.HasPrefix(head.Header.Get("Content-Type"), protobufMediaType)
 		r.restartIdleTimer(call)
 	}
-	call.Data = func(b []byte) {
+	call.OnBodyData = func(b []byte) {
 		if !r.isCurrentCall(call) {
 			return
 		}
@@ -224,7 +224,7 @@
 		r.backoff.Reset()
 		r.decodeStream(b)
 	}
-	call.Done = func(head *http1.Head, body []byte, err error) {
+	call.OnDone = func(head *http1.Head, body []byte, err error) {
 		r.idleTimer.Stop()
 		if r.isCurrentCall(call) {
 			r.call = nil
--- a/internal/kube/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -45,11 +45,11 @@
 	cluster.submitJob(withResources(longJob("a", "batch", 1000, 6), 0.01))
 	maxUsed := int64(0)
 	cluster.eventually("Job a is settled", func() bool {
-		cluster.runOnLoop(func() { maxUsed = max(maxUsed, cluster.scheduler.httpServer.Memory().Used()) })
+		cluster.runOnLoop(func() { maxUsed = max(maxUsed, cluster.scheduler.httpServer.MemoryQuota().Used()) })
 		return settledReason(cluster.job("a")) != ""
 	})
 	var quota int64
-	cluster.runOnLoop(func() { quota = cluster.scheduler.httpServer.Memory().Total() })
+	cluster.runOnLoop(func() { quota = cluster.scheduler.httpServer.MemoryQuota().Total() })
 	if maxUsed > quota {
 		t.Errorf("connections used %d bytes of memory, want at most %d", maxUsed, quota)
 	}
@@ -59,7 +59,7 @@
 	t.Logf("maximum memory of connections: %d MB; heap: %d MB, %d MB before the test", maxUsed>>20, heapBytes()>>20, heapBefore>>20)
 	cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	cluster.runOnLoop(func() {
-		if memory := cluster.scheduler.httpServer.Memory(); memory.Used() > 1<<20 {
+		if memory := cluster.scheduler.httpServer.MemoryQuota(); memory.Used() > 1<<20 {
 			t.Errorf("the quota counts %d bytes for %d connections after all connections were closed", memory.Used(), memory.Users())
 		}
 	})
@@ -79,7 +79,7 @@
 	var users, evicted int
 	cluster.eventually("each connection uses memory or was evicted", func() bool {
 		cluster.runOnLoop(func() {
-			memory := cluster.scheduler.httpServer.Memory()
+			memory := cluster.scheduler.httpServer.MemoryQuota()
 			maxUsed, quota, users, evicted = max(maxUsed, memory.Used()), memory.Total(), memory.Users(), int(memory.Evicted)
 		})
 		return users+evicted >= 400
