--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -72,8 +72,8 @@
 	debug.SetMemoryLimit(memory) // makes the garbage collector run more often near the limit; memquota bounds the use
 	loop.SetMaxConns(settings.Limits.Connections)
 	http := httpd.DefaultOptions()
-	http.Limits.Body = settings.Limits.MaxBodyBytes
-	http.MemoryBytes = memquota.Divide(memory).Connections
+	http.Limits.BodyBytes = settings.Limits.MaxBodyBytes
+	http.MemoryQuotaBytes = memquota.Divide(memory).Connections
 	return scheduler.Options{
 		// Revisions begin at the time in microseconds, so that they continue to grow over restarts.
 		Engine:           settings.Engine(seed, loop.Now().UnixMicro()),
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -74,7 +74,7 @@
 
 // newRequest returns a request. The header arguments are alternating names and values of header fields.
 func newRequest(method, target, body string, header ...string) *http1.Request {
-	head := &http1.Head{Method: method, Target: target, Minor: 1}
+	head := &http1.Head{Method: method, Target: target, MinorVersion: 1}
 	for i := 0; i+1 < len(header); i += 2 {
 		head.Header = append(head.Header, http1.Field{Name: header[i], Value: header[i+1]})
 	}
--- a/internal/kube/reflector/reflector.go
+++ b/internal/kube/reflector/reflector.go
@@ -152,7 +152,7 @@
 func (r *Reflector) list() {
 	r.ListCount++
 	call := &httpc.Call{}
-	call.Done = func(head *http1.Head, body []byte, err error) {
+	call.OnDone = func(head *http1.Head, body []byte, err error) {
 		if r.isCurrent(call) {
 			r.call = nil
 			r.handleList(head, body, err)
@@ -204,11 +204,11 @@
 	r.partial = nil
 	r.watchErr = nil
 	call := &httpc.Call{}
-	call.Started = func(head *http1.Head) {
+	call.OnResponseHead = func(head *http1.Head) {
 		r.protobuf = strings.HasPrefix(head.Header.Get("Content-Type"), protobufMediaType)
 		r.restartIdleTimer(call)
 	}
-	call.Data = func(b []byte) {
+	call.OnBodyData = func(b []byte) {
 		if !r.isCurrent(call) {
 			return
 		}
@@ -216,7 +216,7 @@
 		r.backoff.Reset()
 		r.decodeStream(b)
 	}
-	call.Done = func(head *http1.Head, body []byte, err error) {
+	call.OnDone = func(head *http1.Head, body []byte, err error) {
 		r.idleTimer.Stop()
 		if r.isCurrent(call) {
 			r.call = nil
--- a/internal/kube/scheduler/attempt.go
+++ b/internal/kube/scheduler/attempt.go
@@ -55,7 +55,7 @@
 	key := attemptKey{effect.UID, effect.Attempt}
 	call := &httpc.Call{
 		AvoidUnknownOutcome: effect.AvoidUnknownOutcome,
-		Done: func(head *http1.Head, body []byte, err error) {
+		OnDone: func(head *http1.Head, body []byte, err error) {
 			delete(s.calls, key)
 			decodeAttemptAnswer(&answer, head, body, err)
 			s.finishAttempt(answer)
@@ -167,7 +167,7 @@
 	if namespace == "" {
 		namespace = defaultNamespace
 	}
-	call := &httpc.Call{Done: func(head *http1.Head, body []byte, err error) {
+	call := &httpc.Call{OnDone: func(head *http1.Head, body []byte, err error) {
 		if err == nil {
 			decodeStopAnswer(&answer, head, body)
 		}
--- a/internal/kube/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -42,11 +42,11 @@
 	cluster.submitJob(sized(longJob("a", "batch", 1000, 6), 0.01))
 	most := int64(0)
 	cluster.eventually("settled", func() bool {
-		cluster.runOnLoop(func() { most = max(most, cluster.scheduler.httpServer.Memory().Used()) })
+		cluster.runOnLoop(func() { most = max(most, cluster.scheduler.httpServer.MemoryQuota().Used()) })
 		return settledReason(cluster.job("a")) != ""
 	})
 	var total int64
-	cluster.runOnLoop(func() { total = cluster.scheduler.httpServer.Memory().Total() })
+	cluster.runOnLoop(func() { total = cluster.scheduler.httpServer.MemoryQuota().Total() })
 	if most > total {
 		t.Errorf("connections held %d bytes of %d", most, total)
 	}
@@ -56,7 +56,7 @@
 	t.Logf("connections held %d MB at most, the process %d MB, %d before", most>>20, heapBytes()>>20, before>>20)
 	cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	cluster.runOnLoop(func() {
-		if memory := cluster.scheduler.httpServer.Memory(); memory.Used() > 1<<20 {
+		if memory := cluster.scheduler.httpServer.MemoryQuota(); memory.Used() > 1<<20 {
 			t.Errorf("%d bytes held by %d connections after all were closed", memory.Used(), memory.Users())
 		}
 	})
@@ -75,7 +75,7 @@
 	var users, evicted int
 	cluster.eventually("all are connected or were evicted", func() bool {
 		cluster.runOnLoop(func() {
-			memory := cluster.scheduler.httpServer.Memory()
+			memory := cluster.scheduler.httpServer.MemoryQuota()
 			held, total, users, evicted = max(held, memory.Used()), memory.Total(), memory.Users(), int(memory.Evicted)
 		})
 		return users+evicted >= 400
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -141,8 +141,8 @@
 	cluster.t.Helper()
 	loop := looptest.New(cluster.t)
 	httpOptions := httpd.DefaultOptions()
-	httpOptions.Limits.Body = cluster.settings.Limits.MaxBodyBytes
-	httpOptions.MemoryBytes = memquota.Divide(int64(cluster.settings.Limits.MemoryMiB) << 20).Connections
+	httpOptions.Limits.BodyBytes = cluster.settings.Limits.MaxBodyBytes
+	httpOptions.MemoryQuotaBytes = memquota.Divide(int64(cluster.settings.Limits.MemoryMiB) << 20).Connections
 	var err error
 	cluster.scheduler, err = New(loop, Options{
 		Engine:           cluster.settings.Engine(7, loop.Now().UnixMicro()),
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -145,10 +145,10 @@
 	m.gauge("watches", "Open watches.", func() float64 { return float64(s.apiServer.OpenWatches()) })
 	m.gauge("connections", "Open API connections.", func() float64 { return float64(s.httpServer.Conns()) })
 	m.gauge("connections_bytes", "Memory that API connections hold: requests, bodies, answers that were not read.", func() float64 {
-		return float64(s.httpServer.Memory().Used())
+		return float64(s.httpServer.MemoryQuota().Used())
 	})
-	m.gauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.Memory().Total()) })
-	m.counter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.Memory().Evicted })
+	m.gauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.MemoryQuota().Total()) })
+	m.counter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.MemoryQuota().Evicted })
 	m.counter("bad_requests_total", "API requests that could not be parsed.", func() uint64 { return s.httpServer.BadRequests })
 	m.counter("event_loop_iterations_total", "Iterations of the event loop.", func() uint64 { return s.loop.Iterations })
 }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -84,7 +84,7 @@
 	}
 	if options.Inventory != "" {
 		n.inventory = httpc.New(loop, options.Inventory)
-		n.inventory.Pool.MaxConns = 1
+		n.inventory.PoolPolicy.MaxConns = 1
 	}
 	n.reportPeriodically()
 	return n, nil
--- a/internal/lab/emulator/node_report.go
+++ b/internal/lab/emulator/node_report.go
@@ -66,7 +66,7 @@
 	}
 	path := "/api/v1/nodes/" + url.PathEscape(n.options.Name) + "/status"
 	header := []http1.Field{{Name: "Content-Type", Value: "application/json"}}
-	n.inventory.Do("PUT", path, header, body, reportTimeout, &httpc.Call{Done: func(*http1.Head, []byte, error) {}})
+	n.inventory.Do("PUT", path, header, body, reportTimeout, &httpc.Call{OnDone: func(*http1.Head, []byte, error) {}})
 }
 
 // Object returns the node as the inventory shows it.
--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// DefaultMaxInput is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInput.
-	DefaultMaxInput = 4 << 20
+	// DefaultMaxInputBytes is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInputBytes.
+	DefaultMaxInputBytes = 4 << 20
 
 	// lingerTimeout is how long a connection waits for the peer's end after its own, so that a response sent before the end of
 	// a request's body is not lost to a reset.
@@ -43,8 +43,8 @@
 
 // Conn is one non-blocking TCP connection. All methods are for the loop's goroutine.
 type Conn struct {
-	// MaxInput is how many unconsumed bytes are held before reading stops until the handler resumes it.
-	MaxInput int
+	// MaxInputBytes is how many unconsumed bytes are held before reading stops until the handler resumes it.
+	MaxInputBytes int
 
 	loop       *Loop
 	handler    Handler
@@ -60,7 +60,7 @@
 
 	// Each of these holds or not in several states, independently of the others.
 	accepted        bool // counts in Loop.accepted
-	readPaused      bool // by the handler, or because of MaxInput
+	readPaused      bool // by the handler, or because of MaxInputBytes
 	peerClosed      bool // the peer has ended its side
 	delivering      bool // Handler.Data is running
 	writeBlocked    bool // the system takes no output for now
@@ -97,7 +97,7 @@
 // addConn registers a socket with the loop; it closes the socket if that fails.
 func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
 	l.lastGeneration++
-	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, state: state, MaxInput: DefaultMaxInput}
+	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
 	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		closeFD(fd)
@@ -116,20 +116,20 @@
 // Loop is the loop that runs the connection.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Buffered is the number of queued bytes that the system has not taken.
-func (c *Conn) Buffered() int { return len(c.output) - c.outputSent }
+// UnsentBytes is the number of queued bytes that the system has not taken.
+func (c *Conn) UnsentBytes() int { return len(c.output) - c.outputSent }
 
-// BufferMemory is the memory that the connection's buffers take, in bytes.
-func (c *Conn) BufferMemory() int { return cap(c.input) + cap(c.output) }
+// BufferMemoryBytes is the memory that the connection's buffers take, in bytes.
+func (c *Conn) BufferMemoryBytes() int { return cap(c.input) + cap(c.output) }
 
 // Closed reports whether the connection has ended.
 func (c *Conn) Closed() bool { return c.state == stateClosed }
 
-// Paused reports whether reading is paused, so that bytes and the peer's end may not have been read.
-func (c *Conn) Paused() bool { return c.readPaused }
+// ReadPaused reports whether reading is paused, so that bytes and the peer's end may not have been read.
+func (c *Conn) ReadPaused() bool { return c.readPaused }
 
-// PauseRead pauses or resumes reading. After resuming, unconsumed bytes are delivered again.
-func (c *Conn) PauseRead(on bool) {
+// SetReadPaused pauses or resumes reading. After resuming, unconsumed bytes are delivered again.
+func (c *Conn) SetReadPaused(on bool) {
 	if c.state == stateClosed || c.readPaused == on {
 		return
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// Redeliver has unconsumed bytes delivered again in the next iteration.
-func (c *Conn) Redeliver() {
+// RedeliverInput has unconsumed bytes delivered again in the next iteration.
+func (c *Conn) RedeliverInput() {
 	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
 		return
 	}
@@ -168,7 +168,7 @@
 	default:
 		return
 	}
-	if c.Buffered() == 0 && !c.flushQueued {
+	if c.UnsentBytes() == 0 && !c.flushQueued {
 		c.shutdownWrite()
 		return
 	}
@@ -266,7 +266,7 @@
 	c.timer = nil
 	c.handler.Opened(c)
 	c.updateInterest()
-	if c.Buffered() > 0 {
+	if c.UnsentBytes() > 0 {
 		c.queueFlush()
 	}
 }
--- a/internal/netio/eventloop/conn_io.go
+++ b/internal/netio/eventloop/conn_io.go
@@ -90,8 +90,8 @@
 			return
 		}
 		c.keepInput(pending[consumed:], buffered)
-		if len(c.input) > c.MaxInput {
-			c.PauseRead(true)
+		if len(c.input) > c.MaxInputBytes {
+			c.SetReadPaused(true)
 		}
 	}
 	if c.peerClosed && !c.readPaused && !c.state.discardsInput() {
@@ -175,7 +175,7 @@
 	if c.state == stateClosed || c.state.dialing() {
 		return
 	}
-	if !c.writeBlocked && c.Buffered() > 0 {
+	if !c.writeBlocked && c.UnsentBytes() > 0 {
 		c.flush()
 	}
 }
@@ -215,7 +215,7 @@
 		return
 	}
 	c.handler.Drained(c)
-	if c.Buffered() == 0 && !c.flushQueued {
+	if c.UnsentBytes() == 0 && !c.flushQueued {
 		c.releaseOutput()
 	}
 }
@@ -230,7 +230,7 @@
 		c.output = c.output[:copy(c.output, c.output[c.outputSent:])]
 		c.outputSent = 0
 	}
-	left := c.Buffered()
+	left := c.UnsentBytes()
 	if cap(c.output) > 2*left+outputSlack {
 		smaller := append(make([]byte, 0, left), c.output[c.outputSent:]...)
 		c.releaseOutput()
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -55,8 +55,8 @@
 	posted  []func()
 	stopped bool
 
-	// Iterations and Events count iterations of the loop and ready descriptors, for metrics.
-	Iterations, Events uint64
+	// Iterations and ReadinessEvents count iterations of the loop and ready descriptors, for metrics.
+	Iterations, ReadinessEvents uint64
 }
 
 // New returns a loop. Its descriptors are closed at the end of Run.
@@ -100,8 +100,8 @@
 	return clock.FromTime(l.startTime).Add(time.Since(l.startTime))
 }
 
-// Accepted is the number of accepted connections open now.
-func (l *Loop) Accepted() int { return l.accepted }
+// AcceptedConns is the number of accepted connections open now.
+func (l *Loop) AcceptedConns() int { return l.accepted }
 
 // Post has f run on the loop in its next iteration. It may be called from any goroutine; after Stop it does nothing.
 func (l *Loop) Post(f func()) {
@@ -190,7 +190,7 @@
 
 // runIteration handles ready descriptors, then what else is due, in a fixed order.
 func (l *Loop) runIteration(events []unix.EpollEvent) {
-	l.Events += uint64(len(events))
+	l.ReadinessEvents += uint64(len(events))
 	for i := range events {
 		l.dispatch(&events[i])
 	}
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -65,7 +65,7 @@
 // Closed reports whether the listener no longer accepts.
 func (ln *Listener) Closed() bool { return ln.loop.listeners[ln.fd] != ln }
 
-// Close stops accepting. Connections that the system has not yet handed over are reset: see Drain.
+// Close stops accepting. Connections that the system has not yet handed over are reset: see AcceptPending.
 func (ln *Listener) Close() {
 	if ln.Closed() {
 		return
@@ -74,9 +74,9 @@
 	closeFD(ln.fd)
 }
 
-// Drain accepts the connections that have come by now. Called before Close, it keeps them, and what was sent on them, from
+// AcceptPending accepts the connections that have come by now. Called before Close, it keeps them, and what was sent on them, from
 // being reset.
-func (ln *Listener) Drain() {
+func (ln *Listener) AcceptPending() {
 	for n := 0; n < listenBacklog; n += acceptBatch {
 		if ln.Closed() || !ln.accept() {
 			return
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -18,7 +18,7 @@
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	limits := http1.DefaultLimits()
-	record.Line("limits %d %d %d %d %d", limits.Line, limits.Head, limits.Fields, limits.Body, limits.Trailer)
+	record.Line("limits %d %d %d %d %d", limits.StartLineBytes, limits.HeadBytes, limits.HeaderFields, limits.BodyBytes, limits.TrailerBytes)
 	for i, sample := range corpus() {
 		record.Line("message %d %.200q %s", i, decode(sample, limits, 1<<30), digestOf(variants(sample, limits)))
 	}
@@ -39,7 +39,7 @@
 	responses, noBody bool
 }
 
-var smallLimits = []http1.Limits{{Line: 20, Head: 80, Fields: 2, Body: 4, Trailer: 8}, {Line: 14, Head: 60, Fields: 1, Body: 3, Trailer: 5}, {Line: 100, Head: 100, Fields: 10}, {}}
+var smallLimits = []http1.Limits{{StartLineBytes: 20, HeadBytes: 80, HeaderFields: 2, BodyBytes: 4, TrailerBytes: 8}, {StartLineBytes: 14, HeadBytes: 60, HeaderFields: 1, BodyBytes: 3, TrailerBytes: 5}, {StartLineBytes: 100, HeadBytes: 100, HeaderFields: 10}, {}}
 
 // variants decodes a message split at every position, byte by byte, and under small limits.
 func variants(sample message, limits http1.Limits) string {
@@ -59,7 +59,7 @@
 
 // decode feeds a stream in pieces of one size and gives each step: bytes taken, what was found, its values and the verdict.
 func decode(sample message, limits http1.Limits, size int) string {
-	decoder := http1.Decoder{Limits: limits, Responses: sample.responses, NoBody: sample.noBody}
+	decoder := http1.Decoder{Limits: limits, DecodeResponses: sample.responses, ResponseHasNoBody: sample.noBody}
 	var steps strings.Builder
 	pending := ""
 	for rest := sample.text; rest != ""; {
@@ -93,21 +93,21 @@
 		case http1.HeadComplete:
 			describeHead(steps, &decoder.Head)
 		case http1.BodyData:
-			fmt.Fprintf(steps, "%.100q ", decoder.Body)
+			fmt.Fprintf(steps, "%.100q ", decoder.BodyPiece)
 		}
 		pending = pending[consumed:]
-		if kind == http1.NeedMore {
+		if kind == http1.NeedMoreInput {
 			return pending, nil
 		}
 	}
 }
 
 func describeHead(steps *strings.Builder, head *http1.Head) {
-	fmt.Fprintf(steps, "%q %q %d %q %d ", head.Method, head.Target, head.Status, head.Reason, head.Minor)
-	fmt.Fprintf(steps, "%d %t %t %t ", head.Length, head.Chunked, head.Close, head.Expect)
+	fmt.Fprintf(steps, "%q %q %d %q %d ", head.Method, head.Target, head.Status, head.ReasonPhrase, head.MinorVersion)
+	fmt.Fprintf(steps, "%d %t %t %t ", head.BodyLength, head.Chunked, head.CloseConnection, head.ExpectContinue)
 	for i := range head.Header {
 		field := &head.Header[i]
-		fmt.Fprintf(steps, "%.80q %.80q %t ", field.Name, field.Value, field.Is("HOST"))
+		fmt.Fprintf(steps, "%.80q %.80q %t ", field.Name, field.Value, field.HasName("HOST"))
 	}
 	fmt.Fprintf(steps, "%q %t %q ", head.Header.Get("x-a"), head.Header.Has("Connection"), head.Header.Get("none"))
 }
@@ -190,7 +190,7 @@
 	var lines []string
 	for status := 0; status < 600; status++ {
 		if text := http1.StatusText(status); text != "Status" {
-			lines = append(lines, fmt.Sprintf("status %d %q %q", status, text, http1.AppendStatus([]byte("before"), status)))
+			lines = append(lines, fmt.Sprintf("status %d %q %q", status, text, http1.AppendStatusLine([]byte("before"), status)))
 		}
 	}
 	for _, value := range []string{"", "v", "a\r\nb: c", "\x00\n\r", "\xff\t"} {
@@ -200,10 +200,10 @@
 			fmt.Sprintf("chunk %q", http1.AppendChunk([]byte("before"), []byte(value))))
 	}
 	for _, length := range []int{0, 1, 255, 1 << 20} {
-		lines = append(lines, fmt.Sprintf("length %q", http1.AppendLength(nil, length)))
+		lines = append(lines, fmt.Sprintf("length %q", http1.AppendContentLength(nil, length)))
 	}
 	return append(lines,
-		fmt.Sprintf("unknown status %q", http1.AppendStatus(nil, 299)),
+		fmt.Sprintf("unknown status %q", http1.AppendStatusLine(nil, 299)),
 		fmt.Sprintf("chunk of 300 %q", http1.AppendChunk(nil, make([]byte, 300))[:8]),
 		fmt.Sprintf("last chunk %q", http1.LastChunk))
 }
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -8,23 +8,23 @@
 )
 
 // decodeChunkSize takes the line before a chunk and goes on with what follows it.
-func (d *Decoder) decodeChunkSize(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeChunkSize(in []byte) (int, Event, *Error) {
 	lineEnd := bytes.IndexByte(in, '\n')
 	if lineEnd < 0 {
 		if len(in) > maxChunkLine {
-			return 0, NeedMore, badRequest("chunk line over the limit")
+			return 0, NeedMoreInput, badRequest("chunk line over the limit")
 		}
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
 	if lineEnd == 0 || in[lineEnd-1] != '\r' || lineEnd > maxChunkLine {
-		return 0, NeedMore, badRequest("malformed chunk line")
+		return 0, NeedMoreInput, badRequest("malformed chunk line")
 	}
 	size, err := parseChunkLine(in[:lineEnd-1])
 	if err != nil {
-		return 0, NeedMore, err
+		return 0, NeedMoreInput, err
 	}
 	if err := d.countBody(size); err != nil {
-		return 0, NeedMore, err
+		return 0, NeedMoreInput, err
 	}
 	if size == 0 {
 		d.state = stateTrailer
@@ -37,7 +37,7 @@
 }
 
 // decodeAfter decodes what follows the first n bytes and counts these as consumed too.
-func (d *Decoder) decodeAfter(in []byte, n int) (int, Kind, *Error) {
+func (d *Decoder) decodeAfter(in []byte, n int) (int, Event, *Error) {
 	consumed, kind, err := d.decode(in[n:])
 	return n + consumed, kind, err
 }
@@ -90,31 +90,31 @@
 }()
 
 // decodeChunkEnd takes the line end after a chunk's data and goes on with the next chunk.
-func (d *Decoder) decodeChunkEnd(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeChunkEnd(in []byte) (int, Event, *Error) {
 	if len(in) == 0 || len(in) == 1 && in[0] == '\r' {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
 	if len(in) < 2 || in[0] != '\r' || in[1] != '\n' {
-		return 0, NeedMore, badRequest("chunk does not end with a line end")
+		return 0, NeedMoreInput, badRequest("chunk does not end with a line end")
 	}
 	d.state = stateChunkSize
 	return d.decodeAfter(in, 2)
 }
 
 // decodeTrailer takes whole lines of the trailer section, checks them and drops them.
-func (d *Decoder) decodeTrailer(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeTrailer(in []byte) (int, Event, *Error) {
 	consumed := 0
 	for {
 		rest := in[consumed:]
 		lineEnd := bytes.IndexByte(rest, '\n')
 		if lineEnd < 0 {
-			if d.sectionSize+int64(len(rest)) > int64(d.Limits.Trailer) {
-				return consumed, NeedMore, errHeaderTooLarge("trailer over the limit")
+			if d.sectionSize+int64(len(rest)) > int64(d.Limits.TrailerBytes) {
+				return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 			}
-			return consumed, NeedMore, nil
+			return consumed, NeedMoreInput, nil
 		}
 		if lineEnd == 0 || rest[lineEnd-1] != '\r' {
-			return consumed, NeedMore, errBareLineFeed()
+			return consumed, NeedMoreInput, errBareLineFeed()
 		}
 		consumed += lineEnd + 1
 		line := rest[:lineEnd-1]
@@ -122,14 +122,14 @@
 			return d.endMessage(consumed)
 		}
 		d.sectionSize += int64(lineEnd + 1)
-		if d.sectionSize > int64(d.Limits.Trailer) {
-			return consumed, NeedMore, errHeaderTooLarge("trailer over the limit")
+		if d.sectionSize > int64(d.Limits.TrailerBytes) {
+			return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 		}
 		if bytes.IndexByte(line, '\r') >= 0 {
-			return consumed, NeedMore, errBareCarriageReturn()
+			return consumed, NeedMoreInput, errBareCarriageReturn()
 		}
 		if _, err := parseField(string(line)); err != nil {
-			return consumed, NeedMore, err
+			return consumed, NeedMoreInput, err
 		}
 	}
 }
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -1,14 +1,14 @@
 package http1
 
-// Kind is what Decoder.Next found.
-type Kind uint8
+// Event is what Decoder.Next found.
+type Event uint8
 
 const (
-	// NeedMore says that nothing is complete yet: call again with more bytes.
-	NeedMore Kind = iota
+	// NeedMoreInput says that nothing is complete yet: call again with more bytes.
+	NeedMoreInput Event = iota
 	// HeadComplete says that Decoder.Head is set.
 	HeadComplete
-	// BodyData says that Decoder.Body holds a piece of the body.
+	// BodyData says that Decoder.BodyPiece holds a piece of the body.
 	BodyData
 	// MessageComplete says that the message ends here.
 	MessageComplete
@@ -30,13 +30,13 @@
 // Decoder splits a stream into messages. The zero value with Limits set decodes requests.
 type Decoder struct {
 	Limits Limits
-	// Responses makes it decode responses.
-	Responses bool
-	// NoBody says that the next response has no body whatever its header says: it answers HEAD.
-	NoBody bool
+	// DecodeResponses makes it decode responses.
+	DecodeResponses bool
+	// ResponseHasNoBody says that the next response has no body whatever its header says: it answers HEAD.
+	ResponseHasNoBody bool
 
-	Head Head
-	Body []byte // the piece of the last BodyData; valid until the input changes
+	Head      Head
+	BodyPiece []byte // the piece of the last BodyData; valid until the input changes
 
 	state       state
 	remaining   int64 // bytes of the body, or of the chunk, still to come
@@ -47,14 +47,14 @@
 
 // Next decodes from the front of in and returns how many bytes it consumed. The error is an *Error; once there is one,
 // every call returns it.
-func (d *Decoder) Next(in []byte) (consumed int, kind Kind, err error) {
+func (d *Decoder) Next(in []byte) (consumed int, kind Event, err error) {
 	if d.err != nil {
-		return 0, NeedMore, d.err
+		return 0, NeedMoreInput, d.err
 	}
 	consumed, kind, decodeErr := d.decode(in)
 	if decodeErr != nil {
 		d.err = decodeErr
-		return consumed, NeedMore, decodeErr
+		return consumed, NeedMoreInput, decodeErr
 	}
 	return consumed, kind, nil
 }
@@ -74,7 +74,7 @@
 	return false, badRequest("the stream ends inside a message")
 }
 
-func (d *Decoder) decode(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decode(in []byte) (int, Event, *Error) {
 	switch d.state {
 	case stateHead:
 		return d.decodeHead(in)
@@ -101,39 +101,39 @@
 }
 
 // decodeRemaining takes a piece of a body or chunk of known length.
-func (d *Decoder) decodeRemaining(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeRemaining(in []byte) (int, Event, *Error) {
 	if len(in) == 0 {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
 	n := int(min(d.remaining, int64(len(in))))
 	d.remaining -= int64(n)
-	d.Body = in[:n]
+	d.BodyPiece = in[:n]
 	return n, BodyData, nil
 }
 
 // decodeUntilClose takes a piece of a body that ends with the connection.
-func (d *Decoder) decodeUntilClose(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeUntilClose(in []byte) (int, Event, *Error) {
 	if len(in) == 0 {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
 	if err := d.countBody(int64(len(in))); err != nil {
-		return 0, NeedMore, err
+		return 0, NeedMoreInput, err
 	}
-	d.Body = in
+	d.BodyPiece = in
 	return len(in), BodyData, nil
 }
 
 // countBody adds to the size of a body whose length was not given before it.
 func (d *Decoder) countBody(bytes int64) *Error {
 	d.sectionSize += bytes
-	if d.Limits.Body > 0 && d.sectionSize > int64(d.Limits.Body) {
+	if d.Limits.BodyBytes > 0 && d.sectionSize > int64(d.Limits.BodyBytes) {
 		return errBodyTooLarge()
 	}
 	return nil
 }
 
 // endMessage completes a message whose last n bytes have been consumed.
-func (d *Decoder) endMessage(n int) (int, Kind, *Error) {
+func (d *Decoder) endMessage(n int) (int, Event, *Error) {
 	d.startMessage()
 	return n, MessageComplete, nil
 }
@@ -142,5 +142,5 @@
 func (d *Decoder) startMessage() {
 	d.state = stateHead
 	d.sectionSize = 0
-	d.Body = nil
+	d.BodyPiece = nil
 }
--- a/internal/netio/http1/framing.go
+++ b/internal/netio/http1/framing.go
@@ -22,18 +22,18 @@
 	if err := d.checkFramingFields(&fields); err != nil {
 		return err
 	}
-	head.Length = -1
+	head.BodyLength = -1
 	if fields.lengths > 0 {
-		if head.Length, err = parseContentLength(fields.contentLength); err != nil {
+		if head.BodyLength, err = parseContentLength(fields.contentLength); err != nil {
 			return err
 		}
 	}
-	if d.Responses && (d.NoBody || !StatusHasBody(head.Status)) {
-		head.Length = 0
+	if d.DecodeResponses && (d.ResponseHasNoBody || !StatusHasBody(head.Status)) {
+		head.BodyLength = 0
 		head.Chunked = false
 	}
-	if !d.Responses && !head.Chunked && fields.lengths == 0 {
-		head.Length = 0
+	if !d.DecodeResponses && !head.Chunked && fields.lengths == 0 {
+		head.BodyLength = 0
 	}
 	return d.startBody()
 }
@@ -42,10 +42,10 @@
 func (d *Decoder) checkFramingFields(fields *framingFields) *Error {
 	head := &d.Head
 	// HTTP/1.0 knows no Host field.
-	if !d.Responses && (fields.hosts > 1 || fields.hosts == 0 && head.Minor > 0) {
+	if !d.DecodeResponses && (fields.hosts > 1 || fields.hosts == 0 && head.MinorVersion > 0) {
 		return badRequest("%d host fields, want one", fields.hosts)
 	}
-	if head.Chunked && (fields.lengths > 0 || head.Minor == 0) {
+	if head.Chunked && (fields.lengths > 0 || head.MinorVersion == 0) {
 		return badRequest("transfer-encoding beside content-length or before HTTP/1.1")
 	}
 	return nil
@@ -57,15 +57,15 @@
 	switch {
 	case d.Head.Chunked:
 		d.state = stateChunkSize
-	case d.Head.Length >= 0:
-		if d.Limits.Body > 0 && d.Head.Length > int64(d.Limits.Body) {
+	case d.Head.BodyLength >= 0:
+		if d.Limits.BodyBytes > 0 && d.Head.BodyLength > int64(d.Limits.BodyBytes) {
 			return errBodyTooLarge()
 		}
 		d.state = stateBody
-		d.remaining = d.Head.Length
+		d.remaining = d.Head.BodyLength
 	default:
 		d.state = stateUntilClose
-		d.Head.Close = true
+		d.Head.CloseConnection = true
 	}
 	return nil
 }
@@ -73,16 +73,16 @@
 // readFramingFields collects the fields that framing needs, and sets what else the header says of the connection and of the
 // body: Chunked, Close and Expect.
 func (h *Head) readFramingFields() (fields framingFields, err *Error) {
-	h.Close = h.Minor == 0
+	h.CloseConnection = h.MinorVersion == 0
 	for i := range h.Header {
 		field := &h.Header[i]
 		switch {
-		case field.Is("Content-Length"):
+		case field.HasName("Content-Length"):
 			if fields.lengths++; fields.lengths > 1 {
 				return fields, badRequest("content-length given twice")
 			}
 			fields.contentLength = field.Value
-		case field.Is("Transfer-Encoding"):
+		case field.HasName("Transfer-Encoding"):
 			if fields.codings++; fields.codings > 1 {
 				return fields, badRequest("transfer-encoding given twice")
 			}
@@ -90,15 +90,15 @@
 				return fields, &Error{StatusNotImplemented, "transfer-encoding other than chunked"}
 			}
 			h.Chunked = true
-		case field.Is("Connection"):
+		case field.HasName("Connection"):
 			h.applyConnection(field.Value)
-		case field.Is("Host"):
+		case field.HasName("Host"):
 			fields.hosts++
-		case field.Is("Expect"):
+		case field.HasName("Expect"):
 			if !equalFold(field.Value, "100-continue") {
 				return fields, &Error{StatusExpectationFailed, "expectation not known"}
 			}
-			h.Expect = h.Minor > 0
+			h.ExpectContinue = h.MinorVersion > 0
 		}
 	}
 	return fields, nil
@@ -108,9 +108,9 @@
 func (h *Head) applyConnection(options string) {
 	for _, option := range splitList(options) {
 		if equalFold(option, "close") {
-			h.Close = true
-		} else if equalFold(option, "keep-alive") && h.Minor == 0 {
-			h.Close = false
+			h.CloseConnection = true
+		} else if equalFold(option, "keep-alive") && h.MinorVersion == 0 {
+			h.CloseConnection = false
 		}
 	}
 }
--- a/internal/netio/http1/head.go
+++ b/internal/netio/http1/head.go
@@ -16,9 +16,9 @@
 )
 
 // decodeHead takes the start line and header, all at once.
-func (d *Decoder) decodeHead(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeHead(in []byte) (int, Event, *Error) {
 	skipped := 0
-	if !d.Responses && len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
+	if !d.DecodeResponses && len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
 		// RFC 9112, 2.2: an empty line before a request line is ignored. One only.
 		in = in[2:]
 		skipped = 2
@@ -29,18 +29,18 @@
 	i := bytes.Index(in[from:], []byte(headEnd))
 	if i < 0 {
 		d.searched = len(in) + skipped
-		return 0, NeedMore, d.checkIncompleteHead(in)
+		return 0, NeedMoreInput, d.checkIncompleteHead(in)
 	}
 	size := from + i + len(headEnd)
 	d.searched = 0
-	if size > d.Limits.Head {
-		return 0, NeedMore, errHeaderTooLarge("header over the limit")
+	if size > d.Limits.HeadBytes {
+		return 0, NeedMoreInput, errHeaderTooLarge("header over the limit")
 	}
 	// One copy of the head's text; every field is a part of it.
 	text := string(in[:size-2])
 	d.Head = Head{}
 	if err := d.parseHead(text); err != nil {
-		return 0, NeedMore, err
+		return 0, NeedMoreInput, err
 	}
 	return skipped + size, HeadComplete, nil
 }
@@ -48,10 +48,10 @@
 // checkIncompleteHead rejects a head that no further bytes can make legal.
 func (d *Decoder) checkIncompleteHead(in []byte) *Error {
 	lineEnd := bytes.IndexByte(in, '\n')
-	if lineEnd < 0 && len(in) > d.Limits.Line || lineEnd > d.Limits.Line {
+	if lineEnd < 0 && len(in) > d.Limits.StartLineBytes || lineEnd > d.Limits.StartLineBytes {
 		return errLineTooLong()
 	}
-	if len(in) > d.Limits.Head {
+	if len(in) > d.Limits.HeadBytes {
 		return errHeaderTooLarge("header over the limit")
 	}
 	if lineEnd == 0 || lineEnd > 0 && in[lineEnd-1] != '\r' {
@@ -66,10 +66,10 @@
 	if err != nil {
 		return err
 	}
-	if len(line) > d.Limits.Line {
+	if len(line) > d.Limits.StartLineBytes {
 		return errLineTooLong()
 	}
-	if d.Responses {
+	if d.DecodeResponses {
 		err = d.parseStatusLine(line)
 	} else {
 		err = d.parseRequestLine(line)
@@ -86,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		if len(header) >= d.Limits.Fields {
+		if len(header) >= d.Limits.HeaderFields {
 			return errHeaderTooLarge("too many header fields")
 		}
 		header = append(header, field)
@@ -149,7 +149,7 @@
 	if version[5] != '1' {
 		return &Error{StatusVersionNotSupported, "version not supported"}
 	}
-	d.Head.Minor = int(version[7] - '0')
+	d.Head.MinorVersion = int(version[7] - '0')
 	return nil
 }
 
@@ -174,7 +174,7 @@
 		return badRequest("malformed status")
 	}
 	if len(line) > statusLineLength+1 {
-		d.Head.Reason = line[statusLineLength+1:]
+		d.Head.ReasonPhrase = line[statusLineLength+1:]
 	}
 	return nil
 }
--- a/internal/netio/http1/header.go
+++ b/internal/netio/http1/header.go
@@ -1,10 +1,10 @@
 package http1
 
-// Field is one header field. Name keeps the sender's spelling; compare with Is.
+// Field is one header field. Name keeps the sender's spelling; compare with HasName.
 type Field struct{ Name, Value string }
 
-// Is compares the field's name without regard to case.
-func (f *Field) Is(name string) bool { return equalFold(f.Name, name) }
+// HasName compares the field's name without regard to case.
+func (f *Field) HasName(name string) bool { return equalFold(f.Name, name) }
 
 // Header is the fields of a message in their order.
 type Header []Field
@@ -12,7 +12,7 @@
 // Get returns the first value of the field, or "".
 func (h Header) Get(name string) string {
 	for i := range h {
-		if h[i].Is(name) {
+		if h[i].HasName(name) {
 			return h[i].Value
 		}
 	}
@@ -22,7 +22,7 @@
 // Has reports whether there is such a field.
 func (h Header) Has(name string) bool {
 	for i := range h {
-		if h[i].Is(name) {
+		if h[i].HasName(name) {
 			return true
 		}
 	}
@@ -34,18 +34,18 @@
 	// Of requests.
 	Method, Target string
 	// Of responses.
-	Status int
-	Reason string
-
-	Minor  int // of the version: 1.Minor
-	Header Header
-	// Length is the body's length in bytes; -1 if the body is chunked or ends with the connection.
-	Length  int64
-	Chunked bool
-	// Close reports that the connection ends with this message.
-	Close bool
-	// Expect reports that the sender waits for 100 Continue.
-	Expect bool
+	Status       int
+	ReasonPhrase string
+
+	MinorVersion int // of the version: 1.Minor
+	Header       Header
+	// BodyLength is the body's length in bytes; -1 if the body is chunked or ends with the connection.
+	BodyLength int64
+	Chunked    bool
+	// CloseConnection reports that the connection ends with this message.
+	CloseConnection bool
+	// ExpectContinue reports that the sender waits for 100 Continue.
+	ExpectContinue bool
 }
 
 // splitList splits a comma-separated list and drops empty elements.
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -24,7 +24,7 @@
 		added := min(piece, len(stream))
 		pending = append(pending, stream[:added]...)
 		stream = stream[added:]
-		for kind := BodyData; kind != NeedMore; {
+		for kind := BodyData; kind != NeedMoreInput; {
 			var consumed int
 			consumed, kind, err = decoder.Next(pending)
 			if err != nil {
@@ -33,7 +33,7 @@
 			pending = pending[consumed:]
 			switch kind {
 			case BodyData:
-				body = append(body, decoder.Body...)
+				body = append(body, decoder.BodyPiece...)
 			case MessageComplete:
 				messages = append(messages, message{decoder.Head, body})
 				body = nil
@@ -92,7 +92,7 @@
 	{"trailer over the limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("a", 200) + "\r\n\r\n", 431, ""},
 }
 
-var smallLimits = Limits{Line: 200, Head: 500, Fields: 10, Body: 1024, Trailer: 100}
+var smallLimits = Limits{StartLineBytes: 200, HeadBytes: 500, HeaderFields: 10, BodyBytes: 1024, TrailerBytes: 100}
 
 func TestRequests(t *testing.T) {
 	for _, test := range requestCases {
@@ -129,7 +129,7 @@
 		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			decoder := &Decoder{Limits: smallLimits, Responses: true, NoBody: test.noBody}
+			decoder := &Decoder{Limits: smallLimits, DecodeResponses: true, ResponseHasNoBody: test.noBody}
 			messages, err := decodeAll(decoder, []byte(test.in), 1)
 			if rejected := err != nil; rejected != test.bad {
 				t.Fatalf("rejected with %v, want rejection: %t", err, test.bad)
@@ -224,8 +224,8 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\n\r\nrest"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, errWhole := decodeAll(&Decoder{Limits: smallLimits, Responses: true}, in, 1<<20)
-		pieces, errPieces := decodeAll(&Decoder{Limits: smallLimits, Responses: true}, in, 1)
+		whole, errWhole := decodeAll(&Decoder{Limits: smallLimits, DecodeResponses: true}, in, 1<<20)
+		pieces, errPieces := decodeAll(&Decoder{Limits: smallLimits, DecodeResponses: true}, in, 1)
 		if (errWhole == nil) != (errPieces == nil) || len(whole) != len(pieces) {
 			t.Fatalf("whole: %d messages, %v; in pieces: %d, %v", len(whole), errWhole, len(pieces), errPieces)
 		}
--- a/internal/netio/http1/limits.go
+++ b/internal/netio/http1/limits.go
@@ -8,21 +8,21 @@
 
 // Limits bound what one message may take.
 type Limits struct {
-	Line    int // bytes of the start line
-	Head    int // bytes of start line and header fields together
-	Fields  int // number of header fields
-	Body    int // bytes of the body, without chunk framing; 0 is no limit
-	Trailer int // bytes of the trailer section
+	StartLineBytes int // bytes of the start line
+	HeadBytes      int // bytes of start line and header fields together
+	HeaderFields   int // number of header fields
+	BodyBytes      int // bytes of the body, without chunk framing; 0 is no limit
+	TrailerBytes   int // bytes of the trailer section
 }
 
 // DefaultLimits are those of a server for the API.
 func DefaultLimits() Limits {
 	return Limits{
-		Line:    8 << 10,
-		Head:    32 << 10,
-		Fields:  100,
-		Body:    3 << 20,
-		Trailer: 4 << 10,
+		StartLineBytes: 8 << 10,
+		HeadBytes:      32 << 10,
+		HeaderFields:   100,
+		BodyBytes:      3 << 20,
+		TrailerBytes:   4 << 10,
 	}
 }
 
--- a/internal/netio/http1/write.go
+++ b/internal/netio/http1/write.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendStatus appends a status line.
-func AppendStatus(b []byte, status int) []byte {
+// AppendStatusLine appends a status line.
+func AppendStatusLine(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -33,8 +33,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLength appends a Content-Length field.
-func AppendLength(b []byte, n int) []byte {
+// AppendContentLength appends a Content-Length field.
+func AppendContentLength(b []byte, n int) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	return append(b, "\r\n"...)
--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -9,13 +9,13 @@
 
 // Call is one request in flight. Set the exported fields before Client.Do.
 type Call struct {
-	// Done gets the response, or an error: a *ConnectError if the request was never sent. Head and body are valid during the
+	// OnDone gets the response, or an error: a *ConnectError if the request was never sent. Head and body are valid during the
 	// call only.
-	Done func(head *http1.Head, body []byte, err error)
-	// Data, if set, gets the body of a 2xx response piece by piece; Done then has no body.
-	Data func(b []byte)
-	// Started, if set, is called at the head of the response.
-	Started func(head *http1.Head)
+	OnDone func(head *http1.Head, body []byte, err error)
+	// OnBodyData, if set, gets the body of a 2xx response piece by piece; OnDone then has no body.
+	OnBodyData func(b []byte)
+	// OnResponseHead, if set, is called at the head of the response.
+	OnResponseHead func(head *http1.Head)
 	// AvoidUnknownOutcome says that it is costly not to know whether the request has been read: see package connpool.
 	AvoidUnknownOutcome bool
 
@@ -28,7 +28,7 @@
 	body        []byte
 }
 
-// Cancel ends the call; Done gets ErrCancelled.
+// Cancel ends the call; OnDone gets ErrCancelled.
 func (call *Call) Cancel() { call.abort(ErrCancelled) }
 
 func (call *Call) abort(err error) {
@@ -51,5 +51,5 @@
 	}
 	call.finished = true
 	call.timer.Stop()
-	call.Done(head, body, err)
+	call.OnDone(head, body, err)
 }
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -38,8 +38,8 @@
 // Client calls one server. Its methods are for the loop's goroutine.
 type Client struct {
 	ConnectTimeout time.Duration
-	Pool           connpool.Policy
-	Limits         http1.Limits // of a response
+	PoolPolicy     connpool.Policy
+	ResponseLimits http1.Limits // of a response
 
 	loop      *eventloop.Loop
 	addr      string
@@ -52,13 +52,13 @@
 // New returns a client for the server at a literal address.
 func New(loop *eventloop.Loop, addr string) *Client {
 	limits := http1.DefaultLimits()
-	limits.Body = defaultMaxBody
+	limits.BodyBytes = defaultMaxBody
 	return &Client{
 		loop:           loop,
 		addr:           addr,
 		ConnectTimeout: defaultConnectTimeout,
-		Pool:           connpool.DefaultPolicy(),
-		Limits:         limits,
+		PoolPolicy:     connpool.DefaultPolicy(),
+		ResponseLimits: limits,
 	}
 }
 
@@ -84,7 +84,7 @@
 		b = http1.AppendField(b, header[i].Name, header[i].Value)
 	}
 	if len(body) > 0 || methodTakesBody(method) {
-		b = http1.AppendLength(b, len(body))
+		b = http1.AppendContentLength(b, len(body))
 	}
 	b = append(b, "\r\n"...)
 	return append(b, body...)
@@ -96,7 +96,7 @@
 
 // start sends a call on an idle connection or a new one, or has it wait for one. A stream gets a connection of its own.
 func (c *Client) start(call *Call) {
-	if call.Data != nil {
+	if call.OnBodyData != nil {
 		c.dial(call)
 		return
 	}
@@ -120,7 +120,7 @@
 	for _, connection := range c.idle {
 		c.idleAges = append(c.idleAges, c.loop.Now().Sub(connection.idleSince))
 	}
-	decision := c.Pool.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
+	decision := c.PoolPolicy.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
 	var chosen *conn
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idle[decision.Index]
@@ -141,11 +141,11 @@
 	connection := &conn{
 		client:    c,
 		call:      call,
-		streaming: call.Data != nil,
-		decoder:   http1.Decoder{Limits: c.Limits, Responses: true, NoBody: call.headRequest},
+		streaming: call.OnBodyData != nil,
+		decoder:   http1.Decoder{Limits: c.ResponseLimits, DecodeResponses: true, ResponseHasNoBody: call.headRequest},
 	}
 	if connection.streaming {
-		connection.decoder.Limits.Body = 0
+		connection.decoder.Limits.BodyBytes = 0
 	} else {
 		c.openConns++
 	}
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -25,7 +25,7 @@
 func (c *conn) send(call *Call) {
 	call.conn = c
 	c.call = call
-	c.decoder.NoBody = call.headRequest
+	c.decoder.ResponseHasNoBody = call.headRequest
 	c.transport.Write(call.request)
 }
 
@@ -58,7 +58,7 @@
 			transport.Close()
 			return len(input)
 		}
-		if kind == http1.NeedMore {
+		if kind == http1.NeedMoreInput {
 			return consumed
 		}
 		c.handleDecoded(kind)
@@ -69,19 +69,19 @@
 }
 
 // handleDecoded handles a part of a response that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Kind) {
+func (c *conn) handleDecoded(kind http1.Event) {
 	call := c.call
 	head := &c.decoder.Head
 	switch kind {
 	case http1.HeadComplete:
-		if call.Started != nil && !isInterim(head) {
-			call.Started(head)
+		if call.OnResponseHead != nil && !isInterim(head) {
+			call.OnResponseHead(head)
 		}
 	case http1.BodyData:
-		if call.Data != nil && http1.IsSuccess(head.Status) {
-			call.Data(c.decoder.Body)
+		if call.OnBodyData != nil && http1.IsSuccess(head.Status) {
+			call.OnBodyData(c.decoder.BodyPiece)
 		} else {
-			call.body = append(call.body, c.decoder.Body...)
+			call.body = append(call.body, c.decoder.BodyPiece...)
 		}
 	case http1.MessageComplete:
 		if !isInterim(head) {
@@ -97,7 +97,7 @@
 func (c *conn) completeCall() {
 	call := c.call
 	c.call = nil
-	keep := !c.decoder.Head.Close && !c.streaming
+	keep := !c.decoder.Head.CloseConnection && !c.streaming
 	call.finish(&c.decoder.Head, call.body, nil)
 	if c.transport.Closed() {
 		return
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -80,7 +80,7 @@
 func do(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) result {
 	t.Helper()
 	results := make(chan result, 2)
-	call := &Call{Done: func(head *http1.Head, body []byte, err error) {
+	call := &Call{OnDone: func(head *http1.Head, body []byte, err error) {
 		got := result{body: string(body), err: err}
 		if head != nil {
 			got.status = head.Status
@@ -145,9 +145,9 @@
 	results := make(chan result, 1)
 	loop.Post(func() {
 		New(loop, addr).Do("GET", "/", nil, nil, 0, &Call{
-			Started: func(head *http1.Head) { started = head.Status },
-			Data:    func(b []byte) { pieces.Write(b) },
-			Done: func(_ *http1.Head, body []byte, err error) {
+			OnResponseHead: func(head *http1.Head) { started = head.Status },
+			OnBodyData:     func(b []byte) { pieces.Write(b) },
+			OnDone: func(_ *http1.Head, body []byte, err error) {
 				results <- result{started, pieces.String() + string(body), err}
 			},
 		})
@@ -199,9 +199,9 @@
 	results := make(chan error, calls)
 	loop.Post(func() {
 		client := New(loop, addr)
-		client.Pool.MaxConns = 1
+		client.PoolPolicy.MaxConns = 1
 		for i := range calls {
-			call := &Call{Done: func(_ *http1.Head, _ []byte, err error) { results <- err }}
+			call := &Call{OnDone: func(_ *http1.Head, _ []byte, err error) { results <- err }}
 			client.Do("GET", fmt.Sprint("/", i), nil, nil, 300*time.Millisecond, call)
 		}
 		client.Close()
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -39,7 +39,7 @@
 	s := c.server
 	c.transport = transport
 	c.lastProgressAt = s.loop.Now()
-	transport.MaxInput = s.options.Limits.Head + inputSlack
+	transport.MaxInputBytes = s.options.Limits.HeadBytes + inputSlack
 	s.conns[c] = struct{}{}
 	s.lastConnID++
 	c.id = s.lastConnID
@@ -62,7 +62,7 @@
 	c.lastProgressAt = c.server.loop.Now()
 	c.pullStream()
 	if !c.state.hasExchange() && c.state != stateEnded {
-		c.transport.PauseRead(false)
+		c.transport.SetReadPaused(false)
 	}
 	c.updateMemory()
 }
@@ -90,9 +90,9 @@
 	consumed := 0
 	for c.state.readsRequest() {
 		if c.state == stateIdle {
-			if c.transport.Buffered() > c.server.options.HighWaterMark {
+			if c.transport.UnsentBytes() > c.server.options.OutputHighWaterMark {
 				// The peer sends requests faster than it reads the responses: the next one waits until these have gone out.
-				c.transport.PauseRead(true)
+				c.transport.SetReadPaused(true)
 				return consumed
 			}
 			if consumed == len(input) {
@@ -107,7 +107,7 @@
 			c.rejectRequest(err)
 			return len(input)
 		}
-		if kind == http1.NeedMore {
+		if kind == http1.NeedMoreInput {
 			c.shortenTimer(c.server.options.RequestTimeout)
 			return consumed
 		}
@@ -119,14 +119,14 @@
 	if c.state == stateEnded {
 		return len(input)
 	}
-	if len(input)-consumed > c.transport.MaxInput/2 {
-		c.transport.PauseRead(true)
+	if len(input)-consumed > c.transport.MaxInputBytes/2 {
+		c.transport.SetReadPaused(true)
 	}
 	return consumed
 }
 
 // handleDecoded handles a part of a request that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Kind) {
+func (c *conn) handleDecoded(kind http1.Event) {
 	e := &c.exchange
 	switch kind {
 	case http1.HeadComplete:
@@ -134,15 +134,15 @@
 		*e = Exchange{conn: c, body: e.body[:0]}
 		e.Head = &c.decoder.Head
 		e.Peer = c.transport.Peer()
-		if e.Head.Expect {
+		if e.Head.ExpectContinue {
 			c.transport.Write([]byte(continueResponse))
 		}
 	case http1.BodyData:
-		e.body = append(e.body, c.decoder.Body...)
+		e.body = append(e.body, c.decoder.BodyPiece...)
 	case http1.MessageComplete:
 		c.setState(stateHandling)
 		c.lastProgressAt = c.server.loop.Now()
-		c.closeAfterResponse = e.Head.Close
+		c.closeAfterResponse = e.Head.CloseConnection
 		e.Body = e.body
 		c.server.Requests++
 		c.server.handler(e)
@@ -159,9 +159,9 @@
 		status = rejection.Status
 	}
 	body := []byte(err.Error() + "\n")
-	out := http1.AppendStatus(c.transport.OutputBuffer(), status)
+	out := http1.AppendStatusLine(c.transport.OutputBuffer(), status)
 	out = http1.AppendField(out, "Content-Type", "text/plain; charset=utf-8")
-	out = http1.AppendLength(out, len(body))
+	out = http1.AppendContentLength(out, len(body))
 	out = append(out, "Connection: close\r\n\r\n"...)
 	c.transport.CommitOutput(append(out, body...))
 	c.transport.CloseAfterFlush()
@@ -179,10 +179,10 @@
 	if cap(c.exchange.body) > maxKeptBody {
 		c.exchange.body = nil
 	}
-	if c.transport.Buffered() <= c.server.options.HighWaterMark {
-		c.transport.PauseRead(false)
+	if c.transport.UnsentBytes() <= c.server.options.OutputHighWaterMark {
+		c.transport.SetReadPaused(false)
 	}
-	c.transport.Redeliver()
+	c.transport.RedeliverInput()
 }
 
 // updateMemory tells the quota what the connection holds and closes the connections that are over it.
@@ -191,7 +191,7 @@
 		return
 	}
 	s := c.server
-	held := c.transport.BufferMemory() + cap(c.exchange.body)
+	held := c.transport.BufferMemoryBytes() + cap(c.exchange.body)
 	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
 	s.evictOverQuota()
 }
@@ -221,7 +221,7 @@
 	switch {
 	case c.state.inRequest():
 		return c.requestStartedAt.Add(options.RequestTimeout)
-	case c.transport.Buffered() > 0:
+	case c.transport.UnsentBytes() > 0:
 		return c.lastProgressAt.Add(options.WriteTimeout)
 	case c.state.awaitsResponse():
 		// No limit holds; look again by the time that output may have come to wait.
@@ -234,7 +234,7 @@
 func (c *conn) checkDeadline() {
 	now := c.server.loop.Now()
 	options := &c.server.options
-	buffered := c.transport.Buffered()
+	buffered := c.transport.UnsentBytes()
 	switch {
 	case c.state.inRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
 		c.rejectRequest(&http1.Error{Status: http1.StatusRequestTimeout, Reason: "request took too long"})
@@ -247,5 +247,5 @@
 
 // isIdle reports whether there is neither a request nor a response, nor output that waits.
 func (c *conn) isIdle() bool {
-	return !c.state.inRequest() && !c.state.awaitsResponse() && c.transport.Buffered() == 0
+	return !c.state.inRequest() && !c.state.awaitsResponse() && c.transport.UnsentBytes() == 0
 }
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -48,13 +48,13 @@
 }
 
 // chunked reports whether a stream goes out in chunks. HTTP/1.0 knows none: there the body ends with the connection.
-func (e *Exchange) chunked() bool { return e.Head.Minor > 0 }
+func (e *Exchange) chunked() bool { return e.Head.MinorVersion > 0 }
 
 func (e *Exchange) isHead() bool { return e.Head.Method == "HEAD" }
 
 // appendHead appends the status line and the fields of a response, without those of the body's length.
 func (e *Exchange) appendHead(out []byte, response *http1.Response) []byte {
-	out = http1.AppendStatus(out, response.Status)
+	out = http1.AppendStatusLine(out, response.Status)
 	for i := range response.Header {
 		out = http1.AppendField(out, response.Header[i].Name, response.Header[i].Value)
 	}
@@ -69,7 +69,7 @@
 	c := e.conn
 	out := e.appendHead(c.transport.OutputBuffer(), response)
 	if http1.StatusHasBody(response.Status) {
-		out = http1.AppendLength(out, len(response.Body))
+		out = http1.AppendContentLength(out, len(response.Body))
 	}
 	out = append(out, "\r\n"...)
 	if !e.isHead() {
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -92,7 +92,7 @@
 
 func TestAgainstNetHTTPClient(t *testing.T) {
 	options := DefaultOptions()
-	options.Limits.Body = 100
+	options.Limits.BodyBytes = 100
 	_, server, _ := startServer(t, options)
 	base := "http://" + server.Addr()
 	fits := strings.Repeat("x", 100)
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -22,23 +22,23 @@
 
 // Options bound what a peer may do.
 type Options struct {
-	Limits         http1.Limits
-	RequestTimeout time.Duration // from the first byte of a request to its last
-	IdleTimeout    time.Duration // between requests
-	WriteTimeout   time.Duration // that a peer may take nothing of what waits for it
-	HighWaterMark  int           // bytes that may wait to be sent before a stream is no longer pulled, or the next request read
-	MemoryBytes    int64         // that all connections together may hold: see package memquota
+	Limits              http1.Limits
+	RequestTimeout      time.Duration // from the first byte of a request to its last
+	IdleTimeout         time.Duration // between requests
+	WriteTimeout        time.Duration // that a peer may take nothing of what waits for it
+	OutputHighWaterMark int           // bytes that may wait to be sent before a stream is no longer pulled, or the next request read
+	MemoryQuotaBytes    int64         // that all connections together may hold: see package memquota
 }
 
 // DefaultOptions are those of the API server.
 func DefaultOptions() Options {
 	return Options{
-		Limits:         http1.DefaultLimits(),
-		RequestTimeout: 15 * time.Second,
-		IdleTimeout:    5 * time.Minute,
-		WriteTimeout:   30 * time.Second,
-		HighWaterMark:  256 << 10,
-		MemoryBytes:    128 << 20,
+		Limits:              http1.DefaultLimits(),
+		RequestTimeout:      15 * time.Second,
+		IdleTimeout:         5 * time.Minute,
+		WriteTimeout:        30 * time.Second,
+		OutputHighWaterMark: 256 << 10,
+		MemoryQuotaBytes:    128 << 20,
 	}
 }
 
@@ -65,8 +65,8 @@
 
 // Listen starts a server at an address.
 func Listen(loop *eventloop.Loop, addr string, options Options, handler Handler) (*Server, error) {
-	if options.MemoryBytes <= 0 {
-		options.MemoryBytes = DefaultOptions().MemoryBytes
+	if options.MemoryQuotaBytes <= 0 {
+		options.MemoryQuotaBytes = DefaultOptions().MemoryQuotaBytes
 	}
 	s := &Server{
 		loop:      loop,
@@ -75,7 +75,7 @@
 		conns:     map[*conn]struct{}{},
 		connsByID: map[uint64]*conn{},
 		streams:   map[*conn]struct{}{},
-		memory:    memquota.New(options.MemoryBytes),
+		memory:    memquota.New(options.MemoryQuotaBytes),
 	}
 	listener, err := loop.Listen(addr, func(*eventloop.Conn) eventloop.Handler {
 		return &conn{server: s, decoder: http1.Decoder{Limits: options.Limits}}
@@ -96,8 +96,8 @@
 // Streams is the number of responses that still go on.
 func (s *Server) Streams() int { return len(s.streams) }
 
-// Memory is the quota that connections share, to be read between events.
-func (s *Server) Memory() *memquota.Budget { return s.memory }
+// MemoryQuota is the quota that connections share, to be read between events.
+func (s *Server) MemoryQuota() *memquota.Budget { return s.memory }
 
 // PullStreams pulls every stream whose peer keeps up. Call it when streams may have something new to send.
 func (s *Server) PullStreams() {
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -20,13 +20,13 @@
 	e := &c.exchange
 	// What goes out at the end of this iteration counts until then.
 	for e.stream != nil && !c.transport.Closed() {
-		free := c.server.options.HighWaterMark - c.transport.Buffered()
+		free := c.server.options.OutputHighWaterMark - c.transport.UnsentBytes()
 		if free <= 0 {
 			return
 		}
 		room := min(free, int(c.server.memory.Available(c.id)))
 		if room <= 0 {
-			if c.transport.Buffered() == 0 {
+			if c.transport.UnsentBytes() == 0 {
 				c.server.schedulePull()
 			}
 			return
--- a/internal/netio/sse/characterization_test.go
+++ b/internal/netio/sse/characterization_test.go
@@ -53,18 +53,18 @@
 
 // decode gives the events, the verdict of each write and the number of comments.
 func decode(limit int, pieces ...string) string {
-	decoder := sse.Decoder{MaxEvent: limit}
+	decoder := sse.Decoder{MaxEventBytes: limit}
 	var found strings.Builder
 	failed := false
 	for _, piece := range pieces {
-		err := decoder.Write([]byte(piece), func(event sse.Event) { fmt.Fprintf(&found, "%q %q %q\n", event.ID, event.Type, event.Data) })
+		err := decoder.Write([]byte(piece), func(event sse.Event) { fmt.Fprintf(&found, "%q %q %q\n", event.LastEventID, event.Type, event.Data) })
 		failed = failed || err != nil
 		// ErrTooLarge itself, not an error that wraps it.
 		if err != nil && (!errors.Is(err, sse.ErrTooLarge) || errors.Unwrap(err) != nil) {
 			found.WriteString("another error\n")
 		}
 	}
-	fmt.Fprintf(&found, "%t %d", failed, decoder.Comments)
+	fmt.Fprintf(&found, "%t %d", failed, decoder.CommentLines)
 	return found.String()
 }
 
@@ -84,5 +84,5 @@
 	field, end := "data:", "\n\ndata: next\n\n"
 	within := decode(0, field+strings.Repeat("a", size-len(field))+end)
 	beyond := decode(0, field+strings.Repeat("a", size-len(field)+1)+end)
-	return fmt.Sprintf("default limit %d %x %s", sse.DefaultMaxEvent, sha256.Sum256([]byte(within)), beyond)
+	return fmt.Sprintf("default limit %d %x %s", sse.DefaultMaxEventBytes, sha256.Sum256([]byte(within)), beyond)
 }
--- a/internal/netio/sse/sse.go
+++ b/internal/netio/sse/sse.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// DefaultMaxEvent is how many bytes one event may take, its field names included.
-	DefaultMaxEvent = 4 << 20
+	// DefaultMaxEventBytes is how many bytes one event may take, its field names included.
+	DefaultMaxEventBytes = 4 << 20
 
 	maxKeptLine     = 64 << 10 // bytes of the line buffer that is kept after an event
 	byteOrderMark   = "\xef\xbb\xbf"
@@ -27,17 +27,17 @@
 
 // Event is one message of the stream.
 type Event struct {
-	ID   string // the last that the stream has set; it holds until another is set
-	Type string // "message" if none was set
-	Data string
+	LastEventID string // the last that the stream has set; it holds until another is set
+	Type        string // "message" if none was set
+	Data        string
 }
 
 // Decoder splits a stream into events. The zero value is ready to use.
 type Decoder struct {
-	// MaxEvent bounds one event in bytes; 0 is DefaultMaxEvent.
-	MaxEvent int
-	// Comments counts the comment lines.
-	Comments uint64
+	// MaxEventBytes bounds one event in bytes; 0 is DefaultMaxEventBytes.
+	MaxEventBytes int
+	// CommentLines counts the comment lines.
+	CommentLines uint64
 
 	// Of the stream.
 	bomMatched int  // bytes of a byte order mark so far
@@ -60,9 +60,9 @@
 	if d.err != nil {
 		return d.err
 	}
-	limit := d.MaxEvent
+	limit := d.MaxEventBytes
 	if limit <= 0 {
-		limit = DefaultMaxEvent
+		limit = DefaultMaxEventBytes
 	}
 	for _, c := range b {
 		if !d.started && d.matchByteOrderMark(c) {
@@ -116,7 +116,7 @@
 	case len(line) == 0:
 		d.endEvent(emit)
 	case line[0] == commentPrefix:
-		d.Comments++
+		d.CommentLines++
 		d.eventSize -= len(line) // a stream of comments is not a large event
 	default:
 		name, value, _ := strings.Cut(string(line), fieldSeparator)
@@ -127,7 +127,7 @@
 // endEvent gives the event out if it has data, and begins the next.
 func (d *Decoder) endEvent(emit func(Event)) {
 	if d.hasData {
-		event := Event{ID: d.lastID, Type: d.eventType, Data: d.data.String()}
+		event := Event{LastEventID: d.lastID, Type: d.eventType, Data: d.data.String()}
 		if event.Type == "" {
 			event.Type = defaultType
 		}
--- a/internal/netio/sse/sse_test.go
+++ b/internal/netio/sse/sse_test.go
@@ -50,7 +50,7 @@
 
 func TestLimit(t *testing.T) {
 	comments := strings.Repeat(": a comment of some length\n", 50) + "data: a\n\n"
-	if got, err := decode(&Decoder{MaxEvent: 100}, comments, 7); err != nil || len(got) != 1 {
+	if got, err := decode(&Decoder{MaxEventBytes: 100}, comments, 7); err != nil || len(got) != 1 {
 		t.Fatalf("comments are no large event: %v, %d events", err, len(got))
 	}
 	for name, stream := range map[string]string{
@@ -58,7 +58,7 @@
 		"many lines":    strings.Repeat("data: abc\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			decoder := &Decoder{MaxEvent: 100}
+			decoder := &Decoder{MaxEventBytes: 100}
 			if _, err := decode(decoder, stream, 9); !errors.Is(err, ErrTooLarge) {
 				t.Fatalf("got %v, want %v", err, ErrTooLarge)
 			}
@@ -75,8 +75,8 @@
 	f.Add("id: 1\ndata: {}\r\n\r\n: c\n\ndata: x\rdata: y\r\r", 3)
 	f.Fuzz(func(t *testing.T, in string, piece int) {
 		piece = max(1, piece%16)
-		inPieces := &Decoder{MaxEvent: 256}
-		whole, errWhole := decode(&Decoder{MaxEvent: 256}, in, max(len(in), 1))
+		inPieces := &Decoder{MaxEventBytes: 256}
+		whole, errWhole := decode(&Decoder{MaxEventBytes: 256}, in, max(len(in), 1))
 		pieces, errPieces := decode(inPieces, in, piece)
 		if !errors.Is(errPieces, errWhole) || !reflect.DeepEqual(whole, pieces) {
 			t.Fatalf("whole %q, %v; pieces %q, %v", whole, errWhole, pieces, errPieces)
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -158,7 +158,7 @@
 // send writes a message, or closes the connection if the client has left too much unread.
 func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
-	if c.conn.Buffered() > maxUnsentToClient {
+	if c.conn.UnsentBytes() > maxUnsentToClient {
 		s.warn("client connection closed: output not read", c.conn.Peer(), errClientNotReading)
 		s.loop.After(0, c.conn.Close) // not at once: the caller may be in the middle of handling this connection
 		return
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -32,7 +32,7 @@
 	s := table.server
 	table.lastID++
 	s.stats.ClientsAccepted++
-	conn.MaxInput = 2 * protocol.MaxLine
+	conn.MaxInputBytes = 2 * protocol.MaxLine
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: table.lastID, openedAt: now, lastMessageAt: now}
 	table.byID[client.id] = client
@@ -60,7 +60,7 @@
 		return false
 	}
 	client.conn.ReadNow()
-	return client.conn.Paused() && !client.conn.Closed()
+	return client.conn.ReadPaused() && !client.conn.Closed()
 }
 
 // readAll reads every connection and reports whether one has more to come: the rest of a message, or lines that wait for the next iteration
@@ -68,7 +68,7 @@
 func (table *clientTable) readAll() (unread bool) {
 	for _, client := range table.byID {
 		client.conn.ReadNow()
-		unread = unread || !client.incompleteSince.IsZero() || client.conn.Paused()
+		unread = unread || !client.incompleteSince.IsZero() || client.conn.ReadPaused()
 	}
 	return unread
 }
@@ -90,7 +90,7 @@
 			continue
 		}
 		client.conn.ReadNow()
-		if client.isIdle(now) && !client.conn.Closed() && !client.conn.Paused() {
+		if client.isIdle(now) && !client.conn.Closed() && !client.conn.ReadPaused() {
 			s.stats.IdleClientsClosed++
 			client.closeGracefully()
 		}
@@ -109,7 +109,7 @@
 		}
 		client := table.candidateConns[i]
 		client.conn.ReadNow()
-		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.Paused() {
+		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.ReadPaused() {
 			s.stats.ClientsEvicted++
 			client.conn.Close()
 			return
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -63,7 +63,7 @@
 
 // deferReading pauses a connection until the next iteration of the loop.
 func (reader *lineReader) deferReading(conn *eventloop.Conn) {
-	conn.PauseRead(true)
+	conn.SetReadPaused(true)
 	reader.deferred = append(reader.deferred, conn)
 	if len(reader.deferred) == 1 {
 		reader.loop.After(0, reader.resumeReading)
@@ -75,7 +75,7 @@
 	deferred := reader.deferred
 	reader.deferred = nil
 	for _, conn := range deferred {
-		conn.PauseRead(false)
+		conn.SetReadPaused(false)
 	}
 }
 
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -133,7 +133,7 @@
 		s.loop.After(0, func() { link.dialFailed(err) })
 		return
 	}
-	conn.MaxInput = 2 * protocol.MaxLine
+	conn.MaxInputBytes = 2 * protocol.MaxLine
 	nc.conn = conn
 	link.dialing = nc
 	s.nodes.slotTaken()
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -56,7 +56,7 @@
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
-		s.listener.Drain()
+		s.listener.AcceptPending()
 		s.listener.Close()
 	}
 	unread := s.clients.readAll()
