--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -46,26 +46,26 @@
 	// MaxInputBytes is how many unconsumed bytes are held before reading stops until the handler resumes it.
 	MaxInputBytes int
 
-	loop       *Loop
-	handler    Handler
-	fd         int
-	generation int32 // tells it from an earlier connection with the same descriptor
-	peer       netip.AddrPort
-	interest   uint32 // epoll events registered
-	input      []byte // received and not consumed
-	output     []byte // queued to be sent
-	outputSent int    // bytes of output that the system has taken
-	timer      *Timer // limits dialing and lingering; nil otherwise
-	state      connState
+	loop             *Loop
+	handler          Handler
+	fd               int
+	generation       int32 // tells it from an earlier connection with the same descriptor
+	peer             netip.AddrPort
+	registeredEvents uint32 // epoll events registered
+	unconsumedInput  []byte // received and not consumed
+	output           []byte // queued to be sent
+	outputSentBytes  int    // bytes of output that the system has taken
+	stateTimer       *Timer // limits dialing and lingering; nil otherwise
+	state            connState
 
 	// Each of these holds or not in several states, independently of the others.
-	accepted        bool // counts in Loop.accepted
-	readPaused      bool // by the handler, or because of MaxInputBytes
-	peerClosed      bool // the peer has ended its side
-	delivering      bool // Handler.Data is running
-	writeBlocked    bool // the system takes no output for now
-	flushQueued     bool // in Loop.flushQueue
-	redeliverQueued bool // in Loop.redeliverQueue
+	countedAsAccepted bool // counts in Loop.accepted
+	readPaused        bool // by the handler, or because of MaxInputBytes
+	peerClosed        bool // the peer has ended its side
+	deliveringInput   bool // Handler.Data is running
+	writeBlocked      bool // the system takes no output for now
+	flushQueued       bool // in Loop.flushQueue
+	redeliverQueued   bool // in Loop.redeliverQueue
 }
 
 // Dial connects to a literal address. If that fails later, or takes longer than the timeout, the handler's Closed
@@ -90,14 +90,14 @@
 	}
 	c.handler = h
 	c.peer = address
-	c.timer = l.After(timeout, func() { c.closeWithError(ErrConnectTimeout) })
+	c.stateTimer = l.After(timeout, func() { c.closeWithError(ErrConnectTimeout) })
 	return c, nil
 }
 
 // addConn registers a socket with the loop; it closes the socket if that fails.
 func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
 	l.lastGeneration++
-	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
+	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, registeredEvents: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
 	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		closeFD(fd)
@@ -117,10 +117,10 @@
 func (c *Conn) Loop() *Loop { return c.loop }
 
 // UnsentBytes is the number of queued bytes that the system has not taken.
-func (c *Conn) UnsentBytes() int { return len(c.output) - c.outputSent }
+func (c *Conn) UnsentBytes() int { return len(c.output) - c.outputSentBytes }
 
 // BufferMemoryBytes is the memory that the connection's buffers take, in bytes.
-func (c *Conn) BufferMemoryBytes() int { return cap(c.input) + cap(c.output) }
+func (c *Conn) BufferMemoryBytes() int { return cap(c.unconsumedInput) + cap(c.output) }
 
 // Closed reports whether the connection has ended.
 func (c *Conn) Closed() bool { return c.state == stateClosed }
@@ -134,8 +134,8 @@
 		return
 	}
 	c.readPaused = on
-	c.updateInterest()
-	if !on && (len(c.input) > 0 || c.peerClosed) && !c.redeliverQueued {
+	c.updateRegisteredEvents()
+	if !on && (len(c.unconsumedInput) > 0 || c.peerClosed) && !c.redeliverQueued {
 		c.queueRedelivery()
 	}
 }
@@ -145,7 +145,7 @@
 	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
 		return
 	}
-	if len(c.input) > 0 || c.peerClosed || c.delivering {
+	if len(c.unconsumedInput) > 0 || c.peerClosed || c.deliveringInput {
 		c.queueRedelivery()
 	}
 }
@@ -188,8 +188,8 @@
 	}
 	c.setState(stateLingering)
 	c.readPaused = false
-	c.updateInterest()
-	c.timer = c.loop.After(lingerTimeout, func() { c.closeWithError(ErrClosedLocally) })
+	c.updateRegisteredEvents()
+	c.stateTimer = c.loop.After(lingerTimeout, func() { c.closeWithError(ErrClosedLocally) })
 }
 
 func (c *Conn) closeWithError(err error) {
@@ -197,33 +197,33 @@
 		return
 	}
 	c.setState(stateClosed)
-	c.timer.Stop()
+	c.stateTimer.Stop()
 	c.loop.conns[c.fd] = nil
 	closeFD(c.fd)
-	if c.accepted {
-		c.loop.accepted--
+	if c.countedAsAccepted {
+		c.loop.acceptedConns--
 	}
-	c.input = nil
+	c.unconsumedInput = nil
 	c.output = nil
 	c.handler.Closed(c, err)
 }
 
 // updateInterest registers with epoll the events that the connection now waits for.
-func (c *Conn) updateInterest() {
+func (c *Conn) updateRegisteredEvents() {
 	if c.state == stateClosed {
 		return
 	}
 	var events uint32
-	if c.state.dialing() || c.writeBlocked {
+	if c.state.isDialing() || c.writeBlocked {
 		events |= unix.EPOLLOUT
 	}
-	if !c.readPaused && !c.peerClosed && !c.state.dialing() {
+	if !c.readPaused && !c.peerClosed && !c.state.isDialing() {
 		events |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
-	if events == c.interest {
+	if events == c.registeredEvents {
 		return
 	}
-	c.interest = events
+	c.registeredEvents = events
 	event := unix.EpollEvent{Events: events, Fd: int32(c.fd), Pad: c.generation}
 	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &event); err != nil {
 		c.closeWithError(fmt.Errorf("epoll mod: %w", err))
@@ -232,12 +232,12 @@
 
 // handleReady handles a readiness event of epoll.
 func (c *Conn) handleReady(events uint32) {
-	if c.state.dialing() {
+	if c.state.isDialing() {
 		c.finishDial()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.flush()
+		c.writeQueuedOutput()
 	}
 	if c.state == stateClosed {
 		return
@@ -262,10 +262,10 @@
 	} else {
 		c.setState(stateClosing)
 	}
-	c.timer.Stop()
-	c.timer = nil
+	c.stateTimer.Stop()
+	c.stateTimer = nil
 	c.handler.Opened(c)
-	c.updateInterest()
+	c.updateRegisteredEvents()
 	if c.UnsentBytes() > 0 {
 		c.queueFlush()
 	}
--- a/internal/netio/eventloop/conn_io.go
+++ b/internal/netio/eventloop/conn_io.go
@@ -11,19 +11,19 @@
 
 const (
 	// maxReadNow is how many reads ReadNow makes of a peer that sends as fast as it is read.
-	maxReadNow = 64
+	maxReadNowReads = 64
 
 	// minSentToCompact is how many bytes of a queue must have been sent before the rest is moved to its front.
-	minSentToCompact = 64 << 10
+	minSentBytesToCompact = 64 << 10
 
 	// outputSlack is how many bytes a buffer that waits for a slow peer may have beyond twice what is left in it.
-	outputSlack = 4 << 10
+	maxUnusedOutputBytes = 4 << 10
 )
 
 // ReadNow delivers what the system has received by now, the peer's end included, rather than what it had at the start of
 // the iteration. It does nothing within the connection's own Data, or while reading is paused.
 func (c *Conn) ReadNow() {
-	for range maxReadNow {
+	for range maxReadNowReads {
 		if !c.canReadNow() || !c.readOnce() {
 			return
 		}
@@ -31,10 +31,10 @@
 }
 
 func (c *Conn) canReadNow() bool {
-	if c.state == stateClosed || c.state.dialing() {
+	if c.state == stateClosed || c.state.isDialing() {
 		return false
 	}
-	return !c.readPaused && !c.peerClosed && !c.delivering
+	return !c.readPaused && !c.peerClosed && !c.deliveringInput
 }
 
 // readOnce reads and delivers up to one buffer and reports whether there may be more.
@@ -51,46 +51,46 @@
 		return false
 	}
 	if n == 0 {
-		c.handlePeerEnd()
+		c.handlePeerClose()
 		return false
 	}
 	if !c.state.discardsInput() {
-		c.deliver(c.loop.readBuffer[:n])
+		c.deliverInput(c.loop.readBuffer[:n])
 	}
 	return true
 }
 
-func (c *Conn) handlePeerEnd() {
+func (c *Conn) handlePeerClose() {
 	c.peerClosed = true
 	if c.state.discardsInput() {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
-	c.updateInterest()
-	c.deliver(nil)
+	c.updateRegisteredEvents()
+	c.deliverInput(nil)
 }
 
 // deliver hands received bytes, after those that were not consumed before, to the handler and keeps what it does not
 // consume. An idle connection holds no input buffer.
-func (c *Conn) deliver(received []byte) {
-	if c.delivering {
+func (c *Conn) deliverInput(received []byte) {
+	if c.deliveringInput {
 		return
 	}
 	pending := received
-	buffered := len(c.input) > 0
+	buffered := len(c.unconsumedInput) > 0
 	if buffered {
-		c.input = append(c.input, received...)
-		pending = c.input
+		c.unconsumedInput = append(c.unconsumedInput, received...)
+		pending = c.unconsumedInput
 	}
 	if len(pending) > 0 {
-		c.delivering = true
+		c.deliveringInput = true
 		consumed := c.handler.Data(c, pending)
-		c.delivering = false
+		c.deliveringInput = false
 		if c.state == stateClosed {
 			return
 		}
-		c.keepInput(pending[consumed:], buffered)
-		if len(c.input) > c.MaxInputBytes {
+		c.keepUnconsumed(pending[consumed:], buffered)
+		if len(c.unconsumedInput) > c.MaxInputBytes {
 			c.SetReadPaused(true)
 		}
 	}
@@ -101,14 +101,14 @@
 
 // keepInput keeps the bytes that the handler did not consume; buffered says that they are a part of c.input rather than of
 // the loop's buffer.
-func (c *Conn) keepInput(rest []byte, buffered bool) {
+func (c *Conn) keepUnconsumed(rest []byte, buffered bool) {
 	switch {
 	case len(rest) == 0:
-		c.input = nil
+		c.unconsumedInput = nil
 	case buffered:
-		c.input = c.input[:copy(c.input, rest)]
+		c.unconsumedInput = c.unconsumedInput[:copy(c.unconsumedInput, rest)]
 	default:
-		c.input = append([]byte(nil), rest...)
+		c.unconsumedInput = append([]byte(nil), rest...)
 	}
 }
 
@@ -124,10 +124,10 @@
 // OutputBuffer returns the output queue to append to. Give the result to CommitOutput, or to DiscardOutput if nothing was
 // appended.
 func (c *Conn) OutputBuffer() []byte {
-	if spares := c.loop.spareBuffers; c.output == nil && len(spares) > 0 {
+	if spares := c.loop.spareOutputBuffers; c.output == nil && len(spares) > 0 {
 		last := len(spares) - 1
 		c.output = spares[last]
-		c.loop.spareBuffers = spares[:last]
+		c.loop.spareOutputBuffers = spares[:last]
 	}
 	return c.output
 }
@@ -148,21 +148,21 @@
 	}
 	c.output = b
 	if len(b) == 0 && !c.flushQueued {
-		c.releaseOutput()
+		c.releaseOutputBuffer()
 	}
 }
 
 // releaseOutput gives the output buffer back to the loop: an idle connection holds none.
-func (c *Conn) releaseOutput() {
+func (c *Conn) releaseOutputBuffer() {
 	size := cap(c.output)
-	if size > 0 && size <= maxSpareBufferSize && len(c.loop.spareBuffers) < maxSpareBuffers {
-		c.loop.spareBuffers = append(c.loop.spareBuffers, c.output[:0])
+	if size > 0 && size <= maxSpareBufferBytes && len(c.loop.spareOutputBuffers) < maxSpareBuffers {
+		c.loop.spareOutputBuffers = append(c.loop.spareOutputBuffers, c.output[:0])
 	}
 	c.output = nil
 }
 
 func (c *Conn) queueFlush() {
-	if c.flushQueued || c.state.dialing() {
+	if c.flushQueued || c.state.isDialing() {
 		return
 	}
 	c.flushQueued = true
@@ -172,21 +172,21 @@
 // Flush sends queued output now rather than at the end of the iteration, so that writing much to many connections does not
 // hold all of it in memory at a time.
 func (c *Conn) Flush() {
-	if c.state == stateClosed || c.state.dialing() {
+	if c.state == stateClosed || c.state.isDialing() {
 		return
 	}
 	if !c.writeBlocked && c.UnsentBytes() > 0 {
-		c.flush()
+		c.writeQueuedOutput()
 	}
 }
 
 // flush gives queued output to the system, until all is sent or the system takes no more.
-func (c *Conn) flush() {
-	for c.outputSent < len(c.output) {
-		n, err := unix.Write(c.fd, c.output[c.outputSent:])
+func (c *Conn) writeQueuedOutput() {
+	for c.outputSentBytes < len(c.output) {
+		n, err := unix.Write(c.fd, c.output[c.outputSentBytes:])
 		switch err {
 		case nil:
-			c.outputSent += n
+			c.outputSentBytes += n
 		case unix.EINTR:
 		case unix.EAGAIN:
 			c.waitWritable()
@@ -196,17 +196,17 @@
 			return
 		}
 	}
-	c.outputSent = 0
+	c.outputSentBytes = 0
 	c.output = c.output[:0]
 	if c.writeBlocked {
 		c.writeBlocked = false
-		c.updateInterest()
+		c.updateRegisteredEvents()
 	}
-	c.afterFlush()
+	c.handleOutputSent()
 }
 
 // afterFlush follows when all output has been sent.
-func (c *Conn) afterFlush() {
+func (c *Conn) handleOutputSent() {
 	if c.state == stateClosed {
 		return
 	}
@@ -216,7 +216,7 @@
 	}
 	c.handler.Drained(c)
 	if c.UnsentBytes() == 0 && !c.flushQueued {
-		c.releaseOutput()
+		c.releaseOutputBuffer()
 	}
 }
 
@@ -224,17 +224,17 @@
 func (c *Conn) waitWritable() {
 	if !c.writeBlocked {
 		c.writeBlocked = true
-		c.updateInterest()
+		c.updateRegisteredEvents()
 	}
-	if c.outputSent > minSentToCompact && c.outputSent > len(c.output)/2 {
-		c.output = c.output[:copy(c.output, c.output[c.outputSent:])]
-		c.outputSent = 0
+	if c.outputSentBytes > minSentBytesToCompact && c.outputSentBytes > len(c.output)/2 {
+		c.output = c.output[:copy(c.output, c.output[c.outputSentBytes:])]
+		c.outputSentBytes = 0
 	}
 	left := c.UnsentBytes()
-	if cap(c.output) > 2*left+outputSlack {
-		smaller := append(make([]byte, 0, left), c.output[c.outputSent:]...)
-		c.releaseOutput()
+	if cap(c.output) > 2*left+maxUnusedOutputBytes {
+		smaller := append(make([]byte, 0, left), c.output[c.outputSentBytes:]...)
+		c.releaseOutputBuffer()
 		c.output = smaller
-		c.outputSent = 0
+		c.outputSentBytes = 0
 	}
 }
--- a/internal/netio/eventloop/conn_state.go
+++ b/internal/netio/eventloop/conn_state.go
@@ -36,7 +36,7 @@
 	stateClosed:           {},
 }
 
-func (s connState) dialing() bool { return s == stateDialing || s == stateDialingThenClose }
+func (s connState) isDialing() bool { return s == stateDialing || s == stateDialingThenClose }
 
 // acceptsOutput reports whether output may still be queued.
 func (s connState) acceptsOutput() bool { return s == stateDialing || s == stateOpen }
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -22,11 +22,11 @@
 	// DefaultMaxConns is how many accepted connections a loop keeps open unless SetMaxConns says otherwise.
 	DefaultMaxConns = 16384
 
-	maxEpollEvents     = 256      // descriptors taken from one call of epoll_wait
-	readBufferSize     = 64 << 10 // bytes, of one read
-	maxSpareBufferSize = 64 << 10 // bytes, of an output buffer that is kept for reuse
-	maxSpareBuffers    = 256
-	maxWait            = time.Minute // of one call of epoll_wait
+	maxEpollEvents      = 256      // descriptors taken from one call of epoll_wait
+	readBufferBytes     = 64 << 10 // bytes, of one read
+	maxSpareBufferBytes = 64 << 10 // bytes, of an output buffer that is kept for reuse
+	maxSpareBuffers     = 256
+	maxEpollWait        = time.Minute // of one call of epoll_wait
 )
 
 // Loop runs handlers, timers and posted functions one after another. Only Post and Stop may be called from other
@@ -38,22 +38,22 @@
 	conns          []*Conn
 	listeners      map[int]*Listener
 	lastGeneration int32
-	accepted       int
+	acceptedConns  int
 	maxConns       int
 
 	startTime time.Time // with the reading of the monotonic clock
 	now       clock.Instant
 	timers    timerqueue.Queue[clock.Instant]
 
-	flushQueue        []*Conn  // connections with output to send at the end of this iteration
-	redeliverQueue    []*Conn  // connections whose unconsumed input is delivered again
-	iterationEndFuncs []func() // see AtIterationEnd
-	readBuffer        []byte
-	spareBuffers      [][]byte // output buffers of connections that have nothing to send
+	flushQueue         []*Conn  // connections with output to send at the end of this iteration
+	redeliverQueue     []*Conn  // connections whose unconsumed input is delivered again
+	iterationEndFuncs  []func() // see AtIterationEnd
+	readBuffer         []byte
+	spareOutputBuffers [][]byte // output buffers of connections that have nothing to send
 
-	mu      sync.Mutex // guards posted and stopped, and the life of eventFD
-	posted  []func()
-	stopped bool
+	postMu      sync.Mutex // guards posted and stopped, and the life of eventFD
+	postedFuncs []func()
+	stopped     bool
 
 	// Iterations and ReadinessEvents count iterations of the loop and ready descriptors, for metrics.
 	Iterations, ReadinessEvents uint64
@@ -85,7 +85,7 @@
 		maxConns:   DefaultMaxConns,
 		startTime:  start,
 		now:        clock.FromTime(start),
-		readBuffer: make([]byte, readBufferSize),
+		readBuffer: make([]byte, readBufferBytes),
 	}, nil
 }
 
@@ -101,18 +101,18 @@
 }
 
 // AcceptedConns is the number of accepted connections open now.
-func (l *Loop) AcceptedConns() int { return l.accepted }
+func (l *Loop) AcceptedConns() int { return l.acceptedConns }
 
 // Post has f run on the loop in its next iteration. It may be called from any goroutine; after Stop it does nothing.
 func (l *Loop) Post(f func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.postMu.Lock()
+	defer l.postMu.Unlock()
 	if l.stopped {
 		return
 	}
-	l.posted = append(l.posted, f)
-	if len(l.posted) == 1 {
-		l.wake()
+	l.postedFuncs = append(l.postedFuncs, f)
+	if len(l.postedFuncs) == 1 {
+		l.wakeEpollWait()
 	}
 }
 
@@ -122,20 +122,20 @@
 
 // Stop ends Run after the present iteration. It may be called from any goroutine.
 func (l *Loop) Stop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.postMu.Lock()
+	defer l.postMu.Unlock()
 	if l.stopped {
 		return
 	}
 	l.stopped = true
-	l.wake()
+	l.wakeEpollWait()
 }
 
 // wakeSignal is the number that is added to the eventfd's counter; any but zero makes it readable.
 var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
 // wake ends a wait of Run. The caller holds l.mu, so that the descriptor cannot be closed meanwhile.
-func (l *Loop) wake() {
+func (l *Loop) wakeEpollWait() {
 	// It fails only when the counter is at its limit: the eventfd is readable then anyway.
 	_, _ = unix.Write(l.eventFD, wakeSignal)
 }
@@ -152,14 +152,14 @@
 	defer l.close()
 	events := make([]unix.EpollEvent, maxEpollEvents)
 	for {
-		l.mu.Lock()
+		l.postMu.Lock()
 		stopped := l.stopped
-		hasPosted := len(l.posted) > 0
-		l.mu.Unlock()
+		hasPosted := len(l.postedFuncs) > 0
+		l.postMu.Unlock()
 		if stopped {
 			return nil
 		}
-		n, err := unix.EpollWait(l.epollFD, events, l.waitMilliseconds(hasPosted))
+		n, err := unix.EpollWait(l.epollFD, events, l.epollTimeoutMillis(hasPosted))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
@@ -171,7 +171,7 @@
 
 // waitMilliseconds is how long epoll_wait may wait: not at all if there is work at hand, until the next timer, or -1 for
 // ever.
-func (l *Loop) waitMilliseconds(hasPosted bool) int {
+func (l *Loop) epollTimeoutMillis(hasPosted bool) int {
 	if hasPosted || len(l.redeliverQueue) > 0 || len(l.iterationEndFuncs) > 0 {
 		return 0
 	}
@@ -182,8 +182,8 @@
 	switch {
 	case wait <= 0:
 		return 0
-	case wait > maxWait:
-		return int(maxWait.Milliseconds())
+	case wait > maxEpollWait:
+		return int(maxEpollWait.Milliseconds())
 	}
 	return int(wait.Milliseconds()) + 1 // epoll_wait counts whole milliseconds: rather late than early
 }
@@ -192,18 +192,18 @@
 func (l *Loop) runIteration(events []unix.EpollEvent) {
 	l.ReadinessEvents += uint64(len(events))
 	for i := range events {
-		l.dispatch(&events[i])
+		l.dispatchEvent(&events[i])
 	}
 	l.runPosted()
 	l.runTimers()
-	l.redeliver()
+	l.redeliverQueued()
 	l.runIterationEndFuncs()
 	l.flushAll()
 }
 
 // dispatch hands a readiness event to the descriptor's owner. Events of descriptors closed earlier in this iteration are
 // dropped: a connection's generation tells it from an earlier one with the same descriptor.
-func (l *Loop) dispatch(event *unix.EpollEvent) {
+func (l *Loop) dispatchEvent(event *unix.EpollEvent) {
 	fd := int(event.Fd)
 	if fd == l.eventFD {
 		l.clearWakeup()
@@ -222,10 +222,10 @@
 }
 
 func (l *Loop) runPosted() {
-	l.mu.Lock()
-	posted := l.posted
-	l.posted = nil
-	l.mu.Unlock()
+	l.postMu.Lock()
+	posted := l.postedFuncs
+	l.postedFuncs = nil
+	l.postMu.Unlock()
 	for _, f := range posted {
 		f()
 	}
@@ -242,13 +242,13 @@
 	}
 }
 
-func (l *Loop) redeliver() {
+func (l *Loop) redeliverQueued() {
 	queue := l.redeliverQueue
 	l.redeliverQueue = nil
 	for _, conn := range queue {
 		conn.redeliverQueued = false
 		if conn.state != stateClosed && !conn.readPaused {
-			conn.deliver(nil)
+			conn.deliverInput(nil)
 		}
 	}
 }
@@ -270,18 +270,18 @@
 		for _, conn := range queue {
 			conn.flushQueued = false
 			if conn.state != stateClosed {
-				conn.flush()
+				conn.writeQueuedOutput()
 			}
 		}
 	}
 }
 
 func (l *Loop) close() {
-	l.mu.Lock()
+	l.postMu.Lock()
 	l.stopped = true
-	l.posted = nil
+	l.postedFuncs = nil
 	closeFD(l.eventFD)
-	l.mu.Unlock()
+	l.postMu.Unlock()
 	for _, conn := range l.conns {
 		if conn != nil {
 			closeFD(conn.fd)
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -31,7 +31,7 @@
 }
 
 // runLoop runs the loop until stop is called, which also reports the loop's error.
-func runLoop(t *testing.T, loop *Loop) (stop func()) {
+func startLoop(t *testing.T, loop *Loop) (stop func()) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- loop.Run() }()
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop := runLoop(t, loop)
+	stop := startLoop(t, loop)
 	conn := dial(t, listener.Addr())
 	sent := make([]byte, 3<<20)
 	for i := range sent {
@@ -121,13 +121,13 @@
 	if _, err := loop.Dial("host:1", time.Second, &echoHandler{}); err == nil {
 		t.Error("a name was dialed")
 	}
-	stop := runLoop(t, loop)
+	stop := startLoop(t, loop)
 	if err := <-failed; err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("dial of a closed port: %v", err)
 	}
 	rejected := 0
 	for range 5 {
-		if !echoes(t, dial(t, listener.Addr())) {
+		if !receivesEcho(t, dial(t, listener.Addr())) {
 			rejected++
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // echoes reports whether a byte sent on the connection comes back, rather than the connection's end.
-func echoes(t *testing.T, conn net.Conn) bool {
+func receivesEcho(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 			for _, next := range legal[from] {
 				want = want || next == to
 			}
-			if got := transitions(from, to); got != want {
+			if got := transitionAllowed(from, to); got != want {
 				t.Errorf("from %s to %s: taken %t, want %t", from, to, got, want)
 			}
 		}
@@ -187,7 +187,7 @@
 }
 
 // transitions reports whether a connection goes from one state to another without panic.
-func transitions(from, to connState) (taken bool) {
+func transitionAllowed(from, to connState) (taken bool) {
 	defer func() { taken = recover() == nil }()
 	(&Conn{state: from}).setState(to)
 	return true
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	listenBacklog        = 4096      // connections that the system keeps until they are accepted
-	acceptBatch          = 64        // connections accepted for one readiness event
-	socketSendBufferSize = 128 << 10 // bytes, of the system's buffer for an accepted connection; the system takes twice as much
+	listenBacklog         = 4096      // connections that the system keeps until they are accepted
+	maxAcceptBatch        = 64        // connections accepted for one readiness event
+	socketSendBufferBytes = 128 << 10 // bytes, of the system's buffer for an accepted connection; the system takes twice as much
 )
 
 // Listener accepts connections.
 type Listener struct {
-	loop    *Loop
-	fd      int
-	addr    netip.AddrPort
-	handler func(*Conn) Handler
+	loop       *Loop
+	fd         int
+	addr       netip.AddrPort
+	newHandler func(*Conn) Handler
 }
 
 // Listen accepts TCP connections at a literal address such as 127.0.0.1:0. Each connection gets the handler that the
@@ -38,7 +38,7 @@
 		closeFD(fd)
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
 	}
-	listener := &Listener{loop: l, fd: fd, addr: address, handler: handler}
+	listener := &Listener{loop: l, fd: fd, addr: address, newHandler: handler}
 	if bound, err := unix.Getsockname(fd); err == nil {
 		listener.addr = addrPort(bound)
 	}
@@ -77,7 +77,7 @@
 // AcceptPending accepts the connections that have come by now. Called before Close, it keeps them, and what was sent on them, from
 // being reset.
 func (ln *Listener) AcceptPending() {
-	for n := 0; n < listenBacklog; n += acceptBatch {
+	for n := 0; n < listenBacklog; n += maxAcceptBatch {
 		if ln.Closed() || !ln.accept() {
 			return
 		}
@@ -89,11 +89,11 @@
 	l := ln.loop
 	// The batch is small where few connections are allowed: a handler that closes idle connections to make room for new ones
 	// must first read from those that came before, or connections that send nothing take all places in one iteration.
-	for range min(acceptBatch, max(l.maxConns/4, 1)) {
+	for range min(maxAcceptBatch, max(l.maxConns/4, 1)) {
 		fd, peer, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			ln.open(fd, peer)
+			ln.addAcceptedConn(fd, peer)
 		case unix.EINTR, unix.ECONNABORTED:
 		case unix.EMFILE, unix.ENFILE:
 			if !l.rejectWithoutDescriptor(ln.fd) {
@@ -108,22 +108,22 @@
 }
 
 // open adds an accepted connection to the loop, or closes it if there are too many.
-func (ln *Listener) open(fd int, peer unix.Sockaddr) {
+func (ln *Listener) addAcceptedConn(fd int, peer unix.Sockaddr) {
 	l := ln.loop
-	if l.accepted >= l.maxConns {
+	if l.acceptedConns >= l.maxConns {
 		closeFD(fd)
 		return
 	}
 	setNoDelay(fd)
-	setSendBuffer(fd, socketSendBufferSize)
+	setSendBuffer(fd, socketSendBufferBytes)
 	c, err := l.addConn(fd, unix.EPOLLIN|unix.EPOLLRDHUP, stateOpen)
 	if err != nil {
 		return // closed, as a connection over the limit is: nobody here knows of it yet
 	}
-	c.accepted = true
+	c.countedAsAccepted = true
 	c.peer = addrPort(peer)
-	l.accepted++
-	c.handler = ln.handler(c)
+	l.acceptedConns++
+	c.handler = ln.newHandler(c)
 	c.handler.Opened(c)
 }
 
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -34,7 +34,7 @@
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
 // message is a stream of requests or of responses.
-type message struct {
+type decodedMessage struct {
 	text              string
 	responses, noBody bool
 }
@@ -42,7 +42,7 @@
 var smallLimits = []http1.Limits{{StartLineBytes: 20, HeadBytes: 80, HeaderFields: 2, BodyBytes: 4, TrailerBytes: 8}, {StartLineBytes: 14, HeadBytes: 60, HeaderFields: 1, BodyBytes: 3, TrailerBytes: 5}, {StartLineBytes: 100, HeadBytes: 100, HeaderFields: 10}, {}}
 
 // variants decodes a message split at every position, byte by byte, and under small limits.
-func variants(sample message, limits http1.Limits) string {
+func variants(sample decodedMessage, limits http1.Limits) string {
 	var steps strings.Builder
 	if len(sample.text) <= 300 {
 		for size := 1; size <= len(sample.text); size++ {
@@ -58,7 +58,7 @@
 }
 
 // decode feeds a stream in pieces of one size and gives each step: bytes taken, what was found, its values and the verdict.
-func decode(sample message, limits http1.Limits, size int) string {
+func decode(sample decodedMessage, limits http1.Limits, size int) string {
 	decoder := http1.Decoder{Limits: limits, DecodeResponses: sample.responses, ResponseHasNoBody: sample.noBody}
 	var steps strings.Builder
 	pending := ""
@@ -138,31 +138,31 @@
 	"1;" + strings.Repeat("e", 254) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 256), "0\r\n" + strings.Repeat("T: 45678\r\n", 409) + "\r\n", "0\r\n" + strings.Repeat("T: 45678\r\n", 410) + "\r\n", "0\r\n" + strings.Repeat("T", 5000)}
 
 // corpus is each start line, field and chunked body in a message that is otherwise well formed, and messages around each limit.
-func corpus() []message {
-	var all []message
+func corpus() []decodedMessage {
+	var all []decodedMessage
 	for _, line := range requestLines {
-		all = append(all, message{text: line + "\r\nHost: h\r\n\r\n"}, message{text: "\r\n" + line + "\r\n\r\n"}, message{text: line + "\nHost: h\n\n"})
+		all = append(all, decodedMessage{text: line + "\r\nHost: h\r\n\r\n"}, decodedMessage{text: "\r\n" + line + "\r\n\r\n"}, decodedMessage{text: line + "\nHost: h\n\n"})
 	}
 	for _, field := range fieldLines {
-		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\n" + field + "\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: "PUT /x HTTP/1.0\r\n" + field + "\r\n\r\nabc"},
-			message{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nabc", responses: true}, message{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nHTTP/1.1 204 x\r\n\r\n", responses: true, noBody: true})
+		all = append(all, decodedMessage{text: "PUT /x HTTP/1.1\r\nHost: h\r\n" + field + "\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"}, decodedMessage{text: "PUT /x HTTP/1.0\r\n" + field + "\r\n\r\nabc"},
+			decodedMessage{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nabc", responses: true}, decodedMessage{text: "HTTP/1.1 200 OK\r\n" + field + "\r\n\r\nHTTP/1.1 204 x\r\n\r\n", responses: true, noBody: true})
 	}
 	for _, line := range statusLines {
-		all = append(all, message{text: line + "\r\n\r\nbody", responses: true}, message{text: line + "\r\nContent-Length: 2\r\n\r\nbody", responses: true})
+		all = append(all, decodedMessage{text: line + "\r\n\r\nbody", responses: true}, decodedMessage{text: line + "\r\nContent-Length: 2\r\n\r\nbody", responses: true})
 	}
 	for _, body := range chunkedBodies {
-		all = append(all, message{text: "PUT /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + body},
-			message{text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", responses: true})
+		all = append(all, decodedMessage{text: "PUT /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + body},
+			decodedMessage{text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", responses: true})
 	}
 	for _, text := range []string{"", "\r\n", "\r\n\r\n", "\r", "\n", "\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nHost", "GET / HTTP/1.1\r\nHost: h\r\n\r\nx"} {
-		all = append(all, message{text: text}, message{text: text, responses: true})
+		all = append(all, decodedMessage{text: text}, decodedMessage{text: text, responses: true})
 	}
 	for _, around := range []int{-1, 0, 1} {
 		target := "/" + strings.Repeat("p", 8<<10+around-len("GET / HTTP/1.1"))
-		all = append(all, message{text: "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n"}, message{text: strings.Repeat("G", 8<<10+around)})
+		all = append(all, decodedMessage{text: "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n"}, decodedMessage{text: strings.Repeat("G", 8<<10+around)})
 		head := "GET / HTTP/1.1\r\nHost: h\r\nX-A: "
-		all = append(all, message{text: head + strings.Repeat("v", 32<<10+around-len(head)-4) + "\r\n\r\n"}, message{text: head + strings.Repeat("v", 32<<10+around-len(head))},
-			message{text: "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", 99+around) + "\r\n"})
+		all = append(all, decodedMessage{text: head + strings.Repeat("v", 32<<10+around-len(head)-4) + "\r\n\r\n"}, decodedMessage{text: head + strings.Repeat("v", 32<<10+around-len(head))},
+			decodedMessage{text: "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", 99+around) + "\r\n"})
 	}
 	return all
 }
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -3,42 +3,42 @@
 import "bytes"
 
 const (
-	maxChunkLine       = 256 // bytes of a chunk's size and extensions
+	maxChunkLineBytes  = 256 // bytes of a chunk's size and extensions
 	maxChunkSizeDigits = 15  // hexadecimal, so that a size fits into 64 bits
 )
 
 // decodeChunkSize takes the line before a chunk and goes on with what follows it.
-func (d *Decoder) decodeChunkSize(in []byte) (int, Event, *Error) {
+func (d *Decoder) decodeChunkLine(in []byte) (int, Event, *Error) {
 	lineEnd := bytes.IndexByte(in, '\n')
 	if lineEnd < 0 {
-		if len(in) > maxChunkLine {
-			return 0, NeedMoreInput, badRequest("chunk line over the limit")
+		if len(in) > maxChunkLineBytes {
+			return 0, NeedMoreInput, errBadRequest("chunk line over the limit")
 		}
 		return 0, NeedMoreInput, nil
 	}
-	if lineEnd == 0 || in[lineEnd-1] != '\r' || lineEnd > maxChunkLine {
-		return 0, NeedMoreInput, badRequest("malformed chunk line")
+	if lineEnd == 0 || in[lineEnd-1] != '\r' || lineEnd > maxChunkLineBytes {
+		return 0, NeedMoreInput, errBadRequest("malformed chunk line")
 	}
 	size, err := parseChunkLine(in[:lineEnd-1])
 	if err != nil {
 		return 0, NeedMoreInput, err
 	}
-	if err := d.countBody(size); err != nil {
+	if err := d.addBodyBytes(size); err != nil {
 		return 0, NeedMoreInput, err
 	}
 	if size == 0 {
 		d.state = stateTrailer
-		d.sectionSize = 0
+		d.sectionBytes = 0
 	} else {
 		d.state = stateChunkData
-		d.remaining = size
+		d.remainingBytes = size
 	}
-	return d.decodeAfter(in, lineEnd+1)
+	return d.decodeAfterLine(in, lineEnd+1)
 }
 
 // decodeAfter decodes what follows the first n bytes and counts these as consumed too.
-func (d *Decoder) decodeAfter(in []byte, n int) (int, Event, *Error) {
-	consumed, kind, err := d.decode(in[n:])
+func (d *Decoder) decodeAfterLine(in []byte, n int) (int, Event, *Error) {
+	consumed, kind, err := d.decodeNext(in[n:])
 	return n + consumed, kind, err
 }
 
@@ -52,25 +52,25 @@
 			break
 		}
 		if digits >= maxChunkSizeDigits {
-			return 0, badRequest("chunk size too large")
+			return 0, errBadRequest("chunk size too large")
 		}
 		size = size<<4 | int64(value)
 	}
 	if digits == 0 {
-		return 0, badRequest("malformed chunk size")
+		return 0, errBadRequest("malformed chunk size")
 	}
 	if digits == len(line) {
 		return size, nil
 	}
 	extensions := line[digits:]
-	for len(extensions) > 0 && isSpace(extensions[0]) {
+	for len(extensions) > 0 && isWhitespace(extensions[0]) {
 		extensions = extensions[1:]
 	}
 	if len(extensions) == 0 || extensions[0] != ';' {
-		return 0, badRequest("malformed chunk size")
+		return 0, errBadRequest("malformed chunk size")
 	}
-	if hasControl(extensions) {
-		return 0, badRequest("control character in chunk extension")
+	if hasControlByte(extensions) {
+		return 0, errBadRequest("control character in chunk extension")
 	}
 	return size, nil
 }
@@ -95,10 +95,10 @@
 		return 0, NeedMoreInput, nil
 	}
 	if len(in) < 2 || in[0] != '\r' || in[1] != '\n' {
-		return 0, NeedMoreInput, badRequest("chunk does not end with a line end")
+		return 0, NeedMoreInput, errBadRequest("chunk does not end with a line end")
 	}
-	d.state = stateChunkSize
-	return d.decodeAfter(in, 2)
+	d.state = stateChunkLine
+	return d.decodeAfterLine(in, 2)
 }
 
 // decodeTrailer takes whole lines of the trailer section, checks them and drops them.
@@ -108,7 +108,7 @@
 		rest := in[consumed:]
 		lineEnd := bytes.IndexByte(rest, '\n')
 		if lineEnd < 0 {
-			if d.sectionSize+int64(len(rest)) > int64(d.Limits.TrailerBytes) {
+			if d.sectionBytes+int64(len(rest)) > int64(d.Limits.TrailerBytes) {
 				return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 			}
 			return consumed, NeedMoreInput, nil
@@ -121,8 +121,8 @@
 		if len(line) == 0 {
 			return d.endMessage(consumed)
 		}
-		d.sectionSize += int64(lineEnd + 1)
-		if d.sectionSize > int64(d.Limits.TrailerBytes) {
+		d.sectionBytes += int64(lineEnd + 1)
+		if d.sectionBytes > int64(d.Limits.TrailerBytes) {
 			return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 		}
 		if bytes.IndexByte(line, '\r') >= 0 {
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -15,16 +15,16 @@
 )
 
 // state is what part of a message comes next.
-type state uint8
+type decoderState uint8
 
 const (
-	stateHead       state = iota
-	stateBody             // of known length
-	stateChunkSize        // the line before a chunk
-	stateChunkData        // of a chunk
-	stateChunkEnd         // the line end after a chunk
-	stateTrailer          // after the last chunk
-	stateUntilClose       // a body that ends with the connection
+	stateHead       decoderState = iota
+	stateBody                    // of known length
+	stateChunkLine               // the line before a chunk
+	stateChunkData               // of a chunk
+	stateChunkEnd                // the line end after a chunk
+	stateTrailer                 // after the last chunk
+	stateUntilClose              // a body that ends with the connection
 )
 
 // Decoder splits a stream into messages. The zero value with Limits set decodes requests.
@@ -38,11 +38,11 @@
 	Head      Head
 	BodyPiece []byte // the piece of the last BodyData; valid until the input changes
 
-	state       state
-	remaining   int64 // bytes of the body, or of the chunk, still to come
-	sectionSize int64 // bytes of the body, or of the trailer section, so far
-	searched    int   // bytes of an incomplete head that hold no end
-	err         *Error
+	state          decoderState
+	remainingBytes int64 // bytes of the body, or of the chunk, still to come
+	sectionBytes   int64 // bytes of the body, or of the trailer section, so far
+	searchedBytes  int   // bytes of an incomplete head that hold no end
+	err            *Error
 }
 
 // Next decodes from the front of in and returns how many bytes it consumed. The error is an *Error; once there is one,
@@ -51,7 +51,7 @@
 	if d.err != nil {
 		return 0, NeedMoreInput, d.err
 	}
-	consumed, kind, decodeErr := d.decode(in)
+	consumed, kind, decodeErr := d.decodeNext(in)
 	if decodeErr != nil {
 		d.err = decodeErr
 		return consumed, NeedMoreInput, decodeErr
@@ -71,26 +71,26 @@
 	case d.state == stateHead && unconsumed == 0:
 		return false, nil
 	}
-	return false, badRequest("the stream ends inside a message")
+	return false, errBadRequest("the stream ends inside a message")
 }
 
-func (d *Decoder) decode(in []byte) (int, Event, *Error) {
+func (d *Decoder) decodeNext(in []byte) (int, Event, *Error) {
 	switch d.state {
 	case stateHead:
 		return d.decodeHead(in)
 	case stateBody:
-		if d.remaining == 0 {
+		if d.remainingBytes == 0 {
 			return d.endMessage(0)
 		}
-		return d.decodeRemaining(in)
-	case stateChunkSize:
-		return d.decodeChunkSize(in)
+		return d.decodeKnownLength(in)
+	case stateChunkLine:
+		return d.decodeChunkLine(in)
 	case stateChunkData:
-		if d.remaining == 0 {
+		if d.remainingBytes == 0 {
 			d.state = stateChunkEnd
 			return d.decodeChunkEnd(in)
 		}
-		return d.decodeRemaining(in)
+		return d.decodeKnownLength(in)
 	case stateChunkEnd:
 		return d.decodeChunkEnd(in)
 	case stateTrailer:
@@ -101,12 +101,12 @@
 }
 
 // decodeRemaining takes a piece of a body or chunk of known length.
-func (d *Decoder) decodeRemaining(in []byte) (int, Event, *Error) {
+func (d *Decoder) decodeKnownLength(in []byte) (int, Event, *Error) {
 	if len(in) == 0 {
 		return 0, NeedMoreInput, nil
 	}
-	n := int(min(d.remaining, int64(len(in))))
-	d.remaining -= int64(n)
+	n := int(min(d.remainingBytes, int64(len(in))))
+	d.remainingBytes -= int64(n)
 	d.BodyPiece = in[:n]
 	return n, BodyData, nil
 }
@@ -116,7 +116,7 @@
 	if len(in) == 0 {
 		return 0, NeedMoreInput, nil
 	}
-	if err := d.countBody(int64(len(in))); err != nil {
+	if err := d.addBodyBytes(int64(len(in))); err != nil {
 		return 0, NeedMoreInput, err
 	}
 	d.BodyPiece = in
@@ -124,9 +124,9 @@
 }
 
 // countBody adds to the size of a body whose length was not given before it.
-func (d *Decoder) countBody(bytes int64) *Error {
-	d.sectionSize += bytes
-	if d.Limits.BodyBytes > 0 && d.sectionSize > int64(d.Limits.BodyBytes) {
+func (d *Decoder) addBodyBytes(bytes int64) *Error {
+	d.sectionBytes += bytes
+	if d.Limits.BodyBytes > 0 && d.sectionBytes > int64(d.Limits.BodyBytes) {
 		return errBodyTooLarge()
 	}
 	return nil
@@ -141,6 +141,6 @@
 // startMessage makes the decoder ready for the next message.
 func (d *Decoder) startMessage() {
 	d.state = stateHead
-	d.sectionSize = 0
+	d.sectionBytes = 0
 	d.BodyPiece = nil
 }
--- a/internal/netio/http1/head.go
+++ b/internal/netio/http1/head.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	headEnd = "\r\n\r\n"
+	headTerminator = "\r\n\r\n"
 
 	// initialFields is how many header fields there is space for at first.
-	initialFields = 12
+	initialFieldCapacity = 12
 
-	versionLength    = len("HTTP/1.1")
-	statusLineLength = len("HTTP/1.1 200") // without the reason phrase, which may be left out
+	versionBytes       = len("HTTP/1.1")
+	minStatusLineBytes = len("HTTP/1.1 200") // without the reason phrase, which may be left out
 )
 
 // decodeHead takes the start line and header, all at once.
@@ -22,17 +22,17 @@
 		// RFC 9112, 2.2: an empty line before a request line is ignored. One only.
 		in = in[2:]
 		skipped = 2
-		d.searched = max(0, d.searched-2)
+		d.searchedBytes = max(0, d.searchedBytes-2)
 	}
 	// The end may have begun in the last bytes searched before.
-	from := max(0, d.searched-len(headEnd)+1)
-	i := bytes.Index(in[from:], []byte(headEnd))
+	from := max(0, d.searchedBytes-len(headTerminator)+1)
+	i := bytes.Index(in[from:], []byte(headTerminator))
 	if i < 0 {
-		d.searched = len(in) + skipped
+		d.searchedBytes = len(in) + skipped
 		return 0, NeedMoreInput, d.checkIncompleteHead(in)
 	}
-	size := from + i + len(headEnd)
-	d.searched = 0
+	size := from + i + len(headTerminator)
+	d.searchedBytes = 0
 	if size > d.Limits.HeadBytes {
 		return 0, NeedMoreInput, errHeaderTooLarge("header over the limit")
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	header := make(Header, 0, initialFields)
+	header := make(Header, 0, initialFieldCapacity)
 	for text != "" {
 		if line, text, err = cutLine(text); err != nil {
 			return err
@@ -92,7 +92,7 @@
 		header = append(header, field)
 	}
 	d.Head.Header = header
-	return d.setFraming()
+	return d.determineFraming()
 }
 
 // cutLine cuts one line, without its end, off the front of s. A bare carriage return or line feed is rejected.
@@ -102,7 +102,7 @@
 		if strings.IndexByte(s, '\n') >= 0 {
 			return "", "", errBareLineFeed()
 		}
-		return "", "", badRequest("line without end")
+		return "", "", errBadRequest("line without end")
 	}
 	if strings.IndexByte(s[:end], '\n') >= 0 {
 		return "", "", errBareLineFeed()
@@ -116,7 +116,7 @@
 func (d *Decoder) parseRequestLine(line string) *Error {
 	methodEnd := tokenLength(line)
 	if methodEnd == 0 || methodEnd >= len(line) || line[methodEnd] != ' ' {
-		return badRequest("no method in the request line")
+		return errBadRequest("no method in the request line")
 	}
 	rest := line[methodEnd+1:]
 	targetEnd := 0
@@ -124,18 +124,18 @@
 		targetEnd++
 	}
 	if targetEnd == 0 || targetEnd >= len(rest) || rest[targetEnd] != ' ' {
-		return badRequest("no target in the request line")
+		return errBadRequest("no target in the request line")
 	}
 	d.Head.Method = line[:methodEnd]
 	d.Head.Target = rest[:targetEnd]
-	if !isTarget(d.Head.Method, d.Head.Target) {
-		return badRequest("target is neither a path nor a URL")
+	if !isRequestTarget(d.Head.Method, d.Head.Target) {
+		return errBadRequest("target is neither a path nor a URL")
 	}
 	return d.parseVersion(rest[targetEnd+1:])
 }
 
 // isTarget reports whether a request target has one of the forms of RFC 9112, 3.2.
-func isTarget(method, target string) bool {
+func isRequestTarget(method, target string) bool {
 	if target[0] == '/' || target == "*" || method == "CONNECT" {
 		return true
 	}
@@ -143,8 +143,8 @@
 }
 
 func (d *Decoder) parseVersion(version string) *Error {
-	if !isVersion(version) {
-		return badRequest("malformed version")
+	if !isHTTPVersion(version) {
+		return errBadRequest("malformed version")
 	}
 	if version[5] != '1' {
 		return &Error{StatusVersionNotSupported, "version not supported"}
@@ -153,45 +153,45 @@
 	return nil
 }
 
-func isVersion(s string) bool {
-	return len(s) == versionLength && s[:5] == "HTTP/" && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
+func isHTTPVersion(s string) bool {
+	return len(s) == versionBytes && s[:5] == "HTTP/" && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
 }
 
 func (d *Decoder) parseStatusLine(line string) *Error {
-	if len(line) < statusLineLength || line[versionLength] != ' ' {
-		return badRequest("malformed status line")
+	if len(line) < minStatusLineBytes || line[versionBytes] != ' ' {
+		return errBadRequest("malformed status line")
 	}
-	if err := d.parseVersion(line[:versionLength]); err != nil {
+	if err := d.parseVersion(line[:versionBytes]); err != nil {
 		return err
 	}
-	for _, c := range []byte(line[versionLength+1 : statusLineLength]) {
+	for _, c := range []byte(line[versionBytes+1 : minStatusLineBytes]) {
 		if !isDigit(c) {
-			return badRequest("malformed status")
+			return errBadRequest("malformed status")
 		}
 		d.Head.Status = d.Head.Status*10 + int(c-'0')
 	}
-	if len(line) > statusLineLength && line[statusLineLength] != ' ' || d.Head.Status < StatusContinue {
-		return badRequest("malformed status")
+	if len(line) > minStatusLineBytes && line[minStatusLineBytes] != ' ' || d.Head.Status < StatusContinue {
+		return errBadRequest("malformed status")
 	}
-	if len(line) > statusLineLength+1 {
-		d.Head.ReasonPhrase = line[statusLineLength+1:]
+	if len(line) > minStatusLineBytes+1 {
+		d.Head.ReasonPhrase = line[minStatusLineBytes+1:]
 	}
 	return nil
 }
 
 // parseField parses a header or trailer field.
 func parseField(line string) (Field, *Error) {
-	if line == "" || isSpace(line[0]) {
-		return Field{}, badRequest("folded header line")
+	if line == "" || isWhitespace(line[0]) {
+		return Field{}, errBadRequest("folded header line")
 	}
 	nameEnd := tokenLength(line)
 	if nameEnd == 0 || nameEnd >= len(line) || line[nameEnd] != ':' {
-		return Field{}, badRequest("malformed header field")
+		return Field{}, errBadRequest("malformed header field")
 	}
 	name := line[:nameEnd]
-	value := trimSpace(line[nameEnd+1:])
-	if hasControl(value) {
-		return Field{}, badRequest("control character in header field %s", name)
+	value := trimWhitespace(line[nameEnd+1:])
+	if hasControlByte(value) {
+		return Field{}, errBadRequest("control character in header field %s", name)
 	}
 	return Field{name, value}, nil
 }
--- a/internal/netio/http1/header.go
+++ b/internal/netio/http1/header.go
@@ -56,7 +56,7 @@
 		for end < len(s) && s[end] != ',' {
 			end++
 		}
-		if element := trimSpace(s[:end]); element != "" {
+		if element := trimWhitespace(s[:end]); element != "" {
 			elements = append(elements, element)
 		}
 		if end == len(s) {
@@ -68,19 +68,19 @@
 }
 
 // trimSpace removes the white space of HTTP, spaces and tabs, from both ends.
-func trimSpace(s string) string {
+func trimWhitespace(s string) string {
 	start := 0
 	end := len(s)
-	for start < end && isSpace(s[start]) {
+	for start < end && isWhitespace(s[start]) {
 		start++
 	}
-	for end > start && isSpace(s[end-1]) {
+	for end > start && isWhitespace(s[end-1]) {
 		end--
 	}
 	return s[start:end]
 }
 
-func isSpace(c byte) bool { return c == ' ' || c == '\t' }
+func isWhitespace(c byte) bool { return c == ' ' || c == '\t' }
 
 // isControlByte holds the bytes that may not stand in a field value or chunk extension.
 var isControlByte = func() (table [256]bool) {
@@ -92,7 +92,7 @@
 }()
 
 // hasControl reports whether a field value or chunk extension has a byte that may not stand there.
-func hasControl[text string | []byte](s text) bool {
+func hasControlByte[text string | []byte](s text) bool {
 	for i := 0; i < len(s); i++ {
 		if isControlByte[s[i]] {
 			return true
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -12,13 +12,13 @@
 )
 
 // message is what a decoder made of a stream.
-type message struct {
+type decodedMessage struct {
 	head Head
 	body []byte
 }
 
 // decodeAll feeds a stream in pieces of the given size and returns the complete messages and the error that ended it.
-func decodeAll(decoder *Decoder, stream []byte, piece int) (messages []message, err error) {
+func decodeAll(decoder *Decoder, stream []byte, piece int) (messages []decodedMessage, err error) {
 	var pending, body []byte
 	for len(stream) > 0 || len(pending) > 0 {
 		added := min(piece, len(stream))
@@ -35,7 +35,7 @@
 			case BodyData:
 				body = append(body, decoder.BodyPiece...)
 			case MessageComplete:
-				messages = append(messages, message{decoder.Head, body})
+				messages = append(messages, decodedMessage{decoder.Head, body})
 				body = nil
 			}
 		}
@@ -45,7 +45,7 @@
 	}
 	complete, err := decoder.EOF(len(pending))
 	if complete {
-		messages = append(messages, message{decoder.Head, body})
+		messages = append(messages, decodedMessage{decoder.Head, body})
 	}
 	return messages, err
 }
@@ -152,7 +152,7 @@
 // rejectedOnlyHere reports whether this decoder may reject what net/http accepts. Each difference is wanted:
 // net/http accepts bare line feeds, equal lengths given twice, a space before the first header's colon in no case but trims
 // others, targets that are no path, and has other limits.
-func rejectedOnlyHere(in []byte) bool {
+func mayRejectUnlikeNetHTTP(in []byte) bool {
 	text := string(in)
 	for i := range len(text) {
 		if text[i] == '\n' && (i == 0 || text[i-1] != '\r') {
@@ -195,7 +195,7 @@
 			body, err = io.ReadAll(req.Body)
 		}
 		if err != nil {
-			if !acceptedOnlyHere(in) {
+			if !mayAcceptUnlikeNetHTTP(in) {
 				t.Fatalf("accepted here, rejected by net/http: %v", err)
 			}
 			return
@@ -209,7 +209,7 @@
 // acceptedOnlyHere reports whether a request is of a kind that is accepted here though net/http rejects it: a target whose
 // escapes are malformed (the API responds with 400 itself), host values that are no host, a minor version over one, and
 // trailer fields that net/http forbids.
-func acceptedOnlyHere(in []byte) bool {
+func mayAcceptUnlikeNetHTTP(in []byte) bool {
 	line, rest, _ := strings.Cut(string(in), "\r\n")
 	for line == "" && rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
@@ -246,7 +246,7 @@
 		switch {
 		case test.status == 0 && err != nil && !strings.HasPrefix(test.in, "\r\n"):
 			t.Errorf("%s: accepted here, net/http says %v", test.name, err)
-		case test.status != 0 && err == nil && !limit && !rejectedOnlyHere([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
+		case test.status != 0 && err == nil && !limit && !mayRejectUnlikeNetHTTP([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
 			t.Errorf("%s: rejected here, accepted by net/http, and not among the differences", test.name)
 		}
 	}
--- a/internal/netio/http1/limits.go
+++ b/internal/netio/http1/limits.go
@@ -34,7 +34,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
-func badRequest(format string, args ...any) *Error {
+func errBadRequest(format string, args ...any) *Error {
 	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
@@ -44,6 +44,6 @@
 
 func errHeaderTooLarge(reason string) *Error { return &Error{StatusHeaderFieldsTooLarge, reason} }
 
-func errBareLineFeed() *Error { return badRequest("line feed without carriage return") }
+func errBareLineFeed() *Error { return errBadRequest("line feed without carriage return") }
 
-func errBareCarriageReturn() *Error { return badRequest("carriage return without line feed") }
+func errBareCarriageReturn() *Error { return errBadRequest("carriage return without line feed") }
--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -19,13 +19,13 @@
 	// AvoidUnknownOutcome says that it is costly not to know whether the request has been read: see package connpool.
 	AvoidUnknownOutcome bool
 
-	client      *Client
-	request     []byte
-	conn        *conn // nil while the call waits for one
-	timer       *eventloop.Timer
-	finished    bool
-	headRequest bool // the method is HEAD
-	body        []byte
+	client       *Client
+	request      []byte
+	conn         *conn // nil while the call waits for one
+	timeoutTimer *eventloop.Timer
+	finished     bool
+	isHEAD       bool // the method is HEAD
+	responseBody []byte
 }
 
 // Cancel ends the call; OnDone gets ErrCancelled.
@@ -36,7 +36,7 @@
 		return
 	}
 	connection := call.conn
-	if connection == nil || !connection.connected {
+	if connection == nil || !connection.established {
 		err = &ConnectError{err}
 	}
 	call.finish(nil, nil, err)
@@ -50,6 +50,6 @@
 		return
 	}
 	call.finished = true
-	call.timer.Stop()
+	call.timeoutTimer.Stop()
 	call.OnDone(head, body, err)
 }
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	defaultConnectTimeout = time.Second
-	defaultMaxBody        = 64 << 20 // bytes of a response
-	requestHeadSize       = 256      // bytes for which there is space in a request at first, beside its body
+	defaultConnectTimeout       = time.Second
+	defaultMaxResponseBodyBytes = 64 << 20 // bytes of a response
+	requestHeadCapacity         = 256      // bytes for which there is space in a request at first, beside its body
 )
 
 var (
@@ -41,18 +41,18 @@
 	PoolPolicy     connpool.Policy
 	ResponseLimits http1.Limits // of a response
 
-	loop      *eventloop.Loop
-	addr      string
-	idle      []*conn
-	idleAges  []time.Duration // scratch space of chooseConn
-	openConns int             // without those of streams
-	waiting   []*Call         // for a connection
+	loop            *eventloop.Loop
+	addr            string
+	idleConns       []*conn
+	idleAges        []time.Duration // scratch space of chooseConn
+	openSharedConns int             // without those of streams
+	waitingCalls    []*Call         // for a connection
 }
 
 // New returns a client for the server at a literal address.
 func New(loop *eventloop.Loop, addr string) *Client {
 	limits := http1.DefaultLimits()
-	limits.BodyBytes = defaultMaxBody
+	limits.BodyBytes = defaultMaxResponseBodyBytes
 	return &Client{
 		loop:           loop,
 		addr:           addr,
@@ -68,12 +68,12 @@
 // Do sends a request. If timeout is not zero it bounds the whole call. The call is returned.
 func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeout time.Duration, call *Call) *Call {
 	call.client = c
-	call.request = c.appendRequest(make([]byte, 0, requestHeadSize+len(body)), method, target, header, body)
-	call.headRequest = method == "HEAD"
+	call.request = c.appendRequest(make([]byte, 0, requestHeadCapacity+len(body)), method, target, header, body)
+	call.isHEAD = method == "HEAD"
 	if timeout > 0 {
-		call.timer = c.loop.After(timeout, func() { call.abort(ErrTimeout) })
+		call.timeoutTimer = c.loop.After(timeout, func() { call.abort(ErrTimeout) })
 	}
-	c.start(call)
+	c.assignConn(call)
 	return call
 }
 
@@ -95,17 +95,17 @@
 }
 
 // start sends a call on an idle connection or a new one, or has it wait for one. A stream gets a connection of its own.
-func (c *Client) start(call *Call) {
+func (c *Client) assignConn(call *Call) {
 	if call.OnBodyData != nil {
 		c.dial(call)
 		return
 	}
 	switch decision, chosen := c.chooseConn(call); decision {
 	case connpool.UseIdle:
-		c.removeIdle(chosen)
+		c.removeIdleConn(chosen)
 		chosen.send(call)
 	case connpool.Wait:
-		c.waiting = append(c.waiting, call)
+		c.waitingCalls = append(c.waitingCalls, call)
 	case connpool.ReplaceIdle:
 		chosen.transport.Close()
 		c.dial(call)
@@ -117,18 +117,18 @@
 // chooseConn asks the pool's policy for a connection and closes those that it finds stale.
 func (c *Client) chooseConn(call *Call) (connpool.Action, *conn) {
 	c.idleAges = c.idleAges[:0]
-	for _, connection := range c.idle {
+	for _, connection := range c.idleConns {
 		c.idleAges = append(c.idleAges, c.loop.Now().Sub(connection.idleSince))
 	}
-	decision := c.PoolPolicy.Choose(c.idleAges, c.openConns, call.AvoidUnknownOutcome)
+	decision := c.PoolPolicy.Choose(c.idleAges, c.openSharedConns, call.AvoidUnknownOutcome)
 	var chosen *conn
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
-		chosen = c.idle[decision.Index]
+		chosen = c.idleConns[decision.Index]
 	}
 	// Closing one changes c.idle, to which the indices refer.
 	stale := make([]*conn, 0, len(decision.Stale))
 	for _, i := range decision.Stale {
-		stale = append(stale, c.idle[i])
+		stale = append(stale, c.idleConns[i])
 	}
 	for _, connection := range stale {
 		connection.transport.Close()
@@ -139,21 +139,21 @@
 // dial opens a connection for a call.
 func (c *Client) dial(call *Call) {
 	connection := &conn{
-		client:    c,
-		call:      call,
-		streaming: call.OnBodyData != nil,
-		decoder:   http1.Decoder{Limits: c.ResponseLimits, DecodeResponses: true, ResponseHasNoBody: call.headRequest},
+		client:            c,
+		call:              call,
+		dedicatedToStream: call.OnBodyData != nil,
+		decoder:           http1.Decoder{Limits: c.ResponseLimits, DecodeResponses: true, ResponseHasNoBody: call.isHEAD},
 	}
-	if connection.streaming {
+	if connection.dedicatedToStream {
 		connection.decoder.Limits.BodyBytes = 0
 	} else {
-		c.openConns++
+		c.openSharedConns++
 	}
 	call.conn = connection
 	transport, err := c.loop.Dial(c.addr, c.ConnectTimeout, connection)
 	if err != nil {
-		if !connection.streaming {
-			c.openConns--
+		if !connection.dedicatedToStream {
+			c.openSharedConns--
 		}
 		call.conn = nil
 		// Later, so that no caller is called back before Do returns.
@@ -164,37 +164,37 @@
 }
 
 // runNext starts the first call that waits, on the given free connection or, if that is nil, on any.
-func (c *Client) runNext(free *conn) {
-	for len(c.waiting) > 0 {
-		call := c.waiting[0]
-		c.waiting = c.waiting[1:]
+func (c *Client) startNextWaitingCall(free *conn) {
+	for len(c.waitingCalls) > 0 {
+		call := c.waitingCalls[0]
+		c.waitingCalls = c.waitingCalls[1:]
 		if call.finished {
 			continue
 		}
 		if free != nil {
 			free.send(call)
 		} else {
-			c.start(call)
+			c.assignConn(call)
 		}
 		return
 	}
 	if free != nil {
-		c.idle = append(c.idle, free)
+		c.idleConns = append(c.idleConns, free)
 	}
 }
 
 // removeIdle removes a connection from the idle ones.
-func (c *Client) removeIdle(connection *conn) {
-	if i := slices.Index(c.idle, connection); i >= 0 {
-		c.idle = slices.Delete(c.idle, i, i+1)
+func (c *Client) removeIdleConn(connection *conn) {
+	if i := slices.Index(c.idleConns, connection); i >= 0 {
+		c.idleConns = slices.Delete(c.idleConns, i, i+1)
 	}
 }
 
 // Close closes idle connections and fails the calls that wait for one.
 func (c *Client) Close() {
 	c.CloseIdle()
-	waiting := c.waiting
-	c.waiting = nil
+	waiting := c.waitingCalls
+	c.waitingCalls = nil
 	for _, call := range waiting {
 		call.finish(nil, nil, &ConnectError{ErrCancelled})
 	}
@@ -202,8 +202,8 @@
 
 // CloseIdle closes idle connections.
 func (c *Client) CloseIdle() {
-	idle := c.idle
-	c.idle = nil
+	idle := c.idleConns
+	c.idleConns = nil
 	for _, connection := range idle {
 		connection.transport.Close()
 	}
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -12,27 +12,27 @@
 
 // conn is one connection to the server. It carries one call at a time.
 type conn struct {
-	client    *Client
-	transport *eventloop.Conn
-	decoder   http1.Decoder
-	call      *Call // nil if it is idle
-	connected bool
-	streaming bool // it is the connection of a stream and carries no other call
-	idleSince clock.Instant
+	client            *Client
+	transport         *eventloop.Conn
+	decoder           http1.Decoder
+	call              *Call // nil if it is idle
+	established       bool
+	dedicatedToStream bool // it is the connection of a stream and carries no other call
+	idleSince         clock.Instant
 }
 
 // send sends a call's request on an established connection.
 func (c *conn) send(call *Call) {
 	call.conn = c
 	c.call = call
-	c.decoder.ResponseHasNoBody = call.headRequest
+	c.decoder.ResponseHasNoBody = call.isHEAD
 	c.transport.Write(call.request)
 }
 
 // Opened implements eventloop.Handler.
 func (c *conn) Opened(transport *eventloop.Conn) {
 	c.transport = transport
-	c.connected = true
+	c.established = true
 	if c.call == nil || c.call.finished {
 		transport.Close()
 		return
@@ -61,7 +61,7 @@
 		if kind == http1.NeedMoreInput {
 			return consumed
 		}
-		c.handleDecoded(kind)
+		c.handleDecoderEvent(kind)
 		if transport.Closed() {
 			return consumed
 		}
@@ -69,7 +69,7 @@
 }
 
 // handleDecoded handles a part of a response that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Event) {
+func (c *conn) handleDecoderEvent(kind http1.Event) {
 	call := c.call
 	head := &c.decoder.Head
 	switch kind {
@@ -81,7 +81,7 @@
 		if call.OnBodyData != nil && http1.IsSuccess(head.Status) {
 			call.OnBodyData(c.decoder.BodyPiece)
 		} else {
-			call.body = append(call.body, c.decoder.BodyPiece...)
+			call.responseBody = append(call.responseBody, c.decoder.BodyPiece...)
 		}
 	case http1.MessageComplete:
 		if !isInterim(head) {
@@ -97,8 +97,8 @@
 func (c *conn) completeCall() {
 	call := c.call
 	c.call = nil
-	keep := !c.decoder.Head.CloseConnection && !c.streaming
-	call.finish(&c.decoder.Head, call.body, nil)
+	keep := !c.decoder.Head.CloseConnection && !c.dedicatedToStream
+	call.finish(&c.decoder.Head, call.responseBody, nil)
 	if c.transport.Closed() {
 		return
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	c.idleSince = c.client.loop.Now()
-	c.client.runNext(c)
+	c.client.startNextWaitingCall(c)
 }
 
 // Drained implements eventloop.Handler.
@@ -115,26 +115,26 @@
 
 // Closed implements eventloop.Handler.
 func (c *conn) Closed(_ *eventloop.Conn, err error) {
-	if !c.streaming {
-		c.client.openConns--
+	if !c.dedicatedToStream {
+		c.client.openSharedConns--
 	}
-	c.client.removeIdle(c)
+	c.client.removeIdleConn(c)
 	if call := c.call; call != nil {
 		c.call = nil
-		c.failCall(call, err)
+		c.finishCallOnClose(call, err)
 	}
-	c.client.runNext(nil)
+	c.client.startNextWaitingCall(nil)
 }
 
 // failCall finishes a call whose connection has ended, which may be how its response ends.
-func (c *conn) failCall(call *Call, err error) {
-	if !c.connected {
+func (c *conn) finishCallOnClose(call *Call, err error) {
+	if !c.established {
 		call.finish(nil, nil, &ConnectError{err})
 		return
 	}
 	complete, eofErr := c.decoder.EOF(0)
 	if complete && eofErr == nil && !call.finished {
-		call.finish(&c.decoder.Head, call.body, nil)
+		call.finish(&c.decoder.Head, call.responseBody, nil)
 		return
 	}
 	call.finish(nil, nil, fmt.Errorf("response from %s: connection broke: %w", c.client.addr, err))
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -19,7 +19,7 @@
 const testTimeout = 10 * time.Second
 
 // result is what a call's Done got.
-type result struct {
+type callResult struct {
 	status int
 	body   string
 	err    error
@@ -40,7 +40,7 @@
 
 // startRaw starts a server that sends each connection the same bytes after a request, and then ends it unless it is to stay
 // open. It returns its address.
-func startRaw(t *testing.T, response string, staysOpen bool) string {
+func startFixedResponseServer(t *testing.T, response string, staysOpen bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,13 +57,13 @@
 			if err != nil {
 				return // the listener is closed
 			}
-			go serveRaw(conn, response, staysOpen)
+			go serveFixedResponse(conn, response, staysOpen)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func serveRaw(conn net.Conn, response string, staysOpen bool) {
+func serveFixedResponse(conn net.Conn, response string, staysOpen bool) {
 	defer func() { _ = conn.Close() }() // the client may have closed it already
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		return
@@ -77,11 +77,11 @@
 }
 
 // do makes a call on the loop and returns what its Done gets.
-func do(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) result {
+func doAndWait(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) callResult {
 	t.Helper()
-	results := make(chan result, 2)
+	results := make(chan callResult, 2)
 	call := &Call{OnDone: func(head *http1.Head, body []byte, err error) {
-		got := result{body: string(body), err: err}
+		got := callResult{body: string(body), err: err}
 		if head != nil {
 			got.status = head.Status
 		}
@@ -98,7 +98,7 @@
 		return got
 	case <-time.After(testTimeout):
 		t.Fatal("no result")
-		return result{}
+		return callResult{}
 	}
 }
 
@@ -121,7 +121,7 @@
 		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: ": http: malformed status"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := do(t, loop, startRaw(t, test.response, test.staysOpen), test.method, 5*time.Second, nil)
+			got := doAndWait(t, loop, startFixedResponseServer(t, test.response, test.staysOpen), test.method, 5*time.Second, nil)
 			if test.wantErr != "" {
 				var connectError *ConnectError
 				if got.err == nil || !strings.Contains(got.err.Error(), test.wantErr) || errors.As(got.err, &connectError) {
@@ -141,14 +141,14 @@
 	loop := looptest.Start(t)
 	var pieces strings.Builder
 	started := 0
-	addr := startRaw(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", true)
-	results := make(chan result, 1)
+	addr := startFixedResponseServer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", true)
+	results := make(chan callResult, 1)
 	loop.Post(func() {
 		New(loop, addr).Do("GET", "/", nil, nil, 0, &Call{
 			OnResponseHead: func(head *http1.Head) { started = head.Status },
 			OnBodyData:     func(b []byte) { pieces.Write(b) },
 			OnDone: func(_ *http1.Head, body []byte, err error) {
-				results <- result{started, pieces.String() + string(body), err}
+				results <- callResult{started, pieces.String() + string(body), err}
 			},
 		})
 	})
@@ -161,7 +161,7 @@
 func TestErrors(t *testing.T) {
 	loop := looptest.Start(t)
 	unused := unusedAddress(t)
-	silent := startRaw(t, "", true)
+	silent := startFixedResponseServer(t, "", true)
 	cancelAfter := func(d time.Duration) func(*Call) {
 		return func(call *Call) { loop.After(d, call.Cancel) }
 	}
@@ -179,7 +179,7 @@
 		{name: "timeout", addr: silent, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := do(t, loop, test.addr, "GET", test.timeout, test.prepare)
+			got := doAndWait(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
 				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, test.neverSent)
@@ -194,7 +194,7 @@
 // Calls beyond the pool's limit wait for a connection, and Close fails those that still wait.
 func TestCloseFailsWaitingCalls(t *testing.T) {
 	loop := looptest.Start(t)
-	addr := startRaw(t, "", true)
+	addr := startFixedResponseServer(t, "", true)
 	const calls = 40
 	results := make(chan error, calls)
 	loop.Post(func() {
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -76,7 +76,7 @@
 				done := make(chan error, conns)
 				for i := range conns {
 					count := (b.N/depth + conns - 1 - i) / conns
-					go func() { done <- exchangeRequests(addr, request, count, depth) }()
+					go func() { done <- sendPipelinedRequests(addr, request, count, depth) }()
 				}
 				for range conns {
 					if err := <-done; err != nil {
@@ -89,7 +89,7 @@
 }
 
 // exchangeRequests opens a connection, sends the request so many times and reads depth responses to each.
-func exchangeRequests(addr string, request []byte, count, depth int) error {
+func sendPipelinedRequests(addr string, request []byte, count, depth int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 			return errors.Join(err, conn.Close())
 		}
 		for range depth {
-			if err := skipResponse(reader); err != nil {
+			if err := discardResponse(reader); err != nil {
 				return errors.Join(err, conn.Close())
 			}
 		}
@@ -109,7 +109,7 @@
 }
 
 // skipResponse reads one answer without allocating, so that the client weighs the same on both.
-func skipResponse(reader *bufio.Reader) error {
+func discardResponse(reader *bufio.Reader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	minTimer    = 50 * time.Millisecond // between two looks at a connection's time limits
-	inputSlack  = 64 << 10              // bytes that may wait unread beyond a head
-	maxKeptBody = 4 << 10               // bytes of a body's buffer that is kept for the next request
+	minTimerDelay           = 50 * time.Millisecond // between two looks at a connection's time limits
+	maxUnreadBytesAfterHead = 64 << 10              // bytes that may wait unread beyond a head
+	maxKeptBodyBytes        = 4 << 10               // bytes of a body's buffer that is kept for the next request
 )
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // conn is one connection. It responds to one request at a time, in order.
 type conn struct {
-	server    *Server
-	id        uint64
-	transport *eventloop.Conn
-	decoder   http1.Decoder
-	state     connState
-	exchange  Exchange // the present request and its response; reused for the next
-	timer     *eventloop.Timer
+	server        *Server
+	id            uint64
+	transport     *eventloop.Conn
+	decoder       http1.Decoder
+	state         connState
+	exchange      Exchange // the present request and its response; reused for the next
+	deadlineTimer *eventloop.Timer
 
 	requestStartedAt   clock.Instant // at which the first byte of the request that is being read came
 	lastProgressAt     clock.Instant // at which the peer last took or sent something
@@ -39,20 +39,20 @@
 	s := c.server
 	c.transport = transport
 	c.lastProgressAt = s.loop.Now()
-	transport.MaxInputBytes = s.options.Limits.HeadBytes + inputSlack
+	transport.MaxInputBytes = s.options.Limits.HeadBytes + maxUnreadBytesAfterHead
 	s.conns[c] = struct{}{}
 	s.lastConnID++
 	c.id = s.lastConnID
 	s.connsByID[c.id] = c
-	s.memory.Add(c.lastProgressAt, c.id)
+	s.memoryQuota.Add(c.lastProgressAt, c.id)
 	c.armTimer()
 }
 
 // Data implements eventloop.Handler.
 func (c *conn) Data(transport *eventloop.Conn, input []byte) int {
-	consumed := c.consume(input)
+	consumed := c.readRequests(input)
 	if !transport.Closed() {
-		c.updateMemory()
+		c.reportMemoryUse()
 	}
 	return consumed
 }
@@ -61,20 +61,20 @@
 func (c *conn) Drained(*eventloop.Conn) {
 	c.lastProgressAt = c.server.loop.Now()
 	c.pullStream()
-	if !c.state.hasExchange() && c.state != stateEnded {
+	if !c.state.hasUnfinishedExchange() && c.state != stateEnded {
 		c.transport.SetReadPaused(false)
 	}
-	c.updateMemory()
+	c.reportMemoryUse()
 }
 
 // Closed implements eventloop.Handler. The reason of the end makes no difference to a request.
 func (c *conn) Closed(*eventloop.Conn, error) {
 	s := c.server
-	c.timer.Stop()
-	s.memory.Remove(c.id)
+	c.deadlineTimer.Stop()
+	s.memoryQuota.Remove(c.id)
 	delete(s.connsByID, c.id)
 	delete(s.conns, c)
-	delete(s.streams, c)
+	delete(s.streamingConns, c)
 	c.closeStream()
 	unanswered := c.state == stateHandling
 	if c.state != stateEnded {
@@ -86,9 +86,9 @@
 }
 
 // consume reads requests from input, has them handled, and returns how many bytes it consumed.
-func (c *conn) consume(input []byte) int {
+func (c *conn) readRequests(input []byte) int {
 	consumed := 0
-	for c.state.readsRequest() {
+	for c.state.acceptsRequestBytes() {
 		if c.state == stateIdle {
 			if c.transport.UnsentBytes() > c.server.options.OutputHighWaterMark {
 				// The peer sends requests faster than it reads the responses: the next one waits until these have gone out.
@@ -111,7 +111,7 @@
 			c.shortenTimer(c.server.options.RequestTimeout)
 			return consumed
 		}
-		c.handleDecoded(kind)
+		c.handleDecoderEvent(kind)
 		if c.transport.Closed() {
 			return consumed
 		}
@@ -126,24 +126,24 @@
 }
 
 // handleDecoded handles a part of a request that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Event) {
+func (c *conn) handleDecoderEvent(kind http1.Event) {
 	e := &c.exchange
 	switch kind {
 	case http1.HeadComplete:
 		c.setState(stateReadingBody)
-		*e = Exchange{conn: c, body: e.body[:0]}
+		*e = Exchange{conn: c, bodyBuffer: e.bodyBuffer[:0]}
 		e.Head = &c.decoder.Head
 		e.Peer = c.transport.Peer()
 		if e.Head.ExpectContinue {
 			c.transport.Write([]byte(continueResponse))
 		}
 	case http1.BodyData:
-		e.body = append(e.body, c.decoder.BodyPiece...)
+		e.bodyBuffer = append(e.bodyBuffer, c.decoder.BodyPiece...)
 	case http1.MessageComplete:
 		c.setState(stateHandling)
 		c.lastProgressAt = c.server.loop.Now()
 		c.closeAfterResponse = e.Head.CloseConnection
-		e.Body = e.body
+		e.Body = e.bodyBuffer
 		c.server.Requests++
 		c.server.handler(e)
 	}
@@ -168,7 +168,7 @@
 }
 
 // nextRequest makes the connection ready for another request, or closes it if there is to be none.
-func (c *conn) nextRequest() {
+func (c *conn) prepareForNextRequest() {
 	c.lastProgressAt = c.server.loop.Now()
 	if c.closeAfterResponse {
 		c.setState(stateEnded)
@@ -176,8 +176,8 @@
 		return
 	}
 	c.setState(stateIdle)
-	if cap(c.exchange.body) > maxKeptBody {
-		c.exchange.body = nil
+	if cap(c.exchange.bodyBuffer) > maxKeptBodyBytes {
+		c.exchange.bodyBuffer = nil
 	}
 	if c.transport.UnsentBytes() <= c.server.options.OutputHighWaterMark {
 		c.transport.SetReadPaused(false)
@@ -186,20 +186,20 @@
 }
 
 // updateMemory tells the quota what the connection holds and closes the connections that are over it.
-func (c *conn) updateMemory() {
+func (c *conn) reportMemoryUse() {
 	if c.transport.Closed() {
 		return
 	}
 	s := c.server
-	held := c.transport.BufferMemoryBytes() + cap(c.exchange.body)
-	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
+	held := c.transport.BufferMemoryBytes() + cap(c.exchange.bodyBuffer)
+	s.memoryQuota.SetUsed(s.loop.Now(), c.id, int64(held))
 	s.evictOverQuota()
 }
 
 // armTimer sets the connection's one timer for the time limit that now holds. It is set anew when it fires.
 func (c *conn) armTimer() {
 	loop := c.server.loop
-	c.timer = loop.At(max(c.deadline(), loop.Now().Add(minTimer)), func() {
+	c.deadlineTimer = loop.At(max(c.deadline(), loop.Now().Add(minTimerDelay)), func() {
 		c.checkDeadline()
 		if !c.transport.Closed() {
 			c.armTimer()
@@ -209,8 +209,8 @@
 
 // shortenTimer sets the timer anew if it would fire later than after the limit.
 func (c *conn) shortenTimer(limit time.Duration) {
-	if c.timer.Due() > c.server.loop.Now().Add(limit) {
-		c.timer.Stop()
+	if c.deadlineTimer.Due() > c.server.loop.Now().Add(limit) {
+		c.deadlineTimer.Stop()
 		c.armTimer()
 	}
 }
@@ -219,11 +219,11 @@
 func (c *conn) deadline() clock.Instant {
 	options := &c.server.options
 	switch {
-	case c.state.inRequest():
+	case c.state.isReceivingRequest():
 		return c.requestStartedAt.Add(options.RequestTimeout)
 	case c.transport.UnsentBytes() > 0:
 		return c.lastProgressAt.Add(options.WriteTimeout)
-	case c.state.awaitsResponse():
+	case c.state.awaitsResponseEnd():
 		// No limit holds; look again by the time that output may have come to wait.
 		return c.server.loop.Now().Add(options.WriteTimeout)
 	}
@@ -236,7 +236,7 @@
 	options := &c.server.options
 	buffered := c.transport.UnsentBytes()
 	switch {
-	case c.state.inRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
+	case c.state.isReceivingRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
 		c.rejectRequest(&http1.Error{Status: http1.StatusRequestTimeout, Reason: "request took too long"})
 	case buffered > 0 && now >= c.lastProgressAt.Add(options.WriteTimeout):
 		c.transport.Close()
@@ -247,5 +247,5 @@
 
 // isIdle reports whether there is neither a request nor a response, nor output that waits.
 func (c *conn) isIdle() bool {
-	return !c.state.inRequest() && !c.state.awaitsResponse() && c.transport.UnsentBytes() == 0
+	return !c.state.isReceivingRequest() && !c.state.awaitsResponseEnd() && c.transport.UnsentBytes() == 0
 }
--- a/internal/netio/httpd/conn_state.go
+++ b/internal/netio/httpd/conn_state.go
@@ -36,18 +36,18 @@
 }
 
 // readsRequest reports whether bytes received belong to the present request or begin one.
-func (s connState) readsRequest() bool { return s <= stateReadingBody }
+func (s connState) acceptsRequestBytes() bool { return s <= stateReadingBody }
 
 // inRequest reports whether a request has begun and is not complete.
-func (s connState) inRequest() bool { return s == stateReadingHead || s == stateReadingBody }
+func (s connState) isReceivingRequest() bool { return s == stateReadingHead || s == stateReadingBody }
 
 // hasExchange reports whether the head of a request has come whose response is not complete.
-func (s connState) hasExchange() bool {
+func (s connState) hasUnfinishedExchange() bool {
 	return s == stateReadingBody || s == stateHandling || s == stateResponding
 }
 
 // awaitsResponse reports whether the request is complete and its response is not.
-func (s connState) awaitsResponse() bool { return s == stateHandling || s == stateResponding }
+func (s connState) awaitsResponseEnd() bool { return s == stateHandling || s == stateResponding }
 
 // setState is the only place where a connection's state changes. An illegal transition is a fault of this package: it is counted and the
 // state stays, since ending the program would end every other connection too.
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -10,9 +10,9 @@
 	// OnDisconnect, if set, is called when the connection ends before the response.
 	OnDisconnect func()
 
-	conn   *conn
-	body   []byte       // the request's, with its memory reused
-	stream http1.Stream // the rest of the response; nil if there is none
+	conn           *conn
+	bodyBuffer     []byte       // the request's, with its memory reused
+	responseStream http1.Stream // the rest of the response; nil if there is none
 }
 
 // Finished reports whether a response is no longer of use: there has been one, or the connection has ended.
@@ -48,9 +48,9 @@
 }
 
 // chunked reports whether a stream goes out in chunks. HTTP/1.0 knows none: there the body ends with the connection.
-func (e *Exchange) chunked() bool { return e.Head.MinorVersion > 0 }
+func (e *Exchange) usesChunks() bool { return e.Head.MinorVersion > 0 }
 
-func (e *Exchange) isHead() bool { return e.Head.Method == "HEAD" }
+func (e *Exchange) isHEADRequest() bool { return e.Head.Method == "HEAD" }
 
 // appendHead appends the status line and the fields of a response, without those of the body's length.
 func (e *Exchange) appendHead(out []byte, response *http1.Response) []byte {
@@ -72,35 +72,35 @@
 		out = http1.AppendContentLength(out, len(response.Body))
 	}
 	out = append(out, "\r\n"...)
-	if !e.isHead() {
+	if !e.isHEADRequest() {
 		out = append(out, response.Body...)
 	}
 	c.transport.CommitOutput(out)
 	c.shortenTimer(c.server.options.WriteTimeout)
-	c.updateMemory()
+	c.reportMemoryUse()
 	if !c.transport.Closed() {
-		c.nextRequest()
+		c.prepareForNextRequest()
 	}
 }
 
 // respondStream sends the head of a response whose body is a stream, and begins to pull the stream.
 func (e *Exchange) respondStream(response *http1.Response) {
 	c := e.conn
-	if !e.chunked() {
+	if !e.usesChunks() {
 		c.closeAfterResponse = true
 	}
 	out := e.appendHead(c.transport.OutputBuffer(), response)
-	if e.chunked() {
+	if e.usesChunks() {
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
 	}
 	c.transport.CommitOutput(append(out, "\r\n"...))
-	if e.isHead() {
+	if e.isHEADRequest() {
 		response.Stream.Close()
-		c.nextRequest()
+		c.prepareForNextRequest()
 		return
 	}
-	e.stream = response.Stream
-	c.server.streams[c] = struct{}{}
+	e.responseStream = response.Stream
+	c.server.streamingConns[c] = struct{}{}
 	c.shortenTimer(c.server.options.WriteTimeout)
 	c.pullStream()
 }
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -44,18 +44,18 @@
 
 // Server is a set of connections that share a handler. Its methods are for the loop's goroutine.
 type Server struct {
-	loop          *eventloop.Loop
-	options       Options
-	handler       Handler
-	listener      *eventloop.Listener
-	conns         map[*conn]struct{}
-	connsByID     map[uint64]*conn
-	lastConnID    uint64
-	streams       map[*conn]struct{} // connections whose response is a stream that goes on
-	memory        *memquota.Budget
-	draining      bool
-	evicting      bool // connections over the memory quota are being closed
-	pullScheduled bool
+	loop            *eventloop.Loop
+	options         Options
+	handler         Handler
+	listener        *eventloop.Listener
+	conns           map[*conn]struct{}
+	connsByID       map[uint64]*conn
+	lastConnID      uint64
+	streamingConns  map[*conn]struct{} // connections whose response is a stream that goes on
+	memoryQuota     *memquota.Budget
+	draining        bool
+	evictionRunning bool // connections over the memory quota are being closed
+	pullScheduled   bool
 
 	// Requests and BadRequests count for metrics.
 	Requests, BadRequests uint64
@@ -69,13 +69,13 @@
 		options.MemoryQuotaBytes = DefaultOptions().MemoryQuotaBytes
 	}
 	s := &Server{
-		loop:      loop,
-		options:   options,
-		handler:   handler,
-		conns:     map[*conn]struct{}{},
-		connsByID: map[uint64]*conn{},
-		streams:   map[*conn]struct{}{},
-		memory:    memquota.New(options.MemoryQuotaBytes),
+		loop:           loop,
+		options:        options,
+		handler:        handler,
+		conns:          map[*conn]struct{}{},
+		connsByID:      map[uint64]*conn{},
+		streamingConns: map[*conn]struct{}{},
+		memoryQuota:    memquota.New(options.MemoryQuotaBytes),
 	}
 	listener, err := loop.Listen(addr, func(*eventloop.Conn) eventloop.Handler {
 		return &conn{server: s, decoder: http1.Decoder{Limits: options.Limits}}
@@ -94,18 +94,18 @@
 func (s *Server) Conns() int { return len(s.conns) }
 
 // Streams is the number of responses that still go on.
-func (s *Server) Streams() int { return len(s.streams) }
+func (s *Server) Streams() int { return len(s.streamingConns) }
 
 // MemoryQuota is the quota that connections share, to be read between events.
-func (s *Server) MemoryQuota() *memquota.Budget { return s.memory }
+func (s *Server) MemoryQuota() *memquota.Budget { return s.memoryQuota }
 
 // PullStreams pulls every stream whose peer keeps up. Call it when streams may have something new to send.
 func (s *Server) PullStreams() {
-	for c := range s.streams {
+	for c := range s.streamingConns {
 		c.pullStream()
 		// Sent at once: with thousands of streams, the output of all of them would not fit into the quota.
 		c.transport.Flush()
-		c.updateMemory()
+		c.reportMemoryUse()
 	}
 }
 
@@ -126,19 +126,19 @@
 	s.draining = true
 	s.listener.Close()
 	for c := range s.conns {
-		if !c.state.hasExchange() {
+		if !c.state.hasUnfinishedExchange() {
 			c.transport.CloseAfterFlush()
 		}
 	}
-	s.awaitDrained(done)
+	s.pollDrained(done)
 }
 
-func (s *Server) awaitDrained(done func()) {
+func (s *Server) pollDrained(done func()) {
 	if len(s.conns) == 0 {
 		done()
 		return
 	}
-	s.loop.After(drainPollInterval, func() { s.awaitDrained(done) })
+	s.loop.After(drainPollInterval, func() { s.pollDrained(done) })
 }
 
 // Close stops accepting and closes every connection at once.
@@ -157,12 +157,12 @@
 // evictOverQuota closes the connections that the memory quota names. Closing one may write to others, so calls may nest;
 // the outermost does it all.
 func (s *Server) evictOverQuota() {
-	if s.evicting {
+	if s.evictionRunning {
 		return
 	}
-	s.evicting = true
-	for id, over := s.memory.UserToEvict(); over; id, over = s.memory.UserToEvict() {
+	s.evictionRunning = true
+	for id, over := s.memoryQuota.UserToEvict(); over; id, over = s.memoryQuota.UserToEvict() {
 		s.connsByID[id].transport.Close()
 	}
-	s.evicting = false
+	s.evictionRunning = false
 }
--- a/internal/netio/httpd/state_test.go
+++ b/internal/netio/httpd/state_test.go
@@ -17,7 +17,7 @@
 		for to := stateIdle; to <= stateEnded; to++ {
 			follows, ok := next[from]
 			want := ok && (to == follows || to == stateEnded)
-			if got := transitions(t, from, to); got != want {
+			if got := transitionMade(t, from, to); got != want {
 				t.Errorf("from %s to %s: taken %t, want %t", from, to, got, want)
 			}
 		}
@@ -25,7 +25,7 @@
 }
 
 // transitions reports whether a connection goes from one state to another. A transition that it does not make must be counted.
-func transitions(t *testing.T, from, to connState) (taken bool) {
+func transitionMade(t *testing.T, from, to connState) (taken bool) {
 	t.Helper()
 	server := &Server{}
 	connection := &conn{server: server, state: from}
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -5,12 +5,12 @@
 import "heathshed/internal/netio/http1"
 
 // chunkPlaceholder stands before a chunk's data until its size is known.
-const chunkPlaceholder = "00000000\r\n"
+const chunkLinePlaceholder = "00000000\r\n"
 
-const chunkSizeDigits = len(chunkPlaceholder) - len("\r\n")
+const chunkSizeDigits = len(chunkLinePlaceholder) - len("\r\n")
 
 // incompleteStream is a stream that may end without being complete.
-type incompleteStream interface {
+type truncatableStream interface {
 	// Broken reports, after its end, whether it is incomplete.
 	Broken() bool
 }
@@ -19,20 +19,20 @@
 func (c *conn) pullStream() {
 	e := &c.exchange
 	// What goes out at the end of this iteration counts until then.
-	for e.stream != nil && !c.transport.Closed() {
+	for e.responseStream != nil && !c.transport.Closed() {
 		free := c.server.options.OutputHighWaterMark - c.transport.UnsentBytes()
 		if free <= 0 {
 			return
 		}
-		room := min(free, int(c.server.memory.Available(c.id)))
+		room := min(free, int(c.server.memoryQuota.Available(c.id)))
 		if room <= 0 {
 			if c.transport.UnsentBytes() == 0 {
 				c.server.schedulePull()
 			}
 			return
 		}
-		more := c.pullOnce(room)
-		c.updateMemory()
+		more := c.pullStreamOnce(room)
+		c.reportMemoryUse()
 		if !more {
 			return
 		}
@@ -40,21 +40,21 @@
 }
 
 // pullOnce pulls the stream once, for about room bytes, and reports whether there may be more.
-func (c *conn) pullOnce(room int) bool {
+func (c *conn) pullStreamOnce(room int) bool {
 	e := &c.exchange
 	out := c.transport.OutputBuffer()
 	before := len(out)
-	if e.chunked() {
-		out = append(out, chunkPlaceholder...)
+	if e.usesChunks() {
+		out = append(out, chunkLinePlaceholder...)
 	}
 	start := len(out)
-	out, done := e.stream.Pull(out, room)
+	out, done := e.responseStream.Pull(out, room)
 	size := len(out) - start
 	switch {
 	case size == 0:
 		// Nothing came: take the placeholder back without queueing a flush.
 		c.transport.DiscardOutput(out[:before])
-	case e.chunked():
+	case e.usesChunks():
 		putChunkSize(out[before:], size)
 		c.transport.CommitOutput(append(out, "\r\n"...))
 	default:
@@ -79,24 +79,24 @@
 // endStream completes a response whose stream has ended, or closes the connection if the stream is incomplete: the response
 // must not look complete.
 func (c *conn) endStream() {
-	if stream, ok := c.exchange.stream.(incompleteStream); ok && stream.Broken() {
+	if stream, ok := c.exchange.responseStream.(truncatableStream); ok && stream.Broken() {
 		c.transport.Close()
 		return
 	}
-	if c.exchange.chunked() {
+	if c.exchange.usesChunks() {
 		c.transport.Write([]byte(http1.LastChunk))
 	}
-	delete(c.server.streams, c)
+	delete(c.server.streamingConns, c)
 	c.closeStream()
-	c.nextRequest()
+	c.prepareForNextRequest()
 }
 
 // closeStream tells the stream, if any, that it is not pulled any more.
 func (c *conn) closeStream() {
-	stream := c.exchange.stream
+	stream := c.exchange.responseStream
 	if stream == nil {
 		return
 	}
-	c.exchange.stream = nil
+	c.exchange.responseStream = nil
 	stream.Close()
 }
