--- a/internal/netio/sse/sse.go
+++ b/internal/netio/sse/sse.go
@@ -1,8 +1,9 @@
-// Package sse decodes server-sent events (text/event-stream, as the WHATWG HTML specification has them) from pieces of any
-// size.
+// Package sse decodes server-sent events (media type text/event-stream, defined by the WHATWG HTML
+// specification). The input may be split at any byte.
 //
-// It is pure: it takes bytes and gives events, knows neither sockets nor time, and imports nothing of the project. An event
-// that the end of the stream cuts short is never given out.
+// The decoder turns bytes into events without any I/O. It uses neither sockets nor a clock, and the package
+// imports no other package of this module. An event that is still incomplete at the end of the stream is
+// never emitted.
 package sse
 
 import (
@@ -11,51 +12,63 @@
 )
 
 const (
-	// DefaultMaxEventBytes is how many bytes one event may take, its field names included.
+	// DefaultMaxEventBytes is the default limit on the size of one event, including its field names.
 	DefaultMaxEventBytes = 4 << 20
 
-	maxKeptLine     = 64 << 10 // bytes of the line buffer that is kept after an event
-	byteOrderMark   = "\xef\xbb\xbf"
-	defaultType     = "message"
-	commentPrefix   = ':'
-	fieldSeparator  = ":"
-	fieldValueSpace = " " // one is dropped from the front of a value
+	// maxKeptLineBytes is the largest capacity with which the line buffer is kept for the next event.
+	maxKeptLineBytes = 64 << 10
+	byteOrderMark    = "\xef\xbb\xbf"
+	defaultEventType = "message"
+	commentPrefix    = ':'
+	fieldSeparator   = ":"
+	// fieldValuePrefix is removed once from the front of a field value.
+	fieldValuePrefix = " "
 )
 
-// ErrTooLarge ends a stream one of whose events does not end within the limit.
+// ErrTooLarge is returned when an event exceeds the size limit. The decoder cannot continue after it.
 var ErrTooLarge = errors.New("event stream: event too large")
 
-// Event is one message of the stream.
+// Event is one event of the stream.
 type Event struct {
-	LastEventID string // the last that the stream has set; it holds until another is set
-	Type        string // "message" if none was set
-	Data        string
+	// LastEventID is the most recent value of the id field in the stream. Later events keep it until the
+	// field is set again.
+	LastEventID string
+	// Type is the value of the event field, or "message" if the event has no such field.
+	Type string
+	Data string
 }
 
 // Decoder splits a stream into events. The zero value is ready to use.
 type Decoder struct {
-	// MaxEventBytes bounds one event in bytes; 0 is DefaultMaxEventBytes.
+	// MaxEventBytes limits the size of one event. If it is 0, DefaultMaxEventBytes applies.
 	MaxEventBytes int
-	// CommentLines counts the comment lines.
+	// CommentLines counts the comment lines that were decoded.
 	CommentLines uint64
 
-	// Of the stream.
-	bomMatched int  // bytes of a byte order mark so far
-	started    bool // a byte order mark, if any, is behind
-	afterCR    bool // a line feed now belongs to the line end before it
-	lastID     string
-	err        error
+	// The following fields hold for the whole stream.
+
+	// bomBytesMatched counts the bytes of a byte order mark that have been read.
+	bomBytesMatched int
+	// bomChecked reports that the start of the stream has been checked for a byte order mark.
+	bomChecked bool
+	// skipNextLF reports that the last line ended with a carriage return: a line feed that follows belongs
+	// to that line end.
+	skipNextLF  bool
+	lastEventID string
+	err         error
+
+	// The following fields describe the event that is being decoded.
 
-	// Of the present event.
 	line      []byte
 	data      strings.Builder
 	hasData   bool
 	eventType string
-	eventSize int // bytes, without comments
+	// eventBytes is the size of the event so far. Comment lines do not count.
+	eventBytes int
 }
 
-// Write decodes the next piece and calls emit for each event that it completes. Once there is an error, every call returns
-// it.
+// Write decodes the next bytes of the stream and calls emit for each event that they complete. After an
+// error, every further call returns the same error.
 func (d *Decoder) Write(b []byte, emit func(Event)) error {
 	if d.err != nil {
 		return d.err
@@ -65,22 +78,22 @@
 		limit = DefaultMaxEventBytes
 	}
 	for _, c := range b {
-		if !d.started && d.matchByteOrderMark(c) {
+		if !d.bomChecked && d.matchByteOrderMark(c) {
 			continue
 		}
-		if d.afterCR {
-			d.afterCR = false
+		if d.skipNextLF {
+			d.skipNextLF = false
 			if c == '\n' {
 				continue
 			}
 		}
 		if c == '\n' || c == '\r' {
-			d.afterCR = c == '\r'
-			d.endLine(emit)
+			d.skipNextLF = c == '\r'
+			d.processLine(emit)
 			continue
 		}
-		d.eventSize++
-		if d.eventSize > limit {
+		d.eventBytes++
+		if d.eventBytes > limit {
 			d.fail(ErrTooLarge)
 			return d.err
 		}
@@ -89,61 +102,63 @@
 	return nil
 }
 
-// fail ends the stream and releases its buffers.
+// fail records the error that ends decoding and releases the buffers.
 func (d *Decoder) fail(err error) {
 	d.err = err
 	d.line = nil
 	d.data = strings.Builder{}
 }
 
-// matchByteOrderMark reports whether c continues a byte order mark at the very start of the stream, which is skipped. If
-// not, what looked like one is the start of a line.
+// matchByteOrderMark reports whether c continues a byte order mark at the very start of the stream, which
+// is skipped. Otherwise the bytes that matched so far become the start of the first line.
 func (d *Decoder) matchByteOrderMark(c byte) bool {
-	if c == byteOrderMark[d.bomMatched] {
-		d.bomMatched++
-		d.started = d.bomMatched == len(byteOrderMark)
+	if c == byteOrderMark[d.bomBytesMatched] {
+		d.bomBytesMatched++
+		d.bomChecked = d.bomBytesMatched == len(byteOrderMark)
 		return true
 	}
-	d.started = true
-	d.line = append(d.line, byteOrderMark[:d.bomMatched]...)
+	d.bomChecked = true
+	d.line = append(d.line, byteOrderMark[:d.bomBytesMatched]...)
 	return false
 }
 
-func (d *Decoder) endLine(emit func(Event)) {
+func (d *Decoder) processLine(emit func(Event)) {
 	line := d.line
 	d.line = d.line[:0]
 	switch {
 	case len(line) == 0:
-		d.endEvent(emit)
+		d.dispatchEvent(emit)
 	case line[0] == commentPrefix:
 		d.CommentLines++
-		d.eventSize -= len(line) // a stream of comments is not a large event
+		// Comment lines do not count against the size limit, since a long run of comments is not a large
+		// event.
+		d.eventBytes -= len(line)
 	default:
 		name, value, _ := strings.Cut(string(line), fieldSeparator)
-		d.setField(name, strings.TrimPrefix(value, fieldValueSpace))
+		d.applyField(name, strings.TrimPrefix(value, fieldValuePrefix))
 	}
 }
 
-// endEvent gives the event out if it has data, and begins the next.
-func (d *Decoder) endEvent(emit func(Event)) {
+// dispatchEvent emits the event if it has data and resets the decoder for the next one.
+func (d *Decoder) dispatchEvent(emit func(Event)) {
 	if d.hasData {
-		event := Event{LastEventID: d.lastID, Type: d.eventType, Data: d.data.String()}
+		event := Event{LastEventID: d.lastEventID, Type: d.eventType, Data: d.data.String()}
 		if event.Type == "" {
-			event.Type = defaultType
+			event.Type = defaultEventType
 		}
 		emit(event)
 	}
 	d.data = strings.Builder{}
 	d.hasData = false
 	d.eventType = ""
-	d.eventSize = 0
-	if cap(d.line) > maxKeptLine {
+	d.eventBytes = 0
+	if cap(d.line) > maxKeptLineBytes {
 		d.line = nil
 	}
 }
 
-// setField applies a field of the present event. Unknown fields are ignored.
-func (d *Decoder) setField(name, value string) {
+// applyField applies a field to the event that is being decoded. Unknown fields are ignored.
+func (d *Decoder) applyField(name, value string) {
 	switch name {
 	case "data":
 		if d.hasData {
@@ -155,7 +170,7 @@
 		d.eventType = value
 	case "id":
 		if !strings.ContainsRune(value, 0) {
-			d.lastID = value
+			d.lastEventID = value
 		}
 	}
 }
