--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -12,64 +12,82 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors that Handler.Closed gets when this side ends a connection.
+// Errors that are passed to Handler.Closed when this side closes a connection.
 var (
-	// ErrConnectTimeout: a dialed connection was not established in time.
+	// ErrConnectTimeout means that a connection was not established within the timeout of Dial.
 	ErrConnectTimeout = errors.New("connect: timed out")
-	// ErrClosedLocally: Close or CloseAfterFlush was called.
-	ErrClosedLocally = errors.New("closed on this side")
+	// ErrClosedLocally means that Close or CloseAfterFlush was called.
+	ErrClosedLocally = errors.New("connection closed locally")
 )
 
 const (
-	// DefaultMaxInputBytes is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInputBytes.
+	// DefaultMaxInputBytes is the default of Conn.MaxInputBytes.
 	DefaultMaxInputBytes = 4 << 20
 
-	// lingerTimeout is how long a connection waits for the peer's end after its own, so that a response sent before the end of
-	// a request's body is not lost to a reset.
+	// lingerTimeout limits how long a connection that has shut down its write side waits for the peer to
+	// close. Closing at once, while the peer still sends a request body, would cause a reset, and the peer
+	// could lose the response.
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// Handler gets what happens to one connection, on the loop's goroutine.
+// Handler receives the events of one connection. Its methods are called on the goroutine of the loop.
 type Handler interface {
-	// Opened is called once: when an accepted connection begins, or a dialed one is established.
+	// Opened is called once, when a connection has been accepted or a dialed connection has been established.
 	Opened(c *Conn)
-	// Data gets all bytes not yet consumed and returns how many it consumes. The slice is valid during the call only.
+	// Data receives all bytes that have not been consumed yet and returns how many of them it consumes. The
+	// slice is valid only during the call.
 	Data(c *Conn, b []byte) int
-	// Drained is called when all queued output has been given to the system.
+	// Drained is called when all queued output has been written to the socket.
 	Drained(c *Conn)
-	// Closed is called once, last. err is io.EOF if the peer ended the connection in order.
+	// Closed is called once, after all other methods. err is io.EOF if the peer closed the connection
+	// without an error.
 	Closed(c *Conn, err error)
 }
 
-// Conn is one non-blocking TCP connection. All methods are for the loop's goroutine.
+// Conn is one non-blocking TCP connection. Its methods may be called only on the goroutine of the loop.
 type Conn struct {
-	// MaxInputBytes is how many unconsumed bytes are held before reading stops until the handler resumes it.
+	// MaxInputBytes limits the unconsumed input. When the limit is exceeded, reading pauses until the
+	// handler resumes it.
 	MaxInputBytes int
 
-	loop             *Loop
-	handler          Handler
-	fd               int
-	generation       int32 // tells it from an earlier connection with the same descriptor
-	peer             netip.AddrPort
-	registeredEvents uint32 // epoll events registered
-	unconsumedInput  []byte // received and not consumed
-	output           []byte // queued to be sent
-	outputSentBytes  int    // bytes of output that the system has taken
-	stateTimer       *Timer // limits dialing and lingering; nil otherwise
-	state            connState
+	loop    *Loop
+	handler Handler
+	fd      int
+	// generation distinguishes the connection from earlier ones with the same descriptor.
+	generation int32
+	peer       netip.AddrPort
+	// registeredEvents is the set of epoll events that is registered for the descriptor.
+	registeredEvents uint32
+	// unconsumedInput holds received bytes that the handler has not consumed.
+	unconsumedInput []byte
+	// output holds queued output. Its first outputSentBytes bytes have been written to the socket.
+	output          []byte
+	outputSentBytes int
+	// stateTimer limits the time that the connection dials or lingers. It is nil while the connection is
+	// open or closing.
+	stateTimer *Timer
+	state      connState
 
-	// Each of these holds or not in several states, independently of the others.
-	countedAsAccepted bool // counts in Loop.accepted
-	readPaused        bool // by the handler, or because of MaxInputBytes
-	peerClosed        bool // the peer has ended its side
-	deliveringInput   bool // Handler.Data is running
-	writeBlocked      bool // the system takes no output for now
-	flushQueued       bool // in Loop.flushQueue
-	redeliverQueued   bool // in Loop.redeliverQueue
+	// The following conditions are independent of each other, and each can hold in several states.
+
+	// countedAsAccepted reports that Loop.acceptedConns includes the connection.
+	countedAsAccepted bool
+	// readPaused reports that reading is paused, by the handler or because the input exceeds MaxInputBytes.
+	readPaused bool
+	// peerClosed reports that the peer has shut down its write side.
+	peerClosed bool
+	// deliveringInput reports that Handler.Data is running.
+	deliveringInput bool
+	// writeBlocked reports that the socket send buffer is full.
+	writeBlocked bool
+	// flushQueued reports that the connection is in Loop.flushQueue.
+	flushQueued bool
+	// redeliverQueued reports that the connection is in Loop.redeliverQueue.
+	redeliverQueued bool
 }
 
-// Dial connects to a literal address. If that fails later, or takes longer than the timeout, the handler's Closed
-// gets the error.
+// Dial starts to connect to addr, which must be a literal IP address with a port. If connecting fails after
+// Dial has returned, or takes longer than the timeout, Handler.Closed receives the error.
 func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) (*Conn, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -94,7 +112,7 @@
 	return c, nil
 }
 
-// addConn registers a socket with the loop; it closes the socket if that fails.
+// addConn registers a socket with the loop. If that fails, it closes the socket.
 func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
 	l.lastGeneration++
 	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, registeredEvents: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
@@ -110,37 +128,38 @@
 	return c, nil
 }
 
-// Peer is the address at the other end.
+// Peer returns the address of the peer.
 func (c *Conn) Peer() string { return c.peer.String() }
 
-// Loop is the loop that runs the connection.
+// Loop returns the loop that the connection belongs to.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// UnsentBytes is the number of queued bytes that the system has not taken.
+// UnsentBytes returns the number of queued bytes that have not been written to the socket.
 func (c *Conn) UnsentBytes() int { return len(c.output) - c.outputSentBytes }
 
-// BufferMemoryBytes is the memory that the connection's buffers take, in bytes.
+// BufferMemoryBytes returns the capacity of the input and output buffers of the connection.
 func (c *Conn) BufferMemoryBytes() int { return cap(c.unconsumedInput) + cap(c.output) }
 
-// Closed reports whether the connection has ended.
+// Closed reports whether the connection is closed.
 func (c *Conn) Closed() bool { return c.state == stateClosed }
 
-// ReadPaused reports whether reading is paused, so that bytes and the peer's end may not have been read.
+// ReadPaused reports whether reading is paused. In that case, bytes or a close from the peer may not have
+// been read yet.
 func (c *Conn) ReadPaused() bool { return c.readPaused }
 
-// SetReadPaused pauses or resumes reading. After resuming, unconsumed bytes are delivered again.
-func (c *Conn) SetReadPaused(on bool) {
-	if c.state == stateClosed || c.readPaused == on {
+// SetReadPaused pauses or resumes reading. When reading resumes, unconsumed bytes are delivered again.
+func (c *Conn) SetReadPaused(paused bool) {
+	if c.state == stateClosed || c.readPaused == paused {
 		return
 	}
-	c.readPaused = on
+	c.readPaused = paused
 	c.updateRegisteredEvents()
-	if !on && (len(c.unconsumedInput) > 0 || c.peerClosed) && !c.redeliverQueued {
+	if !paused && (len(c.unconsumedInput) > 0 || c.peerClosed) && !c.redeliverQueued {
 		c.queueRedelivery()
 	}
 }
 
-// RedeliverInput has unconsumed bytes delivered again in the next iteration.
+// RedeliverInput schedules unconsumed bytes to be delivered again in the next iteration of the loop.
 func (c *Conn) RedeliverInput() {
 	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
 		return
@@ -155,10 +174,11 @@
 	c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
 }
 
-// Close closes the connection at once; queued output is lost. Handler.Closed gets ErrClosedLocally.
+// Close closes the connection immediately and discards queued output. Handler.Closed receives
+// ErrClosedLocally.
 func (c *Conn) Close() { c.closeWithError(ErrClosedLocally) }
 
-// CloseAfterFlush closes the connection once queued output has been sent, and queues no more.
+// CloseAfterFlush closes the connection once queued output has been sent. Further output is discarded.
 func (c *Conn) CloseAfterFlush() {
 	switch c.state {
 	case stateDialing:
@@ -175,16 +195,18 @@
 	c.queueFlush()
 }
 
-// shutdownWrite ends this side of a connection that closes and waits a little for the peer's end.
+// shutdownWrite shuts down the write side of a closing connection and waits up to lingerTimeout for the
+// peer to close.
 func (c *Conn) shutdownWrite() {
-	// It fails when the connection is broken or not established; that is reported by reading or by the dial.
+	// Shutdown fails if the connection is broken or not established. Reading or dialing reports the same
+	// error.
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	if c.peerClosed {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
 	if c.state != stateClosing {
-		return // lingering already, or dialing, which has its own time limit
+		return // The connection lingers already, or it still dials and has a timer for that.
 	}
 	c.setState(stateLingering)
 	c.readPaused = false
@@ -208,7 +230,7 @@
 	c.handler.Closed(c, err)
 }
 
-// updateInterest registers with epoll the events that the connection now waits for.
+// updateRegisteredEvents registers the events that the connection now waits for with epoll.
 func (c *Conn) updateRegisteredEvents() {
 	if c.state == stateClosed {
 		return
@@ -251,7 +273,7 @@
 	}
 }
 
-// finishDial handles the answer to connect.
+// finishDial handles the result of connecting.
 func (c *Conn) finishDial() {
 	if err := socketError(c.fd); err != nil {
 		c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
@@ -271,7 +293,7 @@
 	}
 }
 
-// handleHangup handles a connection that has broken or that both sides have ended.
+// handleHangup handles a connection that failed or that both sides have closed.
 func (c *Conn) handleHangup() {
 	err := socketError(c.fd)
 	switch {
--- a/internal/netio/eventloop/conn_io.go
+++ b/internal/netio/eventloop/conn_io.go
@@ -10,18 +10,22 @@
 )
 
 const (
-	// maxReadNow is how many reads ReadNow makes of a peer that sends as fast as it is read.
+	// maxReadNowReads limits the reads in one call of ReadNow when the peer sends as fast as its data is
+	// read.
 	maxReadNowReads = 64
 
-	// minSentToCompact is how many bytes of a queue must have been sent before the rest is moved to its front.
+	// minSentBytesToCompact is the number of sent bytes in the output buffer above which the unsent rest
+	// may be moved to its front.
 	minSentBytesToCompact = 64 << 10
 
-	// outputSlack is how many bytes a buffer that waits for a slow peer may have beyond twice what is left in it.
+	// maxUnusedOutputBytes is how much the output buffer of a connection whose peer reads slowly may exceed
+	// twice the size of its unsent content.
 	maxUnusedOutputBytes = 4 << 10
 )
 
-// ReadNow delivers what the system has received by now, the peer's end included, rather than what it had at the start of
-// the iteration. It does nothing within the connection's own Data, or while reading is paused.
+// ReadNow reads and delivers what the socket has received by now, including a close by the peer, rather
+// than only what it had received at the start of the iteration. It does nothing while Handler.Data of this
+// connection runs or reading is paused.
 func (c *Conn) ReadNow() {
 	for range maxReadNowReads {
 		if !c.canReadNow() || !c.readOnce() {
@@ -37,7 +41,7 @@
 	return !c.readPaused && !c.peerClosed && !c.deliveringInput
 }
 
-// readOnce reads and delivers up to one buffer and reports whether there may be more.
+// readOnce reads at most one buffer of bytes, delivers them, and reports whether more may be available.
 func (c *Conn) readOnce() bool {
 	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch err {
@@ -70,8 +74,9 @@
 	c.deliverInput(nil)
 }
 
-// deliver hands received bytes, after those that were not consumed before, to the handler and keeps what it does not
-// consume. An idle connection holds no input buffer.
+// deliverInput passes the unconsumed bytes, followed by the received ones, to the handler and keeps those
+// that the handler does not consume. If it consumes all, the input buffer is released: idle connections
+// hold no input buffer.
 func (c *Conn) deliverInput(received []byte) {
 	if c.deliveringInput {
 		return
@@ -99,20 +104,20 @@
 	}
 }
 
-// keepInput keeps the bytes that the handler did not consume; buffered says that they are a part of c.input rather than of
-// the loop's buffer.
-func (c *Conn) keepUnconsumed(rest []byte, buffered bool) {
+// keepUnconsumed stores the bytes that the handler did not consume. buffered reports that they are in the
+// input buffer of the connection already, rather than in the read buffer of the loop.
+func (c *Conn) keepUnconsumed(unconsumed []byte, buffered bool) {
 	switch {
-	case len(rest) == 0:
+	case len(unconsumed) == 0:
 		c.unconsumedInput = nil
 	case buffered:
-		c.unconsumedInput = c.unconsumedInput[:copy(c.unconsumedInput, rest)]
+		c.unconsumedInput = c.unconsumedInput[:copy(c.unconsumedInput, unconsumed)]
 	default:
-		c.unconsumedInput = append([]byte(nil), rest...)
+		c.unconsumedInput = append([]byte(nil), unconsumed...)
 	}
 }
 
-// Write queues a copy of b; it is sent at the end of the iteration.
+// Write queues a copy of b. The loop sends queued output at the end of the iteration.
 func (c *Conn) Write(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -121,18 +126,18 @@
 	c.queueFlush()
 }
 
-// OutputBuffer returns the output queue to append to. Give the result to CommitOutput, or to DiscardOutput if nothing was
-// appended.
+// OutputBuffer returns the buffer of queued output for the caller to append to. The caller must pass the
+// extended buffer to CommitOutput, or pass it to DiscardOutput if it appended nothing.
 func (c *Conn) OutputBuffer() []byte {
-	if spares := c.loop.spareOutputBuffers; c.output == nil && len(spares) > 0 {
-		last := len(spares) - 1
-		c.output = spares[last]
-		c.loop.spareOutputBuffers = spares[:last]
+	if spareBuffers := c.loop.spareOutputBuffers; c.output == nil && len(spareBuffers) > 0 {
+		last := len(spareBuffers) - 1
+		c.output = spareBuffers[last]
+		c.loop.spareOutputBuffers = spareBuffers[:last]
 	}
 	return c.output
 }
 
-// CommitOutput takes back the queue of OutputBuffer with what was appended to it.
+// CommitOutput queues the output that was appended to the buffer from OutputBuffer.
 func (c *Conn) CommitOutput(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -141,7 +146,7 @@
 	c.queueFlush()
 }
 
-// DiscardOutput takes back the queue of OutputBuffer when nothing is to be sent.
+// DiscardOutput returns the buffer from OutputBuffer when nothing was appended to it.
 func (c *Conn) DiscardOutput(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -152,7 +157,8 @@
 	}
 }
 
-// releaseOutput gives the output buffer back to the loop: an idle connection holds none.
+// releaseOutputBuffer returns the output buffer to the loop for reuse: idle connections hold no output
+// buffer.
 func (c *Conn) releaseOutputBuffer() {
 	size := cap(c.output)
 	if size > 0 && size <= maxSpareBufferBytes && len(c.loop.spareOutputBuffers) < maxSpareBuffers {
@@ -169,8 +175,8 @@
 	c.loop.flushQueue = append(c.loop.flushQueue, c)
 }
 
-// Flush sends queued output now rather than at the end of the iteration, so that writing much to many connections does not
-// hold all of it in memory at a time.
+// Flush sends queued output now rather than at the end of the iteration. A caller that writes much to many
+// connections uses it to avoid holding all of that output in memory at once.
 func (c *Conn) Flush() {
 	if c.state == stateClosed || c.state.isDialing() {
 		return
@@ -180,7 +186,8 @@
 	}
 }
 
-// flush gives queued output to the system, until all is sent or the system takes no more.
+// writeQueuedOutput writes queued output to the socket until all is written or the socket send buffer is
+// full.
 func (c *Conn) writeQueuedOutput() {
 	for c.outputSentBytes < len(c.output) {
 		n, err := unix.Write(c.fd, c.output[c.outputSentBytes:])
@@ -205,7 +212,7 @@
 	c.handleOutputSent()
 }
 
-// afterFlush follows when all output has been sent.
+// handleOutputSent is called when all queued output has been written to the socket.
 func (c *Conn) handleOutputSent() {
 	if c.state == stateClosed {
 		return
@@ -220,7 +227,8 @@
 	}
 }
 
-// waitWritable waits for the system to take output again, holding what is left in as little memory as it needs.
+// waitWritable makes the loop continue to write when the socket is writable again, and shrinks the output
+// buffer if most of it is unused.
 func (c *Conn) waitWritable() {
 	if !c.writeBlocked {
 		c.writeBlocked = true
@@ -230,9 +238,9 @@
 		c.output = c.output[:copy(c.output, c.output[c.outputSentBytes:])]
 		c.outputSentBytes = 0
 	}
-	left := c.UnsentBytes()
-	if cap(c.output) > 2*left+maxUnusedOutputBytes {
-		smaller := append(make([]byte, 0, left), c.output[c.outputSentBytes:]...)
+	unsent := c.UnsentBytes()
+	if cap(c.output) > 2*unsent+maxUnusedOutputBytes {
+		smaller := append(make([]byte, 0, unsent), c.output[c.outputSentBytes:]...)
 		c.releaseOutputBuffer()
 		c.output = smaller
 		c.outputSentBytes = 0
--- a/internal/netio/eventloop/conn_state.go
+++ b/internal/netio/eventloop/conn_state.go
@@ -4,21 +4,24 @@
 
 import "fmt"
 
-// connState is where a connection is in its life. It only moves forward: see connTransitions.
+// connState is a state in the life cycle of a connection. connTransitions lists the allowed transitions;
+// none leads back to an earlier state.
 type connState uint8
 
 const (
-	// stateDialing: connect has begun and has not been answered.
+	// stateDialing means that the connection is being established.
 	stateDialing connState = iota
-	// stateDialingThenClose: CloseAfterFlush was called while dialing.
+	// stateDialingThenClose means that CloseAfterFlush was called while the connection is being established.
 	stateDialingThenClose
-	// stateOpen: established; reads and writes.
+	// stateOpen means that the connection is established and reads and writes.
 	stateOpen
-	// stateClosing: CloseAfterFlush was called; queued output still goes out, received bytes are discarded.
+	// stateClosing means that CloseAfterFlush was called. Queued output is still sent; received bytes are
+	// discarded.
 	stateClosing
-	// stateLingering: the write side is shut down; waits for the peer's end, discarding what it sends.
+	// stateLingering means that the write side is shut down and the connection waits for the peer to close.
+	// Received bytes are discarded.
 	stateLingering
-	// stateClosed: the descriptor is closed.
+	// stateClosed means that the descriptor is closed.
 	stateClosed
 )
 
@@ -26,7 +29,7 @@
 
 func (s connState) String() string { return connStateNames[s] }
 
-// connTransitions holds, for each state, the states that may follow it.
+// connTransitions lists the states that may follow each state.
 var connTransitions = [...][]connState{
 	stateDialing:          {stateDialingThenClose, stateOpen, stateClosed},
 	stateDialingThenClose: {stateClosing, stateClosed},
@@ -38,19 +41,20 @@
 
 func (s connState) isDialing() bool { return s == stateDialing || s == stateDialingThenClose }
 
-// acceptsOutput reports whether output may still be queued.
+// acceptsOutput reports whether further output may be queued.
 func (s connState) acceptsOutput() bool { return s == stateDialing || s == stateOpen }
 
-// discardsInput reports whether received bytes are of no use any more.
+// discardsInput reports whether received bytes are discarded because the connection is closing.
 func (s connState) discardsInput() bool { return s == stateClosing || s == stateLingering }
 
-// setState is the only place where a connection's state changes. An illegal transition is a fault of this package.
+// setState changes the state of the connection; no other code does. A transition that connTransitions does
+// not list is a bug in this package and panics.
 func (c *Conn) setState(next connState) {
-	for _, legal := range connTransitions[c.state] {
-		if next == legal {
+	for _, allowed := range connTransitions[c.state] {
+		if next == allowed {
 			c.state = next
 			return
 		}
 	}
-	panic(fmt.Sprintf("eventloop: connection goes from %s to %s", c.state, next))
+	panic(fmt.Sprintf("eventloop: illegal transition of a connection from state %s to %s", c.state, next))
 }
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -1,9 +1,10 @@
 //go:build linux
 
-// Package eventloop is a single-threaded event loop for Linux: epoll readiness, non-blocking TCP sockets, timers and
-// posted functions, all run on the goroutine that calls Run.
+// Package eventloop implements a single-threaded event loop for Linux. It handles epoll readiness,
+// non-blocking TCP sockets, timers and posted functions, all on the goroutine that calls Run.
 //
-// It moves bytes and knows nothing of protocols. Of the project it imports only the clock and the timer queue.
+// The package transfers bytes and does not interpret them. Of this module it imports only the clock and the
+// timer queue.
 package eventloop
 
 import (
@@ -19,47 +20,65 @@
 )
 
 const (
-	// DefaultMaxConns is how many accepted connections a loop keeps open unless SetMaxConns says otherwise.
+	// DefaultMaxConns is the default limit on open accepted connections: see SetMaxConns.
 	DefaultMaxConns = 16384
 
-	maxEpollEvents      = 256      // descriptors taken from one call of epoll_wait
-	readBufferBytes     = 64 << 10 // bytes, of one read
-	maxSpareBufferBytes = 64 << 10 // bytes, of an output buffer that is kept for reuse
-	maxSpareBuffers     = 256
-	maxEpollWait        = time.Minute // of one call of epoll_wait
+	// maxEpollEvents limits the ready descriptors that one call of epoll_wait returns.
+	maxEpollEvents = 256
+	// readBufferBytes limits the bytes of one read.
+	readBufferBytes = 64 << 10
+	// maxSpareBufferBytes limits the capacity of an output buffer that is kept for reuse.
+	maxSpareBufferBytes = 64 << 10
+	// maxSpareBuffers limits the number of output buffers that are kept for reuse.
+	maxSpareBuffers = 256
+	// maxEpollWait limits the timeout of one call of epoll_wait.
+	maxEpollWait = time.Minute
 )
 
-// Loop runs handlers, timers and posted functions one after another. Only Post and Stop may be called from other
-// goroutines.
+// Loop runs connection handlers, timers and posted functions one after another. Only Post and Stop may be
+// called from other goroutines.
 type Loop struct {
-	epollFD        int
-	eventFD        int // wakes epoll_wait for Post and Stop
-	reserveFD      int // given up so that a connection can be accepted and closed when descriptors run out; -1 if there is none
-	conns          []*Conn
+	epollFD int
+	// eventFD is an eventfd through which Post and Stop wake epoll_wait.
+	eventFD int
+	// reserveFD is a spare descriptor. When the process runs out of descriptors it is closed for a moment
+	// to accept and close a waiting connection. It is -1 if it could not be opened.
+	reserveFD int
+	// conns holds the open connections, indexed by descriptor.
+	conns []*Conn
+	// listeners holds the open listeners by descriptor.
 	listeners      map[int]*Listener
 	lastGeneration int32
 	acceptedConns  int
 	maxConns       int
 
-	startTime time.Time // with the reading of the monotonic clock
-	now       clock.Instant
-	timers    timerqueue.Queue[clock.Instant]
-
-	flushQueue         []*Conn  // connections with output to send at the end of this iteration
-	redeliverQueue     []*Conn  // connections whose unconsumed input is delivered again
-	iterationEndFuncs  []func() // see AtIterationEnd
-	readBuffer         []byte
-	spareOutputBuffers [][]byte // output buffers of connections that have nothing to send
-
-	postMu      sync.Mutex // guards posted and stopped, and the life of eventFD
+	// startTime is the time at which the loop was created, with a reading of the monotonic clock.
+	startTime time.Time
+	// now is the time of the current iteration.
+	now    clock.Instant
+	timers timerqueue.Queue[clock.Instant]
+
+	// flushQueue holds the connections whose queued output is sent at the end of the iteration.
+	flushQueue []*Conn
+	// redeliverQueue holds the connections whose unconsumed input is delivered again.
+	redeliverQueue []*Conn
+	// iterationEndFuncs holds the functions that AtIterationEnd has queued.
+	iterationEndFuncs []func()
+	readBuffer        []byte
+	// spareOutputBuffers holds output buffers for reuse, released by connections that had nothing to send.
+	spareOutputBuffers [][]byte
+
+	// postMu guards postedFuncs and stopped, and keeps eventFD open while it is written.
+	postMu      sync.Mutex
 	postedFuncs []func()
 	stopped     bool
 
-	// Iterations and ReadinessEvents count iterations of the loop and ready descriptors, for metrics.
+	// Iterations counts the iterations of the loop, and ReadinessEvents the events that epoll_wait
+	// returned. Both are exported for metrics.
 	Iterations, ReadinessEvents uint64
 }
 
-// New returns a loop. Its descriptors are closed at the end of Run.
+// New returns a loop that does not run yet. Run closes its descriptors when it ends.
 func New() (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -70,8 +89,8 @@
 		closeFD(epollFD)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	wakeups := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(eventFD)}
-	if err := unix.EpollCtl(epollFD, unix.EPOLL_CTL_ADD, eventFD, &wakeups); err != nil {
+	wakeupEvent := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(eventFD)}
+	if err := unix.EpollCtl(epollFD, unix.EPOLL_CTL_ADD, eventFD, &wakeupEvent); err != nil {
 		closeFD(epollFD)
 		closeFD(eventFD)
 		return nil, fmt.Errorf("epoll add: %w", err)
@@ -89,21 +108,23 @@
 	}, nil
 }
 
-// SetMaxConns limits the accepted connections that are open at a time. Connections beyond it are closed at once.
-func (l *Loop) SetMaxConns(n int) { l.maxConns = n }
+// SetMaxConns limits the accepted connections that are open at the same time. Further connections are
+// closed as soon as they have been accepted.
+func (l *Loop) SetMaxConns(limit int) { l.maxConns = limit }
 
-// Now is the time of this iteration. It never goes back, even if the system's clock is set.
+// Now returns the time of the current iteration. It never decreases, even if the system clock is set back.
 func (l *Loop) Now() clock.Instant { return l.now }
 
-// readClock returns the start plus what the monotonic clock has counted since.
+// readClock returns the start time of the loop plus the time that has passed since on the monotonic clock.
 func (l *Loop) readClock() clock.Instant {
 	return clock.FromTime(l.startTime).Add(time.Since(l.startTime))
 }
 
-// AcceptedConns is the number of accepted connections open now.
+// AcceptedConns returns the number of accepted connections that are open.
 func (l *Loop) AcceptedConns() int { return l.acceptedConns }
 
-// Post has f run on the loop in its next iteration. It may be called from any goroutine; after Stop it does nothing.
+// Post queues f to run on the loop in its next iteration. It may be called from any goroutine. After Stop
+// it does nothing.
 func (l *Loop) Post(f func()) {
 	l.postMu.Lock()
 	defer l.postMu.Unlock()
@@ -116,11 +137,11 @@
 	}
 }
 
-// AtIterationEnd has f run once at the end of this iteration: after all events, timers and redeliveries, before queued
-// output is sent.
+// AtIterationEnd queues f to run once at the end of the current iteration, after all events, timers and
+// redeliveries and before queued output is sent.
 func (l *Loop) AtIterationEnd(f func()) { l.iterationEndFuncs = append(l.iterationEndFuncs, f) }
 
-// Stop ends Run after the present iteration. It may be called from any goroutine.
+// Stop makes Run return after the current iteration. It may be called from any goroutine.
 func (l *Loop) Stop() {
 	l.postMu.Lock()
 	defer l.postMu.Unlock()
@@ -131,23 +152,25 @@
 	l.wakeEpollWait()
 }
 
-// wakeSignal is the number that is added to the eventfd's counter; any but zero makes it readable.
+// wakeSignal is the number that wakeEpollWait adds to the counter of the eventfd. Any number but zero makes
+// it readable.
 var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
-// wake ends a wait of Run. The caller holds l.mu, so that the descriptor cannot be closed meanwhile.
+// wakeEpollWait interrupts epoll_wait in Run. The caller must hold postMu, which keeps the descriptor from
+// being closed.
 func (l *Loop) wakeEpollWait() {
-	// It fails only when the counter is at its limit: the eventfd is readable then anyway.
+	// Write fails only if the counter is at its maximum. The eventfd is readable in that case too.
 	_, _ = unix.Write(l.eventFD, wakeSignal)
 }
 
-// clearWakeup makes the eventfd unreadable again.
+// clearWakeup resets the counter of the eventfd, so that it is no longer readable.
 func (l *Loop) clearWakeup() {
 	var counter [8]byte
-	// It fails only when the counter is zero, which is what is wanted.
+	// Read fails only if the counter is zero already.
 	_, _ = unix.Read(l.eventFD, counter[:])
 }
 
-// Run handles events until Stop. It then closes all descriptors; handlers get no further calls.
+// Run handles events until Stop is called. It then closes all descriptors without calling the handlers again.
 func (l *Loop) Run() error {
 	defer l.close()
 	events := make([]unix.EpollEvent, maxEpollEvents)
@@ -169,8 +192,8 @@
 	}
 }
 
-// waitMilliseconds is how long epoll_wait may wait: not at all if there is work at hand, until the next timer, or -1 for
-// ever.
+// epollTimeoutMillis returns the timeout for epoll_wait: 0 if work is queued, the time until the next
+// timer, or -1, which means no timeout, if there is no timer.
 func (l *Loop) epollTimeoutMillis(hasPosted bool) int {
 	if hasPosted || len(l.redeliverQueue) > 0 || len(l.iterationEndFuncs) > 0 {
 		return 0
@@ -185,10 +208,11 @@
 	case wait > maxEpollWait:
 		return int(maxEpollWait.Milliseconds())
 	}
-	return int(wait.Milliseconds()) + 1 // epoll_wait counts whole milliseconds: rather late than early
+	// The timeout is rounded up to whole milliseconds; otherwise epoll_wait would return before the timer is due.
+	return int(wait.Milliseconds()) + 1
 }
 
-// runIteration handles ready descriptors, then what else is due, in a fixed order.
+// runIteration handles the ready descriptors and then all other work that is due, in a fixed order.
 func (l *Loop) runIteration(events []unix.EpollEvent) {
 	l.ReadinessEvents += uint64(len(events))
 	for i := range events {
@@ -201,8 +225,9 @@
 	l.flushAll()
 }
 
-// dispatch hands a readiness event to the descriptor's owner. Events of descriptors closed earlier in this iteration are
-// dropped: a connection's generation tells it from an earlier one with the same descriptor.
+// dispatchEvent passes a readiness event to the listener or connection that owns the descriptor. It ignores
+// events of descriptors that were closed earlier in the iteration: the generation distinguishes a new
+// connection from an earlier one with the same descriptor.
 func (l *Loop) dispatchEvent(event *unix.EpollEvent) {
 	fd := int(event.Fd)
 	if fd == l.eventFD {
@@ -231,7 +256,8 @@
 	}
 }
 
-// runTimers runs the timers that are due, and at most as many as there are now: one that a timer adds waits its turn.
+// runTimers runs the timers that are due. It runs at most as many as were queued at its start, which bounds
+// the work of an iteration even if timers add further timers that are due.
 func (l *Loop) runTimers() {
 	for n := l.timers.Len(); n > 0; n-- {
 		timer := l.timers.Pop(l.now)
@@ -253,7 +279,8 @@
 	}
 }
 
-// runIterationEndFuncs runs the functions that are queued now; those that they add run in the next iteration.
+// runIterationEndFuncs runs the queued functions. Functions that these add run at the end of the next
+// iteration.
 func (l *Loop) runIterationEndFuncs() {
 	for n := len(l.iterationEndFuncs); n > 0; n-- {
 		f := l.iterationEndFuncs[0]
@@ -262,7 +289,8 @@
 	}
 }
 
-// flushAll sends what handlers wrote. It is done once an iteration so that the answers of a pipeline share a system call.
+// flushAll sends all queued output. It runs once per iteration, which sends the responses to pipelined
+// requests with one system call.
 func (l *Loop) flushAll() {
 	for len(l.flushQueue) > 0 {
 		queue := l.flushQueue
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -13,7 +13,7 @@
 
 const readTimeout = 10 * time.Second
 
-// echoHandler sends back what it receives.
+// echoHandler sends back the bytes that it receives.
 type echoHandler struct{ onClosed func(error) }
 
 func (e *echoHandler) Opened(*Conn)               {}
@@ -30,7 +30,8 @@
 	return loop
 }
 
-// runLoop runs the loop until stop is called, which also reports the loop's error.
+// startLoop runs the loop in the background until stop is called. stop fails the test if the loop ended
+// with an error.
 func startLoop(t *testing.T, loop *Loop) (stop func()) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -50,25 +51,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor
+	t.Cleanup(func() { _ = conn.Close() }) // Close only frees the descriptor, so its error does not matter.
 	return conn
 }
 
-// sendAll writes b and ends the sending side; the peer reports what arrived.
+// sendAll writes b and shuts down the write side. The caller checks which bytes come back.
 func sendAll(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
-		t.Errorf("write: %v", err)
+		t.Errorf("write to the connection: %v", err)
 	}
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Errorf("close write: %v", err)
+		t.Errorf("shut down the write side: %v", err)
 	}
 }
 
 func TestEchoTimersAndPosts(t *testing.T) {
 	loop := newLoop(t)
-	ends := make(chan error, 10)
-	listener, err := loop.Listen("127.0.0.1:0", func(*Conn) Handler { return &echoHandler{func(err error) { ends <- err }} })
+	closeErrors := make(chan error, 10)
+	listener, err := loop.Listen("127.0.0.1:0", func(*Conn) Handler { return &echoHandler{func(err error) { closeErrors <- err }} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,30 +82,30 @@
 	go sendAll(t, conn, sent)
 	got, err := io.ReadAll(conn)
 	if err != nil || string(got) != string(sent[:len(got)]) {
-		t.Fatalf("%d bytes back, %v", len(got), err)
+		t.Fatalf("received an echo of %d bytes with error %v; want the bytes that were sent and no error", len(got), err)
 	}
-	// io.EOF itself, not an error that wraps it.
-	if err := <-ends; !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
-		t.Errorf("ended with %v, want EOF", err)
+	// The error must be io.EOF itself, not an error that wraps it.
+	if err := <-closeErrors; !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
+		t.Errorf("the connection was closed with error %v, want io.EOF", err)
 	}
-	order := make(chan int, 10)
-	var ran atomic.Int32
+	timerOrder := make(chan int, 10)
+	var stoppedTimerRuns atomic.Int32
 	loop.Post(func() {
-		loop.After(20*time.Millisecond, func() { order <- 2 })
-		loop.After(10*time.Millisecond, func() { order <- 1 })
-		loop.After(15*time.Millisecond, func() { ran.Add(1) }).Stop()
-		loop.After(30*time.Millisecond, func() { order <- 3 })
+		loop.After(20*time.Millisecond, func() { timerOrder <- 2 })
+		loop.After(10*time.Millisecond, func() { timerOrder <- 1 })
+		loop.After(15*time.Millisecond, func() { stoppedTimerRuns.Add(1) }).Stop()
+		loop.After(30*time.Millisecond, func() { timerOrder <- 3 })
 	})
 	for want := 1; want <= 3; want++ {
-		if got := <-order; got != want {
-			t.Errorf("timer %d ran when %d was due", got, want)
+		if got := <-timerOrder; got != want {
+			t.Errorf("timer %d ran, want timer %d", got, want)
 		}
 	}
-	if ran.Load() != 0 {
-		t.Error("a stopped timer ran")
+	if stoppedTimerRuns.Load() != 0 {
+		t.Error("a timer ran although it had been stopped")
 	}
 	stop()
-	loop.Post(func() { t.Error("ran after the end") })
+	loop.Post(func() { t.Error("a posted function ran after the loop had stopped") })
 }
 
 func TestConnectionLimitAndDialErrors(t *testing.T) {
@@ -114,16 +115,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failed := make(chan error, 2)
-	if _, err := loop.Dial(unusedAddress(t), time.Second, &echoHandler{func(err error) { failed <- err }}); err != nil {
-		failed <- err
+	dialErrors := make(chan error, 2)
+	if _, err := loop.Dial(unusedAddress(t), time.Second, &echoHandler{func(err error) { dialErrors <- err }}); err != nil {
+		dialErrors <- err
 	}
 	if _, err := loop.Dial("host:1", time.Second, &echoHandler{}); err == nil {
-		t.Error("a name was dialed")
+		t.Error("Dial accepted a host name, want an error because it takes only literal addresses")
 	}
 	stop := startLoop(t, loop)
-	if err := <-failed; err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("dial of a closed port: %v", err)
+	if err := <-dialErrors; err == nil || errors.Is(err, io.EOF) {
+		t.Errorf("dial of a port where nothing listens: error %v, want an error other than io.EOF", err)
 	}
 	rejected := 0
 	for range 5 {
@@ -132,12 +133,12 @@
 		}
 	}
 	if rejected != 3 {
-		t.Errorf("%d of 5 connections rejected, want 3", rejected)
+		t.Errorf("%d of 5 connections were rejected with a limit of 2, want 3", rejected)
 	}
 	stop()
 }
 
-// unusedAddress is an address at which nothing listens.
+// unusedAddress returns an address at which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,7 +151,8 @@
 	return listener.Addr().String()
 }
 
-// echoes reports whether a byte sent on the connection comes back, rather than the connection's end.
+// receivesEcho reports whether a byte that is sent on the connection comes back, rather than the connection
+// being closed.
 func receivesEcho(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
@@ -163,9 +165,10 @@
 	return err == nil
 }
 
-// TestConnStates checks that a connection only takes the transitions of the table, and that none leaves the closed state.
+// TestConnStates checks that a connection makes the transitions of the table and no others, and that no
+// transition leaves the closed state.
 func TestConnStates(t *testing.T) {
-	legal := map[connState][]connState{
+	allowed := map[connState][]connState{
 		stateDialing:          {stateDialingThenClose, stateOpen, stateClosed},
 		stateDialingThenClose: {stateClosing, stateClosed},
 		stateOpen:             {stateClosing, stateClosed},
@@ -176,19 +179,19 @@
 	for from := stateDialing; from <= stateClosed; from++ {
 		for to := stateDialing; to <= stateClosed; to++ {
 			want := false
-			for _, next := range legal[from] {
+			for _, next := range allowed[from] {
 				want = want || next == to
 			}
 			if got := transitionAllowed(from, to); got != want {
-				t.Errorf("from %s to %s: taken %t, want %t", from, to, got, want)
+				t.Errorf("transition from state %s to %s: allowed %t, want %t", from, to, got, want)
 			}
 		}
 	}
 }
 
-// transitions reports whether a connection goes from one state to another without panic.
-func transitionAllowed(from, to connState) (taken bool) {
-	defer func() { taken = recover() == nil }()
+// transitionAllowed reports whether setState makes the transition without a panic.
+func transitionAllowed(from, to connState) (allowed bool) {
+	defer func() { allowed = recover() == nil }()
 	(&Conn{state: from}).setState(to)
 	return true
 }
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -10,12 +10,15 @@
 )
 
 const (
-	listenBacklog         = 4096      // connections that the system keeps until they are accepted
-	maxAcceptBatch        = 64        // connections accepted for one readiness event
-	socketSendBufferBytes = 128 << 10 // bytes, of the system's buffer for an accepted connection; the system takes twice as much
+	// listenBacklog limits the connections that the kernel queues until they are accepted.
+	listenBacklog = 4096
+	// maxAcceptBatch limits the connections that are accepted for one readiness event.
+	maxAcceptBatch = 64
+	// socketSendBufferBytes is the SO_SNDBUF of accepted connections. The kernel doubles it.
+	socketSendBufferBytes = 128 << 10
 )
 
-// Listener accepts connections.
+// Listener accepts TCP connections at one address.
 type Listener struct {
 	loop       *Loop
 	fd         int
@@ -23,9 +26,9 @@
 	newHandler func(*Conn) Handler
 }
 
-// Listen accepts TCP connections at a literal address such as 127.0.0.1:0. Each connection gets the handler that the
-// function returns for it.
-func (l *Loop) Listen(addr string, handler func(*Conn) Handler) (*Listener, error) {
+// Listen accepts TCP connections at addr, which must be a literal IP address with a port, such as
+// 127.0.0.1:0. It calls newHandler for each connection to get the handler of that connection.
+func (l *Loop) Listen(addr string, newHandler func(*Conn) Handler) (*Listener, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
@@ -38,7 +41,7 @@
 		closeFD(fd)
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
 	}
-	listener := &Listener{loop: l, fd: fd, addr: address, newHandler: handler}
+	listener := &Listener{loop: l, fd: fd, addr: address, newHandler: newHandler}
 	if bound, err := unix.Getsockname(fd); err == nil {
 		listener.addr = addrPort(bound)
 	}
@@ -59,13 +62,15 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// Addr is the address listened at, with the port that the system chose.
+// Addr returns the address of the listener. If it was opened with port 0, this has the port that the kernel
+// chose.
 func (ln *Listener) Addr() string { return ln.addr.String() }
 
-// Closed reports whether the listener no longer accepts.
+// Closed reports whether the listener is closed.
 func (ln *Listener) Closed() bool { return ln.loop.listeners[ln.fd] != ln }
 
-// Close stops accepting. Connections that the system has not yet handed over are reset: see AcceptPending.
+// Close stops accepting connections. The kernel resets connections that have not been accepted yet: see
+// AcceptPending.
 func (ln *Listener) Close() {
 	if ln.Closed() {
 		return
@@ -74,8 +79,8 @@
 	closeFD(ln.fd)
 }
 
-// AcceptPending accepts the connections that have come by now. Called before Close, it keeps them, and what was sent on them, from
-// being reset.
+// AcceptPending accepts the connections that are waiting in the kernel. Called before Close, it prevents
+// the kernel from resetting them and discarding the data that clients sent on them.
 func (ln *Listener) AcceptPending() {
 	for n := 0; n < listenBacklog; n += maxAcceptBatch {
 		if ln.Closed() || !ln.accept() {
@@ -84,11 +89,12 @@
 	}
 }
 
-// accept accepts one batch of connections and reports whether there may be more.
+// accept accepts one batch of connections and reports whether more may be waiting.
 func (ln *Listener) accept() bool {
 	l := ln.loop
-	// The batch is small where few connections are allowed: a handler that closes idle connections to make room for new ones
-	// must first read from those that came before, or connections that send nothing take all places in one iteration.
+	// With a low connection limit, the batch is smaller than the limit. A handler that closes idle
+	// connections to make room for new ones must first be able to read from the earlier ones; otherwise
+	// connections that send nothing could take all places within one iteration.
 	for range min(maxAcceptBatch, max(l.maxConns/4, 1)) {
 		fd, peer, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
@@ -100,14 +106,15 @@
 				return false
 			}
 		default:
-			// EAGAIN: none is waiting. After any other error the listener stays readable and accept is tried again.
+			// EAGAIN means that no connection is waiting. After any other error the listener stays
+			// readable, and the next iteration tries again.
 			return false
 		}
 	}
 	return true
 }
 
-// open adds an accepted connection to the loop, or closes it if there are too many.
+// addAcceptedConn adds an accepted connection to the loop, or closes it if the connection limit is reached.
 func (ln *Listener) addAcceptedConn(fd int, peer unix.Sockaddr) {
 	l := ln.loop
 	if l.acceptedConns >= l.maxConns {
@@ -118,7 +125,7 @@
 	setSendBuffer(fd, socketSendBufferBytes)
 	c, err := l.addConn(fd, unix.EPOLLIN|unix.EPOLLRDHUP, stateOpen)
 	if err != nil {
-		return // closed, as a connection over the limit is: nobody here knows of it yet
+		return // addConn has closed the socket, and no handler exists yet that would have to be told.
 	}
 	c.countedAsAccepted = true
 	c.peer = addrPort(peer)
@@ -127,9 +134,10 @@
 	c.handler.Opened(c)
 }
 
-// rejectWithoutDescriptor closes one waiting connection when the process has no descriptor left to accept it with. The
-// connection would keep the listener readable and the loop spinning; the reserve descriptor is given up for a moment to
-// take it. It reports false if there is no reserve.
+// rejectWithoutDescriptor accepts and closes one waiting connection when the process has no descriptor
+// left. Otherwise the waiting connection would keep the listener readable and the loop would spin. The
+// reserve descriptor is closed for a moment to make this possible. It reports false if there is no reserve
+// descriptor.
 func (l *Loop) rejectWithoutDescriptor(listenerFD int) bool {
 	if l.reserveFD < 0 {
 		return false
@@ -142,7 +150,7 @@
 	return true
 }
 
-// openReserveFD returns the descriptor for rejectWithoutDescriptor, or -1 if none can be opened.
+// openReserveFD opens the reserve descriptor for rejectWithoutDescriptor, or returns -1 if that fails.
 func openReserveFD() int {
 	fd, err := unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/netio/eventloop/socket.go
+++ b/internal/netio/eventloop/socket.go
@@ -12,21 +12,23 @@
 	return unix.Socket(addressFamily(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// closeFD closes a descriptor. Linux releases it whatever close returns, and nothing here waits for data to reach a disk,
-// so there is nothing to do about an error.
+// closeFD closes a descriptor. It ignores the error because Linux releases the descriptor in any case, and
+// the package opens no files whose data could fail to reach a disk.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// setNoDelay turns Nagle's algorithm off. Without it the connection is slower, but works.
+// setNoDelay disables Nagle's algorithm. It ignores the error because the connection works without the
+// option, only with higher latency.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
-// setReuseAddr lets a restarted process listen at once where its predecessor did. If it fails, Bind says so.
+// setReuseAddr lets a restarted process listen at the address of its predecessor at once. It ignores the
+// error because Bind reports the consequence.
 func setReuseAddr(fd int) { _ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) }
 
-// setSendBuffer limits the memory that the system takes for a peer that does not read. If it fails the system's own limit
-// holds.
+// setSendBuffer limits the kernel memory that a peer which does not read can occupy. If it fails, the
+// default limit of the kernel applies.
 func setSendBuffer(fd, bytes int) { _ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bytes) }
 
-// socketError is the error that a socket has met since it was last asked, or nil.
+// socketError returns and clears the pending error of a socket, or returns nil if there is none.
 func socketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
