--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -7,28 +7,35 @@
 	"heathshed/internal/netio/http1"
 )
 
-// Call is one request in flight. Set the exported fields before Client.Do.
+// Call is one request and its response. The exported fields must be set before the call is passed to
+// Client.Do.
 type Call struct {
-	// OnDone gets the response, or an error: a *ConnectError if the request was never sent. Head and body are valid during the
-	// call only.
+	// OnDone is called once, with the response or with an error. The error is a *ConnectError if the
+	// request was never sent. head and body are valid only until OnDone returns.
 	OnDone func(head *http1.Head, body []byte, err error)
-	// OnBodyData, if set, gets the body of a 2xx response piece by piece; OnDone then has no body.
+	// OnBodyData, if set, receives the body of a 2xx response in pieces as they arrive. OnDone then
+	// receives no body.
 	OnBodyData func(b []byte)
-	// OnResponseHead, if set, is called at the head of the response.
+	// OnResponseHead, if set, is called when the status line and header of the response have been received.
 	OnResponseHead func(head *http1.Head)
-	// AvoidUnknownOutcome says that it is costly not to know whether the request has been read: see package connpool.
+	// AvoidUnknownOutcome asks the connection pool to avoid connections on which a failure would leave open
+	// whether the server has read the request: see package connpool.
 	AvoidUnknownOutcome bool
 
-	client       *Client
-	request      []byte
-	conn         *conn // nil while the call waits for one
+	client *Client
+	// request is the encoded request.
+	request []byte
+	// conn is the connection of the call. It is nil while the call waits for one.
+	conn         *conn
 	timeoutTimer *eventloop.Timer
 	finished     bool
-	isHEAD       bool // the method is HEAD
+	// isHEAD reports that the request method is HEAD.
+	isHEAD       bool
 	responseBody []byte
 }
 
-// Cancel ends the call; OnDone gets ErrCancelled.
+// Cancel aborts the call. OnDone receives ErrCancelled, wrapped in a *ConnectError if the request was never
+// sent.
 func (call *Call) Cancel() { call.abort(ErrCancelled) }
 
 func (call *Call) abort(err error) {
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -1,7 +1,8 @@
 //go:build linux
 
-// Package httpc is an HTTP/1.1 client on the event loop. A Client calls one server; a Call gets either a complete response
-// or the pieces of one that goes on.
+// Package httpc implements an HTTP/1.1 client on the event loop. A Client sends requests to one server. A
+// Call receives either the complete response or, if it is streaming, the pieces of the response body as
+// they arrive.
 package httpc
 
 import (
@@ -16,40 +17,46 @@
 
 const (
 	defaultConnectTimeout       = time.Second
-	defaultMaxResponseBodyBytes = 64 << 20 // bytes of a response
-	requestHeadCapacity         = 256      // bytes for which there is space in a request at first, beside its body
+	defaultMaxResponseBodyBytes = 64 << 20
+	// requestHeadCapacity is the number of bytes that are allocated up front for the head of a request.
+	requestHeadCapacity = 256
 )
 
 var (
-	// ErrTimeout ends a call that was not answered in time.
+	// ErrTimeout means that the response to a call was not complete within the timeout of the call.
 	ErrTimeout = errors.New("call timed out")
-	// ErrCancelled ends a call by Call.Cancel or Client.Close.
-	ErrCancelled = errors.New("cancelled")
+	// ErrCancelled means that Call.Cancel was called, or Client.Close while the call waited for a connection.
+	ErrCancelled = errors.New("call cancelled")
 )
 
-// ConnectError says that there was no connection: the request was never sent.
+// ConnectError means that the request was never sent, because the call had no established connection.
 type ConnectError struct{ Err error }
 
 func (e *ConnectError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *ConnectError) Unwrap() error { return e.Err }
 
-// Client calls one server. Its methods are for the loop's goroutine.
+// Client sends requests to one server. Its methods may be called only on the goroutine of the loop.
 type Client struct {
 	ConnectTimeout time.Duration
 	PoolPolicy     connpool.Policy
-	ResponseLimits http1.Limits // of a response
-
-	loop            *eventloop.Loop
-	addr            string
-	idleConns       []*conn
-	idleAges        []time.Duration // scratch space of chooseConn
-	openSharedConns int             // without those of streams
-	waitingCalls    []*Call         // for a connection
+	// ResponseLimits restricts the size of responses. The body limit does not apply to streaming calls.
+	ResponseLimits http1.Limits
+
+	loop      *eventloop.Loop
+	addr      string
+	idleConns []*conn
+	// idleAges is a buffer that chooseConn reuses.
+	idleAges []time.Duration
+	// openSharedConns counts the connections that are open or being established, without those of streaming
+	// calls.
+	openSharedConns int
+	// waitingCalls holds the calls that wait for a connection, in order.
+	waitingCalls []*Call
 }
 
-// New returns a client for the server at a literal address.
+// New returns a client for the server at addr, which must be a literal IP address with a port.
 func New(loop *eventloop.Loop, addr string) *Client {
 	limits := http1.DefaultLimits()
 	limits.BodyBytes = defaultMaxResponseBodyBytes
@@ -62,10 +69,11 @@
 	}
 }
 
-// Addr is the server's address.
+// Addr returns the address of the server.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends a request. If timeout is not zero it bounds the whole call. The call is returned.
+// Do sends a request and returns call. A timeout other than zero limits the time until the response is
+// complete.
 func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeout time.Duration, call *Call) *Call {
 	call.client = c
 	call.request = c.appendRequest(make([]byte, 0, requestHeadCapacity+len(body)), method, target, header, body)
@@ -94,7 +102,8 @@
 	return method == "POST" || method == "PUT" || method == "PATCH"
 }
 
-// start sends a call on an idle connection or a new one, or has it wait for one. A stream gets a connection of its own.
+// assignConn sends the request of a call on an idle connection, opens a new connection for it, or makes it
+// wait for one. A streaming call always gets a new connection.
 func (c *Client) assignConn(call *Call) {
 	if call.OnBodyData != nil {
 		c.dial(call)
@@ -114,7 +123,8 @@
 	}
 }
 
-// chooseConn asks the pool's policy for a connection and closes those that it finds stale.
+// chooseConn asks the pool policy which connection the call uses, and closes the idle connections that are
+// stale.
 func (c *Client) chooseConn(call *Call) (connpool.Action, *conn) {
 	c.idleAges = c.idleAges[:0]
 	for _, connection := range c.idleConns {
@@ -125,18 +135,19 @@
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idleConns[decision.Index]
 	}
-	// Closing one changes c.idle, to which the indices refer.
-	stale := make([]*conn, 0, len(decision.Stale))
+	// The stale connections are collected first, because closing one changes idleConns, to which the
+	// indices refer.
+	staleConns := make([]*conn, 0, len(decision.Stale))
 	for _, i := range decision.Stale {
-		stale = append(stale, c.idleConns[i])
+		staleConns = append(staleConns, c.idleConns[i])
 	}
-	for _, connection := range stale {
+	for _, connection := range staleConns {
 		connection.transport.Close()
 	}
 	return decision.Action, chosen
 }
 
-// dial opens a connection for a call.
+// dial opens a new connection for a call.
 func (c *Client) dial(call *Call) {
 	connection := &conn{
 		client:            c,
@@ -156,41 +167,43 @@
 			c.openSharedConns--
 		}
 		call.conn = nil
-		// Later, so that no caller is called back before Do returns.
+		// OnDone must not be called before Do has returned.
 		c.loop.After(0, func() { call.finish(nil, nil, &ConnectError{err}) })
 		return
 	}
 	connection.transport = transport
 }
 
-// runNext starts the first call that waits, on the given free connection or, if that is nil, on any.
-func (c *Client) startNextWaitingCall(free *conn) {
+// startNextWaitingCall starts the first waiting call on freeConn or, if that is nil, on the connection that
+// the pool policy chooses. If no call waits, freeConn becomes idle.
+func (c *Client) startNextWaitingCall(freeConn *conn) {
 	for len(c.waitingCalls) > 0 {
 		call := c.waitingCalls[0]
 		c.waitingCalls = c.waitingCalls[1:]
 		if call.finished {
 			continue
 		}
-		if free != nil {
-			free.send(call)
+		if freeConn != nil {
+			freeConn.send(call)
 		} else {
 			c.assignConn(call)
 		}
 		return
 	}
-	if free != nil {
-		c.idleConns = append(c.idleConns, free)
+	if freeConn != nil {
+		c.idleConns = append(c.idleConns, freeConn)
 	}
 }
 
-// removeIdle removes a connection from the idle ones.
+// removeIdleConn removes a connection from the idle connections, if it is one of them.
 func (c *Client) removeIdleConn(connection *conn) {
 	if i := slices.Index(c.idleConns, connection); i >= 0 {
 		c.idleConns = slices.Delete(c.idleConns, i, i+1)
 	}
 }
 
-// Close closes idle connections and fails the calls that wait for one.
+// Close closes idle connections and fails the calls that wait for a connection. Calls that have a
+// connection continue.
 func (c *Client) Close() {
 	c.CloseIdle()
 	waiting := c.waitingCalls
@@ -200,7 +213,7 @@
 	}
 }
 
-// CloseIdle closes idle connections.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() {
 	idle := c.idleConns
 	c.idleConns = nil
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -10,18 +10,21 @@
 	"heathshed/internal/netio/http1"
 )
 
-// conn is one connection to the server. It carries one call at a time.
+// conn is one connection to the server. It carries at most one call at a time.
 type conn struct {
-	client            *Client
-	transport         *eventloop.Conn
-	decoder           http1.Decoder
-	call              *Call // nil if it is idle
-	established       bool
-	dedicatedToStream bool // it is the connection of a stream and carries no other call
+	client    *Client
+	transport *eventloop.Conn
+	decoder   http1.Decoder
+	// call is the call that the connection carries. It is nil if the connection is idle.
+	call        *Call
+	established bool
+	// dedicatedToStream reports that the connection carries a streaming call. It is not reused for another
+	// call.
+	dedicatedToStream bool
 	idleSince         clock.Instant
 }
 
-// send sends a call's request on an established connection.
+// send sends the request of a call on an established connection.
 func (c *conn) send(call *Call) {
 	call.conn = c
 	c.call = call
@@ -46,8 +49,9 @@
 	for {
 		call := c.call
 		if call == nil {
-			// Bytes that no call asked for. TODO: also reached when a response has just ended and no call waits, so that a
-			// connection is never kept for a later call.
+			// The server sent bytes that no call expects. TODO: This code is also reached when a response
+			// has just ended and no call is waiting. As a result, a connection is never kept for a later
+			// call.
 			transport.Close()
 			return len(input)
 		}
@@ -68,7 +72,7 @@
 	}
 }
 
-// handleDecoded handles a part of a response that the decoder has found.
+// handleDecoderEvent handles the part of a response that the decoder has completed.
 func (c *conn) handleDecoderEvent(event http1.Event) {
 	call := c.call
 	head := &c.decoder.Head
@@ -90,19 +94,21 @@
 	}
 }
 
-// isInterim reports whether another response to the same request follows.
+// isInterim reports whether the response has a 1xx status, which means that another response to the request
+// follows.
 func isInterim(head *http1.Head) bool { return head.Status < http1.StatusOK }
 
-// completeCall finishes the call whose response has ended and makes the connection free for another.
+// completeCall finishes a call whose response is complete. If the connection can be reused, it starts the
+// next waiting call on it or makes it idle.
 func (c *conn) completeCall() {
 	call := c.call
 	c.call = nil
-	keep := !c.decoder.Head.CloseConnection && !c.dedicatedToStream
+	reusable := !c.decoder.Head.CloseConnection && !c.dedicatedToStream
 	call.finish(&c.decoder.Head, call.responseBody, nil)
 	if c.transport.Closed() {
 		return
 	}
-	if !keep {
+	if !reusable {
 		c.transport.Close()
 		return
 	}
@@ -126,7 +132,8 @@
 	c.client.startNextWaitingCall(nil)
 }
 
-// failCall finishes a call whose connection has ended, which may be how its response ends.
+// finishCallOnClose finishes a call whose connection was closed. The call succeeds if the close marks the
+// end of the response body, and fails otherwise.
 func (c *conn) finishCallOnClose(call *Call, err error) {
 	if !c.established {
 		call.finish(nil, nil, &ConnectError{err})
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -18,14 +18,14 @@
 
 const testTimeout = 10 * time.Second
 
-// result is what a call's Done got.
+// callResult holds the arguments that OnDone received.
 type callResult struct {
 	status int
 	body   string
 	err    error
 }
 
-// unusedAddress is an address at which nothing listens.
+// unusedAddress returns an address at which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,9 +38,10 @@
 	return listener.Addr().String()
 }
 
-// startRaw starts a server that sends each connection the same bytes after a request, and then ends it unless it is to stay
-// open. It returns its address.
-func startFixedResponseServer(t *testing.T, response string, staysOpen bool) string {
+// startFixedResponseServer starts a server that answers the first request on each connection with fixed
+// bytes. It then closes the connection, or keeps it open until the client closes it. It returns the address
+// of the server.
+func startFixedResponseServer(t *testing.T, response string, keepOpen bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,28 +56,28 @@
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
-				return // the listener is closed
+				return // The listener is closed.
 			}
-			go serveFixedResponse(conn, response, staysOpen)
+			go serveFixedResponse(conn, response, keepOpen)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func serveFixedResponse(conn net.Conn, response string, staysOpen bool) {
-	defer func() { _ = conn.Close() }() // the client may have closed it already
+func serveFixedResponse(conn net.Conn, response string, keepOpen bool) {
+	defer func() { _ = conn.Close() }() // The client may have closed the connection already.
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		return
 	}
 	if _, err := io.WriteString(conn, response); err != nil {
 		return
 	}
-	if staysOpen {
-		_, _ = io.Copy(io.Discard, conn) // until the client ends the connection
+	if keepOpen {
+		_, _ = io.Copy(io.Discard, conn) // This blocks until the client closes the connection.
 	}
 }
 
-// do makes a call on the loop and returns what its Done gets.
+// doAndWait makes a call on the loop and returns the result that OnDone receives.
 func doAndWait(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) callResult {
 	t.Helper()
 	results := make(chan callResult, 2)
@@ -97,7 +98,7 @@
 	case got := <-results:
 		return got
 	case <-time.After(testTimeout):
-		t.Fatal("no result")
+		t.Fatal("OnDone was not called within the test timeout")
 		return callResult{}
 	}
 }
@@ -106,62 +107,64 @@
 	loop := looptest.Start(t)
 	for _, test := range []struct {
 		name, method, response string
-		staysOpen              bool
+		keepOpen               bool
 		status                 int
 		body, wantErr          string
 	}{
-		{name: "length", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", staysOpen: true, status: 200, body: "ab"},
-		{name: "chunked", method: "GET", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", staysOpen: true, status: 200, body: "ab"},
-		{name: "until close", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
-		{name: "no body to HEAD", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", staysOpen: true, status: 200},
-		{name: "after an interim response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", staysOpen: true, status: 201, body: "x"},
-		{name: "error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", staysOpen: true, status: 503, body: "busy"},
-		{name: "cut short", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
-		{name: "nothing", method: "GET", wantErr: ": connection broke: EOF"},
-		{name: "malformed", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", staysOpen: true, wantErr: ": http: malformed status"},
+		{name: "body with Content-Length", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", keepOpen: true, status: 200, body: "ab"},
+		{name: "chunked body", method: "GET", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", keepOpen: true, status: 200, body: "ab"},
+		{name: "body that ends with the connection", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
+		{name: "response to HEAD has no body", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", keepOpen: true, status: 200},
+		{name: "final response after an interim response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", keepOpen: true, status: 201, body: "x"},
+		{name: "response with an error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", keepOpen: true, status: 503, body: "busy"},
+		{name: "connection closed within the body", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
+		{name: "connection closed without a response", method: "GET", wantErr: ": connection broke: EOF"},
+		{name: "malformed status line", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", keepOpen: true, wantErr: ": http: malformed status"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := doAndWait(t, loop, startFixedResponseServer(t, test.response, test.staysOpen), test.method, 5*time.Second, nil)
+			got := doAndWait(t, loop, startFixedResponseServer(t, test.response, test.keepOpen), test.method, 5*time.Second, nil)
 			if test.wantErr != "" {
 				var connectError *ConnectError
 				if got.err == nil || !strings.Contains(got.err.Error(), test.wantErr) || errors.As(got.err, &connectError) {
-					t.Fatalf("error %v, want %q", got.err, test.wantErr)
+					t.Fatalf("error %v, want one that contains %q and is no *ConnectError", got.err, test.wantErr)
 				}
 				return
 			}
 			if got.err != nil || got.status != test.status || got.body != test.body {
-				t.Fatalf("got %d %q, %v", got.status, got.body, got.err)
+				t.Fatalf("got status %d, body %q and error %v; want the status and body that the server sent and no error", got.status, got.body, got.err)
 			}
 		})
 	}
 }
 
-// A stream's pieces go to Data as they come, and its end to Done.
+// TestStream checks that OnBodyData receives the body in pieces and that OnDone is called at its end
+// without a body.
 func TestStream(t *testing.T) {
 	loop := looptest.Start(t)
 	var pieces strings.Builder
-	started := 0
+	headStatus := 0
 	addr := startFixedResponseServer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", true)
 	results := make(chan callResult, 1)
 	loop.Post(func() {
 		New(loop, addr).Do("GET", "/", nil, nil, 0, &Call{
-			OnResponseHead: func(head *http1.Head) { started = head.Status },
+			OnResponseHead: func(head *http1.Head) { headStatus = head.Status },
 			OnBodyData:     func(b []byte) { pieces.Write(b) },
 			OnDone: func(_ *http1.Head, body []byte, err error) {
-				results <- callResult{started, pieces.String() + string(body), err}
+				results <- callResult{headStatus, pieces.String() + string(body), err}
 			},
 		})
 	})
 	if got := <-results; got.err != nil || got.status != 200 || got.body != "abc" {
-		t.Errorf("started with %d, got %q, %v", got.status, got.body, got.err)
+		t.Errorf("got status %d, body %q and error %v; want status 200, body \"abc\" and no error", got.status, got.body, got.err)
 	}
 }
 
-// The error tells whether the request may have been read.
+// TestErrors checks that the error is a *ConnectError exactly if the request was never sent. Callers rely
+// on this to know whether the server may have read the request.
 func TestErrors(t *testing.T) {
 	loop := looptest.Start(t)
-	unused := unusedAddress(t)
-	silent := startFixedResponseServer(t, "", true)
+	unusedAddr := unusedAddress(t)
+	silentServer := startFixedResponseServer(t, "", true)
 	cancelAfter := func(d time.Duration) func(*Call) {
 		return func(call *Call) { loop.After(d, call.Cancel) }
 	}
@@ -169,20 +172,21 @@
 		name, addr string
 		timeout    time.Duration
 		prepare    func(*Call)
-		want       error // nil: any
-		neverSent  bool
+		// want is the error that the result must wrap. If it is nil, any error will do.
+		want      error
+		neverSent bool
 	}{
-		{name: "nothing listens", addr: unused, timeout: 5 * time.Second, neverSent: true},
-		{name: "no address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
-		{name: "cancelled at once", addr: silent, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
-		{name: "cancelled after it was sent", addr: silent, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
-		{name: "timeout", addr: silent, timeout: 200 * time.Millisecond, want: ErrTimeout},
+		{name: "nothing listens at the address", addr: unusedAddr, timeout: 5 * time.Second, neverSent: true},
+		{name: "host name instead of a literal address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
+		{name: "cancelled before the connection is established", addr: silentServer, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
+		{name: "cancelled after the request was sent", addr: silentServer, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
+		{name: "no response within the timeout", addr: silentServer, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := doAndWait(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
-				t.Errorf("error %v, never sent: %t, want %t", got.err, neverSent, test.neverSent)
+				t.Errorf("error %v, which says that the request was never sent: %t, want %t", got.err, neverSent, test.neverSent)
 			}
 			if test.want != nil && !errors.Is(got.err, test.want) {
 				t.Errorf("error %v, want %v", got.err, test.want)
@@ -191,7 +195,8 @@
 	}
 }
 
-// Calls beyond the pool's limit wait for a connection, and Close fails those that still wait.
+// TestCloseFailsWaitingCalls checks that calls over the connection limit of the pool wait, and that Close
+// fails those that wait. The call that has a connection continues until its timeout.
 func TestCloseFailsWaitingCalls(t *testing.T) {
 	loop := looptest.Start(t)
 	addr := startFixedResponseServer(t, "", true)
@@ -211,10 +216,10 @@
 		if err := <-results; errors.Is(err, ErrCancelled) {
 			cancelled++
 		} else if !errors.Is(err, ErrTimeout) {
-			t.Errorf("error %v", err)
+			t.Errorf("call failed with %v, want ErrCancelled or ErrTimeout", err)
 		}
 	}
 	if cancelled != calls-1 {
-		t.Errorf("%d of %d calls cancelled, want all but the one with a connection", cancelled, calls)
+		t.Errorf("Close cancelled %d of %d calls, want all but the one that has a connection", cancelled, calls)
 	}
 }
