--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -18,8 +18,9 @@
 	OnBodyData func(b []byte)
 	// OnResponseHead, if set, is called when the status line and header of the response have been received.
 	OnResponseHead func(head *http1.Head)
-	// AvoidUnknownOutcome asks the connection pool to avoid connections on which a failure would leave open
-	// whether the server has read the request: see package connpool.
+	// AvoidUnknownOutcome is set for a request that is not idempotent. It is then not sent on a connection that
+	// has been idle for longer than MaxIdleNonIdempotent of the pool policy. The server may close such a
+	// connection at the same moment, and the client could not tell whether the request was read.
 	AvoidUnknownOutcome bool
 
 	client *Client
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -20,7 +20,7 @@
 
 var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
 
-// startHeathshed starts this package's server; it and startNetHTTP send the same response.
+// startHeathshed starts a server of this package. It sends the same response as the server of startNetHTTP.
 func startHeathshed(tb testing.TB) (addr string, stop func()) {
 	tb.Helper()
 	loop := looptest.New(tb)
@@ -33,7 +33,7 @@
 	return server.Addr(), looptest.Run(tb, loop)
 }
 
-// startNetHTTP starts the server of the standard library.
+// startNetHTTP starts a server of the standard library.
 func startNetHTTP(tb testing.TB) (addr string, stop func()) {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,26 +42,26 @@
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return // the client has ended the connection
+			return // The client has closed the connection.
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(responseBody) // fails only when the client has ended the connection
+		_, _ = w.Write(responseBody) // Write fails only if the client has closed the connection.
 	})}
-	done := make(chan error, 1)
-	go func() { done <- server.Serve(listener) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- server.Serve(listener) }()
 	stop = sync.OnceFunc(func() {
 		if err := server.Close(); err != nil {
 			tb.Error(err)
 		}
-		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-serveResult; !errors.Is(err, http.ErrServerClosed) {
 			tb.Error(err)
 		}
 	})
 	return listener.Addr().String(), stop
 }
 
-// BenchmarkRequests sends requests over 16 connections, one at a time on each or 16 in a pipeline, to both servers with the same
-// client.
+// BenchmarkRequests sends requests over 16 connections to each server with the same client. Each connection
+// sends either one request at a time or 16 pipelined requests.
 func BenchmarkRequests(b *testing.B) {
 	for _, depth := range []int{1, 16} {
 		for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
@@ -69,14 +69,14 @@
 				addr, stop := start(b)
 				defer stop()
 				const conns = 16
-				request := []byte(strings.Repeat("POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nUser-Agent: bench\r\nAccept: application/json\r\n"+
+				requests := []byte(strings.Repeat("POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nUser-Agent: bench\r\nAccept: application/json\r\n"+
 					"Content-Type: application/json\r\nContent-Length: 2\r\n\r\n{}", depth))
 				b.ReportAllocs()
 				b.ResetTimer()
 				done := make(chan error, conns)
 				for i := range conns {
 					count := (b.N/depth + conns - 1 - i) / conns
-					go func() { done <- sendPipelinedRequests(addr, request, count, depth) }()
+					go func() { done <- sendPipelinedRequests(addr, requests, count, depth) }()
 				}
 				for range conns {
 					if err := <-done; err != nil {
@@ -88,15 +88,16 @@
 	}
 }
 
-// exchangeRequests opens a connection, sends the request so many times and reads depth responses to each.
-func sendPipelinedRequests(addr string, request []byte, count, depth int) error {
+// sendPipelinedRequests opens a connection and writes the pipelined requests to it count times. After each
+// write it reads depth responses.
+func sendPipelinedRequests(addr string, requests []byte, count, depth int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
 	reader := bufio.NewReader(conn)
 	for range count {
-		if _, err := conn.Write(request); err != nil {
+		if _, err := conn.Write(requests); err != nil {
 			return errors.Join(err, conn.Close())
 		}
 		for range depth {
@@ -108,7 +109,8 @@
 	return conn.Close()
 }
 
-// skipResponse reads one answer without allocating, so that the client weighs the same on both.
+// discardResponse reads one response without allocating memory, because allocations of the client would
+// distort the comparison of the servers.
 func discardResponse(reader *bufio.Reader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -122,21 +124,22 @@
 	}
 }
 
-// BenchmarkIdleConnections tells the memory that an idle connection holds, after one request on it.
+// BenchmarkIdleConnections measures the memory that a server holds for an idle connection after one request
+// on it.
 func BenchmarkIdleConnections(b *testing.B) {
 	for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
 		b.Run(name, func(b *testing.B) {
 			addr, stop := start(b)
 			defer stop()
-			const n = 2000
-			heap := func() uint64 {
+			const connCount = 2000
+			heapBytes := func() uint64 {
 				runtime.GC()
 				var stats runtime.MemStats
 				runtime.ReadMemStats(&stats)
 				return stats.HeapInuse + stats.StackInuse
 			}
 			var conns []net.Conn
-			for range n {
+			for range connCount {
 				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					b.Fatal(err)
@@ -152,16 +155,16 @@
 					b.Fatal(err)
 				}
 			}
-			after := heap()
+			heapWithConns := heapBytes()
 			for _, conn := range conns {
 				if err := conn.Close(); err != nil {
 					b.Fatal(err)
 				}
 			}
-			clear(conns) // their memory does not count as the server's
+			clear(conns) // The memory of the client connections must not count as memory of the server.
 			stop()
-			empty := heap()
-			b.ReportMetric(float64(int64(after)-int64(empty))/n, "B/conn")
+			heapWithoutConns := heapBytes()
+			b.ReportMetric(float64(int64(heapWithConns)-int64(heapWithoutConns))/connCount, "B/conn")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -12,25 +12,31 @@
 )
 
 const (
-	minTimerDelay           = 50 * time.Millisecond // between two looks at a connection's time limits
-	maxUnreadBytesAfterHead = 64 << 10              // bytes that may wait unread beyond a head
-	maxKeptBodyBytes        = 4 << 10               // bytes of a body's buffer that is kept for the next request
+	// minTimerDelay is the least time between two checks of the time limits of a connection.
+	minTimerDelay = 50 * time.Millisecond
+	// maxUnreadBytesAfterHead is the input that may be buffered in addition to a head of the largest size.
+	maxUnreadBytesAfterHead = 64 << 10
+	// maxKeptBodyBytes is the largest capacity with which a body buffer is kept for the next request.
+	maxKeptBodyBytes = 4 << 10
 )
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// conn is one connection. It responds to one request at a time, in order.
+// conn is one connection from a client. It handles one request at a time, in the order of arrival.
 type conn struct {
-	server        *Server
-	id            uint64
-	transport     *eventloop.Conn
-	decoder       http1.Decoder
-	state         connState
-	exchange      Exchange // the present request and its response; reused for the next
+	server    *Server
+	id        uint64
+	transport *eventloop.Conn
+	decoder   http1.Decoder
+	state     connState
+	// exchange is the current request and its response. It is reused for the next request.
+	exchange      Exchange
 	deadlineTimer *eventloop.Timer
 
-	requestStartedAt   clock.Instant // at which the first byte of the request that is being read came
-	lastProgressAt     clock.Instant // at which the peer last took or sent something
+	// requestStartedAt is the time at which the first byte of the current request was received.
+	requestStartedAt clock.Instant
+	// lastProgressAt is the time at which the client last received output or completed a request.
+	lastProgressAt     clock.Instant
 	closeAfterResponse bool
 }
 
@@ -67,7 +73,8 @@
 	c.reportMemoryUse()
 }
 
-// Closed implements eventloop.Handler. The reason of the end makes no difference to a request.
+// Closed implements eventloop.Handler. It ignores the error, because every cause is handled in the same
+// way.
 func (c *conn) Closed(*eventloop.Conn, error) {
 	s := c.server
 	c.deadlineTimer.Stop()
@@ -76,22 +83,24 @@
 	delete(s.conns, c)
 	delete(s.streamingConns, c)
 	c.closeStream()
-	unanswered := c.state == stateHandling
+	responsePending := c.state == stateHandling
 	if c.state != stateEnded {
 		c.setState(stateEnded)
 	}
-	if unanswered && c.exchange.OnDisconnect != nil {
+	if responsePending && c.exchange.OnDisconnect != nil {
 		c.exchange.OnDisconnect()
 	}
 }
 
-// consume reads requests from input, has them handled, and returns how many bytes it consumed.
+// readRequests decodes requests from input, passes them to the handler, and returns how many bytes it
+// consumed.
 func (c *conn) readRequests(input []byte) int {
 	consumed := 0
 	for c.state.acceptsRequestBytes() {
 		if c.state == stateIdle {
 			if c.transport.UnsentBytes() > c.server.options.OutputHighWaterMark {
-				// The peer sends requests faster than it reads the responses: the next one waits until these have gone out.
+				// The client sends requests faster than it reads the responses. The next request waits
+				// until the responses have been sent.
 				c.transport.SetReadPaused(true)
 				return consumed
 			}
@@ -125,7 +134,7 @@
 	return consumed
 }
 
-// handleDecoded handles a part of a request that the decoder has found.
+// handleDecoderEvent handles the part of a request that the decoder has completed.
 func (c *conn) handleDecoderEvent(event http1.Event) {
 	e := &c.exchange
 	switch event {
@@ -149,7 +158,7 @@
 	}
 }
 
-// rejectRequest responds to a request that cannot be read, and closes.
+// rejectRequest responds to a request that is invalid or took too long, and closes the connection.
 func (c *conn) rejectRequest(err error) {
 	c.server.BadRequests++
 	c.setState(stateEnded)
@@ -167,7 +176,8 @@
 	c.transport.CloseAfterFlush()
 }
 
-// nextRequest makes the connection ready for another request, or closes it if there is to be none.
+// prepareForNextRequest prepares the connection for the next request, or closes it if no further request is
+// allowed.
 func (c *conn) prepareForNextRequest() {
 	c.lastProgressAt = c.server.loop.Now()
 	if c.closeAfterResponse {
@@ -185,18 +195,20 @@
 	c.transport.RedeliverInput()
 }
 
-// updateMemory tells the quota what the connection holds and closes the connections that are over it.
+// reportMemoryUse reports the memory use of the connection to the memory quota and closes connections if it
+// is exceeded.
 func (c *conn) reportMemoryUse() {
 	if c.transport.Closed() {
 		return
 	}
 	s := c.server
-	held := c.transport.BufferMemoryBytes() + cap(c.exchange.bodyBuffer)
-	s.memoryQuota.SetUsed(s.loop.Now(), c.id, int64(held))
+	usedBytes := c.transport.BufferMemoryBytes() + cap(c.exchange.bodyBuffer)
+	s.memoryQuota.SetUsed(s.loop.Now(), c.id, int64(usedBytes))
 	s.evictOverQuota()
 }
 
-// armTimer sets the connection's one timer for the time limit that now holds. It is set anew when it fires.
+// armTimer sets the timer of the connection for the time limit that currently applies. The timer is set
+// again whenever it fires.
 func (c *conn) armTimer() {
 	loop := c.server.loop
 	c.deadlineTimer = loop.At(max(c.deadline(), loop.Now().Add(minTimerDelay)), func() {
@@ -207,15 +219,15 @@
 	})
 }
 
-// shortenTimer sets the timer anew if it would fire later than after the limit.
-func (c *conn) shortenTimer(limit time.Duration) {
-	if c.deadlineTimer.Due() > c.server.loop.Now().Add(limit) {
+// shortenTimer sets the timer again if more than maxDelay remains until it is due.
+func (c *conn) shortenTimer(maxDelay time.Duration) {
+	if c.deadlineTimer.Due() > c.server.loop.Now().Add(maxDelay) {
 		c.deadlineTimer.Stop()
 		c.armTimer()
 	}
 }
 
-// deadline is when the time limit that now holds is over.
+// deadline returns the time at which the time limit that currently applies expires.
 func (c *conn) deadline() clock.Instant {
 	options := &c.server.options
 	switch {
@@ -224,13 +236,15 @@
 	case c.transport.UnsentBytes() > 0:
 		return c.lastProgressAt.Add(options.WriteTimeout)
 	case c.state.awaitsResponseEnd():
-		// No limit holds; look again by the time that output may have come to wait.
+		// No time limit applies. Output that is queued from now on cannot exceed the write timeout before
+		// this time.
 		return c.server.loop.Now().Add(options.WriteTimeout)
 	}
 	return c.lastProgressAt.Add(options.IdleTimeout)
 }
 
-// checkDeadline ends a connection whose time limit is over.
+// checkDeadline closes the connection if a time limit has expired. If a request took too long, it sends a
+// response first.
 func (c *conn) checkDeadline() {
 	now := c.server.loop.Now()
 	options := &c.server.options
@@ -245,7 +259,7 @@
 	}
 }
 
-// isIdle reports whether there is neither a request nor a response, nor output that waits.
+// isIdle reports whether no request is being received or handled and no output is queued.
 func (c *conn) isIdle() bool {
 	return !c.state.isReceivingRequest() && !c.state.awaitsResponseEnd() && c.transport.UnsentBytes() == 0
 }
--- a/internal/netio/httpd/conn_state.go
+++ b/internal/netio/httpd/conn_state.go
@@ -2,22 +2,24 @@
 
 package httpd
 
-// connState is where a connection is in its present request: it reads it, then has its handler respond, and begins again
-// with the next one, until it ends.
+// connState is the state of a connection with regard to its current request. A connection receives a
+// request, waits for the response of the handler, sends it, and repeats this for further requests until it
+// is closed.
 type connState uint8
 
 const (
-	// stateIdle: no byte of a request has come.
+	// stateIdle means that no byte of the next request has been received.
 	stateIdle connState = iota
-	// stateReadingHead: a request has begun.
+	// stateReadingHead means that the request line or header is being received.
 	stateReadingHead
-	// stateReadingBody: the head is complete, the body is not.
+	// stateReadingBody means that the head is complete and the body is being received.
 	stateReadingBody
-	// stateHandling: the handler has the request and has not responded.
+	// stateHandling means that the handler has received the request and has not responded yet.
 	stateHandling
-	// stateResponding: the handler has responded; the response, if it is a stream, may go on.
+	// stateResponding means that the handler has responded. A stream as the response body may still be
+	// producing data.
 	stateResponding
-	// stateEnded: no request is read any more; the connection is closing or closed.
+	// stateEnded means that no further request is read: the connection is closing or closed.
 	stateEnded
 )
 
@@ -25,7 +27,7 @@
 
 func (s connState) String() string { return connStateNames[s] }
 
-// connTransitions holds, for each state, the set of states that may follow it, as bits.
+// connTransitions holds, for each state, a bit set of the states that may follow it.
 var connTransitions = [...]uint8{
 	stateIdle:        1<<stateReadingHead | 1<<stateEnded,
 	stateReadingHead: 1<<stateReadingBody | 1<<stateEnded,
@@ -35,22 +37,23 @@
 	stateEnded:       0,
 }
 
-// readsRequest reports whether bytes received belong to the present request or begin one.
+// acceptsRequestBytes reports whether received bytes continue the current request or begin a new one.
 func (s connState) acceptsRequestBytes() bool { return s <= stateReadingBody }
 
-// inRequest reports whether a request has begun and is not complete.
+// isReceivingRequest reports whether a request has begun and is not complete.
 func (s connState) isReceivingRequest() bool { return s == stateReadingHead || s == stateReadingBody }
 
-// hasExchange reports whether the head of a request has come whose response is not complete.
+// hasUnfinishedExchange reports whether the head of a request is complete and its response is not.
 func (s connState) hasUnfinishedExchange() bool {
 	return s == stateReadingBody || s == stateHandling || s == stateResponding
 }
 
-// awaitsResponse reports whether the request is complete and its response is not.
+// awaitsResponseEnd reports whether the request is complete and its response is not.
 func (s connState) awaitsResponseEnd() bool { return s == stateHandling || s == stateResponding }
 
-// setState is the only place where a connection's state changes. An illegal transition is a fault of this package: it is counted and the
-// state stays, since ending the program would end every other connection too.
+// setState changes the state of the connection; no other code does. A transition that connTransitions does
+// not allow is a bug in this package. It is counted and has no effect: a panic would close all other
+// connections too.
 func (c *conn) setState(next connState) {
 	if connTransitions[c.state]&(1<<next) == 0 {
 		c.server.IllegalTransitions++
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -4,30 +4,33 @@
 
 import "heathshed/internal/netio/http1"
 
-// Exchange is one request and its response.
+// Exchange is one request together with its response.
 type Exchange struct {
 	http1.Request
-	// OnDisconnect, if set, is called when the connection ends before the response.
+	// OnDisconnect, if set, is called when the connection is closed before the handler has responded.
 	OnDisconnect func()
 
-	conn           *conn
-	bodyBuffer     []byte       // the request's, with its memory reused
-	responseStream http1.Stream // the rest of the response; nil if there is none
+	conn *conn
+	// bodyBuffer collects the request body. Its memory is reused for later requests.
+	bodyBuffer []byte
+	// responseStream produces the rest of the response body. It is nil if the response has no stream.
+	responseStream http1.Stream
 }
 
-// Finished reports whether a response is no longer of use: there has been one, or the connection has ended.
+// Finished reports whether no response can be sent any more, because there has been one or the connection
+// is closed.
 func (e *Exchange) Finished() bool {
 	return e.conn.state != stateHandling || e.conn.transport.Closed()
 }
 
-// Reset closes the connection without a response; emulators use it to be faulty.
+// Reset closes the connection without a response. Emulators use it to inject faults.
 func (e *Exchange) Reset() {
 	if !e.Finished() {
 		e.conn.transport.Close()
 	}
 }
 
-// Respond sends the response. It may be called once, from the handler or later.
+// Respond sends the response. The handler may call it directly or later. Only the first call has an effect.
 func (e *Exchange) Respond(response http1.Response) {
 	c := e.conn
 	if e.Finished() {
@@ -47,12 +50,14 @@
 	}
 }
 
-// chunked reports whether a stream goes out in chunks. HTTP/1.0 knows none: there the body ends with the connection.
+// usesChunks reports whether a streamed body is sent in chunks. HTTP/1.0 does not support this: the end of
+// the connection marks the end of the body.
 func (e *Exchange) usesChunks() bool { return e.Head.MinorVersion > 0 }
 
 func (e *Exchange) isHEADRequest() bool { return e.Head.Method == "HEAD" }
 
-// appendHead appends the status line and the fields of a response, without those of the body's length.
+// appendHead appends the status line and the header fields of a response, except for Content-Length and
+// Transfer-Encoding.
 func (e *Exchange) appendHead(out []byte, response *http1.Response) []byte {
 	out = http1.AppendStatusLine(out, response.Status)
 	for i := range response.Header {
@@ -64,7 +69,7 @@
 	return out
 }
 
-// respondBody sends a response whose body is complete.
+// respondBody sends a response with a complete body.
 func (e *Exchange) respondBody(response *http1.Response) {
 	c := e.conn
 	out := e.appendHead(c.transport.OutputBuffer(), response)
@@ -83,7 +88,7 @@
 	}
 }
 
-// respondStream sends the head of a response whose body is a stream, and begins to pull the stream.
+// respondStream sends the head of a response whose body is a stream, and starts to pull data from the stream.
 func (e *Exchange) respondStream(response *http1.Response) {
 	c := e.conn
 	if !e.usesChunks() {
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -20,8 +20,9 @@
 	"heathshed/internal/testsupport/looptest"
 )
 
-// startServer runs a server whose responses repeat the request; the path says what else it does. disconnects gets the path
-// of each request whose peer went away before the response, and "handled" with the path when such a request has come.
+// startServer runs a server whose responses repeat the request. The paths /later, /never and /stream make
+// it respond later, never or with a stream. For /never, disconnects receives "handled /never" when the
+// request reaches the handler, and "/never" when the client closes the connection.
 func startServer(t *testing.T, options Options) (loop *eventloop.Loop, server *Server, disconnects chan string) {
 	t.Helper()
 	loop = looptest.New(t)
@@ -47,31 +48,32 @@
 	t.Cleanup(func() {
 		stop()
 		if illegal := server.IllegalTransitions; illegal != 0 {
-			t.Errorf("%d illegal transitions of connections' states, want none", illegal)
+			t.Errorf("the server counted %d illegal state transitions of connections, want none", illegal)
 		}
 	})
 	return loop, server, disconnects
 }
 
-// numberStream is a stream of numbers, one a line.
+// numberStream is a stream of consecutive numbers, one per line.
 type numberStream struct{ next, end int }
 
-func (s *numberStream) Pull(b []byte, room int) ([]byte, bool) {
-	for limit := len(b) + room; s.next < s.end && len(b) < limit; s.next++ {
+func (s *numberStream) Pull(b []byte, maxBytes int) ([]byte, bool) {
+	for limit := len(b) + maxBytes; s.next < s.end && len(b) < limit; s.next++ {
 		b = fmt.Appendln(b, s.next)
 	}
 	return b, s.next == s.end
 }
 func (s *numberStream) Close() {}
 
-// openConn connects to the server and sends text.
+// openConn connects to the server and sends the text.
 func openConn(t *testing.T, server *Server, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // only frees the descriptor: the test may have closed it
+	// This Close only frees the descriptor; the test may have closed the connection already.
+	t.Cleanup(func() { _ = conn.Close() })
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
@@ -95,22 +97,22 @@
 	options.Limits.BodyBytes = 100
 	_, server, _ := startServer(t, options)
 	base := "http://" + server.Addr()
-	fits := strings.Repeat("x", 100)
+	largestBody := strings.Repeat("x", 100)
 	for _, test := range []struct {
 		name, method, path, body string
 		expect, chunked          bool
-		code                     int
-		want                     string
+		wantStatus               int
+		wantBody                 string
 	}{
-		{name: "get", method: "GET", path: "/a", code: 200, want: "GET /a "},
-		{name: "post", method: "POST", path: "/a", body: "xyz", code: 200, want: "POST /a xyz"},
-		{name: "post with expectation", method: "POST", path: "/a", body: "xyz", expect: true, code: 200, want: "POST /a xyz"},
-		{name: "post in chunks", method: "POST", path: "/a", body: "xyz", chunked: true, code: 200, want: "POST /a xyz"},
-		{name: "head", method: "HEAD", path: "/a", code: 200},
-		{name: "later response", method: "GET", path: "/later", code: 200, want: "later"},
-		{name: "body of the limit", method: "POST", path: "/a", body: fits, code: 200, want: "POST /a " + fits},
-		{name: "body over the limit", method: "POST", path: "/a", body: fits + "x", code: 413},
-		{name: "chunks over the limit", method: "POST", path: "/a", body: fits + "x", chunked: true, code: 413},
+		{name: "GET", method: "GET", path: "/a", wantStatus: 200, wantBody: "GET /a "},
+		{name: "POST with Content-Length", method: "POST", path: "/a", body: "xyz", wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "POST that expects 100 Continue", method: "POST", path: "/a", body: "xyz", expect: true, wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "POST with a chunked body", method: "POST", path: "/a", body: "xyz", chunked: true, wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "HEAD", method: "HEAD", path: "/a", wantStatus: 200},
+		{name: "response after the handler has returned", method: "GET", path: "/later", wantStatus: 200, wantBody: "later"},
+		{name: "body of exactly the limit", method: "POST", path: "/a", body: largestBody, wantStatus: 200, wantBody: "POST /a " + largestBody},
+		{name: "Content-Length over the limit", method: "POST", path: "/a", body: largestBody + "x", wantStatus: 413},
+		{name: "chunked body over the limit", method: "POST", path: "/a", body: largestBody + "x", chunked: true, wantStatus: 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var body io.Reader
@@ -118,7 +120,7 @@
 				body = strings.NewReader(test.body)
 			}
 			if test.chunked {
-				body = io.MultiReader(body) // of a length that the client does not know
+				body = io.MultiReader(body) // The client cannot determine the length of a MultiReader and sends chunks.
 			}
 			req, err := http.NewRequestWithContext(t.Context(), test.method, base+test.path, body)
 			if err != nil {
@@ -131,9 +133,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			answer := readBody(t, resp)
-			if resp.StatusCode != test.code || test.want != "" && string(answer) != test.want {
-				t.Errorf("%d bytes: %d %.200q", len(test.body), resp.StatusCode, answer)
+			respBody := readBody(t, resp)
+			if resp.StatusCode != test.wantStatus || test.wantBody != "" && string(respBody) != test.wantBody {
+				t.Errorf("request body of %d bytes: got status %d and body %.200q, want the status and body of the case", len(test.body), resp.StatusCode, respBody)
 			}
 		})
 	}
@@ -142,11 +144,11 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Count(string(readBody(t, resp)), "\n"); lines != 1000 {
-		t.Errorf("stream: %d lines", lines)
+		t.Errorf("the stream has %d lines, want 1000", lines)
 	}
 }
 
-// A peer that begins a request and does not end it gets a 408.
+// TestRequestTimeout checks that a client that sends only a part of a request receives status 408.
 func TestRequestTimeout(t *testing.T) {
 	options := DefaultOptions()
 	options.RequestTimeout = 100 * time.Millisecond
@@ -154,26 +156,28 @@
 	conn := openConn(t, server, "GET / HT")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 408 {
-		t.Errorf("half a request: %v, %v", resp, err)
+		t.Errorf("incomplete request: response %v, error %v; want status 408", resp, err)
 	}
 }
 
-// The handler is told of a peer that goes away before the response.
+// TestDisconnectBeforeResponse checks that OnDisconnect is called when the client closes the connection
+// before the response.
 func TestDisconnectBeforeResponse(t *testing.T) {
 	_, server, disconnects := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
 	if got := <-disconnects; got != "handled /never" {
-		t.Fatalf("got %s, want the request handled", got)
+		t.Fatalf("the handler reported %q, want \"handled /never\"", got)
 	}
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-disconnects; got != "/never" {
-		t.Errorf("disconnected: %s", got)
+		t.Errorf("OnDisconnect reported %q, want \"/never\"", got)
 	}
 }
 
-// A stream to HTTP/1.0 ends with the connection, without chunks.
+// TestStreamToHTTP10 checks that a stream to an HTTP/1.0 client is sent without chunks and ends with the
+// connection.
 func TestStreamToHTTP10(t *testing.T) {
 	_, server, _ := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /stream HTTP/1.0\r\n\r\n")
@@ -183,17 +187,19 @@
 	}
 	head, body, ok := strings.Cut(string(response), "\r\n\r\n")
 	if !ok || strings.Count(body, "\n") != 1000 || strings.Contains(head+body, "chunked") {
-		t.Errorf("%d bytes, %d lines, head %q", len(response), strings.Count(body, "\n"), head)
+		t.Errorf("response of %d bytes has %d lines and head %q; want 1000 lines and no chunked coding", len(response), strings.Count(body, "\n"), head)
 	}
 }
 
-// With no descriptor left a connection is closed rather than left to spin on; those that are open go on.
+// TestNoDescriptorsLeft checks that the server closes new connections when the process has no descriptor
+// left, and still serves the open ones. A connection that is neither accepted nor closed keeps the listener
+// readable, and the loop spins.
 func TestNoDescriptorsLeft(t *testing.T) {
 	loop, server, _ := startServer(t, DefaultOptions())
-	open := openConn(t, server, "")
-	reader := bufio.NewReader(open)
+	openedBefore := openConn(t, server, "")
+	reader := bufio.NewReader(openedBefore)
 	get := func() error {
-		if _, err := io.WriteString(open, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(openedBefore, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			return err
 		}
 		resp, err := http.ReadResponse(reader, nil)
@@ -205,19 +211,20 @@
 	if err := get(); err != nil {
 		t.Fatal(err)
 	}
-	var former unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &former); err != nil {
+	var originalLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &originalLimit); err != nil {
 		t.Skip(err)
 	}
-	// The client's sockets are made first: the limit then hits the accepting side.
+	// The client sockets are created before the limit is set. Only the accepting side then runs out of
+	// descriptors.
 	fds := openSockets(t, 8)
 	restore := sync.OnceFunc(func() {
-		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &former); err != nil {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &originalLimit); err != nil {
 			t.Error(err)
 		}
 	})
 	defer restore()
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(fds[len(fds)-1]) + 1, Max: former.Max}); err != nil {
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(fds[len(fds)-1]) + 1, Max: originalLimit.Max}); err != nil {
 		t.Skip(err)
 	}
 	var port int
@@ -228,23 +235,23 @@
 		if err := unix.Connect(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			t.Fatal(err)
 		}
-		// The end of the connection or a reset, either will do.
+		// The server may close or reset the connection.
 		if n, _ := unix.Read(fd, make([]byte, 1)); n > 0 {
-			t.Error("an answer out of nothing")
+			t.Error("received data on a connection that the server could not accept, want it closed or reset")
 		}
 	}
 	if err := get(); err != nil {
-		t.Errorf("the open connection: %v", err)
+		t.Errorf("request on the connection that was opened before: %v", err)
 	}
 	restore()
 	iterations := make(chan uint64, 1)
 	loop.Post(func() { iterations <- loop.Iterations })
 	if count := <-iterations; count > 10000 {
-		t.Errorf("%d iterations of the loop: it spins", count)
+		t.Errorf("the loop made %d iterations, want at most 10000: it spins", count)
 	}
 }
 
-// openSockets makes sockets that are not connected.
+// openSockets creates sockets that are not connected.
 func openSockets(t *testing.T, count int) []int {
 	t.Helper()
 	fds := make([]int, 0, count)
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -1,7 +1,8 @@
 //go:build linux
 
-// Package httpd serves HTTP/1.1 on the event loop: it joins the codec of package http1 to connections of package
-// eventloop, with time limits, back-pressure and a memory quota. What a request means is the handler's business.
+// Package httpd implements an HTTP/1.1 server on the event loop. It connects the codec of package http1
+// with the connections of package eventloop and adds time limits, back-pressure and a memory quota. The
+// handler interprets requests.
 package httpd
 
 import (
@@ -13,24 +14,35 @@
 )
 
 const (
-	pullRetryDelay    = 10 * time.Millisecond // until streams without memory to write to are pulled again
-	drainPollInterval = 20 * time.Millisecond // between looks at whether all connections have ended
+	// pullRetryDelay is the time after which streams that could not write for lack of memory are pulled
+	// again.
+	pullRetryDelay = 10 * time.Millisecond
+	// drainPollInterval is the time between checks whether all connections are closed.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Handler responds to a request, at once or later, by Exchange.Respond. The request's Body is valid until then.
+// Handler handles a request. It calls Exchange.Respond directly or later; the request body is valid until
+// then.
 type Handler func(e *Exchange)
 
-// Options bound what a peer may do.
+// Options limits the time and memory that clients can use.
 type Options struct {
-	Limits              http1.Limits
-	RequestTimeout      time.Duration // from the first byte of a request to its last
-	IdleTimeout         time.Duration // between requests
-	WriteTimeout        time.Duration // that a peer may take nothing of what waits for it
-	OutputHighWaterMark int           // bytes that may wait to be sent before a stream is no longer pulled, or the next request read
-	MemoryQuotaBytes    int64         // that all connections together may hold: see package memquota
+	// Limits restricts the size of requests.
+	Limits http1.Limits
+	// RequestTimeout limits the time from the first byte of a request to its last.
+	RequestTimeout time.Duration
+	// IdleTimeout limits the time between two requests on a connection.
+	IdleTimeout time.Duration
+	// WriteTimeout limits the time during which a client accepts no output although some is queued.
+	WriteTimeout time.Duration
+	// OutputHighWaterMark limits the queued output of a connection in bytes. Above the limit, the connection
+	// neither pulls its stream nor reads the next request.
+	OutputHighWaterMark int
+	// MemoryQuotaBytes limits the memory of all connections together: see package memquota.
+	MemoryQuotaBytes int64
 }
 
-// DefaultOptions are those of the API server.
+// DefaultOptions returns the options of the API server.
 func DefaultOptions() Options {
 	return Options{
 		Limits:              http1.DefaultLimits(),
@@ -42,28 +54,33 @@
 	}
 }
 
-// Server is a set of connections that share a handler. Its methods are for the loop's goroutine.
+// Server accepts connections and passes their requests to one handler. Its methods may be called only on
+// the goroutine of the loop.
 type Server struct {
-	loop            *eventloop.Loop
-	options         Options
-	handler         Handler
-	listener        *eventloop.Listener
-	conns           map[*conn]struct{}
-	connsByID       map[uint64]*conn
-	lastConnID      uint64
-	streamingConns  map[*conn]struct{} // connections whose response is a stream that goes on
-	memoryQuota     *memquota.Budget
-	draining        bool
-	evictionRunning bool // connections over the memory quota are being closed
+	loop       *eventloop.Loop
+	options    Options
+	handler    Handler
+	listener   *eventloop.Listener
+	conns      map[*conn]struct{}
+	connsByID  map[uint64]*conn
+	lastConnID uint64
+	// streamingConns holds the connections whose response is a stream that is not complete.
+	streamingConns map[*conn]struct{}
+	memoryQuota    *memquota.Budget
+	draining       bool
+	// evictionRunning reports that evictOverQuota is closing connections.
+	evictionRunning bool
 	pullScheduled   bool
 
-	// Requests and BadRequests count for metrics.
+	// Requests counts the requests that were passed to the handler, and BadRequests the rejected ones. Both
+	// are exported for metrics.
 	Requests, BadRequests uint64
-	// IllegalTransitions counts faults of this package: transitions that a connection's state machine does not have.
+	// IllegalTransitions counts attempts to make a transition that the state machine of a connection does
+	// not allow. Each one is a bug in this package.
 	IllegalTransitions uint64
 }
 
-// Listen starts a server at an address.
+// Listen starts a server at addr, which must be a literal IP address with a port.
 func Listen(loop *eventloop.Loop, addr string, options Options, handler Handler) (*Server, error) {
 	if options.MemoryQuotaBytes <= 0 {
 		options.MemoryQuotaBytes = DefaultOptions().MemoryQuotaBytes
@@ -87,29 +104,31 @@
 	return s, nil
 }
 
-// Addr is the address served at.
+// Addr returns the address of the server.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (s *Server) Conns() int { return len(s.conns) }
 
-// Streams is the number of responses that still go on.
+// Streams returns the number of streamed responses that are not complete.
 func (s *Server) Streams() int { return len(s.streamingConns) }
 
-// MemoryQuota is the quota that connections share, to be read between events.
+// MemoryQuota returns the memory quota that all connections share. Callers may read it between events.
 func (s *Server) MemoryQuota() *memquota.Budget { return s.memoryQuota }
 
-// PullStreams pulls every stream whose peer keeps up. Call it when streams may have something new to send.
+// PullStreams pulls every stream whose client keeps up with its output. Call it when streams may have new
+// data.
 func (s *Server) PullStreams() {
 	for c := range s.streamingConns {
 		c.pullStream()
-		// Sent at once: with thousands of streams, the output of all of them would not fit into the quota.
+		// The output is sent at once. With thousands of streams, the output of all of them would exceed the
+		// memory quota.
 		c.transport.Flush()
 		c.reportMemoryUse()
 	}
 }
 
-// schedulePull has streams that found no memory pulled again soon.
+// schedulePull schedules another pull of all streams, for those that could not write for lack of memory.
 func (s *Server) schedulePull() {
 	if s.pullScheduled {
 		return
@@ -121,7 +140,8 @@
 	})
 }
 
-// Drain stops accepting and ends each connection after its present response; done is called when none is left.
+// Drain stops accepting connections and closes each open one after its current response. It calls done when
+// all are closed.
 func (s *Server) Drain(done func()) {
 	s.draining = true
 	s.listener.Close()
@@ -141,27 +161,28 @@
 	s.loop.After(drainPollInterval, func() { s.pollDrained(done) })
 }
 
-// Close stops accepting and closes every connection at once.
+// Close stops accepting connections and closes the open ones immediately.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.CloseConns()
 }
 
-// CloseConns closes every open connection at once; the server goes on accepting.
+// CloseConns closes all open connections immediately. The server continues to accept connections.
 func (s *Server) CloseConns() {
 	for c := range s.conns {
 		c.transport.Close()
 	}
 }
 
-// evictOverQuota closes the connections that the memory quota names. Closing one may write to others, so calls may nest;
-// the outermost does it all.
+// evictOverQuota closes the connections that the memory quota selects for eviction. Closing a connection
+// may cause writes to others and nested calls of this method; these return at once, and the outermost call
+// closes all selected connections.
 func (s *Server) evictOverQuota() {
 	if s.evictionRunning {
 		return
 	}
 	s.evictionRunning = true
-	for id, over := s.memoryQuota.UserToEvict(); over; id, over = s.memoryQuota.UserToEvict() {
+	for id, exceeded := s.memoryQuota.UserToEvict(); exceeded; id, exceeded = s.memoryQuota.UserToEvict() {
 		s.connsByID[id].transport.Close()
 	}
 	s.evictionRunning = false
--- a/internal/netio/httpd/state_test.go
+++ b/internal/netio/httpd/state_test.go
@@ -4,9 +4,10 @@
 
 import "testing"
 
-// TestConnStates checks that a connection goes through a request in order, may end at any time, and never goes on after.
+// TestConnStates checks that a connection passes through the states of a request in order, that it can end
+// in any state, and that no transition leaves the ended state.
 func TestConnStates(t *testing.T) {
-	next := map[connState]connState{
+	successors := map[connState]connState{
 		stateIdle:        stateReadingHead,
 		stateReadingHead: stateReadingBody,
 		stateReadingBody: stateHandling,
@@ -15,23 +16,24 @@
 	}
 	for from := stateIdle; from <= stateEnded; from++ {
 		for to := stateIdle; to <= stateEnded; to++ {
-			follows, ok := next[from]
-			want := ok && (to == follows || to == stateEnded)
+			successor, ok := successors[from]
+			want := ok && (to == successor || to == stateEnded)
 			if got := transitionMade(t, from, to); got != want {
-				t.Errorf("from %s to %s: taken %t, want %t", from, to, got, want)
+				t.Errorf("transition from state %s to %s: made %t, want %t", from, to, got, want)
 			}
 		}
 	}
 }
 
-// transitions reports whether a connection goes from one state to another. A transition that it does not make must be counted.
-func transitionMade(t *testing.T, from, to connState) (taken bool) {
+// transitionMade reports whether setState makes a transition. It fails the test if setState ignores a
+// transition without counting it, or counts one that it makes.
+func transitionMade(t *testing.T, from, to connState) (made bool) {
 	t.Helper()
 	server := &Server{}
 	connection := &conn{server: server, state: from}
 	connection.setState(to)
 	if refused := server.IllegalTransitions == 1; refused != (connection.state == from) {
-		t.Errorf("from %s to %s: in %s, counted %d", from, to, connection.state, server.IllegalTransitions)
+		t.Errorf("transition from state %s to %s: the state is %s and %d illegal transitions are counted, want either a new state or one counted", from, to, connection.state, server.IllegalTransitions)
 	}
 	return connection.state == to && from != to
 }
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -4,34 +4,35 @@
 
 import "heathshed/internal/netio/http1"
 
-// chunkPlaceholder stands before a chunk's data until its size is known.
+// chunkLinePlaceholder reserves space for the chunk size before the data of a chunk until the size is known.
 const chunkLinePlaceholder = "00000000\r\n"
 
 const chunkSizeDigits = len(chunkLinePlaceholder) - len("\r\n")
 
-// incompleteStream is a stream that may end without being complete.
+// truncatableStream is a stream that may end before its body is complete.
 type truncatableStream interface {
-	// Broken reports, after its end, whether it is incomplete.
+	// Broken reports, after the stream has ended, whether its body is incomplete.
 	Broken() bool
 }
 
-// pullStream has the stream of the present response, if any, write what the peer and the memory quota allow.
+// pullStream pulls data from the stream of the current response, if any, as far as queued output and the
+// memory quota allow.
 func (c *conn) pullStream() {
 	e := &c.exchange
-	// What goes out at the end of this iteration counts until then.
+	// Output that is sent at the end of the iteration counts as queued until then.
 	for e.responseStream != nil && !c.transport.Closed() {
-		free := c.server.options.OutputHighWaterMark - c.transport.UnsentBytes()
-		if free <= 0 {
+		freeBytes := c.server.options.OutputHighWaterMark - c.transport.UnsentBytes()
+		if freeBytes <= 0 {
 			return
 		}
-		room := min(free, int(c.server.memoryQuota.Available(c.id)))
-		if room <= 0 {
+		maxBytes := min(freeBytes, int(c.server.memoryQuota.Available(c.id)))
+		if maxBytes <= 0 {
 			if c.transport.UnsentBytes() == 0 {
 				c.server.schedulePull()
 			}
 			return
 		}
-		more := c.pullStreamOnce(room)
+		more := c.pullStreamOnce(maxBytes)
 		c.reportMemoryUse()
 		if !more {
 			return
@@ -39,23 +40,23 @@
 	}
 }
 
-// pullOnce pulls the stream once, for about room bytes, and reports whether there may be more.
-func (c *conn) pullStreamOnce(room int) bool {
+// pullStreamOnce pulls about maxBytes from the stream and reports whether it may have more data.
+func (c *conn) pullStreamOnce(maxBytes int) bool {
 	e := &c.exchange
 	out := c.transport.OutputBuffer()
-	before := len(out)
+	queuedBytes := len(out)
 	if e.usesChunks() {
 		out = append(out, chunkLinePlaceholder...)
 	}
-	start := len(out)
-	out, done := e.responseStream.Pull(out, room)
-	size := len(out) - start
+	dataStart := len(out)
+	out, done := e.responseStream.Pull(out, maxBytes)
+	size := len(out) - dataStart
 	switch {
 	case size == 0:
-		// Nothing came: take the placeholder back without queueing a flush.
-		c.transport.DiscardOutput(out[:before])
+		// The stream has no data. The placeholder is removed without queueing a flush.
+		c.transport.DiscardOutput(out[:queuedBytes])
 	case e.usesChunks():
-		putChunkSize(out[before:], size)
+		putChunkSize(out[queuedBytes:], size)
 		c.transport.CommitOutput(append(out, "\r\n"...))
 	default:
 		c.transport.CommitOutput(out)
@@ -67,7 +68,7 @@
 	return false
 }
 
-// putChunkSize writes a chunk's size over its placeholder.
+// putChunkSize overwrites the placeholder at the start of b with the chunk size.
 func putChunkSize(b []byte, size int) {
 	const digits = "0123456789abcdef"
 	for i := chunkSizeDigits - 1; i >= 0; i-- {
@@ -76,8 +77,8 @@
 	}
 }
 
-// endStream completes a response whose stream has ended, or closes the connection if the stream is incomplete: the response
-// must not look complete.
+// endStream completes a response whose stream has ended. If the body is incomplete, it closes the
+// connection instead, because the client must not take the response for a complete one.
 func (c *conn) endStream() {
 	if stream, ok := c.exchange.responseStream.(truncatableStream); ok && stream.Broken() {
 		c.transport.Close()
@@ -91,7 +92,7 @@
 	c.prepareForNextRequest()
 }
 
-// closeStream tells the stream, if any, that it is not pulled any more.
+// closeStream closes the stream of the current response, if any. It is not pulled again.
 func (c *conn) closeStream() {
 	stream := c.exchange.responseStream
 	if stream == nil {
