--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -95,7 +95,7 @@
 	}
 	fd, err := newSocket(address)
 	if err != nil {
-		return nil, fmt.Errorf("dial %s: socket: %w", addr, err)
+		return nil, fmt.Errorf("dial %s: create socket: %w", addr, err)
 	}
 	setNoDelay(fd)
 	if err := unix.Connect(fd, socketAddress(address)); err != nil && !errors.Is(err, unix.EINPROGRESS) {
@@ -119,7 +119,7 @@
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
 	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		closeFD(fd)
-		return nil, fmt.Errorf("epoll add: %w", err)
+		return nil, fmt.Errorf("register socket with epoll: %w", err)
 	}
 	for len(l.conns) <= fd {
 		l.conns = append(l.conns, nil)
@@ -248,7 +248,7 @@
 	c.registeredEvents = events
 	event := unix.EpollEvent{Events: events, Fd: int32(c.fd), Pad: c.generation}
 	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &event); err != nil {
-		c.closeWithError(fmt.Errorf("epoll mod: %w", err))
+		c.closeWithError(fmt.Errorf("change epoll registration of socket: %w", err))
 	}
 }
 
@@ -298,7 +298,7 @@
 	err := socketError(c.fd)
 	switch {
 	case err != nil:
-		c.closeWithError(fmt.Errorf("socket: %w", err))
+		c.closeWithError(fmt.Errorf("socket error: %w", err))
 	case !c.readPaused:
 		c.readOnce()
 	default:
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -82,18 +82,18 @@
 func New() (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("create epoll instance: %w", err)
 	}
 	eventFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		closeFD(epollFD)
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, fmt.Errorf("create eventfd: %w", err)
 	}
 	wakeupEvent := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(eventFD)}
 	if err := unix.EpollCtl(epollFD, unix.EPOLL_CTL_ADD, eventFD, &wakeupEvent); err != nil {
 		closeFD(epollFD)
 		closeFD(eventFD)
-		return nil, fmt.Errorf("epoll add: %w", err)
+		return nil, fmt.Errorf("register eventfd with epoll: %w", err)
 	}
 	start := time.Now()
 	return &Loop{
@@ -184,7 +184,7 @@
 		}
 		n, err := unix.EpollWait(l.epollFD, events, l.epollTimeoutMillis(hasPosted))
 		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("epoll wait: %w", err)
+			return fmt.Errorf("wait for epoll events: %w", err)
 		}
 		l.now = max(l.now, l.readClock())
 		l.Iterations++
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -35,7 +35,7 @@
 	}
 	fd, err := newSocket(address)
 	if err != nil {
-		return nil, fmt.Errorf("listen %s: socket: %w", addr, err)
+		return nil, fmt.Errorf("listen %s: create socket: %w", addr, err)
 	}
 	if err := bindAndListen(fd, address); err != nil {
 		closeFD(fd)
@@ -48,7 +48,7 @@
 	event := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(fd)}
 	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		closeFD(fd)
-		return nil, fmt.Errorf("listen %s: epoll add: %w", addr, err)
+		return nil, fmt.Errorf("listen %s: register socket with epoll: %w", addr, err)
 	}
 	l.listeners[fd] = listener
 	return listener, nil
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -104,7 +104,7 @@
 				if test.status != 0 {
 					var rejection *Error
 					if !errors.As(err, &rejection) || rejection.Status != test.status {
-						t.Errorf("error %v, want a rejection with status %d", err, test.status)
+						t.Errorf("decoding the request ended with error %v, want a rejection with status %d", err, test.status)
 					}
 					return
 				}
@@ -134,7 +134,7 @@
 			decoder := &Decoder{Limits: smallLimits, DecodeResponses: true, ResponseHasNoBody: test.noBody}
 			messages, err := decodeAll(decoder, []byte(test.in), 1)
 			if rejected := err != nil; rejected != test.wantReject {
-				t.Fatalf("error %v, want a rejection: %t", err, test.wantReject)
+				t.Fatalf("decoding the response ended with error %v, want a rejection: %t", err, test.wantReject)
 			}
 			if !test.wantReject && (len(messages) != 1 || string(messages[0].body) != test.body) {
 				t.Errorf("got %d messages and error %v; want 1 message with the expected body and no error", len(messages), err)
@@ -205,7 +205,7 @@
 			return
 		}
 		if req.Method != unsplit[0].head.Method || !bytes.Equal(body, unsplit[0].body) {
-			t.Fatalf("net/http decodes method %s and a body of %d bytes, this decoder %s and %d bytes", req.Method, len(body), unsplit[0].head.Method, len(unsplit[0].body))
+			t.Fatalf("net/http decodes method %s and a body of %d bytes, but this decoder decodes method %s and a body of %d bytes", req.Method, len(body), unsplit[0].head.Method, len(unsplit[0].body))
 		}
 	})
 }
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -126,7 +126,7 @@
 			if test.wantErr != "" {
 				var connectError *ConnectError
 				if got.err == nil || !strings.Contains(got.err.Error(), test.wantErr) || errors.As(got.err, &connectError) {
-					t.Fatalf("error %v, want one that contains %q and is no *ConnectError", got.err, test.wantErr)
+					t.Fatalf("call failed with error %v, want one that contains %q and is no *ConnectError", got.err, test.wantErr)
 				}
 				return
 			}
@@ -186,10 +186,10 @@
 			got := doAndWait(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
-				t.Errorf("error %v, which says that the request was never sent: %t, want %t", got.err, neverSent, test.neverSent)
+				t.Errorf("call failed with error %v, which says that the request was never sent: %t, want %t", got.err, neverSent, test.neverSent)
 			}
 			if test.want != nil && !errors.Is(got.err, test.want) {
-				t.Errorf("error %v, want %v", got.err, test.want)
+				t.Errorf("call failed with error %v, want %v", got.err, test.want)
 			}
 		})
 	}
