--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -12,64 +12,82 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors that Handler.Closed gets when this side ends a connection.
+// Errors that are passed to Handler.Closed when this side closes a connection.
 var (
-	// ErrConnectTimeout: a dialed connection was not established in time.
+	// ErrConnectTimeout means that a connection was not established within the timeout of Dial.
 	ErrConnectTimeout = errors.New("connect: timed out")
-	// ErrClosedLocally: Close or CloseAfterFlush was called.
-	ErrClosedLocally = errors.New("closed on this side")
+	// ErrClosedLocally means that Close or CloseAfterFlush was called.
+	ErrClosedLocally = errors.New("connection closed locally")
 )
 
 const (
-	// DefaultMaxInput is how many unconsumed bytes a connection holds before reading stops: see Conn.MaxInput.
-	DefaultMaxInput = 4 << 20
+	// DefaultMaxInputBytes is the default of Conn.MaxInputBytes.
+	DefaultMaxInputBytes = 4 << 20
 
-	// lingerTimeout is how long a connection waits for the peer's end after its own, so that a response sent before the end of
-	// a request's body is not lost to a reset.
+	// lingerTimeout limits how long a connection that has shut down its write side waits for the peer to
+	// close. Closing at once, while the peer still sends a request body, would cause a reset, and the peer
+	// could lose the response.
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// Handler gets what happens to one connection, on the loop's goroutine.
+// Handler receives the events of one connection. Its methods are called on the goroutine of the loop.
 type Handler interface {
-	// Opened is called once: when an accepted connection begins, or a dialed one is established.
+	// Opened is called once, when a connection has been accepted or a dialed connection has been established.
 	Opened(c *Conn)
-	// Data gets all bytes not yet consumed and returns how many it consumes. The slice is valid during the call only.
+	// Data receives all bytes that have not been consumed yet and returns how many of them it consumes. The
+	// slice is valid only during the call.
 	Data(c *Conn, b []byte) int
-	// Drained is called when all queued output has been given to the system.
+	// Drained is called when all queued output has been written to the socket.
 	Drained(c *Conn)
-	// Closed is called once, last. err is io.EOF if the peer ended the connection in order.
+	// Closed is called once, after all other methods. err is io.EOF if the peer closed the connection
+	// without an error.
 	Closed(c *Conn, err error)
 }
 
-// Conn is one non-blocking TCP connection. All methods are for the loop's goroutine.
+// Conn is one non-blocking TCP connection. Its methods may be called only on the goroutine of the loop.
 type Conn struct {
-	// MaxInput is how many unconsumed bytes are held before reading stops until the handler resumes it.
-	MaxInput int
+	// MaxInputBytes limits the unconsumed input. When the limit is exceeded, reading pauses until the
+	// handler resumes it.
+	MaxInputBytes int
 
-	loop       *Loop
-	handler    Handler
-	fd         int
-	generation int32 // tells it from an earlier connection with the same descriptor
+	loop    *Loop
+	handler Handler
+	fd      int
+	// generation distinguishes the connection from earlier ones with the same descriptor.
+	generation int32
 	peer       netip.AddrPort
-	interest   uint32 // epoll events registered
-	input      []byte // received and not consumed
-	output     []byte // queued to be sent
-	outputSent int    // bytes of output that the system has taken
-	timer      *Timer // limits dialing and lingering; nil otherwise
+	// registeredEvents is the set of epoll events that is registered for the descriptor.
+	registeredEvents uint32
+	// unconsumedInput holds received bytes that the handler has not consumed.
+	unconsumedInput []byte
+	// output holds queued output. Its first outputSentBytes bytes have been written to the socket.
+	output          []byte
+	outputSentBytes int
+	// stateTimer limits the time that the connection dials or lingers. It is nil while the connection is
+	// open or closing.
+	stateTimer *Timer
 	state      connState
 
-	// Each of these holds or not in several states, independently of the others.
-	accepted        bool // counts in Loop.accepted
-	readPaused      bool // by the handler, or because of MaxInput
-	peerClosed      bool // the peer has ended its side
-	delivering      bool // Handler.Data is running
-	writeBlocked    bool // the system takes no output for now
-	flushQueued     bool // in Loop.flushQueue
-	redeliverQueued bool // in Loop.redeliverQueue
+	// The following conditions are independent of each other, and each can hold in several states.
+
+	// countedAsAccepted reports that Loop.acceptedConns includes the connection.
+	countedAsAccepted bool
+	// readPaused reports that reading is paused, by the handler or because the input exceeds MaxInputBytes.
+	readPaused bool
+	// peerClosed reports that the peer has shut down its write side.
+	peerClosed bool
+	// deliveringInput reports that Handler.Data is running.
+	deliveringInput bool
+	// writeBlocked reports that the socket send buffer is full.
+	writeBlocked bool
+	// flushQueued reports that the connection is in Loop.flushQueue.
+	flushQueued bool
+	// redeliverQueued reports that the connection is in Loop.redeliverQueue.
+	redeliverQueued bool
 }
 
-// Dial connects to a literal address. If that fails later, or takes longer than the timeout, the handler's Closed
-// gets the error.
+// Dial starts to connect to addr, which must be a literal IP address with a port. If connecting fails after
+// Dial has returned, or takes longer than the timeout, Handler.Closed receives the error.
 func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) (*Conn, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -77,7 +95,7 @@
 	}
 	fd, err := newSocket(address)
 	if err != nil {
-		return nil, fmt.Errorf("dial %s: socket: %w", addr, err)
+		return nil, fmt.Errorf("dial %s: create socket: %w", addr, err)
 	}
 	setNoDelay(fd)
 	if err := unix.Connect(fd, socketAddress(address)); err != nil && !errors.Is(err, unix.EINPROGRESS) {
@@ -90,18 +108,18 @@
 	}
 	c.handler = h
 	c.peer = address
-	c.timer = l.After(timeout, func() { c.closeWithError(ErrConnectTimeout) })
+	c.stateTimer = l.After(timeout, func() { c.closeWithError(ErrConnectTimeout) })
 	return c, nil
 }
 
-// addConn registers a socket with the loop; it closes the socket if that fails.
+// addConn registers a socket with the loop. If that fails, it closes the socket.
 func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
 	l.lastGeneration++
-	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, interest: events, state: state, MaxInput: DefaultMaxInput}
+	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, registeredEvents: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: c.generation}
 	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		closeFD(fd)
-		return nil, fmt.Errorf("epoll add: %w", err)
+		return nil, fmt.Errorf("register socket with epoll: %w", err)
 	}
 	for len(l.conns) <= fd {
 		l.conns = append(l.conns, nil)
@@ -110,42 +128,43 @@
 	return c, nil
 }
 
-// Peer is the address at the other end.
+// Peer returns the address of the peer.
 func (c *Conn) Peer() string { return c.peer.String() }
 
-// Loop is the loop that runs the connection.
+// Loop returns the loop that the connection belongs to.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Buffered is the number of queued bytes that the system has not taken.
-func (c *Conn) Buffered() int { return len(c.output) - c.outputSent }
+// UnsentBytes returns the number of queued bytes that have not been written to the socket.
+func (c *Conn) UnsentBytes() int { return len(c.output) - c.outputSentBytes }
 
-// BufferMemory is the memory that the connection's buffers take, in bytes.
-func (c *Conn) BufferMemory() int { return cap(c.input) + cap(c.output) }
+// BufferMemoryBytes returns the capacity of the input and output buffers of the connection.
+func (c *Conn) BufferMemoryBytes() int { return cap(c.unconsumedInput) + cap(c.output) }
 
-// Closed reports whether the connection has ended.
+// Closed reports whether the connection is closed.
 func (c *Conn) Closed() bool { return c.state == stateClosed }
 
-// Paused reports whether reading is paused, so that bytes and the peer's end may not have been read.
-func (c *Conn) Paused() bool { return c.readPaused }
+// ReadPaused reports whether reading is paused. In that case, bytes or a close from the peer may not have
+// been read yet.
+func (c *Conn) ReadPaused() bool { return c.readPaused }
 
-// PauseRead pauses or resumes reading. After resuming, unconsumed bytes are delivered again.
-func (c *Conn) PauseRead(on bool) {
-	if c.state == stateClosed || c.readPaused == on {
+// SetReadPaused pauses or resumes reading. When reading resumes, unconsumed bytes are delivered again.
+func (c *Conn) SetReadPaused(paused bool) {
+	if c.state == stateClosed || c.readPaused == paused {
 		return
 	}
-	c.readPaused = on
-	c.updateInterest()
-	if !on && (len(c.input) > 0 || c.peerClosed) && !c.redeliverQueued {
+	c.readPaused = paused
+	c.updateRegisteredEvents()
+	if !paused && (len(c.unconsumedInput) > 0 || c.peerClosed) && !c.redeliverQueued {
 		c.queueRedelivery()
 	}
 }
 
-// Redeliver has unconsumed bytes delivered again in the next iteration.
-func (c *Conn) Redeliver() {
+// RedeliverInput schedules unconsumed bytes to be delivered again in the next iteration of the loop.
+func (c *Conn) RedeliverInput() {
 	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
 		return
 	}
-	if len(c.input) > 0 || c.peerClosed || c.delivering {
+	if len(c.unconsumedInput) > 0 || c.peerClosed || c.deliveringInput {
 		c.queueRedelivery()
 	}
 }
@@ -155,10 +174,11 @@
 	c.loop.redeliverQueue = append(c.loop.redeliverQueue, c)
 }
 
-// Close closes the connection at once; queued output is lost. Handler.Closed gets ErrClosedLocally.
+// Close closes the connection immediately and discards queued output. Handler.Closed receives
+// ErrClosedLocally.
 func (c *Conn) Close() { c.closeWithError(ErrClosedLocally) }
 
-// CloseAfterFlush closes the connection once queued output has been sent, and queues no more.
+// CloseAfterFlush closes the connection once queued output has been sent. Further output is discarded.
 func (c *Conn) CloseAfterFlush() {
 	switch c.state {
 	case stateDialing:
@@ -168,28 +188,30 @@
 	default:
 		return
 	}
-	if c.Buffered() == 0 && !c.flushQueued {
+	if c.UnsentBytes() == 0 && !c.flushQueued {
 		c.shutdownWrite()
 		return
 	}
 	c.queueFlush()
 }
 
-// shutdownWrite ends this side of a connection that closes and waits a little for the peer's end.
+// shutdownWrite shuts down the write side of a closing connection and waits up to lingerTimeout for the
+// peer to close.
 func (c *Conn) shutdownWrite() {
-	// It fails when the connection is broken or not established; that is reported by reading or by the dial.
+	// Shutdown fails if the connection is broken or not established. Reading or dialing reports the same
+	// error.
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	if c.peerClosed {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
 	if c.state != stateClosing {
-		return // lingering already, or dialing, which has its own time limit
+		return // The connection lingers already, or it still dials and has a timer for that.
 	}
 	c.setState(stateLingering)
 	c.readPaused = false
-	c.updateInterest()
-	c.timer = c.loop.After(lingerTimeout, func() { c.closeWithError(ErrClosedLocally) })
+	c.updateRegisteredEvents()
+	c.stateTimer = c.loop.After(lingerTimeout, func() { c.closeWithError(ErrClosedLocally) })
 }
 
 func (c *Conn) closeWithError(err error) {
@@ -197,47 +219,47 @@
 		return
 	}
 	c.setState(stateClosed)
-	c.timer.Stop()
+	c.stateTimer.Stop()
 	c.loop.conns[c.fd] = nil
 	closeFD(c.fd)
-	if c.accepted {
-		c.loop.accepted--
+	if c.countedAsAccepted {
+		c.loop.acceptedConns--
 	}
-	c.input = nil
+	c.unconsumedInput = nil
 	c.output = nil
 	c.handler.Closed(c, err)
 }
 
-// updateInterest registers with epoll the events that the connection now waits for.
-func (c *Conn) updateInterest() {
+// updateRegisteredEvents registers the events that the connection now waits for with epoll.
+func (c *Conn) updateRegisteredEvents() {
 	if c.state == stateClosed {
 		return
 	}
 	var events uint32
-	if c.state.dialing() || c.writeBlocked {
+	if c.state.isDialing() || c.writeBlocked {
 		events |= unix.EPOLLOUT
 	}
-	if !c.readPaused && !c.peerClosed && !c.state.dialing() {
+	if !c.readPaused && !c.peerClosed && !c.state.isDialing() {
 		events |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
-	if events == c.interest {
+	if events == c.registeredEvents {
 		return
 	}
-	c.interest = events
+	c.registeredEvents = events
 	event := unix.EpollEvent{Events: events, Fd: int32(c.fd), Pad: c.generation}
 	if err := unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &event); err != nil {
-		c.closeWithError(fmt.Errorf("epoll mod: %w", err))
+		c.closeWithError(fmt.Errorf("change epoll registration of socket: %w", err))
 	}
 }
 
 // handleReady handles a readiness event of epoll.
 func (c *Conn) handleReady(events uint32) {
-	if c.state.dialing() {
+	if c.state.isDialing() {
 		c.finishDial()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.flush()
+		c.writeQueuedOutput()
 	}
 	if c.state == stateClosed {
 		return
@@ -251,7 +273,7 @@
 	}
 }
 
-// finishDial handles the answer to connect.
+// finishDial handles the result of connecting.
 func (c *Conn) finishDial() {
 	if err := socketError(c.fd); err != nil {
 		c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
@@ -262,21 +284,21 @@
 	} else {
 		c.setState(stateClosing)
 	}
-	c.timer.Stop()
-	c.timer = nil
+	c.stateTimer.Stop()
+	c.stateTimer = nil
 	c.handler.Opened(c)
-	c.updateInterest()
-	if c.Buffered() > 0 {
+	c.updateRegisteredEvents()
+	if c.UnsentBytes() > 0 {
 		c.queueFlush()
 	}
 }
 
-// handleHangup handles a connection that has broken or that both sides have ended.
+// handleHangup handles a connection that failed or that both sides have closed.
 func (c *Conn) handleHangup() {
 	err := socketError(c.fd)
 	switch {
 	case err != nil:
-		c.closeWithError(fmt.Errorf("socket: %w", err))
+		c.closeWithError(fmt.Errorf("socket error: %w", err))
 	case !c.readPaused:
 		c.readOnce()
 	default:
--- a/internal/netio/eventloop/conn_io.go
+++ b/internal/netio/eventloop/conn_io.go
@@ -10,20 +10,24 @@
 )
 
 const (
-	// maxReadNow is how many reads ReadNow makes of a peer that sends as fast as it is read.
-	maxReadNow = 64
+	// maxReadNowReads limits the reads in one call of ReadNow when the peer sends as fast as its data is
+	// read.
+	maxReadNowReads = 64
 
-	// minSentToCompact is how many bytes of a queue must have been sent before the rest is moved to its front.
-	minSentToCompact = 64 << 10
+	// minSentBytesToCompact is the number of sent bytes in the output buffer above which the unsent rest
+	// may be moved to its front.
+	minSentBytesToCompact = 64 << 10
 
-	// outputSlack is how many bytes a buffer that waits for a slow peer may have beyond twice what is left in it.
-	outputSlack = 4 << 10
+	// maxUnusedOutputBytes is how much the output buffer of a connection whose peer reads slowly may exceed
+	// twice the size of its unsent content.
+	maxUnusedOutputBytes = 4 << 10
 )
 
-// ReadNow delivers what the system has received by now, the peer's end included, rather than what it had at the start of
-// the iteration. It does nothing within the connection's own Data, or while reading is paused.
+// ReadNow reads and delivers what the socket has received by now, including a close by the peer, rather
+// than only what it had received at the start of the iteration. It does nothing while Handler.Data of this
+// connection runs or reading is paused.
 func (c *Conn) ReadNow() {
-	for range maxReadNow {
+	for range maxReadNowReads {
 		if !c.canReadNow() || !c.readOnce() {
 			return
 		}
@@ -31,13 +35,13 @@
 }
 
 func (c *Conn) canReadNow() bool {
-	if c.state == stateClosed || c.state.dialing() {
+	if c.state == stateClosed || c.state.isDialing() {
 		return false
 	}
-	return !c.readPaused && !c.peerClosed && !c.delivering
+	return !c.readPaused && !c.peerClosed && !c.deliveringInput
 }
 
-// readOnce reads and delivers up to one buffer and reports whether there may be more.
+// readOnce reads at most one buffer of bytes, delivers them, and reports whether more may be available.
 func (c *Conn) readOnce() bool {
 	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch err {
@@ -51,47 +55,48 @@
 		return false
 	}
 	if n == 0 {
-		c.handlePeerEnd()
+		c.handlePeerClose()
 		return false
 	}
 	if !c.state.discardsInput() {
-		c.deliver(c.loop.readBuffer[:n])
+		c.deliverInput(c.loop.readBuffer[:n])
 	}
 	return true
 }
 
-func (c *Conn) handlePeerEnd() {
+func (c *Conn) handlePeerClose() {
 	c.peerClosed = true
 	if c.state.discardsInput() {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
-	c.updateInterest()
-	c.deliver(nil)
+	c.updateRegisteredEvents()
+	c.deliverInput(nil)
 }
 
-// deliver hands received bytes, after those that were not consumed before, to the handler and keeps what it does not
-// consume. An idle connection holds no input buffer.
-func (c *Conn) deliver(received []byte) {
-	if c.delivering {
+// deliverInput passes the unconsumed bytes, followed by the received ones, to the handler and keeps those
+// that the handler does not consume. If it consumes all, the input buffer is released: idle connections
+// hold no input buffer.
+func (c *Conn) deliverInput(received []byte) {
+	if c.deliveringInput {
 		return
 	}
 	pending := received
-	buffered := len(c.input) > 0
+	buffered := len(c.unconsumedInput) > 0
 	if buffered {
-		c.input = append(c.input, received...)
-		pending = c.input
+		c.unconsumedInput = append(c.unconsumedInput, received...)
+		pending = c.unconsumedInput
 	}
 	if len(pending) > 0 {
-		c.delivering = true
+		c.deliveringInput = true
 		consumed := c.handler.Data(c, pending)
-		c.delivering = false
+		c.deliveringInput = false
 		if c.state == stateClosed {
 			return
 		}
-		c.keepInput(pending[consumed:], buffered)
-		if len(c.input) > c.MaxInput {
-			c.PauseRead(true)
+		c.keepUnconsumed(pending[consumed:], buffered)
+		if len(c.unconsumedInput) > c.MaxInputBytes {
+			c.SetReadPaused(true)
 		}
 	}
 	if c.peerClosed && !c.readPaused && !c.state.discardsInput() {
@@ -99,20 +104,20 @@
 	}
 }
 
-// keepInput keeps the bytes that the handler did not consume; buffered says that they are a part of c.input rather than of
-// the loop's buffer.
-func (c *Conn) keepInput(rest []byte, buffered bool) {
+// keepUnconsumed stores the bytes that the handler did not consume. buffered reports that they are in the
+// input buffer of the connection already, rather than in the read buffer of the loop.
+func (c *Conn) keepUnconsumed(unconsumed []byte, buffered bool) {
 	switch {
-	case len(rest) == 0:
-		c.input = nil
+	case len(unconsumed) == 0:
+		c.unconsumedInput = nil
 	case buffered:
-		c.input = c.input[:copy(c.input, rest)]
+		c.unconsumedInput = c.unconsumedInput[:copy(c.unconsumedInput, unconsumed)]
 	default:
-		c.input = append([]byte(nil), rest...)
+		c.unconsumedInput = append([]byte(nil), unconsumed...)
 	}
 }
 
-// Write queues a copy of b; it is sent at the end of the iteration.
+// Write queues a copy of b. The loop sends queued output at the end of the iteration.
 func (c *Conn) Write(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -121,18 +126,18 @@
 	c.queueFlush()
 }
 
-// OutputBuffer returns the output queue to append to. Give the result to CommitOutput, or to DiscardOutput if nothing was
-// appended.
+// OutputBuffer returns the buffer of queued output for the caller to append to. The caller must pass the
+// extended buffer to CommitOutput, or pass it to DiscardOutput if it appended nothing.
 func (c *Conn) OutputBuffer() []byte {
-	if spares := c.loop.spareBuffers; c.output == nil && len(spares) > 0 {
-		last := len(spares) - 1
-		c.output = spares[last]
-		c.loop.spareBuffers = spares[:last]
+	if spareBuffers := c.loop.spareOutputBuffers; c.output == nil && len(spareBuffers) > 0 {
+		last := len(spareBuffers) - 1
+		c.output = spareBuffers[last]
+		c.loop.spareOutputBuffers = spareBuffers[:last]
 	}
 	return c.output
 }
 
-// CommitOutput takes back the queue of OutputBuffer with what was appended to it.
+// CommitOutput queues the output that was appended to the buffer from OutputBuffer.
 func (c *Conn) CommitOutput(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -141,52 +146,54 @@
 	c.queueFlush()
 }
 
-// DiscardOutput takes back the queue of OutputBuffer when nothing is to be sent.
+// DiscardOutput returns the buffer from OutputBuffer when nothing was appended to it.
 func (c *Conn) DiscardOutput(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
 	}
 	c.output = b
 	if len(b) == 0 && !c.flushQueued {
-		c.releaseOutput()
+		c.releaseOutputBuffer()
 	}
 }
 
-// releaseOutput gives the output buffer back to the loop: an idle connection holds none.
-func (c *Conn) releaseOutput() {
+// releaseOutputBuffer returns the output buffer to the loop for reuse: idle connections hold no output
+// buffer.
+func (c *Conn) releaseOutputBuffer() {
 	size := cap(c.output)
-	if size > 0 && size <= maxSpareBufferSize && len(c.loop.spareBuffers) < maxSpareBuffers {
-		c.loop.spareBuffers = append(c.loop.spareBuffers, c.output[:0])
+	if size > 0 && size <= maxSpareBufferBytes && len(c.loop.spareOutputBuffers) < maxSpareBuffers {
+		c.loop.spareOutputBuffers = append(c.loop.spareOutputBuffers, c.output[:0])
 	}
 	c.output = nil
 }
 
 func (c *Conn) queueFlush() {
-	if c.flushQueued || c.state.dialing() {
+	if c.flushQueued || c.state.isDialing() {
 		return
 	}
 	c.flushQueued = true
 	c.loop.flushQueue = append(c.loop.flushQueue, c)
 }
 
-// Flush sends queued output now rather than at the end of the iteration, so that writing much to many connections does not
-// hold all of it in memory at a time.
+// Flush sends queued output now rather than at the end of the iteration. A caller that writes much to many
+// connections uses it to avoid holding all of that output in memory at once.
 func (c *Conn) Flush() {
-	if c.state == stateClosed || c.state.dialing() {
+	if c.state == stateClosed || c.state.isDialing() {
 		return
 	}
-	if !c.writeBlocked && c.Buffered() > 0 {
-		c.flush()
+	if !c.writeBlocked && c.UnsentBytes() > 0 {
+		c.writeQueuedOutput()
 	}
 }
 
-// flush gives queued output to the system, until all is sent or the system takes no more.
-func (c *Conn) flush() {
-	for c.outputSent < len(c.output) {
-		n, err := unix.Write(c.fd, c.output[c.outputSent:])
+// writeQueuedOutput writes queued output to the socket until all is written or the socket send buffer is
+// full.
+func (c *Conn) writeQueuedOutput() {
+	for c.outputSentBytes < len(c.output) {
+		n, err := unix.Write(c.fd, c.output[c.outputSentBytes:])
 		switch err {
 		case nil:
-			c.outputSent += n
+			c.outputSentBytes += n
 		case unix.EINTR:
 		case unix.EAGAIN:
 			c.waitWritable()
@@ -196,17 +203,17 @@
 			return
 		}
 	}
-	c.outputSent = 0
+	c.outputSentBytes = 0
 	c.output = c.output[:0]
 	if c.writeBlocked {
 		c.writeBlocked = false
-		c.updateInterest()
+		c.updateRegisteredEvents()
 	}
-	c.afterFlush()
+	c.handleOutputSent()
 }
 
-// afterFlush follows when all output has been sent.
-func (c *Conn) afterFlush() {
+// handleOutputSent is called when all queued output has been written to the socket.
+func (c *Conn) handleOutputSent() {
 	if c.state == stateClosed {
 		return
 	}
@@ -215,26 +222,27 @@
 		return
 	}
 	c.handler.Drained(c)
-	if c.Buffered() == 0 && !c.flushQueued {
-		c.releaseOutput()
+	if c.UnsentBytes() == 0 && !c.flushQueued {
+		c.releaseOutputBuffer()
 	}
 }
 
-// waitWritable waits for the system to take output again, holding what is left in as little memory as it needs.
+// waitWritable makes the loop continue to write when the socket is writable again, and shrinks the output
+// buffer if most of it is unused.
 func (c *Conn) waitWritable() {
 	if !c.writeBlocked {
 		c.writeBlocked = true
-		c.updateInterest()
+		c.updateRegisteredEvents()
 	}
-	if c.outputSent > minSentToCompact && c.outputSent > len(c.output)/2 {
-		c.output = c.output[:copy(c.output, c.output[c.outputSent:])]
-		c.outputSent = 0
+	if c.outputSentBytes > minSentBytesToCompact && c.outputSentBytes > len(c.output)/2 {
+		c.output = c.output[:copy(c.output, c.output[c.outputSentBytes:])]
+		c.outputSentBytes = 0
 	}
-	left := c.Buffered()
-	if cap(c.output) > 2*left+outputSlack {
-		smaller := append(make([]byte, 0, left), c.output[c.outputSent:]...)
-		c.releaseOutput()
+	unsent := c.UnsentBytes()
+	if cap(c.output) > 2*unsent+maxUnusedOutputBytes {
+		smaller := append(make([]byte, 0, unsent), c.output[c.outputSentBytes:]...)
+		c.releaseOutputBuffer()
 		c.output = smaller
-		c.outputSent = 0
+		c.outputSentBytes = 0
 	}
 }
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -3,46 +3,50 @@
 import "bytes"
 
 const (
-	maxChunkLine       = 256 // bytes of a chunk's size and extensions
-	maxChunkSizeDigits = 15  // hexadecimal, so that a size fits into 64 bits
+	// maxChunkLineBytes limits the line before a chunk, which holds the chunk size and its extensions.
+	maxChunkLineBytes = 256
+	// maxChunkSizeDigits limits the hexadecimal digits of a chunk size: 15 digits always fit into an int64.
+	maxChunkSizeDigits = 15
 )
 
-// decodeChunkSize takes the line before a chunk and goes on with what follows it.
-func (d *Decoder) decodeChunkSize(in []byte) (int, Kind, *Error) {
+// decodeChunkLine decodes the line before a chunk and continues with the chunk data or the trailer section.
+func (d *Decoder) decodeChunkLine(in []byte) (int, Event, *Error) {
 	lineEnd := bytes.IndexByte(in, '\n')
 	if lineEnd < 0 {
-		if len(in) > maxChunkLine {
-			return 0, NeedMore, badRequest("chunk line over the limit")
+		if len(in) > maxChunkLineBytes {
+			return 0, NeedMoreInput, errBadRequest("chunk line over the limit")
 		}
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
-	if lineEnd == 0 || in[lineEnd-1] != '\r' || lineEnd > maxChunkLine {
-		return 0, NeedMore, badRequest("malformed chunk line")
+	if lineEnd == 0 || in[lineEnd-1] != '\r' || lineEnd > maxChunkLineBytes {
+		return 0, NeedMoreInput, errBadRequest("malformed chunk line")
 	}
 	size, err := parseChunkLine(in[:lineEnd-1])
 	if err != nil {
-		return 0, NeedMore, err
+		return 0, NeedMoreInput, err
 	}
-	if err := d.countBody(size); err != nil {
-		return 0, NeedMore, err
+	if err := d.addBodyBytes(size); err != nil {
+		return 0, NeedMoreInput, err
 	}
 	if size == 0 {
 		d.state = stateTrailer
-		d.sectionSize = 0
+		d.sectionBytes = 0
 	} else {
 		d.state = stateChunkData
-		d.remaining = size
+		d.remainingBytes = size
 	}
-	return d.decodeAfter(in, lineEnd+1)
+	return d.decodeAfterLine(in, lineEnd+1)
 }
 
-// decodeAfter decodes what follows the first n bytes and counts these as consumed too.
-func (d *Decoder) decodeAfter(in []byte, n int) (int, Kind, *Error) {
-	consumed, kind, err := d.decode(in[n:])
-	return n + consumed, kind, err
+// decodeAfterLine continues to decode after a line of n bytes. The consumed bytes that it returns include
+// the line.
+func (d *Decoder) decodeAfterLine(in []byte, n int) (int, Event, *Error) {
+	consumed, event, err := d.decodeNext(in[n:])
+	return n + consumed, event, err
 }
 
-// parseChunkLine returns the size in the line before a chunk. Extensions are ignored but must be well formed.
+// parseChunkLine returns the chunk size from the line before a chunk. Chunk extensions are ignored, but they
+// must begin with a semicolon and contain no control characters.
 func parseChunkLine(line []byte) (int64, *Error) {
 	size := int64(0)
 	digits := 0
@@ -52,30 +56,30 @@
 			break
 		}
 		if digits >= maxChunkSizeDigits {
-			return 0, badRequest("chunk size too large")
+			return 0, errBadRequest("chunk size too large")
 		}
 		size = size<<4 | int64(value)
 	}
 	if digits == 0 {
-		return 0, badRequest("malformed chunk size")
+		return 0, errBadRequest("malformed chunk size")
 	}
 	if digits == len(line) {
 		return size, nil
 	}
 	extensions := line[digits:]
-	for len(extensions) > 0 && isSpace(extensions[0]) {
+	for len(extensions) > 0 && isWhitespace(extensions[0]) {
 		extensions = extensions[1:]
 	}
 	if len(extensions) == 0 || extensions[0] != ';' {
-		return 0, badRequest("malformed chunk size")
+		return 0, errBadRequest("malformed chunk size")
 	}
-	if hasControl(extensions) {
-		return 0, badRequest("control character in chunk extension")
+	if hasControlByte(extensions) {
+		return 0, errBadRequest("control character in chunk extension")
 	}
 	return size, nil
 }
 
-// hexValues holds the value of each hexadecimal digit, and -1 for every other byte.
+// hexValues maps each byte to its value as a hexadecimal digit, or to -1 if it is none.
 var hexValues = func() (table [256]int8) {
 	for c := range table {
 		table[c] = -1
@@ -89,47 +93,48 @@
 	return
 }()
 
-// decodeChunkEnd takes the line end after a chunk's data and goes on with the next chunk.
-func (d *Decoder) decodeChunkEnd(in []byte) (int, Kind, *Error) {
+// decodeChunkEnd decodes the line end after the data of a chunk and continues with the next chunk.
+func (d *Decoder) decodeChunkEnd(in []byte) (int, Event, *Error) {
 	if len(in) == 0 || len(in) == 1 && in[0] == '\r' {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
 	if len(in) < 2 || in[0] != '\r' || in[1] != '\n' {
-		return 0, NeedMore, badRequest("chunk does not end with a line end")
+		return 0, NeedMoreInput, errBadRequest("chunk does not end with a line end")
 	}
-	d.state = stateChunkSize
-	return d.decodeAfter(in, 2)
+	d.state = stateChunkLine
+	return d.decodeAfterLine(in, 2)
 }
 
-// decodeTrailer takes whole lines of the trailer section, checks them and drops them.
-func (d *Decoder) decodeTrailer(in []byte) (int, Kind, *Error) {
+// decodeTrailer decodes the complete lines of the trailer section. Trailer fields are checked and then
+// discarded.
+func (d *Decoder) decodeTrailer(in []byte) (int, Event, *Error) {
 	consumed := 0
 	for {
 		rest := in[consumed:]
 		lineEnd := bytes.IndexByte(rest, '\n')
 		if lineEnd < 0 {
-			if d.sectionSize+int64(len(rest)) > int64(d.Limits.Trailer) {
-				return consumed, NeedMore, errHeaderTooLarge("trailer over the limit")
+			if d.sectionBytes+int64(len(rest)) > int64(d.Limits.TrailerBytes) {
+				return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 			}
-			return consumed, NeedMore, nil
+			return consumed, NeedMoreInput, nil
 		}
 		if lineEnd == 0 || rest[lineEnd-1] != '\r' {
-			return consumed, NeedMore, errBareLineFeed()
+			return consumed, NeedMoreInput, errBareLineFeed()
 		}
 		consumed += lineEnd + 1
 		line := rest[:lineEnd-1]
 		if len(line) == 0 {
 			return d.endMessage(consumed)
 		}
-		d.sectionSize += int64(lineEnd + 1)
-		if d.sectionSize > int64(d.Limits.Trailer) {
-			return consumed, NeedMore, errHeaderTooLarge("trailer over the limit")
+		d.sectionBytes += int64(lineEnd + 1)
+		if d.sectionBytes > int64(d.Limits.TrailerBytes) {
+			return consumed, NeedMoreInput, errHeaderTooLarge("trailer over the limit")
 		}
 		if bytes.IndexByte(line, '\r') >= 0 {
-			return consumed, NeedMore, errBareCarriageReturn()
+			return consumed, NeedMoreInput, errBareCarriageReturn()
 		}
 		if _, err := parseField(string(line)); err != nil {
-			return consumed, NeedMore, err
+			return consumed, NeedMoreInput, err
 		}
 	}
 }
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -1,66 +1,81 @@
 package http1
 
-// Kind is what Decoder.Next found.
-type Kind uint8
+// Event says which part of a message Decoder.Next has decoded.
+type Event uint8
 
 const (
-	// NeedMore says that nothing is complete yet: call again with more bytes.
-	NeedMore Kind = iota
-	// HeadComplete says that Decoder.Head is set.
+	// NeedMoreInput means that the input does not complete the next part: call Next again with more bytes.
+	NeedMoreInput Event = iota
+	// HeadComplete means that Decoder.Head holds the start line and header of the message.
 	HeadComplete
-	// BodyData says that Decoder.Body holds a piece of the body.
+	// BodyData means that Decoder.BodyPiece holds the next bytes of the body.
 	BodyData
-	// MessageComplete says that the message ends here.
+	// MessageComplete means that the message has ended.
 	MessageComplete
 )
 
-// state is what part of a message comes next.
-type state uint8
+// decoderState says which part of a message the decoder expects next.
+type decoderState uint8
 
 const (
-	stateHead       state = iota
-	stateBody             // of known length
-	stateChunkSize        // the line before a chunk
-	stateChunkData        // of a chunk
-	stateChunkEnd         // the line end after a chunk
-	stateTrailer          // after the last chunk
-	stateUntilClose       // a body that ends with the connection
+	// stateHead expects the start line and header.
+	stateHead decoderState = iota
+	// stateBody expects the rest of a body of known length.
+	stateBody
+	// stateChunkLine expects the line before a chunk.
+	stateChunkLine
+	// stateChunkData expects the rest of the data of a chunk.
+	stateChunkData
+	// stateChunkEnd expects the line end after the data of a chunk.
+	stateChunkEnd
+	// stateTrailer expects the trailer section, which follows the last chunk.
+	stateTrailer
+	// stateUntilClose expects the rest of a body that ends when the connection is closed.
+	stateUntilClose
 )
 
-// Decoder splits a stream into messages. The zero value with Limits set decodes requests.
+// Decoder splits a stream of bytes into HTTP messages. The zero value with Limits set decodes requests.
 type Decoder struct {
 	Limits Limits
-	// Responses makes it decode responses.
-	Responses bool
-	// NoBody says that the next response has no body whatever its header says: it answers HEAD.
-	NoBody bool
+	// DecodeResponses makes the decoder expect responses instead of requests.
+	DecodeResponses bool
+	// ResponseHasNoBody tells the decoder that the next response answers a HEAD request: it has no body,
+	// even if its header gives a length.
+	ResponseHasNoBody bool
 
+	// Head is the start line and header of the message that is being decoded.
 	Head Head
-	Body []byte // the piece of the last BodyData; valid until the input changes
+	// BodyPiece holds the bytes of the last BodyData event. It refers to the input and is valid until that
+	// changes.
+	BodyPiece []byte
 
-	state       state
-	remaining   int64 // bytes of the body, or of the chunk, still to come
-	sectionSize int64 // bytes of the body, or of the trailer section, so far
-	searched    int   // bytes of an incomplete head that hold no end
-	err         *Error
+	state decoderState
+	// remainingBytes counts the bytes of the body, or of the current chunk, that have not been decoded yet.
+	remainingBytes int64
+	// sectionBytes counts the decoded bytes of the body or, after the last chunk, of the trailer section.
+	sectionBytes int64
+	// searchedBytes counts the bytes of an incomplete head that have been searched for its end.
+	searchedBytes int
+	err           *Error
 }
 
-// Next decodes from the front of in and returns how many bytes it consumed. The error is an *Error; once there is one,
-// every call returns it.
-func (d *Decoder) Next(in []byte) (consumed int, kind Kind, err error) {
+// Next decodes the next part of a message from the front of in and returns how many bytes it consumed. Any
+// error is an *Error. After an error, every further call returns the same error.
+func (d *Decoder) Next(in []byte) (consumed int, event Event, err error) {
 	if d.err != nil {
-		return 0, NeedMore, d.err
+		return 0, NeedMoreInput, d.err
 	}
-	consumed, kind, decodeErr := d.decode(in)
+	consumed, event, decodeErr := d.decodeNext(in)
 	if decodeErr != nil {
 		d.err = decodeErr
-		return consumed, NeedMore, decodeErr
+		return consumed, NeedMoreInput, decodeErr
 	}
-	return consumed, kind, nil
+	return consumed, event, nil
 }
 
-// EOF is called when the stream has ended with so many bytes not consumed. It returns an error if that is inside a
-// message. complete says that the end has completed a message, whose body ends with the connection.
+// EOF tells the decoder that the stream has ended while the given number of bytes was not consumed. It
+// returns an error if the stream ended within a message. complete reports that the end of the stream
+// completed a message whose body ends with the connection.
 func (d *Decoder) EOF(unconsumed int) (complete bool, err error) {
 	switch {
 	case d.err != nil:
@@ -71,26 +86,26 @@
 	case d.state == stateHead && unconsumed == 0:
 		return false, nil
 	}
-	return false, badRequest("the stream ends inside a message")
+	return false, errBadRequest("the stream ends inside a message")
 }
 
-func (d *Decoder) decode(in []byte) (int, Kind, *Error) {
+func (d *Decoder) decodeNext(in []byte) (int, Event, *Error) {
 	switch d.state {
 	case stateHead:
 		return d.decodeHead(in)
 	case stateBody:
-		if d.remaining == 0 {
+		if d.remainingBytes == 0 {
 			return d.endMessage(0)
 		}
-		return d.decodeRemaining(in)
-	case stateChunkSize:
-		return d.decodeChunkSize(in)
+		return d.decodeKnownLength(in)
+	case stateChunkLine:
+		return d.decodeChunkLine(in)
 	case stateChunkData:
-		if d.remaining == 0 {
+		if d.remainingBytes == 0 {
 			d.state = stateChunkEnd
 			return d.decodeChunkEnd(in)
 		}
-		return d.decodeRemaining(in)
+		return d.decodeKnownLength(in)
 	case stateChunkEnd:
 		return d.decodeChunkEnd(in)
 	case stateTrailer:
@@ -100,47 +115,47 @@
 	}
 }
 
-// decodeRemaining takes a piece of a body or chunk of known length.
-func (d *Decoder) decodeRemaining(in []byte) (int, Kind, *Error) {
+// decodeKnownLength decodes the next piece of a body or chunk whose length is known.
+func (d *Decoder) decodeKnownLength(in []byte) (int, Event, *Error) {
 	if len(in) == 0 {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
-	n := int(min(d.remaining, int64(len(in))))
-	d.remaining -= int64(n)
-	d.Body = in[:n]
+	n := int(min(d.remainingBytes, int64(len(in))))
+	d.remainingBytes -= int64(n)
+	d.BodyPiece = in[:n]
 	return n, BodyData, nil
 }
 
-// decodeUntilClose takes a piece of a body that ends with the connection.
-func (d *Decoder) decodeUntilClose(in []byte) (int, Kind, *Error) {
+// decodeUntilClose decodes the next piece of a body that ends when the connection is closed.
+func (d *Decoder) decodeUntilClose(in []byte) (int, Event, *Error) {
 	if len(in) == 0 {
-		return 0, NeedMore, nil
+		return 0, NeedMoreInput, nil
 	}
-	if err := d.countBody(int64(len(in))); err != nil {
-		return 0, NeedMore, err
+	if err := d.addBodyBytes(int64(len(in))); err != nil {
+		return 0, NeedMoreInput, err
 	}
-	d.Body = in
+	d.BodyPiece = in
 	return len(in), BodyData, nil
 }
 
-// countBody adds to the size of a body whose length was not given before it.
-func (d *Decoder) countBody(bytes int64) *Error {
-	d.sectionSize += bytes
-	if d.Limits.Body > 0 && d.sectionSize > int64(d.Limits.Body) {
+// addBodyBytes adds to the size of a body whose length the header does not give, and enforces the limit.
+func (d *Decoder) addBodyBytes(bytes int64) *Error {
+	d.sectionBytes += bytes
+	if d.Limits.BodyBytes > 0 && d.sectionBytes > int64(d.Limits.BodyBytes) {
 		return errBodyTooLarge()
 	}
 	return nil
 }
 
-// endMessage completes a message whose last n bytes have been consumed.
-func (d *Decoder) endMessage(n int) (int, Kind, *Error) {
+// endMessage completes a message, of which the current call has consumed n bytes.
+func (d *Decoder) endMessage(n int) (int, Event, *Error) {
 	d.startMessage()
 	return n, MessageComplete, nil
 }
 
-// startMessage makes the decoder ready for the next message.
+// startMessage resets the decoder for the next message.
 func (d *Decoder) startMessage() {
 	d.state = stateHead
-	d.sectionSize = 0
-	d.Body = nil
+	d.sectionBytes = 0
+	d.BodyPiece = nil
 }
--- a/internal/netio/http1/framing.go
+++ b/internal/netio/http1/framing.go
@@ -1,19 +1,20 @@
 package http1
 
-// maxLengthDigits is how many digits a Content-Length may have, so that it fits into 64 bits.
-const maxLengthDigits = 18
+// maxContentLengthDigits limits the decimal digits of a Content-Length: 18 digits always fit into an int64.
+const maxContentLengthDigits = 18
 
-// framingFields are the header fields that decide the length of a body, and Host, of which a request has one.
+// framingFields summarizes the header fields that determine the length of the body, and counts the Host
+// fields, of which an HTTP/1.1 request must have exactly one.
 type framingFields struct {
-	contentLength string
-	lengths       int // Content-Length fields
-	codings       int // Transfer-Encoding fields
-	hosts         int // Host fields
+	contentLength         string
+	contentLengthCount    int
+	transferEncodingCount int
+	hostCount             int
 }
 
-// setFraming decides how long the body is (RFC 9112, 6.3). Anything ambiguous is rejected: readers that disagree on a
-// length are how requests are smuggled.
-func (d *Decoder) setFraming() *Error {
+// determineFraming determines the length of the body (RFC 9112, section 6.3). It rejects every ambiguous
+// message, because request smuggling relies on two recipients that determine different lengths.
+func (d *Decoder) determineFraming() *Error {
 	head := &d.Head
 	fields, err := head.readFramingFields()
 	if err != nil {
@@ -22,107 +23,108 @@
 	if err := d.checkFramingFields(&fields); err != nil {
 		return err
 	}
-	head.Length = -1
-	if fields.lengths > 0 {
-		if head.Length, err = parseContentLength(fields.contentLength); err != nil {
+	head.BodyLength = -1
+	if fields.contentLengthCount > 0 {
+		if head.BodyLength, err = parseContentLength(fields.contentLength); err != nil {
 			return err
 		}
 	}
-	if d.Responses && (d.NoBody || !StatusHasBody(head.Status)) {
-		head.Length = 0
+	if d.DecodeResponses && (d.ResponseHasNoBody || !StatusHasBody(head.Status)) {
+		head.BodyLength = 0
 		head.Chunked = false
 	}
-	if !d.Responses && !head.Chunked && fields.lengths == 0 {
-		head.Length = 0
+	if !d.DecodeResponses && !head.Chunked && fields.contentLengthCount == 0 {
+		head.BodyLength = 0
 	}
 	return d.startBody()
 }
 
-// checkFramingFields rejects fields that exclude each other or are missing.
+// checkFramingFields rejects fields that exclude each other, and requests with a missing or repeated Host
+// field.
 func (d *Decoder) checkFramingFields(fields *framingFields) *Error {
 	head := &d.Head
-	// HTTP/1.0 knows no Host field.
-	if !d.Responses && (fields.hosts > 1 || fields.hosts == 0 && head.Minor > 0) {
-		return badRequest("%d host fields, want one", fields.hosts)
+	// HTTP/1.0 does not define the Host field.
+	if !d.DecodeResponses && (fields.hostCount > 1 || fields.hostCount == 0 && head.MinorVersion > 0) {
+		return errBadRequest("%d host fields, want one", fields.hostCount)
 	}
-	if head.Chunked && (fields.lengths > 0 || head.Minor == 0) {
-		return badRequest("transfer-encoding beside content-length or before HTTP/1.1")
+	if head.Chunked && (fields.contentLengthCount > 0 || head.MinorVersion == 0) {
+		return errBadRequest("transfer-encoding beside content-length or before HTTP/1.1")
 	}
 	return nil
 }
 
-// startBody moves on to the body, by the framing in Head.
+// startBody sets the decoder state for the body that Head announces.
 func (d *Decoder) startBody() *Error {
-	d.sectionSize = 0
+	d.sectionBytes = 0
 	switch {
 	case d.Head.Chunked:
-		d.state = stateChunkSize
-	case d.Head.Length >= 0:
-		if d.Limits.Body > 0 && d.Head.Length > int64(d.Limits.Body) {
+		d.state = stateChunkLine
+	case d.Head.BodyLength >= 0:
+		if d.Limits.BodyBytes > 0 && d.Head.BodyLength > int64(d.Limits.BodyBytes) {
 			return errBodyTooLarge()
 		}
 		d.state = stateBody
-		d.remaining = d.Head.Length
+		d.remainingBytes = d.Head.BodyLength
 	default:
 		d.state = stateUntilClose
-		d.Head.Close = true
+		d.Head.CloseConnection = true
 	}
 	return nil
 }
 
-// readFramingFields collects the fields that framing needs, and sets what else the header says of the connection and of the
-// body: Chunked, Close and Expect.
+// readFramingFields collects the header fields that determine the length of the body, and sets Chunked,
+// CloseConnection and ExpectContinue.
 func (h *Head) readFramingFields() (fields framingFields, err *Error) {
-	h.Close = h.Minor == 0
+	h.CloseConnection = h.MinorVersion == 0
 	for i := range h.Header {
 		field := &h.Header[i]
 		switch {
-		case field.Is("Content-Length"):
-			if fields.lengths++; fields.lengths > 1 {
-				return fields, badRequest("content-length given twice")
+		case field.HasName("Content-Length"):
+			if fields.contentLengthCount++; fields.contentLengthCount > 1 {
+				return fields, errBadRequest("content-length given twice")
 			}
 			fields.contentLength = field.Value
-		case field.Is("Transfer-Encoding"):
-			if fields.codings++; fields.codings > 1 {
-				return fields, badRequest("transfer-encoding given twice")
+		case field.HasName("Transfer-Encoding"):
+			if fields.transferEncodingCount++; fields.transferEncodingCount > 1 {
+				return fields, errBadRequest("transfer-encoding given twice")
 			}
 			if !equalFold(field.Value, "chunked") {
 				return fields, &Error{StatusNotImplemented, "transfer-encoding other than chunked"}
 			}
 			h.Chunked = true
-		case field.Is("Connection"):
-			h.applyConnection(field.Value)
-		case field.Is("Host"):
-			fields.hosts++
-		case field.Is("Expect"):
+		case field.HasName("Connection"):
+			h.applyConnectionOptions(field.Value)
+		case field.HasName("Host"):
+			fields.hostCount++
+		case field.HasName("Expect"):
 			if !equalFold(field.Value, "100-continue") {
 				return fields, &Error{StatusExpectationFailed, "expectation not known"}
 			}
-			h.Expect = h.Minor > 0
+			h.ExpectContinue = h.MinorVersion > 0
 		}
 	}
 	return fields, nil
 }
 
-// applyConnection sets Close by the options of a Connection field.
-func (h *Head) applyConnection(options string) {
+// applyConnectionOptions sets CloseConnection by the options of a Connection field.
+func (h *Head) applyConnectionOptions(options string) {
 	for _, option := range splitList(options) {
 		if equalFold(option, "close") {
-			h.Close = true
-		} else if equalFold(option, "keep-alive") && h.Minor == 0 {
-			h.Close = false
+			h.CloseConnection = true
+		} else if equalFold(option, "keep-alive") && h.MinorVersion == 0 {
+			h.CloseConnection = false
 		}
 	}
 }
 
 func parseContentLength(text string) (int64, *Error) {
-	if text == "" || len(text) > maxLengthDigits {
-		return 0, badRequest("malformed content-length")
+	if text == "" || len(text) > maxContentLengthDigits {
+		return 0, errBadRequest("malformed content-length")
 	}
 	length := int64(0)
 	for _, c := range []byte(text) {
 		if !isDigit(c) {
-			return 0, badRequest("malformed content-length")
+			return 0, errBadRequest("malformed content-length")
 		}
 		length = length*10 + int64(c-'0')
 	}
--- a/internal/netio/http1/limits.go
+++ b/internal/netio/http1/limits.go
@@ -1,40 +1,46 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112): an incremental decoder for requests and responses, and
-// append functions for what is sent.
+// Package http1 decodes and encodes HTTP/1.1 messages (RFC 9112). It has an incremental decoder for
+// requests and responses, and functions that append the parts of a message to a buffer.
 //
-// It is a codec: it takes and gives bytes, knows neither sockets nor time, and imports nothing of the project.
+// The package does no I/O. It uses neither sockets nor a clock and imports no other package of this module.
 package http1
 
 import "fmt"
 
-// Limits bound what one message may take.
+// Limits restricts the size of one message.
 type Limits struct {
-	Line    int // bytes of the start line
-	Head    int // bytes of start line and header fields together
-	Fields  int // number of header fields
-	Body    int // bytes of the body, without chunk framing; 0 is no limit
-	Trailer int // bytes of the trailer section
+	// StartLineBytes limits the request line or status line.
+	StartLineBytes int
+	// HeadBytes limits the start line and header fields together.
+	HeadBytes int
+	// HeaderFields limits the number of header fields.
+	HeaderFields int
+	// BodyBytes limits the body, without chunk framing. The value 0 means that there is no limit.
+	BodyBytes int
+	// TrailerBytes limits the trailer section.
+	TrailerBytes int
 }
 
-// DefaultLimits are those of a server for the API.
+// DefaultLimits returns the limits for requests to the API server.
 func DefaultLimits() Limits {
 	return Limits{
-		Line:    8 << 10,
-		Head:    32 << 10,
-		Fields:  100,
-		Body:    3 << 20,
-		Trailer: 4 << 10,
+		StartLineBytes: 8 << 10,
+		HeadBytes:      32 << 10,
+		HeaderFields:   100,
+		BodyBytes:      3 << 20,
+		TrailerBytes:   4 << 10,
 	}
 }
 
-// Error is the reason why a message is rejected. Both fields are sent to the peer.
+// Error says why a message was rejected. A server sends both fields to the client.
 type Error struct {
-	Status int // of the response that fits
+	// Status is the status code of the response that reports the error.
+	Status int
 	Reason string
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
-func badRequest(format string, args ...any) *Error {
+func errBadRequest(format string, args ...any) *Error {
 	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
@@ -44,6 +50,6 @@
 
 func errHeaderTooLarge(reason string) *Error { return &Error{StatusHeaderFieldsTooLarge, reason} }
 
-func errBareLineFeed() *Error { return badRequest("line feed without carriage return") }
+func errBareLineFeed() *Error { return errBadRequest("line feed without carriage return") }
 
-func errBareCarriageReturn() *Error { return badRequest("carriage return without line feed") }
+func errBareCarriageReturn() *Error { return errBadRequest("carriage return without line feed") }
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -10,29 +10,32 @@
 	"heathshed/internal/netio/http1"
 )
 
-// conn is one connection to the server. It carries one call at a time.
+// conn is one connection to the server. It carries at most one call at a time.
 type conn struct {
 	client    *Client
 	transport *eventloop.Conn
 	decoder   http1.Decoder
-	call      *Call // nil if it is idle
-	connected bool
-	streaming bool // it is the connection of a stream and carries no other call
-	idleSince clock.Instant
+	// call is the call that the connection carries. It is nil if the connection is idle.
+	call        *Call
+	established bool
+	// dedicatedToStream reports that the connection carries a streaming call. It is not reused for another
+	// call.
+	dedicatedToStream bool
+	idleSince         clock.Instant
 }
 
-// send sends a call's request on an established connection.
+// send sends the request of a call on an established connection.
 func (c *conn) send(call *Call) {
 	call.conn = c
 	c.call = call
-	c.decoder.NoBody = call.headRequest
+	c.decoder.ResponseHasNoBody = call.isHEAD
 	c.transport.Write(call.request)
 }
 
 // Opened implements eventloop.Handler.
 func (c *conn) Opened(transport *eventloop.Conn) {
 	c.transport = transport
-	c.connected = true
+	c.established = true
 	if c.call == nil || c.call.finished {
 		transport.Close()
 		return
@@ -46,42 +49,43 @@
 	for {
 		call := c.call
 		if call == nil {
-			// Bytes that no call asked for. TODO: also reached when a response has just ended and no call waits, so that a
-			// connection is never kept for a later call.
+			// The server sent bytes that no call expects. TODO: This code is also reached when a response
+			// has just ended and no call is waiting. As a result, a connection is never kept for a later
+			// call.
 			transport.Close()
 			return len(input)
 		}
-		n, kind, err := c.decoder.Next(input[consumed:])
+		n, event, err := c.decoder.Next(input[consumed:])
 		consumed += n
 		if err != nil {
 			call.finish(nil, nil, fmt.Errorf("response from %s: %w", c.client.addr, err))
 			transport.Close()
 			return len(input)
 		}
-		if kind == http1.NeedMore {
+		if event == http1.NeedMoreInput {
 			return consumed
 		}
-		c.handleDecoded(kind)
+		c.handleDecoderEvent(event)
 		if transport.Closed() {
 			return consumed
 		}
 	}
 }
 
-// handleDecoded handles a part of a response that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Kind) {
+// handleDecoderEvent handles the part of a response that the decoder has completed.
+func (c *conn) handleDecoderEvent(event http1.Event) {
 	call := c.call
 	head := &c.decoder.Head
-	switch kind {
+	switch event {
 	case http1.HeadComplete:
-		if call.Started != nil && !isInterim(head) {
-			call.Started(head)
+		if call.OnResponseHead != nil && !isInterim(head) {
+			call.OnResponseHead(head)
 		}
 	case http1.BodyData:
-		if call.Data != nil && http1.IsSuccess(head.Status) {
-			call.Data(c.decoder.Body)
+		if call.OnBodyData != nil && http1.IsSuccess(head.Status) {
+			call.OnBodyData(c.decoder.BodyPiece)
 		} else {
-			call.body = append(call.body, c.decoder.Body...)
+			call.responseBody = append(call.responseBody, c.decoder.BodyPiece...)
 		}
 	case http1.MessageComplete:
 		if !isInterim(head) {
@@ -90,24 +94,26 @@
 	}
 }
 
-// isInterim reports whether another response to the same request follows.
+// isInterim reports whether the response has a 1xx status, which means that another response to the request
+// follows.
 func isInterim(head *http1.Head) bool { return head.Status < http1.StatusOK }
 
-// completeCall finishes the call whose response has ended and makes the connection free for another.
+// completeCall finishes a call whose response is complete. If the connection can be reused, it starts the
+// next waiting call on it or makes it idle.
 func (c *conn) completeCall() {
 	call := c.call
 	c.call = nil
-	keep := !c.decoder.Head.Close && !c.streaming
-	call.finish(&c.decoder.Head, call.body, nil)
+	reusable := !c.decoder.Head.CloseConnection && !c.dedicatedToStream
+	call.finish(&c.decoder.Head, call.responseBody, nil)
 	if c.transport.Closed() {
 		return
 	}
-	if !keep {
+	if !reusable {
 		c.transport.Close()
 		return
 	}
 	c.idleSince = c.client.loop.Now()
-	c.client.runNext(c)
+	c.client.startNextWaitingCall(c)
 }
 
 // Drained implements eventloop.Handler.
@@ -115,26 +121,27 @@
 
 // Closed implements eventloop.Handler.
 func (c *conn) Closed(_ *eventloop.Conn, err error) {
-	if !c.streaming {
-		c.client.openConns--
+	if !c.dedicatedToStream {
+		c.client.openSharedConns--
 	}
-	c.client.removeIdle(c)
+	c.client.removeIdleConn(c)
 	if call := c.call; call != nil {
 		c.call = nil
-		c.failCall(call, err)
+		c.finishCallOnClose(call, err)
 	}
-	c.client.runNext(nil)
+	c.client.startNextWaitingCall(nil)
 }
 
-// failCall finishes a call whose connection has ended, which may be how its response ends.
-func (c *conn) failCall(call *Call, err error) {
-	if !c.connected {
+// finishCallOnClose finishes a call whose connection was closed. The call succeeds if the close marks the
+// end of the response body, and fails otherwise.
+func (c *conn) finishCallOnClose(call *Call, err error) {
+	if !c.established {
 		call.finish(nil, nil, &ConnectError{err})
 		return
 	}
 	complete, eofErr := c.decoder.EOF(0)
 	if complete && eofErr == nil && !call.finished {
-		call.finish(&c.decoder.Head, call.body, nil)
+		call.finish(&c.decoder.Head, call.responseBody, nil)
 		return
 	}
 	call.finish(nil, nil, fmt.Errorf("response from %s: connection broke: %w", c.client.addr, err))
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -12,25 +12,31 @@
 )
 
 const (
-	minTimer    = 50 * time.Millisecond // between two looks at a connection's time limits
-	inputSlack  = 64 << 10              // bytes that may wait unread beyond a head
-	maxKeptBody = 4 << 10               // bytes of a body's buffer that is kept for the next request
+	// minTimerDelay is the least time between two checks of the time limits of a connection.
+	minTimerDelay = 50 * time.Millisecond
+	// maxUnreadBytesAfterHead is the input that may be buffered in addition to a head of the largest size.
+	maxUnreadBytesAfterHead = 64 << 10
+	// maxKeptBodyBytes is the largest capacity with which a body buffer is kept for the next request.
+	maxKeptBodyBytes = 4 << 10
 )
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// conn is one connection. It responds to one request at a time, in order.
+// conn is one connection from a client. It handles one request at a time, in the order of arrival.
 type conn struct {
 	server    *Server
 	id        uint64
 	transport *eventloop.Conn
 	decoder   http1.Decoder
 	state     connState
-	exchange  Exchange // the present request and its response; reused for the next
-	timer     *eventloop.Timer
+	// exchange is the current request and its response. It is reused for the next request.
+	exchange      Exchange
+	deadlineTimer *eventloop.Timer
 
-	requestStartedAt   clock.Instant // at which the first byte of the request that is being read came
-	lastProgressAt     clock.Instant // at which the peer last took or sent something
+	// requestStartedAt is the time at which the first byte of the current request was received.
+	requestStartedAt clock.Instant
+	// lastProgressAt is the time at which the client last received output or completed a request.
+	lastProgressAt     clock.Instant
 	closeAfterResponse bool
 }
 
@@ -39,20 +45,20 @@
 	s := c.server
 	c.transport = transport
 	c.lastProgressAt = s.loop.Now()
-	transport.MaxInput = s.options.Limits.Head + inputSlack
+	transport.MaxInputBytes = s.options.Limits.HeadBytes + maxUnreadBytesAfterHead
 	s.conns[c] = struct{}{}
 	s.lastConnID++
 	c.id = s.lastConnID
 	s.connsByID[c.id] = c
-	s.memory.Add(c.lastProgressAt, c.id)
+	s.memoryQuota.Add(c.lastProgressAt, c.id)
 	c.armTimer()
 }
 
 // Data implements eventloop.Handler.
 func (c *conn) Data(transport *eventloop.Conn, input []byte) int {
-	consumed := c.consume(input)
+	consumed := c.readRequests(input)
 	if !transport.Closed() {
-		c.updateMemory()
+		c.reportMemoryUse()
 	}
 	return consumed
 }
@@ -61,38 +67,41 @@
 func (c *conn) Drained(*eventloop.Conn) {
 	c.lastProgressAt = c.server.loop.Now()
 	c.pullStream()
-	if !c.state.hasExchange() && c.state != stateEnded {
-		c.transport.PauseRead(false)
+	if !c.state.hasUnfinishedExchange() && c.state != stateEnded {
+		c.transport.SetReadPaused(false)
 	}
-	c.updateMemory()
+	c.reportMemoryUse()
 }
 
-// Closed implements eventloop.Handler. The reason of the end makes no difference to a request.
+// Closed implements eventloop.Handler. It ignores the error, because every cause is handled in the same
+// way.
 func (c *conn) Closed(*eventloop.Conn, error) {
 	s := c.server
-	c.timer.Stop()
-	s.memory.Remove(c.id)
+	c.deadlineTimer.Stop()
+	s.memoryQuota.Remove(c.id)
 	delete(s.connsByID, c.id)
 	delete(s.conns, c)
-	delete(s.streams, c)
+	delete(s.streamingConns, c)
 	c.closeStream()
-	unanswered := c.state == stateHandling
+	responsePending := c.state == stateHandling
 	if c.state != stateEnded {
 		c.setState(stateEnded)
 	}
-	if unanswered && c.exchange.OnDisconnect != nil {
+	if responsePending && c.exchange.OnDisconnect != nil {
 		c.exchange.OnDisconnect()
 	}
 }
 
-// consume reads requests from input, has them handled, and returns how many bytes it consumed.
-func (c *conn) consume(input []byte) int {
+// readRequests decodes requests from input, passes them to the handler, and returns how many bytes it
+// consumed.
+func (c *conn) readRequests(input []byte) int {
 	consumed := 0
-	for c.state.readsRequest() {
+	for c.state.acceptsRequestBytes() {
 		if c.state == stateIdle {
-			if c.transport.Buffered() > c.server.options.HighWaterMark {
-				// The peer sends requests faster than it reads the responses: the next one waits until these have gone out.
-				c.transport.PauseRead(true)
+			if c.transport.UnsentBytes() > c.server.options.OutputHighWaterMark {
+				// The client sends requests faster than it reads the responses. The next request waits
+				// until the responses have been sent.
+				c.transport.SetReadPaused(true)
 				return consumed
 			}
 			if consumed == len(input) {
@@ -101,17 +110,17 @@
 			c.requestStartedAt = c.server.loop.Now()
 			c.setState(stateReadingHead)
 		}
-		n, kind, err := c.decoder.Next(input[consumed:])
+		n, event, err := c.decoder.Next(input[consumed:])
 		consumed += n
 		if err != nil {
 			c.rejectRequest(err)
 			return len(input)
 		}
-		if kind == http1.NeedMore {
+		if event == http1.NeedMoreInput {
 			c.shortenTimer(c.server.options.RequestTimeout)
 			return consumed
 		}
-		c.handleDecoded(kind)
+		c.handleDecoderEvent(event)
 		if c.transport.Closed() {
 			return consumed
 		}
@@ -119,37 +128,37 @@
 	if c.state == stateEnded {
 		return len(input)
 	}
-	if len(input)-consumed > c.transport.MaxInput/2 {
-		c.transport.PauseRead(true)
+	if len(input)-consumed > c.transport.MaxInputBytes/2 {
+		c.transport.SetReadPaused(true)
 	}
 	return consumed
 }
 
-// handleDecoded handles a part of a request that the decoder has found.
-func (c *conn) handleDecoded(kind http1.Kind) {
+// handleDecoderEvent handles the part of a request that the decoder has completed.
+func (c *conn) handleDecoderEvent(event http1.Event) {
 	e := &c.exchange
-	switch kind {
+	switch event {
 	case http1.HeadComplete:
 		c.setState(stateReadingBody)
-		*e = Exchange{conn: c, body: e.body[:0]}
+		*e = Exchange{conn: c, bodyBuffer: e.bodyBuffer[:0]}
 		e.Head = &c.decoder.Head
 		e.Peer = c.transport.Peer()
-		if e.Head.Expect {
+		if e.Head.ExpectContinue {
 			c.transport.Write([]byte(continueResponse))
 		}
 	case http1.BodyData:
-		e.body = append(e.body, c.decoder.Body...)
+		e.bodyBuffer = append(e.bodyBuffer, c.decoder.BodyPiece...)
 	case http1.MessageComplete:
 		c.setState(stateHandling)
 		c.lastProgressAt = c.server.loop.Now()
-		c.closeAfterResponse = e.Head.Close
-		e.Body = e.body
+		c.closeAfterResponse = e.Head.CloseConnection
+		e.Body = e.bodyBuffer
 		c.server.Requests++
 		c.server.handler(e)
 	}
 }
 
-// rejectRequest responds to a request that cannot be read, and closes.
+// rejectRequest responds to a request that is invalid or took too long, and closes the connection.
 func (c *conn) rejectRequest(err error) {
 	c.server.BadRequests++
 	c.setState(stateEnded)
@@ -159,16 +168,17 @@
 		status = rejection.Status
 	}
 	body := []byte(err.Error() + "\n")
-	out := http1.AppendStatus(c.transport.OutputBuffer(), status)
+	out := http1.AppendStatusLine(c.transport.OutputBuffer(), status)
 	out = http1.AppendField(out, "Content-Type", "text/plain; charset=utf-8")
-	out = http1.AppendLength(out, len(body))
+	out = http1.AppendContentLength(out, len(body))
 	out = append(out, "Connection: close\r\n\r\n"...)
 	c.transport.CommitOutput(append(out, body...))
 	c.transport.CloseAfterFlush()
 }
 
-// nextRequest makes the connection ready for another request, or closes it if there is to be none.
-func (c *conn) nextRequest() {
+// prepareForNextRequest prepares the connection for the next request, or closes it if no further request is
+// allowed.
+func (c *conn) prepareForNextRequest() {
 	c.lastProgressAt = c.server.loop.Now()
 	if c.closeAfterResponse {
 		c.setState(stateEnded)
@@ -176,30 +186,32 @@
 		return
 	}
 	c.setState(stateIdle)
-	if cap(c.exchange.body) > maxKeptBody {
-		c.exchange.body = nil
+	if cap(c.exchange.bodyBuffer) > maxKeptBodyBytes {
+		c.exchange.bodyBuffer = nil
 	}
-	if c.transport.Buffered() <= c.server.options.HighWaterMark {
-		c.transport.PauseRead(false)
+	if c.transport.UnsentBytes() <= c.server.options.OutputHighWaterMark {
+		c.transport.SetReadPaused(false)
 	}
-	c.transport.Redeliver()
+	c.transport.RedeliverInput()
 }
 
-// updateMemory tells the quota what the connection holds and closes the connections that are over it.
-func (c *conn) updateMemory() {
+// reportMemoryUse reports the memory use of the connection to the memory quota and closes connections if it
+// is exceeded.
+func (c *conn) reportMemoryUse() {
 	if c.transport.Closed() {
 		return
 	}
 	s := c.server
-	held := c.transport.BufferMemory() + cap(c.exchange.body)
-	s.memory.SetUsed(s.loop.Now(), c.id, int64(held))
+	usedBytes := c.transport.BufferMemoryBytes() + cap(c.exchange.bodyBuffer)
+	s.memoryQuota.SetUsed(s.loop.Now(), c.id, int64(usedBytes))
 	s.evictOverQuota()
 }
 
-// armTimer sets the connection's one timer for the time limit that now holds. It is set anew when it fires.
+// armTimer sets the timer of the connection for the time limit that currently applies. The timer is set
+// again whenever it fires.
 func (c *conn) armTimer() {
 	loop := c.server.loop
-	c.timer = loop.At(max(c.deadline(), loop.Now().Add(minTimer)), func() {
+	c.deadlineTimer = loop.At(max(c.deadline(), loop.Now().Add(minTimerDelay)), func() {
 		c.checkDeadline()
 		if !c.transport.Closed() {
 			c.armTimer()
@@ -207,36 +219,38 @@
 	})
 }
 
-// shortenTimer sets the timer anew if it would fire later than after the limit.
-func (c *conn) shortenTimer(limit time.Duration) {
-	if c.timer.Due() > c.server.loop.Now().Add(limit) {
-		c.timer.Stop()
+// shortenTimer sets the timer again if more than maxDelay remains until it is due.
+func (c *conn) shortenTimer(maxDelay time.Duration) {
+	if c.deadlineTimer.Due() > c.server.loop.Now().Add(maxDelay) {
+		c.deadlineTimer.Stop()
 		c.armTimer()
 	}
 }
 
-// deadline is when the time limit that now holds is over.
+// deadline returns the time at which the time limit that currently applies expires.
 func (c *conn) deadline() clock.Instant {
 	options := &c.server.options
 	switch {
-	case c.state.inRequest():
+	case c.state.isReceivingRequest():
 		return c.requestStartedAt.Add(options.RequestTimeout)
-	case c.transport.Buffered() > 0:
+	case c.transport.UnsentBytes() > 0:
 		return c.lastProgressAt.Add(options.WriteTimeout)
-	case c.state.awaitsResponse():
-		// No limit holds; look again by the time that output may have come to wait.
+	case c.state.awaitsResponseEnd():
+		// No time limit applies. Output that is queued from now on cannot exceed the write timeout before
+		// this time.
 		return c.server.loop.Now().Add(options.WriteTimeout)
 	}
 	return c.lastProgressAt.Add(options.IdleTimeout)
 }
 
-// checkDeadline ends a connection whose time limit is over.
+// checkDeadline closes the connection if a time limit has expired. If a request took too long, it sends a
+// response first.
 func (c *conn) checkDeadline() {
 	now := c.server.loop.Now()
 	options := &c.server.options
-	buffered := c.transport.Buffered()
+	buffered := c.transport.UnsentBytes()
 	switch {
-	case c.state.inRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
+	case c.state.isReceivingRequest() && now >= c.requestStartedAt.Add(options.RequestTimeout):
 		c.rejectRequest(&http1.Error{Status: http1.StatusRequestTimeout, Reason: "request took too long"})
 	case buffered > 0 && now >= c.lastProgressAt.Add(options.WriteTimeout):
 		c.transport.Close()
@@ -245,7 +259,7 @@
 	}
 }
 
-// isIdle reports whether there is neither a request nor a response, nor output that waits.
+// isIdle reports whether no request is being received or handled and no output is queued.
 func (c *conn) isIdle() bool {
-	return !c.state.inRequest() && !c.state.awaitsResponse() && c.transport.Buffered() == 0
+	return !c.state.isReceivingRequest() && !c.state.awaitsResponseEnd() && c.transport.UnsentBytes() == 0
 }
