--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -29,7 +29,7 @@
 
 // healthCheckReceived records that a client has sent a health check. After the first health check, clients
 // are expected to list their running tasks.
-func (a *adoption) healthCheckReceived() {
+func (a *adoption) recordHealthCheck() {
 	if a.firstHealthCheckAt == 0 {
 		a.firstHealthCheckAt = a.now
 		a.lastAdoptionAt = a.now // the first launch message for an adoption may already be in transit
@@ -38,27 +38,27 @@
 
 // adopt adds a task that already runs on the node that the launch message names. If that node is not in the
 // registry, adopt returns an *InvalidMessageError.
-func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsed parsedRequest) error {
+func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsedReq parsedRequest) error {
 	a.counts.Adopted++
 	a.lastAdoptionAt = a.now
-	node := a.nodes.getByUID(parsed.adoptedFromUID)
+	node := a.nodes.getByUID(parsedReq.adoptedFromUID)
 	if node == nil {
-		return invalidMessage(InvalidNode, "launch message %s: the extras field \"at\" names node %.40q, which is not in the node registry", msg.UID, parsed.adoptedFromUID)
+		return invalidMessage(InvalidNode, "launch message %s: the extras field \"at\" names node %.40q, which is not in the node registry", msg.UID, parsedReq.adoptedFromUID)
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if abandonedAttempt := a.attempts.get(key); abandonedAttempt != nil {
 		a.attempts.remove(abandonedAttempt) // this scheduler abandoned the attempt, but the node accepted it
 	}
-	if termination, terminated := a.earlyTerminations.get(key); terminated {
+	if termination, isRecorded := a.earlyTerminations.get(key); isRecorded {
 		// The node has already reported the end of the task and does not repeat the report. The client listed
 		// the task because it had not been notified of the end yet.
 		a.counts.TasksEnded++
 		a.notifier.notifyOnConn(client, replyTo(msg, protocol.Stop, termination.cause))
 		return nil
 	}
-	task := parsed.task
-	req := a.requests.adopt(client.id, msg, &task)
-	attempt := a.attempts.adopt(req, node.ID)
+	task := parsedReq.task
+	req := a.requests.addAdopted(client.id, msg, &task)
+	attempt := a.attempts.addAdopted(req, node.ID)
 	a.postEvent(placer.Event{Kind: placer.Adopted, TaskID: req.taskID, Task: task, Node: node.ID})
 	a.addEffect(Effect{Kind: ConnectNode, Attempt: attempt})
 	return nil
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -10,7 +10,7 @@
 
 // arrivalOrder returns in which order the placer received adoptions and new requests since the last call. The
 // order is a text that contains an "a" for each adoption and an "R" for each new request.
-func arrivalOrder(policy *fixedNodePlacer) (order string) {
+func takeArrivalOrder(policy *fixedNodePlacer) (order string) {
 	for _, event := range policy.events {
 		switch event.Kind {
 		case placer.Adopted:
@@ -30,36 +30,36 @@
 	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
 	conn := harness.connect()
-	harness.checkHealth(conn)
+	harness.sendHealthCheck(conn)
 
-	harness.launch(conn, "query", 2000, "") // this request arrives before the first adoption
+	harness.sendLaunch(conn, "query", 2000, "") // this request arrives before the first adoption
 	for range 5 {
-		harness.adopt(conn, 1)
-		harness.advance(adoptionIdleGap / 2)
+		harness.requestAdoption(conn, 1)
+		harness.advanceClock(adoptionIdleGap / 2)
 	}
-	harness.withdraw(harness.launch(conn, "query", 2000, "")) // this request is withdrawn while it waits
-	harness.launch(conn, "query", 2000, "")
-	harness.advance(adoptionIdleGap)
-	if got := arrivalOrder(policy); got != "aaaaaRR" {
+	harness.withdrawRequest(harness.sendLaunch(conn, "query", 2000, "")) // this request is withdrawn while it waits
+	harness.sendLaunch(conn, "query", 2000, "")
+	harness.advanceClock(adoptionIdleGap)
+	if got := takeArrivalOrder(policy); got != "aaaaaRR" {
 		t.Errorf("placer received %q, want 5 adoptions (a) before the 2 requests (R) that were not withdrawn", got)
 	}
 
-	harness.launch(conn, "query", 2000, "")
-	if got := arrivalOrder(policy); got != "R" {
+	harness.sendLaunch(conn, "query", 2000, "")
+	if got := takeArrivalOrder(policy); got != "R" {
 		t.Errorf("placer received %q, want the new request (R) immediately, since no adoptions are expected", got)
 	}
 
-	harness.launch(conn, "query", 3000, "")
-	arrivalOrder(policy)
+	harness.sendLaunch(conn, "query", 3000, "")
+	takeArrivalOrder(policy)
 	for i := range int(2 * adoptionMaxWait / adoptionIdleGap) {
-		harness.adopt(conn, 1)
+		harness.requestAdoption(conn, 1)
 		if i == 0 {
-			harness.launch(conn, "query", 100, "") // this request must reach the placer before its short deadline
+			harness.sendLaunch(conn, "query", 100, "") // this request must reach the placer before its short deadline
 		}
-		harness.launch(conn, "query", 3000, "")
-		harness.advance(adoptionIdleGap / 2)
+		harness.sendLaunch(conn, "query", 3000, "")
+		harness.advanceClock(adoptionIdleGap / 2)
 	}
-	if got := arrivalOrder(policy); !strings.HasSuffix(got, "aRaR") || strings.Index(got, "R") > 6 {
+	if got := takeArrivalOrder(policy); !strings.HasSuffix(got, "aRaR") || strings.Index(got, "R") > 6 {
 		t.Errorf("placer received %q, want a request (R) near the start for the short deadline, and requests that do not wait for adoptions (a) at the end", got)
 	}
 }
@@ -69,14 +69,14 @@
 func TestAdoption(t *testing.T) {
 	harness := newHarness(t, nil)
 	conn := harness.connect()
-	id := harness.adopt(conn, 2)
+	id := harness.requestAdoption(conn, 2)
 	if harness.core.RunningTasks() != 1 || harness.core.OpenRequests() != 0 {
 		t.Fatal("the listed task was not adopted")
 	}
 
 	record := harness.clientRecords[id]
 	harness.lastID--
-	harness.adopt(conn, 2) // the client lists the same task again
+	harness.requestAdoption(conn, 2) // the client lists the same task again
 	harness.clientRecords[id] = record
 	if harness.core.RunningTasks() != 1 {
 		t.Fatal("the task was adopted again when the client listed it a second time")
@@ -84,7 +84,7 @@
 
 	harness.reportEnd(nodeID(2), id, protocol.CauseEnd)
 	harness.carryOutEffects()
-	if record.notifications != 1 || harness.core.RunningTasks() != 0 {
+	if record.notificationCount != 1 || harness.core.RunningTasks() != 0 {
 		t.Fatalf("client record %+v after the end of the task, want 1 notification and no running task", record)
 	}
 }
@@ -110,7 +110,7 @@
 			adopter := &adoption{sharedState: shared, nodes: newNodeRegistry(shared)}
 			for _, at := range test.healthChecksAt {
 				shared.setClock(at)
-				adopter.healthCheckReceived()
+				adopter.recordHealthCheck()
 			}
 			if test.adoptedAt > 0 {
 				shared.setClock(test.adoptedAt)
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -45,7 +45,7 @@
 	t.counts.Attempts++
 	if !t.canStart(attempt) {
 		t.transition(attempt, attemptAbandoned)
-		t.postEnded(attempt, attemptOutcome{result: placer.Expired})
+		t.postAttemptEnded(attempt, attemptOutcome{result: placer.Expired})
 		return
 	}
 	t.byKey[attempt.key()] = attempt
@@ -63,7 +63,7 @@
 }
 
 // adopt adds an attempt for a task that already runs on a node.
-func (t *attemptTable) adopt(req *request, node placer.NodeID) *Attempt {
+func (t *attemptTable) addAdopted(req *request, node placer.NodeID) *Attempt {
 	attempt := &Attempt{
 		Node:         node,
 		Message:      req.launchMessage(),
@@ -105,7 +105,7 @@
 }
 
 // connectFailed ends an attempt that was not sent because no connection to its node could be established.
-func (t *attemptTable) connectFailed(attempt *Attempt) {
+func (t *attemptTable) handleConnectFailure(attempt *Attempt) {
 	if attempt.state != attemptPending {
 		return
 	}
@@ -114,14 +114,14 @@
 }
 
 // connectionLost abandons an attempt whose connection closed before the answer arrived.
-func (t *attemptTable) connectionLost(attempt *Attempt) {
+func (t *attemptTable) handleConnectionLoss(attempt *Attempt) {
 	if attempt.state != attemptSent {
 		return
 	}
 	t.counts.ConnectionsLost++
 	t.transition(attempt, attemptAbandoned) // no Stop message is sent, since the node detects the closed connection
 	t.retainAbandoned(attempt)
-	t.postEnded(attempt, attemptOutcome{result: placer.Lost})
+	t.postAttemptEnded(attempt, attemptOutcome{result: placer.Lost})
 }
 
 // markRunning changes an attempt that its node has accepted to attemptRunning.
@@ -139,7 +139,7 @@
 	if result == placer.Expired {
 		t.counts.Expired++
 	}
-	t.postEnded(attempt, attemptOutcome{result: result})
+	t.postAttemptEnded(attempt, attemptOutcome{result: result})
 }
 
 // abandonLastAttempt abandons the latest attempt of a request if that attempt is unanswered.
@@ -162,7 +162,7 @@
 	t.transition(attempt, attemptAbandoned)
 	t.retainAbandoned(attempt)
 	t.sendStop(attempt, protocol.CauseEnd, timedOut)
-	t.postEnded(attempt, attemptOutcome{result: result})
+	t.postAttemptEnded(attempt, attemptOutcome{result: result})
 }
 
 // sendStop adds the effect that asks the node of an attempt to stop the task, or not to start it.
@@ -204,7 +204,7 @@
 }
 
 // postEnded reports to the placer how an attempt ended.
-func (t *attemptTable) postEnded(attempt *Attempt, outcome attemptOutcome) {
+func (t *attemptTable) postAttemptEnded(attempt *Attempt, outcome attemptOutcome) {
 	t.postEvent(placer.Event{
 		Kind:    placer.Ended,
 		TaskID:  attempt.request.taskID,
@@ -219,7 +219,7 @@
 }
 
 // postBound reports to the placer that a node has accepted an attempt.
-func (t *attemptTable) postBound(attempt *Attempt) {
+func (t *attemptTable) postAttemptBound(attempt *Attempt) {
 	t.postEvent(placer.Event{
 		Kind:    placer.Bound,
 		TaskID:  attempt.request.taskID,
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -14,7 +14,7 @@
 	for _, test := range []struct {
 		name, class string
 		withdrawn   bool
-		stopped     bool
+		wantStop    bool
 	}{
 		{"idempotent task is stopped", "query", false, true},
 		{"task that is not idempotent is not stopped", "seats", false, false},
@@ -23,15 +23,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := sentAttempt(t, test.class)
 			if test.withdrawn {
-				harness.withdraw(attempt.Message.ID)
+				harness.withdrawRequest(attempt.Message.ID)
 			} else {
-				harness.advance(2.005)
+				harness.advanceClock(2.005)
 			}
 
-			effects := harness.accept(attempt)
+			effects := harness.acceptAttempt(attempt)
 
-			if stopped := asksNodeToStop(effects); stopped != test.stopped || harness.core.RunningTasks() != 0 {
-				t.Errorf("Stop message sent to the node after a late acceptance: %v, want %v; want no running task in either case", stopped, test.stopped)
+			if stopRequested := asksNodeToStop(effects); stopRequested != test.wantStop || harness.core.RunningTasks() != 0 {
+				t.Errorf("Stop message sent to the node after a late acceptance: %v, want %v; want no running task in either case", stopRequested, test.wantStop)
 			}
 		})
 	}
@@ -43,10 +43,10 @@
 // for lack of capacity, the placer must be able to make another attempt.
 func TestTerminationBeforeAnswer(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		cause protocol.Cause
-		note  string
-		ended bool
+		name      string
+		cause     protocol.Cause
+		note      string
+		wantEnded bool
 	}{
 		{"node drained the task", protocol.CauseLost, "drained", true},
 		{"node evicted the task", protocol.CauseLost, "oom", true},
@@ -62,13 +62,13 @@
 
 			answers := messagesToClients(harness.receiveFromNode(attempt, msg))
 
-			notified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
-			bound := policy.received(placer.Bound)
-			if notified != test.ended || bound != test.ended || policy.lastEvent().Final != test.ended || record.answers != 1 {
-				t.Errorf("messages to clients: %+v; placer received Bound: %v; last event: %+v; want a notification, Bound and a final event only if the task ended", answers, bound, policy.lastEvent())
+			clientNotified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
+			boundReported := policy.receivedEvent(placer.Bound)
+			if clientNotified != test.wantEnded || boundReported != test.wantEnded || policy.lastEvent().Final != test.wantEnded || record.answerCount != 1 {
+				t.Errorf("messages to clients: %+v; placer received Bound: %v; last event: %+v; want a notification, Bound and a final event only if the task ended", answers, boundReported, policy.lastEvent())
 			}
-			harness.accept(attempt)
-			if harness.core.RunningTasks() != 0 || record.answers != 1 {
+			harness.acceptAttempt(attempt)
+			if harness.core.RunningTasks() != 0 || record.answerCount != 1 {
 				t.Error("after a late acceptance, the task runs or the client received a second answer")
 			}
 		})
@@ -113,8 +113,8 @@
 				}
 				return
 			}
-			sent := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
-			if attempt.state != attemptPending || !sent || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
+			sendRequested := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
+			if attempt.state != attemptPending || !sendRequested || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
 				t.Errorf("attempt is in state %v, expires at %v and has effects %+v, want a pending attempt that is sent and a timer for its expiry", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -24,11 +24,11 @@
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
 		recorder.listAllNodes("in_service", 0)
-		recorder.adoptTasks(24, 1)
+		recorder.requestAdoptions(24, 1)
 		recorder.recordCheckpoint(1)
 		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
 		recorder.recordCheckpoint(2)
-		recorder.adoptTasks(24, 101)
+		recorder.requestAdoptions(24, 101)
 		recorder.listAllNodes("terminated", 0)
 		recorder.recordCheckpoint(3)
 		recorder.advanceInOneCall(1.5, 0)
@@ -101,7 +101,7 @@
 
 // adoptTasks lists running tasks for adoption. Their IDs start at firstID, and they are distributed over the
 // nodes.
-func (recorder *scriptRecorder) adoptTasks(count int, firstID uint64) {
+func (recorder *scriptRecorder) requestAdoptions(count int, firstID uint64) {
 	for i := range count {
 		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(firstID+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodeCount)))
 		recorder.digestEffectsAndState(0)
@@ -117,11 +117,11 @@
 		return scenarioSetup{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
 	}
 	return runVariants(24, start, func(recorder *scriptRecorder, variant int) {
-		recorder.adoptTasks(6, 1)
+		recorder.requestAdoptions(6, 1)
 		if variant%2 == 1 {
 			recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 77))
 		}
-		recorder.endTasks(1, 4)
+		recorder.reportTaskEnds(1, 4)
 		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
 		recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 2))
 		recorder.core.ClientDisconnected(recorder.now, 1)
@@ -129,7 +129,7 @@
 			recorder.core.ClientDisconnected(recorder.now, 2)
 		}
 		recorder.conns = nil
-		recorder.endTasks(5, 6)
+		recorder.reportTaskEnds(5, 6)
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
 		recorder.receiveFromClient(recorder.lastConn, wireMessage(protocol.Check, 78))
@@ -139,7 +139,7 @@
 
 // endTasks makes nodes report the ends of the tasks with the IDs from firstID to lastID, which adoptTasks
 // listed.
-func (recorder *scriptRecorder) endTasks(firstID, lastID uint64) {
+func (recorder *scriptRecorder) reportTaskEnds(firstID, lastID uint64) {
 	for id := firstID; id <= lastID; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
@@ -156,7 +156,7 @@
 	recorder.receiveFromClient(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
 		recorder.advanceInOneCall(0.03, int(i))
-		recorder.adoptTasks(1, 1000+i)
+		recorder.requestAdoptions(1, 1000+i)
 		recorder.receiveFromClient(2, recorder.newLaunchMessage(2000+i, ""))
 		recorder.digestEffectsAndState(int(i))
 		if i%5 == 4 {
@@ -176,15 +176,15 @@
 // times of the incarnation up to and beyond incarnationTolerance after the adoption.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	incarnationDelayMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
+	restartDelaysMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
 		// The golden file calls an incarnation a life, and gives the delay in milliseconds without the unit.
-		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant])
+		label := fmt.Sprintf("new life after %d", restartDelaysMS[variant])
 		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
 	}
-	return runVariants(len(incarnationDelayMS), start, func(recorder *scriptRecorder, variant int) {
-		recorder.adoptTasks(1, 1)
-		recorder.listAllNodes("in_service", 1000_000+incarnationDelayMS[variant])
+	return runVariants(len(restartDelaysMS), start, func(recorder *scriptRecorder, variant int) {
+		recorder.requestAdoptions(1, 1)
+		recorder.listAllNodes("in_service", 1000_000+restartDelaysMS[variant])
 	})
 }
 
@@ -208,8 +208,8 @@
 		return scenarioSetup{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(30, start, func(recorder *scriptRecorder, variant int) {
-		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
-			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
+		if nextTimerAt := recorder.core.NextTimer(); !math.IsInf(float64(nextTimerAt), 1) {
+			recorder.now = max(recorder.now, nextTimerAt+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
 		recorder.sendPendingAttempt()
 		recorder.digestEffectsAndState(1)
@@ -225,22 +225,22 @@
 		return scenarioSetup{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
-		due := recorder.core.NextTimer()
+		nextTimerAt := recorder.core.NextTimer()
 		recorder.sendPendingAttempt()
 		recorder.digestEffectsAndState(1)
-		if len(recorder.sent) > 0 {
-			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
+		if len(recorder.sentAttempts) > 0 {
+			recorder.answerLate(nextTimerAt+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
-		open, placed := recorder.core.ClientRequests(99)
-		recorder.digestNumbers(uint64(open))
-		recorder.digestBool(placed)
+		openCount, hasPlacedTask := recorder.core.ClientRequests(99)
+		recorder.digestNumbers(uint64(openCount))
+		recorder.digestBool(hasPlacedTask)
 	})
 }
 
 // answerLate makes a node accept the first attempt at answerTime. If connectionLost is set, the connection to
 // the node is lost before the node accepts. The client then lists the task for adoption from that node.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
-	attempt := recorder.sent[0]
+	attempt := recorder.sentAttempts[0]
 	recorder.now = max(recorder.now, answerTime)
 	if connectionLost {
 		recorder.core.ConnectionLost(recorder.now, attempt)
@@ -251,7 +251,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.digestEffectsAndState(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pending) > 0 { // another attempt was started, so the client withdraws the request
+	if len(recorder.pendingAttempts) > 0 { // another attempt was started, so the client withdraws the request
 		recorder.receiveFromClient(1, stop)
 		recorder.digestEffectsAndState(4)
 	}
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -21,22 +21,22 @@
 // scriptRecorder makes the calls of one script to a core and computes a digest of the core's observable
 // behavior.
 type scriptRecorder struct {
-	t             *testing.T
-	core          *dispatch.Core
-	random        *rand.Rand
-	digest        hash.Hash
-	settingsIndex int // the index in settingsVariants
-	now           placer.Seconds
-	eventNumber   int // the number of the last discovery event
-	lastConn      dispatch.ConnID
-	conns         []dispatch.ConnID
-	lastID        uint64              // the last ID that was assigned to a launch message
-	pending       []*dispatch.Attempt // attempts that were not sent yet
-	sent          []*dispatch.Attempt // attempts that were sent or adopted, including those that have ended
-	nodeStates    map[int]string      // the last listed state of each node, by the number of the node
-	sortEffects   bool                // whether effects are sorted, for scripts in which their order is not defined
-	recordedLines []string
-	label         string // the beginning of the script's golden lines, in which shape is the settingsIndex
+	t               *testing.T
+	core            *dispatch.Core
+	random          *rand.Rand
+	digest          hash.Hash
+	settingsIndex   int // the index in settingsVariants
+	now             placer.Seconds
+	eventNumber     int // the number of the last discovery event
+	lastConn        dispatch.ConnID
+	conns           []dispatch.ConnID
+	lastID          uint64              // the last ID that was assigned to a launch message
+	pendingAttempts []*dispatch.Attempt // attempts that were not sent yet
+	sentAttempts    []*dispatch.Attempt // attempts that were sent or adopted, including those that have ended
+	nodeStates      map[int]string      // the last listed state of each node, by the number of the node
+	sortEffects     bool                // whether effects are sorted, for scripts in which their order is not defined
+	recordedLines   []string
+	label           string // the beginning of the script's golden lines, in which shape is the settingsIndex
 }
 
 func newRecorder(t *testing.T, settingsIndex int, seed uint64, initialEvents string, useRandomPlacer bool) *scriptRecorder {
@@ -169,10 +169,10 @@
 	for _, effect := range recorder.core.Ready() {
 		encoded = append(encoded, encodeEffect(&effect))
 		if effect.Kind == dispatch.SendAttempt {
-			recorder.pending = append(recorder.pending, effect.Attempt)
+			recorder.pendingAttempts = append(recorder.pendingAttempts, effect.Attempt)
 		}
 		if effect.Kind == dispatch.ConnectNode {
-			recorder.sent = append(recorder.sent, effect.Attempt)
+			recorder.sentAttempts = append(recorder.sentAttempts, effect.Attempt)
 		}
 	}
 	if recorder.sortEffects {
@@ -183,8 +183,8 @@
 		recorder.digestText(string(effect))
 	}
 	recorder.digestState()
-	if illegal := recorder.core.IllegalTransitions(); illegal != 0 {
-		recorder.t.Fatalf("%s, step %d: the core made %d illegal state transitions, want 0", recorder.label, step, illegal)
+	if illegalTransitions := recorder.core.IllegalTransitions(); illegalTransitions != 0 {
+		recorder.t.Fatalf("%s, step %d: the core made %d illegal state transitions, want 0", recorder.label, step, illegalTransitions)
 	}
 }
 
@@ -193,9 +193,9 @@
 	recorder.digestNumbers(countValues(&recorder.core.Counts)...)
 	recorder.digestNumbers(uint64(recorder.core.OpenRequests()), uint64(recorder.core.RunningTasks()), recorder.core.LastDiscoveryEvent())
 	for _, id := range recorder.conns {
-		open, placed := recorder.core.ClientRequests(id)
-		recorder.digestNumbers(uint64(open))
-		recorder.digestBool(placed)
+		openCount, hasPlacedTask := recorder.core.ClientRequests(id)
+		recorder.digestNumbers(uint64(openCount))
+		recorder.digestBool(hasPlacedTask)
 		recorder.digestBool(recorder.core.IsOnlyClient(id))
 	}
 	for i := range scriptNodeCount + 1 {
@@ -208,7 +208,7 @@
 			recorder.digestSeconds(node.TerminatedFor(recorder.now))
 		}
 	}
-	for _, attempt := range recorder.sent {
+	for _, attempt := range recorder.sentAttempts {
 		recorder.digestBool(attempt.Live())
 		recorder.digestBool(attempt.Unanswered())
 		recorder.digestBool(attempt.Pending())
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -48,20 +48,20 @@
 	}
 	recorder.openConnection()
 	for step := 1; step <= scriptSteps; step++ {
-		recorder.randomStep()
+		recorder.makeRandomStep()
 		recorder.digestEffectsAndState(step)
 		if step%checkpointInterval == 0 {
 			recorder.recordCheckpoint(step)
 		}
 	}
-	recorder.advance(70)
+	recorder.advanceClock(70)
 	recorder.recordCheckpoint(scriptSteps + 1)
 	return recorder.recordedLines
 }
 
 // randomStep makes one random step: a message, an event of a connection or of discovery, a failure, or an
 // advance of the clock.
-func (recorder *scriptRecorder) randomStep() {
+func (recorder *scriptRecorder) makeRandomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
 		recorder.sendLaunch("")
@@ -88,7 +88,7 @@
 	case 27:
 		recorder.core.SetDiscoveryConnected(recorder.now, recorder.random.IntN(2) == 0)
 	default:
-		recorder.advance(randomChoice[placer.Seconds](recorder, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
+		recorder.advanceClock(randomChoice[placer.Seconds](recorder, 0, 0.01, 0.06, 0.3, 0.5, 1.1, 1.7, 4, 9))
 	}
 }
 
@@ -150,12 +150,12 @@
 	recorder.lastID++
 	id := recorder.lastID
 	if recorder.random.IntN(12) == 0 {
-		id = recorder.anyID() // the ID may be in use
+		id = recorder.drawID() // the ID may be in use
 	}
 	recorder.receiveFromAnyClient(recorder.newLaunchMessage(id, extras))
 }
 
-func (recorder *scriptRecorder) anyID() uint64 {
+func (recorder *scriptRecorder) drawID() uint64 {
 	return 1 + recorder.random.Uint64N(recorder.lastID+1)
 }
 
@@ -189,7 +189,7 @@
 
 func (recorder *scriptRecorder) sendInvalidLaunch() {
 	recorder.lastID++
-	id := randomChoice(recorder, recorder.lastID, recorder.anyID())
+	id := randomChoice(recorder, recorder.lastID, recorder.drawID())
 	msg := recorder.newLaunchMessage(id, "")
 	randomChoice(recorder, launchCorruptions...)(&msg)
 	recorder.receiveFromAnyClient(msg)
@@ -199,24 +199,24 @@
 	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stopped, protocol.Stopped,
 		protocol.Check, protocol.Staging, protocol.Running, protocol.Checked, protocol.Update, protocol.Migrate,
 		protocol.Kind(0))
-	msg := wireMessage(kind, recorder.anyID())
+	msg := wireMessage(kind, recorder.drawID())
 	msg.Cause, msg.HasCause = randomChoice[protocol.Cause](recorder, 0, 16, 31, 41), recorder.random.IntN(3) > 0
 	recorder.receiveFromAnyClient(msg)
 }
 
 // sendPendingAttempt sends a random pending attempt, which may have ended in the meantime.
 func (recorder *scriptRecorder) sendPendingAttempt() {
-	if len(recorder.pending) == 0 {
+	if len(recorder.pendingAttempts) == 0 {
 		return
 	}
-	i := recorder.random.IntN(len(recorder.pending))
-	attempt := recorder.pending[i]
-	recorder.pending = slices.Delete(recorder.pending, i, i+1)
+	i := recorder.random.IntN(len(recorder.pendingAttempts))
+	attempt := recorder.pendingAttempts[i]
+	recorder.pendingAttempts = slices.Delete(recorder.pendingAttempts, i, i+1)
 	allowed := recorder.core.PrepareSend(recorder.now, attempt)
 	recorder.digestBool(allowed)
 	recorder.digestText(string(attempt.Message.Append(nil)))
 	if allowed {
-		recorder.sent = append(recorder.sent, attempt)
+		recorder.sentAttempts = append(recorder.sentAttempts, attempt)
 	}
 }
 
@@ -226,10 +226,10 @@
 
 // acceptSentAttempt makes a node accept a random attempt that was sent to it. The attempt may have ended.
 func (recorder *scriptRecorder) acceptSentAttempt() {
-	choices := recorder.sent
-	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
-	if len(live) > 0 && recorder.random.IntN(6) > 0 {
-		choices = live
+	choices := recorder.sentAttempts
+	unansweredAttempts := slices.DeleteFunc(slices.Clone(recorder.sentAttempts), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
+	if len(unansweredAttempts) > 0 && recorder.random.IntN(6) > 0 {
+		choices = unansweredAttempts
 	}
 	if len(choices) == 0 {
 		return
@@ -245,7 +245,7 @@
 	kind := randomChoice(recorder, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Stop, protocol.Update,
 		protocol.Update, protocol.Update, protocol.Launch, protocol.Staging, protocol.Stopped, protocol.Check,
 		protocol.Checked, protocol.Migrate)
-	msg := wireMessage(kind, recorder.anyID())
+	msg := wireMessage(kind, recorder.drawID())
 	msg.Cause, msg.HasCause = randomChoice[protocol.Cause](recorder, 16, 31, 34, 34, 41, 42, 47, 102, 5, 0), recorder.random.IntN(8) > 0
 	msg.Set(protocol.Note, randomChoice(recorder, "", "cpu_full", "mem_full", "busy", "wrong_host", "oom", "preempted", "drained", "other"))
 	msg.Set(protocol.LoadReport, randomChoice(recorder, "", "x0:1.5;x1:2", "x0:bad;x1:3", "zzz:1", "utilization:0.5;backlog:7", "x0", ";"))
@@ -253,14 +253,14 @@
 		msg.Set(protocol.Note, randomChoice(recorder, "up", "cpu", "mem", "share", "tight", "", "other"))
 		msg.Set(protocol.Value, randomChoice(recorder, "0.5", "1", "3.75", "x", ""))
 	}
-	if len(recorder.sent) == 0 || recorder.random.IntN(8) == 0 {
+	if len(recorder.sentAttempts) == 0 || recorder.random.IntN(8) == 0 {
 		recorder.core.ReceiveFromNode(recorder.now, nodeID(1+recorder.random.IntN(4)), &msg)
 		return
 	}
-	choices := recorder.sent[max(0, len(recorder.sent)-12):]
-	live := slices.DeleteFunc(slices.Clone(recorder.sent), func(attempt *dispatch.Attempt) bool { return !attempt.Live() })
-	if len(live) > 0 && recorder.random.IntN(4) > 0 {
-		choices = live
+	choices := recorder.sentAttempts[max(0, len(recorder.sentAttempts)-12):]
+	liveAttempts := slices.DeleteFunc(slices.Clone(recorder.sentAttempts), func(attempt *dispatch.Attempt) bool { return !attempt.Live() })
+	if len(liveAttempts) > 0 && recorder.random.IntN(4) > 0 {
+		choices = liveAttempts
 	}
 	attempt := randomChoice(recorder, choices...)
 	msg.UID, msg.ID = attempt.Message.UID, attempt.Message.ID
@@ -268,10 +268,10 @@
 }
 
 func (recorder *scriptRecorder) failRandomAttempt() {
-	if len(recorder.pending) > 0 && recorder.random.IntN(2) == 0 {
-		recorder.core.ConnectFailed(recorder.now, randomChoice(recorder, recorder.pending...))
-	} else if len(recorder.sent) > 0 {
-		recorder.core.ConnectionLost(recorder.now, randomChoice(recorder, recorder.sent...))
+	if len(recorder.pendingAttempts) > 0 && recorder.random.IntN(2) == 0 {
+		recorder.core.ConnectFailed(recorder.now, randomChoice(recorder, recorder.pendingAttempts...))
+	} else if len(recorder.sentAttempts) > 0 {
+		recorder.core.ConnectionLost(recorder.now, randomChoice(recorder, recorder.sentAttempts...))
 	}
 }
 
@@ -294,7 +294,7 @@
 	var event string
 	switch recorder.random.IntN(12) {
 	case 0, 1, 2:
-		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, true, recorder.completeList(i, state)...)
+		event = dispatch.DiscoveryEventJSON(recorder.eventNumber, true, recorder.completeNodeList(i, state)...)
 	case 3:
 		event = fmt.Sprintf(`{"no":%d}`, recorder.eventNumber)
 	case 4:
@@ -325,13 +325,13 @@
 
 // completeList returns the entries of a complete node list. The node with the number changed has the given
 // state, or is missing if that state is terminated. The other nodes have their last listed state.
-func (recorder *scriptRecorder) completeList(changed int, state string) (list []string) {
+func (recorder *scriptRecorder) completeNodeList(changedNode int, newState string) (list []string) {
 	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
-		case i == changed && state == "terminated":
+		case i == changedNode && newState == "terminated":
 			delete(recorder.nodeStates, i)
-		case i == changed:
-			list = append(list, recorder.nodeJSON(i, state, 0))
+		case i == changedNode:
+			list = append(list, recorder.nodeJSON(i, newState, 0))
 		case recorder.nodeStates[i] != "":
 			list = append(list, recorder.nodeJSON(i, recorder.nodeStates[i], 0))
 		}
@@ -341,7 +341,7 @@
 
 // advance advances the clock by the given duration. It usually runs each timer at the time for which it is
 // set. Sometimes it runs all due timers at the end of the duration instead.
-func (recorder *scriptRecorder) advance(duration placer.Seconds) {
+func (recorder *scriptRecorder) advanceClock(duration placer.Seconds) {
 	endTime := recorder.now + duration
 	if recorder.random.IntN(5) == 0 {
 		recorder.now = endTime
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -73,14 +73,14 @@
 	for _, test := range []struct {
 		name, initialEvents string
 		lastEvent           uint64
-		nodes               int
+		nodeCount           int
 		invalid             bool
 	}{
 		{name: "no initial events", initialEvents: ""},
 		{name: "empty JSON object", initialEvents: "{}"},
 		{name: "event number without events", initialEvents: `{"no":5}`, lastEvent: 5},
-		{name: "event with a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodes: 1},
-		{name: "first event has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodes: 2},
+		{name: "event with a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodeCount: 1},
+		{name: "first event has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodeCount: 2},
 		{name: "node has no UID", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
 		{name: "unknown node state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
 		{name: "JSON is truncated", initialEvents: `{"no":`, invalid: true},
@@ -99,10 +99,10 @@
 			if test.invalid {
 				return
 			}
-			nodes := 0
-			core.EachNode(func(*dispatch.Node) { nodes++ })
-			if core.LastDiscoveryEvent() != test.lastEvent || nodes != test.nodes {
-				t.Errorf("initial events %s: last event number is %d and the core has %d nodes, want number %d and %d nodes", test.initialEvents, core.LastDiscoveryEvent(), nodes, test.lastEvent, test.nodes)
+			nodeCount := 0
+			core.EachNode(func(*dispatch.Node) { nodeCount++ })
+			if core.LastDiscoveryEvent() != test.lastEvent || nodeCount != test.nodeCount {
+				t.Errorf("initial events %s: last event number is %d and the core has %d nodes, want number %d and %d nodes", test.initialEvents, core.LastDiscoveryEvent(), nodeCount, test.lastEvent, test.nodeCount)
 			}
 		})
 	}
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	h.clients.recordValidMessage(client)
-	h.notifier.sendPending(client)
+	h.notifier.sendPendingNotifications(client)
 	return nil
 }
 
@@ -44,7 +44,7 @@
 const healthCheckPassed protocol.Cause = 1
 
 func (h *clientMessageHandler) handleHealthCheck(client *clientConn, msg *protocol.Message) {
-	h.adoption.healthCheckReceived()
+	h.adoption.recordHealthCheck()
 	h.clients.send(client.id, replyTo(msg, protocol.Checked, healthCheckPassed))
 }
 
@@ -52,9 +52,9 @@
 // adoption.
 func (h *clientMessageHandler) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	h.counts.PlacementRequests++
-	parsed, err := h.parser.parse(h.now, msg)
+	parsedReq, err := h.parser.parse(h.now, msg)
 	if existing := h.requests.getByID(msg.ID); existing != nil {
-		if err == nil && parsed.isAdoption() {
+		if err == nil && parsedReq.isAdoption() {
 			return nil // the task was already adopted
 		}
 		return h.rejectDuplicate(client, existing, msg)
@@ -66,12 +66,12 @@
 		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseOverloaded))
 		return nil
 	}
-	if parsed.isAdoption() {
-		return h.adoption.adopt(client, msg, parsed)
+	if parsedReq.isAdoption() {
+		return h.adoption.adopt(client, msg, parsedReq)
 	}
 	h.counts.Accepted++
-	task := parsed.task
-	req := h.requests.open(client.id, msg, &task)
+	task := parsedReq.task
+	req := h.requests.addNew(client.id, msg, &task)
 	h.adoption.postArrival(req, task)
 	return nil
 }
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -26,8 +26,8 @@
 
 // hasOpenRequest reports whether a request is one of the open requests of the connection.
 func (conn *clientConn) hasOpenRequest(req *request) bool {
-	_, open := conn.openRequests[req]
-	return open
+	_, isOpen := conn.openRequests[req]
+	return isOpen
 }
 
 // moreRecentlyUsedThan reports whether the connection was used more recently than other. It compares
@@ -126,8 +126,8 @@
 
 // selectConn returns the preferred connection if it is open. Otherwise it returns the connection that most
 // likely belongs to a client with running tasks, or nil if no connection has sent a valid message.
-func (r *clientRegistry) selectConn(preferred ConnID) *clientConn {
-	if conn := r.conns[preferred]; conn != nil {
+func (r *clientRegistry) selectConn(preferredConn ConnID) *clientConn {
+	if conn := r.conns[preferredConn]; conn != nil {
 		return conn
 	}
 	var best *clientConn
@@ -145,8 +145,8 @@
 	if conn == nil || !conn.hasSentValidMessage() {
 		return false
 	}
-	for other, candidate := range r.conns {
-		if other != id && candidate.hasSentValidMessage() {
+	for otherID, otherConn := range r.conns {
+		if otherID != id && otherConn.hasSentValidMessage() {
 			return false
 		}
 	}
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -8,11 +8,11 @@
 func TestSelectConn(t *testing.T) {
 	withoutValidMessage := clientConn{}
 	for _, test := range []struct {
-		name      string
-		conns     []clientConn // the open connections, with the IDs 1, 2 and so on
-		preferred ConnID
-		want      ConnID // 0 means that no connection is selected
-		only      ConnID // the only connection that has sent a valid message, or 0 if there are none or several
+		name          string
+		conns         []clientConn // the open connections, with the IDs 1, 2 and so on
+		preferredConn ConnID
+		want          ConnID // 0 means that no connection is selected
+		onlyClient    ConnID // the only connection that has sent a valid message, or 0 if there are none or several
 	}{
 		{"no connection is open", nil, 1, 0, 0},
 		{"no connection has sent a valid message", []clientConn{withoutValidMessage, withoutValidMessage}, 9, 0, 0},
@@ -30,7 +30,7 @@
 			}
 
 			var selected ConnID
-			if conn := registry.selectConn(test.preferred); conn != nil {
+			if conn := registry.selectConn(test.preferredConn); conn != nil {
 				selected = conn.id
 			}
 
@@ -38,8 +38,8 @@
 				t.Errorf("selected connection %d, want %d", selected, test.want)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
-				if only := registry.isOnlyClient(id); only != (id == test.only && id != 0) {
-					t.Errorf("connection %d: isOnlyClient returned %v, want the opposite", id, only)
+				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
+					t.Errorf("connection %d: isOnlyClient returned %v, want the opposite", id, isOnlyClient)
 				}
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -113,7 +113,7 @@
 		token := action.Token
 		c.timers.Add(c.now+eventqueue.TimerDelay(action.After), func() { c.postEvent(placer.Event{Kind: placer.TimerFired, Token: token}) })
 	case placer.WatchNodes, placer.ListNodes:
-		c.nodes.handleListRequest()
+		c.nodes.handleNodeListRequest()
 	default:
 		if req := c.requests.get(action.Task); req != nil {
 			c.executeForRequest(req, action)
@@ -127,12 +127,12 @@
 		c.attempts.start(req, action)
 	case placer.Reject:
 		c.Counts.Rejected++
-		c.requests.answer(req, c.newRejection(req, action.After))
+		c.requests.sendFinalAnswer(req, c.newRejection(req, action.After))
 	case placer.Fail:
 		c.Counts.Failed++
-		c.requests.answer(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
+		c.requests.sendFinalAnswer(req, replyTo(&req.message, protocol.Stop, protocol.CauseError))
 	case placer.Migrate:
-		c.tasks.migrate(req)
+		c.tasks.migrateTask(req)
 	}
 }
 
@@ -202,7 +202,7 @@
 // established.
 func (c *Core) ConnectFailed(now placer.Seconds, attempt *Attempt) {
 	c.setClock(now)
-	c.attempts.connectFailed(attempt)
+	c.attempts.handleConnectFailure(attempt)
 	c.runEvents()
 }
 
@@ -210,7 +210,7 @@
 // had no answer, its outcome is unknown.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setClock(now)
-	c.attempts.connectionLost(attempt)
+	c.attempts.handleConnectionLoss(attempt)
 	c.runEvents()
 }
 
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -38,8 +38,8 @@
 }
 
 // record adds a record of the end of an unknown task. If the end is already recorded, it changes nothing.
-func (l *earlyTerminationLog) record(key attemptKey, cause protocol.Cause) {
-	if _, recorded := l.records[key]; recorded {
+func (l *earlyTerminationLog) add(key attemptKey, cause protocol.Cause) {
+	if _, isRecorded := l.records[key]; isRecorded {
 		return
 	}
 	if len(l.keysOldestFirst) >= maxEarlyTerminations {
@@ -56,15 +56,15 @@
 
 // expire removes the expired records and sets a timer for the oldest record that is left.
 func (l *earlyTerminationLog) expire() {
-	expired := 0
+	expiredCount := 0
 	for _, key := range l.keysOldestFirst {
 		if l.records[key].expiresAt > l.now {
 			break
 		}
 		delete(l.records, key)
-		expired++
+		expiredCount++
 	}
-	l.keysOldestFirst = slices.Delete(l.keysOldestFirst, 0, expired)
+	l.keysOldestFirst = slices.Delete(l.keysOldestFirst, 0, expiredCount)
 	if len(l.keysOldestFirst) > 0 {
 		oldest := l.records[l.keysOldestFirst[0]]
 		l.timers.Add(oldest.expiresAt, l.expire)
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -19,10 +19,10 @@
 		}
 	}
 
-	log.record(attemptKey{1, 1}, 16)
+	log.add(attemptKey{1, 1}, 16)
 	shared.now = 103
-	log.record(attemptKey{1, 1}, 41) // this repeated report must not change the record
-	log.record(attemptKey{1, 2}, 31)
+	log.add(attemptKey{1, 1}, 41) // this repeated report must not change the record
+	log.add(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
 	if shared.timers.Len() != 1 || shared.timers.NextTimeOr(0) != 100+notificationRetention {
@@ -38,7 +38,7 @@
 	}
 
 	for id := range protocol.ID(maxEarlyTerminations + 1) {
-		log.record(attemptKey{1, id}, 16)
+		log.add(attemptKey{1, id}, 16)
 	}
 	requireRecord(0, 0, false)
 	requireRecord(1, 16, true)
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -88,7 +88,7 @@
 }
 
 // received reports whether the placer has received an event of the given kind.
-func (policy *fixedNodePlacer) received(kind placer.EventKind) bool {
+func (policy *fixedNodePlacer) receivedEvent(kind placer.EventKind) bool {
 	for i := range policy.events {
 		if policy.events[i].Kind == kind {
 			return true
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -24,37 +24,37 @@
 	conns           []ConnID
 	lastID          uint64
 	clientRecords   map[protocol.ID]*clientRecord
-	pending         []*Attempt // attempts that wait for a connection to their node
-	sent            []*Attempt // attempts that were sent, including those that have ended
-	running         []*Attempt // attempts whose ends endAllTasks reports
+	pendingAttempts []*Attempt // attempts that wait for a connection to their node
+	sentAttempts    []*Attempt // attempts that were sent, including those that have ended
+	runningAttempts []*Attempt // attempts whose ends endAllTasks reports
 }
 
 // clientRecord records what the client of one task sent and received.
 type clientRecord struct {
-	notifiedOn             ConnID // the connection of the last notification, or 0 after its acknowledgement
-	conn                   ConnID
-	deadline               placer.Seconds
-	withdrawn, adopted     bool // whether the client withdrew the request, or listed the task for adoption
-	answers, notifications int
-	running                bool // whether the client knows that the task runs
+	lastNotificationConn           ConnID // the connection of the last notification, or 0 after its acknowledgement
+	conn                           ConnID
+	deadline                       placer.Seconds
+	withdrawn, adopted             bool // whether the client withdrew the request, or listed the task for adoption
+	answerCount, notificationCount int
+	knowsTaskRuns                  bool // whether the client knows that the task runs
 }
 
 // newHarness returns a harness for a core whose registry contains the nodes 1 to 3. If policy is nil, the
 // core uses a placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
-	parsed, err := simconfig.Parse([]byte(testSettings))
+	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if policy == nil {
-		if policy, err = placer.New(parsed.Placer, 7); err != nil {
+		if policy, err = placer.New(settings.Placer, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
 	harness := &coreHarness{t: t, now: 1000, lastEventNumber: 1, clientRecords: map[protocol.ID]*clientRecord{}}
 	list := discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0))
 	initialEvents := `{"no":1,"items":[` + list + `]}`
-	if harness.core, err = New(harness.now, parsed, policy, []byte(initialEvents)); err != nil {
+	if harness.core, err = New(harness.now, settings, policy, []byte(initialEvents)); err != nil {
 		t.Fatal(err)
 	}
 	harness.core.SetDiscoveryConnected(harness.now, true)
@@ -68,16 +68,16 @@
 	t.Helper()
 	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
-	harness.launch(harness.connect(), class, 2000, "")
-	harness.send(0)
-	return harness, policy, harness.sent[0]
+	harness.sendLaunch(harness.connect(), class, 2000, "")
+	harness.sendPendingAttempt(0)
+	return harness, policy, harness.sentAttempts[0]
 }
 
 // runningAttempt does the same as sentAttempt, and then makes the node accept the attempt.
 func runningAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
-	harness.accept(attempt)
+	harness.acceptAttempt(attempt)
 	return harness, policy, attempt
 }
 
@@ -91,7 +91,7 @@
 
 // launch makes a client send a launch message with a new task ID, and returns that ID. extras is either
 // empty, for a new request, or the result of adoptionExtras.
-func (harness *coreHarness) launch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
+func (harness *coreHarness) sendLaunch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	harness.lastID++
 	msg := launchMessage(protocol.ID(harness.lastID))
 	msg.Set(protocol.Class, class)
@@ -99,19 +99,19 @@
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	adopted := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, running: adopted}
+	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, knowsTaskRuns: adopted}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
 }
 
 // adopt makes a client list for adoption a task that runs on a node, and returns the ID of the task.
-func (harness *coreHarness) adopt(conn ConnID, node int) protocol.ID {
-	return harness.launch(conn, "seats", longRunningMS, adoptionExtras(node))
+func (harness *coreHarness) requestAdoption(conn ConnID, node int) protocol.ID {
+	return harness.sendLaunch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
 
 // withdraw makes a client withdraw an open request.
-func (harness *coreHarness) withdraw(id protocol.ID) {
+func (harness *coreHarness) withdrawRequest(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
 	harness.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
@@ -119,9 +119,9 @@
 }
 
 // checkHealth makes a client send a health check, and returns the ID of that message.
-func (harness *coreHarness) checkHealth(conn ConnID) protocol.ID {
+func (harness *coreHarness) sendHealthCheck(conn ConnID) protocol.ID {
 	check := newMessage(protocol.Check, 1<<60, 0)
-	harness.clientRecords[check.ID] = &clientRecord{running: true}
+	harness.clientRecords[check.ID] = &clientRecord{knowsTaskRuns: true}
 	harness.receiveFromClient(conn, check)
 	harness.carryOutEffects()
 	return check.ID
@@ -140,7 +140,7 @@
 }
 
 // accept makes a node accept an attempt that was sent to it, and returns the effects.
-func (harness *coreHarness) accept(attempt *Attempt) []Effect {
+func (harness *coreHarness) acceptAttempt(attempt *Attempt) []Effect {
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
 
@@ -151,21 +151,21 @@
 }
 
 // migrate executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
-func (harness *coreHarness) migrate(attempt *Attempt) {
+func (harness *coreHarness) migrateTask(attempt *Attempt) {
 	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
 // carryOutEffects takes the effects from the core, passes the messages to clients to receiveAsClient, and
 // returns the effects.
 func (harness *coreHarness) carryOutEffects() []Effect {
-	if illegal := harness.core.IllegalTransitions(); illegal != 0 {
-		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegal)
+	if illegalTransitions := harness.core.IllegalTransitions(); illegalTransitions != 0 {
+		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegalTransitions)
 	}
 	effects := harness.core.Ready()
 	for _, effect := range effects {
 		switch effect.Kind {
 		case SendAttempt:
-			harness.pending = append(harness.pending, effect.Attempt)
+			harness.pendingAttempts = append(harness.pendingAttempts, effect.Attempt)
 		case SendToClient:
 			harness.receiveAsClient(effect.Conn, effect.Message)
 		}
@@ -183,52 +183,52 @@
 	}
 	switch {
 	case msg.Kind == protocol.Running:
-		record.answers++
+		record.answerCount++
 		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
 		if unexpected || harness.now > record.deadline+0.01 {
 			harness.t.Fatalf("invalid or late answer %v at time %v, client record %+v, connection %d", msg, harness.now, record, conn)
 		}
-		record.running = true
-	case record.running:
-		record.notifications++
+		record.knowsTaskRuns = true
+	case record.knowsTaskRuns:
+		record.notificationCount++
 		// A second notification is allowed only if the connection of the first closed without an
 		// acknowledgement.
-		if record.notifications > 1 && (record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) != nil) {
+		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
 			harness.t.Fatalf("client was notified a second time: %v", msg)
 		}
-		record.notifiedOn = conn
+		record.lastNotificationConn = conn
 	default:
-		record.answers++
+		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
 			harness.t.Fatalf("unexpected or late rejection %v at time %v, client record %+v", msg, harness.now, record)
 		}
 	}
-	if record.answers > 1 {
+	if record.answerCount > 1 {
 		harness.t.Fatalf("client received a second answer: %v", msg)
 	}
 }
 
 // acknowledge makes a client acknowledge its last notification.
-func (harness *coreHarness) acknowledge(id protocol.ID) {
+func (harness *coreHarness) acknowledgeNotification(id protocol.ID) {
 	record := harness.clientRecords[id]
-	if record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) == nil {
+	if record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) == nil {
 		return
 	}
-	harness.receiveFromClient(record.notifiedOn, newMessage(protocol.Stopped, id, noCause))
-	record.notifiedOn = 0
+	harness.receiveFromClient(record.lastNotificationConn, newMessage(protocol.Stopped, id, noCause))
+	record.lastNotificationConn = 0
 	harness.carryOutEffects()
 }
 
 // send sends the pending attempt with index i. It fails the test if another attempt of the same request is
 // live.
-func (harness *coreHarness) send(i int) {
-	attempt := harness.pending[i]
-	harness.pending = slices.Delete(harness.pending, i, i+1)
+func (harness *coreHarness) sendPendingAttempt(index int) {
+	attempt := harness.pendingAttempts[index]
+	harness.pendingAttempts = slices.Delete(harness.pendingAttempts, index, index+1)
 	if !harness.core.PrepareSend(harness.now, attempt) {
 		harness.carryOutEffects()
 		return
 	}
-	for _, other := range slices.Concat(harness.sent, harness.running) {
+	for _, other := range slices.Concat(harness.sentAttempts, harness.runningAttempts) {
 		if other != attempt && other.request == attempt.request && other.Live() {
 			harness.t.Fatalf("two attempts of request %s are live at the same time", attempt.Message.UID)
 		}
@@ -236,11 +236,11 @@
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
 		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, want a ready node and a time before the expiry at %v", node.State, harness.now, attempt.expiresAt)
 	}
-	harness.sent = append(harness.sent, attempt)
+	harness.sentAttempts = append(harness.sentAttempts, attempt)
 	harness.carryOutEffects()
 }
 
-func (harness *coreHarness) advance(duration placer.Seconds) {
+func (harness *coreHarness) advanceClock(duration placer.Seconds) {
 	endTime := harness.now + duration
 	for harness.core.NextTimer() <= endTime {
 		harness.now = max(harness.now, harness.core.NextTimer())
@@ -262,20 +262,20 @@
 // endAllTasks ends all running tasks, advances the clock until all retention times have passed, and checks
 // that each request was answered and that the core is empty.
 func (harness *coreHarness) endAllTasks() {
-	harness.advance(10)
-	for _, attempt := range slices.Clone(harness.running) {
+	harness.advanceClock(10)
+	for _, attempt := range slices.Clone(harness.runningAttempts) {
 		harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 	}
-	check := harness.checkHealth(harness.connect())
-	harness.advance(30)
+	check := harness.sendHealthCheck(harness.connect())
+	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
-		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check {
+		if record.answerCount == 0 && !record.withdrawn && !record.adopted && id != check {
 			harness.t.Fatalf("request %x was not answered, client record %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
-	if pending := len(harness.core.notifier.pending); pending != 0 {
+	if pending := len(harness.core.notifier.pendingNotifications); pending != 0 {
 		harness.t.Fatalf("%d pending notifications are left, want 0", pending)
 	}
 }
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -37,8 +37,8 @@
 			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
 		}
 	}
-	if listedRequests := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != listedRequests {
-		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", openRequests, t.openCount, listedRequests)
+	if openOnConnections := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != openOnConnections {
+		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", openRequests, t.openCount, openOnConnections)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
 			return fmt.Errorf("node %s in state %d is stored under ID %x, and is described to the placer as %+v", node.UID, node.State, id, node.placerNode)
 		}
-		for attempt := range node.running {
+		for attempt := range node.runningAttempts {
 			if attempt.Node != id || attempt.state != attemptRunning {
 				return fmt.Errorf("node %s lists attempt %s in state %v as running, but the attempt does not run there", node.UID, attempt.Message.UID, attempt.state)
 			}
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -37,7 +37,7 @@
 		}},
 		{"attempt listed by several nodes", "as running, but the attempt does not run there", func(core *Core, _, running *request) {
 			for _, node := range core.nodes.nodes {
-				node.running[running.lastAttempt()] = struct{}{}
+				node.runningAttempts[running.lastAttempt()] = struct{}{}
 			}
 		}},
 		{"node stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
@@ -46,16 +46,16 @@
 		}},
 		{"early terminations that are not in the order of their expiry", "early termination 1 of 2", func(core *Core, _, _ *request) {
 			core.now = 0 // the clock of a real core never moves backwards
-			core.nodeMessages.earlyTerminations.record(attemptKey{id: 78}, protocol.CauseEnd)
+			core.nodeMessages.earlyTerminations.add(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			harness, _, sent := sentAttempt(t, "seats")
-			adopted := harness.launch(harness.lastConn, "seats", 1000, adoptionExtras(2))
+			harness, _, unansweredAttempt := sentAttempt(t, "seats")
+			adoptedID := harness.sendLaunch(harness.lastConn, "seats", 1000, adoptionExtras(2))
 			harness.reportEnd(placer.NodeID(5), 77, protocol.CauseEnd)
 			harness.requireInvariants()
 
-			test.corrupt(harness.core, sent.request, harness.core.requests.getByID(adopted))
+			test.corrupt(harness.core, unansweredAttempt.request, harness.core.requests.getByID(adoptedID))
 
 			if err := harness.core.CheckInvariants(); err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("CheckInvariants returned %v, want an error that contains %q", err, test.want)
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -18,25 +18,25 @@
 	StartedAt placer.Seconds // Unix time; 0 means that the node started long ago
 
 	placerNode           placer.Node
-	running              map[*Attempt]struct{} // the attempts that run on the node
+	runningAttempts      map[*Attempt]struct{} // the attempts that run on the node
 	stateChangedAt       placer.Seconds        // when the state last changed
 	taskLossScheduledFor placer.Seconds        // the stateChangedAt for which scheduleTaskLoss has set a timer, or 0
 	removalScheduled     bool                  // whether scheduleRemoval has set a timer
 }
 
 // RunningTasks returns the number of tasks that run on the node.
-func (n *Node) RunningTasks() int { return len(n.running) }
+func (n *Node) RunningTasks() int { return len(n.runningAttempts) }
 
 // runs reports whether an attempt runs on the node.
 func (n *Node) runs(attempt *Attempt) bool {
-	_, running := n.running[attempt]
-	return running
+	_, isRunning := n.runningAttempts[attempt]
+	return isRunning
 }
 
 // runningAttempts returns the attempts that run on the node, in the order of their task IDs.
-func (n *Node) runningAttempts() []*Attempt {
-	attempts := make([]*Attempt, 0, len(n.running))
-	for attempt := range n.running {
+func (n *Node) runningAttemptsByTaskID() []*Attempt {
+	attempts := make([]*Attempt, 0, len(n.runningAttempts))
+	for attempt := range n.runningAttempts {
 		attempts = append(attempts, attempt)
 	}
 	slices.SortFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.request.taskID, b.request.taskID) })
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -41,7 +41,7 @@
 	key := attemptKey{node, msg.ID}
 	attempt := h.attempts.get(key)
 	if attempt == nil || attempt.state == attemptPending {
-		h.handleUnknownTask(key, attempt, msg)
+		h.handleUnmatchedMessage(key, attempt, msg)
 		return
 	}
 	switch msg.Kind {
@@ -56,12 +56,12 @@
 
 // handleUnknownTask handles a message about a task that was not sent to the node or that is no longer known.
 // pending is the attempt that has yet to be sent to the node, or nil.
-func (h *nodeMessageHandler) handleUnknownTask(key attemptKey, pending *Attempt, msg *protocol.Message) {
+func (h *nodeMessageHandler) handleUnmatchedMessage(key attemptKey, unsentAttempt *Attempt, msg *protocol.Message) {
 	if msg.Kind == protocol.Running || msg.Kind == protocol.Stop {
 		h.counts.UnknownTasks++
 	}
-	if pending == nil && msg.Kind == protocol.Stop {
-		h.earlyTerminations.record(key, msg.Cause)
+	if unsentAttempt == nil && msg.Kind == protocol.Stop {
+		h.earlyTerminations.add(key, msg.Cause)
 	}
 }
 
@@ -91,7 +91,7 @@
 	switch attempt.state {
 	case attemptSent:
 		if msg.Body != "" { // without a body, there is no answer to forward to the client
-			h.tasks.start(attempt, msg.Body)
+			h.tasks.handleAcceptance(attempt, msg.Body)
 		}
 	case attemptAbandoned:
 		h.handleLateAnswer(attempt)
@@ -116,10 +116,10 @@
 	case attemptSent:
 		h.handleStopBeforeAnswer(attempt, msg)
 	case attemptRunning:
-		h.tasks.end(attempt, h.stopOutcome(msg, taskResult(msg.Cause)), msg.Cause)
+		h.tasks.endTask(attempt, h.stopOutcome(msg, taskResult(msg.Cause)), msg.Cause)
 	case attemptAbandoned:
 		h.attempts.remove(attempt)
-		h.earlyTerminations.record(attempt.key(), msg.Cause)
+		h.earlyTerminations.add(attempt.key(), msg.Cause)
 	}
 }
 
@@ -156,7 +156,7 @@
 			return
 		}
 	}
-	h.attempts.postEnded(attempt, outcome)
+	h.attempts.postAttemptEnded(attempt, outcome)
 }
 
 // impliesAcceptance reports whether nodes give a reason only for tasks that they had accepted.
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -29,7 +29,7 @@
 	nodes              map[placer.NodeID]*Node
 	lastDiscoveryEvent uint64 // the sequence number of the last event that was applied
 	discoveryConnected bool
-	listRequested      bool // whether a request of the placer for the node list waits for the connection
+	nodeListRequested  bool // whether a request of the placer for the node list waits for the connection
 }
 
 func newNodeRegistry(shared *sharedState) *nodeRegistry {
@@ -94,7 +94,7 @@
 func (r *nodeRegistry) runningTasks() int {
 	count := 0
 	for _, node := range r.nodes {
-		count += len(node.running)
+		count += len(node.runningAttempts)
 	}
 	return count
 }
@@ -106,7 +106,7 @@
 	if node == nil {
 		return
 	}
-	node.running[attempt] = struct{}{}
+	node.runningAttempts[attempt] = struct{}{}
 	if node.State == placer.Terminated {
 		r.scheduleTaskLoss(node)
 	}
@@ -115,7 +115,7 @@
 // removeRunningAttempt removes an attempt from the running attempts of its node, if it is one of them.
 func (r *nodeRegistry) removeRunningAttempt(attempt *Attempt) {
 	if node := r.nodes[attempt.Node]; node != nil {
-		delete(node.running, attempt)
+		delete(node.runningAttempts, attempt)
 	}
 }
 
@@ -131,33 +131,33 @@
 	if event.Number > r.lastDiscoveryEvent+1 {
 		return false, nil
 	}
-	changed, err := r.applyEvent(event)
+	changedNodes, err := r.applyEvent(event)
 	if err != nil {
 		return false, err
 	}
 	r.lastDiscoveryEvent = event.Number
 	if event.NodeList != nil {
-		r.handleNodeList(event.NodeList, changed)
+		r.handleNodeList(event.NodeList, changedNodes)
 	}
 	return true, nil
 }
 
 // applyEvent adds or updates the nodes that a discovery event lists, and returns them. An invalid event
 // changes nothing.
-func (r *nodeRegistry) applyEvent(event *discoveryEvent) (changed []placer.Node, err error) {
+func (r *nodeRegistry) applyEvent(event *discoveryEvent) (changedNodes []placer.Node, err error) {
 	if err := event.validate(); err != nil || event.NodeList == nil {
 		return nil, err
 	}
-	listed := map[placer.NodeID]bool{}
+	listedNodes := map[placer.NodeID]bool{}
 	for i := range event.NodeList.Nodes {
 		node := r.updateNode(&event.NodeList.Nodes[i])
-		listed[node.ID] = true
-		changed = append(changed, node.placerNode)
+		listedNodes[node.ID] = true
+		changedNodes = append(changedNodes, node.placerNode)
 	}
 	if event.NodeList.Complete {
-		r.terminateUnlisted(listed)
+		r.terminateMissingNodes(listedNodes)
 	}
-	return changed, nil
+	return changedNodes, nil
 }
 
 // updateNode adds or updates the node that a valid entry of a discovery event describes.
@@ -165,7 +165,7 @@
 	id := r.idOf(entry.UID)
 	node := r.nodes[id]
 	if node == nil {
-		node = &Node{ID: id, UID: entry.UID, State: placer.Terminated, running: map[*Attempt]struct{}{}}
+		node = &Node{ID: id, UID: entry.UID, State: placer.Terminated, runningAttempts: map[*Attempt]struct{}{}}
 		r.nodes[id] = node
 	}
 	node.update(entry, slices.Index(r.settings.Zones, entry.Zone), slices.Index(r.settings.NodeTypes, entry.NodeType), r.now)
@@ -173,9 +173,9 @@
 }
 
 // terminateUnlisted marks each node as terminated whose ID is not in listed, the IDs of a complete node list.
-func (r *nodeRegistry) terminateUnlisted(listed map[placer.NodeID]bool) {
+func (r *nodeRegistry) terminateMissingNodes(listedNodes map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
-		if !listed[id] && node.State != placer.Terminated {
+		if !listedNodes[id] && node.State != placer.Terminated {
 			node.markTerminated(r.now)
 		}
 	}
@@ -183,20 +183,20 @@
 
 // handleNodeList reports the changed nodes to the placer, and ends the tasks of nodes that have terminated or
 // restarted.
-func (r *nodeRegistry) handleNodeList(list *nodeList, changed []placer.Node) {
+func (r *nodeRegistry) handleNodeList(list *nodeList, changedNodes []placer.Node) {
 	kind := placer.Changes
 	if list.Complete {
 		kind = placer.FullList
 	}
-	r.listRequested = false
-	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changed})
+	r.nodeListRequested = false
+	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind, Nodes: changedNodes})
 	for _, node := range r.nodes {
 		if node.State == placer.Terminated {
 			r.scheduleTaskLoss(node)
 			r.scheduleRemoval(node)
 			continue
 		}
-		for attempt := range node.running {
+		for attempt := range node.runningAttempts {
 			if node.restartedAfter(attempt) {
 				r.endLostTask(attempt)
 			}
@@ -209,7 +209,7 @@
 // unless the state of the node changes in the meantime. The delay gives the node time to report how its tasks
 // ended, in more detail than the discovery event provides.
 func (r *nodeRegistry) scheduleTaskLoss(node *Node) {
-	if len(node.running) == 0 {
+	if len(node.runningAttempts) == 0 {
 		return
 	}
 	terminatedAt := node.stateChangedAt
@@ -228,7 +228,7 @@
 // endTasksOf ends all tasks that run on a node, and reports them as lost.
 func (r *nodeRegistry) endTasksOf(id placer.NodeID) {
 	if node := r.nodes[id]; node != nil {
-		for _, attempt := range node.runningAttempts() {
+		for _, attempt := range node.runningAttemptsByTaskID() {
 			r.endLostTask(attempt)
 		}
 	}
@@ -246,7 +246,7 @@
 		node.removalScheduled = false
 		switch {
 		case node.State != placer.Terminated:
-		case len(node.running) > 0 || node.stateChangedAt+terminatedNodeRetention > r.now:
+		case len(node.runningAttempts) > 0 || node.stateChangedAt+terminatedNodeRetention > r.now:
 			r.scheduleRemoval(node)
 		default:
 			delete(r.nodes, node.ID)
@@ -258,10 +258,10 @@
 // placer that waits for the connection.
 func (r *nodeRegistry) setDiscoveryConnected(connected bool) {
 	r.discoveryConnected = connected
-	if !r.listRequested {
+	if !r.nodeListRequested {
 		return
 	}
-	r.listRequested = false
+	r.nodeListRequested = false
 	kind := placer.ListFailed
 	if connected {
 		kind = placer.Changes
@@ -271,8 +271,8 @@
 
 // handleListRequest answers the placer's request for the node list. While the discovery stream is not
 // connected, the request waits for the next call of setDiscoveryConnected or for the next node list.
-func (r *nodeRegistry) handleListRequest() {
-	r.listRequested = !r.discoveryConnected
+func (r *nodeRegistry) handleNodeListRequest() {
+	r.nodeListRequested = !r.discoveryConnected
 	if r.discoveryConnected {
 		r.postEvent(placer.Event{Kind: placer.NodesListed, List: placer.Changes})
 	}
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -28,10 +28,10 @@
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 1 {
 				t.Fatalf("NodeUnresponsive stopped %d tasks, want 1", stoppedTasks)
 			}
-			stopped := asksNodeToStop(harness.carryOutEffects())
-			events, running := len(policy.events)-eventsBefore, harness.core.RunningTasks()
-			if record.notifications != 1 || !stopped || events != 0 || running != 1 {
-				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks; want 1 notification, a stop, no event and 1 running task", record, stopped, events, running)
+			stopRequested := asksNodeToStop(harness.carryOutEffects())
+			newEvents, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
+			if record.notificationCount != 1 || !stopRequested || newEvents != 0 || runningTasks != 1 {
+				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks; want 1 notification, a stop, no event and 1 running task", record, stopRequested, newEvents, runningTasks)
 			}
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
 				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
@@ -40,10 +40,10 @@
 			if test.cause >= 0 {
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, test.cause))
 			} else {
-				harness.advance(notificationRetention + 0.01)
+				harness.advanceClock(notificationRetention + 0.01)
 			}
-			ended := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
-			if record.notifications != 1 || !ended || harness.core.RunningTasks() != 0 {
+			endReported := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
+			if record.notificationCount != 1 || !endReported || harness.core.RunningTasks() != 0 {
 				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification in total, the end of the task, and no running task", record, policy.lastEvent())
 			}
 		})
@@ -67,9 +67,9 @@
 				t.Fatal(err)
 			}
 			harness.carryOutEffects()
-			harness.advance(TerminationGrace + 0.01)
+			harness.advanceClock(TerminationGrace + 0.01)
 
-			if record.notifications != 1 || policy.lastEvent().Result != placer.Lost {
+			if record.notificationCount != 1 || policy.lastEvent().Result != placer.Lost {
 				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification and a lost task", record, policy.lastEvent())
 			}
 		})
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -42,8 +42,8 @@
 // deliveryLog contains the notifications that were sent on one client connection. The protocol does not
 // require clients to acknowledge notifications.
 type deliveryLog struct {
-	unacknowledged     []notification // notifications that were sent but not acknowledged
-	clientAcknowledges bool           // the client has acknowledged at least one notification
+	unacknowledgedNotifications []notification // notifications that were sent but not acknowledged
+	clientAcknowledges          bool           // the client has acknowledged at least one notification
 }
 
 // add adds a notification that was sent, and removes the expired ones.
@@ -54,16 +54,16 @@
 		notice.message = replyTo(&notice.message, protocol.Stop, protocol.CauseCancelled)
 		notice.sentAsMigration = true
 	}
-	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool { return sent.expiresAt <= now })
-	l.unacknowledged = append(l.unacknowledged, notice)
+	l.unacknowledgedNotifications = slices.DeleteFunc(l.unacknowledgedNotifications, func(entry notification) bool { return entry.expiresAt <= now })
+	l.unacknowledgedNotifications = append(l.unacknowledgedNotifications, notice)
 }
 
 // acknowledge removes the notifications about the end of the task with the given ID, since the client has
 // acknowledged that end.
 func (l *deliveryLog) acknowledge(id protocol.ID) {
 	l.clientAcknowledges = true
-	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, func(sent notification) bool {
-		return sent.message.ID == id && !sent.sentAsMigration
+	l.unacknowledgedNotifications = slices.DeleteFunc(l.unacknowledgedNotifications, func(entry notification) bool {
+		return entry.message.ID == id && !entry.sentAsMigration
 	})
 }
 
@@ -71,8 +71,8 @@
 // notifications and writes the deliveryLog of each connection.
 type notifier struct {
 	*sharedState
-	clients *clientRegistry
-	pending []notification // notifications without a suitable client connection, the oldest first
+	clients              *clientRegistry
+	pendingNotifications []notification // notifications without a suitable client connection, the oldest first
 }
 
 // newNotification returns a notification that expires after notificationRetention.
@@ -94,13 +94,13 @@
 
 // sendOnAnyConn sends a notification on the preferred connection if that is open, otherwise on another one.
 // If no connection is suitable, the notification becomes pending.
-func (n *notifier) sendOnAnyConn(preferred ConnID, notice notification) {
-	if conn := n.clients.selectConn(preferred); conn != nil {
+func (n *notifier) sendOnAnyConn(preferredConn ConnID, notice notification) {
+	if conn := n.clients.selectConn(preferredConn); conn != nil {
 		n.send(conn, notice)
 		return
 	}
 	n.counts.PendingNotifications++
-	n.pending = append(n.pending, notice)
+	n.pendingNotifications = append(n.pendingNotifications, notice)
 }
 
 // send sends a notification and keeps it until it expires or is acknowledged.
@@ -113,22 +113,22 @@
 func (n *notifier) acknowledge(conn *clientConn, id protocol.ID) { conn.notifications.acknowledge(id) }
 
 // sendPending sends all pending notifications on a connection on which a valid message has just arrived.
-func (n *notifier) sendPending(conn *clientConn) {
-	for _, notice := range n.pending {
+func (n *notifier) sendPendingNotifications(conn *clientConn) {
+	for _, notice := range n.pendingNotifications {
 		if notice.expiresAt < n.now {
 			n.counts.ExpiredNotifications++
 			continue
 		}
 		n.send(conn, notice)
 	}
-	n.pending = nil
+	n.pendingNotifications = nil
 }
 
 // redeliver sends notifications again that a client may not have received before its connection closed.
 // Clients tolerate a repeated notification about a task that they no longer know.
-func (n *notifier) redeliver(disconnected *clientConn) {
-	log := &disconnected.notifications
-	for _, notice := range log.unacknowledged {
+func (n *notifier) redeliver(closedConn *clientConn) {
+	log := &closedConn.notifications
+	for _, notice := range log.unacknowledgedNotifications {
 		if notice.needsRedelivery(n.now, log.clientAcknowledges) {
 			n.counts.Redeliveries++
 			n.sendOnAnyConn(0, notice)
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -56,55 +56,55 @@
 // again either.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
-		name                                                 string
-		acknowledges, acknowledged, migration, otherConnOpen bool
-		closedAfter                                          placer.Seconds
-		want                                                 int
+		name                                                                   string
+		clientAcknowledges, notificationAcknowledged, migration, otherConnOpen bool
+		closedAfter                                                            placer.Seconds
+		want                                                                   int
 	}{
 		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
 		{name: "connection closes shortly after the notification while another one is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
 		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
-		{name: "connection closes long after the notification to a client that acknowledges others", acknowledges: true, closedAfter: 1.5, want: 1},
-		{name: "notification was acknowledged", acknowledges: true, acknowledged: true, closedAfter: 0.01, want: 0},
+		{name: "connection closes long after the notification to a client that acknowledges others", clientAcknowledges: true, closedAfter: 1.5, want: 1},
+		{name: "notification was acknowledged", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
 		{name: "connection closes shortly after a Migrate message", migration: true, closedAfter: 0.01, want: 1},
-		{name: "connection closes long after a Migrate message", acknowledges: true, migration: true, closedAfter: 1.5, want: 0},
-		{name: "connection closes after notificationRetention", acknowledges: true, closedAfter: 9, want: 0},
+		{name: "connection closes long after a Migrate message", clientAcknowledges: true, migration: true, closedAfter: 1.5, want: 0},
+		{name: "connection closes after notificationRetention", clientAcknowledges: true, closedAfter: 9, want: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			id := attempt.Message.ID
 			sendHealthCheck := func(conn ConnID) { harness.receiveFromClient(conn, newMessage(protocol.Check, 77, 0)) }
-			if test.acknowledges {
+			if test.clientAcknowledges {
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, 99, noCause))
 			}
 			cause := protocol.CauseEnd
 			if test.migration {
-				harness.migrate(attempt)
+				harness.migrateTask(attempt)
 				cause = protocol.CauseCancelled
 			}
 			harness.reportEnd(attempt.Node, id, cause)
-			if test.acknowledged {
+			if test.notificationAcknowledged {
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, id, noCause))
 			}
 			harness.core.Ready()
 			harness.now += test.closedAfter
 			harness.core.Advance(harness.now)
 
-			other := ConnID(0)
+			otherConn := ConnID(0)
 			if test.otherConnOpen {
-				other = harness.connect()
-				sendHealthCheck(other)
+				otherConn = harness.connect()
+				sendHealthCheck(otherConn)
 				harness.core.Ready()
 			}
 			harness.core.ClientDisconnected(harness.now, 1)
 			if !test.otherConnOpen {
-				other = harness.connect()
-				sendHealthCheck(other)
+				otherConn = harness.connect()
+				sendHealthCheck(otherConn)
 			}
 
 			got := 0
 			for _, effect := range messagesToClients(harness.core.Ready()) {
-				if effect.Message.Kind == protocol.Stop && effect.Message.ID == id && effect.Conn == other {
+				if effect.Message.Kind == protocol.Stop && effect.Message.ID == id && effect.Conn == otherConn {
 					got++
 				}
 			}
@@ -128,7 +128,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
-			harness.migrate(attempt)
+			harness.migrateTask(attempt)
 			effects := harness.core.Ready()
 			if len(effects) != 2 || effects[0].Message.Kind != protocol.Migrate || effects[1].Kind != SendToNode {
 				t.Fatalf("effects of the migration are %+v, want a Migrate message to the client and a message to the node", effects)
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -20,7 +20,7 @@
 		driver := &randomDriver{newHarness(t, nil), t}
 		driver.connect()
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			driver.randomStep()
+			driver.makeRandomStep()
 			driver.requireInvariants()
 		}
 		driver.endAllTasks()
@@ -38,13 +38,13 @@
 	return rapid.IntRange(0, n-1).Draw(driver.t, label)
 }
 
-func (driver *randomDriver) randomStep() {
+func (driver *randomDriver) makeRandomStep() {
 	switch driver.draw(16, "step") {
 	case 0, 1, 2:
 		driver.launchRandomTask()
 	case 3, 4, 5:
-		if len(driver.pending) > 0 {
-			driver.send(driver.draw(len(driver.pending), "pending attempt"))
+		if len(driver.pendingAttempts) > 0 {
+			driver.sendPendingAttempt(driver.draw(len(driver.pendingAttempts), "pending attempt"))
 		}
 	case 6:
 		driver.failRandomConnect()
@@ -53,50 +53,50 @@
 	case 9:
 		driver.stopRandomTask()
 	case 10:
-		if len(driver.sent) > 0 {
-			driver.core.ConnectionLost(driver.now, driver.sent[driver.draw(len(driver.sent), "sent attempt")])
+		if len(driver.sentAttempts) > 0 {
+			driver.core.ConnectionLost(driver.now, driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")])
 			driver.carryOutEffects()
 		}
 	case 11:
 		driver.withdrawRandomRequest()
 	case 12:
-		driver.randomConnectionOrDiscoveryEvent()
+		driver.makeRandomConnOrDiscoveryEvent()
 	case 13:
 		if driver.lastID > 0 {
-			driver.acknowledge(protocol.ID(1 + driver.draw(int(driver.lastID), "id")))
+			driver.acknowledgeNotification(protocol.ID(1 + driver.draw(int(driver.lastID), "id")))
 		}
 	case 14:
-		driver.adoptTaskThatEnds()
+		driver.requestAdoptionOfEndingTask()
 	default:
-		driver.advance(placer.Seconds(driver.draw(2000, "milliseconds")) / 1000)
+		driver.advanceClock(placer.Seconds(driver.draw(2000, "milliseconds")) / 1000)
 	}
 }
 
 func (driver *randomDriver) launchRandomTask() {
 	if len(driver.conns) > 0 {
 		class := []string{"query", "seats"}[driver.draw(2, "class")]
-		driver.launch(driver.conns[driver.draw(len(driver.conns), "conn")], class, float64(driver.draw(4000, "left")), "")
+		driver.sendLaunch(driver.conns[driver.draw(len(driver.conns), "conn")], class, float64(driver.draw(4000, "left")), "")
 	}
 }
 
 func (driver *randomDriver) failRandomConnect() {
-	if len(driver.pending) > 0 {
-		i := driver.draw(len(driver.pending), "pending attempt")
-		driver.core.ConnectFailed(driver.now, driver.pending[i])
-		driver.pending = slices.Delete(driver.pending, i, i+1)
+	if len(driver.pendingAttempts) > 0 {
+		i := driver.draw(len(driver.pendingAttempts), "pending attempt")
+		driver.core.ConnectFailed(driver.now, driver.pendingAttempts[i])
+		driver.pendingAttempts = slices.Delete(driver.pendingAttempts, i, i+1)
 		driver.carryOutEffects()
 	}
 }
 
 func (driver *randomDriver) acceptRandomAttempt() {
-	if len(driver.sent) == 0 {
+	if len(driver.sentAttempts) == 0 {
 		return
 	}
-	driver.accept(driver.sent[driver.draw(len(driver.sent), "sent attempt")])
+	driver.acceptAttempt(driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")])
 	// The node may have accepted a later attempt with the same ID, which was sent to the same node.
-	for _, attempt := range driver.sent {
-		if attempt.state == attemptRunning && !slices.Contains(driver.running, attempt) {
-			driver.running = append(driver.running, attempt)
+	for _, attempt := range driver.sentAttempts {
+		if attempt.state == attemptRunning && !slices.Contains(driver.runningAttempts, attempt) {
+			driver.runningAttempts = append(driver.runningAttempts, attempt)
 		}
 	}
 }
@@ -104,9 +104,9 @@
 // stopRandomTask makes a node report the end of a random task with a random cause. The task may run on
 // another node.
 func (driver *randomDriver) stopRandomTask() {
-	if len(driver.sent) > 0 {
-		attempt := driver.sent[driver.draw(len(driver.sent), "sent attempt")]
-		id := driver.sent[driver.draw(len(driver.sent), "attempt of the task")].Message.ID
+	if len(driver.sentAttempts) > 0 {
+		attempt := driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")]
+		id := driver.sentAttempts[driver.draw(len(driver.sentAttempts), "attempt of the task")].Message.ID
 		cause := []protocol.Cause{16, 31, 34, 41, 47, 102, 5}[driver.draw(7, "cause")]
 		driver.receiveFromNode(attempt, newMessage(protocol.Stop, id, cause))
 	}
@@ -121,12 +121,12 @@
 	if driver.core.clients.get(record.conn) == nil {
 		return
 	}
-	record.withdrawn = record.withdrawn || record.answers == 0
+	record.withdrawn = record.withdrawn || record.answerCount == 0
 	driver.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	driver.carryOutEffects()
 }
 
-func (driver *randomDriver) randomConnectionOrDiscoveryEvent() {
+func (driver *randomDriver) makeRandomConnOrDiscoveryEvent() {
 	switch driver.draw(4, "event") {
 	case 0:
 		if len(driver.conns) < 5 {
@@ -158,7 +158,7 @@
 	}
 	i := driver.draw(len(driver.conns), "conn")
 	for _, record := range driver.clientRecords {
-		record.withdrawn = record.withdrawn || record.conn == driver.conns[i] && record.answers == 0
+		record.withdrawn = record.withdrawn || record.conn == driver.conns[i] && record.answerCount == 0
 	}
 	driver.core.ClientDisconnected(driver.now, driver.conns[i])
 	driver.conns = slices.Delete(driver.conns, i, i+1)
@@ -167,7 +167,7 @@
 
 // adoptTaskThatEnds lists a task for adoption and makes its node report the end of the task, either before or
 // after the adoption.
-func (driver *randomDriver) adoptTaskThatEnds() {
+func (driver *randomDriver) requestAdoptionOfEndingTask() {
 	if len(driver.conns) == 0 {
 		return
 	}
@@ -177,12 +177,12 @@
 	if endReportedFirst {
 		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 	}
-	id := driver.adopt(conn, 1)
+	id := driver.requestAdoption(conn, 1)
 	if !endReportedFirst {
 		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 		driver.carryOutEffects()
 	}
-	if notifications := driver.clientRecords[id].notifications; notifications != 1 {
+	if notifications := driver.clientRecords[id].notificationCount; notifications != 1 {
 		driver.t.Fatalf("client got %d notifications of the end of its task, want 1", notifications)
 	}
 }
@@ -192,14 +192,14 @@
 // must be notified of each end, and no task that has ended may count as running.
 func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adopted: map[int]bool{}, terminated: map[int]bool{}}
+		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adoptionRequested: map[int]bool{}, endReported: map[int]bool{}}
 		driver.conn = driver.connect()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			driver.randomAdoptionStep()
+			driver.makeRandomAdoptionStep()
 			driver.requireInvariants()
 		}
-		for id := range driver.adopted {
-			if record := driver.clientRecords[protocol.ID(id)]; driver.terminated[id] && record.notifications == 0 {
+		for id := range driver.adoptionRequested {
+			if record := driver.clientRecords[protocol.ID(id)]; driver.endReported[id] && record.notificationCount == 0 {
 				t.Fatalf("client of task %d was not notified of its end, although the task was adopted", id)
 			}
 		}
@@ -220,51 +220,51 @@
 // adoptionDriver lists tasks for adoption and makes nodes report their ends, in random order.
 type adoptionDriver struct {
 	randomDriver
-	conn                ConnID
-	adopted, terminated map[int]bool
+	conn                           ConnID
+	adoptionRequested, endReported map[int]bool
 }
 
 // nodeOf returns the number of the node that runs the task with the given ID.
 func (driver *adoptionDriver) nodeOf(id int) int { return 1 + id%3 }
 
-func (driver *adoptionDriver) randomAdoptionStep() {
+func (driver *adoptionDriver) makeRandomAdoptionStep() {
 	id := 1 + driver.draw(adoptableTasks, "id")
 	switch driver.draw(6, "step") {
 	case 0, 1:
-		driver.listForAdoption(id)
+		driver.requestAdoptionOf(id)
 	case 2, 3:
-		driver.terminated[id] = true
+		driver.endReported[id] = true
 		driver.endTask(id, []protocol.Cause{protocol.CauseEnd, protocol.CauseLost}[driver.draw(2, "cause")])
 	case 4:
 		driver.core.ClientDisconnected(driver.now, driver.conn)
 		driver.carryOutEffects()
 		driver.conn = driver.connect()
-		driver.checkHealth(driver.conn)
+		driver.sendHealthCheck(driver.conn)
 	default:
-		driver.advance(placer.Seconds(driver.draw(300, "milliseconds")) / 1000)
+		driver.advanceClock(placer.Seconds(driver.draw(300, "milliseconds")) / 1000)
 	}
 }
 
 // listForAdoption lists a task for adoption on the current connection, unless the client was already notified
 // of the end of the task.
-func (driver *adoptionDriver) listForAdoption(number int) {
+func (driver *adoptionDriver) requestAdoptionOf(number int) {
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
 	if record == nil {
-		record = &clientRecord{conn: driver.conn, adopted: true, running: true}
+		record = &clientRecord{conn: driver.conn, adopted: true, knowsTaskRuns: true}
 		driver.clientRecords[id] = record
 	}
-	if driver.adopted[number] {
+	if driver.adoptionRequested[number] {
 		record.conn = driver.conn
 	}
-	if record.notifications > 0 {
+	if record.notificationCount > 0 {
 		return
 	}
 	msg := launchMessage(id)
 	msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(driver.nodeOf(number)))
 	msg.Set(protocol.TimeLeft, fmt.Sprint(longRunningMS))
 	driver.receiveFromClient(driver.conn, msg)
-	driver.adopted[number] = true
+	driver.adoptionRequested[number] = true
 	driver.carryOutEffects()
 }
 
@@ -280,25 +280,25 @@
 	harness := newHarness(t, nil)
 	for i := range 3000 {
 		conn := harness.connect()
-		harness.launch(conn, "query", 500, "")
-		for len(harness.pending) > 0 {
-			harness.send(0)
+		harness.sendLaunch(conn, "query", 500, "")
+		for len(harness.pendingAttempts) > 0 {
+			harness.sendPendingAttempt(0)
 		}
-		for _, attempt := range harness.sent {
-			harness.accept(attempt)
+		for _, attempt := range harness.sentAttempts {
+			harness.acceptAttempt(attempt)
 			if i%2 == 0 {
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		harness.sent, harness.running = nil, harness.sent // the nodes of all earlier attempts have terminated
+		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts // the nodes of all earlier attempts have terminated
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
-		harness.advance(0.2)
+		harness.advanceClock(0.2)
 		harness.core.ClientDisconnected(harness.now, conn)
 		harness.carryOutEffects()
 	}
 	harness.conns = nil
 	harness.endAllTasks()
-	harness.advance(terminatedNodeRetention)
+	harness.advanceClock(terminatedNodeRetention)
 	if nodes := len(harness.core.nodes.nodes); nodes > 4 {
 		t.Errorf("%d nodes are left in the registry, want at most 4", nodes)
 	}
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -38,31 +38,31 @@
 
 // parse validates a launch message that arrived at the time now. The returned error is an
 // *InvalidMessageError.
-func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsed parsedRequest, err error) {
+func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsedReq parsedRequest, err error) {
 	if msg.Body == "" {
-		return parsed, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
+		return parsedReq, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
 	}
-	if parsed.task.Class, err = p.parseClass(msg); err != nil {
-		return parsed, err
+	if parsedReq.task.Class, err = p.parseClass(msg); err != nil {
+		return parsedReq, err
 	}
-	if parsed.task.Tenant, err = p.parseTenant(msg); err != nil {
-		return parsed, err
+	if parsedReq.task.Tenant, err = p.parseTenant(msg); err != nil {
+		return parsedReq, err
 	}
 	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
-		return parsed, invalidMessage(InvalidKey, "launch message %s: invalid key: %w", msg.UID, err)
+		return parsedReq, invalidMessage(InvalidKey, "launch message %s: invalid key: %w", msg.UID, err)
 	}
-	resourceCount, err := parsed.parseExtras(msg)
+	resourceCount, err := parsedReq.parseExtras(msg)
 	if err != nil {
-		return parsed, err
+		return parsedReq, err
 	}
-	if parsed.task.Deadline, err = p.parseDeadline(now, msg, &parsed); err != nil {
-		return parsed, err
+	if parsedReq.task.Deadline, err = p.parseDeadline(now, msg, &parsedReq); err != nil {
+		return parsedReq, err
 	}
 	if resourceCount != requiredResourceCount {
-		return parsed, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
+		return parsedReq, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
 			msg.Get(protocol.Extras))
 	}
-	return parsed, nil
+	return parsedReq, nil
 }
 
 func (p *requestParser) parseClass(msg *protocol.Message) (int, error) {
@@ -137,11 +137,11 @@
 // request is at most maxDeadlineMultiple times the deadline of the task class. For an adoption it is not
 // limited: an adoption needs no answer, and clients send arbitrary values such as the remaining run time of
 // the task.
-func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
+func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsedReq *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
-	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
-	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
+	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsedReq.task.Class].Deadline)
+	valid := err == nil && (inRange(leftMS, limitMS) || parsedReq.isAdoption() && leftMS >= 0)
 	if !valid {
 		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms (twice the class deadline)", msg.UID, text, limitMS)
 	}
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -38,7 +38,7 @@
 func (t *requestTable) isFull() bool { return len(t.byID) >= maxTasks }
 
 // open adds a new request and assigns an ID to its task.
-func (t *requestTable) open(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
+func (t *requestTable) addNew(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestOpen)
 	t.openCount++
 	t.clients.addOpenRequest(req)
@@ -46,7 +46,7 @@
 }
 
 // adopt adds a request whose task already runs, and assigns an ID to the task.
-func (t *requestTable) adopt(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
+func (t *requestTable) addAdopted(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestRunning)
 	t.clients.recordPlacedTask(req)
 	return req
@@ -69,7 +69,7 @@
 }
 
 // answer sends the final answer to an open request whose task is not running, and removes the request.
-func (t *requestTable) answer(req *request, answer protocol.Message) {
+func (t *requestTable) sendFinalAnswer(req *request, answer protocol.Message) {
 	if req.state.isFinal() {
 		return
 	}
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -17,7 +17,7 @@
 // arrived, that ReceiveFromClient returns the right reason, and that no other request ends.
 func TestInvalidRequests(t *testing.T) {
 	harness := newHarness(t, nil)
-	idInUse := harness.launch(harness.connect(), "query", 1000, "")
+	idInUse := harness.sendLaunch(harness.connect(), "query", 1000, "")
 	for _, test := range []struct {
 		name    string
 		reason  InvalidReason
@@ -66,7 +66,7 @@
 	harness := newHarness(t, &fixedNodePlacer{})
 	conn := harness.connect()
 	for range maxTasks {
-		harness.launch(conn, "query", 1000, adoptionExtras(1))
+		harness.sendLaunch(conn, "query", 1000, adoptionExtras(1))
 	}
 	isRejected := func() bool {
 		harness.receiveFromClient(conn, launchMessage(1e6))
@@ -99,7 +99,7 @@
 	for name, kind := range map[string]placer.ActionKind{"Reject action": placer.Reject, "Fail action": placer.Fail, "Migrate action": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
-			harness.migrate(attempt)
+			harness.migrateTask(attempt)
 			harness.core.Ready()
 
 			harness.core.execute(&placer.Action{Kind: kind, Task: attempt.request.taskID})
@@ -122,7 +122,7 @@
 			req := &request{state: state}
 
 			table.withdraw(req)
-			table.answer(req, protocol.Message{})
+			table.sendFinalAnswer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
 				t.Errorf("request is in state %v, counts are %+v, %d requests are open, effects are %+v, want no change", req.state, *shared.counts, table.openCount, shared.effects)
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -22,9 +22,9 @@
 			if legal && !mayBeLegal(from, to) {
 				t.Errorf("the table allows the transition from %v to %v, want it to be illegal", from, to)
 			}
-			after, illegal := transition(from, to)
-			if counted := illegal == 1; after != to || counted == legal {
-				t.Errorf("transition from %v to %v: the state became %v, counted as illegal: %v; want the second state, and a count only if the table forbids the transition", from, to, after, counted)
+			stateAfter, illegalCount := transition(from, to)
+			if counted := illegalCount == 1; stateAfter != to || counted == legal {
+				t.Errorf("transition from %v to %v: the state became %v, counted as illegal: %v; want the second state, and a count only if the table forbids the transition", from, to, stateAfter, counted)
 			}
 		}
 	}
@@ -44,8 +44,8 @@
 // TestAttemptTransitions checks that each transition of an attempt leads to a later state, and that illegal
 // transitions are counted.
 func TestAttemptTransitions(t *testing.T) {
-	advances := func(from, to attemptState) bool { return to > from }
-	requireTransitions(t, attemptStates, attemptTerminated, advances, func(from, to attemptState) (attemptState, int) {
+	leadsToLaterState := func(from, to attemptState) bool { return to > from }
+	requireTransitions(t, attemptStates, attemptTerminated, leadsToLaterState, func(from, to attemptState) (attemptState, int) {
 		table, attempt := &attemptTable{}, &Attempt{state: from}
 		table.transition(attempt, to)
 		return attempt.state, table.illegalTransitions
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -23,38 +23,38 @@
 }
 
 // start records that a node has accepted a task, and answers the client.
-func (t *taskController) start(attempt *Attempt, body string) {
+func (t *taskController) handleAcceptance(attempt *Attempt, body string) {
 	req := attempt.request
 	t.attempts.markRunning(attempt)
 	t.requests.markRunning(req)
 	answer := replyTo(&req.message, protocol.Running, noCause)
 	answer.Body = body
 	t.clients.send(req.conn, answer)
-	t.attempts.postBound(attempt)
+	t.attempts.postAttemptBound(attempt)
 }
 
 // end ends a running task. The client is notified unless the client itself stopped the task, or was asked to
 // migrate the task and the node has confirmed the migration.
-func (t *taskController) end(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
+func (t *taskController) endTask(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
-	notify := !req.state.isFinal() || unconfirmedMigration
+	notifyClient := !req.state.isFinal() || unconfirmedMigration
 	t.attempts.remove(attempt)
 	t.counts.TasksEnded++
 	if outcome.result == placer.Lost {
 		t.counts.TasksLost++
 	}
 	t.requests.transition(req, requestTerminated)
-	if notify {
+	if notifyClient {
 		t.notifier.notify(req, replyTo(&req.message, protocol.Stop, cause))
 	}
-	t.attempts.postEnded(attempt, outcome)
+	t.attempts.postAttemptEnded(attempt, outcome)
 	t.requests.remove(req)
 }
 
 // endLostTask ends a running task that was lost together with its node.
 func (t *taskController) endLostTask(attempt *Attempt) {
-	t.end(attempt, attemptOutcome{result: placer.Lost}, causeLost)
+	t.endTask(attempt, attemptOutcome{result: placer.Lost}, causeLost)
 }
 
 // endUnansweredRequest ends a request whose task a node accepted and then evicted, preempted or drained,
@@ -66,14 +66,14 @@
 	t.counts.TasksLost++
 	t.requests.close(req, requestTerminated)
 	t.clients.sendAnswer(req, replyTo(&req.message, protocol.Stop, cause))
-	t.attempts.postBound(attempt)
-	t.attempts.postEnded(attempt, outcome)
+	t.attempts.postAttemptBound(attempt)
+	t.attempts.postAttemptEnded(attempt, outcome)
 	t.requests.remove(req)
 }
 
 // migrate asks the client of a running task to request a new placement, and asks the task's node to stop the
 // task.
-func (t *taskController) migrate(req *request) {
+func (t *taskController) migrateTask(req *request) {
 	attempt := req.runningAttempt()
 	if attempt == nil || req.state.isFinal() {
 		return
@@ -107,12 +107,12 @@
 
 // stopTasksOn stops the tasks that run on an unresponsive node, as Core.NodeUnresponsive describes. It
 // returns the number of tasks that had not been stopped before.
-func (t *taskController) stopTasksOn(node *Node) (stopped int) {
-	for _, attempt := range node.runningAttempts() {
+func (t *taskController) stopTasksOn(node *Node) (stoppedTasks int) {
+	for _, attempt := range node.runningAttemptsByTaskID() {
 		if attempt.stopSent {
 			continue
 		}
-		stopped++
+		stoppedTasks++
 		t.counts.TasksLost++
 		req := attempt.request
 		if !req.state.isFinal() {
@@ -121,7 +121,7 @@
 		}
 		t.requestStop(attempt, protocol.CauseCancelled)
 	}
-	return stopped
+	return stoppedTasks
 }
 
 // requestStop asks the node of a running task to stop it. The task ends when the node confirms the stop, or
@@ -140,6 +140,6 @@
 		t.timers.Add(t.now+migrationConfirmTimeout, func() { t.notifyUnconfirmedMigration(attempt) })
 	}
 	t.attempts.setTimer(attempt, t.now+notificationRetention, func() {
-		t.end(attempt, attemptOutcome{result: placer.Cancelled}, protocol.CauseCancelled)
+		t.endTask(attempt, attemptOutcome{result: placer.Cancelled}, protocol.CauseCancelled)
 	})
 }
