--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// adoptionMaxWait limits how long new requests wait for adoptions. The time counts from the first health
-	// check that any client sends.
+	// adoptionMaxWait limits how long a new placement request waits until running tasks are adopted. The time
+	// counts from the first health check that any client sends.
 	adoptionMaxWait placer.Seconds = 1.0
-	// adoptionIdleGap is the time without an adoption after which no more adoptions are expected.
+	// adoptionIdleGap is the time without an adoption request after which no further ones are expected.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption adds tasks that run already. After this scheduler has started, clients list their running tasks in
-// launch messages. The type also tracks until when further messages of this kind are expected.
+// adoption handles adoption requests. After a scheduler start, clients send the scheduler one adoption
+// request for each of their running tasks: a launch message that names the node on which the task already
+// runs. The type adoption also tracks until when further adoption requests are expected.
 type adoption struct {
 	*sharedState
 	nodes             *nodeRegistry
@@ -23,35 +24,36 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // when the first health check of any client arrived, or 0 if none has
-	lastAdoptionAt     placer.Seconds // when the last adoption was received; initially firstHealthCheckAt
+	firstHealthCheckAt placer.Seconds // firstHealthCheckAt is 0 until any client has sent a health check.
+	// lastAdoptionRequestAt is when the last adoption request arrived. Until then, it is firstHealthCheckAt.
+	lastAdoptionRequestAt placer.Seconds
 }
 
-// healthCheckReceived records that a client has sent a health check. After the first health check, clients
-// are expected to list their running tasks.
+// recordHealthCheck records that a client has sent a health check. After the first health check, clients are
+// expected to request the adoption of their running tasks.
 func (a *adoption) recordHealthCheck() {
 	if a.firstHealthCheckAt == 0 {
 		a.firstHealthCheckAt = a.now
-		a.lastAdoptionAt = a.now // the first launch message for an adoption may already be in transit
+		a.lastAdoptionRequestAt = a.now // The first adoption request may already be in transit.
 	}
 }
 
-// adopt adds a task that already runs on the node that the launch message names. If that node is not in the
-// registry, adopt returns an *InvalidMessageError.
+// adopt handles an adoption request: it adds the task as a running task of the node that the message names.
+// If that node is not in the node registry, adopt returns an *InvalidMessageError.
 func (a *adoption) adopt(client *clientConn, msg *protocol.Message, parsedReq parsedRequest) error {
 	a.counts.Adopted++
-	a.lastAdoptionAt = a.now
+	a.lastAdoptionRequestAt = a.now
 	node := a.nodes.getByUID(parsedReq.adoptedFromUID)
 	if node == nil {
 		return invalidMessage(InvalidNode, "launch message %s: the extras field \"at\" names node %.40q, which is not in the node registry", msg.UID, parsedReq.adoptedFromUID)
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if abandonedAttempt := a.attempts.get(key); abandonedAttempt != nil {
-		a.attempts.remove(abandonedAttempt) // this scheduler abandoned the attempt, but the node accepted it
+		a.attempts.remove(abandonedAttempt) // The node accepted the attempt after this scheduler had abandoned it.
 	}
 	if termination, isRecorded := a.earlyTerminations.get(key); isRecorded {
-		// The node has already reported the end of the task and does not repeat the report. The client listed
-		// the task because it had not been notified of the end yet.
+		// The node has already reported the end of the task and does not repeat the report. The client still
+		// requests the adoption because it has not been notified of the end.
 		a.counts.TasksEnded++
 		a.notifier.notifyOnConn(client, replyTo(msg, protocol.Stop, termination.cause))
 		return nil
@@ -64,17 +66,17 @@
 	return nil
 }
 
-// adoptionsExpectedUntil returns the time until which adoptions are expected: adoptionIdleGap after the last
-// adoption, but at most adoptionMaxWait after the first health check.
+// adoptionsExpectedUntil returns the time until which adoption requests are expected. That time is
+// adoptionIdleGap after the last adoption request, but at most adoptionMaxWait after the first health check.
 func (a *adoption) adoptionsExpectedUntil() placer.Seconds {
-	return min(a.lastAdoptionAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
+	return min(a.lastAdoptionRequestAt+adoptionIdleGap, a.firstHealthCheckAt+adoptionMaxWait)
 }
 
-// postArrival passes a new request to the placer, at once or when no more adoptions are expected. After a
-// scheduler start, clients list hundreds of running tasks on one connection while new requests arrive on
-// other connections. If the placer received a request before all tasks are adopted, it would place the task
-// without regard to the nodes on which its service already runs. New requests therefore wait until no more
-// adoptions are expected, but never beyond their deadlines.
+// postArrival passes a new placement request to the placer as soon as no more adoption requests are expected,
+// but at the latest at the deadline of the placement request. After a scheduler start, a client requests the
+// adoption of hundreds of running tasks on one connection while new placement requests arrive on other
+// connections. If the placer received a placement request before it knows all running tasks, it would place
+// the task without regard to the nodes on which other tasks of the same service already run.
 func (a *adoption) postArrival(req *request, task placer.Task) {
 	waitUntil := min(a.adoptionsExpectedUntil(), req.deadline)
 	if a.now >= waitUntil {
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -6,34 +6,34 @@
 	"heathshed/placer"
 )
 
-// NodeConnID identifies a connection to a node. The caller of the core assigns the IDs. The value 0 means no
-// connection.
+// NodeConnID identifies a connection to a node. The caller of the core assigns the IDs. The value 0 stands
+// for the absence of a connection.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt, which is running
-// from the start. Attempts are owned by attemptTable. The caller of the core may write only the field
-// NodeConn.
+// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt, which is in state
+// attemptRunning from the start. Attempts are owned by attemptTable. The caller of the core may write only
+// the field NodeConn.
 type Attempt struct {
 	Node    placer.NodeID
-	Message protocol.Message // the launch message that is sent to the node
-	// NodeConn is the connection on which the attempt was sent, or 0 if it was not sent yet. The caller of
-	// the core sets it.
+	Message protocol.Message // Message is the launch message that is sent to the node.
+	// NodeConn is the connection on which the attempt was sent. It is 0 if the attempt was not sent yet. The
+	// caller of the core sets it.
 	NodeConn NodeConnID
 
 	request      *request
-	number       int // the index of the attempt in request.attempts
+	number       int // number is the index of the attempt in request.attempts.
 	state        attemptState
-	expiresAt    placer.Seconds // an unanswered attempt is abandoned at this time
-	createdAt    placer.Seconds // when the placer requested the attempt or the task was adopted
-	runningSince placer.Seconds // when the node's acceptance arrived or the task was adopted
+	expiresAt    placer.Seconds // expiresAt is the time at which an unanswered attempt is abandoned.
+	createdAt    placer.Seconds // createdAt is when the placer requested the attempt or the task was adopted.
+	runningSince placer.Seconds // runningSince is when the node's acceptance arrived or the task was adopted.
 	timer        *timerqueue.Timer[placer.Seconds]
-	stopSent     bool // whether the node was asked to stop the task
+	stopSent     bool // stopSent is set if the node was asked to stop the task.
 }
 
-// Live reports whether the attempt is waiting for the answer of its node or runs the task.
+// Live reports whether the attempt has not ended: it waits for the answer of its node, or its task runs.
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
-// ClientConn returns the client connection on which the attempt's request arrived.
+// ClientConn returns the client connection on which the placement request of the attempt arrived.
 func (a *Attempt) ClientConn() ConnID { return a.request.conn }
 
 // Pending reports whether the attempt has not been sent yet.
@@ -47,8 +47,8 @@
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
 
-// attemptKey identifies the attempt that a message refers to. It consists of the node that sent the message
-// and the ID in the message.
+// attemptKey identifies the attempt to which a message of a node refers. It consists of the node that sent
+// the message and the task ID in the message.
 type attemptKey struct {
 	node placer.NodeID
 	id   protocol.ID
@@ -59,5 +59,5 @@
 type attemptOutcome struct {
 	result placer.Result
 	reason placer.Reason
-	report *placer.Report // nil if the node sent no load report
+	report *placer.Report // report is nil if the node sent no load report.
 }
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -1,15 +1,21 @@
 package dispatch
 
-// attemptState is the state of an attempt. In the states up to attemptRunning, the attempt is live: it is
-// waiting for the answer of its node or runs the task.
+// attemptState is the state of an attempt. In the states up to attemptRunning, the attempt is live: it waits
+// for the answer of its node, or its task runs.
 type attemptState uint8
 
 const (
-	attemptPending    attemptState = iota // the attempt has not been sent
-	attemptSent                           // the attempt was sent and has no answer
-	attemptRunning                        // the node accepted the attempt in time, or the task was adopted
-	attemptAbandoned                      // the attempt ended without an answer; an answer that still arrives is late
-	attemptTerminated                     // the attempt ended, and its node is not expected to send messages about it
+	// attemptPending means that the attempt has not been sent to its node.
+	attemptPending attemptState = iota
+	// attemptSent means that the attempt was sent and that its node has not answered it.
+	attemptSent
+	// attemptRunning means that the node accepted the attempt in time, or that the task was adopted.
+	attemptRunning
+	// attemptAbandoned means that the attempt ended without an answer. An answer that still arrives is late.
+	attemptAbandoned
+	// attemptTerminated means that the attempt ended and that its node is not expected to send further
+	// messages about the attempt.
+	attemptTerminated
 )
 
 // attemptStates contains the name and the legal transitions of each state of an attempt. Only
@@ -25,7 +31,7 @@
 // String returns the name of the state.
 func (s attemptState) String() string { return attemptStates.stateName("attempt", s) }
 
-// isLive reports whether an attempt in this state is waiting for the answer of its node or runs the task.
+// isLive reports whether an attempt in this state waits for the answer of its node or its task runs.
 func (s attemptState) isLive() bool { return s <= attemptRunning }
 
 // isUnanswered reports whether an attempt in this state is waiting for a connection to its node or for the
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// lateAnswerRetention is how long an abandoned attempt is kept after clients have stopped querying nodes for
-// tasks with an unknown outcome.
+// lateAnswerRetention is how long an abandoned attempt is kept after clients have stopped to query the nodes
+// for the task of the attempt. Clients query the nodes for a task with an unknown outcome.
 const lateAnswerRetention placer.Seconds = 5.0
 
 // attemptTable owns the attempts about which nodes may still send messages. It changes their states and
@@ -18,18 +18,18 @@
 	nodes *nodeRegistry
 
 	byKey              map[attemptKey]*Attempt
-	illegalTransitions int // how many transitions were made that attemptStates does not allow
+	illegalTransitions int // illegalTransitions counts the transitions that attemptStates does not allow.
 }
 
 func newAttemptTable(shared *sharedState, nodes *nodeRegistry) *attemptTable {
 	return &attemptTable{sharedState: shared, nodes: nodes, byKey: map[attemptKey]*Attempt{}}
 }
 
-// get returns the attempt with the key, or nil if the table does not contain it.
+// get returns the attempt with the given key, or nil if the table does not contain it.
 func (t *attemptTable) get(key attemptKey) *Attempt { return t.byKey[key] }
 
 // start carries out a StartAttempt action of the placer: it creates an attempt and adds the effect that sends
-// it. If the attempt must not be sent, start instead reports to the placer that it has expired.
+// the attempt. If the attempt must not be sent, start reports to the placer that the attempt has expired.
 func (t *attemptTable) start(req *request, action *placer.Action) {
 	attempt := &Attempt{
 		Node:      action.Node,
@@ -53,7 +53,7 @@
 	t.addEffect(Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
-// canStart reports whether a new attempt may be sent. The attempt has to be the latest one of its request.
+// canStart reports whether a new attempt may be sent. The attempt has to be the last one of its request.
 func (t *attemptTable) canStart(attempt *Attempt) bool {
 	req := attempt.request
 	if req.state.isFinal() || attempt.expiresAt <= t.now {
@@ -62,7 +62,7 @@
 	return len(req.attempts) <= t.settings.Placer.Attempts.Max && t.nodes.get(attempt.Node) != nil
 }
 
-// adopt adds an attempt for a task that already runs on a node.
+// addAdopted adds an attempt for a task that already runs on a node.
 func (t *attemptTable) addAdopted(req *request, node placer.NodeID) *Attempt {
 	attempt := &Attempt{
 		Node:         node,
@@ -78,9 +78,9 @@
 	return attempt
 }
 
-// expire ends an attempt whose expiry time has passed without an answer.
+// expire ends an attempt that was not answered before its expiry time.
 func (t *attemptTable) expire(attempt *Attempt) {
-	if attempt.state == attemptPending { // the connection to the node was not established in time
+	if attempt.state == attemptPending { // The connection to the node was not established in time.
 		t.endUnsent(attempt, placer.Unreachable)
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // prepareSend implements Core.PrepareSend. It changes a pending attempt to attemptSent, or ends the attempt
-// if it can no longer be sent.
+// if the attempt can no longer be sent.
 func (t *attemptTable) prepareSend(attempt *Attempt) bool {
 	if attempt.state != attemptPending {
 		return false
@@ -104,7 +104,8 @@
 	return true
 }
 
-// connectFailed ends an attempt that was not sent because no connection to its node could be established.
+// handleConnectFailure ends an attempt that was not sent because no connection to its node could be
+// established.
 func (t *attemptTable) handleConnectFailure(attempt *Attempt) {
 	if attempt.state != attemptPending {
 		return
@@ -113,18 +114,18 @@
 	t.endUnsent(attempt, placer.Unreachable)
 }
 
-// connectionLost abandons an attempt whose connection closed before the answer arrived.
+// handleConnectionLoss abandons an attempt if its connection to the node closed before the answer arrived.
 func (t *attemptTable) handleConnectionLoss(attempt *Attempt) {
 	if attempt.state != attemptSent {
 		return
 	}
 	t.counts.ConnectionsLost++
-	t.transition(attempt, attemptAbandoned) // no Stop message is sent, since the node detects the closed connection
+	t.transition(attempt, attemptAbandoned) // The node detects the closed connection and needs no Stop message.
 	t.retainAbandoned(attempt)
 	t.postAttemptEnded(attempt, attemptOutcome{result: placer.Lost})
 }
 
-// markRunning changes an attempt that its node has accepted to attemptRunning.
+// markRunning changes the state of an attempt to attemptRunning, after the node has accepted the attempt.
 func (t *attemptTable) markRunning(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	t.transition(attempt, attemptRunning)
@@ -142,15 +143,16 @@
 	t.postAttemptEnded(attempt, attemptOutcome{result: result})
 }
 
-// abandonLastAttempt abandons the latest attempt of a request if that attempt is unanswered.
+// abandonLastAttempt abandons the last attempt of a request if that attempt is unanswered.
 func (t *attemptTable) abandonLastAttempt(req *request, result placer.Result) {
 	if last := req.lastAttempt(); last != nil && last.Unanswered() {
 		t.abandon(last, result, false)
 	}
 }
 
-// abandon ends an unanswered attempt. If the attempt was sent, its node is sent a Stop message, and an answer
-// that arrives afterwards is treated as late. timedOut is set if the expiry timer of the attempt has run.
+// abandon ends an unanswered attempt. If the attempt was sent, the node receives a Stop message, and an
+// answer that arrives afterwards is treated as late. The parameter timedOut is set if the expiry timer of the
+// attempt has run.
 func (t *attemptTable) abandon(attempt *Attempt, result placer.Result, timedOut bool) {
 	if attempt.state == attemptPending {
 		t.endUnsent(attempt, placer.Expired)
@@ -176,7 +178,8 @@
 	})
 }
 
-// retainAbandoned keeps an abandoned attempt until its node is no longer expected to send messages about it.
+// retainAbandoned sets a timer that removes an abandoned attempt. When the timer runs, the node is no longer
+// expected to send messages about the attempt.
 func (t *attemptTable) retainAbandoned(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	retention := t.settings.Placer.Retry.UnknownOutcomeWait + lateAnswerRetention
@@ -203,7 +206,7 @@
 	attemptStates.transition(&attempt.state, next, &t.illegalTransitions)
 }
 
-// postEnded reports to the placer how an attempt ended.
+// postAttemptEnded reports to the placer how an attempt ended.
 func (t *attemptTable) postAttemptEnded(attempt *Attempt, outcome attemptOutcome) {
 	t.postEvent(placer.Event{
 		Kind:    placer.Ended,
@@ -218,7 +221,7 @@
 	})
 }
 
-// postBound reports to the placer that a node has accepted an attempt.
+// postAttemptBound reports to the placer that a node has accepted an attempt.
 func (t *attemptTable) postAttemptBound(attempt *Attempt) {
 	t.postEvent(placer.Event{
 		Kind:    placer.Bound,
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -10,10 +10,11 @@
 	"heathshed/placer"
 )
 
-// runScenarios runs the scenarios, which are short sequences of calls for situations that random scripts
-// rarely reach. In some scenarios many nodes and tasks end at the same time. The core does not define the
-// order of these ends, so the recorder sorts the effects. Other scenarios cover notifications and adoptions
-// close to their time limits, and the limits on the number of stored records.
+// runScenarios runs all scenarios and returns the recorded lines. A scenario is a short sequence of calls for
+// a situation that random scripts rarely reach. In the first scenario, many nodes and tasks end at the same
+// time. The core does not define the order of these ends, so the recorder sorts the effects. The other
+// scenarios cover notifications, adoptions and attempts close to their time limits, new incarnations of
+// nodes, and the limits on the number of stored records.
 func runScenarios(t *testing.T) []string {
 	t.Helper()
 	var lines []string
@@ -26,7 +27,7 @@
 		recorder.listAllNodes("in_service", 0)
 		recorder.requestAdoptions(24, 1)
 		recorder.recordCheckpoint(1)
-		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
+		recorder.listAllNodes("in_service", 1010_000) // All nodes start new incarnations, which ends the running tasks.
 		recorder.recordCheckpoint(2)
 		recorder.requestAdoptions(24, 101)
 		recorder.listAllNodes("terminated", 0)
@@ -45,18 +46,18 @@
 	return append(lines, runEarlyTerminations(t)...)
 }
 
-// scenarioSetup specifies how a scenario starts: its variant of the settings, its random seed and its number
-// of client connections.
+// scenarioSetup specifies the settings, the random seed, the number of client connections and the placer with
+// which a scenario starts.
 type scenarioSetup struct {
-	settingsIndex   int // the index in settingsVariants
+	settingsIndex   int // settingsIndex is the index of the settings in settingsVariants.
 	seed            uint64
-	label           string // the beginning of the scenario's lines in the golden file
+	label           string // The lines of the scenario in the golden file begin with this text.
 	connections     int
-	useRandomPlacer bool // whether the core uses a randomPlacer instead of a placer.Placer
+	useRandomPlacer bool // If useRandomPlacer is set, the core uses a randomPlacer instead of a placer.Placer.
 }
 
-// start returns a recorder whose core has the specified number of client connections and all nodes in
-// service.
+// start returns a recorder whose core has the specified number of client connections and a node registry in
+// which all nodes are in service.
 func (setup scenarioSetup) start(t *testing.T) *scriptRecorder {
 	t.Helper()
 	recorder := newRecorder(t, setup.settingsIndex, setup.seed, "", setup.useRandomPlacer)
@@ -68,8 +69,8 @@
 	return recorder
 }
 
-// startWithRequest returns a recorder whose core uses a randomPlacer and has received one placement request.
-// The rest of the setup is the same as in start.
+// startWithRequest returns a recorder like start does. In addition, the core of the recorder uses a
+// randomPlacer and has received one placement request.
 func (setup scenarioSetup) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
 	setup.useRandomPlacer = true
@@ -99,8 +100,8 @@
 	recorder.digestEffectsAndState(step)
 }
 
-// adoptTasks lists running tasks for adoption. Their IDs start at firstID, and they are distributed over the
-// nodes.
+// requestAdoptions makes a client request the adoption of running tasks. The task IDs start at firstID, and
+// the tasks are distributed evenly over the nodes.
 func (recorder *scriptRecorder) requestAdoptions(count int, firstID uint64) {
 	for i := range count {
 		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(firstID+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodeCount)))
@@ -108,9 +109,9 @@
 	}
 }
 
-// runRedelivery closes client connections on which notifications were sent. The variants cover clients that
-// do and do not acknowledge notifications, intervals close to each time limit, and the case that no
-// connection is left.
+// runRedelivery closes client connections on which notifications were sent, so that the notifications are
+// sent again. The variants cover clients that do and do not acknowledge notifications, intervals close to the
+// time limits of notifications, and the case that no client connection is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -137,8 +138,8 @@
 	})
 }
 
-// endTasks makes nodes report the ends of the tasks with the IDs from firstID to lastID, which adoptTasks
-// listed.
+// reportTaskEnds makes nodes report the ends of the tasks with the IDs from firstID to lastID. The method
+// requestAdoptions has requested the adoption of these tasks before.
 func (recorder *scriptRecorder) reportTaskEnds(firstID, lastID uint64) {
 	for id := firstID; id <= lastID; id++ {
 		msg := wireMessage(protocol.Stop, id)
@@ -148,8 +149,8 @@
 	}
 }
 
-// runAdoptionWait sends new requests while a client still lists running tasks for adoption. It continues
-// beyond adoptionMaxWait, after which new requests no longer wait for adoptions.
+// runAdoptionWait sends new placement requests while another client still sends adoption requests. It
+// continues beyond adoptionMaxWait, after which new placement requests no longer wait for adoption requests.
 func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
 	recorder := scenarioSetup{seed: 300, label: "handover", connections: 2}.start(t)
@@ -172,13 +173,16 @@
 	return recorder.recordedLines
 }
 
-// runNewIncarnation adopts a task and then starts a new incarnation of its node. The variants cover start
-// times of the incarnation up to and beyond incarnationTolerance after the adoption.
+// runNewIncarnation makes a client request the adoption of a task, and then starts a new incarnation of the
+// node of that task. The variants differ in the start time of the new incarnation, which ranges from the time
+// of the adoption to shortly after incarnationTolerance has passed.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
+	// Each variant has its own time between the adoption of the task and the start of the new incarnation.
 	restartDelaysMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		// The golden file calls an incarnation a life, and gives the delay in milliseconds without the unit.
+		// In the golden file, the word "life" stands for an incarnation, and the number is the delay in
+		// milliseconds.
 		label := fmt.Sprintf("new life after %d", restartDelaysMS[variant])
 		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
 	}
@@ -188,7 +192,7 @@
 	})
 }
 
-// runVariants runs a scenario once for each of its variants and returns the lines recorded in all of them.
+// runVariants runs a scenario once for each of its variants and returns the recorded lines of all variants.
 func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
 		recorder := start(variant)
@@ -199,8 +203,8 @@
 	return lines
 }
 
-// runLateStart sends an attempt just before, at or just after its expiry time, while the expiry timer has not
-// run yet.
+// runLateStart sends an attempt just before, at or just after the expiry time of the attempt. The expiry
+// timer of the attempt has not run yet.
 func runLateStart(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -216,8 +220,9 @@
 	})
 }
 
-// runLateAnswer makes a node answer an attempt close to its expiry time, either while the expiry timer has
-// not run yet or after the connection was lost. The client then lists the task for adoption from that node.
+// runLateAnswer sends an attempt and makes the node accept it close to the expiry time of the attempt. The
+// expiry timer of the attempt has not run yet. In half of the variants, the connection to the node is lost
+// before the node accepts. At the end, the client requests the adoption of the task.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -237,8 +242,9 @@
 	})
 }
 
-// answerLate makes a node accept the first attempt at answerTime. If connectionLost is set, the connection to
-// the node is lost before the node accepts. The client then lists the task for adoption from that node.
+// answerLate makes a node accept the first attempt at the time answerTime. If connectionLost is set, the
+// connection to the node is lost before the node accepts. The client then requests the adoption of the task,
+// which runs on that node.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
 	attempt := recorder.sentAttempts[0]
 	recorder.now = max(recorder.now, answerTime)
@@ -251,7 +257,7 @@
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.digestEffectsAndState(3)
 	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pendingAttempts) > 0 { // another attempt was started, so the client withdraws the request
+	if len(recorder.pendingAttempts) > 0 { // Another attempt was started, so the client withdraws the request.
 		recorder.receiveFromClient(1, stop)
 		recorder.digestEffectsAndState(4)
 	}
@@ -263,12 +269,12 @@
 	}
 }
 
-// runEarlyTerminations makes a node report the ends of more unknown tasks than the core records. A client
-// then lists some of these tasks for adoption, and further ones until the maximum number of tasks is
-// exceeded.
+// runEarlyTerminations makes a node report the ends of more unknown tasks than the core can record. A client
+// then requests the adoption of some of these tasks. It also requests the adoption of other tasks, until the
+// maximum number of tasks is exceeded.
 func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
-	const countAboveLimit = 20010 // exceeds maxEarlyTerminations and maxTasks, which are both 20000
+	const countAboveLimit = 20010 // The limits maxEarlyTerminations and maxTasks are both 20000.
 	recorder := scenarioSetup{seed: 200, label: "bounds", connections: 1}.start(t)
 	for id := uint64(1); id <= countAboveLimit; id++ {
 		msg := wireMessage(protocol.Stop, id)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -18,25 +18,29 @@
 	"heathshed/placer"
 )
 
-// scriptRecorder makes the calls of one script to a core and computes a digest of the core's observable
-// behavior.
+// scriptRecorder runs one script, which is a sequence of calls to a core, and computes a digest of the
+// observable behavior of the core.
 type scriptRecorder struct {
 	t               *testing.T
 	core            *dispatch.Core
 	random          *rand.Rand
 	digest          hash.Hash
-	settingsIndex   int // the index in settingsVariants
+	settingsIndex   int // settingsIndex is the index of the settings in settingsVariants.
 	now             placer.Seconds
-	eventNumber     int // the number of the last discovery event
+	eventNumber     int // eventNumber is the number of the last discovery event.
 	lastConn        dispatch.ConnID
 	conns           []dispatch.ConnID
-	lastID          uint64              // the last ID that was assigned to a launch message
-	pendingAttempts []*dispatch.Attempt // attempts that were not sent yet
-	sentAttempts    []*dispatch.Attempt // attempts that were sent or adopted, including those that have ended
-	nodeStates      map[int]string      // the last listed state of each node, by the number of the node
-	sortEffects     bool                // whether effects are sorted, for scripts in which their order is not defined
-	recordedLines   []string
-	label           string // the beginning of the script's golden lines, in which shape is the settingsIndex
+	lastID          uint64              // lastID is the last ID that was assigned to a launch message.
+	pendingAttempts []*dispatch.Attempt // These attempts were not sent yet.
+	// sentAttempts contains the attempts that were sent and those of adopted tasks. Some of them have ended.
+	sentAttempts []*dispatch.Attempt
+	// nodeStates maps the number of a node to the state in the last entry of that node in a node list.
+	nodeStates    map[int]string
+	sortEffects   bool // sortEffects is set for scripts in which the order of the effects is not defined.
+	recordedLines []string
+	// label is the beginning of the golden lines of the script. In a label, the word "shape" stands for
+	// settingsIndex.
+	label string
 }
 
 func newRecorder(t *testing.T, settingsIndex int, seed uint64, initialEvents string, useRandomPlacer bool) *scriptRecorder {
@@ -71,7 +75,7 @@
 	return recorder
 }
 
-// digestEvent adds all fields of an event to the digest in a fixed order.
+// digestEvent adds all fields of an event to the digest, in a fixed order.
 func (recorder *scriptRecorder) digestEvent(event *placer.Event) {
 	recorder.digestNumbers(uint64(event.Kind), uint64(event.TaskID), uint64(event.Node), uint64(event.Attempt), uint64(event.Result), uint64(event.Reason))
 	recorder.digestSeconds(event.Elapsed)
@@ -129,8 +133,8 @@
 	recorder.digest.Write([]byte(text))
 }
 
-// digestError adds to the digest whether there was an error and, for an InvalidMessageError, its reason. The
-// text of the error is not added.
+// digestError adds to the digest whether an error is not nil. For an InvalidMessageError, it also adds the
+// reason of the error. It does not add the text of the error.
 func (recorder *scriptRecorder) digestError(err error) {
 	recorder.digestBool(err != nil)
 	var invalid *dispatch.InvalidMessageError
@@ -143,7 +147,7 @@
 // nodeID returns the ID of the test node with the given number.
 func nodeID(number int) placer.NodeID { return dispatch.NodeIDOf(dispatch.NodeUID(number)) }
 
-// encodeEffect returns an effect as bytes. Messages in the effect are encoded as on the wire.
+// encodeEffect returns an effect as bytes. The messages in the effect are encoded as on the wire.
 func encodeEffect(effect *dispatch.Effect) []byte {
 	encoded := []byte{byte(effect.Kind)}
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(effect.Conn))
@@ -161,8 +165,8 @@
 	return encoded
 }
 
-// digestEffectsAndState adds the effects of the last calls and the observable state of the core to the
-// digest.
+// digestEffectsAndState adds the number of the step, the new effects and the observable state of the core to
+// the digest.
 func (recorder *scriptRecorder) digestEffectsAndState(step int) {
 	recorder.digestNumbers(uint64(step))
 	var encoded [][]byte
@@ -219,7 +223,7 @@
 	recorder.digestNumbers(uint64(nodeCount))
 }
 
-// countValues returns the counters in a fixed order.
+// countValues returns the values of all counters of a core, in a fixed order.
 func countValues(counts *dispatch.Counts) []uint64 {
 	return []uint64{counts.PlacementRequests, counts.Adopted, counts.Accepted, counts.Placed, counts.Rejected, counts.Failed, counts.Withdrawn,
 		counts.Attempts, counts.Bound, counts.CapacityRejections, counts.NodeErrors, counts.ConnectFailures, counts.ConnectionsLost, counts.TimedOut,
@@ -231,7 +235,7 @@
 // recordCheckpoint records a line with the digest of all steps so far and the counters of the core.
 func (recorder *scriptRecorder) recordCheckpoint(step int) {
 	if err := recorder.core.CheckInvariants(); err != nil {
-		recorder.t.Fatalf("%s, step %d: invariant violated: %v", recorder.label, step, err)
+		recorder.t.Fatalf("%s, step %d: the core violates an invariant: %v", recorder.label, step, err)
 	}
 	var counts []string
 	for _, count := range countValues(&recorder.core.Counts) {
@@ -241,9 +245,9 @@
 	recorder.recordedLines = append(recorder.recordedLines, line)
 }
 
-// randomPlacer replaces the placer of a core. It adds each event to the digest and returns random actions,
-// including rare and invalid ones. The actions lead to migrations, to expired attempts and to requests with
-// more than the maximum number of attempts.
+// randomPlacer is a placer that adds each event to the digest and returns random actions, including rare and
+// invalid ones. The actions lead to migrations, to expired attempts and to requests with more than the
+// maximum number of attempts.
 type randomPlacer struct {
 	recorder *scriptRecorder
 	tasks    []placer.TaskID
@@ -288,7 +292,7 @@
 	case 1:
 		return placer.Action{Kind: placer.Fail, Task: task}
 	case 2:
-		return placer.Action{Kind: placer.Reject, Task: task + 100000} // no task has this ID
+		return placer.Action{Kind: placer.Reject, Task: task + 100000} // No task has this ID.
 	}
 	return placer.Action{Kind: placer.StartAttempt, Task: task, Node: nodeID(1 + recorder.random.IntN(4)),
 		Until: randomChoice(recorder, 0, 0, now+0.25, now+0.8, now+100, now-1)}
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	scriptSteps        = 600 // random steps of each script
-	checkpointInterval = 50  // steps between two checkpoints
-	scriptNodeCount    = 6
+	scriptSteps        = 600 // scriptSteps is the number of random steps in each script.
+	checkpointInterval = 50  // checkpointInterval is the number of steps between two checkpoints.
+	scriptNodeCount    = 6   // scriptNodeCount is the number of nodes that a script uses.
 )
 
 func (recorder *scriptRecorder) nodeJSON(number int, state string, bootMS int64) string {
@@ -59,8 +59,8 @@
 	return recorder.recordedLines
 }
 
-// randomStep makes one random step: a message, an event of a connection or of discovery, a failure, or an
-// advance of the clock.
+// makeRandomStep makes one random step of a script. In a step, a message, an event of a connection or a
+// discovery event arrives, an attempt is sent, an attempt or a node fails, or the clock advances.
 func (recorder *scriptRecorder) makeRandomStep() {
 	switch recorder.random.IntN(30) {
 	case 0, 1, 2, 3, 4, 5:
@@ -109,7 +109,7 @@
 	recorder.conns = slices.Delete(recorder.conns, i, i+1)
 	recorder.core.ClientDisconnected(recorder.now, id)
 	if recorder.random.IntN(4) == 0 {
-		recorder.core.ClientDisconnected(recorder.now, id) // a repeated call must have no effect
+		recorder.core.ClientDisconnected(recorder.now, id) // A repeated call must have no effect.
 	}
 }
 
@@ -134,14 +134,14 @@
 }
 
 func (recorder *scriptRecorder) receiveFromAnyClient(msg protocol.Message) {
-	conn := dispatch.ConnID(99) // this connection was never opened
+	conn := dispatch.ConnID(99) // This connection was never opened.
 	if len(recorder.conns) > 0 && recorder.random.IntN(40) > 0 {
 		conn = randomChoice(recorder, recorder.conns...)
 	}
 	recorder.receiveFromClient(conn, msg)
 }
 
-// receiveFromClient passes a client message to the core and adds the resulting error to the digest.
+// receiveFromClient passes a message of a client to the core and adds the returned error to the digest.
 func (recorder *scriptRecorder) receiveFromClient(conn dispatch.ConnID, msg protocol.Message) {
 	recorder.digestError(recorder.core.ReceiveFromClient(recorder.now, conn, &msg))
 }
@@ -150,7 +150,7 @@
 	recorder.lastID++
 	id := recorder.lastID
 	if recorder.random.IntN(12) == 0 {
-		id = recorder.drawID() // the ID may be in use
+		id = recorder.drawID() // This ID may already be in use.
 	}
 	recorder.receiveFromAnyClient(recorder.newLaunchMessage(id, extras))
 }
@@ -204,7 +204,7 @@
 	recorder.receiveFromAnyClient(msg)
 }
 
-// sendPendingAttempt sends a random pending attempt, which may have ended in the meantime.
+// sendPendingAttempt sends a random pending attempt. The core may have ended the attempt in the meantime.
 func (recorder *scriptRecorder) sendPendingAttempt() {
 	if len(recorder.pendingAttempts) == 0 {
 		return
@@ -224,7 +224,8 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// acceptSentAttempt makes a node accept a random attempt that was sent to it. The attempt may have ended.
+// acceptSentAttempt makes a node accept a random attempt that was sent to the node. The attempt may have
+// ended.
 func (recorder *scriptRecorder) acceptSentAttempt() {
 	choices := recorder.sentAttempts
 	unansweredAttempts := slices.DeleteFunc(slices.Clone(recorder.sentAttempts), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
@@ -284,9 +285,10 @@
 	}
 }
 
-// deliverDiscoveryEvent delivers one discovery event, which may be invalid. Each event changes at most one
-// node, since the core does not define the order in which it handles nodes that terminate at the same time.
-// For the same reason, a node starts a new incarnation only if it runs at most one task.
+// deliverDiscoveryEvent passes one discovery event to the core. The event may be invalid. It changes at most
+// one node, since the core does not define the order in which it handles nodes that terminate at the same
+// time. The order in which it ends the tasks of one node is not defined either, so a node starts a new
+// incarnation only if it runs at most one task.
 func (recorder *scriptRecorder) deliverDiscoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodeCount)
@@ -312,9 +314,9 @@
 	recorder.digestError(err)
 }
 
-// drawStartTime returns a random start time for a node, in milliseconds. The start time is less than
-// incarnationTolerance in the future. With a later start time, a later node list could end several tasks of
-// the node at the same time, in an undefined order.
+// drawStartTime returns a random start time, in milliseconds, for the node with the given number. The start
+// time is less than incarnationTolerance in the future. If it were later, a later node list could end several
+// tasks of the node at the same time, and the order of these ends is not defined.
 func (recorder *scriptRecorder) drawStartTime(number int) int64 {
 	node := recorder.core.Node(nodeID(number))
 	if node == nil || node.RunningTasks() > 1 {
@@ -323,8 +325,10 @@
 	return randomChoice(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
 }
 
-// completeList returns the entries of a complete node list. The node with the number changed has the given
-// state, or is missing if that state is terminated. The other nodes have their last listed state.
+// completeNodeList returns the entries of a complete node list. In this list, one node has a new state: the
+// parameter changedNode is the number of this node, and newState is its state. If newState is "terminated",
+// the list does not contain this node. All other nodes have the states in nodeStates, which come from their
+// last entries.
 func (recorder *scriptRecorder) completeNodeList(changedNode int, newState string) (list []string) {
 	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
@@ -339,8 +343,8 @@
 	return list
 }
 
-// advance advances the clock by the given duration. It usually runs each timer at the time for which it is
-// set. Sometimes it runs all due timers at the end of the duration instead.
+// advanceClock advances the clock by the given duration. It usually runs each timer at the time for which the
+// timer is set. Sometimes it runs all due timers at the end of the duration instead.
 func (recorder *scriptRecorder) advanceClock(duration placer.Seconds) {
 	endTime := recorder.now + duration
 	if recorder.random.IntN(5) == 0 {
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -10,11 +10,12 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization runs random scripts with fixed seeds and the scenarios against the core, and compares
-// digests of the observable behavior with the golden file. Each digest covers all steps up to its checkpoint,
-// so the first step that differs lies before the first checkpoint that differs. The digests cover only
-// numbers, wire bytes and float bits, and do not depend on names in the source. Run the test with
-// HEATHSHED_UPDATE_GOLDEN=1 to rewrite the golden file. The test fails if the golden file is missing.
+// TestCharacterization runs random scripts with fixed seeds and the scenarios of runScenarios against cores,
+// and compares digests of the observable behavior with a golden file. Each digest covers all steps up to its
+// checkpoint, so the first step whose behavior differs lies before the first checkpoint whose digest differs.
+// The digests cover only numbers, wire bytes and float bits, and do not depend on names in the source. The
+// environment variable HEATHSHED_UPDATE_GOLDEN=1 makes the test rewrite the golden file. The test fails if
+// the golden file is missing.
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for settingsIndex := range settingsVariants {
@@ -33,8 +34,8 @@
 	record.Check(t, "characterization")
 }
 
-// settingsVariants are configurations that differ in every setting that the core reads, and in the settings
-// that change the decisions of the placer.
+// settingsVariants contains the settings with which the scripts run. The variants differ in every setting
+// that the core reads, and in the settings that change the decisions of the placer.
 var settingsVariants = []string{
 	dispatch.TestSettings,
 	`{"discovery":"pushed","me":1,"myZone":1,"peersTotal":3,"flavors":["std","big"],"zones":["a","b"],
@@ -60,8 +61,8 @@
 // scriptTenants contains the valid tenant names for each element of settingsVariants.
 var scriptTenants = [][]string{{"south"}, {"south", "north"}, {""}}
 
-// TestCharacterizationInitialEvents checks which initial discovery events dispatch.New accepts. It also
-// checks how many nodes and which last event number the created core has.
+// TestCharacterizationInitialEvents checks for which initial discovery events dispatch.New returns an error.
+// If there is no error, the test checks the number of nodes and the last event number of the new core.
 func TestCharacterizationInitialEvents(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(settingsVariants[0]))
 	if err != nil {
@@ -76,13 +77,13 @@
 		nodeCount           int
 		invalid             bool
 	}{
-		{name: "no initial events", initialEvents: ""},
-		{name: "empty JSON object", initialEvents: "{}"},
-		{name: "event number without events", initialEvents: `{"no":5}`, lastEvent: 5},
-		{name: "event with a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodeCount: 1},
+		{name: "initial events are empty", initialEvents: ""},
+		{name: "initial events are an empty JSON object", initialEvents: "{}"},
+		{name: "list has an event number but no events", initialEvents: `{"no":5}`, lastEvent: 5},
+		{name: "event has a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodeCount: 1},
 		{name: "first event has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodeCount: 2},
 		{name: "node has no UID", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
-		{name: "unknown node state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
+		{name: "node has an unknown state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
 		{name: "JSON is truncated", initialEvents: `{"no":`, invalid: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -94,7 +95,7 @@
 			core, err := dispatch.New(5, settings, policy, []byte(test.initialEvents))
 
 			if (err != nil) != test.invalid {
-				t.Fatalf("initial events %s: New returned error %v, want an error only for invalid events", test.initialEvents, err)
+				t.Fatalf("with initial events %s, New returned error %v, want an error only for invalid events", test.initialEvents, err)
 			}
 			if test.invalid {
 				return
@@ -102,7 +103,7 @@
 			nodeCount := 0
 			core.EachNode(func(*dispatch.Node) { nodeCount++ })
 			if core.LastDiscoveryEvent() != test.lastEvent || nodeCount != test.nodeCount {
-				t.Errorf("initial events %s: last event number is %d and the core has %d nodes, want number %d and %d nodes", test.initialEvents, core.LastDiscoveryEvent(), nodeCount, test.lastEvent, test.nodeCount)
+				t.Errorf("with initial events %s, the last event number is %d and the core has %d nodes, want event number %d and %d nodes", test.initialEvents, core.LastDiscoveryEvent(), nodeCount, test.lastEvent, test.nodeCount)
 			}
 		})
 	}
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -13,7 +13,7 @@
 	notifier *notifier
 }
 
-// receive handles one message of a client. If the message is invalid, the client is sent an error answer.
+// receive handles one message of a client. If the message is invalid, the client receives an error answer.
 func (h *clientMessageHandler) receive(client *clientConn, msg *protocol.Message) error {
 	if err := h.handle(client, msg); err != nil {
 		h.counts.InvalidMessages++
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// handle calls the handler for the kind of the message. Kinds that only nodes send are ignored.
+// handle calls the handler for the kind of the message. It ignores messages of kinds that only nodes send.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -48,14 +48,13 @@
 	h.clients.send(client.id, replyTo(msg, protocol.Checked, healthCheckPassed))
 }
 
-// handleLaunch handles a launch message, which is either a new placement request or lists a running task for
-// adoption.
+// handleLaunch handles a launch message, which is either a new placement request or an adoption request.
 func (h *clientMessageHandler) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	h.counts.PlacementRequests++
 	parsedReq, err := h.parser.parse(h.now, msg)
 	if existing := h.requests.getByID(msg.ID); existing != nil {
 		if err == nil && parsedReq.isAdoption() {
-			return nil // the task was already adopted
+			return nil // The task was already adopted.
 		}
 		return h.rejectDuplicate(client, existing, msg)
 	}
@@ -76,8 +75,9 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID an existing request already has. Two requests with the
-// same ID cannot both be answered, so the existing request is withdrawn if it is open on the same connection.
+// rejectDuplicate rejects a launch message that has the same ID as an existing request. Two requests with the
+// same ID cannot both be answered. If the existing request is open and arrived on the same connection, it is
+// withdrawn too.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
@@ -89,7 +89,7 @@
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
-		return nil // the request has ended, and the client had not learned of that when it sent the message
+		return nil // The request ended before the client's Stop message arrived.
 	}
 	if attempt := req.runningAttempt(); attempt != nil {
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -8,31 +8,33 @@
 	"heathshed/placer"
 )
 
-// ConnID identifies a client connection. The value 0 means no connection.
+// ConnID identifies a client connection. The value 0 stands for the absence of a connection.
 type ConnID uint64
 
 // clientConn is the state of one client connection, and is owned by clientRegistry. Until a valid message has
 // arrived on the connection, its peer may be any program that connected to the port.
 type clientConn struct {
-	id                 ConnID
-	openRequests       map[*request]struct{}
-	lastPlacedAt       placer.Seconds // when a task requested on this connection last started or was adopted, or 0
-	lastValidMessageAt placer.Seconds // when the last valid message arrived, or 0 if none has
-	notifications      deliveryLog    // notifications sent on the connection, written by notifier
+	id           ConnID
+	openRequests map[*request]struct{}
+	// lastPlacedAt is when a task that was requested on this connection last started or was adopted. It is 0
+	// if there is no such task.
+	lastPlacedAt       placer.Seconds
+	lastValidMessageAt placer.Seconds // lastValidMessageAt is 0 until a valid message has arrived.
+	notifications      deliveryLog    // Only notifier writes the log of the notifications on this connection.
 }
 
 // hasSentValidMessage reports whether a valid message has arrived on the connection.
 func (conn *clientConn) hasSentValidMessage() bool { return conn.lastValidMessageAt > 0 }
 
-// hasOpenRequest reports whether a request is one of the open requests of the connection.
+// hasOpenRequest reports whether the set openRequests contains a request.
 func (conn *clientConn) hasOpenRequest(req *request) bool {
 	_, isOpen := conn.openRequests[req]
 	return isOpen
 }
 
-// moreRecentlyUsedThan reports whether the connection was used more recently than other. It compares
-// first when a task was last placed, then when a valid message last arrived. If both times are equal, the
-// connection with the higher ID counts as the more recently used one.
+// moreRecentlyUsedThan reports whether the connection was used more recently than another one. The connection
+// with the later lastPlacedAt was used more recently. If these times are equal, the connection with the later
+// lastValidMessageAt was used more recently, and if those are equal too, the one with the higher ID.
 func (conn *clientConn) moreRecentlyUsedThan(other *clientConn) bool {
 	if conn.lastPlacedAt != other.lastPlacedAt {
 		return conn.lastPlacedAt > other.lastPlacedAt
@@ -68,14 +70,14 @@
 	r.conns[id] = &clientConn{id: id, openRequests: map[*request]struct{}{}}
 }
 
-// disconnect removes a connection and returns it, or returns nil if the connection is not open.
+// disconnect removes a connection and returns it. It returns nil if the connection is not open.
 func (r *clientRegistry) disconnect(id ConnID) *clientConn {
 	conn := r.conns[id]
 	delete(r.conns, id)
 	return conn
 }
 
-// get returns a connection, or nil if the connection is not open.
+// get returns the connection with the given ID, or nil if that connection is not open.
 func (r *clientRegistry) get(id ConnID) *clientConn { return r.conns[id] }
 
 // openRequestCount returns the number of open requests on all connections.
@@ -87,31 +89,32 @@
 	return count
 }
 
-// recordValidMessage records that a valid message arrived on the connection.
+// recordValidMessage records that a valid message arrived on a connection.
 func (r *clientRegistry) recordValidMessage(conn *clientConn) { conn.lastValidMessageAt = r.now }
 
-// addOpenRequest adds a request to the open requests of its connection.
+// addOpenRequest adds a request to the set of open requests of its client connection.
 func (r *clientRegistry) addOpenRequest(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.openRequests[req] = struct{}{}
 	}
 }
 
-// removeOpenRequest removes a request from the open requests of its connection.
+// removeOpenRequest removes a request from the set of open requests of its client connection.
 func (r *clientRegistry) removeOpenRequest(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		delete(conn.openRequests, req)
 	}
 }
 
-// recordPlacedTask records on the connection of a request that its task has started or was adopted.
+// recordPlacedTask records for the client connection of a request that the task of the request has started or
+// was adopted.
 func (r *clientRegistry) recordPlacedTask(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.lastPlacedAt = r.now
 	}
 }
 
-// send sends a message on a connection.
+// send adds the effect that sends a message on a client connection.
 func (r *clientRegistry) send(id ConnID, msg protocol.Message) {
 	r.addEffect(Effect{Kind: SendToClient, Conn: id, Message: msg})
 }
@@ -124,8 +127,9 @@
 	}
 }
 
-// selectConn returns the preferred connection if it is open. Otherwise it returns the connection that most
-// likely belongs to a client with running tasks, or nil if no connection has sent a valid message.
+// selectConn returns the preferred connection if that connection is open. Otherwise it returns the connection
+// that most likely belongs to a client with running tasks. It returns nil if no valid message has arrived on
+// any open connection.
 func (r *clientRegistry) selectConn(preferredConn ConnID) *clientConn {
 	if conn := r.conns[preferredConn]; conn != nil {
 		return conn
@@ -139,7 +143,7 @@
 	return best
 }
 
-// isOnlyClient reports whether a connection is the only one that has sent a valid message.
+// isOnlyClient reports whether a connection is the only open one on which a valid message has arrived.
 func (r *clientRegistry) isOnlyClient(id ConnID) bool {
 	conn := r.conns[id]
 	if conn == nil || !conn.hasSentValidMessage() {
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -1,7 +1,8 @@
-// Package dispatch implements the state machine of the scheduler's platform front end. It tracks the
-// placement requests of clients, the attempts to start their tasks on nodes, the running tasks, the
-// undelivered notifications and the node registry. It translates between the messages of the platform
-// protocol and the events and actions of package placer. Package server runs a Core on network connections.
+// Package dispatch implements the state machine of a scheduler on the shared platform, where clients send
+// placement requests to schedulers and nodes run the tasks. It tracks the placement requests of clients, the
+// attempts to start their tasks on nodes, the running tasks, the undelivered notifications and the node
+// registry. It translates between the messages of clients and nodes, which package protocol defines, and the
+// events and actions of package placer. Package server runs a Core on network connections.
 //
 // The design follows the raft package of etcd: each method call reports what happened and at which time,
 // and Core.Ready returns the effects that the caller has to carry out. The package has no I/O, clock,
@@ -10,15 +11,17 @@
 //
 // Core.ReceiveFromClient and Core.execute are the entry points for a first reading; docs/architecture.md
 // describes how a placement request is processed. Core consists of components, and only the component that
-// owns a field writes it. All components share a sharedState: the clock, the timers, the effects for the
-// caller and the events for the placer. The components are, from the outermost to the innermost layer:
+// owns a field writes it. All components share a sharedState, which contains the clock, the timers, the
+// effects for the caller and the events for the placer. The components are, from the outermost to the
+// innermost layer:
 //
 //   - clientMessageHandler and nodeMessageHandler handle the messages of clients and of nodes;
 //   - taskController manages a task from its start to its end, and adoption adds tasks that run already;
 //   - requestTable and attemptTable store requests and attempts and change their states;
 //   - notifier delivers notifications to clients, and earlyTerminationLog records the ends of tasks that the
 //     scheduler does not know;
-//   - clientRegistry stores the client connections, and nodeRegistry stores the nodes and what runs on them.
+//   - clientRegistry stores the client connections, and nodeRegistry stores the nodes and their running
+//     attempts.
 package dispatch
 
 import (
@@ -38,7 +41,7 @@
 
 // Core is the state machine of the scheduler on the platform. It is not safe for concurrent use.
 type Core struct {
-	// Counts may be read by the caller, but must not be written.
+	// Counts may be read by the caller of the core, but must not be written by it.
 	Counts Counts
 
 	*sharedState
@@ -52,9 +55,9 @@
 	nodeMessages   *nodeMessageHandler
 }
 
-// New returns a core whose node registry is built from initialEvents, the discovery events from before the
-// scheduler start. initialEvents is the JSON value of the key "known" in the platform's configuration, or
-// empty. The returned error names the invalid part of initialEvents.
+// New returns a core whose node registry is built from the discovery events from before the scheduler start.
+// The parameter initialEvents contains these events: it is the JSON value of the key "known" in the
+// platform's configuration, or empty. The returned error names the invalid part of initialEvents.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, initialEvents []byte) (*Core, error) {
 	c := &Core{}
 	c.sharedState = &sharedState{settings: settings, counts: &c.Counts, now: now}
@@ -97,7 +100,8 @@
 	c.nodeMessages = &nodeMessageHandler{sharedState: shared, attempts: c.attempts, tasks: c.tasks, earlyTerminations: earlyTerminations}
 }
 
-// Ready returns the effects that were added since the last call of Ready. The caller owns the returned slice.
+// Ready returns the effects that were added since the previous call of Ready. The caller owns the returned
+// slice.
 func (c *Core) Ready() []Effect { return c.takeEffects() }
 
 // NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
@@ -106,7 +110,7 @@
 // Advance sets the clock to now and runs the timers that are due.
 func (c *Core) Advance(now placer.Seconds) { c.runDueTimers(now) }
 
-// execute executes an action of the placer. An action for an unknown task has no effect.
+// execute carries out an action of the placer. It ignores an action for a task that the core does not know.
 func (c *Core) execute(action *placer.Action) {
 	switch action.Kind {
 	case placer.SetTimer:
@@ -144,7 +148,7 @@
 
 // ClientDisconnected removes a client connection. The open requests of the connection are withdrawn, since
 // their answers can no longer be sent. Notifications that the client may not have received are sent again on
-// another connection.
+// another client connection.
 func (c *Core) ClientDisconnected(now placer.Seconds, conn ConnID) {
 	c.setClock(now)
 	client := c.clients.disconnect(conn)
@@ -158,8 +162,8 @@
 	c.runEvents()
 }
 
-// ClientRequests returns the number of open requests on a client connection, and whether the task of any
-// request on that connection has ever started or was adopted.
+// ClientRequests returns the number of open requests on a client connection, and whether any task that was
+// requested on that connection has started or was adopted.
 func (c *Core) ClientRequests(conn ConnID) (openCount int, hasPlacedTask bool) {
 	client := c.clients.get(conn)
 	if client == nil {
@@ -168,16 +172,16 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsOnlyClient reports whether tasks are running and the connection is the only one that has sent a valid
-// message. If such a connection is closed, no other connection is left on which clients can be notified that
-// their tasks have ended.
+// IsOnlyClient reports whether tasks are running and a client connection is the only open one on which a
+// valid message has arrived. If such a connection is closed, no other connection is left on which clients can
+// be notified that their tasks have ended.
 func (c *Core) IsOnlyClient(conn ConnID) bool {
 	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
 }
 
-// ReceiveFromClient handles one message of a client. It returns an *InvalidMessageError if the message is
-// invalid; Ready then returns the error answer to the client. ReceiveFromClient returns an error that wraps
-// ErrClientNotConnected if the connection is not open.
+// ReceiveFromClient handles one message of a client. If the message is invalid, ReceiveFromClient returns an
+// *InvalidMessageError, and Ready returns the effect that sends the error answer to the client. If the
+// connection is not open, ReceiveFromClient returns an error that wraps ErrClientNotConnected.
 func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
 	c.setClock(now)
 	client := c.clients.get(conn)
@@ -189,8 +193,9 @@
 	return err
 }
 
-// PrepareSend checks an attempt immediately before its first byte is written, and sets the remaining time in
-// the launch message. If PrepareSend returns false, the attempt has ended and must not be sent.
+// PrepareSend checks an attempt immediately before the first byte of its launch message is written, and sets
+// the remaining time in the message. If PrepareSend returns false, the attempt has ended and must not be
+// sent.
 func (c *Core) PrepareSend(now placer.Seconds, attempt *Attempt) bool {
 	c.setClock(now)
 	ok := c.attempts.prepareSend(attempt)
@@ -206,17 +211,18 @@
 	c.runEvents()
 }
 
-// ConnectionLost tells the core that the connection on which an attempt was sent has closed. If the attempt
-// had no answer, its outcome is unknown.
+// ConnectionLost tells the core that the connection on which an attempt was sent has closed. If the node has
+// not answered the attempt, the attempt ends with an unknown outcome.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setClock(now)
 	c.attempts.handleConnectionLoss(attempt)
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. A message about a task that was not sent to the node, or
-// that the core no longer knows, changes only counters. If such a message reports the end of a task that the
-// core does not know, the end is also recorded, since a client may still list the task for adoption.
+// ReceiveFromNode handles one message of a node. If no attempt for the task of the message was sent to the
+// node, or if that attempt was already removed, the message changes only counters. If the message reports the
+// end of a task that the core does not know, the end is also recorded, because a client may still request the
+// adoption of the task.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
@@ -230,12 +236,12 @@
 	c.runEvents()
 }
 
-// NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. Their clients
-// are notified immediately. The tasks may still be running if the node is only partitioned from the network,
-// so the node is asked to stop them as soon as it can be reached. For the placer, each task runs until the
-// node confirms that it stopped the task, or until notificationRetention has passed. If the placer considered
-// the tasks ended earlier, it would count capacity as free that is in use on a node that may come back, and
-// it would exceed the limit on the number of tasks of a service in one failure domain.
+// NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. The clients of
+// the tasks are notified immediately. The tasks may still be running if the node is only partitioned from the
+// network, so the node is asked to stop the tasks as soon as it can be reached. The placer learns that a task
+// has ended only when the node confirms that it stopped the task, or when notificationRetention has passed.
+// If the placer were told earlier, it would count capacity as free that is in use on a node that may come
+// back, and it would exceed the limit on the number of tasks of a service in one failure domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (stoppedTasks int) {
 	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
@@ -248,7 +254,7 @@
 // Node returns the node with the given ID, or nil if the registry does not contain it.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
-// EachNode calls f for each node of the registry, in no particular order.
+// EachNode calls f for each node in the node registry, in no particular order.
 func (c *Core) EachNode(f func(*Node)) { c.nodes.each(f) }
 
 // LastDiscoveryEvent returns the sequence number of the last discovery event that was applied.
@@ -256,8 +262,8 @@
 
 // ReceiveDiscoveryEvent applies one event of the discovery stream. It returns false without applying the
 // event if the event is invalid or if earlier events are missing. In both cases the caller has to reopen the
-// stream after the event with the number LastDiscoveryEvent. An event that was already applied is ignored,
-// and ok is true.
+// discovery stream at the event that follows LastDiscoveryEvent. If the event was already applied,
+// ReceiveDiscoveryEvent ignores it and returns true.
 func (c *Core) ReceiveDiscoveryEvent(now placer.Seconds, data []byte) (ok bool, err error) {
 	c.setClock(now)
 	ok, err = c.nodes.receiveEvent(data)
@@ -268,16 +274,17 @@
 // SetDiscoveryConnected tells the core whether the discovery stream is connected. While it is connected, the
 // placer receives each change of the node list without a request. If the placer requests the node list during
 // that time, the core answers at once that there are no further changes. If the stream is not connected, the
-// core answers when the caller reports the result of the next attempt to connect. If that attempt failed, the
-// placer's request fails too.
+// core answers the placer's request when the caller reports whether it could connect the stream. If the
+// caller could not connect it, the core answers that the request failed.
 func (c *Core) SetDiscoveryConnected(now placer.Seconds, connected bool) {
 	c.setClock(now)
 	c.nodes.setDiscoveryConnected(connected)
 	c.runEvents()
 }
 
-// newRejection returns the answer to a request that is rejected for lack of capacity. retryAfter is how long
-// the client is advised to wait before it sends a new request; 0 means that no advice is sent.
+// newRejection returns the answer to a request that is rejected for lack of capacity. The answer advises the
+// client to wait for the time retryAfter before it sends a new request. If retryAfter is 0, the answer
+// contains no such advice.
 func (c *Core) newRejection(req *request, retryAfter placer.Seconds) protocol.Message {
 	answer := replyTo(&req.message, protocol.Stop, protocol.CauseNoCapacity)
 	if retryAfter > 0 && c.settings.Placer.Retry.SendsRetryAfter {
--- a/internal/platform/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -8,16 +8,16 @@
 	"heathshed/placer"
 )
 
-// TestDelaysBelowClockResolution checks that the placer does not run in an endless loop if it repeatedly
+// TestDelaysBelowClockResolution checks that a core does not run in an endless loop if the placer repeatedly
 // requests a timer whose delay is below the resolution of the clock.
 func TestDelaysBelowClockResolution(t *testing.T) {
-	const now = 1.8e9 // Unix seconds; a float64 of this size has a resolution of 2.4e-7 s
+	const now = 1.8e9 // This is a Unix time in seconds. A float64 of this size has a resolution of 2.4e-7 s.
 	for _, after := range []placer.Seconds{0, 1e-9} {
 		wakeups := 0
 		core := &Core{sharedState: &sharedState{settings: &simconfig.Settings{}, now: now}}
 		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(placer.Event) []placer.Action {
 			if wakeups++; wakeups > 1000 {
-				t.Fatalf("placer was woken %d times at the same time by delays of %g s", wakeups, after)
+				t.Fatalf("placer received %d timer events at the same time for timers with a delay of %g s, want at most 1000", wakeups, after)
 			}
 			return []placer.Action{{Kind: placer.SetTimer, After: after}}
 		})}
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -10,11 +10,11 @@
 // discoveryEvent is one event of the discovery stream. The JSON keys are defined by the platform.
 type discoveryEvent struct {
 	Number   uint64    `json:"no"`
-	NodeList *nodeList `json:"roster"` // nil in events that contain no node list
+	NodeList *nodeList `json:"roster"` // NodeList is nil if the event contains no node list.
 }
 
-// nodeList is the list of nodes in a discovery event. It contains all nodes if Complete is set, otherwise
-// only the nodes that have changed.
+// nodeList is the list of nodes in a discovery event. It contains all nodes of the platform if Complete is
+// set, otherwise only the nodes that have changed.
 type nodeList struct {
 	Revision uint64      `json:"rev"`
 	Complete bool        `json:"all"`
@@ -30,13 +30,13 @@
 	Rack        int        `json:"pod_group"`
 	State       string     `json:"state"`
 	StartedAtMS float64    `json:"boot_ms"`
-	Free        [2]float64 `json:"open"` // free cores and free memory
+	Free        [2]float64 `json:"open"` // Free contains the number of free cores and the amount of free memory.
 }
 
 // initialEventList is the part of the platform's configuration that contains the discovery events from before
 // the scheduler start.
 type initialEventList struct {
-	Number uint64           `json:"no"` // sequence number of the last event
+	Number uint64           `json:"no"` // Number is the sequence number of the last event.
 	Events []discoveryEvent `json:"items"`
 }
 
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -10,34 +10,36 @@
 // maxEarlyTerminations limits the number of records in an earlyTerminationLog.
 const maxEarlyTerminations = maxTasks
 
-// earlyTermination is the record of the end of a task that a node reported although the scheduler does not
-// know the task. A client may still list the task for adoption.
+// earlyTermination records that a node has reported the end of a task that the scheduler does not know. A
+// client may still request the adoption of this task.
 type earlyTermination struct {
 	cause     protocol.Cause
 	expiresAt placer.Seconds
 }
 
 // earlyTerminationLog records the ends of tasks that the scheduler does not know, for as long as clients may
-// still list these tasks for adoption. After a scheduler start, a node reports on its first connection which
-// tasks ended while it had no connection. These reports can arrive before the messages of clients that list
-// thousands of tasks. The number of records is limited; the oldest record is removed first.
+// still request the adoption of these tasks. After a scheduler start, a node reports on its first connection
+// which tasks ended while it had no connection to a scheduler. These reports can arrive before the adoption
+// requests, of which clients send thousands. The number of records is limited. A full log removes its oldest
+// record when it adds a new one.
 type earlyTerminationLog struct {
 	*sharedState
 	records         map[attemptKey]earlyTermination
-	keysOldestFirst []attemptKey // the keys of records, starting with the oldest record
+	keysOldestFirst []attemptKey // keysOldestFirst contains the keys of the records. The oldest is the first.
 }
 
 func newEarlyTerminationLog(shared *sharedState) *earlyTerminationLog {
 	return &earlyTerminationLog{sharedState: shared, records: map[attemptKey]earlyTermination{}}
 }
 
-// get returns the record of the end of a task, if the log contains one.
+// get returns the record with the given key, if the log contains one.
 func (l *earlyTerminationLog) get(key attemptKey) (record earlyTermination, found bool) {
 	record, found = l.records[key]
 	return record, found
 }
 
-// record adds a record of the end of an unknown task. If the end is already recorded, it changes nothing.
+// add records that the task with the given key has ended. If the log already contains a record with this key,
+// add changes nothing.
 func (l *earlyTerminationLog) add(key attemptKey, cause protocol.Cause) {
 	if _, isRecorded := l.records[key]; isRecorded {
 		return
@@ -54,7 +56,7 @@
 	}
 }
 
-// expire removes the expired records and sets a timer for the oldest record that is left.
+// expire removes the expired records and sets a timer for the expiry of the oldest record that is left.
 func (l *earlyTerminationLog) expire() {
 	expiredCount := 0
 	for _, key := range l.keysOldestFirst {
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -6,8 +6,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestEarlyTerminationLog checks that the log keeps the first reported end of a task for
-// notificationRetention, that it has one timer for all records, and that a full log removes its oldest
+// TestEarlyTerminationLog checks that the log keeps the record of the first report of the end of a task for
+// notificationRetention, that the log sets one timer for all records, and that a full log removes its oldest
 // record.
 func TestEarlyTerminationLog(t *testing.T) {
 	shared := &sharedState{now: 100}
@@ -15,18 +15,18 @@
 	requireRecord := func(id protocol.ID, cause protocol.Cause, want bool) {
 		t.Helper()
 		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
-			t.Errorf("at time %v: record of task %d is %+v, found is %v, want found to be %v", shared.now, id, record, found, want)
+			t.Errorf("at time %v: record of task %d is %+v, record exists: %v, want %v", shared.now, id, record, found, want)
 		}
 	}
 
 	log.add(attemptKey{1, 1}, 16)
 	shared.now = 103
-	log.add(attemptKey{1, 1}, 41) // this repeated report must not change the record
+	log.add(attemptKey{1, 1}, 41) // This repeated report must not change the record.
 	log.add(attemptKey{1, 2}, 31)
 
 	requireRecord(1, 16, true)
 	if shared.timers.Len() != 1 || shared.timers.NextTimeOr(0) != 100+notificationRetention {
-		t.Errorf("%d timers are set, the next one at %v, want one timer, at the expiry of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
+		t.Errorf("%d timers are set, the next one for time %v; want one timer, for the expiry of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
 	}
 	shared.runDueTimers(100 + notificationRetention)
 	requireRecord(1, 0, false)
@@ -34,7 +34,7 @@
 	shared.runDueTimers(103 + notificationRetention)
 	requireRecord(2, 0, false)
 	if shared.timers.Len() != 0 {
-		t.Errorf("%d timers are left after all records have expired, want 0", shared.timers.Len())
+		t.Errorf("%d timers are set after all records have expired, want 0", shared.timers.Len())
 	}
 
 	for id := range protocol.ID(maxEarlyTerminations + 1) {
--- a/internal/platform/dispatch/effect.go
+++ b/internal/platform/dispatch/effect.go
@@ -7,16 +7,16 @@
 
 // These are the kinds of effects.
 const (
-	// SendToClient requests that Message be sent on the client connection Conn.
+	// SendToClient requires the caller to send Message on the client connection Conn.
 	SendToClient EffectKind = iota + 1
-	// SendAttempt requests that Attempt be sent to its node. The caller has to call Core.PrepareSend before
-	// it writes the first byte.
+	// SendAttempt requires the caller to send Attempt to its node. The caller has to call Core.PrepareSend
+	// before it writes the first byte.
 	SendAttempt
-	// SendToNode requests that Message be sent to the node of Attempt. The connection on which Attempt was
-	// sent is used if it is open, otherwise any connection to the node.
+	// SendToNode requires the caller to send Message to the node of Attempt. The caller uses the connection
+	// on which Attempt was sent if that connection is open, otherwise any connection to the node.
 	SendToNode
-	// ConnectNode requests a connection to the node of Attempt, which runs an adopted task. The node needs a
-	// connection to report the end of the task.
+	// ConnectNode requires the caller to connect to the node of Attempt, which runs an adopted task. The node
+	// needs a connection to report the end of the task.
 	ConnectNode
 	// NodesChanged reports that the set of nodes or their addresses may have changed.
 	NodesChanged
@@ -29,7 +29,7 @@
 	Conn    ConnID
 	Attempt *Attempt
 	Message protocol.Message
-	// TimedOut is set for SendToNode if the attempt was not answered in time. The connection on which the
-	// attempt was sent may then be broken.
+	// TimedOut is set in a SendToNode effect if Attempt was not answered in time. The connection on which
+	// Attempt was sent may then be broken.
 	TimedOut bool
 }
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -14,17 +14,18 @@
 	counts   *Counts
 	now      placer.Seconds
 	timers   timerqueue.Queue[placer.Seconds]
-	effects  []Effect // effects that were added since the last call of takeEffects
+	effects  []Effect // effects contains the effects that were added since the last call of takeEffects.
 	events   eventqueue.Queue
 }
 
-// setClock sets the clock to now, unless that would move it backwards.
+// setClock sets the clock to the given time, unless that would move the clock backwards.
 func (shared *sharedState) setClock(now placer.Seconds) { shared.now = max(shared.now, now) }
 
-// addEffect adds an effect, which the caller of Core.Ready has to carry out.
+// addEffect adds an effect that the caller of Core.Ready has to carry out.
 func (shared *sharedState) addEffect(effect Effect) { shared.effects = append(shared.effects, effect) }
 
-// takeEffects returns the effects that were added since the last call, and clears them.
+// takeEffects returns the effects that were added since its last call. Its next call does not return them
+// again.
 func (shared *sharedState) takeEffects() []Effect {
 	effects := shared.effects
 	shared.effects = nil
@@ -37,7 +38,7 @@
 // runEvents passes all queued events to the placer and executes the actions that the placer returns.
 func (shared *sharedState) runEvents() { shared.events.Run(shared.now) }
 
-// runDueTimers sets the clock to now and runs the timers that are due.
+// runDueTimers sets the clock to the given time and runs the timers that are due.
 func (shared *sharedState) runDueTimers(now placer.Seconds) {
 	shared.setClock(now)
 	for timer := shared.timers.Pop(shared.now); timer != nil; timer = shared.timers.Pop(shared.now) {
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -26,11 +26,12 @@
 
 func nodeID(number int) placer.NodeID { return NodeIDOf(nodeUID(number)) }
 
-// adoptionExtras returns the text that a launch message for an adoption has at the end of its extras. The
-// text names the node on which the task already runs.
+// adoptionExtras returns the text that an adoption request has at the end of its field Extras. The text names
+// the node on which the task already runs.
 func adoptionExtras(node int) string { return ";at:" + nodeUID(node) }
 
-// longRunningMS is the remaining time, in milliseconds, that clients send for a task that runs indefinitely.
+// longRunningMS is the remaining time, in milliseconds, that a client sends in the adoption request for a
+// task without a planned end.
 const longRunningMS = 4294967
 
 func nodeJSON(number int, state string, startedAtMS int64) string {
@@ -53,7 +54,7 @@
 	return msg
 }
 
-// launchMessage returns a valid launch message for a new request.
+// launchMessage returns a valid launch message for a new placement request.
 func launchMessage(id protocol.ID) protocol.Message {
 	msg := newMessage(protocol.Launch, id, noCause)
 	msg.Body = `"in"`
@@ -65,8 +66,8 @@
 	return msg
 }
 
-// fixedNodePlacer starts one attempt for each request, always on the same node, and rejects the request if
-// the attempt fails. It records the events that it receives.
+// fixedNodePlacer is a placer that starts one attempt for each request, always on the same node, and rejects
+// the request if the attempt fails. It records the events that it receives.
 type fixedNodePlacer struct {
 	node   placer.NodeID
 	events []placer.Event
@@ -87,7 +88,7 @@
 	return policy.events[len(policy.events)-1]
 }
 
-// received reports whether the placer has received an event of the given kind.
+// receivedEvent reports whether the placer has received an event of the given kind.
 func (policy *fixedNodePlacer) receivedEvent(kind placer.EventKind) bool {
 	for i := range policy.events {
 		if policy.events[i].Kind == kind {
@@ -107,7 +108,7 @@
 	return sent
 }
 
-// asksNodeToStop reports whether one of the effects asks a node to stop a task.
+// asksNodeToStop reports whether any of the effects asks a node to stop a task.
 func asksNodeToStop(effects []Effect) bool {
 	for i := range effects {
 		if effects[i].Kind == SendToNode && effects[i].Message.Kind == protocol.Stop {
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 // FuzzMessages checks that arbitrary messages of clients and nodes cause no panic, and that the core contains
-// no requests and no attempts once all retention times have passed.
+// no request and no attempt after all nodes have exited and all retention times have passed.
 func FuzzMessages(f *testing.F) {
 	f.Add(strings.Join([]string{
 		`{"kind":"launch","uid":"0000000000000001","meta":{"class":"query","left":900,"tenant":"south","key":"0000000000000001",` +
@@ -30,7 +30,8 @@
 			if protocol.Parse([]byte(line), &msg) != nil {
 				continue
 			}
-			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg) // most messages are invalid, so errors are ignored
+			// Errors are ignored, since most messages are invalid.
+			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg)
 			for _, effect := range harness.core.Ready() {
 				if effect.Kind == SendAttempt {
 					harness.core.PrepareSend(harness.now, effect.Attempt)
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -13,34 +13,38 @@
 	"heathshed/placer"
 )
 
-// coreHarness makes calls to a core, records what each client sent and received, and checks that the core
-// follows the rules of the protocol.
+// coreHarness calls the methods of a core, records what each client sent and received, and checks that the
+// core follows the rules of the protocol.
 type coreHarness struct {
 	t               rapid.TB
 	core            *Core
 	now             placer.Seconds
-	lastEventNumber int
+	lastEventNumber int // lastEventNumber is the number of the last discovery event.
 	lastConn        ConnID
 	conns           []ConnID
 	lastID          uint64
 	clientRecords   map[protocol.ID]*clientRecord
-	pendingAttempts []*Attempt // attempts that wait for a connection to their node
-	sentAttempts    []*Attempt // attempts that were sent, including those that have ended
-	runningAttempts []*Attempt // attempts whose ends endAllTasks reports
+	pendingAttempts []*Attempt // These attempts wait for a connection to their node.
+	sentAttempts    []*Attempt // These attempts were sent, and some of them have ended.
+	runningAttempts []*Attempt // The method endAllTasks reports the ends of these attempts.
 }
 
 // clientRecord records what the client of one task sent and received.
 type clientRecord struct {
-	lastNotificationConn           ConnID // the connection of the last notification, or 0 after its acknowledgement
-	conn                           ConnID
-	deadline                       placer.Seconds
-	withdrawn, adopted             bool // whether the client withdrew the request, or listed the task for adoption
+	// lastNotificationConn is the connection on which the last notification was sent. It is 0 if no
+	// notification was sent or if the client has acknowledged the last one.
+	lastNotificationConn ConnID
+	conn                 ConnID // conn is the connection on which the client sent the launch message.
+	deadline             placer.Seconds
+	// withdrawn is set if the client withdrew the request. adopted is set if the client requested the
+	// adoption of the task.
+	withdrawn, adopted             bool
 	answerCount, notificationCount int
-	knowsTaskRuns                  bool // whether the client knows that the task runs
+	knowsTaskRuns                  bool // The client knows that the task runs.
 }
 
-// newHarness returns a harness for a core whose registry contains the nodes 1 to 3. If policy is nil, the
-// core uses a placer.Placer.
+// newHarness returns a harness for a core whose node registry contains the nodes 1 to 3. If the given policy
+// is nil, the core uses a placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
 	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
@@ -62,8 +66,8 @@
 	return harness
 }
 
-// sentAttempt creates a core and sends an attempt to node 1, which does not answer yet. It returns the
-// harness of the core, the placer that the core uses, and the attempt.
+// sentAttempt creates a core and sends an attempt of a new request to node 1, which does not answer yet. It
+// returns the harness of the core, the placer that the core uses, and the attempt.
 func sentAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	policy := &fixedNodePlacer{node: nodeID(1)}
@@ -73,7 +77,8 @@
 	return harness, policy, harness.sentAttempts[0]
 }
 
-// runningAttempt does the same as sentAttempt, and then makes the node accept the attempt.
+// runningAttempt creates a core and sends an attempt of a new request to node 1, which accepts it. It returns
+// the harness of the core, the placer that the core uses, and the attempt.
 func runningAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
@@ -89,8 +94,8 @@
 	return harness.lastConn
 }
 
-// launch makes a client send a launch message with a new task ID, and returns that ID. extras is either
-// empty, for a new request, or the result of adoptionExtras.
+// sendLaunch makes a client send a launch message with a new task ID, and returns that ID. The parameter
+// extras is empty for a new placement request. For an adoption request, it is the result of adoptionExtras.
 func (harness *coreHarness) sendLaunch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	harness.lastID++
 	msg := launchMessage(protocol.ID(harness.lastID))
@@ -105,12 +110,13 @@
 	return msg.ID
 }
 
-// adopt makes a client list for adoption a task that runs on a node, and returns the ID of the task.
+// requestAdoption makes a client request the adoption of a task that runs on a node, and returns the ID of
+// the task.
 func (harness *coreHarness) requestAdoption(conn ConnID, node int) protocol.ID {
 	return harness.sendLaunch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
 
-// withdraw makes a client withdraw an open request.
+// withdrawRequest makes the client of an open request withdraw the request.
 func (harness *coreHarness) withdrawRequest(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
@@ -118,7 +124,7 @@
 	harness.carryOutEffects()
 }
 
-// checkHealth makes a client send a health check, and returns the ID of that message.
+// sendHealthCheck makes a client send a health check, and returns the ID of that message.
 func (harness *coreHarness) sendHealthCheck(conn ConnID) protocol.ID {
 	check := newMessage(protocol.Check, 1<<60, 0)
 	harness.clientRecords[check.ID] = &clientRecord{knowsTaskRuns: true}
@@ -127,10 +133,10 @@
 	return check.ID
 }
 
-// receiveFromClient passes a valid client message to the core. It does not call carryOutEffects.
+// receiveFromClient passes a valid message of a client to the core. It does not call carryOutEffects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
-		harness.t.Fatalf("core rejected message %v on client connection %d: %v", msg, conn, err)
+		harness.t.Fatalf("core rejected the valid message %v on client connection %d: %v", msg, conn, err)
 	}
 }
 
@@ -139,7 +145,7 @@
 	return harness.carryOutEffects()
 }
 
-// accept makes a node accept an attempt that was sent to it, and returns the effects.
+// acceptAttempt makes a node accept an attempt that was sent to the node, and returns the effects.
 func (harness *coreHarness) acceptAttempt(attempt *Attempt) []Effect {
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
@@ -150,13 +156,13 @@
 	harness.core.ReceiveFromNode(harness.now, node, &msg)
 }
 
-// migrate executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
+// migrateTask executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
 func (harness *coreHarness) migrateTask(attempt *Attempt) {
 	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
-// carryOutEffects takes the effects from the core, passes the messages to clients to receiveAsClient, and
-// returns the effects.
+// carryOutEffects takes the effects from the core and returns them. It records each attempt that is to be
+// sent, and passes each message for a client to receiveAsClient.
 func (harness *coreHarness) carryOutEffects() []Effect {
 	if illegalTransitions := harness.core.IllegalTransitions(); illegalTransitions != 0 {
 		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegalTransitions)
@@ -173,42 +179,43 @@
 	return effects
 }
 
-// receiveAsClient records a message that the core sent to a client, and checks the message. A request
-// must not get more than one answer, must get it in time, and must not get it after a withdrawal. A client
+// receiveAsClient records a message that the core sent to a client, and checks the message. A request must
+// be answered at most once and in time, and it must not be answered after its client withdrew it. A client
 // must be notified only once of the end of its running task.
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent message %v about a request that no client made", msg)
+		harness.t.Fatalf("core sent message %v about a request that no client has sent", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answerCount++
 		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
 		if unexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("invalid or late answer %v at time %v, client record %+v, connection %d", msg, harness.now, record, conn)
+			harness.t.Fatalf("client received an invalid or late answer %v at time %v, client record is %+v, connection is %d", msg, harness.now, record, conn)
 		}
 		record.knowsTaskRuns = true
 	case record.knowsTaskRuns:
 		record.notificationCount++
-		// A second notification is allowed only if the connection of the first closed without an
-		// acknowledgement.
+		// A second notification is allowed only if the connection on which the first one was sent closed and
+		// the client had not acknowledged the first one.
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
-			harness.t.Fatalf("client was notified a second time: %v", msg)
+			harness.t.Fatalf("client was notified of the end of its task a second time, with message %v", msg)
 		}
 		record.lastNotificationConn = conn
 	default:
 		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("unexpected or late rejection %v at time %v, client record %+v", msg, harness.now, record)
+			harness.t.Fatalf("client received an unexpected or late rejection %v at time %v, client record is %+v", msg, harness.now, record)
 		}
 	}
 	if record.answerCount > 1 {
-		harness.t.Fatalf("client received a second answer: %v", msg)
+		harness.t.Fatalf("client received a second answer to its request, message %v", msg)
 	}
 }
 
-// acknowledge makes a client acknowledge its last notification.
+// acknowledgeNotification makes the client of a task acknowledge the last notification about that task. It
+// does nothing if there is no such notification or if the connection of the notification is closed.
 func (harness *coreHarness) acknowledgeNotification(id protocol.ID) {
 	record := harness.clientRecords[id]
 	if record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) == nil {
@@ -219,8 +226,8 @@
 	harness.carryOutEffects()
 }
 
-// send sends the pending attempt with index i. It fails the test if another attempt of the same request is
-// live.
+// sendPendingAttempt sends the attempt with the given index in pendingAttempts. It fails the test if another
+// attempt of the same request is live.
 func (harness *coreHarness) sendPendingAttempt(index int) {
 	attempt := harness.pendingAttempts[index]
 	harness.pendingAttempts = slices.Delete(harness.pendingAttempts, index, index+1)
@@ -259,8 +266,8 @@
 	}
 }
 
-// endAllTasks ends all running tasks, advances the clock until all retention times have passed, and checks
-// that each request was answered and that the core is empty.
+// endAllTasks ends all running tasks and advances the clock until all retention times have passed. It then
+// checks that each request was answered and that the core contains no request and no attempt.
 func (harness *coreHarness) endAllTasks() {
 	harness.advanceClock(10)
 	for _, attempt := range slices.Clone(harness.runningAttempts) {
@@ -270,13 +277,13 @@
 	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
 		if record.answerCount == 0 && !record.withdrawn && !record.adopted && id != check {
-			harness.t.Fatalf("request %x was not answered, client record %+v", uint64(id), record)
+			harness.t.Fatalf("request %x was not answered, client record is %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
 	if pending := len(harness.core.notifier.pendingNotifications); pending != 0 {
-		harness.t.Fatalf("%d pending notifications are left, want 0", pending)
+		harness.t.Fatalf("core has %d pending notifications after all retention times, want 0", pending)
 	}
 }
 
@@ -292,6 +299,6 @@
 	core := harness.core
 	remainingCounts := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
 	if slices.ContainsFunc(remainingCounts, func(count int) bool { return count != 0 }) {
-		harness.t.Fatalf("numbers of open requests, running tasks, requests by task, requests by ID and attempts are %v, want all to be 0", remainingCounts)
+		harness.t.Fatalf("core is not empty: the numbers of open requests, running tasks, requests by task ID, requests by message ID and attempts are %v, want 0 for each", remainingCounts)
 	}
 }
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// CheckInvariants returns an error that names the invariants that do not hold. It visits all requests,
-// attempts and nodes, and is intended for tests.
+// CheckInvariants returns an error that describes the violated invariants, or nil if all invariants hold. It
+// visits all requests, attempts and nodes, and is intended for tests.
 func (c *Core) CheckInvariants() error {
 	return errors.Join(
 		c.requests.checkInvariants(),
@@ -16,8 +16,9 @@
 	)
 }
 
-// checkInvariants checks that both maps of the table contain the same requests, that openCount is the number
-// of open requests, and that each client connection lists exactly its open requests.
+// checkInvariants checks that the maps byTask and byID contain the same requests and that openCount is the
+// number of open requests. It also checks that the set openRequests of each client connection contains the
+// open requests that arrived on that connection, and no others.
 func (t *requestTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("request table: %d illegal state transitions", t.illegalTransitions)
@@ -38,7 +39,7 @@
 		}
 	}
 	if openOnConnections := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != openOnConnections {
-		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the connections list %d", openRequests, t.openCount, openOnConnections)
+		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the client connections have %d open requests", openRequests, t.openCount, openOnConnections)
 	}
 	return nil
 }
@@ -51,7 +52,7 @@
 			return errors.New("an attempt runs the task of the open request")
 		}
 		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpenRequest(req) {
-			return fmt.Errorf("connection %d does not list the open request", req.conn)
+			return fmt.Errorf("the open request is missing from the open requests of client connection %d", req.conn)
 		}
 	case requestRunning, requestMigrating, requestStopping:
 		if !taskRuns {
@@ -64,7 +65,8 @@
 }
 
 // checkInvariants checks that each attempt is stored under its own key and is not terminated. It also checks
-// that a node lists an attempt as running if and only if the attempt is in state attemptRunning.
+// that the set of running attempts of a node contains an attempt if and only if the attempt is in state
+// attemptRunning.
 func (t *attemptTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
 		return fmt.Errorf("attempt table: %d illegal state transitions", t.illegalTransitions)
@@ -74,14 +76,14 @@
 			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x is in state %v, but is listed as running by the node: %v", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x is in state %v; contained in the node's running attempts: %v, want true only in state running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that nodes are stored under their IDs, and that the attempts that a node lists as
-// running do run on that node.
+// checkInvariants checks that nodes are stored under their IDs, and that all attempts in the set of running
+// attempts of a node run on that node.
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
@@ -89,15 +91,15 @@
 		}
 		for attempt := range node.runningAttempts {
 			if attempt.Node != id || attempt.state != attemptRunning {
-				return fmt.Errorf("node %s lists attempt %s in state %v as running, but the attempt does not run there", node.UID, attempt.Message.UID, attempt.state)
+				return fmt.Errorf("the running attempts of node %s contain attempt %s in state %v, which does not run on that node", node.UID, attempt.Message.UID, attempt.state)
 			}
 		}
 	}
 	return nil
 }
 
-// checkInvariants checks that keysOldestFirst contains the key of each record, and that no record expires
-// before the record of the preceding key.
+// checkInvariants checks that keysOldestFirst contains the key of each record, and that these keys are in the
+// order in which their records expire.
 func (l *earlyTerminationLog) checkInvariants() error {
 	if len(l.records) != len(l.keysOldestFirst) || len(l.keysOldestFirst) > maxEarlyTerminations {
 		return fmt.Errorf("early termination log: %d records, but %d keys in keysOldestFirst", len(l.records), len(l.keysOldestFirst))
@@ -105,7 +107,7 @@
 	for i, key := range l.keysOldestFirst {
 		record, found := l.records[key]
 		if !found || i > 0 && record.expiresAt < l.records[l.keysOldestFirst[i-1]].expiresAt {
-			return fmt.Errorf("early termination %d of %d: record found: %v, expires at %v, want a record that does not expire before the preceding one", i, len(l.keysOldestFirst), found, record.expiresAt)
+			return fmt.Errorf("early termination %d of %d: record exists: %v, record expires at %v; want a record that does not expire before the preceding one", i, len(l.keysOldestFirst), found, record.expiresAt)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -8,44 +8,44 @@
 	"heathshed/placer"
 )
 
-// TestInvariants checks that CheckInvariants names each violated invariant. Each case violates one invariant
-// in a core with an open request, a running task and a recorded end of an unknown task.
+// TestInvariants checks that CheckInvariants returns an error that describes the violated invariant. Each
+// case violates one invariant of a core that has an open request, a running task and an early termination.
 func TestInvariants(t *testing.T) {
 	for _, test := range []struct {
 		name, want string
 		corrupt    func(core *Core, open, running *request)
 	}{
-		{"illegal request transition", "request table: 1 illegal state transitions", func(core *Core, open, _ *request) { core.requests.transition(open, requestOpen) }},
-		{"illegal attempt transition", "attempt table: 1 illegal state transitions", func(core *Core, open, _ *request) {
+		{"request makes an illegal state transition", "request table: 1 illegal state transitions", func(core *Core, open, _ *request) { core.requests.transition(open, requestOpen) }},
+		{"attempt makes an illegal state transition", "attempt table: 1 illegal state transitions", func(core *Core, open, _ *request) {
 			core.attempts.transition(open.lastAttempt(), attemptPending)
 		}},
-		{"request missing from the index by ID", "2 requests are indexed by task and 1 by ID", func(core *Core, open, _ *request) { delete(core.requests.byID, open.message.ID) }},
-		{"one request stored under two IDs", "contain different requests", func(core *Core, open, running *request) {
+		{"request is missing from the index by ID", "2 requests are indexed by task and 1 by ID", func(core *Core, open, _ *request) { delete(core.requests.byID, open.message.ID) }},
+		{"one request is stored under two IDs", "and by request ID contain different requests", func(core *Core, open, running *request) {
 			core.requests.byID[running.message.ID] = open
 		}},
-		{"wrong count of open requests", "1 requests are open, but openCount is 2", func(core *Core, _, _ *request) { core.requests.openCount++ }},
-		{"open request not listed by its connection", "does not list the open request", func(core *Core, open, _ *request) { core.clients.removeOpenRequest(open) }},
-		{"open request with a running attempt", "an attempt runs the task of the open request", func(core *Core, open, _ *request) { core.attempts.markRunning(open.lastAttempt()) }},
-		{"running request without an attempt", "no attempt runs the task", func(_ *Core, _, running *request) { running.attempts = nil }},
-		{"ended request not removed", "the request has ended but was not removed", func(_ *Core, _, running *request) { running.state = requestTerminated }},
-		{"terminated attempt not removed", "in state terminated is stored under node", func(_ *Core, open, _ *request) { open.lastAttempt().state = attemptTerminated }},
-		{"running attempt not listed by its node", "listed as running by the node: false", func(core *Core, _, running *request) {
+		{"openCount is too high", "1 requests are open, but openCount is 2 and the client connections have 1 open requests", func(core *Core, _, _ *request) { core.requests.openCount++ }},
+		{"open request is missing from its connection", "the open request is missing from the open requests of client connection", func(core *Core, open, _ *request) { core.clients.removeOpenRequest(open) }},
+		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, open, _ *request) { core.attempts.markRunning(open.lastAttempt()) }},
+		{"running request has no attempt", "no attempt runs the task", func(_ *Core, _, running *request) { running.attempts = nil }},
+		{"terminated request was not removed", "the request has ended but was not removed", func(_ *Core, _, running *request) { running.state = requestTerminated }},
+		{"terminated attempt was not removed", "in state terminated is stored under node", func(_ *Core, open, _ *request) { open.lastAttempt().state = attemptTerminated }},
+		{"running attempt is missing from its node", "in state running; contained in the node's running attempts: false, want true only in state running", func(core *Core, _, running *request) {
 			core.nodes.removeRunningAttempt(running.lastAttempt())
 		}},
-		{"unanswered attempt listed as running", "listed as running by the node: true", func(core *Core, open, _ *request) {
+		{"running attempts of a node contain an unanswered attempt", "in state sent; contained in the node's running attempts: true, want true only in state running", func(core *Core, open, _ *request) {
 			core.nodes.addRunningAttempt(open.lastAttempt())
 		}},
-		{"attempt listed by several nodes", "as running, but the attempt does not run there", func(core *Core, _, running *request) {
+		{"running attempts of several nodes contain the same attempt", "in state running, which does not run on that node", func(core *Core, _, running *request) {
 			for _, node := range core.nodes.nodes {
 				node.runningAttempts[running.lastAttempt()] = struct{}{}
 			}
 		}},
-		{"node stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
-		{"key of an early termination without a record", "0 records, but 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
+		{"node is stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
+		{"early termination log has a key without a record", "0 records, but 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
-		{"early terminations that are not in the order of their expiry", "early termination 1 of 2", func(core *Core, _, _ *request) {
-			core.now = 0 // the clock of a real core never moves backwards
+		{"early terminations are not in the order of their expiry", "early termination 1 of 2", func(core *Core, _, _ *request) {
+			core.now = 0 // Outside tests, the clock never moves backwards.
 			core.nodeMessages.earlyTerminations.add(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
 	} {
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,8 +10,8 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport returns the load report in a message of a node, or nil if the message contains no number
-// for any of the given report fields.
+// parseLoadReport returns the load report in a message of a node. It uses only the report fields that are in
+// the given list of fields, and returns nil if the message contains a number for none of them.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -15,25 +15,27 @@
 	UID       string
 	Addr      string
 	State     placer.NodeState
-	StartedAt placer.Seconds // Unix time; 0 means that the node started long ago
+	StartedAt placer.Seconds // StartedAt is a Unix time. It is 0 if the node started long ago.
 
-	placerNode           placer.Node
-	runningAttempts      map[*Attempt]struct{} // the attempts that run on the node
-	stateChangedAt       placer.Seconds        // when the state last changed
-	taskLossScheduledFor placer.Seconds        // the stateChangedAt for which scheduleTaskLoss has set a timer, or 0
-	removalScheduled     bool                  // whether scheduleRemoval has set a timer
+	placerNode      placer.Node
+	runningAttempts map[*Attempt]struct{} // runningAttempts is the set of attempts that run on the node.
+	stateChangedAt  placer.Seconds        // stateChangedAt is when State last changed.
+	// taskLossScheduledFor is the value that stateChangedAt had when scheduleTaskLoss set its timer. It is 0
+	// if that timer is not set.
+	taskLossScheduledFor placer.Seconds
+	removalScheduled     bool // removalScheduled is set while the timer of scheduleRemoval is set.
 }
 
 // RunningTasks returns the number of tasks that run on the node.
 func (n *Node) RunningTasks() int { return len(n.runningAttempts) }
 
-// runs reports whether an attempt runs on the node.
+// runs reports whether the set of running attempts contains an attempt.
 func (n *Node) runs(attempt *Attempt) bool {
 	_, isRunning := n.runningAttempts[attempt]
 	return isRunning
 }
 
-// runningAttempts returns the attempts that run on the node, in the order of their task IDs.
+// runningAttemptsByTaskID returns the running attempts in the order of their task IDs.
 func (n *Node) runningAttemptsByTaskID() []*Attempt {
 	attempts := make([]*Attempt, 0, len(n.runningAttempts))
 	for attempt := range n.runningAttempts {
@@ -43,7 +45,7 @@
 	return attempts
 }
 
-// TerminatedFor returns how long the node has been terminated, or 0 if the node is not terminated.
+// TerminatedFor returns how long the node has been terminated. It returns 0 if the node is not terminated.
 func (n *Node) TerminatedFor(now placer.Seconds) placer.Seconds {
 	if n.State != placer.Terminated {
 		return 0
@@ -51,10 +53,10 @@
 	return now - n.stateChangedAt
 }
 
-// update updates the node from a valid entry of a discovery event. zone and nodeType are the indexes that the
-// placer uses for the zone and the node type of the entry.
+// update updates the node from a valid entry of a node list. The parameters zone and nodeType are the indexes
+// that the placer uses for the zone and the node type of the entry.
 func (n *Node) update(entry *nodeEntry, zone, nodeType int, now placer.Seconds) {
-	state, _ := parseNodeState(entry.State) // the entry was validated
+	state, _ := parseNodeState(entry.State) // The state is valid, since discoveryEvent.validate has checked it.
 	if n.State != state {
 		n.State = state
 		n.stateChangedAt = now
@@ -80,15 +82,15 @@
 	n.stateChangedAt = now
 }
 
-// restartedAfter reports whether the current incarnation of the node started after an attempt began to run on
-// the node.
+// restartedAfter reports whether the current incarnation of the node started after the task of an attempt
+// started on the node.
 func (n *Node) restartedAfter(attempt *Attempt) bool {
 	return n.StartedAt > attempt.runningSince+incarnationTolerance
 }
 
-// NodeIDOf returns the placer's ID for the node with the given UID. Every scheduler has to compute the same
-// ID, since schedulers sort nodes by ID and select them at random by ID. The ID has 48 bits, like an address
-// in the simulator's protocol.
+// NodeIDOf returns the ID that the placer uses for the node with the given UID. Every scheduler has to
+// compute the same ID, since schedulers sort nodes by ID and select nodes at random by ID. The ID has 48
+// bits, like an address in the simulator's protocol.
 func NodeIDOf(uid string) placer.NodeID {
 	return placer.NodeID(xxhash.Sum64String(uid) & (1<<48 - 1))
 }
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -7,7 +7,7 @@
 	"heathshed/placer"
 )
 
-// usageKindsByNote maps the note of an Update message to the kind of usage that the message reports.
+// usageKindsByNote maps the field Note of an Update message to the kind of usage that the message reports.
 var usageKindsByNote = map[string]placer.UsageKind{
 	"up":    placer.Started,
 	"cpu":   placer.CoresUsed,
@@ -16,8 +16,8 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasonsByNote maps the note of a Stop message to the reason for which the node rejected or ended the
-// task. Any other note means that the node gives no reason.
+// stopReasonsByNote maps the field Note of a Stop message to the reason for which the node rejected or ended
+// the task. If the map does not contain the note, the node gives no reason.
 var stopReasonsByNote = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
@@ -36,7 +36,7 @@
 	earlyTerminations *earlyTerminationLog
 }
 
-// receive handles one message of a node as Core.ReceiveFromNode describes.
+// receive implements Core.ReceiveFromNode: it handles one message of a node.
 func (h *nodeMessageHandler) receive(node placer.NodeID, msg *protocol.Message) {
 	key := attemptKey{node, msg.ID}
 	attempt := h.attempts.get(key)
@@ -54,8 +54,9 @@
 	}
 }
 
-// handleUnknownTask handles a message about a task that was not sent to the node or that is no longer known.
-// pending is the attempt that has yet to be sent to the node, or nil.
+// handleUnmatchedMessage handles a message of a node if no attempt for the task of the message was sent to
+// the node, or if that attempt was already removed. The parameter unsentAttempt is the attempt with the key
+// of the message that has yet to be sent to the node, or nil if there is none.
 func (h *nodeMessageHandler) handleUnmatchedMessage(key attemptKey, unsentAttempt *Attempt, msg *protocol.Message) {
 	if msg.Kind == protocol.Running || msg.Kind == protocol.Stop {
 		h.counts.UnknownTasks++
@@ -65,13 +66,14 @@
 	}
 }
 
-// handleUpdate passes the usage of a running task, which its node has measured, to the placer.
+// handleUpdate handles an Update message: it passes the resource usage that a node measured for a running
+// task to the placer.
 func (h *nodeMessageHandler) handleUpdate(attempt *Attempt, msg *protocol.Message) {
 	kind, known := usageKindsByNote[msg.Get(protocol.Note)]
 	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // the value is 0 if the text is not a number
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // A text that is not a number has the value 0.
 	h.postEvent(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
@@ -82,15 +84,16 @@
 	})
 }
 
-// handleRunning handles a message with which a node accepts an attempt.
+// handleRunning handles a Running message, with which a node accepts an attempt.
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
 	latestAnswerAt := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
 	if attempt.state == attemptSent && h.now > latestAnswerAt {
-		h.attempts.abandon(attempt, placer.TimedOut, false) // the client no longer waits, but the timer has not run yet
+		// The client no longer waits, although the expiry timer of the attempt has not run yet.
+		h.attempts.abandon(attempt, placer.TimedOut, false)
 	}
 	switch attempt.state {
 	case attemptSent:
-		if msg.Body != "" { // without a body, there is no answer to forward to the client
+		if msg.Body != "" { // A message without a body contains no answer that could be forwarded to the client.
 			h.tasks.handleAcceptance(attempt, msg.Body)
 		}
 	case attemptAbandoned:
@@ -98,10 +101,11 @@
 	}
 }
 
-// handleLateAnswer handles the acceptance of an attempt that was already abandoned. A task that may run a
-// second time on another node, or that its client withdrew, uses capacity without benefit and is stopped at
-// once. For any other task, the client later queries the nodes and lists the task for adoption by a
-// scheduler. Stopping such a task would undo a start that must not be repeated.
+// handleLateAnswer handles the message with which a node accepts an attempt that was already abandoned. If
+// the task may run a second time on another node, or if its client withdrew the request, the task uses
+// capacity without benefit, so its node is asked to stop it at once. The client of any other task later
+// queries the nodes and requests the adoption of the task. The task must not start a second time, so it is
+// not stopped.
 func (h *nodeMessageHandler) handleLateAnswer(attempt *Attempt) {
 	h.counts.LateAnswers++
 	idempotent := h.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
@@ -110,7 +114,7 @@
 	}
 }
 
-// handleStop handles a Stop message, with which a node rejects an attempt or reports that a task has ended.
+// handleStop handles a Stop message, with which a node rejects an attempt or reports the end of a task.
 func (h *nodeMessageHandler) handleStop(attempt *Attempt, msg *protocol.Message) {
 	switch attempt.state {
 	case attemptSent:
@@ -123,7 +127,8 @@
 	}
 }
 
-// taskResult returns the result of a task that ran and whose end its node reported with the given cause.
+// taskResult returns the result of a task that ran. The cause is the one with which the node reported the end
+// of the task.
 func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
@@ -134,8 +139,8 @@
 	return placer.Lost
 }
 
-// handleStopBeforeAnswer handles a Stop message for an attempt without an answer. Either the node did not
-// accept the attempt, or its acceptance was lost or has not arrived yet.
+// handleStopBeforeAnswer handles a Stop message for an attempt that its node has not answered. Either the
+// node did not accept the attempt, or the Running message of the node was lost or has not arrived yet.
 func (h *nodeMessageHandler) handleStopBeforeAnswer(attempt *Attempt, msg *protocol.Message) {
 	h.attempts.remove(attempt)
 	outcome := h.stopOutcome(msg, placer.Lost)
@@ -159,12 +164,13 @@
 	h.attempts.postAttemptEnded(attempt, outcome)
 }
 
-// impliesAcceptance reports whether nodes give a reason only for tasks that they had accepted.
+// impliesAcceptance reports whether a Stop message with the given reason proves that the node had accepted
+// the attempt. A node can evict, preempt or drain only a task that it has accepted before.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
 
-// stopOutcome returns an outcome with the given result and with the reason and the load report of a Stop
+// stopOutcome returns an outcome that contains the given result, and the reason and the load report of a Stop
 // message.
 func (h *nodeMessageHandler) stopOutcome(msg *protocol.Message, result placer.Result) attemptOutcome {
 	return attemptOutcome{
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -11,33 +11,35 @@
 
 const (
 	// TerminationGrace is the time between the discovery event that reports a node as terminated and the time
-	// at which its running tasks are assumed to be lost.
+	// at which the running tasks of the node are assumed to be lost.
 	TerminationGrace placer.Seconds = 1.0
-	// terminatedNodeRetention is how long a terminated node is kept in the registry.
+	// terminatedNodeRetention is how long a terminated node is kept in the node registry.
 	terminatedNodeRetention placer.Seconds = 60.0
 	// incarnationTolerance allows for inexact clocks and start times. A task belongs to an earlier
 	// incarnation of its node only if the node started later than the task by more than this time.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
-// nodeRegistry owns the nodes that discovery events list and the sets of attempts that run on them. It
-// answers the placer's requests for the node list.
+// nodeRegistry owns the nodes that discovery events describe, and the set of running attempts of each node.
+// It answers the placer's requests for the node list.
 type nodeRegistry struct {
 	*sharedState
-	endLostTask func(*Attempt) // ends a task that was lost together with its node
+	endLostTask func(*Attempt) // endLostTask ends a task that was lost together with its node.
 
 	nodes              map[placer.NodeID]*Node
-	lastDiscoveryEvent uint64 // the sequence number of the last event that was applied
+	lastDiscoveryEvent uint64 // lastDiscoveryEvent is the sequence number of the last event that was applied.
 	discoveryConnected bool
-	nodeListRequested  bool // whether a request of the placer for the node list waits for the connection
+	// nodeListRequested is set while the placer waits for an answer to its request for the node list. The
+	// answer is sent when the discovery stream has been connected or could not be connected.
+	nodeListRequested bool
 }
 
 func newNodeRegistry(shared *sharedState) *nodeRegistry {
 	return &nodeRegistry{sharedState: shared, nodes: map[placer.NodeID]*Node{}}
 }
 
-// loadInitialEvents applies the discovery events from before the scheduler start. initialEvents is a JSON
-// object or empty.
+// loadInitialEvents applies the discovery events from before the scheduler start. The parameter initialEvents
+// is a JSON object or empty.
 func (r *nodeRegistry) loadInitialEvents(initialEvents []byte) error {
 	var list initialEventList
 	if len(initialEvents) > 0 {
@@ -57,25 +59,25 @@
 	return nil
 }
 
-// get returns the node with the given ID, or nil if the registry does not contain it.
+// get returns the node with the given ID, or nil if the registry does not contain that node.
 func (r *nodeRegistry) get(id placer.NodeID) *Node { return r.nodes[id] }
 
-// getByUID returns the node with the given UID, or nil if the registry does not contain it.
+// getByUID returns the node with the given UID, or nil if the registry does not contain that node.
 func (r *nodeRegistry) getByUID(uid string) *Node { return r.nodes[r.idOf(uid)] }
 
-// each calls f for each node of the registry, in no particular order.
+// each calls f for each node in the registry, in no particular order.
 func (r *nodeRegistry) each(f func(*Node)) {
 	for _, node := range r.nodes {
 		f(node)
 	}
 }
 
-// idOf returns the placer's ID of the node with the given UID, or the ID that a new node with this UID would
-// get.
+// idOf returns the ID that the placer uses for the node with the given UID. If the registry does not contain
+// that node, idOf returns the ID that a new node with this UID would get.
 func (r *nodeRegistry) idOf(uid string) placer.NodeID {
 	id := NodeIDOf(uid)
 	for r.nodes[id] != nil && r.nodes[id].UID != uid {
-		id++ // another node whose UID has the same hash uses this ID
+		id++ // Another node whose UID has the same hash uses this ID.
 	}
 	return id
 }
@@ -99,8 +101,8 @@
 	return count
 }
 
-// addRunningAttempt adds an attempt to the running attempts of its node. If the node has already terminated,
-// no later discovery event would end the task, so a timer is set that ends it.
+// addRunningAttempt adds an attempt to the set of running attempts of its node. If the node has already
+// terminated, no later discovery event would end the task, so addRunningAttempt sets a timer that ends it.
 func (r *nodeRegistry) addRunningAttempt(attempt *Attempt) {
 	node := r.nodes[attempt.Node]
 	if node == nil {
@@ -112,14 +114,15 @@
 	}
 }
 
-// removeRunningAttempt removes an attempt from the running attempts of its node, if it is one of them.
+// removeRunningAttempt removes an attempt from the set of running attempts of its node, if the set contains
+// the attempt.
 func (r *nodeRegistry) removeRunningAttempt(attempt *Attempt) {
 	if node := r.nodes[attempt.Node]; node != nil {
 		delete(node.runningAttempts, attempt)
 	}
 }
 
-// receiveEvent applies one event of the discovery stream as Core.ReceiveDiscoveryEvent describes.
+// receiveEvent implements Core.ReceiveDiscoveryEvent: it applies one event of the discovery stream.
 func (r *nodeRegistry) receiveEvent(data []byte) (ok bool, err error) {
 	event, err := parseDiscoveryEvent(data)
 	if err != nil {
@@ -142,8 +145,8 @@
 	return true, nil
 }
 
-// applyEvent adds or updates the nodes that a discovery event lists, and returns them. An invalid event
-// changes nothing.
+// applyEvent adds or updates the nodes in the node list of a discovery event, and returns these nodes. An
+// invalid event changes nothing.
 func (r *nodeRegistry) applyEvent(event *discoveryEvent) (changedNodes []placer.Node, err error) {
 	if err := event.validate(); err != nil || event.NodeList == nil {
 		return nil, err
@@ -160,7 +163,7 @@
 	return changedNodes, nil
 }
 
-// updateNode adds or updates the node that a valid entry of a discovery event describes.
+// updateNode adds or updates the node that a valid entry of a node list describes.
 func (r *nodeRegistry) updateNode(entry *nodeEntry) *Node {
 	id := r.idOf(entry.UID)
 	node := r.nodes[id]
@@ -172,7 +175,8 @@
 	return node
 }
 
-// terminateUnlisted marks each node as terminated whose ID is not in listed, the IDs of a complete node list.
+// terminateMissingNodes marks each node as terminated that a complete node list does not contain. The
+// parameter listedNodes is the set of the IDs of the nodes in that list.
 func (r *nodeRegistry) terminateMissingNodes(listedNodes map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listedNodes[id] && node.State != placer.Terminated {
@@ -181,8 +185,8 @@
 	}
 }
 
-// handleNodeList reports the changed nodes to the placer, and ends the tasks of nodes that have terminated or
-// restarted.
+// handleNodeList reports the changed nodes of a node list to the placer. It also ends the running tasks of
+// nodes that have restarted, and sets timers that end the running tasks of terminated nodes.
 func (r *nodeRegistry) handleNodeList(list *nodeList, changedNodes []placer.Node) {
 	kind := placer.Changes
 	if list.Complete {
@@ -205,9 +209,9 @@
 	r.addEffect(Effect{Kind: NodesChanged})
 }
 
-// scheduleTaskLoss sets a timer that ends the running tasks of a terminated node and reports them as lost,
-// unless the state of the node changes in the meantime. The delay gives the node time to report how its tasks
-// ended, in more detail than the discovery event provides.
+// scheduleTaskLoss sets a timer that ends the running tasks of a terminated node and reports the tasks as
+// lost. If the state of the node changes before the timer runs, the timer has no effect. The delay gives the
+// node time to report how its tasks ended. These reports are more detailed than the discovery event.
 func (r *nodeRegistry) scheduleTaskLoss(node *Node) {
 	if len(node.runningAttempts) == 0 {
 		return
@@ -225,7 +229,7 @@
 	})
 }
 
-// endTasksOf ends all tasks that run on a node, and reports them as lost.
+// endTasksOf ends all tasks that run on a node, and reports these tasks as lost.
 func (r *nodeRegistry) endTasksOf(id placer.NodeID) {
 	if node := r.nodes[id]; node != nil {
 		for _, attempt := range node.runningAttemptsByTaskID() {
@@ -254,8 +258,8 @@
 	})
 }
 
-// setDiscoveryConnected records whether the discovery stream is connected, and answers a request of the
-// placer that waits for the connection.
+// setDiscoveryConnected records whether the discovery stream is connected. If the placer waits for an answer
+// to its request for the node list, setDiscoveryConnected answers that request.
 func (r *nodeRegistry) setDiscoveryConnected(connected bool) {
 	r.discoveryConnected = connected
 	if !r.nodeListRequested {
@@ -269,8 +273,9 @@
 	r.postEvent(placer.Event{Kind: placer.NodesListed, List: kind})
 }
 
-// handleListRequest answers the placer's request for the node list. While the discovery stream is not
-// connected, the request waits for the next call of setDiscoveryConnected or for the next node list.
+// handleNodeListRequest handles the placer's request for the node list. If the discovery stream is connected,
+// the request is answered at once. Otherwise it is answered by the next call of setDiscoveryConnected or by
+// the next node list that discovery sends.
 func (r *nodeRegistry) handleNodeListRequest() {
 	r.nodeListRequested = !r.discoveryConnected
 	if r.discoveryConnected {
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// TestUnresponsiveNode checks that the client is notified at once of the end of a task on an unresponsive
-// node. The placer must be told of the end only when the node confirms the stop, or after
+// TestUnresponsiveNode checks that the client of a task on an unresponsive node is notified at once that the
+// task has ended. The placer must be told of the end only when the node reports it, or after
 // notificationRetention.
 func TestUnresponsiveNode(t *testing.T) {
 	for _, test := range []struct {
@@ -16,7 +16,7 @@
 		cause  protocol.Cause
 		result placer.Result
 	}{
-		{"node confirms the stop", protocol.CauseCancelled, placer.Cancelled},
+		{"node confirms that it stopped the task", protocol.CauseCancelled, placer.Cancelled},
 		{"node reports that the task had already ended", protocol.CauseEnd, placer.Finished},
 		{"node stays unresponsive", noCause, placer.Cancelled},
 	} {
@@ -31,7 +31,7 @@
 			stopRequested := asksNodeToStop(harness.carryOutEffects())
 			newEvents, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notificationCount != 1 || !stopRequested || newEvents != 0 || runningTasks != 1 {
-				t.Errorf("client record %+v, node was asked to stop: %v, %d events to the placer, %d running tasks; want 1 notification, a stop, no event and 1 running task", record, stopRequested, newEvents, runningTasks)
+				t.Errorf("client record is %+v, node was asked to stop the task: %v, placer received %d events, core has %d running tasks; want 1 notification, true, 0 events and 1 running task", record, stopRequested, newEvents, runningTasks)
 			}
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
 				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
@@ -44,19 +44,19 @@
 			}
 			endReported := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notificationCount != 1 || !endReported || harness.core.RunningTasks() != 0 {
-				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification in total, the end of the task, and no running task", record, policy.lastEvent())
+				t.Errorf("client record is %+v, last event of the placer is %+v; want 1 notification, an Ended event with the expected result, and no running task", record, policy.lastEvent())
 			}
 		})
 	}
 }
 
-// TestNodesThatTerminateOrRestart checks that the tasks of a node are lost when the node terminates or starts
-// a new incarnation.
+// TestNodesThatTerminateOrRestart checks that a running task is reported as lost when its node terminates or
+// starts a new incarnation.
 func TestNodesThatTerminateOrRestart(t *testing.T) {
 	for name, event := range map[string]string{
-		"node is listed as terminated":         discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
-		"node is missing from a complete list": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
-		"node starts a new incarnation":        discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
+		"node list contains the node as terminated":    discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
+		"complete node list does not contain the node": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
+		"node starts a new incarnation":                discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "query")
@@ -70,7 +70,7 @@
 			harness.advanceClock(TerminationGrace + 0.01)
 
 			if record.notificationCount != 1 || policy.lastEvent().Result != placer.Lost {
-				t.Errorf("client record %+v, last event to the placer %+v; want 1 notification and a lost task", record, policy.lastEvent())
+				t.Errorf("client record is %+v, last event of the placer is %+v; want 1 notification and an event that reports the task as lost", record, policy.lastEvent())
 			}
 		})
 	}
@@ -85,21 +85,21 @@
 		ok, invalid bool
 		lastEvent   uint64
 	}{
-		{"next event", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
-		{"event that was already applied", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
-		{"gap in the event numbers", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
-		{"truncated event", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
-		{"unknown node state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
-		{"event without a node list", `{"no":3,"other":{}}`, true, false, 3},
-		{"next event after an event without a node list", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
+		{"event has the next number", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
+		{"event was already applied", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
+		{"event number skips a number", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
+		{"event is truncated", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
+		{"event contains an unknown node state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
+		{"event contains no node list", `{"no":3,"other":{}}`, true, false, 3},
+		{"event follows an event without a node list", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
 		if lastEvent := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || lastEvent != test.lastEvent {
-			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v, the last event number is %d", test.name, ok, err, lastEvent)
+			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v and the last event number is %d, want the values in the test case", test.name, ok, err, lastEvent)
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
-		t.Errorf("node 4 is in state %d, want draining", node.State)
+		t.Errorf("node 4 is in state %d after the last event, want state Draining", node.State)
 	}
 }
 
@@ -113,13 +113,13 @@
 		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
-			t.Fatalf("the next ID refers to node %+v, want the node with the colliding UID", node)
+			t.Fatalf("the ID that follows the colliding ID refers to node %+v, want node 4, whose UID has the same hash as another one", node)
 		}
 	}
 }
 
-// TestTaskOfRemovedNode checks that the start and the end of a task change nothing if the node of the task is
-// no longer in the registry.
+// TestTaskOfRemovedNode checks that addRunningAttempt and removeRunningAttempt change nothing if the node of
+// the attempt is no longer in the registry.
 func TestTaskOfRemovedNode(t *testing.T) {
 	registry := newNodeRegistry(&sharedState{})
 	attempt := &Attempt{Node: 7}
@@ -128,6 +128,6 @@
 	registry.removeRunningAttempt(attempt)
 
 	if registry.runningTasks() != 0 || len(registry.nodes) != 0 || registry.timers.Len() != 0 {
-		t.Errorf("registry has %d running tasks, %d nodes and %d timers, want none", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
+		t.Errorf("node registry has %d running tasks, %d nodes and %d timers, want 0 of each", registry.runningTasks(), len(registry.nodes), registry.timers.Len())
 	}
 }
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// notificationRetention is how long a notification is kept for redelivery. It is also how long the
-	// scheduler waits for a node to confirm that it stopped a running task, and how long an earlyTermination
-	// is kept.
+	// notificationRetention is how long a notification is kept so that it can be sent again. It is also how
+	// long the scheduler waits for a node to confirm that it stopped a running task, and how long an
+	// earlyTermination is kept.
 	notificationRetention placer.Seconds = 8.0
-	// unacknowledgedWindow applies to clients that do not acknowledge notifications. A notification that was
-	// sent less than this time before its connection closed is assumed to be lost.
+	// unacknowledgedWindow applies to clients that do not acknowledge notifications. If a notification was
+	// sent less than this time before its client connection closed, the notification is assumed to be lost.
 	unacknowledgedWindow placer.Seconds = 1.0
 )
 
@@ -23,11 +23,12 @@
 type notification struct {
 	message         protocol.Message
 	expiresAt       placer.Seconds
-	sentAsMigration bool // it was sent as a Migrate message, which clients never acknowledge
+	sentAsMigration bool // sentAsMigration is set for a Migrate message, which clients never acknowledge.
 }
 
-// needsRedelivery reports whether the client may not have received the notification before the client
-// connection closed at the time now. clientAcknowledges is set if the client acknowledges notifications.
+// needsRedelivery reports whether the notification has to be sent again, because the client may not have
+// received it before its connection closed at the given time. The parameter clientAcknowledges is set if the
+// client acknowledges notifications.
 func (n *notification) needsRedelivery(now placer.Seconds, clientAcknowledges bool) bool {
 	if n.expiresAt <= now {
 		return false
@@ -42,11 +43,11 @@
 // deliveryLog contains the notifications that were sent on one client connection. The protocol does not
 // require clients to acknowledge notifications.
 type deliveryLog struct {
-	unacknowledgedNotifications []notification // notifications that were sent but not acknowledged
-	clientAcknowledges          bool           // the client has acknowledged at least one notification
+	unacknowledgedNotifications []notification // The client has not acknowledged these notifications.
+	clientAcknowledges          bool           // The client has acknowledged at least one notification.
 }
 
-// add adds a notification that was sent, and removes the expired ones.
+// add adds a notification that was sent, and removes the notifications that have expired.
 func (l *deliveryLog) add(now placer.Seconds, notice notification) {
 	if notice.message.Kind == protocol.Migrate {
 		// A Migrate message is redelivered as a Stop message that reports the end of the task. A client that
@@ -58,8 +59,8 @@
 	l.unacknowledgedNotifications = append(l.unacknowledgedNotifications, notice)
 }
 
-// acknowledge removes the notifications about the end of the task with the given ID, since the client has
-// acknowledged that end.
+// acknowledge removes the notifications about the end of the task with the given ID, after the client has
+// acknowledged the end of that task.
 func (l *deliveryLog) acknowledge(id protocol.ID) {
 	l.clientAcknowledges = true
 	l.unacknowledgedNotifications = slices.DeleteFunc(l.unacknowledgedNotifications, func(entry notification) bool {
@@ -72,7 +73,7 @@
 type notifier struct {
 	*sharedState
 	clients              *clientRegistry
-	pendingNotifications []notification // notifications without a suitable client connection, the oldest first
+	pendingNotifications []notification // These have no suitable client connection yet. The oldest is the first.
 }
 
 // newNotification returns a notification that expires after notificationRetention.
@@ -80,20 +81,21 @@
 	return notification{message: msg, expiresAt: n.now + notificationRetention}
 }
 
-// notify sends a notification about the task of a request, which runs or ran. The notification is sent on the
-// connection of the request if that is open, otherwise on another client connection. If no connection is
-// suitable, the notification is sent on the next connection on which a valid message arrives.
+// notify sends a notification about the task of a request to the client. The notification is sent on the
+// client connection on which the request arrived if that connection is open, otherwise on another client
+// connection. If no client connection is suitable, the notification is sent on the next client connection on
+// which a valid message arrives.
 func (n *notifier) notify(req *request, msg protocol.Message) {
 	n.sendOnAnyConn(req.conn, n.newNotification(msg))
 }
 
-// notifyOnConn sends a notification on the given connection, which has to be open.
+// notifyOnConn sends a notification on the given client connection, which has to be open.
 func (n *notifier) notifyOnConn(conn *clientConn, msg protocol.Message) {
 	n.send(conn, n.newNotification(msg))
 }
 
-// sendOnAnyConn sends a notification on the preferred connection if that is open, otherwise on another one.
-// If no connection is suitable, the notification becomes pending.
+// sendOnAnyConn sends a notification on the preferred client connection if that connection is open, otherwise
+// on another client connection. If no client connection is suitable, the notification becomes pending.
 func (n *notifier) sendOnAnyConn(preferredConn ConnID, notice notification) {
 	if conn := n.clients.selectConn(preferredConn); conn != nil {
 		n.send(conn, notice)
@@ -103,16 +105,19 @@
 	n.pendingNotifications = append(n.pendingNotifications, notice)
 }
 
-// send sends a notification and keeps it until it expires or is acknowledged.
+// send sends a notification on a client connection. It also adds the notification to the deliveryLog of the
+// connection, so that the notification can be sent again.
 func (n *notifier) send(conn *clientConn, notice notification) {
 	n.clients.send(conn.id, notice.message)
 	conn.notifications.add(n.now, notice)
 }
 
-// acknowledge handles a message with which a client acknowledges the notification that a task has ended.
+// acknowledge handles a Stopped message, with which a client acknowledges the notification that a task has
+// ended.
 func (n *notifier) acknowledge(conn *clientConn, id protocol.ID) { conn.notifications.acknowledge(id) }
 
-// sendPending sends all pending notifications on a connection on which a valid message has just arrived.
+// sendPendingNotifications sends all pending notifications on a client connection on which a valid message
+// has just arrived.
 func (n *notifier) sendPendingNotifications(conn *clientConn) {
 	for _, notice := range n.pendingNotifications {
 		if notice.expiresAt < n.now {
@@ -124,8 +129,8 @@
 	n.pendingNotifications = nil
 }
 
-// redeliver sends notifications again that a client may not have received before its connection closed.
-// Clients tolerate a repeated notification about a task that they no longer know.
+// redeliver sends those notifications again that a client may not have received before its connection closed.
+// A client tolerates a repeated notification about a task that the client no longer knows.
 func (n *notifier) redeliver(closedConn *clientConn) {
 	log := &closedConn.notifications
 	for _, notice := range log.unacknowledgedNotifications {
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// notifiedConns returns the connections on which the core has notified clients of the end of a task since the
-// last call.
+// notifiedConns returns the client connections on which the core has sent notifications of the end of a task
+// since the previous call.
 func notifiedConns(harness *coreHarness) (conns []ConnID) {
 	for _, effect := range messagesToClients(harness.core.Ready()) {
 		if effect.Message.Kind == protocol.Stop {
@@ -19,41 +19,41 @@
 	return conns
 }
 
-// TestNotificationConnection checks that a notification is sent exactly once. It must be sent on the
-// connection of the request if that is open, otherwise on the first connection on which a valid message
-// arrives.
+// TestNotificationConnection checks that a notification is sent exactly once. It must be sent on the client
+// connection of the request if that connection is open, otherwise on the first other connection on which a
+// valid message arrives.
 func TestNotificationConnection(t *testing.T) {
 	harness, _, attempt := runningAttempt(t, "seats")
 	harness.connect()
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{1}) {
-		t.Fatalf("client was notified on connections %v, want the open connection of the request", got)
+		t.Fatalf("client was notified on connections %v, want connection 1, which is the open connection of the request", got)
 	}
 
 	harness, _, attempt = runningAttempt(t, "seats")
-	unusedConn := harness.connect() // the client sends no message on this connection
+	unusedConn := harness.connect() // The client sends no message on this connection.
 	harness.core.ClientDisconnected(harness.now, 1)
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
-		t.Fatalf("client was notified on connections %v, want a pending notification, since connection %d has sent no valid message", got, unusedConn)
+		t.Fatalf("client was notified on connections %v, want one pending notification, since no valid message has arrived on connection %d", got, unusedConn)
 	}
 
 	next := harness.connect()
 	harness.now += 7
 	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
 	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{next}) {
-		t.Fatalf("client was notified on connections %v, want the one that sent a valid message", got)
+		t.Fatalf("client was notified on connections %v, want only the connection on which a valid message arrived", got)
 	}
 	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
 	if len(notifiedConns(harness)) != 0 {
-		t.Fatal("client was notified a second time")
+		t.Fatal("client was notified a second time, after its next valid message")
 	}
 }
 
 // TestRedeliveryAfterDisconnect checks that a notification is sent again if the connection on which it was
-// sent closes shortly afterwards. A notification must not be sent again if it was acknowledged. If the client
-// does not acknowledge notifications, one that was sent long before the connection closed must not be sent
-// again either.
+// sent closes shortly afterwards. A notification must not be sent again if the client has acknowledged it. If
+// the client does not acknowledge notifications, a notification that was sent long before the connection
+// closed must not be sent again either.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		name                                                                   string
@@ -62,13 +62,13 @@
 		want                                                                   int
 	}{
 		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
-		{name: "connection closes shortly after the notification while another one is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
+		{name: "connection closes shortly after the notification while another connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
 		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
-		{name: "connection closes long after the notification to a client that acknowledges others", clientAcknowledges: true, closedAfter: 1.5, want: 1},
-		{name: "notification was acknowledged", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
+		{name: "client acknowledged an earlier notification, and its connection closes long after the notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
+		{name: "client acknowledged the notification before its connection closes", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
 		{name: "connection closes shortly after a Migrate message", migration: true, closedAfter: 0.01, want: 1},
 		{name: "connection closes long after a Migrate message", clientAcknowledges: true, migration: true, closedAfter: 1.5, want: 0},
-		{name: "connection closes after notificationRetention", clientAcknowledges: true, closedAfter: 9, want: 0},
+		{name: "connection closes later than notificationRetention after the notification", clientAcknowledges: true, closedAfter: 9, want: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
@@ -109,7 +109,7 @@
 				}
 			}
 			if got != test.want {
-				t.Errorf("client was notified %d times on the other connection, want %d", got, test.want)
+				t.Errorf("client was notified %d times on its second connection, want %d", got, test.want)
 			}
 		})
 	}
@@ -122,16 +122,16 @@
 		name        string
 		cause, want protocol.Cause
 	}{
-		{"node confirms the stop", protocol.CauseCancelled, noCause},
-		{"task ends by itself", protocol.CauseEnd, protocol.CauseEnd},
-		{"node sends no message", noCause, protocol.CauseCancelled},
+		{"node confirms that it stopped the task", protocol.CauseCancelled, noCause},
+		{"node reports that the task ended by itself", protocol.CauseEnd, protocol.CauseEnd},
+		{"node sends no message about the task", noCause, protocol.CauseCancelled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			harness.migrateTask(attempt)
 			effects := harness.core.Ready()
 			if len(effects) != 2 || effects[0].Message.Kind != protocol.Migrate || effects[1].Kind != SendToNode {
-				t.Fatalf("effects of the migration are %+v, want a Migrate message to the client and a message to the node", effects)
+				t.Fatalf("effects of the Migrate action are %+v, want a Migrate message to the client and a message to the node", effects)
 			}
 
 			if test.cause >= 0 {
@@ -144,7 +144,7 @@
 				got = effect.Message.Cause
 			}
 			if got != test.want {
-				t.Errorf("client was notified with cause %d, want %d (-1 means no notification)", got, test.want)
+				t.Errorf("client was notified of the end of the task with cause %d, want %d (-1 means no notification)", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -11,10 +11,10 @@
 	"heathshed/placer"
 )
 
-// TestRandomEventOrders generates messages of clients and nodes, and connection events, in random order. Each
-// request must get one answer in time unless its client withdrew it, and at most one attempt of a request may
-// be live. A client must be notified once of the end of its running task, and the core must be empty at the
-// end.
+// TestRandomEventOrders passes messages of clients and nodes, and events of connections and of discovery, to
+// a core in random order. Each request must be answered once and in time unless its client withdrew it, and
+// at most one attempt of a request may be live. A client must be notified once of the end of its running
+// task. After all tasks have ended, the core must contain no request and no attempt.
 func TestRandomEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &randomDriver{newHarness(t, nil), t}
@@ -27,7 +27,7 @@
 	})
 }
 
-// randomDriver makes random calls to a core.
+// randomDriver calls the methods of a core in random order.
 type randomDriver struct {
 	*coreHarness
 	t *rapid.T
@@ -93,7 +93,8 @@
 		return
 	}
 	driver.acceptAttempt(driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")])
-	// The node may have accepted a later attempt with the same ID, which was sent to the same node.
+	// All attempts of a request have the same ID in messages. If two of them were sent to the same node, the
+	// core assigns the node's answer to the later one.
 	for _, attempt := range driver.sentAttempts {
 		if attempt.state == attemptRunning && !slices.Contains(driver.runningAttempts, attempt) {
 			driver.runningAttempts = append(driver.runningAttempts, attempt)
@@ -101,8 +102,8 @@
 	}
 }
 
-// stopRandomTask makes a node report the end of a random task with a random cause. The task may run on
-// another node.
+// stopRandomTask makes a node report the end of a random task with a random cause. The task may be one that
+// runs on another node.
 func (driver *randomDriver) stopRandomTask() {
 	if len(driver.sentAttempts) > 0 {
 		attempt := driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")]
@@ -134,7 +135,7 @@
 		}
 	case 1:
 		driver.disconnectRandomClient()
-	case 2: // a complete list, from which nodes may be missing
+	case 2: // The node list is complete, and nodes may be missing from it.
 		var nodes []string
 		for i := range 5 {
 			if driver.draw(3, "listed") > 0 {
@@ -165,8 +166,8 @@
 	driver.carryOutEffects()
 }
 
-// adoptTaskThatEnds lists a task for adoption and makes its node report the end of the task, either before or
-// after the adoption.
+// requestAdoptionOfEndingTask makes a client request the adoption of a task, and makes the node report the
+// end of that task. The report arrives either before or after the adoption request.
 func (driver *randomDriver) requestAdoptionOfEndingTask() {
 	if len(driver.conns) == 0 {
 		return
@@ -183,13 +184,14 @@
 		driver.carryOutEffects()
 	}
 	if notifications := driver.clientRecords[id].notificationCount; notifications != 1 {
-		driver.t.Fatalf("client got %d notifications of the end of its task, want 1", notifications)
+		driver.t.Fatalf("client received %d notifications of the end of its task, want 1", notifications)
 	}
 }
 
-// TestAdoptionInRandomOrder simulates a scheduler start after which clients list running tasks for adoption.
-// The adoptions, the ends of the tasks and the changes of client connections occur in random order. A client
-// must be notified of each end, and no task that has ended may count as running.
+// TestAdoptionInRandomOrder simulates a scheduler start after which a client requests the adoption of its
+// running tasks. The adoption requests, the ends of the tasks and the changes of client connections occur in
+// random order. The client must be notified of the end of each task, and no task that has ended may count as
+// running.
 func TestAdoptionInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adoptionRequested: map[int]bool{}, endReported: map[int]bool{}}
@@ -200,7 +202,7 @@
 		}
 		for id := range driver.adoptionRequested {
 			if record := driver.clientRecords[protocol.ID(id)]; driver.endReported[id] && record.notificationCount == 0 {
-				t.Fatalf("client of task %d was not notified of its end, although the task was adopted", id)
+				t.Fatalf("client was not notified of the end of task %d, although it requested the adoption of the task", id)
 			}
 		}
 		for id := 1; id <= adoptableTasks; id++ {
@@ -209,15 +211,16 @@
 		driver.endAllTasks()
 		earlyTerminations := driver.core.nodeMessages.earlyTerminations
 		if len(earlyTerminations.records) != 0 || len(earlyTerminations.keysOldestFirst) != 0 {
-			t.Fatalf("%d ends of unknown tasks are still recorded after their retention time, want 0", len(earlyTerminations.records))
+			t.Fatalf("early termination log is not empty after the retention time: it has %d records, want 0", len(earlyTerminations.records))
 		}
 	})
 }
 
-// adoptableTasks is the number of tasks that an adoptionDriver lists for adoption. Their IDs start at 1.
+// adoptableTasks is the number of tasks for which an adoptionDriver sends adoption requests. The IDs of these
+// tasks start at 1.
 const adoptableTasks = 12
 
-// adoptionDriver lists tasks for adoption and makes nodes report their ends, in random order.
+// adoptionDriver sends adoption requests and makes nodes report the ends of tasks, in random order.
 type adoptionDriver struct {
 	randomDriver
 	conn                           ConnID
@@ -245,8 +248,8 @@
 	}
 }
 
-// listForAdoption lists a task for adoption on the current connection, unless the client was already notified
-// of the end of the task.
+// requestAdoptionOf makes the client request the adoption of a task on the current connection, unless the
+// client was already notified of the end of the task.
 func (driver *adoptionDriver) requestAdoptionOf(number int) {
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
@@ -268,14 +271,14 @@
 	driver.carryOutEffects()
 }
 
-// endTask makes the node of a task report that the task has ended.
+// endTask makes the node that runs a task report that the task has ended.
 func (driver *adoptionDriver) endTask(number int, cause protocol.Cause) {
 	driver.reportEnd(nodeID(driver.nodeOf(number)), protocol.ID(number), cause)
 	driver.carryOutEffects()
 }
 
-// TestChurn checks that the core keeps no records of thousands of nodes, connections and tasks that were
-// added and removed again.
+// TestChurn adds and removes thousands of nodes, connections and tasks, and checks that the core then
+// contains no records of the removed ones.
 func TestChurn(t *testing.T) {
 	harness := newHarness(t, nil)
 	for i := range 3000 {
@@ -290,7 +293,8 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts // the nodes of all earlier attempts have terminated
+		// The nodes of all earlier attempts have terminated.
+		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advanceClock(0.2)
 		harness.core.ClientDisconnected(harness.now, conn)
@@ -300,9 +304,9 @@
 	harness.endAllTasks()
 	harness.advanceClock(terminatedNodeRetention)
 	if nodes := len(harness.core.nodes.nodes); nodes > 4 {
-		t.Errorf("%d nodes are left in the registry, want at most 4", nodes)
+		t.Errorf("node registry contains %d nodes after all other nodes were removed, want at most 4", nodes)
 	}
 	if timers := harness.core.timers.Len(); timers > 20 {
-		t.Errorf("%d timers are left, want at most 20", timers)
+		t.Errorf("core has %d timers after all tasks and terminated nodes were removed, want at most 20", timers)
 	}
 }
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -12,8 +12,10 @@
 
 // parsedRequest contains the fields of a valid launch message.
 type parsedRequest struct {
-	task           placer.Task
-	adoptedFromUID string // UID of the node on which the task already runs, or "" for a new request
+	task placer.Task
+	// adoptedFromUID is the UID of the node on which the task already runs. It is empty for a new placement
+	// request.
+	adoptedFromUID string
 }
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFromUID != "" }
@@ -21,8 +23,8 @@
 // requiredResourceCount is the number of resources that a launch message must specify: cores and memory.
 const requiredResourceCount = 2
 
-// maxDeadlineMultiple limits the remaining time in a launch message to this multiple of the deadline of the
-// task class.
+// maxDeadlineMultiple limits the remaining time in a new placement request. The remaining time is at most
+// this multiple of the deadline of the task class.
 const maxDeadlineMultiple = 2
 
 // millisecondsPerSecond converts the times in platform messages, which are given in milliseconds.
@@ -36,8 +38,8 @@
 	settings *simconfig.Settings
 }
 
-// parse validates a launch message that arrived at the time now. The returned error is an
-// *InvalidMessageError.
+// parse validates and parses a launch message. The parameter now is the time at which the message arrived.
+// The returned error is an *InvalidMessageError.
 func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsedReq parsedRequest, err error) {
 	if msg.Body == "" {
 		return parsedReq, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
@@ -74,8 +76,8 @@
 	return class, nil
 }
 
-// parseTenant returns the index of the tenant. A message without a tenant is valid only if no tenants are
-// configured.
+// parseTenant returns the index of the tenant in the settings. A launch message without a tenant is valid
+// only if the settings contain no tenants.
 func (p *requestParser) parseTenant(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Tenant)
 	if name == "" && len(p.settings.Tenants) == 0 {
@@ -88,8 +90,8 @@
 	return tenant, nil
 }
 
-// parseExtras parses the field Extras, which is a list of name:value pairs. It returns how many pairs specify
-// the cores or the memory of the task. Unknown names are skipped.
+// parseExtras parses the field Extras, which is a list of name:value pairs, and skips the pairs with unknown
+// names. It returns how many of the pairs specify the cores or the memory of the task.
 func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
 	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -133,10 +135,10 @@
 	return placer.ServiceID(id), nil
 }
 
-// parseDeadline returns the time until which the client waits for an answer. The remaining time of a new
-// request is at most maxDeadlineMultiple times the deadline of the task class. For an adoption it is not
-// limited: an adoption needs no answer, and clients send arbitrary values such as the remaining run time of
-// the task.
+// parseDeadline returns the time until which the client waits for an answer. The remaining time in a new
+// placement request is at most maxDeadlineMultiple times the deadline of the task class. The remaining time
+// in an adoption request is not limited. An adoption request needs no answer, and clients send arbitrary
+// values in it, such as the remaining run time of the task.
 func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsedReq *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
@@ -148,5 +150,5 @@
 	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
 
-// inRange reports whether a value is a number from 0 to limit. It returns false for NaN.
+// inRange reports whether a value is a number from 0 to the given limit. It returns false for NaN.
 func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// TestParseRequest checks the result of parsing valid launch messages. TestInvalidRequests covers invalid
-// launch messages.
+// TestParseRequest checks how valid launch messages are parsed. TestInvalidRequests checks invalid launch
+// messages.
 func TestParseRequest(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
@@ -22,17 +22,17 @@
 		change func(*protocol.Message)
 		want   func(*parsedRequest)
 	}{
-		{"request without optional fields", func(*protocol.Message) {}, func(*parsedRequest) {}},
-		{"second task class of the settings", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
+		{"request has no optional fields", func(*protocol.Message) {}, func(*parsedRequest) {}},
+		{"request names the second task class of the settings", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
 		{"remaining time is 0", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
 		{"remaining time is at the maximum", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
 		{"request is a retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
 			want.task.Cores, want.task.Memory, want.task.IsRetry = 0, 0.5, true
 		}},
-		{"extras with a service and an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
+		{"extras contain a service and an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
 			want.task.Service = 0xaf
 		}},
-		{"adoption of a task that runs indefinitely", func(msg *protocol.Message) {
+		{"client requests the adoption of a task without a planned end", func(msg *protocol.Message) {
 			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(2))
 			msg.Set(protocol.TimeLeft, "4294967000")
 		}, func(want *parsedRequest) {
@@ -47,7 +47,7 @@
 			got, err := parser.parse(100, &msg)
 
 			if err != nil || got != want {
-				t.Errorf("parsed request is %+v, error %v, want %+v", got, err, want)
+				t.Errorf("parse returned request %+v and error %v, want request %+v and no error", got, err, want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -1,18 +1,28 @@
 package dispatch
 
 // requestState is the state of a placement request. The states from requestMigrating on are final for the
-// client: it needs no further answer and no notification that the task has ended. The only exception is a
-// node that fails to confirm that it stopped a task for a migration: the client is then notified of the end.
+// client: the client needs no further answer and no notification that the task has ended. There is one
+// exception: if the node does not confirm that it stopped a task for a migration, the client is notified of
+// the end of that task.
 type requestState uint8
 
 const (
-	requestOpen       requestState = iota // the request has no answer
-	requestRunning                        // the task is running
-	requestMigrating                      // the client was asked to migrate; the node has to confirm the stop
-	requestStopping                       // the client knows that the task is stopped; the node has to confirm the stop
-	requestAnswered                       // the client was sent the answer that the request was rejected or failed
-	requestWithdrawn                      // the client no longer waits for an answer
-	requestTerminated                     // the task ran and has ended
+	// requestOpen means that the request was not answered yet.
+	requestOpen requestState = iota
+	// requestRunning means that the task is running.
+	requestRunning
+	// requestMigrating means that the client was asked to request a new placement of the running task, and
+	// that the node was asked to stop the task and has not confirmed that it did.
+	requestMigrating
+	// requestStopping means that the client knows that the running task is stopped, and that the node was
+	// asked to stop the task and has not confirmed that it did.
+	requestStopping
+	// requestAnswered means that the client was sent the answer that the request was rejected or failed.
+	requestAnswered
+	// requestWithdrawn means that the client no longer waits for an answer.
+	requestWithdrawn
+	// requestTerminated means that the task ran and has ended.
+	requestTerminated
 )
 
 // requestStates contains the name and the legal transitions of each state of a request. Only
@@ -30,5 +40,5 @@
 // String returns the name of the state.
 func (s requestState) String() string { return requestStates.stateName("request", s) }
 
-// isFinal reports whether the client needs no further answer and no notification that the task has ended.
+// isFinal reports whether the client needs no further answer and no notification that its task has ended.
 func (s requestState) isFinal() bool { return s >= requestMigrating }
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -13,9 +13,9 @@
 
 	byTask             map[placer.TaskID]*request
 	byID               map[protocol.ID]*request
-	openCount          int // number of requests in state requestOpen
+	openCount          int // openCount is the number of requests in state requestOpen.
 	lastTaskID         placer.TaskID
-	illegalTransitions int // how many transitions were made that requestStates does not allow
+	illegalTransitions int // illegalTransitions counts the transitions that requestStates does not allow.
 }
 
 func newRequestTable(shared *sharedState, clients *clientRegistry, attempts *attemptTable) *requestTable {
@@ -28,16 +28,17 @@
 	}
 }
 
-// get returns the request to whose task the core assigned the given ID, or nil if there is no such request.
+// get returns the request whose task has the given ID of the placer, or nil if there is no such request.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
-// getByID returns the request to which the client assigned the given ID, or nil if there is no such request.
+// getByID returns the request that has the given ID in the messages of the client, or nil if there is no such
+// request.
 func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
 
 // isFull reports whether the table contains the maximum number of requests, maxTasks.
 func (t *requestTable) isFull() bool { return len(t.byID) >= maxTasks }
 
-// open adds a new request and assigns an ID to its task.
+// addNew adds a new placement request and assigns an ID to its task.
 func (t *requestTable) addNew(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestOpen)
 	t.openCount++
@@ -45,7 +46,7 @@
 	return req
 }
 
-// adopt adds a request whose task already runs, and assigns an ID to the task.
+// addAdopted adds a request whose task already runs, and assigns an ID to the task.
 func (t *requestTable) addAdopted(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
 	req := t.add(conn, msg, task, requestRunning)
 	t.clients.recordPlacedTask(req)
@@ -68,7 +69,8 @@
 	return req
 }
 
-// answer sends the final answer to an open request whose task is not running, and removes the request.
+// sendFinalAnswer answers an open request whose task is not running, and removes the request. If the request
+// is in a final state, sendFinalAnswer does nothing.
 func (t *requestTable) sendFinalAnswer(req *request, answer protocol.Message) {
 	if req.state.isFinal() {
 		return
@@ -79,7 +81,8 @@
 	t.remove(req)
 }
 
-// withdraw ends an open request whose client no longer waits for the answer.
+// withdraw ends an open request whose client no longer waits for the answer. If the request is in a final
+// state, withdraw does nothing.
 func (t *requestTable) withdraw(req *request) {
 	if req.state.isFinal() {
 		return
@@ -98,8 +101,8 @@
 	t.clients.recordPlacedTask(req)
 }
 
-// close changes a request from requestOpen to another state, and removes it from the open requests of its
-// connection.
+// close changes a request from state requestOpen to another state, and removes the request from the open
+// requests of its client connection.
 func (t *requestTable) close(req *request, next requestState) {
 	t.transition(req, next)
 	t.openCount--
@@ -111,8 +114,8 @@
 	requestStates.transition(&req.state, next, &t.illegalTransitions)
 }
 
-// remove removes a request that has ended. Its attempts are kept until nodes are no longer expected to send
-// messages about them.
+// remove removes a request that has ended. The attempts of the request are kept until nodes are no longer
+// expected to send messages about these attempts.
 func (t *requestTable) remove(req *request) {
 	if t.byID[req.message.ID] == req {
 		delete(t.byID, req.message.ID)
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -13,8 +13,9 @@
 	return func(msg *protocol.Message) { msg.Set(field, text) }
 }
 
-// TestInvalidRequests checks that an invalid request is answered with an error on the connection on which it
-// arrived, that ReceiveFromClient returns the right reason, and that no other request ends.
+// TestInvalidRequests checks that an invalid request is answered with an error on the connection on which the
+// request arrived, that ReceiveFromClient returns an error with the expected reason, and that an invalid
+// request does not end the valid request on another connection.
 func TestInvalidRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	idInUse := harness.sendLaunch(harness.connect(), "query", 1000, "")
@@ -23,9 +24,9 @@
 		reason  InvalidReason
 		corrupt func(*protocol.Message)
 	}{
-		{"class is unknown", InvalidClass, setField(protocol.Class, "gold")},
+		{"task class is unknown", InvalidClass, setField(protocol.Class, "gold")},
 		{"tenant is unknown", InvalidTenant, setField(protocol.Tenant, "north")},
-		{"key is not an ID", InvalidKey, setField(protocol.Key, "x")},
+		{"field Key is not an ID", InvalidKey, setField(protocol.Key, "x")},
 		{"body is missing", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
 		{"remaining time is negative", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
 		{"remaining time is just above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
@@ -35,8 +36,8 @@
 		{"cores are infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
 		{"memory is missing", InvalidExtras, setField(protocol.Extras, "cores:1")},
 		{"service is not an ID", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
-		{"node of the task to adopt is unknown", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
-		{"ID of another request", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
+		{"adoption request names an unknown node", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
+		{"ID is the ID of another request", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			msg := launchMessage(99)
@@ -47,7 +48,7 @@
 
 			var invalid *InvalidMessageError
 			if !errors.As(err, &invalid) || invalid.Reason != test.reason {
-				t.Errorf("ReceiveFromClient returned error %v, want reason %q", err, test.reason)
+				t.Errorf("ReceiveFromClient returned error %v, want an InvalidMessageError with reason %q", err, test.reason)
 			}
 			effects := harness.core.Ready()
 			if len(effects) != 1 || effects[0].Kind != SendToClient || effects[0].Conn != conn || effects[0].Message.Cause != protocol.CauseError {
@@ -56,12 +57,12 @@
 		})
 	}
 	if openRequests := harness.core.OpenRequests(); openRequests != 1 {
-		t.Errorf("%d requests are open, want 1, the valid request", openRequests)
+		t.Errorf("%d requests are open after all invalid requests, want 1, which is the valid request", openRequests)
 	}
 }
 
-// TestTooManyTasks checks that a request is rejected while the number of tasks is maxTasks, and that requests
-// are accepted again after the tasks have ended.
+// TestTooManyTasks checks that a new request is rejected while maxTasks tasks are running, and that a new
+// request is not rejected after these tasks have ended.
 func TestTooManyTasks(t *testing.T) {
 	harness := newHarness(t, &fixedNodePlacer{})
 	conn := harness.connect()
@@ -74,14 +75,14 @@
 		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseOverloaded
 	}
 	if !isRejected() {
-		t.Fatal("a request was accepted although maxTasks tasks are running")
+		t.Fatal("a request was not rejected with CauseOverloaded although maxTasks tasks are running")
 	}
 
 	harness.core.NodeDead(harness.now, nodeID(1))
 	harness.carryOutEffects()
 
 	if isRejected() {
-		t.Fatal("a request was rejected after all tasks had ended")
+		t.Fatal("a request was rejected with CauseOverloaded after all tasks had ended")
 	}
 }
 
@@ -93,7 +94,7 @@
 	}
 }
 
-// TestActionsOnMigratingRequest checks that actions of the placer for a task that already migrates change
+// TestActionsOnMigratingRequest checks that actions of the placer for a task that is already migrating change
 // nothing except counters.
 func TestActionsOnMigratingRequest(t *testing.T) {
 	for name, kind := range map[string]placer.ActionKind{"Reject action": placer.Reject, "Fail action": placer.Fail, "Migrate action": placer.Migrate} {
@@ -106,14 +107,14 @@
 
 			effects := harness.core.Ready()
 			if len(effects) != 0 || attempt.request.state != requestMigrating || harness.core.RunningTasks() != 1 {
-				t.Errorf("request is in state %v with effects %+v, want a migrating request, no effects and 1 running task", attempt.request.state, effects)
+				t.Errorf("request is in state %v and effects are %+v after the action, want state migrating, no effects and 1 running task", attempt.request.state, effects)
 			}
 		})
 	}
 }
 
-// TestEndOfFinalRequest checks that withdraw and answer change nothing if the request is already in a final
-// state.
+// TestEndOfFinalRequest checks that requestTable.withdraw and requestTable.sendFinalAnswer change nothing if
+// the request is already in a final state.
 func TestEndOfFinalRequest(t *testing.T) {
 	for _, state := range []requestState{requestMigrating, requestStopping, requestAnswered, requestWithdrawn, requestTerminated} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -125,7 +126,7 @@
 			table.sendFinalAnswer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
-				t.Errorf("request is in state %v, counts are %+v, %d requests are open, effects are %+v, want no change", req.state, *shared.counts, table.openCount, shared.effects)
+				t.Errorf("request is in state %v, counters are %+v, openCount is %d, effects are %+v; want the same state as before, counters and openCount 0, and no effects", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -6,32 +6,33 @@
 	"testing"
 )
 
-// requireTransitions checks the table of a state machine for each pair of states. The table may allow a
-// transition only if mayBeLegal returns true for it. Every transition must be carried out, and a transition
-// must be counted as illegal if and only if the table does not allow it.
+// requireTransitions checks the state table of a state machine for each pair of states. The table may allow a
+// transition only if the function mayBeLegal returns true for it. The function transition must carry out
+// every transition, and it must count a transition as illegal if and only if the table does not allow the
+// transition.
 func requireTransitions[State ~uint8](
-	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (after State, illegal int),
+	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (stateAfter State, illegalCount int),
 ) {
 	t.Helper()
 	if len(table) != int(last)+1 {
-		t.Fatalf("the table describes %d states, want %d", len(table), last+1)
+		t.Fatalf("state table describes %d states, want %d", len(table), last+1)
 	}
 	for from := State(0); from <= last; from++ {
 		for to := State(0); to <= last; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("the table allows the transition from %v to %v, want it to be illegal", from, to)
+				t.Errorf("state table allows the transition from %v to %v, want an illegal transition", from, to)
 			}
 			stateAfter, illegalCount := transition(from, to)
 			if counted := illegalCount == 1; stateAfter != to || counted == legal {
-				t.Errorf("transition from %v to %v: the state became %v, counted as illegal: %v; want the second state, and a count only if the table forbids the transition", from, to, stateAfter, counted)
+				t.Errorf("transition from %v to %v: state is %v afterwards, transition was counted as illegal: %v; want the second of the two states, and a count only if the state table forbids the transition", from, to, stateAfter, counted)
 			}
 		}
 	}
 }
 
-// TestRequestTransitions checks that no transition of a request leads from a final state to one that is not
-// final, and that illegal transitions are counted.
+// TestRequestTransitions checks that no legal transition of a request leads from a final state to a state
+// that is not final, and that illegal transitions are counted.
 func TestRequestTransitions(t *testing.T) {
 	staysFinal := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
 	requireTransitions(t, requestStates, requestTerminated, staysFinal, func(from, to requestState) (requestState, int) {
@@ -41,8 +42,8 @@
 	})
 }
 
-// TestAttemptTransitions checks that each transition of an attempt leads to a later state, and that illegal
-// transitions are counted.
+// TestAttemptTransitions checks that each legal transition of an attempt leads to a state with a higher
+// number, and that illegal transitions are counted.
 func TestAttemptTransitions(t *testing.T) {
 	leadsToLaterState := func(from, to attemptState) bool { return to > from }
 	requireTransitions(t, attemptStates, attemptTerminated, leadsToLaterState, func(from, to attemptState) (attemptState, int) {
@@ -52,8 +53,8 @@
 	})
 }
 
-// TestStateNames checks that each state has a unique name, and that the name of an unknown state contains its
-// number.
+// TestStateNames checks that each state of a request or an attempt has a unique name, and that the name of an
+// unknown state contains the number of the state.
 func TestStateNames(t *testing.T) {
 	var names []string
 	for state := requestOpen; state <= requestTerminated; state++ {
@@ -64,14 +65,14 @@
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, " ") || strings.Contains(name, "state") {
-			t.Errorf("state has the invalid name %q", name)
+			t.Errorf("state has name %q, want a name that is not empty and does not contain the word state", name)
 		}
 	}
 	slices.Sort(names)
 	if distinct := len(slices.Compact(slices.Clone(names))); distinct != len(names) {
-		t.Errorf("the states have %d distinct names, want %d, one for each state: %v", distinct, len(names), names)
+		t.Errorf("the states have %d distinct names, want %d, one for each state; the names are %v", distinct, len(names), names)
 	}
 	if got := requestState(99).String() + ", " + attemptState(98).String(); got != "request state 99, attempt state 98" {
-		t.Errorf("names of unknown states are %q, want their state machines and numbers", got)
+		t.Errorf("names of unknown states are %q, want the names of the state machines and the numbers of the states", got)
 	}
 }
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -5,15 +5,15 @@
 	"heathshed/placer"
 )
 
-// migrationConfirmTimeout is how long a node may take to confirm that it stopped a task for a migration.
-// After this time, the task is assumed to have ended by itself.
+// migrationConfirmTimeout is how long a node may take to confirm that it stopped a task for a migration. If
+// the node takes longer, the task is assumed to have ended by itself.
 const migrationConfirmTimeout placer.Seconds = 0.4
 
 // causeLost is the cause in a notification that a task was lost together with its node.
 const causeLost = protocol.CauseLost
 
 // taskController manages tasks from their start to their end. It changes the state of a request together with
-// the state of its attempt, and notifies the client. It has no state of its own.
+// the state of the attempt of the request, and notifies the client. It has no state of its own.
 type taskController struct {
 	*sharedState
 	clients  *clientRegistry
@@ -22,7 +22,8 @@
 	notifier *notifier
 }
 
-// start records that a node has accepted a task, and answers the client.
+// handleAcceptance handles the message with which a node accepts an attempt in time: it answers the client
+// and records that the task runs. The answer contains the given body.
 func (t *taskController) handleAcceptance(attempt *Attempt, body string) {
 	req := attempt.request
 	t.attempts.markRunning(attempt)
@@ -33,8 +34,9 @@
 	t.attempts.postAttemptBound(attempt)
 }
 
-// end ends a running task. The client is notified unless the client itself stopped the task, or was asked to
-// migrate the task and the node has confirmed the migration.
+// endTask ends a running task. The client is notified, unless it already knows that the task is stopped. The
+// client is not notified either if it was asked to request a new placement of the task and the node has
+// confirmed that it stopped the task for this migration.
 func (t *taskController) endTask(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
@@ -58,9 +60,10 @@
 }
 
 // endUnansweredRequest ends a request whose task a node accepted and then evicted, preempted or drained,
-// while the acceptance was lost or has not arrived yet. A node that has not accepted a task rejects it for
-// lack of capacity instead, so the task must have run. The client is notified of the end and may send a new
-// request. Another attempt would start the task again under an ID that has already ended.
+// while the Running message of the node was lost or has not arrived yet. The task must have run, because a
+// node that has not accepted a task rejects it for lack of capacity instead. The client is notified of the
+// end of the task and may send a new request. The placer must not make another attempt, because that attempt
+// would start the task again under the ID of a task that has already ended.
 func (t *taskController) endUnansweredRequest(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	t.counts.TasksLost++
@@ -71,8 +74,8 @@
 	t.requests.remove(req)
 }
 
-// migrate asks the client of a running task to request a new placement, and asks the task's node to stop the
-// task.
+// migrateTask asks the client of a running task to request a new placement of the task, and asks the node to
+// stop the task.
 func (t *taskController) migrateTask(req *request) {
 	attempt := req.runningAttempt()
 	if attempt == nil || req.state.isFinal() {
@@ -85,8 +88,9 @@
 }
 
 // notifyUnconfirmedMigration notifies the client of a migrating task that the task has ended, unless the node
-// has confirmed that it stopped the task. A task may end by itself while the Migrate message is in transit,
-// and the client then ignores that message.
+// has confirmed that it stopped the task for the migration. The notification is needed because the task may
+// have ended by itself while the Migrate message was in transit. In that case the client ignores the Migrate
+// message.
 func (t *taskController) notifyUnconfirmedMigration(attempt *Attempt) {
 	req := attempt.request
 	if attempt.state != attemptRunning || req.state != requestMigrating {
@@ -105,8 +109,8 @@
 	t.requestStop(attempt, cause)
 }
 
-// stopTasksOn stops the tasks that run on an unresponsive node, as Core.NodeUnresponsive describes. It
-// returns the number of tasks that had not been stopped before.
+// stopTasksOn implements Core.NodeUnresponsive: it stops the tasks that run on an unresponsive node. It
+// returns the number of tasks that the node had not been asked to stop before.
 func (t *taskController) stopTasksOn(node *Node) (stoppedTasks int) {
 	for _, attempt := range node.runningAttemptsByTaskID() {
 		if attempt.stopSent {
@@ -124,8 +128,8 @@
 	return stoppedTasks
 }
 
-// requestStop asks the node of a running task to stop it. The task ends when the node confirms the stop, or
-// when notificationRetention has passed.
+// requestStop asks the node of a running task to stop the task. The task ends when the node confirms that it
+// stopped the task, or when notificationRetention has passed.
 func (t *taskController) requestStop(attempt *Attempt, cause protocol.Cause) {
 	if !attempt.stopSent {
 		t.awaitStopConfirmation(attempt)
@@ -133,8 +137,8 @@
 	t.attempts.sendStop(attempt, cause, false)
 }
 
-// awaitStopConfirmation sets the timers that apply while the scheduler waits for the node to confirm that it
-// stopped a running task.
+// awaitStopConfirmation sets the timers that run if the node does not confirm in time that it stopped a
+// running task.
 func (t *taskController) awaitStopConfirmation(attempt *Attempt) {
 	if attempt.request.state == requestMigrating {
 		t.timers.Add(t.now+migrationConfirmTimeout, func() { t.notifyUnconfirmedMigration(attempt) })
