--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -75,7 +75,7 @@
 // postArrival passes a new placement request to the placer as soon as no more adoption requests are expected,
 // but at the latest at the deadline of the placement request. After a scheduler start, a client requests the
 // adoption of hundreds of running tasks on one connection while new placement requests arrive on other
-// connections. If the placer received a placement request before it knows all running tasks, it would place
+// connections. If the placer received a placement request before it knew all running tasks, it would place
 // the task without regard to the nodes on which other tasks of the same service already run.
 func (a *adoption) postArrival(req *request, task placer.Task) {
 	waitUntil := min(a.adoptionsExpectedUntil(), req.deadline)
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -42,7 +42,7 @@
 // Age returns the time since the placer requested the attempt or the task was adopted.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
-// Unanswered reports whether the attempt is waiting for a connection to its node or for the node's answer.
+// Unanswered reports whether the attempt waits for a connection to its node or for the node's answer.
 func (a *Attempt) Unanswered() bool { return a.state.isUnanswered() }
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Node, a.request.message.ID} }
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -31,9 +31,10 @@
 // String returns the name of the state.
 func (s attemptState) String() string { return attemptStates.stateName("attempt", s) }
 
-// isLive reports whether an attempt in this state waits for the answer of its node or its task runs.
+// isLive reports whether an attempt in this state has not ended: it waits for the answer of its node, or its
+// task runs.
 func (s attemptState) isLive() bool { return s <= attemptRunning }
 
-// isUnanswered reports whether an attempt in this state is waiting for a connection to its node or for the
-// node's answer.
+// isUnanswered reports whether an attempt in this state waits for a connection to its node or for the node's
+// answer.
 func (s attemptState) isUnanswered() bool { return s <= attemptSent }
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// lateAnswerRetention is how long an abandoned attempt is kept after clients have stopped to query the nodes
-// for the task of the attempt. Clients query the nodes for a task with an unknown outcome.
+// lateAnswerRetention is how long an abandoned attempt is kept after the client has stopped querying the
+// nodes for the task. A client queries the nodes for a task if the outcome of an attempt is unknown.
 const lateAnswerRetention placer.Seconds = 5.0
 
 // attemptTable owns the attempts about which nodes may still send messages. It changes their states and
@@ -53,7 +53,8 @@
 	t.addEffect(Effect{Kind: SendAttempt, Attempt: attempt})
 }
 
-// canStart reports whether a new attempt may be sent. The attempt has to be the last one of its request.
+// canStart reports whether a new attempt may be sent. The caller must already have added the attempt to its
+// request.
 func (t *attemptTable) canStart(attempt *Attempt) bool {
 	req := attempt.request
 	if req.state.isFinal() || attempt.expiresAt <= t.now {
@@ -191,7 +192,8 @@
 	attempt.timer = t.timers.Add(at, run)
 }
 
-// remove removes an attempt about which its node is not expected to send further messages.
+// remove removes an attempt from the table. The node is not expected to send further messages about the
+// attempt.
 func (t *attemptTable) remove(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	if key := attempt.key(); t.byKey[key] == attempt {
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -80,7 +80,8 @@
 	return recorder
 }
 
-// listAllNodes delivers a discovery event that lists all nodes with the given state and start time.
+// deliverEventWithAllNodes passes a discovery event to the core. The event contains all nodes, with the given
+// state and start time.
 func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
 	var all []string
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -82,7 +82,7 @@
 	if existing.conn == client.id && existing.runningAttempt() == nil {
 		h.requests.withdraw(existing)
 	}
-	return invalidMessage(InvalidIDInUse, "launch message: ID %s is already in use", msg.UID)
+	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
 }
 
 // handleStop handles a Stop message, with which a client withdraws an open request or stops a running task.
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -10,7 +10,7 @@
 		name          string
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
 		preferredConn ConnID
-		want          ConnID // want is 0 if no connection is selected.
+		wantConn      ConnID // wantConn is 0 if no connection is selected.
 		onlyClient    ConnID // onlyClient is 0 if no connection or several ones have sent a valid message.
 	}{
 		{"no connection is open", nil, 1, 0, 0},
@@ -33,8 +33,8 @@
 				selected = conn.id
 			}
 
-			if selected != test.want {
-				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selected, test.want)
+			if selected != test.wantConn {
+				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selected, test.wantConn)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -39,7 +39,7 @@
 // about 2 KB of memory.
 const maxTasks = 20000
 
-// Core is the state machine of the scheduler on the platform. It is not safe for concurrent use.
+// Core is the state machine of a scheduler on the shared platform. It is not safe for concurrent use.
 type Core struct {
 	// Counts may be read by the caller of the core, but must not be written by it.
 	Counts Counts
@@ -140,7 +140,7 @@
 	}
 }
 
-// ClientConnected registers a new client connection.
+// ClientConnected adds a new client connection.
 func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
 	c.setClock(now)
 	c.clients.connect(conn)
@@ -220,9 +220,9 @@
 }
 
 // ReceiveFromNode handles one message of a node. If no attempt for the task of the message was sent to the
-// node, or if that attempt was already removed, the message changes only counters. If the message reports the
-// end of a task that the core does not know, the end is also recorded, because a client may still request the
-// adoption of the task.
+// node, or if that attempt was already removed, the core only counts the message. There is one exception: if
+// the message reports the end of a task that the core does not know, the core also records that end, because
+// a client may still request the adoption of the task.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
@@ -251,7 +251,7 @@
 	return stoppedTasks
 }
 
-// Node returns the node with the given ID, or nil if the registry does not contain it.
+// Node returns the node with the given ID, or nil if the node registry does not contain that node.
 func (c *Core) Node(id placer.NodeID) *Node { return c.nodes.get(id) }
 
 // EachNode calls f for each node in the node registry, in no particular order.
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -23,10 +23,10 @@
 
 	// Attempts counts the attempts that the placer requested, whether or not they were sent.
 	Attempts uint64
-	// Bound counts the attempts that a node accepted in time.
+	// Bound counts the attempts that their nodes accepted in time.
 	Bound uint64
-	// CapacityRejections counts the attempts that a node rejected with CauseNoCapacity. A node does so if it
-	// lacks capacity, or if it is draining and accepts no new tasks.
+	// CapacityRejections counts the attempts that a node rejected with CauseNoCapacity. A node uses this
+	// cause if it lacks capacity, or if it is draining and accepts no new tasks.
 	CapacityRejections uint64
 	// NodeErrors counts the attempts that a node answered with an error.
 	NodeErrors uint64
@@ -38,8 +38,8 @@
 	ConnectionsLost uint64
 	// TimedOut counts the attempts that were sent but not answered before they expired.
 	TimedOut uint64
-	// Expired counts the attempts that ended before they were sent, except for those that the counter
-	// ConnectFailures counts. It also counts the attempts that a node reports to have received too late.
+	// Expired counts the attempts that ended while they waited to be sent, unless no connection to the node
+	// could be established. It also counts the attempts that a node reports to have received too late.
 	Expired uint64
 	// LateAnswers counts the messages with which nodes accept attempts that had already been abandoned.
 	LateAnswers uint64
--- a/internal/platform/dispatch/errors.go
+++ b/internal/platform/dispatch/errors.go
@@ -17,12 +17,12 @@
 	InvalidBody     InvalidReason = "body"      // The launch message has no body, which has to describe the task.
 	InvalidClass    InvalidReason = "class"     // The launch message names an unknown task class.
 	InvalidTenant   InvalidReason = "tenant"    // The launch message names no tenant or an unknown one.
-	InvalidKey      InvalidReason = "key"       // The field Key of the launch message is not 16 hexadecimal digits.
-	InvalidExtras   InvalidReason = "extras"    // A value in the field Extras of the launch message is invalid.
-	InvalidTimeLeft InvalidReason = "left"      // The field TimeLeft of the launch message is not a valid time.
+	InvalidKey      InvalidReason = "key"       // The field Key does not consist of 16 hexadecimal digits.
+	InvalidExtras   InvalidReason = "extras"    // A value in the field Extras is missing or malformed.
+	InvalidTimeLeft InvalidReason = "left"      // The field TimeLeft is not a number or is out of range.
 	InvalidNode     InvalidReason = "at"        // The adoption request names a node that is not in the node registry.
 	InvalidIDInUse  InvalidReason = "id in use" // The launch message has the ID of another placement request.
-	InvalidStop     InvalidReason = "stop"      // The Stop message is for a request on another client connection.
+	InvalidStop     InvalidReason = "stop"      // The Stop message refers to a request on another client connection.
 )
 
 // InvalidMessageError is the error that Core.ReceiveFromClient returns for an invalid message.
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -21,15 +21,15 @@
 // open requests that arrived on that connection, and no others.
 func (t *requestTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
-		return fmt.Errorf("request table: %d illegal state transitions", t.illegalTransitions)
+		return fmt.Errorf("request table: %d illegal state transitions, want 0", t.illegalTransitions)
 	}
 	if len(t.byTask) != len(t.byID) {
-		return fmt.Errorf("request table: %d requests are indexed by task and %d by ID", len(t.byTask), len(t.byID))
+		return fmt.Errorf("request table: %d requests are indexed by task ID and %d by message ID", len(t.byTask), len(t.byID))
 	}
 	openRequests := 0
 	for task, req := range t.byTask {
 		if req.taskID != task || t.byID[req.message.ID] != req {
-			return fmt.Errorf("request %s: the indexes by task ID %d and by request ID contain different requests", req.message.UID, task)
+			return fmt.Errorf("request %s: the indexes by task ID %d and by message ID contain different requests", req.message.UID, task)
 		}
 		if req.state == requestOpen {
 			openRequests++
@@ -69,11 +69,11 @@
 // attemptRunning.
 func (t *attemptTable) checkInvariants() error {
 	if t.illegalTransitions > 0 {
-		return fmt.Errorf("attempt table: %d illegal state transitions", t.illegalTransitions)
+		return fmt.Errorf("attempt table: %d illegal state transitions, want 0", t.illegalTransitions)
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
-			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x, want an attempt that is not terminated, under its own node and ID", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
 			return fmt.Errorf("attempt %s at node %x is in state %v; contained in the node's running attempts: %v, want true only in state running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
@@ -87,7 +87,7 @@
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
-			return fmt.Errorf("node %s in state %d is stored under ID %x, and is described to the placer as %+v", node.UID, node.State, id, node.placerNode)
+			return fmt.Errorf("node %s in state %d is stored under ID %x, and is described to the placer as %+v, want the same ID and state everywhere", node.UID, node.State, id, node.placerNode)
 		}
 		for attempt := range node.runningAttempts {
 			if attempt.Node != id || attempt.state != attemptRunning {
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -12,32 +12,32 @@
 // case violates one invariant of a core that has an open request, a running task and an early termination.
 func TestInvariants(t *testing.T) {
 	for _, test := range []struct {
-		name, want string
-		corrupt    func(core *Core, open, running *request)
+		name, wantInError string
+		corrupt           func(core *Core, openRequest, runningRequest *request)
 	}{
-		{"request makes an illegal state transition", "request table: 1 illegal state transitions", func(core *Core, open, _ *request) { core.requests.transition(open, requestOpen) }},
-		{"attempt makes an illegal state transition", "attempt table: 1 illegal state transitions", func(core *Core, open, _ *request) {
-			core.attempts.transition(open.lastAttempt(), attemptPending)
+		{"request makes an illegal state transition", "request table: 1 illegal state transitions, want 0", func(core *Core, openRequest, _ *request) { core.requests.transition(openRequest, requestOpen) }},
+		{"attempt makes an illegal state transition", "attempt table: 1 illegal state transitions, want 0", func(core *Core, openRequest, _ *request) {
+			core.attempts.transition(openRequest.lastAttempt(), attemptPending)
 		}},
-		{"request is missing from the index by ID", "2 requests are indexed by task and 1 by ID", func(core *Core, open, _ *request) { delete(core.requests.byID, open.message.ID) }},
-		{"one request is stored under two IDs", "and by request ID contain different requests", func(core *Core, open, running *request) {
-			core.requests.byID[running.message.ID] = open
+		{"request is missing from the index by message ID", "2 requests are indexed by task ID and 1 by message ID", func(core *Core, openRequest, _ *request) { delete(core.requests.byID, openRequest.message.ID) }},
+		{"one request is stored under two IDs", "and by message ID contain different requests", func(core *Core, openRequest, runningRequest *request) {
+			core.requests.byID[runningRequest.message.ID] = openRequest
 		}},
 		{"openCount is too high", "1 requests are open, but openCount is 2 and the client connections have 1 open requests", func(core *Core, _, _ *request) { core.requests.openCount++ }},
-		{"open request is missing from its connection", "the open request is missing from the open requests of client connection", func(core *Core, open, _ *request) { core.clients.removeOpenRequest(open) }},
-		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, open, _ *request) { core.attempts.markRunning(open.lastAttempt()) }},
-		{"running request has no attempt", "no attempt runs the task", func(_ *Core, _, running *request) { running.attempts = nil }},
-		{"terminated request was not removed", "the request has ended but was not removed", func(_ *Core, _, running *request) { running.state = requestTerminated }},
-		{"terminated attempt was not removed", "in state terminated is stored under node", func(_ *Core, open, _ *request) { open.lastAttempt().state = attemptTerminated }},
-		{"running attempt is missing from its node", "in state running; contained in the node's running attempts: false, want true only in state running", func(core *Core, _, running *request) {
-			core.nodes.removeRunningAttempt(running.lastAttempt())
+		{"open request is missing from its connection", "the open request is missing from the open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
+		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, openRequest, _ *request) { core.attempts.markRunning(openRequest.lastAttempt()) }},
+		{"running request has no attempt", "no attempt runs the task", func(_ *Core, _, runningRequest *request) { runningRequest.attempts = nil }},
+		{"terminated request was not removed", "the request has ended but was not removed", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
+		{"terminated attempt was not removed", "in state terminated is stored under node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
+		{"running attempt is missing from its node", "in state running; contained in the node's running attempts: false, want true only in state running", func(core *Core, _, runningRequest *request) {
+			core.nodes.removeRunningAttempt(runningRequest.lastAttempt())
 		}},
-		{"running attempts of a node contain an unanswered attempt", "in state sent; contained in the node's running attempts: true, want true only in state running", func(core *Core, open, _ *request) {
-			core.nodes.addRunningAttempt(open.lastAttempt())
+		{"running attempts of a node contain an unanswered attempt", "in state sent; contained in the node's running attempts: true, want true only in state running", func(core *Core, openRequest, _ *request) {
+			core.nodes.addRunningAttempt(openRequest.lastAttempt())
 		}},
-		{"running attempts of several nodes contain the same attempt", "in state running, which does not run on that node", func(core *Core, _, running *request) {
+		{"running attempts of several nodes contain the same attempt", "in state running, which does not run on that node", func(core *Core, _, runningRequest *request) {
 			for _, node := range core.nodes.nodes {
-				node.runningAttempts[running.lastAttempt()] = struct{}{}
+				node.runningAttempts[runningRequest.lastAttempt()] = struct{}{}
 			}
 		}},
 		{"node is stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
@@ -57,8 +57,8 @@
 
 			test.corrupt(harness.core, unansweredAttempt.request, harness.core.requests.getByID(adoptedID))
 
-			if err := harness.core.CheckInvariants(); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("CheckInvariants returned %v, want an error that contains %q", err, test.want)
+			if err := harness.core.CheckInvariants(); err == nil || !strings.Contains(err.Error(), test.wantInError) {
+				t.Errorf("CheckInvariants returned %v, want an error that contains %q", err, test.wantInError)
 			}
 		})
 	}
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -30,7 +30,8 @@
 	lastDiscoveryEvent uint64 // lastDiscoveryEvent is the sequence number of the last event that was applied.
 	discoveryConnected bool
 	// nodeListRequested is set while the placer waits for an answer to its request for the node list. The
-	// answer is sent when the discovery stream has been connected or could not be connected.
+	// answer follows when the next node list arrives, or when the caller of the core reports whether it could
+	// connect the discovery stream.
 	nodeListRequested bool
 }
 
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestDiscoveryEvents delivers discovery events one after another to the same core, and checks which of them
-// are applied.
+// TestDiscoveryEvents passes discovery events one after another to the same core, and checks which of these
+// events the core applies.
 func TestDiscoveryEvents(t *testing.T) {
 	harness := newHarness(t, nil)
 	for _, test := range []struct {
@@ -95,7 +95,7 @@
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
 		if lastEvent := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || lastEvent != test.lastEvent {
-			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v and the last event number is %d, want the values in the test case", test.name, ok, err, lastEvent)
+			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v and the last event number is %d, want the values that the test case specifies", test.name, ok, err, lastEvent)
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -64,7 +64,7 @@
 		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
 		{name: "connection closes shortly after the notification while another connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
 		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
-		{name: "client acknowledged an earlier notification, and its connection closes long after the notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
+		{name: "client acknowledged an earlier notification, and its connection closes long after the last notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
 		{name: "client acknowledged the notification before its connection closes", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
 		{name: "connection closes shortly after a Migrate message", migration: true, closedAfter: 0.01, want: 1},
 		{name: "connection closes long after a Migrate message", clientAcknowledges: true, migration: true, closedAfter: 1.5, want: 0},
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -51,7 +51,7 @@
 		return parsedReq, err
 	}
 	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
-		return parsedReq, invalidMessage(InvalidKey, "launch message %s: invalid key: %w", msg.UID, err)
+		return parsedReq, invalidMessage(InvalidKey, "launch message %s: invalid field Key: %w", msg.UID, err)
 	}
 	resourceCount, err := parsedReq.parseExtras(msg)
 	if err != nil {
@@ -71,7 +71,7 @@
 	name := msg.Get(protocol.Class)
 	class := slices.Index(p.settings.Classes, name)
 	if class < 0 {
-		return 0, invalidMessage(InvalidClass, "launch message %s: unknown class %.40q", msg.UID, name)
+		return 0, invalidMessage(InvalidClass, "launch message %s: unknown task class %.40q", msg.UID, name)
 	}
 	return class, nil
 }
@@ -130,7 +130,7 @@
 func parseService(msg *protocol.Message, value string) (placer.ServiceID, error) {
 	id, err := protocol.ParseID(value)
 	if err != nil {
-		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: invalid service: %w", msg.UID, err)
+		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: invalid service ID: %w", msg.UID, err)
 	}
 	return placer.ServiceID(id), nil
 }
@@ -145,7 +145,7 @@
 	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsedReq.task.Class].Deadline)
 	valid := err == nil && (inRange(leftMS, limitMS) || parsedReq.isAdoption() && leftMS >= 0)
 	if !valid {
-		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms (twice the class deadline)", msg.UID, text, limitMS)
+		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms, which is twice the deadline of the task class", msg.UID, text, limitMS)
 	}
 	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -11,11 +11,11 @@
 	requestOpen requestState = iota
 	// requestRunning means that the task is running.
 	requestRunning
-	// requestMigrating means that the client was asked to request a new placement of the running task, and
-	// that the node was asked to stop the task and has not confirmed that it did.
+	// requestMigrating means that the client was asked to request a new placement of the running task. The
+	// node was asked to stop the task and has not yet confirmed that it stopped the task.
 	requestMigrating
-	// requestStopping means that the client knows that the running task is stopped, and that the node was
-	// asked to stop the task and has not confirmed that it did.
+	// requestStopping means that the client needs no notification of the end of the running task. The node
+	// was asked to stop the task and has not yet confirmed that it stopped the task.
 	requestStopping
 	// requestAnswered means that the client was sent the answer that the request was rejected or failed.
 	requestAnswered
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -11,14 +11,14 @@
 // every transition, and it must count a transition as illegal if and only if the table does not allow the
 // transition.
 func requireTransitions[State ~uint8](
-	t *testing.T, table stateTable[State], last State, mayBeLegal func(from, to State) bool, transition func(from, to State) (stateAfter State, illegalCount int),
+	t *testing.T, table stateTable[State], lastState State, mayBeLegal func(from, to State) bool, transition func(from, to State) (stateAfter State, illegalCount int),
 ) {
 	t.Helper()
-	if len(table) != int(last)+1 {
-		t.Fatalf("state table describes %d states, want %d", len(table), last+1)
+	if len(table) != int(lastState)+1 {
+		t.Fatalf("state table describes %d states, want %d", len(table), lastState+1)
 	}
-	for from := State(0); from <= last; from++ {
-		for to := State(0); to <= last; to++ {
+	for from := State(0); from <= lastState; from++ {
+		for to := State(0); to <= lastState; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
 				t.Errorf("state table allows the transition from %v to %v, want an illegal transition", from, to)
