--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -146,8 +146,8 @@
 
 // abandonLastAttempt abandons the last attempt of a request if that attempt is unanswered.
 func (t *attemptTable) abandonLastAttempt(req *request, result placer.Result) {
-	if last := req.lastAttempt(); last != nil && last.Unanswered() {
-		t.abandon(last, result, false)
+	if lastAttempt := req.lastAttempt(); lastAttempt != nil && lastAttempt.Unanswered() {
+		t.abandon(lastAttempt, result, false)
 	}
 }
 
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -61,12 +61,12 @@
 			msg := newMessage(protocol.Stop, attempt.Message.ID, test.cause)
 			msg.Set(protocol.Note, test.note)
 
-			answers := messagesToClients(harness.receiveFromNode(attempt, msg))
+			clientMessages := messagesToClients(harness.receiveFromNode(attempt, msg))
 
-			clientNotified := len(answers) == 1 && answers[0].Message.Cause == protocol.CauseLost
+			clientNotified := len(clientMessages) == 1 && clientMessages[0].Message.Cause == protocol.CauseLost
 			boundReported := policy.receivedEvent(placer.Bound)
 			if clientNotified != test.wantEnded || boundReported != test.wantEnded || policy.lastEvent().Final != test.wantEnded || record.answerCount != 1 {
-				t.Errorf("clients received messages %+v, placer received a Bound event: %v, last event of the placer is %+v; want one notification, a Bound event and a final last event only if the task ended", answers, boundReported, policy.lastEvent())
+				t.Errorf("clients received messages %+v, placer received a Bound event: %v, last event of the placer is %+v; want one notification, a Bound event and a final last event only if the task ended", clientMessages, boundReported, policy.lastEvent())
 			}
 			harness.acceptAttempt(attempt)
 			if harness.core.RunningTasks() != 0 || record.answerCount != 1 {
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -24,13 +24,13 @@
 		recorder.sortEffects = true
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
-		recorder.listAllNodes("in_service", 0)
+		recorder.deliverEventWithAllNodes("in_service", 0)
 		recorder.requestAdoptions(24, 1)
 		recorder.recordCheckpoint(1)
-		recorder.listAllNodes("in_service", 1010_000) // All nodes start new incarnations, which ends the running tasks.
+		recorder.deliverEventWithAllNodes("in_service", 1010_000) // All nodes start new incarnations, which ends the running tasks.
 		recorder.recordCheckpoint(2)
 		recorder.requestAdoptions(24, 101)
-		recorder.listAllNodes("terminated", 0)
+		recorder.deliverEventWithAllNodes("terminated", 0)
 		recorder.recordCheckpoint(3)
 		recorder.advanceInOneCall(1.5, 0)
 		recorder.recordCheckpoint(4)
@@ -65,7 +65,7 @@
 	for range setup.connections {
 		recorder.openConnection()
 	}
-	recorder.listAllNodes("in_service", 0)
+	recorder.deliverEventWithAllNodes("in_service", 0)
 	return recorder
 }
 
@@ -82,13 +82,13 @@
 
 // deliverEventWithAllNodes passes a discovery event to the core. The event contains all nodes, with the given
 // state and start time.
-func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
+func (recorder *scriptRecorder) deliverEventWithAllNodes(state string, startedAtMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
-	var all []string
+	var nodes []string
 	for i := 1; i <= scriptNodeCount; i++ {
-		all = append(all, recorder.nodeJSON(i, state, bootMS))
+		nodes = append(nodes, recorder.nodeJSON(i, state, startedAtMS))
 	}
-	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
+	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, nodes...)))
 	recorder.digestBool(ok)
 	recorder.digestError(err)
 	recorder.digestEffectsAndState(0)
@@ -189,7 +189,7 @@
 	}
 	return runVariants(len(restartDelaysMS), start, func(recorder *scriptRecorder, variant int) {
 		recorder.requestAdoptions(1, 1)
-		recorder.listAllNodes("in_service", 1000_000+restartDelaysMS[variant])
+		recorder.deliverEventWithAllNodes("in_service", 1000_000+restartDelaysMS[variant])
 	})
 }
 
@@ -257,9 +257,9 @@
 	msg.Body = `"out"`
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.digestEffectsAndState(3)
-	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
+	stopMsg := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
 	if len(recorder.pendingAttempts) > 0 { // Another attempt was started, so the client withdraws the request.
-		recorder.receiveFromClient(1, stop)
+		recorder.receiveFromClient(1, stopMsg)
 		recorder.digestEffectsAndState(4)
 	}
 	for i := 1; i <= 4; i++ {
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -107,8 +107,8 @@
 }
 
 func (recorder *scriptRecorder) digestNumbers(values ...uint64) {
-	for _, v := range values {
-		recorder.digest.Write(binary.BigEndian.AppendUint64(nil, v))
+	for _, value := range values {
+		recorder.digest.Write(binary.BigEndian.AppendUint64(nil, value))
 	}
 }
 
@@ -169,9 +169,9 @@
 // the digest.
 func (recorder *scriptRecorder) digestEffectsAndState(step int) {
 	recorder.digestNumbers(uint64(step))
-	var encoded [][]byte
+	var encodedEffects [][]byte
 	for _, effect := range recorder.core.Ready() {
-		encoded = append(encoded, encodeEffect(&effect))
+		encodedEffects = append(encodedEffects, encodeEffect(&effect))
 		if effect.Kind == dispatch.SendAttempt {
 			recorder.pendingAttempts = append(recorder.pendingAttempts, effect.Attempt)
 		}
@@ -180,10 +180,10 @@
 		}
 	}
 	if recorder.sortEffects {
-		slices.SortFunc(encoded, func(a, b []byte) int { return strings.Compare(string(a), string(b)) })
+		slices.SortFunc(encodedEffects, func(a, b []byte) int { return strings.Compare(string(a), string(b)) })
 	}
-	recorder.digestNumbers(uint64(len(encoded)))
-	for _, effect := range encoded {
+	recorder.digestNumbers(uint64(len(encodedEffects)))
+	for _, effect := range encodedEffects {
 		recorder.digestText(string(effect))
 	}
 	recorder.digestState()
@@ -277,8 +277,8 @@
 	case event.Kind == placer.TimerFired && recorder.random.IntN(2) == 0:
 		actions = append(actions, placer.Action{Kind: randomChoice(recorder, placer.WatchNodes, placer.ListNodes)})
 		if len(random.tasks) > 0 {
-			recent := random.tasks[max(0, len(random.tasks)-20):]
-			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: randomChoice(recorder, recent...)})
+			recentTasks := random.tasks[max(0, len(random.tasks)-20):]
+			actions = append(actions, placer.Action{Kind: placer.Migrate, Task: randomChoice(recorder, recentTasks...)})
 		}
 	}
 	return actions
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -16,10 +16,10 @@
 	scriptNodeCount    = 6   // scriptNodeCount is the number of nodes that a script uses.
 )
 
-func (recorder *scriptRecorder) nodeJSON(number int, state string, bootMS int64) string {
+func (recorder *scriptRecorder) nodeJSON(number int, state string, startedAtMS int64) string {
 	recorder.nodeStates[number] = state
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.%d:%d","az":%q,"model":%q,"pod_group":%d,"state":%q,"boot_ms":%d,"open":[%d,24]}`,
-		dispatch.NodeUID(number), number, 1+recorder.eventNumber%3, string("ab"[number%2]), []string{"std", "big"}[number%2], number/2, state, bootMS, 4+number)
+		dispatch.NodeUID(number), number, 1+recorder.eventNumber%3, string("ab"[number%2]), []string{"std", "big"}[number%2], number/2, state, startedAtMS, 4+number)
 }
 
 // randomChoice returns one of the choices, selected by the recorder's random number generator.
@@ -212,10 +212,10 @@
 	i := recorder.random.IntN(len(recorder.pendingAttempts))
 	attempt := recorder.pendingAttempts[i]
 	recorder.pendingAttempts = slices.Delete(recorder.pendingAttempts, i, i+1)
-	allowed := recorder.core.PrepareSend(recorder.now, attempt)
-	recorder.digestBool(allowed)
+	maySend := recorder.core.PrepareSend(recorder.now, attempt)
+	recorder.digestBool(maySend)
 	recorder.digestText(string(attempt.Message.Append(nil)))
-	if allowed {
+	if maySend {
 		recorder.sentAttempts = append(recorder.sentAttempts, attempt)
 	}
 }
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -70,7 +70,9 @@
 	}
 	firstNode := `{"uid":"s-00000001","state":"in_service"}`
 	secondNode := `{"uid":"s-00000002","state":"in_service"}`
-	eventList := func(last int, events string) string { return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, events) }
+	eventList := func(lastNumber int, events string) string {
+		return fmt.Sprintf(`{"no":%d,"items":[%s]}`, lastNumber, events)
+	}
 	for _, test := range []struct {
 		name, initialEvents string
 		lastEvent           uint64
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -52,11 +52,11 @@
 func (h *clientMessageHandler) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	h.counts.PlacementRequests++
 	parsedReq, err := h.parser.parse(h.now, msg)
-	if existing := h.requests.getByID(msg.ID); existing != nil {
+	if existingRequest := h.requests.getByID(msg.ID); existingRequest != nil {
 		if err == nil && parsedReq.isAdoption() {
 			return nil // The task was already adopted.
 		}
-		return h.rejectDuplicate(client, existing, msg)
+		return h.rejectDuplicate(client, existingRequest, msg)
 	}
 	if err != nil {
 		return err
@@ -78,9 +78,9 @@
 // rejectDuplicate rejects a launch message that has the same ID as an existing request. Two requests with the
 // same ID cannot both be answered. If the existing request is open and arrived on the same connection, it is
 // withdrawn too.
-func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
-	if existing.conn == client.id && existing.runningAttempt() == nil {
-		h.requests.withdraw(existing)
+func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
+	if existingRequest.conn == client.id && existingRequest.runningAttempt() == nil {
+		h.requests.withdraw(existingRequest)
 	}
 	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
 }
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -134,13 +134,13 @@
 	if conn := r.conns[preferredConn]; conn != nil {
 		return conn
 	}
-	var best *clientConn
+	var mostRecentlyUsed *clientConn
 	for _, conn := range r.conns {
-		if conn.hasSentValidMessage() && (best == nil || conn.moreRecentlyUsedThan(best)) {
-			best = conn
+		if conn.hasSentValidMessage() && (mostRecentlyUsed == nil || conn.moreRecentlyUsedThan(mostRecentlyUsed)) {
+			mostRecentlyUsed = conn
 		}
 	}
-	return best
+	return mostRecentlyUsed
 }
 
 // isOnlyClient reports whether a connection is the only open one on which a valid message has arrived.
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -5,7 +5,7 @@
 // TestSelectConn checks which client connection is selected for a notification, in particular if the
 // preferred connection is closed. It also checks for which connection isOnlyClient returns true.
 func TestSelectConn(t *testing.T) {
-	withoutValidMessage := clientConn{}
+	connWithoutValidMessage := clientConn{}
 	for _, test := range []struct {
 		name          string
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
@@ -14,9 +14,9 @@
 		onlyClient    ConnID // onlyClient is 0 if no connection or several ones have sent a valid message.
 	}{
 		{"no connection is open", nil, 1, 0, 0},
-		{"no connection has sent a valid message", []clientConn{withoutValidMessage, withoutValidMessage}, 9, 0, 0},
-		{"preferred connection is open but has sent no valid message", []clientConn{withoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
-		{"only one connection has sent a valid message", []clientConn{withoutValidMessage, {lastValidMessageAt: 5}, withoutValidMessage}, 9, 2, 2},
+		{"no connection has sent a valid message", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
+		{"preferred connection is open but has sent no valid message", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
+		{"only one connection has sent a valid message", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
 		{"connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
 		{"placement times are equal, connection with the most recent valid message is selected", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
 		{"placement and message times are equal, connection with the highest ID is selected", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
@@ -28,13 +28,13 @@
 				registry.conns[ConnID(i+1)] = &test.conns[i]
 			}
 
-			var selected ConnID
+			var selectedConn ConnID
 			if conn := registry.selectConn(test.preferredConn); conn != nil {
-				selected = conn.id
+				selectedConn = conn.id
 			}
 
-			if selected != test.wantConn {
-				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selected, test.wantConn)
+			if selectedConn != test.wantConn {
+				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selectedConn, test.wantConn)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
--- a/internal/platform/dispatch/core_test.go
+++ b/internal/platform/dispatch/core_test.go
@@ -12,14 +12,14 @@
 // requests a timer whose delay is below the resolution of the clock.
 func TestDelaysBelowClockResolution(t *testing.T) {
 	const now = 1.8e9 // This is a Unix time in seconds. A float64 of this size has a resolution of 2.4e-7 s.
-	for _, after := range []placer.Seconds{0, 1e-9} {
-		wakeups := 0
+	for _, delay := range []placer.Seconds{0, 1e-9} {
+		timerEvents := 0
 		core := &Core{sharedState: &sharedState{settings: &simconfig.Settings{}, now: now}}
 		core.events = eventqueue.Queue{Execute: core.execute, Placer: placerFunc(func(placer.Event) []placer.Action {
-			if wakeups++; wakeups > 1000 {
-				t.Fatalf("placer received %d timer events at the same time for timers with a delay of %g s, want at most 1000", wakeups, after)
+			if timerEvents++; timerEvents > 1000 {
+				t.Fatalf("placer received %d timer events at the same time for timers with a delay of %g s, want at most 1000", timerEvents, delay)
 			}
-			return []placer.Action{{Kind: placer.SetTimer, After: after}}
+			return []placer.Action{{Kind: placer.SetTimer, After: delay}}
 		})}
 		core.postEvent(placer.Event{Kind: placer.TimerFired})
 		core.runEvents()
@@ -29,6 +29,6 @@
 
 type placerFunc func(placer.Event) []placer.Action
 
-func (f placerFunc) Handle(_ placer.Seconds, ev placer.Event, actions []placer.Action) []placer.Action {
-	return append(actions, f(ev)...)
+func (f placerFunc) Handle(_ placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+	return append(actions, f(event)...)
 }
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -68,7 +68,7 @@
 	}
 	l.keysOldestFirst = slices.Delete(l.keysOldestFirst, 0, expiredCount)
 	if len(l.keysOldestFirst) > 0 {
-		oldest := l.records[l.keysOldestFirst[0]]
-		l.timers.Add(oldest.expiresAt, l.expire)
+		oldestRecord := l.records[l.keysOldestFirst[0]]
+		l.timers.Add(oldestRecord.expiresAt, l.expire)
 	}
 }
--- a/internal/platform/dispatch/fixture_test.go
+++ b/internal/platform/dispatch/fixture_test.go
@@ -99,13 +99,13 @@
 }
 
 // messagesToClients returns the effects that send a message to a client.
-func messagesToClients(effects []Effect) (sent []Effect) {
+func messagesToClients(effects []Effect) (clientMessages []Effect) {
 	for i := range effects {
 		if effects[i].Kind == SendToClient {
-			sent = append(sent, effects[i])
+			clientMessages = append(clientMessages, effects[i])
 		}
 	}
-	return sent
+	return clientMessages
 }
 
 // asksNodeToStop reports whether any of the effects asks a node to stop a task.
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -47,7 +47,7 @@
 		for i := 1; i <= 3; i++ {
 			harness.core.NodeDead(harness.now, nodeID(i))
 		}
-		for until := harness.now + 20; harness.core.NextTimer() < until; {
+		for endTime := harness.now + 20; harness.core.NextTimer() < endTime; {
 			harness.now = max(harness.now, harness.core.NextTimer())
 			harness.core.Advance(harness.now)
 			harness.core.Ready()
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -36,9 +36,9 @@
 	lastNotificationConn ConnID
 	conn                 ConnID // conn is the connection on which the client sent the launch message.
 	deadline             placer.Seconds
-	// withdrawn is set if the client withdrew the request. adopted is set if the client requested the
-	// adoption of the task.
-	withdrawn, adopted             bool
+	// withdrawn is set if the client withdrew the request. adoptionRequested is set if the client requested
+	// the adoption of the task.
+	withdrawn, adoptionRequested   bool
 	answerCount, notificationCount int
 	knowsTaskRuns                  bool // The client knows that the task runs.
 }
@@ -102,9 +102,9 @@
 	msg.Set(protocol.Class, class)
 	msg.Set(protocol.TimeLeft, fmt.Sprint(leftMS))
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
-	adopted := extras != ""
+	isAdoption := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, knowsTaskRuns: adopted}
+	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
@@ -126,11 +126,11 @@
 
 // sendHealthCheck makes a client send a health check, and returns the ID of that message.
 func (harness *coreHarness) sendHealthCheck(conn ConnID) protocol.ID {
-	check := newMessage(protocol.Check, 1<<60, 0)
-	harness.clientRecords[check.ID] = &clientRecord{knowsTaskRuns: true}
-	harness.receiveFromClient(conn, check)
+	healthCheck := newMessage(protocol.Check, 1<<60, 0)
+	harness.clientRecords[healthCheck.ID] = &clientRecord{knowsTaskRuns: true}
+	harness.receiveFromClient(conn, healthCheck)
 	harness.carryOutEffects()
-	return check.ID
+	return healthCheck.ID
 }
 
 // receiveFromClient passes a valid message of a client to the core. It does not call carryOutEffects.
@@ -190,8 +190,8 @@
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answerCount++
-		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
-		if unexpected || harness.now > record.deadline+0.01 {
+		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
+		if isUnexpected || harness.now > record.deadline+0.01 {
 			harness.t.Fatalf("client received an invalid or late answer %v at time %v, client record is %+v, connection is %d", msg, harness.now, record, conn)
 		}
 		record.knowsTaskRuns = true
@@ -273,17 +273,17 @@
 	for _, attempt := range slices.Clone(harness.runningAttempts) {
 		harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 	}
-	check := harness.sendHealthCheck(harness.connect())
+	healthCheckID := harness.sendHealthCheck(harness.connect())
 	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
-		if record.answerCount == 0 && !record.withdrawn && !record.adopted && id != check {
+		if record.answerCount == 0 && !record.withdrawn && !record.adoptionRequested && id != healthCheckID {
 			harness.t.Fatalf("request %x was not answered, client record is %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
-	if pending := len(harness.core.notifier.pendingNotifications); pending != 0 {
-		harness.t.Fatalf("core has %d pending notifications after all retention times, want 0", pending)
+	if pendingCount := len(harness.core.notifier.pendingNotifications); pendingCount != 0 {
+		harness.t.Fatalf("core has %d pending notifications after all retention times, want 0", pendingCount)
 	}
 }
 
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -38,8 +38,8 @@
 			return fmt.Errorf("request %s in state %v: %w", req.message.UID, req.state, err)
 		}
 	}
-	if openOnConnections := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != openOnConnections {
-		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the client connections have %d open requests", openRequests, t.openCount, openOnConnections)
+	if openCountOfConns := t.clients.openRequestCount(); openRequests != t.openCount || openRequests != openCountOfConns {
+		return fmt.Errorf("request table: %d requests are open, but openCount is %d and the client connections have %d open requests", openRequests, t.openCount, openCountOfConns)
 	}
 	return nil
 }
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -38,13 +38,13 @@
 		t.Fatalf("client was notified on connections %v, want one pending notification, since no valid message has arrived on connection %d", got, unusedConn)
 	}
 
-	next := harness.connect()
+	nextConn := harness.connect()
 	harness.now += 7
-	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
-	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{next}) {
+	harness.receiveFromClient(nextConn, newMessage(protocol.Check, 77, 0))
+	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{nextConn}) {
 		t.Fatalf("client was notified on connections %v, want only the connection on which a valid message arrived", got)
 	}
-	harness.receiveFromClient(next, newMessage(protocol.Check, 77, 0))
+	harness.receiveFromClient(nextConn, newMessage(protocol.Check, 77, 0))
 	if len(notifiedConns(harness)) != 0 {
 		t.Fatal("client was notified a second time, after its next valid message")
 	}
@@ -56,18 +56,18 @@
 // closed must not be sent again either.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
-		name                                                                   string
-		clientAcknowledges, notificationAcknowledged, migration, otherConnOpen bool
-		closedAfter                                                            placer.Seconds
-		want                                                                   int
+		name                                                                     string
+		clientAcknowledges, notificationAcknowledged, isMigration, otherConnOpen bool
+		closedAfter                                                              placer.Seconds
+		want                                                                     int
 	}{
 		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
 		{name: "connection closes shortly after the notification while another connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
 		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
 		{name: "client acknowledged an earlier notification, and its connection closes long after the last notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
 		{name: "client acknowledged the notification before its connection closes", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
-		{name: "connection closes shortly after a Migrate message", migration: true, closedAfter: 0.01, want: 1},
-		{name: "connection closes long after a Migrate message", clientAcknowledges: true, migration: true, closedAfter: 1.5, want: 0},
+		{name: "connection closes shortly after a Migrate message", isMigration: true, closedAfter: 0.01, want: 1},
+		{name: "connection closes long after a Migrate message", clientAcknowledges: true, isMigration: true, closedAfter: 1.5, want: 0},
 		{name: "connection closes later than notificationRetention after the notification", clientAcknowledges: true, closedAfter: 9, want: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				harness.receiveFromClient(1, newMessage(protocol.Stopped, 99, noCause))
 			}
 			cause := protocol.CauseEnd
-			if test.migration {
+			if test.isMigration {
 				harness.migrateTask(attempt)
 				cause = protocol.CauseCancelled
 			}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &randomDriver{newHarness(t, nil), t}
 		driver.connect()
-		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+		for range rapid.IntRange(1, 120).Draw(t, "number of steps") {
 			driver.makeRandomStep()
 			driver.requireInvariants()
 		}
@@ -39,7 +39,7 @@
 }
 
 func (driver *randomDriver) makeRandomStep() {
-	switch driver.draw(16, "step") {
+	switch driver.draw(16, "kind of step") {
 	case 0, 1, 2:
 		driver.launchRandomTask()
 	case 3, 4, 5:
@@ -63,7 +63,7 @@
 		driver.makeRandomConnOrDiscoveryEvent()
 	case 13:
 		if driver.lastID > 0 {
-			driver.acknowledgeNotification(protocol.ID(1 + driver.draw(int(driver.lastID), "id")))
+			driver.acknowledgeNotification(protocol.ID(1 + driver.draw(int(driver.lastID), "task ID")))
 		}
 	case 14:
 		driver.requestAdoptionOfEndingTask()
@@ -74,8 +74,8 @@
 
 func (driver *randomDriver) launchRandomTask() {
 	if len(driver.conns) > 0 {
-		class := []string{"query", "seats"}[driver.draw(2, "class")]
-		driver.sendLaunch(driver.conns[driver.draw(len(driver.conns), "conn")], class, float64(driver.draw(4000, "left")), "")
+		class := []string{"query", "seats"}[driver.draw(2, "task class")]
+		driver.sendLaunch(driver.conns[driver.draw(len(driver.conns), "connection")], class, float64(driver.draw(4000, "remaining milliseconds")), "")
 	}
 }
 
@@ -117,7 +117,7 @@
 	if driver.lastID == 0 {
 		return
 	}
-	id := protocol.ID(1 + driver.draw(int(driver.lastID), "id"))
+	id := protocol.ID(1 + driver.draw(int(driver.lastID), "task ID"))
 	record := driver.clientRecords[id]
 	if driver.core.clients.get(record.conn) == nil {
 		return
@@ -128,7 +128,7 @@
 }
 
 func (driver *randomDriver) makeRandomConnOrDiscoveryEvent() {
-	switch driver.draw(4, "event") {
+	switch driver.draw(4, "kind of event") {
 	case 0:
 		if len(driver.conns) < 5 {
 			driver.connect()
@@ -138,16 +138,16 @@
 	case 2: // The node list is complete, and nodes may be missing from it.
 		var nodes []string
 		for i := range 5 {
-			if driver.draw(3, "listed") > 0 {
-				nodes = append(nodes, nodeJSON(1+i, []string{"in_service", "terminating"}[driver.draw(2, "state")], 0))
+			if driver.draw(3, "node is in the list") > 0 {
+				nodes = append(nodes, nodeJSON(1+i, []string{"in_service", "terminating"}[driver.draw(2, "node state")], 0))
 			}
 		}
 		driver.deliverDiscoveryEvent(true, nodes...)
 		driver.carryOutEffects()
 	default:
 		node := 1 + driver.draw(5, "node")
-		state := []string{"in_service", "terminating", "terminated"}[driver.draw(3, "state")]
-		startedAtMS := int64(driver.draw(3, "boot")) * int64(driver.now*1000)
+		state := []string{"in_service", "terminating", "terminated"}[driver.draw(3, "node state")]
+		startedAtMS := int64(driver.draw(3, "start time")) * int64(driver.now*1000)
 		driver.deliverDiscoveryEvent(false, nodeJSON(node, state, startedAtMS))
 		driver.carryOutEffects()
 	}
@@ -157,7 +157,7 @@
 	if len(driver.conns) == 0 {
 		return
 	}
-	i := driver.draw(len(driver.conns), "conn")
+	i := driver.draw(len(driver.conns), "connection")
 	for _, record := range driver.clientRecords {
 		record.withdrawn = record.withdrawn || record.conn == driver.conns[i] && record.answerCount == 0
 	}
@@ -172,9 +172,9 @@
 	if len(driver.conns) == 0 {
 		return
 	}
-	conn := driver.conns[driver.draw(len(driver.conns), "conn")]
+	conn := driver.conns[driver.draw(len(driver.conns), "connection")]
 	nextID := protocol.ID(driver.lastID + 1)
-	endReportedFirst := driver.draw(2, "endReportedFirst") == 0
+	endReportedFirst := driver.draw(2, "end is reported first") == 0
 	if endReportedFirst {
 		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 	}
@@ -196,7 +196,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		driver := &adoptionDriver{randomDriver: randomDriver{newHarness(t, nil), t}, adoptionRequested: map[int]bool{}, endReported: map[int]bool{}}
 		driver.conn = driver.connect()
-		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+		for range rapid.IntRange(1, 80).Draw(t, "number of steps") {
 			driver.makeRandomAdoptionStep()
 			driver.requireInvariants()
 		}
@@ -231,8 +231,8 @@
 func (driver *adoptionDriver) nodeOf(id int) int { return 1 + id%3 }
 
 func (driver *adoptionDriver) makeRandomAdoptionStep() {
-	id := 1 + driver.draw(adoptableTasks, "id")
-	switch driver.draw(6, "step") {
+	id := 1 + driver.draw(adoptableTasks, "task ID")
+	switch driver.draw(6, "kind of step") {
 	case 0, 1:
 		driver.requestAdoptionOf(id)
 	case 2, 3:
@@ -254,7 +254,7 @@
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
 	if record == nil {
-		record = &clientRecord{conn: driver.conn, adopted: true, knowsTaskRuns: true}
+		record = &clientRecord{conn: driver.conn, adoptionRequested: true, knowsTaskRuns: true}
 		driver.clientRecords[id] = record
 	}
 	if driver.adoptionRequested[number] {
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -20,8 +20,8 @@
 
 // runningAttempt returns the attempt that runs the task, or nil if the task is not running.
 func (r *request) runningAttempt() *Attempt {
-	if last := r.lastAttempt(); last != nil && last.state == attemptRunning {
-		return last
+	if lastAttempt := r.lastAttempt(); lastAttempt != nil && lastAttempt.state == attemptRunning {
+		return lastAttempt
 	}
 	return nil
 }
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -24,8 +24,8 @@
 				t.Errorf("state table allows the transition from %v to %v, want an illegal transition", from, to)
 			}
 			stateAfter, illegalCount := transition(from, to)
-			if counted := illegalCount == 1; stateAfter != to || counted == legal {
-				t.Errorf("transition from %v to %v: state is %v afterwards, transition was counted as illegal: %v; want the second of the two states, and a count only if the state table forbids the transition", from, to, stateAfter, counted)
+			if countedAsIllegal := illegalCount == 1; stateAfter != to || countedAsIllegal == legal {
+				t.Errorf("transition from %v to %v: state is %v afterwards, transition was counted as illegal: %v; want the second of the two states, and a count only if the state table forbids the transition", from, to, stateAfter, countedAsIllegal)
 			}
 		}
 	}
@@ -69,8 +69,8 @@
 		}
 	}
 	slices.Sort(names)
-	if distinct := len(slices.Compact(slices.Clone(names))); distinct != len(names) {
-		t.Errorf("the states have %d distinct names, want %d, one for each state; the names are %v", distinct, len(names), names)
+	if distinctCount := len(slices.Compact(slices.Clone(names))); distinctCount != len(names) {
+		t.Errorf("the states have %d distinct names, want %d, one for each state; the names are %v", distinctCount, len(names), names)
 	}
 	if got := requestState(99).String() + ", " + attemptState(98).String(); got != "request state 99, attempt state 98" {
 		t.Errorf("names of unknown states are %q, want the names of the state machines and the numbers of the states", got)
