--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -10,10 +10,11 @@
 	"heathshed/placer"
 )
 
-// runScenarios runs the scenarios, which are short sequences of calls for situations that random scripts
-// rarely reach. In some scenarios many nodes and tasks end at the same time. The core does not define the
-// order of these ends, so the recorder sorts the effects. Other scenarios cover notifications and adoptions
-// close to their time limits, and the limits on the number of stored records.
+// runScenarios runs all scenarios and returns the recorded lines. A scenario is a short sequence of calls for
+// a situation that random scripts rarely reach. In the first scenario, many nodes and tasks end at the same
+// time. The core does not define the order of these ends, so the recorder sorts the effects. The other
+// scenarios cover notifications, adoptions and attempts close to their time limits, new incarnations of
+// nodes, and the limits on the number of stored records.
 func runScenarios(t *testing.T) []string {
 	t.Helper()
 	var lines []string
@@ -23,13 +24,13 @@
 		recorder.sortEffects = true
 		recorder.openConnection()
 		recorder.core.SetDiscoveryConnected(recorder.now, true)
-		recorder.listAllNodes("in_service", 0)
-		recorder.adoptTasks(24, 1)
+		recorder.deliverEventWithAllNodes("in_service", 0)
+		recorder.requestAdoptions(24, 1)
 		recorder.recordCheckpoint(1)
-		recorder.listAllNodes("in_service", 1010_000) // the new incarnations end the running tasks
+		recorder.deliverEventWithAllNodes("in_service", 1010_000) // All nodes start new incarnations, which ends the running tasks.
 		recorder.recordCheckpoint(2)
-		recorder.adoptTasks(24, 101)
-		recorder.listAllNodes("terminated", 0)
+		recorder.requestAdoptions(24, 101)
+		recorder.deliverEventWithAllNodes("terminated", 0)
 		recorder.recordCheckpoint(3)
 		recorder.advanceInOneCall(1.5, 0)
 		recorder.recordCheckpoint(4)
@@ -45,18 +46,18 @@
 	return append(lines, runEarlyTerminations(t)...)
 }
 
-// scenarioSetup specifies how a scenario starts: its variant of the settings, its random seed and its number
-// of client connections.
+// scenarioSetup specifies the settings, the random seed, the number of client connections and the placer with
+// which a scenario starts.
 type scenarioSetup struct {
-	settingsIndex   int // the index in settingsVariants
+	settingsIndex   int // settingsIndex is the index of the settings in settingsVariants.
 	seed            uint64
-	label           string // the beginning of the scenario's lines in the golden file
+	label           string // The lines of the scenario in the golden file begin with this text.
 	connections     int
-	useRandomPlacer bool // whether the core uses a randomPlacer instead of a placer.Placer
+	useRandomPlacer bool // If useRandomPlacer is set, the core uses a randomPlacer instead of a placer.Placer.
 }
 
-// start returns a recorder whose core has the specified number of client connections and all nodes in
-// service.
+// start returns a recorder whose core has the specified number of client connections and a node registry in
+// which all nodes are in service.
 func (setup scenarioSetup) start(t *testing.T) *scriptRecorder {
 	t.Helper()
 	recorder := newRecorder(t, setup.settingsIndex, setup.seed, "", setup.useRandomPlacer)
@@ -64,12 +65,12 @@
 	for range setup.connections {
 		recorder.openConnection()
 	}
-	recorder.listAllNodes("in_service", 0)
+	recorder.deliverEventWithAllNodes("in_service", 0)
 	return recorder
 }
 
-// startWithRequest returns a recorder whose core uses a randomPlacer and has received one placement request.
-// The rest of the setup is the same as in start.
+// startWithRequest returns a recorder like start does. In addition, the core of the recorder uses a
+// randomPlacer and has received one placement request.
 func (setup scenarioSetup) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
 	setup.useRandomPlacer = true
@@ -79,14 +80,15 @@
 	return recorder
 }
 
-// listAllNodes delivers a discovery event that lists all nodes with the given state and start time.
-func (recorder *scriptRecorder) listAllNodes(state string, bootMS int64) {
+// deliverEventWithAllNodes passes a discovery event to the core. The event contains all nodes, with the given
+// state and start time.
+func (recorder *scriptRecorder) deliverEventWithAllNodes(state string, startedAtMS int64) {
 	recorder.eventNumber = int(recorder.core.LastDiscoveryEvent()) + 1
-	var all []string
+	var nodes []string
 	for i := 1; i <= scriptNodeCount; i++ {
-		all = append(all, recorder.nodeJSON(i, state, bootMS))
+		nodes = append(nodes, recorder.nodeJSON(i, state, startedAtMS))
 	}
-	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, all...)))
+	ok, err := recorder.core.ReceiveDiscoveryEvent(recorder.now, []byte(dispatch.DiscoveryEventJSON(recorder.eventNumber, false, nodes...)))
 	recorder.digestBool(ok)
 	recorder.digestError(err)
 	recorder.digestEffectsAndState(0)
@@ -99,29 +101,29 @@
 	recorder.digestEffectsAndState(step)
 }
 
-// adoptTasks lists running tasks for adoption. Their IDs start at firstID, and they are distributed over the
-// nodes.
-func (recorder *scriptRecorder) adoptTasks(count int, firstID uint64) {
+// requestAdoptions makes a client request the adoption of running tasks. The task IDs start at firstID, and
+// the tasks are distributed evenly over the nodes.
+func (recorder *scriptRecorder) requestAdoptions(count int, firstID uint64) {
 	for i := range count {
 		recorder.receiveFromClient(recorder.conns[0], recorder.newLaunchMessage(firstID+uint64(i), ";at:"+dispatch.NodeUID(1+i%scriptNodeCount)))
 		recorder.digestEffectsAndState(0)
 	}
 }
 
-// runRedelivery closes client connections on which notifications were sent. The variants cover clients that
-// do and do not acknowledge notifications, intervals close to each time limit, and the case that no
-// connection is left.
+// runRedelivery closes client connections on which notifications were sent, so that the notifications are
+// sent again. The variants cover clients that do and do not acknowledge notifications, intervals close to the
+// time limits of notifications, and the case that no client connection is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
 		return scenarioSetup{seed: uint64(100 + variant), label: fmt.Sprintf("redelivery %d", variant), connections: 2}.start(t)
 	}
 	return runVariants(24, start, func(recorder *scriptRecorder, variant int) {
-		recorder.adoptTasks(6, 1)
+		recorder.requestAdoptions(6, 1)
 		if variant%2 == 1 {
 			recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 77))
 		}
-		recorder.endTasks(1, 4)
+		recorder.reportTaskEnds(1, 4)
 		recorder.now += []placer.Seconds{0.5, 0.999, 1.001, 7.9, 8, 8.1}[variant/2%6]
 		recorder.receiveFromClient(1, wireMessage(protocol.Stopped, 2))
 		recorder.core.ClientDisconnected(recorder.now, 1)
@@ -129,7 +131,7 @@
 			recorder.core.ClientDisconnected(recorder.now, 2)
 		}
 		recorder.conns = nil
-		recorder.endTasks(5, 6)
+		recorder.reportTaskEnds(5, 6)
 		recorder.now += []placer.Seconds{0.5, 7.9, 8.1}[variant%3]
 		recorder.openConnection()
 		recorder.receiveFromClient(recorder.lastConn, wireMessage(protocol.Check, 78))
@@ -137,9 +139,9 @@
 	})
 }
 
-// endTasks makes nodes report the ends of the tasks with the IDs from firstID to lastID, which adoptTasks
-// listed.
-func (recorder *scriptRecorder) endTasks(firstID, lastID uint64) {
+// reportTaskEnds makes nodes report the ends of the tasks with the IDs from firstID to lastID. The method
+// requestAdoptions has requested the adoption of these tasks before.
+func (recorder *scriptRecorder) reportTaskEnds(firstID, lastID uint64) {
 	for id := firstID; id <= lastID; id++ {
 		msg := wireMessage(protocol.Stop, id)
 		msg.Cause, msg.HasCause = []protocol.Cause{16, 41}[id%2], true
@@ -148,15 +150,15 @@
 	}
 }
 
-// runAdoptionWait sends new requests while a client still lists running tasks for adoption. It continues
-// beyond adoptionMaxWait, after which new requests no longer wait for adoptions.
+// runAdoptionWait sends new placement requests while another client still sends adoption requests. It
+// continues beyond adoptionMaxWait, after which new placement requests no longer wait for adoption requests.
 func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
 	recorder := scenarioSetup{seed: 300, label: "handover", connections: 2}.start(t)
 	recorder.receiveFromClient(1, wireMessage(protocol.Check, 78))
 	for i := range uint64(40) {
 		recorder.advanceInOneCall(0.03, int(i))
-		recorder.adoptTasks(1, 1000+i)
+		recorder.requestAdoptions(1, 1000+i)
 		recorder.receiveFromClient(2, recorder.newLaunchMessage(2000+i, ""))
 		recorder.digestEffectsAndState(int(i))
 		if i%5 == 4 {
@@ -172,23 +174,26 @@
 	return recorder.recordedLines
 }
 
-// runNewIncarnation adopts a task and then starts a new incarnation of its node. The variants cover start
-// times of the incarnation up to and beyond incarnationTolerance after the adoption.
+// runNewIncarnation makes a client request the adoption of a task, and then starts a new incarnation of the
+// node of that task. The variants differ in the start time of the new incarnation, which ranges from the time
+// of the adoption to shortly after incarnationTolerance has passed.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	incarnationDelayMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
+	// Each variant has its own time between the adoption of the task and the start of the new incarnation.
+	restartDelaysMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		// The golden file calls an incarnation a life, and gives the delay in milliseconds without the unit.
-		label := fmt.Sprintf("new life after %d", incarnationDelayMS[variant])
+		// In the golden file, the word "life" stands for an incarnation, and the number is the delay in
+		// milliseconds.
+		label := fmt.Sprintf("new life after %d", restartDelaysMS[variant])
 		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
 	}
-	return runVariants(len(incarnationDelayMS), start, func(recorder *scriptRecorder, variant int) {
-		recorder.adoptTasks(1, 1)
-		recorder.listAllNodes("in_service", 1000_000+incarnationDelayMS[variant])
+	return runVariants(len(restartDelaysMS), start, func(recorder *scriptRecorder, variant int) {
+		recorder.requestAdoptions(1, 1)
+		recorder.deliverEventWithAllNodes("in_service", 1000_000+restartDelaysMS[variant])
 	})
 }
 
-// runVariants runs a scenario once for each of its variants and returns the lines recorded in all of them.
+// runVariants runs a scenario once for each of its variants and returns the recorded lines of all variants.
 func runVariants(count int, start func(variant int) *scriptRecorder, run func(recorder *scriptRecorder, variant int)) (lines []string) {
 	for variant := range count {
 		recorder := start(variant)
@@ -199,8 +204,8 @@
 	return lines
 }
 
-// runLateStart sends an attempt just before, at or just after its expiry time, while the expiry timer has not
-// run yet.
+// runLateStart sends an attempt just before, at or just after the expiry time of the attempt. The expiry
+// timer of the attempt has not run yet.
 func runLateStart(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -208,16 +213,17 @@
 		return scenarioSetup{settingsIndex: variant / 10, seed: uint64(500 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(30, start, func(recorder *scriptRecorder, variant int) {
-		if due := recorder.core.NextTimer(); !math.IsInf(float64(due), 1) {
-			recorder.now = max(recorder.now, due+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
+		if nextTimerAt := recorder.core.NextTimer(); !math.IsInf(float64(nextTimerAt), 1) {
+			recorder.now = max(recorder.now, nextTimerAt+[]placer.Seconds{-0.001, 0, 0.001}[variant%3])
 		}
 		recorder.sendPendingAttempt()
 		recorder.digestEffectsAndState(1)
 	})
 }
 
-// runLateAnswer makes a node answer an attempt close to its expiry time, either while the expiry timer has
-// not run yet or after the connection was lost. The client then lists the task for adoption from that node.
+// runLateAnswer sends an attempt and makes the node accept it close to the expiry time of the attempt. The
+// expiry timer of the attempt has not run yet. In half of the variants, the connection to the node is lost
+// before the node accepts. At the end, the client requests the adoption of the task.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -225,22 +231,23 @@
 		return scenarioSetup{settingsIndex: variant / 16, seed: uint64(600 + variant), label: label, connections: 1}.startWithRequest(t)
 	}
 	return runVariants(48, start, func(recorder *scriptRecorder, variant int) {
-		due := recorder.core.NextTimer()
+		nextTimerAt := recorder.core.NextTimer()
 		recorder.sendPendingAttempt()
 		recorder.digestEffectsAndState(1)
-		if len(recorder.sent) > 0 {
-			recorder.answerLate(due+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
+		if len(recorder.sentAttempts) > 0 {
+			recorder.answerLate(nextTimerAt+[]placer.Seconds{-0.001, 0.005, 0.02, 0.3}[variant%4], variant/4%2 == 1)
 		}
-		open, placed := recorder.core.ClientRequests(99)
-		recorder.digestNumbers(uint64(open))
-		recorder.digestBool(placed)
+		openCount, hasPlacedTask := recorder.core.ClientRequests(99)
+		recorder.digestNumbers(uint64(openCount))
+		recorder.digestBool(hasPlacedTask)
 	})
 }
 
-// answerLate makes a node accept the first attempt at answerTime. If connectionLost is set, the connection to
-// the node is lost before the node accepts. The client then lists the task for adoption from that node.
+// answerLate makes a node accept the first attempt at the time answerTime. If connectionLost is set, the
+// connection to the node is lost before the node accepts. The client then requests the adoption of the task,
+// which runs on that node.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
-	attempt := recorder.sent[0]
+	attempt := recorder.sentAttempts[0]
 	recorder.now = max(recorder.now, answerTime)
 	if connectionLost {
 		recorder.core.ConnectionLost(recorder.now, attempt)
@@ -250,9 +257,9 @@
 	msg.Body = `"out"`
 	recorder.receiveFromNode(attempt, &msg)
 	recorder.digestEffectsAndState(3)
-	stop := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
-	if len(recorder.pending) > 0 { // another attempt was started, so the client withdraws the request
-		recorder.receiveFromClient(1, stop)
+	stopMsg := wireMessage(protocol.Stop, uint64(attempt.Message.ID))
+	if len(recorder.pendingAttempts) > 0 { // Another attempt was started, so the client withdraws the request.
+		recorder.receiveFromClient(1, stopMsg)
 		recorder.digestEffectsAndState(4)
 	}
 	for i := 1; i <= 4; i++ {
@@ -263,12 +270,12 @@
 	}
 }
 
-// runEarlyTerminations makes a node report the ends of more unknown tasks than the core records. A client
-// then lists some of these tasks for adoption, and further ones until the maximum number of tasks is
-// exceeded.
+// runEarlyTerminations makes a node report the ends of more unknown tasks than the core can record. A client
+// then requests the adoption of some of these tasks. It also requests the adoption of other tasks, until the
+// maximum number of tasks is exceeded.
 func runEarlyTerminations(t *testing.T) []string {
 	t.Helper()
-	const countAboveLimit = 20010 // exceeds maxEarlyTerminations and maxTasks, which are both 20000
+	const countAboveLimit = 20010 // The limits maxEarlyTerminations and maxTasks are both 20000.
 	recorder := scenarioSetup{seed: 200, label: "bounds", connections: 1}.start(t)
 	for id := uint64(1); id <= countAboveLimit; id++ {
 		msg := wireMessage(protocol.Stop, id)
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -13,7 +13,7 @@
 	notifier *notifier
 }
 
-// receive handles one message of a client. If the message is invalid, the client is sent an error answer.
+// receive handles one message of a client. If the message is invalid, the client receives an error answer.
 func (h *clientMessageHandler) receive(client *clientConn, msg *protocol.Message) error {
 	if err := h.handle(client, msg); err != nil {
 		h.counts.InvalidMessages++
@@ -21,11 +21,11 @@
 		return err
 	}
 	h.clients.recordValidMessage(client)
-	h.notifier.sendPending(client)
+	h.notifier.sendPendingNotifications(client)
 	return nil
 }
 
-// handle calls the handler for the kind of the message. Kinds that only nodes send are ignored.
+// handle calls the handler for the kind of the message. It ignores messages of kinds that only nodes send.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -44,20 +44,19 @@
 const healthCheckPassed protocol.Cause = 1
 
 func (h *clientMessageHandler) handleHealthCheck(client *clientConn, msg *protocol.Message) {
-	h.adoption.healthCheckReceived()
+	h.adoption.recordHealthCheck()
 	h.clients.send(client.id, replyTo(msg, protocol.Checked, healthCheckPassed))
 }
 
-// handleLaunch handles a launch message, which is either a new placement request or lists a running task for
-// adoption.
+// handleLaunch handles a launch message, which is either a new placement request or an adoption request.
 func (h *clientMessageHandler) handleLaunch(client *clientConn, msg *protocol.Message) error {
 	h.counts.PlacementRequests++
-	parsed, err := h.parser.parse(h.now, msg)
-	if existing := h.requests.getByID(msg.ID); existing != nil {
-		if err == nil && parsed.isAdoption() {
-			return nil // the task was already adopted
+	parsedReq, err := h.parser.parse(h.now, msg)
+	if existingRequest := h.requests.getByID(msg.ID); existingRequest != nil {
+		if err == nil && parsedReq.isAdoption() {
+			return nil // The task was already adopted.
 		}
-		return h.rejectDuplicate(client, existing, msg)
+		return h.rejectDuplicate(client, existingRequest, msg)
 	}
 	if err != nil {
 		return err
@@ -66,30 +65,31 @@
 		h.clients.send(client.id, replyTo(msg, protocol.Stop, protocol.CauseOverloaded))
 		return nil
 	}
-	if parsed.isAdoption() {
-		return h.adoption.adopt(client, msg, parsed)
+	if parsedReq.isAdoption() {
+		return h.adoption.adopt(client, msg, parsedReq)
 	}
 	h.counts.Accepted++
-	task := parsed.task
-	req := h.requests.open(client.id, msg, &task)
+	task := parsedReq.task
+	req := h.requests.addNew(client.id, msg, &task)
 	h.adoption.postArrival(req, task)
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID an existing request already has. Two requests with the
-// same ID cannot both be answered, so the existing request is withdrawn if it is open on the same connection.
-func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existing *request, msg *protocol.Message) error {
-	if existing.conn == client.id && existing.runningAttempt() == nil {
-		h.requests.withdraw(existing)
+// rejectDuplicate rejects a launch message that has the same ID as an existing request. Two requests with the
+// same ID cannot both be answered. If the existing request is open and arrived on the same connection, it is
+// withdrawn too.
+func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
+	if existingRequest.conn == client.id && existingRequest.runningAttempt() == nil {
+		h.requests.withdraw(existingRequest)
 	}
-	return invalidMessage(InvalidIDInUse, "launch message: ID %s is already in use", msg.UID)
+	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
 }
 
 // handleStop handles a Stop message, with which a client withdraws an open request or stops a running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
-		return nil // the request has ended, and the client had not learned of that when it sent the message
+		return nil // The request ended before the client's Stop message arrived.
 	}
 	if attempt := req.runningAttempt(); attempt != nil {
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -13,48 +13,52 @@
 	"heathshed/placer"
 )
 
-// coreHarness makes calls to a core, records what each client sent and received, and checks that the core
-// follows the rules of the protocol.
+// coreHarness calls the methods of a core, records what each client sent and received, and checks that the
+// core follows the rules of the protocol.
 type coreHarness struct {
 	t               rapid.TB
 	core            *Core
 	now             placer.Seconds
-	lastEventNumber int
+	lastEventNumber int // lastEventNumber is the number of the last discovery event.
 	lastConn        ConnID
 	conns           []ConnID
 	lastID          uint64
 	clientRecords   map[protocol.ID]*clientRecord
-	pending         []*Attempt // attempts that wait for a connection to their node
-	sent            []*Attempt // attempts that were sent, including those that have ended
-	running         []*Attempt // attempts whose ends endAllTasks reports
+	pendingAttempts []*Attempt // These attempts wait for a connection to their node.
+	sentAttempts    []*Attempt // These attempts were sent, and some of them have ended.
+	runningAttempts []*Attempt // The method endAllTasks reports the ends of these attempts.
 }
 
 // clientRecord records what the client of one task sent and received.
 type clientRecord struct {
-	notifiedOn             ConnID // the connection of the last notification, or 0 after its acknowledgement
-	conn                   ConnID
-	deadline               placer.Seconds
-	withdrawn, adopted     bool // whether the client withdrew the request, or listed the task for adoption
-	answers, notifications int
-	running                bool // whether the client knows that the task runs
+	// lastNotificationConn is the connection on which the last notification was sent. It is 0 if no
+	// notification was sent or if the client has acknowledged the last one.
+	lastNotificationConn ConnID
+	conn                 ConnID // conn is the connection on which the client sent the launch message.
+	deadline             placer.Seconds
+	// withdrawn is set if the client withdrew the request. adoptionRequested is set if the client requested
+	// the adoption of the task.
+	withdrawn, adoptionRequested   bool
+	answerCount, notificationCount int
+	knowsTaskRuns                  bool // The client knows that the task runs.
 }
 
-// newHarness returns a harness for a core whose registry contains the nodes 1 to 3. If policy is nil, the
-// core uses a placer.Placer.
+// newHarness returns a harness for a core whose node registry contains the nodes 1 to 3. If the given policy
+// is nil, the core uses a placer.Placer.
 func newHarness(t rapid.TB, policy eventqueue.Placer) *coreHarness {
-	parsed, err := simconfig.Parse([]byte(testSettings))
+	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if policy == nil {
-		if policy, err = placer.New(parsed.Placer, 7); err != nil {
+		if policy, err = placer.New(settings.Placer, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
 	harness := &coreHarness{t: t, now: 1000, lastEventNumber: 1, clientRecords: map[protocol.ID]*clientRecord{}}
 	list := discoveryEventJSON(1, true, nodeJSON(1, "in_service", 0), nodeJSON(2, "in_service", 0), nodeJSON(3, "in_service", 0))
 	initialEvents := `{"no":1,"items":[` + list + `]}`
-	if harness.core, err = New(harness.now, parsed, policy, []byte(initialEvents)); err != nil {
+	if harness.core, err = New(harness.now, settings, policy, []byte(initialEvents)); err != nil {
 		t.Fatal(err)
 	}
 	harness.core.SetDiscoveryConnected(harness.now, true)
@@ -62,22 +66,23 @@
 	return harness
 }
 
-// sentAttempt creates a core and sends an attempt to node 1, which does not answer yet. It returns the
-// harness of the core, the placer that the core uses, and the attempt.
+// sentAttempt creates a core and sends an attempt of a new request to node 1, which does not answer yet. It
+// returns the harness of the core, the placer that the core uses, and the attempt.
 func sentAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
-	harness.launch(harness.connect(), class, 2000, "")
-	harness.send(0)
-	return harness, policy, harness.sent[0]
+	harness.sendLaunch(harness.connect(), class, 2000, "")
+	harness.sendPendingAttempt(0)
+	return harness, policy, harness.sentAttempts[0]
 }
 
-// runningAttempt does the same as sentAttempt, and then makes the node accept the attempt.
+// runningAttempt creates a core and sends an attempt of a new request to node 1, which accepts it. It returns
+// the harness of the core, the placer that the core uses, and the attempt.
 func runningAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
-	harness.accept(attempt)
+	harness.acceptAttempt(attempt)
 	return harness, policy, attempt
 }
 
@@ -89,48 +94,49 @@
 	return harness.lastConn
 }
 
-// launch makes a client send a launch message with a new task ID, and returns that ID. extras is either
-// empty, for a new request, or the result of adoptionExtras.
-func (harness *coreHarness) launch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
+// sendLaunch makes a client send a launch message with a new task ID, and returns that ID. The parameter
+// extras is empty for a new placement request. For an adoption request, it is the result of adoptionExtras.
+func (harness *coreHarness) sendLaunch(conn ConnID, class string, leftMS float64, extras string) protocol.ID {
 	harness.lastID++
 	msg := launchMessage(protocol.ID(harness.lastID))
 	msg.Set(protocol.Class, class)
 	msg.Set(protocol.TimeLeft, fmt.Sprint(leftMS))
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
-	adopted := extras != ""
+	isAdoption := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adopted: adopted, running: adopted}
+	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
 }
 
-// adopt makes a client list for adoption a task that runs on a node, and returns the ID of the task.
-func (harness *coreHarness) adopt(conn ConnID, node int) protocol.ID {
-	return harness.launch(conn, "seats", longRunningMS, adoptionExtras(node))
+// requestAdoption makes a client request the adoption of a task that runs on a node, and returns the ID of
+// the task.
+func (harness *coreHarness) requestAdoption(conn ConnID, node int) protocol.ID {
+	return harness.sendLaunch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
 
-// withdraw makes a client withdraw an open request.
-func (harness *coreHarness) withdraw(id protocol.ID) {
+// withdrawRequest makes the client of an open request withdraw the request.
+func (harness *coreHarness) withdrawRequest(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
 	harness.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	harness.carryOutEffects()
 }
 
-// checkHealth makes a client send a health check, and returns the ID of that message.
-func (harness *coreHarness) checkHealth(conn ConnID) protocol.ID {
-	check := newMessage(protocol.Check, 1<<60, 0)
-	harness.clientRecords[check.ID] = &clientRecord{running: true}
-	harness.receiveFromClient(conn, check)
+// sendHealthCheck makes a client send a health check, and returns the ID of that message.
+func (harness *coreHarness) sendHealthCheck(conn ConnID) protocol.ID {
+	healthCheck := newMessage(protocol.Check, 1<<60, 0)
+	harness.clientRecords[healthCheck.ID] = &clientRecord{knowsTaskRuns: true}
+	harness.receiveFromClient(conn, healthCheck)
 	harness.carryOutEffects()
-	return check.ID
+	return healthCheck.ID
 }
 
-// receiveFromClient passes a valid client message to the core. It does not call carryOutEffects.
+// receiveFromClient passes a valid message of a client to the core. It does not call carryOutEffects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
-		harness.t.Fatalf("core rejected message %v on client connection %d: %v", msg, conn, err)
+		harness.t.Fatalf("core rejected the valid message %v on client connection %d: %v", msg, conn, err)
 	}
 }
 
@@ -139,8 +145,8 @@
 	return harness.carryOutEffects()
 }
 
-// accept makes a node accept an attempt that was sent to it, and returns the effects.
-func (harness *coreHarness) accept(attempt *Attempt) []Effect {
+// acceptAttempt makes a node accept an attempt that was sent to the node, and returns the effects.
+func (harness *coreHarness) acceptAttempt(attempt *Attempt) []Effect {
 	return harness.receiveFromNode(attempt, runningMessage(attempt.Message.ID))
 }
 
@@ -150,22 +156,22 @@
 	harness.core.ReceiveFromNode(harness.now, node, &msg)
 }
 
-// migrate executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
-func (harness *coreHarness) migrate(attempt *Attempt) {
+// migrateTask executes a Migrate action of the placer for a running task. It does not call carryOutEffects.
+func (harness *coreHarness) migrateTask(attempt *Attempt) {
 	harness.core.execute(&placer.Action{Kind: placer.Migrate, Task: attempt.request.taskID})
 }
 
-// carryOutEffects takes the effects from the core, passes the messages to clients to receiveAsClient, and
-// returns the effects.
+// carryOutEffects takes the effects from the core and returns them. It records each attempt that is to be
+// sent, and passes each message for a client to receiveAsClient.
 func (harness *coreHarness) carryOutEffects() []Effect {
-	if illegal := harness.core.IllegalTransitions(); illegal != 0 {
-		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegal)
+	if illegalTransitions := harness.core.IllegalTransitions(); illegalTransitions != 0 {
+		harness.t.Fatalf("the core made %d illegal state transitions, want 0", illegalTransitions)
 	}
 	effects := harness.core.Ready()
 	for _, effect := range effects {
 		switch effect.Kind {
 		case SendAttempt:
-			harness.pending = append(harness.pending, effect.Attempt)
+			harness.pendingAttempts = append(harness.pendingAttempts, effect.Attempt)
 		case SendToClient:
 			harness.receiveAsClient(effect.Conn, effect.Message)
 		}
@@ -173,62 +179,63 @@
 	return effects
 }
 
-// receiveAsClient records a message that the core sent to a client, and checks the message. A request
-// must not get more than one answer, must get it in time, and must not get it after a withdrawal. A client
+// receiveAsClient records a message that the core sent to a client, and checks the message. A request must
+// be answered at most once and in time, and it must not be answered after its client withdrew it. A client
 // must be notified only once of the end of its running task.
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent message %v about a request that no client made", msg)
+		harness.t.Fatalf("core sent message %v about a request that no client has sent", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
-		record.answers++
-		unexpected := record.withdrawn || record.adopted || conn != record.conn || msg.Body != `"out"`
-		if unexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("invalid or late answer %v at time %v, client record %+v, connection %d", msg, harness.now, record, conn)
+		record.answerCount++
+		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
+		if isUnexpected || harness.now > record.deadline+0.01 {
+			harness.t.Fatalf("client received an invalid or late answer %v at time %v, client record is %+v, connection is %d", msg, harness.now, record, conn)
 		}
-		record.running = true
-	case record.running:
-		record.notifications++
-		// A second notification is allowed only if the connection of the first closed without an
-		// acknowledgement.
-		if record.notifications > 1 && (record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) != nil) {
-			harness.t.Fatalf("client was notified a second time: %v", msg)
+		record.knowsTaskRuns = true
+	case record.knowsTaskRuns:
+		record.notificationCount++
+		// A second notification is allowed only if the connection on which the first one was sent closed and
+		// the client had not acknowledged the first one.
+		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
+			harness.t.Fatalf("client was notified of the end of its task a second time, with message %v", msg)
 		}
-		record.notifiedOn = conn
+		record.lastNotificationConn = conn
 	default:
-		record.answers++
+		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("unexpected or late rejection %v at time %v, client record %+v", msg, harness.now, record)
+			harness.t.Fatalf("client received an unexpected or late rejection %v at time %v, client record is %+v", msg, harness.now, record)
 		}
 	}
-	if record.answers > 1 {
-		harness.t.Fatalf("client received a second answer: %v", msg)
+	if record.answerCount > 1 {
+		harness.t.Fatalf("client received a second answer to its request, message %v", msg)
 	}
 }
 
-// acknowledge makes a client acknowledge its last notification.
-func (harness *coreHarness) acknowledge(id protocol.ID) {
+// acknowledgeNotification makes the client of a task acknowledge the last notification about that task. It
+// does nothing if there is no such notification or if the connection of the notification is closed.
+func (harness *coreHarness) acknowledgeNotification(id protocol.ID) {
 	record := harness.clientRecords[id]
-	if record.notifiedOn == 0 || harness.core.clients.get(record.notifiedOn) == nil {
+	if record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) == nil {
 		return
 	}
-	harness.receiveFromClient(record.notifiedOn, newMessage(protocol.Stopped, id, noCause))
-	record.notifiedOn = 0
+	harness.receiveFromClient(record.lastNotificationConn, newMessage(protocol.Stopped, id, noCause))
+	record.lastNotificationConn = 0
 	harness.carryOutEffects()
 }
 
-// send sends the pending attempt with index i. It fails the test if another attempt of the same request is
-// live.
-func (harness *coreHarness) send(i int) {
-	attempt := harness.pending[i]
-	harness.pending = slices.Delete(harness.pending, i, i+1)
+// sendPendingAttempt sends the attempt with the given index in pendingAttempts. It fails the test if another
+// attempt of the same request is live.
+func (harness *coreHarness) sendPendingAttempt(index int) {
+	attempt := harness.pendingAttempts[index]
+	harness.pendingAttempts = slices.Delete(harness.pendingAttempts, index, index+1)
 	if !harness.core.PrepareSend(harness.now, attempt) {
 		harness.carryOutEffects()
 		return
 	}
-	for _, other := range slices.Concat(harness.sent, harness.running) {
+	for _, other := range slices.Concat(harness.sentAttempts, harness.runningAttempts) {
 		if other != attempt && other.request == attempt.request && other.Live() {
 			harness.t.Fatalf("two attempts of request %s are live at the same time", attempt.Message.UID)
 		}
@@ -236,11 +243,11 @@
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
 		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, want a ready node and a time before the expiry at %v", node.State, harness.now, attempt.expiresAt)
 	}
-	harness.sent = append(harness.sent, attempt)
+	harness.sentAttempts = append(harness.sentAttempts, attempt)
 	harness.carryOutEffects()
 }
 
-func (harness *coreHarness) advance(duration placer.Seconds) {
+func (harness *coreHarness) advanceClock(duration placer.Seconds) {
 	endTime := harness.now + duration
 	for harness.core.NextTimer() <= endTime {
 		harness.now = max(harness.now, harness.core.NextTimer())
@@ -259,24 +266,24 @@
 	}
 }
 
-// endAllTasks ends all running tasks, advances the clock until all retention times have passed, and checks
-// that each request was answered and that the core is empty.
+// endAllTasks ends all running tasks and advances the clock until all retention times have passed. It then
+// checks that each request was answered and that the core contains no request and no attempt.
 func (harness *coreHarness) endAllTasks() {
-	harness.advance(10)
-	for _, attempt := range slices.Clone(harness.running) {
+	harness.advanceClock(10)
+	for _, attempt := range slices.Clone(harness.runningAttempts) {
 		harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 	}
-	check := harness.checkHealth(harness.connect())
-	harness.advance(30)
+	healthCheckID := harness.sendHealthCheck(harness.connect())
+	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
-		if record.answers == 0 && !record.withdrawn && !record.adopted && id != check {
-			harness.t.Fatalf("request %x was not answered, client record %+v", uint64(id), record)
+		if record.answerCount == 0 && !record.withdrawn && !record.adoptionRequested && id != healthCheckID {
+			harness.t.Fatalf("request %x was not answered, client record is %+v", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
 	harness.requireInvariants()
-	if pending := len(harness.core.notifier.pending); pending != 0 {
-		harness.t.Fatalf("%d pending notifications are left, want 0", pending)
+	if pendingCount := len(harness.core.notifier.pendingNotifications); pendingCount != 0 {
+		harness.t.Fatalf("core has %d pending notifications after all retention times, want 0", pendingCount)
 	}
 }
 
@@ -292,6 +299,6 @@
 	core := harness.core
 	remainingCounts := []int{core.OpenRequests(), core.RunningTasks(), len(core.requests.byTask), len(core.requests.byID), len(core.attempts.byKey)}
 	if slices.ContainsFunc(remainingCounts, func(count int) bool { return count != 0 }) {
-		harness.t.Fatalf("numbers of open requests, running tasks, requests by task, requests by ID and attempts are %v, want all to be 0", remainingCounts)
+		harness.t.Fatalf("core is not empty: the numbers of open requests, running tasks, requests by task ID, requests by message ID and attempts are %v, want 0 for each", remainingCounts)
 	}
 }
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -12,8 +12,10 @@
 
 // parsedRequest contains the fields of a valid launch message.
 type parsedRequest struct {
-	task           placer.Task
-	adoptedFromUID string // UID of the node on which the task already runs, or "" for a new request
+	task placer.Task
+	// adoptedFromUID is the UID of the node on which the task already runs. It is empty for a new placement
+	// request.
+	adoptedFromUID string
 }
 
 func (p *parsedRequest) isAdoption() bool { return p.adoptedFromUID != "" }
@@ -21,8 +23,8 @@
 // requiredResourceCount is the number of resources that a launch message must specify: cores and memory.
 const requiredResourceCount = 2
 
-// maxDeadlineMultiple limits the remaining time in a launch message to this multiple of the deadline of the
-// task class.
+// maxDeadlineMultiple limits the remaining time in a new placement request. The remaining time is at most
+// this multiple of the deadline of the task class.
 const maxDeadlineMultiple = 2
 
 // millisecondsPerSecond converts the times in platform messages, which are given in milliseconds.
@@ -36,46 +38,46 @@
 	settings *simconfig.Settings
 }
 
-// parse validates a launch message that arrived at the time now. The returned error is an
-// *InvalidMessageError.
-func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsed parsedRequest, err error) {
+// parse validates and parses a launch message. The parameter now is the time at which the message arrived.
+// The returned error is an *InvalidMessageError.
+func (p *requestParser) parse(now placer.Seconds, msg *protocol.Message) (parsedReq parsedRequest, err error) {
 	if msg.Body == "" {
-		return parsed, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
+		return parsedReq, invalidMessage(InvalidBody, "launch message %s has no body", msg.UID)
 	}
-	if parsed.task.Class, err = p.parseClass(msg); err != nil {
-		return parsed, err
+	if parsedReq.task.Class, err = p.parseClass(msg); err != nil {
+		return parsedReq, err
 	}
-	if parsed.task.Tenant, err = p.parseTenant(msg); err != nil {
-		return parsed, err
+	if parsedReq.task.Tenant, err = p.parseTenant(msg); err != nil {
+		return parsedReq, err
 	}
 	if _, err := protocol.ParseID(msg.Get(protocol.Key)); err != nil {
-		return parsed, invalidMessage(InvalidKey, "launch message %s: invalid key: %w", msg.UID, err)
+		return parsedReq, invalidMessage(InvalidKey, "launch message %s: invalid field Key: %w", msg.UID, err)
 	}
-	resourceCount, err := parsed.parseExtras(msg)
+	resourceCount, err := parsedReq.parseExtras(msg)
 	if err != nil {
-		return parsed, err
+		return parsedReq, err
 	}
-	if parsed.task.Deadline, err = p.parseDeadline(now, msg, &parsed); err != nil {
-		return parsed, err
+	if parsedReq.task.Deadline, err = p.parseDeadline(now, msg, &parsedReq); err != nil {
+		return parsedReq, err
 	}
 	if resourceCount != requiredResourceCount {
-		return parsed, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
+		return parsedReq, invalidMessage(InvalidExtras, "launch message %s: extras %.60q: want cores and memory exactly once each", msg.UID,
 			msg.Get(protocol.Extras))
 	}
-	return parsed, nil
+	return parsedReq, nil
 }
 
 func (p *requestParser) parseClass(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Class)
 	class := slices.Index(p.settings.Classes, name)
 	if class < 0 {
-		return 0, invalidMessage(InvalidClass, "launch message %s: unknown class %.40q", msg.UID, name)
+		return 0, invalidMessage(InvalidClass, "launch message %s: unknown task class %.40q", msg.UID, name)
 	}
 	return class, nil
 }
 
-// parseTenant returns the index of the tenant. A message without a tenant is valid only if no tenants are
-// configured.
+// parseTenant returns the index of the tenant in the settings. A launch message without a tenant is valid
+// only if the settings contain no tenants.
 func (p *requestParser) parseTenant(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Tenant)
 	if name == "" && len(p.settings.Tenants) == 0 {
@@ -88,8 +90,8 @@
 	return tenant, nil
 }
 
-// parseExtras parses the field Extras, which is a list of name:value pairs. It returns how many pairs specify
-// the cores or the memory of the task. Unknown names are skipped.
+// parseExtras parses the field Extras, which is a list of name:value pairs, and skips the pairs with unknown
+// names. It returns how many of the pairs specify the cores or the memory of the task.
 func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
 	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -128,25 +130,25 @@
 func parseService(msg *protocol.Message, value string) (placer.ServiceID, error) {
 	id, err := protocol.ParseID(value)
 	if err != nil {
-		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: invalid service: %w", msg.UID, err)
+		return 0, invalidMessage(InvalidExtras, "launch message %s: extras: invalid service ID: %w", msg.UID, err)
 	}
 	return placer.ServiceID(id), nil
 }
 
-// parseDeadline returns the time until which the client waits for an answer. The remaining time of a new
-// request is at most maxDeadlineMultiple times the deadline of the task class. For an adoption it is not
-// limited: an adoption needs no answer, and clients send arbitrary values such as the remaining run time of
-// the task.
-func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsed *parsedRequest) (placer.Seconds, error) {
+// parseDeadline returns the time until which the client waits for an answer. The remaining time in a new
+// placement request is at most maxDeadlineMultiple times the deadline of the task class. The remaining time
+// in an adoption request is not limited. An adoption request needs no answer, and clients send arbitrary
+// values in it, such as the remaining run time of the task.
+func (p *requestParser) parseDeadline(now placer.Seconds, msg *protocol.Message, parsedReq *parsedRequest) (placer.Seconds, error) {
 	text := msg.Get(protocol.TimeLeft)
 	leftMS, err := strconv.ParseFloat(text, 64)
-	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsed.task.Class].Deadline)
-	valid := err == nil && (inRange(leftMS, limitMS) || parsed.isAdoption() && leftMS >= 0)
+	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsedReq.task.Class].Deadline)
+	valid := err == nil && (inRange(leftMS, limitMS) || parsedReq.isAdoption() && leftMS >= 0)
 	if !valid {
-		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms (twice the class deadline)", msg.UID, text, limitMS)
+		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms, which is twice the deadline of the task class", msg.UID, text, limitMS)
 	}
 	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
 
-// inRange reports whether a value is a number from 0 to limit. It returns false for NaN.
+// inRange reports whether a value is a number from 0 to the given limit. It returns false for NaN.
 func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
