--- a/internal/kube/wellknown/dict.go
+++ b/internal/kube/wellknown/dict.go
@@ -17,8 +17,8 @@
 	Value float64
 }
 
-// ParseDict parses an RFC 9651 dictionary. Members that are not numbers are skipped, and an empty text
-// gives an empty Dict. If the text is not a dictionary, the error is that of the RFC 9651 parser.
+// ParseDict parses an RFC 9651 dictionary. It skips members that are not numbers. The result for an empty
+// text is an empty Dict. If the text is not a dictionary, the error wraps the error of the RFC 9651 parser.
 func ParseDict(text string) (Dict, error) {
 	if text == "" {
 		return nil, nil
@@ -29,7 +29,7 @@
 	}
 	numbers := Dict{}
 	for _, name := range parsed.Names() {
-		member, _ := parsed.Get(name) // Get finds the member, because the name comes from the same dictionary.
+		member, _ := parsed.Get(name) // The member exists because its name comes from the dictionary itself.
 		item, ok := member.(httpsfv.Item)
 		if !ok {
 			continue
@@ -44,10 +44,11 @@
 	return numbers, nil
 }
 
-// dictDecimals is the number of decimal places of a formatted number. RFC 9651 does not allow more.
+// dictDecimals is the number of decimal places of the numbers that FormatDict writes. RFC 9651 allows no
+// more.
 const dictDecimals = 3
 
-// FormatDict formats members as an RFC 9651 dictionary and keeps their order.
+// FormatDict formats named numbers as an RFC 9651 dictionary. It keeps the order of the numbers.
 func FormatDict(members ...Member) string {
 	var text strings.Builder
 	for i, member := range members {
@@ -61,7 +62,8 @@
 	return text.String()
 }
 
-// FormatCapacity formats the value of the annotations Usage and FreeCapacity. memory is in GiB.
+// FormatCapacity formats an amount of cores and memory as the value of an annotation Usage or FreeCapacity.
+// The unit of memory is GiB.
 func FormatCapacity(cores, memory float64) string {
 	return FormatDict(Member{DictCores, cores}, Member{DictMemory, memory})
 }
--- a/internal/kube/wellknown/objects.go
+++ b/internal/kube/wellknown/objects.go
@@ -29,15 +29,15 @@
 // containerRequests returns the cores and the memory in GiB that a container requests. A request that is
 // not set defaults to the limit of the resource.
 func containerRequests(container *corev1.Container) (cores, memory float64) {
-	cpu := container.Resources.Requests[corev1.ResourceCPU]
-	if cpu.IsZero() {
-		cpu = container.Resources.Limits[corev1.ResourceCPU]
+	cpuRequest := container.Resources.Requests[corev1.ResourceCPU]
+	if cpuRequest.IsZero() {
+		cpuRequest = container.Resources.Limits[corev1.ResourceCPU]
 	}
-	bytes := container.Resources.Requests[corev1.ResourceMemory]
-	if bytes.IsZero() {
-		bytes = container.Resources.Limits[corev1.ResourceMemory]
+	memoryRequest := container.Resources.Requests[corev1.ResourceMemory]
+	if memoryRequest.IsZero() {
+		memoryRequest = container.Resources.Limits[corev1.ResourceMemory]
 	}
-	return float64(cpu.MilliValue()) / 1000, float64(bytes.Value()) / Gibibyte
+	return float64(cpuRequest.MilliValue()) / 1000, float64(memoryRequest.Value()) / Gibibyte
 }
 
 // SettledReason returns the reason of a Pod's Settled condition. It returns "" if the Pod does not have a
@@ -57,7 +57,8 @@
 	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
 
-// NodeAddress returns the host:port of a node's API, or "" if the Node does not state it.
+// NodeAddress returns the host and port of a node's API in the form host:port, or "" if the Node does not
+// state them.
 func NodeAddress(node *corev1.Node) string {
 	port := node.Status.DaemonEndpoints.KubeletEndpoint.Port
 	for _, address := range node.Status.Addresses {
--- a/internal/kube/wellknown/timestamp.go
+++ b/internal/kube/wellknown/timestamp.go
@@ -8,6 +8,7 @@
 	"heathshed/placer"
 )
 
+// ParseTimestamp and timeFromUnix use this factor between the time units of placer and of package time.
 const microsecondsPerSecond = 1e6
 
 // timestampFormat is the RFC 3339 format with microseconds.
@@ -23,13 +24,15 @@
 }
 
 // FormatTimestamp formats a Unix time as an RFC 3339 timestamp with microseconds.
-func FormatTimestamp(at placer.Seconds) string { return timeFromUnix(at).Format(timestampFormat) }
+func FormatTimestamp(unixTime placer.Seconds) string {
+	return timeFromUnix(unixTime).Format(timestampFormat)
+}
 
-// APITime returns a Unix time in the form of the Kubernetes API, which has whole seconds.
-func APITime(at placer.Seconds) metav1.Time {
-	return metav1.NewTime(timeFromUnix(at).Truncate(time.Second))
+// APITime converts a Unix time to the time type of the Kubernetes API, which has a resolution of one second.
+func APITime(unixTime placer.Seconds) metav1.Time {
+	return metav1.NewTime(timeFromUnix(unixTime).Truncate(time.Second))
 }
 
-func timeFromUnix(at placer.Seconds) time.Time {
-	return time.UnixMicro(int64(at * microsecondsPerSecond)).UTC()
+func timeFromUnix(unixTime placer.Seconds) time.Time {
+	return time.UnixMicro(int64(unixTime * microsecondsPerSecond)).UTC()
 }
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -8,11 +8,11 @@
 
 import corev1 "k8s.io/api/core/v1"
 
-// Labels.
+// These are keys of labels. The comment of each key states which objects have the label.
 const (
-	Class           = "heathshed.io/class"                       // on pod templates and Pods: names the task's class
-	Service         = "heathshed.io/service"                     // on pod templates and Pods: names the task's service; the default is the Job's name
-	Scheduler       = "heathshed.io/scheduler"                   // on Pods at nodes: names the scheduler that placed the Pod
+	Class           = "heathshed.io/class"                       // on Pod templates and Pods: names the task class
+	Service         = "heathshed.io/service"                     // on Pod templates and Pods: names the service of the task; the default is the name of the Job
+	Scheduler       = "heathshed.io/scheduler"                   // on Pods that a scheduler sends to nodes: names this scheduler
 	JobName         = "batch.kubernetes.io/job-name"             // on Pods: states the name of the Job
 	JobUID          = "batch.kubernetes.io/controller-uid"       // on Pods: states the UID of the Job
 	CompletionIndex = "batch.kubernetes.io/job-completion-index" // on Pods: states the completion index within the Job
@@ -21,18 +21,19 @@
 	NodeType        = corev1.LabelInstanceTypeStable             // on Nodes: names the node type
 )
 
-// Annotations.
+// These are keys of annotations. The comment of each key states which objects have the annotation.
 const (
-	OutcomeDeadline   = "heathshed.io/give-up-at" // on Pods: timestamp until which the client awaits the final outcome
-	JobManifest       = "heathshed.io/job"        // on Pods at nodes: Job as JSON for a restarted scheduler that adopts the Pod
-	AttemptAnnotation = "heathshed.io/attempt"    // on Pods at nodes: states the number of the attempt that the node accepted
-	Usage             = "heathshed.io/use"        // on Pods at nodes: Dict of the cores and the memory that the Pod uses
+	OutcomeDeadline   = "heathshed.io/give-up-at" // on Pods: states the time until which the client waits for the final outcome
+	JobManifest       = "heathshed.io/job"        // on Pods that a scheduler sends to nodes: contains the Job as JSON; a restarted scheduler adopts the Pod with it
+	AttemptAnnotation = "heathshed.io/attempt"    // on Pods that a node reports: states the number of the attempt that the node accepted
+	Usage             = "heathshed.io/use"        // on Pods that a node reports: states the cores and the memory that the Pod uses, as an RFC 9651 dictionary
 	Lifetime          = "heathshed.io/lifetime"   // on Pods: states for how many seconds an emulated node runs the Pod
-	FreeCapacity      = "heathshed.io/free"       // on Nodes: Dict of the cores and the memory that no Pod requests
-	StartedAt         = "heathshed.io/started"    // on Nodes: timestamp of the node's last start
+	FreeCapacity      = "heathshed.io/free"       // on Nodes: states the cores and the memory that no Pod requests, as an RFC 9651 dictionary
+	StartedAt         = "heathshed.io/started"    // on Nodes: states the time at which the node last started
 )
 
-// Members of the Dict in the annotations Usage and FreeCapacity. Memory is in GiB.
+// The dictionaries in the annotations Usage and FreeCapacity have members with these names. The unit of
+// memory is GiB.
 const (
 	DictCores  = "cores"
 	DictMemory = "memory"
@@ -41,31 +42,31 @@
 // Settled is the type of the condition that a Pod or a Job gets once its outcome is final.
 const Settled = "heathshed.io/Settled"
 
-// Reasons of the Settled condition.
+// The Settled condition has one of these reasons.
 const (
 	Placed   = "Placed"  // a node accepted the task of the Pod; for a Job, nodes accepted all tasks
 	Rejected = "Refused" // the task of the Pod certainly never ran; for a Job, none of its tasks ran
 	Failed   = "Failed"  // the outcome is neither Placed nor Rejected
 )
 
-// Header fields between a scheduler and a node.
+// These are the names of HTTP header fields in requests and answers between schedulers and nodes.
 const (
-	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt within its Pod
-	LoadHeader        = "Heathshed-Load"    // contains the Dict of the node's load report
+	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt, which counts the attempts for the Pod
+	LoadHeader        = "Heathshed-Load"    // contains the node's load report as an RFC 9651 dictionary
 	IncarnationHeader = "Heathshed-Boot"    // identifies the node's incarnation
 )
 
-// Reasons that a node states for a Pod that it rejected or that has ended. The kubelet states reasons in
-// the same way.
+// A node states one of these reasons for a Pod that it has rejected or that has ended. The kubelet states
+// reasons in the same way.
 const (
-	OutOfCPU     = "OutOfcpu"       // rejected for lack of cores
-	OutOfMemory  = "OutOfmemory"    // rejected for lack of memory
-	QueueFull    = "TooManyWaiting" // rejected because too many Pods wait to start
-	WrongNode    = "NotHere"        // rejected: the node drains, the attempt was stopped, or the Pod is for another node
-	Evicted      = "Evicted"
-	Preempted    = "Preempting"
-	Drained      = "NodeShutdown"
-	NeverStarted = "NeverStarted" // ended before the task ran
-	Stopped      = "Stopped"      // ended because of a stop order
-	NodeLost     = "NodeLost"     // stated by the scheduler if the node no longer reports the Pod
+	OutOfCPU     = "OutOfcpu"       // the node rejected the Pod because too few cores are free
+	OutOfMemory  = "OutOfmemory"    // the node rejected the Pod because too little memory is free
+	QueueFull    = "TooManyWaiting" // the node rejected the Pod because too many Pods wait to start
+	WrongNode    = "NotHere"        // the node rejected the Pod because the node drains, the attempt was stopped, or the Pod is for another node
+	Evicted      = "Evicted"        // the node ended the Pod because the node ran out of memory
+	Preempted    = "Preempting"     // the node ended the Pod in favor of a Pod of higher priority
+	Drained      = "NodeShutdown"   // the node ended the Pod because the node is draining
+	NeverStarted = "NeverStarted"   // the Pod ended before its task ran
+	Stopped      = "Stopped"        // the node ended the Pod because of a stop order
+	NodeLost     = "NodeLost"       // stated by the scheduler, not by a node: the Pod was lost with its node or the node no longer reports it
 )
--- a/internal/kube/wellknown/wellknown_test.go
+++ b/internal/kube/wellknown/wellknown_test.go
@@ -50,7 +50,7 @@
 		{FormatTimestamp(1.8e9 + 0.25), "2027-01-15T08:00:00.250000Z"},
 	} {
 		if test.got != test.want {
-			t.Errorf("text is %q, want %q", test.got, test.want)
+			t.Errorf("the text on the wire is %q, want %q", test.got, test.want)
 		}
 	}
 }
@@ -61,11 +61,11 @@
 		want       Dict
 		fails      bool
 	}{
-		{"empty", "", nil, false},
-		{"numbers", "cores=0.5, memory=2", Dict{"cores": 0.5, "memory": 2}, false},
-		{"negative", "cores=-1.250", Dict{"cores": -1.25}, false},
+		{"empty text", "", nil, false},
+		{"decimal and integer members", "cores=0.5, memory=2", Dict{"cores": 0.5, "memory": 2}, false},
+		{"negative member", "cores=-1.250", Dict{"cores": -1.25}, false},
 		{"members that are not numbers", `cores=1, kind="large", busy, list=(1 2)`, Dict{"cores": 1}, false},
-		{"not a dictionary", "cores=", nil, true},
+		{"text that is not a dictionary", "cores=", nil, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, err := ParseDict(test.text)
@@ -79,13 +79,13 @@
 func TestTimestamps(t *testing.T) {
 	const seconds = 1.8e9 + 0.75
 	if got := ParseTimestamp(FormatTimestamp(seconds)); got != seconds {
-		t.Errorf("formatted and parsed timestamp is %v, want %v", got, seconds)
+		t.Errorf("a timestamp that was formatted and parsed is %v, want %v", got, seconds)
 	}
 	if got := ParseTimestamp("yesterday"); got != 0 {
-		t.Errorf("invalid timestamp was parsed as %v, want 0", got)
+		t.Errorf("ParseTimestamp returned %v for an invalid timestamp, want 0", got)
 	}
 	if got := APITime(seconds).Unix(); got != 1.8e9 {
-		t.Errorf("time of the API is %v, want it in whole seconds", got)
+		t.Errorf("APITime returned the Unix time %v, want the time rounded down to a whole second", got)
 	}
 }
 
@@ -101,11 +101,11 @@
 		spec          corev1.PodSpec
 		cores, memory float64
 	}{
-		{"no containers", corev1.PodSpec{}, 0, 0},
-		{"containers add up", corev1.PodSpec{Containers: []corev1.Container{
+		{"Pod without containers", corev1.PodSpec{}, 0, 0},
+		{"requests of containers are added up", corev1.PodSpec{Containers: []corev1.Container{
 			container(resources("500m", "1Gi"), nil), container(resources("1", "512Mi"), nil)}}, 1.5, 1.5},
-		{"limits in place of requests", corev1.PodSpec{Containers: []corev1.Container{container(nil, resources("2", "4Gi"))}}, 2, 4},
-		{"the largest init container", corev1.PodSpec{
+		{"limits replace requests that are not set", corev1.PodSpec{Containers: []corev1.Container{container(nil, resources("2", "4Gi"))}}, 2, 4},
+		{"largest init container exceeds the other containers", corev1.PodSpec{
 			Containers:     []corev1.Container{container(resources("1", "1Gi"), nil)},
 			InitContainers: []corev1.Container{container(resources("3", "512Mi"), nil), container(resources("2", "2Gi"), nil)},
 		}, 3, 2},
@@ -113,7 +113,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			cores, memory := ResourceRequests(&test.spec)
 			if cores != test.cores || memory != test.memory {
-				t.Errorf("requests are %v cores and %v GiB, want %v and %v", cores, memory, test.cores, test.memory)
+				t.Errorf("the Pod requests %v cores and %v GiB, want %v cores and %v GiB", cores, memory, test.cores, test.memory)
 			}
 		})
 	}
