--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -16,9 +16,9 @@
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
 
-// TestCharacterizeStore records the events, snapshots, errors and trimmed histories of stores under seeded
-// random changes, and compares the record with a golden file. Only regenerate the golden file with
-// HEATHSHED_UPDATE_GOLDEN=1 if the behaviour is meant to change; see package goldentest.
+// TestCharacterizeStore records the changes, snapshots, errors and history lengths of stores under seeded
+// random changes, and compares the record with a golden file. The golden file may be regenerated with
+// HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package goldentest.
 func TestCharacterizeStore(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, objects := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
@@ -28,8 +28,8 @@
 	record.Check(t, "store")
 }
 
-// recordKeptSnapshots keeps more snapshots than a store can hold and records which of them are found as
-// time passes.
+// recordKeptSnapshots calls KeepSnapshot for more snapshots than a store keeps. It then records which
+// snapshots FindSnapshot returns at several later times.
 func recordKeptSnapshots(record *goldentest.Recorder) {
 	objects, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
@@ -47,6 +47,7 @@
 	}
 }
 
+// recordRandomChanges makes random changes to a store and records the results and what the store returns.
 func recordRandomChanges(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	base, now := objects.Revision(), placer.Seconds(0)
@@ -71,15 +72,17 @@
 		}
 	}
 	for _, table := range tables {
-		record.Line("%s: table %d %s: %d objects; %v", label, table, table, objects.Len(table), since(objects, table, base))
+		record.Line("%s: table %d %s: %d objects; %v", label, table, table, objects.Len(table), changesSinceError(objects, table, base))
 	}
 }
 
-func since(objects *store.Store, table store.Resource, revision int64) error {
+// changesSinceError returns the error of ChangesSince for a revision.
+func changesSinceError(objects *store.Store, table store.Resource, revision int64) error {
 	_, err := objects.ChangesSince(table, revision, 1)
 	return err
 }
 
+// newObject returns an object of the given table with an annotation of random size.
 func newObject(table store.Resource, namespace, name string, rng *rand.Rand) store.Object {
 	var object store.Object
 	switch table {
@@ -116,7 +119,8 @@
 	}
 }
 
-// recordSnapshot keeps a snapshot and records parts of a snapshot that is found at a recent revision.
+// recordSnapshot keeps a snapshot, and records parts of the snapshot that FindSnapshot returns for a recent
+// revision.
 func recordSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
 	objects.KeepSnapshot(now, objects.Snapshot(table))
 	snapshot, err := objects.FindSnapshot(now, table, objects.Revision()-int64(rng.IntN(3)*10))
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -1,12 +1,16 @@
-// Package store keeps API objects, as etcd does for the Kubernetes API server. Each change gets a revision,
-// lists read from consistent snapshots, and watches read from a bounded history of changes. Package engine
-// writes to its store and package api reads from it. The emulated inventory has a store of its own.
+// Package store keeps API objects, as etcd does for the Kubernetes API server. Each change of an object gets
+// a revision. Requests that list objects are answered from a consistent snapshot, and requests that watch
+// objects are answered from a bounded history of changes.
+//
+// Package engine writes to the store of a scheduler, and package api reads from it. For tests, package
+// emulator emulates nodes and the inventory, which is the API that lists all nodes; each of them has its own
+// store.
 //
 // The package is pure: it uses no I/O, no clock and no goroutines. A Store must be used by one goroutine at
 // a time; a Snapshot may be read by several goroutines. Stored objects must not be changed.
 //
-// Start reading at Store.Put, which records a Change, at Store.ChangesSince, from which watches read, and
-// at Snapshot in snapshot.go, from which lists read.
+// New readers should start with Store.Put, which records a Change, with Store.ChangesSince, which serves
+// watch requests, and with Snapshot in snapshot.go, which serves list requests.
 package store
 
 import (
@@ -28,7 +32,7 @@
 // Resource identifies a table of the store.
 type Resource uint8
 
-// Tables of the store.
+// The store has a table for each of these resources.
 const (
 	Jobs Resource = iota
 	Pods
@@ -45,7 +49,7 @@
 // Op is the kind of a change.
 type Op uint8
 
-// Kinds of changes.
+// These are the kinds of changes.
 const (
 	Added Op = iota
 	Modified
@@ -56,18 +60,18 @@
 type Change struct {
 	Revision int64
 	Op       Op
-	Object   Object // state after the change; for Deleted, the last state with the revision of the deletion
-	Previous Object // state before the change; nil for Added
+	Object   Object // object after the change; for Deleted, the last state of the object with the revision of the deletion
+	Previous Object // object before the change; nil for Added
 
-	// JSON and Binary are cached encodings of Object. The first reader that needs an encoding sets it, so
-	// that Object is encoded only once for all watches.
+	// JSON and Binary are cached encodings of Object. The first reader that needs an encoding sets it. The
+	// other readers then do not have to encode Object again.
 	JSON   []byte
 	Binary []byte
 
 	cost int64 // estimated memory in bytes, as returned by Cost
 }
 
-// Errors of read operations. The API server returns them to clients as statuses with these texts.
+// These errors are returned by read operations. The API server sends their texts to clients in statuses.
 var (
 	// ErrExpired means that the history no longer reaches back to the requested revision. The client must
 	// list the objects again.
@@ -81,14 +85,14 @@
 type Store struct {
 	revision       int64
 	tables         [resourceCount]table
-	historyLength  int   // maximum number of changes in the history of each table
+	historyLength  int   // maximum number of changes that the history of each table keeps
 	maxHistoryCost int64 // maximum cost of the histories of all tables in bytes; 0 means no limit
 	snapshots      []Snapshot
 }
 
 // New returns an empty Store. The first change has a revision greater than base, and the history of each
-// table keeps up to historyLength changes. If each process passes a base that grows with time, revisions
-// also grow across restarts.
+// table keeps up to historyLength changes. If each process passes a base that grows with time, the revisions
+// of a restarted process are greater than those of the process before it.
 func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
 // NewBounded returns a Store like New and also limits the total cost of the histories of all tables to
@@ -97,7 +101,7 @@
 func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
 	s := &Store{revision: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
-		s.tables[i].lastDropped = base
+		s.tables[i].lastDroppedRevision = base
 	}
 	return s
 }
@@ -109,25 +113,25 @@
 func Key(namespace, name string) string { return namespace + "/" + name }
 
 // Get returns a stored object, or nil if there is none.
-func (s *Store) Get(r Resource, namespace, name string) Object {
-	if change := s.LastChange(r, namespace, name); change != nil {
+func (s *Store) Get(resource Resource, namespace, name string) Object {
+	if change := s.LastChange(resource, namespace, name); change != nil {
 		return change.Object
 	}
 	return nil
 }
 
 // LastChange returns the last change of a stored object, or nil if the object is not stored.
-func (s *Store) LastChange(r Resource, namespace, name string) *Change {
-	change, _ := s.tables[r].objects.Get(Key(namespace, name)) // Get returns nil for a key that is not stored.
+func (s *Store) LastChange(resource Resource, namespace, name string) *Change {
+	change, _ := s.tables[resource].objects.Get(Key(namespace, name)) // The result is nil if the key is not stored.
 	return change
 }
 
 // Len returns the number of objects in a table.
-func (s *Store) Len(r Resource) int { return s.tables[r].objects.Len() }
+func (s *Store) Len(resource Resource) int { return s.tables[resource].objects.Len() }
 
-// Factors of Cost. They overestimate the memory use.
+// Cost computes its estimate from these values, which make the estimate too high rather than too low.
 const (
-	costPerObject = 2048 // bytes per object in addition to its fields
+	costPerObject = 2048 // bytes for an object in addition to its fields
 	costPerByte   = 5    // bytes for the fields and the cached encodings, per byte of the binary encoding
 )
 
@@ -158,8 +162,8 @@
 
 // Put adds or replaces an object, sets its resource version and returns the revision of the change. The
 // caller must not modify the object afterwards.
-func (s *Store) Put(r Resource, object Object) int64 {
-	table := &s.tables[r]
+func (s *Store) Put(resource Resource, object Object) int64 {
+	table := &s.tables[resource]
 	s.revision++
 	object.SetResourceVersion(strconv.FormatInt(s.revision, 10))
 	change := &Change{Revision: s.revision, Op: Added, Object: object, cost: Cost(object)}
@@ -175,107 +179,107 @@
 }
 
 // Delete removes an object. It returns false if the object is not stored.
-func (s *Store) Delete(r Resource, namespace, name string) bool {
-	table := &s.tables[r]
+func (s *Store) Delete(resource Resource, namespace, name string) bool {
+	table := &s.tables[resource]
 	previous, ok := table.objects.Delete(Key(namespace, name))
 	if !ok {
 		return false
 	}
 	s.revision++
-	last := previous.Object.DeepCopyObject().(Object)
-	last.SetResourceVersion(strconv.FormatInt(s.revision, 10))
+	lastState := previous.Object.DeepCopyObject().(Object)
+	lastState.SetResourceVersion(strconv.FormatInt(s.revision, 10))
 	table.objectCost -= previous.cost
-	change := &Change{Revision: s.revision, Op: Deleted, Object: last, Previous: previous.Object, cost: previous.cost}
+	change := &Change{Revision: s.revision, Op: Deleted, Object: lastState, Previous: previous.Object, cost: previous.cost}
 	table.appendChange(change, s.historyLength)
 	s.trimHistories()
 	return true
 }
 
-// trimHistories drops the oldest changes until the cost of all histories is within its limit. It always
-// takes them from the table with the most expensive history. Each table keeps its last change, so that a
-// watch that has read all changes never expires.
+// trimHistories drops old changes until the total cost of all histories is within its limit. It always drops
+// the oldest change of the history with the highest cost. Each history keeps its last change, because a watch
+// that has read all changes must not expire.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
-		costliest := s.costliestHistory()
-		if costliest == nil {
+		costliestTable := s.costliestHistory()
+		if costliestTable == nil {
 			return
 		}
-		costliest.trimHistory(costliest.historyLength() - 1)
+		costliestTable.trimHistory(costliestTable.historyLength() - 1)
 	}
 }
 
-// costliestHistory returns the table whose history has the highest cost among those with more than one
-// change. It returns nil if no history has more than one change.
+// costliestHistory returns the table whose history has the highest cost. It ignores histories with fewer than
+// two changes, and returns nil if there are no others.
 func (s *Store) costliestHistory() *table {
-	var costliest *table
+	var costliestTable *table
 	for i := range s.tables {
 		table := &s.tables[i]
 		if table.historyLength() <= 1 {
 			continue
 		}
-		if costliest == nil || table.historyCost > costliest.historyCost {
-			costliest = table
+		if costliestTable == nil || table.historyCost > costliestTable.historyCost {
+			costliestTable = table
 		}
 	}
-	return costliest
+	return costliestTable
 }
 
 // ChangesSince returns up to limit changes of a table that are newer than a revision, the oldest first. The
 // slice is valid until the next change of the store. The error is ErrExpired or ErrFuture.
-func (s *Store) ChangesSince(r Resource, revision int64, limit int) ([]*Change, error) {
-	table := &s.tables[r]
-	if revision < table.lastDropped {
-		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, revision, ErrExpired, table.lastDropped)
+func (s *Store) ChangesSince(resource Resource, revision int64, limit int) ([]*Change, error) {
+	table := &s.tables[resource]
+	if revision < table.lastDroppedRevision {
+		return nil, fmt.Errorf("%s: revision %d: %w (%d)", resource, revision, ErrExpired, table.lastDroppedRevision)
 	}
 	if revision > s.revision {
-		return nil, fmt.Errorf("%s: revision %d: %w (%d)", r, revision, ErrFuture, s.revision)
+		return nil, fmt.Errorf("%s: revision %d: %w (%d)", resource, revision, ErrFuture, s.revision)
 	}
 	return table.changesAfter(revision, limit), nil
 }
 
 // table holds the objects of one resource and the history of their changes.
 type table struct {
-	objects    btree.Map[string, *Change] // last change of each stored object by its Key
-	objectCost int64
-
-	history     []*Change // changes in order of revision; those before index firstKept have been dropped
-	firstKept   int
-	historyCost int64
-	lastDropped int64 // revision of the last change that was dropped from the history
+	objects             btree.Map[string, *Change] // last change of each stored object by the object's Key
+	objectCost          int64                      // total cost of the stored objects in bytes
+	history             []*Change                  // changes in order of revision; entries before firstKeptIndex are nil
+	firstKeptIndex      int                        // index in history of the oldest change that is kept
+	historyCost         int64                      // total cost of the kept changes in bytes
+	lastDroppedRevision int64                      // revision of the last change that was dropped from the history
 }
 
-func (t *table) historyLength() int { return len(t.history) - t.firstKept }
+func (t *table) historyLength() int { return len(t.history) - t.firstKeptIndex }
 
-// appendChange appends a change to the history and then trims the history to at most length changes.
+// appendChange appends a change to the history and then drops old changes until the history has at most
+// length changes.
 func (t *table) appendChange(change *Change, length int) {
 	t.history = append(t.history, change)
 	t.historyCost += change.cost
 	t.trimHistory(length)
 }
 
-// minCompaction is the number of dropped entries that the front of a history may have before the history is
-// copied to free their memory.
+// minCompaction is the number of entries for dropped changes that a history may have before the history is
+// copied without these entries to free their memory.
 const minCompaction = 1024
 
 // trimHistory drops the oldest changes until the history has at most length changes.
 func (t *table) trimHistory(length int) {
 	for t.historyLength() > length {
-		dropped := t.history[t.firstKept]
-		t.lastDropped = dropped.Revision
-		t.historyCost -= dropped.cost
-		t.history[t.firstKept] = nil
-		t.firstKept++
-		if t.firstKept > minCompaction && t.firstKept > len(t.history)/2 {
-			t.history = append([]*Change(nil), t.history[t.firstKept:]...)
-			t.firstKept = 0
+		droppedChange := t.history[t.firstKeptIndex]
+		t.lastDroppedRevision = droppedChange.Revision
+		t.historyCost -= droppedChange.cost
+		t.history[t.firstKeptIndex] = nil
+		t.firstKeptIndex++
+		if t.firstKeptIndex > minCompaction && t.firstKeptIndex > len(t.history)/2 {
+			t.history = append([]*Change(nil), t.history[t.firstKeptIndex:]...)
+			t.firstKeptIndex = 0
 		}
 	}
 }
 
-// changesAfter returns up to limit changes that are newer than a revision. It finds the first of them by
-// binary search.
+// changesAfter returns up to limit changes that are newer than a revision, the oldest first. It finds the
+// oldest one by binary search.
 func (t *table) changesAfter(revision int64, limit int) []*Change {
-	history := t.history[t.firstKept:]
+	history := t.history[t.firstKeptIndex:]
 	if len(history) == 0 || history[len(history)-1].Revision <= revision {
 		return nil
 	}
