--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -28,12 +28,12 @@
 	publisher     *publisher
 }
 
-// adoptTask reports a task that already runs on a node to the placer as adopted. It creates a placement
-// request for the task that is closed from the start.
+// adoptTask reports a task that already runs on a node to the placer as adopted. It also creates a placement
+// request for the task. The request is closed from the start because the task needs no placement.
 func (a *adopter) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
 	request := &placementRequest{task: task, closed: true}
 	a.requests.add(request)
-	adopted := &attempt{
+	adoptedAttempt := &attempt{
 		request:             request,
 		task:                task,
 		node:                node,
@@ -42,33 +42,33 @@
 		acceptedIncarnation: incarnation,
 		revision:            revision,
 	}
-	request.addAttempt(adopted)
+	request.addAttempt(adoptedAttempt)
 	a.post(placer.Event{Kind: placer.Adopted, Node: node.id, Task: a.requests.placerTask(request, task.deadline)})
-	a.lifecycle.bind(task, adopted)
+	a.lifecycle.bind(task, adoptedAttempt)
 }
 
-// adoptPod adopts a Pod that an earlier process placed, and rebuilds its Job from the manifest that the
-// node stores with the Pod. If the Pod cannot be adopted, it is stopped.
-func (a *adopter) adoptPod(node *node, found *corev1.Pod) {
-	class, invalid := a.cfg.classFromLabels(found.Labels)
-	if invalid != nil || a.publisher.storedPod(found.Namespace, found.Name) != nil {
-		a.emitStopTask(node, identityOf(found), maxAttemptNumber)
+// adoptPod adopts a Pod that an earlier process placed, and rebuilds its Job from the manifest (the Job as
+// JSON) that the node stores with the Pod. If the Pod cannot be adopted, it is stopped.
+func (a *adopter) adoptPod(node *node, foundPod *corev1.Pod) {
+	class, invalidErr := a.cfg.classFromLabels(foundPod.Labels)
+	if invalidErr != nil || a.publisher.storedPod(foundPod.Namespace, foundPod.Name) != nil {
+		a.emitStopTask(node, identityOf(foundPod), maxAttemptNumber)
 		return
 	}
 	a.stats.Recovered++
-	adopted := a.newAdoptedTask(found, class)
-	a.tasks.add(adopted)
-	a.adoptJob(adopted, found)
-	a.publisher.putPod(a.adoptedPod(node, found))
-	if adopted.job != nil {
-		adopted.job.addPod(adopted.name)
+	adoptedTask := a.newAdoptedTask(foundPod, class)
+	a.tasks.add(adoptedTask)
+	a.adoptJob(adoptedTask, foundPod)
+	a.publisher.putPod(a.adoptedPod(node, foundPod))
+	if adoptedTask.job != nil {
+		adoptedTask.job.addPod(adoptedTask.name)
 	}
-	a.adoptTask(adopted, node, attemptNumber(found), node.incarnation, podRevision(found))
-	if found.Status.Phase == corev1.PodRunning {
-		a.lifecycle.recordStart(adopted)
+	a.adoptTask(adoptedTask, node, attemptNumber(foundPod), node.incarnation, podRevision(foundPod))
+	if foundPod.Status.Phase == corev1.PodRunning {
+		a.lifecycle.recordStart(adoptedTask)
 	}
-	if adopted.job != nil && adopted.job.isDeleted() {
-		a.podController.deletePodOfTask(adopted, stopDeleted)
+	if adoptedTask.job != nil && adoptedTask.job.isDeleted() {
+		a.podController.deletePodOfTask(adoptedTask, stopDeleted)
 	}
 }
 
@@ -83,18 +83,18 @@
 	return max(number, 1)
 }
 
-// newAdoptedTask returns a task for a Pod that was found running. The task counts as settled, since the
-// process that placed it reported its final outcome.
-func (a *adopter) newAdoptedTask(found *corev1.Pod, class int) *task {
+// newAdoptedTask returns a task for a Pod that a node reports as running. The task counts as settled because
+// the process that placed it has already reported its final outcome.
+func (a *adopter) newAdoptedTask(foundPod *corev1.Pod, class int) *task {
 	// If the namespace no longer belongs to a tenant, the task counts towards the first tenant.
-	tenant, _ := a.cfg.tenantOf(found.Namespace)
-	service := found.Labels[wellknown.Service]
+	tenant, _ := a.cfg.tenantOf(foundPod.Namespace)
+	service := foundPod.Labels[wellknown.Service]
 	if service == "" {
-		service = found.Labels[wellknown.JobName]
+		service = foundPod.Labels[wellknown.JobName]
 	}
 	return &task{
-		podIdentity:       identityOf(found),
-		placementSpec:     newPlacementSpec(class, tenant, serviceID(found.Namespace, service), &found.Spec),
+		podIdentity:       identityOf(foundPod),
+		placementSpec:     newPlacementSpec(class, tenant, serviceID(foundPod.Namespace, service), &foundPod.Spec),
 		deadline:          a.now,
 		settled:           true,
 		requestsSubmitted: 1,
@@ -102,10 +102,11 @@
 	}
 }
 
-// adoptedPod returns the Pod of an adopted task in the form in which it is stored.
-func (a *adopter) adoptedPod(node *node, found *corev1.Pod) *corev1.Pod {
+// adoptedPod returns the Pod that is stored for an adopted task. It is derived from the Pod that the node
+// reported.
+func (a *adopter) adoptedPod(node *node, foundPod *corev1.Pod) *corev1.Pod {
 	now := a.apiNow()
-	pod := found.DeepCopy()
+	pod := foundPod.DeepCopy()
 	pod.Labels[wellknown.Scheduler] = a.cfg.Name
 	delete(pod.Annotations, wellknown.JobManifest)
 	delete(pod.Annotations, wellknown.Usage)
@@ -123,52 +124,52 @@
 }
 
 // adoptJob attaches an adopted task to its Job and rebuilds the Job if it is not stored. A task whose Pod
-// has no usable manifest remains without a Job.
-func (a *adopter) adoptJob(adopted *task, found *corev1.Pod) {
-	var object batchv1.Job
-	err := json.Unmarshal([]byte(found.Annotations[wellknown.JobManifest]), &object)
-	if err != nil || object.Name == "" || object.Namespace != found.Namespace {
+// contains no valid manifest of a Job remains without a Job.
+func (a *adopter) adoptJob(adoptedTask *task, foundPod *corev1.Pod) {
+	var manifest batchv1.Job
+	err := json.Unmarshal([]byte(foundPod.Annotations[wellknown.JobManifest]), &manifest)
+	if err != nil || manifest.Name == "" || manifest.Namespace != foundPod.Namespace {
 		return
 	}
-	job := a.jobs.get(jobKey(&object))
+	job := a.jobs.get(jobKey(&manifest))
 	if job == nil {
-		if job = a.rebuildJob(&object); job == nil {
+		if job = a.rebuildJob(&manifest); job == nil {
 			return
 		}
 	}
-	index, err := strconv.Atoi(found.Labels[wellknown.CompletionIndex])
-	if err != nil || index < 0 || index >= job.indexes.len() || job.uid != object.UID || job.indexes.at(index).task != nil {
+	index, err := strconv.Atoi(foundPod.Labels[wellknown.CompletionIndex])
+	if err != nil || index < 0 || index >= job.indexes.len() || job.uid != manifest.UID || job.indexes.at(index).task != nil {
 		return
 	}
-	a.adoptIndex(job, index, adopted)
+	a.adoptIndex(job, index, adoptedTask)
 }
 
-// rebuildJob stores a Job again from the manifest that a node keeps with one of its Pods. Tasks of the Job
-// are not started until the other nodes have had time to report their Pods. It returns nil if the Job is no
-// longer valid.
-func (a *adopter) rebuildJob(object *batchv1.Job) *job {
-	object.Generation = 1
-	rebuilt, err := a.jobController.newJob(object)
+// rebuildJob stores a Job again from the manifest that a node keeps with one of the Job's Pods. Tasks of the
+// Job are not started until the other nodes have had time to report their Pods. rebuildJob returns nil if the
+// present configuration does not permit the Job.
+func (a *adopter) rebuildJob(manifest *batchv1.Job) *job {
+	manifest.Generation = 1
+	rebuiltJob, err := a.jobController.newJob(manifest)
 	if err != nil {
 		return nil
 	}
-	rebuilt.indexes.preventStarts()
-	a.jobs.add(rebuilt)
-	a.publisher.putJob(object)
-	a.runAfter(a.cfg.NodeLossTimeout, func() { a.finishJobAdoption(rebuilt) })
-	return rebuilt
+	rebuiltJob.indexes.preventStarts()
+	a.jobs.add(rebuiltJob)
+	a.publisher.putJob(manifest)
+	a.runAfter(a.cfg.NodeLossTimeout, func() { a.finishJobAdoption(rebuiltJob) })
+	return rebuiltJob
 }
 
-// adoptIndex assigns an adopted task to a completion index of a Job that has no task yet.
-func (a *adopter) adoptIndex(job *job, index int, adopted *task) {
-	job.indexes.adopt(index, adopted)
-	adopted.joinJob(job, index, job.indexes.at(index).retryBudget)
+// adoptIndex assigns an adopted task to a completion index of its Job. The index must not have a task yet.
+func (a *adopter) adoptIndex(job *job, index int, adoptedTask *task) {
+	job.indexes.adopt(index, adoptedTask)
+	adoptedTask.joinJob(job, index, job.indexes.at(index).retryBudget)
 	a.jobStatus.markDirty(job)
 }
 
-// finishJobAdoption decides on the indexes of a rebuilt Job for which no node has reported a task. The task
-// of such an index may have ended or may never have started. The index is started again if the Job's tasks
-// are idempotent, and fails otherwise.
+// finishJobAdoption decides on the completion indexes of a rebuilt Job for which no node has reported a task.
+// The task of such an index may have ended or may never have started. The index is started again if the Job's
+// tasks are idempotent, and fails otherwise.
 func (a *adopter) finishJobAdoption(job *job) {
 	if job.isDeleted() || !a.jobs.contains(job) {
 		return
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -15,60 +15,60 @@
 	request         *placementRequest
 	task            *task
 	node            *node
-	requestSequence int // number of the attempt within its placement request, as used by the placer
-	number          int // number of the attempt within its task, as used by nodes
+	numberInRequest int // number that identifies the attempt to the placer; counts the attempts of the placement request
+	number          int // number that identifies the attempt to nodes; counts the attempts of the task
 
 	sentAt              placer.Seconds
 	timeoutTimer        *timer
-	sentIncarnation     string       // the node's incarnation that was known when the attempt was sent
-	observed            *observedPod // latest Pod that the node's watch reported while in flight; nil if none
-	acceptedIncarnation string       // the node's incarnation when it accepted the attempt
-	revision            int64        // the Pod's revision at the node when it accepted the attempt
+	sentIncarnation     string     // the node's incarnation that the engine knew when it sent the attempt
+	latestReport        *podReport // latest report of the Pod by the node's watch while the attempt is in flight; nil if none
+	acceptedIncarnation string     // the node's incarnation when it accepted the attempt
+	revision            int64      // the Pod's revision at the node when it accepted the attempt
 
 	fenceTimer   *timer // fires when the next stop order is due
-	stopInFlight bool   // a stop order was sent while the outcome was unknown, and has not been answered
+	stopInFlight bool   // set while a stop order that was sent because the outcome is unknown awaits its answer
 	stopsSent    int    // number of stop orders sent, which determines the backoff between them
 }
 
-// observedPod is the state of a Pod that a node's watch reported.
-type observedPod struct {
+// podReport is the state of a Pod as reported by the watch of the Pod's node.
+type podReport struct {
 	pod         *corev1.Pod
 	deleted     bool
 	incarnation string // the node's incarnation at the time of the report
 	revision    int64
 }
 
-// newerThan reports whether the node reported the Pod after it sent the given answer. Revisions are
-// comparable only within one incarnation of a node.
-func (o *observedPod) newerThan(answer *AttemptAnswer) bool {
-	return o != nil && o.incarnation == answer.Incarnation && o.revision > answer.Revision
+// newerThan returns true if the node sent the Pod report after the given answer. Revisions are comparable
+// only within one incarnation of a node.
+func (r *podReport) newerThan(answer *AttemptAnswer) bool {
+	return r != nil && r.incarnation == answer.Incarnation && r.revision > answer.Revision
 }
 
 // event returns a placer event of the given kind that identifies the attempt.
 func (a *attempt) event(kind placer.EventKind) placer.Event {
-	return placer.Event{Kind: kind, TaskID: a.request.id, Attempt: a.requestSequence, Node: a.node.id}
+	return placer.Event{Kind: kind, TaskID: a.request.id, Attempt: a.numberInRequest, Node: a.node.id}
 }
 
 // endedEvent returns the event that tells the placer that the attempt has ended.
 func (a *attempt) endedEvent(now placer.Seconds, result placer.Result, reason placer.Reason) placer.Event {
-	ended := a.event(placer.Ended)
-	ended.Result = result
-	ended.Reason = reason
-	ended.Elapsed = now - a.sentAt
-	return ended
+	endedEvent := a.event(placer.Ended)
+	endedEvent.Result = result
+	endedEvent.Reason = reason
+	endedEvent.Elapsed = now - a.sentAt
+	return endedEvent
 }
 
-// usageEvent returns the event that tells the placer a resource usage value that the node reported for the
-// attempt.
+// usageEvent returns the event that passes a resource usage value to the placer. The node reported the value
+// for the attempt.
 func (a *attempt) usageEvent(kind placer.UsageKind, value float64) placer.Event {
-	usage := a.event(placer.UsageReported)
-	usage.Usage = kind
-	usage.Value = value
-	return usage
+	usageEvent := a.event(placer.UsageReported)
+	usageEvent.Usage = kind
+	usageEvent.Value = value
+	return usageEvent
 }
 
-// attemptTracker sends attempts to nodes and handles the answers. It stores no attempts: attemptHistory and
-// node hold them.
+// attemptTracker sends attempts to nodes and handles the answers. It stores no attempts: the types
+// attemptHistory and node hold them.
 type attemptTracker struct {
 	*environment
 	tasks     *taskTable
@@ -80,29 +80,29 @@
 	publisher *publisher
 }
 
-// start sends the task of a placement request to a node, as the placer decided.
+// start sends an attempt for a placement request to the node that the placer has chosen.
 func (t *attemptTracker) start(action *placer.Action) {
 	request, node := t.requests.get(action.Task), t.nodes.getByID(action.Node)
 	if request == nil || node == nil || request.closed {
 		panic(fmt.Sprintf("engine: placer started an attempt for request %d on node %d, but the request is not open or the node is unknown", action.Task, action.Node))
 	}
 	task := request.task
-	if task.attempts.inFlight != nil || task.attempts.running != nil {
+	if task.attempts.inFlightAttempt != nil || task.attempts.runningAttempt != nil {
 		panic(fmt.Sprintf("engine: placer started a second attempt for task %s while another one is in flight or running", task.uid))
 	}
-	started := &attempt{
+	newAttempt := &attempt{
 		request:         request,
 		task:            task,
 		node:            node,
-		requestSequence: action.Attempt,
+		numberInRequest: action.Attempt,
 		sentAt:          t.now,
 		sentIncarnation: node.incarnation,
 	}
-	request.addAttempt(started)
-	task.attempts.begin(started)
+	request.addAttempt(newAttempt)
+	task.attempts.begin(newAttempt)
 	t.tasks.setState(task, taskAttempting)
 	t.stats.Attempts++
-	started.timeoutTimer = t.runAt(action.Until, func() { t.handleTimeout(started) })
+	newAttempt.timeoutTimer = t.runAt(action.Until, func() { t.handleTimeout(newAttempt) })
 	t.emit(Effect{
 		Kind:                SendAttempt,
 		Node:                node.name,
@@ -111,7 +111,7 @@
 		UID:                 task.uid,
 		Namespace:           task.namespace,
 		Name:                task.name,
-		Attempt:             started.number,
+		Attempt:             newAttempt.number,
 		Deadline:            action.Until,
 		AvoidUnknownOutcome: t.idempotencyOf(task) != placer.Idempotent,
 	})
@@ -123,13 +123,13 @@
 	Attempt     int
 	Node        string
 	Accepted    bool
-	Result      placer.Result // how the attempt failed; unused if Accepted is set
-	Reason      placer.Reason // why the node rejected the attempt, if the node stated a reason
-	Message     string        // message text from the node
-	Report      *placer.Report
-	Incarnation string      // incarnation of the node; "" if the answer does not state it
-	Revision    int64       // the Pod's revision at the node
-	Pod         *corev1.Pod // the Pod as reported by the node that accepted it; may be nil
+	Result      placer.Result  // how the attempt failed; unused if Accepted is set
+	Reason      placer.Reason  // why the node rejected the attempt, if the node stated a reason
+	Message     string         // message text from the node
+	Report      *placer.Report // load report from the node; nil if the answer contains none
+	Incarnation string         // incarnation of the node; "" if the answer does not state it
+	Revision    int64          // the Pod's revision at the node
+	Pod         *corev1.Pod    // the Pod as reported by the node that accepted it; may be nil
 }
 
 // failure returns a message that says why the attempt was not accepted.
@@ -161,30 +161,31 @@
 		t.stopRemovedTask(&answer)
 		return
 	}
-	if inFlight := task.attempts.inFlight; inFlight.matches(answer.Node, answer.Attempt) {
-		t.handleInFlightAnswer(inFlight, &answer)
+	if inFlightAttempt := task.attempts.inFlightAttempt; inFlightAttempt.matches(answer.Node, answer.Attempt) {
+		t.handleInFlightAnswer(inFlightAttempt, &answer)
 		return
 	}
-	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
+	if unresolvedAttempt := task.attempts.unresolvedAttemptAt(answer.Node, answer.Attempt); unresolvedAttempt != nil {
 		t.stats.LateAnswers++
-		t.outcomes.handleLateAnswer(unresolved, &answer)
+		t.outcomes.handleLateAnswer(unresolvedAttempt, &answer)
 		return
 	}
 	if !answer.Accepted {
 		return
 	}
-	node, running := t.nodes.getByName(answer.Node), task.attempts.running
-	if node != nil && (running == nil || running.node != node) {
+	node, runningAttempt := t.nodes.getByName(answer.Node), task.attempts.runningAttempt
+	if node != nil && (runningAttempt == nil || runningAttempt.node != node) {
 		t.emitStopTask(node, task.podIdentity, answer.Attempt)
 	}
 }
 
 // matches reports whether the attempt has the given node and number. A nil attempt matches nothing.
-func (a *attempt) matches(node string, number int) bool {
-	return a != nil && a.number == number && a.node.name == node
+func (a *attempt) matches(nodeName string, number int) bool {
+	return a != nil && a.number == number && a.node.name == nodeName
 }
 
-// stopRemovedTask stops the Pod of a task that was removed from the engine before a node accepted the task.
+// stopRemovedTask handles the answer to an attempt whose task was removed from the engine. If the node has
+// accepted the attempt, the node must stop the Pod.
 func (t *attemptTracker) stopRemovedTask(answer *AttemptAnswer) {
 	node := t.nodes.getByName(answer.Node)
 	if !answer.Accepted || node == nil {
@@ -208,31 +209,32 @@
 	t.handleFailure(attempt, answer.Result, answer.Reason, answer.Report)
 }
 
-// handleAcceptance binds the task to the attempt in flight, which the node has accepted.
+// handleAcceptance handles the acceptance of the attempt in flight. The attempt becomes the running attempt
+// of its task.
 func (t *attemptTracker) handleAcceptance(attempt *attempt, answer *AttemptAnswer) {
 	task := attempt.task
 	t.stats.Accepted++
 	task.attempts.clearInFlight()
 	t.stopTimer(attempt.timeoutTimer)
 	attempt.acceptedIncarnation = answer.Incarnation
-	bound := attempt.event(placer.Bound)
-	bound.Elapsed = t.now - attempt.sentAt
-	t.post(bound)
+	boundEvent := attempt.event(placer.Bound)
+	boundEvent.Elapsed = t.now - attempt.sentAt
+	t.post(boundEvent)
 	t.requests.complete(attempt.request, true)
 	t.lifecycle.bind(task, attempt)
 	// The node's watch may have reported a newer state of the Pod before the answer arrived.
-	if observed := attempt.observed; observed.newerThan(answer) {
-		t.observer.observeRunning(task, observed.pod, observed.deleted)
+	if report := attempt.latestReport; report.newerThan(answer) {
+		t.observer.observeRunning(task, report.pod, report.deleted)
 	} else if answer.Pod != nil {
 		t.observer.observeRunning(task, answer.Pod, false)
 	}
-	attempt.observed = nil
+	attempt.latestReport = nil
 	attempt.revision = answer.Revision
 }
 
 // handleTimeout abandons an attempt that is still in flight at its deadline.
 func (t *attemptTracker) handleTimeout(attempt *attempt) {
-	if attempt.task.attempts.inFlight != attempt {
+	if attempt.task.attempts.inFlightAttempt != attempt {
 		return
 	}
 	attempt.task.attempts.recordFailure(attempt.node.name + timeoutMessageSuffix)
@@ -247,7 +249,7 @@
 }
 
 // handleFailure tells the placer that the attempt in flight ended without acceptance. The outcome of the
-// attempt becomes unknown unless the node is certain not to have accepted the task.
+// attempt becomes unknown unless it is certain that the node did not accept the attempt.
 func (t *attemptTracker) handleFailure(attempt *attempt, result placer.Result, reason placer.Reason, report *placer.Report) {
 	attempt.task.attempts.clearInFlight()
 	t.tasks.setState(attempt.task, taskSubmitted)
@@ -257,22 +259,22 @@
 	default:
 		t.outcomes.track(attempt)
 	}
-	ended := attempt.endedEvent(t.now, result, reason)
-	ended.Final = attempt.request.closed
-	ended.Report = report
-	t.post(ended)
+	endedEvent := attempt.endedEvent(t.now, result, reason)
+	endedEvent.Final = attempt.request.closed
+	endedEvent.Report = report
+	t.post(endedEvent)
 	t.requests.removeIfUnused(attempt.request)
 }
 
-// podForNode returns a task's Pod as it is sent to nodes. Labels and annotations hold everything that a
-// restarted scheduler needs in order to adopt the task.
+// podForNode returns a task's Pod in the form in which it is sent to nodes. Its labels and annotations hold
+// everything that a restarted scheduler needs in order to adopt the task.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
-	stored := t.publisher.podOfTask(task)
-	if stored == nil {
+	storedPod := t.publisher.podOfTask(task)
+	if storedPod == nil {
 		panic("engine: cannot send an attempt: no Pod is stored for task " + string(task.uid))
 	}
-	pod := *stored // the Spec is shared with the stored Pod and must not be modified
-	stored.ObjectMeta.DeepCopyInto(&pod.ObjectMeta)
+	pod := *storedPod // the Spec is shared with the stored Pod and must not be modified
+	storedPod.ObjectMeta.DeepCopyInto(&pod.ObjectMeta)
 	pod.ResourceVersion = ""
 	pod.Labels[wellknown.Scheduler] = t.cfg.Name
 	pod.Labels[wellknown.Class] = t.cfg.Classes[task.class]
@@ -283,8 +285,9 @@
 	return &pod
 }
 
-// outcomeUnknown reports whether the node may have accepted the attempt without the engine knowing.
+// outcomeUnknown reports whether the node may have accepted the attempt although the engine has received no
+// such answer.
 func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isOutcomeUnknown(a) }
 
-// observe stores a report of the node's watch that arrives while the attempt is in flight.
-func (a *attempt) observe(observed *observedPod) { a.observed = observed }
+// keepReport stores a report of the node's watch that arrives while the attempt is in flight.
+func (a *attempt) keepReport(report *podReport) { a.latestReport = report }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// runEvidence says how likely it is that some attempt has run the task. The value never decreases.
+// runEvidence states whether an attempt has possibly run the task. The value never decreases.
 type runEvidence uint8
 
 const (
@@ -25,45 +25,45 @@
 
 // attemptHistory records the attempts of one task. Only its methods modify it.
 type attemptHistory struct {
-	lastNumber      int        // number of the latest attempt, counted over all placement requests of the task
-	inFlight        *attempt   // the attempt that has not been answered yet; nil if there is none
-	running         *attempt   // the attempt that a node accepted; nil if there is none
-	unknownOutcomes []*attempt // attempts that a node may have accepted, although no answer says so
-	evidence        runEvidence
-	lastFailure     string // message of the latest attempt or placement request that failed
+	lastNumber      int         // number of the latest attempt, counted over all placement requests of the task
+	inFlightAttempt *attempt    // the attempt that has not been answered yet; nil if there is none
+	runningAttempt  *attempt    // the attempt that a node accepted; nil if there is none
+	unknownOutcomes []*attempt  // attempts that a node may have accepted although the engine has received no such answer
+	evidence        runEvidence // whether an attempt has possibly run the task
+	lastFailure     string      // message of the latest attempt or placement request that failed
 }
 
 // begin gives an attempt the next number and makes it the attempt in flight.
 func (h *attemptHistory) begin(attempt *attempt) {
 	h.lastNumber++
 	attempt.number = h.lastNumber
-	h.inFlight = attempt
+	h.inFlightAttempt = attempt
 }
 
 // clearInFlight records that the attempt in flight was answered or abandoned.
-func (h *attemptHistory) clearInFlight() { h.inFlight = nil }
+func (h *attemptHistory) clearInFlight() { h.inFlightAttempt = nil }
 
-// bind records that a node accepted an attempt.
+// bind records that a node accepted an attempt, which becomes the running attempt.
 func (h *attemptHistory) bind(attempt *attempt) {
-	h.running = attempt
+	h.runningAttempt = attempt
 	h.lastNumber = max(h.lastNumber, attempt.number)
 	h.raiseEvidence(possiblyAccepted)
 }
 
-// unbind records that the running attempt has ended, and returns that attempt. It returns nil if no attempt
+// unbind records that the running attempt has ended, and returns this attempt. It returns nil if no attempt
 // is running.
 func (h *attemptHistory) unbind() *attempt {
-	ended := h.running
-	h.running = nil
-	return ended
+	endedAttempt := h.runningAttempt
+	h.runningAttempt = nil
+	return endedAttempt
 }
 
 // recordFailure stores the message of the latest attempt or placement request that failed.
-func (h *attemptHistory) recordFailure(reason string) { h.lastFailure = reason }
+func (h *attemptHistory) recordFailure(message string) { h.lastFailure = message }
 
-// isOpen reports whether an attempt is in flight or running.
+// isOpen reports whether the given attempt is in flight or running.
 func (h *attemptHistory) isOpen(attempt *attempt) bool {
-	return h.inFlight == attempt || h.running == attempt
+	return h.inFlightAttempt == attempt || h.runningAttempt == attempt
 }
 
 // addUnknownOutcome records that the outcome of an attempt is unknown.
@@ -86,6 +86,7 @@
 // recordPossibleRun records that an attempt that has ended may have run the task.
 func (h *attemptHistory) recordPossibleRun() { h.raiseEvidence(possiblyRan) }
 
+// raiseEvidence sets the evidence to the given value unless it is higher already.
 func (h *attemptHistory) raiseEvidence(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
 
 // hasUnknownOutcome reports whether the outcome of any attempt is unknown.
@@ -96,12 +97,12 @@
 	return slices.Contains(h.unknownOutcomes, attempt)
 }
 
-// unknownOutcomeAt returns the attempt with the given node and number if its outcome is unknown, otherwise
-// nil.
-func (h *attemptHistory) unknownOutcomeAt(node string, number int) *attempt {
-	for _, unresolved := range h.unknownOutcomes {
-		if unresolved.matches(node, number) {
-			return unresolved
+// unresolvedAttemptAt returns the attempt with the given node and number if the outcome of this attempt is
+// unknown. Otherwise it returns nil.
+func (h *attemptHistory) unresolvedAttemptAt(nodeName string, number int) *attempt {
+	for _, unresolvedAttempt := range h.unknownOutcomes {
+		if unresolvedAttempt.matches(nodeName, number) {
+			return unresolvedAttempt
 		}
 	}
 	return nil
--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -8,15 +8,15 @@
 		apply func(history *attemptHistory, attempt *attempt)
 		want  runEvidence
 	}{
-		{"in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
-		{"rejected", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
-		{"accepted", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
-		{"outcome unknown", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
-		{"unknown outcome resolved: task never ran", func(history *attemptHistory, attempt *attempt) {
+		{"attempt in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
+		{"attempt rejected by the node", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
+		{"attempt accepted by the node", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
+		{"attempt with an unknown outcome", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
+		{"unknown outcome resolved because the task never ran", func(history *attemptHistory, attempt *attempt) {
 			history.addUnknownOutcome(attempt)
 			history.removeUnknownOutcome(attempt)
 		}, possiblyAccepted},
-		{"unknown outcome resolved: task may have run", func(history *attemptHistory, attempt *attempt) {
+		{"unknown outcome resolved although the task may have run", func(history *attemptHistory, attempt *attempt) {
 			history.addUnknownOutcome(attempt)
 			history.removeUnknownOutcome(attempt)
 			history.recordPossibleRun()
@@ -33,7 +33,7 @@
 			test.apply(history, attempt)
 
 			if history.evidence != test.want {
-				t.Errorf("the evidence is %q, want %q", history.evidence, test.want)
+				t.Errorf("the evidence that an attempt ran the task is %q, want %q", history.evidence, test.want)
 			}
 		})
 	}
@@ -41,46 +41,46 @@
 
 func TestAttemptNumbers(t *testing.T) {
 	history := &attemptHistory{}
-	first, second := &attempt{}, &attempt{}
+	firstAttempt, secondAttempt := &attempt{}, &attempt{}
 
-	history.begin(first)
-	history.begin(second)
-	if first.number != 1 || second.number != 2 {
-		t.Errorf("the attempts have the numbers %d and %d, want 1 and 2", first.number, second.number)
+	history.begin(firstAttempt)
+	history.begin(secondAttempt)
+	if firstAttempt.number != 1 || secondAttempt.number != 2 {
+		t.Errorf("the attempts have the numbers %d and %d, want 1 and 2", firstAttempt.number, secondAttempt.number)
 	}
 
-	adopted, next := &attempt{number: 7}, &attempt{}
-	history.bind(adopted)
-	history.begin(next)
-	if next.number != 8 {
-		t.Errorf("after an adopted attempt with number 7, the next attempt has number %d, want 8", next.number)
+	adoptedAttempt, nextAttempt := &attempt{number: 7}, &attempt{}
+	history.bind(adoptedAttempt)
+	history.begin(nextAttempt)
+	if nextAttempt.number != 8 {
+		t.Errorf("after an adopted attempt with number 7, the next attempt has number %d, want 8", nextAttempt.number)
 	}
 }
 
 func TestUnknownOutcomeLookup(t *testing.T) {
 	history := &attemptHistory{}
-	unresolved := &attempt{node: &node{name: "n"}, number: 2}
-	history.addUnknownOutcome(unresolved)
+	unresolvedAttempt := &attempt{node: &node{name: "n"}, number: 2}
+	history.addUnknownOutcome(unresolvedAttempt)
 	for _, test := range []struct {
 		name   string
 		node   string
 		number int
 		want   *attempt
 	}{
-		{"same node and number", "n", 2, unresolved},
-		{"another node", "m", 2, nil},
-		{"another number", "n", 1, nil},
+		{"node and number of the attempt", "n", 2, unresolvedAttempt},
+		{"number at another node", "m", 2, nil},
+		{"another number at the node", "n", 1, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := history.unknownOutcomeAt(test.node, test.number); got != test.want {
-				t.Errorf("found attempt %v, want %v", got, test.want)
+			if got := history.unresolvedAttemptAt(test.node, test.number); got != test.want {
+				t.Errorf("unresolvedAttemptAt returned attempt %v, want %v", got, test.want)
 			}
 		})
 	}
-	if !history.removeUnknownOutcome(unresolved) || history.hasUnknownOutcome() {
-		t.Error("an outcome is still unknown after its removal")
+	if !history.removeUnknownOutcome(unresolvedAttempt) || history.hasUnknownOutcome() {
+		t.Error("an outcome is still unknown after removeUnknownOutcome was called for the only unresolved attempt")
 	}
-	if history.removeUnknownOutcome(unresolved) {
-		t.Error("the same unknown outcome was removed twice")
+	if history.removeUnknownOutcome(unresolvedAttempt) {
+		t.Error("removeUnknownOutcome returned true for an attempt whose outcome was already known")
 	}
 }
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -1,7 +1,7 @@
 package engine
 
-// This file contains the methods of Engine that handle API requests and answers from nodes. Each method sets
-// the time, calls the part of the engine that does the work, and finishes with endCall.
+// This file contains the methods of Engine that handle API requests and reports from nodes. Each method sets
+// the time, calls the component of the engine that does the work, and finishes with endCall.
 
 import (
 	batchv1 "k8s.io/api/batch/v1"
@@ -20,8 +20,8 @@
 }
 
 // DeletePod stops the task of a Pod. The Pod is removed as soon as the task has ended. DeletePod returns the
-// Pod as stored at the end of the call. An empty uid or resourceVersion is not checked. Errors: ErrNotFound,
-// ErrConflict.
+// Pod as stored at the end of the call, or as last stored if it was removed. An empty uid or resourceVersion
+// is not checked. The possible errors are ErrNotFound and ErrConflict.
 func (e *Engine) DeletePod(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -29,7 +29,7 @@
 }
 
 // EvictPod stops a running Pod, and its Job starts the task again. A Pod that is not running is deleted. An
-// empty uid is not checked. Errors: ErrNotFound, ErrConflict.
+// empty uid is not checked. The possible errors are ErrNotFound and ErrConflict.
 func (e *Engine) EvictPod(now placer.Seconds, namespace, name string, uid types.UID) error {
 	e.beginCall(now)
 	defer e.endCall()
@@ -37,8 +37,8 @@
 }
 
 // CreateJob stores a Job that the API server has validated and defaulted, and starts its tasks. It returns
-// the stored Job. A dry run stores nothing and returns the Job that would be stored. Errors: ErrExists,
-// ErrStopping, ErrTooMany, *InvalidError.
+// the stored Job. A dry run stores nothing and returns the Job that would be stored. The possible errors are
+// ErrExists, ErrStopping, ErrTooMany and *InvalidError.
 func (e *Engine) CreateJob(now placer.Seconds, object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -48,16 +48,16 @@
 // UpdateJob replaces the mutable parts of a Job: labels, annotations, suspend, parallelism,
 // ttlSecondsAfterFinished and activeDeadlineSeconds. An empty UID or resource version in the update is not
 // checked. UpdateJob returns the stored Job. A dry run stores nothing and returns the Job that would be
-// stored. Errors: ErrNotFound, ErrConflict, *InvalidError.
+// stored. The possible errors are ErrNotFound, ErrConflict and *InvalidError.
 func (e *Engine) UpdateJob(now placer.Seconds, update *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.jobController.update(update, dryRun)
 }
 
-// DeleteJob deletes a Job. The propagation policy says what happens to the Job's Pods; an empty policy means
-// Background. DeleteJob returns the Job as it was last stored. An empty uid or resourceVersion is not
-// checked. Errors: ErrNotFound, ErrConflict.
+// DeleteJob deletes a Job. The propagation policy determines what happens to the Job's Pods; an empty policy
+// means Background. DeleteJob returns the Job as it was last stored. An empty uid or resourceVersion is not
+// checked. The possible errors are ErrNotFound and ErrConflict.
 func (e *Engine) DeleteJob(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string,
 	propagation metav1.DeletionPropagation) (*batchv1.Job, error) {
 	e.beginCall(now)
@@ -65,9 +65,9 @@
 	return e.jobController.deleteByName(namespace, name, uid, resourceVersion, propagation)
 }
 
-// NodesListed applies a full list of nodes, or a list of changes, from the inventory. With Changes, removed
-// contains the names of the nodes that left the inventory. A full list removes all nodes that it does not
-// contain.
+// NodesListed applies a full list of nodes, or a list of changes, from the inventory. If kind is Changes,
+// removed contains the names of the nodes that left the inventory. If kind is FullList, all nodes that the
+// list does not contain have left the inventory.
 func (e *Engine) NodesListed(now placer.Seconds, kind Listing, nodes []*corev1.Node, removed []string) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -80,33 +80,34 @@
 	return e.nodes.countNodes()
 }
 
-// NodePods handles the complete list of this scheduler's Pods on a node, together with the revision of the
-// list and the node's incarnation. Running tasks that are missing from the list have ended.
-func (e *Engine) NodePods(now placer.Seconds, name, incarnation string, revision int64, pods []*corev1.Pod) {
+// NodePods handles the complete list of this scheduler's Pods on a node. The node states the revision of the
+// list and its own incarnation. Running tasks that are missing from the list have ended.
+func (e *Engine) NodePods(now placer.Seconds, nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.observer.observePodList(name, incarnation, revision, pods)
+	e.observer.observePodList(nodeName, incarnation, revision, pods)
 }
 
-// NodePod handles a change of one of this scheduler's Pods on a node.
-func (e *Engine) NodePod(now placer.Seconds, name string, pod *corev1.Pod, deleted bool) {
+// NodePod handles a node's report that one of this scheduler's Pods was added, changed or deleted.
+func (e *Engine) NodePod(now placer.Seconds, nodeName string, pod *corev1.Pod, deleted bool) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.observer.observePodChange(name, pod, deleted)
+	e.observer.observePodChange(nodeName, pod, deleted)
 }
 
 // NodeUnresponsive records that the Pods of a node can no longer be watched.
-func (e *Engine) NodeUnresponsive(now placer.Seconds, name string) {
+func (e *Engine) NodeUnresponsive(now placer.Seconds, nodeName string) {
 	e.beginCall(now)
 	defer e.endCall()
-	e.nodes.markUnresponsive(name)
+	e.nodes.markUnresponsive(nodeName)
 }
 
 // UpdateNode replaces the labels of a Node. If drain is not nil, UpdateNode also starts or ends a drain of
-// the node, and tells the placer at once. A nil drain differs from false because a node that the inventory
-// drains is shown as unschedulable even if no API update asked for the drain. An empty UID or resource
-// version in the update is not checked. UpdateNode returns the stored Node. A dry run stores nothing and
-// returns the Node that would be stored. Errors: ErrNotFound, ErrConflict, *InvalidError.
+// the node, and tells the placer at once. If drain is nil, the drain that API clients requested stays as it
+// is. The field spec.unschedulable cannot replace this parameter, because it is also true if only the
+// inventory drains the node. An empty UID or resource version in the update is not checked. UpdateNode
+// returns the stored Node. A dry run stores nothing and returns the Node that would be stored. The possible
+// errors are ErrNotFound, ErrConflict and *InvalidError.
 func (e *Engine) UpdateNode(now placer.Seconds, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	e.beginCall(now)
 	defer e.endCall()
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -61,11 +61,11 @@
 // that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
-		name     string
-		seed     uint64
-		steps    int
-		restarts bool
-		change   func(config *engine.Config)
+		name      string
+		seed      uint64
+		steps     int
+		restarts  bool
+		configure func(config *engine.Config)
 	}{
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
@@ -83,7 +83,7 @@
 		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			script := newScript(t, run.seed, run.change)
+			script := newScript(t, run.seed, run.configure)
 			for i := range run.steps {
 				script.makeRandomCall()
 				script.advance(script.now + script.randomDelay(0, 0.3))
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -17,26 +17,26 @@
 
 	Placer       placer.Config
 	Classes      []string // names of Placer.Classes, in the same order
-	DefaultClass int      // index of the class for tasks without the label wellknown.Class
+	DefaultClass int      // index of the task class for tasks without the label wellknown.Class
 	NodeTypes    []string // names of Placer.NodeTypes, in the same order
-	Tenants      []string // namespaces of Placer.Tenants, in the same order; if empty, all are accepted
+	Tenants      []string // namespaces of Placer.Tenants, in the same order; if empty, all namespaces are accepted
 	Zone         string   // topology zone of this scheduler
 
 	Retry     retry.Policy     // the zero value means retry.DefaultPolicy
 	Admission admission.Config // the zero value admits every placement request
 	Seed      uint64           // seed of the random number generator
 
-	BaseRevision    int64 // resource versions start above this value
+	BaseRevision    int64 // the resource versions of stored objects are greater than this value
 	HistoryEntries  int   // number of changes that each table of the store keeps for watches
-	MaxHistoryBytes int64 // bytes of changes kept for watches, as measured by store.Cost; 0 means no limit
-	MaxPods         int   // limit on stored and pending Pods; Jobs beyond the limit are rejected
-	MaxObjectBytes  int64 // limit on stored and pending bytes (store.Cost); Jobs beyond it are rejected; 0: no limit
+	MaxHistoryBytes int64 // maximum cost of the changes kept for watches, as estimated by store.Cost; 0 means no limit
+	MaxPods         int   // maximum number of stored and pending Pods; a Job that would exceed it is rejected
+	MaxObjectBytes  int64 // maximum cost of stored and pending objects, as estimated by store.Cost; 0 means no limit
 
 	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept. 0 keeps the
 	// Job until it is deleted.
 	FinishedTTL placer.Seconds
 	// NodeLossTimeout is the time for which a node must be both absent from the inventory and unresponsive
-	// before its tasks count as lost.
+	// before its idempotent tasks count as lost.
 	NodeLossTimeout placer.Seconds
 	// MaxStartsPerCall limits the number of tasks that are started in one call. Later calls start the
 	// remaining tasks.
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// setDefaults replaces zero settings by their defaults, and sets the admission controller's shares from the
-// tenants.
+// setDefaults replaces zero settings by their defaults, and copies the shares of the tenants to the settings
+// of the admission controller.
 func (c *Config) setDefaults() {
 	setIfUnset(&c.HistoryEntries, DefaultHistoryEntries)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
@@ -77,7 +77,7 @@
 	if c.Retry == (retry.Policy{}) {
 		c.Retry = retry.DefaultPolicy()
 	}
-	c.Placer.Zone = 0 // the first interned zone, with index 0, is this scheduler's zone
+	c.Placer.Zone = 0 // nodeRegistry gives this scheduler's zone the index 0
 	if c.Admission.MaxQueued == 0 {
 		c.Admission = admission.DefaultConfig()
 		c.Admission.Disabled = true
@@ -88,14 +88,15 @@
 	}
 }
 
+// setIfUnset sets a setting that is not positive to the given value.
 func setIfUnset[T int | placer.Seconds](setting *T, value T) {
 	if *setting <= 0 {
 		*setting = value
 	}
 }
 
-// classFromLabels returns the index of the class that the labels of a Pod template name. Without a class
-// label it returns the default class.
+// classFromLabels returns the index of the task class that the labels of a Pod template name. Without a class
+// label it returns the index of the default class.
 func (c *Config) classFromLabels(labels map[string]string) (int, *InvalidError) {
 	name, ok := labels[wellknown.Class]
 	if !ok {
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -29,7 +29,7 @@
 	RelistNodes
 )
 
-// Effect is an operation with an external system that the caller of the engine must carry out.
+// Effect is an operation on an external system, such as a node, that the caller of the engine must carry out.
 type Effect struct {
 	Kind      EffectKind
 	Node      string
@@ -45,7 +45,7 @@
 	AvoidUnknownOutcome bool
 }
 
-// emit appends an effect to the ones that Ready returns next.
+// emit appends an effect to those that the next call of Ready returns.
 func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
 
 // Ready appends the pending effects to dst, in the order in which they must be carried out, and returns the
@@ -57,8 +57,8 @@
 	return dst
 }
 
-// emitStopTask emits a StopTask effect: the node must stop the Pod and reject attempts up to the given
-// number.
+// emitStopTask emits a StopTask effect. The node must stop the Pod and reject every attempt for the task
+// whose number is at most the given number.
 func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -7,15 +7,15 @@
 // resulting effects from Ready and carries them out in order. The same calls at the same times produce the
 // same effects and the same stored objects.
 //
-// The engine does not decide where tasks are placed (package placer does), nor when a placement request is
-// retried (package retry does).
+// The engine does not decide on which node a task is placed: package placer does. The engine does not decide
+// when a placement request is retried either: package retry does.
 //
 // Methods that return an error return ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping or an
 // *InvalidError. The other methods cannot fail: they ignore unknown nodes, tasks and attempts.
 //
 // New readers should start with Engine and its methods (engine.go, calls.go) and with Effect (effect.go).
-// wiring.go shows which part of the engine calls which other parts. task_state.go and job_state.go define the
-// state machines.
+// wiring.go shows which component of the engine calls which other components. task_state.go and job_state.go
+// define the state machines.
 package engine
 
 import (
@@ -30,8 +30,8 @@
 	"heathshed/placer"
 )
 
-// Engine holds the state of one scheduler. It passes each call to the part that owns the affected state, and
-// executes the actions of the placer. Only one goroutine at a time may use an Engine.
+// Engine holds the state of one scheduler. It passes each call to the component that owns the affected state,
+// and executes the actions of the placer. Only one goroutine at a time may use an Engine.
 type Engine struct {
 	*environment
 	publisher     *publisher
@@ -56,7 +56,7 @@
 // Stats contains counters of events since an Engine was created.
 type Stats struct {
 	PlacementRequests, Attempts, Accepted, Rejections, UnknownOutcomes, Adopted, Stops uint64
-	Placed, Rejected, Failed                                                           uint64 // tasks by final outcome
+	Placed, Rejected, Failed                                                           uint64 // numbers of tasks by their final outcome
 	Shed, Retries, LostTasks, EvictedTasks, MigratedTasks, Recovered                   uint64
 	JobsCreated, JobsFinished, PodsCreated, JobsRejected, LateAnswers                  uint64
 }
@@ -70,18 +70,18 @@
 		return nil, err
 	}
 	cfg.setDefaults()
-	policy, err := placer.New(cfg.Placer, cfg.Seed)
+	newPlacer, err := placer.New(cfg.Placer, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	controller, err := admission.New(cfg.Admission)
+	admissionController, err := admission.New(cfg.Admission)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
 	e := &Engine{environment: &environment{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, rngStream))}}
 	e.stats = &e.Stats
-	e.events = eventqueue.Queue{Placer: policy, Execute: e.execute}
-	e.wire(controller)
+	e.events = eventqueue.Queue{Placer: newPlacer, Execute: e.execute}
+	e.wire(admissionController)
 	e.publisher.addNamespaces()
 	return e, nil
 }
@@ -106,25 +106,26 @@
 	e.beginCall(now)
 	// A timer that another timer adds for the same time runs in the next call.
 	for count := e.timers.Len(); count > 0; count-- {
-		due := e.timers.Pop(e.now)
-		if due == nil {
+		dueTimer := e.timers.Pop(e.now)
+		if dueTimer == nil {
 			break
 		}
-		due.Run()
+		dueTimer.Run()
 	}
 	e.endCall()
 }
 
-// Stop makes the engine reject new Jobs, and gives every task that the placer does not know yet its final
-// outcome. The placer still decides on open placement requests, but these requests are not retried.
+// Stop makes the engine reject new Jobs. The placer still decides on the placement requests that it has, but
+// these requests are not retried. Every other task gets its final outcome, either at once or after the wait
+// for an unknown outcome of one of its attempts.
 func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
 	e.endCall()
 }
 
-// beginCall sets the time. Every exported method that changes state must call beginCall first and endCall
-// last.
+// beginCall sets the time of the call. Every exported method that changes state must call beginCall first and
+// endCall last.
 func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
 // endCall lets the placer and the admission controller react to the events of the current call, and stores
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -14,27 +14,27 @@
 )
 
 // TestWarmUpUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
-// when a node started: a node whose clock is behind must warm up after a start, and a node whose clock is
-// ahead must not warm up forever.
+// when a node started. A restarted node must get a slow start even if its clock is behind, and the slow start
+// must end even if the node's clock is ahead.
 func TestWarmUpUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
-		name          string
-		first, second *corev1.Node // the node as listed at listedAt and at relistedAt
-		want          placer.Seconds
+		name                    string
+		firstEntry, secondEntry *corev1.Node // the node as the inventory lists it at listedAt and at relistedAt
+		want                    placer.Seconds
 	}{
-		{"not restarted", listedNode("a", 0), listedNode("a", 0), 0},
-		{"restarted, node clock behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
-		{"restarted, node clock ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
-		{"started before the scheduler, node clock ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
-		{"started before the scheduler", listedNode("a", 990), listedNode("a", 990), 990},
+		{"node that has not restarted", listedNode("a", 0), listedNode("a", 0), 0},
+		{"restarted node whose clock is behind", listedNode("a", 0), listedNode("b", 1050), relistedAt},
+		{"restarted node whose clock is ahead", listedNode("a", 0), listedNode("b", 5000), relistedAt},
+		{"node that started before the scheduler and whose clock is ahead", listedNode("a", 5000), listedNode("a", 5000), listedAt},
+		{"node that started before the scheduler", listedNode("a", 990), listedNode("a", 990), 990},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t)
-			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.first}, nil)
-			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.second}, nil)
+			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.firstEntry}, nil)
+			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.secondEntry}, nil)
 			if got := engine.nodes.getByName(nodeName).listedStartedAt; got != test.want {
-				t.Errorf("the node counts as started at %v, want %v", got, test.want)
+				t.Errorf("the engine assumes that the node started at time %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -57,18 +57,19 @@
 	}
 }
 
-// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a node restart. A node that
-// does not have a task can answer only for its current incarnation. If the attempt was sent to an earlier
-// incarnation, the task may have run there, and a task that must not run twice is not requested again.
+// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a node restart. If a node
+// answers a stop order without having the task, the answer is valid only for the node's current incarnation.
+// If the attempt was sent to an earlier incarnation, the task may have run there. A task that must not run
+// twice is then not requested again.
 func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
-	const end = createdAt + 59
+	const endTime = createdAt + 59
 	for _, test := range []struct {
 		name        string
 		incarnation string // incarnation of the node that answers the stop order
-		retried     bool
+		wantRetry   bool
 	}{
-		{"same incarnation", "a", true},
-		{"another incarnation", "b", false},
+		{"answer of the incarnation that got the attempt", "a", true},
+		{"answer of another incarnation", "b", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t, func(config *Config) {
@@ -79,8 +80,8 @@
 			})
 			createJobOnOneNode(t, engine, 1)
 
-			attempts := 0 // the node answers no attempt
-			for now := createdAt; now < end; {
+			attempts := 0 // number of attempts sent; the node answers none of them
+			for now := createdAt; now < endTime; {
 				for _, effect := range engine.Ready(nil) {
 					switch effect.Kind {
 					case SendAttempt:
@@ -95,22 +96,22 @@
 						})
 					}
 				}
-				now = min(engine.NextWake(), end)
+				now = min(engine.NextWake(), endTime)
 				engine.Tick(now)
 			}
 
-			if (attempts > 1) != test.retried {
-				t.Errorf("the engine made %d attempts, which is wrong for the incarnation that answered the stop", attempts)
+			if (attempts > 1) != test.wantRetry {
+				t.Errorf("the engine made %d attempts; it must make a second one only if the incarnation that got the first attempt answers the stop order", attempts)
 			}
 		})
 	}
 }
 
-// TestFinishedJobsAreEvictedForNewOnes checks that finished Jobs are removed to make room for new ones, the
-// oldest first, but not before clients had time to read their outcomes.
+// TestFinishedJobsAreEvictedForNewOnes checks that a finished Job is removed to make room for a new Job, but
+// not before clients had time to read the outcome of the finished Job.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
-	create := func(now placer.Seconds, name string) error {
+	createJob := func(now placer.Seconds, name string) error {
 		job := newJob(name, 60)
 		noRetries := int32(0)
 		job.Spec.BackoffLimit = &noRetries
@@ -121,114 +122,115 @@
 		return err
 	}
 	now := placer.Seconds(1000)
-	if err := create(now, "a"); err != nil {
+	if err := createJob(now, "a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
+	if err := createJob(now, "b"); !errors.Is(err, ErrTooMany) {
 		t.Fatalf("creating a Job that exceeds MaxPods returned %v, want ErrTooMany", err)
 	}
-	// There is no node, so all tasks are rejected at their deadlines.
+	// All tasks are rejected at their deadlines because there is no node.
 	for ; engine.OpenTasks() > 0 && now < 1100; now++ {
 		engine.Tick(now)
 	}
 
-	if err := create(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("a Job that had just finished was evicted: CreateJob returned %v, want ErrTooMany", err)
+	if err := createJob(now, "b"); !errors.Is(err, ErrTooMany) {
+		t.Fatalf("CreateJob returned %v although the only finished Job has just finished, want ErrTooMany", err)
 	}
-	if err := create(now+31, "b"); err != nil {
-		t.Fatalf("a Job that finished long ago was not evicted: CreateJob returned %v", err)
+	if err := createJob(now+31, "b"); err != nil {
+		t.Fatalf("CreateJob returned %v although a Job that finished 31 s ago can be evicted", err)
 	}
 	if engine.Store().Get(store.Jobs, defaultNamespace, "a") != nil {
 		t.Error("the evicted Job is still stored")
 	}
 }
 
-// TestJobThatNeverFitsIsInvalid checks that a Job that exceeds the whole limit on object bytes is invalid
-// rather than refused for now, because it would not fit later either.
+// TestJobThatNeverFitsIsInvalid checks the error for a Job that alone exceeds MaxObjectBytes. The error must
+// be an *InvalidError and not ErrTooMany, because the Job would not fit later either.
 func TestJobThatNeverFitsIsInvalid(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
-	big := newJob("big", 100)
-	big.Spec.Template.Annotations = map[string]string{"x": strings.Repeat("x", 4<<20)}
+	bigJob := newJob("big", 100)
+	bigJob.Spec.Template.Annotations = map[string]string{"x": strings.Repeat("x", 4<<20)}
 
-	_, err := engine.CreateJob(createdAt, big, false)
+	_, err := engine.CreateJob(createdAt, bigJob, false)
 
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Errorf("creating a Job of 400 MB returned %v, want an *InvalidError", err)
+		t.Errorf("creating a Job whose Pods alone exceed MaxObjectBytes returned %v, want an *InvalidError", err)
 	}
 }
 
-// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. A timer starts a task again after
-// it ended without success. If the engine is stopped before this timer fires, the new Pod must get its final
-// outcome without any attempt.
+// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. A timer starts a completion index
+// again after its task ended without success. If the engine is stopped before this timer fires, the new Pod
+// must get its final outcome without any attempt.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	engine := newEngine(t)
 	createJobOnOneNode(t, engine, 1)
-	sent := takeAttempts(engine)
+	sentAttempts := takeAttempts(engine)
 	now := tickUntil(engine, createdAt, 1010, func() bool {
-		sent = append(sent, takeAttempts(engine)...)
-		return len(sent) > 0
+		sentAttempts = append(sentAttempts, takeAttempts(engine)...)
+		return len(sentAttempts) > 0
 	})
-	if len(sent) != 1 {
-		t.Fatalf("the engine made %d attempts, want 1", len(sent))
+	if len(sentAttempts) != 1 {
+		t.Fatalf("the engine made %d attempts, want 1", len(sentAttempts))
 	}
-	running := sent[0].Pod.DeepCopy()
-	running.Status.Phase = corev1.PodRunning
+	runningPod := sentAttempts[0].Pod.DeepCopy()
+	runningPod.Status.Phase = corev1.PodRunning
 	engine.AttemptDone(now, AttemptAnswer{
-		UID:         sent[0].UID,
+		UID:         sentAttempts[0].UID,
 		Node:        nodeName,
-		Attempt:     sent[0].Attempt,
+		Attempt:     sentAttempts[0].Attempt,
 		Accepted:    true,
 		Incarnation: "a",
 		Revision:    2,
-		Pod:         running,
+		Pod:         runningPod,
 	})
 	now++
-	failed := running.DeepCopy()
-	failed.ResourceVersion = "3"
-	failed.Status.Phase = corev1.PodFailed
-	engine.NodePod(now, nodeName, failed, false)
-	if open := engine.OpenTasks(); open != 0 {
-		t.Fatalf("%d tasks have no final outcome before the retry, want 0", open)
+	failedPod := runningPod.DeepCopy()
+	failedPod.ResourceVersion = "3"
+	failedPod.Status.Phase = corev1.PodFailed
+	engine.NodePod(now, nodeName, failedPod, false)
+	if openTasks := engine.OpenTasks(); openTasks != 0 {
+		t.Fatalf("%d tasks have no final outcome after the only task has ended, want 0", openTasks)
 	}
 
 	engine.Stop(now)
-	created := engine.Stats.PodsCreated
-	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != created })
+	podsCreated := engine.Stats.PodsCreated
+	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != podsCreated })
 
-	if engine.Stats.PodsCreated != created+1 {
-		t.Fatal("the retry did not create exactly one Pod")
+	if engine.Stats.PodsCreated != podsCreated+1 {
+		t.Fatal("the engine did not create exactly one new Pod after the failed task")
 	}
 	engine.Tick(now + 10)
 	if retries := takeAttempts(engine); len(retries) > 0 {
-		t.Errorf("the engine made %d attempts after the stop, want 0", len(retries))
+		t.Errorf("the engine made %d attempts after Engine.Stop, want 0", len(retries))
 	}
-	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome, want 0", open)
+	if openTasks := engine.OpenTasks(); openTasks != 0 {
+		t.Errorf("%d tasks have no final outcome after Engine.Stop, want 0", openTasks)
 	}
 }
 
-// TestNodeWithoutAnnotationsChanges guards against ignoring a change of a Node that has no annotations, as if
-// only its free capacity had changed.
+// TestNodeWithoutAnnotationsChanges guards against losing a change of a Node that has no annotations. The
+// engine delays changes of the free capacity, which is an annotation. It must not treat other changes of such
+// a Node as changes of the free capacity.
 func TestNodeWithoutAnnotationsChanges(t *testing.T) {
 	engine := newEngine(t)
-	first := listedNode("a", 0)
-	first.Annotations = nil
-	engine.NodesListed(1000, FullList, []*corev1.Node{first}, nil)
+	firstNode := listedNode("a", 0)
+	firstNode.Annotations = nil
+	engine.NodesListed(1000, FullList, []*corev1.Node{firstNode}, nil)
 
-	changed := first.DeepCopy()
-	changed.Labels["team"] = "records"
-	engine.NodesListed(1001, Changes, []*corev1.Node{changed}, nil)
+	changedNode := firstNode.DeepCopy()
+	changedNode.Labels["team"] = "records"
+	engine.NodesListed(1001, Changes, []*corev1.Node{changedNode}, nil)
 
-	stored, ok := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node)
-	if !ok || stored.Labels["team"] != "records" {
-		t.Errorf("the stored node is %v, want one with the changed label", stored)
+	storedNode, ok := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node)
+	if !ok || storedNode.Labels["team"] != "records" {
+		t.Errorf("the stored Node is %v, want a Node with the label team=records", storedNode)
 	}
 }
 
-// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. A task
-// may wait for admission while the outcome of an earlier attempt is unknown. If the engine is stopped in this
-// state, the task must still get its final outcome.
+// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. A
+// placement request may wait for admission while the outcome of an earlier attempt for the same task is
+// unknown. If the engine is stopped in this state, the task must still get its final outcome.
 func TestStopWhileRetryWithUnknownOutcomeIsQueued(t *testing.T) {
 	engine := newEngine(t, func(config *Config) {
 		config.Admission = admission.DefaultConfig()
@@ -241,20 +243,22 @@
 	// The node answers neither attempts nor stop orders.
 	now := tickUntil(engine, createdAt, 1030, func() bool { return hasQueuedRetryWithUnknownOutcome(engine) })
 	if !hasQueuedRetryWithUnknownOutcome(engine) {
-		t.Fatal("no retry was queued while an outcome was unknown")
+		t.Fatal("the engine queued no retry for a task that has an attempt with an unknown outcome")
 	}
 
 	engine.Stop(now)
 	tickUntil(engine, now, now+100, func() bool { return engine.OpenTasks() == 0 })
 
-	if open := engine.OpenTasks(); open != 0 {
-		t.Errorf("%d tasks have no final outcome 100 s after the stop, want 0", open)
+	if openTasks := engine.OpenTasks(); openTasks != 0 {
+		t.Errorf("%d tasks have no final outcome 100 s after Engine.Stop, want 0", openTasks)
 	}
 	if err := engine.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
 
+// hasQueuedRetryWithUnknownOutcome reports whether any task waits for admission while the outcome of one of
+// its attempts is unknown.
 func hasQueuedRetryWithUnknownOutcome(engine *Engine) bool {
 	for _, task := range engine.tasks.inOrder() {
 		if task.state == taskQueued && task.attempts.hasUnknownOutcome() {
@@ -264,25 +268,25 @@
 	return false
 }
 
-// TestNodeWithoutLabelsGetsZone checks that a node shows the zone that the inventory states, even if an API
-// update removed all labels of the node earlier.
+// TestNodeWithoutLabelsGetsZone checks that the stored Node has the zone that the inventory states, even if
+// an API update has removed all labels of the Node before.
 func TestNodeWithoutLabelsGetsZone(t *testing.T) {
 	engine := newEngine(t)
-	unlabelled := listedNode("a", 0)
-	unlabelled.Labels = map[string]string{"custom": "value"}
-	engine.NodesListed(1000, FullList, []*corev1.Node{unlabelled}, nil)
+	nodeWithoutZone := listedNode("a", 0)
+	nodeWithoutZone.Labels = map[string]string{"custom": "value"}
+	engine.NodesListed(1000, FullList, []*corev1.Node{nodeWithoutZone}, nil)
 	update := &corev1.Node{}
 	update.Name = nodeName
 	if _, err := engine.UpdateNode(1001, update, nil, false); err != nil {
 		t.Fatal(err)
 	}
 
-	inZone := listedNode("a", 0)
-	inZone.Labels = map[string]string{"custom": "value", wellknown.Zone: "z"}
-	engine.NodesListed(1002, FullList, []*corev1.Node{inZone}, nil)
+	nodeInZone := listedNode("a", 0)
+	nodeInZone.Labels = map[string]string{"custom": "value", wellknown.Zone: "z"}
+	engine.NodesListed(1002, FullList, []*corev1.Node{nodeInZone}, nil)
 
-	shown := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node).Labels
-	if len(shown) != 1 || shown[wellknown.Zone] != "z" {
-		t.Errorf("the node shows the labels %v, want only its zone", shown)
+	shownLabels := engine.Store().Get(store.Nodes, "", nodeName).(*corev1.Node).Labels
+	if len(shownLabels) != 1 || shownLabels[wellknown.Zone] != "z" {
+		t.Errorf("the stored Node has the labels %v, want only the label of its zone", shownLabels)
 	}
 }
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -13,8 +13,8 @@
 	"heathshed/placer"
 )
 
-// environment holds the state that all parts of an Engine share: settings, the time of the current call, the
-// random number generator, timers, the queue of events for the placer, and pending effects.
+// environment holds the state that all components of an Engine share: settings, the time of the current call,
+// the random number generator, timers, the queue of events for the placer, and pending effects.
 type environment struct {
 	cfg      Config
 	now      placer.Seconds // time of the current call in Unix seconds
@@ -45,28 +45,32 @@
 type timer = timerqueue.Timer[placer.Seconds]
 
 // runAt schedules a function for the first call of Tick at or after the given time.
-func (env *environment) runAt(when placer.Seconds, fn func()) *timer { return env.timers.Add(when, fn) }
+func (env *environment) runAt(at placer.Seconds, callback func()) *timer {
+	return env.timers.Add(at, callback)
+}
 
 // runAfter schedules a function for the first call of Tick after the given delay.
-func (env *environment) runAfter(delay placer.Seconds, fn func()) *timer {
-	return env.runAt(env.now+max(delay, 0), fn)
+func (env *environment) runAfter(delay placer.Seconds, callback func()) *timer {
+	return env.runAt(env.now+max(delay, 0), callback)
 }
 
 // stopTimer cancels a timer. A nil timer, or one that has already run, is ignored.
 func (env *environment) stopTimer(timer *timer) { env.timers.Stop(timer) }
 
-// idempotencyOf returns whether tasks of the given task's class may run twice.
+// idempotencyOf returns the idempotency of the class of a task, which determines whether the task may run
+// twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
 	return env.cfg.Placer.Classes[task.class].Idempotency
 }
 
 // newUID generates a version 4 UUID with the engine's random number generator.
 func (env *environment) newUID() types.UID {
-	first, second := env.rng.Uint64(), env.rng.Uint64()
-	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(first), uint16(first>>32), first>>52,
-		0x8000|uint16(second)&0x3fff, second>>16))
+	firstBits, secondBits := env.rng.Uint64(), env.rng.Uint64()
+	return types.UID(fmt.Sprintf("%08x-%04x-4%03x-%04x-%012x", uint32(firstBits), uint16(firstBits>>32), firstBits>>52,
+		0x8000|uint16(secondBits)&0x3fff, secondBits>>16))
 }
 
+// Random suffixes of object names have this alphabet and this length in characters.
 const (
 	nameSuffixAlphabet = "bcdfghjklmnpqrstvwxz2456789"
 	nameSuffixLength   = 5
@@ -74,9 +78,9 @@
 
 // randomNameSuffix generates the random end of an object name, in the format that the Kubernetes API uses.
 func (env *environment) randomNameSuffix() string {
-	letters := make([]byte, nameSuffixLength)
-	for i := range letters {
-		letters[i] = nameSuffixAlphabet[env.rng.IntN(len(nameSuffixAlphabet))]
+	suffix := make([]byte, nameSuffixLength)
+	for i := range suffix {
+		suffix[i] = nameSuffixAlphabet[env.rng.IntN(len(nameSuffixAlphabet))]
 	}
-	return string(letters)
+	return string(suffix)
 }
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -18,7 +18,8 @@
 	// ErrConflict means that the stored object does not have the UID or the resource version that the caller
 	// requires.
 	ErrConflict = errors.New("the object has been modified; read it again")
-	// ErrTooMany means that a new Job would exceed the limit on stored objects. A later attempt may succeed.
+	// ErrTooMany means that a new Job would exceed the limit on stored objects. The client may create the Job
+	// later, when fewer objects are stored.
 	ErrTooMany = errors.New("too many tasks are stored; try again later")
 	// ErrStopping means that Engine.Stop was called.
 	ErrStopping = errors.New("the scheduler stops and takes no new tasks")
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -10,7 +10,7 @@
 	"heathshed/placer"
 )
 
-// The tests in this package use one node, one class and one Job with these names.
+// The tests in this package use one node, one Job, one task class and one node type with these names.
 const (
 	nodeName     = "n"
 	jobName      = "j"
@@ -18,13 +18,13 @@
 	nodeTypeName = "k"
 )
 
-// The tests list the node at listedAt and create the Job at createdAt.
+// The tests report the node to the engine at listedAt and create the Job at createdAt, in Unix seconds.
 const (
 	listedAt  placer.Seconds = 1000
 	createdAt placer.Seconds = 1001
 )
 
-// testConfig returns the settings of an engine with one class of idempotent tasks and one node type.
+// testConfig returns the settings of an engine with one class, whose tasks are idempotent, and one node type.
 func testConfig() Config {
 	return Config{
 		Name:      "s",
@@ -56,15 +56,15 @@
 	return engine
 }
 
-// listedNode returns a ready node as the inventory lists it. The node states its start time unless the time
-// is 0.
-func listedNode(incarnation string, started placer.Seconds) *corev1.Node {
+// listedNode returns a ready Node as the inventory lists it. The Node states the time at which the node
+// started, unless startedAt is 0.
+func listedNode(incarnation string, startedAt placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
 	node.Labels = map[string]string{wellknown.NodeType: nodeTypeName}
 	node.Annotations = map[string]string{}
-	if started > 0 {
-		node.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(started)
+	if startedAt > 0 {
+		node.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(startedAt)
 	}
 	node.Status.NodeInfo.BootID = incarnation
 	node.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: corev1.ConditionTrue}}
@@ -75,16 +75,16 @@
 
 // newJob returns a Job with the given number of tasks, all of which may run at once.
 func newJob(name string, tasks int32) *batchv1.Job {
-	created := &batchv1.Job{}
-	created.Name = name
-	created.Namespace = defaultNamespace
-	created.Spec.Completions = &tasks
-	created.Spec.Parallelism = &tasks
-	return created
+	job := &batchv1.Job{}
+	job.Name = name
+	job.Namespace = defaultNamespace
+	job.Spec.Completions = &tasks
+	job.Spec.Parallelism = &tasks
+	return job
 }
 
-// createJobOnOneNode lists a node that has free capacity and runs nothing, and creates a Job with the given
-// number of tasks.
+// createJobOnOneNode reports one node to the engine and then creates a Job with the given number of tasks.
+// The node has free capacity and runs no tasks.
 func createJobOnOneNode(t *testing.T, engine *Engine, tasks int32) {
 	t.Helper()
 	node := listedNode("a", 0)
@@ -109,9 +109,9 @@
 
 // tickUntil runs the engine's timers until a condition holds or the end time is reached. It returns the time
 // of the last call.
-func tickUntil(engine *Engine, from, end placer.Seconds, holds func() bool) placer.Seconds {
+func tickUntil(engine *Engine, from, end placer.Seconds, condition func() bool) placer.Seconds {
 	now := from
-	for now < end && !holds() {
+	for now < end && !condition() {
 		now = min(engine.NextWake(), end)
 		engine.Tick(now)
 	}
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -14,17 +14,17 @@
 // types that create, start, update and delete Jobs modify a job through its methods.
 type job struct {
 	placementSpec         // properties that all tasks of the Job share
-	key            string // store.Key of the Job
+	key            string // key of the Job, as returned by store.Key
 	uid            types.UID
 	object         *batchv1.Job // the stored object, which must not be modified
-	podCost        int64        // cost of one Pod, as measured by store.Cost
-	cachedManifest string       // cached result of the method manifest; "" if there is none
+	podCost        int64        // cost of one Pod in bytes, as estimated by store.Cost
+	cachedManifest string       // result of the method manifest; "" if it has not been computed yet
 
 	indexes completionIndexTable
-	pods    map[string]struct{} // names of the stored Pods
+	pods    map[string]struct{} // names of the stored Pods of the Job
 
-	statusDirty bool // set if the Job is listed in jobStatusWriter.dirty
-	inBacklog   bool // set if the Job is listed in jobStarter.backlog
+	statusDirty bool // set while the Job is listed in jobStatusWriter.dirty
+	inBacklog   bool // set while the Job is listed in jobStarter.backlog
 
 	transitions    *transitionCheck
 	progress       jobProgress
@@ -60,7 +60,7 @@
 	return int(valueOrDefault(j.object.Spec.BackoffLimit, defaultBackoffLimit))
 }
 
-// cost returns the cost of the Job and all of its Pods, as measured by store.Cost.
+// cost returns the cost of the Job and all of its Pods in bytes, as estimated by store.Cost.
 func (j *job) cost() int64 { return j.podCost * int64(1+j.indexes.len()) }
 
 // manifest returns the Job as JSON. Nodes store this text with each Pod of the Job, and a restarted scheduler
@@ -88,8 +88,8 @@
 	return j.cachedManifest
 }
 
-// updateObject replaces the stored Job after a change of its status or deletion. These are not part of the
-// manifest.
+// updateObject replaces the stored Job after a change of its status or its deletion timestamp. The manifest
+// contains neither, so the cached manifest remains valid.
 func (j *job) updateObject(object *batchv1.Job) { j.object = object }
 
 // updateSpec replaces the stored Job after an update of its metadata or spec, and clears the cached manifest.
@@ -102,10 +102,10 @@
 
 func (j *job) removePod(name string) { delete(j.pods, name) }
 
-// releasePods removes all Pods from the record of a Job that is deleted without deleting its Pods.
+// releasePods clears the list of the Job's Pods when the Job is deleted without its Pods.
 func (j *job) releasePods() { j.pods = nil }
 
-// startFailing records that the Job fails as a whole, and why.
+// startFailing records that the Job fails as a whole and why it fails.
 func (j *job) startFailing(reason, message string) {
 	j.setProgress(jobFailing)
 	j.failureReason = reason
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// jobController creates, updates, finishes and deletes Jobs. It records the outcomes and the ends of their
-// tasks.
+// jobController creates, updates, finishes and deletes Jobs. It also records in a Job the final outcomes and
+// the ends of the Job's tasks.
 type jobController struct {
 	*environment
 	jobs          *jobTable
@@ -20,13 +20,14 @@
 	publisher     *publisher
 }
 
-// recordOutcome counts the final outcome of a task, if it is the first outcome of its completion index.
+// recordOutcome counts the final outcome of a task if it is the first final outcome of the task's completion
+// index.
 func (c *jobController) recordOutcome(task *task, outcome taskOutcome) {
 	job := task.job
 	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
 		return
 	}
-	if job.indexes.settleTask(task, outcome) {
+	if job.indexes.countTaskOutcome(task, outcome) {
 		c.jobStatus.markDirty(job)
 	}
 }
@@ -47,8 +48,8 @@
 	case job.suspended && task.stopReason == stopSuspended:
 		job.indexes.restart(task.index)
 	default:
-		rerun := c.jobStarter.scheduleRerun(job, task, cause)
-		job.indexes.fail(task.index, rerun)
+		willRerun := c.jobStarter.scheduleRerun(job, task, cause)
+		job.indexes.fail(task.index, willRerun)
 	}
 	c.jobStarter.enqueue(job)
 	c.finishIfDone(job)
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -11,12 +11,13 @@
 	"heathshed/placer"
 )
 
-// newJob returns the state of a Job that has not started any tasks. The error is an *InvalidError.
+// newJob returns the state of a Job that has not started any tasks. If the Job is invalid, the error is an
+// *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
-	class, invalid := c.cfg.classFromLabels(labels)
-	if invalid != nil {
-		return nil, invalid
+	class, invalidErr := c.cfg.classFromLabels(labels)
+	if invalidErr != nil {
+		return nil, invalidErr
 	}
 	tenant, ok := c.cfg.tenantOf(object.Namespace)
 	if !ok {
@@ -30,7 +31,7 @@
 	if service == "" {
 		service = object.Name
 	}
-	created := &job{
+	newJob := &job{
 		key:         jobKey(object),
 		uid:         object.UID,
 		object:      object,
@@ -38,9 +39,9 @@
 		transitions: &c.transitions,
 		pods:        map[string]struct{}{},
 	}
-	created.placementSpec = newPlacementSpec(class, tenant, serviceID(object.Namespace, service), &object.Spec.Template.Spec)
-	created.indexes = newCompletionIndexTable(created.key, &c.transitions, tasks, max(created.backoffLimit(), 0))
-	return created, nil
+	newJob.placementSpec = newPlacementSpec(class, tenant, serviceID(object.Namespace, service), &object.Spec.Template.Spec)
+	newJob.indexes = newCompletionIndexTable(newJob.key, &c.transitions, tasks, max(newJob.backoffLimit(), 0))
+	return newJob, nil
 }
 
 // create implements Engine.CreateJob.
@@ -54,17 +55,17 @@
 		return nil, ErrStopping
 	}
 	c.initialize(object)
-	created, err := c.newJob(object)
+	newJob, err := c.newJob(object)
 	if err != nil {
 		return nil, err
 	}
-	created.podCost = store.Cost(object)
-	if cost := created.cost(); c.cfg.MaxObjectBytes > 0 && cost > c.cfg.MaxObjectBytes {
-		tasks := created.indexes.len()
+	newJob.podCost = store.Cost(object)
+	if cost := newJob.cost(); c.cfg.MaxObjectBytes > 0 && cost > c.cfg.MaxObjectBytes {
+		tasks := newJob.indexes.len()
 		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, cost, c.cfg.MaxObjectBytes)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
-	for c.exceedsLimits(created) {
+	for c.exceedsLimits(newJob) {
 		if !c.evictFinished(dryRun) {
 			c.stats.JobsRejected++
 			return nil, ErrTooMany
@@ -74,16 +75,16 @@
 		return object, nil
 	}
 	c.stats.JobsCreated++
-	c.jobs.add(created)
+	c.jobs.add(newJob)
 	c.publisher.putJob(object)
-	c.jobStarter.start(created)
+	c.jobStarter.start(newJob)
 	return c.publisher.storedJob(object.Namespace, object.Name), nil
 }
 
 // These constants limit the generation of object names.
 const (
-	maxGenerateNameLength = 248 // number of characters of generateName that are used
-	maxNameCandidates     = 8   // names to try, as in the Kubernetes API server
+	maxGenerateNameLength = 248 // maximum number of characters of generateName that are used
+	maxNameCandidates     = 8   // maximum number of names that are tried; the Kubernetes API server uses the same number
 )
 
 // generateName chooses a name for a Job that has only a generateName.
@@ -122,26 +123,26 @@
 
 // exceedsLimits reports whether a new Job would exceed MaxPods or MaxObjectBytes, counting both the stored
 // objects and the Pods that are still to be created.
-func (c *jobController) exceedsLimits(created *job) bool {
+func (c *jobController) exceedsLimits(newJob *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
-	if c.publisher.podCount()+pods+created.indexes.len() > c.cfg.MaxPods {
+	if c.publisher.podCount()+pods+newJob.indexes.len() > c.cfg.MaxPods {
 		return true
 	}
-	return c.cfg.MaxObjectBytes > 0 && c.publisher.objectCost()+bytes+created.cost() > c.cfg.MaxObjectBytes
+	return c.cfg.MaxObjectBytes > 0 && c.publisher.objectCost()+bytes+newJob.cost() > c.cfg.MaxObjectBytes
 }
 
-// minFinishedRetention is the shortest time for which a finished Job is kept, so that clients can read its
-// outcome.
+// minFinishedRetention is the shortest time for which a finished Job is kept. Clients need this time to read
+// the outcome of the Job.
 const minFinishedRetention placer.Seconds = 30
 
 // evictFinished removes the Job that finished first, unless it finished too recently. It reports whether it
 // removed a Job. A dry run removes nothing.
 func (c *jobController) evictFinished(dryRun bool) bool {
-	oldest := c.jobs.oldestFinished()
-	if oldest == nil || dryRun || c.now-oldest.finishedAt < minFinishedRetention {
+	oldestJob := c.jobs.oldestFinished()
+	if oldestJob == nil || dryRun || c.now-oldestJob.finishedAt < minFinishedRetention {
 		return false
 	}
-	c.remove(oldest, metav1.DeletePropagationBackground)
+	c.remove(oldestJob, metav1.DeletePropagationBackground)
 	c.jobs.dropOldestFinished()
 	return true
 }
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -53,14 +53,15 @@
 	c.drainEvents()
 }
 
-// orphanPods removes the owner references from the Pods of a Job, and detaches their tasks from the Job.
+// orphanPods removes the owner references from the Pods of a Job, and detaches the tasks of these Pods from
+// the Job.
 func (c *jobController) orphanPods(job *job, names []string) {
 	for _, name := range names {
-		stored := c.publisher.storedPod(job.object.Namespace, name)
-		if stored == nil {
+		storedPod := c.publisher.storedPod(job.object.Namespace, name)
+		if storedPod == nil {
 			continue
 		}
-		pod := stored.DeepCopy()
+		pod := storedPod.DeepCopy()
 		pod.OwnerReferences = nil
 		c.publisher.putPod(pod)
 		if task := c.tasks.get(pod.UID); task != nil {
@@ -79,18 +80,20 @@
 	}
 }
 
-// startForegroundDeletion marks the stored Job as deleted. The Job is removed together with its last Pod.
+// startForegroundDeletion marks the stored Job as being deleted. The Job is removed once its last Pod has
+// been removed.
 func (c *jobController) startForegroundDeletion(job *job) {
 	job.setDeletion(jobDeletingForeground)
-	updated := job.object.DeepCopy()
+	updatedObject := job.object.DeepCopy()
 	now := c.apiNow()
-	updated.DeletionTimestamp = &now
-	updated.Finalizers = append(updated.Finalizers, metav1.FinalizerDeleteDependents)
-	c.publisher.putJob(updated)
-	job.updateObject(updated)
+	updatedObject.DeletionTimestamp = &now
+	updatedObject.Finalizers = append(updatedObject.Finalizers, metav1.FinalizerDeleteDependents)
+	c.publisher.putJob(updatedObject)
+	job.updateObject(updatedObject)
 }
 
-// finishForegroundDeletion removes a Job that is being deleted in the foreground, once its last Pod is gone.
+// finishForegroundDeletion removes a Job that is being deleted in the foreground if its last Pod has been
+// removed.
 func (c *jobController) finishForegroundDeletion(job *job) {
 	if job.deletion == jobDeletingForeground && len(job.pods) == 0 {
 		job.setDeletion(jobDeleted)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -12,8 +12,8 @@
 	indexPending indexState = iota
 	// indexActive means that the index has a task.
 	indexActive
-	// indexRetrying means that the task of the index ended. Another task is started later unless the Job
-	// stops.
+	// indexRetrying means that the task of the index has ended and that the index is not finished. Another
+	// task is started later unless the Job stops.
 	indexRetrying
 	// indexFinished means that the index has succeeded or will not be started again.
 	indexFinished
@@ -37,32 +37,33 @@
 // completionIndex is the state of one completion index of a Job.
 type completionIndex struct {
 	state       indexState
-	task        *task // set while the index is active
-	settled     bool  // set once the outcome of the index's first task is counted
-	retryBudget int   // retry budget of the next task
-	retryTimer  *timer
+	task        *task  // set while the index is active
+	settled     bool   // set once the final outcome of the index's first task has been counted
+	retryBudget int    // number of retries that the next task may use
+	retryTimer  *timer // fires when the index is started again
 }
 
-// completionIndexTable holds the completion indexes of a Job and counts them by state. Only its methods modify them.
+// completionIndexTable holds the completion indexes of a Job and counts them by state. Only its methods
+// modify the indexes.
 type completionIndexTable struct {
-	ownerKey    string // store.Key of the Job
+	jobKey      string // key of the Job, as returned by store.Key
 	transitions *transitionCheck
 
 	entries        []completionIndex
-	nextUnstarted  int // lowest index that was not considered for a start yet
+	nextUnstarted  int // lowest index that takeNext has not returned yet
 	active         int // number of indexes that have a task
 	succeededTasks int // number of tasks that succeeded
 	failedTasks    int // number of tasks that ended without success
-	failedIndexes  int // number of indexes that failed and will not be started again
+	failedIndexes  int // number of indexes that have failed and will not be started again
 
-	outcomeCounts      map[taskOutcome]int // number of indexes by the final outcome of their first task
+	outcomeCounts      map[taskOutcome]int // numbers of indexes by the final outcome of their first task
 	unplacedMayHaveRun bool                // set if a task that was not placed may have run
 }
 
-// newCompletionIndexTable returns a table of pending completion indexes. The first task of each index gets the given
-// retry budget.
-func newCompletionIndexTable(job string, transitions *transitionCheck, count, retryBudget int) completionIndexTable {
-	table := completionIndexTable{ownerKey: job, transitions: transitions, entries: make([]completionIndex, count), outcomeCounts: map[taskOutcome]int{}}
+// newCompletionIndexTable returns a table of pending completion indexes. The first task of each index gets
+// the given retry budget.
+func newCompletionIndexTable(jobKey string, transitions *transitionCheck, count, retryBudget int) completionIndexTable {
+	table := completionIndexTable{jobKey: jobKey, transitions: transitions, entries: make([]completionIndex, count), outcomeCounts: map[taskOutcome]int{}}
 	for i := range table.entries {
 		table.entries[i].retryBudget = retryBudget
 	}
@@ -101,12 +102,12 @@
 	t.entries[i].retryTimer = nil
 }
 
-// adopt assigns a task that was found running to a completion index without a task.
+// adopt assigns an adopted task to a completion index that has no task.
 func (t *completionIndexTable) adopt(i int, task *task) {
 	if t.entries[i].state == indexFinished {
 		t.failedIndexes--
 	}
-	t.settle(i, outcomePlaced)
+	t.countOutcome(i, outcomePlaced)
 	t.activate(i, task)
 }
 
@@ -117,8 +118,9 @@
 	t.active++
 }
 
-// settle counts a final outcome if it is the first one of the completion index, and reports whether it is.
-func (t *completionIndexTable) settle(i int, outcome taskOutcome) bool {
+// countOutcome counts a final outcome if it is the first one of the completion index. It reports whether it
+// has counted the outcome.
+func (t *completionIndexTable) countOutcome(i int, outcome taskOutcome) bool {
 	index := &t.entries[i]
 	if index.settled {
 		return false
@@ -128,10 +130,10 @@
 	return true
 }
 
-// settleTask counts the final outcome of a task if it is the first one of the task's completion index, and
-// reports whether it is.
-func (t *completionIndexTable) settleTask(task *task, outcome taskOutcome) bool {
-	if !t.settle(task.index, outcome) {
+// countTaskOutcome counts the final outcome of a task if it is the first one of the task's completion index.
+// It reports whether it has counted the outcome.
+func (t *completionIndexTable) countTaskOutcome(task *task, outcome taskOutcome) bool {
+	if !t.countOutcome(task.index, outcome) {
 		return false
 	}
 	t.unplacedMayHaveRun = t.unplacedMayHaveRun || task.attempts.evidence != neverAccepted
@@ -154,24 +156,25 @@
 
 // fail counts a task that ended without success. It finishes the completion index unless the index will be
 // started again.
-func (t *completionIndexTable) fail(i int, startedAgain bool) {
+func (t *completionIndexTable) fail(i int, willRerun bool) {
 	t.failedTasks++
-	if !startedAgain {
+	if !willRerun {
 		t.failedIndexes++
 		t.setState(i, indexFinished)
 	}
 }
 
-// failUnreported fails a completion index of a rebuilt Job that no node has reported. Its task may have run.
+// failUnreported fails a completion index of a rebuilt Job if no node has reported a task of the index. Such
+// a task may have run.
 func (t *completionIndexTable) failUnreported(i int) {
 	t.fail(i, false)
-	if t.settle(i, outcomeFailed) {
+	if t.countOutcome(i, outcomeFailed) {
 		t.unplacedMayHaveRun = true
 	}
 }
 
-// restart makes a completion index pending again. The index is started when the jobStarter next takes the Job
-// from its backlog.
+// restart makes a completion index pending again. The index is started when jobStarter takes the Job from its
+// backlog the next time.
 func (t *completionIndexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.nextUnstarted = min(t.nextUnstarted, i)
@@ -183,35 +186,35 @@
 	t.entries[i].retryTimer = retryTimer
 }
 
-// setState changes the state of a completion index; no other code does. An illegal transition is made
-// nevertheless, and reported by CheckInvariants.
+// setState is the only function that changes the state of a completion index. It also carries out an illegal
+// transition, which CheckInvariants reports.
 func (t *completionIndexTable) setState(i int, next indexState) {
 	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
-		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.ownerKey, index.state, next)
+		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.jobKey, index.state, next)
 	}
 	index.state = next
 }
 
-// violatedInvariant describes the first contradiction between a Job's completion indexes and their tasks. It
+// invariantViolation describes the first contradiction between a Job's completion indexes and their tasks. It
 // returns "" if there is none.
-func (t *completionIndexTable) violatedInvariant(owner *job) string {
+func (t *completionIndexTable) invariantViolation(job *job) string {
 	active := 0
 	for i := range t.entries {
 		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
-			return fmt.Sprintf("invariant violated: index %d has a task if and only if it is active", i)
+			return fmt.Sprintf("invariant violated: index %d must have a task if and only if it is active", i)
 		}
 		if index.task == nil {
 			continue
 		}
 		active++
-		if index.task.job != owner || index.task.index != i {
-			return fmt.Sprintf("invariant violated: the task of index %d refers to its Job and its index", i)
+		if index.task.job != job || index.task.index != i {
+			return fmt.Sprintf("invariant violated: the task of index %d must refer to the Job and the index to which it belongs", i)
 		}
 	}
 	if active != t.active {
-		return fmt.Sprintf("invariant violated: %d indexes are active, but the count is %d", active, t.active)
+		return fmt.Sprintf("invariant violated: %d completion indexes are active, but the count of active indexes is %d", active, t.active)
 	}
 	return ""
 }
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -5,8 +5,9 @@
 	"heathshed/placer"
 )
 
-// rerunWindow is the deadline that package retry gets for starting a task again after its predecessor ended.
-// No other deadline applies because the outcome of the completion index is already known.
+// rerunWindow is the time limit that package retry gets for starting a new task of a completion index after
+// the previous task has ended. The client's deadline does not apply because the first task had its final
+// outcome.
 const rerunWindow placer.Seconds = 3600
 
 // scheduleRerun sets a timer that starts a completion index again after its task ended without success. It
@@ -56,9 +57,10 @@
 	case job.progress.failsAsWhole() || s.stopping:
 		return false
 	case cause == retry.Rejected && !task.isStopping():
-		return false // the placement requests of the task were retried as often as allowed
+		return false // the placement requests of the task have already been retried as often as permitted
 	case idempotency == placer.NonIdempotent:
-		// Start again only if the task neither ran to completion nor may run elsewhere.
+		// The index may be started again only if the task has not run to its end and does not possibly run
+		// elsewhere.
 		return cause != retry.Failed && task.attempts.evidence != possiblyRan
 	}
 	return true
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -12,8 +12,8 @@
 	"heathshed/placer"
 )
 
-// jobStarter starts the tasks of Jobs in round-robin order. It also starts completion indexes again whose
-// tasks ended without success.
+// jobStarter starts the tasks of Jobs in round-robin order. After a task has ended without success, it also
+// starts the completion index of this task again.
 type jobStarter struct {
 	*environment
 	jobController *jobController
@@ -24,10 +24,10 @@
 	publisher     *publisher
 
 	backlog        []*job // Jobs that have tasks to start
-	startScheduled bool   // set while a timer is pending that starts tasks of the backlog
+	startScheduled bool   // set while the timer that starts tasks of the backlog is pending
 }
 
-// start sets the active deadline of a new or resumed Job and adds the Job to the backlog.
+// start sets the timer for activeDeadlineSeconds of a new or resumed Job, and adds the Job to the backlog.
 func (s *jobStarter) start(job *job) {
 	if seconds := job.object.Spec.ActiveDeadlineSeconds; seconds != nil && !job.suspended {
 		s.stopTimer(job.deadlineTimer)
@@ -56,11 +56,11 @@
 	}
 }
 
-// startsPerRound is the number of tasks that one Job may start before it is the next Job's turn.
+// startsPerRound is the maximum number of tasks that one Job starts before the next Job starts its tasks.
 const startsPerRound = 32
 
-// startTasks starts at most MaxStartsPerCall tasks of the Jobs in the backlog, in round-robin order, so that
-// a large Job does not delay other Jobs.
+// startTasks starts at most MaxStartsPerCall tasks of the Jobs in the backlog. The Jobs take turns, which
+// prevents a large Job from delaying the others.
 func (s *jobStarter) startTasks() {
 	s.startScheduled = false
 	remaining := s.cfg.MaxStartsPerCall
@@ -84,9 +84,9 @@
 // tasks started.
 func (s *jobStarter) startRound(job *job, limit int) int {
 	parallelism := job.parallelism()
-	started := 0
+	startedCount := 0
 	for range startsPerRound {
-		if started >= limit {
+		if startedCount >= limit {
 			break
 		}
 		index, ok := job.indexes.takeNext(parallelism)
@@ -95,49 +95,50 @@
 		}
 		if job.indexes.at(index).state == indexPending {
 			s.startTask(job, index)
-			started++
+			startedCount++
 		}
 	}
-	return started
+	return startedCount
 }
 
 // startTask creates the Pod for a completion index of a Job, and requests its placement.
 func (s *jobStarter) startTask(job *job, index int) {
-	started := s.newTask(job, index)
-	job.indexes.start(index, started)
-	pod := s.newPod(started)
-	job.addPod(started.name)
-	s.tasks.add(started)
+	newTask := s.newTask(job, index)
+	job.indexes.start(index, newTask)
+	pod := s.newPod(newTask)
+	job.addPod(newTask.name)
+	s.tasks.add(newTask)
 	s.publisher.putPod(pod)
 	if s.stopping {
 		// After Engine.Stop no placement is requested: the placer would handle the request and start an
 		// attempt before it could handle a withdrawal.
-		s.tasks.setState(started, taskWaiting)
-		s.lifecycle.settleUnplaced(started, outcomeRejected, stoppingMessage)
+		s.tasks.setState(newTask, taskWaiting)
+		s.lifecycle.settleUnplaced(newTask, outcomeRejected, stoppingMessage)
 	} else {
-		s.requests.place(started)
+		s.requests.place(newTask)
 	}
 	s.jobStatus.markDirty(job)
 }
 
-// maxJobNameLengthInPodName is the number of characters of a Job's name that appear in the names of its Pods.
+// maxJobNameLengthInPodName is the maximum number of characters of a Job's name that the names of its Pods
+// contain.
 const maxJobNameLengthInPodName = 52
 
-// newTask returns the next task of a completion index of a Job.
+// newTask returns a new task for a completion index of a Job.
 func (s *jobStarter) newTask(job *job, index int) *task {
-	created := &task{
+	newTask := &task{
 		podIdentity:   podIdentity{uid: s.newUID(), namespace: job.object.Namespace},
 		placementSpec: job.placementSpec,
 		job:           job,
 		index:         index,
 		retryBudget:   job.indexes.at(index).retryBudget,
 	}
-	created.name = fmt.Sprintf("%.*s-%d-%s", maxJobNameLengthInPodName, job.object.Name, index, s.randomNameSuffix())
-	created.deadline = s.now + s.cfg.Retry.MaxWait(s.cfg.Placer.Classes[job.class].Deadline, created.retryBudget)
+	newTask.name = fmt.Sprintf("%.*s-%d-%s", maxJobNameLengthInPodName, job.object.Name, index, s.randomNameSuffix())
+	newTask.deadline = s.now + s.cfg.Retry.MaxWait(s.cfg.Placer.Classes[job.class].Deadline, newTask.retryBudget)
 	if job.deadlineTimer.Pending() {
-		created.deadline = min(created.deadline, job.deadlineTimer.At)
+		newTask.deadline = min(newTask.deadline, job.deadlineTimer.At)
 	}
-	return created
+	return newTask
 }
 
 // newPod returns the Pod of a new task. The Pod shares its Spec with the template of the Job, which is safe
@@ -170,7 +171,8 @@
 	return maps.Clone(original)
 }
 
-// pendingPods returns the number and the cost of the Pods that the Jobs in the backlog have yet to create.
+// pendingPods returns the number and the cost in bytes of the Pods that have yet to be created for the Jobs
+// in the backlog.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
 		pending := job.indexes.unstarted()
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -1,11 +1,11 @@
 package engine
 
-// jobProgress is the state of a Job before it gets its final condition and after. A Job may be suspended in
-// any state (job.suspended).
+// jobProgress states whether a Job runs, fails or has its final condition. A Job may be suspended in any of
+// these states (job.suspended).
 type jobProgress uint8
 
 const (
-	// jobRunning means that completion indexes of the Job are active or wait for their start.
+	// jobRunning means that the Job has completion indexes that are active or will be started.
 	jobRunning jobProgress = iota
 	// jobFailing means that the Job fails as a whole, and its tasks are being stopped.
 	jobFailing
@@ -32,8 +32,8 @@
 // finished reports whether a Job in this state has its final condition.
 func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
 
-// failsAsWhole reports whether the Job fails, or has failed, for a reason other than the failure of its
-// completion indexes.
+// failsAsWhole reports whether a Job in this state fails as a whole. Such a Job fails, or has failed, for a
+// reason other than the failure of its completion indexes.
 func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
 
 // afterLastTask returns the next state of a Job that has no tasks left and will start no more.
@@ -44,7 +44,7 @@
 	return jobEnded
 }
 
-// jobDeletion says whether the API has deleted a Job, and whether the Job is still stored.
+// jobDeletion states whether a Job is deleted, and whether the deleted Job is still stored.
 type jobDeletion uint8
 
 const (
@@ -69,8 +69,8 @@
 	jobDeleted:            {},
 }
 
-// setProgress changes the progress of a Job; no other code does. An illegal transition is made nevertheless,
-// and reported by CheckInvariants.
+// setProgress is the only function that changes the progress of a Job. It also carries out an illegal
+// transition, which CheckInvariants reports.
 func (j *job) setProgress(next jobProgress) {
 	if !jobProgressTransitions.permits(j.progress, next) {
 		j.transitions.recordIllegal("Job %s made an illegal transition from %s to %s", j.key, j.progress, next)
@@ -78,8 +78,8 @@
 	j.progress = next
 }
 
-// setDeletion changes the deletion state of a Job; no other code does. An illegal transition is made
-// nevertheless, and reported by CheckInvariants.
+// setDeletion is the only function that changes the deletion state of a Job. It also carries out an illegal
+// transition, which CheckInvariants reports.
 func (j *job) setDeletion(next jobDeletion) {
 	if !jobDeletionTransitions.permits(j.deletion, next) {
 		j.transitions.recordIllegal("Job %s made an illegal transition of its deletion state from %s to %s", j.key, j.deletion, next)
@@ -87,22 +87,22 @@
 	j.deletion = next
 }
 
-// isDeleted reports whether the API has deleted the Job. Its Pods may still exist.
+// isDeleted reports whether the Job has been deleted. The Job and its Pods may still be stored.
 func (j *job) isDeleted() bool { return j.deletion != jobKept }
 
 // canStart reports whether tasks of the Job may be started.
 func (j *job) canStart() bool { return !j.isDeleted() && !j.suspended && !j.progress.failsAsWhole() }
 
-// violatedInvariant describes the first contradiction between a Job in the job table, its states and its
-// tasks. It returns "" if there is none.
-func (j *job) violatedInvariant() string {
+// invariantViolation describes the first contradiction between the states of a Job in the job table, its Pods
+// and its tasks. It returns "" if there is none.
+func (j *job) invariantViolation() string {
 	switch {
 	case j.deletion == jobDeleted:
-		return "invariant violated: a deleted Job is not in the job table"
+		return "invariant violated: a deleted Job must not be in the job table"
 	case j.progress.failsAsWhole() != (j.failureReason != ""):
-		return "invariant violated: a Job has a failure reason if and only if it fails as a whole"
+		return "invariant violated: a Job must have a failure reason if and only if it fails as a whole"
 	case j.deletion == jobDeletingForeground && len(j.pods) == 0:
-		return "invariant violated: a Job that is deleted in the foreground is kept only for its Pods"
+		return "invariant violated: a Job that is being deleted in the foreground must still have Pods"
 	}
-	return j.indexes.violatedInvariant(j)
+	return j.indexes.invariantViolation(j)
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -11,27 +11,27 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// jobStatusWriter stores the changed statuses of Jobs at the end of each call.
+// jobStatusWriter stores the statuses of Jobs that have changed, at the end of each call of the engine.
 type jobStatusWriter struct {
 	*environment
 	jobs          *jobTable
 	jobController *jobController
 	publisher     *publisher
 
-	dirty []*job // Jobs whose status must be written
+	dirty []*job // Jobs whose status must be stored at the end of the call
 }
 
-// writeDirty stores the Job statuses that changed during the current call.
+// writeDirty stores the statuses of the Jobs that markDirty has listed during the current call.
 func (w *jobStatusWriter) writeDirty() {
-	dirty := w.dirty
+	dirtyJobs := w.dirty
 	w.dirty = nil
-	for _, job := range dirty {
+	for _, job := range dirtyJobs {
 		job.statusDirty = false
 		w.write(job)
 	}
 }
 
-// markDirty makes writeDirty write the status of a Job at the end of the call.
+// markDirty lists a Job for writeDirty, which stores the status of the Job at the end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
 	if !job.statusDirty {
 		job.statusDirty = true
@@ -47,15 +47,15 @@
 	if job.indexes.len() == 0 && !job.progress.finished() && !job.suspended {
 		w.jobController.finish(job)
 	}
-	updated := *job.object // the Spec is shared with the stored Job and must not be modified
-	job.object.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
-	job.object.Status.DeepCopyInto(&updated.Status)
-	job.setStatus(&updated.Status, w.apiNow())
-	if equality.Semantic.DeepEqual(&updated.Status, &job.object.Status) {
+	updatedObject := *job.object // the Spec is shared with the stored Job and must not be modified
+	job.object.ObjectMeta.DeepCopyInto(&updatedObject.ObjectMeta)
+	job.object.Status.DeepCopyInto(&updatedObject.Status)
+	job.setStatus(&updatedObject.Status, w.apiNow())
+	if equality.Semantic.DeepEqual(&updatedObject.Status, &job.object.Status) {
 		return
 	}
-	job.updateObject(&updated)
-	w.publisher.putJob(&updated)
+	job.updateObject(&updatedObject)
+	w.publisher.putJob(&updatedObject)
 }
 
 // setStatus fills in the status of a Job from its state.
@@ -77,8 +77,8 @@
 // setSettledCondition sets the Settled condition once the first task of each completion index has its final
 // outcome.
 func (j *job) setSettledCondition(status *batchv1.JobStatus, now metav1.Time) {
-	settled := j.indexes.outcomeCounts
-	placed, rejected, failed := settled[outcomePlaced], settled[outcomeRejected], settled[outcomeFailed]
+	counts := j.indexes.outcomeCounts
+	placed, rejected, failed := counts[outcomePlaced], counts[outcomeRejected], counts[outcomeFailed]
 	total := placed + rejected + failed
 	if total != j.indexes.len() {
 		return
@@ -94,8 +94,8 @@
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
-// setSuspendedCondition sets the Suspended condition of a suspended Job, and sets it to false after the Job
-// was resumed.
+// setSuspendedCondition sets the Suspended condition to true if the Job is suspended. If the Job has been
+// resumed, it sets the condition to false.
 func (j *job) setSuspendedCondition(status *batchv1.JobStatus, now metav1.Time) {
 	if j.suspended {
 		setJobSuspendedCondition(status, newJobCondition(batchv1.JobSuspended, "JobSuspended", "Job suspended", now))
@@ -151,20 +151,22 @@
 	return nil
 }
 
-// setFinalJobCondition adds a condition unless it is already set. Such a condition never changes afterwards.
+// setFinalJobCondition adds a condition to the status unless the status has a condition of this type. A
+// condition that it has added never changes.
 func setFinalJobCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	if jobCondition(status, condition.Type) == nil {
 		status.Conditions = append(status.Conditions, condition)
 	}
 }
 
-// setJobSuspendedCondition adds the Suspended condition, or sets it to true again after the Job had been resumed.
+// setJobSuspendedCondition adds the Suspended condition. If the condition exists and is false, because the
+// Job was resumed earlier, it becomes true again.
 func setJobSuspendedCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
-	stored := jobCondition(status, condition.Type)
+	storedCondition := jobCondition(status, condition.Type)
 	switch {
-	case stored == nil:
+	case storedCondition == nil:
 		status.Conditions = append(status.Conditions, condition)
-	case stored.Status != corev1.ConditionTrue:
-		*stored = condition
+	case storedCondition.Status != corev1.ConditionTrue:
+		*storedCondition = condition
 	}
 }
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -9,16 +9,16 @@
 	"heathshed/internal/kube/store"
 )
 
-// jobTable holds the Jobs of an Engine, and the order in which they finished.
+// jobTable holds the Jobs of an Engine and records the order in which they finished.
 type jobTable struct {
-	byKey    map[string]*job // Jobs by store.Key
-	finished []*job          // finished Jobs in order of their end; deleted ones are skipped on reading
+	byKey        map[string]*job // Jobs by store.Key
+	finishedJobs []*job          // finished Jobs in order of their end; may contain deleted Jobs, which oldestFinished skips
 }
 
 // get returns the Job with the given key, or nil if there is none.
 func (t *jobTable) get(key string) *job { return t.byKey[key] }
 
-// contains reports whether the table contains the given Job. Another Job with the same name does not count.
+// contains reports whether the table contains the given Job and not another Job with the same name.
 func (t *jobTable) contains(job *job) bool { return t.byKey[job.key] == job }
 
 func (t *jobTable) add(job *job) { t.byKey[job.key] = job }
@@ -46,38 +46,38 @@
 	return nil
 }
 
-// finishedListSlack is the length that jobTable.finished may reach, beyond twice the number of Jobs, before
-// deleted Jobs are removed from it.
+// finishedListSlack determines when deleted Jobs are removed from the list of finished Jobs: when the list is
+// longer than twice the number of Jobs in the table plus finishedListSlack.
 const finishedListSlack = 16
 
 // addFinished appends a Job to the list of finished Jobs.
-func (t *jobTable) addFinished(finished *job) {
-	if len(t.finished) > 2*len(t.byKey)+finishedListSlack {
-		t.finished = slices.DeleteFunc(t.finished, func(job *job) bool { return job.isDeleted() })
+func (t *jobTable) addFinished(finishedJob *job) {
+	if len(t.finishedJobs) > 2*len(t.byKey)+finishedListSlack {
+		t.finishedJobs = slices.DeleteFunc(t.finishedJobs, func(job *job) bool { return job.isDeleted() })
 	}
-	t.finished = append(t.finished, finished)
+	t.finishedJobs = append(t.finishedJobs, finishedJob)
 }
 
 // oldestFinished returns the Job that finished first, or nil if the table contains no finished Job.
 func (t *jobTable) oldestFinished() *job {
-	for len(t.finished) > 0 {
-		oldest := t.finished[0]
-		if !oldest.isDeleted() && t.contains(oldest) {
-			return oldest
+	for len(t.finishedJobs) > 0 {
+		oldestJob := t.finishedJobs[0]
+		if !oldestJob.isDeleted() && t.contains(oldestJob) {
+			return oldestJob
 		}
-		t.finished = t.finished[1:]
+		t.finishedJobs = t.finishedJobs[1:]
 	}
 	return nil
 }
 
 // dropOldestFinished removes the Job that finished first from the list of finished Jobs.
-func (t *jobTable) dropOldestFinished() { t.finished = t.finished[1:] }
+func (t *jobTable) dropOldestFinished() { t.finishedJobs = t.finishedJobs[1:] }
 
-// checkInvariants returns an error if the state of a Job contradicts the states of its tasks.
+// checkInvariants returns an error if the states of a Job contradict each other, its Pods or its tasks.
 func (t *jobTable) checkInvariants() error {
 	for key, job := range t.byKey {
-		if violated := job.violatedInvariant(); violated != "" {
-			return fmt.Errorf("engine: Job %s: %s", key, violated)
+		if violation := job.invariantViolation(); violation != "" {
+			return fmt.Errorf("engine: Job %s: %s", key, violation)
 		}
 	}
 	return nil
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -2,39 +2,39 @@
 
 import "testing"
 
-// finishedJob adds a finished Job to a table and returns it.
-func finishedJob(table *jobTable, key string) *job {
-	finished := &job{key: key, progress: jobEnded, transitions: &transitionCheck{}}
-	table.add(finished)
-	table.addFinished(finished)
-	return finished
+// addFinishedJob adds a finished Job to a table and returns the Job.
+func addFinishedJob(table *jobTable, key string) *job {
+	finishedJob := &job{key: key, progress: jobEnded, transitions: &transitionCheck{}}
+	table.add(finishedJob)
+	table.addFinished(finishedJob)
+	return finishedJob
 }
 
 func TestOldestFinishedJob(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		prepare func(table *jobTable, first, second *job)
+		prepare func(table *jobTable, firstJob, secondJob *job)
 		want    string // key of the oldest finished Job; "" if there is none
 	}{
-		{"first to finish", func(*jobTable, *job, *job) {}, "first"},
+		{"Job that finished first is returned", func(*jobTable, *job, *job) {}, "first"},
 		{"deleted Job is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
 		{"removed Job is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
 		{"replaced Job is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
 		{"dropped Job is not returned", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
-		{"no Job left", func(table *jobTable, first, second *job) {
+		{"table without Jobs returns none", func(table *jobTable, first, second *job) {
 			table.remove(first)
 			table.remove(second)
 		}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := &jobTable{byKey: map[string]*job{}}
-			first, second := finishedJob(table, "first"), finishedJob(table, "second")
+			firstJob, secondJob := addFinishedJob(table, "first"), addFinishedJob(table, "second")
 
-			test.prepare(table, first, second)
+			test.prepare(table, firstJob, secondJob)
 
 			got := ""
-			if oldest := table.oldestFinished(); oldest != nil {
-				got = oldest.key
+			if oldestJob := table.oldestFinished(); oldestJob != nil {
+				got = oldestJob.key
 			}
 			if got != test.want {
 				t.Errorf("the oldest finished Job is %q, want %q", got, test.want)
@@ -43,29 +43,29 @@
 	}
 }
 
-// TestFinishedListIsBounded checks that the number of Jobs in the table bounds the list of finished Jobs, so
-// that deleted Jobs do not accumulate.
+// TestFinishedListIsBounded guards against a list of finished Jobs in which deleted Jobs accumulate. The
+// number of Jobs in the table must limit the length of the list.
 func TestFinishedListIsBounded(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
-		finished := finishedJob(table, "default/j")
-		finished.setDeletion(jobDeleted)
-		table.remove(finished)
+		finishedJob := addFinishedJob(table, "default/j")
+		finishedJob.setDeletion(jobDeleted)
+		table.remove(finishedJob)
 	}
-	if got, most := len(table.finished), finishedListSlack+3; got > most {
-		t.Errorf("%d finished Jobs are listed although the table is empty, want at most %d", got, most)
+	if listLength, maxLength := len(table.finishedJobs), finishedListSlack+3; listLength > maxLength {
+		t.Errorf("the list of finished Jobs has %d entries although the table has no Jobs, want at most %d", listLength, maxLength)
 	}
 }
 
 func TestRemoveIgnoresOtherJobWithSameKey(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
-	first, second := &job{key: "default/j"}, &job{key: "default/j"}
-	table.add(first)
-	table.add(second)
-	if table.remove(first) {
-		t.Error("removing a replaced Job removed the Job that replaced it")
+	firstJob, secondJob := &job{key: "default/j"}, &job{key: "default/j"}
+	table.add(firstJob)
+	table.add(secondJob)
+	if table.remove(firstJob) {
+		t.Error("remove returned true for a Job that another Job with the same key has replaced")
 	}
-	if !table.contains(second) || !table.remove(second) || table.get("default/j") != nil {
-		t.Error("the Job in the table could not be removed")
+	if !table.contains(secondJob) || !table.remove(secondJob) || table.get("default/j") != nil {
+		t.Error("the Job that replaced another one is not in the table or could not be removed")
 	}
 }
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -16,49 +16,49 @@
 	if err := checkPreconditions(job.object, update.UID, update.ResourceVersion); err != nil {
 		return nil, err
 	}
-	if invalid := checkJobUpdate(job.object, update); invalid != nil {
-		return nil, invalid
+	if invalidErr := checkJobUpdate(job.object, update); invalidErr != nil {
+		return nil, invalidErr
 	}
-	next := updatedJob(job.object, update)
-	if equality.Semantic.DeepEqual(next, job.object) {
+	updatedObject := updatedJob(job.object, update)
+	if equality.Semantic.DeepEqual(updatedObject, job.object) {
 		return job.object, nil
 	}
-	if !equality.Semantic.DeepEqual(&next.Spec, &job.object.Spec) {
-		next.Generation++
+	if !equality.Semantic.DeepEqual(&updatedObject.Spec, &job.object.Spec) {
+		updatedObject.Generation++
 	}
 	if dryRun {
-		return next, nil
+		return updatedObject, nil
 	}
-	job.updateSpec(next)
-	c.publisher.putJob(next)
-	c.applySuspend(job, valueOrDefault(next.Spec.Suspend, false))
+	job.updateSpec(updatedObject)
+	c.publisher.putJob(updatedObject)
+	c.applySuspend(job, valueOrDefault(updatedObject.Spec.Suspend, false))
 	c.jobStatus.markDirty(job)
 	return c.jobs.get(job.key).object, nil
 }
 
-// updatedJob returns a copy of a Job with the mutable fields taken from an update.
-func updatedJob(current, update *batchv1.Job) *batchv1.Job {
-	next := current.DeepCopy()
-	next.Labels = maps.Clone(update.Labels)
-	next.Annotations = maps.Clone(update.Annotations)
-	next.Spec.Suspend = update.Spec.Suspend
-	next.Spec.Parallelism = update.Spec.Parallelism
-	next.Spec.TTLSecondsAfterFinished = update.Spec.TTLSecondsAfterFinished
-	next.Spec.ActiveDeadlineSeconds = update.Spec.ActiveDeadlineSeconds
-	return next
+// updatedJob returns a copy of a Job. The mutable fields of the copy have the values of the update.
+func updatedJob(currentObject, update *batchv1.Job) *batchv1.Job {
+	updatedObject := currentObject.DeepCopy()
+	updatedObject.Labels = maps.Clone(update.Labels)
+	updatedObject.Annotations = maps.Clone(update.Annotations)
+	updatedObject.Spec.Suspend = update.Spec.Suspend
+	updatedObject.Spec.Parallelism = update.Spec.Parallelism
+	updatedObject.Spec.TTLSecondsAfterFinished = update.Spec.TTLSecondsAfterFinished
+	updatedObject.Spec.ActiveDeadlineSeconds = update.Spec.ActiveDeadlineSeconds
+	return updatedObject
 }
 
 // checkJobUpdate returns an error if an update changes an immutable field or sets an invalid value.
-func checkJobUpdate(current, update *batchv1.Job) *InvalidError {
+func checkJobUpdate(currentObject, update *batchv1.Job) *InvalidError {
 	for _, field := range []struct {
 		path string
 		same bool
 	}{
-		{"spec.template", equality.Semantic.DeepEqual(&update.Spec.Template, &current.Spec.Template)},
-		{"spec.completions", equality.Semantic.DeepEqual(update.Spec.Completions, current.Spec.Completions)},
-		{"spec.selector", equality.Semantic.DeepEqual(update.Spec.Selector, current.Spec.Selector)},
-		{"spec.completionMode", equality.Semantic.DeepEqual(update.Spec.CompletionMode, current.Spec.CompletionMode)},
-		{"spec.backoffLimit", equality.Semantic.DeepEqual(update.Spec.BackoffLimit, current.Spec.BackoffLimit)},
+		{"spec.template", equality.Semantic.DeepEqual(&update.Spec.Template, &currentObject.Spec.Template)},
+		{"spec.completions", equality.Semantic.DeepEqual(update.Spec.Completions, currentObject.Spec.Completions)},
+		{"spec.selector", equality.Semantic.DeepEqual(update.Spec.Selector, currentObject.Spec.Selector)},
+		{"spec.completionMode", equality.Semantic.DeepEqual(update.Spec.CompletionMode, currentObject.Spec.CompletionMode)},
+		{"spec.backoffLimit", equality.Semantic.DeepEqual(update.Spec.BackoffLimit, currentObject.Spec.BackoffLimit)},
 	} {
 		if !field.same {
 			return &InvalidError{Field: field.path, Detail: "field is immutable", Value: "changed"}
@@ -84,8 +84,8 @@
 	}
 }
 
-// suspend suspends a Job by deleting the Pods of its tasks. Their completion indexes are started again when
-// the Job is resumed.
+// suspend suspends a Job by deleting the Pods of its active tasks. The completion indexes of these tasks are
+// started again when the Job is resumed.
 func (c *jobController) suspend(job *job) {
 	job.suspended = true
 	c.stopTimer(job.deadlineTimer)
--- a/internal/kube/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -8,17 +8,17 @@
 	"heathshed/placer"
 )
 
-// serviceID returns the placer's ID of a service. All schedulers compute the same ID.
+// serviceID returns the ID by which the placer knows a service. All schedulers compute the same ID.
 func serviceID(namespace, service string) placer.ServiceID {
 	return placer.ServiceID(xxhash.Sum64String(namespace + "/" + service))
 }
 
 // intern returns the index of a name. A new name gets the next free index.
-func intern(indexes map[string]int, name string) int {
-	index, ok := indexes[name]
+func intern(indexByName map[string]int, name string) int {
+	index, ok := indexByName[name]
 	if !ok {
-		index = len(indexes)
-		indexes[name] = index
+		index = len(indexByName)
+		indexByName[name] = index
 	}
 	return index
 }
@@ -26,4 +26,5 @@
 // jobKey returns the key under which jobTable stores a Job.
 func jobKey(object *batchv1.Job) string { return store.Key(object.Namespace, object.Name) }
 
+// defaultNamespace is accepted even if no tenant owns it.
 const defaultNamespace = "default"
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -19,74 +19,76 @@
 	address string // host:port of the node's API; empty if it is unknown or the node is no longer watched
 	state   placer.NodeState
 
-	inventory         *corev1.Node   // Node that the inventory listed last; nil once the inventory has removed it
-	reportedToPlacer  bool           // the placer has been told the node's state at least once
-	lossTimerStart    placer.Seconds // when the node became Terminated or, in that state, stopped responding
-	listedIncarnation string         // incarnation according to the inventory
-	listedStartedAt   placer.Seconds // start of listedIncarnation by the scheduler's clock; 0 means long ago
-
-	podsWatched      bool     // the node's Pods have been listed and are being watched
-	incarnation      string   // present incarnation according to the node itself
-	pastIncarnations []string // earlier incarnations; late messages from them do not change incarnation
-
-	running         map[types.UID]*task
-	unknownOutcomes map[*attempt]struct{} // attempts that the node may have accepted
-
-	drainRequested       bool              // an API update has made the node unschedulable
-	labelOverride        map[string]string // labels set by an API update; nil if there was none
-	publishPending       bool              // an API update has not been published yet
+	inventoryNode     *corev1.Node   // Node object as listed last by the inventory; nil if the node has left the inventory
+	reportedToPlacer  bool           // set once the placer has been told the node's state
+	lossTimerStart    placer.Seconds // time at which the node loss timeout last started
+	listedIncarnation string         // incarnation that the inventory states
+	listedStartedAt   placer.Seconds // time at which listedIncarnation started, by the scheduler's clock; 0 means long ago
+
+	podsWatched      bool     // set while the node's Pods have been listed and are watched
+	incarnation      string   // present incarnation as stated by the node itself
+	pastIncarnations []string // earlier incarnations; late messages from them are not taken for a restart of the node
+
+	runningTasks    map[types.UID]*task   // tasks that the node has accepted and that have not ended
+	unknownOutcomes map[*attempt]struct{} // attempts at the node whose outcome is unknown
+
+	drainRequested       bool              // set while API clients want the node to be drained
+	labelOverride        map[string]string // labels set by the latest API update of the labels; nil if there was none
+	apiUpdatePending     bool              // set if an API update has not been published yet
 	publishedAt          placer.Seconds    // time of the last change of the stored Node
-	publishedFingerprint uint64            // fingerprint of the inventory's Node that was published last
+	publishedFingerprint uint64            // hash of the inventory's Node that was published last; see nodeFingerprint
 }
 
-// overrideLabels replaces the labels that the API shows for the node. The labels that only the inventory
-// may set stay as they are.
+// overrideLabels replaces the labels that the API shows for the node, except for the labels that only the
+// inventory may set.
 func (n *node) overrideLabels(labels map[string]string) {
 	n.labelOverride = cloneOrEmpty(labels)
-	n.publishPending = true
+	n.apiUpdatePending = true
 }
 
 // setDrainRequested records whether API clients want the node to be drained.
 func (n *node) setDrainRequested(requested bool) {
 	n.drainRequested = requested
-	n.publishPending = true
+	n.apiUpdatePending = true
 }
 
 // beginPublish records the fingerprint of the inventory's Node that is about to be published, together with
 // all pending API updates.
 func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
-	n.publishPending = false
+	n.apiUpdatePending = false
 }
 
 // addTask records that a task runs on the node.
-func (n *node) addTask(added *task) { n.running[added.uid] = added }
+func (n *node) addTask(addedTask *task) { n.runningTasks[addedTask.uid] = addedTask }
 
 // removeTask records that a task no longer runs on the node.
-func (n *node) removeTask(ended *task) { delete(n.running, ended.uid) }
+func (n *node) removeTask(endedTask *task) { delete(n.runningTasks, endedTask.uid) }
 
 // addUnknownOutcome records that the node may have accepted an attempt.
-func (n *node) addUnknownOutcome(unresolved *attempt) {
+func (n *node) addUnknownOutcome(unresolvedAttempt *attempt) {
 	if n.unknownOutcomes == nil {
 		n.unknownOutcomes = map[*attempt]struct{}{}
 	}
-	n.unknownOutcomes[unresolved] = struct{}{}
+	n.unknownOutcomes[unresolvedAttempt] = struct{}{}
 }
 
 // removeUnknownOutcome records that the outcome of an attempt at the node has become known.
-func (n *node) removeUnknownOutcome(resolved *attempt) { delete(n.unknownOutcomes, resolved) }
+func (n *node) removeUnknownOutcome(resolvedAttempt *attempt) {
+	delete(n.unknownOutcomes, resolvedAttempt)
+}
 
 // unresolvedAttempts returns the attempts at the node whose outcome is unknown, ordered by the creation of
 // their tasks and then by attempt number.
 func (n *node) unresolvedAttempts() []*attempt {
-	unresolved := make([]*attempt, 0, len(n.unknownOutcomes))
+	attempts := make([]*attempt, 0, len(n.unknownOutcomes))
 	for attempt := range n.unknownOutcomes {
-		unresolved = append(unresolved, attempt)
+		attempts = append(attempts, attempt)
 	}
-	slices.SortFunc(unresolved, func(left, right *attempt) int {
+	slices.SortFunc(attempts, func(left, right *attempt) int {
 		return cmp.Or(cmp.Compare(left.task.sequence, right.task.sequence), cmp.Compare(left.number, right.number))
 	})
-	return unresolved
+	return attempts
 }
 
 // maxPastIncarnations is the number of past incarnations that are remembered for each node.
@@ -107,12 +109,12 @@
 	return previous != ""
 }
 
-// freeCapacity returns the cores and the memory in GiB that no Pod on a node requests. Both are 0 if the
-// Node has no valid annotation of its free capacity.
+// freeCapacity returns the cores and the memory in GiB of a node that no Pod requests. Both are 0 if the Node
+// has no valid annotation for its free capacity.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
-	free, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
+	freeValues, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
 		return 0, 0
 	}
-	return free[wellknown.DictCores], free[wellknown.DictMemory]
+	return freeValues[wellknown.DictCores], freeValues[wellknown.DictMemory]
 }
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -19,31 +19,31 @@
 // inventoryLabels are the labels of a Node that only the inventory may set.
 var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.NodeType}
 
-// publishNode stores a node as the API shows it: the Node of the inventory with the labels and the drain
-// request that API clients have set. The free capacity changes often; if nothing else changes, the Node is
+// publishNode stores the Node that the API shows: the Node of the inventory with the labels and the drain
+// request that API clients have set. The free capacity changes often. If nothing else changes, the Node is
 // stored at most once per minPublishInterval.
 func (p *publisher) publishNode(node *node) {
-	if node.inventory == nil {
+	if node.inventoryNode == nil {
 		p.store.Delete(store.Nodes, "", node.name)
 		return
 	}
-	stored := p.storedNode(node.name)
-	fingerprint, known := nodeFingerprint(node.inventory)
-	recent := p.now-node.publishedAt < minPublishInterval
-	changed := !known || fingerprint != node.publishedFingerprint || node.publishPending
-	if stored != nil && !changed && (recent || sameFreeCapacity(stored, node.inventory)) {
+	storedNode := p.storedNode(node.name)
+	fingerprint, encodable := nodeFingerprint(node.inventoryNode)
+	publishedRecently := p.now-node.publishedAt < minPublishInterval
+	changed := !encodable || fingerprint != node.publishedFingerprint || node.apiUpdatePending
+	if storedNode != nil && !changed && (publishedRecently || sameFreeCapacity(storedNode, node.inventoryNode)) {
 		return
 	}
 	node.beginPublish(fingerprint)
-	published := node.apiObject()
-	if stored != nil {
-		published.ResourceVersion = stored.ResourceVersion
-		if equality.Semantic.DeepEqual(stored, published) || recent && onlyFreeCapacityDiffers(stored, published) {
+	publishedNode := node.apiObject()
+	if storedNode != nil {
+		publishedNode.ResourceVersion = storedNode.ResourceVersion
+		if equality.Semantic.DeepEqual(storedNode, publishedNode) || publishedRecently && onlyFreeCapacityDiffers(storedNode, publishedNode) {
 			return
 		}
 	}
 	node.publishedAt = p.now
-	p.store.Put(store.Nodes, published)
+	p.store.Put(store.Nodes, publishedNode)
 }
 
 // sameFreeCapacity reports whether two Nodes state the same free capacity.
@@ -52,27 +52,27 @@
 }
 
 // onlyFreeCapacityDiffers reports whether two versions of a Node differ only in their free capacity. If it
-// returns true, it has set the free capacity of published to that of stored.
-func onlyFreeCapacityDiffers(stored, published *corev1.Node) bool {
-	if published.Annotations == nil {
+// returns true, it has set the free capacity of publishedNode to that of storedNode.
+func onlyFreeCapacityDiffers(storedNode, publishedNode *corev1.Node) bool {
+	if publishedNode.Annotations == nil {
 		return false // Without annotations, there is no free capacity that could differ.
 	}
-	free := published.Annotations[wellknown.FreeCapacity]
-	published.Annotations[wellknown.FreeCapacity] = stored.Annotations[wellknown.FreeCapacity]
-	if equality.Semantic.DeepEqual(stored, published) {
+	newFreeCapacity := publishedNode.Annotations[wellknown.FreeCapacity]
+	publishedNode.Annotations[wellknown.FreeCapacity] = storedNode.Annotations[wellknown.FreeCapacity]
+	if equality.Semantic.DeepEqual(storedNode, publishedNode) {
 		return true
 	}
-	published.Annotations[wellknown.FreeCapacity] = free
+	publishedNode.Annotations[wellknown.FreeCapacity] = newFreeCapacity
 	return false
 }
 
 // apiObject returns a new Node object for the node as the API shows it.
 func (n *node) apiObject() *corev1.Node {
-	object := n.inventory.DeepCopy()
+	object := n.inventoryNode.DeepCopy()
 	if n.labelOverride != nil {
 		object.Labels = maps.Clone(n.labelOverride)
 		for _, key := range inventoryLabels {
-			if value, ok := n.inventory.Labels[key]; ok {
+			if value, ok := n.inventoryNode.Labels[key]; ok {
 				object.Labels[key] = value
 			}
 		}
@@ -96,15 +96,15 @@
 	return false
 }
 
-// nodeFingerprint returns a hash of a Node of the inventory, without its free capacity and its resource
-// version. ok is false if the Node cannot be encoded.
+// nodeFingerprint returns a hash of a Node of the inventory. The hash ignores the free capacity and the
+// resource version. ok is false if the Node cannot be encoded.
 func nodeFingerprint(object *corev1.Node) (hash uint64, ok bool) {
-	stripped := *object
-	stripped.ResourceVersion = ""
-	if _, ok := stripped.Annotations[wellknown.FreeCapacity]; ok {
-		stripped.Annotations = maps.Clone(stripped.Annotations)
-		delete(stripped.Annotations, wellknown.FreeCapacity)
+	strippedNode := *object
+	strippedNode.ResourceVersion = ""
+	if _, ok := strippedNode.Annotations[wellknown.FreeCapacity]; ok {
+		strippedNode.Annotations = maps.Clone(strippedNode.Annotations)
+		delete(strippedNode.Annotations, wellknown.FreeCapacity)
 	}
-	encoded, err := stripped.Marshal()
+	encoded, err := strippedNode.Marshal()
 	return xxhash.Sum64(encoded), err == nil
 }
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -11,15 +11,15 @@
 	"heathshed/placer"
 )
 
-// Listing states which nodes a call of NodesListed contains.
+// Listing states what a call of NodesListed reports about the inventory.
 type Listing uint8
 
 const (
-	// FullList means that the call contains all nodes of the inventory.
+	// FullList means that the call reports all nodes of the inventory.
 	FullList Listing = iota
-	// Changes means that the call contains only nodes that were added, changed or removed.
+	// Changes means that the call reports only nodes that were added, changed or removed.
 	Changes
-	// ListUnavailable means that the inventory cannot be reached and the call contains no nodes. The last
+	// ListUnavailable means that the inventory cannot be reached and that the call reports no nodes. The last
 	// list remains valid.
 	ListUnavailable
 )
@@ -33,9 +33,9 @@
 
 	byName          map[string]*node
 	byID            map[placer.NodeID]*node
-	zones           map[string]int // index in the placer by name of the zone
-	racks           map[string]int // index in the placer by name of the rack
-	inventoryListed bool           // the inventory has been listed at least once
+	zones           map[string]int // index by which the placer knows a zone, by zone name
+	racks           map[string]int // index by which the placer knows a rack, by rack name
+	inventoryListed bool           // set once the inventory has been listed
 }
 
 // getByName returns the node with the given name, or nil if the node is unknown.
@@ -44,38 +44,38 @@
 // getByID returns the node with the given placer ID, or nil if the node is unknown.
 func (r *nodeRegistry) getByID(id placer.NodeID) *node { return r.byID[id] }
 
-// applyListing handles a list of nodes, or of changes to nodes, for Engine.NodesListed.
-func (r *nodeRegistry) applyListing(kind Listing, nodes []*corev1.Node, removed []string) {
+// applyListing implements Engine.NodesListed.
+func (r *nodeRegistry) applyListing(kind Listing, nodes []*corev1.Node, removedNames []string) {
 	if kind == ListUnavailable {
-		// The caller resumes its watch on its own. Only a list that the placer has requested needs an
-		// answer.
+		// The caller resumes its watch of the inventory by itself. The placer needs an answer only if it
+		// requests the lists.
 		if r.cfg.Placer.Discovery.MustPoll {
 			r.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
 		return
 	}
-	changed := r.applyNodes(nodes)
+	changedNodes := r.applyNodes(nodes)
 	list := placer.Changes
 	if kind == FullList {
 		list = placer.FullList
-		removed = append(removed, r.missingFromList(nodes)...)
-		slices.Sort(removed)
+		removedNames = append(removedNames, r.missingFromList(nodes)...)
+		slices.Sort(removedNames)
 	}
-	changed = append(changed, r.removeFromInventory(removed)...)
-	reported := make([]placer.Node, 0, len(changed))
-	for _, node := range changed {
-		reported = append(reported, r.refreshPlacerNode(node))
+	changedNodes = append(changedNodes, r.removeFromInventory(removedNames)...)
+	placerNodes := make([]placer.Node, 0, len(changedNodes))
+	for _, node := range changedNodes {
+		placerNodes = append(placerNodes, r.refreshPlacerNode(node))
 		r.publisher.publishNode(node)
 	}
 	r.inventoryListed = true
-	r.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: reported})
+	r.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: placerNodes})
 }
 
 // applyNodes updates the records of the given nodes and returns the records. It skips a node whose placer
 // ID already belongs to another node.
-func (r *nodeRegistry) applyNodes(listed []*corev1.Node) []*node {
-	var updated []*node
-	for _, object := range listed {
+func (r *nodeRegistry) applyNodes(listedNodes []*corev1.Node) []*node {
+	var updatedNodes []*node
+	for _, object := range listedNodes {
 		node := r.getOrAdd(object.Name)
 		if node == nil {
 			continue
@@ -83,25 +83,25 @@
 		r.setAddress(node, wellknown.NodeAddress(object))
 		// The list may be out of date and state an earlier incarnation, so it does not set
 		// node.incarnation. Only the node itself knows its present incarnation.
-		node.inventory = object
-		updated = append(updated, node)
+		node.inventoryNode = object
+		updatedNodes = append(updatedNodes, node)
 	}
-	return updated
+	return updatedNodes
 }
 
 // getOrAdd returns the node with the given name and adds it if it is unknown. It returns nil if the placer
 // ID of a new node already belongs to another node.
 func (r *nodeRegistry) getOrAdd(name string) *node {
-	if known := r.byName[name]; known != nil {
-		return known
+	if knownNode := r.byName[name]; knownNode != nil {
+		return knownNode
 	}
-	added := &node{name: name, id: placer.NodeID(xxhash.Sum64String(name)), running: map[types.UID]*task{}}
-	if r.byID[added.id] != nil {
+	addedNode := &node{name: name, id: placer.NodeID(xxhash.Sum64String(name)), runningTasks: map[types.UID]*task{}}
+	if r.byID[addedNode.id] != nil {
 		return nil
 	}
-	r.byName[name] = added
-	r.byID[added.id] = added
-	return added
+	r.byName[name] = addedNode
+	r.byID[addedNode.id] = addedNode
+	return addedNode
 }
 
 // setAddress records the address of a node. If the address has changed, the Pods of the node are watched at
@@ -120,33 +120,33 @@
 	}
 }
 
-// missingFromList returns the names of the nodes that are in the inventory according to their records but
-// not in a full list. The names are in random order.
-func (r *nodeRegistry) missingFromList(listed []*corev1.Node) []string {
-	names := make(map[string]bool, len(listed))
-	for _, object := range listed {
-		names[object.Name] = true
+// missingFromList returns the names of the nodes that were in the inventory until now but that a full list
+// does not contain. The names are in random order.
+func (r *nodeRegistry) missingFromList(listedNodes []*corev1.Node) []string {
+	listedNames := make(map[string]bool, len(listedNodes))
+	for _, object := range listedNodes {
+		listedNames[object.Name] = true
 	}
-	var missing []string
+	var missingNames []string
 	for name, node := range r.byName {
-		if !names[name] && node.inventory != nil {
-			missing = append(missing, name)
+		if !listedNames[name] && node.inventoryNode != nil {
+			missingNames = append(missingNames, name)
 		}
 	}
-	return missing
+	return missingNames
 }
 
 // removeFromInventory records that nodes have left the inventory. It returns the records of the nodes that
 // were in the inventory until now.
 func (r *nodeRegistry) removeFromInventory(names []string) []*node {
-	var removed []*node
+	var removedNodes []*node
 	for _, name := range names {
-		if node := r.byName[name]; node != nil && node.inventory != nil {
-			node.inventory = nil
-			removed = append(removed, node)
+		if node := r.byName[name]; node != nil && node.inventoryNode != nil {
+			node.inventoryNode = nil
+			removedNodes = append(removedNodes, node)
 		}
 	}
-	return removed
+	return removedNodes
 }
 
 // refreshPlacerNode updates the state of a node from its inventory entry and the drain request, and returns
@@ -154,13 +154,13 @@
 func (r *nodeRegistry) refreshPlacerNode(node *node) placer.Node {
 	previousState := node.state
 	node.state = placer.Terminated
-	reported := placer.Node{ID: node.id, NodeType: -1}
-	if object := node.inventory; object != nil {
-		reported.Zone = intern(r.zones, object.Labels[wellknown.Zone])
-		reported.Rack = intern(r.racks, object.Labels[wellknown.Rack])
-		reported.NodeType = slices.Index(r.cfg.NodeTypes, object.Labels[wellknown.NodeType])
-		reported.StartedAt = r.incarnationStart(node)
-		reported.FreeCores, reported.FreeMemory = freeCapacity(object)
+	placerNode := placer.Node{ID: node.id, NodeType: -1}
+	if object := node.inventoryNode; object != nil {
+		placerNode.Zone = intern(r.zones, object.Labels[wellknown.Zone])
+		placerNode.Rack = intern(r.racks, object.Labels[wellknown.Rack])
+		placerNode.NodeType = slices.Index(r.cfg.NodeTypes, object.Labels[wellknown.NodeType])
+		placerNode.StartedAt = r.incarnationStart(node)
+		placerNode.FreeCores, placerNode.FreeMemory = freeCapacity(object)
 		switch {
 		case node.drainRequested || object.Spec.Unschedulable:
 			node.state = placer.Draining
@@ -168,41 +168,42 @@
 			node.state = placer.Ready
 		}
 	}
-	reported.State = node.state
+	placerNode.State = node.state
 	if node.state == placer.Terminated && (previousState != placer.Terminated || !node.reportedToPlacer) {
 		r.startLossTimer(node)
 	}
 	node.reportedToPlacer = true
-	return reported
+	return placerNode
 }
 
-// incarnationStart returns when the incarnation that the inventory states for a node began, by this
-// scheduler's clock. 0 means long ago. An incarnation that appears after the first list counts as begun
-// when the inventory first listed it. The timestamp from the node is not used in this case, because clocks
-// differ between nodes: if the node's clock is behind, a node that has just started would not count as
-// warming up. The time of the list is later than the true start by at most the delay of the list, which
-// only makes the node warm up for longer.
+// incarnationStart returns the time at which the incarnation that the inventory states for a node started, by
+// this scheduler's clock. 0 means long ago. If the incarnation appeared after the first list, the result is
+// the time at which the inventory first listed it. The node's own timestamp is not used in this case, because
+// the clocks of nodes differ: a node that has just started and whose clock is behind would get no slow start.
+// The time of the list is later than the true start by the delay of the list, which only prolongs the slow
+// start.
 func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
-	incarnation := node.inventory.Status.NodeInfo.BootID
+	incarnation := node.inventoryNode.Status.NodeInfo.BootID
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
 		return node.listedStartedAt
 	}
-	stated := wellknown.ParseTimestamp(node.inventory.Annotations[wellknown.StartedAt])
+	statedStart := wellknown.ParseTimestamp(node.inventoryNode.Annotations[wellknown.StartedAt])
 	switch {
-	case stated == 0:
+	case statedStart == 0:
 		node.listedStartedAt = 0
 	case r.inventoryListed:
 		node.listedStartedAt = r.now
 	default:
-		// The node started before this scheduler did, so its own timestamp is the only information.
-		node.listedStartedAt = min(stated, r.now)
+		// The node was in the first list that this scheduler received. Only the node's own timestamp tells
+		// when the node started.
+		node.listedStartedAt = min(statedStart, r.now)
 	}
 	node.listedIncarnation = incarnation
 	return node.listedStartedAt
 }
 
-// startLossTimer records the present time as the start of the node loss timeout, and schedules
-// checkNodeLoss for the end of the timeout.
+// startLossTimer starts the node loss timeout of a node, and schedules checkNodeLoss for the end of the
+// timeout.
 func (r *nodeRegistry) startLossTimer(node *node) {
 	node.lossTimerStart = r.now
 	r.runAfter(r.cfg.NodeLossTimeout, func() { r.checkNodeLoss(node) })
@@ -212,11 +213,11 @@
 // whole node loss timeout. A non-idempotent task is not ended: the node may only be unreachable, and only
 // the node itself or a new incarnation of it can confirm that the task has ended.
 func (r *nodeRegistry) checkNodeLoss(node *node) {
-	waited := r.now - node.lossTimerStart
-	if node.state != placer.Terminated || node.podsWatched || waited < r.cfg.NodeLossTimeout {
+	elapsed := r.now - node.lossTimerStart
+	if node.state != placer.Terminated || node.podsWatched || elapsed < r.cfg.NodeLossTimeout {
 		return
 	}
-	for _, task := range inCreationOrder(node.running) {
+	for _, task := range inCreationOrder(node.runningTasks) {
 		if r.idempotencyOf(task) != placer.NonIdempotent {
 			r.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: node.name + " is gone"})
 		}
@@ -227,7 +228,7 @@
 
 // unwatchRemoved stops watching a node that has left the inventory and runs no tasks.
 func (r *nodeRegistry) unwatchRemoved(node *node) {
-	if node.inventory != nil || len(node.running) > 0 || node.address == "" {
+	if node.inventoryNode != nil || len(node.runningTasks) > 0 || node.address == "" {
 		return
 	}
 	r.emit(Effect{Kind: UnwatchNode, Node: node.name})
@@ -235,8 +236,8 @@
 	node.podsWatched = false
 }
 
-// countNodes returns the values of Engine.NodeCounts: the nodes that are ready or draining, and how many of
-// these have their Pods watched.
+// countNodes returns the number of nodes that are ready or draining, and the number of those whose Pods are
+// watched. It implements Engine.NodeCounts.
 func (r *nodeRegistry) countNodes() (listed, watched int) {
 	for _, node := range r.byName {
 		if node.state == placer.Terminated {
@@ -263,19 +264,20 @@
 	if !node.recordIncarnation(incarnation) {
 		return
 	}
-	for _, task := range inCreationOrder(node.running) {
-		if task.attempts.running.acceptedIncarnation != incarnation {
+	for _, task := range inCreationOrder(node.runningTasks) {
+		if task.attempts.runningAttempt.acceptedIncarnation != incarnation {
 			r.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: node.name + " restarted"})
 		}
 	}
-	for _, unresolved := range node.unresolvedAttempts() {
-		if unresolved.outcomeUnknown() {
-			r.outcomes.resolve(unresolved, true)
+	for _, unresolvedAttempt := range node.unresolvedAttempts() {
+		if unresolvedAttempt.outcomeUnknown() {
+			r.outcomes.resolve(unresolvedAttempt, true)
 		}
 	}
 }
 
-// markUnresponsive records for Engine.NodeUnresponsive that the Pods of a node can no longer be watched.
+// markUnresponsive records that the Pods of a node can no longer be watched. It implements
+// Engine.NodeUnresponsive.
 func (r *nodeRegistry) markUnresponsive(name string) {
 	node := r.byName[name]
 	if node == nil || !node.podsWatched {
--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -7,53 +7,53 @@
 
 func TestRecordIncarnation(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		known []string // incarnations that the node has stated before, in order
-		given string
-		want  bool // whether the given incarnation replaces a known one
+		name                string
+		earlierIncarnations []string // incarnations that the node has stated before, the oldest first
+		statedIncarnation   string
+		want                bool // whether statedIncarnation replaces a known incarnation
 	}{
 		{"first incarnation", nil, "a", false},
 		{"no incarnation stated", []string{"a"}, "", false},
 		{"present incarnation", []string{"a"}, "a", false},
 		{"new incarnation", []string{"a"}, "b", true},
-		{"late message of a past incarnation", []string{"a", "b"}, "a", false},
+		{"past incarnation in a late message", []string{"a", "b"}, "a", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			observed := &node{}
-			for _, incarnation := range test.known {
-				observed.recordIncarnation(incarnation)
+			testNode := &node{}
+			for _, incarnation := range test.earlierIncarnations {
+				testNode.recordIncarnation(incarnation)
 			}
-			if got := observed.recordIncarnation(test.given); got != test.want {
-				t.Errorf("recordIncarnation returned %v, want %v", got, test.want)
+			if got := testNode.recordIncarnation(test.statedIncarnation); got != test.want {
+				t.Errorf("recordIncarnation reported whether a known incarnation was replaced as %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestPastIncarnationsAreBounded checks that the memory for past incarnations does not grow without limit
-// if a node restarts often.
+// TestPastIncarnationsAreBounded checks that the list of past incarnations does not grow without limit if a
+// node restarts often.
 func TestPastIncarnationsAreBounded(t *testing.T) {
-	observed := &node{}
+	testNode := &node{}
 	for restart := range 10 * maxPastIncarnations {
-		observed.recordIncarnation(fmt.Sprint("incarnation-", restart))
+		testNode.recordIncarnation(fmt.Sprint("incarnation-", restart))
 	}
-	if got := len(observed.pastIncarnations); got != maxPastIncarnations {
-		t.Errorf("node remembers %d past incarnations, want %d", got, maxPastIncarnations)
+	if got := len(testNode.pastIncarnations); got != maxPastIncarnations {
+		t.Errorf("the node has a list of %d past incarnations, want %d", got, maxPastIncarnations)
 	}
 }
 
-// TestUnresolvedAttemptsInCreationOrder checks that unresolved attempts are returned in a fixed order. The
-// random iteration order of the map that holds them must not determine the order of effects.
+// TestUnresolvedAttemptsInCreationOrder checks that a node returns its attempts with an unknown outcome in a
+// fixed order. The random iteration order of the map that holds them must not determine the order of effects.
 func TestUnresolvedAttemptsInCreationOrder(t *testing.T) {
-	observed := &node{}
+	testNode := &node{}
 	for _, sequence := range []int{4, 1, 3, 0, 2} {
 		owner := &task{sequence: sequence}
-		observed.addUnknownOutcome(&attempt{task: owner, number: 2})
-		observed.addUnknownOutcome(&attempt{task: owner, number: 1})
+		testNode.addUnknownOutcome(&attempt{task: owner, number: 2})
+		testNode.addUnknownOutcome(&attempt{task: owner, number: 1})
 	}
-	for i, unresolved := range observed.unresolvedAttempts() {
-		if unresolved.task.sequence != i/2 || unresolved.number != i%2+1 {
-			t.Errorf("attempt at position %d is out of order: number %d of task %d", i, unresolved.number, unresolved.task.sequence)
+	for i, unresolvedAttempt := range testNode.unresolvedAttempts() {
+		if unresolvedAttempt.task.sequence != i/2 || unresolvedAttempt.number != i%2+1 {
+			t.Errorf("the attempt at position %d is out of order: it has number %d and belongs to the task with sequence %d", i, unresolvedAttempt.number, unresolvedAttempt.task.sequence)
 		}
 	}
 }
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -8,23 +8,23 @@
 	"heathshed/placer"
 )
 
-// updateNode changes the labels and the drain request of a node for Engine.UpdateNode.
+// updateNode implements Engine.UpdateNode: it changes the labels and the drain request of a node.
 func (r *nodeRegistry) updateNode(update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	node := r.byName[update.Name]
-	stored := r.publisher.storedNode(update.Name)
-	if node == nil || stored == nil {
+	storedNode := r.publisher.storedNode(update.Name)
+	if node == nil || storedNode == nil {
 		return nil, ErrNotFound
 	}
-	if err := checkPreconditions(stored, update.UID, update.ResourceVersion); err != nil {
+	if err := checkPreconditions(storedNode, update.UID, update.ResourceVersion); err != nil {
 		return nil, err
 	}
-	if invalid := validateNodeUpdate(stored, update); invalid != nil {
-		return nil, invalid
+	if invalidErr := validateNodeUpdate(storedNode, update); invalidErr != nil {
+		return nil, invalidErr
 	}
 	if dryRun {
-		return node.previewUpdate(stored, update, drain), nil
+		return node.previewUpdate(storedNode, update, drain), nil
 	}
-	if !maps.Equal(update.Labels, stored.Labels) {
+	if !maps.Equal(update.Labels, storedNode.Labels) {
 		node.overrideLabels(update.Labels)
 	}
 	if drain != nil && *drain != node.drainRequested {
@@ -37,9 +37,9 @@
 }
 
 // validateNodeUpdate returns an error if an update changes a label that only the inventory may set.
-func validateNodeUpdate(stored, update *corev1.Node) *InvalidError {
+func validateNodeUpdate(storedNode, update *corev1.Node) *InvalidError {
 	for _, key := range inventoryLabels {
-		if update.Labels[key] != stored.Labels[key] {
+		if update.Labels[key] != storedNode.Labels[key] {
 			return &InvalidError{
 				Field:  "metadata.labels[" + key + "]",
 				Detail: "the inventory sets the zone, the rack and the type of a node; they cannot be changed here",
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// previewUpdate returns the Node that an update would store, for a dry run.
-func (n *node) previewUpdate(stored, update *corev1.Node, drain *bool) *corev1.Node {
-	preview := stored.DeepCopy()
+// previewUpdate returns the Node that an update would store. It is used for dry runs.
+func (n *node) previewUpdate(storedNode, update *corev1.Node, drain *bool) *corev1.Node {
+	preview := storedNode.DeepCopy()
 	preview.Labels = update.Labels
 	if drain != nil {
-		preview.Spec.Unschedulable = *drain || n.inventory != nil && n.inventory.Spec.Unschedulable
+		preview.Spec.Unschedulable = *drain || n.inventoryNode != nil && n.inventoryNode.Spec.Unschedulable
 	}
 	return preview
 }
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -17,8 +17,8 @@
 	return revision
 }
 
-// Exit codes of containers. Nodes do not report exit codes, so the engine derives them from how a task
-// ended.
+// The engine stores these exit codes for the containers of ended tasks. Nodes do not report exit codes; the
+// engine derives them from the way in which a task ended.
 const (
 	exitSuccess = 0
 	exitFailure = 1
@@ -36,24 +36,24 @@
 	return exitKilled
 }
 
-// setPodCondition adds a condition to a Pod or replaces the condition of the same type. The time of the
-// last transition is only updated if the status of the condition changes.
+// setPodCondition adds a condition to a Pod or replaces the condition of the same type. The time of the last
+// transition changes only if the status of the condition changes.
 func setPodCondition(pod *corev1.Pod, condition corev1.PodCondition) {
 	for i := range pod.Status.Conditions {
-		stored := &pod.Status.Conditions[i]
-		if stored.Type != condition.Type {
+		storedCondition := &pod.Status.Conditions[i]
+		if storedCondition.Type != condition.Type {
 			continue
 		}
-		if stored.Status == condition.Status {
-			condition.LastTransitionTime = stored.LastTransitionTime
+		if storedCondition.Status == condition.Status {
+			condition.LastTransitionTime = storedCondition.LastTransitionTime
 		}
-		*stored = condition
+		*storedCondition = condition
 		return
 	}
 	pod.Status.Conditions = append(pod.Status.Conditions, condition)
 }
 
-// jobOwnerReference returns the owner reference of a Job's Pods.
+// jobOwnerReference returns the owner reference by which a Pod refers to its Job.
 func jobOwnerReference(job *job) metav1.OwnerReference {
 	isTrue := true
 	return metav1.OwnerReference{
@@ -66,18 +66,17 @@
 	}
 }
 
-// deletionGracePeriodSeconds is the grace period that a deleted Pod states. It is the default of the
-// Kubernetes API.
+// deletionGracePeriodSeconds is the grace period of deleted Pods. It is the default of the Kubernetes API.
 const deletionGracePeriodSeconds = 30
 
-// setPodPlaced records in a Pod that a node has accepted its task.
-func setPodPlaced(pod *corev1.Pod, now metav1.Time, node, message string) {
+// setPodPlaced records in a Pod that a node has accepted the Pod's task.
+func setPodPlaced(pod *corev1.Pod, now metav1.Time, nodeName, message string) {
 	setPodSettled(pod, now, outcomePlaced, message)
-	pod.Spec.NodeName = node
+	pod.Spec.NodeName = nodeName
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
-// setPodUnplaced records in a Pod that its task has ended without being placed.
+// setPodUnplaced records in a Pod that the Pod's task has ended without being placed.
 func setPodUnplaced(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
 	setPodSettled(pod, now, outcome, message)
 	pod.Status.Phase = corev1.PodFailed
@@ -125,7 +124,7 @@
 	}
 }
 
-// setPodEnded records in a Pod how its task ended.
+// setPodEnded records in a Pod how the Pod's task has ended.
 func setPodEnded(pod *corev1.Pod, now metav1.Time, end *taskEnd) {
 	pod.Status.Phase = corev1.PodFailed
 	if end.succeeded() {
@@ -139,11 +138,11 @@
 		Reason:             "PodCompleted",
 		LastTransitionTime: now,
 	})
-	terminated := corev1.ContainerStateTerminated{ExitCode: end.exitCode(), Reason: end.podReason, FinishedAt: now}
+	terminatedState := corev1.ContainerStateTerminated{ExitCode: end.exitCode(), Reason: end.podReason, FinishedAt: now}
 	for i := range pod.Status.ContainerStatuses {
-		container := &pod.Status.ContainerStatuses[i]
-		container.Ready = false
-		container.State = corev1.ContainerState{Terminated: terminated.DeepCopy()}
+		containerStatus := &pod.Status.ContainerStatuses[i]
+		containerStatus.Ready = false
+		containerStatus.State = corev1.ContainerState{Terminated: terminatedState.DeepCopy()}
 	}
 }
 
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -15,16 +15,16 @@
 	publisher     *publisher
 }
 
-// deleteByName deletes a Pod for Engine.DeletePod. It returns the Pod as it is stored afterwards, or as it
-// was last stored if it has been removed.
+// deleteByName implements Engine.DeletePod. It returns the Pod as it is stored afterwards, or as it was last
+// stored if it has been removed.
 func (c *podController) deleteByName(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	pod, err := c.find(namespace, name, uid, resourceVersion)
 	if err != nil {
 		return nil, err
 	}
 	c.delete(pod, stopDeleted)
-	if remaining := c.publisher.storedPod(namespace, name); remaining != nil {
-		return remaining, nil
+	if storedPod := c.publisher.storedPod(namespace, name); storedPod != nil {
+		return storedPod, nil
 	}
 	return pod, nil
 }
@@ -39,15 +39,15 @@
 	return pod, checkPreconditions(pod, uid, resourceVersion)
 }
 
-// evict stops the running task of a Pod for Engine.EvictPod, so that its Job starts it again. A Pod whose
-// task is not running is deleted.
+// evict implements Engine.EvictPod. It stops the running task of a Pod, and the Job of the task starts it
+// again. If the task of the Pod is not running, the Pod is deleted.
 func (c *podController) evict(namespace, name string, uid types.UID) error {
 	pod, err := c.find(namespace, name, uid, "")
 	if err != nil {
 		return err
 	}
 	task := c.tasks.get(pod.UID)
-	if task == nil || task.attempts.running == nil {
+	if task == nil || task.attempts.runningAttempt == nil {
 		c.delete(pod, stopEvicted)
 		return nil
 	}
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// delete stops the task of a Pod and marks the Pod as deleted. The Pod is removed once the task has ended,
-// or at once if the Pod has no task.
+// delete stops the task of a Pod and marks the Pod as being deleted. The Pod is removed once the task has
+// ended, or at once if the Pod has no task.
 func (c *podController) delete(pod *corev1.Pod, reason stopReason) {
 	task := c.tasks.get(pod.UID)
 	if task == nil {
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -18,37 +18,37 @@
 	adopter   *adopter
 }
 
-// observePodList handles a node's complete list of Pods for Engine.NodePods. A running task that is missing
-// in the list has ended.
-func (o *podObserver) observePodList(name, incarnation string, revision int64, pods []*corev1.Pod) {
-	node := o.nodes.getByName(name)
+// observePodList implements Engine.NodePods, which reports a node's complete list of Pods. A running task
+// that is missing from the list has ended.
+func (o *podObserver) observePodList(nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
+	node := o.nodes.getByName(nodeName)
 	if node == nil {
 		return
 	}
 	o.nodes.recordPodList(node, incarnation)
-	seen := map[types.UID]bool{}
+	reportedUIDs := map[types.UID]bool{}
 	for _, pod := range pods {
-		seen[pod.UID] = true
+		reportedUIDs[pod.UID] = true
 		o.observePod(node, pod, false)
 	}
-	for _, task := range inCreationOrder(node.running) {
-		// A task that the node accepted after it made the list has a newer revision than the list, and is
-		// not missing.
-		if !seen[task.uid] && task.attempts.running.revision <= revision {
+	for _, task := range inCreationOrder(node.runningTasks) {
+		// A task that the node accepted after it made the list has a newer revision than the list. Such a
+		// task is not missing.
+		if !reportedUIDs[task.uid] && task.attempts.runningAttempt.revision <= revision {
 			o.endMissingTask(task)
 		}
 	}
 }
 
-// observePodChange handles a node's report of one Pod for Engine.NodePod.
-func (o *podObserver) observePodChange(name string, pod *corev1.Pod, deleted bool) {
-	if node := o.nodes.getByName(name); node != nil {
+// observePodChange implements Engine.NodePod, which reports a change of one Pod.
+func (o *podObserver) observePodChange(nodeName string, pod *corev1.Pod, deleted bool) {
+	if node := o.nodes.getByName(nodeName); node != nil {
 		o.observePod(node, pod, deleted)
 	}
 }
 
-// observePod handles a node's report of a Pod: it updates the task that the Pod belongs to, adopts a Pod
-// without a task, or stops a surplus copy of a task.
+// observePod handles a node's report of a Pod. It updates the task to which the Pod belongs, adopts a Pod
+// without a task, or stops a duplicate of a task.
 func (o *podObserver) observePod(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
 	finished := deleted || wellknown.PodFinished(pod)
@@ -58,19 +58,19 @@
 		}
 		return
 	}
-	if pending := task.attempts.inFlight; pending != nil && pending.node == node {
+	if inFlightAttempt := task.attempts.inFlightAttempt; inFlightAttempt != nil && inFlightAttempt.node == node {
 		// The answer to the attempt may still arrive. The report is kept until the answer has arrived or is
 		// known to be lost.
-		pending.observe(newObservedPod(node, pod, deleted))
+		inFlightAttempt.keepReport(newPodReport(node, pod, deleted))
 		return
 	}
-	if running := task.attempts.running; running != nil && running.node == node {
+	if runningAttempt := task.attempts.runningAttempt; runningAttempt != nil && runningAttempt.node == node {
 		o.observeRunning(task, pod, deleted)
 		return
 	}
-	for _, unresolved := range task.attempts.unknownOutcomes {
-		if unresolved.node == node {
-			o.outcomes.observe(unresolved, newObservedPod(node, pod, deleted))
+	for _, unresolvedAttempt := range task.attempts.unknownOutcomes {
+		if unresolvedAttempt.node == node {
+			o.outcomes.observe(unresolvedAttempt, newPodReport(node, pod, deleted))
 			return
 		}
 	}
@@ -79,9 +79,9 @@
 	}
 }
 
-// newObservedPod returns a node's report of a Pod, with the node's present incarnation.
-func newObservedPod(node *node, pod *corev1.Pod, deleted bool) *observedPod {
-	return &observedPod{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
+// newPodReport returns the record of a node's report of a Pod. It contains the node's present incarnation.
+func newPodReport(node *node, pod *corev1.Pod, deleted bool) *podReport {
+	return &podReport{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
 }
 
 // observeRunning handles a node's report of the Pod of a task that the node has accepted.
@@ -98,14 +98,14 @@
 		if pod.Status.Phase == corev1.PodRunning {
 			o.lifecycle.recordStart(task)
 		}
-		o.reportUsage(task.attempts.running, pod)
+		o.reportUsage(task.attempts.runningAttempt, pod)
 	}
 }
 
-// reportUsage passes the resource usage that a node reports for a task on to the placer. It ignores usage
-// that is missing or cannot be parsed.
-func (o *podObserver) reportUsage(running *attempt, pod *corev1.Pod) {
-	used, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
+// reportUsage tells the placer which resource usage a node reports for a task. It ignores usage that is
+// missing or cannot be parsed.
+func (o *podObserver) reportUsage(runningAttempt *attempt, pod *corev1.Pod) {
+	usageValues, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
 	if err != nil {
 		return
 	}
@@ -113,16 +113,16 @@
 		name string
 		kind placer.UsageKind
 	}{{wellknown.DictCores, placer.CoresUsed}, {wellknown.DictMemory, placer.MemoryUsed}} {
-		if value, ok := used[usage.name]; ok {
-			o.post(running.usageEvent(usage.kind, value))
+		if value, ok := usageValues[usage.name]; ok {
+			o.post(runningAttempt.usageEvent(usage.kind, value))
 		}
 	}
 }
 
-// reasonError is the reason that a node reports for a Pod whose task failed by itself.
+// reasonError is the reason that a node reports for a Pod whose task has failed without being stopped.
 const reasonError = "Error"
 
-// endOfFailedPod returns how a task has ended whose Pod the node reports as failed.
+// endOfFailedPod describes the end of a task whose Pod is reported as failed by the node.
 func endOfFailedPod(task *task, pod *corev1.Pod) taskEnd {
 	end := taskEnd{result: placer.Lost, podReason: pod.Status.Reason, podMessage: pod.Status.Message}
 	switch pod.Status.Reason {
@@ -143,13 +143,13 @@
 	return end
 }
 
-// endMissingTask ends a task that was running on a node but that the node no longer reports. The task
-// counts as stopped if a stop was requested, and as lost otherwise.
+// endMissingTask ends a task that ran on a node and that the node no longer reports. The task counts as
+// stopped if the engine has ordered the node to stop it, and as lost otherwise.
 func (o *podObserver) endMissingTask(task *task) {
 	if task.isStopping() {
 		o.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
-	message := task.attempts.running.node.name + " no longer reports it"
+	message := task.attempts.runningAttempt.node.name + " no longer reports it"
 	o.lifecycle.recordEnd(task, taskEnd{result: placer.Lost, podReason: wellknown.NodeLost, podMessage: message})
 }
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -27,8 +27,8 @@
 
 // storedNode returns the stored Node with the given name, or nil if there is none.
 func (p *publisher) storedNode(name string) *corev1.Node {
-	stored, _ := p.store.Get(store.Nodes, "", name).(*corev1.Node)
-	return stored
+	storedNode, _ := p.store.Get(store.Nodes, "", name).(*corev1.Node)
+	return storedNode
 }
 
 func (p *publisher) putPod(pod *corev1.Pod) { p.store.Put(store.Pods, pod) }
@@ -37,8 +37,8 @@
 
 // storedPod returns the stored Pod with the given name, or nil if there is none.
 func (p *publisher) storedPod(namespace, name string) *corev1.Pod {
-	stored, _ := p.store.Get(store.Pods, namespace, name).(*corev1.Pod)
-	return stored
+	storedPod, _ := p.store.Get(store.Pods, namespace, name).(*corev1.Pod)
+	return storedPod
 }
 
 // podOfTask returns the stored Pod of a task, or nil if the Pod was removed.
@@ -50,19 +50,19 @@
 	return object.(*corev1.Pod)
 }
 
-// updatePod stores a copy of a task's Pod to which mutate has been applied. It does nothing if the Pod is
-// not stored. In the Spec, mutate may set only the node's name: the old and the new Pod share the rest of
-// the Spec.
+// updatePod copies a task's Pod, applies mutate to the copy, and stores the copy. It does nothing if the Pod
+// is not stored. In the Spec, mutate may set only the node's name, because the old and the new Pod share the
+// rest of the Spec.
 func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
-	stored := p.podOfTask(task)
-	if stored == nil {
+	storedPod := p.podOfTask(task)
+	if storedPod == nil {
 		return
 	}
-	updated := *stored
-	stored.ObjectMeta.DeepCopyInto(&updated.ObjectMeta)
-	stored.Status.DeepCopyInto(&updated.Status)
-	mutate(&updated)
-	p.putPod(&updated)
+	updatedPod := *storedPod
+	storedPod.ObjectMeta.DeepCopyInto(&updatedPod.ObjectMeta)
+	storedPod.Status.DeepCopyInto(&updatedPod.Status)
+	mutate(&updatedPod)
+	p.putPod(&updatedPod)
 }
 
 // addNamespaces stores a Namespace for the default namespace and for each tenant.
@@ -82,13 +82,13 @@
 
 func (p *publisher) podCount() int { return p.store.Len(store.Pods) }
 
-// objectCost returns an estimate of the memory in bytes that all stored objects take; see store.Cost.
+// objectCost returns the cost of all stored objects in bytes, as estimated by store.Cost.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
 
 // publishPlaced stores in a task's Pod that a node has accepted the task.
 func (p *publisher) publishPlaced(task *task, message string) {
-	node := task.attempts.running.node.name
-	p.updatePod(task, func(pod *corev1.Pod) { setPodPlaced(pod, p.apiNow(), node, message) })
+	nodeName := task.attempts.runningAttempt.node.name
+	p.updatePod(task, func(pod *corev1.Pod) { setPodPlaced(pod, p.apiNow(), nodeName, message) })
 }
 
 // publishUnplaced stores in a task's Pod that the task has ended without being placed.
@@ -96,18 +96,18 @@
 	p.updatePod(task, func(pod *corev1.Pod) { setPodUnplaced(pod, p.apiNow(), outcome, message) })
 }
 
-// publishNodeName stores the node of a task in its Pod, without changing the outcome that was published
-// before.
-func (p *publisher) publishNodeName(task *task, node string) {
-	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = node })
+// publishNodeName stores the name of a task's node in the task's Pod. It does not change the final outcome
+// that the Pod already states.
+func (p *publisher) publishNodeName(task *task, nodeName string) {
+	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = nodeName })
 }
 
-// publishStarted stores in a task's Pod that its containers are running.
+// publishStarted stores in a task's Pod that the Pod's containers are running.
 func (p *publisher) publishStarted(task *task) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodStarted(pod, p.apiNow()) })
 }
 
-// publishEnded stores in a task's Pod how the task ended.
+// publishEnded stores in a task's Pod how the task has ended.
 func (p *publisher) publishEnded(task *task, end *taskEnd) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodEnded(pod, p.apiNow(), end) })
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -12,8 +12,10 @@
 
 // outcomeReconciler determines the outcomes of attempts that nodes may have accepted, and stops duplicates of
 // tasks. An unknown outcome becomes known through a late answer, a report of the node's watch, the answer to
-// a stop order, or a new incarnation of the node. attemptHistory and node list the attempts with an unknown
-// outcome.
+// a stop order, or a new incarnation of the node. To fence an attempt means to order its node to stop the
+// task and to reject the attempt if it arrives later.
+//
+// The types attemptHistory and node list the attempts with an unknown outcome.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -25,8 +27,8 @@
 }
 
 // track starts to determine the outcome of an attempt that a node may have accepted. The attempt is fenced at
-// once if the task may run twice or is being stopped. Otherwise the engine waits until the task is found
-// running, for at most UnknownOutcomeTimeout.
+// once if the task may run twice or is being stopped. Otherwise the engine first waits, for at most
+// UnknownOutcomeTimeout, for a report that the task runs.
 func (r *outcomeReconciler) track(attempt *attempt) {
 	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
@@ -36,10 +38,10 @@
 		r.fence(attempt)
 		return
 	}
-	if observed := attempt.observed; observed != nil {
+	if report := attempt.latestReport; report != nil {
 		r.runAfter(0, func() {
 			if attempt.outcomeUnknown() {
-				r.observe(attempt, observed)
+				r.observe(attempt, report)
 				r.drainEvents()
 			}
 		})
@@ -73,7 +75,8 @@
 	r.lifecycle.removeIfResolved(task)
 }
 
-// awaitsOutcomes reports whether the next placement request of a task must wait until all outcomes are known.
+// awaitsOutcomes reports whether a task waits for the outcomes of its attempts before its next placement
+// request.
 func (r *outcomeReconciler) awaitsOutcomes(task *task) bool {
 	return task.state == taskWaiting && task.retryTimer != nil && r.idempotencyOf(task) != placer.Idempotent
 }
@@ -89,36 +92,37 @@
 }
 
 // observe handles a node's report about an attempt with an unknown outcome.
-func (r *outcomeReconciler) observe(attempt *attempt, observed *observedPod) {
-	if observed.deleted || wellknown.PodFinished(observed.pod) {
-		r.resolve(attempt, observed.pod.Status.Reason != wellknown.NeverStarted)
+func (r *outcomeReconciler) observe(attempt *attempt, report *podReport) {
+	if report.deleted || wellknown.PodFinished(report.pod) {
+		r.resolve(attempt, report.pod.Status.Reason != wellknown.NeverStarted)
 		return
 	}
 	task := attempt.task
-	r.bindOrFence(attempt, observed.incarnation, observed.revision)
-	if running := task.attempts.running; running != nil && running.node == attempt.node {
-		r.observer.observeRunning(task, observed.pod, false)
+	r.bindOrFence(attempt, report.incarnation, report.revision)
+	if runningAttempt := task.attempts.runningAttempt; runningAttempt != nil && runningAttempt.node == attempt.node {
+		r.observer.observeRunning(task, report.pod, false)
 	}
 }
 
-// bindOrFence handles an attempt that turns out to have been accepted. It binds the task to the attempt, or
-// fences the attempt if the task has another attempt or has ended.
+// bindOrFence handles an attempt with an unknown outcome that its node has accepted, as is known now. It
+// makes the attempt the running attempt of its task, or fences the attempt if the task has another one or has
+// ended.
 func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
 	task := attempt.task
 	if !task.state.canBind() || attempt.stopInFlight {
 		r.fence(attempt)
 		return
 	}
-	// The placer must not send the task to another node. The placement request is therefore withdrawn, and
-	// the task is reported to the placer as adopted.
+	// The task runs already, so the placer must not send it to another node. Its open placement request is
+	// withdrawn, and the task is reported to the placer as adopted.
 	r.untrack(attempt)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
 	r.adopter.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
 }
 
-// fence orders a node to stop a task that it may have accepted, or to reject the attempt if it arrives later.
-// The order is repeated until the node answers or has a new incarnation.
+// fence orders a node to stop a task that it may have accepted, and to reject the attempt if it arrives
+// later. The order is repeated until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(attempt *attempt) {
 	if !attempt.outcomeUnknown() || attempt.stopInFlight {
 		return
@@ -138,12 +142,12 @@
 	})
 }
 
-// fenceAll immediately fences all attempts of a task whose outcomes are unknown.
+// fenceAll fences all attempts of a task that have an unknown outcome, without further delay.
 func (r *outcomeReconciler) fenceAll(task *task) {
-	for _, unresolved := range slices.Clone(task.attempts.unknownOutcomes) {
-		r.stopTimer(unresolved.fenceTimer)
-		unresolved.fenceTimer = nil
-		r.fence(unresolved)
+	for _, unresolvedAttempt := range slices.Clone(task.attempts.unknownOutcomes) {
+		r.stopTimer(unresolvedAttempt.fenceTimer)
+		unresolvedAttempt.fenceTimer = nil
+		r.fence(unresolvedAttempt)
 	}
 }
 
@@ -155,8 +159,8 @@
 )
 
 // stopBackoff returns the delay before the next stop order, given the number of stop orders already sent.
-func stopBackoff(sent int) placer.Seconds {
-	return min(minStopDelay*placer.Seconds(int(1)<<min(sent, maxStopDoublings)), maxStopDelay)
+func stopBackoff(stopsSent int) placer.Seconds {
+	return min(minStopDelay*placer.Seconds(int(1)<<min(stopsSent, maxStopDoublings)), maxStopDelay)
 }
 
 // StopAnswer is a node's answer to StopTask.
@@ -165,7 +169,7 @@
 	Node        string
 	Attempt     int
 	Incarnation string // incarnation of the node
-	Answered    bool   // set if the node answered; otherwise only UID, Node and Attempt are valid
+	Answered    bool   // set if the node answered; if not, only UID, Node and Attempt are valid
 	HadTask     bool   // set if the node had accepted this attempt of the task
 	MayHaveRun  bool   // set if the task may have run on the node
 }
@@ -179,17 +183,18 @@
 	if task == nil {
 		return
 	}
-	if unresolved := task.attempts.unknownOutcomeAt(answer.Node, answer.Attempt); unresolved != nil {
-		r.handleFenceAnswer(unresolved, &answer)
+	if unresolvedAttempt := task.attempts.unresolvedAttemptAt(answer.Node, answer.Attempt); unresolvedAttempt != nil {
+		r.handleFenceAnswer(unresolvedAttempt, &answer)
 		return
 	}
-	if running := task.attempts.running; running.matches(answer.Node, answer.Attempt) && task.isStopping() {
-		r.handleRunningStopAnswer(running, &answer)
+	if runningAttempt := task.attempts.runningAttempt; runningAttempt.matches(answer.Node, answer.Attempt) && task.isStopping() {
+		r.handleRunningStopAnswer(runningAttempt, &answer)
 	}
 }
 
-// handleFenceAnswer handles the answer to a stop order for an attempt with an unknown outcome. A node without
-// the task can answer only for its current incarnation: an earlier incarnation may have run the task.
+// handleFenceAnswer handles the answer to a stop order for an attempt with an unknown outcome. If the node
+// does not have the task, its answer is valid only for its current incarnation: an earlier incarnation may
+// have run the task.
 func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
 	attempt.stopInFlight = false
 	if !answer.Answered {
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -9,17 +9,17 @@
 	"heathshed/placer"
 )
 
-// placementRequest is one request to the placer to place a task. A retry is a new placement request with its
-// own number.
+// placementRequest is one request to the placer to place a task. A retry is a new placement request with a
+// new ID.
 type placementRequest struct {
 	id       placer.TaskID
 	task     *task
 	attempts []*attempt
-	closed   bool // set once the request is withdrawn, decided by the placer, or ended by an accepted attempt
-	isRetry  bool // set if the placer had an earlier request for the same task
+	closed   bool // set once the request is shed or withdrawn, has the placer's final answer, or has an accepted attempt
+	isRetry  bool // set if an earlier request for the same task was submitted to the placer
 }
 
-// close records that the request is decided or withdrawn.
+// close records that the request has ended.
 func (r *placementRequest) close() { r.closed = true }
 
 func (r *placementRequest) addAttempt(attempt *attempt) { r.attempts = append(r.attempts, attempt) }
@@ -30,7 +30,8 @@
 }
 
 // requestTable holds the placement requests that are open or that have an attempt in flight or running. It
-// passes new requests through the admission controller to the placer.
+// passes new requests through the admission controller to the placer. This controller (package admission) is
+// not an admission controller of a Kubernetes API server.
 type requestTable struct {
 	*environment
 	tasks     *taskTable
@@ -38,9 +39,9 @@
 	attempts  *attemptTracker
 
 	byID      map[placer.TaskID]*placementRequest
-	lastID    placer.TaskID
+	lastID    placer.TaskID // ID of the latest placement request
 	admission *admission.Controller
-	pollTimer *timer // timer of the next poll of the admission controller
+	pollTimer *timer // fires when the admission controller must be polled next
 }
 
 // get returns the placement request with the given ID, or nil if it is unknown.
@@ -55,8 +56,8 @@
 	request.task.request = request
 }
 
-// place creates a placement request for a task and submits it to the admission controller. If it is admitted
-// at once, it is passed on to the placer.
+// place creates a placement request for a task and submits the request to the admission
+// controller. If the request is admitted at once, it is passed on to the placer.
 func (r *requestTable) place(task *task) {
 	request := &placementRequest{task: task, isRetry: task.requestsSubmitted > 0}
 	r.add(request)
@@ -64,19 +65,19 @@
 	if request.isRetry || task.wasShed {
 		r.stats.Retries++
 	}
-	decision, shed := r.admission.Submit(r.now, r.admissionRequest(request))
+	decision, shedRequest := r.admission.Submit(r.now, r.admissionRequest(request))
 	switch decision {
 	case admission.Admit:
 		r.submit(request)
 	case admission.Queue:
 		r.tasks.setState(task, taskQueued)
 	case admission.Shed:
-		r.shed(request, shed)
+		r.shedRequest(request, shedRequest)
 	}
 }
 
 // admissionRequest describes a placement request to the admission controller. The cost is the task's share of
-// a node of the first type, in cores or in memory, whichever is larger.
+// the capacity of a node of the first node type, in cores or in memory, whichever share is larger.
 func (r *requestTable) admissionRequest(request *placementRequest) admission.Request {
 	task := request.task
 	class := &r.cfg.Placer.Classes[task.class]
@@ -99,14 +100,15 @@
 	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
 
-// submit passes an admitted placement request to the placer. The deadline of the request counts from now.
+// submit passes an admitted placement request to the placer. The time limit of the class starts now, and not
+// when the request was queued.
 func (r *requestTable) submit(request *placementRequest) {
 	task := request.task
 	r.tasks.setState(task, taskSubmitted)
 	task.requestsSubmitted++
-	submitted := r.placerTask(request, r.deadline(task))
-	submitted.IsRetry = request.isRetry
-	r.post(placer.Event{Kind: placer.Arrived, Task: submitted})
+	submittedTask := r.placerTask(request, r.deadline(task))
+	submittedTask.IsRetry = request.isRetry
+	r.post(placer.Event{Kind: placer.Arrived, Task: submittedTask})
 }
 
 // placerTask describes the task of a placement request to the placer.
@@ -123,29 +125,30 @@
 	}
 }
 
-// shed ends a placement request that the admission controller has shed. No attempt was made for the request.
-func (r *requestTable) shed(request *placementRequest, shed admission.ShedRequest) {
+// handleShed ends a placement request that the admission controller has shed, that is, rejected without
+// passing it to the placer. No attempt was made for the request.
+func (r *requestTable) shedRequest(request *placementRequest, shedRequest admission.ShedRequest) {
 	r.stats.Shed++
 	request.close()
 	request.task.wasShed = true
 	r.removeIfUnused(request)
-	request.task.attempts.recordFailure("shed: " + shed.Reason)
-	r.lifecycle.retryOrSettle(request.task, retry.Shed, shed.RetryAfter)
+	request.task.attempts.recordFailure("shed: " + shedRequest.Reason)
+	r.lifecycle.retryOrSettle(request.task, retry.Shed, shedRequest.RetryAfter)
 }
 
 // admitQueued polls the admission controller. It submits the queued placement requests that are now admitted,
 // ends those that are shed, and schedules the next poll.
 func (r *requestTable) admitQueued() {
 	for {
-		admitted, shed := r.admission.Poll(r.now)
-		for _, id := range admitted {
+		admittedIDs, shedRequests := r.admission.Poll(r.now)
+		for _, id := range admittedIDs {
 			r.submit(r.byID[placer.TaskID(id)])
 		}
-		for _, request := range shed {
-			r.shed(r.byID[placer.TaskID(request.ID)], request)
+		for _, shedRequest := range shedRequests {
+			r.shedRequest(r.byID[placer.TaskID(shedRequest.ID)], shedRequest)
 		}
 		r.drainEvents()
-		if len(admitted)+len(shed) == 0 {
+		if len(admittedIDs)+len(shedRequests) == 0 {
 			break
 		}
 	}
@@ -183,23 +186,23 @@
 	r.removeIfUnused(request)
 }
 
-// handleUnplaced handles the placer's final answer to a request that was not placed. An attempt that is still
-// in flight was not answered by the deadline of the request, and is abandoned.
+// handleUnplaced handles the placer's final answer to a request whose task was not placed. An attempt that is
+// still in flight has not been answered by the deadline of the request, and is abandoned.
 func (r *requestTable) handleUnplaced(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
 	if request == nil || request.closed {
 		return
 	}
 	r.complete(request, false)
-	if inFlight := request.task.attempts.inFlight; inFlight != nil {
-		r.attempts.abandon(inFlight, placer.TimedOut)
+	if inFlightAttempt := request.task.attempts.inFlightAttempt; inFlightAttempt != nil {
+		r.attempts.abandon(inFlightAttempt, placer.TimedOut)
 	}
 	r.removeIfUnused(request)
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
-// complete closes a placement request that the placer has decided, and reports the result to the admission
-// controller.
+// complete closes a placement request when the placer has answered it or a node has accepted an attempt. It
+// reports the result to the admission controller.
 func (r *requestTable) complete(request *placementRequest, accepted bool) {
 	request.close()
 	r.admission.Complete(r.now, uint64(request.id), accepted)
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -13,6 +13,7 @@
 	"heathshed/internal/kube/wellknown"
 )
 
+// pointerTo returns a pointer to a copy of a value.
 func pointerTo[T any](value T) *T { return &value }
 
 // randomJob returns a random Job, which is sometimes invalid.
@@ -65,6 +66,7 @@
 	}
 }
 
+// createJob creates a random Job.
 func (s *script) createJob(dryRun bool) {
 	job := s.randomJob()
 	created, err := s.engine.CreateJob(s.now, job, dryRun)
@@ -90,6 +92,7 @@
 	return picked
 }
 
+// updateJob sends a random update of a random Job, which is sometimes invalid.
 func (s *script) updateJob() {
 	object := s.randomObject(store.Jobs)
 	if object == nil {
@@ -120,6 +123,7 @@
 	s.recordResult(s.engine.UpdateJob(s.now, update, dryRun))
 }
 
+// deleteJob deletes a random Job with a random propagation policy. The preconditions sometimes do not hold.
 func (s *script) deleteJob() {
 	object := s.randomObject(store.Jobs)
 	if object == nil {
@@ -141,6 +145,7 @@
 	s.recordResult(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, propagation))
 }
 
+// stopPod evicts or deletes a random Pod. The name or the UID is sometimes wrong.
 func (s *script) stopPod(evict bool) {
 	object := s.randomObject(store.Pods)
 	if object == nil {
@@ -160,19 +165,20 @@
 	s.recordResult(s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, ""))
 }
 
+// updateNode sends a random update of a random Node, which is sometimes invalid.
 func (s *script) updateNode() {
 	object := s.randomObject(store.Nodes)
 	if object == nil {
 		return
 	}
 	update := object.DeepCopyObject().(*corev1.Node)
-	var order *bool
+	var drain *bool
 	dryRun := s.rng.IntN(6) == 0
 	switch s.rng.IntN(10) {
 	case 0, 1:
-		order = pointerTo(true)
+		drain = pointerTo(true)
 	case 2, 3, 4, 5:
-		order = pointerTo(false)
+		drain = pointerTo(false)
 	case 6:
 		update.Labels["extra"] = strconv.Itoa(s.rng.IntN(3))
 	case 7:
@@ -182,5 +188,5 @@
 	case 9:
 		update.Name = "missing"
 	}
-	s.recordResult(s.engine.UpdateNode(s.now, update, order, dryRun))
+	s.recordResult(s.engine.UpdateNode(s.now, update, drain, dryRun))
 }
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -13,8 +13,8 @@
 	"heathshed/placer"
 )
 
-// fakeNode is a node of a script. It answers attempts and stop orders at random and runs the Pods that it
-// has accepted.
+// fakeNode is an emulated node. It gives random answers to attempts and stop orders, and runs the Pods that
+// it has accepted.
 type fakeNode struct {
 	name        string
 	incarnation int
@@ -22,17 +22,19 @@
 	ready       bool
 	removed     bool
 	draining    bool
-	pods        []*corev1.Pod // accepted Pods in order of acceptance
-	fencedUpTo  map[types.UID]int
+	pods        []*corev1.Pod     // accepted Pods in order of acceptance
+	fencedUpTo  map[types.UID]int // highest attempt number that the node rejects, by the UID of the Pod
 }
 
 func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
 
-func (n *fakeNode) find(uid types.UID) int {
+// podIndex returns the index of a Pod in pods, or -1 if the node does not have the Pod.
+func (n *fakeNode) podIndex(uid types.UID) int {
 	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
 }
 
-// answerAttempt makes a node accept, reject, lose or ignore an attempt, at random.
+// answerAttempt makes a node accept, reject or ignore an attempt at random, and schedules the answer, which
+// may be lost or late.
 func (s *script) answerAttempt(effect engine.Effect) {
 	node := s.nodeByName(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
@@ -58,20 +60,21 @@
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
 		if draw > 90 {
-			answer.Pod = node.pods[node.find(effect.UID)]
+			answer.Pod = node.pods[node.podIndex(effect.UID)]
 		}
 	}
 	s.schedule(delay, func() { s.engine.AttemptDone(s.now, answer) })
 }
 
-// accept makes a node accept a task and schedules the task's start and end. It returns the node's revision.
+// accept makes a node accept a Pod, and schedules the start and the end of the Pod's task. It returns the
+// revision of the Pod at the node.
 func (s *script) accept(node *fakeNode, effect engine.Effect) int64 {
 	node.revision++
 	pod := effect.Pod.DeepCopy()
 	pod.Annotations[wellknown.AttemptAnnotation] = strconv.Itoa(effect.Attempt)
 	pod.ResourceVersion = strconv.FormatInt(node.revision, 10)
 	pod.Status.Phase = corev1.PodPending
-	if i := node.find(pod.UID); i >= 0 {
+	if i := node.podIndex(pod.UID); i >= 0 {
 		node.pods[i] = pod
 		return node.revision
 	}
@@ -80,8 +83,8 @@
 	return node.revision
 }
 
-// scheduleTaskRun schedules what the watch of a node's Pods reports about a task: its start, its end, and
-// sometimes that its Pod vanishes.
+// scheduleTaskRun schedules the reports of a node's watch about the Pod of a task: the task starts, the task
+// ends, and sometimes the Pod is deleted early.
 func (s *script) scheduleTaskRun(node *fakeNode, uid types.UID) {
 	incarnation := node.incarnation
 	reasons := []string{
@@ -110,7 +113,7 @@
 // runs at that time.
 func (s *script) schedulePodChange(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
 	s.schedule(delay, func() {
-		i := node.find(uid)
+		i := node.podIndex(uid)
 		if node.incarnation != incarnation || i < 0 {
 			return
 		}
@@ -124,16 +127,17 @@
 		}
 		s.engine.NodePod(s.now, node.name, pod, remove)
 	})
-	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 keeps the call even if the scheduler restarts before it is due.
+	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 means that the call is made even if the scheduler restarts first.
 }
 
+// answerStop makes a node carry out a stop order or ignore it, at random, and schedules the answer.
 func (s *script) answerStop(effect engine.Effect) {
 	node := s.nodeByName(effect.Node)
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
 	if node.ready && !node.removed && s.rng.IntN(10) > 1 {
 		answer.Answered, answer.Incarnation = true, node.incarnationID()
 		node.fencedUpTo[effect.UID] = max(node.fencedUpTo[effect.UID], effect.Attempt)
-		if i := node.find(effect.UID); i >= 0 {
+		if i := node.podIndex(effect.UID); i >= 0 {
 			answer.HadTask, answer.MayHaveRun = true, node.pods[i].Status.Phase == corev1.PodRunning
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
@@ -141,19 +145,20 @@
 	s.schedule(s.randomDelay(0.005, 0.2), func() { s.engine.StopDone(s.now, answer) })
 }
 
-// listPods reports all Pods of a node to the engine.
-func (s *script) listPods(node *fakeNode) {
+// reportPodList reports the complete list of a node's Pods to the engine.
+func (s *script) reportPodList(node *fakeNode) {
 	if node.ready && !node.removed {
 		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
 	}
 }
 
+// nodeObject returns the Node object by which the inventory describes a node.
 func (s *script) nodeObject(node *fakeNode) *corev1.Node {
-	index := slices.Index(s.nodes, node)
+	nodeIndex := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
 	object.Name, object.UID = node.name, types.UID("uid-"+node.name)
-	object.Labels = map[string]string{wellknown.NodeType: []string{"standard", "large"}[index%2], wellknown.Zone: "zone-" + string(rune('a'+index%3)),
-		wellknown.Rack: fmt.Sprintf("rack-%d", index%4)}
+	object.Labels = map[string]string{wellknown.NodeType: []string{"standard", "large"}[nodeIndex%2], wellknown.Zone: "zone-" + string(rune('a'+nodeIndex%3)),
+		wellknown.Rack: fmt.Sprintf("rack-%d", nodeIndex%4)}
 	object.Annotations = map[string]string{wellknown.FreeCapacity: wellknown.FormatCapacity(max(32-float64(len(node.pods)), 1), 60.5)}
 	if node.incarnation > 1 {
 		object.Annotations[wellknown.StartedAt] = wellknown.FormatTimestamp(s.now - 1)
@@ -165,21 +170,23 @@
 		status = corev1.ConditionUnknown
 	}
 	object.Status.Conditions = []corev1.NodeCondition{{Type: corev1.NodeReady, Status: status}}
-	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", index+node.incarnation)}}
+	object.Status.Addresses = []corev1.NodeAddress{{Type: corev1.NodeInternalIP, Address: fmt.Sprintf("127.0.0.%d", nodeIndex+node.incarnation)}}
 	object.Status.DaemonEndpoints.KubeletEndpoint.Port = 10250
 	return object
 }
 
+// sendFullList reports all nodes of the inventory to the engine.
 func (s *script) sendFullList() {
-	var list []*corev1.Node
+	var listedNodes []*corev1.Node
 	for _, node := range s.nodes {
 		if !node.removed {
-			list = append(list, s.nodeObject(node))
+			listedNodes = append(listedNodes, s.nodeObject(node))
 		}
 	}
-	s.engine.NodesListed(s.now, engine.FullList, list, nil)
+	s.engine.NodesListed(s.now, engine.FullList, listedNodes, nil)
 }
 
+// sendNodeChange reports the inventory's change of one node to the engine.
 func (s *script) sendNodeChange(node *fakeNode) {
 	if node.removed {
 		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
@@ -188,14 +195,14 @@
 	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.nodeObject(node)}, nil)
 }
 
-// nodeFault restarts, disconnects, removes or drains a random node, restores it, or sends the engine an
-// unusual report.
-func (s *script) nodeFault() {
+// injectNodeFault restarts, disconnects, removes, drains or restores a random node, or sends an unusual
+// report to the engine.
+func (s *script) injectNodeFault() {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
 	case 0, 1:
 		node.incarnation, node.pods, node.fencedUpTo = node.incarnation+1, nil, map[types.UID]int{}
-		s.schedule(0.3, func() { s.listPods(node) })
+		s.schedule(0.3, func() { s.reportPodList(node) })
 		s.sendNodeChange(node)
 	case 2:
 		node.ready = false
@@ -214,12 +221,12 @@
 	case 6:
 		s.sendFullList()
 	case 7, 8:
-		s.listPods(node)
+		s.reportPodList(node)
 	case 9:
 		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
 	default:
 		node.ready, node.removed, node.draining = true, false, false
-		s.schedule(0.1, func() { s.listPods(node) })
+		s.schedule(0.1, func() { s.reportPodList(node) })
 		s.sendNodeChange(node)
 	}
 }
