--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -26,8 +26,8 @@
 // delayedCall is a call of the engine that is due later.
 type delayedCall struct {
 	at          placer.Seconds
-	sequence    int
-	incarnation int
+	sequence    int // number of the call, which orders calls that are due at the same time
+	incarnation int // number of the engine for which the call is made; 0 means any engine
 	call        func()
 }
 
@@ -38,27 +38,29 @@
 	rng          *rand.Rand
 	config       engine.Config
 	engine       *engine.Engine
-	incarnation  int
+	incarnation  int // number of the present engine; grows by one with each restart
 	now          placer.Seconds
 	nodes        []*fakeNode
 	delayedCalls []delayedCall
-	sequence     int
-	revision     int64
-	jobs         []string
+	sequence     int      // number of the latest delayed call
+	revision     int64    // revision up to which the changes of the store have been recorded
+	jobs         []string // namespaces and names of the created Jobs
 	recorder     *goldentest.Recorder
-	effectCounts [8]int64 // number of effects by kind
-	changeCounts [4][3]int64
-	errorCounts  map[string]int64
+	effectCounts [8]int64         // number of effects by kind of effect
+	changeCounts [4][3]int64      // number of stored changes by table and by kind of change
+	errorCounts  map[string]int64 // number of errors by error text
 }
 
-func newScript(t *testing.T, seed uint64, change func(*engine.Config)) *script {
+// newScript returns a script with ten nodes and a new engine. configure, if not nil, modifies the engine's
+// configuration.
+func newScript(t *testing.T, seed uint64, configure func(*engine.Config)) *script {
 	t.Helper()
 	defaults := config.Default()
 	defaults.Tenants = []config.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
 	defaults.Limits.FinishedTTL = 40
 	config := defaults.Engine(seed, 1000)
-	if change != nil {
-		change(&config)
+	if configure != nil {
+		configure(&config)
 	}
 	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 77)), config: config, now: scriptStartTime, recorder: goldentest.NewRecorder(),
 		errorCounts: map[string]int64{}}
@@ -69,24 +71,24 @@
 	return s
 }
 
-// restart replaces the engine by a new one, as after a crash of the scheduler.
+// restart replaces the engine by a new one, as a restart after a crash of the scheduler does.
 func (s *script) restart() {
 	s.incarnation++
 	config := s.config
 	config.Seed += uint64(s.incarnation) * 7919
 	config.BaseRevision = s.revision + 1000
-	created, err := engine.New(config)
+	newEngine, err := engine.New(config)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.engine, s.revision = created, config.BaseRevision
+	s.engine, s.revision = newEngine, config.BaseRevision
 	s.recordState()
 	s.schedule(0.05, s.sendFullList)
 }
 
-// randomDelay returns a random delay between least and least + spread.
-func (s *script) randomDelay(least, spread float64) placer.Seconds {
-	return placer.Seconds(least + spread*s.rng.Float64())
+// randomDelay returns a random delay between minDelay and minDelay + spread.
+func (s *script) randomDelay(minDelay, spread float64) placer.Seconds {
+	return placer.Seconds(minDelay + spread*s.rng.Float64())
 }
 
 // schedule schedules a call of the current engine. The call is not made if the engine is replaced first.
@@ -123,16 +125,16 @@
 }
 
 func (s *script) recordObject(object interface{ Marshal() ([]byte, error) }) {
-	binary, err := object.Marshal()
+	encodedBinary, err := object.Marshal()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	text, err := json.Marshal(object)
+	encodedJSON, err := json.Marshal(object)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.recorder.Bytes(binary)
-	s.recorder.Bytes(text)
+	s.recorder.Bytes(encodedBinary)
+	s.recorder.Bytes(encodedJSON)
 }
 
 // recordChanges records all changes of the store since the last call, in order of revision.
@@ -183,6 +185,7 @@
 	return nil
 }
 
+// handleEffect carries out an effect of the engine.
 func (s *script) handleEffect(effect engine.Effect) {
 	switch effect.Kind {
 	case engine.SendAttempt:
@@ -190,7 +193,7 @@
 	case engine.StopTask:
 		s.answerStop(effect)
 	case engine.WatchNode:
-		s.schedule(s.randomDelay(0.02, 0.1), func() { s.listPods(s.nodeByName(effect.Node)) })
+		s.schedule(s.randomDelay(0.02, 0.1), func() { s.reportPodList(s.nodeByName(effect.Node)) })
 	case engine.RelistNodes:
 		s.schedule(0.05, s.sendFullList)
 	}
@@ -212,42 +215,44 @@
 	case draw < 80:
 		s.updateNode()
 	default:
-		s.nodeFault()
+		s.injectNodeFault()
 	}
 	s.recordState()
 }
 
-// advance moves the time forward, running all timers and delayed calls that are due by then in order.
+// advance moves the time forward. It runs the engine's timers and the delayed calls that are due until then,
+// in the order of their times.
 func (s *script) advance(until placer.Seconds) {
 	for {
 		next := s.engine.NextWake()
 		slices.SortStableFunc(s.delayedCalls, func(left, right delayedCall) int {
 			return cmp.Or(cmp.Compare(left.at, right.at), cmp.Compare(left.sequence, right.sequence))
 		})
-		queued := len(s.delayedCalls) > 0 && s.delayedCalls[0].at < next
-		if queued {
+		callIsNext := len(s.delayedCalls) > 0 && s.delayedCalls[0].at < next
+		if callIsNext {
 			next = s.delayedCalls[0].at
 		}
 		if next > until {
 			break
 		}
 		s.now = max(s.now, next)
-		if !queued {
+		if !callIsNext {
 			s.engine.Tick(s.now)
 			s.recordState()
 			continue
 		}
-		due := s.delayedCalls[0]
+		dueCall := s.delayedCalls[0]
 		s.delayedCalls = s.delayedCalls[1:]
-		if due.incarnation == 0 || due.incarnation == s.incarnation {
-			due.call()
+		if dueCall.incarnation == 0 || dueCall.incarnation == s.incarnation {
+			dueCall.call()
 			s.recordState()
 		}
 	}
 	s.now = until
 }
 
-// checkpoint adds the counters of the engine to the digest in a fixed order, and writes the digest so far.
+// checkpoint adds the counters of the engine to the record, and writes a line with the counters and the
+// digest of the record up to now.
 func (s *script) checkpoint(label string) {
 	stats := s.engine.Stats
 	counters := []uint64{
@@ -264,8 +269,8 @@
 }
 
 // finish waits until all tasks have ended, stops the engine while new tasks are waiting, and records the
-// errors that occurred and the final state of all Pods. No task awaits a new start after it ran when the
-// engine stops; TestStopWhileTaskAwaitsRerun covers that case.
+// errors that occurred and the final state of all Pods. When the engine stops, no completion index waits to
+// be started again after its task ended; TestStopWhileTaskAwaitsRerun covers this case.
 func (s *script) finish() {
 	s.advance(s.now + 90)
 	s.checkpoint("before the stop")
--- a/internal/kube/engine/task.go
+++ b/internal/kube/engine/task.go
@@ -23,16 +23,16 @@
 type placementSpec struct {
 	class, tenant int
 	service       placer.ServiceID
-	cores, memory float64 // memory in GiB
+	cores, memory float64 // requested by the Pod; memory is in GiB
 }
 
-// task is the state of one Pod. Placement is requested until the task is placed, rejected or failed. A placed
-// task is tracked until it ends.
+// task is the engine's record of one Pod. Placement is requested until the task is placed or gets the final
+// outcome Rejected or Failed. A placed task is tracked until it ends.
 type task struct {
-	sequence int // position in the order of creation
+	sequence int // position of the task in the order of creation
 	podIdentity
 	placementSpec
-	job      *job           // nil if the Job is unknown, or was deleted without deleting its Pods
+	job      *job           // nil if the Job is unknown or was deleted without its Pods
 	index    int            // completion index within the Job
 	deadline placer.Seconds // time after which the client no longer waits for the outcome
 
@@ -42,7 +42,7 @@
 	request           *placementRequest // latest placement request; nil if there is none
 	requestsSubmitted int               // number of requests that were submitted to the placer
 	retryBudget       int               // number of remaining retries
-	retryTimer        *timer            // next retry, or end of the wait for an unknown outcome
+	retryTimer        *timer            // fires when a retry is due or when the wait for an unknown outcome ends
 	wasShed           bool              // set if the admission controller has shed a request of the task
 
 	attempts attemptHistory
@@ -51,7 +51,7 @@
 	podDeleted bool // set if the Pod must be removed as soon as the task has ended
 }
 
-// joinJob attaches a task that was found running to a completion index of its Job.
+// joinJob attaches an adopted task to a completion index of its Job.
 func (t *task) joinJob(job *job, index, retryBudget int) {
 	t.job = job
 	t.index = index
@@ -61,14 +61,14 @@
 // leaveJob detaches a task from its Job, which is being deleted without deleting its Pods.
 func (t *task) leaveJob() { t.job = nil }
 
-// inCreationOrder returns the tasks of a map in the order of their creation, so that the iteration order of
-// the map has no effect.
+// inCreationOrder returns the tasks of a map in the order of their creation. The random iteration order of
+// the map must not influence the engine.
 func inCreationOrder(tasks map[types.UID]*task) []*task {
 	return slices.SortedFunc(maps.Values(tasks), func(left, right *task) int { return cmp.Compare(left.sequence, right.sequence) })
 }
 
-// unplacedOutcome returns the final outcome of a task that will not be requested again. The outcome is
-// Rejected only if the task certainly never ran.
+// unplacedOutcome returns the final outcome of a task that was not placed and will not be requested again.
+// The outcome is Rejected only if the task certainly never ran.
 func (t *task) unplacedOutcome() taskOutcome {
 	if t.attempts.evidence == possiblyRan || t.attempts.hasUnknownOutcome() {
 		return outcomeFailed
@@ -76,8 +76,8 @@
 	return outcomeRejected
 }
 
-// unplacedMessage appends details to a summary: why the latest attempt or placement request failed, and which
-// node may have accepted an attempt.
+// unplacedMessage appends two details to a summary of why a task was not placed: the message of the latest
+// attempt or placement request that failed, and the name of a node that may have accepted an attempt.
 func (t *task) unplacedMessage(summary string) string {
 	if t.attempts.lastFailure != "" {
 		summary += "; last: " + t.attempts.lastFailure
@@ -88,9 +88,10 @@
 	return summary
 }
 
-// newPlacementSpec returns the placementSpec of a task whose resources are those of a Pod's containers.
-func newPlacementSpec(class, tenant int, service placer.ServiceID, containers *corev1.PodSpec) placementSpec {
-	cores, memory := wellknown.ResourceRequests(containers)
+// newPlacementSpec returns the placementSpec of a task. The task requests the resources that the containers
+// of its Pod request.
+func newPlacementSpec(class, tenant int, service placer.ServiceID, podSpec *corev1.PodSpec) placementSpec {
+	cores, memory := wellknown.ResourceRequests(podSpec)
 	return placementSpec{class: class, tenant: tenant, service: service, cores: cores, memory: memory}
 }
 
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -18,8 +18,9 @@
 	publisher     *publisher
 }
 
-// retryOrSettle either schedules a retry or stores the final outcome of a task whose placement request ended
-// without a placement. retryAfter is the delay that the placer suggests; 0 means no suggestion.
+// retryOrSettle handles a task whose placement request has ended without a placement. It schedules a retry,
+// waits for an unknown outcome, or stores the final outcome of the task. retryAfter is the delay that the
+// placer or the admission controller suggests; 0 means no suggestion.
 func (l *taskLifecycle) retryOrSettle(task *task, cause retry.Cause, retryAfter placer.Seconds) {
 	l.tasks.setState(task, taskWaiting)
 	l.requests.clearRequest(task)
@@ -67,8 +68,8 @@
 	l.reportSettled(task, outcomePlaced)
 }
 
-// settleUnplaced stores the final outcome of a waiting task that will not be requested again, and ends the
-// task.
+// settleUnplaced stores the final outcome of a waiting task that was not placed and will not be requested
+// again. It also ends the task.
 func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
 	if outcome == outcomeRejected {
 		l.stats.Rejected++
@@ -83,14 +84,14 @@
 	l.terminate(task, false, retry.Rejected)
 }
 
-// reportSettled tells the Job of a task, if there is one, the final outcome of the task.
+// reportSettled tells jobController the final outcome of a task if the task belongs to a Job.
 func (l *taskLifecycle) reportSettled(task *task, outcome taskOutcome) {
 	if task.job != nil {
 		l.jobController.recordOutcome(task, outcome)
 	}
 }
 
-// bind records that a node has accepted a task.
+// bind records that a node has accepted a task through the given attempt.
 func (l *taskLifecycle) bind(task *task, attempt *attempt) {
 	l.tasks.setState(task, taskBound)
 	task.attempts.bind(attempt)
@@ -110,8 +111,8 @@
 		return
 	}
 	l.tasks.setState(task, taskRunning)
-	running := task.attempts.running
-	l.post(running.usageEvent(placer.Started, float64(l.now-running.sentAt)))
+	runningAttempt := task.attempts.runningAttempt
+	l.post(runningAttempt.usageEvent(placer.Started, float64(l.now-runningAttempt.sentAt)))
 	l.publisher.publishStarted(task)
 }
 
@@ -126,7 +127,7 @@
 // succeeded reports whether the task finished successfully.
 func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.podReason == "" }
 
-// migrated reports whether the engine stopped the task in order to start it on another node.
+// migrated reports whether the engine has stopped the task in order to start it again on another node.
 func (end *taskEnd) migrated() bool {
 	reason := stopReason(end.podReason)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
@@ -150,12 +151,12 @@
 	l.terminate(task, end.succeeded(), cause)
 }
 
-// countTaskEnd updates Stats for the end of a task, and returns the cause to use if the Job starts the task
-// again.
+// countTaskEnd updates Stats for the end of a task. It returns the cause of the end, which determines whether
+// and when the Job starts the completion index of the task again.
 func (l *taskLifecycle) countTaskEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
-		return retry.Failed // the task ended without being stopped
+		return retry.Failed // nothing stopped the task: it ran until it succeeded or failed
 	case end.reason == placer.Evicted:
 		l.stats.EvictedTasks++
 		return retry.Evicted
@@ -179,8 +180,8 @@
 	l.removeIfResolved(task)
 }
 
-// removeIfResolved removes a terminating task once none of its attempts has an unknown outcome. It also
-// removes the Pod if the Pod was deleted.
+// removeIfResolved removes a terminating task if none of its attempts has an unknown outcome. It also removes
+// the Pod of the task if the Pod was deleted.
 func (l *taskLifecycle) removeIfResolved(task *task) {
 	if task.state != taskTerminating || task.attempts.hasUnknownOutcome() {
 		return
--- a/internal/kube/engine/task_outcome.go
+++ b/internal/kube/engine/task_outcome.go
@@ -17,9 +17,9 @@
 	outcomeFailed taskOutcome = wellknown.Failed
 )
 
-// stopReason says why the engine stops a task; "" means that the task is not being stopped. It becomes the
-// reason in the Pod's status. A Job that fails as a whole stops its tasks with the reason of the Job's
-// failure.
+// stopReason states why the engine stops a task; "" means that the task is not being stopped. It becomes the
+// reason in the Pod's status. If a Job fails as a whole, the reason of this failure is the stopReason of its
+// tasks.
 type stopReason string
 
 const (
@@ -29,5 +29,5 @@
 	stopSuspended stopReason = "Suspended"
 )
 
-// isStopping reports whether the task must stop.
+// isStopping reports whether the engine stops the task or has stopped it.
 func (t *task) isStopping() bool { return t.stopReason != "" }
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -38,8 +38,8 @@
 
 // taskTransitions lists the states that may follow each state.
 //
-// An attempt with an unknown outcome may be found running while its task is queued, submitted or waiting. The
-// task is then bound to this attempt.
+// A node may report that an attempt with an unknown outcome runs while its task is queued, submitted or
+// waiting. The task is then bound to this attempt.
 var taskTransitions = transitionTable[taskState]{
 	taskCreated:     {taskQueued, taskSubmitted, taskWaiting, taskBound},
 	taskQueued:      {taskSubmitted, taskWaiting, taskBound},
@@ -60,29 +60,29 @@
 // onNode reports whether a node has accepted the task and the task has not ended.
 func (s taskState) onNode() bool { return s == taskBound || s == taskRunning }
 
-// canBind reports whether an attempt that is found running may become the running attempt of the task. If
-// not, the attempt runs a duplicate of the task, which must be stopped.
+// canBind reports whether an attempt that a node reports as running may become the running attempt of the
+// task. If not, the attempt runs a duplicate of the task, which must be stopped.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
-// violatedInvariant describes the first contradiction between the state of the task and its other fields. It
+// invariantViolation describes the first contradiction between the state of the task and its other fields. It
 // returns "" if there is none.
-func (t *task) violatedInvariant() string {
+func (t *task) invariantViolation() string {
 	ended := t.state == taskTerminating
 	for _, invariant := range []struct {
 		description string
 		holds       bool
 	}{
-		{"the state of a stored task is neither created nor removed", t.state != taskCreated && t.state != taskRemoved},
-		{"an attempt is in flight if and only if the state is attempting", (t.attempts.inFlight != nil) == (t.state == taskAttempting)},
-		{"an attempt is running if and only if the task is on a node", (t.attempts.running != nil) == t.state.onNode()},
-		{"the node of the running attempt lists the task", t.attempts.running == nil || t.attempts.running.node.running[t.uid] == t},
-		{"a placement request is open if and only if the state requires one", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
-		{"a retry is scheduled only if the state is waiting", !t.retryTimer.Pending() || t.state == taskWaiting},
-		{"the outcome is final if and only if the task is on a node or has ended", t.settled == (t.state.onNode() || ended)},
-		{"an ended task is kept only while an outcome is unknown", !ended || t.attempts.hasUnknownOutcome()},
-		{"a task with a stop reason is on a node or has ended", !t.isStopping() || t.state.onNode() || ended},
-		{"a task whose Pod is deleted has a stop reason", !t.podDeleted || t.isStopping()},
-		{"the node of each attempt with an unknown outcome lists the attempt", t.nodesKnowUnknownOutcomes()},
+		{"a task in the task table must be in neither of the states created and removed", t.state != taskCreated && t.state != taskRemoved},
+		{"an attempt must be in flight if and only if the task is in the state attempting", (t.attempts.inFlightAttempt != nil) == (t.state == taskAttempting)},
+		{"an attempt must be running if and only if the task is bound or running", (t.attempts.runningAttempt != nil) == t.state.onNode()},
+		{"the node of the running attempt must list the task", t.attempts.runningAttempt == nil || t.attempts.runningAttempt.node.runningTasks[t.uid] == t},
+		{"a placement request must be open if and only if the task is queued, submitted or attempting", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
+		{"the retry timer may be pending only if the task is in the state waiting", !t.retryTimer.Pending() || t.state == taskWaiting},
+		{"a task must have its final outcome if and only if it is bound, running or terminating", t.settled == (t.state.onNode() || ended)},
+		{"a terminating task must have an attempt with an unknown outcome", !ended || t.attempts.hasUnknownOutcome()},
+		{"a task that has a stop reason must be bound, running or terminating", !t.isStopping() || t.state.onNode() || ended},
+		{"a task whose Pod is deleted must have a stop reason", !t.podDeleted || t.isStopping()},
+		{"the node of each attempt with an unknown outcome must list the attempt", t.nodesKnowUnknownOutcomes()},
 	} {
 		if !invariant.holds {
 			return "invariant violated: " + invariant.description
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -7,7 +7,7 @@
 	corev1 "k8s.io/api/core/v1"
 )
 
-// engineWithTask returns an engine with one node and one task. The task is queued, submitted or attempting.
+// engineWithTask returns an engine with one node and one task whose placement request is open.
 func engineWithTask(t *testing.T) (*Engine, *task) {
 	t.Helper()
 	engine := newEngine(t)
@@ -33,70 +33,70 @@
 		return stateMachine[taskState]{func(next taskState) { engine.tasks.setState(task, next) }, engine.CheckInvariants}
 	}
 	checkStatePaths(t, newMachine, []statePath[taskState]{
-		{"placed by the first attempt", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
-		{"queued, rejected by a node, retried", []taskState{taskQueued, taskSubmitted, taskAttempting, taskSubmitted, taskWaiting,
+		{"task is placed by its first attempt", []taskState{taskSubmitted, taskAttempting, taskBound, taskRunning, taskTerminating, taskRemoved}, ""},
+		{"task is queued, rejected by a node and retried", []taskState{taskQueued, taskSubmitted, taskAttempting, taskSubmitted, taskWaiting,
 			taskSubmitted, taskAttempting, taskBound}, ""},
-		{"shed and not retried", []taskState{taskWaiting, taskTerminating, taskRemoved}, ""},
-		{"found running while queued", []taskState{taskWaiting, taskQueued, taskBound}, ""},
-		{"found running while waiting", []taskState{taskSubmitted, taskWaiting, taskBound, taskTerminating}, ""},
-		{"adopted", []taskState{taskBound, taskRunning}, ""},
-		{"running without an attempt", []taskState{taskSubmitted, taskRunning}, "made an illegal transition from submitted to running"},
-		{"attempted while queued for admission", []taskState{taskQueued, taskAttempting}, "made an illegal transition from queued to attempting"},
-		{"waiting with an attempt in flight", []taskState{taskSubmitted, taskAttempting, taskWaiting}, "made an illegal transition from attempting to waiting"},
-		{"requested again while bound", []taskState{taskBound, taskSubmitted}, "made an illegal transition from bound to submitted"},
-		{"bound again while running", []taskState{taskBound, taskRunning, taskBound}, "made an illegal transition from running to bound"},
-		{"waiting after the end", []taskState{taskWaiting, taskTerminating, taskWaiting}, "made an illegal transition from terminating to waiting"},
-		{"removed while waiting", []taskState{taskWaiting, taskRemoved}, "made an illegal transition from waiting to removed"},
-		{"created again after removal", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "made an illegal transition from removed to created"},
+		{"request is shed and not retried", []taskState{taskWaiting, taskTerminating, taskRemoved}, ""},
+		{"queued task is reported as running", []taskState{taskWaiting, taskQueued, taskBound}, ""},
+		{"waiting task is reported as running", []taskState{taskSubmitted, taskWaiting, taskBound, taskTerminating}, ""},
+		{"task is adopted", []taskState{taskBound, taskRunning}, ""},
+		{"task runs without an attempt", []taskState{taskSubmitted, taskRunning}, "made an illegal transition from submitted to running"},
+		{"attempt is made while the request is queued for admission", []taskState{taskQueued, taskAttempting}, "made an illegal transition from queued to attempting"},
+		{"task starts to wait while an attempt is in flight", []taskState{taskSubmitted, taskAttempting, taskWaiting}, "made an illegal transition from attempting to waiting"},
+		{"bound task is requested again", []taskState{taskBound, taskSubmitted}, "made an illegal transition from bound to submitted"},
+		{"running task is bound again", []taskState{taskBound, taskRunning, taskBound}, "made an illegal transition from running to bound"},
+		{"ended task starts to wait again", []taskState{taskWaiting, taskTerminating, taskWaiting}, "made an illegal transition from terminating to waiting"},
+		{"waiting task is removed before it has ended", []taskState{taskWaiting, taskRemoved}, "made an illegal transition from waiting to removed"},
+		{"removed task is created again", []taskState{taskWaiting, taskTerminating, taskRemoved, taskCreated}, "made an illegal transition from removed to created"},
 	})
 }
 
 func TestCheckInvariantsReportsCorruption(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		corrupt func(engine *Engine, corrupted *task)
+		corrupt func(engine *Engine, corruptedTask *task)
 		want    string
 	}{
-		{"no placement request", func(_ *Engine, corrupted *task) { corrupted.request = nil },
-			"a placement request is open if and only if the state requires one"},
-		{"bound with an attempt in flight", func(_ *Engine, corrupted *task) { corrupted.state = taskBound },
-			"an attempt is in flight if and only if the state is attempting"},
-		{"state is still created", func(_ *Engine, corrupted *task) { corrupted.state = taskCreated },
-			"the state of a stored task is neither created nor removed"},
-		{"final outcome before placement", func(_ *Engine, corrupted *task) { corrupted.settled = true },
-			"the outcome is final if and only if the task is on a node or has ended"},
-		{"stop reason before placement", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted },
-			"a task with a stop reason is on a node or has ended"},
-		{"deleted Pod without a stop reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true },
-			"a task whose Pod is deleted has a stop reason"},
-		{"unknown outcome that the node does not list", func(engine *Engine, corrupted *task) {
+		{"attempt in flight without a placement request", func(_ *Engine, corrupted *task) { corrupted.request = nil },
+			"a placement request must be open if and only if the task is queued, submitted or attempting"},
+		{"bound task with an attempt in flight", func(_ *Engine, corrupted *task) { corrupted.state = taskBound },
+			"an attempt must be in flight if and only if the task is in the state attempting"},
+		{"task that is still in the state created", func(_ *Engine, corrupted *task) { corrupted.state = taskCreated },
+			"a task in the task table must be in neither of the states created and removed"},
+		{"unplaced task with a final outcome", func(_ *Engine, corrupted *task) { corrupted.settled = true },
+			"a task must have its final outcome if and only if it is bound, running or terminating"},
+		{"unplaced task with a stop reason", func(_ *Engine, corrupted *task) { corrupted.stopReason = stopEvicted },
+			"a task that has a stop reason must be bound, running or terminating"},
+		{"task with a deleted Pod and no stop reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true },
+			"a task whose Pod is deleted must have a stop reason"},
+		{"attempt with an unknown outcome that its node does not list", func(engine *Engine, corrupted *task) {
 			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.getByName(nodeName)})
-		}, "the node of each attempt with an unknown outcome lists the attempt"},
-		{"second attempt", func(engine *Engine, corrupted *task) {
-			corrupted.attempts.running = &attempt{node: engine.nodes.getByName(nodeName)}
+		}, "the node of each attempt with an unknown outcome must list the attempt"},
+		{"unplaced task with a running attempt", func(engine *Engine, corrupted *task) {
+			corrupted.attempts.runningAttempt = &attempt{node: engine.nodes.getByName(nodeName)}
 		},
-			"an attempt is running if and only if the task is on a node"},
-		{"retry scheduled during a placement request", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
-			"a retry is scheduled only if the state is waiting"},
-		{"active index without a task", func(_ *Engine, corrupted *task) { corrupted.job.indexes.entries[0].task = nil },
-			"index 0 has a task if and only if it is active"},
-		{"task with another index", func(_ *Engine, corrupted *task) { corrupted.index = 1 },
-			"the task of index 0 refers to its Job and its index"},
-		{"wrong count of active indexes", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 },
-			"1 indexes are active, but the count is 0"},
+			"an attempt must be running if and only if the task is bound or running"},
+		{"retry timer that is pending during a placement request", func(engine *Engine, corrupted *task) { corrupted.retryTimer = engine.runAfter(1, func() {}) },
+			"the retry timer may be pending only if the task is in the state waiting"},
+		{"active completion index without a task", func(_ *Engine, corrupted *task) { corrupted.job.indexes.entries[0].task = nil },
+			"index 0 must have a task if and only if it is active"},
+		{"task with the wrong completion index", func(_ *Engine, corrupted *task) { corrupted.index = 1 },
+			"the task of index 0 must refer to the Job and the index to which it belongs"},
+		{"wrong count of active completion indexes", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 },
+			"1 completion indexes are active, but the count of active indexes is 0"},
 		{"deleted Job in the job table", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted },
-			"a deleted Job is not in the job table"},
-		{"failing Job without a reason", func(_ *Engine, corrupted *task) { corrupted.job.progress = jobFailing },
-			"a Job has a failure reason if and only if it fails as a whole"},
-		{"foreground deletion without Pods", func(_ *Engine, corrupted *task) {
+			"a deleted Job must not be in the job table"},
+		{"failing Job without a failure reason", func(_ *Engine, corrupted *task) { corrupted.job.progress = jobFailing },
+			"a Job must have a failure reason if and only if it fails as a whole"},
+		{"Job in foreground deletion that has no Pods", func(_ *Engine, corrupted *task) {
 			corrupted.job.deletion, corrupted.job.pods = jobDeletingForeground, nil
-		}, "a Job that is deleted in the foreground is kept only for its Pods"},
-		{"wrong count of open tasks", func(engine *Engine, _ *task) { engine.tasks.openCount++ },
-			"1 tasks have no final outcome, but the count is 2"},
+		}, "a Job that is being deleted in the foreground must still have Pods"},
+		{"wrong count of tasks without a final outcome", func(engine *Engine, _ *task) { engine.tasks.openCount++ },
+			"1 tasks have no final outcome, but the count of open tasks is 2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			engine, corrupted := engineWithTask(t)
-			test.corrupt(engine, corrupted)
+			engine, corruptedTask := engineWithTask(t)
+			test.corrupt(engine, corruptedTask)
 			err := engine.CheckInvariants()
 			if err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("CheckInvariants returned %v, want an error that contains %q", err, test.want)
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -5,12 +5,12 @@
 	"heathshed/placer"
 )
 
-// stoppingMessage says why a task is not placed after Engine.Stop. It applies to tasks that are waiting when
-// Stop is called (stopAll), and to tasks that a Job starts later (jobStarter.startTask).
+// stoppingMessage states why a task is not placed after Engine.Stop. It is the message of tasks that are
+// waiting when Stop is called (stopAll), and of tasks that a Job starts later (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
-// stopAll implements Engine.Stop. Every task that the placer does not know yet gets its final outcome, and no
-// placement request is retried.
+// stopAll implements Engine.Stop. Every task whose placement request the placer does not have gets its final
+// outcome, at once or after the wait for an unknown outcome. No placement request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.inOrder() {
@@ -23,9 +23,9 @@
 	}
 }
 
-// withdrawQueuedRequest cancels a placement request that waits for admission when the engine stops. A queued
-// task has no pending timer, so withdrawQueuedRequest must also decide on the next step of a task with an
-// unknown outcome.
+// withdrawQueuedRequest cancels the placement request of a queued task when the engine stops. A queued task
+// has no pending timer. If an attempt of the task has an unknown outcome, withdrawQueuedRequest must set the
+// timer for the wait for this outcome, or settle the task.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
 	if task.attempts.hasUnknownOutcome() {
@@ -35,7 +35,7 @@
 	l.tasks.setState(task, taskWaiting)
 }
 
-// stop ends a task in any state. A running task ends when its node has answered.
+// stop ends a task in any state. A running task ends when its node has answered the stop order.
 func (l *taskLifecycle) stop(task *task, reason stopReason) {
 	if !task.isStopping() {
 		task.stopReason = reason
@@ -50,10 +50,10 @@
 		return
 	}
 	l.requests.withdraw(task)
-	if inFlight := task.attempts.inFlight; inFlight != nil {
+	if inFlightAttempt := task.attempts.inFlightAttempt; inFlightAttempt != nil {
 		// An attempt cannot be cancelled at the node. Its outcome becomes unknown, and the attempt is fenced
 		// at once.
-		l.attempts.abandon(inFlight, placer.Cancelled)
+		l.attempts.abandon(inFlightAttempt, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
 	l.settleUnplaced(task, outcomeFailed, "deleted before it was placed")
@@ -61,20 +61,21 @@
 
 // stopRunning orders the node of a running task to stop the task. It does nothing if the task is not running.
 func (l *taskLifecycle) stopRunning(task *task) {
-	if running := task.attempts.running; running != nil {
-		l.emitStopTask(running.node, task.podIdentity, running.number)
+	if runningAttempt := task.attempts.runningAttempt; runningAttempt != nil {
+		l.emitStopTask(runningAttempt.node, task.podIdentity, runningAttempt.number)
 	}
 }
 
-// migrate stops a running task that the placer decided to move. The Job of the task starts it again.
+// migrate stops a running task that the placer has decided to move to another node. The Job of the task
+// starts it again.
 func (l *taskLifecycle) migrate(id placer.TaskID) {
 	request := l.requests.get(id)
 	if request == nil {
 		return
 	}
 	task := request.task
-	running := task.attempts.running
-	if running == nil || running.request != request {
+	runningAttempt := task.attempts.runningAttempt
+	if runningAttempt == nil || runningAttempt.request != request {
 		return
 	}
 	l.stopForRestart(task, stopMigrated)
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -41,8 +41,8 @@
 	delete(t.byUID, task.uid)
 }
 
-// setState changes the state of a task; no other code does. An illegal transition is made nevertheless, and
-// reported by CheckInvariants.
+// setState is the only function that changes the state of a task. It also carries out an illegal transition,
+// which CheckInvariants reports.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !taskTransitions.permits(task.state, next) {
 		t.transitions.recordIllegal("task %s made an illegal transition from %s to %s", task.uid, task.state, next)
@@ -53,17 +53,17 @@
 // checkInvariants returns an error if the state of a task contradicts its other fields, or if the number of
 // tasks without a final outcome is wrong.
 func (t *taskTable) checkInvariants() error {
-	open := 0
+	openCount := 0
 	for _, task := range t.inOrder() {
-		if violated := task.violatedInvariant(); violated != "" {
-			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violated)
+		if violation := task.invariantViolation(); violation != "" {
+			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violation)
 		}
 		if !task.settled {
-			open++
+			openCount++
 		}
 	}
-	if open != t.openCount {
-		return fmt.Errorf("engine: %d tasks have no final outcome, but the count is %d", open, t.openCount)
+	if openCount != t.openCount {
+		return fmt.Errorf("engine: %d tasks have no final outcome, but the count of open tasks is %d", openCount, t.openCount)
 	}
 	return nil
 }
--- a/internal/kube/engine/transition_check.go
+++ b/internal/kube/engine/transition_check.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// transitionTable lists the legal successors of each state of a state machine.
+// transitionTable lists, for each state of a state machine, the states that may follow it.
 type transitionTable[S ~uint8] [][]S
 
 // permits reports whether the table allows a transition between two states.
 func (t transitionTable[S]) permits(from, next S) bool { return slices.Contains(t[from], next) }
 
-// transitionCheck records the first illegal transition of a task, a Job or a completion index.
-// CheckInvariants reports it. An illegal transition is not prevented.
+// transitionCheck records the first illegal transition of a task, a Job or a completion index, which
+// CheckInvariants reports. It does not prevent the transition.
 type transitionCheck struct{ firstError error }
 
 // recordIllegal records an illegal transition, unless one is recorded already.
--- a/internal/kube/engine/wiring.go
+++ b/internal/kube/engine/wiring.go
@@ -10,7 +10,7 @@
 
 // wire creates the components of an engine and connects them. All components are allocated before any of
 // them is initialized, because some refer to each other.
-func (e *Engine) wire(controller *admission.Controller) {
+func (e *Engine) wire(admissionController *admission.Controller) {
 	e.publisher = new(publisher)
 	e.nodes = new(nodeRegistry)
 	e.observer = new(podObserver)
@@ -28,10 +28,11 @@
 	e.wireStore()
 	e.wireNodes()
 	e.wireTasks()
-	e.wireRequests(controller)
+	e.wireRequests(admissionController)
 	e.wireJobs()
 }
 
+// wireStore initializes the component that owns the store.
 func (e *Engine) wireStore() {
 	cfg := &e.cfg
 	*e.publisher = publisher{
@@ -40,6 +41,7 @@
 	}
 }
 
+// wireNodes initializes the components that handle the reports of the inventory and of nodes.
 func (e *Engine) wireNodes() {
 	cfg := &e.cfg
 	*e.nodes = nodeRegistry{
@@ -74,6 +76,7 @@
 	}
 }
 
+// wireTasks initializes the components that own tasks and that delete Pods.
 func (e *Engine) wireTasks() {
 	*e.tasks = taskTable{
 		environment: e.environment,
@@ -97,14 +100,15 @@
 	}
 }
 
-func (e *Engine) wireRequests(controller *admission.Controller) {
+// wireRequests initializes the components that handle placement requests and attempts.
+func (e *Engine) wireRequests(admissionController *admission.Controller) {
 	*e.requests = requestTable{
 		environment: e.environment,
 		tasks:       e.tasks,
 		lifecycle:   e.lifecycle,
 		attempts:    e.attempts,
 		byID:        map[placer.TaskID]*placementRequest{},
-		admission:   controller,
+		admission:   admissionController,
 	}
 	*e.attempts = attemptTracker{
 		environment: e.environment,
@@ -127,6 +131,7 @@
 	}
 }
 
+// wireJobs initializes the components that handle Jobs.
 func (e *Engine) wireJobs() {
 	*e.jobs = jobTable{
 		byKey: map[string]*job{},
