--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -115,7 +115,7 @@
 		s.tasks.setState(newTask, taskWaiting)
 		s.lifecycle.settleUnplaced(newTask, outcomeRejected, stoppingMessage)
 	} else {
-		s.requests.place(newTask)
+		s.requests.requestPlacement(newTask)
 	}
 	s.jobStatus.markDirty(job)
 }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -56,9 +56,9 @@
 	request.task.request = request
 }
 
-// place creates a placement request for a task and submits the request to the admission
+// requestPlacement creates a placement request for a task and submits the request to the admission
 // controller. If the request is admitted at once, it is passed on to the placer.
-func (r *requestTable) place(task *task) {
+func (r *requestTable) requestPlacement(task *task) {
 	request := &placementRequest{task: task, isRetry: task.requestsSubmitted > 0}
 	r.add(request)
 	r.stats.PlacementRequests++
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -45,7 +45,7 @@
 		task.retryBudget--
 		task.retryTimer = l.runAt(at, func() {
 			task.retryTimer = nil
-			l.requests.place(task)
+			l.requests.requestPlacement(task)
 			l.drainEvents()
 		})
 	case retry.AwaitOutcome:
