--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -13,10 +13,10 @@
 	"heathshed/placer"
 )
 
-// TestWarmUpUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
+// TestSlowStartUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
 // when a node started. A restarted node must get a slow start even if its clock is behind, and the slow start
 // must end even if the node's clock is ahead.
-func TestWarmUpUsesSchedulerClock(t *testing.T) {
+func TestSlowStartUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
 		name                    string
