--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -51,7 +51,7 @@
 	server.DefaultListLimit = 50
 	server.Metrics = func() []byte { return []byte("metric 1\n") }
 	for _, node := range nodes {
-		server.Engine.NodePods(sessionStart, node.Name, node.Status.NodeInfo.BootID, 1, nil)
+		server.Engine.PodsListed(sessionStart, node.Name, node.Status.NodeInfo.BootID, 1, nil)
 	}
 	return &apiSession{server: server, engine: server.Engine, now: sessionStart, recorder: goldentest.NewRecorder()}
 }
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -80,16 +80,16 @@
 	return e.nodes.countNodes()
 }
 
-// NodePods handles the complete list of this scheduler's Pods on a node. The node states the revision of the
-// list and its own incarnation. Running tasks that are missing from the list have ended.
-func (e *Engine) NodePods(now placer.Seconds, nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
+// PodsListed handles the complete list of this scheduler's Pods on a node. The node states the revision of
+// the list and its own incarnation. Running tasks that are missing from the list have ended.
+func (e *Engine) PodsListed(now placer.Seconds, nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.observer.observePodList(nodeName, incarnation, revision, pods)
 }
 
-// NodePod handles a node's report that one of this scheduler's Pods was added, changed or deleted.
-func (e *Engine) NodePod(now placer.Seconds, nodeName string, pod *corev1.Pod, deleted bool) {
+// PodChanged handles a node's report that one of this scheduler's Pods was added, changed or deleted.
+func (e *Engine) PodChanged(now placer.Seconds, nodeName string, pod *corev1.Pod, deleted bool) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.observer.observePodChange(nodeName, pod, deleted)
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -25,7 +25,7 @@
 	for i, node := range script.nodes {
 		pod := runningPod(script.config.Name, i)
 		node.pods = append(node.pods, pod)
-		script.engine.NodePod(script.now, node.name, pod, false)
+		script.engine.PodChanged(script.now, node.name, pod, false)
 		script.recordState()
 	}
 	for i := range 20 {
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -20,8 +20,8 @@
 	// StopTask asks the caller to delete the Pod on the node, and to report the result with StopDone. The
 	// node is also told to reject attempts for the task whose number is at most Attempt (fencing).
 	StopTask
-	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with NodePods,
-	// NodePod and NodeUnresponsive.
+	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with PodsListed,
+	// PodChanged and NodeUnresponsive.
 	WatchNode
 	// UnwatchNode tells the caller to end the watch that WatchNode started.
 	UnwatchNode
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -46,8 +46,8 @@
 func TestLateListWithEarlierIncarnation(t *testing.T) {
 	engine := newEngine(t)
 	engine.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
-	engine.NodePods(1001, nodeName, "a", 1, nil)
-	engine.NodePods(1010, nodeName, "b", 1, nil)
+	engine.PodsListed(1001, nodeName, "a", 1, nil)
+	engine.PodsListed(1010, nodeName, "b", 1, nil)
 
 	engine.NodesListed(1011, Changes, []*corev1.Node{listedNode("a", 0)}, nil)
 	engine.nodes.observeIncarnation(engine.nodes.getByName(nodeName), "a")
@@ -188,7 +188,7 @@
 	failedPod := runningPod.DeepCopy()
 	failedPod.ResourceVersion = "3"
 	failedPod.Status.Phase = corev1.PodFailed
-	engine.NodePod(now, nodeName, failedPod, false)
+	engine.PodChanged(now, nodeName, failedPod, false)
 	if openTasks := engine.OpenTasks(); openTasks != 0 {
 		t.Fatalf("%d tasks have no final outcome after the only task has ended, want 0", openTasks)
 	}
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -90,7 +90,7 @@
 	node := listedNode("a", 0)
 	node.Annotations[wellknown.FreeCapacity] = "cores=8.0, memory=8.0"
 	engine.NodesListed(listedAt, FullList, []*corev1.Node{node}, nil)
-	engine.NodePods(listedAt, nodeName, "a", 1, nil)
+	engine.PodsListed(listedAt, nodeName, "a", 1, nil)
 	if _, err := engine.CreateJob(createdAt, newJob(jobName, tasks), false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -18,7 +18,7 @@
 	adopter   *adopter
 }
 
-// observePodList implements Engine.NodePods, which reports a node's complete list of Pods. A running task
+// observePodList implements Engine.PodsListed, which reports a node's complete list of Pods. A running task
 // that is missing from the list has ended.
 func (o *podObserver) observePodList(nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	node := o.nodes.getByName(nodeName)
@@ -40,7 +40,7 @@
 	}
 }
 
-// observePodChange implements Engine.NodePod, which reports a change of one Pod.
+// observePodChange implements Engine.PodChanged, which reports a change of one Pod.
 func (o *podObserver) observePodChange(nodeName string, pod *corev1.Pod, deleted bool) {
 	if node := o.nodes.getByName(nodeName); node != nil {
 		o.observePod(node, pod, deleted)
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -125,7 +125,7 @@
 		if remove || wellknown.PodFinished(pod) {
 			node.pods = slices.Delete(node.pods, i, i+1)
 		}
-		s.engine.NodePod(s.now, node.name, pod, remove)
+		s.engine.PodChanged(s.now, node.name, pod, remove)
 	})
 	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 means that the call is made even if the scheduler restarts first.
 }
@@ -148,7 +148,7 @@
 // reportPodList reports the complete list of a node's Pods to the engine.
 func (s *script) reportPodList(node *fakeNode) {
 	if node.ready && !node.removed {
-		s.engine.NodePods(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
+		s.engine.PodsListed(s.now, node.name, node.incarnationID(), node.revision, slices.Clone(node.pods))
 	}
 }
 
@@ -223,7 +223,7 @@
 	case 7, 8:
 		s.reportPodList(node)
 	case 9:
-		s.engine.NodePod(s.now, "missing", &corev1.Pod{}, true)
+		s.engine.PodChanged(s.now, "missing", &corev1.Pod{}, true)
 	default:
 		node.ready, node.removed, node.draining = true, false, false
 		s.schedule(0.1, func() { s.reportPodList(node) })
--- a/internal/kube/scheduler/node.go
+++ b/internal/kube/scheduler/node.go
@@ -73,7 +73,7 @@
 		pods = append(pods, pod)
 	}
 	incarnation := head.Header.Get(wellknown.IncarnationHeader)
-	s.engine.NodePods(s.engineNow(), n.name, incarnation, parseRevision(resourceVersion), pods)
+	s.engine.PodsListed(s.engineNow(), n.name, incarnation, parseRevision(resourceVersion), pods)
 	s.processEffects()
 }
 
@@ -84,7 +84,7 @@
 		s.options.Log.Warn().Str("node", n.name).Err(err).Msg("pod event cannot be decoded")
 		return
 	}
-	s.engine.NodePod(s.engineNow(), n.name, pod, kind == eventDeleted)
+	s.engine.PodChanged(s.engineNow(), n.name, pod, kind == eventDeleted)
 	s.processEffects()
 }
 
--- a/internal/lab/simulation/podwatch.go
+++ b/internal/lab/simulation/podwatch.go
@@ -59,7 +59,7 @@
 		n.watches = append(n.watches, p)
 		pods := n.podsOf(s.cfg.Name)
 		bootID, rev := n.bootID, n.rev
-		p.send(func() { s.engine.NodePods(w.now, n.cfg.Name, bootID, rev, pods) })
+		p.send(func() { s.engine.PodsListed(w.now, n.cfg.Name, bootID, rev, pods) })
 	})
 }
 
@@ -109,7 +109,7 @@
 	for _, watch := range n.watches {
 		s := watch.scheduler
 		if watch.established && !watch.cancelled && s.cfg.Name == pod.Labels[wellknown.Scheduler] {
-			watch.send(func() { s.engine.NodePod(n.world.now, n.cfg.Name, pod, deleted) })
+			watch.send(func() { s.engine.PodChanged(n.world.now, n.cfg.Name, pod, deleted) })
 		}
 	}
 }
