--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -15,8 +15,8 @@
 	request         *placementRequest
 	task            *task
 	node            *node
-	numberInRequest int // number that identifies the attempt to the placer; counts the attempts of the placement request
-	number          int // number that identifies the attempt to nodes; counts the attempts of the task
+	numberInRequest int // number of the attempt within its placement request; identifies the attempt to the placer
+	number          int // number of the attempt within its task; identifies the attempt to nodes
 
 	sentAt              placer.Seconds
 	timeoutTimer        *timer
@@ -25,9 +25,9 @@
 	acceptedIncarnation string     // the node's incarnation when it accepted the attempt
 	revision            int64      // the Pod's revision at the node when it accepted the attempt
 
-	fenceTimer   *timer // fires when the next stop order is due
-	stopInFlight bool   // set while a stop order that was sent because the outcome is unknown awaits its answer
-	stopsSent    int    // number of stop orders sent, which determines the backoff between them
+	fenceTimer        *timer // fires when the next stop order is due
+	stopOrderInFlight bool   // set while the engine waits for the answer to a stop order that was sent because the outcome is unknown
+	stopOrdersSent    int    // number of stop orders sent for the attempt; determines the delay before the next one
 }
 
 // podReport is the state of a Pod as reported by the watch of the Pod's node.
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -16,10 +16,10 @@
 	// possiblyRan means that an attempt with an unknown outcome has ended and may have run the task.
 	possiblyRan
 
-	runEvidences
+	runEvidenceCount
 )
 
-var runEvidenceNames = [runEvidences]string{"never accepted", "possibly accepted", "possibly ran"}
+var runEvidenceNames = [runEvidenceCount]string{"never accepted", "possibly accepted", "possibly ran"}
 
 func (e runEvidence) String() string { return runEvidenceNames[e] }
 
--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -46,7 +46,7 @@
 	history.begin(firstAttempt)
 	history.begin(secondAttempt)
 	if firstAttempt.number != 1 || secondAttempt.number != 2 {
-		t.Errorf("the attempts have the numbers %d and %d, want 1 and 2", firstAttempt.number, secondAttempt.number)
+		t.Errorf("the first two attempts have the numbers %d and %d, want 1 and 2", firstAttempt.number, secondAttempt.number)
 	}
 
 	adoptedAttempt, nextAttempt := &attempt{number: 7}, &attempt{}
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -11,12 +11,12 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// The characterization tests pin every effect, every stored change and every error of an engine under seeded
-// scripts. Golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to
-// change; see package goldentest.
+// The characterization tests run an engine under seeded scripts, and compare every effect, every stored
+// change and every error with golden files. These files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1
+// only if behavior is meant to change; see package goldentest.
 
-// TestCharacterizeMigrations pins how tasks are migrated off nearly empty nodes when nodes are expensive and
-// migrations are cheap.
+// TestCharacterizeMigrations compares with a golden file how an engine migrates tasks away from nearly empty
+// nodes if nodes are expensive and migrations are cheap.
 func TestCharacterizeMigrations(t *testing.T) {
 	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
@@ -37,7 +37,7 @@
 		}
 	}
 	if script.engine.Stats.MigratedTasks == 0 {
-		t.Error("no task was migrated")
+		t.Error("the engine migrated no task, want at least one")
 	}
 	script.finish()
 	script.recorder.Check(t, "script-moves")
@@ -56,9 +56,9 @@
 	return pod
 }
 
-// TestCharacterizeEngineUnderScripts pins the output of an engine byte for byte under seeded calls with
-// faults: lost and late answers, nodes that restart, disappear, become unresponsive or drain, and schedulers
-// that are killed and restarted.
+// TestCharacterizeEngineUnderScripts compares the output of an engine with golden files. The engine gets
+// seeded random calls and these faults: lost and late answers, nodes that restart, disappear, become
+// unresponsive or drain, and schedulers that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
 		name      string
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -12,13 +12,15 @@
 
 // These are the kinds of effects.
 const (
-	// SendAttempt asks the caller to post Pod to the node, and to report the result with AttemptDone.
+	// SendAttempt asks the caller to send Effect.Pod to the node in a POST request, and to report the result
+	// with AttemptDone.
 	SendAttempt EffectKind = iota + 1
 	// AbandonAttempt tells the caller to stop waiting for the answer to an attempt. The caller may still call
 	// AttemptDone for the attempt.
 	AbandonAttempt
-	// StopTask asks the caller to delete the Pod on the node, and to report the result with StopDone. The
-	// node is also told to reject attempts for the task whose number is at most Attempt (fencing).
+	// StopTask asks the caller to delete the Pod on the node, and to report the result with StopDone. From
+	// then on, the node must reject attempts for the task if their number is at most Effect.Attempt
+	// (fencing).
 	StopTask
 	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with PodsListed,
 	// PodChanged and NodeUnresponsive.
@@ -34,7 +36,7 @@
 	Kind      EffectKind
 	Node      string
 	Address   string         // host:port of the node
-	Pod       *corev1.Pod    // the Pod to post; set for SendAttempt only
+	Pod       *corev1.Pod    // the Pod to send to the node; set for SendAttempt only
 	UID       types.UID      // UID of the task's Pod
 	Namespace string         // namespace of the task's Pod
 	Name      string         // name of the task's Pod
@@ -57,8 +59,8 @@
 	return dst
 }
 
-// emitStopTask emits a StopTask effect. The node must stop the Pod and reject every attempt for the task
-// whose number is at most the given number.
+// emitStopTask emits a StopTask effect. The node must stop the Pod, and must reject each later attempt for
+// the task if the attempt's number is at most the given number.
 func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -7,8 +7,13 @@
 // resulting effects from Ready and carries them out in order. The same calls at the same times produce the
 // same effects and the same stored objects.
 //
-// The engine does not decide on which node a task is placed: package placer does. The engine does not decide
-// when a placement request is retried either: package retry does.
+// Package placer decides on which node a task is placed, and package retry decides when a placement request
+// is retried. The inventory is a server that lists all nodes. Nodes and the inventory are reached through the
+// effects.
+//
+// An attempt is in flight until its node has answered or the engine has abandoned it. If the node may have
+// accepted an abandoned attempt, the outcome of the attempt is unknown and the attempt is unresolved. A task
+// is bound to the attempt that its node has accepted, and it is settled once it has its final outcome.
 //
 // Methods that return an error return ErrNotFound, ErrExists, ErrConflict, ErrTooMany, ErrStopping or an
 // *InvalidError. The other methods cannot fail: they ignore unknown nodes, tasks and attempts.
@@ -116,8 +121,8 @@
 }
 
 // Stop makes the engine reject new Jobs. The placer still decides on the placement requests that it has, but
-// these requests are not retried. Every other task gets its final outcome, either at once or after the wait
-// for an unknown outcome of one of its attempts.
+// these requests are not retried. A task without such a request gets its final outcome at once, or after the
+// wait for an unknown outcome of one of its attempts.
 func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
@@ -161,8 +166,8 @@
 
 // CheckInvariants returns an error if a task, a Job or a completion index has made an illegal transition, if
 // the state of a task contradicts its attempts, its placement request or its node, or if a Job contradicts
-// its tasks. It examines every task and completion index, so it is meant for tests and simulations. It must
-// be called between other calls.
+// its tasks. It examines every task and completion index, and is meant for tests and simulations. It must not
+// be called during another call of the engine.
 func (e *Engine) CheckInvariants() error {
 	if err := e.transitions.firstError; err != nil {
 		return err
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -171,7 +171,7 @@
 		return len(sentAttempts) > 0
 	})
 	if len(sentAttempts) != 1 {
-		t.Fatalf("the engine made %d attempts, want 1", len(sentAttempts))
+		t.Fatalf("the engine made %d attempts for a Job with one task, want 1", len(sentAttempts))
 	}
 	runningPod := sentAttempts[0].Pod.DeepCopy()
 	runningPod.Status.Phase = corev1.PodRunning
@@ -198,7 +198,7 @@
 	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != podsCreated })
 
 	if engine.Stats.PodsCreated != podsCreated+1 {
-		t.Fatal("the engine did not create exactly one new Pod after the failed task")
+		t.Fatal("the engine did not create exactly one new Pod after the task had failed")
 	}
 	engine.Tick(now + 10)
 	if retries := takeAttempts(engine); len(retries) > 0 {
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -23,7 +23,7 @@
 	indexes completionIndexTable
 	pods    map[string]struct{} // names of the stored Pods of the Job
 
-	statusDirty bool // set while the Job is listed in jobStatusWriter.dirty
+	statusDirty bool // set while the Job is listed in jobStatusWriter.dirtyJobs
 	inBacklog   bool // set while the Job is listed in jobStarter.backlog
 
 	transitions    *transitionCheck
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -71,7 +71,7 @@
 	job.releasePods()
 }
 
-// deletePodsOf deletes those of the named Pods of a Job that are stored.
+// deletePodsOf deletes the Pods of a Job that have the given names. It ignores Pods that are not stored.
 func (c *jobController) deletePodsOf(job *job, names []string) {
 	for _, name := range names {
 		if pod := c.publisher.storedPod(job.object.Namespace, name); pod != nil {
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -18,10 +18,10 @@
 	// indexFinished means that the index has succeeded or will not be started again.
 	indexFinished
 
-	indexStates
+	indexStateCount
 )
 
-var indexStateNames = [indexStates]string{"pending", "active", "retrying", "finished"}
+var indexStateNames = [indexStateCount]string{"pending", "active", "retrying", "finished"}
 
 func (s indexState) String() string { return indexStateNames[s] }
 
@@ -37,7 +37,7 @@
 // completionIndex is the state of one completion index of a Job.
 type completionIndex struct {
 	state       indexState
-	task        *task  // set while the index is active
+	task        *task  // present task of the index; nil unless the index is active
 	settled     bool   // set once the final outcome of the index's first task has been counted
 	retryBudget int    // number of retries that the next task may use
 	retryTimer  *timer // fires when the index is started again
@@ -84,7 +84,7 @@
 func (t *completionIndexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
 // takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
-// as many are active as the parallelism allows.
+// the number of active indexes has reached the parallelism of the Job.
 func (t *completionIndexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.active >= parallelism {
 		return 0, false
@@ -180,7 +180,7 @@
 	t.nextUnstarted = min(t.nextUnstarted, i)
 }
 
-// setRetry sets the timer that starts a completion index again, and the retry budget of the next task.
+// setRetry records the timer that starts a completion index again, and the retry budget of the next task.
 func (t *completionIndexTable) setRetry(i, retryBudget int, retryTimer *timer) {
 	t.entries[i].retryBudget = retryBudget
 	t.entries[i].retryTimer = retryTimer
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -14,10 +14,10 @@
 	// jobEnded means that every completion index has ended, with or without success.
 	jobEnded
 
-	jobProgresses
+	jobProgressCount
 )
 
-var jobProgressNames = [jobProgresses]string{"running", "failing", "failed", "ended"}
+var jobProgressNames = [jobProgressCount]string{"running", "failing", "failed", "ended"}
 
 func (p jobProgress) String() string { return jobProgressNames[p] }
 
@@ -55,10 +55,10 @@
 	// jobDeleted means that the Job is no longer stored. Some of its Pods may still be stored.
 	jobDeleted
 
-	jobDeletions
+	jobDeletionCount
 )
 
-var jobDeletionNames = [jobDeletions]string{"kept", "deleting foreground", "deleted"}
+var jobDeletionNames = [jobDeletionCount]string{"kept", "deleting foreground", "deleted"}
 
 func (d jobDeletion) String() string { return jobDeletionNames[d] }
 
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -18,13 +18,13 @@
 	jobController *jobController
 	publisher     *publisher
 
-	dirty []*job // Jobs whose status must be stored at the end of the call
+	dirtyJobs []*job // Jobs whose status must be stored at the end of the call
 }
 
 // writeDirty stores the statuses of the Jobs that markDirty has listed during the current call.
 func (w *jobStatusWriter) writeDirty() {
-	dirtyJobs := w.dirty
-	w.dirty = nil
+	dirtyJobs := w.dirtyJobs
+	w.dirtyJobs = nil
 	for _, job := range dirtyJobs {
 		job.statusDirty = false
 		w.write(job)
@@ -35,7 +35,7 @@
 func (w *jobStatusWriter) markDirty(job *job) {
 	if !job.statusDirty {
 		job.statusDirty = true
-		w.dirty = append(w.dirty, job)
+		w.dirtyJobs = append(w.dirtyJobs, job)
 	}
 }
 
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -11,7 +11,7 @@
 
 // jobTable holds the Jobs of an Engine and records the order in which they finished.
 type jobTable struct {
-	byKey        map[string]*job // Jobs by store.Key
+	byKey        map[string]*job // Jobs by their key, as returned by store.Key
 	finishedJobs []*job          // finished Jobs in order of their end; may contain deleted Jobs, which oldestFinished skips
 }
 
@@ -32,8 +32,8 @@
 	return true
 }
 
-// ofPod returns the Job that owns a Pod, or nil if the Job is unknown.
-func (t *jobTable) ofPod(pod *corev1.Pod) *job {
+// ownerOf returns the Job that owns a Pod, or nil if the Job is unknown.
+func (t *jobTable) ownerOf(pod *corev1.Pod) *job {
 	for i := range pod.OwnerReferences {
 		reference := &pod.OwnerReferences[i]
 		if reference.Kind != "Job" {
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// applySuspend suspends or resumes a Job after an update. Otherwise it adds the Job to the backlog, since the
-// update may permit more tasks to start.
+// applySuspend suspends or resumes a Job after an update. If the update does neither, the Job is added to the
+// backlog, because the update may permit more tasks to start.
 func (c *jobController) applySuspend(job *job, suspend bool) {
 	switch {
 	case suspend && !job.suspended && !job.progress.finished():
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -52,8 +52,8 @@
 	n.apiUpdatePending = true
 }
 
-// beginPublish records the fingerprint of the inventory's Node that is about to be published, together with
-// all pending API updates.
+// beginPublish records that the inventory's Node with the given fingerprint and all pending API updates are
+// about to be published.
 func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
 	n.apiUpdatePending = false
@@ -109,8 +109,8 @@
 	return previous != ""
 }
 
-// freeCapacity returns the cores and the memory in GiB of a node that no Pod requests. Both are 0 if the Node
-// has no valid annotation for its free capacity.
+// freeCapacity returns how many cores and how much memory in GiB of a node are not requested by any Pod. Both
+// are 0 if the Node has no valid annotation for its free capacity.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
 	freeValues, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -89,8 +89,8 @@
 	return updatedNodes
 }
 
-// getOrAdd returns the node with the given name and adds it if it is unknown. It returns nil if the placer
-// ID of a new node already belongs to another node.
+// getOrAdd returns the node with the given name and adds it if it is unknown. It returns nil if the placer ID
+// of a new node, which is a hash of its name, already belongs to another node.
 func (r *nodeRegistry) getOrAdd(name string) *node {
 	if knownNode := r.byName[name]; knownNode != nil {
 		return knownNode
@@ -120,8 +120,8 @@
 	}
 }
 
-// missingFromList returns the names of the nodes that were in the inventory until now but that a full list
-// does not contain. The names are in random order.
+// missingFromList returns the names of the nodes that were in the inventory until now and are missing from a
+// new full list. The names are in random order.
 func (r *nodeRegistry) missingFromList(listedNodes []*corev1.Node) []string {
 	listedNames := make(map[string]bool, len(listedNodes))
 	for _, object := range listedNodes {
@@ -226,7 +226,7 @@
 	r.unwatchRemoved(node)
 }
 
-// unwatchRemoved stops watching a node that has left the inventory and runs no tasks.
+// unwatchRemoved ends the watch of a node's Pods if the node has left the inventory and runs no tasks.
 func (r *nodeRegistry) unwatchRemoved(node *node) {
 	if node.inventoryNode != nil || len(node.runningTasks) > 0 || node.address == "" {
 		return
--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -24,7 +24,7 @@
 				testNode.recordIncarnation(incarnation)
 			}
 			if got := testNode.recordIncarnation(test.statedIncarnation); got != test.want {
-				t.Errorf("recordIncarnation reported whether a known incarnation was replaced as %v, want %v", got, test.want)
+				t.Errorf("recordIncarnation returned %v, want %v: it reports whether a known incarnation was replaced", got, test.want)
 			}
 		})
 	}
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -61,7 +61,7 @@
 	task := c.tasks.get(pod.UID)
 	if task == nil {
 		c.publisher.deletePod(pod.Namespace, pod.Name)
-		if job := c.jobs.ofPod(pod); job != nil {
+		if job := c.jobs.ownerOf(pod); job != nil {
 			job.removePod(pod.Name)
 			c.jobController.finishForegroundDeletion(job)
 		}
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -8,7 +8,7 @@
 )
 
 // publisher owns the store and writes the Jobs, Pods, Nodes and Namespaces of the API into it. No other
-// part of the engine writes to the store.
+// component of the engine writes to the store.
 type publisher struct {
 	*environment
 	store *store.Store
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -13,9 +13,8 @@
 // outcomeReconciler determines the outcomes of attempts that nodes may have accepted, and stops duplicates of
 // tasks. An unknown outcome becomes known through a late answer, a report of the node's watch, the answer to
 // a stop order, or a new incarnation of the node. To fence an attempt means to order its node to stop the
-// task and to reject the attempt if it arrives later.
-//
-// The types attemptHistory and node list the attempts with an unknown outcome.
+// task and to reject the attempt if it arrives later. The types attemptHistory and node hold the attempts
+// with an unknown outcome.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -75,8 +74,8 @@
 	r.lifecycle.removeIfResolved(task)
 }
 
-// awaitsOutcomes reports whether a task waits for the outcomes of its attempts before its next placement
-// request.
+// awaitsOutcomes reports whether the next placement request of a task must wait until the outcomes of all its
+// attempts are known.
 func (r *outcomeReconciler) awaitsOutcomes(task *task) bool {
 	return task.state == taskWaiting && task.retryTimer != nil && r.idempotencyOf(task) != placer.Idempotent
 }
@@ -104,12 +103,12 @@
 	}
 }
 
-// bindOrFence handles an attempt with an unknown outcome that its node has accepted, as is known now. It
-// makes the attempt the running attempt of its task, or fences the attempt if the task has another one or has
-// ended.
+// bindOrFence handles an attempt with an unknown outcome when the engine learns that the node has accepted
+// it. The task is bound to the attempt. If the task has another attempt or has ended, or if a stop order for
+// the attempt is in flight, the attempt is fenced instead.
 func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
 	task := attempt.task
-	if !task.state.canBind() || attempt.stopInFlight {
+	if !task.state.canBind() || attempt.stopOrderInFlight {
 		r.fence(attempt)
 		return
 	}
@@ -124,11 +123,11 @@
 // fence orders a node to stop a task that it may have accepted, and to reject the attempt if it arrives
 // later. The order is repeated until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(attempt *attempt) {
-	if !attempt.outcomeUnknown() || attempt.stopInFlight {
+	if !attempt.outcomeUnknown() || attempt.stopOrderInFlight {
 		return
 	}
-	attempt.stopInFlight = true
-	attempt.stopsSent++
+	attempt.stopOrderInFlight = true
+	attempt.stopOrdersSent++
 	task := attempt.task
 	r.emitStopTask(attempt.node, task.podIdentity, attempt.number)
 }
@@ -151,16 +150,17 @@
 	}
 }
 
-// Stop orders for the same attempt are repeated with exponential backoff, from minStopDelay to maxStopDelay.
+// Stop orders for the same attempt are repeated with exponential backoff, from minStopOrderDelay to
+// maxStopOrderDelay.
 const (
-	minStopDelay     placer.Seconds = 0.25
-	maxStopDelay     placer.Seconds = 5
-	maxStopDoublings                = 5
+	minStopOrderDelay          placer.Seconds = 0.25
+	maxStopOrderDelay          placer.Seconds = 5
+	maxStopOrderDelayDoublings                = 5
 )
 
-// stopBackoff returns the delay before the next stop order, given the number of stop orders already sent.
-func stopBackoff(stopsSent int) placer.Seconds {
-	return min(minStopDelay*placer.Seconds(int(1)<<min(stopsSent, maxStopDoublings)), maxStopDelay)
+// stopOrderDelay returns the delay before the next stop order, given the number of stop orders already sent.
+func stopOrderDelay(ordersSent int) placer.Seconds {
+	return min(minStopOrderDelay*placer.Seconds(int(1)<<min(ordersSent, maxStopOrderDelayDoublings)), maxStopOrderDelay)
 }
 
 // StopAnswer is a node's answer to StopTask.
@@ -196,10 +196,10 @@
 // does not have the task, its answer is valid only for its current incarnation: an earlier incarnation may
 // have run the task.
 func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
-	attempt.stopInFlight = false
+	attempt.stopOrderInFlight = false
 	if !answer.Answered {
 		r.stopTimer(attempt.fenceTimer)
-		r.scheduleFence(attempt, stopBackoff(attempt.stopsSent))
+		r.scheduleFence(attempt, stopOrderDelay(attempt.stopOrdersSent))
 		return
 	}
 	sameIncarnation := attempt.sentIncarnation != "" && attempt.sentIncarnation == answer.Incarnation
@@ -217,8 +217,8 @@
 		r.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
 		return
 	}
-	attempt.stopsSent++
-	attempt.fenceTimer = r.runAfter(stopBackoff(attempt.stopsSent), func() {
+	attempt.stopOrdersSent++
+	attempt.fenceTimer = r.runAfter(stopOrderDelay(attempt.stopOrdersSent), func() {
 		attempt.fenceTimer = nil
 		r.lifecycle.stopRunning(task)
 	})
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -97,8 +97,8 @@
 	s.delayedCalls = append(s.delayedCalls, delayedCall{s.now + delay, s.sequence, s.incarnation, call})
 }
 
-// recordState checks the invariants of the engine, records its effects and changes, and lets the nodes react
-// to the effects.
+// recordState checks the invariants of the engine, records its effects and its changes of the store, and
+// carries out the effects.
 func (s *script) recordState() {
 	if err := s.engine.CheckInvariants(); err != nil {
 		s.t.Fatal(err)
@@ -113,6 +113,7 @@
 	s.recorder.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
 }
 
+// recordEffect records all fields of an effect.
 func (s *script) recordEffect(effect *engine.Effect) {
 	s.effectCounts[effect.Kind]++
 	s.recorder.Integers(int64(effect.Kind), int64(effect.Attempt))
@@ -124,6 +125,7 @@
 	}
 }
 
+// recordObject records the binary encoding and the JSON encoding of an object.
 func (s *script) recordObject(object interface{ Marshal() ([]byte, error) }) {
 	encodedBinary, err := object.Marshal()
 	if err != nil {
@@ -164,7 +166,7 @@
 	s.revision = s.engine.Store().Revision()
 }
 
-// recordResult records the result of a call.
+// recordResult records the object or the error that a call of the engine has returned.
 func (s *script) recordResult(object interface{ Marshal() ([]byte, error) }, err error) {
 	s.recorder.Error(err)
 	if err != nil {
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -27,10 +27,10 @@
 	// taskRemoved means that the task was removed from the task table.
 	taskRemoved
 
-	taskStates
+	taskStateCount
 )
 
-var taskStateNames = [taskStates]string{
+var taskStateNames = [taskStateCount]string{
 	"created", "queued", "submitted", "attempting", "waiting", "bound", "running", "terminating", "removed",
 }
 
--- a/internal/kube/store/snapshot.go
+++ b/internal/kube/store/snapshot.go
@@ -33,31 +33,31 @@
 // of the table. If the maximum number of snapshots is reached, the snapshot that was kept first is dropped.
 func (s *Store) KeepSnapshot(now placer.Seconds, snapshot Snapshot) {
 	s.expireSnapshots(now)
-	for i := range s.snapshots {
-		kept := &s.snapshots[i]
-		if kept.Revision == snapshot.Revision && kept.Resource == snapshot.Resource {
-			kept.keptAt = now
+	for i := range s.keptSnapshots {
+		keptSnapshot := &s.keptSnapshots[i]
+		if keptSnapshot.Revision == snapshot.Revision && keptSnapshot.Resource == snapshot.Resource {
+			keptSnapshot.keptAt = now
 			return
 		}
 	}
 	snapshot.keptAt = now
-	if len(s.snapshots) >= maxSnapshots {
-		s.snapshots = append(s.snapshots[:0], s.snapshots[1:]...)
+	if len(s.keptSnapshots) >= maxSnapshots {
+		s.keptSnapshots = append(s.keptSnapshots[:0], s.keptSnapshots[1:]...)
 	}
-	s.snapshots = append(s.snapshots, snapshot)
+	s.keptSnapshots = append(s.keptSnapshots, snapshot)
 }
 
 // expireSnapshots drops the kept snapshots that are outdated or whose retention time has passed.
 func (s *Store) expireSnapshots(now placer.Seconds) {
 	keptCount := 0
-	for _, snapshot := range s.snapshots {
+	for _, snapshot := range s.keptSnapshots {
 		if now-snapshot.keptAt <= snapshotRetention && !s.Outdated(snapshot) {
-			s.snapshots[keptCount] = snapshot
+			s.keptSnapshots[keptCount] = snapshot
 			keptCount++
 		}
 	}
-	clear(s.snapshots[keptCount:])
-	s.snapshots = s.snapshots[:keptCount]
+	clear(s.keptSnapshots[keptCount:])
+	s.keptSnapshots = s.keptSnapshots[:keptCount]
 }
 
 // Outdated reports whether the history no longer reaches back to the revision of a snapshot. An outdated
@@ -70,7 +70,7 @@
 // present one, it returns a new snapshot. Otherwise it returns ErrExpired.
 func (s *Store) FindSnapshot(now placer.Seconds, resource Resource, revision int64) (Snapshot, error) {
 	s.expireSnapshots(now)
-	for _, snapshot := range s.snapshots {
+	for _, snapshot := range s.keptSnapshots {
 		if snapshot.Revision == revision && snapshot.Resource == resource {
 			return snapshot, nil
 		}
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -85,9 +85,9 @@
 type Store struct {
 	revision       int64
 	tables         [resourceCount]table
-	historyLength  int   // maximum number of changes that the history of each table keeps
-	maxHistoryCost int64 // maximum cost of the histories of all tables in bytes; 0 means no limit
-	snapshots      []Snapshot
+	historyLength  int        // maximum number of changes that the history of each table keeps
+	maxHistoryCost int64      // maximum cost of the histories of all tables in bytes; 0 means no limit
+	keptSnapshots  []Snapshot // snapshots for clients that read a list in pages
 }
 
 // New returns an empty Store. The first change has a revision greater than base, and the history of each
@@ -200,7 +200,7 @@
 // that has read all changes must not expire.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
-		costliestTable := s.costliestHistory()
+		costliestTable := s.tableWithCostliestHistory()
 		if costliestTable == nil {
 			return
 		}
@@ -208,9 +208,9 @@
 	}
 }
 
-// costliestHistory returns the table whose history has the highest cost. It ignores histories with fewer than
-// two changes, and returns nil if there are no others.
-func (s *Store) costliestHistory() *table {
+// tableWithCostliestHistory returns the table whose history has the highest cost. It ignores histories with
+// fewer than two changes, and returns nil if there are no others.
+func (s *Store) tableWithCostliestHistory() *table {
 	var costliestTable *table
 	for i := range s.tables {
 		table := &s.tables[i]
--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -37,7 +37,7 @@
 		}
 		delete(want, key)
 		if present != (testStore.Revision() == revisionBefore+1) {
-			t.Fatalf("the store has revision %d after Delete and had %d before, although stored=%v for the object", testStore.Revision(), revisionBefore, present)
+			t.Fatalf("the store has revision %d after Delete and had %d before; it must grow by one if and only if the object was stored (%v)", testStore.Revision(), revisionBefore, present)
 		}
 		return
 	}
@@ -175,6 +175,6 @@
 		testStore.Put(Pods, newPod("default", fmt.Sprint("q", i%10)))
 	}
 	if _, err := testStore.FindSnapshot(1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) || !testStore.Outdated(snapshot) {
-		t.Errorf("FindSnapshot returned error %v for a snapshot older than the history, want ErrExpired, or Outdated returned false", err)
+		t.Errorf("a snapshot older than the history must be expired and outdated, but FindSnapshot returned error %v or Outdated returned false", err)
 	}
 }
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -51,7 +51,7 @@
 
 // These are the names of HTTP header fields in requests and answers between schedulers and nodes.
 const (
-	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt, which counts the attempts for the Pod
+	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt among all attempts for the Pod
 	LoadHeader        = "Heathshed-Load"    // contains the node's load report as an RFC 9651 dictionary
 	IncarnationHeader = "Heathshed-Boot"    // identifies the node's incarnation
 )
--- a/internal/kube/wellknown/wellknown_test.go
+++ b/internal/kube/wellknown/wellknown_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 )
 
-// TestTextsOnTheWire pins the texts that programs of different versions exchange.
+// TestTextsOnTheWire checks that the texts that programs of different versions exchange have not changed.
 func TestTextsOnTheWire(t *testing.T) {
 	for _, test := range []struct{ got, want string }{
 		{Class, "heathshed.io/class"},
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, err := ParseDict(test.text)
 			if (err != nil) != test.fails || !maps.Equal(got, test.want) {
-				t.Errorf("ParseDict returned %v, error %v; want %v", got, err, test.want)
+				t.Errorf("ParseDict returned %v and error %v, want %v", got, err, test.want)
 			}
 		})
 	}
