--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -49,22 +49,22 @@
 
 // adoptPod adopts a Pod that an earlier process placed, and rebuilds its Job from the manifest (the Job as
 // JSON) that the node stores with the Pod. If the Pod cannot be adopted, it is stopped.
-func (a *adopter) adoptPod(node *node, foundPod *corev1.Pod) {
-	class, invalidErr := a.cfg.classFromLabels(foundPod.Labels)
-	if invalidErr != nil || a.publisher.storedPod(foundPod.Namespace, foundPod.Name) != nil {
-		a.emitStopTask(node, identityOf(foundPod), maxAttemptNumber)
+func (a *adopter) adoptPod(node *node, reportedPod *corev1.Pod) {
+	class, invalidErr := a.cfg.classFromLabels(reportedPod.Labels)
+	if invalidErr != nil || a.publisher.storedPod(reportedPod.Namespace, reportedPod.Name) != nil {
+		a.emitStopTask(node, identityOf(reportedPod), maxAttemptNumber)
 		return
 	}
 	a.stats.Recovered++
-	adoptedTask := a.newAdoptedTask(foundPod, class)
+	adoptedTask := a.newAdoptedTask(reportedPod, class)
 	a.tasks.add(adoptedTask)
-	a.adoptJob(adoptedTask, foundPod)
-	a.publisher.putPod(a.adoptedPod(node, foundPod))
+	a.adoptJob(adoptedTask, reportedPod)
+	a.publisher.putPod(a.adoptedPod(node, reportedPod))
 	if adoptedTask.job != nil {
 		adoptedTask.job.addPod(adoptedTask.name)
 	}
-	a.adoptTask(adoptedTask, node, attemptNumber(foundPod), node.incarnation, podRevision(foundPod))
-	if foundPod.Status.Phase == corev1.PodRunning {
+	a.adoptTask(adoptedTask, node, attemptNumber(reportedPod), node.incarnation, podRevision(reportedPod))
+	if reportedPod.Status.Phase == corev1.PodRunning {
 		a.lifecycle.recordStart(adoptedTask)
 	}
 	if adoptedTask.job != nil && adoptedTask.job.isDeleted() {
@@ -85,16 +85,16 @@
 
 // newAdoptedTask returns a task for a Pod that a node reports as running. The task counts as settled because
 // the process that placed it has already reported its final outcome.
-func (a *adopter) newAdoptedTask(foundPod *corev1.Pod, class int) *task {
+func (a *adopter) newAdoptedTask(reportedPod *corev1.Pod, class int) *task {
 	// If the namespace no longer belongs to a tenant, the task counts towards the first tenant.
-	tenant, _ := a.cfg.tenantOf(foundPod.Namespace)
-	service := foundPod.Labels[wellknown.Service]
+	tenant, _ := a.cfg.tenantOf(reportedPod.Namespace)
+	service := reportedPod.Labels[wellknown.Service]
 	if service == "" {
-		service = foundPod.Labels[wellknown.JobName]
+		service = reportedPod.Labels[wellknown.JobName]
 	}
 	return &task{
-		podIdentity:       identityOf(foundPod),
-		placementSpec:     newPlacementSpec(class, tenant, serviceID(foundPod.Namespace, service), &foundPod.Spec),
+		podIdentity:       identityOf(reportedPod),
+		placementSpec:     newPlacementSpec(class, tenant, serviceID(reportedPod.Namespace, service), &reportedPod.Spec),
 		deadline:          a.now,
 		settled:           true,
 		requestsSubmitted: 1,
@@ -104,9 +104,9 @@
 
 // adoptedPod returns the Pod that is stored for an adopted task. It is derived from the Pod that the node
 // reported.
-func (a *adopter) adoptedPod(node *node, foundPod *corev1.Pod) *corev1.Pod {
+func (a *adopter) adoptedPod(node *node, reportedPod *corev1.Pod) *corev1.Pod {
 	now := a.apiNow()
-	pod := foundPod.DeepCopy()
+	pod := reportedPod.DeepCopy()
 	pod.Labels[wellknown.Scheduler] = a.cfg.Name
 	delete(pod.Annotations, wellknown.JobManifest)
 	delete(pod.Annotations, wellknown.Usage)
@@ -125,10 +125,10 @@
 
 // adoptJob attaches an adopted task to its Job and rebuilds the Job if it is not stored. A task whose Pod
 // contains no valid manifest of a Job remains without a Job.
-func (a *adopter) adoptJob(adoptedTask *task, foundPod *corev1.Pod) {
+func (a *adopter) adoptJob(adoptedTask *task, reportedPod *corev1.Pod) {
 	var manifest batchv1.Job
-	err := json.Unmarshal([]byte(foundPod.Annotations[wellknown.JobManifest]), &manifest)
-	if err != nil || manifest.Name == "" || manifest.Namespace != foundPod.Namespace {
+	err := json.Unmarshal([]byte(reportedPod.Annotations[wellknown.JobManifest]), &manifest)
+	if err != nil || manifest.Name == "" || manifest.Namespace != reportedPod.Namespace {
 		return
 	}
 	job := a.jobs.get(jobKey(&manifest))
@@ -137,7 +137,7 @@
 			return
 		}
 	}
-	index, err := strconv.Atoi(foundPod.Labels[wellknown.CompletionIndex])
+	index, err := strconv.Atoi(reportedPod.Labels[wellknown.CompletionIndex])
 	if err != nil || index < 0 || index >= job.indexes.len() || job.uid != manifest.UID || job.indexes.at(index).task != nil {
 		return
 	}
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -38,9 +38,9 @@
 	revision    int64
 }
 
-// newerThan returns true if the node sent the Pod report after the given answer. Revisions are comparable
+// isNewerThan returns true if the node sent the Pod report after the given answer. Revisions are comparable
 // only within one incarnation of a node.
-func (r *podReport) newerThan(answer *AttemptAnswer) bool {
+func (r *podReport) isNewerThan(answer *AttemptAnswer) bool {
 	return r != nil && r.incarnation == answer.Incarnation && r.revision > answer.Revision
 }
 
@@ -223,7 +223,7 @@
 	t.requests.complete(attempt.request, true)
 	t.lifecycle.bind(task, attempt)
 	// The node's watch may have reported a newer state of the Pod before the answer arrived.
-	if report := attempt.latestReport; report.newerThan(answer) {
+	if report := attempt.latestReport; report.isNewerThan(answer) {
 		t.observer.observeRunning(task, report.pod, report.deleted)
 	} else if answer.Pod != nil {
 		t.observer.observeRunning(task, answer.Pod, false)
@@ -285,9 +285,9 @@
 	return &pod
 }
 
-// outcomeUnknown reports whether the node may have accepted the attempt although the engine has received no
-// such answer.
-func (a *attempt) outcomeUnknown() bool { return a.task.attempts.isOutcomeUnknown(a) }
+// hasUnknownOutcome reports whether the node may have accepted the attempt although the engine has received
+// no such answer.
+func (a *attempt) hasUnknownOutcome() bool { return a.task.attempts.isOutcomeUnknown(a) }
 
 // keepReport stores a report of the node's watch that arrives while the attempt is in flight.
 func (a *attempt) keepReport(report *podReport) { a.latestReport = report }
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -76,7 +76,7 @@
 
 // NodeCounts returns the number of nodes that the inventory lists as ready or draining, and the number of
 // those whose Pods are watched.
-func (e *Engine) NodeCounts() (listed, watched int) {
+func (e *Engine) NodeCounts() (listedCount, watchedCount int) {
 	return e.nodes.countNodes()
 }
 
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -260,7 +260,7 @@
 // hasQueuedRetryWithUnknownOutcome reports whether any task waits for admission while the outcome of one of
 // its attempts is unknown.
 func hasQueuedRetryWithUnknownOutcome(engine *Engine) bool {
-	for _, task := range engine.tasks.inOrder() {
+	for _, task := range engine.tasks.tasksInCreationOrder() {
 		if task.state == taskQueued && task.attempts.hasUnknownOutcome() {
 			return true
 		}
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -58,7 +58,7 @@
 // finishIfDone finishes a Job if all of its completion indexes have ended, or if the Job fails as a whole and
 // has no active task left.
 func (c *jobController) finishIfDone(job *job) {
-	if job.progress.finished() || job.isDeleted() || job.indexes.active > 0 {
+	if job.progress.finished() || job.isDeleted() || job.indexes.activeIndexes > 0 {
 		return
 	}
 	if job.progress != jobFailing && (job.suspended || !job.indexes.allEnded()) {
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -51,7 +51,7 @@
 
 	entries        []completionIndex
 	nextUnstarted  int // lowest index that takeNext has not returned yet
-	active         int // number of indexes that have a task
+	activeIndexes  int // number of indexes that have a task
 	succeededTasks int // number of tasks that succeeded
 	failedTasks    int // number of tasks that ended without success
 	failedIndexes  int // number of indexes that have failed and will not be started again
@@ -86,7 +86,7 @@
 // takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
 // the number of active indexes has reached the parallelism of the Job.
 func (t *completionIndexTable) takeNext(parallelism int) (index int, ok bool) {
-	if t.unstarted() <= 0 || t.active >= parallelism {
+	if t.unstarted() <= 0 || t.activeIndexes >= parallelism {
 		return 0, false
 	}
 	t.nextUnstarted++
@@ -115,7 +115,7 @@
 func (t *completionIndexTable) activate(i int, task *task) {
 	t.setState(i, indexActive)
 	t.entries[i].task = task
-	t.active++
+	t.activeIndexes++
 }
 
 // countOutcome counts a final outcome if it is the first one of the completion index. It reports whether it
@@ -145,7 +145,7 @@
 func (t *completionIndexTable) end(i int) {
 	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
-	t.active--
+	t.activeIndexes--
 }
 
 // succeed finishes a completion index whose task has succeeded.
@@ -199,7 +199,7 @@
 // invariantViolation describes the first contradiction between a Job's completion indexes and their tasks. It
 // returns "" if there is none.
 func (t *completionIndexTable) invariantViolation(job *job) string {
-	active := 0
+	activeCount := 0
 	for i := range t.entries {
 		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
@@ -208,13 +208,13 @@
 		if index.task == nil {
 			continue
 		}
-		active++
+		activeCount++
 		if index.task.job != job || index.task.index != i {
 			return fmt.Sprintf("invariant violated: the task of index %d must refer to the Job and the index to which it belongs", i)
 		}
 	}
-	if active != t.active {
-		return fmt.Sprintf("invariant violated: %d completion indexes are active, but the count of active indexes is %d", active, t.active)
+	if activeCount != t.activeIndexes {
+		return fmt.Sprintf("invariant violated: %d completion indexes are active, but the count of active indexes is %d", activeCount, t.activeIndexes)
 	}
 	return ""
 }
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -73,7 +73,7 @@
 		}
 		remaining -= s.startRound(job, remaining)
 		s.drainEvents()
-		if job.indexes.unstarted() > 0 && job.indexes.active < job.parallelism() {
+		if job.indexes.unstarted() > 0 && job.indexes.activeIndexes < job.parallelism() {
 			s.enqueue(job)
 		}
 	}
@@ -175,9 +175,9 @@
 // in the backlog.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
-		pending := job.indexes.unstarted()
-		count += pending
-		bytes += job.podCost * int64(pending)
+		pendingCount := job.indexes.unstarted()
+		count += pendingCount
+		bytes += job.podCost * int64(pendingCount)
 	}
 	return count, bytes
 }
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -107,7 +107,7 @@
 	table.succeed(0)
 	table.end(1)
 	table.fail(1, true)
-	if table.active != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
+	if table.activeIndexes != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
 		t.Errorf("one index has succeeded and one has failed and will be retried, but the counts are wrong: %+v", table)
 	}
 
@@ -120,7 +120,7 @@
 	if table.failedTasks != 3 || table.failedIndexes != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
 		t.Errorf("all indexes have ended, two of them as failed, but the counts are wrong: %+v", table)
 	}
-	if table.adopt(2, &task{index: 2}); table.failedIndexes != 1 || table.active != 1 || table.outcomeCounts[outcomeFailed] != 2 {
+	if table.adopt(2, &task{index: 2}); table.failedIndexes != 1 || table.activeIndexes != 1 || table.outcomeCounts[outcomeFailed] != 2 {
 		t.Errorf("a duplicate task was adopted for a failed index, but the counts are wrong: %+v", table)
 	}
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -63,7 +63,7 @@
 	if status.StartTime == nil && !j.suspended {
 		status.StartTime = &now
 	}
-	status.Active = int32(j.indexes.active)
+	status.Active = int32(j.indexes.activeIndexes)
 	status.Succeeded = int32(j.indexes.succeededTasks)
 	status.Failed = int32(j.indexes.failedTasks)
 	status.CompletedIndexes = ""
@@ -78,19 +78,19 @@
 // outcome.
 func (j *job) setSettledCondition(status *batchv1.JobStatus, now metav1.Time) {
 	counts := j.indexes.outcomeCounts
-	placed, rejected, failed := counts[outcomePlaced], counts[outcomeRejected], counts[outcomeFailed]
-	total := placed + rejected + failed
+	placedCount, rejectedCount, failedCount := counts[outcomePlaced], counts[outcomeRejected], counts[outcomeFailed]
+	total := placedCount + rejectedCount + failedCount
 	if total != j.indexes.len() {
 		return
 	}
 	reason := wellknown.Failed
 	switch {
-	case placed == total:
+	case placedCount == total:
 		reason = wellknown.Placed
-	case rejected == total && !j.indexes.unplacedMayHaveRun:
+	case rejectedCount == total && !j.indexes.unplacedMayHaveRun:
 		reason = wellknown.Rejected
 	}
-	message := fmt.Sprintf("%d placed, %d rejected, %d failed", placed, rejected, failed)
+	message := fmt.Sprintf("%d placed, %d rejected, %d failed", placedCount, rejectedCount, failedCount)
 	setFinalJobCondition(status, newJobCondition(wellknown.Settled, reason, message, now))
 }
 
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -55,9 +55,9 @@
 		return
 	}
 	changedNodes := r.applyNodes(nodes)
-	list := placer.Changes
+	listKind := placer.Changes
 	if kind == FullList {
-		list = placer.FullList
+		listKind = placer.FullList
 		removedNames = append(removedNames, r.missingFromList(nodes)...)
 		slices.Sort(removedNames)
 	}
@@ -68,7 +68,7 @@
 		r.publisher.publishNode(node)
 	}
 	r.inventoryListed = true
-	r.post(placer.Event{Kind: placer.NodesListed, List: list, Nodes: placerNodes})
+	r.post(placer.Event{Kind: placer.NodesListed, List: listKind, Nodes: placerNodes})
 }
 
 // applyNodes updates the records of the given nodes and returns the records. It skips a node whose placer
@@ -238,17 +238,17 @@
 
 // countNodes returns the number of nodes that are ready or draining, and the number of those whose Pods are
 // watched. It implements Engine.NodeCounts.
-func (r *nodeRegistry) countNodes() (listed, watched int) {
+func (r *nodeRegistry) countNodes() (listedCount, watchedCount int) {
 	for _, node := range r.byName {
 		if node.state == placer.Terminated {
 			continue
 		}
-		listed++
+		listedCount++
 		if node.podsWatched {
-			watched++
+			watchedCount++
 		}
 	}
-	return listed, watched
+	return listedCount, watchedCount
 }
 
 // recordPodList records that a node has listed its Pods and that its Pods are now watched.
@@ -270,7 +270,7 @@
 		}
 	}
 	for _, unresolvedAttempt := range node.unresolvedAttempts() {
-		if unresolvedAttempt.outcomeUnknown() {
+		if unresolvedAttempt.hasUnknownOutcome() {
 			r.outcomes.resolve(unresolvedAttempt, true)
 		}
 	}
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -55,14 +55,14 @@
 
 // jobOwnerReference returns the owner reference by which a Pod refers to its Job.
 func jobOwnerReference(job *job) metav1.OwnerReference {
-	isTrue := true
+	trueValue := true
 	return metav1.OwnerReference{
 		APIVersion:         "batch/v1",
 		Kind:               "Job",
 		Name:               job.object.Name,
 		UID:                job.uid,
-		Controller:         &isTrue,
-		BlockOwnerDeletion: &isTrue,
+		Controller:         &trueValue,
+		BlockOwnerDeletion: &trueValue,
 	}
 }
 
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -39,7 +39,7 @@
 	}
 	if report := attempt.latestReport; report != nil {
 		r.runAfter(0, func() {
-			if attempt.outcomeUnknown() {
+			if attempt.hasUnknownOutcome() {
 				r.observe(attempt, report)
 				r.drainEvents()
 			}
@@ -123,7 +123,7 @@
 // fence orders a node to stop a task that it may have accepted, and to reject the attempt if it arrives
 // later. The order is repeated until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(attempt *attempt) {
-	if !attempt.outcomeUnknown() || attempt.stopOrderInFlight {
+	if !attempt.hasUnknownOutcome() || attempt.stopOrderInFlight {
 		return
 	}
 	attempt.stopOrderInFlight = true
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -24,8 +24,8 @@
 
 func (r *placementRequest) addAttempt(attempt *attempt) { r.attempts = append(r.attempts, attempt) }
 
-// hasAttempt reports whether any attempt of the request is in flight or running.
-func (r *placementRequest) hasAttempt() bool {
+// hasOpenAttempt reports whether any attempt of the request is in flight or running.
+func (r *placementRequest) hasOpenAttempt() bool {
 	return slices.ContainsFunc(r.attempts, r.task.attempts.isOpen)
 }
 
@@ -72,7 +72,7 @@
 	case admission.Queue:
 		r.tasks.setState(task, taskQueued)
 	case admission.Shed:
-		r.shedRequest(request, shedRequest)
+		r.handleShed(request, shedRequest)
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // handleShed ends a placement request that the admission controller has shed, that is, rejected without
 // passing it to the placer. No attempt was made for the request.
-func (r *requestTable) shedRequest(request *placementRequest, shedRequest admission.ShedRequest) {
+func (r *requestTable) handleShed(request *placementRequest, shedRequest admission.ShedRequest) {
 	r.stats.Shed++
 	request.close()
 	request.task.wasShed = true
@@ -145,7 +145,7 @@
 			r.submit(r.byID[placer.TaskID(id)])
 		}
 		for _, shedRequest := range shedRequests {
-			r.shedRequest(r.byID[placer.TaskID(shedRequest.ID)], shedRequest)
+			r.handleShed(r.byID[placer.TaskID(shedRequest.ID)], shedRequest)
 		}
 		r.drainEvents()
 		if len(admittedIDs)+len(shedRequests) == 0 {
@@ -214,7 +214,7 @@
 // removeIfUnused removes a closed placement request from the table. A request with an attempt in flight or
 // running is kept, because the placer identifies such an attempt by the ID of its request.
 func (r *requestTable) removeIfUnused(request *placementRequest) {
-	if request.closed && !request.hasAttempt() {
+	if request.closed && !request.hasOpenAttempt() {
 		delete(r.byID, request.id)
 	}
 }
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -69,10 +69,10 @@
 // createJob creates a random Job.
 func (s *script) createJob(dryRun bool) {
 	job := s.randomJob()
-	created, err := s.engine.CreateJob(s.now, job, dryRun)
-	s.recordResult(created, err)
+	createdJob, err := s.engine.CreateJob(s.now, job, dryRun)
+	s.recordResult(createdJob, err)
 	if err == nil && !dryRun {
-		s.jobs = append(s.jobs, created.Namespace+"/"+created.Name)
+		s.jobs = append(s.jobs, createdJob.Namespace+"/"+createdJob.Name)
 	}
 }
 
@@ -82,12 +82,12 @@
 	if snapshot.Len() == 0 {
 		return nil
 	}
-	skip := s.rng.IntN(snapshot.Len())
+	skipCount := s.rng.IntN(snapshot.Len())
 	var picked store.Object
 	snapshot.Scan("", "", func(_ string, change *store.Change) bool {
 		picked = change.Object
-		skip--
-		return skip >= 0
+		skipCount--
+		return skipCount >= 0
 	})
 	return picked
 }
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -92,20 +92,20 @@
 	}
 	reason := reasons[s.rng.IntN(len(reasons))]
 	vanishes := s.rng.IntN(12) == 0
-	start := s.randomDelay(0.02, 0.3)
-	end := start + 1 + placer.Seconds(15*s.rng.Float64())
-	s.schedulePodChange(start, node, incarnation, uid, func(pod *corev1.Pod) {
+	startDelay := s.randomDelay(0.02, 0.3)
+	endDelay := startDelay + 1 + placer.Seconds(15*s.rng.Float64())
+	s.schedulePodChange(startDelay, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodRunning
 		pod.Annotations[wellknown.Usage] = wellknown.FormatCapacity(0.5, 1.25)
 	}, false)
-	s.schedulePodChange(end, node, incarnation, uid, func(pod *corev1.Pod) {
+	s.schedulePodChange(endDelay, node, incarnation, uid, func(pod *corev1.Pod) {
 		pod.Status.Phase = corev1.PodSucceeded
 		if reason != "" {
 			pod.Status.Phase, pod.Status.Reason, pod.Status.Message = corev1.PodFailed, reason, "stated by the node"
 		}
 	}, false)
 	if vanishes {
-		s.schedulePodChange(start+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
+		s.schedulePodChange(startDelay+0.5, node, incarnation, uid, func(*corev1.Pod) {}, true)
 	}
 }
 
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -109,8 +109,8 @@
 	}
 	s.recordChanges()
 	s.recorder.Floats(float64(s.engine.NextWake()), s.engine.Admission().Limit(), s.engine.Admission().RetryBudget())
-	listed, watched := s.engine.NodeCounts()
-	s.recorder.Integers(int64(s.engine.OpenTasks()), int64(listed), int64(watched), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
+	listedCount, watchedCount := s.engine.NodeCounts()
+	s.recorder.Integers(int64(s.engine.OpenTasks()), int64(listedCount), int64(watchedCount), s.engine.Store().ObjectCost(), s.engine.Store().HistoryCost())
 }
 
 // recordEffect records all fields of an effect.
@@ -226,18 +226,18 @@
 // in the order of their times.
 func (s *script) advance(until placer.Seconds) {
 	for {
-		next := s.engine.NextWake()
+		nextTime := s.engine.NextWake()
 		slices.SortStableFunc(s.delayedCalls, func(left, right delayedCall) int {
 			return cmp.Or(cmp.Compare(left.at, right.at), cmp.Compare(left.sequence, right.sequence))
 		})
-		callIsNext := len(s.delayedCalls) > 0 && s.delayedCalls[0].at < next
+		callIsNext := len(s.delayedCalls) > 0 && s.delayedCalls[0].at < nextTime
 		if callIsNext {
-			next = s.delayedCalls[0].at
+			nextTime = s.delayedCalls[0].at
 		}
-		if next > until {
+		if nextTime > until {
 			break
 		}
-		s.now = max(s.now, next)
+		s.now = max(s.now, nextTime)
 		if !callIsNext {
 			s.engine.Tick(s.now)
 			s.recordState()
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -52,13 +52,14 @@
 	taskRemoved:     {},
 }
 
-// requestOpen reports whether a placement request of the task waits for admission or is known to the placer.
-func (s taskState) requestOpen() bool {
+// hasOpenRequest reports whether a placement request of the task waits for admission or is known to the
+// placer.
+func (s taskState) hasOpenRequest() bool {
 	return s == taskQueued || s == taskSubmitted || s == taskAttempting
 }
 
-// onNode reports whether a node has accepted the task and the task has not ended.
-func (s taskState) onNode() bool { return s == taskBound || s == taskRunning }
+// isOnNode reports whether a node has accepted the task and the task has not ended.
+func (s taskState) isOnNode() bool { return s == taskBound || s == taskRunning }
 
 // canBind reports whether an attempt that a node reports as running may become the running attempt of the
 // task. If not, the attempt runs a duplicate of the task, which must be stopped.
@@ -74,13 +75,13 @@
 	}{
 		{"a task in the task table must be in neither of the states created and removed", t.state != taskCreated && t.state != taskRemoved},
 		{"an attempt must be in flight if and only if the task is in the state attempting", (t.attempts.inFlightAttempt != nil) == (t.state == taskAttempting)},
-		{"an attempt must be running if and only if the task is bound or running", (t.attempts.runningAttempt != nil) == t.state.onNode()},
+		{"an attempt must be running if and only if the task is bound or running", (t.attempts.runningAttempt != nil) == t.state.isOnNode()},
 		{"the node of the running attempt must list the task", t.attempts.runningAttempt == nil || t.attempts.runningAttempt.node.runningTasks[t.uid] == t},
-		{"a placement request must be open if and only if the task is queued, submitted or attempting", (t.request != nil && !t.request.closed) == t.state.requestOpen()},
+		{"a placement request must be open if and only if the task is queued, submitted or attempting", (t.request != nil && !t.request.closed) == t.state.hasOpenRequest()},
 		{"the retry timer may be pending only if the task is in the state waiting", !t.retryTimer.Pending() || t.state == taskWaiting},
-		{"a task must have its final outcome if and only if it is bound, running or terminating", t.settled == (t.state.onNode() || ended)},
+		{"a task must have its final outcome if and only if it is bound, running or terminating", t.settled == (t.state.isOnNode() || ended)},
 		{"a terminating task must have an attempt with an unknown outcome", !ended || t.attempts.hasUnknownOutcome()},
-		{"a task that has a stop reason must be bound, running or terminating", !t.isStopping() || t.state.onNode() || ended},
+		{"a task that has a stop reason must be bound, running or terminating", !t.isStopping() || t.state.isOnNode() || ended},
 		{"a task whose Pod is deleted must have a stop reason", !t.podDeleted || t.isStopping()},
 		{"the node of each attempt with an unknown outcome must list the attempt", t.nodesKnowUnknownOutcomes()},
 	} {
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -19,7 +19,7 @@
 	if err := engine.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
-	tasks := engine.tasks.inOrder()
+	tasks := engine.tasks.tasksInCreationOrder()
 	if len(tasks) != 1 {
 		t.Fatalf("the engine started %d tasks, want 1", len(tasks))
 	}
@@ -82,7 +82,7 @@
 			"index 0 must have a task if and only if it is active"},
 		{"task with the wrong completion index", func(_ *Engine, corrupted *task) { corrupted.index = 1 },
 			"the task of index 0 must refer to the Job and the index to which it belongs"},
-		{"wrong count of active completion indexes", func(_ *Engine, corrupted *task) { corrupted.job.indexes.active = 0 },
+		{"wrong count of active completion indexes", func(_ *Engine, corrupted *task) { corrupted.job.indexes.activeIndexes = 0 },
 			"1 completion indexes are active, but the count of active indexes is 0"},
 		{"deleted Job in the job table", func(_ *Engine, corrupted *task) { corrupted.job.deletion = jobDeleted },
 			"a deleted Job must not be in the job table"},
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -13,7 +13,7 @@
 // outcome, at once or after the wait for an unknown outcome. No placement request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
-	for _, task := range l.tasks.inOrder() {
+	for _, task := range l.tasks.tasksInCreationOrder() {
 		if task.state == taskQueued {
 			l.withdrawQueuedRequest(task)
 		}
@@ -41,7 +41,7 @@
 		task.stopReason = reason
 	}
 	switch {
-	case task.state.onNode():
+	case task.state.isOnNode():
 		l.stopRunning(task)
 		return
 	case task.state == taskTerminating:
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -16,8 +16,8 @@
 // get returns the task whose Pod has the given UID, or nil if there is none.
 func (t *taskTable) get(uid types.UID) *task { return t.byUID[uid] }
 
-// inOrder returns all tasks in the order of their creation.
-func (t *taskTable) inOrder() []*task { return inCreationOrder(t.byUID) }
+// tasksInCreationOrder returns all tasks in the order of their creation.
+func (t *taskTable) tasksInCreationOrder() []*task { return inCreationOrder(t.byUID) }
 
 // add gives a task the next sequence number and adds the task to the table.
 func (t *taskTable) add(task *task) {
@@ -54,7 +54,7 @@
 // tasks without a final outcome is wrong.
 func (t *taskTable) checkInvariants() error {
 	openCount := 0
-	for _, task := range t.inOrder() {
+	for _, task := range t.tasksInCreationOrder() {
 		if violation := task.invariantViolation(); violation != "" {
 			return fmt.Errorf("engine: %s task %s: %s", task.state, task.uid, violation)
 		}
--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -20,65 +20,65 @@
 // random changes, and compares the record with a golden file. The golden file may be regenerated with
 // HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package goldentest.
 func TestCharacterizeStore(t *testing.T) {
-	record := goldentest.NewRecorder()
-	for i, objects := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
-		recordRandomChanges(record, fmt.Sprintf("store %d", i), objects, uint64(i))
+	recorder := goldentest.NewRecorder()
+	for i, testStore := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
+		recordRandomChanges(recorder, fmt.Sprintf("store %d", i), testStore, uint64(i))
 	}
-	recordKeptSnapshots(record)
-	record.Check(t, "store")
+	recordKeptSnapshots(recorder)
+	recorder.Check(t, "store")
 }
 
 // recordKeptSnapshots calls KeepSnapshot for more snapshots than a store keeps. It then records which
 // snapshots FindSnapshot returns at several later times.
-func recordKeptSnapshots(record *goldentest.Recorder) {
-	objects, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
+func recordKeptSnapshots(recorder *goldentest.Recorder) {
+	testStore, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
-		objects.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
-		objects.KeepSnapshot(placer.Seconds(i), objects.Snapshot(store.Pods))
+		testStore.Put(store.Pods, newObject(store.Pods, "a", fmt.Sprintf("object-%02d", i), rng))
+		testStore.KeepSnapshot(placer.Seconds(i), testStore.Snapshot(store.Pods))
 	}
 	for _, now := range []placer.Seconds{80, 310, 318.5, 345, 378, 380.5, 400} {
-		found := []int64{}
-		for revision := range objects.Revision() + 2 {
-			if snapshot, err := objects.FindSnapshot(now, store.Pods, revision); err == nil {
-				found = append(found, revision, int64(snapshot.Len()))
+		foundSnapshots := []int64{}
+		for revision := range testStore.Revision() + 2 {
+			if snapshot, err := testStore.FindSnapshot(now, store.Pods, revision); err == nil {
+				foundSnapshots = append(foundSnapshots, revision, int64(snapshot.Len()))
 			}
 		}
-		record.Line("kept at %v: %v", now, found)
+		recorder.Line("kept at %v: %v", now, foundSnapshots)
 	}
 }
 
 // recordRandomChanges makes random changes to a store and records the results and what the store returns.
-func recordRandomChanges(record *goldentest.Recorder, label string, objects *store.Store, seed uint64) {
+func recordRandomChanges(recorder *goldentest.Recorder, label string, testStore *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
-	base, now := objects.Revision(), placer.Seconds(0)
+	base, now := testStore.Revision(), placer.Seconds(0)
 	for step := range 3000 {
 		now += placer.Seconds(rng.Float64())
 		table := tables[rng.IntN(len(tables))]
 		namespace, name := []string{"a", "ab", "b"}[rng.IntN(3)], fmt.Sprintf("object-%02d", rng.IntN(25))
 		if rng.IntN(3) == 0 {
-			record.Booleans(objects.Delete(table, namespace, name))
+			recorder.Booleans(testStore.Delete(table, namespace, name))
 		} else {
-			record.Integers(objects.Put(table, newObject(table, namespace, name, rng)))
+			recorder.Integers(testStore.Put(table, newObject(table, namespace, name, rng)))
 		}
-		record.Integers(objects.Revision(), objects.ObjectCost(), objects.HistoryCost(), int64(objects.Len(table)))
-		recordChanges(record, objects, table, objects.Revision()-int64(rng.IntN(30)), 1+rng.IntN(10))
+		recorder.Integers(testStore.Revision(), testStore.ObjectCost(), testStore.HistoryCost(), int64(testStore.Len(table)))
+		recordChanges(recorder, testStore, table, testStore.Revision()-int64(rng.IntN(30)), 1+rng.IntN(10))
 		if step%10 == 0 {
-			recordSnapshot(record, objects, now, table, rng)
+			recordSnapshot(recorder, testStore, now, table, rng)
 		}
 		if step%300 == 299 {
-			recordChanges(record, objects, table, base, 100000)
-			recordChanges(record, objects, table, objects.Revision()+1, 1)
-			record.Checkpoint(fmt.Sprintf("%s, step %d", label, step+1))
+			recordChanges(recorder, testStore, table, base, 100000)
+			recordChanges(recorder, testStore, table, testStore.Revision()+1, 1)
+			recorder.Checkpoint(fmt.Sprintf("%s, step %d", label, step+1))
 		}
 	}
 	for _, table := range tables {
-		record.Line("%s: table %d %s: %d objects; %v", label, table, table, objects.Len(table), changesSinceError(objects, table, base))
+		recorder.Line("%s: table %d %s: %d objects; %v", label, table, table, testStore.Len(table), changesSinceError(testStore, table, base))
 	}
 }
 
 // changesSinceError returns the error of ChangesSince for a revision.
-func changesSinceError(objects *store.Store, table store.Resource, revision int64) error {
-	_, err := objects.ChangesSince(table, revision, 1)
+func changesSinceError(testStore *store.Store, table store.Resource, revision int64) error {
+	_, err := testStore.ChangesSince(table, revision, 1)
 	return err
 }
 
@@ -101,49 +101,49 @@
 	return object
 }
 
-func recordChange(record *goldentest.Recorder, change *store.Change) {
-	record.Integers(change.Revision, int64(change.Op), store.Cost(change.Object))
-	record.Texts(change.Object.GetNamespace(), change.Object.GetName(), change.Object.GetResourceVersion())
-	record.Booleans(change.Previous != nil)
+func recordChange(recorder *goldentest.Recorder, change *store.Change) {
+	recorder.Integers(change.Revision, int64(change.Op), store.Cost(change.Object))
+	recorder.Texts(change.Object.GetNamespace(), change.Object.GetName(), change.Object.GetResourceVersion())
+	recorder.Booleans(change.Previous != nil)
 	if change.Previous != nil {
-		record.Texts(change.Previous.GetResourceVersion())
+		recorder.Texts(change.Previous.GetResourceVersion())
 	}
 }
 
-func recordChanges(record *goldentest.Recorder, objects *store.Store, table store.Resource, revision int64, limit int) {
-	changes, err := objects.ChangesSince(table, revision, limit)
-	record.Error(err)
-	record.Integers(int64(len(changes)))
+func recordChanges(recorder *goldentest.Recorder, testStore *store.Store, table store.Resource, revision int64, limit int) {
+	changes, err := testStore.ChangesSince(table, revision, limit)
+	recorder.Error(err)
+	recorder.Integers(int64(len(changes)))
 	for _, change := range changes {
-		recordChange(record, change)
+		recordChange(recorder, change)
 	}
 }
 
 // recordSnapshot keeps a snapshot, and records parts of the snapshot that FindSnapshot returns for a recent
 // revision.
-func recordSnapshot(record *goldentest.Recorder, objects *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
-	objects.KeepSnapshot(now, objects.Snapshot(table))
-	snapshot, err := objects.FindSnapshot(now, table, objects.Revision()-int64(rng.IntN(3)*10))
-	record.Error(err)
+func recordSnapshot(recorder *goldentest.Recorder, testStore *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
+	testStore.KeepSnapshot(now, testStore.Snapshot(table))
+	snapshot, err := testStore.FindSnapshot(now, table, testStore.Revision()-int64(rng.IntN(3)*10))
+	recorder.Error(err)
 	if err != nil {
 		return
 	}
-	record.Integers(snapshot.Revision, int64(snapshot.Len()))
-	record.Booleans(objects.Outdated(snapshot))
+	recorder.Integers(snapshot.Revision, int64(snapshot.Len()))
+	recorder.Booleans(testStore.Outdated(snapshot))
 	after := ""
 	if rng.IntN(2) == 0 {
 		after = store.Key("ab", "object-10")
 	}
-	left := 5 + rng.IntN(20)
+	remaining := 5 + rng.IntN(20)
 	snapshot.Scan([]string{"", "a", "ab"}[rng.IntN(3)], after, func(key string, change *store.Change) bool {
-		record.Texts(key)
-		recordChange(record, change)
-		left--
-		return left > 0
+		recorder.Texts(key)
+		recordChange(recorder, change)
+		remaining--
+		return remaining > 0
 	})
-	last := objects.LastChange(table, "a", "object-03")
-	record.Booleans(last != nil, objects.Get(table, "a", "object-04") != nil)
-	if last != nil {
-		recordChange(record, last)
+	lastChange := testStore.LastChange(table, "a", "object-03")
+	recorder.Booleans(lastChange != nil, testStore.Get(table, "a", "object-04") != nil)
+	if lastChange != nil {
+		recordChange(recorder, lastChange)
 	}
 }
--- a/internal/kube/wellknown/timestamp.go
+++ b/internal/kube/wellknown/timestamp.go
@@ -8,7 +8,6 @@
 	"heathshed/placer"
 )
 
-// ParseTimestamp and timeFromUnix use this factor between the time units of placer and of package time.
 const microsecondsPerSecond = 1e6
 
 // timestampFormat is the RFC 3339 format with microseconds.
