--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -84,7 +84,7 @@
 // These constants limit the generation of object names.
 const (
 	maxGenerateNameLength = 248 // maximum number of characters of generateName that are used
-	maxNameCandidates     = 8   // maximum number of names that are tried; the Kubernetes API server uses the same number
+	maxNameTries          = 8   // maximum number of names that are tried; the Kubernetes API server uses the same number
 )
 
 // generateName chooses a name for a Job that has only a generateName.
@@ -92,7 +92,7 @@
 	if object.Name != "" || object.GenerateName == "" {
 		return
 	}
-	for range maxNameCandidates {
+	for range maxNameTries {
 		object.Name = fmt.Sprintf("%.*s", maxGenerateNameLength, object.GenerateName) + c.randomNameSuffix()
 		if c.jobs.get(jobKey(object)) == nil {
 			return
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -86,9 +86,9 @@
 	s.schedule(0.05, s.sendFullList)
 }
 
-// randomDelay returns a random delay between minDelay and minDelay + spread.
-func (s *script) randomDelay(minDelay, spread float64) placer.Seconds {
-	return placer.Seconds(minDelay + spread*s.rng.Float64())
+// randomDelay returns a random delay between minDelay and minDelay + delayRange.
+func (s *script) randomDelay(minDelay, delayRange float64) placer.Seconds {
+	return placer.Seconds(minDelay + delayRange*s.rng.Float64())
 }
 
 // schedule schedules a call of the current engine. The call is not made if the engine is replaced first.
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -239,12 +239,13 @@
 
 // table holds the objects of one resource and the history of their changes.
 type table struct {
-	objects             btree.Map[string, *Change] // last change of each stored object by the object's Key
-	objectCost          int64                      // total cost of the stored objects in bytes
-	history             []*Change                  // changes in order of revision; entries before firstKeptIndex are nil
-	firstKeptIndex      int                        // index in history of the oldest change that is kept
-	historyCost         int64                      // total cost of the kept changes in bytes
-	lastDroppedRevision int64                      // revision of the last change that was dropped from the history
+	objects    btree.Map[string, *Change] // last change of each stored object by the object's Key
+	objectCost int64                      // total cost of the stored objects in bytes
+
+	history             []*Change // changes in order of revision; entries before firstKeptIndex are nil
+	firstKeptIndex      int       // index in history of the oldest change that is kept
+	historyCost         int64     // total cost of the kept changes in bytes
+	lastDroppedRevision int64     // revision of the last change that was dropped from the history
 }
 
 func (t *table) historyLength() int { return len(t.history) - t.firstKeptIndex }
