--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -11,12 +11,12 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// The characterization tests pin every effect, every stored change and every error of an engine under seeded
-// scripts. Golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to
-// change; see package goldentest.
+// The characterization tests run an engine under seeded scripts, and compare every effect, every stored
+// change and every error with golden files. These files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1
+// only if behavior is meant to change; see package goldentest.
 
-// TestCharacterizeMigrations pins how tasks are migrated off nearly empty nodes when nodes are expensive and
-// migrations are cheap.
+// TestCharacterizeMigrations compares with a golden file how an engine migrates tasks away from nearly empty
+// nodes if nodes are expensive and migrations are cheap.
 func TestCharacterizeMigrations(t *testing.T) {
 	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
@@ -25,7 +25,7 @@
 	for i, node := range script.nodes {
 		pod := runningPod(script.config.Name, i)
 		node.pods = append(node.pods, pod)
-		script.engine.NodePod(script.now, node.name, pod, false)
+		script.engine.PodChanged(script.now, node.name, pod, false)
 		script.recordState()
 	}
 	for i := range 20 {
@@ -37,7 +37,7 @@
 		}
 	}
 	if script.engine.Stats.MigratedTasks == 0 {
-		t.Error("no task was migrated")
+		t.Error("the engine migrated no task, want at least one")
 	}
 	script.finish()
 	script.recorder.Check(t, "script-moves")
@@ -56,16 +56,16 @@
 	return pod
 }
 
-// TestCharacterizeEngineUnderScripts pins the output of an engine byte for byte under seeded calls with
-// faults: lost and late answers, nodes that restart, disappear, become unresponsive or drain, and schedulers
-// that are killed and restarted.
+// TestCharacterizeEngineUnderScripts compares the output of an engine with golden files. The engine gets
+// seeded random calls and these faults: lost and late answers, nodes that restart, disappear, become
+// unresponsive or drain, and schedulers that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
-		name     string
-		seed     uint64
-		steps    int
-		restarts bool
-		change   func(config *engine.Config)
+		name      string
+		seed      uint64
+		steps     int
+		restarts  bool
+		configure func(config *engine.Config)
 	}{
 		{"faults", 1, 400, false, nil},
 		{"restarts", 2, 400, true, nil},
@@ -83,7 +83,7 @@
 		}},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			script := newScript(t, run.seed, run.change)
+			script := newScript(t, run.seed, run.configure)
 			for i := range run.steps {
 				script.makeRandomCall()
 				script.advance(script.now + script.randomDelay(0, 0.3))
