--- a/placer/actions.go
+++ b/placer/actions.go
@@ -5,14 +5,14 @@
 	actions []Action
 }
 
-// beginEvent sets the slice to which the actions of the next event are appended. The caller of Handle
-// provides the slice.
-func (l *actionList) beginEvent(actions []Action) { l.actions = actions }
+// collectInto sets the slice to which the actions of the next event are appended. The caller of Handle
+// provides this slice.
+func (l *actionList) collectInto(actions []Action) { l.actions = actions }
 
 func (l *actionList) addAction(action Action) { l.actions = append(l.actions, action) }
 
-// takeActions returns the collected actions and clears the list, because the slice belongs to the caller of
-// Handle.
+// takeActions returns the collected actions. The list then no longer refers to their slice, because the slice
+// belongs to the caller of Handle, who may change it after Handle returns.
 func (l *actionList) takeActions() []Action {
 	takenActions := l.actions
 	l.actions = nil
--- a/placer/api.go
+++ b/placer/api.go
@@ -58,7 +58,7 @@
 	// FreeCores and FreeMemory are the capacity that is not in use if NodeBehavior.ReportsUsage is set.
 	// Otherwise, they are the capacity that no task has requested.
 	FreeCores, FreeMemory float64
-	Utilization           float64 // fraction of the cores that are in use
+	Utilization           float64 // fraction of the node's cores that is in use
 	QueueLength           float64 // number of tasks that wait on the node
 }
 
@@ -69,7 +69,7 @@
 const (
 	FullList   ListKind = iota // the list names all nodes; a node that it does not name has terminated
 	CachedList                 // the list names all nodes but may be out of date
-	Changes                    // the list names only the nodes that have changed
+	Changes                    // the list names only the nodes that have changed since the previous list
 	ListFailed                 // the request for the node list failed
 )
 
@@ -105,7 +105,7 @@
 	WrongNode // the node does not accept this task, for example because the node is draining
 	Evicted   // the node stopped the task because the node ran out of memory
 	Preempted // the node stopped the task in favor of a task of higher priority
-	Drained   // the node stopped the task in order to drain
+	Drained   // the node stopped the task because the node is draining
 )
 
 // UsageKind selects the quantity that a usage report on a running task contains.
@@ -161,7 +161,7 @@
 	List    ListKind
 	Nodes   []Node // the Placer does not keep the slice after Handle returns
 	Usage   UsageKind
-	Value   float64 // measured value, in the unit that Usage implies
+	Value   float64 // measured quantity, whose kind and unit Usage determines
 	Token   uint64
 }
 
@@ -176,14 +176,15 @@
 	Reject
 	// Fail tells the client that the outcome is unknown. It uses the field Task.
 	Fail
-	// SetTimer starts a timer that leads to a TimerFired event after a delay. It uses the fields Token and
-	// After.
+	// SetTimer starts a timer. When the timer fires, the scheduler passes a TimerFired event with the same
+	// token to Handle. The action uses the fields Token and After.
 	SetTimer
 	// WatchNodes requests the node list and its later changes.
 	WatchNodes
 	// ListNodes requests the node list once.
 	ListNodes
-	// Migrate stops a bound task, which the client then requests again. It uses the field Task.
+	// Migrate stops a task that runs on a node. The client then requests the task again. It uses the field
+	// Task.
 	Migrate
 )
 
--- a/placer/average.go
+++ b/placer/average.go
@@ -4,7 +4,7 @@
 //
 // Before the first sample arrives, estimates of the mean may be added. They are averaged with the initial
 // mean, which counts as one estimate. If estimates were added, the weight of a sample is at least 1/n, where
-// n is the number of samples and estimates so far.
+// n is the number of samples and estimates so far. The first samples are thus averaged with the estimates.
 type runningAverage struct {
 	mean, deviation            float64
 	sampleCount, estimateCount int
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -4,7 +4,8 @@
 
 // Constants of the capacity model.
 const (
-	// reportMaxAge is the age in seconds from which a node's report of free capacity is ignored.
+	// reportMaxAge is an age in seconds. The free capacity in a node's load report is ignored if the report
+	// is at least this old.
 	reportMaxAge = 2.0 * contenderWindow
 	// minRequestedFraction is the fraction of a node's cores and memory that tasks must request before the
 	// ratios of used to requested capacity are learned from the node's reports.
@@ -20,10 +21,10 @@
 	degradationTolerance = 0.25
 )
 
-// capacityModel estimates the free capacity and the load of nodes. It uses the node list, the load reports of
-// the nodes, and recent changes of the requested capacity by this scheduler. The list and the reports do not
-// show these changes yet. The model also learns the ratios of used to requested capacity as averages over all
-// nodes.
+// capacityModel estimates the free capacity and the load of nodes. It starts from the node list and from the
+// load reports of the nodes. It then adds the recent changes of the requested capacity that this scheduler
+// has caused, because the list and the reports may not show them yet. The model also learns the ratios of
+// used to requested capacity, as averages over all nodes.
 type capacityModel struct {
 	behavior         NodeBehavior
 	overcommit       Overcommit
@@ -43,7 +44,7 @@
 // freeCapacity is the capacity of a node that no task has requested.
 type freeCapacity struct {
 	cores, memory float64
-	known         bool // if false, the amounts are set to half of the size of the node
+	known         bool // if false, the free capacity is unknown, and the amounts are half of the node's size
 }
 
 // estimateFree returns the estimated free capacity of a node. It starts from the node list or from the load
@@ -93,7 +94,8 @@
 		cores = node.cores - load.report.FreeCores + recentCores
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(load.report.FreeMemory) {
-		// The memory usage of recently started tasks still grows, so the higher of the two estimates applies.
+		// Recently started tasks do not use all their memory yet, so the report may show too little. The
+		// model uses the reported memory only if it exceeds the memory that the tasks are expected to use.
 		memory = max(memory, node.memory-load.report.FreeMemory+recentMemory)
 	}
 	return cores, memory
@@ -120,7 +122,7 @@
 	}
 	// A node may accept tasks that need more memory than it has. When its memory is almost full, the node
 	// slows down or evicts tasks. The evicted tasks are then placed on other nodes, where they cause further
-	// evictions.
+	// evictions. To avoid this, the task does not fit if too much memory would be in use.
 	usedCores, usedMemory := m.usage(now, node, free)
 	threshold := class.SaturationThreshold + class.DegradationRange*degradationTolerance
 	memoryFits := usedMemory+task.Memory*m.memoryUsageRatio.mean <= maxMemoryUtilization*node.memory
@@ -131,8 +133,8 @@
 }
 
 // observeUsage updates the ratios of used to requested capacity from the usage of one task of this scheduler.
-// A scheduler with few tasks may receive its first load report of a node late. Until the first report, the
-// ratios of its own tasks are the estimates for all tasks.
+// A scheduler with few tasks may wait long for its first load report of a node. Until then, it estimates the
+// ratios for all tasks from the usage of its own tasks.
 func (m *capacityModel) observeUsage(task *Task, kind UsageKind, value float64) {
 	switch kind {
 	case CoresUsed:
--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -27,14 +27,14 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"node list shows free capacity":       {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"recent change is not in node list":   {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"old change is already in node list":  {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"load report shows free capacity":     {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"recent change is not in load report": {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"outdated load report is ignored":     {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"load report shows capacity in use":   {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither node list nor load report":   {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"node list shows free capacity":                         {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"recent change is not in node list":                     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"old change is already in node list":                    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"load report shows free capacity":                       {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"recent change is not in load report":                   {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated load report is ignored":                       {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"load report shows capacity in use":                     {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither node list nor load report shows free capacity": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
@@ -45,7 +45,7 @@
 				t.Errorf("estimated free capacity is %+v, want %+v", got, test.want)
 			}
 			if len(node.load.recentChanges) != len(test.changes) {
-				t.Error("estimateFree changed the load record of the node")
+				t.Error("estimateFree changed the load record of the node, want no change")
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 				t.Errorf("projected load is %+v, want %+v", got, test.want)
 			}
 			if node.load.saturationExcess != test.load.saturationExcess {
-				t.Error("the projection changed the load record of the node")
+				t.Error("projectLoad changed the load record of the node, want no change")
 			}
 		})
 	}
@@ -94,12 +94,12 @@
 		report                          Report
 		wantCoresRatio, wantMemoryRatio float64 // ratios that the model must learn
 	}{
-		"report contains only utilization":                {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
-		"report contains free cores and memory":           {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
-		"tasks request too little capacity to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
-		"report contains no values":                       {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
-		"more cores in use than requested":                {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
-		"neither cores nor memory are in use":             {8, Report{16, 32, 0, 0}, 0, 0},
+		"report contains only utilization":              {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"report contains free cores and memory":         {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
+		"requested capacity is too small to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
+		"report contains no values":                     {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
+		"more cores in use than requested":              {8, Report{math.NaN(), math.NaN(), 0.75, 0}, 1.5, 1},
+		"neither cores nor memory are in use":           {8, Report{16, 32, 0, 0}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}})
@@ -113,15 +113,15 @@
 				t.Errorf("ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
-				t.Error("the load report was not recorded with the time at which it arrived")
+				t.Error("the load report of the node was not recorded, or not with the time of its arrival")
 			}
 		})
 	}
 }
 
 // The load record of a node has an entry for each pending attempt. When the node accepts an attempt, only the
-// entry for this attempt must be removed. Another attempt on the same node may have been sent at the same
-// time.
+// entry for this attempt must be removed. Another attempt may have been sent to the same node at the same
+// time, so the time alone does not identify the entry.
 func TestNodeLoadRecordsAttempts(t *testing.T) {
 	request := &placementRequest{Task: Task{Cores: 2, Memory: 3}}
 	sentAttempt := &attempt{request: request, sentAt: 100}
@@ -137,7 +137,7 @@
 		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want -2 cores and -3 memory", last)
 	}
 	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
-		t.Error("a task that was bound before the contender window counts as recent, or its entry was removed before dropOldChanges was called")
+		t.Error("after the contender window and before dropOldChanges is called, want the task not to count as recent, but its entry to be retained")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -1,14 +1,14 @@
 package placer_test
 
 // The characterization tests in this file compare the actions of a Placer with recorded actions, to the last
-// bit. They show whether a refactoring changes the behavior. Each script drives one Placer through a seeded
-// discrete-event simulation of nodes. Every checkpointEvents events, it records a running SHA-256 digest of
-// all actions so far. If the behavior changes, the first checkpoint that differs from the golden file shows
-// the interval of events in which it changed.
+// bit. They show whether a refactoring changes the behavior. Each scenario describes a seeded discrete-event
+// simulation of nodes that drives one Placer. Every checkpointEvents events, the simulation records a running
+// SHA-256 digest of all actions so far. If the behavior changes, the first checkpoint that differs from the
+// golden file shows the interval of events in which it changed.
 //
-// The golden file contains script names, numbers and digests, and no Go identifiers. The test fails if the
-// golden file is missing. To accept an intended change of behavior, regenerate the golden file and commit it
-// with the change:
+// The golden file contains the names of the scenarios, numbers and digests, and no Go identifiers. The test
+// fails if the golden file is missing. To accept an intended change of behavior, regenerate the golden file
+// and commit it with the change:
 //
 //	HEATHSHED_UPDATE_GOLDEN=1 go test ./placer -run Characterization
 //
@@ -25,7 +25,7 @@
 	"heathshed/placer"
 )
 
-// checkpointEvents is the number of events between two recorded digests of a script.
+// checkpointEvents is the number of events between two recorded digests of a simulation.
 const checkpointEvents = 500
 
 // compareGolden compares a text with a golden file in testdata line by line. It rewrites the file instead if
@@ -49,7 +49,7 @@
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("%s: first difference is at line %d of %d (the new text has %d lines):\n got %q\nwant %q", name, i+1,
+			t.Fatalf("the actions differ from the golden file %s: the first difference is at line %d (the file has %d lines, and the new text has %d):\n got %q\nwant %q", name, i+1,
 				len(wantLines), len(gotLines), lineOrPlaceholder(gotLines, i), lineOrPlaceholder(wantLines, i))
 		}
 	}
@@ -62,8 +62,8 @@
 	return "(line missing)"
 }
 
-// script describes a simulation with the configuration of the scheduler, the nodes and the load.
-type script struct {
+// scenario holds the parameters of a simulation: the configuration of the scheduler, the nodes and the load.
+type scenario struct {
 	name       string
 	seed       uint64
 	eventCount int
@@ -79,11 +79,11 @@
 	churnInterval          placer.Seconds // mean time between changes of nodes; 0 means no changes
 	listInterval           placer.Seconds // time between two node lists that the Placer receives without a request
 	listFailureProbability float64        // probability that a request for the node list fails
-	failureProbability     float64        // probability that an attempt fails before it is bound
+	failureProbability     float64        // probability that an attempt fails before the node accepts it
 	brokenNodes            int            // number of nodes that never start a task
 	lateOutcomeProbability float64        // probability that an outcome arrives after the deadline
-	lowLoadAfterEvents     int            // number of events after which few tasks arrive; 0 means never
-	withdrawalProbability  float64        // additional probability that the client withdraws a request early
+	lowLoadAfterEvents     int            // number of events after which fewer tasks arrive; 0 means never
+	withdrawalProbability  float64        // probability of an early withdrawal of a request, in addition to 0.05
 	relistDelay            placer.Seconds // time after which node lists contain a removed node again; 0 means never
 	extraMinUsageRatio     float64        // amount by which the lowest ratio of used to requested capacity exceeds 0.5
 	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
@@ -130,7 +130,7 @@
 	}
 }
 
-func scripts() []script {
+func scenarios() []scenario {
 	stickyServicesConfig := baseConfig()
 	stickyServicesConfig.Peers.StickyServices, stickyServicesConfig.NodeBehavior.AcknowledgesOnStart, stickyServicesConfig.NodeBehavior.Preempts = true, true, true
 
@@ -159,13 +159,15 @@
 	scarceMemoryConfig := baseConfig()
 	scarceMemoryConfig.NodeBehavior.ListShowsCapacity, scarceMemoryConfig.NodeBehavior.ReportsUsage, scarceMemoryConfig.Overcommit.Cores, scarceMemoryConfig.Overcommit.Memory = true, true, 2, 2
 
-	expensiveMigrationConfig := consolidatingConfig // a migration costs more than a node in use
+	// In this configuration, a migration costs more than a node in use.
+	expensiveMigrationConfig := consolidatingConfig
 	expensiveMigrationConfig.Costs.Node, expensiveMigrationConfig.Costs.Migration, expensiveMigrationConfig.SlowStart.MaxAttempts = 0.1, 0.2, 30
 
-	rareListsConfig := multipleZonesConfig // the Placer rarely receives a node list
+	// In this configuration, the Placer rarely receives a node list.
+	rareListsConfig := multipleZonesConfig
 	rareListsConfig.Discovery.MaxPollInterval, rareListsConfig.Peers.Total = 400, 3
 
-	return []script{
+	return []scenario{
 		{name: "stay", seed: 1, eventCount: 12000, config: stickyServicesConfig, nodeCount: 24, zoneCount: 2, rackCount: 6, serviceCount: 9, arrivalsPerSecond: 14,
 			lifetime: 5, taskCores: 0.9, taskMemory: 1.5, churnInterval: 1.5, listInterval: 0.7, listFailureProbability: 0.1, failureProbability: 0.15, brokenNodes: 2,
 			lateOutcomeProbability: 0.03},
@@ -194,27 +196,27 @@
 
 func TestCharacterizationOfScripts(t *testing.T) {
 	var text strings.Builder
-	for _, script := range scripts() {
-		runScript(t, script, &text)
+	for _, testScenario := range scenarios() {
+		runScenario(t, testScenario, &text)
 	}
 	compareGolden(t, "characterization.golden", text.String())
 }
 
-// TestCharacterizationRunsAreEqual verifies that two Placers in one process return the same actions for the
-// same script.
+// TestCharacterizationRunsAreEqual verifies that two Placers in one process return the same actions in the
+// same scenario.
 func TestCharacterizationRunsAreEqual(t *testing.T) {
 	var first, second strings.Builder
-	consolidationScript := scripts()[1]
-	consolidationScript.eventCount = 2000
-	runScript(t, consolidationScript, &first)
-	runScript(t, consolidationScript, &second)
+	consolidationScenario := scenarios()[1]
+	consolidationScenario.eventCount = 2000
+	runScenario(t, consolidationScenario, &first)
+	runScenario(t, consolidationScenario, &second)
 	if first.String() != second.String() {
-		t.Fatalf("two runs of the same script differ:\nfirst run:\n%s\nsecond run:\n%s", first.String(), second.String())
+		t.Fatalf("two simulations of the same scenario gave different actions:\nfirst run:\n%s\nsecond run:\n%s", first.String(), second.String())
 	}
 }
 
 // TestCharacterizationOfConfigValidation verifies which configurations New accepts. The expected text has one
-// digit for each configuration. The digit is 1 if New must accept the configuration, and 0 if it must not.
+// digit for each configuration: 1 if New must accept it, and 0 if New must return an error.
 func TestCharacterizationOfConfigValidation(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	changes := []func(*placer.Config){
@@ -254,6 +256,6 @@
 		}
 	}
 	if got.String() != want {
-		t.Fatalf("New accepts the configurations with the digit 1 and rejects those with the digit 0:\n got %s\nwant %s", got.String(), want)
+		t.Fatalf("New accepted or rejected other configurations than expected (one digit for each configuration, 1 if New accepts it):\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/config.go
+++ b/placer/config.go
@@ -12,7 +12,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second start of the task is safe
-	IdempotentByKey                    // nodes ignore an attempt with an idempotency key that they have seen
+	IdempotentByKey                    // nodes ignore an attempt whose idempotency key they have already received
 	NonIdempotent                      // the task must never start twice
 )
 
@@ -40,13 +40,13 @@
 	Deadline            Seconds        // time for which a client waits for the final answer
 	Weight              float64        // value of one second in which the task runs at full speed
 	LateWeight          float64        // value of a start after LatencyObjective relative to an earlier start
-	StartBonus          Seconds        // time at full speed that is worth as much as a start in time
+	StartBonus          Seconds        // time at full speed that is worth as much as a start within LatencyObjective
 	Priority            int            // nodes may preempt a task in favor of a task of higher priority
 	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
 	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
 	MaxPerDomain        int            // maximum number of tasks of one service in one SpreadDomain
 	SaturationThreshold float64        // utilization of the cores up to which tasks run at full speed
-	DegradationRange    float64        // excess over SaturationThreshold at which the speed of tasks is 0
+	DegradationRange    float64        // excess over SaturationThreshold at which the speed of tasks drops to 0
 }
 
 // NodeType is the capacity of the nodes of one type.
@@ -57,7 +57,7 @@
 
 // Tenant is one of the users that share the nodes.
 type Tenant struct {
-	Share float64 // fraction of the service that the tenant is entitled to, between 0 and 1
+	Share float64 // fraction of the cluster that the tenant is entitled to use, between 0 and 1
 	Cores float64 // cores that the tenant may request in total from all schedulers
 }
 
@@ -105,9 +105,9 @@
 type SlowStart struct {
 	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
 	Duration         Seconds // time after its start at which a node reaches its full rate
-	OverloadMultiple float64 // multiple of its current rate that overloads a node in slow start
-	OverloadWindow   Seconds // time for which the rate must exceed OverloadMultiple to overload the node
-	MaxAttempts      float64 // attempts by all schedulers that the node can handle per OverloadWindow
+	OverloadMultiple float64 // rate that overloads a node in slow start, as a multiple of its current rate
+	OverloadWindow   Seconds // time for which a node must receive the overload rate until it is overloaded
+	MaxAttempts      float64 // number of attempts by all schedulers that a node can handle in OverloadWindow
 }
 
 // Attempts limits the attempts for one request.
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -7,32 +7,34 @@
 	"slices"
 )
 
-// Constants of consolidation. Consolidation puts unneeded nodes on standby if nodes in use have a cost. The
-// other nodes are active. A standby node gets a task only if no active node can take the task.
+// Constants of consolidation, which concentrates the tasks on few nodes if nodes in use have a cost. Each
+// ready node is either active or on standby. A node on standby gets a task only if no active node can take
+// the task.
 const (
 	// consolidationTarget is the fraction of the active nodes' capacity limits that must be in use before
 	// another node is made active.
 	consolidationTarget = 0.8
-	// consolidationHysteresisFactor is the fraction of consolidationTarget below which an active node is put
-	// on standby.
+	// consolidationHysteresisFactor is the factor by which consolidationTarget is lowered for nodes that are
+	// active. An active node is put on standby only if the nodes before it can take all tasks at the lower
+	// target.
 	consolidationHysteresisFactor = 0.95
 	// minActiveNodes is the number of nodes that are always active, that is, never put on standby.
 	minActiveNodes = 2
 	// standbyUpdateInterval is the shortest time between two updates of the set of standby nodes.
 	standbyUpdateInterval = contenderWindow / 20
-	// migrationInterval is the mean time between two checks of the standby nodes by one scheduler. Each check
-	// migrates at most one task.
+	// migrationInterval is the mean time between two checks by one scheduler whether it can migrate a task
+	// off a node on standby. Each check migrates at most one task.
 	migrationInterval = 0.1 * contenderWindow
 	// minStandbyTime is the time that a node must have been on standby before its last tasks are migrated.
 	minStandbyTime = contenderWindow
-	// nearlyEmptyFraction is the fraction of a standby node's capacity up to which the node counts as nearly
-	// empty. The last tasks of a nearly empty standby node are migrated. The fraction refers to the capacity
-	// that the tasks on the node request.
+	// nearlyEmptyFraction limits the requested capacity of a nearly empty node. A node is nearly empty if its
+	// tasks request at most this fraction of its cores and at most this fraction of its memory. Tasks are
+	// migrated off a node on standby only if the node is nearly empty.
 	nearlyEmptyFraction = 0.3
 )
 
 // consolidator puts nodes on standby if nodes in use have a cost and fewer nodes are sufficient for the
-// tasks.
+// tasks. A node on standby gets a task only if no active node can take the task.
 type consolidator struct {
 	cfg                 *Config
 	nodes               *nodeTable
@@ -59,11 +61,11 @@
 	return c.cfg.Costs.Node > 0 && c.cfg.NodeBehavior.ListShowsCapacity
 }
 
-// updateStandby recomputes the set of standby nodes, unless the last update was less than
-// standbyUpdateInterval ago. It makes nodes active until the demand of all tasks fits on the active nodes
+// updateStandby decides again which nodes are active and which are on standby, unless the last decision was
+// made less than standbyUpdateInterval ago. It makes nodes active until the active nodes can take all tasks
 // with a margin, and puts the other nodes on standby. Large nodes are made active first, because a large node
 // costs no more than a small one. Among nodes of equal size, those with low IDs come first. All schedulers
-// choose the same nodes, because they all receive the same node list.
+// receive the same node list and use the same order, so they make the same nodes active.
 func (c *consolidator) updateStandby(now Seconds) {
 	tooSoon := c.standbyComputed && now-c.standbyComputedAt < standbyUpdateInterval
 	if !c.enabled() || tooSoon {
@@ -82,8 +84,10 @@
 	for i, node := range c.readyNodes {
 		targetFraction := consolidationTarget
 		if !node.standby.onStandby {
-			// The lower target keeps an active node active for longer, so the set of standby nodes changes
-			// less often. Each change has a price, because a node that is put on standby still runs tasks.
+			// An active node is put on standby only if all tasks fit on the nodes before it at a lower
+			// target, that is, with a larger margin. Without this difference, small changes of the demand
+			// would repeatedly switch a node between active and standby. Each switch to standby is costly,
+			// because the tasks on the node must end or be migrated before the node is no longer in use.
 			targetFraction *= consolidationHysteresisFactor
 		}
 		node.standby.setStandby(now, i >= minActiveNodes &&
@@ -146,8 +150,8 @@
 }
 
 // migrateFromStandby migrates one task of this scheduler off a node that has been on standby for at least
-// minStandbyTime. Without migration, the last tasks would keep the node in use until the longest of them
-// ends.
+// minStandbyTime. Without migration, the last tasks on the node would keep it in use until the longest of
+// them ends.
 func (c *consolidator) migrateFromStandby(now Seconds) {
 	c.updateStandby(now)
 	if c.cfg.Costs.Node <= c.cfg.Costs.Migration {
@@ -169,9 +173,10 @@
 	}
 }
 
-// mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be on
-// standby and nearly empty. Several schedulers may migrate tasks off the same node at the same time, and
-// their number of migrations stays small only if few tasks remain on the node.
+// mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be
+// nearly empty and must have been on standby for minStandbyTime. Several schedulers may migrate tasks off the
+// same node at the same time. If many tasks were on the node, the schedulers together would migrate many
+// tasks at once.
 func (c *consolidator) mayMigrateFrom(now Seconds, node *trackedNode) bool {
 	free := c.capacity.estimateFree(now, node)
 	requestedFraction := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Without migration, the last tasks on an unneeded node would keep the node in use until the longest of them
-// ends. A standby node must get no attempts, and its last task must be migrated exactly once.
+// A node stays in use until its last task has ended or was migrated. For this reason, a node on standby must
+// get no attempts, and its last task must be migrated. Without migration, the node would stay in use until
+// the longest of its tasks ends. The task must be migrated only once.
 func TestStandbyNodesGetNoAttemptsAndLastTaskIsMigrated(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -12,7 +13,7 @@
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
 		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[attempt.Node].standby.onStandby {
-			t.Fatalf("an attempt was made on node %d, which is on standby", attempt.Node)
+			t.Fatalf("an attempt was made on node %d, which is on standby; want attempts only on active nodes", attempt.Node)
 		} else {
 			bindAttempt(placer, 100.1+Seconds(i)/100, attempt)
 		}
@@ -22,18 +23,19 @@
 		placer.consolidator.migrateFromStandby(101 + Seconds(i)/10)
 		for _, action := range actionsOfKind(placer.actions.takeActions(), Migrate) {
 			if action.Task != 900 || migrated {
-				t.Fatalf("got action %+v, want exactly one migration, which must be of task 900", action)
+				t.Fatalf("got action %+v, want exactly one Migrate action, which must be for task 900", action)
 			}
 			migrated = true
 		}
 	}
 	if !migrated {
-		t.Fatal("the last task on a standby node was not migrated")
+		t.Fatal("the last task on a node on standby was not migrated")
 	}
 }
 
-// If nodes acknowledge a task only when it starts, some attempt is almost always unanswered. An unanswered
-// attempt must not prevent the migration of the last tasks off a standby node.
+// If nodes acknowledge a task only when it starts, an attempt is unanswered until then, and a busy scheduler
+// almost always has such an attempt. If an unanswered attempt prevented migrations, the last tasks on a node
+// on standby would almost never be migrated.
 func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -44,13 +46,13 @@
 		placer.consolidator.migrateFromStandby(at)
 	}
 	if len(actionsOfKind(placer.actions.takeActions(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
-		t.Fatal("no task was migrated off the standby node while another task was starting")
+		t.Fatal("no task was migrated off the node on standby while an attempt on another node was unanswered")
 	}
 }
 
 // A node in slow start can take only a few tasks. If its capacity counted as active capacity, the active
-// nodes would appear sufficient for all tasks. Nodes that are no longer in slow start would then be put on
-// standby, although they could take more tasks.
+// nodes would appear sufficient for all tasks. The nodes that are not in slow start would then be put on
+// standby, although only they can take many tasks.
 func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
@@ -66,7 +68,7 @@
 	requestPlacement(placer, 100.1, newTestTask(1, 0))
 	for _, node := range placer.nodes.allNodes {
 		if node.standby.onStandby && node.StartedAt == 0 {
-			t.Fatalf("node %d was put on standby, although it is not in slow start and half of the nodes are", node.ID)
+			t.Fatalf("node %d, which is not in slow start, was put on standby; want it to stay active, because half of the nodes are in slow start", node.ID)
 		}
 	}
 }
@@ -79,11 +81,11 @@
 		ownTasks  int
 		want      bool
 	}{
-		"standby node is nearly empty":            {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
-		"standby node is not nearly empty":        {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
-		"node is on standby for too short a time": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
-		"node is active":                          {standbyRecord{standbySince: 98}, 12, 1, false},
-		"node has no task of this scheduler":      {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
+		"node on standby is nearly empty":       {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
+		"node on standby is not nearly empty":   {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
+		"node was put on standby only recently": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
+		"node is active":                        {standbyRecord{standbySince: 98}, 12, 1, false},
+		"node has no task of this scheduler":    {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
@@ -94,7 +96,7 @@
 				node.tasks.addAdopted(&attempt{request: &placementRequest{}})
 			}
 			if got := consolidation.mayMigrateFrom(now, node); got != test.want {
-				t.Errorf("migration off the node is allowed: got %v, want %v", got, test.want)
+				t.Errorf("mayMigrateFrom returned %v for the node, want %v", got, test.want)
 			}
 		})
 	}
@@ -106,15 +108,15 @@
 		demand capacityDemand
 		want   bool
 	}{
-		"demand within all limits":  {capacityDemand{160, 120, 72, 73.6}, true},
-		"too many cores requested":  {capacityDemand{161, 120, 72, 73.6}, false},
-		"too much memory requested": {capacityDemand{160, 121, 72, 73.6}, false},
-		"too many cores in use":     {capacityDemand{160, 120, 73, 73.6}, false},
-		"too much memory in use":    {capacityDemand{160, 120, 72, 73.7}, false},
+		"demand is within all limits":        {capacityDemand{160, 120, 72, 73.6}, true},
+		"requested cores exceed the limit":   {capacityDemand{161, 120, 72, 73.6}, false},
+		"requested memory exceeds the limit": {capacityDemand{160, 121, 72, 73.6}, false},
+		"cores in use exceed the limit":      {capacityDemand{160, 120, 73, 73.6}, false},
+		"memory in use exceeds the limit":    {capacityDemand{160, 120, 72, 73.7}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := consolidation.demandFits(test.demand, 100, 100, 0.8); got != test.want {
-				t.Errorf("demand fits on 100 cores and 100 units of memory: got %v, want %v", got, test.want)
+				t.Errorf("demandFits returned %v for active nodes with 100 cores and 100 units of memory, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -7,7 +7,8 @@
 	// nodeRetention is the time for which a terminated node is kept after its last task of this scheduler has
 	// ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings is the maximum number of times that the wait after failed polls is doubled.
+	// maxPollBackoffDoublings is the maximum number of times that the wait before the next poll is doubled
+	// after failed polls.
 	maxPollBackoffDoublings = 6
 	// pollRetryDivisor determines the longest wait before a poll is repeated, which is MaxPollInterval
 	// divided by this number. An unanswered poll is repeated after this wait. The backoff after failed polls
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if nodeCount := len(placer.nodes.allNodes); Seconds(nodeCount) > 4+nodeRetention+2 || len(placer.nodes.byID) != nodeCount {
-		t.Fatalf("after 2000 replacements, the node table keeps %d nodes in its list and %d by ID, want equal numbers and only nodes replaced within nodeRetention", nodeCount, len(placer.nodes.byID))
+		t.Fatalf("after 2000 replacements of nodes, the node table has %d records in allNodes and %d in byID; want equal numbers, and no records of nodes that terminated more than nodeRetention ago", nodeCount, len(placer.nodes.byID))
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	actions := placer.Handle(100, Event{Kind: NodesListed, List: CachedList, Nodes: testNodes(2)}, nil)
 	if len(actionsOfKind(actions, WatchNodes)) != 1 {
-		t.Fatal("the Placer did not poll the node list when it handled its first event")
+		t.Fatal("the Placer did not poll the node list when it handled its first event, want one poll")
 	}
 	now := Seconds(100)
 	for range 5 { // after each failure, the Placer must poll again within MaxPollInterval
@@ -42,20 +42,21 @@
 		for len(actionsOfKind(actions, WatchNodes)) == 0 {
 			timers := actionsOfKind(actions, SetTimer)
 			if len(timers) != 1 {
-				t.Fatalf("got actions %+v, want one timer for the next poll", actions)
+				t.Fatalf("after a failed poll, the Placer returned the actions %+v, want one timer for the next poll", actions)
 			}
 			now += timers[0].After
 			actions = placer.Handle(now, Event{Kind: TimerFired, Token: timers[0].Token}, nil)
 			if now-failedAt > config.Discovery.MaxPollInterval {
-				t.Fatalf("the node list was not polled for %.1f s after a failed poll, which exceeds MaxPollInterval", now-failedAt)
+				t.Fatalf("%.1f s after a failed poll, the Placer has not polled the node list again, want a poll within MaxPollInterval", now-failedAt)
 			}
 		}
 	}
 }
 
-// newTestPoller returns a poller with a maximum interval of 12 s, and a function that checks what the poller
-// did since the last check. The function fails the test if the poller polled and wantPoll is false, or if it
-// did not poll and wantPoll is true. It returns the delay of the timer that the poller started.
+// newTestPoller returns a poller whose polls are at most 12 s apart, and a function that checks what the
+// poller did since the previous check. The function fails the test if the poller polled the node list and
+// wantPoll is false, or if it did not poll the list and wantPoll is true. It returns the delay of the timer
+// that the poller started.
 func newTestPoller() (*nodeListPoller, func(t *testing.T, wantPoll bool) Seconds) {
 	actions := &actionList{}
 	poller := &nodeListPoller{
@@ -69,11 +70,11 @@
 		t.Helper()
 		takenActions := actions.takeActions()
 		if hasPolled := len(actionsOfKind(takenActions, WatchNodes)) == 1; hasPolled != wantPoll {
-			t.Fatalf("the node list was polled: got %v, want %v", hasPolled, wantPoll)
+			t.Fatalf("whether the poller polled the node list since the previous check: got %v, want %v", hasPolled, wantPoll)
 		}
 		timers := actionsOfKind(takenActions, SetTimer)
 		if len(timers) != 1 || timers[0].Token != poller.timerToken {
-			t.Fatalf("got actions %+v, want one timer with the latest token", takenActions)
+			t.Fatalf("the poller returned the actions %+v, want one timer with the token that the poller has stored", takenActions)
 		}
 		return timers[0].After
 	}
@@ -81,7 +82,8 @@
 
 func TestPollBackoffDoubles(t *testing.T) {
 	poller, takeTimer := newTestPoller()
-	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} { // the maximum is half of the interval of 12 s
+	// The backoff is at most half of the poller's maxInterval of 12 s.
+	for failure, mean := range []Seconds{2, 4, 6, 6, 6, 6, 6} {
 		poller.handleFailedPoll()
 		if after := takeTimer(t, false); after < 0.8*mean || after > 1.2*mean {
 			t.Errorf("the backoff is %v s after failed poll %d, want about %v s", after, failure+1, mean)
@@ -98,17 +100,17 @@
 	for name, test := range map[string]struct {
 		listArrivesAt Seconds // time at which a node list arrives; 0 if none arrives
 		pollFails     bool    // the poll fails
-		timerFiresAt  Seconds // time at which the timer fires
+		timerFiresAt  Seconds // time at which the timer of the poller fires
 		wantPoll      bool    // the poller must poll again
 	}{
-		"node list arrived recently":                       {101, false, 104.9, false},
-		"no node list for a third of the maximum interval": {101, false, 105.1, true},
-		"poll unanswered for less than 1 s":                {0, false, 100.9, false},
-		"poll unanswered for more than 1 s":                {0, false, 101.1, true},
-		"poll failed and was sent less than 1 s ago":       {0, true, 100.9, false},
-		"poll failed and was sent more than 1 s ago":       {0, true, 101.1, true},
-		"poll failed after a node list arrived":            {100.5, true, 101.1, true},
-		"node list arrived within 1 s of the poll":         {100.5, false, 101.1, false},
+		"node list arrived recently":                      {101, false, 104.9, false},
+		"no node list arrived for a third of maxInterval": {101, false, 105.1, true},
+		"poll has been unanswered for less than 1 s":      {0, false, 100.9, false},
+		"poll has been unanswered for more than 1 s":      {0, false, 101.1, true},
+		"poll failed and was sent less than 1 s ago":      {0, true, 100.9, false},
+		"poll failed and was sent more than 1 s ago":      {0, true, 101.1, true},
+		"poll failed after a node list arrived":           {100.5, true, 101.1, true},
+		"node list arrived within 1 s of the poll":        {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			poller, takeTimer := newTestPoller()
@@ -136,7 +138,7 @@
 	for name, test := range map[string]struct {
 		kind       ListKind
 		entries    []Node
-		wantStates []NodeState // states of the nodes with the IDs 1, 2 and so on
+		wantStates []NodeState // expected states of the nodes with the IDs 1, 2 and so on
 	}{
 		"full list does not name node 1":    {FullList, []Node{entry(2, Ready)}, []NodeState{Terminated, Ready}},
 		"cached list does not name node 1":  {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
@@ -154,7 +156,7 @@
 				}
 			}
 			if len(table.allNodes) != len(test.wantStates) || len(table.byID) != len(test.wantStates) {
-				t.Errorf("the table has %d nodes in its list and %d by ID, want %d of each", len(table.allNodes), len(table.byID), len(test.wantStates))
+				t.Errorf("the node table has %d nodes in allNodes and %d in byID, want %d in each", len(table.allNodes), len(table.byID), len(test.wantStates))
 			}
 		})
 	}
@@ -171,11 +173,11 @@
 	node.tasks.cacheProgram(7)
 	table.applyList(Changes, []Node{{ID: 1, StartedAt: 50}})
 	if node.health.failures != 2 || !node.load.hasReport || !node.tasks.hasProgram(7) {
-		t.Error("the records of a node were reset although the node did not restart")
+		t.Error("the load, health or cached programs of a node were reset, although the node did not restart")
 	}
 	table.applyList(Changes, []Node{{ID: 1, StartedAt: 60}})
 	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejectedRecently(100) ||
 		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
-		t.Errorf("the records of a restarted node were not reset: health %+v, load %+v", node.health, node.load)
+		t.Errorf("after the restart of a node, its records are health %+v and load %+v, want all of them reset", node.health, node.load)
 	}
 }
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -11,14 +11,14 @@
 	retries      *retryRule
 	consolidator *consolidator
 
-	candidateBuffer []candidate // reused for each request to avoid allocations
+	candidateBuffer []candidate // slice that is reused for each request to avoid allocations
 }
 
 // candidate is a node that passed the filter, with values that were computed for the current request.
 type candidate struct {
 	node             *trackedNode
-	saturationExcess float64 // projected utilization of the cores minus the limit of the task class
-	affinityHash     float64 // hash of node and service, which the selector computes when needed
+	saturationExcess float64 // projected utilization of the node's cores minus the limit of the task class
+	affinityHash     float64 // hash of the node and the service; the selector computes it when needed
 }
 
 // belowSaturation reports whether the projected utilization of the node's cores is within the limit of the
@@ -61,7 +61,7 @@
 	}
 }
 
-// recheckNode reports whether a request may still be attempted on a node that was drawn for it earlier.
+// recheckNode reports whether a request may still be attempted on a node that was chosen for it earlier.
 func (f *nodeFilter) recheckNode(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !f.attemptAllowed(now, request) || !f.nodeAllowed(now, request, node) {
 		return false
@@ -83,10 +83,9 @@
 	return candidate{node: node, saturationExcess: projectedLoad.saturationExcess}, projectedLoad.fits
 }
 
-// attemptAllowed reports whether the rules on final answers and retries (rules 1 and 2) permit another
-// attempt for the request. They permit no attempt if the request is done, its deadline has passed, another
-// attempt is outstanding, or Attempts.Max attempts were made. The caller must also check each node with
-// nodeAllowed.
+// attemptAllowed reports whether another attempt for the request is permitted on any node. No attempt is
+// permitted if the request is done, its deadline has passed, another attempt is outstanding, or Attempts.Max
+// attempts were made. The caller must also check each node with nodeAllowed.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	attemptsSpent := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !attemptsSpent && request.outstandingAttempt() == nil
@@ -95,10 +94,10 @@
 // nodeAllowed reports whether the rules permit an attempt on this node. The caller must have checked
 // attemptAllowed.
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
-	// This check implements the rule on node states (rule 3). The rule still permits attempts on a node for
-	// the time DrainGrace after the node starts to drain. The filter is stricter and rejects every node that
-	// is known to drain. The scheduler breaks the rule only if it learns that a node drains more than
-	// DrainGrace after the node started to drain.
+	// This check implements the rule on node states. The rule permits attempts on a draining node for the
+	// time DrainGrace after the start of its drain. The filter is stricter and excludes every node that is
+	// known to be draining. The scheduler can still break the rule if the news of a drain takes longer than
+	// DrainGrace to arrive.
 	if !node.listed || node.State != Ready || node.cores <= 0 {
 		return false
 	}
@@ -109,7 +108,8 @@
 	if request.unknownOutcomeAttempt != nil && !f.retries.allowsRetryOn(now, request, node) {
 		return false
 	}
-	// These calls check the slow-start rule (rule 4) and the spread rule (rule 5).
+	// These calls check the slow-start rule, which protects new nodes from too many attempts, and the spread
+	// rule, which limits the tasks of a service in one failure domain.
 	return f.slowStart.allowsAttempt(now, node) && f.spread.allowsTask(class, request.Service, node)
 }
 
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -11,7 +11,7 @@
 	for i := range 40 {
 		for _, attempt := range actionsOfKind(requestPlacement(placer, 100.3, newTestTask(i+1, 0)), StartAttempt) {
 			if attempt.Node <= 2 {
-				t.Fatalf("an attempt was made on node %d, which is draining or terminated", attempt.Node)
+				t.Fatalf("an attempt was made on node %d, which is draining or terminated; want attempts only on ready nodes", attempt.Node)
 			}
 		}
 	}
@@ -28,8 +28,9 @@
 	requireOneAttempt(t, requestPlacement(placer, 100.6, newTaskOfService(5, 4, 1)))
 }
 
-// A node evicts tasks when all its memory is in use, no matter how much memory the tasks have requested. The
-// filter must therefore limit the memory in use.
+// A node evicts tasks when all its memory is in use, no matter how much memory the tasks have requested. A
+// limit on the requested memory cannot prevent such evictions, so the filter must also limit the memory in
+// use.
 func TestMemoryUsageLimitsCapacity(t *testing.T) {
 	config := testConfig()
 	config.Overcommit.Cores, config.Overcommit.Memory, config.NodeBehavior.ReportsUsage = 4, 4, true
@@ -41,8 +42,8 @@
 	requireOneAttempt(t, requestPlacement(placer, 100.2, newTestTask(2, 0)))
 }
 
-// If load reports do not contain the capacity in use, the filter must not limit the memory in use. In this
-// case, the nodes themselves limit it.
+// If load reports do not contain the capacity in use, the Placer can only guess how much memory is in use.
+// The filter must then not limit the memory in use, because the nodes themselves limit it.
 func TestMemoryUsageIsNotLimitedWithoutUsageReports(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeMemory = 2
@@ -62,7 +63,7 @@
 			}
 		}
 		if (cost > 0) != (attemptsOutsideZone == 0) {
-			t.Fatalf("with the cross-zone cost %v, %d of 60 attempts were made outside the zone of the scheduler, want 0 only if the cost is above 0", cost, attemptsOutsideZone)
+			t.Fatalf("with the cross-zone cost %v, %d of 60 attempts were made outside the zone of the scheduler; want none if the cost is above 0, and some if it is 0", cost, attemptsOutsideZone)
 		}
 	}
 	nodes := testNodes(6)
@@ -74,8 +75,9 @@
 }
 
 // A scheduler with few tasks may wait long for its first load report. Until then, it must estimate the ratio
-// of used to requested capacity from its own tasks. Otherwise, it would overestimate the number of nodes
-// needed by a factor of two. It would then keep nodes active that other schedulers put on standby.
+// of used to requested capacity from its own tasks. If it assumed that tasks use all the capacity that they
+// request, while they use only half of it, it would overestimate the number of nodes needed by a factor of
+// two. The scheduler would then keep nodes active that other schedulers put on standby.
 func TestUsageRatiosAreEstimatedFromTasksUntilFirstReport(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	for i := range 20 {
@@ -90,8 +92,8 @@
 	}
 }
 
-// The rules permit no attempt after a request is done or its deadline has passed, none while another attempt
-// is outstanding, and not more than Attempts.Max.
+// No attempt is permitted for a request that is done, whose deadline has passed, or that has an outstanding
+// attempt. A request gets at most Attempts.Max attempts.
 func TestAttemptAllowed(t *testing.T) {
 	filter := &nodeFilter{cfg: &Config{Attempts: Attempts{Max: 3}}}
 	const now, later = Seconds(100), Seconds(101)
@@ -100,19 +102,19 @@
 		request placementRequest
 		want    bool
 	}{
-		"first attempt of the request":        {placementRequest{Task: Task{Deadline: later}}, true},
-		"two earlier attempts have ended":     {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{endedAttempt, endedAttempt}}, true},
-		"maximum number of attempts was made": {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{endedAttempt, endedAttempt, endedAttempt}}, false},
-		"another attempt is pending":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{pendingAttempt}}, false},
-		"another attempt is running":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{runningAttempt, endedAttempt}}, false},
-		"request is done":                     {placementRequest{Task: Task{Deadline: later}, done: true}, false},
-		"deadline of the request is now":      {placementRequest{Task: Task{Deadline: now}}, false},
-		"deadline passed long ago":            {placementRequest{Task: Task{Deadline: now - 50}}, false},
-		"deadline is 1 ms from now":           {placementRequest{Task: Task{Deadline: now + 0.001}}, true},
+		"first attempt of the request":             {placementRequest{Task: Task{Deadline: later}}, true},
+		"two earlier attempts have ended":          {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{endedAttempt, endedAttempt}}, true},
+		"maximum number of attempts was made":      {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{endedAttempt, endedAttempt, endedAttempt}}, false},
+		"earlier attempt is still pending":         {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{pendingAttempt}}, false},
+		"task of an earlier attempt is running":    {placementRequest{Task: Task{Deadline: later}, attempts: []*attempt{runningAttempt, endedAttempt}}, false},
+		"request is done":                          {placementRequest{Task: Task{Deadline: later}, done: true}, false},
+		"deadline of the request is now":           {placementRequest{Task: Task{Deadline: now}}, false},
+		"deadline of the request passed long ago":  {placementRequest{Task: Task{Deadline: now - 50}}, false},
+		"deadline of the request is 1 ms from now": {placementRequest{Task: Task{Deadline: now + 0.001}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := filter.attemptAllowed(now, &test.request); got != test.want {
-				t.Errorf("another attempt is allowed: got %v, want %v", got, test.want)
+				t.Errorf("attemptAllowed returned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -100,27 +100,28 @@
 	tb.Helper()
 	attempts := actionsOfKind(actions, StartAttempt)
 	if len(attempts) != 1 {
-		tb.Fatalf("got actions %+v, want exactly one attempt", actions)
+		tb.Fatalf("the Placer returned the actions %+v, want exactly one StartAttempt action", actions)
 	}
 	return attempts[0]
 }
 
-// requireNoAttempt fails the test if the actions start an attempt. The situation is a clause for the failure
-// message that says why no attempt must be made.
+// requireNoAttempt fails the test if the actions start an attempt. The parameter situation says why no
+// attempt must be made. It completes the words "an attempt was made although" in the failure message.
 func requireNoAttempt(tb testing.TB, actions []Action, situation string) {
 	tb.Helper()
 	if len(actionsOfKind(actions, StartAttempt)) != 0 {
-		tb.Fatalf("an attempt was made although %s; got actions %+v", situation, actions)
+		tb.Fatalf("an attempt was made although %s; the Placer returned the actions %+v, want no StartAttempt action", situation, actions)
 	}
 }
 
 // requireNodeAvoided requests the placement of 30 tasks of different services. It fails the test if a task is
-// attempted on the node. The node description completes the words "a node that" in the failure message.
+// attempted on the node. The parameter nodeDescription completes the words "a node that" in the failure
+// message.
 func requireNodeAvoided(tb testing.TB, placer *Placer, now Seconds, node NodeID, nodeDescription string) {
 	tb.Helper()
 	for i := range 30 {
 		if attempt := requireOneAttempt(tb, requestPlacement(placer, now, newTestTask(i+1, 0))); attempt.Node == node {
-			tb.Fatalf("the attempt for request %d was made on a node that %s", i, nodeDescription)
+			tb.Fatalf("the attempt for request %d was made on a node that %s; want another node", i, nodeDescription)
 		}
 	}
 }
--- a/placer/jitter.go
+++ b/placer/jitter.go
@@ -2,11 +2,12 @@
 
 import "math/rand/v2"
 
-// jitterWidthFraction is the width of the interval from which a delay is drawn, as a fraction of the mean
-// delay. Without jitter, many requests would be retried at the same time.
+// jitterWidthFraction is the width of the interval from which a random delay is drawn, as a fraction of the
+// mean delay. Without jitter, requests that start to wait at the same time would all be retried at the same
+// time.
 const jitterWidthFraction = 0.4
 
-// jitter randomizes delays. It draws one random number for each delay.
+// jitter randomizes delays. It uses one random number for each delay.
 type jitter struct {
 	rng *rand.Rand
 }
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -8,8 +8,8 @@
 	// result is the initial value of the mean absolute deviation.
 	initialDeviationDivisor = 2
 	// startTimeoutFraction is the timeout of an attempt as a fraction of Class.Deadline, if nodes answer only
-	// when the task starts. The timeout is long because an attempt that timed out still occupies capacity on
-	// its node.
+	// when the task starts. The timeout is long, because the next attempt for the request uses additional
+	// capacity: an attempt that timed out still occupies capacity on its node.
 	startTimeoutFraction = 0.7
 	// initialTimeoutDivisor determines the timeout of attempts before any attempt was answered, which is
 	// Class.Deadline divided by this number.
@@ -69,9 +69,10 @@
 	return max(minTimeout, Seconds(answerTimes.mean+timeoutDeviationFactor*answerTimes.deviation))
 }
 
-// coldStartsAreSlow reports whether a cold start is likely to miss the latency objective of the task class. A
-// cold start is a start on a node that does not have the program of the service in its cache. If cold starts
-// are slow, the selector prefers nodes that probably have the program.
+// coldStartsAreSlow reports whether a cold start may miss the latency objective of the task class. A cold
+// start is a start on a node that does not have the program of the service in its cache. If cold starts are
+// slow, the selector prefers nodes that probably have the program in their cache. Until the first cold start
+// was measured, cold starts are assumed to be slow.
 func (m *latencyModel) coldStartsAreSlow(classIndex int) bool {
 	startTimes := &m.coldStartTimes[classIndex]
 	likelyTime := Seconds(startTimes.mean + startTimes.deviation)
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -9,8 +9,8 @@
 		answers             runningAverage
 		want                Seconds
 	}{
-		"before any attempt was answered":                                {Idempotent, false, runningAverage{}, 2},
-		"task class is not idempotent, before any attempt was answered":  {NonIdempotent, false, runningAverage{}, 4},
+		"no attempt was answered yet":                                    {Idempotent, false, runningAverage{}, 2},
+		"task class is not idempotent, no attempt was answered yet":      {NonIdempotent, false, runningAverage{}, 4},
 		"nodes answer quickly":                                           {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 1},
 		"task class is not idempotent, nodes answer quickly":             {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 4},
 		"nodes answer slowly":                                            {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 4},
@@ -24,7 +24,7 @@
 			})
 			model.answerTimes[0] = test.answers
 			if got := model.attemptTimeout(0); got != test.want {
-				t.Errorf("attempt timeout is %v s, want %v s", got, test.want)
+				t.Errorf("the timeout of an attempt is %v s, want %v s", got, test.want)
 			}
 		})
 	}
@@ -40,7 +40,7 @@
 		"cold start takes 0.9 s":                {true, true, 0.9, true},
 		"cold start takes 0.1 s":                {true, true, 0.1, false},
 		"start with cached program takes 0.1 s": {true, false, 0.1, true}, // the model learns only from cold starts
-		"node accepts the task after 0.1 s":     {false, true, 0.1, true}, // the start may still take long
+		"node accepts the task after 0.1 s":     {false, true, 0.1, true}, // the acceptance does not show how long the start takes
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
@@ -50,7 +50,7 @@
 			answeredAttempt := &attempt{request: &placementRequest{}, coldStart: test.coldStart}
 			model.observeAnswer(answeredAttempt, test.elapsed)
 			if got := model.coldStartsAreSlow(0); got != test.want {
-				t.Errorf("cold starts count as slow: got %v, want %v", got, test.want)
+				t.Errorf("coldStartsAreSlow returned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -8,7 +8,7 @@
 	recentChanges       []capacityChange // changes that node lists may not show yet, in chronological order
 	retainedBoundTasks  int              // number of elements of recentChanges with isBoundTask set
 	rejectionValidUntil Seconds          // time until which the node gets no attempts after a rejection
-	saturationExcess    float64          // saturation excess of the latest projection for any task
+	saturationExcess    float64          // saturation excess from the latest projection of the node's load
 	reportedAt          Seconds
 	hasReport           bool
 	report              Report
@@ -43,7 +43,7 @@
 // setSaturation records the saturation excess that the latest projection returned.
 func (l *nodeLoad) setSaturation(excess float64) { l.saturationExcess = excess }
 
-// attemptSent records that an attempt may occupy capacity on the node.
+// attemptSent records that an attempt was sent and may now occupy capacity on the node.
 func (l *nodeLoad) attemptSent(now Seconds, task *Task) {
 	l.addChange(capacityChange{changedAt: now, cores: task.Cores, memory: task.Memory})
 }
@@ -55,7 +55,7 @@
 	l.addChange(capacityChange{changedAt: now, cores: task.Cores, memory: task.Memory, isBoundTask: true})
 }
 
-// attemptFailed records that an attempt no longer occupies capacity on the node.
+// attemptFailed records that an attempt ended before the node accepted it, and no longer occupies capacity.
 func (l *nodeLoad) attemptFailed(failedAttempt *attempt) { l.removePendingChange(failedAttempt) }
 
 // taskEnded records that a task released its capacity on the node.
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -53,8 +53,8 @@
 }
 
 // evictTerminated removes the records of nodes that have been unused for the time nodeRetention. A node is
-// unused if it has terminated and no task of this scheduler is on it. Without the removal, the memory use
-// would grow with each node that is replaced.
+// unused if it has terminated and no task of this scheduler is on it. If the records were kept, the memory
+// use of the scheduler would grow with each node that is replaced.
 func (t *nodeTable) evictTerminated(now Seconds) {
 	t.allNodes = slices.DeleteFunc(t.allNodes, func(node *trackedNode) bool {
 		if node.State != Terminated || !node.listed || node.tasks.inUse() {
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -7,7 +7,7 @@
 	unansweredAttempts int               // number of attempts without an answer
 	countByService     map[ServiceID]int // number of running tasks and unanswered attempts by service
 	boundAttempts      []*attempt        // attempts whose tasks run on the node
-	cachedPrograms     []ServiceID       // services whose program is probably cached; the most recent is last
+	cachedPrograms     []ServiceID       // services whose program is probably cached, in the order of caching
 }
 
 func newNodeTasks() nodeTasks { return nodeTasks{countByService: map[ServiceID]int{}} }
@@ -48,8 +48,8 @@
 	n.unansweredAttempts--
 }
 
-// taskEnded removes a bound task. If the task was the last of its service on the node, the node is assumed to
-// keep the program cached.
+// taskEnded removes a task that ran on the node. If it was the last task of its service there, the node is
+// assumed to keep the program of the service in its cache.
 func (n *nodeTasks) taskEnded(endedAttempt *attempt) {
 	service := endedAttempt.request.Service
 	n.removeFromService(service)
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -1,7 +1,7 @@
 package placer
 
-// maxRejections is the number of rejections by nodes of the current pair after which a request waits before
-// it draws a new pair.
+// maxRejections is the number of rejections by the two nodes that were drawn at random for a request. After
+// this number, the request waits before two nodes are drawn again.
 const maxRejections = 2
 
 // handleAdopted adds a task that was found running on a node. The task counts for the spread rule. If the
@@ -87,9 +87,9 @@
 		if ev.Reason != WrongNode {
 			node.load.recordRejection(p.now)
 		} else if p.cfg.classOf(endedAttempt.request).Idempotency != IdempotentByKey {
-			// The node probably drains, and the node list does not show it yet. For a task class that is
-			// idempotent by key, the node may have had another reason for the rejection: it may already run a
-			// copy of the task with the same idempotency key. The node then has not failed.
+			// The node is probably draining, and the node list does not show it yet, so the rejection counts
+			// as a failure. It does not count if the task class is idempotent by key. The node may then have
+			// rejected the attempt because it already runs a copy of the task with the same idempotency key.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -86,8 +86,8 @@
 }
 
 // allowsAttempt reports whether a task of the given task class may be attempted on the node. After its
-// ejection, a node gets only one attempt at a time until successes have canceled its failures. A task that
-// must not start twice is never attempted on a node with failures.
+// ejection, a node gets only one attempt at a time until successes have canceled its failures. A task of a
+// class that is not idempotent is never attempted on a node with failures.
 func (d *outlierDetector) allowsAttempt(now Seconds, class *Class, node *trackedNode) bool {
 	if node.health.failures == 0 {
 		return true
@@ -97,12 +97,13 @@
 }
 
 // tooFewHealthy reports whether so few ready nodes are healthy for the task class that ejected nodes must be
-// used as well. If the same fault affects most nodes, the affected nodes are not outliers.
+// used as well. If the same fault affects most nodes, the affected nodes are not outliers, and their ejection
+// would leave too few nodes for the tasks.
 //
-// A node counts as healthy even if it has no free capacity or the spread rule excludes it. Otherwise, all
-// attempts could go to dead nodes in two cases. If all healthy nodes are full, only dead nodes appear to have
-// free capacity, because their tasks are lost. The spread rule may also exclude all healthy nodes for a
-// service.
+// A node counts as healthy even if it is full or the spread rule excludes it. If such nodes did not count,
+// ejected nodes would be used whenever all healthy nodes are full or excluded. Many ejected nodes are dead,
+// and dead nodes appear to have free capacity because their tasks are lost. The attempts would then go to
+// dead nodes.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
 	readyCount, healthyCount := 0, 0
 	for _, node := range nodes {
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -28,33 +28,34 @@
 		errorEvent := Event{Kind: Ended, TaskID: firstAttempt.Task, Node: firstAttempt.Node, Attempt: firstAttempt.Attempt, Result: Errored}
 		retry := requireOneAttempt(t, placer.Handle(at+0.01, errorEvent, nil))
 		if node := placer.nodes.byID[firstAttempt.Node]; node.health.failures != 1 || retry.Node == firstAttempt.Node {
-			t.Fatalf("after one error, the node has %d failures, want 1; the next attempt was made on node %d, want a node other than node %d", node.health.failures, retry.Node, firstAttempt.Node)
+			t.Fatalf("after an error of its first attempt, the node has %d failures, want 1; the second attempt was made on node %d, want a node other than node %d", node.health.failures, retry.Node, firstAttempt.Node)
 		}
 		errorEvent.Node, errorEvent.Attempt = retry.Node, retry.Attempt
 		placer.Handle(at+0.02, errorEvent, nil)
 		for id, node := range placer.nodes.byID {
 			if node.health.failures != 0 || node.health.ejectedUntil > at+0.02 {
-				t.Fatalf("a task that fails on every node left node %d ejected or with %d failures, want no failures and no ejection", id, node.health.failures)
+				t.Fatalf("after a task has failed on two nodes, node %d is ejected or has failures (its failure count is %d), want no failures and no ejection", id, node.health.failures)
 			}
 		}
 	}
 }
 
-// A node may start to drain before the node list shows that it drains. The free capacity of such a node grows
-// with each task that it stops. If the node were not ejected, it would receive all attempts.
+// A node may start to drain before the node list shows it. A draining node stops its tasks, so its free
+// capacity grows until it appears to be the emptiest node. If the node were not ejected, it would get all
+// attempts and reject them.
 func TestNodeThatStopsTasksToDrainIsEjected(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	adoptTask(placer, 900, 2, 0)
 	endAttempt(placer, 100.1, Action{Task: 900}, Lost, Drained)
 	for i := range 30 {
 		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.5, Task{ID: TaskID(i + 1), Cores: 1, Memory: 1, Deadline: 108})); attempt.Node == 2 {
-			t.Fatal("an attempt was made on a node that has stopped a task to drain")
+			t.Fatal("an attempt was made on node 2, which has stopped a task because it is draining; want another node")
 		}
 	}
 }
 
 // A dead node appears to have free capacity, because its tasks are lost. If ejected nodes were used whenever
-// the healthy nodes are full, requests would use up their attempts on dead nodes.
+// the healthy nodes are full, requests would spend their limited number of attempts on dead nodes.
 func TestEjectedNodesGetNoAttemptsIfHealthyNodesAreFull(t *testing.T) {
 	nodes := testNodes(4)
 	for i := range 3 {
@@ -112,7 +113,7 @@
 	}{{99.9, 3}, {100, 2}, {100.2, 2}, {100.25, 1}, {101, 0}, {102, 0}} {
 		detector.recordSuccess(step.now, node)
 		if node.health.failures != step.failures {
-			t.Fatalf("at the time %v the node has %d failures, want %d", step.now, node.health.failures, step.failures)
+			t.Fatalf("after a success at the time %v, the failure count of the node is %d, want %d", step.now, node.health.failures, step.failures)
 		}
 	}
 }
@@ -134,7 +135,7 @@
 			node := newTrackedNode(1)
 			node.health, node.tasks.unansweredAttempts = test.health, test.unansweredAttempts
 			if got := newTestDetector().allowsAttempt(100, &Class{Idempotency: test.idempotency}, node); got != test.want {
-				t.Errorf("attempt on the node is allowed: got %v, want %v", got, test.want)
+				t.Errorf("allowsAttempt returned %v for the node, want %v", got, test.want)
 			}
 		})
 	}
@@ -142,7 +143,7 @@
 
 func TestEjectedNodesAreUsedIfTooFewAreHealthy(t *testing.T) {
 	for name, test := range map[string]struct {
-		healthyNodes, ejectedNodes, drainingNodes int // numbers of healthy, ejected and draining nodes
+		healthyNodes, ejectedNodes, drainingNodes int // numbers of nodes in each condition
 		want                                      bool
 	}{
 		"all ready nodes are healthy":                         {4, 0, 0, false},
@@ -165,7 +166,7 @@
 			add(test.ejectedNodes, Ready, nodeHealth{failures: 1, ejectedUntil: 101})
 			add(test.drainingNodes, Draining, nodeHealth{})
 			if got := newTestDetector().tooFewHealthy(100, &Class{}, nodes); got != test.want {
-				t.Errorf("too few nodes are healthy: got %v, want %v", got, test.want)
+				t.Errorf("tooFewHealthy returned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -1,21 +1,22 @@
 package placer
 
-// Waiting times before a request draws a new pair of nodes. The file docs/design.md explains the values.
+// Waiting times before a new pair of nodes is drawn at random for a request. The file docs/design.md explains
+// the values.
 const (
-	// redrawWait is the mean wait before a request draws a new pair if both nodes of its current pair have
-	// rejected it.
+	// redrawWait is the mean wait of a request after both nodes that were drawn for it have rejected it.
+	// After the wait, two nodes are drawn at random again.
 	redrawWait Seconds = 1
-	// inTimeRedrawWait and lateRedrawWait are the mean waits if no node passes the filter. The wait of a
-	// request is inTimeRedrawWait within the latency objective of its task class, and lateRedrawWait
-	// afterwards. The later wait is longer because requests that are still in time should get free capacity
-	// first.
+	// inTimeRedrawWait and lateRedrawWait are the mean waits of a request for which no node passes the
+	// filter. The wait is inTimeRedrawWait within the latency objective of the task class, and lateRedrawWait
+	// afterwards. The shorter wait lets requests that are still in time look for free capacity more often, so
+	// they tend to get it before late requests.
 	inTimeRedrawWait = 0.15 * redrawWait
 	lateRedrawWait   = 0.6 * redrawWait
 )
 
 // place takes the next step for a request that has no outstanding attempt. The step is one of four: an
-// attempt on the second node of the current pair, an attempt on a newly drawn node, a wait before the next
-// draw, or the final answer.
+// attempt on the second of the two nodes that were drawn earlier, an attempt on the first of two newly drawn
+// nodes, a wait before nodes are drawn again, or the final answer.
 func (p *Placer) place(request *placementRequest) {
 	attemptsSpent := len(request.attempts) >= p.cfg.Attempts.Max
 	tooLate := request.Deadline-p.now <= p.cfg.Attempts.AnswerGrace
@@ -52,8 +53,8 @@
 	})
 }
 
-// meanRedrawWait returns the mean wait before the next draw of a pair if no node passed the filter for the
-// request.
+// meanRedrawWait returns the mean wait of a request for which no node passed the filter. After the wait, the
+// Placer filters the nodes again and draws two of them.
 func (p *Placer) meanRedrawWait(request *placementRequest) Seconds {
 	if p.now < request.arrivedAt+p.cfg.classOf(request).LatencyObjective {
 		return inTimeRedrawWait
@@ -61,8 +62,8 @@
 	return lateRedrawWait
 }
 
-// scheduleRedraw sets a timer with a jittered delay, after which the request draws a new pair of nodes. If
-// too little time remains until the deadline, it sends the final answer instead.
+// scheduleRedraw starts a timer with a jittered delay, after which two nodes are drawn at random for the
+// request again. If too little time remains until the deadline, it sends the final answer instead.
 func (p *Placer) scheduleRedraw(request *placementRequest, delay Seconds) {
 	after := min(p.jitter.randomize(delay), request.Deadline-p.cfg.Attempts.AnswerGrace-p.now)
 	if after <= 0 {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -13,8 +13,8 @@
 // A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
 // uniformly at random. It skips nodes with too many contenders. The contenders on a node are the unanswered
 // attempts and the recently accepted tasks of this scheduler. The Placer attempts the request on the emptier
-// node and then on the other node. If both nodes reject the request, it waits before the next draw. The file
-// docs/design.md describes the algorithm.
+// of the two nodes and then, if that node rejects it, on the other node. If both nodes reject the request,
+// the Placer waits and then draws two nodes again. The file docs/design.md describes the algorithm.
 type Placer struct {
 	cfg     Config
 	now     Seconds // time of the latest event
@@ -112,7 +112,7 @@
 // Handle processes one event that happens at the time now. It appends the resulting actions to the given
 // slice and returns the extended slice.
 func (p *Placer) Handle(now Seconds, ev Event, actions []Action) []Action {
-	p.actions.beginEvent(actions)
+	p.actions.collectInto(actions)
 	if !p.started {
 		p.start(now)
 	}
@@ -168,8 +168,8 @@
 		p.startConsolidationTimer()
 	case timerDeadline:
 		// Most requests are answered before this timer fires, because each attempt times out at the deadline
-		// at the latest. The timer answers requests that still wait for the next draw, and requests with an
-		// attempt whose outcome does not arrive.
+		// at the latest. The remaining requests still wait for nodes to be drawn, or have an attempt whose
+		// outcome does not arrive.
 		if !request.done {
 			p.rejectOrFail(request)
 		}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -33,14 +33,14 @@
 		attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 1)))
 		actions := endAttempt(placer, 100.5, attempt, result, NoReason)
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Errorf("after an attempt with result %d: got actions %+v, want one Fail, no Reject and no attempt", result, actions)
+			t.Errorf("after an attempt whose Result has the value %d, the Placer returned the actions %+v, want one Fail, no Reject and no StartAttempt", result, actions)
 		}
 	}
 	for _, result := range []Result{Rejected, Unreachable, Expired} {
 		placer := newTestPlacer(t, testConfig(), 3, testNodes(6))
 		attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 1)))
 		if actions := endAttempt(placer, 100.5, attempt, result, WrongNode); len(actionsOfKind(actions, StartAttempt)) != 1 {
-			t.Errorf("after an attempt with result %d, which proves that the task did not start: got actions %+v, want another attempt", result, actions)
+			t.Errorf("after an attempt whose Result has the value %d and proves that the task did not start, the Placer returned the actions %+v, want one StartAttempt", result, actions)
 		}
 	}
 }
@@ -53,9 +53,10 @@
 		if (retry.Node-1)/3 != (firstAttempt.Node-1)/3 {
 			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt", seed)
 		}
-		actions := endAttempt(placer, 104.2, retry, Rejected, InsufficientCores) // DedupWindow has ended
+		// At the time 104.2, the DedupWindow of 4 s has ended.
+		actions := endAttempt(placer, 104.2, retry, Rejected, InsufficientCores)
 		if len(actionsOfKind(actions, StartAttempt))+len(actionsOfKind(actions, Reject)) != 0 || len(actionsOfKind(actions, Fail)) != 1 {
-			t.Fatalf("seed %d: after the deduplication window: got actions %+v, want one Fail, no Reject and no attempt", seed, actions)
+			t.Fatalf("seed %d: after the end of DedupWindow, the Placer returned the actions %+v, want one Fail, no Reject and no StartAttempt", seed, actions)
 		}
 	}
 }
@@ -70,14 +71,14 @@
 		invalidate(&task)
 		actions := requestPlacement(placer, 100.1, task)
 		if len(actionsOfKind(actions, StartAttempt)) != 0 || len(actionsOfKind(actions, Reject)) != 1 {
-			t.Errorf("invalid task %d: got actions %+v, want one Reject and no attempt", i, actions)
+			t.Errorf("invalid task with index %d: the Placer returned the actions %+v, want one Reject and no StartAttempt", i, actions)
 		}
 	}
 }
 
-// If nodes answer only when a task starts, a late answer may just mean that the task takes long to start. The
-// Placer must not conclude that the node is unresponsive. The timeout must not depend on the answer times
-// that the Placer has learned.
+// If nodes answer only when a task starts, a late answer may just mean that the task takes long to start. A
+// timeout that depends on the learned answer times could end attempts whose tasks are still starting. The
+// timeout must instead be a fixed fraction of the deadline of the task class.
 func TestAttemptTimeoutIfAcknowledgedOnStart(t *testing.T) {
 	config := testConfig()
 	config.NodeBehavior.AcknowledgesOnStart = true
@@ -86,6 +87,6 @@
 		placer.latency.answerTimes[0].addSample(0.05, learningRate)
 	}
 	if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0))); attempt.Until < 100.1+0.69*5 {
-		t.Fatalf("the attempt times out after %.2f s, want at least 69 percent of the 5 s for which the client waits", attempt.Until-100.1)
+		t.Fatalf("the attempt times out after %.2f s, want at least 3.45 s, which is 69 percent of the 5 s for which the client waits", attempt.Until-100.1)
 	}
 }
--- a/placer/request.go
+++ b/placer/request.go
@@ -7,10 +7,10 @@
 	Task
 	arrivedAt             Seconds
 	attempts              []*attempt
-	alternativeNode       *trackedNode // second node of the current pair; nil after an attempt on it
-	pairRejections        int          // number of rejections by the nodes of the current pair
-	ignoresCache          bool         // the current pair was drawn without regard to cached programs
-	redrawToken           uint64       // token of the latest timer for drawing a new pair
+	alternativeNode       *trackedNode // second of the two nodes drawn for the request; nil after an attempt on it
+	pairRejections        int          // number of rejections by the two nodes drawn for the request
+	ignoresCache          bool         // the two nodes were drawn without regard to cached programs
+	redrawToken           uint64       // token of the latest timer after which two nodes are drawn again
 	unknownOutcomeAttempt *attempt     // first failed attempt that may have started the task
 	done                  bool         // the request is answered, placed or withdrawn
 	migrated              bool         // a migration of the task was requested
@@ -43,26 +43,27 @@
 	return newAttempt
 }
 
-// setPair makes the drawn pair of nodes the current pair. It stores only the second node, because the caller
-// attempts the request on the first node immediately.
+// setPair makes two nodes that were drawn at random the current pair of the request. It stores only the
+// second node, because the caller attempts the request on the first node immediately.
 func (r *placementRequest) setPair(drawnPair pair) {
 	r.alternativeNode = drawnPair.secondNode
 	r.ignoresCache = drawnPair.ignoresCache
 	r.pairRejections = 0
 }
 
-// takeAlternativeNode returns the second node of the current pair and removes it from the request. The result
-// is nil if there is no second node.
+// takeAlternativeNode returns the second of the two nodes that were drawn for the request, and removes it
+// from the request. The result is nil if there is no second node.
 func (r *placementRequest) takeAlternativeNode() *trackedNode {
 	node := r.alternativeNode
 	r.alternativeNode = nil
 	return node
 }
 
-// recordRejection counts a rejection by a node of the current pair.
+// recordRejection counts a rejection by one of the two nodes that were drawn for the request.
 func (r *placementRequest) recordRejection() { r.pairRejections++ }
 
-// waitForRedraw discards the current pair and records the token of the timer for drawing a new pair.
+// waitForRedraw discards the current pair of nodes. It records the token of the timer after which two nodes
+// are drawn at random again.
 func (r *placementRequest) waitForRedraw(token uint64) {
 	r.alternativeNode = nil
 	r.redrawToken = token
--- a/placer/request_test.go
+++ b/placer/request_test.go
@@ -16,13 +16,13 @@
 			func() {
 				defer func() {
 					if panicked := recover() != nil; panicked == transitionAllowed {
-						t.Errorf("transition from %v to %v: allowed: %v; setState panicked: %v; want a panic only if not allowed", from, to, transitionAllowed, panicked)
+						t.Errorf("for the transition from state %v to state %v, transitionAllowed is %v and panicked is %v; want a panic from setState only if the transition is not allowed", from, to, transitionAllowed, panicked)
 					}
 				}()
 				testAttempt.setState(to)
 			}()
 			if want := max(from, to); testAttempt.state != want {
-				t.Errorf("after the transition from %v to %v, the state is %v, want the later of the two", from, to, testAttempt.state)
+				t.Errorf("after setState for the transition from %v to %v, the attempt is in the state %v, want the later of the two states", from, to, testAttempt.state)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 	placedRequest, withdrawnRequest := table.addRequest(Task{ID: 1}, 100), table.addRequest(Task{ID: 2}, 100)
 	adoptedAttempt := table.addAdopted(Task{ID: 3}, node, 100)
 	if table.unansweredRequests != 2 || !table.hasRequest(1) || table.hasRequest(4) {
-		t.Fatalf("the table has %d unanswered requests, want 2; it contains task 1: %v, want true; it contains task 4: %v, want false", table.unansweredRequests, table.hasRequest(1), table.hasRequest(4))
+		t.Fatalf("the request table has %d unanswered requests, want 2; hasRequest(1) is %v, want true; hasRequest(4) is %v, want false", table.unansweredRequests, table.hasRequest(1), table.hasRequest(4))
 	}
 	sentAttempt := placedRequest.startAttempt(node, 100)
 	for name, test := range map[string]struct {
@@ -50,18 +50,18 @@
 		"task that is not in the table":     {4, 0, nil},
 	} {
 		if got := table.findAttempt(test.task, test.attemptIndex); got != test.want {
-			t.Errorf("%s: got the attempt at %p, want the attempt at %p", name, got, test.want)
+			t.Errorf("%s: findAttempt returned the attempt with the address %p, want the address %p", name, got, test.want)
 		}
 	}
 	table.close(withdrawnRequest)
 	table.close(placedRequest)
-	table.close(placedRequest) // a second call must have no effect
+	table.close(placedRequest) // a second call for the same request must have no effect
 	if table.unansweredRequests != 0 || table.hasRequest(2) || !table.hasRequest(1) {
-		t.Errorf("the table has %d unanswered requests, want 0; it keeps a closed request without attempts: %v, want false", table.unansweredRequests, table.hasRequest(2))
+		t.Errorf("after both requests were closed, the table has %d unanswered requests, want 0; hasRequest(2) is %v, want false; hasRequest(1) must still be true", table.unansweredRequests, table.hasRequest(2))
 	}
 	sentAttempt.setState(attemptEnded)
 	table.removeIfDone(placedRequest)
 	if table.hasRequest(1) {
-		t.Error("the table keeps a request that is done and whose last attempt has ended")
+		t.Error("the request table keeps a request that is done and whose last attempt has ended, want it removed")
 	}
 }
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -4,8 +4,8 @@
 // with an unknown outcome.
 const dedupMargin = 0.9
 
-// retryRule implements the rule on retries (rule 2). After an attempt with an unknown outcome, the task may
-// be running. The rule then determines which further attempts and which final answers are permitted.
+// retryRule implements the rule on retries. After an attempt with an unknown outcome, the task may be
+// running. The rule then determines which further attempts and which final answers are permitted.
 type retryRule struct {
 	cfg *Config
 }
@@ -35,8 +35,11 @@
 	return class.Idempotency == Idempotent || sharesDomain(class.DedupDomain, earlierNode, node)
 }
 
-// safeToReject reports whether the client may safely request the task again after a rejection. Two copies of
-// the task may run only if its task class is idempotent.
+// safeToReject reports whether Reject is a permitted final answer for the request. A client that receives
+// Reject requests the task again. If an earlier attempt has started the task, the task then starts twice.
+// Reject is safe if no attempt can have started the task, if its task class is idempotent, or if all nodes of
+// the cluster ignore an idempotency key that one of them has received. While an attempt is outstanding,
+// Reject is never permitted.
 func (r *retryRule) safeToReject(request *placementRequest) bool {
 	if request.outstandingAttempt() != nil {
 		return false
--- a/placer/retry_test.go
+++ b/placer/retry_test.go
@@ -37,19 +37,19 @@
 				request.recordUnknownOutcome(&attempt{node: earlierNode, sentAt: sentAt})
 			}
 			if got := rule.allowsRetry(test.now, request); got != test.allowsRetry {
-				t.Errorf("another attempt is allowed: got %v, want %v", got, test.allowsRetry)
+				t.Errorf("allowsRetry returned %v, want %v", got, test.allowsRetry)
 			}
 			if got := rule.safeToReject(request); got != test.safeToReject {
-				t.Errorf("the request may be answered with Reject: got %v, want %v", got, test.safeToReject)
+				t.Errorf("safeToReject returned %v, want %v", got, test.safeToReject)
 			}
 			if test.outcomeIsKnown {
 				return // allowsRetryOn is called only after an unknown outcome
 			}
 			if got := rule.allowsRetryOn(test.now, request, sameRackNode); got != test.allowsOnSameRack {
-				t.Errorf("retry on a node in the same rack is allowed: got %v, want %v", got, test.allowsOnSameRack)
+				t.Errorf("allowsRetryOn returned %v for a node in the same rack, want %v", got, test.allowsOnSameRack)
 			}
 			if got := rule.allowsRetryOn(test.now, request, otherRackNode); got != test.allowsOnOtherRack {
-				t.Errorf("retry on a node in another rack is allowed: got %v, want %v", got, test.allowsOnOtherRack)
+				t.Errorf("allowsRetryOn returned %v for a node in another rack, want %v", got, test.allowsOnOtherRack)
 			}
 		})
 	}
@@ -59,10 +59,10 @@
 	rule := &retryRule{cfg: &Config{Classes: []Class{{}}}}
 	request := &placementRequest{attempts: []*attempt{{state: attemptPending}}}
 	if rule.safeToReject(request) {
-		t.Error("safeToReject is true while an attempt is outstanding")
+		t.Error("safeToReject returned true while an attempt is outstanding, want false")
 	}
 	request.attempts[0].setState(attemptEnded)
 	if !rule.safeToReject(request) {
-		t.Error("safeToReject is false after all attempts have ended")
+		t.Error("safeToReject returned false after all attempts have ended, want true")
 	}
 }
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -5,13 +5,14 @@
 // Constants of node selection. The file docs/design.md explains the values.
 const (
 	// contenderFactor is the constant c of the k-COLLISION protocol. The maximum number of contenders on a
-	// node is c times the number of pending requests divided by the number of candidates.
+	// node is c times the number of pending requests divided by the number of candidates. The contenders on a
+	// node are the unanswered attempts and the recently accepted tasks of this scheduler.
 	contenderFactor = 2.0
 	// contenderWindow is the time for which a task counts as a contender on its node after the node accepted
 	// the task. After this time, the node list is assumed to show the task.
 	contenderWindow Seconds = 2
-	// maxDraws is the maximum number of pairs that are drawn for one attempt. Another pair is drawn if both
-	// nodes of a pair have too many contenders.
+	// maxDraws is the maximum number of times that two candidates are drawn at random for one attempt. The
+	// draw is repeated if both candidates have too many contenders.
 	maxDraws = 8
 	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
 	// many schedulers.
@@ -24,7 +25,8 @@
 	randomStream = 0x9e3779b97f4a7c15
 )
 
-// selector draws the nodes for the attempts of a request from the candidates that passed the filter.
+// selector draws the nodes for the attempts of a request at random from the candidates, which are the nodes
+// that passed the filter.
 type selector struct {
 	peers    Peers
 	nodes    *nodeTable
@@ -34,21 +36,23 @@
 	rng      *rand.Rand
 }
 
-// pair holds the two nodes that were drawn for a request. The request is attempted on the first node and
-// then, if that node rejects it, on the second. One or both nodes are nil if too few nodes are available.
+// pair holds the two nodes that were drawn at random for a request. The request is attempted on the first
+// node and then, if that node rejects it, on the second. One or both nodes are nil if too few nodes are
+// available.
 type pair struct {
 	firstNode, secondNode *trackedNode
-	ignoresCache          bool // the pair was drawn without regard to cached programs
+	ignoresCache          bool // the nodes were drawn without regard to cached programs
 }
 
-// drawNodes draws two nodes for a request. If cold starts are slow, it first draws from the nodes that
-// probably have the program of the service. If the drawn nodes have too many contenders, it draws again from
-// all candidates. It changes the order of the candidates.
+// drawNodes draws two nodes for a request at random. If cold starts are slow, it first draws from the nodes
+// that probably have the program of the service in their cache. If these two nodes have too many contenders,
+// it draws two nodes from all candidates. It changes the order of the candidates.
 //
 // Before the first draw, keepPreferred removes the saturated nodes from the nodes with the program. It does
-// so in place and overwrites part of the slice of all candidates. In the second draw, some of the nodes with
-// the program may be missing, and others may appear twice. This is a known fault, which docs/ROADMAP.md
-// lists. The fault is kept for now because a correction would change placements.
+// so in place and overwrites part of the slice of all candidates. When nodes are then drawn from all
+// candidates, some of the nodes with the program may be missing, and others may appear twice. This is a known
+// fault, which docs/ROADMAP.md lists. The fault is kept for now, because a correction would change
+// placements.
 func (s *selector) drawNodes(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if s.latency.coldStartsAreSlow(request.Class) {
 		preferred := keepPreferred(s.programNodes(request.Service, candidates), (*candidate).belowSaturation)
@@ -65,8 +69,9 @@
 }
 
 // drawPair draws two nodes uniformly at random. It repeats the draw if both nodes exceed the contender limit.
-// If the nodes of all maxDraws pairs exceed the limit, it returns the last pair with the node that has fewer
-// contenders first. It does not delay the request in this case, because a delay would not help.
+// If both nodes exceed the limit in all maxDraws draws, it returns the last two nodes, with the node that has
+// fewer contenders first. It does not delay the request until the next draw in this case, because a delay
+// would not help.
 func (s *selector) drawPair(now Seconds, request *placementRequest, candidates []candidate) pair {
 	if len(candidates) == 0 {
 		return pair{}
@@ -145,10 +150,11 @@
 	return min(cores, memory)
 }
 
-// placesByAffinity reports whether nodes with the cached program take precedence over nodes below saturation.
-// This is useful only if the scheduler knows which nodes run the tasks of a service. It knows them if all
-// tasks of the service arrive at this scheduler. It also knows them if there are more than twice
-// preferredNodeCount schedulers, because all schedulers then choose the nodes of a service by the same hash.
+// placesByAffinity reports whether a saturated node with the cached program is preferred to an unsaturated
+// node without it. This is useful only if the scheduler knows which nodes run the tasks of a service. It
+// knows them if all tasks of the service arrive at this scheduler. It also knows them if there are more than
+// twice preferredNodeCount schedulers, because all schedulers then choose the nodes of a service by the same
+// hash.
 func (p *Peers) placesByAffinity() bool {
 	return p.StickyServices || p.Total > 2*preferredNodeCount
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -23,15 +23,16 @@
 		firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)))
 		secondAttempt := requireOneAttempt(t, endAttempt(placer, 100.2, firstAttempt, Rejected, InsufficientCores))
 		if secondAttempt.Node > firstAttempt.Node {
-			t.Fatalf("seed %d: the first attempt was made on node %d, and the second on the emptier node %d", seed, firstAttempt.Node, secondAttempt.Node)
+			t.Fatalf("seed %d: the first attempt was made on node %d, and the second on node %d; want the first on the emptier node, which is the node with the higher ID", seed, firstAttempt.Node, secondAttempt.Node)
 		}
 		firstAttemptCounts[firstAttempt.Node]++
 		pairCounts[firstAttempt.Node]++
 		pairCounts[secondAttempt.Node]++
 	}
-	for id := NodeID(1); id <= 6; id++ { // 2 of 6 nodes are in each pair, so each node must be in a third of the pairs
+	// Each pair has 2 of 6 nodes, so each node must be in a third of the pairs.
+	for id := NodeID(1); id <= 6; id++ {
 		if got := float64(pairCounts[id]) / runs; math.Abs(got-1.0/3) > 0.04 {
-			t.Errorf("the fraction of the drawn pairs that contain node %d is %.3f, want about 0.333", id, got)
+			t.Errorf("node %d is in the fraction %.3f of the randomly drawn pairs, want about 0.333", id, got)
 		}
 		if want := float64(id-1) / 15 * runs; math.Abs(float64(firstAttemptCounts[id])-want) > 0.04*runs {
 			t.Errorf("the first attempt was made on node %d in %d runs, want about %.0f", id, firstAttemptCounts[id], want)
@@ -45,24 +46,25 @@
 		node := placer.nodes.byID[3]
 		node.tasks.unansweredAttempts = 9
 		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0))); attempt.Node == 3 {
-			t.Fatalf("seed %d: an attempt was made on a node beyond the contender limit", seed)
+			t.Fatalf("seed %d: an attempt was made on node 3, which has more contenders than the limit; want another node", seed)
 		}
 	}
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6))
 	placer.nodes.byID[1].load.addChange(capacityChange{changedAt: 100, cores: 1, memory: 1, isBoundTask: true})
 	if placer.selector.countContenders(101.9, placer.nodes.byID[1]) != 1 {
-		t.Error("a task does not count as a contender within the contender window of 2 s after it was bound")
+		t.Error("a task does not count as a contender 1.9 s after its node accepted it, want it to count for the contender window of 2 s")
 	}
 	if placer.selector.countContenders(102.1, placer.nodes.byID[1]) != 0 {
-		t.Error("a task still counts as a contender after the contender window of 2 s")
+		t.Error("a task still counts as a contender 2.1 s after its node accepted it, want it to count only for the contender window of 2 s")
 	}
-	placer.nodes.byID[1].load.dropOldChanges(102.1) // the filter does the same when it evaluates a node
+	// In operation, the filter calls dropOldChanges when it evaluates a node.
+	placer.nodes.byID[1].load.dropOldChanges(102.1)
 	placer.requests.unansweredRequests = 12
 	if limit := placer.selector.contenderLimit(6); limit != 4 {
-		t.Errorf("contender limit is %v for 12 unanswered requests and 6 candidates, want 4", limit)
+		t.Errorf("the contender limit is %v for 12 unanswered requests and 6 candidates, want 4", limit)
 	}
 	if limit := placer.selector.contenderLimit(60); limit != 1 {
-		t.Errorf("contender limit is %v for 12 unanswered requests and 60 candidates, want the minimum of 1", limit)
+		t.Errorf("the contender limit is %v for 12 unanswered requests and 60 candidates, want the minimum of 1", limit)
 	}
 }
 
@@ -71,12 +73,12 @@
 	firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)))
 	secondAttempt := requireOneAttempt(t, endAttempt(placer, 100.2, firstAttempt, Rejected, InsufficientCores))
 	if secondAttempt.Node == firstAttempt.Node {
-		t.Fatal("the second attempt was made on the node that rejected the first attempt")
+		t.Fatal("the second attempt was made on the node that rejected the first attempt, want another node")
 	}
 	actions := endAttempt(placer, 100.3, secondAttempt, Rejected, InsufficientCores)
 	timers := actionsOfKind(actions, SetTimer)
 	if len(actionsOfKind(actions, StartAttempt)) != 0 || len(timers) != 1 || timers[0].After < 0.5 || timers[0].After > 1.5 {
-		t.Fatalf("got actions %+v, want one timer of about 1 s and no attempt", actions)
+		t.Fatalf("after both nodes rejected the request, the Placer returned the actions %+v, want one timer of about 1 s and no attempt", actions)
 	}
 	requireOneAttempt(t, placer.Handle(100.3+timers[0].After, Event{Kind: TimerFired, Token: timers[0].Token}, nil))
 }
@@ -99,54 +101,57 @@
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(4))
 	placer.latency.coldStartTimes[0] = runningAverage{mean: 0.1, sampleCount: 1} // cold starts take 0.1 s
 	if placer.latency.coldStartsAreSlow(0) {
-		t.Fatal("cold starts of 0.1 s count as slow for a latency objective of 1 s")
+		t.Fatal("cold starts of 0.1 s count as slow for a latency objective of 1 s, want them to count as fast")
 	}
 }
 
-// The tasks of a service arrive in batches. When the second task of a batch arrives, the first one does not
-// run yet. The node of its unanswered attempt must already count as a node with the program. The program must
-// still count as cached after the last task of the service on the node has ended.
+// The tasks of a service arrive in batches. When the second task of a batch arrives, the attempt for the
+// first one is often still unanswered. If the node of this attempt did not count as a node with the program,
+// the second task could be attempted on another node and start cold there. The program must still count as
+// cached after the last task of the service on the node has ended.
 func TestUnansweredAttemptsAndEndedTasksImplyCachedProgram(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 3, testNodes(4))
 	firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(1, 1, 0)))
 	secondAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(1, 2, 0)))
 	if secondAttempt.Node != firstAttempt.Node {
-		t.Fatalf("the second task of a batch was attempted on node %d, the first on node %d", secondAttempt.Node, firstAttempt.Node)
+		t.Fatalf("the second task of a batch was attempted on node %d and the first on node %d, want the same node for both", secondAttempt.Node, firstAttempt.Node)
 	}
 	for _, attempt := range []Action{firstAttempt, secondAttempt} {
 		bindAttempt(placer, 100.2, attempt)
 		endAttempt(placer, 101, attempt, Finished, NoReason)
 	}
 	if !placer.nodes.byID[firstAttempt.Node].tasks.hasProgram(1) {
-		t.Fatal("the program does not count as cached after the last task of the service has ended")
+		t.Fatal("the program does not count as cached after the last task of the service on the node has ended, want it to count as cached")
 	}
 }
 
-// If many requests wait, capacity that becomes free should go to requests that are within their latency
-// objective. Requests that have missed it must therefore draw new nodes less often.
+// If many requests wait, capacity that becomes free should go to requests that are still within their latency
+// objective. A waiting request can get free capacity only when the Placer draws nodes at random for it again.
+// The Placer must therefore do so less often for requests that have missed their latency objective.
 func TestLateRequestsRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	timers := actionsOfKind(requestPlacement(placer, 100.1, newTestTask(1, 0)), SetTimer)
-	timer := timers[len(timers)-1] // the last timer is for the next draw
+	timer := timers[len(timers)-1] // after the last timer, nodes are drawn for the request again
 	inTimeWait := timer.After
 	now, lateWait := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += timer.After
 		newTimers := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
 		if len(newTimers) != 1 {
-			t.Fatalf("at the time %.2f: got timers %+v, want one timer for the next draw", now, newTimers)
+			t.Fatalf("at the time %.2f, the Placer started the timers %+v, want one timer after which it draws nodes again", now, newTimers)
 		}
 		timer, lateWait = newTimers[0], newTimers[0].After
 	}
 	if inTimeWait > 0.3 || lateWait < 2*inTimeWait {
-		t.Fatalf("the wait before the next draw is %.2f s within the latency objective and %.2f s after it, want at most 0.30 s within it and at least twice the first wait after it", inTimeWait, lateWait)
+		t.Fatalf("the wait before nodes are drawn for a request again is %.2f s within its latency objective and %.2f s after it; want at most 0.30 s within the objective, and at least twice as long after it", inTimeWait, lateWait)
 	}
 }
 
-// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. If the schedulers
-// did not all prefer the same nodes, almost every start would be a cold start.
+// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. If each scheduler
+// preferred other nodes, the few tasks would be spread over many nodes, and almost every start would be a
+// cold start.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	config := testConfig()
 	config.Peers.Total, config.Peers.StickyServices = 300, false
@@ -157,7 +162,7 @@
 		usedNodes[requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(7, self+1, 0))).Node] = true
 	}
 	if len(usedNodes) > preferredNodeCount {
-		t.Errorf("tasks of one service ran on %d nodes, want at most %d", len(usedNodes), preferredNodeCount)
+		t.Errorf("the tasks of one service were attempted on %d nodes, want at most %d", len(usedNodes), preferredNodeCount)
 	}
 }
 
@@ -241,16 +246,17 @@
 	candidates[0].node.tasks.unansweredAttempts, candidates[1].node.tasks.unansweredAttempts = 9, 8
 	drawnPair := testSelector.drawPair(100, &placementRequest{}, candidates)
 	if drawnPair.firstNode.ID != 2 || drawnPair.secondNode.ID != 1 {
-		t.Errorf("the pair has node %d first and node %d second, want the node with fewer contenders first", drawnPair.firstNode.ID, drawnPair.secondNode.ID)
+		t.Errorf("the pair has node %d first and node %d second, want node 2 first, because it has fewer contenders than node 1", drawnPair.firstNode.ID, drawnPair.secondNode.ID)
 	}
 }
 
-// This test records a known fault, which docs/ROADMAP.md lists. The first draw of a request is from the nodes
-// with the cached program. If some of these nodes are saturated, the draw overwrites part of the slice of all
-// candidates. If the other nodes with the program have too many contenders, the selector draws again from the
-// overwritten slice, in which some nodes are missing and others appear twice. The test compares the drawn
-// nodes with the nodes that were recorded for 60 seeds. It fails if a change of the selector corrects the
-// fault or changes placements in another way.
+// This test records a known fault, which docs/ROADMAP.md lists. The selector first draws two nodes at random
+// from the unsaturated nodes with the cached program. It collects these nodes in place, which overwrites part
+// of the slice of all candidates if other nodes with the program are saturated. If the drawn nodes have too
+// many contenders, the selector draws two nodes again, now from the overwritten slice, in which some nodes
+// are missing and others appear twice. The test compares the nodes of the first attempts with the nodes that
+// were recorded for 60 seeds. It fails if a change of the selector corrects the fault or changes placements
+// in another way.
 func TestSecondDrawUsesOverwrittenCandidates(t *testing.T) {
 	const want = "467564566454766576757746647565775465646644674565566656574655"
 	var got strings.Builder
@@ -268,6 +274,6 @@
 		got.WriteByte(byte('0' + requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 0))).Node))
 	}
 	if got.String() != want {
-		t.Errorf("the nodes of the first attempts differ (one digit for each seed):\n got %s\nwant %s", got.String(), want)
+		t.Errorf("the nodes of the first attempts differ from the recorded nodes (one digit for each seed):\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -17,8 +17,8 @@
 
 func (sim *simulation) addNode(startedAt placer.Seconds) {
 	sim.nextNode += 7
-	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.script.zoneCount), Rack: sim.rng.IntN(sim.script.rackCount),
-		NodeType: sim.rng.IntN(len(sim.script.config.NodeTypes)), State: placer.Ready, StartedAt: startedAt}}
+	node := &simNode{Node: placer.Node{ID: sim.nextNode, Zone: sim.rng.IntN(sim.scenario.zoneCount), Rack: sim.rng.IntN(sim.scenario.rackCount),
+		NodeType: sim.rng.IntN(len(sim.scenario.config.NodeTypes)), State: placer.Ready, StartedAt: startedAt}}
 	if sim.withProbability(0.03) {
 		node.NodeType = 9 // the configuration has no such node type
 	}
@@ -34,8 +34,8 @@
 }
 
 func (sim *simulation) nodeSize(node *simNode) placer.NodeType {
-	if node.NodeType < len(sim.script.config.NodeTypes) {
-		return sim.script.config.NodeTypes[node.NodeType]
+	if node.NodeType < len(sim.scenario.config.NodeTypes) {
+		return sim.scenario.config.NodeTypes[node.NodeType]
 	}
 	return placer.NodeType{Cores: 8, Memory: 16}
 }
@@ -52,13 +52,13 @@
 }
 
 func (sim *simulation) pushNodeList() {
-	sim.schedule(sim.script.listInterval, sim.pushNodeList)
+	sim.schedule(sim.scenario.listInterval, sim.pushNodeList)
 	if !sim.subscribed {
 		return
 	}
 	switch {
-	case sim.withProbability(sim.script.listFailureProbability):
-		sim.subscribed = !sim.script.config.Discovery.MustPoll
+	case sim.withProbability(sim.scenario.listFailureProbability):
+		sim.subscribed = !sim.scenario.config.Discovery.MustPoll
 		sim.sendNodeList(placer.ListFailed)
 	case sim.withProbability(0.2):
 		sim.sendNodeList(placer.FullList)
@@ -73,7 +73,7 @@
 // gets no answer.
 func (sim *simulation) answerPoll() {
 	switch {
-	case sim.withProbability(sim.script.listFailureProbability):
+	case sim.withProbability(sim.scenario.listFailureProbability):
 		sim.sendNodeList(placer.ListFailed)
 	case sim.withProbability(0.1): // the request gets no answer
 	default:
@@ -85,23 +85,23 @@
 // changeRandomNode changes a random node. The change may start to drain, terminate, restart, break, repair,
 // replace or temporarily remove the node.
 func (sim *simulation) changeRandomNode() {
-	sim.schedule(sim.script.churnInterval*(0.5+sim.randomSecond()), sim.changeRandomNode)
+	sim.schedule(sim.scenario.churnInterval*(0.5+sim.randomSecond()), sim.changeRandomNode)
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
-	switch draw := sim.rng.Float64(); {
-	case sim.script.relistDelay > 0:
+	switch randomNumber := sim.rng.Float64(); {
+	case sim.scenario.relistDelay > 0:
 		sim.removeTemporarily(node)
 	case node.removed:
-		if len(sim.nodes) < 4*sim.script.nodeCount {
+		if len(sim.nodes) < 4*sim.scenario.nodeCount {
 			sim.addNode(sim.now)
 		}
-	case draw < 0.2:
+	case randomNumber < 0.2:
 		node.State = placer.Draining
-	case draw < 0.35:
+	case randomNumber < 0.35:
 		node.State = placer.Terminated
-	case draw < 0.45:
+	case randomNumber < 0.45:
 		node.removed = true
 		sim.addNode(sim.now)
-	case draw < 0.55:
+	case randomNumber < 0.55:
 		node.broken = !node.broken
 	default:
 		node.State, node.StartedAt = placer.Ready, sim.now-0.5*sim.randomSecond()
@@ -115,16 +115,16 @@
 		return
 	}
 	node.removed = true
-	sim.schedule(sim.script.relistDelay+2*sim.randomSecond(), func() { node.removed = false })
+	sim.schedule(sim.scenario.relistDelay+2*sim.randomSecond(), func() { node.removed = false })
 }
 
-// drawReport returns a load report of a node with random usage. The result may be nil, and each of its values
-// may be missing.
-func (sim *simulation) drawReport(node *simNode) *placer.Report {
+// randomReport returns a load report that shows a random usage of a node. The result may be nil, and each of
+// its values may be missing.
+func (sim *simulation) randomReport(node *simNode) *placer.Report {
 	if sim.withProbability(0.3) {
 		return nil
 	}
-	size, usedFraction := sim.nodeSize(node), 0.5+sim.script.extraMinUsageRatio+(0.4-sim.script.extraMinUsageRatio)*sim.rng.Float64()
+	size, usedFraction := sim.nodeSize(node), 0.5+sim.scenario.extraMinUsageRatio+(0.4-sim.scenario.extraMinUsageRatio)*sim.rng.Float64()
 	if sim.withProbability(0.05) {
 		usedFraction = 1.3
 	}
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -16,18 +16,18 @@
 }
 
 func (sim *simulation) newTask() placer.Task {
-	class := sim.rng.IntN(len(sim.script.config.Classes))
+	class := sim.rng.IntN(len(sim.scenario.config.Classes))
 	task := placer.Task{ID: sim.nextTask, Class: class, Tenant: sim.rng.IntN(2),
-		Service: placer.ServiceID(1 + sim.rng.IntN(sim.script.serviceCount)),
-		Cores:   sim.script.taskCores * (0.5 + sim.rng.Float64()), Memory: sim.script.taskMemory * (0.5 + sim.rng.Float64()),
-		Deadline: sim.now + sim.script.config.Classes[class].Deadline, IsRetry: sim.withProbability(0.1)}
+		Service: placer.ServiceID(1 + sim.rng.IntN(sim.scenario.serviceCount)),
+		Cores:   sim.scenario.taskCores * (0.5 + sim.rng.Float64()), Memory: sim.scenario.taskMemory * (0.5 + sim.rng.Float64()),
+		Deadline: sim.now + sim.scenario.config.Classes[class].Deadline, IsRetry: sim.withProbability(0.1)}
 	sim.nextTask++
 	return task
 }
 
 func (sim *simulation) generateArrivals() {
-	rate := sim.script.arrivalsPerSecond
-	if sim.script.lowLoadAfterEvents > 0 && sim.eventCount > sim.script.lowLoadAfterEvents {
+	rate := sim.scenario.arrivalsPerSecond
+	if sim.scenario.lowLoadAfterEvents > 0 && sim.eventCount > sim.scenario.lowLoadAfterEvents {
 		rate /= 8
 	}
 	sim.schedule(placer.Seconds(-math.Log(1-sim.rng.Float64())/rate), sim.generateArrivals)
@@ -68,22 +68,22 @@
 }
 
 func (sim *simulation) sendRequest(task placer.Task) {
-	state := &simTask{task: task, lifetime: sim.script.lifetime * 2 * sim.randomSecond()}
+	state := &simTask{task: task, lifetime: sim.scenario.lifetime * 2 * sim.randomSecond()}
 	sim.tasks = append(sim.tasks, state)
 	sim.byID[task.ID] = state
 	sim.handle(placer.Event{Kind: placer.Arrived, Task: task})
 	if sim.withProbability(0.02) {
-		sim.handle(placer.Event{Kind: placer.Arrived, Task: task}) // the request is repeated
+		sim.handle(placer.Event{Kind: placer.Arrived, Task: task}) // the same request arrives again
 	}
-	if sim.withProbability(0.05 + sim.script.withdrawalProbability) {
-		sim.schedule(placer.Seconds(2*sim.rng.Float64()*(1-sim.script.withdrawalProbability)), func() { sim.withdraw(state) })
+	if sim.withProbability(0.05 + sim.scenario.withdrawalProbability) {
+		sim.schedule(placer.Seconds(2*sim.rng.Float64()*(1-sim.scenario.withdrawalProbability)), func() { sim.withdraw(state) })
 	}
 }
 
 func (sim *simulation) withdraw(task *simTask) {
 	sim.handle(placer.Event{Kind: placer.Withdrawn, TaskID: task.task.ID})
 	attemptIndex := len(task.ended) - 1
-	if attemptIndex >= 0 && !task.ended[attemptIndex] && sim.withProbability(0.8-sim.script.withdrawalProbability) {
+	if attemptIndex >= 0 && !task.ended[attemptIndex] && sim.withProbability(0.8-sim.scenario.withdrawalProbability) {
 		sim.endAttempt(task, attemptIndex, placer.Cancelled, placer.NoReason, true)
 	}
 }
@@ -125,7 +125,7 @@
 	sim.schedule(3+20*sim.randomSecond(), func() { sim.finishTask(task, 0) })
 }
 
-// handleStartAttempt draws the outcome of an attempt and schedules the event that reports it.
+// handleStartAttempt chooses the outcome of an attempt at random and schedules the event that reports it.
 func (sim *simulation) handleStartAttempt(action placer.Action) {
 	task := sim.byID[action.Task]
 	var node *simNode
@@ -142,7 +142,7 @@
 	}
 	size := sim.nodeSize(node)
 	switch {
-	case sim.withProbability(sim.script.lateOutcomeProbability): // the outcome arrives after the deadline
+	case sim.withProbability(sim.scenario.lateOutcomeProbability): // the outcome arrives after the deadline
 		endAfter(task.task.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
 	case node.removed || node.State == placer.Terminated:
 		endAfter(latency, placer.Unreachable, placer.NoReason)
@@ -152,12 +152,12 @@
 		endAfter(action.Until-sim.now, placer.TimedOut, placer.NoReason)
 	case node.broken:
 		endAfter(latency, placer.Errored, placer.NoReason)
-	case node.requestedCores+task.task.Cores > size.Cores*sim.script.config.Overcommit.Cores:
+	case node.requestedCores+task.task.Cores > size.Cores*sim.scenario.config.Overcommit.Cores:
 		endAfter(latency, placer.Rejected, placer.InsufficientCores)
-	case node.requestedMemory+task.task.Memory > size.Memory*sim.script.config.Overcommit.Memory:
+	case node.requestedMemory+task.task.Memory > size.Memory*sim.scenario.config.Overcommit.Memory:
 		endAfter(latency, placer.Rejected, placer.InsufficientMemory)
-	case sim.withProbability(sim.script.failureProbability):
-		outcome := sim.drawFailure()
+	case sim.withProbability(sim.scenario.failureProbability):
+		outcome := sim.randomFailure()
 		endAfter(latency, outcome.result, outcome.reason)
 	default:
 		sim.schedule(latency+0.4*sim.randomSecond(), func() { sim.bindAttempt(task, attemptIndex, sim.now-sentAt) })
@@ -169,8 +169,8 @@
 	reason placer.Reason
 }
 
-// drawFailure draws a random result and reason for the end of an attempt.
-func (sim *simulation) drawFailure() outcome {
+// randomFailure returns a random result and reason for the end of an attempt.
+func (sim *simulation) randomFailure() outcome {
 	outcomes := []outcome{
 		{placer.Rejected, placer.InsufficientCores}, {placer.Rejected, placer.InsufficientMemory}, {placer.Rejected, placer.QueueFull},
 		{placer.Rejected, placer.WrongNode}, {placer.Rejected, placer.NoReason}, {placer.Rejected, placer.QueueFull},
@@ -212,7 +212,7 @@
 func (sim *simulation) finishTask(task *simTask, attemptIndex int) {
 	result := outcome{placer.Finished, placer.NoReason}
 	if sim.withProbability(0.25) {
-		result = sim.drawFailure()
+		result = sim.randomFailure()
 	}
 	sim.endAttempt(task, attemptIndex, result.result, result.reason, sim.withProbability(0.9))
 }
@@ -228,7 +228,7 @@
 		node.requestedMemory -= task.task.Memory
 	}
 	event := placer.Event{Kind: placer.Ended, TaskID: task.task.ID, Attempt: attemptIndex, Node: node.ID, Result: result, Reason: reason,
-		Elapsed: 0.1, Final: final, Report: sim.drawReport(node)}
+		Elapsed: 0.1, Final: final, Report: sim.randomReport(node)}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
 		sim.handle(event) // the event is repeated
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -40,9 +40,10 @@
 	return last
 }
 
-// simulation is a discrete-event simulation that runs one script.
+// simulation is a discrete-event simulation of one scenario. It passes events to a Placer and carries out the
+// returned actions.
 type simulation struct {
-	script       script
+	scenario     scenario
 	placer       *placer.Placer
 	rng          *rand.Rand
 	now          placer.Seconds
@@ -61,16 +62,16 @@
 	actionBuffer []placer.Action
 }
 
-func runScript(t *testing.T, testScript script, out *strings.Builder) {
+func runScenario(t *testing.T, testScenario scenario, out *strings.Builder) {
 	t.Helper()
-	testPlacer, err := placer.New(testScript.config, testScript.seed)
+	testPlacer, err := placer.New(testScenario.config, testScenario.seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim := &simulation{script: testScript, placer: testPlacer, rng: rand.New(rand.NewPCG(testScript.seed, 77)), now: 1000, digest: sha256.New(),
-		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, checkpoints: out, subscribed: !testScript.config.Discovery.MustPoll}
+	sim := &simulation{scenario: testScenario, placer: testPlacer, rng: rand.New(rand.NewPCG(testScenario.seed, 77)), now: 1000, digest: sha256.New(),
+		byID: map[placer.TaskID]*simTask{}, nextNode: 100, nextTask: 1, checkpoints: out, subscribed: !testScenario.config.Discovery.MustPoll}
 	sim.start()
-	for sim.eventCount < testScript.eventCount {
+	for sim.eventCount < testScenario.eventCount {
 		next := heap.Pop(&sim.queue).(scheduledEvent)
 		sim.now = next.at
 		next.run()
@@ -78,10 +79,10 @@
 }
 
 func (sim *simulation) start() {
-	for range sim.script.nodeCount {
-		sim.addNode(sim.script.nodesStartedAt)
+	for range sim.scenario.nodeCount {
+		sim.addNode(sim.scenario.nodesStartedAt)
 	}
-	for i := range sim.script.brokenNodes {
+	for i := range sim.scenario.brokenNodes {
 		sim.nodes[i*3%len(sim.nodes)].broken = true
 	}
 	for i := range 8 {
@@ -90,8 +91,8 @@
 	sim.pushNodeList()
 	sim.generateArrivals()
 	sim.sendUnmatchedEvents()
-	if sim.script.churnInterval > 0 {
-		sim.schedule(sim.script.churnInterval, sim.changeRandomNode)
+	if sim.scenario.churnInterval > 0 {
+		sim.schedule(sim.scenario.churnInterval, sim.changeRandomNode)
 	}
 }
 
@@ -100,7 +101,7 @@
 	heap.Push(&sim.queue, scheduledEvent{sim.now + delay, sim.lastSequence, run})
 }
 
-// randomSecond draws a duration between 0 and 1 s.
+// randomSecond returns a random duration between 0 and 1 s.
 func (sim *simulation) randomSecond() placer.Seconds { return placer.Seconds(sim.rng.Float64()) }
 
 // withProbability returns true with the given probability.
@@ -114,12 +115,13 @@
 }
 
 func (sim *simulation) handleAt(now placer.Seconds, event placer.Event) {
-	prefix := placer.Action{Kind: 99, Token: uint64(sim.eventCount)} // Handle must keep this action in the slice
+	// Handle must append its actions after this action.
+	prefix := placer.Action{Kind: 99, Token: uint64(sim.eventCount)}
 	sim.actionBuffer = sim.placer.Handle(now, event, append(sim.actionBuffer[:0], prefix))
 	sim.digestActions()
 	sim.eventCount++
-	if sim.eventCount%checkpointEvents == 0 && sim.eventCount <= sim.script.eventCount {
-		fmt.Fprintf(sim.checkpoints, "%s %d %v %x\n", sim.script.name, sim.eventCount, sim.actionCounts[1:], sim.digest.Sum(nil))
+	if sim.eventCount%checkpointEvents == 0 && sim.eventCount <= sim.scenario.eventCount {
+		fmt.Fprintf(sim.checkpoints, "%s %d %v %x\n", sim.scenario.name, sim.eventCount, sim.actionCounts[1:], sim.digest.Sum(nil))
 	}
 	for _, action := range copyActions(sim.actionBuffer) {
 		sim.performAction(action)
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -3,13 +3,14 @@
 import "math"
 
 // slowStartWindowFactor is the length of the counting window as a multiple of OverloadWindow. Attempts on a
-// node in slow start are counted within the counting window. The factor exceeds 1 because connection setup
-// delays some attempts more than others, and attempts may then arrive closer together than they were sent.
+// node in slow start are counted within the counting window. The factor exceeds 1, because connection setup
+// delays some attempts more than others. Attempts that were sent within slightly more than OverloadWindow may
+// then arrive at the node within OverloadWindow.
 const slowStartWindowFactor = 1.1
 
-// slowStart implements the slow-start rule (rule 4). A node is in slow start for some time after its start
-// and can then handle only a limited number of attempts without becoming overloaded. The rule limits the
-// attempts of this scheduler on such a node to the scheduler's share of this number.
+// slowStart implements the slow-start rule. A node is in slow start for some time after its start and can
+// then handle only a limited number of attempts without becoming overloaded. The rule limits the attempts of
+// this scheduler on such a node to the scheduler's share of this number.
 type slowStart struct {
 	limits    SlowStart
 	peers     Peers
@@ -37,8 +38,8 @@
 
 // allowsAttempt reports whether this scheduler may make one more attempt on the node within its share. A
 // scheduler does not know the attempts that it made before a restart. On nodes that were already in slow
-// start at the restart, it makes no attempts for the length of the counting window. The earlier attempts then
-// no longer count.
+// start at the restart, it makes no attempts for the length of the counting window. After this time, the
+// attempts from before the restart no longer count.
 func (s *slowStart) allowsAttempt(now Seconds, node *trackedNode) bool {
 	if !s.appliesTo(now, node) {
 		return true
@@ -50,7 +51,7 @@
 	return float64(s.countRecentAttempts(now, node)) < s.attemptShare(node)
 }
 
-// countingWindow returns the length of the time window in which attempts are counted.
+// countingWindow returns the length of the time window in which attempts on a node in slow start are counted.
 func (s *slowStart) countingWindow() Seconds { return slowStartWindowFactor * s.limits.OverloadWindow }
 
 // countRecentAttempts returns the number of attempts by this scheduler on the node within the counting
@@ -64,10 +65,11 @@
 }
 
 // attemptShare returns the number of attempts that this scheduler may make on a node in slow start within the
-// overload window. The shares of all schedulers add up to MaxAttempts, so even uneven traffic cannot overload
-// the node. If MaxAttempts is not divisible by the number of schedulers, some schedulers get one attempt more
-// than others. Which schedulers get it depends on the node ID. If there are fewer attempts than schedulers,
-// each scheduler can still use some of the nodes in slow start.
+// overload window. The shares of all schedulers add up to MaxAttempts. The node is therefore not overloaded
+// even if most tasks arrive at one scheduler, because this scheduler cannot exceed its own share. If
+// MaxAttempts is not divisible by the number of schedulers, some schedulers may make one more attempt than
+// others. The node ID determines which schedulers these are. Even if MaxAttempts is less than the number of
+// schedulers, each scheduler can thus use some of the nodes in slow start.
 func (s *slowStart) attemptShare(node *trackedNode) float64 {
 	maxAttempts, schedulerCount := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
 	share := math.Floor(maxAttempts / schedulerCount)
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -16,7 +16,7 @@
 	for i := range 20 {
 		attemptCount += len(actionsOfKind(requestPlacement(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
 	}
-	if attemptCount != 4 { // each of two schedulers may make half of 8 attempts
+	if attemptCount != 4 { // each of the two schedulers may make half of the 8 attempts that MaxAttempts permits
 		t.Fatalf("the scheduler made %d attempts within an overload window, want its share of 4", attemptCount)
 	}
 }
@@ -53,8 +53,8 @@
 }
 
 // The attempts of all schedulers together must not overload a node in slow start. The test has 300 schedulers
-// with uneven traffic. Two thirds of the nodes are in slow start at the same time. Nodes reject all attempts,
-// and schedulers restart at random.
+// with uneven traffic. Two thirds of the nodes are in slow start at the same time. The nodes reject all
+// attempts, and schedulers restart at random times.
 func TestAllSchedulersTogetherRespectMaxAttempts(t *testing.T) {
 	config := testConfig()
 	config.Peers = Peers{Total: 300}
@@ -92,11 +92,11 @@
 	}
 	for id, times := range attemptTimes {
 		if maxCount := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(maxCount) > config.SlowStart.MaxAttempts {
-			t.Errorf("%d attempts were made within an overload window on node %d, which is in slow start, want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
+			t.Errorf("%d attempts were made within an overload window on node %d, which is in slow start; want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
 		}
 	}
 	if minAttempts := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(slowStartAttempts) < minAttempts {
-		t.Errorf("%d attempts were made in total on nodes in slow start, want at least %v", slowStartAttempts, minAttempts)
+		t.Errorf("%d attempts were made in total on nodes in slow start, want at least %v to test the rule", slowStartAttempts, minAttempts)
 	}
 }
 
@@ -116,7 +116,8 @@
 			random := rand.New(rand.NewPCG(7, 7))
 			var arrivals []Seconds
 			peers := make([]*Placer, config.Peers.Total)
-			connectedAt := make([]Seconds, config.Peers.Total) // for each scheduler, when its connection opens
+			// connectedAt holds, for each scheduler, the time at which its connection to the node opens.
+			connectedAt := make([]Seconds, config.Peers.Total)
 			restart := func(now Seconds, self, generation int) {
 				config.Peers.Self = self
 				peers[self], connectedAt[self] = startPlacer(t, now, config, uint64(self+100*generation), nodes), 0
@@ -154,10 +155,10 @@
 				maxArrivals += 2*math.Sqrt(maxAttempts) + 2
 			}
 			if float64(maxCount) > maxArrivals {
-				t.Errorf("MaxAttempts is %v, connections are delayed: %v: %d attempts arrived within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
+				t.Errorf("with MaxAttempts=%v and delaysConnections=%v, %d attempts arrived at the node within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
 			}
 			if float64(len(arrivals)) < 16*maxAttempts/4 {
-				t.Errorf("MaxAttempts is %v, connections are delayed: %v: only %d attempts arrived in total, want at least 4 times MaxAttempts", maxAttempts, delaysConnections, len(arrivals))
+				t.Errorf("with MaxAttempts=%v and delaysConnections=%v, only %d attempts arrived at the node in total, want at least 4 times MaxAttempts", maxAttempts, delaysConnections, len(arrivals))
 			}
 		}
 	}
@@ -170,7 +171,7 @@
 	}{
 		"MaxAttempts exceeds number of schedulers":          {42, 30},
 		"MaxAttempts is below number of schedulers":         {7, 300},
-		"there is only one scheduler":                       {8, 1},
+		"one scheduler has the whole share":                 {8, 1},
 		"MaxAttempts is a multiple of number of schedulers": {60, 20},
 		"MaxAttempts is 0":                                  {0, 3},
 	} {
@@ -190,7 +191,7 @@
 }
 
 func TestSlowStartRuleAllowsAttempts(t *testing.T) {
-	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // attempts are counted for 2.2 s
+	limits := SlowStart{Duration: 10, OverloadWindow: 2, MaxAttempts: 2} // the counting window is 2.2 s
 	for name, test := range map[string]struct {
 		nodeStartedAt, schedulerStartedAt Seconds
 		attemptTimes                      []Seconds
@@ -201,9 +202,9 @@
 		"node in slow start has no attempts":                              {95, 50, nil, true},
 		"fewer attempts were made than the share":                         {95, 50, []Seconds{99}, true},
 		"as many attempts were made as the share":                         {95, 50, []Seconds{98, 99}, false},
-		"one of three attempts is older than the window":                  {95, 50, []Seconds{97, 97.7, 99}, true},
-		"scheduler started during slow start, within the window":          {95, 98, nil, false},
-		"scheduler started during slow start, longer ago than the window": {95, 97.7, nil, true},
+		"one of three attempts was made before the counting window":       {95, 50, []Seconds{97, 97.7, 99}, true},
+		"scheduler started during slow start, within the counting window": {95, 98, nil, false},
+		"scheduler started during slow start, before the counting window": {95, 97.7, nil, true},
 		"scheduler started before the node":                               {98.5, 98, nil, true},
 		"scheduler and node started at the same time":                     {98, 98, nil, true},
 	} {
@@ -212,11 +213,11 @@
 			node := newTrackedNode(1)
 			node.StartedAt, node.slowStartAttempts = test.nodeStartedAt, test.attemptTimes
 			if got := rule.allowsAttempt(100, node); got != test.want {
-				t.Errorf("attempt on the node is allowed: got %v, want %v", got, test.want)
+				t.Errorf("allowsAttempt returned %v for the node, want %v", got, test.want)
 			}
 			rule.attemptSent(100, node)
 			if kept := node.slowStartAttempts; rule.appliesTo(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
-				t.Errorf("attempts are recorded at the times %v, want none before 97.8 and the last at 100", kept)
+				t.Errorf("the times of the recorded attempts are %v, want none before 97.8 and the last at 100", kept)
 			}
 		})
 	}
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// spreadRule implements the spread rule (rule 5), which limits the number of tasks of a service in one
-// failure domain. It counts the outstanding attempts of this scheduler for the service, including those whose
-// tasks run.
+// spreadRule implements the spread rule, which limits the number of tasks of a service in one failure domain.
+// It counts the outstanding attempts of this scheduler for the service, including those whose tasks run.
 type spreadRule struct {
 	attemptsByService map[ServiceID][]*attempt // outstanding attempts by service
 }
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -11,7 +11,7 @@
 	occupiedNode, sameRackNode, sameZoneNode, otherZoneNode := node(1, 1, 1), node(2, 1, 1), node(3, 2, 1), node(4, 3, 2)
 	for name, test := range map[string]struct {
 		domain           TopologyDomain
-		nodeWithAttempts *trackedNode // node of two attempts for the service
+		nodeWithAttempts *trackedNode // node on which the service has two attempts
 		candidateNode    *trackedNode
 		want             bool
 	}{
@@ -35,18 +35,18 @@
 			rule.addAttempt(firstAttempt)
 			rule.addAttempt(secondAttempt)
 			if got := rule.allowsTask(class, service, test.candidateNode); got != test.want {
-				t.Errorf("a third task of the service is allowed: got %v, want %v", got, test.want)
+				t.Errorf("allowsTask returned %v for a third task of the service, want %v", got, test.want)
 			}
 			if !rule.allowsTask(class, service+1, test.candidateNode) {
-				t.Error("the spread rule counts tasks of another service")
+				t.Error("the spread rule counts tasks of another service, want only tasks of the same service to count")
 			}
 			rule.removeAttempt(firstAttempt)
 			if !rule.allowsTask(class, service, test.candidateNode) {
-				t.Error("the spread rule still counts a task after its end")
+				t.Error("the spread rule still counts a task after the attempt for it was removed")
 			}
 			rule.removeAttempt(secondAttempt)
 			if len(rule.attemptsByService) != 0 {
-				t.Error("the spread rule keeps a service that has no tasks")
+				t.Error("the spread rule keeps a service that has no attempts left, want it removed")
 			}
 		})
 	}
--- a/placer/units.go
+++ b/placer/units.go
@@ -9,8 +9,8 @@
 //
 // Seconds is a floating-point number and not a time.Duration because decisions must stay reproducible to the
 // last bit. Times are multiplied by jitter, learned factors and fractions of a latency objective. If the
-// intermediate results were rounded to nanoseconds, other nodes could be drawn. Seconds is a separate type
-// because a number without a unit could be mistaken for a time.
+// intermediate results were rounded to nanoseconds, the Placer could choose other nodes. Seconds is a
+// separate type, because a number of another unit could otherwise be passed as a time by mistake.
 type Seconds float64
 
 // Duration returns s rounded to the nearest nanosecond. The result is undefined if s is NaN or outside the
--- a/placer/units_test.go
+++ b/placer/units_test.go
@@ -42,7 +42,7 @@
 		duration := time.Duration(milliseconds) * time.Millisecond
 		seconds := SecondsOf(duration)
 		if want := Seconds(float64(milliseconds) / 1000); seconds != want || seconds.Duration() != duration {
-			t.Fatalf("SecondsOf(%v) is %v s, want %v s; Duration converts it back to %v", duration, float64(seconds), float64(want), seconds.Duration())
+			t.Fatalf("SecondsOf(%v) is %v s, want %v s; Duration converts this back to %v, want the original duration", duration, float64(seconds), float64(want), seconds.Duration())
 		}
 	}
 }
