--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestCharacterizationOfScripts(t *testing.T) {
+func TestCharacterizationOfScenarios(t *testing.T) {
 	var text strings.Builder
 	for _, testScenario := range scenarios() {
 		runScenario(t, testScenario, &text)
