--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -33,7 +33,7 @@
 		"load report shows free capacity":                       {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
 		"recent change is not in load report":                   {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
 		"outdated load report is ignored":                       {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"load report shows capacity in use":                     {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"load report shows used, not requested capacity":        {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
 		"neither node list nor load report shows free capacity": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			node.load = test.load
 			node.load.recentChanges = test.changes
 			if got := model.estimateFree(now, node); got != test.want {
-				t.Errorf("estimated free capacity is %+v, want %+v", got, test.want)
+				t.Errorf("the estimated free capacity of the node is %+v, want %+v", got, test.want)
 			}
 			if len(node.load.recentChanges) != len(test.changes) {
 				t.Error("estimateFree changed the load record of the node, want no change")
@@ -64,13 +64,13 @@
 	}{
 		// Tasks on the node request 8 of its 16 cores. The tolerated utilization is SaturationThreshold (1)
 		// plus degradationTolerance (0.25) times DegradationRange (1), that is, 1.25.
-		"estimate from requested cores":              {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
-		"requested cores exceed overcommit limit":    {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
-		"requested memory exceeds overcommit limit":  {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"load report contains utilization":           {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"load report contains cores in use":          {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"load report shows almost all memory in use": {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
-		"free capacity of the node is unknown":       {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
+		"utilization is estimated from requested cores": {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
+		"requested cores exceed overcommit limit":       {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
+		"requested memory exceeds overcommit limit":     {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
+		"load report contains utilization":              {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"load report contains cores in use":             {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"load report shows almost all memory in use":    {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"free capacity of the node is unknown":          {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := &Config{NodeBehavior: test.behavior, Overcommit: Overcommit{Cores: 2, Memory: 2}}
@@ -78,7 +78,7 @@
 			node := newHalfFreeNode()
 			node.load = test.load
 			if got := newCapacityModel(cfg).projectLoad(now, class, &test.task, node); got != test.want {
-				t.Errorf("projected load is %+v, want %+v", got, test.want)
+				t.Errorf("the projected load of the node is %+v, want %+v", got, test.want)
 			}
 			if node.load.saturationExcess != test.load.saturationExcess {
 				t.Error("projectLoad changed the load record of the node, want no change")
@@ -92,7 +92,7 @@
 	for name, test := range map[string]struct {
 		freeCores                       float64 // free cores of the node; its free memory is twice this amount
 		report                          Report
-		wantCoresRatio, wantMemoryRatio float64 // ratios that the model must learn
+		wantCoresRatio, wantMemoryRatio float64 // ratios of used to requested capacity that the model must learn
 	}{
 		"report contains only utilization":              {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
 		"report contains free cores and memory":         {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
@@ -107,10 +107,10 @@
 			node.FreeCores, node.FreeMemory = test.freeCores, 2*test.freeCores
 			model.observeReport(now, node, &test.report)
 			if got := model.coresUsageRatio.mean; got != test.wantCoresRatio {
-				t.Errorf("ratio of used to requested cores is %v, want %v", got, test.wantCoresRatio)
+				t.Errorf("the learned ratio of used to requested cores is %v, want %v", got, test.wantCoresRatio)
 			}
 			if got := model.memoryUsageRatio.mean; got != test.wantMemoryRatio {
-				t.Errorf("ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
+				t.Errorf("the learned ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
 				t.Error("the load report of the node was not recorded, or not with the time of its arrival")
@@ -134,7 +134,7 @@
 	}
 	load.taskEnded(102, &request.Task)
 	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
-		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want -2 cores and -3 memory", last)
+		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", last)
 	}
 	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
 		t.Error("after the contender window and before dropOldChanges is called, want the task not to count as recent, but its entry to be retained")
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if !migrated {
-		t.Fatal("the last task on a node on standby was not migrated")
+		t.Fatal("the last task on a node on standby was not migrated, want one Migrate action for it")
 	}
 }
 
@@ -46,7 +46,7 @@
 		placer.consolidator.migrateFromStandby(at)
 	}
 	if len(actionsOfKind(placer.actions.takeActions(), Migrate)) == 0 && !placer.requests.byID[900].migrated {
-		t.Fatal("no task was migrated off the node on standby while an attempt on another node was unanswered")
+		t.Fatal("no task was migrated off the node on standby while an attempt on another node was unanswered, want one migration")
 	}
 }
 
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -36,7 +36,7 @@
 		t.Fatal("the Placer did not poll the node list when it handled its first event, want one poll")
 	}
 	now := Seconds(100)
-	for range 5 { // after each failure, the Placer must poll again within MaxPollInterval
+	for range 5 { // after each failed poll, the Placer must poll again within MaxPollInterval
 		actions = placer.Handle(now, Event{Kind: NodesListed, List: ListFailed}, nil)
 		failedAt := now
 		for len(actionsOfKind(actions, WatchNodes)) == 0 {
@@ -101,7 +101,7 @@
 		listArrivesAt Seconds // time at which a node list arrives; 0 if none arrives
 		pollFails     bool    // the poll fails
 		timerFiresAt  Seconds // time at which the timer of the poller fires
-		wantPoll      bool    // the poller must poll again
+		wantPoll      bool    // the poller must poll the node list again when the timer fires
 	}{
 		"node list arrived recently":                      {101, false, 104.9, false},
 		"no node list arrived for a third of maxInterval": {101, false, 105.1, true},
@@ -144,7 +144,7 @@
 		"cached list does not name node 1":  {CachedList, []Node{entry(2, Draining)}, []NodeState{Terminated, Draining}},
 		"list of changes names only node 2": {Changes, []Node{entry(2, Draining)}, []NodeState{Ready, Draining}},
 		"list of changes names a new node":  {Changes, []Node{entry(3, Ready)}, []NodeState{Ready, Ready, Ready}},
-		"list of all nodes names no node":   {FullList, nil, []NodeState{Terminated, Terminated}},
+		"full list does not name any node":  {FullList, nil, []NodeState{Terminated, Terminated}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newNodeTable(nil)
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -22,7 +22,7 @@
 	adoptTask(placer, 900, 1, 1)
 	attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 1)))
 	requireNoAttempt(t, requestPlacement(placer, 100.2, newTaskOfService(5, 2, 1)), "the only node already has a running task and an attempt of the service")
-	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: attempt.Task}, nil) // the attempt stays outstanding
+	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: attempt.Task}, nil) // the attempt for the withdrawn request stays outstanding
 	requireNoAttempt(t, requestPlacement(placer, 100.4, newTaskOfService(5, 3, 1)), "the attempt for the withdrawn request has no outcome yet and counts as a task")
 	endAttempt(placer, 100.5, attempt, Cancelled, NoReason)
 	requireOneAttempt(t, requestPlacement(placer, 100.6, newTaskOfService(5, 4, 1)))
@@ -88,7 +88,7 @@
 	}
 	coresRatio, memoryRatio := placer.capacity.coresUsageRatio.mean, placer.capacity.memoryUsageRatio.mean
 	if coresRatio > 0.55 || coresRatio < 0.5 || memoryRatio > 0.3 || memoryRatio < 0.25 {
-		t.Errorf("ratio of used to requested capacity is %.2f for cores and %.2f for memory, want about 0.5 and 0.25", coresRatio, memoryRatio)
+		t.Errorf("the estimated ratio of used to requested capacity is %.2f for cores and %.2f for memory, want about 0.5 and 0.25", coresRatio, memoryRatio)
 	}
 }
 
--- a/placer/latency_test.go
+++ b/placer/latency_test.go
@@ -9,13 +9,13 @@
 		answers             runningAverage
 		want                Seconds
 	}{
-		"no attempt was answered yet":                                    {Idempotent, false, runningAverage{}, 2},
-		"task class is not idempotent, no attempt was answered yet":      {NonIdempotent, false, runningAverage{}, 4},
-		"nodes answer quickly":                                           {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 1},
-		"task class is not idempotent, nodes answer quickly":             {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 4},
-		"nodes answer slowly":                                            {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 4},
-		"nodes acknowledge tasks on start":                               {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 5.6},
-		"task class is not idempotent, nodes acknowledge tasks on start": {NonIdempotent, true, runningAverage{}, 5.6},
+		"no attempt was answered yet":                                           {Idempotent, false, runningAverage{}, 2},
+		"task class is not idempotent, no attempt was answered yet":             {NonIdempotent, false, runningAverage{}, 4},
+		"nodes answer quickly":                                                  {Idempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 1},
+		"task class is not idempotent, nodes answer quickly":                    {NonIdempotent, false, runningAverage{mean: 0.1, deviation: 0.1, sampleCount: 1}, 4},
+		"nodes answer slowly":                                                   {Idempotent, false, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 4},
+		"nodes acknowledge a task when it starts":                               {Idempotent, true, runningAverage{mean: 2, deviation: 0.5, sampleCount: 1}, 5.6},
+		"task class is not idempotent, nodes acknowledge a task when it starts": {NonIdempotent, true, runningAverage{}, 5.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := newLatencyModel(&Config{
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -66,8 +66,8 @@
 	requireNoAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 0)), "all nodes are full or ejected")
 }
 
-// After the failure of a rack, the spread rule may exclude all healthy nodes for a service. The tasks of the
-// service must then wait, and must not be attempted on the dead nodes of the rack.
+// After the failure of a rack, all nodes that the spread rule permits for a service may be in this rack. The
+// tasks of the service must then wait, because attempts on the dead nodes of the rack would fail.
 func TestEjectedNodesGetNoAttemptsIfSpreadRuleExcludesOthers(t *testing.T) {
 	placer := newTestPlacer(t, testConfig(), 1, testNodes(6)) // each rack has three nodes
 	for i := range 3 {
@@ -89,7 +89,7 @@
 	now, mean := Seconds(100), Seconds(1)
 	for failure := 1; failure <= maxFailures+2; failure++ {
 		if !detector.recordFailure(now, node) {
-			t.Fatalf("failure %d of the node was not counted", failure)
+			t.Fatalf("failure %d of the node was not counted, want each failure to count", failure)
 		}
 		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
 			t.Errorf("failure %d of the node ejects it for %v s, want about %v s", failure, ejected, mean)
@@ -149,7 +149,7 @@
 		"all ready nodes are healthy":                         {4, 0, 0, false},
 		"a quarter of the ready nodes are healthy":            {1, 3, 0, false},
 		"fewer than a quarter of the ready nodes are healthy": {1, 4, 0, true},
-		"draining nodes are not counted":                      {1, 3, 9, false},
+		"many nodes are draining":                             {1, 3, 9, false},
 		"there are no nodes":                                  {0, 0, 0, false},
 		"all ready nodes are ejected":                         {0, 1, 0, true},
 	} {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -51,7 +51,7 @@
 		firstAttempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTestTask(1, 2)))
 		retry := requireOneAttempt(t, endAttempt(placer, 101, firstAttempt, TimedOut, NoReason))
 		if (retry.Node-1)/3 != (firstAttempt.Node-1)/3 {
-			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt", seed)
+			t.Fatalf("seed %d: the retry after an unknown outcome was made outside the rack of the first attempt, want a node in this rack", seed)
 		}
 		// At the time 104.2, the DedupWindow of 4 s has ended.
 		actions := endAttempt(placer, 104.2, retry, Rejected, InsufficientCores)
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -117,14 +117,14 @@
 	return true
 }
 
-// TestFindTunableValues verifies that findTunableValues finds numbers and constants, and ignores
-// enumerations.
+// TestFindTunableValues verifies that findTunableValues finds numbers other than 0 and 1 and constants
+// without iota, and ignores enumerations.
 func TestFindTunableValues(t *testing.T) {
 	for name, test := range map[string]struct {
 		source string
 		want   int
 	}{
-		"enumeration with iota":    {"const (\n\ta = iota + 1\n\tb\n)", 0},
+		"constants with iota":      {"const (\n\ta = iota + 1\n\tb\n)", 0},
 		"numbers zero and one":     {"var a = 0 + 1", 0},
 		"constant without iota":    {"const a = 1", 1},
 		"floating-point number":    {"var a = 0.5", 1},
--- a/placer/request_test.go
+++ b/placer/request_test.go
@@ -42,12 +42,12 @@
 		attemptIndex int
 		want         *attempt
 	}{
-		"attempt of a requested task":       {1, 0, sentAttempt},
-		"attempt of an adopted task":        {3, 0, adoptedAttempt},
-		"request has no attempts":           {2, 0, nil},
-		"index is too high for the request": {1, 1, nil},
-		"index of the attempt is negative":  {1, -1, nil},
-		"task that is not in the table":     {4, 0, nil},
+		"attempt of a requested task":               {1, 0, sentAttempt},
+		"attempt of an adopted task":                {3, 0, adoptedAttempt},
+		"request has no attempts":                   {2, 0, nil},
+		"attempt index is too high for the request": {1, 1, nil},
+		"attempt index is negative":                 {1, -1, nil},
+		"task is not in the request table":          {4, 0, nil},
 	} {
 		if got := table.findAttempt(test.task, test.attemptIndex); got != test.want {
 			t.Errorf("%s: findAttempt returned the attempt with the address %p, want the address %p", name, got, test.want)
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -62,7 +62,7 @@
 	driver.t.Fatalf("at the time %.3f, action %+v: %s", driver.now, action, fmt.Sprintf(format, args...))
 }
 
-// checkAction checks an action against the placement rules and carries it out.
+// checkAction checks an action of the Placer against the placement rules and carries it out.
 func (driver *randomDriver) checkAction(action Action) {
 	driver.actionLog = append(driver.actionLog, fmt.Sprintf("%.3f %+v", driver.now, action))
 	switch action.Kind {
@@ -78,7 +78,7 @@
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
-			driver.failOnAction(action, "the task to migrate is not bound to a node")
+			driver.failOnAction(action, "the task to migrate does not run on a node")
 		}
 		return
 	}
@@ -113,13 +113,13 @@
 	task.answers++
 	task.done = true
 	if driver.now > task.Deadline+driver.config.Attempts.AnswerGrace {
-		driver.failOnAction(action, "the rule on final answers is violated, because the answer is sent %.3f s after the deadline", driver.now-task.Deadline)
+		driver.failOnAction(action, "the rule on final answers is violated, because the final answer is sent %.3f s after the deadline", driver.now-task.Deadline)
 	}
 	class := driver.config.Classes[task.Class]
 	dedupInCluster := class.Idempotency == IdempotentByKey && class.DedupDomain == ClusterDomain
 	rejectIsUnsafe := class.Idempotency != Idempotent && !dedupInCluster
 	if action.Kind == Reject && task.unknownOutcomeAttempt() != nil && rejectIsUnsafe {
-		driver.failOnAction(action, "the rule on retries is violated, because the answer is Reject although the task may be running and must not start twice")
+		driver.failOnAction(action, "the rule on retries is violated, because the final answer is Reject although the task may be running and must not start twice")
 	}
 }
 
@@ -246,7 +246,8 @@
 	}
 }
 
-// advanceAttempt randomly decides whether an outstanding attempt gets an answer or a running task ends.
+// advanceAttempt decides at random whether an outstanding attempt gets an answer, or whether the running task
+// of the attempt ends.
 func (driver *randomDriver) advanceAttempt(task *taskState, attemptIndex int) {
 	attempt := task.attempts[attemptIndex]
 	switch {
@@ -334,7 +335,8 @@
 	driver.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: all})
 }
 
-// removeDoneTasks removes the tasks that are done and have neither an outstanding nor a bound attempt.
+// removeDoneTasks removes the tasks whose request is done and that have neither an outstanding nor a bound
+// attempt.
 func (driver *randomDriver) removeDoneTasks() {
 	keptTasks := driver.taskOrder[:0]
 	for _, id := range driver.taskOrder {
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -183,8 +183,9 @@
 	return ids
 }
 
-// The function keepPreferred changes the slice of its caller, and the selector uses this slice again. The
-// test checks the result and what the caller's slice contains after the call.
+// The function keepPreferred moves the preferred candidates to the front of its caller's slice, and the
+// selector uses this slice again after the call. The test therefore checks both the returned candidates and
+// the content of the caller's slice.
 func TestKeepPreferredChangesSliceOfCaller(t *testing.T) {
 	for name, test := range map[string]struct {
 		saturated                []NodeID
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// changeRandomNode changes a random node. The change may start to drain, terminate, restart, break, repair,
-// replace or temporarily remove the node.
+// changeRandomNode changes a random node. The node drains, terminates, restarts, breaks, works again, is
+// replaced, or is removed from the node lists for some time.
 func (sim *simulation) changeRandomNode() {
 	sim.schedule(sim.scenario.churnInterval*(0.5+sim.randomSecond()), sim.changeRandomNode)
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -9,8 +9,8 @@
 // simTask is a simulated task with its attempts.
 type simTask struct {
 	task     placer.Task
-	nodes    []*simNode // for each attempt, its node
-	ended    []bool     // for each attempt, whether it has ended
+	nodes    []*simNode // node of each attempt, by the index of the attempt
+	ended    []bool     // whether each attempt has ended, by the index of the attempt
 	bound    bool
 	lifetime placer.Seconds
 }
@@ -107,8 +107,8 @@
 	sim.resubmit(task)
 }
 
-// adoptTask reports a task that was found running. In one of four cases, no node list has named the node of
-// the task.
+// adoptTask tells the Placer that a task was found running on a node. In one of four cases, no node list has
+// named this node.
 func (sim *simulation) adoptTask(number int) {
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	if number%4 == 3 {
@@ -119,7 +119,7 @@
 	sim.byID[task.task.ID] = task
 	node.requestedCores += task.task.Cores
 	node.requestedMemory += task.task.Memory
-	for range 1 + number%2 { // the report of every second task is repeated
+	for range 1 + number%2 { // every second task is reported twice
 		sim.handle(placer.Event{Kind: placer.Adopted, Task: task.task, Node: node.ID})
 	}
 	sim.schedule(3+20*sim.randomSecond(), func() { sim.finishTask(task, 0) })
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// copyActions returns a copy of the actions of one event, because performing an action may reuse the buffer
-// for the next event.
+// copyActions returns a copy of the actions of one event. The copy is needed, because performing an action
+// may pass another event to the Placer, whose actions overwrite the buffer.
 func copyActions(actions []placer.Action) []placer.Action {
 	return append([]placer.Action(nil), actions[1:]...)
 }
@@ -172,8 +172,9 @@
 	}
 }
 
-// sendUnmatchedEvents regularly sends an event that refers to an unknown task, attempt or timer, or is of an
-// unknown kind. The time of the event is slightly before that of the previous event.
+// sendUnmatchedEvents regularly passes an event to the Placer that refers to an unknown task, attempt or
+// timer, or that is of an unknown kind. The time of the event is 0.05 s before the current time of the
+// simulation, so the times that the Placer receives are not always in order.
 func (sim *simulation) sendUnmatchedEvents() {
 	sim.schedule(0.5+sim.randomSecond(), sim.sendUnmatchedEvents)
 	id := placer.TaskID(1 + sim.rng.IntN(int(sim.nextTask)))
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -52,8 +52,8 @@
 	return maxCount
 }
 
-// The attempts of all schedulers together must not overload a node in slow start. The test has 300 schedulers
-// with uneven traffic. Two thirds of the nodes are in slow start at the same time. The nodes reject all
+// The attempts of all schedulers together must not overload a node in slow start. In the test, 300 schedulers
+// receive uneven traffic. Two thirds of the nodes are in slow start at the same time. The nodes reject all
 // attempts, and schedulers restart at random times.
 func TestAllSchedulersTogetherRespectMaxAttempts(t *testing.T) {
 	config := testConfig()
@@ -199,9 +199,9 @@
 	}{
 		"node started long ago":                                           {0, 50, []Seconds{99, 99, 99}, true},
 		"node is no longer in slow start":                                 {90, 50, []Seconds{99, 99, 99}, true},
-		"node in slow start has no attempts":                              {95, 50, nil, true},
-		"fewer attempts were made than the share":                         {95, 50, []Seconds{99}, true},
-		"as many attempts were made as the share":                         {95, 50, []Seconds{98, 99}, false},
+		"no attempts were made on the node in slow start":                 {95, 50, nil, true},
+		"number of recent attempts is below the share":                    {95, 50, []Seconds{99}, true},
+		"number of recent attempts equals the share":                      {95, 50, []Seconds{98, 99}, false},
 		"one of three attempts was made before the counting window":       {95, 50, []Seconds{97, 97.7, 99}, true},
 		"scheduler started during slow start, within the counting window": {95, 98, nil, false},
 		"scheduler started during slow start, before the counting window": {95, 97.7, nil, true},
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -15,16 +15,16 @@
 		candidateNode    *trackedNode
 		want             bool
 	}{
-		"no limit for any domain":                      {NoDomain, occupiedNode, occupiedNode, true},
-		"limit per node, same node":                    {NodeDomain, occupiedNode, occupiedNode, false},
-		"limit per node, another node":                 {NodeDomain, occupiedNode, sameRackNode, true},
-		"limit per rack, same rack":                    {RackDomain, occupiedNode, sameRackNode, false},
-		"limit per rack, another rack":                 {RackDomain, occupiedNode, sameZoneNode, true},
-		"limit per zone, same zone":                    {ZoneDomain, occupiedNode, sameZoneNode, false},
-		"limit per zone, another zone":                 {ZoneDomain, occupiedNode, otherZoneNode, true},
-		"limit per cluster, another zone":              {ClusterDomain, occupiedNode, otherZoneNode, false},
-		"limit per rack, rack of the tasks is unknown": {RackDomain, newTrackedNode(5), otherZoneNode, false},
-		"limit per node, rack of the tasks is unknown": {NodeDomain, newTrackedNode(5), otherZoneNode, true},
+		"there is no limit for any domain":                         {NoDomain, occupiedNode, occupiedNode, true},
+		"limit is per node, candidate is the node of the tasks":    {NodeDomain, occupiedNode, occupiedNode, false},
+		"limit is per node, candidate is another node":             {NodeDomain, occupiedNode, sameRackNode, true},
+		"limit is per rack, candidate is in the rack of the tasks": {RackDomain, occupiedNode, sameRackNode, false},
+		"limit is per rack, candidate is in another rack":          {RackDomain, occupiedNode, sameZoneNode, true},
+		"limit is per zone, candidate is in the zone of the tasks": {ZoneDomain, occupiedNode, sameZoneNode, false},
+		"limit is per zone, candidate is in another zone":          {ZoneDomain, occupiedNode, otherZoneNode, true},
+		"limit is per cluster, candidate is in another zone":       {ClusterDomain, occupiedNode, otherZoneNode, false},
+		"limit is per rack, rack of the tasks is unknown":          {RackDomain, newTrackedNode(5), otherZoneNode, false},
+		"limit is per node, rack of the tasks is unknown":          {NodeDomain, newTrackedNode(5), otherZoneNode, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const service = 7
@@ -42,7 +42,7 @@
 			}
 			rule.removeAttempt(firstAttempt)
 			if !rule.allowsTask(class, service, test.candidateNode) {
-				t.Error("the spread rule still counts a task after the attempt for it was removed")
+				t.Error("the spread rule still counts an attempt after it was removed, want it not to count")
 			}
 			rule.removeAttempt(secondAttempt)
 			if len(rule.attemptsByService) != 0 {
--- a/placer/units_test.go
+++ b/placer/units_test.go
@@ -12,8 +12,8 @@
 	}{
 		"zero seconds":                        {0, 0},
 		"whole seconds":                       {90, 90 * time.Second},
-		"number representable in binary":      {0.25, 250 * time.Millisecond},
-		"number not representable in binary":  {1.118, 1118 * time.Millisecond},
+		"number that is exact in binary":      {0.25, 250 * time.Millisecond},
+		"number that is not exact in binary":  {1.118, 1118 * time.Millisecond},
 		"number that truncation would change": {1.001, 1001 * time.Millisecond},
 		"negative number of seconds":          {-1.5, -1500 * time.Millisecond},
 		"one nanosecond":                      {1e-9, time.Nanosecond},
