--- a/placer/config.go
+++ b/placer/config.go
@@ -52,7 +52,7 @@
 // NodeType is the capacity of the nodes of one type.
 type NodeType struct {
 	Cores  float64
-	Memory float64 // in the unit of Task.Memory
+	Memory float64 // amount of memory, in the unit of Task.Memory
 }
 
 // Tenant is one of the users that share the nodes.
@@ -106,7 +106,7 @@
 	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
 	Duration         Seconds // time after its start at which a node reaches its full rate
 	OverloadMultiple float64 // rate that overloads a node in slow start, as a multiple of its current rate
-	OverloadWindow   Seconds // time for which a node must receive the overload rate until it is overloaded
+	OverloadWindow   Seconds // time for which attempts must arrive at the overload rate to overload a node
 	MaxAttempts      float64 // number of attempts by all schedulers that a node can handle in OverloadWindow
 }
 
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -15,8 +15,8 @@
 	// another node is made active.
 	consolidationTarget = 0.8
 	// consolidationHysteresisFactor is the factor by which consolidationTarget is lowered for nodes that are
-	// active. An active node is put on standby only if the nodes before it can take all tasks at the lower
-	// target.
+	// active. An active node is put on standby only if the nodes that are preferred to it can take all tasks
+	// at the lower target.
 	consolidationHysteresisFactor = 0.95
 	// minActiveNodes is the number of nodes that are always active, that is, never put on standby.
 	minActiveNodes = 2
@@ -44,7 +44,7 @@
 	rng                 *rand.Rand
 	saturationThreshold float64 // lowest SaturationThreshold of all task classes
 
-	readyNodes        []*trackedNode // ready nodes, in the order in which they are preferred as active nodes
+	readyNodes        []*trackedNode // ready nodes, in the order in which they are made active
 	standbyComputed   bool           // the set of standby nodes has been computed at least once
 	standbyComputedAt Seconds
 }
@@ -84,10 +84,11 @@
 	for i, node := range c.readyNodes {
 		targetFraction := consolidationTarget
 		if !node.standby.onStandby {
-			// An active node is put on standby only if all tasks fit on the nodes before it at a lower
-			// target, that is, with a larger margin. Without this difference, small changes of the demand
-			// would repeatedly switch a node between active and standby. Each switch to standby is costly,
-			// because the tasks on the node must end or be migrated before the node is no longer in use.
+			// An active node is put on standby only if all tasks fit on the nodes that are preferred to it
+			// with a larger margin than a node on standby needs to stay there. Without this difference, small
+			// changes of the demand would repeatedly switch a node between active and standby. Each switch to
+			// standby is costly, because the tasks on the node must end or be migrated before the node is no
+			// longer in use.
 			targetFraction *= consolidationHysteresisFactor
 		}
 		node.standby.setStandby(now, i >= minActiveNodes &&
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -4,8 +4,8 @@
 
 // Constants of node discovery.
 const (
-	// nodeRetention is the time for which a terminated node is kept after its last task of this scheduler has
-	// ended.
+	// nodeRetention is the time for which the record of a terminated node is kept after the last task of this
+	// scheduler on the node has ended.
 	nodeRetention Seconds = 60
 	// maxPollBackoffDoublings is the maximum number of times that the wait before the next poll is doubled
 	// after failed polls.
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// recheckNode reports whether a request may still be attempted on a node that was chosen for it earlier.
+// recheckNode reports whether a request may still be attempted on a node that was drawn at random for it
+// earlier.
 func (f *nodeFilter) recheckNode(now Seconds, request *placementRequest, node *trackedNode) bool {
 	if !f.attemptAllowed(now, request) || !f.nodeAllowed(now, request, node) {
 		return false
@@ -70,9 +71,9 @@
 	return fits
 }
 
-// evaluate projects the load of a node on which the rules permit an attempt, and returns the node as a
-// candidate. The second result is false if the node is known to lack capacity. The method also updates the
-// load record of the node.
+// evaluate projects the load of a node on which the placement rules permit an attempt, and returns the node
+// as a candidate. The second result is false if the node is known to lack capacity. The method also updates
+// the load record of the node.
 func (f *nodeFilter) evaluate(now Seconds, request *placementRequest, node *trackedNode) (candidate, bool) {
 	if node.load.rejectedRecently(now) {
 		return candidate{}, false
@@ -83,16 +84,16 @@
 	return candidate{node: node, saturationExcess: projectedLoad.saturationExcess}, projectedLoad.fits
 }
 
-// attemptAllowed reports whether another attempt for the request is permitted on any node. No attempt is
-// permitted if the request is done, its deadline has passed, another attempt is outstanding, or Attempts.Max
-// attempts were made. The caller must also check each node with nodeAllowed.
+// attemptAllowed reports whether the state of the request permits another attempt. No attempt is permitted if
+// the request is done, its deadline has passed, another attempt is outstanding, or Attempts.Max attempts were
+// made. The caller must also check each node with nodeAllowed.
 func (f *nodeFilter) attemptAllowed(now Seconds, request *placementRequest) bool {
 	attemptsSpent := len(request.attempts) >= f.cfg.Attempts.Max
 	return !request.done && request.Deadline > now && !attemptsSpent && request.outstandingAttempt() == nil
 }
 
-// nodeAllowed reports whether the rules permit an attempt on this node. The caller must have checked
-// attemptAllowed.
+// nodeAllowed reports whether the placement rules permit an attempt for the request on this node. The caller
+// must have checked attemptAllowed.
 func (f *nodeFilter) nodeAllowed(now Seconds, request *placementRequest, node *trackedNode) bool {
 	// This check implements the rule on node states. The rule permits attempts on a draining node for the
 	// time DrainGrace after the start of its drain. The filter is stricter and excludes every node that is
--- a/placer/node_table.go
+++ b/placer/node_table.go
@@ -5,7 +5,7 @@
 // nodeTable owns the records of all known nodes and applies node lists to them.
 type nodeTable struct {
 	nodeTypes []NodeType
-	allNodes  []*trackedNode // in the order in which the nodes became known
+	allNodes  []*trackedNode // all known nodes, in the order in which they became known
 	byID      map[NodeID]*trackedNode
 }
 
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -7,7 +7,7 @@
 	unansweredAttempts int               // number of attempts without an answer
 	countByService     map[ServiceID]int // number of running tasks and unanswered attempts by service
 	boundAttempts      []*attempt        // attempts whose tasks run on the node
-	cachedPrograms     []ServiceID       // services whose program is probably cached, in the order of caching
+	cachedPrograms     []ServiceID       // services whose program is probably cached, oldest first
 }
 
 func newNodeTasks() nodeTasks { return nodeTasks{countByService: map[ServiceID]int{}} }
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -2,18 +2,17 @@
 
 import "math"
 
-// Constants of outlier detection. In the comments on the constants, the latency objective is the shortest
-// latency objective of all task classes.
+// Constants of outlier detection.
 const (
 	// baseEjection is the time for which a node is ejected after its first failure, as a multiple of the
-	// latency objective. Each further failure doubles the time.
+	// shortest latency objective of all task classes. Each further failure doubles the time.
 	baseEjection = 1.0
 	// maxFailures is the maximum failure count of a node. It limits the ejection time, which doubles with
 	// each failure.
 	maxFailures = 5
-	// failureWindowDivisor determines the length of a time window, which is the latency objective divided by
-	// this number. Several failures of a node within one window count as one failure. Successes within one
-	// window cancel at most one failure.
+	// failureWindowDivisor determines the length of a time window, which is the shortest latency objective of
+	// all task classes divided by this number. Several failures of a node within one window count as one
+	// failure. Successes within one window cancel at most one failure.
 	failureWindowDivisor = 4
 	// minHealthyDivisor determines the minimum number of healthy nodes, which is the number of ready nodes
 	// divided by this number. If fewer nodes are healthy, ejected nodes also get attempts.
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -54,7 +54,7 @@
 }
 
 // meanRedrawWait returns the mean wait of a request for which no node passed the filter. After the wait, the
-// Placer filters the nodes again and draws two of them.
+// Placer filters the nodes again and draws two of them at random.
 func (p *Placer) meanRedrawWait(request *placementRequest) Seconds {
 	if p.now < request.arrivedAt+p.cfg.classOf(request).LatencyObjective {
 		return inTimeRedrawWait
--- a/placer/request.go
+++ b/placer/request.go
@@ -43,8 +43,8 @@
 	return newAttempt
 }
 
-// setPair makes two nodes that were drawn at random the current pair of the request. It stores only the
-// second node, because the caller attempts the request on the first node immediately.
+// setPair stores the two nodes that were drawn at random for the request as its current pair. Of the two
+// nodes, it keeps only the second, because the caller attempts the request on the first immediately.
 func (r *placementRequest) setPair(drawnPair pair) {
 	r.alternativeNode = drawnPair.secondNode
 	r.ignoresCache = drawnPair.ignoresCache
@@ -93,7 +93,7 @@
 	state          attemptState
 	sentAt         Seconds
 	boundIndex     int  // index of the attempt in the bound attempts of the node, while the task runs
-	coldStart      bool // the node was drawn regardless of its cache and probably lacked the program
+	coldStart      bool // the node was drawn without regard to its cache and probably lacked the program
 	errored        bool // the attempt ended with an error
 	countedFailure bool // the error was counted as a failure of the node
 }
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -19,7 +19,7 @@
 // timerTable owns the timers that were started and have not fired.
 type timerTable struct {
 	actions       *actionList
-	pendingTimers map[uint64]pendingTimer // by token
+	pendingTimers map[uint64]pendingTimer // timers that have not fired, by token
 	lastToken     uint64
 }
 
