--- a/placer/request.go
+++ b/placer/request.go
@@ -43,8 +43,9 @@
 	return newAttempt
 }
 
-// setPair stores the two nodes that were drawn at random for the request as its current pair. Of the two
-// nodes, it keeps only the second, because the caller attempts the request on the first immediately.
+// setPair makes the two nodes of the drawn pair the current nodes of the request and resets its count of
+// rejections. Only the second node is stored, because the caller attempts the request on the first node
+// immediately.
 func (r *placementRequest) setPair(drawnPair pair) {
 	r.alternativeNode = drawnPair.secondNode
 	r.ignoresCache = drawnPair.ignoresCache
