--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -4,10 +4,11 @@
 
 // Constants of node discovery.
 const (
-	// nodeRetention is the time for which a terminated node is kept after its last task of this scheduler has
-	// ended.
+	// nodeRetention is the time for which the record of a terminated node is kept after the last task of this
+	// scheduler on the node has ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings is the maximum number of times that the wait after failed polls is doubled.
+	// maxPollBackoffDoublings is the maximum number of times that the wait before the next poll is doubled
+	// after failed polls.
 	maxPollBackoffDoublings = 6
 	// pollRetryDivisor determines the longest wait before a poll is repeated, which is MaxPollInterval
 	// divided by this number. An unanswered poll is repeated after this wait. The backoff after failed polls
