--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// adoptionMaxWait limits how long a new placement request waits until running tasks are adopted. The time
-	// counts from the first health check that any client sends.
+	// adoptionMaxWait limits how long new placement requests wait for adoption requests. The limit counts
+	// from the first health check of any client.
 	adoptionMaxWait placer.Seconds = 1.0
-	// adoptionIdleGap is the time without an adoption request after which no further ones are expected.
+	// adoptionIdleGap is the waiting time after an adoption request. If no other adoption request arrives
+	// within this time, no further adoption requests are expected.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
-// adoption handles adoption requests. After a scheduler start, clients send the scheduler one adoption
-// request for each of their running tasks: a launch message that names the node on which the task already
-// runs. The type adoption also tracks until when further adoption requests are expected.
+// adoption handles adoption requests. An adoption request is a launch message that names the node on which
+// the task already runs. After a scheduler start, clients send one adoption request for each of their running
+// tasks. The type adoption also tracks until when further adoption requests are expected.
 type adoption struct {
 	*sharedState
 	nodes             *nodeRegistry
@@ -25,7 +26,8 @@
 	notifier          *notifier
 
 	firstHealthCheckAt placer.Seconds // firstHealthCheckAt is 0 until any client has sent a health check.
-	// lastAdoptionRequestAt is when the last adoption request arrived. Until then, it is firstHealthCheckAt.
+	// lastAdoptionRequestAt is the arrival time of the last adoption request. Before the first adoption
+	// request, it is equal to firstHealthCheckAt.
 	lastAdoptionRequestAt placer.Seconds
 }
 
@@ -49,7 +51,7 @@
 	}
 	key := attemptKey{node.ID, msg.ID}
 	if abandonedAttempt := a.attempts.get(key); abandonedAttempt != nil {
-		a.attempts.remove(abandonedAttempt) // The node accepted the attempt after this scheduler had abandoned it.
+		a.attempts.remove(abandonedAttempt) // The scheduler abandoned this attempt before the node accepted it.
 	}
 	if termination, isRecorded := a.earlyTerminations.get(key); isRecorded {
 		// The node has already reported the end of the task and does not repeat the report. The client still
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -24,9 +24,10 @@
 	return order
 }
 
-// TestRequestsWaitForAdoptions checks that a new request reaches the placer only after the last adoption, or
-// adoptionMaxWait after the first health check, if the request arrives while a client requests the adoption
-// of its running tasks. At other times a new request must reach the placer immediately.
+// TestRequestsWaitForAdoptions checks when new requests reach the placer. While a client requests the
+// adoption of its running tasks, a new request must wait until the last adoption, but not longer than
+// adoptionMaxWait after the first health check. At other times, a new request must reach the placer
+// immediately.
 func TestRequestsWaitForAdoptions(t *testing.T) {
 	policy := &fixedNodePlacer{node: nodeID(1)}
 	harness := newHarness(t, policy)
@@ -38,7 +39,7 @@
 		harness.requestAdoption(conn, 1)
 		harness.advanceClock(adoptionIdleGap / 2)
 	}
-	harness.withdrawRequest(harness.sendLaunch(conn, "query", 2000, "")) // This request is withdrawn while it waits.
+	harness.withdrawRequest(harness.sendLaunch(conn, "query", 2000, "")) // The client withdraws this request while the request waits.
 	harness.sendLaunch(conn, "query", 2000, "")
 	harness.advanceClock(adoptionIdleGap)
 	if got := takeArrivalOrder(policy); got != "aaaaaRR" {
@@ -61,7 +62,7 @@
 		harness.advanceClock(adoptionIdleGap / 2)
 	}
 	if got := takeArrivalOrder(policy); !strings.HasSuffix(got, "aRaR") || strings.Index(got, "R") > 6 {
-		t.Errorf("placer received events %q, want the request (R) with the short deadline within the first 7 events, and adopted tasks (a) and new requests in turn at the end", got)
+		t.Errorf("placer received events %q, want the first new request (R) among the first 7 events because of its short deadline, and aRaR at the end, which means adopted tasks (a) and new requests in turn", got)
 	}
 }
 
@@ -86,7 +87,7 @@
 	harness.reportEnd(nodeID(2), id, protocol.CauseEnd)
 	harness.carryOutEffects()
 	if record.notificationCount != 1 || harness.core.RunningTasks() != 0 {
-		t.Fatalf("client record is %+v after the end of the adopted task, want 1 notification and no running task", record)
+		t.Fatalf("client record is %+v after the end of the adopted task, want notificationCount 1, and no running task in the core", record)
 	}
 }
 
@@ -104,7 +105,7 @@
 		{"two health checks and no adoption request", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
 		{"adoption request arrives within adoptionMaxWait of the health check", []placer.Seconds{100}, 100.5, 100.5 + adoptionIdleGap},
 		{"adoption request arrives later than adoptionMaxWait after the health check", []placer.Seconds{100}, 170, 100 + adoptionMaxWait},
-		{"adoption request arrives but no health check", nil, 170, adoptionMaxWait},
+		{"adoption request arrives before any health check", nil, 170, adoptionMaxWait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{counts: &Counts{}}
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -16,7 +16,7 @@
 type Attempt struct {
 	Node    placer.NodeID
 	Message protocol.Message // Message is the launch message that is sent to the node.
-	// NodeConn is the connection on which the attempt was sent. It is 0 if the attempt was not sent yet. The
+	// NodeConn is the connection on which the attempt was sent. It is 0 until the attempt is sent. The
 	// caller of the core sets it.
 	NodeConn NodeConnID
 
@@ -30,7 +30,7 @@
 	stopSent     bool // stopSent is set if the node was asked to stop the task.
 }
 
-// Live reports whether the attempt has not ended: it waits for the answer of its node, or its task runs.
+// Live reports whether the attempt is live: either it waits for the answer of its node, or its task runs.
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
 // ClientConn returns the client connection on which the placement request of the attempt arrived.
--- a/internal/platform/dispatch/attempt_state.go
+++ b/internal/platform/dispatch/attempt_state.go
@@ -11,7 +11,8 @@
 	attemptSent
 	// attemptRunning means that the node accepted the attempt in time, or that the task was adopted.
 	attemptRunning
-	// attemptAbandoned means that the attempt ended without an answer. An answer that still arrives is late.
+	// attemptAbandoned means that the attempt ended without an answer. An answer that arrives in this state is
+	// late.
 	attemptAbandoned
 	// attemptTerminated means that the attempt ended and that its node is not expected to send further
 	// messages about the attempt.
@@ -31,7 +32,7 @@
 // String returns the name of the state.
 func (s attemptState) String() string { return attemptStates.stateName("attempt", s) }
 
-// isLive reports whether an attempt in this state has not ended: it waits for the answer of its node, or its
+// isLive reports whether an attempt in this state is live: either it waits for the answer of its node, or its
 // task runs.
 func (s attemptState) isLive() bool { return s <= attemptRunning }
 
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -8,8 +8,9 @@
 	"heathshed/placer"
 )
 
-// TestLateAnswers checks that a node is asked to stop a task that the node accepts after the attempt was
-// abandoned, if the task is idempotent or its request was withdrawn. No other task may be stopped.
+// TestLateAnswers checks how the core handles the Running message for an attempt that was already abandoned.
+// The node must be asked to stop the task if the task is idempotent or if its request was withdrawn. Any
+// other task must not be stopped.
 func TestLateAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name, class string
@@ -31,17 +32,18 @@
 			effects := harness.acceptAttempt(attempt)
 
 			if stopRequested := asksNodeToStop(effects); stopRequested != test.wantStop || harness.core.RunningTasks() != 0 {
-				t.Errorf("node was asked to stop the task after it accepted the abandoned attempt: %v, want %v; the core must have no running task in either case", stopRequested, test.wantStop)
+				t.Errorf("after the Running message for the abandoned attempt, the core asked the node to stop the task: %v, want %v; the core must also count no task as running", stopRequested, test.wantStop)
 			}
 		})
 	}
 }
 
-// TestTerminationBeforeAnswer checks that a task counts as ended if its node reports that it drained, evicted
-// or preempted the task, even if the node's Running message has not arrived. The client must be notified at
-// once, the placer must not make another attempt, and a Running message that still arrives must change
-// nothing. If an attempt failed in transit or was rejected for lack of capacity, the placer must be able to
-// make another attempt.
+// TestTerminationBeforeAnswer checks how the core handles a Stop message for an attempt before the Running
+// message of the node has arrived. If the node evicted or preempted the task, or ended it because the node is
+// draining, the task counts as ended: the client must be notified at once, the placer must not make another
+// attempt, and a Running message that arrives later must change nothing. If the node rejected the attempt
+// with CauseNoCapacity, or if the Stop message gives no reason, the placer must be able to make another
+// attempt.
 func TestTerminationBeforeAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -49,11 +51,11 @@
 		note      string
 		wantEnded bool
 	}{
-		{"node drained the task", protocol.CauseLost, "drained", true},
+		{"node ended the task because the node is draining", protocol.CauseLost, "drained", true},
 		{"node evicted the task", protocol.CauseLost, "oom", true},
 		{"node preempted the task", protocol.CauseLost, "preempted", true},
-		{"attempt failed in transit", protocol.CauseLost, "", false},
-		{"node rejected the attempt for lack of capacity", protocol.CauseNoCapacity, "drained", false},
+		{"Stop message with CauseLost gives no reason", protocol.CauseLost, "", false},
+		{"node rejected the attempt because the node is draining", protocol.CauseNoCapacity, "drained", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := sentAttempt(t, "query")
@@ -66,11 +68,11 @@
 			clientNotified := len(clientMessages) == 1 && clientMessages[0].Message.Cause == protocol.CauseLost
 			boundReported := policy.receivedEvent(placer.Bound)
 			if clientNotified != test.wantEnded || boundReported != test.wantEnded || policy.lastEvent().Final != test.wantEnded || record.answerCount != 1 {
-				t.Errorf("clients received messages %+v, placer received a Bound event: %v, last event of the placer is %+v; want one notification, a Bound event and a final last event only if the task ended", clientMessages, boundReported, policy.lastEvent())
+				t.Errorf("clients received messages %+v, the placer received a Bound event: %v, the last event of the placer is %+v; for a task that counts as ended, want one message with CauseLost, a Bound event, and Final set in the last event; otherwise, want one message with another cause, no Bound event, and Final not set", clientMessages, boundReported, policy.lastEvent())
 			}
 			harness.acceptAttempt(attempt)
 			if harness.core.RunningTasks() != 0 || record.answerCount != 1 {
-				t.Error("after the node accepted the ended attempt, the task runs or the client received a second answer")
+				t.Error("after a late Running message for the ended attempt, the core counts the task as running or has sent a second answer to the client")
 			}
 		})
 	}
@@ -88,13 +90,13 @@
 		expiresAt placer.Seconds // expiresAt is 0 if the attempt must not be sent.
 	}{
 		{"placer gives no expiry time", 1, 0, func(*request) {}, 110},
-		{"expiry time before the deadline of the request", 1, 105, func(*request) {}, 105},
-		{"expiry time after the deadline of the request", 1, 150, func(*request) {}, 110},
-		{"expiry time has passed", 1, 100, func(*request) {}, 0},
-		{"node is not in the registry", 7, 105, func(*request) {}, 0},
+		{"placer gives an expiry time before the deadline of the request", 1, 105, func(*request) {}, 105},
+		{"placer gives an expiry time after the deadline of the request", 1, 150, func(*request) {}, 110},
+		{"placer gives an expiry time that has already passed", 1, 100, func(*request) {}, 0},
+		{"node is not in the node registry", 7, 105, func(*request) {}, 0},
 		{"request is in a final state", 1, 105, func(req *request) { req.state = requestWithdrawn }, 0},
-		{"request reaches the maximum number of attempts", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
-		{"request exceeds the maximum number of attempts", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
+		{"request reaches the maximum number of attempts with this attempt", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 3) }, 105},
+		{"request exceeds the maximum number of attempts with this attempt", 1, 105, func(req *request) { req.attempts = make([]*Attempt, 4) }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			shared := &sharedState{now: 100, counts: &Counts{}, settings: &simconfig.Settings{}}
@@ -110,13 +112,13 @@
 			attempt := req.lastAttempt()
 			if test.expiresAt == 0 {
 				if attempt.state != attemptAbandoned || len(shared.effects) != 0 || len(table.byKey) != 0 {
-					t.Errorf("attempt that must not be sent is in state %v with effects %+v, want an abandoned attempt that is not in the attempt table, without effects", attempt.state, shared.effects)
+					t.Errorf("attempt that must not be sent is in state %v, and the core added effects %+v; want state abandoned, no effects, and no entry in the attempt table", attempt.state, shared.effects)
 				}
 				return
 			}
 			sendRequested := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
 			if attempt.state != attemptPending || !sendRequested || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
-				t.Errorf("attempt is in state %v, expires at time %v and has effects %+v, want a pending attempt in the attempt table, one SendAttempt effect and a timer for the expiry", attempt.state, attempt.expiresAt, shared.effects)
+				t.Errorf("attempt is in state %v and expires at time %v, and the core added effects %+v; want state pending, the expiry time of the test case, one SendAttempt effect, a timer for the expiry, and an entry in the attempt table", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -69,7 +69,7 @@
 	return recorder
 }
 
-// startWithRequest returns a recorder like start does. In addition, the core of the recorder uses a
+// startWithRequest returns the same recorder as start, except that the core of the recorder uses a
 // randomPlacer and has received one placement request.
 func (setup scenarioSetup) startWithRequest(t *testing.T) *scriptRecorder {
 	t.Helper()
@@ -110,9 +110,9 @@
 	}
 }
 
-// runRedelivery closes client connections on which notifications were sent, so that the notifications are
-// sent again. The variants cover clients that do and do not acknowledge notifications, intervals close to the
-// time limits of notifications, and the case that no client connection is left.
+// runRedelivery closes client connections on which notifications were sent. The core then has to send some of
+// these notifications again. The variants cover clients that do and do not acknowledge notifications,
+// intervals close to the time limits of notifications, and the case that no client connection is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -139,8 +139,8 @@
 	})
 }
 
-// reportTaskEnds makes nodes report the ends of the tasks with the IDs from firstID to lastID. The method
-// requestAdoptions has requested the adoption of these tasks before.
+// reportTaskEnds makes nodes report the ends of the tasks with the IDs from firstID to lastID. These tasks
+// must have been adopted by a call of requestAdoptions.
 func (recorder *scriptRecorder) reportTaskEnds(firstID, lastID uint64) {
 	for id := firstID; id <= lastID; id++ {
 		msg := wireMessage(protocol.Stop, id)
@@ -179,10 +179,10 @@
 // of the adoption to shortly after incarnationTolerance has passed.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
-	// Each variant has its own time between the adoption of the task and the start of the new incarnation.
+	// restartDelaysMS contains the time from the adoption to the new incarnation, for each variant.
 	restartDelaysMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		// In the golden file, the word "life" stands for an incarnation, and the number is the delay in
+		// The golden file uses the word "life" for an incarnation. The number in the label is the delay in
 		// milliseconds.
 		label := fmt.Sprintf("new life after %d", restartDelaysMS[variant])
 		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
@@ -221,9 +221,9 @@
 	})
 }
 
-// runLateAnswer sends an attempt and makes the node accept it close to the expiry time of the attempt. The
-// expiry timer of the attempt has not run yet. In half of the variants, the connection to the node is lost
-// before the node accepts. At the end, the client requests the adoption of the task.
+// runLateAnswer sends an attempt and makes the node accept the attempt close to its expiry time. The expiry
+// timer of the attempt has not run yet. In half of the variants, the connection to the node is lost before
+// the node accepts the attempt. At the end, the client requests the adoption of the task.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -243,9 +243,9 @@
 	})
 }
 
-// answerLate makes a node accept the first attempt at the time answerTime. If connectionLost is set, the
-// connection to the node is lost before the node accepts. The client then requests the adoption of the task,
-// which runs on that node.
+// answerLate makes a node accept the first of the sent attempts at the time answerTime. If connectionLost is
+// set, the connection to the node is lost before the node accepts the attempt. The client then requests the
+// adoption of the task, which runs on that node.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
 	attempt := recorder.sentAttempts[0]
 	recorder.now = max(recorder.now, answerTime)
--- a/internal/platform/dispatch/characterization_recorder_test.go
+++ b/internal/platform/dispatch/characterization_recorder_test.go
@@ -31,15 +31,15 @@
 	lastConn        dispatch.ConnID
 	conns           []dispatch.ConnID
 	lastID          uint64              // lastID is the last ID that was assigned to a launch message.
-	pendingAttempts []*dispatch.Attempt // These attempts were not sent yet.
-	// sentAttempts contains the attempts that were sent and those of adopted tasks. Some of them have ended.
+	pendingAttempts []*dispatch.Attempt // These attempts have not been sent yet.
+	// sentAttempts contains all sent attempts and the attempts of all adopted tasks, even if they have ended.
 	sentAttempts []*dispatch.Attempt
-	// nodeStates maps the number of a node to the state in the last entry of that node in a node list.
+	// nodeStates maps the number of each node to the state that its last entry in a node list contains.
 	nodeStates    map[int]string
 	sortEffects   bool // sortEffects is set for scripts in which the order of the effects is not defined.
 	recordedLines []string
-	// label is the beginning of the golden lines of the script. In a label, the word "shape" stands for
-	// settingsIndex.
+	// label is the text with which each recorded line of the script begins. If it contains the word "shape",
+	// the number after that word is settingsIndex.
 	label string
 }
 
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -204,7 +204,8 @@
 	recorder.receiveFromAnyClient(msg)
 }
 
-// sendPendingAttempt sends a random pending attempt. The core may have ended the attempt in the meantime.
+// sendPendingAttempt sends a random attempt from pendingAttempts, unless the core has ended the attempt in
+// the meantime.
 func (recorder *scriptRecorder) sendPendingAttempt() {
 	if len(recorder.pendingAttempts) == 0 {
 		return
@@ -285,10 +286,10 @@
 	}
 }
 
-// deliverDiscoveryEvent passes one discovery event to the core. The event may be invalid. It changes at most
-// one node, since the core does not define the order in which it handles nodes that terminate at the same
-// time. The order in which it ends the tasks of one node is not defined either, so a node starts a new
-// incarnation only if it runs at most one task.
+// deliverDiscoveryEvent passes one discovery event to the core. The event may be invalid. An event changes at
+// most one node, because the order in which the core handles several nodes that terminate at the same time is
+// not defined. The core also ends the tasks of a restarted node in no defined order, so a node starts a new
+// incarnation only while it runs at most one task.
 func (recorder *scriptRecorder) deliverDiscoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodeCount)
@@ -314,9 +315,11 @@
 	recorder.digestError(err)
 }
 
-// drawStartTime returns a random start time, in milliseconds, for the node with the given number. The start
-// time is less than incarnationTolerance in the future. If it were later, a later node list could end several
-// tasks of the node at the same time, and the order of these ends is not defined.
+// drawStartTime returns a random start time, in milliseconds, for the node with the given number. The core
+// ends a running task if the start time of the node is later than the start of the task by more than
+// incarnationTolerance. The returned time is less than incarnationTolerance in the future, so the core does
+// not end tasks that start from now on. With a later time, a later node list could end several tasks of the
+// node at once, and the order of these ends is not defined.
 func (recorder *scriptRecorder) drawStartTime(number int) int64 {
 	node := recorder.core.Node(nodeID(number))
 	if node == nil || node.RunningTasks() > 1 {
@@ -325,10 +328,9 @@
 	return randomChoice(recorder, 0, 0, int64(recorder.now*1000), int64(recorder.now*1000)-1000, int64(recorder.now*1000)+900)
 }
 
-// completeNodeList returns the entries of a complete node list. In this list, one node has a new state: the
-// parameter changedNode is the number of this node, and newState is its state. If newState is "terminated",
-// the list does not contain this node. All other nodes have the states in nodeStates, which come from their
-// last entries.
+// completeNodeList returns the entries of a complete node list. The entry of the node with the number
+// changedNode has the state newState. If newState is "terminated", the list contains no entry for this node.
+// All other nodes have the states of their last entries, which nodeStates contains.
 func (recorder *scriptRecorder) completeNodeList(changedNode int, newState string) (list []string) {
 	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -12,10 +12,11 @@
 
 // TestCharacterization runs random scripts with fixed seeds and the scenarios of runScenarios against cores,
 // and compares digests of the observable behavior with a golden file. Each digest covers all steps up to its
-// checkpoint, so the first step whose behavior differs lies before the first checkpoint whose digest differs.
-// The digests cover only numbers, wire bytes and float bits, and do not depend on names in the source. The
-// environment variable HEATHSHED_UPDATE_GOLDEN=1 makes the test rewrite the golden file. The test fails if
-// the golden file is missing.
+// checkpoint. If the digest of a checkpoint differs from the golden file and the digest of the preceding
+// checkpoint does not, the behavior first differs in a step between these checkpoints. The digests cover only
+// numbers, wire bytes and float bits, and do not depend on names in the source. The environment variable
+// HEATHSHED_UPDATE_GOLDEN=1 makes the test rewrite the golden file. The test fails if the golden file is
+// missing.
 func TestCharacterization(t *testing.T) {
 	var lines []string
 	for settingsIndex := range settingsVariants {
@@ -81,9 +82,9 @@
 	}{
 		{name: "initial events are empty", initialEvents: ""},
 		{name: "initial events are an empty JSON object", initialEvents: "{}"},
-		{name: "list has an event number but no events", initialEvents: `{"no":5}`, lastEvent: 5},
-		{name: "event has a higher number than the list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodeCount: 1},
-		{name: "first event has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodeCount: 2},
+		{name: "event list has a last event number but no events", initialEvents: `{"no":5}`, lastEvent: 5},
+		{name: "event number is higher than the last event number of the event list", initialEvents: eventList(2, dispatch.DiscoveryEventJSON(7, false, firstNode)), lastEvent: 7, nodeCount: 1},
+		{name: "first of two events has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodeCount: 2},
 		{name: "node has no UID", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
 		{name: "node has an unknown state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
 		{name: "JSON is truncated", initialEvents: `{"no":`, invalid: true},
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message that has the same ID as an existing request. Two requests with the
-// same ID cannot both be answered. If the existing request is open and arrived on the same connection, it is
-// withdrawn too.
+// rejectDuplicate rejects a launch message whose ID is the ID of an existing request, because two requests
+// with the same ID cannot both be answered. If the existing request is open and arrived on the same client
+// connection, the existing request is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
 	if existingRequest.conn == client.id && existingRequest.runningAttempt() == nil {
 		h.requests.withdraw(existingRequest)
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -12,12 +12,12 @@
 type ConnID uint64
 
 // clientConn is the state of one client connection, and is owned by clientRegistry. Until a valid message has
-// arrived on the connection, its peer may be any program that connected to the port.
+// arrived on the connection, the peer may be any program that connected to the port of the scheduler.
 type clientConn struct {
 	id           ConnID
 	openRequests map[*request]struct{}
-	// lastPlacedAt is when a task that was requested on this connection last started or was adopted. It is 0
-	// if there is no such task.
+	// lastPlacedAt is the last time at which the task of a request on this connection started or was adopted.
+	// It is 0 if there is no such task.
 	lastPlacedAt       placer.Seconds
 	lastValidMessageAt placer.Seconds // lastValidMessageAt is 0 until a valid message has arrived.
 	notifications      deliveryLog    // Only notifier writes the log of the notifications on this connection.
@@ -26,7 +26,7 @@
 // hasSentValidMessage reports whether a valid message has arrived on the connection.
 func (conn *clientConn) hasSentValidMessage() bool { return conn.lastValidMessageAt > 0 }
 
-// hasOpenRequest reports whether the set openRequests contains a request.
+// hasOpenRequest reports whether the given request is one of the open requests of the connection.
 func (conn *clientConn) hasOpenRequest(req *request) bool {
 	_, isOpen := conn.openRequests[req]
 	return isOpen
@@ -70,7 +70,7 @@
 	r.conns[id] = &clientConn{id: id, openRequests: map[*request]struct{}{}}
 }
 
-// disconnect removes a connection and returns it. It returns nil if the connection is not open.
+// disconnect removes a client connection and returns it. It returns nil if the connection is not open.
 func (r *clientRegistry) disconnect(id ConnID) *clientConn {
 	conn := r.conns[id]
 	delete(r.conns, id)
@@ -106,8 +106,8 @@
 	}
 }
 
-// recordPlacedTask records for the client connection of a request that the task of the request has started or
-// was adopted.
+// recordPlacedTask sets lastPlacedAt of the client connection on which a request arrived. It is called when
+// the task of the request has started or was adopted.
 func (r *clientRegistry) recordPlacedTask(req *request) {
 	if conn := r.conns[req.conn]; conn != nil {
 		conn.lastPlacedAt = r.now
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -11,15 +11,15 @@
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
 		preferredConn ConnID
 		wantConn      ConnID // wantConn is 0 if no connection is selected.
-		onlyClient    ConnID // onlyClient is 0 if no connection or several ones have sent a valid message.
+		onlyClient    ConnID // onlyClient is 0 unless a valid message arrived on exactly one connection.
 	}{
 		{"no connection is open", nil, 1, 0, 0},
-		{"no connection has sent a valid message", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
-		{"preferred connection is open but has sent no valid message", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
-		{"only one connection has sent a valid message", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
+		{"no valid message has arrived on any connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
+		{"preferred connection is open but no valid message has arrived on it", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
+		{"a valid message has arrived on only one connection", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
 		{"connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
-		{"placement times are equal, connection with the most recent valid message is selected", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
-		{"placement and message times are equal, connection with the highest ID is selected", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
+		{"connection with the most recent valid message is selected if the placement times are equal", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
+		{"connection with the highest ID is selected if the placement times and the message times are equal", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newClientRegistry(&sharedState{})
@@ -38,7 +38,7 @@
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
-					t.Errorf("isOnlyClient returned %v for connection %d, want the opposite", isOnlyClient, id)
+					t.Errorf("isOnlyClient returned %v for client connection %d, want true only for the one connection on which a valid message arrived", isOnlyClient, id)
 				}
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -1,8 +1,9 @@
-// Package dispatch implements the state machine of a scheduler on the shared platform, where clients send
-// placement requests to schedulers and nodes run the tasks. It tracks the placement requests of clients, the
-// attempts to start their tasks on nodes, the running tasks, the undelivered notifications and the node
-// registry. It translates between the messages of clients and nodes, which package protocol defines, and the
-// events and actions of package placer. Package server runs a Core on network connections.
+// Package dispatch implements the state machine of a scheduler on the shared platform. Clients of the
+// platform send placement requests to the scheduler, and the scheduler starts their tasks on nodes of the
+// platform. The package tracks the placement requests of clients, the attempts to start their tasks on nodes,
+// the running tasks, the undelivered notifications and the node registry. It translates between the messages
+// of clients and nodes, which package protocol defines, and the events and actions of package placer. Package
+// server runs a Core on network connections.
 //
 // The design follows the raft package of etcd: each method call reports what happened and at which time,
 // and Core.Ready returns the effects that the caller has to carry out. The package has no I/O, clock,
@@ -39,9 +40,11 @@
 // about 2 KB of memory.
 const maxTasks = 20000
 
-// Core is the state machine of a scheduler on the shared platform. It is not safe for concurrent use.
+// Core is the state machine of one scheduler. It handles the messages of clients and nodes and the events of
+// discovery. Core is not safe for concurrent use.
 type Core struct {
-	// Counts may be read by the caller of the core, but must not be written by it.
+	// Counts contains the counters of the core. The caller of the core may read the counters but must not
+	// change them.
 	Counts Counts
 
 	*sharedState
@@ -55,9 +58,10 @@
 	nodeMessages   *nodeMessageHandler
 }
 
-// New returns a core whose node registry is built from the discovery events from before the scheduler start.
-// The parameter initialEvents contains these events: it is the JSON value of the key "known" in the
-// platform's configuration, or empty. The returned error names the invalid part of initialEvents.
+// New returns a core whose node registry contains the nodes from initialEvents. The parameter initialEvents
+// contains the discovery events from before the scheduler start. It is the JSON value of the key "known" in
+// the configuration of the platform, or empty. If initialEvents is invalid, the returned error names the
+// invalid part.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, initialEvents []byte) (*Core, error) {
 	c := &Core{}
 	c.sharedState = &sharedState{settings: settings, counts: &c.Counts, now: now}
@@ -162,8 +166,8 @@
 	c.runEvents()
 }
 
-// ClientRequests returns the number of open requests on a client connection, and whether any task that was
-// requested on that connection has started or was adopted.
+// ClientRequests returns the number of open requests on a client connection. It also returns whether the task
+// of any request on that connection has started or was adopted.
 func (c *Core) ClientRequests(conn ConnID) (openCount int, hasPlacedTask bool) {
 	client := c.clients.get(conn)
 	if client == nil {
@@ -172,9 +176,9 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsOnlyClient reports whether tasks are running and a client connection is the only open one on which a
-// valid message has arrived. If such a connection is closed, no other connection is left on which clients can
-// be notified that their tasks have ended.
+// IsOnlyClient reports whether tasks are running and the given client connection is the only open one on
+// which a valid message has arrived. If this connection is closed, no other connection is left on which
+// clients can be notified that their tasks have ended.
 func (c *Core) IsOnlyClient(conn ConnID) bool {
 	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
 }
@@ -219,17 +223,18 @@
 	c.runEvents()
 }
 
-// ReceiveFromNode handles one message of a node. If no attempt for the task of the message was sent to the
-// node, or if that attempt was already removed, the core only counts the message. There is one exception: if
-// the message reports the end of a task that the core does not know, the core also records that end, because
-// a client may still request the adoption of the task.
+// ReceiveFromNode handles one message of a node about a task. The message has an effect only if an attempt
+// for this task was sent to the node and the attempt has not been removed. Otherwise the core only counts the
+// message. There is one exception: the core also records the end of a task that it does not know, because a
+// client may still request the adoption of that task.
 func (c *Core) ReceiveFromNode(now placer.Seconds, node placer.NodeID, msg *protocol.Message) {
 	c.setClock(now)
 	c.nodeMessages.receive(node, msg)
 	c.runEvents()
 }
 
-// NodeDead ends all tasks that run on a node whose process has exited or that has been terminated.
+// NodeDead tells the core that the process of a node has exited or that the node has been terminated. The
+// core ends all tasks that run on the node.
 func (c *Core) NodeDead(now placer.Seconds, id placer.NodeID) {
 	c.setClock(now)
 	c.nodes.endTasksOf(id)
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -8,10 +8,9 @@
 	// Adopted counts the adoption requests, which are the launch messages that name a node on which the task
 	// already runs.
 	Adopted uint64
-	// Accepted counts the new placement requests of clients that the core found to be valid and passes to the
-	// placer.
+	// Accepted counts the valid new placement requests. The core passes these requests to the placer.
 	Accepted uint64
-	// Placed counts the new placement requests that were answered with the message that the task runs.
+	// Placed counts the new placement requests that were answered with a Running message.
 	Placed uint64
 	// Rejected counts the requests that the placer decided to reject for lack of capacity.
 	Rejected uint64
@@ -39,12 +38,13 @@
 	// TimedOut counts the attempts that were sent but not answered before they expired.
 	TimedOut uint64
 	// Expired counts the attempts that ended while they waited to be sent, unless no connection to the node
-	// could be established. It also counts the attempts that a node reports to have received too late.
+	// could be established. It also counts the attempts that a node rejected because they arrived after their
+	// deadline.
 	Expired uint64
-	// LateAnswers counts the messages with which nodes accept attempts that had already been abandoned.
+	// LateAnswers counts the Running messages of nodes for attempts that had already been abandoned.
 	LateAnswers uint64
-	// UnknownTasks counts the messages with which a node accepts or ends a task that was never sent to the
-	// node, or whose attempt was already removed from the attempt table.
+	// UnknownTasks counts the Running and Stop messages of nodes about unknown tasks. A task is unknown if it
+	// was never sent to the node, or if its attempt was already removed from the attempt table.
 	UnknownTasks uint64
 
 	// TasksEnded counts the running tasks that ended, for any reason.
@@ -60,8 +60,8 @@
 	// ExpiredNotifications counts the pending notifications that were discarded because no client connection
 	// became available in time.
 	ExpiredNotifications uint64
-	// Redeliveries counts the notifications that were sent again because the connection on which they had
-	// been sent closed before the client acknowledged them.
+	// Redeliveries counts the notifications that were sent again. A notification is sent again if its client
+	// connection closed before the client acknowledged the notification.
 	Redeliveries uint64
 	// InvalidMessages counts the client messages that ReceiveFromClient rejected as invalid.
 	InvalidMessages uint64
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -18,14 +18,14 @@
 }
 
 // earlyTerminationLog records the ends of tasks that the scheduler does not know, for as long as clients may
-// still request the adoption of these tasks. After a scheduler start, a node reports on its first connection
-// which tasks ended while it had no connection to a scheduler. These reports can arrive before the adoption
-// requests, of which clients send thousands. The number of records is limited. A full log removes its oldest
-// record when it adds a new one.
+// still request the adoption of these tasks. After a scheduler start, each node connects to the scheduler and
+// reports which of its tasks ended while the node was not connected. These reports can arrive before the
+// adoption requests for the same tasks, because clients send thousands of adoption requests. The number of
+// records is limited. A full log removes its oldest record when it adds a new one.
 type earlyTerminationLog struct {
 	*sharedState
 	records         map[attemptKey]earlyTermination
-	keysOldestFirst []attemptKey // keysOldestFirst contains the keys of the records. The oldest is the first.
+	keysOldestFirst []attemptKey // keysOldestFirst contains the keys of all records, from old to new.
 }
 
 func newEarlyTerminationLog(shared *sharedState) *earlyTerminationLog {
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -6,16 +6,16 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestEarlyTerminationLog checks that the log keeps the record of the first report of the end of a task for
-// notificationRetention, that the log sets one timer for all records, and that a full log removes its oldest
-// record.
+// TestEarlyTerminationLog checks three properties of the log. It keeps the record of the end of a task for
+// notificationRetention and ignores repeated reports of this end. It sets one timer for all records. A full
+// log removes its oldest record when it adds a new one.
 func TestEarlyTerminationLog(t *testing.T) {
 	shared := &sharedState{now: 100}
 	log := newEarlyTerminationLog(shared)
 	requireRecord := func(id protocol.ID, cause protocol.Cause, want bool) {
 		t.Helper()
 		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
-			t.Errorf("at time %v: record of task %d is %+v, record exists: %v, want %v", shared.now, id, record, found, want)
+			t.Errorf("at time %v, the log record of task %d is %+v, and the log contains the record: %v, want %v; a record must contain the cause of the first report", shared.now, id, record, found, want)
 		}
 	}
 
@@ -26,7 +26,7 @@
 
 	requireRecord(1, 16, true)
 	if shared.timers.Len() != 1 || shared.timers.NextTimeOr(0) != 100+notificationRetention {
-		t.Errorf("%d timers are set, the next one for time %v; want one timer, for the expiry of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
+		t.Errorf("the log has set %d timers, the next of them for time %v; want one timer, for the expiry time of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
 	}
 	shared.runDueTimers(100 + notificationRetention)
 	requireRecord(1, 0, false)
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -30,7 +30,7 @@
 			if protocol.Parse([]byte(line), &msg) != nil {
 				continue
 			}
-			// Errors are ignored, since most messages are invalid.
+			// Most messages are invalid, so the errors of ReceiveFromClient are ignored.
 			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg)
 			for _, effect := range harness.core.Ready() {
 				if effect.Kind == SendAttempt {
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -26,7 +26,7 @@
 	clientRecords   map[protocol.ID]*clientRecord
 	pendingAttempts []*Attempt // These attempts wait for a connection to their node.
 	sentAttempts    []*Attempt // These attempts were sent, and some of them have ended.
-	runningAttempts []*Attempt // The method endAllTasks reports the ends of these attempts.
+	runningAttempts []*Attempt // endAllTasks makes nodes report that these attempts have ended.
 }
 
 // clientRecord records what the client of one task sent and received.
@@ -77,8 +77,8 @@
 	return harness, policy, harness.sentAttempts[0]
 }
 
-// runningAttempt creates a core and sends an attempt of a new request to node 1, which accepts it. It returns
-// the harness of the core, the placer that the core uses, and the attempt.
+// runningAttempt creates a core and sends an attempt of a new request to node 1, which accepts the attempt.
+// It returns the harness of the core, the placer that the core uses, and the attempt.
 func runningAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	harness, policy, attempt := sentAttempt(t, class)
@@ -192,25 +192,25 @@
 		record.answerCount++
 		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
 		if isUnexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("client received an invalid or late answer %v at time %v, client record is %+v, connection is %d", msg, harness.now, record, conn)
+			harness.t.Fatalf("client received Running message %v at time %v, client record is %+v, message arrived on connection %d; want a Running message only for an open request, with body \"out\", in time and on the connection of the request", msg, harness.now, record, conn)
 		}
 		record.knowsTaskRuns = true
 	case record.knowsTaskRuns:
 		record.notificationCount++
-		// A second notification is allowed only if the connection on which the first one was sent closed and
-		// the client had not acknowledged the first one.
+		// A second notification is allowed only if the connection of the first notification closed before the
+		// client acknowledged the first notification.
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
-			harness.t.Fatalf("client was notified of the end of its task a second time, with message %v", msg)
+			harness.t.Fatalf("client received message %v, which is a second notification of the end of its task", msg)
 		}
 		record.lastNotificationConn = conn
 	default:
 		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("client received an unexpected or late rejection %v at time %v, client record is %+v", msg, harness.now, record)
+			harness.t.Fatalf("client received rejection %v at time %v, client record is %+v; want a rejection only in time and only of a request that was not withdrawn", msg, harness.now, record)
 		}
 	}
 	if record.answerCount > 1 {
-		harness.t.Fatalf("client received a second answer to its request, message %v", msg)
+		harness.t.Fatalf("client received message %v, which is a second answer to its request", msg)
 	}
 }
 
@@ -241,7 +241,7 @@
 		}
 	}
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
-		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, want a ready node and a time before the expiry at %v", node.State, harness.now, attempt.expiresAt)
+		harness.t.Fatalf("attempt was sent to a node in state %d at time %v, want a node in state Ready and a time before the expiry time %v", node.State, harness.now, attempt.expiresAt)
 	}
 	harness.sentAttempts = append(harness.sentAttempts, attempt)
 	harness.carryOutEffects()
@@ -262,7 +262,7 @@
 	harness.lastEventNumber++
 	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
 	if !ok || err != nil {
-		harness.t.Fatalf("discovery event %d was not applied: ok is %v, error is %v", harness.lastEventNumber, ok, err)
+		harness.t.Fatalf("discovery event %d was not applied: ReceiveDiscoveryEvent returned ok %v and error %v", harness.lastEventNumber, ok, err)
 	}
 }
 
@@ -283,7 +283,7 @@
 	harness.requireEmpty()
 	harness.requireInvariants()
 	if pendingCount := len(harness.core.notifier.pendingNotifications); pendingCount != 0 {
-		harness.t.Fatalf("core has %d pending notifications after all retention times, want 0", pendingCount)
+		harness.t.Fatalf("core has %d pending notifications after all retention times have passed, want 0", pendingCount)
 	}
 }
 
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -73,10 +73,10 @@
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
-			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x, want an attempt that is not terminated, under its own node and ID", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x, want no terminated attempt, and each attempt under its own node and task ID", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x is in state %v; contained in the node's running attempts: %v, want true only in state running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x is in state %v; the set of running attempts of the node contains the attempt: %v, want true only in state running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
@@ -107,7 +107,7 @@
 	for i, key := range l.keysOldestFirst {
 		record, found := l.records[key]
 		if !found || i > 0 && record.expiresAt < l.records[l.keysOldestFirst[i-1]].expiresAt {
-			return fmt.Errorf("early termination %d of %d: record exists: %v, record expires at %v; want a record that does not expire before the preceding one", i, len(l.keysOldestFirst), found, record.expiresAt)
+			return fmt.Errorf("early termination %d of %d, counted from 0: the log has a record: %v, the record expires at time %v; want a record that does not expire before the preceding record", i, len(l.keysOldestFirst), found, record.expiresAt)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -20,22 +20,22 @@
 			core.attempts.transition(openRequest.lastAttempt(), attemptPending)
 		}},
 		{"request is missing from the index by message ID", "2 requests are indexed by task ID and 1 by message ID", func(core *Core, openRequest, _ *request) { delete(core.requests.byID, openRequest.message.ID) }},
-		{"one request is stored under two IDs", "and by message ID contain different requests", func(core *Core, openRequest, runningRequest *request) {
+		{"request is indexed under the message ID of another request", "and by message ID contain different requests", func(core *Core, openRequest, runningRequest *request) {
 			core.requests.byID[runningRequest.message.ID] = openRequest
 		}},
-		{"openCount is too high", "1 requests are open, but openCount is 2 and the client connections have 1 open requests", func(core *Core, _, _ *request) { core.requests.openCount++ }},
-		{"open request is missing from its connection", "the open request is missing from the open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
+		{"openCount of the request table is too high", "1 requests are open, but openCount is 2 and the client connections have 1 open requests", func(core *Core, _, _ *request) { core.requests.openCount++ }},
+		{"open request is missing from the open requests of its connection", "the open request is missing from the open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
 		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, openRequest, _ *request) { core.attempts.markRunning(openRequest.lastAttempt()) }},
-		{"running request has no attempt", "no attempt runs the task", func(_ *Core, _, runningRequest *request) { runningRequest.attempts = nil }},
+		{"request of a running task has no attempt", "no attempt runs the task", func(_ *Core, _, runningRequest *request) { runningRequest.attempts = nil }},
 		{"terminated request was not removed", "the request has ended but was not removed", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
 		{"terminated attempt was not removed", "in state terminated is stored under node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
-		{"running attempt is missing from its node", "in state running; contained in the node's running attempts: false, want true only in state running", func(core *Core, _, runningRequest *request) {
+		{"running attempt is missing from the running attempts of its node", "in state running; the set of running attempts of the node contains the attempt: false, want true only in state running", func(core *Core, _, runningRequest *request) {
 			core.nodes.removeRunningAttempt(runningRequest.lastAttempt())
 		}},
-		{"running attempts of a node contain an unanswered attempt", "in state sent; contained in the node's running attempts: true, want true only in state running", func(core *Core, openRequest, _ *request) {
+		{"unanswered attempt is in the running attempts of its node", "in state sent; the set of running attempts of the node contains the attempt: true, want true only in state running", func(core *Core, openRequest, _ *request) {
 			core.nodes.addRunningAttempt(openRequest.lastAttempt())
 		}},
-		{"running attempts of several nodes contain the same attempt", "in state running, which does not run on that node", func(core *Core, _, runningRequest *request) {
+		{"running attempt is in the running attempts of several nodes", "in state running, which does not run on that node", func(core *Core, _, runningRequest *request) {
 			for _, node := range core.nodes.nodes {
 				node.runningAttempts[runningRequest.lastAttempt()] = struct{}{}
 			}
@@ -44,8 +44,8 @@
 		{"early termination log has a key without a record", "0 records, but 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
-		{"early terminations are not in the order of their expiry", "early termination 1 of 2", func(core *Core, _, _ *request) {
-			core.now = 0 // Outside tests, the clock never moves backwards.
+		{"early terminations are not in the order of their expiry", "early termination 1 of 2, counted from 0", func(core *Core, _, _ *request) {
+			core.now = 0 // Only a test can move the clock backwards.
 			core.nodeMessages.earlyTerminations.add(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
 	} {
--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -10,8 +10,9 @@
 	"heathshed/placer"
 )
 
-// parseLoadReport returns the load report in a message of a node. It uses only the report fields that are in
-// the given list of fields, and returns nil if the message contains a number for none of them.
+// parseLoadReport returns the load report in a message of a node. It ignores report fields that are not in
+// the given list of fields, and report fields whose values are not numbers. If no report field is left, it
+// returns nil.
 func parseLoadReport(fields []string, msg *protocol.Message) *placer.Report {
 	text := msg.Get(protocol.LoadReport)
 	if text == "" {
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -29,7 +29,7 @@
 // RunningTasks returns the number of tasks that run on the node.
 func (n *Node) RunningTasks() int { return len(n.runningAttempts) }
 
-// runs reports whether the set of running attempts contains an attempt.
+// runs reports whether the given attempt is in the node's set of running attempts.
 func (n *Node) runs(attempt *Attempt) bool {
 	_, isRunning := n.runningAttempts[attempt]
 	return isRunning
@@ -82,8 +82,8 @@
 	n.stateChangedAt = now
 }
 
-// restartedAfter reports whether the current incarnation of the node started after the task of an attempt
-// started on the node.
+// restartedAfter reports whether the node started a new incarnation after it had started the task of an
+// attempt. Start times that differ by at most incarnationTolerance count as equal.
 func (n *Node) restartedAfter(attempt *Attempt) bool {
 	return n.StartedAt > attempt.runningSince+incarnationTolerance
 }
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -16,8 +16,8 @@
 	"tight": placer.NodeMemory,
 }
 
-// stopReasonsByNote maps the field Note of a Stop message to the reason for which the node rejected or ended
-// the task. If the map does not contain the note, the node gives no reason.
+// stopReasonsByNote maps the field Note of a Stop message to the reason why the node rejected or ended the
+// task. A note that is not in the map gives no reason.
 var stopReasonsByNote = map[string]placer.Reason{
 	"cpu_full":   placer.InsufficientCores,
 	"mem_full":   placer.InsufficientMemory,
@@ -54,9 +54,9 @@
 	}
 }
 
-// handleUnmatchedMessage handles a message of a node if no attempt for the task of the message was sent to
-// the node, or if that attempt was already removed. The parameter unsentAttempt is the attempt with the key
-// of the message that has yet to be sent to the node, or nil if there is none.
+// handleUnmatchedMessage handles a message about a task if no attempt for the task was sent to the node, or
+// if the sent attempt was already removed. The parameter unsentAttempt is the pending attempt with the given
+// key, or nil if there is no such attempt.
 func (h *nodeMessageHandler) handleUnmatchedMessage(key attemptKey, unsentAttempt *Attempt, msg *protocol.Message) {
 	if msg.Kind == protocol.Running || msg.Kind == protocol.Stop {
 		h.counts.UnknownTasks++
@@ -73,7 +73,7 @@
 	if !known || attempt.state != attemptRunning || attempt.request.state.isFinal() {
 		return
 	}
-	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // A text that is not a number has the value 0.
+	value, _ := strconv.ParseFloat(msg.Get(protocol.Value), 64) // A text that is not a number counts as 0.
 	h.postEvent(placer.Event{
 		Kind:    placer.UsageReported,
 		TaskID:  attempt.request.taskID,
@@ -101,11 +101,11 @@
 	}
 }
 
-// handleLateAnswer handles the message with which a node accepts an attempt that was already abandoned. If
-// the task may run a second time on another node, or if its client withdrew the request, the task uses
-// capacity without benefit, so its node is asked to stop it at once. The client of any other task later
-// queries the nodes and requests the adoption of the task. The task must not start a second time, so it is
-// not stopped.
+// handleLateAnswer handles a Running message for an attempt that was already abandoned. If the task is
+// idempotent, it may run a second time on another node. The running task then uses capacity without benefit,
+// so the node is asked to stop the task at once. The same applies if the client withdrew the request. Any
+// other task must not start a second time, so the task is not stopped. The client later queries the nodes and
+// requests the adoption of the task.
 func (h *nodeMessageHandler) handleLateAnswer(attempt *Attempt) {
 	h.counts.LateAnswers++
 	idempotent := h.settings.Placer.Classes[attempt.request.class].Idempotency == placer.Idempotent
@@ -165,7 +165,8 @@
 }
 
 // impliesAcceptance reports whether a Stop message with the given reason proves that the node had accepted
-// the attempt. A node can evict, preempt or drain only a task that it has accepted before.
+// the attempt. A node can evict or preempt a task, or end a task because the node is draining, only after the
+// node has accepted the task.
 func impliesAcceptance(reason placer.Reason) bool {
 	return reason == placer.Evicted || reason == placer.Preempted || reason == placer.Drained
 }
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// TerminationGrace is the time between the discovery event that reports a node as terminated and the time
-	// at which the running tasks of the node are assumed to be lost.
+	// TerminationGrace is the delay after which the running tasks of a terminated node are assumed to be
+	// lost. The delay starts when a discovery event reports the node as terminated.
 	TerminationGrace placer.Seconds = 1.0
 	// terminatedNodeRetention is how long a terminated node is kept in the node registry.
 	terminatedNodeRetention placer.Seconds = 60.0
@@ -78,7 +78,7 @@
 func (r *nodeRegistry) idOf(uid string) placer.NodeID {
 	id := NodeIDOf(uid)
 	for r.nodes[id] != nil && r.nodes[id].UID != uid {
-		id++ // Another node whose UID has the same hash uses this ID.
+		id++ // This ID belongs to another node whose UID has the same hash.
 	}
 	return id
 }
@@ -103,7 +103,8 @@
 }
 
 // addRunningAttempt adds an attempt to the set of running attempts of its node. If the node has already
-// terminated, no later discovery event would end the task, so addRunningAttempt sets a timer that ends it.
+// terminated, no later discovery event would end the task, so addRunningAttempt sets a timer that ends the
+// task.
 func (r *nodeRegistry) addRunningAttempt(attempt *Attempt) {
 	node := r.nodes[attempt.Node]
 	if node == nil {
@@ -176,8 +177,8 @@
 	return node
 }
 
-// terminateMissingNodes marks each node as terminated that a complete node list does not contain. The
-// parameter listedNodes is the set of the IDs of the nodes in that list.
+// terminateMissingNodes marks the nodes that are missing from a complete node list as terminated. The
+// parameter listedNodes contains the IDs of the nodes in that list.
 func (r *nodeRegistry) terminateMissingNodes(listedNodes map[placer.NodeID]bool) {
 	for id, node := range r.nodes {
 		if !listedNodes[id] && node.State != placer.Terminated {
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -7,9 +7,9 @@
 	"heathshed/placer"
 )
 
-// TestUnresponsiveNode checks that the client of a task on an unresponsive node is notified at once that the
-// task has ended. The placer must be told of the end only when the node reports it, or after
-// notificationRetention.
+// TestUnresponsiveNode checks when the client and the placer are informed that a task on an unresponsive node
+// has ended. The client must be notified at once. The placer must be informed only when the node reports the
+// end of the task, or after notificationRetention.
 func TestUnresponsiveNode(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -18,7 +18,7 @@
 	}{
 		{"node confirms that it stopped the task", protocol.CauseCancelled, placer.Cancelled},
 		{"node reports that the task had already ended", protocol.CauseEnd, placer.Finished},
-		{"node stays unresponsive", noCause, placer.Cancelled},
+		{"node sends no message for longer than notificationRetention", noCause, placer.Cancelled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, policy, attempt := runningAttempt(t, "seats")
@@ -31,7 +31,7 @@
 			stopRequested := asksNodeToStop(harness.carryOutEffects())
 			newEvents, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notificationCount != 1 || !stopRequested || newEvents != 0 || runningTasks != 1 {
-				t.Errorf("client record is %+v, node was asked to stop the task: %v, placer received %d events, core has %d running tasks; want 1 notification, true, 0 events and 1 running task", record, stopRequested, newEvents, runningTasks)
+				t.Errorf("client record is %+v, node was asked to stop the task: %v, placer received %d events, core has %d running tasks; want notificationCount 1, a Stop message to the node, 0 events and 1 running task", record, stopRequested, newEvents, runningTasks)
 			}
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
 				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
@@ -44,7 +44,7 @@
 			}
 			endReported := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notificationCount != 1 || !endReported || harness.core.RunningTasks() != 0 {
-				t.Errorf("client record is %+v, last event of the placer is %+v; want 1 notification, an Ended event with the expected result, and no running task", record, policy.lastEvent())
+				t.Errorf("client record is %+v, last event of the placer is %+v; want notificationCount 1, an Ended event with the result of the test case, and no running task in the core", record, policy.lastEvent())
 			}
 		})
 	}
@@ -70,7 +70,7 @@
 			harness.advanceClock(TerminationGrace + 0.01)
 
 			if record.notificationCount != 1 || policy.lastEvent().Result != placer.Lost {
-				t.Errorf("client record is %+v, last event of the placer is %+v; want 1 notification and an event that reports the task as lost", record, policy.lastEvent())
+				t.Errorf("client record is %+v, last event of the placer is %+v; want notificationCount 1, and result Lost in the last event", record, policy.lastEvent())
 			}
 		})
 	}
@@ -87,15 +87,15 @@
 	}{
 		{"event has the next number", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
 		{"event was already applied", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
-		{"event number skips a number", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
-		{"event is truncated", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
+		{"event number is higher than the next expected number", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
+		{"JSON text of the event is truncated", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
 		{"event contains an unknown node state", discoveryEventJSON(3, false, nodeJSON(4, "sleeping", 0)), false, true, 2},
 		{"event contains no node list", `{"no":3,"other":{}}`, true, false, 3},
 		{"event follows an event without a node list", discoveryEventJSON(4, false, nodeJSON(4, "terminating", 0)), true, false, 4},
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
 		if lastEvent := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || lastEvent != test.lastEvent {
-			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v and the last event number is %d, want the values that the test case specifies", test.name, ok, err, lastEvent)
+			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v, and LastDiscoveryEvent then returned %d; want the fields ok, invalid and lastEvent of the test case", test.name, ok, err, lastEvent)
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
@@ -113,7 +113,7 @@
 		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
-			t.Fatalf("the ID that follows the colliding ID refers to node %+v, want node 4, whose UID has the same hash as another one", node)
+			t.Fatalf("the ID after the hash of the UID of node 4 refers to node %+v; want node 4 there, because another node already has the hash as its ID, and want that node to keep its ID", node)
 		}
 	}
 }
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// notificationRetention is how long a notification is kept so that it can be sent again. It is also how
-	// long the scheduler waits for a node to confirm that it stopped a running task, and how long an
-	// earlyTermination is kept.
+	// notificationRetention is how long a notification is kept in case it has to be sent again. The scheduler
+	// also waits this long for a node to confirm that it stopped a running task, and keeps an
+	// earlyTermination this long.
 	notificationRetention placer.Seconds = 8.0
-	// unacknowledgedWindow applies to clients that do not acknowledge notifications. If a notification was
-	// sent less than this time before its client connection closed, the notification is assumed to be lost.
+	// unacknowledgedWindow applies to notifications for which no acknowledgement of the client is expected.
+	// If such a notification was sent less than this time before its client connection closed, the
+	// notification is assumed to be lost.
 	unacknowledgedWindow placer.Seconds = 1.0
 )
 
@@ -73,7 +74,7 @@
 type notifier struct {
 	*sharedState
 	clients              *clientRegistry
-	pendingNotifications []notification // These have no suitable client connection yet. The oldest is the first.
+	pendingNotifications []notification // These notifications wait for a client connection, the oldest first.
 }
 
 // newNotification returns a notification that expires after notificationRetention.
@@ -129,8 +130,8 @@
 	n.pendingNotifications = nil
 }
 
-// redeliver sends those notifications again that a client may not have received before its connection closed.
-// A client tolerates a repeated notification about a task that the client no longer knows.
+// redeliver repeats the notifications that a client may not have received before its connection closed. A
+// client tolerates a repeated notification, even if the client no longer knows the task.
 func (n *notifier) redeliver(closedConn *clientConn) {
 	log := &closedConn.notifications
 	for _, notice := range log.unacknowledgedNotifications {
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -50,10 +50,12 @@
 	}
 }
 
-// TestRedeliveryAfterDisconnect checks that a notification is sent again if the connection on which it was
-// sent closes shortly afterwards. A notification must not be sent again if the client has acknowledged it. If
-// the client does not acknowledge notifications, a notification that was sent long before the connection
-// closed must not be sent again either.
+// TestRedeliveryAfterDisconnect checks whether a notification is sent again when its client connection
+// closes. If the connection closes shortly after the notification, the notification must be sent again unless
+// the client has acknowledged it. If the connection closes later, the notification must be sent again only if
+// the client acknowledges notifications and has not acknowledged this one. A Migrate message, and a
+// notification that is older than notificationRetention, must not be sent again if the connection closes
+// later.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		name                                                                     string
@@ -64,8 +66,8 @@
 		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
 		{name: "connection closes shortly after the notification while another connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
 		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
-		{name: "client acknowledged an earlier notification, and its connection closes long after the last notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
-		{name: "client acknowledged the notification before its connection closes", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
+		{name: "connection of a client that acknowledges notifications closes long after an unacknowledged notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
+		{name: "connection closes after the client acknowledged the notification", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
 		{name: "connection closes shortly after a Migrate message", isMigration: true, closedAfter: 0.01, want: 1},
 		{name: "connection closes long after a Migrate message", clientAcknowledges: true, isMigration: true, closedAfter: 1.5, want: 0},
 		{name: "connection closes later than notificationRetention after the notification", clientAcknowledges: true, closedAfter: 9, want: 0},
@@ -144,7 +146,7 @@
 				got = effect.Message.Cause
 			}
 			if got != test.want {
-				t.Errorf("client was notified of the end of the task with cause %d, want %d (-1 means no notification)", got, test.want)
+				t.Errorf("client was notified of the end of its task with cause %d, want cause %d (-1 means that the client was not notified)", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// stopRandomTask makes a node report the end of a random task with a random cause. The task may be one that
-// runs on another node.
+// stopRandomTask makes a node report the end of a random task with a random cause. The task may run on
+// another node.
 func (driver *randomDriver) stopRandomTask() {
 	if len(driver.sentAttempts) > 0 {
 		attempt := driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")]
@@ -135,7 +135,7 @@
 		}
 	case 1:
 		driver.disconnectRandomClient()
-	case 2: // The node list is complete, and nodes may be missing from it.
+	case 2: // Nodes that are missing from a complete node list count as terminated.
 		var nodes []string
 		for i := range 5 {
 			if driver.draw(3, "node is in the list") > 0 {
@@ -277,8 +277,8 @@
 	driver.carryOutEffects()
 }
 
-// TestChurn adds and removes thousands of nodes, connections and tasks, and checks that the core then
-// contains no records of the removed ones.
+// TestChurn adds and removes thousands of nodes, connections and tasks. It then checks that the core contains
+// no data of the removed nodes, connections and tasks.
 func TestChurn(t *testing.T) {
 	harness := newHarness(t, nil)
 	for i := range 3000 {
@@ -293,7 +293,7 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		// The nodes of all earlier attempts have terminated.
+		// After the last step, only its tasks can run: earlier tasks have ended or their nodes have terminated.
 		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advanceClock(0.2)
--- a/internal/platform/dispatch/reply.go
+++ b/internal/platform/dispatch/reply.go
@@ -2,7 +2,8 @@
 
 import "heathshed/internal/platform/protocol"
 
-// noCause is the value of the parameter cause for which replyTo returns a message without a cause.
+// noCause stands for the absence of a cause. If replyTo is called with noCause, it returns a message without
+// a cause.
 const noCause protocol.Cause = -1
 
 // replyTo returns a message with the given kind and cause about the task to which the message msg refers. If
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -7,7 +7,7 @@
 type requestState uint8
 
 const (
-	// requestOpen means that the request was not answered yet.
+	// requestOpen means that the request has not been answered yet.
 	requestOpen requestState = iota
 	// requestRunning means that the task is running.
 	requestRunning
@@ -17,7 +17,7 @@
 	// requestStopping means that the client needs no notification of the end of the running task. The node
 	// was asked to stop the task and has not yet confirmed that it stopped the task.
 	requestStopping
-	// requestAnswered means that the client was sent the answer that the request was rejected or failed.
+	// requestAnswered means that the client was informed that the request was rejected or has failed.
 	requestAnswered
 	// requestWithdrawn means that the client no longer waits for an answer.
 	requestWithdrawn
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -28,11 +28,10 @@
 	}
 }
 
-// get returns the request whose task has the given ID of the placer, or nil if there is no such request.
+// get returns the request whose task has the given placer.TaskID, or nil if there is no such request.
 func (t *requestTable) get(task placer.TaskID) *request { return t.byTask[task] }
 
-// getByID returns the request that has the given ID in the messages of the client, or nil if there is no such
-// request.
+// getByID returns the request whose launch message has the given ID, or nil if there is no such request.
 func (t *requestTable) getByID(id protocol.ID) *request { return t.byID[id] }
 
 // isFull reports whether the table contains the maximum number of requests, maxTasks.
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -27,17 +27,17 @@
 		{"task class is unknown", InvalidClass, setField(protocol.Class, "gold")},
 		{"tenant is unknown", InvalidTenant, setField(protocol.Tenant, "north")},
 		{"field Key is not an ID", InvalidKey, setField(protocol.Key, "x")},
-		{"body is missing", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
+		{"launch message has no body", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
 		{"remaining time is negative", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
 		{"remaining time is just above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
 		{"remaining time is far above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
 		{"remaining time is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
-		{"cores are negative", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
-		{"cores are infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
-		{"memory is missing", InvalidExtras, setField(protocol.Extras, "cores:1")},
-		{"service is not an ID", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
+		{"number of cores is negative", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
+		{"number of cores is infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
+		{"extras do not contain the memory", InvalidExtras, setField(protocol.Extras, "cores:1")},
+		{"service in the extras is not an ID", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
 		{"adoption request names an unknown node", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
-		{"ID is the ID of another request", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
+		{"launch message has the ID of another request", InvalidIDInUse, func(msg *protocol.Message) { *msg = launchMessage(idInUse) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			msg := launchMessage(99)
@@ -57,7 +57,7 @@
 		})
 	}
 	if openRequests := harness.core.OpenRequests(); openRequests != 1 {
-		t.Errorf("%d requests are open after all invalid requests, want 1, which is the valid request", openRequests)
+		t.Errorf("%d requests are open after all invalid requests, want only the 1 valid request", openRequests)
 	}
 }
 
@@ -97,7 +97,7 @@
 // TestActionsOnMigratingRequest checks that actions of the placer for a task that is already migrating change
 // nothing except counters.
 func TestActionsOnMigratingRequest(t *testing.T) {
-	for name, kind := range map[string]placer.ActionKind{"Reject action": placer.Reject, "Fail action": placer.Fail, "Migrate action": placer.Migrate} {
+	for name, kind := range map[string]placer.ActionKind{"placer rejects the migrating request": placer.Reject, "placer fails the migrating request": placer.Fail, "placer migrates the task a second time": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			harness.migrateTask(attempt)
@@ -107,7 +107,7 @@
 
 			effects := harness.core.Ready()
 			if len(effects) != 0 || attempt.request.state != requestMigrating || harness.core.RunningTasks() != 1 {
-				t.Errorf("request is in state %v and effects are %+v after the action, want state migrating, no effects and 1 running task", attempt.request.state, effects)
+				t.Errorf("after the action of the placer, the request is in state %v and the core added effects %+v; want state migrating, no effects, and 1 running task in the core", attempt.request.state, effects)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 			table.sendFinalAnswer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
-				t.Errorf("request is in state %v, counters are %+v, openCount is %d, effects are %+v; want the same state as before, counters and openCount 0, and no effects", req.state, *shared.counts, table.openCount, shared.effects)
+				t.Errorf("request is in state %v, counters are %+v, openCount is %d, effects are %+v; want the state before the calls, 0 in all counters and in openCount, and no effects", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_table.go
+++ b/internal/platform/dispatch/state_table.go
@@ -15,8 +15,8 @@
 	legalNext []State
 }
 
-// stateName returns the name of a state. If the state is not in the table, the result consists of the name of
-// the state machine, which is the parameter kind, and the number of the state.
+// stateName returns the name of a state. If the table does not contain the state, the result consists of the
+// parameter kind and the number of the state. The parameter kind is the name of the state machine.
 func (t stateTable[State]) stateName(kind string, state State) string {
 	if int(state) < len(t) {
 		return t[state].name
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -21,11 +21,11 @@
 		for to := State(0); to <= lastState; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("state table allows the transition from %v to %v, want an illegal transition", from, to)
+				t.Errorf("state table allows the transition from %v to %v, want a table that does not allow it", from, to)
 			}
 			stateAfter, illegalCount := transition(from, to)
 			if countedAsIllegal := illegalCount == 1; stateAfter != to || countedAsIllegal == legal {
-				t.Errorf("transition from %v to %v: state is %v afterwards, transition was counted as illegal: %v; want the second of the two states, and a count only if the state table forbids the transition", from, to, stateAfter, countedAsIllegal)
+				t.Errorf("transition from %v to %v led to state %v and was counted as illegal: %v; want the target state in every case, and a count only if the state table does not allow the transition", from, to, stateAfter, countedAsIllegal)
 			}
 		}
 	}
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -34,9 +34,9 @@
 	t.attempts.postAttemptBound(attempt)
 }
 
-// endTask ends a running task. The client is notified, unless it already knows that the task is stopped. The
-// client is not notified either if it was asked to request a new placement of the task and the node has
-// confirmed that it stopped the task for this migration.
+// endTask ends a running task and notifies the client, except in two cases. In state requestStopping, the
+// client needs no notification. In state requestMigrating, the client needs none if the node has confirmed
+// that it stopped the task for the migration.
 func (t *taskController) endTask(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
@@ -59,11 +59,12 @@
 	t.endTask(attempt, attemptOutcome{result: placer.Lost}, causeLost)
 }
 
-// endUnansweredRequest ends a request whose task a node accepted and then evicted, preempted or drained,
-// while the Running message of the node was lost or has not arrived yet. The task must have run, because a
-// node that has not accepted a task rejects it for lack of capacity instead. The client is notified of the
-// end of the task and may send a new request. The placer must not make another attempt, because that attempt
-// would start the task again under the ID of a task that has already ended.
+// endUnansweredRequest ends a request if the node reports the end of the task before the Running message of
+// the node has arrived. The reason that the node gives proves that the task has run: the node evicted or
+// preempted the task, or is draining. A node that has not accepted a task rejects the task for lack of
+// capacity instead. The client is notified of the end of the task and may send a new request. The placer must
+// not make another attempt, because that attempt would start the task again under the ID of a task that has
+// already ended.
 func (t *taskController) endUnansweredRequest(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	t.counts.TasksLost++
