--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -77,8 +77,8 @@
 // postArrival passes a new placement request to the placer as soon as no more adoption requests are expected,
 // but at the latest at the deadline of the placement request. After a scheduler start, a client requests the
 // adoption of hundreds of running tasks on one connection while new placement requests arrive on other
-// connections. If the placer received a placement request before it knew all running tasks, it would place
-// the task without regard to the nodes on which other tasks of the same service already run.
+// connections. A placer that does not know all running tasks yet would place a new task without regard to the
+// other tasks of the same service.
 func (a *adoption) postArrival(req *request, task placer.Task) {
 	waitUntil := min(a.adoptionsExpectedUntil(), req.deadline)
 	if a.now >= waitUntil {
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestAdoption checks that a task is adopted only once if its client requests the adoption twice, and that
-// the client is notified of the end of the adopted task.
+// TestAdoption checks that a client can request the adoption of its task twice, but that the task is adopted
+// only once. The client must be notified of the end of the adopted task.
 func TestAdoption(t *testing.T) {
 	harness := newHarness(t, nil)
 	conn := harness.connect()
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestAttemptStart checks the expiry time of a new attempt. It also checks that an attempt is not sent if its
-// expiry time has passed, if its request is in a final state or already has the maximum number of attempts,
-// or if its node is not in the node registry.
+// TestAttemptStart checks the expiry time of a new attempt. It also checks in which cases an attempt must not
+// be sent: the expiry time has passed, the request is in a final state or already has the maximum number of
+// attempts, or the node is not in the node registry.
 func TestAttemptStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -287,9 +287,9 @@
 }
 
 // deliverDiscoveryEvent passes one discovery event to the core. The event may be invalid. An event changes at
-// most one node, because the order in which the core handles several nodes that terminate at the same time is
-// not defined. The core also ends the tasks of a restarted node in no defined order, so a node starts a new
-// incarnation only while it runs at most one task.
+// most one node, because the core handles nodes that terminate at the same time in no defined order. The core
+// also ends the tasks of a restarted node in no defined order, so a node starts a new incarnation only while
+// it runs at most one task.
 func (recorder *scriptRecorder) deliverDiscoveryEvent() {
 	recorder.eventNumber++
 	i := 1 + recorder.random.IntN(scriptNodeCount)
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -177,8 +177,8 @@
 }
 
 // IsOnlyClient reports whether tasks are running and the given client connection is the only open one on
-// which a valid message has arrived. If this connection is closed, no other connection is left on which
-// clients can be notified that their tasks have ended.
+// which a valid message has arrived. If this connection is closed, no other open connection is suitable for
+// notifications of the ends of tasks.
 func (c *Core) IsOnlyClient(conn ConnID) bool {
 	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
 }
@@ -243,10 +243,11 @@
 
 // NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. The clients of
 // the tasks are notified immediately. The tasks may still be running if the node is only partitioned from the
-// network, so the node is asked to stop the tasks as soon as it can be reached. The placer learns that a task
-// has ended only when the node confirms that it stopped the task, or when notificationRetention has passed.
-// If the placer were told earlier, it would count capacity as free that is in use on a node that may come
-// back, and it would exceed the limit on the number of tasks of a service in one failure domain.
+// network, so the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a
+// task to the placer only when the node confirms that it stopped the task, or after notificationRetention. If
+// the placer were told earlier, it would count the capacity of the task as free, although the node may come
+// back and still run the task. The placer could then exceed the limit on the number of tasks of a service in
+// one failure domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (stoppedTasks int) {
 	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -5,8 +5,8 @@
 	// PlacementRequests counts the launch messages of clients. It includes new placement requests, adoption
 	// requests and invalid launch messages.
 	PlacementRequests uint64
-	// Adopted counts the adoption requests, which are the launch messages that name a node on which the task
-	// already runs.
+	// Adopted counts the adoption requests. An adoption request is a launch message that names the node on
+	// which the task already runs.
 	Adopted uint64
 	// Accepted counts the valid new placement requests. The core passes these requests to the placer.
 	Accepted uint64
@@ -16,8 +16,8 @@
 	Rejected uint64
 	// Failed counts the requests that the placer decided to answer with an error.
 	Failed uint64
-	// Withdrawn counts the open requests that ended because the client withdrew them, because a second
-	// request with the same ID arrived, or because the client connection closed.
+	// Withdrawn counts the open requests that ended for one of three reasons: the client withdrew the
+	// request, a second request with the same ID arrived, or the client connection closed.
 	Withdrawn uint64
 
 	// Attempts counts the attempts that the placer requested, whether or not they were sent.
--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -7,8 +7,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// FuzzMessages checks that arbitrary messages of clients and nodes cause no panic, and that the core contains
-// no request and no attempt after all nodes have exited and all retention times have passed.
+// FuzzMessages checks that arbitrary messages of clients and nodes cause no panic. After all nodes have
+// exited and all retention times have passed, the core must contain no request and no attempt.
 func FuzzMessages(f *testing.F) {
 	f.Add(strings.Join([]string{
 		`{"kind":"launch","uid":"0000000000000001","meta":{"class":"query","left":900,"tenant":"south","key":"0000000000000001",` +
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// checkInvariants checks that nodes are stored under their IDs, and that all attempts in the set of running
-// attempts of a node run on that node.
+// checkInvariants checks that each node is stored under its ID, and that the set of running attempts of a
+// node contains only attempts that run on that node.
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// checkInvariants checks that keysOldestFirst contains the key of each record, and that these keys are in the
-// order in which their records expire.
+// checkInvariants checks that keysOldestFirst contains the key of each record, and that the keys are sorted
+// by the expiry times of their records.
 func (l *earlyTerminationLog) checkInvariants() error {
 	if len(l.records) != len(l.keysOldestFirst) || len(l.keysOldestFirst) > maxEarlyTerminations {
 		return fmt.Errorf("early termination log: %d records, but %d keys in keysOldestFirst", len(l.records), len(l.keysOldestFirst))
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestNodeIDCollision checks that two nodes whose UIDs have the same hash get different IDs, and that each
+// TestNodeIDCollision checks that two nodes get different IDs if their UIDs have the same hash, and that each
 // node keeps its ID.
 func TestNodeIDCollision(t *testing.T) {
 	harness := newHarness(t, nil)
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -117,8 +117,9 @@
 	}
 }
 
-// TestTerminationDuringMigration checks that the client of a migrating task receives a Stop message after the
-// Migrate message, unless the node confirms that it stopped the task for the migration.
+// TestTerminationDuringMigration checks which messages the client of a migrating task receives. A Stop
+// message must follow the Migrate message, unless the node confirms that it stopped the task for the
+// migration.
 func TestTerminationDuringMigration(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -293,7 +293,7 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		// After the last step, only its tasks can run: earlier tasks have ended or their nodes have terminated.
+		// After the last step, only its tasks can run: earlier tasks have ended or their nodes terminated.
 		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advanceClock(0.2)
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -13,9 +13,9 @@
 	return func(msg *protocol.Message) { msg.Set(field, text) }
 }
 
-// TestInvalidRequests checks that an invalid request is answered with an error on the connection on which the
-// request arrived, that ReceiveFromClient returns an error with the expected reason, and that an invalid
-// request does not end the valid request on another connection.
+// TestInvalidRequests checks that ReceiveFromClient returns an error with the expected reason for each
+// invalid request. The request must be answered with an error on the connection on which it arrived. An
+// invalid request must not end the valid request on another connection.
 func TestInvalidRequests(t *testing.T) {
 	harness := newHarness(t, nil)
 	idInUse := harness.sendLaunch(harness.connect(), "query", 1000, "")
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestTooManyTasks checks that a new request is rejected while maxTasks tasks are running, and that a new
-// request is not rejected after these tasks have ended.
+// TestTooManyTasks checks that a new request is rejected while maxTasks tasks are running. After these tasks
+// have ended, a new request must not be rejected.
 func TestTooManyTasks(t *testing.T) {
 	harness := newHarness(t, &fixedNodePlacer{})
 	conn := harness.connect()
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestRequestTransitions checks that no legal transition of a request leads from a final state to a state
-// that is not final, and that illegal transitions are counted.
+// TestRequestTransitions checks that a request in a final state can change only to another final state by a
+// legal transition. It also checks that illegal transitions are counted.
 func TestRequestTransitions(t *testing.T) {
 	staysFinal := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
 	requireTransitions(t, requestStates, requestTerminated, staysFinal, func(from, to requestState) (requestState, int) {
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -88,7 +88,7 @@
 	t.requestStop(attempt, protocol.CauseCancelled)
 }
 
-// notifyUnconfirmedMigration notifies the client of a migrating task that the task has ended, unless the node
+// notifyUnconfirmedMigration notifies the client of a migrating task of the end of the task, unless the node
 // has confirmed that it stopped the task for the migration. The notification is needed because the task may
 // have ended by itself while the Migrate message was in transit. In that case the client ignores the Migrate
 // message.
