--- a/internal/platform/dispatch/fuzz_test.go
+++ b/internal/platform/dispatch/fuzz_test.go
@@ -7,8 +7,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// FuzzMessages checks that arbitrary messages of clients and nodes cause no panic, and that the core contains
-// no request and no attempt after all nodes have exited and all retention times have passed.
+// FuzzMessages checks that arbitrary messages of clients and nodes cause no panic. After all nodes have
+// exited and all retention times have passed, the core must contain no request and no attempt.
 func FuzzMessages(f *testing.F) {
 	f.Add(strings.Join([]string{
 		`{"kind":"launch","uid":"0000000000000001","meta":{"class":"query","left":900,"tenant":"south","key":"0000000000000001",` +
@@ -30,7 +30,7 @@
 			if protocol.Parse([]byte(line), &msg) != nil {
 				continue
 			}
-			// Errors are ignored, since most messages are invalid.
+			// Most messages are invalid, so the errors of ReceiveFromClient are ignored.
 			_ = harness.core.ReceiveFromClient(harness.now, conn, &msg)
 			for _, effect := range harness.core.Ready() {
 				if effect.Kind == SendAttempt {
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -21,18 +21,18 @@
 		for to := State(0); to <= lastState; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("state table allows the transition from %v to %v, want an illegal transition", from, to)
+				t.Errorf("state table allows the transition from %v to %v, want a table that does not allow it", from, to)
 			}
 			stateAfter, illegalCount := transition(from, to)
 			if countedAsIllegal := illegalCount == 1; stateAfter != to || countedAsIllegal == legal {
-				t.Errorf("transition from %v to %v: state is %v afterwards, transition was counted as illegal: %v; want the second of the two states, and a count only if the state table forbids the transition", from, to, stateAfter, countedAsIllegal)
+				t.Errorf("transition from %v to %v led to state %v and was counted as illegal: %v; want the target state in every case, and a count only if the state table does not allow the transition", from, to, stateAfter, countedAsIllegal)
 			}
 		}
 	}
 }
 
-// TestRequestTransitions checks that no legal transition of a request leads from a final state to a state
-// that is not final, and that illegal transitions are counted.
+// TestRequestTransitions checks that a request in a final state can change only to another final state by a
+// legal transition. It also checks that illegal transitions are counted.
 func TestRequestTransitions(t *testing.T) {
 	staysFinal := func(from, to requestState) bool { return !from.isFinal() || to.isFinal() }
 	requireTransitions(t, requestStates, requestTerminated, staysFinal, func(from, to requestState) (requestState, int) {
