--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -12,29 +12,29 @@
 )
 
 // TestCharacterization compares the behavior of the codec with a golden file. The inputs are a fixed list of
-// lines and seeded mutations of them. The golden file records whether each line is accepted, the values of
-// each accepted message and the bytes to which it is encoded. It does not record error texts. Package
-// goldentest describes how the golden file is regenerated.
+// lines and seeded mutations of these lines. The golden file contains digests of whether each line is
+// accepted, of the values of each accepted message and of the bytes to which the message is encoded. It does
+// not cover error texts. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
-	for i, line := range corpus() {
-		record.Line("line %d %s", i, goldentest.Digest(describe(line)))
+	for i, line := range corpusLines() {
+		record.Line("line %d %s", i, goldentest.Digest(parseResult(line)))
 	}
 	for seed := uint64(1); seed <= 20; seed++ {
-		record.Line("mutations %d %s", seed, goldentest.Digest(describeMutations(seed)))
+		record.Line("mutations %d %s", seed, goldentest.Digest(mutationResults(seed)))
 	}
-	record.Line("encoding %s", goldentest.Digest(encodings()))
-	record.Line("identifiers %s", goldentest.Digest(identifiers()))
+	record.Line("encoding %s", goldentest.Digest(encodedMessages()))
+	record.Line("identifiers %s", goldentest.Digest(parsedIDsAndNames()))
 	record.Check(t, "characterization")
 }
 
-// describe parses one line and returns a text with the result and every value of the message. The digests in
-// the golden file include this text.
-func describe(line string) string {
+// parseResult parses one line and returns a text with the result and every value of the message. The golden
+// file contains digests of this text, so its words, such as "refused", must not change.
+func parseResult(line string) string {
 	var msg protocol.Message
 	if err := protocol.Parse([]byte(line), &msg); err != nil {
 		if errors.Is(err, protocol.ErrTooLong) {
-			return "too long\n"
+			return "too long\n" // The line is longer than protocol.MaxLineBytes.
 		}
 		return "refused\n"
 	}
@@ -47,9 +47,9 @@
 	return text.String()
 }
 
-var kindWords = []string{"launch", "staging", "running", "stop", "stopped", "check", "checked", "update", "migrate"}
+var kindNames = []string{"launch", "staging", "running", "stop", "stopped", "check", "checked", "update", "migrate"}
 
-var fieldWords = []string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
+var fieldNames = []string{"class", "left", "tenant", "key", "idem", "extras", "wait", "note", "value", "load"}
 
 // stringLiterals contains valid and invalid JSON strings with their quotes.
 var stringLiterals = []string{
@@ -67,15 +67,16 @@
 	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ",",
 }
 
-// corpus returns lines that contain every kind of message and every field, and each value in each position.
-func corpus() []string {
+// corpusLines returns lines that contain every kind of message and every field, and each JSON value of
+// stringLiterals and otherValues as the value of each key and each field.
+func corpusLines() []string {
 	const uid = `"uid":"00000000000000aF"`
 	var lines []string
-	for _, word := range append([]string{"", "Launch", "launchx"}, kindWords...) {
-		lines = append(lines, `{"kind":"`+word+`",`+uid+`}`, `{"meta":{},`+uid+`,"kind":"`+word+`"}`)
+	for _, kind := range append([]string{"", "Launch", "launchx"}, kindNames...) {
+		lines = append(lines, `{"kind":"`+kind+`",`+uid+`}`, `{"meta":{},`+uid+`,"kind":"`+kind+`"}`)
 	}
 	for _, value := range append(append([]string{}, stringLiterals...), otherValues...) {
-		for _, field := range fieldWords {
+		for _, field := range fieldNames {
 			lines = append(lines, `{"kind":"update",`+uid+`,"meta":{"`+field+`":`+value+`}}`)
 		}
 		for _, key := range []string{"kind", "reason", "body", "meta", "unknown"} {
@@ -83,32 +84,32 @@
 		}
 		lines = append(lines, `{"kind":"stop","uid":`+value+`}`, `{"kind":"stop",`+uid+`,"meta":{"unknown":`+value+`}}`, value)
 	}
-	for _, key := range []string{`"kind":"stop"`, uid, `"meta":{}`, `"reason":3`, `"body":"x"`, `"other":1`} {
-		lines = append(lines, `{"kind":"stop",`+uid+`,`+key+`,`+key+`}`, `{`+key+`}`)
+	for _, member := range []string{`"kind":"stop"`, uid, `"meta":{}`, `"reason":3`, `"body":"x"`, `"other":1`} {
+		lines = append(lines, `{"kind":"stop",`+uid+`,`+member+`,`+member+`}`, `{`+member+`}`)
 	}
-	for _, field := range fieldWords {
+	for _, field := range fieldNames {
 		lines = append(lines, `{"kind":"stop",`+uid+`,"meta":{"`+field+`":"a","`+field+`":"b"}}`)
 	}
 	for depth := range 14 {
-		nested := strings.Repeat("[", depth) + strings.Repeat("]", depth)
-		objects := strings.Repeat(`{"a":`, depth) + "1" + strings.Repeat("}", depth)
-		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nested+`}`, `{"kind":"stop",`+uid+`,"x":`+objects+`}`,
-			`{"kind":"stop",`+uid+`,"meta":{"x":`+objects+`}}`)
+		nestedArrays := strings.Repeat("[", depth) + strings.Repeat("]", depth)
+		nestedObjects := strings.Repeat(`{"a":`, depth) + "1" + strings.Repeat("}", depth)
+		lines = append(lines, `{"kind":"stop",`+uid+`,"x":`+nestedArrays+`}`, `{"kind":"stop",`+uid+`,"x":`+nestedObjects+`}`,
+			`{"kind":"stop",`+uid+`,"meta":{"x":`+nestedObjects+`}}`)
 	}
-	const frame = len(`{"kind":"stop",` + uid + `,"body":""}`)
+	const sizeWithoutBody = len(`{"kind":"stop",` + uid + `,"body":""}`)
 	for _, size := range []int{100, protocol.MaxLineBytes - 2, protocol.MaxLineBytes - 1, protocol.MaxLineBytes, protocol.MaxLineBytes + 1, 16383, 16384} {
-		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-frame)+`"}`, strings.Repeat(" ", size))
+		lines = append(lines, `{"kind":"stop",`+uid+`,"body":"`+strings.Repeat("y", size-sizeWithoutBody)+`"}`, strings.Repeat(" ", size))
 	}
 	return append(lines, " \t\r\n{ \"kind\" : \"stop\" , "+uid+" , \"meta\" : { \"class\" : 5 , \"left\" : \"6\" } } \r", `{"kind":"stop",`+uid+`}x`,
 		`{"kind":"stop",`+uid+`}{}`, "\xef\xbb\xbf{}", `{"\u006bind":"st\u006fp",`+uid+`}`, `{"kind":"stop","uid":"0000000000000g00"}`)
 }
 
-// describeMutations describes the lines of the corpus after a byte of each was changed, removed or doubled,
-// or its end was cut off, at random positions.
-func describeMutations(seed uint64) string {
+// mutationResults returns the parse results of the corpus lines after one random mutation of each line: a
+// byte is replaced, removed or doubled, or the line is cut off.
+func mutationResults(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var text strings.Builder
-	for _, line := range corpus() {
+	for _, line := range corpusLines() {
 		if len(line) == 0 || len(line) > 400 {
 			continue
 		}
@@ -123,13 +124,14 @@
 		case 3:
 			line = line[:i]
 		}
-		text.WriteString(describe(line))
+		text.WriteString(parseResult(line))
 	}
 	return text.String()
 }
 
-// encodings returns the encoded form of messages whose fields contain characters that must be escaped.
-func encodings() string {
+// encodedMessages returns the encoded form of messages whose fields contain characters that must be escaped
+// in JSON.
+func encodedMessages() string {
 	var text strings.Builder
 	for kind := range 12 {
 		for field := protocol.Class; field <= protocol.LoadReport; field++ {
@@ -147,19 +149,21 @@
 	return text.String()
 }
 
-func identifiers() string {
+// parsedIDsAndNames returns the results of ParseID for valid and invalid IDs, the values of the constants and
+// the names of the fields.
+func parsedIDsAndNames() string {
 	var text strings.Builder
-	for _, identifier := range []string{
+	for _, encodedID := range []string{
 		"", "0", "0000000000000000", "ffffffffffffffff", "FFFFFFFFFFFFFFFF", "0123456789abcdef", "0123456789ABCDEf", "000000000000000g",
 		"+000000000000001", "0x00000000000001", "00000000000000001", "000000000000000", "0000_00000000000", "000000000000000é",
 	} {
-		id, err := protocol.ParseID(identifier)
+		id, err := protocol.ParseID(encodedID)
 		fmt.Fprintf(&text, "%d %t\n", uint64(id), err != nil)
 	}
 	fmt.Fprintln(&text, protocol.MaxLineBytes, protocol.CauseEnd, protocol.CauseCancelled, protocol.CauseNoCapacity, protocol.CauseLost,
 		protocol.CauseOverloaded, protocol.CauseError, protocol.CauseDeadlineExceeded)
 	for field := protocol.Class; field <= protocol.LoadReport; field++ {
-		fmt.Fprintln(&text, field.String()) // The golden file also fixes the names of the fields in encoded messages.
+		fmt.Fprintln(&text, field.String())
 	}
 	return text.String()
 }
--- a/internal/platform/protocol/decode.go
+++ b/internal/platform/protocol/decode.go
@@ -10,7 +10,7 @@
 // MaxLineBytes is the maximum length of a line in bytes, including its line feed.
 const MaxLineBytes = 16 << 10
 
-// maxSkippedDepth is the maximum nesting depth of values that are skipped because their key is unknown.
+// maxSkippedDepth is the maximum nesting depth of a value that is skipped because its key is unknown.
 const maxSkippedDepth = 8
 
 // ErrTooLong is returned for a line that is longer than MaxLineBytes.
@@ -29,8 +29,8 @@
 	requiredKeys = keyKind | keyUID
 )
 
-// keyByName returns the set that contains only the key with the given name, or the empty set if the key is
-// unknown.
+// keyByName returns the set that contains only the key with the given name, or the empty set if the protocol
+// does not define the key.
 func keyByName(key string) keySet {
 	switch key {
 	case "kind":
@@ -48,7 +48,7 @@
 }
 
 // Parse decodes one line, which must not include its line feed, into msg. It returns ErrTooLong for a line
-// that is too long. Any other error states what is invalid in the line.
+// that is longer than MaxLineBytes. Any other error states what is invalid in the line.
 func Parse(line []byte, msg *Message) error {
 	*msg = Message{}
 	if len(line) >= MaxLineBytes {
@@ -58,17 +58,17 @@
 		return errors.New("line is not valid UTF-8")
 	}
 	p := parser{line: line}
-	var seen keySet
+	var parsedKeys keySet
 	p.skipSpace()
 	err := p.parseObject(func(key string) error {
-		known := keyByName(key)
-		if err := p.parseMember(msg, known); err != nil {
+		definedKey := keyByName(key)
+		if err := p.parseMember(msg, definedKey); err != nil {
 			return fmt.Errorf("key %.20q: %w", key, err)
 		}
-		if seen&known != 0 {
+		if parsedKeys&definedKey != 0 {
 			return fmt.Errorf("duplicate key %q", key)
 		}
-		seen |= known
+		parsedKeys |= definedKey
 		return nil
 	})
 	if err != nil {
@@ -76,15 +76,16 @@
 	}
 	p.skipSpace()
 	if p.position < len(p.line) {
-		return p.syntaxError("the end of the line")
+		return p.expectedError("the end of the line")
 	}
-	if seen&requiredKeys != requiredKeys {
+	if parsedKeys&requiredKeys != requiredKeys {
 		return errors.New(`message lacks the key "kind" or "uid"`)
 	}
 	return nil
 }
 
-// parseMember parses the value of one top-level key of a message. It skips the value if the key is unknown.
+// parseMember parses the value of one top-level key of a message. It skips the value if key is the empty set,
+// which means that the protocol does not define the key.
 func (p *parser) parseMember(msg *Message, key keySet) (err error) {
 	switch key {
 	case keyKind:
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// parseMetaField parses the value of one key of the "meta" object, which must be a string or a number. It
-// skips the value if the key is unknown.
+// parseMetaField parses the value of one field of the "meta" object, which must be a string or a number. It
+// skips the value if the protocol does not define the field.
 func (p *parser) parseMetaField(msg *Message, name string) (err error) {
 	field, known := fieldByName(name)
 	if !known {
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -12,8 +12,8 @@
 	position int
 }
 
-// syntaxError returns an error that states the current byte and what was expected in its place.
-func (p *parser) syntaxError(want string) error {
+// expectedError returns an error that states the byte at the current position and what was expected there.
+func (p *parser) expectedError(want string) error {
 	if p.position >= len(p.line) {
 		return fmt.Errorf("line ends at byte %d, want %s", p.position, want)
 	}
@@ -39,7 +39,7 @@
 // expect consumes the given byte. It returns an error if the next byte is a different one.
 func (p *parser) expect(c byte) error {
 	if p.peek() != c || p.position >= len(p.line) {
-		return p.syntaxError(fmt.Sprintf("%q", c))
+		return p.expectedError(fmt.Sprintf("%q", c))
 	}
 	p.position++
 	return nil
@@ -88,7 +88,7 @@
 	for p.position < len(p.line) && isUnescaped(p.line[p.position]) {
 		p.position++
 	}
-	if p.peek() == '"' { // The string contains no escape sequence and needs no second pass.
+	if p.peek() == '"' { // The string contains no escape sequence, so its bytes are its text.
 		value := string(p.line[start:p.position])
 		p.position++
 		return value, nil
@@ -101,7 +101,7 @@
 			p.position++
 			return string(decoded), nil
 		case c < 0x20:
-			return "", p.syntaxError("a character other than a control character")
+			return "", p.expectedError("a character other than a control character")
 		case c != '\\':
 			decoded = append(decoded, c)
 			p.position++
@@ -113,7 +113,7 @@
 			decoded = utf8.AppendRune(decoded, r)
 		}
 	}
-	return "", p.syntaxError("the closing quote of a string")
+	return "", p.expectedError("the closing quote of a string")
 }
 
 // isUnescaped reports whether a byte in a JSON string stands for itself, so that no decoding is needed.
@@ -121,7 +121,7 @@
 
 // parseEscape parses the escape sequence at the current position and returns the character that it encodes.
 func (p *parser) parseEscape() (rune, error) {
-	p.position++ // The backslash is consumed.
+	p.position++ // This consumes the backslash.
 	c := p.peek()
 	switch c {
 	case '"', '\\', '/':
@@ -140,8 +140,8 @@
 		if err != nil || !utf16.IsSurrogate(r) {
 			return r, err
 		}
-		// Half of a surrogate pair encodes no character, and parsers disagree on how to treat it. It is
-		// rejected here.
+		// Half of a surrogate pair encodes no character, and JSON parsers disagree on how to treat it, so
+		// this parser rejects it.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
 			low, err := p.parseHexEscape()
@@ -152,9 +152,9 @@
 				return r, nil
 			}
 		}
-		return 0, p.syntaxError("a complete surrogate pair")
+		return 0, p.expectedError("a complete surrogate pair")
 	default:
-		return 0, p.syntaxError("an escape sequence")
+		return 0, p.expectedError("an escape sequence")
 	}
 	p.position++
 	return rune(c), nil
@@ -174,7 +174,7 @@
 		case c >= 'A' && c <= 'F':
 			r = r<<4 | rune(c-'A'+10)
 		default:
-			return 0, p.syntaxError("a hexadecimal digit")
+			return 0, p.expectedError("a hexadecimal digit")
 		}
 		p.position++
 	}
@@ -199,12 +199,12 @@
 	if p.peek() == '0' {
 		p.position++
 	} else if !p.skipDigits() {
-		return "", p.syntaxError("a number")
+		return "", p.expectedError("a number")
 	}
 	if p.peek() == '.' {
 		p.position++
 		if !p.skipDigits() {
-			return "", p.syntaxError("a digit")
+			return "", p.expectedError("a digit")
 		}
 	}
 	if c := p.peek(); c == 'e' || c == 'E' {
@@ -213,14 +213,14 @@
 			p.position++
 		}
 		if !p.skipDigits() {
-			return "", p.syntaxError("a digit")
+			return "", p.expectedError("a digit")
 		}
 	}
 	return string(p.line[start:p.position]), nil
 }
 
-// skipValue consumes a value of any type. It returns an error if values are nested deeper than
-// maxSkippedDepth.
+// skipValue consumes a value of any type, whose nesting depth is depth. It returns an error if a value within
+// it is nested deeper than maxSkippedDepth.
 func (p *parser) skipValue(depth int) error {
 	if depth > maxSkippedDepth {
 		return fmt.Errorf("value at byte %d is nested deeper than %d levels", p.position, maxSkippedDepth)
@@ -244,9 +244,9 @@
 	return err
 }
 
-// skipArray consumes an array that is itself nested at the given depth.
+// skipArray consumes an array whose own nesting depth is depth. Its elements are one level deeper.
 func (p *parser) skipArray(depth int) error {
-	p.position++ // The opening bracket is consumed.
+	p.position++ // This consumes the opening bracket.
 	p.skipSpace()
 	if p.peek() == ']' {
 		p.position++
@@ -268,7 +268,7 @@
 // expectLiteral consumes the given literal. It returns an error if the input continues differently.
 func (p *parser) expectLiteral(literal string) error {
 	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
-		return p.syntaxError(literal)
+		return p.expectedError(literal)
 	}
 	p.position += len(literal)
 	return nil
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -1,11 +1,14 @@
-// Package protocol encodes and decodes the messages of the shared platform's protocol. Each message is one
-// line of JSON and concerns one task or is a health check. Package server parses lines with Parse and encodes
-// messages with Message.Append; package dispatch handles the messages.
+// Package protocol encodes and decodes the messages that a scheduler exchanges with clients and nodes on the
+// shared platform. The shared platform is an environment that speaks this protocol instead of the Kubernetes
+// API. Each message is one line of JSON. It either concerns one task or is part of a health check. Package
+// server parses lines with Parse and encodes messages with Message.Append; package dispatch handles the
+// messages.
 //
 // The package performs no I/O, reads no clock and imports no other package of the project. It accepts less
 // than JSON allows: it rejects text that is not valid UTF-8, half of a surrogate pair and duplicate keys,
 // because another parser might reject such a line or read it differently. If a node or client rejected a
-// forwarded message, it would close the connection, which would abort all other requests on that connection.
+// message that the scheduler forwarded to it, it would close its connection to the scheduler, which would
+// abort all other requests on that connection.
 package protocol
 
 import (
@@ -19,13 +22,13 @@
 // The constants of type Kind are the kinds of messages.
 const (
 	Launch  Kind = iota + 1 // Launch is a placement request, or a request to adopt a task that runs already.
-	Staging                 // Staging reports the progress of an attempt; it is ignored.
-	Running                 // Running states that the task runs.
-	Stop                    // Stop rejects, withdraws or ends a task; its Cause distinguishes these cases.
+	Staging                 // Staging reports the progress of an attempt; the scheduler ignores it.
+	Running                 // Running accepts a Launch and reports that the requested task runs.
+	Stop                    // Stop rejects, withdraws or ends a task; the Cause of the message distinguishes these cases.
 	Stopped                 // Stopped acknowledges a Stop.
-	Check                   // Check requests an answer as a health check.
-	Checked                 // Checked answers a health check.
-	Update                  // Update reports a measurement of a running task.
+	Check                   // Check is a health check, which the receiver answers with Checked.
+	Checked                 // Checked answers a Check.
+	Update                  // Update reports a measured value of a running task, such as its memory usage.
 	Migrate                 // Migrate asks a client to request the placement of a running task again.
 )
 
@@ -40,32 +43,34 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Cause states why a Stop was sent, or the result of a health check. Nodes and clients may send values for
-// which there is no constant.
+// Cause states in a Stop why the Stop was sent, and in a Checked the result of the health check. Nodes and
+// clients may send values for which there is no constant.
 type Cause int
 
-// The constants of type Cause are the causes of a Stop.
+// The constants of type Cause are the causes of a Stop that the scheduler distinguishes.
 const (
-	// CauseEnd means that a running task ended by itself, or that the scheduler or the client abandoned an
-	// attempt or a request.
+	// CauseEnd means that a running task ended by itself, that the scheduler abandoned an attempt, or that a
+	// client withdrew its request.
 	CauseEnd Cause = 16
 	// CauseCancelled means that a task was migrated or that its client stopped it.
 	CauseCancelled Cause = 31
-	// CauseNoCapacity means that a task was rejected and never ran. The reason is a lack of capacity unless
-	// Note states another one.
+	// CauseNoCapacity means that a task was rejected and never ran. The reason for the rejection is a lack of
+	// capacity, unless the field Note of the message states another reason.
 	CauseNoCapacity Cause = 34
-	// CauseLost means that the connection, the node or the task failed.
+	// CauseLost means that a task was lost because the connection to its node, the node or the task itself
+	// failed.
 	CauseLost Cause = 41
 	// CauseOverloaded means that a request was rejected because too many requests are open. The client may
-	// retry it.
+	// retry the request.
 	CauseOverloaded Cause = 42
 	// CauseError means that a request or an attempt failed.
 	CauseError Cause = 47
-	// CauseDeadlineExceeded means that the deadline passed before the attempt was sent or reached the node.
+	// CauseDeadlineExceeded means that the deadline of a request passed before an attempt was sent to a node
+	// or before the attempt reached the node.
 	CauseDeadlineExceeded Cause = 102
 )
 
-// ID identifies a task in the messages between two parties.
+// ID identifies a task in the messages between a client or node and the scheduler.
 type ID uint64
 
 // idDigits is the number of hexadecimal digits of an encoded ID.
@@ -92,17 +97,17 @@
 // Field selects one field of the "meta" object of a message.
 type Field uint8
 
-// The constants of type Field select the fields that have a meaning in the protocol.
+// The constants of type Field select the fields that the protocol defines. All other fields are ignored.
 const (
-	Class          Field = iota // Class is the class of a placement request.
+	Class          Field = iota // Class is the name of the task class to which the requested task belongs.
 	TimeLeft                    // TimeLeft is the time in milliseconds for which the sender still waits for an answer.
-	Tenant                      // Tenant is the tenant to which a request belongs.
-	Key                         // Key consists of 16 hexadecimal digits that are forwarded to the node.
-	IdempotencyKey              // IdempotencyKey lets a node recognize a repeated request if its class is deduplicated.
-	Extras                      // Extras consists of name:value pairs, separated by semicolons.
+	Tenant                      // Tenant is the name of the tenant to which a placement request belongs.
+	Key                         // Key has 16 hexadecimal digits; the scheduler copies it from the client's Launch to the node's Launch.
+	IdempotencyKey              // IdempotencyKey lets a node recognize a repeated attempt for a task whose class is deduplicated.
+	Extras                      // Extras contains further properties of a task as name:value pairs, separated by semicolons.
 	RetryAfter                  // RetryAfter is the time in milliseconds that a rejected client should wait before a retry.
-	Note                        // Note names the quantity that an Update measures, or the reason for a Stop.
-	Value                       // Value is the measured value of an Update.
+	Note                        // Note names the quantity that an Update reports, or the detailed reason for a Stop.
+	Value                       // Value is the number that an Update reports for the quantity named by Note.
 	LoadReport                  // LoadReport is the load of a node as name:value pairs, separated by semicolons.
 	fieldCount
 )
@@ -124,20 +129,21 @@
 // Message is a decoded message. It does not refer to the buffer from which it was parsed.
 type Message struct {
 	Kind Kind
-	UID  string // UID is the text of ID as it was received.
+	UID  string // UID is the hexadecimal text of ID, exactly as it was received.
 	ID   ID
 	// Cause is meaningful only if HasCause is true.
 	Cause    Cause
 	HasCause bool
-	// Body describes a task, or is the node's answer about it. It is a JSON string with its quotes, exactly
-	// as it was received, or "" if the message has none. It is forwarded unchanged, without decoding.
+	// Body describes the task in a Launch, and is the node's answer about the task in a Running. It is a JSON
+	// string with its quotes, exactly as it was received, or "" if the message has no body. The scheduler
+	// forwards it unchanged, without decoding it.
 	Body string
 	meta [fieldCount]string
 	has  [fieldCount]bool
 }
 
-// Get returns the text of a field, or "" if the field is absent. It returns a number exactly as it was
-// received.
+// Get returns the text of a field, or "" if the field is absent. If the value of the field is a number, Get
+// returns the digits exactly as they were received.
 func (m *Message) Get(field Field) string { return m.meta[field] }
 
 // Has reports whether the message contains a field.
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -10,19 +10,21 @@
 
 const launchLine = `{"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch","left":1500},"body":"9d\u0034\r\nc=IN \/ \ud83d\ude00 é"}`
 
+// TestMessagesRoundTrip checks the values of a parsed message, and that the message is the same after it was
+// encoded and parsed again.
 func TestMessagesRoundTrip(t *testing.T) {
 	var msg, reparsed Message
 	if err := Parse([]byte(launchLine), &msg); err != nil {
 		t.Fatal(err)
 	}
 	if msg.Kind != Launch || msg.ID != 0x9b1f03aa5c7e2d41 || msg.HasCause {
-		t.Fatalf("unexpected kind, ID or cause in %+v", msg)
+		t.Fatalf("got message %+v, want a launch message with the ID of the parsed line and no cause", msg)
 	}
 	if msg.Get(TimeLeft) != "1500" || msg.Get(Class) != "batch" || msg.Has(RetryAfter) {
-		t.Fatalf("unexpected fields in %+v", msg)
+		t.Fatalf("got message %+v, want TimeLeft 1500, class batch and no RetryAfter", msg)
 	}
 	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; msg.Body != want {
-		t.Fatalf("got body %s, want it unchanged: %s", msg.Body, want)
+		t.Fatalf("got body %s, want the body unchanged from the line: %s", msg.Body, want)
 	}
 	msg.Set(Extras, "a\"b\\c\x01")
 	msg.Cause, msg.HasCause = 34, true
@@ -35,36 +37,37 @@
 	}
 }
 
+// TestInvalidLines checks that Parse returns an error for each line that is not a valid message.
 func TestInvalidLines(t *testing.T) {
-	id := `"uid":"9b1f03aa5c7e2d41"`
+	uid := `"uid":"9b1f03aa5c7e2d41"`
 	for name, line := range map[string]string{
-		"empty":                   ``,
-		"not an object":           `[1]`,
-		"truncated":               launchLine[:60],
-		"text after the object":   launchLine + `{}`,
-		"no id":                   `{"kind":"stop"}`,
-		"no kind":                 `{` + id + `}`,
-		"short id":                `{"kind":"stop","uid":"9b1f"}`,
-		"id not hexadecimal":      `{"kind":"stop","uid":"9b1f03aa5c7e2d4g"}`,
-		"id is a number":          `{"kind":"stop","uid":9}`,
-		"unknown kind":            `{"kind":"destroy",` + id + `}`,
-		"duplicate key":           `{"kind":"stop",` + id + `,` + id + `}`,
-		"duplicate field":         `{"kind":"stop",` + id + `,"meta":{"left":1,"left":2}}`,
-		"field is an object":      `{"kind":"stop",` + id + `,"meta":{"left":{}}}`,
-		"meta is an array":        `{"kind":"stop",` + id + `,"meta":[]}`,
-		"reason is not a number":  `{"kind":"stop",` + id + `,"reason":"34"}`,
-		"reason is a fraction":    `{"kind":"stop",` + id + `,"reason":3.5}`,
-		"reason is too large":     `{"kind":"stop",` + id + `,"reason":1e400}`,
-		"not UTF-8":               "{\"kind\":\"stop\"," + id + ",\"body\":\"\xff\"}",
-		"high surrogate alone":    `{"kind":"stop",` + id + `,"body":"\ud83d"}`,
-		"low surrogate alone":     `{"kind":"stop",` + id + `,"body":"\ude00x"}`,
-		"control character":       "{\"kind\":\"stop\"," + id + ",\"body\":\"\x01\"}",
-		"invalid escape sequence": `{"kind":"stop",` + id + `,"body":"\x41"}`,
-		"leading zero":            `{"kind":"stop",` + id + `,"meta":{"left":01}}`,
-		"body is not a string":    `{"kind":"launch",` + id + `,"body":{"a":1}}`,
-		"nested too deeply":       `{"kind":"stop",` + id + `,"x":` + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + `}`,
-		"line too long":           `{"kind":"stop",` + id + `,"body":"` + strings.Repeat("a", MaxLineBytes) + `"}`,
-		"trailing comma":          `{"kind":"stop",` + id + `,}`,
+		"empty line":                                   ``,
+		"array instead of an object":                   `[1]`,
+		"line cut off within the message":              launchLine[:60],
+		"second object after the message":              launchLine + `{}`,
+		"message without uid":                          `{"kind":"stop"}`,
+		"message without kind":                         `{` + uid + `}`,
+		"uid with only 4 digits":                       `{"kind":"stop","uid":"9b1f"}`,
+		"uid with a character that is not hexadecimal": `{"kind":"stop","uid":"9b1f03aa5c7e2d4g"}`,
+		"uid is a number":                              `{"kind":"stop","uid":9}`,
+		"unknown message kind":                         `{"kind":"destroy",` + uid + `}`,
+		"duplicate top-level key":                      `{"kind":"stop",` + uid + `,` + uid + `}`,
+		"duplicate field in meta":                      `{"kind":"stop",` + uid + `,"meta":{"left":1,"left":2}}`,
+		"field in meta is an object":                   `{"kind":"stop",` + uid + `,"meta":{"left":{}}}`,
+		"meta is an array":                             `{"kind":"stop",` + uid + `,"meta":[]}`,
+		"reason is not a number":                       `{"kind":"stop",` + uid + `,"reason":"34"}`,
+		"reason is a fraction":                         `{"kind":"stop",` + uid + `,"reason":3.5}`,
+		"reason has an exponent":                       `{"kind":"stop",` + uid + `,"reason":1e400}`,
+		"body is not valid UTF-8":                      "{\"kind\":\"stop\"," + uid + ",\"body\":\"\xff\"}",
+		"high surrogate without a low surrogate":       `{"kind":"stop",` + uid + `,"body":"\ud83d"}`,
+		"low surrogate without a high surrogate":       `{"kind":"stop",` + uid + `,"body":"\ude00x"}`,
+		"control character that is not escaped":        "{\"kind\":\"stop\"," + uid + ",\"body\":\"\x01\"}",
+		"invalid escape sequence":                      `{"kind":"stop",` + uid + `,"body":"\x41"}`,
+		"number with a leading zero":                   `{"kind":"stop",` + uid + `,"meta":{"left":01}}`,
+		"body is not a string":                         `{"kind":"launch",` + uid + `,"body":{"a":1}}`,
+		"arrays nested too deeply":                     `{"kind":"stop",` + uid + `,"x":` + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + `}`,
+		"line too long":                                `{"kind":"stop",` + uid + `,"body":"` + strings.Repeat("a", MaxLineBytes) + `"}`,
+		"comma after the last member":                  `{"kind":"stop",` + uid + `,}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var msg Message
@@ -77,6 +80,8 @@
 	}
 }
 
+// TestUnknownKeysAreSkipped checks that a message is accepted if it has keys that the protocol does not
+// define, whatever their values are.
 func TestUnknownKeysAreSkipped(t *testing.T) {
 	var msg Message
 	if err := Parse([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","more":{"a":[1,null,true,{"b":"c"}]},"meta":{"other":[]}}`), &msg); err != nil {
@@ -85,30 +90,30 @@
 }
 
 // FuzzLine compares the codec with encoding/json: each line that the codec accepts must be valid JSON, and
-// the encoded form of the message must be parsed as the same message. It also checks that parsing allocates
-// at most a fixed multiple of the length of the line and a constant.
+// encoding the message and parsing the result must give the same message. It also checks that the memory
+// that Parse allocates is bounded by a constant plus a fixed multiple of the length of the line.
 func FuzzLine(f *testing.F) {
 	f.Add([]byte(launchLine))
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
 	f.Add([]byte(`{"kind":"check","uid":"0000000000000001","z":[[[{}]]]}`))
-	f.Fuzz(func(t *testing.T, in []byte) {
+	f.Fuzz(func(t *testing.T, line []byte) {
 		var msg, reparsed Message
-		var before, after runtime.MemStats
-		runtime.ReadMemStats(&before)
-		err := Parse(in, &msg)
-		runtime.ReadMemStats(&after)
-		if spent := after.TotalAlloc - before.TotalAlloc; spent > uint64(16*len(in)+64<<10) {
-			t.Fatalf("parsing allocated %d bytes for a line of %d bytes", spent, len(in))
+		var memoryBefore, memoryAfter runtime.MemStats
+		runtime.ReadMemStats(&memoryBefore)
+		err := Parse(line, &msg)
+		runtime.ReadMemStats(&memoryAfter)
+		if allocated := memoryAfter.TotalAlloc - memoryBefore.TotalAlloc; allocated > uint64(16*len(line)+64<<10) {
+			t.Fatalf("Parse allocated %d bytes for a line of %d bytes", allocated, len(line))
 		}
 		if err != nil {
 			return
 		}
-		if !json.Valid(in) {
-			t.Fatalf("accepted a line that is not valid JSON: %q", in)
+		if !json.Valid(line) {
+			t.Fatalf("Parse accepted a line that is not valid JSON: %q", line)
 		}
-		line := msg.Append(nil)
-		if err := Parse(line[:len(line)-1], &reparsed); (err != nil || reparsed != msg) && len(line) < MaxLineBytes {
-			t.Fatalf("parsing the encoded message gave error %v or a different message: %s", err, line)
+		encoded := msg.Append(nil)
+		if err := Parse(encoded[:len(encoded)-1], &reparsed); (err != nil || reparsed != msg) && len(encoded) < MaxLineBytes {
+			t.Fatalf("got error %v or a changed message after encoding the parsed message and parsing the result: %s", err, encoded)
 		}
 	})
 }
