--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -4,14 +4,14 @@
 
 import "heathshed/internal/platform/dispatch"
 
-// attemptSender collects attempts during an iteration of the event loop and sends them at the end of the
-// iteration.
+// attemptSender collects attempts during an iteration of the event loop and sends them to their nodes at the
+// end of the iteration.
 type attemptSender struct {
 	server  *Server
 	pending []*dispatch.Attempt
 }
 
-// schedule queues an attempt, which is sent at the end of the current iteration of the event loop.
+// schedule queues an attempt, which sendPending sends at the end of the current iteration of the event loop.
 func (sender *attemptSender) schedule(attempt *dispatch.Attempt) {
 	sender.pending = append(sender.pending, attempt)
 	if len(sender.pending) == 1 {
@@ -20,16 +20,16 @@
 }
 
 // sendPending sends the scheduled attempts. An attempt must not be sent if its client has canceled the
-// request or closed its connection. Either event may have reached the kernel by now without the event loop
-// having read it, whether it happened before or after the attempt was scheduled. Therefore sendPending first
-// reads the client's connection once more; if it finds such an event, the attempt ends before its first byte
-// is sent.
+// request or closed the client connection. The kernel may already have received such a cancellation or close
+// although the event loop has not read it yet. For this reason sendPending reads the client connection once
+// more before it sends an attempt. If the client has canceled or disconnected, the dispatch core ends the
+// attempt, and no byte of the attempt is sent.
 func (sender *attemptSender) sendPending() {
 	s := sender.server
 	pending := sender.pending
 	sender.pending = nil
 	for _, attempt := range pending {
-		if s.clients.hasUnreadLines(attempt.ClientConn()) { // The unread lines may contain a cancellation.
+		if s.clients.hasUnreadLines(attempt.ClientConn()) { // The unread lines may cancel the request of this attempt.
 			sender.schedule(attempt)
 			continue
 		}
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -15,34 +15,35 @@
 // idleClientTimeout and incompleteMessageTimeout limit how long a client connection stays open without a
 // message.
 const (
-	// idleClientTimeout is the time without a message after which a connection is closed if it has no open
-	// request and no task was ever placed for it. The platform tolerates idle connections for up to 3 s.
+	// idleClientTimeout is the time without a message after which a client connection is closed if no request
+	// is open on it and no task was ever placed for it. The platform allows a client connection to be idle
+	// for at most 3 s.
 	idleClientTimeout = 2 * time.Second
-	// incompleteMessageTimeout is how long the arrival of an incomplete message keeps an otherwise idle
-	// connection open.
+	// incompleteMessageTimeout is how long a client connection that is otherwise idle stays open after an
+	// incomplete message has begun to arrive on it.
 	incompleteMessageTimeout = 700 * time.Millisecond
 )
 
-// maxUnsentBytesToClient is the number of bytes of output that may wait for a client. A connection is closed
-// when its unsent output exceeds this limit.
+// maxUnsentBytesToClient is the maximum number of bytes that may wait to be sent to one client. A client
+// connection whose unsent output exceeds this limit is closed.
 const maxUnsentBytesToClient = 256 << 10
 
-// errClientNotReading is logged when a connection is closed because its client does not read its messages.
+// errClientNotReading is logged when a client connection is closed because the client does not read from it.
 var errClientNotReading = errors.New("unsent output for the client exceeds the limit")
 
 // clientConnState is the state of a client connection.
 type clientConnState uint8
 
 const (
-	// clientOpen means that messages are read and written.
+	// clientOpen means that messages are read from the client connection and written to it.
 	clientOpen clientConnState = iota
-	// clientAdopting means that messages are read and written, that running tasks were adopted in the current
-	// iteration of the event loop, and that the connection is read once more at the end of the iteration.
+	// clientAdopting is like clientOpen, except that running tasks of the client were adopted in the current
+	// iteration of the event loop, so the connection is read once more at the end of the iteration.
 	clientAdopting
-	// clientClosing means that the connection closes once its output is flushed, and that the dispatch core
-	// already treats the client as disconnected.
+	// clientClosing means that the client connection closes once its output is flushed, and that the dispatch
+	// core already treats the client as disconnected.
 	clientClosing
-	// clientClosed means that the connection has ended.
+	// clientClosed means that the client connection has ended.
 	clientClosed
 )
 
@@ -50,7 +51,7 @@
 	return [...]string{"open", "adopting", "closing", "closed"}[state]
 }
 
-// canBecome reports whether the state machine allows a transition to the next state.
+// canBecome reports whether a client connection may change from this state to the next state.
 func (state clientConnState) canBecome(next clientConnState) bool {
 	switch state {
 	case clientOpen:
@@ -63,7 +64,8 @@
 	return false
 }
 
-// clientConn is the connection of one client. It handles the events of an eventloop.Conn.
+// clientConn is the connection of one client. It implements eventloop.Handler for the events of this
+// connection.
 type clientConn struct {
 	server          *Server
 	conn            *eventloop.Conn
@@ -71,12 +73,12 @@
 	state           clientConnState
 	openedAt        clock.Instant
 	lastMessageAt   clock.Instant // lastMessageAt is when the last valid message arrived, or openedAt if none has arrived.
-	incompleteSince clock.Instant // incompleteSince is when a message began that is still incomplete, or zero.
+	incompleteSince clock.Instant // incompleteSince is when the incomplete message began to arrive, or zero if there is none.
 	message         protocol.Message
 }
 
-// setState changes the state. An illegal transition is a programming error; it is counted and logged, and the
-// state does not change.
+// setState changes the state of the connection. An illegal transition is a programming error. It is counted
+// and logged, and leaves the state unchanged.
 func (c *clientConn) setState(next clientConnState) {
 	if !c.state.canBecome(next) {
 		c.server.recordIllegalTransition("client connection", uint64(c.id), c.state, next)
@@ -88,15 +90,15 @@
 // Opened implements eventloop.Handler. It does nothing.
 func (c *clientConn) Opened(*eventloop.Conn) {}
 
-// Data implements eventloop.Handler. It handles the complete lines of the data and returns the number of
-// bytes consumed.
+// Data implements eventloop.Handler. It handles the complete lines that have arrived from the client and
+// returns the number of bytes consumed.
 func (c *clientConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := c.server
 	consumed, err := s.reader.readLines(conn, data, c.handleLine)
 	c.incompleteSince = nextIncompleteSince(c.incompleteSince, s.loop.Now(), consumed, len(data))
 	s.applyReadyEffects()
 	if err != nil && !conn.Closed() {
-		// A line that cannot be parsed cannot be answered, and the lines after it cannot be trusted.
+		// A line that cannot be parsed cannot be answered, and the lines after it may be corrupt as well.
 		s.stats.InvalidFromClients.add(err)
 		s.warn("client connection closed: message cannot be read", conn.Peer(), err)
 		c.closeGracefully()
@@ -105,11 +107,12 @@
 	return consumed
 }
 
-// handleLine passes one message to the dispatch core. If it returns an error, the connection is closed.
+// handleLine parses one line from the client and passes the message to the dispatch core. If the line is not
+// a message, it returns an error, and the caller closes the connection.
 func (c *clientConn) handleLine(line []byte) (lineCost, error) {
 	s := c.server
 	if err := protocol.Parse(line, &c.message); err != nil {
-		return lineCounts, err
+		return countsTowardsLimit, err
 	}
 	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
 	adoptedBefore := s.core.Counts.Adopted
@@ -120,16 +123,16 @@
 		c.lastMessageAt = s.loop.Now()
 	}
 	if s.core.Counts.Adopted == adoptedBefore {
-		return lineCounts, nil
+		return countsTowardsLimit, nil
 	}
 	c.readPendingAdoptions()
-	return lineExempt, nil
+	return exemptFromLimit, nil
 }
 
 // readPendingAdoptions reads the connection once more at the end of the current iteration of the event loop.
-// After a restart of the scheduler, clients report thousands of running tasks at once. These tasks use
-// capacity even before the scheduler has read the reports, so all reports that have arrived are read before
-// any task is placed.
+// After a restart of the scheduler, clients request the adoption of thousands of running tasks at once. These
+// tasks use capacity even before the scheduler has read the requests, so all adoption requests that have
+// arrived are read before any task is placed.
 func (c *clientConn) readPendingAdoptions() {
 	if c.state == clientAdopting {
 		return
@@ -156,8 +159,8 @@
 	s.applyReadyEffects()
 }
 
-// closeGracefully closes the connection once its output is flushed. It reports the client to the dispatch
-// core as disconnected at once, because a notification written from now on would be lost.
+// closeGracefully closes the connection once its output is flushed. It tells the dispatch core at once that
+// the client has disconnected, because a notification that is written from now on would be lost.
 func (c *clientConn) closeGracefully() {
 	if c.state == clientClosing {
 		return
@@ -168,30 +171,31 @@
 	c.conn.CloseAfterFlush()
 }
 
-// send writes a message to the client. It closes the connection instead if too much unsent output has
-// accumulated.
+// send writes a message to the client. If the unsent output exceeds maxUnsentBytesToClient, it closes the
+// connection instead.
 func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
 	if c.conn.Buffered() > maxUnsentBytesToClient {
 		s.warn("client connection closed: output not read", c.conn.Peer(), errClientNotReading)
-		s.loop.After(0, c.conn.Close) // Closing is deferred because the caller may be handling this connection.
+		s.loop.After(0, c.conn.Close) // Closing is deferred because the caller may be handling an event of this connection.
 		return
 	}
 	s.traceMessage(">client", uint64(c.id), c.conn.Peer(), message)
 	c.conn.CommitOutput(message.Append(c.conn.OutputBuffer()))
 }
 
-// isIdle reports whether the connection may be closed because it has no open request, no task was ever placed
-// for it and it has been silent for long enough. While tasks run, the last connection with a client is kept:
-// clients open connections only for requests, but they must be notified within a second when a task ends.
+// isIdle reports whether the connection may be closed as idle. This is the case if no request is open on it,
+// no task was ever placed for it and it is silent. While tasks run, the only remaining client connection is
+// not idle: clients open connections only to send requests, but must be notified within a second of the end
+// of a task.
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	open, placed := core.ClientRequests(c.id)
 	return c.state != clientClosing && open == 0 && !placed && c.isSilent(now) && !core.IsOnlyClient(c.id)
 }
 
-// isSilent reports whether no valid message has arrived within idleClientTimeout and no message that is still
-// incomplete began to arrive within incompleteMessageTimeout.
+// isSilent reports whether two conditions hold: no valid message has arrived for idleClientTimeout, and no
+// incomplete message has begun to arrive within the last incompleteMessageTimeout.
 func (c *clientConn) isSilent(now clock.Instant) bool {
 	receiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
 	return now.Sub(c.lastMessageAt) > idleClientTimeout && !receiving
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -9,26 +9,27 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// reservedClientSlots is the number of client connection slots that are kept free by evicting connections.
+// reservedClientSlots is the number of connection slots for clients that are kept free for new connections.
+// If fewer slots are free, a client connection is evicted.
 const reservedClientSlots = 2
 
-// clientTable contains the client connections and selects the connection to evict when connection slots run
-// out.
+// clientTable contains the client connections. When connection slots for clients run out, it selects a
+// connection to evict.
 type clientTable struct {
 	server   *Server
 	byID     map[dispatch.ConnID]*clientConn
 	lastID   dispatch.ConnID
 	maxConns int
 
-	candidates     []memquota.Candidate // candidates is reused by evict to avoid allocations.
-	candidateConns []*clientConn        // candidateConns contains the connection of each candidate at the same index.
+	candidates     []memquota.Candidate // candidates are the connections that evict may close, in a reused slice.
+	candidateConns []*clientConn        // candidateConns[i] is the client connection that candidates[i] describes.
 }
 
 func newClientTable(server *Server, maxConns int) *clientTable {
 	return &clientTable{server: server, byID: map[dispatch.ConnID]*clientConn{}, maxConns: maxConns}
 }
 
-// accept registers a connection that was just accepted and returns its handler.
+// accept adds a client connection that was just accepted to the table and returns the handler of its events.
 func (table *clientTable) accept(conn *eventloop.Conn) eventloop.Handler {
 	s := table.server
 	table.lastID++
@@ -44,18 +45,19 @@
 	return client
 }
 
-// remove deletes a connection that has ended from the table.
+// remove deletes a client connection that has ended from the table.
 func (table *clientTable) remove(client *clientConn) { delete(table.byID, client.id) }
 
-// send writes a message to a client. The message is lost if the connection has ended.
+// send writes a message to the client connection with the given ID. If that connection has ended, the message
+// is lost.
 func (table *clientTable) send(id dispatch.ConnID, message *protocol.Message) {
 	if client := table.byID[id]; client != nil {
 		client.send(message)
 	}
 }
 
-// hasUnreadLines reads a client's connection and reports whether it has more lines than one iteration of the
-// event loop may handle, so that some lines wait for the next iteration.
+// hasUnreadLines reads the client connection with the given ID. It reports whether more lines have arrived on
+// it than one iteration of the event loop may handle, in which case some lines wait for the next iteration.
 func (table *clientTable) hasUnreadLines(id dispatch.ConnID) bool {
 	client := table.byID[id]
 	if client == nil {
@@ -65,8 +67,8 @@
 	return client.conn.Paused() && !client.conn.Closed()
 }
 
-// readAllConns reads every connection and reports whether any of them has an incomplete message or lines that
-// wait for the next iteration of the event loop.
+// readAllConns reads every client connection. It reports whether, on any of them, part of a message has
+// arrived or lines wait for the next iteration of the event loop.
 func (table *clientTable) readAllConns() (unread bool) {
 	for _, client := range table.byID {
 		client.conn.ReadNow()
@@ -75,15 +77,15 @@
 	return unread
 }
 
-// closeGracefully closes every connection once its output is flushed.
+// closeGracefully closes every client connection once its output is flushed.
 func (table *clientTable) closeGracefully() {
 	for _, client := range table.byID {
 		client.closeGracefully()
 	}
 }
 
-// closeIdle closes the idle connections. It reads each of them once more first, because a request that the
-// kernel has already received would be lost with the connection.
+// closeIdle closes the idle client connections. It reads each of them once more before it closes it, because
+// a request that the kernel has already received would otherwise be lost with the connection.
 func (table *clientTable) closeIdle() {
 	s := table.server
 	now := s.loop.Now()
@@ -99,9 +101,9 @@
 	}
 }
 
-// evict closes the connection that is least likely to be needed, which frees its slot. It reads each
-// candidate once more first. If a request has arrived there, it keeps that connection and tries the next
-// candidate.
+// evict closes the client connection that is least likely to be needed, which frees the connection slot.
+// Before it closes a candidate, it reads that connection once more. If a request has arrived there, it keeps
+// the connection and tries the next candidate.
 func (table *clientTable) evict() {
 	s := table.server
 	table.collectCandidates()
@@ -121,8 +123,8 @@
 	}
 }
 
-// collectCandidates fills candidates and candidateConns. It omits connections that are closing: their slots
-// become free soon, and their last answers may still be in transit.
+// collectCandidates fills candidates and candidateConns with all client connections except those that are
+// closing: the slots of closing connections become free soon, and their last answers may still be in transit.
 func (table *clientTable) collectCandidates() {
 	s := table.server
 	now := s.loop.Now()
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -12,22 +12,23 @@
 	"heathshed/internal/simbridge/simconfig"
 )
 
-// maxConfigBytes is the maximum size of a configuration file.
+// maxConfigBytes is the maximum size of a configuration file in bytes.
 const maxConfigBytes = 16 << 20
 
 // maxMemoryMiB is the maximum memory limit that a configuration may set, in MiB.
 const maxMemoryMiB = 1 << 30
 
-// Config is the configuration that the platform gives a scheduler when it starts.
+// Config is the configuration of a scheduler on the shared platform. It is read from the configuration file
+// that the platform provides when it starts the scheduler.
 type Config struct {
 	Name          string
-	Listen        string          // Listen is the address on which the server accepts clients.
+	Listen        string          // Listen is the address on which the server accepts client connections.
 	Discovery     string          // Discovery is the address of the discovery server.
 	Seed          uint64          // Seed is the seed of the server's random numbers.
 	CPULimit      float64         // CPULimit is the limit on processor cores, or 0 if the configuration sets none.
 	MemoryLimit   int64           // MemoryLimit is the memory limit in bytes, or 0 if the configuration sets none.
 	OpenFileLimit int             // OpenFileLimit is the limit on file descriptors, or 0 if the configuration sets none.
-	InitialEvents json.RawMessage // InitialEvents contains the discovery events known at the start.
+	InitialEvents json.RawMessage // InitialEvents contains the discovery events up to the start of the scheduler.
 	Settings      *simconfig.Settings
 }
 
@@ -48,13 +49,13 @@
 	OpenFiles int     `json:"sockets"`
 }
 
-// ReadConfig reads a configuration file. If a field is invalid, the error names it.
+// ReadConfig reads a configuration file. If a field is invalid, the error names the field.
 func ReadConfig(path string) (*Config, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer file.Close() //nolint:errcheck // only read; ReadAll returns what can fail
+	defer file.Close() //nolint:errcheck // the file is only read, and ReadAll returns all errors of reading
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -69,7 +70,7 @@
 	return config, nil
 }
 
-// ParseConfig parses the JSON text of a configuration. If a field is invalid, the error names it.
+// ParseConfig parses the JSON text of a configuration. If a field is invalid, the error names the field.
 func ParseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -105,7 +106,8 @@
 	}, nil
 }
 
-// checkIdentity checks the name and the addresses.
+// checkIdentity checks the name of the scheduler, the address on which it listens and the address of the
+// discovery server.
 func (file *configFile) checkIdentity() error {
 	if file.Name == "" {
 		return errors.New("name: must not be empty")
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// check checks that the limits are within their valid ranges.
+// check returns an error if one of the limits is outside its valid range.
 func (limits *configLimits) check() error {
 	validMemory := limits.MemoryMiB >= 0 && limits.MemoryMiB <= maxMemoryMiB
 	if !(limits.Cores >= 0) || !validMemory || limits.OpenFiles < 0 {
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -11,31 +11,33 @@
 	"heathshed/placer"
 )
 
-// Package server represents times as clock.Instant and time.Duration; the dispatch core and its settings use
-// floating-point seconds. Only this file converts between the two.
+// Package server represents times as clock.Instant and time.Duration; the dispatch core and the settings use
+// floating-point seconds. All conversions between these formats are in this file.
 
-// defaultConnectTimeout limits the duration of a dial if the settings contain no limit.
+// defaultConnectTimeout is the maximum duration of a dial to a node if the settings contain no connect timeout.
 const defaultConnectTimeout = 250 * time.Millisecond
 
-// newBackoff returns an exponential backoff between the given delays.
+// newBackoff returns an exponential backoff whose delays lie between minDelay and maxDelay.
 func newBackoff(minDelay, maxDelay time.Duration) retry.Backoff {
 	return retry.Backoff{Min: placer.SecondsOf(minDelay), Max: placer.SecondsOf(maxDelay)}
 }
 
-// nextRetryDelay counts one more failure and returns the delay before the next attempt.
+// nextRetryDelay adds a failure to a backoff and returns the delay before the failed operation is repeated.
 func (s *Server) nextRetryDelay(backoff *retry.Backoff) time.Duration {
 	return clock.Duration(backoff.Next(s.rng.Float64()))
 }
 
-// idleTimeoutFraction is the fraction of the platform's idle timeout after which the server closes an idle
-// node connection. If the node closed it first, an attempt that is in transit at that moment would be lost.
+// idleTimeoutFraction is the fraction of the idle timeout in the settings after which the server closes an
+// idle node connection. If the node closed the connection first, at the full timeout, an attempt in transit
+// at that moment would be lost.
 const idleTimeoutFraction = 0.6
 
-// coreNow returns the time of the current iteration of the event loop as the dispatch core represents it.
+// coreNow returns the time of the current iteration of the event loop, in the time format of the dispatch
+// core.
 func (s *Server) coreNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
-// resetCoreTimer sets the event-loop timer to the time of the next timer of the dispatch core. The core
-// reports infinity if it has no timer.
+// resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. The core
+// reports infinity as this time if it has set no timer.
 func (s *Server) resetCoreTimer() {
 	due := s.core.NextTimer()
 	if s.coreTimer != nil && s.coreTimerDue == due {
@@ -56,7 +58,7 @@
 	s.applyReadyEffects()
 }
 
-// connectTimeout returns the maximum duration of a dial.
+// connectTimeout returns the maximum duration of a dial to a node.
 func (c *Config) connectTimeout() time.Duration {
 	timeout := c.Settings.Placer.Attempts.ConnectTimeout
 	if timeout <= 0 {
@@ -65,13 +67,13 @@
 	return clock.Duration(timeout)
 }
 
-// maxIdle returns the time without a request after which the server closes a node connection, or 0 if it
-// never does.
+// maxIdle returns the time without a sent request after which the server closes a node connection, or 0 if it
+// never closes node connections as idle.
 func (c *Config) maxIdle() time.Duration {
 	return clock.Duration(c.Settings.IdleTimeout * idleTimeoutFraction)
 }
 
-// longestDeadline returns the longest deadline of all classes.
+// longestDeadline returns the longest deadline of all task classes.
 func (c *Config) longestDeadline() time.Duration {
 	var longest placer.Seconds
 	for i := range c.Settings.Placer.Classes {
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -20,23 +20,24 @@
 
 // watchConnectTimeout and watchIdleTimeout are the timeouts of the discovery watch.
 const (
+	// watchConnectTimeout is the maximum duration of a dial to the discovery server.
 	watchConnectTimeout = 500 * time.Millisecond
-	// watchIdleTimeout is the time without data after which a stream fails. The discovery server sends a
-	// comment every second, so silence means that the stream is broken.
+	// watchIdleTimeout is the time without data after which the watch abandons a discovery stream. The
+	// discovery server sends a comment every second, so a longer silence means that the stream is broken.
 	watchIdleTimeout = 2200 * time.Millisecond
 )
 
-// minWatchBackoff and maxWatchBackoff are the bounds of the delay before the discovery stream is opened
-// again.
+// minWatchBackoff and maxWatchBackoff are the bounds of the delay between the failure of a discovery stream
+// and the request for the next stream.
 const (
 	minWatchBackoff = 50 * time.Millisecond
 	maxWatchBackoff = time.Second
 )
 
-// maxEventBytes is the maximum size of one discovery event.
+// maxEventBytes is the maximum size of one discovery event in bytes.
 const maxEventBytes = 2 << 20
 
-// The errors of the discovery watch are logged when they end a discovery stream.
+// These errors end a discovery stream and are logged with the warning that the watch has failed.
 var (
 	errStreamIdle       = errors.New("discovery server sent no data within the idle timeout")
 	errStreamEnded      = errors.New("discovery server ended the stream")
@@ -45,19 +46,20 @@
 )
 
 // discoveryWatch receives the events of the node registry as a stream of server-sent events. If the stream
-// ends or is idle for too long, the watch opens another one that continues after the last event received.
+// ends or is idle for watchIdleTimeout, the watch requests another stream, which continues after the last
+// event received.
 type discoveryWatch struct {
 	server     *Server
 	addr       string
 	client     *httpc.Client
-	call       *httpc.Call
-	stream     *discoveryStream // stream is the response to call, or nil while the watch waits for a retry.
+	call       *httpc.Call      // call is the HTTP request for the stream, or nil while the watch waits for a retry.
+	stream     *discoveryStream // stream handles the response to call, or is nil while the watch waits for a retry.
 	idleTimer  *eventloop.Timer
 	backoff    retry.Backoff
 	retryTimer *eventloop.Timer
 }
 
-// newDiscoveryWatch returns a watch that has not opened a stream yet.
+// newDiscoveryWatch returns a watch that has not requested a stream yet.
 func newDiscoveryWatch(server *Server, addr string) *discoveryWatch {
 	w := &discoveryWatch{server: server, addr: addr, backoff: newBackoff(minWatchBackoff, maxWatchBackoff)}
 	w.client = w.newClient()
@@ -70,7 +72,7 @@
 	return client
 }
 
-// moveTo makes the watch continue at another address, after the last event received.
+// moveTo makes the watch continue after the last event received with the discovery server at another address.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.addr = addr
 	w.client = w.newClient()
@@ -78,8 +80,8 @@
 	w.open()
 }
 
-// open requests the events that follow the last one received. It cancels the stream that is open, if there is
-// one.
+// open requests a stream of the events that follow the last event received. If a stream is open, open cancels
+// it.
 func (w *discoveryWatch) open() {
 	w.retryTimer.Stop()
 	w.idleTimer.Stop()
@@ -98,21 +100,21 @@
 	w.resetIdleTimer()
 }
 
-// resetIdleTimer restarts the idle timeout of the stream.
+// resetIdleTimer restarts the idle timeout of the discovery stream.
 func (w *discoveryWatch) resetIdleTimer() {
 	w.idleTimer.Stop()
 	w.idleTimer = w.server.loop.After(watchIdleTimeout, func() { w.retryAfterFailure(errStreamIdle) })
 }
 
-// retryAfterFailure abandons the stream and opens another one after a delay. The delay grows with each
-// failure and is reset when an event has been received.
+// retryAfterFailure abandons the discovery stream and requests another one after a delay. The delay grows
+// with each failure and is reset when an event has been received.
 func (w *discoveryWatch) retryAfterFailure(err error) {
 	s := w.server
 	w.stream = nil
 	w.idleTimer.Stop()
 	if call := w.call; call != nil {
 		w.call = nil
-		s.loop.After(0, call.Cancel) // Canceling is deferred because a handler of the call may be running.
+		s.loop.After(0, call.Cancel) // Canceling is deferred because the caller may be a handler of this HTTP request.
 	}
 	s.warn("discovery watch failed", w.addr, err)
 	s.core.SetDiscoveryConnected(s.coreNow(), false)
@@ -121,17 +123,18 @@
 	w.retryTimer = s.loop.After(s.nextRetryDelay(&w.backoff), w.open)
 }
 
-// discoveryStream is one response of the discovery server. It ignores all data once the watch has abandoned
-// it.
+// discoveryStream handles one response of the discovery server. Once the watch has abandoned the stream, the
+// stream ignores all data.
 type discoveryStream struct {
 	watch   *discoveryWatch
 	decoder sse.Decoder
-	failure error // failure is the first error; events after it are ignored.
+	failure error // failure is the first error in the stream; the events after this error are ignored.
 }
 
+// isCurrent reports whether the watch has not abandoned the stream.
 func (stream *discoveryStream) isCurrent() bool { return stream.watch.stream == stream }
 
-// responseStarted handles the header of the response.
+// responseStarted handles the header of the discovery server's response.
 func (stream *discoveryStream) responseStarted(head *http1.Head) {
 	if !stream.isCurrent() || head.Status != http.StatusOK {
 		return
@@ -142,7 +145,7 @@
 	s.applyReadyEffects()
 }
 
-// bodyReceived handles a part of the response body.
+// bodyReceived decodes a part of the response body and handles the events that it completes.
 func (stream *discoveryStream) bodyReceived(data []byte) {
 	if !stream.isCurrent() || stream.failure != nil {
 		return
@@ -159,7 +162,7 @@
 	}
 }
 
-// handleEvent passes one event to the dispatch core.
+// handleEvent passes one discovery event to the dispatch core.
 func (stream *discoveryStream) handleEvent(event sse.Event) {
 	if stream.failure != nil {
 		return
@@ -178,7 +181,7 @@
 	stream.watch.backoff.Reset()
 }
 
-// responseEnded handles the end of the response.
+// responseEnded handles the end of the response, after which the watch requests another stream.
 func (stream *discoveryStream) responseEnded(head *http1.Head, _ []byte, err error) {
 	if !stream.isCurrent() {
 		return
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -10,31 +10,34 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// maxLinesPerIteration is the maximum number of lines of one connection that are handled in one iteration of
-// the event loop. The limit keeps a connection with many lines from delaying the others.
+// maxLinesPerIteration is the maximum number of lines of one client or node connection that are handled in
+// one iteration of the event loop. The limit keeps a connection on which many lines have arrived from
+// delaying the other connections.
 const maxLinesPerIteration = 64
 
-// lineCost states whether a line counts towards maxLinesPerIteration.
+// lineCost states whether a handled line counts towards maxLinesPerIteration.
 type lineCost uint8
 
 const (
-	lineCounts lineCost = iota
-	lineExempt
+	countsTowardsLimit lineCost = iota
+	exemptFromLimit
 )
 
-// lineHandler handles one line without its line feed. If it returns an error, the connection is closed.
+// lineHandler handles one line without its line feed. If it returns an error, the caller closes the
+// connection on which the line arrived.
 type lineHandler func(line []byte) (lineCost, error)
 
-// lineReader reads lines from connections and limits the number of lines per connection and iteration of the
-// event loop.
+// lineReader reads lines from client and node connections. It limits the number of lines that are handled per
+// connection in one iteration of the event loop.
 type lineReader struct {
 	loop     *eventloop.Loop
-	deferred []*eventloop.Conn // deferred lists connections whose reading is paused until the next iteration of the event loop.
+	deferred []*eventloop.Conn // deferred lists the connections that are not read until the next iteration of the event loop.
 }
 
-// readLines calls handle for each complete line of data, without its line feed, until maxLinesPerIteration
-// lines have counted. It defers the remaining lines to the next iteration of the event loop. It returns the
-// number of bytes consumed and either the error of handle or protocol.ErrTooLong for a line that is too long.
+// readLines calls handle for each complete line of data, without its line feed. It stops after the number of
+// lines that maxLinesPerIteration allows and defers the remaining lines to the next iteration of the event
+// loop. It returns the number of bytes consumed. The error is that of handle, or protocol.ErrTooLong for a
+// line that is too long.
 func (reader *lineReader) readLines(conn *eventloop.Conn, data []byte, handle lineHandler) (int, error) {
 	consumed := 0
 	for handled := 0; handled < maxLinesPerIteration; {
@@ -53,7 +56,7 @@
 		if conn.Closed() {
 			return consumed, nil
 		}
-		if cost == lineCounts {
+		if cost == countsTowardsLimit {
 			handled++
 		}
 	}
@@ -72,7 +75,7 @@
 	}
 }
 
-// resumeReading resumes reading from the deferred connections.
+// resumeReading resumes reading from the connections that deferReading has paused.
 func (reader *lineReader) resumeReading() {
 	deferred := reader.deferred
 	reader.deferred = nil
@@ -81,12 +84,12 @@
 	}
 }
 
-// nextIncompleteSince returns when the incomplete message at the end of the unread bytes began, or zero if
-// there is none. The arguments are the previous value, the current time, and how many of the unread bytes
-// were consumed.
-func nextIncompleteSince(previous, now clock.Instant, consumed, unread int) clock.Instant {
+// nextIncompleteSince returns when the incomplete message at the end of the input of a connection began to
+// arrive, or zero if the input ends with a complete message. previous is the last result for the same
+// connection, available is the number of bytes in the input, and consumed is how many of them were consumed.
+func nextIncompleteSince(previous, now clock.Instant, consumed, available int) clock.Instant {
 	switch {
-	case consumed == unread:
+	case consumed == available:
 		return 0
 	case consumed > 0 || previous.IsZero():
 		return now
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -11,33 +11,35 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// maxWarningsPerSecond limits the number of logged warnings about invalid input and failures of peers.
+// maxWarningsPerSecond limits the number of logged warnings about invalid input and failures of clients, nodes
+// and the discovery server.
 const maxWarningsPerSecond = 5
 
-// warningLimiter counts the warnings within a window of one second.
+// warningLimiter counts the warnings within a window of one second, in order to limit how many are logged.
 type warningLimiter struct {
 	windowStart clock.Instant
 	count       int
 }
 
 // allow counts a warning and reports whether it may be logged.
-func (limit *warningLimiter) allow(now clock.Instant) bool {
-	if now > limit.windowStart.Add(time.Second) {
-		*limit = warningLimiter{windowStart: now}
+func (limiter *warningLimiter) allow(now clock.Instant) bool {
+	if now > limiter.windowStart.Add(time.Second) {
+		*limiter = warningLimiter{windowStart: now}
 	}
-	limit.count++
-	return limit.count <= maxWarningsPerSecond
+	limiter.count++
+	return limiter.count <= maxWarningsPerSecond
 }
 
-// warn logs a failure that a peer has caused, unless maxWarningsPerSecond is exceeded.
+// warn logs a failure that a client, a node or the discovery server has caused, unless the number of warnings
+// exceeds maxWarningsPerSecond. peer is the address of the party that caused the failure.
 func (s *Server) warn(message, peer string, err error) {
 	if s.warningLimiter.allow(s.loop.Now()) {
 		s.log.Warn().Str("peer", peer).Err(err).Msg(message)
 	}
 }
 
-// traceMessage logs a message at trace level. direction states whether the message was received or sent, and
-// whether the peer is a client or a node.
+// traceMessage logs a protocol message at trace level. direction states whether the server received or sent
+// the message, and whether the peer is a client or a node, for example "client>" or ">node".
 func (s *Server) traceMessage(direction string, conn uint64, peer string, message *protocol.Message) {
 	if s.log.GetLevel() > zerolog.TraceLevel {
 		return
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -12,27 +12,27 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// errUnexpectedKind is logged when a connection is closed because the node sent a Launch or a Check.
+// errUnexpectedKind is logged when a node connection is closed because the node sent a Launch or a Check.
 var errUnexpectedKind = errors.New("node sent a kind of message that only schedulers and clients may send")
 
-// healthCheck is the message that checks whether a connection works. A node answers it at once, however busy
-// it is.
+// healthCheck is the message that checks whether a node connection works. A node answers a health check at
+// once, however busy the node is.
 var healthCheck = protocol.Message{Kind: protocol.Check, UID: "0000000000000001", ID: 1, HasCause: true}
 
 // nodeConnState is the state of a connection to a node.
 type nodeConnState uint8
 
 const (
-	nodeDialing     nodeConnState = iota // nodeDialing means that the connection is not established yet.
-	nodeEstablished                      // nodeEstablished means that messages are read and written.
-	nodeClosed                           // nodeClosed means that the connection has ended or that the dial has failed.
+	nodeDialing     nodeConnState = iota // nodeDialing means that the node connection is not established yet.
+	nodeEstablished                      // nodeEstablished means that messages are read from the node and written to it.
+	nodeClosed                           // nodeClosed means that the node connection has ended or that the dial has failed.
 )
 
 func (state nodeConnState) String() string {
 	return [...]string{"dialing", "established", "closed"}[state]
 }
 
-// canBecome reports whether the state machine allows a transition to the next state.
+// canBecome reports whether a node connection may change from this state to the next state.
 func (state nodeConnState) canBecome(next nodeConnState) bool {
 	switch state {
 	case nodeDialing:
@@ -43,7 +43,7 @@
 	return false
 }
 
-// nodeConn is one connection to a node. It handles the events of an eventloop.Conn.
+// nodeConn is one connection to a node. It implements eventloop.Handler for the events of this connection.
 type nodeConn struct {
 	link          *nodeLink
 	id            dispatch.NodeConnID
@@ -55,8 +55,8 @@
 	message       protocol.Message
 }
 
-// setState changes the state. An illegal transition is a programming error; it is counted and logged, and the
-// state does not change.
+// setState changes the state of the connection. An illegal transition is a programming error. It is counted
+// and logged, and leaves the state unchanged.
 func (nc *nodeConn) setState(next nodeConnState) {
 	if !nc.state.canBecome(next) {
 		nc.link.server.recordIllegalTransition("node connection", uint64(nc.id), nc.state, next)
@@ -65,7 +65,7 @@
 	nc.state = next
 }
 
-// sendAttempt sends an attempt, unless the dispatch core has ended it in the meantime.
+// sendAttempt sends an attempt, unless the dispatch core has ended the attempt since it was scheduled.
 func (nc *nodeConn) sendAttempt(attempt *dispatch.Attempt) {
 	s := nc.link.server
 	if !s.core.PrepareSend(s.coreNow(), attempt) {
@@ -77,13 +77,13 @@
 	nc.write(&attempt.Message)
 }
 
-// write queues a message for sending.
+// write queues a message, which the event loop sends to the node.
 func (nc *nodeConn) write(message *protocol.Message) {
 	nc.link.server.traceMessage(">node", uint64(nc.id), nc.conn.Peer(), message)
 	nc.conn.CommitOutput(message.Append(nc.conn.OutputBuffer()))
 }
 
-// sendHealthCheck sends a health check, unless an earlier one is still unanswered.
+// sendHealthCheck sends a health check, unless an earlier health check on the connection is still unanswered.
 func (nc *nodeConn) sendHealthCheck() {
 	if nc.keepAlive.HealthCheckSent.IsZero() {
 		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Opened implements eventloop.Handler. The event loop calls it when the dial has succeeded.
+// Opened implements eventloop.Handler. The event loop calls it when the dial to the node has succeeded.
 func (nc *nodeConn) Opened(*eventloop.Conn) {
 	now := nc.link.server.loop.Now()
 	nc.setState(nodeEstablished)
@@ -101,8 +101,8 @@
 	nc.link.connEstablished(nc)
 }
 
-// Data implements eventloop.Handler. It handles the complete lines of the data and returns the number of
-// bytes consumed.
+// Data implements eventloop.Handler. It handles the complete lines that have arrived from the node and returns
+// the number of bytes consumed.
 func (nc *nodeConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := nc.link.server
 	now := s.loop.Now()
@@ -121,26 +121,28 @@
 	return consumed
 }
 
-// handleLine passes one message to the dispatch core. If it returns an error, the connection is closed.
+// handleLine parses one line from the node and passes the message to the dispatch core, unless it answers a
+// health check. If the node may not send such a line, it returns an error, and the caller closes the
+// connection.
 func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
 	s := nc.link.server
 	if err := protocol.Parse(line, &nc.message); err != nil {
-		return lineCounts, err
+		return countsTowardsLimit, err
 	}
 	kind := nc.message.Kind
 	if kind == protocol.Launch || kind == protocol.Check {
-		return lineCounts, errUnexpectedKind
+		return countsTowardsLimit, errUnexpectedKind
 	}
 	s.traceMessage("node>", uint64(nc.id), nc.conn.Peer(), &nc.message)
 	if kind == protocol.Checked {
 		nc.keepAlive.HealthCheckSent = 0
-		return lineCounts, nil
+		return countsTowardsLimit, nil
 	}
 	s.core.ReceiveFromNode(s.coreNow(), nc.link.id, &nc.message)
-	return lineCounts, nil
+	return countsTowardsLimit, nil
 }
 
-// removeAnsweredAttempts deletes the attempts that are no longer unanswered.
+// removeAnsweredAttempts removes the attempts that no longer wait for an answer of the node.
 func (nc *nodeConn) removeAnsweredAttempts() {
 	for attempt := range nc.attempts {
 		if !attempt.Unanswered() {
@@ -152,8 +154,8 @@
 // Drained implements eventloop.Handler. It does nothing.
 func (nc *nodeConn) Drained(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler. The event loop calls it when the dial has failed or the connection has
-// ended.
+// Closed implements eventloop.Handler. The event loop calls it when the dial to the node has failed or the
+// established connection has ended.
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
@@ -177,8 +179,8 @@
 	nc.reportLostAttempts()
 }
 
-// reportLostAttempts reports the unanswered attempts to the dispatch core. It is unknown whether the node
-// received them.
+// reportLostAttempts tells the dispatch core that the connection of the unanswered attempts has ended. It is
+// unknown whether the node received these attempts.
 func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
 	unanswered := make([]*dispatch.Attempt, 0, len(nc.attempts))
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -17,30 +17,33 @@
 	"heathshed/placer"
 )
 
-// maxPendingBytes is the maximum size of the encoded messages that wait for a connection to one node.
+// maxPendingBytes is the size of the encoded messages that wait for a connection to one node from which on
+// further messages to this node are discarded.
 const maxPendingBytes = 64 << 10
 
-// nodeLink manages the connections to one node, and the attempts and messages that wait for a connection. A
-// link is identified by the uid of its node, because another node may later use the same address.
+// nodeLink manages the connections to one node, and the attempts and messages that wait for a connection to
+// the node. A link is identified by the ID of its node and not by the address, because another node may later
+// use the same address.
 type nodeLink struct {
 	server          *Server
 	id              placer.NodeID
 	addr            string
-	conns           []*nodeConn         // conns contains the established connections.
-	dialing         *nodeConn           // dialing is the connection that is being dialed, or nil.
+	conns           []*nodeConn         // conns contains the established connections to the node.
+	dialing         *nodeConn           // dialing is the connection to the node that is being dialed, or nil if there is none.
 	queuedAttempts  []*dispatch.Attempt // queuedAttempts contains the attempts that wait for the dial to succeed.
-	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection.
+	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection to the node.
 	backoff         retry.Backoff
-	retryAt         clock.Instant // retryAt is the earliest time of the next dial.
-	disconnectedAt  clock.Instant // disconnectedAt is when the last connection ended, or zero if none has ended.
+	retryAt         clock.Instant // retryAt is the earliest time of the next dial after a failed one.
+	disconnectedAt  clock.Instant // disconnectedAt is when a connection to the node last ended, or zero if none has ended.
 	reachability    connpool.Reachability
 	hasTasks        bool // hasTasks states whether the node ran tasks at the last call of maintain.
-	// needsConn states whether maintain last decided that the node must be dialed. This is the case if the
-	// node has no connection although it runs tasks or messages are pending, and it may be dialed.
+	// needsConn states whether maintain has decided, at its last call, that the node must be dialed. A node
+	// must be dialed if it runs tasks or messages to it are pending, no connection to it exists, and dialing
+	// it is allowed.
 	needsConn bool
 }
 
-// closeConns closes all connections, including the one that is being dialed.
+// closeConns closes all connections to the node, including the one that is being dialed.
 func (link *nodeLink) closeConns() {
 	for _, nc := range slices.Clone(link.conns) {
 		nc.conn.Close()
@@ -50,7 +53,8 @@
 	}
 }
 
-// send sends an attempt on a usable connection, or queues it and dials a connection.
+// send sends an attempt on a usable connection to the node. If no connection is usable, it queues the attempt
+// and dials the node.
 func (link *nodeLink) send(attempt *dispatch.Attempt) {
 	if nc := link.usableConn(); nc != nil {
 		nc.sendAttempt(attempt)
@@ -60,8 +64,9 @@
 	link.dial()
 }
 
-// sendMessage sends a message about an attempt. It prefers the connection on which the attempt was sent, then
-// any other open connection. If no connection is open, the message is sent when the next one is established.
+// sendMessage sends the message of an effect to the node. It uses the connection on which the attempt of the
+// effect was sent, or another established connection if that one has ended. If no connection to the node is
+// established, the message is sent once a dial succeeds.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
 	nc := link.connByID(effect.Attempt.NodeConn)
 	if nc != nil {
@@ -79,14 +84,14 @@
 	}
 	nc.write(&effect.Message)
 	if suspected {
-		// Either the node is slow or the connection is broken. The health check distinguishes the two cases.
-		// Until it is answered, no attempt is sent on the connection.
+		// The attempt timed out because the node is slow or because the connection is broken. A health check
+		// distinguishes these cases. Until it is answered, no attempt is sent on the connection.
 		link.server.stats.NodeConnsSuspected++
 		nc.sendHealthCheck()
 	}
 }
 
-// connByID returns the established connection with the given ID, or nil.
+// connByID returns the established connection with the given ID, or nil if there is none.
 func (link *nodeLink) connByID(id dispatch.NodeConnID) *nodeConn {
 	for _, nc := range link.conns {
 		if nc.id == id {
@@ -96,8 +101,8 @@
 	return nil
 }
 
-// usableConn returns the usable connection on which data arrived most recently, or nil if no connection is
-// usable. Attempts are sent on this connection.
+// usableConn returns the connection on which attempts are sent: the usable connection to the node on which
+// data arrived most recently. It returns nil if no connection is usable.
 func (link *nodeLink) usableConn() *nodeConn {
 	var best *nodeConn
 	for _, nc := range link.conns {
@@ -108,8 +113,8 @@
 	return best
 }
 
-// anyConn returns a usable connection if there is one, otherwise any established connection, or nil if there
-// is none.
+// anyConn returns a usable connection to the node. If no connection is usable, it returns any established
+// connection, and if none is established, it returns nil.
 func (link *nodeLink) anyConn() *nodeConn {
 	if nc := link.usableConn(); nc != nil {
 		return nc
@@ -120,8 +125,8 @@
 	return nil
 }
 
-// dial opens a connection, unless one is being dialed already. Failures are reported in a later iteration of
-// the event loop.
+// dial starts to open a connection to the node, unless one is being dialed already. It reports failures in a
+// later iteration of the event loop.
 func (link *nodeLink) dial() {
 	if link.dialing != nil {
 		return
@@ -144,7 +149,8 @@
 	s.nodes.takeSlot()
 }
 
-// connEstablished adds an established connection and sends the messages and attempts that waited for it.
+// connEstablished adds a connection that was just established. It sends the pending messages and schedules the
+// queued attempts.
 func (link *nodeLink) connEstablished(nc *nodeConn) {
 	s := link.server
 	link.reachability.Received(s.loop.Now())
@@ -165,12 +171,13 @@
 	s.applyReadyEffects()
 }
 
-// dialFailed records a failed dial and reports the attempts that waited for the connection as failed.
+// dialFailed records a failed dial and tells the dispatch core that no connection could be established for the
+// queued attempts.
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
 	link.retryAt = s.loop.Now().Add(s.nextRetryDelay(&link.backoff))
-	if !errors.Is(err, errNoConnectionSlot) { // A lack of slots says nothing about the state of the node.
+	if !errors.Is(err, errNoConnectionSlot) { // A lack of connection slots does not show whether the node is reachable.
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
 	queued := link.queuedAttempts
@@ -181,7 +188,7 @@
 	s.applyReadyEffects()
 }
 
-// connClosed removes a connection that has ended.
+// connClosed removes an established connection that has ended.
 func (link *nodeLink) connClosed(nc *nodeConn, err error) {
 	s := link.server
 	if i := slices.Index(link.conns, nc); i >= 0 {
@@ -193,29 +200,29 @@
 	}
 }
 
-// maintain closes connections that are idle or unresponsive and decides whether the node must be dialed. It
-// removes the link if the node has terminated and runs no tasks.
+// maintain closes connections to the node that are idle or unresponsive, and decides whether the node must be
+// dialed. It removes the link if the node has terminated and runs no tasks.
 func (link *nodeLink) maintain() {
 	s := link.server
 	now := s.loop.Now()
 	node := s.core.Node(link.id)
 	hasTasks := node != nil && node.RunningTasks() > 0
-	// A full list may omit a node that the next list contains again, so the connections are kept for
-	// TerminationGrace.
+	// A full list of nodes from the discovery server may omit a node that the next full list contains again,
+	// so the connections to an omitted node are kept for TerminationGrace.
 	if !hasTasks && (node == nil || node.TerminatedFor(s.coreNow()) > dispatch.TerminationGrace) {
 		link.closeConns()
 		s.nodes.remove(link)
 		return
 	}
 	if hasTasks && !link.hasTasks {
-		link.reachability.Received(now) // Failures before these tasks started say nothing about the tasks.
+		link.reachability.Received(now) // Dials that failed before these tasks started do not show that the tasks are lost.
 	}
 	link.hasTasks = hasTasks
 	link.maintainConns(now)
 	link.needsConn = link.lacksRequiredConn() && link.checkReachability(now, node)
 }
 
-// maintainConns applies the keep-alive policy to each connection.
+// maintainConns applies the keep-alive policy to each established connection to the node.
 func (link *nodeLink) maintainConns(now clock.Instant) {
 	s := link.server
 	for _, nc := range slices.Clone(link.conns) {
@@ -234,15 +241,15 @@
 	}
 }
 
-// lacksRequiredConn reports whether the node has no connection although it runs tasks or messages are
-// pending.
+// lacksRequiredConn reports whether no connection to the node is established although the node runs tasks or
+// messages to it are pending.
 func (link *nodeLink) lacksRequiredConn() bool {
 	return (link.hasTasks || len(link.pendingMessages) > 0) && len(link.conns) == 0
 }
 
-// checkReachability reports a node that is unreachable to the dispatch core and returns whether the node may
-// be dialed. A terminated node must not be dialed: another node may use its address, and messages from that
-// node would be attributed to the terminated one.
+// checkReachability tells the dispatch core if the node is unreachable, and returns whether the node may be
+// dialed. A terminated node must not be dialed: another node may use its address, and messages from that node
+// would be attributed to the terminated node.
 func (link *nodeLink) checkReachability(now clock.Instant, node *dispatch.Node) bool {
 	s := link.server
 	if !link.hasTasks {
@@ -264,8 +271,8 @@
 	return node.State != placer.Terminated
 }
 
-// isDialDue reports whether the node needs a connection, no connection is being dialed and the backoff has
-// elapsed.
+// isDialDue reports whether the node must be dialed now. This is the case if it needs a connection, none is
+// established or being dialed, and the delay after the last failed dial has elapsed.
 func (link *nodeLink) isDialDue(now clock.Instant) bool {
 	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
 }
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -14,19 +14,24 @@
 	"heathshed/placer"
 )
 
-// unresponsiveTimeout and refusedTimeout are the times after which a node that runs tasks is declared
-// unreachable. Clients must be notified within 8 s of the end of a task, which limits both. A node that
-// refuses connections is not declared unreachable at once, because its process may be restarting.
+// unresponsiveTimeout and refusedTimeout determine when a node that runs tasks is declared unreachable. Both
+// must be shorter than 8 s, because a client must be notified within 8 s of the end of its task.
 const (
+	// unresponsiveTimeout is the time without data from the node, and with failed dials to it, after which the
+	// node is declared unreachable.
 	unresponsiveTimeout = 6 * time.Second
-	refusedTimeout      = time.Second
+	// refusedTimeout is how long the node must refuse connections before it is declared unreachable. A node
+	// that refuses connections for a shorter time may just be restarting its process.
+	refusedTimeout = time.Second
 )
 
-// slotHoldTime is how long a connection to a node that runs tasks keeps its slot if more such nodes exist
-// than slots. The nodes then use the slots in turn, so that each can report within 8 s how its tasks ended.
+// slotHoldTime is how long a connection to a node that runs tasks keeps its connection slot if more nodes run
+// tasks than slots exist. The nodes then use the slots in turn, and each node gets a slot often enough to
+// report the end of a task within 8 s.
 const slotHoldTime = 2 * time.Second
 
-// minDialBackoff and maxDialBackoff are the bounds of the delay between dials of one node.
+// minDialBackoff and maxDialBackoff are the bounds of the delay between a failed dial and the next dial of the
+// same node.
 const (
 	minDialBackoff = 200 * time.Millisecond
 	maxDialBackoff = time.Second
@@ -36,21 +41,21 @@
 // in use.
 var errNoConnectionSlot = errors.New("all connection slots for nodes are in use")
 
-// nodeLinks contains the links to all nodes and limits the number of their connections.
+// nodeLinks contains the links to all nodes and limits the total number of node connections.
 type nodeLinks struct {
 	server       *Server
 	byID         map[placer.NodeID]*nodeLink
 	lastConnID   dispatch.NodeConnID
-	openConns    int // openConns includes the connections that are being dialed.
+	openConns    int // openConns is the number of node connections, including those that are being dialed.
 	maxConns     int
-	slotHoldTime time.Duration              // slotHoldTime is the constant slotHoldTime, except in tests.
-	keepAlive    connpool.MultiplexedPolicy // keepAlive is the keep-alive policy of all connections.
-	reachability connpool.Reachability      // reachability is the initial state of each link.
-	linksToDial  []*nodeLink                // linksToDial is reused by reconnect to avoid allocations.
+	slotHoldTime time.Duration              // slotHoldTime has the value of the constant slotHoldTime, except in tests.
+	keepAlive    connpool.MultiplexedPolicy // keepAlive is the keep-alive policy of all node connections.
+	reachability connpool.Reachability      // reachability is the value that the reachability of each new link starts with.
+	linksToDial  []*nodeLink                // linksToDial is a buffer that reconnect reuses to avoid allocations.
 }
 
-// newNodeLinks returns the links of a server. maxIdle is the time without a request after which a connection
-// is closed; 0 means never.
+// newNodeLinks returns the node links of a server, which are empty at first. maxIdle is the time without a
+// sent request after which a node connection is closed; 0 means that no connection is closed as idle.
 func newNodeLinks(server *Server, maxConns int, maxIdle time.Duration) *nodeLinks {
 	links := &nodeLinks{
 		server:       server,
@@ -64,7 +69,7 @@
 	return links
 }
 
-// linkTo returns the link to a node. It creates the link if there is none.
+// linkTo returns the link to a node. It creates the link if it does not exist.
 func (links *nodeLinks) linkTo(id placer.NodeID) *nodeLink {
 	link := links.byID[id]
 	if link != nil {
@@ -83,8 +88,8 @@
 	return link
 }
 
-// updateAddresses closes the connections to nodes whose address has changed. Later connections use the new
-// address.
+// updateAddresses closes the connections to each node whose address has changed. Later connections to the node
+// use the new address.
 func (links *nodeLinks) updateAddresses() {
 	links.server.core.EachNode(func(node *dispatch.Node) {
 		link := links.byID[node.ID]
@@ -98,19 +103,19 @@
 // remove deletes the link to a node.
 func (links *nodeLinks) remove(link *nodeLink) { delete(links.byID, link.id) }
 
-// nextConnID returns the ID of a new connection.
+// nextConnID returns an ID for a new node connection.
 func (links *nodeLinks) nextConnID() dispatch.NodeConnID {
 	links.lastConnID++
 	return links.lastConnID
 }
 
-// takeSlot and releaseSlot count the connections that use a slot. A connection uses a slot from its dial
-// until it ends.
+// takeSlot and releaseSlot count the node connections that use a connection slot. A connection uses a slot
+// from the start of its dial until it ends.
 func (links *nodeLinks) takeSlot() { links.openConns++ }
 
 func (links *nodeLinks) releaseSlot() { links.openConns-- }
 
-// maintain updates the connections of all links and dials the nodes that need a connection.
+// maintain calls maintain for each link and then dials the nodes that need a connection.
 func (links *nodeLinks) maintain() {
 	for _, link := range links.byID {
 		link.maintain()
@@ -118,9 +123,9 @@
 	links.reconnect()
 }
 
-// reconnect dials the nodes that need a connection, beginning with the one that has been without a connection
-// for the longest time. If more nodes need a connection than slots exist, this order gives each node a
-// connection before a report of a task's end is overdue.
+// reconnect dials the nodes that need a connection. It begins with the node that has been without a connection
+// for the longest time. If more nodes need a connection than slots exist, each node then gets a connection in
+// time to report the end of a task.
 func (links *nodeLinks) reconnect() {
 	now := links.server.loop.Now()
 	links.linksToDial = links.linksToDial[:0]
@@ -140,14 +145,14 @@
 	}
 }
 
-// ensureSlot reports whether one more connection to a node may be opened. It evicts a connection if all slots
-// are in use.
+// ensureSlot reports whether one more node connection may be opened. If all connection slots for nodes are in
+// use, it tries to evict a node connection.
 func (links *nodeLinks) ensureSlot() bool {
 	return links.openConns < links.maxConns || links.evict()
 }
 
-// evict closes the connection to a node that is least likely to be needed. It reports whether there was a
-// connection that could be closed.
+// evict closes the node connection that is least likely to be needed. It returns false if every node
+// connection is busy, because then it closes none.
 func (links *nodeLinks) evict() bool {
 	now := links.server.loop.Now()
 	var candidates []memquota.Candidate
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -1,12 +1,15 @@
 //go:build linux
 
-// Package server runs one scheduler on the shared platform. It accepts clients, connects to nodes and watches
-// the platform's discovery server, all on one event loop.
+// Package server runs one scheduler on the shared platform. The shared platform is an environment that starts
+// and stops schedulers, and whose clients and nodes use the protocol of package protocol instead of the
+// Kubernetes API. The server accepts the connections of clients, connects to nodes and watches the platform's
+// discovery server, all on one event loop.
 //
-// The package manages connections and transfers messages. It parses messages, passes them to a dispatch.Core
-// and carries out the effects that the core returns; it makes no placement decisions. While the event loop
-// runs, all methods of Server must be called on its goroutine, so the package needs no locks. File
-// core_clock.go converts between the time formats of the event loop and the dispatch core.
+// The package manages connections and transfers messages. It makes no placement decisions: it parses messages
+// and passes them to the dispatch core, which is a dispatch.Core from package dispatch, and carries out the
+// effects that the core returns. While the event loop runs, all methods of Server must be called on its
+// goroutine, so the package needs no locks. The file core_clock.go converts between the time format of the
+// event loop and that of the dispatch core.
 package server
 
 import (
@@ -22,19 +25,20 @@
 	"heathshed/placer"
 )
 
-// housekeepingInterval is the time between two housekeeping passes over all connections.
+// housekeepingInterval is the time between two calls of Server.housekeep, each of which checks all client and
+// node connections.
 const housekeepingInterval = 100 * time.Millisecond
 
-// defaultOpenFileLimit, minOpenFileLimit and reservedDescriptors determine how many file descriptors
-// connections may use.
+// defaultOpenFileLimit, minOpenFileLimit and reservedDescriptors determine how many file descriptors client
+// and node connections may use.
 const (
-	defaultOpenFileLimit = 4096 // defaultOpenFileLimit applies if the configuration sets no limit.
-	minOpenFileLimit     = 64   // minOpenFileLimit is the smallest limit that a configuration may set.
-	reservedDescriptors  = 16   // reservedDescriptors are kept free for files, the event loop and the discovery watch.
+	defaultOpenFileLimit = 4096 // defaultOpenFileLimit is the limit on file descriptors if the configuration sets none.
+	minOpenFileLimit     = 64   // minOpenFileLimit is the smallest limit on file descriptors that a configuration may set.
+	reservedDescriptors  = 16   // reservedDescriptors is the number kept free for files, the event loop and the discovery watch.
 )
 
-// seedStream is the second half of the seed of the server's random numbers. It separates them from other
-// random numbers that use the seed of the configuration.
+// seedStream is the second half of the seed of the server's random numbers; the first half is Config.Seed. It
+// makes these numbers independent of other random numbers that use the same Config.Seed.
 const seedStream = 0x6a09e667f3bcc908
 
 // Server is one scheduler on the shared platform.
@@ -42,15 +46,15 @@
 	loop   *eventloop.Loop
 	core   *dispatch.Core
 	config *Config
-	// rng is seeded from the configuration, so that schedulers that start at the same time do not retry in
-	// lockstep.
+	// rng generates the random part of retry delays. Each scheduler has its own seed in its configuration, so
+	// schedulers that start at the same time do not retry at the same times.
 	rng            *rand.Rand
 	log            zerolog.Logger
 	warningLimiter warningLimiter
 	stats          Stats
 
-	coreTimer    *eventloop.Timer // coreTimer runs the next timer of the dispatch core; it is nil if there is none.
-	coreTimerDue placer.Seconds   // coreTimerDue is the time of coreTimer as the dispatch core represents it.
+	coreTimer    *eventloop.Timer // coreTimer expires when the next timer of the dispatch core is due; nil if none is set.
+	coreTimerDue placer.Seconds   // coreTimerDue is when coreTimer expires, in the time format of the dispatch core.
 
 	listener      *eventloop.Listener
 	clients       *clientTable
@@ -61,9 +65,9 @@
 	shutdown      shutdown
 }
 
-// New returns a server that accepts clients and runs on the given event loop. When a graceful stop has
-// completed, the server calls onStopped on the event loop. New returns an error if the configuration cannot
-// be used or the server cannot listen on its address.
+// New returns a server that accepts client connections and runs on the given event loop. When a graceful stop
+// has completed, the server calls onStopped on the event loop. New returns an error if the configuration
+// cannot be used or if the server cannot listen on the configured address.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
 	core, err := dispatch.New(loop.Now().UnixSeconds(), config.Settings, policy, config.InitialEvents)
 	if err != nil {
@@ -73,8 +77,9 @@
 	if openFileLimit == 0 {
 		openFileLimit = defaultOpenFileLimit
 	}
-	// Nodes get half of the connections. Clients that have sent a valid message use at most a third of all
-	// connections. The rest of the clients' half is for connections that have not sent a valid message.
+	// Half of the connection slots are for node connections and half for client connections. Client
+	// connections on which a valid message has arrived use at most a third of all slots. The other slots for
+	// clients are for connections on which no valid message has arrived yet.
 	maxNodeConns := (openFileLimit - reservedDescriptors) / 2
 	s := &Server{
 		loop:   loop,
@@ -101,23 +106,24 @@
 	return s, nil
 }
 
-// Addr returns the address on which the server accepts clients.
+// Addr returns the address on which the server accepts client connections.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Reload applies the discovery address of a new configuration and ignores its other fields.
-func (s *Server) Reload(next *Config) {
-	if next.Discovery == s.discovery.addr {
+// Reload makes the server watch the discovery server that a new configuration names. It ignores all other
+// fields of the new configuration.
+func (s *Server) Reload(newConfig *Config) {
+	if newConfig.Discovery == s.discovery.addr {
 		return
 	}
 	s.log.Info().
-		Str("discovery", next.Discovery).
+		Str("discovery", newConfig.Discovery).
 		Uint64("last_event", s.core.LastDiscoveryEvent()).
 		Msg("discovery server changed")
-	s.discovery.moveTo(next.Discovery)
+	s.discovery.moveTo(newConfig.Discovery)
 }
 
-// applyReadyEffects carries out all effects that the dispatch core returns and then resets the timer of the
-// core. It must be called after each call that notifies the core of an event.
+// applyReadyEffects carries out all effects that the dispatch core returns, and then sets coreTimer to the
+// core's next timer. It must be called after each call that notifies the core of an event.
 func (s *Server) applyReadyEffects() {
 	for effects := s.core.Ready(); len(effects) > 0; effects = s.core.Ready() {
 		for i := range effects {
@@ -143,8 +149,8 @@
 	}
 }
 
-// housekeep closes connections that are no longer needed, dials the nodes that need a connection and
-// schedules the next pass.
+// housekeep closes client and node connections that are no longer needed, dials the nodes that need a
+// connection and schedules its next call.
 func (s *Server) housekeep() {
 	s.clients.closeIdle()
 	s.nodes.maintain()
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -8,20 +8,22 @@
 	"heathshed/internal/control/clock"
 )
 
-// The durations of a graceful stop follow from the platform's behavior: for at most 0.7 s after its signal to
-// stop, the platform still opens client connections to a scheduler and sends requests.
+// These constants are the durations of the phases of a graceful stop, which begins when the platform signals
+// the scheduler to stop.
 const (
-	acceptGrace  = 850 * time.Millisecond // acceptGrace is the time from the signal until the listener closes.
-	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks whether the stop can proceed.
-	closeGrace   = 500 * time.Millisecond // closeGrace is the time for clients to close their connections at the end.
-	// minCloseGrace is the time that clients get even if the stop is late. stopReserve is longer and covers
-	// it.
+	// acceptGrace is the time from the stop signal until the listener closes. On the platform, clients still
+	// open connections and send requests for at most 0.7 s after the stop signal.
+	acceptGrace  = 850 * time.Millisecond
+	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks of whether the stop can proceed.
+	closeGrace   = 500 * time.Millisecond // closeGrace is the time that clients have at the end to close their connections.
+	// minCloseGrace is the part of closeGrace that clients have even if the stop is already late. stopReserve
+	// is longer, so the platform does not kill the scheduler within this time.
 	minCloseGrace = 100 * time.Millisecond
 )
 
-// The platform kills a scheduler some time after it has signaled the scheduler to stop. That time is the
-// longest deadline of a class, limited to maxStopDeadline, plus stopMargin. The server stops earlier by
-// stopReserve, in case the processor is busy.
+// These constants determine when a graceful stop must be complete. The platform kills a scheduler some time
+// after the stop signal: after the longest deadline of all task classes, limited to maxStopDeadline, plus
+// stopMargin. The server stops earlier by stopReserve, in case the processor is busy.
 const (
 	maxStopDeadline = 3 * time.Second
 	stopMargin      = 700 * time.Millisecond
@@ -36,8 +38,8 @@
 	onStopped   func()
 }
 
-// Stop starts a graceful stop. The server accepts clients for acceptGrace, answers every request that it has
-// accepted and then stops. Further calls have no effect.
+// Stop starts a graceful stop. The server accepts client connections for acceptGrace, answers every placement
+// request that it has received and then stops. Further calls of Stop have no effect.
 func (s *Server) Stop() { s.shutdown.start() }
 
 func (stop *shutdown) start() {
@@ -54,9 +56,9 @@
 	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finish closes the listener, and then the connections of clients once no accepted request is open. While
-// tasks run, the server continues for as long as the platform reliably allows, so that it can notify clients
-// of tasks that end. If no scheduler learns that a task has ended, the client is notified late or never.
+// finish closes the listener, and closes the client connections once no placement request is open. While tasks
+// run, the server continues for as long as the platform reliably allows, in order to notify clients of tasks
+// that end. If no scheduler learns of the end of a task, the client of the task is notified late or never.
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
@@ -75,15 +77,15 @@
 	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
-// canNotifyClients reports whether a task may still end and a client is connected that could be notified.
+// canNotifyClients reports whether tasks run whose end could still be reported to a connected client.
 func (stop *shutdown) canNotifyClients() bool {
 	s := stop.server
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
-// awaitClientsClosed completes the stop when the clients have closed their connections, or at the deadline.
-// If the process ended while data from a client was unread, the kernel would reset that connection and
-// discard answers that the client has not read yet.
+// awaitClientsClosed completes the stop when all clients have closed their connections, at the latest at the
+// deadline. If the process ended while data from a client was unread, the kernel would reset the connection
+// of this client and discard answers that the client has not read yet.
 func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
 	s := stop.server
 	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
@@ -95,7 +97,7 @@
 	stop.onStopped()
 }
 
-// timeout returns how long after its signal to stop the platform reliably lets a scheduler run.
+// timeout returns how long the platform reliably lets a scheduler run after the stop signal.
 func (stop *shutdown) timeout() time.Duration {
 	return min(stop.server.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -11,49 +11,49 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// statsInterval is the time between two log lines with the counters.
+// statsInterval is the time between two log lines that contain the counters.
 const statsInterval = 10 * time.Second
 
-// Stats contains counters of events on connections since the start. It is logged as JSON with the names of
-// its fields.
+// Stats contains counters of what happened on client, node and discovery connections since the server started.
+// It is logged as JSON under the names of its fields.
 type Stats struct {
-	ClientsAccepted    uint64 // ClientsAccepted counts connections of clients.
+	ClientsAccepted    uint64 // ClientsAccepted counts accepted client connections.
 	IdleClientsClosed  uint64 // IdleClientsClosed counts client connections that were closed because they were idle.
 	ClientsEvicted     uint64 // ClientsEvicted counts client connections that were closed to free a connection slot.
 	NodeDials          uint64
 	NodeDialsFailed    uint64
-	NodeConnsLost      uint64 // NodeConnsLost counts connections that the node or the network ended.
-	NodeConnsSuspected uint64 // NodeConnsSuspected counts connections that were checked because an attempt timed out.
-	// NodeConnsUnresponsive counts connections that were closed because the answer to a health check or the
-	// rest of a message did not arrive in time.
+	NodeConnsLost      uint64 // NodeConnsLost counts node connections that the node or the network ended.
+	NodeConnsSuspected uint64 // NodeConnsSuspected counts node connections that were checked because an attempt timed out.
+	// NodeConnsUnresponsive counts node connections that were closed because the answer to a health check or
+	// the rest of a message did not arrive in time.
 	NodeConnsUnresponsive uint64
-	NodesUnreachable      uint64 // NodesUnreachable counts nodes that could not be reached, so that their tasks were reported as lost.
-	WatchesOpened         uint64 // WatchesOpened counts requests to the discovery server.
+	NodesUnreachable      uint64 // NodesUnreachable counts nodes whose tasks were reported as lost because the node was unreachable.
+	WatchesOpened         uint64 // WatchesOpened counts requests to the discovery server for a stream of events.
 	WatchEvents           uint64 // WatchEvents counts events received from the discovery server, including repeated ones.
-	IllegalTransitions    uint64 // IllegalTransitions counts illegal transitions of connection states; any is a programming error.
+	IllegalTransitions    uint64 // IllegalTransitions counts illegal transitions of connection states, which are programming errors.
 
 	InvalidFromClients InvalidInput
 	InvalidFromNodes   InvalidInput
 }
 
-// InvalidInput counts rejected input by the reason for the rejection. Its JSON form omits counters that are
-// 0.
+// InvalidInput counts rejected messages and lines by the reason for the rejection. Its JSON form omits
+// counters that are 0.
 type InvalidInput struct {
-	UnknownNode     uint64 `json:"at,omitempty"`         // UnknownNode counts adoptions from a node that is not in the node registry.
+	UnknownNode     uint64 `json:"at,omitempty"`         // UnknownNode counts adoption requests that name a node that is not in the node registry.
 	Body            uint64 `json:"body,omitempty"`       // Body counts requests without a body.
-	Class           uint64 `json:"class,omitempty"`      // Class counts requests of a class that the settings do not contain.
-	Extras          uint64 `json:"extras,omitempty"`     // Extras counts requests whose extras are malformed or incomplete.
+	Class           uint64 `json:"class,omitempty"`      // Class counts requests with a task class that the settings do not contain.
+	Extras          uint64 `json:"extras,omitempty"`     // Extras counts requests whose field protocol.Extras is malformed or incomplete.
 	DuplicateID     uint64 `json:"id in use,omitempty"`  // DuplicateID counts requests with the ID of an open request or running task.
-	Key             uint64 `json:"key,omitempty"`        // Key counts requests whose key is malformed.
+	Key             uint64 `json:"key,omitempty"`        // Key counts requests whose field protocol.Key is malformed.
 	TimeLeft        uint64 `json:"left,omitempty"`       // TimeLeft counts requests whose remaining time is malformed or out of range.
-	LineTooLong     uint64 `json:"long line,omitempty"`  // LineTooLong counts lines that are too long, which end the connection.
+	LineTooLong     uint64 `json:"long line,omitempty"`  // LineTooLong counts lines that are too long; the connection is then closed.
 	Other           uint64 `json:"other,omitempty"`      // Other counts rejections for all other reasons.
-	StopOfOtherConn uint64 `json:"stop,omitempty"`       // StopOfOtherConn counts stops of a request that is open on another connection.
-	Tenant          uint64 `json:"tenant,omitempty"`     // Tenant counts requests of a tenant that the settings do not contain.
-	Unreadable      uint64 `json:"unreadable,omitempty"` // Unreadable counts lines that are not valid messages, which end the connection.
+	StopOfOtherConn uint64 `json:"stop,omitempty"`       // StopOfOtherConn counts Stop messages for a request that is open on another client connection.
+	Tenant          uint64 `json:"tenant,omitempty"`     // Tenant counts requests with a tenant that the settings do not contain.
+	Unreadable      uint64 `json:"unreadable,omitempty"` // Unreadable counts lines that are not valid messages; the connection is then closed.
 }
 
-// add increments the counter for the reason of an error.
+// add increments the counter for the reason why a message or line was rejected with the given error.
 func (in *InvalidInput) add(err error) {
 	*in.counterForError(err)++
 }
@@ -93,15 +93,15 @@
 	return &in.Other
 }
 
-// recordIllegalTransition counts and logs a transition that the state machine of a connection does not allow.
-// The server continues, because stopping it would disconnect the clients of all running tasks.
+// recordIllegalTransition counts and logs an illegal transition between two states of a client or node
+// connection. The server continues, because stopping it would disconnect the clients of all running tasks.
 func (s *Server) recordIllegalTransition(connKind string, id uint64, from, to fmt.Stringer) {
 	s.stats.IllegalTransitions++
 	s.log.Error().Str("of", connKind).Uint64("conn", id).Stringer("from", from).Stringer("to", to).Msg("illegal state transition")
 }
 
-// logStats logs the counters of the dispatch core and of the connections. It schedules the next log line
-// unless the server is stopping.
+// logStats logs the counters of the dispatch core and those in Stats. It schedules the next log line unless
+// the server is stopping.
 func (s *Server) logStats() {
 	s.log.Info().
 		Int("clients", len(s.clients.byID)).
