--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestIdleClientsLeaveConnectionSlots checks that hundreds of idle connections leave slots for other clients,
+// TestIdleClientsDoNotExhaustConnectionSlots checks that hundreds of idle connections leave slots for other clients,
 // and that all connections stay within the limit on file descriptors.
-func TestIdleClientsLeaveConnectionSlots(t *testing.T) {
+func TestIdleClientsDoNotExhaustConnectionSlots(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 64, node.addr)
 	good := server.connect()
@@ -120,9 +120,9 @@
 	})
 }
 
-// TestReadBeforeClosingClient checks that a request is served if the kernel has received it on a connection
+// TestClientConnectionReadBeforeClose checks that a request is served if the kernel has received it on a connection
 // that the server is about to close, either because the connection is idle or to free its slot.
-func TestReadBeforeClosingClient(t *testing.T) {
+func TestClientConnectionReadBeforeClose(t *testing.T) {
 	for name, closing := range map[string]func(server *testServer){
 		"as idle":          func(server *testServer) { server.clients.closeIdle() },
 		"to free its slot": func(server *testServer) { server.clients.evict() },
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestOldDiscoveryWatchIgnoredAfterMove checks that data from the stream at the old address is ignored after
+// TestOldDiscoveryStreamIgnoredAfterMove checks that data from the stream at the old address is ignored after
 // a move, and that the event numbers continue at the new address.
-func TestOldDiscoveryWatchIgnoredAfterMove(t *testing.T) {
+func TestOldDiscoveryStreamIgnoredAfterMove(t *testing.T) {
 	server := startServer(t, 256)
 	oldServer, newServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
 	server.switchDiscovery(oldServer.addr())
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -208,9 +208,9 @@
 	client.expect(`"running"`, "0000000000000001")
 }
 
-// TestTaskEndPrecedesAnswer covers a node that reports that it drained a task before it reports that it
+// TestTaskEndReportedBeforeAcceptance covers a node that reports that it drained a task before it reports that it
 // accepted the task. The task has ended for its client, and no other node may get it under the same ID.
-func TestTaskEndPrecedesAnswer(t *testing.T) {
+func TestTaskEndReportedBeforeAcceptance(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
 			return nil
