--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -11,76 +11,78 @@
 )
 
 // TestMisbehavingClients checks that clients that send nothing, invalid data or too much data are answered or
-// disconnected, and that other clients are still served.
+// disconnected within 3 s, and that another client is still served.
 func TestMisbehavingClients(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
-	good := server.connect()
-	good.runTask(1, "query")
-	const id = 1000
-	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 0x3ea is 1002, the ID of the canceled task.
+	wellBehavedClient := server.connect()
+	wellBehavedClient.runTask(1, "query")
+	const firstID = 1000
+	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 0x3ea is firstID+2, the ID of the canceled task.
 	var clientsDone sync.WaitGroup
-	for name, send := range map[string]func(client *testClient){
-		"sends nothing":             func(*testClient) {},
-		"sends invalid data":        func(client *testClient) { client.send("\xff\xfe\x00\n") },
-		"sends half a line":         func(client *testClient) { client.send(`{"kind":"lau`) },
-		"sends 60 MB":               func(client *testClient) { go client.flood(60 << 20) },
-		"requests an unknown class": func(client *testClient) { client.launch(id, "gold") },
-		"omits the id":              func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
-		"stops an unknown task":     func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
-		"uses one id twice": func(client *testClient) {
-			client.send(launchMessage(id+1, "gold", `"x"`) + launchMessage(id+1, "gold", `"y"`))
+	for name, misbehave := range map[string]func(client *testClient){
+		"sends nothing":                  func(*testClient) {},
+		"sends invalid data":             func(client *testClient) { client.send("\xff\xfe\x00\n") },
+		"sends half a line":              func(client *testClient) { client.send(`{"kind":"lau`) },
+		"sends 60 MB":                    func(client *testClient) { go client.flood(60 << 20) },
+		"requests an unknown task class": func(client *testClient) { client.launch(firstID, "gold") },
+		"omits the uid":                  func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
+		"stops an unknown task":          func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
+		"uses one uid for two requests": func(client *testClient) {
+			client.send(launchMessage(firstID+1, "gold", `"x"`) + launchMessage(firstID+1, "gold", `"y"`))
 		},
-		"uses the id of another client": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
-		"cancels its request":           func(client *testClient) { client.send(launchMessage(id+2, "gold", `"x"`) + withdrawal) },
+		"uses the uid of another client's task": func(client *testClient) { client.send(launchMessage(1, "query", `"other"`)) },
+		"cancels its request at once":           func(client *testClient) { client.send(launchMessage(firstID+2, "gold", `"x"`) + withdrawal) },
 	} {
 		client := server.connect()
 		start := time.Now()
-		send(client)
+		misbehave(client)
 		clientsDone.Add(1)
 		go func() {
 			defer clientsDone.Done()
 			line, err := client.reader.ReadString('\n')
-			unexpected := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
-			if took := time.Since(start); took > 3*time.Second || unexpected {
-				t.Errorf("client that %s: after %v, got line %q and error %v", name, took, line, err)
+			unexpectedAnswer := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
+			if took := time.Since(start); took > 3*time.Second || unexpectedAnswer {
+				t.Errorf("the client that %s got an answer after %v: line %q and error %v, want a stop message or the end of the connection within 3 s",
+					name, took, line, err)
 			}
 		}()
 	}
 	clientsDone.Wait()
-	good.launch(2, "query")
-	good.expect(`"running"`, "0000000000000002")
+	wellBehavedClient.launch(2, "query")
+	wellBehavedClient.expectMessage(`"running"`, "0000000000000002")
 	server.runOnLoop(func() {
-		counted := server.stats.InvalidFromClients
+		invalidInput := server.stats.InvalidFromClients
 		for kind, count := range map[string]uint64{
-			"unreadable": counted.Unreadable, "long line": counted.LineTooLong, "class": counted.Class, "id in use": counted.DuplicateID,
+			"unreadable": invalidInput.Unreadable, "long line": invalidInput.LineTooLong, "class": invalidInput.Class, "id in use": invalidInput.DuplicateID,
 		} {
 			if count == 0 {
-				t.Errorf("no invalid input of kind %q was counted: %+v", kind, counted)
+				t.Errorf("the counter %q of invalid input is 0, want more; all counters: %+v", kind, invalidInput)
 			}
 		}
 	})
 }
 
 // flood sends zero bytes until the server closes the connection or the given number of bytes has been sent.
-func (client *testClient) flood(bytes int) {
-	block := make([]byte, 32<<10)
-	for sent := 0; sent < bytes; {
-		written, err := client.Write(block)
-		sent += written
+func (client *testClient) flood(maxBytes int) {
+	zeroBytes := make([]byte, 32<<10)
+	for sentBytes := 0; sentBytes < maxBytes; {
+		written, err := client.Write(zeroBytes)
+		sentBytes += written
 		if err != nil {
 			return
 		}
 	}
 }
 
-// TestIdleClientsDoNotExhaustConnectionSlots checks that hundreds of idle connections leave slots for other clients,
-// and that all connections stay within the limit on file descriptors.
+// TestIdleClientsDoNotExhaustConnectionSlots checks that other clients still get connection slots if hundreds
+// of clients open connections and send nothing. All connections must stay within the limit on file
+// descriptors.
 func TestIdleClientsDoNotExhaustConnectionSlots(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 64, node.addr)
-	good := server.connect()
-	good.runTask(1, "query")
+	firstClient := server.connect()
+	firstClient.runTask(1, "query")
 	for range 300 {
 		server.connect()
 	}
@@ -90,153 +92,159 @@
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedDescriptors > 64 {
-			t.Errorf("%d client connections are open, at most %d are allowed", len(server.clients.byID), server.clients.maxConns)
+			t.Errorf("%d client connections are open, want at most %d, and client and node connections within 64 file descriptors",
+				len(server.clients.byID), server.clients.maxConns)
 		}
 	})
-	good.launch(2, "query")
-	good.expect(`"running"`, "0000000000000002")
+	firstClient.launch(2, "query")
+	firstClient.expectMessage(`"running"`, "0000000000000002")
 }
 
-// TestClientThatDoesNotRead checks that a client that does not read its messages is disconnected before its
-// unsent output grows without bound.
+// TestClientThatDoesNotRead checks that the server closes a client connection if the client does not read the
+// messages that the server sends. Otherwise the unsent output would grow without bound.
 func TestClientThatDoesNotRead(t *testing.T) {
 	server := startServer(t, 256)
 	client := server.connect()
-	lines := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
-	var sent int64
-	for sent < 1<<30 {
-		written, err := client.Write(lines)
-		if sent += int64(written); err != nil {
+	healthChecks := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
+	var sentBytes int64
+	for sentBytes < 1<<30 {
+		written, err := client.Write(healthChecks)
+		if sentBytes += int64(written); err != nil {
 			break
 		}
 	}
-	if sent >= 1<<30 {
+	if sentBytes >= 1<<30 {
 		t.Fatal("the server did not close the connection of a client that does not read")
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) != 0 {
-			t.Errorf("%d client connections are open, want none", len(server.clients.byID))
+			t.Errorf("%d client connections are open after the server closed the only one, want none", len(server.clients.byID))
 		}
 	})
 }
 
-// TestClientConnectionReadBeforeClose checks that a request is served if the kernel has received it on a connection
-// that the server is about to close, either because the connection is idle or to free its slot.
+// TestClientConnectionReadBeforeClose checks that a placement request is served if the kernel has received it
+// on a client connection that the server is about to close. The server closes the connection because it is
+// idle or in order to free its connection slot.
 func TestClientConnectionReadBeforeClose(t *testing.T) {
-	for name, closing := range map[string]func(server *testServer){
-		"as idle":          func(server *testServer) { server.clients.closeIdle() },
-		"to free its slot": func(server *testServer) { server.clients.evict() },
+	for name, closeConns := range map[string]func(server *testServer){
+		"server closes idle connections": func(server *testServer) { server.clients.closeIdle() },
+		"server frees a connection slot": func(server *testServer) { server.clients.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, 256, startNode(t, acceptTask).addr)
 			client := server.connect()
-			server.waitUntil("the client connection", func() bool { return len(server.clients.byID) == 1 })
+			server.waitUntil("the server to accept the client connection", func() bool { return len(server.clients.byID) == 1 })
 			server.blockLoopDuring(func() { client.launch(1, "query") }, func() {
 				server.backdateClients()
-				closing(server)
+				closeConns(server)
 			})
-			client.expect(`"running"`)
+			client.expectMessage(`"running"`)
 		})
 	}
 }
 
-// TestIdleClientWithIncompleteMessage checks that a connection on which part of a message has arrived is not
-// closed as idle at once, and that it is closed if the message stays incomplete.
+// TestIdleClientWithIncompleteMessage checks that an idle client connection is not closed at once if a part of
+// a message has just arrived on it, and that it is closed if the rest of the message does not arrive.
 func TestIdleClientWithIncompleteMessage(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
-	slow, incomplete := server.connect(), server.connect()
-	text := launchMessage(1, "query", `"x"`)
-	slow.send(text[:40])
-	incomplete.send(text[:40])
-	server.waitUntil("two incomplete messages", func() bool { return server.incompleteClients() == 2 })
+	slowClient, stalledClient := server.connect(), server.connect()
+	launch := launchMessage(1, "query", `"x"`)
+	slowClient.send(launch[:40])
+	stalledClient.send(launch[:40])
+	server.waitUntil("two incomplete messages", func() bool { return server.clientsWithIncompleteMessage() == 2 })
 	server.runOnLoop(func() {
-		server.backdateClients() // The clients appear to have been silent for long before the incomplete message.
+		server.backdateClients() // Both clients now appear to have sent no valid message for more than idleClientTimeout.
 		server.clients.closeIdle()
 	})
-	slow.send(text[40:])
-	slow.expect(`"running"`)
-	incomplete.expectClosed()
+	slowClient.send(launch[40:])
+	slowClient.expectMessage(`"running"`)
+	stalledClient.expectClosed()
 }
 
-// startServerWithTask starts a server and a node on which task 1 runs. It returns the server, the client of
-// the task and the node's end of the connection.
+// startServerWithTask starts a server and a node on which task 1 runs. It returns the server, the client of the
+// task, and the node's end of the connection between the server and the node.
 func startServerWithTask(t *testing.T) (*testServer, *testClient, net.Conn) {
 	t.Helper()
-	conns := make(chan net.Conn, 1)
-	node := startNode(t, acceptTaskAndReport(conns))
+	taskConns := make(chan net.Conn, 1)
+	node := startNode(t, acceptTaskAndSendConn(taskConns))
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.runTask(1, "query")
-	return server, client, waitFor(t, "the connection of the task", conns)
+	return server, client, waitFor(t, "the node to accept task 1", taskConns)
 }
 
-// TestNoNotificationOnClosingConnection checks that the end of a task is reported on the client's next
-// connection if the connection of the client is closing when the task ends.
+// TestNoNotificationOnClosingConnection checks the case that the server is closing the client connection when a
+// task of the client ends. The server must report the end on the next connection that the client opens.
 func TestNoNotificationOnClosingConnection(t *testing.T) {
-	server, closing, nodeConn := startServerWithTask(t)
-	closing.send("noise\n") // An invalid line makes the server close the connection, which ends when the client closes it too.
-	server.waitUntil("the invalid message", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
+	server, invalidClient, nodeConn := startServerWithTask(t)
+	// After an invalid line, the server closes the client connection. The connection does not end before the
+	// client closes it as well.
+	invalidClient.send("noise\n")
+	server.waitUntil("the server to receive the invalid line", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
 	sendTo(t, nodeConn, stopMessage(1, 16))
-	server.waitUntil("the end of the task", func() bool { return server.core.RunningTasks() == 0 })
-	next := server.connect()
-	next.send(checkMessage)
-	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
+	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	nextClientConn := server.connect()
+	nextClientConn.send(healthCheckMessage)
+	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 	server.runOnLoop(func() {
 		if server.core.Counts.Redeliveries > 0 {
-			t.Error("the end of the task was sent on the closing connection first")
+			t.Error("the server first reported the end of the task on the closing connection, want only a report on the next connection")
 		}
 	})
 }
 
-// TestNotificationRedeliveredWhenClientCloses checks that a notification is sent again on the client's next
-// connection if the client closes the connection at the moment at which the notification is sent.
+// TestNotificationRedeliveredWhenClientCloses checks the case that a client closes its connection at the moment
+// at which the server sends a notification on it. The server must send the notification again on the next
+// connection that the client opens.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
-	server, closed, nodeConn := startServerWithTask(t)
+	server, closingClient, nodeConn := startServerWithTask(t)
 	server.blockLoopDuring(func() {
-		sendTo(t, nodeConn, stopMessage(1, 16)) // The event loop handles the connection to the node first, because it is ready first.
-		closed.close()
+		// The node connection becomes ready before the client connection, so the event loop handles it first.
+		sendTo(t, nodeConn, stopMessage(1, 16))
+		closingClient.close()
 	}, nil)
-	server.waitUntil("the end of the task", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
-	next := server.connect()
-	next.send(checkMessage)
-	next.expect(`"stop"`, "0000000000000001", `"reason":16`)
+	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
+	nextClientConn := server.connect()
+	nextClientConn.send(healthCheckMessage)
+	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 }
 
-// TestLastClientConnectionIsKept checks that the only connection with a client is not closed as idle while a
-// task runs, even if only adoptions or rejected requests arrived on it. The end of the task must be reported
-// on it at once.
+// TestLastClientConnectionIsKept checks that the only remaining client connection is not closed as idle while a
+// task runs, even if no task was placed for it and the client has only requested an adoption or sent a health
+// check on it. The server must report the end of a task on this connection at once.
 func TestLastClientConnectionIsKept(t *testing.T) {
-	conns := make(chan net.Conn, 1)
-	node := startNode(t, acceptTaskAndReport(conns))
+	taskConns := make(chan net.Conn, 1)
+	node := startNode(t, acceptTaskAndSendConn(taskConns))
 	server := startServer(t, 256, node.addr)
-	placed, idle, adopter := server.connect(), server.connect(), server.connect()
-	placed.runTask(1, "query")
-	idle.send(checkMessage)
-	idle.expect(`"checked"`)
-	adopter.send(adoptMessage(2, 1))
-	nodeConn := waitFor(t, "the connection of the task", conns)
+	clientWithPlacedTask, idleClient, adoptingClient := server.connect(), server.connect(), server.connect()
+	clientWithPlacedTask.runTask(1, "query")
+	idleClient.send(healthCheckMessage)
+	idleClient.expectMessage(`"checked"`)
+	adoptingClient.send(adoptMessage(2, 1))
+	nodeConn := waitFor(t, "the node to accept task 1", taskConns)
 	server.waitUntil("three client connections and two running tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
-	closeIdle := func() {
+	closeIdleConns := func() {
 		server.runOnLoop(func() {
 			server.backdateClients()
 			server.clients.closeIdle()
 		})
 	}
-	closeIdle()
-	idle.expectClosed() // It is not the only connection, and no task was placed for it.
-	idle.close()
-	placed.close()
-	server.waitUntil("one client connection", func() bool { return len(server.clients.byID) == 1 })
-	closeIdle()
+	closeIdleConns()
+	idleClient.expectClosed() // Two other client connections remain, and no task was placed for this one.
+	idleClient.close()
+	clientWithPlacedTask.close()
+	server.waitUntil("only one client connection to remain", func() bool { return len(server.clients.byID) == 1 })
+	closeIdleConns()
 	sendTo(t, nodeConn, stopMessage(1, 16))
-	adopter.expect(`"stop"`, "0000000000000001")
+	adoptingClient.expectMessage(`"stop"`, "0000000000000001")
 
-	next := server.connect()
-	next.send(checkMessage)
-	next.expect(`"checked"`)
-	adopter.close()
-	server.waitUntil("one client connection", func() bool { return len(server.clients.byID) == 1 })
-	closeIdle()
+	nextClientConn := server.connect()
+	nextClientConn.send(healthCheckMessage)
+	nextClientConn.expectMessage(`"checked"`)
+	adoptingClient.close()
+	server.waitUntil("only one client connection to remain", func() bool { return len(server.clients.byID) == 1 })
+	closeIdleConns()
 	sendTo(t, nodeConn, stopMessage(2, 16))
-	next.expect(`"stop"`, "0000000000000002")
+	nextClientConn.expectMessage(`"stop"`, "0000000000000002")
 }
--- a/internal/platform/server/config_test.go
+++ b/internal/platform/server/config_test.go
@@ -10,12 +10,12 @@
 
 // TestConfigErrorNamesField checks that the error for an invalid configuration names the invalid field.
 func TestConfigErrorNamesField(t *testing.T) {
-	good := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070",` +
+	validConfig := `{"name":"n3","listen":"127.0.0.1:5080","seed":"8c1f30d27a5be964","bulletin":"127.0.0.1:7070",` +
 		`"limits":{"sockets":256},"known":{"no":0,"items":[]},"settings":` + testSettings + `}`
-	if _, err := ParseConfig([]byte(good)); err != nil {
+	if _, err := ParseConfig([]byte(validConfig)); err != nil {
 		t.Fatal(err)
 	}
-	for field, change := range map[string][2]string{
+	for field, replacement := range map[string][2]string{
 		"name":     {`"n3"`, `""`},
 		"listen":   {`127.0.0.1:5080`, `localhost`},
 		"bulletin": {`127.0.0.1:7070`, `nowhere`},
@@ -25,7 +25,7 @@
 		"lanes[0]": {`idempotent`, `maybe`},
 	} {
 		t.Run(field, func(t *testing.T) {
-			_, err := ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1)))
+			_, err := ParseConfig([]byte(strings.Replace(validConfig, replacement[0], replacement[1], 1)))
 			if err == nil || !strings.Contains(err.Error(), field) {
 				t.Errorf("got error %v, want one that names the field %s", err, field)
 			}
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// checkTransitions attempts every transition between two states with setState, which returns the resulting
-// state. A legal transition must change the state. An illegal one must be counted and leave the state
-// unchanged.
-func checkTransitions[State interface {
+// checkAllTransitions attempts every transition between two states of a connection with setState, which
+// returns the resulting state. A legal transition must change the state. An illegal transition must be counted
+// and must leave the state unchanged.
+func checkAllTransitions[State interface {
 	comparable
 	fmt.Stringer
 }](t *testing.T, states []State, legal map[[2]State]bool, setState func(server *Server, from, to State) State) {
@@ -19,22 +19,23 @@
 		for _, to := range states {
 			t.Run(from.String()+" to "+to.String(), func(t *testing.T) {
 				server := &Server{}
-				after := setState(server, from, to)
-				want, wantCounted := from, uint64(1)
+				state := setState(server, from, to)
+				wantState, wantIllegal := from, uint64(1)
 				if legal[[2]State{from, to}] {
-					want, wantCounted = to, 0
+					wantState, wantIllegal = to, 0
 				}
-				if after != want {
-					t.Errorf("the connection is in state %s, want %s", after, want)
+				if state != wantState {
+					t.Errorf("the connection is in state %s after the transition, want %s", state, wantState)
 				}
-				if counted := server.stats.IllegalTransitions; counted != wantCounted {
-					t.Errorf("%d illegal transitions counted, want %d", counted, wantCounted)
+				if illegal := server.stats.IllegalTransitions; illegal != wantIllegal {
+					t.Errorf("the server counted %d illegal transitions, want %d", illegal, wantIllegal)
 				}
 			})
 		}
 	}
 }
 
+// TestClientConnTransitions checks which transitions between the states of a client connection are legal.
 func TestClientConnTransitions(t *testing.T) {
 	states := []clientConnState{clientOpen, clientAdopting, clientClosing, clientClosed}
 	legal := map[[2]clientConnState]bool{
@@ -46,13 +47,14 @@
 		{clientAdopting, clientClosed}:  true,
 		{clientClosing, clientClosed}:   true,
 	}
-	checkTransitions(t, states, legal, func(server *Server, from, to clientConnState) clientConnState {
+	checkAllTransitions(t, states, legal, func(server *Server, from, to clientConnState) clientConnState {
 		conn := &clientConn{server: server, state: from}
 		conn.setState(to)
 		return conn.state
 	})
 }
 
+// TestNodeConnTransitions checks which transitions between the states of a node connection are legal.
 func TestNodeConnTransitions(t *testing.T) {
 	states := []nodeConnState{nodeDialing, nodeEstablished, nodeClosed}
 	legal := map[[2]nodeConnState]bool{
@@ -60,7 +62,7 @@
 		{nodeDialing, nodeClosed}:      true,
 		{nodeEstablished, nodeClosed}:  true,
 	}
-	checkTransitions(t, states, legal, func(server *Server, from, to nodeConnState) nodeConnState {
+	checkAllTransitions(t, states, legal, func(server *Server, from, to nodeConnState) nodeConnState {
 		conn := &nodeConn{link: &nodeLink{server: server}, state: from}
 		conn.setState(to)
 		return conn.state
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -8,185 +8,189 @@
 )
 
 // TestDiscoveryWatchResumesFromLastEvent checks that the discovery watch continues after the last event
-// received when the stream breaks, skips an event, falls silent or moves to another address.
+// received in four cases: the discovery stream breaks, it skips an event, it falls silent, or a reload names
+// another address of the discovery server.
 func TestDiscoveryWatchResumesFromLastEvent(t *testing.T) {
 	server := startServer(t, 256)
 	lastEvent := func() (number uint64) {
 		server.runOnLoop(func() { number = server.core.LastDiscoveryEvent() })
 		return number
 	}
-	call := waitFor(t, "a call to the discovery server", server.discovery.calls)
-	if call.lastEventID != "1" {
-		t.Fatalf("the first call has Last-Event-ID %q, want 1", call.lastEventID)
+	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
+	if request.lastEventID != "1" {
+		t.Fatalf("the first request has Last-Event-ID %q, want 1", request.lastEventID)
 	}
-	second := sseEvent(2, nodeEntry(1, "127.0.0.1:1", "in_service"))
-	third := sseEvent(3, nodeEntry(1, "127.0.0.1:1", "terminating"))
-	fourth := sseEvent(4)
-	call.text <- second + second + third[:len("id: 3\ndata: ")+20]
-	close(call.text) // The stream ends in the middle of an event.
-	call = waitFor(t, "a call after a break", server.discovery.calls)
-	if call.lastEventID != "2" || lastEvent() != 2 {
-		t.Fatalf("the call after a break has Last-Event-ID %q, want 2", call.lastEventID)
+	event2 := sseEvent(2, nodeEntryJSON(1, "127.0.0.1:1", "in_service"))
+	event3 := sseEvent(3, nodeEntryJSON(1, "127.0.0.1:1", "terminating"))
+	event4 := sseEvent(4)
+	request.responseText <- event2 + event2 + event3[:len("id: 3\ndata: ")+20]
+	close(request.responseText) // The stream ends in the middle of event 3.
+	request = waitFor(t, "a request after the stream broke", server.discovery.requests)
+	if request.lastEventID != "2" || lastEvent() != 2 {
+		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2", request.lastEventID)
 	}
-	call.text <- fourth // Event 3 is missing.
-	call = waitFor(t, "a call after a gap", server.discovery.calls)
-	if call.lastEventID != "2" {
-		t.Fatalf("the call after a gap has Last-Event-ID %q, want 2", call.lastEventID)
+	request.responseText <- event4 // The stream skips event 3.
+	request = waitFor(t, "a request after the stream skipped an event", server.discovery.requests)
+	if request.lastEventID != "2" {
+		t.Fatalf("the request after the stream skipped an event has Last-Event-ID %q, want 2", request.lastEventID)
 	}
-	call.text <- third // The stream falls silent after this event.
-	call = waitFor(t, "a call after silence", server.discovery.calls)
-	if call.lastEventID != "3" {
-		t.Fatalf("the call after silence has Last-Event-ID %q, want 3", call.lastEventID)
+	request.responseText <- event3 // The stream falls silent after this event.
+	request = waitFor(t, "a request after the stream fell silent", server.discovery.requests)
+	if request.lastEventID != "3" {
+		t.Fatalf("the request after the stream fell silent has Last-Event-ID %q, want 3", request.lastEventID)
 	}
-	other := startDiscovery(t)
-	next := server.configWithDiscovery(other.addr())
+	otherDiscovery := startDiscoveryServer(t)
+	newConfig := server.configWithDiscovery(otherDiscovery.addr())
 	server.runOnLoop(func() {
-		server.Reload(next)
-		server.Reload(next)
+		server.Reload(newConfig)
+		server.Reload(newConfig)
 	})
-	call = waitFor(t, "a call at the new address", other.calls)
-	if call.lastEventID != "3" {
-		t.Fatalf("the call after a move has Last-Event-ID %q, want 3", call.lastEventID)
+	request = waitFor(t, "a request to the discovery server at the new address", otherDiscovery.requests)
+	if request.lastEventID != "3" {
+		t.Fatalf("the request at the new address has Last-Event-ID %q, want 3", request.lastEventID)
 	}
-	call.text <- fourth
+	request.responseText <- event4
 	server.waitForEvent(4)
 	select {
-	case <-other.calls:
-		t.Fatal("two reloads at once led to two calls")
+	case <-otherDiscovery.requests:
+		t.Fatal("two reloads with the same address led to two requests to the discovery server, want one")
 	default:
 	}
 }
 
-// TestDiscoveryBackoff checks that the intervals between calls grow if the discovery server ends every call
-// at once.
+// TestDiscoveryBackoff checks that the intervals between the requests for a discovery stream grow if the
+// discovery server ends every response at once.
 func TestDiscoveryBackoff(t *testing.T) {
 	server := startServer(t, 256)
-	var first time.Time
+	var firstRequestAt time.Time
 	for i := range 6 {
-		call := waitFor(t, "a call to the discovery server", server.discovery.calls)
+		request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 		if i == 0 {
-			first = time.Now()
+			firstRequestAt = time.Now()
 		}
-		close(call.text)
+		close(request.responseText)
 	}
-	// The delays are 50, 100, 200, 400 and 800 ms. Jitter shortens each by at most a quarter.
-	if took := time.Since(first); took < 1150*time.Millisecond {
-		t.Errorf("six calls were made within %v", took)
+	// The delays between the six requests are 50, 100, 200, 400 and 800 ms. Jitter shortens each delay by at
+	// most a quarter.
+	if took := time.Since(firstRequestAt); took < 1150*time.Millisecond {
+		t.Errorf("the server sent six requests to the discovery server within %v, want at least 1.15 s", took)
 	}
 }
 
-// TestDiscoveryWatchIdleTimeout checks that a discovery stream that falls silent is opened again in time,
-// after the last event received. The stream falls silent at a different point in each subtest.
+// TestDiscoveryWatchIdleTimeout checks that the discovery watch requests another stream, which continues after
+// the last event received, within 4 s after the first stream has fallen silent. In each subtest, the first
+// stream falls silent at a different point.
 func TestDiscoveryWatchIdleTimeout(t *testing.T) {
-	second := sseEvent(2, nodeEntry(1, "127.0.0.1:1", "in_service"))
+	event2 := sseEvent(2, nodeEntryJSON(1, "127.0.0.1:1", "in_service"))
 	for name, test := range map[string]struct {
-		text        string
-		lastEventID string // lastEventID is the Last-Event-ID that the next call must send.
-		meanwhile   func(server *testServer, discovery *rawDiscovery)
+		responseText    string // responseText is what the first stream contains before it falls silent.
+		wantLastEventID string // wantLastEventID is the Last-Event-ID that the second request must contain.
+		afterResponse   func(server *testServer, discovery *rawDiscoveryServer)
 	}{
-		"before the first byte":                {"", "1", nil},
-		"in the middle of the header":          {sseResponseHead[:40], "1", nil},
-		"after the header":                     {sseResponseHead, "1", nil},
-		"after a comment":                      {sseResponseHead + ": still here\n\n", "1", nil},
-		"in the middle of an event":            {sseResponseHead + second[:30], "1", nil},
-		"in the middle of the end of an event": {sseResponseHead + second[:len(second)-1], "1", nil},
-		"after an event":                       {sseResponseHead + second, "2", nil},
-		"while the server stops": {sseResponseHead + second, "2", func(server *testServer, _ *rawDiscovery) {
+		"silent before the first byte":                 {"", "1", nil},
+		"silent within the response header":            {sseResponseHead[:40], "1", nil},
+		"silent after the response header":             {sseResponseHead, "1", nil},
+		"silent after a comment":                       {sseResponseHead + ": comment\n\n", "1", nil},
+		"silent within an event":                       {sseResponseHead + event2[:30], "1", nil},
+		"silent before the last line feed of an event": {sseResponseHead + event2[:len(event2)-1], "1", nil},
+		"silent after a complete event":                {sseResponseHead + event2, "2", nil},
+		"silent after an event while the server stops": {sseResponseHead + event2, "2", func(server *testServer, _ *rawDiscoveryServer) {
 			server.shutdown.requested = true
 			server.shutdown.requestedAt = server.loop.Now()
 		}},
-		"after a reload of the same address": {sseResponseHead + second, "2", func(server *testServer, discovery *rawDiscovery) {
+		"silent after an event and a reload with the same address": {sseResponseHead + event2, "2", func(server *testServer, discovery *rawDiscoveryServer) {
 			server.Reload(server.configWithDiscovery(discovery.addr()))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := startServer(t, 256)
-			discovery := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-			server.switchDiscovery(discovery.addr())
-			firstCall := waitFor(t, "a call to the discovery server", discovery.calls)
-			sendTo(t, firstCall, test.text)
-			if test.meanwhile != nil {
-				server.runOnLoop(func() { test.meanwhile(server, discovery) })
+			discovery := startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0"))
+			server.reloadWithDiscovery(discovery.addr())
+			firstRequest := waitFor(t, "a request to the discovery server", discovery.requests)
+			sendTo(t, firstRequest, test.responseText)
+			if test.afterResponse != nil {
+				server.runOnLoop(func() { test.afterResponse(server, discovery) })
 			}
-			start := time.Now()
-			retryCall := waitFor(t, "a second call", discovery.calls)
-			if retryCall.lastEventID != test.lastEventID {
-				t.Errorf("the second call has Last-Event-ID %q, want %q", retryCall.lastEventID, test.lastEventID)
+			silentSince := time.Now()
+			secondRequest := waitFor(t, "a second request to the discovery server", discovery.requests)
+			if secondRequest.lastEventID != test.wantLastEventID {
+				t.Errorf("the second request has Last-Event-ID %q, want %q", secondRequest.lastEventID, test.wantLastEventID)
 			}
-			if took := time.Since(start); took > 4*time.Second {
-				t.Errorf("the second call was made only after %v", took)
+			if took := time.Since(silentSince); took > 4*time.Second {
+				t.Errorf("the second request arrived %v after the first stream fell silent, want at most 4 s", took)
 			}
-			waitFor(t, "the end of the silent connection", firstCall.closed)
-			sendTo(t, retryCall, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntry(2, "127.0.0.1:1", "in_service")))
+			waitFor(t, "the server to close the connection of the silent stream", firstRequest.closed)
+			sendTo(t, secondRequest, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntryJSON(2, "127.0.0.1:1", "in_service")))
 			server.waitForEvent(3)
 		})
 	}
 }
 
-// TestOldDiscoveryStreamIgnoredAfterMove checks that data from the stream at the old address is ignored after
-// a move, and that the event numbers continue at the new address.
+// TestOldDiscoveryStreamIgnoredAfterMove checks a reload that moves the discovery watch to another address. The
+// watch must ignore data that still arrives from the discovery server at the old address, and must continue
+// after the last event received at the new address.
 func TestOldDiscoveryStreamIgnoredAfterMove(t *testing.T) {
 	server := startServer(t, 256)
-	oldServer, newServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0")), startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.switchDiscovery(oldServer.addr())
-	oldCall := waitFor(t, "a call to the discovery server", oldServer.calls)
-	sendTo(t, oldCall, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
+	oldDiscovery, newDiscovery := startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0")), startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0"))
+	server.reloadWithDiscovery(oldDiscovery.addr())
+	oldRequest := waitFor(t, "a request to the discovery server", oldDiscovery.requests)
+	sendTo(t, oldRequest, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
 	server.waitForEvent(2)
-	next := server.configWithDiscovery(newServer.addr())
-	late := discoveryEvent(3, nodeEntry(7, "127.0.0.1:1", "in_service")) + "\n\n"
-	server.blockLoopDuring(func() { sendTo(t, oldCall, late) }, func() { server.Reload(next) })
-	call := waitFor(t, "a call to the discovery server", newServer.calls)
-	if call.lastEventID != "2" {
-		t.Errorf("the call has an unexpected Last-Event-ID %q", call.lastEventID)
+	newConfig := server.configWithDiscovery(newDiscovery.addr())
+	lateEvent := discoveryEventJSON(3, nodeEntryJSON(7, "127.0.0.1:1", "in_service")) + "\n\n"
+	server.blockLoopDuring(func() { sendTo(t, oldRequest, lateEvent) }, func() { server.Reload(newConfig) })
+	newRequest := waitFor(t, "a request to the discovery server", newDiscovery.requests)
+	if newRequest.lastEventID != "2" {
+		t.Errorf("the request at the new address has Last-Event-ID %q, want 2", newRequest.lastEventID)
 	}
-	waitFor(t, "the end of the old connection", oldCall.closed)
-	sendTo(t, call, sseResponseHead+sseEvent(3, nodeEntry(8, "127.0.0.1:1", "in_service")))
+	waitFor(t, "the server to close the connection to the old address", oldRequest.closed)
+	sendTo(t, newRequest, sseResponseHead+sseEvent(3, nodeEntryJSON(8, "127.0.0.1:1", "in_service")))
 	server.waitForEvent(3)
 	server.runOnLoop(func() {
 		if server.stats.WatchesOpened != 3 || len(server.nodes.byID) != 0 {
-			t.Errorf("%d discovery streams were opened and %d links to nodes exist, want 3 and 0", server.stats.WatchesOpened, len(server.nodes.byID))
+			t.Errorf("the server requested %d discovery streams and has links to %d nodes, want 3 streams and no links", server.stats.WatchesOpened, len(server.nodes.byID))
 		}
 	})
 }
 
-// TestDiscoveryMovesBeforeServerListens checks that a reload may name an address before a discovery server
-// listens there, and that a later reload may name the first address again.
+// TestDiscoveryMovesBeforeServerListens checks that a reload may move the discovery watch to an address before
+// a discovery server listens there, and that a later reload may move the watch back to the first address.
 func TestDiscoveryMovesBeforeServerListens(t *testing.T) {
 	server := startServer(t, 256)
-	firstServer := startRawDiscovery(t, listenOn(t, "127.0.0.1:0"))
-	server.switchDiscovery(firstServer.addr())
-	first := waitFor(t, "a call to the discovery server", firstServer.calls)
-	sendTo(t, first, sseResponseHead+sseEvent(2))
+	firstDiscovery := startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0"))
+	server.reloadWithDiscovery(firstDiscovery.addr())
+	firstRequest := waitFor(t, "a request to the discovery server", firstDiscovery.requests)
+	sendTo(t, firstRequest, sseResponseHead+sseEvent(2))
 	server.waitForEvent(2)
-	down := listenOn(t, "127.0.0.77:0") // No other test uses this address, so the port stays free until it is used again.
-	addr := down.Addr().String()
-	closeNow(t, down)
-	server.switchDiscovery(addr)
-	opened := uint64(0)
-	server.runOnLoop(func() { opened = server.stats.WatchesOpened })
-	server.waitUntil("retries", func() bool { return server.stats.WatchesOpened >= opened+2 })
-	secondServer := startRawDiscovery(t, listenOn(t, addr))
-	call := waitFor(t, "a call to the discovery server", secondServer.calls)
-	if call.lastEventID != "2" {
-		t.Errorf("the call has an unexpected Last-Event-ID %q", call.lastEventID)
+	unusedListener := listenOn(t, "127.0.0.77:0") // No other test uses this IP address, so no other test takes the port.
+	unusedAddr := unusedListener.Addr().String()
+	closeNow(t, unusedListener)
+	server.reloadWithDiscovery(unusedAddr)
+	openedBefore := uint64(0)
+	server.runOnLoop(func() { openedBefore = server.stats.WatchesOpened })
+	server.waitUntil("two requests to the unused address", func() bool { return server.stats.WatchesOpened >= openedBefore+2 })
+	secondDiscovery := startRawDiscoveryServer(t, listenOn(t, unusedAddr))
+	request := waitFor(t, "a request to the discovery server", secondDiscovery.requests)
+	if request.lastEventID != "2" {
+		t.Errorf("the request at the second address has Last-Event-ID %q, want 2", request.lastEventID)
 	}
-	sendTo(t, call, sseResponseHead+sseEvent(3))
+	sendTo(t, request, sseResponseHead+sseEvent(3))
 	server.waitForEvent(3)
-	server.switchDiscovery(firstServer.addr())
-	call = waitFor(t, "a call at the first address", firstServer.calls)
-	if call.lastEventID != "3" {
-		t.Errorf("the call has an unexpected Last-Event-ID %q", call.lastEventID)
+	server.reloadWithDiscovery(firstDiscovery.addr())
+	request = waitFor(t, "a request to the discovery server at the first address", firstDiscovery.requests)
+	if request.lastEventID != "3" {
+		t.Errorf("the second request at the first address has Last-Event-ID %q, want 3", request.lastEventID)
 	}
 }
 
-// TestPlacementWithoutDiscovery checks that requests are placed on the nodes that the configuration lists if
-// the discovery server is down from the start.
+// TestPlacementWithoutDiscovery checks that tasks are placed on the nodes that the configuration lists if the
+// discovery server never answers.
 func TestPlacementWithoutDiscovery(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	server.discovery.Close()
-	server.waitUntil("three calls to the discovery server", func() bool { return server.stats.WatchesOpened >= 3 })
+	server.waitUntil("three requests to the discovery server", func() bool { return server.stats.WatchesOpened >= 3 })
 	client := server.connect()
-	client.send(checkMessage + launchMessage(1, "seats", `"x"`))
-	client.expect(`"running"`)
+	client.send(healthCheckMessage + launchMessage(1, "seats", `"x"`))
+	client.expectMessage(`"running"`)
 }
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -19,9 +19,11 @@
 	"heathshed/placer"
 )
 
-// testTimeout limits the wait for an event. It is longer than any test needs.
+// testTimeout is the maximum time for which a test waits for one event. It is longer than any test needs.
 const testTimeout = 20 * time.Second
 
+// testSettings are the settings of a scheduler with the task classes "query" (idempotent) and "seats" (at most
+// once), one tenant, one zone and one node type.
 const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
  "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":20,"freeInList":true,
   "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
@@ -31,16 +33,17 @@
  "permissions":{"mostTries":4,"retryAfter":true,"maxRetryAfterS":3,"connectTimeoutS":0.25,"connIdleS":15},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"drainGraceS":0.5,"fallS":1,"warmWithinS":8}}`
 
-// checkMessage is a health check that a client sends.
-const checkMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
+// healthCheckMessage is a health check that a test client sends to the server.
+const healthCheckMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
 
-// launchMessage returns a placement request. body is a JSON value.
+// launchMessage returns a launch message that requests the placement of a task. body is a JSON value.
 func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
 }
 
-// adoptMessage returns a placement request for a task that runs already on the node with the given number.
+// adoptMessage returns a launch message that requests the adoption of a task. The task runs already on the node
+// with the given number.
 func adoptMessage(id, node int) string {
 	return strings.Replace(launchMessage(id, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", node), 1)
 }
@@ -49,14 +52,15 @@
 	return fmt.Sprintf(`{"kind":"stop","uid":"%016x","meta":{},"reason":%d}`+"\n", id, reason)
 }
 
-// taskUID returns the uid of an encoded message.
+// taskUID returns the uid of the task that an encoded message concerns.
 func taskUID(line string) string {
-	_, rest, _ := strings.Cut(line, `"uid":"`)
-	uid, _, _ := strings.Cut(rest, `"`)
+	_, afterKey, _ := strings.Cut(line, `"uid":"`)
+	uid, _, _ := strings.Cut(afterKey, `"`)
 	return uid
 }
 
-// waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout.
+// waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. what
+// describes the awaited event in the failure message.
 func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -78,8 +82,7 @@
 	return listener
 }
 
-// closeOnCleanup closes a listener or connection at the end of the test, unless the test has closed it
-// itself.
+// closeOnCleanup closes a listener or connection at the end of the test. The test may have closed it already.
 func closeOnCleanup(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -96,7 +99,7 @@
 	}
 }
 
-// sendTo writes text to a connection.
+// sendTo writes text to a connection and fails the test if writing fails.
 func sendTo(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -112,16 +115,16 @@
 	stopped   chan struct{}
 }
 
-// startServer starts a server with the given limit on file descriptors. Its configuration lists nodes at the
-// given addresses.
-func startServer(t *testing.T, openFileLimit int, nodes ...string) *testServer {
+// startServer starts a server with the given limit on file descriptors. The configuration of the server lists
+// nodes at the given addresses.
+func startServer(t *testing.T, openFileLimit int, nodeAddrs ...string) *testServer {
 	t.Helper()
-	entries := make([]string, len(nodes))
-	for i, addr := range nodes {
-		entries[i] = nodeEntry(i+1, addr, "in_service")
+	entries := make([]string, len(nodeAddrs))
+	for i, addr := range nodeAddrs {
+		entries[i] = nodeEntryJSON(i+1, addr, "in_service")
 	}
-	discovery := startDiscovery(t)
-	config, err := ParseConfig(configText(discovery.addr(), openFileLimit, discoveryEvent(1, entries...), testSettings))
+	discovery := startDiscoveryServer(t)
+	config, err := ParseConfig(configText(discovery.addr(), openFileLimit, discoveryEventJSON(1, entries...), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,13 +137,14 @@
 	return server
 }
 
-// configText returns a configuration that contains one discovery event.
-func configText(discovery string, openFileLimit int, event, settings string) []byte {
+// configText returns the JSON text of a configuration that contains one discovery event.
+func configText(discoveryAddr string, openFileLimit int, event, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"9","bulletin":%q,"limits":{"sockets":%d},
-		"known":{"no":1,"items":[%s]},"settings":%s}`, discovery, openFileLimit, event, settings)
+		"known":{"no":1,"items":[%s]},"settings":%s}`, discoveryAddr, openFileLimit, event, settings)
 }
 
-// runServer runs a server until the end of the test.
+// runServer starts a server with its own event loop and stops the loop at the end of the test. It then checks
+// that no illegal transition of a connection state was counted.
 func runServer(t *testing.T, config *Config, policy eventqueue.Placer) *testServer {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -159,70 +163,71 @@
 	}()
 	t.Cleanup(func() {
 		loop.Stop()
-		waitFor(t, "the end of the server", server.stopped)
-		if illegal := server.stats.IllegalTransitions; illegal != 0 {
-			t.Errorf("%d illegal transitions of connection states were counted, want none", illegal)
+		waitFor(t, "the end of the event loop", server.stopped)
+		if illegalTransitions := server.stats.IllegalTransitions; illegalTransitions != 0 {
+			t.Errorf("%d illegal transitions of connection states were counted, want none", illegalTransitions)
 		}
 	})
 	return server
 }
 
-// runOnLoop runs f on the event loop and waits until it has returned.
-func (server *testServer) runOnLoop(f func()) {
+// runOnLoop runs function on the goroutine of the event loop and waits until function has returned.
+func (server *testServer) runOnLoop(function func()) {
 	server.t.Helper()
-	done := make(chan struct{})
+	functionReturned := make(chan struct{})
 	server.loop.Post(func() {
-		f()
-		close(done)
+		function()
+		close(functionReturned)
 	})
-	waitFor(server.t, "an iteration of the event loop", done)
+	waitFor(server.t, "a function that runs on the event loop", functionReturned)
 }
 
-// blockLoopDuring blocks the event loop while whileBlocked runs, and then runs afterUnblocking on the loop in
-// the same iteration. The kernel handles what whileBlocked does on the loopback interface at once, while the
-// event loop does not read it yet.
+// blockLoopDuring blocks the event loop while whileBlocked runs on the calling goroutine, and then runs
+// afterUnblocking on the event loop in the same iteration. What whileBlocked sends reaches the kernel's buffers
+// at once, but the event loop reads it only after the iteration.
 func (server *testServer) blockLoopDuring(whileBlocked, afterUnblocking func()) {
 	server.t.Helper()
-	held, released, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	loopBlocked, unblockLoop, loopUnblocked := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	server.loop.Post(func() {
-		close(held)
-		<-released
+		close(loopBlocked)
+		<-unblockLoop
 		if afterUnblocking != nil {
 			afterUnblocking()
 		}
-		close(done)
+		close(loopUnblocked)
 	})
-	waitFor(server.t, "an iteration of the event loop", held)
+	waitFor(server.t, "the event loop to block", loopBlocked)
 	whileBlocked()
-	close(released)
-	waitFor(server.t, "the end of the iteration", done)
+	close(unblockLoop)
+	waitFor(server.t, "the event loop to continue", loopUnblocked)
 }
 
-// waitUntil evaluates a condition on the event loop repeatedly until it is true.
+// waitUntil evaluates a condition on the event loop every millisecond until it is true. what describes the
+// condition in the failure message.
 func (server *testServer) waitUntil(what string, condition func() bool) {
 	server.t.Helper()
-	done := make(chan struct{})
-	var poll func()
-	poll = func() {
+	conditionMet := make(chan struct{})
+	var checkCondition func()
+	checkCondition = func() {
 		if condition() {
-			close(done)
+			close(conditionMet)
 			return
 		}
-		server.loop.After(time.Millisecond, poll)
+		server.loop.After(time.Millisecond, checkCondition)
 	}
-	server.loop.Post(poll)
-	waitFor(server.t, what, done)
+	server.loop.Post(checkCondition)
+	waitFor(server.t, what, conditionMet)
 }
 
 // waitForEvent waits until the server has received the discovery event with the given number.
 func (server *testServer) waitForEvent(number uint64) {
 	server.t.Helper()
-	server.waitUntil("the discovery event", func() bool { return server.core.LastDiscoveryEvent() == number })
+	server.waitUntil("the server to receive the discovery event", func() bool { return server.core.LastDiscoveryEvent() == number })
 }
 
-// incompleteClients returns the number of client connections on which an incomplete message has arrived. It
-// must be called on the event loop.
-func (server *testServer) incompleteClients() int {
+// clientsWithIncompleteMessage returns the number of client connections on which only a part of a message has
+// arrived. It must be called on the event loop.
+func (server *testServer) clientsWithIncompleteMessage() int {
 	count := 0
 	for _, client := range server.clients.byID {
 		if !client.incompleteSince.IsZero() {
@@ -232,8 +237,8 @@
 	return count
 }
 
-// backdateClients makes all client connections appear idle for 10 s longer. It must be called on the event
-// loop.
+// backdateClients makes it appear as if all client connections were opened, and last received a message, 10 s
+// earlier than they did. It must be called on the event loop.
 func (server *testServer) backdateClients() {
 	for _, client := range server.clients.byID {
 		client.openedAt = client.openedAt.Add(-10 * time.Second)
@@ -241,22 +246,22 @@
 	}
 }
 
-// finishStopNow runs the final phase of a graceful stop as if it had started a second ago. It must be called
-// on the event loop.
+// finishStopNow starts the final phase of a graceful stop as if the stop had been requested a second ago. It
+// must be called on the event loop.
 func (server *testServer) finishStopNow() {
 	server.shutdown.requested = true
 	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
 	server.shutdown.finish()
 }
 
-// testClient is the connection of a client.
+// testClient is a client of the server in a test, together with its connection.
 type testClient struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// connect opens a client connection.
+// connect opens a client connection to the server.
 func (server *testServer) connect() *testClient {
 	server.t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
@@ -270,12 +275,12 @@
 	return &testClient{conn, server.t, bufio.NewReader(conn)}
 }
 
-// connectAndCheck opens a client connection and waits for the answer to a health check on it.
+// connectAndCheck opens a client connection to the server, sends a health check on it and waits for the answer.
 func (server *testServer) connectAndCheck() *testClient {
 	server.t.Helper()
 	client := server.connect()
-	client.send(checkMessage)
-	client.expect(`"checked"`)
+	client.send(healthCheckMessage)
+	client.expectMessage(`"checked"`)
 	return client
 }
 
@@ -284,14 +289,14 @@
 	sendTo(client.t, client.Conn, text)
 }
 
-// runTask requests a task and waits until the client is notified that the task runs.
+// runTask requests the placement of a task and waits until the client is notified that the task runs.
 func (client *testClient) runTask(id int, class string) {
 	client.t.Helper()
 	client.launch(id, class)
-	client.expect(`"running"`)
+	client.expectMessage(`"running"`)
 }
 
-// launch sends a placement request.
+// launch requests the placement of a task with the given ID and task class.
 func (client *testClient) launch(id int, class string) {
 	client.t.Helper()
 	client.send(launchMessage(id, class, `"x"`))
@@ -311,30 +316,30 @@
 	return line
 }
 
-// expect reads lines until one contains all texts, and returns that line.
-func (client *testClient) expect(texts ...string) string {
+// expectMessage reads lines from the server until a line contains all parts, and returns that line.
+func (client *testClient) expectMessage(parts ...string) string {
 	client.t.Helper()
 	for {
 		line := client.readLine()
-		if containsAll(line, texts...) {
+		if containsAll(line, parts...) {
 			return line
 		}
 	}
 }
 
-// expectNext fails the test unless the next line contains all texts.
-func (client *testClient) expectNext(texts ...string) {
+// expectNextMessage fails the test unless the next line from the server contains all parts.
+func (client *testClient) expectNextMessage(parts ...string) {
 	client.t.Helper()
-	if line := client.readLine(); !containsAll(line, texts...) {
-		client.t.Fatalf("got line %q, want one with all of %q", line, texts)
+	if line := client.readLine(); !containsAll(line, parts...) {
+		client.t.Fatalf("the server sent the line %q, want a line that contains all of %q", line, parts)
 	}
 }
 
-// expectClosed fails the test unless the server closes the connection without sending another line.
+// expectClosed fails the test unless the server closes the client connection without sending another line.
 func (client *testClient) expectClosed() {
 	client.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != io.EOF {
-		client.t.Fatalf("got line %q and error %v, want the end of the connection", line, err)
+		client.t.Fatalf("got line %q and error %v, want that the server closes the connection", line, err)
 	}
 }
 
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// captureLog returns a buffer to which the server logs from now on, at every level. The buffer must be read
+// captureLog makes the server log at every level to a buffer and returns the buffer, which must only be read
 // on the event loop.
 func (server *testServer) captureLog() *bytes.Buffer {
 	server.t.Helper()
@@ -20,8 +20,8 @@
 	return &log
 }
 
-// expectLogged waits until one line of the log contains all parts.
-func (server *testServer) expectLogged(log *bytes.Buffer, parts ...string) {
+// expectLogLine waits until one line of the log contains all parts.
+func (server *testServer) expectLogLine(log *bytes.Buffer, parts ...string) {
 	server.t.Helper()
 	server.waitUntil("a log line with "+strings.Join(parts, " and "), func() bool {
 		for line := range strings.Lines(log.String()) {
@@ -33,33 +33,35 @@
 	})
 }
 
-// TestLogOfUnreadableMessage checks that the warning states why the connection was closed.
+// TestLogOfUnreadableMessage checks that a warning states why a client connection was closed if the client has
+// sent a line that cannot be read as a message.
 func TestLogOfUnreadableMessage(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
 	sendTo(t, server.connect(), "no message\n")
-	server.expectLogged(log, `"level":"warn"`, `"message":"client connection closed: message cannot be read"`)
+	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: message cannot be read"`)
 }
 
-// TestLogOfUnreadOutput checks that the warning for unread output differs from the one for an unreadable
-// message.
+// TestLogOfUnreadOutput checks that a warning states why a client connection was closed if the client does not
+// read the messages that the server sends.
 func TestLogOfUnreadOutput(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
 	client := server.connect()
-	checks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
-	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // The log level excludes the trace of each message.
-	for sent := 0; sent < 1<<30; {
-		written, err := client.Write([]byte(checks))
+	healthChecks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
+	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // At this level, messages are not traced.
+	for sentBytes := 0; sentBytes < 1<<30; {
+		written, err := client.Write([]byte(healthChecks))
 		if err != nil {
 			break
 		}
-		sent += written
+		sentBytes += written
 	}
-	server.expectLogged(log, `"level":"warn"`, `"message":"client connection closed: output not read"`)
+	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: output not read"`)
 }
 
-// TestHealthCheckIsTraced checks that a health check of a node and its answer are both logged.
+// TestHealthCheckIsTraced checks that a health check on a node connection and the node's answer are logged at
+// trace level.
 func TestHealthCheckIsTraced(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if strings.Contains(line, `"check"`) {
@@ -75,6 +77,6 @@
 			link.conns[0].sendHealthCheck()
 		}
 	})
-	server.expectLogged(log, `"kind":"check"`, `"message":">node"`)
-	server.expectLogged(log, `"kind":"checked"`, `"message":"node>"`)
+	server.expectLogLine(log, `"kind":"check"`, `"message":">node"`)
+	server.expectLogLine(log, `"kind":"checked"`, `"message":"node>"`)
 }
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -15,19 +15,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// nodeHandler handles one line that a node has received, and may answer it. An error means that the server
-// has closed the connection.
+// nodeHandler handles one line that a test node has received from the server, and may answer it. If it returns
+// an error, the node closes the connection.
 type nodeHandler func(conn net.Conn, line string) error
 
-// testNode is a node for tests.
+// testNode is a node of the platform in a test. The server under test connects to it.
 type testNode struct {
 	t        *testing.T
 	addr     string
 	listener net.Listener
-	received chan string // received contains every line that the node has received.
+	received chan string // received gets a copy of every line that the node receives from the server.
 }
 
-// startNode starts a node that passes each line to a handler.
+// startNode starts a node that passes each line from the server to a handler.
 func startNode(t *testing.T, handle nodeHandler) *testNode {
 	t.Helper()
 	listener := listenOn(t, "127.0.0.1:0")
@@ -41,7 +41,8 @@
 	return node
 }
 
-// acceptConns calls serve on a new goroutine for each connection until the listener is closed.
+// acceptConns accepts connections until the listener is closed, and calls serve for each of them on a new
+// goroutine.
 func acceptConns(listener net.Listener, serve func(conn net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -52,10 +53,10 @@
 	}
 }
 
-// readLinesOf passes each line of a connection to handle until reading or handle fails, and then closes the
-// connection.
+// readLinesOf reads lines from a connection and passes each line to handle. When reading or handle fails, it
+// closes the connection and returns.
 func readLinesOf(conn net.Conn, handle func(line string) error) {
-	defer conn.Close() //nolint:errcheck // the server may have closed it first
+	defer conn.Close() //nolint:errcheck // handle may have closed the connection already
 	reader := bufio.NewReader(conn)
 	for {
 		line, err := reader.ReadString('\n')
@@ -68,7 +69,7 @@
 	}
 }
 
-// respond writes a formatted message to the server.
+// respond writes a message, which is formatted like in fmt.Sprintf, to the connection of the server.
 func respond(conn net.Conn, format string, args ...any) error {
 	_, err := fmt.Fprintf(conn, format, args...)
 	return err
@@ -76,11 +77,11 @@
 
 func isLaunch(line string) bool { return strings.Contains(line, `"launch"`) }
 
-// taskDescription is the body of a node's answer. Its escapes would change if the server decoded and encoded
-// it.
+// taskDescription is the body of the message with which a test node accepts a task. If the server decoded and
+// encoded this body, its escape sequences would change.
 const taskDescription = `"a\/b\u00e9\u0041\r\n"`
 
-// acceptTask accepts every task. It does not answer health checks.
+// acceptTask is a nodeHandler that accepts every requested task. It does not answer health checks.
 func acceptTask(conn net.Conn, line string) error {
 	if !isLaunch(line) {
 		return nil
@@ -88,8 +89,9 @@
 	return respond(conn, `{"kind":"running","uid":%q,"body":%s}`+"\n", taskUID(line), taskDescription)
 }
 
-// acceptTaskAndSendConn accepts every task and sends the connection on which the task arrived to a channel.
-func acceptTaskAndReport(conns chan<- net.Conn) nodeHandler {
+// acceptTaskAndSendConn returns a nodeHandler that accepts every requested task and then sends the connection
+// on which the request arrived to a channel.
+func acceptTaskAndSendConn(conns chan<- net.Conn) nodeHandler {
 	return func(conn net.Conn, line string) error {
 		if err := acceptTask(conn, line); err != nil {
 			return err
@@ -101,22 +103,23 @@
 	}
 }
 
-// ignoreMessages answers no message.
+// ignoreMessages is a nodeHandler that answers no message.
 func ignoreMessages(net.Conn, string) error { return nil }
 
-// expectNoLaunch lets the client request another task and fails the test if the node receives a different
-// launch before the one of that task.
+// expectNoLaunch fails the test if the server has sent a launch message that the node has not read yet. It
+// lets the client request one more task, and fails if a launch message for another task arrives before the
+// one for this task.
 func (node *testNode) expectNoLaunch(client *testClient) {
 	node.t.Helper()
-	const laterTask = 0xff
-	client.launch(laterTask, "query")
+	const lastTask = 0xff
+	client.launch(lastTask, "query")
 	for {
-		line := waitFor(node.t, "the launch of a later task", node.received)
-		if taskUID(line) == fmt.Sprintf("%016x", laterTask) {
+		line := waitFor(node.t, "the launch message for the last task at the node", node.received)
+		if taskUID(line) == fmt.Sprintf("%016x", lastTask) {
 			return
 		}
 		if isLaunch(line) {
-			node.t.Fatalf("an attempt was sent for a client that had disconnected or canceled: %s", line)
+			node.t.Fatalf("the server sent an attempt although the client had disconnected or canceled its request: %s", line)
 		}
 	}
 }
@@ -124,41 +127,42 @@
 // port returns the port on which the node listens.
 func (node *testNode) port() int {
 	node.t.Helper()
-	_, text, err := net.SplitHostPort(node.addr)
+	_, portText, err := net.SplitHostPort(node.addr)
 	if err != nil {
 		node.t.Fatal(err)
 	}
-	port, err := strconv.Atoi(text)
+	port, err := strconv.Atoi(portText)
 	if err != nil {
 		node.t.Fatal(err)
 	}
 	return port
 }
 
-// unresponsivePort calls listenUnresponsive and stops listening at the end of the test.
-func unresponsivePort(t *testing.T, port int) string {
+// listenUnresponsiveUntilCleanup calls listenUnresponsive and stops listening at the end of the test.
+func listenUnresponsiveUntilCleanup(t *testing.T, port int) string {
 	t.Helper()
 	addr, stop := listenUnresponsive(t, port)
 	t.Cleanup(stop)
 	return addr
 }
 
-// listenUnresponsive listens on a port of 127.0.0.1 whose accept queue is full. The port neither accepts nor
-// refuses connections, like a node that has vanished. If port is 0, the kernel selects one.
+// listenUnresponsive listens on a port of 127.0.0.1 and fills the accept queue of the port. The port then
+// neither accepts nor refuses connections, like a node that has vanished from the network. If port is 0, the
+// kernel selects a port.
 func listenUnresponsive(t *testing.T, port int) (addr string, stop func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var conns []net.Conn
+	var queuedConns []net.Conn
 	stop = func() {
 		if err := unix.Close(fd); err != nil {
-			t.Errorf("closing a socket failed: %v", err)
+			t.Errorf("closing the unresponsive listener failed: %v", err)
 		}
-		for _, conn := range conns {
+		for _, conn := range queuedConns {
 			if err := conn.Close(); err != nil {
-				t.Errorf("closing a socket failed: %v", err)
+				t.Errorf("closing a connection in the accept queue failed: %v", err)
 			}
 		}
 	}
@@ -171,18 +175,18 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	address, err := unix.Getsockname(fd)
+	socketAddr, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr = fmt.Sprintf("127.0.0.1:%d", address.(*unix.SockaddrInet4).Port)
+	addr = fmt.Sprintf("127.0.0.1:%d", socketAddr.(*unix.SockaddrInet4).Port)
 	for {
 		conn, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
-		var timeout net.Error
+		var netErr net.Error
 		switch {
 		case err == nil:
-			conns = append(conns, conn)
-		case errors.As(err, &timeout) && timeout.Timeout():
+			queuedConns = append(queuedConns, conn)
+		case errors.As(err, &netErr) && netErr.Timeout():
 			return addr, stop
 		default:
 			t.Fatal(err)
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// TestTaskEndRedeliveredAfterCorruptMessage checks that the server opens another connection to a node with
-// running tasks after a corrupt message has ended the first one. The node reports the end of a task again
-// only on a new connection.
+// TestTaskEndRedeliveredAfterCorruptMessage checks that the server connects again to a node with running tasks
+// after it closed the connection because of a corrupt message. The node reports the end of its task only on
+// the second connection.
 func TestTaskEndRedeliveredAfterCorruptMessage(t *testing.T) {
 	var mu sync.Mutex
-	runningUID := "" // The mutex mu guards runningUID.
-	conns := make(chan net.Conn, 1)
+	runningUID := "" // runningUID is the uid of the task on the node; the mutex mu guards it.
+	taskConns := make(chan net.Conn, 1)
 	listener := listenOn(t, "127.0.0.1:0")
 	go acceptConns(listener, func(conn net.Conn) {
 		mu.Lock()
-		uid := runningUID
+		endedUID := runningUID
 		mu.Unlock()
-		if uid != "" {
-			if err := respond(conn, `{"kind":"stop","uid":%q,"reason":16}`+"\n", uid); err != nil {
+		if endedUID != "" {
+			if err := respond(conn, `{"kind":"stop","uid":%q,"reason":16}`+"\n", endedUID); err != nil {
 				return
 			}
 		}
@@ -37,19 +37,20 @@
 		runningUID = taskUID(line)
 		mu.Unlock()
 		if err := acceptTask(conn, line); err == nil {
-			conns <- conn
+			taskConns <- conn
 		}
 	})
 	server := startServer(t, 256, listener.Addr().String())
 	client := server.connect()
 	client.runTask(1, "seats")
-	sendTo(t, waitFor(t, "the connection of the task", conns), "{corrupt\n")
-	client.expect(`"stop"`, `"reason":16`)
+	sendTo(t, waitFor(t, "the node to accept task 1", taskConns), "{corrupt\n")
+	client.expectMessage(`"stop"`, `"reason":16`)
 }
 
-// startWithUnresponsiveTimeout returns a node that does not answer health checks, a server that declares the
-// node unresponsive after the given time, and a client whose task 1 runs on the node.
-func startWithUnresponsiveTimeout(t *testing.T, after time.Duration) (*testNode, *testServer, *testClient) {
+// startServerWithUnresponsiveTimeout starts a node that does not answer health checks and a server that
+// declares the node unresponsive after the given time. It returns both, with a client whose task 1 runs on the
+// node.
+func startServerWithUnresponsiveTimeout(t *testing.T, after time.Duration) (*testNode, *testServer, *testClient) {
 	t.Helper()
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -59,47 +60,48 @@
 	return node, server, client
 }
 
-// TestUnreachableNodes checks that the tasks of a node that cannot be reached are reported as lost, whether
-// connections to the node are refused or time out.
+// TestUnreachableNodes checks that the tasks of a node that cannot be reached are reported to their clients as
+// lost, whether the node refuses connections or dials to it time out.
 func TestUnreachableNodes(t *testing.T) {
-	for _, mode := range []string{"refuses connections", "silent"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, failure := range []string{"node refuses connections", "dials to the node time out"} {
+		t.Run(failure, func(t *testing.T) {
 			t.Parallel()
-			node, server, client := startWithUnresponsiveTimeout(t, 2*time.Second)
+			node, server, client := startServerWithUnresponsiveTimeout(t, 2*time.Second)
 			closeNow(t, node.listener)
-			running := 0 // The tasks have ended together with the node if it refuses connections.
-			if mode == "silent" {
-				unresponsivePort(t, node.port())
-				running = 1 // The tasks may still run, so they count until the node reports that they have ended.
+			wantRunning := 0 // If a node refuses connections, the server assumes that its process and tasks have ended.
+			if failure == "dials to the node time out" {
+				listenUnresponsiveUntilCleanup(t, node.port())
+				wantRunning = 1 // The task may still run, so the server counts it until the node reports its end.
 			}
-			client.expect(`"stop"`, `"reason":41`)
+			client.expectMessage(`"stop"`, `"reason":41`)
 			server.runOnLoop(func() {
-				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != running || server.core.Counts.TasksLost != 1 {
-					t.Errorf("want 1 unreachable node, 1 lost task and the expected running tasks, got %+v and %+v", server.stats, server.core.Counts)
+				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != wantRunning || server.core.Counts.TasksLost != 1 {
+					t.Errorf("want 1 unreachable node, 1 lost task and the expected number of running tasks, got the counters %+v and %+v",
+						server.stats, server.core.Counts)
 				}
 			})
 		})
 	}
 }
 
-// TestUnresponsiveNodeReturns checks what happens when a node that was declared unresponsive returns with its
-// task, after the client was notified that the task is lost. The node must be told to stop the task, which
-// counts as running until the node reports its end.
+// TestUnresponsiveNodeReturns checks the case that a node is declared unresponsive, the client is notified that
+// its task on the node is lost, and the node then returns with the task. The server must tell the node to stop
+// the task, and must count the task as running until the node reports its end.
 func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
-	node, server, client := startWithUnresponsiveTimeout(t, 500*time.Millisecond)
-	waitFor(t, "the launch", node.received)
+	node, server, client := startServerWithUnresponsiveTimeout(t, 500*time.Millisecond)
+	waitFor(t, "the launch message at the node", node.received)
 	closeNow(t, node.listener)
 	_, stopListening := listenUnresponsive(t, node.port())
-	client.expect(`"stop"`, `"reason":41`)
+	client.expectMessage(`"stop"`, `"reason":41`)
 	server.runOnLoop(func() {
-		if running := server.core.RunningTasks(); running != 1 {
-			t.Errorf("%d tasks run, want 1", running)
+		if runningTasks := server.core.RunningTasks(); runningTasks != 1 {
+			t.Errorf("the server counts %d running tasks before the node reported the end of its task, want 1", runningTasks)
 		}
 	})
 	stopListening()
-	listener := listenOn(t, node.addr) // The node listens again.
-	conn, err := listener.Accept()
+	restartedListener := listenOn(t, node.addr) // The node returns and listens on its address again.
+	conn, err := restartedListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,27 +111,27 @@
 	}
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil || !strings.Contains(line, `"stop"`) || taskUID(line) != "0000000000000001" {
-		t.Fatalf("got line %q and error %v, want a stop of task 1", line, err)
+		t.Fatalf("the node got line %q and error %v, want a stop message for task 1", line, err)
 	}
 	sendTo(t, conn, stopMessage(1, 31))
-	server.waitUntil("the end of the task", func() bool { return server.core.RunningTasks() == 0 })
-	client.send(checkMessage)
-	client.expectNext(`"checked"`) // Nothing else was reported to the client.
+	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	client.send(healthCheckMessage)
+	client.expectNextMessage(`"checked"`) // The server has sent the client no other message about the task.
 }
 
-// TestUnresponsiveConnectionIsAvoided checks that a connection on which an attempt timed out gets a health
-// check, and no attempt until that is answered. The node itself works, so a new connection to it must be
-// used.
+// TestUnresponsiveConnectionIsAvoided checks that the server sends no further attempt on a node connection on
+// which an attempt timed out, until the node has answered a health check on it. The node never answers on its
+// first connection, but answers on other connections, so the server must open another connection to the node.
 func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	var mu sync.Mutex
-	var unresponsive net.Conn
+	var unresponsiveConn net.Conn
 	node := startNode(t, func(conn net.Conn, line string) error {
 		mu.Lock()
 		defer mu.Unlock()
-		if unresponsive == nil {
-			unresponsive = conn
+		if unresponsiveConn == nil {
+			unresponsiveConn = conn
 		}
-		if conn == unresponsive {
+		if conn == unresponsiveConn {
 			return nil
 		}
 		return acceptTask(conn, line)
@@ -138,47 +140,48 @@
 	client := server.connect()
 	for i := range 4 {
 		client.launch(i+1, "query")
-		if strings.Contains(client.expect(fmt.Sprintf("%016x", i+1)), `"running"`) {
+		if strings.Contains(client.expectMessage(fmt.Sprintf("%016x", i+1)), `"running"`) {
 			return
 		}
 	}
-	t.Error("all attempts were sent on the unresponsive connection")
+	t.Error("the server sent all attempts on the unresponsive node connection, want a new connection to the node")
 }
 
-// TestNodeConnectionLimit checks that connections to nodes stay within their share of the file descriptors.
-// If no connection slot is free for an attempt, the attempt fails without taking the slot of a busy
-// connection, and its node does not count as unreachable.
+// TestNodeConnectionLimit checks that node connections stay within their share of the file descriptors. If no
+// connection slot is free for an attempt, the attempt fails without taking the slot of a busy connection, and
+// the node of the attempt does not count as unreachable.
 func TestNodeConnectionLimit(t *testing.T) {
-	var addrs []string
+	var nodeAddrs []string
 	for range 30 {
-		addrs = append(addrs, startNode(t, acceptTask).addr)
+		nodeAddrs = append(nodeAddrs, startNode(t, acceptTask).addr)
 	}
-	server := startServer(t, 64, addrs...)
+	server := startServer(t, 64, nodeAddrs...)
 	client := server.connect()
 	for i := range 200 {
 		client.launch(i+1, "query")
-		client.expect(fmt.Sprintf("%016x", i+1))
+		client.expectMessage(fmt.Sprintf("%016x", i+1))
 	}
 	server.runOnLoop(func() {
 		if server.nodes.openConns > server.nodes.maxConns || server.stats.NodesUnreachable > 0 {
-			t.Errorf("%d connections to nodes are open, at most %d are allowed; %d nodes are unreachable", server.nodes.openConns, server.nodes.maxConns,
+			t.Errorf("%d node connections are open, want at most %d; %d nodes count as unreachable, want none", server.nodes.openConns, server.nodes.maxConns,
 				server.stats.NodesUnreachable)
 		}
 	})
 }
 
-// TestNodesShareConnectionSlots checks that nodes use the connection slots in turn if more nodes run tasks
-// than slots exist. Between two turns of one node, no other node may have more than two. Otherwise a node
-// could not report the end of its tasks in time.
+// TestNodesShareConnectionSlots checks that nodes use the connection slots in turn if more nodes run tasks than
+// slots exist. A turn of a node begins when the server connects to it. Between two turns of one node, every
+// other node may have at most two turns. With more turns of other nodes in between, a node could not report
+// the end of its tasks in time.
 func TestNodesShareConnectionSlots(t *testing.T) {
-	const nodeCount, turns = 40, 4
-	accepted := make(chan int, 10000) // accepted receives the number of a node for each connection to it.
-	var addrs []string
+	const nodeCount, turnsPerNode = 40, 4
+	acceptedBy := make(chan int, 10000) // acceptedBy receives the index of a node whenever the server connects to it.
+	var nodeAddrs []string
 	for i := range nodeCount {
 		listener := listenOn(t, "127.0.0.1:0")
-		addrs = append(addrs, listener.Addr().String())
+		nodeAddrs = append(nodeAddrs, listener.Addr().String())
 		go acceptConns(listener, func(conn net.Conn) {
-			accepted <- i
+			acceptedBy <- i
 			readLinesOf(conn, func(line string) error {
 				if !strings.Contains(line, `"check"`) {
 					return nil
@@ -187,67 +190,68 @@
 			})
 		})
 	}
-	server := startServer(t, 64, addrs...)
+	server := startServer(t, 64, nodeAddrs...)
 	client := server.connect()
 	server.runOnLoop(func() { server.nodes.slotHoldTime = 100 * time.Millisecond })
 	for i := range nodeCount {
 		client.send(adoptMessage(i+1, i+1))
 	}
-	turnsOf := make([]int, nodeCount)
-	turnsSince := make([][]int, nodeCount) // turnsSince[other][node] is the number of turns of node since the last turn of other.
+	turnCounts := make([]int, nodeCount)
+	turnsSince := make([][]int, nodeCount) // turnsSince[i][j] is how many turns node j has had since the last turn of node i.
 	for i := range turnsSince {
 		turnsSince[i] = make([]int, nodeCount)
 	}
-	for done := 0; done < nodeCount; {
-		node := waitFor(t, "the next turn", accepted)
-		if turnsOf[node]++; turnsOf[node] == turns {
-			done++
+	for nodesDone := 0; nodesDone < nodeCount; {
+		acceptor := waitFor(t, "the server to connect to a node", acceptedBy)
+		if turnCounts[acceptor]++; turnCounts[acceptor] == turnsPerNode {
+			nodesDone++
 		}
-		turnsSince[node] = make([]int, nodeCount)
+		turnsSince[acceptor] = make([]int, nodeCount)
 		for other := range turnsSince {
-			if other == node {
+			if other == acceptor {
 				continue
 			}
-			if turnsSince[other][node]++; turnsSince[other][node] > 2 && turnsOf[other] < turns {
-				t.Fatalf("node %d had %d turns since the last turn of node %d, want at most 2", node, turnsSince[other][node], other)
+			if turnsSince[other][acceptor]++; turnsSince[other][acceptor] > 2 && turnCounts[other] < turnsPerNode {
+				t.Fatalf("node %d had %d turns since the last turn of node %d, want at most 2", acceptor, turnsSince[other][acceptor], other)
 			}
 		}
 	}
 	server.runOnLoop(func() {
 		slotsSuffice := server.nodes.maxConns >= nodeCount/2+5
 		if server.core.RunningTasks() != nodeCount || server.nodes.openConns > server.nodes.maxConns || slotsSuffice {
-			t.Errorf("%d tasks run, and %d of %d connection slots are in use", server.core.RunningTasks(), server.nodes.openConns, server.nodes.maxConns)
+			t.Errorf("the server counts %d running tasks and uses %d of %d connection slots, want one task per node and fewer slots than nodes",
+				server.core.RunningTasks(), server.nodes.openConns, server.nodes.maxConns)
 		}
 	})
 }
 
 // TestLinksRemovedWithTerminatedNodes checks that the link to a node is removed some time after the node has
-// terminated, even if its tasks ended after that.
+// terminated, even if the tasks of the node ended only after its termination.
 func TestLinksRemovedWithTerminatedNodes(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
-	call := waitFor(t, "a call to the discovery server", server.discovery.calls)
+	discoveryStream := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	for i := range 2 {
 		client.runTask(i+1, "query")
-		call.text <- sseEvent(2+i, nodeEntry(1+i, node.addr, "terminated"), nodeEntry(2+i, node.addr, "in_service"))
-		client.expect(`"stop"`, `"reason":41`) // The end is reported a second later.
+		discoveryStream.responseText <- sseEvent(2+i, nodeEntryJSON(1+i, node.addr, "terminated"), nodeEntryJSON(2+i, node.addr, "in_service"))
+		client.expectMessage(`"stop"`, `"reason":41`) // The task counts as lost one second after its node has terminated.
 	}
-	server.waitUntil("the removal of all links", func() bool { return len(server.nodes.byID) == 0 })
+	server.waitUntil("the server to remove the links to all nodes", func() bool { return len(server.nodes.byID) == 0 })
 }
 
-// TestDialTimeout checks that a dial without an answer releases its file descriptor and its queue, and that
-// its requests are answered.
+// TestDialTimeout checks that a dial that times out releases its file descriptor and the attempts that wait for
+// it, and that the placement requests of these attempts are answered.
 func TestDialTimeout(t *testing.T) {
-	server := startServer(t, 256, unresponsivePort(t, 0))
+	server := startServer(t, 256, listenUnresponsiveUntilCleanup(t, 0))
 	client := server.connect()
 	for i := range 20 {
 		client.launch(i+1, "query")
 	}
 	for range 20 {
-		client.expect(`"stop"`, `"reason":34`)
+		client.expectMessage(`"stop"`, `"reason":34`)
 	}
-	server.waitUntil("the end of all dials", func() bool {
+	server.waitUntil("the server to end all dials", func() bool {
 		for _, link := range server.nodes.byID {
 			if len(link.queuedAttempts) > 0 || link.dialing != nil {
 				return false
@@ -257,11 +261,12 @@
 	})
 }
 
-// TestFullListOmitsNode covers a full list that omits a node with an attempt in flight, with and without a
-// running task. If the next list contains the node again, no task or attempt may be lost. If no list does,
-// all tasks on the node must end, even if the node answered after the list.
+// TestFullListOmitsNode checks the case that a full list from the discovery server omits a node to which an
+// unanswered attempt was sent, with and without a running task on the node. If the next full list contains the
+// node again, no task or attempt may be lost. If it does not, all tasks on the node must be reported as lost,
+// even if the node accepts the attempt after the full list that omits it.
 func TestFullListOmitsNode(t *testing.T) {
-	for _, test := range []struct{ relisted, running bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
+	for _, test := range []struct{ listedAgain, taskRuns bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			t.Parallel()
 			launches := make(chan unansweredLaunch, 1)
@@ -275,64 +280,64 @@
 				return nil
 			})
 			server := startServer(t, 256, node.addr)
-			call := waitFor(t, "a call to the discovery server", server.discovery.calls)
+			request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 			client := server.connect()
-			tasks := 1
-			if test.running {
-				tasks = 2
+			wantTasks := 1
+			if test.taskRuns {
+				wantTasks = 2
 				client.launch(1, "query")
-				client.expect(`"running"`, "0000000000000001")
+				client.expectMessage(`"running"`, "0000000000000001")
 			}
 			client.launch(2, "seats")
-			launch := waitFor(t, "the attempt", launches)
-			call.text <- sseFullList(2, nodeEntry(9, "127.0.0.1:1", "in_service"))
+			launch := waitFor(t, "the launch message for task 2 at the node", launches)
+			request.responseText <- sseFullListEvent(2, nodeEntryJSON(9, "127.0.0.1:1", "in_service"))
 			server.waitForEvent(2)
 			server.runOnLoop(func() {
 				for _, link := range server.nodes.byID {
 					link.maintain()
 				}
 			})
-			if test.relisted {
-				call.text <- sseFullList(3, nodeEntry(1, node.addr, "in_service"))
+			if test.listedAgain {
+				request.responseText <- sseFullListEvent(3, nodeEntryJSON(1, node.addr, "in_service"))
 				server.waitForEvent(3)
 			}
 			launch.accept(t)
-			client.expect(`"running"`, "0000000000000002")
-			if test.relisted {
+			client.expectMessage(`"running"`, "0000000000000002")
+			if test.listedAgain {
 				server.runOnLoop(func() {
-					if running := server.core.RunningTasks(); running != tasks {
-						t.Errorf("%d tasks run, want %d", running, tasks)
+					if runningTasks := server.core.RunningTasks(); runningTasks != wantTasks {
+						t.Errorf("the server counts %d running tasks after the node was listed again, want %d", runningTasks, wantTasks)
 					}
 				})
 				return
 			}
-			ended := map[string]bool{}
-			for len(ended) < tasks {
-				line := client.expect(`"stop"`, `"reason":41`)
-				ended[taskUID(line)] = true
+			endedTasks := map[string]bool{}
+			for len(endedTasks) < wantTasks {
+				line := client.expectMessage(`"stop"`, `"reason":41`)
+				endedTasks[taskUID(line)] = true
 			}
 		})
 	}
 }
 
-// TestNewNodeAtAddressOfTerminatedNode checks that a new node at the address of a terminated node does not
-// receive messages for the terminated one, and that its own messages are not attributed to the terminated
-// one.
+// TestNewNodeAtAddressOfTerminatedNode checks the case that a new node has the address of a terminated node.
+// The server must not send messages for the terminated node to the new node, and must not attribute messages
+// from the new node to the terminated node.
 func TestNewNodeAtAddressOfTerminatedNode(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
-	call := waitFor(t, "a call to the discovery server", server.discovery.calls)
+	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	client := server.connect()
 	client.runTask(1, "query")
-	call.text <- sseEvent(2, nodeEntry(1, node.addr, "terminated"), nodeEntry(2, node.addr, "in_service"))
+	request.responseText <- sseEvent(2, nodeEntryJSON(1, node.addr, "terminated"), nodeEntryJSON(2, node.addr, "in_service"))
 	server.waitForEvent(2)
 	client.launch(2, "query")
-	client.expect(`"running"`, "0000000000000002")
-	client.expect(`"stop"`, "0000000000000001", `"reason":41`)
-	server.waitUntil("a single link", func() bool { return len(server.nodes.byID) == 1 })
+	client.expectMessage(`"running"`, "0000000000000002")
+	client.expectMessage(`"stop"`, "0000000000000001", `"reason":41`)
+	server.waitUntil("only the link to the new node to remain", func() bool { return len(server.nodes.byID) == 1 })
 	server.runOnLoop(func() {
 		if server.core.RunningTasks() != 1 || server.nodes.openConns != 1 {
-			t.Errorf("%d tasks run and %d connections to nodes are open, want 1 and 1", server.core.RunningTasks(), server.nodes.openConns)
+			t.Errorf("the server counts %d running tasks and %d open node connections, want 1 of each", server.core.RunningTasks(), server.nodes.openConns)
 		}
 	})
 }
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -8,12 +8,14 @@
 	"testing"
 )
 
-// unansweredLaunch is a launch that a node has received but not answered.
+// unansweredLaunch is a launch message that a test node has received but not answered, with the connection on
+// which it arrived.
 type unansweredLaunch struct {
 	conn net.Conn
 	line string
 }
 
+// accept makes the node accept the task of the launch message.
 func (launch unansweredLaunch) accept(t *testing.T) {
 	t.Helper()
 	if err := acceptTask(launch.conn, launch.line); err != nil {
@@ -21,8 +23,9 @@
 	}
 }
 
-// TestStopAnswersAcceptedRequests checks that requests that arrive before and shortly after the signal to
-// stop are answered, and that the end of a task is still reported while the server waits for running tasks.
+// TestStopAnswersAcceptedRequests checks that placement requests that arrive before and shortly after the start
+// of a graceful stop are answered, and that the end of a task is still reported to the client while the server
+// waits for running tasks.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	launches := make(chan unansweredLaunch, 10)
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -32,58 +35,59 @@
 		return nil
 	})
 	server := startServer(t, 256, node.addr)
-	before := server.connect()
-	before.launch(1, "seats")
-	first := waitFor(t, "the first launch", launches)
+	earlyClient := server.connect()
+	earlyClient.launch(1, "seats")
+	earlyLaunch := waitFor(t, "the launch message for the first task at the node", launches)
 	server.runOnLoop(func() { server.Stop(); server.Stop() })
-	after := server.connect() // The server still accepts connections for acceptGrace.
-	after.launch(2, "seats")
-	second := waitFor(t, "the launch after the signal", launches)
-	first.accept(t)
-	second.accept(t)
-	before.expect(`"running"`)
-	after.expect(`"running"`)
-	// The end of a task is reported even if nothing else is open.
+	lateClient := server.connect() // After the start of the stop, the server still accepts connections for acceptGrace.
+	lateClient.launch(2, "seats")
+	lateLaunch := waitFor(t, "the launch message for the task that was requested after the start of the stop", launches)
+	earlyLaunch.accept(t)
+	lateLaunch.accept(t)
+	earlyClient.expectMessage(`"running"`)
+	lateClient.expectMessage(`"running"`)
+	// Both requests are answered and the listener is closed, but the tasks still run. The server must wait, in
+	// order to report the end of a task.
 	server.waitUntil("the listener to close", func() bool { return server.listener.Closed() })
-	uid := taskUID(first.line)
-	sendTo(t, first.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
-	before.expect(`"stop"`, uid, `"reason":16`)
-	waitFor(t, "the end of the server", server.stopped)
+	uid := taskUID(earlyLaunch.line)
+	sendTo(t, earlyLaunch.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
+	earlyClient.expectMessage(`"stop"`, uid, `"reason":16`)
+	waitFor(t, "the server to stop", server.stopped)
 }
 
-// TestStopServesAcceptBacklog checks that clients are answered if the kernel accepted their connections and
-// requests before the listener was closed.
+// TestStopServesAcceptBacklog checks that a client is answered during a graceful stop if the kernel accepted
+// its connection before the listener was closed, even if the server has not accepted the connection yet.
 func TestStopServesAcceptBacklog(t *testing.T) {
 	server := startServer(t, 2000, startNode(t, acceptTask).addr)
-	var all []*testClient
+	var clients []*testClient
 	server.blockLoopDuring(func() {
-		for i := range 150 { // This number exceeds what one iteration of the event loop accepts.
+		for i := range 150 { // One iteration of the event loop accepts fewer connections than this number.
 			client := server.connect()
 			client.launch(i+1, "query")
-			all = append(all, client)
+			clients = append(clients, client)
 		}
 	}, server.finishStopNow)
-	for i, client := range all {
-		client.expect(fmt.Sprintf("%016x", i+1)) // Many requests are rejected, because there is only one node.
+	for i, client := range clients {
+		client.expectMessage(fmt.Sprintf("%016x", i+1)) // The answer may be a rejection, because there is only one node.
 	}
 }
 
-// TestStopServesIncompleteRequest checks that a request of which only a part has arrived when the server is
-// stopped is answered once the rest arrives.
+// TestStopServesIncompleteRequest checks that a placement request is answered if only a part of it has arrived
+// at the final phase of a graceful stop and the rest arrives later.
 func TestStopServesIncompleteRequest(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	client := server.connect()
-	text := launchMessage(1, "query", `"x"`)
-	client.send(text[:40])
-	server.waitUntil("an incomplete message", func() bool { return server.incompleteClients() == 1 })
+	launch := launchMessage(1, "query", `"x"`)
+	client.send(launch[:40])
+	server.waitUntil("the server to receive a part of the message", func() bool { return server.clientsWithIncompleteMessage() == 1 })
 	server.runOnLoop(server.finishStopNow)
-	client.send(text[40:])
-	client.expect(`"running"`)
+	client.send(launch[40:])
+	client.expectMessage(`"running"`)
 }
 
-// TestStopFlushesAnswers checks that answers reach a client that sends data at the very end of a stop. If the
-// process ended with this data unread, the kernel would reset the connection and discard answers that the
-// client has not read yet.
+// TestStopFlushesAnswers checks that answers reach a client that sends data at the very end of a graceful stop.
+// If the process ended before the server has read this data, the kernel would reset the client connection and
+// discard answers that the client has not read yet.
 func TestStopFlushesAnswers(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -94,18 +98,18 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.launch(1, "seats")
-	server.waitUntil("the answer", func() bool { return server.core.Counts.Failed+server.core.Counts.Rejected == 1 })
-	decided, sent := make(chan struct{}), make(chan struct{})
+	server.waitUntil("the server to answer the request", func() bool { return server.core.Counts.Failed+server.core.Counts.Rejected == 1 })
+	finalPhase, dataSent := make(chan struct{}), make(chan struct{})
 	server.loop.Post(func() {
 		server.finishStopNow()
-		close(decided) // The server has decided to stop, and no data is unread.
-		<-sent
+		close(finalPhase) // The server has decided to end, and has read all data that has arrived so far.
+		<-dataSent
 	})
-	waitFor(t, "the final phase of the stop", decided)
+	waitFor(t, "the final phase of the stop", finalPhase)
 	client.send(`{"kind":"stopped","uid":"0000000000000001","meta":{}}` + "\n")
-	close(sent)
-	client.expect(`"stop"`, "0000000000000001")
+	close(dataSent)
+	client.expectMessage(`"stop"`, "0000000000000001")
 	client.expectClosed()
 	client.close()
-	waitFor(t, "the end of the server", server.stopped)
+	waitFor(t, "the server to stop", server.stopped)
 }
--- a/internal/platform/server/stats_test.go
+++ b/internal/platform/server/stats_test.go
@@ -12,12 +12,12 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestInvalidInputJSON checks that each kind of invalid input has its own counter, and that only counters
-// above 0 are logged, under the names that operators use.
+// TestInvalidInputJSON checks that each kind of invalid input has its own counter. It also checks that only
+// counters above 0 are logged, and that they are logged under the names that operators use.
 func TestInvalidInputJSON(t *testing.T) {
 	for _, test := range []struct {
-		err  error
-		want string
+		err      error
+		wantJSON string
 	}{
 		{&dispatch.InvalidMessageError{Reason: dispatch.InvalidNode, Err: errors.New("x")}, `{"at":1}`},
 		{&dispatch.InvalidMessageError{Reason: dispatch.InvalidBody, Err: errors.New("x")}, `{"body":1}`},
@@ -33,7 +33,7 @@
 		{errors.New("no JSON"), `{"unreadable":1}`},
 		{nil, `{}`},
 	} {
-		t.Run(test.want, func(t *testing.T) {
+		t.Run(test.wantJSON, func(t *testing.T) {
 			var counters InvalidInput
 			if test.err != nil {
 				counters.add(test.err)
@@ -42,8 +42,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if string(text) != test.want {
-				t.Errorf("unexpected JSON: %s", text)
+			if string(text) != test.wantJSON {
+				t.Errorf("unexpected JSON form of the counters: %s", text)
 			}
 		})
 	}
