--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -7,14 +7,14 @@
 // attemptSender collects attempts during an iteration of the event loop and sends them to their nodes at the
 // end of the iteration.
 type attemptSender struct {
-	server  *Server
-	pending []*dispatch.Attempt
+	server          *Server
+	pendingAttempts []*dispatch.Attempt
 }
 
 // schedule queues an attempt, which sendPending sends at the end of the current iteration of the event loop.
 func (sender *attemptSender) schedule(attempt *dispatch.Attempt) {
-	sender.pending = append(sender.pending, attempt)
-	if len(sender.pending) == 1 {
+	sender.pendingAttempts = append(sender.pendingAttempts, attempt)
+	if len(sender.pendingAttempts) == 1 {
 		sender.server.loop.AtIterationEnd(sender.sendPending)
 	}
 }
@@ -26,9 +26,9 @@
 // attempt, and no byte of the attempt is sent.
 func (sender *attemptSender) sendPending() {
 	s := sender.server
-	pending := sender.pending
-	sender.pending = nil
-	for _, attempt := range pending {
+	attempts := sender.pendingAttempts
+	sender.pendingAttempts = nil
+	for _, attempt := range attempts {
 		if s.clients.hasUnreadLines(attempt.ClientConn()) { // The unread lines may cancel the request of this attempt.
 			sender.schedule(attempt)
 			continue
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -190,13 +190,13 @@
 // of a task.
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
-	open, placed := core.ClientRequests(c.id)
-	return c.state != clientClosing && open == 0 && !placed && c.isSilent(now) && !core.IsOnlyClient(c.id)
+	openRequests, hasPlacedTask := core.ClientRequests(c.id)
+	return c.state != clientClosing && openRequests == 0 && !hasPlacedTask && c.isSilent(now) && !core.IsOnlyClient(c.id)
 }
 
 // isSilent reports whether two conditions hold: no valid message has arrived for idleClientTimeout, and no
 // incomplete message has begun to arrive within the last incompleteMessageTimeout.
 func (c *clientConn) isSilent(now clock.Instant) bool {
-	receiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
-	return now.Sub(c.lastMessageAt) > idleClientTimeout && !receiving
+	isReceiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
+	return now.Sub(c.lastMessageAt) > idleClientTimeout && !isReceiving
 }
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -35,16 +35,16 @@
 		"cancels its request at once":           func(client *testClient) { client.send(launchMessage(firstID+2, "gold", `"x"`) + withdrawal) },
 	} {
 		client := server.connect()
-		start := time.Now()
+		startedAt := time.Now()
 		misbehave(client)
 		clientsDone.Add(1)
 		go func() {
 			defer clientsDone.Done()
 			line, err := client.reader.ReadString('\n')
 			unexpectedAnswer := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
-			if took := time.Since(start); took > 3*time.Second || unexpectedAnswer {
+			if elapsed := time.Since(startedAt); elapsed > 3*time.Second || unexpectedAnswer {
 				t.Errorf("the client that %s got an answer after %v: line %q and error %v, want a stop message or the end of the connection within 3 s",
-					name, took, line, err)
+					name, elapsed, line, err)
 			}
 		}()
 	}
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -114,7 +114,7 @@
 		}
 		client := table.candidateConns[i]
 		client.conn.ReadNow()
-		if open, _ := s.core.ClientRequests(client.id); open == 0 && !client.conn.Paused() {
+		if openRequests, _ := s.core.ClientRequests(client.id); openRequests == 0 && !client.conn.Paused() {
 			s.stats.ClientsEvicted++
 			client.conn.Close()
 			return
@@ -134,10 +134,10 @@
 		if client.state == clientClosing {
 			continue
 		}
-		open, placed := s.core.ClientRequests(client.id)
+		openRequests, hasPlacedTask := s.core.ClientRequests(client.id)
 		table.candidates = append(table.candidates, memquota.Candidate{
-			Busy:        open > 0 || client.openedAt == now,
-			Established: placed,
+			Busy:        openRequests > 0 || client.openedAt == now,
+			Established: hasPlacedTask,
 			Idle:        now.Sub(max(client.lastMessageAt, client.incompleteSince)),
 		})
 		table.candidateConns = append(table.candidateConns, client)
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -13,7 +13,7 @@
 func checkAllTransitions[State interface {
 	comparable
 	fmt.Stringer
-}](t *testing.T, states []State, legal map[[2]State]bool, setState func(server *Server, from, to State) State) {
+}](t *testing.T, states []State, legalTransitions map[[2]State]bool, setState func(server *Server, from, to State) State) {
 	t.Helper()
 	for _, from := range states {
 		for _, to := range states {
@@ -21,7 +21,7 @@
 				server := &Server{}
 				state := setState(server, from, to)
 				wantState, wantIllegal := from, uint64(1)
-				if legal[[2]State{from, to}] {
+				if legalTransitions[[2]State{from, to}] {
 					wantState, wantIllegal = to, 0
 				}
 				if state != wantState {
@@ -38,7 +38,7 @@
 // TestClientConnTransitions checks which transitions between the states of a client connection are legal.
 func TestClientConnTransitions(t *testing.T) {
 	states := []clientConnState{clientOpen, clientAdopting, clientClosing, clientClosed}
-	legal := map[[2]clientConnState]bool{
+	legalTransitions := map[[2]clientConnState]bool{
 		{clientOpen, clientAdopting}:    true,
 		{clientOpen, clientClosing}:     true,
 		{clientOpen, clientClosed}:      true,
@@ -47,7 +47,7 @@
 		{clientAdopting, clientClosed}:  true,
 		{clientClosing, clientClosed}:   true,
 	}
-	checkAllTransitions(t, states, legal, func(server *Server, from, to clientConnState) clientConnState {
+	checkAllTransitions(t, states, legalTransitions, func(server *Server, from, to clientConnState) clientConnState {
 		conn := &clientConn{server: server, state: from}
 		conn.setState(to)
 		return conn.state
@@ -57,12 +57,12 @@
 // TestNodeConnTransitions checks which transitions between the states of a node connection are legal.
 func TestNodeConnTransitions(t *testing.T) {
 	states := []nodeConnState{nodeDialing, nodeEstablished, nodeClosed}
-	legal := map[[2]nodeConnState]bool{
+	legalTransitions := map[[2]nodeConnState]bool{
 		{nodeDialing, nodeEstablished}: true,
 		{nodeDialing, nodeClosed}:      true,
 		{nodeEstablished, nodeClosed}:  true,
 	}
-	checkAllTransitions(t, states, legal, func(server *Server, from, to nodeConnState) nodeConnState {
+	checkAllTransitions(t, states, legalTransitions, func(server *Server, from, to nodeConnState) nodeConnState {
 		conn := &nodeConn{link: &nodeLink{server: server}, state: from}
 		conn.setState(to)
 		return conn.state
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -39,15 +39,15 @@
 // resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. The core
 // reports infinity as this time if it has set no timer.
 func (s *Server) resetCoreTimer() {
-	due := s.core.NextTimer()
-	if s.coreTimer != nil && s.coreTimerDue == due {
+	dueTime := s.core.NextTimer()
+	if s.coreTimer != nil && s.coreTimerDue == dueTime {
 		return
 	}
 	s.coreTimer.Stop()
 	s.coreTimer = nil
-	if !math.IsInf(float64(due), 1) {
-		s.coreTimer = s.loop.At(clock.FromUnixSeconds(due), s.advanceCore)
-		s.coreTimerDue = due
+	if !math.IsInf(float64(dueTime), 1) {
+		s.coreTimer = s.loop.At(clock.FromUnixSeconds(dueTime), s.advanceCore)
+		s.coreTimerDue = dueTime
 	}
 }
 
--- a/internal/platform/server/discovery_fixture_test.go
+++ b/internal/platform/server/discovery_fixture_test.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf(`{"no":%d,"roster":{"rev":%d,"all":%v,"targets":[%s]}}`, number, number, number == 1, strings.Join(entries, ","))
 }
 
-// sseEvent returns a discovery event in the format of server-sent events.
+// sseEvent returns the discovery event with the given number in the format of server-sent events.
 func sseEvent(number int, entries ...string) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, discoveryEventJSON(number, entries...))
 }
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -72,8 +72,8 @@
 	}
 	// The delays between the six requests are 50, 100, 200, 400 and 800 ms. Jitter shortens each delay by at
 	// most a quarter.
-	if took := time.Since(firstRequestAt); took < 1150*time.Millisecond {
-		t.Errorf("the server sent six requests to the discovery server within %v, want at least 1.15 s", took)
+	if elapsed := time.Since(firstRequestAt); elapsed < 1150*time.Millisecond {
+		t.Errorf("the server sent six requests to the discovery server within %v, want at least 1.15 s", elapsed)
 	}
 }
 
@@ -117,8 +117,8 @@
 			if secondRequest.lastEventID != test.wantLastEventID {
 				t.Errorf("the second request has Last-Event-ID %q, want %q", secondRequest.lastEventID, test.wantLastEventID)
 			}
-			if took := time.Since(silentSince); took > 4*time.Second {
-				t.Errorf("the second request arrived %v after the first stream fell silent, want at most 4 s", took)
+			if elapsed := time.Since(silentSince); elapsed > 4*time.Second {
+				t.Errorf("the second request arrived %v after the first stream fell silent, want at most 4 s", elapsed)
 			}
 			waitFor(t, "the server to close the connection of the silent stream", firstRequest.closed)
 			sendTo(t, secondRequest, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntryJSON(2, "127.0.0.1:1", "in_service")))
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -36,7 +36,7 @@
 // healthCheckMessage is a health check that a test client sends to the server.
 const healthCheckMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
 
-// launchMessage returns a launch message that requests the placement of a task. body is a JSON value.
+// launchMessage returns a launch message that requests the placement of a task. The body is a JSON value.
 func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
@@ -59,15 +59,15 @@
 	return uid
 }
 
-// waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. what
-// describes the awaited event in the failure message.
-func waitFor[T any](t *testing.T, what string, ch <-chan T) T {
+// waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. The
+// failure message contains the description of what was awaited.
+func waitFor[T any](t *testing.T, description string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case received := <-ch:
 		return received
 	case <-time.After(testTimeout):
-		t.Fatalf("timed out waiting for %s", what)
+		t.Fatalf("timed out waiting for %s", description)
 		panic("not reached")
 	}
 }
@@ -171,7 +171,7 @@
 	return server
 }
 
-// runOnLoop runs function on the goroutine of the event loop and waits until function has returned.
+// runOnLoop runs a function on the goroutine of the event loop and waits until the function has returned.
 func (server *testServer) runOnLoop(function func()) {
 	server.t.Helper()
 	functionReturned := make(chan struct{})
@@ -202,9 +202,9 @@
 	waitFor(server.t, "the event loop to continue", loopUnblocked)
 }
 
-// waitUntil evaluates a condition on the event loop every millisecond until it is true. what describes the
-// condition in the failure message.
-func (server *testServer) waitUntil(what string, condition func() bool) {
+// waitUntil evaluates a condition on the event loop every millisecond until it is true. It fails the test if
+// the condition is not true within testTimeout. The failure message contains the description.
+func (server *testServer) waitUntil(description string, condition func() bool) {
 	server.t.Helper()
 	conditionMet := make(chan struct{})
 	var checkCondition func()
@@ -216,7 +216,7 @@
 		server.loop.After(time.Millisecond, checkCondition)
 	}
 	server.loop.Post(checkCondition)
-	waitFor(server.t, what, conditionMet)
+	waitFor(server.t, description, conditionMet)
 }
 
 // waitForEvent waits until the server has received the discovery event with the given number.
@@ -339,7 +339,7 @@
 func (client *testClient) expectClosed() {
 	client.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != io.EOF {
-		client.t.Fatalf("got line %q and error %v, want that the server closes the connection", line, err)
+		client.t.Fatalf("got line %q and error %v, want the server to close the connection without another line", line, err)
 	}
 }
 
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -30,8 +30,8 @@
 // lineReader reads lines from client and node connections. It limits the number of lines that are handled per
 // connection in one iteration of the event loop.
 type lineReader struct {
-	loop     *eventloop.Loop
-	deferred []*eventloop.Conn // deferred lists the connections that are not read until the next iteration of the event loop.
+	loop          *eventloop.Loop
+	deferredConns []*eventloop.Conn // deferredConns lists the connections that are not read until the next iteration of the event loop.
 }
 
 // readLines calls handle for each complete line of data, without its line feed. It stops after the number of
@@ -69,17 +69,17 @@
 // deferReading pauses reading from a connection until the next iteration of the event loop.
 func (reader *lineReader) deferReading(conn *eventloop.Conn) {
 	conn.PauseRead(true)
-	reader.deferred = append(reader.deferred, conn)
-	if len(reader.deferred) == 1 {
+	reader.deferredConns = append(reader.deferredConns, conn)
+	if len(reader.deferredConns) == 1 {
 		reader.loop.After(0, reader.resumeReading)
 	}
 }
 
 // resumeReading resumes reading from the connections that deferReading has paused.
 func (reader *lineReader) resumeReading() {
-	deferred := reader.deferred
-	reader.deferred = nil
-	for _, conn := range deferred {
+	conns := reader.deferredConns
+	reader.deferredConns = nil
+	for _, conn := range conns {
 		conn.PauseRead(false)
 	}
 }
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -19,7 +19,7 @@
 // an error, the node closes the connection.
 type nodeHandler func(conn net.Conn, line string) error
 
-// testNode is a node of the platform in a test. The server under test connects to it.
+// testNode is a fake node of the platform. The server under test connects to it.
 type testNode struct {
 	t        *testing.T
 	addr     string
@@ -69,7 +69,7 @@
 	}
 }
 
-// respond writes a message, which is formatted like in fmt.Sprintf, to the connection of the server.
+// respond formats a message like fmt.Sprintf and writes it to a connection with the server.
 func respond(conn net.Conn, format string, args ...any) error {
 	_, err := fmt.Fprintf(conn, format, args...)
 	return err
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -72,7 +72,7 @@
 	if nc != nil {
 		delete(nc.attempts, effect.Attempt)
 	}
-	suspected := nc != nil && effect.TimedOut
+	connSuspected := nc != nil && effect.TimedOut
 	if nc == nil {
 		nc = link.anyConn()
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	nc.write(&effect.Message)
-	if suspected {
+	if connSuspected {
 		// The attempt timed out because the node is slow or because the connection is broken. A health check
 		// distinguishes these cases. Until it is answered, no attempt is sent on the connection.
 		link.server.stats.NodeConnsSuspected++
@@ -104,13 +104,13 @@
 // usableConn returns the connection on which attempts are sent: the usable connection to the node on which
 // data arrived most recently. It returns nil if no connection is usable.
 func (link *nodeLink) usableConn() *nodeConn {
-	var best *nodeConn
+	var mostRecent *nodeConn
 	for _, nc := range link.conns {
-		if nc.keepAlive.Usable() && (best == nil || nc.keepAlive.LastReceived > best.keepAlive.LastReceived) {
-			best = nc
+		if nc.keepAlive.Usable() && (mostRecent == nil || nc.keepAlive.LastReceived > mostRecent.keepAlive.LastReceived) {
+			mostRecent = nc
 		}
 	}
-	return best
+	return mostRecent
 }
 
 // anyConn returns a usable connection to the node. If no connection is usable, it returns any established
@@ -163,9 +163,9 @@
 		nc.conn.Write(link.pendingMessages)
 		link.pendingMessages = nil
 	}
-	queued := link.queuedAttempts
+	attempts := link.queuedAttempts
 	link.queuedAttempts = nil
-	for _, attempt := range queued {
+	for _, attempt := range attempts {
 		s.attemptSender.schedule(attempt)
 	}
 	s.applyReadyEffects()
@@ -180,9 +180,9 @@
 	if !errors.Is(err, errNoConnectionSlot) { // A lack of connection slots does not show whether the node is reachable.
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
-	queued := link.queuedAttempts
+	attempts := link.queuedAttempts
 	link.queuedAttempts = nil
-	for _, attempt := range queued {
+	for _, attempt := range attempts {
 		s.core.ConnectFailed(s.coreNow(), attempt)
 	}
 	s.applyReadyEffects()
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -231,10 +231,10 @@
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
-	discoveryStream := waitFor(t, "a request to the discovery server", server.discovery.requests)
+	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	for i := range 2 {
 		client.runTask(i+1, "query")
-		discoveryStream.responseText <- sseEvent(2+i, nodeEntryJSON(1+i, node.addr, "terminated"), nodeEntryJSON(2+i, node.addr, "in_service"))
+		request.responseText <- sseEvent(2+i, nodeEntryJSON(1+i, node.addr, "terminated"), nodeEntryJSON(2+i, node.addr, "in_service"))
 		client.expectMessage(`"stop"`, `"reason":41`) // The task counts as lost one second after its node has terminated.
 	}
 	server.waitUntil("the server to remove the links to all nodes", func() bool { return len(server.nodes.byID) == 0 })
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -31,7 +31,7 @@
 	client.expectMessage(`"running"`, `"0000000000000007"`, `"body":`+taskDescription)
 	received := waitFor(t, "the launch message at the node", node.received)
 	if !containsAll(received, `"body":`+body, `"class":"seats"`, `"key":"0000000000000007"`, `"left":"`, `"idem":"e45e5817dae4"`) {
-		t.Fatalf("the node received a launch message without a field of the client's launch message: %s", received)
+		t.Fatalf("the node received %s, want a launch message with the fields of the client's launch message", received)
 	}
 	client.send(`{"kind":"stop","uid":"0000000000000007","meta":{},"reason":31}` + "\n")
 	if received := waitFor(t, "the stop message at the node", node.received); !containsAll(received, `"stop"`, `"reason":31`) {
@@ -86,7 +86,8 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.launch(1, "seats")
-	client.expectMessage(`"stop"`, `"reason":34`) // Reason 34 states that the task never ran.
+	// Reason 34 states that the task never ran. The server knows this because the node refused all connections.
+	client.expectMessage(`"stop"`, `"reason":34`)
 	server.runOnLoop(func() {
 		if counts := server.core.Counts; counts.ConnectFailures == 0 || counts.ConnectionsLost+counts.TimedOut > 0 {
 			t.Errorf("want attempts that failed only because no connection could be established, got the counters %+v", counts)
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -66,8 +66,8 @@
 		s.listener.Close()
 	}
 	unread := s.clients.readAllConns()
-	inTime := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
-	if s.core.OpenRequests() > 0 || inTime && (unread || stop.canNotifyClients()) {
+	withinTimeout := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
+	if s.core.OpenRequests() > 0 || withinTimeout && (unread || stop.canNotifyClients()) {
 		s.loop.After(pollInterval, stop.finish)
 		return
 	}
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -54,43 +54,43 @@
 }
 
 // add increments the counter for the reason why a message or line was rejected with the given error.
-func (in *InvalidInput) add(err error) {
-	*in.counterForError(err)++
+func (counters *InvalidInput) add(err error) {
+	*counters.counterForError(err)++
 }
 
-func (in *InvalidInput) counterForError(err error) *uint64 {
+func (counters *InvalidInput) counterForError(err error) *uint64 {
 	var invalid *dispatch.InvalidMessageError
 	switch {
 	case errors.As(err, &invalid):
-		return in.counterForReason(invalid.Reason)
+		return counters.counterForReason(invalid.Reason)
 	case errors.Is(err, protocol.ErrTooLong):
-		return &in.LineTooLong
+		return &counters.LineTooLong
 	}
-	return &in.Unreadable
+	return &counters.Unreadable
 }
 
-func (in *InvalidInput) counterForReason(reason dispatch.InvalidReason) *uint64 {
+func (counters *InvalidInput) counterForReason(reason dispatch.InvalidReason) *uint64 {
 	switch reason {
 	case dispatch.InvalidNode:
-		return &in.UnknownNode
+		return &counters.UnknownNode
 	case dispatch.InvalidBody:
-		return &in.Body
+		return &counters.Body
 	case dispatch.InvalidClass:
-		return &in.Class
+		return &counters.Class
 	case dispatch.InvalidExtras:
-		return &in.Extras
+		return &counters.Extras
 	case dispatch.InvalidIDInUse:
-		return &in.DuplicateID
+		return &counters.DuplicateID
 	case dispatch.InvalidKey:
-		return &in.Key
+		return &counters.Key
 	case dispatch.InvalidTimeLeft:
-		return &in.TimeLeft
+		return &counters.TimeLeft
 	case dispatch.InvalidStop:
-		return &in.StopOfOtherConn
+		return &counters.StopOfOtherConn
 	case dispatch.InvalidTenant:
-		return &in.Tenant
+		return &counters.Tenant
 	}
-	return &in.Other
+	return &counters.Other
 }
 
 // recordIllegalTransition counts and logs an illegal transition between two states of a client or node
