--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -72,7 +72,8 @@
 	return client
 }
 
-// moveTo makes the watch continue after the last event received with the discovery server at another address.
+// moveTo makes the watch continue with the discovery server at another address. The first event that it
+// requests there is the one that follows the last event received.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.addr = addr
 	w.client = w.newClient()
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -17,8 +17,8 @@
 	"heathshed/placer"
 )
 
-// maxPendingBytes is the size of the encoded messages that wait for a connection to one node from which on
-// further messages to this node are discarded.
+// maxPendingBytes limits the encoded messages that wait for a connection to one node. Once their size has
+// reached this limit, further messages to the node are discarded.
 const maxPendingBytes = 64 << 10
 
 // nodeLink manages the connections to one node, and the attempts and messages that wait for a connection to
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -50,7 +50,7 @@
 	maxConns     int
 	slotHoldTime time.Duration              // slotHoldTime has the value of the constant slotHoldTime, except in tests.
 	keepAlive    connpool.MultiplexedPolicy // keepAlive is the keep-alive policy of all node connections.
-	reachability connpool.Reachability      // reachability is the value that the reachability of each new link starts with.
+	reachability connpool.Reachability      // reachability is the initial value of nodeLink.reachability for each new link.
 	linksToDial  []*nodeLink                // linksToDial is a buffer that reconnect reuses to avoid allocations.
 }
 
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -18,7 +18,7 @@
 func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	subobject := func(settings object, name string) object { return settings[name].(object) }
-	class := func(settings object, i int) object { return settings["lanes"].([]any)[i].(object) }
+	classSettings := func(settings object, i int) object { return settings["lanes"].([]any)[i].(object) }
 	for name, test := range map[string]struct {
 		modify     func(settings object)
 		wantError  string // wantError is a part of the expected error, or "" if the settings are valid.
@@ -31,7 +31,7 @@
 		}, "", true},
 		"task classes in reverse order": {func(settings object) { lanes := settings["lanes"].([]any); lanes[0], lanes[1] = lanes[1], lanes[0] }, "", true},
 		"names with quotes, tabs and non-ASCII letters": {func(settings object) {
-			class(settings, 0)["name"], class(settings, 1)["name"] = `préstamo "libros", ;:`, "0"
+			classSettings(settings, 0)["name"], classSettings(settings, 1)["name"] = `préstamo "libros", ;:`, "0"
 			settings["orgs"].([]any)[0].(object)["name"] = "Straße\t1\u2028"
 			settings["zones"], settings["flavors"] = []any{"ж"}, []any{"größer als"}
 		}, "", true},
@@ -45,34 +45,36 @@
 			}
 			settings["lanes"] = classes
 		}, "", false}, // The one node of this test does not have enough capacity for a task of each class.
-		"no tenants":      {func(settings object) { delete(settings, "orgs") }, "", true},
-		"no zones":        {func(settings object) { delete(settings, "zones") }, "", true},
-		"no node types":   {func(settings object) { delete(settings, "flavors") }, "", false},
-		"no load reports": {func(settings object) { delete(settings, "loadReport") }, "", true},
-		"no rules":        {func(settings object) { delete(settings, "rules") }, "", true},
-		"no settings that are lists with one value per task class": {func(settings object) {
+		"no tenants":            {func(settings object) { delete(settings, "orgs") }, "", true},
+		"no zones":              {func(settings object) { delete(settings, "zones") }, "", true},
+		"no node types":         {func(settings object) { delete(settings, "flavors") }, "", false},
+		"no load reports":       {func(settings object) { delete(settings, "loadReport") }, "", true},
+		"no object named rules": {func(settings object) { delete(settings, "rules") }, "", true},
+		"no lists with one value per task class": {func(settings object) {
 			extra := subobject(settings, "extra")
 			delete(extra, "apartBy")
 			delete(extra, "fullUpTo")
 			delete(extra, "fadesOver")
 			delete(extra, "classKind")
 		}, "", true},
-		"no connect timeout":                            {func(settings object) { delete(subobject(settings, "permissions"), "connectTimeoutS") }, "", true},
-		"idle timeout of node connections is zero":      {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0 }, "", true},
-		"idle timeout of node connections is 10 ms":     {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0.01 }, "", true},
-		"at most one attempt per request":               {func(settings object) { subobject(settings, "permissions")["mostTries"] = 1 }, "", true},
-		"at most zero attempts per request":             {func(settings object) { subobject(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
-		"no task classes":                               {func(settings object) { settings["lanes"] = []any{} }, "class", false},
-		"task class without latency objective":          {func(settings object) { delete(class(settings, 0), "objectiveS") }, "class 0: latency objective 0", false},
-		"task classes with deadlines of 0.3 s and less": {func(settings object) { class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 0.3, 0.25 }, "", true},
+		"no connect timeout":                        {func(settings object) { delete(subobject(settings, "permissions"), "connectTimeoutS") }, "", true},
+		"idle timeout of node connections is zero":  {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0 }, "", true},
+		"idle timeout of node connections is 10 ms": {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0.01 }, "", true},
+		"at most one attempt per request":           {func(settings object) { subobject(settings, "permissions")["mostTries"] = 1 }, "", true},
+		"at most zero attempts per request":         {func(settings object) { subobject(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
+		"no task classes":                           {func(settings object) { settings["lanes"] = []any{} }, "class", false},
+		"task class without latency objective":      {func(settings object) { delete(classSettings(settings, 0), "objectiveS") }, "class 0: latency objective 0", false},
+		"task classes with deadlines of 0.3 s and less": {func(settings object) {
+			classSettings(settings, 0)["hardLimitS"], classSettings(settings, 1)["hardLimitS"] = 0.3, 0.25
+		}, "", true},
 		"task classes with deadlines of an hour and a day": {func(settings object) {
-			class(settings, 0)["hardLimitS"], class(settings, 1)["hardLimitS"] = 3600.0, 86400.0
+			classSettings(settings, 0)["hardLimitS"], classSettings(settings, 1)["hardLimitS"] = 3600.0, 86400.0
 		}, "", true},
-		"no attempts on nodes in slow start": {func(settings object) { subobject(settings, "extra")["youngLimit"] = 0 }, "", true},
-		"three hundred schedulers":           {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
-		"task class with an unknown effect":  {func(settings object) { class(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
-		"node types without memory":          {func(settings object) { subobject(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
-		"a string instead of a number":       {func(settings object) { subobject(settings, "rules")["fallS"] = "soon" }, "fallS", false},
+		"no attempts on nodes in slow start":  {func(settings object) { subobject(settings, "extra")["youngLimit"] = 0 }, "", true},
+		"three hundred schedulers":            {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
+		"task class with an unknown effect":   {func(settings object) { classSettings(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
+		"node types without memory":           {func(settings object) { subobject(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
+		"string instead of a number in rules": {func(settings object) { subobject(settings, "rules")["fallS"] = "soon" }, "fallS", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
