--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer file.Close() //nolint:errcheck // the file is only read, and ReadAll returns all errors of reading
+	defer file.Close() //nolint:errcheck // only read; ReadAll returns what can fail
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -56,7 +56,7 @@
 // readLinesOf reads lines from a connection and passes each line to handle. When reading or handle fails, it
 // closes the connection and returns.
 func readLinesOf(conn net.Conn, handle func(line string) error) {
-	defer conn.Close() //nolint:errcheck // handle may have closed the connection already
+	defer conn.Close() //nolint:errcheck // the server may have closed it first
 	reader := bufio.NewReader(conn)
 	for {
 		line, err := reader.ReadString('\n')
