--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -175,7 +175,7 @@
 // connection instead.
 func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
-	if c.conn.Buffered() > maxUnsentBytesToClient {
+	if c.conn.UnsentBytes() > maxUnsentBytesToClient {
 		s.warn("client connection closed: output not read", c.conn.Peer(), errClientNotReading)
 		s.loop.After(0, c.conn.Close) // Closing is deferred because the caller may be handling an event of this connection.
 		return
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -34,7 +34,7 @@
 	s := table.server
 	table.lastID++
 	s.stats.ClientsAccepted++
-	conn.MaxInput = 2 * protocol.MaxLineBytes
+	conn.MaxInputBytes = 2 * protocol.MaxLineBytes
 	now := s.loop.Now()
 	client := &clientConn{server: s, conn: conn, id: table.lastID, openedAt: now, lastMessageAt: now}
 	table.byID[client.id] = client
@@ -64,7 +64,7 @@
 		return false
 	}
 	client.conn.ReadNow()
-	return client.conn.Paused() && !client.conn.Closed()
+	return client.conn.ReadPaused() && !client.conn.Closed()
 }
 
 // readAllConns reads every client connection. It reports whether, on any of them, part of a message has
@@ -72,7 +72,7 @@
 func (table *clientTable) readAllConns() (unread bool) {
 	for _, client := range table.byID {
 		client.conn.ReadNow()
-		unread = unread || !client.incompleteSince.IsZero() || client.conn.Paused()
+		unread = unread || !client.incompleteSince.IsZero() || client.conn.ReadPaused()
 	}
 	return unread
 }
@@ -94,7 +94,7 @@
 			continue
 		}
 		client.conn.ReadNow()
-		if client.isIdle(now) && !client.conn.Closed() && !client.conn.Paused() {
+		if client.isIdle(now) && !client.conn.Closed() && !client.conn.ReadPaused() {
 			s.stats.IdleClientsClosed++
 			client.closeGracefully()
 		}
@@ -114,7 +114,7 @@
 		}
 		client := table.candidateConns[i]
 		client.conn.ReadNow()
-		if openRequests, _ := s.core.ClientRequests(client.id); openRequests == 0 && !client.conn.Paused() {
+		if openRequests, _ := s.core.ClientRequests(client.id); openRequests == 0 && !client.conn.ReadPaused() {
 			s.stats.ClientsEvicted++
 			client.conn.Close()
 			return
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -86,7 +86,7 @@
 func (w *discoveryWatch) open() {
 	w.retryTimer.Stop()
 	w.idleTimer.Stop()
-	stream := &discoveryStream{watch: w, decoder: sse.Decoder{MaxEvent: maxEventBytes}}
+	stream := &discoveryStream{watch: w, decoder: sse.Decoder{MaxEventBytes: maxEventBytes}}
 	w.stream = stream
 	if w.call != nil {
 		w.call.Cancel()
@@ -96,7 +96,7 @@
 		{Name: "Accept", Value: "text/event-stream"},
 		{Name: "Last-Event-ID", Value: strconv.FormatUint(w.server.core.LastDiscoveryEvent(), 10)},
 	}
-	handlers := &httpc.Call{Started: stream.responseStarted, Data: stream.bodyReceived, Done: stream.responseEnded}
+	handlers := &httpc.Call{OnResponseHead: stream.responseStarted, OnBodyData: stream.bodyReceived, OnDone: stream.responseEnded}
 	w.call = w.client.Do(http.MethodGet, discoveryPath, header, nil, 0, handlers)
 	w.resetIdleTimer()
 }
@@ -170,7 +170,7 @@
 	}
 	s := stream.watch.server
 	s.stats.WatchEvents++
-	s.log.Trace().Str("id", event.ID).Str("data", event.Data).Msg("discovery event")
+	s.log.Trace().Str("id", event.LastEventID).Str("data", event.Data).Msg("discovery event")
 	inSequence, err := s.core.ReceiveDiscoveryEvent(s.coreNow(), []byte(event.Data))
 	if err == nil && !inSequence {
 		err = errEventGap
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -68,7 +68,7 @@
 
 // deferReading pauses reading from a connection until the next iteration of the event loop.
 func (reader *lineReader) deferReading(conn *eventloop.Conn) {
-	conn.PauseRead(true)
+	conn.SetReadPaused(true)
 	reader.deferredConns = append(reader.deferredConns, conn)
 	if len(reader.deferredConns) == 1 {
 		reader.loop.After(0, reader.resumeReading)
@@ -80,7 +80,7 @@
 	conns := reader.deferredConns
 	reader.deferredConns = nil
 	for _, conn := range conns {
-		conn.PauseRead(false)
+		conn.SetReadPaused(false)
 	}
 }
 
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -143,7 +143,7 @@
 		s.loop.After(0, func() { link.dialFailed(err) })
 		return
 	}
-	conn.MaxInput = 2 * protocol.MaxLineBytes
+	conn.MaxInputBytes = 2 * protocol.MaxLineBytes
 	nc.conn = conn
 	link.dialing = nc
 	s.nodes.takeSlot()
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -62,7 +62,7 @@
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
-		s.listener.Drain()
+		s.listener.AcceptPending()
 		s.listener.Close()
 	}
 	unread := s.clients.readAllConns()
