--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -21,8 +21,8 @@
 	lastID   dispatch.ConnID
 	maxConns int
 
-	candidates     []memquota.Candidate // candidates are the connections that evict may close, in a reused slice.
-	candidateConns []*clientConn        // candidateConns[i] is the client connection that candidates[i] describes.
+	candidates     []memquota.EvictionCandidate // candidates are the connections that evict may close, in a reused slice.
+	candidateConns []*clientConn                // candidateConns[i] is the client connection that candidates[i] describes.
 }
 
 func newClientTable(server *Server, maxConns int) *clientTable {
@@ -135,10 +135,10 @@
 			continue
 		}
 		openRequests, hasPlacedTask := s.core.ClientRequests(client.id)
-		table.candidates = append(table.candidates, memquota.Candidate{
+		table.candidates = append(table.candidates, memquota.EvictionCandidate{
 			Busy:        openRequests > 0 || client.openedAt == now,
 			Established: hasPlacedTask,
-			Idle:        now.Sub(max(client.lastMessageAt, client.incompleteSince)),
+			IdleTime:    now.Sub(max(client.lastMessageAt, client.incompleteSince)),
 		})
 		table.candidateConns = append(table.candidateConns, client)
 	}
