--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -111,7 +111,7 @@
 func (c *Controller) enqueue(now placer.Seconds, request Request, tenant *tenantQueue) {
 	deadline := request.Deadline
 	if !c.cfg.ShedUsesRetryBudget && request.class() != classFirst {
-		deadline = request.FinalDeadline
+		deadline = request.ClientDeadline
 	}
 	if tenant.totalQueued() == 0 {
 		c.queue.advanceVirtualTime(tenant)
@@ -195,7 +195,7 @@
 // waits, it moves the request behind the requests that can start in time and returns true. Otherwise it
 // returns false.
 func (c *Controller) demoteExpired(now placer.Seconds, entry *queuedRequest) bool {
-	latest := entry.latestStart(entry.FinalDeadline)
+	latest := entry.latestStart(entry.ClientDeadline)
 	clientWaits := latest > now
 	if !clientWaits || c.cfg.ShedUsesRetryBudget {
 		return false
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -75,7 +75,7 @@
 			for range count {
 				id++
 				tenantOf[id] = tenant
-				request := Request{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, FinalDeadline: 1e9, LatencyObjective: 1}
+				request := Request{ID: id, Tenant: tenant, Cost: 1, Deadline: 1e9, ClientDeadline: 1e9, LatencyObjective: 1}
 				if decision, _ := controller.Submit(now, request); decision == Admit {
 					admitted[tenant]++
 				}
@@ -112,7 +112,7 @@
 		var admitted []uint64
 		for range int(controller.Limit()) {
 			id++
-			request := Request{ID: id, Deadline: now + 10, FinalDeadline: now + 10, LatencyObjective: 1}
+			request := Request{ID: id, Deadline: now + 10, ClientDeadline: now + 10, LatencyObjective: 1}
 			if decision, _ := controller.Submit(now, request); decision == Admit {
 				admitted = append(admitted, id)
 			}
@@ -128,7 +128,7 @@
 func TestDisabledUsesNoRetryBudget(t *testing.T) {
 	controller := newController(t, func(config *Config) { config.Disabled = true })
 	for id := range uint64(1000) {
-		request := Request{ID: id, IsRetry: true, Deadline: 2, FinalDeadline: 2, LatencyObjective: 1}
+		request := Request{ID: id, IsRetry: true, Deadline: 2, ClientDeadline: 2, LatencyObjective: 1}
 		if decision, _ := controller.Submit(1, request); decision != Admit {
 			t.Fatal("a disabled controller did not admit a request")
 		}
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -110,7 +110,7 @@
 		IsRetry:          rng.IntN(4) == 0,
 		ShedBefore:       rng.IntN(5) == 0,
 	}
-	request.FinalDeadline = request.Deadline + placer.Seconds(4*rng.Float64())
+	request.ClientDeadline = request.Deadline + placer.Seconds(4*rng.Float64())
 	return request
 }
 
--- a/internal/control/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -17,7 +17,7 @@
 		fmt.Println(err)
 		return
 	}
-	request := admission.Request{ID: 1, Cost: 1, Deadline: 10, FinalDeadline: 20, LatencyObjective: 2}
+	request := admission.Request{ID: 1, Cost: 1, Deadline: 10, ClientDeadline: 20, LatencyObjective: 2}
 	decision, _ := controller.Submit(0, request)
 	fmt.Println("first admitted:", decision == admission.Admit)
 
@@ -45,8 +45,8 @@
 		fmt.Println(err)
 		return
 	}
-	controller.Submit(0, admission.Request{ID: 1, Deadline: 60, FinalDeadline: 60, LatencyObjective: 30})
-	controller.Submit(0, admission.Request{ID: 2, Deadline: 5, FinalDeadline: 5, LatencyObjective: 2})
+	controller.Submit(0, admission.Request{ID: 1, Deadline: 60, ClientDeadline: 60, LatencyObjective: 30})
+	controller.Submit(0, admission.Request{ID: 2, Deadline: 5, ClientDeadline: 5, LatencyObjective: 2})
 	fmt.Println("call again by:", controller.NextDeadline())
 
 	_, shed := controller.Poll(4)
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -10,11 +10,11 @@
 	Priority int     // Priority orders requests within a tenant; a higher priority is admitted first.
 	Cost     float64 // Cost is the fraction of a node that the task needs; at least minCost is charged.
 	// Deadline is the time at which this request expires. The client may submit another request for the task
-	// until FinalDeadline.
+	// until ClientDeadline.
 	Deadline placer.Seconds
-	// FinalDeadline is the time at which the client stops waiting for the task to be placed. It is not
+	// ClientDeadline is the time at which the client stops waiting for the task to be placed. It is not
 	// earlier than Deadline.
-	FinalDeadline placer.Seconds
+	ClientDeadline placer.Seconds
 	// LatencyObjective is the time after the arrival of the request within which the task should start.
 	LatencyObjective placer.Seconds
 	// IsRetry reports that earlier attempts on nodes did not place the task. If all earlier requests for the
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -88,7 +88,7 @@
 		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "retry") == 0,
 		ShedBefore:       rapid.IntRange(0, 2).Draw(model.T, "shed before") == 0,
 	}
-	request.FinalDeadline = request.Deadline + model.drawSeconds(0, 2, "final deadline")
+	request.ClientDeadline = request.Deadline + model.drawSeconds(0, 2, "final deadline")
 	model.requests[request.ID] = request
 	decision, _ := model.controller.Submit(model.now, request)
 	model.setState(request.ID, stateAfter[decision])
@@ -114,7 +114,7 @@
 func (model *controllerModel) poll() {
 	admitted, shed := model.controller.Poll(model.now)
 	for _, id := range admitted {
-		if model.now > model.requests[id].FinalDeadline {
+		if model.now > model.requests[id].ClientDeadline {
 			model.Fatal("a request is admitted after its client stopped waiting")
 		}
 		model.setState(id, stateInFlight)
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -65,7 +65,7 @@
 		request := Request{
 			ID:               backlog.lastID,
 			Deadline:         now + 10,
-			FinalDeadline:    now + 10,
+			ClientDeadline:   now + 10,
 			LatencyObjective: 1,
 			IsRetry:          true,
 			ShedBefore:       true,
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -33,36 +33,36 @@
 	}
 }
 
-// Bound is the kind of limit that an input exceeds. Its text is part of the error message that clients
+// Violation is the kind of limit that an input exceeds. Its text is part of the error message that clients
 // receive.
-type Bound string
+type Violation string
 
-// The constants of type Bound are the kinds of limits that an Error reports.
+// The constants of type Violation are the kinds of limits that an Error reports.
 const (
-	TooManyBytes     Bound = "too many bytes"
-	TooManyValues    Bound = "too many values"
-	ObjectsTooDeep   Bound = "objects too deep inside each other"
-	MessagesTooDeep  Bound = "messages too deep inside each other"
-	NumberTooLong    Bound = "number too long"
-	TooManyDigits    Bound = "too many digits in a quantity"
-	ExponentTooLarge Bound = "exponent too large in a quantity"
+	TooManyBytes     Violation = "too many bytes"
+	TooManyValues    Violation = "too many values"
+	ObjectsTooDeep   Violation = "objects too deep inside each other"
+	MessagesTooDeep  Violation = "messages too deep inside each other"
+	NumberTooLong    Violation = "number too long"
+	TooManyDigits    Violation = "too many digits in a quantity"
+	ExponentTooLarge Violation = "exponent too large in a quantity"
 )
 
 // Error reports an input that exceeds a limit.
 type Error struct {
-	Bound  Bound
-	Limit  int // Limit is the value of the exceeded limit.
-	Offset int // Offset is the position, in bytes, at which the input exceeds the limit.
+	Violation Violation
+	Limit     int // Limit is the value of the exceeded limit.
+	Offset    int // Offset is the position, in bytes, at which the input exceeds the limit.
 }
 
 // Error implements the error interface.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s at byte %d: at most %d", e.Bound, e.Offset, e.Limit)
+	return fmt.Sprintf("%s at byte %d: at most %d", e.Violation, e.Offset, e.Limit)
 }
 
 // TooLarge reports whether the input exceeds a limit on its size, rather than on its structure or its
 // numbers.
-func (e *Error) TooLarge() bool { return e.Bound == TooManyBytes || e.Bound == TooManyValues }
+func (e *Error) TooLarge() bool { return e.Violation == TooManyBytes || e.Violation == TooManyValues }
 
 // checkBytes checks the length of an input.
 func (l *Limits) checkBytes(text []byte) *Error {
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -12,8 +12,8 @@
 	total, used int64
 	users       map[uint64]*userState
 
-	// Evicted is the number of users that UserToEvict has returned.
-	Evicted uint64
+	// EvictedConnections is the number of users that ConnectionToEvict has returned.
+	EvictedConnections uint64
 }
 
 type userState struct {
@@ -33,8 +33,8 @@
 // Total returns the number of bytes that all users together may use.
 func (b *Budget) Total() int64 { return b.total }
 
-// Users returns the number of users.
-func (b *Budget) Users() int { return len(b.users) }
+// Connections returns the number of users.
+func (b *Budget) Connections() int { return len(b.users) }
 
 // Add adds a user that uses no memory yet. The id must not be in use.
 func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &userState{lastShrunkAt: now} }
@@ -74,9 +74,9 @@
 	user.used = used
 }
 
-// UserToEvict selects a user to evict if more memory is used than the total, and returns false otherwise. The
-// caller removes the selected user and calls UserToEvict again.
-func (b *Budget) UserToEvict() (id uint64, over bool) {
+// ConnectionToEvict selects a user to evict if more memory is used than the total, and returns false otherwise. The
+// caller removes the selected user and calls ConnectionToEvict again.
+func (b *Budget) ConnectionToEvict() (id uint64, over bool) {
 	if b.used <= b.total {
 		return 0, false
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 	if over {
-		b.Evicted++
+		b.EvictedConnections++
 	}
 	return id, over
 }
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -50,7 +50,7 @@
 		case 2:
 			budget.Remove(id)
 		case 3:
-			evicted, over := budget.UserToEvict()
+			evicted, over := budget.ConnectionToEvict()
 			fmt.Fprint(&text, evicted, over, " ")
 			if over {
 				budget.Remove(evicted)
@@ -58,7 +58,7 @@
 		default:
 			budget.SetUsed(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[random.IntN(7)])
 		}
-		fmt.Fprint(&text, budget.Used(), budget.Total(), budget.Users(), budget.Evicted, budget.Available(id), budget.Available(id+1), " ")
+		fmt.Fprint(&text, budget.Used(), budget.Total(), budget.Connections(), budget.EvictedConnections, budget.Available(id), budget.Available(id+1), " ")
 	}
 	return goldentest.Digest(text.String())
 }
@@ -67,12 +67,12 @@
 	random := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
-		var candidates []memquota.Candidate
+		var candidates []memquota.EvictionCandidate
 		for range random.IntN(8) {
-			candidates = append(candidates, memquota.Candidate{
+			candidates = append(candidates, memquota.EvictionCandidate{
 				Busy:        random.IntN(3) == 0,
 				Established: random.IntN(2) == 0,
-				Idle:        time.Duration(random.IntN(4)),
+				IdleTime:    time.Duration(random.IntN(4)),
 			})
 		}
 		fmt.Fprint(&text, memquota.SelectEviction(candidates), " ")
--- a/internal/control/memquota/eviction_test.go
+++ b/internal/control/memquota/eviction_test.go
@@ -8,16 +8,16 @@
 func TestSelectEviction(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		candidates []Candidate
+		candidates []EvictionCandidate
 		want       int
 	}{
 		{"no candidates", nil, -1},
-		{"all busy", []Candidate{{Busy: true, Idle: 9 * time.Second}, {Busy: true}}, -1},
-		{"longest idle among candidates that are not established", []Candidate{{Idle: 1 * time.Second}, {Idle: 3 * time.Second}, {Idle: 2 * time.Second}}, 1},
-		{"not established before established", []Candidate{{Established: true, Idle: 90 * time.Second}, {Idle: 1 * time.Second}}, 1},
+		{"all busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
+		{"longest idle among candidates that are not established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
+		{"not established before established", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
 		{
 			"established when all others are busy",
-			[]Candidate{{Established: true, Idle: 1 * time.Second}, {Busy: true, Idle: 9 * time.Second}, {Established: true, Idle: 2 * time.Second}},
+			[]EvictionCandidate{{Established: true, IdleTime: 1 * time.Second}, {Busy: true, IdleTime: 9 * time.Second}, {Established: true, IdleTime: 2 * time.Second}},
 			2,
 		},
 	} {
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -103,7 +103,7 @@
 // evict removes the users that the budget selects. It checks that no other user has more than twice the
 // memory of a selected user.
 func (model *budgetModel) evict() {
-	for id, over := model.budget.UserToEvict(); over; id, over = model.budget.UserToEvict() {
+	for id, over := model.budget.ConnectionToEvict(); over; id, over = model.budget.ConnectionToEvict() {
 		for other, used := range model.used {
 			if used > 2*model.used[id]+1 {
 				model.Fatalf("user %d is evicted with %d bytes while user %d uses %d bytes", id, model.used[id], other, used)
@@ -118,7 +118,7 @@
 	for _, used := range model.used {
 		sum += used
 	}
-	if sum != model.budget.Used() || sum > model.total || len(model.used) != model.budget.Users() {
+	if sum != model.budget.Used() || sum > model.total || len(model.used) != model.budget.Connections() {
 		model.Fatalf("users use %d bytes, but the budget reports %d of a total of %d", sum, model.budget.Used(), model.total)
 	}
 }
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	if _, over := budget.UserToEvict(); over || budget.Used() < 100<<20 {
+	if _, over := budget.ConnectionToEvict(); over || budget.Used() < 100<<20 {
 		t.Errorf("%d bytes used of a total of %d, user to evict: %v", budget.Used(), budget.Total(), over)
 	}
 }
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -87,7 +87,7 @@
 		Priority:         class.Priority,
 		Cost:             max(task.cores/nodeType.Cores, task.memory/nodeType.Memory),
 		Deadline:         r.deadline(task),
-		FinalDeadline:    task.deadline,
+		ClientDeadline:   task.deadline,
 		LatencyObjective: class.LatencyObjective,
 		IsRetry:          request.isRetry,
 		ShedBefore:       task.wasShed,
--- a/internal/kube/scheduler/bounds_test.go
+++ b/internal/kube/scheduler/bounds_test.go
@@ -60,7 +60,7 @@
 	cluster.runOnLoop(func() { cluster.scheduler.httpServer.CloseConns() })
 	cluster.runOnLoop(func() {
 		if memory := cluster.scheduler.httpServer.MemoryQuota(); memory.Used() > 1<<20 {
-			t.Errorf("the quota counts %d bytes for %d connections after all connections were closed", memory.Used(), memory.Users())
+			t.Errorf("the quota counts %d bytes for %d connections after all connections were closed", memory.Used(), memory.Connections())
 		}
 	})
 }
@@ -80,7 +80,7 @@
 	cluster.eventually("each connection uses memory or was evicted", func() bool {
 		cluster.runOnLoop(func() {
 			memory := cluster.scheduler.httpServer.MemoryQuota()
-			maxUsed, quota, users, evicted = max(maxUsed, memory.Used()), memory.Total(), memory.Users(), int(memory.Evicted)
+			maxUsed, quota, users, evicted = max(maxUsed, memory.Used()), memory.Total(), memory.Connections(), int(memory.EvictedConnections)
 		})
 		return users+evicted >= 400
 	})
--- a/internal/kube/scheduler/metrics.go
+++ b/internal/kube/scheduler/metrics.go
@@ -155,7 +155,7 @@
 		return float64(s.httpServer.MemoryQuota().Used())
 	})
 	m.addGauge("connections_bytes_limit", "Memory that API connections may hold.", func() float64 { return float64(s.httpServer.MemoryQuota().Total()) })
-	m.addCounter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.MemoryQuota().Evicted })
+	m.addCounter("connections_evicted_total", "API connections closed because they held too much memory.", func() uint64 { return s.httpServer.MemoryQuota().EvictedConnections })
 	m.addCounter("bad_requests_total", "API requests that could not be parsed.", func() uint64 { return s.httpServer.BadRequests })
 	m.addCounter("event_loop_iterations_total", "Iterations of the event loop.", func() uint64 { return s.loop.Iterations })
 }
--- a/internal/kube/scheduler/metrics_test.go
+++ b/internal/kube/scheduler/metrics_test.go
@@ -111,7 +111,7 @@
 	for i := range counters.NumField() {
 		counters.Field(i).SetUint(uint64(1000 + i))
 	}
-	s.httpServer.MemoryQuota().Evicted = 2001
+	s.httpServer.MemoryQuota().EvictedConnections = 2001
 	s.httpServer.BadRequests = 2002
 	s.loop.Iterations = 2003
 	return s
@@ -164,7 +164,7 @@
 		"jobs_created_total":     stats.JobsCreated,
 		"jobs_finished_total":    stats.JobsFinished,
 		"jobs_turned_away_total": stats.JobsRejected,
-		"connections_cut_total":  s.httpServer.MemoryQuota().Evicted,
+		"connections_cut_total":  s.httpServer.MemoryQuota().EvictedConnections,
 		"bad_requests_total":     s.httpServer.BadRequests,
 		"loop_turns_total":       s.loop.Iterations,
 	} {
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -182,7 +182,7 @@
 		return
 	}
 	s.evictionRunning = true
-	for id, exceeded := s.memoryQuota.UserToEvict(); exceeded; id, exceeded = s.memoryQuota.UserToEvict() {
+	for id, exceeded := s.memoryQuota.ConnectionToEvict(); exceeded; id, exceeded = s.memoryQuota.ConnectionToEvict() {
 		s.connsByID[id].transport.Close()
 	}
 	s.evictionRunning = false
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -20,8 +20,8 @@
 	lastID   dispatch.ConnID
 	maxConns int
 
-	candidates     []memquota.Candidate // candidates is reused by evict to avoid allocations.
-	candidateConns []*clientConn        // candidateConns contains the connection of each candidate at the same index.
+	candidates     []memquota.EvictionCandidate // candidates is reused by evict to avoid allocations.
+	candidateConns []*clientConn                // candidateConns contains the connection of each candidate at the same index.
 }
 
 func newClientTable(server *Server, maxConns int) *clientTable {
@@ -133,10 +133,10 @@
 			continue
 		}
 		open, placed := s.core.ClientRequests(client.id)
-		table.candidates = append(table.candidates, memquota.Candidate{
+		table.candidates = append(table.candidates, memquota.EvictionCandidate{
 			Busy:        open > 0 || client.openedAt == now,
 			Established: placed,
-			Idle:        now.Sub(max(client.lastMessageAt, client.incompleteSince)),
+			IdleTime:    now.Sub(max(client.lastMessageAt, client.incompleteSince)),
 		})
 		table.candidateConns = append(table.candidateConns, client)
 	}
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -150,15 +150,15 @@
 // connection that could be closed.
 func (links *nodeLinks) evict() bool {
 	now := links.server.loop.Now()
-	var candidates []memquota.Candidate
+	var candidates []memquota.EvictionCandidate
 	var conns []*nodeConn
 	for _, link := range links.byID {
 		for _, nc := range link.conns {
 			holdsSlot := link.hasTasks && now.Sub(nc.establishedAt) < links.slotHoldTime
-			candidates = append(candidates, memquota.Candidate{
+			candidates = append(candidates, memquota.EvictionCandidate{
 				Busy:        len(nc.attempts) > 0 || holdsSlot,
 				Established: link.hasTasks,
-				Idle:        now.Sub(nc.keepAlive.LastSent),
+				IdleTime:    now.Sub(nc.keepAlive.LastSent),
 			})
 			conns = append(conns, nc)
 		}
