--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -4,8 +4,9 @@
 // shed because they could no longer start in time, and how many of the admitted requests may be retries (a
 // retry budget).
 //
-// Package engine, which schedules for the Kubernetes API, owns a Controller. Controller.Submit and
-// Controller.Poll take a request through the fairQueue, the limiter and the retryBudget.
+// Package engine, the core of the scheduler behind the Kubernetes API, owns a Controller. Controller.Submit
+// and Controller.Poll use three unexported types: a fairQueue orders the waiting requests, a limiter holds the
+// concurrency limit, and a retryBudget limits the retries.
 //
 // The package reads no clock and draws no random numbers: callers pass in the time. It does not decide on
 // which node a task runs. A Controller is not safe for concurrent use.
@@ -13,17 +14,18 @@
 
 import "heathshed/placer"
 
-// Decision is the result of the submission of a request.
+// Decision states what happens to a placement request that was submitted to a Controller.
 type Decision uint8
 
 // The constants of type Decision are the results of Controller.Submit.
 const (
-	Admit Decision = iota // Admit means that the request is to be sent to the placer now.
-	Queue                 // Queue means that the request is queued and a later call of Poll admits or sheds it.
+	Admit Decision = iota // Admit means that the caller passes the request on to the placer now.
+	Queue                 // Queue means that the request waits until a later call of Poll admits or sheds it.
 	Shed                  // Shed means that the request is rejected; the client may submit another one after ShedRequest.RetryAfter.
 )
 
-// Controller is an admission controller. The zero value is not usable; New creates a Controller.
+// Controller is an admission controller for placement requests. The zero value is not usable; New creates a
+// Controller.
 type Controller struct {
 	cfg     Config
 	limiter limiter
@@ -36,9 +38,9 @@
 	// Queued is the number of requests that were queued at submission.
 	Queued uint64
 	// Demoted is the number of queued requests that were demoted because they could no longer start before
-	// their Deadline.
+	// Request.Deadline.
 	Demoted uint64
-	// ShedLate is the number of requests that were shed because they could no longer start in time.
+	// ShedLate is the number of requests that were shed because their tasks could no longer start in time.
 	ShedLate uint64
 	// ShedFull is the number of requests that were shed because the queue was full.
 	ShedFull uint64
@@ -56,10 +58,10 @@
 	return controller, nil
 }
 
-// RetryBudget returns the number of retries that may currently be admitted.
+// RetryBudget returns the number of tokens in the retry budget. Each token allows the admission of one retry.
 func (c *Controller) RetryBudget() float64 { return c.budget.tokens }
 
-// Limit returns the current limit on the number of requests in flight.
+// Limit returns the current concurrency limit, which is the largest allowed number of requests in flight.
 func (c *Controller) Limit() float64 { return c.limiter.limit }
 
 // InFlight returns the number of admitted requests that have not completed.
@@ -68,8 +70,8 @@
 // QueueLength returns the number of requests that wait for admission.
 func (c *Controller) QueueLength() int { return c.queue.len() }
 
-// Submit decides whether a new request is admitted, queued or shed. A later call of Poll returns a queued
-// request. For a shed request, the returned ShedRequest states the reason.
+// Submit decides whether a new request is admitted, queued or shed. If the request is queued, a later call of
+// Poll admits or sheds it. If the request is shed, the returned ShedRequest states the reason.
 func (c *Controller) Submit(now placer.Seconds, request Request) (Decision, ShedRequest) {
 	if c.cfg.Disabled {
 		c.admit(now, &request, false) // The retry budget does not apply while admission control is disabled.
@@ -100,7 +102,7 @@
 	return Queue, ShedRequest{}
 }
 
-// canAdmitNow reports whether a new request may be admitted without waiting in the queue.
+// canAdmitNow reports whether a new request can be admitted without waiting in the queue.
 func (c *Controller) canAdmitNow(now placer.Seconds, request *Request) bool {
 	if c.queue.queuedAhead(request.class()) > 0 || !c.limiter.hasCapacity(now) {
 		return false
@@ -133,8 +135,9 @@
 	c.Admitted++
 }
 
-// Complete records the outcome of an admitted request; placed reports whether its task was placed. The
-// concurrency limit and the retry budget adapt to the outcome. Complete ignores an unknown request.
+// Complete records the outcome of the admitted request with the given ID. The argument placed is true if the
+// task was placed on a node. The outcome changes the concurrency limit and the retry budget. Complete does
+// nothing if no request with this ID is in flight.
 func (c *Controller) Complete(now placer.Seconds, id uint64, placed bool) {
 	request, ok := c.limiter.inFlight[id]
 	if !ok {
@@ -146,8 +149,8 @@
 	c.limiter.complete(now, id, request, placed)
 }
 
-// Cancel removes a request that is queued or in flight. The concurrency limit and the retry budget do not
-// adapt to it. Cancel ignores an unknown request.
+// Cancel removes the request with the given ID if it is queued or in flight. It does not change the
+// concurrency limit or the retry budget. Cancel does nothing if there is no such request.
 func (c *Controller) Cancel(id uint64) {
 	if request := c.limiter.inFlight[id]; request != nil {
 		c.limiter.remove(id, request)
@@ -157,15 +160,15 @@
 	}
 }
 
-// Poll returns the queued requests that are admitted now, in order of admission. It also returns the queued
-// requests that are shed because they could no longer start before their final deadline.
+// Poll returns the IDs of the queued requests that it admits, in order of admission. It also returns the queued
+// requests that it sheds because their tasks could no longer start before the client stops waiting.
 func (c *Controller) Poll(now placer.Seconds) (admitted []uint64, shed []ShedRequest) {
 	c.budget.refill(now)
 	shed = c.processExpired(now)
 	for c.queue.len() > 0 && c.limiter.hasCapacity(now) {
 		tenant := c.queue.nextTenant(c.budget.hasToken())
 		if tenant == nil {
-			break // Only retries are queued, and the retry budget is used up.
+			break // All queued requests are retries, and the retry budget is used up.
 		}
 		entry := tenant.next(now)
 		c.queue.remove(entry)
@@ -176,8 +179,8 @@
 	return admitted, shed
 }
 
-// processExpired demotes or sheds the queued requests whose expiry time has passed, and returns those that it
-// shed.
+// processExpired demotes or sheds each queued request whose expiry time has passed. It returns the requests
+// that it shed.
 func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
@@ -191,24 +194,25 @@
 	return shed
 }
 
-// demoteExpired handles a queued request that can no longer start before its deadline. If the client still
-// waits, it moves the request behind the requests that can start in time and returns true. Otherwise it
-// returns false.
+// demoteExpired handles a queued request whose task can no longer start before Request.Deadline. While the
+// client still waits, demoteExpired moves the request behind the requests whose tasks can start in time, and
+// returns true. Otherwise it returns false, and the caller sheds the request.
 func (c *Controller) demoteExpired(now placer.Seconds, entry *queuedRequest) bool {
-	latest := entry.latestStart(entry.ClientDeadline)
-	clientWaits := latest > now
+	latestStart := entry.latestStart(entry.ClientDeadline)
+	clientWaits := latestStart > now
 	if !clientWaits || c.cfg.ShedUsesRetryBudget {
 		return false
 	}
 	c.queue.remove(entry)
-	demoted := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latest, tenant: entry.tenant}
+	demoted := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latestStart, tenant: entry.tenant}
 	demoted.ShedBefore = true
 	c.queue.enqueue(demoted)
 	c.Demoted++
 	return true
 }
 
-// recordExpired counts an expired request that is about to be shed and returns the reason for shedding it.
+// recordExpired counts an expired queued request that the caller is about to shed, and returns the reason for
+// shedding it.
 func (c *Controller) recordExpired(entry *queuedRequest) string {
 	if entry.IsRetry && !c.budget.hasToken() {
 		c.ShedRetry++
@@ -218,8 +222,8 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the time by which Poll has to be called even if no request completes. It returns
-// infinity if nothing is queued.
+// NextDeadline returns the time at which the caller has to call Poll even if no request completes before. It
+// returns infinity if no request is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -11,19 +11,19 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeAdmission compares the decisions of a controller, the delays bit for bit, and the state of
-// the controller after each call with a golden file. The load of several tenants is drawn from a seeded
-// random generator.
+// TestCharacterizeAdmission submits random requests of several tenants to controllers with different settings.
+// It compares the decisions, the values of RetryAfter bit for bit, and the state of the controller after each
+// call with a golden file.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
 func TestCharacterizeAdmission(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for _, run := range []struct {
-		name   string
-		change func(*admission.Config)
-		gap    float64 // gap is the mean time between calls, in seconds.
-		placed float64 // placed is the fraction of requests that are placed.
+		name           string
+		changeConfig   func(*admission.Config)
+		meanInterval   float64 // meanInterval is the mean time between operations, in seconds.
+		placedFraction float64 // placedFraction is the fraction of completed requests whose tasks are placed.
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
 		{"overload", func(config *admission.Config) {
@@ -39,50 +39,50 @@
 		{"off", func(config *admission.Config) { config.Disabled = true }, 0.02, 0.7},
 		{"one-tenant", func(config *admission.Config) { config.Shares, config.InitialInFlight, config.MaxInFlight = nil, 3, 6 }, 0.02, 0.9},
 	} {
-		recordAdmissions(t, record, run.name, run.change, run.gap, run.placed)
+		recordAdmissions(t, record, run.name, run.changeConfig, run.meanInterval, run.placedFraction)
 	}
 	recordInvalidConfigs(record)
 	record.Check(t, "admission")
 }
 
-func recordAdmissions(t *testing.T, record *goldentest.Recorder, name string, change func(*admission.Config), gap, placed float64) {
+func recordAdmissions(t *testing.T, record *goldentest.Recorder, name string, changeConfig func(*admission.Config), meanInterval, placedFraction float64) {
 	t.Helper()
 	config := admission.DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1, 0}
-	change(&config)
+	changeConfig(&config)
 	controller, err := admission.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(11, uint64(len(name))))
-	now, next := placer.Seconds(100), uint64(0)
-	var inFlight []uint64
-	var decisions [3]int
+	now, lastID := placer.Seconds(100), uint64(0)
+	var inFlightIDs []uint64
+	var decisionCounts [3]int
 	for step := range 2500 {
-		now += placer.Seconds(rng.ExpFloat64() * gap)
-		switch event := rng.IntN(20); {
-		case event < 11:
-			next++
-			request := randomRequest(rng, now, next, max(len(config.Shares), 1))
+		now += placer.Seconds(rng.ExpFloat64() * meanInterval)
+		switch operation := rng.IntN(20); {
+		case operation < 11:
+			lastID++
+			request := randomRequest(rng, now, lastID, max(len(config.Shares), 1))
 			decision, shedRequest := controller.Submit(now, request)
-			decisions[decision]++
+			decisionCounts[decision]++
 			record.Integers(int64(decision), int64(shedRequest.ID))
 			record.Floats(float64(shedRequest.RetryAfter))
 			record.Texts(shedRequest.Reason)
 			if decision == admission.Admit {
-				inFlight = append(inFlight, next)
+				inFlightIDs = append(inFlightIDs, lastID)
 			}
-		case event < 19 && len(inFlight) > 0:
-			i := rng.IntN(len(inFlight))
-			controller.Complete(now, inFlight[i], rng.Float64() < placed)
-			inFlight = slices.Delete(inFlight, i, i+1)
+		case operation < 19 && len(inFlightIDs) > 0:
+			i := rng.IntN(len(inFlightIDs))
+			controller.Complete(now, inFlightIDs[i], rng.Float64() < placedFraction)
+			inFlightIDs = slices.Delete(inFlightIDs, i, i+1)
 		default:
-			controller.Cancel(next - min(next, uint64(rng.IntN(20))))
+			controller.Cancel(lastID - min(lastID, uint64(rng.IntN(20))))
 		}
 		admitted, shed := controller.Poll(now)
 		for _, id := range admitted {
 			record.Integers(int64(id))
-			inFlight = append(inFlight, id)
+			inFlightIDs = append(inFlightIDs, id)
 		}
 		for _, request := range shed {
 			record.Integers(int64(request.ID))
@@ -95,7 +95,7 @@
 			record.Checkpoint(fmt.Sprintf("%s, step %d", name, step+1))
 		}
 	}
-	record.Line("%s: verdicts %v, counters %v", name, decisions,
+	record.Line("%s: verdicts %v, counters %v", name, decisionCounts,
 		[]uint64{controller.Admitted, controller.Queued, controller.Demoted, controller.ShedLate, controller.ShedFull, controller.ShedRetry})
 }
 
@@ -116,7 +116,7 @@
 
 // recordInvalidConfigs records the error texts for invalid settings.
 func recordInvalidConfigs(record *goldentest.Recorder) {
-	for i, change := range []func(*admission.Config){
+	for i, changeConfig := range []func(*admission.Config){
 		func(config *admission.Config) { config.MinInFlight = 0 },
 		func(config *admission.Config) { config.MaxInFlight = 0 },
 		func(config *admission.Config) { config.InitialInFlight = 0 },
@@ -130,7 +130,7 @@
 		func(config *admission.Config) { config.Shares = []float64{-1} },
 	} {
 		config := admission.DefaultConfig()
-		change(&config)
+		changeConfig(&config)
 		_, err := admission.New(config)
 		record.Line("configuration %d: %v", i, err)
 	}
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -8,32 +8,32 @@
 
 // Config holds the settings of a Controller.
 type Config struct {
-	// Shares contains the weight of each tenant, by tenant number. A weight that is not positive counts as
-	// the smallest positive weight. If Shares is empty, there is a single tenant.
+	// Shares contains the share of each tenant; Request.Tenant is an index into it. Admissions are divided in
+	// proportion to the shares. A share that is not positive counts as the smallest positive share. If Shares
+	// is empty, there is a single tenant.
 	Shares []float64
-	// MinInFlight and MaxInFlight are the bounds of the adaptive limit on concurrent placement requests.
-	// InitialInFlight is the initial value of that limit.
+	// MinInFlight and MaxInFlight are the bounds of the adaptive concurrency limit, which limits the number
+	// of placement requests in flight. InitialInFlight is the initial value of the concurrency limit.
 	MinInFlight, MaxInFlight, InitialInFlight float64
-	// The limit is multiplied by DecreaseFactor when the fraction of requests that complete late or are not
-	// placed exceeds LateFraction, at most once per DecreaseInterval. LateFraction is above zero because some
-	// requests fit no node at any load.
+	// The concurrency limit is multiplied by DecreaseFactor when the fraction of requests that complete late
+	// or without placing their tasks exceeds LateFraction. This happens at most once per DecreaseInterval. The
+	// default of LateFraction is above zero, because some tasks fit on no node even at low load.
 	DecreaseFactor, LateFraction float64
 	DecreaseInterval             placer.Seconds
 	// MaxQueued is the largest number of requests that may be queued, over all tenants.
 	MaxQueued int
-	// A retry takes one token from a budget that holds at most RetryBurst tokens. When a retry is placed, its
-	// token is returned together with RetryRatio more. A placed first attempt adds RetryRatio tokens.
-	// RetryRate tokens are added per second.
+	// Each admitted retry takes one token from the retry budget, which holds at most RetryBurst tokens. When
+	// the task of a retry is placed, the token is returned together with RetryRatio more tokens. When the task
+	// of a first attempt is placed, RetryRatio tokens are added. RetryRate tokens are added per second.
 	RetryRatio, RetryRate, RetryBurst float64
-	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments. A request is then shed at its
-	// Deadline, it counts as a retry when it is submitted again, and it is shed at once if the retry budget
-	// is used up.
+	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments: a request is shed when its
+	// Deadline is too close, instead of being demoted. When the client submits a shed request again, the
+	// request counts as a retry, and it is shed at once if the retry budget is used up.
 	ShedUsesRetryBudget bool
-	// AdditiveOnly disables slow start, so the limit grows by at most one for each round of completed
-	// requests.
+	// AdditiveOnly disables slow start. The concurrency limit then grows by at most one while as many requests
+	// complete as the limit allows in flight.
 	AdditiveOnly bool
-	// Disabled makes the Controller admit every request at once. The counters of the Controller are still
-	// updated.
+	// Disabled makes the Controller admit every request at once. The Controller still updates its counters.
 	Disabled bool
 }
 
@@ -53,9 +53,9 @@
 	}
 }
 
-// ConfigError reports a field of a Config that is out of range.
+// ConfigError reports a setting whose value is out of range.
 type ConfigError struct {
-	Field    string // Field is the name of the field in the configuration file.
+	Field    string // Field is the key of the setting in the configuration file.
 	Value    float64
 	Min, Max float64
 }
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("admission: %s %v: want %v to %v", e.Field, e.Value, e.Min, e.Max)
 }
 
-// Validate returns a *ConfigError for the first field that is out of range, or nil.
+// Validate returns a *ConfigError for the first setting that is out of range, or nil if there is none.
 func (c *Config) Validate() error {
 	ranges := []ConfigError{
 		{"minInFlight", c.MinInFlight, 1, c.MaxInFlight},
--- a/internal/control/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -6,8 +6,8 @@
 	"heathshed/internal/control/admission"
 )
 
-// A controller that allows one request in flight admits the first request and queues the second. It admits
-// the second request when the first one completes.
+// A controller whose concurrency limit is 1 admits the first request and queues the second request. It admits
+// the second request after the first request completes.
 func Example() {
 	config := admission.DefaultConfig()
 	config.MinInFlight = 1
@@ -34,8 +34,8 @@
 	// admitted: [2] shed: 0
 }
 
-// A queued request is shed when it can no longer start in time. The client receives a delay before its next
-// attempt.
+// Poll sheds a queued request when its task can no longer start in time. The ShedRequest states the delay after
+// which the client should submit a new request.
 func ExampleController_Poll() {
 	config := admission.DefaultConfig()
 	config.MinInFlight = 1
@@ -58,7 +58,7 @@
 	// request 2: it waited until it could no longer start in time; retry after 0.78 s
 }
 
-// Validate reports the name of an invalid setting.
+// Validate reports the key, the value and the allowed range of an invalid setting.
 func ExampleConfig_Validate() {
 	config := admission.DefaultConfig()
 	config.LateFraction = 2
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -7,18 +7,21 @@
 )
 
 const (
-	// minLatencyObjective is the smallest effective latency objective. Smaller objectives are raised to it.
+	// minLatencyObjective is the smallest latency objective that the limiter applies to a request. A smaller
+	// latency objective is raised to it.
 	minLatencyObjective placer.Seconds = 0.001
-	// lateFractionWeight is the weight of one completed request in the moving average limiter.lateFraction.
+	// lateFractionWeight is the weight of one completed request in limiter.lateFraction, an exponential moving
+	// average.
 	lateFractionWeight = 0.05
-	// fastCompletionDivisor defines which requests count as fast: those with a latency of at most the latency
-	// objective divided by this number. During slow start only fast requests raise the limit by one. A slower
-	// request already waits in some queue, and doubling the limit would only make that queue longer.
+	// fastCompletionDivisor defines which requests count as fast: a request is fast if it completes within its
+	// latency objective divided by this number. During slow start, only fast requests raise the concurrency
+	// limit by one. A slower request already waits in a queue behind the Controller, and a higher limit would
+	// only make that queue longer.
 	fastCompletionDivisor = 16.0
-	// slowStartIntervals is the number of decrease intervals without a late request after which slow start
-	// begins again.
+	// slowStartIntervals is the number of decrease intervals that must pass without a late request before
+	// slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval is the smallest decrease interval that is multiplied by slowStartIntervals.
+	// minSlowStartInterval replaces a shorter decrease interval when it is multiplied by slowStartIntervals.
 	minSlowStartInterval placer.Seconds = 0.05
 )
 
@@ -29,9 +32,9 @@
 type inFlightRequest struct {
 	admittedAt       placer.Seconds
 	latencyObjective placer.Seconds
-	// occupiesSlot reports whether the request counts against the limit. A request that exceeds its latency
-	// objective no longer counts, because it waits for a node that can run the task and does not occupy a
-	// node.
+	// occupiesSlot means that the request counts against the concurrency limit. A request no longer counts once
+	// it has exceeded its latency objective: it waits for a node that can run its task, and does not occupy a
+	// node meanwhile.
 	occupiesSlot    bool
 	usedRetryBudget bool
 }
@@ -40,19 +43,19 @@
 	return max(r.latencyObjective, minLatencyObjective)
 }
 
-// limiter adapts the number of requests that may be in flight, by additive increase, multiplicative decrease
-// and slow start.
+// limiter tracks the requests in flight and adapts the concurrency limit by additive increase, multiplicative
+// decrease and slow start.
 type limiter struct {
 	cfg            *Config
 	limit          float64
 	lastDecreaseAt placer.Seconds
-	lateFraction   float64        // lateFraction is a moving average of the fraction of completed requests that were late.
+	lateFraction   float64        // lateFraction is an exponential moving average of the fraction of late requests among completed ones.
 	lastLateAt     placer.Seconds // lastLateAt is when a late request last completed.
-	slowStart      bool           // slowStart means that the limit grows by one for each fast request.
+	slowStart      bool           // slowStart means that the concurrency limit grows by one for each fast request.
 
-	inFlight      map[uint64]*inFlightRequest
-	byAdmission   []*inFlightRequest // byAdmission lists the oldest request first; completed requests are skipped at the front.
-	occupiedSlots int                // occupiedSlots is the number of requests that count against the limit.
+	inFlight         map[uint64]*inFlightRequest
+	inAdmissionOrder []*inFlightRequest // inAdmissionOrder starts with the oldest request; completed requests stay until they reach the front.
+	occupiedSlots    int                // occupiedSlots is the number of requests that count against the concurrency limit.
 }
 
 func newLimiter(cfg *Config) limiter {
@@ -67,14 +70,14 @@
 // hasCapacity reports whether one more request may be in flight. It first releases the slots of requests that
 // exceed their latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
-	for len(l.byAdmission) > 0 {
-		oldest := l.byAdmission[0]
+	for len(l.inAdmissionOrder) > 0 {
+		oldest := l.inAdmissionOrder[0]
 		if oldest.occupiesSlot && now-oldest.admittedAt < oldest.effectiveObjective() {
 			break
 		}
 		l.releaseSlot(oldest)
-		l.byAdmission[0] = nil
-		l.byAdmission = l.byAdmission[1:]
+		l.inAdmissionOrder[0] = nil
+		l.inAdmissionOrder = l.inAdmissionOrder[1:]
 	}
 	return float64(l.occupiedSlots) < math.Floor(l.limit)
 }
@@ -82,21 +85,21 @@
 // nextSlotExpiry returns the time at which the oldest request in flight reaches its latency objective and so
 // releases its slot. It returns infinity if no request is in flight.
 func (l *limiter) nextSlotExpiry() placer.Seconds {
-	if len(l.byAdmission) == 0 {
+	if len(l.inAdmissionOrder) == 0 {
 		return never
 	}
-	return l.byAdmission[0].admittedAt + l.byAdmission[0].effectiveObjective()
+	return l.inAdmissionOrder[0].admittedAt + l.inAdmissionOrder[0].effectiveObjective()
 }
 
-// add adds an admitted request and counts it against the limit.
+// add adds an admitted request to the requests in flight and counts it against the concurrency limit.
 func (l *limiter) add(id uint64, request *inFlightRequest) {
 	request.occupiesSlot = true
 	l.inFlight[id] = request
-	l.byAdmission = append(l.byAdmission, request)
+	l.inAdmissionOrder = append(l.inAdmissionOrder, request)
 	l.occupiedSlots++
 }
 
-// remove removes a request from those in flight and releases its slot.
+// remove removes a request from the requests in flight and releases its slot.
 func (l *limiter) remove(id uint64, request *inFlightRequest) {
 	delete(l.inFlight, id)
 	l.releaseSlot(request)
@@ -109,17 +112,17 @@
 	}
 }
 
-// complete removes a request from those in flight and adapts the limit to its outcome.
+// complete removes a request from the requests in flight and adapts the concurrency limit to its outcome.
 func (l *limiter) complete(now placer.Seconds, id uint64, request *inFlightRequest, placed bool) {
 	occupiedBefore := float64(l.occupiedSlots)
 	l.remove(id, request)
 	latency := now - request.admittedAt
 	late := !placed || latency > request.effectiveObjective()/2
-	l.recordLate(now, late)
+	l.updateLateFraction(now, late)
 	switch {
 	case late && l.mayDecrease(now):
-		// The decrease starts from the number of requests that were in flight when requests became late,
-		// because the limit itself may never have been reached.
+		// The decrease starts from the number of occupied slots if that is below the limit, because there may
+		// never have been as many requests in flight as the limit allows.
 		l.limit = max(min(l.limit, occupiedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
 		l.lastDecreaseAt = now
 		l.slowStart = false
@@ -128,8 +131,8 @@
 	}
 }
 
-// recordLate updates the moving average of the fraction of late requests.
-func (l *limiter) recordLate(now placer.Seconds, late bool) {
+// updateLateFraction updates the moving average of the fraction of late requests after one request completed.
+func (l *limiter) updateLateFraction(now placer.Seconds, late bool) {
 	observed := 0.0
 	if late {
 		observed = 1
@@ -138,16 +141,17 @@
 	l.lateFraction += (observed - l.lateFraction) * lateFractionWeight
 }
 
-// mayDecrease reports whether the fraction of late requests is too high and the last decrease was at least
-// one decrease interval ago.
+// mayDecrease reports whether the concurrency limit can be decreased now. The fraction of late requests must
+// be too high, and the last decrease must be at least one decrease interval ago.
 func (l *limiter) mayDecrease(now placer.Seconds) bool {
 	return l.lateFraction > l.cfg.LateFraction && now-l.lastDecreaseAt >= l.cfg.DecreaseInterval
 }
 
-// increase raises the limit by one for each round of completed requests. During slow start it raises the
-// limit by one for each fast request, which doubles the limit in each round. Slow start applies at the
-// beginning, and again after a period without late requests, so that a limit that was lowered during a fault
-// recovers soon after the fault.
+// increase raises the concurrency limit after one request completed in time. It raises the limit by 1/limit,
+// which amounts to one per round, where a round is the completion of as many requests as the limit allows.
+// During slow start, it raises the limit by one for each fast request, which doubles the limit in each round.
+// Slow start applies at the beginning, and again after a period without late requests. A limit that was
+// lowered during a fault therefore recovers soon after the fault.
 func (l *limiter) increase(now placer.Seconds, fast bool) {
 	recoveryPeriod := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
 	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= recoveryPeriod {
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -11,21 +11,21 @@
 type queuedRequest struct {
 	Request
 	arrivedAt placer.Seconds
-	expiresAt placer.Seconds // expiresAt is when a first attempt is demoted, or when a demoted request or a retry is shed.
+	expiresAt placer.Seconds // expiresAt is the time at which a first attempt is demoted, or a demoted request or a retry is shed.
 	tenant    *tenantQueue
-	removed   bool // removed means that the request has left the queue; slices and heaps that still contain it skip it.
+	removed   bool // removed means that the request has left the queue; code that finds it in a slice or the heap skips it.
 }
 
 // tenantQueue holds the queued requests of one tenant.
 type tenantQueue struct {
-	share       float64
-	virtualTime float64                      // virtualTime is the total admitted cost of the tenant divided by its share.
-	byClass     [numClasses][]*priorityQueue // byClass holds the queues of each class, sorted by descending priority.
-	queued      [numClasses]int
+	share         float64
+	virtualTime   float64                      // virtualTime is the tenant's total admitted cost divided by its share; advanceVirtualTime can raise it.
+	byClass       [numClasses][]*priorityQueue // byClass holds the queues of each request class, sorted by descending priority.
+	queuedByClass [numClasses]int
 }
 
 func (t *tenantQueue) totalQueued() int {
-	return t.queued[classFirst] + t.queued[classDemoted] + t.queued[classRetry]
+	return t.queuedByClass[classFirst] + t.queuedByClass[classDemoted] + t.queuedByClass[classRetry]
 }
 
 func (t *tenantQueue) enqueue(entry *queuedRequest) {
@@ -38,14 +38,14 @@
 	queue := (*queues)[i]
 	queue.entries = append(queue.entries, entry)
 	queue.length++
-	t.queued[class]++
+	t.queuedByClass[class]++
 }
 
-// remove marks an entry as removed. A later call of trimRemoved deletes the entry from its slice.
+// remove marks a queued request as removed. A later call of trimRemoved deletes it from its slice.
 func (t *tenantQueue) remove(entry *queuedRequest) {
 	class := entry.class()
 	entry.removed = true
-	t.queued[class]--
+	t.queuedByClass[class]--
 	for _, queue := range t.byClass[class] {
 		if queue.priority == entry.Priority {
 			queue.length--
@@ -53,8 +53,9 @@
 	}
 }
 
-// next returns the request to admit next, or nil if none is queued. Earlier classes come first, and higher
-// priorities within a class; selectEntry selects among requests of equal class and priority.
+// next returns the request of the tenant that is admitted next, or nil if the tenant has no queued request.
+// Earlier request classes come first. Within a class, higher priorities come first. The method selectEntry
+// selects among requests of equal class and priority.
 func (t *tenantQueue) next(now placer.Seconds) *queuedRequest {
 	for _, queues := range t.byClass {
 		for _, queue := range queues {
@@ -66,23 +67,25 @@
 	return nil
 }
 
-// priorityQueue holds the requests of one tenant, class and priority in order of arrival.
+// priorityQueue holds the queued requests of one tenant that have the same request class and priority, in
+// order of arrival.
 type priorityQueue struct {
 	priority int
-	entries  []*queuedRequest // entries contains removed entries until they reach an end of the slice.
-	length   int              // length is the number of entries that are not removed.
+	entries  []*queuedRequest // entries also contains removed requests until they reach an end of the slice.
+	length   int              // length is the number of requests in entries that are not removed.
 }
 
-// compareDescending compares queues such that they are sorted by descending priority.
+// compareDescending compares a queue with a priority for a binary search in queues that are sorted by
+// descending priority.
 func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
 
 // fifoWaitFraction is the fraction of its latency objective that the oldest request may wait before the
 // newest request is admitted instead of it.
 const fifoWaitFraction = 0.4
 
-// selectEntry returns the oldest request while that request has waited for less than fifoWaitFraction of its
+// selectEntry returns the oldest request if that request has waited for less than fifoWaitFraction of its
 // latency objective, and the newest request otherwise. Under overload, admission in order of arrival would
-// make every request start late.
+// make every task start late.
 func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
@@ -107,18 +110,18 @@
 	}
 }
 
-// expiryHeap orders the queued requests of all tenants by expiry time. Removed requests are skipped when they
-// reach the top. It implements heap.Interface.
+// expiryHeap implements heap.Interface and orders the queued requests of all tenants by expiry time. A removed
+// request stays in the heap until it reaches the top.
 type expiryHeap []*queuedRequest
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push implements heap.Interface by appending an element.
+// Push appends a *queuedRequest, as heap.Interface requires.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*queuedRequest)) }
 
-// Pop implements heap.Interface by removing the last element.
+// Pop removes and returns the last element, as heap.Interface requires.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -127,7 +130,7 @@
 	return last
 }
 
-// earliest returns the request with the earliest expiry time, or nil if there is none.
+// earliest returns the queued request with the earliest expiry time, or nil if no request is queued.
 func (h *expiryHeap) earliest() *queuedRequest {
 	for len(*h) > 0 && (*h)[0].removed {
 		heap.Pop(h)
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -2,36 +2,36 @@
 
 import "heathshed/placer"
 
-// Request is a placement request that a client submits for admission. All times are readings of the caller's
-// clock.
+// Request is a placement request that a client submits for admission. All times are readings of the clock of
+// the Controller's caller.
 type Request struct {
 	ID       uint64
 	Tenant   int     // Tenant is an index into Config.Shares; a value out of range counts as tenant 0.
 	Priority int     // Priority orders requests within a tenant; a higher priority is admitted first.
-	Cost     float64 // Cost is the fraction of a node that the task needs; at least minCost is charged.
-	// Deadline is the time at which this request expires. The client may submit another request for the task
-	// until ClientDeadline.
+	Cost     float64 // Cost is the fraction of a node's resources that the task needs; the tenant is charged at least minCost.
+	// Deadline is the time at which this request expires. Until ClientDeadline, the client can submit another
+	// request for the same task.
 	Deadline placer.Seconds
 	// ClientDeadline is the time at which the client stops waiting for the task to be placed. It is not
 	// earlier than Deadline.
 	ClientDeadline placer.Seconds
 	// LatencyObjective is the time after the arrival of the request within which the task should start.
 	LatencyObjective placer.Seconds
-	// IsRetry reports that earlier attempts on nodes did not place the task. If all earlier requests for the
-	// task were shed by the Controller, the request is a first attempt.
+	// IsRetry means that earlier attempts to start the task on a node have failed. A request is not a retry if
+	// the Controller shed all earlier requests for the task, because then no attempt was made.
 	IsRetry bool
-	// ShedBefore reports that the Controller shed an earlier request for the same task.
+	// ShedBefore means that the Controller shed an earlier request for the same task.
 	ShedBefore bool
 }
 
-// requestClass is the first criterion for the order in which a tenant's queued requests are admitted. All
-// requests of one class are admitted before those of the next class.
+// requestClass determines in which order the queued requests of a tenant are admitted. All requests of one
+// class are admitted before the requests of the next class. Within a class, Request.Priority decides.
 type requestClass int
 
 const (
-	classFirst   requestClass = iota // classFirst contains first attempts that may still start in time.
-	classDemoted                     // classDemoted contains first attempts that are late, because they were shed before or demoted in the queue.
-	classRetry                       // classRetry contains retries, which use the retry budget.
+	classFirst   requestClass = iota // classFirst contains first attempts whose tasks can still start in time.
+	classDemoted                     // classDemoted contains late first attempts, which were shed before or were demoted in the queue.
+	classRetry                       // classRetry contains retries, each of which uses a token of the retry budget.
 	numClasses
 )
 
@@ -45,8 +45,8 @@
 	return classFirst
 }
 
-// latestStart returns the latest useful admission time of a request that must be placed by the given
-// deadline. It lies half a latency objective before the deadline.
+// latestStart returns the latest time at which it is useful to admit a request whose task must be placed by
+// the given deadline. This time is half of the latency objective before the deadline.
 func (r *Request) latestStart(deadline placer.Seconds) placer.Seconds {
 	return deadline - r.LatencyObjective/2
 }
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -8,7 +8,7 @@
 	"heathshed/placer"
 )
 
-// requestState is the state of a request in the model of a controller.
+// requestState is the state of a request in a controllerModel.
 type requestState uint8
 
 const (
@@ -18,95 +18,95 @@
 	stateCompleted
 )
 
-var requestStateNames = [...]string{"", "queued", "in flight", "shed", "completed"}
+var requestStateTexts = [...]string{"", "queued", "in flight", "shed", "completed"}
 
-func (s requestState) String() string { return requestStateNames[s] }
+func (s requestState) String() string { return requestStateTexts[s] }
 
-// stateAfter maps each decision of a controller to the state of the request after it.
-var stateAfter = [...]requestState{Admit: stateInFlight, Queue: stateQueued, Shed: stateShed}
+// stateByDecision maps each decision of a controller to the state that a request has after this decision.
+var stateByDecision = [...]requestState{Admit: stateInFlight, Queue: stateQueued, Shed: stateShed}
 
-// controllerModel is a controller together with a simple model of it, which tracks the state of every
-// request.
+// controllerModel is a controller together with a simple model, which tracks the state of every request that
+// was submitted to the controller.
 type controllerModel struct {
 	*rapid.T
-	config     Config
-	controller *Controller
-	now        placer.Seconds
-	requests   map[uint64]Request
-	states     map[uint64]requestState
-	inFlight   []uint64
-
-	placed        int // placed is the number of requests that were placed.
-	retries       int // retries is the number of retries that were admitted.
-	placedRetries int // placedRetries is the number of retries that were placed.
+	config      Config
+	controller  *Controller
+	now         placer.Seconds
+	requestByID map[uint64]Request
+	stateByID   map[uint64]requestState
+	inFlightIDs []uint64
+
+	placedCount     int // placedCount is the number of requests whose tasks were placed.
+	admittedRetries int // admittedRetries is the number of retries that the controller admitted.
+	placedRetries   int // placedRetries is the number of retries whose tasks were placed.
 }
 
 func newControllerModel(t *rapid.T) *controllerModel {
 	config := DefaultConfig()
 	config.Shares = []float64{0.6, 0.3, 0.1}
-	config.InitialInFlight = float64(rapid.IntRange(1, 30).Draw(t, "initial in flight"))
+	config.InitialInFlight = float64(rapid.IntRange(1, 30).Draw(t, "initial concurrency limit"))
 	config.MinInFlight = 1
 	config.MaxInFlight = 40
-	config.MaxQueued = rapid.IntRange(1, 60).Draw(t, "max queued")
+	config.MaxQueued = rapid.IntRange(1, 60).Draw(t, "maximum queue length")
 	config.RetryBurst = 5
 	controller, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &controllerModel{T: t, config: config, controller: controller, requests: map[uint64]Request{}, states: map[uint64]requestState{}}
+	return &controllerModel{T: t, config: config, controller: controller, requestByID: map[uint64]Request{}, stateByID: map[uint64]requestState{}}
 }
 
-// drawSeconds draws a duration between the two bounds.
+// drawSeconds draws a random duration between the two bounds. Rapid prints the label with the drawn value.
 func (model *controllerModel) drawSeconds(minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(model.T, label))
 }
 
-// setState changes the state of a request and fails the test unless the request is new or queued.
+// setState changes the state of a request. It fails the test if the request is neither new nor queued.
 func (model *controllerModel) setState(id uint64, nextState requestState) {
-	if previous := model.states[id]; previous != 0 && previous != stateQueued {
-		model.Fatalf("request %d changes its state from %s to %s", id, previous, nextState)
+	if previous := model.stateByID[id]; previous != 0 && previous != stateQueued {
+		model.Fatalf("request %d changes its state from %s to %s, but only a queued request can be admitted or shed", id, previous, nextState)
 	}
-	model.states[id] = nextState
+	model.stateByID[id] = nextState
 	if nextState != stateInFlight {
 		return
 	}
-	model.inFlight = append(model.inFlight, id)
-	if model.requests[id].IsRetry {
-		model.retries++
+	model.inFlightIDs = append(model.inFlightIDs, id)
+	if model.requestByID[id].IsRetry {
+		model.admittedRetries++
 	}
 }
 
 // submit draws a random request and submits it to the controller.
 func (model *controllerModel) submit() {
 	request := Request{
-		ID:               uint64(len(model.requests) + 1),
+		ID:               uint64(len(model.requestByID) + 1),
 		Tenant:           rapid.IntRange(0, 2).Draw(model.T, "tenant"),
 		Priority:         rapid.IntRange(0, 2).Draw(model.T, "priority"),
 		Cost:             1,
-		Deadline:         model.now + model.drawSeconds(0.1, 5, "deadline"),
+		Deadline:         model.now + model.drawSeconds(0.1, 5, "seconds until deadline"),
 		LatencyObjective: 0.5,
-		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "retry") == 0,
+		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "is retry") == 0,
 		ShedBefore:       rapid.IntRange(0, 2).Draw(model.T, "shed before") == 0,
 	}
-	request.ClientDeadline = request.Deadline + model.drawSeconds(0, 2, "final deadline")
-	model.requests[request.ID] = request
+	request.ClientDeadline = request.Deadline + model.drawSeconds(0, 2, "seconds between deadline and client deadline")
+	model.requestByID[request.ID] = request
 	decision, _ := model.controller.Submit(model.now, request)
-	model.setState(request.ID, stateAfter[decision])
+	model.setState(request.ID, stateByDecision[decision])
 }
 
-// complete selects a random request in flight and draws its outcome.
+// complete selects a random request in flight and completes it with a random outcome.
 func (model *controllerModel) complete() {
-	index := rapid.IntRange(0, len(model.inFlight)-1).Draw(model.T, "completed")
+	index := rapid.IntRange(0, len(model.inFlightIDs)-1).Draw(model.T, "index of the completed request")
 	placed := rapid.Bool().Draw(model.T, "placed")
-	id := model.inFlight[index]
-	model.inFlight = append(model.inFlight[:index], model.inFlight[index+1:]...)
-	model.states[id] = stateCompleted
+	id := model.inFlightIDs[index]
+	model.inFlightIDs = append(model.inFlightIDs[:index], model.inFlightIDs[index+1:]...)
+	model.stateByID[id] = stateCompleted
 	model.controller.Complete(model.now, id, placed)
 	if !placed {
 		return
 	}
-	model.placed++
-	if model.requests[id].IsRetry {
+	model.placedCount++
+	if model.requestByID[id].IsRetry {
 		model.placedRetries++
 	}
 }
@@ -114,8 +114,8 @@
 func (model *controllerModel) poll() {
 	admitted, shed := model.controller.Poll(model.now)
 	for _, id := range admitted {
-		if model.now > model.requests[id].ClientDeadline {
-			model.Fatal("a request is admitted after its client stopped waiting")
+		if model.now > model.requestByID[id].ClientDeadline {
+			model.Fatal("a request is admitted after its client deadline")
 		}
 		model.setState(id, stateInFlight)
 	}
@@ -124,67 +124,69 @@
 	}
 }
 
-// check compares the state of the controller with the model.
-func (model *controllerModel) check() {
+// checkInvariants checks that the state of the controller agrees with the model and stays within its limits.
+func (model *controllerModel) checkInvariants() {
 	model.checkRetryBudget()
 	model.checkLimit()
 	model.checkQueue()
 }
 
 func (model *controllerModel) checkRetryBudget() {
-	failed := model.retries - model.placedRetries
-	granted := model.config.RetryBurst + model.config.RetryRatio*float64(model.placed) + model.config.RetryRate*float64(model.now)
-	if float64(failed) > granted+1e-6 || model.controller.RetryBudget() < -1e-9 {
-		model.Fatalf("%d unplaced retries exceed the budget for %d placed requests in %.1f s, or the budget is negative", failed, model.placed, model.now)
+	unplacedRetries := model.admittedRetries - model.placedRetries
+	maxUnplacedRetries := model.config.RetryBurst + model.config.RetryRatio*float64(model.placedCount) + model.config.RetryRate*float64(model.now)
+	if float64(unplacedRetries) > maxUnplacedRetries+1e-6 || model.controller.RetryBudget() < -1e-9 {
+		model.Fatalf("%d admitted retries have not placed their tasks, which exceeds the retry budget for %d placed tasks in %.1f s, or the budget is negative", unplacedRetries, model.placedCount, model.now)
 	}
 }
 
 func (model *controllerModel) checkLimit() {
-	counted := model.controller.limiter.occupiedSlots
-	if model.controller.InFlight() != len(model.inFlight) || counted > len(model.inFlight) || counted < 0 {
-		model.Fatalf("the model has %d requests in flight, the controller has %d with %d occupied slots", len(model.inFlight), model.controller.InFlight(), counted)
+	occupiedSlots := model.controller.limiter.occupiedSlots
+	if model.controller.InFlight() != len(model.inFlightIDs) || occupiedSlots > len(model.inFlightIDs) || occupiedSlots < 0 {
+		model.Fatalf("the model has %d requests in flight; the controller reports %d, which occupy %d slots", len(model.inFlightIDs), model.controller.InFlight(), occupiedSlots)
 	}
 	if limit := model.controller.Limit(); limit < model.config.MinInFlight || limit > model.config.MaxInFlight {
-		model.Fatalf("concurrency limit %v is out of range", limit)
+		model.Fatalf("concurrency limit %v is below Config.MinInFlight or above Config.MaxInFlight", limit)
 	}
 }
 
 func (model *controllerModel) checkQueue() {
-	queued := 0
-	for id, state := range model.states {
+	queuedCount := 0
+	for id, state := range model.stateByID {
 		if state != stateQueued {
 			continue
 		}
-		queued++
-		if !model.requests[id].IsRetry && model.controller.limiter.hasCapacity(model.now) {
-			model.Fatalf("first attempt %d is queued although there is capacity", id)
+		queuedCount++
+		if !model.requestByID[id].IsRetry && model.controller.limiter.hasCapacity(model.now) {
+			model.Fatalf("request %d, a first attempt, is queued although the concurrency limit allows its admission", id)
 		}
 	}
-	if queued != model.controller.QueueLength() || queued > model.config.MaxQueued {
-		model.Fatalf("the model has %d queued requests, the controller has %d", queued, model.controller.QueueLength())
+	if queuedCount != model.controller.QueueLength() || queuedCount > model.config.MaxQueued {
+		model.Fatalf("the model has %d queued requests and the controller reports %d; want equal numbers up to Config.MaxQueued", queuedCount, model.controller.QueueLength())
 	}
 }
 
-// TestRequestsAreNeverLost simulates random arrivals and completions. It checks that no request is lost or
-// admitted twice, that the number of requests in flight respects the limit, that unplaced retries stay within
-// the retry budget, that no retry delays a first attempt, and that every queued request is admitted or shed
-// by its final deadline.
+// TestRequestsAreNeverLost submits and completes random requests. It checks that:
+//   - no request is lost or admitted twice,
+//   - the concurrency limit stays within its bounds,
+//   - the number of admitted retries whose tasks are not placed stays within the retry budget,
+//   - no first attempt is queued while the concurrency limit allows its admission,
+//   - no request is admitted after its client deadline, or remains queued long after all client deadlines.
 func TestRequestsAreNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newControllerModel(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			model.now += model.drawSeconds(0, 0.3, "elapsed")
-			if rapid.Bool().Draw(t, "submit") || len(model.inFlight) == 0 {
+			model.now += model.drawSeconds(0, 0.3, "elapsed seconds")
+			if rapid.Bool().Draw(t, "submit") || len(model.inFlightIDs) == 0 {
 				model.submit()
 			} else {
 				model.complete()
 			}
 			model.poll()
-			model.check()
+			model.checkInvariants()
 		}
-		// After all deadlines have passed, every queued request must be shed.
+		// All client deadlines have passed 100 s later, so Poll must admit or shed every queued request.
 		if _, shed := model.controller.Poll(model.now + 100); len(shed) != model.controller.QueueLength()+len(shed) {
-			t.Fatal("some requests remain queued after all deadlines")
+			t.Fatal("some requests remain queued after all client deadlines")
 		}
 	})
 }
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -3,11 +3,11 @@
 import "heathshed/placer"
 
 // retryBudget is a token bucket for retries. A retry takes one token. Tokens are added at a constant rate and
-// for each placed request, up to the size of the bucket. Retries therefore remain a bounded fraction of the
-// load while nodes fail, and they increase with the number of placed requests once nodes recover.
+// for each placed request, up to the size of the bucket. This bounds the rate of retries while nodes fail, and
+// lets the rate grow with the number of placed requests when the nodes work again.
 type retryBudget struct {
 	tokens     float64
-	refilledAt placer.Seconds // refilledAt is when the bucket was last refilled.
+	refilledAt placer.Seconds // refilledAt is the time at which tokens were last added at the constant rate.
 	ratio      float64        // ratio is the number of tokens added for each placed request.
 	rate       float64        // rate is the number of tokens added per second.
 	burst      float64        // burst is the largest number of tokens that the bucket holds.
@@ -17,21 +17,21 @@
 	return retryBudget{tokens: cfg.RetryBurst, ratio: cfg.RetryRatio, rate: cfg.RetryRate, burst: cfg.RetryBurst}
 }
 
-// refill adds the tokens for the time since the last refill.
+// refill adds the tokens that the constant rate yields for the time since the last call of refill.
 func (b *retryBudget) refill(now placer.Seconds) {
 	b.tokens = min(b.tokens+float64(max(now-b.refilledAt, 0))*b.rate, b.burst)
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// hasToken reports whether the bucket holds a token, so that a retry may be admitted.
+// hasToken reports whether the bucket holds a token for the admission of a retry.
 func (b *retryBudget) hasToken() bool { return b.tokens >= 1 }
 
 func (b *retryBudget) takeToken() { b.tokens-- }
 
 func (b *retryBudget) addTokens(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
 
-// recordPlaced adds the tokens for a placed request. A placed retry also gets its own token back, so only a
-// failed retry uses up a token.
+// recordPlaced adds the tokens for a request whose task was placed. If the request was a retry, its token is
+// also returned, so only a failed retry uses up a token.
 func (b *retryBudget) recordPlaced(usedToken bool) {
 	refund := b.ratio
 	if usedToken {
@@ -40,8 +40,8 @@
 	b.addTokens(refund)
 }
 
-// nextTokenAt returns the time at which the constant rate alone has refilled a whole token. It returns
-// infinity if a token is available already or if the rate is zero.
+// nextTokenAt returns the time at which the bucket will hold a token again if tokens are added only at the
+// constant rate. It returns infinity if the bucket already holds a token or if the rate is zero.
 func (b *retryBudget) nextTokenAt() placer.Seconds {
 	if b.hasToken() || b.rate <= 0 {
 		return never
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -6,16 +6,16 @@
 	"heathshed/placer"
 )
 
-// retryBacklog simulates clients that retry requests through a controller. Each admitted request completes
-// after a constant time. A request that is shed or not placed is submitted again later.
+// retryBacklog simulates clients that submit retries to a controller. Each admitted request completes after
+// serviceSeconds. If a request is shed or its task is not placed, the client submits it again later.
 type retryBacklog struct {
 	controller *Controller
-	placed     func(now placer.Seconds) bool // placed reports the outcome of a request that completes at the given time.
+	isPlaced   func(now placer.Seconds) bool // isPlaced reports whether the task of a request that completes at the given time is placed.
 
 	lastID        uint64
-	unsubmitted   int               // unsubmitted is the number of requests that wait to be submitted.
-	resubmissions map[int]int       // resubmissions maps a tick to the number of requests that are submitted again at that tick.
-	completions   []retryCompletion // completions contains the completions of requests in flight, sorted by time.
+	unsubmitted   int               // unsubmitted is the number of requests that the clients have yet to submit.
+	resubmissions map[int]int       // resubmissions maps the number of a tick to the number of requests that are submitted again at that tick.
+	completions   []retryCompletion // completions contains the future completion of each request in flight, sorted by time.
 	placedCount   int
 }
 
@@ -24,14 +24,14 @@
 	id uint64
 }
 
-// The simulation advances in ticks, and each admitted request completes after serviceSeconds.
+// The simulated time advances in ticks. Each admitted request completes serviceSeconds after its admission.
 const (
 	tickSeconds    placer.Seconds = 0.01
 	ticksPerSecond                = 100
 	serviceSeconds placer.Seconds = 0.02
 )
 
-// run simulates the backlog for the given duration and returns the number of requests that were placed.
+// run simulates the clients for the given duration and returns the number of requests whose tasks were placed.
 func (backlog *retryBacklog) run(from, duration placer.Seconds) int {
 	backlog.lastID = uint64(from * 1e6)
 	backlog.resubmissions = map[int]int{}
@@ -48,7 +48,7 @@
 
 func (backlog *retryBacklog) complete(now placer.Seconds, tick int) {
 	for len(backlog.completions) > 0 && backlog.completions[0].at <= now {
-		placed := backlog.placed(now)
+		placed := backlog.isPlaced(now)
 		backlog.controller.Complete(now, backlog.completions[0].id, placed)
 		backlog.completions = backlog.completions[1:]
 		if placed {
@@ -90,33 +90,34 @@
 	backlog.completions = append(backlog.completions, retryCompletion{now + serviceSeconds, id})
 }
 
-// TestRetryBudgetBoundsFailingRetries checks that the number of admitted retries does not exceed the retry
-// budget while no node accepts a task.
+// TestRetryBudgetBoundsFailingRetries checks that the retry budget limits the number of admitted retries while
+// no node accepts a task.
 func TestRetryBudgetBoundsFailingRetries(t *testing.T) {
 	controller := newController(t)
-	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, placed: func(placer.Seconds) bool { return false }}
+	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, isPlaced: func(placer.Seconds) bool { return false }}
 
 	backlog.run(1, 60)
 
 	maxAdmitted := controller.cfg.RetryBurst + 60*controller.cfg.RetryRate + 1
 	if float64(controller.Admitted) > maxAdmitted {
-		t.Errorf("%d retries were admitted in a minute without success, want at most %v", controller.Admitted, maxAdmitted)
+		t.Errorf("%d retries were admitted in a minute in which no task was placed, want at most %v", controller.Admitted, maxAdmitted)
 	}
 }
 
-// TestRetryBudgetRecovers checks that a backlog of retries is placed soon after nodes recover, even without
-// first attempts. The retry budget has to grow with the number of placed retries for that.
+// TestRetryBudgetRecovers checks that the tasks of many waiting retries are placed soon after a fault of the
+// nodes, even if no first attempts arrive. This is possible only if placed retries add tokens to the retry
+// budget, because the tokens per second alone are too few.
 func TestRetryBudgetRecovers(t *testing.T) {
 	const start, faultDuration placer.Seconds = 1, 30
 	controller := newController(t)
-	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, placed: func(now placer.Seconds) bool { return now > start+faultDuration }}
+	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, isPlaced: func(now placer.Seconds) bool { return now > start+faultDuration }}
 
 	placed := backlog.run(start, faultDuration+30)
 
 	if placed < 19000 {
-		t.Errorf("only %d of 20000 requests were placed within 30 s after a fault of 30 s", placed)
+		t.Errorf("only %d of 20000 tasks were placed within 30 s after a fault of 30 s, want at least 19000", placed)
 	}
 	if got, full := controller.RetryBudget(), controller.cfg.RetryBurst; got < full-1 {
-		t.Errorf("retry budget is %v at the end, want it to be full", got)
+		t.Errorf("retry budget is %v tokens at the end, want at most one token less than Config.RetryBurst", got)
 	}
 }
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -5,18 +5,18 @@
 	"math"
 )
 
-// minCost is the smallest cost that a request is charged, so that requests without a cost are also divided by
-// shares.
+// minCost is the smallest cost that a tenant is charged for a request. It ensures that the shares of the
+// tenants also apply to requests whose cost is zero.
 const minCost = 0.01
 
 // fairQueue holds all queued requests and divides admissions among tenants in proportion to their shares. It
-// implements weighted fair queueing, in which the virtual time of a tenant is its admitted cost divided by
-// its share.
+// implements weighted fair queueing: the virtual time of a tenant is its admitted cost divided by its share,
+// and the tenant with the lowest virtual time comes next.
 type fairQueue struct {
 	byID        map[uint64]*queuedRequest
 	expiry      expiryHeap
 	tenants     []*tenantQueue
-	virtualTime float64 // virtualTime is the virtual time of the last admitted tenant before the tenant was charged.
+	virtualTime float64 // virtualTime is the virtual time that the last charged tenant had before it was charged.
 }
 
 func newFairQueue(shares []float64) fairQueue {
@@ -50,7 +50,7 @@
 
 func (q *fairQueue) len() int { return len(q.byID) }
 
-// tenantByNumber returns the queue of the tenant with the given number. An unknown number counts as tenant 0.
+// tenantByNumber returns the queue of the tenant with the given number. A number out of range counts as 0.
 func (q *fairQueue) tenantByNumber(number int) *tenantQueue {
 	if number < 0 || number >= len(q.tenants) {
 		number = 0
@@ -58,7 +58,7 @@
 	return q.tenants[number]
 }
 
-// enqueue adds an entry to the queue of its tenant.
+// enqueue adds a request to the queue of its tenant and to the heap of expiry times.
 func (q *fairQueue) enqueue(entry *queuedRequest) {
 	q.byID[entry.ID] = entry
 	entry.tenant.enqueue(entry)
@@ -71,36 +71,36 @@
 }
 
 // queuedAhead returns the number of queued requests that a new request of the given class must not overtake.
-// These are the requests of the same class and of earlier classes.
-func (q *fairQueue) queuedAhead(arriving requestClass) int {
+// These are the requests of the same class and of earlier classes, over all tenants.
+func (q *fairQueue) queuedAhead(arrivingClass requestClass) int {
 	ahead := 0
 	for _, tenant := range q.tenants {
-		for class := range arriving + 1 {
-			ahead += tenant.queued[class]
+		for class := range arrivingClass + 1 {
+			ahead += tenant.queuedByClass[class]
 		}
 	}
 	return ahead
 }
 
-// nextTenant returns the tenant from which the next request is admitted, or nil if there is none. It selects
-// the tenant with the lowest virtual time among those with requests that may be admitted, so that the unused
-// share of one tenant is divided among the others.
+// nextTenant returns the tenant whose request is admitted next, or nil if no request can be admitted. The
+// argument retriesAllowed is false if the retry budget is used up. Tenants without a request that can be
+// admitted are skipped, which divides their unused shares among the other tenants.
 func (q *fairQueue) nextTenant(retriesAllowed bool) *tenantQueue {
 	var selected *tenantQueue
-	for _, candidate := range q.tenants {
-		firstAttempts := candidate.queued[classFirst] + candidate.queued[classDemoted]
-		if firstAttempts == 0 && (candidate.queued[classRetry] == 0 || !retriesAllowed) {
+	for _, tenant := range q.tenants {
+		firstAttempts := tenant.queuedByClass[classFirst] + tenant.queuedByClass[classDemoted]
+		if firstAttempts == 0 && (tenant.queuedByClass[classRetry] == 0 || !retriesAllowed) {
 			continue
 		}
-		if selected == nil || candidate.virtualTime < selected.virtualTime {
-			selected = candidate
+		if selected == nil || tenant.virtualTime < selected.virtualTime {
+			selected = tenant
 		}
 	}
 	return selected
 }
 
-// advanceVirtualTime advances a tenant to the current virtual time, so that an idle tenant does not
-// accumulate unused shares.
+// advanceVirtualTime raises the virtual time of a tenant to that of the queue. Without it, a tenant could save
+// up its share while it is idle and later delay the requests of all others.
 func (q *fairQueue) advanceVirtualTime(tenant *tenantQueue) {
 	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
 }
