--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,109 +2,111 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is the number of bytes that a user without memory may always allocate, so that one small event
-// or response never waits for other users.
+// MinAllowance is the number of bytes that may always be allocated for a connection that uses no memory yet.
+// One small event or response therefore never waits for other connections.
 const MinAllowance = 4 << 10
 
-// Budget is an amount of memory, in bytes, that several users share. The zero value is not usable; New
+// Budget is an amount of memory, in bytes, that several connections share. The zero value is not usable; New
 // creates a Budget.
 type Budget struct {
 	total, used int64
-	users       map[uint64]*userState
+	connections map[uint64]*connectionState
 
-	// EvictedConnections is the number of users that ConnectionToEvict has returned.
+	// EvictedConnections is the number of connections that ConnectionToEvict has selected so far.
 	EvictedConnections uint64
 }
 
-type userState struct {
+type connectionState struct {
 	used         int64
-	lastShrunkAt clock.Instant // lastShrunkAt is when the user's memory last decreased, or when the user was added.
+	lastShrunkAt clock.Instant // lastShrunkAt is when the used memory last decreased, or when the connection was added.
 }
 
-// New returns a budget with the given number of bytes and without users. A value below MinAllowance counts as
-// MinAllowance.
+// New returns a budget with the given number of bytes and without connections. A number below MinAllowance
+// counts as MinAllowance.
 func New(total int64) *Budget {
-	return &Budget{total: max(total, MinAllowance), users: map[uint64]*userState{}}
+	return &Budget{total: max(total, MinAllowance), connections: map[uint64]*connectionState{}}
 }
 
-// Used returns the number of bytes that all users together use.
+// Used returns the number of bytes that all connections together use.
 func (b *Budget) Used() int64 { return b.used }
 
-// Total returns the number of bytes that all users together may use.
+// Total returns the number of bytes that all connections together may use.
 func (b *Budget) Total() int64 { return b.total }
 
-// Connections returns the number of users.
-func (b *Budget) Connections() int { return len(b.users) }
+// Connections returns the number of connections that share the budget.
+func (b *Budget) Connections() int { return len(b.connections) }
 
-// Add adds a user that uses no memory yet. The id must not be in use.
-func (b *Budget) Add(now clock.Instant, id uint64) { b.users[id] = &userState{lastShrunkAt: now} }
+// Add adds a connection that uses no memory yet. No other connection of the budget may have the same id.
+func (b *Budget) Add(now clock.Instant, id uint64) {
+	b.connections[id] = &connectionState{lastShrunkAt: now}
+}
 
-// Remove removes a user and frees its memory. It ignores an unknown user.
+// Remove removes a connection and returns its memory to the budget. It ignores an unknown id.
 func (b *Budget) Remove(id uint64) {
-	if user := b.users[id]; user != nil {
-		b.used -= user.used
-		delete(b.users, id)
+	if connection := b.connections[id]; connection != nil {
+		b.used -= connection.used
+		delete(b.connections, id)
 	}
 }
 
-// Available returns how many more bytes a user may allocate, if it can defer the allocation. It returns 0 for
-// an unknown user.
+// Available returns how many more bytes may be allocated for a connection if the allocation can be deferred. It
+// returns 0 for an unknown id.
 func (b *Budget) Available(id uint64) int64 {
-	user := b.users[id]
-	if user == nil {
+	connection := b.connections[id]
+	if connection == nil {
 		return 0
 	}
-	available := b.total - b.used - user.used
-	if user.used == 0 {
+	available := b.total - b.used - connection.used
+	if connection.used == 0 {
 		available = max(available, min(MinAllowance, b.total))
 	}
 	return max(available, 0)
 }
 
-// SetUsed records how many bytes a user currently uses. It ignores an unknown user.
+// SetUsed records how many bytes a connection currently uses. It ignores an unknown id.
 func (b *Budget) SetUsed(now clock.Instant, id uint64, used int64) {
-	user := b.users[id]
-	if user == nil {
+	connection := b.connections[id]
+	if connection == nil {
 		return
 	}
-	if used < user.used {
-		user.lastShrunkAt = now
+	if used < connection.used {
+		connection.lastShrunkAt = now
 	}
-	b.used += used - user.used
-	user.used = used
+	b.used += used - connection.used
+	connection.used = used
 }
 
-// ConnectionToEvict selects a user to evict if more memory is used than the total, and returns false otherwise. The
-// caller removes the selected user and calls ConnectionToEvict again.
-func (b *Budget) ConnectionToEvict() (id uint64, over bool) {
+// ConnectionToEvict selects a connection to evict if all connections together use more than the total. Otherwise
+// overLimit is false. The caller removes the selected connection and calls ConnectionToEvict again.
+func (b *Budget) ConnectionToEvict() (id uint64, overLimit bool) {
 	if b.used <= b.total {
 		return 0, false
 	}
-	largest := b.largestUsage()
-	var oldest clock.Instant
-	for candidate, user := range b.users {
-		if user.used <= largest/2 {
+	largest := b.largestUse()
+	var earliestShrink clock.Instant
+	for candidateID, connection := range b.connections {
+		if connection.used <= largest/2 {
 			continue
 		}
-		// Among users whose memory last decreased at the same time, the one with the lowest id is selected,
-		// so that the selection does not depend on the iteration order of the map.
-		shrankEarlier := user.lastShrunkAt < oldest || user.lastShrunkAt == oldest && candidate < id
-		if !over || shrankEarlier {
-			id = candidate
-			oldest = user.lastShrunkAt
-			over = true
+		// Among connections whose memory last decreased at the same time, the one with the lowest id is
+		// selected. The result therefore does not depend on the iteration order of the map.
+		shrankEarlier := connection.lastShrunkAt < earliestShrink || connection.lastShrunkAt == earliestShrink && candidateID < id
+		if !overLimit || shrankEarlier {
+			id = candidateID
+			earliestShrink = connection.lastShrunkAt
+			overLimit = true
 		}
 	}
-	if over {
+	if overLimit {
 		b.EvictedConnections++
 	}
-	return id, over
+	return id, overLimit
 }
 
-func (b *Budget) largestUsage() int64 {
+func (b *Budget) largestUse() int64 {
 	var largest int64
-	for _, user := range b.users {
-		largest = max(largest, user.used)
+	for _, connection := range b.connections {
+		largest = max(largest, connection.used)
 	}
 	return largest
 }
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -12,8 +12,8 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares shares, available memory and evictions for seeded random inputs with a golden
-// file.
+// TestCharacterization compares the results of Divide, of Budget and of SelectEviction with a golden file. The
+// calls of Budget and the connections for SelectEviction are random numbers from fixed seeds.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
@@ -36,27 +36,27 @@
 }
 
 func runRandomBudget(total int64, seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, uint64(total)))
+	rng := rand.New(rand.NewPCG(seed, uint64(total)))
 	budget := memquota.New(total)
 	var text strings.Builder
 	now := clock.Instant(0)
 	for range 300 {
-		id := uint64(random.IntN(12))
-		now += clock.Instant(random.IntN(2))
-		switch random.IntN(8) {
+		id := uint64(rng.IntN(12))
+		now += clock.Instant(rng.IntN(2))
+		switch rng.IntN(8) {
 		case 0, 1:
-			budget.Remove(id) // The user is removed first, because an id must not be added twice.
+			budget.Remove(id) // The connection is removed first, because an id must not be added twice.
 			budget.Add(now, id)
 		case 2:
 			budget.Remove(id)
 		case 3:
-			evicted, over := budget.ConnectionToEvict()
-			fmt.Fprint(&text, evicted, over, " ")
-			if over {
-				budget.Remove(evicted)
+			evictedID, overLimit := budget.ConnectionToEvict()
+			fmt.Fprint(&text, evictedID, overLimit, " ")
+			if overLimit {
+				budget.Remove(evictedID)
 			}
 		default:
-			budget.SetUsed(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[random.IntN(7)])
+			budget.SetUsed(now, id, []int64{0, 1, 4096, 5000, total / 4, total / 2, total}[rng.IntN(7)])
 		}
 		fmt.Fprint(&text, budget.Used(), budget.Total(), budget.Connections(), budget.EvictedConnections, budget.Available(id), budget.Available(id+1), " ")
 	}
@@ -64,15 +64,15 @@
 }
 
 func selectRandomEvictions(seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, 6))
+	rng := rand.New(rand.NewPCG(seed, 6))
 	var text strings.Builder
 	for range 300 {
 		var candidates []memquota.EvictionCandidate
-		for range random.IntN(8) {
+		for range rng.IntN(8) {
 			candidates = append(candidates, memquota.EvictionCandidate{
-				Busy:        random.IntN(3) == 0,
-				Established: random.IntN(2) == 0,
-				IdleTime:    time.Duration(random.IntN(4)),
+				Busy:        rng.IntN(3) == 0,
+				Established: rng.IntN(2) == 0,
+				IdleTime:    time.Duration(rng.IntN(4)),
 			})
 		}
 		fmt.Fprint(&text, memquota.SelectEviction(candidates), " ")
--- a/internal/control/memquota/eviction_test.go
+++ b/internal/control/memquota/eviction_test.go
@@ -11,19 +11,19 @@
 		candidates []EvictionCandidate
 		want       int
 	}{
-		{"no candidates", nil, -1},
-		{"all busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
-		{"longest idle among candidates that are not established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
-		{"not established before established", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
+		{"no connections", nil, -1},
+		{"all connections busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
+		{"longest idle time among connections that are not established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
+		{"connection that is not established before an established one with a longer idle time", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
 		{
-			"established when all others are busy",
+			"established connection with the longest idle time if all others are busy",
 			[]EvictionCandidate{{Established: true, IdleTime: 1 * time.Second}, {Busy: true, IdleTime: 9 * time.Second}, {Established: true, IdleTime: 2 * time.Second}},
 			2,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := SelectEviction(test.candidates); got != test.want {
-				t.Errorf("SelectEviction returned index %d, want %d", got, test.want)
+				t.Errorf("SelectEviction returned index %d, want index %d", got, test.want)
 			}
 		})
 	}
