--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -1,27 +1,29 @@
-// Package connpool holds the policies for reusing connections. They decide on which connection a request is
-// sent, when a connection is checked or closed, and when a node is considered unreachable. The package opens
-// no connections and reads no clock.
+// Package connpool contains policies for network connections. They decide on which connection a request is
+// sent, when a connection is checked or closed, and when a node counts as unreachable. The package opens no
+// connections and reads no clock.
 //
 // The HTTP client in package httpc calls Policy.Choose to select among connections that carry one request at
-// a time. Package server of the platform protocol, whose connections to nodes carry many requests at a time,
-// calls MultiplexedPolicy.KeepAlive and Reachability.
+// a time. Package platform/server, whose connections to nodes carry many requests at a time, uses
+// MultiplexedPolicy and Reachability.
 package connpool
 
 import "time"
 
 // Policy selects among connections that carry one request at a time.
 //
-// The peer may close an idle connection at the moment at which a request is sent on it. It is then unknown
-// whether the peer received the request. An idempotent request is sent again. For any other request the
-// client has to determine the outcome, which takes seconds. Such a request is therefore sent only on a
-// connection that was in use very recently, or else on a new connection: if dialing fails, nothing was sent.
+// The peer can close an idle connection at the moment at which the client sends a request on it. The client
+// then does not know whether the peer received the request. It sends an idempotent request again, but for any
+// other request it first has to determine the outcome, which takes seconds. A request that is not idempotent is
+// therefore sent only on a connection that was in use very recently, which the peer is unlikely to close, or on
+// a new connection.
 type Policy struct {
-	MaxConns             int           // MaxConns is the largest number of open connections.
-	MaxIdle              time.Duration // MaxIdle is the idle time after which a connection is not used again.
-	MaxIdleNonIdempotent time.Duration // MaxIdleNonIdempotent replaces MaxIdle for requests that are not idempotent.
+	MaxConns             int           // MaxConns is the largest number of open connections; a value below 1 counts as 1.
+	MaxIdle              time.Duration // MaxIdle is the idle time after which a connection is closed instead of being used again.
+	MaxIdleNonIdempotent time.Duration // MaxIdleNonIdempotent is the limit that replaces MaxIdle for a request that is not idempotent.
 }
 
-// DefaultPolicy returns a policy whose limits are well below those that servers commonly have.
+// DefaultPolicy returns a policy whose idle times are well below those after which servers commonly close idle
+// connections, and whose number of connections is well below what servers commonly accept.
 func DefaultPolicy() Policy {
 	return Policy{MaxConns: 32, MaxIdle: time.Minute, MaxIdleNonIdempotent: time.Second}
 }
@@ -37,42 +39,44 @@
 	Wait                      // The request is queued until a connection is free.
 )
 
-// Decision is an action together with the idle connections that are to be closed first, because they have
-// been idle for longer than MaxIdle. Index and Stale are indexes into the list that was passed to Choose.
+// Decision states how a request obtains a connection. Index identifies the idle connection to which the Action
+// applies. Stale identifies the connections that the client closes first, because they have been idle for
+// longer than Policy.MaxIdle. Both contain indexes into the idleTimes that were passed to Policy.Choose.
 type Decision struct {
 	Action Action
 	Index  int
 	Stale  []int
 }
 
-// Choose decides how one request obtains a connection. The list idle contains the time for which each idle
-// connection has been unused. The number open counts all connections, including idle ones and those that are
-// being dialed. Choose prefers the most recently used connection, so that surplus connections become stale.
-func (p Policy) Choose(idle []time.Duration, open int, nonIdempotent bool) Decision {
+// Choose decides how one request obtains a connection. The argument idleTimes contains the idle time of each
+// idle connection. The argument openConns is the number of all connections, including idle ones and those that
+// are being dialed. Choose prefers the most recently used connection, which lets surplus connections become
+// stale.
+func (p Policy) Choose(idleTimes []time.Duration, openConns int, nonIdempotent bool) Decision {
 	var decision Decision
-	shortestIdle, longestIdle := -1, -1
-	for i, idleTime := range idle {
+	mostRecent, leastRecent := -1, -1
+	for i, idleTime := range idleTimes {
 		if idleTime > p.MaxIdle {
 			decision.Stale = append(decision.Stale, i)
-			open--
+			openConns--
 			continue
 		}
-		if shortestIdle < 0 || idleTime < idle[shortestIdle] {
-			shortestIdle = i
+		if mostRecent < 0 || idleTime < idleTimes[mostRecent] {
+			mostRecent = i
 		}
-		if longestIdle < 0 || idleTime > idle[longestIdle] {
-			longestIdle = i
+		if leastRecent < 0 || idleTime > idleTimes[leastRecent] {
+			leastRecent = i
 		}
 	}
 	switch {
-	case shortestIdle >= 0 && (!nonIdempotent || idle[shortestIdle] <= p.MaxIdleNonIdempotent):
+	case mostRecent >= 0 && (!nonIdempotent || idleTimes[mostRecent] <= p.MaxIdleNonIdempotent):
 		decision.Action = UseIdle
-		decision.Index = shortestIdle
-	case open < max(p.MaxConns, 1):
+		decision.Index = mostRecent
+	case openConns < max(p.MaxConns, 1):
 		decision.Action = Dial
-	case longestIdle >= 0:
+	case leastRecent >= 0:
 		decision.Action = ReplaceIdle
-		decision.Index = longestIdle
+		decision.Index = leastRecent
 	default:
 		decision.Action = Wait
 	}
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,15 +6,15 @@
 	"heathshed/internal/control/clock"
 )
 
-// MultiplexedPolicy decides when connections that carry many requests at a time to one node are checked or
-// closed.
+// MultiplexedPolicy decides when a connection to a node is checked or closed, if the connection carries many
+// requests at a time.
 //
-// A health check is a message that the peer answers at once, however busy it is. It distinguishes a slow
-// node, whose answer will still arrive, from a connection that is open but no longer works.
+// A health check is a message that the node answers at once, however busy it is. It distinguishes a slow node,
+// whose answers to requests will still arrive, from a connection that is open but no longer works.
 type MultiplexedPolicy struct {
-	MaxIdle            time.Duration // MaxIdle is the idle time after which a connection is closed if that loses no message; 0 means never.
-	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a connection that expects a message is checked.
-	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check or for the rest of a message.
+	MaxIdle            time.Duration // MaxIdle is the idle time after which a connection is closed if no message is lost; 0 means never.
+	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a connection is checked if a message is expected.
+	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check, and for the rest of a message.
 }
 
 // DefaultMultiplexedPolicy returns a policy for nodes that answer health checks at once, over a network with
@@ -23,42 +23,42 @@
 	return MultiplexedPolicy{HealthCheckAfter: time.Second, HealthCheckTimeout: 500 * time.Millisecond}
 }
 
-// ConnState is the state of one connection to which a MultiplexedPolicy applies.
+// ConnState is the state of one connection to a node, on which MultiplexedPolicy.KeepAlive bases its decision.
 type ConnState struct {
-	PendingRequests int           // PendingRequests is the number of unanswered requests.
-	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report when they end.
+	PendingRequests int           // PendingRequests is the number of requests on the connection that the node has not answered.
+	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report their ends.
 	HasAlternative  bool          // HasAlternative means that there is another connection to the same node.
-	LastSent        clock.Instant // LastSent is when a request was last sent.
-	LastReceived    clock.Instant // LastReceived is when any data last arrived.
-	HealthCheckSent clock.Instant // HealthCheckSent is when the unanswered health check was sent, or zero if there is none.
-	IncompleteSince clock.Instant // IncompleteSince is when a message began that is still incomplete, or zero if there is none.
+	LastSent        clock.Instant // LastSent is when a request was last sent on the connection.
+	LastReceived    clock.Instant // LastReceived is when any data last arrived on the connection.
+	HealthCheckSent clock.Instant // HealthCheckSent is when the unanswered health check was sent, or zero if no health check is unanswered.
+	IncompleteSince clock.Instant // IncompleteSince is when the first part of an incomplete message arrived, or zero if no message is incomplete.
 }
 
 // Usable reports whether requests may be sent on the connection. A connection that awaits the answer to a
 // health check or the rest of a message is not usable.
 func (s ConnState) Usable() bool { return s.HealthCheckSent.IsZero() && s.IncompleteSince.IsZero() }
 
-// expectsMessage reports whether the node still has to send an answer or report the end of a task.
+// expectsMessage reports whether the node still has to answer a request or to report the end of a task.
 func (s ConnState) expectsMessage() bool { return s.PendingRequests > 0 || s.RunsTasks }
 
-// closableWithoutLoss reports whether the connection can be closed without losing an answer or the report of
-// a task's end.
+// closableWithoutLoss reports whether the connection can be closed without losing the answer to a request or
+// the report that a task has ended. The report is not lost if there is another connection to the node.
 func (s ConnState) closableWithoutLoss() bool {
 	return s.PendingRequests == 0 && (!s.RunsTasks || s.HasAlternative)
 }
 
-// KeepAliveAction is an action on a multiplexed connection.
+// KeepAliveAction is an action on a connection that carries many requests at a time.
 type KeepAliveAction uint8
 
 // The constants of type KeepAliveAction are the results of MultiplexedPolicy.KeepAlive.
 const (
 	NoAction          KeepAliveAction = iota
 	SendHealthCheck                   // SendHealthCheck means that a health check is sent on the connection.
-	CloseIdle                         // CloseIdle means that the connection is closed, which loses no message.
-	CloseUnresponsive                 // CloseUnresponsive means that the connection is closed and the outcome of its requests is unknown.
+	CloseIdle                         // CloseIdle means that the connection is closed because it is idle, which loses no message.
+	CloseUnresponsive                 // CloseUnresponsive means that the connection is closed and the outcomes of its pending requests are unknown.
 )
 
-// KeepAlive returns the action that is due on a connection at the given time.
+// KeepAlive returns the action that is due at the given time on a connection in the given state.
 func (p MultiplexedPolicy) KeepAlive(now clock.Instant, s ConnState) KeepAliveAction {
 	if !s.IncompleteSince.IsZero() && now.Sub(s.IncompleteSince) > p.HealthCheckTimeout {
 		return CloseUnresponsive
@@ -79,26 +79,27 @@
 }
 
 // Reachability determines whether a node that runs tasks can be reached, based on received messages and
-// failed dials. If a node has crashed or is cut off by a network partition, nothing arrives on open
-// connections and dials time out. If only the node's process has ended, the host refuses connections.
+// failed dials. If the host of the node has crashed or is cut off by a network partition, nothing arrives on
+// open connections and dials time out. If only the node's process has ended, the host still works and refuses
+// connections.
 type Reachability struct {
-	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node with failed dials is unresponsive.
-	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long connections must be refused before the process counts as ended.
+	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node is unresponsive if a dial has failed.
+	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long connections must be refused before the node's process counts as ended.
 
 	lastReceived  clock.Instant
 	refusedSince  clock.Instant // refusedSince is when dials began to be refused, or zero if the last dial was not refused.
-	hasFailedDial bool          // hasFailedDial means that a dial has failed since lastReceived.
+	hasFailedDial bool          // hasFailedDial means that a dial has failed since the time lastReceived.
 }
 
-// Received records that a message arrived or that a connection was established.
+// Received records that a message from the node arrived or that a connection to the node was established.
 func (r *Reachability) Received(now clock.Instant) {
 	r.lastReceived = now
 	r.refusedSince = 0
 	r.hasFailedDial = false
 }
 
-// DialFailed records that a dial failed. The argument refused is true if the host refused the connection, and
-// false if the dial was not answered.
+// DialFailed records that a dial to the node failed. The argument refused is true if the host refused the
+// connection, and false if the dial timed out.
 func (r *Reachability) DialFailed(now clock.Instant, refused bool) {
 	if r.lastReceived.IsZero() {
 		r.lastReceived = now
@@ -119,7 +120,7 @@
 const (
 	Reachable    NodeStatus = iota
 	ProcessEnded            // The host refuses connections, so the node's process and all its tasks have ended.
-	Unresponsive            // The node does not answer, but its tasks may still run.
+	Unresponsive            // The node does not answer, but its tasks possibly still run.
 )
 
 // Status returns the status of the node at the given time. A node is unresponsive only if a dial has failed,
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -18,19 +18,19 @@
 		state ConnState
 		want  KeepAliveAction
 	}{
-		{"in use", ConnState{PendingRequests: 1, LastSent: at(99.5), LastReceived: at(99)}, NoAction},
-		{"silent with a pending request", ConnState{PendingRequests: 1, LastSent: at(98.9), LastReceived: at(98)}, SendHealthCheck},
-		{"silent while tasks run", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98)}, SendHealthCheck},
-		{"health check just sent", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98), HealthCheckSent: at(99.6)}, NoAction},
-		{"health check unanswered", ConnState{PendingRequests: 3, LastSent: at(99), LastReceived: at(98), HealthCheckSent: at(99.4)}, CloseUnresponsive},
-		{"incomplete message", ConnState{PendingRequests: 1, LastSent: at(99.9), LastReceived: at(99.9), IncompleteSince: at(99.4)}, CloseUnresponsive},
-		{"idle", ConnState{LastSent: at(90), LastReceived: at(99)}, CloseIdle},
-		{"idle while tasks run", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true}, NoAction},
-		{"idle while tasks run, with an alternative", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true, HasAlternative: true}, CloseIdle},
+		{"connection with recent traffic", ConnState{PendingRequests: 1, LastSent: at(99.5), LastReceived: at(99)}, NoAction},
+		{"no traffic while a request is pending", ConnState{PendingRequests: 1, LastSent: at(98.9), LastReceived: at(98)}, SendHealthCheck},
+		{"no traffic while the node runs tasks", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98)}, SendHealthCheck},
+		{"health check sent less than HealthCheckTimeout ago", ConnState{RunsTasks: true, LastSent: at(50), LastReceived: at(98), HealthCheckSent: at(99.6)}, NoAction},
+		{"health check unanswered for longer than HealthCheckTimeout", ConnState{PendingRequests: 3, LastSent: at(99), LastReceived: at(98), HealthCheckSent: at(99.4)}, CloseUnresponsive},
+		{"message incomplete for longer than HealthCheckTimeout", ConnState{PendingRequests: 1, LastSent: at(99.9), LastReceived: at(99.9), IncompleteSince: at(99.4)}, CloseUnresponsive},
+		{"idle for longer than MaxIdle", ConnState{LastSent: at(90), LastReceived: at(99)}, CloseIdle},
+		{"idle for longer than MaxIdle while the node runs tasks", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true}, NoAction},
+		{"idle for longer than MaxIdle while the node runs tasks, with another connection to the node", ConnState{LastSent: at(90), LastReceived: at(99.5), RunsTasks: true, HasAlternative: true}, CloseIdle},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := policy.KeepAlive(at(100), test.state); got != test.want {
-				t.Errorf("KeepAlive returned action %d, want %d", got, test.want)
+				t.Errorf("KeepAlive returned KeepAliveAction(%d), want KeepAliveAction(%d)", got, test.want)
 			}
 		})
 	}
@@ -41,24 +41,24 @@
 	node.Received(at(100))
 	node.DialFailed(at(101), false)
 	if node.Status(at(105.9)) != Reachable || node.Status(at(106.1)) != Unresponsive {
-		t.Error("while dials time out, the node must become unresponsive 6 s after its last message")
+		t.Error("a node whose dials time out did not become unresponsive 6 s after its last message")
 	}
 	node.Received(at(107))
 	node.DialFailed(at(108), true)
 	if node.Status(at(108.9)) != Reachable || node.Status(at(109.1)) != ProcessEnded {
-		t.Error("while dials are refused, the process must count as ended after 1 s")
+		t.Error("a node whose dials are refused did not get the status ProcessEnded after 1 s")
 	}
-	node.DialFailed(at(109), false) // A timeout does not show that the process has ended.
+	node.DialFailed(at(109), false) // A dial that times out does not show that the node's process has ended.
 	if node.Status(at(110)) != Reachable {
-		t.Error("a dial that times out must end the period of refused dials")
+		t.Error("a node whose last dial timed out is not reachable, although UnresponsiveAfter has not passed")
 	}
 	node.Received(at(200))
 	if node.Status(at(300)) != Reachable {
-		t.Error("a node that was not dialed must count as reachable")
+		t.Error("a node without failed dials is not reachable after 100 s without messages")
 	}
 	neverReached := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	neverReached.DialFailed(at(50), false)
 	if neverReached.Status(at(55)) != Reachable || neverReached.Status(at(57)) != Unresponsive {
-		t.Error("a node that never sent a message must become unresponsive 6 s after the first failed dial")
+		t.Error("a node that never sent a message did not become unresponsive 6 s after its first failed dial")
 	}
 }
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -76,8 +76,8 @@
 	connection.used = used
 }
 
-// ConnectionToEvict selects a connection to evict if all connections together use more than the total. Otherwise
-// overLimit is false. The caller removes the selected connection and calls ConnectionToEvict again.
+// ConnectionToEvict selects a connection to evict if all connections together use more than the total.
+// Otherwise overLimit is false. The caller removes the selected connection and calls ConnectionToEvict again.
 func (b *Budget) ConnectionToEvict() (id uint64, overLimit bool) {
 	if b.used <= b.total {
 		return 0, false
