--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -2,19 +2,19 @@
 
 import "heathshed/placer"
 
-// backoffJitterRange is the width of the interval from which a jittered delay is drawn, as a fraction of the
-// delay without jitter. The interval is centered on that delay.
+// backoffJitterRange is the width of the interval from which a delay with jitter is drawn, as a fraction of the
+// delay without jitter. The delay without jitter is the center of the interval.
 const backoffJitterRange = 0.5
 
-// Backoff computes the delay before a failed call is repeated. The delay starts at Min and doubles with each
-// failure up to Max. The zero value is ready to use and always returns a delay of zero.
+// Backoff computes the delay before a failed call is repeated. The delay without jitter starts at Min and
+// doubles with each failure up to Max. The zero value is ready to use, and its delay is always zero.
 type Backoff struct {
 	Min, Max placer.Seconds
 	failures int
 }
 
-// Next records a failure and returns the delay before the next call. The argument jitter is a random number
-// from 0 to 1 that the caller draws.
+// Next records a failed call and returns the delay before the call is repeated. The argument jitter is a random
+// number from 0 to 1 that the caller draws.
 func (b *Backoff) Next(jitter float64) placer.Seconds {
 	delay := b.Min
 	for i := 0; i < b.failures && delay < b.Max; i++ {
@@ -24,5 +24,5 @@
 	return min(delay, b.Max) * placer.Seconds(1-backoffJitterRange/2+backoffJitterRange*jitter)
 }
 
-// Reset makes the next delay start at Min again. The caller resets a Backoff after a successful call.
+// Reset sets the delay without jitter back to Min. The caller resets a Backoff after a successful call.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -10,8 +10,8 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeBackoff compares delays, bit for bit, with a golden file. It covers several bounds and
-// jitters, with a Reset in the middle of each series.
+// TestCharacterizeBackoff compares the delays of a Backoff, bit for bit, with a golden file. It covers several
+// values of Backoff.Min, of Backoff.Max and of the jitter. Each series of delays contains one call of Reset.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -10,8 +10,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizePolicy compares the decisions of several policies and their times, bit for bit, with a
-// golden file. The states are drawn from a seeded random generator and cover every idempotency and cause.
+// TestCharacterizePolicy compares the decisions of several policies, and the times that belong to them bit for
+// bit, with a golden file. The states are drawn from a seeded random generator. They cover every
+// placer.Idempotency and every Cause.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
@@ -24,7 +25,7 @@
 	}
 	for i, policy := range policies {
 		rng := rand.New(rand.NewPCG(5, uint64(i)))
-		var decisions [4]int
+		var decisionCounts [4]int
 		for step := range 4000 {
 			state := retry.State{
 				Idempotency:    placer.Idempotency(step % 3),
@@ -38,10 +39,10 @@
 				Jitter:         rng.Float64(),
 			}
 			state.Deadline = state.Now - 2 + placer.Seconds(40*rng.Float64())
-			decision, at := policy.Next(state)
-			decisions[decision]++
+			decision, stepTime := policy.Next(state)
+			decisionCounts[decision]++
 			record.Integers(int64(decision))
-			record.Floats(float64(at))
+			record.Floats(float64(stepTime))
 			if step%500 == 499 {
 				record.Checkpoint(fmt.Sprintf("policy %d, step %d", i, step+1))
 			}
@@ -49,7 +50,7 @@
 		for maxRetries := range 20 {
 			record.Floats(float64(policy.MaxWait(0.5*placer.Seconds(maxRetries+1), maxRetries)))
 		}
-		record.Line("policy %d: verdicts %v", i, decisions)
+		record.Line("policy %d: verdicts %v", i, decisionCounts)
 		record.Checkpoint(fmt.Sprintf("policy %d, patience", i))
 	}
 	record.Check(t, "policy")
--- a/internal/control/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -7,22 +7,24 @@
 	"heathshed/placer"
 )
 
-// A client retries a rejected request after a delay and gives it up when no retries are left.
+// A client requests placement again, after a delay, if its request was rejected. It gives the task up if no
+// retries are left.
 func ExamplePolicy_Next() {
 	policy := retry.DefaultPolicy()
 	state := retry.State{Cause: retry.Rejected, Now: 100, Deadline: 130, Attempts: 1, RetriesLeft: 1, Jitter: 0.5}
-	decision, at := policy.Next(state)
-	fmt.Println(decision == retry.RetryAt, at)
+	decision, stepTime := policy.Next(state)
+	fmt.Println(decision == retry.RetryAt, stepTime)
 
 	state.RetriesLeft = 0
-	decision, at = policy.Next(state)
-	fmt.Println(decision == retry.Reject, at)
+	decision, stepTime = policy.Next(state)
+	fmt.Println(decision == retry.Reject, stepTime)
 	// Output:
 	// true 101.5
 	// true 100
 }
 
-// A client does not retry a task that must not run twice while the outcome of an attempt is unknown.
+// A client does not request placement of a non-idempotent task again while the outcome of an attempt is
+// unknown, because the task could then run twice.
 func ExamplePolicy_Next_unknownOutcome() {
 	policy := retry.DefaultPolicy()
 	decision, until := policy.Next(retry.State{
@@ -38,7 +40,7 @@
 	// Output: true 130
 }
 
-// A Backoff doubles its delay with each failure up to an upper bound and starts again after a success.
+// A Backoff doubles its delay with each failure up to Max. After a call of Reset, the delay is Min again.
 func ExampleBackoff() {
 	backoff := retry.Backoff{Min: 0.5, Max: 2}
 	for range 4 {
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -3,25 +3,25 @@
 import "heathshed/placer"
 
 const (
-	minDelay placer.Seconds = 1 // minDelay is the shortest delay, except after a migration or the loss of a node.
+	minDelay placer.Seconds = 1 // minDelay is the shortest delay of a retry, except after a migration or the loss of a node.
 
-	// A delay is multiplied by a random factor from minJitterFactor to minJitterFactor+jitterFactorRange, so
-	// that clients do not retry in synchronized waves.
+	// The delay of a retry is multiplied by a random factor from minJitterFactor to
+	// minJitterFactor+jitterFactorRange. Without it, clients would retry in synchronized waves.
 	minJitterFactor   = 0.7
 	jitterFactorRange = 0.6
 
-	// maxShedJitter is the largest fraction by which jitter lengthens the delay after a shed request. Jitter
-	// never shortens this delay, because the scheduler advised the client to wait at least that long.
+	// maxShedJitter is the largest fraction of the delay after a shed request that jitter adds to this delay.
+	// Jitter never shortens the delay, because the scheduler advised the client to wait at least that long.
 	maxShedJitter = 0.5
 )
 
-// Policy holds the retry delays of a client.
+// Policy decides whether and when a client requests placement of a task again. Its fields are the settings.
 type Policy struct {
-	Delay                 placer.Seconds // Delay is the mean delay after a rejection, failure or eviction; it is at least minDelay.
-	ShortDelay            placer.Seconds // ShortDelay is the mean delay after a migration or the loss of a node.
-	Multiplier            float64        // Multiplier is the growth factor of the mean delay for each further attempt.
-	MaxDelay              placer.Seconds // MaxDelay is the upper bound of the mean delay.
-	UnknownOutcomeTimeout placer.Seconds // UnknownOutcomeTimeout is how long a client waits for an outcome before it asks the node to drop the task.
+	Delay                 placer.Seconds // Delay is the mean delay of the first retry after a rejection, failure or eviction; minDelay is its minimum.
+	ShortDelay            placer.Seconds // ShortDelay is the mean delay of a retry after a migration or the loss of the node.
+	Multiplier            float64        // Multiplier is the factor by which the mean delay grows with each further attempt.
+	MaxDelay              placer.Seconds // MaxDelay is the upper bound of the mean delay as it grows by Multiplier.
+	UnknownOutcomeTimeout placer.Seconds // UnknownOutcomeTimeout is how long a client awaits the outcome of an attempt before it asks the node to drop the task.
 }
 
 // DefaultPolicy returns the policy with the documented default delays.
@@ -29,17 +29,17 @@
 	return Policy{Delay: 1.5, ShortDelay: 0.2, Multiplier: 1.5, MaxDelay: 20, UnknownOutcomeTimeout: 3}
 }
 
-// Cause is the reason why a task does not run.
+// Cause is the reason why a task does not run although the client requested its placement.
 type Cause uint8
 
-// The constants of type Cause are the reasons that a Policy distinguishes.
+// The constants of type Cause are the reasons that Policy.Next distinguishes.
 const (
-	Rejected Cause = iota // The scheduler rejected the request, so a new request is safe.
-	Failed                // The request failed, and the scheduler does not say whether the task ran.
+	Rejected Cause = iota // The scheduler rejected the request; the task did not run, so a new request is safe.
+	Failed                // The request failed, and it is unknown whether the task ran.
 	Evicted               // The task was evicted from its node.
 	Migrated              // The task is being moved to another node.
-	Lost                  // The node of the task was lost.
-	Shed                  // The scheduler shed the request before any attempt and advised State.RetryAfter.
+	Lost                  // The node on which the task ran was lost.
+	Shed                  // The scheduler shed the request before any attempt and advised the delay State.RetryAfter.
 )
 
 // State is what a client knows about a task that is not running and has no attempt in flight. All times are
@@ -47,13 +47,13 @@
 type State struct {
 	Idempotency    placer.Idempotency
 	Cause          Cause
-	Now            placer.Seconds
+	Now            placer.Seconds // Now is the current time.
 	Deadline       placer.Seconds // Deadline is the time at which the client stops waiting for the task to be placed.
-	Attempts       int            // Attempts is the number of attempts made so far.
-	RetriesLeft    int
-	OutcomeUnknown bool           // OutcomeUnknown means that a node may have accepted an attempt and has not answered yet.
-	MayHaveRun     bool           // MayHaveRun means that an attempt may have run and its outcome can no longer be learned.
-	RetryAfter     placer.Seconds // RetryAfter is the delay, counted from Now, that the scheduler advised.
+	Attempts       int            // Attempts is the number of attempts to start the task so far.
+	RetriesLeft    int            // RetriesLeft is the number of further retries that the client is allowed to make.
+	OutcomeUnknown bool           // OutcomeUnknown means that a node has not answered an attempt yet and possibly accepted it.
+	MayHaveRun     bool           // MayHaveRun means that the task possibly ran in an attempt whose outcome can no longer be learned.
+	RetryAfter     placer.Seconds // RetryAfter is the shortest delay, counted from Now, that the scheduler advised.
 	Jitter         float64        // Jitter is a random number from 0 to 1 that the caller draws.
 }
 
@@ -63,32 +63,32 @@
 // The constants of type Decision are the steps that Policy.Next returns.
 const (
 	RetryAt      Decision = iota // The client requests placement again at the returned time.
-	AwaitOutcome                 // The client waits until the outcome is known, at most until the returned time.
-	Reject                       // The task is given up and certainly did not run, so a new request is safe.
-	Fail                         // The task is given up and may have run.
+	AwaitOutcome                 // The client waits for the unknown outcome of an attempt, at most until the returned time.
+	Reject                       // The client gives the task up. The task certainly did not run, so a new request is safe.
+	Fail                         // The client gives the task up. The task possibly ran.
 )
 
-// Next returns the next step of the client and the time of that step. It never retries a task that is not
-// idempotent while an earlier attempt may have run.
-func (p *Policy) Next(state State) (decision Decision, at placer.Seconds) {
-	if state.Idempotency != placer.Idempotent && state.retryMayDuplicate() {
+// Next returns the next step of the client for a task, and the time that belongs to this step. It never returns
+// RetryAt for a task that is not idempotent if the task possibly ran in an earlier attempt.
+func (p *Policy) Next(state State) (decision Decision, stepTime placer.Seconds) {
+	if state.Idempotency != placer.Idempotent && state.retryMayStartTaskTwice() {
 		return state.awaitOutcomeOrFail()
 	}
 	if state.RetriesLeft <= 0 {
 		return state.giveUp()
 	}
-	at = state.Now + p.delay(state)
-	if at >= state.Deadline {
+	stepTime = state.Now + p.delay(state)
+	if stepTime >= state.Deadline {
 		return state.giveUp()
 	}
-	return RetryAt, at
+	return RetryAt, stepTime
 }
 
-// retryMayDuplicate reports whether a retry could start the task a second time.
-func (s *State) retryMayDuplicate() bool { return s.MayHaveRun || s.OutcomeUnknown }
+// retryMayStartTaskTwice reports whether a retry could start the task a second time.
+func (s *State) retryMayStartTaskTwice() bool { return s.MayHaveRun || s.OutcomeUnknown }
 
-// awaitOutcomeOrFail returns AwaitOutcome while the unknown outcome of an attempt may still be learned before
-// the deadline, and Fail otherwise.
+// awaitOutcomeOrFail returns AwaitOutcome if the client can still learn the unknown outcome of an attempt
+// before its deadline, and Fail otherwise.
 func (s *State) awaitOutcomeOrFail() (Decision, placer.Seconds) {
 	if !s.MayHaveRun && s.Now < s.Deadline {
 		return AwaitOutcome, s.Deadline
@@ -96,30 +96,30 @@
 	return Fail, s.Now
 }
 
-// giveUp ends the task. It returns Reject only if the task certainly did not run, and Fail otherwise.
+// giveUp returns Reject if the task certainly did not run, and Fail otherwise.
 func (s *State) giveUp() (Decision, placer.Seconds) {
 	safeToRequestAgain := s.Cause == Rejected || s.Cause == Shed
-	if safeToRequestAgain && !s.retryMayDuplicate() {
+	if safeToRequestAgain && !s.retryMayStartTaskTwice() {
 		return Reject, s.Now
 	}
 	return Fail, s.Now
 }
 
-// delay returns how long the client waits before its next request.
+// delay returns how long the client waits, with jitter, before it requests placement of the task again.
 func (p *Policy) delay(state State) placer.Seconds {
 	factor := placer.Seconds(minJitterFactor + jitterFactorRange*state.Jitter)
 	switch state.Cause {
 	case Migrated, Lost:
 		return p.ShortDelay * factor
 	case Shed:
-		// A shed request made no attempt, so its delay does not grow with the number of attempts. The
+		// A shed request led to no attempt, so the delay does not grow with the number of attempts. The
 		// scheduler derives State.RetryAfter from the length of its queue.
 		return max(p.Delay, minDelay, state.RetryAfter) * placer.Seconds(1+maxShedJitter*state.Jitter)
 	}
 	return max(p.meanDelay(state.Attempts)*factor, minDelay, state.RetryAfter)
 }
 
-// meanDelay returns the delay, before jitter, after the given number of attempts.
+// meanDelay returns the delay without jitter after the given number of attempts to start the task.
 func (p *Policy) meanDelay(attempts int) placer.Seconds {
 	delay := max(p.Delay, minDelay)
 	for range attempts - 1 {
@@ -131,17 +131,17 @@
 	return delay
 }
 
-// MaxWait returns the longest time that a client waits for the outcome of a task with the given number of
-// retries, if each request takes up to deadline.
-func (p *Policy) MaxWait(deadline placer.Seconds, retries int) placer.Seconds {
-	total := deadline
-	for i := range retries {
+// MaxWait returns the longest time that a client waits for the final answer to its request and to maxRetries
+// retries, if the scheduler answers each of them within requestTimeout.
+func (p *Policy) MaxWait(requestTimeout placer.Seconds, maxRetries int) placer.Seconds {
+	total := requestTimeout
+	for i := range maxRetries {
 		longestDelay := p.delay(State{Attempts: i + 1, Jitter: 1, Cause: Rejected})
 		if longestDelay >= p.MaxDelay {
-			// The delay has reached MaxDelay, so all remaining retries take equally long.
-			return total + placer.Seconds(retries-i)*((minJitterFactor+jitterFactorRange)*p.MaxDelay+deadline)
+			// The delay has reached MaxDelay and no longer grows, so all remaining retries take equally long.
+			return total + placer.Seconds(maxRetries-i)*((minJitterFactor+jitterFactorRange)*p.MaxDelay+requestTimeout)
 		}
-		total += longestDelay + deadline
+		total += longestDelay + requestTimeout
 	}
 	return total
 }
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -13,50 +13,50 @@
 
 func TestNext(t *testing.T) {
 	policy := DefaultPolicy()
-	base := State{Now: 100, Deadline: 200, Attempts: 1, RetriesLeft: 2, Jitter: 0.5}
+	baseState := State{Now: 100, Deadline: 200, Attempts: 1, RetriesLeft: 2, Jitter: 0.5}
 	for _, test := range []struct {
 		name   string
 		change func(state *State)
 		want   Decision
 	}{
-		{"rejected", func(*State) {}, RetryAt},
-		{"rejected, no retries left", func(state *State) { state.RetriesLeft = 0 }, Reject},
-		{"failed, no retries left", func(state *State) { state.RetriesLeft, state.Cause = 0, Failed }, Fail},
-		{"rejected, too late for a retry", func(state *State) { state.Deadline = 101 }, Reject},
-		{"not idempotent, outcome unknown", func(state *State) {
+		{"request rejected", func(*State) {}, RetryAt},
+		{"request rejected, no retries left", func(state *State) { state.RetriesLeft = 0 }, Reject},
+		{"request failed, no retries left", func(state *State) { state.RetriesLeft, state.Cause = 0, Failed }, Fail},
+		{"request rejected, retry would be after the deadline", func(state *State) { state.Deadline = 101 }, Reject},
+		{"task not idempotent, outcome of an attempt unknown", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown = placer.NonIdempotent, true
 		}, AwaitOutcome},
-		{"not idempotent, outcome unknown at the deadline", func(state *State) {
+		{"task not idempotent, outcome of an attempt unknown at the deadline", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown, state.Now = placer.NonIdempotent, true, 200
 		}, Fail},
-		{"not idempotent, may have run", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
-		{"idempotent by key, outcome unknown", func(state *State) {
+		{"task not idempotent, possibly ran in an earlier attempt", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
+		{"task idempotent by key, outcome of an attempt unknown", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown = placer.IdempotentByKey, true
 		}, AwaitOutcome},
-		{"idempotent, outcome unknown", func(state *State) { state.OutcomeUnknown = true }, RetryAt},
-		{"idempotent, outcome unknown, no retries left", func(state *State) { state.OutcomeUnknown, state.RetriesLeft = true, 0 }, Fail},
+		{"task idempotent, outcome of an attempt unknown", func(state *State) { state.OutcomeUnknown = true }, RetryAt},
+		{"task idempotent, outcome of an attempt unknown, no retries left", func(state *State) { state.OutcomeUnknown, state.RetriesLeft = true, 0 }, Fail},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			state := base
+			state := baseState
 			test.change(&state)
 			if decision, _ := policy.Next(state); decision != test.want {
-				t.Errorf("Next returned decision %d, want %d", decision, test.want)
+				t.Errorf("Next returned Decision(%d), want Decision(%d)", decision, test.want)
 			}
 		})
 	}
 }
 
-// drawSeconds draws a duration between the two bounds.
+// drawSeconds draws a random duration between the two bounds. Rapid prints the label with the drawn value.
 func drawSeconds(t *rapid.T, minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(t, label))
 }
 
 func drawPolicy(t *rapid.T) Policy {
 	return Policy{
-		Delay:                 drawSeconds(t, 0, 5, "delay"),
-		ShortDelay:            drawSeconds(t, 0, 2, "short delay"),
-		Multiplier:            rapid.Float64Range(0, 3).Draw(t, "multiplier"),
-		MaxDelay:              drawSeconds(t, 0, 30, "max delay"),
+		Delay:                 drawSeconds(t, 0, 5, "mean delay of the first retry"),
+		ShortDelay:            drawSeconds(t, 0, 2, "mean delay after a migration or node loss"),
+		Multiplier:            rapid.Float64Range(0, 3).Draw(t, "growth factor of the delay"),
+		MaxDelay:              drawSeconds(t, 0, 30, "largest mean delay"),
 		UnknownOutcomeTimeout: 3,
 	}
 }
@@ -67,57 +67,60 @@
 		Idempotency:    placer.Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
 		Cause:          Cause(rapid.IntRange(0, 4).Draw(t, "cause")),
 		Now:            now,
-		Deadline:       now + drawSeconds(t, -1, 50, "time left"),
-		Attempts:       rapid.IntRange(1, 30).Draw(t, "attempts"),
-		RetriesLeft:    rapid.IntRange(-1, 5).Draw(t, "retries left"),
-		OutcomeUnknown: rapid.Bool().Draw(t, "outcome unknown"),
-		MayHaveRun:     rapid.Bool().Draw(t, "may have run"),
+		Deadline:       now + drawSeconds(t, -1, 50, "seconds until the deadline"),
+		Attempts:       rapid.IntRange(1, 30).Draw(t, "number of attempts"),
+		RetriesLeft:    rapid.IntRange(-1, 5).Draw(t, "number of retries left"),
+		OutcomeUnknown: rapid.Bool().Draw(t, "outcome of an attempt unknown"),
+		MayHaveRun:     rapid.Bool().Draw(t, "task possibly ran"),
 		Jitter:         rapid.Float64Range(0, 1).Draw(t, "jitter"),
 	}
 }
 
-// TestNextRespectsDelays checks three properties of Policy.Next for arbitrary states: a retry after a
-// rejection, a failure or an eviction is at least one second away, no retry is scheduled past the deadline,
-// and a task that is not idempotent is not retried while an attempt may have run.
+// TestNextRespectsDelays checks for random policies and states that:
+//   - a retry after a rejection, a failure or an eviction is delayed by at least one second,
+//   - no retry is scheduled for the deadline or later, or if no retries are left,
+//   - a task that possibly ran is retried only if it is idempotent,
+//   - a task that possibly ran is never reported as rejected.
 func TestNextRespectsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy, state := drawPolicy(t), drawState(t)
 
-		decision, at := policy.Next(state)
+		decision, stepTime := policy.Next(state)
 
-		mayRun := state.OutcomeUnknown || state.MayHaveRun
+		mayHaveRun := state.OutcomeUnknown || state.MayHaveRun
 		switch decision {
 		case RetryAt:
-			if state.Idempotency != placer.Idempotent && mayRun {
-				t.Fatal("a task that is not idempotent is retried although an attempt may have run")
+			if state.Idempotency != placer.Idempotent && mayHaveRun {
+				t.Fatal("a task that is not idempotent is retried although it possibly ran in an earlier attempt")
 			}
-			if state.RetriesLeft <= 0 || at >= state.Deadline || at < state.Now {
-				t.Fatalf("retry at %v with %d retries left, although the client stops waiting at %v", at, state.RetriesLeft, state.Deadline)
+			if state.RetriesLeft <= 0 || stepTime >= state.Deadline || stepTime < state.Now {
+				t.Fatalf("Next scheduled a retry at %v s with %d retries left and a deadline at %v s", stepTime, state.RetriesLeft, state.Deadline)
 			}
-			if state.Cause < Migrated && at < state.Now+1 {
-				t.Fatalf("retry after %v s, want a delay of at least 1 s", at-state.Now)
+			if state.Cause < Migrated && stepTime < state.Now+1 {
+				t.Fatalf("Next scheduled a retry after a delay of %v s, want at least 1 s", stepTime-state.Now)
 			}
 		case Reject:
-			if mayRun {
-				t.Fatal("a task is reported as rejected although an attempt may have run")
+			if mayHaveRun {
+				t.Fatal("a task is reported as rejected although it possibly ran in an earlier attempt")
 			}
 		}
 	})
 }
 
-// TestMaxWaitCoversAllAttempts checks that every attempt that a policy allows ends within MaxWait.
+// TestMaxWaitCoversAllAttempts checks that the first request and all retries end within the time that
+// Policy.MaxWait returns, even if each of them takes as long as allowed.
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
-	const deadline placer.Seconds = 8 // deadline is the time after which each request expires.
+	const requestTimeout placer.Seconds = 8 // requestTimeout is the time after which each request expires.
 	policy := DefaultPolicy()
 	for maxRetries := range 40 {
 		// attemptEnd starts as the time at which the first request expires.
-		attemptEnd := deadline
+		attemptEnd := requestTimeout
 		for retry := range maxRetries {
 			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
-			attemptEnd = retryAt + deadline
+			attemptEnd = retryAt + requestTimeout
 		}
-		if maxWait := policy.MaxWait(deadline, maxRetries); attemptEnd > maxWait+1e-6 {
-			t.Errorf("with %d retries the last attempt ends at %v, want it to end by MaxWait, which is %v", maxRetries, attemptEnd, maxWait)
+		if maxWait := policy.MaxWait(requestTimeout, maxRetries); attemptEnd > maxWait+1e-6 {
+			t.Errorf("the last of %d retries ends after %v s, which is later than the result of MaxWait, %v s", maxRetries, attemptEnd, maxWait)
 		}
 	}
 }
