--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -1,22 +1,23 @@
 // Package eventqueue passes events to a placer one after another. It executes the actions that the placer
 // returns for one event, in order, before it passes the next event.
 //
-// The package reads no clock: callers pass in the time. Packages dispatch and engine, the schedulers of the
-// platform protocol and of the Kubernetes API, own one Queue each.
+// The package reads no clock: callers pass in the time. Two packages own one Queue each: platform/dispatch, the
+// scheduler for clients and nodes that exchange JSON messages, and kube/engine, the scheduler behind the
+// Kubernetes API.
 package eventqueue
 
 import "heathshed/placer"
 
 // MinDelay is the shortest delay of a timer. A floating-point number that counts seconds since the Unix epoch
-// has steps of 2.4e-7 s today, so adding less than a step can yield the same time again. Without a minimum
-// delay, a placer that waits for a deadline less than a step away would have its timer fire at the same time
-// forever.
+// has steps of 2.4e-7 s today. If less than one step is added to such a time, the sum can be the same time
+// again. Without MinDelay, the timer of a placer that waits for a deadline less than one step away would fire
+// at the same time again and again.
 const MinDelay placer.Seconds = 1e-6
 
-// Placer makes the placement decisions. It is a *placer.Placer, or a substitute for it in tests.
+// Placer makes the placement decisions. Tests replace the *placer.Placer with another implementation.
 type Placer interface {
-	// Handle processes one event at the given clock time. It appends the resulting actions to the slice that
-	// it receives and returns the extended slice.
+	// Handle processes one event at the given time. It appends the actions that result from the event to the
+	// given slice and returns the extended slice.
 	Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action
 }
 
@@ -24,20 +25,20 @@
 // concurrent use.
 type Queue struct {
 	Placer Placer
-	// Execute carries out one action. Events that it posts are passed to the placer after all actions of the
-	// current event.
+	// Execute carries out one action of the placer. If it posts events, the queue passes them to the placer
+	// after all actions of the current event are executed.
 	Execute func(*placer.Action)
 
 	events  []placer.Event
 	actions []placer.Action // actions is a buffer that is reused for the actions of each event.
-	running bool
+	running bool            // running means that a call of Run is in progress.
 }
 
-// Post appends an event to the queue.
+// Post appends an event to the queue. The next call of Run passes the event to the placer.
 func (q *Queue) Post(event placer.Event) { q.events = append(q.events, event) }
 
-// Run passes all queued events to the placer. A nested call from Execute does nothing, because the outer call
-// continues with the new events.
+// Run passes all queued events to the placer and executes the resulting actions. A nested call of Run from
+// Execute does nothing, because the outer call also passes on the events that are posted meanwhile.
 func (q *Queue) Run(now placer.Seconds) {
 	if q.running {
 		return
@@ -55,6 +56,6 @@
 	q.running = false
 }
 
-// TimerDelay returns the delay with which a timer is set when the placer requests the given delay. It is
+// TimerDelay returns the delay with which a timer is set if the placer requests the given delay. The result is
 // never less than MinDelay.
-func TimerDelay(after placer.Seconds) placer.Seconds { return max(after, MinDelay) }
+func TimerDelay(requestedDelay placer.Seconds) placer.Seconds { return max(requestedDelay, MinDelay) }
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -11,9 +11,9 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the order in which a queue returns timers with a golden file. Many timers
-// have equal times, some are stopped, and some are added while others run. Package goldentest describes how
-// the golden file is regenerated.
+// TestCharacterization compares the order in which a queue returns timers with a golden file. Many timers have
+// equal times, some timers are stopped, and some are added between two calls of Queue.Pop. Package goldentest
+// describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
@@ -24,33 +24,33 @@
 }
 
 func runRandomTimers(seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, 3))
+	rng := rand.New(rand.NewPCG(seed, 3))
 	var queue timerqueue.Queue[float64]
 	var order strings.Builder
-	var added []*timerqueue.Timer[float64]
-	add := func(at float64) {
-		number := len(added)
-		added = append(added, queue.Add(at, func() { fmt.Fprintf(&order, "r%d ", number) }))
+	var timers []*timerqueue.Timer[float64]
+	addTimer := func(at float64) {
+		timerNumber := len(timers)
+		timers = append(timers, queue.Add(at, func() { fmt.Fprintf(&order, "r%d ", timerNumber) }))
 	}
 	now := 0.0
 	for range 600 {
-		switch random.IntN(5) {
+		switch rng.IntN(5) {
 		case 0, 1, 2:
-			add(now + float64(random.IntN(5)-1))
+			addTimer(now + float64(rng.IntN(5)-1))
 		case 3:
-			if len(added) > 0 {
-				i := random.IntN(len(added))
-				fmt.Fprintf(&order, "p%t ", added[i].Pending())
-				queue.Stop(added[i])
-				fmt.Fprintf(&order, "p%t ", added[i].Pending())
+			if len(timers) > 0 {
+				i := rng.IntN(len(timers))
+				fmt.Fprintf(&order, "p%t ", timers[i].Pending())
+				queue.Stop(timers[i])
+				fmt.Fprintf(&order, "p%t ", timers[i].Pending())
 			}
 		default:
-			now += float64(random.IntN(2))
+			now += float64(rng.IntN(2))
 			for timer := queue.Pop(now); timer != nil; timer = queue.Pop(now) {
 				fmt.Fprintf(&order, "p%t %x ", timer.Pending(), math.Float64bits(timer.At))
 				timer.Run()
-				if random.IntN(4) == 0 {
-					add(now + float64(random.IntN(3)))
+				if rng.IntN(4) == 0 {
+					addTimer(now + float64(rng.IntN(3)))
 				}
 			}
 		}
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -1,9 +1,9 @@
-// Package timerqueue holds functions that are to be run at given times. The function with the earliest time
-// comes first, and functions with equal times keep the order in which they were added.
+// Package timerqueue implements a queue of timers, which are functions that run at given times. The timer with
+// the earliest time comes first, and timers with equal times keep the order in which they were added.
 //
-// The package reads no clock: the owner of a queue passes in the time and chooses its type. Package dispatch,
-// package engine and the simulated nodes use placer.Seconds, and the event loop of the network code uses
-// clock.Instant.
+// The package reads no clock: the owner of a queue passes in the time and chooses the type of the time. Package
+// platform/dispatch, package kube/engine and the simulated nodes use placer.Seconds, and the event loop of the
+// network code uses clock.Instant.
 package timerqueue
 
 import (
@@ -11,28 +11,28 @@
 	"container/heap"
 )
 
-// notQueued is the heap index of a timer that is not in a queue.
+// notQueued is the value of Timer.index for a timer that is not in a queue.
 const notQueued = -1
 
-// Queue is a set of timers on a clock whose readings have type Time. The zero value is empty and ready to
-// use. A Queue is not safe for concurrent use.
+// Queue is a queue of timers whose times have the type Time. The zero value is empty and ready to use. A Queue
+// is not safe for concurrent use.
 type Queue[Time cmp.Ordered] struct {
 	timers       timerHeap[Time]
 	lastSequence uint64
 }
 
-// Timer is a function that a Queue holds until its time.
+// Timer is a function together with the time at which the function is to run.
 type Timer[Time cmp.Ordered] struct {
-	At       Time
-	Run      func()
-	sequence uint64 // sequence orders timers of equal time.
+	At       Time   // At is the time at which Run is to be called.
+	Run      func() // Run is the function of the timer. The owner of the queue calls it.
+	sequence uint64 // sequence determines the order of timers with equal times.
 	index    int    // index is the position of the timer in the heap, or notQueued.
 }
 
 // Pending reports whether the timer is still in its queue. It returns false for a nil timer.
 func (t *Timer[Time]) Pending() bool { return t != nil && t.index != notQueued }
 
-// Add schedules a function for the given clock time and returns its timer.
+// Add adds a timer that runs the given function at the given time, and returns the timer.
 func (q *Queue[Time]) Add(at Time, run func()) *Timer[Time] {
 	q.lastSequence++
 	timer := &Timer[Time]{At: at, Run: run, sequence: q.lastSequence}
@@ -58,8 +58,8 @@
 	return q.timers[0].At
 }
 
-// Pop removes the earliest timer if it is due at the given time and returns it, or returns nil otherwise. The
-// caller runs the function of the timer.
+// Pop removes and returns the earliest timer if its time has come, which means that it is not later than now.
+// Otherwise Pop returns nil. The caller then calls Timer.Run.
 func (q *Queue[Time]) Pop(now Time) *Timer[Time] {
 	if len(q.timers) == 0 || q.timers[0].At > now {
 		return nil
@@ -67,7 +67,7 @@
 	return heap.Pop(&q.timers).(*Timer[Time])
 }
 
-// timerHeap orders timers by time and then by sequence number. It implements heap.Interface.
+// timerHeap implements heap.Interface. It orders timers by time, and timers with equal times by sequence.
 type timerHeap[Time cmp.Ordered] []*Timer[Time]
 
 func (h timerHeap[Time]) Len() int { return len(h) }
