--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock defines Instant, the type for points in time in the event loop and in the servers and clients
-// that run on it. It converts between Go's time types, Instant and the floating-point seconds with which the
-// schedulers compute. Each scheduler calls these conversions in a single file, which docs/architecture.md
-// names.
+// Package clock defines Instant, which represents points in time in the event loop and in the servers and
+// clients that run on the event loop. The package converts between Go's time types, Instant, and the
+// floating-point seconds with which the schedulers compute. Each scheduler calls these conversions in a
+// single file, which docs/architecture.md names.
 package clock
 
 import (
@@ -13,15 +13,15 @@
 
 // Instant is a point in time, in nanoseconds since the Unix epoch. The zero value means "never".
 //
-// An Instant takes 8 bytes, whereas a time.Time takes 24, and a server keeps several of them for each of
-// thousands of idle connections. Instants can be compared with < and ==.
+// An Instant takes 8 bytes, whereas a time.Time takes 24. The difference matters because a server keeps several
+// points in time for each of thousands of idle connections. Instants can be compared with < and ==.
 type Instant int64
 
 // maxInstant is the latest instant that the type can represent. It lies in the year 2262.
 const maxInstant Instant = math.MaxInt64
 
-// floatSeconds is a type constraint for types that count seconds in floating point, such as placer.Seconds
-// and the duration type of the settings.
+// floatSeconds is the constraint for types that represent a number of seconds in floating point, such as
+// placer.Seconds and the type of durations in the settings.
 type floatSeconds interface{ ~float64 }
 
 // FromTime converts a time.Time to an Instant.
@@ -33,7 +33,7 @@
 // IsZero reports whether the instant is the zero value, which means "never".
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Add returns the instant that is d later. On overflow it returns the latest or the earliest instant.
+// Add returns the instant that is d later than i. On overflow, it returns the latest or the earliest instant.
 func (i Instant) Add(d time.Duration) Instant {
 	later := i + Instant(d)
 	switch {
@@ -45,38 +45,38 @@
 	return later
 }
 
-// Sub returns the duration from the other instant to this one. The other instant must not be earlier than the
-// Unix epoch.
+// Sub returns the duration from the instant other to the instant i. The instant other must not be earlier than
+// the Unix epoch.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// UnixMicro returns the number of microseconds since the Unix epoch.
+// UnixMicro returns the number of microseconds from the Unix epoch to the instant.
 func (i Instant) UnixMicro() int64 { return int64(i) / int64(time.Microsecond) }
 
-// UnixSeconds returns the number of seconds since the Unix epoch in floating point, as the schedulers use it.
-// The result has a precision of about 240 nanoseconds.
+// UnixSeconds returns the number of seconds from the Unix epoch to the instant in floating point, which the
+// schedulers use. For present-day times, the result has a precision of about 240 nanoseconds.
 func (i Instant) UnixSeconds() placer.Seconds {
 	whole := i / Instant(time.Second)
-	rest := i % Instant(time.Second)
-	return placer.Seconds(float64(whole) + float64(rest)/float64(time.Second))
+	remainder := i % Instant(time.Second)
+	return placer.Seconds(float64(whole) + float64(remainder)/float64(time.Second))
 }
 
-// FromUnixSeconds returns the earliest instant whose UnixSeconds is not before s, so that a timer that is set
-// for s seconds is due when it fires at this instant. A time outside the range of an Instant, including
+// FromUnixSeconds returns the earliest instant for which UnixSeconds returns s or a later time. A timer that
+// fires at this instant never fires before the time s. A time outside the range of an Instant, including
 // infinity, yields the latest or the earliest instant. NaN yields the latest instant.
 func FromUnixSeconds(s placer.Seconds) Instant {
 	return Instant(nanoseconds(float64(s), math.Ceil))
 }
 
-// Duration converts a number of seconds to the nearest time.Duration. A value outside the range of a
-// Duration, including infinity, yields the longest or the shortest duration. NaN yields the longest duration.
+// Duration converts a number of seconds to the nearest time.Duration. A number outside the range of a
+// time.Duration, including infinity, yields the largest or the smallest time.Duration. NaN yields the largest.
 func Duration[S floatSeconds](s S) time.Duration {
 	return time.Duration(nanoseconds(float64(s), math.Round))
 }
 
-// nanoseconds converts seconds to nanoseconds with the given rounding function. It converts the whole and the
-// fractional part separately, because the product of s and 1e9 would be off by up to 128 nanoseconds for
-// present-day Unix times. NaN is treated as positive infinity.
-func nanoseconds(s float64, round func(float64) float64) int64 {
+// nanoseconds converts seconds to nanoseconds, which roundFraction rounds. It converts the whole and the
+// fractional part of s separately, because the product of s and 1e9 would be off by up to 128 nanoseconds for
+// present-day Unix times. The result for NaN is the same as for positive infinity.
+func nanoseconds(s float64, roundFraction func(float64) float64) int64 {
 	const maxSeconds = math.MaxInt64 / int64(time.Second)
 	whole, fraction := math.Modf(s)
 	switch {
@@ -85,5 +85,5 @@
 	case whole <= -float64(maxSeconds):
 		return math.MinInt64
 	}
-	return int64(whole)*int64(time.Second) + int64(round(fraction*float64(time.Second)))
+	return int64(whole)*int64(time.Second) + int64(roundFraction(fraction*float64(time.Second)))
 }
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -10,95 +10,96 @@
 	"heathshed/placer"
 )
 
-// TestDuration checks that a number of seconds becomes the nearest duration and that values out of range are
-// clamped. In Go, the result of converting such a floating-point value to an integer depends on the
-// implementation.
+// TestDuration checks that a number of seconds is converted to the nearest duration, and that a number out of
+// range is converted to the largest or smallest duration. Without this limit the result would depend on the Go
+// implementation, because an integer cannot represent such a floating-point number.
 func TestDuration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		seconds float64
 		want    time.Duration
 	}{
-		{"zero", 0, 0},
-		{"a fraction", 0.25, 250 * time.Millisecond},
-		{"not exact in binary", 0.7, 700 * time.Millisecond},
-		{"rounded to the nearest", 1.6e-9, 2},
-		{"negative", -1.5, -1500 * time.Millisecond},
-		{"years", 1e9, 1e9 * time.Second},
+		{"zero seconds", 0, 0},
+		{"fraction that is exact in binary", 0.25, 250 * time.Millisecond},
+		{"fraction that is not exact in binary", 0.7, 700 * time.Millisecond},
+		{"rounded to the nearest nanosecond", 1.6e-9, 2},
+		{"negative number of seconds", -1.5, -1500 * time.Millisecond},
+		{"billion seconds", 1e9, 1e9 * time.Second},
 		{"positive infinity", math.Inf(1), math.MaxInt64},
 		{"not a number", math.NaN(), math.MaxInt64},
 		{"negative infinity", math.Inf(-1), math.MinInt64},
-		{"longer than a duration", 1e300, math.MaxInt64},
-		{"the longest duration", math.MaxInt64 / 1e9, math.MaxInt64},
+		{"longer than the largest duration", 1e300, math.MaxInt64},
+		{"largest duration", math.MaxInt64 / 1e9, math.MaxInt64},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := clock.Duration(test.seconds); got != test.want {
-				t.Errorf("Duration(%v) = %d, want %d", test.seconds, got, test.want)
+				t.Errorf("Duration(%v) = %d ns, want %d ns", test.seconds, got, test.want)
 			}
 		})
 	}
 }
 
-// TestFromUnixSecondsIsClamped checks that an infinite number of seconds, which stands for "never", becomes
-// the latest instant, and that adding a duration to that instant does not overflow.
+// TestFromUnixSecondsIsClamped checks that infinity, which as a time means "never", is converted to the latest
+// instant, and that adding a duration to the latest instant does not overflow. It checks the same for minus
+// infinity and the earliest instant.
 func TestFromUnixSecondsIsClamped(t *testing.T) {
 	never := clock.FromUnixSeconds(placer.Seconds(math.Inf(1)))
 	if never != math.MaxInt64 || never.Add(time.Hour) != never {
-		t.Errorf("infinity becomes %d, an hour later %d, want the latest instant for both", never, never.Add(time.Hour))
+		t.Errorf("FromUnixSeconds(infinity) = %d ns, and one hour later it is %d ns; want the latest instant for both", never, never.Add(time.Hour))
 	}
-	if first := clock.FromUnixSeconds(placer.Seconds(math.Inf(-1))); first != math.MinInt64 || first.Add(-time.Hour) != first {
-		t.Errorf("minus infinity becomes %d, an hour earlier %d, want the earliest instant for both", first, first.Add(-time.Hour))
+	if earliest := clock.FromUnixSeconds(placer.Seconds(math.Inf(-1))); earliest != math.MinInt64 || earliest.Add(-time.Hour) != earliest {
+		t.Errorf("FromUnixSeconds(minus infinity) = %d ns, and one hour earlier it is %d ns; want the earliest instant for both", earliest, earliest.Add(-time.Hour))
 	}
 	now := clock.FromTime(time.Now())
 	if later := now.Add(clock.Duration(math.Inf(1))); later != never {
-		t.Errorf("now plus an infinite duration is %d, want %d", later, never)
+		t.Errorf("the current time plus an infinite duration is %d ns, want the latest instant, %d ns", later, never)
 	}
 }
 
-// TestUnixSecondsRoundTrip checks that present-day Unix times are unchanged after conversion to an Instant
-// and back. Otherwise a timer could fire before it is due. It also checks that a later instant never converts
-// to an earlier number of seconds.
+// TestUnixSecondsRoundTrip checks that present-day Unix times in seconds are unchanged after conversion to an
+// Instant and back. Otherwise a timer could fire before its time. The test also checks that a later instant is
+// never converted to a smaller number of seconds.
 func TestUnixSecondsRoundTrip(t *testing.T) {
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for range 100_000 {
-		seconds := placer.Seconds(1.8e9 + random.Float64()*1e8)
+		seconds := placer.Seconds(1.8e9 + rng.Float64()*1e8)
 		instant := clock.FromUnixSeconds(seconds)
 		if got := instant.UnixSeconds(); got != seconds {
-			t.Fatalf("%v becomes %v after conversion and back", seconds, got)
+			t.Fatalf("%v s becomes %v s after conversion to an Instant and back, want the same time", seconds, got)
 		}
-		later := instant.Add(time.Duration(random.IntN(1000)))
+		later := instant.Add(time.Duration(rng.IntN(1000)))
 		if later.UnixSeconds() < seconds {
-			t.Fatalf("%d ns after %v s the clock reads %v s, which is earlier", later.Sub(instant), seconds, later.UnixSeconds())
+			t.Fatalf("the instant %d ns after %v s is converted to %v s, which is earlier", later.Sub(instant), seconds, later.UnixSeconds())
 		}
 	}
 }
 
-// TestFromUnixSecondsIsNotEarly checks that small clock readings do not become earlier when they are
-// converted to an Instant and back. Floating point represents these readings more precisely than nanoseconds
-// do.
+// TestFromUnixSecondsIsNotEarly checks that times up to 1000 s after the Unix epoch do not become earlier when
+// they are converted to an Instant and back. The floating-point numbers for such times are more precise than
+// whole nanoseconds, so the conversion has to round.
 func TestFromUnixSecondsIsNotEarly(t *testing.T) {
-	random := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	for range 100_000 {
-		seconds := placer.Seconds(random.Float64() * 1000)
+		seconds := placer.Seconds(rng.Float64() * 1000)
 		if got := clock.FromUnixSeconds(seconds).UnixSeconds(); got < seconds || got > seconds+2e-9 {
-			t.Fatalf("%v becomes %v after conversion and back", seconds, got)
+			t.Fatalf("%v s becomes %v s after conversion to an Instant and back, want the same time or up to 2 ns later", seconds, got)
 		}
 	}
 }
 
 func TestInstant(t *testing.T) {
-	at := time.Date(2026, 12, 2, 15, 4, 5, 678_901_234, time.UTC)
-	instant := clock.FromTime(at)
-	if !instant.Time().Equal(at) {
-		t.Errorf("%v becomes %v after conversion and back", at, instant.Time())
+	original := time.Date(2026, 12, 2, 15, 4, 5, 678_901_234, time.UTC)
+	instant := clock.FromTime(original)
+	if !instant.Time().Equal(original) {
+		t.Errorf("FromTime(%v).Time() = %v, want the same time", original, instant.Time())
 	}
 	if got := instant.Add(1500 * time.Millisecond).Sub(instant); got != 1500*time.Millisecond {
-		t.Errorf("adding 1.5 s to an instant moved it by %v", got)
+		t.Errorf("adding 1.5 s to an instant moved the instant by %v, want 1.5s", got)
 	}
-	if instant.UnixMicro() != at.UnixMicro() {
-		t.Errorf("instant is %d microseconds after the epoch, want %d", instant.UnixMicro(), at.UnixMicro())
+	if instant.UnixMicro() != original.UnixMicro() {
+		t.Errorf("UnixMicro returned %d microseconds, want %d microseconds", instant.UnixMicro(), original.UnixMicro())
 	}
 	if instant.IsZero() || !clock.Instant(0).IsZero() {
-		t.Error("IsZero must return true for the zero value only")
+		t.Error("IsZero did not return false for a non-zero instant and true for the zero value")
 	}
 }
