--- a/internal/control/decodelimit/bench_test.go
+++ b/internal/control/decodelimit/bench_test.go
@@ -9,7 +9,7 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 )
 
-// benchmarkJob returns a Job of ordinary size.
+// benchmarkJob returns a Job with four containers.
 func benchmarkJob() *batchv1.Job {
 	job := &batchv1.Job{}
 	job.Name = "job-144e1135"
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkCheckJSON measures the check of a Job that is encoded as JSON.
+// BenchmarkCheckJSON measures how long CheckJSON takes for a Job in JSON.
 func BenchmarkCheckJSON(b *testing.B) {
 	text, err := json.Marshal(benchmarkJob())
 	if err != nil {
@@ -45,7 +45,7 @@
 	benchmarkCheck(b, text, CheckJSON)
 }
 
-// BenchmarkCheckProto measures the check of a Job that is encoded as protobuf.
+// BenchmarkCheckProto measures how long CheckProto takes for a Job in protobuf.
 func BenchmarkCheckProto(b *testing.B) {
 	message, err := benchmarkJob().Marshal()
 	if err != nil {
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -15,15 +15,16 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the results for inputs around each limit, and for seeded random mutations of
-// them, with a golden file. The results include the error texts, because clients receive them.
+// TestCharacterization compares the results of the three check functions with a golden file. The inputs are
+// just below, at and above each limit, and random mutations of such inputs. The results include the error
+// messages, because clients receive them.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
 func TestCharacterization(t *testing.T) {
-	object := decodelimit.ObjectLimits()
+	objectLimits := decodelimit.ObjectLimits()
 	record := goldentest.NewRecorder()
-	record.Line("object %d %d %d %d %d %d", object.Bytes, object.Depth, object.Values, object.NumberLength, object.Exponent, object.Digits)
+	record.Line("object %d %d %d %d %d %d", objectLimits.Bytes, objectLimits.Depth, objectLimits.Values, objectLimits.NumberLength, objectLimits.Exponent, objectLimits.Digits)
 	for i, limits := range limitSets {
 		for j, text := range jsonTexts() {
 			record.Line("limits %d json %d %s", i, j, describeError(decodelimit.CheckJSON([]byte(text), limits)))
@@ -75,12 +76,12 @@
 func jsonTexts() []string {
 	var texts []string
 	for _, quantity := range quantities {
-		inQuotes := `"` + quantity + `"`
+		quoted := `"` + quantity + `"`
 		texts = append(texts,
-			`{"a":`+inQuotes+`}`,
-			`{"labels":{"a":`+inQuotes+`},"b":`+inQuotes+`}`,
-			`{"args":[`+inQuotes+`,[`+inQuotes+`]],"c":`+inQuotes+`}`,
-			`[`+inQuotes+`]`,
+			`{"a":`+quoted+`}`,
+			`{"labels":{"a":`+quoted+`},"b":`+quoted+`}`,
+			`{"args":[`+quoted+`,[`+quoted+`]],"c":`+quoted+`}`,
+			`[`+quoted+`]`,
 			quantity,
 		)
 	}
@@ -100,38 +101,38 @@
 		`{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
 }
 
-// protoMessages returns protobuf messages that are flat, nested or truncated, with quantities and with
-// numbers of each wire type.
+// protoMessages returns protobuf messages that are flat, nested or truncated. Their fields contain quantities
+// and numbers of several wire types.
 func protoMessages() [][]byte {
-	var encoded [][]byte
+	var messages [][]byte
 	for _, quantity := range quantities {
 		inner := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), quantity)
 		outer := protowire.AppendBytes(protowire.AppendTag(nil, 2, protowire.BytesType), inner)
-		encoded = append(encoded, inner, outer, inner[:len(inner)-len(inner)/3])
+		messages = append(messages, inner, outer, inner[:len(inner)-len(inner)/3])
 	}
 	nested := protowire.AppendVarint(protowire.AppendTag(nil, 3, protowire.VarintType), 300)
 	for range 70 {
-		encoded = append(encoded, nested, slices.Concat(nested, nested), slices.Concat(nested, []byte{0xff}))
+		messages = append(messages, nested, slices.Concat(nested, nested), slices.Concat(nested, []byte{0xff}))
 		nested = protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), nested)
 	}
-	fixed := protowire.AppendFixed32(protowire.AppendTag(nil, 5, protowire.Fixed32Type), 1)
-	fixed = protowire.AppendFixed64(protowire.AppendTag(fixed, 6, protowire.Fixed64Type), 1)
-	many := bytes.Repeat([]byte{0x08, 0x01}, 20001)
-	return append(encoded, nil, fixed, many, many[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
+	fixedWidth := protowire.AppendFixed32(protowire.AppendTag(nil, 5, protowire.Fixed32Type), 1)
+	fixedWidth = protowire.AppendFixed64(protowire.AppendTag(fixedWidth, 6, protowire.Fixed64Type), 1)
+	manyFields := bytes.Repeat([]byte{0x08, 0x01}, 20001)
+	return append(messages, nil, fixedWidth, manyFields, manyFields[:40000], make([]byte, 3<<20+1), []byte{0x0b, 0x0c}, []byte{0x0b}, []byte{0x0f})
 }
 
 func checkMutatedTexts(limits decodelimit.Limits, seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, 7))
+	rng := rand.New(rand.NewPCG(seed, 7))
 	var results strings.Builder
 	for _, text := range jsonTexts() {
 		if len(text) == 0 || len(text) > 300 {
 			continue
 		}
-		changed := []byte(text)
+		mutated := []byte(text)
 		for range 3 {
 			const alphabet = `{}[],:"\eE+-.0159 utfn`
-			changed[random.IntN(len(changed))] = alphabet[random.IntN(len(alphabet))]
-			results.WriteString(describeError(decodelimit.CheckJSON(changed, limits)) + describeError(decodelimit.CheckProto(changed, limits)) + "\n")
+			mutated[rng.IntN(len(mutated))] = alphabet[rng.IntN(len(alphabet))]
+			results.WriteString(describeError(decodelimit.CheckJSON(mutated, limits)) + describeError(decodelimit.CheckProto(mutated, limits)) + "\n")
 		}
 	}
 	return results.String()
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -8,47 +8,47 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// TestCheckQuantity checks that a text is rejected as a quantity only if the whole text is a number. A UID
-// can begin like a number with a large exponent. If such a UID were rejected, a running task would not be
-// seen.
+// TestCheckQuantity checks that CheckQuantity rejects quantities that exceed a limit and accepts any text
+// that is not a quantity. A UID can begin like a number with a large exponent. If such a UID were rejected,
+// the scheduler would not see a Pod that runs a task.
 func TestCheckQuantity(t *testing.T) {
 	limits := ObjectLimits()
 	for _, test := range []struct {
 		name, text string
-		ok         bool
+		accepted   bool
 	}{
-		{"integer", "1", true},
-		{"unit", "500m", true},
-		{"exponent", "1e3", true},
-		{"capital exponent", "1E6", true},
-		{"binary unit", "100Ki", true},
-		{"largest exponent", "1e99", true},
-		{"empty", "", true},
-		{"no digits", "e9999", true},
+		{"integer without a unit", "1", true},
+		{"integer with a decimal unit", "500m", true},
+		{"lower-case exponent", "1e3", true},
+		{"upper-case exponent", "1E6", true},
+		{"integer with a binary unit", "100Ki", true},
+		{"largest accepted exponent", "1e99", true},
+		{"empty text", "", true},
+		{"exponent without digits before it", "e9999", true},
 		{"UID that begins like a number with a large exponent", "144e1135-fce3-47cd-83ea-3cf99f69d193", true},
 		{"UID that begins like a number with a larger exponent", "3e33835c-4f55-4600-ad83-2c224c2f507e", true},
-		{"letter after the exponent", "1e1000x", true},
-		{"many digits that are not a quantity", strings.Repeat("9", 70) + "-rest", true},
-		{"exponent too large", "1e100", false},
-		{"exponent much too large", "1e1000000000", false},
-		{"negative exponent", "-1e-2147483647", false},
-		{"sign and decimal point", "+.5E999", false},
-		{"too many digits", strings.Repeat("9", 65), false},
-		{"too many digits with a unit", strings.Repeat("9", 65) + "Ki", false},
-		{"escaped exponent", `1\u00651000`, false},
-		{"surrounding spaces", " 1e1000 ", false},
-		{"trailing no-break space", "1e1000\u00a0", false},
-		{"escaped first digit", `\u0031e1000`, false},
+		{"too large an exponent followed by a letter", "1e1000x", true},
+		{"too many digits for a quantity, followed by more than a unit", strings.Repeat("9", 70) + "-rest", true},
+		{"exponent one above the limit", "1e100", false},
+		{"exponent far above the limit", "1e1000000000", false},
+		{"negative exponent far below the limit", "-1e-2147483647", false},
+		{"exponent above the limit after a sign and a decimal point", "+.5E999", false},
+		{"one digit more than the limit", strings.Repeat("9", 65), false},
+		{"one digit more than the limit, followed by a unit", strings.Repeat("9", 65) + "Ki", false},
+		{"exponent above the limit with an escaped letter e", `1\u00651000`, false},
+		{"exponent above the limit between spaces", " 1e1000 ", false},
+		{"exponent above the limit before a no-break space", "1e1000\u00a0", false},
+		{"exponent above the limit after an escaped digit", `\u0031e1000`, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if err := CheckQuantity([]byte(test.text), limits); (err == nil) != test.ok {
-				t.Errorf("CheckQuantity(%.40q) returned the wrong result: %v", test.text, err)
+			if err := CheckQuantity([]byte(test.text), limits); (err == nil) != test.accepted {
+				t.Errorf("CheckQuantity(%.40q) returned %v, which is the opposite of the wanted result", test.text, err)
 			}
 		})
 	}
 }
 
-// TestUIDsAreAccepted checks that UIDs that begin like numbers are accepted in JSON and in protobuf.
+// TestUIDsAreAccepted checks that CheckProto and CheckJSON accept objects whose UIDs begin like numbers.
 func TestUIDsAreAccepted(t *testing.T) {
 	for _, uid := range []string{
 		"144e1135-fce3-47cd-83ea-3cf99f69d193",
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -1,11 +1,12 @@
 package decodelimit
 
-// maxNesting is the greatest nesting depth that a jsonScanner can track. A greater value of Limits.Depth
-// counts as maxNesting.
+// maxNesting is the greatest nesting depth of objects and arrays that a jsonScanner can track. A greater value
+// of Limits.Depth counts as maxNesting.
 const maxNesting = 1023
 
-// freeTextFields contains the names of object members whose strings are free text and never quantities.
-var freeTextFields = map[string]bool{
+// nonQuantityFields contains the names of object members whose values never contain quantities. Such a value
+// is a string, or an object or array of strings, and the strings are not checked as quantities.
+var nonQuantityFields = map[string]bool{
 	"annotations":  true,
 	"args":         true,
 	"command":      true,
@@ -19,8 +20,8 @@
 	"values":       true,
 }
 
-// CheckJSON checks a text that should be JSON and returns an *Error if it exceeds a limit. It does not
-// validate the JSON syntax, which the decoder does. A text that passes the check is safe to decode.
+// CheckJSON checks a JSON text and returns an *Error if the text exceeds a limit. CheckJSON does not validate
+// the JSON syntax, which the decoder does. A text for which CheckJSON returns nil is safe to decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
@@ -35,18 +36,18 @@
 	return nil
 }
 
-// jsonScanner scans the tokens of a text in a single pass. It tolerates text that is not valid JSON.
+// jsonScanner scans the tokens of a JSON text in a single pass. It also accepts a text that is not valid JSON.
 type jsonScanner struct {
 	text     []byte
 	limits   Limits
 	maxDepth int
 
-	depth         int
-	values        int
-	freeTextDepth int    // freeTextDepth is the depth of the outermost object or array of free text, or 0 if there is none.
-	memberName    []byte // memberName is the name of the next value in an object, and nil in an array.
-	expectsName   bool   // expectsName means that the next string is the name of an object member.
-	inObject      [maxNesting + 1]bool
+	depth            int
+	valueCount       int
+	nonQuantityDepth int    // nonQuantityDepth is the depth of the object or array that is the value of a nonQuantityFields member, or 0.
+	memberName       []byte // memberName is the member name of the next value in an object, or nil in an array.
+	expectsName      bool   // expectsName means that the next string is a member name of an object.
+	inObject         [maxNesting + 1]bool
 }
 
 func (s *jsonScanner) scan() *Error {
@@ -61,7 +62,7 @@
 			s.close()
 			i++
 		case ',':
-			s.nextMember()
+			s.processComma()
 			i++
 		case '"':
 			i, err = s.scanString(i)
@@ -79,17 +80,17 @@
 	return nil
 }
 
-// open processes the beginning of an object or an array at the given offset.
+// open processes the bracket at the given offset, which begins an object or an array.
 func (s *jsonScanner) open(offset int) *Error {
-	if err := s.limits.countValue(&s.values, offset); err != nil {
+	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return err
 	}
 	s.depth++
 	if s.depth > s.maxDepth {
 		return &Error{ObjectsTooDeep, s.maxDepth, offset}
 	}
-	if s.freeTextDepth == 0 && freeTextFields[string(s.memberName)] {
-		s.freeTextDepth = s.depth
+	if s.nonQuantityDepth == 0 && nonQuantityFields[string(s.memberName)] {
+		s.nonQuantityDepth = s.depth
 	}
 	isObject := s.text[offset] == '{'
 	s.inObject[s.depth] = isObject
@@ -98,11 +99,11 @@
 	return nil
 }
 
-// close processes the end of an object or an array.
+// close processes a bracket that ends an object or an array.
 func (s *jsonScanner) close() {
 	if s.depth > 0 {
-		if s.freeTextDepth == s.depth {
-			s.freeTextDepth = 0
+		if s.nonQuantityDepth == s.depth {
+			s.nonQuantityDepth = 0
 		}
 		s.depth--
 	}
@@ -110,16 +111,16 @@
 	s.expectsName = false
 }
 
-// nextMember processes a comma. Inside an object, the next string is then expected to be a member name.
-func (s *jsonScanner) nextMember() {
+// processComma processes a comma. If the comma is inside an object, the next string is a member name.
+func (s *jsonScanner) processComma() {
 	s.expectsName = s.inObject[s.depth]
 	if s.expectsName {
 		s.memberName = nil
 	}
 }
 
-// scanString scans a string, which is a member name or a value. The string begins with the quote at the given
-// offset. The result next is the offset after the string.
+// scanString scans a string, which is a member name or a value. The string begins with the quotation mark at
+// the given offset. The result next is the offset after the string.
 func (s *jsonScanner) scanString(offset int) (next int, err *Error) {
 	text := s.text
 	end := offset + 1
@@ -135,10 +136,10 @@
 		s.expectsName = false
 		return end + 1, nil
 	}
-	if err := s.limits.countValue(&s.values, offset); err != nil {
+	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return 0, err
 	}
-	if s.freeTextDepth == 0 && !freeTextFields[string(s.memberName)] {
+	if s.nonQuantityDepth == 0 && !nonQuantityFields[string(s.memberName)] {
 		err = checkQuantityAt(content, &s.limits, offset)
 	}
 	return end + 1, err
@@ -152,7 +153,7 @@
 	for end < len(text) && isNumberByte(text[end]) {
 		end++
 	}
-	if err := s.limits.countValue(&s.values, offset); err != nil {
+	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return 0, err
 	}
 	if s.limits.NumberLength > 0 && end-offset > s.limits.NumberLength {
@@ -169,10 +170,10 @@
 	return false
 }
 
-// scanLiteral scans true, false, null or any other run of lower-case letters. The result next is the offset
-// after it.
+// scanLiteral scans the literal true, false or null, or any other sequence of lower-case letters. The result
+// next is the offset after the sequence.
 func (s *jsonScanner) scanLiteral(offset int) (next int, err *Error) {
-	if err := s.limits.countValue(&s.values, offset); err != nil {
+	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return 0, err
 	}
 	end := offset + 1
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -1,27 +1,28 @@
-// Package decodelimit checks encoded input before it is decoded, and rejects input whose decoding may exceed
-// a cost limit. The limits cover the nesting depth, the number of values, the length of numbers, and
-// quantities with large exponents, which are short to write and expensive to compute with.
+// Package decodelimit checks JSON and protobuf input before it is decoded. It rejects input that would take too
+// much time or memory to decode. Limits apply to the length of the input, the nesting depth, the number of
+// values, the length of numbers, and the exponents of resource quantities. A quantity with a large exponent is
+// short to write, but expensive to compute with.
 //
-// The API server calls CheckJSON and CheckProto on request bodies before it decodes them. Package reflector
-// does the same with the data that it receives.
+// The API server passes request bodies to CheckJSON and CheckProto before it decodes them. Package reflector
+// does the same with the objects that it receives from an API server.
 //
-// The package has no side effects, imports no other package of this module, and allocates no memory that
-// grows with its input.
+// The package has no side effects, imports no other package of this module, and allocates no memory that grows
+// with the input.
 package decodelimit
 
 import "fmt"
 
-// Limits are upper bounds for one input. A field with the value 0 means that there is no limit.
+// Limits contains the upper bounds that an input must not exceed. A field with the value 0 imposes no limit.
 type Limits struct {
-	Bytes        int // Bytes limits the length of the whole input.
-	Depth        int // Depth limits how deep objects and arrays, or protobuf messages, are nested.
-	Values       int // Values limits the number of objects, arrays, strings, numbers and literals; names do not count.
-	NumberLength int // NumberLength limits the number of characters of a number.
-	Exponent     int // Exponent limits the magnitude of a decimal exponent in a number or a quantity.
-	Digits       int // Digits limits the number of digits of a quantity that is written as a string.
+	Bytes        int // Bytes limits the length of the input in bytes.
+	Depth        int // Depth limits the nesting depth of JSON objects and arrays, or of protobuf messages.
+	Values       int // Values limits the number of JSON values, without member names, or of protobuf fields.
+	NumberLength int // NumberLength limits the number of characters of a JSON number.
+	Exponent     int // Exponent limits the absolute value of the decimal exponent of a number or quantity.
+	Digits       int // Digits limits the number of digits before the exponent or unit of a number or quantity.
 }
 
-// ObjectLimits returns the limits for one object of the Kubernetes API.
+// ObjectLimits returns the limits for the encoded form of one object of the Kubernetes API.
 func ObjectLimits() Limits {
 	return Limits{
 		Bytes:        3 << 20,
@@ -33,11 +34,11 @@
 	}
 }
 
-// Violation is the kind of limit that an input exceeds. Its text is part of the error message that clients
-// receive.
+// Violation states in which respect an input exceeds the limits. Its text is part of the error message that
+// clients receive.
 type Violation string
 
-// The constants of type Violation are the kinds of limits that an Error reports.
+// The constants of type Violation are the violations that an Error reports.
 const (
 	TooManyBytes     Violation = "too many bytes"
 	TooManyValues    Violation = "too many values"
@@ -51,8 +52,8 @@
 // Error reports an input that exceeds a limit.
 type Error struct {
 	Violation Violation
-	Limit     int // Limit is the value of the exceeded limit.
-	Offset    int // Offset is the position, in bytes, at which the input exceeds the limit.
+	Limit     int // Limit is the value of the limit that the input exceeds.
+	Offset    int // Offset is the position in the input, in bytes, at which the limit is exceeded.
 }
 
 // Error implements the error interface.
@@ -60,11 +61,11 @@
 	return fmt.Sprintf("%s at byte %d: at most %d", e.Violation, e.Offset, e.Limit)
 }
 
-// TooLarge reports whether the input exceeds a limit on its size, rather than on its structure or its
-// numbers.
+// TooLarge reports whether the input exceeds Limits.Bytes or Limits.Values, which limit its size. The other
+// limits apply to its structure and its numbers.
 func (e *Error) TooLarge() bool { return e.Violation == TooManyBytes || e.Violation == TooManyValues }
 
-// checkBytes checks the length of an input.
+// checkBytes returns an error if the input is longer than Limits.Bytes.
 func (l *Limits) checkBytes(text []byte) *Error {
 	if l.Bytes > 0 && len(text) > l.Bytes {
 		return &Error{TooManyBytes, l.Bytes, l.Bytes}
@@ -72,10 +73,11 @@
 	return nil
 }
 
-// countValue counts one more value and returns an error for the given offset if there are too many.
-func (l *Limits) countValue(values *int, offset int) *Error {
-	*values++
-	if l.Values > 0 && *values > l.Values {
+// countValue adds one to the number of values. It returns an error if this number then exceeds Limits.Values.
+// The argument offset is the position of the value in the input.
+func (l *Limits) countValue(valueCount *int, offset int) *Error {
+	*valueCount++
+	if l.Values > 0 && *valueCount > l.Values {
 		return &Error{TooManyValues, l.Values, offset}
 	}
 	return nil
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -2,12 +2,12 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// anyFieldNumber is a placeholder for the number of a field when only the field's wire type matters.
+// anyFieldNumber is passed as a field number where only the wire type of the field matters.
 const anyFieldNumber = 1
 
-// CheckProto checks a protobuf message and returns an *Error if it exceeds a limit. Without a schema, a
-// string cannot be distinguished from a nested message. A length-delimited field is therefore checked as a
-// quantity, and also as a message if it is well-formed as one.
+// CheckProto checks a protobuf message and returns an *Error if the message exceeds a limit. CheckProto has no
+// schema, so it cannot distinguish a string from a nested message. It checks each length-delimited field as a
+// quantity, and also as a message if the bytes of the field form one.
 func CheckProto(message []byte, limits Limits) error {
 	if err := limits.checkBytes(message); err != nil {
 		return err
@@ -19,14 +19,14 @@
 	return nil
 }
 
-// messageScanner scans a message and the messages nested in it.
+// messageScanner scans a protobuf message and the messages that are nested in it.
 type messageScanner struct {
-	limits Limits
-	values int
+	limits     Limits
+	valueCount int
 }
 
-// scan scans one message that begins at the given offset in the whole input. The result wellFormed reports
-// whether all of the bytes form a message; err is nil if they do not.
+// scan scans one message, which begins at the given offset of the input. The result wellFormed is false if the
+// bytes do not form a message, and err is then nil.
 func (s *messageScanner) scan(message []byte, depth, offset int) (wellFormed bool, err *Error) {
 	if s.limits.Depth > 0 && depth > s.limits.Depth {
 		return true, &Error{MessagesTooDeep, s.limits.Depth, offset}
@@ -38,7 +38,7 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		var value []byte // The value stays empty for a field that is not length-delimited.
+		var value []byte // The value stays empty if the field is not length-delimited.
 		if wireType == protowire.BytesType {
 			value, n = protowire.ConsumeBytes(rest)
 		} else {
@@ -48,16 +48,17 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		if err == nil { // After an error, the scan only has to determine whether the message is well-formed.
+		if err == nil { // After an error, only the result wellFormed has to be determined.
 			err = s.checkField(value, depth, fieldOffset)
 		}
 	}
 	return true, err
 }
 
-// checkField checks one field of a message as a value, as a quantity and as a nested message.
+// checkField counts one field of a message as a value and checks it as a quantity and as a nested message. The
+// argument value is empty if the field is not length-delimited.
 func (s *messageScanner) checkField(value []byte, depth, offset int) *Error {
-	if err := s.limits.countValue(&s.values, offset); err != nil {
+	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return err
 	}
 	if len(value) == 0 {
@@ -66,10 +67,10 @@
 	if err := checkQuantityAt(value, &s.limits, offset); err != nil || len(value) == 1 {
 		return err
 	}
-	valuesBefore := s.values
+	valueCountBefore := s.valueCount
 	wellFormed, err := s.scan(value, depth+1, offset)
 	if !wellFormed {
-		s.values = valuesBefore // The field is a string rather than a message, so the values counted in it are discarded.
+		s.valueCount = valueCountBefore // The field is no message, so the values that were counted in it do not count.
 	}
 	return err
 }
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -3,21 +3,23 @@
 import "bytes"
 
 const (
-	// maxUnitLength is the length of the longest unit of a quantity. Digits that are followed by a longer
-	// text are not a quantity but, for example, the beginning of a UID.
+	// maxUnitLength is the length of the longest unit of a quantity, in bytes. Digits that a longer text follows
+	// are no quantity but, for example, the beginning of a UID.
 	maxUnitLength = 3
-	// maxParsedExponent limits the exponent during parsing, so that it does not overflow.
+	// maxParsedExponent is the value at which the parsed exponent stops growing. It prevents an integer overflow.
 	maxParsedExponent = 1 << 30
-	// maxEscapedLength is the greatest length that a text may have after its JSON escapes are decoded. A
-	// longer text with escapes is rejected.
+	// maxEscapedLength is the greatest length, in bytes, of a quantity with JSON escapes after the escapes are
+	// decoded. A longer quantity with escapes is rejected.
 	maxEscapedLength = 256
 )
 
-// CheckQuantity checks a string or number that may be decoded as a resource quantity, such as 1e3 or 500m. It
-// accepts a text that is not a number. It decodes JSON escapes in a number before it checks the number.
+// CheckQuantity checks a string or number that is possibly decoded as a resource quantity, such as 1e3 or
+// 500m. It returns nil for a text that is not a quantity. If the text contains JSON escapes, CheckQuantity
+// decodes them first.
 func CheckQuantity(text []byte, limits Limits) *Error { return checkQuantity(text, &limits) }
 
-// checkQuantityAt checks a quantity that begins at the given offset of the whole input.
+// checkQuantityAt checks a quantity that begins at the given offset of the input. The offset in the returned
+// error is counted from the beginning of the input.
 func checkQuantityAt(text []byte, limits *Limits, offset int) *Error {
 	err := checkQuantity(text, limits)
 	if err != nil {
@@ -28,9 +30,9 @@
 
 func checkQuantity(text []byte, limits *Limits) *Error {
 	if len(text) > 0 && isLetter(text[0]) {
-		return nil // Most strings are names, which begin with a letter.
+		return nil // Most strings are names and begin with a letter, which no quantity does.
 	}
-	text = bytes.TrimSpace(text) // The decoder of quantities trims white space as well.
+	text = bytes.TrimSpace(text) // The decoder of quantities also ignores white space around a quantity.
 	start := signLength(text)
 	digits := mantissaLength(text[start:])
 	end := start + digits
@@ -54,24 +56,24 @@
 	return nil
 }
 
-// checkExponent checks the exponent of a quantity. The argument rest is the part of the text after the letter
-// "e".
-func checkExponent(text, rest []byte, limits *Limits) *Error {
+// checkExponent checks the exponent of a quantity. The argument exponentText is the part of the text after the
+// letter e or E.
+func checkExponent(text, exponentText []byte, limits *Limits) *Error {
 	exponent := 0
-	end := signLength(rest)
-	for ; end < len(rest) && isDigit(rest[end]); end++ {
-		exponent = min(exponent*10+int(rest[end]-'0'), maxParsedExponent)
+	end := signLength(exponentText)
+	for ; end < len(exponentText) && isDigit(exponentText[end]); end++ {
+		exponent = min(exponent*10+int(exponentText[end]-'0'), maxParsedExponent)
 	}
-	if end == len(rest) {
+	if end == len(exponentText) {
 		if limits.Exponent > 0 && exponent > limits.Exponent {
 			return &Error{ExponentTooLarge, limits.Exponent, 0}
 		}
 		return nil
 	}
-	if rest[end] == '\\' {
+	if exponentText[end] == '\\' {
 		return checkEscapedQuantity(text, limits)
 	}
-	return nil // The text is not a number: for example, 144e1135-fce3 is the beginning of a UID.
+	return nil // The text is no quantity. For example, the UID 144e1135-fce3-47cd-83ea-3cf99f69d193 has this form.
 }
 
 func signLength(text []byte) int {
@@ -81,7 +83,7 @@
 	return 0
 }
 
-// mantissaLength returns the length of the leading digits and decimal points of a text.
+// mantissaLength returns the number of digits and decimal points with which a text begins.
 func mantissaLength(text []byte) int {
 	length := 0
 	for length < len(text) && (isDigit(text[length]) || text[length] == '.') {
@@ -94,42 +96,43 @@
 
 func isLetter(c byte) bool { return c|32 >= 'a' && c|32 <= 'z' }
 
-// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the result. It rejects a text whose
-// decoded form is longer than maxEscapedLength.
+// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the decoded text. It rejects the
+// quantity if the decoded text is longer than maxEscapedLength.
 func checkEscapedQuantity(text []byte, limits *Limits) *Error {
-	var plain [maxEscapedLength]byte
-	n, ok := unescape(&plain, text)
+	var decoded [maxEscapedLength]byte
+	n, ok := unescape(&decoded, text)
 	if !ok {
 		return &Error{TooManyDigits, limits.Digits, 0}
 	}
-	return checkQuantity(plain[:n], limits)
+	return checkQuantity(decoded[:n], limits)
 }
 
-// unescape decodes the JSON escapes of a text into out. It returns the decoded length, or false if the result
-// does not fit. Only ASCII digits, signs and letters matter to the caller. Any other escape becomes a
-// character that occurs in no number, and never a backslash.
-func unescape(out *[maxEscapedLength]byte, text []byte) (n int, ok bool) {
+// unescape decodes the JSON escapes of a text into the array decoded and returns the length of the decoded
+// text. The result ok is false if the decoded text does not fit. The caller only needs ASCII digits, signs
+// and letters. Any other escaped character is replaced by a character that occurs in no quantity, and never
+// by a backslash.
+func unescape(decoded *[maxEscapedLength]byte, text []byte) (n int, ok bool) {
 	for i := 0; i < len(text); n++ {
-		if n == len(out) {
+		if n == len(decoded) {
 			return 0, false
 		}
 		switch {
 		case text[i] != '\\':
-			out[n] = text[i]
+			decoded[n] = text[i]
 			i++
 		case i+5 < len(text) && text[i+1] == 'u':
-			out[n] = unescapeHex(text[i+2 : i+6])
+			decoded[n] = unescapeHex(text[i+2 : i+6])
 			i += 6
 		default:
-			out[n] = '?'
+			decoded[n] = '?'
 			i += 2
 		}
 	}
 	return n, true
 }
 
-// unescapeHex returns the character for the four hexadecimal digits of a \u escape. It returns a question
-// mark for a backslash, and the character 0x7f for a value outside ASCII.
+// unescapeHex returns the character for the four hexadecimal digits of a \u escape. It returns a question mark
+// instead of a backslash, and the character 0x7f instead of a character outside ASCII.
 func unescapeHex(digits []byte) byte {
 	value := 0
 	for _, c := range digits {
