--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,8 +1,7 @@
 // Package admission decides which placement requests are passed on to the placer when clients request more
 // tasks than the cluster can start. It decides four things: how many requests may be in flight (an adaptive
 // concurrency limit), which request is admitted next (by tenant shares, then by priority), which requests are
-// shed because they could no longer start in time, and how many of the admitted requests may be retries (a
-// retry budget).
+// shed because their tasks could no longer start in time, and how many retries are admitted (a retry budget).
 //
 // Package engine, the core of the scheduler behind the Kubernetes API, owns a Controller. Controller.Submit
 // and Controller.Poll use three unexported types: a fairQueue orders the waiting requests, a limiter holds the
@@ -37,8 +36,8 @@
 	Admitted uint64
 	// Queued is the number of requests that were queued at submission.
 	Queued uint64
-	// Demoted is the number of queued requests that were demoted because they could no longer start before
-	// Request.Deadline.
+	// Demoted is the number of queued requests that were moved behind other requests because their tasks could
+	// no longer start before Request.Deadline.
 	Demoted uint64
 	// ShedLate is the number of requests that were shed because their tasks could no longer start in time.
 	ShedLate uint64
@@ -204,9 +203,9 @@
 		return false
 	}
 	c.queue.remove(entry)
-	demoted := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latestStart, tenant: entry.tenant}
-	demoted.ShedBefore = true
-	c.queue.enqueue(demoted)
+	demotedRequest := &queuedRequest{Request: entry.Request, arrivedAt: entry.arrivedAt, expiresAt: latestStart, tenant: entry.tenant}
+	demotedRequest.ShedBefore = true
+	c.queue.enqueue(demotedRequest)
 	c.Demoted++
 	return true
 }
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -101,7 +101,7 @@
 	completeRounds(controller, 20, 20, 0.01)
 
 	if loweredLimit >= initialLimit/2 || controller.Limit() <= 2*loweredLimit {
-		t.Errorf("concurrency limit was %v at first, %v after late requests and %v after fast requests, want it to halve and then double", initialLimit, loweredLimit, controller.Limit())
+		t.Errorf("concurrency limit was %v at first, %v after late requests and %v after fast requests, want less than half and then more than double", initialLimit, loweredLimit, controller.Limit())
 	}
 }
 
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -30,8 +30,8 @@
 	// Deadline is too close, instead of being demoted. When the client submits a shed request again, the
 	// request counts as a retry, and it is shed at once if the retry budget is used up.
 	ShedUsesRetryBudget bool
-	// AdditiveOnly disables slow start. The concurrency limit then grows by at most one while as many requests
-	// complete as the limit allows in flight.
+	// AdditiveOnly disables slow start. The concurrency limit then grows by at most one per round. A round is
+	// over when as many requests have completed as the limit allows in flight.
 	AdditiveOnly bool
 	// Disabled makes the Controller admit every request at once. The Controller still updates its counters.
 	Disabled bool
--- a/internal/control/admission/example_test.go
+++ b/internal/control/admission/example_test.go
@@ -19,19 +19,19 @@
 	}
 	request := admission.Request{ID: 1, Cost: 1, Deadline: 10, ClientDeadline: 20, LatencyObjective: 2}
 	decision, _ := controller.Submit(0, request)
-	fmt.Println("first admitted:", decision == admission.Admit)
+	fmt.Println("first request admitted:", decision == admission.Admit)
 
 	request.ID = 2
 	decision, _ = controller.Submit(0.1, request)
-	fmt.Println("second queued:", decision == admission.Queue)
+	fmt.Println("second request queued:", decision == admission.Queue)
 
 	controller.Complete(0.5, 1, true)
 	admitted, shed := controller.Poll(0.5)
-	fmt.Println("admitted:", admitted, "shed:", len(shed))
+	fmt.Println("IDs of admitted requests:", admitted, "number of shed requests:", len(shed))
 	// Output:
-	// first admitted: true
-	// second queued: true
-	// admitted: [2] shed: 0
+	// first request admitted: true
+	// second request queued: true
+	// IDs of admitted requests: [2] number of shed requests: 0
 }
 
 // Poll sheds a queued request when its task can no longer start in time. The ShedRequest states the delay after
@@ -47,14 +47,14 @@
 	}
 	controller.Submit(0, admission.Request{ID: 1, Deadline: 60, ClientDeadline: 60, LatencyObjective: 30})
 	controller.Submit(0, admission.Request{ID: 2, Deadline: 5, ClientDeadline: 5, LatencyObjective: 2})
-	fmt.Println("call again by:", controller.NextDeadline())
+	fmt.Println("latest time of the next call of Poll:", controller.NextDeadline())
 
 	_, shed := controller.Poll(4)
 	for _, request := range shed {
 		fmt.Printf("request %d: %s; retry after %.2f s\n", request.ID, request.Reason, request.RetryAfter)
 	}
 	// Output:
-	// call again by: 4
+	// latest time of the next call of Poll: 4
 	// request 2: it waited until it could no longer start in time; retry after 0.78 s
 }
 
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -15,13 +15,13 @@
 	lateFractionWeight = 0.05
 	// fastCompletionDivisor defines which requests count as fast: a request is fast if it completes within its
 	// latency objective divided by this number. During slow start, only fast requests raise the concurrency
-	// limit by one. A slower request already waits in a queue behind the Controller, and a higher limit would
-	// only make that queue longer.
+	// limit by one. A slower request has already waited in some queue after its admission, and doubling the
+	// limit would only make that queue longer.
 	fastCompletionDivisor = 16.0
 	// slowStartIntervals is the number of decrease intervals that must pass without a late request before
 	// slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval replaces a shorter decrease interval when it is multiplied by slowStartIntervals.
+	// minSlowStartInterval replaces a shorter Config.DecreaseInterval in the product with slowStartIntervals.
 	minSlowStartInterval placer.Seconds = 0.05
 )
 
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -97,7 +97,7 @@
 // complete selects a random request in flight and completes it with a random outcome.
 func (model *controllerModel) complete() {
 	index := rapid.IntRange(0, len(model.inFlightIDs)-1).Draw(model.T, "index of the completed request")
-	placed := rapid.Bool().Draw(model.T, "placed")
+	placed := rapid.Bool().Draw(model.T, "task is placed")
 	id := model.inFlightIDs[index]
 	model.inFlightIDs = append(model.inFlightIDs[:index], model.inFlightIDs[index+1:]...)
 	model.stateByID[id] = stateCompleted
@@ -135,7 +135,7 @@
 	unplacedRetries := model.admittedRetries - model.placedRetries
 	maxUnplacedRetries := model.config.RetryBurst + model.config.RetryRatio*float64(model.placedCount) + model.config.RetryRate*float64(model.now)
 	if float64(unplacedRetries) > maxUnplacedRetries+1e-6 || model.controller.RetryBudget() < -1e-9 {
-		model.Fatalf("%d admitted retries have not placed their tasks, which exceeds the retry budget for %d placed tasks in %.1f s, or the budget is negative", unplacedRetries, model.placedCount, model.now)
+		model.Fatalf("%d admitted retries have not placed their tasks, which exceeds the retry budget for %d placed tasks in %.1f s, or the number of tokens is negative", unplacedRetries, model.placedCount, model.now)
 	}
 }
 
@@ -176,7 +176,7 @@
 		model := newControllerModel(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			model.now += model.drawSeconds(0, 0.3, "elapsed seconds")
-			if rapid.Bool().Draw(t, "submit") || len(model.inFlightIDs) == 0 {
+			if rapid.Bool().Draw(t, "submit a request") || len(model.inFlightIDs) == 0 {
 				model.submit()
 			} else {
 				model.complete()
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -118,6 +118,6 @@
 		t.Errorf("only %d of 20000 tasks were placed within 30 s after a fault of 30 s, want at least 19000", placed)
 	}
 	if got, full := controller.RetryBudget(), controller.cfg.RetryBurst; got < full-1 {
-		t.Errorf("retry budget is %v tokens at the end, want at most one token less than Config.RetryBurst", got)
+		t.Errorf("retry budget is %v tokens at the end, want at least Config.RetryBurst minus one token", got)
 	}
 }
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -100,6 +100,6 @@
 		t.Errorf("UnixMicro returned %d microseconds, want %d microseconds", instant.UnixMicro(), original.UnixMicro())
 	}
 	if instant.IsZero() || !clock.Instant(0).IsZero() {
-		t.Error("IsZero did not return false for a non-zero instant and true for the zero value")
+		t.Error("IsZero returned true for a non-zero instant or false for the zero value")
 	}
 }
--- a/internal/control/connpool/connpool_test.go
+++ b/internal/control/connpool/connpool_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// seconds converts numbers of seconds to durations.
-func seconds(counts ...int) []time.Duration {
+// secondsToDurations converts numbers of seconds to durations.
+func secondsToDurations(counts ...int) []time.Duration {
 	durations := make([]time.Duration, 0, len(counts))
 	for _, count := range counts {
 		durations = append(durations, time.Duration(count)*time.Second)
@@ -27,13 +27,13 @@
 		wantStale     []int
 	}{
 		{"no open connection", nil, 0, false, Dial, 0, nil},
-		{"idempotent request uses the most recently used connection", seconds(5, 2, 9), 3, false, UseIdle, 1, nil},
+		{"idempotent request uses the most recently used connection", secondsToDurations(5, 2, 9), 3, false, UseIdle, 1, nil},
 		{"non-idempotent request uses a connection idle for less than MaxIdleNonIdempotent", []time.Duration{5 * time.Second, 500 * time.Millisecond}, 2, true, UseIdle, 1, nil},
-		{"non-idempotent request dials if all connections were idle for longer than MaxIdleNonIdempotent", seconds(5, 2), 2, true, Dial, 0, nil},
-		{"non-idempotent request replaces the longest idle connection if MaxConns are open", seconds(5, 2), 3, true, ReplaceIdle, 0, nil},
+		{"non-idempotent request dials if all connections were idle for longer than MaxIdleNonIdempotent", secondsToDurations(5, 2), 2, true, Dial, 0, nil},
+		{"non-idempotent request replaces the longest idle connection if MaxConns connections are open", secondsToDurations(5, 2), 3, true, ReplaceIdle, 0, nil},
 		{"request waits if MaxConns connections are open and all are busy", nil, 3, false, Wait, 0, nil},
-		{"two connections are stale and the third is used", seconds(70, 3, 61), 3, false, UseIdle, 1, []int{0, 2}},
-		{"all connections are stale and a new one is dialed", seconds(70, 80, 90), 3, true, Dial, 0, []int{0, 1, 2}},
+		{"two connections are stale and the third is used", secondsToDurations(70, 3, 61), 3, false, UseIdle, 1, []int{0, 2}},
+		{"all connections are stale and a new one is dialed", secondsToDurations(70, 80, 90), 3, true, Dial, 0, []int{0, 1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			decision := policy.Choose(test.idleTimes, test.openConns, test.nonIdempotent)
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -15,9 +15,9 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the results of the three check functions with a golden file. The inputs are
-// just below, at and above each limit, and random mutations of such inputs. The results include the error
-// messages, because clients receive them.
+// TestCharacterization compares the results of CheckJSON, CheckProto and CheckQuantity with a golden file. The
+// inputs are just below, at and above each limit. Random mutations of such inputs are checked as well. The
+// results include the error messages, because clients receive them.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
 // goldentest describes how.
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := CheckQuantity([]byte(test.text), limits); (err == nil) != test.accepted {
-				t.Errorf("CheckQuantity(%.40q) returned %v, which is the opposite of the wanted result", test.text, err)
+				t.Errorf("CheckQuantity(%.40q) = %v, want nil instead of an error or an error instead of nil", test.text, err)
 			}
 		})
 	}
@@ -64,10 +64,10 @@
 				t.Fatal(err)
 			}
 			if err := CheckProto(message, ObjectLimits()); err != nil {
-				t.Errorf("CheckProto rejects a Pod with this UID: %v", err)
+				t.Errorf("CheckProto rejects a Pod whose UID is the name of the subtest: %v", err)
 			}
 			if err := CheckJSON([]byte(`{"metadata":{"uid":"`+uid+`"}}`), ObjectLimits()); err != nil {
-				t.Errorf("CheckJSON rejects an object with this UID: %v", err)
+				t.Errorf("CheckJSON rejects an object whose UID is the name of the subtest: %v", err)
 			}
 		})
 	}
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -3,8 +3,8 @@
 import "bytes"
 
 const (
-	// maxUnitLength is the length of the longest unit of a quantity, in bytes. Digits that a longer text follows
-	// are no quantity but, for example, the beginning of a UID.
+	// maxUnitLength is the length of the longest unit of a quantity, in bytes. Digits before a longer text are
+	// not a quantity but, for example, the beginning of a UID.
 	maxUnitLength = 3
 	// maxParsedExponent is the value at which the parsed exponent stops growing. It prevents an integer overflow.
 	maxParsedExponent = 1 << 30
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -47,11 +47,11 @@
 }
 
 func newBudgetModel(t *rapid.T) *budgetModel {
-	total := rapid.Int64Range(MinAllowance, 1<<20).Draw(t, "total")
+	total := rapid.Int64Range(MinAllowance, 1<<20).Draw(t, "total bytes")
 	return &budgetModel{T: t, budget: New(total), total: total, usedByID: map[uint64]int64{}}
 }
 
-// step adds a connection, or removes a connection or changes its memory.
+// step adds a connection, removes a connection, or changes how much memory a connection uses.
 func (model *budgetModel) step() {
 	model.now += clock.Instant(rapid.Int64Range(0, int64(time.Second)).Draw(model.T, "elapsed nanoseconds"))
 	if len(model.usedByID) == 0 || rapid.IntRange(0, 3).Draw(model.T, "add a connection if 0") == 0 {
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -6,7 +6,7 @@
 	minDelay placer.Seconds = 1 // minDelay is the shortest delay of a retry, except after a migration or the loss of a node.
 
 	// The delay of a retry is multiplied by a random factor from minJitterFactor to
-	// minJitterFactor+jitterFactorRange. Without it, clients would retry in synchronized waves.
+	// minJitterFactor+jitterFactorRange. Without this factor, clients would retry in synchronized waves.
 	minJitterFactor   = 0.7
 	jitterFactorRange = 0.6
 
@@ -21,7 +21,7 @@
 	ShortDelay            placer.Seconds // ShortDelay is the mean delay of a retry after a migration or the loss of the node.
 	Multiplier            float64        // Multiplier is the factor by which the mean delay grows with each further attempt.
 	MaxDelay              placer.Seconds // MaxDelay is the upper bound of the mean delay as it grows by Multiplier.
-	UnknownOutcomeTimeout placer.Seconds // UnknownOutcomeTimeout is how long a client awaits an attempt's outcome before it asks the node to drop the task.
+	UnknownOutcomeTimeout placer.Seconds // UnknownOutcomeTimeout limits the wait for an attempt's outcome; then the client asks the node to drop the task.
 }
 
 // DefaultPolicy returns the policy with the documented default delays.
