--- a/internal/control/memquota/eviction_test.go
+++ b/internal/control/memquota/eviction_test.go
@@ -8,22 +8,22 @@
 func TestSelectEviction(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		candidates []Candidate
+		candidates []EvictionCandidate
 		want       int
 	}{
-		{"no candidates", nil, -1},
-		{"all busy", []Candidate{{Busy: true, Idle: 9 * time.Second}, {Busy: true}}, -1},
-		{"longest idle among candidates that are not established", []Candidate{{Idle: 1 * time.Second}, {Idle: 3 * time.Second}, {Idle: 2 * time.Second}}, 1},
-		{"not established before established", []Candidate{{Established: true, Idle: 90 * time.Second}, {Idle: 1 * time.Second}}, 1},
+		{"no connections", nil, -1},
+		{"all connections busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
+		{"longest idle time among connections that are not established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
+		{"connection that is not established before an established one with a longer idle time", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
 		{
-			"established when all others are busy",
-			[]Candidate{{Established: true, Idle: 1 * time.Second}, {Busy: true, Idle: 9 * time.Second}, {Established: true, Idle: 2 * time.Second}},
+			"established connection with the longest idle time if all others are busy",
+			[]EvictionCandidate{{Established: true, IdleTime: 1 * time.Second}, {Busy: true, IdleTime: 9 * time.Second}, {Established: true, IdleTime: 2 * time.Second}},
 			2,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := SelectEviction(test.candidates); got != test.want {
-				t.Errorf("SelectEviction returned index %d, want %d", got, test.want)
+				t.Errorf("SelectEviction returned index %d, want index %d", got, test.want)
 			}
 		})
 	}
