--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -1,14 +1,14 @@
-// Package api implements the Kubernetes API on top of an engine. It follows the public specification and uses
-// the types of k8s.io/api. The server turns each request into a response; the response to a watch contains a
-// stream.
+// Package api implements the Kubernetes API. It follows the public specification of this API and uses the
+// types of k8s.io/api. Server.Serve turns each HTTP request into a response. The response to a watch request
+// contains a stream of events.
 //
-// The package parses requests, calls the engine and encodes responses. It opens no sockets, reads no clock
-// and makes no placement decisions: the caller passes the time with each request. Package scheduler serves
-// the API over HTTP. The emulated inventory serves it read-only, without an engine. The file docs/api.md
-// lists the parts of the specification that are not implemented.
+// The package parses requests, calls package engine to change objects, and encodes responses. It opens no
+// sockets, reads no clock and makes no placement decisions: the caller passes the time with each request.
+// Package scheduler serves the API over HTTP. The emulated inventory uses this package without an engine and
+// serves a read-only API. The file docs/api.md lists the parts of the specification that are not implemented.
 //
-// Start reading at Server.Serve (api.go), which passes a request to serveRead (get, list and watch) or to
-// serveWrite (create, update, delete).
+// New readers should start with Server.Serve (api.go). It passes a request to serveRead (get, list and watch)
+// or to serveWrite (create, update and delete).
 package api
 
 import (
@@ -24,26 +24,30 @@
 // Server answers API requests about the objects in a store. Only the goroutine that owns the store may use a
 // Server.
 type Server struct {
+	// Store contains the objects that the API serves.
 	Store *store.Store
-	// Engine executes the requests that change objects. The server is read-only if Engine is nil.
-	Engine  *engine.Engine
+	// Engine carries out the requests that change objects. If it is nil, the server rejects these requests.
+	Engine *engine.Engine
+	// Version is the program version that the response to GET /version contains.
 	Version string
-	// Ready returns nil if the scheduler accepts Jobs, and otherwise an error that states why it does not.
+	// Ready returns nil if the scheduler accepts Jobs. Otherwise it returns an error that states the reason.
 	Ready func() error
-	// Metrics returns the body of the response to GET /metrics. The path is not served if Metrics is nil.
+	// Metrics returns the body of the response to GET /metrics. If Metrics is nil, the server does not serve
+	// this path.
 	Metrics func() []byte
-	// DefaultListLimit is the maximum number of objects on a list page if the request sets no limit. A value
-	// of 0 means that the page is unlimited.
+	// DefaultListLimit is the maximum number of objects in the response to a list request that sets no limit.
+	// If it is 0, the number is unlimited.
 	DefaultListLimit int
 
-	// now is the Unix time of the current request, or the time that SetTime set.
-	now      placer.Seconds
+	// now is the Unix time that was last passed to Serve or SetTime.
+	now placer.Seconds
+	// watchers contains the open watches.
 	watchers map[*watcher]struct{}
-	// closing is set by CloseWatches.
+	// closing is true after CloseWatches was called. The server then ends open watches and rejects new ones.
 	closing bool
 }
 
-// Serve answers one request that arrived at the given Unix time.
+// Serve answers an HTTP request that arrived at the given Unix time.
 func (s *Server) Serve(now placer.Seconds, r *http1.Request) http1.Response {
 	s.now = now
 	parsed := &request{Request: r}
@@ -79,10 +83,10 @@
 	return s.serveWrite(r)
 }
 
-// serveRead serves GET and HEAD requests for a resource.
+// serveRead serves GET and HEAD requests for a single object or a list of objects, and watch requests.
 func (s *Server) serveRead(r *request) (http1.Response, error) {
 	if r.subresource != "" && r.subresource != "status" {
-		return http1.Response{}, r.methodNotAllowed()
+		return http1.Response{}, r.methodNotAllowedError()
 	}
 	if r.name == "" {
 		return s.listObjects(r)
@@ -99,7 +103,7 @@
 // serveWrite serves POST, PUT, PATCH and DELETE requests, which change objects.
 func (s *Server) serveWrite(r *request) (http1.Response, error) {
 	if s.Engine == nil {
-		return http1.Response{}, r.methodNotAllowed()
+		return http1.Response{}, r.methodNotAllowedError()
 	}
 	switch r.Head.Method {
 	case http.MethodPost:
@@ -113,7 +117,7 @@
 			return s.deleteObjects(r)
 		}
 	}
-	return http1.Response{}, r.methodNotAllowed()
+	return http1.Response{}, r.methodNotAllowedError()
 }
 
 // servePost serves POST requests, which create Jobs or Evictions of Pods.
@@ -124,11 +128,11 @@
 	case r.resourceType.resource == store.Pods && r.subresource == evictionSubresource:
 		return s.evictPod(r)
 	}
-	return http1.Response{}, r.methodNotAllowed()
+	return http1.Response{}, r.methodNotAllowedError()
 }
 
-// serveNonResource serves health checks and metrics, whose paths lie outside the resource API. It returns
-// false for any other path.
+// serveNonResource serves the health checks and the metrics, whose paths do not belong to API resources. It
+// returns false if the request has any other path.
 func (s *Server) serveNonResource(r *request) (http1.Response, bool) {
 	const plainTextType = "text/plain; charset=utf-8"
 	const metricsTextType = "text/plain; version=0.0.4; charset=utf-8"
@@ -148,7 +152,7 @@
 	return http1.Response{}, false
 }
 
-// readyError returns nil if the scheduler accepts Jobs, and otherwise an error that states why it does not.
+// readyError returns nil if the scheduler accepts Jobs. Otherwise it returns an error that states the reason.
 func (s *Server) readyError() error {
 	if s.Ready == nil {
 		return nil
--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -12,48 +12,49 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestTables checks that a request with the Accept header of kubectl get receives a Table with one row per
-// object.
+// TestTables checks that a request with the Accept header of kubectl get receives a Table with one row for
+// each object.
 func TestTables(t *testing.T) {
 	server := newPodServer(5)
 	const kubectlAccept = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json;as=Table;v=v1beta1;g=meta.k8s.io,application/json"
 	for _, test := range []struct {
 		name, target, accept string
-		kind                 string
-		rows                 int
-		hasMore              bool
+		wantKind             string
+		wantRows             int
+		wantMore             bool
 	}{
-		{"list", "/api/v1/pods", kubectlAccept, "Table", 5, false},
-		{"one object", "/api/v1/namespaces/default/pods/pa", kubectlAccept, "Table", 1, false},
-		{"page", "/api/v1/pods?limit=2", kubectlAccept, "Table", 2, true},
-		{"selector", "/api/v1/pods?labelSelector=odd%3D1", kubectlAccept, "Table", 2, false},
-		{"plain JSON preferred", "/api/v1/pods", "application/json," + kubectlAccept, "PodList", 0, false},
+		{"list of all Pods", "/api/v1/pods", kubectlAccept, "Table", 5, false},
+		{"single Pod", "/api/v1/namespaces/default/pods/pa", kubectlAccept, "Table", 1, false},
+		{"page of 2 Pods", "/api/v1/pods?limit=2", kubectlAccept, "Table", 2, true},
+		{"list with a label selector", "/api/v1/pods?labelSelector=odd%3D1", kubectlAccept, "Table", 2, false},
+		{"Accept header that lists plain JSON first", "/api/v1/pods", "application/json," + kubectlAccept, "PodList", 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := server.getAs(test.target, test.accept)
 			var table metav1.Table
 			if err := json.Unmarshal(response.Body, &table); err != nil || response.Status != 200 {
-				t.Fatalf("status %d, want 200; decode response: %v", response.Status, err)
+				t.Fatalf("response has status %d, want 200; error of decoding the body as a Table: %v", response.Status, err)
 			}
-			if table.Kind != test.kind || len(table.Rows) != test.rows || (table.Continue != "") != test.hasMore {
-				t.Fatalf("response is a %s with %d rows and continue token %q", table.Kind, len(table.Rows), table.Continue)
+			if table.Kind != test.wantKind || len(table.Rows) != test.wantRows || (table.Continue != "") != test.wantMore {
+				t.Fatalf("response has the wrong kind, number of rows or continue token: kind %s, %d rows, continue token %q", table.Kind, len(table.Rows), table.Continue)
 			}
-			if test.kind != "Table" {
+			if test.wantKind != "Table" {
 				return
 			}
 			row := table.Rows[0]
 			if len(row.Cells) != len(table.ColumnDefinitions) {
-				t.Errorf("the first row has %d cells, want one for each of %d columns", len(row.Cells), len(table.ColumnDefinitions))
+				t.Errorf("the first row has %d cells, want one cell for each of the %d columns", len(row.Cells), len(table.ColumnDefinitions))
 			}
 			if !strings.Contains(string(row.Object.Raw), `"PartialObjectMetadata"`) {
-				t.Errorf("the first row contains the object %s, want PartialObjectMetadata", row.Object.Raw)
+				t.Errorf("the first row contains the object %s, want an object of kind PartialObjectMetadata", row.Object.Raw)
 			}
 		})
 	}
 }
 
-// pullEventTypes pulls about maxBytes bytes from a watch and returns the types of the events in them. The
-// test fails if a line is not a complete event.
+// pullEventTypes calls Pull once on the stream of a watch, with a limit of maxBytes bytes. It returns the
+// types of the events that it received and reports whether the stream has ended. The test fails if a line is
+// not a complete event.
 func pullEventTypes(t *testing.T, stream http1.Stream, maxBytes int) (eventTypes []string, done bool) {
 	t.Helper()
 	chunk, done := stream.Pull(nil, maxBytes)
@@ -67,20 +68,21 @@
 	return eventTypes, done
 }
 
-// TestWatchSelectorsAndExpiry checks three properties of watches. An object that starts to match the selector
-// is reported as ADDED, and one that no longer matches as DELETED. A watch whose position was dropped from
-// the history receives an ERROR event. Every event is sent as one line.
+// TestWatchSelectorsAndExpiry checks three properties of watches. If an object starts to match the selector
+// of a watch, the watch sends an ADDED event, and if it no longer matches, a DELETED event. If the store's
+// history no longer contains the changes that a watch needs, the watch sends an ERROR event and ends. Each
+// event is a line of its own.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
 	server := newPodServer(2)
-	putPod := func(name, odd string) {
+	putPod := func(name, oddLabel string) {
 		pod := newPod(name)
-		pod.Labels = map[string]string{"odd": odd}
+		pod.Labels = map[string]string{"odd": oddLabel}
 		server.Store.Put(store.Pods, pod)
 	}
 	const options = "&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan"
 	response := server.getAs("/api/v1/pods?watch=1&labelSelector=odd%3D1"+options, "")
 	if response.Stream == nil {
-		t.Fatalf("watch request returned no stream: status %d, body %s", response.Status, response.Body)
+		t.Fatalf("response to a watch request has no stream: status %d, body %s", response.Status, response.Body)
 	}
 	events, _ := pullEventTypes(t, response.Stream, 1<<20)
 
@@ -91,25 +93,27 @@
 	server.Store.Delete(store.Pods, "default", "pa")
 	server.Store.Delete(store.Pods, "default", "pb")
 	for !strings.HasSuffix(strings.Join(events, " "), "MODIFIED DELETED") {
-		// A limit of 1 byte makes each pull return a single event, as if the client were slow.
+		// With a limit of 1 byte, each call of Pull returns a single event, as for a slow client.
 		pulled, done := pullEventTypes(t, response.Stream, 1)
 		events = append(events, pulled...)
 		if done {
-			t.Fatalf("watch ended early, after the events %v", events)
+			t.Fatalf("watch ended before it sent the expected events; it sent %v", events)
 		}
 	}
 	if got, want := strings.Join(events, " "), "ADDED BOOKMARK ADDED DELETED MODIFIED DELETED"; got != want {
 		t.Errorf("watch sent the events %s, want %s", got, want)
 	}
 
+	// The store's history keeps 50 changes. After 60 more changes, it no longer contains the changes that the
+	// watch needs.
 	for i := range 60 {
 		putPod("px", string(rune('0'+i%2)))
 	}
 	if events, done := pullEventTypes(t, response.Stream, 1<<20); !done || !slices.Equal(events, []string{"ERROR"}) {
-		t.Errorf("watch whose position was dropped from the history: events %v, done %v; want one ERROR event and done", events, done)
+		t.Errorf("after the store dropped changes that the watch needed, the watch sent the events %v (stream ended: %v), want one ERROR event and the end of the stream", events, done)
 	}
 	response.Stream.Close()
 	if server.OpenWatches() != 0 {
-		t.Error("the server still counts a closed watch as open")
+		t.Error("OpenWatches counts a watch whose stream was closed")
 	}
 }
--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -9,11 +9,12 @@
 	"heathshed/internal/kube/store"
 )
 
-// benchmarkStore returns a store with running Pods. A benchmark's first request fills the cache of their
-// encodings, so later requests find the cache filled, as it is on a server with open watches.
-func benchmarkStore(pods int) *store.Store {
+// benchmarkStore returns a store with running Pods. During its first request, a benchmark caches the encoding
+// of each Pod that it reads. Its other requests use these cached encodings, as requests to a server with open
+// watches do.
+func benchmarkStore(podCount int) *store.Store {
 	objects := store.New(100, 5000)
-	for i := range pods {
+	for i := range podCount {
 		pod := newPod(fmt.Sprintf("pod-%04d", i))
 		pod.Labels = map[string]string{"team": "a"}
 		pod.Status.Phase = corev1.PodRunning
@@ -40,7 +41,8 @@
 	}
 }
 
-// BenchmarkWatchPull measures a watch request and the pull of its initial events, which contain 1000 Pods.
+// BenchmarkWatchPull measures a watch request together with one call of Pull, which returns the initial
+// events for 1000 Pods.
 func BenchmarkWatchPull(b *testing.B) {
 	for _, accept := range []string{jsonType, protobufType} {
 		b.Run(accept, func(b *testing.B) {
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -14,7 +14,8 @@
 
 // These constants are the media types of the Kubernetes protobuf encoding. An encoded object consists of
 // protobufMagic and a runtime.Unknown message that contains the object. A watch stream is a sequence of
-// frames, each of which consists of a length in four bytes (big endian) and a metav1.WatchEvent message.
+// frames. Each frame consists of a metav1.WatchEvent message and, before it, the length of this message as a
+// four-byte big-endian number.
 // See https://kubernetes.io/docs/reference/using-api/api-concepts/#protobuf-encoding.
 const (
 	protobufType      = "application/vnd.kubernetes.protobuf"
@@ -27,7 +28,8 @@
 // prefersProtobuf reports whether an Accept header lists the protobuf encoding before JSON.
 func prefersProtobuf(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
-		// Parse errors are ignored: mediaType is usable if only its parameters are invalid, else it is empty.
+		// The error is ignored, because ParseMediaType returns the media type even if its parameters are
+		// invalid, and an empty media type after any other error.
 		mediaType, _, _ := mime.ParseMediaType(part)
 		switch mediaType {
 		case protobufType:
@@ -39,40 +41,42 @@
 	return false
 }
 
-// encodeProtobuf encodes an object in the protobuf encoding, including its kind and API version. If the
-// object cannot be encoded, the content of the result is empty.
+// encodeProtobuf returns an object with its kind and API version in the protobuf encoding. If the object
+// cannot be encoded, the result contains the kind and API version but no fields of the object.
 func encodeProtobuf(o runtime.Object) []byte {
-	version, kind := apiVersionAndKind(o)
+	apiVersion, kind := apiVersionAndKind(o)
 	var content []byte
 	if message, ok := o.(interface{ Marshal() ([]byte, error) }); ok {
 		if encoded, err := message.Marshal(); err == nil {
 			content = encoded
 		}
 	}
-	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and all tags and lengths.
+	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and of all tags and lengths.
 	const maxEnvelopeBytes = 24
-	b := make([]byte, 0, len(content)+len(version)+len(kind)+maxEnvelopeBytes)
+	b := make([]byte, 0, len(content)+len(apiVersion)+len(kind)+maxEnvelopeBytes)
 	b = append(b, protobufMagic...)
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of runtime.Unknown is TypeMeta.
-	b = protowire.AppendVarint(b, uint64(4+len(version)+len(kind)))
+	// The fields APIVersion and Kind each have a tag of 1 byte and a length of 1 byte, 4 bytes in total.
+	b = protowire.AppendVarint(b, uint64(4+len(apiVersion)+len(kind)))
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of TypeMeta is APIVersion.
-	b = protowire.AppendString(b, version)
+	b = protowire.AppendString(b, apiVersion)
 	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of TypeMeta is Kind.
 	b = protowire.AppendString(b, kind)
 	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of runtime.Unknown is Raw.
 	return protowire.AppendBytes(b, content)
 }
 
-// encodedProtobuf returns the object of a change in the protobuf encoding. The encoding is cached in the
-// change for all readers.
-func encodedProtobuf(change *store.Change) []byte {
+// cachedProtobuf returns the object of a change in the protobuf encoding. The first call stores the encoding
+// in the change, and later calls reuse it.
+func cachedProtobuf(change *store.Change) []byte {
 	if change.Binary == nil {
 		change.Binary = encodeProtobuf(change.Object)
 	}
 	return change.Binary
 }
 
-// appendProtobufEvent appends one frame of a watch stream, which contains an event with an encoded object.
+// appendProtobufEvent appends a frame of a watch stream to b. The frame contains one event with the given
+// type and the given encoded object.
 func appendProtobufEvent(b []byte, eventType watch.EventType, encodedObject []byte) []byte {
 	const tagSize = 1
 	rawExtensionSize := tagSize + protowire.SizeBytes(len(encodedObject))
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -18,8 +18,8 @@
 
 // TestCostlyBodiesAreRejected guards against small requests that would take excessive memory or time to
 // decode, such as deeply nested JSON or a quantity with a huge exponent. The server must reject such a
-// request before it decodes the body, with a status that states the reason. The test cases also cover long
-// selectors, invalid path segments and a valid request that must be accepted.
+// request before it decodes the body, and the status of the response must state the reason. The test also
+// covers long selectors, invalid path segments and a valid request that the server must accept.
 func TestCostlyBodiesAreRejected(t *testing.T) {
 	nestedJSON := func(levels int) string { return strings.Repeat(`{"a":`, levels) + "1" + strings.Repeat("}", levels) }
 	protobufField := func(content []byte) []byte {
@@ -30,39 +30,40 @@
 	testOperation := `{"op":"test","path":"/kind","value":"Node"}`
 	for _, test := range []struct {
 		name, method, path, mediaType, body string
-		status                              int
+		wantStatus                          int
 	}{
-		{"copies of metadata into its annotations", "PATCH", nodePath, jsonPatchType, copyOperations(40), 413},
-		{"1,501 operations in a JSON patch", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(testOperation+",", 1500) + testOperation + "]", 413},
+		{"JSON patch that copies the metadata into its own annotations 40 times", "PATCH", nodePath, jsonPatchType, copyPatch(40), 413},
+		{"JSON patch with 1,501 operations", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(testOperation+",", 1500) + testOperation + "]", 413},
 		{"deeply nested merge patch", "PATCH", nodePath, mergePatchType, nestedJSON(9000), 400},
 		{"deeply nested strategic merge patch", "PATCH", nodePath, strategicPatchType, nestedJSON(9000), 400},
-		{"deeply nested objects", "POST", jobsPath, jsonType, nestedJSON(9000), 400},
-		{"deeply nested arrays", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
-		{"huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
-		{"huge exponent as a number", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
-		{"huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
-		{"escaped exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
-		{"escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
-		{"quantity with 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
-		{"huge exponent in a patch", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
-		{"huge exponent in the protobuf encoding", "POST", jobsPath, protobufType, protobufQuantity, 400},
-		{"900,000 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
-		{"label value of 1 MiB", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
+		{"9,000 nested objects instead of a Job", "POST", jobsPath, jsonType, nestedJSON(9000), 400},
+		{"100,000 nested arrays instead of a Job", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
+		{"CPU quantity with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
+		{"CPU quantity as a JSON number with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
+		{"CPU quantity with a huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
+		{"CPU quantity with an escaped exponent sign", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
+		{"CPU quantity with an escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
+		{"CPU quantity with 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
+		{"merge patch with a CPU quantity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
+		{"protobuf body with a quantity with a huge exponent", "POST", jobsPath, protobufType, protobufQuantity, 400},
+		{"Job with 900,001 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
+		{"merge patch with a label value of 1 MiB", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
 		{"label selector with 2,001 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
 		{"field selector with 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
-		{"escaped slash in a namespace", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
-		{"escaped dots as a namespace", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
-		{"escaped NUL in a name", "GET", "/api/v1/nodes/a%00b", "", "", 400},
-		{"huge exponent in an annotation, which is text", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
-		// The copy is small enough, but its result is an object where the annotation value must be a string.
-		{"two copies of metadata into its annotations", "PATCH", nodePath, jsonPatchType, copyOperations(2), 400},
+		{"path with an escaped slash in the namespace", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
+		{"path with two escaped dots as the namespace", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
+		{"path with an escaped NUL in the object name", "GET", "/api/v1/nodes/a%00b", "", "", 400},
+		{"merge patch with an annotation that reads like a quantity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
+		// The result of this patch is small, but it is not a valid Node: the value of the new annotation is an
+		// object instead of a string.
+		{"JSON patch that copies the metadata into its own annotations twice", "PATCH", nodePath, jsonPatchType, copyPatch(2), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := newEngineServer(t)
 			var response http1.Response
 			checkAllocations(t, len(test.body), func() { response = server.send(test.method, test.path, test.mediaType, test.body) })
-			if response.Status != test.status {
-				t.Errorf("response has status %d, want %d; body: %.200s", response.Status, test.status, response.Body)
+			if response.Status != test.wantStatus {
+				t.Errorf("response has status %d, want %d; body: %.200s", response.Status, test.wantStatus, response.Body)
 			}
 			if len(response.Body) > 64<<10 {
 				t.Errorf("response body has %d bytes, want at most 65536", len(response.Body))
@@ -76,12 +77,12 @@
 	server := newEngineServer(t)
 	response := server.Serve(1000, newRequest("POST", jobsPath, "", "Content-Type", jsonType, "Content-Encoding", "gzip"))
 	if response.Status != 415 {
-		t.Errorf("response to a compressed body has status %d, want 415", response.Status)
+		t.Errorf("response to a request with a compressed body has status %d, want 415", response.Status)
 	}
 }
 
-// FuzzBody checks that the server handles an arbitrary request body without an internal error, and allocates
-// no more memory than checkAllocations allows.
+// FuzzBody checks that an arbitrary request body causes no internal server error and that the server
+// allocates no more memory for it than checkAllocations allows.
 func FuzzBody(f *testing.F) {
 	endpoints := []struct{ method, path, mediaType string }{
 		{"POST", jobsPath, jsonType},
@@ -95,7 +96,7 @@
 	for _, body := range []string{
 		jobWithCPU(`"1"`),
 		jobWithCPU(`"1e1000000000"`),
-		copyOperations(40),
+		copyPatch(40),
 		`{"metadata":{"labels":{"a":"b"}}}`,
 		`{"spec":{"unschedulable":true}}`,
 		"k8s\x00\x0a\x09\x0a\x02v1\x12\x03Job\x12\x02\x0a\x00",
@@ -114,30 +115,30 @@
 		var response http1.Response
 		checkAllocations(t, len(body), func() { response = server.send(endpoint.method, endpoint.path+"?dryRun=All", endpoint.mediaType, body) })
 		if response.Status == 500 {
-			t.Fatalf("response has status 500: %s", response.Body)
+			t.Fatalf("response has status 500 (Internal Server Error); body: %s", response.Body)
 		}
 	})
 }
 
-// FuzzSelector checks that the server parses an arbitrary selector and matches it against objects without
+// FuzzSelector checks that the server can parse an arbitrary selector and compare it with objects without
 // allocating more memory than checkAllocations allows.
 func FuzzSelector(f *testing.F) {
 	for _, selector := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(selector, selector)
 	}
 	f.Fuzz(func(t *testing.T, labelSelector, fieldSelector string) {
-		length := len(labelSelector) + len(fieldSelector)
-		if length > 1<<13 {
+		selectorBytes := len(labelSelector) + len(fieldSelector)
+		if selectorBytes > 1<<13 {
 			return
 		}
 		server := newPodServer(5)
-		request := &request{
+		listRequest := &request{
 			Request:      &http1.Request{Head: &http1.Head{}},
 			resourceType: findResourceType("pods", true),
 			query:        url.Values{"labelSelector": {labelSelector}, "fieldSelector": {fieldSelector}},
 		}
-		checkAllocations(t, length, func() {
-			selector, err := request.parseSelector()
+		checkAllocations(t, selectorBytes, func() {
+			selector, err := listRequest.parseSelector()
 			if err != nil {
 				return
 			}
@@ -148,78 +149,81 @@
 	})
 }
 
-// TestGeneratedNames checks that the engine generates another name if the generated name is already in use.
+// TestGeneratedNames checks that the engine generates a different name for each Job. If a generated name is
+// already in use, the engine must generate another one.
 func TestGeneratedNames(t *testing.T) {
-	const jobs = 20000
+	const jobCount = 20000
 	server := newEngineServer(t)
 	job := &batchv1.Job{ObjectMeta: metav1.ObjectMeta{GenerateName: "g-", Namespace: "default"}}
 	job.Spec.Completions = new(int32)
 	job.Spec.Parallelism = new(int32)
 	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	names := map[string]bool{}
-	for i := range jobs {
+	for i := range jobCount {
 		created, err := server.Engine.CreateJob(1000, job, false)
 		if err != nil {
-			t.Fatalf("create Job %d: %v", i, err)
+			t.Fatalf("creating Job number %d failed: %v", i, err)
 		}
 		names[created.Name] = true
 	}
-	if len(names) != jobs {
-		t.Errorf("%d different names were generated for %d Jobs", len(names), jobs)
+	if len(names) != jobCount {
+		t.Errorf("the engine generated only %d different names for %d Jobs", len(names), jobCount)
 	}
 }
 
-// putLargePod stores a Pod whose encoding is larger than 1 KB. The Pod's name is derived from the given
-// number.
+// putLargePod stores a Pod whose encoding is larger than 1000 bytes. The name of the Pod is derived from the
+// given number.
 func putLargePod(objects *store.Store, number int) {
 	pod := newPod(fmt.Sprintf("p%04d", number))
 	pod.Annotations = map[string]string{"a": strings.Repeat("x", 1000)}
 	objects.Put(store.Pods, pod)
 }
 
-// TestLargeListIsStreamed checks that a large list is streamed in chunks that add up to the complete list. A
-// stream must end early, and report this, if the revision of its snapshot was dropped from the history.
+// TestLargeListIsStreamed checks that a large list is streamed in chunks that add up to the complete list. If
+// the store's history no longer contains the revision of the list, the stream must end early and report that
+// it is broken.
 func TestLargeListIsStreamed(t *testing.T) {
-	const pods = 400
+	const podCount = 400
 	objects := store.New(100, 500)
-	for i := range pods {
+	for i := range podCount {
 		putLargePod(objects, i)
 	}
 	server := &Server{Store: objects}
 	for _, test := range []struct {
 		name, target string
-		items        int
-		streamed     bool
+		wantItems    int
+		wantStream   bool
 	}{
-		{"all", "/api/v1/pods", pods, true},
-		{"large page", "/api/v1/pods?limit=300", 300, true},
-		{"small page", "/api/v1/pods?limit=3", 3, false},
+		{"list of all Pods", "/api/v1/pods", podCount, true},
+		{"page of 300 Pods", "/api/v1/pods?limit=300", 300, true},
+		{"page of 3 Pods", "/api/v1/pods?limit=3", 3, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := server.getAs(test.target, jsonType)
 			body := response.Body
-			if (response.Stream != nil) != test.streamed {
-				t.Fatalf("response is a stream: %v, want the opposite", response.Stream != nil)
+			if (response.Stream != nil) != test.wantStream {
+				t.Fatalf("response contains a stream: %v, want the opposite", response.Stream != nil)
 			}
-			for done := !test.streamed; !done; {
-				before := len(body)
-				if body, done = response.Stream.Pull(body, 10000); len(body)-before > 200000 {
-					t.Fatalf("one pull returned %d bytes, want at most 200000", len(body)-before)
+			for done := !test.wantStream; !done; {
+				previousLength := len(body)
+				if body, done = response.Stream.Pull(body, 10000); len(body)-previousLength > 200000 {
+					t.Fatalf("one call of Pull returned %d bytes, want at most 200000", len(body)-previousLength)
 				}
 			}
 			var list corev1.PodList
-			if err := json.Unmarshal(body, &list); err != nil || len(list.Items) != test.items || (list.Continue != "") != (test.items < pods) {
-				t.Errorf("list has %d items and continue token %q; decode list: %v", len(list.Items), list.Continue, err)
+			if err := json.Unmarshal(body, &list); err != nil || len(list.Items) != test.wantItems || (list.Continue != "") != (test.wantItems < podCount) {
+				t.Errorf("list has the wrong number of items or continue token: %d items, continue token %q; error of decoding the list: %v", len(list.Items), list.Continue, err)
 			}
 		})
 	}
-	t.Run("revision dropped from the history", func(t *testing.T) {
+	t.Run("list whose revision is dropped from the history", func(t *testing.T) {
 		response := server.getAs("/api/v1/pods", jsonType)
+		// The store's history keeps 500 changes, so these 1000 changes drop the revision of the list from it.
 		for i := range 1000 {
-			putLargePod(objects, i%pods)
+			putLargePod(objects, i%podCount)
 		}
 		if _, done := response.Stream.Pull(nil, 10000); !done || !response.Stream.(*listStream).Broken() {
-			t.Error("list stream did not end early after its revision was dropped from the history")
+			t.Error("list stream did not end early and report that it is broken after the store dropped its revision from the history")
 		}
 	})
 }
--- a/internal/kube/api/characterization_reads_test.go
+++ b/internal/kube/api/characterization_reads_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// TestCharacterizeReads compares the responses to read requests with a golden file: lists, single objects,
-// tables, selectors, pages, API discovery and errors.
+// TestCharacterizeReads compares the responses to read requests with a golden file. The requests cover lists,
+// single objects, Tables, selectors, pages, API discovery and errors.
 func TestCharacterizeReads(t *testing.T) {
 	session := newSession(t)
 	session.createInitialJobs()
 	collections := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
 	for _, target := range append(collections, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
-		for _, accept := range []string{"", jsonType, tableTypes, protobufType, protobufType + "," + jsonType, "text/html", "*/*"} {
+		for _, accept := range []string{"", jsonType, acceptTable, protobufType, protobufType + "," + jsonType, "text/html", "*/*"} {
 			session.send("GET", target, "", "Accept", accept)
 		}
 		session.send("HEAD", target, "")
-		session.send("GET", target+"?includeObject=Object", "", "Accept", tableTypes)
-		session.send("GET", target+"?includeObject=None", "", "Accept", tableTypes)
+		session.send("GET", target+"?includeObject=Object", "", "Accept", acceptTable)
+		session.send("GET", target+"?includeObject=None", "", "Accept", acceptTable)
 	}
 	session.readWithQueries(collections)
 	for _, target := range []string{
@@ -35,7 +35,7 @@
 	session.recorder.Check(t, "reads")
 }
 
-// readWithQueries requests each collection with valid and invalid query parameters.
+// readWithQueries reads each list with valid and with invalid query parameters.
 func (session *apiSession) readWithQueries(collections []string) {
 	for _, target := range collections {
 		for _, query := range []string{
@@ -53,16 +53,16 @@
 	}
 }
 
-// readPages requests the pages of a list one after another, up to six.
+// readPages reads up to six pages of a list. Each request contains the continue token of the previous page.
 func (session *apiSession) readPages(target string) {
-	next := ""
+	continueParameter := ""
 	for range 6 {
-		body := string(session.get(target + "?limit=3" + next).Body)
-		_, token, found := strings.Cut(body, `"continue":"`)
-		if !found {
+		body := string(session.get(target + "?limit=3" + continueParameter).Body)
+		_, token, hasToken := strings.Cut(body, `"continue":"`)
+		if !hasToken {
 			return
 		}
 		token, _, _ = strings.Cut(token, `"`)
-		next = "&continue=" + token
+		continueParameter = "&continue=" + token
 	}
 }
--- a/internal/kube/api/characterization_watches_test.go
+++ b/internal/kube/api/characterization_watches_test.go
@@ -7,15 +7,15 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCharacterizeWatches compares the bytes that watches send with a golden file. It covers JSON and the
-// protobuf encoding, selectors, bookmarks and initial events.
+// TestCharacterizeWatches compares the data that watches send with a golden file. The watches cover JSON, the
+// protobuf encoding, selectors, bookmarks, initial events and errors.
 func TestCharacterizeWatches(t *testing.T) {
 	session := newSession(t)
 	var streams []http1.Stream
-	var labels []string
+	var watchLabels []string
 	openWatch := func(target string, header ...string) {
 		streams = append(streams, session.watch(t, target, header...))
-		labels = append(labels, fmt.Sprintf("watch %d", len(labels)))
+		watchLabels = append(watchLabels, fmt.Sprintf("watch %d", len(watchLabels)))
 	}
 	for _, target := range []string{
 		"/api/v1/pods?watch=1", jobsPath + "?watch=true", "/api/v1/nodes?watch=1&resourceVersion=0",
@@ -25,7 +25,7 @@
 	} {
 		openWatch(target)
 		openWatch(target, "Accept", protobufType)
-		openWatch(target, "Accept", tableTypes)
+		openWatch(target, "Accept", acceptTable)
 	}
 	for round := range 6 {
 		if round < 3 {
@@ -35,7 +35,7 @@
 		}
 		session.advance(1)
 		for i, stream := range streams {
-			session.pull(labels[i], stream, []int{1, 500, 1 << 20}[round%3])
+			session.pull(watchLabels[i], stream, []int{1, 500, 1 << 20}[round%3])
 		}
 	}
 	session.recorder.Line("%d watchers", session.server.OpenWatches())
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -11,8 +11,8 @@
 	"heathshed/internal/config"
 )
 
-// TestCharacterizeWrites compares the responses to write requests with a golden file: creations, updates,
-// patches, evictions, deletions and errors.
+// TestCharacterizeWrites compares the responses to write requests with a golden file. The requests cover
+// creations, updates, patches, evictions, deletions and errors.
 func TestCharacterizeWrites(t *testing.T) {
 	session := newSession(t)
 	session.createInitialJobs()
@@ -28,6 +28,8 @@
 	session.recorder.Check(t, "writes")
 }
 
+// createJobs sends requests that create Jobs, with valid and with invalid bodies, query parameters and
+// headers.
 func (session *apiSession) createJobs() {
 	validJob := jobJSON("new", "", 2)
 	validJobWith := func(old, replacement string) string { return strings.Replace(validJob, old, replacement, 1) }
@@ -88,8 +90,9 @@
 // patch contains the body of a PATCH request and its media type.
 type patch struct{ mediaType, body string }
 
+// patchObjects sends valid and invalid patches of Jobs and of a Node.
 func (session *apiSession) patchObjects() {
-	for _, change := range []patch{
+	for _, jobPatch := range []patch{
 		{mergePatchType, `{"metadata":{"labels":{"team":"b"}}}`},
 		{mergePatchType, `{"spec":{"suspend":true}}`},
 		{mergePatchType, `{"spec":{"suspend":false}}`},
@@ -112,11 +115,11 @@
 		{jsonType, "{}"},
 		{"", "{}"},
 	} {
-		session.patch(jobsPath+"/job-3", change)
-		session.patch(jobsPath+"/job-2?dryRun=All", change)
+		session.patch(jobsPath+"/job-3", jobPatch)
+		session.patch(jobsPath+"/job-2?dryRun=All", jobPatch)
 		session.advance(0.2)
 	}
-	for _, change := range []patch{
+	for _, nodePatch := range []patch{
 		{mergePatchType, `{"spec":{"unschedulable":true}}`},
 		{strategicPatchType, `{"spec":{"unschedulable":null}}`},
 		{strategicPatchType, `{"spec":{"unschedulable":true}}`},
@@ -127,7 +130,7 @@
 		{mergePatchType, `{"spec":{"taints":[{"key":"a","effect":"NoSchedule"}]}}`},
 		{mergePatchType, `{"spec":{"podCIDR":"10.0.0.0/8"}}`},
 	} {
-		session.patch(nodePath, change)
+		session.patch(nodePath, nodePatch)
 		session.advance(0.1)
 	}
 	for _, path := range []string{"/api/v1/nodes/missing", jobsPath + "/missing", jobsPath + "/job-3/status", podsPath + "/x"} {
@@ -135,25 +138,27 @@
 	}
 }
 
-func (session *apiSession) patch(target string, change patch) {
-	session.send("PATCH", target, change.body, "Content-Type", change.mediaType)
+func (session *apiSession) patch(target string, requestPatch patch) {
+	session.send("PATCH", target, requestPatch.body, "Content-Type", requestPatch.mediaType)
 }
 
+// replaceObjects sends PUT requests with valid and invalid replacements of Jobs and of a Node.
 func (session *apiSession) replaceObjects() {
-	current := string(session.get(jobsPath + "/job-3").Body)
-	node := string(session.get(nodePath).Body)
-	session.sendJSON("PUT", jobsPath+"/job-3", current)
-	session.sendJSON("PUT", jobsPath+"/job-3", strings.Replace(current, `"parallelism":1`, `"parallelism":3`, 1))
-	session.sendJSON("PUT", jobsPath+"/job-3", current) // The object has an outdated resource version.
-	session.sendJSON("PUT", jobsPath+"/job-2", current) // The object has a different name than the path.
+	currentJob := string(session.get(jobsPath + "/job-3").Body)
+	currentNode := string(session.get(nodePath).Body)
+	session.sendJSON("PUT", jobsPath+"/job-3", currentJob)
+	session.sendJSON("PUT", jobsPath+"/job-3", strings.Replace(currentJob, `"parallelism":1`, `"parallelism":3`, 1))
+	session.sendJSON("PUT", jobsPath+"/job-3", currentJob) // The resource version of this Job is outdated.
+	session.sendJSON("PUT", jobsPath+"/job-2", currentJob) // The name of this Job is not the name in the path.
 	session.sendJSON("PUT", jobsPath+"/missing", jobJSON("missing", "", 1))
 	session.sendJSON("PUT", jobsPath+"/job-3", "{}")
-	session.sendJSON("PUT", nodePath, node)
-	session.sendJSON("PUT", nodePath, strings.Replace(node, `"spec":{`, `"spec":{"unschedulable":true,`, 1))
+	session.sendJSON("PUT", nodePath, currentNode)
+	session.sendJSON("PUT", nodePath, strings.Replace(currentNode, `"spec":{`, `"spec":{"unschedulable":true,`, 1))
 	session.sendJSON("PUT", nodePath, "{}")
 	session.get("/api/v1/nodes")
 }
 
+// evictAndDeleteObjects sends valid and invalid requests that evict Pods or delete Jobs, Pods or a Node.
 func (session *apiSession) evictAndDeleteObjects() {
 	names := session.podNames()
 	eviction := `{"apiVersion":"policy/v1","kind":"Eviction","metadata":{"name":%q}}`
@@ -187,6 +192,7 @@
 	session.get(podsPath)
 }
 
+// podNames returns the names of all Pods in the namespace "default".
 func (session *apiSession) podNames() []string {
 	var names []string
 	for _, part := range strings.Split(string(session.get(podsPath).Body), `"metadata":{"name":"`)[1:] {
@@ -196,8 +202,8 @@
 	return names
 }
 
-// TestCharacterizeFullServer compares with a golden file how the server responds to a Job after the maximum
-// number of Pods is reached.
+// TestCharacterizeFullServer compares the responses to requests that create Jobs with a golden file.
+// Together, the Jobs have more Pods than the engine allows.
 func TestCharacterizeFullServer(t *testing.T) {
 	settings := config.Default()
 	cfg := settings.Engine(1, 1000)
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -12,10 +12,10 @@
 	"heathshed/internal/netio/http1"
 )
 
-// defaultSchedulerName is the default of spec.schedulerName of a Pod.
+// defaultSchedulerName is the default value of the field spec.schedulerName of a Pod.
 const defaultSchedulerName = "heathshed"
 
-// These constants are the defaults that the Kubernetes API specifies for Jobs and their Pods.
+// These constants are default values that the Kubernetes API specifies for fields of Jobs and their Pods.
 const (
 	defaultParallelism        int32 = 1
 	defaultCompletions        int32 = 1
@@ -26,10 +26,10 @@
 // createJob serves POST requests that create a Job.
 func (s *Server) createJob(r *request) (http1.Response, error) {
 	if err := s.readyError(); err != nil {
-		return http1.Response{}, newServiceUnavailable(err.Error())
+		return http1.Response{}, newServiceUnavailableError(err.Error())
 	}
 	if r.namespace == "" {
-		return http1.Response{}, r.methodNotAllowed()
+		return http1.Response{}, r.methodNotAllowedError()
 	}
 	job, err := r.decodeNewJob()
 	if err != nil {
@@ -53,8 +53,8 @@
 	return objectResponse(http.StatusCreated, created)
 }
 
-// decodeNewJob decodes the Job in the request body. A Job without a namespace gets the namespace of the
-// request.
+// decodeNewJob decodes the Job in the request body. If the Job states no namespace, it gets the namespace in
+// the request path.
 func (r *request) decodeNewJob() (*batchv1.Job, error) {
 	job := &batchv1.Job{}
 	if err := r.decode(job, r.resourceType.kind); err != nil {
@@ -86,7 +86,8 @@
 	}
 }
 
-// setJobDefaults sets the fields of a Job that the client left unset to the defaults of the Kubernetes API.
+// setJobDefaults fills in the defaults of the Kubernetes API for the fields of a Job that the client did not
+// set.
 func setJobDefaults(job *batchv1.Job) {
 	spec := &job.Spec
 	if spec.Parallelism == nil {
@@ -100,13 +101,15 @@
 	setPodDefaults(&spec.Template.Spec)
 }
 
-func setPodDefaults(pod *corev1.PodSpec) {
-	setDefaultString(&pod.DNSPolicy, corev1.DNSClusterFirst)
-	setDefault(&pod.TerminationGracePeriodSeconds, defaultGracePeriodSeconds)
-	setDefaultString(&pod.SchedulerName, defaultSchedulerName)
-	setDefault(&pod.SecurityContext, corev1.PodSecurityContext{})
-	for i := range pod.Containers {
-		container := &pod.Containers[i]
+// setPodDefaults fills in the defaults of the Kubernetes API for the fields of a Pod that the client did not
+// set.
+func setPodDefaults(podSpec *corev1.PodSpec) {
+	setDefaultString(&podSpec.DNSPolicy, corev1.DNSClusterFirst)
+	setDefault(&podSpec.TerminationGracePeriodSeconds, defaultGracePeriodSeconds)
+	setDefaultString(&podSpec.SchedulerName, defaultSchedulerName)
+	setDefault(&podSpec.SecurityContext, corev1.PodSecurityContext{})
+	for i := range podSpec.Containers {
+		container := &podSpec.Containers[i]
 		setDefaultString(&container.TerminationMessagePath, corev1.TerminationMessagePathDefault)
 		setDefaultString(&container.TerminationMessagePolicy, corev1.TerminationMessageReadFile)
 		setDefaultString(&container.ImagePullPolicy, corev1.PullIfNotPresent)
--- a/internal/kube/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -17,15 +17,20 @@
 )
 
 const (
-	maxWarnings     = 20
+	// maxWarnings is the maximum number of unknown or duplicate fields for which a response contains
+	// warnings.
+	maxWarnings = 20
+	// maxWarningChars is the maximum number of characters of a warning about a field. Longer ones are cut
+	// off.
 	maxWarningChars = 200
 )
 
 // protobufMessage is implemented by objects that can be decoded from the protobuf encoding.
 type protobufMessage interface{ Unmarshal([]byte) error }
 
-// decode decodes the request body into an object of the expected kind. The body may be JSON or in the
-// protobuf encoding, which client-go prefers.
+// decode decodes the request body into an object of the expected kind. The Content-Type header states whether
+// the body is JSON or uses the protobuf encoding, which client-go prefers. Without this header, the body is
+// decoded as JSON.
 func (r *request) decode(into any, wantKind string) error {
 	mediaType := jsonType
 	if header := r.Head.Header.Get("Content-Type"); header != "" {
@@ -45,7 +50,7 @@
 			"accepted media types include: application/json, application/vnd.kubernetes.protobuf; not %s", mediaType))
 }
 
-// decodeProtobuf decodes a body in the protobuf encoding into an object of the expected kind.
+// decodeProtobuf decodes a request body in the protobuf encoding into an object of the expected kind.
 func decodeProtobuf(body []byte, into any, wantKind string) error {
 	content, hasMagic := bytes.CutPrefix(body, protobufMagic)
 	if err := decodelimit.CheckProto(content, decodelimit.ObjectLimits()); err != nil {
@@ -78,9 +83,9 @@
 	if err != nil {
 		return apierrors.NewBadRequest("body: " + err.Error())
 	}
-	var meta metav1.TypeMeta
-	if err := json.Unmarshal(text, &meta); err == nil {
-		if err := checkKind(meta.Kind, wantKind); err != nil {
+	var typeMeta metav1.TypeMeta
+	if err := json.Unmarshal(text, &typeMeta); err == nil {
+		if err := checkKind(typeMeta.Kind, wantKind); err != nil {
 			return err
 		}
 	}
@@ -90,8 +95,9 @@
 	return r.reportStrictErrors(strictErrors)
 }
 
-// reportStrictErrors rejects or ignores unknown and duplicate fields, or reports them as warnings, as the
-// query parameter fieldValidation requests.
+// reportStrictErrors handles errors about unknown and duplicate fields in a request body. Depending on the
+// query parameter fieldValidation, it ignores these errors, adds them to the response as warnings, or returns
+// an error that rejects the request.
 func (r *request) reportStrictErrors(strictErrors []error) error {
 	var warnings []string
 	for i, strictError := range strictErrors {
@@ -113,7 +119,8 @@
 	return apierrors.NewBadRequest("fieldValidation: want Ignore, Warn or Strict")
 }
 
-// checkKind rejects an object of an unexpected kind. A body may omit the kind.
+// checkKind returns an error if a request body states another kind of object than the expected one. The body
+// may omit the kind.
 func checkKind(got, want string) error {
 	if got != "" && got != want {
 		return apierrors.NewBadRequest(fmt.Sprintf("the object in the body is a %s, want a %s", got, want))
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -15,7 +15,7 @@
 	"heathshed/internal/netio/http1"
 )
 
-// deleteObjects serves DELETE requests for a single object or for a collection.
+// deleteObjects serves DELETE requests, which delete a single object or a collection of objects.
 func (s *Server) deleteObjects(r *request) (http1.Response, error) {
 	options, err := r.deleteOptions()
 	if err != nil {
@@ -31,7 +31,8 @@
 	return s.deleteCollection(r, options, dryRun)
 }
 
-// deleteOptions reads the delete options from the request body and from the query parameters.
+// deleteOptions reads the delete options in the request body. The query parameter propagationPolicy replaces
+// the propagation policy in the body.
 func (r *request) deleteOptions() (*metav1.DeleteOptions, error) {
 	options := &metav1.DeleteOptions{}
 	if len(bytes.TrimSpace(r.Body)) > 0 {
@@ -53,8 +54,8 @@
 	}
 }
 
-// deleteNamed deletes a single object. The response contains the object, or a Status if the object is a Job
-// that was removed immediately.
+// deleteNamed deletes a single object. The response contains the deleted object. If the object is a Job that
+// was removed from the store immediately, the response contains a Status instead.
 func (s *Server) deleteNamed(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if current == nil {
@@ -78,8 +79,8 @@
 	return objectResponse(http.StatusOK, deleted)
 }
 
-// deleteCollection deletes all objects that match the selectors of the request. The response contains the
-// list of these objects.
+// deleteCollection deletes all objects that match the selectors of the request. The response lists these
+// objects.
 func (s *Server) deleteCollection(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	selector, err := r.parseSelector()
 	if err != nil {
@@ -96,8 +97,8 @@
 		if err == nil {
 			continue
 		}
-		// The error is ignored if the object no longer exists, because deleting one object may delete others.
-		// For example, deleting a Job deletes its Pods.
+		// An error is ignored if the object no longer exists, because the deletion of one object may delete
+		// other objects. For example, the deletion of a Job also deletes its Pods.
 		if s.Store.Get(r.resourceType.resource, selected.GetNamespace(), selected.GetName()) != nil {
 			return http1.Response{}, r.toStatusError(err, selected.GetName())
 		}
@@ -105,7 +106,7 @@
 	return response, nil
 }
 
-// selectedObjects returns the stored objects that match a selector.
+// selectedObjects returns the objects in the store that match a selector.
 func (s *Server) selectedObjects(selector *objectSelector) []store.Object {
 	var objects []store.Object
 	snapshot := s.Store.Snapshot(selector.resourceType.resource)
@@ -118,29 +119,29 @@
 	return objects
 }
 
-// deleteObject deletes a Job or a Pod through the engine.
+// deleteObject calls the engine to delete a Job or a Pod.
 func (s *Server) deleteObject(r *request, o store.Object, options *metav1.DeleteOptions) (store.Object, error) {
 	var uid types.UID
-	revision := ""
+	resourceVersion := ""
 	if preconditions := options.Preconditions; preconditions != nil {
 		if preconditions.UID != nil {
 			uid = *preconditions.UID
 		}
 		if preconditions.ResourceVersion != nil {
-			revision = *preconditions.ResourceVersion
+			resourceVersion = *preconditions.ResourceVersion
 		}
 	}
 	if r.resourceType.resource == store.Pods {
-		return s.Engine.DeletePod(s.now, o.GetNamespace(), o.GetName(), uid, revision)
+		return s.Engine.DeletePod(s.now, o.GetNamespace(), o.GetName(), uid, resourceVersion)
 	}
-	propagation := metav1.DeletePropagationBackground
+	propagationPolicy := metav1.DeletePropagationBackground
 	if options.PropagationPolicy != nil {
-		propagation = *options.PropagationPolicy
+		propagationPolicy = *options.PropagationPolicy
 	}
-	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, revision, propagation)
+	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, resourceVersion, propagationPolicy)
 }
 
-// evictPod serves POST requests that create an Eviction of a Pod.
+// evictPod serves POST requests that create an Eviction, which evicts a Pod.
 func (s *Server) evictPod(r *request) (http1.Response, error) {
 	var eviction policyv1.Eviction
 	if err := r.decode(&eviction, "Eviction"); err != nil {
@@ -159,8 +160,8 @@
 	})
 }
 
-// evictionUID returns the UID that the Pod must have to be evicted. The result is empty if the Eviction
-// requires none.
+// evictionUID returns the UID that an Eviction requires the Pod to have. The result is empty if the Eviction
+// states no such precondition.
 func evictionUID(eviction *policyv1.Eviction) types.UID {
 	options := eviction.DeleteOptions
 	if options == nil || options.Preconditions == nil || options.Preconditions.UID == nil {
--- a/internal/kube/api/discovery.go
+++ b/internal/kube/api/discovery.go
@@ -22,7 +22,8 @@
 	kubernetesVersion = "v1.37.2"
 )
 
-// serveDiscovery serves the paths that describe the API: its version, groups and resources.
+// serveDiscovery serves the paths of API discovery. The responses describe the version, the groups and the
+// resources of the API.
 func (s *Server) serveDiscovery(r *request) (http1.Response, error) {
 	if !r.isRead() {
 		return http1.Response{}, apierrors.NewMethodNotSupported(schema.GroupResource{Resource: r.pathSegments[0]}, r.Head.Method)
@@ -71,7 +72,7 @@
 	}
 }
 
-// resourceList returns the discovery document that describes the resources of a group and version.
+// resourceList returns the discovery document that describes the resources of an API group and version.
 func resourceList(groupVersion schema.GroupVersion) *metav1.APIResourceList {
 	list := &metav1.APIResourceList{
 		TypeMeta:     metav1.TypeMeta{Kind: "APIResourceList", APIVersion: "v1"},
--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -15,13 +15,13 @@
 
 const (
 	// tooManyRetrySeconds is the value of Retry-After in responses with status 429 (Too Many Requests).
-	tooManyRetrySeconds = 5
+	tooManyRequestsRetrySeconds = 5
 	// unavailableRetrySeconds is the value of Retry-After in responses with status 503 (Service Unavailable).
 	unavailableRetrySeconds = 1
 )
 
-// newStatusError returns an error with an API status, for statuses that package apierrors has no constructor
-// for.
+// newStatusError returns an error with an API status. It is used for statuses that have no constructor in
+// package apierrors.
 func newStatusError(code int32, reason metav1.StatusReason, message string) *apierrors.StatusError {
 	return &apierrors.StatusError{ErrStatus: metav1.Status{
 		Status:  metav1.StatusFailure,
@@ -31,32 +31,33 @@
 	}}
 }
 
-// newInvalidSegment returns the error for a path segment that is not a valid name. For example, a name must
-// not contain an escaped slash.
-func newInvalidSegment(segmentKind, value string) error {
+// newInvalidSegmentError returns the error for a path segment that is not a valid name, for example because
+// it contains an escaped slash. The argument segmentKind states what the segment should name.
+func newInvalidSegmentError(segmentKind, value string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
 		"with a letter or digit", segmentKind, value))
 }
 
-func newPathNotFound() error {
+func newPathNotFoundError() error {
 	return newStatusError(http.StatusNotFound, metav1.StatusReasonNotFound, "the server could not find the requested resource")
 }
 
-func newServiceUnavailable(message string) error {
+func newServiceUnavailableError(message string) error {
 	err := newStatusError(http.StatusServiceUnavailable, metav1.StatusReasonServiceUnavailable, message)
 	err.ErrStatus.Details = &metav1.StatusDetails{RetryAfterSeconds: unavailableRetrySeconds}
 	return err
 }
 
-// newRevisionExpired returns the error for a request with a resource version that was dropped from the
-// history.
-func newRevisionExpired(message string) *apierrors.StatusError {
+// newResourceVersionExpiredError returns the error for a request with a resource version that the store's
+// history no longer contains.
+func newResourceVersionExpiredError(message string) *apierrors.StatusError {
 	return apierrors.NewResourceExpired(message)
 }
 
-// newRevisionTooLarge returns the error for a request with a resource version that does not exist yet.
-func newRevisionTooLarge(revision, current int64) error {
-	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", revision, current), 1)
+// newResourceVersionTooLargeError returns the error for a request with a resource version that does not exist
+// yet.
+func newResourceVersionTooLargeError(resourceVersion, currentVersion int64) error {
+	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", resourceVersion, currentVersion), 1)
 	err.ErrStatus.Details.Causes = []metav1.StatusCause{{
 		Type:    metav1.CauseTypeResourceVersionTooLarge,
 		Message: "Too large resource version",
@@ -64,7 +65,8 @@
 	return err
 }
 
-// newDecodeLimitError returns the error for a body or patch whose decoding would take too much memory.
+// newDecodeLimitError returns the error for a request body that would take too much memory to decode. The
+// argument source is the first word of the message.
 func newDecodeLimitError(source string, err error) error {
 	message := source + ": " + err.Error()
 	var limitError *decodelimit.Error
@@ -74,7 +76,8 @@
 	return apierrors.NewBadRequest(message)
 }
 
-// toStatusError converts an error that the engine returned for an object to an error with an API status.
+// toStatusError converts an error that the engine returned to an error with an API status. The argument name
+// is the name of the object that the engine was called for.
 func (r *request) toStatusError(err error, name string) error {
 	var invalid *engine.InvalidError
 	switch {
@@ -85,9 +88,9 @@
 	case errors.Is(err, engine.ErrConflict):
 		return apierrors.NewConflict(r.groupResource(), name, err)
 	case errors.Is(err, engine.ErrTooMany):
-		return apierrors.NewTooManyRequests(err.Error(), tooManyRetrySeconds)
+		return apierrors.NewTooManyRequests(err.Error(), tooManyRequestsRetrySeconds)
 	case errors.Is(err, engine.ErrStopping):
-		return newServiceUnavailable(err.Error())
+		return newServiceUnavailableError(err.Error())
 	case errors.As(err, &invalid):
 		details := field.ErrorList{field.Invalid(field.NewPath(invalid.Field), invalid.Value, invalid.Detail)}
 		return apierrors.NewInvalid(r.groupKind(), name, details)
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -26,8 +26,8 @@
 	jsonPatchType      = string(types.JSONPatchType)
 	mergePatchType     = string(types.MergePatchType)
 	strategicPatchType = string(types.StrategicMergePatchType)
-	// tableTypes is the Accept header of a client that prefers a Table to plain JSON.
-	tableTypes = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json"
+	// acceptTable is the Accept header of a client that prefers a Table to plain JSON.
+	acceptTable = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json"
 )
 
 // newPod returns a Pod with the given name in the namespace "default".
@@ -39,10 +39,11 @@
 }
 
 // newPodServer returns a read-only server with the given number of Pods, which are named pa, pb and so on.
-// The label "odd" of every second Pod has the value "1".
-func newPodServer(pods int) *Server {
+// The label "odd" alternates between the values "0" and "1" from Pod to Pod. The store's history keeps 50
+// changes.
+func newPodServer(podCount int) *Server {
 	objects := store.New(100, 50)
-	for i := range pods {
+	for i := range podCount {
 		pod := newPod("p" + string(rune('a'+i)))
 		pod.Labels = map[string]string{"odd": string(rune('0' + i%2))}
 		pod.Status.Phase = corev1.PodPending
@@ -51,7 +52,7 @@
 	return &Server{Store: objects}
 }
 
-// newServer returns a server with a new engine whose inventory lists the given nodes.
+// newServer returns a server with a new engine that has received a list of the given nodes.
 func newServer(tb testing.TB, cfg engine.Config, now placer.Seconds, nodes ...*corev1.Node) *Server {
 	tb.Helper()
 	jobEngine, err := engine.New(cfg)
@@ -62,7 +63,7 @@
 	return &Server{Store: jobEngine.Store(), Engine: jobEngine}
 }
 
-// newEngineServer returns a server with an engine that has the default settings and one node.
+// newEngineServer returns a server with one node and an engine that has the default settings.
 func newEngineServer(tb testing.TB) *Server {
 	tb.Helper()
 	node := &corev1.Node{}
@@ -72,7 +73,7 @@
 	return newServer(tb, settings.Engine(1, 1000), 1000, node)
 }
 
-// newRequest returns a request. The header arguments are alternating names and values of header fields.
+// newRequest returns an HTTP request. The header arguments are alternating names and values of header fields.
 func newRequest(method, target, body string, header ...string) *http1.Request {
 	head := &http1.Head{Method: method, Target: target, MinorVersion: 1}
 	for i := 0; i+1 < len(header); i += 2 {
@@ -81,12 +82,12 @@
 	return &http1.Request{Head: head, Body: []byte(body), Peer: "127.0.0.1:1"}
 }
 
-// getAs serves a GET request with the given Accept header.
+// getAs returns the response of the server to a GET request with the given Accept header.
 func (s *Server) getAs(target, accept string) http1.Response {
 	return s.Serve(1000, newRequest("GET", target, "", "Accept", accept))
 }
 
-// send serves a request with the given content type and body.
+// send returns the response of the server to a request with the given content type and body.
 func (s *Server) send(method, target, contentType, body string) http1.Response {
 	return s.Serve(1000, newRequest(method, target, body, "Content-Type", contentType))
 }
@@ -99,16 +100,16 @@
 	return string(protowire.AppendBytes(protowire.AppendTag(envelope, 2, protowire.BytesType), encoded))
 }
 
-// jobWithCPU returns a Job in JSON whose container requests the given CPU quantity. The quantity is itself
-// JSON, either a string or a number.
+// jobWithCPU returns a Job as JSON. Its container requests the given CPU quantity, which must be a string or
+// a number in JSON.
 func jobWithCPU(quantity string) string {
 	return `{"metadata":{"name":"j"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
 		`{"requests":{"cpu":` + quantity + `}}}]}}}}`
 }
 
-// copyOperations returns a JSON patch that copies an object's metadata into its own annotations repeatedly.
-// Each copy contains all previous copies, so the object's size doubles with every operation.
-func copyOperations(copies int) string {
+// copyPatch returns a JSON patch that copies the metadata of an object into the object's own annotations
+// repeatedly. Each copy contains all previous copies, so the size of the object doubles with every operation.
+func copyPatch(copies int) string {
 	operations := []string{`{"op":"add","path":"/metadata/annotations","value":{"a":"b"}}`}
 	for i := range copies {
 		operations = append(operations, fmt.Sprintf(`{"op":"copy","from":"/metadata","path":"/metadata/annotations/x%d"}`, i))
@@ -116,9 +117,9 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// checkAllocations fails the test if serve allocates more memory than allowed for a request body of bodyBytes
-// bytes. The limit grows with the body up to a fixed maximum. The measurement includes all allocations that
-// the process makes while serve runs.
+// checkAllocations fails the test if the function serve allocates more memory than allowed for a request body
+// of bodyBytes bytes. The limit grows with the size of the body up to a fixed maximum. The measurement
+// includes all allocations that the process makes while serve runs.
 func checkAllocations(tb testing.TB, bodyBytes int, serve func()) {
 	tb.Helper()
 	var before, after runtime.MemStats
@@ -127,6 +128,6 @@
 	runtime.ReadMemStats(&after)
 	limit := min(16<<20+2048*uint64(bodyBytes), 96<<20)
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > limit {
-		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d", bodyBytes, allocated, limit)
+		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d bytes", bodyBytes, allocated, limit)
 	}
 }
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxInlineListBytes is the maximum size of a list that is encoded in one piece. A larger list is encoded
-	// while it is sent.
+	// maxInlineListBytes is the size up to which an encoded list is sent as a single response body. A larger
+	// list is sent as a stream and encoded while it is sent.
 	maxInlineListBytes = 64 << 10
-	// maxTableRows limits the rows on one page of a Table, because a Table is encoded in one piece. The
-	// response contains a continue token for the next page.
+	// maxTableRows is the maximum number of rows in a Table, because a Table is encoded completely before it
+	// is sent. The response to a longer list contains a continue token for the next page.
 	maxTableRows = 1000
-	// maxRemainingItems limits how many of the items after a page are counted for remainingItemCount.
+	// maxRemainingItems is the maximum value of remainingItemCount, which is the number of list items after a
+	// page.
 	maxRemainingItems = 1 << 16
 )
 
-// These constants are the valid values of the resourceVersionMatch parameter.
+// These constants are the valid values of the query parameter resourceVersionMatch.
 const (
 	matchExact        = "Exact"
 	matchNotOlderThan = "NotOlderThan"
@@ -41,10 +42,10 @@
 		meta := metav1.ListMeta{ResourceVersion: change.Object.GetResourceVersion()}
 		return s.tableResponse(r, meta, []store.Object{change.Object})
 	}
-	return encodedJSONResponse(http.StatusOK, encodedJSON(change)), nil
+	return encodedJSONResponse(http.StatusOK, cachedJSON(change)), nil
 }
 
-// listObjects serves GET and HEAD requests for a list of objects, and watches of such a list.
+// listObjects serves GET and HEAD requests for a list of objects, and watch requests for such a list.
 func (s *Server) listObjects(r *request) (http1.Response, error) {
 	selector, err := r.parseSelector()
 	if err != nil {
@@ -64,7 +65,8 @@
 	return s.listPage(r, selector, snapshot, afterKey, limit)
 }
 
-// listLimit returns the maximum number of objects on a page. The result is 0 if the page is unlimited.
+// listLimit returns the maximum number of objects in the response to a list request. The result is 0 if the
+// number is unlimited.
 func (s *Server) listLimit(r *request) (int, error) {
 	limit := 0
 	if text := r.query.Get("limit"); text != "" {
@@ -79,7 +81,8 @@
 	return limit, nil
 }
 
-// parseResourceVersion parses a resource version. An empty text gives 0.
+// parseResourceVersion parses a resource version, which is a revision of the store as a decimal number. The
+// result for an empty text is 0.
 func parseResourceVersion(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -98,26 +101,26 @@
 	if err != nil {
 		return snapshot, "", err
 	}
-	match := r.query.Get("resourceVersionMatch")
+	versionMatch := r.query.Get("resourceVersionMatch")
 	if token := r.query.Get("continue"); token != "" {
-		if revision != 0 || match != "" {
+		if revision != 0 || versionMatch != "" {
 			return snapshot, "", apierrors.NewBadRequest("specifying resource version is not allowed when using continue")
 		}
 		return s.continuedSnapshot(r, token)
 	}
 	switch {
-	case match != "" && match != matchExact && match != matchNotOlderThan:
+	case versionMatch != "" && versionMatch != matchExact && versionMatch != matchNotOlderThan:
 		return snapshot, "", apierrors.NewBadRequest("resourceVersionMatch: want Exact or NotOlderThan")
-	case match != "" && r.query.Get("resourceVersion") == "":
+	case versionMatch != "" && r.query.Get("resourceVersion") == "":
 		return snapshot, "", apierrors.NewBadRequest("resourceVersionMatch is forbidden unless resourceVersion is provided")
-	case match == matchExact && revision == 0:
+	case versionMatch == matchExact && revision == 0:
 		return snapshot, "", apierrors.NewBadRequest(`resourceVersionMatch "Exact" is forbidden for resourceVersion "0"`)
 	case revision > s.Store.Revision():
-		return snapshot, "", newRevisionTooLarge(revision, s.Store.Revision())
-	case match == matchExact:
+		return snapshot, "", newResourceVersionTooLargeError(revision, s.Store.Revision())
+	case versionMatch == matchExact:
 		snapshot, err = s.Store.FindSnapshot(s.now, r.resourceType.resource, revision)
 		if err != nil {
-			return snapshot, "", newRevisionExpired(fmt.Sprintf("too old resource version: %d", revision))
+			return snapshot, "", newResourceVersionExpiredError(fmt.Sprintf("too old resource version: %d", revision))
 		}
 		return snapshot, "", nil
 	}
@@ -127,6 +130,7 @@
 // continueToken identifies the position after a page of a list. Clients receive a continueToken as
 // base64-encoded JSON.
 type continueToken struct {
+	// Revision is the revision of the snapshot that all pages of the list show.
 	Revision int64 `json:"rv"`
 	// After is the key of the last object on the page.
 	After string `json:"after"`
@@ -153,103 +157,109 @@
 
 // continuedSnapshot returns the snapshot that a continue token refers to. The next page begins with the first
 // object whose key is greater than afterKey.
-func (s *Server) continuedSnapshot(r *request, text string) (snapshot store.Snapshot, afterKey string, err error) {
-	token, err := decodeContinueToken(text)
+func (s *Server) continuedSnapshot(r *request, tokenText string) (snapshot store.Snapshot, afterKey string, err error) {
+	token, err := decodeContinueToken(tokenText)
 	if err != nil {
 		return snapshot, "", apierrors.NewBadRequest("continue key is not valid")
 	}
 	snapshot, err = s.Store.FindSnapshot(s.now, r.resourceType.resource, token.Revision)
 	if err != nil {
-		return snapshot, "", newRevisionExpired("The provided continue parameter is too old to display a consistent list result")
+		return snapshot, "", newResourceVersionExpiredError("The provided continue parameter is too old to display a consistent list result")
 	}
 	return snapshot, token.After, nil
 }
 
-// page is one page of a list whose request has a limit.
+// page describes one page of a list whose request has a limit.
 type page struct {
-	objects     []store.Object
+	// objects contains the objects on the page if the caller of scanPage requested them.
+	objects []store.Object
+	// objectCount is the number of objects on the page.
 	objectCount int
-	lastKey     string
-	// hasMore is set if matching objects follow the page.
+	// lastKey is the key of the last object on the page.
+	lastKey string
+	// hasMore is true if at least one matching object follows the page.
 	hasMore bool
-	// remainingCount is the number of objects after the page, as far as scanPage counted them.
+	// remainingCount is the number of matching objects after the page, as far as scanPage counted them.
 	remainingCount int64
 }
 
-// scanPage determines which objects belong to a page, and returns the objects themselves if collectObjects is
-// set. The function counts all objects after the page, up to maxRemainingItems, only if the selector matches
-// every object.
+// scanPage determines which objects of a snapshot are on a page. The result contains the objects themselves
+// only if collectObjects is true. If the selector matches every object, scanPage also counts the objects
+// after the page, up to maxRemainingItems. Otherwise it stops at the first matching object after the page.
 func scanPage(selector *objectSelector, snapshot store.Snapshot, afterKey string, limit int, collectObjects bool) page {
-	var found page
+	var result page
 	snapshot.Scan(selector.namespace, afterKey, func(key string, change *store.Change) bool {
 		if !selector.matches(change.Object) {
 			return true
 		}
-		if found.objectCount >= limit {
-			found.hasMore = true
-			found.remainingCount++
-			return selector.matchesAll && found.remainingCount < maxRemainingItems
+		if result.objectCount >= limit {
+			result.hasMore = true
+			result.remainingCount++
+			return selector.matchesAll && result.remainingCount < maxRemainingItems
 		}
 		if collectObjects {
-			found.objects = append(found.objects, change.Object)
+			result.objects = append(result.objects, change.Object)
 		}
-		found.objectCount++
-		found.lastKey = key
+		result.objectCount++
+		result.lastKey = key
 		return true
 	})
-	return found
+	return result
 }
 
-// listPage returns a response with one page of a list. All lists and watches share the cached encoding of an
-// object.
+// listPage returns a response with one page of a list, either as a Table or as JSON. A list in JSON is built
+// from the cached encodings of the objects, which lists and watches share.
 func (s *Server) listPage(r *request, selector objectSelector, snapshot store.Snapshot, afterKey string, limit int) (http1.Response, error) {
 	asTable := r.Head.Method == http.MethodGet && prefersTable(r.Head.Header.Get("Accept"))
 	if asTable && (limit == 0 || limit > maxTableRows) {
 		limit = maxTableRows
 	}
 	meta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Revision, 10)}
-	var found page
+	var scannedPage page
 	if limit > 0 {
-		found = scanPage(&selector, snapshot, afterKey, limit, asTable)
+		scannedPage = scanPage(&selector, snapshot, afterKey, limit, asTable)
 	}
-	if found.hasMore {
-		token := continueToken{Revision: snapshot.Revision, After: found.lastKey}
+	if scannedPage.hasMore {
+		token := continueToken{Revision: snapshot.Revision, After: scannedPage.lastKey}
 		var err error
 		if meta.Continue, err = token.encode(); err != nil {
 			return http1.Response{}, err
 		}
 		if selector.matchesAll {
-			meta.RemainingItemCount = &found.remainingCount
+			meta.RemainingItemCount = &scannedPage.remainingCount
 		}
 		s.Store.KeepSnapshot(s.now, snapshot)
 	}
 	if asTable {
-		return s.tableResponse(r, meta, found.objects)
+		return s.tableResponse(r, meta, scannedPage.objects)
 	}
 	stream := &listStream{server: s, selector: selector, snapshot: snapshot, lastScannedKey: afterKey, itemsLeft: limit, unlimited: limit == 0}
 	return stream.response(r.resourceType, &meta)
 }
 
-// listStream encodes the objects of one snapshot while the list is sent, so that it need not hold the encoded
-// list in memory. The snapshot keeps old states of changed objects in memory; therefore the stream ends early
-// if the snapshot's revision is dropped from the history.
+// listStream is a stream that sends a list of the objects in a snapshot. It encodes the objects while the
+// list is sent, because the complete encoded list could take too much memory. The snapshot itself keeps
+// outdated objects in memory. To limit this memory, the stream ends early if the store's history no longer
+// contains the revision of the snapshot.
 type listStream struct {
 	server   *Server
 	selector objectSelector
 	snapshot store.Snapshot
-	// lastScannedKey is the key of the last object that was written or skipped.
+	// lastScannedKey is the key of the last object that was appended to the list or that did not match the
+	// selector.
 	lastScannedKey string
-	// itemsLeft is the number of items that may still be written. It has no meaning if unlimited is set.
+	// itemsLeft is the number of items that may still be appended. It has no meaning if unlimited is true.
 	itemsLeft    int
 	unlimited    bool
 	itemsWritten int
-	// pendingText is sent before the next item.
+	// pendingText is text that Pull appends before the next item, such as the beginning of the list.
 	pendingText []byte
-	broken      bool
+	// broken is true if the stream ended before the list was complete.
+	broken bool
 }
 
-// response returns a response whose body is the complete list if the list is small, and a stream if the list
-// is large.
+// response returns the HTTP response with the list. A small list is the response body, and a large list is
+// sent as a stream.
 func (l *listStream) response(listedType *resourceType, meta *metav1.ListMeta) (http1.Response, error) {
 	metaText, err := json.Marshal(meta)
 	if err != nil {
@@ -264,7 +274,8 @@
 	return http1.Response{Status: http.StatusOK, Header: contentType(jsonType), Stream: l}, nil
 }
 
-// Pull implements http1.Stream.
+// Pull appends the next items of the list to b and reports whether the stream ends. It implements
+// http1.Stream.
 func (l *listStream) Pull(b []byte, maxBytes int) ([]byte, bool) {
 	if l.server.Store.Outdated(l.snapshot) {
 		l.broken = true
@@ -289,7 +300,7 @@
 		if l.itemsWritten > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, encodedJSON(change)...)
+		b = append(b, cachedJSON(change)...)
 		l.itemsWritten++
 		l.itemsLeft--
 		return true
@@ -300,9 +311,9 @@
 	return b, done
 }
 
-// Close implements http1.Stream.
+// Close implements http1.Stream. It does nothing, because a listStream holds no resources to be released.
 func (l *listStream) Close() {}
 
-// Broken reports whether the stream ended before the list was complete. A stream ends early if the revision
-// of its snapshot was dropped from the history.
+// Broken reports whether the stream ended before the list was complete. This happens if the store's history
+// no longer contains the revision of the snapshot.
 func (l *listStream) Broken() bool { return l.broken }
--- a/internal/kube/api/request.go
+++ b/internal/kube/api/request.go
@@ -20,21 +20,22 @@
 
 const evictionSubresource = "eviction"
 
-// request is an HTTP request together with the parsed target.
+// request is an HTTP request together with its parsed target.
 type request struct {
 	*http1.Request
 	// pathSegments contains the unescaped segments of the path. It has at least one element.
 	pathSegments []string
 	query        url.Values
 
-	// resourceType is nil if the path is a discovery path.
+	// resourceType is the type of the requested objects. It is nil if the path belongs to API discovery.
 	resourceType *resourceType
-	// namespace is empty if the request covers all namespaces or the resource has none.
+	// namespace is the requested namespace. It is empty if the request covers all namespaces or if the
+	// objects of the resource type belong to no namespace.
 	namespace string
-	// name is empty if the request refers to a list.
+	// name is the name of the requested object. It is empty if the request refers to a list of objects.
 	name        string
 	subresource string
-	// warnings are sent to the client in Warning header fields of the response.
+	// warnings contains the texts that the response sends to the client in Warning header fields.
 	warnings []string
 }
 
@@ -46,7 +47,7 @@
 func (r *request) isWatch() bool { return isTrue(r.query.Get("watch")) }
 
 // isTrue reports whether the value of a boolean query parameter means true.
-func isTrue(parameter string) bool { return parameter == "true" || parameter == "1" }
+func isTrue(value string) bool { return value == "true" || value == "1" }
 
 func (r *request) groupResource() schema.GroupResource {
 	return schema.GroupResource{Group: r.resourceType.groupVersion.Group, Resource: r.resourceType.resource.String()}
@@ -56,23 +57,23 @@
 	return schema.GroupKind{Group: r.resourceType.groupVersion.Group, Kind: r.resourceType.kind}
 }
 
-func (r *request) methodNotAllowed() error {
+func (r *request) methodNotAllowedError() error {
 	return apierrors.NewMethodNotSupported(r.groupResource(), strings.ToLower(r.Head.Method))
 }
 
-// parseTarget parses the request target, which may be in origin form (/path) or absolute form
+// parseTarget parses the request target, which is either in origin form (/path) or in absolute form
 // (http://host/path).
 func (r *request) parseTarget() error {
 	path, rawQuery, _ := strings.Cut(r.Head.Target, "?")
-	if _, authority, absolute := strings.Cut(path, "://"); absolute {
-		_, path, _ = strings.Cut(authority, "/")
+	if _, hostAndPath, isAbsolute := strings.Cut(path, "://"); isAbsolute {
+		_, path, _ = strings.Cut(hostAndPath, "/")
 	}
 	var err error
 	if r.query, err = url.ParseQuery(rawQuery); err != nil {
 		return apierrors.NewBadRequest("query: " + err.Error())
 	}
-	for escaped := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
-		segment, err := url.PathUnescape(escaped)
+	for escapedSegment := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
+		segment, err := url.PathUnescape(escapedSegment)
 		if err != nil {
 			return apierrors.NewBadRequest("path: " + err.Error())
 		}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// discoveryPaths contains the paths of API discovery, split into segments.
+// discoveryPaths contains the paths of API discovery, each split into its segments.
 var discoveryPaths = [][]string{
 	{"api"},
 	{"api", "v1"},
@@ -91,8 +92,8 @@
 	{"version"},
 }
 
-// route determines the namespace, resource type, object name and subresource from the path. The resource type
-// remains nil if the path is a discovery path.
+// route determines the namespace, resource type, object name and subresource that the path of a request
+// refers to. The resource type remains nil if the path belongs to API discovery.
 func (r *request) route() error {
 	isRequestPath := func(path []string) bool { return slices.Equal(path, r.pathSegments) }
 	if slices.ContainsFunc(discoveryPaths, isRequestPath) {
@@ -100,25 +101,27 @@
 	}
 	remaining, ok := cutGroupVersion(r.pathSegments)
 	if !ok {
-		return newPathNotFound()
+		return newPathNotFoundError()
 	}
 	inCoreGroup := r.pathSegments[0] == "api"
+	// The path /api/v1/namespaces/NAME/status refers to the status of a Namespace object, and not to a
+	// resource within the namespace.
 	if len(remaining) >= 3 && remaining[0] == "namespaces" && (!inCoreGroup || remaining[2] != "status") {
 		if len(utilvalidation.IsDNS1123Label(remaining[1])) > 0 {
-			return newInvalidSegment("namespace", remaining[1])
+			return newInvalidSegmentError("namespace", remaining[1])
 		}
 		r.namespace = remaining[1]
 		remaining = remaining[2:]
 	}
 	r.resourceType = findResourceType(remaining[0], inCoreGroup)
 	if r.resourceType == nil || r.namespace != "" && !r.resourceType.namespaced || len(remaining) > 3 {
-		return newPathNotFound()
+		return newPathNotFoundError()
 	}
 	return r.routeObject(remaining[1:])
 }
 
-// cutGroupVersion removes the API group and version from the path segments. It returns false if the group or
-// version is not served or if no segment remains.
+// cutGroupVersion removes the API group and version from the path segments. It returns false if the server
+// does not serve the group or version, or if no segment remains.
 func cutGroupVersion(path []string) (remaining []string, ok bool) {
 	switch {
 	case len(path) >= 3 && path[0] == "api" && path[1] == "v1":
@@ -129,19 +132,19 @@
 	return nil, false
 }
 
-// routeObject parses the path segments after the resource, which are an optional object name and an optional
-// subresource.
+// routeObject parses the path segments after the resource name. They are an optional object name and an
+// optional subresource.
 func (r *request) routeObject(segments []string) error {
 	if len(segments) == 0 {
 		return nil
 	}
 	name := segments[0]
 	if len(content.IsPathSegmentName(name)) > 0 || len(utilvalidation.IsDNS1123Subdomain(name)) > 0 {
-		return newInvalidSegment("name", name)
+		return newInvalidSegmentError("name", name)
 	}
 	r.name = name
 	if r.resourceType.namespaced && r.namespace == "" {
-		return newPathNotFound()
+		return newPathNotFoundError()
 	}
 	if len(segments) == 1 {
 		return nil
@@ -149,30 +152,30 @@
 	r.subresource = segments[1]
 	isEviction := r.subresource == evictionSubresource && r.resourceType.resource == store.Pods
 	if r.subresource != "status" && !isEviction {
-		return newPathNotFound()
+		return newPathNotFoundError()
 	}
 	return nil
 }
 
-// checkEncodings rejects a request with a compressed body, and a request whose client accepts no media type
-// that the server can produce.
+// checkEncodings rejects a request with a compressed body, and a request whose Accept header allows no media
+// type that the server can produce.
 func (r *request) checkEncodings() error {
 	encoding := r.Head.Header.Get("Content-Encoding")
 	if encoding != "" && !strings.EqualFold(encoding, "identity") {
 		return newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
 			fmt.Sprintf("content-encoding %.40q: bodies are taken as they are only", encoding))
 	}
-	if !acceptsJSON(r.Head.Header.Get("Accept")) {
+	if !acceptsJSONOrProtobuf(r.Head.Header.Get("Accept")) {
 		return newStatusError(http.StatusNotAcceptable, metav1.StatusReasonNotAcceptable,
 			"only the following media types are accepted: application/json")
 	}
 	return nil
 }
 
-// acceptsJSON reports whether a client accepts JSON or the protobuf encoding. The server sends protobuf
-// only in watches. A client that accepts only protobuf still receives every other response as JSON, which the
-// Content-Type header of the response states.
-func acceptsJSON(accept string) bool {
+// acceptsJSONOrProtobuf reports whether an Accept header allows JSON or the protobuf encoding. The server
+// uses the protobuf encoding only for watches. A client that accepts only the protobuf encoding receives
+// every other response as JSON, as the Content-Type header of the response states.
+func acceptsJSONOrProtobuf(accept string) bool {
 	if accept == "" {
 		return true
 	}
@@ -189,9 +192,10 @@
 	return false
 }
 
-// dryRun reports whether the query parameter dryRun or the options in the request body request a dry run.
-func (r *request) dryRun(options []string) (bool, error) {
-	values := slices.Concat(r.query["dryRun"], options)
+// dryRun reports whether a client requests a dry run. The client does so in the query parameter dryRun or in
+// the field dryRun of the request body, whose value is bodyValues.
+func (r *request) dryRun(bodyValues []string) (bool, error) {
+	values := slices.Concat(r.query["dryRun"], bodyValues)
 	for _, value := range values {
 		if value != metav1.DryRunAll {
 			return false, apierrors.NewBadRequest("dryRun: want All")
--- a/internal/kube/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -21,11 +21,12 @@
 	namespaced   bool
 	verbs        []string
 	shortNames   []string
-	newObject    func() store.Object
-	// selectableFields are the fields that a field selector may use in addition to metadata.name and
+	// newObject returns a new object of the resource with empty fields.
+	newObject func() store.Object
+	// selectableFields contains the fields that a field selector may use in addition to metadata.name and
 	// metadata.namespace.
 	selectableFields []string
-	// selectableValues returns the values of the selectable fields of an object.
+	// selectableValues returns the values that an object has in the selectable fields.
 	selectableValues func(o store.Object) fields.Set
 }
 
@@ -94,13 +95,13 @@
 // supports reports whether the resource supports an API verb, such as "create".
 func (t *resourceType) supports(verb string) bool { return slices.Contains(t.verbs, verb) }
 
-// findResourceType looks up a resource by its plural name in the core group or, if inCoreGroup is false, in
-// the batch group. It returns nil if the group has no such resource.
+// findResourceType returns the resource type with the given plural name in the core group or, if inCoreGroup
+// is false, in the batch group. It returns nil if the group has no such resource type.
 func findResourceType(name string, inCoreGroup bool) *resourceType {
-	for _, candidate := range resourceTypes {
-		candidateInCoreGroup := candidate.groupVersion.Group == ""
-		if candidate.resource.String() == name && candidateInCoreGroup == inCoreGroup {
-			return candidate
+	for _, servedType := range resourceTypes {
+		typeInCoreGroup := servedType.groupVersion.Group == ""
+		if servedType.resource.String() == name && typeInCoreGroup == inCoreGroup {
+			return servedType
 		}
 	}
 	return nil
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -20,7 +20,7 @@
 
 const jsonType = "application/json"
 
-// encodeJSON encodes an object as JSON, including its kind and API version.
+// encodeJSON returns an object with its kind and API version as JSON.
 func encodeJSON(o runtime.Object) ([]byte, error) {
 	switch typed := o.(type) {
 	case *batchv1.Job:
@@ -35,21 +35,21 @@
 	return json.Marshal(o)
 }
 
-// encodeJSONWithType encodes a shallow copy of an object, with kind and API version set in the copy. The
-// object itself is not modified, because other goroutines may be reading it.
+// encodeJSONWithType sets the kind and API version in a shallow copy of an object and returns the copy as
+// JSON. It does not modify the object itself, because other goroutines may be reading the object.
 func encodeJSONWithType[T any, P interface {
 	*T
 	runtime.Object
 }](object P) ([]byte, error) {
-	typed := *object
-	version, kind := apiVersionAndKind(object)
-	P(&typed).GetObjectKind().SetGroupVersionKind(schema.FromAPIVersionAndKind(version, kind))
-	return json.Marshal(&typed)
+	objectCopy := *object
+	apiVersion, kind := apiVersionAndKind(object)
+	P(&objectCopy).GetObjectKind().SetGroupVersionKind(schema.FromAPIVersionAndKind(apiVersion, kind))
+	return json.Marshal(&objectCopy)
 }
 
-// apiVersionAndKind returns the API version and the kind of an object. The object must be of a served
-// resource type or a Status.
-func apiVersionAndKind(o runtime.Object) (version, kind string) {
+// apiVersionAndKind returns the API version and the kind of an object. The object must be a Status or belong
+// to a resource type that the server serves.
+func apiVersionAndKind(o runtime.Object) (apiVersion, kind string) {
 	switch o.(type) {
 	case *batchv1.Job:
 		return "batch/v1", "Job"
@@ -63,8 +63,8 @@
 	return "v1", "Status"
 }
 
-// encodeJSONOrNull encodes an object as JSON, and returns null if the encoding fails. Streams use it, because
-// a response whose header has been sent cannot report an error any more.
+// encodeJSONOrNull returns an object as JSON, or the JSON value null if the encoding fails. Streams use it,
+// because they cannot report an error after the header of the response was sent.
 func encodeJSONOrNull(o runtime.Object) []byte {
 	text, err := encodeJSON(o)
 	if err != nil {
@@ -73,8 +73,9 @@
 	return text
 }
 
-// encodedJSON returns the object of a change as JSON. The encoding is cached in the change for all readers.
-func encodedJSON(change *store.Change) []byte {
+// cachedJSON returns the object of a change as JSON. The first call stores the encoding in the change, and
+// later calls reuse it.
+func cachedJSON(change *store.Change) []byte {
 	if change.JSON == nil {
 		change.JSON = encodeJSONOrNull(change.Object)
 	}
@@ -113,7 +114,7 @@
 	return encodedJSONResponse(status, body), nil
 }
 
-// errorResponse converts an error to a response with a Status object. An error that carries no API status is
+// errorResponse converts an error to a response with a Status object. An error without an API status is
 // reported as an internal error.
 func errorResponse(err error) http1.Response {
 	status := metav1.Status{
--- a/internal/kube/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -15,14 +15,16 @@
 // maxSelectorTerms is the maximum number of comma-separated terms in a label or field selector.
 const maxSelectorTerms = 100
 
-// objectSelector selects the objects of a list or watch by namespace, labels and fields.
+// objectSelector selects objects by namespace, labels and fields. It is used for lists, watches and the
+// deletion of several objects.
 type objectSelector struct {
-	// namespace is empty if objects of all namespaces are selected.
+	// namespace is empty if the selector selects objects of all namespaces.
 	namespace    string
 	labels       labels.Selector
 	fields       fields.Selector
 	resourceType *resourceType
-	// matchesAll is set if there is neither a label selector nor a field selector.
+	// matchesAll is true if the request has neither a label selector nor a field selector. The objectSelector
+	// then matches every object in the namespace.
 	matchesAll bool
 }
 
@@ -45,7 +47,8 @@
 	return s.fields.Matches(values)
 }
 
-// parseSelector builds a selector from the namespace, labelSelector and fieldSelector of a request.
+// parseSelector returns the selector that the namespace and the query parameters labelSelector and
+// fieldSelector of a request describe.
 func (r *request) parseSelector() (objectSelector, error) {
 	selector := objectSelector{namespace: r.namespace, resourceType: r.resourceType}
 	labelText := r.query.Get("labelSelector")
@@ -72,17 +75,18 @@
 	return selector, nil
 }
 
-// checkSelectorTerms limits the number of terms in a selector, because every object of a list is compared
-// with every term. The check runs before the selector is parsed and counts commas, which separate both the
-// requirements and the values of a requirement.
-func checkSelectorTerms(name, text string) error {
+// checkSelectorTerms returns an error if a label or field selector has too many terms, because every term is
+// compared with every object of a list. The check counts commas in order not to parse a long selector. Commas
+// separate requirements and also the values of a requirement.
+func checkSelectorTerms(parameter, text string) error {
 	if commas := strings.Count(text, ","); commas >= maxSelectorTerms {
-		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", name, commas+1, maxSelectorTerms))
+		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", parameter, commas+1, maxSelectorTerms))
 	}
 	return nil
 }
 
-// isSelectable reports whether a field selector may use the named field.
+// isSelectable reports whether a field selector for objects of this type may use the field with the given
+// name.
 func (t *resourceType) isSelectable(name string) bool {
 	return name == "metadata.name" || name == "metadata.namespace" || slices.Contains(t.selectableFields, name)
 }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -24,15 +24,17 @@
 // apiSession sends requests to one server at increasing times. It records the status, the header fields and a
 // digest of the body of each response.
 //
-// Golden files are written with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package
-// goldentest.
+// The golden files are updated with HEATHSHED_UPDATE_GOLDEN=1, but only if a change of behavior is intended.
+// Package goldentest describes this variable.
 type apiSession struct {
-	server   *Server
-	engine   *engine.Engine
+	server *Server
+	engine *engine.Engine
+	// now is the present Unix time of the session.
 	now      placer.Seconds
 	recorder *goldentest.Recorder
 }
 
+// newSession returns a session with a server whose engine has the default settings and three nodes.
 func newSession(t *testing.T) *apiSession {
 	t.Helper()
 	settings := config.Default()
@@ -44,7 +46,7 @@
 	t.Helper()
 	var nodes []*corev1.Node
 	for i, nodeType := range []string{"standard", "large", "standard"} {
-		nodes = append(nodes, listedNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
+		nodes = append(nodes, newReadyNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
 	}
 	server := newServer(t, cfg, sessionStart, nodes...)
 	server.Version = "test"
@@ -56,7 +58,8 @@
 	return &apiSession{server: server, engine: server.Engine, now: sessionStart, recorder: goldentest.NewRecorder()}
 }
 
-func listedNode(name, nodeType string, index int) *corev1.Node {
+// newReadyNode returns a node that is ready and has free capacity. Its IP address is derived from the index.
+func newReadyNode(name, nodeType string, index int) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = name
 	node.Labels = map[string]string{wellknown.NodeType: nodeType, wellknown.Rack: "rack-1", wellknown.Zone: "zone-a"}
@@ -68,8 +71,9 @@
 	return node
 }
 
-// advance lets the given number of seconds pass and runs the engine's timers. Simulated nodes accept every
-// attempt and report that the task runs.
+// advance moves the time of the session forward by the given number of seconds and calls the engine whenever
+// one of its timers expires. It also answers the engine on behalf of the nodes: they accept and run every
+// task that the engine sends to them, and stop every task that the engine wants to stop.
 func (session *apiSession) advance(seconds placer.Seconds) {
 	for endTime := session.now + seconds; session.now < endTime; {
 		session.now = min(max(session.engine.NextWake(), session.now+0.01), endTime)
@@ -103,8 +107,8 @@
 	}
 }
 
-// send serves a request and records the response. The header arguments are alternating names and values of
-// header fields.
+// send makes the server handle a request, and records and returns the response. The header arguments are
+// alternating names and values of header fields.
 func (session *apiSession) send(method, target, body string, header ...string) http1.Response {
 	response := session.server.Serve(session.now, newRequest(method, target, body, header...))
 	session.recorder.Line("%s %s %s -> %d %q, %d bytes, %s", method, target, strings.Join(header, " "),
@@ -125,6 +129,7 @@
 	session.send(method, target, body, "Content-Type", jsonType)
 }
 
+// headerLines returns the text "name: value" for each header field.
 func headerLines(header []http1.Field) []string {
 	var texts []string
 	for _, field := range header {
@@ -133,6 +138,7 @@
 	return texts
 }
 
+// digest returns the SHA-256 digest of a text as a hexadecimal number.
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
@@ -143,13 +149,13 @@
 	t.Helper()
 	response := session.send("GET", target, "", header...)
 	if response.Stream == nil {
-		t.Fatalf("watch of %s returned no stream: status %d", target, response.Status)
+		t.Fatalf("response to the watch request %s has no stream: status %d", target, response.Status)
 	}
 	return response.Stream
 }
 
-// pull reads the pending events of a watch in chunks of about maxBytes bytes and records the size and digest
-// of each chunk.
+// pull reads the pending events from the stream of a watch in chunks of about maxBytes bytes. It records the
+// size and the digest of each chunk.
 func (session *apiSession) pull(label string, stream http1.Stream, maxBytes int) {
 	for range 40 {
 		chunk, done := stream.Pull(nil, maxBytes)
@@ -160,14 +166,15 @@
 	}
 }
 
-// jobJSON returns a Job in JSON. The text extraPodSpec is inserted into the specification of its Pods.
-func jobJSON(name, extraPodSpec string, tasks int) string {
+// jobJSON returns a Job as JSON. The text extraPodSpec is appended to the specification of the Job's Pods.
+func jobJSON(name, extraPodSpec string, taskCount int) string {
 	return fmt.Sprintf(`{"apiVersion":"batch/v1","kind":"Job","metadata":{"name":%q,"labels":{"team":"a"}},"spec":{"completions":%d,"parallelism":%d,`+
 		`"backoffLimit":1,"template":{"metadata":{"labels":{"heathshed.io/class":"web","heathshed.io/service":"s"}},"spec":{"restartPolicy":"Never",`+
-		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, tasks, tasks, extraPodSpec)
+		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, taskCount, taskCount, extraPodSpec)
 }
 
-// createInitialJobs creates four Jobs and lets time pass, so that some of their tasks run.
+// createInitialJobs creates four Jobs and advances the time after each of them. Some of their tasks run
+// afterwards.
 func (session *apiSession) createInitialJobs() {
 	for i := range 4 {
 		session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", i), "", i+1))
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -19,8 +19,8 @@
 	"heathshed/placer"
 )
 
-// prefersTable reports whether an Accept header lists the Table format before plain JSON, as the header of
-// kubectl get does.
+// prefersTable reports whether an Accept header lists the Table format before plain JSON. The command kubectl
+// get sends such a header.
 func prefersTable(accept string) bool {
 	for part := range strings.SplitSeq(accept, ",") {
 		mediaType, parameters, err := mime.ParseMediaType(part)
@@ -37,7 +37,7 @@
 	return false
 }
 
-// tableColumns contains the column definitions of the Table of each resource.
+// tableColumns contains the column definitions of the Table for each resource.
 var tableColumns = map[store.Resource][]metav1.TableColumnDefinition{
 	store.Jobs:       textColumns("Status", "Completions", "Settled", "Age"),
 	store.Pods:       append(textColumns("Status", "Settled", "Age", "Node"), wideColumn("Message")),
@@ -45,21 +45,22 @@
 	store.Namespaces: textColumns("Status", "Age"),
 }
 
-// textColumns returns a name column followed by text columns with the given headings.
-func textColumns(names ...string) []metav1.TableColumnDefinition {
+// textColumns returns the definition of the column Name, followed by the definitions of text columns with the
+// given headings.
+func textColumns(headings ...string) []metav1.TableColumnDefinition {
 	columns := []metav1.TableColumnDefinition{{Name: "Name", Type: "string", Format: "name"}}
-	for _, name := range names {
-		columns = append(columns, metav1.TableColumnDefinition{Name: name, Type: "string"})
+	for _, heading := range headings {
+		columns = append(columns, metav1.TableColumnDefinition{Name: heading, Type: "string"})
 	}
 	return columns
 }
 
-// wideColumn returns a text column that kubectl prints only with the option -o wide.
-func wideColumn(name string) metav1.TableColumnDefinition {
-	return metav1.TableColumnDefinition{Name: name, Type: "string", Priority: 1}
+// wideColumn returns the definition of a text column that kubectl prints only with the option -o wide.
+func wideColumn(heading string) metav1.TableColumnDefinition {
+	return metav1.TableColumnDefinition{Name: heading, Type: "string", Priority: 1}
 }
 
-// age returns the time since the creation of an object in the format of kubectl.
+// age returns the time since the creation of an object in the format that kubectl uses.
 func age(o store.Object, now placer.Seconds) string {
 	created := o.GetCreationTimestamp()
 	if created.IsZero() {
@@ -68,7 +69,7 @@
 	return duration.HumanDuration((now - placer.Seconds(created.Unix())).Duration())
 }
 
-// tableCells returns the cells of the row for an object, in the order of the columns in tableColumns.
+// tableCells returns the cells of the table row for an object, in the order of the columns in tableColumns.
 func tableCells(o store.Object, now placer.Seconds) []any {
 	switch typed := o.(type) {
 	case *batchv1.Job:
@@ -85,23 +86,23 @@
 
 func jobCells(job *batchv1.Job, now placer.Seconds) []any {
 	state := "Running"
-	outcome := ""
+	settledReason := ""
 	for _, condition := range job.Status.Conditions {
 		if condition.Status != corev1.ConditionTrue {
 			continue
 		}
 		switch condition.Type {
 		case wellknown.Settled:
-			outcome = condition.Reason
+			settledReason = condition.Reason
 		case batchv1.JobComplete, batchv1.JobFailed, batchv1.JobSuspended:
 			state = string(condition.Type)
 		}
 	}
 	completions := fmt.Sprintf("%d/%d", job.Status.Succeeded, desiredCompletions(job))
-	return []any{job.Name, state, completions, outcome, age(job, now)}
+	return []any{job.Name, state, completions, settledReason, age(job, now)}
 }
 
-// desiredCompletions returns the number of tasks that must succeed for a Job to be complete.
+// desiredCompletions returns the number of tasks that must succeed before a Job is complete.
 func desiredCompletions(job *batchv1.Job) int32 {
 	switch {
 	case job.Spec.Completions != nil:
@@ -144,24 +145,25 @@
 	}
 }
 
-// These constants are the values of the includeObject parameter that change the object in a table row.
+// These constants are values of the query parameter includeObject. With includeFullObject, a table row
+// contains the complete object. With includeNoObject, it contains no object. With any other value, it
+// contains the metadata of the object.
 const (
-	includeObject = "Object"
-	includeNone   = "None"
+	includeFullObject = "Object"
+	includeNoObject   = "None"
 )
 
-// tableResponse returns an object, or one page of a list, as a Table. Each row contains the metadata of its
-// object unless the query parameter includeObject selects the complete object or none.
-func (s *Server) tableResponse(r *request, meta metav1.ListMeta, objects []store.Object) (http1.Response, error) {
+// tableResponse returns a response with a Table that has one row for each of the given objects.
+func (s *Server) tableResponse(r *request, listMeta metav1.ListMeta, objects []store.Object) (http1.Response, error) {
 	table := metav1.Table{
 		TypeMeta:          metav1.TypeMeta{Kind: "Table", APIVersion: "meta.k8s.io/v1"},
-		ListMeta:          meta,
+		ListMeta:          listMeta,
 		ColumnDefinitions: tableColumns[r.resourceType.resource],
 		Rows:              []metav1.TableRow{},
 	}
-	include := r.query.Get("includeObject")
+	includeParameter := r.query.Get("includeObject")
 	for _, o := range objects {
-		object, err := encodeRowObject(o, include)
+		object, err := encodeRowObject(o, includeParameter)
 		if err != nil {
 			return http1.Response{}, fmt.Errorf("encode table row: %w", err)
 		}
@@ -170,13 +172,13 @@
 	return jsonResponse(http.StatusOK, &table)
 }
 
-// encodeRowObject encodes the object that accompanies the cells of a row. Depending on the parameter
-// includeObject, the result is the complete object, nothing, or only the metadata.
-func encodeRowObject(o store.Object, include string) ([]byte, error) {
-	switch include {
-	case includeObject:
+// encodeRowObject returns the JSON that a table row contains in addition to its cells. Depending on the query
+// parameter includeObject, this is the complete object, nothing or only the metadata of the object.
+func encodeRowObject(o store.Object, includeParameter string) ([]byte, error) {
+	switch includeParameter {
+	case includeFullObject:
 		return encodeJSON(o)
-	case includeNone:
+	case includeNoObject:
 		return nil, nil
 	}
 	return json.Marshal(&metav1.PartialObjectMetadata{
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -22,8 +22,9 @@
 )
 
 const (
+	// maxPatchOperations is the maximum number of operations in a JSON patch.
 	maxPatchOperations = 1000
-	// maxPatchedBytes is the maximum size of a patched object in JSON.
+	// maxPatchedBytes is the maximum size of the JSON that results from a patch.
 	maxPatchedBytes = 1 << 20
 	// maxPatchExcerptChars is the maximum number of characters of a patch that an error message quotes.
 	maxPatchExcerptChars = 1000
@@ -56,8 +57,9 @@
 	return objectResponse(http.StatusOK, stored)
 }
 
-// decodeUpdate decodes the updated object. A PUT request contains the object itself; a PATCH request contains
-// a patch of the current object.
+// decodeUpdate determines the updated object that a request describes and decodes it into the argument into.
+// The body of a PUT request is the updated object. The body of a PATCH request is a patch of the current
+// object.
 func (r *request) decodeUpdate(current, into store.Object) error {
 	if r.Head.Method == http.MethodPut {
 		return r.decode(into, r.resourceType.kind)
@@ -69,7 +71,7 @@
 	return r.decodeJSON(patched, into, r.resourceType.kind)
 }
 
-// applyUpdate updates a Job or a Node through the engine.
+// applyUpdate calls the engine to update a Job or a Node and returns the updated object.
 func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
 	if job, ok := updated.(*batchv1.Job); ok {
 		setJobDefaults(job)
@@ -79,13 +81,13 @@
 	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
 }
 
-// requestedUnschedulable returns the value that a request sets for spec.unschedulable of a Node. The result
-// is nil if the request does not set the field. Every request that changes the value sets the field, and a
-// patch also sets the field by containing it with the current value.
+// requestedUnschedulable returns the value that a request sets for the field spec.unschedulable of a Node.
+// The result is nil if the request does not set the field. A request sets the field if it changes the value.
+// A patch also sets the field if it contains the field with the current value.
 func (r *request) requestedUnschedulable(updated, current *corev1.Node) *bool {
-	changed := updated.Spec.Unschedulable != current.Spec.Unschedulable
+	valueChanged := updated.Spec.Unschedulable != current.Spec.Unschedulable
 	setByPatch := r.Head.Method == http.MethodPatch && patchSetsUnschedulable(r.Body)
-	if !changed && !setByPatch {
+	if !valueChanged && !setByPatch {
 		return nil
 	}
 	return new(updated.Spec.Unschedulable)
@@ -114,8 +116,8 @@
 	return false
 }
 
-// applyPatch applies the patch in the request body to the current object and returns the result as JSON. The
-// strategic merge patch takes its merge rules from the Go type of schemaSource.
+// applyPatch applies the patch in the request body to the current object and returns the result as JSON. For
+// a strategic merge patch, the Go type of schemaSource determines how each field is merged.
 func (r *request) applyPatch(current, schemaSource store.Object) ([]byte, error) {
 	original, err := encodeJSON(current)
 	if err != nil {
@@ -124,7 +126,8 @@
 	if err := decodelimit.CheckJSON(r.Body, decodelimit.ObjectLimits()); err != nil {
 		return nil, newDecodeLimitError("patch", err)
 	}
-	// Parse errors are ignored, because an invalid media type is not equal to any of the patch types.
+	// The error is ignored, because the request is rejected below unless the media type is one of the patch
+	// types.
 	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
 	var patched []byte
 	switch types.PatchType(mediaType) {
@@ -138,9 +141,9 @@
 		return nil, newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
 			fmt.Sprintf("content-type %q: want %s, %s or %s", mediaType, types.JSONPatchType, types.MergePatchType, types.StrategicMergePatchType))
 	}
-	var status *apierrors.StatusError
-	if errors.As(err, &status) {
-		return nil, status
+	var statusError *apierrors.StatusError
+	if errors.As(err, &statusError) {
+		return nil, statusError
 	}
 	if err != nil {
 		return nil, apierrors.NewBadRequest("patch: " + err.Error())
@@ -152,7 +155,7 @@
 }
 
 // applyJSONPatch applies a JSON patch. It limits the number of operations and the total size of copied
-// values, because a small patch can copy an object into itself repeatedly.
+// values, because a small patch can make an object very large by copying the object into itself repeatedly.
 func (r *request) applyJSONPatch(original []byte) ([]byte, error) {
 	patch, err := jsonpatch.DecodePatch(r.Body)
 	if err != nil {
@@ -164,8 +167,8 @@
 	options := jsonpatch.NewApplyOptions()
 	options.AccumulatedCopySizeLimit = maxPatchedBytes
 	patched, err := patch.ApplyWithOptions(original, options)
-	var tooLarge *jsonpatch.AccumulatedCopySizeError
-	if errors.As(err, &tooLarge) {
+	var copySizeError *jsonpatch.AccumulatedCopySizeError
+	if errors.As(err, &copySizeError) {
 		return nil, apierrors.NewRequestEntityTooLargeError("patch: " + err.Error())
 	}
 	if err != nil {
--- a/internal/kube/api/validate.go
+++ b/internal/kube/api/validate.go
@@ -12,16 +12,17 @@
 	"k8s.io/apimachinery/pkg/util/validation/field"
 )
 
+// nonNegativeMessage is the detail of the error for a negative number or quantity.
 const nonNegativeMessage = "must be greater than or equal to 0"
 
-// validateLabelsAndAnnotations checks the labels and annotations of an object. The Kubernetes API limits the
-// total size of the annotations to 256 KiB.
+// validateLabelsAndAnnotations checks the labels and annotations of an object, including the total size of
+// the annotations, which the Kubernetes API limits to 256 KiB.
 func validateLabelsAndAnnotations(o metav1.Object, fieldPath *field.Path) field.ErrorList {
 	errs := validation.ValidateLabels(o.GetLabels(), fieldPath.Child("labels"))
 	return append(errs, apivalidation.ValidateAnnotations(o.GetAnnotations(), fieldPath.Child("annotations"))...)
 }
 
-// validateJob checks a Job whose unset fields have been set to their defaults.
+// validateJob checks a Job. The caller must have called setJobDefaults for the Job before.
 func validateJob(job *batchv1.Job) field.ErrorList {
 	metaPath := field.NewPath("metadata")
 	errs := validateName(job, metaPath)
@@ -29,7 +30,7 @@
 	return append(errs, validateJobSpec(&job.Spec, field.NewPath("spec"))...)
 }
 
-// validateName checks the name of an object, or the prefix from which its name will be generated.
+// validateName checks the name of an object or, if the name is still to be generated, the prefix of the name.
 func validateName(o metav1.Object, fieldPath *field.Path) field.ErrorList {
 	name := o.GetName()
 	prefix := o.GetGenerateName()
@@ -37,8 +38,8 @@
 	case name != "":
 		return invalidErrors(fieldPath.Child("name"), name, utilvalidation.IsDNS1123Subdomain(name))
 	case prefix != "":
-		// The generated suffix consists of letters and digits. An "x" stands for the suffix, so that the
-		// prefix may end with a hyphen.
+		// The prefix is checked with the letter x in place of the suffix, which will consist of letters and
+		// digits. Without a suffix, a prefix that ends with a hyphen would be invalid.
 		return invalidErrors(fieldPath.Child("generateName"), prefix, utilvalidation.IsDNS1123Subdomain(prefix+"x"))
 	}
 	return field.ErrorList{field.Required(fieldPath.Child("name"), "name or generateName is required")}
@@ -80,14 +81,14 @@
 	return field.ErrorList{field.Invalid(fieldPath, *value, nonNegativeMessage)}
 }
 
-func validatePodSpec(pod *corev1.PodSpec, fieldPath *field.Path) field.ErrorList {
-	errs := validateRestartPolicy(pod.RestartPolicy, fieldPath.Child("restartPolicy"))
-	if len(pod.Containers) == 0 {
+func validatePodSpec(podSpec *corev1.PodSpec, fieldPath *field.Path) field.ErrorList {
+	errs := validateRestartPolicy(podSpec.RestartPolicy, fieldPath.Child("restartPolicy"))
+	if len(podSpec.Containers) == 0 {
 		errs = append(errs, field.Required(fieldPath.Child("containers"), ""))
 	}
 	containerNames := map[string]bool{}
-	errs = append(errs, validateContainers(pod.Containers, containerNames, fieldPath.Child("containers"))...)
-	return append(errs, validateContainers(pod.InitContainers, containerNames, fieldPath.Child("initContainers"))...)
+	errs = append(errs, validateContainers(podSpec.Containers, containerNames, fieldPath.Child("containers"))...)
+	return append(errs, validateContainers(podSpec.InitContainers, containerNames, fieldPath.Child("initContainers"))...)
 }
 
 func validateRestartPolicy(policy corev1.RestartPolicy, fieldPath *field.Path) field.ErrorList {
@@ -101,8 +102,8 @@
 	return field.ErrorList{field.NotSupported(fieldPath, policy, supported)}
 }
 
-// validateContainers checks a list of containers. It adds their names to usedNames, because container names
-// must be unique within a Pod.
+// validateContainers checks a list of containers. It adds the names of the containers to usedNames, because a
+// name may be used only once in a Pod.
 func validateContainers(containers []corev1.Container, usedNames map[string]bool, fieldPath *field.Path) field.ErrorList {
 	var errs field.ErrorList
 	for i := range containers {
@@ -128,14 +129,15 @@
 	return invalidErrors(fieldPath, name, utilvalidation.IsDNS1123Label(name))
 }
 
-// validateResources checks that no quantity is negative and that no request exceeds its limit.
+// validateResources checks that no quantity is negative and that no resource request exceeds the limit of the
+// same resource.
 func validateResources(resources *corev1.ResourceRequirements, fieldPath *field.Path) field.ErrorList {
 	errs := validateQuantities(resources.Requests, fieldPath.Child("requests"))
 	errs = append(errs, validateQuantities(resources.Limits, fieldPath.Child("limits"))...)
-	for name, request := range resources.Requests {
-		limit, limited := resources.Limits[name]
-		if limited && request.Cmp(limit) > 0 {
-			message := fmt.Sprintf("must be less than or equal to %s limit of %s", name, limit.String())
+	for resourceName, request := range resources.Requests {
+		limit, hasLimit := resources.Limits[resourceName]
+		if hasLimit && request.Cmp(limit) > 0 {
+			message := fmt.Sprintf("must be less than or equal to %s limit of %s", resourceName, limit.String())
 			errs = append(errs, field.Invalid(fieldPath.Child("requests"), request.String(), message))
 		}
 	}
@@ -144,9 +146,9 @@
 
 func validateQuantities(quantities corev1.ResourceList, fieldPath *field.Path) field.ErrorList {
 	var errs field.ErrorList
-	for name, quantity := range quantities {
+	for resourceName, quantity := range quantities {
 		if quantity.Sign() < 0 {
-			errs = append(errs, field.Invalid(fieldPath.Key(string(name)), quantity.String(), nonNegativeMessage))
+			errs = append(errs, field.Invalid(fieldPath.Key(string(resourceName)), quantity.String(), nonNegativeMessage))
 		}
 	}
 	return errs
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -16,53 +16,61 @@
 )
 
 const (
-	bookmarkInterval    = placer.Seconds(60)
+	// bookmarkInterval is the time between two bookmarks of a watch.
+	bookmarkInterval = placer.Seconds(60)
+	// defaultWatchTimeout is the time after which a watch ends if the client requests no other time.
 	defaultWatchTimeout = placer.Seconds(1800)
-	// maxChangesPerRead is the maximum number of changes that a watch reads from the history in one step.
+	// maxChangesPerRead is the maximum number of changes that a watch reads from the store's history in one
+	// step.
 	maxChangesPerRead = 512
 
 	// maxUnbatchedWatches is the largest number of open watches for which changes are sent without delay.
 	maxUnbatchedWatches = 50
-	// batchDelayPerWatch and maxBatchDelay determine the batching delay if more watches are open.
+	// batchDelayPerWatch is the part of the batch delay that each open watch adds.
 	batchDelayPerWatch = placer.Seconds(4e-6)
-	maxBatchDelay      = placer.Seconds(0.05)
+	// maxBatchDelay is the maximum batch delay.
+	maxBatchDelay = placer.Seconds(0.05)
 )
 
-// WatchBatchDelay returns how long changes are batched before they are sent to watches. The delay is 0 for a
-// small number of watches. For a larger number it grows by a few microseconds per watch, so that sending
-// takes a bounded fraction of the time at any rate of changes.
-func WatchBatchDelay(watches int) placer.Seconds {
-	if watches <= maxUnbatchedWatches {
+// WatchBatchDelay returns the batch delay, which is the time for which changes are collected before they are
+// sent to the open watches. The delay is 0 for a small number of watches. For a larger number, it grows by a
+// few microseconds per watch, because sending to more watches takes longer. The delay keeps the fraction of
+// time that is spent on sending bounded at any rate of changes.
+func WatchBatchDelay(openWatches int) placer.Seconds {
+	if openWatches <= maxUnbatchedWatches {
 		return 0
 	}
-	return min(placer.Seconds(watches)*batchDelayPerWatch, maxBatchDelay)
+	return min(placer.Seconds(openWatches)*batchDelayPerWatch, maxBatchDelay)
 }
 
 // OpenWatches returns the number of open watches.
 func (s *Server) OpenWatches() int { return len(s.watchers) }
 
 // SetTime sets the Unix time that determines which watches time out and which bookmarks are due. The caller
-// must call SetTime before it pulls watch streams.
+// must call SetTime before it calls Pull on the stream of a watch.
 func (s *Server) SetTime(now placer.Seconds) { s.now = now }
 
-// CloseWatches makes every open watch end when its stream is pulled next. New watches are rejected from then
-// on.
+// CloseWatches ends all open watches and rejects new ones. The stream of an open watch ends with the next
+// call of its Pull method.
 func (s *Server) CloseWatches() { s.closing = true }
 
 // watchOptions contains the parameters of a watch request.
 type watchOptions struct {
 	timeout        placer.Seconds
 	allowBookmarks bool
-	// initialEvents makes the watch start with an event for each current object.
+	// initialEvents makes the watch start with an event for each object that currently exists.
 	initialEvents bool
 	// initialEventsBookmark makes the watch send a bookmark after the initial events.
 	initialEventsBookmark bool
-	// startAtCurrent makes the watch start after the current revision, without initial events.
-	startAtCurrent  bool
+	// startAtCurrent makes the watch start with the first change after the current revision, without initial
+	// events.
+	startAtCurrent bool
+	// resourceVersion is the resource version in the request, or 0 if the request states none.
 	resourceVersion int64
 }
 
-// parseWatchOptions parses the query parameters of a watch request that starts at a resource version.
+// parseWatchOptions returns the options that the query parameters of a watch request describe. The caller
+// passes the resource version in the request, which is 0 if the request states none.
 func (r *request) parseWatchOptions(resourceVersion int64) (watchOptions, error) {
 	options := watchOptions{
 		timeout:         defaultWatchTimeout,
@@ -79,15 +87,15 @@
 			options.timeout = placer.Seconds(seconds)
 		}
 	}
-	match := r.query.Get("resourceVersionMatch")
+	versionMatch := r.query.Get("resourceVersionMatch")
 	sendInitialEvents := r.query.Get("sendInitialEvents")
 	if sendInitialEvents == "" {
-		if match != "" {
+		if versionMatch != "" {
 			return options, apierrors.NewBadRequest("resourceVersionMatch is forbidden for watch unless sendInitialEvents is provided")
 		}
 		return options, nil
 	}
-	if match != matchNotOlderThan {
+	if versionMatch != matchNotOlderThan {
 		return options, apierrors.NewBadRequest("sendInitialEvents: resourceVersionMatch must be NotOlderThan")
 	}
 	options.initialEvents = isTrue(sendInitialEvents)
@@ -99,14 +107,14 @@
 	return options, nil
 }
 
-// watchObjects serves a watch request.
+// watchObjects serves a watch request. The response contains the stream of a new watcher.
 func (s *Server) watchObjects(r *request, selector objectSelector) (http1.Response, error) {
 	resourceVersion, err := parseResourceVersion(r.query.Get("resourceVersion"))
 	if err != nil {
 		return http1.Response{}, err
 	}
 	if s.closing {
-		return http1.Response{}, newServiceUnavailable("the scheduler stops")
+		return http1.Response{}, newServiceUnavailableError("the scheduler stops")
 	}
 	options, err := r.parseWatchOptions(resourceVersion)
 	if err != nil {
@@ -118,7 +126,7 @@
 	}
 	mediaType := jsonType
 	if prefersProtobuf(r.Head.Header.Get("Accept")) {
-		w.protobuf = true
+		w.useProtobuf = true
 		mediaType = protobufWatchType
 	}
 	if s.watchers == nil {
@@ -128,8 +136,8 @@
 	return http1.Response{Status: http.StatusOK, Header: contentType(mediaType), Stream: w}, nil
 }
 
-// newWatcher returns a watcher that starts at the requested position in the history. It returns an error if
-// this position does not exist yet or was dropped from the history.
+// newWatcher returns a watcher that starts at the requested revision. It returns an error if this revision
+// does not exist yet or if the store's history no longer contains it.
 func (s *Server) newWatcher(selector objectSelector, options watchOptions) (*watcher, error) {
 	w := &watcher{
 		server:                s,
@@ -142,7 +150,7 @@
 	}
 	current := s.Store.Revision()
 	if options.resourceVersion > current {
-		return nil, newRevisionTooLarge(options.resourceVersion, current)
+		return nil, newResourceVersionTooLargeError(options.resourceVersion, current)
 	}
 	resource := selector.resourceType.resource
 	if options.initialEvents {
@@ -155,55 +163,62 @@
 		w.revision = current
 	}
 	if _, err := s.Store.ChangesSince(resource, w.revision, 1); err != nil {
-		return nil, newWatchExpired(options.resourceVersion, current)
+		return nil, newWatchExpiredError(options.resourceVersion, current)
 	}
 	return w, nil
 }
 
-// newWatchExpired returns the error for a watch whose position was dropped from the history.
-func newWatchExpired(revision, current int64) *apierrors.StatusError {
-	return newRevisionExpired(fmt.Sprintf("too old resource version: %d (%d)", revision, current))
+// newWatchExpiredError returns the error for a watch that needs changes that the store's history no longer
+// contains.
+func newWatchExpiredError(revision, currentRevision int64) *apierrors.StatusError {
+	return newResourceVersionExpiredError(fmt.Sprintf("too old resource version: %d (%d)", revision, currentRevision))
 }
 
-// watcher is an open watch, represented by a position in the history of a resource. A watcher has no event
-// queue: it reads unsent changes from the history. A watch whose position is dropped from the history
-// receives an error event and ends.
+// watcher is the stream of events of an open watch. A watcher has no event queue: it stores the revision up
+// to which changes have been sent, and reads later changes from the store's history. If the history no longer
+// contains these changes, the watcher sends an error event and ends.
 type watcher struct {
 	server   *Server
 	selector objectSelector
 	// revision is the revision up to which changes have been sent.
-	revision       int64
+	revision int64
+	// deadline is the Unix time at which the watch times out.
 	deadline       placer.Seconds
 	allowBookmarks bool
+	// nextBookmarkAt is the Unix time at which the next bookmark is due.
 	nextBookmarkAt placer.Seconds
-	// initialSnapshot contains the objects to be sent first. It is nil once they have been sent.
+	// initialSnapshot contains the objects for the initial events. It is nil if there are no initial events
+	// or all of them have been sent.
 	initialSnapshot *store.Snapshot
-	// lastScannedKey is the key of the last object of the initial snapshot that was sent or skipped.
+	// lastScannedKey is the key of the last object of the initial snapshot that was sent or that did not
+	// match the selector.
 	lastScannedKey string
-	// initialEventsBookmark requests a bookmark after the initial events.
+	// initialEventsBookmark makes the watcher send a bookmark after the initial events.
 	initialEventsBookmark bool
-	// protobuf selects the protobuf encoding instead of JSON.
-	protobuf bool
+	// useProtobuf makes the watcher send events in the protobuf encoding instead of JSON.
+	useProtobuf bool
 }
 
-// Pull implements http1.Stream.
+// Pull appends the next events of the watch to b and reports whether the watch ends. It implements
+// http1.Stream.
 func (w *watcher) Pull(b []byte, maxBytes int) ([]byte, bool) {
 	targetLength := len(b) + maxBytes
 	if w.initialSnapshot != nil && w.server.Store.Outdated(*w.initialSnapshot) {
-		return w.appendExpired(b, w.initialSnapshot.Revision), true
+		return w.appendExpiredError(b, w.initialSnapshot.Revision), true
 	}
 	b = w.appendInitialEvents(b, targetLength)
 	b, inHistory := w.appendChanges(b, targetLength)
 	if !inHistory {
-		return w.appendExpired(b, w.revision), true
+		return w.appendExpiredError(b, w.revision), true
 	}
 	return w.appendDueBookmark(b)
 }
 
-// Close implements http1.Stream.
+// Close removes the watcher from the open watches of the server. It implements http1.Stream.
 func (w *watcher) Close() { delete(w.server.watchers, w) }
 
-// appendInitialEvents appends the objects of the initial snapshot until b has reached the target length.
+// appendInitialEvents appends an event for each matching object of the initial snapshot that has not been
+// sent yet. It stops when b has reached the target length.
 func (w *watcher) appendInitialEvents(b []byte, targetLength int) []byte {
 	for w.initialSnapshot != nil && len(b) < targetLength {
 		scannedCount := 0
@@ -215,8 +230,8 @@
 			}
 			return len(b) < targetLength
 		})
-		complete := len(b) < targetLength || scannedCount == 0
-		if !complete {
+		allObjectsScanned := len(b) < targetLength || scannedCount == 0
+		if !allObjectsScanned {
 			continue
 		}
 		w.initialSnapshot = nil
@@ -227,17 +242,17 @@
 	return b
 }
 
-// appendChanges appends the changes after the watch's position in the history until b has reached the target
-// length. The result inHistory is false if the position was dropped from the history.
+// appendChanges appends events for the changes that have not been sent yet, until b has reached the target
+// length. The result inHistory is false if the store's history no longer contains these changes.
 func (w *watcher) appendChanges(b []byte, targetLength int) (out []byte, inHistory bool) {
-	history := w.server.Store
-	for w.initialSnapshot == nil && len(b) < targetLength && w.revision < history.Revision() {
-		changes, err := history.ChangesSince(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
+	objectStore := w.server.Store
+	for w.initialSnapshot == nil && len(b) < targetLength && w.revision < objectStore.Revision() {
+		changes, err := objectStore.ChangesSince(w.selector.resourceType.resource, w.revision, maxChangesPerRead)
 		if err != nil {
 			return b, false
 		}
 		if len(changes) == 0 {
-			w.revision = history.Revision()
+			w.revision = objectStore.Revision()
 			break
 		}
 		for _, change := range changes {
@@ -252,7 +267,7 @@
 }
 
 // appendDueBookmark appends a bookmark if one is due. It also reports whether the watch ends, either because
-// it timed out or because all watches are being closed.
+// the watch has timed out or because the server closes all watches.
 func (w *watcher) appendDueBookmark(b []byte) ([]byte, bool) {
 	if w.server.closing {
 		return b, true
@@ -265,9 +280,9 @@
 	return b, timedOut
 }
 
-// appendFilteredChange appends a change as an event from the perspective of the watch's selector. An object
-// that starts to match the selector is reported as ADDED, and an object that no longer matches is reported as
-// DELETED.
+// appendFilteredChange appends the event that the watch sends for a change. The event type is ADDED if the
+// object starts to match the selector of the watch, and DELETED if it no longer matches. Nothing is appended
+// if the object matches neither before nor after the change.
 func (w *watcher) appendFilteredChange(b []byte, change *store.Change) []byte {
 	matchesNow := change.Op != store.Deleted && w.selector.matches(change.Object)
 	matchedBefore := change.Previous != nil && w.selector.matches(change.Previous)
@@ -279,8 +294,8 @@
 	case matchedBefore && change.Op == store.Deleted:
 		return w.appendChange(b, watch.Deleted, change)
 	case matchedBefore:
-		// The event contains the last object state that matched, with the revision of the change that ended
-		// the match.
+		// The event contains the last state of the object that matched the selector. Its resource version is
+		// the revision of the change that ended the match.
 		lastMatching := change.Previous.DeepCopyObject().(store.Object)
 		lastMatching.SetResourceVersion(strconv.FormatInt(change.Revision, 10))
 		return w.appendObject(b, watch.Deleted, lastMatching)
@@ -288,14 +303,16 @@
 	return b
 }
 
-// appendExpired appends the error event that ends a watch whose position was dropped from the history.
-func (w *watcher) appendExpired(b []byte, revision int64) []byte {
-	status := newWatchExpired(revision, w.server.Store.Revision()).Status()
+// appendExpiredError appends the error event for a watch that ends because the store's history no longer
+// contains the given revision.
+func (w *watcher) appendExpiredError(b []byte, revision int64) []byte {
+	status := newWatchExpiredError(revision, w.server.Store.Revision()).Status()
 	status.TypeMeta = metav1.TypeMeta{Kind: "Status", APIVersion: "v1"}
 	return w.appendObject(b, watch.Error, &status)
 }
 
-// appendBookmark appends a bookmark event with the revision up to which the watch is complete.
+// appendBookmark appends a bookmark event. Its resource version is the revision up to which all changes have
+// been sent.
 func (w *watcher) appendBookmark(b []byte, endOfInitialEvents bool) []byte {
 	w.nextBookmarkAt = w.server.now + bookmarkInterval
 	bookmark := w.selector.resourceType.newObject()
@@ -306,24 +323,25 @@
 	return w.appendObject(b, watch.Bookmark, bookmark)
 }
 
-// appendChange appends an event with the object of a change. All watches share the cached encoding of the
+// appendChange appends an event with the object of a change. All watches share the cached encoding of this
 // object.
 func (w *watcher) appendChange(b []byte, eventType watch.EventType, change *store.Change) []byte {
-	if w.protobuf {
-		return appendProtobufEvent(b, eventType, encodedProtobuf(change))
+	if w.useProtobuf {
+		return appendProtobufEvent(b, eventType, cachedProtobuf(change))
 	}
-	return appendJSONEvent(b, eventType, encodedJSON(change))
+	return appendJSONEvent(b, eventType, cachedJSON(change))
 }
 
-// appendObject appends an event with an object that only this watch sends, so its encoding is not cached.
+// appendObject appends an event with an object that only this watch sends. The encoding of such an object is
+// not cached.
 func (w *watcher) appendObject(b []byte, eventType watch.EventType, o runtime.Object) []byte {
-	if w.protobuf {
+	if w.useProtobuf {
 		return appendProtobufEvent(b, eventType, encodeProtobuf(o))
 	}
 	return appendJSONEvent(b, eventType, encodeJSONOrNull(o))
 }
 
-// appendJSONEvent appends an event with an object that is already encoded as JSON.
+// appendJSONEvent appends an event with the given type and an object that is already encoded as JSON.
 func appendJSONEvent(b []byte, eventType watch.EventType, encodedObject []byte) []byte {
 	b = append(b, `{"type":"`...)
 	b = append(b, eventType...)
