--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -50,17 +50,18 @@
 // Serve answers an HTTP request that arrived at the given Unix time.
 func (s *Server) Serve(now placer.Seconds, r *http1.Request) http1.Response {
 	s.now = now
-	parsed := &request{Request: r}
-	response, err := s.serve(parsed)
+	parsedRequest := &request{Request: r}
+	response, err := s.serve(parsedRequest)
 	if err != nil {
 		response = errorResponse(err)
 	}
-	for _, warning := range parsed.warnings {
+	for _, warning := range parsedRequest.warnings {
 		response.Header = append(response.Header, http1.Field{Name: "Warning", Value: "299 - " + strconv.Quote(warning)})
 	}
 	return response
 }
 
+// serve answers a request whose target has not been parsed yet. Serve converts its errors to responses.
 func (s *Server) serve(r *request) (http1.Response, error) {
 	if err := r.parseTarget(); err != nil {
 		return http1.Response{}, err
--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -30,7 +30,7 @@
 		{"Accept header that lists plain JSON first", "/api/v1/pods", "application/json," + kubectlAccept, "PodList", 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			response := server.getAs(test.target, test.accept)
+			response := server.getWithAccept(test.target, test.accept)
 			var table metav1.Table
 			if err := json.Unmarshal(response.Body, &table); err != nil || response.Status != 200 {
 				t.Fatalf("response has status %d, want 200; error of decoding the body as a Table: %v", response.Status, err)
@@ -80,7 +80,7 @@
 		server.Store.Put(store.Pods, pod)
 	}
 	const options = "&allowWatchBookmarks=true&sendInitialEvents=true&resourceVersionMatch=NotOlderThan"
-	response := server.getAs("/api/v1/pods?watch=1&labelSelector=odd%3D1"+options, "")
+	response := server.getWithAccept("/api/v1/pods?watch=1&labelSelector=odd%3D1"+options, "")
 	if response.Stream == nil {
 		t.Fatalf("response to a watch request has no stream: status %d, body %s", response.Status, response.Body)
 	}
--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -28,7 +28,7 @@
 	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
 	for b.Loop() {
-		server.getAs("/api/v1/namespaces/default/pods/pod-0042", jsonType)
+		server.getWithAccept("/api/v1/namespaces/default/pods/pod-0042", jsonType)
 	}
 }
 
@@ -37,7 +37,7 @@
 	server := &Server{Store: benchmarkStore(100)}
 	b.ReportAllocs()
 	for b.Loop() {
-		server.getAs("/api/v1/namespaces/default/pods?labelSelector=team%3Da", jsonType)
+		server.getWithAccept("/api/v1/namespaces/default/pods?labelSelector=team%3Da", jsonType)
 	}
 }
 
@@ -50,7 +50,7 @@
 			var buffer []byte
 			b.ReportAllocs()
 			for b.Loop() {
-				stream := server.getAs("/api/v1/pods?watch=1", accept).Stream
+				stream := server.getWithAccept("/api/v1/pods?watch=1", accept).Stream
 				buffer, _ = stream.Pull(buffer[:0], 1<<20)
 				stream.Close()
 			}
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -27,10 +27,10 @@
 
 // prefersProtobuf reports whether an Accept header lists the protobuf encoding before JSON.
 func prefersProtobuf(accept string) bool {
-	for part := range strings.SplitSeq(accept, ",") {
+	for mediaRange := range strings.SplitSeq(accept, ",") {
 		// The error is ignored, because ParseMediaType returns the media type even if its parameters are
 		// invalid, and an empty media type after any other error.
-		mediaType, _, _ := mime.ParseMediaType(part)
+		mediaType, _, _ := mime.ParseMediaType(mediaRange)
 		switch mediaType {
 		case protobufType:
 			return true
@@ -45,15 +45,15 @@
 // cannot be encoded, the result contains the kind and API version but no fields of the object.
 func encodeProtobuf(o runtime.Object) []byte {
 	apiVersion, kind := apiVersionAndKind(o)
-	var content []byte
+	var encodedObject []byte
 	if message, ok := o.(interface{ Marshal() ([]byte, error) }); ok {
-		if encoded, err := message.Marshal(); err == nil {
-			content = encoded
+		if messageBytes, err := message.Marshal(); err == nil {
+			encodedObject = messageBytes
 		}
 	}
 	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and of all tags and lengths.
 	const maxEnvelopeBytes = 24
-	b := make([]byte, 0, len(content)+len(apiVersion)+len(kind)+maxEnvelopeBytes)
+	b := make([]byte, 0, len(encodedObject)+len(apiVersion)+len(kind)+maxEnvelopeBytes)
 	b = append(b, protobufMagic...)
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of runtime.Unknown is TypeMeta.
 	// The fields APIVersion and Kind each have a tag of 1 byte and a length of 1 byte, 4 bytes in total.
@@ -63,7 +63,7 @@
 	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of TypeMeta is Kind.
 	b = protowire.AppendString(b, kind)
 	b = protowire.AppendTag(b, 2, protowire.BytesType) // Field 2 of runtime.Unknown is Raw.
-	return protowire.AppendBytes(b, content)
+	return protowire.AppendBytes(b, encodedObject)
 }
 
 // cachedProtobuf returns the object of a change in the protobuf encoding. The first call stores the encoding
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -41,11 +41,11 @@
 		{"CPU quantity with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
 		{"CPU quantity as a JSON number with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
 		{"CPU quantity with a huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
-		{"CPU quantity with an escaped exponent sign", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
-		{"CPU quantity with an escaped first digit", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
+		{"CPU quantity whose letter e is escaped", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
+		{"CPU quantity whose first digit is escaped", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
 		{"CPU quantity with 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
-		{"merge patch with a CPU quantity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
-		{"protobuf body with a quantity with a huge exponent", "POST", jobsPath, protobufType, protobufQuantity, 400},
+		{"merge patch that sets a CPU capacity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
+		{"protobuf message with a quantity that has a huge exponent", "POST", jobsPath, protobufType, protobufQuantity, 400},
 		{"Job with 900,001 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
 		{"merge patch with a label value of 1 MiB", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
 		{"label selector with 2,001 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
@@ -53,7 +53,7 @@
 		{"path with an escaped slash in the namespace", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
 		{"path with two escaped dots as the namespace", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
 		{"path with an escaped NUL in the object name", "GET", "/api/v1/nodes/a%00b", "", "", 400},
-		{"merge patch with an annotation that reads like a quantity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
+		{"annotation with the text of a quantity that has a huge exponent", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
 		// The result of this patch is small, but it is not a valid Node: the value of the new annotation is an
 		// object instead of a string.
 		{"JSON patch that copies the metadata into its own annotations twice", "PATCH", nodePath, jsonPatchType, copyPatch(2), 400},
@@ -160,11 +160,11 @@
 	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	names := map[string]bool{}
 	for i := range jobCount {
-		created, err := server.Engine.CreateJob(1000, job, false)
+		createdJob, err := server.Engine.CreateJob(1000, job, false)
 		if err != nil {
 			t.Fatalf("creating Job number %d failed: %v", i, err)
 		}
-		names[created.Name] = true
+		names[createdJob.Name] = true
 	}
 	if len(names) != jobCount {
 		t.Errorf("the engine generated only %d different names for %d Jobs", len(names), jobCount)
@@ -199,7 +199,7 @@
 		{"page of 3 Pods", "/api/v1/pods?limit=3", 3, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			response := server.getAs(test.target, jsonType)
+			response := server.getWithAccept(test.target, jsonType)
 			body := response.Body
 			if (response.Stream != nil) != test.wantStream {
 				t.Fatalf("response contains a stream: %v, want the opposite", response.Stream != nil)
@@ -217,7 +217,7 @@
 		})
 	}
 	t.Run("list whose revision is dropped from the history", func(t *testing.T) {
-		response := server.getAs("/api/v1/pods", jsonType)
+		response := server.getWithAccept("/api/v1/pods", jsonType)
 		// The store's history keeps 500 changes, so these 1000 changes drop the revision of the list from it.
 		for i := range 1000 {
 			putLargePod(objects, i%podCount)
--- a/internal/kube/api/characterization_reads_test.go
+++ b/internal/kube/api/characterization_reads_test.go
@@ -11,8 +11,8 @@
 func TestCharacterizeReads(t *testing.T) {
 	session := newSession(t)
 	session.createInitialJobs()
-	collections := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
-	for _, target := range append(collections, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
+	listPaths := []string{"/api/v1/pods", podsPath, jobsPath, "/apis/batch/v1/jobs", "/api/v1/nodes", "/api/v1/namespaces"}
+	for _, target := range append(listPaths, nodePath, jobsPath+"/job-1", jobsPath+"/job-1/status", "/api/v1/namespaces/default") {
 		for _, accept := range []string{"", jsonType, acceptTable, protobufType, protobufType + "," + jsonType, "text/html", "*/*"} {
 			session.send("GET", target, "", "Accept", accept)
 		}
@@ -20,7 +20,7 @@
 		session.send("GET", target+"?includeObject=Object", "", "Accept", acceptTable)
 		session.send("GET", target+"?includeObject=None", "", "Accept", acceptTable)
 	}
-	session.readWithQueries(collections)
+	session.readWithQueries(listPaths)
 	for _, target := range []string{
 		"/", "/api", "/apis", "/version", "/api/v1", "/apis/batch", "/apis/batch/v1", "/livez", "/readyz", "/healthz",
 		"/metrics", "/nowhere", "/api/v2", "/apis/apps/v1/deployments", podsPath + "/missing", jobsPath + "/missing", "/api/v1/nodes/missing",
@@ -36,8 +36,8 @@
 }
 
 // readWithQueries reads each list with valid and with invalid query parameters.
-func (session *apiSession) readWithQueries(collections []string) {
-	for _, target := range collections {
+func (session *apiSession) readWithQueries(listPaths []string) {
+	for _, target := range listPaths {
 		for _, query := range []string{
 			"limit=2", "limit=-1", "limit=x", "resourceVersion=0", "resourceVersion=1", "resourceVersion=x",
 			"resourceVersion=99999999", "resourceVersion=1010&resourceVersionMatch=Exact", "resourceVersion=1010&resourceVersionMatch=NotOlderThan",
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -83,8 +83,8 @@
 	job.Name = name
 	job.Spec.Template.Spec.RestartPolicy = corev1.RestartPolicyNever
 	job.Spec.Template.Spec.Containers = []corev1.Container{{Name: "main", Image: "image"}}
-	encoded, _ := job.Marshal()
-	return protobufObject("batch/v1", "Job", encoded)
+	encodedJob, _ := job.Marshal()
+	return protobufObject("batch/v1", "Job", encodedJob)
 }
 
 // patch contains the body of a PATCH request and its media type.
@@ -195,8 +195,8 @@
 // podNames returns the names of all Pods in the namespace "default".
 func (session *apiSession) podNames() []string {
 	var names []string
-	for _, part := range strings.Split(string(session.get(podsPath).Body), `"metadata":{"name":"`)[1:] {
-		name, _, _ := strings.Cut(part, `"`)
+	for _, podText := range strings.Split(string(session.get(podsPath).Body), `"metadata":{"name":"`)[1:] {
+		name, _, _ := strings.Cut(podText, `"`)
 		names = append(names, name)
 	}
 	return names
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -46,11 +46,11 @@
 	if err != nil {
 		return http1.Response{}, err
 	}
-	created, err := s.Engine.CreateJob(s.now, job, dryRun)
+	createdJob, err := s.Engine.CreateJob(s.now, job, dryRun)
 	if err != nil {
 		return http1.Response{}, r.toStatusError(err, job.Name)
 	}
-	return objectResponse(http.StatusCreated, created)
+	return objectResponse(http.StatusCreated, createdJob)
 }
 
 // decodeNewJob decodes the Job in the request body. If the Job states no namespace, it gets the namespace in
--- a/internal/kube/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -20,8 +20,7 @@
 	// maxWarnings is the maximum number of unknown or duplicate fields for which a response contains
 	// warnings.
 	maxWarnings = 20
-	// maxWarningChars is the maximum number of characters of a warning about a field. Longer ones are cut
-	// off.
+	// maxWarningChars is the maximum number of characters of a warning. A longer warning is cut off.
 	maxWarningChars = 200
 )
 
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -26,7 +26,7 @@
 		return http1.Response{}, err
 	}
 	if r.name != "" {
-		return s.deleteNamed(r, options, dryRun)
+		return s.deleteNamedObject(r, options, dryRun)
 	}
 	return s.deleteCollection(r, options, dryRun)
 }
@@ -54,21 +54,21 @@
 	}
 }
 
-// deleteNamed deletes a single object. The response contains the deleted object. If the object is a Job that
-// was removed from the store immediately, the response contains a Status instead.
-func (s *Server) deleteNamed(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
-	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
-	if current == nil {
+// deleteNamedObject deletes a single object. The response contains the deleted object. If the object is a Job
+// that was removed from the store immediately, the response contains a Status instead.
+func (s *Server) deleteNamedObject(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
+	currentObject := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
+	if currentObject == nil {
 		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
 	if dryRun {
-		return objectResponse(http.StatusOK, current)
+		return objectResponse(http.StatusOK, currentObject)
 	}
-	deleted, err := s.deleteObject(r, current, options)
+	deletedObject, err := s.deleteObject(r, currentObject, options)
 	if err != nil {
 		return http1.Response{}, r.toStatusError(err, r.name)
 	}
-	job, isJob := deleted.(*batchv1.Job)
+	job, isJob := deletedObject.(*batchv1.Job)
 	if isJob && s.Store.Get(store.Jobs, job.Namespace, job.Name) == nil {
 		return jsonResponse(http.StatusOK, &metav1.Status{
 			TypeMeta: metav1.TypeMeta{Kind: "Status", APIVersion: "v1"},
@@ -76,7 +76,7 @@
 			Details:  &metav1.StatusDetails{Name: job.Name, Group: "batch", Kind: "jobs", UID: job.UID},
 		})
 	}
-	return objectResponse(http.StatusOK, deleted)
+	return objectResponse(http.StatusOK, deletedObject)
 }
 
 // deleteCollection deletes all objects that match the selectors of the request. The response lists these
@@ -92,15 +92,15 @@
 	}
 	// Preconditions apply only to the deletion of a single object.
 	options.Preconditions = nil
-	for _, selected := range s.selectedObjects(&selector) {
-		_, err := s.deleteObject(r, selected, options)
+	for _, selectedObject := range s.selectedObjects(&selector) {
+		_, err := s.deleteObject(r, selectedObject, options)
 		if err == nil {
 			continue
 		}
 		// An error is ignored if the object no longer exists, because the deletion of one object may delete
 		// other objects. For example, the deletion of a Job also deletes its Pods.
-		if s.Store.Get(r.resourceType.resource, selected.GetNamespace(), selected.GetName()) != nil {
-			return http1.Response{}, r.toStatusError(err, selected.GetName())
+		if s.Store.Get(r.resourceType.resource, selectedObject.GetNamespace(), selectedObject.GetName()) != nil {
+			return http1.Response{}, r.toStatusError(err, selectedObject.GetName())
 		}
 	}
 	return response, nil
--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -79,7 +79,7 @@
 // toStatusError converts an error that the engine returned to an error with an API status. The argument name
 // is the name of the object that the engine was called for.
 func (r *request) toStatusError(err error, name string) error {
-	var invalid *engine.InvalidError
+	var invalidError *engine.InvalidError
 	switch {
 	case errors.Is(err, engine.ErrNotFound):
 		return apierrors.NewNotFound(r.groupResource(), name)
@@ -91,9 +91,9 @@
 		return apierrors.NewTooManyRequests(err.Error(), tooManyRequestsRetrySeconds)
 	case errors.Is(err, engine.ErrStopping):
 		return newServiceUnavailableError(err.Error())
-	case errors.As(err, &invalid):
-		details := field.ErrorList{field.Invalid(field.NewPath(invalid.Field), invalid.Value, invalid.Detail)}
-		return apierrors.NewInvalid(r.groupKind(), name, details)
+	case errors.As(err, &invalidError):
+		fieldErrors := field.ErrorList{field.Invalid(field.NewPath(invalidError.Field), invalidError.Value, invalidError.Detail)}
+		return apierrors.NewInvalid(r.groupKind(), name, fieldErrors)
 	}
 	return err
 }
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -82,8 +82,8 @@
 	return &http1.Request{Head: head, Body: []byte(body), Peer: "127.0.0.1:1"}
 }
 
-// getAs returns the response of the server to a GET request with the given Accept header.
-func (s *Server) getAs(target, accept string) http1.Response {
+// getWithAccept returns the response of the server to a GET request with the given Accept header.
+func (s *Server) getWithAccept(target, accept string) http1.Response {
 	return s.Serve(1000, newRequest("GET", target, "", "Accept", accept))
 }
 
@@ -93,11 +93,11 @@
 }
 
 // protobufObject wraps an encoded object in the envelope of the Kubernetes protobuf encoding.
-func protobufObject(apiVersion, kind string, encoded []byte) string {
+func protobufObject(apiVersion, kind string, encodedObject []byte) string {
 	typeMeta := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), apiVersion)
 	typeMeta = protowire.AppendString(protowire.AppendTag(typeMeta, 2, protowire.BytesType), kind)
 	envelope := protowire.AppendBytes(protowire.AppendTag([]byte("k8s\x00"), 1, protowire.BytesType), typeMeta)
-	return string(protowire.AppendBytes(protowire.AppendTag(envelope, 2, protowire.BytesType), encoded))
+	return string(protowire.AppendBytes(protowire.AppendTag(envelope, 2, protowire.BytesType), encodedObject))
 }
 
 // jobWithCPU returns a Job as JSON. Its container requests the given CPU quantity, which must be a string or
@@ -122,12 +122,12 @@
 // includes all allocations that the process makes while serve runs.
 func checkAllocations(tb testing.TB, bodyBytes int, serve func()) {
 	tb.Helper()
-	var before, after runtime.MemStats
-	runtime.ReadMemStats(&before)
+	var statsBefore, statsAfter runtime.MemStats
+	runtime.ReadMemStats(&statsBefore)
 	serve()
-	runtime.ReadMemStats(&after)
+	runtime.ReadMemStats(&statsAfter)
 	limit := min(16<<20+2048*uint64(bodyBytes), 96<<20)
-	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > limit {
-		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d bytes", bodyBytes, allocated, limit)
+	if allocatedBytes := statsAfter.TotalAlloc - statsBefore.TotalAlloc; allocatedBytes > limit {
+		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d bytes", bodyBytes, allocatedBytes, limit)
 	}
 }
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -28,8 +28,8 @@
 
 // These constants are the valid values of the query parameter resourceVersionMatch.
 const (
-	matchExact        = "Exact"
-	matchNotOlderThan = "NotOlderThan"
+	versionMatchExact        = "Exact"
+	versionMatchNotOlderThan = "NotOlderThan"
 )
 
 // getObject serves GET and HEAD requests for a single object.
@@ -39,8 +39,8 @@
 		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
 	if prefersTable(r.Head.Header.Get("Accept")) {
-		meta := metav1.ListMeta{ResourceVersion: change.Object.GetResourceVersion()}
-		return s.tableResponse(r, meta, []store.Object{change.Object})
+		listMeta := metav1.ListMeta{ResourceVersion: change.Object.GetResourceVersion()}
+		return s.tableResponse(r, listMeta, []store.Object{change.Object})
 	}
 	return encodedJSONResponse(http.StatusOK, cachedJSON(change)), nil
 }
@@ -109,15 +109,15 @@
 		return s.continuedSnapshot(r, token)
 	}
 	switch {
-	case versionMatch != "" && versionMatch != matchExact && versionMatch != matchNotOlderThan:
+	case versionMatch != "" && versionMatch != versionMatchExact && versionMatch != versionMatchNotOlderThan:
 		return snapshot, "", apierrors.NewBadRequest("resourceVersionMatch: want Exact or NotOlderThan")
 	case versionMatch != "" && r.query.Get("resourceVersion") == "":
 		return snapshot, "", apierrors.NewBadRequest("resourceVersionMatch is forbidden unless resourceVersion is provided")
-	case versionMatch == matchExact && revision == 0:
+	case versionMatch == versionMatchExact && revision == 0:
 		return snapshot, "", apierrors.NewBadRequest(`resourceVersionMatch "Exact" is forbidden for resourceVersion "0"`)
 	case revision > s.Store.Revision():
 		return snapshot, "", newResourceVersionTooLargeError(revision, s.Store.Revision())
-	case versionMatch == matchExact:
+	case versionMatch == versionMatchExact:
 		snapshot, err = s.Store.FindSnapshot(s.now, r.resourceType.resource, revision)
 		if err != nil {
 			return snapshot, "", newResourceVersionExpiredError(fmt.Sprintf("too old resource version: %d", revision))
@@ -137,19 +137,19 @@
 }
 
 func (t *continueToken) encode() (string, error) {
-	text, err := json.Marshal(t)
+	tokenJSON, err := json.Marshal(t)
 	if err != nil {
 		return "", fmt.Errorf("encode continue token: %w", err)
 	}
-	return base64.RawURLEncoding.EncodeToString(text), nil
+	return base64.RawURLEncoding.EncodeToString(tokenJSON), nil
 }
 
 func decodeContinueToken(text string) (token continueToken, err error) {
-	decoded, err := base64.RawURLEncoding.DecodeString(text)
+	tokenJSON, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
 		return token, fmt.Errorf("decode continue token: %w", err)
 	}
-	if err := json.Unmarshal(decoded, &token); err != nil {
+	if err := json.Unmarshal(tokenJSON, &token); err != nil {
 		return token, fmt.Errorf("decode continue token: %w", err)
 	}
 	return token, nil
@@ -214,7 +214,7 @@
 	if asTable && (limit == 0 || limit > maxTableRows) {
 		limit = maxTableRows
 	}
-	meta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Revision, 10)}
+	listMeta := metav1.ListMeta{ResourceVersion: strconv.FormatInt(snapshot.Revision, 10)}
 	var scannedPage page
 	if limit > 0 {
 		scannedPage = scanPage(&selector, snapshot, afterKey, limit, asTable)
@@ -222,19 +222,19 @@
 	if scannedPage.hasMore {
 		token := continueToken{Revision: snapshot.Revision, After: scannedPage.lastKey}
 		var err error
-		if meta.Continue, err = token.encode(); err != nil {
+		if listMeta.Continue, err = token.encode(); err != nil {
 			return http1.Response{}, err
 		}
 		if selector.matchesAll {
-			meta.RemainingItemCount = &scannedPage.remainingCount
+			listMeta.RemainingItemCount = &scannedPage.remainingCount
 		}
 		s.Store.KeepSnapshot(s.now, snapshot)
 	}
 	if asTable {
-		return s.tableResponse(r, meta, scannedPage.objects)
+		return s.tableResponse(r, listMeta, scannedPage.objects)
 	}
 	stream := &listStream{server: s, selector: selector, snapshot: snapshot, lastScannedKey: afterKey, itemsLeft: limit, unlimited: limit == 0}
-	return stream.response(r.resourceType, &meta)
+	return stream.response(r.resourceType, &listMeta)
 }
 
 // listStream is a stream that sends a list of the objects in a snapshot. It encodes the objects while the
@@ -260,8 +260,8 @@
 
 // response returns the HTTP response with the list. A small list is the response body, and a large list is
 // sent as a stream.
-func (l *listStream) response(listedType *resourceType, meta *metav1.ListMeta) (http1.Response, error) {
-	metaText, err := json.Marshal(meta)
+func (l *listStream) response(listedType *resourceType, listMeta *metav1.ListMeta) (http1.Response, error) {
+	metaText, err := json.Marshal(listMeta)
 	if err != nil {
 		return http1.Response{}, fmt.Errorf("encode list metadata: %w", err)
 	}
--- a/internal/kube/api/request.go
+++ b/internal/kube/api/request.go
@@ -117,7 +117,7 @@
 	if r.resourceType == nil || r.namespace != "" && !r.resourceType.namespaced || len(remaining) > 3 {
 		return newPathNotFoundError()
 	}
-	return r.routeObject(remaining[1:])
+	return r.parseObjectSegments(remaining[1:])
 }
 
 // cutGroupVersion removes the API group and version from the path segments. It returns false if the server
@@ -132,9 +132,9 @@
 	return nil, false
 }
 
-// routeObject parses the path segments after the resource name. They are an optional object name and an
-// optional subresource.
-func (r *request) routeObject(segments []string) error {
+// parseObjectSegments parses the path segments after the resource name. They are an optional object name and
+// an optional subresource.
+func (r *request) parseObjectSegments(segments []string) error {
 	if len(segments) == 0 {
 		return nil
 	}
@@ -179,8 +179,8 @@
 	if accept == "" {
 		return true
 	}
-	for part := range strings.SplitSeq(accept, ",") {
-		mediaType, parameters, err := mime.ParseMediaType(part)
+	for mediaRange := range strings.SplitSeq(accept, ",") {
+		mediaType, parameters, err := mime.ParseMediaType(mediaRange)
 		if err != nil || parameters["as"] != "" {
 			continue
 		}
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -22,15 +22,15 @@
 
 // encodeJSON returns an object with its kind and API version as JSON.
 func encodeJSON(o runtime.Object) ([]byte, error) {
-	switch typed := o.(type) {
+	switch object := o.(type) {
 	case *batchv1.Job:
-		return encodeJSONWithType(typed)
+		return encodeJSONWithType(object)
 	case *corev1.Pod:
-		return encodeJSONWithType(typed)
+		return encodeJSONWithType(object)
 	case *corev1.Node:
-		return encodeJSONWithType(typed)
+		return encodeJSONWithType(object)
 	case *corev1.Namespace:
-		return encodeJSONWithType(typed)
+		return encodeJSONWithType(object)
 	}
 	return json.Marshal(o)
 }
@@ -133,8 +133,8 @@
 		return http1.Response{Status: http.StatusInternalServerError}
 	}
 	if details := status.Details; details != nil && details.RetryAfterSeconds > 0 {
-		retryAfter := strconv.Itoa(int(details.RetryAfterSeconds))
-		response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: retryAfter})
+		retryAfterSeconds := strconv.Itoa(int(details.RetryAfterSeconds))
+		response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: retryAfterSeconds})
 	}
 	return response
 }
--- a/internal/kube/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -41,10 +41,10 @@
 	if s.fields.Empty() {
 		return true
 	}
-	values := s.resourceType.selectableValues(o)
-	values["metadata.name"] = o.GetName()
-	values["metadata.namespace"] = o.GetNamespace()
-	return s.fields.Matches(values)
+	fieldValues := s.resourceType.selectableValues(o)
+	fieldValues["metadata.name"] = o.GetName()
+	fieldValues["metadata.namespace"] = o.GetNamespace()
+	return s.fields.Matches(fieldValues)
 }
 
 // parseSelector returns the selector that the namespace and the query parameters labelSelector and
@@ -79,8 +79,8 @@
 // compared with every object of a list. The check counts commas in order not to parse a long selector. Commas
 // separate requirements and also the values of a requirement.
 func checkSelectorTerms(parameter, text string) error {
-	if commas := strings.Count(text, ","); commas >= maxSelectorTerms {
-		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", parameter, commas+1, maxSelectorTerms))
+	if commaCount := strings.Count(text, ","); commaCount >= maxSelectorTerms {
+		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", parameter, commaCount+1, maxSelectorTerms))
 	}
 	return nil
 }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -131,11 +131,11 @@
 
 // headerLines returns the text "name: value" for each header field.
 func headerLines(header []http1.Field) []string {
-	var texts []string
+	var lines []string
 	for _, field := range header {
-		texts = append(texts, field.Name+": "+field.Value)
+		lines = append(lines, field.Name+": "+field.Value)
 	}
-	return texts
+	return lines
 }
 
 // digest returns the SHA-256 digest of a text as a hexadecimal number.
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -22,8 +22,8 @@
 // prefersTable reports whether an Accept header lists the Table format before plain JSON. The command kubectl
 // get sends such a header.
 func prefersTable(accept string) bool {
-	for part := range strings.SplitSeq(accept, ",") {
-		mediaType, parameters, err := mime.ParseMediaType(part)
+	for mediaRange := range strings.SplitSeq(accept, ",") {
+		mediaType, parameters, err := mime.ParseMediaType(mediaRange)
 		if err != nil {
 			continue
 		}
@@ -62,24 +62,24 @@
 
 // age returns the time since the creation of an object in the format that kubectl uses.
 func age(o store.Object, now placer.Seconds) string {
-	created := o.GetCreationTimestamp()
-	if created.IsZero() {
+	creationTime := o.GetCreationTimestamp()
+	if creationTime.IsZero() {
 		return "<unknown>"
 	}
-	return duration.HumanDuration((now - placer.Seconds(created.Unix())).Duration())
+	return duration.HumanDuration((now - placer.Seconds(creationTime.Unix())).Duration())
 }
 
 // tableCells returns the cells of the table row for an object, in the order of the columns in tableColumns.
 func tableCells(o store.Object, now placer.Seconds) []any {
-	switch typed := o.(type) {
+	switch object := o.(type) {
 	case *batchv1.Job:
-		return jobCells(typed, now)
+		return jobCells(object, now)
 	case *corev1.Pod:
-		return podCells(typed, now)
+		return podCells(object, now)
 	case *corev1.Node:
-		return nodeCells(typed)
+		return nodeCells(object)
 	case *corev1.Namespace:
-		return []any{typed.Name, string(typed.Status.Phase), age(typed, now)}
+		return []any{object.Name, string(object.Status.Phase), age(object, now)}
 	}
 	return nil
 }
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -32,65 +32,65 @@
 
 // updateObject serves PUT and PATCH requests for Jobs and Nodes.
 func (s *Server) updateObject(r *request) (http1.Response, error) {
-	current := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
-	if current == nil {
+	currentObject := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
+	if currentObject == nil {
 		return http1.Response{}, apierrors.NewNotFound(r.groupResource(), r.name)
 	}
-	updated := r.resourceType.newObject()
-	if err := r.decodeUpdate(current, updated); err != nil {
+	updatedObject := r.resourceType.newObject()
+	if err := r.decodeUpdate(currentObject, updatedObject); err != nil {
 		return http1.Response{}, err
 	}
-	if updated.GetName() != r.name || updated.GetNamespace() != r.namespace {
+	if updatedObject.GetName() != r.name || updatedObject.GetNamespace() != r.namespace {
 		return http1.Response{}, apierrors.NewBadRequest("the name or namespace of the object does not match the request")
 	}
-	if errs := validateLabelsAndAnnotations(updated, field.NewPath("metadata")); len(errs) > 0 {
+	if errs := validateLabelsAndAnnotations(updatedObject, field.NewPath("metadata")); len(errs) > 0 {
 		return http1.Response{}, apierrors.NewInvalid(r.groupKind(), r.name, errs)
 	}
 	dryRun, err := r.dryRun(nil)
 	if err != nil {
 		return http1.Response{}, err
 	}
-	stored, err := s.applyUpdate(r, current, updated, dryRun)
+	storedObject, err := s.applyUpdate(r, currentObject, updatedObject, dryRun)
 	if err != nil {
 		return http1.Response{}, r.toStatusError(err, r.name)
 	}
-	return objectResponse(http.StatusOK, stored)
+	return objectResponse(http.StatusOK, storedObject)
 }
 
-// decodeUpdate determines the updated object that a request describes and decodes it into the argument into.
-// The body of a PUT request is the updated object. The body of a PATCH request is a patch of the current
-// object.
-func (r *request) decodeUpdate(current, into store.Object) error {
+// decodeUpdate decodes the updated object that a request describes into the argument into. The body of a PUT
+// request contains this object. The body of a PATCH request contains a patch that changes the current object
+// to the updated one.
+func (r *request) decodeUpdate(currentObject, into store.Object) error {
 	if r.Head.Method == http.MethodPut {
 		return r.decode(into, r.resourceType.kind)
 	}
-	patched, err := r.applyPatch(current, into)
+	patchedJSON, err := r.applyPatch(currentObject, into)
 	if err != nil {
 		return err
 	}
-	return r.decodeJSON(patched, into, r.resourceType.kind)
+	return r.decodeJSON(patchedJSON, into, r.resourceType.kind)
 }
 
 // applyUpdate calls the engine to update a Job or a Node and returns the updated object.
-func (s *Server) applyUpdate(r *request, current, updated store.Object, dryRun bool) (store.Object, error) {
-	if job, ok := updated.(*batchv1.Job); ok {
+func (s *Server) applyUpdate(r *request, currentObject, updatedObject store.Object, dryRun bool) (store.Object, error) {
+	if job, ok := updatedObject.(*batchv1.Job); ok {
 		setJobDefaults(job)
 		return s.Engine.UpdateJob(s.now, job, dryRun)
 	}
-	node := updated.(*corev1.Node)
-	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, current.(*corev1.Node)), dryRun)
+	node := updatedObject.(*corev1.Node)
+	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, currentObject.(*corev1.Node)), dryRun)
 }
 
 // requestedUnschedulable returns the value that a request sets for the field spec.unschedulable of a Node.
 // The result is nil if the request does not set the field. A request sets the field if it changes the value.
 // A patch also sets the field if it contains the field with the current value.
-func (r *request) requestedUnschedulable(updated, current *corev1.Node) *bool {
-	valueChanged := updated.Spec.Unschedulable != current.Spec.Unschedulable
+func (r *request) requestedUnschedulable(updatedNode, currentNode *corev1.Node) *bool {
+	valueChanged := updatedNode.Spec.Unschedulable != currentNode.Spec.Unschedulable
 	setByPatch := r.Head.Method == http.MethodPatch && patchSetsUnschedulable(r.Body)
 	if !valueChanged && !setByPatch {
 		return nil
 	}
-	return new(updated.Spec.Unschedulable)
+	return new(updatedNode.Spec.Unschedulable)
 }
 
 // patchSetsUnschedulable reports whether a merge patch or a JSON patch contains the field spec.unschedulable.
@@ -118,8 +118,8 @@
 
 // applyPatch applies the patch in the request body to the current object and returns the result as JSON. For
 // a strategic merge patch, the Go type of schemaSource determines how each field is merged.
-func (r *request) applyPatch(current, schemaSource store.Object) ([]byte, error) {
-	original, err := encodeJSON(current)
+func (r *request) applyPatch(currentObject, schemaSource store.Object) ([]byte, error) {
+	originalJSON, err := encodeJSON(currentObject)
 	if err != nil {
 		return nil, fmt.Errorf("encode current object: %w", err)
 	}
@@ -129,14 +129,14 @@
 	// The error is ignored, because the request is rejected below unless the media type is one of the patch
 	// types.
 	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
-	var patched []byte
+	var patchedJSON []byte
 	switch types.PatchType(mediaType) {
 	case types.MergePatchType:
-		patched, err = jsonpatch.MergePatch(original, r.Body)
+		patchedJSON, err = jsonpatch.MergePatch(originalJSON, r.Body)
 	case types.StrategicMergePatchType:
-		patched, err = strategicpatch.StrategicMergePatch(original, r.Body, schemaSource)
+		patchedJSON, err = strategicpatch.StrategicMergePatch(originalJSON, r.Body, schemaSource)
 	case types.JSONPatchType:
-		patched, err = r.applyJSONPatch(original)
+		patchedJSON, err = r.applyJSONPatch(originalJSON)
 	default:
 		return nil, newStatusError(http.StatusUnsupportedMediaType, metav1.StatusReasonUnsupportedMediaType,
 			fmt.Sprintf("content-type %q: want %s, %s or %s", mediaType, types.JSONPatchType, types.MergePatchType, types.StrategicMergePatchType))
@@ -148,15 +148,15 @@
 	if err != nil {
 		return nil, apierrors.NewBadRequest("patch: " + err.Error())
 	}
-	if len(patched) > maxPatchedBytes {
-		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("the patched object has %d bytes: at most %d", len(patched), maxPatchedBytes))
+	if len(patchedJSON) > maxPatchedBytes {
+		return nil, apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("the patched object has %d bytes: at most %d", len(patchedJSON), maxPatchedBytes))
 	}
-	return patched, nil
+	return patchedJSON, nil
 }
 
 // applyJSONPatch applies a JSON patch. It limits the number of operations and the total size of copied
 // values, because a small patch can make an object very large by copying the object into itself repeatedly.
-func (r *request) applyJSONPatch(original []byte) ([]byte, error) {
+func (r *request) applyJSONPatch(originalJSON []byte) ([]byte, error) {
 	patch, err := jsonpatch.DecodePatch(r.Body)
 	if err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 	}
 	options := jsonpatch.NewApplyOptions()
 	options.AccumulatedCopySizeLimit = maxPatchedBytes
-	patched, err := patch.ApplyWithOptions(original, options)
+	patchedJSON, err := patch.ApplyWithOptions(originalJSON, options)
 	var copySizeError *jsonpatch.AccumulatedCopySizeError
 	if errors.As(err, &copySizeError) {
 		return nil, apierrors.NewRequestEntityTooLargeError("patch: " + err.Error())
@@ -175,5 +175,5 @@
 		excerpt := fmt.Sprintf("%.*s", maxPatchExcerptChars, r.Body)
 		return nil, apierrors.NewInvalid(r.groupKind(), r.name, field.ErrorList{field.Invalid(field.NewPath("patch"), excerpt, err.Error())})
 	}
-	return patched, nil
+	return patchedJSON, nil
 }
--- a/internal/kube/api/validate.go
+++ b/internal/kube/api/validate.go
@@ -98,8 +98,8 @@
 	case "":
 		return field.ErrorList{field.Required(fieldPath, `valid values: "OnFailure", "Never"`)}
 	}
-	supported := []corev1.RestartPolicy{corev1.RestartPolicyOnFailure, corev1.RestartPolicyNever}
-	return field.ErrorList{field.NotSupported(fieldPath, policy, supported)}
+	supportedPolicies := []corev1.RestartPolicy{corev1.RestartPolicyOnFailure, corev1.RestartPolicyNever}
+	return field.ErrorList{field.NotSupported(fieldPath, policy, supportedPolicies)}
 }
 
 // validateContainers checks a list of containers. It adds the names of the containers to usedNames, because a
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -24,7 +24,7 @@
 	// step.
 	maxChangesPerRead = 512
 
-	// maxUnbatchedWatches is the largest number of open watches for which changes are sent without delay.
+	// maxUnbatchedWatches is the largest number of open watches for which the batch delay is 0.
 	maxUnbatchedWatches = 50
 	// batchDelayPerWatch is the part of the batch delay that each open watch adds.
 	batchDelayPerWatch = placer.Seconds(4e-6)
@@ -34,8 +34,8 @@
 
 // WatchBatchDelay returns the batch delay, which is the time for which changes are collected before they are
 // sent to the open watches. The delay is 0 for a small number of watches. For a larger number, it grows by a
-// few microseconds per watch, because sending to more watches takes longer. The delay keeps the fraction of
-// time that is spent on sending bounded at any rate of changes.
+// few microseconds per watch. The delay bounds the fraction of time that is spent on sending, even if objects
+// change at a high rate.
 func WatchBatchDelay(openWatches int) placer.Seconds {
 	if openWatches <= maxUnbatchedWatches {
 		return 0
@@ -56,15 +56,17 @@
 
 // watchOptions contains the parameters of a watch request.
 type watchOptions struct {
-	timeout        placer.Seconds
+	// timeout is the time after which the watch ends.
+	timeout placer.Seconds
+	// allowBookmarks is true if the client accepts bookmark events.
 	allowBookmarks bool
 	// initialEvents makes the watch start with an event for each object that currently exists.
 	initialEvents bool
 	// initialEventsBookmark makes the watch send a bookmark after the initial events.
 	initialEventsBookmark bool
-	// startAtCurrent makes the watch start with the first change after the current revision, without initial
-	// events.
-	startAtCurrent bool
+	// startAtCurrentRevision makes the watch start with the first change after the current revision, without
+	// initial events.
+	startAtCurrentRevision bool
 	// resourceVersion is the resource version in the request, or 0 if the request states none.
 	resourceVersion int64
 }
@@ -95,12 +97,12 @@
 		}
 		return options, nil
 	}
-	if versionMatch != matchNotOlderThan {
+	if versionMatch != versionMatchNotOlderThan {
 		return options, apierrors.NewBadRequest("sendInitialEvents: resourceVersionMatch must be NotOlderThan")
 	}
 	options.initialEvents = isTrue(sendInitialEvents)
 	options.initialEventsBookmark = options.initialEvents
-	options.startAtCurrent = !options.initialEvents && resourceVersion == 0
+	options.startAtCurrentRevision = !options.initialEvents && resourceVersion == 0
 	if options.initialEventsBookmark && !options.allowBookmarks {
 		return options, apierrors.NewBadRequest("sendInitialEvents needs allowWatchBookmarks")
 	}
@@ -148,9 +150,9 @@
 		nextBookmarkAt:        s.now + bookmarkInterval,
 		initialEventsBookmark: options.initialEventsBookmark,
 	}
-	current := s.Store.Revision()
-	if options.resourceVersion > current {
-		return nil, newResourceVersionTooLargeError(options.resourceVersion, current)
+	currentRevision := s.Store.Revision()
+	if options.resourceVersion > currentRevision {
+		return nil, newResourceVersionTooLargeError(options.resourceVersion, currentRevision)
 	}
 	resource := selector.resourceType.resource
 	if options.initialEvents {
@@ -159,11 +161,11 @@
 		w.revision = snapshot.Revision
 		return w, nil
 	}
-	if options.startAtCurrent {
-		w.revision = current
+	if options.startAtCurrentRevision {
+		w.revision = currentRevision
 	}
 	if _, err := s.Store.ChangesSince(resource, w.revision, 1); err != nil {
-		return nil, newWatchExpiredError(options.resourceVersion, current)
+		return nil, newWatchExpiredError(options.resourceVersion, currentRevision)
 	}
 	return w, nil
 }
@@ -183,7 +185,8 @@
 	// revision is the revision up to which changes have been sent.
 	revision int64
 	// deadline is the Unix time at which the watch times out.
-	deadline       placer.Seconds
+	deadline placer.Seconds
+	// allowBookmarks is true if the client accepts bookmark events.
 	allowBookmarks bool
 	// nextBookmarkAt is the Unix time at which the next bookmark is due.
 	nextBookmarkAt placer.Seconds
@@ -217,8 +220,8 @@
 // Close removes the watcher from the open watches of the server. It implements http1.Stream.
 func (w *watcher) Close() { delete(w.server.watchers, w) }
 
-// appendInitialEvents appends an event for each matching object of the initial snapshot that has not been
-// sent yet. It stops when b has reached the target length.
+// appendInitialEvents appends an event for each object of the initial snapshot that matches the selector and
+// has not been sent yet. It stops when b has reached the target length.
 func (w *watcher) appendInitialEvents(b []byte, targetLength int) []byte {
 	for w.initialSnapshot != nil && len(b) < targetLength {
 		scannedCount := 0
