--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// tooManyRetrySeconds is the value of Retry-After in responses with status 429 (Too Many Requests).
+	// tooManyRequestsRetrySeconds is the value of Retry-After in responses with status 429 (Too Many Requests).
 	tooManyRequestsRetrySeconds = 5
 	// unavailableRetrySeconds is the value of Retry-After in responses with status 503 (Service Unavailable).
 	unavailableRetrySeconds = 1
